--- a/cmd/coppercourse/daemons.go
+++ b/cmd/coppercourse/daemons.go
@@ -18,14 +18,14 @@
 	"github.com/go-logr/logr"
 	"github.com/go-logr/logr/funcr"
 
-	"coppercourse/blueprint"
-	"coppercourse/door"
-	"coppercourse/fault"
-	"coppercourse/gate"
-	"coppercourse/helm"
-	"coppercourse/lore"
-	"coppercourse/place"
-	"coppercourse/ward"
+	"coppercourse/internal/agent"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/controller"
+	"coppercourse/internal/gateway"
+	"coppercourse/internal/server"
+	"coppercourse/internal/settings"
+	"coppercourse/internal/wal"
 )
 
 type flags struct {
@@ -35,15 +35,15 @@
 }
 
 var roles = map[string]string{
-	"helm": "Run a control and scheduler daemon (on a machine with a disk).",
-	"gate": "Run a door for callers and operators.",
-	"ward": "Run the daemon beside a worker.",
+	"controller": "Run a control and scheduler daemon (on a machine with a disk).",
+	"gateway":    "Run a door for callers and operators.",
+	"agent":      "Run the daemon beside a worker.",
 }
 
-var starts = map[string]func(*daemon) error{"helm": runHelm, "gate": runGate, "ward": runWard}
+var starts = map[string]func(*daemon) error{"controller": runController, "gateway": runGateway, "agent": runAgent}
 
 func daemons(app *kingpin.Application, runs map[string]func() error) {
-	for _, role := range []string{"helm", "gate", "ward"} {
+	for _, role := range []string{"controller", "gateway", "agent"} {
 		c := app.Command(role, roles[role])
 		f := &flags{}
 		c.Flag("settings", "Settings file (JSON); flags go before it.").StringVar(&f.file)
@@ -54,24 +54,24 @@
 		c.Flag("seed", "IP:port of another daemon, any role; give it up to three times.").StringsVar(&f.seeds)
 		c.Flag("log", "info or debug. Default info.").StringVar(&f.log)
 		c.Flag("check", "Check the settings and end.").BoolVar(&f.check)
-		if role == "helm" {
+		if role == "controller" {
 			c.Flag("data", "Folder for everything this daemon keeps.").StringVar(&f.data)
 		}
-		if role == "ward" {
+		if role == "agent" {
 			c.Flag("shard", "The name of the worker beside this daemon.").StringVar(&f.shard)
 		}
 		runs[role] = func() error { return begin(role, f) }
 	}
 }
 
-func (f *flags) settings(role string) (place.Settings, error) {
-	s, heap := place.Defaults(), &fault.Heap{}
+func (f *flags) settings(role string) (settings.Settings, error) {
+	s, heap := settings.Defaults(), &apierror.Heap{}
 	if f.file != "" {
 		b, err := os.ReadFile(f.file)
 		if err != nil {
-			return s, fault.Wrap(fault.BadSetting, err, "settings file")
+			return s, apierror.Wrap(apierror.BadSetting, err, "settings file")
 		}
-		place.Read(b, &s, heap)
+		settings.Read(b, &s, heap)
 	}
 	for _, p := range []struct {
 		to   *string
@@ -103,7 +103,7 @@
 	return starts[role](&daemon{ctx: ctx, log: logger(role, s), s: s})
 }
 
-func logger(role string, s place.Settings) logr.Logger {
+func logger(role string, s settings.Settings) logr.Logger {
 	level := 0
 	if s.Log == "debug" {
 		level = 1
@@ -123,20 +123,20 @@
 type daemon struct {
 	ctx     context.Context
 	log     logr.Logger
-	s       place.Settings
-	ports   func(*door.Pages) []door.Port
-	publish func(blueprint.Table, bool)
-	caller  door.Caller
+	s       settings.Settings
+	ports   func(*server.Pages) []server.Port
+	publish func(config.Table, bool)
+	caller  server.Caller
 	said    string
 }
 
 // serve runs the machine behind its pages on the inner address, and the rest.
-func (d *daemon) serve(p *door.Pages, h http.Handler) error {
-	ports := []door.Port{{Addr: d.s.Listen, Handler: h, Conns: d.s.Conns}}
+func (d *daemon) serve(p *server.Pages, h http.Handler) error {
+	ports := []server.Port{{Addr: d.s.Listen, Handler: h, Conns: d.s.Conns}}
 	if d.ports != nil {
 		ports = append(ports, d.ports(p)...)
 	}
-	return door.Serve(d.ctx, d.log, p, door.Leave(d.s.Bounds.Stops()), ports...)
+	return server.Serve(d.ctx, d.log, p, server.Leave(d.s.Bounds.Stops()), ports...)
 }
 
 // state logs what changed since it was last looked at.
@@ -147,18 +147,18 @@
 	}
 }
 
-func runHelm(d *daemon) error {
+func runController(d *daemon) error {
 	s := d.s
-	file, recs, spoilt, err := lore.Open(s.Data)
+	file, recs, spoilt, err := wal.Open(s.Data)
 	if err != nil {
 		return err
 	}
 	if spoilt != "" {
 		d.log.Error(nil, "the data file is damaged; put aside, starting as a new member", "kept", spoilt)
 	}
-	post := door.NewPost(context.Background(), s.Source)
-	o := door.NewOwner(post, file)
-	m := helm.New(door.Now(), chance(), helm.Place{Addr: s.Addr(), Loc: s.Loc(), Seeds: s.Near(), Begin: s.Begin(), Loses: s.Loses, Issue: version,
+	post := server.NewPost(context.Background(), s.Source)
+	o := server.NewOwner(post, file)
+	m := controller.New(server.Now(), chance(), controller.Place{Addr: s.Addr(), Loc: s.Loc(), Seeds: s.Near(), Begin: s.Begin(), Loses: s.Loses, Issue: version,
 		Core: s.Pace.Core(), Truth: s.Pace.Truth()}, recs)
 	o.Carry(m)
 	var ready atomic.Bool
@@ -168,15 +168,15 @@
 		return v
 	}
 	o.After = func() { ready.Store(m.Ready()) }
-	p := &door.Pages{Owner: o, Post: post, Trail: m.Trail, Ready: ready.Load}
+	p := &server.Pages{Owner: o, Post: post, Trail: m.Trail, Ready: ready.Load}
 	return d.serve(p, p.Router())
 }
 
-func runGate(d *daemon) error {
+func runGateway(d *daemon) error {
 	s := d.s
-	post := door.NewPost(context.Background(), s.Source)
-	o := door.NewOwner(post, nil)
-	m := gate.New(door.Now(), chance(), gate.Place{Addr: s.Addr(), Loc: s.Loc(), Seeds: s.Near(), Issue: version, Stale: s.Pace.News()})
+	post := server.NewPost(context.Background(), s.Source)
+	o := server.NewOwner(post, nil)
+	m := gateway.New(server.Now(), chance(), gateway.Place{Addr: s.Addr(), Loc: s.Loc(), Seeds: s.Near(), Issue: version, Stale: s.Pace.News()})
 	o.Carry(m)
 	var ready atomic.Bool
 	o.Show = func() any {
@@ -184,7 +184,7 @@
 		d.state("ready", v.Ready, "leader", v.Leader, "table_edition", v.Edition)
 		return v
 	}
-	entry := &door.Entry{}
+	entry := &server.Entry{}
 	o.After = func() {
 		ready.Store(m.Ready())
 		t, fresh := m.Table()
@@ -193,15 +193,15 @@
 			d.publish(t, fresh)
 		}
 	}
-	p := &door.Pages{Owner: o, Post: post, Trail: m.Trail, Ready: ready.Load}
+	p := &server.Pages{Owner: o, Post: post, Trail: m.Trail, Ready: ready.Load}
 	return d.serve(p, entry.Routes(p))
 }
 
-func runWard(d *daemon) error {
+func runAgent(d *daemon) error {
 	s := d.s
-	post := door.NewPost(context.Background(), s.Source)
-	o := door.NewOwner(post, nil)
-	m := ward.New(door.Now(), chance(), ward.Place{Addr: s.Addr(), Loc: s.Loc(), Shard: s.ShardName(), Seeds: s.Near(),
+	post := server.NewPost(context.Background(), s.Source)
+	o := server.NewOwner(post, nil)
+	m := agent.New(server.Now(), chance(), agent.Place{Addr: s.Addr(), Loc: s.Loc(), Shard: s.ShardName(), Seeds: s.Near(),
 		Issue: version, Truth: s.Pace.Truth()})
 	o.Carry(m)
 	o.Caller = d.caller
@@ -210,7 +210,7 @@
 		d.state("soundness", v.Account.State, "term", v.Account.Term, "instance", v.Account.ID, "leaving", v.Account.Leaving)
 		return v
 	}
-	p := &door.Pages{Owner: o, Post: post, Trail: m.Trail, Ready: func() bool { return true }}
+	p := &server.Pages{Owner: o, Post: post, Trail: m.Trail, Ready: func() bool { return true }}
 	r := p.Router()
 	r.HandleFunc("/v1/poll", p.Ask("poll")).Methods("POST")
 	return d.serve(p, r)
--- a/cmd/coppercourse/deployed.go
+++ b/cmd/coppercourse/deployed.go
@@ -12,8 +12,8 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"coppercourse/blueprint"
-	"coppercourse/door"
+	"coppercourse/internal/config"
+	"coppercourse/internal/server"
 	"coppercourse/platform"
 )
 
@@ -60,24 +60,24 @@
 
 // outside is what the platform calls on each role, beside the inner address.
 var outside = map[string]func(platform.Boot, *daemon){
-	"gate": func(b platform.Boot, d *daemon) {
+	"gateway": func(b platform.Boot, d *daemon) {
 		var front *platform.Front
-		d.publish = func(t blueprint.Table, fresh bool) { front.Publish(t, fresh) }
-		d.ports = func(p *door.Pages) []door.Port {
+		d.publish = func(t config.Table, fresh bool) { front.Publish(t, fresh) }
+		d.ports = func(p *server.Pages) []server.Port {
 			front = platform.NewFront(p.Owner)
-			return []door.Port{{Addr: b.Front, Handler: front, Limits: front.Limits, Conns: d.s.Conns},
+			return []server.Port{{Addr: b.Front, Handler: front, Limits: front.Limits, Conns: d.s.Conns},
 				{Addr: b.Ready, Handler: platform.Readiness(p.Open), Conns: few}}
 		}
 	},
-	"helm": func(b platform.Boot, d *daemon) {
-		d.ports = func(p *door.Pages) []door.Port {
-			return []door.Port{{Addr: b.Control, Handler: platform.NewControl(p.Owner, b.Control).Handler(), Conns: few}}
+	"controller": func(b platform.Boot, d *daemon) {
+		d.ports = func(p *server.Pages) []server.Port {
+			return []server.Port{{Addr: b.Control, Handler: platform.NewControl(p.Owner, b.Control).Handler(), Conns: few}}
 		}
 	},
-	"ward": func(b platform.Boot, d *daemon) {
+	"agent": func(b platform.Boot, d *daemon) {
 		d.caller = platform.NewWorker().Call
-		d.ports = func(p *door.Pages) []door.Port {
-			return []door.Port{{Addr: b.Control, Handler: platform.NewSide(p.Owner, b.App).Handler(), Conns: few}}
+		d.ports = func(p *server.Pages) []server.Port {
+			return []server.Port{{Addr: b.Control, Handler: platform.NewSide(p.Owner, b.App).Handler(), Conns: few}}
 		}
 	},
 }
--- a/cmd/coppercourse/deployed_test.go
+++ b/cmd/coppercourse/deployed_test.go
@@ -74,10 +74,10 @@
 	return path, outer[0], outer[1]
 }
 
-func TestADeployedGateLivesAndEnds(t *testing.T) {
+func TestADeployedGatewayLivesAndEnds(t *testing.T) {
 	is := is.New(t)
 	path, front, ready := settingsFile(t)
-	c := program(path, "platform", "gate")
+	c := program(path, "platform", "gateway")
 	out, err := c.StderrPipe()
 	is.NoErr(err)
 	is.NoErr(c.Start())
@@ -126,7 +126,7 @@
 	folder := t.TempDir()
 	path := filepath.Join(folder, "local.yaml")
 	is.NoErr(os.WriteFile(path, []byte("ip: \"x\"\nserves: [\"control\"]\ndataDir: \""+folder+"/data\"\ncommands: \"heartbeat\"\n"), 0o600))
-	for _, args := range [][]string{{"platform", "helm"}, {"platform", "check", path}} {
+	for _, args := range [][]string{{"platform", "controller"}, {"platform", "check", path}} {
 		var said bytes.Buffer
 		c := program(path, args...)
 		c.Stderr = &said
--- a/cmd/coppercourse/main.go
+++ b/cmd/coppercourse/main.go
@@ -1,5 +1,5 @@
 // The coppercourse program: one binary, the role is a subcommand. This file is
-// the command line; daemons.go starts the daemons, verbs.go asks a gate.
+// the command line; daemons.go starts the daemons, verbs.go asks a gateway.
 package main
 
 import (
--- a/cmd/coppercourse/trace.go
+++ b/cmd/coppercourse/trace.go
@@ -1,5 +1,5 @@
 // The tracer: follows one change, a job or an edition of the table, through
-// all daemons that a gate knows of, and prints its marks in order of time.
+// all daemons that a gateway knows of, and prints its marks in order of time.
 package main
 
 import (
@@ -12,48 +12,48 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"coppercourse/kin"
-	"coppercourse/mark"
-	"coppercourse/trail"
+	"coppercourse/internal/membership"
+	"coppercourse/internal/trace"
+	"coppercourse/internal/types"
 )
 
 type line struct {
-	trail.Mark
+	trace.Mark
 	who string
 }
 
-func tracer(app *kingpin.Application, gate *string, runs map[string]func() error) {
+func tracer(app *kingpin.Application, gateway *string, runs map[string]func() error) {
 	t := app.Command("trace", "Follow one change through all daemons.")
 	kind := t.Arg("kind", "job or table.").Required().Enum("job", "table")
 	name := t.Arg("name", "The job's id or the table's edition.").Required().String()
 	runs["trace"] = func() error {
-		subject := trail.Job(mark.JobID(*name))
+		subject := trace.Job(types.JobID(*name))
 		if *kind == "table" {
 			n, err := strconv.ParseUint(*name, 10, 64)
 			if err != nil {
 				return fmt.Errorf("a table's edition is a whole number, got %q", *name)
 			}
-			subject = trail.Table(mark.Edition(n))
+			subject = trace.Table(types.Edition(n))
 		}
-		return trace(*gate, subject)
+		return traceChange(*gateway, subject)
 	}
 }
 
-func trace(gate, subject string) error {
-	b, err := fetch(gate, "GET", "/v1/mates", nil)
+func traceChange(gateway, subject string) error {
+	b, err := fetch(gateway, "GET", "/v1/mates", nil)
 	if err != nil {
 		return err
 	}
-	var mates []kin.Mate
+	var mates []membership.Mate
 	if err := json.Unmarshal(b, &mates); err != nil {
 		return err
 	}
-	mates = append(mates, kin.Mate{Card: kin.Card{Addr: mark.Addr(gate), Role: "gate"}})
+	mates = append(mates, membership.Mate{Card: membership.Card{Addr: types.Addr(gateway), Role: "gateway"}})
 	var lines []line
 	for _, m := range mates {
 		who := fmt.Sprintf("%s %s", m.Role, m.Addr)
 		b, err := fetch(string(m.Addr), "GET", "/v1/trace?subject="+url.QueryEscape(subject), nil)
-		var list []trail.Mark
+		var list []trace.Mark
 		if err != nil || json.Unmarshal(b, &list) != nil {
 			fmt.Printf("%-26s no answer, last heard of %d ms ago\n", who, m.AgeMS)
 			continue
--- a/cmd/coppercourse/upkeep.go
+++ b/cmd/coppercourse/upkeep.go
@@ -12,13 +12,13 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"coppercourse/almanac"
-	"coppercourse/blueprint"
-	"coppercourse/fault"
-	"coppercourse/mark"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/maintenance"
+	"coppercourse/internal/types"
 )
 
-func upkeep(app *kingpin.Application, gate *string, runs map[string]func() error) {
+func upkeep(app *kingpin.Application, gateway *string, runs map[string]func() error) {
 	drain := app.Command("drain", "Let nothing start on a worker or a rack, until undrain.")
 	undrain := app.Command("undrain", "Let work start there again.")
 	for kind, path := range map[string]string{"worker": "/v1/drains/workers/", "rack": "/v1/drains/racks/"} {
@@ -26,16 +26,16 @@
 		name := d.Arg("name", "Its name.").Required().String()
 		within := d.Flag("within", "Stop what still runs after so long and have it go elsewhere; 0 lets it end.").Default("0s").Duration()
 		runs["drain "+kind] = func() error {
-			b, _ := json.Marshal(blueprint.Drain{Within: int(within.Milliseconds())})
-			return show(*gate, http.MethodPut, path+*name, b)
+			b, _ := json.Marshal(config.Drain{Within: int(within.Milliseconds())})
+			return show(*gateway, http.MethodPut, path+*name, b)
 		}
 		u := undrain.Command(kind, "A "+kind+".")
 		back := u.Arg("name", "Its name.").Required().String()
-		runs["undrain "+kind] = func() error { return show(*gate, http.MethodDelete, path+*back, nil) }
+		runs["undrain "+kind] = func() error { return show(*gateway, http.MethodDelete, path+*back, nil) }
 	}
 	gone := app.Command("gone", "Say that a lost worker never comes back: its unfinished tasks go elsewhere now.")
 	shard := gone.Arg("worker", "Its name.").Required().String()
-	runs["gone"] = func() error { return show(*gate, http.MethodPost, "/v1/workers/"+*shard+"/gone", nil) }
+	runs["gone"] = func() error { return show(*gateway, http.MethodPost, "/v1/workers/"+*shard+"/gone", nil) }
 
 	cal := app.Command("calendar", "Put, check or drop a maintenance calendar.")
 	put := cal.Command("put", "Put an iCalendar file; nothing runs in its windows.")
@@ -51,8 +51,8 @@
 		if (*worker == "") == (*rack == "") {
 			return errors.New("say either --worker or --rack")
 		}
-		body, _ := json.Marshal(blueprint.Calendar{Shard: mark.Shard(*worker), Rack: mark.Rack(*rack), Text: string(b)})
-		return show(*gate, http.MethodPut, "/v1/calendars/"+*name, body)
+		body, _ := json.Marshal(config.Calendar{Shard: types.Shard(*worker), Rack: types.Rack(*rack), Text: string(b)})
+		return show(*gateway, http.MethodPut, "/v1/calendars/"+*name, body)
 	}
 	check := cal.Command("check", "Check an iCalendar file without putting it.")
 	checked := check.Arg("file", "iCalendar file.").Required().String()
@@ -65,16 +65,16 @@
 	}
 	drop := cal.Command("drop", "Take a calendar away.")
 	dropped := drop.Arg("name", "The calendar's name.").Required().String()
-	runs["calendar drop"] = func() error { return show(*gate, http.MethodDelete, "/v1/calendars/"+*dropped, nil) }
+	runs["calendar drop"] = func() error { return show(*gateway, http.MethodDelete, "/v1/calendars/"+*dropped, nil) }
 }
 
 // calendar reads and checks an iCalendar file.
 func calendar(path string) ([]byte, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fault.Wrap(fault.BadBody, err, "calendar file")
+		return nil, apierror.Wrap(apierror.BadBody, err, "calendar file")
 	}
-	heap := &fault.Heap{}
-	almanac.Read(b, time.Now(), heap)
+	heap := &apierror.Heap{}
+	maintenance.Read(b, time.Now(), heap)
 	return b, heap.Err()
 }
--- a/cmd/trial/capacity.go
+++ b/cmd/coppersim/capacity.go
@@ -14,12 +14,12 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"coppercourse/capacity"
-	"coppercourse/trial"
+	"coppercourse/sim"
+	"coppercourse/sim/capacity"
 )
 
 type capacityRun struct {
-	plan       trial.HollowPlan
+	plan       sim.HollowPlan
 	idle, busy string
 	out        string
 	budget     time.Duration
@@ -92,7 +92,7 @@
 			}
 			p := r.plan
 			p.Daemons, p.Busy, p.Limit = n, mode.busy, max(time.Millisecond, time.Until(end))
-			m, err := trial.Measure(p)
+			m, err := sim.Measure(p)
 			if err != nil {
 				late = errors.Join(late, fmt.Errorf("%d daemons, traffic %v: %w", n, mode.busy, err))
 				continue
--- a/cmd/trial/fleet.go
+++ b/cmd/coppersim/fleet.go
@@ -14,7 +14,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"coppercourse/trial"
+	"coppercourse/sim"
 )
 
 func fleet(app *kingpin.Application, runs map[string]func() error) {
@@ -29,7 +29,7 @@
 	seed := c.Flag("seed", "Seed of the callers.").Default("1").Int64()
 	faults := c.Flag("faults", "Faults as name@at+long, by comma.").String()
 	runs["fleet"] = func() error {
-		list, err := trial.ParseEvents(*faults)
+		list, err := sim.ParseEvents(*faults)
 		if err != nil {
 			return err
 		}
@@ -46,7 +46,7 @@
 				return err
 			}
 		}
-		f := &trial.Fleet{Town: trial.Towns[*town], Dir: *dir, Bin: *bin, Self: self, Port: *port}
+		f := &sim.Fleet{Town: sim.Towns[*town], Dir: *dir, Bin: *bin, Self: self, Port: *port}
 		defer f.Shut()
 		if err := f.Open(ctx); err != nil {
 			return err
@@ -56,7 +56,7 @@
 			return err
 		}
 		fmt.Printf("ready after %s; logs in %s\n", time.Since(from).Round(10*time.Millisecond), filepath.Clean(*dir))
-		s := trial.NewStreet(f, *seed, *speed)
+		s := sim.NewStreet(f, *seed, *speed)
 		if _, err := s.Put(f.Town.Table()); err != nil {
 			return err
 		}
@@ -88,18 +88,18 @@
 	}
 
 	w := app.Command("worker", "Be one stand-in worker (the fleet starts these).")
-	ward := w.Flag("ward", "IP:port of its ward.").Required().String()
+	agent := w.Flag("agent", "IP:port of its agent.").Required().String()
 	source := w.Flag("source", "IP to call from.").String()
 	id := w.Flag("id", "Its identity.").Default("worker").String()
 	hist := w.Flag("history", "File that its history is appended to.").Default("worker.history").String()
 	made := w.Flag("make", "What it is made of, as JSON.").Default(`{"Shard":"k1","Rack":"r1","Kinds":["quote"],"Room":{"cores":4,"memory":1024}}`).String()
 	runs["worker"] = func() error {
-		var m trial.Make
+		var m sim.Make
 		if err := json.Unmarshal([]byte(*made), &m); err != nil {
 			return fmt.Errorf("--make: %w", err)
 		}
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 		defer stop()
-		return trial.WorkerRun(ctx, m, *id, *ward, *source, *hist, time.Now().UnixNano())
+		return sim.WorkerRun(ctx, m, *id, *agent, *source, *hist, time.Now().UnixNano())
 	}
 }
--- a/cmd/trial/main.go
+++ b/cmd/coppersim/main.go
@@ -12,7 +12,7 @@
 )
 
 func main() {
-	app := kingpin.New("trial", "Proves coppercourse under failure: a seeded simulator and a fleet of real processes.")
+	app := kingpin.New("coppersim", "Proves coppercourse under failure: a seeded simulator and a fleet of real processes.")
 	app.HelpFlag.Short('h')
 	runs := map[string]func() error{}
 	sweep(app, runs)
@@ -20,7 +20,7 @@
 	measureCapacity(app, runs)
 	name := kingpin.MustParse(app.Parse(os.Args[1:]))
 	if err := runs[name](); err != nil {
-		fmt.Fprintln(os.Stderr, "trial: "+strings.ReplaceAll(err.Error(), "\n", "\ntrial: "))
+		fmt.Fprintln(os.Stderr, "coppersim: "+strings.ReplaceAll(err.Error(), "\n", "\ncoppersim: "))
 		os.Exit(1)
 	}
 }
--- a/cmd/trial/sweep.go
+++ b/cmd/coppersim/sweep.go
@@ -13,12 +13,12 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"coppercourse/trial"
-	"coppercourse/truth"
+	"coppercourse/internal/dispatch"
+	"coppercourse/sim"
 )
 
 type sweeper struct {
-	plan      trial.Plan
+	plan      sim.Plan
 	seeds     int
 	faults    string
 	lease     time.Duration
@@ -26,7 +26,7 @@
 	job       string
 	mu        sync.Mutex
 	bad, legs int
-	seen      trial.Tally
+	seen      sim.Tally
 	after     []float64
 	pairs     bool
 	each      bool
@@ -35,7 +35,7 @@
 }
 
 func sweep(app *kingpin.Application, runs map[string]func() error) {
-	s := &sweeper{seen: trial.Tally{}, part: map[string][]float64{}, broke: map[string]int{}}
+	s := &sweeper{seen: sim.Tally{}, part: map[string][]float64{}, broke: map[string]int{}}
 	c := app.Command("sweep", "Run the simulator over many seeds.")
 	c.Flag("first", "First seed.").Default("1").Int64Var(&s.plan.Seed)
 	c.Flag("seeds", "How many seeds.").Default("200").IntVar(&s.seeds)
@@ -44,7 +44,7 @@
 	c.Flag("faults", "Faults to draw from, by comma; all that the town knows by default. A wrong name prints the list.").StringVar(&s.faults)
 	c.Flag("bare", "Called workers guard nothing.").BoolVar(&s.plan.Bare)
 	c.Flag("quick", "The quick pace, as where the surroundings give bounds.").BoolVar(&s.plan.Quick)
-	c.Flag("lease", "How long a ward's grant lasts, in place of the usual; loss comes a quarter later.").DurationVar(&s.lease)
+	c.Flag("lease", "How long an agent's grant lasts, in place of the usual; loss comes a quarter later.").DurationVar(&s.lease)
 	c.Flag("count", "Faults in a run.").Default("8").IntVar(&s.plan.Count)
 	c.Flag("calm", "Traffic before the faults.").Default("10s").DurationVar(&s.plan.Calm)
 	c.Flag("storm", "How long faults come.").Default("30s").DurationVar(&s.plan.Storm)
@@ -60,7 +60,7 @@
 }
 
 func (s *sweeper) run() error {
-	known := trial.FaultsOf(s.plan.Town)
+	known := sim.FaultsOf(s.plan.Town)
 	if s.plan.Faults = known; s.faults != "" {
 		s.plan.Faults = strings.Split(s.faults, ",")
 	}
@@ -70,7 +70,7 @@
 		}
 	}
 	if s.lease > 0 {
-		s.plan.Pace = truth.Defaults
+		s.plan.Pace = dispatch.Defaults
 		s.plan.Pace.Grant, s.plan.Pace.Loss = s.lease, s.lease*5/4
 	}
 	sets := s.sets()
@@ -97,7 +97,7 @@
 	fmt.Printf("chances the rules had:\n%v", s.seen)
 	fmt.Printf("%d seeds of %s, %d legs run, %d seeds broke a rule, %d re-runs after an end nobody alive was told of; took %s\n",
 		s.seeds, s.plan.Town, s.legs, s.bad, s.seen.Reruns(), time.Since(from).Round(time.Second))
-	fmt.Printf("jobs done for each one sent from 12 s after healing, beside before the faults: %s\n", trial.Spread(s.after))
+	fmt.Printf("jobs done for each one sent from 12 s after healing, beside before the faults: %s\n", sim.Spread(s.after))
 	s.worst()
 	if s.bad > 0 {
 		return fmt.Errorf("%d of %d seeds broke a rule", s.bad, s.seeds)
@@ -134,7 +134,7 @@
 	}
 	sort.Slice(rows, func(i, k int) bool { return rows[i].list[0] < rows[k].list[0] })
 	for _, r := range rows {
-		fmt.Printf("  %-16s ratio %s; %d runs broke a rule\n", r.name, trial.Spread(r.list), s.broke[r.name])
+		fmt.Printf("  %-16s ratio %s; %d runs broke a rule\n", r.name, sim.Spread(r.list), s.broke[r.name])
 	}
 }
 
@@ -146,7 +146,7 @@
 			panic(fmt.Sprintf("seed %d: %v", seed, e))
 		}
 	}()
-	r := trial.Build(p).Go()
+	r := sim.Build(p).Go()
 	v := r.Verdict()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,10 +167,10 @@
 		if len(v.Breaks) > 0 && len(faults) == 2 {
 			fmt.Println(strings.Join(faults, ","))
 		}
-		fmt.Printf("seed %d: ratio %.2f, %s\n", seed, v.Ratio, trial.Summary(&r.Hist))
+		fmt.Printf("seed %d: ratio %.2f, %s\n", seed, v.Ratio, sim.Summary(&r.Hist))
 	}
 	if s.seeds == 1 && s.verbose {
-		fmt.Println(trial.Timeline(&r.Hist))
+		fmt.Println(sim.Timeline(&r.Hist))
 	}
 	for _, h := range r.Hist.List {
 		if s.job != "" && (string(h.Job) == s.job || string(h.Leg.Job) == s.job || h.Leg.Job == "" && h.Shard != "") {
--- a/ward/ward_test.go
+++ b/internal/agent/ward_test.go
@@ -1,6 +1,6 @@
 // A worker that talks nonsense is refused by field and harms nobody: nothing of
 // a bad call reaches the account or the leader.
-package ward
+package agent
 
 import (
 	"math/rand"
@@ -8,22 +8,22 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/fault"
-	"coppercourse/mark"
-	"coppercourse/truth"
-	"coppercourse/word"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 func TestBadCallsAreRefusedWhole(t *testing.T) {
 	is := is.New(t)
-	now := mark.Now{Mono: 1 << 40}
-	w := New(now, rand.New(rand.NewSource(1)), Place{Addr: "w", Shard: "k", Truth: truth.Defaults})
+	now := types.Now{Mono: 1 << 40}
+	w := New(now, rand.New(rand.NewSource(1)), Place{Addr: "w", Shard: "k", Truth: dispatch.Defaults})
 	token := uint64(0)
-	ask := func(body string) word.Answer {
+	ask := func(body string) wire.Answer {
 		token++
-		out := w.Step(word.Event{Now: now, Ask: &word.Ask{Token: token, Verb: "poll", Body: []byte(body)}})
+		out := w.Step(wire.Event{Now: now, Ask: &wire.Ask{Token: token, Verb: "poll", Body: []byte(body)}})
 		if len(out.Answers) == 0 {
-			return word.Answer{}
+			return wire.Answer{}
 		}
 		return out.Answers[len(out.Answers)-1]
 	}
@@ -43,10 +43,10 @@
 		is.Equal(a.Fault.Field, field)
 	}
 	is.Equal(len(w.Status().Account.Legs), 0)
-	is.Equal(w.Status().Account.Worker, mark.ID(""))                  // none of it was taken
-	is.Equal(ask(`{"worker":"a","call":1,"stamp":5}`), word.Answer{}) // a good one is held
+	is.Equal(w.Status().Account.Worker, types.ID(""))                 // none of it was taken
+	is.Equal(ask(`{"worker":"a","call":1,"stamp":5}`), wire.Answer{}) // a good one is held
 	a := ask(`{"worker":"a","call":1,"stamp":5}`)
-	is.Equal(a.Fault.Kind, fault.Stale)
+	is.Equal(a.Fault.Kind, apierror.Stale)
 	is.Equal(a.Token, token) // the call held before it is still held
 	is.True(w.token != 0)
 }
--- a/fault/fault.go
+++ b/internal/apierror/fault.go
@@ -1,7 +1,7 @@
-// Package fault is the closed list of error kinds and the one table from a
+// Package apierror is the closed list of error kinds and the one table from a
 // kind to the answer a caller gets. Errors are errorx errors of one namespace;
 // a kind that is not in the table cannot be made.
-package fault
+package apierror
 
 import (
 	"errors"
--- a/blueprint/read.go
+++ b/internal/config/read.go
@@ -1,8 +1,8 @@
-// Package blueprint is what operators write: the table of queues and a
+// Package config is what operators write: the table of queues and a
 // daemon's settings, and by the same reader the jobs that callers send. All of
 // it is read by jx field by field; every fault is kept with the path of its
 // field, so that all of them are told at once.
-package blueprint
+package config
 
 import (
 	"encoding/json"
@@ -12,14 +12,14 @@
 
 	"github.com/go-faster/jx"
 
-	"coppercourse/fault"
-	"coppercourse/mark"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
 )
 
 // Reader goes down a document and heaps up what is wrong with it.
 type Reader struct {
 	d     *jx.Decoder
-	Heap  *fault.Heap
+	Heap  *apierror.Heap
 	Loose bool // fields that nobody asks for are let pass
 	dead  bool
 }
@@ -29,7 +29,7 @@
 
 var errHalt = errors.New("halt")
 
-func NewReader(b []byte, heap *fault.Heap) *Reader {
+func NewReader(b []byte, heap *apierror.Heap) *Reader {
 	return &Reader{d: jx.DecodeBytes(b), Heap: heap}
 }
 
@@ -37,14 +37,14 @@
 func (r *Reader) Whole(fields map[string]Field) {
 	r.Obj("", fields)
 	if !r.dead && r.d.Next() != jx.Invalid {
-		r.Heap.Add(fault.BadBody, "", "more than one JSON value")
+		r.Heap.Add(apierror.BadBody, "", "more than one JSON value")
 	}
 }
 
 func (r *Reader) halt(path string) {
 	if !r.dead {
 		r.dead = true
-		r.Heap.Add(fault.BadBody, path, "not well-formed JSON")
+		r.Heap.Add(apierror.BadBody, path, "not well-formed JSON")
 	}
 }
 
@@ -59,7 +59,7 @@
 	if got == jx.Invalid || r.d.Skip() != nil {
 		r.halt(path)
 	} else {
-		r.Heap.Add(fault.BadField, path, fmt.Sprintf("want %s, got %s", want, got))
+		r.Heap.Add(apierror.BadField, path, fmt.Sprintf("want %s, got %s", want, got))
 	}
 	return false
 }
@@ -79,9 +79,9 @@
 		switch {
 		case !ok && r.Loose:
 		case !ok:
-			r.Heap.Add(fault.BadField, at, "no such field")
+			r.Heap.Add(apierror.BadField, at, "no such field")
 		case seen[key]:
-			r.Heap.Add(fault.BadField, at, "told twice")
+			r.Heap.Add(apierror.BadField, at, "told twice")
 		}
 		if !ok || seen[key] {
 			return d.Skip()
@@ -108,7 +108,7 @@
 		i++
 		if i > limit {
 			if i == limit+1 {
-				r.Heap.Add(fault.BadField, path, fmt.Sprintf("more than %d", limit))
+				r.Heap.Add(apierror.BadField, path, fmt.Sprintf("more than %d", limit))
 			}
 			return d.Skip()
 		}
@@ -139,7 +139,7 @@
 		}
 		v, err := n.Int64()
 		if err != nil || v < least || v > most {
-			r.Heap.Add(fault.BadField, path, fmt.Sprintf("want a whole number from %d to %d, got %s", least, most, n))
+			r.Heap.Add(apierror.BadField, path, fmt.Sprintf("want a whole number from %d to %d, got %s", least, most, n))
 			return
 		}
 		*to = T(v)
@@ -154,7 +154,7 @@
 		}
 		v, err := r.d.Float64()
 		if err != nil || v < least || v > most {
-			r.Heap.Add(fault.BadField, path, fmt.Sprintf("want a number from %v to %v", least, most))
+			r.Heap.Add(apierror.BadField, path, fmt.Sprintf("want a number from %v to %v", least, most))
 			return
 		}
 		*to = v
@@ -162,7 +162,7 @@
 }
 
 // Cores reads a decimal number of cores within bounds.
-func Cores(r *Reader, to *mark.Cores, least, most mark.Cores) Field {
+func Cores(r *Reader, to *types.Cores, least, most types.Cores) Field {
 	return func(path string) {
 		if !r.is(path, jx.Number) {
 			return
@@ -172,9 +172,9 @@
 			r.halt(path)
 			return
 		}
-		v, ok := mark.ParseCores(n.String())
+		v, ok := types.ParseCores(n.String())
 		if !ok || v < least || v > most {
-			r.Heap.Add(fault.BadField, path, fmt.Sprintf("want a number of cores from %v to %v with at most three decimals, got %s",
+			r.Heap.Add(apierror.BadField, path, fmt.Sprintf("want a number of cores from %v to %v with at most three decimals, got %s",
 				float64(least)/1000, float64(most)/1000, n))
 			return
 		}
@@ -194,7 +194,7 @@
 			return
 		}
 		if bad := check(s); bad != "" {
-			r.Heap.Add(fault.BadField, path, bad)
+			r.Heap.Add(apierror.BadField, path, bad)
 			return
 		}
 		*to = T(s)
@@ -227,7 +227,7 @@
 			return
 		}
 		if len(b) > most {
-			r.Heap.Add(fault.BadField, path, fmt.Sprintf("larger than %d bytes", most))
+			r.Heap.Add(apierror.BadField, path, fmt.Sprintf("larger than %d bytes", most))
 			return
 		}
 		*to = append([]byte(nil), b...)
--- a/blueprint/route.go
+++ b/internal/config/route.go
@@ -1,6 +1,6 @@
 // The way from where a caller comes in to a queue: by host, and by the longest
 // prefix of the path that a row names. Built once a table, and only read then.
-package blueprint
+package config
 
 import (
 	"strings"
--- a/blueprint/table.go
+++ b/internal/config/table.go
@@ -1,5 +1,5 @@
 // The table: one row a queue, changed whole and read back whole.
-package blueprint
+package config
 
 import (
 	"crypto/sha256"
@@ -8,8 +8,8 @@
 	"fmt"
 	"time"
 
-	"coppercourse/fault"
-	"coppercourse/mark"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
 )
 
 // Row is one queue. Running counts tasks at once, Waiting unfinished jobs. Host
@@ -17,36 +17,36 @@
 // where a job does not say. Priority 0 goes first. A job is meant to be done
 // within Stretch times its longest chain of work, and Target more.
 type Row struct {
-	Name     mark.Queue `json:"name"`
-	Weight   int        `json:"weight"`
-	Share    int        `json:"share"`
-	Running  int        `json:"running"`
-	Waiting  int        `json:"waiting"`
-	Tries    int        `json:"tries"`
-	TaskMS   int        `json:"task_time_ms"`
-	Patience int        `json:"patience_ms"`
-	CutMS    int        `json:"cut_patience_ms"`
-	Losses   int        `json:"losses"`
-	Stall    int        `json:"stall_times"`
-	Displace bool       `json:"displaces"`
-	Moves    int        `json:"displaced"`
-	Host     string     `json:"host,omitempty"`
-	Prefix   string     `json:"prefix,omitempty"`
-	Service  mark.Kind  `json:"service,omitempty"`
-	Priority int        `json:"priority,omitempty"`
-	Stretch  float64    `json:"stretch,omitempty"`
-	Target   int        `json:"target_ms,omitempty"`
-	Timeout  int        `json:"timeout_ms,omitempty"`
-	Rest     int        `json:"rest_ms,omitempty"`
+	Name     types.Queue `json:"name"`
+	Weight   int         `json:"weight"`
+	Share    int         `json:"share"`
+	Running  int         `json:"running"`
+	Waiting  int         `json:"waiting"`
+	Tries    int         `json:"tries"`
+	TaskMS   int         `json:"task_time_ms"`
+	Patience int         `json:"patience_ms"`
+	CutMS    int         `json:"cut_patience_ms"`
+	Losses   int         `json:"losses"`
+	Stall    int         `json:"stall_times"`
+	Displace bool        `json:"displaces"`
+	Moves    int         `json:"displaced"`
+	Host     string      `json:"host,omitempty"`
+	Prefix   string      `json:"prefix,omitempty"`
+	Service  types.Kind  `json:"service,omitempty"`
+	Priority int         `json:"priority,omitempty"`
+	Stretch  float64     `json:"stretch,omitempty"`
+	Target   int         `json:"target_ms,omitempty"`
+	Timeout  int         `json:"timeout_ms,omitempty"`
+	Rest     int         `json:"rest_ms,omitempty"`
 }
 
 // Service is a kind of worker. Guards says that its workers turn away what does
 // not fit; where they do not, the room is the scheduler's alone to keep.
 type Service struct {
-	Name   mark.Kind `json:"name"`
-	Guards bool      `json:"guards"`
-	Health string    `json:"health,omitempty"`
-	Conns  int       `json:"connections,omitempty"`
+	Name   types.Kind `json:"name"`
+	Guards bool       `json:"guards"`
+	Health string     `json:"health,omitempty"`
+	Conns  int        `json:"connections,omitempty"`
 }
 
 // Limits bound what a caller's connection may bring; 0 is the daemon's own bound.
@@ -79,8 +79,8 @@
 // becomes of unfinished jobs of a queue left out. Source is the document that
 // the operator wrote it in, kept as it came.
 type Table struct {
-	Edition  mark.Edition    `json:"edition"`
-	Becomes  mark.Edition    `json:"becomes,omitempty"`
+	Edition  types.Edition   `json:"edition"`
+	Becomes  types.Edition   `json:"becomes,omitempty"`
 	Tasks    int             `json:"tasks,omitempty"`
 	MB       int             `json:"megabytes,omitempty"`
 	Orphans  Orphans         `json:"orphans,omitempty"`
@@ -120,7 +120,7 @@
 	return t.MB << 20
 }
 
-func (t Table) Find(q mark.Queue) (Row, bool) {
+func (t Table) Find(q types.Queue) (Row, bool) {
 	for _, r := range t.Rows {
 		if r.Name == q {
 			return r, true
@@ -148,7 +148,7 @@
 }
 
 // Serves finds a service by its name.
-func (t Table) Serves(k mark.Kind) (Service, bool) {
+func (t Table) Serves(k types.Kind) (Service, bool) {
 	for _, s := range t.Services {
 		if s.Name == k {
 			return s, true
@@ -165,7 +165,7 @@
 
 // ReadTable reads a table as an operator writes it; the edition it carries is
 // the one it was based on.
-func ReadTable(b []byte, heap *fault.Heap) (t Table) {
+func ReadTable(b []byte, heap *apierror.Heap) (t Table) {
 	r := NewReader(b, heap)
 	base := false
 	r.Whole(map[string]Field{
@@ -203,9 +203,9 @@
 }
 
 // Check tells all that is wrong with a table as a whole.
-func (t Table) Check(heap *fault.Heap) {
+func (t Table) Check(heap *apierror.Heap) {
 	heap.Check(t.Becomes == 0 || t.Becomes > t.Edition, "becomes", "must be above the edition it is based on")
-	sum, seen, way := 0, map[mark.Queue]bool{}, map[[2]string]bool{}
+	sum, seen, way := 0, map[types.Queue]bool{}, map[[2]string]bool{}
 	for i, row := range t.Rows {
 		at := fmt.Sprintf("queues[%d]", i)
 		heap.Check(!seen[row.Name], at+".name", "two rows for "+string(row.Name))
--- a/blueprint/table_test.go
+++ b/internal/config/table_test.go
@@ -1,11 +1,11 @@
-package blueprint
+package config
 
 import (
 	"testing"
 
 	"github.com/matryer/is"
 
-	"coppercourse/fault"
+	"coppercourse/internal/apierror"
 )
 
 func TestRoutesTakeTheLongestPrefixOfTheHost(t *testing.T) {
@@ -35,13 +35,13 @@
 		`{"edition":5,"queues":[{"name":"a","stretch":-1}]}`:                                                   "queues[0].stretch",
 	} {
 		is := is.New(t)
-		var heap fault.Heap
+		var heap apierror.Heap
 		ReadTable([]byte(text), &heap)
 		is.True(heap.First() != nil)
 		is.Equal(heap.First().Field, want)
 	}
 	is := is.New(t)
-	var heap fault.Heap
+	var heap apierror.Heap
 	tab := ReadTable([]byte(`{"edition":5,"becomes":9,"orphans":"finish","queues":[{"name":"a","host":"h","prefix":"/a/","service":"s","priority":2,"stretch":1.5,"target_ms":200}],"services":[{"name":"s","guards":false}],"source":{"x":1}}`), &heap)
 	is.True(heap.First() == nil)
 	is.Equal(int(tab.Next().Edition), 9)
--- a/blueprint/watch.go
+++ b/internal/config/watch.go
@@ -1,9 +1,9 @@
 // What operators write beside the table: drains, and calendars as they come.
-package blueprint
+package config
 
 import (
-	"coppercourse/fault"
-	"coppercourse/mark"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
 )
 
 // Drain is the body of a drain: within how long the target must be empty, or 0
@@ -12,7 +12,7 @@
 	Within int `json:"within_ms"`
 }
 
-func ReadDrain(b []byte, heap *fault.Heap) (d Drain) {
+func ReadDrain(b []byte, heap *apierror.Heap) (d Drain) {
 	r := NewReader(b, heap)
 	r.Whole(map[string]Field{"within_ms": Num(r, &d.Within, 0, 86_400_000)})
 	return
@@ -20,12 +20,12 @@
 
 // Calendar is the body of a calendar: whose it is, and the file's text.
 type Calendar struct {
-	Shard mark.Shard `json:"worker,omitempty"`
-	Rack  mark.Rack  `json:"rack,omitempty"`
-	Text  string     `json:"ics"`
+	Shard types.Shard `json:"worker,omitempty"`
+	Rack  types.Rack  `json:"rack,omitempty"`
+	Text  string      `json:"ics"`
 }
 
-func ReadCalendar(b []byte, heap *fault.Heap) (c Calendar) {
+func ReadCalendar(b []byte, heap *apierror.Heap) (c Calendar) {
 	r := NewReader(b, heap)
 	r.Whole(map[string]Field{
 		"worker": Text(r, &c.Shard, Name),
--- a/news/news.go
+++ b/internal/configwatch/news.go
@@ -1,18 +1,18 @@
-// Package news is the editioned long poll by which data-plane daemons get the
+// Package configwatch is the editioned long poll by which data-plane daemons get the
 // table: the reader asks with the edition it has, and the desk answers when it
 // has another, or after a short hold to say that there is none. A reader that
 // has not been confirmed for a while knows that it may not decide by what it
 // has.
-package news
+package configwatch
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"coppercourse/blueprint"
-	"coppercourse/mark"
-	"coppercourse/word"
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 const (
@@ -24,10 +24,10 @@
 )
 
 type ask struct {
-	Have mark.Edition `json:"have"`
-	Any  bool         `json:"any"`
-	Wait int64        `json:"wait_ms,omitempty"` // how long no news may be held back
-	Mark mark.Stamp   `json:"mark"`
+	Have types.Edition `json:"have"`
+	Any  bool          `json:"any"`
+	Wait int64         `json:"wait_ms,omitempty"` // how long no news may be held back
+	Mark types.Stamp   `json:"mark"`
 }
 
 func (a ask) hold() time.Duration {
@@ -38,14 +38,14 @@
 }
 
 type told struct {
-	Edition mark.Edition     `json:"edition"`
-	Table   *blueprint.Table `json:"table,omitempty"`
-	Mark    mark.Stamp       `json:"mark"`
+	Edition types.Edition `json:"edition"`
+	Table   *config.Table `json:"table,omitempty"`
+	Mark    types.Stamp   `json:"mark"`
 }
 
 type wait struct {
 	ask ask
-	by  mark.Stamp
+	by  types.Stamp
 }
 
 // Stale is the default for how long a confirmation lasts.
@@ -53,14 +53,14 @@
 
 // Desk is the leader's side.
 type Desk struct {
-	me    mark.Addr
-	waits map[mark.Addr]wait
+	me    types.Addr
+	waits map[types.Addr]wait
 }
 
-func NewDesk(me mark.Addr) *Desk { return &Desk{me, map[mark.Addr]wait{}} }
+func NewDesk(me types.Addr) *Desk { return &Desk{me, map[types.Addr]wait{}} }
 
-func (d *Desk) Take(now mark.Stamp, n word.Note) {
-	a, ok := word.Read[ask](n)
+func (d *Desk) Take(now types.Stamp, n wire.Note) {
+	a, ok := wire.Read[ask](n)
 	if !ok || len(d.waits) >= most {
 		return
 	}
@@ -72,7 +72,7 @@
 }
 
 // Tell answers those for whom there is news, or whose hold is over.
-func (d *Desk) Tell(now mark.Stamp, t blueprint.Table) (sends []word.Send) {
+func (d *Desk) Tell(now types.Stamp, t config.Table) (sends []wire.Send) {
 	for _, from := range slices.Sorted(maps.Keys(d.waits)) {
 		w := d.waits[from]
 		fresh := !w.ask.Any || w.ask.Have != t.Edition
@@ -83,7 +83,7 @@
 		if fresh {
 			b.Table = &t
 		}
-		sends = append(sends, word.Make(d.me, from, word.Told, b))
+		sends = append(sends, wire.Make(d.me, from, wire.Told, b))
 		delete(d.waits, from)
 	}
 	return
@@ -91,28 +91,28 @@
 
 // Reader is the data-plane side.
 type Reader struct {
-	me    mark.Addr
+	me    types.Addr
 	stale time.Duration
-	Table blueprint.Table
+	Table config.Table
 	any   bool
 	open  bool
-	asked mark.Stamp
-	sure  mark.Stamp
+	asked types.Stamp
+	sure  types.Stamp
 }
 
 // NewReader makes one that does not decide by what was last confirmed so long ago.
-func NewReader(me mark.Addr, stale time.Duration) *Reader {
+func NewReader(me types.Addr, stale time.Duration) *Reader {
 	return &Reader{me: me, stale: stale, sure: -1 << 61, asked: -1 << 61}
 }
 
 // Fresh tells whether the table may be decided by.
-func (r *Reader) Fresh(now mark.Stamp) bool { return r.any && now.Sub(r.sure) < r.stale }
+func (r *Reader) Fresh(now types.Stamp) bool { return r.any && now.Sub(r.sure) < r.stale }
 
 // part is as much of a timing as the confirmation's life is of the default.
 func (r *Reader) part(d time.Duration) time.Duration { return min(r.stale, Stale) * d / Stale }
 
 // Tick asks the leader again, at once after an answer.
-func (r *Reader) Tick(now mark.Stamp, lead mark.Addr) (sends []word.Send) {
+func (r *Reader) Tick(now types.Stamp, lead types.Addr) (sends []wire.Send) {
 	wait, held := again, r.part(hold)
 	if !r.Fresh(now) {
 		wait, held = eager, soon
@@ -121,13 +121,13 @@
 		return nil
 	}
 	r.open, r.asked = true, now
-	return []word.Send{word.Make(r.me, lead, word.News, ask{r.Table.Edition, r.any, held.Milliseconds(), now})}
+	return []wire.Send{wire.Make(r.me, lead, wire.News, ask{r.Table.Edition, r.any, held.Milliseconds(), now})}
 }
 
 // Take handles an answer; true when the table changed. What it confirms counts
 // from when it was asked.
-func (r *Reader) Take(n word.Note) bool {
-	t, ok := word.Read[told](n)
+func (r *Reader) Take(n wire.Note) bool {
+	t, ok := wire.Read[told](n)
 	if !ok {
 		return false
 	}
--- a/news/news_test.go
+++ b/internal/configwatch/news_test.go
@@ -1,4 +1,4 @@
-package news
+package configwatch
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/blueprint"
-	"coppercourse/mark"
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
 )
 
 // A reader that was out of the desk's reach for longer than its confirmation lasts,
@@ -16,12 +16,12 @@
 func TestAReaderThatFellSilentIsConfirmedAgain(t *testing.T) {
 	for _, stale := range []time.Duration{300 * time.Millisecond, Stale} {
 		is := is.New(t)
-		table := blueprint.Table{Edition: 31}
-		desk, r := NewDesk("helm:1"), NewReader("gate:1", stale)
+		table := config.Table{Edition: 31}
+		desk, r := NewDesk("controller:1"), NewReader("gateway:1", stale)
 		fresh := func(from, to time.Duration, reach bool) (first time.Duration) {
 			for at := from; at < to; at += 10 * time.Millisecond {
-				now := mark.Stamp(at)
-				for _, s := range r.Tick(now, "helm:1") {
+				now := types.Stamp(at)
+				for _, s := range r.Tick(now, "controller:1") {
 					if reach {
 						desk.Take(now, s.Note)
 					}
@@ -38,27 +38,27 @@
 			return
 		}
 		is.True(fresh(time.Second, 2*time.Second, true) > 0)
-		is.True(r.Fresh(mark.Stamp(2 * time.Second)))
+		is.True(r.Fresh(types.Stamp(2 * time.Second)))
 		fresh(2*time.Second, 6*time.Second, false)
-		is.True(!r.Fresh(mark.Stamp(6 * time.Second)))
+		is.True(!r.Fresh(types.Stamp(6 * time.Second)))
 		first := fresh(6*time.Second, 8*time.Second, true)
 		is.True(first > 0 && first < 6*time.Second+200*time.Millisecond) // it must be confirmed again at once
-		is.True(r.Fresh(mark.Stamp(8 * time.Second)))
+		is.True(r.Fresh(types.Stamp(8 * time.Second)))
 	}
 }
 
 // Who asks often is answered when the hold of the first question is over.
 func TestAskingAgainDoesNotPutTheAnswerOff(t *testing.T) {
 	is := is.New(t)
-	desk, r := NewDesk("helm:1"), NewReader("gate:1", Stale)
+	desk, r := NewDesk("controller:1"), NewReader("gateway:1", Stale)
 	r.any, r.Table.Edition = true, 31
 	told := 0
 	for at := time.Second; at < 2*time.Second; at += 50 * time.Millisecond {
-		r.open, r.sure = false, mark.Stamp(at) // a reader that is confirmed and asks each time
-		for _, s := range r.Tick(mark.Stamp(at), "helm:1") {
-			desk.Take(mark.Stamp(at), s.Note)
+		r.open, r.sure = false, types.Stamp(at) // a reader that is confirmed and asks each time
+		for _, s := range r.Tick(types.Stamp(at), "controller:1") {
+			desk.Take(types.Stamp(at), s.Note)
 		}
-		told += len(desk.Tell(mark.Stamp(at), blueprint.Table{Edition: 31}))
+		told += len(desk.Tell(types.Stamp(at), config.Table{Edition: 31}))
 	}
 	is.True(told >= 2)
 }
--- a/helm/aims.go
+++ b/internal/controller/aims.go
@@ -1,16 +1,16 @@
 // What a job can still be worth: whether it can be done within the aim of its
 // queue, by what its steps are expected to take. A job's own estimates are rough
 // and so is the mean of its queue's steps; between the two lies the best guess.
-package helm
+package controller
 
 import (
 	"math"
 	"time"
 
-	"coppercourse/blueprint"
-	"coppercourse/choice"
-	"coppercourse/mark"
-	"coppercourse/store"
+	"coppercourse/internal/config"
+	"coppercourse/internal/placement"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
 )
 
 const (
@@ -27,10 +27,10 @@
 )
 
 // weigh takes a new job into the mean of its queue's.
-func (h *Helm) weigh(j *store.Job) {
+func (h *Controller) weigh(j *state.Job) {
 	work := 0.0
 	for i, p := range j.Spec.Steps {
-		work += float64(p.Tasks) * h.expect(j, i).Seconds() * float64(p.Room.Cores) / float64(mark.Core)
+		work += float64(p.Tasks) * h.expect(j, i).Seconds() * float64(p.Room.Cores) / float64(types.Core)
 	}
 	if len(j.Spec.Steps) > 0 && !j.Spec.Steps[0].Lasts {
 		t := h.expect(j, 0).Seconds()
@@ -46,31 +46,31 @@
 }
 
 // mean is the work of a queue's jobs, in core-seconds.
-func (h *Helm) mean(q mark.Queue) float64 { return max(h.works[q], 0.001) }
+func (h *Controller) mean(q types.Queue) float64 { return max(h.works[q], 0.001) }
 
 // aim tells what a job can still be worth, how soon it should have its turn, and
 // what part of all cores, in percent, its queue leaves to those before it. What goes
 // first is what gains most for the work that is left, the less the more time it has:
 // the rule of apparent tardiness cost.
-func (h *Helm) aim(j *store.Job, row blueprint.Row, x *store.Heat, b store.Batch) (choice.Class, float64, int) {
+func (h *Controller) aim(j *state.Job, row config.Row, x *state.Heat, b state.Batch) (placement.Class, float64, int) {
 	if !row.Aims() {
-		return choice.InAim, 0, 0
+		return placement.InAim, 0, 0
 	}
 	cost := func(step int) time.Duration { return h.expect(j, step) }
 	rest, whole := 0.0, 0.0
 	for i, p := range j.Spec.Steps {
-		one := cost(i).Seconds() * float64(p.Room.Cores) / float64(mark.Core)
+		one := cost(i).Seconds() * float64(p.Room.Cores) / float64(types.Core)
 		rest += float64(x.Left[i]) * one
 		whole += float64(p.Tasks) * one
 	}
 	worth := min(most, 0.3+0.7*whole/h.mean(j.Queue))
 	step := b.Stage.Step()
 	if j.Spec.Steps[step].Lasts {
-		return choice.InAim, -worth / (1 + rest), 0
+		return placement.InAim, -worth / (1 + rest), 0
 	}
 	aim := time.Duration(row.Stretch*float64(j.Spec.Chain(-1, cost))) + time.Duration(row.Target)*time.Millisecond
 	left := b.From.Add(aim).Sub(h.core.Clock()) - j.Spec.Chain(step, cost)
-	class, stake, spare := choice.InAim, 0.7*worth, 0
+	class, stake, spare := placement.InAim, 0.7*worth, 0
 	if h.long(j.Queue, row, cost(step)) {
 		spare = spareLater
 		if left > aim*patient/100 {
@@ -80,9 +80,9 @@
 	switch {
 	case left > -aim/8: // the guess is no better than that
 	case left+(lates-1)*aim > 0:
-		class, stake, left = choice.Late, 0.3*worth, left+(lates-1)*aim
+		class, stake, left = placement.Late, 0.3*worth, left+(lates-1)*aim
 	default:
-		class, stake, left = choice.Spent, 0.001*worth, 0
+		class, stake, left = placement.Spent, 0.001*worth, 0
 	}
 	gain := stake / (rest + 0.01) * math.Exp(-max(0, left.Seconds())/hurry) * math.Pow(prior, -float64(row.Priority))
 	return class, -gain, spare
@@ -90,7 +90,7 @@
 
 // long tells whether tasks take so long that what goes before their queue would be
 // worth nothing any more if it had to wait for them.
-func (h *Helm) long(q mark.Queue, row blueprint.Row, task time.Duration) bool {
+func (h *Controller) long(q types.Queue, row config.Row, task time.Duration) bool {
 	for _, r := range h.state.Table.Rows {
 		if u, ok := h.tasks[r.Name]; ok && r.Name != q && r.Priority < row.Priority && task.Seconds() > lates*(r.Stretch*u+float64(r.Target)/1000) {
 			return true
@@ -101,10 +101,10 @@
 
 // caps keeps room for what goes first: work of later queues, whose tasks take long,
 // leaves free what the queues before it have lately needed at once.
-func (h *Helm) caps(in choice.Input) {
+func (h *Controller) caps(in placement.Input) {
 	fade := math.Exp2(-h.now.Mono.Sub(h.peaked).Seconds() / halving.Seconds())
 	h.peaked = h.now.Mono
-	need, used := map[mark.Queue]float64{}, mark.Cores(0)
+	need, used := map[types.Queue]float64{}, types.Cores(0)
 	for _, w := range in.Wants {
 		need[w.Queue] += float64(len(w.Tasks)) * float64(w.Room.Cores)
 	}
@@ -124,7 +124,7 @@
 			}
 			continue
 		}
-		first, beside := 0.0, mark.Cores(0)
+		first, beside := 0.0, types.Cores(0)
 		for q, o := range in.Dues {
 			switch {
 			case o.Row.Priority < d.Row.Priority:
@@ -134,6 +134,6 @@
 			}
 		}
 		first = min(first, float64(in.Total)*float64(w.Spare)/100)
-		w.Cap = max(1, in.Total-mark.Cores(first)-beside)
+		w.Cap = max(1, in.Total-types.Cores(first)-beside)
 	}
 }
--- a/helm/aims_test.go
+++ b/internal/controller/aims_test.go
@@ -1,4 +1,4 @@
-package helm
+package controller
 
 import (
 	"testing"
@@ -6,9 +6,9 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/blueprint"
-	"coppercourse/choice"
-	"coppercourse/mark"
+	"coppercourse/internal/config"
+	"coppercourse/internal/placement"
+	"coppercourse/internal/types"
 )
 
 // Long work of a later queue leaves free what the queue before it lately needed; but
@@ -19,8 +19,8 @@
 		name        string
 		spare       int
 		since       time.Duration
-		quick, long mark.Cores // in use
-		want        mark.Cores
+		quick, long types.Cores // in use
+		want        types.Cores
 		runs        bool // something of its job
 		tasks       int
 	}{
@@ -35,9 +35,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := &Helm{now: mark.Now{Mono: mark.Stamp(time.Hour)}, peaked: mark.Stamp(time.Hour), peaks: map[mark.Queue]float64{"quick": 80}}
-			in := choice.Input{Total: 100, Wants: []choice.Want{{Queue: "long", Spare: c.spare, Since: c.since, Idle: !c.runs, Tasks: []int{0, 1, 2}}}, Dues: map[mark.Queue]*choice.Due{
-				"quick": {Row: blueprint.Row{Name: "quick", Stretch: 1}, Cores: c.quick}, "long": {Row: blueprint.Row{Name: "long", Stretch: 3, Priority: 2}, Cores: c.long}}}
+			h := &Controller{now: types.Now{Mono: types.Stamp(time.Hour)}, peaked: types.Stamp(time.Hour), peaks: map[types.Queue]float64{"quick": 80}}
+			in := placement.Input{Total: 100, Wants: []placement.Want{{Queue: "long", Spare: c.spare, Since: c.since, Idle: !c.runs, Tasks: []int{0, 1, 2}}}, Dues: map[types.Queue]*placement.Due{
+				"quick": {Row: config.Row{Name: "quick", Stretch: 1}, Cores: c.quick}, "long": {Row: config.Row{Name: "long", Stretch: 3, Priority: 2}, Cores: c.long}}}
 			if c.quick == 70 {
 				h.peaks["quick"] = 0
 			}
--- /dev/null
+++ b/internal/controller/calls.go
@@ -0,0 +1,278 @@
+// What callers and operators ask, as gateways hand it over. A verb that changes
+// something is answered once its entry is committed; one that reads is answered
+// at once, under the leader's majority grant.
+package controller
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"time"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/state"
+	"coppercourse/internal/trace"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// Crowd is how many changes may wait for their commit at once.
+const Crowd = 1024
+
+type verb func(h *Controller, w waiter, c wire.CallBody)
+
+var verbs = map[string]verb{
+	"job.put":     (*Controller).putJob,
+	"job.get":     (*Controller).getJob,
+	"job.cancel":  (*Controller).cancelJob,
+	"table.put":   (*Controller).putTable,
+	"table.get":   func(h *Controller, w waiter, _ wire.CallBody) { h.good(w, 200, h.state.Table) },
+	"queues":      func(h *Controller, w waiter, _ wire.CallBody) { h.good(w, 200, h.Queues()) },
+	"workers":     func(h *Controller, w waiter, _ wire.CallBody) { h.good(w, 200, h.Workers()) },
+	"drain.put":   (*Controller).putDrain,
+	"drain.drop":  (*Controller).dropDrain,
+	"drains":      func(h *Controller, w waiter, _ wire.CallBody) { h.good(w, 200, h.Drains()) },
+	"plan.put":    (*Controller).putPlan,
+	"plan.drop":   (*Controller).dropPlan,
+	"plans":       func(h *Controller, w waiter, _ wire.CallBody) { h.good(w, 200, h.Plans()) },
+	"gone":        (*Controller).gone,
+	"queue.count": (*Controller).countQueue,
+	"status":      func(h *Controller, w waiter, _ wire.CallBody) { h.good(w, 200, h.Status()) },
+}
+
+func (h *Controller) call(n wire.Note) {
+	if c, ok := wire.Read[wire.CallBody](n); ok {
+		h.ask(waiter{from: n.From, id: c.ID}, c)
+	}
+}
+
+// ask takes a request, from a gateway or that came here itself.
+func (h *Controller) ask(w waiter, c wire.CallBody) {
+	h.Sums.Calls++
+	w.term = h.core.Term()
+	if h.head == nil || !h.core.Firm() {
+		lead := h.core.Leader()
+		if h.core.Name() == "" {
+			lead = h.kin.Lead()
+		}
+		h.reply(w, wire.ReplyBody{Away: true, Lead: lead})
+		return
+	}
+	f := verbs[c.Verb]
+	if f == nil {
+		h.bad(w, apierror.New(apierror.NoPath, "", "no such verb"))
+		return
+	}
+	if len(h.waits) >= Crowd {
+		h.bad(w, apierror.New(apierror.Crowd, "", "too many changes wait for the log").After(2*time.Second))
+		return
+	}
+	f(h, w, c)
+}
+
+func (h *Controller) reply(w waiter, r wire.ReplyBody) {
+	r.ID = w.id
+	if r.Fault != nil {
+		h.Sums.Refused++
+	}
+	if w.token == 0 {
+		h.sends = append(h.sends, wire.Make(h.place.Addr, w.from, wire.Reply, r))
+		return
+	}
+	a := wire.Answer{Token: w.token, Code: r.Code, Body: r.Body, Fault: r.Fault, Lead: r.Lead}
+	if r.Away {
+		a.Fault = apierror.New(apierror.NoLead, "", "this controller does not lead").After(time.Second)
+	}
+	h.answers = append(h.answers, a)
+}
+
+func (h *Controller) bad(w waiter, f *apierror.Fault) { h.reply(w, wire.ReplyBody{Fault: f}) }
+func (h *Controller) good(w waiter, code int, v any) {
+	h.reply(w, wire.ReplyBody{Code: code, Body: wire.Body(v)})
+}
+
+// wait proposes a fact and keeps who waits for it.
+func (h *Controller) wait(w waiter, f state.Fact) {
+	i, ok := h.fact(f)
+	if !ok {
+		h.bad(w, apierror.New(apierror.NoLead, "", "the log takes nothing now").After(2*time.Second))
+		return
+	}
+	h.waits[i] = w
+}
+
+// settle answers a change that is committed.
+func (h *Controller) settle(w waiter, f state.Fact, bad *apierror.Fault) {
+	switch {
+	case bad != nil:
+		h.bad(w, h.when(bad, f))
+	case f.Table != nil:
+		h.good(w, 200, f.Table.Next())
+	case f.Drain != nil:
+		h.good(w, 200, h.Drains())
+	case f.Plan != nil:
+		h.good(w, 200, h.Plans())
+	case f.Gone != "":
+		h.good(w, 200, h.Workers())
+	case f.Job != nil:
+		h.good(w, http.StatusCreated, h.View(f.Job.ID))
+	case f.Cancel != "":
+		h.good(w, http.StatusAccepted, h.View(f.Cancel))
+	}
+}
+
+func (h *Controller) when(bad *apierror.Fault, f state.Fact) *apierror.Fault {
+	if bad.Kind == apierror.Full && f.Job != nil {
+		bad.After(h.rate(f.Job.Spec.Queue).eta(h.now.Mono, h.state.Held(f.Job.Spec.Queue)))
+	}
+	return bad
+}
+
+func (h *Controller) putJob(w waiter, c wire.CallBody) {
+	var s state.Spec
+	if json.Unmarshal(c.Body, &s) != nil {
+		h.bad(w, apierror.New(apierror.BadBody, "", "not a job"))
+		return
+	}
+	id := types.JobID(c.Arg)
+	known, bad := h.state.CheckJob(id, s)
+	switch {
+	case known != nil:
+		h.good(w, 200, h.View(id))
+		return
+	case bad == nil:
+		bad = h.placeable(s)
+	}
+	f := state.Fact{Job: &state.Submit{ID: id, Spec: s}}
+	if bad != nil {
+		h.bad(w, h.when(bad, f))
+		return
+	}
+	h.Trail.Add(h.now.Wall, trace.Job(id), "handed over here", "from", w.from)
+	h.wait(w, f)
+}
+
+// countQueue tells how many jobs of a queue wait: unfinished, with nothing that
+// runs or has run.
+func (h *Controller) countQueue(w waiter, c wire.CallBody) {
+	q := types.Queue(c.Arg)
+	if _, ok := h.state.Table.Find(q); !ok {
+		h.bad(w, apierror.New(apierror.NoQueue, "queue", "no queue is called "+c.Arg))
+		return
+	}
+	n := 0
+	for _, j := range h.state.Live() {
+		if j.Queue == q && j.Legs == 0 {
+			n++
+		}
+	}
+	h.good(w, 200, map[string]int{"waiting": n})
+}
+
+func (h *Controller) cancelJob(w waiter, c wire.CallBody) {
+	id := types.JobID(c.Arg)
+	switch repeat, bad := h.state.CheckCancel(id); {
+	case bad != nil:
+		h.bad(w, bad)
+	case repeat:
+		h.good(w, 200, h.View(id))
+	default:
+		h.wait(w, state.Fact{Cancel: id})
+	}
+}
+
+func (h *Controller) putTable(w waiter, c wire.CallBody) {
+	var t config.Table
+	if json.Unmarshal(c.Body, &t) != nil {
+		h.bad(w, apierror.New(apierror.BadBody, "", "not a table"))
+		return
+	}
+	if bad := h.state.CheckTable(t); bad != nil {
+		h.bad(w, bad)
+		return
+	}
+	if h.state.Known(t) {
+		h.good(w, 200, t.Next())
+		return
+	}
+	h.wait(w, state.Fact{Table: &t})
+}
+
+// placeable tells a job that no known worker, away or not, could ever hold.
+func (h *Controller) placeable(s state.Spec) *apierror.Fault {
+	if len(h.state.Shapes) == 0 {
+		return apierror.New(apierror.NotReady, "", "no worker has come yet").After(2 * time.Second)
+	}
+	row, _ := h.state.Table.Find(s.Queue)
+	for i, p := range s.Steps {
+		at := fmt.Sprintf("steps[%d]", i)
+		seats, most, kinds, racks := 0, 0, false, false
+		for _, x := range h.state.Shapes {
+			k, r := x.Fits(p)
+			kinds, racks = kinds || k, racks || k && r
+			if !k || !r || !x.Room.Holds(p.Room) {
+				continue
+			}
+			n := x.Room.Fits(p.Room)
+			if p.Spread > 0 {
+				n = min(n, p.Spread)
+			}
+			seats, most = seats+1, most+n
+		}
+		switch {
+		case !kinds:
+			return apierror.New(apierror.Unplaced, at+".kind", "no worker is of kind "+string(p.Kind))
+		case !racks:
+			return apierror.New(apierror.Unplaced, at+".rack", "no worker of the kind is in rack "+string(p.Rack))
+		case seats == 0:
+			return apierror.New(apierror.Unplaced, at+".room", "larger than any worker")
+		case p.Gang && most < p.Tasks:
+			return apierror.New(apierror.Unplaced, at+".gang", fmt.Sprintf("the workers hold at most %d of its %d members at once", most, p.Tasks))
+		case p.Gang && p.Tasks > row.Running:
+			return apierror.New(apierror.Unplaced, at+".gang", "more members than the queue may run at once")
+		}
+	}
+	return nil
+}
+
+// rate is how fast a queue's jobs end, to tell when to come back.
+type rate struct {
+	last types.Stamp
+	each float64 // a second
+}
+
+func (h *Controller) rate(q types.Queue) *rate {
+	r := h.rates[q]
+	if r == nil {
+		r = &rate{}
+		h.rates[q] = r
+	}
+	return r
+}
+
+func (r *rate) hit(now types.Stamp) {
+	if r.last != 0 {
+		gap := now.Sub(r.last).Seconds()
+		r.each += 0.1 * (1/max(gap, 0.001) - r.each)
+		r.each = min(r.each, 1000)
+	}
+	r.last = now
+}
+
+// eta is when a tenth of what waits will have gone, from 1 s to a minute.
+func (r *rate) eta(now types.Stamp, waiting int) time.Duration {
+	each := r.each
+	if gap := now.Sub(r.last).Seconds(); gap > 1 {
+		each = min(each, 1/gap)
+	}
+	s := float64(max(waiting/10, 1)) / max(each, 0.01)
+	return time.Duration(min(max(s, 1), 60) * float64(time.Second))
+}
+
+func (h *Controller) ended(e state.End) {
+	if j := h.state.Jobs[e.Leg.Job]; j != nil && j.Over() {
+		delete(h.courses, j.ID)
+		h.rate(j.Queue).hit(h.now.Mono)
+	}
+}
--- a/helm/helm.go
+++ b/internal/controller/controller.go
@@ -1,7 +1,7 @@
-// Package helm is the control and scheduler daemon as one state machine: the
+// Package controller is the control and scheduler daemon as one state machine: the
 // replicated log, the state it makes, and, on the leader, the dispatcher. This
 // file is the step itself; calls.go answers callers, plan.go places work.
-package helm
+package controller
 
 import (
 	"encoding/json"
@@ -10,77 +10,77 @@
 	"slices"
 	"time"
 
-	"coppercourse/accord"
-	"coppercourse/choice"
-	"coppercourse/fault"
-	"coppercourse/kin"
-	"coppercourse/mark"
-	"coppercourse/news"
-	"coppercourse/store"
-	"coppercourse/trail"
-	"coppercourse/truth"
-	"coppercourse/word"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/configwatch"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/membership"
+	"coppercourse/internal/placement"
+	"coppercourse/internal/raft"
+	"coppercourse/internal/state"
+	"coppercourse/internal/trace"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
-// Place is where and as what a helm runs.
+// Place is where and as what a controller runs.
 type Place struct {
-	Addr  mark.Addr
-	Loc   mark.Locality
-	Seeds []mark.Addr
-	Begin accord.Origin
+	Addr  types.Addr
+	Loc   types.Locality
+	Seeds []types.Addr
+	Begin raft.Origin
 	Loses int // voters that may be lost at once, disk and all
 	Issue string
-	Core  accord.Pace
-	Truth truth.Pace
-	Every mark.Index // entries between two snapshots at least; 0 is Every
+	Core  raft.Pace
+	Truth dispatch.Pace
+	Every types.Index // entries between two snapshots at least; 0 is Every
 }
 
 type waiter struct {
-	from  mark.Addr
+	from  types.Addr
 	id    uint64
-	token uint64 // of a request that came here itself, not by way of a gate
-	term  mark.Term
+	token uint64 // of a request that came here itself, not by way of a gateway
+	term  types.Term
 }
 
-// Helm is one control daemon.
-type Helm struct {
+// Controller is one control daemon.
+type Controller struct {
 	place   Place
-	now     mark.Now
-	core    *accord.Core
-	kin     *kin.Roster
-	state   *store.State
-	done    mark.Index
-	head    *truth.Head
-	desk    *news.Desk
-	Trail   *trail.Ring
-	waits   map[mark.Index]waiter
-	ahead   map[mark.JobID]mark.Index // of the latest ends on their way into the log
+	now     types.Now
+	core    *raft.Core
+	kin     *membership.Roster
+	state   *state.State
+	done    types.Index
+	head    *dispatch.Head
+	desk    *configwatch.Desk
+	Trail   *trace.Ring
+	waits   map[types.Index]waiter
+	ahead   map[types.JobID]types.Index // of the latest ends on their way into the log
 	reads   []reader
-	flight  map[store.End]bool
-	freed   map[mark.Leg]bool // of those, what surely runs no more
-	giving  mark.Index
-	given   map[mark.Task]store.Give // on their way into the log, or just there
-	rounds  []mark.Index             // of them
-	shaped  mark.Index
-	timed   mark.Stamp
-	since   mark.Index // the entry of the latest snapshot, or of the one under way
-	shot    int        // bytes of the latest snapshot
+	flight  map[state.End]bool
+	freed   map[types.Leg]bool // of those, what surely runs no more
+	giving  types.Index
+	given   map[types.Task]state.Give // on their way into the log, or just there
+	rounds  []types.Index             // of them
+	shaped  types.Index
+	timed   types.Stamp
+	since   types.Index // the entry of the latest snapshot, or of the one under way
+	shot    int         // bytes of the latest snapshot
 	drain   bool
-	late    mark.Stamp
+	late    types.Stamp
 	moved   bool // something was applied, or time passed, since work was last placed
-	rates   map[mark.Queue]*rate
-	works   map[mark.Queue]float64 // mean work of a queue\'s jobs
-	habits  map[mark.Queue]*habit
-	courses map[mark.JobID][]course // of jobs that are not over
-	tasks   map[mark.Queue]float64  // mean seconds of a queue's tasks
-	peaks   map[mark.Queue]float64  // cores that a queue lately had in use at once
-	peaked  mark.Stamp
+	rates   map[types.Queue]*rate
+	works   map[types.Queue]float64 // mean work of a queue\'s jobs
+	habits  map[types.Queue]*habit
+	courses map[types.JobID][]course // of jobs that are not over
+	tasks   map[types.Queue]float64  // mean seconds of a queue's tasks
+	peaks   map[types.Queue]float64  // cores that a queue lately had in use at once
+	peaked  types.Stamp
 	early   []early
-	kept    *choice.Reserve // workers kept for work that was passed over
-	waited  map[choice.Part]mark.Stamp
-	moves   mark.Stamp // when something was last displaced
-	sends   []word.Send
-	answers []word.Answer
+	kept    *placement.Reserve // workers kept for work that was passed over
+	waited  map[placement.Part]types.Stamp
+	moves   types.Stamp // when something was last displaced
+	sends   []wire.Send
+	answers []wire.Answer
 	Sums    Sums
 }
 
@@ -99,22 +99,22 @@
 	slice = 64 << 10
 )
 
-// New starts a helm from the records of its disk.
-func New(now mark.Now, rnd *rand.Rand, p Place, recs [][]byte) *Helm {
-	me := accord.Member{Addr: p.Addr, Loc: p.Loc}
-	h := &Helm{place: p, now: now, core: accord.New(now, p.Core, rnd, me, p.Begin, recs, mark.Mint(rnd)),
-		waits: map[mark.Index]waiter{}, ahead: map[mark.JobID]mark.Index{}, flight: map[store.End]bool{}, freed: map[mark.Leg]bool{},
-		given: map[mark.Task]store.Give{}, rates: map[mark.Queue]*rate{}, works: map[mark.Queue]float64{}, peaks: map[mark.Queue]float64{},
-		tasks: map[mark.Queue]float64{}, habits: map[mark.Queue]*habit{}, courses: map[mark.JobID][]course{}, Trail: trail.New()}
-	h.kin = kin.New(rnd, h.card(), p.Seeds)
-	h.desk = news.NewDesk(p.Addr)
+// New starts a controller from the records of its disk.
+func New(now types.Now, rnd *rand.Rand, p Place, recs [][]byte) *Controller {
+	me := raft.Member{Addr: p.Addr, Loc: p.Loc}
+	h := &Controller{place: p, now: now, core: raft.New(now, p.Core, rnd, me, p.Begin, recs, types.Mint(rnd)),
+		waits: map[types.Index]waiter{}, ahead: map[types.JobID]types.Index{}, flight: map[state.End]bool{}, freed: map[types.Leg]bool{},
+		given: map[types.Task]state.Give{}, rates: map[types.Queue]*rate{}, works: map[types.Queue]float64{}, peaks: map[types.Queue]float64{},
+		tasks: map[types.Queue]float64{}, habits: map[types.Queue]*habit{}, courses: map[types.JobID][]course{}, Trail: trace.New()}
+	h.kin = membership.New(rnd, h.card(), p.Seeds)
+	h.desk = configwatch.NewDesk(p.Addr)
 	h.load()
 	return h
 }
 
-func (h *Helm) load() {
+func (h *Controller) load() {
 	s := h.core.State()
-	st, err := store.Restore(s.Parts)
+	st, err := state.Restore(s.Parts)
 	if err != nil {
 		panic(err)
 	}
@@ -126,26 +126,26 @@
 	h.core.Wind(st.Tick)
 }
 
-func (h *Helm) card() kin.Card {
-	return kin.Card{Addr: h.place.Addr, ID: h.core.ID(), Role: "helm", Loc: h.place.Loc, Name: h.core.Name(),
+func (h *Controller) card() membership.Card {
+	return membership.Card{Addr: h.place.Addr, ID: h.core.ID(), Role: "controller", Loc: h.place.Loc, Name: h.core.Name(),
 		Term: h.core.Term(), Leads: h.core.Leads() && !h.drain, Part: h.core.Role(), Ready: h.Ready(), Issue: h.place.Issue}
 }
 
-// Ready tells whether the platform may send callers here: a helm that knows a
+// Ready tells whether the platform may send callers here: a controller that knows a
 // leader of now, or is it.
-func (h *Helm) Ready() bool {
+func (h *Controller) Ready() bool {
 	return !h.drain && h.core.Name() != "" && (h.core.Leads() && h.core.Firm() || !h.core.Leads() && h.core.Leader() != "")
 }
 
 // Step takes one event.
-func (h *Helm) Step(e word.Event) word.Out {
+func (h *Controller) Step(e wire.Event) wire.Out {
 	h.now = e.Now
 	h.Sums.Steps++
 	switch {
 	case e.Note != nil:
 		h.take(*e.Note)
 	case e.Ask != nil:
-		h.ask(waiter{token: e.Ask.Token}, word.CallBody{Verb: e.Ask.Verb, Arg: e.Ask.Arg, Body: e.Ask.Body})
+		h.ask(waiter{token: e.Ask.Token}, wire.CallBody{Verb: e.Ask.Verb, Arg: e.Ask.Arg, Body: e.Ask.Body})
 	case e.Synced > 0:
 		h.core.Synced(e.Now, e.Synced)
 	case e.Close:
@@ -155,7 +155,7 @@
 	}
 	h.catch()
 	h.lead()
-	var out word.Out
+	var out wire.Out
 	h.shoot()
 	h.kin.Me(h.card())
 	out.Sends, out.Batch, out.Seq, out.Whole = h.core.Out()
@@ -167,7 +167,7 @@
 }
 
 // shoot puts the log together, a little a step.
-func (h *Helm) shoot() {
+func (h *Controller) shoot() {
 	if !h.state.Shooting() {
 		n := h.done - h.since
 		every := h.place.Every
@@ -189,18 +189,18 @@
 	}
 }
 
-func (h *Helm) take(n word.Note) {
+func (h *Controller) take(n wire.Note) {
 	switch {
 	case h.kin.Take(h.now.Mono, n):
 	case h.core.Take(h.now, n):
-	case n.Kind == word.Call:
+	case n.Kind == wire.Call:
 		h.call(n)
-	case n.Kind == word.News:
+	case n.Kind == wire.News:
 		if h.core.Firm() {
 			h.desk.Take(h.now.Mono, n)
 		}
 	default:
-		if n.Kind == word.Status {
+		if n.Kind == wire.Status {
 			h.keep(n)
 		}
 		if h.head != nil {
@@ -209,13 +209,13 @@
 	}
 }
 
-func (h *Helm) tick() {
+func (h *Controller) tick() {
 	h.moved = true
 	h.kin.Tick(h.now.Mono)
-	var seen []accord.Seen
-	for _, c := range h.kin.Helms() {
+	var seen []raft.Seen
+	for _, c := range h.kin.Controllers() {
 		if c.ID != "" && c.Part != "out" {
-			seen = append(seen, accord.Seen{Member: accord.Member{ID: c.ID, Addr: c.Addr, Loc: c.Loc}, Name: c.Name})
+			seen = append(seen, raft.Seen{Member: raft.Member{ID: c.ID, Addr: c.Addr, Loc: c.Loc}, Name: c.Name})
 		}
 	}
 	h.core.See(seen, h.others())
@@ -223,12 +223,12 @@
 	h.pass()
 }
 
-// others are, while no cluster is known, where daemons are that are no helms: a
+// others are, while no cluster is known, where daemons are that are no controllers: a
 // founder that turns out to be one of them is not waited for.
-func (h *Helm) others() (list []mark.Addr) {
+func (h *Controller) others() (list []types.Addr) {
 	if h.core.Name() == "" {
 		for _, a := range h.place.Begin.Founders {
-			if role := h.kin.Role(a); role != "" && role != "helm" {
+			if role := h.kin.Role(a); role != "" && role != "controller" {
 				list = append(list, a)
 			}
 		}
@@ -237,14 +237,14 @@
 }
 
 // close begins a planned stop: the duty goes to a successor.
-func (h *Helm) close() {
+func (h *Controller) close() {
 	h.drain = true
 	h.late = h.now.Mono.Add(3 * time.Second)
 	h.core.Leave(h.now)
 }
 
 // catch brings the state up to what is committed.
-func (h *Helm) catch() {
+func (h *Controller) catch() {
 	if s := h.core.State(); s.Index > h.done {
 		h.load()
 	}
@@ -255,7 +255,7 @@
 		if e.Fact == nil {
 			continue
 		}
-		var f store.Fact
+		var f state.Fact
 		if err := json.Unmarshal(e.Fact, &f); err != nil {
 			panic(err)
 		}
@@ -291,33 +291,33 @@
 }
 
 // told leaves marks of what was applied for the tracer.
-func (h *Helm) told(f store.Fact, at mark.Index) {
+func (h *Controller) told(f state.Fact, at types.Index) {
 	switch {
 	case f.Table != nil:
-		h.Trail.Add(h.now.Wall, trail.Table(h.state.Table.Edition), "applied", "index", at)
+		h.Trail.Add(h.now.Wall, trace.Table(h.state.Table.Edition), "applied", "index", at)
 	case f.Job != nil:
-		h.Trail.Add(h.now.Wall, trail.Job(f.Job.ID), "accept applied", "index", at)
+		h.Trail.Add(h.now.Wall, trace.Job(f.Job.ID), "accept applied", "index", at)
 	case f.Cancel != "":
-		h.Trail.Add(h.now.Wall, trail.Job(f.Cancel), "cancel applied", "index", at)
+		h.Trail.Add(h.now.Wall, trace.Job(f.Cancel), "cancel applied", "index", at)
 	}
 	for _, g := range f.Legs {
-		h.Trail.Add(h.now.Wall, trail.Job(g.Leg.Job), "leg given out", "leg", g.Leg, "shard", g.Shard)
+		h.Trail.Add(h.now.Wall, trace.Job(g.Leg.Job), "leg given out", "leg", g.Leg, "shard", g.Shard)
 	}
 	for _, x := range f.Ends {
-		h.Trail.Add(h.now.Wall, trail.Job(x.Leg.Job), "end applied", "leg", x.Leg, "fate", x.Fate)
+		h.Trail.Add(h.now.Wall, trace.Job(x.Leg.Job), "end applied", "leg", x.Leg, "fate", x.Fate)
 		h.ended(x)
 	}
 }
 
 // lead does the leader's work, or lets go of it.
-func (h *Helm) lead() {
+func (h *Controller) lead() {
 	if !h.core.Leads() {
 		if h.head != nil {
 			h.head = nil
 			h.Sums.Lost++
 		}
 		for _, i := range slices.Sorted(maps.Keys(h.waits)) {
-			h.reply(h.waits[i], word.ReplyBody{Fault: fault.New(fault.Unsure, "", "the leader changed; send the same again")})
+			h.reply(h.waits[i], wire.ReplyBody{Fault: apierror.New(apierror.Unsure, "", "the leader changed; send the same again")})
 		}
 		h.turnAway()
 		clear(h.waits)
@@ -332,10 +332,10 @@
 			return
 		}
 		h.Sums.Elected++
-		h.head = truth.NewHead(h.now.Mono, h.core.Ruled(), h.place.Truth, h.place.Addr, h.core.Term(), h.outs())
-		h.head.Invoked = func(x mark.Shard) bool { return h.state.Shapes[x].Invoked }
-		h.head.Apart = func(x mark.Shard) bool { return h.kin.Apart(string(x)) }
-		h.head.Taken, h.head.Doubts = h.taken, func(x mark.Shard) []mark.Leg { return h.state.Doubts(x) }
+		h.head = dispatch.NewHead(h.now.Mono, h.core.Ruled(), h.place.Truth, h.place.Addr, h.core.Term(), h.outs())
+		h.head.Invoked = func(x types.Shard) bool { return h.state.Shapes[x].Invoked }
+		h.head.Apart = func(x types.Shard) bool { return h.kin.Apart(string(x)) }
+		h.head.Taken, h.head.Doubts = h.taken, func(x types.Shard) []types.Leg { return h.state.Doubts(x) }
 	}
 	h.head.Tick(h.now.Mono, h.core.Grace())
 	h.heed()
@@ -349,19 +349,19 @@
 	}
 }
 
-func (h *Helm) fact(f store.Fact) (mark.Index, bool) {
+func (h *Controller) fact(f state.Fact) (types.Index, bool) {
 	f.Tick = max(h.core.Clock(), h.state.Tick)
-	return h.core.Propose(word.Body(f))
+	return h.core.Propose(wire.Body(f))
 }
 
 // outs lists the legs given out as the state has them.
-func (h *Helm) outs() (list []truth.Hold) {
+func (h *Controller) outs() (list []dispatch.Hold) {
 	for _, j := range h.state.Live() {
 		for i := range j.Tasks {
 			for _, o := range j.Tasks[i].Outs() {
 				n := j.Spec.No(i)
-				at := mark.StageOf(n)
-				list = append(list, truth.Hold{Leg: mark.Leg{Task: mark.Task{Job: j.ID, N: n}, Leg: o.Leg},
+				at := types.StageOf(n)
+				list = append(list, dispatch.Hold{Leg: types.Leg{Task: types.Task{Job: j.ID, N: n}, Leg: o.Leg},
 					Shard: o.Shard, Stage: at, Room: j.Spec.Steps[at.Step()].Room, Usual: usual(j, at), Limit: h.limit(j, at)})
 			}
 		}
@@ -370,7 +370,7 @@
 }
 
 // taken tells whether the state already has an end, or has no use for it.
-func (h *Helm) taken(e store.End) bool {
+func (h *Controller) taken(e state.End) bool {
 	j := h.state.Jobs[e.Leg.Job]
 	if j == nil || j.Over() {
 		return true
--- a/helm/copies.go
+++ b/internal/controller/copies.go
@@ -1,15 +1,15 @@
 // Second attempts: where a step allows that its tasks run twice, one that takes far
 // longer than its like, or whose worker has fallen silent, gets a copy elsewhere, in
 // room that nothing else wants. Whichever ends well first counts; the other is stopped.
-package helm
+package controller
 
 import (
 	"time"
 
-	"coppercourse/choice"
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/truth"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/placement"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
 )
 
 const (
@@ -18,10 +18,10 @@
 )
 
 // behind lists the second attempts that are wanted.
-func (h *Helm) behind(holds []*truth.Hold) (wants []choice.Want) {
+func (h *Controller) behind(holds []*dispatch.Hold) (wants []placement.Want) {
 	for _, o := range holds {
 		j := h.state.Jobs[o.Leg.Job]
-		if j == nil || j.State != store.Open || o.Stage < 0 {
+		if j == nil || j.State != state.Open || o.Stage < 0 {
 			continue
 		}
 		p := &j.Spec.Steps[o.Stage.Step()]
@@ -29,31 +29,31 @@
 		if !p.Copies || p.Gang || t == nil || t.Done || t.Copy != nil || t.On(o.Leg.Leg) == nil || !h.slow(o, p) {
 			continue
 		}
-		wants = append(wants, choice.Want{Part: choice.Part{Job: j.ID, Stage: o.Stage}, Queue: j.Queue, Urgency: j.Spec.Urgency,
+		wants = append(wants, placement.Want{Part: placement.Part{Job: j.ID, Stage: o.Stage}, Queue: j.Queue, Urgency: j.Spec.Urgency,
 			Kind: p.Kind, Rack: p.Rack, Labels: p.Labels, Room: p.Room, Spread: p.Spread, Near: p.Near,
-			Tasks: []int{o.Leg.N}, Long: h.limit(j, o.Stage), Shun: map[mark.Shard]bool{o.Shard: true}})
+			Tasks: []int{o.Leg.N}, Long: h.limit(j, o.Stage), Shun: map[types.Shard]bool{o.Shard: true}})
 	}
 	return
 }
 
 // copies places second attempts in what the round has left.
-func (h *Helm) copies(in choice.Input, wants []choice.Want) (legs []store.Give) {
+func (h *Controller) copies(in placement.Input, wants []placement.Want) (legs []state.Give) {
 	if wants == nil {
 		return nil
 	}
 	in.Wants, in.Kept = wants, nil
-	for _, p := range choice.Place(in).Picks {
+	for _, p := range placement.Place(in).Picks {
 		t := h.state.Jobs[p.Task.Job].Task(p.Task.N)
 		if t.Out.Shard != p.Shard {
-			legs = append(legs, store.Give{Leg: mark.Leg{Task: p.Task, Leg: t.Leg + 1}, Shard: p.Shard, Copy: true})
+			legs = append(legs, state.Give{Leg: types.Leg{Task: p.Task, Leg: t.Leg + 1}, Shard: p.Shard, Copy: true})
 		}
 	}
 	return
 }
 
 // slow tells whether a leg is far behind its like, or its worker out of reach.
-func (h *Helm) slow(o *truth.Hold, p *store.Step) bool {
-	if s := h.head.Seat(o.Shard); s == nil || s.State != truth.Healthy || !s.Sound {
+func (h *Controller) slow(o *dispatch.Hold, p *state.Step) bool {
+	if s := h.head.Seat(o.Shard); s == nil || s.State != dispatch.Healthy || !s.Sound {
 		return true
 	}
 	if o.Late > h.now.Mono {
--- a/helm/displace.go
+++ b/internal/controller/displace.go
@@ -2,17 +2,17 @@
 // more urgent than what runs or below its queue's share, takes the place of less
 // urgent work of queues above their shares. Whole gangs only, each task a few
 // times at most, one want at a time, and the place is then kept for it.
-package helm
+package controller
 
 import (
 	"slices"
 	"sort"
 	"time"
 
-	"coppercourse/choice"
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/truth"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/placement"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
 )
 
 const (
@@ -22,15 +22,15 @@
 
 // victim is a leg that may be displaced, with its gang.
 type victim struct {
-	legs    []mark.Leg
-	room    map[mark.Shard]mark.Room
+	legs    []types.Leg
+	room    map[types.Shard]types.Room
 	urgency int
 	age     time.Duration
 }
 
 // displace finds what to take back for the first want that may displace, and
 // the workers to keep for it.
-func (h *Helm) displace(in choice.Input) ([]store.Back, *choice.Reserve) {
+func (h *Controller) displace(in placement.Input) ([]state.Back, *placement.Reserve) {
 	if h.now.Mono.Sub(h.moves) < gap {
 		return nil, nil
 	}
@@ -50,14 +50,14 @@
 	return nil, nil
 }
 
-func below(d *choice.Due, total mark.Cores) bool {
-	return 100*d.Cores < mark.Cores(d.Row.Share)*total
+func below(d *placement.Due, total types.Cores) bool {
+	return 100*d.Cores < types.Cores(d.Row.Share)*total
 }
 
 // victims lists what a want may displace: the least urgent first, then what has
 // run for the shortest time.
-func (h *Helm) victims(w choice.Want, under bool, in choice.Input) (list []*victim) {
-	gangs := map[choice.Part]*victim{}
+func (h *Controller) victims(w placement.Want, under bool, in placement.Input) (list []*victim) {
+	gangs := map[placement.Part]*victim{}
 	for _, o := range h.head.Holds() {
 		j := h.state.Jobs[o.Leg.Job]
 		if j == nil || o.Stage < 0 || !h.mayTake(o.Leg) || j.Queue == w.Queue && j.Spec.Urgency >= w.Urgency {
@@ -69,9 +69,9 @@
 			j.Task(o.Leg.N).Moved >= d.Row.Moves {
 			continue
 		}
-		v := &victim{room: map[mark.Shard]mark.Room{}, urgency: j.Spec.Urgency, age: h.now.Mono.Sub(o.At)}
+		v := &victim{room: map[types.Shard]types.Room{}, urgency: j.Spec.Urgency, age: h.now.Mono.Sub(o.At)}
 		if j.Spec.Steps[o.Stage.Step()].Gang {
-			k := choice.Part{Job: o.Leg.Job, Stage: o.Stage}
+			k := placement.Part{Job: o.Leg.Job, Stage: o.Stage}
 			if gangs[k] != nil {
 				v = gangs[k]
 			} else {
@@ -93,9 +93,9 @@
 
 // oust takes victims until the want would fit, and lets go of those that turn
 // out not to be needed.
-func oust(w choice.Want, slots []choice.Slot, list []*victim) (legs []store.Back, kept *choice.Reserve) {
+func oust(w placement.Want, slots []placement.Slot, list []*victim) (legs []state.Back, kept *placement.Reserve) {
 	need := w.Need()
-	fits := func(use []*victim) (seats []choice.Seat) {
+	fits := func(use []*victim) (seats []placement.Seat) {
 		n := 0
 		for i := range slots {
 			s := &slots[i]
@@ -111,7 +111,7 @@
 				room = room.Minus(w.Room)
 			}
 			if k > 0 {
-				seats = append(seats, choice.Seat{Shard: s.Shard, Tasks: k})
+				seats = append(seats, placement.Seat{Shard: s.Shard, Tasks: k})
 			}
 			if n += k; n >= need {
 				return seats
@@ -137,15 +137,15 @@
 	}
 	for _, v := range use {
 		for _, l := range v.legs {
-			legs = append(legs, store.Back{Leg: l, Why: store.Displaced})
+			legs = append(legs, state.Back{Leg: l, Why: state.Displaced})
 		}
 	}
-	return legs, &choice.Reserve{Part: w.Part, Seats: fits(use)}
+	return legs, &placement.Reserve{Part: w.Part, Seats: fits(use)}
 }
 
 // ages keeps since when each step has had something that could start.
-func (h *Helm) ages(list []choice.Want) {
-	next := make(map[choice.Part]mark.Stamp, len(list))
+func (h *Controller) ages(list []placement.Want) {
+	next := make(map[placement.Part]types.Stamp, len(list))
 	for i := range list {
 		w := &list[i]
 		at, ok := h.waited[w.Part]
@@ -158,7 +158,7 @@
 }
 
 // rest is how long a leg may still run by its limit.
-func (h *Helm) rest(o *truth.Hold) time.Duration {
+func (h *Controller) rest(o *dispatch.Hold) time.Duration {
 	if o.Limit == 0 {
 		return time.Hour
 	}
--- a/helm/drains.go
+++ b/internal/controller/drains.go
@@ -1,104 +1,104 @@
 // What operators say of workers: drains and their undoing, maintenance
 // calendars, and that a worker is gone for good.
-package helm
+package controller
 
 import (
 	"encoding/json"
 	"strings"
 	"time"
 
-	"coppercourse/blueprint"
-	"coppercourse/fault"
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/truth"
-	"coppercourse/word"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 // target reads "workers/NAME" or "racks/NAME" and finds whether it is known.
-func (h *Helm) target(arg string) (t store.Target, bad *fault.Fault) {
+func (h *Controller) target(arg string) (t state.Target, bad *apierror.Fault) {
 	kind, name, _ := strings.Cut(arg, "/")
 	if kind == "racks" {
-		t.Rack = mark.Rack(name)
+		t.Rack = types.Rack(name)
 	} else {
-		t.Shard = mark.Shard(name)
+		t.Shard = types.Shard(name)
 	}
 	return t, h.known(t)
 }
 
-func (h *Helm) known(t store.Target) *fault.Fault {
+func (h *Controller) known(t state.Target) *apierror.Fault {
 	for _, x := range h.state.Shapes {
 		if t.Is(x.Shard, x.Rack) {
 			return nil
 		}
 	}
-	return fault.New(fault.NoWorker, "", "no worker or rack of that name has ever come")
+	return apierror.New(apierror.NoWorker, "", "no worker or rack of that name has ever come")
 }
 
-func (h *Helm) putDrain(w waiter, c word.CallBody) {
-	var d blueprint.Drain
+func (h *Controller) putDrain(w waiter, c wire.CallBody) {
+	var d config.Drain
 	t, bad := h.target(c.Arg)
 	if json.Unmarshal(c.Body, &d) != nil {
-		bad = fault.New(fault.BadBody, "", "not a drain")
+		bad = apierror.New(apierror.BadBody, "", "not a drain")
 	}
 	if bad != nil {
 		h.bad(w, bad)
 		return
 	}
-	x := store.Drain{Target: t}
+	x := state.Drain{Target: t}
 	if d.Within > 0 {
 		x.By = h.core.Clock().Add(time.Duration(d.Within) * time.Millisecond)
 	}
-	h.wait(w, store.Fact{Drain: &x})
+	h.wait(w, state.Fact{Drain: &x})
 }
 
-func (h *Helm) dropDrain(w waiter, c word.CallBody) {
+func (h *Controller) dropDrain(w waiter, c wire.CallBody) {
 	t, _ := h.target(c.Arg)
-	h.wait(w, store.Fact{Drain: &store.Drain{Target: t, Over: true}})
+	h.wait(w, state.Fact{Drain: &state.Drain{Target: t, Over: true}})
 }
 
-func (h *Helm) putPlan(w waiter, c word.CallBody) {
-	var p store.Plan
+func (h *Controller) putPlan(w waiter, c wire.CallBody) {
+	var p state.Plan
 	if json.Unmarshal(c.Body, &p) != nil {
-		h.bad(w, fault.New(fault.BadBody, "", "not a calendar"))
+		h.bad(w, apierror.New(apierror.BadBody, "", "not a calendar"))
 		return
 	}
 	if bad := h.known(p.Target); bad != nil {
 		h.bad(w, bad)
 		return
 	}
-	h.wait(w, store.Fact{Plan: &p})
+	h.wait(w, state.Fact{Plan: &p})
 }
 
-func (h *Helm) dropPlan(w waiter, c word.CallBody) {
-	h.wait(w, store.Fact{Plan: &store.Plan{Name: c.Arg}})
+func (h *Controller) dropPlan(w waiter, c wire.CallBody) {
+	h.wait(w, state.Fact{Plan: &state.Plan{Name: c.Arg}})
 }
 
 // gone ends the doubts about a worker that its operators know to be lost.
-func (h *Helm) gone(w waiter, c word.CallBody) {
-	shard := mark.Shard(c.Arg)
-	bad := h.known(store.Target{Shard: shard})
+func (h *Controller) gone(w waiter, c wire.CallBody) {
+	shard := types.Shard(c.Arg)
+	bad := h.known(state.Target{Shard: shard})
 	for _, s := range h.head.Seats() {
-		if s.Shard == shard && s.State != truth.MustDie {
-			bad = fault.New(fault.Alive, "", "the worker's ward is heard of; only one that is lost can be given up")
+		if s.Shard == shard && s.State != dispatch.MustDie {
+			bad = apierror.New(apierror.Alive, "", "the worker's agent is heard of; only one that is lost can be given up")
 		}
 	}
 	if bad != nil {
 		h.bad(w, bad)
 		return
 	}
-	h.wait(w, store.Fact{Gone: shard})
+	h.wait(w, state.Fact{Gone: shard})
 }
 
 // DrainView is a drain as operators see it.
 type DrainView struct {
-	store.Target
+	state.Target
 	Left int64 `json:"left_ms,omitempty"` // until what still runs is stopped
 	Legs int   `json:"legs"`              // that still run there
 }
 
 // Drains lists what is drained, and how much still runs there.
-func (h *Helm) Drains() (list []DrainView) {
+func (h *Controller) Drains() (list []DrainView) {
 	list = []DrainView{}
 	for _, d := range h.state.Drains {
 		v := DrainView{Target: d.Target}
@@ -118,16 +118,16 @@
 // PlanView is a calendar as operators see it.
 type PlanView struct {
 	Name string `json:"name"`
-	store.Target
+	state.Target
 	Count int      `json:"windows"`
 	Next  []string `json:"next"`
 }
 
 // Plans lists the calendars and the next windows of each.
-func (h *Helm) Plans() (list []PlanView) {
+func (h *Controller) Plans() (list []PlanView) {
 	list = []PlanView{}
-	at := mark.Wall(h.core.Clock()) + h.state.Off
-	show := func(w mark.Wall) string { return time.Unix(0, int64(w)).UTC().Format(time.RFC3339) }
+	at := types.Wall(h.core.Clock()) + h.state.Off
+	show := func(w types.Wall) string { return time.Unix(0, int64(w)).UTC().Format(time.RFC3339) }
 	for _, p := range h.state.Plans {
 		v := PlanView{Name: p.Name, Target: p.Target, Next: []string{}}
 		for _, x := range p.Spans {
@@ -143,7 +143,7 @@
 	return
 }
 
-func (h *Helm) holds() []*truth.Hold {
+func (h *Controller) holds() []*dispatch.Hold {
 	if h.head == nil {
 		return nil
 	}
--- a/helm/early.go
+++ b/internal/controller/early.go
@@ -1,35 +1,35 @@
-// What wards told of their workers' legs is kept by every helm that heard it
+// What agents told of their workers' legs is kept by every controller that heard it
 // until the log has it: a leader may lose its duty before the end is committed,
-// and the ward may be gone by then. "Rebuilt from those who told it first."
-package helm
+// and the agent may be gone by then. "Rebuilt from those who told it first."
+package controller
 
 import (
 	"slices"
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/truth"
-	"coppercourse/word"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 type early struct {
-	from mark.Addr
-	truth.Status
-	at    mark.Stamp
-	sent  mark.Stamp
+	from types.Addr
+	dispatch.Status
+	at    types.Stamp
+	sent  types.Stamp
 	tries int // so often it was passed on
 }
 
-// lag is how long a report of a leg that this helm's log does not have yet is
-// kept; by is by way of how many gates one is passed on at once.
+// lag is how long a report of a leg that this controller's log does not have yet is
+// kept; by is by way of how many gateways one is passed on at once.
 const (
 	lag = 10 * time.Second
 	by  = 2
 )
 
 // logged tells whether an end need not be kept any longer.
-func (h *Helm) logged(e store.End, at mark.Stamp) bool {
+func (h *Controller) logged(e state.End, at types.Stamp) bool {
 	j := h.state.Jobs[e.Leg.Job]
 	if j == nil {
 		return h.now.Mono.Sub(at) > lag
@@ -41,26 +41,26 @@
 }
 
 // keep holds on to a report until its ends are in the log.
-func (h *Helm) keep(n word.Note) {
-	u, ok := word.Read[truth.Status](n)
+func (h *Controller) keep(n wire.Note) {
+	u, ok := wire.Read[dispatch.Status](n)
 	if !ok || len(h.early) >= Crowd {
 		return
 	}
-	u.Ends = slices.DeleteFunc(u.Ends, func(e store.End) bool { return !e.Fate.Fact() || h.logged(e, h.now.Mono) })
+	u.Ends = slices.DeleteFunc(u.Ends, func(e state.End) bool { return !e.Fate.Fact() || h.logged(e, h.now.Mono) })
 	for _, x := range h.early {
-		u.Ends = slices.DeleteFunc(u.Ends, func(e store.End) bool { return slices.Contains(x.Ends, e) })
+		u.Ends = slices.DeleteFunc(u.Ends, func(e state.End) bool { return slices.Contains(x.Ends, e) })
 	}
 	if len(u.Ends) > 0 {
 		h.early = append(h.early, early{from: n.From, Status: u, at: h.now.Mono, sent: h.now.Mono})
 	}
 }
 
-// pass tells this helm's own dispatcher what is not in the log, or the leader, to
-// whom the ward itself repeats it: so only after a while, lest a leader that is
+// pass tells this controller's own dispatcher what is not in the log, or the leader, to
+// whom the agent itself repeats it: so only after a while, lest a leader that is
 // behind is told everything by everybody.
-func (h *Helm) pass() {
+func (h *Controller) pass() {
 	h.early = slices.DeleteFunc(h.early, func(x early) bool {
-		return !slices.ContainsFunc(x.Ends, func(e store.End) bool { return !h.logged(e, x.at) })
+		return !slices.ContainsFunc(x.Ends, func(e state.End) bool { return !h.logged(e, x.at) })
 	})
 	for i := range h.early {
 		x := &h.early[i]
@@ -75,7 +75,7 @@
 		if h.head != nil {
 			to = h.place.Addr
 		}
-		if s := word.Make(x.from, to, word.Status, x.Status); h.head != nil {
+		if s := wire.Make(x.from, to, wire.Status, x.Status); h.head != nil {
 			h.head.Take(h.now.Mono, h.core.Grace(), s.Note)
 		} else {
 			h.relay(s, to, x.tries)
@@ -86,17 +86,17 @@
 }
 
 // relay sends a report to the leader, and, if it is none known or that did not help,
-// by way of a few gates, others each time: this helm may be cut off from the leader
+// by way of a few gateways, others each time: this controller may be cut off from the leader
 // alone.
-func (h *Helm) relay(s word.Send, to mark.Addr, tries int) {
+func (h *Controller) relay(s wire.Send, to types.Addr, tries int) {
 	if to != "" {
 		h.sends = append(h.sends, s)
 	}
 	if to != "" && tries == 0 {
 		return
 	}
-	gates := h.kin.Known("gate")
-	for i := range min(by, len(gates)) {
-		h.sends = append(h.sends, word.Send{To: gates[(by*tries+i)%len(gates)].Addr, Note: s.Note})
+	gateways := h.kin.Known("gateway")
+	for i := range min(by, len(gateways)) {
+		h.sends = append(h.sends, wire.Send{To: gateways[(by*tries+i)%len(gateways)].Addr, Note: s.Note})
 	}
 }
--- a/helm/ends.go
+++ b/internal/controller/ends.go
@@ -1,20 +1,20 @@
 // Ends on their way from the dispatcher into the log.
-package helm
+package controller
 
 import (
-	"coppercourse/store"
+	"coppercourse/internal/state"
 )
 
 // heed sends what the dispatcher has to say and puts the ends it has into the log.
-func (h *Helm) heed() {
+func (h *Controller) heed() {
 	sends, ends := h.head.Out()
 	h.sends = append(h.sends, sends...)
 	h.propose(ends)
 }
 
 // propose puts ends into the log, each at most once at a time.
-func (h *Helm) propose(ends []store.End) {
-	var list []store.End
+func (h *Controller) propose(ends []state.End) {
+	var list []state.End
 	for _, e := range ends {
 		if !h.flight[e] && !h.taken(e) {
 			list = append(list, e)
@@ -23,7 +23,7 @@
 	if list == nil {
 		return
 	}
-	if i, ok := h.fact(store.Fact{Ends: list}); ok {
+	if i, ok := h.fact(state.Fact{Ends: list}); ok {
 		for _, e := range list {
 			h.flight[e], h.ahead[e.Leg.Job] = true, i
 			if e.Fate.Over() {
--- a/helm/learn.go
+++ b/internal/controller/learn.go
@@ -1,15 +1,15 @@
-// How long tasks take, learned from the log by every helm, so that a new leader
+// How long tasks take, learned from the log by every controller, so that a new leader
 // knows what the last one did. A job's own estimate is only as good as those of its
 // queue have been: it and the queue's mean are weighed by how far each was off.
-package helm
+package controller
 
 import (
 	"maps"
 	"math"
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/store"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
 )
 
 // habit is what is known of the steps of a queue: the mean of the logarithms of
@@ -63,20 +63,20 @@
 }
 
 // learn takes the good ends of a fact that is about to be applied.
-func (h *Helm) learn(f store.Fact) {
+func (h *Controller) learn(f state.Fact) {
 	if len(h.courses) > 2*len(h.state.Live())+64 {
-		maps.DeleteFunc(h.courses, func(id mark.JobID, _ []course) bool { j := h.state.Jobs[id]; return j == nil || j.Over() })
+		maps.DeleteFunc(h.courses, func(id types.JobID, _ []course) bool { j := h.state.Jobs[id]; return j == nil || j.Over() })
 	}
 	for _, e := range f.Ends {
 		j := h.state.Jobs[e.Leg.Job]
-		if e.Fate != store.OK || j == nil || j.Over() {
+		if e.Fate != state.OK || j == nil || j.Over() {
 			continue
 		}
 		t := j.Task(e.Leg.N)
 		if t == nil || t.Done || t.On(e.Leg.Leg) == nil {
 			continue
 		}
-		step := mark.StageOf(e.Leg.N).Step()
+		step := types.StageOf(e.Leg.N).Step()
 		p := &j.Spec.Steps[step]
 		took := max(time.Millisecond, f.Tick.Sub(t.On(e.Leg.Leg).At))
 		k := h.habits[j.Queue]
@@ -100,7 +100,7 @@
 }
 
 // expect is how long a task of a step is expected to take.
-func (h *Helm) expect(j *store.Job, step int) time.Duration {
+func (h *Controller) expect(j *state.Job, step int) time.Duration {
 	if c := h.courses[j.ID]; c != nil && c[step].count > 0 {
 		return time.Duration(math.Exp(c[step].logs/c[step].count) * float64(time.Second))
 	}
--- a/helm/plan.go
+++ b/internal/controller/plan.go
@@ -1,29 +1,29 @@
 // The leader's placing of work: what waits and may start, where there is room,
 // legs given out in the log, and orders sent once that is committed. One round
 // is in the log at a time, so nothing is given out twice.
-package helm
+package controller
 
 import (
 	"slices"
 	"time"
 
-	"coppercourse/choice"
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/truth"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/placement"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
 )
 
 const (
-	near   = mark.Wall(50 * time.Millisecond)
-	astray = mark.Wall(20 * time.Millisecond)
+	near   = types.Wall(50 * time.Millisecond)
+	astray = types.Wall(20 * time.Millisecond)
 
 	rounds  = 4                  // that are on their way into the log at once
 	endless = 10_000 * time.Hour // what lasts fits before no window
 )
 
-func (h *Helm) plan() {
-	var doom []mark.Leg
-	var spent []store.End
+func (h *Controller) plan() {
+	var doom []types.Leg
+	var spent []state.End
 	for _, j := range h.state.Live() {
 		x := h.state.Heat(j, h.core.Clock())
 		doom, spent = append(doom, x.Doomed...), append(spent, x.Spent...)
@@ -46,7 +46,7 @@
 		h.give(nil, backs)
 		return
 	}
-	in := choice.Input{Kept: h.kept}
+	in := placement.Input{Kept: h.kept}
 	in.Wants, in.Dues = h.wants()
 	more := h.behind(holds)
 	if len(in.Wants) == 0 {
@@ -57,11 +57,11 @@
 		return
 	}
 	in.Slots, in.Total = h.slots(holds)
-	var legs []store.Give
+	var legs []state.Give
 	if len(in.Wants) > 0 {
 		h.ages(in.Wants)
 		h.caps(in)
-		out := choice.Place(in)
+		out := placement.Place(in)
 		h.kept = out.Kept
 		legs = h.number(out.Picks)
 	}
@@ -73,45 +73,45 @@
 }
 
 // more gives out work while an earlier round is on its way into the log.
-func (h *Helm) more(holds []*truth.Hold) {
-	h.rounds = slices.DeleteFunc(h.rounds, func(i mark.Index) bool { return i <= h.done })
+func (h *Controller) more(holds []*dispatch.Hold) {
+	h.rounds = slices.DeleteFunc(h.rounds, func(i types.Index) bool { return i <= h.done })
 	if h.head.Wait || len(h.rounds) >= rounds || h.kept != nil {
 		return
 	}
-	var in choice.Input
+	var in placement.Input
 	if in.Wants, in.Dues = h.wants(); len(in.Wants) == 0 {
 		return
 	}
 	in.Slots, in.Total = h.slots(holds)
 	h.ages(in.Wants)
 	h.caps(in)
-	h.give(h.number(choice.Place(in).Picks), nil)
+	h.give(h.number(placement.Place(in).Picks), nil)
 }
 
 // number gives each placement its leg's number; the members of a gang get the
 // same.
-func (h *Helm) number(picks []choice.Pick) (legs []store.Give) {
+func (h *Controller) number(picks []placement.Pick) (legs []state.Give) {
 	for _, p := range picks {
 		j := h.state.Jobs[p.Task.Job]
-		at := mark.StageOf(p.Task.N)
+		at := types.StageOf(p.Task.N)
 		leg := j.Task(p.Task.N).Leg + 1
 		if j.Spec.Steps[at.Step()].Gang {
 			for _, m := range j.Part(at) {
 				leg = max(leg, m.Leg+1)
 			}
 		}
-		legs = append(legs, store.Give{Leg: mark.Leg{Task: p.Task, Leg: leg}, Shard: p.Shard})
-		delete(h.waited, choice.Part{Job: p.Task.Job, Stage: at})
+		legs = append(legs, state.Give{Leg: types.Leg{Task: p.Task, Leg: leg}, Shard: p.Shard})
+		delete(h.waited, placement.Part{Job: p.Task.Job, Stage: at})
 	}
 	return
 }
 
 // give puts a round into the log; the next waits until it is applied.
-func (h *Helm) give(legs []store.Give, backs []store.Back) {
+func (h *Controller) give(legs []state.Give, backs []state.Back) {
 	if legs == nil && backs == nil {
 		return
 	}
-	if i, ok := h.fact(store.Fact{Legs: legs, Backs: backs}); ok {
+	if i, ok := h.fact(state.Fact{Legs: legs, Backs: backs}); ok {
 		h.giving = i
 		h.rounds = append(h.rounds, i)
 		for _, g := range legs {
@@ -121,13 +121,13 @@
 }
 
 // wants lists what may start now, and what each queue has in use.
-func (h *Helm) wants() (list []choice.Want, dues map[mark.Queue]*choice.Due) {
-	dues = map[mark.Queue]*choice.Due{}
+func (h *Controller) wants() (list []placement.Want, dues map[types.Queue]*placement.Due) {
+	dues = map[types.Queue]*placement.Due{}
 	for q, r := range h.state.Retired {
-		dues[q] = &choice.Due{Row: r}
+		dues[q] = &placement.Due{Row: r}
 	}
 	for _, r := range h.state.Table.Rows {
-		dues[r.Name] = &choice.Due{Row: r}
+		dues[r.Name] = &placement.Due{Row: r}
 	}
 	now := h.core.Clock()
 	for _, j := range h.state.Live() {
@@ -148,7 +148,7 @@
 				long = endless
 			}
 			class, turn, spare := h.aim(j, d.Row, x, b)
-			list = append(list, choice.Want{Part: choice.Part{Job: j.ID, Stage: b.Stage}, Queue: j.Queue, Urgency: j.Spec.Urgency,
+			list = append(list, placement.Want{Part: placement.Part{Job: j.ID, Stage: b.Stage}, Queue: j.Queue, Urgency: j.Spec.Urgency,
 				Kind: p.Kind, Rack: p.Rack, Labels: p.Labels, Room: p.Room, Spread: p.Spread, Gang: p.Gang, Tasks: b.Tasks, Long: long, Shun: b.Shun,
 				Class: class, Turn: turn, Spare: spare, Idle: x.Running == 0, Near: p.Near, OneRack: p.OneRack})
 		}
@@ -157,12 +157,12 @@
 }
 
 // unsent is what of a batch is not on its way into the log; what is counts as in use.
-func (h *Helm) unsent(j *store.Job, b store.Batch, d *choice.Due) (list []int) {
+func (h *Controller) unsent(j *state.Job, b state.Batch, d *placement.Due) (list []int) {
 	if len(h.given) == 0 {
 		return b.Tasks
 	}
 	for _, n := range b.Tasks {
-		if _, ok := h.given[mark.Task{Job: j.ID, N: n}]; !ok {
+		if _, ok := h.given[types.Task{Job: j.ID, N: n}]; !ok {
 			list = append(list, n)
 			continue
 		}
@@ -173,27 +173,27 @@
 }
 
 // slots lists the workers that may be given work, and all cores there are.
-func (h *Helm) slots(holds []*truth.Hold) (list []choice.Slot, total mark.Cores) {
-	at := map[mark.Shard]int{}
+func (h *Controller) slots(holds []*dispatch.Hold) (list []placement.Slot, total types.Cores) {
+	at := map[types.Shard]int{}
 	for _, s := range h.head.Seats() {
-		if s.State != truth.Healthy {
+		if s.State != dispatch.Healthy {
 			continue
 		}
 		total += s.Room.Cores
 		if till, _, _ := h.till(s); !s.Leaving && s.Sound {
 			at[s.Shard] = len(list)
-			list = append(list, choice.Slot{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Labels: s.Labels, Free: s.Room.Minus(s.Lacks), Size: s.Room, Till: till,
-				Bad: s.Worth.Bad, Slow: s.Worth.Slow, Now: h.head.Slow(s), Has: map[choice.Part]int{}})
+			list = append(list, placement.Slot{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Labels: s.Labels, Free: s.Room.Minus(s.Lacks), Size: s.Room, Till: till,
+				Bad: s.Worth.Bad, Slow: s.Worth.Slow, Now: h.head.Slow(s), Has: map[placement.Part]int{}})
 		}
 	}
 	for _, g := range h.given {
 		if i, ok := at[g.Shard]; ok {
-			stage := mark.StageOf(g.Leg.N)
+			stage := types.StageOf(g.Leg.N)
 			if j := h.state.Jobs[g.Leg.Job]; j != nil && !j.Over() {
 				list[i].Free = list[i].Free.Minus(j.Spec.Steps[stage.Step()].Room)
 			}
 			list[i].Busy++
-			list[i].Has[choice.Part{Job: g.Leg.Job, Stage: stage}]++
+			list[i].Has[placement.Part{Job: g.Leg.Job, Stage: stage}]++
 		}
 	}
 	for _, o := range holds {
@@ -208,32 +208,32 @@
 		}
 		x.Clear = max(x.Clear, h.rest(o))
 		if o.Stage >= 0 {
-			x.Has[choice.Part{Job: o.Leg.Job, Stage: o.Stage}]++
+			x.Has[placement.Part{Job: o.Leg.Job, Stage: o.Stage}]++
 		}
 	}
 	return
 }
 
 // order sends the legs that the log has just given out.
-func (h *Helm) order(legs []store.Give) {
+func (h *Controller) order(legs []state.Give) {
 	for _, g := range legs {
 		j := h.state.Jobs[g.Leg.Job]
-		at := mark.StageOf(g.Leg.N)
+		at := types.StageOf(g.Leg.N)
 		p := j.Spec.Steps[at.Step()]
 		h.Sums.Orders++
-		h.head.Order(g.Shard, at, usual(j, at), truth.Job{Leg: g.Leg, Kind: p.Kind, Rack: p.Rack, Room: p.Room,
+		h.head.Order(g.Shard, at, usual(j, at), dispatch.Job{Leg: g.Leg, Kind: p.Kind, Rack: p.Rack, Room: p.Room,
 			Limit: int(h.limit(j, at).Milliseconds()), Label: p.Labels, Ref: j.Task(g.Leg.N).Ref, Work: j.Spec.What(at.Step())})
 	}
 }
 
 // usual names what a leg's time is compared with.
-func usual(j *store.Job, at mark.Stage) string {
+func usual(j *state.Job, at types.Stage) string {
 	return string(j.Queue) + "/" + j.Spec.Steps[at.Step()].Name
 }
 
 // limit is how long a leg of a step may take by the table in force; what lasts
 // has none.
-func (h *Helm) limit(j *store.Job, at mark.Stage) time.Duration {
+func (h *Controller) limit(j *state.Job, at types.Stage) time.Duration {
 	p := &j.Spec.Steps[at.Step()]
 	if p.Lasts {
 		return 0
@@ -247,31 +247,31 @@
 }
 
 // shapes keeps in the log what the workers are made of.
-func (h *Helm) shapes() {
+func (h *Controller) shapes() {
 	if h.shaped > h.done {
 		return
 	}
-	var list []store.Shape
+	var list []state.Shape
 	for _, s := range h.head.Seats() {
-		x := store.Shape{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Room: s.Room, Labels: s.Labels, Invoked: s.Invoked}
+		x := state.Shape{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Room: s.Room, Labels: s.Labels, Invoked: s.Invoked}
 		y, ok := h.state.Shapes[s.Shard]
 		if s.Room.Cores == 0 && ok {
-			continue // a ward that has not heard its worker yet
+			continue // an agent that has not heard its worker yet
 		}
-		if s.State != truth.New && (!ok || y.Rack != x.Rack || y.Room != x.Room || y.Invoked != x.Invoked ||
+		if s.State != dispatch.New && (!ok || y.Rack != x.Rack || y.Room != x.Room || y.Invoked != x.Invoked ||
 			!slices.Equal(y.Kinds, x.Kinds) || !slices.Equal(y.Labels, x.Labels)) {
 			list = append(list, x)
 		}
 	}
 	if list != nil {
-		h.shaped, _ = h.fact(store.Fact{Shapes: list})
+		h.shaped, _ = h.fact(state.Fact{Shapes: list})
 	}
 }
 
 // times keeps the offset from the cluster's clock to the wall clocks. Only two
 // voters that agree closely move it, so one clock that jumps moves nothing; of
 // the two the offset that lets nothing start early is taken.
-func (h *Helm) times() {
+func (h *Controller) times() {
 	if h.now.Mono.Sub(h.timed) < time.Second {
 		return
 	}
@@ -282,7 +282,7 @@
 			continue
 		}
 		if d := offs[i] - h.state.Off; d > astray || d < -astray {
-			h.fact(store.Fact{Off: &offs[i]})
+			h.fact(state.Fact{Off: &offs[i]})
 		}
 		return
 	}
--- a/helm/reads.go
+++ b/internal/controller/reads.go
@@ -2,22 +2,22 @@
 // heard of and that are on their way into the log. A caller who asks just when the
 // last task has ended is then told so, a few milliseconds later, rather than that
 // the job runs. Nothing is shown that is not in the log.
-package helm
+package controller
 
 import (
-	"coppercourse/fault"
-	"coppercourse/mark"
-	"coppercourse/word"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 type reader struct {
 	w  waiter
-	id mark.JobID
-	at mark.Index
+	id types.JobID
+	at types.Index
 }
 
-func (h *Helm) getJob(w waiter, c word.CallBody) {
-	id := mark.JobID(c.Arg)
+func (h *Controller) getJob(w waiter, c wire.CallBody) {
+	id := types.JobID(c.Arg)
 	if at := h.ahead[id]; at > h.done && len(h.reads) < Crowd {
 		h.reads = append(h.reads, reader{w, id, at})
 		return
@@ -25,16 +25,16 @@
 	h.show(w, id)
 }
 
-func (h *Helm) show(w waiter, id mark.JobID) {
+func (h *Controller) show(w waiter, id types.JobID) {
 	if v := h.View(id); v != nil {
 		h.good(w, 200, v)
 		return
 	}
-	h.bad(w, fault.New(fault.NoJob, "id", "no such job"))
+	h.bad(w, apierror.New(apierror.NoJob, "id", "no such job"))
 }
 
 // answer gives the reads whose ends are in the log by now.
-func (h *Helm) answer() {
+func (h *Controller) answer() {
 	kept := h.reads[:0]
 	for _, r := range h.reads {
 		if r.at > h.done {
@@ -47,9 +47,9 @@
 }
 
 // turnAway sends those who read to the next leader.
-func (h *Helm) turnAway() {
+func (h *Controller) turnAway() {
 	for _, r := range h.reads {
-		h.reply(r.w, word.ReplyBody{Away: true, Lead: h.core.Leader()})
+		h.reply(r.w, wire.ReplyBody{Away: true, Lead: h.core.Leader()})
 	}
 	h.reads = nil
 	clear(h.ahead)
--- a/helm/view.go
+++ b/internal/controller/view.go
@@ -1,24 +1,24 @@
-// What the helm shows: jobs, queues, workers and its own status, each as a
+// What the controller shows: jobs, queues, workers and its own status, each as a
 // value that can be written as JSON.
-package helm
+package controller
 
 import (
 	"fmt"
 	"time"
 
-	"coppercourse/accord"
-	"coppercourse/kin"
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/truth"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/membership"
+	"coppercourse/internal/raft"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
 )
 
 // JobView is a job as callers see it.
 type JobView struct {
-	ID        mark.JobID   `json:"id"`
-	Queue     mark.Queue   `json:"queue,omitempty"`
-	State     store.Stage  `json:"state"`
-	Fixed     store.Stage  `json:"outcome,omitempty"` // what it will end as, while the last legs are stopped
+	ID        types.JobID  `json:"id"`
+	Queue     types.Queue  `json:"queue,omitempty"`
+	State     state.Stage  `json:"state"`
+	Fixed     state.Stage  `json:"outcome,omitempty"` // what it will end as, while the last legs are stopped
 	Why       string       `json:"reason,omitempty"`
 	Accepted  string       `json:"accepted_at,omitempty"`
 	Cancelled bool         `json:"cancel_accepted,omitempty"`
@@ -26,19 +26,19 @@
 	Done      int          `json:"tasks_done"`
 	Running   int          `json:"tasks_running"`
 	Legs      int          `json:"legs"`
-	List      []store.Task `json:"detail,omitempty"`
+	List      []state.Task `json:"detail,omitempty"`
 }
 
 // View shows a job, or nil.
-func (h *Helm) View(id mark.JobID) *JobView {
+func (h *Controller) View(id types.JobID) *JobView {
 	j := h.state.Find(id)
 	if j == nil {
 		return nil
 	}
 	v := &JobView{ID: j.ID, Queue: j.Queue, State: j.State, Why: j.Why, Cancelled: j.Halt, Tasks: j.Size, Done: j.Fine,
 		Legs: j.Legs}
-	if j.State == store.Ending && j.Fine == j.Size {
-		v.Fixed = store.Done
+	if j.State == state.Ending && j.Fine == j.Size {
+		v.Fixed = state.Done
 	}
 	if j.Wall != 0 {
 		v.Accepted = time.Unix(0, int64(j.Wall)).UTC().Format(time.RFC3339Nano)
@@ -47,29 +47,29 @@
 		v.Running += len(j.Tasks[i].Outs())
 	}
 	if len(j.Tasks) <= 200 {
-		v.List = append([]store.Task(nil), j.Tasks...)
+		v.List = append([]state.Task(nil), j.Tasks...)
 	}
 	return v
 }
 
 // QueueView is a queue's row beside what is in it.
 type QueueView struct {
-	Name    mark.Queue `json:"name"`
-	Weight  int        `json:"weight"`
-	Share   int        `json:"share"`
-	Jobs    int        `json:"jobs_unfinished"`
-	Limit   int        `json:"jobs_limit"`
-	Running int        `json:"tasks_running"`
-	Cores   mark.Cores `json:"cores_in_use"`
-	Ready   int        `json:"tasks_waiting_for_room"`
-	Oldest  int64      `json:"oldest_job_ms"`
-	store.Counts
+	Name    types.Queue `json:"name"`
+	Weight  int         `json:"weight"`
+	Share   int         `json:"share"`
+	Jobs    int         `json:"jobs_unfinished"`
+	Limit   int         `json:"jobs_limit"`
+	Running int         `json:"tasks_running"`
+	Cores   types.Cores `json:"cores_in_use"`
+	Ready   int         `json:"tasks_waiting_for_room"`
+	Oldest  int64       `json:"oldest_job_ms"`
+	state.Counts
 }
 
 // Queues lists them in the table's order.
-func (h *Helm) Queues() (list []QueueView) {
+func (h *Controller) Queues() (list []QueueView) {
 	wants, dues := h.wants()
-	ready, oldest := map[mark.Queue]int{}, map[mark.Queue]mark.Tick{}
+	ready, oldest := map[types.Queue]int{}, map[types.Queue]types.Tick{}
 	for _, w := range wants {
 		ready[w.Queue] += len(w.Tasks)
 	}
@@ -95,25 +95,25 @@
 
 // WorkerView is a worker as the leader sees it.
 type WorkerView struct {
-	Shard   mark.Shard      `json:"shard"`
-	ID      mark.ID         `json:"instance"`
-	Addr    mark.Addr       `json:"ward"`
-	State   truth.Soundness `json:"state"`
-	ForMS   int64           `json:"for_ms"`
-	QuietMS int64           `json:"quiet_ms"`
-	truth.Report
-	Free mark.Room `json:"free"`
-	Legs int       `json:"legs"`
-	Bad  float64   `json:"bad_ends"`
-	Slow float64   `json:"slowness"`
+	Shard   types.Shard        `json:"shard"`
+	ID      types.ID           `json:"instance"`
+	Addr    types.Addr         `json:"agent"`
+	State   dispatch.Soundness `json:"state"`
+	ForMS   int64              `json:"for_ms"`
+	QuietMS int64              `json:"quiet_ms"`
+	dispatch.Report
+	Free types.Room `json:"free"`
+	Legs int        `json:"legs"`
+	Bad  float64    `json:"bad_ends"`
+	Slow float64    `json:"slowness"`
 }
 
-func (h *Helm) Workers() (list []WorkerView) {
+func (h *Controller) Workers() (list []WorkerView) {
 	list = []WorkerView{}
 	if h.head == nil {
 		return
 	}
-	n := map[mark.Shard]int{}
+	n := map[types.Shard]int{}
 	for _, o := range h.head.Holds() {
 		n[o.Shard]++
 	}
@@ -125,32 +125,32 @@
 	return
 }
 
-// StatusView is one helm's account of itself.
+// StatusView is one controller's account of itself.
 type StatusView struct {
-	Role    string       `json:"role"`
-	Program string       `json:"program"`
-	ID      mark.ID      `json:"id"`
-	Cluster string       `json:"cluster"`
-	Part    string       `json:"part"`
-	Why     string       `json:"reason,omitempty"`
-	Ready   bool         `json:"ready"`
-	Term    mark.Term    `json:"term"`
-	Leader  mark.Addr    `json:"leader"`
-	Commit  mark.Index   `json:"commit"`
-	Roll    accord.Roll  `json:"roll"`
-	Bears   int          `json:"losses_borne"`
-	Edition mark.Edition `json:"table_edition"`
-	Jobs    int          `json:"jobs_unfinished"`
-	Known   int          `json:"ids_remembered"`
-	Wait    string       `json:"initial_wait,omitempty"`
-	Wall    string       `json:"cluster_time"`
-	Mates   []kin.Mate   `json:"mates"`
-	Sums    Sums         `json:"sums"`
+	Role    string            `json:"role"`
+	Program string            `json:"program"`
+	ID      types.ID          `json:"id"`
+	Cluster string            `json:"cluster"`
+	Part    string            `json:"part"`
+	Why     string            `json:"reason,omitempty"`
+	Ready   bool              `json:"ready"`
+	Term    types.Term        `json:"term"`
+	Leader  types.Addr        `json:"leader"`
+	Commit  types.Index       `json:"commit"`
+	Roll    raft.Roll         `json:"roll"`
+	Bears   int               `json:"losses_borne"`
+	Edition types.Edition     `json:"table_edition"`
+	Jobs    int               `json:"jobs_unfinished"`
+	Known   int               `json:"ids_remembered"`
+	Wait    string            `json:"initial_wait,omitempty"`
+	Wall    string            `json:"cluster_time"`
+	Mates   []membership.Mate `json:"mates"`
+	Sums    Sums              `json:"sums"`
 }
 
-func (h *Helm) Status() StatusView {
+func (h *Controller) Status() StatusView {
 	c := h.core
-	v := StatusView{Role: "helm", Program: h.place.Issue, ID: c.ID(), Cluster: c.Name(), Part: c.Role(), Why: c.Why(),
+	v := StatusView{Role: "controller", Program: h.place.Issue, ID: c.ID(), Cluster: c.Name(), Part: c.Role(), Why: c.Why(),
 		Ready: h.Ready(), Term: c.Term(), Leader: c.Leader(), Commit: c.Commit(), Roll: c.Roll(), Edition: h.state.Table.Edition,
 		Jobs: len(h.state.Live()), Known: len(h.state.Jobs) + h.state.Marks(), Mates: h.kin.Mates(), Sums: h.Sums,
 		Wall: time.Unix(0, int64(h.core.Clock())+int64(h.state.Off)).UTC().Format(time.RFC3339Nano)}
--- a/helm/windows.go
+++ b/internal/controller/windows.go
@@ -2,15 +2,15 @@
 // under a maintenance plan), a leg far beyond what is usual, a gang of which a new
 // leader can't reach a member, and work displaced by more urgent work. All of them take the leg back in the same way: the log
 // has it first, then it is stopped, its end is told, and its task goes again.
-package helm
+package controller
 
 import (
 	"time"
 
-	"coppercourse/choice"
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/truth"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/placement"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
 )
 
 const (
@@ -22,10 +22,10 @@
 
 // till tells how long a seat may still run something, 0 for without end, and
 // when all there must be gone, if it must.
-func (h *Helm) till(s *truth.Seat) (left time.Duration, by mark.Stamp, why store.Why) {
+func (h *Controller) till(s *dispatch.Seat) (left time.Duration, by types.Stamp, why state.Why) {
 	now := h.core.Clock()
 	if s.Leaving {
-		left, why = time.Nanosecond, store.Leaves
+		left, why = time.Nanosecond, state.Leaves
 		if s.LeaveMS > 0 {
 			by = s.Goes
 		}
@@ -42,38 +42,38 @@
 }
 
 // recall lists the legs to be taken back now.
-func (h *Helm) recall(holds []*truth.Hold) (list []store.Back) {
-	gone := map[mark.Shard]store.Why{}
+func (h *Controller) recall(holds []*dispatch.Hold) (list []state.Back) {
+	gone := map[types.Shard]state.Why{}
 	for _, s := range h.head.Seats() {
 		if _, by, why := h.till(s); by != 0 && by.Sub(h.now.Mono) < ahead {
 			gone[s.Shard] = why
 		}
 	}
-	left := map[choice.Part]bool{}
+	left := map[placement.Part]bool{}
 	for _, o := range h.head.Missing() {
-		if j := h.state.Jobs[o.Leg.Job]; j != nil && j.State == store.Open && j.Spec.Steps[o.Stage.Step()].Gang {
-			left[choice.Part{Job: o.Leg.Job, Stage: o.Stage}] = true
+		if j := h.state.Jobs[o.Leg.Job]; j != nil && j.State == state.Open && j.Spec.Steps[o.Stage.Step()].Gang {
+			left[placement.Part{Job: o.Leg.Job, Stage: o.Stage}] = true
 		}
 	}
 	for _, o := range holds {
 		why := gone[o.Shard]
-		if why == "" && left[choice.Part{Job: o.Leg.Job, Stage: o.Stage}] {
-			why = store.Alone
+		if why == "" && left[placement.Part{Job: o.Leg.Job, Stage: o.Stage}] {
+			why = state.Alone
 		}
 		if why == "" && (h.stalled(o) || h.crawls(o)) {
-			why = store.Stalled
+			why = state.Stalled
 		}
 		if why != "" && h.mayTake(o.Leg) {
-			list = append(list, store.Back{Leg: o.Leg, Why: why})
+			list = append(list, state.Back{Leg: o.Leg, Why: why})
 		}
 	}
 	return
 }
 
 // mayTake tells whether a leg is out and not yet being taken back.
-func (h *Helm) mayTake(l mark.Leg) bool {
+func (h *Controller) mayTake(l types.Leg) bool {
 	j := h.state.Jobs[l.Job]
-	if j == nil || j.State != store.Open {
+	if j == nil || j.State != state.Open {
 		return false
 	}
 	t := j.Task(l.N)
@@ -85,7 +85,7 @@
 }
 
 // stalled tells a leg far beyond its step's usual time, once for a task.
-func (h *Helm) stalled(o *truth.Hold) bool {
+func (h *Controller) stalled(o *dispatch.Hold) bool {
 	u, ok := h.head.Usual(o.Usual)
 	j := h.state.Jobs[o.Leg.Job]
 	if !ok || j == nil {
@@ -102,7 +102,7 @@
 // begin anew elsewhere, once for a task. What takes long anyway is left to its
 // worker, which may be quick again before it would be done elsewhere; what may run
 // twice gets a copy instead.
-func (h *Helm) crawls(o *truth.Hold) bool {
+func (h *Controller) crawls(o *dispatch.Hold) bool {
 	j := h.state.Jobs[o.Leg.Job]
 	if j == nil || o.Late <= h.now.Mono || o.Stage < 0 {
 		return false
@@ -118,7 +118,7 @@
 
 // overtime lists the legs that run longer than the table in force allows; each was
 // told its limit with its order, but the table may have changed since.
-func (h *Helm) overtime(holds []*truth.Hold) (list []mark.Leg) {
+func (h *Controller) overtime(holds []*dispatch.Hold) (list []types.Leg) {
 	for _, o := range holds {
 		j := h.state.Jobs[o.Leg.Job]
 		if j == nil || j.Over() || o.Limit == 0 {
--- a/truth/caller.go
+++ b/internal/dispatch/caller.go
@@ -1,22 +1,22 @@
-// Caller is the ward's side towards a worker that is called rather than calling.
+// Caller is the agent's side towards a worker that is called rather than calling.
 // The worker's processes are told apart by their ids, its "lives". It runs
 // attempts only under a lease that ends at a reading of its own clock; the lease
-// is never longer than what the leader granted to the ward, counted from a
+// is never longer than what the leader granted to the agent, counted from a
 // reading that the worker itself told, by a clock that may run slow. This file
 // keeps lives, clock and lease; line.go makes the calls and reads the replies.
-package truth
+package dispatch
 
 import (
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/word"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 const (
 	slowest = 0.975                  // of our clock's pace, at which a worker's clock runs at least
-	early   = 20 * time.Millisecond  // a lease ends so much before the ward's own
+	early   = 20 * time.Millisecond  // a lease ends so much before the agent's own
 	listens = time.Second            // how long a hold waits for an end at most
 	overdue = 100 * time.Millisecond // past its time, a hold is not waited for any more: another goes
 	answers = 250 * time.Millisecond // how long any call's reply is waited for, past its own wait
@@ -32,44 +32,44 @@
 
 // flight is a call that has no reply yet.
 type flight struct {
-	word.WorkerCall
-	at mark.Stamp
+	wire.WorkerCall
+	at types.Stamp
 }
 
 // ending is an end that the worker still lists.
 type ending struct {
-	leg     mark.Leg
+	leg     types.Leg
 	settled bool
 }
 
 // Caller calls one worker.
 type Caller struct {
-	life  mark.ID
-	to    mark.Addr
+	life  types.ID
+	to    types.Addr
 	seq   uint64
-	past  map[mark.ID]bool
-	heir  *word.WorkerBeat // another process, until this one is known to be over, or to live
-	came  mark.Stamp       // when that one beat
+	past  map[types.ID]bool
+	heir  *wire.WorkerBeat // another process, until this one is known to be over, or to live
+	came  types.Stamp      // when that one beat
 	clock int64            // the worker's, as of got or a little before
-	got   mark.Stamp
+	got   types.Stamp
 	until int64 // the highest end of a lease that was sent
 	fence uint64
-	firm  bool // the fence is above all that an earlier ward sent
+	firm  bool // the fence is above all that an earlier agent sent
 	no    uint64
 	open  map[uint64]*flight
 	hold  uint64 // the hold that waits for an end, or 0
 	query uint64 // the hold that settles what is unsure, or 0
-	next  mark.Stamp
+	next  types.Stamp
 	read  int64 // the clock of the newest list of runs heeded
 	seen  uint64
-	sick  mark.Stamp // until then it is not given work
-	mute  bool       // it has said nothing since a call that got no reply
+	sick  types.Stamp // until then it is not given work
+	mute  bool        // it has said nothing since a call that got no reply
 	ends  map[uint64]*ending
-	calls []word.WorkerCall
+	calls []wire.WorkerCall
 	Sums  CallSums
 
-	proven  mark.Room     // what ran there when it last turned a start away for want of room, or since
-	tight   mark.Stamp    // until then it is believed to hold no more than that,
+	proven  types.Room    // what ran there when it last turned a start away for want of room, or since
+	tight   types.Stamp   // until then it is believed to hold no more than that,
 	backoff time.Duration // for so long after each such refusal
 }
 
@@ -82,7 +82,7 @@
 func (h *Hand) Invoked() bool { return h.caller != nil }
 
 // Calls drains the calls to make.
-func (h *Hand) Calls() []word.WorkerCall {
+func (h *Hand) Calls() []wire.WorkerCall {
 	if h.caller == nil {
 		return nil
 	}
@@ -94,10 +94,10 @@
 // Beat takes what the worker tells of itself. A process that is over is not
 // heard; another one waits until the present one is known to be over. If that
 // still answers, the beat was late, of a process before it.
-func (h *Hand) Beat(now mark.Stamp, b word.WorkerBeat) {
+func (h *Hand) Beat(now types.Stamp, b wire.WorkerBeat) {
 	h.now = now
 	if h.caller == nil {
-		h.caller = &Caller{past: map[mark.ID]bool{}, open: map[uint64]*flight{}, ends: map[uint64]*ending{}}
+		h.caller = &Caller{past: map[types.ID]bool{}, open: map[uint64]*flight{}, ends: map[uint64]*ending{}}
 	}
 	c := h.caller
 	switch {
@@ -115,13 +115,13 @@
 }
 
 // Leave takes it that a worker process ends now, all that it ran with it.
-func (h *Hand) Leave(now mark.Stamp, life mark.ID) {
+func (h *Hand) Leave(now types.Stamp, life types.ID) {
 	if h.now = now; h.caller != nil && h.caller.life == life {
 		h.over(true)
 	}
 }
 
-func (h *Hand) report(b word.WorkerBeat) {
+func (h *Hand) report(b wire.WorkerBeat) {
 	if b.Leaving != h.rep.Leaving || !h.rep.Sound {
 		h.beat = never
 	}
@@ -131,7 +131,7 @@
 }
 
 // adopt takes up a worker process. What it runs is asked before anything else.
-func (h *Hand) adopt(b word.WorkerBeat) {
+func (h *Hand) adopt(b wire.WorkerBeat) {
 	c := h.caller
 	c.life, c.to, c.seq, c.heir = b.Life, b.To, b.Seq, nil
 	c.clock, c.got, c.until, c.read, c.seen, c.sick, c.mute = b.Clock, h.now, 0, 0, 0, never, false
@@ -161,7 +161,7 @@
 	clear(c.ends)
 	for _, l := range h.sorted() {
 		if l.part != ended {
-			h.finish(l, store.Gone)
+			h.finish(l, state.Gone)
 		}
 		if l.settled {
 			h.forget(l.job.Leg)
@@ -198,7 +198,7 @@
 }
 
 // used is the room that what runs there takes.
-func (h *Hand) used() (r mark.Room) {
+func (h *Hand) used() (r types.Room) {
 	for _, l := range h.legs {
 		if l.part == going || l.part == halting {
 			r = r.Plus(l.job.Room)
@@ -208,10 +208,10 @@
 }
 
 // lacks is how much less room the worker is believed to have than it tells.
-func (h *Hand) lacks() (r mark.Room) {
+func (h *Hand) lacks() (r types.Room) {
 	if c := h.caller; c != nil && h.now < c.tight {
 		r = h.rep.Room.Minus(c.proven)
-		r = mark.Room{Cores: max(0, r.Cores), Memory: max(0, r.Memory), Accel: max(0, r.Accel)}
+		r = types.Room{Cores: max(0, r.Cores), Memory: max(0, r.Memory), Accel: max(0, r.Accel)}
 	}
 	return
 }
@@ -224,7 +224,7 @@
 }
 
 // reads is what the worker's clock reads at a time, at the least.
-func (c *Caller) reads(now mark.Stamp) int64 {
+func (c *Caller) reads(now types.Stamp) int64 {
 	return c.clock + int64(slowest*float64(now.Sub(c.got).Milliseconds()))
 }
 
@@ -243,7 +243,7 @@
 }
 
 // expired is true when the worker's lease has surely ended, and with it all
-// that ran there. An earlier ward may have given a longer one.
+// that ran there. An earlier agent may have given a longer one.
 func (h *Hand) expired() bool {
 	c := h.caller
 	return c.reads(h.now) > c.until && h.now.Sub(h.boot) > h.pace.Loss
@@ -251,7 +251,7 @@
 
 // Lease is how the worker's lease stands, for the status page.
 type Lease struct {
-	Life   mark.ID  `json:"life"`
+	Life   types.ID `json:"life"`
 	Clock  int64    `json:"clock_ms"`
 	Until  int64    `json:"until_ms"`
 	Fence  uint64   `json:"fence"`
--- a/truth/caller_test.go
+++ b/internal/dispatch/caller_test.go
@@ -1,6 +1,6 @@
-// The ward's side towards a worker that is called, at the level of single calls:
+// The agent's side towards a worker that is called, at the level of single calls:
 // what is lost, late, crossed or of another life, and leases on a slow clock.
-package truth_test
+package dispatch_test
 
 import (
 	"fmt"
@@ -9,21 +9,21 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/truth"
-	"coppercourse/word"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 const short, long = `{"ms":300}`, `{"ms":60000}`
 
 // first does something to the first call of a kind, and lets the others be.
-func (r *rig) first(k word.CallKind, w way) {
-	r.how = func(c word.WorkerCall) way {
+func (r *rig) first(k wire.CallKind, w way) {
+	r.how = func(c wire.WorkerCall) way {
 		if c.Kind != k {
 			return fine
 		}
-		r.how = func(word.WorkerCall) way { return fine }
+		r.how = func(wire.WorkerCall) way { return fine }
 		return w
 	}
 }
@@ -32,7 +32,7 @@
 	is, r := is.New(t), ready(t, 1)
 	r.give(leg("a", 1), short)
 	r.pass(time.Second)
-	is.Equal(r.log[leg("a", 1)], store.OK)
+	is.Equal(r.log[leg("a", 1)], state.OK)
 	is.True(r.noted[leg("a", 1)])
 	is.Equal(len(r.hand.View().Legs), 0)
 }
@@ -43,24 +43,24 @@
 	for _, c := range []struct {
 		way  way
 		lag  time.Duration
-		fate store.Fate
+		fate state.Fate
 	}{
-		{lost, 0, store.Unrun},
-		{unsaid, 0, store.OK},
-		{late, 200 * ms, store.OK}, // before the query
-		{late, 300 * ms, store.Unrun},
-		{late, 900 * ms, store.Unrun},
-		{late, 1500 * ms, store.Unrun},
-		{late, 3 * time.Second, store.Unrun},
+		{lost, 0, state.Unrun},
+		{unsaid, 0, state.OK},
+		{late, 200 * ms, state.OK}, // before the query
+		{late, 300 * ms, state.Unrun},
+		{late, 900 * ms, state.Unrun},
+		{late, 1500 * ms, state.Unrun},
+		{late, 3 * time.Second, state.Unrun},
 	} {
 		is, r := is.New(t), ready(t, 2)
 		r.lag = func() time.Duration { return c.lag }
-		r.first(word.Start, c.way)
+		r.first(wire.Start, c.way)
 		r.give(leg("a", 1), short)
 		r.pass(6 * time.Second)
 		is.Equal(r.log[leg("a", 1)], c.fate)
-		is.Equal(r.began[leg("a", 1)] > 0, c.fate == store.OK)
-		is.Equal(r.noted[leg("a", 1)], c.fate == store.OK)
+		is.Equal(r.began[leg("a", 1)] > 0, c.fate == state.OK)
+		is.Equal(r.noted[leg("a", 1)], c.fate == state.OK)
 	}
 }
 
@@ -69,21 +69,21 @@
 func TestOneQuerySettlesAnUnsureStart(t *testing.T) {
 	is, r := is.New(t), ready(t, 3)
 	was := r.hand.Lease().Sums
-	r.first(word.Start, lost)
+	r.first(wire.Start, lost)
 	r.give(leg("a", 1), short)
 	r.pass(650 * ms)
-	r.cut = true // what the ward tells is not heard, nor settled
+	r.cut = true // what the agent tells is not heard, nor settled
 	r.pass(800 * ms)
 	is.Equal(r.hand.Lease().Sums.Queries-was.Queries, uint64(1))
 }
 
-// A ward that starts anew raises the fence above all that the one before it sent.
+// An agent that starts anew raises the fence above all that the one before it sent.
 func TestFenceRisesOverRestarts(t *testing.T) {
 	is, r := is.New(t), paced(t, 4, ample)
-	r.first(word.Start, late)
+	r.first(wire.Start, late)
 	r.give(leg("a", 1), short)
 	r.pass(20 * ms)
-	r.ward()
+	r.agent()
 	r.pass(2500 * ms)
 	is.Equal(r.worker.Clock() > 0, true)
 	r.pass(6 * time.Second)
@@ -94,24 +94,24 @@
 // the worker up, which came twice.
 func TestFenceRisesAfterARepeatedBeat(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 5, truth.Defaults)
+	r := newRig(t, 5, dispatch.Defaults)
 	r.idle = true
 	b := r.beat()
 	r.hand.Beat(r.now, b)
 	r.flow()
 	r.pass(4 * time.Second)
-	is.Equal(r.hand.View().State, truth.Healthy)
+	is.Equal(r.hand.View().State, dispatch.Healthy)
 	r.lag = func() time.Duration { return 100 * ms }
-	r.first(word.Start, late)
+	r.first(wire.Start, late)
 	r.give(leg("a", 1), long)
 	r.pass(10 * ms)
-	r.ward()
+	r.agent()
 	r.hand.Beat(r.now, b)
 	r.flow()
 	r.pass(20 * ms)
 	_, told := r.part(leg("a", 1))
-	is.Equal(told, store.Fate(""))    // it has asked its worker, and knows of nothing that runs
-	r.pass(500 * ms)                  // so what the ward before it sent
+	is.Equal(told, state.Fate(""))    // it has asked its worker, and knows of nothing that runs
+	r.pass(500 * ms)                  // so what the agent before it sent
 	is.Equal(r.began[leg("a", 1)], 0) // is not started any more
 }
 
@@ -120,7 +120,7 @@
 func TestAnswersThatCross(t *testing.T) {
 	is, r := is.New(t), ready(t, 6)
 	was := r.hand.Lease().Sums.Queries
-	r.first(word.Start, unsaid) // so that there is a query beside the hold that waits
+	r.first(wire.Start, unsaid) // so that there is a query beside the hold that waits
 	r.give(leg("a", 1), long)
 	r.slow = 200 * ms
 	r.pass(200 * ms)
@@ -132,7 +132,7 @@
 	r.slow = 0
 	r.pass(1500 * ms)
 	is.Equal(len(r.log), 0)
-	for _, l := range []mark.Leg{leg("a", 1), leg("b", 1), leg("c", 1)} {
+	for _, l := range []types.Leg{leg("a", 1), leg("b", 1), leg("c", 1)} {
 		p, _ := r.part(l)
 		is.Equal(p, "running")
 	}
@@ -152,11 +152,11 @@
 			r.cut = false // and is renewed, in time or not
 			r.pass(4 * time.Second)
 			switch {
-			case r.noted[leg("a", 1)] && r.hows[leg("a", 1)] == word.Done:
-				is.Equal(r.log[leg("a", 1)], store.OK)
+			case r.noted[leg("a", 1)] && r.hows[leg("a", 1)] == wire.Done:
+				is.Equal(r.log[leg("a", 1)], state.OK)
 				good++
-			case r.hows[leg("a", 1)] == word.Expired:
-				is.Equal(r.log[leg("a", 1)], store.Lapsed)
+			case r.hows[leg("a", 1)] == wire.Expired:
+				is.Equal(r.log[leg("a", 1)], state.Lapsed)
 				lapsed++
 			}
 		}
@@ -165,7 +165,7 @@
 	is.True(lapsed > 5)
 }
 
-// A ward says that a leg lapsed only once it has: with the slowest clock, late
+// An agent says that a leg lapsed only once it has: with the slowest clock, late
 // calls and readings, and grants that come and go.
 func TestLapseIsNeverToldTooSoon(t *testing.T) {
 	is := is.New(t)
@@ -174,74 +174,74 @@
 		r := ready(t, 100+seed)
 		r.give(leg("a", 1), long)
 		r.pass(time.Duration(r.rnd.Intn(2000)) * ms)
-		r.how = func(word.WorkerCall) way { return way(r.rnd.Intn(4)) }
+		r.how = func(wire.WorkerCall) way { return way(r.rnd.Intn(4)) }
 		r.cut = seed%2 == 0
 		r.pass(4 * time.Second)
-		r.cut, r.how = false, func(word.WorkerCall) way { return fine }
+		r.cut, r.how = false, func(wire.WorkerCall) way { return fine }
 		r.pass(4 * time.Second)
 		if f, ok := r.log[leg("a", 1)]; ok {
-			is.Equal(f, store.Lapsed) // the rig itself tells a leg that runs on
+			is.Equal(f, state.Lapsed) // the rig itself tells a leg that runs on
 			lapsed++
 		}
 	}
 	is.True(lapsed > 20)
 }
 
-// A new ward's own short lease does not make it forget that the one before it may
+// A new agent's own short lease does not make it forget that the one before it may
 // have given a longer one.
-func TestARestartedWardWaitsForItsPredecessorsLease(t *testing.T) {
+func TestARestartedAgentWaitsForItsPredecessorsLease(t *testing.T) {
 	is, r := is.New(t), ready(t, 8)
 	r.give(leg("a", 1), long)
 	r.pass(300 * ms)
-	r.ward()
+	r.agent()
 	r.grace = 600 * ms
 	r.hand.Beat(r.now, r.beat())
 	r.flow()
 	r.pass(900 * ms)
 	is.True(r.hand.Lease().Until > 0)
-	r.how = func(word.WorkerCall) way { return lost } // the worker can't be reached any more
+	r.how = func(wire.WorkerCall) way { return lost } // the worker can't be reached any more
 	r.pass(5 * time.Second)                           // the rig tells if the leg is given up while it runs
-	is.Equal(r.log[leg("a", 1)], store.Lapsed)
+	is.Equal(r.log[leg("a", 1)], state.Lapsed)
 }
 
-// What a worker runs runs on when its ward starts anew, and the new ward is given
+// What a worker runs runs on when its agent starts anew, and the new agent is given
 // work at once: one process stands at an address.
-func TestWorkOutlivesARestartOfTheWard(t *testing.T) {
+func TestWorkOutlivesARestartOfTheAgent(t *testing.T) {
 	is, r := is.New(t), ready(t, 14)
 	r.give(leg("a", 1), `{"ms":3500}`)
 	r.pass(300 * ms)
 	for range 2 {
-		r.ward()
+		r.agent()
 		r.pass(100 * ms)
 		r.hand.Beat(r.now, r.beat())
 		r.flow()
 		r.pass(900 * ms)
-		is.Equal(r.hand.View().State, truth.Healthy)
+		is.Equal(r.hand.View().State, dispatch.Healthy)
 	}
 	r.give(leg("b", 1), short)
 	r.pass(3 * time.Second)
-	is.Equal(r.log[leg("a", 1)], store.OK)
-	is.Equal(r.log[leg("b", 1)], store.OK)
+	is.Equal(r.log[leg("a", 1)], state.OK)
+	is.Equal(r.log[leg("b", 1)], state.OK)
 	is.True(r.noted[leg("a", 1)])
 }
 
-// A beat of a ward that is over, and that the leader never knew, comes late: the
-// ward that beats keeps its seat.
-func TestABeatOfAFormerWardComesLate(t *testing.T) {
+// A beat of an agent that is over, and that the leader never knew, comes late: the
+// agent that beats keeps its seat.
+func TestABeatOfAFormerAgentComesLate(t *testing.T) {
 	is, r := is.New(t), ready(t, 15)
-	r.ward()
+	r.agent()
 	r.pass(100 * ms)
 	r.cut = true // what it says is under way for long
 	r.hand.Beat(r.now, r.beat())
-	var late []word.Send
-	r.tap = func(s word.Send) {
-		if s.Note.Kind == word.Beat {
+	var late []wire.Send
+	r.tap = func(s wire.Send) {
+		if s.Note.Kind == wire.Beat {
 			late = append(late, s)
 		}
 	}
 	r.pass(50 * ms)
 	r.tap, r.cut = nil, false
-	r.ward()
+	r.agent()
 	r.hand.Beat(r.now, r.beat())
 	r.pass(1500 * ms)
 	r.give(leg("a", 1), `{"ms":2000}`)
@@ -251,7 +251,7 @@
 		r.head.Take(r.now, r.grace, s.Note)
 	}
 	r.pass(3 * time.Second)
-	is.Equal(r.log[leg("a", 1)], store.OK)
+	is.Equal(r.log[leg("a", 1)], state.OK)
 }
 
 // Another life at the worker's address: what ran has gone with the one before.
@@ -262,19 +262,19 @@
 	r.die()
 	r.life()
 	r.pass(time.Second) // it has not even beaten yet, but it answers
-	is.Equal(r.log[leg("a", 1)], store.Gone)
+	is.Equal(r.log[leg("a", 1)], state.Gone)
 	r.pass(3 * time.Second)
-	is.Equal(r.hand.View().Worker, mark.ID("k2"))
+	is.Equal(r.hand.View().Worker, types.ID("k2"))
 	r.give(leg("a", 2), short)
 	r.pass(time.Second)
-	is.Equal(r.log[leg("a", 2)], store.OK)
+	is.Equal(r.log[leg("a", 2)], state.OK)
 }
 
-// A beat of a life that is over, and that this ward never knew, comes late: the
+// A beat of a life that is over, and that this agent never knew, comes late: the
 // life that answers stays the worker, and few calls are made to find out.
 func TestABeatOfAFormerLifeComesLate(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, 10, truth.Defaults)
+	r := newRig(t, 10, dispatch.Defaults)
 	old := r.beat()
 	r.die()
 	r.life()
@@ -290,10 +290,10 @@
 	r.pass(3 * time.Second)
 	r.cut = false
 	r.pass(4 * time.Second)
-	is.Equal(r.hand.View().Worker, mark.ID("k2"))
+	is.Equal(r.hand.View().Worker, types.ID("k2"))
 	r.give(leg("b", 1), short)
 	r.pass(time.Second)
-	is.Equal(r.log[leg("b", 1)], store.OK)
+	is.Equal(r.log[leg("b", 1)], state.OK)
 }
 
 // A worker that leaves takes along what it still ran; one that comes in its
@@ -306,10 +306,10 @@
 	r.die()
 	r.flow()
 	r.pass(200 * ms)
-	is.Equal(r.log[leg("a", 1)], store.Gone)
+	is.Equal(r.log[leg("a", 1)], state.Gone)
 	r.life()
 	r.pass(2 * time.Second)
-	is.Equal(r.hand.View().Worker, mark.ID("k2"))
+	is.Equal(r.hand.View().Worker, types.ID("k2"))
 }
 
 // Ends that a leader did not live to put into the log are told to the next one,
@@ -320,25 +320,25 @@
 	r.pass(250 * ms)
 	r.cut = true
 	r.pass(300 * ms)
-	is.Equal(r.hows[leg("a", 1)], word.Done)
+	is.Equal(r.hows[leg("a", 1)], wire.Done)
 	is.True(!r.noted[leg("a", 1)])
 	r.lead()
 	r.cut = false
 	r.pass(1500 * ms)
-	is.Equal(r.log[leg("a", 1)], store.OK)
+	is.Equal(r.log[leg("a", 1)], state.OK)
 	is.True(r.noted[leg("a", 1)])
 }
 
-// A ward that starts anew, twice within seconds, neither notes what the leader
+// An agent that starts anew, twice within seconds, neither notes what the leader
 // has given up nor has what it did not give up run again.
-func TestAWardRestartedTwice(t *testing.T) {
+func TestAAgentRestartedTwice(t *testing.T) {
 	for seed := range int64(60) {
 		is, r := is.New(t), ready(t, 200+seed)
 		r.give(leg("a", 1), `{"ms":1800}`)
 		r.give(leg("b", 1), long)
 		for range 2 {
 			r.pass(time.Duration(r.rnd.Intn(2600)) * ms)
-			r.ward()
+			r.agent()
 		}
 		r.pass(9 * time.Second)
 		is.True(r.log[leg("a", 1)] != "")
@@ -346,16 +346,16 @@
 	}
 }
 
-// A ward that starts anew goes on settling ends where the one before it stopped.
-func TestARestartedWardSettlesEnds(t *testing.T) {
+// An agent that starts anew goes on settling ends where the one before it stopped.
+func TestARestartedAgentSettlesEnds(t *testing.T) {
 	is, r := is.New(t), ready(t, 13)
 	r.give(leg("a", 1), short)
 	r.pass(time.Second)
-	r.ward()
+	r.agent()
 	r.pass(6 * time.Second)
 	r.give(leg("b", 1), short)
 	r.pass(time.Second)
-	is.Equal(r.log[leg("b", 1)], store.OK)
+	is.Equal(r.log[leg("b", 1)], state.OK)
 	is.True(r.noted[leg("b", 1)])
 	r.pass(500 * ms) // the hold that told the worker so has waited, and was answered
 	is.Equal(len(r.hand.View().Legs), 0)
@@ -369,27 +369,27 @@
 		was := r.hand.Lease().Sums.Holds
 		r.give(leg("a", i+1), `{"ms":200}`)
 		r.pass(400 * ms)
-		is.Equal(r.log[leg("a", i+1)], store.OK)
+		is.Equal(r.log[leg("a", i+1)], state.OK)
 		is.True(r.hand.Lease().Sums.Holds <= was+2) // the one that waits may run out besides
 	}
 }
 
-// A worker lists so many ends at once; until a new ward has heard them all it does
+// A worker lists so many ends at once; until a new agent has heard them all it does
 // not say that what it has not heard of never ran.
 func TestMoreEndsThanOneAnswerLists(t *testing.T) {
 	is, r := is.New(t), ready(t, 16)
 	const n = 620
 	for i := range n {
-		l := mark.Leg{Task: mark.Task{Job: "a", N: i}, Leg: 1}
+		l := types.Leg{Task: types.Task{Job: "a", N: i}, Leg: 1}
 		r.out[l] = true
-		r.worker.Do(word.WorkerCall{Kind: word.Start, Life: r.worker.ID, Leg: l, Work: []byte(`{"ms":5}`), Until: r.worker.Clock() + 3000,
-			Fence: r.hand.Lease().Fence}, func(word.WorkerReply) {})
+		r.worker.Do(wire.WorkerCall{Kind: wire.Start, Life: r.worker.ID, Leg: l, Work: []byte(`{"ms":5}`), Until: r.worker.Clock() + 3000,
+			Fence: r.hand.Lease().Fence}, func(wire.WorkerReply) {})
 	}
-	r.ward()
+	r.agent()
 	r.lead()
 	r.pass(6 * time.Second)
 	is.Equal(len(r.log), n)
 	for _, f := range r.log {
-		is.Equal(f, store.OK)
+		is.Equal(f, state.OK)
 	}
 }
--- a/truth/chaos_test.go
+++ b/internal/dispatch/chaos_test.go
@@ -1,8 +1,8 @@
-// Chaos on one worker that is called: wards and leaders come and go, worker
+// Chaos on one worker that is called: agents and leaders come and go, worker
 // processes crash, calls are lost, unanswered or carried out late, beats are
 // repeated late. The rig tells when a leg runs, starts or is noted as done after
 // the log has it as ended otherwise; here also, that all comes to an end.
-package truth_test
+package dispatch_test
 
 import (
 	"flag"
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/truth"
-	"coppercourse/word"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 var (
@@ -26,13 +26,13 @@
 	rnd := r.rnd
 	bad := rnd.Float64() * 0.2
 	r.lag = func() time.Duration { return time.Duration(rnd.Intn(1+rnd.Intn(9000))) * ms }
-	r.how = func(word.WorkerCall) way {
+	r.how = func(wire.WorkerCall) way {
 		if rnd.Float64() < bad {
 			return way(1 + rnd.Intn(3))
 		}
 		return fine
 	}
-	var beats []word.WorkerBeat
+	var beats []wire.WorkerBeat
 	for end := r.now.Add(long); r.now < end; {
 		r.pass(time.Duration(rnd.Intn(700)) * ms)
 		if r.worker == nil {
@@ -42,7 +42,7 @@
 		}
 		switch rnd.Intn(14) {
 		case 0:
-			r.ward()
+			r.agent()
 		case 1:
 			r.lead()
 		case 2:
@@ -69,7 +69,7 @@
 		case 12:
 			for l := range r.out {
 				if rnd.Intn(4) == 0 {
-					r.head.Halt([]mark.Leg{l}, nil)
+					r.head.Halt([]types.Leg{l}, nil)
 				}
 			}
 			r.flow()
@@ -77,7 +77,7 @@
 			r.worker.Lax = !r.worker.Lax
 		}
 	}
-	r.cut, r.idle, r.slow, r.how = false, false, 0, func(word.WorkerCall) way { return fine }
+	r.cut, r.idle, r.slow, r.how = false, false, 0, func(wire.WorkerCall) way { return fine }
 	if r.worker == nil {
 		r.life()
 	}
@@ -85,14 +85,14 @@
 }
 
 func TestChaosOnOneWorker(t *testing.T) {
-	sum := map[store.Fate]int{}
+	sum := map[state.Fate]int{}
 	for seed := *chaosAt; seed < *chaosAt+int64(*chaos); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			r := paced(t, seed, []truth.Pace{truth.Defaults, ample}[seed%2])
+			r := paced(t, seed, []dispatch.Pace{dispatch.Defaults, ample}[seed%2])
 			n := map[string]int{}
 			r.every(120*ms, func() {
 				job := fmt.Sprint("j", r.rnd.Intn(7))
-				if l := leg(job, n[job]); n[job] > 0 && (r.out[l] || r.log[l] == store.OK) {
+				if l := leg(job, n[job]); n[job] > 0 && (r.out[l] || r.log[l] == state.OK) {
 					return
 				}
 				if n[job] >= 400 {
@@ -112,7 +112,7 @@
 				sum[f]++
 			}
 			if n := len(r.hand.View().Legs); n > 7 {
-				t.Error("the ward keeps", n, "legs")
+				t.Error("the agent keeps", n, "legs")
 			}
 			if t.Failed() && *chaos == 1 {
 				t.Logf("%+v", r.hand.View())
--- a/truth/hand.go
+++ b/internal/dispatch/hand.go
@@ -1,14 +1,14 @@
 // Hand is the half beside each worker. It holds the one true account of what
 // runs there: a leg is in it from its order until its end is settled.
-package truth
+package dispatch
 
 import (
 	"slices"
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/word"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 type part string
@@ -23,9 +23,9 @@
 type leg struct {
 	job     Job
 	part    part
-	until   mark.Stamp
-	from    mark.Stamp
-	fate    store.Fate
+	until   types.Stamp
+	from    types.Stamp
+	fate    state.Fate
 	over    bool // past its time limit: however it is stopped, it failed
 	shown   bool
 	settled bool
@@ -33,63 +33,63 @@
 
 	// of a worker that is called
 	fence  uint64        // under which it was started
-	asked  mark.Stamp    // when its stop was last asked for
-	sure   mark.Stamp    // when the worker last said that it runs
-	turned mark.Stamp    // when the worker took its stop
+	asked  types.Stamp   // when its stop was last asked for
+	sure   types.Stamp   // when the worker last said that it runs
+	turned types.Stamp   // when the worker took its stop
 	unsure bool          // its start had no clear answer
 	n      uint64        // the number of its end
 	ref    string        // what it has saved
-	saved  mark.Stamp    // when that last changed
+	saved  types.Stamp   // when that last changed
 	done   float64       // how far it is, in percent
-	read   mark.Stamp    // when that was told
-	moved  mark.Stamp    // when it last changed
+	read   types.Stamp   // when that was told
+	moved  types.Stamp   // when it last changed
 	spoke  time.Duration // how long it takes in all, as was told last
 }
 
-// Hand is one ward's half.
+// Hand is one agent's half.
 type Hand struct {
 	pace  Pace
-	me    mark.Addr
-	shard mark.Shard
-	id    mark.ID
-	mint  func() mark.ID
-	past  mark.ID
+	me    types.Addr
+	shard types.Shard
+	id    types.ID
+	mint  func() types.ID
+	past  types.ID
 
-	now    mark.Stamp
-	boot   mark.Stamp
-	term   mark.Term
-	lead   mark.Addr
+	now    types.Stamp
+	boot   types.Stamp
+	term   types.Term
+	lead   types.Addr
 	state  Soundness
-	since  mark.Stamp
-	good   mark.Stamp
-	until  mark.Stamp
-	seq    mark.Seq
+	since  types.Stamp
+	good   types.Stamp
+	until  types.Stamp
+	seq    types.Seq
 	set    SetID
-	beat   mark.Stamp
-	status mark.Stamp
-	legs   map[mark.Leg]*leg
+	beat   types.Stamp
+	status types.Stamp
+	legs   map[types.Leg]*leg
 	order  []*leg // the same, in order
-	seen   map[mark.Leg]mark.Stamp
-	worker mark.ID
+	seen   map[types.Leg]types.Stamp
+	worker types.ID
 	told   bool
 	call   uint64
-	heard  mark.Stamp
-	stamp  mark.Stamp
-	given  mark.Stamp
-	goes   mark.Stamp // when the worker goes, if it said so
+	heard  types.Stamp
+	stamp  types.Stamp
+	given  types.Stamp
+	goes   types.Stamp // when the worker goes, if it said so
 	rep    Report
 	news   bool
 	caller *Caller // of a worker that is called
-	sends  []word.Send
+	sends  []wire.Send
 }
 
-const never = mark.Stamp(-1 << 61)
+const never = types.Stamp(-1 << 61)
 
-// NewHand starts a ward that knows nothing of its worker yet.
-func NewHand(now mark.Stamp, pace Pace, me mark.Addr, shard mark.Shard, mint func() mark.ID) *Hand {
+// NewHand starts an agent that knows nothing of its worker yet.
+func NewHand(now types.Stamp, pace Pace, me types.Addr, shard types.Shard, mint func() types.ID) *Hand {
 	return &Hand{pace: pace, me: me, shard: shard, id: mint(), mint: mint, now: now, boot: now, state: New, since: now,
 		good: now, until: never, beat: never, status: never, heard: never, given: now,
-		legs: map[mark.Leg]*leg{}, seen: map[mark.Leg]mark.Stamp{}}
+		legs: map[types.Leg]*leg{}, seen: map[types.Leg]types.Stamp{}}
 }
 
 // put takes a leg into the account, forget out of it.
@@ -101,7 +101,7 @@
 	h.legs[l.job.Leg] = l
 }
 
-func (h *Hand) forget(k mark.Leg) {
+func (h *Hand) forget(k types.Leg) {
 	if l := h.legs[k]; l != nil {
 		i, _ := slices.BinarySearchFunc(h.order, l, byLeg)
 		h.order = slices.Delete(h.order, i, i+1)
@@ -114,8 +114,8 @@
 // sorted lists the legs in order; the list is a copy.
 func (h *Hand) sorted() []*leg { return slices.Clone(h.order) }
 
-func (h *Hand) say(to mark.Addr, kind string, body any) {
-	h.sends = append(h.sends, word.Make(h.me, to, kind, body))
+func (h *Hand) say(to types.Addr, kind string, body any) {
+	h.sends = append(h.sends, wire.Make(h.me, to, kind, body))
 }
 
 func (h *Hand) turn(s Soundness) {
@@ -126,9 +126,9 @@
 
 // finish ends a leg in the account and has it told. Lost is not the last word:
 // the leg stays until the worker is heard again and says what became of it.
-func (h *Hand) finish(l *leg, f store.Fate) {
-	if l.over && f != store.OK {
-		f = store.Bad
+func (h *Hand) finish(l *leg, f state.Fate) {
+	if l.over && f != state.OK {
+		f = state.Bad
 	}
 	l.part, l.fate, l.settled, l.unsure, h.status = ended, f, false, false, never
 }
@@ -137,14 +137,14 @@
 func (h *Hand) halt(l *leg) {
 	switch {
 	case l.part == waiting && !l.shown:
-		h.finish(l, store.Unrun)
+		h.finish(l, state.Unrun)
 	case l.part == waiting || l.part == going:
 		l.part, h.news = halting, true
 	}
 }
 
 // Tick lets time pass; lead is whom the roster holds for the leader.
-func (h *Hand) Tick(now mark.Stamp, lead mark.Addr) {
+func (h *Hand) Tick(now types.Stamp, lead types.Addr) {
 	if lead != h.lead {
 		h.beat = never // it is told at once who is here
 	}
@@ -185,10 +185,10 @@
 		}
 		switch {
 		case h.caller == nil && h.lapsed():
-			h.finish(l, store.Lost)
+			h.finish(l, state.Lost)
 		case h.caller != nil && h.expired():
 			h.caller.Sums.Lapsed++
-			h.finish(l, store.Lapsed)
+			h.finish(l, state.Lapsed)
 		}
 	}
 	for l, by := range h.seen {
@@ -200,7 +200,7 @@
 	h.pulse()
 }
 
-// anew is true for a ward that starts anew beside a worker that is called, until
+// anew is true for an agent that starts anew beside a worker that is called, until
 // its first grant: what it finds there runs under a lease of the one before it,
 // and may run on under its own.
 func (h *Hand) anew() bool {
@@ -231,52 +231,52 @@
 		if h.rep.LeaveMS > 0 {
 			h.rep.LeaveMS = max(1, h.goes.Sub(h.now).Milliseconds())
 		}
-		h.say(h.lead, word.Beat, Beat{h.shard, h.id, h.past, h.now, h.set, h.rep, h.saves(), h.spans()})
+		h.say(h.lead, wire.Beat, Beat{h.shard, h.id, h.past, h.now, h.set, h.rep, h.saves(), h.spans()})
 	}
 	if h.now.Sub(h.status) < h.pace.Again {
 		return
 	}
-	var list []store.End
+	var list []state.End
 	for _, l := range h.sorted() {
 		if l.part == ended && !l.settled && len(list) < 500 {
-			list = append(list, store.End{Leg: l.job.Leg, Fate: l.fate, Ref: l.ref})
+			list = append(list, state.End{Leg: l.job.Leg, Fate: l.fate, Ref: l.ref})
 		}
 	}
 	if list != nil {
 		h.status = h.now
-		h.say(h.lead, word.Status, Status{h.shard, h.id, list})
+		h.say(h.lead, wire.Status, Status{h.shard, h.id, list})
 	}
 }
 
-// ready is false while the ward can't tell what runs: its worker has not
-// called yet and could still hold a grant of an earlier ward.
+// ready is false while the agent can't tell what runs: its worker has not
+// called yet and could still hold a grant of an earlier agent.
 func (h *Hand) ready() bool { return h.told || h.now.Sub(h.boot) > h.pace.Loss }
 
 // Out drains what there is to send.
-func (h *Hand) Out() []word.Send {
+func (h *Hand) Out() []wire.Send {
 	s := h.sends
 	h.sends = nil
 	return s
 }
 
-// View is the account as the ward's own status page shows it.
+// View is the account as the agent's own status page shows it.
 type View struct {
-	Shard mark.Shard `json:"shard"`
-	ID    mark.ID    `json:"instance"`
-	Term  mark.Term  `json:"term"`
-	State Soundness  `json:"state"`
-	ForMS int64      `json:"for_ms"`
+	Shard types.Shard `json:"shard"`
+	ID    types.ID    `json:"instance"`
+	Term  types.Term  `json:"term"`
+	State Soundness   `json:"state"`
+	ForMS int64       `json:"for_ms"`
 	Report
 	Grant  int64     `json:"grant_left_ms"`
-	Worker mark.ID   `json:"worker"`
+	Worker types.ID  `json:"worker"`
 	Lease  *Lease    `json:"lease,omitempty"`
 	Legs   []LegView `json:"legs"`
 }
 
 type LegView struct {
-	Leg  mark.Leg   `json:"leg"`
+	Leg  types.Leg  `json:"leg"`
 	Part string     `json:"part"`
-	Fate store.Fate `json:"fate,omitempty"`
+	Fate state.Fate `json:"fate,omitempty"`
 }
 
 func (h *Hand) View() View {
--- a/truth/head.go
+++ b/internal/dispatch/head.go
@@ -1,16 +1,16 @@
 // Head is the scheduler's half. A new one is made with each leadership; what
-// runs it learns from the wards alone, and the log only tells it which legs it
+// runs it learns from the agents alone, and the log only tells it which legs it
 // must hear of before it may give their tasks out again.
-package truth
+package dispatch
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/word"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 type phase string
@@ -22,23 +22,23 @@
 	unsure phase = "unsure"
 )
 
-// Seat is one shard and the ward instance that has it.
+// Seat is one shard and the agent instance that has it.
 type Seat struct {
-	Shard mark.Shard
-	ID    mark.ID
-	Addr  mark.Addr
+	Shard types.Shard
+	ID    types.ID
+	Addr  types.Addr
 	State Soundness
-	Since mark.Stamp
+	Since types.Stamp
 	Report
-	Goes  mark.Stamp // when its worker goes, if it said so
+	Goes  types.Stamp // when its worker goes, if it said so
 	Been  bool
-	Good  mark.Stamp
-	heard mark.Stamp
-	stamp mark.Stamp
-	seq   mark.Seq
-	asked mark.Stamp
-	query mark.Stamp
-	quest map[mark.Seq][]mark.Leg
+	Good  types.Stamp
+	heard types.Stamp
+	stamp types.Stamp
+	seq   types.Seq
+	asked types.Stamp
+	query types.Stamp
+	quest map[types.Seq][]types.Leg
 	old   SetID
 	ver   int
 	ind   int
@@ -46,46 +46,46 @@
 	left  int // the first that has it no more, or 0
 	Worth Worth
 	pace  float64 // log of how many times the usual its attempts take
-	paced mark.Stamp
+	paced types.Stamp
 }
 
 // Head is the whole model.
 type Head struct {
 	pace   Pace
-	me     mark.Addr
-	term   mark.Term
-	born   mark.Stamp
-	ruled  mark.Stamp // when an earlier leader can last have had authority
-	now    mark.Stamp
+	me     types.Addr
+	term   types.Term
+	born   types.Stamp
+	ruled  types.Stamp // when an earlier leader can last have had authority
+	now    types.Stamp
 	grace  time.Duration
 	Wait   bool
 	Why    string
-	swept  mark.Stamp
-	seats  map[mark.Shard]*Seat
+	swept  types.Stamp
+	seats  map[types.Shard]*Seat
 	order  []*Seat // the same, by shard
-	past   map[mark.ID]bool
+	past   map[types.ID]bool
 	holds  holds
 	sets   sets
-	ends   []store.End
+	ends   []state.End
 	norm   map[string]*usual
 	stages map[stage]*times
-	pruned mark.Stamp
-	sends  []word.Send
+	pruned types.Stamp
+	sends  []wire.Send
 	// Doubts lists the legs lost on a shard whose true ends are still awaited.
-	Doubts func(mark.Shard) []mark.Leg
+	Doubts func(types.Shard) []types.Leg
 	// Apart tells whether a shard is silent together with its whole locality.
-	Apart func(mark.Shard) bool
+	Apart func(types.Shard) bool
 	// Invoked tells whether a shard's worker is one that is called.
-	Invoked func(mark.Shard) bool
+	Invoked func(types.Shard) bool
 	// Taken tells whether the log already has an end, or has no use for it.
-	Taken func(store.End) bool
+	Taken func(state.End) bool
 }
 
 // NewHead starts a leadership; outs are the legs that the log has as given out,
 // and ruled is when an earlier leader can last have had authority.
-func NewHead(now, ruled mark.Stamp, pace Pace, me mark.Addr, term mark.Term, outs []Hold) *Head {
-	h := &Head{pace: pace, me: me, term: term, born: now, ruled: min(now, ruled), now: now, Wait: true, seats: map[mark.Shard]*Seat{},
-		past: map[mark.ID]bool{}, holds: newHolds(), sets: sets{groups: map[int][]*Seat{}}, norm: map[string]*usual{},
+func NewHead(now, ruled types.Stamp, pace Pace, me types.Addr, term types.Term, outs []Hold) *Head {
+	h := &Head{pace: pace, me: me, term: term, born: now, ruled: min(now, ruled), now: now, Wait: true, seats: map[types.Shard]*Seat{},
+		past: map[types.ID]bool{}, holds: newHolds(), sets: sets{groups: map[int][]*Seat{}}, norm: map[string]*usual{},
 		stages: map[stage]*times{}, swept: now.Add(-sweep)}
 	for _, o := range outs {
 		o.Phase, o.At = dim, now
@@ -95,25 +95,25 @@
 }
 
 func (h *Head) say(s *Seat, kind string, body any) {
-	h.sends = append(h.sends, word.Make(h.me, s.Addr, kind, body))
+	h.sends = append(h.sends, wire.Make(h.me, s.Addr, kind, body))
 }
 
 func (h *Head) top(s *Seat) Top { return Top{h.term, s.ID} }
 
 // Out drains the step: what to send, and the ends to commit.
-func (h *Head) Out() (sends []word.Send, ends []store.End) {
+func (h *Head) Out() (sends []wire.Send, ends []state.End) {
 	sends, ends = h.sends, h.ends
 	h.sends, h.ends = nil, nil
 	return
 }
 
-func (h *Head) onBeat(from mark.Addr, b Beat) {
+func (h *Head) onBeat(from types.Addr, b Beat) {
 	s := h.seats[b.Shard]
 	switch {
 	case s == nil:
 		s = h.sit(from, b)
 	case s.ID != b.ID && h.past[b.ID]:
-		h.sends = append(h.sends, word.Make(h.me, from, word.Quit, Quit{Top{h.term, b.ID}}))
+		h.sends = append(h.sends, wire.Make(h.me, from, wire.Quit, Quit{Top{h.term, b.ID}}))
 		return
 	case s.ID != b.ID && (s.State == MustDie || b.Past == s.ID || h.follows(s, from)):
 		h.past[s.ID] = true
@@ -126,7 +126,7 @@
 	}
 	s.heard = h.now
 	if s.State == MustDie {
-		h.say(s, word.Quit, Quit{h.top(s)})
+		h.say(s, wire.Quit, Quit{h.top(s)})
 		return
 	}
 	if b.Stamp <= s.stamp {
@@ -158,28 +158,28 @@
 	h.answer(s, b.Sound)
 }
 
-// follows tells that another ward instance at a seat's own address has come after
+// follows tells that another agent instance at a seat's own address has come after
 // it: one process stands at an address. While the present one beats, the other's
 // beat was only late.
-func (h *Head) follows(s *Seat, from mark.Addr) bool {
+func (h *Head) follows(s *Seat, from types.Addr) bool {
 	return s.Addr == from && h.now.Sub(s.heard) > 2*h.pace.Beat
 }
 
-// answer renews the ward's grant, but only for a beat that told of a sound
+// answer renews the agent's grant, but only for a beat that told of a sound
 // worker: the time to loss counts from the same beat.
 func (h *Head) answer(s *Seat, sound bool) {
 	a := Beaten{Top: h.top(s), Stamp: s.stamp, Known: s.State != New, Set: h.set()}
 	if sound && s.State != New {
 		a.Until = s.stamp.Add(min(h.pace.Grant, h.grace))
 	}
-	h.say(s, word.Beaten, a)
+	h.say(s, wire.Beaten, a)
 }
 
-func (h *Head) sit(from mark.Addr, b Beat) *Seat {
+func (h *Head) sit(from types.Addr, b Beat) *Seat {
 	s := &Seat{Shard: b.Shard, ID: b.ID, Addr: from, State: New, Since: h.now, Good: h.now, old: b.Set, Worth: Worth{Slow: 1},
-		asked: -1 << 62, stamp: -1 << 62, quest: map[mark.Seq][]mark.Leg{}}
+		asked: -1 << 62, stamp: -1 << 62, quest: map[types.Seq][]types.Leg{}}
 	old := h.seats[b.Shard]
-	i, _ := slices.BinarySearchFunc(h.order, b.Shard, func(x *Seat, k mark.Shard) int { return cmp.Compare(x.Shard, k) })
+	i, _ := slices.BinarySearchFunc(h.order, b.Shard, func(x *Seat, k types.Shard) int { return cmp.Compare(x.Shard, k) })
 	if old != nil {
 		h.order[i] = s
 	} else {
@@ -190,7 +190,7 @@
 	return s
 }
 
-// dim makes a replaced ward's legs unknown until its successor's account.
+// dim makes a replaced agent's legs unknown until its successor's account.
 func (h *Head) dim(s *Seat) {
 	for _, o := range h.holds.of(s.Shard) {
 		h.holds.turn(o, dim)
@@ -200,24 +200,24 @@
 func (h *Head) ask(s *Seat) {
 	if h.now.Sub(s.asked) >= h.pace.Again/3 {
 		s.asked = h.now
-		h.say(s, word.AskRun, Ask{h.top(s)})
+		h.say(s, wire.AskRun, Ask{h.top(s)})
 	}
 }
 
-// mine finds the seat that a ward's message speaks for.
-func (h *Head) mine(t mark.Term, shard mark.Shard, id mark.ID) *Seat {
+// mine finds the seat that an agent's message speaks for.
+func (h *Head) mine(t types.Term, shard types.Shard, id types.ID) *Seat {
 	if s := h.seats[shard]; s != nil && s.ID == id && t == h.term {
 		return s
 	}
 	return nil
 }
 
-func (h *Head) onAccount(_ mark.Addr, a Account) {
+func (h *Head) onAccount(_ types.Addr, a Account) {
 	s := h.mine(a.Term, a.Shard, a.ID)
 	if s == nil || s.State != New {
 		return
 	}
-	told := map[mark.Leg]bool{}
+	told := map[types.Leg]bool{}
 	for _, r := range a.Runs {
 		told[r.Leg] = true
 		if o := h.holds.by[r.Leg]; o != nil && o.Shard == s.Shard {
@@ -226,12 +226,12 @@
 			h.holds.add(&Hold{Leg: r.Leg, Shard: s.Shard, Stage: -1, Room: r.Room, Phase: sure, At: h.now})
 		}
 	}
-	fate := store.Lost
+	fate := state.Lost
 	if h.Invoked(s.Shard) {
-		fate = store.Lapsed
+		fate = state.Lapsed
 	}
 	if a.Whole {
-		fate = store.Unrun
+		fate = state.Unrun
 		h.clear(s.Shard, told)
 	}
 	for _, o := range h.holds.of(s.Shard) {
@@ -246,38 +246,38 @@
 
 // clear ends the doubt about legs that were lost on a shard and are not in its
 // worker's own account: they did not end well and never will.
-func (h *Head) clear(shard mark.Shard, told map[mark.Leg]bool) {
+func (h *Head) clear(shard types.Shard, told map[types.Leg]bool) {
 	for _, l := range h.Doubts(shard) {
 		if !told[l] {
-			h.drop(l, store.Unrun)
+			h.drop(l, state.Unrun)
 		}
 	}
 }
 
 // gone is the fate of a leg whose worker is out of reach. One that is called
 // has no lease any more by then, and what it did is not settled there.
-func (h *Head) gone(shard mark.Shard) store.Fate {
+func (h *Head) gone(shard types.Shard) state.Fate {
 	switch {
 	case h.Invoked(shard):
-		return store.Lapsed
+		return state.Lapsed
 	case h.Apart(shard):
-		return store.Cut
+		return state.Cut
 	}
-	return store.Lost
+	return state.Lost
 }
 
 // drop says that a leg has ended; it is held until that is committed.
-func (h *Head) drop(l mark.Leg, f store.Fate) {
-	e := store.End{Leg: l, Fate: f}
+func (h *Head) drop(l types.Leg, f state.Fate) {
+	e := state.End{Leg: l, Fate: f}
 	if o := h.holds.by[l]; o != nil {
 		e.Ref = o.Ref
 	}
 	h.ends = append(h.ends, e)
 }
 
-// Settle forgets legs whose end is committed and tells their wards.
-func (h *Head) Settle(list []store.End) {
-	by := map[mark.Shard][]store.End{}
+// Settle forgets legs whose end is committed and tells their agents.
+func (h *Head) Settle(list []state.End) {
+	by := map[types.Shard][]state.End{}
 	for _, e := range list {
 		if o := h.holds.by[e.Leg]; o != nil {
 			h.mark(o, e.Fate)
@@ -287,37 +287,37 @@
 	}
 	for _, k := range sorted(by) {
 		if s := h.seats[k]; s != nil && s.State != MustDie {
-			h.say(s, word.Settled, Settled{h.top(s), by[k]})
+			h.say(s, wire.Settled, Settled{h.top(s), by[k]})
 		}
 	}
 }
 
 // Order marks a leg running and sends it, once.
-func (h *Head) Order(shard mark.Shard, at mark.Stage, usual string, j Job) {
+func (h *Head) Order(shard types.Shard, at types.Stage, usual string, j Job) {
 	o := &Hold{Leg: j.Leg, Shard: shard, Stage: at, Room: j.Room, Phase: sent, Usual: usual, Limit: time.Duration(j.Limit) * time.Millisecond, At: h.now}
 	h.holds.add(o)
 	s := h.seats[shard]
 	if s == nil || s.State != Healthy || s.Leaving || h.grace <= 0 {
-		h.drop(j.Leg, store.Unrun)
+		h.drop(j.Leg, state.Unrun)
 		return
 	}
-	h.say(s, word.Order, Order{h.top(s), s.seq, s.stamp.Add(min(h.pace.Grant, h.grace)), j})
+	h.say(s, wire.Order, Order{h.top(s), s.seq, s.stamp.Add(min(h.pace.Grant, h.grace)), j})
 }
 
-func (h *Head) onOrdered(_ mark.Addr, r Ordered) {
+func (h *Head) onOrdered(_ types.Addr, r Ordered) {
 	s, o := h.mine(r.Term, r.Shard, r.ID), h.holds.by[r.Leg]
 	if s == nil || o == nil || o.Shard != s.Shard || o.Phase == sure {
 		return
 	}
 	if r.Why != "" {
 		s.Sound = false // until the next beat says otherwise
-		h.drop(r.Leg, store.Unrun)
+		h.drop(r.Leg, state.Unrun)
 		return
 	}
 	h.holds.turn(o, sure)
 }
 
-func (h *Head) onQueried(_ mark.Addr, q Queried) {
+func (h *Head) onQueried(_ types.Addr, q Queried) {
 	s := h.mine(q.Term, q.Shard, q.ID)
 	if s == nil {
 		return
@@ -331,13 +331,13 @@
 }
 
 // onStatus takes ends. Those already committed are settled at once; a leg's
-// number is used once, so an end counts whoever of the shard's wards tells it.
-// Of a ward not known yet only what its worker did is taken, for the ward may
+// number is used once, so an end counts whoever of the shard's agents tells it.
+// Of an agent not known yet only what its worker did is taken, for the agent may
 // not live until it is.
-func (h *Head) onStatus(from mark.Addr, u Status) {
+func (h *Head) onStatus(from types.Addr, u Status) {
 	s := h.seats[u.Shard]
 	known := s != nil && (s.ID != u.ID || s.State != New)
-	var done []store.End
+	var done []state.End
 	for _, e := range u.Ends {
 		if !known && !e.Fate.Fact() {
 			continue
@@ -350,12 +350,12 @@
 		}
 	}
 	if done != nil {
-		h.sends = append(h.sends, word.Make(h.me, from, word.Settled, Settled{Top{h.term, u.ID}, done}))
+		h.sends = append(h.sends, wire.Make(h.me, from, wire.Settled, Settled{Top{h.term, u.ID}, done}))
 	}
 }
 
 // Seat finds a shard's, or gives nil.
-func (h *Head) Seat(shard mark.Shard) *Seat { return h.seats[shard] }
+func (h *Head) Seat(shard types.Shard) *Seat { return h.seats[shard] }
 
 // Seats lists the seats in order; the list is the head's own.
 func (h *Head) Seats() []*Seat { return h.order }
--- a/truth/heed.go
+++ b/internal/dispatch/heed.go
@@ -1,17 +1,17 @@
-// How the ward's half heeds the scheduler. A lower term than one seen is let
-// fall; a higher one is a new leader, to whom the ward is NEW again.
-package truth
+// How the agent's half heeds the scheduler. A lower term than one seen is let
+// fall; a higher one is a new leader, to whom the agent is NEW again.
+package dispatch
 
 import (
 	"slices"
 
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/word"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 // heeds checks the term and the addressee, and takes up a new leader.
-func (h *Hand) heeds(from mark.Addr, t Top) bool {
+func (h *Hand) heeds(from types.Addr, t Top) bool {
 	if t.To != h.id || t.Term < h.term {
 		return false
 	}
@@ -25,7 +25,7 @@
 	return true
 }
 
-func (h *Hand) onBeaten(from mark.Addr, b Beaten) {
+func (h *Hand) onBeaten(from types.Addr, b Beaten) {
 	if !h.heeds(from, b.Top) {
 		return
 	}
@@ -47,20 +47,20 @@
 	}
 }
 
-func (h *Hand) onAsk(from mark.Addr, a Ask) {
+func (h *Hand) onAsk(from types.Addr, a Ask) {
 	if !h.heeds(from, a.Top) || !h.ready() {
 		return
 	}
 	list := []Run{}
 	for _, l := range h.sorted() {
-		if !l.settled || l.fate == store.Lost {
+		if !l.settled || l.fate == state.Lost {
 			list = append(list, Run{l.job.Leg, l.job.Room})
 		}
 	}
-	h.say(from, word.Account, Account{h.term, h.shard, h.id, list, h.told})
+	h.say(from, wire.Account, Account{h.term, h.shard, h.id, list, h.told})
 }
 
-func (h *Hand) onOrder(from mark.Addr, o Order) {
+func (h *Hand) onOrder(from types.Addr, o Order) {
 	if !h.heeds(from, o.Top) {
 		return
 	}
@@ -75,7 +75,7 @@
 		h.put(&leg{job: o.Job, part: waiting, until: min(o.Until, h.until)})
 		h.news = true
 	}
-	h.say(from, word.Ordered, Ordered{h.term, h.shard, h.id, o.Job.Leg, why})
+	h.say(from, wire.Ordered, Ordered{h.term, h.shard, h.id, o.Job.Leg, why})
 }
 
 // refuse gives the reason why an order may not be taken, or nothing.
@@ -94,7 +94,7 @@
 	}{
 		{o.Seq < h.seq, "sent before the latest query"},
 		{h.now >= o.Until || h.now >= h.until, "grant has lapsed"},
-		{h.state != Healthy, "ward is " + string(h.state)},
+		{h.state != Healthy, "agent is " + string(h.state)},
 		{!h.rep.Sound, "worker is silent"},
 		{h.rep.Leaving, "worker is leaving"},
 		{!slices.Contains(h.rep.Kinds, o.Job.Kind), "worker has not this kind"},
@@ -112,31 +112,31 @@
 
 // onQuery answers which of the legs asked about do not run here; from now on
 // orders sent before it are refused.
-func (h *Hand) onQuery(from mark.Addr, q Query) {
+func (h *Hand) onQuery(from types.Addr, q Query) {
 	if !h.heeds(from, q.Top) || q.Seq <= h.seq {
 		return
 	}
 	h.seq = q.Seq
-	var idle []store.End
+	var idle []state.End
 	for _, l := range q.Legs {
 		if h.legs[l] == nil {
-			h.put(&leg{job: Job{Leg: l}, part: ended, fate: store.Unrun})
-			idle = append(idle, store.End{Leg: l, Fate: store.Unrun})
+			h.put(&leg{job: Job{Leg: l}, part: ended, fate: state.Unrun})
+			idle = append(idle, state.End{Leg: l, Fate: state.Unrun})
 		}
 	}
 	if idle != nil {
 		h.status = never
 	}
-	h.say(from, word.Queried, Queried{h.term, h.shard, h.id, q.Seq})
+	h.say(from, wire.Queried, Queried{h.term, h.shard, h.id, q.Seq})
 }
 
-func (h *Hand) onSettled(from mark.Addr, s Settled) {
+func (h *Hand) onSettled(from types.Addr, s Settled) {
 	if !h.heeds(from, s.Top) {
 		return
 	}
 	for _, e := range s.Ends {
 		l := h.legs[e.Leg]
-		if l == nil || l.part != ended || l.fate == store.OK && e.Fate != store.OK {
+		if l == nil || l.part != ended || l.fate == state.OK && e.Fate != state.OK {
 			continue
 		}
 		l.settled, h.news = true, true
@@ -148,7 +148,7 @@
 	}
 }
 
-func (h *Hand) onStop(from mark.Addr, s Stop) {
+func (h *Hand) onStop(from types.Addr, s Stop) {
 	if !h.heeds(from, s.Top) {
 		return
 	}
@@ -157,30 +157,30 @@
 			l.over = l.over || l.part != ended && slices.Contains(s.Late, k)
 			h.halt(l)
 		} else {
-			h.put(&leg{job: Job{Leg: k}, part: ended, fate: store.Unrun})
+			h.put(&leg{job: Job{Leg: k}, part: ended, fate: state.Unrun})
 			h.seen[k], h.status = h.now.Add(2*h.pace.Loss), never
 		}
 	}
 }
 
-func (h *Hand) onQuit(from mark.Addr, q Quit) {
+func (h *Hand) onQuit(from types.Addr, q Quit) {
 	if h.heeds(from, q.Top) {
 		h.turn(MustDie)
 	}
 }
 
-var hands = map[string]func(*Hand, word.Note){
-	word.Beaten:  word.On((*Hand).onBeaten),
-	word.AskRun:  word.On((*Hand).onAsk),
-	word.Order:   word.On((*Hand).onOrder),
-	word.Query:   word.On((*Hand).onQuery),
-	word.Settled: word.On((*Hand).onSettled),
-	word.Stop:    word.On((*Hand).onStop),
-	word.Quit:    word.On((*Hand).onQuit),
+var hands = map[string]func(*Hand, wire.Note){
+	wire.Beaten:  wire.On((*Hand).onBeaten),
+	wire.AskRun:  wire.On((*Hand).onAsk),
+	wire.Order:   wire.On((*Hand).onOrder),
+	wire.Query:   wire.On((*Hand).onQuery),
+	wire.Settled: wire.On((*Hand).onSettled),
+	wire.Stop:    wire.On((*Hand).onStop),
+	wire.Quit:    wire.On((*Hand).onQuit),
 }
 
 // Take handles a scheduler's note.
-func (h *Hand) Take(now mark.Stamp, n word.Note) {
+func (h *Hand) Take(now types.Stamp, n wire.Note) {
 	h.now = now
 	if f := hands[n.Kind]; f != nil {
 		f(h, n)
--- a/truth/hold.go
+++ b/internal/dispatch/hold.go
@@ -1,51 +1,51 @@
 // The legs that possibly run, kept by shard and by what is open about them, so
 // that an event costs what it touches. Lists are in the legs' own order, and
 // shards in order of their names.
-package truth
+package dispatch
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"coppercourse/mark"
+	"coppercourse/internal/types"
 )
 
 // Hold is a leg that possibly runs.
 type Hold struct {
-	Leg   mark.Leg
-	Shard mark.Shard
-	Stage mark.Stage // or -1, where the log does not have it
-	Room  mark.Room
+	Leg   types.Leg
+	Shard types.Shard
+	Stage types.Stage // or -1, where the log does not have it
+	Room  types.Room
 	Phase phase
 	Usual string // what its time is compared with
 	Limit time.Duration
-	At    mark.Stamp
-	Ref   string     // what it has saved
-	Late  mark.Stamp // by when it will have ended, where it is far behind its like
-	halt  mark.Stamp
+	At    types.Stamp
+	Ref   string      // what it has saved
+	Late  types.Stamp // by when it will have ended, where it is far behind its like
+	halt  types.Stamp
 }
 
 // load is what possibly runs on one shard.
 type load struct {
 	list   []*Hold
-	used   mark.Room
+	used   types.Room
 	dim    int
 	unsure int
 }
 
 // holds is all of them.
 type holds struct {
-	by    map[mark.Leg]*Hold
-	on    map[mark.Shard]*load
+	by    map[types.Leg]*Hold
+	on    map[types.Shard]*load
 	dim   int
-	open  map[mark.Shard]bool // those with unsure legs
-	sent  []*Hold             // in order of time; some are not any more
-	alien map[mark.Leg]*Hold  // told by a ward, and not given out as far as the log says
+	open  map[types.Shard]bool // those with unsure legs
+	sent  []*Hold              // in order of time; some are not any more
+	alien map[types.Leg]*Hold  // told by an agent, and not given out as far as the log says
 }
 
 func newHolds() holds {
-	return holds{by: map[mark.Leg]*Hold{}, on: map[mark.Shard]*load{}, open: map[mark.Shard]bool{}, alien: map[mark.Leg]*Hold{}}
+	return holds{by: map[types.Leg]*Hold{}, on: map[types.Shard]*load{}, open: map[types.Shard]bool{}, alien: map[types.Leg]*Hold{}}
 }
 
 func least(a, b *Hold) int { return a.Leg.Compare(b.Leg) }
@@ -67,7 +67,7 @@
 	h.count(o, 1)
 }
 
-func (h *holds) drop(l mark.Leg) {
+func (h *holds) drop(l types.Leg) {
 	o := h.by[l]
 	if o == nil {
 		return
@@ -111,7 +111,7 @@
 
 // overdue takes from the sent ones those that are no longer, and gives the ones
 // that have been since before a time.
-func (h *holds) overdue(by mark.Stamp) (list []*Hold) {
+func (h *holds) overdue(by types.Stamp) (list []*Hold) {
 	for len(h.sent) > 0 && (h.sent[0].Phase != sent || h.by[h.sent[0].Leg] != h.sent[0] || h.sent[0].At < by) {
 		if o := h.sent[0]; o.Phase == sent && h.by[o.Leg] == o {
 			list = append(list, o)
@@ -122,22 +122,22 @@
 }
 
 // of lists what possibly runs on a shard; the list is a copy.
-func (h *holds) of(s mark.Shard) []*Hold {
+func (h *holds) of(s types.Shard) []*Hold {
 	if x := h.on[s]; x != nil {
 		return slices.Clone(x.list)
 	}
 	return nil
 }
 
-func (h *holds) used(s mark.Shard) (r mark.Room) {
+func (h *holds) used(s types.Shard) (r types.Room) {
 	if x := h.on[s]; x != nil {
 		r = x.used
 	}
 	return
 }
 
-// dims lists the legs not told of yet on shards that no ward has come for.
-func (h *holds) dims(came map[mark.Shard]*Seat) (list []*Hold) {
+// dims lists the legs not told of yet on shards that no agent has come for.
+func (h *holds) dims(came map[types.Shard]*Seat) (list []*Hold) {
 	if h.dim == 0 {
 		return nil
 	}
@@ -162,4 +162,4 @@
 	return list
 }
 
-func sorted[T any](m map[mark.Shard]T) []mark.Shard { return slices.Sorted(maps.Keys(m)) }
+func sorted[T any](m map[types.Shard]T) []types.Shard { return slices.Sorted(maps.Keys(m)) }
--- a/truth/line.go
+++ b/internal/dispatch/line.go
@@ -1,17 +1,17 @@
-// The calls that a ward makes to a worker that is called, and what their replies
+// The calls that an agent makes to a worker that is called, and what their replies
 // mean. Each start is sent once. One that got no clear answer is unsure: a query
 // raises the fence, below which the worker starts nothing any more, and what it
 // then does not list was not started and never will be. Ends are settled at the
 // worker only once they are in the log. What the log has as lapsed when its end is
 // heard of stays lapsed: the worker does not count such an end either.
-package truth
+package dispatch
 
 import (
 	"slices"
 
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/word"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 // line makes the calls that are due.
@@ -32,14 +32,14 @@
 		case (l.part == halting || l.ghost) && (l.asked == 0 || h.now.Sub(l.asked) >= h.pace.Again):
 			l.asked = h.now
 			c.Sums.Stops++
-			h.send(word.WorkerCall{Kind: word.Halt, Leg: l.job.Leg})
+			h.send(wire.WorkerCall{Kind: wire.Halt, Leg: l.job.Leg})
 		}
 		unsure = unsure || l.unsure
 	}
 	if unsure && c.query == 0 && h.now >= c.next {
 		c.fence = max(c.fence+1, uint64(c.clock)*fences)
 		c.Sums.Queries++
-		c.query = h.send(word.WorkerCall{Kind: word.Hold})
+		c.query = h.send(wire.WorkerCall{Kind: wire.Hold})
 	}
 	if f := c.open[c.hold]; f != nil && (h.now.Sub(f.at) > f.Wait+overdue || f.Until == 0 && h.lease() > 0) {
 		c.hold = 0 // it is late, or gave no lease where there may be one now
@@ -49,7 +49,7 @@
 		if c.seen < c.high() {
 			wait = 0 // the worker lists at once what is not settled
 		}
-		c.hold = h.send(word.WorkerCall{Kind: word.Hold, Wait: wait})
+		c.hold = h.send(wire.WorkerCall{Kind: wire.Hold, Wait: wait})
 	}
 }
 
@@ -58,25 +58,25 @@
 	end := h.lease()
 	switch {
 	case h.now >= l.until:
-		h.finish(l, store.Unrun)
+		h.finish(l, state.Unrun)
 	case end == 0 || !h.told:
 	default:
 		l.shown = true
 		l.fence = h.caller.fence
 		h.caller.Sums.Starts++
-		h.send(word.WorkerCall{Kind: word.Start, Leg: l.job.Leg, Work: l.job.Work, Ref: l.job.Ref})
+		h.send(wire.WorkerCall{Kind: wire.Start, Leg: l.job.Leg, Work: l.job.Work, Ref: l.job.Ref})
 	}
 }
 
 // send fills in what all calls have in common.
-func (h *Hand) send(w word.WorkerCall) uint64 {
+func (h *Hand) send(w wire.WorkerCall) uint64 {
 	c := h.caller
 	c.no++
 	w.No, w.To, w.Life, w.Fence, w.Limit = c.no, c.to, c.life, c.fence, answers+w.Wait
-	if w.Kind != word.Halt && h.told {
+	if w.Kind != wire.Halt && h.told {
 		w.Until = h.lease()
 	}
-	if w.Kind == word.Hold {
+	if w.Kind == wire.Hold {
 		w.Seen = c.seen
 		c.Sums.Holds++
 	}
@@ -87,7 +87,7 @@
 }
 
 // Back takes the reply to a call, or that there was none.
-func (h *Hand) Back(now mark.Stamp, r word.WorkerReply) {
+func (h *Hand) Back(now types.Stamp, r wire.WorkerReply) {
 	h.now = now
 	c := h.caller
 	if c == nil || c.open[r.No] == nil {
@@ -101,7 +101,7 @@
 	if c.query == r.No {
 		c.query = 0
 	}
-	if r.Result == word.Stranger {
+	if r.Result == wire.Stranger {
 		h.over(true)
 		return
 	}
@@ -113,7 +113,7 @@
 		c.Sums.Silent++
 		c.mute = c.mute || h.heard <= f.at
 		backs[f.Kind](h, f, r)
-	case !c.firm: // a beat's reading may be old, and a fence made of it no higher than an earlier ward's
+	case !c.firm: // a beat's reading may be old, and a fence made of it no higher than an earlier agent's
 		c.firm, c.fence = true, max(c.fence, uint64(r.Clock)*fences)
 		h.hear(r.Clock)
 		h.heard, c.mute = now, false
@@ -126,20 +126,20 @@
 	h.pulse()
 }
 
-var backs = map[word.CallKind]func(*Hand, *flight, word.WorkerReply){
-	word.Start: (*Hand).started,
-	word.Halt:  (*Hand).halted,
-	word.Hold:  (*Hand).held,
+var backs = map[wire.CallKind]func(*Hand, *flight, wire.WorkerReply){
+	wire.Start: (*Hand).started,
+	wire.Halt:  (*Hand).halted,
+	wire.Hold:  (*Hand).held,
 }
 
 // started takes the reply to a start.
-func (h *Hand) started(f *flight, r word.WorkerReply) {
+func (h *Hand) started(f *flight, r wire.WorkerReply) {
 	l := h.legs[f.Leg]
 	if l == nil || l.part == ended {
 		return
 	}
 	switch r.Result {
-	case word.Taken:
+	case wire.Taken:
 		if l.part == waiting {
 			l.part, l.from = going, h.now
 		}
@@ -147,38 +147,38 @@
 		if c := h.caller; h.now < c.tight && !c.proven.Holds(h.used()) {
 			c.proven = h.used()
 		}
-	case word.Silent:
+	case wire.Silent:
 		l.unsure = true
 	default:
-		if r.Result == word.Full {
+		if r.Result == wire.Full {
 			h.full()
 		}
-		if r.Result == word.Sick || r.Result == word.Closed {
+		if r.Result == wire.Sick || r.Result == wire.Closed {
 			h.caller.sick, h.beat = h.now.Add(h.pace.Ill), never
 		}
-		h.finish(l, store.Unrun)
+		h.finish(l, state.Unrun)
 	}
 }
 
-func (h *Hand) halted(f *flight, r word.WorkerReply) {
-	if l := h.legs[f.Leg]; l != nil && r.Result == word.Taken {
+func (h *Hand) halted(f *flight, r wire.WorkerReply) {
+	if l := h.legs[f.Leg]; l != nil && r.Result == wire.Taken {
 		l.turned = max(l.turned, h.now)
 	}
 }
 
 // held takes the reply to a hold: what runs, and what has ended.
-func (h *Hand) held(f *flight, r word.WorkerReply) {
+func (h *Hand) held(f *flight, r wire.WorkerReply) {
 	c := h.caller
 	switch {
-	case r.Result == word.Fenced:
+	case r.Result == wire.Fenced:
 		c.fence = max(c.fence, uint64(c.clock)*fences)
 		return
-	case r.Result != word.Taken:
+	case r.Result != wire.Taken:
 		c.next = h.now.Add(retries)
 		return
 	}
-	runs := map[mark.Leg]bool{}
-	if len(r.Ends) > 0 { // those before it were settled, maybe by an earlier ward
+	runs := map[types.Leg]bool{}
+	if len(r.Ends) > 0 { // those before it were settled, maybe by an earlier agent
 		c.seen = max(c.seen, r.Ends[0].N-1)
 	}
 	for _, e := range r.Ends {
@@ -204,13 +204,13 @@
 	}
 }
 
-var hows = map[word.How]store.Fate{word.Done: store.OK, word.Failed: store.Bad, word.Stopped: store.Halted,
-	word.Expired: store.Lapsed, word.Broken: store.Halted, word.Lonely: store.Halted}
+var hows = map[wire.How]state.Fate{wire.Done: state.OK, wire.Failed: state.Bad, wire.Stopped: state.Halted,
+	wire.Expired: state.Lapsed, wire.Broken: state.Halted, wire.Lonely: state.Halted}
 
 // list takes an end that the worker tells for the first time. It counts even if
 // the lease may have ended since, unless the log has the leg as lapsed by then:
 // then its task may be elsewhere.
-func (h *Hand) list(e word.WorkerEnd) {
+func (h *Hand) list(e wire.WorkerEnd) {
 	c := h.caller
 	c.ends[e.N] = &ending{leg: e.Leg}
 	l := h.legs[e.Leg]
@@ -227,7 +227,7 @@
 	}
 	f := hows[e.How]
 	if f == "" {
-		f = store.Lapsed
+		f = state.Lapsed
 	}
 	l.ref = e.Ref
 	h.finish(l, f)
@@ -235,7 +235,7 @@
 
 // runs takes an attempt that the worker tells to be running. One that has ended
 // here, or that nobody sent since the worker told all, is stopped.
-func (h *Hand) runs(x word.WorkerRun) {
+func (h *Hand) runs(x wire.WorkerRun) {
 	l := h.legs[x.Leg]
 	if l == nil {
 		l = &leg{job: Job{Leg: x.Leg}, part: going, from: h.now}
@@ -260,16 +260,16 @@
 // miss judges what a reply does not list: it can't be running, if the reply was
 // asked for after it was known to run, after it was turned away, or by a query
 // that raised the fence above it.
-func (h *Hand) miss(f *flight, listed map[mark.Leg]bool) {
+func (h *Hand) miss(f *flight, listed map[types.Leg]bool) {
 	for _, l := range h.sorted() {
 		if listed[l.job.Leg] || l.part == ended || !l.shown && l.part == waiting {
 			continue
 		}
 		switch {
 		case l.sure > 0 && l.sure < f.at:
-			h.finish(l, store.Gone)
+			h.finish(l, state.Gone)
 		case l.sure == 0 && (f.Fence > l.fence || l.turned > 0 && l.turned < f.at):
-			h.finish(l, store.Unrun)
+			h.finish(l, state.Unrun)
 		}
 	}
 }
--- a/truth/pace.go
+++ b/internal/dispatch/pace.go
@@ -1,17 +1,17 @@
-// How fast workers that are called get on. A ward is told how far each attempt is,
+// How fast workers that are called get on. An agent is told how far each attempt is,
 // and tells the leader how long it will take in all, when that is known and when it
 // changes. The leader sets it beside the other tasks of the same step elsewhere:
 // estimates are wrong by half and more, but alike for all of a step. So a slow
 // worker shows within a second, and attempts that are far behind their like. With
 // nothing to tell by, a worker is slowly trusted again.
-package truth
+package dispatch
 
 import (
 	"math"
 	"slices"
 	"time"
 
-	"coppercourse/mark"
+	"coppercourse/internal/types"
 )
 
 const (
@@ -28,12 +28,12 @@
 
 // Span is how long an attempt takes in all, as far as can be told.
 type Span struct {
-	Leg mark.Leg `json:"leg"`
-	MS  int64    `json:"ms"`
+	Leg types.Leg `json:"leg"`
+	MS  int64     `json:"ms"`
 }
 
 // span is how long an attempt will take in all, or 0 if that can't be told.
-func (l *leg) span(now mark.Stamp) time.Duration {
+func (l *leg) span(now types.Stamp) time.Duration {
 	ran := l.read.Sub(l.from)
 	switch {
 	case l.part != going || l.read == 0 || ran < brief:
@@ -63,24 +63,24 @@
 
 // stage is one step of one job at one time.
 type stage struct {
-	job mark.JobID
-	at  mark.Stage
+	job types.JobID
+	at  types.Stage
 }
 
 // times are what the attempts of a stage take, and where.
 type times struct {
 	list []sample
-	at   mark.Stamp
+	at   types.Stamp
 }
 
 type sample struct {
-	leg   mark.Leg
-	shard mark.Shard
+	leg   types.Leg
+	shard types.Shard
 	took  time.Duration
 }
 
 // elsewhere is the median of what the stage takes on other workers.
-func (t *times) elsewhere(shard mark.Shard) (time.Duration, bool) {
+func (t *times) elsewhere(shard types.Shard) (time.Duration, bool) {
 	list := t.sorted(func(x sample) bool { return x.shard != shard })
 	if len(list) < like {
 		return 0, false
@@ -131,8 +131,8 @@
 
 // Took is what the tasks of a step take, as far as is known: the median of those
 // that have ended or told how far they are.
-func (h *Head) Took(job mark.JobID, step int) (time.Duration, bool) {
-	t := h.stages[stage{job, mark.StageOf(mark.No(0, step, 0))}]
+func (h *Head) Took(job types.JobID, step int) (time.Duration, bool) {
+	t := h.stages[stage{job, types.StageOf(types.No(0, step, 0))}]
 	if t == nil {
 		return 0, false
 	}
@@ -141,7 +141,7 @@
 }
 
 // fade forgets a bad name with time.
-func (s *Seat) fade(now mark.Stamp) {
+func (s *Seat) fade(now types.Stamp) {
 	s.pace *= math.Exp2(-now.Sub(s.paced).Seconds() / trust.Seconds())
 	s.paced = now
 }
--- a/truth/poll.go
+++ b/internal/dispatch/poll.go
@@ -1,67 +1,67 @@
-// What a ward and its worker say. The worker calls, again and again; the ward
+// What an agent and its worker say. The worker calls, again and again; the agent
 // answers at once when there is news and otherwise after a short hold. Calls
 // are numbered: an answer counts only for the worker's latest call, and a call
-// older than the ward's latest is let fall. So a leg that was in an answer and
+// older than the agent's latest is let fall. So a leg that was in an answer and
 // is not in the next call was not started and never will be.
-package truth
+package dispatch
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"coppercourse/blueprint"
-	"coppercourse/fault"
-	"coppercourse/mark"
-	"coppercourse/store"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
 )
 
 // Poll is the worker's call.
 type Poll struct {
-	Worker mark.ID     `json:"worker"`
-	Ward   mark.ID     `json:"ward"`
-	Call   uint64      `json:"call"`
-	Stamp  mark.Stamp  `json:"stamp"`
-	Rack   mark.Rack   `json:"rack"`
-	Kinds  []mark.Kind `json:"kinds"`
-	Room   mark.Room   `json:"room"`
-	Leave  bool        `json:"leaving"`
-	GoMS   int64       `json:"leave_in_ms"`
-	Runs   []Run       `json:"running"`
-	Ends   []Finish    `json:"ended"`
+	Worker types.ID     `json:"worker"`
+	Agent  types.ID     `json:"agent"`
+	Call   uint64       `json:"call"`
+	Stamp  types.Stamp  `json:"stamp"`
+	Rack   types.Rack   `json:"rack"`
+	Kinds  []types.Kind `json:"kinds"`
+	Room   types.Room   `json:"room"`
+	Leave  bool         `json:"leaving"`
+	GoMS   int64        `json:"leave_in_ms"`
+	Runs   []Run        `json:"running"`
+	Ends   []Finish     `json:"ended"`
 }
 
 // Finish is an ended leg that the worker keeps until it is settled.
 type Finish struct {
 	Run
-	Fate store.Fate `json:"fate"`
+	Fate state.Fate `json:"fate"`
 }
 
-// Answer is what the ward answers. Until is on the worker's own clock: past it
+// Answer is what the agent answers. Until is on the worker's own clock: past it
 // the worker stops everything by itself.
 type Answer struct {
-	Ward    mark.ID    `json:"ward"`
-	Call    uint64     `json:"call"`
-	Until   mark.Stamp `json:"until"`
-	Start   []Job      `json:"start"`
-	Stop    []mark.Leg `json:"stop"`
-	Settled []mark.Leg `json:"settled"`
+	Agent   types.ID    `json:"agent"`
+	Call    uint64      `json:"call"`
+	Until   types.Stamp `json:"until"`
+	Start   []Job       `json:"start"`
+	Stop    []types.Leg `json:"stop"`
+	Settled []types.Leg `json:"settled"`
 }
 
 // Check tells what is wrong with a call; nothing of a bad one is taken.
-func (p Poll) Check(h *fault.Heap) {
+func (p Poll) Check(h *apierror.Heap) {
 	h.Check(p.Worker != "" && len(p.Worker) <= 128, "worker", "want 1 to 128 characters")
-	h.Check(p.Room.Holds(mark.Room{}), "room", "want no negative numbers")
+	h.Check(p.Room.Holds(types.Room{}), "room", "want no negative numbers")
 	h.Check(len(p.Kinds) <= 64, "kinds", "more than 64")
 	h.Check(p.GoMS >= 0 && p.GoMS <= 86_400_000, "leave_in_ms", "want 0 to a day")
 	h.Check(p.GoMS == 0 || p.Leave, "leave_in_ms", "only for a worker that is leaving")
 	h.Check(len(p.Runs)+len(p.Ends) <= 2000, "running", "more than 2000 legs")
 	for i, k := range p.Kinds {
-		h.Check(blueprint.Name(string(k)) == "", fmt.Sprintf("kinds[%d]", i), "not a name")
+		h.Check(config.Name(string(k)) == "", fmt.Sprintf("kinds[%d]", i), "not a name")
 	}
 	leg := func(at string, r Run) {
-		h.Check(blueprint.Name(string(r.Leg.Job)) == "" && r.Leg.N >= 0 && r.Leg.Leg >= 1, at+".leg", "no such leg can be")
-		h.Check(r.Room.Holds(mark.Room{}), at+".room", "want no negative numbers")
+		h.Check(config.Name(string(r.Leg.Job)) == "" && r.Leg.N >= 0 && r.Leg.Leg >= 1, at+".leg", "no such leg can be")
+		h.Check(r.Room.Holds(types.Room{}), at+".room", "want no negative numbers")
 	}
 	for i, r := range p.Runs {
 		leg(fmt.Sprintf("running[%d]", i), r)
@@ -73,10 +73,10 @@
 	}
 }
 
-var fates = []store.Fate{store.OK, store.Bad, store.Halted, store.Unrun}
+var fates = []state.Fate{state.OK, state.Bad, state.Halted, state.Unrun}
 
 // Poll takes a worker's call; false means that it is not to be answered.
-func (h *Hand) Poll(now mark.Stamp, p Poll) bool {
+func (h *Hand) Poll(now types.Stamp, p Poll) bool {
 	h.now = now
 	if p.Worker != h.worker {
 		if h.worker != "" && !h.lapsed() {
@@ -92,7 +92,7 @@
 	}
 	h.rep = Report{Rack: p.Rack, Kinds: p.Kinds, Room: p.Room, Leaving: p.Leave, LeaveMS: p.GoMS, Sound: true}
 	h.goes = now.Add(time.Duration(p.GoMS) * time.Millisecond)
-	runs := map[mark.Leg]bool{}
+	runs := map[types.Leg]bool{}
 	for _, r := range p.Runs {
 		runs[r.Leg] = true
 		l := h.legs[r.Leg]
@@ -111,7 +111,7 @@
 			l = &leg{job: Job{Leg: e.Leg, Room: e.Room}, part: going}
 			h.put(l)
 		}
-		if l.part != ended || l.fate == store.Lost || e.Fate == store.OK && l.fate != store.OK {
+		if l.part != ended || l.fate == state.Lost || e.Fate == state.OK && l.fate != state.OK {
 			h.finish(l, e.Fate)
 		}
 		l.ghost, runs[e.Leg] = false, true
@@ -122,13 +122,13 @@
 		}
 		switch {
 		case l.part == going, l.part == halting && l.from != 0:
-			h.finish(l, store.Gone)
+			h.finish(l, state.Gone)
 		case l.part == halting:
-			h.finish(l, store.Unrun)
+			h.finish(l, state.Unrun)
 		case l.part == waiting && now >= l.until:
-			h.finish(l, store.Unrun)
-		case l.part == ended && l.fate == store.Lost:
-			h.finish(l, store.Gone)
+			h.finish(l, state.Unrun)
+		case l.part == ended && l.fate == state.Lost:
+			h.finish(l, state.Gone)
 		case l.part == ended && l.settled:
 			h.forget(l.job.Leg)
 		}
@@ -140,27 +140,27 @@
 // have ended with it.
 func (h *Hand) fresh(p Poll) {
 	for _, l := range h.sorted() {
-		if l.part != ended || l.fate == store.Lost {
-			h.finish(l, store.Gone)
+		if l.part != ended || l.fate == state.Lost {
+			h.finish(l, state.Gone)
 		}
 		if l.settled {
 			h.forget(l.job.Leg)
 		}
 	}
 	if h.worker == "" {
-		h.past = p.Ward
+		h.past = p.Agent
 	}
 	h.worker = p.Worker
 }
 
 // Reply makes the answer to the worker's latest call.
-func (h *Hand) Reply(now mark.Stamp) Answer {
+func (h *Hand) Reply(now types.Stamp) Answer {
 	h.now, h.news = now, false
 	left := min(h.pace.Worker, h.until.Sub(now))
 	if h.state == MustDie || left < 0 {
 		left = 0
 	}
-	a := Answer{Ward: h.id, Call: h.call, Until: h.stamp.Add(left)}
+	a := Answer{Agent: h.id, Call: h.call, Until: h.stamp.Add(left)}
 	if left > 0 {
 		h.given = max(h.given, now.Add(left-h.pace.Worker))
 	}
@@ -189,4 +189,4 @@
 func (h *Hand) lapsed() bool { return h.now.Sub(h.given) > h.pace.Worker+Slack }
 
 // Worker gives the time since the worker's last call.
-func (h *Hand) Quiet(now mark.Stamp) time.Duration { return now.Sub(h.heard) }
+func (h *Hand) Quiet(now types.Stamp) time.Duration { return now.Sub(h.heard) }
