--- a/truth/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -1,7 +1,7 @@
-// A rig for the ward's side towards a called worker: a leader's half, a ward's half
+// A rig for the agent's side towards a called worker: a leader's half, an agent's half
 // and the stand-in worker with a shared time, a log that keeps the first end of each
 // leg, and calls that a test carries, loses, or has carried out late, one by one.
-package truth_test
+package dispatch_test
 
 import (
 	"fmt"
@@ -10,18 +10,18 @@
 	"testing"
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/trial"
-	"coppercourse/truth"
-	"coppercourse/word"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+	"coppercourse/sim"
 )
 
 const ms = time.Millisecond
 
 // ample is a pace with leases of five seconds.
-var ample = func() truth.Pace {
-	p := truth.Defaults
+var ample = func() dispatch.Pace {
+	p := dispatch.Defaults
 	p.Grant, p.Loss = 5*time.Second, 6*time.Second
 	return p
 }()
@@ -37,7 +37,7 @@
 )
 
 type due struct {
-	at mark.Stamp
+	at types.Stamp
 	no int
 	do func()
 }
@@ -45,47 +45,47 @@
 type rig struct {
 	t      *testing.T
 	rnd    *rand.Rand
-	pace   truth.Pace
-	now    mark.Stamp
-	term   mark.Term
-	head   *truth.Head
-	hand   *truth.Hand
-	worker *trial.Called
-	floor  *trial.Floor
-	made   trial.Make
+	pace   dispatch.Pace
+	now    types.Stamp
+	term   types.Term
+	head   *dispatch.Head
+	hand   *dispatch.Hand
+	worker *sim.Called
+	floor  *sim.Floor
+	made   sim.Make
 	lives  int
-	wards  int
+	agents int
 	seq    uint64
-	cut    bool          // leader and ward hear nothing of each other
+	cut    bool          // leader and agent hear nothing of each other
 	grace  time.Duration // how long the leader may let others act on its word
 	idle   bool          // the worker's own beats stop
-	how    func(word.WorkerCall) way
+	how    func(wire.WorkerCall) way
 	lag    func() time.Duration // of a call that is late
-	spy    func(word.WorkerCall)
-	tap    func(word.Send) // hears what the ward says
+	spy    func(wire.WorkerCall)
+	tap    func(wire.Send) // hears what the agent says
 	slow   time.Duration   // of replies to holds
 	plan   []due
 	no     int
 
-	out    map[mark.Leg]bool       // given out, not ended in the log
-	log    map[mark.Leg]store.Fate // the first end of each
-	runs   map[mark.Leg]bool       // on the worker now
-	began  map[mark.Leg]int
-	hows   map[mark.Leg]word.How
-	noted  map[mark.Leg]bool
-	flight map[store.End]bool
-	shows  []store.End // what the ward has told, in order
+	out    map[types.Leg]bool       // given out, not ended in the log
+	log    map[types.Leg]state.Fate // the first end of each
+	runs   map[types.Leg]bool       // on the worker now
+	began  map[types.Leg]int
+	hows   map[types.Leg]wire.How
+	noted  map[types.Leg]bool
+	flight map[state.End]bool
+	shows  []state.End // what the agent has told, in order
 }
 
-func newRig(t *testing.T, seed int64, pace truth.Pace) *rig {
-	r := &rig{t: t, rnd: rand.New(rand.NewSource(seed)), pace: pace, grace: pace.Grant, now: mark.Stamp(time.Hour),
-		floor: trial.NewFloor(trial.Manner{Lease: 6 * time.Second, Stop: 400 * ms, Gang: 3 * time.Second, Save: 2 * time.Second, Restore: 600 * ms, Far: 1.5}),
-		made:  trial.Make{Shard: "s", Rack: "r", Kinds: []mark.Kind{"x"}, Room: mark.Room{Cores: 8 * mark.Core}, Guards: true},
-		how:   func(word.WorkerCall) way { return fine }, lag: func() time.Duration { return 3 * time.Second },
-		out: map[mark.Leg]bool{}, log: map[mark.Leg]store.Fate{}, runs: map[mark.Leg]bool{}, began: map[mark.Leg]int{},
-		hows: map[mark.Leg]word.How{}, noted: map[mark.Leg]bool{}, flight: map[store.End]bool{}}
+func newRig(t *testing.T, seed int64, pace dispatch.Pace) *rig {
+	r := &rig{t: t, rnd: rand.New(rand.NewSource(seed)), pace: pace, grace: pace.Grant, now: types.Stamp(time.Hour),
+		floor: sim.NewFloor(sim.Manner{Lease: 6 * time.Second, Stop: 400 * ms, Gang: 3 * time.Second, Save: 2 * time.Second, Restore: 600 * ms, Far: 1.5}),
+		made:  sim.Make{Shard: "s", Rack: "r", Kinds: []types.Kind{"x"}, Room: types.Room{Cores: 8 * types.Core}, Guards: true},
+		how:   func(wire.WorkerCall) way { return fine }, lag: func() time.Duration { return 3 * time.Second },
+		out: map[types.Leg]bool{}, log: map[types.Leg]state.Fate{}, runs: map[types.Leg]bool{}, began: map[types.Leg]int{},
+		hows: map[types.Leg]wire.How{}, noted: map[types.Leg]bool{}, flight: map[state.End]bool{}}
 	r.lead()
-	r.ward()
+	r.agent()
 	r.life()
 	r.every(10*ms, func() {
 		if r.worker != nil {
@@ -132,50 +132,50 @@
 // lead has another leader take over; what the old one had proposed is gone.
 func (r *rig) lead() {
 	r.term++
-	var outs []truth.Hold
+	var outs []dispatch.Hold
 	for l := range r.out {
-		outs = append(outs, truth.Hold{Leg: l, Shard: "s", Room: mark.Room{Cores: mark.Core}})
+		outs = append(outs, dispatch.Hold{Leg: l, Shard: "s", Room: types.Room{Cores: types.Core}})
 	}
 	sort.Slice(outs, func(i, k int) bool { return outs[i].Leg.Least(outs[k].Leg) })
-	h := truth.NewHead(r.now, r.now, r.pace, "h", r.term, outs)
-	h.Taken = func(e store.End) bool { _, ok := r.log[e.Leg]; return ok || !r.out[e.Leg] }
-	h.Apart = func(mark.Shard) bool { return false }
-	h.Invoked = func(mark.Shard) bool { return true }
-	h.Doubts = func(mark.Shard) []mark.Leg { return nil }
+	h := dispatch.NewHead(r.now, r.now, r.pace, "h", r.term, outs)
+	h.Taken = func(e state.End) bool { _, ok := r.log[e.Leg]; return ok || !r.out[e.Leg] }
+	h.Apart = func(types.Shard) bool { return false }
+	h.Invoked = func(types.Shard) bool { return true }
+	h.Doubts = func(types.Shard) []types.Leg { return nil }
 	r.head = h
 	clear(r.flight)
 }
 
-// ward starts a ward that knows nothing.
-func (r *rig) ward() {
-	r.wards++
+// agent starts an agent that knows nothing.
+func (r *rig) agent() {
+	r.agents++
 	n := 0
-	r.hand = truth.NewHand(r.now, r.pace, "w", "s", func() mark.ID { n++; return mark.ID(fmt.Sprintf("w%d.%d", r.wards, n)) })
+	r.hand = dispatch.NewHand(r.now, r.pace, "w", "s", func() types.ID { n++; return types.ID(fmt.Sprintf("w%d.%d", r.agents, n)) })
 }
 
 // life starts a worker process.
 func (r *rig) life() {
 	r.lives++
-	id := mark.ID(fmt.Sprint("k", r.lives))
+	id := types.ID(fmt.Sprint("k", r.lives))
 	r.seq = 0
 	clear(r.runs)
-	r.worker = trial.NewCalled(r.made, id, r.floor, r.rnd, func() mark.Stamp { return r.now }, func(h trial.Happening) {
-		if r.worker == nil || mark.ID(h.Who) != r.worker.ID {
+	r.worker = sim.NewCalled(r.made, id, r.floor, r.rnd, func() types.Stamp { return r.now }, func(h sim.Happening) {
+		if r.worker == nil || types.ID(h.Who) != r.worker.ID {
 			return
 		}
 		switch h.What {
-		case trial.Started:
+		case sim.Started:
 			r.runs[h.Leg] = true
 			r.began[h.Leg]++
 			if f, ok := r.log[h.Leg]; ok {
 				r.t.Errorf("%v starts, although the log has it as %s", h.Leg, f)
 			}
-		case trial.Ended:
+		case sim.Ended:
 			delete(r.runs, h.Leg)
 			r.hows[h.Leg] = h.How
-		case trial.Noted:
+		case sim.Noted:
 			r.noted[h.Leg] = true
-			if f := r.log[h.Leg]; h.How == word.Done && f != store.OK {
+			if f := r.log[h.Leg]; h.How == wire.Done && f != state.OK {
 				r.t.Errorf("%v is noted as done, and the log has it as %q", h.Leg, f)
 			}
 		}
@@ -188,9 +188,9 @@
 	clear(r.runs)
 }
 
-func (r *rig) beat() word.WorkerBeat {
+func (r *rig) beat() wire.WorkerBeat {
 	r.seq++
-	return word.WorkerBeat{Life: r.worker.ID, To: "k", Seq: r.seq, Rack: "r", Kinds: r.made.Kinds, Room: r.made.Room, Clock: r.worker.Clock()}
+	return wire.WorkerBeat{Life: r.worker.ID, To: "k", Seq: r.seq, Rack: "r", Kinds: r.made.Kinds, Room: r.made.Room, Clock: r.worker.Clock()}
 }
 
 // flow carries all that the two halves want sent and called.
@@ -201,7 +201,7 @@
 		from := r.hand.Out()
 		more = len(sends)+len(from) > 0
 		for _, s := range from {
-			if u, ok := word.Read[truth.Status](s.Note); ok && s.Note.Kind == word.Status {
+			if u, ok := wire.Read[dispatch.Status](s.Note); ok && s.Note.Kind == wire.Status {
 				r.shows = append(r.shows, u.Ends...)
 			}
 			if r.tap != nil {
@@ -223,12 +223,12 @@
 	}
 }
 
-func (r *rig) call(c word.WorkerCall) {
+func (r *rig) call(c wire.WorkerCall) {
 	if r.spy != nil {
 		r.spy(c)
 	}
 	hand, over := r.hand, false
-	back := func(x word.WorkerReply) {
+	back := func(x wire.WorkerReply) {
 		if !over && r.hand == hand {
 			over = true
 			x.No = c.No
@@ -236,20 +236,20 @@
 			r.flow()
 		}
 	}
-	mute := func(word.WorkerReply) {}
-	do := func(reply func(word.WorkerReply)) {
+	mute := func(wire.WorkerReply) {}
+	do := func(reply func(wire.WorkerReply)) {
 		if r.worker == nil {
 			return
 		}
 		r.worker.Do(c, reply)
 	}
-	r.at(c.Limit, func() { back(word.WorkerReply{Result: word.Silent}) })
+	r.at(c.Limit, func() { back(wire.WorkerReply{Result: wire.Silent}) })
 	switch r.how(c) {
 	case fine:
 		r.at(ms, func() {
-			do(func(x word.WorkerReply) {
+			do(func(x wire.WorkerReply) {
 				d := ms
-				if c.Kind == word.Hold {
+				if c.Kind == wire.Hold {
 					d += r.slow
 				}
 				r.at(d, func() { back(x) })
@@ -263,7 +263,7 @@
 }
 
 // propose puts ends into the log a little later; the first one of a leg stands.
-func (r *rig) propose(list []store.End) {
+func (r *rig) propose(list []state.End) {
 	for _, e := range list {
 		if r.flight[e] {
 			continue
@@ -278,47 +278,49 @@
 			if _, ok := r.log[e.Leg]; !ok && r.out[e.Leg] {
 				r.commit(e)
 			}
-			r.head.Settle([]store.End{e})
+			r.head.Settle([]state.End{e})
 			r.flow()
 		})
 	}
 }
 
-func (r *rig) commit(e store.End) {
+func (r *rig) commit(e state.End) {
 	r.log[e.Leg] = e.Fate
 	delete(r.out, e.Leg)
 	switch {
-	case e.Fate == store.OK:
+	case e.Fate == state.OK:
 	case r.runs[e.Leg]:
 		r.t.Errorf("the log has %v as %s while it runs", e.Leg, e.Fate)
-	case r.noted[e.Leg] && r.hows[e.Leg] == word.Done:
+	case r.noted[e.Leg] && r.hows[e.Leg] == wire.Done:
 		r.t.Errorf("the log has %v as %s after its good end was noted", e.Leg, e.Fate)
 	}
 }
 
 // give has the leader give a leg out.
-func (r *rig) give(l mark.Leg, work string) {
+func (r *rig) give(l types.Leg, work string) {
 	r.out[l] = true
-	r.head.Order("s", 0, "", truth.Job{Leg: l, Kind: "x", Room: mark.Room{Cores: mark.Core}, Work: []byte(work)})
+	r.head.Order("s", 0, "", dispatch.Job{Leg: l, Kind: "x", Room: types.Room{Cores: types.Core}, Work: []byte(work)})
 	r.flow()
 }
 
-func leg(job string, n int) mark.Leg { return mark.Leg{Task: mark.Task{Job: mark.JobID(job)}, Leg: n} }
+func leg(job string, n int) types.Leg {
+	return types.Leg{Task: types.Task{Job: types.JobID(job)}, Leg: n}
+}
 
 // ready is a rig in which all have found each other healthy.
-func ready(t *testing.T, seed int64) *rig { return paced(t, seed, truth.Defaults) }
+func ready(t *testing.T, seed int64) *rig { return paced(t, seed, dispatch.Defaults) }
 
-func paced(t *testing.T, seed int64, pace truth.Pace) *rig {
+func paced(t *testing.T, seed int64, pace dispatch.Pace) *rig {
 	r := newRig(t, seed, pace)
 	r.pass(pace.Loss + 1500*ms)
-	if s := r.hand.View().State; s != truth.Healthy {
-		t.Fatal("the ward is", s)
+	if s := r.hand.View().State; s != dispatch.Healthy {
+		t.Fatal("the agent is", s)
 	}
 	return r
 }
 
-// part is how the ward has a leg: its part, and its fate.
-func (r *rig) part(l mark.Leg) (string, store.Fate) {
+// part is how the agent has a leg: its part, and its fate.
+func (r *rig) part(l types.Leg) (string, state.Fate) {
 	for _, v := range r.hand.View().Legs {
 		if v.Leg == l {
 			return v.Part, v.Fate
--- a/truth/set.go
+++ b/internal/dispatch/set.go
@@ -1,22 +1,22 @@
 // The worker set and its consensus, after the paper: each leader numbers the
-// sets it has known, each ward carries the one it heard of last, and a new ward
+// sets it has known, each agent carries the one it heard of last, and a new agent
 // gets no work before every set that could end a later leader's wait has it in,
-// directly or through the wards in that set (indirectWorkerSetID_). The sets are
-// kept as a history of differences: a ward is in those from the one that it came
+// directly or through the agents in that set (indirectWorkerSetID_). The sets are
+// kept as a history of differences: an agent is in those from the one that it came
 // with up to the one that it was lost with; the digest is kept as they change.
-package truth
+package dispatch
 
 import (
 	"hash/fnv"
 	"slices"
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/store"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
 )
 
-// digest stands for a ward instance; that of a set is the sum of its members'.
-func digest(id mark.ID) uint64 {
+// digest stands for an agent instance; that of a set is the sum of its members'.
+func digest(id types.ID) uint64 {
 	f := fnv.New64a()
 	f.Write([]byte(id))
 	return f.Sum64()
@@ -31,10 +31,10 @@
 	came   []*Seat // in order of joining; some have left
 }
 
-// in tells whether a seat's ward is in a set.
+// in tells whether a seat's agent is in a set.
 func (s *Seat) in(set int) bool { return s.join <= set && (s.left == 0 || set < s.left) }
 
-// enter makes the next set, with a ward in it and the one that it replaces out.
+// enter makes the next set, with an agent in it and the one that it replaces out.
 func (h *sets) enter(s, old *Seat) {
 	h.ver++
 	if old != nil {
@@ -48,7 +48,7 @@
 	h.came = append(h.came, s)
 }
 
-// exit makes the next set, with a lost ward out of it.
+// exit makes the next set, with a lost agent out of it.
 func (h *sets) exit(s *Seat) {
 	h.ver++
 	h.out(s)
@@ -73,8 +73,8 @@
 	}
 }
 
-// lift brings indirect sets up after a ward told of a newer set: its own to that
-// one or the highest of the wards in it, then that of any ward whose set has it
+// lift brings indirect sets up after an agent told of a newer set: its own to that
+// one or the highest of the agents in it, then that of any agent whose set has it
 // in, or one brought up so, to the same.
 func (h *sets) lift(s *Seat) {
 	if s.ver <= s.ind {
@@ -106,7 +106,7 @@
 	}
 }
 
-// permits is consensusPermitsWorkerToBecomeHealthy: the ward requires every
+// permits is consensusPermitsWorkerToBecomeHealthy: the agent requires every
 // other that is not lost, and each of those requires it, if indirectly.
 func (h *sets) permits(w *Seat) bool {
 	if w.ver == 0 {
@@ -138,17 +138,17 @@
 
 const fade = 0.1
 
-func (h *Head) mark(o *Hold, f store.Fate) {
+func (h *Head) mark(o *Hold, f state.Fate) {
 	s := h.seats[o.Shard]
-	if s == nil || f == store.Unrun || f == store.Halted || f == store.Cut {
+	if s == nil || f == state.Unrun || f == state.Halted || f == state.Cut {
 		return
 	}
 	bad := 0.0
-	if f != store.OK {
+	if f != state.OK {
 		bad = 1
 	}
 	s.Worth.Bad += fade * (bad - s.Worth.Bad)
-	if o.Usual == "" || f != store.OK {
+	if o.Usual == "" || f != state.OK {
 		return
 	}
 	if s.Invoked {
--- a/truth/set_test.go
+++ b/internal/dispatch/set_test.go
@@ -1,6 +1,6 @@
 // The history of differences and the indexes of legs, against the slow ways:
 // sets kept whole and worked out afresh, and lists walked and sorted.
-package truth
+package dispatch
 
 import (
 	"fmt"
@@ -11,17 +11,17 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/mark"
+	"coppercourse/internal/types"
 )
 
 // whole is the worker sets kept whole.
 type whole struct {
-	hist []map[mark.ID]bool
-	ind  map[mark.ID]int
+	hist []map[types.ID]bool
+	ind  map[types.ID]int
 }
 
-func (w *whole) reset(seats map[mark.Shard]*Seat) {
-	ids := map[mark.ID]bool{}
+func (w *whole) reset(seats map[types.Shard]*Seat) {
+	ids := map[types.ID]bool{}
 	for _, s := range seats {
 		if s.State != MustDie {
 			ids[s.ID] = true
@@ -30,8 +30,8 @@
 	w.hist = append(w.hist, ids)
 }
 
-func (w *whole) spread(seats map[mark.Shard]*Seat) {
-	by := map[mark.ID]*Seat{}
+func (w *whole) spread(seats map[types.Shard]*Seat) {
+	by := map[types.ID]*Seat{}
 	for _, s := range seats {
 		by[s.ID] = s
 		w.ind[s.ID] = max(w.ind[s.ID], s.ver)
@@ -51,7 +51,7 @@
 	}
 }
 
-func (w *whole) permits(x *Seat, seats map[mark.Shard]*Seat) bool {
+func (w *whole) permits(x *Seat, seats map[types.Shard]*Seat) bool {
 	if x.ver == 0 {
 		return false
 	}
@@ -71,16 +71,16 @@
 	for seed := range int64(60) {
 		rnd := rand.New(rand.NewSource(seed))
 		fast := sets{groups: map[int][]*Seat{}}
-		slow := whole{hist: []map[mark.ID]bool{{}}, ind: map[mark.ID]int{}}
-		seats := map[mark.Shard]*Seat{}
+		slow := whole{hist: []map[types.ID]bool{{}}, ind: map[types.ID]int{}}
+		seats := map[types.Shard]*Seat{}
 		shards := 2 + rnd.Intn(9)
-		pick := func() *Seat { return seats[mark.Shard(fmt.Sprint("s", rnd.Intn(shards)))] }
+		pick := func() *Seat { return seats[types.Shard(fmt.Sprint("s", rnd.Intn(shards)))] }
 		permitted := 0
 		for step := range 400 {
-			k := mark.Shard(fmt.Sprint("s", rnd.Intn(shards)))
+			k := types.Shard(fmt.Sprint("s", rnd.Intn(shards)))
 			switch s := pick(); {
 			case rnd.Intn(8) == 0 && (seats[k] == nil || rnd.Intn(2) == 0): // one comes, maybe in another's place
-				x := &Seat{Shard: k, ID: mark.ID(fmt.Sprint(k, "-", step)), State: Unhealthy}
+				x := &Seat{Shard: k, ID: types.ID(fmt.Sprint(k, "-", step)), State: Unhealthy}
 				old := seats[k]
 				seats[k] = x
 				fast.enter(x, old)
@@ -124,14 +124,14 @@
 	is := is.New(t)
 	rnd := rand.New(rand.NewSource(5))
 	h := newHolds()
-	now := mark.Stamp(time.Hour)
-	plain := map[mark.Leg]*Hold{}
+	now := types.Stamp(time.Hour)
+	plain := map[types.Leg]*Hold{}
 	for range 4000 {
 		now = now.Add(time.Millisecond)
-		l := mark.Leg{Task: mark.Task{Job: mark.JobID(fmt.Sprint("j", rnd.Intn(6))), N: rnd.Intn(4)}, Leg: 1 + rnd.Intn(2)}
+		l := types.Leg{Task: types.Task{Job: types.JobID(fmt.Sprint("j", rnd.Intn(6))), N: rnd.Intn(4)}, Leg: 1 + rnd.Intn(2)}
 		switch o := plain[l]; {
 		case o == nil || rnd.Intn(9) == 0:
-			o = &Hold{Leg: l, Shard: mark.Shard(fmt.Sprint("s", rnd.Intn(4))), Stage: mark.Stage(rnd.Intn(3) - 1), Room: mark.Room{Cores: mark.Cores(1 + rnd.Intn(3))},
+			o = &Hold{Leg: l, Shard: types.Shard(fmt.Sprint("s", rnd.Intn(4))), Stage: types.Stage(rnd.Intn(3) - 1), Room: types.Room{Cores: types.Cores(1 + rnd.Intn(3))},
 				Phase: []phase{dim, sent, sure}[rnd.Intn(3)], At: now}
 			h.add(o)
 			plain[l] = o
@@ -146,8 +146,8 @@
 			is.True(now.Sub(o.At) > 20*time.Millisecond)
 			h.turn(o, unsure)
 		}
-		n, dims, alien, open := 0, 0, 0, map[mark.Shard]bool{}
-		rooms := map[mark.Shard]mark.Room{}
+		n, dims, alien, open := 0, 0, 0, map[types.Shard]bool{}
+		rooms := map[types.Shard]types.Room{}
 		for _, o := range plain {
 			n++
 			rooms[o.Shard] = rooms[o.Shard].Plus(o.Room)
@@ -169,7 +169,7 @@
 		is.Equal(h.open, open)
 		is.Equal(len(h.dims(nil)), dims)
 		for k := range 4 {
-			s := mark.Shard(fmt.Sprint("s", k))
+			s := types.Shard(fmt.Sprint("s", k))
 			is.Equal(h.used(s), rooms[s])
 			is.True(slices.IsSortedFunc(h.of(s), least))
 		}
--- a/truth/truth_test.go
+++ b/internal/dispatch/truth_test.go
@@ -1,6 +1,6 @@
 // The hazards that the paper names, and those that terms and grants add, each
 // brought about by hand on the two halves with notes passed one by one.
-package truth
+package dispatch
 
 import (
 	"fmt"
@@ -9,50 +9,50 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/word"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 const ms = time.Millisecond
 
-// bench is one leader's half and some wards' halves, with a shared clock.
+// bench is one leader's half and some agents' halves, with a shared clock.
 type bench struct {
-	now    mark.Stamp
+	now    types.Stamp
 	head   *Head
-	hands  map[mark.Addr]*Hand
-	post   []word.Send // not yet delivered
-	ends   []store.End
+	hands  map[types.Addr]*Hand
+	post   []wire.Send // not yet delivered
+	ends   []state.End
 	minted int
 }
 
 func newBench() *bench {
-	b := &bench{now: mark.Stamp(time.Hour), hands: map[mark.Addr]*Hand{}}
+	b := &bench{now: types.Stamp(time.Hour), hands: map[types.Addr]*Hand{}}
 	b.lead(1)
 	return b
 }
 
-func (b *bench) lead(term mark.Term, outs ...Hold) {
+func (b *bench) lead(term types.Term, outs ...Hold) {
 	b.head = NewHead(b.now, b.now, Defaults, "h", term, outs)
-	b.head.Taken = func(store.End) bool { return false }
-	b.head.Apart = func(mark.Shard) bool { return false }
-	b.head.Invoked = func(mark.Shard) bool { return false }
-	b.head.Doubts = func(mark.Shard) []mark.Leg { return nil }
+	b.head.Taken = func(state.End) bool { return false }
+	b.head.Apart = func(types.Shard) bool { return false }
+	b.head.Invoked = func(types.Shard) bool { return false }
+	b.head.Doubts = func(types.Shard) []types.Leg { return nil }
 }
 
-func (b *bench) ward(addr mark.Addr, shard mark.Shard) *Hand {
-	h := NewHand(b.now, Defaults, addr, shard, func() mark.ID {
+func (b *bench) agent(addr types.Addr, shard types.Shard) *Hand {
+	h := NewHand(b.now, Defaults, addr, shard, func() types.ID {
 		b.minted++
-		return mark.ID(fmt.Sprintf("%s-%d", addr, b.minted))
+		return types.ID(fmt.Sprintf("%s-%d", addr, b.minted))
 	})
 	b.hands[addr] = h
 	return h
 }
 
-func (b *bench) poll(h *Hand, call uint64, runs ...mark.Leg) Answer {
-	p := Poll{Worker: "k", Call: call, Stamp: b.now, Rack: "r", Kinds: []mark.Kind{"x"}, Room: mark.Room{Cores: 4 * mark.Core}}
+func (b *bench) poll(h *Hand, call uint64, runs ...types.Leg) Answer {
+	p := Poll{Worker: "k", Call: call, Stamp: b.now, Rack: "r", Kinds: []types.Kind{"x"}, Room: types.Room{Cores: 4 * types.Core}}
 	for _, l := range runs {
-		p.Runs = append(p.Runs, Run{l, mark.Room{Cores: 1 * mark.Core}})
+		p.Runs = append(p.Runs, Run{l, types.Room{Cores: 1 * types.Core}})
 	}
 	h.Poll(b.now, p)
 	return h.Reply(b.now)
@@ -68,7 +68,7 @@
 }
 
 // flow delivers the post until it is empty, but for what keep holds back.
-func (b *bench) flow(keep func(word.Send) bool) (held []word.Send) {
+func (b *bench) flow(keep func(wire.Send) bool) (held []wire.Send) {
 	b.gather()
 	for len(b.post) > 0 {
 		s := b.post[0]
@@ -83,7 +83,7 @@
 	return
 }
 
-func (b *bench) give(s word.Send) {
+func (b *bench) give(s wire.Send) {
 	if s.To == "h" {
 		b.head.Take(b.now, time.Second, s.Note)
 	} else if h := b.hands[s.To]; h != nil {
@@ -92,11 +92,11 @@
 }
 
 // pass lets time go by in small steps, with workers that call all the while.
-func (b *bench) pass(d time.Duration, keep func(word.Send) bool) {
+func (b *bench) pass(d time.Duration, keep func(wire.Send) bool) {
 	for end := b.now.Add(d); b.now < end; {
 		b.now = b.now.Add(50 * ms)
 		for _, h := range b.hands {
-			var runs []mark.Leg
+			var runs []types.Leg
 			for _, l := range h.sorted() {
 				if l.part != ended {
 					runs = append(runs, l.job.Leg)
@@ -110,37 +110,39 @@
 	}
 }
 
-// calm is a leader and one ward that have found each other healthy.
+// calm is a leader and one agent that have found each other healthy.
 func calm(t *testing.T) (*is.I, *bench, *Hand) {
 	b := newBench()
-	w := b.ward("w", "s")
+	w := b.agent("w", "s")
 	b.pass(4*time.Second, nil)
 	return is.New(t), b, w
 }
 
-func try(job string, n int) mark.Leg { return mark.Leg{Task: mark.Task{Job: mark.JobID(job)}, Leg: n} }
+func try(job string, n int) types.Leg {
+	return types.Leg{Task: types.Task{Job: types.JobID(job)}, Leg: n}
+}
 
-func order(b *bench, shard mark.Shard, l mark.Leg) {
-	b.head.Order(shard, 0, "", Job{Leg: l, Kind: "x", Room: mark.Room{Cores: 1 * mark.Core}})
+func order(b *bench, shard types.Shard, l types.Leg) {
+	b.head.Order(shard, 0, "", Job{Leg: l, Kind: "x", Room: types.Room{Cores: 1 * types.Core}})
 }
 
-func kind(k string) func(word.Send) bool { return func(s word.Send) bool { return s.Note.Kind == k } }
+func kind(k string) func(wire.Send) bool { return func(s wire.Send) bool { return s.Note.Kind == k } }
 
 func TestDelayedOrderAfterQuery(t *testing.T) {
 	is, b, w := calm(t)
 	is.Equal(b.head.seats["s"].State, Healthy)
 	order(b, "s", try("j", 1))
-	late := b.flow(kind(word.Order))
+	late := b.flow(kind(wire.Order))
 	is.Equal(len(late), 1)
 	b.pass(400*ms, nil) // unanswered, so unsure, so asked about
 	is.True(w.legs[try("j", 1)].part == ended)
-	is.Equal(b.ends[len(b.ends)-1], store.End{Leg: try("j", 1), Fate: store.Unrun})
+	is.Equal(b.ends[len(b.ends)-1], state.End{Leg: try("j", 1), Fate: state.Unrun})
 	b.give(late[0])
-	is.True(w.legs[try("j", 1)].part == ended) // it stays what the ward said
+	is.True(w.legs[try("j", 1)].part == ended) // it stays what the agent said
 	// An order for a leg that was not asked about, sent before the query, is refused by its number.
-	o, _ := word.Read[Order](late[0].Note)
+	o, _ := wire.Read[Order](late[0].Note)
 	o.Job.Leg, o.Until = try("k", 1), b.now.Add(time.Second)
-	w.Take(b.now, word.Make("h", "w", word.Order, o).Note)
+	w.Take(b.now, wire.Make("h", "w", wire.Order, o).Note)
 	is.Equal(w.legs[try("k", 1)], nil)
 }
 
@@ -148,40 +150,40 @@
 	is, b, w := calm(t)
 	order(b, "s", try("j", 1))
 	b.flow(nil)
-	w.finish(w.legs[try("j", 1)], store.OK)
-	b.head.Settle([]store.End{{Leg: try("j", 1), Fate: store.OK}})
-	b.head.Taken = func(store.End) bool { return true }
+	w.finish(w.legs[try("j", 1)], state.OK)
+	b.head.Settle([]state.End{{Leg: try("j", 1), Fate: state.OK}})
+	b.head.Taken = func(state.End) bool { return true }
 	b.flow(nil)
 	b.poll(w, w.call+1)
-	b.poll(w, w.call+1) // the worker has let go of it, so the ward has too
+	b.poll(w, w.call+1) // the worker has let go of it, so the agent has too
 	is.Equal(len(w.legs), 0)
 	s := b.head.seats["s"]
 	s.seq++
-	b.give(word.Make("h", "w", word.Query, Query{b.head.top(s), s.seq, []mark.Leg{try("j", 1)}}))
-	is.Equal(w.legs[try("j", 1)].fate, store.Unrun)
+	b.give(wire.Make("h", "w", wire.Query, Query{b.head.top(s), s.seq, []types.Leg{try("j", 1)}}))
+	is.Equal(w.legs[try("j", 1)].fate, state.Unrun)
 	b.ends = nil
 	b.pass(time.Second, nil)
 	is.Equal(len(b.ends), 0) // the redundant report changes nothing
 	is.Equal(len(w.legs), 0) // and is settled
 }
 
-// To a new leader a ward's own conclusions wait for its account; what its
-// worker did counts at once, since the ward may not live to tell it again.
+// To a new leader an agent's own conclusions wait for its account; what its
+// worker did counts at once, since the agent may not live to tell it again.
 func TestEndReportWhileNew(t *testing.T) {
-	for fate, at := range map[store.Fate]bool{store.OK: true, store.Bad: true, store.Lost: false, store.Unrun: false} {
+	for fate, at := range map[state.Fate]bool{state.OK: true, state.Bad: true, state.Lost: false, state.Unrun: false} {
 		is, b, w := calm(t)
 		order(b, "s", try("j", 1))
 		b.flow(nil)
-		b.lead(2, Hold{Leg: try("j", 1), Shard: "s", Room: mark.Room{Cores: 1 * mark.Core}})
+		b.lead(2, Hold{Leg: try("j", 1), Shard: "s", Room: types.Room{Cores: 1 * types.Core}})
 		b.ends = nil
 		w.finish(w.legs[try("j", 1)], fate)
-		b.pass(600*ms, kind(word.AskRun)) // the new leader's question does not arrive
+		b.pass(600*ms, kind(wire.AskRun)) // the new leader's question does not arrive
 		is.Equal(b.head.seats["s"].State, New)
 		is.Equal(len(b.ends) > 0, at)
 		b.pass(600*ms, nil)
 		is.True(len(b.ends) > 0)
 		if at {
-			is.Equal(b.ends[0], store.End{Leg: try("j", 1), Fate: fate})
+			is.Equal(b.ends[0], state.End{Leg: try("j", 1), Fate: fate})
 		}
 	}
 }
@@ -191,13 +193,13 @@
 func TestSpuriousConsensusOfLoneWorker(t *testing.T) {
 	is := is.New(t)
 	b := newBench()
-	b.ward("w1", "s1")
+	b.agent("w1", "s1")
 	b.pass(4*time.Second, nil)
 	is.Equal(b.head.seats["s1"].State, Healthy)
-	mute := func(s word.Send) bool { return s.Note.From == "w1" || s.To == "w1" }
+	mute := func(s wire.Send) bool { return s.Note.From == "w1" || s.To == "w1" }
 	b.pass(1200*ms, mute)
 	is.Equal(b.head.seats["s1"].State, Unhealthy)
-	b.ward("w2", "s2")
+	b.agent("w2", "s2")
 	b.pass(900*ms, mute)
 	is.Equal(b.head.seats["s2"].State, Unhealthy) // for lack of consensus: w1 does not know of w2
 	b.pass(900*ms, mute)
@@ -211,28 +213,28 @@
 func TestWaitHoldsForLegsNotHeardOf(t *testing.T) {
 	is := is.New(t)
 	b := newBench()
-	b.ward("w1", "s1")
+	b.agent("w1", "s1")
 	b.pass(4*time.Second, nil)
 	b.lead(2)
 	b.pass(700*ms, nil)
-	is.Equal(b.head.Wait, false) // the one ward agrees with itself
-	b.lead(3, Hold{Leg: try("j", 1), Shard: "s2", Room: mark.Room{Cores: 1 * mark.Core}})
+	is.Equal(b.head.Wait, false) // the one agent agrees with itself
+	b.lead(3, Hold{Leg: try("j", 1), Shard: "s2", Room: types.Room{Cores: 1 * types.Core}})
 	b.pass(700*ms, nil)
 	is.Equal(b.head.Wait, true)
 	b.ends = nil
 	b.pass(2500*ms, nil)
 	is.Equal(b.head.Wait, false)
-	is.Equal(b.ends[0], store.End{Leg: try("j", 1), Fate: store.Lost})
+	is.Equal(b.ends[0], state.End{Leg: try("j", 1), Fate: state.Lost})
 }
 
 func TestReplacedWorkerComesBack(t *testing.T) {
 	is := is.New(t)
 	b := newBench()
-	old := b.ward("w", "s")
+	old := b.agent("w", "s")
 	b.pass(4*time.Second, nil)
 	was := old.id
 	delete(b.hands, "w")
-	fresh := b.ward("v", "s")
+	fresh := b.agent("v", "s")
 	b.pass(600*ms, nil)
 	is.Equal(b.head.seats["s"].ID, was) // only a lost one may be replaced
 	b.pass(3500*ms, nil)
@@ -251,32 +253,32 @@
 	old := b.head
 	b.lead(2)
 	b.pass(time.Second, nil)
-	is.Equal(w.term, mark.Term(2))
+	is.Equal(w.term, types.Term(2))
 	b.head = old
 	order(b, "s", try("j", 1))
 	b.flow(nil)
 	is.Equal(len(w.legs), 0)
-	is.Equal(w.lead, mark.Addr("h"))
+	is.Equal(w.lead, types.Addr("h"))
 }
 
 func TestSettledLostKeepsAGoodEnd(t *testing.T) {
 	is, b, w := calm(t)
 	order(b, "s", try("j", 1))
 	b.flow(nil)
-	w.finish(w.legs[try("j", 1)], store.OK)
-	b.head.Settle([]store.End{{Leg: try("j", 1), Fate: store.Lost}})
+	w.finish(w.legs[try("j", 1)], state.OK)
+	b.head.Settle([]state.End{{Leg: try("j", 1), Fate: state.Lost}})
 	b.flow(nil)
 	is.Equal(w.legs[try("j", 1)].settled, false)
 }
 
-// A grant counts from the ward's own stamp: however late the answer comes, the
+// A grant counts from the agent's own stamp: however late the answer comes, the
 // grant ends when it would have.
 func TestLateGrantIsStale(t *testing.T) {
 	is, b, w := calm(t)
 	w.beat, b.now = never, b.now.Add(10*ms)
 	w.Tick(b.now, "h")
 	at := b.now
-	late := b.flow(kind(word.Beaten))
+	late := b.flow(kind(wire.Beaten))
 	is.True(len(late) > 0)
 	b.now = at.Add(3 * time.Second)
 	b.give(late[len(late)-1])
@@ -284,37 +286,37 @@
 	is.Equal(b.poll(w, w.call+1).Until, b.now) // nothing is left to give on
 }
 
-func TestFrozenWardIsLostBeforeItsWorkIsGivenAgain(t *testing.T) {
+func TestFrozenAgentIsLostBeforeItsWorkIsGivenAgain(t *testing.T) {
 	is, b, w := calm(t)
 	order(b, "s", try("j", 1))
 	b.flow(nil)
 	until, given := w.until, w.given
-	mute := func(s word.Send) bool { return s.Note.From == "w" || s.To == "w" }
+	mute := func(s wire.Send) bool { return s.Note.From == "w" || s.To == "w" }
 	b.ends = nil
 	for len(b.ends) == 0 {
 		b.now = b.now.Add(50 * ms)
 		b.head.Tick(b.now, time.Second)
 		b.flow(mute)
 	}
-	is.Equal(b.ends[0].Fate, store.Lost)
+	is.Equal(b.ends[0].Fate, state.Lost)
 	is.True(b.now > until)
 	is.True(b.now > given.Add(Defaults.Worker))
 }
 
-// A leg that its ward counts lost is in doubt until the worker is heard again:
+// A leg that its agent counts lost is in doubt until the worker is heard again:
 // then it went well, or is known to be gone, and both are told.
 func TestLostIsNotTheLastWord(t *testing.T) {
 	for _, end := range []struct {
 		told []Finish
-		want store.Fate
-	}{{nil, store.Gone}, {[]Finish{{Run{try("j", 1), mark.Room{}}, store.OK}}, store.OK}} {
+		want state.Fate
+	}{{nil, state.Gone}, {[]Finish{{Run{try("j", 1), types.Room{}}, state.OK}}, state.OK}} {
 		is, b, w := calm(t)
 		order(b, "s", try("j", 1))
 		b.flow(nil)
 		b.poll(w, w.call+1, try("j", 1))
 		b.now = b.now.Add(Defaults.Worker + Slack + 10*ms)
 		w.Tick(b.now, "h")
-		is.Equal(w.legs[try("j", 1)].fate, store.Lost)
+		is.Equal(w.legs[try("j", 1)].fate, state.Lost)
 		w.legs[try("j", 1)].settled = true
 		w.Poll(b.now, Poll{Worker: "k", Call: w.call + 1, Stamp: b.now, Ends: end.told})
 		is.Equal(w.legs[try("j", 1)].fate, end.want)
@@ -323,7 +325,7 @@
 }
 
 // A worker looks at its grant now and then; until it has had the time to, its
-// ward does not say that a leg is lost.
+// agent does not say that a leg is lost.
 func TestLossLeavesTheWorkerTimeToStop(t *testing.T) {
 	is, b, w := calm(t)
 	order(b, "s", try("j", 1))
@@ -340,8 +342,8 @@
 	b := newBench()
 	for _, ago := range []time.Duration{0, 900 * time.Millisecond, time.Hour} {
 		h := NewHead(b.now, b.now.Add(-ago), Defaults, "h", 2, []Hold{{Leg: try("j", 1), Shard: "s"}})
-		h.Taken, h.Doubts = func(store.End) bool { return false }, func(mark.Shard) []mark.Leg { return nil }
-		h.Apart, h.Invoked = func(mark.Shard) bool { return false }, func(mark.Shard) bool { return true }
+		h.Taken, h.Doubts = func(state.End) bool { return false }, func(types.Shard) []types.Leg { return nil }
+		h.Apart, h.Invoked = func(types.Shard) bool { return false }, func(types.Shard) bool { return true }
 		for at := time.Duration(0); at < Defaults.Loss+time.Second; at += 10 * time.Millisecond {
 			h.Tick(b.now.Add(at), time.Second)
 			is.Equal(h.Wait, at+ago <= Defaults.Loss+Defaults.Beat)
--- a/truth/watch.go
+++ b/internal/dispatch/watch.go
@@ -1,23 +1,23 @@
 // What the scheduler's half does as time passes: the health machine, the end
 // of the initial wait, unsure legs asked about until none is left, and stops
 // repeated until the end is told.
-package truth
+package dispatch
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/word"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 // sweep is how much time passes before all seats are looked at again.
 const sweep = 10 * time.Millisecond
 
 // Tick lets time pass. Grace is how long the leader's own authority lasts.
-func (h *Head) Tick(now mark.Stamp, grace time.Duration) {
+func (h *Head) Tick(now types.Stamp, grace time.Duration) {
 	h.now, h.grace = now, grace
 	if now.Sub(h.swept) < sweep {
 		return
@@ -72,12 +72,12 @@
 		h.drop(o.Leg, fate)
 	}
 	h.sets.exit(s)
-	h.say(s, word.Quit, Quit{h.top(s)})
+	h.say(s, wire.Quit, Quit{h.top(s)})
 }
 
 // wake ends the initial wait: by time, counted from when an earlier leader can
 // last have let anybody run anything, when every worker that still did so has had
-// to stop; or early, when all wards that came carry the same
+// to stop; or early, when all agents that came carry the same
 // worker set, it is just the set of those that came, and no leg in the log
 // waits to be heard of. The last is more than the paper asks.
 func (h *Head) wake() {
@@ -96,17 +96,17 @@
 func (h *Head) short() string {
 	want := h.set()
 	if want.Size == 0 {
-		return "no ward has come yet"
+		return "no agent has come yet"
 	}
 	for _, s := range h.order {
 		if s.State == MustDie {
 			continue
 		}
 		if s.State == New {
-			return "ward of " + string(s.Shard) + " has not told what runs"
+			return "agent of " + string(s.Shard) + " has not told what runs"
 		}
 		if s.old.Hash != want.Hash || s.old.Size != want.Size {
-			return "the wards do not agree on the worker set"
+			return "the agents do not agree on the worker set"
 		}
 	}
 	if n := h.holds.dim; n > 0 {
@@ -125,7 +125,7 @@
 		if s == nil || s.State == MustDie || s.State == New || h.now.Sub(s.query) < h.pace.Again {
 			continue
 		}
-		var legs []mark.Leg
+		var legs []types.Leg
 		for _, o := range h.holds.of(k) {
 			if o.Phase == unsure {
 				legs = append(legs, o.Leg)
@@ -137,15 +137,15 @@
 			clear(s.quest)
 		}
 		s.quest[s.seq] = legs
-		h.say(s, word.Query, Query{h.top(s), s.seq, legs})
+		h.say(s, wire.Query, Query{h.top(s), s.seq, legs})
 	}
 }
 
 // Halt asks for legs to be stopped, again and again until they have ended; late
 // ones are past the time their queue allows. Legs of this leadership that were
 // never sent are left alone.
-func (h *Head) Halt(legs, late []mark.Leg) {
-	by := map[mark.Shard][]mark.Leg{}
+func (h *Head) Halt(legs, late []types.Leg) {
+	by := map[types.Shard][]types.Leg{}
 	for _, l := range append(legs, late...) {
 		o := h.holds.by[l]
 		if o == nil || o.halt != 0 && h.now.Sub(o.halt) < h.pace.Again/2 {
@@ -156,23 +156,23 @@
 	}
 	for _, k := range sorted(by) {
 		if s := h.seats[k]; s != nil && s.State != MustDie && s.State != New {
-			h.say(s, word.Stop, Stop{h.top(s), by[k], late})
+			h.say(s, wire.Stop, Stop{h.top(s), by[k], late})
 		}
 	}
 }
 
-// Strays lists legs that a ward runs but the log does not have as given out.
-func (h *Head) Strays() (list []mark.Leg) {
+// Strays lists legs that an agent runs but the log does not have as given out.
+func (h *Head) Strays() (list []types.Leg) {
 	for l, o := range h.holds.alien {
-		if o.Phase == sure && h.Taken(store.End{Leg: l, Fate: store.Halted}) {
+		if o.Phase == sure && h.Taken(state.End{Leg: l, Fate: state.Halted}) {
 			list = append(list, l)
 		}
 	}
-	slices.SortFunc(list, mark.Leg.Compare)
+	slices.SortFunc(list, types.Leg.Compare)
 	return
 }
 
-// Missing lists legs whose ward has still not come to this leadership when a
+// Missing lists legs whose agent has still not come to this leadership when a
 // sound one would have.
 func (h *Head) Missing() (list []*Hold) {
 	if !h.Wait || h.now.Sub(h.born) <= h.pace.Ill {
@@ -185,22 +185,22 @@
 func (h *Head) Holds() []*Hold { return h.holds.all() }
 
 // On lists those of one shard.
-func (h *Head) On(shard mark.Shard) []*Hold { return h.holds.of(shard) }
+func (h *Head) On(shard types.Shard) []*Hold { return h.holds.of(shard) }
 
-// Free is a seat's room less what its ward believes it to lack and all that possibly
+// Free is a seat's room less what its agent believes it to lack and all that possibly
 // runs on it.
-func (h *Head) Free(s *Seat) mark.Room { return s.Room.Minus(s.Lacks).Minus(h.holds.used(s.Shard)) }
-
-var heads = map[string]func(*Head, word.Note){
-	word.Beat:    word.On((*Head).onBeat),
-	word.Account: word.On((*Head).onAccount),
-	word.Ordered: word.On((*Head).onOrdered),
-	word.Queried: word.On((*Head).onQueried),
-	word.Status:  word.On((*Head).onStatus),
+func (h *Head) Free(s *Seat) types.Room { return s.Room.Minus(s.Lacks).Minus(h.holds.used(s.Shard)) }
+
+var heads = map[string]func(*Head, wire.Note){
+	wire.Beat:    wire.On((*Head).onBeat),
+	wire.Account: wire.On((*Head).onAccount),
+	wire.Ordered: wire.On((*Head).onOrdered),
+	wire.Queried: wire.On((*Head).onQueried),
+	wire.Status:  wire.On((*Head).onStatus),
 }
 
-// Take handles a ward's note.
-func (h *Head) Take(now mark.Stamp, grace time.Duration, n word.Note) {
+// Take handles an agent's note.
+func (h *Head) Take(now types.Stamp, grace time.Duration, n wire.Note) {
 	h.now, h.grace = now, grace
 	if f := heads[n.Kind]; f != nil {
 		f(h, n)
--- a/gate/gate.go
+++ b/internal/gateway/gateway.go
@@ -1,8 +1,8 @@
-// Package gate is the callers' and operators' door as one state machine. It
+// Package gateway is the callers' and operators' door as one state machine. It
 // checks what needs no leader, grants entry, hands over the rest to the leader
 // and answers every request it has read: with the leader's answer, or, when it
 // gives up, at once with when to come back.
-package gate
+package gateway
 
 import (
 	"maps"
@@ -10,20 +10,20 @@
 	"slices"
 	"time"
 
-	"coppercourse/blueprint"
-	"coppercourse/fault"
-	"coppercourse/kin"
-	"coppercourse/mark"
-	"coppercourse/news"
-	"coppercourse/trail"
-	"coppercourse/word"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/configwatch"
+	"coppercourse/internal/membership"
+	"coppercourse/internal/trace"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
-// Place is where a gate runs.
+// Place is where a gateway runs.
 type Place struct {
-	Addr  mark.Addr
-	Loc   mark.Locality
-	Seeds []mark.Addr
+	Addr  types.Addr
+	Loc   types.Locality
+	Seeds []types.Addr
 	Issue string
 	Stale time.Duration // how old a confirmation of the table may be; 0 is news.Stale
 }
@@ -31,40 +31,40 @@
 // Bounds and timings, ours.
 const (
 	Crowd = 512                     // requests under way at once
-	Leg   = 700 * time.Millisecond  // how long one helm is waited for
+	Leg   = 700 * time.Millisecond  // how long one controller is waited for
 	Limit = 2500 * time.Millisecond // how long a request is worked on
 	early = 50 * time.Millisecond   // before whoever asks has given up
 )
 
 type call struct {
-	ask   word.Ask
-	from  mark.Stamp
+	ask   wire.Ask
+	from  types.Stamp
 	limit time.Duration
-	sent  mark.Stamp
-	to    mark.Addr
+	sent  types.Stamp
+	to    types.Addr
 	legs  int
 	open  bool // somebody asked before has not answered, and may have taken it
 }
 
-// Gate is one door.
-type Gate struct {
+// Gateway is one door.
+type Gateway struct {
 	place Place
-	now   mark.Now
-	kin   *kin.Roster
-	news  *news.Reader
-	Trail *trail.Ring
+	now   types.Now
+	kin   *membership.Roster
+	news  *configwatch.Reader
+	Trail *trace.Ring
 	calls map[uint64]*call
 	next  uint64
 	turn  int
-	was   mark.Addr  // who led at the last tick that anybody did
-	lost  mark.Stamp // since when no leader is known; 0 when one is
+	was   types.Addr  // who led at the last tick that anybody did
+	lost  types.Stamp // since when no leader is known; 0 when one is
 	drain bool
 	told  []report
-	sends []word.Send
-	outs  []word.Answer
+	sends []wire.Send
+	outs  []wire.Answer
 	Sums  Sums
 	pace  float64 // requests answered a second, to tell when to come back
-	last  mark.Stamp
+	last  types.Stamp
 }
 
 // Sums are counters since start.
@@ -72,18 +72,18 @@
 	Calls, Answered, Refused, GivenUp, Legs, Crowded uint64
 }
 
-func New(now mark.Now, rnd *rand.Rand, p Place) *Gate {
+func New(now types.Now, rnd *rand.Rand, p Place) *Gateway {
 	if p.Stale == 0 {
-		p.Stale = news.Stale
+		p.Stale = configwatch.Stale
 	}
-	g := &Gate{place: p, now: now, news: news.NewReader(p.Addr, p.Stale), calls: map[uint64]*call{}, Trail: trail.New(),
+	g := &Gateway{place: p, now: now, news: configwatch.NewReader(p.Addr, p.Stale), calls: map[uint64]*call{}, Trail: trace.New(),
 		next: rnd.Uint64() >> 12, lost: now.Mono}
-	g.kin = kin.New(rnd, g.card(), p.Seeds)
+	g.kin = membership.New(rnd, g.card(), p.Seeds)
 	return g
 }
 
-func (g *Gate) card() kin.Card {
-	c := kin.Card{Addr: g.place.Addr, Role: "gate", Loc: g.place.Loc, Ready: g.Ready(), Issue: g.place.Issue}
+func (g *Gateway) card() membership.Card {
+	c := membership.Card{Addr: g.place.Addr, Role: "gateway", Loc: g.place.Loc, Ready: g.Ready(), Issue: g.place.Issue}
 	if g.kin != nil {
 		c.Name = g.kin.Cluster()
 	}
@@ -91,18 +91,18 @@
 }
 
 // Ready tells whether the platform may send callers here.
-func (g *Gate) Ready() bool {
+func (g *Gateway) Ready() bool {
 	return !g.drain && g.kin != nil && g.kin.Lead() != "" && g.news.Fresh(g.now.Mono)
 }
 
-// Table is the table as the gate has it, and whether it may be decided by.
-func (g *Gate) Table() (blueprint.Table, bool) { return g.news.Table, g.news.Fresh(g.now.Mono) }
+// Table is the table as the gateway has it, and whether it may be decided by.
+func (g *Gateway) Table() (config.Table, bool) { return g.news.Table, g.news.Fresh(g.now.Mono) }
 
-// Leader is whom the gate holds for the leader now.
-func (g *Gate) Leader() mark.Addr { return g.kin.Lead() }
+// Leader is whom the gateway holds for the leader now.
+func (g *Gateway) Leader() types.Addr { return g.kin.Lead() }
 
 // Step takes one event.
-func (g *Gate) Step(e word.Event) word.Out {
+func (g *Gateway) Step(e wire.Event) wire.Out {
 	g.now = e.Now
 	switch {
 	case e.Note != nil:
@@ -115,28 +115,28 @@
 		g.tick()
 	}
 	g.sends = append(g.sends, g.news.Tick(g.now.Mono, g.kin.Lead())...)
-	out := word.Out{Sends: append(g.sends, g.kin.Out()...), Answers: g.outs, Idle: g.drain && len(g.calls) == 0}
+	out := wire.Out{Sends: append(g.sends, g.kin.Out()...), Answers: g.outs, Idle: g.drain && len(g.calls) == 0}
 	g.sends, g.outs = nil, nil
 	return out
 }
 
-func (g *Gate) take(n word.Note) {
+func (g *Gateway) take(n wire.Note) {
 	switch {
 	case g.kin.Take(g.now.Mono, n):
-	case n.Kind == word.Told:
+	case n.Kind == wire.Told:
 		if g.news.Take(n) {
-			g.Trail.Add(g.now.Wall, trail.Table(g.news.Table.Edition), "in use here")
+			g.Trail.Add(g.now.Wall, trace.Table(g.news.Table.Edition), "in use here")
 		}
-	case n.Kind == word.Status:
+	case n.Kind == wire.Status:
 		g.keep(n)
-	case n.Kind == word.Reply:
-		if r, ok := word.Read[word.ReplyBody](n); ok {
+	case n.Kind == wire.Reply:
+		if r, ok := wire.Read[wire.ReplyBody](n); ok {
 			g.reply(n.From, r)
 		}
 	}
 }
 
-func (g *Gate) tick() {
+func (g *Gateway) tick() {
 	g.kin.Me(g.card())
 	g.kin.Tick(g.now.Mono)
 	g.repeat()
@@ -164,16 +164,16 @@
 }
 
 // giveUp says which it is: nobody has seen the request, or somebody may have.
-func (g *Gate) giveUp(c *call) *fault.Fault {
+func (g *Gateway) giveUp(c *call) *apierror.Fault {
 	if c.open || c.to != "" {
-		return fault.New(fault.Unsure, "", "no answer from the leader; the request may have been taken; send the same again").After(g.back())
+		return apierror.New(apierror.Unsure, "", "no answer from the leader; the request may have been taken; send the same again").After(g.back())
 	}
-	return fault.New(fault.NoLead, "", "no leader can be reached from here").After(g.back())
+	return apierror.New(apierror.NoLead, "", "no leader can be reached from here").After(g.back())
 }
 
 // back estimates when a leader will be reachable: an election is short, a cut
 // that has lasted for long is likely to last as long again.
-func (g *Gate) back() time.Duration {
+func (g *Gateway) back() time.Duration {
 	if g.lost == 0 {
 		return time.Second
 	}
@@ -181,15 +181,15 @@
 }
 
 // enter grants entry or refuses it.
-func (g *Gate) enter(a word.Ask) {
+func (g *Gateway) enter(a wire.Ask) {
 	g.Sums.Calls++
 	switch f := g.refuse(a); {
 	case f != nil:
 		g.Sums.Refused++
-		g.outs = append(g.outs, word.Answer{Token: a.Token, Fault: f})
+		g.outs = append(g.outs, wire.Answer{Token: a.Token, Fault: f})
 		return
 	case a.Verb == "mates":
-		g.outs = append(g.outs, word.Answer{Token: a.Token, Code: 200, Body: word.Body(g.kin.Mates())})
+		g.outs = append(g.outs, wire.Answer{Token: a.Token, Code: 200, Body: wire.Body(g.kin.Mates())})
 		return
 	}
 	g.next++
@@ -199,34 +199,34 @@
 	}
 	g.calls[g.next] = c
 	if a.Verb == "job.put" {
-		g.Trail.Add(g.now.Wall, trail.Job(mark.JobID(a.Arg)), "granted entry")
+		g.Trail.Add(g.now.Wall, trace.Job(types.JobID(a.Arg)), "granted entry")
 	}
 	g.send(g.next, c, "")
 }
 
-func (g *Gate) refuse(a word.Ask) *fault.Fault {
+func (g *Gateway) refuse(a wire.Ask) *apierror.Fault {
 	switch {
 	case a.Verb == "mates":
 		return nil
 	case len(g.calls) >= Crowd:
 		g.Sums.Crowded++
-		return fault.New(fault.Crowd, "", "this gate has all the requests under way that it may have").
+		return apierror.New(apierror.Crowd, "", "this gateway has all the requests under way that it may have").
 			After(time.Duration(float64(len(g.calls)) / max(g.pace, 1) * float64(time.Second)))
 	case g.lost != 0 && g.now.Mono.Sub(g.lost) > Limit:
-		return fault.New(fault.NoLead, "", "no leader can be reached from here").After(g.back())
+		return apierror.New(apierror.NoLead, "", "no leader can be reached from here").After(g.back())
 	}
 	return nil
 }
 
-// send hands a call over to the leader, or to the helms in turn.
-func (g *Gate) send(id uint64, c *call, hint mark.Addr) {
+// send hands a call over to the leader, or to the controllers in turn.
+func (g *Gateway) send(id uint64, c *call, hint types.Addr) {
 	to := hint
 	if to == "" {
 		to = g.kin.Lead()
 	}
-	if helms := g.kin.Helms(); len(helms) > 0 && (to == "" || to == c.to && hint == "") {
+	if controllers := g.kin.Controllers(); len(controllers) > 0 && (to == "" || to == c.to && hint == "") {
 		g.turn++
-		to = helms[g.turn%len(helms)].Addr
+		to = controllers[g.turn%len(controllers)].Addr
 	}
 	if to == "" {
 		return
@@ -235,10 +235,10 @@
 	c.to, c.sent = to, g.now.Mono
 	c.legs++
 	g.Sums.Legs++
-	g.sends = append(g.sends, word.Make(g.place.Addr, to, word.Call, word.CallBody{ID: id, Verb: c.ask.Verb, Arg: c.ask.Arg, Body: c.ask.Body}))
+	g.sends = append(g.sends, wire.Make(g.place.Addr, to, wire.Call, wire.CallBody{ID: id, Verb: c.ask.Verb, Arg: c.ask.Arg, Body: c.ask.Body}))
 }
 
-func (g *Gate) reply(from mark.Addr, r word.ReplyBody) {
+func (g *Gateway) reply(from types.Addr, r wire.ReplyBody) {
 	c := g.calls[r.ID]
 	switch {
 	case c == nil:
@@ -250,28 +250,28 @@
 		if other && c.legs < 6 {
 			g.send(r.ID, c, r.Lead)
 		}
-	case r.Fault != nil && r.Fault.Kind == fault.Unsure:
+	case r.Fault != nil && r.Fault.Kind == apierror.Unsure:
 		c.to, c.open = "", true
 	case r.Fault != nil && (c.open || from != c.to) && changes[c.ask.Verb] && untaken(r.Fault.Kind):
-		g.fail(r.ID, fault.New(fault.Unsure, "", "one helm refused the request, another may have taken it; send the same again").After(g.back()))
+		g.fail(r.ID, apierror.New(apierror.Unsure, "", "one controller refused the request, another may have taken it; send the same again").After(g.back()))
 	case r.Fault != nil:
 		g.fail(r.ID, r.Fault)
 	default:
-		g.end(r.ID, word.Answer{Code: r.Code, Body: r.Body})
+		g.end(r.ID, wire.Answer{Code: r.Code, Body: r.Body})
 	}
 }
 
 // untaken tells a refusal by which whoever asked may think that nothing was done.
-func untaken(k fault.Kind) bool {
-	return fault.Later[k] || k == fault.NoQueue || k == fault.Unplaced
+func untaken(k apierror.Kind) bool {
+	return apierror.Later[k] || k == apierror.NoQueue || k == apierror.Unplaced
 }
 
 // changes are the verbs that take something in.
 var changes = map[string]bool{"job.put": true, "job.cancel": true, "table.put": true}
 
-func (g *Gate) fail(id uint64, f *fault.Fault) { g.end(id, word.Answer{Fault: f}) }
+func (g *Gateway) fail(id uint64, f *apierror.Fault) { g.end(id, wire.Answer{Fault: f}) }
 
-func (g *Gate) end(id uint64, a word.Answer) {
+func (g *Gateway) end(id uint64, a wire.Answer) {
 	a.Token = g.calls[id].ask.Token
 	delete(g.calls, id)
 	g.Sums.Answered++
@@ -282,22 +282,22 @@
 	g.outs = append(g.outs, a)
 }
 
-// StatusView is a gate's account of itself.
+// StatusView is a gateway's account of itself.
 type StatusView struct {
-	Role    string       `json:"role"`
-	Program string       `json:"program"`
-	Ready   bool         `json:"ready"`
-	Leader  mark.Addr    `json:"leader"`
-	LostMS  int64        `json:"without_leader_ms"`
-	Edition mark.Edition `json:"table_edition"`
-	Fresh   bool         `json:"table_confirmed"`
-	Under   int          `json:"requests_under_way"`
-	Mates   []kin.Mate   `json:"mates"`
-	Sums    Sums         `json:"sums"`
+	Role    string            `json:"role"`
+	Program string            `json:"program"`
+	Ready   bool              `json:"ready"`
+	Leader  types.Addr        `json:"leader"`
+	LostMS  int64             `json:"without_leader_ms"`
+	Edition types.Edition     `json:"table_edition"`
+	Fresh   bool              `json:"table_confirmed"`
+	Under   int               `json:"requests_under_way"`
+	Mates   []membership.Mate `json:"mates"`
+	Sums    Sums              `json:"sums"`
 }
 
-func (g *Gate) Status() StatusView {
-	v := StatusView{Role: "gate", Program: g.place.Issue, Ready: g.Ready(), Leader: g.kin.Lead(), Edition: g.news.Table.Edition,
+func (g *Gateway) Status() StatusView {
+	v := StatusView{Role: "gateway", Program: g.place.Issue, Ready: g.Ready(), Leader: g.kin.Lead(), Edition: g.news.Table.Edition,
 		Fresh: g.news.Fresh(g.now.Mono), Under: len(g.calls), Mates: g.kin.Mates(), Sums: g.Sums}
 	if g.lost != 0 {
 		v.LostMS = g.now.Mono.Sub(g.lost).Milliseconds()
--- a/almanac/almanac.go
+++ b/internal/maintenance/almanac.go
@@ -1,7 +1,7 @@
-// Package almanac reads maintenance windows out of iCalendar files, through a
+// Package maintenance reads maintenance windows out of iCalendar files, through a
 // library; what it adds is bounds, and where in the file something is wrong.
 // Repeating events are laid out for a bit more than a year ahead.
-package almanac
+package maintenance
 
 import (
 	"bytes"
@@ -13,9 +13,9 @@
 
 	"github.com/emersion/go-ical"
 
-	"coppercourse/fault"
-	"coppercourse/mark"
-	"coppercourse/store"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
 )
 
 // Ahead is how far repeating events are laid out.
@@ -58,15 +58,15 @@
 
 // Read gives the windows of a file that end after now, in order, joined where
 // they overlap. Times without a zone are UTC.
-func Read(b []byte, now time.Time, heap *fault.Heap) [][2]mark.Wall {
+func Read(b []byte, now time.Time, heap *apierror.Heap) [][2]types.Wall {
 	in := &lines{rest: b}
 	cal, err := decode(in)
 	if err != nil {
-		heap.Add(fault.BadField, fmt.Sprintf("ics.line[%d]", in.at()), err.Error())
+		heap.Add(apierror.BadField, fmt.Sprintf("ics.line[%d]", in.at()), err.Error())
 		return nil
 	}
 	starts := begins(b)
-	var list [][2]mark.Wall
+	var list [][2]types.Wall
 	events := cal.Events()
 	heap.Check(len(events) > 0, "ics", "no VEVENT in it")
 	for i, e := range events {
@@ -75,8 +75,8 @@
 			at = fmt.Sprintf("ics.line[%d]", starts[i])
 		}
 		list = append(list, event(e, at, now, heap)...)
-		if len(list) > store.MostSpans {
-			heap.Add(fault.BadField, at, fmt.Sprintf("more than %d windows in the next %d days", store.MostSpans, int(Ahead.Hours()/24)))
+		if len(list) > state.MostSpans {
+			heap.Add(apierror.BadField, at, fmt.Sprintf("more than %d windows in the next %d days", state.MostSpans, int(Ahead.Hours()/24)))
 			return nil
 		}
 	}
@@ -111,30 +111,30 @@
 	return
 }
 
-func event(e ical.Event, at string, now time.Time, heap *fault.Heap) (list [][2]mark.Wall) {
+func event(e ical.Event, at string, now time.Time, heap *apierror.Heap) (list [][2]types.Wall) {
 	if e.Props.Get(ical.PropDateTimeStart) == nil {
-		heap.Add(fault.BadField, at+".DTSTART", "missing")
+		heap.Add(apierror.BadField, at+".DTSTART", "missing")
 		return nil
 	}
 	from, err := e.DateTimeStart(time.UTC)
 	if err != nil {
-		heap.Add(fault.BadField, at+".DTSTART", err.Error())
+		heap.Add(apierror.BadField, at+".DTSTART", err.Error())
 		return nil
 	}
 	to, err := e.DateTimeEnd(time.UTC)
 	if err != nil {
-		heap.Add(fault.BadField, at+".DTEND", err.Error())
+		heap.Add(apierror.BadField, at+".DTEND", err.Error())
 		return nil
 	}
 	long := to.Sub(from)
 	if long <= 0 || long > 31*24*time.Hour {
-		heap.Add(fault.BadField, at+".DTEND", "want an end after the start, at most 31 days later")
+		heap.Add(apierror.BadField, at+".DTEND", "want an end after the start, at most 31 days later")
 		return nil
 	}
 	each := []time.Time{from}
 	set, err := e.RecurrenceSet(time.UTC)
 	if err != nil {
-		heap.Add(fault.BadField, at+".RRULE", err.Error())
+		heap.Add(apierror.BadField, at+".RRULE", err.Error())
 		return nil
 	}
 	if set != nil {
@@ -142,11 +142,11 @@
 		next := set.Iterator()
 		for n := 0; ; n++ {
 			t, ok := next()
-			if !ok || t.After(now.Add(Ahead)) || len(each) > store.MostSpans {
+			if !ok || t.After(now.Add(Ahead)) || len(each) > state.MostSpans {
 				break
 			}
 			if n > 200_000 {
-				heap.Add(fault.BadField, at+".RRULE", "repeats too often")
+				heap.Add(apierror.BadField, at+".RRULE", "repeats too often")
 				return nil
 			}
 			if t.Add(long).After(now) {
@@ -156,13 +156,13 @@
 	}
 	for _, t := range each {
 		if t.Add(long).After(now) {
-			list = append(list, [2]mark.Wall{mark.Wall(t.UnixNano()), mark.Wall(t.Add(long).UnixNano())})
+			list = append(list, [2]types.Wall{types.Wall(t.UnixNano()), types.Wall(t.Add(long).UnixNano())})
 		}
 	}
 	return
 }
 
-func join(list [][2]mark.Wall) (out [][2]mark.Wall) {
+func join(list [][2]types.Wall) (out [][2]types.Wall) {
 	sort.Slice(list, func(i, k int) bool { return list[i][0] < list[k][0] })
 	for _, w := range list {
 		if n := len(out); n > 0 && w[0] <= out[n-1][1] {
--- a/almanac/almanac_test.go
+++ b/internal/maintenance/almanac_test.go
@@ -1,5 +1,5 @@
 // Windows out of calendars, and what a broken one is told.
-package almanac
+package maintenance
 
 import (
 	"strings"
@@ -8,8 +8,8 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/fault"
-	"coppercourse/mark"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
 )
 
 func file(events ...string) string {
@@ -24,7 +24,7 @@
 
 func TestWindowsAreRead(t *testing.T) {
 	is := is.New(t)
-	var h fault.Heap
+	var h apierror.Heap
 	list := Read([]byte(file(
 		event1("DTSTART:20260610T020000Z", "DTEND:20260610T040000Z"),
 		event1("DTSTART:20260610T030000Z", "DURATION:PT2H"),          // overlaps the first
@@ -34,7 +34,7 @@
 	), now, &h)
 	is.NoErr(h.Err())
 	is.Equal(len(list), 7)
-	utc := func(w mark.Wall) string { return time.Unix(0, int64(w)).UTC().Format("01-02 15:04") }
+	utc := func(w types.Wall) string { return time.Unix(0, int64(w)).UTC().Format("01-02 15:04") }
 	is.Equal(utc(list[0][0])+" to "+utc(list[0][1]), "06-10 02:00 to 06-10 05:00")
 	is.Equal(utc(list[1][0]), "06-30 22:00")
 	is.Equal(utc(list[6][0]), "11-30 23:00")
@@ -58,7 +58,7 @@
 		file(event1("DTSTART:20260610T020000Z", "DTEND:20260610T030000Z", "RRULE:FREQ=SOMETIMES")): "ics.line[4].RRULE",
 		file(event1("DTSTART:20200610T020000Z", "DTEND:20200610T020001Z", "RRULE:FREQ=SECONDLY")):  "ics.line[4].RRULE",
 	} {
-		var h fault.Heap
+		var h apierror.Heap
 		is.Equal(len(Read([]byte(text), now, &h)), 0)
 		is.True(h.First() != nil)
 		is.Equal(h.First().Field, field)
--- a/kin/cards.go
+++ b/internal/membership/cards.go
@@ -1,7 +1,7 @@
 // The cards that are kept, and what is kept worked out of them: digests, so that
 // two daemons tell at a glance whether they know the same; the changes in order;
 // and for each zone how many are there and when anyone was last heard of.
-package kin
+package membership
 
 import (
 	"hash/fnv"
@@ -10,25 +10,25 @@
 	"strconv"
 	"time"
 
-	"coppercourse/mark"
+	"coppercourse/internal/types"
 )
 
 type entry struct {
 	card   Card
-	heard  mark.Stamp // by anyone
-	direct mark.Stamp // by this daemon
-	seq    uint64     // of its latest change here
-	silent bool       // the leader has not heard it for long
+	heard  types.Stamp // by anyone
+	direct types.Stamp // by this daemon
+	seq    uint64      // of its latest change here
+	silent bool        // the leader has not heard it for long
 }
 
 type zone struct {
 	count int
-	heard mark.Stamp
+	heard types.Stamp
 }
 
 type change struct {
 	seq  uint64
-	addr mark.Addr
+	addr types.Addr
 }
 
 func after(log []change, seq uint64) int {
@@ -37,19 +37,19 @@
 
 // Sums are digests of the versions of all cards known, by role.
 type Sums struct {
-	Helms uint32 `json:"helms,omitempty"`
-	Gates uint32 `json:"gates,omitempty"`
-	Wards uint32 `json:"wards,omitempty"`
+	Controllers uint32 `json:"controllers,omitempty"`
+	Gateways    uint32 `json:"gateways,omitempty"`
+	Agents      uint32 `json:"agents,omitempty"`
 }
 
 func (s *Sums) of(role string) *uint32 {
 	switch role {
-	case "helm":
-		return &s.Helms
-	case "gate":
-		return &s.Gates
+	case "controller":
+		return &s.Controllers
+	case "gateway":
+		return &s.Gateways
 	}
-	return &s.Wards
+	return &s.Agents
 }
 
 func (c Card) hash() uint32 {
@@ -112,37 +112,37 @@
 }
 
 // lives notes that a mate was heard of at some time.
-func (r *Roster) lives(e *entry, at mark.Stamp) {
+func (r *Roster) lives(e *entry, at types.Stamp) {
 	if at <= e.heard {
 		return
 	}
 	e.heard = at
 	z := r.zones[e.card.Loc]
 	z.heard = max(z.heard, at)
-	if e.card.Role == "ward" {
-		if o := r.wards[e.card.Part]; o == nil || o.heard <= at {
-			r.wards[e.card.Part] = e
+	if e.card.Role == "agent" {
+		if o := r.agents[e.card.Part]; o == nil || o.heard <= at {
+			r.agents[e.card.Part] = e
 		}
 	}
 }
 
-// room tells whether a card is kept. A ward keeps the helms and a few others of
+// room tells whether a card is kept. An agent keeps the controllers and a few others of
 // each kind, but for its seeds, which all others know too; a new one takes the
 // place of an old one by chance, so that who is gone is forgotten.
 func (r *Roster) room(c Card) bool {
-	if r.keeps() || c.Role == "helm" {
+	if r.keeps() || c.Role == "controller" {
 		return len(r.all) < bound
 	}
 	if slices.Contains(r.seeds, c.Addr) {
 		return false
 	}
 	kind := func(c Card) string {
-		if c.Role == "ward" && c.Loc == r.me.Loc {
+		if c.Role == "agent" && c.Loc == r.me.Loc {
 			return "near"
 		}
 		return c.Role
 	}
-	var same []mark.Addr
+	var same []types.Addr
 	for _, a := range r.list {
 		if kind(r.all[a].card) == kind(c) {
 			same = append(same, a)
@@ -165,17 +165,17 @@
 		r.zones[e.card.Loc] = z
 	}
 	z.count++
-	if e.card.Role == "helm" {
-		insert(&r.helms, e.card.Addr)
+	if e.card.Role == "controller" {
+		insert(&r.controllers, e.card.Addr)
 	}
 }
 
 func (r *Roster) leave(e *entry) {
 	r.sums.drop(e.card)
 	r.zones[e.card.Loc].count--
-	remove(&r.helms, e.card.Addr)
-	if r.wards[e.card.Part] == e {
-		delete(r.wards, e.card.Part)
+	remove(&r.controllers, e.card.Addr)
+	if r.agents[e.card.Part] == e {
+		delete(r.agents, e.card.Part)
 	}
 }
 
@@ -185,12 +185,12 @@
 	r.enter(e)
 	z := r.zones[c.Loc]
 	z.heard = max(z.heard, e.heard)
-	if c.Role == "ward" && r.wards[c.Part] == nil {
-		r.wards[c.Part] = e
+	if c.Role == "agent" && r.agents[c.Part] == nil {
+		r.agents[c.Part] = e
 	}
 }
 
-func (r *Roster) drop(a mark.Addr) {
+func (r *Roster) drop(a types.Addr) {
 	r.leave(r.all[a])
 	delete(r.all, a)
 	remove(&r.list, a)
@@ -212,13 +212,13 @@
 	}
 }
 
-func insert(list *[]mark.Addr, a mark.Addr) {
+func insert(list *[]types.Addr, a types.Addr) {
 	if i, ok := slices.BinarySearch(*list, a); !ok {
 		*list = slices.Insert(*list, i, a)
 	}
 }
 
-func remove(list *[]mark.Addr, a mark.Addr) {
+func remove(list *[]types.Addr, a types.Addr) {
 	if i, ok := slices.BinarySearch(*list, a); ok {
 		*list = slices.Delete(*list, i, i+1)
 	}
--- a/kin/hello.go
+++ b/internal/membership/hello.go
@@ -1,25 +1,25 @@
 // What daemons say to one another here, and what they make of it. A hello that
 // asks is answered; an answer may ask back once where the two know different
-// helms, so that both come to know all.
-package kin
+// controllers, so that both come to know all.
+package membership
 
 import (
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/word"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 type hello struct {
-	Me    Card                    `json:"me"`
-	Mates []Mate                  `json:"mates,omitempty"`
-	Ask   bool                    `json:"ask,omitempty"`
-	Reply bool                    `json:"reply,omitempty"`
-	Have  uint64                  `json:"have,omitempty"`  // a later version of the other's card is known
-	Sums  *Sums                   `json:"sums,omitempty"`  // of the cards known
-	Ages  map[mark.Addr]int64     `json:"ages,omitempty"`  // of the helms heard of lately, ms
-	Zones map[mark.Locality]int64 `json:"zones,omitempty"` // since anyone there was heard of, ms; between helms
-	Want  int                     `json:"want,omitempty"`  // mates by chance
+	Me    Card                     `json:"me"`
+	Mates []Mate                   `json:"mates,omitempty"`
+	Ask   bool                     `json:"ask,omitempty"`
+	Reply bool                     `json:"reply,omitempty"`
+	Have  uint64                   `json:"have,omitempty"`  // a later version of the other's card is known
+	Sums  *Sums                    `json:"sums,omitempty"`  // of the cards known
+	Ages  map[types.Addr]int64     `json:"ages,omitempty"`  // of the controllers heard of lately, ms
+	Zones map[types.Locality]int64 `json:"zones,omitempty"` // since anyone there was heard of, ms; between controllers
+	Want  int                      `json:"want,omitempty"`  // mates by chance
 	// Between those that keep all cards: asks for what changed after a number,
 	// and answers how far that goes. All asks the other to do so too, from the start.
 	Follow bool   `json:"follow,omitempty"`
@@ -28,16 +28,16 @@
 	All    bool   `json:"all,omitempty"`
 }
 
-func (r *Roster) say(to mark.Addr, h hello) {
-	r.sends = append(r.sends, word.Make(r.me.Addr, to, word.Hello, h))
+func (r *Roster) say(to types.Addr, h hello) {
+	r.sends = append(r.sends, wire.Make(r.me.Addr, to, wire.Hello, h))
 }
 
-func (r *Roster) age(at mark.Stamp) int64 { return max(0, r.now.Sub(at).Milliseconds()) }
+func (r *Roster) age(at types.Stamp) int64 { return max(0, r.now.Sub(at).Milliseconds()) }
 
 func (r *Roster) base() hello {
 	s := r.sums
-	h := hello{Me: r.me, Sums: &s, Ages: map[mark.Addr]int64{}}
-	for _, a := range r.helms {
+	h := hello{Me: r.me, Sums: &s, Ages: map[types.Addr]int64{}}
+	for _, a := range r.controllers {
 		if e := r.all[a]; r.sound(e) {
 			h.Ages[a] = r.age(e.heard)
 		}
@@ -45,12 +45,12 @@
 	return h
 }
 
-// near adds what helms tell one another of the zones.
-func (r *Roster) near(to mark.Addr, h *hello) {
-	if e := r.all[to]; r.me.Role != "helm" || e == nil || e.card.Role != "helm" {
+// near adds what controllers tell one another of the zones.
+func (r *Roster) near(to types.Addr, h *hello) {
+	if e := r.all[to]; r.me.Role != "controller" || e == nil || e.card.Role != "controller" {
 		return
 	}
-	h.Zones = map[mark.Locality]int64{}
+	h.Zones = map[types.Locality]int64{}
 	for loc, z := range r.zones {
 		if r.now.Sub(z.heard) < Sound {
 			h.Zones[loc] = r.age(z.heard)
@@ -58,7 +58,7 @@
 	}
 }
 
-func (r *Roster) ask(to mark.Addr) {
+func (r *Roster) ask(to types.Addr) {
 	h := r.base()
 	h.Ask = true
 	r.near(to, &h)
@@ -86,13 +86,13 @@
 }
 
 // Take handles a hello, and counts any other note as a sign of life.
-func (r *Roster) Take(now mark.Stamp, n word.Note) bool {
+func (r *Roster) Take(now types.Stamp, n wire.Note) bool {
 	r.now = now
-	if n.Kind != word.Hello {
+	if n.Kind != wire.Hello {
 		r.touch(n)
 		return false
 	}
-	h, ok := word.Read[hello](n)
+	h, ok := wire.Read[hello](n)
 	if !ok {
 		return true
 	}
@@ -135,8 +135,8 @@
 
 // touch takes any message as a sign of life of its sender, but for reports that
 // others may have passed on. Who is not known is asked for its card.
-func (r *Roster) touch(n word.Note) {
-	if n.Kind == word.Status {
+func (r *Roster) touch(n wire.Note) {
+	if n.Kind == wire.Status {
 		return
 	}
 	if e := r.all[n.From]; e != nil {
@@ -147,19 +147,19 @@
 	}
 }
 
-// other tells whether a mate knows other helms, or gates, than this daemon.
+// other tells whether a mate knows other controllers, or gateways, than this daemon.
 func (r *Roster) other(h hello) bool {
-	return h.Sums != nil && (h.Sums.Helms != r.sums.Helms || r.keeps() && h.Me.Role != "ward" && h.Sums.Gates != r.sums.Gates)
+	return h.Sums != nil && (h.Sums.Controllers != r.sums.Controllers || r.keeps() && h.Me.Role != "agent" && h.Sums.Gateways != r.sums.Gateways)
 }
 
-func (r *Roster) answer(to mark.Addr, h hello, later uint64) {
+func (r *Roster) answer(to types.Addr, h hello, later uint64) {
 	a := r.base()
 	a.Reply, a.Have = true, later
 	r.near(to, &a)
 	if r.other(h) {
 		for _, x := range r.list {
 			c := r.all[x].card
-			if x != to && (c.Role == "helm" || c.Role == "gate" && h.Me.Role != "ward" && r.keeps()) {
+			if x != to && (c.Role == "controller" || c.Role == "gateway" && h.Me.Role != "agent" && r.keeps()) {
 				a.Mates = append(a.Mates, r.mate(r.all[x]))
 			}
 		}
@@ -168,7 +168,7 @@
 	r.introduce(&a, h)
 	if h.Follow && r.keeps() {
 		a.Follow = true
-		a.Mates, a.Seq, a.More = r.since(a.Mates, h.Seq, h.Sums != nil && h.Sums.Wards == r.sums.Wards)
+		a.Mates, a.Seq, a.More = r.since(a.Mates, h.Seq, h.Sums != nil && h.Sums.Agents == r.sums.Agents)
 	}
 	r.say(to, a)
 	if h.All {
@@ -177,7 +177,7 @@
 	}
 }
 
-// introduce names mates to one that wants some. The ward that asked before it
+// introduce names mates to one that wants some. The agent that asked before it
 // comes first: all ask equally often, so none is known to more than others are.
 func (r *Roster) introduce(a *hello, h hello) {
 	want := min(h.Want, 2*few)
@@ -185,7 +185,7 @@
 		g.AgeMS = r.age(r.came)
 		a.Mates, want = append(a.Mates, g), want-1
 	}
-	if h.Me.Role == "ward" {
+	if h.Me.Role == "agent" {
 		r.guest, r.came = Mate{Card: h.Me}, r.now
 	}
 	n := len(r.list)
@@ -194,7 +194,7 @@
 	}
 	from := r.rnd.Intn(n)
 	for i := range min(n, want) {
-		if e := r.all[r.list[(from+i)%n]]; e.card.Addr != h.Me.Addr && e.card.Role != "helm" && !e.silent {
+		if e := r.all[r.list[(from+i)%n]]; e.card.Addr != h.Me.Addr && e.card.Role != "controller" && !e.silent {
 			a.Mates = append(a.Mates, r.mate(e))
 		}
 	}
@@ -238,7 +238,7 @@
 	}
 	r.vouch = r.now
 	switch {
-	case h.Sums == nil || h.Sums.Wards == r.sums.Wards:
+	case h.Sums == nil || h.Sums.Agents == r.sums.Agents:
 		r.odd = 0
 	case len(h.Mates) == 0:
 		r.odd++
--- a/kin/kin.go
+++ b/internal/membership/kin.go
@@ -1,37 +1,37 @@
-// Package kin is the roster: who is there, where, as what, and how sound each
-// seems, so that any one live address leads to all the rest, the present helms
+// Package membership is the roster: who is there, where, as what, and how sound each
+// seems, so that any one live address leads to all the rest, the present controllers
 // among them. Nothing that must be right rests on it.
 //
 // A daemon says little while all is well, however many there are. Any message
-// from a mate shows that it lives. Gates and helms ask the leader for the cards
-// that changed since they last asked; wards keep the helms and a few others and
+// from a mate shows that it lives. Gateways and controllers ask the leader for the cards
+// that changed since they last asked; agents keep the controllers and a few others and
 // ask one of those now and then. Who hears of no leader asks more widely, and a
 // new leader tells all it knows of. This file is when something is said.
-package kin
+package membership
 
 import (
 	"math/rand"
 	"slices"
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/word"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 // Card is what a daemon says of itself. V counts its changes: its owner raises
 // it, also past what it hears others have of an earlier process.
 type Card struct {
-	Addr  mark.Addr     `json:"addr"`
-	ID    mark.ID       `json:"id,omitempty"`
-	Role  string        `json:"role"`
-	Loc   mark.Locality `json:"locality"`
-	Name  string        `json:"cluster,omitempty"`
-	Term  mark.Term     `json:"term,omitempty"`
-	Leads bool          `json:"leads,omitempty"`
-	Part  string        `json:"part,omitempty"`
-	Ready bool          `json:"ready"`
-	Issue string        `json:"program,omitempty"`
-	V     uint64        `json:"v,omitempty"`
+	Addr  types.Addr     `json:"addr"`
+	ID    types.ID       `json:"id,omitempty"`
+	Role  string         `json:"role"`
+	Loc   types.Locality `json:"locality"`
+	Name  string         `json:"cluster,omitempty"`
+	Term  types.Term     `json:"term,omitempty"`
+	Leads bool           `json:"leads,omitempty"`
+	Part  string         `json:"part,omitempty"`
+	Ready bool           `json:"ready"`
+	Issue string         `json:"program,omitempty"`
+	V     uint64         `json:"v,omitempty"`
 }
 
 // Mate is a card and how long ago its daemon was last heard of.
@@ -49,63 +49,65 @@
 	silent = 10 * time.Second        // a mate not heard by the leader for so long is told to the others
 	repair = 10 * time.Minute        // between two exchanges of all cards with the leader
 	loud   = 3 * time.Second         // how long a new leader tells those that it has not heard yet
-	few    = 4                       // mates of each kind that a ward keeps
+	few    = 4                       // mates of each kind that an agent keeps
 	part   = 64                      // changed cards in a hello
 	bound  = 20_000
 )
 
 // pause is how many beats go by between two questions of a daemon that hears
 // the leader.
-var pause = map[string]uint64{"helm": 1, "gate": 4, "ward": 16}
+var pause = map[string]uint64{"controller": 1, "gateway": 4, "agent": 16}
 
 // Roster is one daemon's view.
 type Roster struct {
-	rnd   *rand.Rand
-	me    Card
-	seeds []mark.Addr
-	all   map[mark.Addr]*entry
-	list  []mark.Addr // the keys of all, in order
-	helms []mark.Addr // those of the helms
-	wards map[string]*entry
-	zones map[mark.Locality]*zone
-	sums  Sums
-	seq   uint64
-	log   []change
-	now   mark.Stamp
-	told  mark.Stamp
-	beats uint64
-	turn  int
-	led   mark.Stamp // since when this daemon leads
-	peer  mark.Addr  // whose changes are followed: the leader
-	taken uint64     // how far
-	odd   int        // answers in a row that showed other cards there than here
-	whole mark.Stamp // when all were last asked for
-	vouch mark.Stamp // when the leader last told all that had changed
-	asked uint64     // the version of this daemon's card in its last question to the leader
-	known uint64     // the one that the leader has answered to
-	guest Mate       // the ward that asked last, and when
-	came  mark.Stamp
-	sends []word.Send
+	rnd         *rand.Rand
+	me          Card
+	seeds       []types.Addr
+	all         map[types.Addr]*entry
+	list        []types.Addr // the keys of all, in order
+	controllers []types.Addr // those of the controllers
+	agents      map[string]*entry
+	zones       map[types.Locality]*zone
+	sums        Sums
+	seq         uint64
+	log         []change
+	now         types.Stamp
+	told        types.Stamp
+	beats       uint64
+	turn        int
+	chatted     types.Addr  // the peer that this agent asked last
+	chattedAt   types.Stamp // and when
+	led         types.Stamp // since when this daemon leads
+	peer        types.Addr  // whose changes are followed: the leader
+	taken       uint64      // how far
+	odd         int         // answers in a row that showed other cards there than here
+	whole       types.Stamp // when all were last asked for
+	vouch       types.Stamp // when the leader last told all that had changed
+	asked       uint64      // the version of this daemon's card in its last question to the leader
+	known       uint64      // the one that the leader has answered to
+	guest       Mate        // the agent that asked last, and when
+	came        types.Stamp
+	sends       []wire.Send
 }
 
-const never = mark.Stamp(-1 << 61)
+const never = types.Stamp(-1 << 61)
 
-func New(rnd *rand.Rand, me Card, seeds []mark.Addr) *Roster {
+func New(rnd *rand.Rand, me Card, seeds []types.Addr) *Roster {
 	me.V = 1 + uint64(rnd.Intn(1<<20))
-	r := &Roster{rnd: rnd, me: me, seeds: seeds, all: map[mark.Addr]*entry{}, wards: map[string]*entry{}, zones: map[mark.Locality]*zone{},
+	r := &Roster{rnd: rnd, me: me, seeds: seeds, all: map[types.Addr]*entry{}, agents: map[string]*entry{}, zones: map[types.Locality]*zone{},
 		told: never, led: never, whole: never, vouch: never}
 	r.sums.add(me)
 	return r
 }
 
 // keeps tells whether this daemon keeps the cards of all.
-func (r *Roster) keeps() bool { return r.me.Role != "ward" }
+func (r *Roster) keeps() bool { return r.me.Role != "agent" }
 
 // Me sets this daemon's card; a new leader is told to all at once.
 func (r *Roster) Me(c Card) {
 	c.V = r.me.V
 	same := c
-	if c.Role != "helm" {
+	if c.Role != "controller" {
 		same.Name = r.me.Name // what it holds for the cluster's name is no news
 	}
 	if !c.Leads {
@@ -128,16 +130,16 @@
 
 // proclaim tells that this daemon leads to all not heard since it does.
 func (r *Roster) proclaim() {
-	n := word.Make(r.me.Addr, "", word.Hello, hello{Me: r.me}).Note
+	n := wire.Make(r.me.Addr, "", wire.Hello, hello{Me: r.me}).Note
 	for _, a := range r.list {
 		if r.all[a].direct <= r.led {
-			r.sends = append(r.sends, word.Send{To: a, Note: n})
+			r.sends = append(r.sends, wire.Send{To: a, Note: n})
 		}
 	}
 }
 
 // Tick says what is due.
-func (r *Roster) Tick(now mark.Stamp) {
+func (r *Roster) Tick(now types.Stamp) {
 	r.now = now
 	if now.Sub(r.told) < Beat {
 		return
@@ -155,8 +157,8 @@
 	case due:
 		r.chat()
 	}
-	if r.me.Role == "helm" && r.beats%2 == 0 {
-		if a, ok := r.some("ward"); ok { // so that wards come to know of new helms
+	if r.me.Role == "controller" && r.beats%2 == 0 {
+		if a, ok := r.some("agent"); ok { // so that agents come to know of new controllers
 			r.say(a, r.base())
 		}
 	}
@@ -184,11 +186,11 @@
 	}
 }
 
-// seek asks for the leader: seeds, helms (a ward one of them in turn, since
-// there are many wards), and a mate by chance.
+// seek asks for the leader: seeds, controllers (an agent one of them in turn, since
+// there are many agents), and a mate by chance.
 func (r *Roster) seek() {
-	asked := map[mark.Addr]bool{r.me.Addr: true}
-	ask := func(a mark.Addr) {
+	asked := map[types.Addr]bool{r.me.Addr: true}
+	ask := func(a types.Addr) {
 		if !asked[a] {
 			asked[a] = true
 			r.ask(a)
@@ -199,8 +201,8 @@
 			ask(s)
 		}
 	}
-	for i, a := range r.helms {
-		if r.keeps() || i == r.turn%len(r.helms) {
+	for i, a := range r.controllers {
+		if r.keeps() || i == r.turn%len(r.controllers) {
 			ask(a)
 		}
 	}
@@ -210,19 +212,24 @@
 	}
 }
 
-// chat is a ward's question to one of the few that it keeps.
+// chat is an agent's question to one of the few peers that it keeps. A peer that left
+// the last question unanswered while the leader was heard is gone, and forgotten.
 func (r *Roster) chat() {
-	a, ok := r.some("ward")
+	if e := r.all[r.chatted]; e != nil && e.card.Role == "agent" && e.direct < r.chattedAt {
+		r.drop(r.chatted)
+	}
+	a, ok := r.some("agent")
 	if !ok {
 		a, ok = r.some("")
 	}
 	if ok {
+		r.chatted, r.chattedAt = a, r.now
 		r.ask(a)
 	}
 }
 
 // some picks a mate of a role, or of any, by chance.
-func (r *Roster) some(role string) (mark.Addr, bool) {
+func (r *Roster) some(role string) (types.Addr, bool) {
 	if len(r.list) == 0 {
 		return "", false
 	}
@@ -236,7 +243,7 @@
 }
 
 // Out drains what there is to send.
-func (r *Roster) Out() []word.Send {
+func (r *Roster) Out() []wire.Send {
 	s := r.sends
 	r.sends = nil
 	return s
--- a/kin/view.go
+++ b/internal/membership/view.go
@@ -1,13 +1,13 @@
 // What others ask of the roster.
-package kin
+package membership
 
 import (
-	"coppercourse/mark"
+	"coppercourse/internal/types"
 )
 
 // last is when a mate was last heard of, as far as is known: the leader tells
 // who fell silent, and so vouches for all others.
-func (r *Roster) last(e *entry) mark.Stamp {
+func (r *Roster) last(e *entry) types.Stamp {
 	if e.silent || !r.keeps() {
 		return e.heard
 	}
@@ -27,9 +27,9 @@
 
 func (r *Roster) sound(e *entry) bool { return r.now.Sub(e.heard) <= Sound }
 
-// Helms lists the sound helms.
-func (r *Roster) Helms() (list []Card) {
-	for _, a := range r.helms {
+// Controllers lists the sound controllers.
+func (r *Roster) Controllers() (list []Card) {
+	for _, a := range r.controllers {
 		if e := r.all[a]; r.sound(e) {
 			list = append(list, e.card)
 		}
@@ -40,8 +40,8 @@
 // Known lists all of a role that are not forgotten, sound or not.
 func (r *Roster) Known(role string) (list []Card) {
 	from := r.list
-	if role == "helm" {
-		from = r.helms
+	if role == "controller" {
+		from = r.controllers
 	}
 	for _, a := range from {
 		if c := r.all[a].card; c.Role == role {
@@ -52,17 +52,17 @@
 }
 
 // Role is what the daemon at an address is, if that is known.
-func (r *Roster) Role(a mark.Addr) string {
+func (r *Roster) Role(a types.Addr) string {
 	if e := r.all[a]; e != nil {
 		return e.card.Role
 	}
 	return ""
 }
 
-// Apart tells whether a shard's ward fell silent with all that is known in its
+// Apart tells whether a shard's agent fell silent with all that is known in its
 // locality, as when the locality is cut off; one machine's end leaves others.
 func (r *Roster) Apart(shard string) bool {
-	e := r.wards[shard]
+	e := r.agents[shard]
 	if e == nil {
 		return false
 	}
@@ -70,9 +70,9 @@
 	return z.count >= 3 && r.now.Sub(z.heard) >= Sound/2 && e.card.Loc != r.me.Loc
 }
 
-// Cluster is the name that formed helms go by, once one was heard of.
+// Cluster is the name that formed controllers go by, once one was heard of.
 func (r *Roster) Cluster() string {
-	for _, c := range r.Helms() {
+	for _, c := range r.Controllers() {
 		if c.Name != "" {
 			return c.Name
 		}
@@ -81,12 +81,12 @@
 }
 
 // Lead is the leader of the highest term that is known of.
-func (r *Roster) Lead() mark.Addr {
-	best, term := mark.Addr(""), mark.Term(0)
+func (r *Roster) Lead() types.Addr {
+	best, term := types.Addr(""), types.Term(0)
 	if r.me.Leads {
 		best, term = r.me.Addr, r.me.Term
 	}
-	for _, a := range r.helms {
+	for _, a := range r.controllers {
 		if c := r.all[a].card; c.Leads && c.Term > term && r.sound(r.all[a]) {
 			best, term = c.Addr, c.Term
 		}
--- a/choice/choice.go
+++ b/internal/placement/choice.go
@@ -1,11 +1,11 @@
-// Package choice decides which waiting task goes to which worker. It is one
+// Package placement decides which waiting task goes to which worker. It is one
 // pure function over what the leader knows at that moment. Queues take turns by
 // how little of their due they have; a task that finds no place is passed over
 // and holds up nobody behind it; a gang is placed whole or not at all. One that
 // was passed over for long while smaller work kept flowing gets a reservation:
 // named workers on which others may start only what surely ends before the
 // reserved work could begin anyway.
-package choice
+package placement
 
 import (
 	"slices"
@@ -13,59 +13,59 @@
 	"strings"
 	"time"
 
-	"coppercourse/blueprint"
-	"coppercourse/mark"
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
 )
 
 // Slot is a worker that may be given work.
 type Slot struct {
-	Shard mark.Shard
-	Rack  mark.Rack
-	Kinds []mark.Kind
+	Shard types.Shard
+	Rack  types.Rack
+	Kinds []types.Kind
 
 	Labels []string
 
-	Free  mark.Room
+	Free  types.Room
 	Bad   float64
 	Slow  float64
 	Now   float64 // how many times the usual what runs there takes now; 0 is as usual
 	Busy  int
 	Has   map[Part]int
-	Size  mark.Room     // when nothing runs there
+	Size  types.Room    // when nothing runs there
 	Till  time.Duration // how long until it may run nothing; 0 is without end
 	Clear time.Duration // by when all that runs there has ended, by its limits
-	held  mark.Room     // reserved of it
+	held  types.Room    // reserved of it
 }
 
 // Part is one step of one job, at one of its times.
 type Part struct {
-	Job   mark.JobID
-	Stage mark.Stage
+	Job   types.JobID
+	Stage types.Stage
 }
 
 // Want is the tasks of one step that may start now.
 type Want struct {
 	Part
-	Queue   mark.Queue
+	Queue   types.Queue
 	Urgency int
-	Kind    mark.Kind
-	Rack    mark.Rack
+	Kind    types.Kind
+	Rack    types.Rack
 	Labels  []string
-	Room    mark.Room
+	Room    types.Room
 	Spread  int
 	Gang    bool
 	Tasks   []int
 	Long    time.Duration // its time limit
 	Since   time.Duration // how long it has been ready
 
-	Class   Class      // whether its job can still meet its aim
-	Spare   int        // percent of all cores that it leaves at most to what goes before it
-	Cap     mark.Cores // what its queue may have in use with it, or 0 for no bound
-	Idle    bool       // nothing of its job runs
-	Turn    float64    // of what is in the same class, the lowest goes first
-	Near    mark.Rack  // where its data is
-	OneRack bool       // it is slower when spread over racks
-	Shun    map[mark.Shard]bool
+	Class   Class       // whether its job can still meet its aim
+	Spare   int         // percent of all cores that it leaves at most to what goes before it
+	Cap     types.Cores // what its queue may have in use with it, or 0 for no bound
+	Idle    bool        // nothing of its job runs
+	Turn    float64     // of what is in the same class, the lowest goes first
+	Near    types.Rack  // where its data is
+	OneRack bool        // it is slower when spread over racks
+	Shun    map[types.Shard]bool
 }
 
 // Need is how many tasks must be placed together.
@@ -84,7 +84,7 @@
 
 // Seat is a worker and for how many tasks room is kept there.
 type Seat struct {
-	Shard mark.Shard
+	Shard types.Shard
 	Tasks int
 }
 
@@ -92,8 +92,8 @@
 type Input struct {
 	Wants []Want // oldest first
 	Slots []Slot
-	Dues  map[mark.Queue]*Due
-	Total mark.Cores
+	Dues  map[types.Queue]*Due
+	Total types.Cores
 	Kept  *Reserve
 }
 
@@ -108,15 +108,15 @@
 
 // Due is a queue's row and what it has in use.
 type Due struct {
-	Row     blueprint.Row
+	Row     config.Row
 	Running int
-	Cores   mark.Cores
+	Cores   types.Cores
 }
 
 // Pick is one placement.
 type Pick struct {
-	Task  mark.Task
-	Shard mark.Shard
+	Task  types.Task
+	Shard types.Shard
 }
 
 // Most is how many tasks one round places; the next round goes on.
@@ -139,7 +139,7 @@
 	dead   map[shape]bool
 	missed *Want // the first whose turn it was, passed over for too long
 	passed bool  // and other work took room that would have suited it
-	free   []mark.Room
+	free   []types.Room
 	more   []int
 	holds  int // slots on which room is kept, for this round, for work that found none
 }
@@ -194,7 +194,7 @@
 // capped tells whether patient work would take more than is left for it beside the
 // peaks of what goes before it. A little of it always may run.
 func (d *Due) capped(w *Want, n int) bool {
-	return w.Cap > 0 && d.Cores > 0 && d.Cores+mark.Cores(n)*w.Room.Cores > w.Cap
+	return w.Cap > 0 && d.Cores > 0 && d.Cores+types.Cores(n)*w.Room.Cores > w.Cap
 }
 
 func (r *round) take(w *Want, d *Due, got []int) {
@@ -203,10 +203,10 @@
 		s.Free = s.Free.Minus(w.Room)
 		s.Busy++
 		s.Has[w.Part]++
-		r.out.Picks = append(r.out.Picks, Pick{mark.Task{Job: w.Job, N: w.Tasks[i]}, s.Shard})
+		r.out.Picks = append(r.out.Picks, Pick{types.Task{Job: w.Job, N: w.Tasks[i]}, s.Shard})
 	}
 	d.Running += len(got)
-	d.Cores += mark.Cores(len(got)) * w.Room.Cores
+	d.Cores += types.Cores(len(got)) * w.Room.Cores
 	w.Tasks = w.Tasks[len(got):]
 }
 
@@ -234,7 +234,7 @@
 			k := slices.IndexFunc(r.Slots, func(s Slot) bool { return s.Shard == x.Shard && s.Suits(*w) })
 			if k < 0 {
 				for k := range r.Slots {
-					r.Slots[k].held = mark.Room{}
+					r.Slots[k].held = types.Room{}
 				}
 				return
 			}
@@ -305,9 +305,9 @@
 }
 
 type shape struct {
-	kind mark.Kind
-	rack mark.Rack
+	kind types.Kind
+	rack types.Rack
 	need string
-	room mark.Room
+	room types.Room
 	long time.Duration
 }
--- a/choice/choice_test.go
+++ b/internal/placement/choice_test.go
@@ -1,5 +1,5 @@
 // What the choice promises, each on a small table of workers.
-package choice
+package placement
 
 import (
 	"fmt"
@@ -8,20 +8,20 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/blueprint"
-	"coppercourse/mark"
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
 )
 
 func slots(n, cores int) (list []Slot) {
 	for i := range n {
-		list = append(list, Slot{Shard: mark.Shard(fmt.Sprintf("k%d", i)), Rack: mark.Rack(fmt.Sprintf("r%d", i/3)),
-			Kinds: []mark.Kind{"x"}, Free: mark.Room{Cores: mark.Cores(cores) * mark.Core, Memory: 1000}, Size: mark.Room{Cores: mark.Cores(cores) * mark.Core, Memory: 1000}, Slow: 1, Has: map[Part]int{}})
+		list = append(list, Slot{Shard: types.Shard(fmt.Sprintf("k%d", i)), Rack: types.Rack(fmt.Sprintf("r%d", i/3)),
+			Kinds: []types.Kind{"x"}, Free: types.Room{Cores: types.Cores(cores) * types.Core, Memory: 1000}, Size: types.Room{Cores: types.Cores(cores) * types.Core, Memory: 1000}, Slow: 1, Has: map[Part]int{}})
 	}
 	return
 }
 
-func want(job string, q mark.Queue, n, cores int) Want {
-	w := Want{Part: Part{Job: mark.JobID(job)}, Queue: q, Kind: "x", Room: mark.Room{Cores: mark.Cores(cores) * mark.Core}}
+func want(job string, q types.Queue, n, cores int) Want {
+	w := Want{Part: Part{Job: types.JobID(job)}, Queue: q, Kind: "x", Room: types.Room{Cores: types.Cores(cores) * types.Core}}
 	for i := range n {
 		w.Tasks = append(w.Tasks, i)
 	}
@@ -29,15 +29,15 @@
 }
 
 func due(weight, share, running int) *Due {
-	return &Due{Row: blueprint.Row{Weight: weight, Share: share, Running: running}}
+	return &Due{Row: config.Row{Weight: weight, Share: share, Running: running}}
 }
 
-func place(wants []Want, list []Slot, dues map[mark.Queue]*Due, total int) []Pick {
-	return Place(Input{Wants: wants, Slots: list, Dues: dues, Total: mark.Cores(total) * mark.Core}).Picks
+func place(wants []Want, list []Slot, dues map[types.Queue]*Due, total int) []Pick {
+	return Place(Input{Wants: wants, Slots: list, Dues: dues, Total: types.Cores(total) * types.Core}).Picks
 }
 
-func count(picks []Pick) map[mark.JobID]int {
-	m := map[mark.JobID]int{}
+func count(picks []Pick) map[types.JobID]int {
+	m := map[types.JobID]int{}
 	for _, p := range picks {
 		m[p.Task.Job]++
 	}
@@ -47,14 +47,14 @@
 func TestWeightsShareWhatThereIs(t *testing.T) {
 	is := is.New(t)
 	got := count(place([]Want{want("a", "a", 100, 1), want("b", "b", 100, 1)}, slots(4, 10),
-		map[mark.Queue]*Due{"a": due(3, 0, 500), "b": due(1, 0, 500)}, 40))
-	is.Equal(got, map[mark.JobID]int{"a": 30, "b": 10})
+		map[types.Queue]*Due{"a": due(3, 0, 500), "b": due(1, 0, 500)}, 40))
+	is.Equal(got, map[types.JobID]int{"a": 30, "b": 10})
 }
 
 func TestAShareComesBeforeWeights(t *testing.T) {
 	is := is.New(t)
 	got := count(place([]Want{want("a", "a", 100, 1), want("b", "b", 100, 1)}, slots(4, 10),
-		map[mark.Queue]*Due{"a": due(1000, 0, 500), "b": due(1, 50, 500)}, 40))
+		map[types.Queue]*Due{"a": due(1000, 0, 500), "b": due(1, 50, 500)}, 40))
 	is.Equal(got["b"], 20)
 }
 
@@ -65,8 +65,8 @@
 	gang.Gang = true
 	far := want("far", "a", 1, 1)
 	far.Rack = "r9"
-	got := count(place([]Want{big, gang, far, want("small", "a", 4, 1)}, slots(4, 10), map[mark.Queue]*Due{"a": due(1, 0, 500)}, 40))
-	is.Equal(got, map[mark.JobID]int{"small": 4}) // and no part of the gang
+	got := count(place([]Want{big, gang, far, want("small", "a", 4, 1)}, slots(4, 10), map[types.Queue]*Due{"a": due(1, 0, 500)}, 40))
+	is.Equal(got, map[types.JobID]int{"small": 4}) // and no part of the gang
 }
 
 func TestGangsAreWholeAndSpreadHolds(t *testing.T) {
@@ -74,21 +74,21 @@
 	gang := want("g", "a", 6, 2)
 	gang.Gang, gang.Spread = true, 2
 	s := slots(3, 10)
-	picks := place([]Want{gang}, s, map[mark.Queue]*Due{"a": due(1, 0, 6)}, 30)
+	picks := place([]Want{gang}, s, map[types.Queue]*Due{"a": due(1, 0, 6)}, 30)
 	is.Equal(len(picks), 6)
-	at := map[mark.Shard]int{}
+	at := map[types.Shard]int{}
 	for _, p := range picks {
 		at[p.Shard]++
 	}
-	is.Equal(at, map[mark.Shard]int{"k0": 2, "k1": 2, "k2": 2})
-	is.Equal(len(place([]Want{gang}, slots(3, 10), map[mark.Queue]*Due{"a": due(1, 0, 5)}, 30)), 0) // the queue's limit is whole too
-	is.Equal(len(place([]Want{gang}, slots(2, 10), map[mark.Queue]*Due{"a": due(1, 0, 6)}, 30)), 0)
+	is.Equal(at, map[types.Shard]int{"k0": 2, "k1": 2, "k2": 2})
+	is.Equal(len(place([]Want{gang}, slots(3, 10), map[types.Queue]*Due{"a": due(1, 0, 5)}, 30)), 0) // the queue's limit is whole too
+	is.Equal(len(place([]Want{gang}, slots(2, 10), map[types.Queue]*Due{"a": due(1, 0, 6)}, 30)), 0)
 }
 
 func TestRoomIsNeverExceeded(t *testing.T) {
 	is := is.New(t)
 	s := slots(3, 7)
-	place([]Want{want("a", "a", 50, 2), want("b", "a", 50, 3)}, s, map[mark.Queue]*Due{"a": due(1, 0, 500)}, 21)
+	place([]Want{want("a", "a", 50, 2), want("b", "a", 50, 3)}, s, map[types.Queue]*Due{"a": due(1, 0, 500)}, 21)
 	for _, x := range s {
 		is.True(x.Free.Cores >= 0)
 	}
@@ -99,8 +99,8 @@
 	hot := want("hot", "a", 50, 1)
 	hot.Urgency = 9
 	got := count(place([]Want{want("cold", "a", 50, 1), hot, want("other", "b", 50, 1)}, slots(1, 10),
-		map[mark.Queue]*Due{"a": due(1, 0, 500), "b": due(1, 0, 500)}, 10))
-	is.Equal(got, map[mark.JobID]int{"hot": 5, "other": 5})
+		map[types.Queue]*Due{"a": due(1, 0, 500), "b": due(1, 0, 500)}, 10))
+	is.Equal(got, map[types.JobID]int{"hot": 5, "other": 5})
 }
 
 func TestABadWorkerIsProbedNotUsed(t *testing.T) {
@@ -108,7 +108,7 @@
 	s := slots(3, 10)
 	s[0].Bad = 0.9
 	at := 0
-	for _, p := range place([]Want{want("a", "a", 12, 1)}, s, map[mark.Queue]*Due{"a": due(1, 0, 500)}, 30) {
+	for _, p := range place([]Want{want("a", "a", 12, 1)}, s, map[types.Queue]*Due{"a": due(1, 0, 500)}, 30) {
 		if p.Shard == "k0" {
 			at++
 		}
@@ -127,7 +127,7 @@
 		for _, kept := range []bool{true, false} {
 			is := is.New(t)
 			list := slots(4, 10)
-			ends := map[mark.Shard][]int{} // when small tasks end, by round
+			ends := map[types.Shard][]int{} // when small tasks end, by round
 			var r *Reserve
 			at, small := -1, 0
 			for round := range 400 {
@@ -142,7 +142,7 @@
 				}
 				for i := range list {
 					s := &list[i]
-					s.held, s.Clear = mark.Room{}, 0
+					s.held, s.Clear = types.Room{}, 0
 					left := ends[s.Shard][:0]
 					for _, e := range ends[s.Shard] {
 						if e > round {
@@ -150,10 +150,10 @@
 							s.Clear = max(s.Clear, time.Duration(e-round)*100*time.Millisecond)
 						}
 					}
-					s.Free, ends[s.Shard] = mark.Room{Cores: mark.Cores(10-len(left)) * mark.Core, Memory: 1000}, left
+					s.Free, ends[s.Shard] = types.Room{Cores: types.Cores(10-len(left)) * types.Core, Memory: 1000}, left
 				}
-				out := Place(Input{Wants: wants, Slots: list, Total: 40 * mark.Core, Kept: r,
-					Dues: map[mark.Queue]*Due{"a": due(1, 0, 500), "b": due(1, 0, 500)}})
+				out := Place(Input{Wants: wants, Slots: list, Total: 40 * types.Core, Kept: r,
+					Dues: map[types.Queue]*Due{"a": due(1, 0, 500), "b": due(1, 0, 500)}})
 				if r = out.Kept; !kept {
 					r = nil
 				}
@@ -190,6 +190,6 @@
 		s[0].Till = 30 * time.Second
 		w := want("a", "a", 30, 1)
 		w.Long = long
-		is.Equal(len(place([]Want{w}, s, map[mark.Queue]*Due{"a": due(1, 0, 500)}, 20)), n)
+		is.Equal(len(place([]Want{w}, s, map[types.Queue]*Due{"a": due(1, 0, 500)}, 20)), n)
 	}
 }
--- a/choice/fit.go
+++ b/internal/placement/fit.go
@@ -1,9 +1,9 @@
 // Where the tasks of a step go: workers that suit them and have room, on the rack
 // of their data if they can, on one rack if they are slower when spread, away from
 // workers where they stalled or failed.
-package choice
+package placement
 
-import "coppercourse/mark"
+import "coppercourse/internal/types"
 
 // fit finds workers for n tasks of a want, or nil.
 func (r *round) fit(w Want, n int) (got []int) {
@@ -17,8 +17,8 @@
 
 // rack finds one rack that holds n tasks of a want, the one of its data first.
 func (r *round) rack(w Want, n int) []int {
-	seen := map[mark.Rack]bool{"": true}
-	try := func(x mark.Rack) []int {
+	seen := map[types.Rack]bool{"": true}
+	try := func(x types.Rack) []int {
 		if seen[x] {
 			return nil
 		}
@@ -38,7 +38,7 @@
 }
 
 // among finds workers in a rack, or in any.
-func (r *round) among(w Want, n int, rack mark.Rack) (got []int) {
+func (r *round) among(w Want, n int, rack types.Rack) (got []int) {
 	free, more := r.free[:0], r.more[:0]
 	for i := range r.Slots {
 		free, more = append(free, r.Slots[i].Free), append(more, 0)
@@ -96,7 +96,7 @@
 		best := -1
 		for i := range r.Slots {
 			s := &r.Slots[i]
-			if s.held != (mark.Room{}) || !s.Suits(*w) || s.Now > slow || s.Now > 0 && s.Busy >= proves ||
+			if s.held != (types.Room{}) || !s.Suits(*w) || s.Now > slow || s.Now > 0 && s.Busy >= proves ||
 				w.Spread > 0 && s.Has[w.Part] >= w.Spread || r.bad(s) && s.Busy > 0 {
 				continue
 			}
@@ -119,6 +119,6 @@
 func (r *round) bad(s *Slot) bool { return s.Bad > r.mean+shun }
 
 // worth prefers workers with much room that end their legs well and in time.
-func worth(s *Slot, free mark.Room) float64 {
+func worth(s *Slot, free types.Room) float64 {
 	return float64(free.Cores) * (1 - s.Bad) / max(s.Slow, 0.2)
 }
--- a/choice/turn.go
+++ b/internal/placement/turn.go
@@ -1,15 +1,15 @@
 // Whose turn it is: queues without aims by priority, share and weight; work of
 // queues whose jobs have aims by what it gains.
-package choice
+package placement
 
 import (
 	"sort"
 
-	"coppercourse/mark"
+	"coppercourse/internal/types"
 )
 
-func line(wants []Want, dues map[mark.Queue]*Due) (turns []*turn) {
-	by := map[mark.Queue]*turn{}
+func line(wants []Want, dues map[types.Queue]*Due) (turns []*turn) {
+	by := map[types.Queue]*turn{}
 	for _, w := range wants {
 		if len(w.Tasks) == 0 {
 			continue
@@ -57,7 +57,7 @@
 // the one furthest below before the others; then by cores in use for each weight.
 // Queues whose jobs have aims stand together, at the place of the first of them, and
 // of those it is the one with the lowest turn, which has their priority in it.
-func next(turns []*turn, total mark.Cores) *turn {
+func next(turns []*turn, total types.Cores) *turn {
 	var plain, aims *turn
 	first := 0 // the best rank of those with aims
 	for _, t := range turns {
@@ -82,7 +82,7 @@
 }
 
 // before compares two queues by the ranks that they have.
-func (t *turn) before(o *turn, p, q int, total mark.Cores) bool {
+func (t *turn) before(o *turn, p, q int, total types.Cores) bool {
 	if p != q {
 		return p < q
 	}
@@ -92,7 +92,7 @@
 }
 
 // lacks tells whether a queue is below its share, and how little it has.
-func (d *Due) lacks(total mark.Cores) (bool, float64) {
+func (d *Due) lacks(total types.Cores) (bool, float64) {
 	part := 100 * float64(d.Cores) / float64(max(total, 1))
 	if s := float64(d.Row.Share); part < s {
 		return true, part / s
--- a/accord/ballot.go
+++ b/internal/raft/ballot.go
@@ -2,18 +2,18 @@
 // before it is told. A member that hears a live leader, or that has only just
 // started, gives no vote, which is what makes the leader's read grant sound;
 // a successor named by the leader itself is excused from that.
-package accord
+package raft
 
 import (
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/word"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 func (c *Core) campaign(pre, named bool) {
 	c.rest()
-	c.role, c.pre, c.votes = stand, pre, map[mark.ID]bool{c.self.ID: true}
+	c.role, c.pre, c.votes = stand, pre, map[types.ID]bool{c.self.ID: true}
 	c.leader, c.leadAt = "", ""
 	next := c.vow.Term + 1
 	c.ruled = max(c.heard, c.led)
@@ -23,18 +23,18 @@
 	t, _ := c.term(c.last())
 	for _, m := range c.roll {
 		if m.Vote && m.ID != c.self.ID {
-			c.say(m.Addr, word.Ballot, ballot{c.name, c.self.ID, m.ID, next, c.last(), t, pre, named})
+			c.say(m.Addr, wire.Ballot, ballot{c.name, c.self.ID, m.ID, next, c.last(), t, pre, named})
 		}
 	}
 }
 
-func (c *Core) onBallot(from mark.Addr, b ballot) {
+func (c *Core) onBallot(from types.Addr, b ballot) {
 	if b.Name != c.name || b.To != c.self.ID || c.name == "" {
 		return
 	}
 	if c.role == lead {
 		if _, ok := c.roll.Find(b.ID); !ok && c.Firm() && c.settled() {
-			c.say(from, word.Gone, gone{c.name, b.ID, c.commit})
+			c.say(from, wire.Gone, gone{c.name, b.ID, c.commit})
 			return
 		}
 	}
@@ -43,9 +43,9 @@
 	newer := b.LastT > t || b.LastT == t && b.Last >= c.last()
 	if b.Pre {
 		yes := calm && newer && b.Term > c.vow.Term
-		c.say(from, word.Vote, vote{Name: c.name, ID: c.self.ID, Term: b.Term, Pre: true, Yes: yes})
+		c.say(from, wire.Vote, vote{Name: c.name, ID: c.self.ID, Term: b.Term, Pre: true, Yes: yes})
 		if !yes && b.Term <= c.vow.Term {
-			c.say(from, word.Vote, vote{Name: c.name, ID: c.self.ID, Term: c.vow.Term})
+			c.say(from, wire.Vote, vote{Name: c.name, ID: c.self.ID, Term: c.vow.Term})
 		}
 		return
 	}
@@ -60,10 +60,10 @@
 		c.swear(Vow{Term: b.Term, For: b.ID})
 		c.rest()
 	}
-	c.say(from, word.Vote, vote{Name: c.name, ID: c.self.ID, Term: c.vow.Term, Yes: yes, Quiet: c.now.Mono.Sub(max(c.heard, c.led)).Milliseconds()})
+	c.say(from, wire.Vote, vote{Name: c.name, ID: c.self.ID, Term: c.vow.Term, Yes: yes, Quiet: c.now.Mono.Sub(max(c.heard, c.led)).Milliseconds()})
 }
 
-func (c *Core) onVote(_ mark.Addr, v vote) {
+func (c *Core) onVote(_ types.Addr, v vote) {
 	if v.Name != c.name {
 		return
 	}
@@ -97,7 +97,7 @@
 }
 
 // yield takes a higher term and gives up whatever this member was.
-func (c *Core) yield(t mark.Term) {
+func (c *Core) yield(t types.Term) {
 	c.swear(Vow{Term: t})
 	c.leader, c.leadAt = "", ""
 	c.settle()
@@ -107,7 +107,7 @@
 func (c *Core) crown() {
 	c.role, c.leader, c.leadAt = lead, c.self.ID, c.self.Addr
 	c.heir, c.pulse, c.calm = "", 0, c.now.Mono
-	c.mates = map[mark.ID]*track{}
+	c.mates = map[types.ID]*track{}
 	for _, m := range c.roll {
 		c.mate(m.ID)
 	}
@@ -115,7 +115,7 @@
 	c.first = c.last()
 }
 
-func (c *Core) mate(id mark.ID) *track {
+func (c *Core) mate(id types.ID) *track {
 	t, ok := c.mates[id]
 	if !ok {
 		t = &track{next: c.last() + 1, heard: c.now.Mono, round: -1 << 62}
@@ -125,8 +125,8 @@
 }
 
 // round is the start of the newest round that a majority has answered.
-func (c *Core) round() mark.Stamp {
-	return nth(c, func(m Member) mark.Stamp {
+func (c *Core) round() types.Stamp {
+	return nth(c, func(m Member) types.Stamp {
 		if m.ID == c.self.ID {
 			return c.now.Mono
 		}
@@ -136,7 +136,7 @@
 
 // Ruled is when an earlier leader can last have had authority: a majority's last
 // answer to it came from one of those who voted for this one.
-func (c *Core) Ruled() mark.Stamp { return c.ruled }
+func (c *Core) Ruled() types.Stamp { return c.ruled }
 
 // Firm says whether answers may be given as the leader: a majority confirmed
 // it within the shortest election wait, and an entry of its term is committed.
@@ -154,13 +154,13 @@
 }
 
 // Leave takes no duty from now on and hands over the one held.
-func (c *Core) Leave(now mark.Now) {
+func (c *Core) Leave(now types.Now) {
 	c.going = true
 	c.HandOver(now)
 }
 
 // HandOver names a successor: the voter that is furthest on and heard of last.
-func (c *Core) HandOver(now mark.Now) bool {
+func (c *Core) HandOver(now types.Now) bool {
 	c.now = now
 	if c.role != lead || c.heir != "" {
 		return false
@@ -176,7 +176,7 @@
 	return c.heir != ""
 }
 
-func (c *Core) onHeir(_ mark.Addr, h heir) {
+func (c *Core) onHeir(_ types.Addr, h heir) {
 	if h.Name == c.name && h.To == c.self.ID && h.Term == c.vow.Term && c.role == follow && !c.stuck() && !c.going {
 		c.campaign(false, true)
 	}
--- a/accord/core.go
+++ b/internal/raft/core.go
@@ -2,15 +2,15 @@
 // it does as time passes, and the two lists it gathers in a step (what to send
 // and what to write). Sends that rest on something written wait until the
 // shell tells that the write is synced.
-package accord
+package raft
 
 import (
 	"encoding/json"
 	"math/rand"
 	"sort"
 
-	"coppercourse/mark"
-	"coppercourse/word"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 type role string
@@ -26,16 +26,16 @@
 
 type held struct {
 	seq  uint64
-	term mark.Term
-	send word.Send
+	term types.Term
+	send wire.Send
 }
 
 type track struct {
-	next, match mark.Index
-	round       mark.Stamp
-	heard       mark.Stamp
-	off         mark.Wall
-	sent        mark.Stamp
+	next, match types.Index
+	round       types.Stamp
+	heard       types.Stamp
+	off         types.Wall
+	sent        types.Stamp
 	part        int // of the snapshot that it has
 }
 
@@ -55,56 +55,56 @@
 	grown  int  // bytes of entries since the snapshot
 	log    []Entry
 	roll   Roll
-	rollAt mark.Index
-	commit mark.Index
-	synced mark.Index
+	rollAt types.Index
+	commit types.Index
+	synced types.Index
 
 	wrote, done uint64
 	vowSeq      uint64
 	marks       []struct {
 		seq uint64
-		at  mark.Index
+		at  types.Index
 	}
 	held  []held
-	stall mark.Stamp
-
-	now     mark.Now
-	tick    mark.Tick
-	tickAt  mark.Stamp
-	tickOf  mark.Term // whose clock it follows
-	boot    mark.Stamp
-	heard   mark.Stamp
-	wait    mark.Stamp
-	leader  mark.ID
-	leadAt  mark.Addr
-	votes   map[mark.ID]bool
-	led     mark.Stamp // when this member led last
-	ruled   mark.Stamp // until when an earlier leader can have had authority
+	stall types.Stamp
+
+	now     types.Now
+	tick    types.Tick
+	tickAt  types.Stamp
+	tickOf  types.Term // whose clock it follows
+	boot    types.Stamp
+	heard   types.Stamp
+	wait    types.Stamp
+	leader  types.ID
+	leadAt  types.Addr
+	votes   map[types.ID]bool
+	led     types.Stamp // when this member led last
+	ruled   types.Stamp // until when an earlier leader can have had authority
 	pre     bool
-	mates   map[mark.ID]*track
-	first   mark.Index
-	calm    mark.Stamp // when a voter was last silent, to this leader
-	pulse   mark.Stamp
-	heir    mark.ID
-	heirBy  mark.Stamp
+	mates   map[types.ID]*track
+	first   types.Index
+	calm    types.Stamp // when a voter was last silent, to this leader
+	pulse   types.Stamp
+	heir    types.ID
+	heirBy  types.Stamp
 	going   bool // this member is about to stop and takes no duty
 	pledge  *Charter
-	pledged mark.Stamp
-	offers  map[mark.ID]bool
+	pledged types.Stamp
+	offers  map[types.ID]bool
 	seen    []Seen
-	others  []mark.Addr // daemons that are no helms
-	asked   mark.Stamp
+	others  []types.Addr // daemons that are no controllers
+	asked   types.Stamp
 
-	sends  []word.Send
+	sends  []wire.Send
 	writes []Record
 	whole  bool
 }
 
 // New starts a member from the records of its disk. fresh is the identity to
 // take if the folder is empty; whether it is the first start of all is kept with it.
-func New(now mark.Now, pace Pace, rnd *rand.Rand, me Member, o Origin, recs [][]byte, fresh mark.ID) *Core {
+func New(now types.Now, pace Pace, rnd *rand.Rand, me Member, o Origin, recs [][]byte, fresh types.ID) *Core {
 	c := &Core{pace: pace, rnd: rnd, self: me, origin: o, role: empty, now: now, boot: now.Mono, tickAt: now.Mono,
-		heard: now.Mono, led: never, mates: map[mark.ID]*track{}, offers: map[mark.ID]bool{}}
+		heard: now.Mono, led: never, mates: map[types.ID]*track{}, offers: map[types.ID]bool{}}
 	c.self.ID = ""
 	for _, b := range recs {
 		var r Record
@@ -126,8 +126,8 @@
 	return c
 }
 
-func (c *Core) mint(id mark.ID) {
-	c.self.ID, c.pledge, c.offers = id, nil, map[mark.ID]bool{}
+func (c *Core) mint(id types.ID) {
+	c.self.ID, c.pledge, c.offers = id, nil, map[types.ID]bool{}
 	c.self.Guest = !c.origin.First
 	c.write(Record{Self: &Self{id, c.origin.First}})
 }
@@ -202,9 +202,9 @@
 	c.wait = c.now.Mono.Add(c.pace.Least + c.span(c.pace.Least))
 }
 
-func (c *Core) last() mark.Index { return c.snap.Index + mark.Index(len(c.log)) }
+func (c *Core) last() types.Index { return c.snap.Index + types.Index(len(c.log)) }
 
-func (c *Core) term(i mark.Index) (mark.Term, bool) {
+func (c *Core) term(i types.Index) (types.Term, bool) {
 	switch {
 	case i == c.snap.Index:
 		return c.snap.Term, true
@@ -231,10 +231,10 @@
 }
 
 // say sends once the vow is on disk; after sends once all written so far is.
-func (c *Core) say(to mark.Addr, kind string, body any) { c.hold(c.vowSeq, to, kind, body) }
+func (c *Core) say(to types.Addr, kind string, body any) { c.hold(c.vowSeq, to, kind, body) }
 
-func (c *Core) hold(seq uint64, to mark.Addr, kind string, body any) {
-	s := word.Make(c.self.Addr, to, kind, body)
+func (c *Core) hold(seq uint64, to types.Addr, kind string, body any) {
+	s := wire.Make(c.self.Addr, to, kind, body)
 	if seq <= c.done {
 		c.sends = append(c.sends, s)
 		return
@@ -243,7 +243,7 @@
 }
 
 // Synced tells that all batches up to seq are on disk.
-func (c *Core) Synced(now mark.Now, seq uint64) {
+func (c *Core) Synced(now types.Now, seq uint64) {
 	c.now, c.done, c.stall = now, max(c.done, seq), now.Mono
 	for len(c.marks) > 0 && c.marks[0].seq <= c.done {
 		c.synced = max(c.synced, c.marks[0].at)
@@ -265,7 +265,7 @@
 
 // Out drains what the step gathered: sends, one batch of records with its
 // number, and whether the batch replaces the file.
-func (c *Core) Out() (sends []word.Send, batch [][]byte, seq uint64, whole bool) {
+func (c *Core) Out() (sends []wire.Send, batch [][]byte, seq uint64, whole bool) {
 	if c.role == lead {
 		c.led = c.now.Mono
 		c.flush()
@@ -292,7 +292,7 @@
 }
 
 // Tick lets time pass.
-func (c *Core) Tick(now mark.Now) {
+func (c *Core) Tick(now types.Now) {
 	c.now = now
 	if c.role == lead {
 		c.duty()
@@ -311,14 +311,14 @@
 }
 
 // Clock is the cluster's own time as this member knows it.
-func (c *Core) Clock() mark.Tick { return c.tick.Add(c.now.Mono.Sub(c.tickAt)) }
+func (c *Core) Clock() types.Tick { return c.tick.Add(c.now.Mono.Sub(c.tickAt)) }
 
 // follow takes the clock of the leader of a term. What a leader says is older
 // by its way here, so a follower's clock is never ahead of its leader's; one
 // kept from an earlier leader might be, and is given up. Whoever leads next has
 // followed the last leader that committed anything, so the cluster's clock may
 // fall behind at a change of leader, by a message's delay, and never runs ahead.
-func (c *Core) follow(t mark.Term, tick mark.Tick) {
+func (c *Core) follow(t types.Term, tick types.Tick) {
 	if t != c.tickOf {
 		c.tickOf, c.tick, c.tickAt = t, tick, c.now.Mono
 		return
@@ -328,21 +328,21 @@
 
 // Wind moves the clock forward to at least t; what mates told of their walls
 // was counted from where the clock stood, and moves with it.
-func (c *Core) Wind(t mark.Tick) {
+func (c *Core) Wind(t types.Tick) {
 	by := t - c.Clock()
 	if by <= 0 {
 		return
 	}
 	c.tick, c.tickAt = t, c.now.Mono
 	for _, m := range c.mates {
-		m.off -= mark.Wall(by)
+		m.off -= types.Wall(by)
 	}
 }
 
 // Offs gives how far each voter's wall clock is from this leader's clock. What
 // a mate told is older by its way here, so it can only seem too small.
-func (c *Core) Offs() []mark.Wall {
-	list := []mark.Wall{c.now.Wall - mark.Wall(c.Clock())}
+func (c *Core) Offs() []types.Wall {
+	list := []types.Wall{c.now.Wall - types.Wall(c.Clock())}
 	for id, t := range c.mates {
 		if m, ok := c.roll.Find(id); ok && m.Vote && id != c.self.ID && c.now.Mono.Sub(t.heard) < c.pace.Stall {
 			list = append(list, t.off)
@@ -352,16 +352,16 @@
 	return list
 }
 
-func (c *Core) ID() mark.ID              { return c.self.ID }
-func (c *Core) Name() string             { return c.name }
-func (c *Core) Role() string             { return string(c.role) }
-func (c *Core) Term() mark.Term          { return c.vow.Term }
-func (c *Core) Leader() mark.Addr        { return c.leadAt }
-func (c *Core) Leads() bool              { return c.role == lead }
-func (c *Core) Why() string              { return c.why }
-func (c *Core) Roll() Roll               { return c.roll }
-func (c *Core) RollAt() mark.Index       { return c.rollAt }
-func (c *Core) Commit() mark.Index       { return c.commit }
-func (c *Core) State() Snap              { return c.snap }
-func (c *Core) Grown() int               { return c.grown }
-func (c *Core) Entry(i mark.Index) Entry { return c.log[i-c.snap.Index-1] }
+func (c *Core) ID() types.ID              { return c.self.ID }
+func (c *Core) Name() string              { return c.name }
+func (c *Core) Role() string              { return string(c.role) }
+func (c *Core) Term() types.Term          { return c.vow.Term }
+func (c *Core) Leader() types.Addr        { return c.leadAt }
+func (c *Core) Leads() bool               { return c.role == lead }
+func (c *Core) Why() string               { return c.why }
+func (c *Core) Roll() Roll                { return c.roll }
+func (c *Core) RollAt() types.Index       { return c.rollAt }
+func (c *Core) Commit() types.Index       { return c.commit }
+func (c *Core) State() Snap               { return c.snap }
+func (c *Core) Grown() int                { return c.grown }
+func (c *Core) Entry(i types.Index) Entry { return c.log[i-c.snap.Index-1] }
--- a/accord/found.go
+++ b/internal/raft/found.go
@@ -5,7 +5,7 @@
 // together with the identity that made it, so no half-made charter can be completed
 // behind anyone's back. Where a cluster is seen, an empty member asks in instead,
 // and so do all others that started with the founders.
-package accord
+package raft
 
 import (
 	"fmt"
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/word"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 const (
@@ -22,15 +22,15 @@
 	again    = 200 * time.Millisecond
 )
 
-// Seen is a helm as the roster shows it; Name is empty when it has no cluster.
+// Seen is a controller as the roster shows it; Name is empty when it has no cluster.
 type Seen struct {
 	Member
 	Name string
 }
 
-// See tells which helms are sound now, this one left out, and, while there is no
-// cluster, where other daemons than helms are.
-func (c *Core) See(list []Seen, others []mark.Addr) { c.seen, c.others = list, others }
+// See tells which controllers are sound now, this one left out, and, while there is no
+// cluster, where other daemons than controllers are.
+func (c *Core) See(list []Seen, others []types.Addr) { c.seen, c.others = list, others }
 
 func (c *Core) adopt(k Charter) {
 	c.name, c.snap.Roll, c.pledge, c.why = k.Name, k.Roll, nil, ""
@@ -51,7 +51,7 @@
 	}
 	if k := c.pledge; k != nil {
 		if c.now.Mono.Sub(c.pledged) > patience {
-			c.mint(mark.Mint(c.rnd))
+			c.mint(types.Mint(c.rnd))
 			return
 		}
 		c.why = "pledged to a founding that is not complete yet"
@@ -67,7 +67,7 @@
 			return
 		}
 	}
-	c.promise(Charter{Name: string(mark.Mint(c.rnd)), Roll: roll})
+	c.promise(Charter{Name: string(types.Mint(c.rnd)), Roll: roll})
 	c.complete()
 }
 
@@ -102,26 +102,26 @@
 		}
 	}
 	if len(roll) != want {
-		return nil, fmt.Sprintf("waiting for %d empty helms that see each other, or for a cluster", want)
+		return nil, fmt.Sprintf("waiting for %d empty controllers that see each other, or for a cluster", want)
 	}
-	return roll, fmt.Sprintf("%d empty helms; founding", want)
+	return roll, fmt.Sprintf("%d empty controllers; founding", want)
 }
 
-// knock asks every formed helm seen to be let in; a voter that has long heard
+// knock asks every formed controller seen to be let in; a voter that has long heard
 // no leader asks so whether it still is one, since all whom it knows of may
 // have been replaced.
 func (c *Core) knock() (any bool) {
 	for _, s := range c.seen {
 		if s.Name != "" && (c.name == "" || c.name == s.Name) {
 			any = true
-			c.say(s.Addr, word.Join, join{s.Name, c.self, c.role == follow || c.role == stand})
+			c.say(s.Addr, wire.Join, join{s.Name, c.self, c.role == follow || c.role == stand})
 		}
 	}
 	return
 }
 
 func (c *Core) promise(k Charter) {
-	c.pledge, c.pledged, c.offers = &k, c.now.Mono, map[mark.ID]bool{c.self.ID: true}
+	c.pledge, c.pledged, c.offers = &k, c.now.Mono, map[types.ID]bool{c.self.ID: true}
 	c.write(Record{Pledge: &k})
 	c.vowSeq = c.wrote
 	c.tell(k)
@@ -137,15 +137,15 @@
 	}
 	for _, m := range k.Roll {
 		if m.ID != c.self.ID {
-			c.say(m.Addr, word.Found, found{k, c.self.ID, step})
+			c.say(m.Addr, wire.Found, found{k, c.self.ID, step})
 		}
 	}
 }
 
-func (c *Core) onFound(from mark.Addr, f found) {
+func (c *Core) onFound(from types.Addr, f found) {
 	if c.name != "" {
 		if c.name == f.Charter.Name && f.Step != "done" {
-			c.say(from, word.Found, found{f.Charter, c.self.ID, "done"})
+			c.say(from, wire.Found, found{f.Charter, c.self.ID, "done"})
 		}
 		return
 	}
@@ -182,7 +182,7 @@
 	c.adopt(k)
 	for _, m := range k.Roll {
 		if m.ID != c.self.ID {
-			c.hold(c.wrote, m.Addr, word.Found, found{k, c.self.ID, "done"})
+			c.hold(c.wrote, m.Addr, wire.Found, found{k, c.self.ID, "done"})
 		}
 	}
 }
--- a/accord/kinds.go
+++ b/internal/raft/kinds.go
@@ -1,39 +1,39 @@
-// Package accord is the replicated log of the helms: elections with a pre-vote,
+// Package raft is the replicated log of the controllers: elections with a pre-vote,
 // entries that count only once synced, snapshots, a roll of members changed by
 // one vote at a time, and a duty that its holder hands over by name. This file
 // has the shapes that cross the wire and the disk.
-package accord
+package raft
 
 import (
 	"encoding/json"
 	"time"
 
-	"coppercourse/mark"
+	"coppercourse/internal/types"
 )
 
-// Member is one helm on the roll. Without a vote it only learns. A guest came to a
+// Member is one controller on the roll. Without a vote it only learns. A guest came to a
 // cluster that was there before it: it is let vote beside the others, and replaces
 // one that is gone.
 type Member struct {
-	ID    mark.ID       `json:"id"`
-	Addr  mark.Addr     `json:"addr"`
-	Loc   mark.Locality `json:"loc"`
-	Vote  bool          `json:"vote"`
-	Guest bool          `json:"guest,omitempty"`
+	ID    types.ID       `json:"id"`
+	Addr  types.Addr     `json:"addr"`
+	Loc   types.Locality `json:"loc"`
+	Vote  bool           `json:"vote"`
+	Guest bool           `json:"guest,omitempty"`
 }
 
 // Origin is what a member's settings say of the cluster's beginning: that none has
-// been before, and which helms found it. Where none are named, any three that see
+// been before, and which controllers found it. Where none are named, any three that see
 // just each other do.
 type Origin struct {
 	First    bool
-	Founders []mark.Addr
+	Founders []types.Addr
 }
 
 // Roll is the list of members, in force from the moment it is in the log.
 type Roll []Member
 
-func (r Roll) Find(id mark.ID) (Member, bool) {
+func (r Roll) Find(id types.ID) (Member, bool) {
 	for _, m := range r {
 		if m.ID == id {
 			return m, true
@@ -53,8 +53,8 @@
 
 // Entry is one line of the log.
 type Entry struct {
-	Term  mark.Term       `json:"term"`
-	Index mark.Index      `json:"index"`
+	Term  types.Term      `json:"term"`
+	Index types.Index     `json:"index"`
 	Fact  json.RawMessage `json:"fact,omitempty"`
 	Roll  Roll            `json:"roll,omitempty"`
 }
@@ -62,11 +62,11 @@
 // Snap is the state as of one entry, in so many parts, each a record of its own
 // and a message of its own.
 type Snap struct {
-	Index mark.Index `json:"index"`
-	Term  mark.Term  `json:"term"`
-	Roll  Roll       `json:"roll"`
-	Count int        `json:"parts"`
-	Parts [][]byte   `json:"-"`
+	Index types.Index `json:"index"`
+	Term  types.Term  `json:"term"`
+	Roll  Roll        `json:"roll"`
+	Count int         `json:"parts"`
+	Parts [][]byte    `json:"-"`
 }
 
 // Record is what one disk record holds; each field stands for itself.
@@ -83,8 +83,8 @@
 // Self is minted with an empty folder and never used again after its loss. First
 // is true where that was the first start of all.
 type Self struct {
-	ID    mark.ID `json:"id"`
-	First bool    `json:"first,omitempty"`
+	ID    types.ID `json:"id"`
+	First bool     `json:"first,omitempty"`
 }
 
 // Charter is the founding record: a cluster's name and its first roll.
@@ -95,53 +95,53 @@
 
 // Vow is a term and whom this member voted for in it.
 type Vow struct {
-	Term mark.Term `json:"term"`
-	For  mark.ID   `json:"for"`
+	Term types.Term `json:"term"`
+	For  types.ID   `json:"for"`
 }
 
 type ballot struct {
-	Name  string     `json:"name"`
-	ID    mark.ID    `json:"id"`
-	To    mark.ID    `json:"to"`
-	Term  mark.Term  `json:"term"`
-	Last  mark.Index `json:"last"`
-	LastT mark.Term  `json:"last_term"`
-	Pre   bool       `json:"pre"`
-	Heir  bool       `json:"heir"`
+	Name  string      `json:"name"`
+	ID    types.ID    `json:"id"`
+	To    types.ID    `json:"to"`
+	Term  types.Term  `json:"term"`
+	Last  types.Index `json:"last"`
+	LastT types.Term  `json:"last_term"`
+	Pre   bool        `json:"pre"`
+	Heir  bool        `json:"heir"`
 }
 
 type vote struct {
-	Name string    `json:"name"`
-	ID   mark.ID   `json:"id"`
-	Term mark.Term `json:"term"`
-	Pre  bool      `json:"pre"`
-	Yes  bool      `json:"yes"`
+	Name string     `json:"name"`
+	ID   types.ID   `json:"id"`
+	Term types.Term `json:"term"`
+	Pre  bool       `json:"pre"`
+	Yes  bool       `json:"yes"`
 	// Quiet is how long, in ms, the voter has heard no leader, at the least.
 	Quiet int64 `json:"quiet,omitempty"`
 }
 
 type push struct {
-	Name    string     `json:"name"`
-	ID      mark.ID    `json:"id"`
-	To      mark.ID    `json:"to"`
-	Term    mark.Term  `json:"term"`
-	Prev    mark.Index `json:"prev"`
-	PrevT   mark.Term  `json:"prev_term"`
-	Entries []Entry    `json:"entries,omitempty"`
-	Commit  mark.Index `json:"commit"`
-	Round   mark.Stamp `json:"round"`
-	Tick    mark.Tick  `json:"tick"`
+	Name    string      `json:"name"`
+	ID      types.ID    `json:"id"`
+	To      types.ID    `json:"to"`
+	Term    types.Term  `json:"term"`
+	Prev    types.Index `json:"prev"`
+	PrevT   types.Term  `json:"prev_term"`
+	Entries []Entry     `json:"entries,omitempty"`
+	Commit  types.Index `json:"commit"`
+	Round   types.Stamp `json:"round"`
+	Tick    types.Tick  `json:"tick"`
 }
 
 type taken struct {
-	Name  string     `json:"name"`
-	ID    mark.ID    `json:"id"`
-	Term  mark.Term  `json:"term"`
-	OK    bool       `json:"ok"`
-	Match mark.Index `json:"match"`
-	Round mark.Stamp `json:"round"`
-	Wall  mark.Wall  `json:"wall"`
-	Parts int        `json:"parts,omitempty"` // of a snapshot that is coming
+	Name  string      `json:"name"`
+	ID    types.ID    `json:"id"`
+	Term  types.Term  `json:"term"`
+	OK    bool        `json:"ok"`
+	Match types.Index `json:"match"`
+	Round types.Stamp `json:"round"`
+	Wall  types.Wall  `json:"wall"`
+	Parts int         `json:"parts,omitempty"` // of a snapshot that is coming
 }
 
 type snap struct {
@@ -152,9 +152,9 @@
 }
 
 type heir struct {
-	Name string    `json:"name"`
-	To   mark.ID   `json:"to"`
-	Term mark.Term `json:"term"`
+	Name string     `json:"name"`
+	To   types.ID   `json:"to"`
+	Term types.Term `json:"term"`
 }
 
 type join struct {
@@ -164,18 +164,18 @@
 }
 
 type gone struct {
-	Name string     `json:"name"`
-	ID   mark.ID    `json:"id"`
-	At   mark.Index `json:"at"`
+	Name string      `json:"name"`
+	ID   types.ID    `json:"id"`
+	At   types.Index `json:"at"`
 }
 
 type found struct {
-	Charter Charter `json:"charter"`
-	ID      mark.ID `json:"id"`
-	Step    string  `json:"step"` // offer, pledge, done
+	Charter Charter  `json:"charter"`
+	ID      types.ID `json:"id"`
+	Step    string   `json:"step"` // offer, pledge, done
 }
 
-// Pace holds the timings; Check in package blueprint ties them together.
+// Pace holds the timings; Check in package config ties them together.
 type Pace struct {
 	Beat  time.Duration // between rounds of the leader
 	Least time.Duration // shortest election wait; the longest is twice that
--- a/accord/push.go
+++ b/internal/raft/push.go
@@ -1,6 +1,6 @@
 // The log's way from the leader to the others: rounds, entries, snapshots, and
 // the commit that a majority of synced copies makes.
-package accord
+package raft
 
 import (
 	"cmp"
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/word"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 const (
@@ -17,7 +17,7 @@
 	longest = 120_000 // entries that a log may have before it takes no more
 )
 
-const never = mark.Stamp(-1 << 62)
+const never = types.Stamp(-1 << 62)
 
 func (c *Core) span(d time.Duration) time.Duration { return time.Duration(c.rnd.Int63n(int64(d))) }
 
@@ -33,7 +33,7 @@
 	return list[(len(list)-1)/2]
 }
 
-func (c *Core) append(e Entry) mark.Index {
+func (c *Core) append(e Entry) types.Index {
 	e.Term, e.Index = c.vow.Term, c.last()+1
 	c.grown += len(e.Fact)
 	c.put([]Entry{e})
@@ -45,12 +45,12 @@
 func (c *Core) marked() {
 	c.marks = append(c.marks, struct {
 		seq uint64
-		at  mark.Index
+		at  types.Index
 	}{c.wrote, c.last()})
 }
 
 // Propose puts a fact into the log; false when this member may not.
-func (c *Core) Propose(fact json.RawMessage) (mark.Index, bool) {
+func (c *Core) Propose(fact json.RawMessage) (types.Index, bool) {
 	if c.role != lead || c.heir != "" || len(c.log) > longest {
 		return 0, false
 	}
@@ -63,7 +63,7 @@
 func (c *Core) flush() {
 	if c.heir != "" && c.mate(c.heir).match == c.last() {
 		m, _ := c.roll.Find(c.heir)
-		c.say(m.Addr, word.Heir, heir{c.name, c.heir, c.vow.Term})
+		c.say(m.Addr, wire.Heir, heir{c.name, c.heir, c.vow.Term})
 		c.retire()
 		return
 	}
@@ -93,7 +93,7 @@
 	}
 }
 
-func (c *Core) push(m Member, prev mark.Index) push {
+func (c *Core) push(m Member, prev types.Index) push {
 	t, _ := c.term(prev)
 	return push{Name: c.name, ID: c.self.ID, To: m.ID, Term: c.vow.Term, Prev: prev, PrevT: t, Commit: c.commit,
 		Round: c.now.Mono, Tick: c.Clock()}
@@ -102,7 +102,7 @@
 // probe sends a member no entries, so that nothing piles up on the way to one
 // that does not take it.
 func (c *Core) probe(m Member, t *track) {
-	c.say(m.Addr, word.Append, c.push(m, max(t.match, c.snap.Index)))
+	c.say(m.Addr, wire.Append, c.push(m, max(t.match, c.snap.Index)))
 }
 
 func (c *Core) feed(m Member, t *track) {
@@ -111,22 +111,22 @@
 		if c.now.Mono.Sub(t.sent) > 5*c.pace.Beat && c.snap.Count > 0 {
 			t.sent, p.Prev, p.PrevT = c.now.Mono, c.snap.Index, c.snap.Term
 			t.part = min(t.part, c.snap.Count-1)
-			c.say(m.Addr, word.Snap, snap{p, c.snap, t.part, c.snap.Parts[t.part]})
+			c.say(m.Addr, wire.Snap, snap{p, c.snap, t.part, c.snap.Parts[t.part]})
 		}
 		return
 	}
 	if t.next <= c.last() {
 		rest := c.log[t.next-c.snap.Index-1:]
 		p.Entries = rest[:min(len(rest), bunch)]
-		t.next += mark.Index(len(p.Entries))
+		t.next += types.Index(len(p.Entries))
 		t.sent = c.now.Mono
 	}
-	c.say(m.Addr, word.Append, p)
+	c.say(m.Addr, wire.Append, p)
 }
 
-func (c *Core) onPush(from mark.Addr, p push) {
+func (c *Core) onPush(from types.Addr, p push) {
 	for i, e := range p.Entries {
-		if e.Index != p.Prev+mark.Index(i)+1 {
+		if e.Index != p.Prev+types.Index(i)+1 {
 			return // not what a leader says
 		}
 	}
@@ -137,15 +137,15 @@
 	t, ok := c.term(p.Prev)
 	if p.Prev < c.snap.Index {
 		skip := min(int(c.snap.Index-p.Prev), len(p.Entries))
-		p.Entries, p.Prev = p.Entries[skip:], p.Prev+mark.Index(skip)
+		p.Entries, p.Prev = p.Entries[skip:], p.Prev+types.Index(skip)
 		ok, t, p.PrevT = true, c.snap.Term, c.snap.Term
 	}
 	if !ok || t != p.PrevT {
 		a.Match = min(c.last(), p.Prev-1)
-		c.say(from, word.Append2, a)
+		c.say(from, wire.Append2, a)
 		return
 	}
-	tip := p.Prev + mark.Index(len(p.Entries))
+	tip := p.Prev + types.Index(len(p.Entries))
 	for i, e := range p.Entries {
 		if t, ok := c.term(e.Index); !ok || t != e.Term {
 			c.synced = min(c.synced, e.Index-1)
@@ -165,17 +165,17 @@
 	c.commit = max(c.commit, min(p.Commit, tip))
 	a.OK, a.Match = true, min(tip, c.synced)
 	if tip <= c.synced || c.now.Mono.Sub(c.stall) >= c.pace.Beat { // a slow disk is no silence
-		c.say(from, word.Append2, a)
+		c.say(from, wire.Append2, a)
 	}
 	if tip > c.synced {
 		a.Match = tip
-		c.hold(c.wrote, from, word.Append2, a)
+		c.hold(c.wrote, from, wire.Append2, a)
 	}
 }
 
 // meet is what a push and a snapshot have in common: is it for me, is it from
 // the leader of now, and if so it is heard.
-func (c *Core) meet(from mark.Addr, p push) bool {
+func (c *Core) meet(from types.Addr, p push) bool {
 	if p.To != c.self.ID || c.role == out || c.name != "" && p.Name != c.name {
 		return false
 	}
@@ -187,7 +187,7 @@
 		c.adopt(k)
 	}
 	if p.Term < c.vow.Term {
-		c.say(from, word.Append2, taken{Name: c.name, ID: c.self.ID, Term: c.vow.Term})
+		c.say(from, wire.Append2, taken{Name: c.name, ID: c.self.ID, Term: c.vow.Term})
 		return false
 	}
 	if p.Term > c.vow.Term {
@@ -200,7 +200,7 @@
 	return true
 }
 
-func (c *Core) onSnap(from mark.Addr, s snap) {
+func (c *Core) onSnap(from types.Addr, s snap) {
 	if !c.meet(from, s.push) {
 		return
 	}
@@ -214,7 +214,7 @@
 		}
 		if len(c.coming.Parts) < s.Snap.Count {
 			a.Match, a.Parts = 0, len(c.coming.Parts)
-			c.say(from, word.Append2, a)
+			c.say(from, wire.Append2, a)
 			return
 		}
 		c.snap, c.log, c.marks = c.coming, nil, nil
@@ -225,10 +225,10 @@
 		c.rewrite()
 		c.marked()
 	}
-	c.hold(c.wrote, from, word.Append2, a)
+	c.hold(c.wrote, from, wire.Append2, a)
 }
 
-func (c *Core) onTaken(_ mark.Addr, a taken) {
+func (c *Core) onTaken(_ types.Addr, a taken) {
 	if a.Name != c.name {
 		return
 	}
@@ -241,7 +241,7 @@
 	}
 	t := c.mate(a.ID)
 	if a.Round > t.round {
-		t.round, t.off = a.Round, a.Wall-mark.Wall(c.Clock())
+		t.round, t.off = a.Round, a.Wall-types.Wall(c.Clock())
 	}
 	t.heard = c.now.Mono
 	if a.Parts > 0 {
@@ -260,7 +260,7 @@
 }
 
 func (c *Core) advance() {
-	to := nth(c, func(m Member) mark.Index {
+	to := nth(c, func(m Member) types.Index {
 		if m.ID == c.self.ID {
 			return c.synced
 		}
@@ -272,7 +272,7 @@
 }
 
 // Compact takes a state as of index i in place of the log up to it.
-func (c *Core) Compact(i mark.Index, parts [][]byte) {
+func (c *Core) Compact(i types.Index, parts [][]byte) {
 	if i <= c.snap.Index || i > c.commit {
 		return
 	}
--- a/accord/roll.go
+++ b/internal/raft/roll.go
@@ -3,14 +3,14 @@
 // start is a guest until it has replaced one that is gone, which is struck off, or
 // has come to stay. None is struck off but by a replacement, however long it is
 // silent. Also the table from a note's kind to what a member does with it.
-package accord
+package raft
 
 import (
 	"slices"
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/word"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 const (
@@ -20,20 +20,20 @@
 	idle  = 30 * time.Second
 )
 
-var table = map[string]func(*Core, word.Note){
-	word.Found:   word.On((*Core).onFound),
-	word.Join:    word.On((*Core).onJoin),
-	word.Ballot:  word.On((*Core).onBallot),
-	word.Vote:    word.On((*Core).onVote),
-	word.Append:  word.On((*Core).onPush),
-	word.Append2: word.On((*Core).onTaken),
-	word.Snap:    word.On((*Core).onSnap),
-	word.Heir:    word.On((*Core).onHeir),
-	word.Gone:    word.On((*Core).onGone),
+var table = map[string]func(*Core, wire.Note){
+	wire.Found:   wire.On((*Core).onFound),
+	wire.Join:    wire.On((*Core).onJoin),
+	wire.Ballot:  wire.On((*Core).onBallot),
+	wire.Vote:    wire.On((*Core).onVote),
+	wire.Append:  wire.On((*Core).onPush),
+	wire.Append2: wire.On((*Core).onTaken),
+	wire.Snap:    wire.On((*Core).onSnap),
+	wire.Heir:    wire.On((*Core).onHeir),
+	wire.Gone:    wire.On((*Core).onGone),
 }
 
 // Take handles a note; false when it is not one for this machine.
-func (c *Core) Take(now mark.Now, n word.Note) bool {
+func (c *Core) Take(now types.Now, n wire.Note) bool {
 	c.now = now
 	f, ok := table[n.Kind]
 	if ok && c.role != out {
@@ -42,7 +42,7 @@
 	return ok
 }
 
-func (c *Core) onGone(_ mark.Addr, g gone) {
+func (c *Core) onGone(_ types.Addr, g gone) {
 	if g.Name == c.name && g.ID == c.self.ID && c.role != lead && g.At >= c.commit {
 		c.role, c.why = out, "struck off the roll; empty the data folder to come back as a new member"
 	}
@@ -51,13 +51,13 @@
 // settled is true for a leader whose roll is committed, and an entry of its term.
 func (c *Core) settled() bool { return c.commit >= c.first && c.commit >= c.rollAt && c.heir == "" }
 
-func (c *Core) onJoin(from mark.Addr, j join) {
+func (c *Core) onJoin(from types.Addr, j join) {
 	if c.role != lead || j.Name != c.name || !c.settled() {
 		return
 	}
 	_, ok := c.roll.Find(j.Who.ID)
 	if !ok && j.Old && c.Firm() {
-		c.say(from, word.Gone, gone{c.name, j.Who.ID, c.commit})
+		c.say(from, wire.Gone, gone{c.name, j.Who.ID, c.commit})
 	}
 	if ok || j.Old || len(c.roll) >= crowd {
 		return
@@ -73,7 +73,7 @@
 	}
 }
 
-func (c *Core) without(id mark.ID) (r Roll) {
+func (c *Core) without(id types.ID) (r Roll) {
 	for _, m := range c.roll {
 		if m.ID != id {
 			r = append(r, m)
--- a/door/door_test.go
+++ b/internal/server/door_test.go
@@ -1,7 +1,7 @@
-// The gate's pages over real HTTP: what is wrong is refused at once, with the
+// The gateway's pages over real HTTP: what is wrong is refused at once, with the
 // exact status, a stable kind and the field; what can't be served now says when
 // to come back. No request is left without an answer.
-package door
+package server
 
 import (
 	"context"
@@ -15,18 +15,18 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/fault"
-	"coppercourse/gate"
-	"coppercourse/word"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/gateway"
+	"coppercourse/internal/wire"
 )
 
-// lone is a gate that knows no other daemon.
+// lone is a gateway that knows no other daemon.
 func lone(t *testing.T) (*Pages, *httptest.Server) {
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	post := NewPost(ctx, "")
 	o := NewOwner(post, nil)
-	m := gate.New(Now(), rand.New(rand.NewSource(1)), gate.Place{Addr: "127.0.0.1:9", Loc: "z"})
+	m := gateway.New(Now(), rand.New(rand.NewSource(1)), gateway.Place{Addr: "127.0.0.1:9", Loc: "z"})
 	o.Carry(m)
 	o.Show = func() any { return m.Status() }
 	p := &Pages{Owner: o, Post: post, Trail: m.Trail, Ready: func() bool { return false }}
@@ -43,25 +43,25 @@
 	for _, c := range []struct {
 		method, path, body string
 		code               int
-		kind               fault.Kind
+		kind               apierror.Kind
 		field              string
 	}{
-		{"GET", "/nowhere", "", 404, fault.NoPath, ""},
-		{"POST", "/v1/table", "", 405, fault.NoMethod, ""},
-		{"DELETE", "/v1/jobs/a", "", 405, fault.NoMethod, ""},
-		{"PUT", "/v1/jobs/a", "{", 400, fault.BadBody, ""},
-		{"PUT", "/v1/jobs/a", strings.Repeat(" ", 300_000) + job, 413, fault.TooLarge, ""},
-		{"PUT", "/v1/jobs/a%20b", job, 422, fault.BadField, "id"},
-		{"PUT", "/v1/jobs/" + strings.Repeat("a", 65), job, 422, fault.BadField, "id"},
-		{"PUT", "/v1/jobs/a", `{"queue":"q","steps":[{"name":"a","kind":"x","tasks":-1}]}`, 422, fault.BadField, "steps[0].tasks"},
-		{"PUT", "/v1/jobs/a", job, 503, fault.NoLead, ""},
-		{"GET", "/v1/jobs/a", "", 503, fault.NoLead, ""},
-		{"POST", "/v1/jobs/a/cancel", "", 503, fault.NoLead, ""},
-		{"PUT", "/v1/table", `{"queues":[]}`, 422, fault.BadField, "edition"},
-		{"PUT", "/v1/table", `{"edition":0,"queues":[{"name":"a","weight":0}]}`, 422, fault.BadField, "queues[0].weight"},
-		{"PUT", "/v1/table", `{"edition":0,"queues":[{"name":"a"},{"name":"a"}]}`, 422, fault.BadField, "queues[1].name"},
-		{"PUT", "/v1/table", `{"edition":0,"queues":[{"name":"a","share":60},{"name":"b","share":60}]}`, 422, fault.BadField, "queues"},
-		{"GET", "/ready", "", 503, fault.NotReady, ""},
+		{"GET", "/nowhere", "", 404, apierror.NoPath, ""},
+		{"POST", "/v1/table", "", 405, apierror.NoMethod, ""},
+		{"DELETE", "/v1/jobs/a", "", 405, apierror.NoMethod, ""},
+		{"PUT", "/v1/jobs/a", "{", 400, apierror.BadBody, ""},
+		{"PUT", "/v1/jobs/a", strings.Repeat(" ", 300_000) + job, 413, apierror.TooLarge, ""},
+		{"PUT", "/v1/jobs/a%20b", job, 422, apierror.BadField, "id"},
+		{"PUT", "/v1/jobs/" + strings.Repeat("a", 65), job, 422, apierror.BadField, "id"},
+		{"PUT", "/v1/jobs/a", `{"queue":"q","steps":[{"name":"a","kind":"x","tasks":-1}]}`, 422, apierror.BadField, "steps[0].tasks"},
+		{"PUT", "/v1/jobs/a", job, 503, apierror.NoLead, ""},
+		{"GET", "/v1/jobs/a", "", 503, apierror.NoLead, ""},
+		{"POST", "/v1/jobs/a/cancel", "", 503, apierror.NoLead, ""},
+		{"PUT", "/v1/table", `{"queues":[]}`, 422, apierror.BadField, "edition"},
+		{"PUT", "/v1/table", `{"edition":0,"queues":[{"name":"a","weight":0}]}`, 422, apierror.BadField, "queues[0].weight"},
+		{"PUT", "/v1/table", `{"edition":0,"queues":[{"name":"a"},{"name":"a"}]}`, 422, apierror.BadField, "queues[1].name"},
+		{"PUT", "/v1/table", `{"edition":0,"queues":[{"name":"a","share":60},{"name":"b","share":60}]}`, 422, apierror.BadField, "queues"},
+		{"GET", "/ready", "", 503, apierror.NotReady, ""},
 	} {
 		t.Run(c.method+c.path[:min(20, len(c.path))]+string(c.kind)+c.field, func(t *testing.T) {
 			t.Parallel()
@@ -71,7 +71,7 @@
 			res, err := http.DefaultClient.Do(req)
 			is.NoErr(err)
 			defer res.Body.Close()
-			var f fault.Fault
+			var f apierror.Fault
 			is.NoErr(json.NewDecoder(res.Body).Decode(&f))
 			is.Equal(res.StatusCode, c.code)
 			is.Equal(f.Kind, c.kind)
@@ -111,9 +111,9 @@
 	res, err := http.Get(srv.URL + "/v1/jobs/a")
 	is.NoErr(err)
 	defer res.Body.Close()
-	var f fault.Fault
+	var f apierror.Fault
 	is.NoErr(json.NewDecoder(res.Body).Decode(&f))
-	is.Equal(f.Kind, fault.Closing)
+	is.Equal(f.Kind, apierror.Closing)
 	is.True(res.Close)
 }
 
@@ -121,9 +121,9 @@
 	is := is.New(t)
 	o := NewOwner(nil, nil) // nobody takes from it
 	for range inbox {
-		is.True(o.Note(word.Note{}))
+		is.True(o.Note(wire.Note{}))
 	}
 	a := o.Ask(context.Background(), "job.get", "a", nil)
-	is.Equal(a.Fault.Kind, fault.Crowd)
+	is.Equal(a.Fault.Kind, apierror.Crowd)
 	is.True(a.Fault.Retry > 0)
 }
--- a/door/entry.go
+++ b/internal/server/entry.go
@@ -1,7 +1,7 @@
-// The gate's own pages: jobs, the table, and what operators look at. Requests
+// The gateway's own pages: jobs, the table, and what operators look at. Requests
 // are read and checked here, against the table as last published, before they
-// become an event for the gate's owner.
-package door
+// become an event for the gateway's owner.
+package server
 
 import (
 	"net/http"
@@ -10,12 +10,12 @@
 
 	"github.com/gorilla/mux"
 
-	"coppercourse/almanac"
-	"coppercourse/blueprint"
-	"coppercourse/fault"
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/word"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/maintenance"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 // Entry checks requests on their way in.
@@ -24,25 +24,25 @@
 }
 
 type held struct {
-	table blueprint.Table
+	table config.Table
 	fresh bool
-	names map[mark.Queue]bool
+	names map[types.Queue]bool
 }
 
 // Publish puts a table in place of the last, for all requests from now on.
-func (e *Entry) Publish(t blueprint.Table, fresh bool) {
+func (e *Entry) Publish(t config.Table, fresh bool) {
 	h := e.held.Load()
 	if h != nil && h.table.Edition == t.Edition && h.fresh == fresh {
 		return
 	}
-	n := &held{t, fresh, map[mark.Queue]bool{}}
+	n := &held{t, fresh, map[types.Queue]bool{}}
 	for _, r := range t.Rows {
 		n.names[r.Name] = true
 	}
 	e.held.Store(n)
 }
 
-// Routes adds the gate's pages to those that all daemons have.
+// Routes adds the gateway's pages to those that all daemons have.
 func (e *Entry) Routes(p *Pages) http.Handler {
 	r := p.Router()
 	r.HandleFunc("/v1/jobs/{id}", named(put(p, "job.put", e.job))).Methods(http.MethodPut)
@@ -67,8 +67,8 @@
 // named lets a request pass only with a proper job id.
 func named(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
-		if bad := blueprint.Name(mux.Vars(q)["id"]); bad != "" {
-			Fail(w, fault.New(fault.BadField, "id", bad))
+		if bad := config.Name(mux.Vars(q)["id"]); bad != "" {
+			Fail(w, apierror.New(apierror.BadField, "id", bad))
 			return
 		}
 		next(w, q)
@@ -76,43 +76,43 @@
 }
 
 // put reads, checks and hands on the body of a request.
-func put[T any](p *Pages, verb string, read func(*http.Request, []byte, *fault.Heap) T) http.HandlerFunc {
+func put[T any](p *Pages, verb string, read func(*http.Request, []byte, *apierror.Heap) T) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
-		b, ok := Read(w, q, store.Body)
+		b, ok := Read(w, q, state.Body)
 		if !ok {
 			return
 		}
-		var heap fault.Heap
+		var heap apierror.Heap
 		body := read(q, b, &heap)
 		if f := heap.First(); f != nil {
 			Fail(w, f)
 			return
 		}
-		Give(w, p.Owner.Ask(q.Context(), verb, arg(q), word.Body(body)))
+		Give(w, p.Owner.Ask(q.Context(), verb, arg(q), wire.Body(body)))
 	}
 }
 
-func (e *Entry) job(_ *http.Request, b []byte, heap *fault.Heap) store.Spec {
-	s := store.ReadSpec(b, heap)
+func (e *Entry) job(_ *http.Request, b []byte, heap *apierror.Heap) state.Spec {
+	s := state.ReadSpec(b, heap)
 	if h := e.held.Load(); len(heap.List()) == 0 && h != nil && h.fresh && !h.names[s.Queue] {
-		heap.Add(fault.NoQueue, "queue", "no queue is called "+string(s.Queue))
+		heap.Add(apierror.NoQueue, "queue", "no queue is called "+string(s.Queue))
 	}
 	return s
 }
 
-func table(_ *http.Request, b []byte, heap *fault.Heap) blueprint.Table {
-	return blueprint.ReadTable(b, heap)
+func table(_ *http.Request, b []byte, heap *apierror.Heap) config.Table {
+	return config.ReadTable(b, heap)
 }
 
-func drain(_ *http.Request, b []byte, heap *fault.Heap) blueprint.Drain {
-	return blueprint.ReadDrain(b, heap)
+func drain(_ *http.Request, b []byte, heap *apierror.Heap) config.Drain {
+	return config.ReadDrain(b, heap)
 }
 
-func plan(q *http.Request, b []byte, heap *fault.Heap) store.Plan {
-	c := blueprint.ReadCalendar(b, heap)
-	x := store.Plan{Name: mux.Vars(q)["id"], Target: store.Target{Shard: c.Shard, Rack: c.Rack}}
+func plan(q *http.Request, b []byte, heap *apierror.Heap) state.Plan {
+	c := config.ReadCalendar(b, heap)
+	x := state.Plan{Name: mux.Vars(q)["id"], Target: state.Target{Shard: c.Shard, Rack: c.Rack}}
 	if len(heap.List()) == 0 {
-		x.Spans = almanac.Read([]byte(c.Text), time.Now(), heap)
+		x.Spans = maintenance.Read([]byte(c.Text), time.Now(), heap)
 	}
 	if len(heap.List()) == 0 {
 		heap.Check(len(x.Spans) > 0, "ics", "no window of it is still to come")
--- a/door/net.go
+++ b/internal/server/net.go
@@ -1,7 +1,7 @@
 // Sockets of a daemon: what it listens on and how it dials. A peer behind a cut
 // or without power says nothing, so both ends probe, and data that is not taken
 // breaks the connection.
-package door
+package server
 
 import (
 	"context"
--- a/door/owner.go
+++ b/internal/server/owner.go
@@ -1,7 +1,7 @@
-// Package door is the shell round a state machine: the one goroutine that owns
+// Package server is the shell round a state machine: the one goroutine that owns
 // it, the disk writer, the outgoing posts and the HTTP pages. What the machine
 // shows is published as immutable values behind atomic pointers.
-package door
+package server
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"sync/atomic"
 	"time"
 
-	"coppercourse/fault"
-	"coppercourse/lore"
-	"coppercourse/mark"
-	"coppercourse/word"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wal"
+	"coppercourse/internal/wire"
 )
 
 const (
@@ -23,18 +23,18 @@
 )
 
 type event struct {
-	word.Event
-	back chan word.Answer
+	wire.Event
+	back chan wire.Answer
 }
 
 // Owner runs one machine.
 type Owner struct {
-	m      word.Machine
+	m      wire.Machine
 	post   *Post
 	disk   *Disk
 	in     chan event
 	closed chan struct{}
-	asks   map[uint64]chan word.Answer
+	asks   map[uint64]chan wire.Answer
 	next   uint64
 	shown  time.Time
 	Show   func() any // run by the owner, to publish
@@ -49,13 +49,13 @@
 var start = time.Now()
 
 // Now reads the clocks; nothing else in the daemons does for a machine.
-func Now() mark.Now {
+func Now() types.Now {
 	t := time.Now()
-	return mark.Now{Mono: mark.Stamp(t.Sub(start)), Wall: mark.Wall(t.UnixNano())}
+	return types.Now{Mono: types.Stamp(t.Sub(start)), Wall: types.Wall(t.UnixNano())}
 }
 
-func NewOwner(post *Post, file *lore.File) *Owner {
-	o := &Owner{post: post, in: make(chan event, inbox), closed: make(chan struct{}), asks: map[uint64]chan word.Answer{},
+func NewOwner(post *Post, file *wal.File) *Owner {
+	o := &Owner{post: post, in: make(chan event, inbox), closed: make(chan struct{}), asks: map[uint64]chan wire.Answer{},
 		slots: make(chan struct{}, callsAtOnce)}
 	if file != nil {
 		o.disk = &Disk{file: file, in: make(chan batch, 1024), done: o.synced}
@@ -64,19 +64,19 @@
 }
 
 // Carry sets the machine; it must be called before Run.
-func (o *Owner) Carry(m word.Machine) { o.m = m }
+func (o *Owner) Carry(m wire.Machine) { o.m = m }
 
 func (o *Owner) synced(seq uint64) {
 	select {
-	case o.in <- event{Event: word.Event{Synced: seq}}:
+	case o.in <- event{Event: wire.Event{Synced: seq}}:
 	case <-o.closed:
 	}
 }
 
 // Note gives the machine a message; false when its inbox is full.
-func (o *Owner) Note(n word.Note) bool {
+func (o *Owner) Note(n wire.Note) bool {
 	select {
-	case o.in <- event{Event: word.Event{Note: &n}}:
+	case o.in <- event{Event: wire.Event{Note: &n}}:
 		return true
 	default:
 		o.full.Add(1)
@@ -85,30 +85,30 @@
 }
 
 // Ask gives the machine a request and waits for its answer.
-func (o *Owner) Ask(ctx context.Context, verb, arg string, body json.RawMessage) word.Answer {
-	back := make(chan word.Answer, 1)
-	ask := &word.Ask{Verb: verb, Arg: arg, Body: body}
+func (o *Owner) Ask(ctx context.Context, verb, arg string, body json.RawMessage) wire.Answer {
+	back := make(chan wire.Answer, 1)
+	ask := &wire.Ask{Verb: verb, Arg: arg, Body: body}
 	if by, ok := ctx.Deadline(); ok {
 		ask.Limit = max(1, time.Until(by))
 	}
 	select {
-	case o.in <- event{word.Event{Ask: ask}, back}:
+	case o.in <- event{wire.Event{Ask: ask}, back}:
 	default:
 		o.full.Add(1)
-		return word.Answer{Fault: fault.New(fault.Crowd, "", "more requests than this daemon can take in").After(2 * time.Second)}
+		return wire.Answer{Fault: apierror.New(apierror.Crowd, "", "more requests than this daemon can take in").After(2 * time.Second)}
 	}
 	select {
 	case a := <-back:
 		return a
 	case <-o.closed:
-		return word.Answer{Fault: fault.New(fault.Closing, "", "this daemon is stopping").After(time.Second)}
+		return wire.Answer{Fault: apierror.New(apierror.Closing, "", "this daemon is stopping").After(time.Second)}
 	case <-ctx.Done():
-		return word.Answer{Fault: fault.New(fault.Unsure, "", "no answer within the time there was")}
+		return wire.Answer{Fault: apierror.New(apierror.Unsure, "", "no answer within the time there was")}
 	}
 }
 
 // Close tells the machine that its end is planned.
-func (o *Owner) Close() { o.in <- event{Event: word.Event{Close: true}} }
+func (o *Owner) Close() { o.in <- event{Event: wire.Event{Close: true}} }
 
 // Idle tells whether a machine that was told to close has nothing left to do.
 func (o *Owner) Idle() bool { return o.idle.Load() }
@@ -168,7 +168,7 @@
 	}
 	if o.Show != nil && time.Since(o.shown) > show {
 		o.shown = time.Now()
-		b := word.Body(o.Show())
+		b := wire.Body(o.Show())
 		o.view.Store(&b)
 	}
 }
@@ -181,7 +181,7 @@
 
 // Disk is the one writer of the file. All batches that wait are synced as one.
 type Disk struct {
-	file *lore.File
+	file *wal.File
 	in   chan batch
 	done func(uint64)
 }
@@ -189,7 +189,7 @@
 var errDisk = errors.New("disk")
 
 func (d *Disk) Run(ctx context.Context) error {
-	rest := time.NewTimer(lore.Rest)
+	rest := time.NewTimer(wal.Rest)
 	defer rest.Stop()
 	for {
 		select {
@@ -208,7 +208,7 @@
 				return errors.Join(errDisk, err)
 			}
 			d.done(group[len(group)-1].seq)
-			rest.Reset(lore.Rest)
+			rest.Reset(wal.Rest)
 		}
 	}
 }
--- a/door/pages.go
+++ b/internal/server/pages.go
@@ -1,5 +1,5 @@
 // The pages every daemon has, and the way from a request to an answer.
-package door
+package server
 
 import (
 	"bytes"
@@ -13,18 +13,18 @@
 
 	"github.com/gorilla/mux"
 
-	"coppercourse/fault"
-	"coppercourse/lore"
-	"coppercourse/store"
-	"coppercourse/trail"
-	"coppercourse/word"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/state"
+	"coppercourse/internal/trace"
+	"coppercourse/internal/wal"
+	"coppercourse/internal/wire"
 )
 
 // Pages are a daemon's routes and what they show.
 type Pages struct {
 	Owner *Owner
 	Post  *Post
-	Trail *trail.Ring
+	Trail *trace.Ring
 	Ready func() bool
 	drain atomic.Bool
 	shut  atomic.Bool
@@ -40,13 +40,13 @@
 	r.HandleFunc("/metrics", p.metrics).Methods(http.MethodGet)
 	r.HandleFunc("/v1/status", func(w http.ResponseWriter, _ *http.Request) { write(w, 200, p.Owner.View()) }).Methods(http.MethodGet)
 	r.HandleFunc("/v1/trace", func(w http.ResponseWriter, q *http.Request) {
-		write(w, 200, word.Body(p.Trail.Of(q.URL.Query().Get("subject"))))
+		write(w, 200, wire.Body(p.Trail.Of(q.URL.Query().Get("subject"))))
 	}).Methods(http.MethodGet)
 	r.NotFoundHandler = http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		Fail(w, fault.New(fault.NoPath, "", "no such path: "+q.URL.Path))
+		Fail(w, apierror.New(apierror.NoPath, "", "no such path: "+q.URL.Path))
 	})
 	r.MethodNotAllowedHandler = http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		Fail(w, fault.New(fault.NoMethod, "", q.Method+" is not for this path"))
+		Fail(w, apierror.New(apierror.NoMethod, "", q.Method+" is not for this path"))
 	})
 	return r
 }
@@ -61,7 +61,7 @@
 			w.Header().Set("Connection", "close")
 		}
 		if p.shut.Load() && q.URL.Path != "/mate" {
-			Fail(w, fault.New(fault.Closing, "", "this daemon is stopping; ask another"))
+			Fail(w, apierror.New(apierror.Closing, "", "this daemon is stopping; ask another"))
 			return
 		}
 		next.ServeHTTP(w, q)
@@ -75,15 +75,15 @@
 }
 
 // Fail answers with a fault, by the one table.
-func Fail(w http.ResponseWriter, f *fault.Fault) {
+func Fail(w http.ResponseWriter, f *apierror.Fault) {
 	if f.Retry > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(f.Retry))
 	}
-	write(w, f.Code(), word.Body(f))
+	write(w, f.Code(), wire.Body(f))
 }
 
 // Give answers with what the machine said.
-func Give(w http.ResponseWriter, a word.Answer) {
+func Give(w http.ResponseWriter, a wire.Answer) {
 	if a.Fault != nil {
 		Fail(w, a.Fault)
 		return
@@ -92,7 +92,7 @@
 }
 
 // ReadBody takes a request's body up to a size, or tells why not.
-func ReadBody(w http.ResponseWriter, q *http.Request, most int64) ([]byte, *fault.Fault) {
+func ReadBody(w http.ResponseWriter, q *http.Request, most int64) ([]byte, *apierror.Fault) {
 	var buf bytes.Buffer
 	if q.ContentLength > 0 {
 		buf.Grow(int(min(q.ContentLength, most)) + bytes.MinRead)
@@ -102,9 +102,9 @@
 		return buf.Bytes(), nil
 	}
 	if _, large := err.(*http.MaxBytesError); large {
-		return nil, fault.New(fault.TooLarge, "", fmt.Sprintf("larger than %d bytes", most))
+		return nil, apierror.New(apierror.TooLarge, "", fmt.Sprintf("larger than %d bytes", most))
 	}
-	return nil, fault.New(fault.BadBody, "", "the body could not be read")
+	return nil, apierror.New(apierror.BadBody, "", "the body could not be read")
 }
 
 // Read takes a request's body up to a size, or answers why not.
@@ -119,12 +119,12 @@
 // Ask reads a body and has the machine answer it.
 func (p *Pages) Ask(verb string) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
-		b, ok := Read(w, q, store.Body)
+		b, ok := Read(w, q, state.Body)
 		if !ok {
 			return
 		}
 		if len(b) > 0 && !json.Valid(b) {
-			Fail(w, fault.New(fault.BadBody, "", "not well-formed JSON"))
+			Fail(w, apierror.New(apierror.BadBody, "", "not well-formed JSON"))
 			return
 		}
 		Give(w, p.Owner.Ask(q.Context(), verb, arg(q), b))
@@ -141,18 +141,18 @@
 }
 
 func (p *Pages) mate(w http.ResponseWriter, q *http.Request) {
-	b, ok := Read(w, q, lore.MaxLen)
+	b, ok := Read(w, q, wal.MaxLen)
 	if !ok {
 		return
 	}
-	var list []word.Note
+	var list []wire.Note
 	if json.Unmarshal(b, &list) != nil {
-		Fail(w, fault.New(fault.BadBody, "", "not a list of notes"))
+		Fail(w, apierror.New(apierror.BadBody, "", "not a list of notes"))
 		return
 	}
 	for _, n := range list {
 		if !p.Owner.Note(n) {
-			Fail(w, fault.New(fault.Crowd, "", "inbox full"))
+			Fail(w, apierror.New(apierror.Crowd, "", "inbox full"))
 			return
 		}
 	}
@@ -164,7 +164,7 @@
 
 func (p *Pages) ready(w http.ResponseWriter, _ *http.Request) {
 	if !p.Open() {
-		Fail(w, fault.New(fault.NotReady, "", "not ready; see /v1/status"))
+		Fail(w, apierror.New(apierror.NotReady, "", "not ready; see /v1/status"))
 		return
 	}
 	write(w, 200, []byte(`{"ready":true}`))
--- a/door/post.go
+++ b/internal/server/post.go
@@ -1,7 +1,7 @@
 // Outgoing messages: one queue and one connection for each mate, what waits in
 // a queue shares a request, and what does not get through is dropped, since the
 // machines repeat whatever matters.
-package door
+package server
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 	"sync/atomic"
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/word"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 const (
@@ -33,7 +33,7 @@
 	ctx     context.Context
 	client  *http.Client
 	mu      sync.Mutex
-	lanes   map[mark.Addr]*lane
+	lanes   map[types.Addr]*lane
 	Sent    atomic.Uint64
 	Failed  atomic.Uint64
 	Dropped atomic.Uint64
@@ -43,12 +43,12 @@
 // the oldest go first then, since newer ones say the same or more.
 type lane struct {
 	mu   sync.Mutex
-	list []word.Note
+	list []wire.Note
 	size int
 	wake chan struct{}
 }
 
-func (l *lane) put(n word.Note) (dropped int) {
+func (l *lane) put(n wire.Note) (dropped int) {
 	l.mu.Lock()
 	l.list = append(l.list, n)
 	l.size += len(n.Body)
@@ -66,7 +66,7 @@
 }
 
 // take gives what fits into one request.
-func (l *lane) take() (group []word.Note) {
+func (l *lane) take() (group []wire.Note) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	size := 0
@@ -86,11 +86,11 @@
 
 // NewPost makes a sender whose connections come from the given IP, if any.
 func NewPost(ctx context.Context, source string) *Post {
-	return &Post{ctx: ctx, client: Client(source, 2*time.Second), lanes: map[mark.Addr]*lane{}}
+	return &Post{ctx: ctx, client: Client(source, 2*time.Second), lanes: map[types.Addr]*lane{}}
 }
 
 // Send puts a note into its lane; a full lane drops its oldest.
-func (p *Post) Send(s word.Send) {
+func (p *Post) Send(s wire.Send) {
 	p.mu.Lock()
 	l := p.lanes[s.To]
 	if l == nil {
@@ -107,7 +107,7 @@
 	p.Dropped.Add(uint64(l.put(s.Note)))
 }
 
-func (p *Post) run(to mark.Addr, l *lane) {
+func (p *Post) run(to types.Addr, l *lane) {
 	for {
 		select {
 		case <-p.ctx.Done():
@@ -120,7 +120,7 @@
 	}
 }
 
-func (p *Post) deliver(to mark.Addr, group []word.Note) {
+func (p *Post) deliver(to types.Addr, group []wire.Note) {
 	b, err := json.Marshal(group)
 	if err != nil {
 		panic(err)
--- a/door/post_test.go
+++ b/internal/server/post_test.go
@@ -1,4 +1,4 @@
-package door
+package server
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/word"
+	"coppercourse/internal/wire"
 )
 
 // What waits for a mate that takes nothing is bounded in bytes, and the newest stay.
@@ -16,7 +16,7 @@
 	big := bytes.Repeat([]byte("x"), 100<<10)
 	dropped := 0
 	for i := range 200 {
-		dropped += l.put(word.Note{Kind: string(rune('a' + i%26)), Body: big})
+		dropped += l.put(wire.Note{Kind: string(rune('a' + i%26)), Body: big})
 	}
 	is.True(l.size <= heavy)
 	is.Equal(len(l.list)+dropped, 200)
@@ -30,7 +30,7 @@
 	}
 	is.Equal(l.size, 0)
 	for range 5000 {
-		l.put(word.Note{Body: []byte("1")})
+		l.put(wire.Note{Body: []byte("1")})
 	}
 	is.Equal(len(l.list), depth)
 	is.Equal(len(l.take()), share)
--- a/door/serve.go
+++ b/internal/server/serve.go
@@ -2,7 +2,7 @@
 // a warning stop in order. First it says that it is not ready and hands its
 // duties over, then it waits until all that was read is answered, and only
 // then does it close the listeners and end.
-package door
+package server
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"github.com/go-logr/logr"
 	"golang.org/x/net/netutil"
 
-	"coppercourse/blueprint"
-	"coppercourse/care"
-	"coppercourse/fault"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/supervisor"
 )
 
 // Port is one address a daemon listens on, and what it answers there. Limits,
@@ -25,7 +25,7 @@
 type Port struct {
 	Addr    string
 	Handler http.Handler
-	Limits  func() blueprint.Limits
+	Limits  func() config.Limits
 	Conns   int
 }
 
@@ -48,7 +48,7 @@
 	for _, port := range ports {
 		ln, err := Listen(ctx, port.Addr)
 		if err != nil {
-			return fault.Wrap(fault.BadSetting, err, "listen")
+			return apierror.Wrap(apierror.BadSetting, err, "listen")
 		}
 		servers = append(servers, open(ln, p, port))
 		log.Info("serving", "listen", port.Addr)
@@ -60,11 +60,11 @@
 func serve(ctx context.Context, log logr.Logger, p *Pages, end Parting, servers []*server) error {
 	root, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	kids := []care.Child{{Name: "owner", Vital: true, Run: p.Owner.Run}}
+	kids := []supervisor.Child{{Name: "owner", Vital: true, Run: p.Owner.Run}}
 	for _, s := range servers {
-		kids = append(kids, care.Child{Name: "http " + s.port.Addr, Vital: true, Run: s.run})
+		kids = append(kids, supervisor.Child{Name: "http " + s.port.Addr, Vital: true, Run: s.run})
 	}
-	kids = append(kids, care.Child{Name: "stop", Run: func(c context.Context) error {
+	kids = append(kids, supervisor.Child{Name: "stop", Run: func(c context.Context) error {
 		select {
 		case <-ctx.Done():
 			p.wind(c, log, end)
@@ -77,9 +77,9 @@
 		return nil
 	}})
 	if p.Owner.disk != nil {
-		kids = append(kids, care.Child{Name: "disk", Vital: true, Run: p.Owner.disk.Run})
+		kids = append(kids, supervisor.Child{Name: "disk", Vital: true, Run: p.Owner.disk.Run})
 	}
-	return care.Run(root, log, care.Branch(log, "daemon", kids...))
+	return supervisor.Run(root, log, supervisor.Branch(log, "daemon", kids...))
 }
 
 // wind stops taking part: unready first, duties handed over, then answers.
@@ -110,7 +110,7 @@
 	port Port
 	ln   net.Listener
 	h    http.Handler
-	now  blueprint.Limits
+	now  config.Limits
 	web  *http.Server
 	in   *feed
 	olds []*http.Server
@@ -136,7 +136,7 @@
 const reuse = 5 * time.Second
 
 // turn makes a server within the bounds of now.
-func (s *server) turn(l blueprint.Limits) {
+func (s *server) turn(l config.Limits) {
 	if s.web != nil {
 		s.olds = append(s.olds, s.web)
 	}
@@ -149,9 +149,9 @@
 	go s.web.Serve(s.in)
 }
 
-func (s *server) limits() blueprint.Limits {
+func (s *server) limits() config.Limits {
 	if s.port.Limits == nil {
-		return blueprint.Limits{}
+		return config.Limits{}
 	}
 	return s.port.Limits()
 }
--- a/door/serve_test.go
+++ b/internal/server/serve_test.go
@@ -1,6 +1,6 @@
 // A daemon on several addresses: each answers its own, bounds of connections
 // change without a restart, and calls to a worker come back as events.
-package door
+package server
 
 import (
 	"bufio"
@@ -19,26 +19,26 @@
 	"github.com/go-logr/logr"
 	"github.com/matryer/is"
 
-	"coppercourse/blueprint"
-	"coppercourse/fault"
-	"coppercourse/word"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/wire"
 )
 
 // echo is a machine that calls a worker at its first step and keeps the replies.
 type echo struct {
-	calls   []word.WorkerCall
-	replies chan word.WorkerReply
+	calls   []wire.WorkerCall
+	replies chan wire.WorkerReply
 	closed  bool
 }
 
-func (m *echo) Step(e word.Event) word.Out {
-	out := word.Out{Calls: m.calls, Idle: m.closed}
+func (m *echo) Step(e wire.Event) wire.Out {
+	out := wire.Out{Calls: m.calls, Idle: m.closed}
 	m.calls = nil
 	if e.Reply != nil {
 		m.replies <- *e.Reply
 	}
 	if e.Ask != nil {
-		out.Answers = []word.Answer{{Token: e.Ask.Token, Code: 200, Body: word.Body(e.Ask.Limit > 0)}}
+		out.Answers = []wire.Answer{{Token: e.Ask.Token, Code: 200, Body: wire.Body(e.Ask.Limit > 0)}}
 	}
 	m.closed = m.closed || e.Close
 	return out
@@ -66,13 +66,13 @@
 	o := NewOwner(NewPost(context.Background(), ""), nil)
 	o.Carry(&echo{})
 	p := &Pages{Owner: o, Ready: func() bool { return true }}
-	var limits atomic.Pointer[blueprint.Limits]
-	limits.Store(&blueprint.Limits{Header: 1000, IdleMS: 100, HeaderMS: int(hang.Milliseconds())})
+	var limits atomic.Pointer[config.Limits]
+	limits.Store(&config.Limits{Header: 1000, IdleMS: 100, HeaderMS: int(hang.Milliseconds())})
 	ctx, stop := context.WithCancel(context.Background())
 	end := make(chan error)
 	go func() {
 		end <- Serve(ctx, logr.Discard(), p, Leave(800*time.Millisecond, 200*time.Millisecond),
-			Port{Addr: a, Handler: said("inner")}, Port{Addr: b, Handler: said("front"), Limits: func() blueprint.Limits { return *limits.Load() }})
+			Port{Addr: a, Handler: said("inner")}, Port{Addr: b, Handler: said("front"), Limits: func() config.Limits { return *limits.Load() }})
 	}()
 	get := func(to, head string) string {
 		for {
@@ -101,7 +101,7 @@
 	res, err := http.ReadResponse(bufio.NewReader(kept), nil)
 	is.NoErr(err)
 	is.Equal(res.StatusCode, 200)
-	limits.Store(&blueprint.Limits{Header: 16 << 10, IdleMS: 10 * int(hang.Milliseconds())})
+	limits.Store(&config.Limits{Header: 16 << 10, IdleMS: 10 * int(hang.Milliseconds())})
 	is.Equal(get(b, long), "200 front") // without a restart
 	kept.SetReadDeadline(time.Now().Add(hang))
 	_, err = io.Copy(io.Discard, kept)
@@ -172,10 +172,10 @@
 func TestCallsComeBackAsEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		m := &echo{replies: make(chan word.WorkerReply, 100)}
+		m := &echo{replies: make(chan wire.WorkerReply, 100)}
 		for no := uint64(1); no < 100; no += 2 {
-			m.calls = append(m.calls, word.WorkerCall{No: no, Kind: word.Start, Limit: 300 * time.Millisecond},
-				word.WorkerCall{No: no + 1, Kind: word.Hold, Wait: time.Second, Limit: 5 * time.Second})
+			m.calls = append(m.calls, wire.WorkerCall{No: no, Kind: wire.Start, Limit: 300 * time.Millisecond},
+				wire.WorkerCall{No: no + 1, Kind: wire.Hold, Wait: time.Second, Limit: 5 * time.Second})
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
@@ -183,9 +183,9 @@
 		o.Carry(m)
 		var mu sync.Mutex
 		var under, most int
-		o.Caller = func(ctx context.Context, c word.WorkerCall) word.WorkerReply {
-			if c.Kind == word.Hold {
-				return word.WorkerReply{Result: word.Taken}
+		o.Caller = func(ctx context.Context, c wire.WorkerCall) wire.WorkerReply {
+			if c.Kind == wire.Hold {
+				return wire.WorkerReply{Result: wire.Taken}
 			}
 			mu.Lock()
 			under++
@@ -195,17 +195,17 @@
 			mu.Lock()
 			under--
 			mu.Unlock()
-			return word.WorkerReply{Result: word.Silent}
+			return wire.WorkerReply{Result: wire.Silent}
 		}
 		go o.Run(ctx)
-		got := map[word.Result]int{}
+		got := map[wire.Result]int{}
 		for range 50 {
 			is.Equal((<-m.replies).No%2, uint64(0)) // holds do not wait for the rest
 		}
 		for range 50 {
 			got[(<-m.replies).Result]++
 		}
-		is.Equal(got, map[word.Result]int{word.Silent: callsAtOnce, word.Sick: 50 - callsAtOnce}) // the others were never sent
+		is.Equal(got, map[wire.Result]int{wire.Silent: callsAtOnce, wire.Sick: 50 - callsAtOnce}) // the others were never sent
 		is.Equal(most, callsAtOnce)
 	})
 }
@@ -223,6 +223,6 @@
 		is.Equal(string(o.Ask(short, "x", "", nil).Body), "true")
 		stop()
 		<-o.closed
-		is.Equal(o.Ask(context.Background(), "x", "", nil).Fault.Kind, fault.Closing)
+		is.Equal(o.Ask(context.Background(), "x", "", nil).Fault.Kind, apierror.Closing)
 	})
 }
--- a/place/bounds.go
+++ b/internal/settings/bounds.go
@@ -1,9 +1,9 @@
 // Bounds are what the surroundings of a cluster ask of it: how long a worker runs
 // on without a word, by when a cancel or a table must hold, how long a planned
 // stop may take. The pace is derived from them, so that a timing is said once.
-package place
+package settings
 
-import "coppercourse/fault"
+import "coppercourse/internal/apierror"
 
 // Bounds are in milliseconds; 0 is one that nobody asks for.
 type Bounds struct {
@@ -55,7 +55,7 @@
 }
 
 // check ties bounds and pace together.
-func (b Bounds) check(p Pace, h *fault.Heap) {
+func (b Bounds) check(p Pace, h *apierror.Heap) {
 	within := func(bound int, ok bool, field, reason string) { h.Check(bound == 0 || ok, field, reason) }
 	within(b.Hold, 10*p.Grant <= 9*b.Hold, "pace.grant_ms", "must be at most nine tenths of the longest lease of a worker")
 	within(b.Hold, p.Loss > p.Worker*51/50, "pace.loss_ms", "must outlast a worker's lease on a clock that is 2% slow")
--- a/place/bounds_test.go
+++ b/internal/settings/bounds_test.go
@@ -1,6 +1,6 @@
 // The pace that is derived from bounds: sound for every sensible set of them, and
 // the quick one where they ask for nothing more.
-package place
+package settings
 
 import (
 	"fmt"
@@ -10,11 +10,11 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/fault"
+	"coppercourse/internal/apierror"
 )
 
 func faults(b Bounds) error {
-	h := &fault.Heap{}
+	h := &apierror.Heap{}
 	p := Derive(b)
 	p.check(h)
 	b.check(p, h)
@@ -75,7 +75,7 @@
 
 func TestPaceAgainstBoundsIsTold(t *testing.T) {
 	is := is.New(t)
-	h := &fault.Heap{}
+	h := &apierror.Heap{}
 	p := Defaults().Pace
 	Bounds{Hold: 1400, Gang: 1000, Cancel: 2000, Apply: 1500, Ack: 1500, Contact: 1500, Grace: 600, Notice: 700}.check(p, h)
 	text := h.Err().Error()
--- a/place/place.go
+++ b/internal/settings/place.go
@@ -1,18 +1,18 @@
-// Package place is a daemon's settings: from a file, from flags that go before the file, and
+// Package settings is a daemon's settings: from a file, from flags that go before the file, and
 // from defaults of ours. All faults are told at once, with field and reason.
-package place
+package settings
 
 import (
 	"fmt"
 	"net/netip"
 	"time"
 
-	"coppercourse/accord"
-	"coppercourse/blueprint"
-	"coppercourse/fault"
-	"coppercourse/mark"
-	"coppercourse/news"
-	"coppercourse/truth"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/configwatch"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/raft"
+	"coppercourse/internal/types"
 )
 
 // Settings is a daemon's place and pace.
@@ -25,9 +25,9 @@
 	Data     string
 	Shard    string
 	Log      string
-	Founders []string // helms that found a cluster together, where settings name them
+	Founders []string // controllers that found a cluster together, where settings name them
 	First    bool     // no cluster has been before
-	Loses    int      // helms that may be lost at once, disk and all
+	Loses    int      // controllers that may be lost at once, disk and all
 	Conns    int      // connections at once on one address; 0 is the daemon's own bound
 	Bounds   Bounds
 	Pace     Pace
@@ -44,53 +44,53 @@
 
 // Defaults are the settings before file and flags.
 func Defaults() Settings {
-	t, a := truth.Defaults, accord.Defaults
+	t, a := dispatch.Defaults, raft.Defaults
 	return Settings{Listen: "127.0.0.1:7400", Log: "info", Bounds: Usual, Pace: Pace{Beat: ms(t.Beat), Ill: ms(t.Ill), Loss: ms(t.Loss),
 		Grant: ms(t.Grant), Worker: ms(t.Worker), Again: ms(t.Again), Round: ms(a.Beat), Election: ms(a.Least),
-		Stall: ms(a.Stall), Dead: ms(a.Dead), Stale: ms(news.Stale)}}
+		Stall: ms(a.Stall), Dead: ms(a.Dead), Stale: ms(configwatch.Stale)}}
 }
 
 // ReadSettings lays a file over the defaults.
-func Read(b []byte, s *Settings, heap *fault.Heap) {
-	r := blueprint.NewReader(b, heap)
+func Read(b []byte, s *Settings, heap *apierror.Heap) {
+	r := config.NewReader(b, heap)
 	any := func(string) string { return "" }
 	p := &s.Pace
-	num := func(to *int) blueprint.Field { return blueprint.Num(r, to, 1, 3_600_000) }
-	r.Whole(map[string]blueprint.Field{
-		"listen":    blueprint.Text(r, &s.Listen, any),
-		"address":   blueprint.Text(r, &s.Address, any),
-		"source":    blueprint.Text(r, &s.Source, any),
-		"locality":  blueprint.Text(r, &s.Locality, any),
-		"data":      blueprint.Text(r, &s.Data, any),
-		"shard":     blueprint.Text(r, &s.Shard, any),
-		"log":       blueprint.Text(r, &s.Log, any),
+	num := func(to *int) config.Field { return config.Num(r, to, 1, 3_600_000) }
+	r.Whole(map[string]config.Field{
+		"listen":    config.Text(r, &s.Listen, any),
+		"address":   config.Text(r, &s.Address, any),
+		"source":    config.Text(r, &s.Source, any),
+		"locality":  config.Text(r, &s.Locality, any),
+		"data":      config.Text(r, &s.Data, any),
+		"shard":     config.Text(r, &s.Shard, any),
+		"log":       config.Text(r, &s.Log, any),
 		"seeds":     addrs(r, &s.Seeds),
 		"founders":  addrs(r, &s.Founders),
-		"first":     blueprint.Bool(r, &s.First),
-		"losses":    blueprint.Num(r, &s.Loses, 0, 4),
+		"first":     config.Bool(r, &s.First),
+		"losses":    config.Num(r, &s.Loses, 0, 4),
 		"grace_ms":  num(&s.Bounds.Grace),
 		"notice_ms": num(&s.Bounds.Notice),
 		"pace": func(at string) {
-			r.Obj(at, map[string]blueprint.Field{"beat_ms": num(&p.Beat), "ill_ms": num(&p.Ill), "loss_ms": num(&p.Loss),
+			r.Obj(at, map[string]config.Field{"beat_ms": num(&p.Beat), "ill_ms": num(&p.Ill), "loss_ms": num(&p.Loss),
 				"grant_ms": num(&p.Grant), "worker_ms": num(&p.Worker), "again_ms": num(&p.Again), "round_ms": num(&p.Round),
 				"election_ms": num(&p.Election), "stall_ms": num(&p.Stall), "dead_ms": num(&p.Dead), "stale_ms": num(&p.Stale)})
 		},
 	})
 }
 
-func addrs(r *blueprint.Reader, to *[]string) blueprint.Field {
+func addrs(r *config.Reader, to *[]string) config.Field {
 	return func(at string) {
 		*to = nil
 		r.List(at, 16, func(at string, _ int) {
 			var a string
-			blueprint.Text(r, &a, func(string) string { return "" })(at)
+			config.Text(r, &a, func(string) string { return "" })(at)
 			*to = append(*to, a)
 		})
 	}
 }
 
 // Check tells all that is wrong with the settings of a role.
-func (s *Settings) Check(role string, heap *fault.Heap) {
+func (s *Settings) Check(role string, heap *apierror.Heap) {
 	if s.Address == "" {
 		s.Address = s.Listen
 	}
@@ -104,7 +104,7 @@
 		_, err := netip.ParseAddr(s.Source)
 		heap.Check(err == nil, "source", "want an IP number")
 	}
-	bad := blueprint.Name(s.Locality)
+	bad := config.Name(s.Locality)
 	heap.Check(bad == "", "locality", bad)
 	heap.Check(len(s.Seeds) > 0, "seeds", "missing: give the addresses of up to three other daemons")
 	for i, a := range s.Seeds {
@@ -113,12 +113,12 @@
 	for i, a := range s.Founders {
 		addr(fmt.Sprintf("founders[%d]", i), a)
 	}
-	heap.Check((s.Data != "") == (role == "helm"), "data", "a helm needs a data folder, and no other daemon may have one")
-	if role == "ward" {
-		bad := blueprint.Name(s.Shard)
+	heap.Check((s.Data != "") == (role == "controller"), "data", "a controller needs a data folder, and no other daemon may have one")
+	if role == "agent" {
+		bad := config.Name(s.Shard)
 		heap.Check(bad == "", "shard", bad)
 	} else {
-		heap.Check(s.Shard == "", "shard", "only a ward has one")
+		heap.Check(s.Shard == "", "shard", "only an agent has one")
 	}
 	heap.Check(s.Log == "info" || s.Log == "debug", "log", "want info or debug")
 	s.Pace.check(heap)
@@ -127,10 +127,10 @@
 
 // check ties the timings together: each line is a rule that the proofs of the
 // dispatcher and of the elections rest on.
-func (p Pace) check(h *fault.Heap) {
+func (p Pace) check(h *apierror.Heap) {
 	h.Check(p.Worker < p.Grant, "pace.worker_ms", "must be less than grant_ms: the worker's grant ends first")
-	h.Check(p.Grant*5 <= p.Loss*4, "pace.grant_ms", "must be at most four fifths of loss_ms: a ward's grant ends before it is counted lost, drift included")
-	h.Check(p.Grant+ms(truth.Slack) < p.Loss, "pace.loss_ms", "must be more than grant_ms and the 150 ms that a worker may take to stop")
+	h.Check(p.Grant*5 <= p.Loss*4, "pace.grant_ms", "must be at most four fifths of loss_ms: an agent's grant ends before it is counted lost, drift included")
+	h.Check(p.Grant+ms(dispatch.Slack) < p.Loss, "pace.loss_ms", "must be more than grant_ms and the 150 ms that a worker may take to stop")
 	h.Check(p.Grant <= 2500, "pace.grant_ms", "must be at most 2500: a cancel holds within 3 s, however cut")
 	h.Check(3*p.Beat <= p.Ill, "pace.ill_ms", "must be at least three beats")
 	h.Check(2*p.Ill <= p.Loss, "pace.loss_ms", "must be at least twice ill_ms")
@@ -142,37 +142,37 @@
 }
 
 // Truth and Core give the paces that the machines take.
-func (p Pace) Truth() truth.Pace {
-	return truth.Pace{Beat: un(p.Beat), Ill: un(p.Ill), Loss: un(p.Loss), Grant: un(p.Grant), Worker: un(p.Worker), Again: un(p.Again)}
+func (p Pace) Truth() dispatch.Pace {
+	return dispatch.Pace{Beat: un(p.Beat), Ill: un(p.Ill), Loss: un(p.Loss), Grant: un(p.Grant), Worker: un(p.Worker), Again: un(p.Again)}
 }
 
-func (p Pace) Core() accord.Pace {
-	return accord.Pace{Beat: un(p.Round), Least: un(p.Election), Stall: un(p.Stall), Dead: un(p.Dead), Hold: un(p.Grant)}
+func (p Pace) Core() raft.Pace {
+	return raft.Pace{Beat: un(p.Round), Least: un(p.Election), Stall: un(p.Stall), Dead: un(p.Dead), Hold: un(p.Grant)}
 }
 
-// News is how old a gate's confirmation of the table may be.
+// News is how old a gateway's confirmation of the table may be.
 func (p Pace) News() time.Duration { return un(p.Stale) }
 
 // Stops bounds a planned stop.
 func (b Bounds) Stops() (grace, notice time.Duration) { return un(b.Grace), un(b.Notice) }
 
-func (s Settings) Addr() mark.Addr { return mark.Addr(s.Address) }
+func (s Settings) Addr() types.Addr { return types.Addr(s.Address) }
 
-func (s Settings) Near() (list []mark.Addr) {
+func (s Settings) Near() (list []types.Addr) {
 	for _, a := range s.Seeds {
-		list = append(list, mark.Addr(a))
+		list = append(list, types.Addr(a))
 	}
 	return
 }
 
 // Begin is what the settings say of the cluster's beginning.
-func (s Settings) Begin() (o accord.Origin) {
+func (s Settings) Begin() (o raft.Origin) {
 	o.First = s.First
 	for _, a := range s.Founders {
-		o.Founders = append(o.Founders, mark.Addr(a))
+		o.Founders = append(o.Founders, types.Addr(a))
 	}
 	return
 }
 
-func (s Settings) Loc() mark.Locality    { return mark.Locality(s.Locality) }
-func (s Settings) ShardName() mark.Shard { return mark.Shard(s.Shard) }
+func (s Settings) Loc() types.Locality    { return types.Locality(s.Locality) }
+func (s Settings) ShardName() types.Shard { return types.Shard(s.Shard) }
--- a/place/place_test.go
+++ b/internal/settings/place_test.go
@@ -1,5 +1,5 @@
 // Settings: every fault is told at once, by field; defaults hang together.
-package place
+package settings
 
 import (
 	"strings"
@@ -7,13 +7,13 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/fault"
+	"coppercourse/internal/apierror"
 )
 
 func TestDefaultsAreSound(t *testing.T) {
 	is := is.New(t)
-	for role, more := range map[string]string{"helm": `,"data":"d"`, "gate": ``, "ward": `,"shard":"k1"`} {
-		s, h := Defaults(), &fault.Heap{}
+	for role, more := range map[string]string{"controller": `,"data":"d"`, "gateway": ``, "agent": `,"shard":"k1"`} {
+		s, h := Defaults(), &apierror.Heap{}
 		Read([]byte(`{"locality":"z1","seeds":["127.0.0.1:1"]`+more+`}`), &s, h)
 		s.Check(role, h)
 		is.NoErr(h.Err())
@@ -23,9 +23,9 @@
 
 func TestAllFaultsAreToldAtOnce(t *testing.T) {
 	is := is.New(t)
-	s, h := Defaults(), &fault.Heap{}
+	s, h := Defaults(), &apierror.Heap{}
 	Read([]byte(`{"listen":"here","colour":1,"seeds":["1.2.3.4"],"shard":"k","pace":{"grant_ms":2400,"beat_ms":"x","ill_ms":100}}`), &s, h)
-	s.Check("gate", h)
+	s.Check("gateway", h)
 	text := h.Err().Error()
 	for _, f := range []string{"colour", "pace.beat_ms", "listen", "seeds[0]", "locality", "shard", "pace.grant_ms", "pace.ill_ms"} {
 		is.True(strings.Contains(text, ": "+f+": "))
--- a/store/heat.go
+++ b/internal/state/heat.go
@@ -1,38 +1,38 @@
 // What of a job may start: worked out once and kept until the job changes, so
 // that a round costs as much as changed, not all that waits.
-package store
+package state
 
 import (
 	"slices"
 	"time"
 
-	"coppercourse/blueprint"
-	"coppercourse/mark"
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
 )
 
 // Batch is the tasks of one stage that may start now.
 type Batch struct {
-	Stage mark.Stage
+	Stage types.Stage
 	Tasks []int
-	From  mark.Tick           // when the job was accepted, or the stage's time came
-	Shun  map[mark.Shard]bool // workers where legs of these stalled or failed
+	From  types.Tick           // when the job was accepted, or the stage's time came
+	Shun  map[types.Shard]bool // workers where legs of these stalled or failed
 }
 
 // Heat is what a round needs to know of a job.
 type Heat struct {
 	Batches []Batch
 	Running int
-	Cores   mark.Cores
+	Cores   types.Cores
 	Left    []int // tasks of each step that have not ended well, of the times that have come
-	Doomed  []mark.Leg
+	Doomed  []types.Leg
 	Spent   []End
-	until   mark.Tick // from then on something more may start
+	until   types.Tick // from then on something more may start
 }
 
-const far = mark.Tick(1 << 62)
+const far = types.Tick(1 << 62)
 
 // Heat gives a job's as of now.
-func (s *State) Heat(j *Job, now mark.Tick) *Heat {
+func (s *State) Heat(j *Job, now types.Tick) *Heat {
 	if j.hot == nil || now >= j.hot.until || s.Off != j.off || s.Table.Edition != j.row {
 		j.hot, j.off, j.row = j.heat(s.row(j.Queue), now, s.Off), s.Off, s.Table.Edition
 	}
@@ -68,19 +68,19 @@
 }
 
 // heat works it out afresh.
-func (j *Job) heat(row blueprint.Row, now mark.Tick, off mark.Wall) *Heat {
+func (j *Job) heat(row config.Row, now types.Tick, off types.Wall) *Heat {
 	h := &Heat{Doomed: j.Doomed(), Spent: j.Spent(row, now), until: far, Left: make([]int, len(j.Spec.Steps))}
-	wait := func(t mark.Tick) {
+	wait := func(t types.Tick) {
 		if t > now {
 			h.until = min(h.until, t)
 		}
 	}
-	j.stages(func(at mark.Stage, p *Step, part []Task) {
+	j.stages(func(at types.Stage, p *Step, part []Task) {
 		for i := range part {
 			if t := &part[i]; t.Out != nil {
 				n := len(t.Outs())
 				h.Running += n
-				h.Cores += p.Room.Cores * mark.Cores(n)
+				h.Cores += p.Room.Cores * types.Cores(n)
 			} else if !t.Done && !t.Dead {
 				wait(t.Ready)
 			}
@@ -89,7 +89,7 @@
 			return
 		}
 		due, wall := j.due(p, at.Time())
-		due = max(due, mark.Tick(wall-off))
+		due = max(due, types.Tick(wall-off))
 		wait(due)
 		if due <= now {
 			for i := range part {
@@ -114,7 +114,7 @@
 			b.Tasks = append(b.Tasks, at.No(i))
 			if t.Shun != "" {
 				if b.Shun == nil {
-					b.Shun = map[mark.Shard]bool{}
+					b.Shun = map[types.Shard]bool{}
 				}
 				b.Shun[t.Shun] = true
 			}
--- a/store/job.go
+++ b/internal/state/job.go
@@ -1,15 +1,15 @@
 // The job as an aggregate: its tasks, the legs given out for them, and the
 // rules by which ends move it on. A job is shown ended only when none of its
 // legs can be running.
-package store
+package state
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"coppercourse/blueprint"
-	"coppercourse/mark"
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
 )
 
 type Stage string
@@ -24,39 +24,39 @@
 
 // Job is one accepted job.
 type Job struct {
-	ID     mark.JobID          `json:"id"`
-	Seq    uint64              `json:"seq"`
-	Hash   string              `json:"hash"`
-	Queue  mark.Queue          `json:"queue"`
-	At     mark.Tick           `json:"at"`
-	Wall   mark.Wall           `json:"wall"`
-	State  Stage               `json:"state"`
-	Why    string              `json:"why,omitempty"`
-	Spec   *Spec               `json:"spec,omitempty"`
-	Tasks  []Task              `json:"tasks,omitempty"`
-	Broken map[mark.Stage]bool `json:"broken,omitempty"`
-	Halt   bool                `json:"halt,omitempty"`
-	End    mark.Tick           `json:"end,omitempty"`
-	Size   int                 `json:"size"`
-	Bytes  int                 `json:"bytes"`
-	Fine   int                 `json:"fine"`
-	Legs   int                 `json:"legs"`
+	ID     types.JobID          `json:"id"`
+	Seq    uint64               `json:"seq"`
+	Hash   string               `json:"hash"`
+	Queue  types.Queue          `json:"queue"`
+	At     types.Tick           `json:"at"`
+	Wall   types.Wall           `json:"wall"`
+	State  Stage                `json:"state"`
+	Why    string               `json:"why,omitempty"`
+	Spec   *Spec                `json:"spec,omitempty"`
+	Tasks  []Task               `json:"tasks,omitempty"`
+	Broken map[types.Stage]bool `json:"broken,omitempty"`
+	Halt   bool                 `json:"halt,omitempty"`
+	End    types.Tick           `json:"end,omitempty"`
+	Size   int                  `json:"size"`
+	Bytes  int                  `json:"bytes"`
+	Fine   int                  `json:"fine"`
+	Legs   int                  `json:"legs"`
 	shot   uint64
 	hot    *Heat
-	off    mark.Wall // as of which the heat is
-	row    mark.Edition
+	off    types.Wall // as of which the heat is
+	row    types.Edition
 }
 
 // Over is true once the job has ended for good.
 func (j *Job) Over() bool { return j.State == Done || j.State == Failed || j.State == Stopped }
 
 // stages calls f for every step at every time, with the tasks it has.
-func (j *Job) stages(f func(at mark.Stage, p *Step, part []Task)) {
+func (j *Job) stages(f func(at types.Stage, p *Step, part []Task)) {
 	i := 0
 	for time := range j.Spec.Count() {
 		for step := range j.Spec.Steps {
 			p := &j.Spec.Steps[step]
-			f(mark.StageOf(mark.No(time, step, 0)), p, j.Tasks[i:i+p.Tasks])
+			f(types.StageOf(types.No(time, step, 0)), p, j.Tasks[i:i+p.Tasks])
 			i += p.Tasks
 		}
 	}
@@ -74,17 +74,17 @@
 }
 
 // Part is the tasks of one step at one time.
-func (j *Job) Part(at mark.Stage) []Task {
+func (j *Job) Part(at types.Stage) []Task {
 	i := j.Spec.Index(at.No(0))
 	return j.Tasks[i : i+j.Spec.Steps[at.Step()].Tasks]
 }
 
 // due tells when a step may start at one of the times, but for what it depends
 // on: by the cluster's clock, and by the wall where a time of day is told.
-func (j *Job) due(p *Step, time int) (mark.Tick, mark.Wall) {
+func (j *Job) due(p *Step, time int) (types.Tick, types.Wall) {
 	wall := clock(p.Not)
 	if t := j.Spec.Times; t != nil {
-		wall = max(wall, mark.Wall(t.First+int64(time)*t.Every)*mark.Wall(ms))
+		wall = max(wall, types.Wall(t.First+int64(time)*t.Every)*types.Wall(ms))
 	}
 	return j.At.Add(gotime(p.Delay)), wall
 }
@@ -93,19 +93,19 @@
 
 func gotime(n int) time.Duration { return time.Duration(n) * ms }
 
-func clock(s string) mark.Wall {
+func clock(s string) types.Wall {
 	t, err := time.Parse(time.RFC3339Nano, s)
 	if err != nil {
 		return 0
 	}
-	return mark.Wall(t.UnixNano())
+	return types.Wall(t.UnixNano())
 }
 
 // met tells whether all that a step depends on has ended well.
 func (j *Job) met(p *Step, time int) bool {
 	for _, a := range p.After {
 		for i, q := range j.Spec.Steps {
-			if q.Name == a && !full(j.Part(mark.StageOf(mark.No(time, i, 0)))) {
+			if q.Name == a && !full(j.Part(types.StageOf(types.No(time, i, 0)))) {
 				return false
 			}
 		}
@@ -131,16 +131,16 @@
 
 // Doomed lists the legs that are out and must be stopped: the job is ending,
 // the task is done by another leg, or a mate of the gang ended badly.
-func (j *Job) Doomed() (list []mark.Leg) {
+func (j *Job) Doomed() (list []types.Leg) {
 	if j.Over() {
 		return nil
 	}
-	j.stages(func(at mark.Stage, _ *Step, part []Task) {
+	j.stages(func(at types.Stage, _ *Step, part []Task) {
 		for i := range part {
 			t := &part[i]
 			for _, o := range t.Outs() {
 				if j.State == Ending || t.Done || o.Back != "" || j.Broken[at] {
-					list = append(list, mark.Leg{Task: mark.Task{Job: j.ID, N: at.No(i)}, Leg: o.Leg})
+					list = append(list, types.Leg{Task: types.Task{Job: j.ID, N: at.No(i)}, Leg: o.Leg})
 				}
 			}
 		}
@@ -149,13 +149,13 @@
 }
 
 // may tells whether a task may be given out now.
-func (j *Job) may(t *Task, row blueprint.Row, now mark.Tick) bool {
+func (j *Job) may(t *Task, row config.Row, now types.Tick) bool {
 	return j.State == Open && t != nil && t.Out == nil && !t.Done && !t.Dead && t.Ready <= now && !t.spent(row)
 }
 
 // give hands out the next leg of a task, if the task may still have one. The
 // members of a gang are given the same number, which leaves some out.
-func (j *Job) give(n, least int, shard mark.Shard, row blueprint.Row, now mark.Tick) bool {
+func (j *Job) give(n, least int, shard types.Shard, row config.Row, now types.Tick) bool {
 	t := j.Task(n)
 	if !j.may(t, row, now) {
 		return false
@@ -168,10 +168,10 @@
 }
 
 // copy hands out a second leg beside the first, where the step allows that.
-func (j *Job) copy(n int, shard mark.Shard, row blueprint.Row, now mark.Tick) bool {
+func (j *Job) copy(n int, shard types.Shard, row config.Row, now types.Tick) bool {
 	t := j.Task(n)
 	if j.State != Open || t == nil || t.Done || t.Dead || t.Out == nil || t.Copy != nil || t.spent(row) ||
-		t.Out.Shard == shard || !j.Spec.Steps[mark.StageOf(n).Step()].Copies {
+		t.Out.Shard == shard || !j.Spec.Steps[types.StageOf(n).Step()].Copies {
 		return false
 	}
 	t.Leg++
@@ -182,7 +182,7 @@
 
 // end takes a leg's end. A late one, of a leg already counted lost, matters
 // only if it ended well.
-func (j *Job) end(e End, row blueprint.Row, now mark.Tick) {
+func (j *Job) end(e End, row config.Row, now types.Tick) {
 	leg, f := e.Leg.Leg, e.Fate
 	if j.Over() {
 		return
@@ -191,7 +191,7 @@
 	if t == nil || leg <= t.Shut && t.On(leg) == nil {
 		return
 	}
-	at := mark.StageOf(e.Leg.N)
+	at := types.StageOf(e.Leg.N)
 	p := &j.Spec.Steps[at.Step()]
 	mine := t.On(leg)
 	if p.Lasts && f == OK {
@@ -252,7 +252,7 @@
 
 // save keeps what a leg saved, for the next to go on from; any member's is good
 // for its whole gang, and all must have the same.
-func (j *Job) save(p *Step, at mark.Stage, t *Task, ref string) {
+func (j *Job) save(p *Step, at types.Stage, t *Task, ref string) {
 	if ref == "" || !p.Keeps {
 		return
 	}
@@ -264,7 +264,7 @@
 	}
 }
 
-func (j *Job) count(at mark.Stage, t *Task, leg int, f Fate, row blueprint.Row, now mark.Tick) {
+func (j *Job) count(at types.Stage, t *Task, leg int, f Fate, row config.Row, now types.Tick) {
 	switch f {
 	case Bad:
 		j.fail(at, t, leg, row, now)
@@ -288,7 +288,7 @@
 	switch {
 	case f != OK && out:
 		if j.Broken == nil {
-			j.Broken = map[mark.Stage]bool{}
+			j.Broken = map[types.Stage]bool{}
 		}
 		j.Broken[at] = true
 	case !out:
@@ -298,7 +298,7 @@
 
 // lose counts a loss; one that loses its workers again and again rests longer
 // each time, and fails its job only where the queue's row sets a bound.
-func (j *Job) lose(at mark.Stage, t *Task, row blueprint.Row, now mark.Tick, wait time.Duration) {
+func (j *Job) lose(at types.Stage, t *Task, row config.Row, now types.Tick, wait time.Duration) {
 	t.Lost++
 	t.Ready = now.Add(max(wait, rest(&j.Spec.Steps[at.Step()], t, row)))
 	j.judge(t, row)
@@ -306,7 +306,7 @@
 
 // fail counts a failure against the queue's tries; a gang fails as one, once
 // with each number that its members had.
-func (j *Job) fail(at mark.Stage, t *Task, leg int, row blueprint.Row, now mark.Tick) {
+func (j *Job) fail(at types.Stage, t *Task, leg int, row config.Row, now types.Tick) {
 	p := &j.Spec.Steps[at.Step()]
 	if p.Lasts {
 		t.Ready = now.Add(row.Pause(1))
@@ -335,7 +335,7 @@
 
 // judge ends a task whose tries are spent, unless a lost leg of it may still
 // turn out to have ended well.
-func (j *Job) judge(t *Task, row blueprint.Row) {
+func (j *Job) judge(t *Task, row config.Row) {
 	if t.Done || t.Dead || t.Doubt != "" {
 		return
 	}
@@ -358,17 +358,17 @@
 
 // Spent lists the lost legs of tasks that have no try left, whose ends have
 // been waited for as long as the queue says.
-func (j *Job) Spent(row blueprint.Row, now mark.Tick) (list []End) {
+func (j *Job) Spent(row config.Row, now types.Tick) (list []End) {
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; j.State == Open && t.Out == nil && t.Doubt != "" && !t.Done && t.spent(row) && t.Ready <= now {
-			list = append(list, End{Leg: mark.Leg{Task: mark.Task{Job: j.ID, N: j.Spec.No(i)}, Leg: t.Leg}, Fate: Waited})
+			list = append(list, End{Leg: types.Leg{Task: types.Task{Job: j.ID, N: j.Spec.No(i)}, Leg: t.Leg}, Fate: Waited})
 		}
 	}
 	return
 }
 
 // turn moves the job's state on after anything changed.
-func (j *Job) turn(now mark.Tick) {
+func (j *Job) turn(now types.Tick) {
 	dead := false
 	for i := range j.Tasks {
 		dead = dead || j.Tasks[i].Dead
--- a/store/kinds_test.go
+++ b/internal/state/kinds_test.go
@@ -1,7 +1,7 @@
 // The sorts of job that the users' services have: at many times, lasting, joint
 // gangs, with progress kept, of workers whose lapse is the last word; and tables
 // that the operator numbers.
-package store
+package state
 
 import (
 	"testing"
@@ -9,9 +9,9 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/blueprint"
-	"coppercourse/fault"
-	"coppercourse/mark"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
 )
 
 func put(t *testing.T, s *State, text string) *Job {
@@ -19,7 +19,7 @@
 	return s.Jobs["j"]
 }
 
-func batches(s *State, j *Job, at mark.Tick) (list []int) {
+func batches(s *State, j *Job, at types.Tick) (list []int) {
 	for _, b := range s.Heat(j, at).Batches {
 		list = append(list, b.Tasks...)
 	}
@@ -29,22 +29,22 @@
 func TestTimesRunSideBySideAndEachWaitsForItsOwn(t *testing.T) {
 	is := is.New(t)
 	s := town(t)
-	s.must(sec, Fact{Off: new(mark.Wall)})
+	s.must(sec, Fact{Off: new(types.Wall)})
 	j := put(t, s, `{"queue":"q","times":{"first_ms":5000,"every_ms":2000,"count":3},"steps":[{"name":"a","kind":"x"},{"name":"b","kind":"x","after":["a"]}]}`)
 	is.Equal(j.Size, 6)
 	is.Equal(len(batches(s, j, 4*sec)), 0)
-	is.Equal(batches(s, j, 5*sec), []int{mark.No(0, 0, 0)})
-	is.Equal(batches(s, j, 7*sec), []int{mark.No(0, 0, 0), mark.No(1, 0, 0)}) // the times may overlap
-	s.must(7*sec, Fact{Legs: give(mark.No(1, 0, 0))})
-	s.must(8*sec, end(mark.No(1, 0, 0), 1, OK))
-	is.Equal(batches(s, j, 8*sec), []int{mark.No(0, 0, 0), mark.No(1, 1, 0)}) // its own step a is done
-	for _, n := range []int{mark.No(0, 0, 0), mark.No(0, 1, 0), mark.No(1, 1, 0), mark.No(2, 0, 0), mark.No(2, 1, 0)} {
+	is.Equal(batches(s, j, 5*sec), []int{types.No(0, 0, 0)})
+	is.Equal(batches(s, j, 7*sec), []int{types.No(0, 0, 0), types.No(1, 0, 0)}) // the times may overlap
+	s.must(7*sec, Fact{Legs: give(types.No(1, 0, 0))})
+	s.must(8*sec, end(types.No(1, 0, 0), 1, OK))
+	is.Equal(batches(s, j, 8*sec), []int{types.No(0, 0, 0), types.No(1, 1, 0)}) // its own step a is done
+	for _, n := range []int{types.No(0, 0, 0), types.No(0, 1, 0), types.No(1, 1, 0), types.No(2, 0, 0), types.No(2, 1, 0)} {
 		is.Equal(j.State, Open)
 		s.must(20*sec, Fact{Legs: give(n)})
 		s.must(20*sec, end(n, 1, OK))
 	}
 	is.Equal(j.State, Done)
-	is.Equal(len(s.must(20*sec, Fact{Legs: give(mark.No(3, 0, 0))})), 0) // there is no fourth time
+	is.Equal(len(s.must(20*sec, Fact{Legs: give(types.No(3, 0, 0))})), 0) // there is no fourth time
 }
 
 func TestWhatLastsGoesAgainHoweverItEnds(t *testing.T) {
@@ -52,7 +52,7 @@
 	s := town(t)
 	j := put(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x","lasts":true}]}`)
 	for i, f := range []Fate{OK, Bad, Bad, Bad, Lapsed, Halted, Gone, OK} {
-		at := mark.Tick(i+2) * 20 * sec
+		at := types.Tick(i+2) * 20 * sec
 		is.Equal(len(s.must(at, Fact{Legs: give(0)})), 1)
 		s.must(at, end(0, i+1, f))
 		is.Equal(j.State, Open)
@@ -66,7 +66,7 @@
 	text := `{"queue":"q","steps":[{"name":"a","kind":"x","tasks":3,"gang":true,"joint":true}]}`
 	gang := func(n int, leg int) (list []Give) {
 		for i := range n {
-			list = append(list, Give{Leg: mark.Leg{Task: mark.Task{Job: "j", N: i}, Leg: leg}, Shard: "k"})
+			list = append(list, Give{Leg: types.Leg{Task: types.Task{Job: "j", N: i}, Leg: leg}, Shard: "k"})
 		}
 		return
 	}
@@ -95,7 +95,7 @@
 	s = town(t)
 	j = put(t, s, text)
 	for leg := 1; leg <= 2; leg++ { // as many as the queue's tries
-		at := mark.Tick(leg) * 10 * sec
+		at := types.Tick(leg) * 10 * sec
 		s.must(at, Fact{Legs: gang(3, leg)})
 		s.must(at, end(0, leg, Bad))
 		s.must(at, end(1, leg, Halted))
@@ -112,7 +112,7 @@
 	s.must(3*sec, Fact{Ends: []End{{Leg: leg(0, 1), Fate: Halted, Ref: "r1"}, {Leg: leg(1, 1), Fate: Lapsed}}})
 	is.Equal(j.Tasks[0].Ref, "r1")
 	is.Equal(j.Tasks[1].Ref, "r1") // any member's is good for the gang
-	b := mark.No(0, 1, 0)
+	b := types.No(0, 1, 0)
 	s.must(4*sec, Fact{Legs: give(b)})
 	s.must(5*sec, Fact{Ends: []End{{Leg: leg(b, 1), Fate: Halted, Ref: "r2"}}})
 	is.Equal(j.Task(b).Ref, "") // it keeps nothing
@@ -139,18 +139,18 @@
 	is := is.New(t)
 	s := town(t) // edition 1
 	q := s.Table.Rows[0]
-	next := func(base, becomes mark.Edition, orphans blueprint.Orphans, rows ...blueprint.Row) *fault.Fault {
-		_, bad := s.Apply(Fact{Tick: 9 * sec, Table: &blueprint.Table{Edition: base, Becomes: becomes, Orphans: orphans, Rows: rows}})
+	next := func(base, becomes types.Edition, orphans config.Orphans, rows ...config.Row) *apierror.Fault {
+		_, bad := s.Apply(Fact{Tick: 9 * sec, Table: &config.Table{Edition: base, Becomes: becomes, Orphans: orphans, Rows: rows}})
 		return bad
 	}
 	is.True(next(1, 7, "", q) == nil)
 	is.Equal(int(s.Table.Edition), 7)
 	is.True(next(1, 7, "", q) == nil) // the same again
-	is.Equal(next(1, 8, "", q).Kind, fault.Stale)
-	is.Equal(next(7, 7, "", q).Kind, fault.BadField)
+	is.Equal(next(1, 8, "", q).Kind, apierror.Stale)
+	is.Equal(next(7, 7, "", q).Kind, apierror.BadField)
 	j := put(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
-	is.Equal(next(7, 9, "").Kind, fault.InUse)
-	is.True(next(7, 9, blueprint.Finish) == nil)
+	is.Equal(next(7, 9, "").Kind, apierror.InUse)
+	is.True(next(7, 9, config.Finish) == nil)
 	_, ok := s.Table.Find("q")
 	is.True(!ok)
 	row, ok := s.Row("q") // its jobs are finished by the last row
@@ -159,7 +159,7 @@
 	is.Equal(len(s.must(10*sec, Fact{Legs: give(0)})), 1)
 	s.must(11*sec, end(0, 1, OK))
 	is.Equal(j.State, Done)
-	is.True(next(9, 12, blueprint.Finish) == nil)
+	is.True(next(9, 12, config.Finish) == nil)
 	_, ok = s.Row("q")
 	is.True(!ok)
 	is.True(next(1, 7, "", q) == nil) // told the truth late: it was taken
@@ -179,7 +179,7 @@
 	is := is.New(t)
 	s := town(t)
 	j := put(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x","copies":true}]}`)
-	twin := func(shard mark.Shard) []Give { return []Give{{Leg: leg(0, 0), Shard: shard, Copy: true}} }
+	twin := func(shard types.Shard) []Give { return []Give{{Leg: leg(0, 0), Shard: shard, Copy: true}} }
 	is.Equal(len(s.must(2*sec, Fact{Legs: twin("m")})), 0) // there is no first yet
 	s.must(2*sec, Fact{Legs: give(0)})
 	is.Equal(len(s.must(2*sec, Fact{Legs: twin("k")})), 0) // not on the same worker
@@ -193,7 +193,7 @@
 	is.Equal(j.Task(0).Out.Leg, 3) // the copy goes on as the only one
 	is.Equal(s.must(4*sec, Fact{Legs: twin("m")})[0].Leg.Leg, 4)
 	s.must(5*sec, end(0, 4, OK))
-	is.Equal(j.Doomed(), []mark.Leg{leg(0, 3)})
+	is.Equal(j.Doomed(), []types.Leg{leg(0, 3)})
 	s.must(5*sec, end(0, 3, Halted))
 	is.Equal(j.State, Done)
 
@@ -207,12 +207,12 @@
 func TestDoubtsNameTheirTasks(t *testing.T) {
 	is := is.New(t)
 	s := town(t)
-	s.must(sec, Fact{Off: new(mark.Wall)})
+	s.must(sec, Fact{Off: new(types.Wall)})
 	put(t, s, `{"queue":"q","times":{"first_ms":0,"every_ms":0,"count":2},"steps":[{"name":"a","kind":"x"},{"name":"b","kind":"x","tasks":2}]}`)
-	n := mark.No(1, 1, 1)
+	n := types.No(1, 1, 1)
 	s.must(2*sec, Fact{Legs: give(n)})
 	s.must(3*sec, end(n, 1, Lost))
-	is.Equal(s.Doubts("k"), []mark.Leg{leg(n, 1)})
+	is.Equal(s.Doubts("k"), []types.Leg{leg(n, 1)})
 	s.must(4*sec, Fact{Gone: "k"})
 	is.Equal(len(s.Doubts("k")), 0)
 }
--- a/store/marks.go
+++ b/internal/state/marks.go
@@ -2,7 +2,7 @@
 // stays for a day, so that an id sent again is answered and not run again. They
 // are kept by time; where there are as many as may be, new jobs are refused
 // rather than old ones forgotten. Pages are sealed and written out once.
-package store
+package state
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 	"strconv"
 	"time"
 
-	"coppercourse/fault"
-	"coppercourse/mark"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
 )
 
 // Bounds on marks: a day of the busier town is about 720,000.
@@ -23,25 +23,25 @@
 
 type trace struct {
 	hash  uint64
-	end   mark.Tick
+	end   types.Tick
 	stage byte
 }
 
 var stages = []Stage{Done, Failed, Stopped}
 
 type page struct {
-	ids  []mark.JobID
-	last mark.Tick
+	ids  []types.JobID
+	last types.Tick
 	enc  []byte // once it is full
 }
 
 type marks struct {
-	at    map[mark.JobID]trace
+	at    map[types.JobID]trace
 	pages []*page
 	most  int
 }
 
-func newMarks() marks { return marks{at: map[mark.JobID]trace{}, most: MarkMost} }
+func newMarks() marks { return marks{at: map[types.JobID]trace{}, most: MarkMost} }
 
 func (m *marks) add(j *Job) {
 	hash, _ := strconv.ParseUint(j.Hash, 16, 64)
@@ -54,9 +54,9 @@
 	m.put(j.ID, t)
 }
 
-func (m *marks) put(id mark.JobID, t trace) {
+func (m *marks) put(id types.JobID, t trace) {
 	if len(m.pages) == 0 || len(m.pages[len(m.pages)-1].ids) >= pageSize {
-		m.pages = append(m.pages, &page{ids: make([]mark.JobID, 0, pageSize)})
+		m.pages = append(m.pages, &page{ids: make([]types.JobID, 0, pageSize)})
 	}
 	p := m.pages[len(m.pages)-1]
 	m.at[id] = t
@@ -67,7 +67,7 @@
 }
 
 // forget lets go of pages whose newest mark is old enough.
-func (m *marks) forget(now mark.Tick) {
+func (m *marks) forget(now types.Tick) {
 	for len(m.pages) > 0 && len(m.pages[0].ids) == pageSize && now.Sub(m.pages[0].last) > MarkAge {
 		for _, id := range m.pages[0].ids {
 			delete(m.at, id)
@@ -102,7 +102,7 @@
 
 // line reads one mark as it was written.
 type line struct {
-	id mark.JobID
+	id types.JobID
 	trace
 }
 
@@ -120,7 +120,7 @@
 func (s *State) Marks() int { return len(s.marks.at) }
 
 // Find gives a job by its id: whole, or what its mark still says, or nil.
-func (s *State) Find(id mark.JobID) *Job {
+func (s *State) Find(id types.JobID) *Job {
 	if j := s.Jobs[id]; j != nil {
 		return j
 	}
@@ -131,7 +131,7 @@
 }
 
 // full tells whether no more ids may be remembered.
-func (s *State) full() *fault.Fault {
+func (s *State) full() *apierror.Fault {
 	n := len(s.marks.at) + len(s.Jobs)
 	if n < s.marks.most {
 		return nil
@@ -140,5 +140,5 @@
 	if len(s.marks.pages) > 0 {
 		wait = max(wait, s.marks.pages[0].last.Add(MarkAge).Sub(s.Tick))
 	}
-	return fault.New(fault.Kept, "", fmt.Sprintf("%d ids of the last day are remembered, as many as may be", n)).After(wait)
+	return apierror.New(apierror.Kept, "", fmt.Sprintf("%d ids of the last day are remembered, as many as may be", n)).After(wait)
 }
