--- a/trial/hand.go
+++ b/sim/hand.go
@@ -1,29 +1,29 @@
-// A worker process in the simulated world, and its calls to its ward.
-package trial
+// A worker process in the simulated world, and its calls to its agent.
+package sim
 
 import (
 	"encoding/json"
 	"fmt"
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/truth"
-	"coppercourse/word"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 // hand is a worker process in the world, and its calls.
 type hand struct {
 	node          *node // its clocks; it carries no machine
-	ward          mark.Addr
+	agent         types.Addr
 	make          Make
 	w             *Worker
 	gen           int
 	deaf, willing bool
-	told          map[mark.Leg]int // which of the ward's processes was told of an end
+	told          map[types.Leg]int // which of the agent's processes was told of an end
 }
 
-func (w *World) worker(addr, ward mark.Addr, loc mark.Locality, m Make) *hand {
-	h := &hand{ward: ward, make: m}
+func (w *World) worker(addr, agent types.Addr, loc types.Locality, m Make) *hand {
+	h := &hand{agent: agent, make: m}
 	h.node = w.add(addr, "worker", loc, nil)
 	w.hands = append(w.hands, h)
 	return h
@@ -33,9 +33,9 @@
 	n := h.node
 	h.gen++
 	n.frozen, n.queue = false, nil
-	h.w = NewWorker(h.make, mark.ID(fmt.Sprintf("%s.%d", n.addr, h.gen)), n.w.chance(), n.w.tell)
+	h.w = NewWorker(h.make, types.ID(fmt.Sprintf("%s.%d", n.addr, h.gen)), n.w.chance(), n.w.tell)
 	h.w.Deaf, h.w.Willing = h.deaf, h.willing
-	h.told = map[mark.Leg]int{}
+	h.told = map[types.Leg]int{}
 	n.w.tell(Happening{What: Staying, Who: string(h.w.ID), Shard: h.make.Shard, Make: &h.make})
 	gen := h.gen
 	var beat func()
@@ -116,12 +116,12 @@
 			}
 		}
 	}
-	w.pose(h.node.addr, h.ward, "poll", "", word.Body(p), took, func(a word.Answer) {
+	w.pose(h.node.addr, h.agent, "poll", "", wire.Body(p), took, func(a wire.Answer) {
 		take := func() {
 			if !on() {
 				return
 			}
-			var r truth.Answer
+			var r dispatch.Answer
 			if a.Fault == nil && json.Unmarshal(a.Body, &r) == nil {
 				h.w.Take(h.node.mono(), r)
 			}
--- a/trial/hist.go
+++ b/sim/hist.go
@@ -1,14 +1,14 @@
 // The history: what workers and callers saw, in true time. Nothing in it comes
 // from a daemon's opinion of itself.
-package trial
+package sim
 
 import (
 	"encoding/json"
 
-	"coppercourse/blueprint"
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/word"
+	"coppercourse/internal/config"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 // What names a kind of happening.
@@ -55,25 +55,25 @@
 
 // Happening is one line of the history. At is true time in nanoseconds.
 type Happening struct {
-	At    int64            `json:"at"`
-	What  What             `json:"what"`
-	Who   string           `json:"who,omitempty"`
-	Shard mark.Shard       `json:"shard,omitempty"`
-	Leg   mark.Leg         `json:"leg,omitzero"`
-	Fate  store.Fate       `json:"fate,omitempty"`
-	Job   mark.JobID       `json:"job,omitempty"`
-	Stage store.Stage      `json:"stage,omitempty"`
-	Spec  *store.Spec      `json:"spec,omitempty"`
-	Make  *Make            `json:"make,omitempty"`
-	Table *blueprint.Table `json:"table,omitempty"`
-	Text  string           `json:"text,omitempty"`
+	At    int64         `json:"at"`
+	What  What          `json:"what"`
+	Who   string        `json:"who,omitempty"`
+	Shard types.Shard   `json:"shard,omitempty"`
+	Leg   types.Leg     `json:"leg,omitzero"`
+	Fate  state.Fate    `json:"fate,omitempty"`
+	Job   types.JobID   `json:"job,omitempty"`
+	Stage state.Stage   `json:"stage,omitempty"`
+	Spec  *state.Spec   `json:"spec,omitempty"`
+	Make  *Make         `json:"make,omitempty"`
+	Table *config.Table `json:"table,omitempty"`
+	Text  string        `json:"text,omitempty"`
 
 	// Of workers that are called.
-	How  word.How        `json:"how,omitempty"`
+	How  wire.How        `json:"how,omitempty"`
 	Work json.RawMessage `json:"work,omitempty"`
 	Ref  string          `json:"ref,omitempty"`
 	Late bool            `json:"late,omitempty"` // the order was carried out late
-	Hits []mark.Addr     `json:"hits,omitempty"` // whom a trouble touches; none: all
+	Hits []types.Addr    `json:"hits,omitempty"` // whom a trouble touches; none: all
 }
 
 // History is the whole of it, in order.
--- a/trial/hollow.go
+++ b/sim/hollow.go
@@ -3,7 +3,7 @@
 // size that the project designs for. What each role spends is counted over a
 // stretch of it, and then how long a change of the table, an urgent job, and a
 // change of leader take.
-package trial
+package sim
 
 import (
 	"encoding/json"
@@ -14,14 +14,14 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"coppercourse/blueprint"
-	"coppercourse/fault"
-	"coppercourse/gate"
-	"coppercourse/helm"
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/truth"
-	"coppercourse/word"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/controller"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/gateway"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 // The size to design for, at its peak.
@@ -35,38 +35,38 @@
 )
 
 // Scale is how many daemons of each role there are.
-type Scale struct{ Helms, Gates, Wards, Zones int }
+type Scale struct{ Controllers, Gateways, Agents, Zones int }
 
-// ScaleOf lays out a number of daemons: three helms, a gate in each zone.
+// ScaleOf lays out a number of daemons: three controllers, a gateway in each zone.
 func ScaleOf(daemons int) Scale {
-	s := Scale{Helms: 3, Gates: fullZones, Zones: fullZones}
+	s := Scale{Controllers: 3, Gateways: fullZones, Zones: fullZones}
 	if daemons < 50 {
-		s.Gates, s.Zones = 4, 3
+		s.Gateways, s.Zones = 4, 3
 	}
-	s.Wards = daemons - s.Helms - s.Gates
+	s.Agents = daemons - s.Controllers - s.Gateways
 	return s
 }
 
-func (s Scale) Daemons() int { return s.Helms + s.Gates + s.Wards }
+func (s Scale) Daemons() int { return s.Controllers + s.Gateways + s.Agents }
 
 // Hollow sets such a fleet up without traffic.
 func Hollow(seed int64, s Scale) *Run {
-	r := &Run{World: NewWorld(seed), zones: map[mark.Locality][]mark.Addr{}, drains: map[string]bool{}}
-	zone := func(i int) mark.Locality { return mark.Locality(fmt.Sprintf("z%d", i%s.Zones+1)) }
-	addr := func(part, i int) mark.Addr {
-		return mark.Addr(fmt.Sprintf("10.%d.%d.%d:7400", part, i/200, i%200+1))
+	r := &Run{World: NewWorld(seed), zones: map[types.Locality][]types.Addr{}, drains: map[string]bool{}}
+	zone := func(i int) types.Locality { return types.Locality(fmt.Sprintf("z%d", i%s.Zones+1)) }
+	addr := func(part, i int) types.Addr {
+		return types.Addr(fmt.Sprintf("10.%d.%d.%d:7400", part, i/200, i%200+1))
 	}
-	r.seeds = []mark.Addr{addr(1, 0), addr(2, 0), addr(3, 0)}
-	for i := range s.Helms {
-		r.helms = append(r.helms, r.helm(addr(1, i), zone(i)))
+	r.seeds = []types.Addr{addr(1, 0), addr(2, 0), addr(3, 0)}
+	for i := range s.Controllers {
+		r.controllers = append(r.controllers, r.controller(addr(1, i), zone(i)))
 	}
-	for i := range s.Gates {
-		r.gates = append(r.gates, r.gate(addr(2, i), zone(i)))
+	for i := range s.Gateways {
+		r.gateways = append(r.gateways, r.gateway(addr(2, i), zone(i)))
 	}
-	for i := range s.Wards {
-		m := Make{Shard: mark.Shard(fmt.Sprintf("k%d", i+1)), Rack: mark.Rack(fmt.Sprintf("r%d", i/20+1)), Kinds: []mark.Kind{"quote", "menu"},
-			Room: mark.Room{Cores: 16, Memory: 16 << 10}}
-		r.wards = append(r.wards, r.ward(addr(3, i), zone(i), m))
+	for i := range s.Agents {
+		m := Make{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/20+1)), Kinds: []types.Kind{"quote", "menu"},
+			Room: types.Room{Cores: 16, Memory: 16 << 10}}
+		r.agents = append(r.agents, r.agent(addr(3, i), zone(i), m))
 		r.worker(addr(4, i), addr(3, i), zone(i), m)
 	}
 	for _, a := range r.order {
@@ -79,9 +79,9 @@
 	for _, h := range r.hands {
 		r.at(time.Duration(r.rnd.Int63n(int64(500*time.Millisecond))), h.boot)
 	}
-	r.Crew = &Crew{w: r.World, me: "caller", open: true, Count: map[fault.Kind]int{}}
-	for _, g := range r.gates {
-		r.Crew.gates = append(r.Crew.gates, g.addr)
+	r.Crew = &Crew{w: r.World, me: "caller", open: true, Count: map[apierror.Kind]int{}}
+	for _, g := range r.gateways {
+		r.Crew.gateways = append(r.Crew.gateways, g.addr)
 	}
 	return r
 }
@@ -114,7 +114,7 @@
 	Table    []time.Duration
 	Urgent   []time.Duration
 	Elected  time.Duration // from the leader's death until another leads
-	Told     time.Duration // from then until every gate and ward knows it
+	Told     time.Duration // from then until every gateway and agent knows it
 	Running  int
 	RealTime time.Duration
 }
@@ -132,12 +132,12 @@
 	}
 	m := &Measurement{HollowPlan: p, Scale: s}
 	table := r.fleetTable(s)
-	if err := r.await(30*time.Second, "a leader and ready gates", r.formed); err != nil {
+	if err := r.await(30*time.Second, "a leader and ready gateways", r.formed); err != nil {
 		return nil, err
 	}
 	acked := false
-	r.Crew.put(table, r.gates[0].addr, 0, func(ok bool) { acked = ok })
-	if err := r.await(20*time.Second, "the first table and all workers healthy", func() bool { return acked && r.healthy() == s.Wards }); err != nil {
+	r.Crew.put(table, r.gateways[0].addr, 0, func(ok bool) { acked = ok })
+	if err := r.await(20*time.Second, "the first table and all workers healthy", func() bool { return acked && r.healthy() == s.Agents }); err != nil {
 		return nil, err
 	}
 	if p.Busy {
@@ -165,14 +165,14 @@
 }
 
 // regions lays the zones out in three regions, by their numbers.
-func (r *Run) regions(lag time.Duration) func(from, to mark.Addr) time.Duration {
-	region := map[mark.Addr]int{}
+func (r *Run) regions(lag time.Duration) func(from, to types.Addr) time.Duration {
+	region := map[types.Addr]int{}
 	for a, n := range r.nodes {
 		var i int
 		fmt.Sscanf(string(n.loc), "z%d", &i)
 		region[a] = i % 3
 	}
-	return func(from, to mark.Addr) time.Duration {
+	return func(from, to types.Addr) time.Duration {
 		if region[from] == region[to] {
 			return 0
 		}
@@ -201,7 +201,7 @@
 
 func (r *Run) formed() bool {
 	ready := func(n *node) bool { return n.m != nil && n.m.(interface{ Ready() bool }).Ready() }
-	return !slices.ContainsFunc(r.gates, func(n *node) bool { return !ready(n) }) && slices.ContainsFunc(r.helms, ready) && r.leader() != nil
+	return !slices.ContainsFunc(r.gateways, func(n *node) bool { return !ready(n) }) && slices.ContainsFunc(r.controllers, ready) && r.leader() != nil
 }
 
 func (r *Run) healthy() (n int) {
@@ -209,45 +209,45 @@
 	if l == nil || r.now/1e6%100 != 0 {
 		return
 	}
-	for _, w := range l.m.(*helm.Helm).Workers() {
-		if w.State == truth.Healthy {
+	for _, w := range l.m.(*controller.Controller).Workers() {
+		if w.State == dispatch.Healthy {
 			n++
 		}
 	}
 	return
 }
 
-func (r *Run) fleetTable(s Scale) (t blueprint.Table) {
+func (r *Run) fleetTable(s Scale) (t config.Table) {
 	t.Tasks = 1_000_000
-	for i := range max(3, min(200, FullQueues*s.Wards/FullWorkers)) {
-		t.Rows = append(t.Rows, blueprint.Row{Name: mark.Queue(fmt.Sprintf("team-%d", i)), Weight: 1, Running: 100_000, Waiting: 10_000, Tries: 3,
+	for i := range max(3, min(200, FullQueues*s.Agents/FullWorkers)) {
+		t.Rows = append(t.Rows, config.Row{Name: types.Queue(fmt.Sprintf("team-%d", i)), Weight: 1, Running: 100_000, Waiting: 10_000, Tries: 3,
 			TaskMS: 600_000, Patience: 30_000, CutMS: 86_400_000, Stall: 10, Moves: 3})
 	}
 	return
 }
 
 // hollowJob has a step whose name says what it is: times are compared by name.
-func hollowJob(name string, q, tasks int, gang bool, ms int) store.Spec {
-	return store.Spec{Queue: mark.Queue(fmt.Sprintf("team-%d", q)), Steps: []store.Step{{Name: name, Kind: "quote", Room: mark.Room{Cores: 1, Memory: 64},
+func hollowJob(name string, q, tasks int, gang bool, ms int) state.Spec {
+	return state.Spec{Queue: types.Queue(fmt.Sprintf("team-%d", q)), Steps: []state.Step{{Name: name, Kind: "quote", Room: types.Room{Cores: 1, Memory: 64},
 		Tasks: tasks, Gang: gang, Work: json.RawMessage(fmt.Sprintf(`{"ms":%d}`, ms))}}}
 }
 
-func (r *Run) submit(id string, s store.Spec) {
-	r.tell(Happening{What: Sent, Job: mark.JobID(id), Spec: &s})
-	r.Crew.send(mark.JobID(id), word.Body(s), r.Crew.any(), 0)
+func (r *Run) submit(id string, s state.Spec) {
+	r.tell(Happening{What: Sent, Job: types.JobID(id), Spec: &s})
+	r.Crew.send(types.JobID(id), wire.Body(s), r.Crew.any(), 0)
 }
 
 // load starts as many long tasks as run at the full size for each worker, and
 // then has short ones come at its rate, with a gang now and then.
 func (r *Run) load(s Scale) error {
-	long := fullRunning * s.Wards / FullWorkers
+	long := fullRunning * s.Agents / FullWorkers
 	for left, i := long, 0; left > 0; left, i = left-250, i+1 {
 		r.submit(fmt.Sprint("long-", i), hollowJob("long", i%3, min(left, 250), false, 3_600_000))
 	}
 	if err := r.await(30*time.Second, "the long tasks running", func() bool { return r.running() >= long }); err != nil {
 		return err
 	}
-	starts := float64(fullStarts*s.Wards) / FullWorkers
+	starts := float64(fullStarts*s.Agents) / FullWorkers
 	tasks := max(1, min(64, int(starts/2)))
 	n := 0
 	next := func(every time.Duration, f func()) {
@@ -263,7 +263,7 @@
 		r.submit(fmt.Sprint("short-", n), hollowJob("short", r.rnd.Intn(3), tasks, false, 500+r.rnd.Intn(2000)))
 	})
 	next(5*time.Second, func() {
-		r.submit(fmt.Sprint("gang-", n), hollowJob("gang", r.rnd.Intn(3), max(2, fullGang*s.Wards/FullWorkers), true, 1000))
+		r.submit(fmt.Sprint("gang-", n), hollowJob("gang", r.rnd.Intn(3), max(2, fullGang*s.Agents/FullWorkers), true, 1000))
 	})
 	return nil
 }
@@ -296,7 +296,7 @@
 	lead.took = nil
 	m.Running = r.running()
 	var others []*node
-	for _, h := range r.helms {
+	for _, h := range r.controllers {
 		if h != lead {
 			others = append(others, h)
 		}
@@ -304,7 +304,7 @@
 	for _, x := range []struct {
 		role string
 		list []*node
-	}{{"leader", []*node{lead}}, {"follower", others}, {"gate", r.gates}, {"ward", r.wards}} {
+	}{{"leader", []*node{lead}}, {"follower", others}, {"gateway", r.gateways}, {"agent", r.agents}} {
 		u := RoleUsage{Role: x.role}
 		for i, n := range x.list {
 			u.Each = append(u.Each, n.use)
@@ -317,17 +317,17 @@
 	return nil
 }
 
-// change puts another table and waits until every gate has it.
-func (r *Run) change(t *blueprint.Table) (time.Duration, error) {
+// change puts another table and waits until every gateway has it.
+func (r *Run) change(t *config.Table) (time.Duration, error) {
 	from := r.now
 	next := *t
 	next.Edition, next.Rows = t.Edition+1, slices.Clone(t.Rows)
 	next.Rows[0].Weight = 1 + rand.New(rand.NewSource(r.now)).Intn(900)
 	acked := false
 	r.Crew.put(next, r.Crew.any(), 0, func(ok bool) { acked = ok })
-	err := r.await(20*time.Second, "a table in force at every gate", func() bool {
-		return acked && !slices.ContainsFunc(r.gates, func(n *node) bool {
-			have, fresh := n.m.(*gate.Gate).Table()
+	err := r.await(20*time.Second, "a table in force at every gateway", func() bool {
+		return acked && !slices.ContainsFunc(r.gateways, func(n *node) bool {
+			have, fresh := n.m.(*gateway.Gateway).Table()
 			return !fresh || have.Edition <= next.Edition
 		})
 	})
@@ -369,8 +369,8 @@
 	at := r.now
 	m.Elected = time.Duration(at - from)
 	err = r.await(30*time.Second, "the new leader known to all", func() bool {
-		return !slices.ContainsFunc(slices.Concat(r.gates, r.wards), func(n *node) bool {
-			return n.m.(interface{ Leader() mark.Addr }).Leader() != lead.addr
+		return !slices.ContainsFunc(slices.Concat(r.gateways, r.agents), func(n *node) bool {
+			return n.m.(interface{ Leader() types.Addr }).Leader() != lead.addr
 		})
 	})
 	m.Told = time.Duration(r.now - at)
--- a/trial/hollow_test.go
+++ b/sim/hollow_test.go
@@ -1,6 +1,6 @@
 // What an idle daemon says may not grow with the fleet: a short run of hollow
 // fleets. Times and processor shares are told by `trial capacity`, not judged.
-package trial
+package sim
 
 import (
 	"testing"
@@ -43,7 +43,7 @@
 		is.True(m.Told < 300*time.Millisecond) // a new leader is known to all
 		*x.to = m
 	}
-	for _, role := range []string{"ward", "gate", "follower"} {
+	for _, role := range []string{"agent", "gateway", "follower"} {
 		a, b, c := small.rate(role)
 		x, y, z := large.rate(role)
 		t.Logf("%s: %.1f and %.1f messages, %.0f and %.0f bytes, of the roster %.0f and %.0f", role, a, x, b, y, c, z)
@@ -51,13 +51,13 @@
 		is.True(y < 1.1*b)
 		is.True(z < 1.2*c)
 	}
-	_, _, ward := large.rate("ward")
-	is.True(ward < 500)
+	_, _, agent := large.rate("agent")
+	is.True(agent < 500)
 	a, b, c := small.rate("leader")
 	x, y, z := large.rate("leader")
 	t.Logf("leader: %.1f and %.1f messages, %.0f and %.0f bytes, of the roster %.0f and %.0f", a, x, b, y, c, z)
-	grown := float64(large.Wards) / float64(small.Wards)
-	is.True(x < 1.1*grown*a) // it hears every ward, and no more than that
+	grown := float64(large.Agents) / float64(small.Agents)
+	is.True(x < 1.1*grown*a) // it hears every agent, and no more than that
 	is.True(y < 1.1*grown*b)
 	is.True(z < 1.2*c)
 }
--- a/trial/hours_test.go
+++ b/sim/hours_test.go
@@ -1,7 +1,7 @@
-// A zone cut off for long, with its helm, gate, wards and workers: the rest
+// A zone cut off for long, with its controller, gateway, agents and workers: the rest
 // serves all the while, the cut side refuses, and after the link is back service
 // is what it was. CI cuts for ten minutes; -cut takes any time.
-package trial
+package sim
 
 import (
 	"flag"
@@ -10,10 +10,10 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/fault"
-	"coppercourse/helm"
-	"coppercourse/truth"
-	"coppercourse/word"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/controller"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/wire"
 )
 
 var steady = flag.Bool("steady", false, "all the usual traffic throughout the cut")
@@ -42,10 +42,10 @@
 	r.Split(zone, rest, true, true)
 	cut := r.now
 	r.Run(30 * time.Second)
-	var f *fault.Fault
-	r.ask(r.Crew.me, "g1", "job.cancel", "quotes-1", nil, func(a word.Answer) { f = a.Fault })
+	var f *apierror.Fault
+	r.ask(r.Crew.me, "g1", "job.cancel", "quotes-1", nil, func(a wire.Answer) { f = a.Fault })
 	r.Run(32 * time.Second)
-	is.Equal(f.Kind, fault.NoLead) // the cut side's own gate refuses at once
+	is.Equal(f.Kind, apierror.NoLead) // the cut side's own gateway refuses at once
 	is.True(f.Retry > 1)
 	r.Crew.open = *steady // else hours of little traffic: a burst every two minutes
 	if *steady {
@@ -68,7 +68,7 @@
 	for _, h := range r.Hist.List { // callers inside repeat what they sent before and at the time of the cut
 		if h.What == Sent && h.At < cut+int64(10*time.Second) {
 			sent++
-			r.ask(r.Crew.me, "g1", "job.put", string(h.Job), word.Body(h.Spec), func(a word.Answer) {
+			r.ask(r.Crew.me, "g1", "job.put", string(h.Job), wire.Body(h.Spec), func(a wire.Answer) {
 				if a.Fault != nil && a.Fault.Retry == 0 {
 					t.Error(h.Job, a.Fault)
 				}
@@ -80,8 +80,8 @@
 	before := Rate(&r.Hist, int64(8*time.Second), int64(20*time.Second))
 	after := Rate(&r.Hist, heal+int64(12*time.Second), heal+int64(27*time.Second))
 	healthy := 0
-	for _, w := range r.leader().m.(*helm.Helm).Workers() {
-		if w.State == truth.Healthy {
+	for _, w := range r.leader().m.(*controller.Controller).Workers() {
+		if w.State == dispatch.Healthy {
 			healthy++
 		}
 	}
--- a/trial/ledger_test.go
+++ b/sim/ledger_test.go
@@ -2,7 +2,7 @@
 // force the chance of it, and a count that shows that the chance arose. A run
 // in which a rule had no chance proves nothing of it. The other half of the
 // proof, that each rule catches a bug, is in planted_test.go.
-package trial
+package sim
 
 import (
 	"slices"
@@ -19,21 +19,21 @@
 }{
 	{"twice", []string{"cut-worker", "freeze-worker", "freeze-machine"}, 0,
 		[]string{"twice: a frozen leg found its grant lapsed", "again: started again after a lost or stopped leg"}},
-	{"again", []string{"cut-zone", "kill-leader", "kill-ward", "cut-core"}, 0,
+	{"again", []string{"cut-zone", "kill-leader", "kill-agent", "cut-core"}, 0,
 		[]string{"again: a good end told late or never", "again: a good end during a cut, kill or freeze"}},
 	{"order", []string{"kill-leader", "power-all", "freeze-leader"}, 0, []string{"order: started a step with dependencies"}},
 	{"early", []string{"jump-clock", "kill-leader", "power-all", "cut-core"}, 0,
 		[]string{"early: started a step with a time near a clock or leader fault"}},
-	{"rack, spread", []string{"kill-worker", "kill-ward", "drain-rack"}, 0,
+	{"rack, spread", []string{"kill-worker", "kill-agent", "drain-rack"}, 0,
 		[]string{"rack: started under a label", "spread: started at the limit"}},
-	{"tries", []string{"failing-worker", "cut-ward", "kill-leader"}, 0,
+	{"tries", []string{"failing-worker", "cut-agent", "kill-leader"}, 0,
 		[]string{"tries: started again after a failure", "tries: last try allowed"}},
-	{"room", []string{"kill-ward", "kill-leader", "freeze-ward", "slow-worker"}, 0, []string{"room: started into the last core"}},
-	{"cancel", []string{"cut-ward", "freeze-ward", "cut-zone", "cut-worker-in"}, 0.5,
+	{"room", []string{"kill-agent", "kill-leader", "freeze-agent", "slow-worker"}, 0, []string{"room: started into the last core"}},
+	{"cancel", []string{"cut-agent", "freeze-agent", "cut-zone", "cut-worker-in"}, 0.5,
 		[]string{"cancel: hit a running leg", "cancel: hit a running leg during a cut or freeze"}},
-	{"leaving", []string{"leave-worker", "drain-rack", "cut-ward-in", "handover"}, 0,
+	{"leaving", []string{"leave-worker", "drain-rack", "cut-agent-in", "handover"}, 0,
 		[]string{"leaving: started within 2 s of the word", "leaving: a drain taken"}},
-	{"forgotten", []string{"power-all", "lose-disk", "swap-helm", "kill-leader"}, 0,
+	{"forgotten", []string{"power-all", "lose-disk", "swap-controller", "kill-leader"}, 0,
 		[]string{"forgotten: accepted within 1 s of a kill or lost disk"}},
 	{"shown", []string{"kill-machine", "cut-zone", "failing-worker"}, 0.2,
 		[]string{"shown: ended done", "shown: ended failed", "shown: ended cancelled"}},
--- a/trial/net.go
+++ b/sim/net.go
@@ -1,14 +1,14 @@
 // The simulated network and disks: packets lost, late, twice or out of order,
 // pairs cut one way or both; disks that are slow, stall, lose what was not
 // synced, or are wiped.
-package trial
+package sim
 
 import (
 	"container/heap"
 	"time"
 
-	"coppercourse/lore"
-	"coppercourse/mark"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wal"
 )
 
 type pending struct {
@@ -42,10 +42,10 @@
 	Loss, Twice, Late float64
 }
 
-type pair struct{ from, to mark.Addr }
+type pair struct{ from, to types.Addr }
 
 // carry takes a packet from one address to another, or loses it.
-func (w *World) carry(from, to mark.Addr, run func()) {
+func (w *World) carry(from, to types.Addr, run func()) {
 	times := 1
 	if w.rnd.Float64() < w.sky.Twice {
 		times = 2
@@ -71,7 +71,7 @@
 }
 
 // Split cuts all between two groups, in one direction or both.
-func (w *World) Split(a, b []mark.Addr, both, on bool) {
+func (w *World) Split(a, b []types.Addr, both, on bool) {
 	for _, x := range a {
 		for _, y := range b {
 			w.set(pair{x, y}, on)
@@ -141,9 +141,9 @@
 	for _, x := range group {
 		for _, r := range x.list {
 			if x.whole {
-				b = lore.Pack(b, r, lore.Whole)
+				b = wal.Pack(b, r, wal.Whole)
 			} else {
-				b = lore.Pack(b, r, int64(len(d.safe)))
+				b = wal.Pack(b, r, int64(len(d.safe)))
 			}
 		}
 	}
@@ -169,7 +169,7 @@
 			return
 		}
 		if whole {
-			d.safe = lore.Pack(b, []byte("{}"), lore.Whole)
+			d.safe = wal.Pack(b, []byte("{}"), wal.Whole)
 		} else {
 			d.safe = append(d.safe, b...)
 		}
@@ -185,11 +185,11 @@
 // seal has a last small record witness what was synced, once the disk rests.
 func (d *disk) seal() {
 	gen := d.broken
-	d.w.at(lore.Rest, func() {
+	d.w.at(wal.Rest, func() {
 		if gen != d.broken || d.busy || d.sealed {
 			return
 		}
-		d.safe = lore.Pack(d.safe, []byte("{}"), int64(len(d.safe)))
+		d.safe = wal.Pack(d.safe, []byte("{}"), int64(len(d.safe)))
 		d.sealed = true
 	})
 }
--- a/trial/once.go
+++ b/sim/once.go
@@ -1,14 +1,14 @@
 // The checker on legs of one task: never two at once, none after a good end that
 // anybody alive was told of, no more tries than allowed; and on workers that are
 // taken away or drained.
-package trial
+package sim
 
 import (
 	"strings"
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/store"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
 )
 
 // excuse tells why a leg's end need not have been known at a time, or nothing:
@@ -52,7 +52,7 @@
 		if p.Limit > 0 {
 			long = min(long, p.Limit)
 		}
-		if s.fate == store.Halted && s.to-s.from >= int64(long)*1e6 {
+		if s.fate == state.Halted && s.to-s.from >= int64(long)*1e6 {
 			return true
 		}
 	}
@@ -74,17 +74,17 @@
 					continue
 				}
 				why := ""
-				if o.fate == store.OK || o.fate == store.Bad {
+				if o.fate == state.OK || o.fate == state.Bad {
 					why = c.excuse(o, s.from, patience)
 				}
 				switch {
-				case o.fate == store.Bad && why == "":
+				case o.fate == state.Bad && why == "":
 					fails++
-				case o.fate == store.OK && why == "":
+				case o.fate == state.OK && why == "":
 					c.bad("again", s.from, "%v starts although %v ended well at %.3f s", s.leg, o.leg, float64(o.to)/1e9)
-				case o.fate == store.OK:
+				case o.fate == state.OK:
 					c.seen[why]++
-				case o.fate != store.Bad:
+				case o.fate != state.Bad:
 					c.seen["again: started again after a lost or stopped leg"]++
 				}
 			}
@@ -109,7 +109,7 @@
 const fair = 2500 * time.Millisecond
 
 // removed counts what a worker still ran that had said in time when it goes.
-func (c *checker) removed(h Happening, live map[mark.Leg]*span) {
+func (c *checker) removed(h Happening, live map[types.Leg]*span) {
 	if d, _ := time.ParseDuration(h.Text); d >= fair {
 		c.seen["removed: workers taken away with notice"]++
 		c.seen["removed: legs lost to that"] += len(live)
--- a/trial/operator.go
+++ b/sim/operator.go
@@ -1,7 +1,7 @@
 // Operators of a town whose workers are called: they number the versions of the
 // table themselves, add and remove queues that nobody uses, send what is stale or
-// invalid, at times two at once, and count what waits at each gate.
-package trial
+// invalid, at times two at once, and count what waits at each gateway.
+package sim
 
 import (
 	"fmt"
@@ -9,28 +9,28 @@
 	"strings"
 	"time"
 
-	"coppercourse/blueprint"
-	"coppercourse/fault"
-	"coppercourse/mark"
-	"coppercourse/word"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 // change makes the next version of a table: time-outs, and a queue more or less.
-func (c *Crew) change(t blueprint.Table) blueprint.Table {
+func (c *Crew) change(t config.Table) config.Table {
 	n := t
 	n.Rows = slices.Clone(t.Rows)
-	n.Becomes = t.Edition + 1 + mark.Edition(c.w.rnd.Intn(9))
+	n.Becomes = t.Edition + 1 + types.Edition(c.w.rnd.Intn(9))
 	n.Rows[c.w.rnd.Intn(3)].Timeout = 1000 + c.w.rnd.Intn(4000)
 	if i := slices.IndexFunc(n.Rows, idle); i >= 0 && c.w.rnd.Intn(2) == 0 {
 		n.Rows = slices.Delete(n.Rows, i, i+1)
 	} else if len(n.Rows) < 8 {
 		c.next++
-		n.Rows = append(n.Rows, blueprint.Row{Name: mark.Queue(fmt.Sprint("idle-", c.next)), Weight: 1, Running: 10, Waiting: 10, Tries: 1, TaskMS: 1000, Service: "work"})
+		n.Rows = append(n.Rows, config.Row{Name: types.Queue(fmt.Sprint("idle-", c.next)), Weight: 1, Running: 10, Waiting: 10, Tries: 1, TaskMS: 1000, Service: "work"})
 	}
 	return n
 }
 
-func idle(r blueprint.Row) bool { return strings.HasPrefix(string(r.Name), "idle") }
+func idle(r config.Row) bool { return strings.HasPrefix(string(r.Name), "idle") }
 
 // versions puts new tables now and then.
 func (c *Crew) versions() {
@@ -38,7 +38,7 @@
 		if !c.open || !c.Races {
 			return
 		}
-		c.read(func(t blueprint.Table) {
+		c.read(func(t config.Table) {
 			if len(t.Rows) < 3 {
 				return
 			}
@@ -57,9 +57,9 @@
 	})
 }
 
-// counts asks each gate after queues that have just come or gone.
-func (c *Crew) counts(t, n blueprint.Table) {
-	var names []mark.Queue
+// counts asks each gateway after queues that have just come or gone.
+func (c *Crew) counts(t, n config.Table) {
+	var names []types.Queue
 	for _, r := range slices.Concat(t.Rows, n.Rows) {
 		if idle(r) && !slices.Contains(names, r.Name) {
 			names = append(names, r.Name)
@@ -67,22 +67,22 @@
 	}
 	for _, at := range []time.Duration{300 * time.Millisecond, 2100 * time.Millisecond} {
 		for i, q := range names {
-			g := c.gates[(i+c.w.rnd.Intn(2))%len(c.gates)]
+			g := c.gateways[(i+c.w.rnd.Intn(2))%len(c.gateways)]
 			c.w.at(at, func() { c.count(q, g) })
 		}
 	}
 }
 
-// count writes down whether a gate knows a queue: when it was asked, and who
+// count writes down whether a gateway knows a queue: when it was asked, and who
 // answered.
-func (c *Crew) count(q mark.Queue, g mark.Addr) {
+func (c *Crew) count(q types.Queue, g types.Addr) {
 	began := c.w.now
-	c.try(g, "queue.count", string(q), nil, func(a word.Answer) {
-		h := Happening{What: Counted, Who: c.w.nodes[g].name(), Job: mark.JobID(q), Text: fmt.Sprint(began)}
+	c.try(g, "queue.count", string(q), nil, func(a wire.Answer) {
+		h := Happening{What: Counted, Who: c.w.nodes[g].name(), Job: types.JobID(q), Text: fmt.Sprint(began)}
 		switch {
 		case a.Fault == nil:
 			h.Stage = "there"
-		case a.Fault.Kind != fault.NoQueue:
+		case a.Fault.Kind != apierror.NoQueue:
 			return
 		}
 		c.w.tell(h)
--- a/trial/planted_test.go
+++ b/sim/planted_test.go
@@ -1,7 +1,7 @@
 // Every rule of the checker is shown to catch a planted bug: the machines are
 // the real ones, and what lies between them lies. The same run without the bug
 // breaks nothing.
-package trial
+package sim
 
 import (
 	"encoding/json"
@@ -11,12 +11,12 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/blueprint"
-	"coppercourse/fault"
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/truth"
-	"coppercourse/word"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 // alter reads a body, changes it and writes it back.
@@ -24,13 +24,13 @@
 	var t T
 	if json.Unmarshal(*b, &t) == nil {
 		f(&t)
-		*b = word.Body(t)
+		*b = wire.Body(t)
 	}
 }
 
 func onNote[T any](kind string, f func(*T)) func(*Run) {
 	return func(r *Run) {
-		r.Tamper = func(s *word.Send) bool {
+		r.Tamper = func(s *wire.Send) bool {
 			if s.Note.Kind == kind {
 				alter(&s.Note.Body, f)
 			}
@@ -39,11 +39,11 @@
 	}
 }
 
-// onJob changes jobs on their way from the gates to the leader.
-func onJob(f func(*store.Step)) func(*Run) {
-	return onNote(word.Call, func(c *word.CallBody) {
+// onJob changes jobs on their way from the gateways to the leader.
+func onJob(f func(*state.Step)) func(*Run) {
+	return onNote(wire.Call, func(c *wire.CallBody) {
 		if c.Verb == "job.put" {
-			alter(&c.Body, func(s *store.Spec) {
+			alter(&c.Body, func(s *state.Spec) {
 				for i := range s.Steps {
 					f(&s.Steps[i])
 				}
@@ -52,7 +52,7 @@
 	})
 }
 
-func onPoll(f func(*truth.Poll)) func(*Run) {
+func onPoll(f func(*dispatch.Poll)) func(*Run) {
 	return func(r *Run) {
 		r.Bend = func(verb string, b *json.RawMessage) {
 			if verb == "poll" {
@@ -66,7 +66,7 @@
 }
 
 func mute(kind string) func(*Run) {
-	return func(r *Run) { r.Tamper = func(s *word.Send) bool { return s.Note.Kind != kind } }
+	return func(r *Run) { r.Tamper = func(s *wire.Send) bool { return s.Note.Kind != kind } }
 }
 
 var planted = []struct {
@@ -82,63 +82,63 @@
 			h.deaf = true
 		}
 	}},
-	{"accounts hide what runs", []string{"handover"}, []string{"again"}, 30 * time.Second, false, onNote(word.Account, func(a *truth.Account) { a.Runs = nil })},
-	{"good ends told as stops", nil, []string{"again"}, 30 * time.Second, true, onPoll(func(p *truth.Poll) {
+	{"accounts hide what runs", []string{"handover"}, []string{"again"}, 30 * time.Second, false, onNote(wire.Account, func(a *dispatch.Account) { a.Runs = nil })},
+	{"good ends told as stops", nil, []string{"again"}, 30 * time.Second, true, onPoll(func(p *dispatch.Poll) {
 		for i := range p.Ends {
-			p.Ends[i].Fate = store.Halted
+			p.Ends[i].Fate = state.Halted
 		}
 	})},
-	{"failures told as stops", nil, []string{"tries"}, 30 * time.Second, false, onPoll(func(p *truth.Poll) {
+	{"failures told as stops", nil, []string{"tries"}, 30 * time.Second, false, onPoll(func(p *dispatch.Poll) {
 		for i := range p.Ends {
-			if p.Ends[i].Fate == store.Bad {
-				p.Ends[i].Fate = store.Halted
+			if p.Ends[i].Fate == state.Bad {
+				p.Ends[i].Fate = state.Halted
 			}
 		}
 	})},
-	{"workers report what they are not", nil, []string{"service", "rack", "room"}, 30 * time.Second, false, onPoll(func(p *truth.Poll) {
-		p.Kinds, p.Room, p.Rack = []mark.Kind{"quote", "menu", "pay"}, mark.Room{Cores: 4000 * mark.Core, Memory: 4_000_000}, "r1"
+	{"workers report what they are not", nil, []string{"service", "rack", "room"}, 30 * time.Second, false, onPoll(func(p *dispatch.Poll) {
+		p.Kinds, p.Room, p.Rack = []types.Kind{"quote", "menu", "pay"}, types.Room{Cores: 4000 * types.Core, Memory: 4_000_000}, "r1"
 	})},
-	{"nobody hears that a worker leaves", []string{"leave-worker"}, []string{"leaving"}, 30 * time.Second, false, onPoll(func(p *truth.Poll) { p.Leave = false })},
-	{"spread is forgotten", nil, []string{"spread"}, 30 * time.Second, false, onJob(func(s *store.Step) { s.Spread = 0 })},
-	{"times are forgotten", nil, []string{"early"}, 30 * time.Second, false, onJob(func(s *store.Step) { s.Delay, s.Not = 0, "" })},
-	{"dependencies are forgotten", nil, []string{"order"}, 30 * time.Second, false, onJob(func(s *store.Step) { s.After = nil })},
-	{"stops get lost", []string{"kill-machine"}, []string{"cancel-run", "gang"}, 30 * time.Second, false, func(r *Run) { mute(word.Stop)(r); r.Crew.Cancel = 0.5 }},
+	{"nobody hears that a worker leaves", []string{"leave-worker"}, []string{"leaving"}, 30 * time.Second, false, onPoll(func(p *dispatch.Poll) { p.Leave = false })},
+	{"spread is forgotten", nil, []string{"spread"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.Spread = 0 })},
+	{"times are forgotten", nil, []string{"early"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.Delay, s.Not = 0, "" })},
+	{"dependencies are forgotten", nil, []string{"order"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.After = nil })},
+	{"stops get lost", []string{"kill-machine"}, []string{"cancel-run", "gang"}, 30 * time.Second, false, func(r *Run) { mute(wire.Stop)(r); r.Crew.Cancel = 0.5 }},
 	{"open jobs shown done", nil, []string{"shown"}, 30 * time.Second, false, func(r *Run) {
-		r.Twist = func(verb string, a *word.Answer) {
+		r.Twist = func(verb string, a *wire.Answer) {
 			if verb == "job.get" && a.Fault == nil {
 				alter(&a.Body, func(v *map[string]any) { (*v)["state"] = "done" })
 			}
 		}
 	}},
 	{"jobs denied after acceptance", nil, []string{"forgotten"}, 30 * time.Second, false, func(r *Run) {
-		r.Twist = func(verb string, a *word.Answer) {
+		r.Twist = func(verb string, a *wire.Answer) {
 			if verb == "job.get" {
-				*a = word.Answer{Fault: fault.New(fault.NoJob, "id", "")}
+				*a = wire.Answer{Fault: apierror.New(apierror.NoJob, "id", "")}
 			}
 		}
 	}},
 	{"old tables read", nil, []string{"table"}, 30 * time.Second, false, func(r *Run) {
-		r.Twist = func(verb string, a *word.Answer) {
+		r.Twist = func(verb string, a *wire.Answer) {
 			if verb == "table.get" && a.Fault == nil {
-				alter(&a.Body, func(t *blueprint.Table) { t.Edition-- })
+				alter(&a.Body, func(t *config.Table) { t.Edition-- })
 			}
 		}
 	}},
 	{"placement goes by a table of its own", nil, []string{"table", "tries"}, 30 * time.Second, false, func(r *Run) {
-		told := map[mark.Edition]blueprint.Table{}
+		told := map[types.Edition]config.Table{}
 		swap := func(b *json.RawMessage) {
-			alter(b, func(t *blueprint.Table) {
+			alter(b, func(t *config.Table) {
 				if o, ok := told[t.Edition]; ok && len(t.Rows) > 0 {
 					t.Rows = o.Rows
 				}
 			})
 		}
-		r.Tamper = func(s *word.Send) bool {
-			if s.Note.Kind == word.Call {
-				alter(&s.Note.Body, func(c *word.CallBody) {
+		r.Tamper = func(s *wire.Send) bool {
+			if s.Note.Kind == wire.Call {
+				alter(&s.Note.Body, func(c *wire.CallBody) {
 					if c.Verb == "table.put" {
-						alter(&c.Body, func(t *blueprint.Table) {
-							told[t.Edition+1] = blueprint.Table{Rows: slices.Clone(t.Rows)}
+						alter(&c.Body, func(t *config.Table) {
+							told[t.Edition+1] = config.Table{Rows: slices.Clone(t.Rows)}
 							t.Rows[1].Running, t.Rows[2].Tries = 1000, 9
 						})
 					}
@@ -146,14 +146,14 @@
 			}
 			return true
 		}
-		r.Twist = func(verb string, a *word.Answer) {
+		r.Twist = func(verb string, a *wire.Answer) {
 			if verb == "table.get" && a.Fault == nil {
 				swap(&a.Body)
 			}
 		}
 		r.Crew.Races = false
 		r.at(7*time.Second, func() {
-			r.Crew.read(func(t blueprint.Table) {
+			r.Crew.read(func(t config.Table) {
 				t.Rows = slices.Clone(t.Rows)
 				t.Rows[1].Running = 8
 				r.Crew.put(t, "g1", 0, func(bool) {})
@@ -162,13 +162,13 @@
 	}},
 	{"disks say synced and are not", []string{"power-all"}, []string{"forgotten"}, 30 * time.Second, false, func(r *Run) {
 		r.at(10*time.Second, func() {
-			for _, h := range r.helms {
+			for _, h := range r.controllers {
 				h.disk.liar = true
 			}
 		})
 	}},
-	{"orders end with the faults", []string{"kill-gate"}, []string{"recovery"}, 30 * time.Second, false, func(r *Run) {
-		r.at(26*time.Second, func() { mute(word.Order)(r) })
+	{"orders end with the faults", []string{"kill-gateway"}, []string{"recovery"}, 30 * time.Second, false, func(r *Run) {
+		r.at(26*time.Second, func() { mute(wire.Order)(r) })
 		r.at(52*time.Second, func() { r.Tamper = nil })
 	}},
 }
--- a/trial/reign.go
+++ b/sim/reign.go
@@ -1,21 +1,21 @@
 // The checker's view of tables in effect: which editions may be followed at a
 // time, and whether what workers ran and callers were granted follows one of
 // them. A refused or losing table may never be followed.
-package trial
+package sim
 
 import (
 	"slices"
 	"sort"
 	"time"
 
-	"coppercourse/blueprint"
-	"coppercourse/mark"
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
 )
 
 // reign is one table that was put and may be in force.
 type reign struct {
-	blueprint.Table
-	base  mark.Edition
+	config.Table
+	base  types.Edition
 	from  int64 // put at the earliest
 	acked int64 // acknowledged, or 0
 	read  bool
@@ -49,7 +49,7 @@
 }
 
 func (c *checker) reign() {
-	find := func(t blueprint.Table) *reign {
+	find := func(t config.Table) *reign {
 		for i := range c.reigns {
 			if r := &c.reigns[i]; r.Edition == t.Edition && r.Same(t) {
 				return r
@@ -88,8 +88,8 @@
 }
 
 // rows are a queue's rows that may be followed somewhere in a stretch.
-func (c *checker) rows(q mark.Queue, from, to int64) (list []blueprint.Row) {
-	over := mark.Edition(0)
+func (c *checker) rows(q types.Queue, from, to int64) (list []config.Row) {
+	over := types.Edition(0)
 	for _, r := range c.reigns {
 		if r.acked > 0 && r.acked+int64(c.b.Table) < from {
 			over = max(over, r.Edition)
@@ -106,8 +106,8 @@
 // effects: starts keep the running limit, legs their time, and entry the
 // waiting limit and the queues of a table in force.
 func (c *checker) effects() {
-	by := map[mark.Queue][]*span{}
-	jobs := map[mark.Queue][]*job{}
+	by := map[types.Queue][]*span{}
+	jobs := map[types.Queue][]*job{}
 	for _, s := range c.spans {
 		if j := c.jobs[s.leg.Job]; j.spec != nil {
 			by[j.spec.Queue] = append(by[j.spec.Queue], s)
@@ -129,7 +129,7 @@
 
 const overtime = int64(1500 * time.Millisecond)
 
-func (c *checker) running(q mark.Queue, list []*span) {
+func (c *checker) running(q types.Queue, list []*span) {
 	var on []*span // those before it that had not ended
 	for _, s := range list {
 		on = slices.DeleteFunc(on, func(o *span) bool { return o.to <= s.from })
@@ -162,7 +162,7 @@
 
 // entry: a job taken in while at least as many others as the queue may hold
 // were surely unfinished all the while it was asked for.
-func (c *checker) entry(q mark.Queue, list []*job) {
+func (c *checker) entry(q types.Queue, list []*job) {
 	var on []*job // those before it that were surely unfinished
 	for _, j := range list {
 		last := j.last()
--- a/trial/relay.go
+++ b/sim/relay.go
@@ -2,7 +2,7 @@
 // by the source address who calls, and so can cut any pair, one way or both. A
 // cut connection is held, not closed, and goes on when the cut is over, as TCP
 // would after retransmitting.
-package trial
+package sim
 
 import (
 	"context"
--- a/trial/silent_test.go
+++ b/sim/silent_test.go
@@ -1,4 +1,4 @@
-package trial
+package sim
 
 import (
 	"testing"
@@ -6,13 +6,13 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/mark"
-	"coppercourse/word"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
-// A helm that is cut off is asked whether it is there, and sent nothing more:
+// A controller that is cut off is asked whether it is there, and sent nothing more:
 // what the leader sent it again and again once filled the leader's memory.
-func TestASilentHelmIsSentNoEntries(t *testing.T) {
+func TestASilentControllerIsSentNoEntries(t *testing.T) {
 	is := is.New(t)
 	r := Build(Plan{Seed: 5, Town: "kingston"})
 	r.at(5*time.Second, func() { r.Crew.put(r.Crew.town.Table(), "g1", 0, func(bool) {}) })
@@ -23,7 +23,7 @@
 	})
 	r.Run(10 * time.Second)
 	var lead, away *node
-	for _, n := range r.helms {
+	for _, n := range r.controllers {
 		if s := r.status(n); s.Part == "leader" {
 			lead = n
 		} else {
@@ -31,20 +31,20 @@
 		}
 	}
 	sent, most := 0, 0
-	r.Tamper = func(s *word.Send) bool {
-		if s.Note.From == lead.addr && s.To == away.addr && s.Note.Kind == word.Append {
+	r.Tamper = func(s *wire.Send) bool {
+		if s.Note.From == lead.addr && s.To == away.addr && s.Note.Kind == wire.Append {
 			sent += len(s.Note.Body)
 			most = max(most, len(s.Note.Body))
 		}
 		return true
 	}
-	r.Split([]mark.Addr{away.addr}, r.order, true, true)
+	r.Split([]types.Addr{away.addr}, r.order, true, true)
 	r.Run(12 * time.Second)
 	sent, most = 0, 0
 	r.Run(20 * time.Second)
 	is.True(sent > 0)   // it is asked
 	is.True(most < 500) // with no entries
-	r.Split([]mark.Addr{away.addr}, r.order, true, false)
+	r.Split([]types.Addr{away.addr}, r.order, true, false)
 	r.Run(30 * time.Second)
 	a, b := r.status(lead), r.status(away)
 	is.Equal(a.Part, "leader")
--- a/trial/spend.go
+++ b/sim/spend.go
@@ -1,7 +1,7 @@
 // What real processes spend while nothing is asked of them: processor time and
 // memory from the kernel's accounts, beside the messages that they have sent. It
 // is what the shell round the machines adds to what a hollow fleet shows.
-package trial
+package sim
 
 import (
 	"fmt"
@@ -87,7 +87,7 @@
 		return "", err
 	}
 	text := ""
-	for _, role := range []string{"leader", "helm", "gate", "ward"} {
+	for _, role := range []string{"leader", "controller", "gateway", "agent"} {
 		x, y := a[role], b[role]
 		n := float64(y.n)
 		text += fmt.Sprintf("idle %s of %d: %.2f%% of a core, %.1f MB resident, %.1f messages sent a second\n", role, y.n,
--- a/trial/storm.go
+++ b/sim/storm.go
@@ -1,6 +1,6 @@
 // A whole simulated run: a town set up, its traffic, faults drawn from the
 // seed, the time after them, and the checks.
-package trial
+package sim
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 	"sort"
 	"time"
 
-	"coppercourse/fault"
-	"coppercourse/mark"
-	"coppercourse/place"
-	"coppercourse/truth"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/settings"
+	"coppercourse/internal/types"
 )
 
 // Plan is what a run does.
@@ -27,64 +27,64 @@
 	Patience time.Duration // of every queue
 	Last     bool          // one more fault at the very end of the traffic
 	Bare     bool          // called workers guard nothing
-	Pace     truth.Pace    // of wards and helms; the defaults if not set
+	Pace     dispatch.Pace // of agents and controllers; the defaults if not set
 	Quick    bool          // the pace is the quick one, of elections too
 }
 
 // Run is a world with a town in it.
 type Run struct {
 	*World
-	Plan   Plan
-	Crew   *Crew
-	helms  []*node
-	gates  []*node
-	wards  []*node
-	zones  map[mark.Locality][]mark.Addr
-	spare  int
-	drains map[string]bool // racks that an operator drains
-	done   int64
-	hits   []mark.Addr // whom the trouble at hand touches; nil: everybody
-	Notes  []string
-	until  time.Time // of real time, for runs that measure; they give up then
+	Plan        Plan
+	Crew        *Crew
+	controllers []*node
+	gateways    []*node
+	agents      []*node
+	zones       map[types.Locality][]types.Addr
+	spare       int
+	drains      map[string]bool // racks that an operator drains
+	done        int64
+	hits        []types.Addr // whom the trouble at hand touches; nil: everybody
+	Notes       []string
+	until       time.Time // of real time, for runs that measure; they give up then
 }
 
-// Build sets the plan's town up: its helms, gates, wards and their workers.
+// Build sets the plan's town up: its controllers, gateways, agents and their workers.
 func Build(p Plan) *Run { return build(p, Towns[p.Town]) }
 
 func build(p Plan, town Town) *Run {
-	r := &Run{World: NewWorld(p.Seed), Plan: p, zones: map[mark.Locality][]mark.Addr{}, drains: map[string]bool{}}
+	r := &Run{World: NewWorld(p.Seed), Plan: p, zones: map[types.Locality][]types.Addr{}, drains: map[string]bool{}}
 	size := town.size()
 	if town.Manner != nil {
 		r.floor = NewFloor(*town.Manner)
 	}
 	if p.Quick {
-		r.pace, r.core = place.Quick.Truth(), place.Quick.Core()
+		r.pace, r.core = settings.Quick.Truth(), settings.Quick.Core()
 	}
-	if p.Pace != (truth.Pace{}) {
+	if p.Pace != (dispatch.Pace{}) {
 		r.pace = p.Pace
 	}
-	r.seeds = []mark.Addr{"h1", "g1", "w1"}
+	r.seeds = []types.Addr{"h1", "g1", "w1"}
 	for i := range size.Founders {
-		r.founders = append(r.founders, mark.Addr(fmt.Sprintf("h%d", i+1)))
+		r.founders = append(r.founders, types.Addr(fmt.Sprintf("h%d", i+1)))
 		r.seeds = r.founders
 	}
-	for i := range size.Helms {
-		n := r.helm(mark.Addr(fmt.Sprintf("h%d", i+1)), size.zone(i))
+	for i := range size.Controllers {
+		n := r.controller(types.Addr(fmt.Sprintf("h%d", i+1)), size.zone(i))
 		n.first = true
-		r.helms = append(r.helms, n)
+		r.controllers = append(r.controllers, n)
 	}
-	for i := range size.Gates {
-		r.gates = append(r.gates, r.gate(mark.Addr(fmt.Sprintf("g%d", i+1)), size.zone(i)))
+	for i := range size.Gateways {
+		r.gateways = append(r.gateways, r.gateway(types.Addr(fmt.Sprintf("g%d", i+1)), size.zone(i)))
 	}
 	for i, m := range town.Workers() {
-		a := mark.Addr(fmt.Sprintf("w%d", i+1))
-		r.wards = append(r.wards, r.ward(a, size.zone(i), m))
+		a := types.Addr(fmt.Sprintf("w%d", i+1))
+		r.agents = append(r.agents, r.agent(a, size.zone(i), m))
 		if town.Manner != nil {
 			m.Guards = !p.Bare
-			r.callee(mark.Addr(fmt.Sprintf("k%d", i+1)), a, size.zone(i), m)
+			r.callee(types.Addr(fmt.Sprintf("k%d", i+1)), a, size.zone(i), m)
 			continue
 		}
-		r.worker(mark.Addr(fmt.Sprintf("k%d", i+1)), a, size.zone(i), m)
+		r.worker(types.Addr(fmt.Sprintf("k%d", i+1)), a, size.zone(i), m)
 	}
 	for _, a := range r.order {
 		n := r.nodes[a]
@@ -99,10 +99,10 @@
 	for _, k := range r.yard {
 		r.at(time.Duration(r.rnd.Int63n(int64(500*time.Millisecond))), k.boot)
 	}
-	r.Crew = &Crew{w: r.World, town: town, me: "caller", open: true, Cancel: 0.04, Races: true, Count: map[fault.Kind]int{},
-		Tries: 30, halts: map[mark.JobID]time.Duration{}}
-	for _, g := range r.gates {
-		r.Crew.gates = append(r.Crew.gates, g.addr)
+	r.Crew = &Crew{w: r.World, town: town, me: "caller", open: true, Cancel: 0.04, Races: true, Count: map[apierror.Kind]int{},
+		Tries: 30, halts: map[types.JobID]time.Duration{}}
+	for _, g := range r.gateways {
+		r.Crew.gateways = append(r.Crew.gateways, g.addr)
 	}
 	r.sky = Weather{Loss: 0.001, Twice: 0.001, Late: 0.001}
 	return r
--- a/trial/street.go
+++ b/sim/street.go
@@ -1,7 +1,7 @@
 // Callers of a real fleet: over HTTP, each request on a connection of its own,
-// to gates that say they are ready; the same job is sent again wherever the
+// to gateways that say they are ready; the same job is sent again wherever the
 // answer was lost, when the answer says so.
-package trial
+package sim
 
 import (
 	"bytes"
@@ -17,12 +17,12 @@
 	"syscall"
 	"time"
 
-	"coppercourse/blueprint"
-	"coppercourse/door"
-	"coppercourse/fault"
-	"coppercourse/helm"
-	"coppercourse/mark"
-	"coppercourse/word"
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/controller"
+	"coppercourse/internal/server"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 // Street is all callers of a fleet.
@@ -39,26 +39,26 @@
 	Speed   float64
 	Takes   []float64 // ms from sending to acceptance
 	Ends    []float64 // ms from sending to done, as seen
-	Denials map[fault.Kind]int
+	Denials map[apierror.Kind]int
 	Drops   atomic.Int64
 	slots   chan struct{}
 }
 
 func NewStreet(f *Fleet, seed int64, speed float64) *Street {
-	s := &Street{f: f, rnd: rand.New(rand.NewSource(seed)), client: door.Client("127.0.9.1", 4*time.Second), Cancel: 0.04,
-		Speed: speed, Denials: map[fault.Kind]int{}, slots: make(chan struct{}, 3000)}
+	s := &Street{f: f, rnd: rand.New(rand.NewSource(seed)), client: server.Client("127.0.9.1", 4*time.Second), Cancel: 0.04,
+		Speed: speed, Denials: map[apierror.Kind]int{}, slots: make(chan struct{}, 3000)}
 	s.client.Transport.(*http.Transport).DisableKeepAlives = true
-	list := f.of("gate")
+	list := f.of("gateway")
 	s.ready.Store(&list)
 	s.open.Store(true)
 	return s
 }
 
-// Watch keeps the list of ready gates, as the platform does.
+// Watch keeps the list of ready gateways, as the platform does.
 func (s *Street) Watch() {
 	for s.f.ctx.Err() == nil {
 		var list []*proc
-		for _, p := range s.f.of("gate") {
+		for _, p := range s.f.of("gateway") {
 			var v any
 			if !p.down.Load() && !p.ice.Load() && s.f.page(p, "/ready", &v) == nil {
 				list = append(list, p)
@@ -77,7 +77,7 @@
 	return s.rnd.Intn(n)
 }
 
-func (s *Street) gate() *proc {
+func (s *Street) gateway() *proc {
 	list := *s.ready.Load()
 	return list[s.chance(len(list))]
 }
@@ -91,7 +91,7 @@
 		time.Sleep(time.Duration((0.5 + float64(s.chance(1000))/1000) * gap))
 		s.mu.Lock()
 		s.next++
-		id := mark.JobID(fmt.Sprintf("%s-%d", fl.Queue, s.next))
+		id := types.JobID(fmt.Sprintf("%s-%d", fl.Queue, s.next))
 		spec := fl.Spec(s.rnd)
 		s.mu.Unlock()
 		select {
@@ -101,17 +101,17 @@
 			go func() {
 				defer s.work.Done()
 				defer func() { <-s.slots }()
-				s.job(id, word.Body(spec))
+				s.job(id, wire.Body(spec))
 			}()
 		default:
 		}
 	}
 }
 
-// try asks once. A request that was taken up and got no answer from a gate
+// try asks once. A request that was taken up and got no answer from a gateway
 // that nobody killed is a drop.
 func (s *Street) try(method, path string, body []byte) (code int, b []byte) {
-	g := s.gate()
+	g := s.gateway()
 	req, err := http.NewRequestWithContext(s.f.ctx, method, fmt.Sprintf("http://%s:%d%s", g.ip, s.f.Port, path), bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
@@ -132,7 +132,7 @@
 	return
 }
 
-func (s *Street) job(id mark.JobID, body []byte) {
+func (s *Street) job(id types.JobID, body []byte) {
 	from := time.Now()
 	for n := 0; ; n++ {
 		code, b := s.try(http.MethodPut, "/v1/jobs/"+string(id), body)
@@ -162,7 +162,7 @@
 	for s.f.ctx.Err() == nil {
 		time.Sleep(150*time.Millisecond + time.Duration(s.chance(150))*time.Millisecond)
 		code, b := s.try(http.MethodGet, "/v1/jobs/"+string(id), nil)
-		var v helm.JobView
+		var v controller.JobView
 		switch {
 		case code == 404:
 			s.f.Tell(Happening{What: Missed, Job: id})
@@ -183,7 +183,7 @@
 
 // later waits as an answer says, and tells whether to ask again at all.
 func (s *Street) later(code int, b []byte) bool {
-	var f fault.Fault
+	var f apierror.Fault
 	if code == 0 {
 		time.Sleep(100 * time.Millisecond)
 		return true
@@ -206,10 +206,10 @@
 }
 
 // Put puts a table until it is taken or refused; it gives the edition.
-func (s *Street) Put(t blueprint.Table) (mark.Edition, error) {
+func (s *Street) Put(t config.Table) (types.Edition, error) {
 	s.f.Tell(Happening{What: TableTry, Table: &t})
 	for range 60 {
-		code, b := s.try(http.MethodPut, "/v1/table", word.Body(t))
+		code, b := s.try(http.MethodPut, "/v1/table", wire.Body(t))
 		if code == 200 {
 			got := t.Next()
 			s.f.Tell(Happening{What: TableAck, Table: &got})
@@ -229,7 +229,7 @@
 	defer s.work.Done()
 	for s.open.Load() {
 		time.Sleep(3 * time.Second)
-		var t blueprint.Table
+		var t config.Table
 		began := strconv.FormatInt(time.Since(s.f.start).Nanoseconds(), 10)
 		code, b := s.try(http.MethodGet, "/v1/table", nil)
 		if code != 200 || json.Unmarshal(b, &t) != nil || len(t.Rows) < 2 {
@@ -238,7 +238,7 @@
 		s.f.Tell(Happening{What: TableSaw, Table: &t, Text: began})
 		var two sync.WaitGroup
 		for range 2 {
-			n := blueprint.Table{Edition: t.Edition, Rows: append([]blueprint.Row(nil), t.Rows...)}
+			n := config.Table{Edition: t.Edition, Rows: append([]config.Row(nil), t.Rows...)}
 			n.Rows[0].Weight = 1 + s.chance(900)
 			two.Add(1)
 			go func() { defer two.Done(); s.Put(n) }()
--- a/trial/street_test.go
+++ b/sim/street_test.go
@@ -1,5 +1,5 @@
 // The fleet's own count of dropped requests is shown to catch one.
-package trial
+package sim
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/door"
+	"coppercourse/internal/server"
 )
 
 func TestDroppedRequestIsCounted(t *testing.T) {
@@ -30,9 +30,9 @@
 	}))
 	defer srv.Close()
 	port := srv.Listener.Addr().(*net.TCPAddr).Port
-	f := &Fleet{Port: port, ctx: context.Background(), start: time.Now(), procs: []*proc{{name: "gate1", role: "gate", ip: "127.0.0.1"}}}
+	f := &Fleet{Port: port, ctx: context.Background(), start: time.Now(), procs: []*proc{{name: "gateway1", role: "gateway", ip: "127.0.0.1"}}}
 	s := NewStreet(f, 1, 1)
-	d := door.Dialer("127.0.9.1") // as the street's, on a machine that may be slow
+	d := server.Dialer("127.0.9.1") // as the street's, on a machine that may be slow
 	d.Timeout, s.client.Timeout = 2*time.Minute, 2*time.Minute
 	s.client.Transport.(*http.Transport).DialContext = d.DialContext
 	code, _ := s.try("PUT", "/v1/jobs/a", nil)
--- /dev/null
+++ b/sim/town.go
@@ -0,0 +1,161 @@
+// The two deployments as the brief sizes them: machines, workers, tables, and
+// the three shapes of job with their rates.
+package sim
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand"
+	"time"
+
+	"coppercourse/internal/config"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+// Town is a deployment.
+type Town struct {
+	Name  string
+	Cores types.Cores
+	Flows []Flow
+
+	Size            // of the deployment; nothing said is Small
+	Manner  *Manner // of its workers, where they are called
+	Streams []Stream
+	rows    []config.Row
+}
+
+// Size is how many of each there are. Where controllers found the cluster together, they
+// are named to all.
+type Size struct {
+	Zones, Controllers, Gateways, Workers, Rack, Founders int
+}
+
+// Small is the size of the first deployments: three controllers, any of which found.
+var Small = Size{Zones: 3, Controllers: 3, Gateways: 4, Workers: 11, Rack: 3}
+
+func (t Town) size() Size {
+	if t.Size == (Size{}) {
+		return Small
+	}
+	return t.Size
+}
+
+// zone names the locality of the i-th of something.
+func (x Size) zone(i int) types.Locality { return types.Locality(fmt.Sprintf("z%d", i%x.Zones+1)) }
+
+// Flow is one stream of jobs of a shape, with its mean rate.
+type Flow struct {
+	Queue types.Queue
+	Every time.Duration
+	Spec  func(r *rand.Rand) state.Spec
+}
+
+func work(r *rand.Rand, least, most int) json.RawMessage {
+	return json.RawMessage(fmt.Sprintf(`{"ms":%d}`, least+r.Intn(most-least+1)))
+}
+
+// gangs is two small gangs of short tasks.
+func gangs(q types.Queue, kind types.Kind, cores int) func(*rand.Rand) state.Spec {
+	return func(r *rand.Rand) state.Spec {
+		s := state.Spec{Queue: q, Urgency: r.Intn(3)}
+		for _, name := range []string{"near", "far"} {
+			s.Steps = append(s.Steps, state.Step{Name: name, Kind: kind, Room: types.Room{Cores: types.Cores(cores) * types.Core, Memory: 64}, Tasks: 2 + r.Intn(2),
+				Gang: true, Spread: 1 + r.Intn(2), Work: work(r, 60, 250)})
+		}
+		if r.Intn(3) == 0 {
+			s.Steps[1].After = []string{"near"}
+		}
+		return s
+	}
+}
+
+// wide is one wide step of long tasks.
+func wide(q types.Queue, kind types.Kind, cores, tasks int) func(*rand.Rand) state.Spec {
+	return func(r *rand.Rand) state.Spec {
+		s := state.Spec{Queue: q, Steps: []state.Step{{Name: "all", Kind: kind, Room: types.Room{Cores: types.Cores(cores) * types.Core, Memory: 256}, Tasks: tasks,
+			Spread: 3, Work: work(r, 1500, 4000)}}}
+		if r.Intn(4) == 0 {
+			s.Steps[0].Rack, s.Steps[0].Spread = types.Rack(fmt.Sprintf("r%d", 1+r.Intn(3))), 0
+		}
+		return s
+	}
+}
+
+// duo is two short tasks, one after the other or side by side.
+func duo(q types.Queue, kind types.Kind) func(*rand.Rand) state.Spec {
+	return func(r *rand.Rand) state.Spec {
+		s := state.Spec{Queue: q, Urgency: 5}
+		for _, name := range []string{"hold", "book"} {
+			s.Steps = append(s.Steps, state.Step{Name: name, Kind: kind, Room: types.Room{Cores: 1 * types.Core, Memory: 32}, Tasks: 1, Work: work(r, 40, 150)})
+		}
+		switch r.Intn(3) {
+		case 0:
+			s.Steps[1].After = []string{"hold"}
+		case 1:
+			s.Steps[1].Delay = 300 + r.Intn(700)
+		}
+		if r.Intn(25) == 0 {
+			s.Steps[1].Work = json.RawMessage(`{"ms":50,"fail":true}`)
+		}
+		return s
+	}
+}
+
+// Towns are the two.
+var Towns = map[string]Town{
+	"kingston": {Name: "kingston", Cores: 16 * types.Core, Flows: []Flow{
+		{"quotes", 140 * time.Millisecond, gangs("quotes", "quote", 1)},
+		{"menus", 6 * time.Second, wide("menus", "menu", 2, 12)},
+		{"payments", 900 * time.Millisecond, duo("payments", "pay")},
+	}},
+	"romania": {Name: "romania", Cores: 64 * types.Core, Flows: []Flow{
+		{"searches", 220 * time.Millisecond, gangs("searches", "quote", 2)},
+		{"plans", 6 * time.Second, wide("plans", "menu", 4, 24)},
+		{"bookings", 330 * time.Millisecond, duo("bookings", "pay")},
+	}},
+}
+
+// Table is a town's first table.
+func (t Town) Table() config.Table {
+	if t.Manner != nil {
+		return config.Table{Orphans: config.Finish, Rows: t.rows, Services: []config.Service{{Name: "work", Guards: true}}}
+	}
+	row := func(f Flow, weight, share int) config.Row {
+		return config.Row{Name: f.Queue, Weight: weight, Share: share, Running: 500, Waiting: 400, Tries: 3, TaskMS: 60_000, Patience: 30_000, CutMS: 86_400_000, Stall: 10, Moves: 3}
+	}
+	return config.Table{Rows: []config.Row{row(t.Flows[0], 4, 30), row(t.Flows[1], 2, 10), row(t.Flows[2], 4, 20)}}
+}
+
+// Workers lists them, rack by rack.
+func (t Town) Workers() (list []Make) {
+	kinds := [][]types.Kind{{"quote", "menu"}, {"quote", "pay"}, {"menu", "pay", "quote"}}
+	x := t.size()
+	for i := range x.Workers {
+		if t.Manner != nil {
+			size := []float64{1, 1, 1.5}[i%3]
+			m := Make{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.Rack+1)), Kinds: []types.Kind{"work"},
+				Room: types.Room{Cores: types.Cores(float64(t.Cores) * size), Memory: int(float64(t.Cores) * size * 2048 / 1000)}, Guards: true}
+			if m.Labels = []string{"a"}; i%3 == 1 {
+				m.Labels = append(m.Labels, "b")
+			}
+			list = append(list, m)
+			continue
+		}
+		list = append(list, Make{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.Rack+1)),
+			Kinds: kinds[i%3], Room: types.Room{Cores: t.Cores, Memory: int(t.Cores) * 1024 / 1000}})
+	}
+	return
+}
+
+// Zone names the locality of the i-th of something.
+func Zone(i int) types.Locality { return Small.zone(i) }
+
+// Parade is a stream of gangs of long tasks. No town sends it; the simulator
+// does, so that faults meet gangs that run for long.
+func (t Town) Parade() Flow {
+	return Flow{t.Flows[1].Queue, 5 * time.Second, func(r *rand.Rand) state.Spec {
+		return state.Spec{Queue: t.Flows[1].Queue, Steps: []state.Step{{Name: "parade", Kind: "menu", Room: types.Room{Cores: 1 * types.Core, Memory: 64},
+			Tasks: 3, Gang: true, Spread: 1, Work: work(r, 7000, 9000)}}}
+	}}
+}
--- a/trial/trial_test.go
+++ b/sim/trial_test.go
@@ -1,6 +1,6 @@
 // Simulated runs under fixed seeds; the long sweeps are `trial sweep`. Seeds
 // that once showed a failure stay here.
-package trial
+package sim
 
 import (
 	"fmt"
@@ -28,7 +28,7 @@
 		After: 24 * time.Second, Settle: 60 * time.Second, Patience: 30 * time.Second, Last: true}
 }
 
-var core14 = []string{"kill-leader", "kill-machine", "cut-worker", "cut-ward", "freeze-machine", "cut-zone", "cut-core",
+var core14 = []string{"kill-leader", "kill-machine", "cut-worker", "cut-agent", "freeze-machine", "cut-zone", "cut-core",
 	"freeze-leader", "cut-leader", "weather", "stall-disk", "power-all"}
 
 func clean(t *testing.T, p Plan) Verdict {
@@ -85,16 +85,16 @@
 		t.Skip("run without the race detector")
 	}
 	for _, p := range []Plan{
-		storm(4, "kingston", 3, "power-all"),                      // the cluster's clock fell back after a full stop
-		storm(16, "kingston", 8, FaultNames()...),                 // a put that was taken was told refused, much later
-		storm(1006, "kingston", 8, "cut-zone", "cut-core-out"),    // a settled loss hid a good end
-		storm(1008, "kingston", 8, "freeze-ward", "leave-worker"), // a stale beat ended a doubt
+		storm(4, "kingston", 3, "power-all"),                       // the cluster's clock fell back after a full stop
+		storm(16, "kingston", 8, FaultNames()...),                  // a put that was taken was told refused, much later
+		storm(1006, "kingston", 8, "cut-zone", "cut-core-out"),     // a settled loss hid a good end
+		storm(1008, "kingston", 8, "freeze-agent", "leave-worker"), // a stale beat ended a doubt
 		clocks(701), clocks(706), clocks(714), // the leader's clock and the walls were counted apart
-		storm(5010, "romania", 10, "cut-ward", "cut-zone", "weather"), // a failure told late was not counted
-		sweep(91040, 10, FaultNames()...),                             // a helm being elected let a report fall
-		sweep(91026, 10, FaultNames()...),                             // a gang waited for a new leader's wait
-		sweep(97019, 14, core14...),                                   // a deposed leader alone knew an end
-		sweep(97086, 14, core14...),                                   // so did a helm cut off from the others
+		storm(5010, "romania", 10, "cut-agent", "cut-zone", "weather"), // a failure told late was not counted
+		sweep(91040, 10, FaultNames()...),                              // a controller being elected let a report fall
+		sweep(91026, 10, FaultNames()...),                              // a gang waited for a new leader's wait
+		sweep(97019, 14, core14...),                                    // a deposed leader alone knew an end
+		sweep(97086, 14, core14...),                                    // so did a controller cut off from the others
 		sweep(7044, 10, "kill-machine", "kill-leader"),
 	} {
 		t.Run(fmt.Sprint(p.Seed), func(t *testing.T) {
--- a/trial/turnover_test.go
+++ b/sim/turnover_test.go
@@ -1,4 +1,4 @@
-package trial
+package sim
 
 import (
 	"slices"
@@ -7,8 +7,8 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/mark"
-	"coppercourse/store"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
 )
 
 // The room of an end that is on its way into the log is given out at once: the end
@@ -18,12 +18,12 @@
 	r := Build(Plan{Seed: 5, Town: "kingston-called", Bare: true, Patience: 5 * time.Second})
 	r.Crew.Races, r.Crew.Cancel = false, 0
 	const sync = 40 * time.Millisecond
-	for _, n := range r.helms {
+	for _, n := range r.controllers {
 		n.disk.slow = sync
 	}
 	r.at(3*time.Second, func() { r.Crew.put(r.Crew.town.Table(), "g1", 0, func(bool) {}) })
 	r.Run(8 * time.Second)
-	r.put("wide", store.Spec{Queue: "menus", Steps: []store.Step{{Name: "s0", Kind: "work", Room: mark.Room{Cores: 9 * mark.Core, Memory: 64}, Tasks: 200,
+	r.put("wide", state.Spec{Queue: "menus", Steps: []state.Step{{Name: "s0", Kind: "work", Room: types.Room{Cores: 9 * types.Core, Memory: 64}, Tasks: 200,
 		Work: Work{MS: 300}.raw(), Estimate: 300}}})
 	r.Run(20 * time.Second)
 	last, gaps := map[string]int64{}, []time.Duration{}
--- a/trial/upkeep_test.go
+++ b/sim/upkeep_test.go
@@ -1,7 +1,7 @@
 // Work that has to move: workers removed at short notice, drained, under
 // maintenance, sick; tasks that take their workers down; large and urgent work.
 // Each is brought about in the simulator, and what it cost is printed (-v).
-package trial
+package sim
 
 import (
 	"fmt"
@@ -11,14 +11,14 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/blueprint"
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/word"
+	"coppercourse/internal/config"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 // busy is a town with a table of its own and its traffic from 6 s on.
-func busy(seed int64, change func(*blueprint.Table), flows ...Flow) *Run {
+func busy(seed int64, change func(*config.Table), flows ...Flow) *Run {
 	r := Build(Plan{Seed: seed, Town: "kingston", Patience: 30 * time.Second})
 	r.Crew.Races, r.Crew.Cancel = false, 0
 	t := r.Crew.town.Table()
@@ -37,9 +37,9 @@
 }
 
 // put sends one job and gives when each of its tasks first started, by -1.
-func (r *Run) put(id string, s store.Spec) {
-	r.tell(Happening{What: Sent, Job: mark.JobID(id), Spec: &s})
-	r.Crew.send(mark.JobID(id), word.Body(s), r.Crew.any(), 0)
+func (r *Run) put(id string, s state.Spec) {
+	r.tell(Happening{What: Sent, Job: types.JobID(id), Spec: &s})
+	r.Crew.send(types.JobID(id), wire.Body(s), r.Crew.any(), 0)
 }
 
 func (r *Run) started(id string) (at time.Duration, ok bool) {
@@ -89,8 +89,8 @@
 	t.Parallel()
 	for _, bound := range []int{0, 3} {
 		is := is.New(t)
-		r := busy(31, func(t *blueprint.Table) { t.Rows[1].Losses = bound })
-		r.put("menus-poison", store.Spec{Queue: "menus", Urgency: 9, Steps: []store.Step{{Name: "p", Kind: "menu", Room: mark.Room{Cores: 1 * mark.Core}, Tasks: 1,
+		r := busy(31, func(t *config.Table) { t.Rows[1].Losses = bound })
+		r.put("menus-poison", state.Spec{Queue: "menus", Urgency: 9, Steps: []state.Step{{Name: "p", Kind: "menu", Room: types.Room{Cores: 1 * types.Core}, Tasks: 1,
 			Work: []byte(`{"ms":50,"crash":true}`)}}})
 		r.Run(60 * time.Second)
 		deaths := 0
@@ -100,22 +100,22 @@
 			}
 		}
 		rate := rateOf(&r.Hist, "quotes", 20*time.Second, 60*time.Second)
-		state := r.see("menus-poison")
-		t.Logf("bound %d: %d worker deaths in 50 s, %.2f quotes a second, the job is %s (%s)", bound, deaths, rate, state.Stage, state.Text)
+		jobState := r.see("menus-poison")
+		t.Logf("bound %d: %d worker deaths in 50 s, %.2f quotes a second, the job is %s (%s)", bound, deaths, rate, jobState.Stage, jobState.Text)
 		is.True(rate > 6)
 		if bound > 0 {
 			is.Equal(deaths, bound)
-			is.Equal(state.Stage, store.Failed)
+			is.Equal(jobState.Stage, state.Failed)
 			continue
 		}
 		is.True(deaths >= 5 && deaths <= 9) // 0.2, 0.4, ... 12.8, 25.6 s between them
-		is.Equal(state.Stage, store.Open)
+		is.Equal(jobState.Stage, state.Open)
 	}
 }
 
 // see asks after a job now.
-func (r *Run) see(id mark.JobID) (h Happening) {
-	r.ask(r.Crew.me, "g2", "job.get", string(id), nil, func(a word.Answer) { r.Crew.saw(id, a) })
+func (r *Run) see(id types.JobID) (h Happening) {
+	r.ask(r.Crew.me, "g2", "job.get", string(id), nil, func(a wire.Answer) { r.Crew.saw(id, a) })
 	r.Run(time.Duration(r.now) + 300*time.Millisecond)
 	for _, x := range r.Hist.List {
 		if x.What == Saw && x.Job == id {
@@ -128,7 +128,7 @@
 // fill keeps every worker busy with long, unhurried tasks of one queue.
 func fill(r *Run, n, ms int) {
 	for i := range n {
-		r.put(fmt.Sprint("menus-fill", i), store.Spec{Queue: "menus", Steps: []store.Step{{Name: "f", Kind: "menu", Room: mark.Room{Cores: 4 * mark.Core}, Tasks: 40,
+		r.put(fmt.Sprint("menus-fill", i), state.Spec{Queue: "menus", Steps: []state.Step{{Name: "f", Kind: "menu", Room: types.Room{Cores: 4 * types.Core}, Tasks: 40,
 			Work: work(r.rnd, ms, ms)}}})
 	}
 }
@@ -149,20 +149,20 @@
 	}{{"urgent work", 9, 0}, {"work below its share", 0, 40}} {
 		wait := map[bool]time.Duration{}
 		for _, on := range []bool{false, true} {
-			r := busy(33, func(t *blueprint.Table) { t.Rows[2].Displace, t.Rows[2].Share = on, c.share })
+			r := busy(33, func(t *config.Table) { t.Rows[2].Displace, t.Rows[2].Share = on, c.share })
 			fill(r, 3, 25_000)
 			r.Run(20 * time.Second)
 			from := time.Duration(r.now)
-			r.put("payments-big", store.Spec{Queue: "payments", Urgency: c.urgency, Steps: []store.Step{{Name: "b", Kind: "menu",
-				Room: mark.Room{Cores: 14 * mark.Core}, Tasks: 2, Gang: true, Spread: 1, Work: []byte(`{"ms":500}`)}}})
+			r.put("payments-big", state.Spec{Queue: "payments", Urgency: c.urgency, Steps: []state.Step{{Name: "b", Kind: "menu",
+				Room: types.Room{Cores: 14 * types.Core}, Tasks: 2, Gang: true, Spread: 1, Work: []byte(`{"ms":500}`)}}})
 			r.Run(from + 30*time.Second)
 			at, ok := r.started("payments-big")
 			is.True(ok)
 			wait[on] = at - from
 			r.settle(t, 150*time.Second)
-			moved := map[mark.Task]int{}
+			moved := map[types.Task]int{}
 			for _, h := range r.Hist.List {
-				if h.What == Ended && h.Fate == store.Halted {
+				if h.What == Ended && h.Fate == state.Halted {
 					moved[h.Leg.Task]++
 					is.True(moved[h.Leg.Task] <= 3)
 				}
@@ -170,7 +170,7 @@
 			t.Logf("%s, displaces %v: the gang waited %s, %d tasks were displaced", c.name, on, wait[on].Round(time.Millisecond), len(moved))
 			is.Equal(len(moved) > 0, on)
 			for i := range 3 {
-				is.Equal(r.see(mark.JobID(fmt.Sprint("menus-fill", i))).Stage, store.Done)
+				is.Equal(r.see(types.JobID(fmt.Sprint("menus-fill", i))).Stage, state.Done)
 			}
 		}
 		is.True(wait[true] < 4*time.Second)
@@ -187,19 +187,19 @@
 	t.Parallel()
 	is := is.New(t)
 	for seed := range int64(3) {
-		r := busy(40+seed, func(t *blueprint.Table) {
+		r := busy(40+seed, func(t *config.Table) {
 			for i := range t.Rows {
 				t.Rows[i].TaskMS = 20_000
 			}
 		})
 		fill(r, 1, 12_000)
 		open, shut := r.now+int64(40*time.Second), r.now+int64(52*time.Second)
-		plan := store.Plan{Name: "roof", Target: store.Target{Rack: "r1"}, Spans: [][2]mark.Wall{{mark.Wall(origin + open), mark.Wall(origin + shut)}}}
-		r.Crew.order("plan.put", "roof", word.Body(plan), 0, func() {})
+		plan := state.Plan{Name: "roof", Target: state.Target{Rack: "r1"}, Spans: [][2]types.Wall{{types.Wall(origin + open), types.Wall(origin + shut)}}}
+		r.Crew.order("plan.put", "roof", wire.Body(plan), 0, func() {})
 		r.Run(time.Duration(open) - 3*time.Second)
 		r.leader().kill() // the windows outlive a change of leader
 		r.Run(time.Duration(open) - time.Second)
-		for _, n := range r.helms {
+		for _, n := range r.controllers {
 			if n.m == nil {
 				n.boot()
 			}
@@ -235,7 +235,7 @@
 	t.Parallel()
 	is := is.New(t)
 	rate := func(n int, how func(*Make)) float64 {
-		r := busy(50, func(*blueprint.Table) {})
+		r := busy(50, func(*config.Table) {})
 		for i := range n {
 			how(&r.hands[i*4%11].w.Make)
 		}
@@ -268,15 +268,15 @@
 	}
 	t.Parallel()
 	is := is.New(t)
-	r := busy(60, func(t *blueprint.Table) { t.Rows[0].TaskMS, t.Rows[1].TaskMS = 5000, 5000 })
-	r.Crew.flow(Flow{"menus", 30 * time.Millisecond, func(rnd *rand.Rand) store.Spec {
-		return store.Spec{Queue: "menus", Steps: []store.Step{{Name: "s", Kind: "menu", Room: mark.Room{Cores: 3 * mark.Core}, Tasks: 1, Work: work(rnd, 800, 1600)}}}
+	r := busy(60, func(t *config.Table) { t.Rows[0].TaskMS, t.Rows[1].TaskMS = 5000, 5000 })
+	r.Crew.flow(Flow{"menus", 30 * time.Millisecond, func(rnd *rand.Rand) state.Spec {
+		return state.Spec{Queue: "menus", Steps: []state.Step{{Name: "s", Kind: "menu", Room: types.Room{Cores: 3 * types.Core}, Tasks: 1, Work: work(rnd, 800, 1600)}}}
 	}})
 	r.Run(20 * time.Second)
 	var waits []time.Duration
 	for i := range 4 {
 		id, from := fmt.Sprint("payments-large", i), time.Duration(r.now)
-		r.put(id, store.Spec{Queue: "payments", Steps: []store.Step{{Name: "l", Kind: "menu", Room: mark.Room{Cores: 16 * mark.Core}, Tasks: 1, Limit: 5000, Work: []byte(`{"ms":1000}`)}}})
+		r.put(id, state.Spec{Queue: "payments", Steps: []state.Step{{Name: "l", Kind: "menu", Room: types.Room{Cores: 16 * types.Core}, Tasks: 1, Limit: 5000, Work: []byte(`{"ms":1000}`)}}})
 		r.Run(from + 15*time.Second)
 		at, ok := r.started(id)
 		is.True(ok)
@@ -289,8 +289,8 @@
 			n++
 		}
 	}
-	c := &checker{b: Rules, end: r.now, jobs: map[mark.JobID]*job{}, makes: map[mark.Shard]*Make{}, frozen: map[string]int64{},
-		down: map[string][]int64{}, leave: map[mark.Shard][][2]int64{}, drain: map[mark.Shard][][2]int64{}, hist: &r.Hist, seen: Tally{}}
+	c := &checker{b: Rules, end: r.now, jobs: map[types.JobID]*job{}, makes: map[types.Shard]*Make{}, frozen: map[string]int64{},
+		down: map[string][]int64{}, leave: map[types.Shard][][2]int64{}, drain: map[types.Shard][][2]int64{}, hist: &r.Hist, seen: Tally{}}
 	c.read()
 	for _, s := range c.spans {
 		cores += float64(c.step(s).Room.Cores) / 1000 * float64(max(0, s.to-max(s.from, int64(20*time.Second)))) / 1e9
--- a/trial/usage.go
+++ b/sim/usage.go
@@ -1,7 +1,7 @@
 // What a daemon spends: its messages and bytes as they would stand on the wire,
 // the processor time of its machine's steps, what it has synced to disk, and how
 // much memory its state takes.
-package trial
+package sim
 
 import (
 	"bytes"
@@ -9,8 +9,8 @@
 	"time"
 	"unsafe"
 
-	"coppercourse/mark"
-	"coppercourse/word"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 // Class sorts messages by what they are for.
@@ -30,20 +30,20 @@
 }
 
 var classes = map[string]Class{
-	word.Hello: RosterMessages,
-	word.Beat:  HeartbeatMessages, word.Beaten: HeartbeatMessages, word.AskRun: HeartbeatMessages, word.Account: HeartbeatMessages,
-	word.Quit: HeartbeatMessages,
-	word.News: TableMessages, word.Told: TableMessages,
-	word.Found: LogMessages, word.Join: LogMessages, word.Ballot: LogMessages, word.Vote: LogMessages, word.Append: LogMessages,
-	word.Append2: LogMessages, word.Snap: LogMessages, word.Heir: LogMessages, word.Gone: LogMessages,
+	wire.Hello: RosterMessages,
+	wire.Beat:  HeartbeatMessages, wire.Beaten: HeartbeatMessages, wire.AskRun: HeartbeatMessages, wire.Account: HeartbeatMessages,
+	wire.Quit: HeartbeatMessages,
+	wire.News: TableMessages, wire.Told: TableMessages,
+	wire.Found: LogMessages, wire.Join: LogMessages, wire.Ballot: LogMessages, wire.Vote: LogMessages, wire.Append: LogMessages,
+	wire.Append2: LogMessages, wire.Snap: LogMessages, wire.Heir: LogMessages, wire.Gone: LogMessages,
 }
 
 var entries = []byte(`"entries":`)
 
-// classOf calls entries on their way to the other helms work.
-func classOf(n word.Note) Class {
+// classOf calls entries on their way to the other controllers work.
+func classOf(n wire.Note) Class {
 	c, ok := classes[n.Kind]
-	if !ok || n.Kind == word.Append && bytes.Contains(n.Body, entries) {
+	if !ok || n.Kind == wire.Append && bytes.Contains(n.Body, entries) {
 		return WorkMessages
 	}
 	return c
@@ -83,7 +83,7 @@
 
 // transfer counts one note from a daemon to another; first means that it is the
 // first one of its request. Either may be missing.
-func transfer(from, to *Usage, n word.Note, first bool) {
+func transfer(from, to *Usage, n wire.Note, first bool) {
 	c := Count{Messages: 1, Bytes: noteBytes + len(n.From) + len(n.Kind) + len(n.Body)}
 	k := classOf(n)
 	back := Count{}
@@ -102,9 +102,9 @@
 }
 
 // meter counts a step's sends; notes to the same mate share a request.
-type meter map[mark.Addr]bool
+type meter map[types.Addr]bool
 
-func (m meter) first(to mark.Addr) bool {
+func (m meter) first(to types.Addr) bool {
 	if m[to] {
 		return false
 	}
--- a/trial/usage_test.go
+++ b/sim/usage_test.go
@@ -1,6 +1,6 @@
 // What is counted as on the wire is held against a real client and server, and
 // the footprint against values whose size is known.
-package trial
+package sim
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/door"
-	"coppercourse/mark"
-	"coppercourse/word"
+	"coppercourse/internal/server"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 // counted is a connection that counts what goes over it.
@@ -50,31 +50,31 @@
 }
 
 // echo hands on the notes that it is given.
-type echo struct{ got chan word.Note }
+type echo struct{ got chan wire.Note }
 
-func (e echo) Step(v word.Event) word.Out {
+func (e echo) Step(v wire.Event) wire.Out {
 	if v.Note != nil {
 		e.got <- *v.Note
 	}
-	return word.Out{}
+	return wire.Out{}
 }
 
 // carried is what each of some notes took on the wire, there and back, when a real
 // client posts them one after the other. It is nothing when the post gave one up,
 // as it may after its time: what it drops, the machines say again.
-func carried(t *testing.T, to func(mark.Addr) []word.Send) (list [][2]int) {
+func carried(t *testing.T, to func(types.Addr) []wire.Send) (list [][2]int) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	ln := &countedListener{Listener: plain}
-	sends := to(mark.Addr(plain.Addr().String()))
-	post := door.NewPost(ctx, "")
-	e := echo{make(chan word.Note, len(sends))}
-	owner := door.NewOwner(post, nil)
+	sends := to(types.Addr(plain.Addr().String()))
+	post := server.NewPost(ctx, "")
+	e := echo{make(chan wire.Note, len(sends))}
+	owner := server.NewOwner(post, nil)
 	owner.Carry(e)
 	go owner.Run(ctx)
-	p := &door.Pages{Owner: owner, Post: post, Ready: func() bool { return true }}
+	p := &server.Pages{Owner: owner, Post: post, Ready: func() bool { return true }}
 	written := make(chan bool, len(sends))
 	srv := &http.Server{Handler: p.Wrap(p.Router()), ConnState: func(_ net.Conn, s http.ConnState) {
 		if s == http.StateIdle { // told by the goroutine that wrote, and counted, the answer
@@ -101,11 +101,11 @@
 
 func TestWireBytesAreThoseOfARealRequest(t *testing.T) {
 	is := is.New(t)
-	var sends []word.Send
-	to := func(to mark.Addr) []word.Send {
+	var sends []wire.Send
+	to := func(to types.Addr) []wire.Send {
 		sends = nil
-		for _, kind := range []string{word.Beat, word.Beaten} {
-			sends = append(sends, word.Make("127.0.0.1:7400", to, kind, json.RawMessage(`{"stamp":123456789,"sound":true}`)))
+		for _, kind := range []string{wire.Beat, wire.Beaten} {
+			sends = append(sends, wire.Make("127.0.0.1:7400", to, kind, json.RawMessage(`{"stamp":123456789,"sound":true}`)))
 		}
 		return sends
 	}
--- a/trial/verdict.go
+++ b/sim/verdict.go
@@ -1,5 +1,5 @@
 // The verdict on a simulated run: broken rules, and how service came back.
-package trial
+package sim
 
 import (
 	"fmt"
@@ -7,11 +7,11 @@
 	"strings"
 	"time"
 
-	"coppercourse/gate"
-	"coppercourse/helm"
-	"coppercourse/mark"
-	"coppercourse/trail"
-	"coppercourse/ward"
+	"coppercourse/internal/agent"
+	"coppercourse/internal/controller"
+	"coppercourse/internal/gateway"
+	"coppercourse/internal/trace"
+	"coppercourse/internal/types"
 )
 
 // Near is the part of the calm's rate that service must have come back to.
@@ -117,18 +117,18 @@
 	var lines []line
 	for _, a := range r.order {
 		n := r.nodes[a]
-		var ring *trail.Ring
+		var ring *trace.Ring
 		switch m := n.m.(type) {
-		case *helm.Helm:
+		case *controller.Controller:
 			ring = m.Trail
-		case *gate.Gate:
+		case *gateway.Gateway:
 			ring = m.Trail
-		case *ward.Ward:
+		case *agent.Agent:
 			ring = m.Trail
 		default:
 			continue
 		}
-		for _, k := range ring.Of(trail.Job(mark.JobID(id))) {
+		for _, k := range ring.Of(trace.Job(types.JobID(id))) {
 			lines = append(lines, line{int64(k.At) - origin - int64(n.wall), string(a) + " " + k.What})
 		}
 	}
--- a/trial/work.go
+++ b/sim/work.go
@@ -1,6 +1,6 @@
-// The stand-in worker as a process of its own: it calls its ward over HTTP and
+// The stand-in worker as a process of its own: it calls its agent over HTTP and
 // appends what happens to a history file, each line written at once.
-package trial
+package sim
 
 import (
 	"bytes"
@@ -12,14 +12,14 @@
 	"sync"
 	"time"
 
-	"coppercourse/door"
-	"coppercourse/mark"
-	"coppercourse/truth"
-	"coppercourse/word"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/server"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 // WorkerRun runs a worker until ctx ends.
-func WorkerRun(ctx context.Context, m Make, id, ward, source, history string, seed int64) error {
+func WorkerRun(ctx context.Context, m Make, id, agent, source, history string, seed int64) error {
 	file, err := os.OpenFile(history, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
@@ -27,15 +27,15 @@
 	defer file.Close()
 	tell := func(h Happening) {
 		h.At = time.Now().UnixNano()
-		file.Write(append(word.Body(h), '\n'))
+		file.Write(append(wire.Body(h), '\n'))
 	}
 	var mu sync.Mutex
-	w := NewWorker(m, mark.ID(id), rand.New(rand.NewSource(seed)), tell)
+	w := NewWorker(m, types.ID(id), rand.New(rand.NewSource(seed)), tell)
 	tell(Happening{What: Staying, Who: id, Shard: m.Shard, Make: &m})
-	client := door.Client(source, 500*time.Millisecond)
-	told := map[mark.Leg]bool{}
-	call := func(p truth.Poll) {
-		a, ok := post(ctx, client, ward, p)
+	client := server.Client(source, 500*time.Millisecond)
+	told := map[types.Leg]bool{}
+	call := func(p dispatch.Poll) {
+		a, ok := post(ctx, client, agent, p)
 		if !ok {
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -44,10 +44,10 @@
 			for _, e := range p.Ends {
 				if !told[e.Leg] {
 					told[e.Leg] = true
-					tell(Happening{What: Heard, Who: ward, Leg: e.Leg, Fate: e.Fate})
+					tell(Happening{What: Heard, Who: agent, Leg: e.Leg, Fate: e.Fate})
 				}
 			}
-			w.Take(door.Now().Mono, a)
+			w.Take(server.Now().Mono, a)
 		}
 		w.News = w.News || p.Call == w.call
 		mu.Unlock()
@@ -56,9 +56,9 @@
 	defer t.Stop()
 	for {
 		mu.Lock()
-		w.Tick(door.Now().Mono)
+		w.Tick(server.Now().Mono)
 		if w.News || w.call == 0 {
-			go call(w.Call(door.Now().Mono))
+			go call(w.Call(server.Now().Mono))
 		}
 		mu.Unlock()
 		select {
@@ -69,8 +69,8 @@
 	}
 }
 
-func post(ctx context.Context, client *http.Client, ward string, p truth.Poll) (a truth.Answer, ok bool) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+ward+"/v1/poll", bytes.NewReader(word.Body(p)))
+func post(ctx context.Context, client *http.Client, agent string, p dispatch.Poll) (a dispatch.Answer, ok bool) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+agent+"/v1/poll", bytes.NewReader(wire.Body(p)))
 	if err != nil {
 		return a, false
 	}
--- a/trial/worker.go
+++ b/sim/worker.go
@@ -1,8 +1,8 @@
-// Package trial is the proof: stand-in workers and callers, a simulator that
+// Package sim is the proof: stand-in workers and callers, a simulator that
 // drives the very machines of the daemons under faults, a fleet of real
 // processes, and the checker of the history that workers and callers saw. This
 // file is the worker: it runs legs by the clock and guards its own room.
-package trial
+package sim
 
 import (
 	"encoding/json"
@@ -10,17 +10,17 @@
 	"sort"
 	"time"
 
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/truth"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
 )
 
 // Make is what a worker is made of, and how it misbehaves.
 type Make struct {
-	Shard mark.Shard
-	Rack  mark.Rack
-	Kinds []mark.Kind
-	Room  mark.Room
+	Shard types.Shard
+	Rack  types.Rack
+	Kinds []types.Kind
+	Room  types.Room
 	Slow  float64 // times the usual length; 0 is 1
 	Fails float64 // part of its legs that fail
 	Stall float64 // part of its legs that take ten times as long
@@ -30,49 +30,49 @@
 }
 
 type run struct {
-	job   truth.Job
-	ends  mark.Stamp
-	fate  store.Fate
+	job   dispatch.Job
+	ends  types.Stamp
+	fate  state.Fate
 	crash bool
 }
 
 // Worker is one stand-in worker process.
 type Worker struct {
 	Make
-	ID            mark.ID
-	Ward          mark.ID
+	ID            types.ID
+	Agent         types.ID
 	Leave         bool
-	Goes          mark.Stamp // when it goes, if it said so
+	Goes          types.Stamp // when it goes, if it said so
 	Crashed       bool
 	Deaf, Willing bool // planted bugs: heeds no grant; guards neither room nor leaving
 	rnd           *rand.Rand
 	call          uint64
-	until         mark.Stamp
-	runs          map[mark.Leg]*run
-	ends          map[mark.Leg]truth.Finish
+	until         types.Stamp
+	runs          map[types.Leg]*run
+	ends          map[types.Leg]dispatch.Finish
 	News          bool // a leg has ended since the latest call
 	tell          func(Happening)
 }
 
 // NewWorker starts a worker process; what happens on it goes to tell.
-func NewWorker(m Make, id mark.ID, rnd *rand.Rand, tell func(Happening)) *Worker {
+func NewWorker(m Make, id types.ID, rnd *rand.Rand, tell func(Happening)) *Worker {
 	if m.Slow == 0 {
 		m.Slow = 1
 	}
-	return &Worker{Make: m, ID: id, rnd: rnd, runs: map[mark.Leg]*run{}, ends: map[mark.Leg]truth.Finish{}, tell: tell, until: -1 << 61}
+	return &Worker{Make: m, ID: id, rnd: rnd, runs: map[types.Leg]*run{}, ends: map[types.Leg]dispatch.Finish{}, tell: tell, until: -1 << 61}
 }
 
-func (w *Worker) say(what What, l mark.Leg, f store.Fate) {
+func (w *Worker) say(what What, l types.Leg, f state.Fate) {
 	w.tell(Happening{What: what, Who: string(w.ID), Shard: w.Shard, Leg: l, Fate: f})
 }
 
 // Tick looks at the grant first, then ends what is due.
-func (w *Worker) Tick(now mark.Stamp) {
+func (w *Worker) Tick(now types.Stamp) {
 	for _, l := range w.sorted() {
 		r := w.runs[l]
 		switch {
 		case now >= w.until && !w.Deaf:
-			w.end(r, store.Halted)
+			w.end(r, state.Halted)
 		case now >= r.ends && r.crash:
 			w.Crashed = true
 		case now >= r.ends:
@@ -81,8 +81,8 @@
 	}
 }
 
-func (w *Worker) sorted() []mark.Leg {
-	list := make([]mark.Leg, 0, len(w.runs))
+func (w *Worker) sorted() []types.Leg {
+	list := make([]types.Leg, 0, len(w.runs))
 	for l := range w.runs {
 		list = append(list, l)
 	}
@@ -90,24 +90,24 @@
 	return list
 }
 
-func (w *Worker) end(r *run, f store.Fate) {
+func (w *Worker) end(r *run, f state.Fate) {
 	delete(w.runs, r.job.Leg)
 	w.News = true
-	w.ends[r.job.Leg] = truth.Finish{Run: truth.Run{Leg: r.job.Leg, Room: r.job.Room}, Fate: f}
+	w.ends[r.job.Leg] = dispatch.Finish{Run: dispatch.Run{Leg: r.job.Leg, Room: r.job.Room}, Fate: f}
 	w.say(Ended, r.job.Leg, f)
 }
 
-// Call makes the next call to the ward.
-func (w *Worker) Call(now mark.Stamp) truth.Poll {
+// Call makes the next call to the agent.
+func (w *Worker) Call(now types.Stamp) dispatch.Poll {
 	w.Tick(now)
 	w.call++
 	w.News = false
-	p := truth.Poll{Worker: w.ID, Ward: w.Ward, Call: w.call, Stamp: now, Rack: w.Rack, Kinds: w.Kinds, Room: w.Room, Leave: w.Leave}
+	p := dispatch.Poll{Worker: w.ID, Agent: w.Agent, Call: w.call, Stamp: now, Rack: w.Rack, Kinds: w.Kinds, Room: w.Room, Leave: w.Leave}
 	if w.Leave && w.Goes > 0 {
 		p.GoMS = max(1, w.Goes.Sub(now).Milliseconds())
 	}
 	for _, l := range w.sorted() {
-		p.Runs = append(p.Runs, truth.Run{Leg: l, Room: w.runs[l].job.Room})
+		p.Runs = append(p.Runs, dispatch.Run{Leg: l, Room: w.runs[l].job.Room})
 	}
 	for _, f := range w.ends {
 		p.Ends = append(p.Ends, f)
@@ -117,12 +117,12 @@
 }
 
 // Take heeds an answer, if it is to the latest call.
-func (w *Worker) Take(now mark.Stamp, a truth.Answer) {
+func (w *Worker) Take(now types.Stamp, a dispatch.Answer) {
 	w.Tick(now)
 	if a.Call != w.call {
 		return
 	}
-	w.Ward, w.until = a.Ward, a.Until
+	w.Agent, w.until = a.Agent, a.Until
 	for _, l := range a.Settled {
 		if _, ok := w.ends[l]; ok {
 			delete(w.ends, l)
@@ -131,7 +131,7 @@
 	}
 	for _, l := range a.Stop {
 		if r := w.runs[l]; r != nil {
-			w.end(r, store.Halted)
+			w.end(r, state.Halted)
 		}
 	}
 	w.Tick(now)
@@ -144,8 +144,8 @@
 			continue
 		}
 		if (w.Leave || !free.Holds(j.Room)) && !w.Willing {
-			w.ends[j.Leg] = truth.Finish{Run: truth.Run{Leg: j.Leg, Room: j.Room}, Fate: store.Unrun}
-			w.say(Spared, j.Leg, store.Unrun)
+			w.ends[j.Leg] = dispatch.Finish{Run: dispatch.Run{Leg: j.Leg, Room: j.Room}, Fate: state.Unrun}
+			w.say(Spared, j.Leg, state.Unrun)
 			continue
 		}
 		free = free.Minus(j.Room)
@@ -153,16 +153,16 @@
 	}
 }
 
-func (w *Worker) start(now mark.Stamp, j truth.Job) {
+func (w *Worker) start(now types.Stamp, j dispatch.Job) {
 	var k Work
 	json.Unmarshal(j.Work, &k)
 	long := float64(k.MS) * w.Slow
 	if w.Stall > 0 && w.rnd.Float64() < w.Stall {
 		long *= 10
 	}
-	r := &run{job: j, ends: now.Add(time.Duration(long * float64(time.Millisecond))), fate: store.OK, crash: k.Crash}
+	r := &run{job: j, ends: now.Add(time.Duration(long * float64(time.Millisecond))), fate: state.OK, crash: k.Crash}
 	if k.Fail || w.Fails > 0 && w.rnd.Float64() < w.Fails {
-		r.fate = store.Bad
+		r.fate = state.Bad
 	}
 	w.runs[j.Leg] = r
 	w.say(Started, j.Leg, "")
--- a/trial/world.go
+++ b/sim/world.go
@@ -1,7 +1,7 @@
 // The simulator: one seeded world in virtual time that carries the daemons'
 // own machines. Every node has clocks of its own that drift, and walls that
 // jump; a frozen node gets nothing until it thaws and then all of it at once.
-package trial
+package sim
 
 import (
 	"container/heap"
@@ -12,15 +12,15 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"coppercourse/accord"
-	"coppercourse/gate"
-	"coppercourse/helm"
-	"coppercourse/lore"
-	"coppercourse/mark"
-	"coppercourse/store"
-	"coppercourse/truth"
-	"coppercourse/ward"
-	"coppercourse/word"
+	"coppercourse/internal/agent"
+	"coppercourse/internal/controller"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/gateway"
+	"coppercourse/internal/raft"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wal"
+	"coppercourse/internal/wire"
 )
 
 const (
@@ -31,21 +31,21 @@
 
 type node struct {
 	w      *World
-	addr   mark.Addr
+	addr   types.Addr
 	role   string
-	loc    mark.Locality
-	shard  mark.Shard
-	m      word.Machine
-	make   func(*node) word.Machine
+	loc    types.Locality
+	shard  types.Shard
+	m      wire.Machine
+	make   func(*node) wire.Machine
 	gen    int
-	first  bool // a helm of the first start; a lost disk ends that
+	first  bool // a controller of the first start; a lost disk ends that
 	frozen bool
 	queue  []func()
-	base   mark.Stamp
+	base   types.Stamp
 	drift  float64
 	wall   time.Duration
 	disk   *disk
-	asks   map[uint64]func(word.Answer)
+	asks   map[uint64]func(wire.Answer)
 	token  uint64
 	closes bool
 	use    Usage
@@ -61,32 +61,32 @@
 	cut      map[pair]bool
 	lag      map[pair]time.Duration
 	sky      Weather
-	nodes    map[mark.Addr]*node
-	order    []mark.Addr
+	nodes    map[types.Addr]*node
+	order    []types.Addr
 	hands    []*hand
 	yard     []*callee
-	lines    map[mark.Addr]*callee // by where they are called
+	lines    map[types.Addr]*callee // by where they are called
 	floor    *Floor
-	pace     truth.Pace
-	core     accord.Pace
+	pace     dispatch.Pace
+	core     raft.Pace
 	Hist     History
-	seeds    []mark.Addr
-	founders []mark.Addr                            // that found the cluster together, where they are named
-	Meter    bool                                   // count what every daemon spends
-	far      func(from, to mark.Addr) time.Duration // more than within a region, one way
+	seeds    []types.Addr
+	founders []types.Addr                            // that found the cluster together, where they are named
+	Meter    bool                                    // count what every daemon spends
+	far      func(from, to types.Addr) time.Duration // more than within a region, one way
 	// Planted bugs: what is sent, asked and answered may be changed on its way,
 	// and a note for which Tamper is false is never sent.
-	Tamper func(s *word.Send) bool
+	Tamper func(s *wire.Send) bool
 	Bend   func(verb string, body *json.RawMessage)
-	Twist  func(verb string, a *word.Answer)
+	Twist  func(verb string, a *wire.Answer)
 	// Calls to workers and their replies may be changed on their way, too.
-	Dial func(c *word.WorkerCall)
-	Hear func(c word.WorkerCall, r *word.WorkerReply)
+	Dial func(c *wire.WorkerCall)
+	Hear func(c wire.WorkerCall, r *wire.WorkerReply)
 }
 
 func NewWorld(seed int64) *World {
-	return &World{rnd: rand.New(rand.NewSource(seed)), cut: map[pair]bool{}, lag: map[pair]time.Duration{}, nodes: map[mark.Addr]*node{},
-		lines: map[mark.Addr]*callee{}, pace: truth.Defaults, core: accord.Defaults}
+	return &World{rnd: rand.New(rand.NewSource(seed)), cut: map[pair]bool{}, lag: map[pair]time.Duration{}, nodes: map[types.Addr]*node{},
+		lines: map[types.Addr]*callee{}, pace: dispatch.Defaults, core: raft.Defaults}
 }
 
 // Run lets the world go on until a time.
@@ -107,20 +107,20 @@
 	w.Hist.Add(h)
 }
 
-func (w *World) add(addr mark.Addr, role string, loc mark.Locality, make func(*node) word.Machine) *node {
-	n := &node{w: w, addr: addr, role: role, loc: loc, make: make, asks: map[uint64]func(word.Answer){},
-		base: mark.Stamp(w.rnd.Int63n(1 << 50)), drift: 1 + (w.rnd.Float64()-0.5)*4e-4}
-	if role == "helm" {
+func (w *World) add(addr types.Addr, role string, loc types.Locality, make func(*node) wire.Machine) *node {
+	n := &node{w: w, addr: addr, role: role, loc: loc, make: make, asks: map[uint64]func(wire.Answer){},
+		base: types.Stamp(w.rnd.Int63n(1 << 50)), drift: 1 + (w.rnd.Float64()-0.5)*4e-4}
+	if role == "controller" {
 		n.disk = &disk{w: w, use: &n.use}
 	}
 	w.nodes[addr], w.order = n, append(w.order, addr)
 	return n
 }
 
-func (n *node) mono() mark.Stamp { return n.base + mark.Stamp(float64(n.w.now)*n.drift) }
+func (n *node) mono() types.Stamp { return n.base + types.Stamp(float64(n.w.now)*n.drift) }
 
-func (n *node) clock() mark.Now {
-	return mark.Now{Mono: n.mono(), Wall: mark.Wall(origin + n.w.now + int64(n.wall))}
+func (n *node) clock() types.Now {
+	return types.Now{Mono: n.mono(), Wall: types.Wall(origin + n.w.now + int64(n.wall))}
 }
 
 // boot starts the node's process.
@@ -132,13 +132,13 @@
 	n.frozen, n.queue, n.closes = false, nil, false
 	clear(n.asks)
 	n.m = n.make(n)
-	n.step(word.Event{})
+	n.step(wire.Event{})
 	gen := n.gen
 	var beat func()
 	beat = func() {
 		if n.gen == gen && n.m != nil {
 			if !n.frozen {
-				n.step(word.Event{})
+				n.step(wire.Event{})
 			}
 			n.w.at(tick, beat)
 		}
@@ -174,14 +174,14 @@
 // name tells one process at an address from the next.
 func (n *node) name() string { return fmt.Sprintf("%s.%d", n.addr, n.gen) }
 
-// hears writes down that a daemon is told of ends by a ward.
-func (n *node) hears(note word.Note) {
-	if note.Kind != word.Status {
+// hears writes down that a daemon is told of ends by an agent.
+func (n *node) hears(note wire.Note) {
+	if note.Kind != wire.Status {
 		return
 	}
-	u, _ := word.Read[truth.Status](note)
+	u, _ := wire.Read[dispatch.Status](note)
 	for _, e := range u.Ends {
-		if e.Fate == store.OK || e.Fate == store.Bad {
+		if e.Fate == state.OK || e.Fate == state.Bad {
 			n.w.tell(Happening{What: Heard, Who: n.name(), Leg: e.Leg, Fate: e.Fate})
 		}
 	}
@@ -201,7 +201,7 @@
 	}
 }
 
-func (n *node) step(e word.Event) {
+func (n *node) step(e wire.Event) {
 	e.Now = n.clock()
 	out := n.run(e)
 	w, gen := n.w, n.gen
@@ -222,7 +222,7 @@
 						transfer(nil, &t.use, note, first)
 					}
 					t.hears(note)
-					t.step(word.Event{Note: &note})
+					t.step(wire.Event{Note: &note})
 				})
 			}
 		})
@@ -233,7 +233,7 @@
 	if out.Batch != nil {
 		n.disk.put(write{out.Batch, out.Seq, out.Whole, func(seq uint64) {
 			if n.gen == gen {
-				n.deliver(func() { n.step(word.Event{Synced: seq}) })
+				n.deliver(func() { n.step(wire.Event{Synced: seq}) })
 			}
 		}})
 	}
@@ -249,7 +249,7 @@
 }
 
 // run gives the machine an event and counts the time that it takes.
-func (n *node) run(e word.Event) word.Out {
+func (n *node) run(e wire.Event) wire.Out {
 	if !n.w.Meter {
 		return n.m.Step(e)
 	}
@@ -265,12 +265,12 @@
 }
 
 // ask carries a request from an address to a node and the answer back.
-func (w *World) ask(from, to mark.Addr, verb, arg string, body json.RawMessage, back func(word.Answer)) {
+func (w *World) ask(from, to types.Addr, verb, arg string, body json.RawMessage, back func(wire.Answer)) {
 	w.pose(from, to, verb, arg, body, func(*node) {}, back)
 }
 
 // pose does so and tells when the node takes the request up.
-func (w *World) pose(from, to mark.Addr, verb, arg string, body json.RawMessage, took func(*node), back func(word.Answer)) {
+func (w *World) pose(from, to types.Addr, verb, arg string, body json.RawMessage, took func(*node), back func(wire.Answer)) {
 	if w.Bend != nil {
 		w.Bend(verb, &body)
 	}
@@ -282,13 +282,13 @@
 		n.deliver(func() {
 			took(n)
 			n.token++
-			n.asks[n.token] = func(a word.Answer) {
+			n.asks[n.token] = func(a wire.Answer) {
 				if w.Twist != nil {
 					w.Twist(verb, &a)
 				}
 				w.carry(to, from, func() { back(a) })
 			}
-			n.step(word.Event{Ask: &word.Ask{Token: n.token, Verb: verb, Arg: arg, Body: body}})
+			n.step(wire.Event{Ask: &wire.Ask{Token: n.token, Verb: verb, Arg: arg, Body: body}})
 		})
 	})
 }
@@ -296,29 +296,29 @@
 // chance gives a machine randomness of its own, from the world's.
 func (w *World) chance() *rand.Rand { return rand.New(rand.NewSource(w.rnd.Int63())) }
 
-func (w *World) helm(addr mark.Addr, loc mark.Locality) *node {
-	return w.add(addr, "helm", loc, func(n *node) word.Machine {
-		recs, keep, err := lore.Scan(n.disk.safe)
+func (w *World) controller(addr types.Addr, loc types.Locality) *node {
+	return w.add(addr, "controller", loc, func(n *node) wire.Machine {
+		recs, keep, err := wal.Scan(n.disk.safe)
 		if err != nil {
 			recs, keep = nil, 0
 		}
 		n.disk.safe = n.disk.safe[:keep]
 		core := w.core
 		core.Hold = w.pace.Grant
-		return helm.New(n.clock(), w.chance(), helm.Place{Addr: addr, Loc: loc, Seeds: w.seeds,
-			Begin: accord.Origin{First: n.first && !n.disk.wiped, Founders: w.founders}, Core: core, Truth: w.pace, Every: 600}, recs)
+		return controller.New(n.clock(), w.chance(), controller.Place{Addr: addr, Loc: loc, Seeds: w.seeds,
+			Begin: raft.Origin{First: n.first && !n.disk.wiped, Founders: w.founders}, Core: core, Truth: w.pace, Every: 600}, recs)
 	})
 }
 
-func (w *World) gate(addr mark.Addr, loc mark.Locality) *node {
-	return w.add(addr, "gate", loc, func(n *node) word.Machine {
-		return gate.New(n.clock(), w.chance(), gate.Place{Addr: addr, Loc: loc, Seeds: w.seeds})
+func (w *World) gateway(addr types.Addr, loc types.Locality) *node {
+	return w.add(addr, "gateway", loc, func(n *node) wire.Machine {
+		return gateway.New(n.clock(), w.chance(), gateway.Place{Addr: addr, Loc: loc, Seeds: w.seeds})
 	})
 }
 
-func (w *World) ward(addr mark.Addr, loc mark.Locality, m Make) *node {
-	n := w.add(addr, "ward", loc, func(n *node) word.Machine {
-		return ward.New(n.clock(), w.chance(), ward.Place{Addr: addr, Loc: loc, Shard: m.Shard, Seeds: w.seeds, Truth: w.pace})
+func (w *World) agent(addr types.Addr, loc types.Locality, m Make) *node {
+	n := w.add(addr, "agent", loc, func(n *node) wire.Machine {
+		return agent.New(n.clock(), w.chance(), agent.Place{Addr: addr, Loc: loc, Shard: m.Shard, Seeds: w.seeds, Truth: w.pace})
 	})
 	n.shard = m.Shard
 	return n
