--- a/cmd/coppercourse/daemons.go
+++ b/cmd/coppercourse/daemons.go
@@ -29,9 +29,9 @@
 )
 
 type flags struct {
-	file, listen, address, source, locality, data, shard, log string
-	seeds                                                     []string
-	check                                                     bool
+	file, listen, address, source, zone, data, shard, log string
+	seeds                                                 []string
+	check                                                 bool
 }
 
 var roles = map[string]string{
@@ -50,7 +50,7 @@
 		c.Flag("listen", "IP:port to listen on. Default 127.0.0.1:7400.").StringVar(&f.listen)
 		c.Flag("address", "IP:port by which others reach this daemon. Default: listen.").StringVar(&f.address)
 		c.Flag("source", "IP from which this daemon calls others.").StringVar(&f.source)
-		c.Flag("locality", "The zone this daemon is in.").StringVar(&f.locality)
+		c.Flag("locality", "The zone this daemon is in.").StringVar(&f.zone)
 		c.Flag("seed", "IP:port of another daemon, any role; give it up to three times.").StringsVar(&f.seeds)
 		c.Flag("log", "info or debug. Default info.").StringVar(&f.log)
 		c.Flag("check", "Check the settings and end.").BoolVar(&f.check)
@@ -76,7 +76,7 @@
 	for _, p := range []struct {
 		to   *string
 		from string
-	}{{&s.Listen, f.listen}, {&s.Address, f.address}, {&s.Source, f.source}, {&s.Locality, f.locality},
+	}{{&s.Listen, f.listen}, {&s.Address, f.address}, {&s.Source, f.source}, {&s.Zone, f.zone},
 		{&s.Data, f.data}, {&s.Shard, f.shard}, {&s.Log, f.log}} {
 		if p.from != "" {
 			*p.to = p.from
@@ -158,7 +158,7 @@
 	}
 	post := server.NewPost(context.Background(), s.Source)
 	o := server.NewOwner(post, file)
-	m := controller.New(server.Now(), chance(), controller.Place{Addr: s.Addr(), Loc: s.Loc(), Seeds: s.Near(), Begin: s.Begin(), Loses: s.Loses, Issue: version,
+	m := controller.New(server.Now(), chance(), controller.Place{Addr: s.Addr(), Zone: s.ZoneName(), Seeds: s.Near(), Begin: s.Begin(), Loses: s.Loses, Issue: version,
 		Core: s.Pace.Core(), Truth: s.Pace.Truth()}, recs)
 	o.Carry(m)
 	var ready atomic.Bool
@@ -176,12 +176,12 @@
 	s := d.s
 	post := server.NewPost(context.Background(), s.Source)
 	o := server.NewOwner(post, nil)
-	m := gateway.New(server.Now(), chance(), gateway.Place{Addr: s.Addr(), Loc: s.Loc(), Seeds: s.Near(), Issue: version, Stale: s.Pace.News()})
+	m := gateway.New(server.Now(), chance(), gateway.Place{Addr: s.Addr(), Zone: s.ZoneName(), Seeds: s.Near(), Issue: version, Stale: s.Pace.News()})
 	o.Carry(m)
 	var ready atomic.Bool
 	o.Show = func() any {
 		v := m.Status()
-		d.state("ready", v.Ready, "leader", v.Leader, "table_edition", v.Edition)
+		d.state("ready", v.Ready, "leader", v.Leader, "table_edition", v.Version)
 		return v
 	}
 	entry := &server.Entry{}
@@ -201,7 +201,7 @@
 	s := d.s
 	post := server.NewPost(context.Background(), s.Source)
 	o := server.NewOwner(post, nil)
-	m := agent.New(server.Now(), chance(), agent.Place{Addr: s.Addr(), Loc: s.Loc(), Shard: s.ShardName(), Seeds: s.Near(),
+	m := agent.New(server.Now(), chance(), agent.Place{Addr: s.Addr(), Zone: s.ZoneName(), Shard: s.ShardName(), Seeds: s.Near(),
 		Issue: version, Truth: s.Pace.Truth()})
 	o.Carry(m)
 	o.Caller = d.caller
--- a/cmd/coppercourse/trace.go
+++ b/cmd/coppercourse/trace.go
@@ -1,4 +1,4 @@
-// The tracer: follows one change, a job or an edition of the table, through
+// The tracer: follows one change, a job or an version of the table, through
 // all daemons that a gateway knows of, and prints its marks in order of time.
 package main
 
@@ -33,7 +33,7 @@
 			if err != nil {
 				return fmt.Errorf("a table's edition is a whole number, got %q", *name)
 			}
-			subject = trace.Table(types.Edition(n))
+			subject = trace.Table(types.Version(n))
 		}
 		return traceChange(*gateway, subject)
 	}
@@ -44,13 +44,13 @@
 	if err != nil {
 		return err
 	}
-	var mates []membership.Mate
-	if err := json.Unmarshal(b, &mates); err != nil {
+	var peers []membership.Peer
+	if err := json.Unmarshal(b, &peers); err != nil {
 		return err
 	}
-	mates = append(mates, membership.Mate{Card: membership.Card{Addr: types.Addr(gateway), Role: "gateway"}})
+	peers = append(peers, membership.Peer{Card: membership.Card{Addr: types.Addr(gateway), Role: "gateway"}})
 	var lines []line
-	for _, m := range mates {
+	for _, m := range peers {
 		who := fmt.Sprintf("%s %s", m.Role, m.Addr)
 		b, err := fetch(string(m.Addr), "GET", "/v1/trace?subject="+url.QueryEscape(subject), nil)
 		var list []trace.Mark
--- a/cmd/coppercourse/verbs.go
+++ b/cmd/coppercourse/verbs.go
@@ -92,7 +92,7 @@
 	if base < 0 {
 		return b, nil
 	}
-	t.Edition = types.Edition(base)
+	t.Version = types.Version(base)
 	return json.Marshal(t)
 }
 
--- a/cmd/coppersim/sweep.go
+++ b/cmd/coppersim/sweep.go
@@ -18,20 +18,20 @@
 )
 
 type sweeper struct {
-	plan      sim.Plan
-	seeds     int
-	faults    string
-	lease     time.Duration
-	verbose   bool
-	job       string
-	mu        sync.Mutex
-	bad, legs int
-	seen      sim.Tally
-	after     []float64
-	pairs     bool
-	each      bool
-	part      map[string][]float64 // ratios by fault
-	broke     map[string]int
+	plan          sim.Plan
+	seeds         int
+	faults        string
+	lease         time.Duration
+	verbose       bool
+	job           string
+	mu            sync.Mutex
+	bad, attempts int
+	seen          sim.Tally
+	after         []float64
+	pairs         bool
+	each          bool
+	part          map[string][]float64 // ratios by fault
+	broke         map[string]int
 }
 
 func sweep(app *kingpin.Application, runs map[string]func() error) {
@@ -96,7 +96,7 @@
 	all.Wait()
 	fmt.Printf("chances the rules had:\n%v", s.seen)
 	fmt.Printf("%d seeds of %s, %d legs run, %d seeds broke a rule, %d re-runs after an end nobody alive was told of; took %s\n",
-		s.seeds, s.plan.Town, s.legs, s.bad, s.seen.Reruns(), time.Since(from).Round(time.Second))
+		s.seeds, s.plan.Town, s.attempts, s.bad, s.seen.Reruns(), time.Since(from).Round(time.Second))
 	fmt.Printf("jobs done for each one sent from 12 s after healing, beside before the faults: %s\n", sim.Spread(s.after))
 	s.worst()
 	if s.bad > 0 {
@@ -151,7 +151,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seen.Add(v.Seen)
-	s.legs += v.Legs
+	s.attempts += v.Attempts
 	s.after = append(s.after, v.Ratio)
 	if s.pairs || s.each {
 		for i, f := range faults {
@@ -173,8 +173,8 @@
 		fmt.Println(sim.Timeline(&r.Hist))
 	}
 	for _, h := range r.Hist.List {
-		if s.job != "" && (string(h.Job) == s.job || string(h.Leg.Job) == s.job || h.Leg.Job == "" && h.Shard != "") {
-			fmt.Printf("  %8.3f s %-10s %s %v %s %s %s\n", float64(h.At)/1e9, h.What, h.Who, h.Leg, h.Fate, h.Stage, h.Text)
+		if s.job != "" && (string(h.Job) == s.job || string(h.Attempt.Job) == s.job || h.Attempt.Job == "" && h.Shard != "") {
+			fmt.Printf("  %8.3f s %-10s %s %v %s %s %s\n", float64(h.At)/1e9, h.What, h.Who, h.Attempt, h.Outcome, h.Stage, h.Text)
 		}
 	}
 	if s.job != "" {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -19,7 +19,7 @@
 // Place is where and for which worker an agent runs.
 type Place struct {
 	Addr  types.Addr
-	Loc   types.Locality
+	Zone  types.Zone
 	Shard types.Shard
 	Seeds []types.Addr
 	Issue string
@@ -31,16 +31,16 @@
 
 // Agent is one worker's daemon.
 type Agent struct {
-	place Place
-	now   types.Now
-	kin   *membership.Roster
-	hand  *dispatch.Hand
-	Trail *trace.Ring
-	token uint64
-	since types.Stamp
-	drain bool
-	outs  []wire.Answer
-	Sums  Sums
+	place  Place
+	now    types.Now
+	roster *membership.Roster
+	hand   *dispatch.Hand
+	Trail  *trace.Ring
+	token  uint64
+	since  types.Stamp
+	drain  bool
+	outs   []wire.Answer
+	Sums   Sums
 }
 
 // Sums are counters since start.
@@ -51,14 +51,14 @@
 func New(now types.Now, rnd *rand.Rand, p Place) *Agent {
 	w := &Agent{place: p, now: now, Trail: trace.New()}
 	w.hand = dispatch.NewHand(now.Mono, p.Truth, p.Addr, p.Shard, func() types.ID { return types.Mint(rnd) })
-	w.kin = membership.New(rnd, w.card(), p.Seeds)
+	w.roster = membership.New(rnd, w.card(), p.Seeds)
 	return w
 }
 
 func (w *Agent) card() membership.Card {
-	c := membership.Card{Addr: w.place.Addr, Role: "agent", Loc: w.place.Loc, Part: string(w.place.Shard), Ready: w.Ready(), Issue: w.place.Issue}
-	if w.kin != nil {
-		c.Name = w.kin.Cluster()
+	c := membership.Card{Addr: w.place.Addr, Role: "agent", Zone: w.place.Zone, Part: string(w.place.Shard), Ready: w.Ready(), Issue: w.place.Issue}
+	if w.roster != nil {
+		c.Name = w.roster.Cluster()
 	}
 	return c
 }
@@ -67,14 +67,14 @@
 func (w *Agent) Ready() bool { return !w.drain }
 
 // Leader is whom the agent holds for the leader now.
-func (w *Agent) Leader() types.Addr { return w.kin.Lead() }
+func (w *Agent) Leader() types.Addr { return w.roster.Lead() }
 
 // Step takes one event.
 func (w *Agent) Step(e wire.Event) wire.Out {
 	w.now = e.Now
 	switch {
-	case e.Note != nil:
-		w.take(*e.Note)
+	case e.Message != nil:
+		w.take(*e.Message)
 	case e.Ask != nil:
 		if f := asks[e.Ask.Verb]; f != nil {
 			f(w, *e.Ask)
@@ -86,15 +86,15 @@
 	case e.Close:
 		w.drain = true
 	default:
-		w.kin.Me(w.card())
-		w.kin.Tick(w.now.Mono)
-		w.hand.Tick(w.now.Mono, w.kin.Lead())
+		w.roster.Me(w.card())
+		w.roster.Tick(w.now.Mono)
+		w.hand.Tick(w.now.Mono, w.roster.Lead())
 	}
 	if w.token != 0 && (w.hand.News() || w.drain || w.now.Mono.Sub(w.since) >= hold) {
 		w.outs = append(w.outs, wire.Answer{Token: w.token, Code: 200, Body: wire.Body(w.hand.Reply(w.now.Mono))})
 		w.token = 0
 	}
-	out := wire.Out{Sends: append(w.tell(w.hand.Out()), w.kin.Out()...), Calls: w.hand.Calls(), Answers: w.outs, Idle: w.drain && w.token == 0}
+	out := wire.Out{Sends: append(w.tell(w.hand.Out()), w.roster.Out()...), Calls: w.hand.Calls(), Answers: w.outs, Idle: w.drain && w.token == 0}
 	w.outs = nil
 	return out
 }
@@ -103,20 +103,20 @@
 // this machine before another one leads.
 func (w *Agent) tell(list []wire.Send) []wire.Send {
 	for _, s := range list {
-		if s.Note.Kind != wire.Status {
+		if s.Message.Kind != wire.Status {
 			continue
 		}
-		for _, c := range w.kin.Known("controller") {
+		for _, c := range w.roster.Known("controller") {
 			if c.Addr != s.To {
-				list = append(list, wire.Send{To: c.Addr, Note: s.Note})
+				list = append(list, wire.Send{To: c.Addr, Message: s.Message})
 			}
 		}
 	}
 	return list
 }
 
-func (w *Agent) take(n wire.Note) {
-	if w.kin.Take(w.now.Mono, n) {
+func (w *Agent) take(n wire.Message) {
+	if w.roster.Take(w.now.Mono, n) {
 		return
 	}
 	w.hand.Take(w.now.Mono, n)
@@ -124,12 +124,12 @@
 	case wire.Order:
 		w.Sums.Orders++
 		if o, ok := wire.Read[dispatch.Order](n); ok {
-			w.Trail.Add(w.now.Wall, trace.Job(o.Job.Leg.Job), "order came", "leg", o.Job.Leg)
+			w.Trail.Add(w.now.Wall, trace.Job(o.Job.Attempt.Job), "order came", "leg", o.Job.Attempt)
 		}
 	case wire.Stop:
 		w.Sums.Stops++
 		if s, ok := wire.Read[dispatch.Stop](n); ok {
-			for _, l := range s.Legs {
+			for _, l := range s.Attempts {
 				w.Trail.Add(w.now.Wall, trace.Job(l.Job), "stop came", "leg", l)
 			}
 		}
@@ -178,7 +178,7 @@
 		w.outs = append(w.outs, wire.Answer{Token: w.token, Fault: apierror.New(apierror.Stale, "call", "a newer call has come")})
 	}
 	for _, e := range p.Ends {
-		w.Trail.Add(w.now.Wall, trace.Job(e.Leg.Job), "worker told an end", "leg", e.Leg, "fate", e.Fate)
+		w.Trail.Add(w.now.Wall, trace.Job(e.Attempt.Job), "worker told an end", "leg", e.Attempt, "fate", e.Outcome)
 	}
 	w.token, w.since = a.Token, w.now.Mono
 }
@@ -191,11 +191,11 @@
 	Leader  types.Addr        `json:"leader"`
 	QuietMS int64             `json:"worker_quiet_ms"`
 	Account dispatch.View     `json:"account"`
-	Mates   []membership.Mate `json:"mates"`
+	Peers   []membership.Peer `json:"mates"`
 	Sums    Sums              `json:"sums"`
 }
 
 func (w *Agent) Status() StatusView {
-	return StatusView{Role: "agent", Program: w.place.Issue, Ready: w.Ready(), Leader: w.kin.Lead(),
-		QuietMS: min(1<<40, w.hand.Quiet(w.now.Mono).Milliseconds()), Account: w.hand.View(), Mates: w.kin.Mates(), Sums: w.Sums}
+	return StatusView{Role: "agent", Program: w.place.Issue, Ready: w.Ready(), Leader: w.roster.Lead(),
+		QuietMS: min(1<<40, w.hand.Quiet(w.now.Mono).Milliseconds()), Account: w.hand.View(), Peers: w.roster.Peers(), Sums: w.Sums}
 }
--- a/internal/agent/ward_test.go
+++ b/internal/agent/ward_test.go
@@ -42,7 +42,7 @@
 		is.True(a.Fault != nil)
 		is.Equal(a.Fault.Field, field)
 	}
-	is.Equal(len(w.Status().Account.Legs), 0)
+	is.Equal(len(w.Status().Account.Attempts), 0)
 	is.Equal(w.Status().Account.Worker, types.ID(""))                 // none of it was taken
 	is.Equal(ask(`{"worker":"a","call":1,"stamp":5}`), wire.Answer{}) // a good one is held
 	a := ask(`{"worker":"a","call":1,"stamp":5}`)
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -74,13 +74,13 @@
 func (r Row) WaitCut() time.Duration { return time.Duration(r.CutMS) * time.Millisecond }
 func (r Row) Wait() time.Duration    { return time.Duration(r.Patience) * time.Millisecond }
 
-// Table is the whole of them under one edition. In a put, Edition is the one it
+// Table is the whole of them under one version. In a put, Edition is the one it
 // is based on and Becomes the one it gets, or 0 for the next. Orphans says what
 // becomes of unfinished jobs of a queue left out. Source is the document that
 // the operator wrote it in, kept as it came.
 type Table struct {
-	Edition  types.Edition   `json:"edition"`
-	Becomes  types.Edition   `json:"becomes,omitempty"`
+	Version  types.Version   `json:"edition"`
+	Becomes  types.Version   `json:"becomes,omitempty"`
 	Tasks    int             `json:"tasks,omitempty"`
 	MB       int             `json:"megabytes,omitempty"`
 	Orphans  Orphans         `json:"orphans,omitempty"`
@@ -131,17 +131,17 @@
 
 // Next is the table as it is in force once taken.
 func (t Table) Next() Table {
-	t.Edition = max(t.Edition+1, t.Becomes)
+	t.Version = max(t.Version+1, t.Becomes)
 	t.Becomes = 0
 	return t
 }
 
-// Same tells whether two tables say the same, whatever their edition.
+// Same tells whether two tables say the same, whatever their version.
 func (t Table) Same(o Table) bool { return t.Hash() == o.Hash() }
 
-// Hash stands for what a table says, whatever its edition.
+// Hash stands for what a table says, whatever its version.
 func (t Table) Hash() string {
-	t.Edition, t.Becomes, t.Tasks, t.MB = 0, 0, t.MostTasks(), t.MostBytes()
+	t.Version, t.Becomes, t.Tasks, t.MB = 0, 0, t.MostTasks(), t.MostBytes()
 	b, _ := json.Marshal(t)
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:8])
@@ -163,13 +163,13 @@
 	source   = 1 << 20
 )
 
-// ReadTable reads a table as an operator writes it; the edition it carries is
+// ReadTable reads a table as an operator writes it; the version it carries is
 // the one it was based on.
 func ReadTable(b []byte, heap *apierror.Heap) (t Table) {
 	r := NewReader(b, heap)
 	base := false
 	r.Whole(map[string]Field{
-		"edition":   func(at string) { base = true; Num(r, &t.Edition, 0, 1<<53)(at) },
+		"edition":   func(at string) { base = true; Num(r, &t.Version, 0, 1<<53)(at) },
 		"tasks":     Num(r, &t.Tasks, 1000, 1_000_000),
 		"megabytes": Num(r, &t.MB, 8, 512),
 		"queues": func(at string) {
@@ -204,7 +204,7 @@
 
 // Check tells all that is wrong with a table as a whole.
 func (t Table) Check(heap *apierror.Heap) {
-	heap.Check(t.Becomes == 0 || t.Becomes > t.Edition, "becomes", "must be above the edition it is based on")
+	heap.Check(t.Becomes == 0 || t.Becomes > t.Version, "becomes", "must be above the edition it is based on")
 	sum, seen, way := 0, map[types.Queue]bool{}, map[[2]string]bool{}
 	for i, row := range t.Rows {
 		at := fmt.Sprintf("queues[%d]", i)
--- a/internal/config/table_test.go
+++ b/internal/config/table_test.go
@@ -44,7 +44,7 @@
 	var heap apierror.Heap
 	tab := ReadTable([]byte(`{"edition":5,"becomes":9,"orphans":"finish","queues":[{"name":"a","host":"h","prefix":"/a/","service":"s","priority":2,"stretch":1.5,"target_ms":200}],"services":[{"name":"s","guards":false}],"source":{"x":1}}`), &heap)
 	is.True(heap.First() == nil)
-	is.Equal(int(tab.Next().Edition), 9)
+	is.Equal(int(tab.Next().Version), 9)
 	is.Equal(tab.Rows[0].Stretch, 1.5)
 	is.Equal(string(tab.Source), `{"x":1}`)
 	is.True(!tab.Services[0].Guards)
--- a/internal/configwatch/news.go
+++ b/internal/configwatch/news.go
@@ -1,5 +1,5 @@
 // Package configwatch is the editioned long poll by which data-plane daemons get the
-// table: the reader asks with the edition it has, and the desk answers when it
+// table: the reader asks with the version it has, and the desk answers when it
 // has another, or after a short hold to say that there is none. A reader that
 // has not been confirmed for a while knows that it may not decide by what it
 // has.
@@ -24,7 +24,7 @@
 )
 
 type ask struct {
-	Have types.Edition `json:"have"`
+	Have types.Version `json:"have"`
 	Any  bool          `json:"any"`
 	Wait int64         `json:"wait_ms,omitempty"` // how long no news may be held back
 	Mark types.Stamp   `json:"mark"`
@@ -38,7 +38,7 @@
 }
 
 type told struct {
-	Edition types.Edition `json:"edition"`
+	Version types.Version `json:"edition"`
 	Table   *config.Table `json:"table,omitempty"`
 	Mark    types.Stamp   `json:"mark"`
 }
@@ -59,7 +59,7 @@
 
 func NewDesk(me types.Addr) *Desk { return &Desk{me, map[types.Addr]wait{}} }
 
-func (d *Desk) Take(now types.Stamp, n wire.Note) {
+func (d *Desk) Take(now types.Stamp, n wire.Message) {
 	a, ok := wire.Read[ask](n)
 	if !ok || len(d.waits) >= most {
 		return
@@ -75,11 +75,11 @@
 func (d *Desk) Tell(now types.Stamp, t config.Table) (sends []wire.Send) {
 	for _, from := range slices.Sorted(maps.Keys(d.waits)) {
 		w := d.waits[from]
-		fresh := !w.ask.Any || w.ask.Have != t.Edition
+		fresh := !w.ask.Any || w.ask.Have != t.Version
 		if !fresh && now < w.by {
 			continue
 		}
-		b := told{Edition: t.Edition, Mark: w.ask.Mark}
+		b := told{Version: t.Version, Mark: w.ask.Mark}
 		if fresh {
 			b.Table = &t
 		}
@@ -121,12 +121,12 @@
 		return nil
 	}
 	r.open, r.asked = true, now
-	return []wire.Send{wire.Make(r.me, lead, wire.News, ask{r.Table.Edition, r.any, held.Milliseconds(), now})}
+	return []wire.Send{wire.Make(r.me, lead, wire.News, ask{r.Table.Version, r.any, held.Milliseconds(), now})}
 }
 
 // Take handles an answer; true when the table changed. What it confirms counts
 // from when it was asked.
-func (r *Reader) Take(n wire.Note) bool {
+func (r *Reader) Take(n wire.Message) bool {
 	t, ok := wire.Read[told](n)
 	if !ok {
 		return false
@@ -134,11 +134,11 @@
 	if t.Mark == r.asked {
 		r.open = false
 	}
-	if t.Table != nil && (!r.any || t.Edition > r.Table.Edition) {
+	if t.Table != nil && (!r.any || t.Version > r.Table.Version) {
 		r.Table, r.any, r.sure = *t.Table, true, max(r.sure, t.Mark)
 		return true
 	}
-	if r.any && t.Edition == r.Table.Edition {
+	if r.any && t.Version == r.Table.Version {
 		r.sure = max(r.sure, t.Mark)
 	}
 	return false
--- a/internal/configwatch/news_test.go
+++ b/internal/configwatch/news_test.go
@@ -16,19 +16,19 @@
 func TestAReaderThatFellSilentIsConfirmedAgain(t *testing.T) {
 	for _, stale := range []time.Duration{300 * time.Millisecond, Stale} {
 		is := is.New(t)
-		table := config.Table{Edition: 31}
+		table := config.Table{Version: 31}
 		desk, r := NewDesk("controller:1"), NewReader("gateway:1", stale)
 		fresh := func(from, to time.Duration, reach bool) (first time.Duration) {
 			for at := from; at < to; at += 10 * time.Millisecond {
 				now := types.Stamp(at)
 				for _, s := range r.Tick(now, "controller:1") {
 					if reach {
-						desk.Take(now, s.Note)
+						desk.Take(now, s.Message)
 					}
 				}
 				for _, s := range desk.Tell(now, table) {
 					if reach {
-						r.Take(s.Note)
+						r.Take(s.Message)
 					}
 				}
 				if first == 0 && r.Fresh(now) {
@@ -51,14 +51,14 @@
 func TestAskingAgainDoesNotPutTheAnswerOff(t *testing.T) {
 	is := is.New(t)
 	desk, r := NewDesk("controller:1"), NewReader("gateway:1", Stale)
-	r.any, r.Table.Edition = true, 31
+	r.any, r.Table.Version = true, 31
 	told := 0
 	for at := time.Second; at < 2*time.Second; at += 50 * time.Millisecond {
 		r.open, r.sure = false, types.Stamp(at) // a reader that is confirmed and asks each time
 		for _, s := range r.Tick(types.Stamp(at), "controller:1") {
-			desk.Take(types.Stamp(at), s.Note)
+			desk.Take(types.Stamp(at), s.Message)
 		}
-		told += len(desk.Tell(types.Stamp(at), config.Table{Edition: 31}))
+		told += len(desk.Tell(types.Stamp(at), config.Table{Version: 31}))
 	}
 	is.True(told >= 2)
 }
--- a/internal/controller/calls.go
+++ b/internal/controller/calls.go
@@ -41,7 +41,7 @@
 	"status":      func(h *Controller, w waiter, _ wire.CallBody) { h.good(w, 200, h.Status()) },
 }
 
-func (h *Controller) call(n wire.Note) {
+func (h *Controller) call(n wire.Message) {
 	if c, ok := wire.Read[wire.CallBody](n); ok {
 		h.ask(waiter{from: n.From, id: c.ID}, c)
 	}
@@ -54,7 +54,7 @@
 	if h.head == nil || !h.core.Firm() {
 		lead := h.core.Leader()
 		if h.core.Name() == "" {
-			lead = h.kin.Lead()
+			lead = h.roster.Lead()
 		}
 		h.reply(w, wire.ReplyBody{Away: true, Lead: lead})
 		return
@@ -163,7 +163,7 @@
 	}
 	n := 0
 	for _, j := range h.state.Live() {
-		if j.Queue == q && j.Legs == 0 {
+		if j.Queue == q && j.Attempts == 0 {
 			n++
 		}
 	}
@@ -271,7 +271,7 @@
 }
 
 func (h *Controller) ended(e state.End) {
-	if j := h.state.Jobs[e.Leg.Job]; j != nil && j.Over() {
+	if j := h.state.Jobs[e.Attempt.Job]; j != nil && j.Over() {
 		delete(h.courses, j.ID)
 		h.rate(j.Queue).hit(h.now.Mono)
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -25,7 +25,7 @@
 // Place is where and as what a controller runs.
 type Place struct {
 	Addr  types.Addr
-	Loc   types.Locality
+	Zone  types.Zone
 	Seeds []types.Addr
 	Begin raft.Origin
 	Loses int // voters that may be lost at once, disk and all
@@ -47,7 +47,7 @@
 	place   Place
 	now     types.Now
 	core    *raft.Core
-	kin     *membership.Roster
+	roster  *membership.Roster
 	state   *state.State
 	done    types.Index
 	head    *dispatch.Head
@@ -57,7 +57,7 @@
 	ahead   map[types.JobID]types.Index // of the latest ends on their way into the log
 	reads   []reader
 	flight  map[state.End]bool
-	freed   map[types.Leg]bool // of those, what surely runs no more
+	freed   map[types.Attempt]bool // of those, what surely runs no more
 	giving  types.Index
 	given   map[types.Task]state.Give // on their way into the log, or just there
 	rounds  []types.Index             // of them
@@ -101,12 +101,12 @@
 
 // New starts a controller from the records of its disk.
 func New(now types.Now, rnd *rand.Rand, p Place, recs [][]byte) *Controller {
-	me := raft.Member{Addr: p.Addr, Loc: p.Loc}
+	me := raft.Member{Addr: p.Addr, Zone: p.Zone}
 	h := &Controller{place: p, now: now, core: raft.New(now, p.Core, rnd, me, p.Begin, recs, types.Mint(rnd)),
-		waits: map[types.Index]waiter{}, ahead: map[types.JobID]types.Index{}, flight: map[state.End]bool{}, freed: map[types.Leg]bool{},
+		waits: map[types.Index]waiter{}, ahead: map[types.JobID]types.Index{}, flight: map[state.End]bool{}, freed: map[types.Attempt]bool{},
 		given: map[types.Task]state.Give{}, rates: map[types.Queue]*rate{}, works: map[types.Queue]float64{}, peaks: map[types.Queue]float64{},
 		tasks: map[types.Queue]float64{}, habits: map[types.Queue]*habit{}, courses: map[types.JobID][]course{}, Trail: trace.New()}
-	h.kin = membership.New(rnd, h.card(), p.Seeds)
+	h.roster = membership.New(rnd, h.card(), p.Seeds)
 	h.desk = configwatch.NewDesk(p.Addr)
 	h.load()
 	return h
@@ -127,7 +127,7 @@
 }
 
 func (h *Controller) card() membership.Card {
-	return membership.Card{Addr: h.place.Addr, ID: h.core.ID(), Role: "controller", Loc: h.place.Loc, Name: h.core.Name(),
+	return membership.Card{Addr: h.place.Addr, ID: h.core.ID(), Role: "controller", Zone: h.place.Zone, Name: h.core.Name(),
 		Term: h.core.Term(), Leads: h.core.Leads() && !h.drain, Part: h.core.Role(), Ready: h.Ready(), Issue: h.place.Issue}
 }
 
@@ -142,8 +142,8 @@
 	h.now = e.Now
 	h.Sums.Steps++
 	switch {
-	case e.Note != nil:
-		h.take(*e.Note)
+	case e.Message != nil:
+		h.take(*e.Message)
 	case e.Ask != nil:
 		h.ask(waiter{token: e.Ask.Token}, wire.CallBody{Verb: e.Ask.Verb, Arg: e.Ask.Arg, Body: e.Ask.Body})
 	case e.Synced > 0:
@@ -157,9 +157,9 @@
 	h.lead()
 	var out wire.Out
 	h.shoot()
-	h.kin.Me(h.card())
+	h.roster.Me(h.card())
 	out.Sends, out.Batch, out.Seq, out.Whole = h.core.Out()
-	out.Sends = append(append(out.Sends, h.sends...), h.kin.Out()...)
+	out.Sends = append(append(out.Sends, h.sends...), h.roster.Out()...)
 	out.Answers = h.answers
 	h.sends, h.answers = nil, nil
 	out.Idle = h.drain && (!h.core.Leads() || h.now.Mono >= h.late) && len(h.waits) == 0
@@ -189,9 +189,9 @@
 	}
 }
 
-func (h *Controller) take(n wire.Note) {
+func (h *Controller) take(n wire.Message) {
 	switch {
-	case h.kin.Take(h.now.Mono, n):
+	case h.roster.Take(h.now.Mono, n):
 	case h.core.Take(h.now, n):
 	case n.Kind == wire.Call:
 		h.call(n)
@@ -211,11 +211,11 @@
 
 func (h *Controller) tick() {
 	h.moved = true
-	h.kin.Tick(h.now.Mono)
+	h.roster.Tick(h.now.Mono)
 	var seen []raft.Seen
-	for _, c := range h.kin.Controllers() {
+	for _, c := range h.roster.Controllers() {
 		if c.ID != "" && c.Part != "out" {
-			seen = append(seen, raft.Seen{Member: raft.Member{ID: c.ID, Addr: c.Addr, Loc: c.Loc}, Name: c.Name})
+			seen = append(seen, raft.Seen{Member: raft.Member{ID: c.ID, Addr: c.Addr, Zone: c.Zone}, Name: c.Name})
 		}
 	}
 	h.core.See(seen, h.others())
@@ -228,7 +228,7 @@
 func (h *Controller) others() (list []types.Addr) {
 	if h.core.Name() == "" {
 		for _, a := range h.place.Begin.Founders {
-			if role := h.kin.Role(a); role != "" && role != "controller" {
+			if role := h.roster.Role(a); role != "" && role != "controller" {
 				list = append(list, a)
 			}
 		}
@@ -261,7 +261,7 @@
 		}
 		h.moved = true
 		h.learn(f)
-		legs, bad := h.state.Apply(f)
+		attempts, bad := h.state.Apply(f)
 		h.core.Wind(h.state.Tick)
 		h.told(f, e.Index)
 		w, ok := h.waits[e.Index]
@@ -273,16 +273,16 @@
 			if f.Job != nil && bad == nil {
 				h.weigh(h.state.Jobs[f.Job.ID])
 			}
-			for _, g := range f.Legs {
-				delete(h.given, g.Leg.Task)
+			for _, g := range f.Attempts {
+				delete(h.given, g.Attempt.Task)
 			}
-			h.order(legs)
+			h.order(attempts)
 			h.head.Settle(f.Ends)
 			for _, x := range f.Ends {
 				delete(h.flight, x)
-				delete(h.freed, x.Leg)
-				if h.ahead[x.Leg.Job] <= h.done {
-					delete(h.ahead, x.Leg.Job)
+				delete(h.freed, x.Attempt)
+				if h.ahead[x.Attempt.Job] <= h.done {
+					delete(h.ahead, x.Attempt.Job)
 				}
 			}
 		}
@@ -294,17 +294,17 @@
 func (h *Controller) told(f state.Fact, at types.Index) {
 	switch {
 	case f.Table != nil:
-		h.Trail.Add(h.now.Wall, trace.Table(h.state.Table.Edition), "applied", "index", at)
+		h.Trail.Add(h.now.Wall, trace.Table(h.state.Table.Version), "applied", "index", at)
 	case f.Job != nil:
 		h.Trail.Add(h.now.Wall, trace.Job(f.Job.ID), "accept applied", "index", at)
 	case f.Cancel != "":
 		h.Trail.Add(h.now.Wall, trace.Job(f.Cancel), "cancel applied", "index", at)
 	}
-	for _, g := range f.Legs {
-		h.Trail.Add(h.now.Wall, trace.Job(g.Leg.Job), "leg given out", "leg", g.Leg, "shard", g.Shard)
+	for _, g := range f.Attempts {
+		h.Trail.Add(h.now.Wall, trace.Job(g.Attempt.Job), "leg given out", "leg", g.Attempt, "shard", g.Shard)
 	}
 	for _, x := range f.Ends {
-		h.Trail.Add(h.now.Wall, trace.Job(x.Leg.Job), "end applied", "leg", x.Leg, "fate", x.Fate)
+		h.Trail.Add(h.now.Wall, trace.Job(x.Attempt.Job), "end applied", "leg", x.Attempt, "fate", x.Outcome)
 		h.ended(x)
 	}
 }
@@ -334,8 +334,8 @@
 		h.Sums.Elected++
 		h.head = dispatch.NewHead(h.now.Mono, h.core.Ruled(), h.place.Truth, h.place.Addr, h.core.Term(), h.outs())
 		h.head.Invoked = func(x types.Shard) bool { return h.state.Shapes[x].Invoked }
-		h.head.Apart = func(x types.Shard) bool { return h.kin.Apart(string(x)) }
-		h.head.Taken, h.head.Doubts = h.taken, func(x types.Shard) []types.Leg { return h.state.Doubts(x) }
+		h.head.Apart = func(x types.Shard) bool { return h.roster.Apart(string(x)) }
+		h.head.Taken, h.head.Doubts = h.taken, func(x types.Shard) []types.Attempt { return h.state.Doubts(x) }
 	}
 	h.head.Tick(h.now.Mono, h.core.Grace())
 	h.heed()
@@ -354,14 +354,14 @@
 	return h.core.Propose(wire.Body(f))
 }
 
-// outs lists the legs given out as the state has them.
+// outs lists the attempts given out as the state has them.
 func (h *Controller) outs() (list []dispatch.Hold) {
 	for _, j := range h.state.Live() {
 		for i := range j.Tasks {
 			for _, o := range j.Tasks[i].Outs() {
 				n := j.Spec.No(i)
 				at := types.StageOf(n)
-				list = append(list, dispatch.Hold{Leg: types.Leg{Task: types.Task{Job: j.ID, N: n}, Leg: o.Leg},
+				list = append(list, dispatch.Hold{Attempt: types.Attempt{Task: types.Task{Job: j.ID, N: n}, Attempt: o.Attempt},
 					Shard: o.Shard, Stage: at, Room: j.Spec.Steps[at.Step()].Room, Usual: usual(j, at), Limit: h.limit(j, at)})
 			}
 		}
@@ -371,10 +371,10 @@
 
 // taken tells whether the state already has an end, or has no use for it.
 func (h *Controller) taken(e state.End) bool {
-	j := h.state.Jobs[e.Leg.Job]
+	j := h.state.Jobs[e.Attempt.Job]
 	if j == nil || j.Over() {
 		return true
 	}
-	t := j.Task(e.Leg.N)
-	return t == nil || t.Knows(e.Leg.Leg, e.Fate)
+	t := j.Task(e.Attempt.N)
+	return t == nil || t.Knows(e.Attempt.Attempt, e.Outcome)
 }
--- a/internal/controller/copies.go
+++ b/internal/controller/copies.go
@@ -20,24 +20,24 @@
 // behind lists the second attempts that are wanted.
 func (h *Controller) behind(holds []*dispatch.Hold) (wants []placement.Want) {
 	for _, o := range holds {
-		j := h.state.Jobs[o.Leg.Job]
+		j := h.state.Jobs[o.Attempt.Job]
 		if j == nil || j.State != state.Open || o.Stage < 0 {
 			continue
 		}
 		p := &j.Spec.Steps[o.Stage.Step()]
-		t := j.Task(o.Leg.N)
-		if !p.Copies || p.Gang || t == nil || t.Done || t.Copy != nil || t.On(o.Leg.Leg) == nil || !h.slow(o, p) {
+		t := j.Task(o.Attempt.N)
+		if !p.Copies || p.Gang || t == nil || t.Done || t.Copy != nil || t.On(o.Attempt.Attempt) == nil || !h.slow(o, p) {
 			continue
 		}
 		wants = append(wants, placement.Want{Part: placement.Part{Job: j.ID, Stage: o.Stage}, Queue: j.Queue, Urgency: j.Spec.Urgency,
 			Kind: p.Kind, Rack: p.Rack, Labels: p.Labels, Room: p.Room, Spread: p.Spread, Near: p.Near,
-			Tasks: []int{o.Leg.N}, Long: h.limit(j, o.Stage), Shun: map[types.Shard]bool{o.Shard: true}})
+			Tasks: []int{o.Attempt.N}, Long: h.limit(j, o.Stage), Shun: map[types.Shard]bool{o.Shard: true}})
 	}
 	return
 }
 
 // copies places second attempts in what the round has left.
-func (h *Controller) copies(in placement.Input, wants []placement.Want) (legs []state.Give) {
+func (h *Controller) copies(in placement.Input, wants []placement.Want) (attempts []state.Give) {
 	if wants == nil {
 		return nil
 	}
@@ -45,15 +45,15 @@
 	for _, p := range placement.Place(in).Picks {
 		t := h.state.Jobs[p.Task.Job].Task(p.Task.N)
 		if t.Out.Shard != p.Shard {
-			legs = append(legs, state.Give{Leg: types.Leg{Task: p.Task, Leg: t.Leg + 1}, Shard: p.Shard, Copy: true})
+			attempts = append(attempts, state.Give{Attempt: types.Attempt{Task: p.Task, Attempt: t.Attempt + 1}, Shard: p.Shard, Copy: true})
 		}
 	}
 	return
 }
 
-// slow tells whether a leg is far behind its like, or its worker out of reach.
+// slow tells whether an attempt is far behind its like, or its worker out of reach.
 func (h *Controller) slow(o *dispatch.Hold, p *state.Step) bool {
-	if s := h.head.Seat(o.Shard); s == nil || s.State != dispatch.Healthy || !s.Sound {
+	if s := h.head.Seat(o.Shard); s == nil || s.State != dispatch.Healthy || !s.Healthy {
 		return true
 	}
 	if o.Late > h.now.Mono {
--- a/internal/controller/displace.go
+++ b/internal/controller/displace.go
@@ -20,12 +20,12 @@
 	gap    = 2 * time.Second // between two displacings
 )
 
-// victim is a leg that may be displaced, with its gang.
+// victim is an attempt that may be displaced, with its gang.
 type victim struct {
-	legs    []types.Leg
-	room    map[types.Shard]types.Room
-	urgency int
-	age     time.Duration
+	attempts []types.Attempt
+	room     map[types.Shard]types.Room
+	urgency  int
+	age      time.Duration
 }
 
 // displace finds what to take back for the first want that may displace, and
@@ -42,9 +42,9 @@
 		if d.Running+w.Need() > d.Row.Running {
 			continue
 		}
-		if legs, kept := oust(w, in.Slots, h.victims(w, below(d, in.Total), in)); legs != nil {
+		if attempts, kept := oust(w, in.Slots, h.victims(w, below(d, in.Total), in)); attempts != nil {
 			h.moves = h.now.Mono
-			return legs, kept
+			return attempts, kept
 		}
 	}
 	return nil, nil
@@ -59,19 +59,19 @@
 func (h *Controller) victims(w placement.Want, under bool, in placement.Input) (list []*victim) {
 	gangs := map[placement.Part]*victim{}
 	for _, o := range h.head.Holds() {
-		j := h.state.Jobs[o.Leg.Job]
-		if j == nil || o.Stage < 0 || !h.mayTake(o.Leg) || j.Queue == w.Queue && j.Spec.Urgency >= w.Urgency {
+		j := h.state.Jobs[o.Attempt.Job]
+		if j == nil || o.Stage < 0 || !h.mayTake(o.Attempt) || j.Queue == w.Queue && j.Spec.Urgency >= w.Urgency {
 			continue
 		}
 		d := in.Dues[j.Queue]
 		urgent := j.Spec.Urgency < w.Urgency
 		if d == nil || below(d, in.Total) || !urgent && !(under && j.Queue != w.Queue && j.Spec.Urgency <= w.Urgency) ||
-			j.Task(o.Leg.N).Moved >= d.Row.Moves {
+			j.Task(o.Attempt.N).Moved >= d.Row.Moves {
 			continue
 		}
 		v := &victim{room: map[types.Shard]types.Room{}, urgency: j.Spec.Urgency, age: h.now.Mono.Sub(o.At)}
 		if j.Spec.Steps[o.Stage.Step()].Gang {
-			k := placement.Part{Job: o.Leg.Job, Stage: o.Stage}
+			k := placement.Part{Job: o.Attempt.Job, Stage: o.Stage}
 			if gangs[k] != nil {
 				v = gangs[k]
 			} else {
@@ -81,7 +81,7 @@
 		} else {
 			list = append(list, v)
 		}
-		v.legs = append(v.legs, o.Leg)
+		v.attempts = append(v.attempts, o.Attempt)
 		v.room[o.Shard] = v.room[o.Shard].Plus(o.Room)
 	}
 	sort.SliceStable(list, func(i, k int) bool {
@@ -93,7 +93,7 @@
 
 // oust takes victims until the want would fit, and lets go of those that turn
 // out not to be needed.
-func oust(w placement.Want, slots []placement.Slot, list []*victim) (legs []state.Back, kept *placement.Reserve) {
+func oust(w placement.Want, slots []placement.Slot, list []*victim) (attempts []state.Back, kept *placement.Reserve) {
 	need := w.Need()
 	fits := func(use []*victim) (seats []placement.Seat) {
 		n := 0
@@ -136,11 +136,11 @@
 		}
 	}
 	for _, v := range use {
-		for _, l := range v.legs {
-			legs = append(legs, state.Back{Leg: l, Why: state.Displaced})
+		for _, l := range v.attempts {
+			attempts = append(attempts, state.Back{Attempt: l, Why: state.Displaced})
 		}
 	}
-	return legs, &placement.Reserve{Part: w.Part, Seats: fits(use)}
+	return attempts, &placement.Reserve{Part: w.Part, Seats: fits(use)}
 }
 
 // ages keeps since when each step has had something that could start.
@@ -157,7 +157,7 @@
 	h.waited = next
 }
 
-// rest is how long a leg may still run by its limit.
+// rest is how long an attempt may still run by its limit.
 func (h *Controller) rest(o *dispatch.Hold) time.Duration {
 	if o.Limit == 0 {
 		return time.Hour
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -93,8 +93,8 @@
 // DrainView is a drain as operators see it.
 type DrainView struct {
 	state.Target
-	Left int64 `json:"left_ms,omitempty"` // until what still runs is stopped
-	Legs int   `json:"legs"`              // that still run there
+	Left     int64 `json:"left_ms,omitempty"` // until what still runs is stopped
+	Attempts int   `json:"legs"`              // that still run there
 }
 
 // Drains lists what is drained, and how much still runs there.
@@ -107,7 +107,7 @@
 		}
 		for _, o := range h.holds() {
 			if d.Is(o.Shard, h.state.Shapes[o.Shard].Rack) {
-				v.Legs++
+				v.Attempts++
 			}
 		}
 		list = append(list, v)
--- a/internal/controller/early.go
+++ b/internal/controller/early.go
@@ -1,4 +1,4 @@
-// What agents told of their workers' legs is kept by every controller that heard it
+// What agents told of their workers' attempts is kept by every controller that heard it
 // until the log has it: a leader may lose its duty before the end is committed,
 // and the agent may be gone by then. "Rebuilt from those who told it first."
 package controller
@@ -21,7 +21,7 @@
 	tries int // so often it was passed on
 }
 
-// lag is how long a report of a leg that this controller's log does not have yet is
+// lag is how long a report of an attempt that this controller's log does not have yet is
 // kept; by is by way of how many gateways one is passed on at once.
 const (
 	lag = 10 * time.Second
@@ -30,23 +30,23 @@
 
 // logged tells whether an end need not be kept any longer.
 func (h *Controller) logged(e state.End, at types.Stamp) bool {
-	j := h.state.Jobs[e.Leg.Job]
+	j := h.state.Jobs[e.Attempt.Job]
 	if j == nil {
 		return h.now.Mono.Sub(at) > lag
 	}
-	if t := j.Task(e.Leg.N); t != nil && e.Leg.Leg > t.Leg {
+	if t := j.Task(e.Attempt.N); t != nil && e.Attempt.Attempt > t.Attempt {
 		return h.now.Mono.Sub(at) > lag
 	}
 	return h.taken(e)
 }
 
 // keep holds on to a report until its ends are in the log.
-func (h *Controller) keep(n wire.Note) {
+func (h *Controller) keep(n wire.Message) {
 	u, ok := wire.Read[dispatch.Status](n)
 	if !ok || len(h.early) >= Crowd {
 		return
 	}
-	u.Ends = slices.DeleteFunc(u.Ends, func(e state.End) bool { return !e.Fate.Fact() || h.logged(e, h.now.Mono) })
+	u.Ends = slices.DeleteFunc(u.Ends, func(e state.End) bool { return !e.Outcome.Fact() || h.logged(e, h.now.Mono) })
 	for _, x := range h.early {
 		u.Ends = slices.DeleteFunc(u.Ends, func(e state.End) bool { return slices.Contains(x.Ends, e) })
 	}
@@ -76,7 +76,7 @@
 			to = h.place.Addr
 		}
 		if s := wire.Make(x.from, to, wire.Status, x.Status); h.head != nil {
-			h.head.Take(h.now.Mono, h.core.Grace(), s.Note)
+			h.head.Take(h.now.Mono, h.core.Grace(), s.Message)
 		} else {
 			h.relay(s, to, x.tries)
 			x.tries++
@@ -95,8 +95,8 @@
 	if to != "" && tries == 0 {
 		return
 	}
-	gateways := h.kin.Known("gateway")
+	gateways := h.roster.Known("gateway")
 	for i := range min(by, len(gateways)) {
-		h.sends = append(h.sends, wire.Send{To: gateways[(by*tries+i)%len(gateways)].Addr, Note: s.Note})
+		h.sends = append(h.sends, wire.Send{To: gateways[(by*tries+i)%len(gateways)].Addr, Message: s.Message})
 	}
 }
--- a/internal/controller/ends.go
+++ b/internal/controller/ends.go
@@ -25,9 +25,9 @@
 	}
 	if i, ok := h.fact(state.Fact{Ends: list}); ok {
 		for _, e := range list {
-			h.flight[e], h.ahead[e.Leg.Job] = true, i
-			if e.Fate.Over() {
-				h.freed[e.Leg], h.moved = true, true
+			h.flight[e], h.ahead[e.Attempt.Job] = true, i
+			if e.Outcome.Over() {
+				h.freed[e.Attempt], h.moved = true, true
 			}
 		}
 		h.Sums.Ends += uint64(len(list))
--- a/internal/controller/learn.go
+++ b/internal/controller/learn.go
@@ -68,17 +68,17 @@
 		maps.DeleteFunc(h.courses, func(id types.JobID, _ []course) bool { j := h.state.Jobs[id]; return j == nil || j.Over() })
 	}
 	for _, e := range f.Ends {
-		j := h.state.Jobs[e.Leg.Job]
-		if e.Fate != state.OK || j == nil || j.Over() {
+		j := h.state.Jobs[e.Attempt.Job]
+		if e.Outcome != state.OK || j == nil || j.Over() {
 			continue
 		}
-		t := j.Task(e.Leg.N)
-		if t == nil || t.Done || t.On(e.Leg.Leg) == nil {
+		t := j.Task(e.Attempt.N)
+		if t == nil || t.Done || t.On(e.Attempt.Attempt) == nil {
 			continue
 		}
-		step := types.StageOf(e.Leg.N).Step()
+		step := types.StageOf(e.Attempt.N).Step()
 		p := &j.Spec.Steps[step]
-		took := max(time.Millisecond, f.Tick.Sub(t.On(e.Leg.Leg).At))
+		took := max(time.Millisecond, f.Tick.Sub(t.On(e.Attempt.Attempt).At))
 		k := h.habits[j.Queue]
 		if k == nil {
 			k = &habit{}
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -1,5 +1,5 @@
 // The leader's placing of work: what waits and may start, where there is room,
-// legs given out in the log, and orders sent once that is committed. One round
+// attempts given out in the log, and orders sent once that is committed. One round
 // is in the log at a time, so nothing is given out twice.
 package controller
 
@@ -22,7 +22,7 @@
 )
 
 func (h *Controller) plan() {
-	var doom []types.Leg
+	var doom []types.Attempt
 	var spent []state.End
 	for _, j := range h.state.Live() {
 		x := h.state.Heat(j, h.core.Clock())
@@ -57,19 +57,19 @@
 		return
 	}
 	in.Slots, in.Total = h.slots(holds)
-	var legs []state.Give
+	var attempts []state.Give
 	if len(in.Wants) > 0 {
 		h.ages(in.Wants)
 		h.caps(in)
 		out := placement.Place(in)
 		h.kept = out.Kept
-		legs = h.number(out.Picks)
+		attempts = h.number(out.Picks)
 	}
-	legs = append(legs, h.copies(in, more)...)
-	if legs == nil && backs == nil && h.kept == nil {
+	attempts = append(attempts, h.copies(in, more)...)
+	if attempts == nil && backs == nil && h.kept == nil {
 		backs, h.kept = h.displace(in)
 	}
-	h.give(legs, backs)
+	h.give(attempts, backs)
 }
 
 // more gives out work while an earlier round is on its way into the log.
@@ -88,34 +88,34 @@
 	h.give(h.number(placement.Place(in).Picks), nil)
 }
 
-// number gives each placement its leg's number; the members of a gang get the
+// number gives each placement its attempt's number; the members of a gang get the
 // same.
-func (h *Controller) number(picks []placement.Pick) (legs []state.Give) {
+func (h *Controller) number(picks []placement.Pick) (attempts []state.Give) {
 	for _, p := range picks {
 		j := h.state.Jobs[p.Task.Job]
 		at := types.StageOf(p.Task.N)
-		leg := j.Task(p.Task.N).Leg + 1
+		attempt := j.Task(p.Task.N).Attempt + 1
 		if j.Spec.Steps[at.Step()].Gang {
 			for _, m := range j.Part(at) {
-				leg = max(leg, m.Leg+1)
+				attempt = max(attempt, m.Attempt+1)
 			}
 		}
-		legs = append(legs, state.Give{Leg: types.Leg{Task: p.Task, Leg: leg}, Shard: p.Shard})
+		attempts = append(attempts, state.Give{Attempt: types.Attempt{Task: p.Task, Attempt: attempt}, Shard: p.Shard})
 		delete(h.waited, placement.Part{Job: p.Task.Job, Stage: at})
 	}
 	return
 }
 
 // give puts a round into the log; the next waits until it is applied.
-func (h *Controller) give(legs []state.Give, backs []state.Back) {
-	if legs == nil && backs == nil {
+func (h *Controller) give(attempts []state.Give, backs []state.Back) {
+	if attempts == nil && backs == nil {
 		return
 	}
-	if i, ok := h.fact(state.Fact{Legs: legs, Backs: backs}); ok {
+	if i, ok := h.fact(state.Fact{Attempts: attempts, Backs: backs}); ok {
 		h.giving = i
 		h.rounds = append(h.rounds, i)
-		for _, g := range legs {
-			h.given[g.Leg.Task] = g
+		for _, g := range attempts {
+			h.given[g.Attempt.Task] = g
 		}
 	}
 }
@@ -180,7 +180,7 @@
 			continue
 		}
 		total += s.Room.Cores
-		if till, _, _ := h.till(s); !s.Leaving && s.Sound {
+		if till, _, _ := h.till(s); !s.Leaving && s.Healthy {
 			at[s.Shard] = len(list)
 			list = append(list, placement.Slot{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Labels: s.Labels, Free: s.Room.Minus(s.Lacks), Size: s.Room, Till: till,
 				Bad: s.Worth.Bad, Slow: s.Worth.Slow, Now: h.head.Slow(s), Has: map[placement.Part]int{}})
@@ -188,12 +188,12 @@
 	}
 	for _, g := range h.given {
 		if i, ok := at[g.Shard]; ok {
-			stage := types.StageOf(g.Leg.N)
-			if j := h.state.Jobs[g.Leg.Job]; j != nil && !j.Over() {
+			stage := types.StageOf(g.Attempt.N)
+			if j := h.state.Jobs[g.Attempt.Job]; j != nil && !j.Over() {
 				list[i].Free = list[i].Free.Minus(j.Spec.Steps[stage.Step()].Room)
 			}
 			list[i].Busy++
-			list[i].Has[placement.Part{Job: g.Leg.Job, Stage: stage}]++
+			list[i].Has[placement.Part{Job: g.Attempt.Job, Stage: stage}]++
 		}
 	}
 	for _, o := range holds {
@@ -202,36 +202,36 @@
 			continue
 		}
 		x := &list[i]
-		if !h.freed[o.Leg] {
+		if !h.freed[o.Attempt] {
 			x.Free = x.Free.Minus(o.Room)
 			x.Busy++
 		}
 		x.Clear = max(x.Clear, h.rest(o))
 		if o.Stage >= 0 {
-			x.Has[placement.Part{Job: o.Leg.Job, Stage: o.Stage}]++
+			x.Has[placement.Part{Job: o.Attempt.Job, Stage: o.Stage}]++
 		}
 	}
 	return
 }
 
-// order sends the legs that the log has just given out.
-func (h *Controller) order(legs []state.Give) {
-	for _, g := range legs {
-		j := h.state.Jobs[g.Leg.Job]
-		at := types.StageOf(g.Leg.N)
+// order sends the attempts that the log has just given out.
+func (h *Controller) order(attempts []state.Give) {
+	for _, g := range attempts {
+		j := h.state.Jobs[g.Attempt.Job]
+		at := types.StageOf(g.Attempt.N)
 		p := j.Spec.Steps[at.Step()]
 		h.Sums.Orders++
-		h.head.Order(g.Shard, at, usual(j, at), dispatch.Job{Leg: g.Leg, Kind: p.Kind, Rack: p.Rack, Room: p.Room,
-			Limit: int(h.limit(j, at).Milliseconds()), Label: p.Labels, Ref: j.Task(g.Leg.N).Ref, Work: j.Spec.What(at.Step())})
+		h.head.Order(g.Shard, at, usual(j, at), dispatch.Job{Attempt: g.Attempt, Kind: p.Kind, Rack: p.Rack, Room: p.Room,
+			Limit: int(h.limit(j, at).Milliseconds()), Label: p.Labels, Ref: j.Task(g.Attempt.N).Ref, Work: j.Spec.What(at.Step())})
 	}
 }
 
-// usual names what a leg's time is compared with.
+// usual names what an attempt's time is compared with.
 func usual(j *state.Job, at types.Stage) string {
 	return string(j.Queue) + "/" + j.Spec.Steps[at.Step()].Name
 }
 
-// limit is how long a leg of a step may take by the table in force; what lasts
+// limit is how long an attempt of a step may take by the table in force; what lasts
 // has none.
 func (h *Controller) limit(j *state.Job, at types.Stage) time.Duration {
 	p := &j.Spec.Steps[at.Step()]
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -25,7 +25,7 @@
 	Tasks     int          `json:"tasks"`
 	Done      int          `json:"tasks_done"`
 	Running   int          `json:"tasks_running"`
-	Legs      int          `json:"legs"`
+	Attempts  int          `json:"legs"`
 	List      []state.Task `json:"detail,omitempty"`
 }
 
@@ -36,7 +36,7 @@
 		return nil
 	}
 	v := &JobView{ID: j.ID, Queue: j.Queue, State: j.State, Why: j.Why, Cancelled: j.Halt, Tasks: j.Size, Done: j.Fine,
-		Legs: j.Legs}
+		Attempts: j.Attempts}
 	if j.State == state.Ending && j.Fine == j.Size {
 		v.Fixed = state.Done
 	}
@@ -95,17 +95,17 @@
 
 // WorkerView is a worker as the leader sees it.
 type WorkerView struct {
-	Shard   types.Shard        `json:"shard"`
-	ID      types.ID           `json:"instance"`
-	Addr    types.Addr         `json:"agent"`
-	State   dispatch.Soundness `json:"state"`
-	ForMS   int64              `json:"for_ms"`
-	QuietMS int64              `json:"quiet_ms"`
+	Shard   types.Shard     `json:"shard"`
+	ID      types.ID        `json:"instance"`
+	Addr    types.Addr      `json:"agent"`
+	State   dispatch.Health `json:"state"`
+	ForMS   int64           `json:"for_ms"`
+	QuietMS int64           `json:"quiet_ms"`
 	dispatch.Report
-	Free types.Room `json:"free"`
-	Legs int        `json:"legs"`
-	Bad  float64    `json:"bad_ends"`
-	Slow float64    `json:"slowness"`
+	Free     types.Room `json:"free"`
+	Attempts int        `json:"legs"`
+	Bad      float64    `json:"bad_ends"`
+	Slow     float64    `json:"slowness"`
 }
 
 func (h *Controller) Workers() (list []WorkerView) {
@@ -119,7 +119,7 @@
 	}
 	for _, s := range h.head.Seats() {
 		list = append(list, WorkerView{Shard: s.Shard, ID: s.ID, Addr: s.Addr, State: s.State, ForMS: h.now.Mono.Sub(s.Since).Milliseconds(),
-			QuietMS: h.now.Mono.Sub(s.Good).Milliseconds(), Report: s.Report, Free: h.head.Free(s), Legs: n[s.Shard],
+			QuietMS: h.now.Mono.Sub(s.Good).Milliseconds(), Report: s.Report, Free: h.head.Free(s), Attempts: n[s.Shard],
 			Bad: s.Worth.Bad, Slow: s.Worth.Slow})
 	}
 	return
@@ -139,20 +139,20 @@
 	Commit  types.Index       `json:"commit"`
 	Roll    raft.Roll         `json:"roll"`
 	Bears   int               `json:"losses_borne"`
-	Edition types.Edition     `json:"table_edition"`
+	Version types.Version     `json:"table_edition"`
 	Jobs    int               `json:"jobs_unfinished"`
 	Known   int               `json:"ids_remembered"`
 	Wait    string            `json:"initial_wait,omitempty"`
 	Wall    string            `json:"cluster_time"`
-	Mates   []membership.Mate `json:"mates"`
+	Peers   []membership.Peer `json:"mates"`
 	Sums    Sums              `json:"sums"`
 }
 
 func (h *Controller) Status() StatusView {
 	c := h.core
 	v := StatusView{Role: "controller", Program: h.place.Issue, ID: c.ID(), Cluster: c.Name(), Part: c.Role(), Why: c.Why(),
-		Ready: h.Ready(), Term: c.Term(), Leader: c.Leader(), Commit: c.Commit(), Roll: c.Roll(), Edition: h.state.Table.Edition,
-		Jobs: len(h.state.Live()), Known: len(h.state.Jobs) + h.state.Marks(), Mates: h.kin.Mates(), Sums: h.Sums,
+		Ready: h.Ready(), Term: c.Term(), Leader: c.Leader(), Commit: c.Commit(), Roll: c.Roll(), Version: h.state.Table.Version,
+		Jobs: len(h.state.Live()), Known: len(h.state.Jobs) + h.state.Marks(), Peers: h.roster.Peers(), Sums: h.Sums,
 		Wall: time.Unix(0, int64(h.core.Clock())+int64(h.state.Off)).UTC().Format(time.RFC3339Nano)}
 	if h.head != nil && h.head.Wait {
 		v.Wait = h.head.Why
--- a/internal/controller/windows.go
+++ b/internal/controller/windows.go
@@ -1,6 +1,6 @@
-// What ends a leg before its time: a window of its worker (leaving, drained,
-// under a maintenance plan), a leg far beyond what is usual, a gang of which a new
-// leader can't reach a member, and work displaced by more urgent work. All of them take the leg back in the same way: the log
+// What ends an attempt before its time: a window of its worker (leaving, drained,
+// under a maintenance plan), an attempt far beyond what is usual, a gang of which a new
+// leader can't reach a member, and work displaced by more urgent work. All of them take the attempt back in the same way: the log
 // has it first, then it is stopped, its end is told, and its task goes again.
 package controller
 
@@ -14,10 +14,10 @@
 )
 
 const (
-	ahead  = 1500 * time.Millisecond // a leg is stopped so long before it must be gone
-	briefs = 2 * time.Second         // a leg shorter than this has not stalled
+	ahead  = 1500 * time.Millisecond // an attempt is stopped so long before it must be gone
+	briefs = 2 * time.Second         // an attempt shorter than this has not stalled
 	shorts = 1500 * time.Millisecond // work shorter than this is begun anew elsewhere
-	halts  = 300 * time.Millisecond  // to stop a leg and begin it elsewhere
+	halts  = 300 * time.Millisecond  // to stop an attempt and begin it elsewhere
 )
 
 // till tells how long a seat may still run something, 0 for without end, and
@@ -41,7 +41,7 @@
 	return
 }
 
-// recall lists the legs to be taken back now.
+// recall lists the attempts to be taken back now.
 func (h *Controller) recall(holds []*dispatch.Hold) (list []state.Back) {
 	gone := map[types.Shard]state.Why{}
 	for _, s := range h.head.Seats() {
@@ -51,27 +51,27 @@
 	}
 	left := map[placement.Part]bool{}
 	for _, o := range h.head.Missing() {
-		if j := h.state.Jobs[o.Leg.Job]; j != nil && j.State == state.Open && j.Spec.Steps[o.Stage.Step()].Gang {
-			left[placement.Part{Job: o.Leg.Job, Stage: o.Stage}] = true
+		if j := h.state.Jobs[o.Attempt.Job]; j != nil && j.State == state.Open && j.Spec.Steps[o.Stage.Step()].Gang {
+			left[placement.Part{Job: o.Attempt.Job, Stage: o.Stage}] = true
 		}
 	}
 	for _, o := range holds {
 		why := gone[o.Shard]
-		if why == "" && left[placement.Part{Job: o.Leg.Job, Stage: o.Stage}] {
+		if why == "" && left[placement.Part{Job: o.Attempt.Job, Stage: o.Stage}] {
 			why = state.Alone
 		}
 		if why == "" && (h.stalled(o) || h.crawls(o)) {
 			why = state.Stalled
 		}
-		if why != "" && h.mayTake(o.Leg) {
-			list = append(list, state.Back{Leg: o.Leg, Why: why})
+		if why != "" && h.mayTake(o.Attempt) {
+			list = append(list, state.Back{Attempt: o.Attempt, Why: why})
 		}
 	}
 	return
 }
 
-// mayTake tells whether a leg is out and not yet being taken back.
-func (h *Controller) mayTake(l types.Leg) bool {
+// mayTake tells whether an attempt is out and not yet being taken back.
+func (h *Controller) mayTake(l types.Attempt) bool {
 	j := h.state.Jobs[l.Job]
 	if j == nil || j.State != state.Open {
 		return false
@@ -80,35 +80,35 @@
 	if t == nil {
 		return false
 	}
-	o := t.On(l.Leg)
+	o := t.On(l.Attempt)
 	return o != nil && o.Back == ""
 }
 
-// stalled tells a leg far beyond its step's usual time, once for a task.
+// stalled tells an attempt far beyond its step's usual time, once for a task.
 func (h *Controller) stalled(o *dispatch.Hold) bool {
 	u, ok := h.head.Usual(o.Usual)
-	j := h.state.Jobs[o.Leg.Job]
+	j := h.state.Jobs[o.Attempt.Job]
 	if !ok || j == nil {
 		return false
 	}
-	if t := j.Task(o.Leg.N); t == nil || t.Shun != "" || j.Spec.Steps[o.Stage.Step()].Lasts {
+	if t := j.Task(o.Attempt.N); t == nil || t.Shun != "" || j.Spec.Steps[o.Stage.Step()].Lasts {
 		return false
 	}
 	row, _ := h.state.Row(j.Queue)
 	return row.Stall > 0 && h.now.Mono.Sub(o.At) > max(briefs, time.Duration(row.Stall)*u)
 }
 
-// crawls tells a leg that will take so much longer where it is that it had better
+// crawls tells an attempt that will take so much longer where it is that it had better
 // begin anew elsewhere, once for a task. What takes long anyway is left to its
 // worker, which may be quick again before it would be done elsewhere; what may run
 // twice gets a copy instead.
 func (h *Controller) crawls(o *dispatch.Hold) bool {
-	j := h.state.Jobs[o.Leg.Job]
+	j := h.state.Jobs[o.Attempt.Job]
 	if j == nil || o.Late <= h.now.Mono || o.Stage < 0 {
 		return false
 	}
 	p := &j.Spec.Steps[o.Stage.Step()]
-	t := j.Task(o.Leg.N)
+	t := j.Task(o.Attempt.N)
 	if t == nil || t.Shun != "" || p.Lasts || p.Copies && !p.Gang {
 		return false
 	}
@@ -116,16 +116,16 @@
 	return usual < shorts && o.Late.Sub(h.now.Mono) > 3*usual/2+halts
 }
 
-// overtime lists the legs that run longer than the table in force allows; each was
+// overtime lists the attempts that run longer than the table in force allows; each was
 // told its limit with its order, but the table may have changed since.
-func (h *Controller) overtime(holds []*dispatch.Hold) (list []types.Leg) {
+func (h *Controller) overtime(holds []*dispatch.Hold) (list []types.Attempt) {
 	for _, o := range holds {
-		j := h.state.Jobs[o.Leg.Job]
+		j := h.state.Jobs[o.Attempt.Job]
 		if j == nil || j.Over() || o.Limit == 0 {
 			continue
 		}
 		if row, ok := h.state.Row(j.Queue); ok && h.now.Mono.Sub(o.At) > row.Limit() && row.Limit() < o.Limit {
-			list = append(list, o.Leg)
+			list = append(list, o.Attempt)
 		}
 	}
 	return
--- a/internal/dispatch/caller.go
+++ b/internal/dispatch/caller.go
@@ -38,7 +38,7 @@
 
 // ending is an end that the worker still lists.
 type ending struct {
-	leg     types.Leg
+	attempt types.Attempt
 	settled bool
 }
 
@@ -122,11 +122,11 @@
 }
 
 func (h *Hand) report(b wire.WorkerBeat) {
-	if b.Leaving != h.rep.Leaving || !h.rep.Sound {
+	if b.Leaving != h.rep.Leaving || !h.rep.Healthy {
 		h.beat = never
 	}
 	h.rep = Report{Rack: b.Rack, Kinds: b.Kinds, Room: b.Room, Labels: b.Labels, Leaving: b.Leaving, LeaveMS: b.LeaveMS,
-		Lacks: h.rep.Lacks, Sound: h.rep.Sound, Invoked: true}
+		Lacks: h.rep.Lacks, Healthy: h.rep.Healthy, Invoked: true}
 	h.goes = h.now.Add(time.Duration(b.LeaveMS) * time.Millisecond)
 }
 
@@ -164,10 +164,10 @@
 			h.finish(l, state.Gone)
 		}
 		if l.settled {
-			h.forget(l.job.Leg)
+			h.forget(l.job.Attempt)
 		}
 	}
-	h.rep.Sound, h.beat = false, never
+	h.rep.Healthy, h.beat = false, never
 	if c.heir != nil {
 		h.adopt(*c.heir)
 	}
@@ -199,7 +199,7 @@
 
 // used is the room that what runs there takes.
 func (h *Hand) used() (r types.Room) {
-	for _, l := range h.legs {
+	for _, l := range h.attempts {
 		if l.part == going || l.part == halting {
 			r = r.Plus(l.job.Room)
 		}
--- a/internal/dispatch/caller_test.go
+++ b/internal/dispatch/caller_test.go
@@ -30,20 +30,20 @@
 
 func TestAStartRunsAndItsEndIsNoted(t *testing.T) {
 	is, r := is.New(t), ready(t, 1)
-	r.give(leg("a", 1), short)
+	r.give(attempt("a", 1), short)
 	r.pass(time.Second)
-	is.Equal(r.log[leg("a", 1)], state.OK)
-	is.True(r.noted[leg("a", 1)])
-	is.Equal(len(r.hand.View().Legs), 0)
+	is.Equal(r.log[attempt("a", 1)], state.OK)
+	is.True(r.noted[attempt("a", 1)])
+	is.Equal(len(r.hand.View().Attempts), 0)
 }
 
 // What became of a start that got no answer is found out by a query, and no
 // later call can change it.
 func TestStartsWithoutAnAnswer(t *testing.T) {
 	for _, c := range []struct {
-		way  way
-		lag  time.Duration
-		fate state.Fate
+		way     way
+		lag     time.Duration
+		outcome state.Outcome
 	}{
 		{lost, 0, state.Unrun},
 		{unsaid, 0, state.OK},
@@ -56,11 +56,11 @@
 		is, r := is.New(t), ready(t, 2)
 		r.lag = func() time.Duration { return c.lag }
 		r.first(wire.Start, c.way)
-		r.give(leg("a", 1), short)
+		r.give(attempt("a", 1), short)
 		r.pass(6 * time.Second)
-		is.Equal(r.log[leg("a", 1)], c.fate)
-		is.Equal(r.began[leg("a", 1)] > 0, c.fate == state.OK)
-		is.Equal(r.noted[leg("a", 1)], c.fate == state.OK)
+		is.Equal(r.log[attempt("a", 1)], c.outcome)
+		is.Equal(r.began[attempt("a", 1)] > 0, c.outcome == state.OK)
+		is.Equal(r.noted[attempt("a", 1)], c.outcome == state.OK)
 	}
 }
 
@@ -70,7 +70,7 @@
 	is, r := is.New(t), ready(t, 3)
 	was := r.hand.Lease().Sums
 	r.first(wire.Start, lost)
-	r.give(leg("a", 1), short)
+	r.give(attempt("a", 1), short)
 	r.pass(650 * ms)
 	r.cut = true // what the agent tells is not heard, nor settled
 	r.pass(800 * ms)
@@ -81,13 +81,13 @@
 func TestFenceRisesOverRestarts(t *testing.T) {
 	is, r := is.New(t), paced(t, 4, ample)
 	r.first(wire.Start, late)
-	r.give(leg("a", 1), short)
+	r.give(attempt("a", 1), short)
 	r.pass(20 * ms)
 	r.agent()
 	r.pass(2500 * ms)
 	is.Equal(r.worker.Clock() > 0, true)
 	r.pass(6 * time.Second)
-	is.Equal(r.began[leg("a", 1)], 0)
+	is.Equal(r.began[attempt("a", 1)], 0)
 }
 
 // So it does where it first hears the very beat by which the one before it took
@@ -103,16 +103,16 @@
 	is.Equal(r.hand.View().State, dispatch.Healthy)
 	r.lag = func() time.Duration { return 100 * ms }
 	r.first(wire.Start, late)
-	r.give(leg("a", 1), long)
+	r.give(attempt("a", 1), long)
 	r.pass(10 * ms)
 	r.agent()
 	r.hand.Beat(r.now, b)
 	r.flow()
 	r.pass(20 * ms)
-	_, told := r.part(leg("a", 1))
-	is.Equal(told, state.Fate(""))    // it has asked its worker, and knows of nothing that runs
-	r.pass(500 * ms)                  // so what the agent before it sent
-	is.Equal(r.began[leg("a", 1)], 0) // is not started any more
+	_, told := r.part(attempt("a", 1))
+	is.Equal(told, state.Outcome(""))     // it has asked its worker, and knows of nothing that runs
+	r.pass(500 * ms)                      // so what the agent before it sent
+	is.Equal(r.began[attempt("a", 1)], 0) // is not started any more
 }
 
 // An answer that crossed a newer one tells nothing new: what began between the
@@ -121,18 +121,18 @@
 	is, r := is.New(t), ready(t, 6)
 	was := r.hand.Lease().Sums.Queries
 	r.first(wire.Start, unsaid) // so that there is a query beside the hold that waits
-	r.give(leg("a", 1), long)
+	r.give(attempt("a", 1), long)
 	r.slow = 200 * ms
 	r.pass(200 * ms)
-	r.give(leg("b", 1), long) // which is answered, so that the worker seems well
+	r.give(attempt("b", 1), long) // which is answered, so that the worker seems well
 	r.pass(100 * ms)
 	is.Equal(r.hand.Lease().Sums.Queries, was+1) // the query is under way
-	r.give(leg("c", 1), long)
+	r.give(attempt("c", 1), long)
 	r.pass(50 * ms)
 	r.slow = 0
 	r.pass(1500 * ms)
 	is.Equal(len(r.log), 0)
-	for _, l := range []types.Leg{leg("a", 1), leg("b", 1), leg("c", 1)} {
+	for _, l := range []types.Attempt{attempt("a", 1), attempt("b", 1), attempt("c", 1)} {
 		p, _ := r.part(l)
 		is.Equal(p, "running")
 	}
@@ -146,17 +146,17 @@
 	for _, cut := range []time.Duration{1300 * ms, 1400 * ms, 1500 * ms, 1600 * ms, 1700 * ms, 1800 * ms, 1900 * ms} {
 		for work := 1500; work < 2600; work += 50 {
 			r := ready(t, int64(work))
-			r.give(leg("a", 1), fmt.Sprintf(`{"ms":%d}`, work))
+			r.give(attempt("a", 1), fmt.Sprintf(`{"ms":%d}`, work))
 			r.cut = true // the grant runs down
 			r.pass(cut)
 			r.cut = false // and is renewed, in time or not
 			r.pass(4 * time.Second)
 			switch {
-			case r.noted[leg("a", 1)] && r.hows[leg("a", 1)] == wire.Done:
-				is.Equal(r.log[leg("a", 1)], state.OK)
+			case r.noted[attempt("a", 1)] && r.hows[attempt("a", 1)] == wire.Done:
+				is.Equal(r.log[attempt("a", 1)], state.OK)
 				good++
-			case r.hows[leg("a", 1)] == wire.Expired:
-				is.Equal(r.log[leg("a", 1)], state.Lapsed)
+			case r.hows[attempt("a", 1)] == wire.Expired:
+				is.Equal(r.log[attempt("a", 1)], state.Lapsed)
 				lapsed++
 			}
 		}
@@ -165,22 +165,22 @@
 	is.True(lapsed > 5)
 }
 
-// An agent says that a leg lapsed only once it has: with the slowest clock, late
+// An agent says that an attempt lapsed only once it has: with the slowest clock, late
 // calls and readings, and grants that come and go.
 func TestLapseIsNeverToldTooSoon(t *testing.T) {
 	is := is.New(t)
 	lapsed := 0
 	for seed := range int64(60) {
 		r := ready(t, 100+seed)
-		r.give(leg("a", 1), long)
+		r.give(attempt("a", 1), long)
 		r.pass(time.Duration(r.rnd.Intn(2000)) * ms)
 		r.how = func(wire.WorkerCall) way { return way(r.rnd.Intn(4)) }
 		r.cut = seed%2 == 0
 		r.pass(4 * time.Second)
 		r.cut, r.how = false, func(wire.WorkerCall) way { return fine }
 		r.pass(4 * time.Second)
-		if f, ok := r.log[leg("a", 1)]; ok {
-			is.Equal(f, state.Lapsed) // the rig itself tells a leg that runs on
+		if f, ok := r.log[attempt("a", 1)]; ok {
+			is.Equal(f, state.Lapsed) // the rig itself tells an attempt that runs on
 			lapsed++
 		}
 	}
@@ -191,7 +191,7 @@
 // have given a longer one.
 func TestARestartedAgentWaitsForItsPredecessorsLease(t *testing.T) {
 	is, r := is.New(t), ready(t, 8)
-	r.give(leg("a", 1), long)
+	r.give(attempt("a", 1), long)
 	r.pass(300 * ms)
 	r.agent()
 	r.grace = 600 * ms
@@ -200,15 +200,15 @@
 	r.pass(900 * ms)
 	is.True(r.hand.Lease().Until > 0)
 	r.how = func(wire.WorkerCall) way { return lost } // the worker can't be reached any more
-	r.pass(5 * time.Second)                           // the rig tells if the leg is given up while it runs
-	is.Equal(r.log[leg("a", 1)], state.Lapsed)
+	r.pass(5 * time.Second)                           // the rig tells if the attempt is given up while it runs
+	is.Equal(r.log[attempt("a", 1)], state.Lapsed)
 }
 
 // What a worker runs runs on when its agent starts anew, and the new agent is given
 // work at once: one process stands at an address.
 func TestWorkOutlivesARestartOfTheAgent(t *testing.T) {
 	is, r := is.New(t), ready(t, 14)
-	r.give(leg("a", 1), `{"ms":3500}`)
+	r.give(attempt("a", 1), `{"ms":3500}`)
 	r.pass(300 * ms)
 	for range 2 {
 		r.agent()
@@ -218,11 +218,11 @@
 		r.pass(900 * ms)
 		is.Equal(r.hand.View().State, dispatch.Healthy)
 	}
-	r.give(leg("b", 1), short)
+	r.give(attempt("b", 1), short)
 	r.pass(3 * time.Second)
-	is.Equal(r.log[leg("a", 1)], state.OK)
-	is.Equal(r.log[leg("b", 1)], state.OK)
-	is.True(r.noted[leg("a", 1)])
+	is.Equal(r.log[attempt("a", 1)], state.OK)
+	is.Equal(r.log[attempt("b", 1)], state.OK)
+	is.True(r.noted[attempt("a", 1)])
 }
 
 // A beat of an agent that is over, and that the leader never knew, comes late: the
@@ -235,7 +235,7 @@
 	r.hand.Beat(r.now, r.beat())
 	var late []wire.Send
 	r.tap = func(s wire.Send) {
-		if s.Note.Kind == wire.Beat {
+		if s.Message.Kind == wire.Beat {
 			late = append(late, s)
 		}
 	}
@@ -244,30 +244,30 @@
 	r.agent()
 	r.hand.Beat(r.now, r.beat())
 	r.pass(1500 * ms)
-	r.give(leg("a", 1), `{"ms":2000}`)
+	r.give(attempt("a", 1), `{"ms":2000}`)
 	r.pass(500 * ms)
 	is.True(len(late) > 0)
 	for _, s := range late {
-		r.head.Take(r.now, r.grace, s.Note)
+		r.head.Take(r.now, r.grace, s.Message)
 	}
 	r.pass(3 * time.Second)
-	is.Equal(r.log[leg("a", 1)], state.OK)
+	is.Equal(r.log[attempt("a", 1)], state.OK)
 }
 
 // Another life at the worker's address: what ran has gone with the one before.
 func TestAnotherLife(t *testing.T) {
 	is, r := is.New(t), ready(t, 9)
-	r.give(leg("a", 1), long)
+	r.give(attempt("a", 1), long)
 	r.pass(300 * ms)
 	r.die()
 	r.life()
 	r.pass(time.Second) // it has not even beaten yet, but it answers
-	is.Equal(r.log[leg("a", 1)], state.Gone)
+	is.Equal(r.log[attempt("a", 1)], state.Gone)
 	r.pass(3 * time.Second)
 	is.Equal(r.hand.View().Worker, types.ID("k2"))
-	r.give(leg("a", 2), short)
+	r.give(attempt("a", 2), short)
 	r.pass(time.Second)
-	is.Equal(r.log[leg("a", 2)], state.OK)
+	is.Equal(r.log[attempt("a", 2)], state.OK)
 }
 
 // A beat of a life that is over, and that this agent never knew, comes late: the
@@ -279,7 +279,7 @@
 	r.die()
 	r.life()
 	r.pass(4 * time.Second)
-	r.give(leg("a", 1), long)
+	r.give(attempt("a", 1), long)
 	r.pass(500 * ms)
 	was := r.hand.Lease().Sums
 	r.hand.Beat(r.now, old)
@@ -291,22 +291,22 @@
 	r.cut = false
 	r.pass(4 * time.Second)
 	is.Equal(r.hand.View().Worker, types.ID("k2"))
-	r.give(leg("b", 1), short)
+	r.give(attempt("b", 1), short)
 	r.pass(time.Second)
-	is.Equal(r.log[leg("b", 1)], state.OK)
+	is.Equal(r.log[attempt("b", 1)], state.OK)
 }
 
 // A worker that leaves takes along what it still ran; one that comes in its
 // place is taken up at once.
 func TestAWorkerLeaves(t *testing.T) {
 	is, r := is.New(t), ready(t, 11)
-	r.give(leg("a", 1), long)
+	r.give(attempt("a", 1), long)
 	r.pass(300 * ms)
 	r.hand.Leave(r.now, r.worker.ID)
 	r.die()
 	r.flow()
 	r.pass(200 * ms)
-	is.Equal(r.log[leg("a", 1)], state.Gone)
+	is.Equal(r.log[attempt("a", 1)], state.Gone)
 	r.life()
 	r.pass(2 * time.Second)
 	is.Equal(r.hand.View().Worker, types.ID("k2"))
@@ -316,17 +316,17 @@
 // and settled only when it has them.
 func TestUnsettledEndsOverANewLeader(t *testing.T) {
 	is, r := is.New(t), ready(t, 12)
-	r.give(leg("a", 1), short)
+	r.give(attempt("a", 1), short)
 	r.pass(250 * ms)
 	r.cut = true
 	r.pass(300 * ms)
-	is.Equal(r.hows[leg("a", 1)], wire.Done)
-	is.True(!r.noted[leg("a", 1)])
+	is.Equal(r.hows[attempt("a", 1)], wire.Done)
+	is.True(!r.noted[attempt("a", 1)])
 	r.lead()
 	r.cut = false
 	r.pass(1500 * ms)
-	is.Equal(r.log[leg("a", 1)], state.OK)
-	is.True(r.noted[leg("a", 1)])
+	is.Equal(r.log[attempt("a", 1)], state.OK)
+	is.True(r.noted[attempt("a", 1)])
 }
 
 // An agent that starts anew, twice within seconds, neither notes what the leader
@@ -334,31 +334,31 @@
 func TestAAgentRestartedTwice(t *testing.T) {
 	for seed := range int64(60) {
 		is, r := is.New(t), ready(t, 200+seed)
-		r.give(leg("a", 1), `{"ms":1800}`)
-		r.give(leg("b", 1), long)
+		r.give(attempt("a", 1), `{"ms":1800}`)
+		r.give(attempt("b", 1), long)
 		for range 2 {
 			r.pass(time.Duration(r.rnd.Intn(2600)) * ms)
 			r.agent()
 		}
 		r.pass(9 * time.Second)
-		is.True(r.log[leg("a", 1)] != "")
-		is.Equal(len(r.hand.View().Legs) <= 1, true) // all settled but what may run on
+		is.True(r.log[attempt("a", 1)] != "")
+		is.Equal(len(r.hand.View().Attempts) <= 1, true) // all settled but what may run on
 	}
 }
 
 // An agent that starts anew goes on settling ends where the one before it stopped.
 func TestARestartedAgentSettlesEnds(t *testing.T) {
 	is, r := is.New(t), ready(t, 13)
-	r.give(leg("a", 1), short)
+	r.give(attempt("a", 1), short)
 	r.pass(time.Second)
 	r.agent()
 	r.pass(6 * time.Second)
-	r.give(leg("b", 1), short)
+	r.give(attempt("b", 1), short)
 	r.pass(time.Second)
-	is.Equal(r.log[leg("b", 1)], state.OK)
-	is.True(r.noted[leg("b", 1)])
+	is.Equal(r.log[attempt("b", 1)], state.OK)
+	is.True(r.noted[attempt("b", 1)])
 	r.pass(500 * ms) // the hold that told the worker so has waited, and was answered
-	is.Equal(len(r.hand.View().Legs), 0)
+	is.Equal(len(r.hand.View().Attempts), 0)
 }
 
 // Once an end is settled one hold tells the worker so and waits for the next: a
@@ -367,9 +367,9 @@
 	is, r := is.New(t), ready(t, 3)
 	for i := range 10 {
 		was := r.hand.Lease().Sums.Holds
-		r.give(leg("a", i+1), `{"ms":200}`)
+		r.give(attempt("a", i+1), `{"ms":200}`)
 		r.pass(400 * ms)
-		is.Equal(r.log[leg("a", i+1)], state.OK)
+		is.Equal(r.log[attempt("a", i+1)], state.OK)
 		is.True(r.hand.Lease().Sums.Holds <= was+2) // the one that waits may run out besides
 	}
 }
@@ -380,9 +380,9 @@
 	is, r := is.New(t), ready(t, 16)
 	const n = 620
 	for i := range n {
-		l := types.Leg{Task: types.Task{Job: "a", N: i}, Leg: 1}
+		l := types.Attempt{Task: types.Task{Job: "a", N: i}, Attempt: 1}
 		r.out[l] = true
-		r.worker.Do(wire.WorkerCall{Kind: wire.Start, Life: r.worker.ID, Leg: l, Work: []byte(`{"ms":5}`), Until: r.worker.Clock() + 3000,
+		r.worker.Do(wire.WorkerCall{Kind: wire.Start, Life: r.worker.ID, Attempt: l, Work: []byte(`{"ms":5}`), Until: r.worker.Clock() + 3000,
 			Fence: r.hand.Lease().Fence}, func(wire.WorkerReply) {})
 	}
 	r.agent()
--- a/internal/dispatch/chaos_test.go
+++ b/internal/dispatch/chaos_test.go
@@ -1,6 +1,6 @@
 // Chaos on one worker that is called: agents and leaders come and go, worker
 // processes crash, calls are lost, unanswered or carried out late, beats are
-// repeated late. The rig tells when a leg runs, starts or is noted as done after
+// repeated late. The rig tells when an attempt runs, starts or is noted as done after
 // the log has it as ended otherwise; here also, that all comes to an end.
 package dispatch_test
 
@@ -69,7 +69,7 @@
 		case 12:
 			for l := range r.out {
 				if rnd.Intn(4) == 0 {
-					r.head.Halt([]types.Leg{l}, nil)
+					r.head.Halt([]types.Attempt{l}, nil)
 				}
 			}
 			r.flow()
@@ -85,21 +85,21 @@
 }
 
 func TestChaosOnOneWorker(t *testing.T) {
-	sum := map[state.Fate]int{}
+	sum := map[state.Outcome]int{}
 	for seed := *chaosAt; seed < *chaosAt+int64(*chaos); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			r := paced(t, seed, []dispatch.Pace{dispatch.Defaults, ample}[seed%2])
 			n := map[string]int{}
 			r.every(120*ms, func() {
 				job := fmt.Sprint("j", r.rnd.Intn(7))
-				if l := leg(job, n[job]); n[job] > 0 && (r.out[l] || r.log[l] == state.OK) {
+				if l := attempt(job, n[job]); n[job] > 0 && (r.out[l] || r.log[l] == state.OK) {
 					return
 				}
 				if n[job] >= 400 {
 					return
 				}
 				n[job]++
-				r.give(leg(job, n[job]), fmt.Sprintf(`{"ms":%d,"fails":0.1}`, r.rnd.Intn(2500)))
+				r.give(attempt(job, n[job]), fmt.Sprintf(`{"ms":%d,"fails":0.1}`, r.rnd.Intn(2500)))
 			})
 			r.storm(30 * time.Second)
 			r.pass(25 * time.Second)
@@ -111,7 +111,7 @@
 			for _, f := range r.log {
 				sum[f]++
 			}
-			if n := len(r.hand.View().Legs); n > 7 {
+			if n := len(r.hand.View().Attempts); n > 7 {
 				t.Error("the agent keeps", n, "legs")
 			}
 			if t.Failed() && *chaos == 1 {
--- a/internal/dispatch/hand.go
+++ b/internal/dispatch/hand.go
@@ -1,5 +1,5 @@
 // Hand is the half beside each worker. It holds the one true account of what
-// runs there: a leg is in it from its order until its end is settled.
+// runs there: an attempt is in it from its order until its end is settled.
 package dispatch
 
 import (
@@ -20,12 +20,12 @@
 	ended   part = "ended"
 )
 
-type leg struct {
+type attempt struct {
 	job     Job
 	part    part
 	until   types.Stamp
 	from    types.Stamp
-	fate    state.Fate
+	outcome state.Outcome
 	over    bool // past its time limit: however it is stopped, it failed
 	shown   bool
 	settled bool
@@ -55,32 +55,32 @@
 	mint  func() types.ID
 	past  types.ID
 
-	now    types.Stamp
-	boot   types.Stamp
-	term   types.Term
-	lead   types.Addr
-	state  Soundness
-	since  types.Stamp
-	good   types.Stamp
-	until  types.Stamp
-	seq    types.Seq
-	set    SetID
-	beat   types.Stamp
-	status types.Stamp
-	legs   map[types.Leg]*leg
-	order  []*leg // the same, in order
-	seen   map[types.Leg]types.Stamp
-	worker types.ID
-	told   bool
-	call   uint64
-	heard  types.Stamp
-	stamp  types.Stamp
-	given  types.Stamp
-	goes   types.Stamp // when the worker goes, if it said so
-	rep    Report
-	news   bool
-	caller *Caller // of a worker that is called
-	sends  []wire.Send
+	now      types.Stamp
+	boot     types.Stamp
+	term     types.Term
+	lead     types.Addr
+	state    Health
+	since    types.Stamp
+	good     types.Stamp
+	until    types.Stamp
+	seq      types.Seq
+	set      SetID
+	beat     types.Stamp
+	status   types.Stamp
+	attempts map[types.Attempt]*attempt
+	order    []*attempt // the same, in order
+	seen     map[types.Attempt]types.Stamp
+	worker   types.ID
+	told     bool
+	call     uint64
+	heard    types.Stamp
+	stamp    types.Stamp
+	given    types.Stamp
+	goes     types.Stamp // when the worker goes, if it said so
+	rep      Report
+	news     bool
+	caller   *Caller // of a worker that is called
+	sends    []wire.Send
 }
 
 const never = types.Stamp(-1 << 61)
@@ -89,52 +89,52 @@
 func NewHand(now types.Stamp, pace Pace, me types.Addr, shard types.Shard, mint func() types.ID) *Hand {
 	return &Hand{pace: pace, me: me, shard: shard, id: mint(), mint: mint, now: now, boot: now, state: New, since: now,
 		good: now, until: never, beat: never, status: never, heard: never, given: now,
-		legs: map[types.Leg]*leg{}, seen: map[types.Leg]types.Stamp{}}
+		attempts: map[types.Attempt]*attempt{}, seen: map[types.Attempt]types.Stamp{}}
 }
 
-// put takes a leg into the account, forget out of it.
-func (h *Hand) put(l *leg) {
-	if h.legs[l.job.Leg] == nil {
-		i, _ := slices.BinarySearchFunc(h.order, l, byLeg)
+// put takes an attempt into the account, forget out of it.
+func (h *Hand) put(l *attempt) {
+	if h.attempts[l.job.Attempt] == nil {
+		i, _ := slices.BinarySearchFunc(h.order, l, byAttempt)
 		h.order = slices.Insert(h.order, i, l)
 	}
-	h.legs[l.job.Leg] = l
+	h.attempts[l.job.Attempt] = l
 }
 
-func (h *Hand) forget(k types.Leg) {
-	if l := h.legs[k]; l != nil {
-		i, _ := slices.BinarySearchFunc(h.order, l, byLeg)
+func (h *Hand) forget(k types.Attempt) {
+	if l := h.attempts[k]; l != nil {
+		i, _ := slices.BinarySearchFunc(h.order, l, byAttempt)
 		h.order = slices.Delete(h.order, i, i+1)
-		delete(h.legs, k)
+		delete(h.attempts, k)
 	}
 }
 
-func byLeg(a, b *leg) int { return a.job.Leg.Compare(b.job.Leg) }
+func byAttempt(a, b *attempt) int { return a.job.Attempt.Compare(b.job.Attempt) }
 
-// sorted lists the legs in order; the list is a copy.
-func (h *Hand) sorted() []*leg { return slices.Clone(h.order) }
+// sorted lists the attempts in order; the list is a copy.
+func (h *Hand) sorted() []*attempt { return slices.Clone(h.order) }
 
 func (h *Hand) say(to types.Addr, kind string, body any) {
 	h.sends = append(h.sends, wire.Make(h.me, to, kind, body))
 }
 
-func (h *Hand) turn(s Soundness) {
+func (h *Hand) turn(s Health) {
 	if h.state != s {
 		h.state, h.since = s, h.now
 	}
 }
 
-// finish ends a leg in the account and has it told. Lost is not the last word:
-// the leg stays until the worker is heard again and says what became of it.
-func (h *Hand) finish(l *leg, f state.Fate) {
+// finish ends an attempt in the account and has it told. Lost is not the last word:
+// the attempt stays until the worker is heard again and says what became of it.
+func (h *Hand) finish(l *attempt, f state.Outcome) {
 	if l.over && f != state.OK {
 		f = state.Bad
 	}
-	l.part, l.fate, l.settled, l.unsure, h.status = ended, f, false, false, never
+	l.part, l.outcome, l.settled, l.unsure, h.status = ended, f, false, false, never
 }
 
-// halt has a leg stopped. One that the worker was never shown ends at once.
-func (h *Hand) halt(l *leg) {
+// halt has an attempt stopped. One that the worker was never shown ends at once.
+func (h *Hand) halt(l *attempt) {
 	switch {
 	case l.part == waiting && !l.shown:
 		h.finish(l, state.Unrun)
@@ -149,13 +149,13 @@
 		h.beat = never // it is told at once who is here
 	}
 	h.now, h.lead = now, lead
-	was := h.rep.Sound
+	was := h.rep.Healthy
 	if h.caller != nil {
-		h.rep.Sound = h.told && !h.quiet()
+		h.rep.Healthy = h.told && !h.quiet()
 	} else {
-		h.rep.Sound = h.told && now.Sub(h.heard) < h.pace.Ill*6/10
+		h.rep.Healthy = h.told && now.Sub(h.heard) < h.pace.Ill*6/10
 	}
-	if was != h.rep.Sound {
+	if was != h.rep.Healthy {
 		h.beat = never
 	}
 	quiet := now.Sub(h.good)
@@ -209,7 +209,7 @@
 
 // rise comes back as a new instance once nothing can be running any more.
 func (h *Hand) rise() {
-	for _, l := range h.legs {
+	for _, l := range h.attempts {
 		if l.part != ended {
 			return
 		}
@@ -239,7 +239,7 @@
 	var list []state.End
 	for _, l := range h.sorted() {
 		if l.part == ended && !l.settled && len(list) < 500 {
-			list = append(list, state.End{Leg: l.job.Leg, Fate: l.fate, Ref: l.ref})
+			list = append(list, state.End{Attempt: l.job.Attempt, Outcome: l.outcome, Ref: l.ref})
 		}
 	}
 	if list != nil {
@@ -264,27 +264,27 @@
 	Shard types.Shard `json:"shard"`
 	ID    types.ID    `json:"instance"`
 	Term  types.Term  `json:"term"`
-	State Soundness   `json:"state"`
+	State Health      `json:"state"`
 	ForMS int64       `json:"for_ms"`
 	Report
-	Grant  int64     `json:"grant_left_ms"`
-	Worker types.ID  `json:"worker"`
-	Lease  *Lease    `json:"lease,omitempty"`
-	Legs   []LegView `json:"legs"`
+	Grant    int64         `json:"grant_left_ms"`
+	Worker   types.ID      `json:"worker"`
+	Lease    *Lease        `json:"lease,omitempty"`
+	Attempts []AttemptView `json:"legs"`
 }
 
-type LegView struct {
-	Leg  types.Leg  `json:"leg"`
-	Part string     `json:"part"`
-	Fate state.Fate `json:"fate,omitempty"`
+type AttemptView struct {
+	Attempt types.Attempt `json:"leg"`
+	Part    string        `json:"part"`
+	Outcome state.Outcome `json:"fate,omitempty"`
 }
 
 func (h *Hand) View() View {
 	v := View{Shard: h.shard, ID: h.id, Term: h.term, State: h.state, ForMS: h.now.Sub(h.since).Milliseconds(),
-		Report: h.rep, Worker: h.worker, Lease: h.Lease(), Legs: []LegView{}}
+		Report: h.rep, Worker: h.worker, Lease: h.Lease(), Attempts: []AttemptView{}}
 	v.Grant = max(0, h.until.Sub(h.now).Milliseconds())
 	for _, l := range h.sorted() {
-		v.Legs = append(v.Legs, LegView{l.job.Leg, string(l.part), l.fate})
+		v.Attempts = append(v.Attempts, AttemptView{l.job.Attempt, string(l.part), l.outcome})
 	}
 	return v
 }
--- a/internal/dispatch/head.go
+++ b/internal/dispatch/head.go
@@ -1,5 +1,5 @@
 // Head is the scheduler's half. A new one is made with each leadership; what
-// runs it learns from the agents alone, and the log only tells it which legs it
+// runs it learns from the agents alone, and the log only tells it which attempts it
 // must hear of before it may give their tasks out again.
 package dispatch
 
@@ -27,7 +27,7 @@
 	Shard types.Shard
 	ID    types.ID
 	Addr  types.Addr
-	State Soundness
+	State Health
 	Since types.Stamp
 	Report
 	Goes  types.Stamp // when its worker goes, if it said so
@@ -38,7 +38,7 @@
 	seq   types.Seq
 	asked types.Stamp
 	query types.Stamp
-	quest map[types.Seq][]types.Leg
+	quest map[types.Seq][]types.Attempt
 	old   SetID
 	ver   int
 	ind   int
@@ -71,9 +71,9 @@
 	stages map[stage]*times
 	pruned types.Stamp
 	sends  []wire.Send
-	// Doubts lists the legs lost on a shard whose true ends are still awaited.
-	Doubts func(types.Shard) []types.Leg
-	// Apart tells whether a shard is silent together with its whole locality.
+	// Doubts lists the attempts lost on a shard whose true ends are still awaited.
+	Doubts func(types.Shard) []types.Attempt
+	// Apart tells whether a shard is silent together with its whole zone.
 	Apart func(types.Shard) bool
 	// Invoked tells whether a shard's worker is one that is called.
 	Invoked func(types.Shard) bool
@@ -81,7 +81,7 @@
 	Taken func(state.End) bool
 }
 
-// NewHead starts a leadership; outs are the legs that the log has as given out,
+// NewHead starts a leadership; outs are the attempts that the log has as given out,
 // and ruled is when an earlier leader can last have had authority.
 func NewHead(now, ruled types.Stamp, pace Pace, me types.Addr, term types.Term, outs []Hold) *Head {
 	h := &Head{pace: pace, me: me, term: term, born: now, ruled: min(now, ruled), now: now, Wait: true, seats: map[types.Shard]*Seat{},
@@ -134,7 +134,7 @@
 	}
 	s.Addr, s.stamp, s.Report = from, b.Stamp, b.Report
 	s.Goes = h.now.Add(time.Duration(b.LeaveMS)*time.Millisecond - h.pace.Beat)
-	if b.Sound {
+	if b.Healthy {
 		s.Good = h.now
 	}
 	if b.Set.Born == h.term && b.Set.Ver > s.ver && b.Set.Ver <= h.sets.ver {
@@ -142,12 +142,12 @@
 		h.sets.lift(s)
 	}
 	for _, x := range b.Spans {
-		if o := h.holds.by[x.Leg]; o != nil && o.Shard == b.Shard {
+		if o := h.holds.by[x.Attempt]; o != nil && o.Shard == b.Shard {
 			h.took(o, time.Duration(x.MS)*time.Millisecond, false)
 		}
 	}
 	for _, x := range b.Saves {
-		if o := h.holds.by[x.Leg]; o != nil {
+		if o := h.holds.by[x.Attempt]; o != nil {
 			o.Ref = x.Ref
 		}
 	}
@@ -155,7 +155,7 @@
 		h.ask(s)
 	}
 	h.judge(s)
-	h.answer(s, b.Sound)
+	h.answer(s, b.Healthy)
 }
 
 // follows tells that another agent instance at a seat's own address has come after
@@ -167,9 +167,9 @@
 
 // answer renews the agent's grant, but only for a beat that told of a sound
 // worker: the time to loss counts from the same beat.
-func (h *Head) answer(s *Seat, sound bool) {
+func (h *Head) answer(s *Seat, healthy bool) {
 	a := Beaten{Top: h.top(s), Stamp: s.stamp, Known: s.State != New, Set: h.set()}
-	if sound && s.State != New {
+	if healthy && s.State != New {
 		a.Until = s.stamp.Add(min(h.pace.Grant, h.grace))
 	}
 	h.say(s, wire.Beaten, a)
@@ -177,7 +177,7 @@
 
 func (h *Head) sit(from types.Addr, b Beat) *Seat {
 	s := &Seat{Shard: b.Shard, ID: b.ID, Addr: from, State: New, Since: h.now, Good: h.now, old: b.Set, Worth: Worth{Slow: 1},
-		asked: -1 << 62, stamp: -1 << 62, quest: map[types.Seq][]types.Leg{}}
+		asked: -1 << 62, stamp: -1 << 62, quest: map[types.Seq][]types.Attempt{}}
 	old := h.seats[b.Shard]
 	i, _ := slices.BinarySearchFunc(h.order, b.Shard, func(x *Seat, k types.Shard) int { return cmp.Compare(x.Shard, k) })
 	if old != nil {
@@ -190,7 +190,7 @@
 	return s
 }
 
-// dim makes a replaced agent's legs unknown until its successor's account.
+// dim makes a replaced agent's attempts unknown until its successor's account.
 func (h *Head) dim(s *Seat) {
 	for _, o := range h.holds.of(s.Shard) {
 		h.holds.turn(o, dim)
@@ -217,36 +217,36 @@
 	if s == nil || s.State != New {
 		return
 	}
-	told := map[types.Leg]bool{}
+	told := map[types.Attempt]bool{}
 	for _, r := range a.Runs {
-		told[r.Leg] = true
-		if o := h.holds.by[r.Leg]; o != nil && o.Shard == s.Shard {
+		told[r.Attempt] = true
+		if o := h.holds.by[r.Attempt]; o != nil && o.Shard == s.Shard {
 			h.holds.turn(o, sure)
 		} else if o == nil {
-			h.holds.add(&Hold{Leg: r.Leg, Shard: s.Shard, Stage: -1, Room: r.Room, Phase: sure, At: h.now})
+			h.holds.add(&Hold{Attempt: r.Attempt, Shard: s.Shard, Stage: -1, Room: r.Room, Phase: sure, At: h.now})
 		}
 	}
-	fate := state.Lost
+	outcome := state.Lost
 	if h.Invoked(s.Shard) {
-		fate = state.Lapsed
+		outcome = state.Lapsed
 	}
 	if a.Whole {
-		fate = state.Unrun
+		outcome = state.Unrun
 		h.clear(s.Shard, told)
 	}
 	for _, o := range h.holds.of(s.Shard) {
-		if !told[o.Leg] {
-			h.drop(o.Leg, fate)
+		if !told[o.Attempt] {
+			h.drop(o.Attempt, outcome)
 		}
 	}
 	s.State, s.Since = Unhealthy, h.now
 	h.judge(s)
-	h.answer(s, s.Sound)
+	h.answer(s, s.Healthy)
 }
 
-// clear ends the doubt about legs that were lost on a shard and are not in its
+// clear ends the doubt about attempts that were lost on a shard and are not in its
 // worker's own account: they did not end well and never will.
-func (h *Head) clear(shard types.Shard, told map[types.Leg]bool) {
+func (h *Head) clear(shard types.Shard, told map[types.Attempt]bool) {
 	for _, l := range h.Doubts(shard) {
 		if !told[l] {
 			h.drop(l, state.Unrun)
@@ -254,9 +254,9 @@
 	}
 }
 
-// gone is the fate of a leg whose worker is out of reach. One that is called
+// gone is the outcome of an attempt whose worker is out of reach. One that is called
 // has no lease any more by then, and what it did is not settled there.
-func (h *Head) gone(shard types.Shard) state.Fate {
+func (h *Head) gone(shard types.Shard) state.Outcome {
 	switch {
 	case h.Invoked(shard):
 		return state.Lapsed
@@ -266,23 +266,23 @@
 	return state.Lost
 }
 
-// drop says that a leg has ended; it is held until that is committed.
-func (h *Head) drop(l types.Leg, f state.Fate) {
-	e := state.End{Leg: l, Fate: f}
+// drop says that an attempt has ended; it is held until that is committed.
+func (h *Head) drop(l types.Attempt, f state.Outcome) {
+	e := state.End{Attempt: l, Outcome: f}
 	if o := h.holds.by[l]; o != nil {
 		e.Ref = o.Ref
 	}
 	h.ends = append(h.ends, e)
 }
 
-// Settle forgets legs whose end is committed and tells their agents.
+// Settle forgets attempts whose end is committed and tells their agents.
 func (h *Head) Settle(list []state.End) {
 	by := map[types.Shard][]state.End{}
 	for _, e := range list {
-		if o := h.holds.by[e.Leg]; o != nil {
-			h.mark(o, e.Fate)
+		if o := h.holds.by[e.Attempt]; o != nil {
+			h.mark(o, e.Outcome)
 			by[o.Shard] = append(by[o.Shard], e)
-			h.holds.drop(e.Leg)
+			h.holds.drop(e.Attempt)
 		}
 	}
 	for _, k := range sorted(by) {
@@ -292,26 +292,26 @@
 	}
 }
 
-// Order marks a leg running and sends it, once.
+// Order marks an attempt running and sends it, once.
 func (h *Head) Order(shard types.Shard, at types.Stage, usual string, j Job) {
-	o := &Hold{Leg: j.Leg, Shard: shard, Stage: at, Room: j.Room, Phase: sent, Usual: usual, Limit: time.Duration(j.Limit) * time.Millisecond, At: h.now}
+	o := &Hold{Attempt: j.Attempt, Shard: shard, Stage: at, Room: j.Room, Phase: sent, Usual: usual, Limit: time.Duration(j.Limit) * time.Millisecond, At: h.now}
 	h.holds.add(o)
 	s := h.seats[shard]
 	if s == nil || s.State != Healthy || s.Leaving || h.grace <= 0 {
-		h.drop(j.Leg, state.Unrun)
+		h.drop(j.Attempt, state.Unrun)
 		return
 	}
 	h.say(s, wire.Order, Order{h.top(s), s.seq, s.stamp.Add(min(h.pace.Grant, h.grace)), j})
 }
 
 func (h *Head) onOrdered(_ types.Addr, r Ordered) {
-	s, o := h.mine(r.Term, r.Shard, r.ID), h.holds.by[r.Leg]
+	s, o := h.mine(r.Term, r.Shard, r.ID), h.holds.by[r.Attempt]
 	if s == nil || o == nil || o.Shard != s.Shard || o.Phase == sure {
 		return
 	}
 	if r.Why != "" {
-		s.Sound = false // until the next beat says otherwise
-		h.drop(r.Leg, state.Unrun)
+		s.Healthy = false // until the next beat says otherwise
+		h.drop(r.Attempt, state.Unrun)
 		return
 	}
 	h.holds.turn(o, sure)
@@ -330,7 +330,7 @@
 	delete(s.quest, q.Seq)
 }
 
-// onStatus takes ends. Those already committed are settled at once; a leg's
+// onStatus takes ends. Those already committed are settled at once; an attempt's
 // number is used once, so an end counts whoever of the shard's agents tells it.
 // Of an agent not known yet only what its worker did is taken, for the agent may
 // not live until it is.
@@ -339,11 +339,11 @@
 	known := s != nil && (s.ID != u.ID || s.State != New)
 	var done []state.End
 	for _, e := range u.Ends {
-		if !known && !e.Fate.Fact() {
+		if !known && !e.Outcome.Fact() {
 			continue
 		}
 		if h.Taken(e) {
-			h.holds.drop(e.Leg)
+			h.holds.drop(e.Attempt)
 			done = append(done, e)
 		} else {
 			h.ends = append(h.ends, e)
--- a/internal/dispatch/heed.go
+++ b/internal/dispatch/heed.go
@@ -53,8 +53,8 @@
 	}
 	list := []Run{}
 	for _, l := range h.sorted() {
-		if !l.settled || l.fate == state.Lost {
-			list = append(list, Run{l.job.Leg, l.job.Room})
+		if !l.settled || l.outcome == state.Lost {
+			list = append(list, Run{l.job.Attempt, l.job.Room})
 		}
 	}
 	h.say(from, wire.Account, Account{h.term, h.shard, h.id, list, h.told})
@@ -64,28 +64,28 @@
 	if !h.heeds(from, o.Top) {
 		return
 	}
-	l := h.legs[o.Job.Leg]
-	_, seen := h.seen[o.Job.Leg]
+	l := h.attempts[o.Job.Attempt]
+	_, seen := h.seen[o.Job.Attempt]
 	if l != nil || seen {
 		return
 	}
-	h.seen[o.Job.Leg] = max(o.Until, h.now).Add(h.pace.Loss)
+	h.seen[o.Job.Attempt] = max(o.Until, h.now).Add(h.pace.Loss)
 	why := h.refuse(o)
 	if why == "" {
-		h.put(&leg{job: o.Job, part: waiting, until: min(o.Until, h.until)})
+		h.put(&attempt{job: o.Job, part: waiting, until: min(o.Until, h.until)})
 		h.news = true
 	}
-	h.say(from, wire.Ordered, Ordered{h.term, h.shard, h.id, o.Job.Leg, why})
+	h.say(from, wire.Ordered, Ordered{h.term, h.shard, h.id, o.Job.Attempt, why})
 }
 
 // refuse gives the reason why an order may not be taken, or nothing.
 func (h *Hand) refuse(o Order) string {
 	free := h.rep.Room.Minus(h.lacks())
 	twin := false
-	for _, l := range h.legs {
+	for _, l := range h.attempts {
 		if l.part != ended {
 			free = free.Minus(l.job.Room)
-			twin = twin || l.job.Leg.Task == o.Job.Leg.Task
+			twin = twin || l.job.Attempt.Task == o.Job.Attempt.Task
 		}
 	}
 	for _, c := range []struct {
@@ -95,7 +95,7 @@
 		{o.Seq < h.seq, "sent before the latest query"},
 		{h.now >= o.Until || h.now >= h.until, "grant has lapsed"},
 		{h.state != Healthy, "agent is " + string(h.state)},
-		{!h.rep.Sound, "worker is silent"},
+		{!h.rep.Healthy, "worker is silent"},
 		{h.rep.Leaving, "worker is leaving"},
 		{!slices.Contains(h.rep.Kinds, o.Job.Kind), "worker has not this kind"},
 		{o.Job.Rack != "" && o.Job.Rack != h.rep.Rack, "worker is in another rack"},
@@ -110,7 +110,7 @@
 	return ""
 }
 
-// onQuery answers which of the legs asked about do not run here; from now on
+// onQuery answers which of the attempts asked about do not run here; from now on
 // orders sent before it are refused.
 func (h *Hand) onQuery(from types.Addr, q Query) {
 	if !h.heeds(from, q.Top) || q.Seq <= h.seq {
@@ -118,10 +118,10 @@
 	}
 	h.seq = q.Seq
 	var idle []state.End
-	for _, l := range q.Legs {
-		if h.legs[l] == nil {
-			h.put(&leg{job: Job{Leg: l}, part: ended, fate: state.Unrun})
-			idle = append(idle, state.End{Leg: l, Fate: state.Unrun})
+	for _, l := range q.Attempts {
+		if h.attempts[l] == nil {
+			h.put(&attempt{job: Job{Attempt: l}, part: ended, outcome: state.Unrun})
+			idle = append(idle, state.End{Attempt: l, Outcome: state.Unrun})
 		}
 	}
 	if idle != nil {
@@ -135,15 +135,15 @@
 		return
 	}
 	for _, e := range s.Ends {
-		l := h.legs[e.Leg]
-		if l == nil || l.part != ended || l.fate == state.OK && e.Fate != state.OK {
+		l := h.attempts[e.Attempt]
+		if l == nil || l.part != ended || l.outcome == state.OK && e.Outcome != state.OK {
 			continue
 		}
 		l.settled, h.news = true, true
 		if h.caller != nil {
 			h.settle(l)
 		} else if h.worker == "" {
-			h.forget(e.Leg)
+			h.forget(e.Attempt)
 		}
 	}
 }
@@ -152,12 +152,12 @@
 	if !h.heeds(from, s.Top) {
 		return
 	}
-	for _, k := range s.Legs {
-		if l := h.legs[k]; l != nil {
+	for _, k := range s.Attempts {
+		if l := h.attempts[k]; l != nil {
 			l.over = l.over || l.part != ended && slices.Contains(s.Late, k)
 			h.halt(l)
 		} else {
-			h.put(&leg{job: Job{Leg: k}, part: ended, fate: state.Unrun})
+			h.put(&attempt{job: Job{Attempt: k}, part: ended, outcome: state.Unrun})
 			h.seen[k], h.status = h.now.Add(2*h.pace.Loss), never
 		}
 	}
@@ -169,7 +169,7 @@
 	}
 }
 
-var hands = map[string]func(*Hand, wire.Note){
+var hands = map[string]func(*Hand, wire.Message){
 	wire.Beaten:  wire.On((*Hand).onBeaten),
 	wire.AskRun:  wire.On((*Hand).onAsk),
 	wire.Order:   wire.On((*Hand).onOrder),
@@ -180,7 +180,7 @@
 }
 
 // Take handles a scheduler's note.
-func (h *Hand) Take(now types.Stamp, n wire.Note) {
+func (h *Hand) Take(now types.Stamp, n wire.Message) {
 	h.now = now
 	if f := hands[n.Kind]; f != nil {
 		f(h, n)
--- a/internal/dispatch/hold.go
+++ b/internal/dispatch/hold.go
@@ -1,5 +1,5 @@
-// The legs that possibly run, kept by shard and by what is open about them, so
-// that an event costs what it touches. Lists are in the legs' own order, and
+// The attempts that possibly run, kept by shard and by what is open about them, so
+// that an event costs what it touches. Lists are in the attempts' own order, and
 // shards in order of their names.
 package dispatch
 
@@ -11,19 +11,19 @@
 	"coppercourse/internal/types"
 )
 
-// Hold is a leg that possibly runs.
+// Hold is an attempt that possibly runs.
 type Hold struct {
-	Leg   types.Leg
-	Shard types.Shard
-	Stage types.Stage // or -1, where the log does not have it
-	Room  types.Room
-	Phase phase
-	Usual string // what its time is compared with
-	Limit time.Duration
-	At    types.Stamp
-	Ref   string      // what it has saved
-	Late  types.Stamp // by when it will have ended, where it is far behind its like
-	halt  types.Stamp
+	Attempt types.Attempt
+	Shard   types.Shard
+	Stage   types.Stage // or -1, where the log does not have it
+	Room    types.Room
+	Phase   phase
+	Usual   string // what its time is compared with
+	Limit   time.Duration
+	At      types.Stamp
+	Ref     string      // what it has saved
+	Late    types.Stamp // by when it will have ended, where it is far behind its like
+	halt    types.Stamp
 }
 
 // load is what possibly runs on one shard.
@@ -36,22 +36,22 @@
 
 // holds is all of them.
 type holds struct {
-	by    map[types.Leg]*Hold
+	by    map[types.Attempt]*Hold
 	on    map[types.Shard]*load
 	dim   int
-	open  map[types.Shard]bool // those with unsure legs
-	sent  []*Hold              // in order of time; some are not any more
-	alien map[types.Leg]*Hold  // told by an agent, and not given out as far as the log says
+	open  map[types.Shard]bool    // those with unsure attempts
+	sent  []*Hold                 // in order of time; some are not any more
+	alien map[types.Attempt]*Hold // told by an agent, and not given out as far as the log says
 }
 
 func newHolds() holds {
-	return holds{by: map[types.Leg]*Hold{}, on: map[types.Shard]*load{}, open: map[types.Shard]bool{}, alien: map[types.Leg]*Hold{}}
+	return holds{by: map[types.Attempt]*Hold{}, on: map[types.Shard]*load{}, open: map[types.Shard]bool{}, alien: map[types.Attempt]*Hold{}}
 }
 
-func least(a, b *Hold) int { return a.Leg.Compare(b.Leg) }
+func least(a, b *Hold) int { return a.Attempt.Compare(b.Attempt) }
 
 func (h *holds) add(o *Hold) {
-	h.drop(o.Leg)
+	h.drop(o.Attempt)
 	x := h.on[o.Shard]
 	if x == nil {
 		x = &load{}
@@ -60,14 +60,14 @@
 	i, _ := slices.BinarySearchFunc(x.list, o, least)
 	x.list = slices.Insert(x.list, i, o)
 	x.used = x.used.Plus(o.Room)
-	h.by[o.Leg] = o
+	h.by[o.Attempt] = o
 	if o.Stage < 0 {
-		h.alien[o.Leg] = o
+		h.alien[o.Attempt] = o
 	}
 	h.count(o, 1)
 }
 
-func (h *holds) drop(l types.Leg) {
+func (h *holds) drop(l types.Attempt) {
 	o := h.by[l]
 	if o == nil {
 		return
@@ -112,8 +112,8 @@
 // overdue takes from the sent ones those that are no longer, and gives the ones
 // that have been since before a time.
 func (h *holds) overdue(by types.Stamp) (list []*Hold) {
-	for len(h.sent) > 0 && (h.sent[0].Phase != sent || h.by[h.sent[0].Leg] != h.sent[0] || h.sent[0].At < by) {
-		if o := h.sent[0]; o.Phase == sent && h.by[o.Leg] == o {
+	for len(h.sent) > 0 && (h.sent[0].Phase != sent || h.by[h.sent[0].Attempt] != h.sent[0] || h.sent[0].At < by) {
+		if o := h.sent[0]; o.Phase == sent && h.by[o.Attempt] == o {
 			list = append(list, o)
 		}
 		h.sent = h.sent[1:]
@@ -136,7 +136,7 @@
 	return
 }
 
-// dims lists the legs not told of yet on shards that no agent has come for.
+// dims lists the attempts not told of yet on shards that no agent has come for.
 func (h *holds) dims(came map[types.Shard]*Seat) (list []*Hold) {
 	if h.dim == 0 {
 		return nil
@@ -153,7 +153,7 @@
 	return
 }
 
-// all lists every leg, by shard.
+// all lists every attempt, by shard.
 func (h *holds) all() []*Hold {
 	list := make([]*Hold, 0, len(h.by))
 	for _, s := range sorted(h.on) {
--- a/internal/dispatch/lacks_test.go
+++ b/internal/dispatch/lacks_test.go
@@ -40,19 +40,19 @@
 func TestAWorkerWithoutRoomIsBelieved(t *testing.T) {
 	is, r := is.New(t), boasts(t)
 	for i := range 3 {
-		r.give(leg(fmt.Sprint("j", i), 1), long)
+		r.give(attempt(fmt.Sprint("j", i), 1), long)
 	}
 	r.pass(100 * ms) // less than to the next beat
 	s := r.head.Seat("s")
-	is.Equal(r.log[leg("j2", 1)], state.Unrun)
+	is.Equal(r.log[attempt("j2", 1)], state.Unrun)
 	is.Equal(s.Lacks, cores(6))
 	is.Equal(s.Room, cores(8)) // it is not another worker
 	is.Equal(r.head.Free(s), types.Room{})
 
 	starts := r.hand.Lease().Sums.Starts
-	r.give(leg("j3", 1), long)
+	r.give(attempt("j3", 1), long)
 	r.pass(100 * ms)
-	is.Equal(r.log[leg("j3", 1)], state.Unrun)
+	is.Equal(r.log[attempt("j3", 1)], state.Unrun)
 	is.Equal(r.hand.Lease().Sums.Starts, starts) // the worker need not be asked
 
 	is.True(about(r.believed()+200*ms, time.Second))
@@ -63,16 +63,16 @@
 // to a bound; after as long a time without, it begins anew.
 func TestAWorkerWithoutRoomAgainIsBelievedForLonger(t *testing.T) {
 	is, r := is.New(t), boasts(t)
-	r.give(leg("j0", 1), `{"ms":600000}`)
-	r.give(leg("j1", 1), `{"ms":600000}`)
+	r.give(attempt("j0", 1), `{"ms":600000}`)
+	r.give(attempt("j1", 1), `{"ms":600000}`)
 	r.pass(100 * ms)
 	for i, want := range []int{1, 2, 4, 8, 16, 16} {
-		r.give(leg("j2", 1+i), long)
+		r.give(attempt("j2", 1+i), long)
 		r.pass(60 * ms)
 		is.True(about(r.believed(), time.Duration(want)*time.Second))
 	}
 	r.pass(17 * time.Second)
-	r.give(leg("j2", 9), long)
+	r.give(attempt("j2", 9), long)
 	r.pass(60 * ms)
 	is.True(about(r.believed(), time.Second))
 }
@@ -80,28 +80,28 @@
 // What ends there makes room, and what is started into that tells nothing new.
 func TestAWorkerWithoutRoomIsGivenWorkAsOthersEnd(t *testing.T) {
 	is, r := is.New(t), boasts(t)
-	r.give(leg("j0", 1), `{"ms":400}`)
-	r.give(leg("j1", 1), long)
-	r.give(leg("j2", 1), long)
+	r.give(attempt("j0", 1), `{"ms":400}`)
+	r.give(attempt("j1", 1), long)
+	r.give(attempt("j2", 1), long)
 	r.pass(600 * ms)
 	s := r.head.Seat("s")
-	is.Equal(r.log[leg("j0", 1)], state.OK)
+	is.Equal(r.log[attempt("j0", 1)], state.OK)
 	is.Equal(r.head.Free(s), cores(1))
-	r.give(leg("j3", 1), `{"ms":100}`)
+	r.give(attempt("j3", 1), `{"ms":100}`)
 	r.pass(250 * ms)
-	is.Equal(r.log[leg("j3", 1)], state.OK)
+	is.Equal(r.log[attempt("j3", 1)], state.OK)
 	is.Equal(s.Lacks, cores(6))
 }
 
 // A start that was under way meanwhile and is taken shows that there was some room.
 func TestAWorkerWithoutRoomForALargeTaskMayHaveSome(t *testing.T) {
 	is, r := is.New(t), boasts(t)
-	r.give(leg("j0", 1), long)
+	r.give(attempt("j0", 1), long)
 	r.pass(100 * ms)
-	r.give(leg("large", 1), long)
-	r.give(leg("j1", 1), long)
+	r.give(attempt("large", 1), long)
+	r.give(attempt("j1", 1), long)
 	r.pass(400 * ms)
-	is.Equal(r.log[leg("large", 1)], state.Unrun)
+	is.Equal(r.log[attempt("large", 1)], state.Unrun)
 	is.Equal(r.head.Seat("s").Lacks, cores(6))
 	is.Equal(r.head.Free(r.head.Seat("s")), types.Room{})
 }
@@ -110,7 +110,7 @@
 func TestAnotherLifeIsGivenItsRoom(t *testing.T) {
 	is, r := is.New(t), boasts(t)
 	for i := range 3 {
-		r.give(leg(fmt.Sprint("j", i), 1), long)
+		r.give(attempt(fmt.Sprint("j", i), 1), long)
 	}
 	r.pass(100 * ms)
 	is.Equal(r.head.Seat("s").Lacks, cores(6))
--- a/internal/dispatch/line.go
+++ b/internal/dispatch/line.go
@@ -32,7 +32,7 @@
 		case (l.part == halting || l.ghost) && (l.asked == 0 || h.now.Sub(l.asked) >= h.pace.Again):
 			l.asked = h.now
 			c.Sums.Stops++
-			h.send(wire.WorkerCall{Kind: wire.Halt, Leg: l.job.Leg})
+			h.send(wire.WorkerCall{Kind: wire.Halt, Attempt: l.job.Attempt})
 		}
 		unsure = unsure || l.unsure
 	}
@@ -54,7 +54,7 @@
 }
 
 // start sends an order on to the worker, once, or lets it go past its time.
-func (h *Hand) start(l *leg) {
+func (h *Hand) start(l *attempt) {
 	end := h.lease()
 	switch {
 	case h.now >= l.until:
@@ -64,7 +64,7 @@
 		l.shown = true
 		l.fence = h.caller.fence
 		h.caller.Sums.Starts++
-		h.send(wire.WorkerCall{Kind: wire.Start, Leg: l.job.Leg, Work: l.job.Work, Ref: l.job.Ref})
+		h.send(wire.WorkerCall{Kind: wire.Start, Attempt: l.job.Attempt, Work: l.job.Work, Ref: l.job.Ref})
 	}
 }
 
@@ -134,7 +134,7 @@
 
 // started takes the reply to a start.
 func (h *Hand) started(f *flight, r wire.WorkerReply) {
-	l := h.legs[f.Leg]
+	l := h.attempts[f.Attempt]
 	if l == nil || l.part == ended {
 		return
 	}
@@ -161,7 +161,7 @@
 }
 
 func (h *Hand) halted(f *flight, r wire.WorkerReply) {
-	if l := h.legs[f.Leg]; l != nil && r.Result == wire.Taken {
+	if l := h.attempts[f.Attempt]; l != nil && r.Result == wire.Taken {
 		l.turned = max(l.turned, h.now)
 	}
 }
@@ -177,12 +177,12 @@
 		c.next = h.now.Add(retries)
 		return
 	}
-	runs := map[types.Leg]bool{}
+	runs := map[types.Attempt]bool{}
 	if len(r.Ends) > 0 { // those before it were settled, maybe by an earlier agent
 		c.seen = max(c.seen, r.Ends[0].N-1)
 	}
 	for _, e := range r.Ends {
-		runs[e.Leg] = true
+		runs[e.Attempt] = true
 		if e.N > c.seen && c.ends[e.N] == nil {
 			h.list(e)
 		}
@@ -190,7 +190,7 @@
 	if r.Clock >= c.read {
 		c.read = r.Clock
 		for _, x := range r.Runs {
-			runs[x.Leg] = true
+			runs[x.Attempt] = true
 			h.runs(x)
 		}
 		if len(r.Ends) < lists {
@@ -204,18 +204,18 @@
 	}
 }
 
-var hows = map[wire.How]state.Fate{wire.Done: state.OK, wire.Failed: state.Bad, wire.Stopped: state.Halted,
+var hows = map[wire.How]state.Outcome{wire.Done: state.OK, wire.Failed: state.Bad, wire.Stopped: state.Halted,
 	wire.Expired: state.Lapsed, wire.Broken: state.Halted, wire.Lonely: state.Halted}
 
 // list takes an end that the worker tells for the first time. It counts even if
-// the lease may have ended since, unless the log has the leg as lapsed by then:
+// the lease may have ended since, unless the log has the attempt as lapsed by then:
 // then its task may be elsewhere.
 func (h *Hand) list(e wire.WorkerEnd) {
 	c := h.caller
-	c.ends[e.N] = &ending{leg: e.Leg}
-	l := h.legs[e.Leg]
+	c.ends[e.N] = &ending{attempt: e.Attempt}
+	l := h.attempts[e.Attempt]
 	if l == nil {
-		l = &leg{job: Job{Leg: e.Leg}, part: going}
+		l = &attempt{job: Job{Attempt: e.Attempt}, part: going}
 		h.put(l)
 	}
 	l.ghost, l.unsure, l.n = false, false, e.N
@@ -236,9 +236,9 @@
 // runs takes an attempt that the worker tells to be running. One that has ended
 // here, or that nobody sent since the worker told all, is stopped.
 func (h *Hand) runs(x wire.WorkerRun) {
-	l := h.legs[x.Leg]
+	l := h.attempts[x.Attempt]
 	if l == nil {
-		l = &leg{job: Job{Leg: x.Leg}, part: going, from: h.now}
+		l = &attempt{job: Job{Attempt: x.Attempt}, part: going, from: h.now}
 		if h.told {
 			l.part = halting
 		}
@@ -260,9 +260,9 @@
 // miss judges what a reply does not list: it can't be running, if the reply was
 // asked for after it was known to run, after it was turned away, or by a query
 // that raised the fence above it.
-func (h *Hand) miss(f *flight, listed map[types.Leg]bool) {
+func (h *Hand) miss(f *flight, listed map[types.Attempt]bool) {
 	for _, l := range h.sorted() {
-		if listed[l.job.Leg] || l.part == ended || !l.shown && l.part == waiting {
+		if listed[l.job.Attempt] || l.part == ended || !l.shown && l.part == waiting {
 			continue
 		}
 		switch {
@@ -280,16 +280,16 @@
 	for n, e := range c.ends {
 		if n <= seen {
 			delete(c.ends, n)
-			if l := h.legs[e.leg]; l != nil && l.settled {
-				h.forget(e.leg)
+			if l := h.attempts[e.attempt]; l != nil && l.settled {
+				h.forget(e.attempt)
 			}
 		}
 	}
 }
 
-// settle takes it that the log has a leg's end; ends are settled at the worker
+// settle takes it that the log has an attempt's end; ends are settled at the worker
 // in their order.
-func (h *Hand) settle(l *leg) {
+func (h *Hand) settle(l *attempt) {
 	c := h.caller
 	if e := c.ends[l.n]; l.n > 0 && e != nil {
 		e.settled = true
@@ -301,7 +301,7 @@
 		}
 		return
 	}
-	h.forget(l.job.Leg)
+	h.forget(l.job.Attempt)
 }
 
 // high is the highest end that the worker has told.
@@ -317,7 +317,7 @@
 func (h *Hand) saves() (list []Save) {
 	for _, l := range h.sorted() {
 		if l.part != ended && l.ref != "" && h.now.Sub(l.saved) < 4*h.pace.Beat {
-			list = append(list, Save{l.job.Leg, l.ref})
+			list = append(list, Save{l.job.Attempt, l.ref})
 		}
 	}
 	return
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -28,12 +28,12 @@
 
 // Span is how long an attempt takes in all, as far as can be told.
 type Span struct {
-	Leg types.Leg `json:"leg"`
-	MS  int64     `json:"ms"`
+	Attempt types.Attempt `json:"leg"`
+	MS      int64         `json:"ms"`
 }
 
 // span is how long an attempt will take in all, or 0 if that can't be told.
-func (l *leg) span(now types.Stamp) time.Duration {
+func (l *attempt) span(now types.Stamp) time.Duration {
 	ran := l.read.Sub(l.from)
 	switch {
 	case l.part != going || l.read == 0 || ran < brief:
@@ -56,7 +56,7 @@
 			continue
 		}
 		l.spoke = d
-		list = append(list, Span{l.job.Leg, d.Milliseconds()})
+		list = append(list, Span{l.job.Attempt, d.Milliseconds()})
 	}
 	return
 }
@@ -74,9 +74,9 @@
 }
 
 type sample struct {
-	leg   types.Leg
-	shard types.Shard
-	took  time.Duration
+	attempt types.Attempt
+	shard   types.Shard
+	took    time.Duration
 }
 
 // elsewhere is the median of what the stage takes on other workers.
@@ -104,16 +104,16 @@
 	if o.Stage < 0 || d <= 0 {
 		return
 	}
-	k := stage{o.Leg.Job, o.Stage}
+	k := stage{o.Attempt.Job, o.Stage}
 	t := h.stages[k]
 	if t == nil {
 		t = &times{}
 		h.stages[k] = t
 	}
 	t.at = h.now
-	i := slices.IndexFunc(t.list, func(x sample) bool { return x.leg == o.Leg })
+	i := slices.IndexFunc(t.list, func(x sample) bool { return x.attempt == o.Attempt })
 	if i < 0 {
-		t.list, i = append(t.list, sample{leg: o.Leg, shard: o.Shard}), len(t.list)
+		t.list, i = append(t.list, sample{attempt: o.Attempt, shard: o.Shard}), len(t.list)
 	}
 	t.list[i].took = d
 	usual, ok := t.elsewhere(o.Shard)
--- a/internal/dispatch/poll.go
+++ b/internal/dispatch/poll.go
@@ -1,7 +1,7 @@
 // What an agent and its worker say. The worker calls, again and again; the agent
 // answers at once when there is news and otherwise after a short hold. Calls
 // are numbered: an answer counts only for the worker's latest call, and a call
-// older than the agent's latest is let fall. So a leg that was in an answer and
+// older than the agent's latest is let fall. So an attempt that was in an answer and
 // is not in the next call was not started and never will be.
 package dispatch
 
@@ -31,21 +31,21 @@
 	Ends   []Finish     `json:"ended"`
 }
 
-// Finish is an ended leg that the worker keeps until it is settled.
+// Finish is an ended attempt that the worker keeps until it is settled.
 type Finish struct {
 	Run
-	Fate state.Fate `json:"fate"`
+	Outcome state.Outcome `json:"fate"`
 }
 
 // Answer is what the agent answers. Until is on the worker's own clock: past it
 // the worker stops everything by itself.
 type Answer struct {
-	Agent   types.ID    `json:"agent"`
-	Call    uint64      `json:"call"`
-	Until   types.Stamp `json:"until"`
-	Start   []Job       `json:"start"`
-	Stop    []types.Leg `json:"stop"`
-	Settled []types.Leg `json:"settled"`
+	Agent   types.ID        `json:"agent"`
+	Call    uint64          `json:"call"`
+	Until   types.Stamp     `json:"until"`
+	Start   []Job           `json:"start"`
+	Stop    []types.Attempt `json:"stop"`
+	Settled []types.Attempt `json:"settled"`
 }
 
 // Check tells what is wrong with a call; nothing of a bad one is taken.
@@ -59,21 +59,21 @@
 	for i, k := range p.Kinds {
 		h.Check(config.Name(string(k)) == "", fmt.Sprintf("kinds[%d]", i), "not a name")
 	}
-	leg := func(at string, r Run) {
-		h.Check(config.Name(string(r.Leg.Job)) == "" && r.Leg.N >= 0 && r.Leg.Leg >= 1, at+".leg", "no such leg can be")
+	attempt := func(at string, r Run) {
+		h.Check(config.Name(string(r.Attempt.Job)) == "" && r.Attempt.N >= 0 && r.Attempt.Attempt >= 1, at+".leg", "no such leg can be")
 		h.Check(r.Room.Holds(types.Room{}), at+".room", "want no negative numbers")
 	}
 	for i, r := range p.Runs {
-		leg(fmt.Sprintf("running[%d]", i), r)
+		attempt(fmt.Sprintf("running[%d]", i), r)
 	}
 	for i, e := range p.Ends {
 		at := fmt.Sprintf("ended[%d]", i)
-		leg(at, e.Run)
-		h.Check(slices.Contains(fates, e.Fate), at+".fate", "want ok, failed, stopped or refused")
+		attempt(at, e.Run)
+		h.Check(slices.Contains(outcomes, e.Outcome), at+".fate", "want ok, failed, stopped or refused")
 	}
 }
 
-var fates = []state.Fate{state.OK, state.Bad, state.Halted, state.Unrun}
+var outcomes = []state.Outcome{state.OK, state.Bad, state.Halted, state.Unrun}
 
 // Poll takes a worker's call; false means that it is not to be answered.
 func (h *Hand) Poll(now types.Stamp, p Poll) bool {
@@ -87,17 +87,17 @@
 		return false
 	}
 	h.call, h.heard, h.stamp, h.told = p.Call, now, p.Stamp, true
-	if p.Leave != h.rep.Leaving || !h.rep.Sound {
+	if p.Leave != h.rep.Leaving || !h.rep.Healthy {
 		h.beat = never
 	}
-	h.rep = Report{Rack: p.Rack, Kinds: p.Kinds, Room: p.Room, Leaving: p.Leave, LeaveMS: p.GoMS, Sound: true}
+	h.rep = Report{Rack: p.Rack, Kinds: p.Kinds, Room: p.Room, Leaving: p.Leave, LeaveMS: p.GoMS, Healthy: true}
 	h.goes = now.Add(time.Duration(p.GoMS) * time.Millisecond)
-	runs := map[types.Leg]bool{}
+	runs := map[types.Attempt]bool{}
 	for _, r := range p.Runs {
-		runs[r.Leg] = true
-		l := h.legs[r.Leg]
+		runs[r.Attempt] = true
+		l := h.attempts[r.Attempt]
 		if l == nil {
-			l = &leg{job: Job{Leg: r.Leg, Room: r.Room}, part: going, from: now}
+			l = &attempt{job: Job{Attempt: r.Attempt, Room: r.Room}, part: going, from: now}
 			h.put(l)
 		}
 		if l.part == waiting {
@@ -106,18 +106,18 @@
 		l.ghost = l.part == ended
 	}
 	for _, e := range p.Ends {
-		l := h.legs[e.Leg]
+		l := h.attempts[e.Attempt]
 		if l == nil {
-			l = &leg{job: Job{Leg: e.Leg, Room: e.Room}, part: going}
+			l = &attempt{job: Job{Attempt: e.Attempt, Room: e.Room}, part: going}
 			h.put(l)
 		}
-		if l.part != ended || l.fate == state.Lost || e.Fate == state.OK && l.fate != state.OK {
-			h.finish(l, e.Fate)
+		if l.part != ended || l.outcome == state.Lost || e.Outcome == state.OK && l.outcome != state.OK {
+			h.finish(l, e.Outcome)
 		}
-		l.ghost, runs[e.Leg] = false, true
+		l.ghost, runs[e.Attempt] = false, true
 	}
 	for _, l := range h.sorted() {
-		if runs[l.job.Leg] {
+		if runs[l.job.Attempt] {
 			continue
 		}
 		switch {
@@ -127,24 +127,24 @@
 			h.finish(l, state.Unrun)
 		case l.part == waiting && now >= l.until:
 			h.finish(l, state.Unrun)
-		case l.part == ended && l.fate == state.Lost:
+		case l.part == ended && l.outcome == state.Lost:
 			h.finish(l, state.Gone)
 		case l.part == ended && l.settled:
-			h.forget(l.job.Leg)
+			h.forget(l.job.Attempt)
 		}
 	}
 	return true
 }
 
-// fresh takes another worker process in place of the last, all of whose legs
+// fresh takes another worker process in place of the last, all of whose attempts
 // have ended with it.
 func (h *Hand) fresh(p Poll) {
 	for _, l := range h.sorted() {
-		if l.part != ended || l.fate == state.Lost {
+		if l.part != ended || l.outcome == state.Lost {
 			h.finish(l, state.Gone)
 		}
 		if l.settled {
-			h.forget(l.job.Leg)
+			h.forget(l.job.Attempt)
 		}
 	}
 	if h.worker == "" {
@@ -170,9 +170,9 @@
 			a.Start = append(a.Start, l.job)
 			l.shown = true
 		case l.part == halting, l.ghost:
-			a.Stop = append(a.Stop, l.job.Leg)
+			a.Stop = append(a.Stop, l.job.Attempt)
 		case l.part == ended && l.settled:
-			a.Settled = append(a.Settled, l.job.Leg)
+			a.Settled = append(a.Settled, l.job.Attempt)
 		}
 	}
 	return a
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -1,6 +1,6 @@
 // A rig for the agent's side towards a called worker: a leader's half, an agent's half
 // and the stand-in worker with a shared time, a log that keeps the first end of each
-// leg, and calls that a test carries, loses, or has carried out late, one by one.
+// attempt, and calls that a test carries, loses, or has carried out late, one by one.
 package dispatch_test
 
 import (
@@ -67,12 +67,12 @@
 	plan   []due
 	no     int
 
-	out    map[types.Leg]bool       // given out, not ended in the log
-	log    map[types.Leg]state.Fate // the first end of each
-	runs   map[types.Leg]bool       // on the worker now
-	began  map[types.Leg]int
-	hows   map[types.Leg]wire.How
-	noted  map[types.Leg]bool
+	out    map[types.Attempt]bool          // given out, not ended in the log
+	log    map[types.Attempt]state.Outcome // the first end of each
+	runs   map[types.Attempt]bool          // on the worker now
+	began  map[types.Attempt]int
+	hows   map[types.Attempt]wire.How
+	noted  map[types.Attempt]bool
 	flight map[state.End]bool
 	shows  []state.End // what the agent has told, in order
 }
@@ -82,8 +82,8 @@
 		floor: sim.NewFloor(sim.Manner{Lease: 6 * time.Second, Stop: 400 * ms, Gang: 3 * time.Second, Save: 2 * time.Second, Restore: 600 * ms, Far: 1.5}),
 		made:  sim.Make{Shard: "s", Rack: "r", Kinds: []types.Kind{"x"}, Room: types.Room{Cores: 8 * types.Core}, Guards: true},
 		how:   func(wire.WorkerCall) way { return fine }, lag: func() time.Duration { return 3 * time.Second },
-		out: map[types.Leg]bool{}, log: map[types.Leg]state.Fate{}, runs: map[types.Leg]bool{}, began: map[types.Leg]int{},
-		hows: map[types.Leg]wire.How{}, noted: map[types.Leg]bool{}, flight: map[state.End]bool{}}
+		out: map[types.Attempt]bool{}, log: map[types.Attempt]state.Outcome{}, runs: map[types.Attempt]bool{}, began: map[types.Attempt]int{},
+		hows: map[types.Attempt]wire.How{}, noted: map[types.Attempt]bool{}, flight: map[state.End]bool{}}
 	r.lead()
 	r.agent()
 	r.life()
@@ -134,14 +134,14 @@
 	r.term++
 	var outs []dispatch.Hold
 	for l := range r.out {
-		outs = append(outs, dispatch.Hold{Leg: l, Shard: "s", Room: types.Room{Cores: types.Core}})
+		outs = append(outs, dispatch.Hold{Attempt: l, Shard: "s", Room: types.Room{Cores: types.Core}})
 	}
-	sort.Slice(outs, func(i, k int) bool { return outs[i].Leg.Least(outs[k].Leg) })
+	sort.Slice(outs, func(i, k int) bool { return outs[i].Attempt.Least(outs[k].Attempt) })
 	h := dispatch.NewHead(r.now, r.now, r.pace, "h", r.term, outs)
-	h.Taken = func(e state.End) bool { _, ok := r.log[e.Leg]; return ok || !r.out[e.Leg] }
+	h.Taken = func(e state.End) bool { _, ok := r.log[e.Attempt]; return ok || !r.out[e.Attempt] }
 	h.Apart = func(types.Shard) bool { return false }
 	h.Invoked = func(types.Shard) bool { return true }
-	h.Doubts = func(types.Shard) []types.Leg { return nil }
+	h.Doubts = func(types.Shard) []types.Attempt { return nil }
 	r.head = h
 	clear(r.flight)
 }
@@ -165,18 +165,18 @@
 		}
 		switch h.What {
 		case sim.Started:
-			r.runs[h.Leg] = true
-			r.began[h.Leg]++
-			if f, ok := r.log[h.Leg]; ok {
-				r.t.Errorf("%v starts, although the log has it as %s", h.Leg, f)
+			r.runs[h.Attempt] = true
+			r.began[h.Attempt]++
+			if f, ok := r.log[h.Attempt]; ok {
+				r.t.Errorf("%v starts, although the log has it as %s", h.Attempt, f)
 			}
 		case sim.Ended:
-			delete(r.runs, h.Leg)
-			r.hows[h.Leg] = h.How
+			delete(r.runs, h.Attempt)
+			r.hows[h.Attempt] = h.How
 		case sim.Noted:
-			r.noted[h.Leg] = true
-			if f := r.log[h.Leg]; h.How == wire.Done && f != state.OK {
-				r.t.Errorf("%v is noted as done, and the log has it as %q", h.Leg, f)
+			r.noted[h.Attempt] = true
+			if f := r.log[h.Attempt]; h.How == wire.Done && f != state.OK {
+				r.t.Errorf("%v is noted as done, and the log has it as %q", h.Attempt, f)
 			}
 		}
 	})
@@ -201,19 +201,19 @@
 		from := r.hand.Out()
 		more = len(sends)+len(from) > 0
 		for _, s := range from {
-			if u, ok := wire.Read[dispatch.Status](s.Note); ok && s.Note.Kind == wire.Status {
+			if u, ok := wire.Read[dispatch.Status](s.Message); ok && s.Message.Kind == wire.Status {
 				r.shows = append(r.shows, u.Ends...)
 			}
 			if r.tap != nil {
 				r.tap(s)
 			}
 			if !r.cut {
-				r.head.Take(r.now, r.grace, s.Note)
+				r.head.Take(r.now, r.grace, s.Message)
 			}
 		}
 		for _, s := range sends {
 			if !r.cut {
-				r.hand.Take(r.now, s.Note)
+				r.hand.Take(r.now, s.Message)
 			}
 		}
 		for _, c := range r.hand.Calls() {
@@ -262,7 +262,7 @@
 	}
 }
 
-// propose puts ends into the log a little later; the first one of a leg stands.
+// propose puts ends into the log a little later; the first one of an attempt stands.
 func (r *rig) propose(list []state.End) {
 	for _, e := range list {
 		if r.flight[e] {
@@ -275,7 +275,7 @@
 				return
 			}
 			delete(r.flight, e)
-			if _, ok := r.log[e.Leg]; !ok && r.out[e.Leg] {
+			if _, ok := r.log[e.Attempt]; !ok && r.out[e.Attempt] {
 				r.commit(e)
 			}
 			r.head.Settle([]state.End{e})
@@ -285,26 +285,26 @@
 }
 
 func (r *rig) commit(e state.End) {
-	r.log[e.Leg] = e.Fate
-	delete(r.out, e.Leg)
+	r.log[e.Attempt] = e.Outcome
+	delete(r.out, e.Attempt)
 	switch {
-	case e.Fate == state.OK:
-	case r.runs[e.Leg]:
-		r.t.Errorf("the log has %v as %s while it runs", e.Leg, e.Fate)
-	case r.noted[e.Leg] && r.hows[e.Leg] == wire.Done:
-		r.t.Errorf("the log has %v as %s after its good end was noted", e.Leg, e.Fate)
+	case e.Outcome == state.OK:
+	case r.runs[e.Attempt]:
+		r.t.Errorf("the log has %v as %s while it runs", e.Attempt, e.Outcome)
+	case r.noted[e.Attempt] && r.hows[e.Attempt] == wire.Done:
+		r.t.Errorf("the log has %v as %s after its good end was noted", e.Attempt, e.Outcome)
 	}
 }
 
-// give has the leader give a leg out.
-func (r *rig) give(l types.Leg, work string) {
+// give has the leader give an attempt out.
+func (r *rig) give(l types.Attempt, work string) {
 	r.out[l] = true
-	r.head.Order("s", 0, "", dispatch.Job{Leg: l, Kind: "x", Room: types.Room{Cores: types.Core}, Work: []byte(work)})
+	r.head.Order("s", 0, "", dispatch.Job{Attempt: l, Kind: "x", Room: types.Room{Cores: types.Core}, Work: []byte(work)})
 	r.flow()
 }
 
-func leg(job string, n int) types.Leg {
-	return types.Leg{Task: types.Task{Job: types.JobID(job)}, Leg: n}
+func attempt(job string, n int) types.Attempt {
+	return types.Attempt{Task: types.Task{Job: types.JobID(job)}, Attempt: n}
 }
 
 // ready is a rig in which all have found each other healthy.
@@ -319,11 +319,11 @@
 	return r
 }
 
-// part is how the agent has a leg: its part, and its fate.
-func (r *rig) part(l types.Leg) (string, state.Fate) {
-	for _, v := range r.hand.View().Legs {
-		if v.Leg == l {
-			return v.Part, v.Fate
+// part is how the agent has an attempt: its part, and its outcome.
+func (r *rig) part(l types.Attempt) (string, state.Outcome) {
+	for _, v := range r.hand.View().Attempts {
+		if v.Attempt == l {
+			return v.Part, v.Outcome
 		}
 	}
 	return "", ""
--- a/internal/dispatch/say.go
+++ b/internal/dispatch/say.go
@@ -14,13 +14,13 @@
 )
 
 // Soundness is the paper's worker state.
-type Soundness string
+type Health string
 
 const (
-	New       Soundness = "NEW"
-	Unhealthy Soundness = "UNHEALTHY"
-	Healthy   Soundness = "HEALTHY"
-	MustDie   Soundness = "MUST_DIE"
+	New       Health = "NEW"
+	Unhealthy Health = "UNHEALTHY"
+	Healthy   Health = "HEALTHY"
+	MustDie   Health = "MUST_DIE"
 )
 
 // Pace holds the timings of both halves.
@@ -45,7 +45,7 @@
 	Lacks   types.Room   `json:"lacks,omitzero"` // how much less its agent believes it to have
 	Leaving bool         `json:"leaving"`
 	LeaveMS int64        `json:"leave_in_ms,omitempty"` // how long until it goes; 0 is not told
-	Sound   bool         `json:"sound"`
+	Healthy bool         `json:"sound"`
 	Labels  []string     `json:"labels,omitempty"`
 	Invoked bool         `json:"invoked,omitempty"` // it is called, rather than calling its agent
 }
@@ -72,8 +72,8 @@
 
 // Save is what a running attempt has saved, for the next to go on from.
 type Save struct {
-	Leg types.Leg `json:"leg"`
-	Ref string    `json:"ref"`
+	Attempt types.Attempt `json:"leg"`
+	Ref     string        `json:"ref"`
 }
 
 // Top is the part that every message of the scheduler begins with.
@@ -94,13 +94,13 @@
 // Ask is getRunningTasks.
 type Ask struct{ Top }
 
-// Run is one leg as an account tells it.
+// Run is one attempt as an account tells it.
 type Run struct {
-	Leg  types.Leg  `json:"leg"`
-	Room types.Room `json:"room"`
+	Attempt types.Attempt `json:"leg"`
+	Room    types.Room    `json:"room"`
 }
 
-// Account answers Ask. Whole means that the worker itself has told its legs.
+// Account answers Ask. Whole means that the worker itself has told its attempts.
 type Account struct {
 	Term  types.Term  `json:"term"`
 	Shard types.Shard `json:"shard"`
@@ -109,16 +109,16 @@
 	Whole bool        `json:"whole"`
 }
 
-// Job is what a leg is to do.
+// Job is what an attempt is to do.
 type Job struct {
-	Leg   types.Leg       `json:"leg"`
-	Kind  types.Kind      `json:"kind"`
-	Rack  types.Rack      `json:"rack,omitempty"`
-	Room  types.Room      `json:"room"`
-	Limit int             `json:"limit_ms"`
-	Label []string        `json:"labels,omitempty"`
-	Ref   string          `json:"ref,omitempty"`
-	Work  json.RawMessage `json:"work,omitempty"`
+	Attempt types.Attempt   `json:"leg"`
+	Kind    types.Kind      `json:"kind"`
+	Rack    types.Rack      `json:"rack,omitempty"`
+	Room    types.Room      `json:"room"`
+	Limit   int             `json:"limit_ms"`
+	Label   []string        `json:"labels,omitempty"`
+	Ref     string          `json:"ref,omitempty"`
+	Work    json.RawMessage `json:"work,omitempty"`
 }
 
 // Order is runTask.
@@ -131,18 +131,18 @@
 
 // Ordered answers an order.
 type Ordered struct {
-	Term  types.Term  `json:"term"`
-	Shard types.Shard `json:"shard"`
-	ID    types.ID    `json:"id"`
-	Leg   types.Leg   `json:"leg"`
-	Why   string      `json:"why,omitempty"`
+	Term    types.Term    `json:"term"`
+	Shard   types.Shard   `json:"shard"`
+	ID      types.ID      `json:"id"`
+	Attempt types.Attempt `json:"leg"`
+	Why     string        `json:"why,omitempty"`
 }
 
 // Query is notifyIfTasksNotRunning.
 type Query struct {
 	Top
-	Seq  types.Seq   `json:"seq"`
-	Legs []types.Leg `json:"legs"`
+	Seq      types.Seq       `json:"seq"`
+	Attempts []types.Attempt `json:"legs"`
 }
 
 type Queried struct {
@@ -168,9 +168,9 @@
 // Stop is killTask.
 type Stop struct {
 	Top
-	Legs []types.Leg `json:"legs"`
-	Late []types.Leg `json:"late,omitempty"` // of these, those past the time their queue allows: they have failed
+	Attempts []types.Attempt `json:"legs"`
+	Late     []types.Attempt `json:"late,omitempty"` // of these, those past the time their queue allows: they have failed
 }
 
-// Quit is requestSuicide: the agent stops all legs and comes back as another.
+// Quit is requestSuicide: the agent stops all attempts and comes back as another.
 type Quit struct{ Top }
--- a/internal/dispatch/set.go
+++ b/internal/dispatch/set.go
@@ -129,7 +129,7 @@
 	return SetID{Born: h.term, Ver: h.sets.ver, Hash: h.sets.hash, Size: h.sets.size}
 }
 
-// Worth is how a worker's legs have ended of late and how long they took
+// Worth is how a worker's attempts have ended of late and how long they took
 // beside what is usual for the same step of a queue.
 type Worth struct {
 	Bad  float64
@@ -138,7 +138,7 @@
 
 const fade = 0.1
 
-func (h *Head) mark(o *Hold, f state.Fate) {
+func (h *Head) mark(o *Hold, f state.Outcome) {
 	s := h.seats[o.Shard]
 	if s == nil || f == state.Unrun || f == state.Halted || f == state.Cut {
 		return
@@ -165,7 +165,7 @@
 	n.took += fade * (min(took, 4*n.took) - n.took)
 }
 
-// usual is how long legs of one step of a queue take.
+// usual is how long attempts of one step of a queue take.
 type usual struct {
 	took  float64
 	count int
--- a/internal/dispatch/set_test.go
+++ b/internal/dispatch/set_test.go
@@ -1,4 +1,4 @@
-// The history of differences and the indexes of legs, against the slow ways:
+// The history of differences and the indexes of attempts, against the slow ways:
 // sets kept whole and worked out afresh, and lists walked and sorted.
 package dispatch
 
@@ -125,13 +125,13 @@
 	rnd := rand.New(rand.NewSource(5))
 	h := newHolds()
 	now := types.Stamp(time.Hour)
-	plain := map[types.Leg]*Hold{}
+	plain := map[types.Attempt]*Hold{}
 	for range 4000 {
 		now = now.Add(time.Millisecond)
-		l := types.Leg{Task: types.Task{Job: types.JobID(fmt.Sprint("j", rnd.Intn(6))), N: rnd.Intn(4)}, Leg: 1 + rnd.Intn(2)}
+		l := types.Attempt{Task: types.Task{Job: types.JobID(fmt.Sprint("j", rnd.Intn(6))), N: rnd.Intn(4)}, Attempt: 1 + rnd.Intn(2)}
 		switch o := plain[l]; {
 		case o == nil || rnd.Intn(9) == 0:
-			o = &Hold{Leg: l, Shard: types.Shard(fmt.Sprint("s", rnd.Intn(4))), Stage: types.Stage(rnd.Intn(3) - 1), Room: types.Room{Cores: types.Cores(1 + rnd.Intn(3))},
+			o = &Hold{Attempt: l, Shard: types.Shard(fmt.Sprint("s", rnd.Intn(4))), Stage: types.Stage(rnd.Intn(3) - 1), Room: types.Room{Cores: types.Cores(1 + rnd.Intn(3))},
 				Phase: []phase{dim, sent, sure}[rnd.Intn(3)], At: now}
 			h.add(o)
 			plain[l] = o
@@ -161,7 +161,7 @@
 				open[o.Shard] = true
 			}
 			is.True(o.Phase != sent || now.Sub(o.At) <= 20*time.Millisecond) // none is missed
-			is.Equal(h.by[o.Leg], o)
+			is.Equal(h.by[o.Attempt], o)
 		}
 		is.Equal(len(h.all()), n)
 		is.Equal(h.dim, dims)
--- a/internal/dispatch/truth_test.go
+++ b/internal/dispatch/truth_test.go
@@ -37,7 +37,7 @@
 	b.head.Taken = func(state.End) bool { return false }
 	b.head.Apart = func(types.Shard) bool { return false }
 	b.head.Invoked = func(types.Shard) bool { return false }
-	b.head.Doubts = func(types.Shard) []types.Leg { return nil }
+	b.head.Doubts = func(types.Shard) []types.Attempt { return nil }
 }
 
 func (b *bench) agent(addr types.Addr, shard types.Shard) *Hand {
@@ -49,7 +49,7 @@
 	return h
 }
 
-func (b *bench) poll(h *Hand, call uint64, runs ...types.Leg) Answer {
+func (b *bench) poll(h *Hand, call uint64, runs ...types.Attempt) Answer {
 	p := Poll{Worker: "k", Call: call, Stamp: b.now, Rack: "r", Kinds: []types.Kind{"x"}, Room: types.Room{Cores: 4 * types.Core}}
 	for _, l := range runs {
 		p.Runs = append(p.Runs, Run{l, types.Room{Cores: 1 * types.Core}})
@@ -85,9 +85,9 @@
 
 func (b *bench) give(s wire.Send) {
 	if s.To == "h" {
-		b.head.Take(b.now, time.Second, s.Note)
+		b.head.Take(b.now, time.Second, s.Message)
 	} else if h := b.hands[s.To]; h != nil {
-		h.Take(b.now, s.Note)
+		h.Take(b.now, s.Message)
 	}
 }
 
@@ -96,10 +96,10 @@
 	for end := b.now.Add(d); b.now < end; {
 		b.now = b.now.Add(50 * ms)
 		for _, h := range b.hands {
-			var runs []types.Leg
+			var runs []types.Attempt
 			for _, l := range h.sorted() {
 				if l.part != ended {
-					runs = append(runs, l.job.Leg)
+					runs = append(runs, l.job.Attempt)
 				}
 			}
 			b.poll(h, h.call+1, runs...)
@@ -118,15 +118,17 @@
 	return is.New(t), b, w
 }
 
-func try(job string, n int) types.Leg {
-	return types.Leg{Task: types.Task{Job: types.JobID(job)}, Leg: n}
+func try(job string, n int) types.Attempt {
+	return types.Attempt{Task: types.Task{Job: types.JobID(job)}, Attempt: n}
 }
 
-func order(b *bench, shard types.Shard, l types.Leg) {
-	b.head.Order(shard, 0, "", Job{Leg: l, Kind: "x", Room: types.Room{Cores: 1 * types.Core}})
+func order(b *bench, shard types.Shard, l types.Attempt) {
+	b.head.Order(shard, 0, "", Job{Attempt: l, Kind: "x", Room: types.Room{Cores: 1 * types.Core}})
 }
 
-func kind(k string) func(wire.Send) bool { return func(s wire.Send) bool { return s.Note.Kind == k } }
+func kind(k string) func(wire.Send) bool {
+	return func(s wire.Send) bool { return s.Message.Kind == k }
+}
 
 func TestDelayedOrderAfterQuery(t *testing.T) {
 	is, b, w := calm(t)
@@ -135,55 +137,55 @@
 	late := b.flow(kind(wire.Order))
 	is.Equal(len(late), 1)
 	b.pass(400*ms, nil) // unanswered, so unsure, so asked about
-	is.True(w.legs[try("j", 1)].part == ended)
-	is.Equal(b.ends[len(b.ends)-1], state.End{Leg: try("j", 1), Fate: state.Unrun})
+	is.True(w.attempts[try("j", 1)].part == ended)
+	is.Equal(b.ends[len(b.ends)-1], state.End{Attempt: try("j", 1), Outcome: state.Unrun})
 	b.give(late[0])
-	is.True(w.legs[try("j", 1)].part == ended) // it stays what the agent said
-	// An order for a leg that was not asked about, sent before the query, is refused by its number.
-	o, _ := wire.Read[Order](late[0].Note)
-	o.Job.Leg, o.Until = try("k", 1), b.now.Add(time.Second)
-	w.Take(b.now, wire.Make("h", "w", wire.Order, o).Note)
-	is.Equal(w.legs[try("k", 1)], nil)
+	is.True(w.attempts[try("j", 1)].part == ended) // it stays what the agent said
+	// An order for an attempt that was not asked about, sent before the query, is refused by its number.
+	o, _ := wire.Read[Order](late[0].Message)
+	o.Job.Attempt, o.Until = try("k", 1), b.now.Add(time.Second)
+	w.Take(b.now, wire.Make("h", "w", wire.Order, o).Message)
+	is.Equal(w.attempts[try("k", 1)], nil)
 }
 
 func TestRedundantNotRunningIsLetPass(t *testing.T) {
 	is, b, w := calm(t)
 	order(b, "s", try("j", 1))
 	b.flow(nil)
-	w.finish(w.legs[try("j", 1)], state.OK)
-	b.head.Settle([]state.End{{Leg: try("j", 1), Fate: state.OK}})
+	w.finish(w.attempts[try("j", 1)], state.OK)
+	b.head.Settle([]state.End{{Attempt: try("j", 1), Outcome: state.OK}})
 	b.head.Taken = func(state.End) bool { return true }
 	b.flow(nil)
 	b.poll(w, w.call+1)
 	b.poll(w, w.call+1) // the worker has let go of it, so the agent has too
-	is.Equal(len(w.legs), 0)
+	is.Equal(len(w.attempts), 0)
 	s := b.head.seats["s"]
 	s.seq++
-	b.give(wire.Make("h", "w", wire.Query, Query{b.head.top(s), s.seq, []types.Leg{try("j", 1)}}))
-	is.Equal(w.legs[try("j", 1)].fate, state.Unrun)
+	b.give(wire.Make("h", "w", wire.Query, Query{b.head.top(s), s.seq, []types.Attempt{try("j", 1)}}))
+	is.Equal(w.attempts[try("j", 1)].outcome, state.Unrun)
 	b.ends = nil
 	b.pass(time.Second, nil)
-	is.Equal(len(b.ends), 0) // the redundant report changes nothing
-	is.Equal(len(w.legs), 0) // and is settled
+	is.Equal(len(b.ends), 0)     // the redundant report changes nothing
+	is.Equal(len(w.attempts), 0) // and is settled
 }
 
 // To a new leader an agent's own conclusions wait for its account; what its
 // worker did counts at once, since the agent may not live to tell it again.
 func TestEndReportWhileNew(t *testing.T) {
-	for fate, at := range map[state.Fate]bool{state.OK: true, state.Bad: true, state.Lost: false, state.Unrun: false} {
+	for outcome, at := range map[state.Outcome]bool{state.OK: true, state.Bad: true, state.Lost: false, state.Unrun: false} {
 		is, b, w := calm(t)
 		order(b, "s", try("j", 1))
 		b.flow(nil)
-		b.lead(2, Hold{Leg: try("j", 1), Shard: "s", Room: types.Room{Cores: 1 * types.Core}})
+		b.lead(2, Hold{Attempt: try("j", 1), Shard: "s", Room: types.Room{Cores: 1 * types.Core}})
 		b.ends = nil
-		w.finish(w.legs[try("j", 1)], fate)
+		w.finish(w.attempts[try("j", 1)], outcome)
 		b.pass(600*ms, kind(wire.AskRun)) // the new leader's question does not arrive
 		is.Equal(b.head.seats["s"].State, New)
 		is.Equal(len(b.ends) > 0, at)
 		b.pass(600*ms, nil)
 		is.True(len(b.ends) > 0)
 		if at {
-			is.Equal(b.ends[0], state.End{Leg: try("j", 1), Fate: fate})
+			is.Equal(b.ends[0], state.End{Attempt: try("j", 1), Outcome: outcome})
 		}
 	}
 }
@@ -196,7 +198,7 @@
 	b.agent("w1", "s1")
 	b.pass(4*time.Second, nil)
 	is.Equal(b.head.seats["s1"].State, Healthy)
-	mute := func(s wire.Send) bool { return s.Note.From == "w1" || s.To == "w1" }
+	mute := func(s wire.Send) bool { return s.Message.From == "w1" || s.To == "w1" }
 	b.pass(1200*ms, mute)
 	is.Equal(b.head.seats["s1"].State, Unhealthy)
 	b.agent("w2", "s2")
@@ -208,9 +210,9 @@
 	is.Equal(b.head.seats["s2"].State, Healthy) // w1 is lost, its set binds nobody
 }
 
-// A leg in the log on a worker that has not come holds the wait up even where
+// An attempt in the log on a worker that has not come holds the wait up even where
 // all worker sets agree.
-func TestWaitHoldsForLegsNotHeardOf(t *testing.T) {
+func TestWaitHoldsForAttemptsNotHeardOf(t *testing.T) {
 	is := is.New(t)
 	b := newBench()
 	b.agent("w1", "s1")
@@ -218,13 +220,13 @@
 	b.lead(2)
 	b.pass(700*ms, nil)
 	is.Equal(b.head.Wait, false) // the one agent agrees with itself
-	b.lead(3, Hold{Leg: try("j", 1), Shard: "s2", Room: types.Room{Cores: 1 * types.Core}})
+	b.lead(3, Hold{Attempt: try("j", 1), Shard: "s2", Room: types.Room{Cores: 1 * types.Core}})
 	b.pass(700*ms, nil)
 	is.Equal(b.head.Wait, true)
 	b.ends = nil
 	b.pass(2500*ms, nil)
 	is.Equal(b.head.Wait, false)
-	is.Equal(b.ends[0], state.End{Leg: try("j", 1), Fate: state.Lost})
+	is.Equal(b.ends[0], state.End{Attempt: try("j", 1), Outcome: state.Lost})
 }
 
 func TestReplacedWorkerComesBack(t *testing.T) {
@@ -257,7 +259,7 @@
 	b.head = old
 	order(b, "s", try("j", 1))
 	b.flow(nil)
-	is.Equal(len(w.legs), 0)
+	is.Equal(len(w.attempts), 0)
 	is.Equal(w.lead, types.Addr("h"))
 }
 
@@ -265,10 +267,10 @@
 	is, b, w := calm(t)
 	order(b, "s", try("j", 1))
 	b.flow(nil)
-	w.finish(w.legs[try("j", 1)], state.OK)
-	b.head.Settle([]state.End{{Leg: try("j", 1), Fate: state.Lost}})
+	w.finish(w.attempts[try("j", 1)], state.OK)
+	b.head.Settle([]state.End{{Attempt: try("j", 1), Outcome: state.Lost}})
 	b.flow(nil)
-	is.Equal(w.legs[try("j", 1)].settled, false)
+	is.Equal(w.attempts[try("j", 1)].settled, false)
 }
 
 // A grant counts from the agent's own stamp: however late the answer comes, the
@@ -291,24 +293,24 @@
 	order(b, "s", try("j", 1))
 	b.flow(nil)
 	until, given := w.until, w.given
-	mute := func(s wire.Send) bool { return s.Note.From == "w" || s.To == "w" }
+	mute := func(s wire.Send) bool { return s.Message.From == "w" || s.To == "w" }
 	b.ends = nil
 	for len(b.ends) == 0 {
 		b.now = b.now.Add(50 * ms)
 		b.head.Tick(b.now, time.Second)
 		b.flow(mute)
 	}
-	is.Equal(b.ends[0].Fate, state.Lost)
+	is.Equal(b.ends[0].Outcome, state.Lost)
 	is.True(b.now > until)
 	is.True(b.now > given.Add(Defaults.Worker))
 }
 
-// A leg that its agent counts lost is in doubt until the worker is heard again:
+// An attempt that its agent counts lost is in doubt until the worker is heard again:
 // then it went well, or is known to be gone, and both are told.
 func TestLostIsNotTheLastWord(t *testing.T) {
 	for _, end := range []struct {
 		told []Finish
-		want state.Fate
+		want state.Outcome
 	}{{nil, state.Gone}, {[]Finish{{Run{try("j", 1), types.Room{}}, state.OK}}, state.OK}} {
 		is, b, w := calm(t)
 		order(b, "s", try("j", 1))
@@ -316,16 +318,16 @@
 		b.poll(w, w.call+1, try("j", 1))
 		b.now = b.now.Add(Defaults.Worker + Slack + 10*ms)
 		w.Tick(b.now, "h")
-		is.Equal(w.legs[try("j", 1)].fate, state.Lost)
-		w.legs[try("j", 1)].settled = true
+		is.Equal(w.attempts[try("j", 1)].outcome, state.Lost)
+		w.attempts[try("j", 1)].settled = true
 		w.Poll(b.now, Poll{Worker: "k", Call: w.call + 1, Stamp: b.now, Ends: end.told})
-		is.Equal(w.legs[try("j", 1)].fate, end.want)
-		is.Equal(w.legs[try("j", 1)].settled, false)
+		is.Equal(w.attempts[try("j", 1)].outcome, end.want)
+		is.Equal(w.attempts[try("j", 1)].settled, false)
 	}
 }
 
 // A worker looks at its grant now and then; until it has had the time to, its
-// agent does not say that a leg is lost.
+// agent does not say that an attempt is lost.
 func TestLossLeavesTheWorkerTimeToStop(t *testing.T) {
 	is, b, w := calm(t)
 	order(b, "s", try("j", 1))
@@ -333,7 +335,7 @@
 	b.poll(w, w.call+1, try("j", 1))
 	b.now = w.given.Add(Defaults.Worker + Slack/2)
 	w.Tick(b.now, "h")
-	is.True(w.legs[try("j", 1)].part != ended)
+	is.True(w.attempts[try("j", 1)].part != ended)
 }
 
 // The initial wait counts from when an earlier leader can last have had authority.
@@ -341,8 +343,8 @@
 	is := is.New(t)
 	b := newBench()
 	for _, ago := range []time.Duration{0, 900 * time.Millisecond, time.Hour} {
-		h := NewHead(b.now, b.now.Add(-ago), Defaults, "h", 2, []Hold{{Leg: try("j", 1), Shard: "s"}})
-		h.Taken, h.Doubts = func(state.End) bool { return false }, func(types.Shard) []types.Leg { return nil }
+		h := NewHead(b.now, b.now.Add(-ago), Defaults, "h", 2, []Hold{{Attempt: try("j", 1), Shard: "s"}})
+		h.Taken, h.Doubts = func(state.End) bool { return false }, func(types.Shard) []types.Attempt { return nil }
 		h.Apart, h.Invoked = func(types.Shard) bool { return false }, func(types.Shard) bool { return true }
 		for at := time.Duration(0); at < Defaults.Loss+time.Second; at += 10 * time.Millisecond {
 			h.Tick(b.now.Add(at), time.Second)
--- a/internal/dispatch/watch.go
+++ b/internal/dispatch/watch.go
@@ -1,5 +1,5 @@
 // What the scheduler's half does as time passes: the health machine, the end
-// of the initial wait, unsure legs asked about until none is left, and stops
+// of the initial wait, unsure attempts asked about until none is left, and stops
 // repeated until the end is told.
 package dispatch
 
@@ -42,7 +42,7 @@
 // judge moves one seat through the health machine.
 func (h *Head) judge(s *Seat) {
 	quiet := h.now.Sub(s.Good)
-	var to Soundness
+	var to Health
 	switch {
 	case s.State == MustDie:
 		return
@@ -67,9 +67,9 @@
 
 // lose forgets what a lost worker ran; its grants have lapsed by now.
 func (h *Head) lose(s *Seat) {
-	fate := h.gone(s.Shard)
+	outcome := h.gone(s.Shard)
 	for _, o := range h.holds.of(s.Shard) {
-		h.drop(o.Leg, fate)
+		h.drop(o.Attempt, outcome)
 	}
 	h.sets.exit(s)
 	h.say(s, wire.Quit, Quit{h.top(s)})
@@ -78,7 +78,7 @@
 // wake ends the initial wait: by time, counted from when an earlier leader can
 // last have let anybody run anything, when every worker that still did so has had
 // to stop; or early, when all agents that came carry the same
-// worker set, it is just the set of those that came, and no leg in the log
+// worker set, it is just the set of those that came, and no attempt in the log
 // waits to be heard of. The last is more than the paper asks.
 func (h *Head) wake() {
 	late := h.now.Sub(h.ruled) > h.pace.Loss+h.pace.Beat
@@ -88,7 +88,7 @@
 	}
 	h.Wait, h.Why = false, ""
 	for _, o := range h.holds.dims(h.seats) {
-		h.drop(o.Leg, h.gone(o.Shard))
+		h.drop(o.Attempt, h.gone(o.Shard))
 	}
 }
 
@@ -125,10 +125,10 @@
 		if s == nil || s.State == MustDie || s.State == New || h.now.Sub(s.query) < h.pace.Again {
 			continue
 		}
-		var legs []types.Leg
+		var attempts []types.Attempt
 		for _, o := range h.holds.of(k) {
 			if o.Phase == unsure {
-				legs = append(legs, o.Leg)
+				attempts = append(attempts, o.Attempt)
 			}
 		}
 		s.query = h.now
@@ -136,17 +136,17 @@
 		if len(s.quest) > 16 {
 			clear(s.quest)
 		}
-		s.quest[s.seq] = legs
-		h.say(s, wire.Query, Query{h.top(s), s.seq, legs})
+		s.quest[s.seq] = attempts
+		h.say(s, wire.Query, Query{h.top(s), s.seq, attempts})
 	}
 }
 
-// Halt asks for legs to be stopped, again and again until they have ended; late
-// ones are past the time their queue allows. Legs of this leadership that were
+// Halt asks for attempts to be stopped, again and again until they have ended; late
+// ones are past the time their queue allows. Attempts of this leadership that were
 // never sent are left alone.
-func (h *Head) Halt(legs, late []types.Leg) {
-	by := map[types.Shard][]types.Leg{}
-	for _, l := range append(legs, late...) {
+func (h *Head) Halt(attempts, late []types.Attempt) {
+	by := map[types.Shard][]types.Attempt{}
+	for _, l := range append(attempts, late...) {
 		o := h.holds.by[l]
 		if o == nil || o.halt != 0 && h.now.Sub(o.halt) < h.pace.Again/2 {
 			continue
@@ -161,18 +161,18 @@
 	}
 }
 
-// Strays lists legs that an agent runs but the log does not have as given out.
-func (h *Head) Strays() (list []types.Leg) {
+// Strays lists attempts that an agent runs but the log does not have as given out.
+func (h *Head) Strays() (list []types.Attempt) {
 	for l, o := range h.holds.alien {
-		if o.Phase == sure && h.Taken(state.End{Leg: l, Fate: state.Halted}) {
+		if o.Phase == sure && h.Taken(state.End{Attempt: l, Outcome: state.Halted}) {
 			list = append(list, l)
 		}
 	}
-	slices.SortFunc(list, types.Leg.Compare)
+	slices.SortFunc(list, types.Attempt.Compare)
 	return
 }
 
-// Missing lists legs whose agent has still not come to this leadership when a
+// Missing lists attempts whose agent has still not come to this leadership when a
 // sound one would have.
 func (h *Head) Missing() (list []*Hold) {
 	if !h.Wait || h.now.Sub(h.born) <= h.pace.Ill {
@@ -181,7 +181,7 @@
 	return h.holds.dims(h.seats)
 }
 
-// Holds lists the legs that possibly run, by shard.
+// Holds lists the attempts that possibly run, by shard.
 func (h *Head) Holds() []*Hold { return h.holds.all() }
 
 // On lists those of one shard.
@@ -191,7 +191,7 @@
 // runs on it.
 func (h *Head) Free(s *Seat) types.Room { return s.Room.Minus(s.Lacks).Minus(h.holds.used(s.Shard)) }
 
-var heads = map[string]func(*Head, wire.Note){
+var heads = map[string]func(*Head, wire.Message){
 	wire.Beat:    wire.On((*Head).onBeat),
 	wire.Account: wire.On((*Head).onAccount),
 	wire.Ordered: wire.On((*Head).onOrdered),
@@ -200,7 +200,7 @@
 }
 
 // Take handles an agent's note.
-func (h *Head) Take(now types.Stamp, grace time.Duration, n wire.Note) {
+func (h *Head) Take(now types.Stamp, grace time.Duration, n wire.Message) {
 	h.now, h.grace = now, grace
 	if f := heads[n.Kind]; f != nil {
 		f(h, n)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -22,7 +22,7 @@
 // Place is where a gateway runs.
 type Place struct {
 	Addr  types.Addr
-	Loc   types.Locality
+	Zone  types.Zone
 	Seeds []types.Addr
 	Issue string
 	Stale time.Duration // how old a confirmation of the table may be; 0 is news.Stale
@@ -30,46 +30,46 @@
 
 // Bounds and timings, ours.
 const (
-	Crowd = 512                     // requests under way at once
-	Leg   = 700 * time.Millisecond  // how long one controller is waited for
-	Limit = 2500 * time.Millisecond // how long a request is worked on
-	early = 50 * time.Millisecond   // before whoever asks has given up
+	Crowd   = 512                     // requests under way at once
+	Attempt = 700 * time.Millisecond  // how long one controller is waited for
+	Limit   = 2500 * time.Millisecond // how long a request is worked on
+	early   = 50 * time.Millisecond   // before whoever asks has given up
 )
 
 type call struct {
-	ask   wire.Ask
-	from  types.Stamp
-	limit time.Duration
-	sent  types.Stamp
-	to    types.Addr
-	legs  int
-	open  bool // somebody asked before has not answered, and may have taken it
+	ask      wire.Ask
+	from     types.Stamp
+	limit    time.Duration
+	sent     types.Stamp
+	to       types.Addr
+	attempts int
+	open     bool // somebody asked before has not answered, and may have taken it
 }
 
 // Gateway is one door.
 type Gateway struct {
-	place Place
-	now   types.Now
-	kin   *membership.Roster
-	news  *configwatch.Reader
-	Trail *trace.Ring
-	calls map[uint64]*call
-	next  uint64
-	turn  int
-	was   types.Addr  // who led at the last tick that anybody did
-	lost  types.Stamp // since when no leader is known; 0 when one is
-	drain bool
-	told  []report
-	sends []wire.Send
-	outs  []wire.Answer
-	Sums  Sums
-	pace  float64 // requests answered a second, to tell when to come back
-	last  types.Stamp
+	place  Place
+	now    types.Now
+	roster *membership.Roster
+	news   *configwatch.Reader
+	Trail  *trace.Ring
+	calls  map[uint64]*call
+	next   uint64
+	turn   int
+	was    types.Addr  // who led at the last tick that anybody did
+	lost   types.Stamp // since when no leader is known; 0 when one is
+	drain  bool
+	told   []report
+	sends  []wire.Send
+	outs   []wire.Answer
+	Sums   Sums
+	pace   float64 // requests answered a second, to tell when to come back
+	last   types.Stamp
 }
 
 // Sums are counters since start.
 type Sums struct {
-	Calls, Answered, Refused, GivenUp, Legs, Crowded uint64
+	Calls, Answered, Refused, GivenUp, Attempts, Crowded uint64
 }
 
 func New(now types.Now, rnd *rand.Rand, p Place) *Gateway {
@@ -78,35 +78,35 @@
 	}
 	g := &Gateway{place: p, now: now, news: configwatch.NewReader(p.Addr, p.Stale), calls: map[uint64]*call{}, Trail: trace.New(),
 		next: rnd.Uint64() >> 12, lost: now.Mono}
-	g.kin = membership.New(rnd, g.card(), p.Seeds)
+	g.roster = membership.New(rnd, g.card(), p.Seeds)
 	return g
 }
 
 func (g *Gateway) card() membership.Card {
-	c := membership.Card{Addr: g.place.Addr, Role: "gateway", Loc: g.place.Loc, Ready: g.Ready(), Issue: g.place.Issue}
-	if g.kin != nil {
-		c.Name = g.kin.Cluster()
+	c := membership.Card{Addr: g.place.Addr, Role: "gateway", Zone: g.place.Zone, Ready: g.Ready(), Issue: g.place.Issue}
+	if g.roster != nil {
+		c.Name = g.roster.Cluster()
 	}
 	return c
 }
 
 // Ready tells whether the platform may send callers here.
 func (g *Gateway) Ready() bool {
-	return !g.drain && g.kin != nil && g.kin.Lead() != "" && g.news.Fresh(g.now.Mono)
+	return !g.drain && g.roster != nil && g.roster.Lead() != "" && g.news.Fresh(g.now.Mono)
 }
 
 // Table is the table as the gateway has it, and whether it may be decided by.
 func (g *Gateway) Table() (config.Table, bool) { return g.news.Table, g.news.Fresh(g.now.Mono) }
 
 // Leader is whom the gateway holds for the leader now.
-func (g *Gateway) Leader() types.Addr { return g.kin.Lead() }
+func (g *Gateway) Leader() types.Addr { return g.roster.Lead() }
 
 // Step takes one event.
 func (g *Gateway) Step(e wire.Event) wire.Out {
 	g.now = e.Now
 	switch {
-	case e.Note != nil:
-		g.take(*e.Note)
+	case e.Message != nil:
+		g.take(*e.Message)
 	case e.Ask != nil:
 		g.enter(*e.Ask)
 	case e.Close:
@@ -114,18 +114,18 @@
 	default:
 		g.tick()
 	}
-	g.sends = append(g.sends, g.news.Tick(g.now.Mono, g.kin.Lead())...)
-	out := wire.Out{Sends: append(g.sends, g.kin.Out()...), Answers: g.outs, Idle: g.drain && len(g.calls) == 0}
+	g.sends = append(g.sends, g.news.Tick(g.now.Mono, g.roster.Lead())...)
+	out := wire.Out{Sends: append(g.sends, g.roster.Out()...), Answers: g.outs, Idle: g.drain && len(g.calls) == 0}
 	g.sends, g.outs = nil, nil
 	return out
 }
 
-func (g *Gateway) take(n wire.Note) {
+func (g *Gateway) take(n wire.Message) {
 	switch {
-	case g.kin.Take(g.now.Mono, n):
+	case g.roster.Take(g.now.Mono, n):
 	case n.Kind == wire.Told:
 		if g.news.Take(n) {
-			g.Trail.Add(g.now.Wall, trace.Table(g.news.Table.Edition), "in use here")
+			g.Trail.Add(g.now.Wall, trace.Table(g.news.Table.Version), "in use here")
 		}
 	case n.Kind == wire.Status:
 		g.keep(n)
@@ -137,10 +137,10 @@
 }
 
 func (g *Gateway) tick() {
-	g.kin.Me(g.card())
-	g.kin.Tick(g.now.Mono)
+	g.roster.Me(g.card())
+	g.roster.Tick(g.now.Mono)
 	g.repeat()
-	lead := g.kin.Lead()
+	lead := g.roster.Lead()
 	if lead != "" {
 		g.lost = 0
 	} else if g.lost == 0 {
@@ -152,7 +152,7 @@
 		case g.now.Mono.Sub(c.from) >= c.limit:
 			g.Sums.GivenUp++
 			g.fail(id, g.giveUp(c))
-		case c.to == "" || g.now.Mono.Sub(c.sent) >= Leg:
+		case c.to == "" || g.now.Mono.Sub(c.sent) >= Attempt:
 			g.send(id, c, "")
 		case lead != "" && lead != g.was && c.to == g.was: // another leads now
 			g.send(id, c, lead)
@@ -189,7 +189,7 @@
 		g.outs = append(g.outs, wire.Answer{Token: a.Token, Fault: f})
 		return
 	case a.Verb == "mates":
-		g.outs = append(g.outs, wire.Answer{Token: a.Token, Code: 200, Body: wire.Body(g.kin.Mates())})
+		g.outs = append(g.outs, wire.Answer{Token: a.Token, Code: 200, Body: wire.Body(g.roster.Peers())})
 		return
 	}
 	g.next++
@@ -222,9 +222,9 @@
 func (g *Gateway) send(id uint64, c *call, hint types.Addr) {
 	to := hint
 	if to == "" {
-		to = g.kin.Lead()
+		to = g.roster.Lead()
 	}
-	if controllers := g.kin.Controllers(); len(controllers) > 0 && (to == "" || to == c.to && hint == "") {
+	if controllers := g.roster.Controllers(); len(controllers) > 0 && (to == "" || to == c.to && hint == "") {
 		g.turn++
 		to = controllers[g.turn%len(controllers)].Addr
 	}
@@ -233,8 +233,8 @@
 	}
 	c.open = c.open || c.to != ""
 	c.to, c.sent = to, g.now.Mono
-	c.legs++
-	g.Sums.Legs++
+	c.attempts++
+	g.Sums.Attempts++
 	g.sends = append(g.sends, wire.Make(g.place.Addr, to, wire.Call, wire.CallBody{ID: id, Verb: c.ask.Verb, Arg: c.ask.Arg, Body: c.ask.Body}))
 }
 
@@ -247,7 +247,7 @@
 		if from == c.to {
 			c.to, c.sent = "", g.now.Mono
 		}
-		if other && c.legs < 6 {
+		if other && c.attempts < 6 {
 			g.send(r.ID, c, r.Lead)
 		}
 	case r.Fault != nil && r.Fault.Kind == apierror.Unsure:
@@ -289,16 +289,16 @@
 	Ready   bool              `json:"ready"`
 	Leader  types.Addr        `json:"leader"`
 	LostMS  int64             `json:"without_leader_ms"`
-	Edition types.Edition     `json:"table_edition"`
+	Version types.Version     `json:"table_edition"`
 	Fresh   bool              `json:"table_confirmed"`
 	Under   int               `json:"requests_under_way"`
-	Mates   []membership.Mate `json:"mates"`
+	Peers   []membership.Peer `json:"mates"`
 	Sums    Sums              `json:"sums"`
 }
 
 func (g *Gateway) Status() StatusView {
-	v := StatusView{Role: "gateway", Program: g.place.Issue, Ready: g.Ready(), Leader: g.kin.Lead(), Edition: g.news.Table.Edition,
-		Fresh: g.news.Fresh(g.now.Mono), Under: len(g.calls), Mates: g.kin.Mates(), Sums: g.Sums}
+	v := StatusView{Role: "gateway", Program: g.place.Issue, Ready: g.Ready(), Leader: g.roster.Lead(), Version: g.news.Table.Version,
+		Fresh: g.news.Fresh(g.now.Mono), Under: len(g.calls), Peers: g.roster.Peers(), Sums: g.Sums}
 	if g.lost != 0 {
 		v.LostMS = g.now.Mono.Sub(g.lost).Milliseconds()
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -27,7 +27,7 @@
 	e.Now = types.Now{Mono: d.now}
 	out := d.g.Step(e)
 	for _, s := range out.Sends {
-		if s.Note.Kind == wire.Call {
+		if s.Message.Kind == wire.Call {
 			d.sent = append(d.sent, s)
 		}
 	}
@@ -45,20 +45,20 @@
 func (d *desk) hear() {
 	for _, c := range []membership.Card{{Addr: "a", Role: "controller", Term: 1, Leads: true}, {Addr: "b", Role: "controller", Term: 1}} {
 		s := wire.Make(c.Addr, "g", wire.Hello, map[string]any{"me": c})
-		d.step(wire.Event{Note: &s.Note})
+		d.step(wire.Event{Message: &s.Message})
 	}
 }
 
 func (d *desk) reply(from types.Addr, n int, r wire.ReplyBody) {
-	c, _ := wire.Read[wire.CallBody](d.sent[n].Note)
+	c, _ := wire.Read[wire.CallBody](d.sent[n].Message)
 	r.ID = c.ID
 	s := wire.Make(from, "g", wire.Reply, r)
-	d.step(wire.Event{Note: &s.Note})
+	d.step(wire.Event{Message: &s.Message})
 }
 
 func begin(limit time.Duration) *desk {
 	d := &desk{now: types.Stamp(time.Minute)}
-	d.g = New(types.Now{Mono: d.now}, rand.New(rand.NewSource(1)), Place{Addr: "g", Loc: "z"})
+	d.g = New(types.Now{Mono: d.now}, rand.New(rand.NewSource(1)), Place{Addr: "g", Zone: "z"})
 	d.hear()
 	d.step(wire.Event{})
 	d.step(wire.Event{Ask: &wire.Ask{Token: 1, Verb: "job.put", Arg: "j", Limit: limit}})
@@ -73,13 +73,13 @@
 	is.Equal(d.outs[0].Fault.Kind, apierror.Full) // the only one that was asked
 
 	d = begin(0)
-	d.pass(Leg + 40*time.Millisecond)
+	d.pass(Attempt + 40*time.Millisecond)
 	is.Equal(len(d.sent), 2) // a was silent
 	d.reply(d.sent[1].To, 1, full)
 	is.Equal(d.outs[0].Fault.Kind, apierror.Unsure)
 
 	d = begin(0)
-	d.pass(Leg + 40*time.Millisecond)
+	d.pass(Attempt + 40*time.Millisecond)
 	d.reply("a", 0, full) // the other one has not answered
 	is.Equal(d.outs[0].Fault.Kind, apierror.Unsure)
 
--- a/internal/gateway/told.go
+++ b/internal/gateway/told.go
@@ -18,13 +18,13 @@
 )
 
 type report struct {
-	note wire.Note
-	at   types.Stamp
-	sent types.Stamp
+	message wire.Message
+	at      types.Stamp
+	sent    types.Stamp
 }
 
-func (g *Gateway) keep(n wire.Note) {
-	same := func(r report) bool { return string(r.note.Body) == string(n.Body) }
+func (g *Gateway) keep(n wire.Message) {
+	same := func(r report) bool { return string(r.message.Body) == string(n.Body) }
 	if len(g.told) < most && !slices.ContainsFunc(g.told, same) {
 		g.told = append(g.told, report{n, g.now.Mono, -1 << 62})
 	}
@@ -33,11 +33,11 @@
 // repeat tells the leader what was kept.
 func (g *Gateway) repeat() {
 	g.told = slices.DeleteFunc(g.told, func(r report) bool { return g.now.Mono.Sub(r.at) > keeps })
-	to := g.kin.Lead()
+	to := g.roster.Lead()
 	for i := range g.told {
 		if r := &g.told[i]; to != "" && g.now.Mono.Sub(r.sent) >= repeats {
 			r.sent = g.now.Mono
-			g.sends = append(g.sends, wire.Send{To: to, Note: r.note})
+			g.sends = append(g.sends, wire.Send{To: to, Message: r.message})
 		}
 	}
 }
--- a/internal/membership/cards.go
+++ b/internal/membership/cards.go
@@ -21,7 +21,7 @@
 	silent bool        // the leader has not heard it for long
 }
 
-type zone struct {
+type zoneState struct {
 	count int
 	heard types.Stamp
 }
@@ -78,7 +78,7 @@
 	case e != nil && c.V == e.card.V && c.V != 0 && !r.stranger(c):
 		r.replace(e, c)
 	default:
-		r.hear(Mate{Card: c})
+		r.hear(Peer{Card: c})
 	}
 	if e = r.all[c.Addr]; e != nil {
 		e.direct = r.now
@@ -88,7 +88,7 @@
 }
 
 // hear takes a card from anyone.
-func (r *Roster) hear(m Mate) {
+func (r *Roster) hear(m Peer) {
 	at := r.now.Add(-time.Duration(m.AgeMS) * time.Millisecond)
 	e := r.all[m.Addr]
 	switch {
@@ -111,13 +111,13 @@
 	}
 }
 
-// lives notes that a mate was heard of at some time.
+// lives notes that a peer was heard of at some time.
 func (r *Roster) lives(e *entry, at types.Stamp) {
 	if at <= e.heard {
 		return
 	}
 	e.heard = at
-	z := r.zones[e.card.Loc]
+	z := r.zones[e.card.Zone]
 	z.heard = max(z.heard, at)
 	if e.card.Role == "agent" {
 		if o := r.agents[e.card.Part]; o == nil || o.heard <= at {
@@ -137,7 +137,7 @@
 		return false
 	}
 	kind := func(c Card) string {
-		if c.Role == "agent" && c.Loc == r.me.Loc {
+		if c.Role == "agent" && c.Zone == r.me.Zone {
 			return "near"
 		}
 		return c.Role
@@ -159,10 +159,10 @@
 
 func (r *Roster) enter(e *entry) {
 	r.sums.add(e.card)
-	z := r.zones[e.card.Loc]
+	z := r.zones[e.card.Zone]
 	if z == nil {
-		z = &zone{heard: never}
-		r.zones[e.card.Loc] = z
+		z = &zoneState{heard: never}
+		r.zones[e.card.Zone] = z
 	}
 	z.count++
 	if e.card.Role == "controller" {
@@ -172,7 +172,7 @@
 
 func (r *Roster) leave(e *entry) {
 	r.sums.drop(e.card)
-	r.zones[e.card.Loc].count--
+	r.zones[e.card.Zone].count--
 	remove(&r.controllers, e.card.Addr)
 	if r.agents[e.card.Part] == e {
 		delete(r.agents, e.card.Part)
@@ -183,7 +183,7 @@
 	r.leave(e)
 	e.card = c
 	r.enter(e)
-	z := r.zones[c.Loc]
+	z := r.zones[c.Zone]
 	z.heard = max(z.heard, e.heard)
 	if c.Role == "agent" && r.agents[c.Part] == nil {
 		r.agents[c.Part] = e
--- a/internal/membership/hello.go
+++ b/internal/membership/hello.go
@@ -11,15 +11,15 @@
 )
 
 type hello struct {
-	Me    Card                     `json:"me"`
-	Mates []Mate                   `json:"mates,omitempty"`
-	Ask   bool                     `json:"ask,omitempty"`
-	Reply bool                     `json:"reply,omitempty"`
-	Have  uint64                   `json:"have,omitempty"`  // a later version of the other's card is known
-	Sums  *Sums                    `json:"sums,omitempty"`  // of the cards known
-	Ages  map[types.Addr]int64     `json:"ages,omitempty"`  // of the controllers heard of lately, ms
-	Zones map[types.Locality]int64 `json:"zones,omitempty"` // since anyone there was heard of, ms; between controllers
-	Want  int                      `json:"want,omitempty"`  // mates by chance
+	Me    Card                 `json:"me"`
+	Peers []Peer               `json:"mates,omitempty"`
+	Ask   bool                 `json:"ask,omitempty"`
+	Reply bool                 `json:"reply,omitempty"`
+	Have  uint64               `json:"have,omitempty"`  // a later version of the other's card is known
+	Sums  *Sums                `json:"sums,omitempty"`  // of the cards known
+	Ages  map[types.Addr]int64 `json:"ages,omitempty"`  // of the controllers heard of lately, ms
+	Zones map[types.Zone]int64 `json:"zones,omitempty"` // since anyone there was heard of, ms; between controllers
+	Want  int                  `json:"want,omitempty"`  // mates by chance
 	// Between those that keep all cards: asks for what changed after a number,
 	// and answers how far that goes. All asks the other to do so too, from the start.
 	Follow bool   `json:"follow,omitempty"`
@@ -38,7 +38,7 @@
 	s := r.sums
 	h := hello{Me: r.me, Sums: &s, Ages: map[types.Addr]int64{}}
 	for _, a := range r.controllers {
-		if e := r.all[a]; r.sound(e) {
+		if e := r.all[a]; r.healthy(e) {
 			h.Ages[a] = r.age(e.heard)
 		}
 	}
@@ -50,10 +50,10 @@
 	if e := r.all[to]; r.me.Role != "controller" || e == nil || e.card.Role != "controller" {
 		return
 	}
-	h.Zones = map[types.Locality]int64{}
-	for loc, z := range r.zones {
-		if r.now.Sub(z.heard) < Sound {
-			h.Zones[loc] = r.age(z.heard)
+	h.Zones = map[types.Zone]int64{}
+	for zone, z := range r.zones {
+		if r.now.Sub(z.heard) < Healthy {
+			h.Zones[zone] = r.age(z.heard)
 		}
 	}
 }
@@ -72,10 +72,10 @@
 	if to == lead {
 		r.asked = r.me.V
 	}
-	if r.keeps() && to == lead && r.peer != to {
-		r.peer, r.taken, r.odd = to, 0, 0
+	if r.keeps() && to == lead && r.followed != to {
+		r.followed, r.taken, r.odd = to, 0, 0
 	}
-	if r.keeps() && to == r.peer {
+	if r.keeps() && to == r.followed {
 		h.Follow, h.Seq = true, r.taken
 		if r.odd > 4 && r.now.Sub(r.whole) > repair {
 			r.whole, r.odd, r.taken = r.now, 0, 0
@@ -86,7 +86,7 @@
 }
 
 // Take handles a hello, and counts any other note as a sign of life.
-func (r *Roster) Take(now types.Stamp, n wire.Note) bool {
+func (r *Roster) Take(now types.Stamp, n wire.Message) bool {
 	r.now = now
 	if n.Kind != wire.Hello {
 		r.touch(n)
@@ -106,7 +106,7 @@
 	if h.Reply && n.From == r.Lead() {
 		r.known = r.asked
 	}
-	for _, m := range h.Mates {
+	for _, m := range h.Peers {
 		r.hear(m)
 	}
 	for a, ms := range h.Ages {
@@ -114,12 +114,12 @@
 			r.lives(e, now.Add(-time.Duration(ms)*time.Millisecond))
 		}
 	}
-	for loc, ms := range h.Zones {
-		if z := r.zones[loc]; z != nil {
+	for zone, ms := range h.Zones {
+		if z := r.zones[zone]; z != nil {
 			z.heard = max(z.heard, now.Add(-time.Duration(ms)*time.Millisecond))
 		}
 	}
-	if h.Reply && h.Follow && n.From == r.peer {
+	if h.Reply && h.Follow && n.From == r.followed {
 		r.follow(h)
 	}
 	switch {
@@ -135,7 +135,7 @@
 
 // touch takes any message as a sign of life of its sender, but for reports that
 // others may have passed on. Who is not known is asked for its card.
-func (r *Roster) touch(n wire.Note) {
+func (r *Roster) touch(n wire.Message) {
 	if n.Kind == wire.Status {
 		return
 	}
@@ -147,7 +147,7 @@
 	}
 }
 
-// other tells whether a mate knows other controllers, or gateways, than this daemon.
+// other tells whether a peer knows other controllers, or gateways, than this daemon.
 func (r *Roster) other(h hello) bool {
 	return h.Sums != nil && (h.Sums.Controllers != r.sums.Controllers || r.keeps() && h.Me.Role != "agent" && h.Sums.Gateways != r.sums.Gateways)
 }
@@ -160,7 +160,7 @@
 		for _, x := range r.list {
 			c := r.all[x].card
 			if x != to && (c.Role == "controller" || c.Role == "gateway" && h.Me.Role != "agent" && r.keeps()) {
-				a.Mates = append(a.Mates, r.mate(r.all[x]))
+				a.Peers = append(a.Peers, r.peer(r.all[x]))
 			}
 		}
 		a.Ask = !h.Reply
@@ -168,25 +168,25 @@
 	r.introduce(&a, h)
 	if h.Follow && r.keeps() {
 		a.Follow = true
-		a.Mates, a.Seq, a.More = r.since(a.Mates, h.Seq, h.Sums != nil && h.Sums.Agents == r.sums.Agents)
+		a.Peers, a.Seq, a.More = r.since(a.Peers, h.Seq, h.Sums != nil && h.Sums.Agents == r.sums.Agents)
 	}
 	r.say(to, a)
 	if h.All {
-		r.peer, r.taken = to, 0
+		r.followed, r.taken = to, 0
 		r.ask(to)
 	}
 }
 
-// introduce names mates to one that wants some. The agent that asked before it
+// introduce names peers to one that wants some. The agent that asked before it
 // comes first: all ask equally often, so none is known to more than others are.
 func (r *Roster) introduce(a *hello, h hello) {
 	want := min(h.Want, 2*few)
 	if g := r.guest; want > 0 && g.Addr != "" && g.Addr != h.Me.Addr {
 		g.AgeMS = r.age(r.came)
-		a.Mates, want = append(a.Mates, g), want-1
+		a.Peers, want = append(a.Peers, g), want-1
 	}
 	if h.Me.Role == "agent" {
-		r.guest, r.came = Mate{Card: h.Me}, r.now
+		r.guest, r.came = Peer{Card: h.Me}, r.now
 	}
 	n := len(r.list)
 	if n == 0 || want == 0 || h.Want == 1 {
@@ -195,14 +195,14 @@
 	from := r.rnd.Intn(n)
 	for i := range min(n, want) {
 		if e := r.all[r.list[(from+i)%n]]; e.card.Addr != h.Me.Addr && e.card.Role != "controller" && !e.silent {
-			a.Mates = append(a.Mates, r.mate(e))
+			a.Peers = append(a.Peers, r.peer(e))
 		}
 	}
 }
 
 // since adds the cards that changed after a number, as many as a hello has, and
 // tells how far they go. Where both know the same there is nothing to tell.
-func (r *Roster) since(list []Mate, seq uint64, same bool) ([]Mate, uint64, bool) {
+func (r *Roster) since(list []Peer, seq uint64, same bool) ([]Peer, uint64, bool) {
 	if same && (seq == 0 || seq > r.seq) {
 		return list, r.seq, false
 	}
@@ -218,7 +218,7 @@
 		if n++; n > part {
 			return list, seq, true
 		}
-		list, seq = append(list, r.mate(e)), c.seq
+		list, seq = append(list, r.peer(e)), c.seq
 	}
 	return list, r.seq, false
 }
@@ -226,24 +226,24 @@
 // follow takes the leader's changes: what it told, how far that goes, and
 // whether it is all.
 func (r *Roster) follow(h hello) {
-	for _, m := range h.Mates {
+	for _, m := range h.Peers {
 		if e := r.all[m.Addr]; e != nil {
 			e.silent = r.now.Sub(e.heard) >= silent
 		}
 	}
 	r.taken = h.Seq
 	if h.More {
-		r.ask(r.peer)
+		r.ask(r.followed)
 		return
 	}
 	r.vouch = r.now
 	switch {
 	case h.Sums == nil || h.Sums.Agents == r.sums.Agents:
 		r.odd = 0
-	case len(h.Mates) == 0:
+	case len(h.Peers) == 0:
 		r.odd++
 	}
 	if r.me.Leads {
-		r.peer = ""
+		r.followed = ""
 	}
 }
--- a/internal/membership/kin.go
+++ b/internal/membership/kin.go
@@ -3,7 +3,7 @@
 // among them. Nothing that must be right rests on it.
 //
 // A daemon says little while all is well, however many there are. Any message
-// from a mate shows that it lives. Gateways and controllers ask the leader for the cards
+// from a peer shows that it lives. Gateways and controllers ask the leader for the cards
 // that changed since they last asked; agents keep the controllers and a few others and
 // ask one of those now and then. Who hears of no leader asks more widely, and a
 // new leader tells all it knows of. This file is when something is said.
@@ -21,37 +21,37 @@
 // Card is what a daemon says of itself. V counts its changes: its owner raises
 // it, also past what it hears others have of an earlier process.
 type Card struct {
-	Addr  types.Addr     `json:"addr"`
-	ID    types.ID       `json:"id,omitempty"`
-	Role  string         `json:"role"`
-	Loc   types.Locality `json:"locality"`
-	Name  string         `json:"cluster,omitempty"`
-	Term  types.Term     `json:"term,omitempty"`
-	Leads bool           `json:"leads,omitempty"`
-	Part  string         `json:"part,omitempty"`
-	Ready bool           `json:"ready"`
-	Issue string         `json:"program,omitempty"`
-	V     uint64         `json:"v,omitempty"`
+	Addr  types.Addr `json:"addr"`
+	ID    types.ID   `json:"id,omitempty"`
+	Role  string     `json:"role"`
+	Zone  types.Zone `json:"locality"`
+	Name  string     `json:"cluster,omitempty"`
+	Term  types.Term `json:"term,omitempty"`
+	Leads bool       `json:"leads,omitempty"`
+	Part  string     `json:"part,omitempty"`
+	Ready bool       `json:"ready"`
+	Issue string     `json:"program,omitempty"`
+	V     uint64     `json:"v,omitempty"`
 }
 
 // Mate is a card and how long ago its daemon was last heard of.
-type Mate struct {
+type Peer struct {
 	Card
 	AgeMS int64 `json:"age_ms"`
 }
 
 // Timings and bounds are ours.
 const (
-	Beat   = 500 * time.Millisecond
-	Sound  = 3 * time.Second
-	Forget = 24 * time.Hour
-	quiet  = 1500 * time.Millisecond // a leader not heard for so long is looked for
-	silent = 10 * time.Second        // a mate not heard by the leader for so long is told to the others
-	repair = 10 * time.Minute        // between two exchanges of all cards with the leader
-	loud   = 3 * time.Second         // how long a new leader tells those that it has not heard yet
-	few    = 4                       // mates of each kind that an agent keeps
-	part   = 64                      // changed cards in a hello
-	bound  = 20_000
+	Beat    = 500 * time.Millisecond
+	Healthy = 3 * time.Second
+	Forget  = 24 * time.Hour
+	quiet   = 1500 * time.Millisecond // a leader not heard for so long is looked for
+	silent  = 10 * time.Second        // a peer not heard by the leader for so long is told to the others
+	repair  = 10 * time.Minute        // between two exchanges of all cards with the leader
+	loud    = 3 * time.Second         // how long a new leader tells those that it has not heard yet
+	few     = 4                       // peers of each kind that an agent keeps
+	part    = 64                      // changed cards in a hello
+	bound   = 20_000
 )
 
 // pause is how many beats go by between two questions of a daemon that hears
@@ -67,7 +67,7 @@
 	list        []types.Addr // the keys of all, in order
 	controllers []types.Addr // those of the controllers
 	agents      map[string]*entry
-	zones       map[types.Locality]*zone
+	zones       map[types.Zone]*zoneState
 	sums        Sums
 	seq         uint64
 	log         []change
@@ -78,14 +78,14 @@
 	chatted     types.Addr  // the peer that this agent asked last
 	chattedAt   types.Stamp // and when
 	led         types.Stamp // since when this daemon leads
-	peer        types.Addr  // whose changes are followed: the leader
+	followed    types.Addr  // whose changes are followed: the leader
 	taken       uint64      // how far
 	odd         int         // answers in a row that showed other cards there than here
 	whole       types.Stamp // when all were last asked for
 	vouch       types.Stamp // when the leader last told all that had changed
 	asked       uint64      // the version of this daemon's card in its last question to the leader
 	known       uint64      // the one that the leader has answered to
-	guest       Mate        // the agent that asked last, and when
+	guest       Peer        // the agent that asked last, and when
 	came        types.Stamp
 	sends       []wire.Send
 }
@@ -94,7 +94,7 @@
 
 func New(rnd *rand.Rand, me Card, seeds []types.Addr) *Roster {
 	me.V = 1 + uint64(rnd.Intn(1<<20))
-	r := &Roster{rnd: rnd, me: me, seeds: seeds, all: map[types.Addr]*entry{}, agents: map[string]*entry{}, zones: map[types.Locality]*zone{},
+	r := &Roster{rnd: rnd, me: me, seeds: seeds, all: map[types.Addr]*entry{}, agents: map[string]*entry{}, zones: map[types.Zone]*zoneState{},
 		told: never, led: never, whole: never, vouch: never}
 	r.sums.add(me)
 	return r
@@ -130,10 +130,10 @@
 
 // proclaim tells that this daemon leads to all not heard since it does.
 func (r *Roster) proclaim() {
-	n := wire.Make(r.me.Addr, "", wire.Hello, hello{Me: r.me}).Note
+	n := wire.Make(r.me.Addr, "", wire.Hello, hello{Me: r.me}).Message
 	for _, a := range r.list {
 		if r.all[a].direct <= r.led {
-			r.sends = append(r.sends, wire.Send{To: a, Note: n})
+			r.sends = append(r.sends, wire.Send{To: a, Message: n})
 		}
 	}
 }
@@ -171,7 +171,7 @@
 	}
 }
 
-// watch is the leader's: a mate that falls silent, or comes back, is a change.
+// watch is the leader's: a peer that falls silent, or comes back, is a change.
 func (r *Roster) watch() {
 	if r.now.Sub(r.led) < loud {
 		r.proclaim()
@@ -187,7 +187,7 @@
 }
 
 // seek asks for the leader: seeds, controllers (an agent one of them in turn, since
-// there are many agents), and a mate by chance.
+// there are many agents), and a peer by chance.
 func (r *Roster) seek() {
 	asked := map[types.Addr]bool{r.me.Addr: true}
 	ask := func(a types.Addr) {
@@ -197,7 +197,7 @@
 		}
 	}
 	for _, s := range r.seeds {
-		if e := r.all[s]; e == nil || r.now.Sub(e.direct) > Sound {
+		if e := r.all[s]; e == nil || r.now.Sub(e.direct) > Healthy {
 			ask(s)
 		}
 	}
@@ -228,7 +228,7 @@
 	}
 }
 
-// some picks a mate of a role, or of any, by chance.
+// some picks a peer of a role, or of any, by chance.
 func (r *Roster) some(role string) (types.Addr, bool) {
 	if len(r.list) == 0 {
 		return "", false
--- a/internal/membership/kin_test.go
+++ b/internal/membership/kin_test.go
@@ -34,7 +34,7 @@
 	if !slices.Contains(t.order, a) {
 		t.order = append(t.order, a)
 	}
-	c := Card{Addr: a, Role: role, Loc: types.Locality(fmt.Sprint("z", i%zones)), Ready: true}
+	c := Card{Addr: a, Role: role, Zone: types.Zone(fmt.Sprint("z", i%zones)), Ready: true}
 	if role == "agent" {
 		c.Part = fmt.Sprint("k", i)
 	}
@@ -69,12 +69,12 @@
 	for len(list) > 0 {
 		s := list[0]
 		list = list[1:]
-		if s.Note.Kind == wire.Hello {
-			t.count[s.Note.From]++
-			t.bytes[s.Note.From] += len(s.Note.Body)
+		if s.Message.Kind == wire.Hello {
+			t.count[s.Message.From]++
+			t.bytes[s.Message.From] += len(s.Message.Body)
 		}
-		if r := t.by[s.To]; r != nil && !t.lost(s.Note.From, s.To) {
-			r.Take(t.now, s.Note)
+		if r := t.by[s.To]; r != nil && !t.lost(s.Message.From, s.To) {
+			r.Take(t.now, s.Message)
 			list = append(list, r.Out()...)
 		}
 	}
@@ -101,7 +101,7 @@
 	}
 }
 
-func (t *town) knows(a types.Addr) (n int) { return len(t.by[a].Mates()) }
+func (t *town) knows(a types.Addr) (n int) { return len(t.by[a].Peers()) }
 
 func TestIdleCostDoesNotGrowWithTheFleet(t *testing.T) {
 	is := is.New(t)
@@ -203,13 +203,13 @@
 	is.Equal(now.Ready, true)
 	is.True(now.V > was.V)
 	// What it said before comes late and changes nothing.
-	f.by["gateway1"].Take(f.now, wire.Make("agent5", "gateway1", wire.Hello, hello{Me: was}).Note)
+	f.by["gateway1"].Take(f.now, wire.Make("agent5", "gateway1", wire.Hello, hello{Me: was}).Message)
 	is.Equal(f.by["gateway1"].all["agent5"].card, now)
 }
 
 // Whichever agent it is, peers that are gone are forgotten, and it never keeps more
 // than it may. Some agents lose every peer that they know at once.
-func TestAgentForgetsMatesThatAreGone(t *testing.T) {
+func TestAgentForgetsPeersThatAreGone(t *testing.T) {
 	for i := range 12 {
 		is := is.New(t)
 		f := fleet(60, 4)
@@ -252,7 +252,7 @@
 	f.pass(20 * time.Second)
 	delete(f.by, "agent9")
 	f.pass(30 * time.Second)
-	for _, m := range f.by["gateway2"].Mates() {
+	for _, m := range f.by["gateway2"].Peers() {
 		if m.Addr == "agent9" {
 			is.True(m.AgeMS > 25_000)
 		} else {
@@ -267,7 +267,7 @@
 	is.True(f.knows("gateway2") >= len(f.order)-2) // nobody who lives is forgotten
 	f.add("agent", 9, 4, "gateway1")
 	f.pass(5 * time.Second)
-	is.True(g.mate(g.all["agent9"]).AgeMS <= 3000)
+	is.True(g.peer(g.all["agent9"]).AgeMS <= 3000)
 }
 
 func TestWholeZoneSilentIsToldApart(t *testing.T) {
@@ -278,7 +278,7 @@
 	delete(f.by, "agent9")
 	f.pass(3 * time.Second)
 	is.Equal(h.Apart("k9"), false) // others of its zone live
-	zone := func(a types.Addr) bool { return f.by[a] != nil && f.by[a].me.Loc == "z2" }
+	zone := func(a types.Addr) bool { return f.by[a] != nil && f.by[a].me.Zone == "z2" }
 	f.lost = func(from, to types.Addr) bool { return zone(from) != zone(to) }
 	f.pass(time.Second)
 	is.Equal(h.Apart("k6"), false)
@@ -300,7 +300,7 @@
 func TestStrangersAreNotTakenIn(t *testing.T) {
 	is := is.New(t)
 	r := New(rand.New(rand.NewSource(1)), Card{Addr: "a", Role: "controller", Name: "one"}, nil)
-	r.Take(1, wire.Make("b", "a", wire.Hello, hello{Me: Card{Addr: "b", Role: "controller", Name: "two", V: 3}}).Note)
-	r.Take(1, wire.Make("c", "a", wire.Hello, hello{Me: Card{Addr: "c", Role: "gateway", Name: "one", V: 3}}).Note)
-	is.Equal(len(r.Mates()), 1)
+	r.Take(1, wire.Make("b", "a", wire.Hello, hello{Me: Card{Addr: "b", Role: "controller", Name: "two", V: 3}}).Message)
+	r.Take(1, wire.Make("c", "a", wire.Hello, hello{Me: Card{Addr: "c", Role: "gateway", Name: "one", V: 3}}).Message)
+	is.Equal(len(r.Peers()), 1)
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -5,7 +5,7 @@
 	"coppercourse/internal/types"
 )
 
-// last is when a mate was last heard of, as far as is known: the leader tells
+// last is when a peer was last heard of, as far as is known: the leader tells
 // who fell silent, and so vouches for all others.
 func (r *Roster) last(e *entry) types.Stamp {
 	if e.silent || !r.keeps() {
@@ -14,23 +14,23 @@
 	return max(e.heard, r.vouch)
 }
 
-func (r *Roster) mate(e *entry) Mate { return Mate{e.card, r.age(r.last(e))} }
+func (r *Roster) peer(e *entry) Peer { return Peer{e.card, r.age(r.last(e))} }
 
 // Mates lists all that are kept but this daemon itself.
-func (r *Roster) Mates() []Mate {
-	list := make([]Mate, 0, len(r.all))
+func (r *Roster) Peers() []Peer {
+	list := make([]Peer, 0, len(r.all))
 	for _, a := range r.list {
-		list = append(list, r.mate(r.all[a]))
+		list = append(list, r.peer(r.all[a]))
 	}
 	return list
 }
 
-func (r *Roster) sound(e *entry) bool { return r.now.Sub(e.heard) <= Sound }
+func (r *Roster) healthy(e *entry) bool { return r.now.Sub(e.heard) <= Healthy }
 
 // Controllers lists the sound controllers.
 func (r *Roster) Controllers() (list []Card) {
 	for _, a := range r.controllers {
-		if e := r.all[a]; r.sound(e) {
+		if e := r.all[a]; r.healthy(e) {
 			list = append(list, e.card)
 		}
 	}
@@ -60,14 +60,14 @@
 }
 
 // Apart tells whether a shard's agent fell silent with all that is known in its
-// locality, as when the locality is cut off; one machine's end leaves others.
+// zone, as when the zone is cut off; one machine's end leaves others.
 func (r *Roster) Apart(shard string) bool {
 	e := r.agents[shard]
 	if e == nil {
 		return false
 	}
-	z := r.zones[e.card.Loc]
-	return z.count >= 3 && r.now.Sub(z.heard) >= Sound/2 && e.card.Loc != r.me.Loc
+	z := r.zones[e.card.Zone]
+	return z.count >= 3 && r.now.Sub(z.heard) >= Healthy/2 && e.card.Zone != r.me.Zone
 }
 
 // Cluster is the name that formed controllers go by, once one was heard of.
@@ -87,7 +87,7 @@
 		best, term = r.me.Addr, r.me.Term
 	}
 	for _, a := range r.controllers {
-		if c := r.all[a].card; c.Leads && c.Term > term && r.sound(r.all[a]) {
+		if c := r.all[a].card; c.Leads && c.Term > term && r.healthy(r.all[a]) {
 			best, term = c.Addr, c.Term
 		}
 	}
--- a/internal/placement/choice.go
+++ b/internal/placement/choice.go
@@ -122,7 +122,7 @@
 // Most is how many tasks one round places; the next round goes on.
 const Most = 400
 
-// A worker whose legs end badly this much more often than the others' gets
+// A worker whose attempts end badly this much more often than the others' gets
 // one task at a time, by which it can prove itself.
 const shun = 0.35
 
--- a/internal/placement/fit.go
+++ b/internal/placement/fit.go
@@ -115,10 +115,10 @@
 // keeps is of how many slots one at most has its room kept for work that found none.
 const keeps = 4
 
-// bad tells a worker whose legs end badly much more often than the others'.
+// bad tells a worker whose attempts end badly much more often than the others'.
 func (r *round) bad(s *Slot) bool { return s.Bad > r.mean+shun }
 
-// worth prefers workers with much room that end their legs well and in time.
+// worth prefers workers with much room that end their attempts well and in time.
 func worth(s *Slot, free types.Room) float64 {
 	return float64(free.Cores) * (1 - s.Bad) / max(s.Slow, 0.2)
 }
--- a/internal/raft/ballot.go
+++ b/internal/raft/ballot.go
@@ -107,19 +107,19 @@
 func (c *Core) crown() {
 	c.role, c.leader, c.leadAt = lead, c.self.ID, c.self.Addr
 	c.heir, c.pulse, c.calm = "", 0, c.now.Mono
-	c.mates = map[types.ID]*track{}
+	c.peers = map[types.ID]*track{}
 	for _, m := range c.roll {
-		c.mate(m.ID)
+		c.peer(m.ID)
 	}
 	c.append(Entry{Roll: c.roll})
 	c.first = c.last()
 }
 
-func (c *Core) mate(id types.ID) *track {
-	t, ok := c.mates[id]
+func (c *Core) peer(id types.ID) *track {
+	t, ok := c.peers[id]
 	if !ok {
 		t = &track{next: c.last() + 1, heard: c.now.Mono, round: -1 << 62}
-		c.mates[id] = t
+		c.peers[id] = t
 	}
 	return t
 }
@@ -130,7 +130,7 @@
 		if m.ID == c.self.ID {
 			return c.now.Mono
 		}
-		return c.mate(m.ID).round
+		return c.peer(m.ID).round
 	})
 }
 
@@ -167,7 +167,7 @@
 	}
 	var best *track
 	for _, m := range c.roll {
-		t := c.mate(m.ID)
+		t := c.peer(m.ID)
 		if m.Vote && m.ID != c.self.ID && now.Mono.Sub(t.heard) < c.pace.Least && (best == nil || t.match > best.match) {
 			best, c.heir = t, m.ID
 		}
--- a/internal/raft/core.go
+++ b/internal/raft/core.go
@@ -81,7 +81,7 @@
 	led     types.Stamp // when this member led last
 	ruled   types.Stamp // until when an earlier leader can have had authority
 	pre     bool
-	mates   map[types.ID]*track
+	peers   map[types.ID]*track
 	first   types.Index
 	calm    types.Stamp // when a voter was last silent, to this leader
 	pulse   types.Stamp
@@ -104,7 +104,7 @@
 // take if the folder is empty; whether it is the first start of all is kept with it.
 func New(now types.Now, pace Pace, rnd *rand.Rand, me Member, o Origin, recs [][]byte, fresh types.ID) *Core {
 	c := &Core{pace: pace, rnd: rnd, self: me, origin: o, role: empty, now: now, boot: now.Mono, tickAt: now.Mono,
-		heard: now.Mono, led: never, mates: map[types.ID]*track{}, offers: map[types.ID]bool{}}
+		heard: now.Mono, led: never, peers: map[types.ID]*track{}, offers: map[types.ID]bool{}}
 	c.self.ID = ""
 	for _, b := range recs {
 		var r Record
@@ -326,7 +326,7 @@
 	c.Wind(tick)
 }
 
-// Wind moves the clock forward to at least t; what mates told of their walls
+// Wind moves the clock forward to at least t; what peers told of their walls
 // was counted from where the clock stood, and moves with it.
 func (c *Core) Wind(t types.Tick) {
 	by := t - c.Clock()
@@ -334,16 +334,16 @@
 		return
 	}
 	c.tick, c.tickAt = t, c.now.Mono
-	for _, m := range c.mates {
+	for _, m := range c.peers {
 		m.off -= types.Wall(by)
 	}
 }
 
 // Offs gives how far each voter's wall clock is from this leader's clock. What
-// a mate told is older by its way here, so it can only seem too small.
+// a peer told is older by its way here, so it can only seem too small.
 func (c *Core) Offs() []types.Wall {
 	list := []types.Wall{c.now.Wall - types.Wall(c.Clock())}
-	for id, t := range c.mates {
+	for id, t := range c.peers {
 		if m, ok := c.roll.Find(id); ok && m.Vote && id != c.self.ID && c.now.Mono.Sub(t.heard) < c.pace.Stall {
 			list = append(list, t.off)
 		}
--- a/internal/raft/found.go
+++ b/internal/raft/found.go
@@ -82,7 +82,7 @@
 			return nil, "a cluster exists; waiting to be let in"
 		}
 		if c.origin.Founders == nil || slices.Contains(c.origin.Founders, s.Addr) {
-			roll = append(roll, Member{ID: s.ID, Addr: s.Addr, Loc: s.Loc, Vote: true})
+			roll = append(roll, Member{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Vote: true})
 		}
 	}
 	slices.SortFunc(roll, func(a, b Member) int { return strings.Compare(string(a.ID), string(b.ID)) })
--- a/internal/raft/kinds.go
+++ b/internal/raft/kinds.go
@@ -15,11 +15,11 @@
 // cluster that was there before it: it is let vote beside the others, and replaces
 // one that is gone.
 type Member struct {
-	ID    types.ID       `json:"id"`
-	Addr  types.Addr     `json:"addr"`
-	Loc   types.Locality `json:"loc"`
-	Vote  bool           `json:"vote"`
-	Guest bool           `json:"guest,omitempty"`
+	ID    types.ID   `json:"id"`
+	Addr  types.Addr `json:"addr"`
+	Zone  types.Zone `json:"loc"`
+	Vote  bool       `json:"vote"`
+	Guest bool       `json:"guest,omitempty"`
 }
 
 // Origin is what a member's settings say of the cluster's beginning: that none has
--- a/internal/raft/push.go
+++ b/internal/raft/push.go
@@ -61,7 +61,7 @@
 // ones are on their way wait for the answer, so that under load one message carries
 // what one sync of a member's disk can take.
 func (c *Core) flush() {
-	if c.heir != "" && c.mate(c.heir).match == c.last() {
+	if c.heir != "" && c.peer(c.heir).match == c.last() {
 		m, _ := c.roll.Find(c.heir)
 		c.say(m.Addr, wire.Heir, heir{c.name, c.heir, c.vow.Term})
 		c.retire()
@@ -75,7 +75,7 @@
 		if m.ID == c.self.ID {
 			continue
 		}
-		t := c.mate(m.ID)
+		t := c.peer(m.ID)
 		if c.now.Mono.Sub(t.heard) > c.pace.Least { // silent: only asked whether it is there
 			if due {
 				t.next = t.match + 1
@@ -239,7 +239,7 @@
 	if _, ok := c.roll.Find(a.ID); !ok || c.role != lead || a.Term != c.vow.Term {
 		return
 	}
-	t := c.mate(a.ID)
+	t := c.peer(a.ID)
 	if a.Round > t.round {
 		t.round, t.off = a.Round, a.Wall-types.Wall(c.Clock())
 	}
@@ -264,7 +264,7 @@
 		if m.ID == c.self.ID {
 			return c.synced
 		}
-		return c.mate(m.ID).match
+		return c.peer(m.ID).match
 	})
 	if t, ok := c.term(to); ok && t == c.vow.Term && to > c.commit {
 		c.commit = to
@@ -286,7 +286,7 @@
 	c.log = slices.Clone(c.log[i-c.snap.Index:])
 	c.snap = Snap{Index: i, Term: t, Roll: roll, Count: len(parts), Parts: parts}
 	c.grown = 0
-	for _, m := range c.mates {
+	for _, m := range c.peers {
 		m.part = 0
 	}
 	c.rewrite()
@@ -316,7 +316,7 @@
 		c.retire()
 		return
 	}
-	if c.now.Mono.Sub(c.round()) > c.pace.Stall && c.now.Mono.Sub(c.mate(c.self.ID).heard) > c.pace.Stall {
+	if c.now.Mono.Sub(c.round()) > c.pace.Stall && c.now.Mono.Sub(c.peer(c.self.ID).heard) > c.pace.Stall {
 		c.retire()
 		return
 	}
--- a/internal/raft/roll.go
+++ b/internal/raft/roll.go
@@ -20,7 +20,7 @@
 	idle  = 30 * time.Second
 )
 
-var table = map[string]func(*Core, wire.Note){
+var table = map[string]func(*Core, wire.Message){
 	wire.Found:   wire.On((*Core).onFound),
 	wire.Join:    wire.On((*Core).onJoin),
 	wire.Ballot:  wire.On((*Core).onBallot),
@@ -33,7 +33,7 @@
 }
 
 // Take handles a note; false when it is not one for this machine.
-func (c *Core) Take(now types.Now, n wire.Note) bool {
+func (c *Core) Take(now types.Now, n wire.Message) bool {
 	c.now = now
 	f, ok := table[n.Kind]
 	if ok && c.role != out {
@@ -69,7 +69,7 @@
 func (c *Core) change(r Roll) {
 	c.append(Entry{Roll: r})
 	for _, m := range r {
-		c.mate(m.ID)
+		c.peer(m.ID)
 	}
 }
 
@@ -87,7 +87,7 @@
 	if m.ID == c.self.ID {
 		return 0
 	}
-	return c.now.Mono.Sub(c.mate(m.ID).heard)
+	return c.now.Mono.Sub(c.peer(m.ID).heard)
 }
 
 // ready is true for a member that answers now and has nearly all of the log.
@@ -95,7 +95,7 @@
 	if m.ID == c.self.ID {
 		return true
 	}
-	t := c.mate(m.ID)
+	t := c.peer(m.ID)
 	return c.quiet(m) < c.pace.Stall && t.match+gap >= c.commit && t.match > 0
 }
 
@@ -143,14 +143,14 @@
 	return Member{}, false
 }
 
-// dead is the voter that a guest replaces: the one of its locality that has been
+// dead is the voter that a guest replaces: the one of its zone that has been
 // silent longest, for long enough; and where there are as many voters as may be, any
 // that has been silent for much longer.
 func (c *Core) dead(m Member) (worst Member, ok bool) {
 	full := !m.Vote && c.roll.Votes() >= most
 	for _, v := range c.roll {
 		q := c.quiet(v)
-		gone := v.Loc == m.Loc && q > c.pace.Dead || full && q > idle
+		gone := v.Zone == m.Zone && q > c.pace.Dead || full && q > idle
 		if v.Vote && v.ID != m.ID && gone && (!ok || q > c.quiet(worst)) {
 			worst, ok = v, true
 		}
@@ -158,10 +158,10 @@
 	return
 }
 
-// doubt is true while a voter of a guest's locality is silent: it may be the one
+// doubt is true while a voter of a guest's zone is silent: it may be the one
 // that the guest replaces, or be back soon.
 func (c *Core) doubt(m Member) bool {
-	return slices.ContainsFunc(c.roll, func(v Member) bool { return v.Vote && v.Loc == m.Loc && c.quiet(v) > c.pace.Least })
+	return slices.ContainsFunc(c.roll, func(v Member) bool { return v.Vote && v.Zone == m.Zone && c.quiet(v) > c.pace.Least })
 }
 
 // replace strikes off one that is gone, for a member that is no guest from then on.
--- a/internal/server/door_test.go
+++ b/internal/server/door_test.go
@@ -26,7 +26,7 @@
 	t.Cleanup(stop)
 	post := NewPost(ctx, "")
 	o := NewOwner(post, nil)
-	m := gateway.New(Now(), rand.New(rand.NewSource(1)), gateway.Place{Addr: "127.0.0.1:9", Loc: "z"})
+	m := gateway.New(Now(), rand.New(rand.NewSource(1)), gateway.Place{Addr: "127.0.0.1:9", Zone: "z"})
 	o.Carry(m)
 	o.Show = func() any { return m.Status() }
 	p := &Pages{Owner: o, Post: post, Trail: m.Trail, Ready: func() bool { return false }}
@@ -121,7 +121,7 @@
 	is := is.New(t)
 	o := NewOwner(nil, nil) // nobody takes from it
 	for range inbox {
-		is.True(o.Note(wire.Note{}))
+		is.True(o.Message(wire.Message{}))
 	}
 	a := o.Ask(context.Background(), "job.get", "a", nil)
 	is.Equal(a.Fault.Kind, apierror.Crowd)
--- a/internal/server/entry.go
+++ b/internal/server/entry.go
@@ -32,7 +32,7 @@
 // Publish puts a table in place of the last, for all requests from now on.
 func (e *Entry) Publish(t config.Table, fresh bool) {
 	h := e.held.Load()
-	if h != nil && h.table.Edition == t.Edition && h.fresh == fresh {
+	if h != nil && h.table.Version == t.Version && h.fresh == fresh {
 		return
 	}
 	n := &held{t, fresh, map[types.Queue]bool{}}
--- a/internal/server/owner.go
+++ b/internal/server/owner.go
@@ -74,9 +74,9 @@
 }
 
 // Note gives the machine a message; false when its inbox is full.
-func (o *Owner) Note(n wire.Note) bool {
+func (o *Owner) Message(n wire.Message) bool {
 	select {
-	case o.in <- event{Event: wire.Event{Note: &n}}:
+	case o.in <- event{Event: wire.Event{Message: &n}}:
 		return true
 	default:
 		o.full.Add(1)
--- a/internal/server/pages.go
+++ b/internal/server/pages.go
@@ -34,7 +34,7 @@
 // Router makes the routes that all daemons share.
 func (p *Pages) Router() *mux.Router {
 	r := mux.NewRouter().UseEncodedPath()
-	r.HandleFunc("/mate", p.mate).Methods(http.MethodPost)
+	r.HandleFunc("/mate", p.peer).Methods(http.MethodPost)
 	r.HandleFunc("/live", func(w http.ResponseWriter, _ *http.Request) { write(w, 200, []byte(`{"live":true}`)) }).Methods(http.MethodGet)
 	r.HandleFunc("/ready", p.ready).Methods(http.MethodGet)
 	r.HandleFunc("/metrics", p.metrics).Methods(http.MethodGet)
@@ -140,18 +140,18 @@
 	return v["id"]
 }
 
-func (p *Pages) mate(w http.ResponseWriter, q *http.Request) {
+func (p *Pages) peer(w http.ResponseWriter, q *http.Request) {
 	b, ok := Read(w, q, wal.MaxLen)
 	if !ok {
 		return
 	}
-	var list []wire.Note
+	var list []wire.Message
 	if json.Unmarshal(b, &list) != nil {
 		Fail(w, apierror.New(apierror.BadBody, "", "not a list of notes"))
 		return
 	}
 	for _, n := range list {
-		if !p.Owner.Note(n) {
+		if !p.Owner.Message(n) {
 			Fail(w, apierror.New(apierror.Crowd, "", "inbox full"))
 			return
 		}
--- a/internal/server/post.go
+++ b/internal/server/post.go
@@ -1,4 +1,4 @@
-// Outgoing messages: one queue and one connection for each mate, what waits in
+// Outgoing messages: one queue and one connection for each peer, what waits in
 // a queue shares a request, and what does not get through is dropped, since the
 // machines repeat whatever matters.
 package server
@@ -22,7 +22,7 @@
 	heavy = 2 << 20
 	share = 128
 	bulk  = 256 << 10
-	dial  = 300 * time.Millisecond // for a connection; a mate without power says nothing
+	dial  = 300 * time.Millisecond // for a connection; a peer without power says nothing
 	limit = 500 * time.Millisecond // for a request, and more for its size
 	slow  = 200                    // bytes a millisecond, of a thin link
 	lanes = 4000
@@ -39,16 +39,16 @@
 	Dropped atomic.Uint64
 }
 
-// lane is what waits for one mate, oldest first. It holds so many bytes at most;
+// lane is what waits for one peer, oldest first. It holds so many bytes at most;
 // the oldest go first then, since newer ones say the same or more.
 type lane struct {
 	mu   sync.Mutex
-	list []wire.Note
+	list []wire.Message
 	size int
 	wake chan struct{}
 }
 
-func (l *lane) put(n wire.Note) (dropped int) {
+func (l *lane) put(n wire.Message) (dropped int) {
 	l.mu.Lock()
 	l.list = append(l.list, n)
 	l.size += len(n.Body)
@@ -66,7 +66,7 @@
 }
 
 // take gives what fits into one request.
-func (l *lane) take() (group []wire.Note) {
+func (l *lane) take() (group []wire.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	size := 0
@@ -104,7 +104,7 @@
 		go p.run(s.To, l)
 	}
 	p.mu.Unlock()
-	p.Dropped.Add(uint64(l.put(s.Note)))
+	p.Dropped.Add(uint64(l.put(s.Message)))
 }
 
 func (p *Post) run(to types.Addr, l *lane) {
@@ -120,7 +120,7 @@
 	}
 }
 
-func (p *Post) deliver(to types.Addr, group []wire.Note) {
+func (p *Post) deliver(to types.Addr, group []wire.Message) {
 	b, err := json.Marshal(group)
 	if err != nil {
 		panic(err)
--- a/internal/server/post_test.go
+++ b/internal/server/post_test.go
@@ -9,14 +9,14 @@
 	"coppercourse/internal/wire"
 )
 
-// What waits for a mate that takes nothing is bounded in bytes, and the newest stay.
+// What waits for a peer that takes nothing is bounded in bytes, and the newest stay.
 func TestALaneHoldsSoManyBytesAndKeepsTheNewest(t *testing.T) {
 	is := is.New(t)
 	l := &lane{wake: make(chan struct{}, 1)}
 	big := bytes.Repeat([]byte("x"), 100<<10)
 	dropped := 0
 	for i := range 200 {
-		dropped += l.put(wire.Note{Kind: string(rune('a' + i%26)), Body: big})
+		dropped += l.put(wire.Message{Kind: string(rune('a' + i%26)), Body: big})
 	}
 	is.True(l.size <= heavy)
 	is.Equal(len(l.list)+dropped, 200)
@@ -30,7 +30,7 @@
 	}
 	is.Equal(l.size, 0)
 	for range 5000 {
-		l.put(wire.Note{Body: []byte("1")})
+		l.put(wire.Message{Body: []byte("1")})
 	}
 	is.Equal(len(l.list), depth)
 	is.Equal(len(l.take()), share)
--- a/internal/settings/bounds_test.go
+++ b/internal/settings/bounds_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestAnySensibleBoundsGiveASoundPace(t *testing.T) {
+func TestAnySensibleBoundsGiveAHealthyPace(t *testing.T) {
 	rnd := rand.New(rand.NewSource(1))
 	pick := func(least, most int) int {
 		if rnd.Intn(8) == 0 {
--- a/internal/settings/place.go
+++ b/internal/settings/place.go
@@ -20,7 +20,7 @@
 	Listen   string
 	Address  string
 	Source   string
-	Locality string
+	Zone     string
 	Seeds    []string
 	Data     string
 	Shard    string
@@ -60,7 +60,7 @@
 		"listen":    config.Text(r, &s.Listen, any),
 		"address":   config.Text(r, &s.Address, any),
 		"source":    config.Text(r, &s.Source, any),
-		"locality":  config.Text(r, &s.Locality, any),
+		"locality":  config.Text(r, &s.Zone, any),
 		"data":      config.Text(r, &s.Data, any),
 		"shard":     config.Text(r, &s.Shard, any),
 		"log":       config.Text(r, &s.Log, any),
@@ -104,7 +104,7 @@
 		_, err := netip.ParseAddr(s.Source)
 		heap.Check(err == nil, "source", "want an IP number")
 	}
-	bad := config.Name(s.Locality)
+	bad := config.Name(s.Zone)
 	heap.Check(bad == "", "locality", bad)
 	heap.Check(len(s.Seeds) > 0, "seeds", "missing: give the addresses of up to three other daemons")
 	for i, a := range s.Seeds {
@@ -174,5 +174,5 @@
 	return
 }
 
-func (s Settings) Loc() types.Locality    { return types.Locality(s.Locality) }
+func (s Settings) ZoneName() types.Zone   { return types.Zone(s.Zone) }
 func (s Settings) ShardName() types.Shard { return types.Shard(s.Shard) }
--- a/internal/settings/place_test.go
+++ b/internal/settings/place_test.go
@@ -10,7 +10,7 @@
 	"coppercourse/internal/apierror"
 )
 
-func TestDefaultsAreSound(t *testing.T) {
+func TestDefaultsAreHealthy(t *testing.T) {
 	is := is.New(t)
 	for role, more := range map[string]string{"controller": `,"data":"d"`, "gateway": ``, "agent": `,"shard":"k1"`} {
 		s, h := Defaults(), &apierror.Heap{}
--- a/internal/state/heat.go
+++ b/internal/state/heat.go
@@ -15,7 +15,7 @@
 	Stage types.Stage
 	Tasks []int
 	From  types.Tick           // when the job was accepted, or the stage's time came
-	Shun  map[types.Shard]bool // workers where legs of these stalled or failed
+	Shun  map[types.Shard]bool // workers where attempts of these stalled or failed
 }
 
 // Heat is what a round needs to know of a job.
@@ -24,7 +24,7 @@
 	Running int
 	Cores   types.Cores
 	Left    []int // tasks of each step that have not ended well, of the times that have come
-	Doomed  []types.Leg
+	Doomed  []types.Attempt
 	Spent   []End
 	until   types.Tick // from then on something more may start
 }
@@ -33,8 +33,8 @@
 
 // Heat gives a job's as of now.
 func (s *State) Heat(j *Job, now types.Tick) *Heat {
-	if j.hot == nil || now >= j.hot.until || s.Off != j.off || s.Table.Edition != j.row {
-		j.hot, j.off, j.row = j.heat(s.row(j.Queue), now, s.Off), s.Off, s.Table.Edition
+	if j.hot == nil || now >= j.hot.until || s.Off != j.off || s.Table.Version != j.row {
+		j.hot, j.off, j.row = j.heat(s.row(j.Queue), now, s.Off), s.Off, s.Table.Version
 	}
 	return j.hot
 }
