--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -1,6 +1,6 @@
-// The job as an aggregate: its tasks, the legs given out for them, and the
+// The job as an aggregate: its tasks, the attempts given out for them, and the
 // rules by which ends move it on. A job is shown ended only when none of its
-// legs can be running.
+// attempts can be running.
 package state
 
 import (
@@ -24,27 +24,27 @@
 
 // Job is one accepted job.
 type Job struct {
-	ID     types.JobID          `json:"id"`
-	Seq    uint64               `json:"seq"`
-	Hash   string               `json:"hash"`
-	Queue  types.Queue          `json:"queue"`
-	At     types.Tick           `json:"at"`
-	Wall   types.Wall           `json:"wall"`
-	State  Stage                `json:"state"`
-	Why    string               `json:"why,omitempty"`
-	Spec   *Spec                `json:"spec,omitempty"`
-	Tasks  []Task               `json:"tasks,omitempty"`
-	Broken map[types.Stage]bool `json:"broken,omitempty"`
-	Halt   bool                 `json:"halt,omitempty"`
-	End    types.Tick           `json:"end,omitempty"`
-	Size   int                  `json:"size"`
-	Bytes  int                  `json:"bytes"`
-	Fine   int                  `json:"fine"`
-	Legs   int                  `json:"legs"`
-	shot   uint64
-	hot    *Heat
-	off    types.Wall // as of which the heat is
-	row    types.Edition
+	ID       types.JobID          `json:"id"`
+	Seq      uint64               `json:"seq"`
+	Hash     string               `json:"hash"`
+	Queue    types.Queue          `json:"queue"`
+	At       types.Tick           `json:"at"`
+	Wall     types.Wall           `json:"wall"`
+	State    Stage                `json:"state"`
+	Why      string               `json:"why,omitempty"`
+	Spec     *Spec                `json:"spec,omitempty"`
+	Tasks    []Task               `json:"tasks,omitempty"`
+	Broken   map[types.Stage]bool `json:"broken,omitempty"`
+	Halt     bool                 `json:"halt,omitempty"`
+	End      types.Tick           `json:"end,omitempty"`
+	Size     int                  `json:"size"`
+	Bytes    int                  `json:"bytes"`
+	Fine     int                  `json:"fine"`
+	Attempts int                  `json:"legs"`
+	shot     uint64
+	hot      *Heat
+	off      types.Wall // as of which the heat is
+	row      types.Version
 }
 
 // Over is true once the job has ended for good.
@@ -129,9 +129,9 @@
 	return
 }
 
-// Doomed lists the legs that are out and must be stopped: the job is ending,
-// the task is done by another leg, or a mate of the gang ended badly.
-func (j *Job) Doomed() (list []types.Leg) {
+// Doomed lists the attempts that are out and must be stopped: the job is ending,
+// the task is done by another attempt, or a peer of the gang ended badly.
+func (j *Job) Doomed() (list []types.Attempt) {
 	if j.Over() {
 		return nil
 	}
@@ -140,7 +140,7 @@
 			t := &part[i]
 			for _, o := range t.Outs() {
 				if j.State == Ending || t.Done || o.Back != "" || j.Broken[at] {
-					list = append(list, types.Leg{Task: types.Task{Job: j.ID, N: at.No(i)}, Leg: o.Leg})
+					list = append(list, types.Attempt{Task: types.Task{Job: j.ID, N: at.No(i)}, Attempt: o.Attempt})
 				}
 			}
 		}
@@ -153,51 +153,51 @@
 	return j.State == Open && t != nil && t.Out == nil && !t.Done && !t.Dead && t.Ready <= now && !t.spent(row)
 }
 
-// give hands out the next leg of a task, if the task may still have one. The
+// give hands out the next attempt of a task, if the task may still have one. The
 // members of a gang are given the same number, which leaves some out.
 func (j *Job) give(n, least int, shard types.Shard, row config.Row, now types.Tick) bool {
 	t := j.Task(n)
 	if !j.may(t, row, now) {
 		return false
 	}
-	t.Leg = max(t.Leg+1, least)
+	t.Attempt = max(t.Attempt+1, least)
 	t.Doubt = ""
-	j.Legs++
-	t.Out = &Out{Leg: t.Leg, Shard: shard, At: now}
+	j.Attempts++
+	t.Out = &Out{Attempt: t.Attempt, Shard: shard, At: now}
 	return true
 }
 
-// copy hands out a second leg beside the first, where the step allows that.
+// copy hands out a second attempt beside the first, where the step allows that.
 func (j *Job) copy(n int, shard types.Shard, row config.Row, now types.Tick) bool {
 	t := j.Task(n)
 	if j.State != Open || t == nil || t.Done || t.Dead || t.Out == nil || t.Copy != nil || t.spent(row) ||
 		t.Out.Shard == shard || !j.Spec.Steps[types.StageOf(n).Step()].Copies {
 		return false
 	}
-	t.Leg++
-	j.Legs++
-	t.Copy = &Out{Leg: t.Leg, Shard: shard, At: now}
+	t.Attempt++
+	j.Attempts++
+	t.Copy = &Out{Attempt: t.Attempt, Shard: shard, At: now}
 	return true
 }
 
-// end takes a leg's end. A late one, of a leg already counted lost, matters
+// end takes an attempt's end. A late one, of an attempt already counted lost, matters
 // only if it ended well.
 func (j *Job) end(e End, row config.Row, now types.Tick) {
-	leg, f := e.Leg.Leg, e.Fate
+	attempt, f := e.Attempt.Attempt, e.Outcome
 	if j.Over() {
 		return
 	}
-	t := j.Task(e.Leg.N)
-	if t == nil || leg <= t.Shut && t.On(leg) == nil {
+	t := j.Task(e.Attempt.N)
+	if t == nil || attempt <= t.Shut && t.On(attempt) == nil {
 		return
 	}
-	at := types.StageOf(e.Leg.N)
+	at := types.StageOf(e.Attempt.N)
 	p := &j.Spec.Steps[at.Step()]
-	mine := t.On(leg)
+	mine := t.On(attempt)
 	if p.Lasts && f == OK {
 		f = Gone
 	}
-	if f == OK && leg <= t.Leg {
+	if f == OK && attempt <= t.Attempt {
 		j.fine(t)
 		if p.Joint {
 			for i := range j.Part(at) {
@@ -205,37 +205,37 @@
 			}
 		}
 	}
-	late := slices.Index(t.Limbo, leg)
+	late := slices.Index(t.Limbo, attempt)
 	switch {
 	case mine != nil:
 		from := mine.Shard
-		t.drop(leg)
+		t.drop(attempt)
 		if f.doubtful() && !t.Done {
-			t.Doubt, t.Limbo = from, append(t.Limbo, leg)
+			t.Doubt, t.Limbo = from, append(t.Limbo, attempt)
 		}
 		if f == Lapsed {
-			t.Shut = max(t.Shut, leg)
+			t.Shut = max(t.Shut, attempt)
 		}
 		j.save(p, at, t, e.Ref)
 		if f == Bad {
 			t.Shun = from
 		}
-		j.count(at, t, leg, f, row, now)
+		j.count(at, t, attempt, f, row, now)
 	case late >= 0 && f == Waited:
-		if t.Leg == leg && t.Ready <= now {
+		if t.Attempt == attempt && t.Ready <= now {
 			t.Doubt = ""
 			j.judge(t, row)
 		}
 	case late >= 0 && !f.doubtful():
 		t.Limbo = slices.Delete(t.Limbo, late, late+1)
-		if t.Leg == leg {
+		if t.Attempt == attempt {
 			t.Doubt, t.Ready = "", now
 			if f == Gone {
 				t.Ready = now.Add(rest(p, t, row))
 			}
 		}
 		if f == Bad {
-			j.fail(at, t, leg, row, now)
+			j.fail(at, t, attempt, row, now)
 		}
 		j.judge(t, row)
 	}
@@ -250,7 +250,7 @@
 	}
 }
 
-// save keeps what a leg saved, for the next to go on from; any member's is good
+// save keeps what an attempt saved, for the next to go on from; any member's is good
 // for its whole gang, and all must have the same.
 func (j *Job) save(p *Step, at types.Stage, t *Task, ref string) {
 	if ref == "" || !p.Keeps {
@@ -264,10 +264,10 @@
 	}
 }
 
-func (j *Job) count(at types.Stage, t *Task, leg int, f Fate, row config.Row, now types.Tick) {
+func (j *Job) count(at types.Stage, t *Task, attempt int, f Outcome, row config.Row, now types.Tick) {
 	switch f {
 	case Bad:
-		j.fail(at, t, leg, row, now)
+		j.fail(at, t, attempt, row, now)
 	case Lost:
 		j.lose(at, t, row, now, row.Wait())
 	case Cut:
@@ -306,7 +306,7 @@
 
 // fail counts a failure against the queue's tries; a gang fails as one, once
 // with each number that its members had.
-func (j *Job) fail(at types.Stage, t *Task, leg int, row config.Row, now types.Tick) {
+func (j *Job) fail(at types.Stage, t *Task, attempt int, row config.Row, now types.Tick) {
 	p := &j.Spec.Steps[at.Step()]
 	if p.Lasts {
 		t.Ready = now.Add(row.Pause(1))
@@ -317,14 +317,14 @@
 		all = all[:0]
 		for i := range j.Part(at) {
 			m := &j.Part(at)[i]
-			if m.Bad == leg {
+			if m.Bad == attempt {
 				return
 			}
 			all = append(all, m)
 		}
 	}
 	for _, m := range all {
-		m.Bad = leg
+		m.Bad = attempt
 		m.Fails++
 		if m.Doubt == "" {
 			m.Ready = now.Add(row.Pause(m.Fails))
@@ -333,7 +333,7 @@
 	}
 }
 
-// judge ends a task whose tries are spent, unless a lost leg of it may still
+// judge ends a task whose tries are spent, unless a lost attempt of it may still
 // turn out to have ended well.
 func (j *Job) judge(t *Task, row config.Row) {
 	if t.Done || t.Dead || t.Doubt != "" {
@@ -356,12 +356,12 @@
 	return -1
 }
 
-// Spent lists the lost legs of tasks that have no try left, whose ends have
+// Spent lists the lost attempts of tasks that have no try left, whose ends have
 // been waited for as long as the queue says.
 func (j *Job) Spent(row config.Row, now types.Tick) (list []End) {
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; j.State == Open && t.Out == nil && t.Doubt != "" && !t.Done && t.spent(row) && t.Ready <= now {
-			list = append(list, End{Leg: types.Leg{Task: types.Task{Job: j.ID, N: j.Spec.No(i)}, Leg: t.Leg}, Fate: Waited})
+			list = append(list, End{Attempt: types.Attempt{Task: types.Task{Job: j.ID, N: j.Spec.No(i)}, Attempt: t.Attempt}, Outcome: Waited})
 		}
 	}
 	return
--- a/internal/state/marks_test.go
+++ b/internal/state/marks_test.go
@@ -28,10 +28,10 @@
 // finish takes a job in and ends it well.
 func (s *State) finish(at types.Tick, id string) {
 	s.must(at, quick(id, 1))
-	l := types.Leg{Task: types.Task{Job: types.JobID(id)}}
-	s.must(at, Fact{Legs: []Give{{Leg: l, Shard: "k"}}})
-	l.Leg = 1
-	s.must(at, Fact{Ends: []End{{Leg: l, Fate: OK}}})
+	l := types.Attempt{Task: types.Task{Job: types.JobID(id)}}
+	s.must(at, Fact{Attempts: []Give{{Attempt: l, Shard: "k"}}})
+	l.Attempt = 1
+	s.must(at, Fact{Ends: []End{{Attempt: l, Outcome: OK}}})
 }
 
 func TestIdsAreRememberedForADay(t *testing.T) {
@@ -82,10 +82,10 @@
 
 func anyFact(rnd *rand.Rand, s *State) Fact {
 	id := fmt.Sprint("j", rnd.Intn(40))
-	task := func() types.Leg {
-		l := types.Leg{Task: types.Task{Job: types.JobID(id), N: rnd.Intn(4)}}
+	task := func() types.Attempt {
+		l := types.Attempt{Task: types.Task{Job: types.JobID(id), N: rnd.Intn(4)}}
 		if j := s.Jobs[l.Job]; j != nil && l.N < len(j.Tasks) {
-			l.Leg = max(0, j.Tasks[l.N].Leg-rnd.Intn(2))
+			l.Attempt = max(0, j.Tasks[l.N].Attempt-rnd.Intn(2))
 		}
 		return l
 	}
@@ -101,11 +101,11 @@
 	case 3:
 		row := s.Table.Rows[0]
 		row.Tries = 1 + rnd.Intn(4)
-		return Fact{Table: &config.Table{Edition: s.Table.Edition, Rows: []config.Row{row}}}
+		return Fact{Table: &config.Table{Version: s.Table.Version, Rows: []config.Row{row}}}
 	case 4, 5, 6:
-		return Fact{Legs: []Give{{Leg: task(), Shard: "k"}, {Leg: task(), Shard: "m", Copy: rnd.Intn(2) == 0}}}
+		return Fact{Attempts: []Give{{Attempt: task(), Shard: "k"}, {Attempt: task(), Shard: "m", Copy: rnd.Intn(2) == 0}}}
 	}
-	return Fact{Ends: []End{{Leg: task(), Fate: []Fate{OK, OK, Bad, Lost, Cut, Gone, Halted, Unrun, Waited}[rnd.Intn(9)]}}}
+	return Fact{Ends: []End{{Attempt: task(), Outcome: []Outcome{OK, OK, Bad, Lost, Cut, Gone, Halted, Unrun, Waited}[rnd.Intn(9)]}}}
 }
 
 func TestSnapshotsAndHeatAgainstTheSlowWay(t *testing.T) {
--- a/internal/state/rules.go
+++ b/internal/state/rules.go
@@ -11,10 +11,10 @@
 	"coppercourse/internal/types"
 )
 
-// Known tells whether a table is a repeat: it says just what the edition after
+// Known tells whether a table is a repeat: it says just what the version after
 // its base said.
 func (s *State) Known(t config.Table) bool {
-	return slices.Contains(s.Past, Put{t.Next().Edition, t.Hash()})
+	return slices.Contains(s.Past, Put{t.Next().Version, t.Hash()})
 }
 
 // CheckTable tells whether a table may be put now, or is a repeat.
@@ -22,11 +22,11 @@
 	if s.Known(t) {
 		return nil
 	}
-	if t.Edition != s.Table.Edition {
-		return apierror.New(apierror.Stale, "edition", fmt.Sprintf("based on edition %d, but %d is in force", t.Edition, s.Table.Edition))
+	if t.Version != s.Table.Version {
+		return apierror.New(apierror.Stale, "edition", fmt.Sprintf("based on edition %d, but %d is in force", t.Version, s.Table.Version))
 	}
-	if t.Becomes != 0 && t.Becomes <= s.Table.Edition {
-		return apierror.New(apierror.BadField, "becomes", fmt.Sprintf("edition %d is in force", s.Table.Edition))
+	if t.Becomes != 0 && t.Becomes <= s.Table.Version {
+		return apierror.New(apierror.BadField, "becomes", fmt.Sprintf("edition %d is in force", s.Table.Version))
 	}
 	for i, r := range s.Table.Rows {
 		if t.Orphans == config.Finish {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -15,18 +15,18 @@
 
 // Fact is what one log entry says; one of its fields is set.
 type Fact struct {
-	Tick   types.Tick    `json:"tick"`
-	Off    *types.Wall   `json:"off,omitempty"`
-	Table  *config.Table `json:"table,omitempty"`
-	Job    *Submit       `json:"job,omitempty"`
-	Cancel types.JobID   `json:"cancel,omitempty"`
-	Legs   []Give        `json:"legs,omitempty"`
-	Ends   []End         `json:"ends,omitempty"`
-	Shapes []Shape       `json:"shapes,omitempty"`
-	Backs  []Back        `json:"backs,omitempty"`
-	Drain  *Drain        `json:"drain,omitempty"`
-	Plan   *Plan         `json:"plan,omitempty"`
-	Gone   types.Shard   `json:"gone,omitempty"`
+	Tick     types.Tick    `json:"tick"`
+	Off      *types.Wall   `json:"off,omitempty"`
+	Table    *config.Table `json:"table,omitempty"`
+	Job      *Submit       `json:"job,omitempty"`
+	Cancel   types.JobID   `json:"cancel,omitempty"`
+	Attempts []Give        `json:"legs,omitempty"`
+	Ends     []End         `json:"ends,omitempty"`
+	Shapes   []Shape       `json:"shapes,omitempty"`
+	Backs    []Back        `json:"backs,omitempty"`
+	Drain    *Drain        `json:"drain,omitempty"`
+	Plan     *Plan         `json:"plan,omitempty"`
+	Gone     types.Shard   `json:"gone,omitempty"`
 }
 
 type Submit struct {
@@ -34,18 +34,18 @@
 	Spec Spec        `json:"spec"`
 }
 
-// Give is a leg number given out, and for which worker.
+// Give is an attempt number given out, and for which worker.
 type Give struct {
-	Leg   types.Leg   `json:"leg"`
-	Shard types.Shard `json:"shard"`
-	Copy  bool        `json:"copy,omitempty"` // beside another that is out
+	Attempt types.Attempt `json:"leg"`
+	Shard   types.Shard   `json:"shard"`
+	Copy    bool          `json:"copy,omitempty"` // beside another that is out
 }
 
-// End is how a leg ended; Ref is what it saved, if it saves anything.
+// End is how an attempt ended; Ref is what it saved, if it saves anything.
 type End struct {
-	Leg  types.Leg `json:"leg"`
-	Fate Fate      `json:"fate"`
-	Ref  string    `json:"ref,omitempty"`
+	Attempt types.Attempt `json:"leg"`
+	Outcome Outcome       `json:"fate"`
+	Ref     string        `json:"ref,omitempty"`
 }
 
 // Shape is what a worker is made of, kept so that a job that no worker could
@@ -79,10 +79,10 @@
 	shots uint64
 }
 
-// Put remembers what an edition said, so that a put repeated late is told the
-// truth: it was taken, whatever came after.
+// Put remembers what an version said, so that a put repeated late is told the
+// dispatch: it was taken, whatever came after.
 type Put struct {
-	Edition types.Edition `json:"edition"`
+	Version types.Version `json:"edition"`
 	Hash    string        `json:"hash"`
 }
 
@@ -134,21 +134,21 @@
 	return kept
 }
 
-// Doubts lists the legs lost on a shard whose true ends are still awaited.
-func (s *State) Doubts(shard types.Shard) (list []types.Leg) {
+// Doubts lists the attempts lost on a shard whose true ends are still awaited.
+func (s *State) Doubts(shard types.Shard) (list []types.Attempt) {
 	for _, j := range s.Live() {
 		for n, t := range j.Tasks {
 			if t.Doubt == shard && t.Out == nil {
-				list = append(list, types.Leg{Task: types.Task{Job: j.ID, N: j.Spec.No(n)}, Leg: t.Leg})
+				list = append(list, types.Attempt{Task: types.Task{Job: j.ID, N: j.Spec.No(n)}, Attempt: t.Attempt})
 			}
 		}
 	}
 	return
 }
 
-// Apply takes a fact. The fault is the answer to whoever proposed it; legs are
+// Apply takes a fact. The fault is the answer to whoever proposed it; attempts are
 // those that were really given out.
-func (s *State) Apply(f Fact) (legs []Give, bad *apierror.Fault) {
+func (s *State) Apply(f Fact) (attempts []Give, bad *apierror.Fault) {
 	s.Tick = max(s.Tick, f.Tick)
 	if f.Off != nil {
 		s.Off = *f.Off
@@ -159,7 +159,7 @@
 		if bad == nil && !s.Known(*f.Table) {
 			s.retire(s.Table, *f.Table)
 			s.Table = f.Table.Next()
-			s.Past = append(s.Past, Put{s.Table.Edition, s.Table.Hash()})
+			s.Past = append(s.Past, Put{s.Table.Version, s.Table.Hash()})
 			s.Past = s.Past[max(0, len(s.Past)-puts):]
 			s.judge()
 		}
@@ -173,13 +173,13 @@
 		bad = s.plan(*f.Plan)
 	case f.Gone != "":
 		for _, l := range s.Doubts(f.Gone) {
-			s.end(End{Leg: l, Fate: Gone})
+			s.end(End{Attempt: l, Outcome: Gone})
 		}
 	}
 	for _, b := range f.Backs {
 		s.back(b)
 	}
-	legs = s.give(f.Legs)
+	attempts = s.give(f.Attempts)
 	for _, e := range f.Ends {
 		s.end(e)
 	}
@@ -190,37 +190,37 @@
 	return
 }
 
-// give hands out legs; a gang of a joint step is given whole or not at all.
-func (s *State) give(list []Give) (legs []Give) {
+// give hands out attempts; a gang of a joint step is given whole or not at all.
+func (s *State) give(list []Give) (attempts []Give) {
 	type gang struct {
 		job types.JobID
 		at  types.Stage
 	}
 	part := map[gang]int{}
 	for _, g := range list {
-		if j := s.live[g.Leg.Job]; j != nil && j.may(j.Task(g.Leg.N), s.row(j.Queue), s.Tick) {
-			part[gang{j.ID, types.StageOf(g.Leg.N)}]++
+		if j := s.live[g.Attempt.Job]; j != nil && j.may(j.Task(g.Attempt.N), s.row(j.Queue), s.Tick) {
+			part[gang{j.ID, types.StageOf(g.Attempt.N)}]++
 		}
 	}
 	for _, g := range list {
-		j := s.live[g.Leg.Job]
-		if j == nil || j.Task(g.Leg.N) == nil {
+		j := s.live[g.Attempt.Job]
+		if j == nil || j.Task(g.Attempt.N) == nil {
 			continue
 		}
-		at := types.StageOf(g.Leg.N)
+		at := types.StageOf(g.Attempt.N)
 		if p := j.Spec.Steps[at.Step()]; p.Joint && part[gang{j.ID, at}] < p.Tasks {
 			continue
 		}
 		s.touch(j)
 		row, ok := s.row(j.Queue), false
 		if g.Copy {
-			ok = j.copy(g.Leg.N, g.Shard, row, s.Tick)
+			ok = j.copy(g.Attempt.N, g.Shard, row, s.Tick)
 		} else {
-			ok = j.give(g.Leg.N, g.Leg.Leg, g.Shard, row, s.Tick)
+			ok = j.give(g.Attempt.N, g.Attempt.Attempt, g.Shard, row, s.Tick)
 		}
 		if ok {
-			g.Leg.Leg = j.Task(g.Leg.N).Leg
-			legs = append(legs, g)
+			g.Attempt.Attempt = j.Task(g.Attempt.N).Attempt
+			attempts = append(attempts, g)
 		}
 	}
 	return
@@ -265,14 +265,14 @@
 }
 
 func (s *State) end(e End) {
-	j := s.live[e.Leg.Job]
+	j := s.live[e.Attempt.Job]
 	if j == nil {
 		return
 	}
 	switch c := s.count(j.Queue); {
-	case e.Fate == Bad:
+	case e.Outcome == Bad:
 		c.Bad++
-	case e.Fate.doubtful() || e.Fate == Gone:
+	case e.Outcome.doubtful() || e.Outcome == Gone:
 		c.Lost++
 	}
 	s.touch(j)
--- a/internal/state/store_test.go
+++ b/internal/state/store_test.go
@@ -33,27 +33,29 @@
 	return s
 }
 
-func leg(n, l int) types.Leg { return types.Leg{Task: types.Task{Job: "j", N: n}, Leg: l} }
+func attempt(n, l int) types.Attempt {
+	return types.Attempt{Task: types.Task{Job: "j", N: n}, Attempt: l}
+}
 
 func (s *State) must(at types.Tick, f Fact) []Give {
 	f.Tick = at
-	legs, _ := s.Apply(f)
-	return legs
+	attempts, _ := s.Apply(f)
+	return attempts
 }
 
-func give(n int) []Give         { return []Give{{Leg: leg(n, 0), Shard: "k"}} }
-func end(n, l int, f Fate) Fact { return Fact{Ends: []End{{Leg: leg(n, l), Fate: f}}} }
+func give(n int) []Give            { return []Give{{Attempt: attempt(n, 0), Shard: "k"}} }
+func end(n, l int, f Outcome) Fact { return Fact{Ends: []End{{Attempt: attempt(n, l), Outcome: f}}} }
 
-func TestLegNumbersAndTries(t *testing.T) {
+func TestAttemptNumbersAndTries(t *testing.T) {
 	is := is.New(t)
 	s := town(t)
 	s.must(sec, Fact{Job: &Submit{"j", read(t, `{"queue":"q","steps":[{"name":"a","kind":"x","tasks":2}]}`)}})
-	is.Equal(s.must(2*sec, Fact{Legs: give(0)})[0].Leg.Leg, 1)
-	is.Equal(len(s.must(2*sec, Fact{Legs: give(0)})), 0) // one leg at a time
+	is.Equal(s.must(2*sec, Fact{Attempts: give(0)})[0].Attempt.Attempt, 1)
+	is.Equal(len(s.must(2*sec, Fact{Attempts: give(0)})), 0) // one attempt at a time
 	s.must(2*sec, end(0, 1, Bad))
-	is.Equal(len(s.must(2*sec, Fact{Legs: give(0)})), 0) // it rests first
-	is.Equal(s.must(9*sec, Fact{Legs: give(0)})[0].Leg.Leg, 2)
-	s.must(9*sec, Fact{Legs: give(1)})
+	is.Equal(len(s.must(2*sec, Fact{Attempts: give(0)})), 0) // it rests first
+	is.Equal(s.must(9*sec, Fact{Attempts: give(0)})[0].Attempt.Attempt, 2)
+	s.must(9*sec, Fact{Attempts: give(1)})
 	s.must(9*sec, end(0, 2, Bad))
 	j := s.Jobs["j"]
 	is.Equal(j.State, Ending) // failed, but the other task still runs
@@ -63,30 +65,30 @@
 	is.Equal(s.Held("q"), 0)
 }
 
-func TestLateEndsOfLostLegs(t *testing.T) {
+func TestLateEndsOfLostAttempts(t *testing.T) {
 	is := is.New(t)
 	s := town(t)
 	s.must(sec, Fact{Job: &Submit{"j", read(t, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)}})
 	j := s.Jobs["j"]
-	s.must(2*sec, Fact{Legs: give(0)})
+	s.must(2*sec, Fact{Attempts: give(0)})
 	s.must(3*sec, end(0, 1, Lost))
-	is.Equal(s.Doubts("k"), []types.Leg{leg(0, 1)})
-	is.Equal(len(s.must(4*sec, Fact{Legs: give(0)})), 0) // within the queue's patience
-	is.Equal(len(s.must(9*sec, Fact{Legs: give(0)})), 1) // past it
+	is.Equal(s.Doubts("k"), []types.Attempt{attempt(0, 1)})
+	is.Equal(len(s.must(4*sec, Fact{Attempts: give(0)})), 0) // within the queue's patience
+	is.Equal(len(s.must(9*sec, Fact{Attempts: give(0)})), 1) // past it
 	s.must(9*sec, end(0, 1, Bad))
 	is.Equal(j.Tasks[0].Fails, 1) // a failure told late counts
 	s.must(9*sec, end(0, 1, Bad))
 	is.Equal(j.Tasks[0].Fails, 1) // once
 	s.must(10*sec, end(0, 2, Lost))
-	s.must(17*sec, Fact{Legs: give(0)})
-	s.must(18*sec, end(0, 2, OK)) // ended well after all: the newer leg is stopped
+	s.must(17*sec, Fact{Attempts: give(0)})
+	s.must(18*sec, end(0, 2, OK)) // ended well after all: the newer attempt is stopped
 	is.Equal(j.State, Ending)
-	is.Equal(j.Doomed(), []types.Leg{leg(0, 3)})
+	is.Equal(j.Doomed(), []types.Attempt{attempt(0, 3)})
 	s.must(18*sec, end(0, 3, Halted))
 	is.Equal(j.State, Done)
 }
 
-// A job whose tries are spent waits for a lost leg that may have ended well,
+// A job whose tries are spent waits for a lost attempt that may have ended well,
 // for as long as the queue's patience, and a new table's tries count at once.
 func TestSpentTriesWaitForDoubt(t *testing.T) {
 	is := is.New(t)
@@ -96,24 +98,24 @@
 		at   types.Tick
 		want Stage
 	}{
-		{"it ended well", End{Leg: leg(0, 2), Fate: OK}, 17 * sec, Done},
-		{"it failed too", End{Leg: leg(0, 2), Fate: Bad}, 17 * sec, Failed},
-		{"too early to give up", End{Leg: leg(0, 2), Fate: Waited}, 17 * sec, Open},
-		{"nobody ever told", End{Leg: leg(0, 2), Fate: Waited}, 30 * sec, Failed},
+		{"it ended well", End{Attempt: attempt(0, 2), Outcome: OK}, 17 * sec, Done},
+		{"it failed too", End{Attempt: attempt(0, 2), Outcome: Bad}, 17 * sec, Failed},
+		{"too early to give up", End{Attempt: attempt(0, 2), Outcome: Waited}, 17 * sec, Open},
+		{"nobody ever told", End{Attempt: attempt(0, 2), Outcome: Waited}, 30 * sec, Failed},
 	} {
 		s := town(t)
 		row := s.Table.Rows[0]
 		s.must(sec, Fact{Job: &Submit{"j", read(t, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)}})
-		s.must(2*sec, Fact{Legs: give(0)})
+		s.must(2*sec, Fact{Attempts: give(0)})
 		s.must(3*sec, end(0, 1, Lost))
-		s.must(9*sec, Fact{Legs: give(0)})
+		s.must(9*sec, Fact{Attempts: give(0)})
 		s.must(15*sec, end(0, 2, Lost))
 		row.Tries = 1
-		s.must(16*sec, Fact{Table: &config.Table{Edition: 1, Rows: []config.Row{row}}})
+		s.must(16*sec, Fact{Table: &config.Table{Version: 1, Rows: []config.Row{row}}})
 		s.must(16*sec, end(0, 1, Bad)) // told late: the only try is spent
 		j := s.Jobs["j"]
-		is.Equal(j.State, Open) // leg 2 may have ended well
-		is.Equal(len(s.must(29*sec, Fact{Legs: give(0)})), 0)
+		is.Equal(j.State, Open) // attempt 2 may have ended well
+		is.Equal(len(s.must(29*sec, Fact{Attempts: give(0)})), 0)
 		is.Equal(len(j.Spent(row, 29*sec)), 1)
 		s.Tick = c.at
 		s.must(c.at, Fact{Ends: []End{c.last}})
@@ -121,15 +123,15 @@
 	}
 }
 
-// A leg lost with its whole locality is waited for much longer.
-func TestCutLegsWaitForTheLink(t *testing.T) {
+// An attempt lost with its whole zone is waited for much longer.
+func TestCutAttemptsWaitForTheLink(t *testing.T) {
 	is := is.New(t)
 	s := town(t)
 	s.Table.Rows[0].CutMS = 3_600_000
 	s.must(sec, Fact{Job: &Submit{"j", read(t, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)}})
-	s.must(2*sec, Fact{Legs: give(0)})
+	s.must(2*sec, Fact{Attempts: give(0)})
 	s.must(3*sec, end(0, 1, Cut))
-	is.Equal(len(s.must(600*sec, Fact{Legs: give(0)})), 0)
+	is.Equal(len(s.must(600*sec, Fact{Attempts: give(0)})), 0)
 	s.must(601*sec, end(0, 1, OK)) // the link is back, and the end is told
 	is.Equal(s.Jobs["j"].State, Done)
 }
@@ -140,12 +142,12 @@
 	s.must(sec, Fact{Job: &Submit{"j", read(t, `{"queue":"q","steps":[{"name":"a","kind":"x","tasks":3,"gang":true}]}`)}})
 	j := s.Jobs["j"]
 	for n := range 3 {
-		s.must(2*sec, Fact{Legs: give(n)})
+		s.must(2*sec, Fact{Attempts: give(n)})
 	}
 	s.must(3*sec, end(0, 1, OK))
 	is.Equal(len(j.Doomed()), 0) // one that ended well leaves nobody alone
 	s.must(3*sec, end(1, 1, Gone))
-	is.Equal(j.Doomed(), []types.Leg{leg(2, 1)})
+	is.Equal(j.Doomed(), []types.Attempt{attempt(2, 1)})
 	s.must(3*sec, end(2, 1, Halted))
 	is.Equal(len(j.Broken), 0)
 	is.True(j.Tasks[0].Done) // and does not go again
@@ -155,10 +157,10 @@
 	is := is.New(t)
 	s := town(t)
 	s.must(sec, Fact{Job: &Submit{"j", read(t, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)}})
-	s.must(2*sec, Fact{Legs: give(0)})
+	s.must(2*sec, Fact{Attempts: give(0)})
 	s.must(2*sec, Fact{Cancel: "j"})
 	is.Equal(s.Jobs["j"].State, Ending)
-	is.Equal(len(s.must(3*sec, Fact{Legs: give(0)})), 0)
+	is.Equal(len(s.must(3*sec, Fact{Attempts: give(0)})), 0)
 	s.must(3*sec, end(0, 1, Lost))
 	is.Equal(s.Jobs["j"].State, Stopped)
 	_, bad := s.Apply(Fact{Tick: 4 * sec, Cancel: "j"})
@@ -172,22 +174,22 @@
 	s := town(t)
 	row := s.Table.Rows[0]
 	row.Weight = 7
-	mine := config.Table{Edition: 1, Rows: []config.Row{row}}
+	mine := config.Table{Version: 1, Rows: []config.Row{row}}
 	row.Weight = 9
-	theirs := config.Table{Edition: 1, Rows: []config.Row{row}}
+	theirs := config.Table{Version: 1, Rows: []config.Row{row}}
 	_, bad := s.Apply(Fact{Tick: sec, Table: &mine})
 	is.True(bad == nil)
 	_, bad = s.Apply(Fact{Tick: sec, Table: &theirs})
 	is.Equal(bad.Kind, apierror.Stale) // the loser is told so
-	theirs.Edition = 2
+	theirs.Version = 2
 	_, bad = s.Apply(Fact{Tick: sec, Table: &theirs})
 	is.True(bad == nil)
 	_, bad = s.Apply(Fact{Tick: sec, Table: &mine})
-	is.True(bad == nil) // a repeat of what was taken is told the truth, however late
-	is.Equal(s.Table.Edition, types.Edition(3))
+	is.True(bad == nil) // a repeat of what was taken is told the dispatch, however late
+	is.Equal(s.Table.Version, types.Version(3))
 	is.Equal(s.Table.Rows[0].Weight, 9) // and changes nothing
 	s.must(sec, Fact{Job: &Submit{"j", read(t, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)}})
-	_, bad = s.Apply(Fact{Tick: sec, Table: &config.Table{Edition: 3, Rows: []config.Row{}}})
+	_, bad = s.Apply(Fact{Tick: sec, Table: &config.Table{Version: 3, Rows: []config.Row{}}})
 	is.Equal(bad.Kind, apierror.InUse)
 	is.Equal(bad.Field, "queues[0].name")
 }
--- a/internal/state/task.go
+++ b/internal/state/task.go
@@ -1,4 +1,4 @@
-// One task of a job: how its legs ended, what is known of it, and whether it may
+// One task of a job: how its attempts ended, what is known of it, and whether it may
 // have another.
 package state
 
@@ -10,53 +10,53 @@
 	"coppercourse/internal/types"
 )
 
-// Fate is how a leg ended.
-type Fate string
+// Fate is how an attempt ended.
+type Outcome string
 
 const (
-	OK     Fate = "ok"
-	Bad    Fate = "failed"
-	Lost   Fate = "lost"
-	Cut    Fate = "cut off" // lost with its whole locality, which may come back
-	Waited Fate = "waited"  // a lost leg's end has been waited for long enough
-	Halted Fate = "stopped"
-	Unrun  Fate = "refused" // it never ran and never will
-	Gone   Fate = "gone"    // its worker process is known to have ended
-	Lapsed Fate = "lapsed"  // its lease ended unseen: nothing that it did counts any more
+	OK     Outcome = "ok"
+	Bad    Outcome = "failed"
+	Lost   Outcome = "lost"
+	Cut    Outcome = "cut off" // lost with its whole locality, which may come back
+	Waited Outcome = "waited"  // a lost leg's end has been waited for long enough
+	Halted Outcome = "stopped"
+	Unrun  Outcome = "refused" // it never ran and never will
+	Gone   Outcome = "gone"    // its worker process is known to have ended
+	Lapsed Outcome = "lapsed"  // its lease ended unseen: nothing that it did counts any more
 )
 
-// doubtful fates are not the last word: the leg may have ended well unseen.
-func (f Fate) doubtful() bool { return f == Lost || f == Cut }
+// doubtful outcomes are not the last word: the attempt may have ended well unseen.
+func (f Outcome) doubtful() bool { return f == Lost || f == Cut }
 
 // Fact is true for what a worker did, whoever tells it.
-func (f Fate) Fact() bool { return f == OK || f == Bad }
+func (f Outcome) Fact() bool { return f == OK || f == Bad }
 
-// Over is true where somebody beside the worker knows that the leg takes no room
+// Over is true where somebody beside the worker knows that the attempt takes no room
 // there any more.
-func (f Fate) Over() bool { return f.Fact() || f == Halted || f == Unrun }
+func (f Outcome) Over() bool { return f.Fact() || f == Halted || f == Unrun }
 
-// Out is the leg given out and not ended.
+// Out is the attempt given out and not ended.
 type Out struct {
-	Leg   int         `json:"leg"`
-	Shard types.Shard `json:"shard"`
-	At    types.Tick  `json:"at"`
-	Back  Why         `json:"back,omitempty"` // it is being taken back
+	Attempt int         `json:"leg"`
+	Shard   types.Shard `json:"shard"`
+	At      types.Tick  `json:"at"`
+	Back    Why         `json:"back,omitempty"` // it is being taken back
 }
 
 // Task is one task's account. Fails are what the queue's tries count.
 type Task struct {
-	Leg   int         `json:"leg"`
-	Out   *Out        `json:"out,omitempty"`
-	Copy  *Out        `json:"copy,omitempty"` // a second one beside it, where the step allows that
-	Done  bool        `json:"done,omitempty"`
-	Dead  bool        `json:"dead,omitempty"`
-	Fails int         `json:"fails,omitempty"`
-	Lost  int         `json:"lost,omitempty"`
-	Halts int         `json:"stopped,omitempty"`
-	Moved int         `json:"displaced,omitempty"`
-	Shun  types.Shard `json:"shun,omitempty"` // where a leg of it stalled or failed last
-	Ready types.Tick  `json:"ready"`
-	// Doubt is the worker whose word is awaited: the last leg was lost there,
+	Attempt int         `json:"leg"`
+	Out     *Out        `json:"out,omitempty"`
+	Copy    *Out        `json:"copy,omitempty"` // a second one beside it, where the step allows that
+	Done    bool        `json:"done,omitempty"`
+	Dead    bool        `json:"dead,omitempty"`
+	Fails   int         `json:"fails,omitempty"`
+	Lost    int         `json:"lost,omitempty"`
+	Halts   int         `json:"stopped,omitempty"`
+	Moved   int         `json:"displaced,omitempty"`
+	Shun    types.Shard `json:"shun,omitempty"` // where a leg of it stalled or failed last
+	Ready   types.Tick  `json:"ready"`
+	// Doubt is the worker whose word is awaited: the last attempt was lost there,
 	// and may yet turn out to have ended well.
 	Doubt types.Shard `json:"doubt,omitempty"`
 	Limbo []int       `json:"limbo,omitempty"` // legs lost whose true end is not known
@@ -65,7 +65,7 @@
 	Ref   string      `json:"ref,omitempty"`   // what its last leg saved, to go on from
 }
 
-// Outs are the legs given out and not ended.
+// Outs are the attempts given out and not ended.
 func (t *Task) Outs() (list []*Out) {
 	for _, o := range [...]*Out{t.Out, t.Copy} {
 		if o != nil {
@@ -75,19 +75,19 @@
 	return
 }
 
-// On is the leg with a number, if it is out.
-func (t *Task) On(leg int) *Out {
+// On is the attempt with a number, if it is out.
+func (t *Task) On(attempt int) *Out {
 	for _, o := range [...]*Out{t.Out, t.Copy} {
-		if o != nil && o.Leg == leg {
+		if o != nil && o.Attempt == attempt {
 			return o
 		}
 	}
 	return nil
 }
 
-// drop takes a leg that has ended from those that are out.
-func (t *Task) drop(leg int) {
-	if t.Out.Leg == leg {
+// drop takes an attempt that has ended from those that are out.
+func (t *Task) drop(attempt int) {
+	if t.Out.Attempt == attempt {
 		t.Out = t.Copy
 	}
 	t.Copy = nil
@@ -111,14 +111,14 @@
 	return t.Fails >= row.Tries || row.Losses > 0 && t.Lost >= row.Losses
 }
 
-// Knows tells whether an end of a leg would change nothing any more.
-func (t *Task) Knows(leg int, f Fate) bool {
+// Knows tells whether an end of an attempt would change nothing any more.
+func (t *Task) Knows(attempt int, f Outcome) bool {
 	switch {
-	case t.On(leg) != nil:
+	case t.On(attempt) != nil:
 		return false
-	case leg <= t.Shut:
+	case attempt <= t.Shut:
 		return true
-	case slices.Contains(t.Limbo, leg):
+	case slices.Contains(t.Limbo, attempt):
 		return f.doubtful()
 	}
 	return f != OK || t.Done
--- a/internal/state/window.go
+++ b/internal/state/window.go
@@ -1,6 +1,6 @@
 // Windows: when a worker takes nothing that would last beyond, and until when.
 // Drains and maintenance plans come to the same notion here; a worker that says
-// it is leaving is the third kind, known to the dispatcher alone. Also legs that
+// it is leaving is the third kind, known to the dispatcher alone. Also attempts that
 // are taken back, for whichever reason.
 package state
 
@@ -12,13 +12,13 @@
 	"coppercourse/internal/types"
 )
 
-// Back takes a leg back: it is stopped, its end is told, and its task goes again.
+// Back takes an attempt back: it is stopped, its end is told, and its task goes again.
 type Back struct {
-	Leg types.Leg `json:"leg"`
-	Why Why       `json:"why"`
+	Attempt types.Attempt `json:"leg"`
+	Why     Why           `json:"why"`
 }
 
-// Why a leg is taken back.
+// Why an attempt is taken back.
 type Why string
 
 const (
@@ -30,15 +30,15 @@
 )
 
 func (s *State) back(b Back) {
-	j := s.live[b.Leg.Job]
+	j := s.live[b.Attempt.Job]
 	if j == nil || j.State != Open {
 		return
 	}
-	t := j.Task(b.Leg.N)
+	t := j.Task(b.Attempt.N)
 	if t == nil {
 		return
 	}
-	o := t.On(b.Leg.Leg)
+	o := t.On(b.Attempt.Attempt)
 	if o == nil || o.Back != "" {
 		return
 	}
--- a/internal/trace/trail.go
+++ b/internal/trace/trail.go
@@ -30,7 +30,7 @@
 
 // Job and Table name subjects.
 func Job(id types.JobID) string    { return "job/" + string(id) }
-func Table(e types.Edition) string { return fmt.Sprintf("table/%d", e) }
+func Table(e types.Version) string { return fmt.Sprintf("table/%d", e) }
 
 // Add leaves a mark; pairs are names and values.
 func (r *Ring) Add(at types.Wall, subject, what string, pairs ...any) {
--- a/internal/types/mark.go
+++ b/internal/types/mark.go
@@ -1,5 +1,5 @@
 // Package types holds the small types that name things and count things:
-// identities, addresses, editions, terms, and the two kinds of time. A Stamp
+// identities, addresses, versions, terms, and the two kinds of time. A Stamp
 // is one process's own monotonic clock and means nothing to another process
 // but as a value to hand back; a Tick is the cluster's clock, kept by the
 // leader and carried in the log.
@@ -16,21 +16,21 @@
 )
 
 type (
-	Addr     string
-	ID       string
-	Locality string
-	Shard    string
-	Rack     string
-	Kind     string
-	Queue    string
-	JobID    string
-	Term     uint64
-	Index    uint64
-	Edition  uint64
-	Seq      uint64
-	Stamp    int64
-	Tick     int64
-	Wall     int64
+	Addr    string
+	ID      string
+	Zone    string
+	Shard   string
+	Rack    string
+	Kind    string
+	Queue   string
+	JobID   string
+	Term    uint64
+	Index   uint64
+	Version uint64
+	Seq     uint64
+	Stamp   int64
+	Tick    int64
+	Wall    int64
 )
 
 func (s Stamp) Add(d time.Duration) Stamp { return s + Stamp(d) }
@@ -75,23 +75,23 @@
 	return n / MostTasks / MostSteps, n / MostTasks % MostSteps, n % MostTasks
 }
 
-// Leg names one try at a task. The pair is the paper's invocation id: it is
+// Attempt names one try at a task. The pair is the paper's invocation id: it is
 // given out once and never again.
-type Leg struct {
+type Attempt struct {
 	Task
-	Leg int `json:"leg"`
+	Attempt int `json:"leg"`
 }
 
-func (t Task) String() string { return fmt.Sprintf("%s/%d", t.Job, t.N) }
-func (l Leg) String() string  { return fmt.Sprintf("%s/%d#%d", l.Job, l.N, l.Leg) }
+func (t Task) String() string    { return fmt.Sprintf("%s/%d", t.Job, t.N) }
+func (l Attempt) String() string { return fmt.Sprintf("%s/%d#%d", l.Job, l.N, l.Attempt) }
 
-// Compare orders legs so that every list of them comes out the same way.
-func (l Leg) Compare(o Leg) int {
-	return cmp.Or(cmp.Compare(l.Job, o.Job), cmp.Compare(l.N, o.N), cmp.Compare(l.Leg, o.Leg))
+// Compare orders attempts so that every list of them comes out the same way.
+func (l Attempt) Compare(o Attempt) int {
+	return cmp.Or(cmp.Compare(l.Job, o.Job), cmp.Compare(l.N, o.N), cmp.Compare(l.Attempt, o.Attempt))
 }
 
-// Least tells whether a leg comes before another.
-func (l Leg) Least(o Leg) bool { return l.Compare(o) < 0 }
+// Least tells whether an attempt comes before another.
+func (l Attempt) Least(o Attempt) bool { return l.Compare(o) < 0 }
 
 // Mint makes an identity that nobody had before.
 func Mint(rnd *rand.Rand) ID {
--- a/internal/wire/call.go
+++ b/internal/wire/call.go
@@ -27,18 +27,18 @@
 // a worker that has seen a higher one does nothing. Seen settles all ends up to
 // that number for good.
 type WorkerCall struct {
-	No    uint64
-	To    types.Addr
-	Life  types.ID
-	Kind  CallKind
-	Leg   types.Leg
-	Work  json.RawMessage
-	Ref   string
-	Until int64
-	Fence uint64
-	Seen  uint64
-	Wait  time.Duration
-	Limit time.Duration // how long the reply is waited for
+	No      uint64
+	To      types.Addr
+	Life    types.ID
+	Kind    CallKind
+	Attempt types.Attempt
+	Work    json.RawMessage
+	Ref     string
+	Until   int64
+	Fence   uint64
+	Seen    uint64
+	Wait    time.Duration
+	Limit   time.Duration // how long the reply is waited for
 }
 
 // Result is how a call ended.
@@ -68,7 +68,7 @@
 
 // WorkerRun is an attempt that runs, with what it has saved and how far it is.
 type WorkerRun struct {
-	Leg     types.Leg
+	Attempt types.Attempt
 	Ref     string
 	Percent float64
 }
@@ -87,10 +87,10 @@
 
 // WorkerEnd is an end; they are numbered from 1 in each life.
 type WorkerEnd struct {
-	N   uint64
-	Leg types.Leg
-	How How
-	Ref string
+	N       uint64
+	Attempt types.Attempt
+	How     How
+	Ref     string
 }
 
 // WorkerBeat is what a worker that is called tells of itself.
--- a/internal/wire/step.go
+++ b/internal/wire/step.go
@@ -13,12 +13,12 @@
 
 // Event is one input. With nothing set it only tells that time has passed.
 type Event struct {
-	Now    types.Now
-	Note   *Note
-	Ask    *Ask
-	Synced uint64
-	Reply  *WorkerReply
-	Close  bool
+	Now     types.Now
+	Message *Message
+	Ask     *Ask
+	Synced  uint64
+	Reply   *WorkerReply
+	Close   bool
 }
 
 // Ask is a request read from outside, to be answered under its token. Limit is
--- a/internal/wire/word.go
+++ b/internal/wire/word.go
@@ -1,7 +1,7 @@
 // Package wire holds what the system's own processes say to each other. Every
 // message is one way and carries its sender's advertised address; an answer is
 // another message. Bodies are JSON and unknown fields are let pass, so that
-// daemons of mixed editions understand each other. Several notes may share one
+// daemons of mixed versions understand each other. Several notes may share one
 // HTTP request.
 package wire
 
@@ -11,7 +11,7 @@
 	"coppercourse/internal/types"
 )
 
-type Note struct {
+type Message struct {
 	From types.Addr      `json:"from"`
 	Kind string          `json:"kind"`
 	Body json.RawMessage `json:"body"`
@@ -19,8 +19,8 @@
 
 // Send is a note and where it goes.
 type Send struct {
-	To   types.Addr
-	Note Note
+	To      types.Addr
+	Message Message
 }
 
 // Make builds a send; a body that cannot be written is a defect of ours.
@@ -29,18 +29,18 @@
 	if err != nil {
 		panic(err)
 	}
-	return Send{To: to, Note: Note{From: from, Kind: kind, Body: b}}
+	return Send{To: to, Message: Message{From: from, Kind: kind, Body: b}}
 }
 
 // Read gives the body as a type, and false for one that does not fit.
-func Read[T any](n Note) (t T, ok bool) {
+func Read[T any](n Message) (t T, ok bool) {
 	return t, json.Unmarshal(n.Body, &t) == nil
 }
 
 // On makes a handler of notes out of a machine's method for one kind of body;
 // a body that does not fit is let fall.
-func On[M, T any](f func(*M, types.Addr, T)) func(*M, Note) {
-	return func(m *M, n Note) {
+func On[M, T any](f func(*M, types.Addr, T)) func(*M, Message) {
+	return func(m *M, n Message) {
 		if b, ok := Read[T](n); ok {
 			f(m, n.From, b)
 		}
--- a/sim/attempt.go
+++ b/sim/attempt.go
@@ -17,33 +17,33 @@
 // mostWait is how long a hold may wait for an end.
 const mostWait = 2 * time.Second
 
-// attempt is one leg that runs.
+// attempt is one attempt that runs.
 type attempt struct {
-	w     *Called
-	leg   types.Leg
-	step  *state.Step // nil for what nobody sent
-	room  types.Room
-	from  types.Stamp
-	at    types.Stamp // up to when it has got on
-	ready types.Stamp // before that it does not
-	stops types.Stamp // by when its stop is over, or 0
-	work  float64     // ms in all
-	did   float64
-	fails float64 // where in its work it fails, or beyond all of it
-	kept  float64 // what its reference stands for
-	ref   string
-	slow  float64 // times as long, for want of its data nearby
-	gang  *gang
+	w       *Called
+	attempt types.Attempt
+	step    *state.Step // nil for what nobody sent
+	room    types.Room
+	from    types.Stamp
+	at      types.Stamp // up to when it has got on
+	ready   types.Stamp // before that it does not
+	stops   types.Stamp // by when its stop is over, or 0
+	work    float64     // ms in all
+	did     float64
+	fails   float64 // where in its work it fails, or beyond all of it
+	kept    float64 // what its reference stands for
+	ref     string
+	slow    float64 // times as long, for want of its data nearby
+	gang    *gang
 }
 
 // start begins an attempt, whoever sent it.
 func (w *Called) start(c wire.WorkerCall, step *state.Step) {
 	now := w.time()
 	k := task(c.Work)
-	a := &attempt{w: w, leg: c.Leg, step: step, from: now, at: now, ready: now, work: k.length(c.Leg.Task), fails: math.Inf(1), slow: 1}
+	a := &attempt{w: w, attempt: c.Attempt, step: step, from: now, at: now, ready: now, work: k.length(c.Attempt.Task), fails: math.Inf(1), slow: 1}
 	if step != nil {
 		a.room = step.Room
-		a.slow = w.floor.far(w, c.Leg, step)
+		a.slow = w.floor.far(w, c.Attempt, step)
 		switch {
 		case step.Lasts:
 			a.work, a.fails = math.Inf(1), 1000*w.rnd.ExpFloat64()*30
@@ -55,8 +55,8 @@
 	if k.Fail || w.rnd.Float64() < k.Fails+w.Fails {
 		a.fails = min(a.fails, a.did+(a.work-a.did)*(0.1+0.9*w.rnd.Float64()))
 	}
-	w.runs[c.Leg] = a
-	w.say(Happening{What: Started, Leg: c.Leg, Work: c.Work, Ref: c.Ref, Late: w.late})
+	w.runs[c.Attempt] = a
+	w.say(Happening{What: Started, Attempt: c.Attempt, Work: c.Work, Ref: c.Ref, Late: w.late})
 	if step != nil && step.Joint {
 		w.floor.join(a)
 	}
@@ -95,7 +95,7 @@
 func (a *attempt) save(did float64) {
 	a.kept = min(did, a.work)
 	a.ref = a.w.floor.save(a.w.rnd, a.kept)
-	a.w.say(Happening{What: Saved, Leg: a.leg, Ref: a.ref})
+	a.w.say(Happening{What: Saved, Attempt: a.attempt, Ref: a.ref})
 }
 
 // advance lets all that runs get on until now, and no further than the lease.
@@ -151,7 +151,7 @@
 	}
 }
 
-// Work is what a leg's work says to a stand-in worker.
+// Work is what an attempt's work says to a stand-in worker.
 type Work struct {
 	MS     int     `json:"ms"`
 	Fail   bool    `json:"fail,omitempty"`
--- a/sim/called.go
+++ b/sim/called.go
@@ -37,7 +37,7 @@
 	fence uint64
 	n     uint64
 	seen  uint64
-	runs  map[types.Leg]*attempt
+	runs  map[types.Attempt]*attempt
 	shut  map[types.Task]int
 	ends  []calledEnd
 	waits []waitingHold
@@ -66,7 +66,7 @@
 		m.Slow = 1
 	}
 	return &Called{Make: m, ID: id, Lax: rnd.Intn(2) == 0, floor: floor, rnd: rnd, tell: tell, time: time, born: time(), first: 1 + rnd.Int63n(1<<40),
-		pace: 1 - 0.02*rnd.Float64(), runs: map[types.Leg]*attempt{}, shut: map[types.Task]int{}}
+		pace: 1 - 0.02*rnd.Float64(), runs: map[types.Attempt]*attempt{}, shut: map[types.Task]int{}}
 }
 
 // Clock is what the worker's own clock reads.
@@ -99,7 +99,7 @@
 		return
 	case c.Fence < w.fence && !w.Rash:
 		if w.late && c.Kind == wire.Start {
-			w.say(Happening{What: Spared, Leg: c.Leg, Late: true})
+			w.say(Happening{What: Spared, Attempt: c.Attempt, Late: true})
 		}
 		r.Result = wire.Fenced
 		reply(r)
@@ -110,7 +110,7 @@
 	case wire.Start:
 		r.Result = w.begin(c)
 	case wire.Halt:
-		w.halt(c.Leg)
+		w.halt(c.Attempt)
 	case wire.Hold:
 		w.hold(c.Until)
 		w.settle(c.Seen)
@@ -140,14 +140,14 @@
 	}
 	w.hold(c.Until)
 	switch {
-	case w.runs[c.Leg] != nil:
+	case w.runs[c.Attempt] != nil:
 		return wire.Taken
-	case c.Leg.Leg <= w.shut[c.Leg.Task]:
+	case c.Attempt.Attempt <= w.shut[c.Attempt.Task]:
 		return wire.Outdated
 	}
-	step := w.floor.step(c.Leg)
+	step := w.floor.step(c.Attempt)
 	if w.Guards && step != nil && !w.free().Holds(step.Room) {
-		w.say(Happening{What: Spared, Leg: c.Leg})
+		w.say(Happening{What: Spared, Attempt: c.Attempt})
 		return wire.Full
 	}
 	w.start(c, step)
@@ -163,11 +163,11 @@
 	return r
 }
 
-func (w *Called) halt(l types.Leg) {
+func (w *Called) halt(l types.Attempt) {
 	a := w.runs[l]
 	switch {
 	case a == nil:
-		w.shut[l.Task] = max(w.shut[l.Task], l.Leg)
+		w.shut[l.Task] = max(w.shut[l.Task], l.Attempt)
 	case a.stops == 0:
 		a.stops = w.time().Add(w.floor.some(w.rnd, w.floor.Stop))
 	}
@@ -182,7 +182,7 @@
 		if e.void {
 			what = Void
 		}
-		w.say(Happening{What: what, Leg: e.Leg, How: e.How})
+		w.say(Happening{What: what, Attempt: e.Attempt, How: e.How})
 	}
 }
 
@@ -190,7 +190,7 @@
 	r := wire.WorkerReply{No: c.No, Result: wire.Taken, Clock: w.Clock()}
 	for _, l := range w.sorted() {
 		a := w.runs[l]
-		r.Runs = append(r.Runs, wire.WorkerRun{Leg: l, Ref: a.ref, Percent: a.percent()})
+		r.Runs = append(r.Runs, wire.WorkerRun{Attempt: l, Ref: a.ref, Percent: a.percent()})
 	}
 	for _, e := range w.ends[:min(len(w.ends), listed)] {
 		r.Ends = append(r.Ends, e.WorkerEnd)
@@ -213,31 +213,31 @@
 
 // end ends an attempt; a gang ends with any of its members.
 func (w *Called) end(a *attempt, how wire.How) {
-	if w.runs[a.leg] != a {
+	if w.runs[a.attempt] != a {
 		return
 	}
-	delete(w.runs, a.leg)
-	w.shut[a.leg.Task] = max(w.shut[a.leg.Task], a.leg.Leg)
+	delete(w.runs, a.attempt)
+	w.shut[a.attempt.Task] = max(w.shut[a.attempt.Task], a.attempt.Attempt)
 	w.n++
-	w.ends = append(w.ends, calledEnd{WorkerEnd: wire.WorkerEnd{N: w.n, Leg: a.leg, How: how, Ref: a.ref}})
-	w.say(Happening{What: Ended, Leg: a.leg, Fate: fates[how], How: how})
+	w.ends = append(w.ends, calledEnd{WorkerEnd: wire.WorkerEnd{N: w.n, Attempt: a.attempt, How: how, Ref: a.ref}})
+	w.say(Happening{What: Ended, Attempt: a.attempt, Outcome: outcomes[how], How: how})
 	a.quit(how)
 }
 
-var fates = map[wire.How]state.Fate{wire.Done: state.OK, wire.Failed: state.Bad, wire.Stopped: state.Halted,
+var outcomes = map[wire.How]state.Outcome{wire.Done: state.OK, wire.Failed: state.Bad, wire.Stopped: state.Halted,
 	wire.Expired: state.Lapsed, wire.Broken: state.Halted, wire.Lonely: state.Halted}
 
 // Die ends the process and all that it runs.
 func (w *Called) Die() {
-	legs, runs := w.sorted(), w.runs
+	attempts, runs := w.sorted(), w.runs
 	w.waits, w.runs = nil, nil
-	for _, l := range legs {
+	for _, l := range attempts {
 		runs[l].quit(wire.Stopped)
 	}
 }
 
-func (w *Called) sorted() []types.Leg {
-	list := make([]types.Leg, 0, len(w.runs))
+func (w *Called) sorted() []types.Attempt {
+	list := make([]types.Attempt, 0, len(w.runs))
 	for l := range w.runs {
 		list = append(list, l)
 	}
@@ -245,7 +245,7 @@
 	return list
 }
 
-// task reads what a leg's work says to a stand-in.
+// task reads what an attempt's work says to a stand-in.
 func task(b json.RawMessage) (k Work) {
 	json.Unmarshal(b, &k)
 	return
--- a/sim/called_check.go
+++ b/sim/called_check.go
@@ -1,7 +1,7 @@
 // The checker on towns whose workers are called: the rules of their users, read
 // from what workers, callers and operators saw. Bounds of time hold only for
 // machines in touch, those that no trouble has touched for a while, and not for
-// orders that a worker carried out late. This file has the rules on the legs of
+// orders that a worker carried out late. This file has the rules on the attempts of
 // one task; the others are in called_jobs.go, called_idle.go and called_tables.go.
 package sim
 
@@ -132,31 +132,31 @@
 		for i, s := range list {
 			hard := !s.late && c.touched(s.shard, s.from)
 			if shown > 0 && s.from > shown+sec && hard {
-				c.bad("again", s.from, "%v starts %.3f s after its job was shown done", s.leg, float64(s.from-shown)/1e9)
+				c.bad("again", s.from, "%v starts %.3f s after its job was shown done", s.attempt, float64(s.from-shown)/1e9)
 			}
 			for _, o := range list[:i] {
 				if o.runs(s.from, s.to) && !p.Copies {
-					c.bad("twice", s.from, "%v on %s while %v runs on %s", s.leg, s.who, o.leg, o.who)
+					c.bad("twice", s.from, "%v on %s while %v runs on %s", s.attempt, s.who, o.attempt, o.who)
 				}
-				if o.fate == state.Lapsed || o.fate == state.Gone {
+				if o.outcome == state.Lapsed || o.outcome == state.Gone {
 					c.seen["twice: started again after a lapse or a crash"]++
 				}
 			}
-			for _, o := range c.mates(j, n, p) {
+			for _, o := range c.peers(j, n, p) {
 				switch {
-				case o.fate != state.OK || o.to > s.from || o == s:
+				case o.outcome != state.OK || o.to > s.from || o == s:
 				case o.noted == 0:
 					c.seen["again: started after a good end that was never noted"]++
 				case !p.Copies || s.from > o.noted+sec && hard:
-					c.bad("again", s.from, "%v starts although %v ended well at %.3f s, noted at %.3f s", s.leg, o.leg, float64(o.to)/1e9, float64(o.noted)/1e9)
+					c.bad("again", s.from, "%v starts although %v ended well at %.3f s, noted at %.3f s", s.attempt, o.attempt, float64(o.to)/1e9, float64(o.noted)/1e9)
 				}
 			}
 		}
 	}
 }
 
-// mates are the legs of a task, or of all tasks of a joint gang.
-func (c *checker) mates(j *job, n int, p state.Step) (list []*span) {
+// peers are the attempts of a task, or of all tasks of a joint gang.
+func (c *checker) peers(j *job, n int, p state.Step) (list []*span) {
 	if !p.Joint {
 		return j.spans[n]
 	}
@@ -176,9 +176,9 @@
 		}
 		for _, s := range list {
 			failed, last := map[int]bool{}, int64(0)
-			for _, o := range c.mates(j, n, p) {
-				if o.fate == state.Bad && o.to <= s.from && o.noted > 0 && o.leg.Leg != s.leg.Leg {
-					failed[o.leg.Leg], last = true, max(last, o.noted)
+			for _, o := range c.peers(j, n, p) {
+				if o.outcome == state.Bad && o.to <= s.from && o.noted > 0 && o.attempt.Attempt != s.attempt.Attempt {
+					failed[o.attempt.Attempt], last = true, max(last, o.noted)
 				}
 			}
 			most := 0
@@ -186,7 +186,7 @@
 				most = max(most, r.Tries)
 			}
 			if len(failed) >= most && (!p.Copies || s.from > last+sec && !s.late && c.touched(s.shard, s.from)) {
-				c.bad("tries", s.from, "%v starts after %d failures, %d allowed", s.leg, len(failed), most)
+				c.bad("tries", s.from, "%v starts after %d failures, %d allowed", s.attempt, len(failed), most)
 			}
 			if len(failed) > 0 {
 				c.seen["tries: started again after a failure"]++
@@ -198,7 +198,7 @@
 	}
 }
 
-// saves lists what each stage's legs saved, and when.
+// saves lists what each stage's attempts saved, and when.
 func (c *checker) saves() map[string]Happening {
 	saves := map[string]Happening{}
 	for _, h := range c.hist.List {
@@ -215,23 +215,23 @@
 		i := j.spec.Step(n)
 		for _, s := range list {
 			if i < 0 {
-				c.bad("unasked", s.from, "%v starts, a task that its job has not", s.leg)
+				c.bad("unasked", s.from, "%v starts, a task that its job has not", s.attempt)
 				continue
 			}
 			if !same(s.work, j.spec.What(i)) {
-				c.bad("unasked", s.from, "%v starts with other work: %s", s.leg, s.work)
+				c.bad("unasked", s.from, "%v starts with other work: %s", s.attempt, s.work)
 			}
 			if s.from < j.sent {
-				c.bad("unasked", s.from, "%v starts before its job was sent", s.leg)
+				c.bad("unasked", s.from, "%v starts before its job was sent", s.attempt)
 			}
 			if s.ref == "" {
 				continue
 			}
 			c.seen["unasked: started from what was saved"]++
 			h, p := saves[s.ref], j.spec.Steps[i]
-			own := h.Leg.Job == j.id && (h.Leg.N == n || p.Joint && types.StageOf(h.Leg.N) == types.StageOf(n))
+			own := h.Attempt.Job == j.id && (h.Attempt.N == n || p.Joint && types.StageOf(h.Attempt.N) == types.StageOf(n))
 			if !own || h.At > s.from {
-				c.bad("unasked", s.from, "%v starts from %s, which is not its own", s.leg, s.ref)
+				c.bad("unasked", s.from, "%v starts from %s, which is not its own", s.attempt, s.ref)
 			}
 		}
 	}
@@ -251,7 +251,7 @@
 				continue
 			}
 			if c.quiet(s.from-int64(c.b.Alone), s.to) && (j.halt == 0 || s.to < j.halt) {
-				c.bad("alone", s.to, "%v on %s waited for its gang in vain", s.leg, s.who)
+				c.bad("alone", s.to, "%v on %s waited for its gang in vain", s.attempt, s.who)
 			} else {
 				c.seen["alone: waited in vain during a trouble"]++
 			}
@@ -267,14 +267,14 @@
 	for _, list := range j.spans {
 		for _, s := range list {
 			if s.from > j.halt+int64(c.b.Start) && !s.late && c.touched(s.shard, s.from) {
-				c.bad("cancel-start", s.from, "%v starts %.3f s after its cancel", s.leg, float64(s.from-j.halt)/1e9)
+				c.bad("cancel-start", s.from, "%v starts %.3f s after its cancel", s.attempt, float64(s.from-j.halt)/1e9)
 			}
 			if !s.runs(j.halt, c.end) {
 				continue
 			}
 			c.seen["cancel: hit a running leg"]++
 			if late := j.halt + int64(c.b.Run); s.runs(late, c.end) && !s.late && c.quiet(j.halt, late) {
-				c.bad("cancel-run", s.to, "%v runs %.3f s after its cancel", s.leg, float64(s.to-j.halt)/1e9)
+				c.bad("cancel-run", s.to, "%v runs %.3f s after its cancel", s.attempt, float64(s.to-j.halt)/1e9)
 			}
 		}
 	}
--- a/sim/called_idle.go
+++ b/sim/called_idle.go
@@ -59,8 +59,8 @@
 func (c *checker) load(on []*span) (used map[types.Shard]types.Room, runs map[types.JobID]bool) {
 	used, runs = map[types.Shard]types.Room{}, map[types.JobID]bool{}
 	for _, s := range on {
-		runs[s.leg.Job] = true
-		if j := c.jobs[s.leg.Job]; j.spec != nil {
+		runs[s.attempt.Job] = true
+		if j := c.jobs[s.attempt.Job]; j.spec != nil {
 			used[s.shard] = used[s.shard].Plus(c.step(s).Room)
 		}
 	}
@@ -105,9 +105,9 @@
 		return true
 	}
 	failed := map[int]bool{}
-	for _, o := range c.mates(j, n, p) {
-		if o.fate == state.Bad && o.to <= at {
-			failed[o.leg.Leg] = true
+	for _, o := range c.peers(j, n, p) {
+		if o.outcome == state.Bad && o.to <= at {
+			failed[o.attempt.Attempt] = true
 		}
 	}
 	least := 1 << 30
--- a/sim/called_jobs.go
+++ b/sim/called_jobs.go
@@ -14,7 +14,7 @@
 	c.seen["refused: jobs that were turned away for good"]++
 	for _, list := range j.spans {
 		for _, s := range list {
-			c.bad("refused", s.from, "%v starts, but all %d tries to hand its job in were turned away", s.leg, j.turned)
+			c.bad("refused", s.from, "%v starts, but all %d tries to hand its job in were turned away", s.attempt, j.turned)
 		}
 	}
 }
@@ -57,9 +57,9 @@
 			c.bad("shown", h.At, "%s is shown done, but task %d never ended well", j.id, n)
 		}
 		failed, least := map[int]bool{}, 1<<30
-		for _, s := range c.mates(j, n, p) {
-			if s.fate == state.Bad && s.to <= h.At {
-				failed[s.leg.Leg] = true
+		for _, s := range c.peers(j, n, p) {
+			if s.outcome == state.Bad && s.to <= h.At {
+				failed[s.attempt.Attempt] = true
 			}
 		}
 		for _, r := range c.rows(j.spec.Queue, j.sent, h.At) {
--- a/sim/called_planted_test.go
+++ b/sim/called_planted_test.go
@@ -65,7 +65,7 @@
 }
 
 func onSpec(f func(*state.Spec)) func(*Run) {
-	return onNote(wire.Call, func(c *wire.CallBody) {
+	return onMessage(wire.Call, func(c *wire.CallBody) {
 		if c.Verb == "job.put" {
 			alter(&c.Body, f)
 		}
@@ -117,12 +117,12 @@
 			}
 		})(r)
 	}},
-	{"what nobody sent is started", nil, []string{"unasked"}, false, onStart(50, func(c *wire.WorkerCall) { c.Leg.Job = "ghost" })},
+	{"what nobody sent is started", nil, []string{"unasked"}, false, onStart(50, func(c *wire.WorkerCall) { c.Attempt.Job = "ghost" })},
 	{"cancels are answered and not taken", nil, []string{"cancel-start", "cancel-run"}, false, func(r *Run) {
 		for i := range r.Crew.town.Streams {
 			r.Crew.town.Streams[i].Cancel, r.Crew.town.Streams[i].Within = 0.5, 500*time.Millisecond
 		}
-		onNote(wire.Call, func(c *wire.CallBody) {
+		onMessage(wire.Call, func(c *wire.CallBody) {
 			if c.Verb == "job.cancel" {
 				c.Verb = "job.get"
 			}
@@ -159,7 +159,7 @@
 	})},
 	{"old tables read", nil, []string{"table"}, false, onAnswer("table.get", func(a *wire.Answer) {
 		if a.Fault == nil {
-			alter(&a.Body, func(t *config.Table) { t.Edition-- })
+			alter(&a.Body, func(t *config.Table) { t.Version-- })
 		}
 	})},
 }
@@ -196,11 +196,11 @@
 	}
 }
 
-// A door that knew a queue of edition 7 may not, a while later, answer as only
-// edition 5 does; within the time to hear of it another door may.
+// A door that knew a queue of version 7 may not, a while later, answer as only
+// version 5 does; within the time to hear of it another door may.
 func TestADoorThatGoesBackIsCaught(t *testing.T) {
 	row := func(q types.Queue) config.Row { return config.Row{Name: q} }
-	old, next := config.Table{Becomes: 5, Rows: []config.Row{row("idle-1")}}, config.Table{Edition: 5, Becomes: 7, Rows: []config.Row{row("idle-2")}}
+	old, next := config.Table{Becomes: 5, Rows: []config.Row{row("idle-1")}}, config.Table{Version: 5, Becomes: 7, Rows: []config.Row{row("idle-2")}}
 	for who, want := range map[string]int{"g1.1": 1, "g2.1": 0, "g1.2": 0} {
 		is := is.New(t)
 		h := &History{}
--- a/sim/called_tables.go
+++ b/sim/called_tables.go
@@ -18,8 +18,8 @@
 		if h.What != TableAck || h.Text == "" {
 			continue
 		}
-		if o, ok := acked[h.Text]; ok && (o.Table.Edition != h.Table.Edition || !o.Table.Same(*h.Table)) {
-			c.bad("table", h.At, "editions %d and %d were both acknowledged, put on edition %s", o.Table.Edition, h.Table.Edition, h.Text)
+		if o, ok := acked[h.Text]; ok && (o.Table.Version != h.Table.Version || !o.Table.Same(*h.Table)) {
+			c.bad("table", h.At, "editions %d and %d were both acknowledged, put on edition %s", o.Table.Version, h.Table.Version, h.Text)
 		}
 		acked[h.Text] = h
 	}
@@ -38,14 +38,14 @@
 		least, most, some := uint64(0), uint64(0), false
 		for _, r := range c.reigns {
 			if r.acked > 0 && r.acked+int64(c.b.Table) < began && touch {
-				over = max(over, uint64(r.Edition))
+				over = max(over, uint64(r.Version))
 			}
 		}
 		for _, r := range c.reigns {
 			if _, ok := r.Find(types.Queue(h.Job)); ok != (h.Stage == "there") || r.from > h.At {
 				continue
 			}
-			e := uint64(r.Edition)
+			e := uint64(r.Version)
 			if !some {
 				least = e
 			}
@@ -69,7 +69,7 @@
 // calledChances counts what could have gone wrong.
 func (c *checker) calledChances() {
 	for _, s := range c.spans {
-		j := c.jobs[s.leg.Job]
+		j := c.jobs[s.attempt.Job]
 		if j.spec == nil {
 			continue
 		}
@@ -81,7 +81,7 @@
 			"label: started under one":                       len(p.Labels) > 0,
 			"late: a start was carried out late":             s.late,
 			"ended: " + string(s.how):                        s.how != "",
-			"again: a good end that had lapsed when settled": s.fate == state.OK && s.noted == 0,
+			"again: a good end that had lapsed when settled": s.outcome == state.OK && s.noted == 0,
 		} {
 			if ok {
 				c.seen[name]++
--- a/sim/called_test.go
+++ b/sim/called_test.go
@@ -211,16 +211,16 @@
 			t.Parallel()
 			is := is.New(t)
 			r := ofGangs(40, how).Go()
-			waits, again, longest := map[types.Leg]int64{}, 0, int64(0)
+			waits, again, longest := map[types.Attempt]int64{}, 0, int64(0)
 			for _, h := range r.Hist.List {
 				switch h.What {
 				case Started:
-					waits[h.Leg] = h.At
+					waits[h.Attempt] = h.At
 				case Working:
-					delete(waits, h.Leg)
+					delete(waits, h.Attempt)
 				case Ended:
 					is.True(h.How != wire.Lonely)
-					if at, ok := waits[h.Leg]; ok {
+					if at, ok := waits[h.Attempt]; ok {
 						again++
 						longest = max(longest, h.At-at)
 					}
--- a/sim/callee.go
+++ b/sim/callee.go
@@ -30,9 +30,9 @@
 }
 
 // callee adds the place of a called worker.
-func (w *World) callee(addr, agent types.Addr, loc types.Locality, m Make) *callee {
+func (w *World) callee(addr, agent types.Addr, zone types.Zone, m Make) *callee {
 	k := &callee{agent: agent, make: m}
-	k.node = w.add(addr, "worker", loc, nil)
+	k.node = w.add(addr, "worker", zone, nil)
 	w.yard = append(w.yard, k)
 	w.lines[addr] = k
 	return k
--- a/sim/caller.go
+++ b/sim/caller.go
@@ -1,5 +1,5 @@
 // Stand-in callers and operators of the simulator. A caller sends a job at a
-// ready gateway of its locality, sends the same again anywhere when the answer is
+// ready gateway of its zone, sends the same again anywhere when the answer is
 // lost or says to come back, looks at its jobs now and then, and sometimes
 // cancels one. Operators put tables, at times two at once.
 package sim
@@ -35,10 +35,10 @@
 	halts    map[types.JobID]time.Duration
 }
 
-func (c *Crew) pick(loc int) types.Addr {
-	first := c.gateways[loc%len(c.gateways)]
+func (c *Crew) pick(zone int) types.Addr {
+	first := c.gateways[zone%len(c.gateways)]
 	for i := range c.gateways {
-		a := c.gateways[(loc+i)%len(c.gateways)]
+		a := c.gateways[(zone+i)%len(c.gateways)]
 		if g, ok := c.w.nodes[a].m.(*gateway.Gateway); ok && g.Ready() {
 			return a
 		}
@@ -199,7 +199,7 @@
 		switch {
 		case a.Fault == nil:
 			got := t.Next()
-			c.w.tell(Happening{What: TableAck, Table: &got, Text: fmt.Sprint(t.Edition)})
+			c.w.tell(Happening{What: TableAck, Table: &got, Text: fmt.Sprint(t.Version)})
 			then(true)
 		case a.Fault.Retry > 0:
 			again(time.Duration(a.Fault.Retry) * time.Second)
@@ -247,7 +247,7 @@
 	}, func() {})
 }
 
-// races has two operators change the table on the same edition, again and
+// races has two operators change the table on the same version, again and
 // again, at different gateways.
 func (c *Crew) races() {
 	c.w.at(time.Duration(2+c.w.rnd.Intn(4))*time.Second, func() {
@@ -256,7 +256,7 @@
 		}
 		c.read(func(t config.Table) {
 			for i := range 2 {
-				n := config.Table{Edition: t.Edition, Rows: append([]config.Row(nil), t.Rows...)}
+				n := config.Table{Version: t.Version, Rows: append([]config.Row(nil), t.Rows...)}
 				n.Rows[0].Weight = 1 + c.w.rnd.Intn(900)
 				n.Rows[1].Running = 12 + c.w.rnd.Intn(30)
 				n.Rows[2].Tries = 1 + c.w.rnd.Intn(4)
--- a/sim/chance.go
+++ b/sim/chance.go
@@ -11,8 +11,8 @@
 )
 
 func (c *checker) step(s *span) state.Step {
-	p := c.jobs[s.leg.Job].spec
-	return p.Steps[p.Step(s.leg.N)]
+	p := c.jobs[s.attempt.Job].spec
+	return p.Steps[p.Step(s.attempt.N)]
 }
 
 func (c *checker) chances() {
@@ -32,8 +32,8 @@
 			continue
 		}
 		hit := false
-		for _, legs := range j.spans {
-			for _, s := range legs {
+		for _, attempts := range j.spans {
+			for _, s := range attempts {
 				hit = hit || j.halt > 0 && s.runs(j.halt-sec, j.halt)
 			}
 		}
@@ -48,7 +48,7 @@
 		}
 	}
 	for _, s := range c.spans {
-		j := c.jobs[s.leg.Job]
+		j := c.jobs[s.attempt.Job]
 		if j.spec == nil {
 			continue
 		}
@@ -62,13 +62,13 @@
 				c.seen["early: started a step with a time near a clock or leader fault"]++
 			}
 		}
-		if len(s.ice) > 0 && s.fate == state.Halted {
+		if len(s.ice) > 0 && s.outcome == state.Halted {
 			c.seen["twice: a frozen leg found its grant lapsed"]++
 		}
-		if s.fate == state.OK && (s.told == 0 || s.told-s.to > sec) {
+		if s.outcome == state.OK && (s.told == 0 || s.told-s.to > sec) {
 			c.seen["again: a good end told late or never"]++
 		}
-		if s.fate == state.OK && on(s.to, 0, "cut", "kill", "freeze", "power") {
+		if s.outcome == state.OK && on(s.to, 0, "cut", "kill", "freeze", "power") {
 			c.seen["again: a good end during a cut, kill or freeze"]++
 		}
 	}
--- a/sim/check.go
+++ b/sim/check.go
@@ -1,5 +1,5 @@
 // The checker: reads a history and tells every rule that it breaks. It knows
-// legs as the workers ran them, jobs as callers sent and saw them, and tables
+// attempts as the workers ran them, jobs as callers sent and saw them, and tables
 // as operators were answered.
 package sim
 
@@ -28,18 +28,18 @@
 	return fmt.Sprintf("%-14s at %8.3f s: %s", b.Rule, float64(b.At)/1e9, b.Text)
 }
 
-// span is one leg as it ran on a worker.
+// span is one attempt as it ran on a worker.
 type span struct {
-	leg   types.Leg
-	who   string
-	shard types.Shard
-	from  int64
-	to    int64 // the end of the history if it never ended
-	fate  state.Fate
-	told  int64      // when the system acknowledged the end
-	heard []heard    // daemons that were told of the end
-	died  int64      // when its worker process ended
-	ice   [][2]int64 // when its worker stood still
+	attempt types.Attempt
+	who     string
+	shard   types.Shard
+	from    int64
+	to      int64 // the end of the history if it never ended
+	outcome state.Outcome
+	told    int64      // when the system acknowledged the end
+	heard   []heard    // daemons that were told of the end
+	died    int64      // when its worker process ended
+	ice     [][2]int64 // when its worker stood still
 
 	how   wire.How // of one that was called
 	ref   string
@@ -78,7 +78,7 @@
 	Alone   time.Duration // one of a gang without the rest
 	Table   time.Duration // an acknowledged table not seen
 	Settled bool          // all jobs must have ended by the end
-	Hurry   bool          // queues run lost legs again before a cut can have healed
+	Hurry   bool          // queues run lost attempts again before a cut can have healed
 
 	Touch time.Duration // how long after a trouble a machine is held to the bounds of time
 	Seen  time.Duration // an accepted job not known
@@ -87,7 +87,7 @@
 	Jump  time.Duration // more before its time on days when clocks jump
 }
 
-// alone is how long a gang's member may run on after a mate was lost: until the
+// alone is how long a gang's member may run on after a peer was lost: until the
 // loss is known, an election, a commit, and a stop repeated until it arrives.
 func alone(p dispatch.Pace, a raft.Pace) time.Duration {
 	return p.Loss + p.Beat + 2*a.Least + a.Stall + p.Again/2 + dispatch.Slack + 400*time.Millisecond
@@ -173,10 +173,10 @@
 }
 
 func (c *checker) read() {
-	live := map[string]map[types.Leg]*span{}
-	close := func(s *span, at int64, f state.Fate) {
-		s.to, s.fate = at, f
-		delete(live[s.who], s.leg)
+	live := map[string]map[types.Attempt]*span{}
+	close := func(s *span, at int64, f state.Outcome) {
+		s.to, s.outcome = at, f
+		delete(live[s.who], s.attempt)
 	}
 	for _, h := range c.hist.List {
 		switch h.What {
@@ -192,22 +192,22 @@
 		case Leaving:
 			c.leave[h.Shard] = append(c.leave[h.Shard], [2]int64{h.At, c.end})
 		case Started:
-			s := &span{leg: h.Leg, who: h.Who, shard: h.Shard, from: h.At, to: c.end, ref: h.Ref, work: h.Work, late: h.Late}
+			s := &span{attempt: h.Attempt, who: h.Who, shard: h.Shard, from: h.At, to: c.end, ref: h.Ref, work: h.Work, late: h.Late}
 			if live[h.Who] == nil {
-				live[h.Who] = map[types.Leg]*span{}
+				live[h.Who] = map[types.Attempt]*span{}
 			}
-			live[h.Who][h.Leg] = s
+			live[h.Who][h.Attempt] = s
 			c.spans = append(c.spans, s)
-			j := c.job(h.Leg.Job)
-			j.spans[h.Leg.N] = append(j.spans[h.Leg.N], s)
+			j := c.job(h.Attempt.Job)
+			j.spans[h.Attempt.N] = append(j.spans[h.Attempt.N], s)
 		case Ended:
-			if s := live[h.Who][h.Leg]; s != nil {
+			if s := live[h.Who][h.Attempt]; s != nil {
 				s.how = h.How
-				close(s, h.At, h.Fate)
+				close(s, h.At, h.Outcome)
 			}
 		case Noted:
-			for _, s := range c.job(h.Leg.Job).spans[h.Leg.N] {
-				if s.leg == h.Leg && s.who == h.Who {
+			for _, s := range c.job(h.Attempt.Job).spans[h.Attempt.N] {
+				if s.attempt == h.Attempt && s.who == h.Who {
 					s.noted = h.At
 				}
 			}
@@ -218,14 +218,14 @@
 		case Unclear:
 			c.job(h.Job).unclear++
 		case Settled:
-			for _, s := range c.job(h.Leg.Job).spans[h.Leg.N] {
-				if s.told == 0 && s.leg == h.Leg {
+			for _, s := range c.job(h.Attempt.Job).spans[h.Attempt.N] {
+				if s.told == 0 && s.attempt == h.Attempt {
 					s.told = h.At
 				}
 			}
 		case Heard:
-			for _, s := range c.job(h.Leg.Job).spans[h.Leg.N] {
-				if s.leg == h.Leg {
+			for _, s := range c.job(h.Attempt.Job).spans[h.Attempt.N] {
+				if s.attempt == h.Attempt {
 					s.heard = append(s.heard, heard{h.Who, h.At})
 				}
 			}
@@ -273,7 +273,7 @@
 	}
 }
 
-// runs tells whether a leg really runs at some time in a stretch: a worker that
+// runs tells whether an attempt really runs at some time in a stretch: a worker that
 // stands still runs nothing, and stops what has lapsed before anything else.
 func (s *span) runs(from, to int64) bool {
 	a, b := max(s.from, from), min(s.to, to)
@@ -298,7 +298,7 @@
 		}
 	}
 	for _, s := range list {
-		if s.fate == state.OK && s.to <= by {
+		if s.outcome == state.OK && s.to <= by {
 			return true
 		}
 	}
@@ -321,17 +321,17 @@
 		p := j.spec.Steps[j.spec.Step(n)]
 		for _, s := range list {
 			if due := j.due(p, types.StageOf(n).Time()); s.from < due-int64(c.b.Early) {
-				c.bad("early", s.from, "%v starts %.3f s too soon", s.leg, float64(due-s.from)/1e9)
+				c.bad("early", s.from, "%v starts %.3f s too soon", s.attempt, float64(due-s.from)/1e9)
 			}
 			if t, err := time.Parse(time.RFC3339Nano, p.Not); err == nil && s.from+origin < t.UnixNano()-int64(c.b.Early) {
-				c.bad("early", s.from, "%v starts before %s", s.leg, p.Not)
+				c.bad("early", s.from, "%v starts before %s", s.attempt, p.Not)
 			}
 			for _, a := range p.After {
 				for i, q := range j.spec.Steps {
 					b := types.No(types.StageOf(n).Time(), i, 0)
 					for m := b; q.Name == a && m < b+q.Tasks; m++ {
 						if !j.good(m, s.from) {
-							c.bad("order", s.from, "%v starts before task %d of step %s ended well", s.leg, m, a)
+							c.bad("order", s.from, "%v starts before task %d of step %s ended well", s.attempt, m, a)
 						}
 					}
 				}
@@ -348,10 +348,10 @@
 	for _, list := range j.spans {
 		for _, s := range list {
 			if s.from > j.halt+int64(c.b.Start) {
-				c.bad("cancel-start", s.from, "%v starts %.3f s after its cancel", s.leg, float64(s.from-j.halt)/1e9)
+				c.bad("cancel-start", s.from, "%v starts %.3f s after its cancel", s.attempt, float64(s.from-j.halt)/1e9)
 			}
 			if s.runs(j.halt+int64(c.b.Run), c.end) {
-				c.bad("cancel-run", s.to, "%v runs %.3f s after its cancel", s.leg, float64(s.to-j.halt)/1e9)
+				c.bad("cancel-run", s.to, "%v runs %.3f s after its cancel", s.attempt, float64(s.to-j.halt)/1e9)
 			}
 		}
 	}
--- a/sim/check2.go
+++ b/sim/check2.go
@@ -22,17 +22,17 @@
 		for _, s := range list {
 			m := c.makes[s.shard]
 			if !slices.Contains(m.Kinds, p.Kind) {
-				c.bad("service", s.from, "%v of kind %s on %s", s.leg, p.Kind, s.shard)
+				c.bad("service", s.from, "%v of kind %s on %s", s.attempt, p.Kind, s.shard)
 			}
 			if p.Rack != "" {
 				c.seen["rack: started under a label"]++
 			}
 			if p.Rack != "" && p.Rack != m.Rack {
-				c.bad("rack", s.from, "%v for rack %s on %s in %s", s.leg, p.Rack, s.shard, m.Rack)
+				c.bad("rack", s.from, "%v for rack %s on %s in %s", s.attempt, p.Rack, s.shard, m.Rack)
 			}
 			for _, l := range p.Labels {
 				if c.seen["label: started under one"]++; !slices.Contains(m.Labels, l) {
-					c.bad("label", s.from, "%v needs %s, which %s has not", s.leg, l, s.shard)
+					c.bad("label", s.from, "%v needs %s, which %s has not", s.attempt, l, s.shard)
 				}
 			}
 			for _, l := range slices.Concat(c.leave[s.shard], c.drain[s.shard]) {
@@ -43,7 +43,7 @@
 					c.seen["leaving: started within 2 s of the word"]++
 				}
 				if s.from > l[0]+int64(c.b.Leave) && s.from < l[1] {
-					c.bad("leaving", s.from, "%v starts on %s, leaving for %.3f s", s.leg, s.who, float64(s.from-l[0])/1e9)
+					c.bad("leaving", s.from, "%v starts on %s, leaving for %.3f s", s.attempt, s.who, float64(s.from-l[0])/1e9)
 				}
 			}
 			if p.Spread == 0 {
@@ -80,15 +80,15 @@
 			var sum types.Room
 			for _, o := range on {
 				if o.to > s.from {
-					if sp := c.jobs[o.leg.Job].spec; sp != nil {
-						sum = sum.Plus(sp.Steps[sp.Step(o.leg.N)].Room)
+					if sp := c.jobs[o.attempt.Job].spec; sp != nil {
+						sum = sum.Plus(sp.Steps[sp.Step(o.attempt.N)].Room)
 					}
 				}
 			}
 			if m := c.makes[s.shard]; m.Room.Cores == sum.Cores {
 				c.seen["room: started into the last core"]++
 			}
-			if m := c.makes[s.shard]; c.jobs[s.leg.Job].spec != nil && !m.Room.Holds(sum.Plus(c.step(s).Room)) {
+			if m := c.makes[s.shard]; c.jobs[s.attempt.Job].spec != nil && !m.Room.Holds(sum.Plus(c.step(s).Room)) {
 				c.seen["room: started where no other like it would fit"]++
 			}
 			if m := c.makes[s.shard]; !m.Room.Holds(sum) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// gangs: no member runs on for long when a mate has ended badly, or never was.
+// gangs: no member runs on for long when a peer has ended badly, or never was.
 func (c *checker) gangs(j *job) {
 	for i, p := range j.spec.Steps {
 		if !p.Gang {
@@ -120,7 +120,7 @@
 func (c *checker) mated(j *job, s *span, m int) {
 	alone := int64(c.b.Alone)
 	for _, o := range j.spans[m] {
-		if o.fate != state.OK && o.to < c.end && o.to > s.from && s.runs(o.to, c.end) && !newer(j.spans[m], o) {
+		if o.outcome != state.OK && o.to < c.end && o.to > s.from && s.runs(o.to, c.end) && !newer(j.spans[m], o) {
 			c.seen["gang: a member lost while a mate ran"]++
 			if len(s.ice) == 0 {
 				c.seen.most("gang: longest alone, ms", int(min(s.to, c.end)-o.to)/1e6)
@@ -134,17 +134,17 @@
 	for _, o := range j.spans[m] {
 		if o.to > s.from && o.from < s.from+alone {
 			met = true
-			if !newer(j.spans[m], o) && o.fate != state.OK && o.to < c.end && s.runs(o.to+alone, c.end) {
-				c.bad("gang", o.to+alone, "%v runs on although %v ended (%s)", s.leg, o.leg, o.fate)
+			if !newer(j.spans[m], o) && o.outcome != state.OK && o.to < c.end && s.runs(o.to+alone, c.end) {
+				c.bad("gang", o.to+alone, "%v runs on although %v ended (%s)", s.attempt, o.attempt, o.outcome)
 			}
 		}
 	}
 	if !met {
-		c.bad("gang", s.from+alone, "%v runs without task %d", s.leg, m)
+		c.bad("gang", s.from+alone, "%v runs without task %d", s.attempt, m)
 	}
 }
 
-// newer tells whether a leg that ended had been given again before: a frozen
+// newer tells whether an attempt that ended had been given again before: a frozen
 // worker stops at its thaw what has long run elsewhere.
 func newer(list []*span, o *span) bool {
 	for _, q := range list {
@@ -188,9 +188,9 @@
 		fails, last := 0, int64(0)
 		for _, s := range j.spans[n] {
 			if s.runs(h.At, c.end) {
-				c.bad("shown", h.At, "%s is shown %s while %v runs", j.id, h.Stage, s.leg)
+				c.bad("shown", h.At, "%s is shown %s while %v runs", j.id, h.Stage, s.attempt)
 			}
-			if s.to <= h.At && (s.fate == state.Bad || c.overran(s)) {
+			if s.to <= h.At && (s.outcome == state.Bad || c.overran(s)) {
 				fails, last = fails+1, max(last, s.to)
 			}
 		}
@@ -218,17 +218,17 @@
 	}
 }
 
-// tables: an edition says one thing; what is read is never older than what was
-// acknowledged before the read began; a refused table is in no edition.
+// tables: an version says one thing; what is read is never older than what was
+// acknowledged before the read began; a refused table is in no version.
 func (c *checker) tables() {
-	says := map[types.Edition]config.Table{}
+	says := map[types.Version]config.Table{}
 	var acked []Happening
 	tried := []config.Table{}
 	fixed := func(t config.Table, at int64) {
-		if o, ok := says[t.Edition]; ok && !o.Same(t) {
-			c.bad("table", at, "edition %d says two different things", t.Edition)
+		if o, ok := says[t.Version]; ok && !o.Same(t) {
+			c.bad("table", at, "edition %d says two different things", t.Version)
 		}
-		says[t.Edition] = t
+		says[t.Version] = t
 	}
 	for _, h := range c.hist.List {
 		switch h.What {
@@ -242,27 +242,27 @@
 			began, _ := strconv.ParseInt(h.Text, 10, 64)
 			i := sort.Search(len(acked), func(i int) bool { return acked[i].At >= began })
 			for _, a := range acked[:i] {
-				if h.Table.Edition < a.Table.Edition {
-					c.bad("table", h.At, "edition %d was read although %d was acknowledged at %.3f s", h.Table.Edition, a.Table.Edition, float64(a.At)/1e9)
+				if h.Table.Version < a.Table.Version {
+					c.bad("table", h.At, "edition %d was read although %d was acknowledged at %.3f s", h.Table.Version, a.Table.Version, float64(a.At)/1e9)
 					break
 				}
 			}
-			known := h.Table.Edition == 0
+			known := h.Table.Version == 0
 			for _, t := range tried {
-				known = known || t.Next().Edition == h.Table.Edition && t.Same(*h.Table)
+				known = known || t.Next().Version == h.Table.Version && t.Same(*h.Table)
 			}
 			if !known {
-				c.bad("table", h.At, "edition %d was put by nobody", h.Table.Edition)
+				c.bad("table", h.At, "edition %d was put by nobody", h.Table.Version)
 			}
 		}
 	}
 	for _, h := range c.hist.List {
-		if o, ok := says[types.Edition(0)]; h.What == TableNo && ok && len(o.Rows) > 0 {
+		if o, ok := says[types.Version(0)]; h.What == TableNo && ok && len(o.Rows) > 0 {
 			c.bad("table", h.At, "edition 0 is not empty")
 		}
 		if h.What == TableNo {
-			if o, ok := says[h.Table.Next().Edition]; ok && o.Same(*h.Table) && !c.twin(tried, *h.Table) {
-				c.bad("table", h.At, "a refused table is edition %d", o.Edition)
+			if o, ok := says[h.Table.Next().Version]; ok && o.Same(*h.Table) && !c.twin(tried, *h.Table) {
+				c.bad("table", h.At, "a refused table is edition %d", o.Version)
 			}
 		}
 	}
@@ -271,7 +271,7 @@
 func (c *checker) twin(tried []config.Table, t config.Table) bool {
 	n := 0
 	for _, o := range tried {
-		if o.Edition == t.Edition && o.Same(t) {
+		if o.Version == t.Version && o.Same(t) {
 			n++
 		}
 	}
@@ -296,13 +296,13 @@
 // Summary counts the history's happenings in one line.
 func Summary(h *History) string {
 	n := map[What]int{}
-	fates := map[state.Fate]int{}
+	outcomes := map[state.Outcome]int{}
 	for _, x := range h.List {
 		n[x.What]++
 		if x.What == Ended {
-			fates[x.Fate]++
+			outcomes[x.Outcome]++
 		}
 	}
 	return fmt.Sprintf("sent %d, accepted %d, denied %d, cancels %d, legs %d, ended %v, worker deaths %d, tables %d taken %d refused, troubles %d",
-		n[Sent], n[Accepted], n[Denied], n[Halt], n[Started], fates, n[Died], n[TableAck], n[TableNo], n[Trouble])
+		n[Sent], n[Accepted], n[Denied], n[Halt], n[Started], outcomes, n[Died], n[TableAck], n[TableNo], n[Trouble])
 }
--- a/sim/core_test.go
+++ b/sim/core_test.go
@@ -26,9 +26,9 @@
 	return r, func() bool { return ok }
 }
 
-// editions is what any gateway answers when asked for the table now.
-func (r *Run) edition(within time.Duration) (e types.Edition, ok bool) {
-	r.Crew.read(func(t config.Table) { e, ok = t.Edition, true })
+// versions is what any gateway answers when asked for the table now.
+func (r *Run) version(within time.Duration) (e types.Version, ok bool) {
+	r.Crew.read(func(t config.Table) { e, ok = t.Version, true })
 	r.Run(time.Duration(r.now) + within)
 	return
 }
@@ -47,14 +47,14 @@
 			down.kill()
 			lost.boot() // comes back empty, with only one that knows
 			r.Run(time.Duration(r.now) + 12*time.Second)
-			_, served := r.edition(5 * time.Second)
+			_, served := r.version(5 * time.Second)
 			is.Equal(served, false)                                                     // no majority of those who acknowledged: no answer, rather than an old one
 			is.True(r.status(lost).Part == "empty" || r.status(lost).Part == "learner") // it has no vote
 			down.boot()
 			r.Run(time.Duration(r.now) + 10*time.Second)
-			e, ok := r.edition(5 * time.Second)
+			e, ok := r.version(5 * time.Second)
 			is.True(ok)
-			is.Equal(e, types.Edition(1))
+			is.Equal(e, types.Version(1))
 		}
 	}
 }
@@ -109,38 +109,38 @@
 		n := r.controllers[i]
 		old = append(old, n)
 		n.kill()
-		fresh := r.World.controller(n.addr+"x", n.loc)
+		fresh := r.World.controller(n.addr+"x", n.zone)
 		r.controllers[i] = fresh
 		fresh.boot()
 		r.Run(time.Duration(r.now) + 15*time.Second)
 		is.Equal(len(r.status(fresh).Roll), 3)
 		is.True(r.status(fresh).Part == "follower" || r.status(fresh).Part == "leader")
 	}
-	e, ok := r.edition(5 * time.Second)
+	e, ok := r.version(5 * time.Second)
 	is.True(ok)
-	is.Equal(e, types.Edition(1))
+	is.Equal(e, types.Version(1))
 	old[0].boot() // a struck-off member returns with its old disk
 	r.Run(time.Duration(r.now) + 15*time.Second)
 	is.Equal(r.status(old[0]).Part, "out")
 	is.Equal(r.status(old[0]).Ready, false)
 }
 
-// A leader cut off from its mates still reaches gateways and agents: it must not
+// A leader cut off from its peers still reaches gateways and agents: it must not
 // answer by what it has, and the others must go on.
 func TestDeposedLeaderAnswersNobody(t *testing.T) {
 	is := is.New(t)
 	r, _ := core(t, 21)
 	r.Run(8 * time.Second)
 	l := r.leader()
-	a, b := mates(r, l)
+	a, b := peers(r, l)
 	r.Split(a, b, true, true)
 	r.Run(12 * time.Second)
 	is.True(r.leader() != nil)
 	is.True(r.leader() != l)
 	is.Equal(r.status(l).Part != "leader", true)
-	e, ok := r.edition(3 * time.Second)
+	e, ok := r.version(3 * time.Second)
 	is.True(ok)
-	is.Equal(e, types.Edition(1))
+	is.Equal(e, types.Version(1))
 }
 
 // A clock that jumps at one controller moves nothing: the cluster's time stays.
--- a/sim/crowd_test.go
+++ b/sim/crowd_test.go
@@ -54,6 +54,6 @@
 	v, _ := Check(&r.Hist, Bounds{Start: Rules.Start, Run: Rules.Run, Early: Rules.Early, Leave: Rules.Leave, Alone: Rules.Alone, Table: Rules.Table},
 		r.now, 30*time.Second)
 	is.Equal(len(v), 0)
-	is.True(len(r.status(r.leader()).Mates) > 0)
+	is.True(len(r.status(r.leader()).Peers) > 0)
 	is.True(r.status(r.leader()).Jobs <= 400+400+400)
 }
--- a/sim/day.go
+++ b/sim/day.go
@@ -143,10 +143,10 @@
 	}
 }
 
-func zone(f *Fleet, s *Street) (list []*proc) {
-	z := Zone(s.chance(3))
+func zoneMembers(f *Fleet, s *Street) (list []*proc) {
+	z := ZoneOf(s.chance(3))
 	for _, p := range f.procs {
-		if p.loc == z {
+		if p.zone == z {
 			list = append(list, p)
 		}
 	}
@@ -188,7 +188,7 @@
 	"freeze-agent":    dayFreeze(some("agent")),
 	"freeze-worker":   dayFreeze(some("worker")),
 	"freeze-machine":  dayFreeze(machine),
-	"cut-zone":        dayCut(zone, all),
+	"cut-zone":        dayCut(zoneMembers, all),
 	"cut-leader":      dayCut(lead, all),
 	"cut-core":        dayCut(lead, isController),
 	"cut-agent":       dayCut(some("agent"), all),
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -121,8 +121,8 @@
 	return []types.Addr{n.addr}, r.rest(n.addr)
 }
 
-// mates is a controller and the other controllers only: it still reaches agents and gateways.
-func mates(r *Run, n *node) (a, b []types.Addr) {
+// peers is a controller and the other controllers only: it still reaches agents and gateways.
+func peers(r *Run, n *node) (a, b []types.Addr) {
 	if n == nil {
 		return nil, nil
 	}
@@ -147,9 +147,9 @@
 	"freeze-gateway":    freezer(func(r *Run) []*node { return r.gateways }),
 	"freeze-agent":      freezer(func(r *Run) []*node { return r.agents }),
 	"cut-leader":        cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return apart(r, r.leader()) }),
-	"cut-core":          cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return mates(r, r.leader()) }),
-	"cut-core-in":       cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { a, b := mates(r, r.leader()); return b, a }),
-	"cut-core-out":      cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { return mates(r, r.leader()) }),
+	"cut-core":          cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return peers(r, r.leader()) }),
+	"cut-core-in":       cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { a, b := peers(r, r.leader()); return b, a }),
+	"cut-core-out":      cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { return peers(r, r.leader()) }),
 	"cut-controller":    cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return apart(r, one(r.rnd, r.controllers)) }),
 	"cut-agent":         cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return apart(r, one(r.rnd, r.agents)) }),
 	"cut-agent-in":      cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { a, b := apart(r, one(r.rnd, r.agents)); return b, a }),
@@ -331,9 +331,9 @@
 		}
 	}
 	n.closes, n.make = true, nil
-	fresh := r.World.controller(types.Addr(string(n.addr)+"x"), n.loc)
+	fresh := r.World.controller(types.Addr(string(n.addr)+"x"), n.zone)
 	r.controllers[i] = fresh
-	r.zones[n.loc] = append(r.zones[n.loc], fresh.addr)
+	r.zones[n.zone] = append(r.zones[n.zone], fresh.addr)
 	return fresh.boot
 }
 
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -24,7 +24,7 @@
 type proc struct {
 	name string
 	role string
-	loc  types.Locality
+	zone types.Zone
 	ip   string // where it listens, and from where it calls
 	addr string // by which others reach it
 	args []string
@@ -72,7 +72,7 @@
 		if err != nil {
 			return err
 		}
-		f.add(&proc{name: fmt.Sprintf("worker%d", i+1), role: "worker", loc: Zone(i), ip: fmt.Sprintf("127.0.17.%d", i+1), bin: f.Self,
+		f.add(&proc{name: fmt.Sprintf("worker%d", i+1), role: "worker", zone: ZoneOf(i), ip: fmt.Sprintf("127.0.17.%d", i+1), bin: f.Self,
 			args: []string{"worker", "--agent", w.addr, "--source", fmt.Sprintf("127.0.17.%d", i+1), "--make", string(b)}})
 	}
 	for _, p := range f.procs {
@@ -98,11 +98,11 @@
 
 func (f *Fleet) daemon(role string, i int, more ...string) *proc {
 	part := map[string]int{"controller": 11, "gateway": 13, "agent": 15}[role]
-	p := &proc{name: fmt.Sprintf("%s%d", role, i+1), role: role, loc: Zone(i), ip: fmt.Sprintf("127.0.%d.%d", part, i+1),
+	p := &proc{name: fmt.Sprintf("%s%d", role, i+1), role: role, zone: ZoneOf(i), ip: fmt.Sprintf("127.0.%d.%d", part, i+1),
 		addr: fmt.Sprintf("127.0.%d.%d:%d", part+1, i+1, f.Port), bin: f.Bin}
 	seed := func(part int) string { return fmt.Sprintf("127.0.%d.1:%d", part, f.Port) }
 	p.args = append([]string{role, "--listen", fmt.Sprintf("%s:%d", p.ip, f.Port), "--address", p.addr, "--source", p.ip,
-		"--locality", string(p.loc), "--seed", seed(12), "--seed", seed(14), "--seed", seed(16)}, more...)
+		"--locality", string(p.zone), "--seed", seed(12), "--seed", seed(14), "--seed", seed(16)}, more...)
 	f.add(p)
 	return p
 }
--- a/sim/floor.go
+++ b/sim/floor.go
@@ -35,9 +35,9 @@
 
 // gangID names the members of a joint step that were given out together.
 type gangID struct {
-	job types.JobID
-	at  types.Stage
-	leg int
+	job     types.JobID
+	at      types.Stage
+	attempt int
 }
 
 // gang is members that work only together.
@@ -57,8 +57,8 @@
 // Sent takes note of a job that a caller sends.
 func (f *Floor) Sent(id types.JobID, s *state.Spec) { f.specs[id] = s }
 
-// step finds what a leg is of, or nil where nobody sent that.
-func (f *Floor) step(l types.Leg) *state.Step {
+// step finds what an attempt is of, or nil where nobody sent that.
+func (f *Floor) step(l types.Attempt) *state.Step {
 	if s := f.specs[l.Job]; s != nil {
 		if i := s.Step(l.N); i >= 0 {
 			return &s.Steps[i]
@@ -73,7 +73,7 @@
 }
 
 // far is how many times as long a task takes on a worker.
-func (f *Floor) far(w *Called, l types.Leg, p *state.Step) float64 {
+func (f *Floor) far(w *Called, l types.Attempt, p *state.Step) float64 {
 	if p.Near != "" && p.Near != w.Rack {
 		return f.Far
 	}
@@ -88,14 +88,14 @@
 
 // join has an attempt wait for its gang, or completes it.
 func (f *Floor) join(a *attempt) {
-	id := gangID{a.leg.Job, types.StageOf(a.leg.N), a.leg.Leg}
+	id := gangID{a.attempt.Job, types.StageOf(a.attempt.N), a.attempt.Attempt}
 	g := f.gangs[id]
 	if g == nil {
 		g = &gang{id: id, floor: f, need: a.step.Tasks, here: map[int]*attempt{}}
 		f.gangs[id] = g
 	}
 	a.gang = g
-	if g.here[a.leg.N] = a; len(g.here) < g.need {
+	if g.here[a.attempt.N] = a; len(g.here) < g.need {
 		return
 	}
 	g.works = true
@@ -108,7 +108,7 @@
 		if a.step.OneRack && len(racks) > 1 {
 			m.slow *= f.Far
 		}
-		m.w.say(Happening{What: Working, Leg: m.leg})
+		m.w.say(Happening{What: Working, Attempt: m.attempt})
 	}
 }
 
@@ -117,7 +117,7 @@
 	for _, a := range g.here {
 		list = append(list, a)
 	}
-	sort.Slice(list, func(i, k int) bool { return list[i].leg.N < list[k].leg.N })
+	sort.Slice(list, func(i, k int) bool { return list[i].attempt.N < list[k].attempt.N })
 	return list
 }
 
--- a/sim/grown_day_test.go
+++ b/sim/grown_day_test.go
@@ -77,10 +77,10 @@
 		}
 	})
 	r.Go()
-	legs, pushes, told := 0, 0, 0
+	attempts, pushes, told := 0, 0, 0
 	for _, h := range r.Hist.List {
 		if h.What == Ended {
-			legs++
+			attempts++
 		}
 	}
 	for _, h := range r.controllers {
@@ -89,8 +89,8 @@
 			told += h.use.Sent[WorkMessages].Messages
 		}
 	}
-	t.Logf("%d legs, %d messages to the controllers, %d by followers of work", legs, pushes, told)
-	is.True(legs > 500)
-	is.True(told < legs)
-	is.True(pushes < 20*legs)
+	t.Logf("%d legs, %d messages to the controllers, %d by followers of work", attempts, pushes, told)
+	is.True(attempts > 500)
+	is.True(told < attempts)
+	is.True(pushes < 20*attempts)
 }
--- a/sim/grown_rig_test.go
+++ b/sim/grown_rig_test.go
@@ -60,10 +60,10 @@
 }
 
 // table has an operator put the next table; acked tells whether it was taken.
-func (r *Run) table(on types.Edition) (acked func() bool) {
+func (r *Run) table(on types.Version) (acked func() bool) {
 	ok := false
 	t := Towns["kingston"].Table()
-	t.Edition = on
+	t.Version = on
 	r.Crew.put(t, "g1", 0, func(b bool) { ok = ok || b })
 	return func() bool { return ok }
 }
--- a/sim/grown_test.go
+++ b/sim/grown_test.go
@@ -128,9 +128,9 @@
 				}
 				r.must(t, "all seven vote again", r.waits(5*time.Second, func() bool { return r.whole(7) }))
 				r.wait(time.Second)
-				e, ok := r.edition(3 * time.Second)
+				e, ok := r.version(3 * time.Second)
 				is.True(ok)
-				is.Equal(e, types.Edition(1))
+				is.Equal(e, types.Version(1))
 			})
 		}
 	}
@@ -148,11 +148,11 @@
 			r.start(r.rnd.Perm(n), 300*time.Millisecond)
 			r.must(t, "all vote", r.waits(5*time.Second, func() bool { return r.whole(n) }))
 			r.wait(time.Second)
-			edition := types.Edition(0)
+			version := types.Version(0)
 			for i := range 2 * n {
-				acked := r.table(edition)
+				acked := r.table(version)
 				r.must(t, "a table is taken", r.waits(9*time.Second, acked))
-				edition++
+				version++
 				h := r.controllers[i%n]
 				if i%3 == 2 { // warned: a new one comes before it goes
 					r.Close(h)
@@ -170,15 +170,15 @@
 						}
 					}
 					h.make = nil
-					r.controllers[i%n] = r.World.controller(h.addr+"x", h.loc)
+					r.controllers[i%n] = r.World.controller(h.addr+"x", h.zone)
 					r.at(time.Duration(r.rnd.Intn(1500))*time.Millisecond, r.controllers[i%n].boot)
 				}
 				r.wait(2 * time.Second)
 				r.must(t, fmt.Sprint("all vote after change ", i), r.waits(10*time.Second, func() bool { return r.whole(n) }))
 			}
-			e, ok := r.edition(3 * time.Second)
+			e, ok := r.version(3 * time.Second)
 			is.True(ok)
-			is.Equal(e, edition)
+			is.Equal(e, version)
 		})
 	}
 }
@@ -203,7 +203,7 @@
 					away = append(away, h.addr)
 				}
 			}
-			fresh := r.World.controller("h99", l.loc)
+			fresh := r.World.controller("h99", l.zone)
 			away = append(away, fresh.addr)
 			r.Split(away, r.rest(away...), true, true)
 			r.at(time.Second, fresh.boot)
@@ -239,13 +239,13 @@
 	r.must(t, "four of six take a table", r.waits(9*time.Second, acked))
 	r.controllers[2].kill()
 	r.wait(2 * time.Second)
-	_, ok := r.edition(3 * time.Second)
+	_, ok := r.version(3 * time.Second)
 	is.Equal(ok, false)
 	r.controllers[0].boot()
 	r.wait(3 * time.Second)
-	e, ok := r.edition(3 * time.Second)
+	e, ok := r.version(3 * time.Second)
 	is.True(ok)
-	is.Equal(e, types.Edition(1))
+	is.Equal(e, types.Version(1))
 }
 
 // A machine that is added is one of the core once it has voted beside all others for
--- a/sim/hand.go
+++ b/sim/hand.go
@@ -19,12 +19,12 @@
 	w             *Worker
 	gen           int
 	deaf, willing bool
-	told          map[types.Leg]int // which of the agent's processes was told of an end
+	told          map[types.Attempt]int // which of the agent's processes was told of an end
 }
 
-func (w *World) worker(addr, agent types.Addr, loc types.Locality, m Make) *hand {
+func (w *World) worker(addr, agent types.Addr, zone types.Zone, m Make) *hand {
 	h := &hand{agent: agent, make: m}
-	h.node = w.add(addr, "worker", loc, nil)
+	h.node = w.add(addr, "worker", zone, nil)
 	w.hands = append(w.hands, h)
 	return h
 }
@@ -35,7 +35,7 @@
 	n.frozen, n.queue = false, nil
 	h.w = NewWorker(h.make, types.ID(fmt.Sprintf("%s.%d", n.addr, h.gen)), n.w.chance(), n.w.tell)
 	h.w.Deaf, h.w.Willing = h.deaf, h.willing
-	h.told = map[types.Leg]int{}
+	h.told = map[types.Attempt]int{}
 	n.w.tell(Happening{What: Staying, Who: string(h.w.ID), Shard: h.make.Shard, Make: &h.make})
 	gen := h.gen
 	var beat func()
@@ -110,9 +110,9 @@
 	on := func() bool { return h.gen == gen && h.w != nil && p.Call == h.w.call }
 	took := func(n *node) {
 		for _, e := range p.Ends {
-			if h.told[e.Leg] != n.gen {
-				h.told[e.Leg] = n.gen
-				w.tell(Happening{What: Heard, Who: n.name(), Leg: e.Leg, Fate: e.Fate})
+			if h.told[e.Attempt] != n.gen {
+				h.told[e.Attempt] = n.gen
+				w.tell(Happening{What: Heard, Who: n.name(), Attempt: e.Attempt, Outcome: e.Outcome})
 			}
 		}
 	}
--- a/sim/hist.go
+++ b/sim/hist.go
@@ -55,18 +55,18 @@
 
 // Happening is one line of the history. At is true time in nanoseconds.
 type Happening struct {
-	At    int64         `json:"at"`
-	What  What          `json:"what"`
-	Who   string        `json:"who,omitempty"`
-	Shard types.Shard   `json:"shard,omitempty"`
-	Leg   types.Leg     `json:"leg,omitzero"`
-	Fate  state.Fate    `json:"fate,omitempty"`
-	Job   types.JobID   `json:"job,omitempty"`
-	Stage state.Stage   `json:"stage,omitempty"`
-	Spec  *state.Spec   `json:"spec,omitempty"`
-	Make  *Make         `json:"make,omitempty"`
-	Table *config.Table `json:"table,omitempty"`
-	Text  string        `json:"text,omitempty"`
+	At      int64         `json:"at"`
+	What    What          `json:"what"`
+	Who     string        `json:"who,omitempty"`
+	Shard   types.Shard   `json:"shard,omitempty"`
+	Attempt types.Attempt `json:"leg,omitzero"`
+	Outcome state.Outcome `json:"fate,omitempty"`
+	Job     types.JobID   `json:"job,omitempty"`
+	Stage   state.Stage   `json:"stage,omitempty"`
+	Spec    *state.Spec   `json:"spec,omitempty"`
+	Make    *Make         `json:"make,omitempty"`
+	Table   *config.Table `json:"table,omitempty"`
+	Text    string        `json:"text,omitempty"`
 
 	// Of workers that are called.
 	How  wire.How        `json:"how,omitempty"`
--- a/sim/hollow.go
+++ b/sim/hollow.go
@@ -51,8 +51,8 @@
 
 // Hollow sets such a fleet up without traffic.
 func Hollow(seed int64, s Scale) *Run {
-	r := &Run{World: NewWorld(seed), zones: map[types.Locality][]types.Addr{}, drains: map[string]bool{}}
-	zone := func(i int) types.Locality { return types.Locality(fmt.Sprintf("z%d", i%s.Zones+1)) }
+	r := &Run{World: NewWorld(seed), zones: map[types.Zone][]types.Addr{}, drains: map[string]bool{}}
+	zone := func(i int) types.Zone { return types.Zone(fmt.Sprintf("z%d", i%s.Zones+1)) }
 	addr := func(part, i int) types.Addr {
 		return types.Addr(fmt.Sprintf("10.%d.%d.%d:7400", part, i/200, i%200+1))
 	}
@@ -71,7 +71,7 @@
 	}
 	for _, a := range r.order {
 		n := r.nodes[a]
-		r.zones[n.loc] = append(r.zones[n.loc], a)
+		r.zones[n.zone] = append(r.zones[n.zone], a)
 		if n.make != nil {
 			r.at(time.Duration(r.rnd.Int63n(int64(300*time.Millisecond))), n.boot)
 		}
@@ -169,7 +169,7 @@
 	region := map[types.Addr]int{}
 	for a, n := range r.nodes {
 		var i int
-		fmt.Sscanf(string(n.loc), "z%d", &i)
+		fmt.Sscanf(string(n.zone), "z%d", &i)
 		region[a] = i % 3
 	}
 	return func(from, to types.Addr) time.Duration {
@@ -321,14 +321,14 @@
 func (r *Run) change(t *config.Table) (time.Duration, error) {
 	from := r.now
 	next := *t
-	next.Edition, next.Rows = t.Edition+1, slices.Clone(t.Rows)
+	next.Version, next.Rows = t.Version+1, slices.Clone(t.Rows)
 	next.Rows[0].Weight = 1 + rand.New(rand.NewSource(r.now)).Intn(900)
 	acked := false
 	r.Crew.put(next, r.Crew.any(), 0, func(ok bool) { acked = ok })
 	err := r.await(20*time.Second, "a table in force at every gateway", func() bool {
 		return acked && !slices.ContainsFunc(r.gateways, func(n *node) bool {
 			have, fresh := n.m.(*gateway.Gateway).Table()
-			return !fresh || have.Edition <= next.Edition
+			return !fresh || have.Version <= next.Version
 		})
 	})
 	*t = next
@@ -344,7 +344,7 @@
 	seen, at := len(r.Hist.List), int64(0)
 	err := r.await(20*time.Second, "an urgent task started", func() bool {
 		for _, h := range r.Hist.List[seen:] {
-			if h.What == Started && string(h.Leg.Job) == id {
+			if h.What == Started && string(h.Attempt.Job) == id {
 				at = h.At
 			}
 		}
--- a/sim/once.go
+++ b/sim/once.go
@@ -1,4 +1,4 @@
-// The checker on legs of one task: never two at once, none after a good end that
+// The checker on attempts of one task: never two at once, none after a good end that
 // anybody alive was told of, no more tries than allowed; and on workers that are
 // taken away or drained.
 package sim
@@ -11,7 +11,7 @@
 	"coppercourse/internal/types"
 )
 
-// excuse tells why a leg's end need not have been known at a time, or nothing:
+// excuse tells why an attempt's end need not have been known at a time, or nothing:
 // no daemon alive then had been told, and the worker is dead or the queue's
 // patience is over.
 func (c *checker) excuse(o *span, at, patience int64) string {
@@ -43,16 +43,16 @@
 	return ""
 }
 
-// overran tells a leg that was stopped at the time its queue or step allows,
+// overran tells an attempt that was stopped at the time its queue or step allows,
 // which is a failure too.
 func (c *checker) overran(s *span) bool {
 	p := c.step(s)
-	for _, r := range c.rows(c.jobs[s.leg.Job].spec.Queue, s.from, s.to) {
+	for _, r := range c.rows(c.jobs[s.attempt.Job].spec.Queue, s.from, s.to) {
 		long := r.TaskMS
 		if p.Limit > 0 {
 			long = min(long, p.Limit)
 		}
-		if s.fate == state.Halted && s.to-s.from >= int64(long)*1e6 {
+		if s.outcome == state.Halted && s.to-s.from >= int64(long)*1e6 {
 			return true
 		}
 	}
@@ -67,24 +67,24 @@
 			fails := 0
 			for _, o := range list[:i] {
 				if o.runs(s.from, s.to) && s.runs(o.from, o.to) {
-					c.bad("twice", s.from, "%v on %s while %v runs on %s", s.leg, s.who, o.leg, o.who)
+					c.bad("twice", s.from, "%v on %s while %v runs on %s", s.attempt, s.who, o.attempt, o.who)
 				}
 				if o.to > s.from {
 					c.seen["twice: a newer leg while an older stood frozen"]++
 					continue
 				}
 				why := ""
-				if o.fate == state.OK || o.fate == state.Bad {
+				if o.outcome == state.OK || o.outcome == state.Bad {
 					why = c.excuse(o, s.from, patience)
 				}
 				switch {
-				case o.fate == state.Bad && why == "":
+				case o.outcome == state.Bad && why == "":
 					fails++
-				case o.fate == state.OK && why == "":
-					c.bad("again", s.from, "%v starts although %v ended well at %.3f s", s.leg, o.leg, float64(o.to)/1e9)
-				case o.fate == state.OK:
+				case o.outcome == state.OK && why == "":
+					c.bad("again", s.from, "%v starts although %v ended well at %.3f s", s.attempt, o.attempt, float64(o.to)/1e9)
+				case o.outcome == state.OK:
 					c.seen[why]++
-				case o.fate != state.Bad:
+				case o.outcome != state.Bad:
 					c.seen["again: started again after a lost or stopped leg"]++
 				}
 			}
@@ -109,7 +109,7 @@
 const fair = 2500 * time.Millisecond
 
 // removed counts what a worker still ran that had said in time when it goes.
-func (c *checker) removed(h Happening, live map[types.Leg]*span) {
+func (c *checker) removed(h Happening, live map[types.Attempt]*span) {
 	if d, _ := time.ParseDuration(h.Text); d >= fair {
 		c.seen["removed: workers taken away with notice"]++
 		c.seen["removed: legs lost to that"] += len(live)
--- a/sim/operator.go
+++ b/sim/operator.go
@@ -19,7 +19,7 @@
 func (c *Crew) change(t config.Table) config.Table {
 	n := t
 	n.Rows = slices.Clone(t.Rows)
-	n.Becomes = t.Edition + 1 + types.Edition(c.w.rnd.Intn(9))
+	n.Becomes = t.Version + 1 + types.Version(c.w.rnd.Intn(9))
 	n.Rows[c.w.rnd.Intn(3)].Timeout = 1000 + c.w.rnd.Intn(4000)
 	if i := slices.IndexFunc(n.Rows, idle); i >= 0 && c.w.rnd.Intn(2) == 0 {
 		n.Rows = slices.Delete(n.Rows, i, i+1)
@@ -46,9 +46,9 @@
 				n := c.change(t)
 				switch c.w.rnd.Intn(8) {
 				case 0:
-					n.Becomes = max(1, t.Edition)
+					n.Becomes = max(1, t.Version)
 				case 1:
-					n.Edition--
+					n.Version--
 				}
 				c.put(n, c.any(), 0, func(ok bool) { c.counts(t, n) })
 			}
--- a/sim/planted_test.go
+++ b/sim/planted_test.go
@@ -28,11 +28,11 @@
 	}
 }
 
-func onNote[T any](kind string, f func(*T)) func(*Run) {
+func onMessage[T any](kind string, f func(*T)) func(*Run) {
 	return func(r *Run) {
 		r.Tamper = func(s *wire.Send) bool {
-			if s.Note.Kind == kind {
-				alter(&s.Note.Body, f)
+			if s.Message.Kind == kind {
+				alter(&s.Message.Body, f)
 			}
 			return true
 		}
@@ -41,7 +41,7 @@
 
 // onJob changes jobs on their way from the gateways to the leader.
 func onJob(f func(*state.Step)) func(*Run) {
-	return onNote(wire.Call, func(c *wire.CallBody) {
+	return onMessage(wire.Call, func(c *wire.CallBody) {
 		if c.Verb == "job.put" {
 			alter(&c.Body, func(s *state.Spec) {
 				for i := range s.Steps {
@@ -66,7 +66,7 @@
 }
 
 func mute(kind string) func(*Run) {
-	return func(r *Run) { r.Tamper = func(s *wire.Send) bool { return s.Note.Kind != kind } }
+	return func(r *Run) { r.Tamper = func(s *wire.Send) bool { return s.Message.Kind != kind } }
 }
 
 var planted = []struct {
@@ -82,16 +82,16 @@
 			h.deaf = true
 		}
 	}},
-	{"accounts hide what runs", []string{"handover"}, []string{"again"}, 30 * time.Second, false, onNote(wire.Account, func(a *dispatch.Account) { a.Runs = nil })},
+	{"accounts hide what runs", []string{"handover"}, []string{"again"}, 30 * time.Second, false, onMessage(wire.Account, func(a *dispatch.Account) { a.Runs = nil })},
 	{"good ends told as stops", nil, []string{"again"}, 30 * time.Second, true, onPoll(func(p *dispatch.Poll) {
 		for i := range p.Ends {
-			p.Ends[i].Fate = state.Halted
+			p.Ends[i].Outcome = state.Halted
 		}
 	})},
 	{"failures told as stops", nil, []string{"tries"}, 30 * time.Second, false, onPoll(func(p *dispatch.Poll) {
 		for i := range p.Ends {
-			if p.Ends[i].Fate == state.Bad {
-				p.Ends[i].Fate = state.Halted
+			if p.Ends[i].Outcome == state.Bad {
+				p.Ends[i].Outcome = state.Halted
 			}
 		}
 	})},
@@ -120,25 +120,25 @@
 	{"old tables read", nil, []string{"table"}, 30 * time.Second, false, func(r *Run) {
 		r.Twist = func(verb string, a *wire.Answer) {
 			if verb == "table.get" && a.Fault == nil {
-				alter(&a.Body, func(t *config.Table) { t.Edition-- })
+				alter(&a.Body, func(t *config.Table) { t.Version-- })
 			}
 		}
 	}},
 	{"placement goes by a table of its own", nil, []string{"table", "tries"}, 30 * time.Second, false, func(r *Run) {
-		told := map[types.Edition]config.Table{}
+		told := map[types.Version]config.Table{}
 		swap := func(b *json.RawMessage) {
 			alter(b, func(t *config.Table) {
-				if o, ok := told[t.Edition]; ok && len(t.Rows) > 0 {
+				if o, ok := told[t.Version]; ok && len(t.Rows) > 0 {
 					t.Rows = o.Rows
 				}
 			})
 		}
 		r.Tamper = func(s *wire.Send) bool {
-			if s.Note.Kind == wire.Call {
-				alter(&s.Note.Body, func(c *wire.CallBody) {
+			if s.Message.Kind == wire.Call {
+				alter(&s.Message.Body, func(c *wire.CallBody) {
 					if c.Verb == "table.put" {
 						alter(&c.Body, func(t *config.Table) {
-							told[t.Edition+1] = config.Table{Rows: slices.Clone(t.Rows)}
+							told[t.Version+1] = config.Table{Rows: slices.Clone(t.Rows)}
 							t.Rows[1].Running, t.Rows[2].Tries = 1000, 9
 						})
 					}
--- a/sim/reign.go
+++ b/sim/reign.go
@@ -1,4 +1,4 @@
-// The checker's view of tables in effect: which editions may be followed at a
+// The checker's view of tables in effect: which versions may be followed at a
 // time, and whether what workers ran and callers were granted follows one of
 // them. A refused or losing table may never be followed.
 package sim
@@ -15,7 +15,7 @@
 // reign is one table that was put and may be in force.
 type reign struct {
 	config.Table
-	base  types.Edition
+	base  types.Version
 	from  int64 // put at the earliest
 	acked int64 // acknowledged, or 0
 	read  bool
@@ -51,7 +51,7 @@
 func (c *checker) reign() {
 	find := func(t config.Table) *reign {
 		for i := range c.reigns {
-			if r := &c.reigns[i]; r.Edition == t.Edition && r.Same(t) {
+			if r := &c.reigns[i]; r.Version == t.Version && r.Same(t) {
 				return r
 			}
 		}
@@ -62,7 +62,7 @@
 		case TableTry:
 			t := h.Table.Next()
 			if r := find(t); r.from == 0 {
-				c.reigns = append(c.reigns, reign{Table: t, base: h.Table.Edition, from: h.At})
+				c.reigns = append(c.reigns, reign{Table: t, base: h.Table.Version, from: h.At})
 			}
 		case TableAck:
 			if r := find(*h.Table); r.acked == 0 {
@@ -78,7 +78,7 @@
 	for _, r := range c.reigns {
 		rival := false
 		for _, o := range c.reigns {
-			rival = rival || o.base == r.base && (o.Edition != r.Edition || !o.Same(r.Table)) && (o.acked > 0 || o.read)
+			rival = rival || o.base == r.base && (o.Version != r.Version || !o.Same(r.Table)) && (o.acked > 0 || o.read)
 		}
 		if !rival && (!r.no || r.acked > 0 || r.read) {
 			kept = append(kept, r)
@@ -89,27 +89,27 @@
 
 // rows are a queue's rows that may be followed somewhere in a stretch.
 func (c *checker) rows(q types.Queue, from, to int64) (list []config.Row) {
-	over := types.Edition(0)
+	over := types.Version(0)
 	for _, r := range c.reigns {
 		if r.acked > 0 && r.acked+int64(c.b.Table) < from {
-			over = max(over, r.Edition)
+			over = max(over, r.Version)
 		}
 	}
 	for _, r := range c.reigns {
-		if row, ok := r.Find(q); ok && r.from <= to && r.Edition >= over {
+		if row, ok := r.Find(q); ok && r.from <= to && r.Version >= over {
 			list = append(list, row)
 		}
 	}
 	return
 }
 
-// effects: starts keep the running limit, legs their time, and entry the
+// effects: starts keep the running limit, attempts their time, and entry the
 // waiting limit and the queues of a table in force.
 func (c *checker) effects() {
 	by := map[types.Queue][]*span{}
 	jobs := map[types.Queue][]*job{}
 	for _, s := range c.spans {
-		if j := c.jobs[s.leg.Job]; j.spec != nil {
+		if j := c.jobs[s.attempt.Job]; j.spec != nil {
 			by[j.spec.Queue] = append(by[j.spec.Queue], s)
 		}
 	}
@@ -149,13 +149,13 @@
 			c.seen["table: started at the running limit"]++
 		}
 		if n > most {
-			c.bad("table", s.from, "%v starts as running task %d of %s, %d allowed", s.leg, n, q, most)
+			c.bad("table", s.from, "%v starts as running task %d of %s, %d allowed", s.attempt, n, q, most)
 		}
 		if p := c.step(s); p.Limit > 0 {
 			long = min(long, p.Limit)
 		}
 		if s.runs(s.from+int64(long)*1e6+overtime, c.end) {
-			c.bad("table", s.to, "%v runs %.3f s, its queue or step allows %d ms", s.leg, float64(s.to-s.from)/1e9, long)
+			c.bad("table", s.to, "%v runs %.3f s, its queue or step allows %d ms", s.attempt, float64(s.to-s.from)/1e9, long)
 		}
 	}
 }
--- a/sim/silent_test.go
+++ b/sim/silent_test.go
@@ -32,9 +32,9 @@
 	}
 	sent, most := 0, 0
 	r.Tamper = func(s *wire.Send) bool {
-		if s.Note.From == lead.addr && s.To == away.addr && s.Note.Kind == wire.Append {
-			sent += len(s.Note.Body)
-			most = max(most, len(s.Note.Body))
+		if s.Message.From == lead.addr && s.To == away.addr && s.Message.Kind == wire.Append {
+			sent += len(s.Message.Body)
+			most = max(most, len(s.Message.Body))
 		}
 		return true
 	}
--- a/sim/storm.go
+++ b/sim/storm.go
@@ -39,12 +39,12 @@
 	controllers []*node
 	gateways    []*node
 	agents      []*node
-	zones       map[types.Locality][]types.Addr
+	zones       map[types.Zone][]types.Addr
 	spare       int
 	drains      map[string]bool // racks that an operator drains
 	done        int64
 	hits        []types.Addr // whom the trouble at hand touches; nil: everybody
-	Notes       []string
+	Messages    []string
 	until       time.Time // of real time, for runs that measure; they give up then
 }
 
@@ -52,7 +52,7 @@
 func Build(p Plan) *Run { return build(p, Towns[p.Town]) }
 
 func build(p Plan, town Town) *Run {
-	r := &Run{World: NewWorld(p.Seed), Plan: p, zones: map[types.Locality][]types.Addr{}, drains: map[string]bool{}}
+	r := &Run{World: NewWorld(p.Seed), Plan: p, zones: map[types.Zone][]types.Addr{}, drains: map[string]bool{}}
 	size := town.size()
 	if town.Manner != nil {
 		r.floor = NewFloor(*town.Manner)
@@ -88,7 +88,7 @@
 	}
 	for _, a := range r.order {
 		n := r.nodes[a]
-		r.zones[n.loc] = append(r.zones[n.loc], a)
+		r.zones[n.zone] = append(r.zones[n.zone], a)
 		if n.make != nil {
 			r.at(time.Duration(r.rnd.Int63n(int64(300*time.Millisecond))), n.boot)
 		}
--- a/sim/street.go
+++ b/sim/street.go
@@ -145,7 +145,7 @@
 		}
 	}
 	s.f.Tell(Happening{What: Accepted, Job: id})
-	s.note(&s.Takes, from)
+	s.message(&s.Takes, from)
 	if s.chance(1000) < int(s.Cancel*1000) {
 		time.Sleep(time.Duration(s.chance(2000)) * time.Millisecond)
 		for range 20 {
@@ -174,7 +174,7 @@
 		if v.State == "done" || v.State == "failed" || v.State == "cancelled" {
 			s.f.Tell(Happening{What: Saw, Job: id, Stage: v.State, Text: v.Why})
 			if v.State == "done" {
-				s.note(&s.Ends, from)
+				s.message(&s.Ends, from)
 			}
 			return
 		}
@@ -199,21 +199,21 @@
 	return true
 }
 
-func (s *Street) note(to *[]float64, from time.Time) {
+func (s *Street) message(to *[]float64, from time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*to = append(*to, float64(time.Since(from).Microseconds())/1000)
 }
 
-// Put puts a table until it is taken or refused; it gives the edition.
-func (s *Street) Put(t config.Table) (types.Edition, error) {
+// Put puts a table until it is taken or refused; it gives the version.
+func (s *Street) Put(t config.Table) (types.Version, error) {
 	s.f.Tell(Happening{What: TableTry, Table: &t})
 	for range 60 {
 		code, b := s.try(http.MethodPut, "/v1/table", wire.Body(t))
 		if code == 200 {
 			got := t.Next()
 			s.f.Tell(Happening{What: TableAck, Table: &got})
-			return got.Edition, nil
+			return got.Version, nil
 		}
 		if !s.later(code, b) {
 			s.f.Tell(Happening{What: TableNo, Table: &t, Text: string(b)})
@@ -223,7 +223,7 @@
 	return 0, errors.New("the table was never taken")
 }
 
-// Races has two operators put different tables on one edition, now and then.
+// Races has two operators put different tables on one version, now and then.
 func (s *Street) Races() {
 	s.work.Add(1)
 	defer s.work.Done()
@@ -238,7 +238,7 @@
 		s.f.Tell(Happening{What: TableSaw, Table: &t, Text: began})
 		var two sync.WaitGroup
 		for range 2 {
-			n := config.Table{Edition: t.Edition, Rows: append([]config.Row(nil), t.Rows...)}
+			n := config.Table{Version: t.Version, Rows: append([]config.Row(nil), t.Rows...)}
 			n.Rows[0].Weight = 1 + s.chance(900)
 			two.Add(1)
 			go func() { defer two.Done(); s.Put(n) }()
--- a/sim/town.go
+++ b/sim/town.go
@@ -41,8 +41,8 @@
 	return t.Size
 }
 
-// zone names the locality of the i-th of something.
-func (x Size) zone(i int) types.Locality { return types.Locality(fmt.Sprintf("z%d", i%x.Zones+1)) }
+// zone names the zone of the i-th of something.
+func (x Size) zone(i int) types.Zone { return types.Zone(fmt.Sprintf("z%d", i%x.Zones+1)) }
 
 // Flow is one stream of jobs of a shape, with its mean rate.
 type Flow struct {
@@ -148,8 +148,8 @@
 	return
 }
 
-// Zone names the locality of the i-th of something.
-func Zone(i int) types.Locality { return Small.zone(i) }
+// Zone names the zone of the i-th of something.
+func ZoneOf(i int) types.Zone { return Small.zone(i) }
 
 // Parade is a stream of gangs of long tasks. No town sends it; the simulator
 // does, so that faults meet gangs that run for long.
--- a/sim/trial_test.go
+++ b/sim/trial_test.go
@@ -51,7 +51,7 @@
 			is := is.New(t)
 			v := clean(t, storm(1, town, 0))
 			is.Equal(v.Seen.Reruns(), 0)
-			is.True(v.Legs > 700)
+			is.True(v.Attempts > 700)
 			is.True(v.Ratio > 0.8)
 		})
 	}
--- a/sim/upkeep_test.go
+++ b/sim/upkeep_test.go
@@ -44,7 +44,7 @@
 
 func (r *Run) started(id string) (at time.Duration, ok bool) {
 	for _, h := range r.Hist.List {
-		if h.What == Started && string(h.Leg.Job) == id {
+		if h.What == Started && string(h.Attempt.Job) == id {
 			return time.Duration(h.At), true
 		}
 	}
@@ -162,9 +162,9 @@
 			r.settle(t, 150*time.Second)
 			moved := map[types.Task]int{}
 			for _, h := range r.Hist.List {
-				if h.What == Ended && h.Fate == state.Halted {
-					moved[h.Leg.Task]++
-					is.True(moved[h.Leg.Task] <= 3)
+				if h.What == Ended && h.Outcome == state.Halted {
+					moved[h.Attempt.Task]++
+					is.True(moved[h.Attempt.Task] <= 3)
 				}
 			}
 			t.Logf("%s, displaces %v: the gang waited %s, %d tasks were displaced", c.name, on, wait[on].Round(time.Millisecond), len(moved))
@@ -285,7 +285,7 @@
 	}
 	cores, n := 0.0, 0
 	for _, h := range r.Hist.List {
-		if h.What == Started && h.At > int64(20*time.Second) && string(h.Leg.Job)[:5] == "menus" {
+		if h.What == Started && h.At > int64(20*time.Second) && string(h.Attempt.Job)[:5] == "menus" {
 			n++
 		}
 	}
--- a/sim/usage.go
+++ b/sim/usage.go
@@ -41,7 +41,7 @@
 var entries = []byte(`"entries":`)
 
 // classOf calls entries on their way to the other controllers work.
-func classOf(n wire.Note) Class {
+func classOf(n wire.Message) Class {
 	c, ok := classes[n.Kind]
 	if !ok || n.Kind == wire.Append && bytes.Contains(n.Body, entries) {
 		return WorkMessages
@@ -49,12 +49,12 @@
 	return c
 }
 
-// What a request to a mate and its answer take besides the notes; a test holds
+// What a request to a peer and its answer take besides the notes; a test holds
 // them against the real client and server.
 const (
 	requestBytes = 154
 	answerBytes  = 64
-	noteBytes    = len(`{"from":"","kind":"","body":},`)
+	messageBytes = len(`{"from":"","kind":"","body":},`)
 )
 
 // Count is messages, the requests that carried them, and bytes.
@@ -83,8 +83,8 @@
 
 // transfer counts one note from a daemon to another; first means that it is the
 // first one of its request. Either may be missing.
-func transfer(from, to *Usage, n wire.Note, first bool) {
-	c := Count{Messages: 1, Bytes: noteBytes + len(n.From) + len(n.Kind) + len(n.Body)}
+func transfer(from, to *Usage, n wire.Message, first bool) {
+	c := Count{Messages: 1, Bytes: messageBytes + len(n.From) + len(n.Kind) + len(n.Body)}
 	k := classOf(n)
 	back := Count{}
 	if first {
@@ -101,7 +101,7 @@
 	}
 }
 
-// meter counts a step's sends; notes to the same mate share a request.
+// meter counts a step's sends; notes to the same peer share a request.
 type meter map[types.Addr]bool
 
 func (m meter) first(to types.Addr) bool {
--- a/sim/usage_test.go
+++ b/sim/usage_test.go
@@ -50,11 +50,11 @@
 }
 
 // echo hands on the notes that it is given.
-type echo struct{ got chan wire.Note }
+type echo struct{ got chan wire.Message }
 
 func (e echo) Step(v wire.Event) wire.Out {
-	if v.Note != nil {
-		e.got <- *v.Note
+	if v.Message != nil {
+		e.got <- *v.Message
 	}
 	return wire.Out{}
 }
@@ -70,7 +70,7 @@
 	ln := &countedListener{Listener: plain}
 	sends := to(types.Addr(plain.Addr().String()))
 	post := server.NewPost(ctx, "")
-	e := echo{make(chan wire.Note, len(sends))}
+	e := echo{make(chan wire.Message, len(sends))}
 	owner := server.NewOwner(post, nil)
 	owner.Carry(e)
 	go owner.Run(ctx)
@@ -115,7 +115,7 @@
 	}
 	for i, s := range sends {
 		var u, v Usage
-		transfer(&u, &v, s.Note, true)
+		transfer(&u, &v, s.Message, true)
 		is.Equal(list[i][0], u.Sent[HeartbeatMessages].Bytes)
 		is.Equal(list[i][1], u.Received[HeartbeatMessages].Bytes)
 		is.Equal(u.Control().Bytes, v.Control().Bytes)
--- a/sim/verdict.go
+++ b/sim/verdict.go
@@ -19,10 +19,10 @@
 
 // Verdict is what one run showed.
 type Verdict struct {
-	Breaks []Break
-	Seen   Tally
-	Legs   int
-	Ratio  float64
+	Breaks   []Break
+	Seen     Tally
+	Attempts int
+	Ratio    float64
 }
 
 // Verdict checks the run's history. The ratio is of jobs done for each one sent:
@@ -37,7 +37,7 @@
 	}
 	for _, h := range r.Hist.List {
 		if h.What == Started {
-			v.Legs++
+			v.Attempts++
 		}
 	}
 	p := r.Plan
@@ -76,7 +76,7 @@
 }
 
 // Timeline tells, two seconds a line, how many jobs were sent, accepted, seen
-// done, and legs started, with the troubles that began.
+// done, and attempts started, with the troubles that began.
 func Timeline(h *History) string {
 	const step = int64(2e9)
 	type row struct {
--- a/sim/work.go
+++ b/sim/work.go
@@ -33,7 +33,7 @@
 	w := NewWorker(m, types.ID(id), rand.New(rand.NewSource(seed)), tell)
 	tell(Happening{What: Staying, Who: id, Shard: m.Shard, Make: &m})
 	client := server.Client(source, 500*time.Millisecond)
-	told := map[types.Leg]bool{}
+	told := map[types.Attempt]bool{}
 	call := func(p dispatch.Poll) {
 		a, ok := post(ctx, client, agent, p)
 		if !ok {
@@ -42,9 +42,9 @@
 		mu.Lock()
 		if ok {
 			for _, e := range p.Ends {
-				if !told[e.Leg] {
-					told[e.Leg] = true
-					tell(Happening{What: Heard, Who: agent, Leg: e.Leg, Fate: e.Fate})
+				if !told[e.Attempt] {
+					told[e.Attempt] = true
+					tell(Happening{What: Heard, Who: agent, Attempt: e.Attempt, Outcome: e.Outcome})
 				}
 			}
 			w.Take(server.Now().Mono, a)
--- a/sim/worker.go
+++ b/sim/worker.go
@@ -1,7 +1,7 @@
 // Package sim is the proof: stand-in workers and callers, a simulator that
 // drives the very machines of the daemons under faults, a fleet of real
 // processes, and the checker of the history that workers and callers saw. This
-// file is the worker: it runs legs by the clock and guards its own room.
+// file is the worker: it runs attempts by the clock and guards its own room.
 package sim
 
 import (
@@ -22,18 +22,18 @@
 	Kinds []types.Kind
 	Room  types.Room
 	Slow  float64 // times the usual length; 0 is 1
-	Fails float64 // part of its legs that fail
-	Stall float64 // part of its legs that take ten times as long
+	Fails float64 // part of its attempts that fail
+	Stall float64 // part of its attempts that take ten times as long
 
 	Labels []string
 	Guards bool // of one that is called: it turns away what does not fit
 }
 
 type run struct {
-	job   dispatch.Job
-	ends  types.Stamp
-	fate  state.Fate
-	crash bool
+	job     dispatch.Job
+	ends    types.Stamp
+	outcome state.Outcome
+	crash   bool
 }
 
 // Worker is one stand-in worker process.
@@ -48,9 +48,9 @@
 	rnd           *rand.Rand
 	call          uint64
 	until         types.Stamp
-	runs          map[types.Leg]*run
-	ends          map[types.Leg]dispatch.Finish
-	News          bool // a leg has ended since the latest call
+	runs          map[types.Attempt]*run
+	ends          map[types.Attempt]dispatch.Finish
+	News          bool // an attempt has ended since the latest call
 	tell          func(Happening)
 }
 
@@ -59,11 +59,11 @@
 	if m.Slow == 0 {
 		m.Slow = 1
 	}
-	return &Worker{Make: m, ID: id, rnd: rnd, runs: map[types.Leg]*run{}, ends: map[types.Leg]dispatch.Finish{}, tell: tell, until: -1 << 61}
+	return &Worker{Make: m, ID: id, rnd: rnd, runs: map[types.Attempt]*run{}, ends: map[types.Attempt]dispatch.Finish{}, tell: tell, until: -1 << 61}
 }
 
-func (w *Worker) say(what What, l types.Leg, f state.Fate) {
-	w.tell(Happening{What: what, Who: string(w.ID), Shard: w.Shard, Leg: l, Fate: f})
+func (w *Worker) say(what What, l types.Attempt, f state.Outcome) {
+	w.tell(Happening{What: what, Who: string(w.ID), Shard: w.Shard, Attempt: l, Outcome: f})
 }
 
 // Tick looks at the grant first, then ends what is due.
@@ -76,13 +76,13 @@
 		case now >= r.ends && r.crash:
 			w.Crashed = true
 		case now >= r.ends:
-			w.end(r, r.fate)
+			w.end(r, r.outcome)
 		}
 	}
 }
 
-func (w *Worker) sorted() []types.Leg {
-	list := make([]types.Leg, 0, len(w.runs))
+func (w *Worker) sorted() []types.Attempt {
+	list := make([]types.Attempt, 0, len(w.runs))
 	for l := range w.runs {
 		list = append(list, l)
 	}
@@ -90,11 +90,11 @@
 	return list
 }
 
-func (w *Worker) end(r *run, f state.Fate) {
-	delete(w.runs, r.job.Leg)
+func (w *Worker) end(r *run, f state.Outcome) {
+	delete(w.runs, r.job.Attempt)
 	w.News = true
-	w.ends[r.job.Leg] = dispatch.Finish{Run: dispatch.Run{Leg: r.job.Leg, Room: r.job.Room}, Fate: f}
-	w.say(Ended, r.job.Leg, f)
+	w.ends[r.job.Attempt] = dispatch.Finish{Run: dispatch.Run{Attempt: r.job.Attempt, Room: r.job.Room}, Outcome: f}
+	w.say(Ended, r.job.Attempt, f)
 }
 
 // Call makes the next call to the agent.
@@ -107,12 +107,12 @@
 		p.GoMS = max(1, w.Goes.Sub(now).Milliseconds())
 	}
 	for _, l := range w.sorted() {
-		p.Runs = append(p.Runs, dispatch.Run{Leg: l, Room: w.runs[l].job.Room})
+		p.Runs = append(p.Runs, dispatch.Run{Attempt: l, Room: w.runs[l].job.Room})
 	}
 	for _, f := range w.ends {
 		p.Ends = append(p.Ends, f)
 	}
-	sort.Slice(p.Ends, func(i, k int) bool { return p.Ends[i].Leg.Least(p.Ends[k].Leg) })
+	sort.Slice(p.Ends, func(i, k int) bool { return p.Ends[i].Attempt.Least(p.Ends[k].Attempt) })
 	return p
 }
 
@@ -140,12 +140,12 @@
 		free = free.Minus(r.job.Room)
 	}
 	for _, j := range a.Start {
-		if _, old := w.ends[j.Leg]; old || w.runs[j.Leg] != nil || now >= w.until {
+		if _, old := w.ends[j.Attempt]; old || w.runs[j.Attempt] != nil || now >= w.until {
 			continue
 		}
 		if (w.Leave || !free.Holds(j.Room)) && !w.Willing {
-			w.ends[j.Leg] = dispatch.Finish{Run: dispatch.Run{Leg: j.Leg, Room: j.Room}, Fate: state.Unrun}
-			w.say(Spared, j.Leg, state.Unrun)
+			w.ends[j.Attempt] = dispatch.Finish{Run: dispatch.Run{Attempt: j.Attempt, Room: j.Room}, Outcome: state.Unrun}
+			w.say(Spared, j.Attempt, state.Unrun)
 			continue
 		}
 		free = free.Minus(j.Room)
@@ -160,10 +160,10 @@
 	if w.Stall > 0 && w.rnd.Float64() < w.Stall {
 		long *= 10
 	}
-	r := &run{job: j, ends: now.Add(time.Duration(long * float64(time.Millisecond))), fate: state.OK, crash: k.Crash}
+	r := &run{job: j, ends: now.Add(time.Duration(long * float64(time.Millisecond))), outcome: state.OK, crash: k.Crash}
 	if k.Fail || w.Fails > 0 && w.rnd.Float64() < w.Fails {
-		r.fate = state.Bad
+		r.outcome = state.Bad
 	}
-	w.runs[j.Leg] = r
-	w.say(Started, j.Leg, "")
+	w.runs[j.Attempt] = r
+	w.say(Started, j.Attempt, "")
 }
--- a/sim/world.go
+++ b/sim/world.go
@@ -33,7 +33,7 @@
 	w      *World
 	addr   types.Addr
 	role   string
-	loc    types.Locality
+	zone   types.Zone
 	shard  types.Shard
 	m      wire.Machine
 	make   func(*node) wire.Machine
@@ -107,8 +107,8 @@
 	w.Hist.Add(h)
 }
 
-func (w *World) add(addr types.Addr, role string, loc types.Locality, make func(*node) wire.Machine) *node {
-	n := &node{w: w, addr: addr, role: role, loc: loc, make: make, asks: map[uint64]func(wire.Answer){},
+func (w *World) add(addr types.Addr, role string, zone types.Zone, make func(*node) wire.Machine) *node {
+	n := &node{w: w, addr: addr, role: role, zone: zone, make: make, asks: map[uint64]func(wire.Answer){},
 		base: types.Stamp(w.rnd.Int63n(1 << 50)), drift: 1 + (w.rnd.Float64()-0.5)*4e-4}
 	if role == "controller" {
 		n.disk = &disk{w: w, use: &n.use}
@@ -175,14 +175,14 @@
 func (n *node) name() string { return fmt.Sprintf("%s.%d", n.addr, n.gen) }
 
 // hears writes down that a daemon is told of ends by an agent.
-func (n *node) hears(note wire.Note) {
-	if note.Kind != wire.Status {
+func (n *node) hears(message wire.Message) {
+	if message.Kind != wire.Status {
 		return
 	}
-	u, _ := wire.Read[dispatch.Status](note)
+	u, _ := wire.Read[dispatch.Status](message)
 	for _, e := range u.Ends {
-		if e.Fate == state.OK || e.Fate == state.Bad {
-			n.w.tell(Happening{What: Heard, Who: n.name(), Leg: e.Leg, Fate: e.Fate})
+		if e.Outcome == state.OK || e.Outcome == state.Bad {
+			n.w.tell(Happening{What: Heard, Who: n.name(), Attempt: e.Attempt, Outcome: e.Outcome})
 		}
 	}
 }
@@ -212,17 +212,17 @@
 		}
 		first := w.Meter && m.first(s.To)
 		if w.Meter {
-			transfer(&n.use, nil, s.Note, first)
+			transfer(&n.use, nil, s.Message, first)
 		}
 		w.carry(n.addr, s.To, func() {
 			if t := w.nodes[s.To]; t != nil {
-				note := s.Note
+				message := s.Message
 				t.deliver(func() {
 					if w.Meter {
-						transfer(nil, &t.use, note, first)
+						transfer(nil, &t.use, message, first)
 					}
-					t.hears(note)
-					t.step(wire.Event{Note: &note})
+					t.hears(message)
+					t.step(wire.Event{Message: &message})
 				})
 			}
 		})
@@ -296,8 +296,8 @@
 // chance gives a machine randomness of its own, from the world's.
 func (w *World) chance() *rand.Rand { return rand.New(rand.NewSource(w.rnd.Int63())) }
 
-func (w *World) controller(addr types.Addr, loc types.Locality) *node {
-	return w.add(addr, "controller", loc, func(n *node) wire.Machine {
+func (w *World) controller(addr types.Addr, zone types.Zone) *node {
+	return w.add(addr, "controller", zone, func(n *node) wire.Machine {
 		recs, keep, err := wal.Scan(n.disk.safe)
 		if err != nil {
 			recs, keep = nil, 0
@@ -305,20 +305,20 @@
 		n.disk.safe = n.disk.safe[:keep]
 		core := w.core
 		core.Hold = w.pace.Grant
-		return controller.New(n.clock(), w.chance(), controller.Place{Addr: addr, Loc: loc, Seeds: w.seeds,
+		return controller.New(n.clock(), w.chance(), controller.Place{Addr: addr, Zone: zone, Seeds: w.seeds,
 			Begin: raft.Origin{First: n.first && !n.disk.wiped, Founders: w.founders}, Core: core, Truth: w.pace, Every: 600}, recs)
 	})
 }
 
-func (w *World) gateway(addr types.Addr, loc types.Locality) *node {
-	return w.add(addr, "gateway", loc, func(n *node) wire.Machine {
-		return gateway.New(n.clock(), w.chance(), gateway.Place{Addr: addr, Loc: loc, Seeds: w.seeds})
+func (w *World) gateway(addr types.Addr, zone types.Zone) *node {
+	return w.add(addr, "gateway", zone, func(n *node) wire.Machine {
+		return gateway.New(n.clock(), w.chance(), gateway.Place{Addr: addr, Zone: zone, Seeds: w.seeds})
 	})
 }
 
-func (w *World) agent(addr types.Addr, loc types.Locality, m Make) *node {
-	n := w.add(addr, "agent", loc, func(n *node) wire.Machine {
-		return agent.New(n.clock(), w.chance(), agent.Place{Addr: addr, Loc: loc, Shard: m.Shard, Seeds: w.seeds, Truth: w.pace})
+func (w *World) agent(addr types.Addr, zone types.Zone, m Make) *node {
+	n := w.add(addr, "agent", zone, func(n *node) wire.Machine {
+		return agent.New(n.clock(), w.chance(), agent.Place{Addr: addr, Zone: zone, Shard: m.Shard, Seeds: w.seeds, Truth: w.pace})
 	})
 	n.shard = m.Shard
 	return n
