--- a/cmd/coppercourse/daemons.go
+++ b/cmd/coppercourse/daemons.go
@@ -65,7 +65,7 @@
 }
 
 func (f *flags) settings(role string) (settings.Settings, error) {
-	s, heap := settings.Defaults(), &apierror.Heap{}
+	s, heap := settings.Defaults(), &apierror.ErrorList{}
 	if f.file != "" {
 		b, err := os.ReadFile(f.file)
 		if err != nil {
@@ -158,7 +158,7 @@
 	}
 	post := server.NewPost(context.Background(), s.Source)
 	o := server.NewOwner(post, file)
-	m := controller.New(server.Now(), chance(), controller.Place{Addr: s.Addr(), Zone: s.ZoneName(), Seeds: s.Near(), Begin: s.Begin(), Loses: s.Loses, Issue: version,
+	m := controller.New(server.Now(), chance(), controller.Options{Addr: s.Addr(), Zone: s.ZoneName(), Seeds: s.Near(), Begin: s.Begin(), Loses: s.Loses, Issue: version,
 		Core: s.Pace.Core(), Truth: s.Pace.Truth()}, recs)
 	o.Carry(m)
 	var ready atomic.Bool
--- a/cmd/coppercourse/upkeep.go
+++ b/cmd/coppercourse/upkeep.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, apierror.Wrap(apierror.BadBody, err, "calendar file")
 	}
-	heap := &apierror.Heap{}
+	heap := &apierror.ErrorList{}
 	maintenance.Read(b, time.Now(), heap)
 	return b, heap.Err()
 }
--- a/cmd/coppercourse/verbs.go
+++ b/cmd/coppercourse/verbs.go
@@ -58,7 +58,7 @@
 		if err != nil {
 			return apierror.Wrap(apierror.BadBody, err, "job file")
 		}
-		heap := &apierror.Heap{}
+		heap := &apierror.ErrorList{}
 		if state.ReadSpec(b, heap); heap.Err() != nil {
 			return heap.Err()
 		}
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, apierror.Wrap(apierror.BadBody, err, "table file")
 	}
-	heap := &apierror.Heap{}
+	heap := &apierror.ErrorList{}
 	t := config.ReadTable(b, heap)
 	if heap.Err() != nil {
 		return nil, heap.Err()
@@ -112,7 +112,7 @@
 		return nil, apierror.Wrap(apierror.NotReady, err, "answer cut short")
 	}
 	if res.StatusCode >= 300 {
-		f := &apierror.Fault{}
+		f := &apierror.Error{}
 		if json.Unmarshal(b, f) != nil || f.Kind == "" {
 			return nil, fmt.Errorf("%s answered %s", addr, res.Status)
 		}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -23,7 +23,7 @@
 	Shard types.Shard
 	Seeds []types.Addr
 	Issue string
-	Truth dispatch.Pace
+	Truth dispatch.Timeouts
 }
 
 // hold is how long a worker's call is kept when there is nothing to tell.
@@ -34,7 +34,7 @@
 	place  Place
 	now    types.Now
 	roster *membership.Roster
-	hand   *dispatch.Hand
+	hand   *dispatch.Executor
 	Trail  *trace.Ring
 	token  uint64
 	since  types.Stamp
@@ -50,7 +50,7 @@
 
 func New(now types.Now, rnd *rand.Rand, p Place) *Agent {
 	w := &Agent{place: p, now: now, Trail: trace.New()}
-	w.hand = dispatch.NewHand(now.Mono, p.Truth, p.Addr, p.Shard, func() types.ID { return types.Mint(rnd) })
+	w.hand = dispatch.NewExecutor(now.Mono, p.Truth, p.Addr, p.Shard, func() types.ID { return types.Mint(rnd) })
 	w.roster = membership.New(rnd, w.card(), p.Seeds)
 	return w
 }
@@ -159,7 +159,7 @@
 func (w *Agent) poll(a wire.Ask) {
 	w.Sums.Polls++
 	var p dispatch.Poll
-	var heap apierror.Heap
+	var heap apierror.ErrorList
 	if json.Unmarshal(a.Body, &p) != nil {
 		heap.Add(apierror.BadBody, "", "not a worker's call")
 	} else {
--- a/internal/apierror/fault.go
+++ b/internal/apierror/apierror.go
@@ -59,15 +59,15 @@
 // Later names the kinds whose answer tells when to come back.
 var Later = map[Kind]bool{Full: true, Kept: true, Crowd: true, NoLead: true, NotReady: true, Unsure: true, Closing: true}
 
-// Fault is the body of every refusal.
-type Fault struct {
+// Error is the body of every refusal.
+type Error struct {
 	Kind   Kind   `json:"kind"`
 	Field  string `json:"field,omitempty"`
 	Reason string `json:"reason"`
 	Retry  int    `json:"retry_after_s,omitempty"`
 }
 
-func (f *Fault) Error() string {
+func (f *Error) Error() string {
 	if f.Field != "" {
 		return string(f.Kind) + ": " + f.Field + ": " + f.Reason
 	}
@@ -75,10 +75,10 @@
 }
 
 // Code gives the status of the fault's kind.
-func (f *Fault) Code() int { return Code[f.Kind] }
+func (f *Error) Code() int { return Code[f.Kind] }
 
-func New(k Kind, field, reason string) *Fault {
-	f := &Fault{Kind: k, Field: field, Reason: reason}
+func New(k Kind, field, reason string) *Error {
+	f := &Error{Kind: k, Field: field, Reason: reason}
 	if Later[k] {
 		f.Retry = 1
 	}
@@ -86,7 +86,7 @@
 }
 
 // After sets when to come back, rounded up to whole seconds, one at least.
-func (f *Fault) After(d time.Duration) *Fault {
+func (f *Error) After(d time.Duration) *Error {
 	f.Retry = max(1, int((d+time.Second-1)/time.Second))
 	return f
 }
@@ -108,19 +108,19 @@
 	return types[k].Wrap(err, "%s", text)
 }
 
-// Heap collects errors so that they are looked at once, at the end of a step.
-type Heap struct{ list []*Fault }
+// ErrorList collects errors so that they are looked at once, at the end of a step.
+type ErrorList struct{ list []*Error }
 
-func (h *Heap) Add(k Kind, field, reason string) { h.list = append(h.list, New(k, field, reason)) }
-func (h *Heap) Check(ok bool, field, reason string) {
+func (h *ErrorList) Add(k Kind, field, reason string) { h.list = append(h.list, New(k, field, reason)) }
+func (h *ErrorList) Check(ok bool, field, reason string) {
 	if !ok {
 		h.Add(BadField, field, reason)
 	}
 }
-func (h *Heap) List() []*Fault { return h.list }
+func (h *ErrorList) List() []*Error { return h.list }
 
 // First gives the first fault, or nil; a caller is answered with it.
-func (h *Heap) First() *Fault {
+func (h *ErrorList) First() *Error {
 	if len(h.list) == 0 {
 		return nil
 	}
@@ -128,7 +128,7 @@
 }
 
 // Err joins all faults into one error, for the command line.
-func (h *Heap) Err() error {
+func (h *ErrorList) Err() error {
 	var all []error
 	for _, f := range h.list {
 		all = append(all, f)
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -19,7 +19,7 @@
 // Reader goes down a document and heaps up what is wrong with it.
 type Reader struct {
 	d     *jx.Decoder
-	Heap  *apierror.Heap
+	Heap  *apierror.ErrorList
 	Loose bool // fields that nobody asks for are let pass
 	dead  bool
 }
@@ -29,7 +29,7 @@
 
 var errHalt = errors.New("halt")
 
-func NewReader(b []byte, heap *apierror.Heap) *Reader {
+func NewReader(b []byte, heap *apierror.ErrorList) *Reader {
 	return &Reader{d: jx.DecodeBytes(b), Heap: heap}
 }
 
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -165,7 +165,7 @@
 
 // ReadTable reads a table as an operator writes it; the version it carries is
 // the one it was based on.
-func ReadTable(b []byte, heap *apierror.Heap) (t Table) {
+func ReadTable(b []byte, heap *apierror.ErrorList) (t Table) {
 	r := NewReader(b, heap)
 	base := false
 	r.Whole(map[string]Field{
@@ -203,7 +203,7 @@
 }
 
 // Check tells all that is wrong with a table as a whole.
-func (t Table) Check(heap *apierror.Heap) {
+func (t Table) Check(heap *apierror.ErrorList) {
 	heap.Check(t.Becomes == 0 || t.Becomes > t.Version, "becomes", "must be above the edition it is based on")
 	sum, seen, way := 0, map[types.Queue]bool{}, map[[2]string]bool{}
 	for i, row := range t.Rows {
--- a/internal/config/table_test.go
+++ b/internal/config/table_test.go
@@ -35,13 +35,13 @@
 		`{"edition":5,"queues":[{"name":"a","stretch":-1}]}`:                                                   "queues[0].stretch",
 	} {
 		is := is.New(t)
-		var heap apierror.Heap
+		var heap apierror.ErrorList
 		ReadTable([]byte(text), &heap)
 		is.True(heap.First() != nil)
 		is.Equal(heap.First().Field, want)
 	}
 	is := is.New(t)
-	var heap apierror.Heap
+	var heap apierror.ErrorList
 	tab := ReadTable([]byte(`{"edition":5,"becomes":9,"orphans":"finish","queues":[{"name":"a","host":"h","prefix":"/a/","service":"s","priority":2,"stretch":1.5,"target_ms":200}],"services":[{"name":"s","guards":false}],"source":{"x":1}}`), &heap)
 	is.True(heap.First() == nil)
 	is.Equal(int(tab.Next().Version), 9)
--- a/internal/config/watch.go
+++ b/internal/config/watch.go
@@ -12,7 +12,7 @@
 	Within int `json:"within_ms"`
 }
 
-func ReadDrain(b []byte, heap *apierror.Heap) (d Drain) {
+func ReadDrain(b []byte, heap *apierror.ErrorList) (d Drain) {
 	r := NewReader(b, heap)
 	r.Whole(map[string]Field{"within_ms": Num(r, &d.Within, 0, 86_400_000)})
 	return
@@ -25,7 +25,7 @@
 	Text  string      `json:"ics"`
 }
 
-func ReadCalendar(b []byte, heap *apierror.Heap) (c Calendar) {
+func ReadCalendar(b []byte, heap *apierror.ErrorList) (c Calendar) {
 	r := NewReader(b, heap)
 	r.Whole(map[string]Field{
 		"worker": Text(r, &c.Shard, Name),
--- a/internal/controller/aims.go
+++ b/internal/controller/aims.go
@@ -52,7 +52,7 @@
 // what part of all cores, in percent, its queue leaves to those before it. What goes
 // first is what gains most for the work that is left, the less the more time it has:
 // the rule of apparent tardiness cost.
-func (h *Controller) aim(j *state.Job, row config.Row, x *state.Heat, b state.Batch) (placement.Class, float64, int) {
+func (h *Controller) aim(j *state.Job, row config.Row, x *state.ReadyIndex, b state.Batch) (placement.Class, float64, int) {
 	if !row.Aims() {
 		return placement.InAim, 0, 0
 	}
@@ -69,7 +69,7 @@
 		return placement.InAim, -worth / (1 + rest), 0
 	}
 	aim := time.Duration(row.Stretch*float64(j.Spec.Chain(-1, cost))) + time.Duration(row.Target)*time.Millisecond
-	left := b.From.Add(aim).Sub(h.core.Clock()) - j.Spec.Chain(step, cost)
+	left := b.From.Add(aim).Sub(h.raft.Clock()) - j.Spec.Chain(step, cost)
 	class, stake, spare := placement.InAim, 0.7*worth, 0
 	if h.long(j.Queue, row, cost(step)) {
 		spare = spareLater
--- a/internal/controller/calls.go
+++ b/internal/controller/calls.go
@@ -50,10 +50,10 @@
 // ask takes a request, from a gateway or that came here itself.
 func (h *Controller) ask(w waiter, c wire.CallBody) {
 	h.Sums.Calls++
-	w.term = h.core.Term()
-	if h.head == nil || !h.core.Firm() {
-		lead := h.core.Leader()
-		if h.core.Name() == "" {
+	w.term = h.raft.Term()
+	if h.scheduler == nil || !h.raft.Firm() {
+		lead := h.raft.Leader()
+		if h.raft.Name() == "" {
 			lead = h.roster.Lead()
 		}
 		h.reply(w, wire.ReplyBody{Away: true, Lead: lead})
@@ -64,7 +64,7 @@
 		h.bad(w, apierror.New(apierror.NoPath, "", "no such verb"))
 		return
 	}
-	if len(h.waits) >= Crowd {
+	if len(h.waiters) >= Crowd {
 		h.bad(w, apierror.New(apierror.Crowd, "", "too many changes wait for the log").After(2*time.Second))
 		return
 	}
@@ -77,7 +77,7 @@
 		h.Sums.Refused++
 	}
 	if w.token == 0 {
-		h.sends = append(h.sends, wire.Make(h.place.Addr, w.from, wire.Reply, r))
+		h.sends = append(h.sends, wire.Make(h.options.Addr, w.from, wire.Reply, r))
 		return
 	}
 	a := wire.Answer{Token: w.token, Code: r.Code, Body: r.Body, Fault: r.Fault, Lead: r.Lead}
@@ -87,23 +87,23 @@
 	h.answers = append(h.answers, a)
 }
 
-func (h *Controller) bad(w waiter, f *apierror.Fault) { h.reply(w, wire.ReplyBody{Fault: f}) }
+func (h *Controller) bad(w waiter, f *apierror.Error) { h.reply(w, wire.ReplyBody{Fault: f}) }
 func (h *Controller) good(w waiter, code int, v any) {
 	h.reply(w, wire.ReplyBody{Code: code, Body: wire.Body(v)})
 }
 
 // wait proposes a fact and keeps who waits for it.
-func (h *Controller) wait(w waiter, f state.Fact) {
+func (h *Controller) wait(w waiter, f state.Command) {
 	i, ok := h.fact(f)
 	if !ok {
 		h.bad(w, apierror.New(apierror.NoLead, "", "the log takes nothing now").After(2*time.Second))
 		return
 	}
-	h.waits[i] = w
+	h.waiters[i] = w
 }
 
 // settle answers a change that is committed.
-func (h *Controller) settle(w waiter, f state.Fact, bad *apierror.Fault) {
+func (h *Controller) settle(w waiter, f state.Command, bad *apierror.Error) {
 	switch {
 	case bad != nil:
 		h.bad(w, h.when(bad, f))
@@ -122,7 +122,7 @@
 	}
 }
 
-func (h *Controller) when(bad *apierror.Fault, f state.Fact) *apierror.Fault {
+func (h *Controller) when(bad *apierror.Error, f state.Command) *apierror.Error {
 	if bad.Kind == apierror.Full && f.Job != nil {
 		bad.After(h.rate(f.Job.Spec.Queue).eta(h.now.Mono, h.state.Held(f.Job.Spec.Queue)))
 	}
@@ -144,7 +144,7 @@
 	case bad == nil:
 		bad = h.placeable(s)
 	}
-	f := state.Fact{Job: &state.Submit{ID: id, Spec: s}}
+	f := state.Command{Job: &state.Submit{ID: id, Spec: s}}
 	if bad != nil {
 		h.bad(w, h.when(bad, f))
 		return
@@ -178,7 +178,7 @@
 	case repeat:
 		h.good(w, 200, h.View(id))
 	default:
-		h.wait(w, state.Fact{Cancel: id})
+		h.wait(w, state.Command{Cancel: id})
 	}
 }
 
@@ -196,11 +196,11 @@
 		h.good(w, 200, t.Next())
 		return
 	}
-	h.wait(w, state.Fact{Table: &t})
+	h.wait(w, state.Command{Table: &t})
 }
 
 // placeable tells a job that no known worker, away or not, could ever hold.
-func (h *Controller) placeable(s state.Spec) *apierror.Fault {
+func (h *Controller) placeable(s state.Spec) *apierror.Error {
 	if len(h.state.Shapes) == 0 {
 		return apierror.New(apierror.NotReady, "", "no worker has come yet").After(2 * time.Second)
 	}
--- a/internal/controller/copies.go
+++ b/internal/controller/copies.go
@@ -37,7 +37,7 @@
 }
 
 // copies places second attempts in what the round has left.
-func (h *Controller) copies(in placement.Input, wants []placement.Want) (attempts []state.Give) {
+func (h *Controller) copies(in placement.Input, wants []placement.Want) (attempts []state.Assignment) {
 	if wants == nil {
 		return nil
 	}
@@ -45,7 +45,7 @@
 	for _, p := range placement.Place(in).Picks {
 		t := h.state.Jobs[p.Task.Job].Task(p.Task.N)
 		if t.Out.Shard != p.Shard {
-			attempts = append(attempts, state.Give{Attempt: types.Attempt{Task: p.Task, Attempt: t.Attempt + 1}, Shard: p.Shard, Copy: true})
+			attempts = append(attempts, state.Assignment{Attempt: types.Attempt{Task: p.Task, Attempt: t.Attempt + 1}, Shard: p.Shard, Copy: true})
 		}
 	}
 	return
@@ -53,14 +53,14 @@
 
 // slow tells whether an attempt is far behind its like, or its worker out of reach.
 func (h *Controller) slow(o *dispatch.Hold, p *state.Step) bool {
-	if s := h.head.Seat(o.Shard); s == nil || s.State != dispatch.Healthy || !s.Healthy {
+	if s := h.scheduler.Seat(o.Shard); s == nil || s.State != dispatch.Healthy || !s.Healthy {
 		return true
 	}
 	if o.Late > h.now.Mono {
 		return true
 	}
 	usual := time.Duration(p.Estimate) * time.Millisecond
-	if u, ok := h.head.Usual(o.Usual); ok {
+	if u, ok := h.scheduler.Usual(o.Usual); ok {
 		usual = max(usual, u)
 	}
 	return usual > 0 && h.now.Mono.Sub(o.At) > time.Duration(behind*float64(usual))+slack
--- a/internal/controller/displace.go
+++ b/internal/controller/displace.go
@@ -58,7 +58,7 @@
 // run for the shortest time.
 func (h *Controller) victims(w placement.Want, under bool, in placement.Input) (list []*victim) {
 	gangs := map[placement.Part]*victim{}
-	for _, o := range h.head.Holds() {
+	for _, o := range h.scheduler.Holds() {
 		j := h.state.Jobs[o.Attempt.Job]
 		if j == nil || o.Stage < 0 || !h.mayTake(o.Attempt) || j.Queue == w.Queue && j.Spec.Urgency >= w.Urgency {
 			continue
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -16,7 +16,7 @@
 )
 
 // target reads "workers/NAME" or "racks/NAME" and finds whether it is known.
-func (h *Controller) target(arg string) (t state.Target, bad *apierror.Fault) {
+func (h *Controller) target(arg string) (t state.Target, bad *apierror.Error) {
 	kind, name, _ := strings.Cut(arg, "/")
 	if kind == "racks" {
 		t.Rack = types.Rack(name)
@@ -26,7 +26,7 @@
 	return t, h.known(t)
 }
 
-func (h *Controller) known(t state.Target) *apierror.Fault {
+func (h *Controller) known(t state.Target) *apierror.Error {
 	for _, x := range h.state.Shapes {
 		if t.Is(x.Shard, x.Rack) {
 			return nil
@@ -47,14 +47,14 @@
 	}
 	x := state.Drain{Target: t}
 	if d.Within > 0 {
-		x.By = h.core.Clock().Add(time.Duration(d.Within) * time.Millisecond)
+		x.By = h.raft.Clock().Add(time.Duration(d.Within) * time.Millisecond)
 	}
-	h.wait(w, state.Fact{Drain: &x})
+	h.wait(w, state.Command{Drain: &x})
 }
 
 func (h *Controller) dropDrain(w waiter, c wire.CallBody) {
 	t, _ := h.target(c.Arg)
-	h.wait(w, state.Fact{Drain: &state.Drain{Target: t, Over: true}})
+	h.wait(w, state.Command{Drain: &state.Drain{Target: t, Over: true}})
 }
 
 func (h *Controller) putPlan(w waiter, c wire.CallBody) {
@@ -67,18 +67,18 @@
 		h.bad(w, bad)
 		return
 	}
-	h.wait(w, state.Fact{Plan: &p})
+	h.wait(w, state.Command{Plan: &p})
 }
 
 func (h *Controller) dropPlan(w waiter, c wire.CallBody) {
-	h.wait(w, state.Fact{Plan: &state.Plan{Name: c.Arg}})
+	h.wait(w, state.Command{Plan: &state.Plan{Name: c.Arg}})
 }
 
 // gone ends the doubts about a worker that its operators know to be lost.
 func (h *Controller) gone(w waiter, c wire.CallBody) {
 	shard := types.Shard(c.Arg)
 	bad := h.known(state.Target{Shard: shard})
-	for _, s := range h.head.Seats() {
+	for _, s := range h.scheduler.Seats() {
 		if s.Shard == shard && s.State != dispatch.MustDie {
 			bad = apierror.New(apierror.Alive, "", "the worker's agent is heard of; only one that is lost can be given up")
 		}
@@ -87,7 +87,7 @@
 		h.bad(w, bad)
 		return
 	}
-	h.wait(w, state.Fact{Gone: shard})
+	h.wait(w, state.Command{Gone: shard})
 }
 
 // DrainView is a drain as operators see it.
@@ -103,7 +103,7 @@
 	for _, d := range h.state.Drains {
 		v := DrainView{Target: d.Target}
 		if d.By != 0 {
-			v.Left = max(1, d.By.Sub(h.core.Clock()).Milliseconds())
+			v.Left = max(1, d.By.Sub(h.raft.Clock()).Milliseconds())
 		}
 		for _, o := range h.holds() {
 			if d.Is(o.Shard, h.state.Shapes[o.Shard].Rack) {
@@ -126,7 +126,7 @@
 // Plans lists the calendars and the next windows of each.
 func (h *Controller) Plans() (list []PlanView) {
 	list = []PlanView{}
-	at := types.Wall(h.core.Clock()) + h.state.Off
+	at := types.Wall(h.raft.Clock()) + h.state.Off
 	show := func(w types.Wall) string { return time.Unix(0, int64(w)).UTC().Format(time.RFC3339) }
 	for _, p := range h.state.Plans {
 		v := PlanView{Name: p.Name, Target: p.Target, Next: []string{}}
@@ -144,8 +144,8 @@
 }
 
 func (h *Controller) holds() []*dispatch.Hold {
-	if h.head == nil {
+	if h.scheduler == nil {
 		return nil
 	}
-	return h.head.Holds()
+	return h.scheduler.Holds()
 }
--- a/internal/controller/early.go
+++ b/internal/controller/early.go
@@ -64,19 +64,19 @@
 	})
 	for i := range h.early {
 		x := &h.early[i]
-		wait := h.place.Truth.Ill
-		if h.head != nil {
-			wait = h.place.Truth.Again
+		wait := h.options.Truth.Ill
+		if h.scheduler != nil {
+			wait = h.options.Truth.Again
 		}
 		if h.now.Mono.Sub(x.sent) < wait {
 			continue
 		}
-		to := h.core.Leader()
-		if h.head != nil {
-			to = h.place.Addr
+		to := h.raft.Leader()
+		if h.scheduler != nil {
+			to = h.options.Addr
 		}
-		if s := wire.Make(x.from, to, wire.Status, x.Status); h.head != nil {
-			h.head.Take(h.now.Mono, h.core.Grace(), s.Message)
+		if s := wire.Make(x.from, to, wire.Status, x.Status); h.scheduler != nil {
+			h.scheduler.Take(h.now.Mono, h.raft.Grace(), s.Message)
 		} else {
 			h.relay(s, to, x.tries)
 			x.tries++
--- a/internal/controller/ends.go
+++ b/internal/controller/ends.go
@@ -7,7 +7,7 @@
 
 // heed sends what the dispatcher has to say and puts the ends it has into the log.
 func (h *Controller) heed() {
-	sends, ends := h.head.Out()
+	sends, ends := h.scheduler.Out()
 	h.sends = append(h.sends, sends...)
 	h.propose(ends)
 }
@@ -23,7 +23,7 @@
 	if list == nil {
 		return
 	}
-	if i, ok := h.fact(state.Fact{Ends: list}); ok {
+	if i, ok := h.fact(state.Command{Ends: list}); ok {
 		for _, e := range list {
 			h.flight[e], h.ahead[e.Attempt.Job] = true, i
 			if e.Outcome.Over() {
--- a/internal/controller/learn.go
+++ b/internal/controller/learn.go
@@ -63,7 +63,7 @@
 }
 
 // learn takes the good ends of a fact that is about to be applied.
-func (h *Controller) learn(f state.Fact) {
+func (h *Controller) learn(f state.Command) {
 	if len(h.courses) > 2*len(h.state.Live())+64 {
 		maps.DeleteFunc(h.courses, func(id types.JobID, _ []course) bool { j := h.state.Jobs[id]; return j == nil || j.Over() })
 	}
@@ -104,8 +104,8 @@
 	if c := h.courses[j.ID]; c != nil && c[step].count > 0 {
 		return time.Duration(math.Exp(c[step].logs/c[step].count) * float64(time.Second))
 	}
-	if h.head != nil {
-		if d, ok := h.head.Took(j.ID, step); ok {
+	if h.scheduler != nil {
+		if d, ok := h.scheduler.Took(j.ID, step); ok {
 			return d
 		}
 	}
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -25,24 +25,24 @@
 	var doom []types.Attempt
 	var spent []state.End
 	for _, j := range h.state.Live() {
-		x := h.state.Heat(j, h.core.Clock())
+		x := h.state.Heat(j, h.raft.Clock())
 		doom, spent = append(doom, x.Doomed...), append(spent, x.Spent...)
 	}
 	h.propose(spent)
-	holds := h.head.Holds()
-	h.head.Halt(append(doom, h.head.Strays()...), h.overtime(holds))
-	if !h.core.Firm() || h.drain {
+	holds := h.scheduler.Holds()
+	h.scheduler.Halt(append(doom, h.scheduler.Strays()...), h.overtime(holds))
+	if !h.raft.Firm() || h.drain {
 		return
 	}
 	h.shapes()
 	h.times()
-	if h.giving > h.done {
+	if h.giving > h.applied {
 		h.more(holds)
 		return
 	}
 	clear(h.given)
 	backs := h.recall(holds)
-	if h.head.Wait {
+	if h.scheduler.Wait {
 		h.give(nil, backs)
 		return
 	}
@@ -57,7 +57,7 @@
 		return
 	}
 	in.Slots, in.Total = h.slots(holds)
-	var attempts []state.Give
+	var attempts []state.Assignment
 	if len(in.Wants) > 0 {
 		h.ages(in.Wants)
 		h.caps(in)
@@ -74,8 +74,8 @@
 
 // more gives out work while an earlier round is on its way into the log.
 func (h *Controller) more(holds []*dispatch.Hold) {
-	h.rounds = slices.DeleteFunc(h.rounds, func(i types.Index) bool { return i <= h.done })
-	if h.head.Wait || len(h.rounds) >= rounds || h.kept != nil {
+	h.rounds = slices.DeleteFunc(h.rounds, func(i types.Index) bool { return i <= h.applied })
+	if h.scheduler.Wait || len(h.rounds) >= rounds || h.kept != nil {
 		return
 	}
 	var in placement.Input
@@ -90,7 +90,7 @@
 
 // number gives each placement its attempt's number; the members of a gang get the
 // same.
-func (h *Controller) number(picks []placement.Pick) (attempts []state.Give) {
+func (h *Controller) number(picks []placement.Pick) (attempts []state.Assignment) {
 	for _, p := range picks {
 		j := h.state.Jobs[p.Task.Job]
 		at := types.StageOf(p.Task.N)
@@ -100,18 +100,18 @@
 				attempt = max(attempt, m.Attempt+1)
 			}
 		}
-		attempts = append(attempts, state.Give{Attempt: types.Attempt{Task: p.Task, Attempt: attempt}, Shard: p.Shard})
+		attempts = append(attempts, state.Assignment{Attempt: types.Attempt{Task: p.Task, Attempt: attempt}, Shard: p.Shard})
 		delete(h.waited, placement.Part{Job: p.Task.Job, Stage: at})
 	}
 	return
 }
 
 // give puts a round into the log; the next waits until it is applied.
-func (h *Controller) give(attempts []state.Give, backs []state.Back) {
+func (h *Controller) give(attempts []state.Assignment, backs []state.Back) {
 	if attempts == nil && backs == nil {
 		return
 	}
-	if i, ok := h.fact(state.Fact{Attempts: attempts, Backs: backs}); ok {
+	if i, ok := h.fact(state.Command{Attempts: attempts, Backs: backs}); ok {
 		h.giving = i
 		h.rounds = append(h.rounds, i)
 		for _, g := range attempts {
@@ -129,7 +129,7 @@
 	for _, r := range h.state.Table.Rows {
 		dues[r.Name] = &placement.Due{Row: r}
 	}
-	now := h.core.Clock()
+	now := h.raft.Clock()
 	for _, j := range h.state.Live() {
 		d := dues[j.Queue]
 		if d == nil {
@@ -175,7 +175,7 @@
 // slots lists the workers that may be given work, and all cores there are.
 func (h *Controller) slots(holds []*dispatch.Hold) (list []placement.Slot, total types.Cores) {
 	at := map[types.Shard]int{}
-	for _, s := range h.head.Seats() {
+	for _, s := range h.scheduler.Seats() {
 		if s.State != dispatch.Healthy {
 			continue
 		}
@@ -183,7 +183,7 @@
 		if till, _, _ := h.till(s); !s.Leaving && s.Healthy {
 			at[s.Shard] = len(list)
 			list = append(list, placement.Slot{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Labels: s.Labels, Free: s.Room.Minus(s.Lacks), Size: s.Room, Till: till,
-				Bad: s.Worth.Bad, Slow: s.Worth.Slow, Now: h.head.Slow(s), Has: map[placement.Part]int{}})
+				Bad: s.Worth.Bad, Slow: s.Worth.Slow, Now: h.scheduler.Slow(s), Has: map[placement.Part]int{}})
 		}
 	}
 	for _, g := range h.given {
@@ -215,13 +215,13 @@
 }
 
 // order sends the attempts that the log has just given out.
-func (h *Controller) order(attempts []state.Give) {
+func (h *Controller) order(attempts []state.Assignment) {
 	for _, g := range attempts {
 		j := h.state.Jobs[g.Attempt.Job]
 		at := types.StageOf(g.Attempt.N)
 		p := j.Spec.Steps[at.Step()]
 		h.Sums.Orders++
-		h.head.Order(g.Shard, at, usual(j, at), dispatch.Job{Attempt: g.Attempt, Kind: p.Kind, Rack: p.Rack, Room: p.Room,
+		h.scheduler.Order(g.Shard, at, usual(j, at), dispatch.Job{Attempt: g.Attempt, Kind: p.Kind, Rack: p.Rack, Room: p.Room,
 			Limit: int(h.limit(j, at).Milliseconds()), Label: p.Labels, Ref: j.Task(g.Attempt.N).Ref, Work: j.Spec.What(at.Step())})
 	}
 }
@@ -248,12 +248,12 @@
 
 // shapes keeps in the log what the workers are made of.
 func (h *Controller) shapes() {
-	if h.shaped > h.done {
+	if h.shaped > h.applied {
 		return
 	}
-	var list []state.Shape
-	for _, s := range h.head.Seats() {
-		x := state.Shape{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Room: s.Room, Labels: s.Labels, Invoked: s.Invoked}
+	var list []state.WorkerShape
+	for _, s := range h.scheduler.Seats() {
+		x := state.WorkerShape{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Room: s.Room, Labels: s.Labels, Invoked: s.Invoked}
 		y, ok := h.state.Shapes[s.Shard]
 		if s.Room.Cores == 0 && ok {
 			continue // an agent that has not heard its worker yet
@@ -264,7 +264,7 @@
 		}
 	}
 	if list != nil {
-		h.shaped, _ = h.fact(state.Fact{Shapes: list})
+		h.shaped, _ = h.fact(state.Command{Shapes: list})
 	}
 }
 
@@ -276,13 +276,13 @@
 		return
 	}
 	h.timed = h.now.Mono
-	offs := h.core.Offs()
+	offs := h.raft.Offs()
 	for i := 0; i+1 < len(offs); i++ {
 		if offs[i+1]-offs[i] > near {
 			continue
 		}
 		if d := offs[i] - h.state.Off; d > astray || d < -astray {
-			h.fact(state.Fact{Off: &offs[i]})
+			h.fact(state.Command{Off: &offs[i]})
 		}
 		return
 	}
--- a/internal/controller/reads.go
+++ b/internal/controller/reads.go
@@ -18,7 +18,7 @@
 
 func (h *Controller) getJob(w waiter, c wire.CallBody) {
 	id := types.JobID(c.Arg)
-	if at := h.ahead[id]; at > h.done && len(h.reads) < Crowd {
+	if at := h.ahead[id]; at > h.applied && len(h.reads) < Crowd {
 		h.reads = append(h.reads, reader{w, id, at})
 		return
 	}
@@ -37,7 +37,7 @@
 func (h *Controller) answer() {
 	kept := h.reads[:0]
 	for _, r := range h.reads {
-		if r.at > h.done {
+		if r.at > h.applied {
 			kept = append(kept, r)
 		} else {
 			h.show(r.w, r.id)
@@ -49,7 +49,7 @@
 // turnAway sends those who read to the next leader.
 func (h *Controller) turnAway() {
 	for _, r := range h.reads {
-		h.reply(r.w, wire.ReplyBody{Away: true, Lead: h.core.Leader()})
+		h.reply(r.w, wire.ReplyBody{Away: true, Lead: h.raft.Leader()})
 	}
 	h.reads = nil
 	clear(h.ahead)
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -83,7 +83,7 @@
 		v := QueueView{Name: r.Name, Weight: r.Weight, Share: r.Share, Jobs: h.state.Held(r.Name), Limit: r.Waiting,
 			Running: dues[r.Name].Running, Cores: dues[r.Name].Cores, Ready: ready[r.Name]}
 		if at, ok := oldest[r.Name]; ok {
-			v.Oldest = h.core.Clock().Sub(at).Milliseconds()
+			v.Oldest = h.raft.Clock().Sub(at).Milliseconds()
 		}
 		if c := h.state.Count[r.Name]; c != nil {
 			v.Counts = *c
@@ -110,16 +110,16 @@
 
 func (h *Controller) Workers() (list []WorkerView) {
 	list = []WorkerView{}
-	if h.head == nil {
+	if h.scheduler == nil {
 		return
 	}
 	n := map[types.Shard]int{}
-	for _, o := range h.head.Holds() {
+	for _, o := range h.scheduler.Holds() {
 		n[o.Shard]++
 	}
-	for _, s := range h.head.Seats() {
+	for _, s := range h.scheduler.Seats() {
 		list = append(list, WorkerView{Shard: s.Shard, ID: s.ID, Addr: s.Addr, State: s.State, ForMS: h.now.Mono.Sub(s.Since).Milliseconds(),
-			QuietMS: h.now.Mono.Sub(s.Good).Milliseconds(), Report: s.Report, Free: h.head.Free(s), Attempts: n[s.Shard],
+			QuietMS: h.now.Mono.Sub(s.Good).Milliseconds(), Report: s.Report, Free: h.scheduler.Free(s), Attempts: n[s.Shard],
 			Bad: s.Worth.Bad, Slow: s.Worth.Slow})
 	}
 	return
@@ -149,19 +149,19 @@
 }
 
 func (h *Controller) Status() StatusView {
-	c := h.core
-	v := StatusView{Role: "controller", Program: h.place.Issue, ID: c.ID(), Cluster: c.Name(), Part: c.Role(), Why: c.Why(),
+	c := h.raft
+	v := StatusView{Role: "controller", Program: h.options.Issue, ID: c.ID(), Cluster: c.Name(), Part: c.Role(), Why: c.Why(),
 		Ready: h.Ready(), Term: c.Term(), Leader: c.Leader(), Commit: c.Commit(), Roll: c.Roll(), Version: h.state.Table.Version,
 		Jobs: len(h.state.Live()), Known: len(h.state.Jobs) + h.state.Marks(), Peers: h.roster.Peers(), Sums: h.Sums,
-		Wall: time.Unix(0, int64(h.core.Clock())+int64(h.state.Off)).UTC().Format(time.RFC3339Nano)}
-	if h.head != nil && h.head.Wait {
-		v.Wait = h.head.Why
+		Wall: time.Unix(0, int64(h.raft.Clock())+int64(h.state.Off)).UTC().Format(time.RFC3339Nano)}
+	if h.scheduler != nil && h.scheduler.Wait {
+		v.Wait = h.scheduler.Why
 	}
 	if n := c.Roll().Votes(); n > 0 {
 		v.Bears = (n - 1) / 2
 	}
-	if v.Why == "" && c.Name() != "" && v.Bears < h.place.Loses {
-		v.Why = fmt.Sprintf("%d voters bear the loss of %d at once, and the settings ask for %d", c.Roll().Votes(), v.Bears, h.place.Loses)
+	if v.Why == "" && c.Name() != "" && v.Bears < h.options.Loses {
+		v.Why = fmt.Sprintf("%d voters bear the loss of %d at once, and the settings ask for %d", c.Roll().Votes(), v.Bears, h.options.Loses)
 	}
 	return v
 }
--- a/internal/controller/windows.go
+++ b/internal/controller/windows.go
@@ -22,8 +22,8 @@
 
 // till tells how long a seat may still run something, 0 for without end, and
 // when all there must be gone, if it must.
-func (h *Controller) till(s *dispatch.Seat) (left time.Duration, by types.Stamp, why state.Why) {
-	now := h.core.Clock()
+func (h *Controller) till(s *dispatch.WorkerEntry) (left time.Duration, by types.Stamp, why state.Why) {
+	now := h.raft.Clock()
 	if s.Leaving {
 		left, why = time.Nanosecond, state.Leaves
 		if s.LeaveMS > 0 {
@@ -31,7 +31,7 @@
 		}
 	}
 	if w, ok := h.state.Window(s.Shard, s.Rack, now); ok {
-		if d := max(time.Nanosecond, w.From.Sub(now)-h.place.Truth.Grant); left == 0 || d < left { // an order may lie so long
+		if d := max(time.Nanosecond, w.From.Sub(now)-h.options.Truth.Grant); left == 0 || d < left { // an order may lie so long
 			left = d
 		}
 		if at := h.now.Mono.Add(w.By.Sub(now)); w.By != 0 && (by == 0 || at < by) {
@@ -44,13 +44,13 @@
 // recall lists the attempts to be taken back now.
 func (h *Controller) recall(holds []*dispatch.Hold) (list []state.Back) {
 	gone := map[types.Shard]state.Why{}
-	for _, s := range h.head.Seats() {
+	for _, s := range h.scheduler.Seats() {
 		if _, by, why := h.till(s); by != 0 && by.Sub(h.now.Mono) < ahead {
 			gone[s.Shard] = why
 		}
 	}
 	left := map[placement.Part]bool{}
-	for _, o := range h.head.Missing() {
+	for _, o := range h.scheduler.Missing() {
 		if j := h.state.Jobs[o.Attempt.Job]; j != nil && j.State == state.Open && j.Spec.Steps[o.Stage.Step()].Gang {
 			left[placement.Part{Job: o.Attempt.Job, Stage: o.Stage}] = true
 		}
@@ -86,7 +86,7 @@
 
 // stalled tells an attempt far beyond its step's usual time, once for a task.
 func (h *Controller) stalled(o *dispatch.Hold) bool {
-	u, ok := h.head.Usual(o.Usual)
+	u, ok := h.scheduler.Usual(o.Usual)
 	j := h.state.Jobs[o.Attempt.Job]
 	if !ok || j == nil {
 		return false
--- a/internal/dispatch/caller.go
+++ b/internal/dispatch/caller.go
@@ -79,10 +79,10 @@
 }
 
 // Invoked tells whether the worker is one that is called.
-func (h *Hand) Invoked() bool { return h.caller != nil }
+func (h *Executor) Invoked() bool { return h.caller != nil }
 
 // Calls drains the calls to make.
-func (h *Hand) Calls() []wire.WorkerCall {
+func (h *Executor) Calls() []wire.WorkerCall {
 	if h.caller == nil {
 		return nil
 	}
@@ -94,7 +94,7 @@
 // Beat takes what the worker tells of itself. A process that is over is not
 // heard; another one waits until the present one is known to be over. If that
 // still answers, the beat was late, of a process before it.
-func (h *Hand) Beat(now types.Stamp, b wire.WorkerBeat) {
+func (h *Executor) Beat(now types.Stamp, b wire.WorkerBeat) {
 	h.now = now
 	if h.caller == nil {
 		h.caller = &Caller{past: map[types.ID]bool{}, open: map[uint64]*flight{}, ends: map[uint64]*ending{}}
@@ -115,13 +115,13 @@
 }
 
 // Leave takes it that a worker process ends now, all that it ran with it.
-func (h *Hand) Leave(now types.Stamp, life types.ID) {
+func (h *Executor) Leave(now types.Stamp, life types.ID) {
 	if h.now = now; h.caller != nil && h.caller.life == life {
 		h.over(true)
 	}
 }
 
-func (h *Hand) report(b wire.WorkerBeat) {
+func (h *Executor) report(b wire.WorkerBeat) {
 	if b.Leaving != h.rep.Leaving || !h.rep.Healthy {
 		h.beat = never
 	}
@@ -131,7 +131,7 @@
 }
 
 // adopt takes up a worker process. What it runs is asked before anything else.
-func (h *Hand) adopt(b wire.WorkerBeat) {
+func (h *Executor) adopt(b wire.WorkerBeat) {
 	c := h.caller
 	c.life, c.to, c.seq, c.heir = b.Life, b.To, b.Seq, nil
 	c.clock, c.got, c.until, c.read, c.seen, c.sick, c.mute = b.Clock, h.now, 0, 0, 0, never, false
@@ -148,7 +148,7 @@
 // over gives up the worker's present process: nothing of it runs any more. If it
 // is gone, rather than out of reach for longer than its lease, it is not heard
 // again.
-func (h *Hand) over(gone bool) {
+func (h *Executor) over(gone bool) {
 	c := h.caller
 	if len(c.past) >= lives {
 		clear(c.past)
@@ -175,18 +175,18 @@
 
 // listen is how long a hold waits for an end. Each renews the lease, which must
 // outlast two that get no reply.
-func (h *Hand) listen() time.Duration { return min(listens, h.pace.Grant/3) }
+func (h *Executor) listen() time.Duration { return min(listens, h.pace.Grant/3) }
 
 // quiet tells whether a worker that is called is sick, or has said nothing since a
 // call that got no reply.
-func (h *Hand) quiet() bool {
+func (h *Executor) quiet() bool {
 	c := h.caller
 	return h.now < c.sick || c.life == "" || c.mute || h.now.Sub(h.heard) > h.listen()+answers+h.pace.Ill
 }
 
 // full takes it that the worker turned a start away for want of room: for a while it
 // holds no more than what runs there now, for twice as long if it does so again soon.
-func (h *Hand) full() {
+func (h *Executor) full() {
 	c := h.caller
 	switch since := h.now.Sub(c.tight); {
 	case since >= c.backoff:
@@ -198,7 +198,7 @@
 }
 
 // used is the room that what runs there takes.
-func (h *Hand) used() (r types.Room) {
+func (h *Executor) used() (r types.Room) {
 	for _, l := range h.attempts {
 		if l.part == going || l.part == halting {
 			r = r.Plus(l.job.Room)
@@ -208,7 +208,7 @@
 }
 
 // lacks is how much less room the worker is believed to have than it tells.
-func (h *Hand) lacks() (r types.Room) {
+func (h *Executor) lacks() (r types.Room) {
 	if c := h.caller; c != nil && h.now < c.tight {
 		r = h.rep.Room.Minus(c.proven)
 		r = types.Room{Cores: max(0, r.Cores), Memory: max(0, r.Memory), Accel: max(0, r.Accel)}
@@ -217,7 +217,7 @@
 }
 
 // hear takes a reading of the worker's clock, if it says more than is known.
-func (h *Hand) hear(clock int64) {
+func (h *Executor) hear(clock int64) {
 	if c := h.caller; clock > c.reads(h.now) {
 		c.clock, c.got = clock, h.now
 	}
@@ -230,7 +230,7 @@
 
 // lease is the end of the lease that the worker may have now, on its own clock,
 // or 0 for none.
-func (h *Hand) lease() int64 {
+func (h *Executor) lease() int64 {
 	c := h.caller
 	if h.state == MustDie || h.until <= h.now {
 		return 0
@@ -244,7 +244,7 @@
 
 // expired is true when the worker's lease has surely ended, and with it all
 // that ran there. An earlier agent may have given a longer one.
-func (h *Hand) expired() bool {
+func (h *Executor) expired() bool {
 	c := h.caller
 	return c.reads(h.now) > c.until && h.now.Sub(h.boot) > h.pace.Loss
 }
@@ -262,7 +262,7 @@
 }
 
 // Lease shows it, or nil where the worker calls by itself.
-func (h *Hand) Lease() *Lease {
+func (h *Executor) Lease() *Lease {
 	c := h.caller
 	if c == nil {
 		return nil
--- a/internal/dispatch/chaos_test.go
+++ b/internal/dispatch/chaos_test.go
@@ -88,7 +88,7 @@
 	sum := map[state.Outcome]int{}
 	for seed := *chaosAt; seed < *chaosAt+int64(*chaos); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			r := paced(t, seed, []dispatch.Pace{dispatch.Defaults, ample}[seed%2])
+			r := paced(t, seed, []dispatch.Timeouts{dispatch.Defaults, ample}[seed%2])
 			n := map[string]int{}
 			r.every(120*ms, func() {
 				job := fmt.Sprint("j", r.rnd.Intn(7))
--- a/internal/dispatch/hand.go
+++ b/internal/dispatch/executor.go
@@ -1,4 +1,4 @@
-// Hand is the half beside each worker. It holds the one true account of what
+// Executor is the half beside each worker. It holds the one true account of what
 // runs there: an attempt is in it from its order until its end is settled.
 package dispatch
 
@@ -46,9 +46,9 @@
 	spoke  time.Duration // how long it takes in all, as was told last
 }
 
-// Hand is one agent's half.
-type Hand struct {
-	pace  Pace
+// Executor is one agent's half.
+type Executor struct {
+	pace  Timeouts
 	me    types.Addr
 	shard types.Shard
 	id    types.ID
@@ -86,14 +86,14 @@
 const never = types.Stamp(-1 << 61)
 
 // NewHand starts an agent that knows nothing of its worker yet.
-func NewHand(now types.Stamp, pace Pace, me types.Addr, shard types.Shard, mint func() types.ID) *Hand {
-	return &Hand{pace: pace, me: me, shard: shard, id: mint(), mint: mint, now: now, boot: now, state: New, since: now,
+func NewExecutor(now types.Stamp, pace Timeouts, me types.Addr, shard types.Shard, mint func() types.ID) *Executor {
+	return &Executor{pace: pace, me: me, shard: shard, id: mint(), mint: mint, now: now, boot: now, state: New, since: now,
 		good: now, until: never, beat: never, status: never, heard: never, given: now,
 		attempts: map[types.Attempt]*attempt{}, seen: map[types.Attempt]types.Stamp{}}
 }
 
 // put takes an attempt into the account, forget out of it.
-func (h *Hand) put(l *attempt) {
+func (h *Executor) put(l *attempt) {
 	if h.attempts[l.job.Attempt] == nil {
 		i, _ := slices.BinarySearchFunc(h.order, l, byAttempt)
 		h.order = slices.Insert(h.order, i, l)
@@ -101,7 +101,7 @@
 	h.attempts[l.job.Attempt] = l
 }
 
-func (h *Hand) forget(k types.Attempt) {
+func (h *Executor) forget(k types.Attempt) {
 	if l := h.attempts[k]; l != nil {
 		i, _ := slices.BinarySearchFunc(h.order, l, byAttempt)
 		h.order = slices.Delete(h.order, i, i+1)
@@ -112,13 +112,13 @@
 func byAttempt(a, b *attempt) int { return a.job.Attempt.Compare(b.job.Attempt) }
 
 // sorted lists the attempts in order; the list is a copy.
-func (h *Hand) sorted() []*attempt { return slices.Clone(h.order) }
+func (h *Executor) sorted() []*attempt { return slices.Clone(h.order) }
 
-func (h *Hand) say(to types.Addr, kind string, body any) {
+func (h *Executor) say(to types.Addr, kind string, body any) {
 	h.sends = append(h.sends, wire.Make(h.me, to, kind, body))
 }
 
-func (h *Hand) turn(s Health) {
+func (h *Executor) turn(s Health) {
 	if h.state != s {
 		h.state, h.since = s, h.now
 	}
@@ -126,7 +126,7 @@
 
 // finish ends an attempt in the account and has it told. Lost is not the last word:
 // the attempt stays until the worker is heard again and says what became of it.
-func (h *Hand) finish(l *attempt, f state.Outcome) {
+func (h *Executor) finish(l *attempt, f state.Outcome) {
 	if l.over && f != state.OK {
 		f = state.Bad
 	}
@@ -134,7 +134,7 @@
 }
 
 // halt has an attempt stopped. One that the worker was never shown ends at once.
-func (h *Hand) halt(l *attempt) {
+func (h *Executor) halt(l *attempt) {
 	switch {
 	case l.part == waiting && !l.shown:
 		h.finish(l, state.Unrun)
@@ -144,7 +144,7 @@
 }
 
 // Tick lets time pass; lead is whom the roster holds for the leader.
-func (h *Hand) Tick(now types.Stamp, lead types.Addr) {
+func (h *Executor) Tick(now types.Stamp, lead types.Addr) {
 	if lead != h.lead {
 		h.beat = never // it is told at once who is here
 	}
@@ -203,12 +203,12 @@
 // anew is true for an agent that starts anew beside a worker that is called, until
 // its first grant: what it finds there runs under a lease of the one before it,
 // and may run on under its own.
-func (h *Hand) anew() bool {
+func (h *Executor) anew() bool {
 	return h.caller != nil && h.until == never && h.now.Sub(h.boot) <= h.pace.Loss
 }
 
 // rise comes back as a new instance once nothing can be running any more.
-func (h *Hand) rise() {
+func (h *Executor) rise() {
 	for _, l := range h.attempts {
 		if l.part != ended {
 			return
@@ -219,7 +219,7 @@
 	h.turn(New)
 }
 
-func (h *Hand) pulse() {
+func (h *Executor) pulse() {
 	if h.lead == "" {
 		return
 	}
@@ -231,7 +231,7 @@
 		if h.rep.LeaveMS > 0 {
 			h.rep.LeaveMS = max(1, h.goes.Sub(h.now).Milliseconds())
 		}
-		h.say(h.lead, wire.Beat, Beat{h.shard, h.id, h.past, h.now, h.set, h.rep, h.saves(), h.spans()})
+		h.say(h.lead, wire.Beat, Heartbeat{h.shard, h.id, h.past, h.now, h.set, h.rep, h.saves(), h.spans()})
 	}
 	if h.now.Sub(h.status) < h.pace.Again {
 		return
@@ -250,10 +250,10 @@
 
 // ready is false while the agent can't tell what runs: its worker has not
 // called yet and could still hold a grant of an earlier agent.
-func (h *Hand) ready() bool { return h.told || h.now.Sub(h.boot) > h.pace.Loss }
+func (h *Executor) ready() bool { return h.told || h.now.Sub(h.boot) > h.pace.Loss }
 
 // Out drains what there is to send.
-func (h *Hand) Out() []wire.Send {
+func (h *Executor) Out() []wire.Send {
 	s := h.sends
 	h.sends = nil
 	return s
@@ -279,7 +279,7 @@
 	Outcome state.Outcome `json:"fate,omitempty"`
 }
 
-func (h *Hand) View() View {
+func (h *Executor) View() View {
 	v := View{Shard: h.shard, ID: h.id, Term: h.term, State: h.state, ForMS: h.now.Sub(h.since).Milliseconds(),
 		Report: h.rep, Worker: h.worker, Lease: h.Lease(), Attempts: []AttemptView{}}
 	v.Grant = max(0, h.until.Sub(h.now).Milliseconds())
--- a/internal/dispatch/heed.go
+++ b/internal/dispatch/heed.go
@@ -11,7 +11,7 @@
 )
 
 // heeds checks the term and the addressee, and takes up a new leader.
-func (h *Hand) heeds(from types.Addr, t Top) bool {
+func (h *Executor) heeds(from types.Addr, t Top) bool {
 	if t.To != h.id || t.Term < h.term {
 		return false
 	}
@@ -25,7 +25,7 @@
 	return true
 }
 
-func (h *Hand) onBeaten(from types.Addr, b Beaten) {
+func (h *Executor) onBeaten(from types.Addr, b HeartbeatReply) {
 	if !h.heeds(from, b.Top) {
 		return
 	}
@@ -47,7 +47,7 @@
 	}
 }
 
-func (h *Hand) onAsk(from types.Addr, a Ask) {
+func (h *Executor) onAsk(from types.Addr, a RunningTasksQuery) {
 	if !h.heeds(from, a.Top) || !h.ready() {
 		return
 	}
@@ -57,10 +57,10 @@
 			list = append(list, Run{l.job.Attempt, l.job.Room})
 		}
 	}
-	h.say(from, wire.Account, Account{h.term, h.shard, h.id, list, h.told})
+	h.say(from, wire.Account, RunningTasks{h.term, h.shard, h.id, list, h.told})
 }
 
-func (h *Hand) onOrder(from types.Addr, o Order) {
+func (h *Executor) onOrder(from types.Addr, o Order) {
 	if !h.heeds(from, o.Top) {
 		return
 	}
@@ -75,11 +75,11 @@
 		h.put(&attempt{job: o.Job, part: waiting, until: min(o.Until, h.until)})
 		h.news = true
 	}
-	h.say(from, wire.Ordered, Ordered{h.term, h.shard, h.id, o.Job.Attempt, why})
+	h.say(from, wire.Ordered, OrderReply{h.term, h.shard, h.id, o.Job.Attempt, why})
 }
 
 // refuse gives the reason why an order may not be taken, or nothing.
-func (h *Hand) refuse(o Order) string {
+func (h *Executor) refuse(o Order) string {
 	free := h.rep.Room.Minus(h.lacks())
 	twin := false
 	for _, l := range h.attempts {
@@ -112,7 +112,7 @@
 
 // onQuery answers which of the attempts asked about do not run here; from now on
 // orders sent before it are refused.
-func (h *Hand) onQuery(from types.Addr, q Query) {
+func (h *Executor) onQuery(from types.Addr, q Query) {
 	if !h.heeds(from, q.Top) || q.Seq <= h.seq {
 		return
 	}
@@ -127,10 +127,10 @@
 	if idle != nil {
 		h.status = never
 	}
-	h.say(from, wire.Queried, Queried{h.term, h.shard, h.id, q.Seq})
+	h.say(from, wire.Queried, QueryReply{h.term, h.shard, h.id, q.Seq})
 }
 
-func (h *Hand) onSettled(from types.Addr, s Settled) {
+func (h *Executor) onSettled(from types.Addr, s CommittedEnds) {
 	if !h.heeds(from, s.Top) {
 		return
 	}
@@ -148,7 +148,7 @@
 	}
 }
 
-func (h *Hand) onStop(from types.Addr, s Stop) {
+func (h *Executor) onStop(from types.Addr, s Stop) {
 	if !h.heeds(from, s.Top) {
 		return
 	}
@@ -163,24 +163,24 @@
 	}
 }
 
-func (h *Hand) onQuit(from types.Addr, q Quit) {
+func (h *Executor) onQuit(from types.Addr, q Quit) {
 	if h.heeds(from, q.Top) {
 		h.turn(MustDie)
 	}
 }
 
-var hands = map[string]func(*Hand, wire.Message){
-	wire.Beaten:  wire.On((*Hand).onBeaten),
-	wire.AskRun:  wire.On((*Hand).onAsk),
-	wire.Order:   wire.On((*Hand).onOrder),
-	wire.Query:   wire.On((*Hand).onQuery),
-	wire.Settled: wire.On((*Hand).onSettled),
-	wire.Stop:    wire.On((*Hand).onStop),
-	wire.Quit:    wire.On((*Hand).onQuit),
+var hands = map[string]func(*Executor, wire.Message){
+	wire.Beaten:  wire.On((*Executor).onBeaten),
+	wire.AskRun:  wire.On((*Executor).onAsk),
+	wire.Order:   wire.On((*Executor).onOrder),
+	wire.Query:   wire.On((*Executor).onQuery),
+	wire.Settled: wire.On((*Executor).onSettled),
+	wire.Stop:    wire.On((*Executor).onStop),
+	wire.Quit:    wire.On((*Executor).onQuit),
 }
 
 // Take handles a scheduler's note.
-func (h *Hand) Take(now types.Stamp, n wire.Message) {
+func (h *Executor) Take(now types.Stamp, n wire.Message) {
 	h.now = now
 	if f := hands[n.Kind]; f != nil {
 		f(h, n)
--- a/internal/dispatch/hold.go
+++ b/internal/dispatch/hold.go
@@ -137,7 +137,7 @@
 }
 
 // dims lists the attempts not told of yet on shards that no agent has come for.
-func (h *holds) dims(came map[types.Shard]*Seat) (list []*Hold) {
+func (h *holds) dims(came map[types.Shard]*WorkerEntry) (list []*Hold) {
 	if h.dim == 0 {
 		return nil
 	}
--- a/internal/dispatch/line.go
+++ b/internal/dispatch/line.go
@@ -15,7 +15,7 @@
 )
 
 // line makes the calls that are due.
-func (h *Hand) line() {
+func (h *Executor) line() {
 	c := h.caller
 	if c == nil || c.life == "" {
 		return
@@ -54,7 +54,7 @@
 }
 
 // start sends an order on to the worker, once, or lets it go past its time.
-func (h *Hand) start(l *attempt) {
+func (h *Executor) start(l *attempt) {
 	end := h.lease()
 	switch {
 	case h.now >= l.until:
@@ -69,7 +69,7 @@
 }
 
 // send fills in what all calls have in common.
-func (h *Hand) send(w wire.WorkerCall) uint64 {
+func (h *Executor) send(w wire.WorkerCall) uint64 {
 	c := h.caller
 	c.no++
 	w.No, w.To, w.Life, w.Fence, w.Limit = c.no, c.to, c.life, c.fence, answers+w.Wait
@@ -87,7 +87,7 @@
 }
 
 // Back takes the reply to a call, or that there was none.
-func (h *Hand) Back(now types.Stamp, r wire.WorkerReply) {
+func (h *Executor) Back(now types.Stamp, r wire.WorkerReply) {
 	h.now = now
 	c := h.caller
 	if c == nil || c.open[r.No] == nil {
@@ -126,14 +126,14 @@
 	h.pulse()
 }
 
-var backs = map[wire.CallKind]func(*Hand, *flight, wire.WorkerReply){
-	wire.Start: (*Hand).started,
-	wire.Halt:  (*Hand).halted,
-	wire.Hold:  (*Hand).held,
+var backs = map[wire.CallKind]func(*Executor, *flight, wire.WorkerReply){
+	wire.Start: (*Executor).started,
+	wire.Halt:  (*Executor).halted,
+	wire.Hold:  (*Executor).held,
 }
 
 // started takes the reply to a start.
-func (h *Hand) started(f *flight, r wire.WorkerReply) {
+func (h *Executor) started(f *flight, r wire.WorkerReply) {
 	l := h.attempts[f.Attempt]
 	if l == nil || l.part == ended {
 		return
@@ -160,14 +160,14 @@
 	}
 }
 
-func (h *Hand) halted(f *flight, r wire.WorkerReply) {
+func (h *Executor) halted(f *flight, r wire.WorkerReply) {
 	if l := h.attempts[f.Attempt]; l != nil && r.Result == wire.Taken {
 		l.turned = max(l.turned, h.now)
 	}
 }
 
 // held takes the reply to a hold: what runs, and what has ended.
-func (h *Hand) held(f *flight, r wire.WorkerReply) {
+func (h *Executor) held(f *flight, r wire.WorkerReply) {
 	c := h.caller
 	switch {
 	case r.Result == wire.Fenced:
@@ -210,7 +210,7 @@
 // list takes an end that the worker tells for the first time. It counts even if
 // the lease may have ended since, unless the log has the attempt as lapsed by then:
 // then its task may be elsewhere.
-func (h *Hand) list(e wire.WorkerEnd) {
+func (h *Executor) list(e wire.WorkerEnd) {
 	c := h.caller
 	c.ends[e.N] = &ending{attempt: e.Attempt}
 	l := h.attempts[e.Attempt]
@@ -235,7 +235,7 @@
 
 // runs takes an attempt that the worker tells to be running. One that has ended
 // here, or that nobody sent since the worker told all, is stopped.
-func (h *Hand) runs(x wire.WorkerRun) {
+func (h *Executor) runs(x wire.WorkerRun) {
 	l := h.attempts[x.Attempt]
 	if l == nil {
 		l = &attempt{job: Job{Attempt: x.Attempt}, part: going, from: h.now}
@@ -260,7 +260,7 @@
 // miss judges what a reply does not list: it can't be running, if the reply was
 // asked for after it was known to run, after it was turned away, or by a query
 // that raised the fence above it.
-func (h *Hand) miss(f *flight, listed map[types.Attempt]bool) {
+func (h *Executor) miss(f *flight, listed map[types.Attempt]bool) {
 	for _, l := range h.sorted() {
 		if listed[l.job.Attempt] || l.part == ended || !l.shown && l.part == waiting {
 			continue
@@ -275,7 +275,7 @@
 }
 
 // clear drops the ends that the worker has dropped.
-func (h *Hand) clear(seen uint64) {
+func (h *Executor) clear(seen uint64) {
 	c := h.caller
 	for n, e := range c.ends {
 		if n <= seen {
@@ -289,7 +289,7 @@
 
 // settle takes it that the log has an attempt's end; ends are settled at the worker
 // in their order.
-func (h *Hand) settle(l *attempt) {
+func (h *Executor) settle(l *attempt) {
 	c := h.caller
 	if e := c.ends[l.n]; l.n > 0 && e != nil {
 		e.settled = true
@@ -314,7 +314,7 @@
 }
 
 // saves lists what attempts have saved of late.
-func (h *Hand) saves() (list []Save) {
+func (h *Executor) saves() (list []Save) {
 	for _, l := range h.sorted() {
 		if l.part != ended && l.ref != "" && h.now.Sub(l.saved) < 4*h.pace.Beat {
 			list = append(list, Save{l.job.Attempt, l.ref})
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -49,7 +49,7 @@
 }
 
 // spans lists what there is to tell of the attempts' times.
-func (h *Hand) spans() (list []Span) {
+func (h *Executor) spans() (list []Span) {
 	for _, l := range h.sorted() {
 		d := l.span(h.now)
 		if d == 0 || l.spoke > 0 && float64(d) < change*float64(l.spoke) && float64(l.spoke) < change*float64(d) {
@@ -100,7 +100,7 @@
 
 // took takes what an attempt takes, or has taken, and what that tells of its
 // worker and of itself.
-func (h *Head) took(o *Hold, d time.Duration, over bool) {
+func (h *Scheduler) took(o *Hold, d time.Duration, over bool) {
 	if o.Stage < 0 || d <= 0 {
 		return
 	}
@@ -131,7 +131,7 @@
 
 // Took is what the tasks of a step take, as far as is known: the median of those
 // that have ended or told how far they are.
-func (h *Head) Took(job types.JobID, step int) (time.Duration, bool) {
+func (h *Scheduler) Took(job types.JobID, step int) (time.Duration, bool) {
 	t := h.stages[stage{job, types.StageOf(types.No(0, step, 0))}]
 	if t == nil {
 		return 0, false
@@ -141,13 +141,13 @@
 }
 
 // fade forgets a bad name with time.
-func (s *Seat) fade(now types.Stamp) {
+func (s *WorkerEntry) fade(now types.Stamp) {
 	s.pace *= math.Exp2(-now.Sub(s.paced).Seconds() / trust.Seconds())
 	s.paced = now
 }
 
 // Slow is how many times the usual a worker's attempts take now; 0 is as usual.
-func (h *Head) Slow(s *Seat) float64 {
+func (h *Scheduler) Slow(s *WorkerEntry) float64 {
 	s.fade(h.now)
 	if x := math.Exp(s.pace); x > tells {
 		return x
@@ -156,7 +156,7 @@
 }
 
 // outlive forgets stages of which nothing was heard for long.
-func (h *Head) outlive() {
+func (h *Scheduler) outlive() {
 	for k, t := range h.stages {
 		if h.now.Sub(t.at) > keeps {
 			delete(h.stages, k)
--- a/internal/dispatch/poll.go
+++ b/internal/dispatch/poll.go
@@ -49,7 +49,7 @@
 }
 
 // Check tells what is wrong with a call; nothing of a bad one is taken.
-func (p Poll) Check(h *apierror.Heap) {
+func (p Poll) Check(h *apierror.ErrorList) {
 	h.Check(p.Worker != "" && len(p.Worker) <= 128, "worker", "want 1 to 128 characters")
 	h.Check(p.Room.Holds(types.Room{}), "room", "want no negative numbers")
 	h.Check(len(p.Kinds) <= 64, "kinds", "more than 64")
@@ -76,7 +76,7 @@
 var outcomes = []state.Outcome{state.OK, state.Bad, state.Halted, state.Unrun}
 
 // Poll takes a worker's call; false means that it is not to be answered.
-func (h *Hand) Poll(now types.Stamp, p Poll) bool {
+func (h *Executor) Poll(now types.Stamp, p Poll) bool {
 	h.now = now
 	if p.Worker != h.worker {
 		if h.worker != "" && !h.lapsed() {
@@ -138,7 +138,7 @@
 
 // fresh takes another worker process in place of the last, all of whose attempts
 // have ended with it.
-func (h *Hand) fresh(p Poll) {
+func (h *Executor) fresh(p Poll) {
 	for _, l := range h.sorted() {
 		if l.part != ended || l.outcome == state.Lost {
 			h.finish(l, state.Gone)
@@ -154,7 +154,7 @@
 }
 
 // Reply makes the answer to the worker's latest call.
-func (h *Hand) Reply(now types.Stamp) Answer {
+func (h *Executor) Reply(now types.Stamp) Answer {
 	h.now, h.news = now, false
 	left := min(h.pace.Worker, h.until.Sub(now))
 	if h.state == MustDie || left < 0 {
@@ -179,14 +179,14 @@
 }
 
 // News tells whether the worker's call should be answered now.
-func (h *Hand) News() bool { return h.news }
+func (h *Executor) News() bool { return h.news }
 
 // Slack is how long after its grant a worker may take to notice and stop.
 const Slack = 150 * time.Millisecond
 
 // lapsed is true when the worker's last grant has surely ended, and it has had
 // the time to stop.
-func (h *Hand) lapsed() bool { return h.now.Sub(h.given) > h.pace.Worker+Slack }
+func (h *Executor) lapsed() bool { return h.now.Sub(h.given) > h.pace.Worker+Slack }
 
 // Worker gives the time since the worker's last call.
-func (h *Hand) Quiet(now types.Stamp) time.Duration { return now.Sub(h.heard) }
+func (h *Executor) Quiet(now types.Stamp) time.Duration { return now.Sub(h.heard) }
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -20,7 +20,7 @@
 const ms = time.Millisecond
 
 // ample is a pace with leases of five seconds.
-var ample = func() dispatch.Pace {
+var ample = func() dispatch.Timeouts {
 	p := dispatch.Defaults
 	p.Grant, p.Loss = 5*time.Second, 6*time.Second
 	return p
@@ -45,11 +45,11 @@
 type rig struct {
 	t      *testing.T
 	rnd    *rand.Rand
-	pace   dispatch.Pace
+	pace   dispatch.Timeouts
 	now    types.Stamp
 	term   types.Term
-	head   *dispatch.Head
-	hand   *dispatch.Hand
+	head   *dispatch.Scheduler
+	hand   *dispatch.Executor
 	worker *sim.Called
 	floor  *sim.Floor
 	made   sim.Make
@@ -77,7 +77,7 @@
 	shows  []state.End // what the agent has told, in order
 }
 
-func newRig(t *testing.T, seed int64, pace dispatch.Pace) *rig {
+func newRig(t *testing.T, seed int64, pace dispatch.Timeouts) *rig {
 	r := &rig{t: t, rnd: rand.New(rand.NewSource(seed)), pace: pace, grace: pace.Grant, now: types.Stamp(time.Hour),
 		floor: sim.NewFloor(sim.Manner{Lease: 6 * time.Second, Stop: 400 * ms, Gang: 3 * time.Second, Save: 2 * time.Second, Restore: 600 * ms, Far: 1.5}),
 		made:  sim.Make{Shard: "s", Rack: "r", Kinds: []types.Kind{"x"}, Room: types.Room{Cores: 8 * types.Core}, Guards: true},
@@ -137,7 +137,7 @@
 		outs = append(outs, dispatch.Hold{Attempt: l, Shard: "s", Room: types.Room{Cores: types.Core}})
 	}
 	sort.Slice(outs, func(i, k int) bool { return outs[i].Attempt.Least(outs[k].Attempt) })
-	h := dispatch.NewHead(r.now, r.now, r.pace, "h", r.term, outs)
+	h := dispatch.NewScheduler(r.now, r.now, r.pace, "h", r.term, outs)
 	h.Taken = func(e state.End) bool { _, ok := r.log[e.Attempt]; return ok || !r.out[e.Attempt] }
 	h.Apart = func(types.Shard) bool { return false }
 	h.Invoked = func(types.Shard) bool { return true }
@@ -150,7 +150,7 @@
 func (r *rig) agent() {
 	r.agents++
 	n := 0
-	r.hand = dispatch.NewHand(r.now, r.pace, "w", "s", func() types.ID { n++; return types.ID(fmt.Sprintf("w%d.%d", r.agents, n)) })
+	r.hand = dispatch.NewExecutor(r.now, r.pace, "w", "s", func() types.ID { n++; return types.ID(fmt.Sprintf("w%d.%d", r.agents, n)) })
 }
 
 // life starts a worker process.
@@ -310,7 +310,7 @@
 // ready is a rig in which all have found each other healthy.
 func ready(t *testing.T, seed int64) *rig { return paced(t, seed, dispatch.Defaults) }
 
-func paced(t *testing.T, seed int64, pace dispatch.Pace) *rig {
+func paced(t *testing.T, seed int64, pace dispatch.Timeouts) *rig {
 	r := newRig(t, seed, pace)
 	r.pass(pace.Loss + 1500*ms)
 	if s := r.hand.View().State; s != dispatch.Healthy {
--- a/internal/dispatch/say.go
+++ b/internal/dispatch/say.go
@@ -23,8 +23,8 @@
 	MustDie   Health = "MUST_DIE"
 )
 
-// Pace holds the timings of both halves.
-type Pace struct {
+// Timeouts holds the timings of both halves.
+type Timeouts struct {
 	Beat   time.Duration // between heartbeats
 	Ill    time.Duration // silence that makes UNHEALTHY
 	Loss   time.Duration // silence that makes MUST_DIE
@@ -34,7 +34,7 @@
 }
 
 // Defaults are ours; blueprint checks how they hang together.
-var Defaults = Pace{Beat: 300 * time.Millisecond, Ill: time.Second, Loss: 2500 * time.Millisecond,
+var Defaults = Timeouts{Beat: 300 * time.Millisecond, Ill: time.Second, Loss: 2500 * time.Millisecond,
 	Grant: 2 * time.Second, Worker: 1500 * time.Millisecond, Again: 300 * time.Millisecond}
 
 // Report is what a worker says of itself, and its agent of it.
@@ -59,7 +59,7 @@
 }
 
 // Beat is processHeartbeat.
-type Beat struct {
+type Heartbeat struct {
 	Shard types.Shard `json:"shard"`
 	ID    types.ID    `json:"id"`
 	Past  types.ID    `json:"past,omitempty"`
@@ -82,8 +82,8 @@
 	To   types.ID   `json:"to"`
 }
 
-// Beaten answers a beat. Until is the grant's end on the agent's own clock.
-type Beaten struct {
+// HeartbeatReply answers a beat. Until is the grant's end on the agent's own clock.
+type HeartbeatReply struct {
 	Top
 	Stamp types.Stamp `json:"stamp"`
 	Until types.Stamp `json:"until"`
@@ -92,7 +92,7 @@
 }
 
 // Ask is getRunningTasks.
-type Ask struct{ Top }
+type RunningTasksQuery struct{ Top }
 
 // Run is one attempt as an account tells it.
 type Run struct {
@@ -101,7 +101,7 @@
 }
 
 // Account answers Ask. Whole means that the worker itself has told its attempts.
-type Account struct {
+type RunningTasks struct {
 	Term  types.Term  `json:"term"`
 	Shard types.Shard `json:"shard"`
 	ID    types.ID    `json:"id"`
@@ -130,7 +130,7 @@
 }
 
 // Ordered answers an order.
-type Ordered struct {
+type OrderReply struct {
 	Term    types.Term    `json:"term"`
 	Shard   types.Shard   `json:"shard"`
 	ID      types.ID      `json:"id"`
@@ -145,7 +145,7 @@
 	Attempts []types.Attempt `json:"legs"`
 }
 
-type Queried struct {
+type QueryReply struct {
 	Term  types.Term  `json:"term"`
 	Shard types.Shard `json:"shard"`
 	ID    types.ID    `json:"id"`
@@ -160,7 +160,7 @@
 }
 
 // Settled tells an agent which ends are committed, and as what.
-type Settled struct {
+type CommittedEnds struct {
 	Top
 	Ends []state.End `json:"ends"`
 }
--- a/internal/dispatch/head.go
+++ b/internal/dispatch/scheduler.go
@@ -1,4 +1,4 @@
-// Head is the scheduler's half. A new one is made with each leadership; what
+// Scheduler is the scheduler's half. A new one is made with each leadership; what
 // runs it learns from the agents alone, and the log only tells it which attempts it
 // must hear of before it may give their tasks out again.
 package dispatch
@@ -22,8 +22,8 @@
 	unsure phase = "unsure"
 )
 
-// Seat is one shard and the agent instance that has it.
-type Seat struct {
+// WorkerEntry is one shard and the agent instance that has it.
+type WorkerEntry struct {
 	Shard types.Shard
 	ID    types.ID
 	Addr  types.Addr
@@ -49,9 +49,9 @@
 	paced types.Stamp
 }
 
-// Head is the whole model.
-type Head struct {
-	pace   Pace
+// Scheduler is the whole model.
+type Scheduler struct {
+	pace   Timeouts
 	me     types.Addr
 	term   types.Term
 	born   types.Stamp
@@ -61,8 +61,8 @@
 	Wait   bool
 	Why    string
 	swept  types.Stamp
-	seats  map[types.Shard]*Seat
-	order  []*Seat // the same, by shard
+	seats  map[types.Shard]*WorkerEntry
+	order  []*WorkerEntry // the same, by shard
 	past   map[types.ID]bool
 	holds  holds
 	sets   sets
@@ -83,9 +83,9 @@
 
 // NewHead starts a leadership; outs are the attempts that the log has as given out,
 // and ruled is when an earlier leader can last have had authority.
-func NewHead(now, ruled types.Stamp, pace Pace, me types.Addr, term types.Term, outs []Hold) *Head {
-	h := &Head{pace: pace, me: me, term: term, born: now, ruled: min(now, ruled), now: now, Wait: true, seats: map[types.Shard]*Seat{},
-		past: map[types.ID]bool{}, holds: newHolds(), sets: sets{groups: map[int][]*Seat{}}, norm: map[string]*usual{},
+func NewScheduler(now, ruled types.Stamp, pace Timeouts, me types.Addr, term types.Term, outs []Hold) *Scheduler {
+	h := &Scheduler{pace: pace, me: me, term: term, born: now, ruled: min(now, ruled), now: now, Wait: true, seats: map[types.Shard]*WorkerEntry{},
+		past: map[types.ID]bool{}, holds: newHolds(), sets: sets{groups: map[int][]*WorkerEntry{}}, norm: map[string]*usual{},
 		stages: map[stage]*times{}, swept: now.Add(-sweep)}
 	for _, o := range outs {
 		o.Phase, o.At = dim, now
@@ -94,20 +94,20 @@
 	return h
 }
 
-func (h *Head) say(s *Seat, kind string, body any) {
+func (h *Scheduler) say(s *WorkerEntry, kind string, body any) {
 	h.sends = append(h.sends, wire.Make(h.me, s.Addr, kind, body))
 }
 
-func (h *Head) top(s *Seat) Top { return Top{h.term, s.ID} }
+func (h *Scheduler) top(s *WorkerEntry) Top { return Top{h.term, s.ID} }
 
 // Out drains the step: what to send, and the ends to commit.
-func (h *Head) Out() (sends []wire.Send, ends []state.End) {
+func (h *Scheduler) Out() (sends []wire.Send, ends []state.End) {
 	sends, ends = h.sends, h.ends
 	h.sends, h.ends = nil, nil
 	return
 }
 
-func (h *Head) onBeat(from types.Addr, b Beat) {
+func (h *Scheduler) onBeat(from types.Addr, b Heartbeat) {
 	s := h.seats[b.Shard]
 	switch {
 	case s == nil:
@@ -161,25 +161,25 @@
 // follows tells that another agent instance at a seat's own address has come after
 // it: one process stands at an address. While the present one beats, the other's
 // beat was only late.
-func (h *Head) follows(s *Seat, from types.Addr) bool {
+func (h *Scheduler) follows(s *WorkerEntry, from types.Addr) bool {
 	return s.Addr == from && h.now.Sub(s.heard) > 2*h.pace.Beat
 }
 
 // answer renews the agent's grant, but only for a beat that told of a sound
 // worker: the time to loss counts from the same beat.
-func (h *Head) answer(s *Seat, healthy bool) {
-	a := Beaten{Top: h.top(s), Stamp: s.stamp, Known: s.State != New, Set: h.set()}
+func (h *Scheduler) answer(s *WorkerEntry, healthy bool) {
+	a := HeartbeatReply{Top: h.top(s), Stamp: s.stamp, Known: s.State != New, Set: h.set()}
 	if healthy && s.State != New {
 		a.Until = s.stamp.Add(min(h.pace.Grant, h.grace))
 	}
 	h.say(s, wire.Beaten, a)
 }
 
-func (h *Head) sit(from types.Addr, b Beat) *Seat {
-	s := &Seat{Shard: b.Shard, ID: b.ID, Addr: from, State: New, Since: h.now, Good: h.now, old: b.Set, Worth: Worth{Slow: 1},
+func (h *Scheduler) sit(from types.Addr, b Heartbeat) *WorkerEntry {
+	s := &WorkerEntry{Shard: b.Shard, ID: b.ID, Addr: from, State: New, Since: h.now, Good: h.now, old: b.Set, Worth: Worth{Slow: 1},
 		asked: -1 << 62, stamp: -1 << 62, quest: map[types.Seq][]types.Attempt{}}
 	old := h.seats[b.Shard]
-	i, _ := slices.BinarySearchFunc(h.order, b.Shard, func(x *Seat, k types.Shard) int { return cmp.Compare(x.Shard, k) })
+	i, _ := slices.BinarySearchFunc(h.order, b.Shard, func(x *WorkerEntry, k types.Shard) int { return cmp.Compare(x.Shard, k) })
 	if old != nil {
 		h.order[i] = s
 	} else {
@@ -191,28 +191,28 @@
 }
 
 // dim makes a replaced agent's attempts unknown until its successor's account.
-func (h *Head) dim(s *Seat) {
+func (h *Scheduler) dim(s *WorkerEntry) {
 	for _, o := range h.holds.of(s.Shard) {
 		h.holds.turn(o, dim)
 	}
 }
 
-func (h *Head) ask(s *Seat) {
+func (h *Scheduler) ask(s *WorkerEntry) {
 	if h.now.Sub(s.asked) >= h.pace.Again/3 {
 		s.asked = h.now
-		h.say(s, wire.AskRun, Ask{h.top(s)})
+		h.say(s, wire.AskRun, RunningTasksQuery{h.top(s)})
 	}
 }
 
 // mine finds the seat that an agent's message speaks for.
-func (h *Head) mine(t types.Term, shard types.Shard, id types.ID) *Seat {
+func (h *Scheduler) mine(t types.Term, shard types.Shard, id types.ID) *WorkerEntry {
 	if s := h.seats[shard]; s != nil && s.ID == id && t == h.term {
 		return s
 	}
 	return nil
 }
 
-func (h *Head) onAccount(_ types.Addr, a Account) {
+func (h *Scheduler) onAccount(_ types.Addr, a RunningTasks) {
 	s := h.mine(a.Term, a.Shard, a.ID)
 	if s == nil || s.State != New {
 		return
@@ -246,7 +246,7 @@
 
 // clear ends the doubt about attempts that were lost on a shard and are not in its
 // worker's own account: they did not end well and never will.
-func (h *Head) clear(shard types.Shard, told map[types.Attempt]bool) {
+func (h *Scheduler) clear(shard types.Shard, told map[types.Attempt]bool) {
 	for _, l := range h.Doubts(shard) {
 		if !told[l] {
 			h.drop(l, state.Unrun)
@@ -256,7 +256,7 @@
 
 // gone is the outcome of an attempt whose worker is out of reach. One that is called
 // has no lease any more by then, and what it did is not settled there.
-func (h *Head) gone(shard types.Shard) state.Outcome {
+func (h *Scheduler) gone(shard types.Shard) state.Outcome {
 	switch {
 	case h.Invoked(shard):
 		return state.Lapsed
@@ -267,7 +267,7 @@
 }
 
 // drop says that an attempt has ended; it is held until that is committed.
-func (h *Head) drop(l types.Attempt, f state.Outcome) {
+func (h *Scheduler) drop(l types.Attempt, f state.Outcome) {
 	e := state.End{Attempt: l, Outcome: f}
 	if o := h.holds.by[l]; o != nil {
 		e.Ref = o.Ref
@@ -276,7 +276,7 @@
 }
 
 // Settle forgets attempts whose end is committed and tells their agents.
-func (h *Head) Settle(list []state.End) {
+func (h *Scheduler) Settle(list []state.End) {
 	by := map[types.Shard][]state.End{}
 	for _, e := range list {
 		if o := h.holds.by[e.Attempt]; o != nil {
@@ -287,13 +287,13 @@
 	}
 	for _, k := range sorted(by) {
 		if s := h.seats[k]; s != nil && s.State != MustDie {
-			h.say(s, wire.Settled, Settled{h.top(s), by[k]})
+			h.say(s, wire.Settled, CommittedEnds{h.top(s), by[k]})
 		}
 	}
 }
 
 // Order marks an attempt running and sends it, once.
-func (h *Head) Order(shard types.Shard, at types.Stage, usual string, j Job) {
+func (h *Scheduler) Order(shard types.Shard, at types.Stage, usual string, j Job) {
 	o := &Hold{Attempt: j.Attempt, Shard: shard, Stage: at, Room: j.Room, Phase: sent, Usual: usual, Limit: time.Duration(j.Limit) * time.Millisecond, At: h.now}
 	h.holds.add(o)
 	s := h.seats[shard]
@@ -304,7 +304,7 @@
 	h.say(s, wire.Order, Order{h.top(s), s.seq, s.stamp.Add(min(h.pace.Grant, h.grace)), j})
 }
 
-func (h *Head) onOrdered(_ types.Addr, r Ordered) {
+func (h *Scheduler) onOrdered(_ types.Addr, r OrderReply) {
 	s, o := h.mine(r.Term, r.Shard, r.ID), h.holds.by[r.Attempt]
 	if s == nil || o == nil || o.Shard != s.Shard || o.Phase == sure {
 		return
@@ -317,7 +317,7 @@
 	h.holds.turn(o, sure)
 }
 
-func (h *Head) onQueried(_ types.Addr, q Queried) {
+func (h *Scheduler) onQueried(_ types.Addr, q QueryReply) {
 	s := h.mine(q.Term, q.Shard, q.ID)
 	if s == nil {
 		return
@@ -334,7 +334,7 @@
 // number is used once, so an end counts whoever of the shard's agents tells it.
 // Of an agent not known yet only what its worker did is taken, for the agent may
 // not live until it is.
-func (h *Head) onStatus(from types.Addr, u Status) {
+func (h *Scheduler) onStatus(from types.Addr, u Status) {
 	s := h.seats[u.Shard]
 	known := s != nil && (s.ID != u.ID || s.State != New)
 	var done []state.End
@@ -350,12 +350,12 @@
 		}
 	}
 	if done != nil {
-		h.sends = append(h.sends, wire.Make(h.me, from, wire.Settled, Settled{Top{h.term, u.ID}, done}))
+		h.sends = append(h.sends, wire.Make(h.me, from, wire.Settled, CommittedEnds{Top{h.term, u.ID}, done}))
 	}
 }
 
-// Seat finds a shard's, or gives nil.
-func (h *Head) Seat(shard types.Shard) *Seat { return h.seats[shard] }
+// WorkerEntry finds a shard's, or gives nil.
+func (h *Scheduler) Seat(shard types.Shard) *WorkerEntry { return h.seats[shard] }
 
 // Seats lists the seats in order; the list is the head's own.
-func (h *Head) Seats() []*Seat { return h.order }
+func (h *Scheduler) Seats() []*WorkerEntry { return h.order }
--- a/internal/dispatch/set.go
+++ b/internal/dispatch/set.go
@@ -27,15 +27,15 @@
 	ver    int
 	hash   uint64
 	size   int
-	groups map[int][]*Seat
-	came   []*Seat // in order of joining; some have left
+	groups map[int][]*WorkerEntry
+	came   []*WorkerEntry // in order of joining; some have left
 }
 
 // in tells whether a seat's agent is in a set.
-func (s *Seat) in(set int) bool { return s.join <= set && (s.left == 0 || set < s.left) }
+func (s *WorkerEntry) in(set int) bool { return s.join <= set && (s.left == 0 || set < s.left) }
 
 // enter makes the next set, with an agent in it and the one that it replaces out.
-func (h *sets) enter(s, old *Seat) {
+func (h *sets) enter(s, old *WorkerEntry) {
 	h.ver++
 	if old != nil {
 		h.out(old)
@@ -49,12 +49,12 @@
 }
 
 // exit makes the next set, with a lost agent out of it.
-func (h *sets) exit(s *Seat) {
+func (h *sets) exit(s *WorkerEntry) {
 	h.ver++
 	h.out(s)
 }
 
-func (h *sets) out(s *Seat) {
+func (h *sets) out(s *WorkerEntry) {
 	if s.left != 0 {
 		return
 	}
@@ -62,12 +62,12 @@
 	h.hash -= digest(s.ID)
 	h.size--
 	if len(h.came) > 2*h.size+64 {
-		h.came = slices.DeleteFunc(h.came, func(s *Seat) bool { return s.left != 0 })
+		h.came = slices.DeleteFunc(h.came, func(s *WorkerEntry) bool { return s.left != 0 })
 	}
 }
 
-func (h *sets) ungroup(s *Seat) {
-	list := slices.DeleteFunc(h.groups[s.ind], func(o *Seat) bool { return o == s })
+func (h *sets) ungroup(s *WorkerEntry) {
+	list := slices.DeleteFunc(h.groups[s.ind], func(o *WorkerEntry) bool { return o == s })
 	if h.groups[s.ind] = list; len(list) == 0 {
 		delete(h.groups, s.ind)
 	}
@@ -76,7 +76,7 @@
 // lift brings indirect sets up after an agent told of a newer set: its own to that
 // one or the highest of the agents in it, then that of any agent whose set has it
 // in, or one brought up so, to the same.
-func (h *sets) lift(s *Seat) {
+func (h *sets) lift(s *WorkerEntry) {
 	if s.ver <= s.ind {
 		return
 	}
@@ -85,13 +85,13 @@
 	for more := true; more; {
 		more = false
 		for set, list := range h.groups {
-			if set > s.ind && slices.ContainsFunc(list, func(o *Seat) bool { return o.in(s.ind) }) {
+			if set > s.ind && slices.ContainsFunc(list, func(o *WorkerEntry) bool { return o.in(s.ind) }) {
 				s.ind, more = set, true
 			}
 		}
 	}
 	h.groups[s.ind] = append(h.groups[s.ind], s)
-	for up := []*Seat{s}; len(up) > 0; up = up[1:] {
+	for up := []*WorkerEntry{s}; len(up) > 0; up = up[1:] {
 		for set, list := range h.groups {
 			if set == 0 || set >= s.ind || !up[0].in(set) {
 				continue
@@ -108,7 +108,7 @@
 
 // permits is consensusPermitsWorkerToBecomeHealthy: the agent requires every
 // other that is not lost, and each of those requires it, if indirectly.
-func (h *sets) permits(w *Seat) bool {
+func (h *sets) permits(w *WorkerEntry) bool {
 	if w.ver == 0 {
 		return false
 	}
@@ -118,14 +118,14 @@
 		}
 	}
 	for set, list := range h.groups {
-		if set < w.join && slices.ContainsFunc(list, func(u *Seat) bool { return u != w && u.left == 0 }) {
+		if set < w.join && slices.ContainsFunc(list, func(u *WorkerEntry) bool { return u != w && u.left == 0 }) {
 			return false
 		}
 	}
 	return true
 }
 
-func (h *Head) set() SetID {
+func (h *Scheduler) set() SetID {
 	return SetID{Born: h.term, Ver: h.sets.ver, Hash: h.sets.hash, Size: h.sets.size}
 }
 
@@ -138,7 +138,7 @@
 
 const fade = 0.1
 
-func (h *Head) mark(o *Hold, f state.Outcome) {
+func (h *Scheduler) mark(o *Hold, f state.Outcome) {
 	s := h.seats[o.Shard]
 	if s == nil || f == state.Unrun || f == state.Halted || f == state.Cut {
 		return
@@ -172,7 +172,7 @@
 }
 
 // Usual gives that, once enough of them have ended well to tell.
-func (h *Head) Usual(name string) (time.Duration, bool) {
+func (h *Scheduler) Usual(name string) (time.Duration, bool) {
 	n := h.norm[name]
 	if n == nil || n.count < 10 {
 		return 0, false
--- a/internal/dispatch/set_test.go
+++ b/internal/dispatch/set_test.go
@@ -20,7 +20,7 @@
 	ind  map[types.ID]int
 }
 
-func (w *whole) reset(seats map[types.Shard]*Seat) {
+func (w *whole) reset(seats map[types.Shard]*WorkerEntry) {
 	ids := map[types.ID]bool{}
 	for _, s := range seats {
 		if s.State != MustDie {
@@ -30,8 +30,8 @@
 	w.hist = append(w.hist, ids)
 }
 
-func (w *whole) spread(seats map[types.Shard]*Seat) {
-	by := map[types.ID]*Seat{}
+func (w *whole) spread(seats map[types.Shard]*WorkerEntry) {
+	by := map[types.ID]*WorkerEntry{}
 	for _, s := range seats {
 		by[s.ID] = s
 		w.ind[s.ID] = max(w.ind[s.ID], s.ver)
@@ -51,7 +51,7 @@
 	}
 }
 
-func (w *whole) permits(x *Seat, seats map[types.Shard]*Seat) bool {
+func (w *whole) permits(x *WorkerEntry, seats map[types.Shard]*WorkerEntry) bool {
 	if x.ver == 0 {
 		return false
 	}
@@ -70,17 +70,17 @@
 	is := is.New(t)
 	for seed := range int64(60) {
 		rnd := rand.New(rand.NewSource(seed))
-		fast := sets{groups: map[int][]*Seat{}}
+		fast := sets{groups: map[int][]*WorkerEntry{}}
 		slow := whole{hist: []map[types.ID]bool{{}}, ind: map[types.ID]int{}}
-		seats := map[types.Shard]*Seat{}
+		seats := map[types.Shard]*WorkerEntry{}
 		shards := 2 + rnd.Intn(9)
-		pick := func() *Seat { return seats[types.Shard(fmt.Sprint("s", rnd.Intn(shards)))] }
+		pick := func() *WorkerEntry { return seats[types.Shard(fmt.Sprint("s", rnd.Intn(shards)))] }
 		permitted := 0
 		for step := range 400 {
 			k := types.Shard(fmt.Sprint("s", rnd.Intn(shards)))
 			switch s := pick(); {
 			case rnd.Intn(8) == 0 && (seats[k] == nil || rnd.Intn(2) == 0): // one comes, maybe in another's place
-				x := &Seat{Shard: k, ID: types.ID(fmt.Sprint(k, "-", step)), State: Unhealthy}
+				x := &WorkerEntry{Shard: k, ID: types.ID(fmt.Sprint(k, "-", step)), State: Unhealthy}
 				old := seats[k]
 				seats[k] = x
 				fast.enter(x, old)
--- a/internal/dispatch/truth_test.go
+++ b/internal/dispatch/truth_test.go
@@ -19,29 +19,29 @@
 // bench is one leader's half and some agents' halves, with a shared clock.
 type bench struct {
 	now    types.Stamp
-	head   *Head
-	hands  map[types.Addr]*Hand
+	head   *Scheduler
+	hands  map[types.Addr]*Executor
 	post   []wire.Send // not yet delivered
 	ends   []state.End
 	minted int
 }
 
 func newBench() *bench {
-	b := &bench{now: types.Stamp(time.Hour), hands: map[types.Addr]*Hand{}}
+	b := &bench{now: types.Stamp(time.Hour), hands: map[types.Addr]*Executor{}}
 	b.lead(1)
 	return b
 }
 
 func (b *bench) lead(term types.Term, outs ...Hold) {
-	b.head = NewHead(b.now, b.now, Defaults, "h", term, outs)
+	b.head = NewScheduler(b.now, b.now, Defaults, "h", term, outs)
 	b.head.Taken = func(state.End) bool { return false }
 	b.head.Apart = func(types.Shard) bool { return false }
 	b.head.Invoked = func(types.Shard) bool { return false }
 	b.head.Doubts = func(types.Shard) []types.Attempt { return nil }
 }
 
-func (b *bench) agent(addr types.Addr, shard types.Shard) *Hand {
-	h := NewHand(b.now, Defaults, addr, shard, func() types.ID {
+func (b *bench) agent(addr types.Addr, shard types.Shard) *Executor {
+	h := NewExecutor(b.now, Defaults, addr, shard, func() types.ID {
 		b.minted++
 		return types.ID(fmt.Sprintf("%s-%d", addr, b.minted))
 	})
@@ -49,7 +49,7 @@
 	return h
 }
 
-func (b *bench) poll(h *Hand, call uint64, runs ...types.Attempt) Answer {
+func (b *bench) poll(h *Executor, call uint64, runs ...types.Attempt) Answer {
 	p := Poll{Worker: "k", Call: call, Stamp: b.now, Rack: "r", Kinds: []types.Kind{"x"}, Room: types.Room{Cores: 4 * types.Core}}
 	for _, l := range runs {
 		p.Runs = append(p.Runs, Run{l, types.Room{Cores: 1 * types.Core}})
@@ -111,7 +111,7 @@
 }
 
 // calm is a leader and one agent that have found each other healthy.
-func calm(t *testing.T) (*is.I, *bench, *Hand) {
+func calm(t *testing.T) (*is.I, *bench, *Executor) {
 	b := newBench()
 	w := b.agent("w", "s")
 	b.pass(4*time.Second, nil)
@@ -343,7 +343,7 @@
 	is := is.New(t)
 	b := newBench()
 	for _, ago := range []time.Duration{0, 900 * time.Millisecond, time.Hour} {
-		h := NewHead(b.now, b.now.Add(-ago), Defaults, "h", 2, []Hold{{Attempt: try("j", 1), Shard: "s"}})
+		h := NewScheduler(b.now, b.now.Add(-ago), Defaults, "h", 2, []Hold{{Attempt: try("j", 1), Shard: "s"}})
 		h.Taken, h.Doubts = func(state.End) bool { return false }, func(types.Shard) []types.Attempt { return nil }
 		h.Apart, h.Invoked = func(types.Shard) bool { return false }, func(types.Shard) bool { return true }
 		for at := time.Duration(0); at < Defaults.Loss+time.Second; at += 10 * time.Millisecond {
--- a/internal/dispatch/watch.go
+++ b/internal/dispatch/watch.go
@@ -17,7 +17,7 @@
 const sweep = 10 * time.Millisecond
 
 // Tick lets time pass. Grace is how long the leader's own authority lasts.
-func (h *Head) Tick(now types.Stamp, grace time.Duration) {
+func (h *Scheduler) Tick(now types.Stamp, grace time.Duration) {
 	h.now, h.grace = now, grace
 	if now.Sub(h.swept) < sweep {
 		return
@@ -40,7 +40,7 @@
 }
 
 // judge moves one seat through the health machine.
-func (h *Head) judge(s *Seat) {
+func (h *Scheduler) judge(s *WorkerEntry) {
 	quiet := h.now.Sub(s.Good)
 	var to Health
 	switch {
@@ -66,7 +66,7 @@
 }
 
 // lose forgets what a lost worker ran; its grants have lapsed by now.
-func (h *Head) lose(s *Seat) {
+func (h *Scheduler) lose(s *WorkerEntry) {
 	outcome := h.gone(s.Shard)
 	for _, o := range h.holds.of(s.Shard) {
 		h.drop(o.Attempt, outcome)
@@ -80,7 +80,7 @@
 // to stop; or early, when all agents that came carry the same
 // worker set, it is just the set of those that came, and no attempt in the log
 // waits to be heard of. The last is more than the paper asks.
-func (h *Head) wake() {
+func (h *Scheduler) wake() {
 	late := h.now.Sub(h.ruled) > h.pace.Loss+h.pace.Beat
 	h.Why = h.short()
 	if !late && h.Why != "" {
@@ -93,7 +93,7 @@
 }
 
 // short says why the wait can't be cut short, or nothing.
-func (h *Head) short() string {
+func (h *Scheduler) short() string {
 	want := h.set()
 	if want.Size == 0 {
 		return "no agent has come yet"
@@ -116,7 +116,7 @@
 }
 
 // chase repeats orders' doubts and stops.
-func (h *Head) chase() {
+func (h *Scheduler) chase() {
 	for _, o := range h.holds.overdue(h.now.Add(-h.pace.Again)) {
 		h.holds.turn(o, unsure)
 	}
@@ -144,7 +144,7 @@
 // Halt asks for attempts to be stopped, again and again until they have ended; late
 // ones are past the time their queue allows. Attempts of this leadership that were
 // never sent are left alone.
-func (h *Head) Halt(attempts, late []types.Attempt) {
+func (h *Scheduler) Halt(attempts, late []types.Attempt) {
 	by := map[types.Shard][]types.Attempt{}
 	for _, l := range append(attempts, late...) {
 		o := h.holds.by[l]
@@ -162,7 +162,7 @@
 }
 
 // Strays lists attempts that an agent runs but the log does not have as given out.
-func (h *Head) Strays() (list []types.Attempt) {
+func (h *Scheduler) Strays() (list []types.Attempt) {
 	for l, o := range h.holds.alien {
 		if o.Phase == sure && h.Taken(state.End{Attempt: l, Outcome: state.Halted}) {
 			list = append(list, l)
@@ -174,7 +174,7 @@
 
 // Missing lists attempts whose agent has still not come to this leadership when a
 // sound one would have.
-func (h *Head) Missing() (list []*Hold) {
+func (h *Scheduler) Missing() (list []*Hold) {
 	if !h.Wait || h.now.Sub(h.born) <= h.pace.Ill {
 		return nil
 	}
@@ -182,25 +182,27 @@
 }
 
 // Holds lists the attempts that possibly run, by shard.
-func (h *Head) Holds() []*Hold { return h.holds.all() }
+func (h *Scheduler) Holds() []*Hold { return h.holds.all() }
 
 // On lists those of one shard.
-func (h *Head) On(shard types.Shard) []*Hold { return h.holds.of(shard) }
+func (h *Scheduler) On(shard types.Shard) []*Hold { return h.holds.of(shard) }
 
 // Free is a seat's room less what its agent believes it to lack and all that possibly
 // runs on it.
-func (h *Head) Free(s *Seat) types.Room { return s.Room.Minus(s.Lacks).Minus(h.holds.used(s.Shard)) }
-
-var heads = map[string]func(*Head, wire.Message){
-	wire.Beat:    wire.On((*Head).onBeat),
-	wire.Account: wire.On((*Head).onAccount),
-	wire.Ordered: wire.On((*Head).onOrdered),
-	wire.Queried: wire.On((*Head).onQueried),
-	wire.Status:  wire.On((*Head).onStatus),
+func (h *Scheduler) Free(s *WorkerEntry) types.Room {
+	return s.Room.Minus(s.Lacks).Minus(h.holds.used(s.Shard))
+}
+
+var heads = map[string]func(*Scheduler, wire.Message){
+	wire.Beat:    wire.On((*Scheduler).onBeat),
+	wire.Account: wire.On((*Scheduler).onAccount),
+	wire.Ordered: wire.On((*Scheduler).onOrdered),
+	wire.Queried: wire.On((*Scheduler).onQueried),
+	wire.Status:  wire.On((*Scheduler).onStatus),
 }
 
 // Take handles an agent's note.
-func (h *Head) Take(now types.Stamp, grace time.Duration, n wire.Message) {
+func (h *Scheduler) Take(now types.Stamp, grace time.Duration, n wire.Message) {
 	h.now, h.grace = now, grace
 	if f := heads[n.Kind]; f != nil {
 		f(h, n)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -164,7 +164,7 @@
 }
 
 // giveUp says which it is: nobody has seen the request, or somebody may have.
-func (g *Gateway) giveUp(c *call) *apierror.Fault {
+func (g *Gateway) giveUp(c *call) *apierror.Error {
 	if c.open || c.to != "" {
 		return apierror.New(apierror.Unsure, "", "no answer from the leader; the request may have been taken; send the same again").After(g.back())
 	}
@@ -204,7 +204,7 @@
 	g.send(g.next, c, "")
 }
 
-func (g *Gateway) refuse(a wire.Ask) *apierror.Fault {
+func (g *Gateway) refuse(a wire.Ask) *apierror.Error {
 	switch {
 	case a.Verb == "mates":
 		return nil
@@ -269,7 +269,7 @@
 // changes are the verbs that take something in.
 var changes = map[string]bool{"job.put": true, "job.cancel": true, "table.put": true}
 
-func (g *Gateway) fail(id uint64, f *apierror.Fault) { g.end(id, wire.Answer{Fault: f}) }
+func (g *Gateway) fail(id uint64, f *apierror.Error) { g.end(id, wire.Answer{Fault: f}) }
 
 func (g *Gateway) end(id uint64, a wire.Answer) {
 	a.Token = g.calls[id].ask.Token
--- a/internal/maintenance/almanac_test.go
+++ b/internal/maintenance/almanac_test.go
@@ -24,7 +24,7 @@
 
 func TestWindowsAreRead(t *testing.T) {
 	is := is.New(t)
-	var h apierror.Heap
+	var h apierror.ErrorList
 	list := Read([]byte(file(
 		event1("DTSTART:20260610T020000Z", "DTEND:20260610T040000Z"),
 		event1("DTSTART:20260610T030000Z", "DURATION:PT2H"),          // overlaps the first
@@ -58,7 +58,7 @@
 		file(event1("DTSTART:20260610T020000Z", "DTEND:20260610T030000Z", "RRULE:FREQ=SOMETIMES")): "ics.line[4].RRULE",
 		file(event1("DTSTART:20200610T020000Z", "DTEND:20200610T020001Z", "RRULE:FREQ=SECONDLY")):  "ics.line[4].RRULE",
 	} {
-		var h apierror.Heap
+		var h apierror.ErrorList
 		is.Equal(len(Read([]byte(text), now, &h)), 0)
 		is.True(h.First() != nil)
 		is.Equal(h.First().Field, field)
--- a/internal/maintenance/almanac.go
+++ b/internal/maintenance/calendar.go
@@ -58,7 +58,7 @@
 
 // Read gives the windows of a file that end after now, in order, joined where
 // they overlap. Times without a zone are UTC.
-func Read(b []byte, now time.Time, heap *apierror.Heap) [][2]types.Wall {
+func Read(b []byte, now time.Time, heap *apierror.ErrorList) [][2]types.Wall {
 	in := &lines{rest: b}
 	cal, err := decode(in)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return
 }
 
-func event(e ical.Event, at string, now time.Time, heap *apierror.Heap) (list [][2]types.Wall) {
+func event(e ical.Event, at string, now time.Time, heap *apierror.ErrorList) (list [][2]types.Wall) {
 	if e.Props.Get(ical.PropDateTimeStart) == nil {
 		heap.Add(apierror.BadField, at+".DTSTART", "missing")
 		return nil
--- a/internal/placement/choice.go
+++ b/internal/placement/placement.go
@@ -82,7 +82,7 @@
 	Seats []Seat
 }
 
-// Seat is a worker and for how many tasks room is kept there.
+// WorkerEntry is a worker and for how many tasks room is kept there.
 type Seat struct {
 	Shard types.Shard
 	Tasks int
--- a/internal/raft/found.go
+++ b/internal/raft/bootstrap.go
@@ -30,9 +30,9 @@
 
 // See tells which controllers are sound now, this one left out, and, while there is no
 // cluster, where other daemons than controllers are.
-func (c *Core) See(list []Seen, others []types.Addr) { c.seen, c.others = list, others }
+func (c *Node) See(list []Seen, others []types.Addr) { c.seen, c.others = list, others }
 
-func (c *Core) adopt(k Charter) {
+func (c *Node) adopt(k Charter) {
 	c.name, c.snap.Roll, c.pledge, c.why = k.Name, k.Roll, nil, ""
 	c.write(Record{Charter: &k})
 	c.reroll()
@@ -40,7 +40,7 @@
 	c.rest()
 }
 
-func (c *Core) gather() {
+func (c *Node) gather() {
 	if c.now.Mono.Sub(c.asked) < again {
 		return
 	}
@@ -73,7 +73,7 @@
 
 // founders lists the members of the cluster that this one would found now, itself
 // among them, in an order that all of them agree on; or tells why it founds none.
-func (c *Core) founders() (Roll, string) {
+func (c *Node) founders() (Roll, string) {
 	me := c.self
 	me.Vote, me.Guest = true, false
 	roll := Roll{me}
@@ -110,7 +110,7 @@
 // knock asks every formed controller seen to be let in; a voter that has long heard
 // no leader asks so whether it still is one, since all whom it knows of may
 // have been replaced.
-func (c *Core) knock() (any bool) {
+func (c *Node) knock() (any bool) {
 	for _, s := range c.seen {
 		if s.Name != "" && (c.name == "" || c.name == s.Name) {
 			any = true
@@ -120,7 +120,7 @@
 	return
 }
 
-func (c *Core) promise(k Charter) {
+func (c *Node) promise(k Charter) {
 	c.pledge, c.pledged, c.offers = &k, c.now.Mono, map[types.ID]bool{c.self.ID: true}
 	c.write(Record{Pledge: &k})
 	c.vowSeq = c.wrote
@@ -128,7 +128,7 @@
 }
 
 // tell repeats this member's part in a founding: the offer or the pledge.
-func (c *Core) tell(k Charter) {
+func (c *Node) tell(k Charter) {
 	step := "offer"
 	for _, m := range k.Roll {
 		if m.ID < c.self.ID {
@@ -142,7 +142,7 @@
 	}
 }
 
-func (c *Core) onFound(from types.Addr, f found) {
+func (c *Node) onFound(from types.Addr, f found) {
 	if c.name != "" {
 		if c.name == f.Charter.Name && f.Step != "done" {
 			c.say(from, wire.Found, found{f.Charter, c.self.ID, "done"})
@@ -172,7 +172,7 @@
 
 // complete makes the charter real, once the member with the least identity has
 // all pledges.
-func (c *Core) complete() {
+func (c *Node) complete() {
 	k := *c.pledge
 	for _, m := range k.Roll {
 		if !c.offers[m.ID] || m.ID < c.self.ID {
--- a/internal/raft/ballot.go
+++ b/internal/raft/election.go
@@ -11,7 +11,7 @@
 	"coppercourse/internal/wire"
 )
 
-func (c *Core) campaign(pre, named bool) {
+func (c *Node) campaign(pre, named bool) {
 	c.rest()
 	c.role, c.pre, c.votes = stand, pre, map[types.ID]bool{c.self.ID: true}
 	c.leader, c.leadAt = "", ""
@@ -28,7 +28,7 @@
 	}
 }
 
-func (c *Core) onBallot(from types.Addr, b ballot) {
+func (c *Node) onBallot(from types.Addr, b ballot) {
 	if b.Name != c.name || b.To != c.self.ID || c.name == "" {
 		return
 	}
@@ -63,7 +63,7 @@
 	c.say(from, wire.Vote, vote{Name: c.name, ID: c.self.ID, Term: c.vow.Term, Yes: yes, Quiet: c.now.Mono.Sub(max(c.heard, c.led)).Milliseconds()})
 }
 
-func (c *Core) onVote(_ types.Addr, v vote) {
+func (c *Node) onVote(_ types.Addr, v vote) {
 	if v.Name != c.name {
 		return
 	}
@@ -97,14 +97,14 @@
 }
 
 // yield takes a higher term and gives up whatever this member was.
-func (c *Core) yield(t types.Term) {
+func (c *Node) yield(t types.Term) {
 	c.swear(Vow{Term: t})
 	c.leader, c.leadAt = "", ""
 	c.settle()
 	c.rest()
 }
 
-func (c *Core) crown() {
+func (c *Node) crown() {
 	c.role, c.leader, c.leadAt = lead, c.self.ID, c.self.Addr
 	c.heir, c.pulse, c.calm = "", 0, c.now.Mono
 	c.peers = map[types.ID]*track{}
@@ -115,7 +115,7 @@
 	c.first = c.last()
 }
 
-func (c *Core) peer(id types.ID) *track {
+func (c *Node) peer(id types.ID) *track {
 	t, ok := c.peers[id]
 	if !ok {
 		t = &track{next: c.last() + 1, heard: c.now.Mono, round: -1 << 62}
@@ -125,7 +125,7 @@
 }
 
 // round is the start of the newest round that a majority has answered.
-func (c *Core) round() types.Stamp {
+func (c *Node) round() types.Stamp {
 	return nth(c, func(m Member) types.Stamp {
 		if m.ID == c.self.ID {
 			return c.now.Mono
@@ -136,17 +136,17 @@
 
 // Ruled is when an earlier leader can last have had authority: a majority's last
 // answer to it came from one of those who voted for this one.
-func (c *Core) Ruled() types.Stamp { return c.ruled }
+func (c *Node) Ruled() types.Stamp { return c.ruled }
 
 // Firm says whether answers may be given as the leader: a majority confirmed
 // it within the shortest election wait, and an entry of its term is committed.
-func (c *Core) Firm() bool {
+func (c *Node) Firm() bool {
 	return c.role == lead && c.heir == "" && c.commit >= c.first &&
 		c.now.Mono.Sub(c.round()) < c.pace.Least*9/10
 }
 
 // Grace is how much longer this leader may let others act on its word.
-func (c *Core) Grace() time.Duration {
+func (c *Node) Grace() time.Duration {
 	if c.role != lead {
 		return 0
 	}
@@ -154,13 +154,13 @@
 }
 
 // Leave takes no duty from now on and hands over the one held.
-func (c *Core) Leave(now types.Now) {
+func (c *Node) Leave(now types.Now) {
 	c.going = true
 	c.HandOver(now)
 }
 
 // HandOver names a successor: the voter that is furthest on and heard of last.
-func (c *Core) HandOver(now types.Now) bool {
+func (c *Node) HandOver(now types.Now) bool {
 	c.now = now
 	if c.role != lead || c.heir != "" {
 		return false
@@ -176,7 +176,7 @@
 	return c.heir != ""
 }
 
-func (c *Core) onHeir(_ types.Addr, h heir) {
+func (c *Node) onHeir(_ types.Addr, h heir) {
 	if h.Name == c.name && h.To == c.self.ID && h.Term == c.vow.Term && c.role == follow && !c.stuck() && !c.going {
 		c.campaign(false, true)
 	}
--- a/internal/raft/roll.go
+++ b/internal/raft/membership.go
@@ -20,20 +20,20 @@
 	idle  = 30 * time.Second
 )
 
-var table = map[string]func(*Core, wire.Message){
-	wire.Found:   wire.On((*Core).onFound),
-	wire.Join:    wire.On((*Core).onJoin),
-	wire.Ballot:  wire.On((*Core).onBallot),
-	wire.Vote:    wire.On((*Core).onVote),
-	wire.Append:  wire.On((*Core).onPush),
-	wire.Append2: wire.On((*Core).onTaken),
-	wire.Snap:    wire.On((*Core).onSnap),
-	wire.Heir:    wire.On((*Core).onHeir),
-	wire.Gone:    wire.On((*Core).onGone),
+var table = map[string]func(*Node, wire.Message){
+	wire.Found:   wire.On((*Node).onFound),
+	wire.Join:    wire.On((*Node).onJoin),
+	wire.Ballot:  wire.On((*Node).onBallot),
+	wire.Vote:    wire.On((*Node).onVote),
+	wire.Append:  wire.On((*Node).onPush),
+	wire.Append2: wire.On((*Node).onTaken),
+	wire.Snap:    wire.On((*Node).onSnap),
+	wire.Heir:    wire.On((*Node).onHeir),
+	wire.Gone:    wire.On((*Node).onGone),
 }
 
 // Take handles a note; false when it is not one for this machine.
-func (c *Core) Take(now types.Now, n wire.Message) bool {
+func (c *Node) Take(now types.Now, n wire.Message) bool {
 	c.now = now
 	f, ok := table[n.Kind]
 	if ok && c.role != out {
@@ -42,16 +42,16 @@
 	return ok
 }
 
-func (c *Core) onGone(_ types.Addr, g gone) {
+func (c *Node) onGone(_ types.Addr, g gone) {
 	if g.Name == c.name && g.ID == c.self.ID && c.role != lead && g.At >= c.commit {
 		c.role, c.why = out, "struck off the roll; empty the data folder to come back as a new member"
 	}
 }
 
 // settled is true for a leader whose roll is committed, and an entry of its term.
-func (c *Core) settled() bool { return c.commit >= c.first && c.commit >= c.rollAt && c.heir == "" }
+func (c *Node) settled() bool { return c.commit >= c.first && c.commit >= c.rollAt && c.heir == "" }
 
-func (c *Core) onJoin(from types.Addr, j join) {
+func (c *Node) onJoin(from types.Addr, j join) {
 	if c.role != lead || j.Name != c.name || !c.settled() {
 		return
 	}
@@ -66,14 +66,14 @@
 	c.change(append(c.roll[:len(c.roll):len(c.roll)], j.Who))
 }
 
-func (c *Core) change(r Roll) {
+func (c *Node) change(r Roll) {
 	c.append(Entry{Roll: r})
 	for _, m := range r {
 		c.peer(m.ID)
 	}
 }
 
-func (c *Core) without(id types.ID) (r Roll) {
+func (c *Node) without(id types.ID) (r Roll) {
 	for _, m := range c.roll {
 		if m.ID != id {
 			r = append(r, m)
@@ -83,7 +83,7 @@
 }
 
 // quiet is how long a member has not been heard.
-func (c *Core) quiet(m Member) time.Duration {
+func (c *Node) quiet(m Member) time.Duration {
 	if m.ID == c.self.ID {
 		return 0
 	}
@@ -91,7 +91,7 @@
 }
 
 // ready is true for a member that answers now and has nearly all of the log.
-func (c *Core) ready(m Member) bool {
+func (c *Node) ready(m Member) bool {
 	if m.ID == c.self.ID {
 		return true
 	}
@@ -100,7 +100,7 @@
 }
 
 // tend makes at most one change to the roll.
-func (c *Core) tend() {
+func (c *Node) tend() {
 	if !c.settled() {
 		return
 	}
@@ -134,7 +134,7 @@
 
 // former is a member at another's address: its disk was lost, since another
 // identity answers there.
-func (c *Core) former(m Member) (Member, bool) {
+func (c *Node) former(m Member) (Member, bool) {
 	for _, o := range c.roll {
 		if o.Addr == m.Addr && o.ID != m.ID && c.quiet(o) > c.quiet(m) {
 			return o, true
@@ -146,7 +146,7 @@
 // dead is the voter that a guest replaces: the one of its zone that has been
 // silent longest, for long enough; and where there are as many voters as may be, any
 // that has been silent for much longer.
-func (c *Core) dead(m Member) (worst Member, ok bool) {
+func (c *Node) dead(m Member) (worst Member, ok bool) {
 	full := !m.Vote && c.roll.Votes() >= most
 	for _, v := range c.roll {
 		q := c.quiet(v)
@@ -160,14 +160,14 @@
 
 // doubt is true while a voter of a guest's zone is silent: it may be the one
 // that the guest replaces, or be back soon.
-func (c *Core) doubt(m Member) bool {
+func (c *Node) doubt(m Member) bool {
 	return slices.ContainsFunc(c.roll, func(v Member) bool { return v.Vote && v.Zone == m.Zone && c.quiet(v) > c.pace.Least })
 }
 
 // replace strikes off one that is gone, for a member that is no guest from then on.
 // The vote, where it has none, comes with the next change, so that each is one vote
 // apart from the last, and none asks for more of those that live than the last did.
-func (c *Core) replace(m, gone Member) {
+func (c *Node) replace(m, gone Member) {
 	r := c.without(gone.ID)
 	for i := range r {
 		if r[i].ID == m.ID {
@@ -179,7 +179,7 @@
 
 // welcome makes a guest that has long voted beside all others, with none of them
 // silent, one of them: it has come to stay.
-func (c *Core) welcome() {
+func (c *Node) welcome() {
 	for _, m := range c.roll {
 		if m.Vote && c.quiet(m) > c.pace.Stall {
 			c.calm = c.now.Mono
--- a/internal/raft/kinds.go
+++ b/internal/raft/messages.go
@@ -22,10 +22,10 @@
 	Guest bool       `json:"guest,omitempty"`
 }
 
-// Origin is what a member's settings say of the cluster's beginning: that none has
+// Bootstrap is what a member's settings say of the cluster's beginning: that none has
 // been before, and which controllers found it. Where none are named, any three that see
 // just each other do.
-type Origin struct {
+type Bootstrap struct {
 	First    bool
 	Founders []types.Addr
 }
@@ -175,8 +175,8 @@
 	Step    string   `json:"step"` // offer, pledge, done
 }
 
-// Pace holds the timings; Check in package config ties them together.
-type Pace struct {
+// Timeouts holds the timings; Check in package config ties them together.
+type Timeouts struct {
 	Beat  time.Duration // between rounds of the leader
 	Least time.Duration // shortest election wait; the longest is twice that
 	Stall time.Duration // a disk or majority silent for so long ends the duty
@@ -185,5 +185,5 @@
 }
 
 // Defaults are ours.
-var Defaults = Pace{Beat: 100 * time.Millisecond, Least: 500 * time.Millisecond,
+var Defaults = Timeouts{Beat: 100 * time.Millisecond, Least: 500 * time.Millisecond,
 	Stall: time.Second, Dead: 5 * time.Second, Hold: 2 * time.Second}
--- a/internal/raft/core.go
+++ b/internal/raft/node.go
@@ -39,12 +39,12 @@
 	part        int // of the snapshot that it has
 }
 
-// Core is one member. It is owned by one goroutine and does no I/O.
-type Core struct {
-	pace   Pace
+// Node is one member. It is owned by one goroutine and does no I/O.
+type Node struct {
+	pace   Timeouts
 	rnd    *rand.Rand
 	self   Member
-	origin Origin
+	origin Bootstrap
 
 	name   string
 	vow    Vow
@@ -102,8 +102,8 @@
 
 // New starts a member from the records of its disk. fresh is the identity to
 // take if the folder is empty; whether it is the first start of all is kept with it.
-func New(now types.Now, pace Pace, rnd *rand.Rand, me Member, o Origin, recs [][]byte, fresh types.ID) *Core {
-	c := &Core{pace: pace, rnd: rnd, self: me, origin: o, role: empty, now: now, boot: now.Mono, tickAt: now.Mono,
+func New(now types.Now, pace Timeouts, rnd *rand.Rand, me Member, o Bootstrap, recs [][]byte, fresh types.ID) *Node {
+	c := &Node{pace: pace, rnd: rnd, self: me, origin: o, role: empty, now: now, boot: now.Mono, tickAt: now.Mono,
 		heard: now.Mono, led: never, peers: map[types.ID]*track{}, offers: map[types.ID]bool{}}
 	c.self.ID = ""
 	for _, b := range recs {
@@ -126,13 +126,13 @@
 	return c
 }
 
-func (c *Core) mint(id types.ID) {
+func (c *Node) mint(id types.ID) {
 	c.self.ID, c.pledge, c.offers = id, nil, map[types.ID]bool{}
 	c.self.Guest = !c.origin.First
 	c.write(Record{Self: &Self{id, c.origin.First}})
 }
 
-func (c *Core) load(r Record) {
+func (c *Node) load(r Record) {
 	if r.Self != nil {
 		c.self.ID, c.self.Guest, c.pledge = r.Self.ID, !r.Self.First, nil
 		c.origin.First = r.Self.First
@@ -156,7 +156,7 @@
 }
 
 // put lays entries over the log from their first index on.
-func (c *Core) put(list []Entry) {
+func (c *Node) put(list []Entry) {
 	i := list[0].Index
 	if i <= c.snap.Index {
 		return
@@ -169,12 +169,12 @@
 	c.enroll(list)
 }
 
-func (c *Core) reroll() {
+func (c *Node) reroll() {
 	c.roll, c.rollAt = c.snap.Roll, c.snap.Index
 	c.enroll(c.log)
 }
 
-func (c *Core) enroll(list []Entry) {
+func (c *Node) enroll(list []Entry) {
 	for _, e := range list {
 		if e.Roll != nil {
 			c.roll, c.rollAt = e.Roll, e.Index
@@ -183,7 +183,7 @@
 }
 
 // settle finds the role that the roll gives when this member does not lead.
-func (c *Core) settle() {
+func (c *Node) settle() {
 	if c.role == out {
 		return
 	}
@@ -198,13 +198,13 @@
 	}
 }
 
-func (c *Core) rest() {
+func (c *Node) rest() {
 	c.wait = c.now.Mono.Add(c.pace.Least + c.span(c.pace.Least))
 }
 
-func (c *Core) last() types.Index { return c.snap.Index + types.Index(len(c.log)) }
+func (c *Node) last() types.Index { return c.snap.Index + types.Index(len(c.log)) }
 
-func (c *Core) term(i types.Index) (types.Term, bool) {
+func (c *Node) term(i types.Index) (types.Term, bool) {
 	switch {
 	case i == c.snap.Index:
 		return c.snap.Term, true
@@ -214,7 +214,7 @@
 	return c.log[i-c.snap.Index-1].Term, true
 }
 
-func (c *Core) write(r Record) {
+func (c *Node) write(r Record) {
 	if len(c.writes) == 0 {
 		c.wrote++
 		if c.wrote == c.done+1 {
@@ -224,16 +224,16 @@
 	c.writes = append(c.writes, r)
 }
 
-func (c *Core) swear(v Vow) {
+func (c *Node) swear(v Vow) {
 	c.vow = v
 	c.write(Record{Vow: &v})
 	c.vowSeq = c.wrote
 }
 
 // say sends once the vow is on disk; after sends once all written so far is.
-func (c *Core) say(to types.Addr, kind string, body any) { c.hold(c.vowSeq, to, kind, body) }
+func (c *Node) say(to types.Addr, kind string, body any) { c.hold(c.vowSeq, to, kind, body) }
 
-func (c *Core) hold(seq uint64, to types.Addr, kind string, body any) {
+func (c *Node) hold(seq uint64, to types.Addr, kind string, body any) {
 	s := wire.Make(c.self.Addr, to, kind, body)
 	if seq <= c.done {
 		c.sends = append(c.sends, s)
@@ -243,7 +243,7 @@
 }
 
 // Synced tells that all batches up to seq are on disk.
-func (c *Core) Synced(now types.Now, seq uint64) {
+func (c *Node) Synced(now types.Now, seq uint64) {
 	c.now, c.done, c.stall = now, max(c.done, seq), now.Mono
 	for len(c.marks) > 0 && c.marks[0].seq <= c.done {
 		c.synced = max(c.synced, c.marks[0].at)
@@ -265,7 +265,7 @@
 
 // Out drains what the step gathered: sends, one batch of records with its
 // number, and whether the batch replaces the file.
-func (c *Core) Out() (sends []wire.Send, batch [][]byte, seq uint64, whole bool) {
+func (c *Node) Out() (sends []wire.Send, batch [][]byte, seq uint64, whole bool) {
 	if c.role == lead {
 		c.led = c.now.Mono
 		c.flush()
@@ -287,12 +287,12 @@
 }
 
 // stuck is true when the disk has not answered for as long as a duty may wait.
-func (c *Core) stuck() bool {
+func (c *Node) stuck() bool {
 	return c.wrote > c.done && c.now.Mono.Sub(c.stall) > c.pace.Stall
 }
 
 // Tick lets time pass.
-func (c *Core) Tick(now types.Now) {
+func (c *Node) Tick(now types.Now) {
 	c.now = now
 	if c.role == lead {
 		c.duty()
@@ -311,14 +311,14 @@
 }
 
 // Clock is the cluster's own time as this member knows it.
-func (c *Core) Clock() types.Tick { return c.tick.Add(c.now.Mono.Sub(c.tickAt)) }
+func (c *Node) Clock() types.Tick { return c.tick.Add(c.now.Mono.Sub(c.tickAt)) }
 
 // follow takes the clock of the leader of a term. What a leader says is older
 // by its way here, so a follower's clock is never ahead of its leader's; one
 // kept from an earlier leader might be, and is given up. Whoever leads next has
 // followed the last leader that committed anything, so the cluster's clock may
 // fall behind at a change of leader, by a message's delay, and never runs ahead.
-func (c *Core) follow(t types.Term, tick types.Tick) {
+func (c *Node) follow(t types.Term, tick types.Tick) {
 	if t != c.tickOf {
 		c.tickOf, c.tick, c.tickAt = t, tick, c.now.Mono
 		return
@@ -328,7 +328,7 @@
 
 // Wind moves the clock forward to at least t; what peers told of their walls
 // was counted from where the clock stood, and moves with it.
-func (c *Core) Wind(t types.Tick) {
+func (c *Node) Wind(t types.Tick) {
 	by := t - c.Clock()
 	if by <= 0 {
 		return
@@ -341,7 +341,7 @@
 
 // Offs gives how far each voter's wall clock is from this leader's clock. What
 // a peer told is older by its way here, so it can only seem too small.
-func (c *Core) Offs() []types.Wall {
+func (c *Node) Offs() []types.Wall {
 	list := []types.Wall{c.now.Wall - types.Wall(c.Clock())}
 	for id, t := range c.peers {
 		if m, ok := c.roll.Find(id); ok && m.Vote && id != c.self.ID && c.now.Mono.Sub(t.heard) < c.pace.Stall {
@@ -352,16 +352,16 @@
 	return list
 }
 
-func (c *Core) ID() types.ID              { return c.self.ID }
-func (c *Core) Name() string              { return c.name }
-func (c *Core) Role() string              { return string(c.role) }
-func (c *Core) Term() types.Term          { return c.vow.Term }
-func (c *Core) Leader() types.Addr        { return c.leadAt }
-func (c *Core) Leads() bool               { return c.role == lead }
-func (c *Core) Why() string               { return c.why }
-func (c *Core) Roll() Roll                { return c.roll }
-func (c *Core) RollAt() types.Index       { return c.rollAt }
-func (c *Core) Commit() types.Index       { return c.commit }
-func (c *Core) State() Snap               { return c.snap }
-func (c *Core) Grown() int                { return c.grown }
-func (c *Core) Entry(i types.Index) Entry { return c.log[i-c.snap.Index-1] }
+func (c *Node) ID() types.ID              { return c.self.ID }
+func (c *Node) Name() string              { return c.name }
+func (c *Node) Role() string              { return string(c.role) }
+func (c *Node) Term() types.Term          { return c.vow.Term }
+func (c *Node) Leader() types.Addr        { return c.leadAt }
+func (c *Node) Leads() bool               { return c.role == lead }
+func (c *Node) Why() string               { return c.why }
+func (c *Node) Roll() Roll                { return c.roll }
+func (c *Node) RollAt() types.Index       { return c.rollAt }
+func (c *Node) Commit() types.Index       { return c.commit }
+func (c *Node) State() Snap               { return c.snap }
+func (c *Node) Grown() int                { return c.grown }
+func (c *Node) Entry(i types.Index) Entry { return c.log[i-c.snap.Index-1] }
--- a/internal/raft/push.go
+++ b/internal/raft/replication.go
@@ -19,10 +19,10 @@
 
 const never = types.Stamp(-1 << 62)
 
-func (c *Core) span(d time.Duration) time.Duration { return time.Duration(c.rnd.Int63n(int64(d))) }
+func (c *Node) span(d time.Duration) time.Duration { return time.Duration(c.rnd.Int63n(int64(d))) }
 
 // nth gives the value that a majority of voters has reached.
-func nth[T cmp.Ordered](c *Core, f func(Member) T) T {
+func nth[T cmp.Ordered](c *Node, f func(Member) T) T {
 	var list []T
 	for _, m := range c.roll {
 		if m.Vote {
@@ -33,7 +33,7 @@
 	return list[(len(list)-1)/2]
 }
 
-func (c *Core) append(e Entry) types.Index {
+func (c *Node) append(e Entry) types.Index {
 	e.Term, e.Index = c.vow.Term, c.last()+1
 	c.grown += len(e.Fact)
 	c.put([]Entry{e})
@@ -42,7 +42,7 @@
 	return e.Index
 }
 
-func (c *Core) marked() {
+func (c *Node) marked() {
 	c.marks = append(c.marks, struct {
 		seq uint64
 		at  types.Index
@@ -50,7 +50,7 @@
 }
 
 // Propose puts a fact into the log; false when this member may not.
-func (c *Core) Propose(fact json.RawMessage) (types.Index, bool) {
+func (c *Node) Propose(fact json.RawMessage) (types.Index, bool) {
 	if c.role != lead || c.heir != "" || len(c.log) > longest {
 		return 0, false
 	}
@@ -60,7 +60,7 @@
 // flush sends each member what it has not been sent. Entries that come while earlier
 // ones are on their way wait for the answer, so that under load one message carries
 // what one sync of a member's disk can take.
-func (c *Core) flush() {
+func (c *Node) flush() {
 	if c.heir != "" && c.peer(c.heir).match == c.last() {
 		m, _ := c.roll.Find(c.heir)
 		c.say(m.Addr, wire.Heir, heir{c.name, c.heir, c.vow.Term})
@@ -93,7 +93,7 @@
 	}
 }
 
-func (c *Core) push(m Member, prev types.Index) push {
+func (c *Node) push(m Member, prev types.Index) push {
 	t, _ := c.term(prev)
 	return push{Name: c.name, ID: c.self.ID, To: m.ID, Term: c.vow.Term, Prev: prev, PrevT: t, Commit: c.commit,
 		Round: c.now.Mono, Tick: c.Clock()}
@@ -101,11 +101,11 @@
 
 // probe sends a member no entries, so that nothing piles up on the way to one
 // that does not take it.
-func (c *Core) probe(m Member, t *track) {
+func (c *Node) probe(m Member, t *track) {
 	c.say(m.Addr, wire.Append, c.push(m, max(t.match, c.snap.Index)))
 }
 
-func (c *Core) feed(m Member, t *track) {
+func (c *Node) feed(m Member, t *track) {
 	p := c.push(m, t.next-1)
 	if t.next <= c.snap.Index {
 		if c.now.Mono.Sub(t.sent) > 5*c.pace.Beat && c.snap.Count > 0 {
@@ -124,7 +124,7 @@
 	c.say(m.Addr, wire.Append, p)
 }
 
-func (c *Core) onPush(from types.Addr, p push) {
+func (c *Node) onPush(from types.Addr, p push) {
 	for i, e := range p.Entries {
 		if e.Index != p.Prev+types.Index(i)+1 {
 			return // not what a leader says
@@ -175,7 +175,7 @@
 
 // meet is what a push and a snapshot have in common: is it for me, is it from
 // the leader of now, and if so it is heard.
-func (c *Core) meet(from types.Addr, p push) bool {
+func (c *Node) meet(from types.Addr, p push) bool {
 	if p.To != c.self.ID || c.role == out || c.name != "" && p.Name != c.name {
 		return false
 	}
@@ -200,7 +200,7 @@
 	return true
 }
 
-func (c *Core) onSnap(from types.Addr, s snap) {
+func (c *Node) onSnap(from types.Addr, s snap) {
 	if !c.meet(from, s.push) {
 		return
 	}
@@ -228,7 +228,7 @@
 	c.hold(c.wrote, from, wire.Append2, a)
 }
 
-func (c *Core) onTaken(_ types.Addr, a taken) {
+func (c *Node) onTaken(_ types.Addr, a taken) {
 	if a.Name != c.name {
 		return
 	}
@@ -259,7 +259,7 @@
 	c.advance()
 }
 
-func (c *Core) advance() {
+func (c *Node) advance() {
 	to := nth(c, func(m Member) types.Index {
 		if m.ID == c.self.ID {
 			return c.synced
@@ -272,7 +272,7 @@
 }
 
 // Compact takes a state as of index i in place of the log up to it.
-func (c *Core) Compact(i types.Index, parts [][]byte) {
+func (c *Node) Compact(i types.Index, parts [][]byte) {
 	if i <= c.snap.Index || i > c.commit {
 		return
 	}
@@ -294,7 +294,7 @@
 }
 
 // rewrite gathers the records that stand for everything.
-func (c *Core) rewrite() {
+func (c *Node) rewrite() {
 	c.writes = nil
 	v, s := c.vow, c.snap
 	c.write(Record{Self: &Self{c.self.ID, c.origin.First}})
@@ -311,7 +311,7 @@
 }
 
 // duty is what the leader does as time passes.
-func (c *Core) duty() {
+func (c *Node) duty() {
 	if c.heir != "" && c.now.Mono >= c.heirBy {
 		c.retire()
 		return
@@ -327,7 +327,7 @@
 	c.tend()
 }
 
-func (c *Core) retire() {
+func (c *Node) retire() {
 	c.heir, c.leader, c.leadAt = "", "", ""
 	c.role = follow
 	c.settle()
--- a/internal/server/door_test.go
+++ b/internal/server/door_test.go
@@ -71,7 +71,7 @@
 			res, err := http.DefaultClient.Do(req)
 			is.NoErr(err)
 			defer res.Body.Close()
-			var f apierror.Fault
+			var f apierror.Error
 			is.NoErr(json.NewDecoder(res.Body).Decode(&f))
 			is.Equal(res.StatusCode, c.code)
 			is.Equal(f.Kind, c.kind)
@@ -111,7 +111,7 @@
 	res, err := http.Get(srv.URL + "/v1/jobs/a")
 	is.NoErr(err)
 	defer res.Body.Close()
-	var f apierror.Fault
+	var f apierror.Error
 	is.NoErr(json.NewDecoder(res.Body).Decode(&f))
 	is.Equal(f.Kind, apierror.Closing)
 	is.True(res.Close)
--- a/internal/server/entry.go
+++ b/internal/server/entry.go
@@ -76,13 +76,13 @@
 }
 
 // put reads, checks and hands on the body of a request.
-func put[T any](p *Pages, verb string, read func(*http.Request, []byte, *apierror.Heap) T) http.HandlerFunc {
+func put[T any](p *Pages, verb string, read func(*http.Request, []byte, *apierror.ErrorList) T) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
 		b, ok := Read(w, q, state.Body)
 		if !ok {
 			return
 		}
-		var heap apierror.Heap
+		var heap apierror.ErrorList
 		body := read(q, b, &heap)
 		if f := heap.First(); f != nil {
 			Fail(w, f)
@@ -92,7 +92,7 @@
 	}
 }
 
-func (e *Entry) job(_ *http.Request, b []byte, heap *apierror.Heap) state.Spec {
+func (e *Entry) job(_ *http.Request, b []byte, heap *apierror.ErrorList) state.Spec {
 	s := state.ReadSpec(b, heap)
 	if h := e.held.Load(); len(heap.List()) == 0 && h != nil && h.fresh && !h.names[s.Queue] {
 		heap.Add(apierror.NoQueue, "queue", "no queue is called "+string(s.Queue))
@@ -100,15 +100,15 @@
 	return s
 }
 
-func table(_ *http.Request, b []byte, heap *apierror.Heap) config.Table {
+func table(_ *http.Request, b []byte, heap *apierror.ErrorList) config.Table {
 	return config.ReadTable(b, heap)
 }
 
-func drain(_ *http.Request, b []byte, heap *apierror.Heap) config.Drain {
+func drain(_ *http.Request, b []byte, heap *apierror.ErrorList) config.Drain {
 	return config.ReadDrain(b, heap)
 }
 
-func plan(q *http.Request, b []byte, heap *apierror.Heap) state.Plan {
+func plan(q *http.Request, b []byte, heap *apierror.ErrorList) state.Plan {
 	c := config.ReadCalendar(b, heap)
 	x := state.Plan{Name: mux.Vars(q)["id"], Target: state.Target{Shard: c.Shard, Rack: c.Rack}}
 	if len(heap.List()) == 0 {
--- a/internal/server/pages.go
+++ b/internal/server/pages.go
@@ -75,14 +75,14 @@
 }
 
 // Fail answers with a fault, by the one table.
-func Fail(w http.ResponseWriter, f *apierror.Fault) {
+func Fail(w http.ResponseWriter, f *apierror.Error) {
 	if f.Retry > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(f.Retry))
 	}
 	write(w, f.Code(), wire.Body(f))
 }
 
-// Give answers with what the machine said.
+// Assignment answers with what the machine said.
 func Give(w http.ResponseWriter, a wire.Answer) {
 	if a.Fault != nil {
 		Fail(w, a.Fault)
@@ -92,7 +92,7 @@
 }
 
 // ReadBody takes a request's body up to a size, or tells why not.
-func ReadBody(w http.ResponseWriter, q *http.Request, most int64) ([]byte, *apierror.Fault) {
+func ReadBody(w http.ResponseWriter, q *http.Request, most int64) ([]byte, *apierror.Error) {
 	var buf bytes.Buffer
 	if q.ContentLength > 0 {
 		buf.Grow(int(min(q.ContentLength, most)) + bytes.MinRead)
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -36,11 +36,11 @@
 
 // Quick is the pace where the surroundings give bounds: a lost worker or leader
 // costs less there than beats do.
-var Quick = Pace{Beat: 100, Ill: 400, Loss: 1000, Grant: 800, Worker: 600, Again: 100, Round: 40, Election: 200, Stall: 400,
+var Quick = Timeouts{Beat: 100, Ill: 400, Loss: 1000, Grant: 800, Worker: 600, Again: 100, Round: 40, Election: 200, Stall: 400,
 	Dead: 5000, Stale: 1500}
 
 // Derive makes a pace that holds within the bounds: the quick one, or less of it.
-func Derive(b Bounds) Pace {
+func Derive(b Bounds) Timeouts {
 	p := Quick
 	p.Grant = min(some(p.Grant, b.Hold, 8, 10), some(p.Grant, b.Cancel, 2, 3))
 	p.Worker = min(p.Worker, p.Grant*3/4)
@@ -55,7 +55,7 @@
 }
 
 // check ties bounds and pace together.
-func (b Bounds) check(p Pace, h *apierror.Heap) {
+func (b Bounds) check(p Timeouts, h *apierror.ErrorList) {
 	within := func(bound int, ok bool, field, reason string) { h.Check(bound == 0 || ok, field, reason) }
 	within(b.Hold, 10*p.Grant <= 9*b.Hold, "pace.grant_ms", "must be at most nine tenths of the longest lease of a worker")
 	within(b.Hold, p.Loss > p.Worker*51/50, "pace.loss_ms", "must outlast a worker's lease on a clock that is 2% slow")
--- a/internal/settings/bounds_test.go
+++ b/internal/settings/bounds_test.go
@@ -14,7 +14,7 @@
 )
 
 func faults(b Bounds) error {
-	h := &apierror.Heap{}
+	h := &apierror.ErrorList{}
 	p := Derive(b)
 	p.check(h)
 	b.check(p, h)
@@ -75,7 +75,7 @@
 
 func TestPaceAgainstBoundsIsTold(t *testing.T) {
 	is := is.New(t)
-	h := &apierror.Heap{}
+	h := &apierror.ErrorList{}
 	p := Defaults().Pace
 	Bounds{Hold: 1400, Gang: 1000, Cancel: 2000, Apply: 1500, Ack: 1500, Contact: 1500, Grace: 600, Notice: 700}.check(p, h)
 	text := h.Err().Error()
--- a/internal/settings/place_test.go
+++ b/internal/settings/place_test.go
@@ -13,7 +13,7 @@
 func TestDefaultsAreHealthy(t *testing.T) {
 	is := is.New(t)
 	for role, more := range map[string]string{"controller": `,"data":"d"`, "gateway": ``, "agent": `,"shard":"k1"`} {
-		s, h := Defaults(), &apierror.Heap{}
+		s, h := Defaults(), &apierror.ErrorList{}
 		Read([]byte(`{"locality":"z1","seeds":["127.0.0.1:1"]`+more+`}`), &s, h)
 		s.Check(role, h)
 		is.NoErr(h.Err())
@@ -23,7 +23,7 @@
 
 func TestAllFaultsAreToldAtOnce(t *testing.T) {
 	is := is.New(t)
-	s, h := Defaults(), &apierror.Heap{}
+	s, h := Defaults(), &apierror.ErrorList{}
 	Read([]byte(`{"listen":"here","colour":1,"seeds":["1.2.3.4"],"shard":"k","pace":{"grant_ms":2400,"beat_ms":"x","ill_ms":100}}`), &s, h)
 	s.Check("gateway", h)
 	text := h.Err().Error()
--- a/internal/settings/place.go
+++ b/internal/settings/settings.go
@@ -30,11 +30,11 @@
 	Loses    int      // controllers that may be lost at once, disk and all
 	Conns    int      // connections at once on one address; 0 is the daemon's own bound
 	Bounds   Bounds
-	Pace     Pace
+	Pace     Timeouts
 }
 
-// Pace is every timing an operator may set, in milliseconds.
-type Pace struct {
+// Timeouts is every timing an operator may set, in milliseconds.
+type Timeouts struct {
 	Beat, Ill, Loss, Grant, Worker, Again int
 	Round, Election, Stall, Dead, Stale   int
 }
@@ -45,13 +45,13 @@
 // Defaults are the settings before file and flags.
 func Defaults() Settings {
 	t, a := dispatch.Defaults, raft.Defaults
-	return Settings{Listen: "127.0.0.1:7400", Log: "info", Bounds: Usual, Pace: Pace{Beat: ms(t.Beat), Ill: ms(t.Ill), Loss: ms(t.Loss),
+	return Settings{Listen: "127.0.0.1:7400", Log: "info", Bounds: Usual, Pace: Timeouts{Beat: ms(t.Beat), Ill: ms(t.Ill), Loss: ms(t.Loss),
 		Grant: ms(t.Grant), Worker: ms(t.Worker), Again: ms(t.Again), Round: ms(a.Beat), Election: ms(a.Least),
 		Stall: ms(a.Stall), Dead: ms(a.Dead), Stale: ms(configwatch.Stale)}}
 }
 
 // ReadSettings lays a file over the defaults.
-func Read(b []byte, s *Settings, heap *apierror.Heap) {
+func Read(b []byte, s *Settings, heap *apierror.ErrorList) {
 	r := config.NewReader(b, heap)
 	any := func(string) string { return "" }
 	p := &s.Pace
@@ -90,7 +90,7 @@
 }
 
 // Check tells all that is wrong with the settings of a role.
-func (s *Settings) Check(role string, heap *apierror.Heap) {
+func (s *Settings) Check(role string, heap *apierror.ErrorList) {
 	if s.Address == "" {
 		s.Address = s.Listen
 	}
@@ -127,7 +127,7 @@
 
 // check ties the timings together: each line is a rule that the proofs of the
 // dispatcher and of the elections rest on.
-func (p Pace) check(h *apierror.Heap) {
+func (p Timeouts) check(h *apierror.ErrorList) {
 	h.Check(p.Worker < p.Grant, "pace.worker_ms", "must be less than grant_ms: the worker's grant ends first")
 	h.Check(p.Grant*5 <= p.Loss*4, "pace.grant_ms", "must be at most four fifths of loss_ms: an agent's grant ends before it is counted lost, drift included")
 	h.Check(p.Grant+ms(dispatch.Slack) < p.Loss, "pace.loss_ms", "must be more than grant_ms and the 150 ms that a worker may take to stop")
@@ -142,16 +142,16 @@
 }
 
 // Truth and Core give the paces that the machines take.
-func (p Pace) Truth() dispatch.Pace {
-	return dispatch.Pace{Beat: un(p.Beat), Ill: un(p.Ill), Loss: un(p.Loss), Grant: un(p.Grant), Worker: un(p.Worker), Again: un(p.Again)}
+func (p Timeouts) Truth() dispatch.Timeouts {
+	return dispatch.Timeouts{Beat: un(p.Beat), Ill: un(p.Ill), Loss: un(p.Loss), Grant: un(p.Grant), Worker: un(p.Worker), Again: un(p.Again)}
 }
 
-func (p Pace) Core() raft.Pace {
-	return raft.Pace{Beat: un(p.Round), Least: un(p.Election), Stall: un(p.Stall), Dead: un(p.Dead), Hold: un(p.Grant)}
+func (p Timeouts) Core() raft.Timeouts {
+	return raft.Timeouts{Beat: un(p.Round), Least: un(p.Election), Stall: un(p.Stall), Dead: un(p.Dead), Hold: un(p.Grant)}
 }
 
 // News is how old a gateway's confirmation of the table may be.
-func (p Pace) News() time.Duration { return un(p.Stale) }
+func (p Timeouts) News() time.Duration { return un(p.Stale) }
 
 // Stops bounds a planned stop.
 func (b Bounds) Stops() (grace, notice time.Duration) { return un(b.Grace), un(b.Notice) }
@@ -166,7 +166,7 @@
 }
 
 // Begin is what the settings say of the cluster's beginning.
-func (s Settings) Begin() (o raft.Origin) {
+func (s Settings) Begin() (o raft.Bootstrap) {
 	o.First = s.First
 	for _, a := range s.Founders {
 		o.Founders = append(o.Founders, types.Addr(a))
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -42,7 +42,7 @@
 	Fine     int                  `json:"fine"`
 	Attempts int                  `json:"legs"`
 	shot     uint64
-	hot      *Heat
+	hot      *ReadyIndex
 	off      types.Wall // as of which the heat is
 	row      types.Version
 }
--- a/internal/state/marks_test.go
+++ b/internal/state/marks_test.go
@@ -21,17 +21,17 @@
 
 var count = flag.Int("marks", 30_000, "how many jobs have ended in the day")
 
-func quick(id string, n int) Fact {
-	return Fact{Job: &Submit{types.JobID(id), Spec{Queue: "q", Steps: []Step{{Name: "a", Kind: "x", Room: types.Room{Cores: 1 * types.Core}, Tasks: n}}}}}
+func quick(id string, n int) Command {
+	return Command{Job: &Submit{types.JobID(id), Spec{Queue: "q", Steps: []Step{{Name: "a", Kind: "x", Room: types.Room{Cores: 1 * types.Core}, Tasks: n}}}}}
 }
 
 // finish takes a job in and ends it well.
 func (s *State) finish(at types.Tick, id string) {
 	s.must(at, quick(id, 1))
 	l := types.Attempt{Task: types.Task{Job: types.JobID(id)}}
-	s.must(at, Fact{Attempts: []Give{{Attempt: l, Shard: "k"}}})
+	s.must(at, Command{Attempts: []Assignment{{Attempt: l, Shard: "k"}}})
 	l.Attempt = 1
-	s.must(at, Fact{Ends: []End{{Attempt: l, Outcome: OK}}})
+	s.must(at, Command{Ends: []End{{Attempt: l, Outcome: OK}}})
 }
 
 func TestIdsAreRememberedForADay(t *testing.T) {
@@ -39,13 +39,13 @@
 	s := town(t)
 	s.finish(sec, "old")
 	s.must(sec, quick("halted", 1))
-	s.must(sec, Fact{Cancel: "halted"})
+	s.must(sec, Command{Cancel: "halted"})
 	for _, c := range []struct {
 		at    types.Tick
 		whole bool
 		known bool
 	}{{2 * sec, true, true}, {2 * 3600 * sec, false, true}, {23 * 3600 * sec, false, true}} {
-		s.must(c.at, Fact{})
+		s.must(c.at, Command{})
 		is.Equal(s.Jobs["old"] != nil, c.whole)
 		j, bad := s.CheckJob("old", quick("old", 1).Job.Spec)
 		is.True(bad == nil)
@@ -65,9 +65,9 @@
 		s.marks.most = MarkMost
 		s.finish(23*3600*sec, fmt.Sprint("fill", i))
 	}
-	s.must(26*3600*sec, Fact{})
+	s.must(26*3600*sec, Command{})
 	is.True(s.Find("fill1") != nil)
-	s.must(48*3600*sec, Fact{})
+	s.must(48*3600*sec, Command{})
 	is.True(s.Find("old") == nil) // more than a day has passed
 	is.True(s.Marks() < pageSize)
 }
@@ -80,7 +80,7 @@
 	return b
 }
 
-func anyFact(rnd *rand.Rand, s *State) Fact {
+func anyFact(rnd *rand.Rand, s *State) Command {
 	id := fmt.Sprint("j", rnd.Intn(40))
 	task := func() types.Attempt {
 		l := types.Attempt{Task: types.Task{Job: types.JobID(id), N: rnd.Intn(4)}}
@@ -97,15 +97,15 @@
 			After: []string{"a"}, Delay: rnd.Intn(3000)})
 		return f
 	case 2:
-		return Fact{Cancel: types.JobID(id)}
+		return Command{Cancel: types.JobID(id)}
 	case 3:
 		row := s.Table.Rows[0]
 		row.Tries = 1 + rnd.Intn(4)
-		return Fact{Table: &config.Table{Version: s.Table.Version, Rows: []config.Row{row}}}
+		return Command{Table: &config.Table{Version: s.Table.Version, Rows: []config.Row{row}}}
 	case 4, 5, 6:
-		return Fact{Attempts: []Give{{Attempt: task(), Shard: "k"}, {Attempt: task(), Shard: "m", Copy: rnd.Intn(2) == 0}}}
+		return Command{Attempts: []Assignment{{Attempt: task(), Shard: "k"}, {Attempt: task(), Shard: "m", Copy: rnd.Intn(2) == 0}}}
 	}
-	return Fact{Ends: []End{{Attempt: task(), Outcome: []Outcome{OK, OK, Bad, Lost, Cut, Gone, Halted, Unrun, Waited}[rnd.Intn(9)]}}}
+	return Command{Ends: []End{{Attempt: task(), Outcome: []Outcome{OK, OK, Bad, Lost, Cut, Gone, Halted, Unrun, Waited}[rnd.Intn(9)]}}}
 }
 
 func TestSnapshotsAndHeatAgainstTheSlowWay(t *testing.T) {
@@ -191,12 +191,12 @@
 	for i := range 10 {
 		rows = append(rows, config.Row{Name: types.Queue(fmt.Sprint("q", i)), Weight: 1, Running: 1000, Waiting: 100_000, Tries: 3, TaskMS: 1000})
 	}
-	_, bad := s.Apply(Fact{Tick: sec, Table: &config.Table{Tasks: 20_000, Rows: rows}})
+	_, bad := s.Apply(Command{Tick: sec, Table: &config.Table{Tasks: 20_000, Rows: rows}})
 	is.True(bad == nil)
 	spec := quick("", 100).Job.Spec
-	put := func(q string, i int) *apierror.Fault {
+	put := func(q string, i int) *apierror.Error {
 		spec.Queue = types.Queue(q)
-		_, bad := s.Apply(Fact{Tick: sec, Job: &Submit{types.JobID(fmt.Sprint(q, "-", i)), spec}})
+		_, bad := s.Apply(Command{Tick: sec, Job: &Submit{types.JobID(fmt.Sprint(q, "-", i)), spec}})
 		return bad
 	}
 	n := 0
--- a/internal/state/heat.go
+++ b/internal/state/ready.go
@@ -18,8 +18,8 @@
 	Shun  map[types.Shard]bool // workers where attempts of these stalled or failed
 }
 
-// Heat is what a round needs to know of a job.
-type Heat struct {
+// ReadyIndex is what a round needs to know of a job.
+type ReadyIndex struct {
 	Batches []Batch
 	Running int
 	Cores   types.Cores
@@ -31,8 +31,8 @@
 
 const far = types.Tick(1 << 62)
 
-// Heat gives a job's as of now.
-func (s *State) Heat(j *Job, now types.Tick) *Heat {
+// ReadyIndex gives a job's as of now.
+func (s *State) Heat(j *Job, now types.Tick) *ReadyIndex {
 	if j.hot == nil || now >= j.hot.until || s.Off != j.off || s.Table.Version != j.row {
 		j.hot, j.off, j.row = j.heat(s.row(j.Queue), now, s.Off), s.Off, s.Table.Version
 	}
@@ -68,8 +68,8 @@
 }
 
 // heat works it out afresh.
-func (j *Job) heat(row config.Row, now types.Tick, off types.Wall) *Heat {
-	h := &Heat{Doomed: j.Doomed(), Spent: j.Spent(row, now), until: far, Left: make([]int, len(j.Spec.Steps))}
+func (j *Job) heat(row config.Row, now types.Tick, off types.Wall) *ReadyIndex {
+	h := &ReadyIndex{Doomed: j.Doomed(), Spent: j.Spent(row, now), until: far, Left: make([]int, len(j.Spec.Steps))}
 	wait := func(t types.Tick) {
 		if t > now {
 			h.until = min(h.until, t)
--- a/internal/state/rules.go
+++ b/internal/state/rules.go
@@ -18,7 +18,7 @@
 }
 
 // CheckTable tells whether a table may be put now, or is a repeat.
-func (s *State) CheckTable(t config.Table) *apierror.Fault {
+func (s *State) CheckTable(t config.Table) *apierror.Error {
 	if s.Known(t) {
 		return nil
 	}
@@ -42,7 +42,7 @@
 
 // CheckJob tells whether a job may be accepted now; known is an earlier one of
 // the same id and body.
-func (s *State) CheckJob(id types.JobID, spec Spec) (known *Job, bad *apierror.Fault) {
+func (s *State) CheckJob(id types.JobID, spec Spec) (known *Job, bad *apierror.Error) {
 	if j := s.Find(id); j != nil {
 		if j.Hash != spec.Hash() {
 			return nil, apierror.New(apierror.Conflict, "id", "another job has this id")
@@ -64,7 +64,7 @@
 
 // CheckCancel tells whether a job may be cancelled now; repeat is true when it
 // already is, which is fine. One that ended otherwise can't be.
-func (s *State) CheckCancel(id types.JobID) (repeat bool, bad *apierror.Fault) {
+func (s *State) CheckCancel(id types.JobID) (repeat bool, bad *apierror.Error) {
 	j := s.Find(id)
 	switch {
 	case j == nil:
@@ -91,7 +91,7 @@
 // afford keeps all unfinished work within the table's budget. Half of it is
 // kept apart in equal parts, one a queue, so that a flooded queue leaves every
 // other room for its first jobs; the other half is first come, first served.
-func (s *State) afford(spec Spec) *apierror.Fault {
+func (s *State) afford(spec Spec) *apierror.Error {
 	for _, c := range []struct {
 		what string
 		most int
--- a/internal/state/shot.go
+++ b/internal/state/snapshot.go
@@ -13,15 +13,15 @@
 )
 
 type head struct {
-	Tick   types.Tick              `json:"tick"`
-	Off    types.Wall              `json:"off"`
-	Table  config.Table            `json:"table"`
-	Shapes map[types.Shard]Shape   `json:"shapes"`
-	Seq    uint64                  `json:"seq"`
-	Past   []Put                   `json:"past"`
-	Count  map[types.Queue]*Counts `json:"count"`
-	Drains []Drain                 `json:"drains,omitempty"`
-	Plans  []Plan                  `json:"plans,omitempty"`
+	Tick   types.Tick                  `json:"tick"`
+	Off    types.Wall                  `json:"off"`
+	Table  config.Table                `json:"table"`
+	Shapes map[types.Shard]WorkerShape `json:"shapes"`
+	Seq    uint64                      `json:"seq"`
+	Past   []Put                       `json:"past"`
+	Count  map[types.Queue]*Counts     `json:"count"`
+	Drains []Drain                     `json:"drains,omitempty"`
+	Plans  []Plan                      `json:"plans,omitempty"`
 	// Retired are the rows of queues that were left out with unfinished jobs.
 	Retired map[types.Queue]config.Row `json:"retired,omitempty"`
 }
--- a/internal/state/spec.go
+++ b/internal/state/spec.go
@@ -74,7 +74,7 @@
 )
 
 // ReadSpec reads and checks a job.
-func ReadSpec(b []byte, heap *apierror.Heap) (s Spec) {
+func ReadSpec(b []byte, heap *apierror.ErrorList) (s Spec) {
 	r := config.NewReader(b, heap)
 	var raw []byte
 	r.Whole(map[string]config.Field{
@@ -156,7 +156,7 @@
 }
 
 // Check tells all that is wrong with a job as a whole.
-func (s Spec) Check(h *apierror.Heap) {
+func (s Spec) Check(h *apierror.ErrorList) {
 	h.Check(s.Queue != "", "queue", "missing")
 	h.Check(len(s.Steps) > 0, "steps", "missing or empty")
 	sum, at := 0, map[string]int{}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -13,16 +13,16 @@
 	"coppercourse/internal/types"
 )
 
-// Fact is what one log entry says; one of its fields is set.
-type Fact struct {
+// Command is what one log entry says; one of its fields is set.
+type Command struct {
 	Tick     types.Tick    `json:"tick"`
 	Off      *types.Wall   `json:"off,omitempty"`
 	Table    *config.Table `json:"table,omitempty"`
 	Job      *Submit       `json:"job,omitempty"`
 	Cancel   types.JobID   `json:"cancel,omitempty"`
-	Attempts []Give        `json:"legs,omitempty"`
+	Attempts []Assignment  `json:"legs,omitempty"`
 	Ends     []End         `json:"ends,omitempty"`
-	Shapes   []Shape       `json:"shapes,omitempty"`
+	Shapes   []WorkerShape `json:"shapes,omitempty"`
 	Backs    []Back        `json:"backs,omitempty"`
 	Drain    *Drain        `json:"drain,omitempty"`
 	Plan     *Plan         `json:"plan,omitempty"`
@@ -34,8 +34,8 @@
 	Spec Spec        `json:"spec"`
 }
 
-// Give is an attempt number given out, and for which worker.
-type Give struct {
+// Assignment is an attempt number given out, and for which worker.
+type Assignment struct {
 	Attempt types.Attempt `json:"leg"`
 	Shard   types.Shard   `json:"shard"`
 	Copy    bool          `json:"copy,omitempty"` // beside another that is out
@@ -48,9 +48,9 @@
 	Ref     string        `json:"ref,omitempty"`
 }
 
-// Shape is what a worker is made of, kept so that a job that no worker could
+// WorkerShape is what a worker is made of, kept so that a job that no worker could
 // ever hold is told apart from one whose workers are away.
-type Shape struct {
+type WorkerShape struct {
 	Shard types.Shard  `json:"shard"`
 	Rack  types.Rack   `json:"rack"`
 	Kinds []types.Kind `json:"kinds"`
@@ -100,7 +100,7 @@
 }
 
 func New() *State {
-	s := &State{head: head{Shapes: map[types.Shard]Shape{}, Count: map[types.Queue]*Counts{}}, Jobs: map[types.JobID]*Job{}, marks: newMarks()}
+	s := &State{head: head{Shapes: map[types.Shard]WorkerShape{}, Count: map[types.Queue]*Counts{}}, Jobs: map[types.JobID]*Job{}, marks: newMarks()}
 	s.index()
 	return s
 }
@@ -148,7 +148,7 @@
 
 // Apply takes a fact. The fault is the answer to whoever proposed it; attempts are
 // those that were really given out.
-func (s *State) Apply(f Fact) (attempts []Give, bad *apierror.Fault) {
+func (s *State) Apply(f Command) (attempts []Assignment, bad *apierror.Error) {
 	s.Tick = max(s.Tick, f.Tick)
 	if f.Off != nil {
 		s.Off = *f.Off
@@ -191,7 +191,7 @@
 }
 
 // give hands out attempts; a gang of a joint step is given whole or not at all.
-func (s *State) give(list []Give) (attempts []Give) {
+func (s *State) give(list []Assignment) (attempts []Assignment) {
 	type gang struct {
 		job types.JobID
 		at  types.Stage
@@ -226,7 +226,7 @@
 	return
 }
 
-func (s *State) accept(m Submit) *apierror.Fault {
+func (s *State) accept(m Submit) *apierror.Error {
 	known, bad := s.CheckJob(m.ID, m.Spec)
 	if known != nil || bad != nil {
 		return bad
@@ -251,7 +251,7 @@
 	return c
 }
 
-func (s *State) cancel(id types.JobID) *apierror.Fault {
+func (s *State) cancel(id types.JobID) *apierror.Error {
 	repeat, bad := s.CheckCancel(id)
 	if repeat || bad != nil {
 		return bad
@@ -362,7 +362,7 @@
 }
 
 // Fits tells whether a worker has the kind of a step, and its rack and labels.
-func (x Shape) Fits(p Step) (kind, rack bool) {
+func (x WorkerShape) Fits(p Step) (kind, rack bool) {
 	rack = p.Rack == "" || p.Rack == x.Rack
 	for _, l := range p.Labels {
 		rack = rack && slices.Contains(x.Labels, l)
--- a/internal/state/task.go
+++ b/internal/state/task.go
@@ -28,7 +28,7 @@
 // doubtful outcomes are not the last word: the attempt may have ended well unseen.
 func (f Outcome) doubtful() bool { return f == Lost || f == Cut }
 
-// Fact is true for what a worker did, whoever tells it.
+// Command is true for what a worker did, whoever tells it.
 func (f Outcome) Fact() bool { return f == OK || f == Bad }
 
 // Over is true where somebody beside the worker knows that the attempt takes no room
--- a/internal/state/marks.go
+++ b/internal/state/tombstones.go
@@ -131,7 +131,7 @@
 }
 
 // full tells whether no more ids may be remembered.
-func (s *State) full() *apierror.Fault {
+func (s *State) full() *apierror.Error {
 	n := len(s.marks.at) + len(s.Jobs)
 	if n < s.marks.most {
 		return nil
--- a/internal/state/window.go
+++ b/internal/state/window.go
@@ -87,7 +87,7 @@
 	MostSpans  = 1000
 )
 
-func (s *State) drain(d Drain) *apierror.Fault {
+func (s *State) drain(d Drain) *apierror.Error {
 	if d.Over && !slices.ContainsFunc(s.Drains, d.same) {
 		return apierror.New(apierror.NoDrain, "", "it is not drained")
 	}
@@ -96,7 +96,7 @@
 
 func (d Drain) same(o Drain) bool { return o.Target == d.Target }
 
-func (s *State) plan(p Plan) *apierror.Fault {
+func (s *State) plan(p Plan) *apierror.Error {
 	if len(p.Spans) == 0 && !slices.ContainsFunc(s.Plans, p.same) {
 		return apierror.New(apierror.NoPlan, "name", "no calendar is called "+p.Name)
 	}
@@ -107,7 +107,7 @@
 
 // lay puts one of a list in place of the same, adds it, or takes it away. The
 // list is another one then, since a snapshot may hold the old.
-func lay[T any](list *[]T, x T, same func(T) bool, away bool, most int) *apierror.Fault {
+func lay[T any](list *[]T, x T, same func(T) bool, away bool, most int) *apierror.Error {
 	next := slices.DeleteFunc(slices.Clone(*list), same)
 	switch {
 	case away:
--- a/internal/types/mark.go
+++ b/internal/types/types.go
@@ -107,7 +107,7 @@
 // number of cores: 1500 thousandths are 1.5.
 type Cores int
 
-// Core is one whole core.
+// Node is one whole core.
 const Core Cores = 1000
 
 func (c Cores) MarshalJSON() ([]byte, error) {
--- a/internal/wire/step.go
+++ b/internal/wire/step.go
@@ -37,7 +37,7 @@
 	Token uint64
 	Code  int
 	Body  json.RawMessage
-	Fault *apierror.Fault
+	Fault *apierror.Error
 	Lead  types.Addr
 }
 
@@ -79,7 +79,7 @@
 	ID    uint64          `json:"id"`
 	Code  int             `json:"code"`
 	Body  json.RawMessage `json:"body,omitempty"`
-	Fault *apierror.Fault `json:"fault,omitempty"`
+	Fault *apierror.Error `json:"fault,omitempty"`
 	Lead  types.Addr      `json:"lead,omitempty"`
 	Away  bool            `json:"away,omitempty"` // not the leader; ask Lead
 }
--- a/sim/hours_test.go
+++ b/sim/hours_test.go
@@ -42,7 +42,7 @@
 	r.Split(zone, rest, true, true)
 	cut := r.now
 	r.Run(30 * time.Second)
-	var f *apierror.Fault
+	var f *apierror.Error
 	r.ask(r.Crew.me, "g1", "job.cancel", "quotes-1", nil, func(a wire.Answer) { f = a.Fault })
 	r.Run(32 * time.Second)
 	is.Equal(f.Kind, apierror.NoLead) // the cut side's own gateway refuses at once
--- a/sim/planted_test.go
+++ b/sim/planted_test.go
@@ -82,7 +82,7 @@
 			h.deaf = true
 		}
 	}},
-	{"accounts hide what runs", []string{"handover"}, []string{"again"}, 30 * time.Second, false, onMessage(wire.Account, func(a *dispatch.Account) { a.Runs = nil })},
+	{"accounts hide what runs", []string{"handover"}, []string{"again"}, 30 * time.Second, false, onMessage(wire.Account, func(a *dispatch.RunningTasks) { a.Runs = nil })},
 	{"good ends told as stops", nil, []string{"again"}, 30 * time.Second, true, onPoll(func(p *dispatch.Poll) {
 		for i := range p.Ends {
 			p.Ends[i].Outcome = state.Halted
--- a/sim/storm.go
+++ b/sim/storm.go
@@ -22,13 +22,13 @@
 	Count    int      // how many faults
 	Calm     time.Duration
 	Storm    time.Duration
-	After    time.Duration // traffic goes on after the faults
-	Settle   time.Duration // no new traffic; all must end
-	Patience time.Duration // of every queue
-	Last     bool          // one more fault at the very end of the traffic
-	Bare     bool          // called workers guard nothing
-	Pace     dispatch.Pace // of agents and controllers; the defaults if not set
-	Quick    bool          // the pace is the quick one, of elections too
+	After    time.Duration     // traffic goes on after the faults
+	Settle   time.Duration     // no new traffic; all must end
+	Patience time.Duration     // of every queue
+	Last     bool              // one more fault at the very end of the traffic
+	Bare     bool              // called workers guard nothing
+	Pace     dispatch.Timeouts // of agents and controllers; the defaults if not set
+	Quick    bool              // the pace is the quick one, of elections too
 }
 
 // Run is a world with a town in it.
@@ -60,7 +60,7 @@
 	if p.Quick {
 		r.pace, r.core = settings.Quick.Truth(), settings.Quick.Core()
 	}
-	if p.Pace != (dispatch.Pace{}) {
+	if p.Pace != (dispatch.Timeouts{}) {
 		r.pace = p.Pace
 	}
 	r.seeds = []types.Addr{"h1", "g1", "w1"}
--- a/sim/street.go
+++ b/sim/street.go
@@ -183,7 +183,7 @@
 
 // later waits as an answer says, and tells whether to ask again at all.
 func (s *Street) later(code int, b []byte) bool {
-	var f apierror.Fault
+	var f apierror.Error
 	if code == 0 {
 		time.Sleep(100 * time.Millisecond)
 		return true
--- a/sim/world.go
+++ b/sim/world.go
@@ -67,8 +67,8 @@
 	yard     []*callee
 	lines    map[types.Addr]*callee // by where they are called
 	floor    *Floor
-	pace     dispatch.Pace
-	core     raft.Pace
+	pace     dispatch.Timeouts
+	core     raft.Timeouts
 	Hist     History
 	seeds    []types.Addr
 	founders []types.Addr                            // that found the cluster together, where they are named
@@ -305,8 +305,8 @@
 		n.disk.safe = n.disk.safe[:keep]
 		core := w.core
 		core.Hold = w.pace.Grant
-		return controller.New(n.clock(), w.chance(), controller.Place{Addr: addr, Zone: zone, Seeds: w.seeds,
-			Begin: raft.Origin{First: n.first && !n.disk.wiped, Founders: w.founders}, Core: core, Truth: w.pace, Every: 600}, recs)
+		return controller.New(n.clock(), w.chance(), controller.Options{Addr: addr, Zone: zone, Seeds: w.seeds,
+			Begin: raft.Bootstrap{First: n.first && !n.disk.wiped, Founders: w.founders}, Core: core, Truth: w.pace, Every: 600}, recs)
 	})
 }
 
