--- a/internal/controller/calls.go
+++ b/internal/controller/calls.go
@@ -51,7 +51,7 @@
 func (h *Controller) ask(w waiter, c wire.CallBody) {
 	h.Sums.Calls++
 	w.term = h.raft.Term()
-	if h.scheduler == nil || !h.raft.Firm() {
+	if h.scheduler == nil || !h.raft.HoldsLease() {
 		lead := h.raft.Leader()
 		if h.raft.Name() == "" {
 			lead = h.roster.Lead()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -113,7 +113,7 @@
 }
 
 func (h *Controller) load() {
-	s := h.raft.State()
+	s := h.raft.Snapshot()
 	st, err := state.Restore(s.Parts)
 	if err != nil {
 		panic(err)
@@ -123,18 +123,18 @@
 	for _, b := range s.Parts {
 		h.shot += len(b)
 	}
-	h.raft.Wind(st.Tick)
+	h.raft.AdvanceClock(st.Tick)
 }
 
 func (h *Controller) card() membership.Card {
 	return membership.Card{Addr: h.options.Addr, ID: h.raft.ID(), Role: "controller", Zone: h.options.Zone, Name: h.raft.Name(),
-		Term: h.raft.Term(), Leads: h.raft.Leads() && !h.drain, Part: h.raft.Role(), Ready: h.Ready(), Issue: h.options.Issue}
+		Term: h.raft.Term(), Leads: h.raft.IsLeader() && !h.drain, Part: h.raft.Role(), Ready: h.Ready(), Issue: h.options.Issue}
 }
 
 // Ready tells whether the platform may send callers here: a controller that knows a
 // leader of now, or is it.
 func (h *Controller) Ready() bool {
-	return !h.drain && h.raft.Name() != "" && (h.raft.Leads() && h.raft.Firm() || !h.raft.Leads() && h.raft.Leader() != "")
+	return !h.drain && h.raft.Name() != "" && (h.raft.IsLeader() && h.raft.HoldsLease() || !h.raft.IsLeader() && h.raft.Leader() != "")
 }
 
 // Step takes one event.
@@ -162,7 +162,7 @@
 	out.Sends = append(append(out.Sends, h.sends...), h.roster.Out()...)
 	out.Answers = h.answers
 	h.sends, h.answers = nil, nil
-	out.Idle = h.drain && (!h.raft.Leads() || h.now.Mono >= h.late) && len(h.waiters) == 0
+	out.Idle = h.drain && (!h.raft.IsLeader() || h.now.Mono >= h.late) && len(h.waiters) == 0
 	return out
 }
 
@@ -174,7 +174,7 @@
 		if every == 0 {
 			every = Every
 		}
-		if n <= every || h.raft.Grown() < h.shot/2 && n < Far {
+		if n <= every || h.raft.LogBytes() < h.shot/2 && n < Far {
 			return
 		}
 		h.since = h.applied
@@ -192,11 +192,11 @@
 func (h *Controller) take(n wire.Message) {
 	switch {
 	case h.roster.Take(h.now.Mono, n):
-	case h.raft.Take(h.now, n):
+	case h.raft.Receive(h.now, n):
 	case n.Kind == wire.Call:
 		h.call(n)
 	case n.Kind == wire.News:
-		if h.raft.Firm() {
+		if h.raft.HoldsLease() {
 			h.desk.Take(h.now.Mono, n)
 		}
 	default:
@@ -204,7 +204,7 @@
 			h.keep(n)
 		}
 		if h.scheduler != nil {
-			h.scheduler.Take(h.now.Mono, h.raft.Grace(), n)
+			h.scheduler.Take(h.now.Mono, h.raft.AuthorityLeft(), n)
 		}
 	}
 }
@@ -212,13 +212,13 @@
 func (h *Controller) tick() {
 	h.moved = true
 	h.roster.Tick(h.now.Mono)
-	var seen []raft.Seen
+	var seen []raft.Discovered
 	for _, c := range h.roster.Controllers() {
 		if c.ID != "" && c.Part != "out" {
-			seen = append(seen, raft.Seen{Member: raft.Member{ID: c.ID, Addr: c.Addr, Zone: c.Zone}, Name: c.Name})
+			seen = append(seen, raft.Discovered{Member: raft.Member{ID: c.ID, Addr: c.Addr, Zone: c.Zone}, Name: c.Name})
 		}
 	}
-	h.raft.See(seen, h.others())
+	h.raft.SetDiscovered(seen, h.others())
 	h.raft.Tick(h.now)
 	h.pass()
 }
@@ -240,36 +240,36 @@
 func (h *Controller) close() {
 	h.drain = true
 	h.late = h.now.Mono.Add(3 * time.Second)
-	h.raft.Leave(h.now)
+	h.raft.PrepareStop(h.now)
 }
 
 // catch brings the state up to what is committed.
 func (h *Controller) applyCommitted() {
-	if s := h.raft.State(); s.Index > h.applied {
+	if s := h.raft.Snapshot(); s.Index > h.applied {
 		h.load()
 	}
 	for h.applied < h.raft.Commit() {
 		h.applied++
 		e := h.raft.Entry(h.applied)
 		h.Sums.Applied++
-		if e.Fact == nil {
+		if e.Data == nil {
 			continue
 		}
 		var f state.Command
-		if err := json.Unmarshal(e.Fact, &f); err != nil {
+		if err := json.Unmarshal(e.Data, &f); err != nil {
 			panic(err)
 		}
 		h.moved = true
 		h.learn(f)
 		attempts, bad := h.state.Apply(f)
-		h.raft.Wind(h.state.Tick)
+		h.raft.AdvanceClock(h.state.Tick)
 		h.told(f, e.Index)
 		w, ok := h.waiters[e.Index]
 		delete(h.waiters, e.Index)
 		if ok && w.term == e.Term {
 			h.settle(w, f, bad)
 		}
-		if h.scheduler != nil && h.raft.Leads() {
+		if h.scheduler != nil && h.raft.IsLeader() {
 			if f.Job != nil && bad == nil {
 				h.weigh(h.state.Jobs[f.Job.ID])
 			}
@@ -311,7 +311,7 @@
 
 // lead does the leader's work, or lets go of it.
 func (h *Controller) lead() {
-	if !h.raft.Leads() {
+	if !h.raft.IsLeader() {
 		if h.scheduler != nil {
 			h.scheduler = nil
 			h.Sums.Lost++
@@ -328,23 +328,23 @@
 		return
 	}
 	if h.scheduler == nil {
-		if !h.raft.Firm() {
+		if !h.raft.HoldsLease() {
 			return
 		}
 		h.Sums.Elected++
-		h.scheduler = dispatch.NewScheduler(h.now.Mono, h.raft.Ruled(), h.options.Truth, h.options.Addr, h.raft.Term(), h.outs())
+		h.scheduler = dispatch.NewScheduler(h.now.Mono, h.raft.PriorAuthority(), h.options.Truth, h.options.Addr, h.raft.Term(), h.outs())
 		h.scheduler.Invoked = func(x types.Shard) bool { return h.state.Shapes[x].Invoked }
 		h.scheduler.Apart = func(x types.Shard) bool { return h.roster.Apart(string(x)) }
 		h.scheduler.Taken, h.scheduler.Doubts = h.taken, func(x types.Shard) []types.Attempt { return h.state.Doubts(x) }
 	}
-	h.scheduler.Tick(h.now.Mono, h.raft.Grace())
+	h.scheduler.Tick(h.now.Mono, h.raft.AuthorityLeft())
 	h.heed()
 	if h.moved {
 		h.moved = false
 		h.plan()
 		h.heed()
 	}
-	if h.raft.Firm() {
+	if h.raft.HoldsLease() {
 		h.sends = append(h.sends, h.desk.Tell(h.now.Mono, h.state.Table)...)
 	}
 }
--- a/internal/controller/early.go
+++ b/internal/controller/early.go
@@ -76,7 +76,7 @@
 			to = h.options.Addr
 		}
 		if s := wire.Make(x.from, to, wire.Status, x.Status); h.scheduler != nil {
-			h.scheduler.Take(h.now.Mono, h.raft.Grace(), s.Message)
+			h.scheduler.Take(h.now.Mono, h.raft.AuthorityLeft(), s.Message)
 		} else {
 			h.relay(s, to, x.tries)
 			x.tries++
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -31,7 +31,7 @@
 	h.propose(spent)
 	holds := h.scheduler.Holds()
 	h.scheduler.Halt(append(doom, h.scheduler.Strays()...), h.overtime(holds))
-	if !h.raft.Firm() || h.drain {
+	if !h.raft.HoldsLease() || h.drain {
 		return
 	}
 	h.shapes()
@@ -276,7 +276,7 @@
 		return
 	}
 	h.timed = h.now.Mono
-	offs := h.raft.Offs()
+	offs := h.raft.WallOffsets()
 	for i := 0; i+1 < len(offs); i++ {
 		if offs[i+1]-offs[i] > near {
 			continue
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -127,41 +127,41 @@
 
 // StatusView is one controller's account of itself.
 type StatusView struct {
-	Role    string            `json:"role"`
-	Program string            `json:"program"`
-	ID      types.ID          `json:"id"`
-	Cluster string            `json:"cluster"`
-	Part    string            `json:"part"`
-	Why     string            `json:"reason,omitempty"`
-	Ready   bool              `json:"ready"`
-	Term    types.Term        `json:"term"`
-	Leader  types.Addr        `json:"leader"`
-	Commit  types.Index       `json:"commit"`
-	Roll    raft.Roll         `json:"roll"`
-	Bears   int               `json:"losses_borne"`
-	Version types.Version     `json:"table_edition"`
-	Jobs    int               `json:"jobs_unfinished"`
-	Known   int               `json:"ids_remembered"`
-	Wait    string            `json:"initial_wait,omitempty"`
-	Wall    string            `json:"cluster_time"`
-	Peers   []membership.Peer `json:"mates"`
-	Sums    Sums              `json:"sums"`
+	Role    string             `json:"role"`
+	Program string             `json:"program"`
+	ID      types.ID           `json:"id"`
+	Cluster string             `json:"cluster"`
+	Part    string             `json:"part"`
+	Why     string             `json:"reason,omitempty"`
+	Ready   bool               `json:"ready"`
+	Term    types.Term         `json:"term"`
+	Leader  types.Addr         `json:"leader"`
+	Commit  types.Index        `json:"commit"`
+	Roll    raft.Configuration `json:"roll"`
+	Bears   int                `json:"losses_borne"`
+	Version types.Version      `json:"table_edition"`
+	Jobs    int                `json:"jobs_unfinished"`
+	Known   int                `json:"ids_remembered"`
+	Wait    string             `json:"initial_wait,omitempty"`
+	Wall    string             `json:"cluster_time"`
+	Peers   []membership.Peer  `json:"mates"`
+	Sums    Sums               `json:"sums"`
 }
 
 func (h *Controller) Status() StatusView {
 	c := h.raft
-	v := StatusView{Role: "controller", Program: h.options.Issue, ID: c.ID(), Cluster: c.Name(), Part: c.Role(), Why: c.Why(),
-		Ready: h.Ready(), Term: c.Term(), Leader: c.Leader(), Commit: c.Commit(), Roll: c.Roll(), Version: h.state.Table.Version,
+	v := StatusView{Role: "controller", Program: h.options.Issue, ID: c.ID(), Cluster: c.Name(), Part: c.Role(), Why: c.Reason(),
+		Ready: h.Ready(), Term: c.Term(), Leader: c.Leader(), Commit: c.Commit(), Roll: c.Config(), Version: h.state.Table.Version,
 		Jobs: len(h.state.Live()), Known: len(h.state.Jobs) + h.state.Marks(), Peers: h.roster.Peers(), Sums: h.Sums,
 		Wall: time.Unix(0, int64(h.raft.Clock())+int64(h.state.Off)).UTC().Format(time.RFC3339Nano)}
 	if h.scheduler != nil && h.scheduler.Wait {
 		v.Wait = h.scheduler.Why
 	}
-	if n := c.Roll().Votes(); n > 0 {
+	if n := c.Config().Voters(); n > 0 {
 		v.Bears = (n - 1) / 2
 	}
 	if v.Why == "" && c.Name() != "" && v.Bears < h.options.Loses {
-		v.Why = fmt.Sprintf("%d voters bear the loss of %d at once, and the settings ask for %d", c.Roll().Votes(), v.Bears, h.options.Loses)
+		v.Why = fmt.Sprintf("%d voters bear the loss of %d at once, and the settings ask for %d", c.Config().Voters(), v.Bears, h.options.Loses)
 	}
 	return v
 }
--- a/internal/raft/bootstrap.go
+++ b/internal/raft/bootstrap.go
@@ -1,10 +1,9 @@
-// Founding and joining. The founders that the settings name, where they say that
-// no cluster has been before, or else three empty members that see just each
-// other, pledge themselves on disk to one charter; the one with the least identity,
-// once it has all pledges, makes it real. A pledge that leads nowhere is given up
-// together with the identity that made it, so no half-made charter can be completed
-// behind anyone's back. Where a cluster is seen, an empty member asks in instead,
-// and so do all others that started with the founders.
+// Bootstrap and joining. The founders that the settings name, on the first start of
+// the whole system, or else three empty controllers that see just each other, each
+// persist a promise to one initial configuration; the one with the least identity
+// makes it real once it has all promises. A promise that leads nowhere is given up
+// together with the identity that made it, so that no partial bootstrap can be
+// completed later. Where a cluster exists already, an empty controller asks to join.
 package raft
 
 import (
@@ -18,171 +17,174 @@
 )
 
 const (
-	patience = 5 * time.Second
-	again    = 200 * time.Millisecond
+	bootstrapTimeout = 5 * time.Second
+	requestInterval  = 200 * time.Millisecond
 )
 
-// Seen is a controller as the roster shows it; Name is empty when it has no cluster.
-type Seen struct {
+// Discovered is a controller as the membership service shows it; Name is empty when
+// it has no cluster.
+type Discovered struct {
 	Member
 	Name string
 }
 
-// See tells which controllers are sound now, this one left out, and, while there is no
-// cluster, where other daemons than controllers are.
-func (c *Node) See(list []Seen, others []types.Addr) { c.seen, c.others = list, others }
+// SetDiscovered tells which other controllers are healthy now and, while there is no
+// cluster, where daemons of other roles are.
+func (n *Node) SetDiscovered(list []Discovered, others []types.Addr) {
+	n.controllers, n.otherDaemons = list, others
+}
 
-func (c *Node) adopt(k Charter) {
-	c.name, c.snap.Roll, c.pledge, c.why = k.Name, k.Roll, nil, ""
-	c.write(Record{Charter: &k})
-	c.reroll()
-	c.settle()
-	c.rest()
+func (n *Node) adoptBootstrap(k BootstrapConfig) {
+	n.name, n.snapshot.Config, n.promised, n.reason = k.Name, k.Config, nil, ""
+	n.write(Record{Bootstrap: &k})
+	n.reloadConfig()
+	n.assignRole()
+	n.resetElectionTimer()
 }
 
-func (c *Node) gather() {
-	if c.now.Mono.Sub(c.asked) < again {
+func (n *Node) tryBootstrap() {
+	if n.now.Mono.Sub(n.lastRequestAt) < requestInterval {
 		return
 	}
-	c.asked = c.now.Mono
-	if c.knock() {
-		c.why = "a cluster exists; waiting to be let in"
+	n.lastRequestAt = n.now.Mono
+	if n.requestJoin() {
+		n.reason = "a cluster exists; waiting to be let in"
 		return
 	}
-	if k := c.pledge; k != nil {
-		if c.now.Mono.Sub(c.pledged) > patience {
-			c.mint(types.Mint(c.rnd))
+	if k := n.promised; k != nil {
+		if n.now.Mono.Sub(n.promisedAt) > bootstrapTimeout {
+			n.newIdentity(types.Mint(n.rand))
 			return
 		}
-		c.why = "pledged to a founding that is not complete yet"
-		c.tell(*k)
+		n.reason = "promised to a bootstrap that is not complete yet"
+		n.repeatBootstrap(*k)
 		return
 	}
-	var roll Roll
-	if roll, c.why = c.founders(); roll == nil {
+	var config Configuration
+	if config, n.reason = n.founders(); config == nil {
 		return
 	}
-	for _, m := range roll {
-		if m.ID < c.self.ID {
+	for _, m := range config {
+		if m.ID < n.self.ID {
 			return
 		}
 	}
-	c.promise(Charter{Name: string(types.Mint(c.rnd)), Roll: roll})
-	c.complete()
+	n.promiseBootstrap(BootstrapConfig{Name: string(types.Mint(n.rand)), Config: config})
+	n.completeBootstrap()
 }
 
-// founders lists the members of the cluster that this one would found now, itself
-// among them, in an order that all of them agree on; or tells why it founds none.
-func (c *Node) founders() (Roll, string) {
-	me := c.self
-	me.Vote, me.Guest = true, false
-	roll := Roll{me}
-	for _, s := range c.seen {
+// founders lists the members of the cluster that this node would bootstrap now, in an
+// order that all of them agree on, or tells why it bootstraps none.
+func (n *Node) founders() (Configuration, string) {
+	me := n.self
+	me.Voter, me.Provisional = true, false
+	config := Configuration{me}
+	for _, s := range n.controllers {
 		if s.Name != "" {
 			return nil, "a cluster exists; waiting to be let in"
 		}
-		if c.origin.Founders == nil || slices.Contains(c.origin.Founders, s.Addr) {
-			roll = append(roll, Member{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Vote: true})
+		if n.bootstrap.Founders == nil || slices.Contains(n.bootstrap.Founders, s.Addr) {
+			config = append(config, Member{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Voter: true})
 		}
 	}
-	slices.SortFunc(roll, func(a, b Member) int { return strings.Compare(string(a.ID), string(b.ID)) })
+	slices.SortFunc(config, func(a, b Member) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	want := 3
-	if list := c.origin.Founders; list != nil {
+	if list := n.bootstrap.Founders; list != nil {
 		switch {
-		case !c.origin.First:
+		case !n.bootstrap.First:
 			return nil, "waiting for a cluster: one has been before"
-		case !slices.Contains(list, c.self.Addr):
+		case !slices.Contains(list, n.self.Addr):
 			return nil, "waiting for the founders: " + fmt.Sprint(list)
 		}
 		want = 0
 		for _, a := range list {
-			if !slices.Contains(c.others, a) {
+			if !slices.Contains(n.otherDaemons, a) {
 				want++
 			}
 		}
 	}
-	if len(roll) != want {
+	if len(config) != want {
 		return nil, fmt.Sprintf("waiting for %d empty controllers that see each other, or for a cluster", want)
 	}
-	return roll, fmt.Sprintf("%d empty controllers; founding", want)
+	return config, fmt.Sprintf("%d empty controllers; founding", want)
 }
 
-// knock asks every formed controller seen to be let in; a voter that has long heard
-// no leader asks so whether it still is one, since all whom it knows of may
-// have been replaced.
-func (c *Node) knock() (any bool) {
-	for _, s := range c.seen {
-		if s.Name != "" && (c.name == "" || c.name == s.Name) {
+// requestJoin asks every discovered controller that has a cluster to be let in. A voter
+// that has heard no leader for long asks whether it still is a member, since all
+// members that it knows of may have been replaced.
+func (n *Node) requestJoin() (any bool) {
+	for _, s := range n.controllers {
+		if s.Name != "" && (n.name == "" || n.name == s.Name) {
 			any = true
-			c.say(s.Addr, wire.Join, join{s.Name, c.self, c.role == follow || c.role == stand})
+			n.send(s.Addr, wire.Join, joinRequest{s.Name, n.self, n.role == follower || n.role == candidate})
 		}
 	}
 	return
 }
 
-func (c *Node) promise(k Charter) {
-	c.pledge, c.pledged, c.offers = &k, c.now.Mono, map[types.ID]bool{c.self.ID: true}
-	c.write(Record{Pledge: &k})
-	c.vowSeq = c.wrote
-	c.tell(k)
+func (n *Node) promiseBootstrap(k BootstrapConfig) {
+	n.promised, n.promisedAt, n.promises = &k, n.now.Mono, map[types.ID]bool{n.self.ID: true}
+	n.write(Record{Promise: &k})
+	n.voteBatch = n.writtenBatch
+	n.repeatBootstrap(k)
 }
 
-// tell repeats this member's part in a founding: the offer or the pledge.
-func (c *Node) tell(k Charter) {
+// repeatBootstrap sends this node's part in a bootstrap again: the offer or the promise.
+func (n *Node) repeatBootstrap(k BootstrapConfig) {
 	step := "offer"
-	for _, m := range k.Roll {
-		if m.ID < c.self.ID {
-			step = "pledge"
+	for _, m := range k.Config {
+		if m.ID < n.self.ID {
+			step = "promise"
 		}
 	}
-	for _, m := range k.Roll {
-		if m.ID != c.self.ID {
-			c.say(m.Addr, wire.Found, found{k, c.self.ID, step})
+	for _, m := range k.Config {
+		if m.ID != n.self.ID {
+			n.send(m.Addr, wire.Found, bootstrapMessage{k, n.self.ID, step})
 		}
 	}
 }
 
-func (c *Node) onFound(from types.Addr, f found) {
-	if c.name != "" {
-		if c.name == f.Charter.Name && f.Step != "done" {
-			c.say(from, wire.Found, found{f.Charter, c.self.ID, "done"})
+func (n *Node) onBootstrap(from types.Addr, f bootstrapMessage) {
+	if n.name != "" {
+		if n.name == f.Config.Name && f.Step != "done" {
+			n.send(from, wire.Found, bootstrapMessage{f.Config, n.self.ID, "done"})
 		}
 		return
 	}
-	if _, mine := f.Charter.Roll.Find(c.self.ID); !mine || c.role != empty {
+	if _, mine := f.Config.Config.Find(n.self.ID); !mine || n.role != empty {
 		return
 	}
-	same := c.pledge != nil && c.pledge.Name == f.Charter.Name
+	same := n.promised != nil && n.promised.Name == f.Config.Name
 	switch f.Step {
 	case "offer":
-		if roll, _ := c.founders(); c.pledge == nil && slices.Equal(roll, f.Charter.Roll) {
-			c.promise(f.Charter)
+		if config, _ := n.founders(); n.promised == nil && slices.Equal(config, f.Config.Config) {
+			n.promiseBootstrap(f.Config)
 		}
-	case "pledge":
+	case "promise":
 		if same {
-			c.offers[f.ID] = true
-			c.complete()
+			n.promises[f.ID] = true
+			n.completeBootstrap()
 		}
 	case "done":
 		if same {
-			c.adopt(*c.pledge)
+			n.adoptBootstrap(*n.promised)
 		}
 	}
 }
 
-// complete makes the charter real, once the member with the least identity has
-// all pledges.
-func (c *Node) complete() {
-	k := *c.pledge
-	for _, m := range k.Roll {
-		if !c.offers[m.ID] || m.ID < c.self.ID {
+// completeBootstrap adopts the initial configuration once the node with the least
+// identity has the promises of all.
+func (n *Node) completeBootstrap() {
+	k := *n.promised
+	for _, m := range k.Config {
+		if !n.promises[m.ID] || m.ID < n.self.ID {
 			return
 		}
 	}
-	c.adopt(k)
-	for _, m := range k.Roll {
-		if m.ID != c.self.ID {
-			c.hold(c.wrote, m.Addr, wire.Found, found{k, c.self.ID, "done"})
+	n.adoptBootstrap(k)
+	for _, m := range k.Config {
+		if m.ID != n.self.ID {
+			n.sendAfter(n.writtenBatch, m.Addr, wire.Found, bootstrapMessage{k, n.self.ID, "done"})
 		}
 	}
 }
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -1,7 +1,7 @@
-// Elections: a pre-vote that disturbs nobody, then a vote that is on disk
-// before it is told. A member that hears a live leader, or that has only just
-// started, gives no vote, which is what makes the leader's read grant sound;
-// a successor named by the leader itself is excused from that.
+// Elections: a pre-vote that disturbs nobody, then a vote that is on disk before it
+// is sent. A member that hears a live leader, or that has only just started, grants
+// no vote, which is what makes the leader's read lease sound; a transfer target that
+// the leader itself named is exempt from that.
 package raft
 
 import (
@@ -11,173 +11,175 @@
 	"coppercourse/internal/wire"
 )
 
-func (c *Node) campaign(pre, named bool) {
-	c.rest()
-	c.role, c.pre, c.votes = stand, pre, map[types.ID]bool{c.self.ID: true}
-	c.leader, c.leadAt = "", ""
-	next := c.vow.Term + 1
-	c.ruled = max(c.heard, c.led)
+func (n *Node) campaign(pre, named bool) {
+	n.resetElectionTimer()
+	n.role, n.preVoting, n.votes = candidate, pre, map[types.ID]bool{n.self.ID: true}
+	n.leaderID, n.leaderAddr = "", ""
+	next := n.voteRecord.Term + 1
+	n.priorAuthority = max(n.leaderHeardAt, n.lastLedAt)
 	if !pre {
-		c.swear(Vow{Term: next, For: c.self.ID})
+		n.persistVote(VoteRecord{Term: next, VotedFor: n.self.ID})
 	}
-	t, _ := c.term(c.last())
-	for _, m := range c.roll {
-		if m.Vote && m.ID != c.self.ID {
-			c.say(m.Addr, wire.Ballot, ballot{c.name, c.self.ID, m.ID, next, c.last(), t, pre, named})
+	t, _ := n.termAt(n.lastIndex())
+	for _, m := range n.config {
+		if m.Voter && m.ID != n.self.ID {
+			n.send(m.Addr, wire.Ballot, requestVote{n.name, n.self.ID, m.ID, next, n.lastIndex(), t, pre, named})
 		}
 	}
 }
 
-func (c *Node) onBallot(from types.Addr, b ballot) {
-	if b.Name != c.name || b.To != c.self.ID || c.name == "" {
+func (n *Node) onRequestVote(from types.Addr, b requestVote) {
+	if b.Name != n.name || b.To != n.self.ID || n.name == "" {
 		return
 	}
-	if c.role == lead {
-		if _, ok := c.roll.Find(b.ID); !ok && c.Firm() && c.settled() {
-			c.say(from, wire.Gone, gone{c.name, b.ID, c.commit})
+	if n.role == leader {
+		if _, ok := n.config.Find(b.ID); !ok && n.HoldsLease() && n.mayChangeConfig() {
+			n.send(from, wire.Gone, removedNotice{n.name, b.ID, n.commitIndex})
 			return
 		}
 	}
-	calm := c.now.Mono.Sub(c.heard) >= c.pace.Least && c.now.Mono.Sub(c.boot) >= c.pace.Least && c.role != lead
-	t, _ := c.term(c.last())
-	newer := b.LastT > t || b.LastT == t && b.Last >= c.last()
-	if b.Pre {
-		yes := calm && newer && b.Term > c.vow.Term
-		c.say(from, wire.Vote, vote{Name: c.name, ID: c.self.ID, Term: b.Term, Pre: true, Yes: yes})
-		if !yes && b.Term <= c.vow.Term {
-			c.say(from, wire.Vote, vote{Name: c.name, ID: c.self.ID, Term: c.vow.Term})
+	calm := n.now.Mono.Sub(n.leaderHeardAt) >= n.timeouts.ElectionMin && n.now.Mono.Sub(n.startedAt) >= n.timeouts.ElectionMin && n.role != leader
+	t, _ := n.termAt(n.lastIndex())
+	newer := b.LastTerm > t || b.LastTerm == t && b.LastIndex >= n.lastIndex()
+	if b.PreVote {
+		yes := calm && newer && b.Term > n.voteRecord.Term
+		n.send(from, wire.Vote, voteReply{Name: n.name, ID: n.self.ID, Term: b.Term, PreVote: true, Granted: yes})
+		if !yes && b.Term <= n.voteRecord.Term {
+			n.send(from, wire.Vote, voteReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term})
 		}
 		return
 	}
-	if !calm && !b.Heir {
+	if !calm && !b.Transfer {
 		return
 	}
-	if b.Term > c.vow.Term {
-		c.yield(b.Term)
+	if b.Term > n.voteRecord.Term {
+		n.becomeFollower(b.Term)
 	}
-	yes := b.Term == c.vow.Term && newer && (c.vow.For == "" || c.vow.For == b.ID) && c.role != lead
-	if yes && c.vow.For == "" {
-		c.swear(Vow{Term: b.Term, For: b.ID})
-		c.rest()
+	yes := b.Term == n.voteRecord.Term && newer && (n.voteRecord.VotedFor == "" || n.voteRecord.VotedFor == b.ID) && n.role != leader
+	if yes && n.voteRecord.VotedFor == "" {
+		n.persistVote(VoteRecord{Term: b.Term, VotedFor: b.ID})
+		n.resetElectionTimer()
 	}
-	c.say(from, wire.Vote, vote{Name: c.name, ID: c.self.ID, Term: c.vow.Term, Yes: yes, Quiet: c.now.Mono.Sub(max(c.heard, c.led)).Milliseconds()})
+	n.send(from, wire.Vote, voteReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term, Granted: yes, SilentMS: n.now.Mono.Sub(max(n.leaderHeardAt, n.lastLedAt)).Milliseconds()})
 }
 
-func (c *Node) onVote(_ types.Addr, v vote) {
-	if v.Name != c.name {
+func (n *Node) onVoteReply(_ types.Addr, v voteReply) {
+	if v.Name != n.name {
 		return
 	}
-	if !v.Pre && v.Term > c.vow.Term {
-		c.yield(v.Term)
+	if !v.PreVote && v.Term > n.voteRecord.Term {
+		n.becomeFollower(v.Term)
 		return
 	}
-	want := c.vow.Term
-	if c.pre {
+	want := n.voteRecord.Term
+	if n.preVoting {
 		want++
 	}
-	if c.role != stand || v.Pre != c.pre || v.Term != want || !v.Yes {
+	if n.role != candidate || v.PreVote != n.preVoting || v.Term != want || !v.Granted {
 		return
 	}
-	c.votes[v.ID] = true
-	c.ruled = max(c.ruled, c.now.Mono.Add(-time.Duration(v.Quiet)*time.Millisecond))
-	n := 0
-	for _, m := range c.roll {
-		if m.Vote && c.votes[m.ID] {
-			n++
+	n.votes[v.ID] = true
+	n.priorAuthority = max(n.priorAuthority, n.now.Mono.Add(-time.Duration(v.SilentMS)*time.Millisecond))
+	granted := 0
+	for _, m := range n.config {
+		if m.Voter && n.votes[m.ID] {
+			granted++
 		}
 	}
-	if n <= c.roll.Votes()/2 {
+	if granted <= n.config.Voters()/2 {
 		return
 	}
-	if c.pre {
-		c.campaign(false, false)
+	if n.preVoting {
+		n.campaign(false, false)
 		return
 	}
-	c.crown()
+	n.becomeLeader()
 }
 
-// yield takes a higher term and gives up whatever this member was.
-func (c *Node) yield(t types.Term) {
-	c.swear(Vow{Term: t})
-	c.leader, c.leadAt = "", ""
-	c.settle()
-	c.rest()
+// becomeFollower adopts a higher term and gives up any role held in the earlier one.
+func (n *Node) becomeFollower(t types.Term) {
+	n.persistVote(VoteRecord{Term: t})
+	n.leaderID, n.leaderAddr = "", ""
+	n.assignRole()
+	n.resetElectionTimer()
 }
 
-func (c *Node) crown() {
-	c.role, c.leader, c.leadAt = lead, c.self.ID, c.self.Addr
-	c.heir, c.pulse, c.calm = "", 0, c.now.Mono
-	c.peers = map[types.ID]*track{}
-	for _, m := range c.roll {
-		c.peer(m.ID)
-	}
-	c.append(Entry{Roll: c.roll})
-	c.first = c.last()
+func (n *Node) becomeLeader() {
+	n.role, n.leaderID, n.leaderAddr = leader, n.self.ID, n.self.Addr
+	n.transferTarget, n.lastRoundAt, n.votersHeardSince = "", 0, n.now.Mono
+	n.progress = map[types.ID]*progress{}
+	for _, m := range n.config {
+		n.progressOf(m.ID)
+	}
+	n.appendEntry(Entry{Config: n.config})
+	n.termStart = n.lastIndex()
 }
 
-func (c *Node) peer(id types.ID) *track {
-	t, ok := c.peers[id]
+func (n *Node) progressOf(id types.ID) *progress {
+	t, ok := n.progress[id]
 	if !ok {
-		t = &track{next: c.last() + 1, heard: c.now.Mono, round: -1 << 62}
-		c.peers[id] = t
+		t = &progress{next: n.lastIndex() + 1, heardAt: n.now.Mono, round: -1 << 62}
+		n.progress[id] = t
 	}
 	return t
 }
 
-// round is the start of the newest round that a majority has answered.
-func (c *Node) round() types.Stamp {
-	return nth(c, func(m Member) types.Stamp {
-		if m.ID == c.self.ID {
-			return c.now.Mono
+// quorumRound is the start of the newest round that a quorum has answered, on this
+// leader's own clock.
+func (n *Node) quorumRound() types.Stamp {
+	return quorumValue(n, func(m Member) types.Stamp {
+		if m.ID == n.self.ID {
+			return n.now.Mono
 		}
-		return c.peer(m.ID).round
+		return n.progressOf(m.ID).round
 	})
 }
 
-// Ruled is when an earlier leader can last have had authority: a majority's last
-// answer to it came from one of those who voted for this one.
-func (c *Node) Ruled() types.Stamp { return c.ruled }
+// PriorAuthority is when an earlier leader can last have held a lease: a quorum's last
+// answer to it came from a member that voted for this one.
+func (n *Node) PriorAuthority() types.Stamp { return n.priorAuthority }
 
-// Firm says whether answers may be given as the leader: a majority confirmed
-// it within the shortest election wait, and an entry of its term is committed.
-func (c *Node) Firm() bool {
-	return c.role == lead && c.heir == "" && c.commit >= c.first &&
-		c.now.Mono.Sub(c.round()) < c.pace.Least*9/10
+// HoldsLease reports whether this node may answer reads as the leader: a quorum
+// confirmed it within the shortest election timeout, and an entry of its term is
+// committed.
+func (n *Node) HoldsLease() bool {
+	return n.role == leader && n.transferTarget == "" && n.commitIndex >= n.termStart &&
+		n.now.Mono.Sub(n.quorumRound()) < n.timeouts.ElectionMin*9/10
 }
 
-// Grace is how much longer this leader may let others act on its word.
-func (c *Node) Grace() time.Duration {
-	if c.role != lead {
+// AuthorityLeft is how much longer this leader may let others act on its behalf.
+func (n *Node) AuthorityLeft() time.Duration {
+	if n.role != leader {
 		return 0
 	}
-	return max(0, c.round().Add(c.pace.Hold).Sub(c.now.Mono))
+	return max(0, n.quorumRound().Add(n.timeouts.Authority).Sub(n.now.Mono))
 }
 
-// Leave takes no duty from now on and hands over the one held.
-func (c *Node) Leave(now types.Now) {
-	c.going = true
-	c.HandOver(now)
+// PrepareStop makes this node take no leadership from now on and transfer what it holds.
+func (n *Node) PrepareStop(now types.Now) {
+	n.stopping = true
+	n.TransferLeadership(now)
 }
 
-// HandOver names a successor: the voter that is furthest on and heard of last.
-func (c *Node) HandOver(now types.Now) bool {
-	c.now = now
-	if c.role != lead || c.heir != "" {
+// TransferLeadership picks a target: the reachable voter with the longest log.
+func (n *Node) TransferLeadership(now types.Now) bool {
+	n.now = now
+	if n.role != leader || n.transferTarget != "" {
 		return false
 	}
-	var best *track
-	for _, m := range c.roll {
-		t := c.peer(m.ID)
-		if m.Vote && m.ID != c.self.ID && now.Mono.Sub(t.heard) < c.pace.Least && (best == nil || t.match > best.match) {
-			best, c.heir = t, m.ID
+	var best *progress
+	for _, m := range n.config {
+		t := n.progressOf(m.ID)
+		if m.Voter && m.ID != n.self.ID && now.Mono.Sub(t.heardAt) < n.timeouts.ElectionMin && (best == nil || t.match > best.match) {
+			best, n.transferTarget = t, m.ID
 		}
 	}
-	c.heirBy = now.Mono.Add(c.pace.Least)
-	return c.heir != ""
+	n.transferDeadline = now.Mono.Add(n.timeouts.ElectionMin)
+	return n.transferTarget != ""
 }
 
-func (c *Node) onHeir(_ types.Addr, h heir) {
-	if h.Name == c.name && h.To == c.self.ID && h.Term == c.vow.Term && c.role == follow && !c.stuck() && !c.going {
-		c.campaign(false, true)
+func (n *Node) onTimeoutNow(_ types.Addr, h timeoutNow) {
+	if h.Name == n.name && h.To == n.self.ID && h.Term == n.voteRecord.Term && n.role == follower && !n.diskStalled() && !n.stopping {
+		n.campaign(false, true)
 	}
 }
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -1,8 +1,8 @@
-// The roll and its changes, one vote at a time: an empty member is let in
-// without a vote, learns, and is promoted. One that was not there at the first
-// start is a guest until it has replaced one that is gone, which is struck off, or
-// has come to stay. None is struck off but by a replacement, however long it is
-// silent. Also the table from a note's kind to what a member does with it.
+// Configurations and their changes, one vote at a time. An empty controller joins as a
+// learner and is promoted once it has caught up. One that was not there at the first
+// start is provisional until it has replaced a member that is gone, or has stayed long
+// enough beside all others. No member is removed except by a replacement, however
+// long it is silent. Also the table of message handlers.
 package raft
 
 import (
@@ -14,67 +14,70 @@
 )
 
 const (
-	most  = 9  // voters
-	crowd = 12 // members
-	gap   = 64
-	idle  = 30 * time.Second
+	maxVoters   = 9  // voters
+	maxMembers  = 12 // members
+	catchUpGap  = 64
+	longSilence = 30 * time.Second
 )
 
-var table = map[string]func(*Node, wire.Message){
-	wire.Found:   wire.On((*Node).onFound),
-	wire.Join:    wire.On((*Node).onJoin),
-	wire.Ballot:  wire.On((*Node).onBallot),
-	wire.Vote:    wire.On((*Node).onVote),
-	wire.Append:  wire.On((*Node).onPush),
-	wire.Append2: wire.On((*Node).onTaken),
-	wire.Snap:    wire.On((*Node).onSnap),
-	wire.Heir:    wire.On((*Node).onHeir),
-	wire.Gone:    wire.On((*Node).onGone),
+var handlers = map[string]func(*Node, wire.Message){
+	wire.Found:   wire.On((*Node).onBootstrap),
+	wire.Join:    wire.On((*Node).onJoinRequest),
+	wire.Ballot:  wire.On((*Node).onRequestVote),
+	wire.Vote:    wire.On((*Node).onVoteReply),
+	wire.Append:  wire.On((*Node).onAppendEntries),
+	wire.Append2: wire.On((*Node).onAppendReply),
+	wire.Snap:    wire.On((*Node).onInstallSnapshot),
+	wire.Heir:    wire.On((*Node).onTimeoutNow),
+	wire.Gone:    wire.On((*Node).onRemoved),
 }
 
-// Take handles a note; false when it is not one for this machine.
-func (c *Node) Take(now types.Now, n wire.Message) bool {
-	c.now = now
-	f, ok := table[n.Kind]
-	if ok && c.role != out {
-		f(c, n)
+// Receive handles a message; false when its kind is not one of this package's.
+func (n *Node) Receive(now types.Now, message wire.Message) bool {
+	n.now = now
+	f, ok := handlers[message.Kind]
+	if ok && n.role != removed {
+		f(n, message)
 	}
 	return ok
 }
 
-func (c *Node) onGone(_ types.Addr, g gone) {
-	if g.Name == c.name && g.ID == c.self.ID && c.role != lead && g.At >= c.commit {
-		c.role, c.why = out, "struck off the roll; empty the data folder to come back as a new member"
+func (n *Node) onRemoved(_ types.Addr, g removedNotice) {
+	if g.Name == n.name && g.ID == n.self.ID && n.role != leader && g.CommitIndex >= n.commitIndex {
+		n.role, n.reason = removed, "struck off the config; empty the data folder to come back as a new member"
 	}
 }
 
-// settled is true for a leader whose roll is committed, and an entry of its term.
-func (c *Node) settled() bool { return c.commit >= c.first && c.commit >= c.rollAt && c.heir == "" }
+// mayChangeConfig is true for a leader whose configuration and an entry of whose own
+// term are committed.
+func (n *Node) mayChangeConfig() bool {
+	return n.commitIndex >= n.termStart && n.commitIndex >= n.configIndex && n.transferTarget == ""
+}
 
-func (c *Node) onJoin(from types.Addr, j join) {
-	if c.role != lead || j.Name != c.name || !c.settled() {
+func (n *Node) onJoinRequest(from types.Addr, j joinRequest) {
+	if n.role != leader || j.Name != n.name || !n.mayChangeConfig() {
 		return
 	}
-	_, ok := c.roll.Find(j.Who.ID)
-	if !ok && j.Old && c.Firm() {
-		c.say(from, wire.Gone, gone{c.name, j.Who.ID, c.commit})
+	_, ok := n.config.Find(j.Member.ID)
+	if !ok && j.WasVoter && n.HoldsLease() {
+		n.send(from, wire.Gone, removedNotice{n.name, j.Member.ID, n.commitIndex})
 	}
-	if ok || j.Old || len(c.roll) >= crowd {
+	if ok || j.WasVoter || len(n.config) >= maxMembers {
 		return
 	}
-	j.Who.Vote = false
-	c.change(append(c.roll[:len(c.roll):len(c.roll)], j.Who))
+	j.Member.Voter = false
+	n.changeConfig(append(n.config[:len(n.config):len(n.config)], j.Member))
 }
 
-func (c *Node) change(r Roll) {
-	c.append(Entry{Roll: r})
+func (n *Node) changeConfig(r Configuration) {
+	n.appendEntry(Entry{Config: r})
 	for _, m := range r {
-		c.peer(m.ID)
+		n.progressOf(m.ID)
 	}
 }
 
-func (c *Node) without(id types.ID) (r Roll) {
-	for _, m := range c.roll {
+func (n *Node) configWithout(id types.ID) (r Configuration) {
+	for _, m := range n.config {
 		if m.ID != id {
 			r = append(r, m)
 		}
@@ -82,117 +85,116 @@
 	return
 }
 
-// quiet is how long a member has not been heard.
-func (c *Node) quiet(m Member) time.Duration {
-	if m.ID == c.self.ID {
+// silence is how long a member has not been heard.
+func (n *Node) silence(m Member) time.Duration {
+	if m.ID == n.self.ID {
 		return 0
 	}
-	return c.now.Mono.Sub(c.peer(m.ID).heard)
+	return n.now.Mono.Sub(n.progressOf(m.ID).heardAt)
 }
 
-// ready is true for a member that answers now and has nearly all of the log.
-func (c *Node) ready(m Member) bool {
-	if m.ID == c.self.ID {
+// caughtUp is true for a member that answers now and has nearly all of the log.
+func (n *Node) caughtUp(m Member) bool {
+	if m.ID == n.self.ID {
 		return true
 	}
-	t := c.peer(m.ID)
-	return c.quiet(m) < c.pace.Stall && t.match+gap >= c.commit && t.match > 0
+	t := n.progressOf(m.ID)
+	return n.silence(m) < n.timeouts.Stall && t.match+catchUpGap >= n.commitIndex && t.match > 0
 }
 
-// tend makes at most one change to the roll.
-func (c *Node) tend() {
-	if !c.settled() {
+// maintainMembers makes at most one change of the configuration.
+func (n *Node) maintainMembers() {
+	if !n.mayChangeConfig() {
 		return
 	}
-	for _, m := range c.roll {
-		if o, ok := c.former(m); ok && c.ready(m) {
-			c.replace(m, o)
+	for _, m := range n.config {
+		if o, ok := n.predecessorAtAddr(m); ok && n.caughtUp(m) {
+			n.replaceMember(m, o)
 			return
 		}
 	}
-	for _, m := range c.roll {
-		if !m.Vote && c.quiet(m) > idle {
-			c.change(c.without(m.ID))
+	for _, m := range n.config {
+		if !m.Voter && n.silence(m) > longSilence {
+			n.changeConfig(n.configWithout(m.ID))
 			return
 		}
-		if v, ok := c.dead(m); ok && m.Guest && c.ready(m) {
-			c.replace(m, v)
+		if v, ok := n.replaceableVoter(m); ok && m.Provisional && n.caughtUp(m) {
+			n.replaceMember(m, v)
 			return
 		}
 	}
-	for i, m := range c.roll {
-		if m.Vote || !c.ready(m) || c.roll.Votes() >= most || m.Guest && c.doubt(m) {
+	for i, m := range n.config {
+		if m.Voter || !n.caughtUp(m) || n.config.Voters() >= maxVoters || m.Provisional && n.zoneHasSilentVoter(m) {
 			continue
 		}
-		r := slices.Clone(c.roll)
-		r[i].Vote = true
-		c.change(r)
+		r := slices.Clone(n.config)
+		r[i].Voter = true
+		n.changeConfig(r)
 		return
 	}
-	c.welcome()
+	n.confirmProvisional()
 }
 
-// former is a member at another's address: its disk was lost, since another
-// identity answers there.
-func (c *Node) former(m Member) (Member, bool) {
-	for _, o := range c.roll {
-		if o.Addr == m.Addr && o.ID != m.ID && c.quiet(o) > c.quiet(m) {
+// predecessorAtAddr is an earlier member at the same address: its disk was lost, since
+// another identity answers there.
+func (n *Node) predecessorAtAddr(m Member) (Member, bool) {
+	for _, o := range n.config {
+		if o.Addr == m.Addr && o.ID != m.ID && n.silence(o) > n.silence(m) {
 			return o, true
 		}
 	}
 	return Member{}, false
 }
 
-// dead is the voter that a guest replaces: the one of its zone that has been
-// silent longest, for long enough; and where there are as many voters as may be, any
-// that has been silent for much longer.
-func (c *Node) dead(m Member) (worst Member, ok bool) {
-	full := !m.Vote && c.roll.Votes() >= most
-	for _, v := range c.roll {
-		q := c.quiet(v)
-		gone := v.Zone == m.Zone && q > c.pace.Dead || full && q > idle
-		if v.Vote && v.ID != m.ID && gone && (!ok || q > c.quiet(worst)) {
+// replaceableVoter is the voter that a provisional member replaces: the one of its zone
+// that has been silent longest, for long enough; and where there are as many voters as
+// may be, any that has been silent for much longer.
+func (n *Node) replaceableVoter(m Member) (worst Member, ok bool) {
+	full := !m.Voter && n.config.Voters() >= maxVoters
+	for _, v := range n.config {
+		q := n.silence(v)
+		gone := v.Zone == m.Zone && q > n.timeouts.ReplaceAfter || full && q > longSilence
+		if v.Voter && v.ID != m.ID && gone && (!ok || q > n.silence(worst)) {
 			worst, ok = v, true
 		}
 	}
 	return
 }
 
-// doubt is true while a voter of a guest's zone is silent: it may be the one
-// that the guest replaces, or be back soon.
-func (c *Node) doubt(m Member) bool {
-	return slices.ContainsFunc(c.roll, func(v Member) bool { return v.Vote && v.Zone == m.Zone && c.quiet(v) > c.pace.Least })
+// zoneHasSilentVoter is true while a voter of a provisional member's zone is silent: it
+// may be the one to replace, or be back soon.
+func (n *Node) zoneHasSilentVoter(m Member) bool {
+	return slices.ContainsFunc(n.config, func(v Member) bool { return v.Voter && v.Zone == m.Zone && n.silence(v) > n.timeouts.ElectionMin })
 }
 
-// replace strikes off one that is gone, for a member that is no guest from then on.
-// The vote, where it has none, comes with the next change, so that each is one vote
-// apart from the last, and none asks for more of those that live than the last did.
-func (c *Node) replace(m, gone Member) {
-	r := c.without(gone.ID)
+// replaceMember removes a member that is gone in favour of one that is not provisional
+// from then on. The vote of the new one, where it has none, comes with the next change.
+func (n *Node) replaceMember(m, gone Member) {
+	r := n.configWithout(gone.ID)
 	for i := range r {
 		if r[i].ID == m.ID {
-			r[i].Guest = m.Guest && (gone.Guest || !gone.Vote)
+			r[i].Provisional = m.Provisional && (gone.Provisional || !gone.Voter)
 		}
 	}
-	c.change(r)
+	n.changeConfig(r)
 }
 
-// welcome makes a guest that has long voted beside all others, with none of them
-// silent, one of them: it has come to stay.
-func (c *Node) welcome() {
-	for _, m := range c.roll {
-		if m.Vote && c.quiet(m) > c.pace.Stall {
-			c.calm = c.now.Mono
+// confirmProvisional makes a provisional member that has long voted beside all others,
+// with none of them silent, a regular one.
+func (n *Node) confirmProvisional() {
+	for _, m := range n.config {
+		if m.Voter && n.silence(m) > n.timeouts.Stall {
+			n.votersHeardSince = n.now.Mono
 		}
 	}
-	if c.now.Mono.Sub(c.calm) < idle {
+	if n.now.Mono.Sub(n.votersHeardSince) < longSilence {
 		return
 	}
-	r := slices.Clone(c.roll)
+	r := slices.Clone(n.config)
 	for i := range r {
-		if r[i].Vote && r[i].Guest {
-			r[i].Guest = false
-			c.change(r)
+		if r[i].Voter && r[i].Provisional {
+			r[i].Provisional = false
+			n.changeConfig(r)
 			return
 		}
 	}
--- a/internal/raft/messages.go
+++ b/internal/raft/messages.go
@@ -1,7 +1,7 @@
 // Package raft is the replicated log of the controllers: elections with a pre-vote,
-// entries that count only once synced, snapshots, a roll of members changed by
-// one vote at a time, and a duty that its holder hands over by name. This file
-// has the shapes that cross the wire and the disk.
+// entries that count only once synced, snapshots, a configuration changed by one vote
+// at a time, a read lease, and transfer of leadership. This file has the types that
+// cross the wire and the disk.
 package raft
 
 import (
@@ -11,29 +11,29 @@
 	"coppercourse/internal/types"
 )
 
-// Member is one controller on the roll. Without a vote it only learns. A guest came to a
-// cluster that was there before it: it is let vote beside the others, and replaces
-// one that is gone.
+// Member is one controller of the configuration. Without a vote it is a learner. A
+// provisional member came to a cluster that existed before it, and may replace a voter
+// that is gone.
 type Member struct {
-	ID    types.ID   `json:"id"`
-	Addr  types.Addr `json:"addr"`
-	Zone  types.Zone `json:"loc"`
-	Vote  bool       `json:"vote"`
-	Guest bool       `json:"guest,omitempty"`
+	ID          types.ID   `json:"id"`
+	Addr        types.Addr `json:"addr"`
+	Zone        types.Zone `json:"zone"`
+	Voter       bool       `json:"voter"`
+	Provisional bool       `json:"provisional,omitempty"`
 }
 
-// Bootstrap is what a member's settings say of the cluster's beginning: that none has
-// been before, and which controllers found it. Where none are named, any three that see
-// just each other do.
+// Bootstrap is what the settings say of the cluster's beginning: that this is the first
+// start of the whole system, and which controllers found it. Where none are named, any
+// three that see just each other do.
 type Bootstrap struct {
 	First    bool
 	Founders []types.Addr
 }
 
-// Roll is the list of members, in force from the moment it is in the log.
-type Roll []Member
+// Configuration is the list of members, in force from the moment it is in the log.
+type Configuration []Member
 
-func (r Roll) Find(id types.ID) (Member, bool) {
+func (r Configuration) Find(id types.ID) (Member, bool) {
 	for _, m := range r {
 		if m.ID == id {
 			return m, true
@@ -42,98 +42,97 @@
 	return Member{}, false
 }
 
-func (r Roll) Votes() (n int) {
+func (r Configuration) Voters() (n int) {
 	for _, m := range r {
-		if m.Vote {
+		if m.Voter {
 			n++
 		}
 	}
 	return n
 }
 
-// Entry is one line of the log.
+// Entry is one entry of the log.
 type Entry struct {
-	Term  types.Term      `json:"term"`
-	Index types.Index     `json:"index"`
-	Fact  json.RawMessage `json:"fact,omitempty"`
-	Roll  Roll            `json:"roll,omitempty"`
+	Term   types.Term      `json:"term"`
+	Index  types.Index     `json:"index"`
+	Data   json.RawMessage `json:"data,omitempty"`
+	Config Configuration   `json:"config,omitempty"`
 }
 
-// Snap is the state as of one entry, in so many parts, each a record of its own
-// and a message of its own.
-type Snap struct {
-	Index types.Index `json:"index"`
-	Term  types.Term  `json:"term"`
-	Roll  Roll        `json:"roll"`
-	Count int         `json:"parts"`
-	Parts [][]byte    `json:"-"`
+// Snapshot is the state as of one entry, in parts, each a record and a message of its own.
+type Snapshot struct {
+	Index  types.Index   `json:"index"`
+	Term   types.Term    `json:"term"`
+	Config Configuration `json:"config"`
+	Count  int           `json:"parts"`
+	Parts  [][]byte      `json:"-"`
 }
 
 // Record is what one disk record holds; each field stands for itself.
 type Record struct {
-	Self    *Self    `json:"self,omitempty"`
-	Pledge  *Charter `json:"pledge,omitempty"`
-	Charter *Charter `json:"charter,omitempty"`
-	Vow     *Vow     `json:"vow,omitempty"`
-	Entries []Entry  `json:"entries,omitempty"`
-	Snap    *Snap    `json:"snap,omitempty"`
-	part    []byte   // in place of all else: a part of the snapshot before it
-}
-
-// Self is minted with an empty folder and never used again after its loss. First
-// is true where that was the first start of all.
-type Self struct {
+	Identity  *Identity        `json:"identity,omitempty"`
+	Promise   *BootstrapConfig `json:"promise,omitempty"`
+	Bootstrap *BootstrapConfig `json:"bootstrap,omitempty"`
+	Vote      *VoteRecord      `json:"vote,omitempty"`
+	Entries   []Entry          `json:"entries,omitempty"`
+	Snapshot  *Snapshot        `json:"snapshot,omitempty"`
+	part      []byte           // in place of all else: a part of the snapshot before it
+}
+
+// Identity is created with an empty folder and never used again after its loss. First
+// is true where that was the first start of the whole system.
+type Identity struct {
 	ID    types.ID `json:"id"`
 	First bool     `json:"first,omitempty"`
 }
 
-// Charter is the founding record: a cluster's name and its first roll.
-type Charter struct {
-	Name string `json:"name"`
-	Roll Roll   `json:"roll"`
+// BootstrapConfig is a cluster's name and its initial configuration.
+type BootstrapConfig struct {
+	Name   string        `json:"name"`
+	Config Configuration `json:"config"`
 }
 
-// Vow is a term and whom this member voted for in it.
-type Vow struct {
-	Term types.Term `json:"term"`
-	For  types.ID   `json:"for"`
+// VoteRecord is a term and whom this member voted for in it.
+type VoteRecord struct {
+	Term     types.Term `json:"term"`
+	VotedFor types.ID   `json:"voted_for"`
 }
 
-type ballot struct {
-	Name  string      `json:"name"`
-	ID    types.ID    `json:"id"`
-	To    types.ID    `json:"to"`
-	Term  types.Term  `json:"term"`
-	Last  types.Index `json:"last"`
-	LastT types.Term  `json:"last_term"`
-	Pre   bool        `json:"pre"`
-	Heir  bool        `json:"heir"`
+type requestVote struct {
+	Name      string      `json:"name"`
+	ID        types.ID    `json:"id"`
+	To        types.ID    `json:"to"`
+	Term      types.Term  `json:"term"`
+	LastIndex types.Index `json:"last_index"`
+	LastTerm  types.Term  `json:"last_term"`
+	PreVote   bool        `json:"pre_vote"`
+	Transfer  bool        `json:"transfer"`
 }
 
-type vote struct {
-	Name string     `json:"name"`
-	ID   types.ID   `json:"id"`
-	Term types.Term `json:"term"`
-	Pre  bool       `json:"pre"`
-	Yes  bool       `json:"yes"`
-	// Quiet is how long, in ms, the voter has heard no leader, at the least.
-	Quiet int64 `json:"quiet,omitempty"`
-}
-
-type push struct {
-	Name    string      `json:"name"`
-	ID      types.ID    `json:"id"`
-	To      types.ID    `json:"to"`
-	Term    types.Term  `json:"term"`
-	Prev    types.Index `json:"prev"`
-	PrevT   types.Term  `json:"prev_term"`
-	Entries []Entry     `json:"entries,omitempty"`
-	Commit  types.Index `json:"commit"`
-	Round   types.Stamp `json:"round"`
-	Tick    types.Tick  `json:"tick"`
-}
-
-type taken struct {
+type voteReply struct {
+	Name    string     `json:"name"`
+	ID      types.ID   `json:"id"`
+	Term    types.Term `json:"term"`
+	PreVote bool       `json:"pre_vote"`
+	Granted bool       `json:"granted"`
+	// SilentMS is how long, at the least, the voter has heard no leader.
+	SilentMS int64 `json:"silent_ms,omitempty"`
+}
+
+type appendEntries struct {
+	Name      string      `json:"name"`
+	ID        types.ID    `json:"id"`
+	To        types.ID    `json:"to"`
+	Term      types.Term  `json:"term"`
+	PrevIndex types.Index `json:"prev_index"`
+	PrevTerm  types.Term  `json:"prev_term"`
+	Entries   []Entry     `json:"entries,omitempty"`
+	Commit    types.Index `json:"commit"`
+	Round     types.Stamp `json:"round"`
+	Tick      types.Tick  `json:"tick"`
+}
+
+type appendReply struct {
 	Name  string      `json:"name"`
 	ID    types.ID    `json:"id"`
 	Term  types.Term  `json:"term"`
@@ -144,46 +143,46 @@
 	Parts int         `json:"parts,omitempty"` // of a snapshot that is coming
 }
 
-type snap struct {
-	push
-	Snap Snap            `json:"snap"`
-	No   int             `json:"no"`
-	Part json.RawMessage `json:"part"`
+type installSnapshot struct {
+	appendEntries
+	Snap   Snapshot        `json:"snapshot"`
+	PartNo int             `json:"part_no"`
+	Part   json.RawMessage `json:"part"`
 }
 
-type heir struct {
+type timeoutNow struct {
 	Name string     `json:"name"`
 	To   types.ID   `json:"to"`
 	Term types.Term `json:"term"`
 }
 
-type join struct {
-	Name string `json:"name"`
-	Who  Member `json:"who"`
-	Old  bool   `json:"old,omitempty"` // it has been a voter and asks after its place
+type joinRequest struct {
+	Name     string `json:"name"`
+	Member   Member `json:"member"`
+	WasVoter bool   `json:"was_voter,omitempty"` // it has been a voter and asks after its place
 }
 
-type gone struct {
-	Name string      `json:"name"`
-	ID   types.ID    `json:"id"`
-	At   types.Index `json:"at"`
+type removedNotice struct {
+	Name        string      `json:"name"`
+	ID          types.ID    `json:"id"`
+	CommitIndex types.Index `json:"commit"`
 }
 
-type found struct {
-	Charter Charter  `json:"charter"`
-	ID      types.ID `json:"id"`
-	Step    string   `json:"step"` // offer, pledge, done
+type bootstrapMessage struct {
+	Config BootstrapConfig `json:"config"`
+	ID     types.ID        `json:"id"`
+	Step   string          `json:"step"` // offer, promise, done
 }
 
-// Timeouts holds the timings; Check in package config ties them together.
+// Timeouts holds the timings; package settings checks how they hang together.
 type Timeouts struct {
-	Beat  time.Duration // between rounds of the leader
-	Least time.Duration // shortest election wait; the longest is twice that
-	Stall time.Duration // a disk or majority silent for so long ends the duty
-	Dead  time.Duration // a voter silent for so long may be replaced
-	Hold  time.Duration // authority past the start of the last majority round
+	Heartbeat    time.Duration // between rounds of the leader
+	ElectionMin  time.Duration // shortest election wait; the longest is twice that
+	Stall        time.Duration // a disk or majority silent for so long ends the duty
+	ReplaceAfter time.Duration // a voter silent for so long may be replaced
+	Authority    time.Duration // authority past the start of the last majority round
 }
 
-// Defaults are ours.
-var Defaults = Timeouts{Beat: 100 * time.Millisecond, Least: 500 * time.Millisecond,
-	Stall: time.Second, Dead: 5 * time.Second, Hold: 2 * time.Second}
+// Defaults are the timings where the settings give no others.
+var Defaults = Timeouts{Heartbeat: 100 * time.Millisecond, ElectionMin: 500 * time.Millisecond,
+	Stall: time.Second, ReplaceAfter: 5 * time.Second, Authority: 2 * time.Second}
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -1,7 +1,6 @@
-// The member itself: what it holds, how it starts from its disk records, what
-// it does as time passes, and the two lists it gathers in a step (what to send
-// and what to write). Sends that rest on something written wait until the
-// shell tells that the write is synced.
+// The node itself: its state, how it starts from its disk records, what it does as time
+// passes, and what a step collects to send and to write. A message that rests on
+// something written waits until the shell reports that the write is synced.
 package raft
 
 import (
@@ -16,261 +15,262 @@
 type role string
 
 const (
-	empty  role = "empty"
-	learn  role = "learner"
-	follow role = "follower"
-	stand  role = "candidate"
-	lead   role = "leader"
-	out    role = "out"
+	empty     role = "empty"
+	learner   role = "learner"
+	follower  role = "follower"
+	candidate role = "candidate"
+	leader    role = "leader"
+	removed   role = "out"
 )
 
-type held struct {
+type heldSend struct {
 	seq  uint64
 	term types.Term
 	send wire.Send
 }
 
-type track struct {
+type progress struct {
 	next, match types.Index
 	round       types.Stamp
-	heard       types.Stamp
-	off         types.Wall
-	sent        types.Stamp
+	heardAt     types.Stamp
+	wallOffset  types.Wall
+	sentAt      types.Stamp
 	part        int // of the snapshot that it has
 }
 
 // Node is one member. It is owned by one goroutine and does no I/O.
 type Node struct {
-	pace   Timeouts
-	rnd    *rand.Rand
-	self   Member
-	origin Bootstrap
-
-	name   string
-	vow    Vow
-	role   role
-	why    string
-	snap   Snap
-	coming Snap // a leader's, not whole yet
-	grown  int  // bytes of entries since the snapshot
-	log    []Entry
-	roll   Roll
-	rollAt types.Index
-	commit types.Index
-	synced types.Index
-
-	wrote, done uint64
-	vowSeq      uint64
-	marks       []struct {
+	timeouts  Timeouts
+	rand      *rand.Rand
+	self      Member
+	bootstrap Bootstrap
+
+	name        string
+	voteRecord  VoteRecord
+	role        role
+	reason      string
+	snapshot    Snapshot
+	incoming    Snapshot // a leader's, not whole yet
+	logBytes    int      // bytes of entries since the snapshot
+	log         []Entry
+	config      Configuration
+	configIndex types.Index
+	commitIndex types.Index
+	syncedIndex types.Index
+
+	writtenBatch, syncedBatch uint64
+	voteBatch                 uint64
+	unsynced                  []struct {
 		seq uint64
 		at  types.Index
 	}
-	held  []held
-	stall types.Stamp
-
-	now     types.Now
-	tick    types.Tick
-	tickAt  types.Stamp
-	tickOf  types.Term // whose clock it follows
-	boot    types.Stamp
-	heard   types.Stamp
-	wait    types.Stamp
-	leader  types.ID
-	leadAt  types.Addr
-	votes   map[types.ID]bool
-	led     types.Stamp // when this member led last
-	ruled   types.Stamp // until when an earlier leader can have had authority
-	pre     bool
-	peers   map[types.ID]*track
-	first   types.Index
-	calm    types.Stamp // when a voter was last silent, to this leader
-	pulse   types.Stamp
-	heir    types.ID
-	heirBy  types.Stamp
-	going   bool // this member is about to stop and takes no duty
-	pledge  *Charter
-	pledged types.Stamp
-	offers  map[types.ID]bool
-	seen    []Seen
-	others  []types.Addr // daemons that are no controllers
-	asked   types.Stamp
-
-	sends  []wire.Send
-	writes []Record
-	whole  bool
+	held           []heldSend
+	diskAnsweredAt types.Stamp
+
+	now              types.Now
+	clock            types.Tick
+	clockSetAt       types.Stamp
+	clockTerm        types.Term // whose clock it follows
+	startedAt        types.Stamp
+	leaderHeardAt    types.Stamp
+	electionDeadline types.Stamp
+	leaderID         types.ID
+	leaderAddr       types.Addr
+	votes            map[types.ID]bool
+	lastLedAt        types.Stamp // when this member led last
+	priorAuthority   types.Stamp // until when an earlier leader can have had authority
+	preVoting        bool
+	progress         map[types.ID]*progress
+	termStart        types.Index
+	votersHeardSince types.Stamp // when a voter was last silent, to this leader
+	lastRoundAt      types.Stamp
+	transferTarget   types.ID
+	transferDeadline types.Stamp
+	stopping         bool // this member is about to stop and takes no duty
+	promised         *BootstrapConfig
+	promisedAt       types.Stamp
+	promises         map[types.ID]bool
+	controllers      []Discovered
+	otherDaemons     []types.Addr // daemons that are no controllers
+	lastRequestAt    types.Stamp
+
+	sends        []wire.Send
+	writes       []Record
+	replacesFile bool
 }
 
-// New starts a member from the records of its disk. fresh is the identity to
-// take if the folder is empty; whether it is the first start of all is kept with it.
+// New starts a member from the records of its disk. fresh is the identity to take if
+// the folder is empty.
 func New(now types.Now, pace Timeouts, rnd *rand.Rand, me Member, o Bootstrap, recs [][]byte, fresh types.ID) *Node {
-	c := &Node{pace: pace, rnd: rnd, self: me, origin: o, role: empty, now: now, boot: now.Mono, tickAt: now.Mono,
-		heard: now.Mono, led: never, peers: map[types.ID]*track{}, offers: map[types.ID]bool{}}
-	c.self.ID = ""
+	n := &Node{timeouts: pace, rand: rnd, self: me, bootstrap: o, role: empty, now: now, startedAt: now.Mono, clockSetAt: now.Mono,
+		leaderHeardAt: now.Mono, lastLedAt: never, progress: map[types.ID]*progress{}, promises: map[types.ID]bool{}}
+	n.self.ID = ""
 	for _, b := range recs {
 		var r Record
-		if len(c.snap.Parts) < c.snap.Count {
-			c.snap.Parts = append(c.snap.Parts, b)
+		if len(n.snapshot.Parts) < n.snapshot.Count {
+			n.snapshot.Parts = append(n.snapshot.Parts, b)
 		} else if json.Unmarshal(b, &r) == nil {
-			c.load(r)
+			n.load(r)
 		}
 	}
-	if c.self.ID == "" {
-		c.mint(fresh)
+	if n.self.ID == "" {
+		n.newIdentity(fresh)
 	}
-	c.synced, c.pledged = c.last(), now.Mono
-	if n := len(c.log); n > 0 && c.log[n-1].Term > c.vow.Term {
-		c.vow = Vow{Term: c.log[n-1].Term}
+	n.syncedIndex, n.promisedAt = n.lastIndex(), now.Mono
+	if last := len(n.log) - 1; last >= 0 && n.log[last].Term > n.voteRecord.Term {
+		n.voteRecord = VoteRecord{Term: n.log[last].Term}
 	}
-	c.settle()
-	c.rest()
-	return c
+	n.assignRole()
+	n.resetElectionTimer()
+	return n
 }
 
-func (c *Node) mint(id types.ID) {
-	c.self.ID, c.pledge, c.offers = id, nil, map[types.ID]bool{}
-	c.self.Guest = !c.origin.First
-	c.write(Record{Self: &Self{id, c.origin.First}})
+func (n *Node) newIdentity(id types.ID) {
+	n.self.ID, n.promised, n.promises = id, nil, map[types.ID]bool{}
+	n.self.Provisional = !n.bootstrap.First
+	n.write(Record{Identity: &Identity{id, n.bootstrap.First}})
 }
 
-func (c *Node) load(r Record) {
-	if r.Self != nil {
-		c.self.ID, c.self.Guest, c.pledge = r.Self.ID, !r.Self.First, nil
-		c.origin.First = r.Self.First
+func (n *Node) load(r Record) {
+	if r.Identity != nil {
+		n.self.ID, n.self.Provisional, n.promised = r.Identity.ID, !r.Identity.First, nil
+		n.bootstrap.First = r.Identity.First
 	}
-	if r.Pledge != nil {
-		c.pledge = r.Pledge
+	if r.Promise != nil {
+		n.promised = r.Promise
 	}
-	if r.Charter != nil {
-		c.name, c.roll, c.snap.Roll, c.pledge = r.Charter.Name, r.Charter.Roll, r.Charter.Roll, nil
+	if r.Bootstrap != nil {
+		n.name, n.config, n.snapshot.Config, n.promised = r.Bootstrap.Name, r.Bootstrap.Config, r.Bootstrap.Config, nil
 	}
-	if r.Vow != nil {
-		c.vow = *r.Vow
+	if r.Vote != nil {
+		n.voteRecord = *r.Vote
 	}
-	if r.Snap != nil {
-		c.snap, c.log, c.commit = *r.Snap, nil, r.Snap.Index
+	if r.Snapshot != nil {
+		n.snapshot, n.log, n.commitIndex = *r.Snapshot, nil, r.Snapshot.Index
 	}
 	if len(r.Entries) > 0 {
-		c.put(r.Entries)
+		n.storeEntries(r.Entries)
 	}
-	c.reroll()
+	n.reloadConfig()
 }
 
-// put lays entries over the log from their first index on.
-func (c *Node) put(list []Entry) {
+// storeEntries overwrites the log from the first of the entries on.
+func (n *Node) storeEntries(list []Entry) {
 	i := list[0].Index
-	if i <= c.snap.Index {
+	if i <= n.snapshot.Index {
 		return
 	}
-	c.log = append(c.log[:i-c.snap.Index-1], list...)
-	if i <= c.rollAt {
-		c.reroll()
+	n.log = append(n.log[:i-n.snapshot.Index-1], list...)
+	if i <= n.configIndex {
+		n.reloadConfig()
 		return
 	}
-	c.enroll(list)
+	n.applyConfigs(list)
 }
 
-func (c *Node) reroll() {
-	c.roll, c.rollAt = c.snap.Roll, c.snap.Index
-	c.enroll(c.log)
+func (n *Node) reloadConfig() {
+	n.config, n.configIndex = n.snapshot.Config, n.snapshot.Index
+	n.applyConfigs(n.log)
 }
 
-func (c *Node) enroll(list []Entry) {
+func (n *Node) applyConfigs(list []Entry) {
 	for _, e := range list {
-		if e.Roll != nil {
-			c.roll, c.rollAt = e.Roll, e.Index
+		if e.Config != nil {
+			n.config, n.configIndex = e.Config, e.Index
 		}
 	}
 }
 
-// settle finds the role that the roll gives when this member does not lead.
-func (c *Node) settle() {
-	if c.role == out {
+// assignRole gives the role that follows from the configuration for a node that does
+// not lead.
+func (n *Node) assignRole() {
+	if n.role == removed {
 		return
 	}
-	m, ok := c.roll.Find(c.self.ID)
+	m, ok := n.config.Find(n.self.ID)
 	switch {
-	case c.name == "":
-		c.role = empty
-	case ok && m.Vote:
-		c.role = follow
+	case n.name == "":
+		n.role = empty
+	case ok && m.Voter:
+		n.role = follower
 	default:
-		c.role = learn
+		n.role = learner
 	}
 }
 
-func (c *Node) rest() {
-	c.wait = c.now.Mono.Add(c.pace.Least + c.span(c.pace.Least))
+func (n *Node) resetElectionTimer() {
+	n.electionDeadline = n.now.Mono.Add(n.timeouts.ElectionMin + n.randomUpTo(n.timeouts.ElectionMin))
 }
 
-func (c *Node) last() types.Index { return c.snap.Index + types.Index(len(c.log)) }
+func (n *Node) lastIndex() types.Index { return n.snapshot.Index + types.Index(len(n.log)) }
 
-func (c *Node) term(i types.Index) (types.Term, bool) {
+func (n *Node) termAt(i types.Index) (types.Term, bool) {
 	switch {
-	case i == c.snap.Index:
-		return c.snap.Term, true
-	case i < c.snap.Index || i > c.last():
+	case i == n.snapshot.Index:
+		return n.snapshot.Term, true
+	case i < n.snapshot.Index || i > n.lastIndex():
 		return 0, false
 	}
-	return c.log[i-c.snap.Index-1].Term, true
+	return n.log[i-n.snapshot.Index-1].Term, true
 }
 
-func (c *Node) write(r Record) {
-	if len(c.writes) == 0 {
-		c.wrote++
-		if c.wrote == c.done+1 {
-			c.stall = c.now.Mono
+func (n *Node) write(r Record) {
+	if len(n.writes) == 0 {
+		n.writtenBatch++
+		if n.writtenBatch == n.syncedBatch+1 {
+			n.diskAnsweredAt = n.now.Mono
 		}
 	}
-	c.writes = append(c.writes, r)
+	n.writes = append(n.writes, r)
 }
 
-func (c *Node) swear(v Vow) {
-	c.vow = v
-	c.write(Record{Vow: &v})
-	c.vowSeq = c.wrote
+func (n *Node) persistVote(v VoteRecord) {
+	n.voteRecord = v
+	n.write(Record{Vote: &v})
+	n.voteBatch = n.writtenBatch
 }
 
-// say sends once the vow is on disk; after sends once all written so far is.
-func (c *Node) say(to types.Addr, kind string, body any) { c.hold(c.vowSeq, to, kind, body) }
+// send sends once the latest vote record is on disk.
+func (n *Node) send(to types.Addr, kind string, body any) { n.sendAfter(n.voteBatch, to, kind, body) }
 
-func (c *Node) hold(seq uint64, to types.Addr, kind string, body any) {
-	s := wire.Make(c.self.Addr, to, kind, body)
-	if seq <= c.done {
-		c.sends = append(c.sends, s)
+func (n *Node) sendAfter(seq uint64, to types.Addr, kind string, body any) {
+	s := wire.Make(n.self.Addr, to, kind, body)
+	if seq <= n.syncedBatch {
+		n.sends = append(n.sends, s)
 		return
 	}
-	c.held = append(c.held, held{seq, c.vow.Term, s})
+	n.held = append(n.held, heldSend{seq, n.voteRecord.Term, s})
 }
 
-// Synced tells that all batches up to seq are on disk.
-func (c *Node) Synced(now types.Now, seq uint64) {
-	c.now, c.done, c.stall = now, max(c.done, seq), now.Mono
-	for len(c.marks) > 0 && c.marks[0].seq <= c.done {
-		c.synced = max(c.synced, c.marks[0].at)
-		c.marks = c.marks[1:]
+// Synced reports that all batches up to seq are on disk.
+func (n *Node) Synced(now types.Now, seq uint64) {
+	n.now, n.syncedBatch, n.diskAnsweredAt = now, max(n.syncedBatch, seq), now.Mono
+	for len(n.unsynced) > 0 && n.unsynced[0].seq <= n.syncedBatch {
+		n.syncedIndex = max(n.syncedIndex, n.unsynced[0].at)
+		n.unsynced = n.unsynced[1:]
 	}
-	kept := c.held[:0]
-	for _, h := range c.held {
-		if h.seq > c.done {
+	kept := n.held[:0]
+	for _, h := range n.held {
+		if h.seq > n.syncedBatch {
 			kept = append(kept, h)
-		} else if h.term == c.vow.Term {
-			c.sends = append(c.sends, h.send)
+		} else if h.term == n.voteRecord.Term {
+			n.sends = append(n.sends, h.send)
 		}
 	}
-	c.held = kept
-	if c.role == lead {
-		c.advance()
+	n.held = kept
+	if n.role == leader {
+		n.advanceCommit()
 	}
 }
 
-// Out drains what the step gathered: sends, one batch of records with its
-// number, and whether the batch replaces the file.
-func (c *Node) Out() (sends []wire.Send, batch [][]byte, seq uint64, whole bool) {
-	if c.role == lead {
-		c.led = c.now.Mono
-		c.flush()
+// Out returns what the step collected: messages, one batch of records with its number,
+// and whether the batch replaces the file.
+func (n *Node) Out() (sends []wire.Send, batch [][]byte, seq uint64, whole bool) {
+	if n.role == leader {
+		n.lastLedAt = n.now.Mono
+		n.replicate()
 	}
-	for _, r := range c.writes {
+	for _, r := range n.writes {
 		if r.part != nil {
 			batch = append(batch, r.part)
 			continue
@@ -281,87 +281,87 @@
 		}
 		batch = append(batch, b)
 	}
-	sends, seq, whole = c.sends, c.wrote, c.whole
-	c.sends, c.writes, c.whole = nil, nil, false
+	sends, seq, whole = n.sends, n.writtenBatch, n.replacesFile
+	n.sends, n.writes, n.replacesFile = nil, nil, false
 	return
 }
 
-// stuck is true when the disk has not answered for as long as a duty may wait.
-func (c *Node) stuck() bool {
-	return c.wrote > c.done && c.now.Mono.Sub(c.stall) > c.pace.Stall
+// diskStalled is true when the disk has not answered for longer than a leader may wait.
+func (n *Node) diskStalled() bool {
+	return n.writtenBatch > n.syncedBatch && n.now.Mono.Sub(n.diskAnsweredAt) > n.timeouts.Stall
 }
 
 // Tick lets time pass.
-func (c *Node) Tick(now types.Now) {
-	c.now = now
-	if c.role == lead {
-		c.duty()
+func (n *Node) Tick(now types.Now) {
+	n.now = now
+	if n.role == leader {
+		n.leaderTick()
 		return
 	}
-	if c.role == empty {
-		c.gather()
+	if n.role == empty {
+		n.tryBootstrap()
 	}
-	if c.role != empty && c.role != out && now.Mono.Sub(c.heard) > c.pace.Dead/2 && now.Mono.Sub(c.asked) > c.pace.Stall {
-		c.asked = now.Mono
-		c.knock()
+	if n.role != empty && n.role != removed && now.Mono.Sub(n.leaderHeardAt) > n.timeouts.ReplaceAfter/2 && now.Mono.Sub(n.lastRequestAt) > n.timeouts.Stall {
+		n.lastRequestAt = now.Mono
+		n.requestJoin()
 	}
-	if (c.role == follow || c.role == stand) && now.Mono >= c.wait && !c.stuck() && !c.going {
-		c.campaign(true, false)
+	if (n.role == follower || n.role == candidate) && now.Mono >= n.electionDeadline && !n.diskStalled() && !n.stopping {
+		n.campaign(true, false)
 	}
 }
 
 // Clock is the cluster's own time as this member knows it.
-func (c *Node) Clock() types.Tick { return c.tick.Add(c.now.Mono.Sub(c.tickAt)) }
-
-// follow takes the clock of the leader of a term. What a leader says is older
-// by its way here, so a follower's clock is never ahead of its leader's; one
-// kept from an earlier leader might be, and is given up. Whoever leads next has
-// followed the last leader that committed anything, so the cluster's clock may
-// fall behind at a change of leader, by a message's delay, and never runs ahead.
-func (c *Node) follow(t types.Term, tick types.Tick) {
-	if t != c.tickOf {
-		c.tickOf, c.tick, c.tickAt = t, tick, c.now.Mono
+func (n *Node) Clock() types.Tick { return n.clock.Add(n.now.Mono.Sub(n.clockSetAt)) }
+
+// followClock takes over the clock of the leader of a term. A leader's value is older by
+// its delay, so a follower's clock is never ahead of its leader's; one kept from an
+// earlier leader might be, and is dropped. Each new leader has followed the last one
+// that committed anything, so the cluster's clock may fall behind at a change of
+// leader, by a message's delay, and never runs ahead.
+func (n *Node) followClock(t types.Term, tick types.Tick) {
+	if t != n.clockTerm {
+		n.clockTerm, n.clock, n.clockSetAt = t, tick, n.now.Mono
 		return
 	}
-	c.Wind(tick)
+	n.AdvanceClock(tick)
 }
 
-// Wind moves the clock forward to at least t; what peers told of their walls
-// was counted from where the clock stood, and moves with it.
-func (c *Node) Wind(t types.Tick) {
-	by := t - c.Clock()
+// AdvanceClock moves the clock forward to at least t. The wall offsets of peers were
+// counted from the earlier value and move with it.
+func (n *Node) AdvanceClock(t types.Tick) {
+	by := t - n.Clock()
 	if by <= 0 {
 		return
 	}
-	c.tick, c.tickAt = t, c.now.Mono
-	for _, m := range c.peers {
-		m.off -= types.Wall(by)
+	n.clock, n.clockSetAt = t, n.now.Mono
+	for _, m := range n.progress {
+		m.wallOffset -= types.Wall(by)
 	}
 }
 
-// Offs gives how far each voter's wall clock is from this leader's clock. What
-// a peer told is older by its way here, so it can only seem too small.
-func (c *Node) Offs() []types.Wall {
-	list := []types.Wall{c.now.Wall - types.Wall(c.Clock())}
-	for id, t := range c.peers {
-		if m, ok := c.roll.Find(id); ok && m.Vote && id != c.self.ID && c.now.Mono.Sub(t.heard) < c.pace.Stall {
-			list = append(list, t.off)
+// WallOffsets gives how far each voter's wall clock is from this leader's clock. A
+// peer's value is older by its delay, so it can only seem too small.
+func (n *Node) WallOffsets() []types.Wall {
+	list := []types.Wall{n.now.Wall - types.Wall(n.Clock())}
+	for id, t := range n.progress {
+		if m, ok := n.config.Find(id); ok && m.Voter && id != n.self.ID && n.now.Mono.Sub(t.heardAt) < n.timeouts.Stall {
+			list = append(list, t.wallOffset)
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i] < list[j] })
 	return list
 }
 
-func (c *Node) ID() types.ID              { return c.self.ID }
-func (c *Node) Name() string              { return c.name }
-func (c *Node) Role() string              { return string(c.role) }
-func (c *Node) Term() types.Term          { return c.vow.Term }
-func (c *Node) Leader() types.Addr        { return c.leadAt }
-func (c *Node) Leads() bool               { return c.role == lead }
-func (c *Node) Why() string               { return c.why }
-func (c *Node) Roll() Roll                { return c.roll }
-func (c *Node) RollAt() types.Index       { return c.rollAt }
-func (c *Node) Commit() types.Index       { return c.commit }
-func (c *Node) State() Snap               { return c.snap }
-func (c *Node) Grown() int                { return c.grown }
-func (c *Node) Entry(i types.Index) Entry { return c.log[i-c.snap.Index-1] }
+func (n *Node) ID() types.ID              { return n.self.ID }
+func (n *Node) Name() string              { return n.name }
+func (n *Node) Role() string              { return string(n.role) }
+func (n *Node) Term() types.Term          { return n.voteRecord.Term }
+func (n *Node) Leader() types.Addr        { return n.leaderAddr }
+func (n *Node) IsLeader() bool            { return n.role == leader }
+func (n *Node) Reason() string            { return n.reason }
+func (n *Node) Config() Configuration     { return n.config }
+func (n *Node) ConfigIndex() types.Index  { return n.configIndex }
+func (n *Node) Commit() types.Index       { return n.commitIndex }
+func (n *Node) Snapshot() Snapshot        { return n.snapshot }
+func (n *Node) LogBytes() int             { return n.logBytes }
+func (n *Node) Entry(i types.Index) Entry { return n.log[i-n.snapshot.Index-1] }
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -1,5 +1,5 @@
-// The log's way from the leader to the others: rounds, entries, snapshots, and
-// the commit that a majority of synced copies makes.
+// Replication of the log: rounds, entries, snapshots, and the commit index that a quorum
+// of synced copies gives.
 package raft
 
 import (
@@ -13,19 +13,21 @@
 )
 
 const (
-	bunch   = 256
-	longest = 120_000 // entries that a log may have before it takes no more
+	maxBatch      = 256
+	maxLogEntries = 120_000 // entries that a log may have before it takes no more
 )
 
 const never = types.Stamp(-1 << 62)
 
-func (c *Node) span(d time.Duration) time.Duration { return time.Duration(c.rnd.Int63n(int64(d))) }
+func (n *Node) randomUpTo(d time.Duration) time.Duration {
+	return time.Duration(n.rand.Int63n(int64(d)))
+}
 
-// nth gives the value that a majority of voters has reached.
-func nth[T cmp.Ordered](c *Node, f func(Member) T) T {
+// quorumValue gives the greatest value that a quorum of voters has reached.
+func quorumValue[T cmp.Ordered](n *Node, f func(Member) T) T {
 	var list []T
-	for _, m := range c.roll {
-		if m.Vote {
+	for _, m := range n.config {
+		if m.Voter {
 			list = append(list, f(m))
 		}
 	}
@@ -33,219 +35,218 @@
 	return list[(len(list)-1)/2]
 }
 
-func (c *Node) append(e Entry) types.Index {
-	e.Term, e.Index = c.vow.Term, c.last()+1
-	c.grown += len(e.Fact)
-	c.put([]Entry{e})
-	c.write(Record{Entries: []Entry{e}})
-	c.marked()
+func (n *Node) appendEntry(e Entry) types.Index {
+	e.Term, e.Index = n.voteRecord.Term, n.lastIndex()+1
+	n.logBytes += len(e.Data)
+	n.storeEntries([]Entry{e})
+	n.write(Record{Entries: []Entry{e}})
+	n.trackSync()
 	return e.Index
 }
 
-func (c *Node) marked() {
-	c.marks = append(c.marks, struct {
+func (n *Node) trackSync() {
+	n.unsynced = append(n.unsynced, struct {
 		seq uint64
 		at  types.Index
-	}{c.wrote, c.last()})
+	}{n.writtenBatch, n.lastIndex()})
 }
 
-// Propose puts a fact into the log; false when this member may not.
-func (c *Node) Propose(fact json.RawMessage) (types.Index, bool) {
-	if c.role != lead || c.heir != "" || len(c.log) > longest {
+// Propose appends data to the log; false when this member may not.
+func (n *Node) Propose(fact json.RawMessage) (types.Index, bool) {
+	if n.role != leader || n.transferTarget != "" || len(n.log) > maxLogEntries {
 		return 0, false
 	}
-	return c.append(Entry{Fact: fact}), true
+	return n.appendEntry(Entry{Data: fact}), true
 }
 
-// flush sends each member what it has not been sent. Entries that come while earlier
-// ones are on their way wait for the answer, so that under load one message carries
-// what one sync of a member's disk can take.
-func (c *Node) flush() {
-	if c.heir != "" && c.peer(c.heir).match == c.last() {
-		m, _ := c.roll.Find(c.heir)
-		c.say(m.Addr, wire.Heir, heir{c.name, c.heir, c.vow.Term})
-		c.retire()
+// replicate sends each member what it has not been sent. Entries that come while earlier
+// ones are in flight wait for the answer, so that under load one message carries what
+// one sync of a member's disk can take.
+func (n *Node) replicate() {
+	if n.transferTarget != "" && n.progressOf(n.transferTarget).match == n.lastIndex() {
+		m, _ := n.config.Find(n.transferTarget)
+		n.send(m.Addr, wire.Heir, timeoutNow{n.name, n.transferTarget, n.voteRecord.Term})
+		n.stepDown()
 		return
 	}
-	due := c.now.Mono.Sub(c.pulse) >= c.pace.Beat
+	due := n.now.Mono.Sub(n.lastRoundAt) >= n.timeouts.Heartbeat
 	if due {
-		c.pulse = c.now.Mono
+		n.lastRoundAt = n.now.Mono
 	}
-	for _, m := range c.roll {
-		if m.ID == c.self.ID {
+	for _, m := range n.config {
+		if m.ID == n.self.ID {
 			continue
 		}
-		t := c.peer(m.ID)
-		if c.now.Mono.Sub(t.heard) > c.pace.Least { // silent: only asked whether it is there
+		t := n.progressOf(m.ID)
+		if n.now.Mono.Sub(t.heardAt) > n.timeouts.ElectionMin { // silent: only asked whether it is there
 			if due {
 				t.next = t.match + 1
-				c.probe(m, t)
+				n.probe(m, t)
 			}
 			continue
 		}
-		if due && t.match+1 < t.next && c.now.Mono.Sub(t.sent) > 2*c.pace.Beat {
+		if due && t.match+1 < t.next && n.now.Mono.Sub(t.sentAt) > 2*n.timeouts.Heartbeat {
 			t.next = t.match + 1
 		}
-		flying := t.match+1 < t.next && c.now.Mono.Sub(t.sent) < c.pace.Beat
-		if due || t.next <= c.last() && !flying {
-			c.feed(m, t)
+		flying := t.match+1 < t.next && n.now.Mono.Sub(t.sentAt) < n.timeouts.Heartbeat
+		if due || t.next <= n.lastIndex() && !flying {
+			n.sendNext(m, t)
 		}
 	}
 }
 
-func (c *Node) push(m Member, prev types.Index) push {
-	t, _ := c.term(prev)
-	return push{Name: c.name, ID: c.self.ID, To: m.ID, Term: c.vow.Term, Prev: prev, PrevT: t, Commit: c.commit,
-		Round: c.now.Mono, Tick: c.Clock()}
+func (n *Node) newAppend(m Member, prev types.Index) appendEntries {
+	t, _ := n.termAt(prev)
+	return appendEntries{Name: n.name, ID: n.self.ID, To: m.ID, Term: n.voteRecord.Term, PrevIndex: prev, PrevTerm: t, Commit: n.commitIndex,
+		Round: n.now.Mono, Tick: n.Clock()}
 }
 
-// probe sends a member no entries, so that nothing piles up on the way to one
-// that does not take it.
-func (c *Node) probe(m Member, t *track) {
-	c.say(m.Addr, wire.Append, c.push(m, max(t.match, c.snap.Index)))
+// probe sends a silent member no entries, so that nothing piles up in flight.
+func (n *Node) probe(m Member, t *progress) {
+	n.send(m.Addr, wire.Append, n.newAppend(m, max(t.match, n.snapshot.Index)))
 }
 
-func (c *Node) feed(m Member, t *track) {
-	p := c.push(m, t.next-1)
-	if t.next <= c.snap.Index {
-		if c.now.Mono.Sub(t.sent) > 5*c.pace.Beat && c.snap.Count > 0 {
-			t.sent, p.Prev, p.PrevT = c.now.Mono, c.snap.Index, c.snap.Term
-			t.part = min(t.part, c.snap.Count-1)
-			c.say(m.Addr, wire.Snap, snap{p, c.snap, t.part, c.snap.Parts[t.part]})
+func (n *Node) sendNext(m Member, t *progress) {
+	p := n.newAppend(m, t.next-1)
+	if t.next <= n.snapshot.Index {
+		if n.now.Mono.Sub(t.sentAt) > 5*n.timeouts.Heartbeat && n.snapshot.Count > 0 {
+			t.sentAt, p.PrevIndex, p.PrevTerm = n.now.Mono, n.snapshot.Index, n.snapshot.Term
+			t.part = min(t.part, n.snapshot.Count-1)
+			n.send(m.Addr, wire.Snap, installSnapshot{p, n.snapshot, t.part, n.snapshot.Parts[t.part]})
 		}
 		return
 	}
-	if t.next <= c.last() {
-		rest := c.log[t.next-c.snap.Index-1:]
-		p.Entries = rest[:min(len(rest), bunch)]
+	if t.next <= n.lastIndex() {
+		rest := n.log[t.next-n.snapshot.Index-1:]
+		p.Entries = rest[:min(len(rest), maxBatch)]
 		t.next += types.Index(len(p.Entries))
-		t.sent = c.now.Mono
+		t.sentAt = n.now.Mono
 	}
-	c.say(m.Addr, wire.Append, p)
+	n.send(m.Addr, wire.Append, p)
 }
 
-func (c *Node) onPush(from types.Addr, p push) {
+func (n *Node) onAppendEntries(from types.Addr, p appendEntries) {
 	for i, e := range p.Entries {
-		if e.Index != p.Prev+types.Index(i)+1 {
+		if e.Index != p.PrevIndex+types.Index(i)+1 {
 			return // not what a leader says
 		}
 	}
-	if !c.meet(from, p) {
+	if !n.acceptLeader(from, p) {
 		return
 	}
-	a := taken{Name: c.name, ID: c.self.ID, Term: c.vow.Term, Round: p.Round, Wall: c.now.Wall}
-	t, ok := c.term(p.Prev)
-	if p.Prev < c.snap.Index {
-		skip := min(int(c.snap.Index-p.Prev), len(p.Entries))
-		p.Entries, p.Prev = p.Entries[skip:], p.Prev+types.Index(skip)
-		ok, t, p.PrevT = true, c.snap.Term, c.snap.Term
+	a := appendReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term, Round: p.Round, Wall: n.now.Wall}
+	t, ok := n.termAt(p.PrevIndex)
+	if p.PrevIndex < n.snapshot.Index {
+		skip := min(int(n.snapshot.Index-p.PrevIndex), len(p.Entries))
+		p.Entries, p.PrevIndex = p.Entries[skip:], p.PrevIndex+types.Index(skip)
+		ok, t, p.PrevTerm = true, n.snapshot.Term, n.snapshot.Term
 	}
-	if !ok || t != p.PrevT {
-		a.Match = min(c.last(), p.Prev-1)
-		c.say(from, wire.Append2, a)
+	if !ok || t != p.PrevTerm {
+		a.Match = min(n.lastIndex(), p.PrevIndex-1)
+		n.send(from, wire.Append2, a)
 		return
 	}
-	tip := p.Prev + types.Index(len(p.Entries))
+	tip := p.PrevIndex + types.Index(len(p.Entries))
 	for i, e := range p.Entries {
-		if t, ok := c.term(e.Index); !ok || t != e.Term {
-			c.synced = min(c.synced, e.Index-1)
-			for j := range c.marks {
-				c.marks[j].at = min(c.marks[j].at, e.Index-1)
+		if t, ok := n.termAt(e.Index); !ok || t != e.Term {
+			n.syncedIndex = min(n.syncedIndex, e.Index-1)
+			for j := range n.unsynced {
+				n.unsynced[j].at = min(n.unsynced[j].at, e.Index-1)
 			}
-			c.put(p.Entries[i:])
-			c.write(Record{Entries: p.Entries[i:]})
-			c.marked()
-			c.settle()
+			n.storeEntries(p.Entries[i:])
+			n.write(Record{Entries: p.Entries[i:]})
+			n.trackSync()
+			n.assignRole()
 			break
 		}
 	}
 	for _, e := range p.Entries {
-		c.grown += len(e.Fact)
+		n.logBytes += len(e.Data)
 	}
-	c.commit = max(c.commit, min(p.Commit, tip))
-	a.OK, a.Match = true, min(tip, c.synced)
-	if tip <= c.synced || c.now.Mono.Sub(c.stall) >= c.pace.Beat { // a slow disk is no silence
-		c.say(from, wire.Append2, a)
+	n.commitIndex = max(n.commitIndex, min(p.Commit, tip))
+	a.OK, a.Match = true, min(tip, n.syncedIndex)
+	if tip <= n.syncedIndex || n.now.Mono.Sub(n.diskAnsweredAt) >= n.timeouts.Heartbeat { // a slow disk is no silence
+		n.send(from, wire.Append2, a)
 	}
-	if tip > c.synced {
+	if tip > n.syncedIndex {
 		a.Match = tip
-		c.hold(c.wrote, from, wire.Append2, a)
+		n.sendAfter(n.writtenBatch, from, wire.Append2, a)
 	}
 }
 
-// meet is what a push and a snapshot have in common: is it for me, is it from
-// the leader of now, and if so it is heard.
-func (c *Node) meet(from types.Addr, p push) bool {
-	if p.To != c.self.ID || c.role == out || c.name != "" && p.Name != c.name {
+// acceptLeader is the part common to entries and snapshots: false unless the message is
+// for this node and from the leader of the current term.
+func (n *Node) acceptLeader(from types.Addr, p appendEntries) bool {
+	if p.To != n.self.ID || n.role == removed || n.name != "" && p.Name != n.name {
 		return false
 	}
-	if c.name == "" {
-		k := Charter{Name: p.Name}
-		if c.pledge != nil && c.pledge.Name == p.Name {
-			k = *c.pledge
+	if n.name == "" {
+		k := BootstrapConfig{Name: p.Name}
+		if n.promised != nil && n.promised.Name == p.Name {
+			k = *n.promised
 		}
-		c.adopt(k)
+		n.adoptBootstrap(k)
 	}
-	if p.Term < c.vow.Term {
-		c.say(from, wire.Append2, taken{Name: c.name, ID: c.self.ID, Term: c.vow.Term})
+	if p.Term < n.voteRecord.Term {
+		n.send(from, wire.Append2, appendReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term})
 		return false
 	}
-	if p.Term > c.vow.Term {
-		c.yield(p.Term)
+	if p.Term > n.voteRecord.Term {
+		n.becomeFollower(p.Term)
 	}
-	c.settle()
-	c.leader, c.leadAt, c.heard = p.ID, from, c.now.Mono
-	c.follow(p.Term, p.Tick)
-	c.rest()
+	n.assignRole()
+	n.leaderID, n.leaderAddr, n.leaderHeardAt = p.ID, from, n.now.Mono
+	n.followClock(p.Term, p.Tick)
+	n.resetElectionTimer()
 	return true
 }
 
-func (c *Node) onSnap(from types.Addr, s snap) {
-	if !c.meet(from, s.push) {
+func (n *Node) onInstallSnapshot(from types.Addr, s installSnapshot) {
+	if !n.acceptLeader(from, s.appendEntries) {
 		return
 	}
-	a := taken{Name: c.name, ID: c.self.ID, Term: c.vow.Term, OK: true, Match: s.Snap.Index, Round: s.Round, Wall: c.now.Wall}
-	if s.Snap.Index > c.commit {
-		if x := &c.coming; x.Index != s.Snap.Index || x.Term != s.Snap.Term {
+	a := appendReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term, OK: true, Match: s.Snap.Index, Round: s.Round, Wall: n.now.Wall}
+	if s.Snap.Index > n.commitIndex {
+		if x := &n.incoming; x.Index != s.Snap.Index || x.Term != s.Snap.Term {
 			*x = s.Snap
 		}
-		if s.No == len(c.coming.Parts) {
-			c.coming.Parts = append(c.coming.Parts, s.Part)
+		if s.PartNo == len(n.incoming.Parts) {
+			n.incoming.Parts = append(n.incoming.Parts, s.Part)
 		}
-		if len(c.coming.Parts) < s.Snap.Count {
-			a.Match, a.Parts = 0, len(c.coming.Parts)
-			c.say(from, wire.Append2, a)
+		if len(n.incoming.Parts) < s.Snap.Count {
+			a.Match, a.Parts = 0, len(n.incoming.Parts)
+			n.send(from, wire.Append2, a)
 			return
 		}
-		c.snap, c.log, c.marks = c.coming, nil, nil
-		c.coming, c.grown = Snap{}, 0
-		c.commit, c.synced = s.Snap.Index, 0
-		c.reroll()
-		c.settle()
-		c.rewrite()
-		c.marked()
-	}
-	c.hold(c.wrote, from, wire.Append2, a)
+		n.snapshot, n.log, n.unsynced = n.incoming, nil, nil
+		n.incoming, n.logBytes = Snapshot{}, 0
+		n.commitIndex, n.syncedIndex = s.Snap.Index, 0
+		n.reloadConfig()
+		n.assignRole()
+		n.rewrite()
+		n.trackSync()
+	}
+	n.sendAfter(n.writtenBatch, from, wire.Append2, a)
 }
 
-func (c *Node) onTaken(_ types.Addr, a taken) {
-	if a.Name != c.name {
+func (n *Node) onAppendReply(_ types.Addr, a appendReply) {
+	if a.Name != n.name {
 		return
 	}
-	if a.Term > c.vow.Term {
-		c.yield(a.Term)
+	if a.Term > n.voteRecord.Term {
+		n.becomeFollower(a.Term)
 		return
 	}
-	if _, ok := c.roll.Find(a.ID); !ok || c.role != lead || a.Term != c.vow.Term {
+	if _, ok := n.config.Find(a.ID); !ok || n.role != leader || a.Term != n.voteRecord.Term {
 		return
 	}
-	t := c.peer(a.ID)
+	t := n.progressOf(a.ID)
 	if a.Round > t.round {
-		t.round, t.off = a.Round, a.Wall-types.Wall(c.Clock())
+		t.round, t.wallOffset = a.Round, a.Wall-types.Wall(n.Clock())
 	}
-	t.heard = c.now.Mono
+	t.heardAt = n.now.Mono
 	if a.Parts > 0 {
-		t.part, t.sent = a.Parts, never
+		t.part, t.sentAt = a.Parts, never
 		return
 	}
 	if !a.OK {
@@ -256,81 +257,81 @@
 	}
 	t.match = max(t.match, a.Match)
 	t.next = max(t.next, t.match+1)
-	c.advance()
+	n.advanceCommit()
 }
 
-func (c *Node) advance() {
-	to := nth(c, func(m Member) types.Index {
-		if m.ID == c.self.ID {
-			return c.synced
+func (n *Node) advanceCommit() {
+	to := quorumValue(n, func(m Member) types.Index {
+		if m.ID == n.self.ID {
+			return n.syncedIndex
 		}
-		return c.peer(m.ID).match
+		return n.progressOf(m.ID).match
 	})
-	if t, ok := c.term(to); ok && t == c.vow.Term && to > c.commit {
-		c.commit = to
+	if t, ok := n.termAt(to); ok && t == n.voteRecord.Term && to > n.commitIndex {
+		n.commitIndex = to
 	}
 }
 
-// Compact takes a state as of index i in place of the log up to it.
-func (c *Node) Compact(i types.Index, parts [][]byte) {
-	if i <= c.snap.Index || i > c.commit {
+// Compact replaces the log up to index i by the state as of it.
+func (n *Node) Compact(i types.Index, parts [][]byte) {
+	if i <= n.snapshot.Index || i > n.commitIndex {
 		return
 	}
-	t, _ := c.term(i)
-	roll := c.snap.Roll
-	for _, e := range c.log[:i-c.snap.Index] {
-		if e.Roll != nil {
-			roll = e.Roll
+	t, _ := n.termAt(i)
+	config := n.snapshot.Config
+	for _, e := range n.log[:i-n.snapshot.Index] {
+		if e.Config != nil {
+			config = e.Config
 		}
 	}
-	c.log = slices.Clone(c.log[i-c.snap.Index:])
-	c.snap = Snap{Index: i, Term: t, Roll: roll, Count: len(parts), Parts: parts}
-	c.grown = 0
-	for _, m := range c.peers {
+	n.log = slices.Clone(n.log[i-n.snapshot.Index:])
+	n.snapshot = Snapshot{Index: i, Term: t, Config: config, Count: len(parts), Parts: parts}
+	n.logBytes = 0
+	for _, m := range n.progress {
 		m.part = 0
 	}
-	c.rewrite()
-	c.marked()
+	n.rewrite()
+	n.trackSync()
 }
 
-// rewrite gathers the records that stand for everything.
-func (c *Node) rewrite() {
-	c.writes = nil
-	v, s := c.vow, c.snap
-	c.write(Record{Self: &Self{c.self.ID, c.origin.First}})
-	c.write(Record{Charter: &Charter{Name: c.name, Roll: s.Roll}})
-	c.write(Record{Vow: &v})
-	c.write(Record{Snap: &s})
+// rewrite collects the records that replace the whole file.
+func (n *Node) rewrite() {
+	n.writes = nil
+	v, s := n.voteRecord, n.snapshot
+	n.write(Record{Identity: &Identity{n.self.ID, n.bootstrap.First}})
+	n.write(Record{Bootstrap: &BootstrapConfig{Name: n.name, Config: s.Config}})
+	n.write(Record{Vote: &v})
+	n.write(Record{Snapshot: &s})
 	for _, b := range s.Parts {
-		c.write(Record{part: b})
+		n.write(Record{part: b})
 	}
-	if len(c.log) > 0 {
-		c.write(Record{Entries: c.log})
+	if len(n.log) > 0 {
+		n.write(Record{Entries: n.log})
 	}
-	c.whole = true
+	n.replacesFile = true
 }
 
-// duty is what the leader does as time passes.
-func (c *Node) duty() {
-	if c.heir != "" && c.now.Mono >= c.heirBy {
-		c.retire()
+// leaderTick is what the leader does as time passes.
+func (n *Node) leaderTick() {
+	if n.transferTarget != "" && n.now.Mono >= n.transferDeadline {
+		n.stepDown()
 		return
 	}
-	if c.now.Mono.Sub(c.round()) > c.pace.Stall && c.now.Mono.Sub(c.peer(c.self.ID).heard) > c.pace.Stall {
-		c.retire()
+	if n.now.Mono.Sub(n.quorumRound()) > n.timeouts.Stall && n.now.Mono.Sub(n.progressOf(n.self.ID).heardAt) > n.timeouts.Stall {
+		n.stepDown()
 		return
 	}
-	if c.stuck() && c.heir == "" && !c.HandOver(c.now) {
-		c.retire()
+	if n.diskStalled() && n.transferTarget == "" && !n.TransferLeadership(n.now) {
+		n.stepDown()
 		return
 	}
-	c.tend()
+	n.maintainMembers()
 }
 
-func (c *Node) retire() {
-	c.heir, c.leader, c.leadAt = "", "", ""
-	c.role = follow
-	c.settle()
-	c.rest()
-	c.wait = c.wait.Add(c.pace.Least)
+func (n *Node) stepDown() {
+	n.transferTarget, n.leaderID, n.leaderAddr = "", "", ""
+	n.role = follower
+	n.assignRole()
+	n.resetElectionTimer()
+	n.electionDeadline = n.electionDeadline.Add(n.timeouts.ElectionMin)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -46,8 +46,8 @@
 func Defaults() Settings {
 	t, a := dispatch.Defaults, raft.Defaults
 	return Settings{Listen: "127.0.0.1:7400", Log: "info", Bounds: Usual, Pace: Timeouts{Beat: ms(t.Beat), Ill: ms(t.Ill), Loss: ms(t.Loss),
-		Grant: ms(t.Grant), Worker: ms(t.Worker), Again: ms(t.Again), Round: ms(a.Beat), Election: ms(a.Least),
-		Stall: ms(a.Stall), Dead: ms(a.Dead), Stale: ms(configwatch.Stale)}}
+		Grant: ms(t.Grant), Worker: ms(t.Worker), Again: ms(t.Again), Round: ms(a.Heartbeat), Election: ms(a.ElectionMin),
+		Stall: ms(a.Stall), Dead: ms(a.ReplaceAfter), Stale: ms(configwatch.Stale)}}
 }
 
 // ReadSettings lays a file over the defaults.
@@ -147,7 +147,7 @@
 }
 
 func (p Timeouts) Core() raft.Timeouts {
-	return raft.Timeouts{Beat: un(p.Round), Least: un(p.Election), Stall: un(p.Stall), Dead: un(p.Dead), Hold: un(p.Grant)}
+	return raft.Timeouts{Heartbeat: un(p.Round), ElectionMin: un(p.Election), Stall: un(p.Stall), ReplaceAfter: un(p.Dead), Authority: un(p.Grant)}
 }
 
 // News is how old a gateway's confirmation of the table may be.
--- a/sim/check.go
+++ b/sim/check.go
@@ -90,7 +90,7 @@
 // alone is how long a gang's member may run on after a peer was lost: until the
 // loss is known, an election, a commit, and a stop repeated until it arrives.
 func alone(p dispatch.Timeouts, a raft.Timeouts) time.Duration {
-	return p.Loss + p.Beat + 2*a.Least + a.Stall + p.Again/2 + dispatch.Slack + 400*time.Millisecond
+	return p.Loss + p.Beat + 2*a.ElectionMin + a.Stall + p.Again/2 + dispatch.Slack + 400*time.Millisecond
 }
 
 // Rules are the brief's bounds.
--- a/sim/grown_rig_test.go
+++ b/sim/grown_rig_test.go
@@ -56,7 +56,7 @@
 			return false
 		}
 	}
-	return s.Roll.Votes() == votes && len(s.Roll) == len(r.controllers)
+	return s.Roll.Voters() == votes && len(s.Roll) == len(r.controllers)
 }
 
 // table has an operator put the next table; acked tells whether it was taken.
--- a/sim/grown_test.go
+++ b/sim/grown_test.go
@@ -30,7 +30,7 @@
 				votes := min(n, 9)
 				r.must(t, "all vote in time", r.waits(5*time.Second, func() bool { return r.whole(votes) }))
 				for _, m := range r.status(r.leader()).Roll {
-					r.must(t, "who was there at the first start is no guest", !m.Guest)
+					r.must(t, "who was there at the first start is no guest", !m.Provisional)
 				}
 				r.must(t, "losses borne are told", r.status(r.leader()).Bears == (votes-1)/2)
 			})
@@ -286,7 +286,7 @@
 	r.Split([]types.Addr{"h1x"}, cut, true, true)
 	r.wait(10 * time.Second)
 	roll := r.status(r.leader()).Roll
-	is.Equal(roll.Votes(), 8)
+	is.Equal(roll.Voters(), 8)
 	for i, id := range ids {
 		_, ok := roll.Find(id)
 		is.Equal(ok, i < 2)
@@ -310,7 +310,7 @@
 	r.controllers = r.controllers[1:]
 	r.wait(50 * time.Second)
 	s := r.status(r.leader())
-	is.Equal(s.Roll.Votes(), 9)
+	is.Equal(s.Roll.Voters(), 9)
 	for _, m := range s.Roll {
 		is.True(m.Addr != lost.addr)
 	}
--- a/sim/world.go
+++ b/sim/world.go
@@ -304,7 +304,7 @@
 		}
 		n.disk.safe = n.disk.safe[:keep]
 		core := w.core
-		core.Hold = w.pace.Grant
+		core.Authority = w.pace.Grant
 		return controller.New(n.clock(), w.chance(), controller.Options{Addr: addr, Zone: zone, Seeds: w.seeds,
 			Begin: raft.Bootstrap{First: n.first && !n.disk.wiped, Founders: w.founders}, Core: core, Truth: w.pace, Every: 600}, recs)
 	})
