--- a/cmd/coppersim/capacity.go
+++ b/cmd/coppersim/capacity.go
@@ -1,4 +1,4 @@
-// The capacity runs: hollow fleets of several sizes, idle and under traffic in
+// The capacity runs: simulated fleets of several sizes, idle and under traffic in
 // proportion; what each role spends goes to a folder as CSV, markdown and plots.
 package main
 
@@ -19,7 +19,7 @@
 )
 
 type capacityRun struct {
-	plan       sim.HollowPlan
+	plan       sim.ScalePlan
 	idle, busy string
 	out        string
 	budget     time.Duration
--- a/cmd/coppersim/fleet.go
+++ b/cmd/coppersim/fleet.go
@@ -1,4 +1,4 @@
-// The fleet: a town of real processes on loopback, its traffic, faults, and the
+// The fleet: a deployment of real processes on loopback, its traffic, faults, and the
 // checker's verdict; and the worker process that the fleet starts.
 package main
 
@@ -18,13 +18,13 @@
 )
 
 func fleet(app *kingpin.Application, runs map[string]func() error) {
-	c := app.Command("fleet", "Run a town of real processes with its traffic and faults.")
-	town := c.Flag("town", "kingston or romania.").Default("kingston").Enum("kingston", "romania")
+	c := app.Command("fleet", "Run a deployment of real processes with its traffic and faults.")
+	deployment := c.Flag("deployment", "kingston or romania.").Default("kingston").Enum("kingston", "romania")
 	bin := c.Flag("bin", "The coppercourse program.").Default("bin/coppercourse").ExistingFile()
 	dir := c.Flag("dir", "Folder for logs, data and histories; a new one by default.").String()
 	port := c.Flag("port", "Port of all daemons, each on its own loopback address.").Default("7400").Int()
 	long := c.Flag("for", "How long the traffic goes on.").Default("30s").Duration()
-	speed := c.Flag("speed", "Times the town's usual rates.").Default("1").Float64()
+	speed := c.Flag("speed", "Times the deployment's usual rates.").Default("1").Float64()
 	idle := c.Flag("idle", "Before the traffic, let the fleet be so long and tell what its daemons spend.").Duration()
 	seed := c.Flag("seed", "Seed of the callers.").Default("1").Int64()
 	faults := c.Flag("faults", "Faults as name@at+long, by comma.").String()
@@ -46,7 +46,7 @@
 				return err
 			}
 		}
-		f := &sim.Fleet{Town: sim.Towns[*town], Dir: *dir, Bin: *bin, Self: self, Port: *port}
+		f := &sim.Fleet{Deployment: sim.Deployments[*deployment], Dir: *dir, Bin: *bin, Self: self, Port: *port}
 		defer f.Shut()
 		if err := f.Open(ctx); err != nil {
 			return err
@@ -56,8 +56,8 @@
 			return err
 		}
 		fmt.Printf("ready after %s; logs in %s\n", time.Since(from).Round(10*time.Millisecond), filepath.Clean(*dir))
-		s := sim.NewStreet(f, *seed, *speed)
-		if _, err := s.Put(f.Town.Table()); err != nil {
+		s := sim.NewWorkload(f, *seed, *speed)
+		if _, err := s.Put(f.Deployment.Table()); err != nil {
 			return err
 		}
 		if *idle > 0 {
@@ -94,7 +94,7 @@
 	hist := w.Flag("history", "File that its history is appended to.").Default("worker.history").String()
 	made := w.Flag("make", "What it is made of, as JSON.").Default(`{"Shard":"k1","Rack":"r1","Kinds":["quote"],"Room":{"cores":4,"memory":1024}}`).String()
 	runs["worker"] = func() error {
-		var m sim.Make
+		var m sim.WorkerSpec
 		if err := json.Unmarshal([]byte(*made), &m); err != nil {
 			return fmt.Errorf("--make: %w", err)
 		}
--- a/cmd/coppersim/main.go
+++ b/cmd/coppersim/main.go
@@ -1,5 +1,5 @@
 // The trial program: proof only. `sweep` runs the simulator over many seeds,
-// `fleet` runs real processes, `capacity` measures hollow fleets. Daemons start
+// `fleet` runs real processes, `capacity` measures simulated fleets. Daemons start
 // no process; this one does.
 package main
 
--- a/cmd/coppersim/sweep.go
+++ b/cmd/coppersim/sweep.go
@@ -39,18 +39,18 @@
 	c := app.Command("sweep", "Run the simulator over many seeds.")
 	c.Flag("first", "First seed.").Default("1").Int64Var(&s.plan.Seed)
 	c.Flag("seeds", "How many seeds.").Default("200").IntVar(&s.seeds)
-	c.Flag("town", "kingston or romania, or kingston-called or romania-called, whose workers are called.").Default("kingston").
-		EnumVar(&s.plan.Town, "kingston", "romania", "kingston-called", "romania-called")
-	c.Flag("faults", "Faults to draw from, by comma; all that the town knows by default. A wrong name prints the list.").StringVar(&s.faults)
-	c.Flag("bare", "Called workers guard nothing.").BoolVar(&s.plan.Bare)
+	c.Flag("deployment", "kingston or romania, or kingston-called or romania-called, whose workers are invoked.").Default("kingston").
+		EnumVar(&s.plan.Deployment, "kingston", "romania", "kingston-called", "romania-called")
+	c.Flag("faults", "Faults to draw from, by comma; all that the deployment knows by default. A wrong name prints the list.").StringVar(&s.faults)
+	c.Flag("bare", "Invoked workers guard nothing.").BoolVar(&s.plan.Unguarded)
 	c.Flag("quick", "The quick pace, as where the surroundings give bounds.").BoolVar(&s.plan.Quick)
 	c.Flag("lease", "How long an agent's grant lasts, in place of the usual; loss comes a quarter later.").DurationVar(&s.lease)
 	c.Flag("count", "Faults in a run.").Default("8").IntVar(&s.plan.Count)
-	c.Flag("calm", "Traffic before the faults.").Default("10s").DurationVar(&s.plan.Calm)
-	c.Flag("storm", "How long faults come.").Default("30s").DurationVar(&s.plan.Storm)
+	c.Flag("before", "Traffic before the faults.").Default("10s").DurationVar(&s.plan.Before)
+	c.Flag("faults-for", "How long faults come.").Default("30s").DurationVar(&s.plan.FaultsFor)
 	c.Flag("after", "Traffic after they are healed.").Default("24s").DurationVar(&s.plan.After)
 	c.Flag("settle", "Time for everything to end.").Default("90s").DurationVar(&s.plan.Settle)
-	c.Flag("patience", "Every queue's patience; little of it shows that grants alone keep legs apart.").Default("30s").DurationVar(&s.plan.Patience)
+	c.Flag("patience", "Every queue's patience; little of it shows that grants alone keep attempts apart.").Default("30s").DurationVar(&s.plan.Patience)
 	c.Flag("last", "One more fault at the very end of the traffic.").BoolVar(&s.plan.Last)
 	c.Flag("pairs", "Each seed draws from one pair of the faults, all pairs in turn; --seeds 0 is one of each.").BoolVar(&s.pairs)
 	c.Flag("each", "Each seed draws from one fault, all in turn; --seeds 0 is one of each.").BoolVar(&s.each)
@@ -60,18 +60,18 @@
 }
 
 func (s *sweeper) run() error {
-	known := sim.FaultsOf(s.plan.Town)
+	known := sim.FaultsOf(s.plan.Deployment)
 	if s.plan.Faults = known; s.faults != "" {
 		s.plan.Faults = strings.Split(s.faults, ",")
 	}
 	for _, f := range s.plan.Faults {
 		if !slices.Contains(known, f) {
-			return fmt.Errorf("no fault of %s is called %q; there are %s", s.plan.Town, f, strings.Join(known, ", "))
+			return fmt.Errorf("no fault of %s is called %q; there are %s", s.plan.Deployment, f, strings.Join(known, ", "))
 		}
 	}
 	if s.lease > 0 {
-		s.plan.Pace = dispatch.Defaults
-		s.plan.Pace.Grant, s.plan.Pace.Loss = s.lease, s.lease*5/4
+		s.plan.Timeouts = dispatch.Defaults
+		s.plan.Timeouts.Grant, s.plan.Timeouts.Loss = s.lease, s.lease*5/4
 	}
 	sets := s.sets()
 	if s.seeds == 0 {
@@ -95,8 +95,8 @@
 	close(seeds)
 	all.Wait()
 	fmt.Printf("chances the rules had:\n%v", s.seen)
-	fmt.Printf("%d seeds of %s, %d legs run, %d seeds broke a rule, %d re-runs after an end nobody alive was told of; took %s\n",
-		s.seeds, s.plan.Town, s.attempts, s.bad, s.seen.Reruns(), time.Since(from).Round(time.Second))
+	fmt.Printf("%d seeds of %s, %d attempts run, %d seeds broke a rule, %d re-runs after an end nobody alive was told of; took %s\n",
+		s.seeds, s.plan.Deployment, s.attempts, s.bad, s.seen.Reruns(), time.Since(from).Round(time.Second))
 	fmt.Printf("jobs done for each one sent from 12 s after healing, beside before the faults: %s\n", sim.Spread(s.after))
 	s.worst()
 	if s.bad > 0 {
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -50,9 +50,9 @@
 	term   types.Term
 	head   *dispatch.Scheduler
 	hand   *dispatch.Executor
-	worker *sim.Called
-	floor  *sim.Floor
-	made   sim.Make
+	worker *sim.InvokedWorker
+	floor  *sim.WorkerEnvironment
+	made   sim.WorkerSpec
 	lives  int
 	agents int
 	seq    uint64
@@ -79,8 +79,8 @@
 
 func newRig(t *testing.T, seed int64, pace dispatch.Timeouts) *rig {
 	r := &rig{t: t, rnd: rand.New(rand.NewSource(seed)), pace: pace, grace: pace.Grant, now: types.Stamp(time.Hour),
-		floor: sim.NewFloor(sim.Manner{Lease: 6 * time.Second, Stop: 400 * ms, Gang: 3 * time.Second, Save: 2 * time.Second, Restore: 600 * ms, Far: 1.5}),
-		made:  sim.Make{Shard: "s", Rack: "r", Kinds: []types.Kind{"x"}, Room: types.Room{Cores: 8 * types.Core}, Guards: true},
+		floor: sim.NewWorkerEnvironment(sim.WorkerRules{Lease: 6 * time.Second, Stop: 400 * ms, Gang: 3 * time.Second, Save: 2 * time.Second, Restore: 600 * ms, Far: 1.5}),
+		made:  sim.WorkerSpec{Shard: "s", Rack: "r", Kinds: []types.Kind{"x"}, Room: types.Room{Cores: 8 * types.Core}, Guards: true},
 		how:   func(wire.WorkerCall) way { return fine }, lag: func() time.Duration { return 3 * time.Second },
 		out: map[types.Attempt]bool{}, log: map[types.Attempt]state.Outcome{}, runs: map[types.Attempt]bool{}, began: map[types.Attempt]int{},
 		hows: map[types.Attempt]wire.How{}, noted: map[types.Attempt]bool{}, flight: map[state.End]bool{}}
@@ -159,7 +159,7 @@
 	id := types.ID(fmt.Sprint("k", r.lives))
 	r.seq = 0
 	clear(r.runs)
-	r.worker = sim.NewCalled(r.made, id, r.floor, r.rnd, func() types.Stamp { return r.now }, func(h sim.Happening) {
+	r.worker = sim.NewInvokedWorker(r.made, id, r.floor, r.rnd, func() types.Stamp { return r.now }, func(h sim.HistoryEvent) {
 		if r.worker == nil || types.ID(h.Who) != r.worker.ID {
 			return
 		}
--- a/sim/reign.go
+++ b/sim/active_tables.go
@@ -12,8 +12,8 @@
 	"coppercourse/internal/types"
 )
 
-// reign is one table that was put and may be in force.
-type reign struct {
+// activeTable is one table that was put and may be in force.
+type activeTable struct {
 	config.Table
 	base  types.Version
 	from  int64 // put at the earliest
@@ -48,21 +48,21 @@
 	return
 }
 
-func (c *checker) reign() {
-	find := func(t config.Table) *reign {
-		for i := range c.reigns {
-			if r := &c.reigns[i]; r.Version == t.Version && r.Same(t) {
+func (c *checker) collectTables() {
+	find := func(t config.Table) *activeTable {
+		for i := range c.activeTables {
+			if r := &c.activeTables[i]; r.Version == t.Version && r.Same(t) {
 				return r
 			}
 		}
-		return &reign{}
+		return &activeTable{}
 	}
 	for _, h := range c.hist.List {
 		switch h.What {
 		case TableTry:
 			t := h.Table.Next()
 			if r := find(t); r.from == 0 {
-				c.reigns = append(c.reigns, reign{Table: t, base: h.Table.Version, from: h.At})
+				c.activeTables = append(c.activeTables, activeTable{Table: t, base: h.Table.Version, from: h.At})
 			}
 		case TableAck:
 			if r := find(*h.Table); r.acked == 0 {
@@ -74,28 +74,28 @@
 			find(h.Table.Next()).no = true
 		}
 	}
-	kept := c.reigns[:0]
-	for _, r := range c.reigns {
+	kept := c.activeTables[:0]
+	for _, r := range c.activeTables {
 		rival := false
-		for _, o := range c.reigns {
+		for _, o := range c.activeTables {
 			rival = rival || o.base == r.base && (o.Version != r.Version || !o.Same(r.Table)) && (o.acked > 0 || o.read)
 		}
 		if !rival && (!r.no || r.acked > 0 || r.read) {
 			kept = append(kept, r)
 		}
 	}
-	c.reigns = kept
+	c.activeTables = kept
 }
 
 // rows are a queue's rows that may be followed somewhere in a stretch.
 func (c *checker) rows(q types.Queue, from, to int64) (list []config.Row) {
 	over := types.Version(0)
-	for _, r := range c.reigns {
+	for _, r := range c.activeTables {
 		if r.acked > 0 && r.acked+int64(c.b.Table) < from {
 			over = max(over, r.Version)
 		}
 	}
-	for _, r := range c.reigns {
+	for _, r := range c.activeTables {
 		if row, ok := r.Find(q); ok && r.from <= to && r.Version >= over {
 			list = append(list, row)
 		}
--- a/sim/attempt.go
+++ b/sim/attempt.go
@@ -1,4 +1,4 @@
-// What runs on a worker that is called: work that gets on by the clock, saves its
+// What runs on a worker that is invoked: work that gets on by the clock, saves its
 // progress where its step says so, waits for its gang, and ends.
 package sim
 
@@ -19,7 +19,7 @@
 
 // attempt is one attempt that runs.
 type attempt struct {
-	w       *Called
+	w       *InvokedWorker
 	attempt types.Attempt
 	step    *state.Step // nil for what nobody sent
 	room    types.Room
@@ -37,28 +37,28 @@
 }
 
 // start begins an attempt, whoever sent it.
-func (w *Called) start(c wire.WorkerCall, step *state.Step) {
+func (w *InvokedWorker) start(c wire.WorkerCall, step *state.Step) {
 	now := w.time()
 	k := task(c.Work)
 	a := &attempt{w: w, attempt: c.Attempt, step: step, from: now, at: now, ready: now, work: k.length(c.Attempt.Task), fails: math.Inf(1), slow: 1}
 	if step != nil {
 		a.room = step.Room
-		a.slow = w.floor.far(w, c.Attempt, step)
+		a.slow = w.environment.far(w, c.Attempt, step)
 		switch {
 		case step.Lasts:
 			a.work, a.fails = math.Inf(1), 1000*w.rnd.ExpFloat64()*30
 		case step.Keeps && c.Ref != "":
-			a.ref, a.did = c.Ref, w.floor.saves[c.Ref]
-			a.kept, a.ready = a.did, now.Add(w.floor.Restore)
+			a.ref, a.did = c.Ref, w.environment.saves[c.Ref]
+			a.kept, a.ready = a.did, now.Add(w.environment.Restore)
 		}
 	}
 	if k.Fail || w.rnd.Float64() < k.Fails+w.Fails {
 		a.fails = min(a.fails, a.did+(a.work-a.did)*(0.1+0.9*w.rnd.Float64()))
 	}
 	w.runs[c.Attempt] = a
-	w.say(Happening{What: Started, Attempt: c.Attempt, Work: c.Work, Ref: c.Ref, Late: w.late})
+	w.say(HistoryEvent{What: Started, Attempt: c.Attempt, Work: c.Work, Ref: c.Ref, Late: w.late})
 	if step != nil && step.Joint {
-		w.floor.join(a)
+		w.environment.join(a)
 	}
 }
 
@@ -86,7 +86,7 @@
 		a.did += float64(until.Sub(from).Microseconds()) / 1000 / (a.w.Slow * a.slow)
 	}
 	a.at = max(a.at, until)
-	if every := float64(a.w.floor.Save.Milliseconds()); a.step != nil && a.step.Keeps && a.did-a.kept >= every {
+	if every := float64(a.w.environment.Save.Milliseconds()); a.step != nil && a.step.Keeps && a.did-a.kept >= every {
 		a.save(math.Floor(a.did/every) * every)
 	}
 }
@@ -94,12 +94,12 @@
 // save takes a reference for what has been done.
 func (a *attempt) save(did float64) {
 	a.kept = min(did, a.work)
-	a.ref = a.w.floor.save(a.w.rnd, a.kept)
-	a.w.say(Happening{What: Saved, Attempt: a.attempt, Ref: a.ref})
+	a.ref = a.w.environment.save(a.w.rnd, a.kept)
+	a.w.say(HistoryEvent{What: Saved, Attempt: a.attempt, Ref: a.ref})
 }
 
 // advance lets all that runs get on until now, and no further than the lease.
-func (w *Called) advance() {
+func (w *InvokedWorker) advance() {
 	now := w.time()
 	until, over := now, len(w.runs)+len(w.ends) > 0 && w.over()
 	if over {
@@ -123,7 +123,7 @@
 				a.save(a.did)
 			}
 			w.end(a, wire.Stopped)
-		case a.gang != nil && !a.gang.works && until.Sub(a.from) >= w.floor.Gang:
+		case a.gang != nil && !a.gang.works && until.Sub(a.from) >= w.environment.Gang:
 			w.end(a, wire.Lonely)
 		}
 	}
@@ -133,7 +133,7 @@
 }
 
 // lapse kills all that runs; ends not settled by now count for nothing.
-func (w *Called) lapse() {
+func (w *InvokedWorker) lapse() {
 	for i := range w.ends {
 		w.ends[i].void = true
 	}
--- a/sim/capacity/figure.go
+++ b/sim/capacity/figure.go
@@ -1,5 +1,5 @@
 // Package capacity tells what the fleet spends at the size that the project
-// designs for: figures for each role out of measured hollow fleets, how each
+// designs for: figures for each role out of measured simulated fleets, how each
 // grows with the number of workers, and where that leads beside its limit. This
 // file is the list of figures and the way they are carried on to the full size.
 package capacity
--- a/sim/check.go
+++ b/sim/check.go
@@ -59,7 +59,7 @@
 	sent   int64
 	taken  int64
 	halt   int64
-	sight  []Happening
+	sight  []HistoryEvent
 	missed int64
 	end    int64           // until when it was surely unfinished
 	spans  map[int][]*span // by task
@@ -98,20 +98,20 @@
 	Alone: alone(dispatch.Defaults, raft.Defaults), Table: 2 * time.Second, Settled: true}
 
 type checker struct {
-	b      Bounds
-	end    int64
-	jobs   map[types.JobID]*job
-	makes  map[types.Shard]*Make
-	spans  []*span
-	frozen map[string]int64
-	down   map[string][]int64
-	leave  map[types.Shard][][2]int64
-	drain  map[types.Shard][][2]int64
-	reigns []reign
-	breaks []Break
-	seen   Tally
-	hist   *History
-	woes   []trouble // once read
+	b            Bounds
+	end          int64
+	jobs         map[types.JobID]*job
+	makes        map[types.Shard]*WorkerSpec
+	spans        []*span
+	frozen       map[string]int64
+	down         map[string][]int64
+	leave        map[types.Shard][][2]int64
+	drain        map[types.Shard][][2]int64
+	activeTables []activeTable
+	breaks       []Break
+	seen         Tally
+	hist         *History
+	woes         []faultWindow // once read
 }
 
 // Check tells all rules a history breaks, and what chances it had to.
@@ -119,7 +119,7 @@
 	c := newChecker(h, b, end)
 	for _, j := range c.sorted() {
 		if j.spec == nil {
-			c.bad("stranger", 0, "leg of a job that nobody sent: %s", j.id)
+			c.bad("stranger", 0, "attempt of a job that nobody sent: %s", j.id)
 			continue
 		}
 		c.once(j, int64(patience))
@@ -138,10 +138,10 @@
 
 // newChecker reads a history.
 func newChecker(h *History, b Bounds, end int64) *checker {
-	c := &checker{b: b, end: end, jobs: map[types.JobID]*job{}, makes: map[types.Shard]*Make{}, frozen: map[string]int64{},
+	c := &checker{b: b, end: end, jobs: map[types.JobID]*job{}, makes: map[types.Shard]*WorkerSpec{}, frozen: map[string]int64{},
 		down: map[string][]int64{}, leave: map[types.Shard][][2]int64{}, drain: map[types.Shard][][2]int64{}, hist: h, seen: Tally{}}
 	c.read()
-	c.reign()
+	c.collectTables()
 	return c
 }
 
--- a/sim/once.go
+++ b/sim/check_attempts.go
@@ -70,7 +70,7 @@
 					c.bad("twice", s.from, "%v on %s while %v runs on %s", s.attempt, s.who, o.attempt, o.who)
 				}
 				if o.to > s.from {
-					c.seen["twice: a newer leg while an older stood frozen"]++
+					c.seen["twice: a newer attempt while an older stood frozen"]++
 					continue
 				}
 				why := ""
@@ -85,7 +85,7 @@
 				case o.outcome == state.OK:
 					c.seen[why]++
 				case o.outcome != state.Bad:
-					c.seen["again: started again after a lost or stopped leg"]++
+					c.seen["again: started again after a lost or stopped attempt"]++
 				}
 			}
 			most := 0
@@ -109,15 +109,15 @@
 const fair = 2500 * time.Millisecond
 
 // removed counts what a worker still ran that had said in time when it goes.
-func (c *checker) removed(h Happening, live map[types.Attempt]*span) {
+func (c *checker) removed(h HistoryEvent, live map[types.Attempt]*span) {
 	if d, _ := time.ParseDuration(h.Text); d >= fair {
 		c.seen["removed: workers taken away with notice"]++
-		c.seen["removed: legs lost to that"] += len(live)
+		c.seen["removed: attempts lost to that"] += len(live)
 	}
 }
 
 // drained opens or closes a drain of a worker or a rack.
-func (c *checker) drained(h Happening) {
+func (c *checker) drained(h HistoryEvent) {
 	kind, name, _ := strings.Cut(h.Text, "/")
 	for shard, m := range c.makes {
 		if kind == "racks" && string(m.Rack) != name || kind == "workers" && string(shard) != name {
--- a/sim/check2.go
+++ b/sim/check_tasks.go
@@ -181,7 +181,7 @@
 	}
 }
 
-func (c *checker) told(j *job, h Happening) {
+func (c *checker) told(j *job, h HistoryEvent) {
 	dead, late := false, 0
 	for i := range j.spec.Total() {
 		n := j.spec.No(i)
@@ -222,11 +222,11 @@
 // acknowledged before the read began; a refused table is in no version.
 func (c *checker) tables() {
 	says := map[types.Version]config.Table{}
-	var acked []Happening
+	var acked []HistoryEvent
 	tried := []config.Table{}
 	fixed := func(t config.Table, at int64) {
 		if o, ok := says[t.Version]; ok && !o.Same(t) {
-			c.bad("table", at, "edition %d says two different things", t.Version)
+			c.bad("table", at, "version %d says two different things", t.Version)
 		}
 		says[t.Version] = t
 	}
@@ -243,7 +243,7 @@
 			i := sort.Search(len(acked), func(i int) bool { return acked[i].At >= began })
 			for _, a := range acked[:i] {
 				if h.Table.Version < a.Table.Version {
-					c.bad("table", h.At, "edition %d was read although %d was acknowledged at %.3f s", h.Table.Version, a.Table.Version, float64(a.At)/1e9)
+					c.bad("table", h.At, "version %d was read although %d was acknowledged at %.3f s", h.Table.Version, a.Table.Version, float64(a.At)/1e9)
 					break
 				}
 			}
@@ -252,17 +252,17 @@
 				known = known || t.Next().Version == h.Table.Version && t.Same(*h.Table)
 			}
 			if !known {
-				c.bad("table", h.At, "edition %d was put by nobody", h.Table.Version)
+				c.bad("table", h.At, "version %d was put by nobody", h.Table.Version)
 			}
 		}
 	}
 	for _, h := range c.hist.List {
 		if o, ok := says[types.Version(0)]; h.What == TableNo && ok && len(o.Rows) > 0 {
-			c.bad("table", h.At, "edition 0 is not empty")
+			c.bad("table", h.At, "version 0 is not empty")
 		}
 		if h.What == TableNo {
 			if o, ok := says[h.Table.Next().Version]; ok && o.Same(*h.Table) && !c.twin(tried, *h.Table) {
-				c.bad("table", h.At, "a refused table is edition %d", o.Version)
+				c.bad("table", h.At, "a refused table is version %d", o.Version)
 			}
 		}
 	}
@@ -295,7 +295,7 @@
 
 // Summary counts the history's happenings in one line.
 func Summary(h *History) string {
-	n := map[What]int{}
+	n := map[EventKind]int{}
 	outcomes := map[state.Outcome]int{}
 	for _, x := range h.List {
 		n[x.What]++
@@ -303,6 +303,6 @@
 			outcomes[x.Outcome]++
 		}
 	}
-	return fmt.Sprintf("sent %d, accepted %d, denied %d, cancels %d, legs %d, ended %v, worker deaths %d, tables %d taken %d refused, troubles %d",
+	return fmt.Sprintf("sent %d, accepted %d, denied %d, cancels %d, attempts %d, ended %v, worker deaths %d, tables %d taken %d refused, troubles %d",
 		n[Sent], n[Accepted], n[Denied], n[Halt], n[Started], outcomes, n[Died], n[TableAck], n[TableNo], n[Trouble])
 }
--- a/sim/caller.go
+++ b/sim/clients.go
@@ -19,23 +19,23 @@
 
 const lostAfter = 4 * time.Second
 
-// Crew is all callers and operators of a world.
-type Crew struct {
-	w        *World
-	town     Town
-	gateways []types.Addr
-	me       types.Addr
-	next     int
-	open     bool
-	Cancel   float64
-	Races    bool
-	Count    map[apierror.Kind]int
-	Rude     float64 // part of the callers that do not heed when to come back
-	Tries    int     // how often a job is sent, at most
-	halts    map[types.JobID]time.Duration
+// Clients is all callers and operators of a world.
+type Clients struct {
+	w          *World
+	deployment Deployment
+	gateways   []types.Addr
+	addr       types.Addr
+	next       int
+	open       bool
+	Cancel     float64
+	Races      bool
+	Count      map[apierror.Kind]int
+	Rude       float64 // part of the callers that do not heed when to come back
+	Tries      int     // how often a job is sent, at most
+	cancels    map[types.JobID]time.Duration
 }
 
-func (c *Crew) pick(zone int) types.Addr {
+func (c *Clients) pick(zone int) types.Addr {
 	first := c.gateways[zone%len(c.gateways)]
 	for i := range c.gateways {
 		a := c.gateways[(zone+i)%len(c.gateways)]
@@ -46,51 +46,51 @@
 	return first
 }
 
-func (c *Crew) any() types.Addr { return c.gateways[c.w.rnd.Intn(len(c.gateways))] }
+func (c *Clients) any() types.Addr { return c.gateways[c.w.random.Intn(len(c.gateways))] }
 
-// flow sends jobs of one shape until the crew is closed.
-func (c *Crew) flow(f Flow) {
-	gap := time.Duration((0.5 + c.w.rnd.Float64()) * float64(f.Every))
+// flow sends jobs of one shape until the clients is closed.
+func (c *Clients) flow(f Flow) {
+	gap := time.Duration((0.5 + c.w.random.Float64()) * float64(f.Every))
 	c.w.at(gap, func() {
 		if !c.open {
 			return
 		}
 		c.next++
 		id := types.JobID(fmt.Sprintf("%s-%d", f.Queue, c.next))
-		s := f.Spec(c.w.rnd)
-		if c.w.rnd.Intn(8) == 0 {
-			due := origin + c.w.now + int64(c.w.rnd.Intn(3000))*1e6
+		s := f.Spec(c.w.random)
+		if c.w.random.Intn(8) == 0 {
+			due := origin + c.w.now + int64(c.w.random.Intn(3000))*1e6
 			s.Steps[len(s.Steps)-1].Not = time.Unix(0, due).UTC().Format(time.RFC3339Nano)
 		}
-		c.w.tell(Happening{What: Sent, Job: id, Spec: &s})
-		c.send(id, wire.Body(s), c.pick(c.w.rnd.Intn(3)), 0)
+		c.w.record(HistoryEvent{What: Sent, Job: id, Spec: &s})
+		c.send(id, wire.Body(s), c.pick(c.w.random.Intn(3)), 0)
 		c.flow(f)
 	})
 }
 
-// stream sends jobs to the called workers' town until the crew is closed.
-func (c *Crew) stream(f Stream) {
-	gap := time.Duration((0.5 + c.w.rnd.Float64()) * float64(f.Every))
+// stream sends jobs to the invoked workers' deployment until the clients is closed.
+func (c *Clients) stream(f Stream) {
+	gap := time.Duration((0.5 + c.w.random.Float64()) * float64(f.Every))
 	c.w.at(gap, func() {
 		if !c.open {
 			return
 		}
 		c.next++
 		id := types.JobID(fmt.Sprintf("%s-%d", f.Queue, c.next))
-		s := f.Spec(c.w.rnd, c.w.now)
-		if c.w.rnd.Float64() < f.Cancel {
-			c.halts[id] = f.Within/3 + time.Duration(c.w.rnd.Int63n(int64(f.Within)))
+		s := f.Spec(c.w.random, c.w.now)
+		if c.w.random.Float64() < f.Cancel {
+			c.cancels[id] = f.Within/3 + time.Duration(c.w.random.Int63n(int64(f.Within)))
 		}
-		c.w.tell(Happening{What: Sent, Job: id, Spec: &s})
-		c.send(id, wire.Body(s), c.pick(c.w.rnd.Intn(3)), 0)
+		c.w.record(HistoryEvent{What: Sent, Job: id, Spec: &s})
+		c.send(id, wire.Body(s), c.pick(c.w.random.Intn(3)), 0)
 		c.stream(f)
 	})
 }
 
 // try asks once; lost is called when no answer came in time.
-func (c *Crew) try(to types.Addr, verb, arg string, body json.RawMessage, got func(wire.Answer), lost func()) {
+func (c *Clients) try(to types.Addr, verb, arg string, body json.RawMessage, got func(wire.Answer), lost func()) {
 	over := false
-	c.w.ask(c.me, to, verb, arg, body, func(a wire.Answer) {
+	c.w.request(c.addr, to, verb, arg, body, func(a wire.Answer) {
 		if !over {
 			over = true
 			got(a)
@@ -104,7 +104,7 @@
 	})
 }
 
-func (c *Crew) send(id types.JobID, body json.RawMessage, to types.Addr, n int) {
+func (c *Clients) send(id types.JobID, body json.RawMessage, to types.Addr, n int) {
 	again := func(d time.Duration) {
 		if n < c.Tries {
 			c.w.at(d, func() { c.send(id, body, c.any(), n+1) })
@@ -113,52 +113,52 @@
 	c.try(to, "job.put", string(id), body, func(a wire.Answer) {
 		switch {
 		case a.Fault == nil:
-			c.w.tell(Happening{What: Accepted, Job: id})
+			c.w.record(HistoryEvent{What: Accepted, Job: id})
 			c.saw(id, a)
 			c.look(id)
-			if d, ok := c.halts[id]; ok {
+			if d, ok := c.cancels[id]; ok {
 				c.w.at(d, func() { c.cancel(id, 0) })
-			} else if c.town.Manner == nil && c.w.rnd.Float64() < c.Cancel {
-				c.w.at(time.Duration(c.w.rnd.Int63n(int64(3*time.Second))), func() { c.cancel(id, 0) })
+			} else if c.deployment.WorkerRules == nil && c.w.random.Float64() < c.Cancel {
+				c.w.at(time.Duration(c.w.random.Int63n(int64(3*time.Second))), func() { c.cancel(id, 0) })
 			}
 		case a.Fault.Retry > 0:
 			c.Count[a.Fault.Kind]++
 			if a.Fault.Kind == apierror.Unsure {
-				c.w.tell(Happening{What: Unclear, Job: id})
+				c.w.record(HistoryEvent{What: Unclear, Job: id})
 			} else {
-				c.w.tell(Happening{What: Turned, Job: id, Text: a.Fault.Error()})
+				c.w.record(HistoryEvent{What: Turned, Job: id, Text: a.Fault.Error()})
 			}
-			if c.Rude > 0 && c.w.rnd.Float64() < c.Rude {
+			if c.Rude > 0 && c.w.random.Float64() < c.Rude {
 				again(200 * time.Millisecond)
 				return
 			}
 			again(time.Duration(a.Fault.Retry) * time.Second)
 		default:
 			c.Count[a.Fault.Kind]++
-			c.w.tell(Happening{What: Denied, Job: id, Text: a.Fault.Error()})
+			c.w.record(HistoryEvent{What: Denied, Job: id, Text: a.Fault.Error()})
 		}
 	}, func() {
-		c.w.tell(Happening{What: Unclear, Job: id})
+		c.w.record(HistoryEvent{What: Unclear, Job: id})
 		again(100 * time.Millisecond)
 	})
 }
 
-func (c *Crew) saw(id types.JobID, a wire.Answer) (over bool) {
+func (c *Clients) saw(id types.JobID, a wire.Answer) (over bool) {
 	var v controller.JobView
 	if json.Unmarshal(a.Body, &v) != nil {
 		return false
 	}
-	c.w.tell(Happening{What: Saw, Job: id, Stage: v.State, Text: v.Why})
+	c.w.record(HistoryEvent{What: Saw, Job: id, Stage: v.State, Text: v.Why})
 	return v.State == "done" || v.State == "failed" || v.State == "cancelled"
 }
 
 // look asks after a job now and then until it has ended.
-func (c *Crew) look(id types.JobID) {
-	c.w.at(500*time.Millisecond+time.Duration(c.w.rnd.Int63n(int64(2*time.Second))), func() {
+func (c *Clients) look(id types.JobID) {
+	c.w.at(500*time.Millisecond+time.Duration(c.w.random.Int63n(int64(2*time.Second))), func() {
 		c.try(c.any(), "job.get", string(id), nil, func(a wire.Answer) {
 			switch {
 			case a.Fault != nil && a.Fault.Kind == apierror.NoJob:
-				c.w.tell(Happening{What: Missed, Job: id})
+				c.w.record(HistoryEvent{What: Missed, Job: id})
 			case a.Fault != nil || !c.saw(id, a):
 				c.look(id)
 			}
@@ -166,9 +166,9 @@
 	})
 }
 
-func (c *Crew) cancel(id types.JobID, n int) {
+func (c *Clients) cancel(id types.JobID, n int) {
 	if n == 0 {
-		c.w.tell(Happening{What: Halting, Job: id})
+		c.w.record(HistoryEvent{What: Halting, Job: id})
 	}
 	again := func(d time.Duration) {
 		if n < 10 {
@@ -178,7 +178,7 @@
 	c.try(c.any(), "job.cancel", string(id), nil, func(a wire.Answer) {
 		switch {
 		case a.Fault == nil:
-			c.w.tell(Happening{What: Halt, Job: id})
+			c.w.record(HistoryEvent{What: Halt, Job: id})
 		case a.Fault.Retry > 0:
 			again(time.Duration(a.Fault.Retry) * time.Second)
 		}
@@ -186,9 +186,9 @@
 }
 
 // put sends a table until it is known to be taken or refused.
-func (c *Crew) put(t config.Table, to types.Addr, n int, then func(bool)) {
+func (c *Clients) put(t config.Table, to types.Addr, n int, then func(bool)) {
 	if n == 0 {
-		c.w.tell(Happening{What: TableTry, Table: &t})
+		c.w.record(HistoryEvent{What: TableTry, Table: &t})
 	}
 	again := func(d time.Duration) {
 		if n < 40 {
@@ -199,21 +199,21 @@
 		switch {
 		case a.Fault == nil:
 			got := t.Next()
-			c.w.tell(Happening{What: TableAck, Table: &got, Text: fmt.Sprint(t.Version)})
+			c.w.record(HistoryEvent{What: TableAck, Table: &got, Text: fmt.Sprint(t.Version)})
 			then(true)
 		case a.Fault.Retry > 0:
 			again(time.Duration(a.Fault.Retry) * time.Second)
 		default:
-			c.w.tell(Happening{What: TableNo, Table: &t, Text: a.Fault.Error()})
+			c.w.record(HistoryEvent{What: TableNo, Table: &t, Text: a.Fault.Error()})
 			then(false)
 		}
 	}, func() { again(100 * time.Millisecond) })
 }
 
 // order gives an operator's order until it is known to be taken or refused.
-func (c *Crew) order(verb, arg string, body json.RawMessage, n int, then func()) {
+func (c *Clients) order(verb, arg string, body json.RawMessage, n int, then func()) {
 	if verb == "drain.drop" && n == 0 {
-		c.w.tell(Happening{What: Undone, Text: arg})
+		c.w.record(HistoryEvent{What: Undone, Text: arg})
 	}
 	again := func(d time.Duration) {
 		if n < 100 {
@@ -224,7 +224,7 @@
 		switch {
 		case a.Fault == nil:
 			if verb == "drain.put" {
-				c.w.tell(Happening{What: Drained, Text: arg})
+				c.w.record(HistoryEvent{What: Drained, Text: arg})
 			}
 			then()
 		case a.Fault.Retry > 0:
@@ -234,12 +234,12 @@
 }
 
 // read reads the table and gives it on.
-func (c *Crew) read(then func(config.Table)) {
+func (c *Clients) read(then func(config.Table)) {
 	began := c.w.now
 	c.try(c.any(), "table.get", "", nil, func(a wire.Answer) {
 		var t config.Table
 		if a.Fault == nil && json.Unmarshal(a.Body, &t) == nil {
-			c.w.tell(Happening{What: TableSaw, Table: &t, Text: fmt.Sprint(began)})
+			c.w.record(HistoryEvent{What: TableSaw, Table: &t, Text: fmt.Sprint(began)})
 			if then != nil {
 				then(t)
 			}
@@ -249,18 +249,18 @@
 
 // races has two operators change the table on the same version, again and
 // again, at different gateways.
-func (c *Crew) races() {
-	c.w.at(time.Duration(2+c.w.rnd.Intn(4))*time.Second, func() {
+func (c *Clients) races() {
+	c.w.at(time.Duration(2+c.w.random.Intn(4))*time.Second, func() {
 		if !c.open || !c.Races {
 			return
 		}
 		c.read(func(t config.Table) {
 			for i := range 2 {
 				n := config.Table{Version: t.Version, Rows: append([]config.Row(nil), t.Rows...)}
-				n.Rows[0].Weight = 1 + c.w.rnd.Intn(900)
-				n.Rows[1].Running = 12 + c.w.rnd.Intn(30)
-				n.Rows[2].Tries = 1 + c.w.rnd.Intn(4)
-				c.put(n, c.gateways[(i+c.w.rnd.Intn(2))%len(c.gateways)], 0, func(bool) {})
+				n.Rows[0].Weight = 1 + c.w.random.Intn(900)
+				n.Rows[1].Running = 12 + c.w.random.Intn(30)
+				n.Rows[2].Tries = 1 + c.w.random.Intn(4)
+				c.put(n, c.gateways[(i+c.w.random.Intn(2))%len(c.gateways)], 0, func(bool) {})
 			}
 		})
 		c.races()
--- a/sim/core_test.go
+++ b/sim/core_test.go
@@ -18,17 +18,17 @@
 
 func (r *Run) status(n *node) controller.StatusView { return n.m.(*controller.Controller).Status() }
 
-// core is a town without traffic, with a table acknowledged at some time.
+// core is a deployment without traffic, with a table acknowledged at some time.
 func core(t *testing.T, seed int64) (r *Run, acked func() bool) {
-	r = Build(Plan{Seed: seed, Town: "kingston"})
+	r = Build(Plan{Seed: seed, Deployment: "kingston"})
 	ok := false
-	r.at(4*time.Second, func() { r.Crew.put(r.Crew.town.Table(), "g1", 0, func(b bool) { ok = b }) })
+	r.at(4*time.Second, func() { r.Clients.put(r.Clients.deployment.Table(), "g1", 0, func(b bool) { ok = b }) })
 	return r, func() bool { return ok }
 }
 
 // versions is what any gateway answers when asked for the table now.
 func (r *Run) version(within time.Duration) (e types.Version, ok bool) {
-	r.Crew.read(func(t config.Table) { e, ok = t.Version, true })
+	r.Clients.read(func(t config.Table) { e, ok = t.Version, true })
 	r.Run(time.Duration(r.now) + within)
 	return
 }
@@ -61,7 +61,7 @@
 
 func TestTwoEmptyControllersFoundNothing(t *testing.T) {
 	is := is.New(t)
-	r := Build(Plan{Seed: 3, Town: "kingston"})
+	r := Build(Plan{Seed: 3, Deployment: "kingston"})
 	r.controllers[2].make = nil
 	r.Run(30 * time.Second)
 	for _, h := range r.controllers[:2] {
@@ -78,14 +78,14 @@
 	}
 	is := is.New(t)
 	for seed := range int64(12) {
-		r := Build(Plan{Seed: seed, Town: "kingston"})
-		r.at(time.Duration(200+r.rnd.Intn(1200))*time.Millisecond, func() {
-			n := one(r.rnd, r.controllers)
+		r := Build(Plan{Seed: seed, Deployment: "kingston"})
+		r.at(time.Duration(200+r.random.Intn(1200))*time.Millisecond, func() {
+			n := pickOne(r.random, r.controllers)
 			n.kill()
 			if seed%2 == 0 {
 				n.disk.wipe()
 			}
-			r.at(time.Duration(r.rnd.Intn(8000))*time.Millisecond, n.boot)
+			r.at(time.Duration(r.random.Intn(8000))*time.Millisecond, n.boot)
 		})
 		r.Run(45 * time.Second)
 		names := map[string]bool{}
@@ -194,7 +194,7 @@
 	r, _ := core(t, 61)
 	r.Run(9 * time.Second)
 	ask := func(verb, id, body string) (a wire.Answer) {
-		r.ask(r.Crew.me, "g2", verb, id, []byte(body), func(b wire.Answer) { a = b })
+		r.request(r.Clients.addr, "g2", verb, id, []byte(body), func(b wire.Answer) { a = b })
 		r.Run(time.Duration(r.now) + 300*time.Millisecond)
 		return
 	}
@@ -243,7 +243,7 @@
 	hits := 0
 	for seed := range int64(16) {
 		r, _ := core(t, 70+seed)
-		r.Crew.Cancel = 0
+		r.Clients.Cancel = 0
 		r.Run(8 * time.Second)
 		first := r.leader()
 		var heir, away *node
@@ -260,7 +260,7 @@
 		r.lag[pair{first.addr, heir.addr}] = 350 * time.Millisecond
 		heir.boot()
 		r.Run(11 * time.Second)
-		r.Split([]types.Addr{away.addr}, r.rest(away.addr), true, true)
+		r.Split([]types.Addr{away.addr}, r.others(away.addr), true, true)
 		r.Close(first)
 		r.Run(12 * time.Second)
 		clear(r.lag)
@@ -273,13 +273,13 @@
 		}
 		hits++
 		for i, at := range []string{"delay", "time"} {
-			s := duo("payments", "pay")(r.rnd)
+			s := duo("payments", "pay")(r.random)
 			s.Steps = s.Steps[:1]
 			if s.Steps[0].Delay = 3000; i > 0 {
 				s.Steps[0].Delay, s.Steps[0].Not = 0, time.Unix(0, origin+r.now+3e9).UTC().Format(time.RFC3339Nano)
 			}
-			r.tell(Happening{What: Sent, Job: types.JobID(at), Spec: &s})
-			r.Crew.send(types.JobID(at), wire.Body(s), "g1", 0)
+			r.record(HistoryEvent{What: Sent, Job: types.JobID(at), Spec: &s})
+			r.Clients.send(types.JobID(at), wire.Body(s), "g1", 0)
 		}
 		r.Run(16 * time.Second)
 		clear(r.cut)
--- a/sim/cost_test.go
+++ b/sim/cost_test.go
@@ -36,7 +36,7 @@
 	is := is.New(t)
 	for _, tasks := range []int{1000, 10_000, 60_000} {
 		r, _ := core(t, 3)
-		r.Crew.Cancel = 0
+		r.Clients.Cancel = 0
 		r.Run(9 * time.Second)
 		for i := range tasks / 500 {
 			s := state.Spec{Queue: "menus", Steps: []state.Step{{Name: "f", Kind: "menu", Room: types.Room{Cores: 16 * types.Core}, Tasks: 500, Work: []byte(`{"ms":30000}`)}}}
@@ -44,13 +44,13 @@
 				s.Steps[0].Delay = 3_600_000
 			}
 			id := types.JobID(fmt.Sprint("menus-f", i))
-			r.tell(Happening{What: Sent, Job: id, Spec: &s})
-			r.Crew.send(id, wire.Body(s), "g1", 0)
+			r.record(HistoryEvent{What: Sent, Job: id, Spec: &s})
+			r.Clients.send(id, wire.Body(s), "g1", 0)
 		}
 		r.Run(14 * time.Second)
-		is.Equal(r.Crew.Count["queue_full"], 0)
-		for _, f := range r.Crew.town.Flows {
-			r.Crew.flow(f)
+		is.Equal(r.Clients.Count["queue_full"], 0)
+		for _, f := range r.Clients.deployment.Flows {
+			r.Clients.flow(f)
 		}
 		r.Run(16 * time.Second)
 		l := r.leader()
--- a/sim/daylong_test.go
+++ b/sim/daylong_test.go
@@ -1,4 +1,4 @@
-// Memory over a day of a town's usual traffic: go test ./trial -run Daylong -v
+// Memory over a day of a deployment's usual traffic: go test ./trial -run Daylong -v
 // -timeout 60m -args -day 24h. It grows by the marks of ended ids until they are
 // a day old, and by nothing else; CI looks at some minutes.
 package sim
@@ -22,11 +22,11 @@
 	}
 	t.Parallel()
 	is := is.New(t)
-	r := Build(Plan{Seed: 90, Town: "kingston", Patience: 30 * time.Second})
-	r.at(3*time.Second, func() { r.Crew.put(r.Crew.town.Table(), "g1", 0, func(bool) {}) })
+	r := Build(Plan{Seed: 90, Deployment: "kingston", Patience: 30 * time.Second})
+	r.at(3*time.Second, func() { r.Clients.put(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
 	r.at(6*time.Second, func() {
-		for _, f := range r.Crew.town.Flows {
-			r.Crew.flow(f)
+		for _, f := range r.Clients.deployment.Flows {
+			r.Clients.flow(f)
 		}
 	})
 	part := *day24 / 12
--- a/sim/town.go
+++ b/sim/deployment.go
@@ -13,16 +13,16 @@
 	"coppercourse/internal/types"
 )
 
-// Town is a deployment.
-type Town struct {
+// Deployment is a deployment.
+type Deployment struct {
 	Name  string
 	Cores types.Cores
 	Flows []Flow
 
-	Size            // of the deployment; nothing said is Small
-	Manner  *Manner // of its workers, where they are called
-	Streams []Stream
-	rows    []config.Row
+	Size                     // of the deployment; nothing said is Small
+	WorkerRules *WorkerRules // of its workers, where they are called
+	Streams     []Stream
+	rows        []config.Row
 }
 
 // Size is how many of each there are. Where controllers found the cluster together, they
@@ -34,7 +34,7 @@
 // Small is the size of the first deployments: three controllers, any of which found.
 var Small = Size{Zones: 3, Controllers: 3, Gateways: 4, Workers: 11, Rack: 3}
 
-func (t Town) size() Size {
+func (t Deployment) size() Size {
 	if t.Size == (Size{}) {
 		return Small
 	}
@@ -102,8 +102,8 @@
 	}
 }
 
-// Towns are the two.
-var Towns = map[string]Town{
+// Deployments are the two.
+var Deployments = map[string]Deployment{
 	"kingston": {Name: "kingston", Cores: 16 * types.Core, Flows: []Flow{
 		{"quotes", 140 * time.Millisecond, gangs("quotes", "quote", 1)},
 		{"menus", 6 * time.Second, wide("menus", "menu", 2, 12)},
@@ -116,9 +116,9 @@
 	}},
 }
 
-// Table is a town's first table.
-func (t Town) Table() config.Table {
-	if t.Manner != nil {
+// Table is a deployment's first table.
+func (t Deployment) Table() config.Table {
+	if t.WorkerRules != nil {
 		return config.Table{Orphans: config.Finish, Rows: t.rows, Services: []config.Service{{Name: "work", Guards: true}}}
 	}
 	row := func(f Flow, weight, share int) config.Row {
@@ -128,13 +128,13 @@
 }
 
 // Workers lists them, rack by rack.
-func (t Town) Workers() (list []Make) {
+func (t Deployment) Workers() (list []WorkerSpec) {
 	kinds := [][]types.Kind{{"quote", "menu"}, {"quote", "pay"}, {"menu", "pay", "quote"}}
 	x := t.size()
 	for i := range x.Workers {
-		if t.Manner != nil {
+		if t.WorkerRules != nil {
 			size := []float64{1, 1, 1.5}[i%3]
-			m := Make{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.Rack+1)), Kinds: []types.Kind{"work"},
+			m := WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.Rack+1)), Kinds: []types.Kind{"work"},
 				Room: types.Room{Cores: types.Cores(float64(t.Cores) * size), Memory: int(float64(t.Cores) * size * 2048 / 1000)}, Guards: true}
 			if m.Labels = []string{"a"}; i%3 == 1 {
 				m.Labels = append(m.Labels, "b")
@@ -142,7 +142,7 @@
 			list = append(list, m)
 			continue
 		}
-		list = append(list, Make{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.Rack+1)),
+		list = append(list, WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.Rack+1)),
 			Kinds: kinds[i%3], Room: types.Room{Cores: t.Cores, Memory: int(t.Cores) * 1024 / 1000}})
 	}
 	return
@@ -151,9 +151,9 @@
 // Zone names the zone of the i-th of something.
 func ZoneOf(i int) types.Zone { return Small.zone(i) }
 
-// Parade is a stream of gangs of long tasks. No town sends it; the simulator
+// LongGangs is a stream of gangs of long tasks. No deployment sends it; the simulator
 // does, so that faults meet gangs that run for long.
-func (t Town) Parade() Flow {
+func (t Deployment) LongGangs() Flow {
 	return Flow{t.Flows[1].Queue, 5 * time.Second, func(r *rand.Rand) state.Spec {
 		return state.Spec{Queue: t.Flows[1].Queue, Steps: []state.Step{{Name: "parade", Kind: "menu", Room: types.Room{Cores: 1 * types.Core, Memory: 64},
 			Tasks: 3, Gang: true, Spread: 1, Work: work(r, 7000, 9000)}}}
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -15,7 +15,7 @@
 // Fault begins a trouble.
 type Fault func(r *Run, long time.Duration) func()
 
-func up(list []*node) (ups []*node) {
+func upNodes(list []*node) (ups []*node) {
 	for _, n := range list {
 		if n.m != nil && !n.frozen {
 			ups = append(ups, n)
@@ -28,7 +28,7 @@
 func (r *Run) leader() *node {
 	var best *node
 	var term types.Term
-	for _, n := range up(r.controllers) {
+	for _, n := range upNodes(r.controllers) {
 		if h, ok := n.m.(*controller.Controller); ok {
 			if s := h.Status(); s.Part == "leader" && s.Term > term {
 				best, term = n, s.Term
@@ -40,13 +40,13 @@
 
 func killer(pick func(*Run) []*node) Fault {
 	return func(r *Run, _ time.Duration) func() {
-		list := up(pick(r))
+		list := upNodes(pick(r))
 		if len(list) == 0 {
 			return nil
 		}
-		n := one(r.rnd, list)
+		n := pickOne(r.random, list)
 		n.kill()
-		r.touch(n.addr)
+		r.affects(n.addr)
 		return func() {
 			if n.m == nil {
 				n.boot()
@@ -57,13 +57,13 @@
 
 func freezer(pick func(*Run) []*node) Fault {
 	return func(r *Run, _ time.Duration) func() {
-		list := up(pick(r))
+		list := upNodes(pick(r))
 		if len(list) == 0 {
 			return nil
 		}
-		n := one(r.rnd, list)
+		n := pickOne(r.random, list)
 		n.freeze()
-		r.touch(n.addr)
+		r.affects(n.addr)
 		return n.thaw
 	}
 }
@@ -76,30 +76,30 @@
 		}
 		r.Split(a, b, both, true)
 		if len(a) > len(b) {
-			r.touch(b...)
+			r.affects(b...)
 		} else {
-			r.touch(a...)
+			r.affects(a...)
 		}
 		return func() { r.Split(a, b, both, false) }
 	}
 }
 
-// touch says whom a trouble touches: everybody, if that is one of the core.
-func (r *Run) touch(list ...types.Addr) {
+// affects records whom a trouble touches: everybody, if that is one of the core.
+func (r *Run) affects(list ...types.Addr) {
 	for _, a := range list {
 		if n := r.nodes[a]; n != nil && n.role == "controller" {
 			return
 		}
 	}
-	r.hits = append(r.hits, list...)
+	r.affected = append(r.affected, list...)
 }
 
-func (r *Run) rest(out ...types.Addr) (list []types.Addr) {
+func (r *Run) others(out ...types.Addr) (list []types.Addr) {
 	drop := map[types.Addr]bool{}
 	for _, a := range out {
 		drop[a] = true
 	}
-	for _, a := range append(r.order, r.Crew.me) {
+	for _, a := range append(r.order, r.Clients.addr) {
 		if !drop[a] {
 			list = append(list, a)
 		}
@@ -114,11 +114,11 @@
 	return nil
 }
 
-func apart(r *Run, n *node) (a, b []types.Addr) {
+func isolated(r *Run, n *node) (a, b []types.Addr) {
 	if n == nil {
 		return nil, nil
 	}
-	return []types.Addr{n.addr}, r.rest(n.addr)
+	return []types.Addr{n.addr}, r.others(n.addr)
 }
 
 // peers is a controller and the other controllers only: it still reaches agents and gateways.
@@ -134,7 +134,7 @@
 	return []types.Addr{n.addr}, b
 }
 
-func (r *Run) hand() *hand { return one(r.rnd, r.hands) }
+func (r *Run) anyPollingWorker() *pollingNode { return pickOne(r.random, r.pollingWorkers) }
 
 // Faults is the table.
 var Faults = map[string]Fault{
@@ -146,24 +146,27 @@
 	"freeze-controller": freezer(func(r *Run) []*node { return r.controllers }),
 	"freeze-gateway":    freezer(func(r *Run) []*node { return r.gateways }),
 	"freeze-agent":      freezer(func(r *Run) []*node { return r.agents }),
-	"cut-leader":        cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return apart(r, r.leader()) }),
+	"cut-leader":        cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return isolated(r, r.leader()) }),
 	"cut-core":          cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return peers(r, r.leader()) }),
 	"cut-core-in":       cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { a, b := peers(r, r.leader()); return b, a }),
 	"cut-core-out":      cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { return peers(r, r.leader()) }),
-	"cut-controller":    cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return apart(r, one(r.rnd, r.controllers)) }),
-	"cut-agent":         cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return apart(r, one(r.rnd, r.agents)) }),
-	"cut-agent-in":      cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { a, b := apart(r, one(r.rnd, r.agents)); return b, a }),
-	"cut-agent-out":     cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { return apart(r, one(r.rnd, r.agents)) }),
-	"cut-worker":        cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return apart(r, r.hand().node) }),
-	"cut-worker-in":     cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { a, b := apart(r, r.hand().node); return b, a }),
-	"cut-worker-out":    cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { return apart(r, r.hand().node) }),
+	"cut-controller":    cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return isolated(r, pickOne(r.random, r.controllers)) }),
+	"cut-agent":         cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return isolated(r, pickOne(r.random, r.agents)) }),
+	"cut-agent-in": cutter(false, func(r *Run) ([]types.Addr, []types.Addr) {
+		a, b := isolated(r, pickOne(r.random, r.agents))
+		return b, a
+	}),
+	"cut-agent-out":  cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { return isolated(r, pickOne(r.random, r.agents)) }),
+	"cut-worker":     cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return isolated(r, r.anyPollingWorker().node) }),
+	"cut-worker-in":  cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { a, b := isolated(r, r.anyPollingWorker().node); return b, a }),
+	"cut-worker-out": cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { return isolated(r, r.anyPollingWorker().node) }),
 	"cut-zone": cutter(true, func(r *Run) ([]types.Addr, []types.Addr) {
-		x := r.Crew.town.size()
-		z := r.zones[x.zone(r.rnd.Intn(x.Zones))]
-		return z, r.rest(z...)
+		x := r.Clients.deployment.size()
+		z := r.zones[x.zone(r.random.Intn(x.Zones))]
+		return z, r.others(z...)
 	}),
 	"kill-worker": func(r *Run, _ time.Duration) func() {
-		h := r.hand()
+		h := r.anyPollingWorker()
 		h.kill()
 		return func() {
 			if h.w == nil {
@@ -172,12 +175,12 @@
 		}
 	},
 	"kill-machine": func(r *Run, _ time.Duration) func() {
-		i := r.rnd.Intn(len(r.hands))
-		r.hands[i].kill()
+		i := r.random.Intn(len(r.pollingWorkers))
+		r.pollingWorkers[i].kill()
 		r.agents[i].kill()
 		return func() {
-			if r.hands[i].w == nil {
-				r.hands[i].boot()
+			if r.pollingWorkers[i].w == nil {
+				r.pollingWorkers[i].boot()
 			}
 			if r.agents[i].m == nil {
 				r.agents[i].boot()
@@ -185,26 +188,26 @@
 		}
 	},
 	"freeze-worker": func(r *Run, _ time.Duration) func() {
-		h := r.hand()
+		h := r.anyPollingWorker()
 		h.freeze()
 		return h.thaw
 	},
 	"freeze-machine": func(r *Run, _ time.Duration) func() {
-		i := r.rnd.Intn(len(r.hands))
-		r.hands[i].freeze()
+		i := r.random.Intn(len(r.pollingWorkers))
+		r.pollingWorkers[i].freeze()
 		r.agents[i].freeze()
 		return func() {
-			r.hands[i].thaw()
+			r.pollingWorkers[i].thaw()
 			r.agents[i].thaw()
 		}
 	},
 	"leave-worker": func(r *Run, _ time.Duration) func() {
-		h := r.hand()
+		h := r.anyPollingWorker()
 		h.leave(true, 0)
 		return func() { h.leave(false, 0) }
 	},
 	"remove-worker": func(r *Run, long time.Duration) func() {
-		h := r.hand()
+		h := r.anyPollingWorker()
 		if h.w == nil || h.w.Leave {
 			return nil
 		}
@@ -212,7 +215,7 @@
 		gen := h.gen
 		return func() {
 			if h.gen == gen && h.w.Leave {
-				r.tell(Happening{What: Removed, Who: string(h.w.ID), Shard: h.make.Shard, Text: long.String()})
+				r.record(HistoryEvent{What: Removed, Who: string(h.w.ID), Shard: h.make.Shard, Text: long.String()})
 				h.kill()
 				r.at(2*time.Second, func() {
 					if h.w == nil {
@@ -222,20 +225,20 @@
 			}
 		}
 	},
-	"slow-worker":    sick(func(m *Make) { m.Slow = 5 }),
-	"stall-worker":   sick(func(m *Make) { m.Stall = 0.3 }),
-	"failing-worker": sick(func(m *Make) { m.Fails = 0.5 }),
+	"slow-worker":    degraded(func(m *WorkerSpec) { m.Slow = 5 }),
+	"stall-worker":   degraded(func(m *WorkerSpec) { m.Stall = 0.3 }),
+	"failing-worker": degraded(func(m *WorkerSpec) { m.Fails = 0.5 }),
 	"drain-rack": func(r *Run, long time.Duration) func() {
-		rack := fmt.Sprintf("racks/r%d", 1+r.rnd.Intn(4))
+		rack := fmt.Sprintf("racks/r%d", 1+r.random.Intn(4))
 		if r.drains[rack] {
 			return nil
 		}
 		r.drains[rack] = true
 		acked, over := false, false
 		undo := func() {
-			r.Crew.order("drain.drop", rack, nil, 0, func() { delete(r.drains, rack) })
+			r.Clients.order("drain.drop", rack, nil, 0, func() { delete(r.drains, rack) })
 		}
-		r.Crew.order("drain.put", rack, wire.Body(config.Drain{Within: r.rnd.Intn(3) * 1000}), 0, func() {
+		r.Clients.order("drain.put", rack, wire.Body(config.Drain{Within: r.random.Intn(3) * 1000}), 0, func() {
 			if acked = true; over {
 				undo()
 			}
@@ -247,23 +250,23 @@
 		}
 	},
 	"slow-disk": func(r *Run, _ time.Duration) func() {
-		d := one(r.rnd, r.controllers).disk
-		d.slow = time.Duration(20+r.rnd.Intn(200)) * time.Millisecond
+		d := pickOne(r.random, r.controllers).disk
+		d.slow = time.Duration(20+r.random.Intn(200)) * time.Millisecond
 		return func() { d.slow = 0 }
 	},
 	"stall-disk": func(r *Run, long time.Duration) func() {
-		d := one(r.rnd, r.controllers).disk
+		d := pickOne(r.random, r.controllers).disk
 		d.stall = r.now + int64(long)
 		return func() {}
 	},
 	"jump-clock": func(r *Run, _ time.Duration) func() {
-		n := r.nodes[one(r.rnd, r.order)]
-		n.wall = time.Duration(r.rnd.Int63n(int64(4*time.Hour))) - 2*time.Hour
+		n := r.nodes[pickOne(r.random, r.order)]
+		n.wall = time.Duration(r.random.Int63n(int64(4*time.Hour))) - 2*time.Hour
 		return func() {}
 	},
 	"weather": func(r *Run, _ time.Duration) func() {
-		r.sky = Weather{Loss: 0.03, Twice: 0.05, Late: 0.05}
-		return func() { r.sky = Weather{Loss: 0.001, Twice: 0.001, Late: 0.001} }
+		r.network = NetworkQuality{Loss: 0.03, Twice: 0.05, Late: 0.05}
+		return func() { r.network = NetworkQuality{Loss: 0.001, Twice: 0.001, Late: 0.001} }
 	},
 	"lose-disk":       func(r *Run, _ time.Duration) func() { return r.lose(false) },
 	"swap-controller": func(r *Run, _ time.Duration) func() { return r.lose(true) },
@@ -293,17 +296,17 @@
 	},
 }
 
-// sick makes a worker do badly while it looks healthy.
-func sick(how func(*Make)) Fault {
+// degraded makes a worker do badly while it looks healthy.
+func degraded(how func(*WorkerSpec)) Fault {
 	return func(r *Run, _ time.Duration) func() {
-		h := r.hand()
+		h := r.anyPollingWorker()
 		if h.w == nil {
 			return nil
 		}
 		w := h.w
-		was := w.Make
-		how(&w.Make)
-		return func() { w.Make = was }
+		was := w.WorkerSpec
+		how(&w.WorkerSpec)
+		return func() { w.WorkerSpec = was }
 	}
 }
 
@@ -319,7 +322,7 @@
 		}
 	}
 	r.spare++
-	i := r.rnd.Intn(len(r.controllers))
+	i := r.random.Intn(len(r.controllers))
 	n := r.controllers[i]
 	n.kill()
 	n.disk.wipe()
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -1,4 +1,4 @@
-// A fleet of real processes on one machine: the daemons of a town, a worker
+// A fleet of real processes on one machine: the daemons of a deployment, a worker
 // process beside each agent, relays before all of them, and callers.
 package sim
 
@@ -38,19 +38,19 @@
 
 // Fleet is the whole of them.
 type Fleet struct {
-	Town   Town
-	Dir    string
-	Bin    string // the coppercourse program
-	Self   string // the trial program, for workers
-	Port   int
-	net    *Net
-	procs  []*proc
-	by     map[string]*proc
-	mu     sync.Mutex
-	Hist   History
-	ctx    context.Context
-	start  time.Time
-	client *http.Client
+	Deployment Deployment
+	Dir        string
+	Bin        string // the coppercourse program
+	Self       string // the trial program, for workers
+	Port       int
+	net        *Net
+	procs      []*proc
+	by         map[string]*proc
+	mu         sync.Mutex
+	Hist       History
+	ctx        context.Context
+	start      time.Time
+	client     *http.Client
 }
 
 // Open lays the fleet out and starts it.
@@ -66,7 +66,7 @@
 	for i := range 4 {
 		f.daemon("gateway", i)
 	}
-	for i, m := range f.Town.Workers() {
+	for i, m := range f.Deployment.Workers() {
 		w := f.daemon("agent", i, "--shard", string(m.Shard))
 		b, err := json.Marshal(m)
 		if err != nil {
@@ -138,7 +138,7 @@
 func (f *Fleet) id(p *proc) string { return fmt.Sprintf("%s.%d", p.name, p.gen) }
 
 // Tell adds to the history what the fleet itself sees.
-func (f *Fleet) Tell(h Happening) {
+func (f *Fleet) Tell(h HistoryEvent) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h.At = time.Since(f.start).Nanoseconds()
@@ -154,9 +154,9 @@
 func (f *Fleet) kill(p *proc) {
 	p.signal(syscall.SIGKILL)
 	p.down.Store(true)
-	f.Tell(Happening{What: Down, Who: p.addr})
+	f.Tell(HistoryEvent{What: Down, Who: p.addr})
 	if p.role == "worker" {
-		f.Tell(Happening{What: Died, Who: f.id(p), Shard: f.shard(p)})
+		f.Tell(HistoryEvent{What: Died, Who: f.id(p), Shard: f.shard(p)})
 	}
 }
 
@@ -172,11 +172,11 @@
 		what, sig = Thawed, syscall.SIGCONT
 	}
 	if p.role == "worker" && !on {
-		f.Tell(Happening{What: what, Who: f.id(p), Shard: f.shard(p)})
+		f.Tell(HistoryEvent{What: what, Who: f.id(p), Shard: f.shard(p)})
 	}
 	p.signal(sig)
 	if p.role == "worker" && on {
-		f.Tell(Happening{What: what, Who: f.id(p), Shard: f.shard(p)})
+		f.Tell(HistoryEvent{What: what, Who: f.id(p), Shard: f.shard(p)})
 	}
 	p.ice.Store(on)
 }
@@ -208,7 +208,7 @@
 		in := bufio.NewScanner(file)
 		in.Buffer(nil, 1<<20)
 		for in.Scan() {
-			var h Happening
+			var h HistoryEvent
 			if json.Unmarshal(in.Bytes(), &h) != nil {
 				continue
 			}
--- a/sim/day.go
+++ b/sim/fleet_faults.go
@@ -49,7 +49,7 @@
 	return
 }
 
-type day func(f *Fleet, s *Street) (end func())
+type day func(f *Fleet, s *Workload) (end func())
 
 var counts = map[string]int{"controller": 3, "gateway": 4, "agent": 11, "worker": 11}
 
@@ -66,7 +66,7 @@
 			return nil
 		}
 	}
-	first := func(f *Fleet, _ *Street) []*proc { return []*proc{f.by[names[0]]} }
+	first := func(f *Fleet, _ *Workload) []*proc { return []*proc{f.by[names[0]]} }
 	switch {
 	case kind == "cut" && len(names) == 2:
 		return dayCut(first, func(f *Fleet, p *proc) bool { return p.name == names[1] })
@@ -76,8 +76,8 @@
 	return map[string]day{"kill": dayKill(first, false), "wipe": dayKill(first, true), "freeze": dayFreeze(first), "cut": dayCut(first, all)}[kind]
 }
 
-func dayKill(pick func(*Fleet, *Street) []*proc, wipe bool) day {
-	return func(f *Fleet, s *Street) func() {
+func dayKill(pick func(*Fleet, *Workload) []*proc, wipe bool) day {
+	return func(f *Fleet, s *Workload) func() {
 		list := pick(f, s)
 		for _, p := range list {
 			f.kill(p)
@@ -93,8 +93,8 @@
 	}
 }
 
-func dayFreeze(pick func(*Fleet, *Street) []*proc) day {
-	return func(f *Fleet, s *Street) func() {
+func dayFreeze(pick func(*Fleet, *Workload) []*proc) day {
+	return func(f *Fleet, s *Workload) func() {
 		list := pick(f, s)
 		for _, p := range list {
 			f.freeze(p, true)
@@ -108,8 +108,8 @@
 }
 
 // dayCut cuts the picked processes from all others, or from some.
-func dayCut(pick func(*Fleet, *Street) []*proc, from func(*Fleet, *proc) bool) day {
-	return func(f *Fleet, s *Street) func() {
+func dayCut(pick func(*Fleet, *Workload) []*proc, from func(*Fleet, *proc) bool) day {
+	return func(f *Fleet, s *Workload) func() {
 		in := map[*proc]bool{}
 		for _, p := range pick(f, s) {
 			in[p] = true
@@ -129,21 +129,21 @@
 	}
 }
 
-func lead(f *Fleet, _ *Street) []*proc {
+func lead(f *Fleet, _ *Workload) []*proc {
 	if p := f.leader(); p != nil {
 		return []*proc{p}
 	}
 	return nil
 }
 
-func some(role string) func(*Fleet, *Street) []*proc {
-	return func(f *Fleet, s *Street) []*proc {
+func some(role string) func(*Fleet, *Workload) []*proc {
+	return func(f *Fleet, s *Workload) []*proc {
 		list := f.of(role)
 		return []*proc{list[s.chance(len(list))]}
 	}
 }
 
-func zoneMembers(f *Fleet, s *Street) (list []*proc) {
+func zoneMembers(f *Fleet, s *Workload) (list []*proc) {
 	z := ZoneOf(s.chance(3))
 	for _, p := range f.procs {
 		if p.zone == z {
@@ -153,12 +153,12 @@
 	return
 }
 
-func machine(f *Fleet, s *Street) []*proc {
+func machine(f *Fleet, s *Workload) []*proc {
 	i := s.chance(11) + 1
 	return []*proc{f.by[fmt.Sprintf("agent%d", i)], f.by[fmt.Sprintf("worker%d", i)]}
 }
 
-func controllers(f *Fleet, _ *Street) []*proc { return f.of("controller") }
+func controllers(f *Fleet, _ *Workload) []*proc { return f.of("controller") }
 
 func all(*Fleet, *proc) bool              { return true }
 func isController(_ *Fleet, p *proc) bool { return p.role == "controller" }
@@ -171,7 +171,7 @@
 	case <-time.After(6 * time.Second):
 	}
 	p.signal(syscall.SIGKILL)
-	f.Tell(Happening{What: Down, Who: p.addr})
+	f.Tell(HistoryEvent{What: Down, Who: p.addr})
 	f.launch(p)
 }
 
@@ -193,13 +193,13 @@
 	"cut-core":        dayCut(lead, isController),
 	"cut-agent":       dayCut(some("agent"), all),
 	"cut-worker":      dayCut(some("worker"), all),
-	"stop-leader": func(f *Fleet, s *Street) func() {
+	"stop-leader": func(f *Fleet, s *Workload) func() {
 		for _, p := range lead(f, s) {
 			restart(f, p)
 		}
 		return func() {}
 	},
-	"roll-all": func(f *Fleet, s *Street) func() {
+	"roll-all": func(f *Fleet, s *Workload) func() {
 		for _, role := range []string{"controller", "gateway", "agent"} {
 			for _, p := range f.of(role) {
 				restart(f, p)
@@ -211,10 +211,10 @@
 }
 
 // Live runs the day: traffic for so long, with the events, then quiet.
-func (f *Fleet) Live(s *Street, long time.Duration, list []Event) error {
+func (f *Fleet) Live(s *Workload, long time.Duration, list []Event) error {
 	from := time.Now()
 	go s.Watch()
-	for _, fl := range f.Town.Flows {
+	for _, fl := range f.Deployment.Flows {
 		go s.Flow(fl)
 	}
 	go s.Races()
@@ -227,14 +227,14 @@
 		for len(ends) > 0 && !ends[0].at.After(until) {
 			time.Sleep(time.Until(ends[0].at))
 			ends[0].do()
-			f.Tell(Happening{What: Healed})
+			f.Tell(HistoryEvent{What: Healed})
 			ends = ends[1:]
 		}
 		time.Sleep(time.Until(until))
 	}
 	for _, e := range list {
 		wait(from.Add(e.At))
-		f.Tell(Happening{What: Trouble, Text: fmt.Sprintf("%s for %s", e.Name, e.Long)})
+		f.Tell(HistoryEvent{What: Trouble, Text: fmt.Sprintf("%s for %s", e.Name, e.Long)})
 		ends = append(ends, ending{time.Now().Add(e.Long), find(e.Name)(f, s)})
 		sort.Slice(ends, func(i, k int) bool { return ends[i].at.Before(ends[k].at) })
 	}
@@ -259,7 +259,7 @@
 }
 
 // Report prints the day and gives its broken rules.
-func (f *Fleet) Report(s *Street) ([]Break, error) {
+func (f *Fleet) Report(s *Workload) ([]Break, error) {
 	end := time.Since(f.start).Nanoseconds()
 	if err := f.gather(); err != nil {
 		return nil, err
--- a/sim/goodput_test.go
+++ b/sim/goodput_test.go
@@ -19,7 +19,7 @@
 
 var crowds = flag.Bool("crowds", false, "look at all loads")
 
-// heavy is quotes so large that a few dozen a second fill the town.
+// heavy is quotes so large that a few dozen a second fill the deployment.
 func heavy(every time.Duration) Flow {
 	return Flow{"quotes", every, gangs("quotes", "quote", 6)}
 }
@@ -31,15 +31,15 @@
 		for i := range t.Rows {
 			t.Rows[i].Waiting = 150
 		}
-	}, heavy(each), Towns["kingston"].Flows[1], Towns["kingston"].Flows[2])
-	r.Crew.Rude = rude
+	}, heavy(each), Deployments["kingston"].Flows[1], Deployments["kingston"].Flows[2])
+	r.Clients.Rude = rude
 	for _, f := range also {
-		r.Crew.flow(f)
+		r.Clients.flow(f)
 	}
 	r.Run(50 * time.Second)
 	good = Rate(&r.Hist, int64(25*time.Second), int64(50*time.Second))
 	pay = rateOf(&r.Hist, "payments", 25*time.Second, 50*time.Second)
-	for k, n := range r.Crew.Count {
+	for k, n := range r.Clients.Count {
 		t.Logf("  %d refusals %s", n, k)
 	}
 	b := Rules
--- a/sim/grown_day_test.go
+++ b/sim/grown_day_test.go
@@ -1,4 +1,4 @@
-// Grown towns whose workers are called: a calm day, and one of losses.
+// Grown deployments whose workers are invoked: a calm day, and one of losses.
 package sim
 
 import (
@@ -11,24 +11,24 @@
 )
 
 // grownDay is short enough for every change.
-func grownDay(seed int64, town string, count int, faults ...string) Plan {
-	return Plan{Seed: seed, Town: town, Faults: faults, Count: count, Quick: true, Calm: 2 * time.Second, Storm: 4 * time.Second,
+func grownDay(seed int64, deployment string, count int, faults ...string) Plan {
+	return Plan{Seed: seed, Deployment: deployment, Faults: faults, Count: count, Quick: true, Before: 2 * time.Second, FaultsFor: 4 * time.Second,
 		After: 3 * time.Second, Settle: 40 * time.Second, Patience: 5 * time.Second}
 }
 
-func TestGrownTownsServeACalmDay(t *testing.T) {
-	for i, town := range []string{"kingston-grown", "romania-grown"} {
-		t.Run(town, func(t *testing.T) {
+func TestGrownDeploymentsServeACalmDay(t *testing.T) {
+	for i, deployment := range []string{"kingston-grown", "romania-grown"} {
+		t.Run(deployment, func(t *testing.T) {
 			if testing.Short() && i == 0 {
 				t.Skip("run without the race detector")
 			}
 			t.Parallel()
 			is := is.New(t)
-			r := Build(grownDay(int64(1+i), town, 0)).Go()
+			r := Build(grownDay(int64(1+i), deployment, 0)).Go()
 			for _, b := range r.Verdict().Breaks {
 				t.Error(b)
 			}
-			n, hows := map[What]int{}, map[wire.How]int{}
+			n, hows := map[EventKind]int{}, map[wire.How]int{}
 			for _, h := range r.Hist.List {
 				n[h.What]++
 				if h.What == Ended {
@@ -46,14 +46,14 @@
 	}
 }
 
-func TestGrownTownsBearLosses(t *testing.T) {
+func TestGrownDeploymentsBearLosses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("run without the race detector")
 	}
-	for i, town := range []string{"kingston-grown", "romania-grown"} {
-		t.Run(town, func(t *testing.T) {
+	for i, deployment := range []string{"kingston-grown", "romania-grown"} {
+		t.Run(deployment, func(t *testing.T) {
 			t.Parallel()
-			r := Build(grownDay(int64(11+i), town, 5, "kill-leader", "lose-disk", "swap-controller", "kill-controller", "kill-agent", "kill-machine", "cut-zone")).Go()
+			r := Build(grownDay(int64(11+i), deployment, 5, "kill-leader", "lose-disk", "swap-controller", "kill-controller", "kill-agent", "kill-machine", "cut-zone")).Go()
 			for _, b := range r.Verdict().Breaks {
 				t.Error(b)
 			}
@@ -68,7 +68,7 @@
 func TestSlowDisksMakeNoStormOfMessages(t *testing.T) {
 	is := is.New(t)
 	p := grownDay(21, "romania-grown", 0)
-	p.Calm, p.Settle = 4*time.Second, 4*time.Second
+	p.Before, p.Settle = 4*time.Second, 4*time.Second
 	r := Build(p)
 	r.Meter = true
 	r.at(8*time.Second, func() {
@@ -84,12 +84,12 @@
 		}
 	}
 	for _, h := range r.controllers {
-		pushes += h.use.Received[LogMessages].Messages + h.use.Received[WorkMessages].Messages
+		pushes += h.usage.Received[LogMessages].Messages + h.usage.Received[WorkMessages].Messages
 		if h != r.leader() {
-			told += h.use.Sent[WorkMessages].Messages
+			told += h.usage.Sent[WorkMessages].Messages
 		}
 	}
-	t.Logf("%d legs, %d messages to the controllers, %d by followers of work", attempts, pushes, told)
+	t.Logf("%d attempts, %d messages to the controllers, %d by followers of work", attempts, pushes, told)
 	is.True(attempts > 500)
 	is.True(told < attempts)
 	is.True(pushes < 20*attempts)
--- a/sim/grown_rig_test.go
+++ b/sim/grown_rig_test.go
@@ -11,7 +11,7 @@
 
 // many is a fleet of controllers and two gateways without traffic. The controllers start by hand.
 func many(seed int64, controllers, zones int) *Run {
-	r := build(Plan{Seed: seed, Quick: true}, Town{Size: Size{Zones: zones, Controllers: controllers, Gateways: 2, Founders: 3}})
+	r := build(Plan{Seed: seed, Quick: true}, Deployment{Size: Size{Zones: zones, Controllers: controllers, Gateways: 2, Founders: 3}})
 	for _, n := range r.controllers {
 		made := n.make
 		n.make = nil
@@ -62,9 +62,9 @@
 // table has an operator put the next table; acked tells whether it was taken.
 func (r *Run) table(on types.Version) (acked func() bool) {
 	ok := false
-	t := Towns["kingston"].Table()
+	t := Deployments["kingston"].Table()
 	t.Version = on
-	r.Crew.put(t, "g1", 0, func(b bool) { ok = ok || b })
+	r.Clients.put(t, "g1", 0, func(b bool) { ok = ok || b })
 	return func() bool { return ok }
 }
 
--- a/sim/grown_test.go
+++ b/sim/grown_test.go
@@ -24,7 +24,7 @@
 					order = upTo(n)
 					slices.Reverse(order)
 				case "mixed":
-					order = r.rnd.Perm(n)
+					order = r.random.Perm(n)
 				}
 				r.start(order, 1500*time.Millisecond)
 				votes := min(n, 9)
@@ -45,11 +45,11 @@
 				t.Parallel()
 				r := many(100+seed, n, 3)
 				r.start(upTo(n), 300*time.Millisecond)
-				f := r.controllers[r.rnd.Intn(3)]
+				f := r.controllers[r.random.Intn(3)]
 				r.at(time.Duration(200+150*seed)*time.Millisecond, func() {
 					f.kill()
 					f.first = false // the settings no more tell of a first start
-					r.at(time.Duration(200+r.rnd.Intn(8000))*time.Millisecond, f.boot)
+					r.at(time.Duration(200+r.random.Intn(8000))*time.Millisecond, f.boot)
 				})
 				r.wait(11 * time.Second)
 				r.must(t, "all vote", r.waits(10*time.Second, func() bool { return r.whole(n) }))
@@ -80,7 +80,7 @@
 		h.kill()
 		h.disk.wipe()
 	}
-	r.start(r.rnd.Perm(7), time.Second)
+	r.start(r.random.Perm(7), time.Second)
 	r.wait(20 * time.Second)
 	for _, h := range r.controllers {
 		s := r.status(h)
@@ -99,7 +99,7 @@
 				t.Parallel()
 				is := is.New(t)
 				r := many(int64(20+7*i+k), 7, 4)
-				r.start(r.rnd.Perm(7), 300*time.Millisecond)
+				r.start(r.random.Perm(7), 300*time.Millisecond)
 				r.must(t, "all vote", r.waits(5*time.Second, func() bool { return r.whole(7) }))
 				r.wait(time.Second)
 				acked := r.table(0)
@@ -145,7 +145,7 @@
 			is := is.New(t)
 			zones := 2 + n%3
 			r := many(int64(40+n), n, zones)
-			r.start(r.rnd.Perm(n), 300*time.Millisecond)
+			r.start(r.random.Perm(n), 300*time.Millisecond)
 			r.must(t, "all vote", r.waits(5*time.Second, func() bool { return r.whole(n) }))
 			r.wait(time.Second)
 			version := types.Version(0)
@@ -161,17 +161,17 @@
 					h.disk.wipe()
 				}
 				if i%3 == 0 {
-					r.at(time.Duration(r.rnd.Intn(1500))*time.Millisecond, h.boot)
+					r.at(time.Duration(r.random.Intn(1500))*time.Millisecond, h.boot)
 				} else {
 					r.seeds = nil // as they are when the new one starts
-					for _, k := range r.rnd.Perm(n) {
+					for _, k := range r.random.Perm(n) {
 						if k != i%n && len(r.seeds) < 3 {
 							r.seeds = append(r.seeds, r.controllers[k].addr)
 						}
 					}
 					h.make = nil
 					r.controllers[i%n] = r.World.controller(h.addr+"x", h.zone)
-					r.at(time.Duration(r.rnd.Intn(1500))*time.Millisecond, r.controllers[i%n].boot)
+					r.at(time.Duration(r.random.Intn(1500))*time.Millisecond, r.controllers[i%n].boot)
 				}
 				r.wait(2 * time.Second)
 				r.must(t, fmt.Sprint("all vote after change ", i), r.waits(10*time.Second, func() bool { return r.whole(n) }))
@@ -192,7 +192,7 @@
 			t.Parallel()
 			is := is.New(t)
 			r := many(int64(60+n), n, 4)
-			r.start(r.rnd.Perm(n), 300*time.Millisecond)
+			r.start(r.random.Perm(n), 300*time.Millisecond)
 			r.must(t, "all vote", r.waits(5*time.Second, func() bool { return r.whole(n) }))
 			r.wait(time.Second)
 			before := r.status(r.leader()).Roll
@@ -205,7 +205,7 @@
 			}
 			fresh := r.World.controller("h99", l.zone)
 			away = append(away, fresh.addr)
-			r.Split(away, r.rest(away...), true, true)
+			r.Split(away, r.others(away...), true, true)
 			r.at(time.Second, fresh.boot)
 			r.wait(20 * time.Second)
 			now := r.leader()
@@ -276,7 +276,7 @@
 	away := []*node{r.controllers[3], r.controllers[7]}
 	cut := []types.Addr{away[0].addr, away[1].addr}
 	ids := []types.ID{r.status(away[0]).ID, r.status(away[1]).ID, r.status(r.controllers[0]).ID}
-	r.Split(cut, r.rest(cut...), true, true)
+	r.Split(cut, r.others(cut...), true, true)
 	r.wait(40 * time.Second)
 	r.controllers[0].kill()
 	r.controllers[0].make = nil
--- a/sim/hours_test.go
+++ b/sim/hours_test.go
@@ -26,28 +26,28 @@
 	}
 	t.Parallel()
 	is := is.New(t)
-	r := Build(Plan{Seed: 11, Town: "kingston", Patience: 30 * time.Second})
-	r.Crew.Cancel = 0
-	r.at(3*time.Second, func() { r.Crew.put(r.Crew.town.Table(), "g1", 0, func(bool) {}) })
+	r := Build(Plan{Seed: 11, Deployment: "kingston", Patience: 30 * time.Second})
+	r.Clients.Cancel = 0
+	r.at(3*time.Second, func() { r.Clients.put(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
 	traffic := func() {
-		r.Crew.open = true
-		for _, f := range r.Crew.town.Flows {
-			r.Crew.flow(f)
+		r.Clients.open = true
+		for _, f := range r.Clients.deployment.Flows {
+			r.Clients.flow(f)
 		}
 	}
 	r.at(6*time.Second, traffic)
 	r.Run(20 * time.Second)
 	zone := r.zones["z1"]
-	rest := r.rest(append(zone, r.Crew.me)...)
+	rest := r.others(append(zone, r.Clients.addr)...)
 	r.Split(zone, rest, true, true)
 	cut := r.now
 	r.Run(30 * time.Second)
 	var f *apierror.Error
-	r.ask(r.Crew.me, "g1", "job.cancel", "quotes-1", nil, func(a wire.Answer) { f = a.Fault })
+	r.request(r.Clients.addr, "g1", "job.cancel", "quotes-1", nil, func(a wire.Answer) { f = a.Fault })
 	r.Run(32 * time.Second)
 	is.Equal(f.Kind, apierror.NoLead) // the cut side's own gateway refuses at once
 	is.True(f.Retry > 1)
-	r.Crew.open = *steady // else hours of little traffic: a burst every two minutes
+	r.Clients.open = *steady // else hours of little traffic: a burst every two minutes
 	if *steady {
 		r.Run(time.Duration(cut) + *long)
 	}
@@ -55,7 +55,7 @@
 		r.Run(time.Duration(min(end, r.now+int64(110*time.Second))))
 		traffic()
 		r.Run(time.Duration(r.now) + 10*time.Second)
-		r.Crew.open = false
+		r.Clients.open = false
 	}
 	if !*steady {
 		r.Run(time.Duration(r.now) + 12*time.Second) // all streams have ended, so that they are not doubled
@@ -68,7 +68,7 @@
 	for _, h := range r.Hist.List { // callers inside repeat what they sent before and at the time of the cut
 		if h.What == Sent && h.At < cut+int64(10*time.Second) {
 			sent++
-			r.ask(r.Crew.me, "g1", "job.put", string(h.Job), wire.Body(h.Spec), func(a wire.Answer) {
+			r.request(r.Clients.addr, "g1", "job.put", string(h.Job), wire.Body(h.Spec), func(a wire.Answer) {
 				if a.Fault != nil && a.Fault.Retry == 0 {
 					t.Error(h.Job, a.Fault)
 				}
@@ -88,11 +88,11 @@
 	is.Equal(healthy, 11)
 	t.Logf("cut for %s: jobs done a second %.2f before, %.2f from 12 s after, %d workers healthy", *long, before, after, healthy)
 	is.True(after > Near*before)
-	r.Crew.open = false
+	r.Clients.open = false
 	r.Run(time.Duration(r.now) + 40*time.Second)
 	breaks, seen := Check(&r.Hist, Rules, r.now, 30*time.Second)
 	t.Logf("chances:\n%v", seen)
-	is.True(seen["again: a good end told late or never"] > 0) // legs ended well beyond the cut
+	is.True(seen["again: a good end told late or never"] > 0) // attempts ended well beyond the cut
 	for _, b := range breaks {
 		t.Error(b)
 	}
--- a/sim/called_check.go
+++ b/sim/invoked_check.go
@@ -1,4 +1,4 @@
-// The checker on towns whose workers are called: the rules of their users, read
+// The checker on deployments whose workers are invoked: the rules of their users, read
 // from what workers, callers and operators saw. Bounds of time hold only for
 // machines in touch, those that no trouble has touched for a while, and not for
 // orders that a worker carried out late. This file has the rules on the attempts of
@@ -17,23 +17,23 @@
 	"coppercourse/internal/wire"
 )
 
-// CalledRules are the bounds of the two towns.
-func CalledRules(m Manner) Bounds {
+// InvokedRules are the bounds of the two deployments.
+func InvokedRules(m WorkerRules) Bounds {
 	return Bounds{Start: 3 * time.Second, Run: 3*time.Second + m.Stop, Early: 250 * time.Millisecond, Leave: 2 * time.Second, Alone: m.Gang,
 		Table: 2 * time.Second, Settled: true, Touch: 3 * time.Second, Seen: 3 * time.Second, Idle: 3 * time.Second,
 		Back: 250 * time.Millisecond, Jump: 5 * time.Second}
 }
 
 // CheckCalled tells all rules a history breaks, and what chances it had to.
-func CheckCalled(h *History, b Bounds, end int64) ([]Break, Tally) {
+func CheckInvoked(h *History, b Bounds, end int64) ([]Break, Tally) {
 	c := newChecker(h, b, end)
-	if c.on(0, end, func(t trouble) bool { return strings.HasPrefix(t.name, "jump") }) {
+	if c.on(0, end, func(t faultWindow) bool { return strings.HasPrefix(t.name, "jump") }) {
 		c.b.Early += b.Jump
 	}
 	saves := c.saves()
 	for _, j := range c.sorted() {
 		if j.spec == nil {
-			c.bad("unasked", 0, "a leg of %s, which nobody sent", j.id)
+			c.bad("unasked", 0, "an attempt of %s, which nobody sent", j.id)
 			continue
 		}
 		c.twice(j)
@@ -51,28 +51,28 @@
 	c.tables()
 	c.versions()
 	c.effects()
-	c.calledChances()
+	c.invokedChances()
 	return c.verdict()
 }
 
 // trouble is a stretch in which a fault was on, and whom it touched.
-type trouble struct {
+type faultWindow struct {
 	name     string
 	from, to int64
-	hits     []types.Addr
+	affected []types.Addr
 }
 
-func (c *checker) troubles() []trouble {
+func (c *checker) troubles() []faultWindow {
 	if c.woes != nil {
 		return c.woes
 	}
-	c.woes = []trouble{}
+	c.woes = []faultWindow{}
 	for _, h := range c.hist.List {
 		switch h.What {
 		case Trouble:
 			name, long, _ := strings.Cut(h.Text, " for ")
 			d, _ := time.ParseDuration(long)
-			c.woes = append(c.woes, trouble{name, h.At, h.At + int64(d), h.Hits})
+			c.woes = append(c.woes, faultWindow{name, h.At, h.At + int64(d), h.Affected})
 		case Healed:
 			for i := range c.woes {
 				c.woes[i].to = min(c.woes[i].to, h.At)
@@ -83,7 +83,7 @@
 }
 
 // on tells whether a trouble of some kind touches a stretch, or did shortly before.
-func (c *checker) on(from, to int64, kind func(trouble) bool) bool {
+func (c *checker) on(from, to int64, kind func(faultWindow) bool) bool {
 	for _, t := range c.troubles() {
 		if t.from <= to && t.to+int64(c.b.Touch) >= from && kind(t) {
 			return true
@@ -93,11 +93,11 @@
 }
 
 // ours is a trouble of the system's own machines, or of all the world.
-func (t trouble) ours(who ...types.Addr) bool {
-	if t.hits == nil {
+func (t faultWindow) ours(who ...types.Addr) bool {
+	if t.affected == nil {
 		return true
 	}
-	for _, a := range t.hits {
+	for _, a := range t.affected {
 		if slices.Contains(who, a) {
 			return true
 		}
@@ -108,12 +108,12 @@
 // touched tells whether the machine beside a worker is in touch at a time.
 func (c *checker) touched(shard types.Shard, at int64) bool {
 	w := types.Addr("w" + string(shard[1:]))
-	return !c.on(at, at, func(t trouble) bool { return t.ours(w) })
+	return !c.on(at, at, func(t faultWindow) bool { return t.ours(w) })
 }
 
 // quiet tells that nothing at all was wrong in a stretch.
 func (c *checker) quiet(from, to int64) bool {
-	return !c.on(from, to, func(t trouble) bool { return t.hits == nil || len(t.hits) > 0 })
+	return !c.on(from, to, func(t faultWindow) bool { return t.affected == nil || len(t.affected) > 0 })
 }
 
 const sec = int64(time.Second)
@@ -199,8 +199,8 @@
 }
 
 // saves lists what each stage's attempts saved, and when.
-func (c *checker) saves() map[string]Happening {
-	saves := map[string]Happening{}
+func (c *checker) saves() map[string]HistoryEvent {
+	saves := map[string]HistoryEvent{}
 	for _, h := range c.hist.List {
 		if h.What == Saved {
 			saves[h.Ref] = h
@@ -210,7 +210,7 @@
 }
 
 // unasked: only what was sent, with its own work, from what its own task saved.
-func (c *checker) unasked(j *job, saves map[string]Happening) {
+func (c *checker) unasked(j *job, saves map[string]HistoryEvent) {
 	for n, list := range j.spans {
 		i := j.spec.Step(n)
 		for _, s := range list {
@@ -272,7 +272,7 @@
 			if !s.runs(j.halt, c.end) {
 				continue
 			}
-			c.seen["cancel: hit a running leg"]++
+			c.seen["cancel: hit a running attempt"]++
 			if late := j.halt + int64(c.b.Run); s.runs(late, c.end) && !s.late && c.quiet(j.halt, late) {
 				c.bad("cancel-run", s.to, "%v runs %.3f s after its cancel", s.attempt, float64(s.to-j.halt)/1e9)
 			}
--- a/sim/called_town.go
+++ b/sim/invoked_deployment.go
@@ -1,4 +1,4 @@
-// The two deployments as their users size them now: workers that are called, and
+// The two deployments as their users size them now: workers that are invoked, and
 // jobs with dependencies, uneven tasks, gangs that work only together, data on a
 // rack, saved progress, many times, and tasks that last.
 package sim
@@ -105,9 +105,9 @@
 	}
 }
 
-// calledTown makes a town of shapes.
-func calledTown(name string, cores types.Cores, m Manner, shapes ...shape) Town {
-	t := Town{Name: name, Cores: cores, Manner: &m}
+// invokedDeployment makes a deployment of shapes.
+func invokedDeployment(name string, cores types.Cores, m WorkerRules, shapes ...shape) Deployment {
+	t := Deployment{Name: name, Cores: cores, WorkerRules: &m}
 	for _, x := range shapes {
 		t.Streams = append(t.Streams, Stream{Queue: x.queue, Every: x.every, Cancel: x.cancel, Within: 4 * time.Second,
 			Spec: func(r *rand.Rand, now int64) state.Spec { return x.spec(r, now, float64(cores)/1000) }})
@@ -118,13 +118,13 @@
 	return t
 }
 
-// grown is a town with more of everything. Its callers send as many jobs a worker
+// grown is a deployment with more of everything. Its callers send as many jobs a worker
 // as before, half as often, so that a run is short enough for every change.
-func (t Town) grown(name string, x Size) Town {
+func (t Deployment) grown(name string, x Size) Deployment {
 	t.Name, t.Size = name, x
-	m := *t.Manner
+	m := *t.WorkerRules
 	m.Gang = 4 * time.Second
-	t.Manner, t.Streams = &m, slices.Clone(t.Streams)
+	t.WorkerRules, t.Streams = &m, slices.Clone(t.Streams)
 	for i := range t.Streams {
 		t.Streams[i].Every = 2 * t.Streams[i].Every * time.Duration(Small.Workers) / time.Duration(x.Workers)
 	}
@@ -133,23 +133,23 @@
 
 func init() {
 	beat := 1500 * time.Millisecond
-	a := calledTown("kingston-called", 16*types.Core,
-		Manner{Lease: 6 * time.Second, Stop: 400 * time.Millisecond, Gang: 3 * time.Second, Save: 2 * time.Second, Restore: 600 * time.Millisecond, Far: 1.5, Beat: beat},
+	a := invokedDeployment("kingston-called", 16*types.Core,
+		WorkerRules{Lease: 6 * time.Second, Stop: 400 * time.Millisecond, Gang: 3 * time.Second, Save: 2 * time.Second, Restore: 600 * time.Millisecond, Far: 1.5, Beat: beat},
 		shape{queue: "quotes", every: 142 * time.Millisecond, steps: 1.5, width: 14, ms: 240, cores: 1.5, memory: 1500, uneven: 0.3, off: 0.5, fails: 0.02,
 			poison: 0.01, near: 0.3, copies: 0.6, gangs: 0.1, labels: 0.1, priority: 0, tries: 4, stretch: 1.5, target: 250},
 		shape{queue: "menus", every: 4200 * time.Millisecond, steps: 1.3, width: 5, ms: 6000, cores: 4.8, memory: 8900, uneven: 0.15, off: 0.9, fails: 0.02,
 			poison: 0.03, keeps: 0.4, gangs: 0.3, cancel: 0.1, priority: 2, tries: 3, stretch: 3.2, target: 3000},
 		shape{queue: "payments", every: 752 * time.Millisecond, steps: 1, width: 2, ms: 900, cores: 2.4, memory: 2500, uneven: 0.15, off: 0.2, fails: 0.02,
 			poison: 0.02, apart: 0.3, timed: 0.3, labels: 0.1, cancel: 0.04, priority: 1, tries: 3, stretch: 2.2, target: 1000})
-	b := calledTown("romania-called", 64*types.Core,
-		Manner{Lease: 10 * time.Second, Stop: 900 * time.Millisecond, Gang: 3 * time.Second, Save: time.Second, Restore: 250 * time.Millisecond, Far: 1.5, Beat: beat},
+	b := invokedDeployment("romania-called", 64*types.Core,
+		WorkerRules{Lease: 10 * time.Second, Stop: 900 * time.Millisecond, Gang: 3 * time.Second, Save: time.Second, Restore: 250 * time.Millisecond, Far: 1.5, Beat: beat},
 		shape{queue: "searches", every: 222 * time.Millisecond, steps: 1.5, width: 14, ms: 380, cores: 6, memory: 8600, uneven: 0.15, off: 0.9, fails: 0.005,
 			poison: 0.01, near: 0.3, copies: 0.6, gangs: 0.1, labels: 0.1, priority: 0, tries: 2, stretch: 1.5, target: 200},
 		shape{queue: "plans", every: 4200 * time.Millisecond, steps: 1.3, width: 5, ms: 6000, cores: 19, memory: 36000, uneven: 0.3, off: 0.9, fails: 0.05,
 			keeps: 0.4, gangs: 0.3, cancel: 0.1, priority: 2, tries: 4, stretch: 3.2, target: 3000},
 		shape{queue: "bookings", every: 369 * time.Millisecond, steps: 1, width: 2, ms: 720, cores: 9.7, memory: 14000, uneven: 0.3, off: 0.2, fails: 0.03,
 			apart: 0.3, timed: 0.3, cancel: 0.04, priority: 1, tries: 4, stretch: 2.2, target: 1000})
-	Towns[a.Name], Towns[b.Name] = a, b
-	Towns["kingston-grown"] = a.grown("kingston-grown", Size{Zones: 4, Controllers: 8, Gateways: 8, Workers: 62, Rack: 7, Founders: 3})
-	Towns["romania-grown"] = b.grown("romania-grown", Size{Zones: 3, Controllers: 6, Gateways: 7, Workers: 50, Rack: 8, Founders: 3})
+	Deployments[a.Name], Deployments[b.Name] = a, b
+	Deployments["kingston-grown"] = a.grown("kingston-grown", Size{Zones: 4, Controllers: 8, Gateways: 8, Workers: 62, Rack: 7, Founders: 3})
+	Deployments["romania-grown"] = b.grown("romania-grown", Size{Zones: 3, Controllers: 6, Gateways: 7, Workers: 50, Rack: 8, Founders: 3})
 }
--- a/sim/called_idle.go
+++ b/sim/invoked_idle.go
@@ -14,7 +14,7 @@
 
 const glance = int64(250 * time.Millisecond)
 
-// idle looks at the town again and again, in all stretches in which nothing was
+// idle looks at the deployment again and again, in all stretches in which nothing was
 // wrong for a while.
 func (c *checker) idle() {
 	spans := slices.Clone(c.spans)
@@ -69,7 +69,7 @@
 
 // waits finds a step of a job of which a task's turn has come.
 func (c *checker) waits(j *job, at int64) (p state.Step, ok bool) {
-	if at < j.taken || j.asked > 0 && j.asked <= at || slices.ContainsFunc(j.sight, func(h Happening) bool { return h.At <= at && ended(h.Stage) }) {
+	if at < j.taken || j.asked > 0 && j.asked <= at || slices.ContainsFunc(j.sight, func(h HistoryEvent) bool { return h.At <= at && ended(h.Stage) }) {
 		return
 	}
 	for time := range j.spec.Count() {
--- a/sim/called_jobs.go
+++ b/sim/invoked_jobs.go
@@ -26,7 +26,7 @@
 	if j.taken == 0 {
 		return
 	}
-	if j.missed > j.taken+int64(c.b.Seen) && !c.on(j.missed, j.missed, func(t trouble) bool { return t.hits == nil }) {
+	if j.missed > j.taken+int64(c.b.Seen) && !c.on(j.missed, j.missed, func(t faultWindow) bool { return t.affected == nil }) {
 		c.bad("forgotten", j.missed, "%s was accepted, then there was no such job", j.id)
 	}
 	last := state.Stage("")
@@ -48,7 +48,7 @@
 }
 
 // outcome looks for the cause of what a caller was shown.
-func (c *checker) outcome(j *job, h Happening) {
+func (c *checker) outcome(j *job, h HistoryEvent) {
 	dead := false
 	for i := range j.spec.Total() {
 		n := j.spec.No(i)
--- a/sim/callee.go
+++ b/sim/invoked_node.go
@@ -1,4 +1,4 @@
-// A called worker's process in the simulated world: it beats to the agent on its
+// An invoked worker's process in the simulated world: it beats to the agent on its
 // machine, and takes its calls as well or as badly as the faults of the moment
 // make it.
 package sim
@@ -11,12 +11,12 @@
 	"coppercourse/internal/wire"
 )
 
-// callee is the place of a called worker, and the process there if there is one.
-type callee struct {
+// invokedNode is the place of an invoked worker, and the process there if there is one.
+type invokedNode struct {
 	node  *node // its clocks and address; it carries no machine
 	agent types.Addr
-	make  Make
-	w     *Called
+	make  WorkerSpec
+	w     *InvokedWorker
 	gen   int
 	seq   uint64
 	goes  types.Stamp // when it leaves; 0 is never
@@ -29,22 +29,22 @@
 	wild, rash bool
 }
 
-// callee adds the place of a called worker.
-func (w *World) callee(addr, agent types.Addr, zone types.Zone, m Make) *callee {
-	k := &callee{agent: agent, make: m}
+// invokedNode adds the place of an invoked worker.
+func (w *World) addInvokedWorker(addr, agent types.Addr, zone types.Zone, m WorkerSpec) *invokedNode {
+	k := &invokedNode{agent: agent, make: m}
 	k.node = w.add(addr, "worker", zone, nil)
-	w.yard = append(w.yard, k)
-	w.lines[addr] = k
+	w.invokedWorkers = append(w.invokedWorkers, k)
+	w.invokedAt[addr] = k
 	return k
 }
 
-func (k *callee) boot() {
+func (k *invokedNode) boot() {
 	n := k.node
 	k.gen++
 	k.seq, k.goes, k.told = 0, 0, false
-	k.w = NewCalled(k.make, types.ID(fmt.Sprintf("%s.%d", n.addr, k.gen)), n.w.floor, n.w.chance(), n.mono, n.w.tell)
+	k.w = NewInvokedWorker(k.make, types.ID(fmt.Sprintf("%s.%d", n.addr, k.gen)), n.w.environment, n.w.chance(), n.mono, n.w.record)
 	k.w.Wild, k.w.Rash = k.wild, k.rash
-	n.w.tell(Happening{What: Staying, Who: string(k.w.ID), Shard: k.make.Shard, Make: &k.make})
+	n.w.record(HistoryEvent{What: Staying, Who: string(k.w.ID), Shard: k.make.Shard, Make: &k.make})
 	gen := k.gen
 	on := func() bool { return k.gen == gen && k.w != nil }
 	var tick, beat func()
@@ -57,7 +57,7 @@
 	beat = func() {
 		if on() {
 			k.beat(0)
-			n.w.at(n.w.floor.Beat*95/100+time.Duration(n.w.rnd.Int63n(int64(n.w.floor.Beat/10))), beat)
+			n.w.at(n.w.environment.Beat*95/100+time.Duration(n.w.random.Int63n(int64(n.w.environment.Beat/10))), beat)
 		}
 	}
 	tick()
@@ -65,7 +65,7 @@
 }
 
 // beat tells the agent of the worker, again if there is no answer in a second.
-func (k *callee) beat(tries int) {
+func (k *invokedNode) beat(tries int) {
 	w, gen := k.node.w, k.gen
 	k.seq++
 	b := wire.WorkerBeat{Life: k.w.ID, To: k.node.addr, Seq: k.seq, Rack: k.make.Rack, Labels: k.make.Labels, Kinds: k.make.Kinds,
@@ -75,15 +75,15 @@
 	}
 	over := false
 	send := func() {
-		w.ask(k.node.addr, k.agent, "beat", "", wire.Body(b), func(a wire.Answer) {
+		w.request(k.node.addr, k.agent, "beat", "", wire.Body(b), func(a wire.Answer) {
 			if over = over || a.Fault == nil; a.Fault == nil && b.Leaving && k.gen == gen && !k.told {
 				k.told = true
-				w.tell(Happening{What: Leaving, Who: string(b.Life), Shard: k.make.Shard})
+				w.record(HistoryEvent{What: Leaving, Who: string(b.Life), Shard: k.make.Shard})
 			}
 		})
 	}
-	if k.lag > 0 && w.rnd.Float64() < k.lag {
-		w.at(2*time.Second+time.Duration(w.rnd.Int63n(int64(4*time.Second))), send)
+	if k.lag > 0 && w.random.Float64() < k.lag {
+		w.at(2*time.Second+time.Duration(w.random.Int63n(int64(4*time.Second))), send)
 		return
 	}
 	send()
@@ -95,12 +95,12 @@
 }
 
 // kill ends the process; calls are then refused or lost.
-func (k *callee) kill(refuses bool) {
+func (k *invokedNode) kill(refuses bool) {
 	if k.w == nil {
 		return
 	}
 	k.refuses = refuses
-	k.node.w.tell(Happening{What: Died, Who: string(k.w.ID), Shard: k.make.Shard})
+	k.node.w.record(HistoryEvent{What: Died, Who: string(k.w.ID), Shard: k.make.Shard})
 	k.gen++
 	w := k.w
 	k.w = nil
@@ -108,7 +108,7 @@
 }
 
 // leave has the worker say that it goes within a time, and go then.
-func (k *callee) leave(within time.Duration) {
+func (k *invokedNode) leave(within time.Duration) {
 	if k.w == nil || k.goes != 0 {
 		return
 	}
@@ -119,14 +119,14 @@
 		if k.gen != gen || k.w == nil {
 			return
 		}
-		w.ask(k.node.addr, k.agent, "leave", string(k.w.ID), nil, func(wire.Answer) {})
-		w.tell(Happening{What: Removed, Who: string(k.w.ID), Shard: k.make.Shard, Text: within.String()})
+		w.request(k.node.addr, k.agent, "leave", string(k.w.ID), nil, func(wire.Answer) {})
+		w.record(HistoryEvent{What: Removed, Who: string(k.w.ID), Shard: k.make.Shard, Text: within.String()})
 		k.kill(true)
 	})
 }
 
 // heal ends what is wrong with the worker.
-func (k *callee) heal() {
+func (k *invokedNode) heal() {
 	k.hangs, k.lates, k.lag = false, 0, 0
 	if k.w == nil {
 		k.boot()
@@ -137,15 +137,15 @@
 }
 
 // take is a call that has come to the worker's address.
-func (k *callee) take(c wire.WorkerCall, reply func(wire.WorkerReply)) {
+func (k *invokedNode) take(c wire.WorkerCall, reply func(wire.WorkerReply)) {
 	w, gen := k.node.w, k.gen
 	mute := func(wire.WorkerReply) {}
 	switch {
 	case k.w == nil && k.refuses:
 		reply(wire.WorkerReply{Result: wire.Closed})
 	case k.w == nil:
-	case k.lates > 0 && w.rnd.Float64() < k.lates:
-		w.at(2*time.Second+time.Duration(w.rnd.Int63n(int64(10*time.Second))), func() {
+	case k.lates > 0 && w.random.Float64() < k.lates:
+		w.at(2*time.Second+time.Duration(w.random.Int63n(int64(10*time.Second))), func() {
 			if k.gen == gen && k.w != nil {
 				k.w.late = true
 				k.w.Do(c, mute)
@@ -153,7 +153,7 @@
 			}
 		})
 	case k.hangs:
-		if w.rnd.Intn(2) == 0 {
+		if w.random.Intn(2) == 0 {
 			k.w.Do(c, mute)
 		}
 	default:
@@ -161,11 +161,11 @@
 	}
 }
 
-// phone carries an agent's call to its worker, and the reply, or that there was
+// invoke carries an agent's call to its worker, and the reply, or that there was
 // none in time, back.
-func (w *World) phone(n *node, c wire.WorkerCall) {
-	if w.Dial != nil {
-		w.Dial(&c)
+func (w *World) invoke(n *node, c wire.WorkerCall) {
+	if w.TamperCall != nil {
+		w.TamperCall(&c)
 	}
 	gen, over := n.gen, false
 	back := func(r wire.WorkerReply) {
@@ -174,15 +174,15 @@
 		}
 		over = true
 		r.No = c.No
-		if w.Hear != nil {
-			w.Hear(c, &r)
+		if w.TamperReply != nil {
+			w.TamperReply(c, &r)
 		}
 		n.deliver(func() { n.step(wire.Event{Reply: &r}) })
 	}
 	w.at(c.Limit, func() { back(wire.WorkerReply{Result: wire.Silent}) })
-	w.carry(n.addr, c.To, func() {
-		if k := w.lines[c.To]; k != nil {
-			k.take(c, func(r wire.WorkerReply) { w.carry(c.To, n.addr, func() { back(r) }) })
+	w.transmit(n.addr, c.To, func() {
+		if k := w.invokedAt[c.To]; k != nil {
+			k.take(c, func(r wire.WorkerReply) { w.transmit(c.To, n.addr, func() { back(r) }) })
 		}
 	})
 }
--- a/sim/called_planted_test.go
+++ b/sim/invoked_planted_test.go
@@ -1,4 +1,4 @@
-// Each rule on towns whose workers are called is shown to catch a planted bug: the
+// Each rule on deployments whose workers are invoked is shown to catch a planted bug: the
 // machines are the real ones, what lies between them lies. The same run without
 // the bug breaks nothing.
 package sim
@@ -20,7 +20,7 @@
 
 func onBeat(f func(*wire.WorkerBeat)) func(*Run) {
 	return func(r *Run) {
-		r.Bend = func(verb string, b *json.RawMessage) {
+		r.TamperRequest = func(verb string, b *json.RawMessage) {
 			if verb == "beat" {
 				alter(b, f)
 			}
@@ -31,7 +31,7 @@
 // onEnd changes how workers' ends are told.
 func onEnd(from, to wire.How) func(*Run) {
 	return func(r *Run) {
-		r.Hear = func(_ wire.WorkerCall, x *wire.WorkerReply) {
+		r.TamperReply = func(_ wire.WorkerCall, x *wire.WorkerReply) {
 			x.Ends = slices.Clone(x.Ends)
 			for i := range x.Ends {
 				if x.Ends[i].How == from {
@@ -45,8 +45,8 @@
 // onStart changes one start in some.
 func onStart(some int, f func(*wire.WorkerCall)) func(*Run) {
 	return func(r *Run) {
-		r.Dial = func(c *wire.WorkerCall) {
-			if c.Kind == wire.Start && r.rnd.Intn(some) == 0 {
+		r.TamperCall = func(c *wire.WorkerCall) {
+			if c.Kind == wire.Start && r.random.Intn(some) == 0 {
 				f(c)
 			}
 		}
@@ -56,7 +56,7 @@
 // onAnswer changes what callers are answered.
 func onAnswer(verb string, f func(*wire.Answer)) func(*Run) {
 	return func(r *Run) {
-		r.Twist = func(v string, a *wire.Answer) {
+		r.TamperAnswer = func(v string, a *wire.Answer) {
 			if v == verb {
 				f(a)
 			}
@@ -80,12 +80,12 @@
 	plant  func(*Run)
 }{
 	{"workers run on without a lease", []string{"cut-agent", "freeze-agent"}, []string{"twice"}, false, func(r *Run) {
-		for _, k := range r.yard {
+		for _, k := range r.invokedWorkers {
 			k.wild = true
 		}
 	}},
 	{"workers heed no fence", []string{"late-worker", "restart-agent"}, []string{"twice"}, false, func(r *Run) {
-		for _, k := range r.yard {
+		for _, k := range r.invokedWorkers {
 			k.rash = true
 		}
 	}},
@@ -93,7 +93,7 @@
 	{"failures told as stops", nil, []string{"tries"}, false, onEnd(wire.Failed, wire.Stopped)},
 	{"workers say that they are larger", nil, []string{"room"}, true, onBeat(func(b *wire.WorkerBeat) { b.Room = b.Room.Times(10) })},
 	{"a worker says that it serves what it does not", nil, []string{"service"}, false, func(r *Run) {
-		r.yard[3].make.Kinds = []types.Kind{"other"}
+		r.invokedWorkers[3].make.Kinds = []types.Kind{"other"}
 		onBeat(func(b *wire.WorkerBeat) { b.Kinds = []types.Kind{"work"} })(r)
 	}},
 	{"workers say that they have all labels", nil, []string{"label"}, false, onBeat(func(b *wire.WorkerBeat) { b.Labels = []string{"a", "b"} })},
@@ -110,7 +110,7 @@
 	}},
 	{"other work is started", nil, []string{"unasked"}, false, onStart(20, func(c *wire.WorkerCall) { c.Work = []byte(`{"ms":7}`) })},
 	{"work goes on from what another saved", []string{"drain-worker", "notice-worker", "drain-rack"}, []string{"unasked"}, false, func(r *Run) {
-		r.Crew.town.Streams[1].Every /= 4 // more of the long jobs, of which some save their progress
+		r.Clients.deployment.Streams[1].Every /= 4 // more of the long jobs, of which some save their progress
 		onStart(1, func(c *wire.WorkerCall) {
 			if c.Ref != "" {
 				c.Ref = "0123456789abcdef"
@@ -119,8 +119,8 @@
 	}},
 	{"what nobody sent is started", nil, []string{"unasked"}, false, onStart(50, func(c *wire.WorkerCall) { c.Attempt.Job = "ghost" })},
 	{"cancels are answered and not taken", nil, []string{"cancel-start", "cancel-run"}, false, func(r *Run) {
-		for i := range r.Crew.town.Streams {
-			r.Crew.town.Streams[i].Cancel, r.Crew.town.Streams[i].Within = 0.5, 500*time.Millisecond
+		for i := range r.Clients.deployment.Streams {
+			r.Clients.deployment.Streams[i].Cancel, r.Clients.deployment.Streams[i].Within = 0.5, 500*time.Millisecond
 		}
 		onMessage(wire.Call, func(c *wire.CallBody) {
 			if c.Verb == "job.cancel" {
@@ -164,7 +164,7 @@
 	})},
 }
 
-func TestPlantedBugsOfCalledWorkersAreCaught(t *testing.T) {
+func TestPlantedBugsOfInvokedWorkersAreCaught(t *testing.T) {
 	if testing.Short() {
 		t.Skip("run without the race detector")
 	}
@@ -177,12 +177,12 @@
 				return slices.ContainsFunc(p.rules, func(rule string) bool { return !got[rule] })
 			}
 			for seed := int64(77); seed < 83 && need(); seed++ {
-				plan := Plan{Seed: seed, Town: "kingston-called", Bare: p.bare, Faults: p.faults, Calm: 6 * time.Second, Settle: 12 * time.Second, Patience: 5 * time.Second}
+				plan := Plan{Seed: seed, Deployment: "kingston-called", Unguarded: p.bare, Faults: p.faults, Before: 6 * time.Second, Settle: 12 * time.Second, Patience: 5 * time.Second}
 				if p.faults != nil {
-					plan.Count, plan.Storm = 6, 10*time.Second
+					plan.Count, plan.FaultsFor = 6, 10*time.Second
 				}
 				r := Build(plan)
-				r.Crew.town.Streams = slices.Clone(r.Crew.town.Streams)
+				r.Clients.deployment.Streams = slices.Clone(r.Clients.deployment.Streams)
 				p.plant(r)
 				for _, b := range r.Go().Verdict().Breaks {
 					got[b.Rule] = true
@@ -204,19 +204,19 @@
 	for who, want := range map[string]int{"g1.1": 1, "g2.1": 0, "g1.2": 0} {
 		is := is.New(t)
 		h := &History{}
-		add := func(ms int64, x Happening) {
+		add := func(ms int64, x HistoryEvent) {
 			x.At = ms * 1e6
 			h.Add(x)
 		}
 		for _, x := range []config.Table{old, next} {
 			got := x.Next()
-			add(int64(x.Becomes)*1000, Happening{What: TableTry, Table: &x})
-			add(int64(x.Becomes)*1000+10, Happening{What: TableAck, Table: &got, Text: "x"})
+			add(int64(x.Becomes)*1000, HistoryEvent{What: TableTry, Table: &x})
+			add(int64(x.Becomes)*1000+10, HistoryEvent{What: TableAck, Table: &got, Text: "x"})
 		}
-		add(7100, Happening{What: Counted, Who: "g1.1", Job: "idle-2", Stage: "there", Text: "7090000000"})
-		add(7900, Happening{What: Counted, Who: who, Job: "idle-1", Stage: "there", Text: "7800000000"})
+		add(7100, HistoryEvent{What: Counted, Who: "g1.1", Job: "idle-2", Stage: "there", Text: "7090000000"})
+		add(7900, HistoryEvent{What: Counted, Who: who, Job: "idle-1", Stage: "there", Text: "7800000000"})
 		n := 0
-		for _, b := range first(CheckCalled(h, CalledRules(*Towns["kingston-called"].Manner), 20e9)) {
+		for _, b := range first(CheckInvoked(h, InvokedRules(*Deployments["kingston-called"].WorkerRules), 20e9)) {
 			if b.Rule == "back" {
 				n++
 			}
--- a/sim/called_tables.go
+++ b/sim/invoked_tables.go
@@ -1,4 +1,4 @@
-// The users' rules on tables, beyond those for all towns: queues that came or went
+// The users' rules on tables, beyond those for all deployments: queues that came or went
 // are known or not known at every door in time, no daemon goes back to an older
 // table, and of two tables put on one only one is acknowledged.
 package sim
@@ -13,13 +13,13 @@
 )
 
 func (c *checker) versions() {
-	acked := map[string]Happening{}
+	acked := map[string]HistoryEvent{}
 	for _, h := range c.hist.List {
 		if h.What != TableAck || h.Text == "" {
 			continue
 		}
 		if o, ok := acked[h.Text]; ok && (o.Table.Version != h.Table.Version || !o.Table.Same(*h.Table)) {
-			c.bad("table", h.At, "editions %d and %d were both acknowledged, put on edition %s", o.Table.Version, h.Table.Version, h.Text)
+			c.bad("table", h.At, "versions %d and %d were both acknowledged, put on version %s", o.Table.Version, h.Table.Version, h.Text)
 		}
 		acked[h.Text] = h
 	}
@@ -34,14 +34,14 @@
 		}
 		began, _ := strconv.ParseInt(h.Text, 10, 64)
 		over := uint64(0)
-		touch := !c.on(began, h.At, func(t trouble) bool { return t.hits == nil || len(t.hits) > 0 })
+		touch := !c.on(began, h.At, func(t faultWindow) bool { return t.affected == nil || len(t.affected) > 0 })
 		least, most, some := uint64(0), uint64(0), false
-		for _, r := range c.reigns {
+		for _, r := range c.activeTables {
 			if r.acked > 0 && r.acked+int64(c.b.Table) < began && touch {
 				over = max(over, uint64(r.Version))
 			}
 		}
-		for _, r := range c.reigns {
+		for _, r := range c.activeTables {
 			if _, ok := r.Find(types.Queue(h.Job)); ok != (h.Stage == "there") || r.from > h.At {
 				continue
 			}
@@ -53,12 +53,12 @@
 		}
 		c.seen["table: a door was asked for a queue that came or went"]++
 		if !some || most < over {
-			c.bad("table", h.At, "%s says of %s that it is %q, as no table from edition %d on has it", h.Who, h.Job, h.Stage, over)
+			c.bad("table", h.At, "%s says of %s that it is %q, as no table from version %d on has it", h.Who, h.Job, h.Stage, over)
 			continue
 		}
 		for _, p := range back[h.Who] {
 			if p.at+int64(c.b.Back) < began && most < p.over {
-				c.bad("back", h.At, "%s goes back: %s as only editions up to %d have it, after edition %d at %.3f s", h.Who, h.Job, most, p.over, float64(p.at)/1e9)
+				c.bad("back", h.At, "%s goes back: %s as only versions up to %d have it, after version %d at %.3f s", h.Who, h.Job, most, p.over, float64(p.at)/1e9)
 				break
 			}
 		}
@@ -66,8 +66,8 @@
 	}
 }
 
-// calledChances counts what could have gone wrong.
-func (c *checker) calledChances() {
+// invokedChances counts what could have gone wrong.
+func (c *checker) invokedChances() {
 	for _, s := range c.spans {
 		j := c.jobs[s.attempt.Job]
 		if j.spec == nil {
@@ -96,7 +96,7 @@
 		}
 	}
 	for _, j := range c.jobs {
-		lost := func(t trouble) bool {
+		lost := func(t faultWindow) bool {
 			return strings.Contains("kill-leader kill-controller power-all lose-disk swap-controller", t.name)
 		}
 		if j.taken > 0 && c.on(j.taken, j.taken+sec, lost) {
@@ -119,7 +119,7 @@
 				c.seen["late: a start was turned away by a later fence"]++
 				continue
 			}
-			c.seen["room: a worker turned a leg away"]++
+			c.seen["room: a worker turned an attempt away"]++
 		case Working:
 			c.seen["alone: a member's gang was whole"]++
 		}
--- a/sim/called_test.go
+++ b/sim/invoked_test.go
@@ -1,5 +1,5 @@
-// Towns whose workers are called: calm days, each fault alone, and seeds that once
-// failed. Long sweeps are `trial sweep --town kingston-called`.
+// Deployments whose workers are invoked: calm days, each fault alone, and seeds that once
+// failed. Long sweeps are `trial sweep --deployment kingston-called`.
 package sim
 
 import (
@@ -17,27 +17,27 @@
 	"coppercourse/internal/wire"
 )
 
-// calm is a day without faults in a town whose workers are called.
-func calm(seed int64, town string, bare bool) Plan {
-	return Plan{Seed: seed, Town: town, Bare: bare, Calm: 14 * time.Second, After: 4 * time.Second, Settle: 40 * time.Second, Patience: 5 * time.Second}
+// calm is a day without faults in a deployment whose workers are invoked.
+func calm(seed int64, deployment string, bare bool) Plan {
+	return Plan{Seed: seed, Deployment: deployment, Unguarded: bare, Before: 14 * time.Second, After: 4 * time.Second, Settle: 40 * time.Second, Patience: 5 * time.Second}
 }
 
 // brief is a few faults of some kinds, and no more time after them than all needs to end.
-func brief(seed int64, town string, count int, faults ...string) Plan {
-	return Plan{Seed: seed, Town: town, Bare: seed%2 == 0, Faults: faults, Count: count, Calm: 3 * time.Second, Storm: 9 * time.Second, After: 3 * time.Second,
+func brief(seed int64, deployment string, count int, faults ...string) Plan {
+	return Plan{Seed: seed, Deployment: deployment, Unguarded: seed%2 == 0, Faults: faults, Count: count, Before: 3 * time.Second, FaultsFor: 9 * time.Second, After: 3 * time.Second,
 		Settle: 45 * time.Second, Patience: 5 * time.Second}
 }
 
-func TestCalledTownsServeACalmDay(t *testing.T) {
-	for i, town := range []string{"kingston-called", "romania-called"} {
-		t.Run(town, func(t *testing.T) {
+func TestInvokedDeploymentsServeACalmDay(t *testing.T) {
+	for i, deployment := range []string{"kingston-called", "romania-called"} {
+		t.Run(deployment, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			r := Build(calm(int64(1+i), town, i == 1)).Go()
+			r := Build(calm(int64(1+i), deployment, i == 1)).Go()
 			for _, b := range r.Verdict().Breaks {
 				t.Error(b)
 			}
-			n, hows, last := map[What]int{}, map[wire.How]int{}, map[string]state.Stage{}
+			n, hows, last := map[EventKind]int{}, map[wire.How]int{}, map[string]state.Stage{}
 			for _, h := range r.Hist.List {
 				n[h.What]++
 				switch h.What {
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestEachFaultOfCalledTownsAlone(t *testing.T) {
+func TestEachFaultOfInvokedDeploymentsAlone(t *testing.T) {
 	if testing.Short() {
 		t.Skip("run without the race detector")
 	}
@@ -96,7 +96,7 @@
 	{"alone", []string{"cut-leader", "sick-worker", "cut-zone", "hang-worker"}, 0, false,
 		[]string{"alone: a member's gang was whole", "ended: broken"}},
 	{"unasked", []string{"drain-worker", "notice-worker", "drain-rack"}, 0, true, []string{"unasked: started from what was saved"}},
-	{"cancel", []string{"cut-agent", "freeze-agent", "hang-worker"}, 0, true, []string{"cancel: hit a running leg", "cancel: near a trouble"}},
+	{"cancel", []string{"cut-agent", "freeze-agent", "hang-worker"}, 0, true, []string{"cancel: hit a running attempt", "cancel: near a trouble"}},
 	{"refused", []string{"cut-core", "power-all", "freeze-leader", "stall-disk"}, -1, false, []string{"refused: jobs that were turned away for good"}},
 	{"leaving", []string{"notice-worker", "spot-worker", "drain-rack", "late-beats"}, 0, false, []string{"leaving: started elsewhere while a worker was leaving", "leaving: a drain taken"}},
 	{"forgotten", []string{"power-all", "lose-disk", "swap-controller", "kill-leader"}, 0, false, []string{"forgotten: accepted near a kill or lost disk"}},
@@ -106,7 +106,7 @@
 		[]string{"table: acknowledged near a trouble", "table: refused or losing", "table: a door was asked for a queue that came or went"}},
 }
 
-func TestEveryRuleOfCalledTownsHadItsChance(t *testing.T) {
+func TestEveryRuleOfInvokedDeploymentsHadItsChance(t *testing.T) {
 	if testing.Short() {
 		t.Skip("run without the race detector")
 	}
@@ -121,12 +121,12 @@
 			for seed := int64(0); seed < enough && need(); seed++ {
 				r := Build(brief(700+10*int64(i)+seed, []string{"kingston-called", "romania-called"}[seed%2], 6, c.faults...))
 				if c.long { // more of the long jobs, of which some save their progress and more are cancelled
-					r.Crew.town.Streams = slices.Clone(r.Crew.town.Streams)
-					r.Crew.town.Streams[1].Every /= 4
-					r.Crew.town.Streams[1].Cancel = 0.4
+					r.Clients.deployment.Streams = slices.Clone(r.Clients.deployment.Streams)
+					r.Clients.deployment.Streams[1].Every /= 4
+					r.Clients.deployment.Streams[1].Cancel = 0.4
 				}
 				if c.tries != 0 {
-					r.Crew.Tries = max(0, c.tries)
+					r.Clients.Tries = max(0, c.tries)
 				}
 				v := r.Go().Verdict()
 				for _, b := range v.Breaks {
@@ -142,13 +142,13 @@
 	}
 }
 
-// ofGangs is a town of nothing but gangs, in which something goes wrong from 5 s on.
+// ofGangs is a deployment of nothing but gangs, in which something goes wrong from 5 s on.
 func ofGangs(seed int64, how func(*Run)) *Run {
 	r := Build(calm(seed, "kingston-called", false))
-	r.Crew.town.Streams = slices.Clone(r.Crew.town.Streams[:1])
+	r.Clients.deployment.Streams = slices.Clone(r.Clients.deployment.Streams[:1])
 	x := shape{queue: "quotes", steps: 1, width: 6, ms: 900, cores: 3, memory: 900, gangs: 1}
-	r.Crew.town.Streams[0].Every = 120 * time.Millisecond
-	r.Crew.town.Streams[0].Spec = func(rnd *rand.Rand, now int64) state.Spec { return x.spec(rnd, now, 16) }
+	r.Clients.deployment.Streams[0].Every = 120 * time.Millisecond
+	r.Clients.deployment.Streams[0].Spec = func(rnd *rand.Rand, now int64) state.Spec { return x.spec(rnd, now, 16) }
 	r.at(5*time.Second, func() { how(r) })
 	return r
 }
@@ -156,7 +156,7 @@
 // boasts has one worker tell three times the room that it has.
 func boasts(r *Run) {
 	onBeat(func(b *wire.WorkerBeat) {
-		if b.To == r.yard[4].node.addr {
+		if b.To == r.invokedWorkers[4].node.addr {
 			b.Room = b.Room.Times(3)
 		}
 	})(r)
@@ -199,10 +199,10 @@
 		t.Skip("run without the race detector")
 	}
 	for name, how := range map[string]func(*Run){
-		"sick":      func(r *Run) { r.yard[2].w.Sick = true },
+		"sick":      func(r *Run) { r.invokedWorkers[2].w.Sick = true },
 		"too small": boasts,
 		"no answers": func(r *Run) {
-			for _, k := range r.yard {
+			for _, k := range r.invokedWorkers {
 				k.lates = 0.1
 			}
 		},
--- a/sim/called.go
+++ b/sim/invoked_worker.go
@@ -1,8 +1,8 @@
-// The stand-in for a worker that is called: it starts, stops and holds what it is
+// The stand-in for a worker that is invoked: it starts, stops and holds what it is
 // told by its agent alone, under a lease that ends at a reading of its own clock.
 // A process, a "life", knows nothing of the one before it: it runs nothing, has
 // seen no fence and counts its ends from 1. This file takes the calls; attempt.go
-// has what runs, floor.go what the workers of a town share.
+// has what runs, worker_environment.go what the workers of a deployment share.
 package sim
 
 import (
@@ -15,9 +15,9 @@
 	"coppercourse/internal/wire"
 )
 
-// Called is one process of such a worker.
-type Called struct {
-	Make
+// InvokedWorker is one process of such a worker.
+type InvokedWorker struct {
+	WorkerSpec
 	ID    types.ID
 	Still bool // what runs gets no further, but calls are answered
 	Sick  bool // it turns all starts away and says so
@@ -25,26 +25,26 @@
 	Wild  bool // a planted bug: runs on without a lease
 	Rash  bool // a planted bug: heeds no fence
 
-	floor *Floor
-	rnd   *rand.Rand
-	tell  func(Happening)
-	time  func() types.Stamp
-	born  types.Stamp
-	first int64   // what its clock read at its birth
-	pace  float64 // of its clock
-	late  bool    // the call at hand is carried out late
-	lease int64   // when that ends, on its clock; 0 is none
-	fence uint64
-	n     uint64
-	seen  uint64
-	runs  map[types.Attempt]*attempt
-	shut  map[types.Task]int
-	ends  []calledEnd
-	waits []waitingHold
-}
-
-// calledEnd is an end not yet settled; it is void once the lease has lapsed.
-type calledEnd struct {
+	environment *WorkerEnvironment
+	rnd         *rand.Rand
+	tell        func(HistoryEvent)
+	time        func() types.Stamp
+	born        types.Stamp
+	first       int64   // what its clock read at its birth
+	pace        float64 // of its clock
+	late        bool    // the call at hand is carried out late
+	lease       int64   // when that ends, on its clock; 0 is none
+	fence       uint64
+	n           uint64
+	seen        uint64
+	runs        map[types.Attempt]*attempt
+	shut        map[types.Task]int
+	ends        []invokedEnd
+	waits       []waitingHold
+}
+
+// invokedEnd is an end not yet settled; it is void once the lease has lapsed.
+type invokedEnd struct {
 	wire.WorkerEnd
 	void bool
 }
@@ -59,37 +59,37 @@
 // ends that one answer lists at most.
 const listed = 500
 
-// NewCalled starts a worker process. Its clock is up to 2% slow and begins
+// NewInvokedWorker starts a worker process. Its clock is up to 2% slow and begins
 // anywhere.
-func NewCalled(m Make, id types.ID, floor *Floor, rnd *rand.Rand, time func() types.Stamp, tell func(Happening)) *Called {
+func NewInvokedWorker(m WorkerSpec, id types.ID, environment *WorkerEnvironment, rnd *rand.Rand, time func() types.Stamp, tell func(HistoryEvent)) *InvokedWorker {
 	if m.Slow == 0 {
 		m.Slow = 1
 	}
-	return &Called{Make: m, ID: id, Lax: rnd.Intn(2) == 0, floor: floor, rnd: rnd, tell: tell, time: time, born: time(), first: 1 + rnd.Int63n(1<<40),
+	return &InvokedWorker{WorkerSpec: m, ID: id, Lax: rnd.Intn(2) == 0, environment: environment, rnd: rnd, tell: tell, time: time, born: time(), first: 1 + rnd.Int63n(1<<40),
 		pace: 1 - 0.02*rnd.Float64(), runs: map[types.Attempt]*attempt{}, shut: map[types.Task]int{}}
 }
 
 // Clock is what the worker's own clock reads.
-func (w *Called) Clock() int64 {
+func (w *InvokedWorker) Clock() int64 {
 	return w.first + int64(w.pace*float64(w.time().Sub(w.born).Microseconds())/1000)
 }
 
 // over tells whether the lease has ended.
-func (w *Called) over() bool { return !w.Wild && w.Clock() >= w.lease }
+func (w *InvokedWorker) over() bool { return !w.Wild && w.Clock() >= w.lease }
 
-func (w *Called) say(h Happening) {
+func (w *InvokedWorker) say(h HistoryEvent) {
 	h.Who, h.Shard = string(w.ID), w.Shard
 	w.tell(h)
 }
 
 // Tick lets time pass.
-func (w *Called) Tick() {
+func (w *InvokedWorker) Tick() {
 	w.advance()
 	w.wake()
 }
 
 // Do takes a call. Reply is called once, when the call is answered.
-func (w *Called) Do(c wire.WorkerCall, reply func(wire.WorkerReply)) {
+func (w *InvokedWorker) Do(c wire.WorkerCall, reply func(wire.WorkerReply)) {
 	w.advance()
 	defer w.wake()
 	r := wire.WorkerReply{No: c.No, Result: wire.Taken, Clock: w.Clock()}
@@ -99,7 +99,7 @@
 		return
 	case c.Fence < w.fence && !w.Rash:
 		if w.late && c.Kind == wire.Start {
-			w.say(Happening{What: Spared, Attempt: c.Attempt, Late: true})
+			w.say(HistoryEvent{What: Spared, Attempt: c.Attempt, Late: true})
 		}
 		r.Result = wire.Fenced
 		reply(r)
@@ -124,14 +124,14 @@
 }
 
 // hold takes up the end of a lease: never shortened, and not beyond the limit.
-func (w *Called) hold(until int64) {
+func (w *InvokedWorker) hold(until int64) {
 	now := w.Clock()
-	if until = min(until, now+w.floor.Lease.Milliseconds()); until > now {
+	if until = min(until, now+w.environment.Lease.Milliseconds()); until > now {
 		w.lease = max(w.lease, until)
 	}
 }
 
-func (w *Called) begin(c wire.WorkerCall) wire.Result {
+func (w *InvokedWorker) begin(c wire.WorkerCall) wire.Result {
 	if w.Sick {
 		return wire.Sick
 	}
@@ -145,9 +145,9 @@
 	case c.Attempt.Attempt <= w.shut[c.Attempt.Task]:
 		return wire.Outdated
 	}
-	step := w.floor.step(c.Attempt)
+	step := w.environment.step(c.Attempt)
 	if w.Guards && step != nil && !w.free().Holds(step.Room) {
-		w.say(Happening{What: Spared, Attempt: c.Attempt})
+		w.say(HistoryEvent{What: Spared, Attempt: c.Attempt})
 		return wire.Full
 	}
 	w.start(c, step)
@@ -155,7 +155,7 @@
 }
 
 // free is the room that nothing takes; what is being stopped still does.
-func (w *Called) free() types.Room {
+func (w *InvokedWorker) free() types.Room {
 	r := w.Room
 	for _, a := range w.runs {
 		r = r.Minus(a.room)
@@ -163,18 +163,18 @@
 	return r
 }
 
-func (w *Called) halt(l types.Attempt) {
+func (w *InvokedWorker) halt(l types.Attempt) {
 	a := w.runs[l]
 	switch {
 	case a == nil:
 		w.shut[l.Task] = max(w.shut[l.Task], l.Attempt)
 	case a.stops == 0:
-		a.stops = w.time().Add(w.floor.some(w.rnd, w.floor.Stop))
+		a.stops = w.time().Add(w.environment.some(w.rnd, w.environment.Stop))
 	}
 }
 
 // settle forgets ends; those that had not lapsed are thereby noted for good.
-func (w *Called) settle(seen uint64) {
+func (w *InvokedWorker) settle(seen uint64) {
 	for len(w.ends) > 0 && w.ends[0].N <= seen {
 		e := w.ends[0]
 		w.ends = w.ends[1:]
@@ -182,11 +182,11 @@
 		if e.void {
 			what = Void
 		}
-		w.say(Happening{What: what, Attempt: e.Attempt, How: e.How})
+		w.say(HistoryEvent{What: what, Attempt: e.Attempt, How: e.How})
 	}
 }
 
-func (w *Called) list(c wire.WorkerCall) wire.WorkerReply {
+func (w *InvokedWorker) list(c wire.WorkerCall) wire.WorkerReply {
 	r := wire.WorkerReply{No: c.No, Result: wire.Taken, Clock: w.Clock()}
 	for _, l := range w.sorted() {
 		a := w.runs[l]
@@ -199,7 +199,7 @@
 }
 
 // wake answers the holds that wait, once something has ended or their time is up.
-func (w *Called) wake() {
+func (w *InvokedWorker) wake() {
 	kept := w.waits[:0]
 	for _, h := range w.waits {
 		if len(w.ends) > 0 || w.time() >= h.until {
@@ -212,15 +212,15 @@
 }
 
 // end ends an attempt; a gang ends with any of its members.
-func (w *Called) end(a *attempt, how wire.How) {
+func (w *InvokedWorker) end(a *attempt, how wire.How) {
 	if w.runs[a.attempt] != a {
 		return
 	}
 	delete(w.runs, a.attempt)
 	w.shut[a.attempt.Task] = max(w.shut[a.attempt.Task], a.attempt.Attempt)
 	w.n++
-	w.ends = append(w.ends, calledEnd{WorkerEnd: wire.WorkerEnd{N: w.n, Attempt: a.attempt, How: how, Ref: a.ref}})
-	w.say(Happening{What: Ended, Attempt: a.attempt, Outcome: outcomes[how], How: how})
+	w.ends = append(w.ends, invokedEnd{WorkerEnd: wire.WorkerEnd{N: w.n, Attempt: a.attempt, How: how, Ref: a.ref}})
+	w.say(HistoryEvent{What: Ended, Attempt: a.attempt, Outcome: outcomes[how], How: how})
 	a.quit(how)
 }
 
@@ -228,7 +228,7 @@
 	wire.Expired: state.Lapsed, wire.Broken: state.Halted, wire.Lonely: state.Halted}
 
 // Die ends the process and all that it runs.
-func (w *Called) Die() {
+func (w *InvokedWorker) Die() {
 	attempts, runs := w.sorted(), w.runs
 	w.waits, w.runs = nil, nil
 	for _, l := range attempts {
@@ -236,7 +236,7 @@
 	}
 }
 
-func (w *Called) sorted() []types.Attempt {
+func (w *InvokedWorker) sorted() []types.Attempt {
 	list := make([]types.Attempt, 0, len(w.runs))
 	for l := range w.runs {
 		list = append(list, l)
--- a/sim/ledger_test.go
+++ b/sim/ledger_test.go
@@ -18,7 +18,7 @@
 	chances []string
 }{
 	{"twice", []string{"cut-worker", "freeze-worker", "freeze-machine"}, 0,
-		[]string{"twice: a frozen leg found its grant lapsed", "again: started again after a lost or stopped leg"}},
+		[]string{"twice: a frozen attempt found its grant lapsed", "again: started again after a lost or stopped attempt"}},
 	{"again", []string{"cut-zone", "kill-leader", "kill-agent", "cut-core"}, 0,
 		[]string{"again: a good end told late or never", "again: a good end during a cut, kill or freeze"}},
 	{"order", []string{"kill-leader", "power-all", "freeze-leader"}, 0, []string{"order: started a step with dependencies"}},
@@ -30,7 +30,7 @@
 		[]string{"tries: started again after a failure", "tries: last try allowed"}},
 	{"room", []string{"kill-agent", "kill-leader", "freeze-agent", "slow-worker"}, 0, []string{"room: started into the last core"}},
 	{"cancel", []string{"cut-agent", "freeze-agent", "cut-zone", "cut-worker-in"}, 0.5,
-		[]string{"cancel: hit a running leg", "cancel: hit a running leg during a cut or freeze"}},
+		[]string{"cancel: hit a running attempt", "cancel: hit a running attempt during a cut or freeze"}},
 	{"leaving", []string{"leave-worker", "drain-rack", "cut-agent-in", "handover"}, 0,
 		[]string{"leaving: started within 2 s of the word", "leaving: a drain taken"}},
 	{"forgotten", []string{"power-all", "lose-disk", "swap-controller", "kill-leader"}, 0,
@@ -60,10 +60,10 @@
 				return slices.ContainsFunc(c.chances, func(name string) bool { return seen[name] == 0 })
 			}
 			for seed := int64(0); seed < 3 || seed < enough && need(); seed++ {
-				p := storm(500+10*int64(i)+seed, []string{"kingston", "romania", "kingston"}[seed%3], 6, c.faults...)
+				p := faultRun(500+10*int64(i)+seed, []string{"kingston", "romania", "kingston"}[seed%3], 6, c.faults...)
 				r := Build(p)
 				if c.cancel > 0 {
-					r.Crew.Cancel = c.cancel
+					r.Clients.Cancel = c.cancel
 				}
 				v := r.Go().Verdict()
 				for _, b := range v.Breaks {
--- a/sim/net.go
+++ b/sim/net.go
@@ -34,33 +34,33 @@
 
 func (w *World) at(d time.Duration, run func()) {
 	w.seq++
-	heap.Push(&w.plan, pending{w.now + int64(d), w.seq, run})
+	heap.Push(&w.agenda, pending{w.now + int64(d), w.seq, run})
 }
 
-// Weather is how the network behaves in a stretch of time.
-type Weather struct {
+// NetworkQuality is how the network behaves in a stretch of time.
+type NetworkQuality struct {
 	Loss, Twice, Late float64
 }
 
 type pair struct{ from, to types.Addr }
 
-// carry takes a packet from one address to another, or loses it.
-func (w *World) carry(from, to types.Addr, run func()) {
+// transmit takes a packet from one address to another, or loses it.
+func (w *World) transmit(from, to types.Addr, run func()) {
 	times := 1
-	if w.rnd.Float64() < w.sky.Twice {
+	if w.random.Float64() < w.network.Twice {
 		times = 2
 	}
 	for range times {
-		if w.rnd.Float64() < w.sky.Loss {
+		if w.random.Float64() < w.network.Loss {
 			continue
 		}
-		d := 200*time.Microsecond + time.Duration(w.rnd.Int63n(int64(2*time.Millisecond)))
+		d := 200*time.Microsecond + time.Duration(w.random.Int63n(int64(2*time.Millisecond)))
 		d += w.lag[pair{from, to}]
-		if w.far != nil {
-			d += w.far(from, to)
+		if w.distance != nil {
+			d += w.distance(from, to)
 		}
-		if w.rnd.Float64() < w.sky.Late {
-			d += time.Duration(w.rnd.Int63n(int64(900 * time.Millisecond)))
+		if w.random.Float64() < w.network.Late {
+			d += time.Duration(w.random.Int63n(int64(900 * time.Millisecond)))
 		}
 		w.at(d, func() {
 			if !w.cut[pair{from, to}] {
@@ -92,18 +92,18 @@
 
 // disk is one simulated disk: what is synced, and what is only written.
 type disk struct {
-	w      *World
-	safe   []byte
-	loose  []byte
-	slow   time.Duration
-	stall  int64 // until this time nothing is synced
-	busy   bool
-	queue  []write
-	liar   bool // a planted bug: says synced, and is not
-	sealed bool
-	wiped  bool // once at least
-	broken int  // a generation; writes of an earlier one do not finish
-	use    *Usage
+	w          *World
+	synced     []byte
+	unsynced   []byte
+	slow       time.Duration
+	stall      int64 // until this time nothing is synced
+	busy       bool
+	queue      []write
+	lies       bool // a planted bug: says synced, and is not
+	sealed     bool
+	wiped      bool // once at least
+	generation int  // a generation; writes of an earlier one do not finish
+	use        *Usage
 }
 
 type write struct {
@@ -143,7 +143,7 @@
 			if x.whole {
 				b = wal.Pack(b, r, wal.Whole)
 			} else {
-				b = wal.Pack(b, r, int64(len(d.safe)))
+				b = wal.Pack(b, r, int64(len(d.synced)))
 			}
 		}
 	}
@@ -151,29 +151,29 @@
 	d.use.Written += len(b)
 	whole := group[0].whole
 	if !whole {
-		d.loose = b
+		d.unsynced = b
 	}
-	wait := time.Millisecond + d.slow + time.Duration(d.w.rnd.Int63n(int64(3*time.Millisecond)))
+	wait := time.Millisecond + d.slow + time.Duration(d.w.random.Int63n(int64(3*time.Millisecond)))
 	if d.stall > d.w.now {
 		wait += time.Duration(d.stall - d.w.now)
 	}
-	gen := d.broken
+	gen := d.generation
 	d.w.at(wait, func() {
-		if gen != d.broken {
+		if gen != d.generation {
 			return
 		}
-		if d.liar {
+		if d.lies {
 			last := group[len(group)-1]
 			last.done(last.seq)
 			d.next()
 			return
 		}
 		if whole {
-			d.safe = wal.Pack(b, []byte("{}"), wal.Whole)
+			d.synced = wal.Pack(b, []byte("{}"), wal.Whole)
 		} else {
-			d.safe = append(d.safe, b...)
+			d.synced = append(d.synced, b...)
 		}
-		d.loose = nil
+		d.unsynced = nil
 		last := group[len(group)-1]
 		last.done(last.seq)
 		d.sealed = whole
@@ -184,30 +184,30 @@
 
 // seal has a last small record witness what was synced, once the disk rests.
 func (d *disk) seal() {
-	gen := d.broken
+	gen := d.generation
 	d.w.at(wal.Rest, func() {
-		if gen != d.broken || d.busy || d.sealed {
+		if gen != d.generation || d.busy || d.sealed {
 			return
 		}
-		d.safe = wal.Pack(d.safe, []byte("{}"), int64(len(d.safe)))
+		d.synced = wal.Pack(d.synced, []byte("{}"), int64(len(d.synced)))
 		d.sealed = true
 	})
 }
 
 // power cuts the power: of what was not synced an arbitrary part stays, torn.
 func (d *disk) power() {
-	d.broken++
+	d.generation++
 	d.busy, d.queue = false, nil
 	keep := 0
-	if n := len(d.loose); n > 0 {
-		keep = d.w.rnd.Intn(n + 1)
+	if n := len(d.unsynced); n > 0 {
+		keep = d.w.random.Intn(n + 1)
 	}
-	d.safe = append(d.safe[:len(d.safe):len(d.safe)], d.loose[:keep]...)
-	d.loose = nil
+	d.synced = append(d.synced[:len(d.synced):len(d.synced)], d.unsynced[:keep]...)
+	d.unsynced = nil
 }
 
 // wipe loses everything.
 func (d *disk) wipe() {
 	d.power()
-	d.safe, d.wiped = nil, true
+	d.synced, d.wiped = nil, true
 }
--- a/sim/operator.go
+++ b/sim/operator.go
@@ -1,4 +1,4 @@
-// Operators of a town whose workers are called: they number the versions of the
+// Operators of a deployment whose workers are invoked: they number the versions of the
 // table themselves, add and remove queues that nobody uses, send what is stale or
 // invalid, at times two at once, and count what waits at each gateway.
 package sim
@@ -16,12 +16,12 @@
 )
 
 // change makes the next version of a table: time-outs, and a queue more or less.
-func (c *Crew) change(t config.Table) config.Table {
+func (c *Clients) change(t config.Table) config.Table {
 	n := t
 	n.Rows = slices.Clone(t.Rows)
-	n.Becomes = t.Version + 1 + types.Version(c.w.rnd.Intn(9))
-	n.Rows[c.w.rnd.Intn(3)].Timeout = 1000 + c.w.rnd.Intn(4000)
-	if i := slices.IndexFunc(n.Rows, idle); i >= 0 && c.w.rnd.Intn(2) == 0 {
+	n.Becomes = t.Version + 1 + types.Version(c.w.random.Intn(9))
+	n.Rows[c.w.random.Intn(3)].Timeout = 1000 + c.w.random.Intn(4000)
+	if i := slices.IndexFunc(n.Rows, idle); i >= 0 && c.w.random.Intn(2) == 0 {
 		n.Rows = slices.Delete(n.Rows, i, i+1)
 	} else if len(n.Rows) < 8 {
 		c.next++
@@ -33,8 +33,8 @@
 func idle(r config.Row) bool { return strings.HasPrefix(string(r.Name), "idle") }
 
 // versions puts new tables now and then.
-func (c *Crew) versions() {
-	c.w.at(time.Duration(2+c.w.rnd.Intn(4))*time.Second, func() {
+func (c *Clients) versions() {
+	c.w.at(time.Duration(2+c.w.random.Intn(4))*time.Second, func() {
 		if !c.open || !c.Races {
 			return
 		}
@@ -42,9 +42,9 @@
 			if len(t.Rows) < 3 {
 				return
 			}
-			for range 1 + c.w.rnd.Intn(2) {
+			for range 1 + c.w.random.Intn(2) {
 				n := c.change(t)
-				switch c.w.rnd.Intn(8) {
+				switch c.w.random.Intn(8) {
 				case 0:
 					n.Becomes = max(1, t.Version)
 				case 1:
@@ -58,7 +58,7 @@
 }
 
 // counts asks each gateway after queues that have just come or gone.
-func (c *Crew) counts(t, n config.Table) {
+func (c *Clients) counts(t, n config.Table) {
 	var names []types.Queue
 	for _, r := range slices.Concat(t.Rows, n.Rows) {
 		if idle(r) && !slices.Contains(names, r.Name) {
@@ -67,7 +67,7 @@
 	}
 	for _, at := range []time.Duration{300 * time.Millisecond, 2100 * time.Millisecond} {
 		for i, q := range names {
-			g := c.gateways[(i+c.w.rnd.Intn(2))%len(c.gateways)]
+			g := c.gateways[(i+c.w.random.Intn(2))%len(c.gateways)]
 			c.w.at(at, func() { c.count(q, g) })
 		}
 	}
@@ -75,16 +75,16 @@
 
 // count writes down whether a gateway knows a queue: when it was asked, and who
 // answered.
-func (c *Crew) count(q types.Queue, g types.Addr) {
+func (c *Clients) count(q types.Queue, g types.Addr) {
 	began := c.w.now
 	c.try(g, "queue.count", string(q), nil, func(a wire.Answer) {
-		h := Happening{What: Counted, Who: c.w.nodes[g].name(), Job: types.JobID(q), Text: fmt.Sprint(began)}
+		h := HistoryEvent{What: Counted, Who: c.w.nodes[g].name(), Job: types.JobID(q), Text: fmt.Sprint(began)}
 		switch {
 		case a.Fault == nil:
 			h.Stage = "there"
 		case a.Fault.Kind != apierror.NoQueue:
 			return
 		}
-		c.w.tell(h)
+		c.w.record(h)
 	}, func() {})
 }
--- a/sim/chance.go
+++ b/sim/opportunities.go
@@ -38,9 +38,9 @@
 			}
 		}
 		if hit {
-			c.seen["cancel: hit a running leg"]++
+			c.seen["cancel: hit a running attempt"]++
 			if on(j.halt, 0, "cut", "freeze") {
-				c.seen["cancel: hit a running leg during a cut or freeze"]++
+				c.seen["cancel: hit a running attempt during a cut or freeze"]++
 			}
 		}
 		if j.taken > 0 && on(j.taken, sec, "kill", "power", "lose", "swap", "stall") {
@@ -63,7 +63,7 @@
 			}
 		}
 		if len(s.ice) > 0 && s.outcome == state.Halted {
-			c.seen["twice: a frozen leg found its grant lapsed"]++
+			c.seen["twice: a frozen attempt found its grant lapsed"]++
 		}
 		if s.outcome == state.OK && (s.told == 0 || s.told-s.to > sec) {
 			c.seen["again: a good end told late or never"]++
@@ -81,7 +81,7 @@
 		case TableNo:
 			c.seen["table: refused or losing"]++
 		case Spared:
-			c.seen["leaving or room: a worker refused a leg"]++
+			c.seen["leaving or room: a worker refused an attempt"]++
 		}
 	}
 }
--- a/sim/planted_test.go
+++ b/sim/planted_test.go
@@ -30,7 +30,7 @@
 
 func onMessage[T any](kind string, f func(*T)) func(*Run) {
 	return func(r *Run) {
-		r.Tamper = func(s *wire.Send) bool {
+		r.TamperMessage = func(s *wire.Send) bool {
 			if s.Message.Kind == kind {
 				alter(&s.Message.Body, f)
 			}
@@ -54,19 +54,19 @@
 
 func onPoll(f func(*dispatch.Poll)) func(*Run) {
 	return func(r *Run) {
-		r.Bend = func(verb string, b *json.RawMessage) {
+		r.TamperRequest = func(verb string, b *json.RawMessage) {
 			if verb == "poll" {
 				alter(b, f)
 			}
 		}
-		for _, h := range r.hands {
+		for _, h := range r.pollingWorkers {
 			h.willing = true
 		}
 	}
 }
 
 func mute(kind string) func(*Run) {
-	return func(r *Run) { r.Tamper = func(s *wire.Send) bool { return s.Message.Kind != kind } }
+	return func(r *Run) { r.TamperMessage = func(s *wire.Send) bool { return s.Message.Kind != kind } }
 }
 
 var planted = []struct {
@@ -78,7 +78,7 @@
 	plant    func(*Run)
 }{
 	{"workers heed no grant", []string{"cut-worker"}, []string{"twice"}, time.Millisecond, false, func(r *Run) {
-		for _, h := range r.hands {
+		for _, h := range r.pollingWorkers {
 			h.deaf = true
 		}
 	}},
@@ -102,23 +102,23 @@
 	{"spread is forgotten", nil, []string{"spread"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.Spread = 0 })},
 	{"times are forgotten", nil, []string{"early"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.Delay, s.Not = 0, "" })},
 	{"dependencies are forgotten", nil, []string{"order"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.After = nil })},
-	{"stops get lost", []string{"kill-machine"}, []string{"cancel-run", "gang"}, 30 * time.Second, false, func(r *Run) { mute(wire.Stop)(r); r.Crew.Cancel = 0.5 }},
+	{"stops get lost", []string{"kill-machine"}, []string{"cancel-run", "gang"}, 30 * time.Second, false, func(r *Run) { mute(wire.Stop)(r); r.Clients.Cancel = 0.5 }},
 	{"open jobs shown done", nil, []string{"shown"}, 30 * time.Second, false, func(r *Run) {
-		r.Twist = func(verb string, a *wire.Answer) {
+		r.TamperAnswer = func(verb string, a *wire.Answer) {
 			if verb == "job.get" && a.Fault == nil {
 				alter(&a.Body, func(v *map[string]any) { (*v)["state"] = "done" })
 			}
 		}
 	}},
 	{"jobs denied after acceptance", nil, []string{"forgotten"}, 30 * time.Second, false, func(r *Run) {
-		r.Twist = func(verb string, a *wire.Answer) {
+		r.TamperAnswer = func(verb string, a *wire.Answer) {
 			if verb == "job.get" {
 				*a = wire.Answer{Fault: apierror.New(apierror.NoJob, "id", "")}
 			}
 		}
 	}},
 	{"old tables read", nil, []string{"table"}, 30 * time.Second, false, func(r *Run) {
-		r.Twist = func(verb string, a *wire.Answer) {
+		r.TamperAnswer = func(verb string, a *wire.Answer) {
 			if verb == "table.get" && a.Fault == nil {
 				alter(&a.Body, func(t *config.Table) { t.Version-- })
 			}
@@ -133,7 +133,7 @@
 				}
 			})
 		}
-		r.Tamper = func(s *wire.Send) bool {
+		r.TamperMessage = func(s *wire.Send) bool {
 			if s.Message.Kind == wire.Call {
 				alter(&s.Message.Body, func(c *wire.CallBody) {
 					if c.Verb == "table.put" {
@@ -146,30 +146,30 @@
 			}
 			return true
 		}
-		r.Twist = func(verb string, a *wire.Answer) {
+		r.TamperAnswer = func(verb string, a *wire.Answer) {
 			if verb == "table.get" && a.Fault == nil {
 				swap(&a.Body)
 			}
 		}
-		r.Crew.Races = false
+		r.Clients.Races = false
 		r.at(7*time.Second, func() {
-			r.Crew.read(func(t config.Table) {
+			r.Clients.read(func(t config.Table) {
 				t.Rows = slices.Clone(t.Rows)
 				t.Rows[1].Running = 8
-				r.Crew.put(t, "g1", 0, func(bool) {})
+				r.Clients.put(t, "g1", 0, func(bool) {})
 			})
 		})
 	}},
 	{"disks say synced and are not", []string{"power-all"}, []string{"forgotten"}, 30 * time.Second, false, func(r *Run) {
 		r.at(10*time.Second, func() {
 			for _, h := range r.controllers {
-				h.disk.liar = true
+				h.disk.lies = true
 			}
 		})
 	}},
 	{"orders end with the faults", []string{"kill-gateway"}, []string{"recovery"}, 30 * time.Second, false, func(r *Run) {
 		r.at(26*time.Second, func() { mute(wire.Order)(r) })
-		r.at(52*time.Second, func() { r.Tamper = nil })
+		r.at(52*time.Second, func() { r.TamperMessage = nil })
 	}},
 }
 
@@ -186,13 +186,13 @@
 				return slices.ContainsFunc(p.rules, func(rule string) bool { return !got[rule] })
 			}
 			for seed := int64(77); seed < 117 && need(); seed++ { // ends with the first that shows it
-				plan := Plan{Seed: seed, Town: "kingston", Faults: p.faults, Calm: 6 * time.Second, Storm: 12 * time.Second,
+				plan := Plan{Seed: seed, Deployment: "kingston", Faults: p.faults, Before: 6 * time.Second, FaultsFor: 12 * time.Second,
 					After: 24 * time.Second, Settle: 40 * time.Second, Patience: p.patience}
 				if p.faults != nil {
 					plan.Count = 6
 				}
 				if p.short {
-					plan.Calm, plan.Storm, plan.After, plan.Settle = time.Second, 0, 0, time.Second
+					plan.Before, plan.FaultsFor, plan.After, plan.Settle = time.Second, 0, 0, time.Second
 				}
 				r := Build(plan)
 				p.plant(r)
--- a/sim/hand.go
+++ b/sim/polling_node.go
@@ -11,32 +11,32 @@
 	"coppercourse/internal/wire"
 )
 
-// hand is a worker process in the world, and its calls.
-type hand struct {
+// pollingNode is a worker process in the world, and its calls.
+type pollingNode struct {
 	node          *node // its clocks; it carries no machine
 	agent         types.Addr
-	make          Make
+	make          WorkerSpec
 	w             *Worker
 	gen           int
 	deaf, willing bool
 	told          map[types.Attempt]int // which of the agent's processes was told of an end
 }
 
-func (w *World) worker(addr, agent types.Addr, zone types.Zone, m Make) *hand {
-	h := &hand{agent: agent, make: m}
+func (w *World) worker(addr, agent types.Addr, zone types.Zone, m WorkerSpec) *pollingNode {
+	h := &pollingNode{agent: agent, make: m}
 	h.node = w.add(addr, "worker", zone, nil)
-	w.hands = append(w.hands, h)
+	w.pollingWorkers = append(w.pollingWorkers, h)
 	return h
 }
 
-func (h *hand) boot() {
+func (h *pollingNode) boot() {
 	n := h.node
 	h.gen++
 	n.frozen, n.queue = false, nil
-	h.w = NewWorker(h.make, types.ID(fmt.Sprintf("%s.%d", n.addr, h.gen)), n.w.chance(), n.w.tell)
+	h.w = NewWorker(h.make, types.ID(fmt.Sprintf("%s.%d", n.addr, h.gen)), n.w.chance(), n.w.record)
 	h.w.Deaf, h.w.Willing = h.deaf, h.willing
 	h.told = map[types.Attempt]int{}
-	n.w.tell(Happening{What: Staying, Who: string(h.w.ID), Shard: h.make.Shard, Make: &h.make})
+	n.w.record(HistoryEvent{What: Staying, Who: string(h.w.ID), Shard: h.make.Shard, Make: &h.make})
 	gen := h.gen
 	var beat func()
 	beat = func() {
@@ -58,28 +58,28 @@
 	h.call()
 }
 
-func (h *hand) kill() {
+func (h *pollingNode) kill() {
 	if h.w == nil {
 		return
 	}
-	h.node.w.tell(Happening{What: Died, Who: string(h.w.ID), Shard: h.make.Shard})
+	h.node.w.record(HistoryEvent{What: Died, Who: string(h.w.ID), Shard: h.make.Shard})
 	h.gen++
 	h.w = nil
 	h.node.frozen, h.node.queue = false, nil
 }
 
-func (h *hand) freeze() {
+func (h *pollingNode) freeze() {
 	if h.w != nil && !h.node.frozen {
 		h.node.frozen = true
-		h.node.w.tell(Happening{What: Froze, Who: string(h.w.ID), Shard: h.make.Shard})
+		h.node.w.record(HistoryEvent{What: Froze, Who: string(h.w.ID), Shard: h.make.Shard})
 	}
 }
 
-func (h *hand) thaw() {
+func (h *pollingNode) thaw() {
 	if h.w == nil || !h.node.frozen {
 		return
 	}
-	h.node.w.tell(Happening{What: Thawed, Who: string(h.w.ID), Shard: h.make.Shard})
+	h.node.w.record(HistoryEvent{What: Thawed, Who: string(h.w.ID), Shard: h.make.Shard})
 	h.node.frozen = false
 	h.w.Tick(h.node.mono())
 	list := h.node.queue
@@ -91,7 +91,7 @@
 }
 
 // crash ends the process, and the platform starts another.
-func (h *hand) crash() {
+func (h *pollingNode) crash() {
 	h.kill()
 	h.node.w.at(time.Second, func() {
 		if h.w == nil {
@@ -101,7 +101,7 @@
 }
 
 // call makes a call and waits for its answer, or calls again after a while.
-func (h *hand) call() {
+func (h *pollingNode) call() {
 	if h.w == nil || h.node.frozen {
 		return
 	}
@@ -112,11 +112,11 @@
 		for _, e := range p.Ends {
 			if h.told[e.Attempt] != n.gen {
 				h.told[e.Attempt] = n.gen
-				w.tell(Happening{What: Heard, Who: n.name(), Attempt: e.Attempt, Outcome: e.Outcome})
+				w.record(HistoryEvent{What: Heard, Who: n.name(), Attempt: e.Attempt, Outcome: e.Outcome})
 			}
 		}
 	}
-	w.pose(h.node.addr, h.agent, "poll", "", wire.Body(p), took, func(a wire.Answer) {
+	w.requestWith(h.node.addr, h.agent, "poll", "", wire.Body(p), took, func(a wire.Answer) {
 		take := func() {
 			if !on() {
 				return
@@ -145,7 +145,7 @@
 }
 
 // leave has the worker say that it is going, or is not, and within how long.
-func (h *hand) leave(on bool, within time.Duration) {
+func (h *pollingNode) leave(on bool, within time.Duration) {
 	if h.w == nil || h.w.Leave == on {
 		return
 	}
@@ -157,5 +157,5 @@
 	if on {
 		what = Leaving
 	}
-	h.node.w.tell(Happening{What: what, Who: string(h.w.ID), Shard: h.make.Shard})
+	h.node.w.record(HistoryEvent{What: what, Who: string(h.w.ID), Shard: h.make.Shard})
 }
--- a/sim/hollow.go
+++ b/sim/scale.go
@@ -1,4 +1,4 @@
-// A hollow fleet: the daemons' own machines by the hundred in one process and in
+// A simulated fleet: the daemons' own machines by the hundred in one process and in
 // virtual time, with stand-in workers, idle or under traffic in proportion to the
 // size that the project designs for. What each role spends is counted over a
 // stretch of it, and then how long a change of the table, an urgent job, and a
@@ -49,8 +49,8 @@
 
 func (s Scale) Daemons() int { return s.Controllers + s.Gateways + s.Agents }
 
-// Hollow sets such a fleet up without traffic.
-func Hollow(seed int64, s Scale) *Run {
+// NewScaleRun sets such a fleet up without traffic.
+func NewScaleRun(seed int64, s Scale) *Run {
 	r := &Run{World: NewWorld(seed), zones: map[types.Zone][]types.Addr{}, drains: map[string]bool{}}
 	zone := func(i int) types.Zone { return types.Zone(fmt.Sprintf("z%d", i%s.Zones+1)) }
 	addr := func(part, i int) types.Addr {
@@ -64,7 +64,7 @@
 		r.gateways = append(r.gateways, r.gateway(addr(2, i), zone(i)))
 	}
 	for i := range s.Agents {
-		m := Make{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/20+1)), Kinds: []types.Kind{"quote", "menu"},
+		m := WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/20+1)), Kinds: []types.Kind{"quote", "menu"},
 			Room: types.Room{Cores: 16, Memory: 16 << 10}}
 		r.agents = append(r.agents, r.agent(addr(3, i), zone(i), m))
 		r.worker(addr(4, i), addr(3, i), zone(i), m)
@@ -73,21 +73,21 @@
 		n := r.nodes[a]
 		r.zones[n.zone] = append(r.zones[n.zone], a)
 		if n.make != nil {
-			r.at(time.Duration(r.rnd.Int63n(int64(300*time.Millisecond))), n.boot)
+			r.at(time.Duration(r.random.Int63n(int64(300*time.Millisecond))), n.boot)
 		}
 	}
-	for _, h := range r.hands {
-		r.at(time.Duration(r.rnd.Int63n(int64(500*time.Millisecond))), h.boot)
+	for _, h := range r.pollingWorkers {
+		r.at(time.Duration(r.random.Int63n(int64(500*time.Millisecond))), h.boot)
 	}
-	r.Crew = &Crew{w: r.World, me: "caller", open: true, Count: map[apierror.Kind]int{}}
+	r.Clients = &Clients{w: r.World, addr: "caller", open: true, Count: map[apierror.Kind]int{}}
 	for _, g := range r.gateways {
-		r.Crew.gateways = append(r.Crew.gateways, g.addr)
+		r.Clients.gateways = append(r.Clients.gateways, g.addr)
 	}
 	return r
 }
 
-// HollowPlan is what a hollow fleet is put through.
-type HollowPlan struct {
+// ScalePlan is what a simulated fleet is put through.
+type ScalePlan struct {
 	Seed    int64
 	Daemons int
 	Busy    bool          // traffic in proportion
@@ -107,7 +107,7 @@
 
 // Measurement is what came of it.
 type Measurement struct {
-	HollowPlan
+	ScalePlan
 	Scale
 	Roles    []RoleUsage
 	Steps    *hdrhistogram.Histogram // of the leader
@@ -119,24 +119,24 @@
 	RealTime time.Duration
 }
 
-// Measure runs a hollow fleet; it is an error if it does not come up.
-func Measure(p HollowPlan) (*Measurement, error) {
+// Measure runs a simulated fleet; it is an error if it does not come up.
+func Measure(p ScalePlan) (*Measurement, error) {
 	from := time.Now()
 	s := ScaleOf(p.Daemons)
-	r := Hollow(p.Seed, s)
+	r := NewScaleRun(p.Seed, s)
 	if p.Regions > 0 {
-		r.far = r.regions(p.Regions)
+		r.distance = r.regions(p.Regions)
 	}
 	if p.Limit > 0 {
 		r.until = from.Add(p.Limit)
 	}
-	m := &Measurement{HollowPlan: p, Scale: s}
+	m := &Measurement{ScalePlan: p, Scale: s}
 	table := r.fleetTable(s)
 	if err := r.await(30*time.Second, "a leader and ready gateways", r.formed); err != nil {
 		return nil, err
 	}
 	acked := false
-	r.Crew.put(table, r.gateways[0].addr, 0, func(ok bool) { acked = ok })
+	r.Clients.put(table, r.gateways[0].addr, 0, func(ok bool) { acked = ok })
 	if err := r.await(20*time.Second, "the first table and all workers healthy", func() bool { return acked && r.healthy() == s.Agents }); err != nil {
 		return nil, err
 	}
@@ -226,15 +226,15 @@
 	return
 }
 
-// hollowJob has a step whose name says what it is: times are compared by name.
-func hollowJob(name string, q, tasks int, gang bool, ms int) state.Spec {
+// scaleJob has a step whose name says what it is: times are compared by name.
+func scaleJob(name string, q, tasks int, gang bool, ms int) state.Spec {
 	return state.Spec{Queue: types.Queue(fmt.Sprintf("team-%d", q)), Steps: []state.Step{{Name: name, Kind: "quote", Room: types.Room{Cores: 1, Memory: 64},
 		Tasks: tasks, Gang: gang, Work: json.RawMessage(fmt.Sprintf(`{"ms":%d}`, ms))}}}
 }
 
 func (r *Run) submit(id string, s state.Spec) {
-	r.tell(Happening{What: Sent, Job: types.JobID(id), Spec: &s})
-	r.Crew.send(types.JobID(id), wire.Body(s), r.Crew.any(), 0)
+	r.record(HistoryEvent{What: Sent, Job: types.JobID(id), Spec: &s})
+	r.Clients.send(types.JobID(id), wire.Body(s), r.Clients.any(), 0)
 }
 
 // load starts as many long tasks as run at the full size for each worker, and
@@ -242,7 +242,7 @@
 func (r *Run) load(s Scale) error {
 	long := fullRunning * s.Agents / FullWorkers
 	for left, i := long, 0; left > 0; left, i = left-250, i+1 {
-		r.submit(fmt.Sprint("long-", i), hollowJob("long", i%3, min(left, 250), false, 3_600_000))
+		r.submit(fmt.Sprint("long-", i), scaleJob("long", i%3, min(left, 250), false, 3_600_000))
 	}
 	if err := r.await(30*time.Second, "the long tasks running", func() bool { return r.running() >= long }); err != nil {
 		return err
@@ -257,19 +257,19 @@
 			f()
 			r.at(every, again)
 		}
-		r.at(time.Duration(r.rnd.Int63n(int64(every))), again)
+		r.at(time.Duration(r.random.Int63n(int64(every))), again)
 	}
 	next(time.Duration(float64(tasks)/starts*float64(time.Second)), func() {
-		r.submit(fmt.Sprint("short-", n), hollowJob("short", r.rnd.Intn(3), tasks, false, 500+r.rnd.Intn(2000)))
+		r.submit(fmt.Sprint("short-", n), scaleJob("short", r.random.Intn(3), tasks, false, 500+r.random.Intn(2000)))
 	})
 	next(5*time.Second, func() {
-		r.submit(fmt.Sprint("gang-", n), hollowJob("gang", r.rnd.Intn(3), max(2, fullGang*s.Agents/FullWorkers), true, 1000))
+		r.submit(fmt.Sprint("gang-", n), scaleJob("gang", r.random.Intn(3), max(2, fullGang*s.Agents/FullWorkers), true, 1000))
 	})
 	return nil
 }
 
 func (r *Run) running() (n int) {
-	for _, h := range r.hands {
+	for _, h := range r.pollingWorkers {
 		if h.w != nil {
 			n += len(h.w.runs)
 		}
@@ -284,16 +284,16 @@
 	}
 	lead := r.leader()
 	m.Steps = hdrhistogram.New(100, int64(time.Minute), 3)
-	lead.took = m.Steps
+	lead.stepTimes = m.Steps
 	for _, n := range r.nodes {
-		n.use = Usage{}
+		n.usage = Usage{}
 	}
 	r.Meter = true
 	if err := r.pass(m.Window); err != nil {
 		return err
 	}
 	r.Meter = false
-	lead.took = nil
+	lead.stepTimes = nil
 	m.Running = r.running()
 	var others []*node
 	for _, h := range r.controllers {
@@ -307,7 +307,7 @@
 	}{{"leader", []*node{lead}}, {"follower", others}, {"gateway", r.gateways}, {"agent", r.agents}} {
 		u := RoleUsage{Role: x.role}
 		for i, n := range x.list {
-			u.Each = append(u.Each, n.use)
+			u.Each = append(u.Each, n.usage)
 			if i < 4 {
 				u.State = append(u.State, Footprint(n.m))
 			}
@@ -324,7 +324,7 @@
 	next.Version, next.Rows = t.Version+1, slices.Clone(t.Rows)
 	next.Rows[0].Weight = 1 + rand.New(rand.NewSource(r.now)).Intn(900)
 	acked := false
-	r.Crew.put(next, r.Crew.any(), 0, func(ok bool) { acked = ok })
+	r.Clients.put(next, r.Clients.any(), 0, func(ok bool) { acked = ok })
 	err := r.await(20*time.Second, "a table in force at every gateway", func() bool {
 		return acked && !slices.ContainsFunc(r.gateways, func(n *node) bool {
 			have, fresh := n.m.(*gateway.Gateway).Table()
@@ -338,7 +338,7 @@
 // urgent sends one urgent task and waits until a worker has started it.
 func (r *Run) urgent(i int) (time.Duration, error) {
 	from, id := r.now, fmt.Sprint("urgent-", i)
-	s := hollowJob("urgent", i%3, 1, false, 50)
+	s := scaleJob("urgent", i%3, 1, false, 50)
 	s.Urgency = 9
 	r.submit(id, s)
 	seen, at := len(r.Hist.List), int64(0)
--- a/sim/hollow_test.go
+++ b/sim/scale_test.go
@@ -1,4 +1,4 @@
-// What an idle daemon says may not grow with the fleet: a short run of hollow
+// What an idle daemon says may not grow with the fleet: a short run of simulated
 // fleets. Times and processor shares are told by `trial capacity`, not judged.
 package sim
 
@@ -36,7 +36,7 @@
 		to      **Measurement
 		daemons int
 	}{{&small, 78}, {&large, 400}} {
-		m, err := Measure(HollowPlan{Seed: 1, Daemons: x.daemons, Settle: 16 * time.Second, Window: 8 * time.Second, Probes: 1})
+		m, err := Measure(ScalePlan{Seed: 1, Daemons: x.daemons, Settle: 16 * time.Second, Window: 8 * time.Second, Probes: 1})
 		is.NoErr(err)
 		is.True(m.Table[0] < time.Second)
 		is.True(m.Urgent[0] < 500*time.Millisecond)
--- a/sim/silent_test.go
+++ b/sim/silent_test.go
@@ -14,11 +14,11 @@
 // what the leader sent it again and again once filled the leader's memory.
 func TestASilentControllerIsSentNoEntries(t *testing.T) {
 	is := is.New(t)
-	r := Build(Plan{Seed: 5, Town: "kingston"})
-	r.at(5*time.Second, func() { r.Crew.put(r.Crew.town.Table(), "g1", 0, func(bool) {}) })
+	r := Build(Plan{Seed: 5, Deployment: "kingston"})
+	r.at(5*time.Second, func() { r.Clients.put(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
 	r.at(7*time.Second, func() {
-		for _, f := range r.Crew.town.Flows {
-			r.Crew.flow(f)
+		for _, f := range r.Clients.deployment.Flows {
+			r.Clients.flow(f)
 		}
 	})
 	r.Run(10 * time.Second)
@@ -31,7 +31,7 @@
 		}
 	}
 	sent, most := 0, 0
-	r.Tamper = func(s *wire.Send) bool {
+	r.TamperMessage = func(s *wire.Send) bool {
 		if s.Message.From == lead.addr && s.To == away.addr && s.Message.Kind == wire.Append {
 			sent += len(s.Message.Body)
 			most = max(most, len(s.Message.Body))
--- a/sim/spend.go
+++ b/sim/spend.go
@@ -1,6 +1,6 @@
 // What real processes spend while nothing is asked of them: processor time and
 // memory from the kernel's accounts, beside the messages that they have sent. It
-// is what the shell round the machines adds to what a hollow fleet shows.
+// is what the shell round the machines adds to what a simulated fleet shows.
 package sim
 
 import (
--- a/sim/trial_test.go
+++ b/sim/trial_test.go
@@ -10,21 +10,21 @@
 	"github.com/matryer/is"
 )
 
-// storm is a run short enough for every change.
-func storm(seed int64, town string, count int, faults ...string) Plan {
-	return Plan{Seed: seed, Town: town, Faults: faults, Count: count, Calm: 8 * time.Second, Storm: 12 * time.Second,
+// faultRun is a run short enough for every change.
+func faultRun(seed int64, deployment string, count int, faults ...string) Plan {
+	return Plan{Seed: seed, Deployment: deployment, Faults: faults, Count: count, Before: 8 * time.Second, FaultsFor: 12 * time.Second,
 		After: 22 * time.Second, Settle: 44 * time.Second, Patience: 12 * time.Second}
 }
 
 // clocks is what showed work starting before its time.
 func clocks(seed int64) Plan {
-	return Plan{Seed: seed, Town: "kingston", Faults: []string{"jump-clock", "kill-leader", "power-all", "cut-core", "freeze-leader", "weather"},
-		Count: 8, Calm: 10 * time.Second, Storm: 20 * time.Second, After: 24 * time.Second, Settle: 60 * time.Second, Patience: 30 * time.Second}
+	return Plan{Seed: seed, Deployment: "kingston", Faults: []string{"jump-clock", "kill-leader", "power-all", "cut-core", "freeze-leader", "weather"},
+		Count: 8, Before: 10 * time.Second, FaultsFor: 20 * time.Second, After: 24 * time.Second, Settle: 60 * time.Second, Patience: 30 * time.Second}
 }
 
 // sweep is as the command's defaults are; core14 what broke ends and gangs most.
 func sweep(seed int64, count int, faults ...string) Plan {
-	return Plan{Seed: seed, Town: "kingston", Faults: faults, Count: count, Calm: 10 * time.Second, Storm: 30 * time.Second,
+	return Plan{Seed: seed, Deployment: "kingston", Faults: faults, Count: count, Before: 10 * time.Second, FaultsFor: 30 * time.Second,
 		After: 24 * time.Second, Settle: 60 * time.Second, Patience: 30 * time.Second, Last: true}
 }
 
@@ -45,11 +45,11 @@
 }
 
 func TestCalmRunsAsExpected(t *testing.T) {
-	for _, town := range []string{"kingston", "romania"} {
-		t.Run(town, func(t *testing.T) {
+	for _, deployment := range []string{"kingston", "romania"} {
+		t.Run(deployment, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			v := clean(t, storm(1, town, 0))
+			v := clean(t, faultRun(1, deployment, 0))
 			is.Equal(v.Seen.Reruns(), 0)
 			is.True(v.Attempts > 700)
 			is.True(v.Ratio > 0.8)
@@ -59,7 +59,7 @@
 
 func TestSameSeedSameRun(t *testing.T) {
 	is := is.New(t)
-	p := storm(5, "kingston", 4, FaultNames()...)
+	p := faultRun(5, "kingston", 4, FaultNames()...)
 	p.After, p.Settle = time.Second, time.Second
 	a, b := Build(p).Go(), Build(p).Go()
 	is.Equal(len(a.Hist.List), len(b.Hist.List))
@@ -75,7 +75,7 @@
 	for i, name := range FaultNames() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			clean(t, storm(int64(100+i), []string{"kingston", "romania"}[i%2], 2, name))
+			clean(t, faultRun(int64(100+i), []string{"kingston", "romania"}[i%2], 2, name))
 		})
 	}
 }
@@ -85,16 +85,16 @@
 		t.Skip("run without the race detector")
 	}
 	for _, p := range []Plan{
-		storm(4, "kingston", 3, "power-all"),                       // the cluster's clock fell back after a full stop
-		storm(16, "kingston", 8, FaultNames()...),                  // a put that was taken was told refused, much later
-		storm(1006, "kingston", 8, "cut-zone", "cut-core-out"),     // a settled loss hid a good end
-		storm(1008, "kingston", 8, "freeze-agent", "leave-worker"), // a stale beat ended a doubt
+		faultRun(4, "kingston", 3, "power-all"),                       // the cluster's clock fell back after a full stop
+		faultRun(16, "kingston", 8, FaultNames()...),                  // a put that was taken was told refused, much later
+		faultRun(1006, "kingston", 8, "cut-zone", "cut-core-out"),     // a settled loss hid a good end
+		faultRun(1008, "kingston", 8, "freeze-agent", "leave-worker"), // a stale beat ended a doubt
 		clocks(701), clocks(706), clocks(714), // the leader's clock and the walls were counted apart
-		storm(5010, "romania", 10, "cut-agent", "cut-zone", "weather"), // a failure told late was not counted
-		sweep(91040, 10, FaultNames()...),                              // a controller being elected let a report fall
-		sweep(91026, 10, FaultNames()...),                              // a gang waited for a new leader's wait
-		sweep(97019, 14, core14...),                                    // a deposed leader alone knew an end
-		sweep(97086, 14, core14...),                                    // so did a controller cut off from the others
+		faultRun(5010, "romania", 10, "cut-agent", "cut-zone", "weather"), // a failure told late was not counted
+		sweep(91040, 10, FaultNames()...),                                 // a controller being elected let a report fall
+		sweep(91026, 10, FaultNames()...),                                 // a gang waited for a new leader's wait
+		sweep(97019, 14, core14...),                                       // a deposed leader alone knew an end
+		sweep(97086, 14, core14...),                                       // so did a controller cut off from the others
 		sweep(7044, 10, "kill-machine", "kill-leader"),
 	} {
 		t.Run(fmt.Sprint(p.Seed), func(t *testing.T) {
--- a/sim/turnover_test.go
+++ b/sim/turnover_test.go
@@ -15,13 +15,13 @@
 // and what takes its place go into the log together, not one after the other.
 func TestRoomIsGivenOutWhileItsEndIsOnItsWayIntoTheLog(t *testing.T) {
 	is := is.New(t)
-	r := Build(Plan{Seed: 5, Town: "kingston-called", Bare: true, Patience: 5 * time.Second})
-	r.Crew.Races, r.Crew.Cancel = false, 0
+	r := Build(Plan{Seed: 5, Deployment: "kingston-called", Unguarded: true, Patience: 5 * time.Second})
+	r.Clients.Races, r.Clients.Cancel = false, 0
 	const sync = 40 * time.Millisecond
 	for _, n := range r.controllers {
 		n.disk.slow = sync
 	}
-	r.at(3*time.Second, func() { r.Crew.put(r.Crew.town.Table(), "g1", 0, func(bool) {}) })
+	r.at(3*time.Second, func() { r.Clients.put(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
 	r.Run(8 * time.Second)
 	r.put("wide", state.Spec{Queue: "menus", Steps: []state.Step{{Name: "s0", Kind: "work", Room: types.Room{Cores: 9 * types.Core, Memory: 64}, Tasks: 200,
 		Work: Work{MS: 300}.raw(), Estimate: 300}}})
--- a/sim/upkeep_test.go
+++ b/sim/upkeep_test.go
@@ -17,19 +17,19 @@
 	"coppercourse/internal/wire"
 )
 
-// busy is a town with a table of its own and its traffic from 6 s on.
+// busy is a deployment with a table of its own and its traffic from 6 s on.
 func busy(seed int64, change func(*config.Table), flows ...Flow) *Run {
-	r := Build(Plan{Seed: seed, Town: "kingston", Patience: 30 * time.Second})
-	r.Crew.Races, r.Crew.Cancel = false, 0
-	t := r.Crew.town.Table()
+	r := Build(Plan{Seed: seed, Deployment: "kingston", Patience: 30 * time.Second})
+	r.Clients.Races, r.Clients.Cancel = false, 0
+	t := r.Clients.deployment.Table()
 	change(&t)
-	r.at(3*time.Second, func() { r.Crew.put(t, "g1", 0, func(bool) {}) })
+	r.at(3*time.Second, func() { r.Clients.put(t, "g1", 0, func(bool) {}) })
 	r.at(6*time.Second, func() {
 		if flows == nil {
-			flows = r.Crew.town.Flows
+			flows = r.Clients.deployment.Flows
 		}
 		for _, f := range flows {
-			r.Crew.flow(f)
+			r.Clients.flow(f)
 		}
 	})
 	r.Run(10 * time.Second)
@@ -38,8 +38,8 @@
 
 // put sends one job and gives when each of its tasks first started, by -1.
 func (r *Run) put(id string, s state.Spec) {
-	r.tell(Happening{What: Sent, Job: types.JobID(id), Spec: &s})
-	r.Crew.send(types.JobID(id), wire.Body(s), r.Crew.any(), 0)
+	r.record(HistoryEvent{What: Sent, Job: types.JobID(id), Spec: &s})
+	r.Clients.send(types.JobID(id), wire.Body(s), r.Clients.any(), 0)
 }
 
 func (r *Run) started(id string) (at time.Duration, ok bool) {
@@ -54,7 +54,7 @@
 // settle lets all end and judges the history.
 func (r *Run) settle(t *testing.T, wait time.Duration) Tally {
 	t.Helper()
-	r.Crew.open = false
+	r.Clients.open = false
 	r.Run(time.Duration(r.now) + wait)
 	breaks, seen := Check(&r.Hist, Rules, r.now, 30*time.Second)
 	for i, b := range breaks {
@@ -74,10 +74,10 @@
 	sum := Tally{}
 	const name = "removed: workers taken away with notice"
 	for seed := int64(0); seed < 4 || seed < enough && sum[name] <= 8; seed++ {
-		sum.Add(clean(t, storm(400+seed, "kingston", 5, "remove-worker")).Seen)
+		sum.Add(clean(t, faultRun(400+seed, "kingston", 5, "remove-worker")).Seen)
 	}
 	is.True(sum[name] > 8)
-	is.Equal(sum["removed: legs lost to that"], 0)
+	is.Equal(sum["removed: attempts lost to that"], 0)
 }
 
 // A task that takes its worker down each time rests longer each time; the rest
@@ -114,8 +114,8 @@
 }
 
 // see asks after a job now.
-func (r *Run) see(id types.JobID) (h Happening) {
-	r.ask(r.Crew.me, "g2", "job.get", string(id), nil, func(a wire.Answer) { r.Crew.saw(id, a) })
+func (r *Run) see(id types.JobID) (h HistoryEvent) {
+	r.request(r.Clients.addr, "g2", "job.get", string(id), nil, func(a wire.Answer) { r.Clients.saw(id, a) })
 	r.Run(time.Duration(r.now) + 300*time.Millisecond)
 	for _, x := range r.Hist.List {
 		if x.What == Saw && x.Job == id {
@@ -129,7 +129,7 @@
 func fill(r *Run, n, ms int) {
 	for i := range n {
 		r.put(fmt.Sprint("menus-fill", i), state.Spec{Queue: "menus", Steps: []state.Step{{Name: "f", Kind: "menu", Room: types.Room{Cores: 4 * types.Core}, Tasks: 40,
-			Work: work(r.rnd, ms, ms)}}})
+			Work: work(r.random, ms, ms)}}})
 	}
 }
 
@@ -195,7 +195,7 @@
 		fill(r, 1, 12_000)
 		open, shut := r.now+int64(40*time.Second), r.now+int64(52*time.Second)
 		plan := state.Plan{Name: "roof", Target: state.Target{Rack: "r1"}, Spans: [][2]types.Wall{{types.Wall(origin + open), types.Wall(origin + shut)}}}
-		r.Crew.order("plan.put", "roof", wire.Body(plan), 0, func() {})
+		r.Clients.order("plan.put", "roof", wire.Body(plan), 0, func() {})
 		r.Run(time.Duration(open) - 3*time.Second)
 		r.leader().kill() // the windows outlive a change of leader
 		r.Run(time.Duration(open) - time.Second)
@@ -234,10 +234,10 @@
 	}
 	t.Parallel()
 	is := is.New(t)
-	rate := func(n int, how func(*Make)) float64 {
+	rate := func(n int, how func(*WorkerSpec)) float64 {
 		r := busy(50, func(*config.Table) {})
 		for i := range n {
-			how(&r.hands[i*4%11].w.Make)
+			how(&r.pollingWorkers[i*4%11].w.WorkerSpec)
 		}
 		r.Run(70 * time.Second)
 		return Rate(&r.Hist, int64(30*time.Second), int64(70*time.Second))
@@ -245,11 +245,11 @@
 	none := rate(0, nil)
 	for _, c := range []struct {
 		name string
-		how  func(*Make)
+		how  func(*WorkerSpec)
 	}{
-		{"five times slower", func(m *Make) { m.Slow = 5 }},
-		{"half of the work fails", func(m *Make) { m.Fails = 0.5 }},
-		{"a third stalls", func(m *Make) { m.Stall = 0.3 }},
+		{"five times slower", func(m *WorkerSpec) { m.Slow = 5 }},
+		{"half of the work fails", func(m *WorkerSpec) { m.Fails = 0.5 }},
+		{"a third stalls", func(m *WorkerSpec) { m.Stall = 0.3 }},
 	} {
 		list := ""
 		for n := 1; n <= 3; n++ {
@@ -269,7 +269,7 @@
 	t.Parallel()
 	is := is.New(t)
 	r := busy(60, func(t *config.Table) { t.Rows[0].TaskMS, t.Rows[1].TaskMS = 5000, 5000 })
-	r.Crew.flow(Flow{"menus", 30 * time.Millisecond, func(rnd *rand.Rand) state.Spec {
+	r.Clients.flow(Flow{"menus", 30 * time.Millisecond, func(rnd *rand.Rand) state.Spec {
 		return state.Spec{Queue: "menus", Steps: []state.Step{{Name: "s", Kind: "menu", Room: types.Room{Cores: 3 * types.Core}, Tasks: 1, Work: work(rnd, 800, 1600)}}}
 	}})
 	r.Run(20 * time.Second)
@@ -289,7 +289,7 @@
 			n++
 		}
 	}
-	c := &checker{b: Rules, end: r.now, jobs: map[types.JobID]*job{}, makes: map[types.Shard]*Make{}, frozen: map[string]int64{},
+	c := &checker{b: Rules, end: r.now, jobs: map[types.JobID]*job{}, makes: map[types.Shard]*WorkerSpec{}, frozen: map[string]int64{},
 		down: map[string][]int64{}, leave: map[types.Shard][][2]int64{}, drain: map[types.Shard][][2]int64{}, hist: &r.Hist, seen: Tally{}}
 	c.read()
 	for _, s := range c.spans {
--- a/sim/verdict.go
+++ b/sim/verdict.go
@@ -30,8 +30,8 @@
 func (r *Run) Verdict() (v Verdict) {
 	b := Rules
 	b.Hurry = r.Plan.Patience < 10*time.Second
-	if r.floor != nil {
-		v.Breaks, v.Seen = CheckCalled(&r.Hist, CalledRules(r.floor.Manner), r.done)
+	if r.environment != nil {
+		v.Breaks, v.Seen = CheckInvoked(&r.Hist, InvokedRules(r.environment.WorkerRules), r.done)
 	} else {
 		v.Breaks, v.Seen = Check(&r.Hist, b, r.done, r.Plan.Patience)
 	}
@@ -42,12 +42,12 @@
 	}
 	p := r.Plan
 	from := 6*time.Second + 2*time.Second
-	calm := Rate(&r.Hist, int64(from), int64(6*time.Second+p.Calm))
-	heal := 6*time.Second + p.Calm + p.Storm + 12*time.Second
+	calm := Rate(&r.Hist, int64(from), int64(6*time.Second+p.Before))
+	heal := 6*time.Second + p.Before + p.FaultsFor + 12*time.Second
 	if calm > 0 && p.After > 12*time.Second {
 		end := int64(heal + p.After - 12*time.Second)
 		v.Ratio = Rate(&r.Hist, int64(heal), end) / calm
-		v.Ratio *= asked(&r.Hist, int64(from), int64(6*time.Second+p.Calm)) / asked(&r.Hist, int64(heal), end)
+		v.Ratio *= asked(&r.Hist, int64(from), int64(6*time.Second+p.Before)) / asked(&r.Hist, int64(heal), end)
 		if v.Ratio < Near {
 			v.Breaks = append(v.Breaks, Break{"recovery", int64(heal), fmt.Sprintf("%.2f of the jobs done for each one sent before the faults", v.Ratio)})
 		}
@@ -80,7 +80,7 @@
 func Timeline(h *History) string {
 	const step = int64(2e9)
 	type row struct {
-		n    map[What]int
+		n    map[EventKind]int
 		done int
 		text []string
 	}
@@ -88,7 +88,7 @@
 	seen := map[string]bool{}
 	for _, x := range h.List {
 		for int64(len(rows)) <= x.At/step {
-			rows = append(rows, row{n: map[What]int{}})
+			rows = append(rows, row{n: map[EventKind]int{}})
 		}
 		r := &rows[x.At/step]
 		r.n[x.What]++
--- a/sim/work.go
+++ b/sim/work.go
@@ -19,19 +19,19 @@
 )
 
 // WorkerRun runs a worker until ctx ends.
-func WorkerRun(ctx context.Context, m Make, id, agent, source, history string, seed int64) error {
+func WorkerRun(ctx context.Context, m WorkerSpec, id, agent, source, history string, seed int64) error {
 	file, err := os.OpenFile(history, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	tell := func(h Happening) {
+	tell := func(h HistoryEvent) {
 		h.At = time.Now().UnixNano()
 		file.Write(append(wire.Body(h), '\n'))
 	}
 	var mu sync.Mutex
 	w := NewWorker(m, types.ID(id), rand.New(rand.NewSource(seed)), tell)
-	tell(Happening{What: Staying, Who: id, Shard: m.Shard, Make: &m})
+	tell(HistoryEvent{What: Staying, Who: id, Shard: m.Shard, Make: &m})
 	client := server.Client(source, 500*time.Millisecond)
 	told := map[types.Attempt]bool{}
 	call := func(p dispatch.Poll) {
@@ -44,7 +44,7 @@
 			for _, e := range p.Ends {
 				if !told[e.Attempt] {
 					told[e.Attempt] = true
-					tell(Happening{What: Heard, Who: agent, Attempt: e.Attempt, Outcome: e.Outcome})
+					tell(HistoryEvent{What: Heard, Who: agent, Attempt: e.Attempt, Outcome: e.Outcome})
 				}
 			}
 			w.Take(server.Now().Mono, a)
--- a/sim/worker.go
+++ b/sim/worker.go
@@ -16,7 +16,7 @@
 )
 
 // Make is what a worker is made of, and how it misbehaves.
-type Make struct {
+type WorkerSpec struct {
 	Shard types.Shard
 	Rack  types.Rack
 	Kinds []types.Kind
@@ -38,7 +38,7 @@
 
 // Worker is one stand-in worker process.
 type Worker struct {
-	Make
+	WorkerSpec
 	ID            types.ID
 	Agent         types.ID
 	Leave         bool
@@ -51,19 +51,19 @@
 	runs          map[types.Attempt]*run
 	ends          map[types.Attempt]dispatch.Finish
 	News          bool // an attempt has ended since the latest call
-	tell          func(Happening)
+	tell          func(HistoryEvent)
 }
 
 // NewWorker starts a worker process; what happens on it goes to tell.
-func NewWorker(m Make, id types.ID, rnd *rand.Rand, tell func(Happening)) *Worker {
+func NewWorker(m WorkerSpec, id types.ID, rnd *rand.Rand, tell func(HistoryEvent)) *Worker {
 	if m.Slow == 0 {
 		m.Slow = 1
 	}
-	return &Worker{Make: m, ID: id, rnd: rnd, runs: map[types.Attempt]*run{}, ends: map[types.Attempt]dispatch.Finish{}, tell: tell, until: -1 << 61}
+	return &Worker{WorkerSpec: m, ID: id, rnd: rnd, runs: map[types.Attempt]*run{}, ends: map[types.Attempt]dispatch.Finish{}, tell: tell, until: -1 << 61}
 }
 
-func (w *Worker) say(what What, l types.Attempt, f state.Outcome) {
-	w.tell(Happening{What: what, Who: string(w.ID), Shard: w.Shard, Attempt: l, Outcome: f})
+func (w *Worker) say(what EventKind, l types.Attempt, f state.Outcome) {
+	w.tell(HistoryEvent{What: what, Who: string(w.ID), Shard: w.Shard, Attempt: l, Outcome: f})
 }
 
 // Tick looks at the grant first, then ends what is due.
--- a/sim/floor.go
+++ b/sim/worker_environment.go
@@ -1,4 +1,4 @@
-// What the called workers of a town have in common: the jobs that callers sent,
+// What the invoked workers of a deployment have in common: the jobs that callers sent,
 // gangs whose members find one another wherever they run, and what attempts have
 // saved. It is the users' world, not ours: no daemon sees it.
 package sim
@@ -14,8 +14,8 @@
 	"coppercourse/internal/wire"
 )
 
-// Manner is what holds for all workers of a town.
-type Manner struct {
+// WorkerRules is what holds for all workers of a deployment.
+type WorkerRules struct {
 	Lease   time.Duration // a lease is cut to it
 	Stop    time.Duration // a stop takes at most so long
 	Gang    time.Duration // how long a member waits for the others
@@ -25,9 +25,9 @@
 	Beat    time.Duration // between two beats of a worker
 }
 
-// Floor is one town's.
-type Floor struct {
-	Manner
+// WorkerEnvironment is one deployment's.
+type WorkerEnvironment struct {
+	WorkerRules
 	specs map[types.JobID]*state.Spec
 	gangs map[gangID]*gang
 	saves map[string]float64
@@ -42,23 +42,23 @@
 
 // gang is members that work only together.
 type gang struct {
-	id    gangID
-	floor *Floor
-	need  int
-	works bool
-	over  bool
-	here  map[int]*attempt
+	id          gangID
+	environment *WorkerEnvironment
+	need        int
+	works       bool
+	over        bool
+	here        map[int]*attempt
 }
 
-func NewFloor(m Manner) *Floor {
-	return &Floor{Manner: m, specs: map[types.JobID]*state.Spec{}, gangs: map[gangID]*gang{}, saves: map[string]float64{}}
+func NewWorkerEnvironment(m WorkerRules) *WorkerEnvironment {
+	return &WorkerEnvironment{WorkerRules: m, specs: map[types.JobID]*state.Spec{}, gangs: map[gangID]*gang{}, saves: map[string]float64{}}
 }
 
 // Sent takes note of a job that a caller sends.
-func (f *Floor) Sent(id types.JobID, s *state.Spec) { f.specs[id] = s }
+func (f *WorkerEnvironment) Sent(id types.JobID, s *state.Spec) { f.specs[id] = s }
 
 // step finds what an attempt is of, or nil where nobody sent that.
-func (f *Floor) step(l types.Attempt) *state.Step {
+func (f *WorkerEnvironment) step(l types.Attempt) *state.Step {
 	if s := f.specs[l.Job]; s != nil {
 		if i := s.Step(l.N); i >= 0 {
 			return &s.Steps[i]
@@ -68,30 +68,30 @@
 }
 
 // some is any time up to a most.
-func (f *Floor) some(rnd *rand.Rand, most time.Duration) time.Duration {
+func (f *WorkerEnvironment) some(rnd *rand.Rand, most time.Duration) time.Duration {
 	return time.Duration(rnd.Int63n(int64(most) + 1))
 }
 
 // far is how many times as long a task takes on a worker.
-func (f *Floor) far(w *Called, l types.Attempt, p *state.Step) float64 {
+func (f *WorkerEnvironment) far(w *InvokedWorker, l types.Attempt, p *state.Step) float64 {
 	if p.Near != "" && p.Near != w.Rack {
 		return f.Far
 	}
 	return 1
 }
 
-func (f *Floor) save(rnd *rand.Rand, did float64) string {
+func (f *WorkerEnvironment) save(rnd *rand.Rand, did float64) string {
 	ref := fmt.Sprintf("%016x", rnd.Uint64())
 	f.saves[ref] = did
 	return ref
 }
 
 // join has an attempt wait for its gang, or completes it.
-func (f *Floor) join(a *attempt) {
+func (f *WorkerEnvironment) join(a *attempt) {
 	id := gangID{a.attempt.Job, types.StageOf(a.attempt.N), a.attempt.Attempt}
 	g := f.gangs[id]
 	if g == nil {
-		g = &gang{id: id, floor: f, need: a.step.Tasks, here: map[int]*attempt{}}
+		g = &gang{id: id, environment: f, need: a.step.Tasks, here: map[int]*attempt{}}
 		f.gangs[id] = g
 	}
 	a.gang = g
@@ -108,7 +108,7 @@
 		if a.step.OneRack && len(racks) > 1 {
 			m.slow *= f.Far
 		}
-		m.w.say(Happening{What: Working, Attempt: m.attempt})
+		m.w.say(HistoryEvent{What: Working, Attempt: m.attempt})
 	}
 }
 
@@ -143,7 +143,7 @@
 
 func (g *gang) close() {
 	g.over = true
-	delete(g.floor.gangs, g.id)
+	delete(g.environment.gangs, g.id)
 }
 
 // leave breaks a gang of which a member has ended otherwise.
--- a/sim/street.go
+++ b/sim/workload.go
@@ -25,8 +25,8 @@
 	"coppercourse/internal/wire"
 )
 
-// Street is all callers of a fleet.
-type Street struct {
+// Workload is all callers of a fleet.
+type Workload struct {
 	f       *Fleet
 	rnd     *rand.Rand
 	mu      sync.Mutex
@@ -44,8 +44,8 @@
 	slots   chan struct{}
 }
 
-func NewStreet(f *Fleet, seed int64, speed float64) *Street {
-	s := &Street{f: f, rnd: rand.New(rand.NewSource(seed)), client: server.Client("127.0.9.1", 4*time.Second), Cancel: 0.04,
+func NewWorkload(f *Fleet, seed int64, speed float64) *Workload {
+	s := &Workload{f: f, rnd: rand.New(rand.NewSource(seed)), client: server.Client("127.0.9.1", 4*time.Second), Cancel: 0.04,
 		Speed: speed, Denials: map[apierror.Kind]int{}, slots: make(chan struct{}, 3000)}
 	s.client.Transport.(*http.Transport).DisableKeepAlives = true
 	list := f.of("gateway")
@@ -55,7 +55,7 @@
 }
 
 // Watch keeps the list of ready gateways, as the platform does.
-func (s *Street) Watch() {
+func (s *Workload) Watch() {
 	for s.f.ctx.Err() == nil {
 		var list []*proc
 		for _, p := range s.f.of("gateway") {
@@ -71,19 +71,19 @@
 	}
 }
 
-func (s *Street) chance(n int) int {
+func (s *Workload) chance(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rnd.Intn(n)
 }
 
-func (s *Street) gateway() *proc {
+func (s *Workload) gateway() *proc {
 	list := *s.ready.Load()
 	return list[s.chance(len(list))]
 }
 
-// Flow sends jobs of one shape until the street is closed.
-func (s *Street) Flow(fl Flow) {
+// Flow sends jobs of one shape until the workload is closed.
+func (s *Workload) Flow(fl Flow) {
 	s.work.Add(1)
 	defer s.work.Done()
 	for s.open.Load() {
@@ -96,7 +96,7 @@
 		s.mu.Unlock()
 		select {
 		case s.slots <- struct{}{}:
-			s.f.Tell(Happening{What: Sent, Job: id, Spec: &spec})
+			s.f.Tell(HistoryEvent{What: Sent, Job: id, Spec: &spec})
 			s.work.Add(1)
 			go func() {
 				defer s.work.Done()
@@ -110,7 +110,7 @@
 
 // try asks once. A request that was taken up and got no answer from a gateway
 // that nobody killed is a drop.
-func (s *Street) try(method, path string, body []byte) (code int, b []byte) {
+func (s *Workload) try(method, path string, body []byte) (code int, b []byte) {
 	g := s.gateway()
 	req, err := http.NewRequestWithContext(s.f.ctx, method, fmt.Sprintf("http://%s:%d%s", g.ip, s.f.Port, path), bytes.NewReader(body))
 	if err != nil {
@@ -125,14 +125,14 @@
 	if err != nil {
 		if (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)) && !g.down.Load() && !g.ice.Load() {
 			s.Drops.Add(1)
-			s.f.Tell(Happening{What: Dropped, Who: g.name, Text: err.Error()})
+			s.f.Tell(HistoryEvent{What: Dropped, Who: g.name, Text: err.Error()})
 		}
 		return 0, nil
 	}
 	return
 }
 
-func (s *Street) job(id types.JobID, body []byte) {
+func (s *Workload) job(id types.JobID, body []byte) {
 	from := time.Now()
 	for n := 0; ; n++ {
 		code, b := s.try(http.MethodPut, "/v1/jobs/"+string(id), body)
@@ -140,18 +140,18 @@
 			break
 		}
 		if n > 60 || s.f.ctx.Err() != nil || !s.later(code, b) {
-			s.f.Tell(Happening{What: Denied, Job: id, Text: string(b)})
+			s.f.Tell(HistoryEvent{What: Denied, Job: id, Text: string(b)})
 			return
 		}
 	}
-	s.f.Tell(Happening{What: Accepted, Job: id})
+	s.f.Tell(HistoryEvent{What: Accepted, Job: id})
 	s.message(&s.Takes, from)
 	if s.chance(1000) < int(s.Cancel*1000) {
 		time.Sleep(time.Duration(s.chance(2000)) * time.Millisecond)
 		for range 20 {
 			code, b := s.try(http.MethodPost, "/v1/jobs/"+string(id)+"/cancel", nil)
 			if code == 200 || code == 202 {
-				s.f.Tell(Happening{What: Halt, Job: id})
+				s.f.Tell(HistoryEvent{What: Halt, Job: id})
 				break
 			}
 			if !s.later(code, b) {
@@ -165,14 +165,14 @@
 		var v controller.JobView
 		switch {
 		case code == 404:
-			s.f.Tell(Happening{What: Missed, Job: id})
+			s.f.Tell(HistoryEvent{What: Missed, Job: id})
 			return
 		case code != 200 || json.Unmarshal(b, &v) != nil:
 			s.later(code, b)
 			continue
 		}
 		if v.State == "done" || v.State == "failed" || v.State == "cancelled" {
-			s.f.Tell(Happening{What: Saw, Job: id, Stage: v.State, Text: v.Why})
+			s.f.Tell(HistoryEvent{What: Saw, Job: id, Stage: v.State, Text: v.Why})
 			if v.State == "done" {
 				s.message(&s.Ends, from)
 			}
@@ -182,7 +182,7 @@
 }
 
 // later waits as an answer says, and tells whether to ask again at all.
-func (s *Street) later(code int, b []byte) bool {
+func (s *Workload) later(code int, b []byte) bool {
 	var f apierror.Error
 	if code == 0 {
 		time.Sleep(100 * time.Millisecond)
@@ -199,24 +199,24 @@
 	return true
 }
 
-func (s *Street) message(to *[]float64, from time.Time) {
+func (s *Workload) message(to *[]float64, from time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*to = append(*to, float64(time.Since(from).Microseconds())/1000)
 }
 
 // Put puts a table until it is taken or refused; it gives the version.
-func (s *Street) Put(t config.Table) (types.Version, error) {
-	s.f.Tell(Happening{What: TableTry, Table: &t})
+func (s *Workload) Put(t config.Table) (types.Version, error) {
+	s.f.Tell(HistoryEvent{What: TableTry, Table: &t})
 	for range 60 {
 		code, b := s.try(http.MethodPut, "/v1/table", wire.Body(t))
 		if code == 200 {
 			got := t.Next()
-			s.f.Tell(Happening{What: TableAck, Table: &got})
+			s.f.Tell(HistoryEvent{What: TableAck, Table: &got})
 			return got.Version, nil
 		}
 		if !s.later(code, b) {
-			s.f.Tell(Happening{What: TableNo, Table: &t, Text: string(b)})
+			s.f.Tell(HistoryEvent{What: TableNo, Table: &t, Text: string(b)})
 			return 0, fmt.Errorf("table refused: %s", b)
 		}
 	}
@@ -224,7 +224,7 @@
 }
 
 // Races has two operators put different tables on one version, now and then.
-func (s *Street) Races() {
+func (s *Workload) Races() {
 	s.work.Add(1)
 	defer s.work.Done()
 	for s.open.Load() {
@@ -235,7 +235,7 @@
 		if code != 200 || json.Unmarshal(b, &t) != nil || len(t.Rows) < 2 {
 			continue
 		}
-		s.f.Tell(Happening{What: TableSaw, Table: &t, Text: began})
+		s.f.Tell(HistoryEvent{What: TableSaw, Table: &t, Text: began})
 		var two sync.WaitGroup
 		for range 2 {
 			n := config.Table{Version: t.Version, Rows: append([]config.Row(nil), t.Rows...)}
@@ -248,7 +248,7 @@
 }
 
 // Close sends no more jobs and waits for those under way to be seen ended.
-func (s *Street) Close(limit time.Duration) bool {
+func (s *Workload) Close(limit time.Duration) bool {
 	s.open.Store(false)
 	done := make(chan struct{})
 	go func() { s.work.Wait(); close(done) }()
--- a/sim/world.go
+++ b/sim/world.go
@@ -30,88 +30,88 @@
 )
 
 type node struct {
-	w      *World
-	addr   types.Addr
-	role   string
-	zone   types.Zone
-	shard  types.Shard
-	m      wire.Machine
-	make   func(*node) wire.Machine
-	gen    int
-	first  bool // a controller of the first start; a lost disk ends that
-	frozen bool
-	queue  []func()
-	base   types.Stamp
-	drift  float64
-	wall   time.Duration
-	disk   *disk
-	asks   map[uint64]func(wire.Answer)
-	token  uint64
-	closes bool
-	use    Usage
-	took   *hdrhistogram.Histogram // its steps' times in nanoseconds, if wanted
+	w               *World
+	addr            types.Addr
+	role            string
+	zone            types.Zone
+	shard           types.Shard
+	m               wire.Machine
+	make            func(*node) wire.Machine
+	gen             int
+	first           bool // a controller of the first start; a lost disk ends that
+	frozen          bool
+	queue           []func()
+	base            types.Stamp
+	drift           float64
+	wall            time.Duration
+	disk            *disk
+	pendingRequests map[uint64]func(wire.Answer)
+	token           uint64
+	closes          bool
+	usage           Usage
+	stepTimes       *hdrhistogram.Histogram // its steps' times in nanoseconds, if wanted
 }
 
 // World is one run.
 type World struct {
-	rnd      *rand.Rand
-	now      int64
-	seq      uint64
-	plan     agenda
-	cut      map[pair]bool
-	lag      map[pair]time.Duration
-	sky      Weather
-	nodes    map[types.Addr]*node
-	order    []types.Addr
-	hands    []*hand
-	yard     []*callee
-	lines    map[types.Addr]*callee // by where they are called
-	floor    *Floor
-	pace     dispatch.Timeouts
-	core     raft.Timeouts
-	Hist     History
-	seeds    []types.Addr
-	founders []types.Addr                            // that found the cluster together, where they are named
-	Meter    bool                                    // count what every daemon spends
-	far      func(from, to types.Addr) time.Duration // more than within a region, one way
+	random         *rand.Rand
+	now            int64
+	seq            uint64
+	agenda         agenda
+	cut            map[pair]bool
+	lag            map[pair]time.Duration
+	network        NetworkQuality
+	nodes          map[types.Addr]*node
+	order          []types.Addr
+	pollingWorkers []*pollingNode
+	invokedWorkers []*invokedNode
+	invokedAt      map[types.Addr]*invokedNode // by where they are called
+	environment    *WorkerEnvironment
+	timeouts       dispatch.Timeouts
+	raftTimeouts   raft.Timeouts
+	Hist           History
+	seeds          []types.Addr
+	founders       []types.Addr                            // that found the cluster together, where they are named
+	Meter          bool                                    // count what every daemon spends
+	distance       func(from, to types.Addr) time.Duration // more than within a region, one way
 	// Planted bugs: what is sent, asked and answered may be changed on its way,
 	// and a note for which Tamper is false is never sent.
-	Tamper func(s *wire.Send) bool
-	Bend   func(verb string, body *json.RawMessage)
-	Twist  func(verb string, a *wire.Answer)
+	TamperMessage func(s *wire.Send) bool
+	TamperRequest func(verb string, body *json.RawMessage)
+	TamperAnswer  func(verb string, a *wire.Answer)
 	// Calls to workers and their replies may be changed on their way, too.
-	Dial func(c *wire.WorkerCall)
-	Hear func(c wire.WorkerCall, r *wire.WorkerReply)
+	TamperCall  func(c *wire.WorkerCall)
+	TamperReply func(c wire.WorkerCall, r *wire.WorkerReply)
 }
 
 func NewWorld(seed int64) *World {
-	return &World{rnd: rand.New(rand.NewSource(seed)), cut: map[pair]bool{}, lag: map[pair]time.Duration{}, nodes: map[types.Addr]*node{},
-		lines: map[types.Addr]*callee{}, pace: dispatch.Defaults, core: raft.Defaults}
+	return &World{random: rand.New(rand.NewSource(seed)), cut: map[pair]bool{}, lag: map[pair]time.Duration{}, nodes: map[types.Addr]*node{},
+		invokedAt: map[types.Addr]*invokedNode{}, timeouts: dispatch.Defaults, raftTimeouts: raft.Defaults}
 }
 
 // Run lets the world go on until a time.
 func (w *World) Run(until time.Duration) {
-	for len(w.plan) > 0 && w.plan[0].at <= int64(until) {
-		p := heap.Pop(&w.plan).(pending)
+	for len(w.agenda) > 0 && w.agenda[0].at <= int64(until) {
+		p := heap.Pop(&w.agenda).(pending)
 		w.now = p.at
 		p.run()
 	}
 	w.now = int64(until)
 }
 
-func (w *World) tell(h Happening) {
+func (w *World) record(h HistoryEvent) {
 	h.At = w.now
-	if h.What == Sent && w.floor != nil {
-		w.floor.Sent(h.Job, h.Spec)
+	if h.What == Sent && w.environment != nil {
+		w.environment.Sent(h.Job, h.Spec)
 	}
 	w.Hist.Add(h)
 }
 
 func (w *World) add(addr types.Addr, role string, zone types.Zone, make func(*node) wire.Machine) *node {
-	n := &node{w: w, addr: addr, role: role, zone: zone, make: make, asks: map[uint64]func(wire.Answer){},
-		base: types.Stamp(w.rnd.Int63n(1 << 50)), drift: 1 + (w.rnd.Float64()-0.5)*4e-4}
+	n := &node{w: w, addr: addr, role: role, zone: zone, make: make, pendingRequests: map[uint64]func(wire.Answer){},
+		base: types.Stamp(w.random.Int63n(1 << 50)), drift: 1 + (w.random.Float64()-0.5)*4e-4}
 	if role == "controller" {
-		n.disk = &disk{w: w, use: &n.use}
+		n.disk = &disk{w: w, use: &n.usage}
 	}
 	w.nodes[addr], w.order = n, append(w.order, addr)
 	return n
@@ -130,7 +130,7 @@
 	}
 	n.gen++
 	n.frozen, n.queue, n.closes = false, nil, false
-	clear(n.asks)
+	clear(n.pendingRequests)
 	n.m = n.make(n)
 	n.step(wire.Event{})
 	gen := n.gen
@@ -143,13 +143,13 @@
 			n.w.at(tick, beat)
 		}
 	}
-	n.w.at(time.Duration(n.w.rnd.Int63n(int64(tick))), beat)
+	n.w.at(time.Duration(n.w.random.Int63n(int64(tick))), beat)
 }
 
 // kill ends the process at once; what the disk had not synced is torn.
 func (n *node) kill() {
 	if n.m != nil {
-		n.w.tell(Happening{What: Down, Who: n.name()})
+		n.w.record(HistoryEvent{What: Down, Who: n.name()})
 	}
 	n.gen++
 	n.m, n.frozen, n.queue = nil, false, nil
@@ -182,7 +182,7 @@
 	u, _ := wire.Read[dispatch.Status](message)
 	for _, e := range u.Ends {
 		if e.Outcome == state.OK || e.Outcome == state.Bad {
-			n.w.tell(Happening{What: Heard, Who: n.name(), Attempt: e.Attempt, Outcome: e.Outcome})
+			n.w.record(HistoryEvent{What: Heard, Who: n.name(), Attempt: e.Attempt, Outcome: e.Outcome})
 		}
 	}
 }
@@ -207,19 +207,19 @@
 	w, gen := n.w, n.gen
 	m := meter{}
 	for _, s := range out.Sends {
-		if w.Tamper != nil && !w.Tamper(&s) {
+		if w.TamperMessage != nil && !w.TamperMessage(&s) {
 			continue
 		}
 		first := w.Meter && m.first(s.To)
 		if w.Meter {
-			transfer(&n.use, nil, s.Message, first)
+			transfer(&n.usage, nil, s.Message, first)
 		}
-		w.carry(n.addr, s.To, func() {
+		w.transmit(n.addr, s.To, func() {
 			if t := w.nodes[s.To]; t != nil {
 				message := s.Message
 				t.deliver(func() {
 					if w.Meter {
-						transfer(nil, &t.use, message, first)
+						transfer(nil, &t.usage, message, first)
 					}
 					t.hears(message)
 					t.step(wire.Event{Message: &message})
@@ -228,7 +228,7 @@
 		})
 	}
 	for _, c := range out.Calls {
-		w.phone(n, c)
+		w.invoke(n, c)
 	}
 	if out.Batch != nil {
 		n.disk.put(write{out.Batch, out.Seq, out.Whole, func(seq uint64) {
@@ -238,8 +238,8 @@
 		}})
 	}
 	for _, a := range out.Answers {
-		if back := n.asks[a.Token]; back != nil {
-			delete(n.asks, a.Token)
+		if back := n.pendingRequests[a.Token]; back != nil {
+			delete(n.pendingRequests, a.Token)
 			back(a)
 		}
 	}
@@ -256,25 +256,25 @@
 	from := time.Now()
 	out := n.m.Step(e)
 	took := time.Since(from)
-	n.use.CPU += took
-	n.use.Steps++
-	if n.took != nil {
-		n.took.RecordValue(int64(took))
+	n.usage.CPU += took
+	n.usage.Steps++
+	if n.stepTimes != nil {
+		n.stepTimes.RecordValue(int64(took))
 	}
 	return out
 }
 
-// ask carries a request from an address to a node and the answer back.
-func (w *World) ask(from, to types.Addr, verb, arg string, body json.RawMessage, back func(wire.Answer)) {
-	w.pose(from, to, verb, arg, body, func(*node) {}, back)
+// request carries a request from an address to a node and the answer back.
+func (w *World) request(from, to types.Addr, verb, arg string, body json.RawMessage, back func(wire.Answer)) {
+	w.requestWith(from, to, verb, arg, body, func(*node) {}, back)
 }
 
-// pose does so and tells when the node takes the request up.
-func (w *World) pose(from, to types.Addr, verb, arg string, body json.RawMessage, took func(*node), back func(wire.Answer)) {
-	if w.Bend != nil {
-		w.Bend(verb, &body)
+// requestWith does so and tells when the node takes the request up.
+func (w *World) requestWith(from, to types.Addr, verb, arg string, body json.RawMessage, took func(*node), back func(wire.Answer)) {
+	if w.TamperRequest != nil {
+		w.TamperRequest(verb, &body)
 	}
-	w.carry(from, to, func() {
+	w.transmit(from, to, func() {
 		n := w.nodes[to]
 		if n == nil {
 			return
@@ -282,11 +282,11 @@
 		n.deliver(func() {
 			took(n)
 			n.token++
-			n.asks[n.token] = func(a wire.Answer) {
-				if w.Twist != nil {
-					w.Twist(verb, &a)
+			n.pendingRequests[n.token] = func(a wire.Answer) {
+				if w.TamperAnswer != nil {
+					w.TamperAnswer(verb, &a)
 				}
-				w.carry(to, from, func() { back(a) })
+				w.transmit(to, from, func() { back(a) })
 			}
 			n.step(wire.Event{Ask: &wire.Ask{Token: n.token, Verb: verb, Arg: arg, Body: body}})
 		})
@@ -294,19 +294,19 @@
 }
 
 // chance gives a machine randomness of its own, from the world's.
-func (w *World) chance() *rand.Rand { return rand.New(rand.NewSource(w.rnd.Int63())) }
+func (w *World) chance() *rand.Rand { return rand.New(rand.NewSource(w.random.Int63())) }
 
 func (w *World) controller(addr types.Addr, zone types.Zone) *node {
 	return w.add(addr, "controller", zone, func(n *node) wire.Machine {
-		recs, keep, err := wal.Scan(n.disk.safe)
+		recs, keep, err := wal.Scan(n.disk.synced)
 		if err != nil {
 			recs, keep = nil, 0
 		}
-		n.disk.safe = n.disk.safe[:keep]
-		core := w.core
-		core.Hold = w.pace.Grant
+		n.disk.synced = n.disk.synced[:keep]
+		core := w.raftTimeouts
+		core.Hold = w.timeouts.Grant
 		return controller.New(n.clock(), w.chance(), controller.Options{Addr: addr, Zone: zone, Seeds: w.seeds,
-			Begin: raft.Bootstrap{First: n.first && !n.disk.wiped, Founders: w.founders}, Core: core, Truth: w.pace, Every: 600}, recs)
+			Begin: raft.Bootstrap{First: n.first && !n.disk.wiped, Founders: w.founders}, Core: core, Truth: w.timeouts, Every: 600}, recs)
 	})
 }
 
@@ -316,9 +316,9 @@
 	})
 }
 
-func (w *World) agent(addr types.Addr, zone types.Zone, m Make) *node {
+func (w *World) agent(addr types.Addr, zone types.Zone, m WorkerSpec) *node {
 	n := w.add(addr, "agent", zone, func(n *node) wire.Machine {
-		return agent.New(n.clock(), w.chance(), agent.Place{Addr: addr, Zone: zone, Shard: m.Shard, Seeds: w.seeds, Truth: w.pace})
+		return agent.New(n.clock(), w.chance(), agent.Place{Addr: addr, Zone: zone, Shard: m.Shard, Seeds: w.seeds, Truth: w.timeouts})
 	})
 	n.shard = m.Shard
 	return n
