--- a/internal/state/kinds_test.go
+++ b/internal/state/kinds_test.go
@@ -200,7 +200,7 @@
 	is.Equal(j.State, Done)
 
 	s = town(t)
-	j = put(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
+	put(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
 	s.must(2*sec, Command{Attempts: give(0)})
 	is.Equal(len(s.must(2*sec, Command{Attempts: twin("m")})), 0) // the step does not allow it
 }
--- a/internal/state/marks_test.go
+++ b/internal/state/marks_test.go
@@ -121,9 +121,9 @@
 			at = at.Add(time.Duration(rnd.Intn(400)) * time.Millisecond)
 			s.must(at, anyFact(rnd, s))
 			if rnd.Intn(60) == 0 && !s.Shooting() {
-				copied, err := Restore([][]byte{})
+				_, err := Restore([][]byte{})
 				is.NoErr(err)
-				copied, err = Restore(bytes.Split(whole(t, s), []byte("\n")))
+				copied, err := Restore(bytes.Split(whole(t, s), []byte("\n")))
 				is.NoErr(err)
 				want = whole(t, copied)
 				s.Begin()
