--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -1,6 +1,7 @@
-// Package apierror is the closed list of error kinds and the one table from a
-// kind to the answer a caller gets. Errors are errorx errors of one namespace;
-// a kind that is not in the table cannot be made.
+// Package apierror holds the closed list of error kinds and the table from each
+// kind to the HTTP answer that a caller gets. Error is the body of a refusal;
+// Wrap makes an errorx error of a kind for use inside a process. A kind that is
+// not in the table can't be made.
 package apierror
 
 import (
@@ -11,8 +12,10 @@
 	"github.com/joomcode/errorx"
 )
 
+// Kind is a kind of error, as callers read it in a refusal's body.
 type Kind string
 
+// All kinds of error; docs/api.md says when each is answered.
 const (
 	BadBody    Kind = "bad_body"
 	BadField   Kind = "bad_field"
@@ -41,7 +44,7 @@
 	BadSetting Kind = "bad_setting"
 )
 
-// Code is the answer table: HTTP status by kind.
+// Code is the HTTP status of each kind.
 var Code = map[Kind]int{
 	BadBody: http.StatusBadRequest, BadField: http.StatusUnprocessableEntity,
 	TooLarge: http.StatusRequestEntityTooLarge, NoPath: http.StatusNotFound,
@@ -56,10 +59,11 @@
 	Unfit: http.StatusConflict, BadSetting: http.StatusUnprocessableEntity,
 }
 
-// Later names the kinds whose answer tells when to come back.
+// Later names the kinds whose answer carries Retry-After.
 var Later = map[Kind]bool{Full: true, Kept: true, Crowd: true, NoLead: true, NotReady: true, Unsure: true, Closing: true}
 
-// Error is the body of every refusal.
+// Error is the body of every refusal. Field is the path of the field at fault, if
+// there is one; Retry is the Retry-After in seconds, or 0 for none.
 type Error struct {
 	Kind   Kind   `json:"kind"`
 	Field  string `json:"field,omitempty"`
@@ -67,71 +71,83 @@
 	Retry  int    `json:"retry_after_s,omitempty"`
 }
 
-func (f *Error) Error() string {
-	if f.Field != "" {
-		return string(f.Kind) + ": " + f.Field + ": " + f.Reason
+// Error returns kind, field and reason on one line.
+func (e *Error) Error() string {
+	if e.Field != "" {
+		return string(e.Kind) + ": " + e.Field + ": " + e.Reason
 	}
-	return string(f.Kind) + ": " + f.Reason
+	return string(e.Kind) + ": " + e.Reason
 }
 
-// Code gives the status of the fault's kind.
-func (f *Error) Code() int { return Code[f.Kind] }
+// Code returns the HTTP status of the error's kind.
+func (e *Error) Code() int { return Code[e.Kind] }
 
-func New(k Kind, field, reason string) *Error {
-	f := &Error{Kind: k, Field: field, Reason: reason}
-	if Later[k] {
-		f.Retry = 1
+// New makes an error; kinds in Later get a Retry-After of one second.
+func New(kind Kind, field, reason string) *Error {
+	e := &Error{Kind: kind, Field: field, Reason: reason}
+	if Later[kind] {
+		e.Retry = 1
 	}
-	return f
+	return e
 }
 
-// After sets when to come back, rounded up to whole seconds, one at least.
-func (f *Error) After(d time.Duration) *Error {
-	f.Retry = max(1, int((d+time.Second-1)/time.Second))
-	return f
+// After sets the Retry-After, rounded up to whole seconds, one at least.
+func (e *Error) After(d time.Duration) *Error {
+	e.Retry = max(1, int((d+time.Second-1)/time.Second))
+	return e
 }
 
 var (
-	space = errorx.NewNamespace("coppercourse")
-	types = func() map[Kind]*errorx.Type {
-		m := map[Kind]*errorx.Type{}
-		for k := range Code {
-			m[k] = errorx.NewType(space, string(k))
-		}
-		return m
-	}()
+	namespace  = errorx.NewNamespace("coppercourse")
+	errorTypes = makeErrorTypes()
 )
 
-// Wrap makes an errorx error of the kind round a cause, for errors that stay
+func makeErrorTypes() map[Kind]*errorx.Type {
+	byKind := map[Kind]*errorx.Type{}
+	for kind := range Code {
+		byKind[kind] = errorx.NewType(namespace, string(kind))
+	}
+	return byKind
+}
+
+// Wrap makes an errorx error of a kind around its cause, for errors that stay
 // inside a process or end it.
-func Wrap(k Kind, err error, text string) error {
-	return types[k].Wrap(err, "%s", text)
+func Wrap(kind Kind, err error, text string) error {
+	return errorTypes[kind].Wrap(err, "%s", text)
 }
 
-// ErrorList collects errors so that they are looked at once, at the end of a step.
+// ErrorList collects the errors of one document or request, so that all of them
+// are reported together.
 type ErrorList struct{ list []*Error }
 
-func (h *ErrorList) Add(k Kind, field, reason string) { h.list = append(h.list, New(k, field, reason)) }
-func (h *ErrorList) Check(ok bool, field, reason string) {
+// Add appends an error.
+func (l *ErrorList) Add(kind Kind, field, reason string) {
+	l.list = append(l.list, New(kind, field, reason))
+}
+
+// Check appends a BadField error unless ok.
+func (l *ErrorList) Check(ok bool, field, reason string) {
 	if !ok {
-		h.Add(BadField, field, reason)
+		l.Add(BadField, field, reason)
 	}
 }
-func (h *ErrorList) List() []*Error { return h.list }
 
-// First gives the first fault, or nil; a caller is answered with it.
-func (h *ErrorList) First() *Error {
-	if len(h.list) == 0 {
+// List returns all errors in order.
+func (l *ErrorList) List() []*Error { return l.list }
+
+// First returns the first error, with which a caller is answered, or nil.
+func (l *ErrorList) First() *Error {
+	if len(l.list) == 0 {
 		return nil
 	}
-	return h.list[0]
+	return l.list[0]
 }
 
-// Err joins all faults into one error, for the command line.
-func (h *ErrorList) Err() error {
+// Err joins all errors into one for the command line; nil if there are none.
+func (l *ErrorList) Err() error {
 	var all []error
-	for _, f := range h.list {
-		all = append(all, f)
+	for _, e := range l.list {
+		all = append(all, e)
 	}
 	return errors.Join(all...)
 }
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -1,7 +1,7 @@
-// Package supervisor is the supervisor tree. A branch runs its children until its
-// context ends; a child that fails or panics is started again after a pause,
-// but one that fails too often, or that must not fail at all, brings down its
-// branch, and with it in the end the process.
+// Package supervisor runs goroutines in a supervision tree. A supervisor runs its
+// children until its context ends. A child that fails or panics is restarted
+// after a pause; one that fails too often, or that is vital, ends its supervisor,
+// and with it in the end the process.
 package supervisor
 
 import (
@@ -16,28 +16,30 @@
 	"coppercourse/internal/apierror"
 )
 
-// Child is one thing to keep running. A vital one is never started again: what
-// it held is gone, and a fresh process is the honest way back.
+// Child is one function to keep running. A vital child is never restarted: the
+// state that it held is lost, so the process has to start afresh.
 type Child struct {
 	Name  string
 	Vital bool
 	Run   func(context.Context) error
 }
 
+// Restart limits: a child may fail often times within window, and is restarted
+// after pause.
 const (
 	often  = 5
 	window = 30 * time.Second
 	pause  = 100 * time.Millisecond
 )
 
-// Branch makes a child out of children.
+// Branch makes a vital child that supervises children of its own.
 func Branch(log logr.Logger, name string, kids ...Child) Child {
 	return Child{Name: name, Vital: true, Run: func(ctx context.Context) error { return Run(ctx, log, kids...) }}
 }
 
-// Run keeps the children going and returns the first failure that could not be
-// mended, once all of them have ended. The first child to return without error
-// ends the others too, if it is vital.
+// Run supervises the children and returns, once all of them have ended, the first
+// failure that a restart could not mend. A vital child that returns without
+// error ends the others too.
 func Run(ctx context.Context, log logr.Logger, kids ...Child) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
@@ -58,6 +60,8 @@
 	return nil
 }
 
+// keep runs one child until its context ends, it returns without error, or its
+// failures pass the restart limits.
 func keep(ctx context.Context, log logr.Logger, k Child) error {
 	var fails []time.Time
 	for {
@@ -82,6 +86,7 @@
 	}
 }
 
+// once runs a child one time and turns a panic into an error.
 func once(ctx context.Context, k Child) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,5 +1,7 @@
-// Package trace keeps the marks that one change leaves in a daemon, for the
-// tracer to gather: a bounded ring, the oldest mark overwritten first.
+// Package trace records trace points: what happened to a job or to a version of
+// the table in one daemon. They are kept in a bounded ring, the oldest
+// overwritten first, and the command line's trace verb gathers them from all
+// daemons.
 package trace
 
 import (
@@ -10,29 +12,34 @@
 	"coppercourse/internal/types"
 )
 
+// size is how many trace points a daemon keeps.
 const size = 8192
 
-// Mark is one thing that happened to a subject here.
+// Mark is one trace point: what happened to a subject in this daemon, and when.
 type Mark struct {
 	At      types.Wall `json:"at"`
 	Subject string     `json:"subject"`
 	What    string     `json:"what"`
 }
 
-// Ring is written by the owner and read by the daemon's pages.
+// Ring is a bounded buffer of trace points. The goroutine that owns the state
+// machine writes it; HTTP handlers read it at the same time.
 type Ring struct {
 	mu   sync.Mutex
 	list []Mark
-	at   int
+	at   int // index of the oldest, once the ring is full
 }
 
+// New returns an empty ring.
 func New() *Ring { return &Ring{} }
 
-// Job and Table name subjects.
-func Job(id types.JobID) string    { return "job/" + string(id) }
-func Table(e types.Version) string { return fmt.Sprintf("table/%d", e) }
+// Job returns the subject of a job's trace points.
+func Job(id types.JobID) string { return "job/" + string(id) }
 
-// Add leaves a mark; pairs are names and values.
+// Table returns the subject of the trace points of a version of the table.
+func Table(version types.Version) string { return fmt.Sprintf("table/%d", version) }
+
+// Add records a trace point; pairs are names and values in turn.
 func (r *Ring) Add(at types.Wall, subject, what string, pairs ...any) {
 	var b strings.Builder
 	b.WriteString(what)
@@ -50,7 +57,7 @@
 	r.at = (r.at + 1) % size
 }
 
-// Of lists a subject's marks, oldest first.
+// Of returns a subject's trace points, oldest first.
 func (r *Ring) Of(subject string) []Mark {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/wire/call.go
+++ b/internal/wire/call.go
@@ -1,10 +1,11 @@
-// What an agent says to a worker that is called rather than calling: a start, a
-// stop, or a hold that renews its lease and tells what runs and what has ended.
-// A call goes out of a step like a message does, and its reply comes back as an
-// event, also when there was none: then it may have been carried out, or may be
-// yet. Times are milliseconds of the worker's own clock.
 package wire
 
+// Calls from an agent to an invoked worker, that is, one that is called rather
+// than one that polls. A call is an effect of a step, as a message is, and its
+// result comes back as an event, also when there was no reply: then the call may
+// have been carried out, or may be yet. Clock readings and lease ends are
+// milliseconds of the worker's own clock.
+
 import (
 	"encoding/json"
 	"time"
@@ -12,52 +13,52 @@
 	"coppercourse/internal/types"
 )
 
-// CallKind is what a worker is asked.
+// CallKind is the kind of a call to a worker.
 type CallKind string
 
+// The kinds of call.
 const (
-	Start CallKind = "start"
-	Halt  CallKind = "stop"
-	Hold  CallKind = "hold"
-	Probe CallKind = "probe" // its own word on its health
+	Start CallKind = "start" // start an attempt
+	Halt  CallKind = "stop"  // stop an attempt
+	Hold  CallKind = "hold"  // renew the lease; reply with what runs and what ended
+	Probe CallKind = "probe" // health check
 )
 
-// WorkerCall is one request to a worker. Life is the worker process meant; another
-// one refuses. Fence is the highest number of a query that the caller knows of:
-// a worker that has seen a higher one does nothing. Seen settles all ends up to
-// that number for good.
+// WorkerCall is one request to a worker.
 type WorkerCall struct {
-	No      uint64
-	To      types.Addr
-	Life    types.ID
+	No      uint64     // number of the call, repeated in its reply
+	To      types.Addr // where the worker listens
+	Life    types.ID   // the worker process meant; another one refuses
 	Kind    CallKind
-	Attempt types.Attempt
-	Work    json.RawMessage
-	Ref     string
-	Until   int64
-	Fence   uint64
-	Seen    uint64
-	Wait    time.Duration
-	Limit   time.Duration // how long the reply is waited for
+	Attempt types.Attempt   // Start, Halt
+	Work    json.RawMessage // Start: the task's input
+	Ref     string          // Start: checkpoint to continue from
+	Until   int64           // Start, Hold: end of the lease, ms of the worker's clock
+	Fence   uint64          // highest query number known; a worker that has seen a higher one does nothing
+	Seen    uint64          // Hold: ends up to this number are acknowledged for good
+	Wait    time.Duration   // Hold: how long the worker may wait for news before it replies
+	Limit   time.Duration   // how long the reply is waited for
 }
 
 // Result is how a call ended.
 type Result string
 
+// The results of a call. Only Silent leaves open whether it was carried out.
 const (
-	Taken    Result = "taken"
-	Fenced   Result = "fenced"    // a later query has been there
-	Outdated Result = "outdated"  // that attempt, or a later one, stopped or ended there
-	Late     Result = "late"      // its lease had ended
-	Full     Result = "no room"   // nothing was done
-	Refused  Result = "refused"   // the request itself was bad
-	Sick     Result = "sick"      // the worker has done nothing
-	Stranger Result = "stranger"  // another worker process is there
+	Taken    Result = "taken"     // carried out
+	Fenced   Result = "fenced"    // refused: the worker has seen a higher query number
+	Outdated Result = "outdated"  // refused: this attempt, or a later one, has stopped or ended there
+	Late     Result = "late"      // refused: its lease had ended
+	Full     Result = "no room"   // refused: the worker has no room
+	Refused  Result = "refused"   // refused: the request is invalid
+	Sick     Result = "sick"      // refused: the worker is unhealthy
+	Stranger Result = "stranger"  // refused: another worker process listens there
 	Closed   Result = "closed"    // nobody listens there
-	Silent   Result = "no answer" // it may have been done, or may be yet
+	Silent   Result = "no answer" // no reply: it may have been carried out, or may be yet
 )
 
-// WorkerReply is what came back of a call. Clock is 0 where none was told.
+// WorkerReply is the outcome of a call. Clock is the worker's clock in
+// milliseconds, or 0 if the reply did not hold it. Runs and Ends answer a Hold.
 type WorkerReply struct {
 	No     uint64
 	Result Result
@@ -66,26 +67,28 @@
 	Ends   []WorkerEnd
 }
 
-// WorkerRun is an attempt that runs, with what it has saved and how far it is.
+// WorkerRun is an attempt that runs, with its last checkpoint and its progress.
 type WorkerRun struct {
 	Attempt types.Attempt
 	Ref     string
 	Percent float64
 }
 
-// How an attempt ended on a worker.
+// How is the way in which an attempt ended on a worker.
 type How string
 
+// The ways in which an attempt ends.
 const (
-	Done    How = "done"
-	Failed  How = "failed"
-	Stopped How = "stopped"
-	Expired How = "lapsed"
-	Broken  How = "broken" // another member of its gang ended
-	Lonely  How = "alone"  // the others did not come in time
+	Done    How = "done"    // successfully
+	Failed  How = "failed"  // with an error
+	Stopped How = "stopped" // by a Halt
+	Expired How = "lapsed"  // with the worker's lease
+	Broken  How = "broken"  // because another member of its gang ended
+	Lonely  How = "alone"   // because the other members of its gang did not start in time
 )
 
-// WorkerEnd is an end; they are numbered from 1 in each life.
+// WorkerEnd is the end of an attempt. N counts the ends of one worker process
+// from 1; Ref is the last checkpoint.
 type WorkerEnd struct {
 	N       uint64
 	Attempt types.Attempt
@@ -93,10 +96,12 @@
 	Ref     string
 }
 
-// WorkerBeat is what a worker that is called tells of itself.
+// WorkerBeat is the heartbeat of an invoked worker. Seq rises with each one;
+// Clock is the worker's clock in milliseconds; LeaveMS, with Leaving, is how long
+// it will still be there; Cold is how long it is still slow from its start, in ms.
 type WorkerBeat struct {
 	Life    types.ID     `json:"life"`
-	To      types.Addr   `json:"to"` // where it is called
+	To      types.Addr   `json:"to"` // where it listens for calls
 	Seq     uint64       `json:"seq"`
 	Rack    types.Rack   `json:"rack"`
 	Labels  []string     `json:"labels"`
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -1,8 +1,10 @@
-// Package wire holds what the system's own processes say to each other. Every
-// message is one way and carries its sender's advertised address; an answer is
-// another message. Bodies are JSON and unknown fields are let pass, so that
-// daemons of mixed versions understand each other. Several notes may share one
-// HTTP request.
+// Package wire holds the messages between the system's own daemons, the calls
+// from an agent to its worker, and the events and effects of a state machine.
+//
+// Every message between daemons is one way and carries its sender's advertised
+// address; a reply is another message. Bodies are JSON, and unknown fields are
+// ignored, so that daemons of different builds understand each other. Several
+// messages may share one HTTP request.
 package wire
 
 import (
@@ -11,19 +13,21 @@
 	"coppercourse/internal/types"
 )
 
+// Message is one message between two daemons. Kind says how to read Body.
 type Message struct {
 	From types.Addr      `json:"from"`
 	Kind string          `json:"kind"`
 	Body json.RawMessage `json:"body"`
 }
 
-// Send is a note and where it goes.
+// Send is a message and its destination.
 type Send struct {
 	To      types.Addr
 	Message Message
 }
 
-// Make builds a send; a body that cannot be written is a defect of ours.
+// Make builds a message to be sent. A body that JSON can't hold is a programming
+// error and panics.
 func Make(from, to types.Addr, kind string, body any) Send {
 	b, err := json.Marshal(body)
 	if err != nil {
@@ -32,47 +36,49 @@
 	return Send{To: to, Message: Message{From: from, Kind: kind, Body: b}}
 }
 
-// Read gives the body as a type, and false for one that does not fit.
-func Read[T any](n Message) (t T, ok bool) {
-	return t, json.Unmarshal(n.Body, &t) == nil
+// Read decodes the body as a type, and reports whether it is one.
+func Read[T any](message Message) (body T, ok bool) {
+	err := json.Unmarshal(message.Body, &body)
+	return body, err == nil
 }
 
-// On makes a handler of notes out of a machine's method for one kind of body;
-// a body that does not fit is let fall.
-func On[M, T any](f func(*M, types.Addr, T)) func(*M, Message) {
-	return func(m *M, n Message) {
-		if b, ok := Read[T](n); ok {
-			f(m, n.From, b)
+// On makes a message handler out of a machine's method for one type of body. A
+// message with another body is dropped.
+func On[M, T any](method func(*M, types.Addr, T)) func(*M, Message) {
+	return func(machine *M, message Message) {
+		if body, ok := Read[T](message); ok {
+			method(machine, message.From, body)
 		}
 	}
 }
 
-// The kinds of note.
+// The kinds of message, each with the package that handles it. Those of dispatch
+// name the call of the paper that they carry.
 const (
-	Hello   = "hello"   // kin: who is there
-	Found   = "found"   // accord: founding of a cluster
-	Join    = "join"    // accord: an empty member asks in
-	Ballot  = "ballot"  // accord: asks for a vote
-	Vote    = "vote"    // accord: answers a ballot
-	Append  = "append"  // accord: entries, or none
-	Append2 = "taken"   // accord: answers append
-	Snap    = "snap"    // accord: a whole state
-	Heir    = "heir"    // accord: the holder names its successor
-	Gone    = "gone"    // accord: a member is told that it is out
-	Beat    = "beat"    // truth: processHeartbeat
-	Beaten  = "beaten"  // truth: its answer
-	AskRun  = "ask"     // truth: getRunningTasks
-	Account = "account" // truth: its answer
-	Order   = "order"   // truth: runTask
-	Ordered = "ordered" // truth: its answer
-	Query   = "query"   // truth: notifyIfTasksNotRunning
-	Queried = "queried" // truth: its answer
-	Status  = "status"  // truth: updateStatus
-	Settled = "settled" // truth: its answer, once committed
-	Stop    = "stop"    // truth: killTask
-	Quit    = "quit"    // truth: requestSuicide, for one instance
-	Call    = "call"    // gateway: hands over a caller's request
-	Reply   = "reply"   // controller: its answer
-	News    = "news"    // news: asks with the edition held
-	Told    = "told"    // news: its answer
+	Hello   = "hello"   // membership: who is there
+	Found   = "found"   // raft: bootstrap of a cluster
+	Join    = "join"    // raft: a new member asks to join
+	Ballot  = "ballot"  // raft: RequestVote
+	Vote    = "vote"    // raft: its reply
+	Append  = "append"  // raft: AppendEntries, with entries or none
+	Append2 = "taken"   // raft: its reply
+	Snap    = "snap"    // raft: InstallSnapshot, one part
+	Heir    = "heir"    // raft: leadership transfer, to its target
+	Gone    = "gone"    // raft: tells a member that it was removed
+	Beat    = "beat"    // dispatch: processHeartbeat
+	Beaten  = "beaten"  // dispatch: its reply
+	AskRun  = "ask"     // dispatch: getRunningTasks
+	Account = "account" // dispatch: its reply
+	Order   = "order"   // dispatch: runTask
+	Ordered = "ordered" // dispatch: its reply
+	Query   = "query"   // dispatch: notifyIfTasksNotRunning
+	Queried = "queried" // dispatch: its reply
+	Status  = "status"  // dispatch: updateStatus
+	Settled = "settled" // dispatch: its reply, once committed
+	Stop    = "stop"    // dispatch: killTask
+	Quit    = "quit"    // dispatch: requestSuicide, for one instance
+	Call    = "call"    // gateway: forwards a caller's request
+	Reply   = "reply"   // controller: its reply
+	News    = "news"    // configwatch: asks for changes after a version
+	Told    = "told"    // configwatch: its reply
 )
--- a/internal/wire/step.go
+++ b/internal/wire/step.go
@@ -1,8 +1,9 @@
-// The shape of every state machine: one event in, and out of it what to send,
-// to write and to answer. Machines do no I/O and read no clock; the daemon's
-// shell and the simulator carry the same machines.
 package wire
 
+// The interface of every state machine: one event in, and out of it what to
+// send, to write and to answer. Machines do no I/O and read no clock; the daemons
+// (internal/server) and the simulator (sim) run the same machines.
+
 import (
 	"encoding/json"
 	"time"
@@ -11,18 +12,19 @@
 	"coppercourse/internal/types"
 )
 
-// Event is one input. With nothing set it only tells that time has passed.
+// Event is one input of a state machine. At most one field beside Now is set;
+// with none, it is a tick of the clock.
 type Event struct {
 	Now     types.Now
-	Message *Message
-	Ask     *Ask
-	Synced  uint64
-	Reply   *WorkerReply
-	Close   bool
+	Message *Message     // from another daemon
+	Ask     *Ask         // from a client
+	Synced  uint64       // the batch with this Seq is on disk
+	Reply   *WorkerReply // the result of a call to the worker
+	Close   bool         // the daemon is asked to stop
 }
 
-// Ask is a request read from outside, to be answered under its token. Limit is
-// how long whoever asks will wait, or 0 where that is not known.
+// Ask is a client's request, to be answered under its token. Limit is how long
+// the client will wait, or 0 if that is not known.
 type Ask struct {
 	Token uint64
 	Verb  string
@@ -31,8 +33,8 @@
 	Limit time.Duration
 }
 
-// Answer ends an ask: a body, or a fault. Lead is whom to ask instead, where a
-// daemon that does not lead was asked for what only the leader can tell.
+// Answer is the response to an Ask: a body, or an error in Fault. Lead is the
+// leader's address where only the leader can tell and this daemon does not lead.
 type Answer struct {
 	Token uint64
 	Code  int
@@ -41,24 +43,25 @@
 	Lead  types.Addr
 }
 
-// Out is what a step wants done. Batch is one group of records to sync as
-// number Seq; Whole puts it in place of the file.
+// Out is the effects of a step.
 type Out struct {
-	Sends   []Send
-	Calls   []WorkerCall
-	Batch   [][]byte
-	Seq     uint64
-	Whole   bool
-	Answers []Answer
-	Idle    bool // closing, and nothing is left to do
+	Sends   []Send       // messages to other daemons
+	Calls   []WorkerCall // calls to the worker
+	Batch   [][]byte     // records to write and sync together
+	Seq     uint64       // number of the batch, for Event.Synced
+	Whole   bool         // the batch replaces the whole file
+	Answers []Answer     // responses to clients
+	Idle    bool         // stopping, and nothing is left to do
 }
 
-// Machine is what shells carry.
+// Machine is a state machine: a daemon's logic without I/O and without a clock.
 type Machine interface {
+	// Step takes one event and returns its effects.
 	Step(Event) Out
 }
 
-// Body writes a value for an answer.
+// Body encodes a value for an answer. A value that JSON can't hold is a
+// programming error and panics.
 func Body(v any) json.RawMessage {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -67,7 +70,8 @@
 	return b
 }
 
-// CallBody is a caller's request as a gateway hands it over, ReplyBody its answer.
+// CallBody is the body of a Call: a client's request that a gateway forwards. ID
+// is the gateway's own number for it.
 type CallBody struct {
 	ID   uint64          `json:"id"`
 	Verb string          `json:"verb"`
@@ -75,11 +79,12 @@
 	Body json.RawMessage `json:"body,omitempty"`
 }
 
+// ReplyBody is the body of a Reply: the response to the request with that ID.
 type ReplyBody struct {
 	ID    uint64          `json:"id"`
 	Code  int             `json:"code"`
 	Body  json.RawMessage `json:"body,omitempty"`
 	Fault *apierror.Error `json:"fault,omitempty"`
 	Lead  types.Addr      `json:"lead,omitempty"`
-	Away  bool            `json:"away,omitempty"` // not the leader; ask Lead
+	Away  bool            `json:"away,omitempty"` // the sender does not lead; ask Lead
 }
