--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -1,7 +1,8 @@
-// Package config is what operators write: the table of queues and a
-// daemon's settings, and by the same reader the jobs that callers send. All of
-// it is read by jx field by field; every fault is kept with the path of its
-// field, so that all of them are told at once.
+// Package config holds what operators write: the queue table, drains and
+// maintenance calendars, and the routes that the table makes. Its Reader decodes
+// all JSON documents from outside, jobs and daemons' settings too, field by field
+// with jx, and collects every error with the path of its field, so that all of
+// them are reported at once.
 package config
 
 import (
@@ -16,24 +17,26 @@
 	"coppercourse/internal/types"
 )
 
-// Reader goes down a document and heaps up what is wrong with it.
+// Reader decodes one JSON document and collects what is wrong with it.
 type Reader struct {
 	d     *jx.Decoder
-	Heap  *apierror.ErrorList
-	Loose bool // fields that nobody asks for are let pass
-	dead  bool
+	Heap  *apierror.ErrorList // the errors found
+	Loose bool                // unknown fields are ignored, not errors
+	dead  bool                // the document is malformed; nothing more is read
 }
 
-// Field reads the value of one field.
+// Field reads the value of the field at a path.
 type Field func(path string)
 
+// errHalt ends the decoding of a malformed document.
 var errHalt = errors.New("halt")
 
-func NewReader(b []byte, heap *apierror.ErrorList) *Reader {
-	return &Reader{d: jx.DecodeBytes(b), Heap: heap}
+// NewReader makes a reader of a document that adds its errors to a list.
+func NewReader(document []byte, errs *apierror.ErrorList) *Reader {
+	return &Reader{d: jx.DecodeBytes(document), Heap: errs}
 }
 
-// Whole reads the document as one object with nothing behind it.
+// Whole reads the document as one object; anything after it is an error.
 func (r *Reader) Whole(fields map[string]Field) {
 	r.Obj("", fields)
 	if !r.dead && r.d.Next() != jx.Invalid {
@@ -41,6 +44,7 @@
 	}
 }
 
+// halt reports the document as malformed, once.
 func (r *Reader) halt(path string) {
 	if !r.dead {
 		r.dead = true
@@ -48,6 +52,8 @@
 	}
 }
 
+// is reports whether a value of the wanted type comes next. Another value is
+// skipped and reported.
 func (r *Reader) is(path string, want jx.Type) bool {
 	if r.dead {
 		return false
@@ -64,7 +70,8 @@
 	return false
 }
 
-// Obj reads an object; a field not in the map, or told twice, is a fault.
+// Obj reads an object. A field that is not in the map, unless the reader is loose,
+// or that stands there twice is an error.
 func (r *Reader) Obj(path string, fields map[string]Field) {
 	if !r.is(path, jx.Object) {
 		return
@@ -123,99 +130,91 @@
 	}
 }
 
-// Next tells what kind of value comes.
+// Next returns the type of the value that comes next.
 func (r *Reader) Next() jx.Type { return r.d.Next() }
 
-// Num reads a whole number within bounds.
-func Num[T ~int | ~int64 | ~uint64](r *Reader, to *T, least, most int64) Field {
+// value makes a Field that reads a value of one JSON type into to. The decode
+// function returns the value, or the reason why it is refused, or an error if the
+// document is malformed there.
+func value[T any](r *Reader, to *T, want jx.Type, decode func() (T, string, error)) Field {
 	return func(path string) {
-		if !r.is(path, jx.Number) {
+		if !r.is(path, want) {
 			return
 		}
+		v, reason, err := decode()
+		switch {
+		case err != nil:
+			r.halt(path)
+		case reason != "":
+			r.Heap.Add(apierror.BadField, path, reason)
+		default:
+			*to = v
+		}
+	}
+}
+
+// Num reads a whole number from least to most.
+func Num[T ~int | ~int64 | ~uint64](r *Reader, to *T, least, most int64) Field {
+	return value(r, to, jx.Number, func() (T, string, error) {
 		n, err := r.d.Num()
 		if err != nil {
-			r.halt(path)
-			return
+			return 0, "", err
 		}
 		v, err := n.Int64()
 		if err != nil || v < least || v > most {
-			r.Heap.Add(apierror.BadField, path, fmt.Sprintf("want a whole number from %d to %d, got %s", least, most, n))
-			return
+			return 0, fmt.Sprintf("want a whole number from %d to %d, got %s", least, most, n), nil
 		}
-		*to = T(v)
-	}
+		return T(v), "", nil
+	})
 }
 
-// Real reads a number within bounds.
+// Real reads a number from least to most.
 func Real(r *Reader, to *float64, least, most float64) Field {
-	return func(path string) {
-		if !r.is(path, jx.Number) {
-			return
-		}
+	return value(r, to, jx.Number, func() (float64, string, error) {
 		v, err := r.d.Float64()
 		if err != nil || v < least || v > most {
-			r.Heap.Add(apierror.BadField, path, fmt.Sprintf("want a number from %v to %v", least, most))
-			return
+			return 0, fmt.Sprintf("want a number from %v to %v", least, most), nil
 		}
-		*to = v
-	}
+		return v, "", nil
+	})
 }
 
-// Cores reads a decimal number of cores within bounds.
+// Cores reads a decimal number of cores from least to most.
 func Cores(r *Reader, to *types.Cores, least, most types.Cores) Field {
-	return func(path string) {
-		if !r.is(path, jx.Number) {
-			return
-		}
+	return value(r, to, jx.Number, func() (types.Cores, string, error) {
 		n, err := r.d.Num()
 		if err != nil {
-			r.halt(path)
-			return
+			return 0, "", err
 		}
 		v, ok := types.ParseCores(n.String())
 		if !ok || v < least || v > most {
-			r.Heap.Add(apierror.BadField, path, fmt.Sprintf("want a number of cores from %v to %v with at most three decimals, got %s",
-				float64(least)/1000, float64(most)/1000, n))
-			return
+			return 0, fmt.Sprintf("want a number of cores from %v to %v with at most three decimals, got %s",
+				float64(least)/float64(types.Core), float64(most)/float64(types.Core), n), nil
 		}
-		*to = v
-	}
+		return v, "", nil
+	})
 }
 
-// Text reads a string that a check accepts.
+// Text reads a string. The check returns why a text is refused, or nothing.
 func Text[T ~string](r *Reader, to *T, check func(string) string) Field {
-	return func(path string) {
-		if !r.is(path, jx.String) {
-			return
-		}
+	return value(r, to, jx.String, func() (T, string, error) {
 		s, err := r.d.Str()
 		if err != nil {
-			r.halt(path)
-			return
+			return "", "", err
 		}
-		if bad := check(s); bad != "" {
-			r.Heap.Add(apierror.BadField, path, bad)
-			return
-		}
-		*to = T(s)
-	}
+		return T(s), check(s), nil
+	})
 }
 
 // Bool reads true or false.
 func Bool(r *Reader, to *bool) Field {
-	return func(path string) {
-		if !r.is(path, jx.Bool) {
-			return
-		}
+	return value(r, to, jx.Bool, func() (bool, string, error) {
 		b, err := r.d.Bool()
-		if err != nil {
-			r.halt(path)
-		}
-		*to = b
-	}
+		return b, "", err
+	})
 }
 
-// Raw keeps a value as it stands, up to a size.
+// Raw copies a value undecoded, up to a size of most bytes.
 func Raw(r *Reader, to *[]byte, most int) Field {
 	return func(path string) {
 		if r.dead {
@@ -234,10 +233,14 @@
 	}
 }
 
-// Name accepts the names that queues, jobs, steps, kinds and racks may have.
+// mostName is the greatest length of a name, in characters.
+const mostName = 64
+
+// Name accepts the names that queues, jobs, steps, kinds and racks may have. As
+// all checks of Text, it returns the reason of a refusal, or nothing.
 func Name(s string) string {
-	if s == "" || len(s) > 64 {
-		return "want 1 to 64 characters"
+	if s == "" || len(s) > mostName {
+		return fmt.Sprintf("want 1 to %d characters", mostName)
 	}
 	for _, c := range s {
 		ok := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.'
@@ -248,12 +251,15 @@
 	return ""
 }
 
-// Maybe accepts what f accepts, and nothing at all.
-func Maybe(f func(string) string) func(string) string {
+// Maybe accepts the empty text and what the check accepts.
+func Maybe(check func(string) string) func(string) string {
 	return func(s string) string {
 		if s == "" {
 			return ""
 		}
-		return f(s)
+		return check(s)
 	}
 }
+
+// anyText accepts every text.
+func anyText(string) string { return "" }
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -1,19 +1,21 @@
-// The way from where a caller comes in to a queue: by host, and by the longest
-// prefix of the path that a row names. Built once a table, and only read then.
 package config
 
+// Routing of a request to a queue: by host, and by the longest path prefix that a
+// row of the table names.
+
 import (
 	"strings"
 
 	radix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// Routes finds rows by host and path.
+// Routes is the routing table of one version of the queue table. It is built once
+// and only read then, by any number of goroutines.
 type Routes struct {
 	hosts map[string]*radix.Tree[Row]
 }
 
-// Routes builds them; rows without a prefix have none.
+// Routes builds the routing table. Rows without a prefix have no route.
 func (t Table) Routes() *Routes {
 	r := &Routes{hosts: map[string]*radix.Tree[Row]{}}
 	for _, row := range t.Rows {
@@ -30,7 +32,8 @@
 	return r
 }
 
-// Find gives the row, and what of the path follows its prefix.
+// Find returns the row for a host and path, and the part of the path that follows
+// the row's prefix. A port in the host is ignored.
 func (r *Routes) Find(host, path string) (row Row, rest string, ok bool) {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -1,47 +1,48 @@
-// The table: one row a queue, changed whole and read back whole.
 package config
 
+// The queue table: one row for each queue. It is replaced as a whole.
+
 import (
 	"crypto/sha256"
 	"encoding/hex"
 	"encoding/json"
-	"fmt"
 	"time"
 
-	"coppercourse/internal/apierror"
 	"coppercourse/internal/types"
 )
 
-// Row is one queue. Running counts tasks at once, Waiting unfinished jobs. Host
-// and Prefix say where its callers come in, Service which workers run its tasks
-// where a job does not say. Priority 0 goes first. A job is meant to be done
-// within Stretch times its longest chain of work, and Target more.
+// Row is one queue: its limits, its part of the cluster, and where its requests
+// come in. docs/settings.md has bounds and defaults. It has more than 15 fields
+// because it is the operator's document, one field for each setting. A job should
+// be done within Stretch times its longest chain of work plus Target.
 type Row struct {
 	Name     types.Queue `json:"name"`
-	Weight   int         `json:"weight"`
-	Share    int         `json:"share"`
-	Running  int         `json:"running"`
-	Waiting  int         `json:"waiting"`
-	Tries    int         `json:"tries"`
-	TaskMS   int         `json:"task_time_ms"`
-	Patience int         `json:"patience_ms"`
-	CutMS    int         `json:"cut_patience_ms"`
-	Losses   int         `json:"losses"`
-	Stall    int         `json:"stall_times"`
-	Displace bool        `json:"displaces"`
-	Moves    int         `json:"displaced"`
-	Host     string      `json:"host,omitempty"`
-	Prefix   string      `json:"prefix,omitempty"`
-	Service  types.Kind  `json:"service,omitempty"`
-	Priority int         `json:"priority,omitempty"`
-	Stretch  float64     `json:"stretch,omitempty"`
-	Target   int         `json:"target_ms,omitempty"`
+	Weight   int         `json:"weight"`              // part of the cores in use, beside other queues
+	Share    int         `json:"share"`               // percent of all cores before weights count
+	Running  int         `json:"running"`             // most tasks at once
+	Waiting  int         `json:"waiting"`             // most unfinished jobs
+	Tries    int         `json:"tries"`               // failures of one task that fail its job
+	TaskMS   int         `json:"task_time_ms"`        // time limit of an attempt
+	Patience int         `json:"patience_ms"`         // wait for the end of an attempt on a lost worker
+	CutMS    int         `json:"cut_patience_ms"`     // the same, where its whole zone was lost
+	Losses   int         `json:"losses"`              // losses of one task that fail its job, or 0
+	Stall    int         `json:"stall_times"`         // times the usual duration that make an attempt stalled
+	Displace bool        `json:"displaces"`           // its tasks may preempt others
+	Moves    int         `json:"displaced"`           // how often one of its tasks may be preempted
+	Host     string      `json:"host,omitempty"`      // host of its route
+	Prefix   string      `json:"prefix,omitempty"`    // path prefix of its route
+	Service  types.Kind  `json:"service,omitempty"`   // which workers run its tasks, if a job does not say
+	Priority int         `json:"priority,omitempty"`  // 0 goes first
+	Stretch  float64     `json:"stretch,omitempty"`   // aim: times the longest chain of work
+	Target   int         `json:"target_ms,omitempty"` // aim: and so much more
 	Timeout  int         `json:"timeout_ms,omitempty"`
-	Rest     int         `json:"rest_ms,omitempty"`
+	Rest     int         `json:"rest_ms,omitempty"` // pause after a task's first failure
 }
 
-// Service is a kind of worker. Guards says that its workers turn away what does
-// not fit; where they do not, the room is the scheduler's alone to keep.
+// Service is a kind of worker. Guards says that its workers refuse what does not
+// fit; where they do not, the scheduler alone keeps their room from being
+// exceeded. Health is the path of the health check, Conns the most connections to
+// one worker.
 type Service struct {
 	Name   types.Kind `json:"name"`
 	Guards bool       `json:"guards"`
@@ -49,7 +50,8 @@
 	Conns  int        `json:"connections,omitempty"`
 }
 
-// Limits bound what a caller's connection may bring; 0 is the daemon's own bound.
+// Limits bound what a client's connection may bring, in bytes and milliseconds; 0
+// is the daemon's own bound.
 type Limits struct {
 	Header   int `json:"header_bytes,omitempty"`
 	Body     int `json:"body_bytes,omitempty"`
@@ -57,55 +59,69 @@
 	IdleMS   int `json:"idle_ms,omitempty"`
 }
 
-// Pause is how long a task rests after its n-th bad end: the row's rest, or
-// 200 ms, doubled each time.
+// Exponential backoff of a task's retries.
+const (
+	defaultRest = 200 * time.Millisecond // after the first failure, if the row sets none
+	mostRest    = 10 * time.Second
+	mostDoubled = 10 // doublings, so that the shift can't overflow
+)
+
+// Pause returns how long a task waits after its n-th failure, n from 1: the row's
+// Rest, doubled each time, 10 s at most.
 func (r Row) Pause(n int) time.Duration {
-	rest := 200 * time.Millisecond
+	rest := defaultRest
 	if r.Rest > 0 {
-		rest = time.Duration(r.Rest) * time.Millisecond
+		rest = milliseconds(r.Rest)
 	}
-	return min(10*time.Second, rest/2<<min(n, 10))
+	return min(mostRest, rest/2<<min(n, mostDoubled))
 }
 
-// Aims tells whether the queue's jobs are meant to be done by some time.
+// Aims reports whether the queue's jobs have a time by which they should be done.
 func (r Row) Aims() bool { return r.Stretch > 0 }
 
-func (r Row) Limit() time.Duration   { return time.Duration(r.TaskMS) * time.Millisecond }
-func (r Row) WaitCut() time.Duration { return time.Duration(r.CutMS) * time.Millisecond }
-func (r Row) Wait() time.Duration    { return time.Duration(r.Patience) * time.Millisecond }
+// Limit returns the time limit of an attempt.
+func (r Row) Limit() time.Duration { return milliseconds(r.TaskMS) }
+
+// Wait returns how long the end of an attempt on a lost worker is waited for.
+func (r Row) Wait() time.Duration { return milliseconds(r.Patience) }
+
+// WaitCut returns the same for a worker that was lost with its whole zone.
+func (r Row) WaitCut() time.Duration { return milliseconds(r.CutMS) }
+
+func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Table is the whole of them under one version. In a put, Edition is the one it
-// is based on and Becomes the one it gets, or 0 for the next. Orphans says what
-// becomes of unfinished jobs of a queue left out. Source is the document that
-// the operator wrote it in, kept as it came.
+// Table is the queue table in one version. In a request to replace it, Version is
+// the one that it is based on and Becomes the one that it gets, or 0 for the next.
 type Table struct {
 	Version  types.Version   `json:"edition"`
 	Becomes  types.Version   `json:"becomes,omitempty"`
-	Tasks    int             `json:"tasks,omitempty"`
-	MB       int             `json:"megabytes,omitempty"`
+	Tasks    int             `json:"tasks,omitempty"`     // bound of unfinished tasks, or 0; see MostTasks
+	MB       int             `json:"megabytes,omitempty"` // bound of unfinished work, or 0; see MostBytes
 	Orphans  Orphans         `json:"orphans,omitempty"`
 	Rows     []Row           `json:"queues"`
 	Services []Service       `json:"services,omitempty"`
 	Limits   Limits          `json:"limits,omitzero"`
-	Source   json.RawMessage `json:"source,omitempty"`
+	Source   json.RawMessage `json:"source,omitempty"` // the operator's own document, as it came
 }
 
-// Orphans are unfinished jobs of a queue that a new table leaves out: the table
-// is refused, which is the default, or they are finished by the queue's last row.
+// Orphans says what becomes of unfinished jobs of a queue that a new table leaves
+// out.
 type Orphans string
 
 const (
+	// Refuse refuses the new table while there are such jobs; it is the default.
 	Refuse Orphans = ""
+	// Finish lets them finish by the queue's last row.
 	Finish Orphans = "finish"
 )
 
-// Ours, where a table does not say how much unfinished work there may be.
+// Bounds of the unfinished work of all queues, for a table that sets none.
 const (
 	mostTasks = 100_000
 	mostMB    = 64
 )
 
-// MostTasks and MostBytes bound the unfinished work of all queues together.
+// MostTasks returns the bound of the unfinished tasks of all queues together.
 func (t Table) MostTasks() int {
 	if t.Tasks == 0 {
 		return mostTasks
@@ -113,6 +129,8 @@
 	return t.Tasks
 }
 
+// MostBytes returns the bound of the unfinished work of all queues together, in
+// bytes.
 func (t Table) MostBytes() int {
 	if t.MB == 0 {
 		return mostMB << 20
@@ -120,6 +138,7 @@
 	return t.MB << 20
 }
 
+// Find returns the row of a queue.
 func (t Table) Find(q types.Queue) (Row, bool) {
 	for _, r := range t.Rows {
 		if r.Name == q {
@@ -129,25 +148,28 @@
 	return Row{}, false
 }
 
-// Next is the table as it is in force once taken.
+// Next returns the table as it will be in force once it is accepted.
 func (t Table) Next() Table {
 	t.Version = max(t.Version+1, t.Becomes)
 	t.Becomes = 0
 	return t
 }
 
-// Same tells whether two tables say the same, whatever their version.
+// Same reports whether two tables are equal but for their versions.
 func (t Table) Same(o Table) bool { return t.Hash() == o.Hash() }
 
-// Hash stands for what a table says, whatever its version.
+// hashLength is how many bytes of the SHA-256 make the hash of a table.
+const hashLength = 8
+
+// Hash returns a hash of the table's content without its versions.
 func (t Table) Hash() string {
 	t.Version, t.Becomes, t.Tasks, t.MB = 0, 0, t.MostTasks(), t.MostBytes()
-	b, _ := json.Marshal(t)
-	sum := sha256.Sum256(b)
-	return hex.EncodeToString(sum[:8])
+	content, _ := json.Marshal(t)
+	sum := sha256.Sum256(content)
+	return hex.EncodeToString(sum[:hashLength])
 }
 
-// Serves finds a service by its name.
+// Serves returns the service with a name.
 func (t Table) Serves(k types.Kind) (Service, bool) {
 	for _, s := range t.Services {
 		if s.Name == k {
@@ -156,114 +178,3 @@
 	}
 	return Service{}, false
 }
-
-const (
-	rows     = 1000
-	services = 200
-	source   = 1 << 20
-)
-
-// ReadTable reads a table as an operator writes it; the version it carries is
-// the one it was based on.
-func ReadTable(b []byte, heap *apierror.ErrorList) (t Table) {
-	r := NewReader(b, heap)
-	base := false
-	r.Whole(map[string]Field{
-		"edition":   func(at string) { base = true; Num(r, &t.Version, 0, 1<<53)(at) },
-		"tasks":     Num(r, &t.Tasks, 1000, 1_000_000),
-		"megabytes": Num(r, &t.MB, 8, 512),
-		"queues": func(at string) {
-			t.Rows = []Row{}
-			r.List(at, rows, func(at string, _ int) { t.Rows = append(t.Rows, readRow(r, at)) })
-		},
-		"becomes": Num(r, &t.Becomes, 0, 1<<53),
-		"orphans": Text(r, &t.Orphans, func(s string) string {
-			if s != "" && s != string(Finish) {
-				return "want finish, or nothing"
-			}
-			return ""
-		}),
-		"services": func(at string) {
-			r.List(at, services, func(at string, _ int) { t.Services = append(t.Services, readService(r, at)) })
-		},
-		"limits": func(at string) {
-			l := &t.Limits
-			r.Obj(at, map[string]Field{"header_bytes": Num(r, &l.Header, 0, 1<<20), "body_bytes": Num(r, &l.Body, 0, 4<<20),
-				"header_ms": Num(r, &l.HeaderMS, 0, 600_000), "idle_ms": Num(r, &l.IdleMS, 0, 3_600_000)})
-		},
-		"source": Raw(r, (*[]byte)(&t.Source), source),
-	})
-	if len(heap.List()) > 0 {
-		return
-	}
-	heap.Check(base, "edition", "missing: say which edition the table is based on")
-	heap.Check(t.Rows != nil, "queues", "missing")
-	t.Check(heap)
-	return
-}
-
-// Check tells all that is wrong with a table as a whole.
-func (t Table) Check(heap *apierror.ErrorList) {
-	heap.Check(t.Becomes == 0 || t.Becomes > t.Version, "becomes", "must be above the edition it is based on")
-	sum, seen, way := 0, map[types.Queue]bool{}, map[[2]string]bool{}
-	for i, row := range t.Rows {
-		at := fmt.Sprintf("queues[%d]", i)
-		heap.Check(!seen[row.Name], at+".name", "two rows for "+string(row.Name))
-		seen[row.Name] = true
-		sum += row.Share
-		if row.Prefix != "" {
-			k := [2]string{row.Host, row.Prefix}
-			heap.Check(!way[k], at+".prefix", "two rows take "+row.Host+row.Prefix)
-			way[k] = true
-		}
-		if _, ok := t.Serves(row.Service); row.Service != "" && len(t.Services) > 0 {
-			heap.Check(ok, at+".service", "no service is called "+string(row.Service))
-		}
-	}
-	heap.Check(sum <= 100, "queues", "the shares add up to more than 100")
-}
-
-func readService(r *Reader, at string) (s Service) {
-	s.Guards = true
-	r.Obj(at, map[string]Field{"name": Text(r, &s.Name, Name), "guards": Bool(r, &s.Guards),
-		"health": Text(r, &s.Health, any), "connections": Num(r, &s.Conns, 0, 65535)})
-	return
-}
-
-func any(string) string { return "" }
-
-func readRow(r *Reader, at string) Row {
-	row := Row{Weight: 1, Running: 1000, Waiting: 1000, Tries: 3, TaskMS: 600_000, Patience: 30_000, CutMS: 86_400_000, Stall: 10, Moves: 3}
-	r.Obj(at, map[string]Field{
-		"name":            Text(r, &row.Name, Name),
-		"weight":          Num(r, &row.Weight, 1, 1000),
-		"share":           Num(r, &row.Share, 0, 100),
-		"running":         Num(r, &row.Running, 1, 100_000),
-		"waiting":         Num(r, &row.Waiting, 1, 100_000),
-		"tries":           Num(r, &row.Tries, 1, 100),
-		"task_time_ms":    Num(r, &row.TaskMS, 10, 86_400_000),
-		"patience_ms":     Num(r, &row.Patience, 0, 86_400_000),
-		"cut_patience_ms": Num(r, &row.CutMS, 0, 604_800_000),
-		"losses":          Num(r, &row.Losses, 0, 1000),
-		"stall_times":     Num(r, &row.Stall, 0, 1000),
-		"displaces":       Bool(r, &row.Displace),
-		"displaced":       Num(r, &row.Moves, 0, 100),
-		"host":            Text(r, &row.Host, any),
-		"prefix":          Text(r, &row.Prefix, Maybe(path)),
-		"service":         Text(r, &row.Service, Maybe(Name)),
-		"priority":        Num(r, &row.Priority, 0, 9),
-		"stretch":         Real(r, &row.Stretch, 0, 1000),
-		"target_ms":       Num(r, &row.Target, 0, 86_400_000),
-		"timeout_ms":      Num(r, &row.Timeout, 0, 86_400_000),
-		"rest_ms":         Num(r, &row.Rest, 0, 60_000),
-	})
-	r.Heap.Check(row.Name != "", at+".name", "missing")
-	return row
-}
-
-func path(s string) string {
-	if s[0] != '/' || len(s) > 256 {
-		return "want a path that begins with a slash"
-	}
-	return ""
-}
--- a/internal/config/table_test.go
+++ b/internal/config/table_test.go
@@ -25,7 +25,7 @@
 	is.True(!ok)
 }
 
-func TestTableTellsFaultsByRowAndField(t *testing.T) {
+func TestTableReportsErrorsByRowAndField(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"edition":5,"becomes":5,"queues":[]}`: "becomes",
 		`{"edition":5,"queues":[{"name":"a","host":"h","prefix":"/a"},{"name":"b","host":"h","prefix":"/a"}]}`: "queues[1].prefix",
@@ -35,15 +35,15 @@
 		`{"edition":5,"queues":[{"name":"a","stretch":-1}]}`:                                                   "queues[0].stretch",
 	} {
 		is := is.New(t)
-		var heap apierror.ErrorList
-		ReadTable([]byte(text), &heap)
-		is.True(heap.First() != nil)
-		is.Equal(heap.First().Field, want)
+		var errs apierror.ErrorList
+		ReadTable([]byte(text), &errs)
+		is.True(errs.First() != nil)
+		is.Equal(errs.First().Field, want)
 	}
 	is := is.New(t)
-	var heap apierror.ErrorList
-	tab := ReadTable([]byte(`{"edition":5,"becomes":9,"orphans":"finish","queues":[{"name":"a","host":"h","prefix":"/a/","service":"s","priority":2,"stretch":1.5,"target_ms":200}],"services":[{"name":"s","guards":false}],"source":{"x":1}}`), &heap)
-	is.True(heap.First() == nil)
+	var errs apierror.ErrorList
+	tab := ReadTable([]byte(`{"edition":5,"becomes":9,"orphans":"finish","queues":[{"name":"a","host":"h","prefix":"/a/","service":"s","priority":2,"stretch":1.5,"target_ms":200}],"services":[{"name":"s","guards":false}],"source":{"x":1}}`), &errs)
+	is.True(errs.First() == nil)
 	is.Equal(int(tab.Next().Version), 9)
 	is.Equal(tab.Rows[0].Stretch, 1.5)
 	is.Equal(string(tab.Source), `{"x":1}`)
