--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -1,12 +1,16 @@
-// Package membership is the roster: who is there, where, as what, and how sound each
-// seems, so that any one live address leads to all the rest, the present controllers
-// among them. Nothing that must be right rests on it.
+// Package membership keeps each daemon's view of the cluster: who is there, in
+// which role and zone, and when each was last heard of. Any one live address leads
+// to all the others. It is a hint for finding peers; no decision that must be
+// correct rests on it.
 //
-// A daemon says little while all is well, however many there are. Any message
-// from a peer shows that it lives. Gateways and controllers ask the leader for the cards
-// that changed since they last asked; agents keep the controllers and a few others and
-// ask one of those now and then. Who hears of no leader asks more widely, and a
-// new leader tells all it knows of. This file is when something is said.
+// The traffic of a daemon does not grow with the cluster. Any message from a peer
+// shows that it lives. Gateways and controllers ask the leader for the cards that
+// changed since they last asked. Agents keep the controllers and a small sample of
+// other daemons, and ask one of the sample now and then. A daemon that hears of no
+// leader asks more widely, and a new leader announces itself to all.
+//
+// roster.go says when something is sent, hello.go what is sent and how it is
+// received, cards.go what is kept, view.go what other packages read.
 package membership
 
 import (
@@ -18,97 +22,127 @@
 	"coppercourse/internal/wire"
 )
 
-// Card is what a daemon says of itself. V counts its changes: its owner raises
-// it, also past what it hears others have of an earlier process.
+// The roles of a daemon.
+const (
+	RoleController = "controller"
+	RoleGateway    = "gateway"
+	RoleAgent      = "agent"
+)
+
+// Card is what a daemon says of itself. V is the card's version. Only its owner
+// raises it, also beyond the version that others have from an earlier process at
+// the same address.
 type Card struct {
 	Addr  types.Addr `json:"addr"`
-	ID    types.ID   `json:"id,omitempty"`
+	ID    types.ID   `json:"id,omitempty"` // of a controller: its member identity
 	Role  string     `json:"role"`
 	Zone  types.Zone `json:"locality"`
-	Name  string     `json:"cluster,omitempty"`
-	Term  types.Term `json:"term,omitempty"`
+	Name  string     `json:"cluster,omitempty"` // the cluster's name, once one was formed
+	Term  types.Term `json:"term,omitempty"`    // of a controller: its election term
 	Leads bool       `json:"leads,omitempty"`
-	Part  string     `json:"part,omitempty"`
+	Part  string     `json:"part,omitempty"` // of an agent: its worker's shard
 	Ready bool       `json:"ready"`
-	Issue string     `json:"program,omitempty"`
+	Issue string     `json:"program,omitempty"` // build version
 	V     uint64     `json:"v,omitempty"`
 }
 
-// Mate is a card and how long ago its daemon was last heard of.
+// Peer is another daemon's card, and how many milliseconds ago it was last heard
+// of.
 type Peer struct {
 	Card
 	AgeMS int64 `json:"age_ms"`
 }
 
-// Timings and bounds are ours.
+// Timings that other packages read.
 const (
-	Beat    = 500 * time.Millisecond
+	// Beat is the interval between two looks at what is due.
+	Beat = 500 * time.Millisecond
+	// Healthy is how long after its last message a peer counts as healthy.
 	Healthy = 3 * time.Second
-	Forget  = 24 * time.Hour
-	quiet   = 1500 * time.Millisecond // a leader not heard for so long is looked for
-	silent  = 10 * time.Second        // a peer not heard by the leader for so long is told to the others
-	repair  = 10 * time.Minute        // between two exchanges of all cards with the leader
-	loud    = 3 * time.Second         // how long a new leader tells those that it has not heard yet
-	few     = 4                       // peers of each kind that an agent keeps
-	part    = 64                      // changed cards in a hello
-	bound   = 20_000
+	// Forget is how long after its last message a peer is forgotten.
+	Forget = 24 * time.Hour
+)
+
+// Timings and bounds of the exchange.
+const (
+	leaderTimeout   = 1500 * time.Millisecond // silence after which the leader is looked for
+	silentAfter     = 10 * time.Second        // silence after which the leader tells others that a peer is silent
+	repairInterval  = 10 * time.Minute        // least time between two exchanges of all cards with the leader
+	announceFor     = 3 * time.Second         // how long a new leader repeats its announcement to those it has not heard
+	sampleSize      = 4                       // peers of each kind that an agent keeps
+	changesPerHello = 64                      // changed cards in one hello
+	mostMismatches  = 4                       // replies with other digests after which all cards are asked for
+	mostCards       = 20_000                  // cards that are kept
+	forgetEvery     = 64                      // beats between two searches for peers to forget
 )
 
-// pause is how many beats go by between two questions of a daemon that hears
+// beatsPerAsk is how many beats lie between two questions of a daemon that hears
 // the leader.
-var pause = map[string]uint64{"controller": 1, "gateway": 4, "agent": 16}
+var beatsPerAsk = map[string]uint64{RoleController: 1, RoleGateway: 4, RoleAgent: 16}
 
-// Roster is one daemon's view.
+// Roster is one daemon's view of the cluster. It is a state machine: Take and Tick
+// are its events, Out returns what to send.
 type Roster struct {
-	rnd         *rand.Rand
-	me          Card
-	seeds       []types.Addr
-	all         map[types.Addr]*entry
-	list        []types.Addr // the keys of all, in order
-	controllers []types.Addr // those of the controllers
-	agents      map[string]*entry
-	zones       map[types.Zone]*zoneState
-	sums        Sums
-	seq         uint64
-	log         []change
-	now         types.Stamp
-	told        types.Stamp
-	beats       uint64
-	turn        int
-	chatted     types.Addr  // the peer that this agent asked last
-	chattedAt   types.Stamp // and when
-	led         types.Stamp // since when this daemon leads
-	followed    types.Addr  // whose changes are followed: the leader
-	taken       uint64      // how far
-	odd         int         // answers in a row that showed other cards there than here
-	whole       types.Stamp // when all were last asked for
-	vouch       types.Stamp // when the leader last told all that had changed
-	asked       uint64      // the version of this daemon's card in its last question to the leader
-	known       uint64      // the one that the leader has answered to
-	guest       Peer        // the agent that asked last, and when
-	came        types.Stamp
-	sends       []wire.Send
+	rnd          *rand.Rand
+	me           Card
+	seeds        []types.Addr
+	now          types.Stamp
+	lastTick     types.Stamp
+	beats        uint64
+	leadsSince   types.Stamp // since when this daemon leads
+	askedVersion uint64      // version of this daemon's card in its last question to the leader
+	ackedVersion uint64      // the version that the leader has answered to
+	sends        []wire.Send
+	cards
+	following
+	gossip
+}
+
+// following is how far this daemon has followed the leader's log of changes.
+type following struct {
+	source     types.Addr  // the leader whose changes are followed
+	sourceSeq  uint64      // number of the last change applied
+	mismatches int         // replies in a row after which the digests still differed
+	repairedAt types.Stamp // when all cards were last asked for
+	vouchedAt  types.Stamp // when the leader last said that there are no more changes
 }
 
+// gossip is the state of the exchange among agents.
+type gossip struct {
+	gossipPeer     types.Addr  // the peer that this agent asked last
+	gossipAt       types.Stamp // and when
+	nextController int         // index of the controller to ask next
+	lastAsker      Peer        // the agent that asked this daemon last
+	lastAskedAt    types.Stamp // and when
+}
+
+// never lies before all stamps, and far enough from them to be subtracted.
 const never = types.Stamp(-1 << 61)
 
+// versionSpread bounds the random version that a card starts with, so that two
+// processes at one address seldom start with the same.
+const versionSpread = 1 << 20
+
+// New returns the roster of a daemon that knows nobody but its seeds.
 func New(rnd *rand.Rand, me Card, seeds []types.Addr) *Roster {
-	me.V = 1 + uint64(rnd.Intn(1<<20))
-	r := &Roster{rnd: rnd, me: me, seeds: seeds, all: map[types.Addr]*entry{}, agents: map[string]*entry{}, zones: map[types.Zone]*zoneState{},
-		told: never, led: never, whole: never, vouch: never}
+	me.V = 1 + uint64(rnd.Intn(versionSpread))
+	r := &Roster{rnd: rnd, me: me, seeds: seeds, lastTick: never, leadsSince: never,
+		cards:     cards{entries: map[types.Addr]*entry{}, agents: map[string]*entry{}, zones: map[types.Zone]*zoneState{}},
+		following: following{repairedAt: never, vouchedAt: never}}
 	r.sums.add(me)
 	return r
 }
 
-// keeps tells whether this daemon keeps the cards of all.
-func (r *Roster) keeps() bool { return r.me.Role != "agent" }
+// keepsAll reports whether this daemon keeps all cards; an agent keeps a sample.
+func (r *Roster) keepsAll() bool { return r.me.Role != RoleAgent }
 
-// Me sets this daemon's card; a new leader is told to all at once.
+// Me sets this daemon's own card and raises its version if anything changed. A
+// daemon that has become the leader announces itself to all at once.
 func (r *Roster) Me(c Card) {
 	c.V = r.me.V
 	same := c
-	if c.Role != "controller" {
-		same.Name = r.me.Name // what it holds for the cluster's name is no news
+	if c.Role != RoleController {
+		same.Name = r.me.Name // only a controller's word for the name counts
 	}
 	if !c.Leads {
 		same.Term = r.me.Term
@@ -123,72 +157,74 @@
 	r.me = c
 	r.sums.add(c)
 	if leads {
-		r.led = r.now
-		r.proclaim()
+		r.leadsSince = r.now
+		r.announceLeadership()
 	}
 }
 
-// proclaim tells that this daemon leads to all not heard since it does.
-func (r *Roster) proclaim() {
+// announceLeadership sends this daemon's card to all peers that it has not heard
+// since it leads.
+func (r *Roster) announceLeadership() {
 	n := wire.Make(r.me.Addr, "", wire.Hello, hello{Me: r.me}).Message
-	for _, a := range r.list {
-		if r.all[a].direct <= r.led {
+	for _, a := range r.order {
+		if r.entries[a].direct <= r.leadsSince {
 			r.sends = append(r.sends, wire.Send{To: a, Message: n})
 		}
 	}
 }
 
-// Tick says what is due.
+// Tick sends what is due at the time now.
 func (r *Roster) Tick(now types.Stamp) {
 	r.now = now
-	if now.Sub(r.told) < Beat {
+	if now.Sub(r.lastTick) < Beat {
 		return
 	}
-	r.told = now
+	r.lastTick = now
 	r.beats++
 	lead := r.Lead()
-	switch due := r.beats%pause[r.me.Role] == 0; {
+	switch due := r.beats%beatsPerAsk[r.me.Role] == 0; {
 	case lead == r.me.Addr:
-		r.watch()
-	case lead == "" || now.Sub(r.all[lead].direct) > quiet:
-		r.seek()
-	case due && r.keeps() || r.known != r.me.V:
+		r.watchSilence()
+	case lead == "" || now.Sub(r.entries[lead].direct) > leaderTimeout:
+		r.seekLeader()
+	case due && r.keepsAll() || r.ackedVersion != r.me.V:
 		r.ask(lead)
 	case due:
-		r.chat()
+		r.askSample()
 	}
-	if r.me.Role == "controller" && r.beats%2 == 0 {
-		if a, ok := r.some("agent"); ok { // so that agents come to know of new controllers
-			r.say(a, r.base())
+	if r.me.Role == RoleController && r.beats%2 == 0 {
+		if a, ok := r.randomPeer(RoleAgent); ok { // so that agents come to know of new controllers
+			r.send(a, r.newHello())
 		}
 	}
-	if r.beats%64 == 0 {
-		for _, a := range slices.Clone(r.list) {
-			if now.Sub(r.last(r.all[a])) > Forget {
+	if r.beats%forgetEvery == 0 {
+		for _, a := range slices.Clone(r.order) {
+			if now.Sub(r.lastHeard(r.entries[a])) > Forget {
 				r.drop(a)
 			}
 		}
 	}
 }
 
-// watch is the leader's: a peer that falls silent, or comes back, is a change.
-func (r *Roster) watch() {
-	if r.now.Sub(r.led) < loud {
-		r.proclaim()
+// watchSilence is run by the leader: it logs a change for each peer that has
+// fallen silent or is heard again.
+func (r *Roster) watchSilence() {
+	if r.now.Sub(r.leadsSince) < announceFor {
+		r.announceLeadership()
 	}
-	for _, a := range r.list {
-		e := r.all[a]
-		gone := r.now.Sub(e.heard) >= silent
-		if e.silent != gone && (!gone || r.now.Sub(r.led) >= silent) {
+	for _, a := range r.order {
+		e := r.entries[a]
+		gone := r.now.Sub(e.heard) >= silentAfter
+		if e.silent != gone && (!gone || r.now.Sub(r.leadsSince) >= silentAfter) {
 			e.silent = gone
-			r.changed(e)
+			r.logChange(e)
 		}
 	}
 }
 
-// seek asks for the leader: seeds, controllers (an agent one of them in turn, since
-// there are many agents), and a peer by chance.
-func (r *Roster) seek() {
+// seekLeader asks for the leader: seeds, controllers (an agent asks one of them in
+// turn, since there are many agents), and a random peer.
+func (r *Roster) seekLeader() {
 	asked := map[types.Addr]bool{r.me.Addr: true}
 	ask := func(a types.Addr) {
 		if !asked[a] {
@@ -197,52 +233,52 @@
 		}
 	}
 	for _, s := range r.seeds {
-		if e := r.all[s]; e == nil || r.now.Sub(e.direct) > Healthy {
+		if e := r.entries[s]; e == nil || r.now.Sub(e.direct) > Healthy {
 			ask(s)
 		}
 	}
 	for i, a := range r.controllers {
-		if r.keeps() || i == r.turn%len(r.controllers) {
+		if r.keepsAll() || i == r.nextController%len(r.controllers) {
 			ask(a)
 		}
 	}
-	r.turn++
-	if a, ok := r.some(""); ok {
+	r.nextController++
+	if a, ok := r.randomPeer(""); ok {
 		ask(a)
 	}
 }
 
-// chat is an agent's question to one of the few peers that it keeps. A peer that left
-// the last question unanswered while the leader was heard is gone, and forgotten.
-func (r *Roster) chat() {
-	if e := r.all[r.chatted]; e != nil && e.card.Role == "agent" && e.direct < r.chattedAt {
-		r.drop(r.chatted)
+// askSample is an agent's question to one peer of its sample. A peer that left the
+// last question unanswered while the leader was heard is gone, and forgotten.
+func (r *Roster) askSample() {
+	if e := r.entries[r.gossipPeer]; e != nil && e.card.Role == RoleAgent && e.direct < r.gossipAt {
+		r.drop(r.gossipPeer)
 	}
-	a, ok := r.some("agent")
+	a, ok := r.randomPeer(RoleAgent)
 	if !ok {
-		a, ok = r.some("")
+		a, ok = r.randomPeer("")
 	}
 	if ok {
-		r.chatted, r.chattedAt = a, r.now
+		r.gossipPeer, r.gossipAt = a, r.now
 		r.ask(a)
 	}
 }
 
-// some picks a peer of a role, or of any, by chance.
-func (r *Roster) some(role string) (types.Addr, bool) {
-	if len(r.list) == 0 {
+// randomPeer picks a random peer of a role, or of any role if that is empty.
+func (r *Roster) randomPeer(role string) (types.Addr, bool) {
+	if len(r.order) == 0 {
 		return "", false
 	}
-	from := r.rnd.Intn(len(r.list))
-	for i := range r.list {
-		if a := r.list[(from+i)%len(r.list)]; role == "" || r.all[a].card.Role == role {
+	from := r.rnd.Intn(len(r.order))
+	for i := range r.order {
+		if a := r.order[(from+i)%len(r.order)]; role == "" || r.entries[a].card.Role == role {
 			return a, true
 		}
 	}
 	return "", false
 }
 
-// Out drains what there is to send.
+// Out returns the messages to send since the last call.
 func (r *Roster) Out() []wire.Send {
 	s := r.sends
 	r.sends = nil
--- a/internal/membership/roster_test.go
+++ b/internal/membership/roster_test.go
@@ -1,7 +1,8 @@
-// The roster by itself: daemons in virtual time that greet one another, with a
-// stand-in for the messages by which they hear the leader anyway.
 package membership
 
+// The rosters of a whole cluster in virtual time, with stand-ins for the messages
+// by which daemons hear the leader anyway.
+
 import (
 	"fmt"
 	"math/rand"
@@ -15,7 +16,7 @@
 	"coppercourse/internal/wire"
 )
 
-type town struct {
+type cluster struct {
 	now   types.Stamp
 	by    map[types.Addr]*Roster
 	order []types.Addr
@@ -24,12 +25,12 @@
 	bytes map[types.Addr]int
 }
 
-func newTown() *town {
-	return &town{now: types.Stamp(time.Hour), by: map[types.Addr]*Roster{}, lost: func(_, _ types.Addr) bool { return false },
+func newCluster() *cluster {
+	return &cluster{now: types.Stamp(time.Hour), by: map[types.Addr]*Roster{}, lost: func(_, _ types.Addr) bool { return false },
 		count: map[types.Addr]int{}, bytes: map[types.Addr]int{}}
 }
 
-func (t *town) add(role string, i, zones int, seeds ...types.Addr) types.Addr {
+func (t *cluster) add(role string, i, zones int, seeds ...types.Addr) types.Addr {
 	a := types.Addr(fmt.Sprintf("%s%d", role, i))
 	if !slices.Contains(t.order, a) {
 		t.order = append(t.order, a)
@@ -43,8 +44,8 @@
 }
 
 // fleet is three controllers, of which the first leads, three gateways, and agents.
-func fleet(agents, zones int) *town {
-	t := newTown()
+func fleet(agents, zones int) *cluster {
+	t := newCluster()
 	for i := range 3 {
 		t.add("controller", i, zones, "controller0", "agent0")
 	}
@@ -58,14 +59,14 @@
 	return t
 }
 
-func (t *town) lead(a types.Addr, term types.Term) {
+func (t *cluster) lead(a types.Addr, term types.Term) {
 	c := t.by[a].me
 	c.Leads, c.Term = true, term
 	t.by[a].Me(c)
 }
 
 // post delivers all that is to be said until nothing is.
-func (t *town) post(list []wire.Send) {
+func (t *cluster) post(list []wire.Send) {
 	for len(list) > 0 {
 		s := list[0]
 		list = list[1:]
@@ -81,7 +82,7 @@
 }
 
 // pass lets time go by; each 300 ms all speak with whom they hold for the leader.
-func (t *town) pass(d time.Duration) {
+func (t *cluster) pass(d time.Duration) {
 	for end := t.now.Add(d); t.now < end; {
 		t.now = t.now.Add(100 * time.Millisecond)
 		for _, a := range t.order {
@@ -101,7 +102,7 @@
 	}
 }
 
-func (t *town) knows(a types.Addr) (n int) { return len(t.by[a].Peers()) }
+func (t *cluster) knows(a types.Addr) (n int) { return len(t.by[a].Peers()) }
 
 func TestIdleCostDoesNotGrowWithTheFleet(t *testing.T) {
 	is := is.New(t)
@@ -125,7 +126,7 @@
 			}
 		}
 		each = append(each, float64(sum)/float64(n))
-		is.True(cards <= 3+3*few)
+		is.True(cards <= 3+3*sampleSize)
 		is.True(most/16 < 500)
 		is.True(f.count["gateway0"] < 16)
 		is.True(f.bytes["controller0"]/16 < 6000) // the leader answers controllers and gateways, not agents
@@ -135,7 +136,7 @@
 
 func TestAnyOneAddressLeadsToAllTheRest(t *testing.T) {
 	is := is.New(t)
-	f := newTown()
+	f := newCluster()
 	last := f.add("agent", 0, 3)
 	for i := 1; i < 30; i++ {
 		last = f.add("agent", i, 3, last)
@@ -194,17 +195,17 @@
 	c.Ready = false
 	f.by["agent5"].Me(c)
 	f.pass(20 * time.Second)
-	was := f.by["gateway1"].all["agent5"].card
+	was := f.by["gateway1"].entries["agent5"].card
 	is.Equal(was.Ready, false)
 	f.add("agent", 5, 4, "controller0")
 	f.by["agent5"].me.V = 1
 	f.pass(3 * time.Second)
-	now := f.by["gateway1"].all["agent5"].card
+	now := f.by["gateway1"].entries["agent5"].card
 	is.Equal(now.Ready, true)
 	is.True(now.V > was.V)
 	// What it said before comes late and changes nothing.
 	f.by["gateway1"].Take(f.now, wire.Make("agent5", "gateway1", wire.Hello, hello{Me: was}).Message)
-	is.Equal(f.by["gateway1"].all["agent5"].card, now)
+	is.Equal(f.by["gateway1"].entries["agent5"].card, now)
 }
 
 // Whichever agent it is, peers that are gone are forgotten, and it never keeps more
@@ -215,21 +216,21 @@
 		f := fleet(60, 4)
 		f.pass(40 * time.Second)
 		r := f.by[types.Addr(fmt.Sprint("agent", i))]
-		kept := slices.Clone(r.list)
+		kept := slices.Clone(r.order)
 		for _, a := range kept {
-			if r.all[a].card.Role == "agent" {
+			if r.entries[a].card.Role == "agent" {
 				delete(f.by, a)
 			}
 		}
 		f.pass(5 * time.Minute)
 		left := 0
-		for _, a := range r.list {
-			if r.all[a].card.Role == "agent" && slices.Contains(kept, a) {
+		for _, a := range r.order {
+			if r.entries[a].card.Role == "agent" && slices.Contains(kept, a) {
 				left++
 			}
 		}
-		is.True(left < few/2)
-		is.True(len(r.list) <= 3+3*few)
+		is.True(left < sampleSize/2)
+		is.True(len(r.order) <= 3+3*sampleSize)
 	}
 }
 
@@ -241,7 +242,7 @@
 	f.by["gateway0"].drop("agent7")
 	f.by["controller0"].drop("agent8") // known to the leader no more, and it says nothing
 	delete(f.by, "agent8")
-	f.pass(repair + 30*time.Second)
+	f.pass(repairInterval + 30*time.Second)
 	is.Equal(f.knows("gateway0"), len(f.order)-1)
 	is.Equal(f.knows("controller0"), len(f.order)-1)
 }
@@ -260,14 +261,14 @@
 		}
 	}
 	g := f.by["gateway2"]
-	for _, e := range g.all { // as a day later
+	for _, e := range g.entries { // as a day later
 		e.heard = e.heard.Add(-Forget)
 	}
 	f.pass(time.Minute)
 	is.True(f.knows("gateway2") >= len(f.order)-2) // nobody who lives is forgotten
 	f.add("agent", 9, 4, "gateway1")
 	f.pass(5 * time.Second)
-	is.True(g.peer(g.all["agent9"]).AgeMS <= 3000)
+	is.True(g.peer(g.entries["agent9"]).AgeMS <= 3000)
 }
 
 func TestWholeZoneSilentIsToldApart(t *testing.T) {
