--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,11 +1,13 @@
-// Package agent is the daemon beside each worker as one state machine: the
-// dispatcher's half, the roster, and the worker's calls held until there is
-// news for it.
+// Package agent is the daemon beside each worker, as one state machine. It joins
+// the dispatcher's executor (the worker side of the paper's protocol), the
+// membership roster, and the worker's long polls, each held until there is
+// something to tell the worker.
 package agent
 
 import (
 	"encoding/json"
 	"math/rand"
+	"net/http"
 	"time"
 
 	"coppercourse/internal/apierror"
@@ -16,97 +18,111 @@
 	"coppercourse/internal/wire"
 )
 
-// Place is where and for which worker an agent runs.
+// Place is where an agent runs, and for which worker.
 type Place struct {
-	Addr  types.Addr
+	Addr  types.Addr // by which others reach the agent
 	Zone  types.Zone
-	Shard types.Shard
-	Seeds []types.Addr
-	Issue string
+	Shard types.Shard  // the worker's place
+	Seeds []types.Addr // other daemons, to find the cluster by
+	Issue string       // build version
 	Truth dispatch.Timeouts
 }
 
-// hold is how long a worker's call is kept when there is nothing to tell.
-const hold = 150 * time.Millisecond
+// pollWait is how long a worker's poll is held while there is nothing to tell.
+const pollWait = 150 * time.Millisecond
 
-// Agent is one worker's daemon.
+// Agent is the state machine of one worker's daemon.
 type Agent struct {
-	place  Place
-	now    types.Now
-	roster *membership.Roster
-	hand   *dispatch.Executor
-	Trail  *trace.Ring
-	token  uint64
-	since  types.Stamp
-	drain  bool
-	outs   []wire.Answer
-	Sums   Sums
-}
-
-// Sums are counters since start.
+	place     Place
+	now       types.Now
+	roster    *membership.Roster
+	executor  *dispatch.Executor
+	Trail     *trace.Ring
+	pollToken uint64
+	pollSince types.Stamp
+	closing   bool
+	answers   []wire.Answer
+	Sums      Sums
+}
+
+// Sums are counters since start: polls of the worker, those refused as outdated,
+// and orders and stops of the scheduler.
 type Sums struct {
 	Polls, Stale, Orders, Stops uint64
 }
 
+// New returns an agent at its start. Its instance ids are drawn from rnd.
 func New(now types.Now, rnd *rand.Rand, p Place) *Agent {
-	w := &Agent{place: p, now: now, Trail: trace.New()}
-	w.hand = dispatch.NewExecutor(now.Mono, p.Truth, p.Addr, p.Shard, func() types.ID { return types.Mint(rnd) })
-	w.roster = membership.New(rnd, w.card(), p.Seeds)
-	return w
+	a := &Agent{place: p, now: now, Trail: trace.New()}
+	a.executor = dispatch.NewExecutor(now.Mono, p.Truth, p.Addr, p.Shard, func() types.ID { return types.Mint(rnd) })
+	a.roster = membership.New(rnd, a.card(), p.Seeds)
+	return a
 }
 
-func (w *Agent) card() membership.Card {
-	c := membership.Card{Addr: w.place.Addr, Role: "agent", Zone: w.place.Zone, Part: string(w.place.Shard), Ready: w.Ready(), Issue: w.place.Issue}
-	if w.roster != nil {
-		c.Name = w.roster.Cluster()
+// card returns what this daemon tells the cluster of itself.
+func (a *Agent) card() membership.Card {
+	c := membership.Card{Addr: a.place.Addr, Role: membership.RoleAgent, Zone: a.place.Zone, Part: string(a.place.Shard), Ready: a.Ready(), Issue: a.place.Issue}
+	if a.roster != nil {
+		c.Name = a.roster.Cluster()
 	}
 	return c
 }
 
-// Ready tells whether the agent takes its worker's calls.
-func (w *Agent) Ready() bool { return !w.drain }
+// Ready reports whether the agent takes its worker's polls.
+func (a *Agent) Ready() bool { return !a.closing }
 
-// Leader is whom the agent holds for the leader now.
-func (w *Agent) Leader() types.Addr { return w.roster.Lead() }
+// Leader returns the address of the leader as far as the agent knows, or nothing.
+func (a *Agent) Leader() types.Addr { return a.roster.Lead() }
 
-// Step takes one event.
-func (w *Agent) Step(e wire.Event) wire.Out {
-	w.now = e.Now
+// Step takes one event and returns its effects; see wire.Machine.
+func (a *Agent) Step(e wire.Event) wire.Out {
+	a.now = e.Now
 	switch {
 	case e.Message != nil:
-		w.take(*e.Message)
+		a.take(*e.Message)
 	case e.Ask != nil:
-		if f := asks[e.Ask.Verb]; f != nil {
-			f(w, *e.Ask)
-		} else {
-			w.outs = append(w.outs, wire.Answer{Token: e.Ask.Token, Fault: apierror.New(apierror.NoPath, "", "no such verb")})
-		}
+		a.handle(*e.Ask)
 	case e.Reply != nil:
-		w.hand.Back(w.now.Mono, *e.Reply)
+		a.executor.Back(a.now.Mono, *e.Reply)
 	case e.Close:
-		w.drain = true
+		a.closing = true
 	default:
-		w.roster.Me(w.card())
-		w.roster.Tick(w.now.Mono)
-		w.hand.Tick(w.now.Mono, w.roster.Lead())
+		a.tick()
 	}
-	if w.token != 0 && (w.hand.News() || w.drain || w.now.Mono.Sub(w.since) >= hold) {
-		w.outs = append(w.outs, wire.Answer{Token: w.token, Code: 200, Body: wire.Body(w.hand.Reply(w.now.Mono))})
-		w.token = 0
+	a.answerPoll()
+	out := wire.Out{
+		Sends:   append(a.copyReports(a.executor.Out()), a.roster.Out()...),
+		Calls:   a.executor.Calls(),
+		Answers: a.answers,
+		Idle:    a.closing && a.pollToken == 0,
 	}
-	out := wire.Out{Sends: append(w.tell(w.hand.Out()), w.roster.Out()...), Calls: w.hand.Calls(), Answers: w.outs, Idle: w.drain && w.token == 0}
-	w.outs = nil
+	a.answers = nil
 	return out
 }
 
-// tell sends reports of ends to every controller: the leader may be gone, and so may
-// this machine before another one leads.
-func (w *Agent) tell(list []wire.Send) []wire.Send {
+func (a *Agent) tick() {
+	a.roster.Me(a.card())
+	a.roster.Tick(a.now.Mono)
+	a.executor.Tick(a.now.Mono, a.roster.Lead())
+}
+
+// answerPoll answers the poll that is held if there is something to tell, or if it
+// was held for long enough.
+func (a *Agent) answerPoll() {
+	if a.pollToken != 0 && (a.executor.News() || a.closing || a.now.Mono.Sub(a.pollSince) >= pollWait) {
+		a.answers = append(a.answers, wire.Answer{Token: a.pollToken, Code: http.StatusOK, Body: wire.Body(a.executor.Reply(a.now.Mono))})
+		a.pollToken = 0
+	}
+}
+
+// copyReports sends status reports to every controller: the leader may be lost, and
+// so may this machine before another one leads.
+func (a *Agent) copyReports(list []wire.Send) []wire.Send {
 	for _, s := range list {
 		if s.Message.Kind != wire.Status {
 			continue
 		}
-		for _, c := range w.roster.Known("controller") {
+		for _, c := range a.roster.Known(membership.RoleController) {
 			if c.Addr != s.To {
 				list = append(list, wire.Send{To: c.Addr, Message: s.Message})
 			}
@@ -115,75 +131,93 @@
 	return list
 }
 
-func (w *Agent) take(n wire.Message) {
-	if w.roster.Take(w.now.Mono, n) {
+// take handles a message of another daemon.
+func (a *Agent) take(n wire.Message) {
+	if a.roster.Take(a.now.Mono, n) {
 		return
 	}
-	w.hand.Take(w.now.Mono, n)
+	a.executor.Take(a.now.Mono, n)
 	switch n.Kind {
 	case wire.Order:
-		w.Sums.Orders++
+		a.Sums.Orders++
 		if o, ok := wire.Read[dispatch.Order](n); ok {
-			w.Trail.Add(w.now.Wall, trace.Job(o.Job.Attempt.Job), "order came", "leg", o.Job.Attempt)
+			a.Trail.Add(a.now.Wall, trace.Job(o.Job.Attempt.Job), "order came", "leg", o.Job.Attempt)
 		}
 	case wire.Stop:
-		w.Sums.Stops++
+		a.Sums.Stops++
 		if s, ok := wire.Read[dispatch.Stop](n); ok {
 			for _, l := range s.Attempts {
-				w.Trail.Add(w.now.Wall, trace.Job(l.Job), "stop came", "leg", l)
+				a.Trail.Add(a.now.Wall, trace.Job(l.Job), "stop came", "leg", l)
 			}
 		}
 	}
 }
 
-var asks = map[string]func(*Agent, wire.Ask){"poll": (*Agent).poll, "beat": (*Agent).beat, "leave": (*Agent).leave}
+var handlers = map[string]func(*Agent, wire.Ask){"poll": (*Agent).poll, "beat": (*Agent).beat, "leave": (*Agent).leave}
+
+// handle dispatches a request by its verb.
+func (a *Agent) handle(ask wire.Ask) {
+	if handler := handlers[ask.Verb]; handler != nil {
+		handler(a, ask)
+		return
+	}
+	a.refuse(ask.Token, apierror.New(apierror.NoPath, "", "no such verb"))
+}
+
+func (a *Agent) refuse(token uint64, err *apierror.Error) {
+	a.answers = append(a.answers, wire.Answer{Token: token, Fault: err})
+}
+
+func (a *Agent) accept(token uint64) {
+	a.answers = append(a.answers, wire.Answer{Token: token, Code: http.StatusOK})
+}
 
-// beat takes what a worker that is called tells of itself.
-func (w *Agent) beat(a wire.Ask) {
+// beat takes the heartbeat of an invoked worker.
+func (a *Agent) beat(ask wire.Ask) {
 	var b wire.WorkerBeat
-	if json.Unmarshal(a.Body, &b) != nil || b.Life == "" || b.To == "" {
-		w.outs = append(w.outs, wire.Answer{Token: a.Token, Fault: apierror.New(apierror.BadBody, "", "not a worker's beat")})
+	if json.Unmarshal(ask.Body, &b) != nil || b.Life == "" || b.To == "" {
+		a.refuse(ask.Token, apierror.New(apierror.BadBody, "", "not a worker's beat"))
 		return
 	}
-	w.hand.Beat(w.now.Mono, b)
-	w.outs = append(w.outs, wire.Answer{Token: a.Token, Code: 200})
+	a.executor.Beat(a.now.Mono, b)
+	a.accept(ask.Token)
 }
 
-// leave takes it that a worker process ends now.
-func (w *Agent) leave(a wire.Ask) {
-	w.hand.Leave(w.now.Mono, types.ID(a.Arg))
-	w.outs = append(w.outs, wire.Answer{Token: a.Token, Code: 200})
+// leave takes the word of a worker process that it ends now.
+func (a *Agent) leave(ask wire.Ask) {
+	a.executor.Leave(a.now.Mono, types.ID(ask.Arg))
+	a.accept(ask.Token)
 }
 
-// poll takes a worker's call; the one held before it is then answered as stale.
-func (w *Agent) poll(a wire.Ask) {
-	w.Sums.Polls++
+// poll takes a worker's poll and holds it; the one held before is refused as stale.
+func (a *Agent) poll(ask wire.Ask) {
+	a.Sums.Polls++
 	var p dispatch.Poll
-	var heap apierror.ErrorList
-	if json.Unmarshal(a.Body, &p) != nil {
-		heap.Add(apierror.BadBody, "", "not a worker's call")
+	var errs apierror.ErrorList
+	if json.Unmarshal(ask.Body, &p) != nil {
+		errs.Add(apierror.BadBody, "", "not a worker's call")
 	} else {
-		p.Check(&heap)
+		p.Check(&errs)
 	}
-	if bad := heap.First(); bad != nil {
-		w.outs = append(w.outs, wire.Answer{Token: a.Token, Fault: bad})
+	if bad := errs.First(); bad != nil {
+		a.refuse(ask.Token, bad)
 		return
 	}
-	if !w.hand.Poll(w.now.Mono, p) {
-		w.Sums.Stale++
-		w.outs = append(w.outs, wire.Answer{Token: a.Token, Fault: apierror.New(apierror.Stale, "call", "older than the latest call, or another worker still holds a grant")})
+	if !a.executor.Poll(a.now.Mono, p) {
+		a.Sums.Stale++
+		a.refuse(ask.Token, apierror.New(apierror.Stale, "call", "older than the latest call, or another worker still holds a lease"))
 		return
 	}
-	if w.token != 0 {
-		w.outs = append(w.outs, wire.Answer{Token: w.token, Fault: apierror.New(apierror.Stale, "call", "a newer call has come")})
+	if a.pollToken != 0 {
+		a.refuse(a.pollToken, apierror.New(apierror.Stale, "call", "a newer call has come"))
 	}
 	for _, e := range p.Ends {
-		w.Trail.Add(w.now.Wall, trace.Job(e.Attempt.Job), "worker told an end", "leg", e.Attempt, "fate", e.Outcome)
+		a.Trail.Add(a.now.Wall, trace.Job(e.Attempt.Job), "worker told an end", "leg", e.Attempt, "fate", e.Outcome)
 	}
-	w.token, w.since = a.Token, w.now.Mono
+	a.pollToken, a.pollSince = ask.Token, a.now.Mono
 }
 
-// StatusView is an agent's account of itself.
+// StatusView is the status of an agent, as GET /v1/status shows it.
 type StatusView struct {
 	Role    string            `json:"role"`
 	Program string            `json:"program"`
@@ -195,7 +229,8 @@
 	Sums    Sums              `json:"sums"`
 }
 
-func (w *Agent) Status() StatusView {
-	return StatusView{Role: "agent", Program: w.place.Issue, Ready: w.Ready(), Leader: w.roster.Lead(),
-		QuietMS: min(1<<40, w.hand.Quiet(w.now.Mono).Milliseconds()), Account: w.hand.View(), Peers: w.roster.Peers(), Sums: w.Sums}
+// Status returns the agent's status.
+func (a *Agent) Status() StatusView {
+	return StatusView{Role: "agent", Program: a.place.Issue, Ready: a.Ready(), Leader: a.roster.Lead(),
+		QuietMS: min(1<<40, a.executor.Quiet(a.now.Mono).Milliseconds()), Account: a.executor.View(), Peers: a.roster.Peers(), Sums: a.Sums}
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -1,5 +1,3 @@
-// A worker that talks nonsense is refused by field and harms nobody: nothing of
-// a bad call reaches the account or the leader.
 package agent
 
 import (
@@ -14,6 +12,8 @@
 	"coppercourse/internal/wire"
 )
 
+// An invalid poll is refused with the field at fault, and nothing of it reaches the
+// account or the leader.
 func TestBadCallsAreRefusedWhole(t *testing.T) {
 	is := is.New(t)
 	now := types.Now{Mono: 1 << 40}
@@ -48,5 +48,5 @@
 	a := ask(`{"worker":"a","call":1,"stamp":5}`)
 	is.Equal(a.Fault.Kind, apierror.Stale)
 	is.Equal(a.Token, token) // the call held before it is still held
-	is.True(w.token != 0)
+	is.True(w.pollToken != 0)
 }
--- a/internal/maintenance/calendar_test.go
+++ b/internal/maintenance/calendar_test.go
@@ -1,6 +1,7 @@
-// Windows out of calendars, and what a broken one is told.
 package maintenance
 
+// Windows of calendars, and the errors of broken ones.
+
 import (
 	"strings"
 	"testing"
@@ -43,7 +44,7 @@
 	is.True(len(weekly) > 50 && len(weekly) < 60) // a bit more than a year
 }
 
-func TestBrokenFilesAreToldByLineAndField(t *testing.T) {
+func TestErrorsOfFilesAreReportedByLineAndField(t *testing.T) {
 	is := is.New(t)
 	good := event1("DTSTART:20260610T020000Z", "DTEND:20260610T040000Z")
 	for text, field := range map[string]string{
