--- a/cmd/coppercourse/daemons.go
+++ b/cmd/coppercourse/daemons.go
@@ -1,7 +1,8 @@
-// The three daemons: settings read and checked, the machine made, its pages
-// laid out, and all of it served until a warning comes.
 package main
 
+// The three daemons: each reads and checks its settings, makes its state machine
+// and its HTTP pages, and serves them until it is asked to stop.
+
 import (
 	"context"
 	crand "crypto/rand"
@@ -23,27 +24,37 @@
 	"coppercourse/internal/config"
 	"coppercourse/internal/controller"
 	"coppercourse/internal/gateway"
+	"coppercourse/internal/membership"
 	"coppercourse/internal/server"
 	"coppercourse/internal/settings"
 	"coppercourse/internal/wal"
 )
 
+// flags are the command-line flags of a daemon. A flag goes before the settings
+// file.
 type flags struct {
 	file, listen, address, source, zone, data, shard, log string
 	seeds                                                 []string
 	check                                                 bool
 }
 
+// roles are the roles of a daemon, with their help texts.
 var roles = map[string]string{
-	"controller": "Run a control and scheduler daemon (on a machine with a disk).",
-	"gateway":    "Run a door for callers and operators.",
-	"agent":      "Run the daemon beside a worker.",
+	membership.RoleController: "Run a control and scheduler daemon (on a machine with a disk).",
+	membership.RoleGateway:    "Run an entry for callers and operators.",
+	membership.RoleAgent:      "Run the daemon beside a worker.",
 }
 
-var starts = map[string]func(*daemon) error{"controller": runController, "gateway": runGateway, "agent": runAgent}
+// starts runs the daemon of each role.
+var starts = map[string]func(*daemon) error{
+	membership.RoleController: runController,
+	membership.RoleGateway:    runGateway,
+	membership.RoleAgent:      runAgent,
+}
 
-func daemons(app *kingpin.Application, runs map[string]func() error) {
-	for _, role := range []string{"controller", "gateway", "agent"} {
+// addDaemons adds a command for each role.
+func addDaemons(app *kingpin.Application, commands commandSet) {
+	for _, role := range []string{membership.RoleController, membership.RoleGateway, membership.RoleAgent} {
 		c := app.Command(role, roles[role])
 		f := &flags{}
 		c.Flag("settings", "Settings file (JSON); flags go before it.").StringVar(&f.file)
@@ -54,25 +65,33 @@
 		c.Flag("seed", "IP:port of another daemon, any role; give it up to three times.").StringsVar(&f.seeds)
 		c.Flag("log", "info or debug. Default info.").StringVar(&f.log)
 		c.Flag("check", "Check the settings and end.").BoolVar(&f.check)
-		if role == "controller" {
+		if role == membership.RoleController {
 			c.Flag("data", "Folder for everything this daemon keeps.").StringVar(&f.data)
 		}
-		if role == "agent" {
+		if role == membership.RoleAgent {
 			c.Flag("shard", "The name of the worker beside this daemon.").StringVar(&f.shard)
 		}
-		runs[role] = func() error { return begin(role, f) }
+		commands[role] = func() error { return run(role, f) }
 	}
 }
 
+// settings returns the settings of a daemon, from flags, file and defaults.
 func (f *flags) settings(role string) (settings.Settings, error) {
-	s, heap := settings.Defaults(), &apierror.ErrorList{}
+	s, errs := settings.Defaults(), &apierror.ErrorList{}
 	if f.file != "" {
 		b, err := os.ReadFile(f.file)
 		if err != nil {
 			return s, apierror.Wrap(apierror.BadSetting, err, "settings file")
 		}
-		settings.Read(b, &s, heap)
+		settings.Read(b, &s, errs)
 	}
+	f.override(&s)
+	s.Check(role, errs)
+	return s, errs.Err()
+}
+
+// override puts the flags that were given in the place of settings.
+func (f *flags) override(s *settings.Settings) {
 	for _, p := range []struct {
 		to   *string
 		from string
@@ -85,11 +104,10 @@
 	if f.seeds != nil {
 		s.Seeds = f.seeds
 	}
-	s.Check(role, heap)
-	return s, heap.Err()
 }
 
-func begin(role string, f *flags) error {
+// run starts a daemon, or with --check only reads its settings.
+func run(role string, f *flags) error {
 	s, err := f.settings(role)
 	if err != nil {
 		return err
@@ -103,6 +121,7 @@
 	return starts[role](&daemon{ctx: ctx, log: logger(role, s), s: s})
 }
 
+// logger returns a logger that writes one JSON object a line to standard error.
 func logger(role string, s settings.Settings) logr.Logger {
 	level := 0
 	if s.Log == "debug" {
@@ -112,25 +131,26 @@
 		WithName(role).WithValues("address", s.Address)
 }
 
-func chance() *rand.Rand {
+// randomSource returns a random source with a seed of the operating system's.
+func randomSource() *rand.Rand {
 	var b [8]byte
 	crand.Read(b[:])
 	return rand.New(rand.NewSource(int64(binary.LittleEndian.Uint64(b[:]))))
 }
 
-// daemon is one to run, and what a deployment adds to it: further addresses,
-// who else is given the table, and how its worker is called.
+// daemon is one daemon to run, and what the platform's adapter adds to it.
 type daemon struct {
 	ctx     context.Context
 	log     logr.Logger
 	s       settings.Settings
-	ports   func(*server.Pages) []server.Port
-	publish func(config.Table, bool)
-	caller  server.Caller
-	said    string
+	ports   func(*server.Pages) []server.Port // further addresses to listen on
+	publish func(config.Table, bool)          // gateway: takes each table, and whether it is fresh
+	caller  server.Caller                     // agent: calls the worker
+	said    string                            // the state that was logged last
 }
 
-// serve runs the machine behind its pages on the inner address, and the rest.
+// serve runs the daemon's pages on its own address and on those of the platform
+// until the context ends.
 func (d *daemon) serve(p *server.Pages, h http.Handler) error {
 	ports := []server.Port{{Addr: d.s.Listen, Handler: h, Conns: d.s.Conns}}
 	if d.ports != nil {
@@ -139,7 +159,7 @@
 	return server.Serve(d.ctx, d.log, p, server.Leave(d.s.Bounds.Stops()), ports...)
 }
 
-// state logs what changed since it was last looked at.
+// state logs the daemon's state if it has changed since the last call.
 func (d *daemon) state(what ...any) {
 	if now := fmt.Sprint(what...); now != d.said {
 		d.said = now
@@ -147,19 +167,23 @@
 	}
 }
 
+// runController runs a controller on its write-ahead log.
 func runController(d *daemon) error {
 	s := d.s
-	file, recs, spoilt, err := wal.Open(s.Data)
+	file, records, damaged, err := wal.Open(s.Data)
 	if err != nil {
 		return err
 	}
-	if spoilt != "" {
-		d.log.Error(nil, "the data file is damaged; put aside, starting as a new member", "kept", spoilt)
+	if damaged != "" {
+		d.log.Error(nil, "the data file is damaged; put aside, starting as a new member", "kept", damaged)
 	}
 	post := server.NewPost(context.Background(), s.Source)
 	o := server.NewOwner(post, file)
-	m := controller.New(server.Now(), chance(), controller.Options{Addr: s.Addr(), Zone: s.ZoneName(), Seeds: s.Near(), Begin: s.Begin(), Loses: s.Loses, Issue: version,
-		Core: s.Pace.Core(), Truth: s.Pace.Truth()}, recs)
+	options := controller.Options{
+		Addr: s.Addr(), Zone: s.ZoneName(), Seeds: s.Near(), Issue: version,
+		Begin: s.Begin(), Loses: s.Loses, Core: s.Pace.Core(), Truth: s.Pace.Truth(),
+	}
+	m := controller.New(server.Now(), randomSource(), options, records)
 	o.Carry(m)
 	var ready atomic.Bool
 	o.Show = func() any {
@@ -172,11 +196,13 @@
 	return d.serve(p, p.Router())
 }
 
+// runGateway runs a gateway.
 func runGateway(d *daemon) error {
 	s := d.s
 	post := server.NewPost(context.Background(), s.Source)
 	o := server.NewOwner(post, nil)
-	m := gateway.New(server.Now(), chance(), gateway.Place{Addr: s.Addr(), Zone: s.ZoneName(), Seeds: s.Near(), Issue: version, Stale: s.Pace.News()})
+	place := gateway.Place{Addr: s.Addr(), Zone: s.ZoneName(), Seeds: s.Near(), Issue: version, Stale: s.Pace.News()}
+	m := gateway.New(server.Now(), randomSource(), place)
 	o.Carry(m)
 	var ready atomic.Bool
 	o.Show = func() any {
@@ -197,17 +223,20 @@
 	return d.serve(p, entry.Routes(p))
 }
 
+// runAgent runs the agent of one worker.
 func runAgent(d *daemon) error {
 	s := d.s
 	post := server.NewPost(context.Background(), s.Source)
 	o := server.NewOwner(post, nil)
-	m := agent.New(server.Now(), chance(), agent.Place{Addr: s.Addr(), Zone: s.ZoneName(), Shard: s.ShardName(), Seeds: s.Near(),
-		Issue: version, Truth: s.Pace.Truth()})
+	place := agent.Place{
+		Addr: s.Addr(), Zone: s.ZoneName(), Shard: s.ShardName(), Seeds: s.Near(), Issue: version, Truth: s.Pace.Truth(),
+	}
+	m := agent.New(server.Now(), randomSource(), place)
 	o.Carry(m)
 	o.Caller = d.caller
 	o.Show = func() any {
 		v := m.Status()
-		d.state("soundness", v.Account.State, "term", v.Account.Term, "instance", v.Account.ID, "leaving", v.Account.Leaving)
+		d.state("health", v.Account.State, "term", v.Account.Term, "instance", v.Account.ID, "leaving", v.Account.Leaving)
 		return v
 	}
 	p := &server.Pages{Owner: o, Post: post, Trail: m.Trail, Ready: func() bool { return true }}
--- a/cmd/coppercourse/libc.go
+++ b/cmd/coppercourse/libc.go
@@ -1,5 +1,6 @@
-// The program is linked against the system's C library, which the platform that
-// it is deployed on asks for.
 package main
 
+// The program is linked against the system's C library, as the users' platform
+// requires.
+
 import "C"
--- a/cmd/coppercourse/main.go
+++ b/cmd/coppercourse/main.go
@@ -1,5 +1,7 @@
-// The coppercourse program: one binary, the role is a subcommand. This file is
-// the command line; daemons.go starts the daemons, verbs.go asks a gateway.
+// Coppercourse is a cluster scheduler for jobs, as one program: each role of a
+// daemon is a subcommand, and so is each request to a gateway. main.go parses the
+// command line; daemons.go and platform.go start the daemons; client.go,
+// maintenance.go and trace.go hold the commands that ask a gateway.
 package main
 
 import (
@@ -13,16 +15,19 @@
 // version is set when the program is built for release.
 var version = "0.1.0"
 
+// commandSet is what each command of the command line runs, by its full name.
+type commandSet map[string]func() error
+
 func main() {
 	app := kingpin.New("coppercourse", "A cluster scheduler for jobs that keeps working when a zone is cut off.")
 	app.Version(version).HelpFlag.Short('h')
 	app.UsageTemplate(kingpin.CompactUsageTemplate)
-	runs := map[string]func() error{}
-	daemons(app, runs)
-	deployed(app, runs)
-	verbs(app, runs)
+	commands := commandSet{}
+	addDaemons(app, commands)
+	addPlatform(app, commands)
+	addClient(app, commands)
 	name := kingpin.MustParse(app.Parse(os.Args[1:]))
-	if err := runs[name](); err != nil {
+	if err := commands[name](); err != nil {
 		for _, line := range strings.Split(err.Error(), "\n") {
 			fmt.Fprintln(os.Stderr, "coppercourse: "+line)
 		}
--- a/cmd/coppercourse/deployed.go
+++ b/cmd/coppercourse/platform.go
@@ -1,7 +1,8 @@
-// The daemons as they run on the users' platform: settings from its file, the
-// same machines and pages, and beside them what the platform calls.
 package main
 
+// The daemons on the users' platform: settings from the platform's file, the same
+// state machines and pages, and beside them the addresses that the platform calls.
+
 import (
 	"context"
 	"fmt"
@@ -17,15 +18,16 @@
 	"coppercourse/platform"
 )
 
-func deployed(app *kingpin.Application, runs map[string]func() error) {
+// addPlatform adds the commands that run or check a daemon on the platform.
+func addPlatform(app *kingpin.Application, commands commandSet) {
 	c := app.Command("platform", "Run a daemon from the settings file of the platform, or check one.")
 	for _, role := range platform.Roles {
 		c.Command(role, roles[role])
-		runs["platform "+role] = func() error { return deploy(role) }
+		commands["platform "+role] = func() error { return runPlatform(role) }
 	}
 	check := c.Command("check", "Check a settings file and tell what the daemon would do.")
 	file := check.Arg("file", "Settings file (YAML).").Required().String()
-	runs["platform check"] = func() error {
+	commands["platform check"] = func() error {
 		b, err := platform.LoadFile("", *file)
 		if err == nil {
 			fmt.Println(strings.Join(b.Tell(), "\n"))
@@ -34,7 +36,8 @@
 	}
 }
 
-func deploy(role string) error {
+// runPlatform runs a daemon from the settings file that the platform names.
+func runPlatform(role string) error {
 	signal.Ignore(syscall.SIGHUP) // until the file is watched
 	b, path, err := platform.Load(role)
 	if err != nil {
@@ -42,42 +45,42 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	debug.SetGCPercent(collect)
+	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(b.Memory)
 	d := &daemon{ctx: ctx, log: logger(role, b.Settings), s: b.Settings}
 	platform.Watch(ctx, d.log, path, b, nil)
-	outside[role](b, d)
+	adapters[role](b, d)
 	return starts[b.Machine()](d)
 }
 
-// collect is how far the heap grows between two collections, in percent: half of
-// the usual costs a tenth more processor time here, and memory is dearer.
-const collect = 50
+// gcPercent is how far the heap grows between two collections, in percent. Half of
+// Go's default costs a tenth more processor time here and saves memory.
+const gcPercent = 50
 
-// few is how many connections an address needs that only the operator or one
-// worker calls.
-const few = 256
+// fewConns bounds the connections to an address that only operators or one worker
+// call.
+const fewConns = 256
 
-// outside is what the platform calls on each role, beside the inner address.
-var outside = map[string]func(platform.Boot, *daemon){
+// adapters adds to the daemon of each role the addresses that the platform calls.
+var adapters = map[string]func(platform.Boot, *daemon){
 	"gateway": func(b platform.Boot, d *daemon) {
 		var front *platform.Front
 		d.publish = func(t config.Table, fresh bool) { front.Publish(t, fresh) }
 		d.ports = func(p *server.Pages) []server.Port {
 			front = platform.NewFront(p.Owner)
 			return []server.Port{{Addr: b.Front, Handler: front, Limits: front.Limits, Conns: d.s.Conns},
-				{Addr: b.Ready, Handler: platform.Readiness(p.Open), Conns: few}}
+				{Addr: b.Ready, Handler: platform.Readiness(p.Open), Conns: fewConns}}
 		}
 	},
 	"controller": func(b platform.Boot, d *daemon) {
 		d.ports = func(p *server.Pages) []server.Port {
-			return []server.Port{{Addr: b.Control, Handler: platform.NewControl(p.Owner, b.Control).Handler(), Conns: few}}
+			return []server.Port{{Addr: b.Control, Handler: platform.NewControl(p.Owner, b.Control).Handler(), Conns: fewConns}}
 		}
 	},
 	"agent": func(b platform.Boot, d *daemon) {
 		d.caller = platform.NewWorker().Call
 		d.ports = func(p *server.Pages) []server.Port {
-			return []server.Port{{Addr: b.Control, Handler: platform.NewSide(p.Owner, b.App).Handler(), Conns: few}}
+			return []server.Port{{Addr: b.Control, Handler: platform.NewSide(p.Owner, b.App).Handler(), Conns: fewConns}}
 		}
 	},
 }
--- a/cmd/coppercourse/deployed_test.go
+++ b/cmd/coppercourse/platform_test.go
@@ -1,8 +1,9 @@
-// The program as the platform runs it: a changed settings file and SIGHUP do not
-// end it, SIGTERM does within the grace, and a bad file ends it at once with all
-// faults told and nothing written.
 package main
 
+// The program as the platform runs it: a changed settings file and SIGHUP do not
+// end it, SIGTERM does within the grace period, and an invalid file ends it at once
+// with all errors reported and nothing written.
+
 import (
 	"bufio"
 	"bytes"
@@ -39,8 +40,8 @@
 	return c
 }
 
-// ports gives free ones, inner ones in a row.
-func ports(t *testing.T) (inner int, outer [3]int) {
+// ports returns free ports, the inner ones in a row.
+func ports() (inner int, outer [3]int) {
 	for base := 20_000 + os.Getpid()%20_000; ; base += 10 {
 		free := true
 		for p := base; p < base+6; p++ {
@@ -56,7 +57,7 @@
 }
 
 func settingsFile(t *testing.T) (path string, front, ready int) {
-	inner, outer := ports(t)
+	inner, outer := ports()
 	path = filepath.Join(t.TempDir(), "local.yaml")
 	text := fmt.Sprintf(`
 nodeName: "n"
--- a/cmd/coppercourse/trace.go
+++ b/cmd/coppercourse/trace.go
@@ -1,10 +1,12 @@
-// The tracer: follows one change, a job or an version of the table, through
-// all daemons that a gateway knows of, and prints its marks in order of time.
 package main
 
+// The trace command: collects the trace points of one job, or of one version of the
+// table, from all daemons that a gateway knows of, and prints them by time.
+
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"net/url"
 	"sort"
 	"strconv"
@@ -17,16 +19,17 @@
 	"coppercourse/internal/types"
 )
 
-type line struct {
+// tracePoint is a trace point and the daemon that recorded it.
+type tracePoint struct {
 	trace.Mark
-	who string
+	daemon string
 }
 
-func tracer(app *kingpin.Application, gateway *string, runs map[string]func() error) {
+func addTrace(app *kingpin.Application, gateway *string, commands commandSet) {
 	t := app.Command("trace", "Follow one change through all daemons.")
 	kind := t.Arg("kind", "job or table.").Required().Enum("job", "table")
 	name := t.Arg("name", "The job's id or the table's edition.").Required().String()
-	runs["trace"] = func() error {
+	commands["trace"] = func() error {
 		subject := trace.Job(types.JobID(*name))
 		if *kind == "table" {
 			n, err := strconv.ParseUint(*name, 10, 64)
@@ -39,36 +42,53 @@
 	}
 }
 
+// traceChange prints a subject's trace points, with the time since the first.
 func traceChange(gateway, subject string) error {
-	b, err := fetch(gateway, "GET", "/v1/mates", nil)
+	peers, err := fetchPeers(gateway)
 	if err != nil {
 		return err
 	}
-	var peers []membership.Peer
-	if err := json.Unmarshal(b, &peers); err != nil {
-		return err
-	}
-	peers = append(peers, membership.Peer{Card: membership.Card{Addr: types.Addr(gateway), Role: "gateway"}})
-	var lines []line
-	for _, m := range peers {
-		who := fmt.Sprintf("%s %s", m.Role, m.Addr)
-		b, err := fetch(string(m.Addr), "GET", "/v1/trace?subject="+url.QueryEscape(subject), nil)
-		var list []trace.Mark
-		if err != nil || json.Unmarshal(b, &list) != nil {
-			fmt.Printf("%-26s no answer, last heard of %d ms ago\n", who, m.AgeMS)
-			continue
-		}
-		for _, k := range list {
-			lines = append(lines, line{k, who})
-		}
+	var points []tracePoint
+	for _, peer := range peers {
+		points = append(points, fetchTrace(peer, subject)...)
 	}
-	if lines == nil {
-		return fmt.Errorf("no daemon has a mark of %s", subject)
+	if points == nil {
+		return fmt.Errorf("no daemon has a trace point of %s", subject)
 	}
-	sort.SliceStable(lines, func(i, k int) bool { return lines[i].At < lines[k].At })
-	first := lines[0].At
-	for _, l := range lines {
-		fmt.Printf("%10.3f ms  %-26s %s\n", float64(l.At-first)/float64(time.Millisecond), l.who, l.What)
+	sort.SliceStable(points, func(i, k int) bool { return points[i].At < points[k].At })
+	first := points[0].At
+	for _, p := range points {
+		fmt.Printf("%10.3f ms  %-26s %s\n", float64(p.At-first)/float64(time.Millisecond), p.daemon, p.What)
 	}
 	return nil
 }
+
+// fetchPeers returns the daemons that a gateway knows of, and the gateway itself.
+func fetchPeers(gateway string) ([]membership.Peer, error) {
+	body, err := fetch(gateway, http.MethodGet, "/v1/mates", nil)
+	if err != nil {
+		return nil, err
+	}
+	var peers []membership.Peer
+	if err := json.Unmarshal(body, &peers); err != nil {
+		return nil, err
+	}
+	self := membership.Card{Addr: types.Addr(gateway), Role: membership.RoleGateway}
+	return append(peers, membership.Peer{Card: self}), nil
+}
+
+// fetchTrace returns a daemon's trace points of a subject. A daemon that does not
+// answer is reported and left out.
+func fetchTrace(peer membership.Peer, subject string) (points []tracePoint) {
+	daemon := fmt.Sprintf("%s %s", peer.Role, peer.Addr)
+	body, err := fetch(string(peer.Addr), http.MethodGet, "/v1/trace?subject="+url.QueryEscape(subject), nil)
+	var list []trace.Mark
+	if err != nil || json.Unmarshal(body, &list) != nil {
+		fmt.Printf("%-26s no answer, last heard of %d ms ago\n", daemon, peer.AgeMS)
+		return nil
+	}
+	for _, mark := range list {
+		points = append(points, tracePoint{mark, daemon})
+	}
+	return points
+}
