--- a/internal/state/rules.go
+++ b/internal/state/rules.go
@@ -4,25 +4,26 @@
 
 import (
 	"fmt"
-	"slices"
 
 	"coppercourse/internal/apierror"
 	"coppercourse/internal/config"
 	"coppercourse/internal/types"
 )
 
-// Known tells whether a table is a repeat: it says just what the version after
-// its base said.
-func (s *State) Known(t config.Table) bool {
-	return slices.Contains(s.Past, Put{t.Next().Version, t.Hash()})
-}
+// Known tells whether a table is a repeat: it was taken under its version, and
+// said just the same.
+func (s *State) Known(t config.Table) bool { return s.Past.taken(changeOf(t)) }
 
-// CheckTable tells whether a table may be put now, or is a repeat.
+// CheckTable tells whether a table may be put now, or is a repeat. It is refused
+// only where it surely was not taken earlier.
 func (s *State) CheckTable(t config.Table) *apierror.Error {
 	if s.Known(t) {
 		return nil
 	}
 	if t.Version != s.Table.Version {
+		if next := t.Next().Version; s.Past.forgotten(next) {
+			return apierror.New(apierror.Unsure, "edition", fmt.Sprintf("edition %d is older than what is remembered; it may have been taken", next))
+		}
 		return apierror.New(apierror.Stale, "edition", fmt.Sprintf("based on edition %d, but %d is in force", t.Version, s.Table.Version))
 	}
 	if t.Becomes != 0 && t.Becomes <= s.Table.Version {
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -18,7 +18,7 @@
 	Table  config.Table                `json:"table"`
 	Shapes map[types.Shard]WorkerShape `json:"shapes"`
 	Seq    uint64                      `json:"seq"`
-	Past   []Put                       `json:"past"`
+	Past   History                     `json:"past"`
 	Count  map[types.Queue]*Counts     `json:"count"`
 	Drains []Drain                     `json:"drains,omitempty"`
 	Plans  []Plan                      `json:"plans,omitempty"`
--- a/internal/state/spec.go
+++ b/internal/state/spec.go
@@ -8,6 +8,7 @@
 	"encoding/hex"
 	"encoding/json"
 	"fmt"
+	"slices"
 	"time"
 
 	"coppercourse/internal/apierror"
@@ -53,13 +54,16 @@
 	Count int   `json:"count"`
 }
 
-// Spec is a whole job. Work is for steps that bring none of their own.
+// Spec is a whole job. Work is for steps that bring none of their own. Request,
+// where it is set, is the hash of what the caller wrote; the rest may then depend
+// on the configuration by which the request was read.
 type Spec struct {
 	Queue   types.Queue     `json:"queue"`
 	Urgency int             `json:"urgency,omitempty"`
 	Steps   []Step          `json:"steps"`
 	Times   *Times          `json:"times,omitempty"`
 	Work    json.RawMessage `json:"work,omitempty"`
+	Request string          `json:"request,omitempty"`
 }
 
 const (
@@ -206,8 +210,21 @@
 	}
 }
 
-// Hash tells two bodies apart, however they were laid out.
+// RequestHash stands for what the caller wrote, without the queue and the kinds
+// that the configuration of the moment gave it.
+func (s Spec) RequestHash() string {
+	s.Queue, s.Request, s.Steps = "", "", slices.Clone(s.Steps)
+	for i := range s.Steps {
+		s.Steps[i].Kind = ""
+	}
+	return s.Hash()
+}
+
+// Hash tells two jobs apart, however their bodies were laid out.
 func (s Spec) Hash() string {
+	if s.Request != "" {
+		return s.Request
+	}
 	b, _ := json.Marshal(s)
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:8])
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -79,15 +79,6 @@
 	shots uint64
 }
 
-// Put remembers what an version said, so that a put repeated late is told the
-// dispatch: it was taken, whatever came after.
-type Put struct {
-	Version types.Version `json:"edition"`
-	Hash    string        `json:"hash"`
-}
-
-const puts = 256
-
 // Counts are a queue's sums since its first job.
 type Counts struct {
 	Accepted  uint64 `json:"accepted"`
@@ -159,8 +150,7 @@
 		if bad == nil && !s.Known(*f.Table) {
 			s.retire(s.Table, *f.Table)
 			s.Table = f.Table.Next()
-			s.Past = append(s.Past, Put{s.Table.Version, s.Table.Hash()})
-			s.Past = s.Past[max(0, len(s.Past)-puts):]
+			s.Past.add(changeOf(*f.Table))
 			s.judge()
 		}
 	case f.Job != nil:
