--- a/internal/server/net.go
+++ b/internal/server/net.go
@@ -46,8 +46,11 @@
 	return d
 }
 
-// Client is an HTTP client that dials from one source IP.
+// NoRedirect keeps a client from sending a request on to where its answer points.
+func NoRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+
+// Client is an HTTP client that dials from one source IP. It follows no redirect.
 func Client(source string, wait time.Duration) *http.Client {
-	return &http.Client{Timeout: wait, Transport: &http.Transport{DialContext: Dialer(source).DialContext, MaxIdleConnsPerHost: 64,
+	return &http.Client{Timeout: wait, CheckRedirect: NoRedirect, Transport: &http.Transport{DialContext: Dialer(source).DialContext, MaxIdleConnsPerHost: 64,
 		IdleConnTimeout: 30 * time.Second, MaxConnsPerHost: 512}}
 }
--- a/internal/server/owner.go
+++ b/internal/server/owner.go
@@ -84,7 +84,8 @@
 	}
 }
 
-// Ask gives the machine a request and waits for its answer.
+// Ask gives the machine a request and waits for its answer. Once the machine may
+// have seen the request, no end of this daemon is told as a refusal.
 func (o *Owner) Ask(ctx context.Context, verb, arg string, body json.RawMessage) wire.Answer {
 	back := make(chan wire.Answer, 1)
 	ask := &wire.Ask{Verb: verb, Arg: arg, Body: body}
@@ -92,6 +93,11 @@
 		ask.Limit = max(1, time.Until(by))
 	}
 	select {
+	case <-o.closed:
+		return wire.Answer{Fault: apierror.New(apierror.Closing, "", "this daemon is stopping").After(time.Second)}
+	default:
+	}
+	select {
 	case o.in <- event{wire.Event{Ask: ask}, back}:
 	default:
 		o.full.Add(1)
@@ -101,12 +107,22 @@
 	case a := <-back:
 		return a
 	case <-o.closed:
-		return wire.Answer{Fault: apierror.New(apierror.Closing, "", "this daemon is stopping").After(time.Second)}
+		return o.last(back)
 	case <-ctx.Done():
 		return wire.Answer{Fault: apierror.New(apierror.Unsure, "", "no answer within the time there was")}
 	}
 }
 
+// last is the answer to a request that was under way when the machine ended.
+func (o *Owner) last(back chan wire.Answer) wire.Answer {
+	select {
+	case a := <-back:
+		return a
+	default:
+		return wire.Answer{Fault: apierror.New(apierror.Unsure, "", "this daemon stopped before it had an answer")}
+	}
+}
+
 // Close tells the machine that its end is planned.
 func (o *Owner) Close() { o.in <- event{Event: wire.Event{Close: true}} }
 
