--- a/internal/configwatch/configwatch.go
+++ b/internal/configwatch/configwatch.go
@@ -28,6 +28,7 @@
 	Any  bool          `json:"any"`
 	Wait int64         `json:"wait_ms,omitempty"` // how long no news may be held back
 	Mark types.Stamp   `json:"mark"`
+	Life uint64        `json:"life,omitempty"` // of the process that asks
 }
 
 func (a ask) hold() time.Duration {
@@ -41,6 +42,7 @@
 	Version types.Version `json:"edition"`
 	Table   *config.Table `json:"table,omitempty"`
 	Mark    types.Stamp   `json:"mark"`
+	Life    uint64        `json:"life,omitempty"`
 }
 
 type wait struct {
@@ -79,7 +81,7 @@
 		if !fresh && now < w.by {
 			continue
 		}
-		b := told{Version: t.Version, Mark: w.ask.Mark}
+		b := told{Version: t.Version, Mark: w.ask.Mark, Life: w.ask.Life}
 		if fresh {
 			b.Table = &t
 		}
@@ -92,6 +94,7 @@
 // Reader is the data-plane side.
 type Reader struct {
 	me    types.Addr
+	life  uint64
 	stale time.Duration
 	Table config.Table
 	any   bool
@@ -101,8 +104,10 @@
 }
 
 // NewReader makes one that does not decide by what was last confirmed so long ago.
-func NewReader(me types.Addr, stale time.Duration) *Reader {
-	return &Reader{me: me, stale: stale, sure: -1 << 61, asked: -1 << 61}
+// Its life is drawn anew by each process: an answer to the one before at the same
+// address counts from that one's clock, and is dropped.
+func NewReader(me types.Addr, life uint64, stale time.Duration) *Reader {
+	return &Reader{me: me, life: life, stale: stale, sure: -1 << 61, asked: -1 << 61}
 }
 
 // Fresh tells whether the table may be decided by.
@@ -121,14 +126,20 @@
 		return nil
 	}
 	r.open, r.asked = true, now
-	return []wire.Send{wire.Make(r.me, lead, wire.News, ask{r.Table.Version, r.any, held.Milliseconds(), now})}
+	return []wire.Send{wire.Make(r.me, lead, wire.News, ask{r.Table.Version, r.any, held.Milliseconds(), now, r.life})}
+}
+
+// mine tells whether an answer is to a question of this life. Desks of earlier
+// releases name no life; then only the clock can tell.
+func (r *Reader) mine(t told) bool {
+	return (t.Life == r.life || t.Life == 0) && t.Mark <= r.asked
 }
 
 // Take handles an answer; true when the table changed. What it confirms counts
 // from when it was asked.
 func (r *Reader) Take(n wire.Message) bool {
 	t, ok := wire.Read[told](n)
-	if !ok {
+	if !ok || !r.mine(t) {
 		return false
 	}
 	if t.Mark == r.asked {
--- a/internal/configwatch/news_test.go
+++ b/internal/configwatch/news_test.go
@@ -17,7 +17,7 @@
 	for _, stale := range []time.Duration{300 * time.Millisecond, Stale} {
 		is := is.New(t)
 		table := config.Table{Version: 31}
-		desk, r := NewDesk("controller:1"), NewReader("gateway:1", stale)
+		desk, r := NewDesk("controller:1"), NewReader("gateway:1", 7, stale)
 		fresh := func(from, to time.Duration, reach bool) (first time.Duration) {
 			for at := from; at < to; at += 10 * time.Millisecond {
 				now := types.Stamp(at)
@@ -50,7 +50,7 @@
 // Who asks often is answered when the hold of the first question is over.
 func TestAskingAgainDoesNotPutTheAnswerOff(t *testing.T) {
 	is := is.New(t)
-	desk, r := NewDesk("controller:1"), NewReader("gateway:1", Stale)
+	desk, r := NewDesk("controller:1"), NewReader("gateway:1", 7, Stale)
 	r.any, r.Table.Version = true, 31
 	told := 0
 	for at := time.Second; at < 2*time.Second; at += 50 * time.Millisecond {
@@ -62,3 +62,32 @@
 	}
 	is.True(told >= 2)
 }
+
+// An answer to the process that was at this address before counts from that
+// one's clock. It confirms nothing, whether that clock was ahead or behind.
+func TestAnAnswerToAFormerLifeConfirmsNothing(t *testing.T) {
+	is := is.New(t)
+	for _, former := range []time.Duration{time.Hour, 2 * time.Second} {
+		desk := NewDesk("controller:1")
+		old := NewReader("gateway:1", 7, Stale)
+		for _, s := range old.Tick(types.Stamp(former), "controller:1") {
+			desk.Take(types.Stamp(former), s.Message)
+		}
+		late := desk.Tell(types.Stamp(former), config.Table{Version: 31})
+		is.Equal(len(late), 1)
+		is.True(old.Take(late[0].Message)) // it was a good answer to that one
+
+		now := types.Stamp(3 * time.Second)
+		r := NewReader("gateway:1", 8, Stale) // the next process at the address, by a clock of its own
+		asked := r.Tick(now, "controller:1")
+		is.Equal(len(asked), 1)
+		is.True(!r.Take(late[0].Message))
+		is.True(!r.Fresh(now))
+		desk.Take(now, asked[0].Message)
+		for _, s := range desk.Tell(now.Add(hold), config.Table{Version: 32}) {
+			is.True(r.Take(s.Message)) // its own answer does
+		}
+		is.True(r.Fresh(now))
+		is.Equal(r.Table.Version, types.Version(32))
+	}
+}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -76,8 +76,9 @@
 	if p.Stale == 0 {
 		p.Stale = configwatch.Stale
 	}
-	g := &Gateway{place: p, now: now, news: configwatch.NewReader(p.Addr, p.Stale), calls: map[uint64]*call{}, Trail: trace.New(),
-		next: rnd.Uint64() >> 12, lost: now.Mono}
+	first := rnd.Uint64() >> 12 // of this life's calls
+	g := &Gateway{place: p, now: now, news: configwatch.NewReader(p.Addr, first, p.Stale), calls: map[uint64]*call{}, Trail: trace.New(),
+		next: first, lost: now.Mono}
 	g.roster = membership.New(rnd, g.card(), p.Seeds)
 	return g
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -105,3 +105,75 @@
 	}
 	is.Equal(d.outs[0].Fault.Kind, apierror.NoLead) // nothing can have been taken
 }
+
+// answered is the bodies of the answers that callers were given.
+func (d *desk) answered() (list []string) {
+	for _, a := range d.outs {
+		list = append(list, string(a.Body))
+	}
+	return
+}
+
+func good(text string) wire.ReplyBody { return wire.ReplyBody{Code: 200, Body: []byte(text)} }
+
+// An answer goes to the caller whose call it names, once: the second of two
+// daemons that answer one request, and one that answers after its request was
+// given up, tell nobody anything.
+func TestAnAnswerBelongsToItsCallAlone(t *testing.T) {
+	is := is.New(t)
+	d := begin(0)
+	d.pass(Attempt + 40*time.Millisecond)
+	is.Equal(len(d.sent), 2) // a was silent, b was asked
+	d.step(wire.Event{Ask: &wire.Ask{Token: 2, Verb: "job.get", Arg: "k"}})
+	is.Equal(len(d.sent), 3)
+	d.reply("b", 1, good(`"of j"`))
+	d.reply("a", 0, good(`"of j"`)) // the first one asked answers too
+	is.Equal(d.answered(), []string{`"of j"`})
+	is.Equal(d.outs[0].Token, uint64(1))
+	d.reply("a", 2, good(`"of k"`))
+	is.Equal(d.outs[1].Token, uint64(2))
+
+	d = begin(400 * time.Millisecond)
+	d.pass(400 * time.Millisecond)
+	is.Equal(d.outs[0].Fault.Kind, apierror.Unsure)
+	d.step(wire.Event{Ask: &wire.Ask{Token: 2, Verb: "job.get", Arg: "k"}})
+	d.reply("a", 0, good(`"of j"`)) // too late
+	is.Equal(len(d.outs), 1)
+	d.reply("a", 1, good(`"of k"`))
+	is.Equal(d.outs[1].Token, uint64(2))
+	is.Equal(len(d.g.calls), 0)
+}
+
+// The next process at an address takes no answer that is meant for the one
+// before: the numbers of their calls begin at places drawn at random.
+func TestAnAnswerToAFormerLifeIsDropped(t *testing.T) {
+	is := is.New(t)
+	seen := map[uint64]bool{}
+	for seed := range int64(200) {
+		d := &desk{now: types.Stamp(time.Minute)}
+		d.g = New(types.Now{Mono: d.now}, rand.New(rand.NewSource(seed)), Place{Addr: "g", Zone: "z"})
+		d.hear()
+		for token := range uint64(50) {
+			d.step(wire.Event{Ask: &wire.Ask{Token: token + 1, Verb: "job.get", Arg: "j"}})
+		}
+		for _, s := range d.sent {
+			c, ok := wire.Read[wire.CallBody](s.Message)
+			is.True(ok)
+			is.True(!seen[c.ID])
+			seen[c.ID] = true
+		}
+		for id := range seen {
+			if d.g.calls[id] != nil {
+				continue
+			}
+			r := good(`"of a former life"`)
+			r.ID = id
+			s := wire.Make("a", "g", wire.Reply, r)
+			d.step(wire.Event{Message: &s.Message})
+			if len(seen) > 1000 {
+				break
+			}
+		}
+		is.Equal(len(d.outs), 0)
+	}
+}
