--- a/internal/controller/calls.go
+++ b/internal/controller/calls.go
@@ -52,11 +52,7 @@
 	h.Sums.Calls++
 	w.term = h.raft.Term()
 	if h.scheduler == nil || !h.raft.Firm() {
-		lead := h.raft.Leader()
-		if h.raft.Name() == "" {
-			lead = h.roster.Lead()
-		}
-		h.reply(w, wire.ReplyBody{Away: true, Lead: lead})
+		h.reply(w, wire.ReplyBody{Away: true, Lead: h.otherLeader()})
 		return
 	}
 	f := verbs[c.Verb]
@@ -71,6 +67,22 @@
 	f(h, w, c)
 }
 
+// otherLeader is whom a caller should ask instead, if there is fresh word of a
+// leader: one of which nothing was heard for as long as its lease lasts may lead
+// no more, and this controller itself can't be the answer.
+func (h *Controller) otherLeader() types.Addr {
+	if h.raft.Name() == "" {
+		if lead := h.roster.Lead(); lead != h.options.Addr {
+			return lead
+		}
+		return ""
+	}
+	if !h.raft.LeaderIsRecent() {
+		return ""
+	}
+	return h.raft.Leader()
+}
+
 func (h *Controller) reply(w waiter, r wire.ReplyBody) {
 	r.ID = w.id
 	if r.Fault != nil {
--- a/internal/controller/reads.go
+++ b/internal/controller/reads.go
@@ -49,7 +49,7 @@
 // turnAway sends those who read to the next leader.
 func (h *Controller) turnAway() {
 	for _, r := range h.reads {
-		h.reply(r.w, wire.ReplyBody{Away: true, Lead: h.raft.Leader()})
+		h.reply(r.w, wire.ReplyBody{Away: true, Lead: h.otherLeader()})
 	}
 	h.reads = nil
 	clear(h.ahead)
--- /dev/null
+++ b/sim/requests_test.go
@@ -0,0 +1,117 @@
+// What controllers answer to operators who ask them directly, second by second:
+// nothing under a lease that is over, and no way to a leader of whom they have no
+// fresh word.
+package sim
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// direct asks a controller itself and gives its answer, if one comes in time.
+func (r *Run) direct(n *node, verb string, body any, within time.Duration) (a wire.Answer, ok bool) {
+	r.ask("operator", n.addr, verb, "", wire.Body(body), func(b wire.Answer) { a, ok = b, true })
+	r.Run(time.Duration(r.now) + within)
+	return
+}
+
+// next is the town's table with another weight, put on a version.
+func (r *Run) next(base types.Version, weight int) config.Table {
+	t := r.Crew.town.Table()
+	t.Version, t.Rows[0].Weight = base, weight
+	return t
+}
+
+// A leader that stands still while another one takes over and a change is made:
+// as it goes on, the first event may be a request that came in between. Its lease
+// is judged by the time of now, and nothing is answered by the old state.
+func TestAThawedLeaderAnswersNothingByItsOldState(t *testing.T) {
+	for _, verb := range []string{"table.get", "table.put", "job.get"} {
+		t.Run(verb, func(t *testing.T) {
+			is := is.New(t)
+			r, acked := core(t, 91)
+			r.Run(8 * time.Second)
+			is.True(acked())
+			old := r.leader()
+			old.freeze()
+			var a wire.Answer
+			got := false
+			var body any
+			if verb == "table.put" {
+				body = r.next(2, 7)
+			}
+			r.ask("operator", old.addr, verb, "", wire.Body(body), func(b wire.Answer) { a, got = b, true }) // it is the first to come
+			r.Run(18 * time.Second)
+			var heir *node
+			for _, h := range r.controllers {
+				if h != old && r.status(h).Part == "leader" {
+					heir = h
+				}
+			}
+			is.True(heir != nil)
+			b, ok := r.direct(heir, "table.put", r.next(1, 5), time.Second)
+			is.True(ok && b.Fault == nil)
+			old.thaw()
+			r.Run(time.Duration(r.now) + 500*time.Millisecond)
+			is.True(got)
+			is.True(a.Fault != nil)
+			is.Equal(a.Fault.Kind, apierror.NoLead) // neither the old table nor a refusal by it
+		})
+	}
+}
+
+// A controller names a leader to a caller only while it hears that leader, and
+// never itself; one that has none says so at once.
+func TestNobodyIsSentToALeaderThatIsNotHeard(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		apart func(r *Run, l *node) (a, b []types.Addr)
+		both  bool
+	}{
+		{"a follower is cut off", func(r *Run, l *node) (a, b []types.Addr) {
+			for _, h := range r.controllers {
+				if h != l {
+					return []types.Addr{h.addr}, r.rest(h.addr)
+				}
+			}
+			return
+		}, true},
+		{"the leader is cut off", peers, true},
+		{"the leader is heard by nobody", peers, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			r, _ := core(t, 92)
+			r.sky = Weather{} // what is asked arrives, and so does the answer
+			r.Run(8 * time.Second)
+			l := r.leader()
+			a, b := c.apart(r, l)
+			r.Split(a, b, true, c.both)
+			from := r.now
+			for r.now < from+int64(20*time.Second) {
+				r.Run(time.Duration(r.now) + 250*time.Millisecond)
+				for _, h := range r.controllers {
+					began := r.now
+					answer, ok := r.direct(h, "table.get", nil, 60*time.Millisecond)
+					is.True(ok) // at once
+					is.True(answer.Lead != h.addr)
+					if answer.Lead != "" { // the one it names can have led within its lease
+						is.True(answer.Fault.Kind == apierror.NoLead)
+						reached := !r.cut[pair{answer.Lead, h.addr}]
+						is.True(reached || began-from < int64(r.core.Least+100*time.Millisecond))
+					}
+					if answer.Fault != nil && answer.Lead == "" {
+						is.True(answer.Fault.Retry > 0)
+					}
+				}
+			}
+		})
+	}
+}
