--- a/sim/grown_day_test.go
+++ b/sim/grown_day_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/matryer/is"
 
+	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 )
 
@@ -29,14 +30,25 @@
 				t.Error(b)
 			}
 			n, hows := map[What]int{}, map[wire.How]int{}
+			owed, drawn := map[types.JobID]int{}, 0
 			for _, h := range r.Hist.List {
 				n[h.What]++
+				switch h.What {
+				case Sent:
+					owed[h.Job] = h.Spec.Total()
+				case Halting:
+					delete(owed, h.Job)
+				}
 				if h.What == Ended {
 					hows[h.How]++
 				}
 			}
 			t.Log(Summary(&r.Hist), hows)
-			is.True(n[Started] > 1500)
+			for _, tasks := range owed {
+				drawn += tasks
+			}
+			is.True(drawn > 1000 && n[Sent] > 140) // the day as it was drawn
+			is.True(n[Started] >= drawn)           // all of it was done: each task of a job that nobody cancelled started
 			is.Equal(n[Denied], 0)
 			is.Equal(n[Noted]+n[Void], n[Started]) // every end is settled, and but for answers lost on the way in time
 			is.True(n[Void] <= 10)
