--- a/cmd/coppercourse/daemons.go
+++ b/cmd/coppercourse/daemons.go
@@ -25,6 +25,7 @@
 	"coppercourse/internal/gateway"
 	"coppercourse/internal/server"
 	"coppercourse/internal/settings"
+	"coppercourse/internal/types"
 	"coppercourse/internal/wal"
 )
 
@@ -125,7 +126,7 @@
 	log     logr.Logger
 	s       settings.Settings
 	ports   func(*server.Pages) []server.Port
-	publish func(config.Table, bool)
+	publish func(t config.Table, confirmedUntil types.Stamp)
 	caller  server.Caller
 	said    string
 }
@@ -187,10 +188,10 @@
 	entry := &server.Entry{}
 	o.After = func() {
 		ready.Store(m.Ready())
-		t, fresh := m.Table()
-		entry.Publish(t, fresh)
+		t, _ := m.Table()
+		entry.Publish(t, m.ConfirmedUntil())
 		if d.publish != nil {
-			d.publish(t, fresh)
+			d.publish(t, m.ConfirmedUntil())
 		}
 	}
 	p := &server.Pages{Owner: o, Post: post, Trail: m.Trail, Ready: ready.Load}
--- a/cmd/coppercourse/deployed.go
+++ b/cmd/coppercourse/deployed.go
@@ -14,6 +14,7 @@
 
 	"coppercourse/internal/config"
 	"coppercourse/internal/server"
+	"coppercourse/internal/types"
 	"coppercourse/platform"
 )
 
@@ -62,7 +63,7 @@
 var outside = map[string]func(platform.Boot, *daemon){
 	"gateway": func(b platform.Boot, d *daemon) {
 		var front *platform.Front
-		d.publish = func(t config.Table, fresh bool) { front.Publish(t, fresh) }
+		d.publish = func(t config.Table, confirmedUntil types.Stamp) { front.Publish(t, confirmedUntil) }
 		d.ports = func(p *server.Pages) []server.Port {
 			front = platform.NewFront(p.Owner)
 			return []server.Port{{Addr: b.Front, Handler: front, Limits: front.Limits, Conns: d.s.Conns},
--- a/internal/configwatch/configwatch.go
+++ b/internal/configwatch/configwatch.go
@@ -2,11 +2,14 @@
 // table: the reader asks with the version it has, and the desk answers when it
 // has another, or after a short hold to say that there is none. A reader that
 // has not been confirmed for a while knows that it may not decide by what it
-// has.
+// has. A confirmation counts from when its question was sent, by the reader's
+// own steady clock; an answer to a question that this process did not send, or
+// sent too long ago, confirms nothing.
 package configwatch
 
 import (
 	"maps"
+	"math/rand"
 	"slices"
 	"time"
 
@@ -91,22 +94,49 @@
 
 // Reader is the data-plane side.
 type Reader struct {
-	me    types.Addr
-	stale time.Duration
-	Table config.Table
-	any   bool
-	open  bool
-	asked types.Stamp
-	sure  types.Stamp
+	me        types.Addr
+	stale     time.Duration
+	Table     config.Table
+	any       bool
+	open      bool
+	asked     types.Stamp
+	sure      types.Stamp
+	mark      types.Stamp // of the latest question
+	questions []question  // that may still be answered, oldest first
+}
+
+// question is one that was sent. Its mark comes back with the answer. Marks are
+// numbers from a random start and no stamps: the steady clock starts anew with
+// each process, and an answer that was meant for an earlier process at this
+// address must not confirm anything to this one.
+type question struct {
+	mark types.Stamp
+	sent types.Stamp
 }
 
-// NewReader makes one that does not decide by what was last confirmed so long ago.
-func NewReader(me types.Addr, stale time.Duration) *Reader {
-	return &Reader{me: me, stale: stale, sure: -1 << 61, asked: -1 << 61}
+const never = types.Stamp(-1 << 61)
+
+// NewReader makes one that does not decide by what was last confirmed so long
+// ago. The first mark must differ from process to process.
+func NewReader(me types.Addr, stale time.Duration, first types.Stamp) *Reader {
+	return &Reader{me: me, stale: stale, sure: never, asked: never, mark: first}
 }
 
+// FirstMark draws the first mark of a process.
+func FirstMark(rnd *rand.Rand) types.Stamp { return types.Stamp(rnd.Uint64() >> 12) }
+
 // Fresh tells whether the table may be decided by.
-func (r *Reader) Fresh(now types.Stamp) bool { return r.any && now.Sub(r.sure) < r.stale }
+func (r *Reader) Fresh(now types.Stamp) bool { return now < r.ConfirmedUntil() }
+
+// ConfirmedUntil is when the confirmation of the table ends by the reader's own
+// steady clock. Whoever answers by the table compares it with that clock when
+// the answer is given.
+func (r *Reader) ConfirmedUntil() types.Stamp {
+	if !r.any {
+		return never
+	}
+	return r.sure.Add(r.stale)
+}
 
 // part is as much of a timing as the confirmation's life is of the default.
 func (r *Reader) part(d time.Duration) time.Duration { return min(r.stale, Stale) * d / Stale }
@@ -121,7 +151,26 @@
 		return nil
 	}
 	r.open, r.asked = true, now
-	return []wire.Send{wire.Make(r.me, lead, wire.News, ask{r.Table.Version, r.any, held.Milliseconds(), now})}
+	return []wire.Send{wire.Make(r.me, lead, wire.News, ask{r.Table.Version, r.any, held.Milliseconds(), r.question(now)})}
+}
+
+// question notes that one is sent, and gives its mark. Those whose answer could
+// no longer confirm anything are forgotten.
+func (r *Reader) question(now types.Stamp) types.Stamp {
+	r.questions = slices.DeleteFunc(r.questions, func(q question) bool { return now.Sub(q.sent) >= r.stale })
+	r.mark++
+	r.questions = append(r.questions, question{r.mark, now})
+	return r.mark
+}
+
+// sent is when the question with a mark was sent.
+func (r *Reader) sent(mark types.Stamp) types.Stamp {
+	for _, q := range r.questions {
+		if q.mark == mark {
+			return q.sent
+		}
+	}
+	return never
 }
 
 // Take handles an answer; true when the table changed. What it confirms counts
@@ -131,15 +180,15 @@
 	if !ok {
 		return false
 	}
-	if t.Mark == r.asked {
+	if t.Mark == r.mark {
 		r.open = false
 	}
 	if t.Table != nil && (!r.any || t.Version > r.Table.Version) {
-		r.Table, r.any, r.sure = *t.Table, true, max(r.sure, t.Mark)
+		r.Table, r.any, r.sure = *t.Table, true, max(r.sure, r.sent(t.Mark))
 		return true
 	}
 	if r.any && t.Version == r.Table.Version {
-		r.sure = max(r.sure, t.Mark)
+		r.sure = max(r.sure, r.sent(t.Mark))
 	}
 	return false
 }
--- /dev/null
+++ b/internal/configwatch/confirmed_test.go
@@ -0,0 +1,187 @@
+package configwatch
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// watcher is a reader, or one with a planted bug.
+type watcher interface {
+	Tick(now types.Stamp, lead types.Addr) []wire.Send
+	Take(now types.Stamp, n wire.Message)
+	Decides(now types.Stamp) (types.Version, bool)
+	Restart(now types.Stamp)
+}
+
+// sound is the reader as it is.
+type sound struct {
+	reader *Reader
+	base   types.Stamp // when its process began: its clock starts there
+	lives  types.Stamp
+}
+
+func (s *sound) Tick(now types.Stamp, lead types.Addr) []wire.Send {
+	return s.reader.Tick(now-s.base, lead)
+}
+func (s *sound) Take(_ types.Stamp, n wire.Message) { s.reader.Take(n) }
+func (s *sound) Decides(now types.Stamp) (types.Version, bool) {
+	return s.reader.Table.Version, s.reader.Fresh(now - s.base)
+}
+func (s *sound) Restart(now types.Stamp) {
+	s.lives++
+	s.base, s.reader = now, NewReader("gateway:1", Stale, s.lives<<32)
+}
+
+// countsFromReceipt lets a confirmation count from when its answer is taken.
+type countsFromReceipt struct{ sound }
+
+func (p *countsFromReceipt) Take(now types.Stamp, n wire.Message) {
+	p.sound.Take(now, n)
+	if b, ok := wire.Read[told](n); ok && b.Version == p.reader.Table.Version {
+		p.reader.sure = now - p.base
+	}
+}
+
+// takesAnyMark believes the stamp that an answer brings, as marks once were.
+type takesAnyMark struct{ sound }
+
+func (p *takesAnyMark) Tick(now types.Stamp, lead types.Addr) []wire.Send {
+	sends := p.sound.Tick(now, lead)
+	for i := range sends {
+		a, _ := wire.Read[ask](sends[i].Message)
+		a.Mark = now - p.base
+		sends[i].Message.Body = wire.Body(a)
+	}
+	return sends
+}
+
+func (p *takesAnyMark) Take(now types.Stamp, n wire.Message) {
+	b, _ := wire.Read[told](n)
+	mark := b.Mark
+	b.Mark = p.reader.mark
+	n.Body = wire.Body(b)
+	was := p.reader.sure
+	p.reader.Take(n)
+	p.reader.sure = was
+	if b.Version == p.reader.Table.Version {
+		p.reader.sure = max(was, mark)
+	}
+}
+
+// publishedBit answers by what its last step found, and steps seldom.
+type publishedBit struct {
+	sound
+	version types.Version
+	fresh   bool
+	stepped types.Stamp
+}
+
+func (p *publishedBit) Decides(now types.Stamp) (types.Version, bool) {
+	if now.Sub(p.stepped) >= 3*time.Second {
+		p.stepped = now
+		p.version, p.fresh = p.sound.Decides(now)
+	}
+	return p.version, p.fresh
+}
+
+// day plays a reader whose questions and answers take long on their way, whose
+// process starts anew at times, and a leader whose table changes. It gives the
+// first time that the reader decided by a version too old.
+func day(w watcher, late time.Duration) string {
+	const step = 10 * time.Millisecond
+	type flight struct {
+		at      types.Stamp
+		message wire.Message
+		toDesk  bool
+	}
+	desk, table := NewDesk("controller:1"), config.Table{Version: 1}
+	changed := types.Stamp(0) // when the latest version was acknowledged
+	var way []flight
+	w.Restart(0)
+	for now := types.Stamp(0); now < types.Stamp(40*time.Second); now += types.Stamp(step) {
+		switch {
+		case now%types.Stamp(6*time.Second) == types.Stamp(4*time.Second):
+			table, changed = config.Table{Version: table.Version + 1}, now
+		case now%types.Stamp(9*time.Second) == types.Stamp(8*time.Second):
+			w.Restart(now)
+		}
+		kept := way[:0]
+		for _, f := range way {
+			switch {
+			case f.at > now:
+				kept = append(kept, f)
+			case f.toDesk:
+				desk.Take(now, f.message)
+			default:
+				w.Take(now, f.message)
+			}
+		}
+		way = kept
+		delay := late
+		if now%types.Stamp(7*time.Second) < types.Stamp(2*time.Second) {
+			delay = 2 * step
+		}
+		for _, s := range w.Tick(now, "controller:1") {
+			way = append(way, flight{now.Add(2 * step), s.Message, true})
+		}
+		for _, s := range desk.Tell(now, table) {
+			way = append(way, flight{now.Add(delay), s.Message, false})
+		}
+		if v, ok := w.Decides(now); ok && v < table.Version && now.Sub(changed) > Stale {
+			return fmt.Sprintf("at %v by version %d, %v after version %d", time.Duration(now), v, now.Sub(changed), table.Version)
+		}
+	}
+	return ""
+}
+
+// However late answers come and however often the process starts anew, nothing is
+// decided by a table that was replaced longer ago than a confirmation lasts; each
+// planted bug is seen to do so.
+func TestNoReaderDecidesByATableReplacedLongAgo(t *testing.T) {
+	planted := map[string]func() watcher{
+		"counts from receipt": func() watcher { return &countsFromReceipt{} },
+		"takes any mark":      func() watcher { return &takesAnyMark{} },
+		"published bit":       func() watcher { return &publishedBit{stepped: -1 << 60} },
+	}
+	caught := map[string]string{}
+	for late := 100 * time.Millisecond; late <= 5*time.Second; late += 100 * time.Millisecond {
+		is := is.New(t)
+		is.Equal(day(&sound{}, late), "")
+		for name, make := range planted {
+			if found := day(make(), late); found != "" && caught[name] == "" {
+				caught[name] = found
+			}
+		}
+	}
+	for name := range planted {
+		if caught[name] == "" {
+			t.Errorf("the planted bug %q was not caught", name)
+		}
+	}
+}
+
+// An answer to a question of an earlier process confirms nothing.
+func TestAnAnswerToAnEarlierProcessConfirmsNothing(t *testing.T) {
+	is := is.New(t)
+	old := NewReader("gateway:1", Stale, 1<<40)
+	question := old.Tick(types.Stamp(500*time.Second), "controller:1")[0].Message
+	desk := NewDesk("controller:1")
+	desk.Take(0, question)
+	answer := desk.Tell(0, config.Table{Version: 7})[0].Message
+	r := NewReader("gateway:1", Stale, 1<<50)
+	is.True(r.Take(answer)) // the table is one that was in force
+	is.Equal(r.Table.Version, types.Version(7))
+	is.True(!r.Fresh(0))
+	is.True(!r.Fresh(types.Stamp(time.Second)))
+	desk.Take(0, r.Tick(types.Stamp(time.Second), "controller:1")[0].Message)
+	desk.waits["gateway:1"] = wait{desk.waits["gateway:1"].ask, 0}
+	r.Take(desk.Tell(types.Stamp(time.Second), config.Table{Version: 7})[0].Message)
+	is.Equal(r.ConfirmedUntil(), types.Stamp(time.Second).Add(Stale)) // from when it was asked
+}
--- a/internal/configwatch/news_test.go
+++ b/internal/configwatch/news_test.go
@@ -17,7 +17,7 @@
 	for _, stale := range []time.Duration{300 * time.Millisecond, Stale} {
 		is := is.New(t)
 		table := config.Table{Version: 31}
-		desk, r := NewDesk("controller:1"), NewReader("gateway:1", stale)
+		desk, r := NewDesk("controller:1"), NewReader("gateway:1", stale, 1)
 		fresh := func(from, to time.Duration, reach bool) (first time.Duration) {
 			for at := from; at < to; at += 10 * time.Millisecond {
 				now := types.Stamp(at)
@@ -50,7 +50,7 @@
 // Who asks often is answered when the hold of the first question is over.
 func TestAskingAgainDoesNotPutTheAnswerOff(t *testing.T) {
 	is := is.New(t)
-	desk, r := NewDesk("controller:1"), NewReader("gateway:1", Stale)
+	desk, r := NewDesk("controller:1"), NewReader("gateway:1", Stale, 1)
 	r.any, r.Table.Version = true, 31
 	told := 0
 	for at := time.Second; at < 2*time.Second; at += 50 * time.Millisecond {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -76,7 +76,7 @@
 	if p.Stale == 0 {
 		p.Stale = configwatch.Stale
 	}
-	g := &Gateway{place: p, now: now, news: configwatch.NewReader(p.Addr, p.Stale), calls: map[uint64]*call{}, Trail: trace.New(),
+	g := &Gateway{place: p, now: now, news: configwatch.NewReader(p.Addr, p.Stale, configwatch.FirstMark(rnd)), calls: map[uint64]*call{}, Trail: trace.New(),
 		next: rnd.Uint64() >> 12, lost: now.Mono}
 	g.roster = membership.New(rnd, g.card(), p.Seeds)
 	return g
@@ -98,6 +98,10 @@
 // Table is the table as the gateway has it, and whether it may be decided by.
 func (g *Gateway) Table() (config.Table, bool) { return g.news.Table, g.news.Fresh(g.now.Mono) }
 
+// ConfirmedUntil is when the confirmation of the table ends, by the gateway's
+// steady clock.
+func (g *Gateway) ConfirmedUntil() types.Stamp { return g.news.ConfirmedUntil() }
+
 // Leader is whom the gateway holds for the leader now.
 func (g *Gateway) Leader() types.Addr { return g.roster.Lead() }
 
--- a/internal/server/entry.go
+++ b/internal/server/entry.go
@@ -20,26 +20,46 @@
 
 // Entry checks requests on their way in.
 type Entry struct {
-	held atomic.Pointer[held]
+	Clock     func() types.Stamp // the daemon's steady clock; Steady where not set
+	published atomic.Pointer[publishedTable]
 }
 
-type held struct {
-	table config.Table
-	fresh bool
-	names map[types.Queue]bool
+// publishedTable is the table that requests are checked by, and until when its
+// confirmation lasts. That is compared with the clock at each request: a machine
+// that takes no step for long can't keep an old table in use.
+type publishedTable struct {
+	table          config.Table
+	confirmedUntil types.Stamp
+	names          map[types.Queue]bool
 }
 
 // Publish puts a table in place of the last, for all requests from now on.
-func (e *Entry) Publish(t config.Table, fresh bool) {
-	h := e.held.Load()
-	if h != nil && h.table.Version == t.Version && h.fresh == fresh {
+func (e *Entry) Publish(t config.Table, confirmedUntil types.Stamp) {
+	last := e.published.Load()
+	if last != nil && last.table.Version == t.Version {
+		if last.confirmedUntil != confirmedUntil {
+			e.published.Store(&publishedTable{last.table, confirmedUntil, last.names})
+		}
 		return
 	}
-	n := &held{t, fresh, map[types.Queue]bool{}}
+	next := &publishedTable{t, confirmedUntil, map[types.Queue]bool{}}
 	for _, r := range t.Rows {
-		n.names[r.Name] = true
+		next.names[r.Name] = true
+	}
+	e.published.Store(next)
+}
+
+// unknown tells that a queue is not in the table, as far as that is confirmed now.
+func (e *Entry) unknown(q types.Queue) bool {
+	p := e.published.Load()
+	return p != nil && e.now() < p.confirmedUntil && !p.names[q]
+}
+
+func (e *Entry) now() types.Stamp {
+	if e.Clock == nil {
+		return Steady()
 	}
-	e.held.Store(n)
+	return e.Clock()
 }
 
 // Routes adds the gateway's pages to those that all daemons have.
@@ -94,7 +114,7 @@
 
 func (e *Entry) job(_ *http.Request, b []byte, heap *apierror.ErrorList) state.Spec {
 	s := state.ReadSpec(b, heap)
-	if h := e.held.Load(); len(heap.List()) == 0 && h != nil && h.fresh && !h.names[s.Queue] {
+	if len(heap.List()) == 0 && e.unknown(s.Queue) {
 		heap.Add(apierror.NoQueue, "queue", "no queue is called "+string(s.Queue))
 	}
 	return s
--- /dev/null
+++ b/internal/server/entry_test.go
@@ -0,0 +1,28 @@
+package server
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
+)
+
+// A queue is called unknown only while the table is confirmed by the clock of the
+// moment, also when the machine has published nothing since.
+func TestAQueueIsUnknownOnlyWhileTheTableIsConfirmed(t *testing.T) {
+	is := is.New(t)
+	now := types.Stamp(0)
+	e := &Entry{Clock: func() types.Stamp { return now }}
+	is.True(!e.unknown("later")) // nothing is published yet
+	e.Publish(config.Table{Version: 1, Rows: []config.Row{{Name: "here"}}}, types.Stamp(time.Second))
+	is.True(e.unknown("later"))
+	is.True(!e.unknown("here"))
+	now = types.Stamp(time.Second)
+	is.True(!e.unknown("later"))
+	e.Publish(config.Table{Version: 1}, types.Stamp(2*time.Second))
+	is.True(e.unknown("later"))
+	is.True(!e.unknown("here")) // the same version has the same queues
+}
--- a/internal/server/owner.go
+++ b/internal/server/owner.go
@@ -54,6 +54,9 @@
 	return types.Now{Mono: types.Stamp(t.Sub(start)), Wall: types.Wall(t.UnixNano())}
 }
 
+// Steady reads the daemon's steady clock.
+func Steady() types.Stamp { return Now().Mono }
+
 func NewOwner(post *Post, file *wal.File) *Owner {
 	o := &Owner{post: post, in: make(chan event, inbox), closed: make(chan struct{}), asks: map[uint64]chan wire.Answer{},
 		slots: make(chan struct{}, callsAtOnce)}
