--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -21,10 +21,7 @@
 		defer stop()
 		r := o.carry(ctx, c)
 		r.No = c.No
-		select {
-		case o.in <- event{Event: wire.Event{Reply: &r}}:
-		case <-o.closed:
-		}
+		o.inbox.force(event{Event: wire.Event{Reply: &r}})
 	}()
 }
 
--- a/internal/server/door_test.go
+++ b/internal/server/door_test.go
@@ -120,10 +120,17 @@
 func TestFullInboxIsToldAtOnce(t *testing.T) {
 	is := is.New(t)
 	o := NewOwner(nil, nil) // nobody takes from it
-	for range inbox {
-		is.True(o.Message(wire.Message{}))
+	took := 0
+	for o.Message(wire.Message{Kind: wire.Call}) {
+		took++
 	}
+	is.True(took >= 1000)
 	a := o.Ask(context.Background(), "job.get", "a", nil)
 	is.Equal(a.Fault.Kind, apierror.Crowd)
 	is.True(a.Fault.Retry > 0)
+	for kind := range map[string]bool{wire.Append: true, wire.Ballot: true, wire.News: true, wire.Beat: true, wire.Status: true} {
+		is.True(o.Message(wire.Message{Kind: kind})) // one class leaves the others their room
+	}
+	is.Equal(o.inbox.refused()[wire.Callers], uint64(2))
+	is.Equal(o.inbox.refused()[wire.Consensus], uint64(0))
 }
--- /dev/null
+++ b/internal/server/inbox.go
@@ -0,0 +1,121 @@
+// The inbox: what waits for the machine, by class. Whoever brings an event puts it
+// in from a goroutine of its own; only the owner takes from it.
+package server
+
+import (
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+	"coppercourse/internal/workqueue"
+)
+
+const (
+	// entryPatience is how long the oldest request of a caller may have waited
+	// before new work is turned away at once.
+	entryPatience = 250 * time.Millisecond
+	// callerPatience is how long a request waits for the machine before it is
+	// turned away untaken.
+	callerPatience = 700 * time.Millisecond
+)
+
+// event is one for the machine. Of a request only one side decides: the owner that
+// takes it, or whoever waited and gives up.
+type event struct {
+	wire.Event
+	back    chan wire.Answer
+	claimed *atomic.Bool
+}
+
+// claim is true for whoever decides on the request.
+func (e event) claim() bool { return e.claimed == nil || e.claimed.CompareAndSwap(false, true) }
+
+type inbox struct {
+	mu    sync.Mutex
+	queue workqueue.Queue[event]
+	wake  chan struct{}
+	clock func() types.Stamp
+}
+
+func newInbox() *inbox { return &inbox{wake: make(chan struct{}, 1), clock: Steady} }
+
+// push adds an event; false where its class is full.
+func (b *inbox) push(e event) bool {
+	b.mu.Lock()
+	ok := b.queue.Push(e.Class(), b.clock(), e)
+	b.mu.Unlock()
+	b.rouse()
+	return ok
+}
+
+// force adds an event that may not be lost.
+func (b *inbox) force(e event) {
+	b.mu.Lock()
+	b.queue.Force(e.Class(), b.clock(), e)
+	b.mu.Unlock()
+	b.rouse()
+}
+
+func (b *inbox) rouse() {
+	select {
+	case b.wake <- struct{}{}:
+	default:
+	}
+}
+
+// pop gives the next event with the load that its step is told of.
+func (b *inbox) pop() (event, bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	e, class, at, ok := b.queue.Pop()
+	if ok {
+		e.Load = b.queue.Load(b.clock(), class, at)
+	}
+	return e, ok
+}
+
+// len is how many events wait.
+func (b *inbox) len() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.queue.Len()
+}
+
+// load is what a tick is told.
+func (b *inbox) load() wire.Load {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.clock()
+	return b.queue.Load(now, wire.Background, now)
+}
+
+// behind is how long the oldest request of a caller has waited.
+func (b *inbox) behind() time.Duration {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.queue.Age(b.clock(), wire.Callers, wire.Callers)
+}
+
+// expire takes out the requests that have waited too long. Messages of other
+// daemons stay: the machine answers those.
+func (b *inbox) expire() []event {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.queue.Expire(wire.Callers, b.clock(), callerPatience, func(e event) bool { return e.Ask == nil })
+}
+
+// refused sums what was refused for want of room, by class.
+func (b *inbox) refused() [wire.Classes]uint64 {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.queue.Refused
+}
+
+// tooBusy is the answer to a request that was not taken, with when to come back:
+// not before what is ahead of it will have gone.
+func tooBusy(behind time.Duration) *apierror.Error {
+	return apierror.New(apierror.Crowd, "", "this daemon is behind with its work; the request was not taken").After(2 * behind)
+}
--- a/internal/server/owner.go
+++ b/internal/server/owner.go
@@ -14,25 +14,21 @@
 	"coppercourse/internal/types"
 	"coppercourse/internal/wal"
 	"coppercourse/internal/wire"
+	"coppercourse/internal/workqueue"
 )
 
 const (
-	beat  = 20 * time.Millisecond
-	inbox = 8192
-	show  = 200 * time.Millisecond
+	show     = 200 * time.Millisecond
+	showBusy = time.Second // while events wait
 )
 
-type event struct {
-	wire.Event
-	back chan wire.Answer
-}
-
 // Owner runs one machine.
 type Owner struct {
 	m      wire.Machine
 	post   *Post
 	disk   *Disk
-	in     chan event
+	inbox  *inbox
+	ticks  workqueue.Ticks
 	closed chan struct{}
 	asks   map[uint64]chan wire.Answer
 	next   uint64
@@ -43,7 +39,7 @@
 	slots  chan struct{}
 	view   atomic.Pointer[json.RawMessage]
 	idle   atomic.Bool
-	full   atomic.Uint64
+	busy   atomic.Uint64 // requests turned away since the loop was behind
 }
 
 var start = time.Now()
@@ -58,7 +54,7 @@
 func Steady() types.Stamp { return Now().Mono }
 
 func NewOwner(post *Post, file *wal.File) *Owner {
-	o := &Owner{post: post, in: make(chan event, inbox), closed: make(chan struct{}), asks: map[uint64]chan wire.Answer{},
+	o := &Owner{post: post, inbox: newInbox(), closed: make(chan struct{}), asks: map[uint64]chan wire.Answer{},
 		slots: make(chan struct{}, callsAtOnce)}
 	if file != nil {
 		o.disk = &Disk{file: file, in: make(chan batch, 1024), done: o.synced}
@@ -69,49 +65,42 @@
 // Carry sets the machine; it must be called before Run.
 func (o *Owner) Carry(m wire.Machine) { o.m = m }
 
-func (o *Owner) synced(seq uint64) {
-	select {
-	case o.in <- event{Event: wire.Event{Synced: seq}}:
-	case <-o.closed:
-	}
-}
+func (o *Owner) synced(seq uint64) { o.inbox.force(event{Event: wire.Event{Synced: seq}}) }
 
-// Note gives the machine a message; false when its inbox is full.
+// Message gives the machine a message; false when there is no room for its kind.
 func (o *Owner) Message(n wire.Message) bool {
-	select {
-	case o.in <- event{Event: wire.Event{Message: &n}}:
-		return true
-	default:
-		o.full.Add(1)
-		return false
-	}
+	return o.inbox.push(event{Event: wire.Event{Message: &n}})
 }
 
-// Ask gives the machine a request and waits for its answer.
+// Ask gives the machine a request and waits for its answer. One that brings new
+// work is turned away at once while the loop is behind with such requests.
 func (o *Owner) Ask(ctx context.Context, verb, arg string, body json.RawMessage) wire.Answer {
-	back := make(chan wire.Answer, 1)
 	ask := &wire.Ask{Verb: verb, Arg: arg, Body: body}
 	if by, ok := ctx.Deadline(); ok {
 		ask.Limit = max(1, time.Until(by))
 	}
-	select {
-	case o.in <- event{wire.Event{Ask: ask}, back}:
-	default:
-		o.full.Add(1)
-		return wire.Answer{Fault: apierror.New(apierror.Crowd, "", "more requests than this daemon can take in").After(2 * time.Second)}
+	e := event{Event: wire.Event{Ask: ask}, back: make(chan wire.Answer, 1), claimed: &atomic.Bool{}}
+	behind := o.inbox.behind()
+	if wire.Enters(verb) && behind > entryPatience || !o.inbox.push(e) {
+		o.busy.Add(1)
+		return wire.Answer{Fault: tooBusy(max(behind, time.Second))}
 	}
 	select {
-	case a := <-back:
+	case a := <-e.back:
 		return a
 	case <-o.closed:
 		return wire.Answer{Fault: apierror.New(apierror.Closing, "", "this daemon is stopping").After(time.Second)}
 	case <-ctx.Done():
+		if e.claim() { // the machine has not seen it, and never will
+			o.busy.Add(1)
+			return wire.Answer{Fault: tooBusy(callerPatience)}
+		}
 		return wire.Answer{Fault: apierror.New(apierror.Unsure, "", "no answer within the time there was")}
 	}
 }
 
 // Close tells the machine that its end is planned.
-func (o *Owner) Close() { o.in <- event{Event: wire.Event{Close: true}} }
+func (o *Owner) Close() { o.inbox.force(event{Event: wire.Event{Close: true}}) }
 
 // Idle tells whether a machine that was told to close has nothing left to do.
 func (o *Owner) Idle() bool { return o.idle.Load() }
@@ -124,22 +113,49 @@
 	return json.RawMessage("{}")
 }
 
-// Run is the owner goroutine.
+// Run is the owner goroutine: a tick when one is due, else the most urgent event.
 func (o *Owner) Run(ctx context.Context) error {
 	defer close(o.closed)
-	tick := time.NewTicker(beat)
-	defer tick.Stop()
-	o.step(event{})
-	for {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	o.tick()
+	for ctx.Err() == nil {
+		if o.ticks.Due(Steady(), o.inbox.len()) {
+			o.tick()
+			continue
+		}
+		if e, ok := o.inbox.pop(); ok {
+			o.ticks.Took()
+			o.take(e)
+			continue
+		}
+		timer.Reset(o.ticks.Next().Sub(Steady()))
 		select {
 		case <-ctx.Done():
-			return nil
-		case e := <-o.in:
-			o.step(e)
-		case <-tick.C:
-			o.step(event{})
+		case <-o.inbox.wake:
+		case <-timer.C:
+		}
+	}
+	return nil
+}
+
+// tick lets time pass in the machine, and answers the requests that it won't get to.
+func (o *Owner) tick() {
+	o.ticks.Ticked(Steady())
+	for _, e := range o.inbox.expire() {
+		if e.claim() {
+			o.busy.Add(1)
+			e.back <- wire.Answer{Fault: tooBusy(callerPatience)}
 		}
 	}
+	o.step(event{Event: wire.Event{Load: o.inbox.load()}})
+}
+
+// take hands an event to the machine, but for a request that was given up.
+func (o *Owner) take(e event) {
+	if e.claim() {
+		o.step(e)
+	}
 }
 
 func (o *Owner) step(e event) {
@@ -169,7 +185,16 @@
 	if o.After != nil {
 		o.After()
 	}
-	if o.Show != nil && time.Since(o.shown) > show {
+	o.publish(e.Load.Waiting)
+}
+
+// publish shows the machine's account of itself, less often while events wait.
+func (o *Owner) publish(waiting bool) {
+	every := show
+	if waiting {
+		every = showBusy
+	}
+	if o.Show != nil && time.Since(o.shown) > every {
 		o.shown = time.Now()
 		b := wire.Body(o.Show())
 		o.view.Store(&b)
--- a/internal/server/pages.go
+++ b/internal/server/pages.go
@@ -150,11 +150,13 @@
 		Fail(w, apierror.New(apierror.BadBody, "", "not a list of notes"))
 		return
 	}
-	for _, n := range list {
-		if !p.Owner.Message(n) {
-			Fail(w, apierror.New(apierror.Crowd, "", "inbox full"))
-			return
-		}
+	refused := false
+	for _, n := range list { // one that has no room takes none from those after it
+		refused = !p.Owner.Message(n) || refused
+	}
+	if refused {
+		Fail(w, apierror.New(apierror.Crowd, "", "no room for messages of this kind"))
+		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
@@ -177,8 +179,11 @@
 	delete(v, "mates")
 	delete(v, "roll")
 	flat := map[string]float64{"post_sent": float64(p.Post.Sent.Load()), "post_failed": float64(p.Post.Failed.Load()),
-		"post_dropped": float64(p.Post.Dropped.Load()), "inbox_refused": float64(p.Owner.full.Load()),
+		"post_dropped": float64(p.Post.Dropped.Load()), "requests_turned_away_busy": float64(p.Owner.busy.Load()),
 		"requests_under_way_http": float64(p.under.Load())}
+	for class, n := range p.Owner.inbox.refused() {
+		flat["inbox_refused_"+wire.Class(class).String()] = float64(n)
+	}
 	flatten("", v, flat)
 	names := make([]string, 0, len(flat))
 	for n := range flat {
--- a/internal/wire/step.go
+++ b/internal/wire/step.go
@@ -19,6 +19,16 @@
 	Synced  uint64
 	Reply   *WorkerReply
 	Close   bool
+	Load    Load
+}
+
+// Load is how far the loop that carries the machine is behind, as measured by the
+// loop when it took the event.
+type Load struct {
+	Age     time.Duration // how long this event has waited
+	Control time.Duration // how long the oldest event of the control classes has waited
+	Callers time.Duration // how long the oldest request of a caller has waited
+	Waiting bool          // more events wait
 }
 
 // Ask is a request read from outside, to be answered under its token. Limit is
--- /dev/null
+++ b/internal/workqueue/ticks.go
@@ -0,0 +1,36 @@
+package workqueue
+
+import (
+	"time"
+
+	"coppercourse/internal/types"
+)
+
+// How ticks and events share a loop. A tick that is due waits for a few events, so
+// that dear ticks leave room for what came in, but never for long.
+const (
+	TickEvery     = 20 * time.Millisecond
+	eventsATick   = 16
+	longestToTick = 100 * time.Millisecond
+)
+
+// Ticks tells a loop when to let time pass in its machine.
+type Ticks struct {
+	last   types.Stamp
+	events int
+}
+
+// Due tells whether the next step must be a tick; waiting is how many events wait.
+func (t *Ticks) Due(now types.Stamp, waiting int) bool {
+	since := now.Sub(t.last)
+	return since >= TickEvery && (waiting == 0 || t.events >= eventsATick || t.events > 0 && since >= longestToTick)
+}
+
+// Ticked notes a tick.
+func (t *Ticks) Ticked(now types.Stamp) { t.last, t.events = now, 0 }
+
+// Took notes an event.
+func (t *Ticks) Took() { t.events++ }
+
+// Next is when a tick will be due at the latest, if nothing else comes.
+func (t *Ticks) Next() types.Stamp { return t.last.Add(TickEvery) }
