--- a/cmd/coppercourse/daemons.go
+++ b/cmd/coppercourse/daemons.go
@@ -165,7 +165,8 @@
 	var ready atomic.Bool
 	o.Show = func() any {
 		v := m.Status()
-		d.state("part", v.Part, "term", v.Term, "leader", v.Leader, "reason", v.Why, "waits", v.Wait != "", "members", len(v.Roll), "voters", v.Roll.Votes())
+		d.state("part", v.Part, "term", v.Term, "leader", v.Leader, "reason", v.Why, "waits", v.Wait != "", "members", len(v.Roll), "voters", v.Roll.Votes(),
+			"behind", v.Behind, "relieved", v.Sums.Relieved)
 		return v
 	}
 	o.After = func() { ready.Store(m.Ready()) }
--- a/internal/controller/calls.go
+++ b/internal/controller/calls.go
@@ -59,6 +59,10 @@
 		h.reply(w, wire.ReplyBody{Away: true, Lead: lead})
 		return
 	}
+	if f := h.refuses(c); f != nil {
+		h.bad(w, f)
+		return
+	}
 	f := verbs[c.Verb]
 	if f == nil {
 		h.bad(w, apierror.New(apierror.NoPath, "", "no such verb"))
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -81,12 +81,14 @@
 	moves     types.Stamp // when something was last displaced
 	sends     []wire.Send
 	answers   []wire.Answer
+	overload  overload
 	Sums      Sums
 }
 
 // Sums are counters since start.
 type Sums struct {
 	Steps, Applied, Calls, Refused, Orders, Ends, Elected, Lost uint64
+	Placed, TurnedAway, Relieved                                uint64
 }
 
 // Every is how many entries the log grows at least before it is put together,
@@ -141,6 +143,7 @@
 func (h *Controller) Step(e wire.Event) wire.Out {
 	h.now = e.Now
 	h.Sums.Steps++
+	h.overload.measure(e.Now.Mono, e.Load)
 	switch {
 	case e.Message != nil:
 		h.take(*e.Message)
@@ -154,6 +157,7 @@
 		h.tick()
 	}
 	h.applyCommitted()
+	h.relieve()
 	h.lead()
 	var out wire.Out
 	h.writeSnapshotPart()
@@ -339,8 +343,10 @@
 	}
 	h.scheduler.Tick(h.now.Mono, h.raft.Grace())
 	h.heed()
-	if h.moved {
+	if h.moved && h.overload.mayPlace(h.now.Mono) {
 		h.moved = false
+		h.overload.place(h.now.Mono)
+		h.Sums.Placed++
 		h.plan()
 		h.heed()
 	}
--- /dev/null
+++ b/internal/controller/overload.go
@@ -0,0 +1,94 @@
+// What a controller does when its daemon's loop falls behind. The loop tells with
+// each event how long it and the oldest others have waited; from that alone the
+// machine decides when to place work, whom to turn away and when to hand the lead
+// over. With nothing waiting it behaves as if there were no such bounds.
+package controller
+
+import (
+	"time"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+const (
+	// placeEvery is how often work is placed at least while other events wait.
+	placeEvery = 100 * time.Millisecond
+	// placeShare is how many times as long as a round of placing took the loop goes
+	// on with other events before the next, up to placeLongest.
+	placeShare   = 4
+	placeLongest = 500 * time.Millisecond
+	// entryLag is how far the loop may be behind before new work is turned away.
+	entryLag = 300 * time.Millisecond
+	// staleCall is how old a request may be before it is turned away: the gateway
+	// that sent it asks elsewhere by then.
+	staleCall = 700 * time.Millisecond
+	// behindFor is how long a leader must have been behind to be so called.
+	behindFor = time.Second
+)
+
+// overload is what a controller knows of its loop.
+type overload struct {
+	load     wire.Load
+	placing  bool          // the last step placed work
+	placed   types.Stamp   // when work was placed last
+	cost     time.Duration // of that, as the event after it saw
+	lagging  types.Stamp   // since when the lag is beyond what a leader may have
+	isBehind bool
+	ledSince types.Stamp
+}
+
+// measure takes the load of an event.
+func (o *overload) measure(now types.Stamp, load wire.Load) {
+	if o.placing {
+		o.cost = min(load.Age, now.Sub(o.placed))
+	}
+	o.load, o.placing = load, false
+}
+
+// mayPlace tells whether work may be placed in this step.
+func (o *overload) mayPlace(now types.Stamp) bool {
+	return !o.load.Waiting || now.Sub(o.placed) >= min(placeLongest, max(placeEvery, placeShare*o.cost))
+}
+
+func (o *overload) place(now types.Stamp) { o.placing, o.placed = true, now }
+
+// watch finds whether the loop has been behind a tolerance for long. It is no more
+// so once the lag is within half of that.
+func (o *overload) watch(now types.Stamp, tolerance time.Duration) {
+	switch lag := o.load.Control; {
+	case lag <= tolerance/2:
+		o.lagging, o.isBehind = 0, false
+	case lag > tolerance && o.lagging == 0:
+		o.lagging = now
+	case lag > tolerance && now.Sub(o.lagging) >= behindFor:
+		o.isBehind = true
+	}
+}
+
+// refuses is the answer to a request for which there is no time, or nil. What is
+// known already is answered, and so are reads, cancels and operators.
+func (h *Controller) refuses(c wire.CallBody) *apierror.Error {
+	lag := max(h.overload.load.Control, h.overload.load.Callers)
+	switch {
+	case !wire.Enters(c.Verb), c.Verb == "job.put" && h.state.Find(types.JobID(c.Arg)) != nil:
+		return nil
+	case lag <= entryLag && h.overload.load.Age <= staleCall:
+		return nil
+	}
+	h.Sums.TurnedAway++
+	return apierror.New(apierror.Crowd, "", "the leader is behind with its work; the request was not taken").After(2 * lag)
+}
+
+// relieve lets a leader that has been behind for long hand over.
+func (h *Controller) relieve() {
+	h.raft.Lag(h.overload.load.Control)
+	h.overload.watch(h.now.Mono, h.raft.Tolerance())
+	switch {
+	case !h.raft.Leads():
+		h.overload.ledSince = h.now.Mono
+	case h.overload.isBehind && h.raft.Firm() && h.raft.Relieve(h.now, h.now.Mono.Sub(h.overload.ledSince)):
+		h.Sums.Relieved++
+	}
+}
--- /dev/null
+++ b/internal/controller/overload_test.go
@@ -0,0 +1,60 @@
+package controller
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+func stamp(ms int) types.Stamp { return types.Stamp(time.Duration(ms) * time.Millisecond) }
+
+// Work is placed at every turn while nothing else waits; else so often only that
+// the other events get four fifths of the time, and at least each half second.
+func TestPlacementLeavesRoomForWhatWaits(t *testing.T) {
+	for _, c := range []struct{ cost, least, most int }{{1, 100, 101}, {40, 160, 200}, {200, 500, 700}} {
+		is := is.New(t)
+		var o overload
+		now, placed := 0, -1
+		gaps := 0
+		for now < 10_000 {
+			o.measure(stamp(now), wire.Load{Waiting: true, Age: time.Duration(c.cost) * time.Millisecond})
+			if !o.mayPlace(stamp(now)) {
+				now++
+				continue
+			}
+			if gaps > 1 { // the first cost is not known before its round
+				is.True(now-placed >= c.least)
+				is.True(now-placed <= c.most)
+			}
+			gaps++
+			o.place(stamp(now))
+			placed = now
+			now += c.cost
+		}
+		o.measure(stamp(now), wire.Load{})
+		is.True(o.mayPlace(stamp(now))) // nothing waits
+	}
+}
+
+func TestALoopIsBehindOnlyAfterAWhileAndUntilItHasCaughtUp(t *testing.T) {
+	is := is.New(t)
+	var o overload
+	const tolerance = 100 * time.Millisecond
+	at := func(ms, lag int) bool {
+		o.measure(stamp(ms), wire.Load{Control: time.Duration(lag) * time.Millisecond})
+		o.watch(stamp(ms), tolerance)
+		return o.isBehind
+	}
+	is.True(!at(1000, 5000)) // one long step
+	is.True(!at(1020, 0))
+	is.True(!at(2100, 150))
+	is.True(!at(3099, 150))
+	is.True(at(3100, 150))
+	is.True(at(3200, 80)) // not yet caught up
+	is.True(!at(3300, 50))
+	is.True(!at(3400, 150)) // and again only after a while
+}
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -143,6 +143,8 @@
 	Jobs    int               `json:"jobs_unfinished"`
 	Known   int               `json:"ids_remembered"`
 	Wait    string            `json:"initial_wait,omitempty"`
+	Behind  bool              `json:"behind,omitempty"` // with its control work, for long
+	LagMS   int64             `json:"lag_ms"`
 	Wall    string            `json:"cluster_time"`
 	Peers   []membership.Peer `json:"mates"`
 	Sums    Sums              `json:"sums"`
@@ -153,6 +155,7 @@
 	v := StatusView{Role: "controller", Program: h.options.Issue, ID: c.ID(), Cluster: c.Name(), Part: c.Role(), Why: c.Why(),
 		Ready: h.Ready(), Term: c.Term(), Leader: c.Leader(), Commit: c.Commit(), Roll: c.Roll(), Version: h.state.Table.Version,
 		Jobs: len(h.state.Live()), Known: len(h.state.Jobs) + h.state.Marks(), Peers: h.roster.Peers(), Sums: h.Sums,
+		Behind: h.overload.isBehind, LagMS: h.overload.load.Control.Milliseconds(),
 		Wall: time.Unix(0, int64(h.raft.Clock())+int64(h.state.Off)).UTC().Format(time.RFC3339Nano)}
 	if h.scheduler != nil && h.scheduler.Wait {
 		v.Wait = h.scheduler.Why
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -15,6 +15,10 @@
 	c.rest()
 	c.role, c.pre, c.votes = stand, pre, map[types.ID]bool{c.self.ID: true}
 	c.leader, c.leadAt = "", ""
+	c.reliefs = 0
+	if named {
+		c.reliefs = c.heirReliefs
+	}
 	next := c.vow.Term + 1
 	c.ruled = max(c.heard, c.led)
 	if !pre {
@@ -161,6 +165,11 @@
 
 // HandOver names a successor: the voter that is furthest on and heard of last.
 func (c *Node) HandOver(now types.Now) bool {
+	c.heirReliefs = 0
+	return c.handOver(now, func(*track) bool { return true })
+}
+
+func (c *Node) handOver(now types.Now, eligible func(*track) bool) bool {
 	c.now = now
 	if c.role != lead || c.heir != "" {
 		return false
@@ -168,7 +177,7 @@
 	var best *track
 	for _, m := range c.roll {
 		t := c.peer(m.ID)
-		if m.Vote && m.ID != c.self.ID && now.Mono.Sub(t.heard) < c.pace.Least && (best == nil || t.match > best.match) {
+		if m.Vote && m.ID != c.self.ID && now.Mono.Sub(t.heard) < c.pace.Least && eligible(t) && (best == nil || t.match > best.match) {
 			best, c.heir = t, m.ID
 		}
 	}
@@ -178,6 +187,7 @@
 
 func (c *Node) onHeir(_ types.Addr, h heir) {
 	if h.Name == c.name && h.To == c.self.ID && h.Term == c.vow.Term && c.role == follow && !c.stuck() && !c.going {
+		c.heirReliefs = h.Reliefs
 		c.campaign(false, true)
 	}
 }
--- a/internal/raft/messages.go
+++ b/internal/raft/messages.go
@@ -142,6 +142,8 @@
 	Round types.Stamp `json:"round"`
 	Wall  types.Wall  `json:"wall"`
 	Parts int         `json:"parts,omitempty"` // of a snapshot that is coming
+	// LagMS is how far the loop of the member's daemon is behind with control work.
+	LagMS int64 `json:"lag_ms,omitempty"`
 }
 
 type snap struct {
@@ -155,6 +157,8 @@
 	Name string     `json:"name"`
 	To   types.ID   `json:"to"`
 	Term types.Term `json:"term"`
+	// Reliefs is how many leaders in a row handed over since they were behind.
+	Reliefs int `json:"reliefs,omitempty"`
 }
 
 type join struct {
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -8,6 +8,7 @@
 	"encoding/json"
 	"math/rand"
 	"sort"
+	"time"
 
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -37,6 +38,7 @@
 	off         types.Wall
 	sent        types.Stamp
 	part        int // of the snapshot that it has
+	lag         time.Duration
 }
 
 // Node is one member. It is owned by one goroutine and does no I/O.
@@ -68,32 +70,35 @@
 	held  []held
 	stall types.Stamp
 
-	now     types.Now
-	tick    types.Tick
-	tickAt  types.Stamp
-	tickOf  types.Term // whose clock it follows
-	boot    types.Stamp
-	heard   types.Stamp
-	wait    types.Stamp
-	leader  types.ID
-	leadAt  types.Addr
-	votes   map[types.ID]bool
-	led     types.Stamp // when this member led last
-	ruled   types.Stamp // until when an earlier leader can have had authority
-	pre     bool
-	peers   map[types.ID]*track
-	first   types.Index
-	calm    types.Stamp // when a voter was last silent, to this leader
-	pulse   types.Stamp
-	heir    types.ID
-	heirBy  types.Stamp
-	going   bool // this member is about to stop and takes no duty
-	pledge  *Charter
-	pledged types.Stamp
-	offers  map[types.ID]bool
-	seen    []Seen
-	others  []types.Addr // daemons that are no controllers
-	asked   types.Stamp
+	now    types.Now
+	tick   types.Tick
+	tickAt types.Stamp
+	tickOf types.Term // whose clock it follows
+	boot   types.Stamp
+	heard  types.Stamp
+	wait   types.Stamp
+	leader types.ID
+	leadAt types.Addr
+	votes  map[types.ID]bool
+	led    types.Stamp // when this member led last
+	ruled  types.Stamp // until when an earlier leader can have had authority
+	pre    bool
+	peers  map[types.ID]*track
+	first  types.Index
+	calm   types.Stamp // when a voter was last silent, to this leader
+	pulse  types.Stamp
+	heir   types.ID
+	heirBy types.Stamp
+	lag    time.Duration // how far this member's loop is behind
+
+	heirReliefs, reliefs int  // leaders in a row that handed over since they were behind
+	going                bool // this member is about to stop and takes no duty
+	pledge               *Charter
+	pledged              types.Stamp
+	offers               map[types.ID]bool
+	seen                 []Seen
+	others               []types.Addr // daemons that are no controllers
+	asked                types.Stamp
 
 	sends  []wire.Send
 	writes []Record
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -63,7 +63,7 @@
 func (c *Node) flush() {
 	if c.heir != "" && c.peer(c.heir).match == c.last() {
 		m, _ := c.roll.Find(c.heir)
-		c.say(m.Addr, wire.Heir, heir{c.name, c.heir, c.vow.Term})
+		c.say(m.Addr, wire.Heir, heir{c.name, c.heir, c.vow.Term, c.heirReliefs})
 		c.retire()
 		return
 	}
@@ -133,7 +133,7 @@
 	if !c.meet(from, p) {
 		return
 	}
-	a := taken{Name: c.name, ID: c.self.ID, Term: c.vow.Term, Round: p.Round, Wall: c.now.Wall}
+	a := taken{Name: c.name, ID: c.self.ID, Term: c.vow.Term, Round: p.Round, Wall: c.now.Wall, LagMS: c.lag.Milliseconds()}
 	t, ok := c.term(p.Prev)
 	if p.Prev < c.snap.Index {
 		skip := min(int(c.snap.Index-p.Prev), len(p.Entries))
@@ -243,7 +243,7 @@
 	if a.Round > t.round {
 		t.round, t.off = a.Round, a.Wall-types.Wall(c.Clock())
 	}
-	t.heard = c.now.Mono
+	t.heard, t.lag = c.now.Mono, time.Duration(a.LagMS)*time.Millisecond
 	if a.Parts > 0 {
 		t.part, t.sent = a.Parts, never
 		return
