--- a/cmd/coppercourse/daemons.go
+++ b/cmd/coppercourse/daemons.go
@@ -27,6 +27,7 @@
 	"coppercourse/internal/membership"
 	"coppercourse/internal/server"
 	"coppercourse/internal/settings"
+	"coppercourse/internal/types"
 	"coppercourse/internal/wal"
 )
 
@@ -143,10 +144,10 @@
 	ctx     context.Context
 	log     logr.Logger
 	s       settings.Settings
-	ports   func(*server.Pages) []server.Port // further addresses to listen on
-	publish func(config.Table, bool)          // gateway: takes each table, and whether it is fresh
-	caller  server.Caller                     // agent: calls the worker
-	said    string                            // the state that was logged last
+	ports   func(*server.Pages) []server.Port                // further addresses to listen on
+	publish func(t config.Table, confirmedUntil types.Stamp) // gateway: takes each table, and until when it may be used
+	caller  server.Caller                                    // agent: calls the worker
+	said    string                                           // the state that was logged last
 }
 
 // serve runs the daemon's pages on its own address and on those of the platform
@@ -188,7 +189,8 @@
 	var ready atomic.Bool
 	o.Show = func() any {
 		v := m.Status()
-		d.state("part", v.Part, "term", v.Term, "leader", v.Leader, "reason", v.Why, "waits", v.Wait != "", "members", len(v.Roll), "voters", v.Roll.Voters())
+		d.state("part", v.Part, "term", v.Term, "leader", v.Leader, "reason", v.Why, "waits", v.Wait != "", "members", len(v.Roll), "voters", v.Roll.Voters(),
+			"behind", v.Behind, "relieved", v.Sums.Relieved)
 		return v
 	}
 	o.After = func() { ready.Store(m.Ready()) }
@@ -213,10 +215,10 @@
 	entry := &server.Entry{}
 	o.After = func() {
 		ready.Store(m.Ready())
-		t, fresh := m.Table()
-		entry.Publish(t, fresh)
+		t, _ := m.Table()
+		entry.Publish(t, m.ConfirmedUntil())
 		if d.publish != nil {
-			d.publish(t, fresh)
+			d.publish(t, m.ConfirmedUntil())
 		}
 	}
 	p := &server.Pages{Owner: o, Post: post, Trail: m.Trail, Ready: ready.Load}
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -15,6 +15,10 @@
 	n.resetElectionTimer()
 	n.role, n.preVoting, n.votes = candidate, pre, map[types.ID]bool{n.self.ID: true}
 	n.leaderID, n.leaderAddr = "", ""
+	n.overloadTransfers = 0
+	if named {
+		n.overloadTransfers = n.announcedTransfers
+	}
 	next := n.voteRecord.Term + 1
 	n.priorAuthority = max(n.leaderHeardAt, n.lastLedAt)
 	if !pre {
@@ -163,6 +167,12 @@
 
 // TransferLeadership picks a target: the reachable voter with the longest log.
 func (n *Node) TransferLeadership(now types.Now) bool {
+	n.announcedTransfers = 0
+	return n.transferTo(now, func(*progress) bool { return true })
+}
+
+// transferTo picks the eligible reachable voter with the longest log.
+func (n *Node) transferTo(now types.Now, eligible func(*progress) bool) bool {
 	n.now = now
 	if n.role != leader || n.transferTarget != "" {
 		return false
@@ -170,7 +180,7 @@
 	var best *progress
 	for _, m := range n.config {
 		t := n.progressOf(m.ID)
-		if m.Voter && m.ID != n.self.ID && now.Mono.Sub(t.heardAt) < n.timeouts.ElectionMin && (best == nil || t.match > best.match) {
+		if m.Voter && m.ID != n.self.ID && now.Mono.Sub(t.heardAt) < n.timeouts.ElectionMin && eligible(t) && (best == nil || t.match > best.match) {
 			best, n.transferTarget = t, m.ID
 		}
 	}
@@ -180,6 +190,7 @@
 
 func (n *Node) onTimeoutNow(_ types.Addr, h timeoutNow) {
 	if h.Name == n.name && h.To == n.self.ID && h.Term == n.voteRecord.Term && n.role == follower && !n.diskStalled() && !n.stopping {
+		n.announcedTransfers = h.OverloadTransfers
 		n.campaign(false, true)
 	}
 }
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -7,6 +7,7 @@
 	"encoding/json"
 	"math/rand"
 	"sort"
+	"time"
 
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -35,7 +36,8 @@
 	heardAt     types.Stamp
 	wallOffset  types.Wall
 	sentAt      types.Stamp
-	part        int // of the snapshot that it has
+	part        int           // of the snapshot that it has
+	lag         time.Duration // of the event loop of its daemon
 }
 
 // Node is one member. It is owned by one goroutine and does no I/O.
@@ -86,13 +88,17 @@
 	lastRoundAt      types.Stamp
 	transferTarget   types.ID
 	transferDeadline types.Stamp
-	stopping         bool // this member is about to stop and takes no duty
-	promised         *BootstrapConfig
-	promisedAt       types.Stamp
-	promises         map[types.ID]bool
-	controllers      []Discovered
-	otherDaemons     []types.Addr // daemons that are no controllers
-	lastRequestAt    types.Stamp
+	lag              time.Duration // of the event loop of this daemon
+	// Leaders in a row, up to this one, that transferred leadership since they were
+	// overloaded; and what a target is told of that.
+	overloadTransfers, announcedTransfers int
+	stopping                              bool // this member is about to stop and takes no duty
+	promised                              *BootstrapConfig
+	promisedAt                            types.Stamp
+	promises                              map[types.ID]bool
+	controllers                           []Discovered
+	otherDaemons                          []types.Addr // daemons that are no controllers
+	lastRequestAt                         types.Stamp
 
 	sends        []wire.Send
 	writes       []Record
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -65,7 +65,7 @@
 func (n *Node) replicate() {
 	if n.transferTarget != "" && n.progressOf(n.transferTarget).match == n.lastIndex() {
 		m, _ := n.config.Find(n.transferTarget)
-		n.send(m.Addr, wire.Heir, timeoutNow{n.name, n.transferTarget, n.voteRecord.Term})
+		n.send(m.Addr, wire.Heir, timeoutNow{n.name, n.transferTarget, n.voteRecord.Term, n.announcedTransfers})
 		n.stepDown()
 		return
 	}
@@ -134,7 +134,7 @@
 	if !n.acceptLeader(from, p) {
 		return
 	}
-	a := appendReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term, Round: p.Round, Wall: n.now.Wall}
+	a := appendReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term, Round: p.Round, Wall: n.now.Wall, LagMS: n.lag.Milliseconds()}
 	t, ok := n.termAt(p.PrevIndex)
 	if p.PrevIndex < n.snapshot.Index {
 		skip := min(int(n.snapshot.Index-p.PrevIndex), len(p.Entries))
@@ -244,7 +244,7 @@
 	if a.Round > t.round {
 		t.round, t.wallOffset = a.Round, a.Wall-types.Wall(n.Clock())
 	}
-	t.heardAt = n.now.Mono
+	t.heardAt, t.lag = n.now.Mono, time.Duration(a.LagMS)*time.Millisecond
 	if a.Parts > 0 {
 		t.part, t.sentAt = a.Parts, never
 		return
--- a/internal/wire/step.go
+++ b/internal/wire/step.go
@@ -21,6 +21,16 @@
 	Synced  uint64       // the batch with this Seq is on disk
 	Reply   *WorkerReply // the result of a call to the worker
 	Close   bool         // the daemon is asked to stop
+	Load    Load         // how far the event loop is behind
+}
+
+// Load is how far the loop that carries the machine is behind, as measured by the
+// loop when it took the event.
+type Load struct {
+	Age     time.Duration // how long this event has waited
+	Control time.Duration // how long the oldest event of the control classes has waited
+	Callers time.Duration // how long the oldest request of a caller has waited
+	Waiting bool          // more events wait
 }
 
 // Ask is a client's request, to be answered under its token. Limit is how long
