--- a/cmd/coppercourse/daemons.go
+++ b/cmd/coppercourse/daemons.go
@@ -149,12 +149,9 @@
 
 func runController(d *daemon) error {
 	s := d.s
-	file, recs, spoilt, err := wal.Open(s.Data)
+	file, recs, err := server.OpenLog(d.ctx, d.log, wal.Disk{}, s.Data, s.Listen)
 	if err != nil {
-		return err
-	}
-	if spoilt != "" {
-		d.log.Error(nil, "the data file is damaged; put aside, starting as a new member", "kept", spoilt)
+		return nil // stopped while it waited for its disk
 	}
 	post := server.NewPost(context.Background(), s.Source)
 	o := server.NewOwner(post, file)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -49,6 +49,9 @@
 	raft      *raft.Node
 	roster    *membership.Roster
 	state     *state.State
+	loader    *state.Loader // of a snapshot that is being read back, or nil
+	loaded    types.Index   // the entry that it stands for
+	disk      error         // why the disk refuses, until it takes writes again
 	applied   types.Index
 	scheduler *dispatch.Scheduler
 	desk      *configwatch.Desk
@@ -89,16 +92,6 @@
 	Steps, Applied, Calls, Refused, Orders, Ends, Elected, Lost uint64
 }
 
-// Every is how many entries the log grows at least before it is put together,
-// and it must have grown to a good part of what it would be put together to, so
-// that the file is not rewritten more often than it is worth. Slice is about
-// how many bytes of a snapshot one step writes out.
-const (
-	Every = 4096
-	Far   = 50_000
-	slice = 64 << 10
-)
-
 // New starts a controller from the records of its disk.
 func New(now types.Now, rnd *rand.Rand, p Options, recs [][]byte) *Controller {
 	me := raft.Member{Addr: p.Addr, Zone: p.Zone}
@@ -108,24 +101,12 @@
 		tasks: map[types.Queue]float64{}, habits: map[types.Queue]*habit{}, courses: map[types.JobID][]course{}, Trail: trace.New()}
 	h.roster = membership.New(rnd, h.card(), p.Seeds)
 	h.desk = configwatch.NewDesk(p.Addr)
-	h.load()
+	h.state = state.New()
+	h.beginLoad()
+	h.loadPart()
 	return h
 }
 
-func (h *Controller) load() {
-	s := h.raft.State()
-	st, err := state.Restore(s.Parts)
-	if err != nil {
-		panic(err)
-	}
-	h.state, h.applied, h.since = st, s.Index, s.Index
-	h.shot = 0
-	for _, b := range s.Parts {
-		h.shot += len(b)
-	}
-	h.raft.Wind(st.Tick)
-}
-
 func (h *Controller) card() membership.Card {
 	return membership.Card{Addr: h.options.Addr, ID: h.raft.ID(), Role: "controller", Zone: h.options.Zone, Name: h.raft.Name(),
 		Term: h.raft.Term(), Leads: h.raft.Leads() && !h.drain, Part: h.raft.Role(), Ready: h.Ready(), Issue: h.options.Issue}
@@ -134,7 +115,7 @@
 // Ready tells whether the platform may send callers here: a controller that knows a
 // leader of now, or is it.
 func (h *Controller) Ready() bool {
-	return !h.drain && h.raft.Name() != "" && (h.raft.Leads() && h.raft.Firm() || !h.raft.Leads() && h.raft.Leader() != "")
+	return !h.drain && h.disk == nil && h.loader == nil && h.raft.Name() != "" && (h.raft.Leads() && h.raft.Firm() || !h.raft.Leads() && h.raft.Leader() != "")
 }
 
 // Step takes one event.
@@ -147,7 +128,11 @@
 	case e.Ask != nil:
 		h.ask(waiter{token: e.Ask.Token}, wire.CallBody{Verb: e.Ask.Verb, Arg: e.Ask.Arg, Body: e.Ask.Body})
 	case e.Synced > 0:
+		h.disk = nil
 		h.raft.Synced(e.Now, e.Synced)
+	case e.Disk != nil:
+		h.disk = e.Disk
+		h.raft.DiskFailed(e.Now)
 	case e.Close:
 		h.close()
 	default:
@@ -158,6 +143,7 @@
 	var out wire.Out
 	h.writeSnapshotPart()
 	h.roster.Me(h.card())
+	out.Instead = h.raft.Instead()
 	out.Sends, out.Batch, out.Seq, out.Whole = h.raft.Out()
 	out.Sends = append(append(out.Sends, h.sends...), h.roster.Out()...)
 	out.Answers = h.answers
@@ -166,29 +152,6 @@
 	return out
 }
 
-// shoot puts the log together, a little a step.
-func (h *Controller) writeSnapshotPart() {
-	if !h.state.Shooting() {
-		n := h.applied - h.since
-		every := h.options.Every
-		if every == 0 {
-			every = Every
-		}
-		if n <= every || h.raft.Grown() < h.shot/2 && n < Far {
-			return
-		}
-		h.since = h.applied
-		h.state.Begin()
-	}
-	if parts := h.state.Shoot(slice); parts != nil {
-		h.shot = 0
-		for _, b := range parts {
-			h.shot += len(b)
-		}
-		h.raft.Compact(h.since, parts)
-	}
-}
-
 func (h *Controller) take(n wire.Message) {
 	switch {
 	case h.roster.Take(h.now.Mono, n):
@@ -211,6 +174,7 @@
 
 func (h *Controller) tick() {
 	h.moved = true
+	h.loadPart()
 	h.roster.Tick(h.now.Mono)
 	var seen []raft.Seen
 	for _, c := range h.roster.Controllers() {
@@ -243,12 +207,17 @@
 	h.raft.Leave(h.now)
 }
 
-// catch brings the state up to what is committed.
+// applyCommitted brings the state up to what is committed, a bounded number of
+// entries a step.
 func (h *Controller) applyCommitted() {
-	if s := h.raft.State(); s.Index > h.applied {
-		h.load()
+	if h.replaced() {
+		h.beginLoad()
+		h.loadPart() // a small one at once, a large one as time passes
+	}
+	if h.loader != nil {
+		return
 	}
-	for h.applied < h.raft.Commit() {
+	for most := h.applied + applyAtOnce; h.applied < h.raft.Commit() && h.applied < most; {
 		h.applied++
 		e := h.raft.Entry(h.applied)
 		h.Sums.Applied++
@@ -328,7 +297,7 @@
 		return
 	}
 	if h.scheduler == nil {
-		if !h.raft.Firm() {
+		if !h.raft.Firm() || h.lags() {
 			return
 		}
 		h.Sums.Elected++
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -160,6 +160,14 @@
 	if n := c.Roll().Votes(); n > 0 {
 		v.Bears = (n - 1) / 2
 	}
+	switch {
+	case h.disk != nil:
+		v.Why = "the disk refuses, so this member has no vote and no duty: " + h.disk.Error()
+	case c.Stuck():
+		v.Why = "the disk does not answer, so this member has no duty"
+	case h.loader != nil:
+		v.Why = "reading a snapshot back"
+	}
 	if v.Why == "" && c.Name() != "" && v.Bears < h.options.Loses {
 		v.Why = fmt.Sprintf("%d voters bear the loss of %d at once, and the settings ask for %d", c.Roll().Votes(), v.Bears, h.options.Loses)
 	}
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -177,7 +177,7 @@
 }
 
 func (c *Node) onHeir(_ types.Addr, h heir) {
-	if h.Name == c.name && h.To == c.self.ID && h.Term == c.vow.Term && c.role == follow && !c.stuck() && !c.going {
+	if h.Name == c.name && h.To == c.self.ID && h.Term == c.vow.Term && c.role == follow && !c.stuck() && !c.loading && !c.going {
 		c.campaign(false, true)
 	}
 }
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -37,6 +37,7 @@
 	off         types.Wall
 	sent        types.Stamp
 	part        int // of the snapshot that it has
+	flow        flow
 }
 
 // Node is one member. It is owned by one goroutine and does no I/O.
@@ -95,9 +96,11 @@
 	others  []types.Addr // daemons that are no controllers
 	asked   types.Stamp
 
-	sends  []wire.Send
-	writes []Record
-	whole  bool
+	sends   []wire.Send
+	writes  []Record
+	whole   bool
+	instead []Record // of a compaction: what would be appended without it; nil if the file must be replaced
+	loading bool     // the state is still being read back
 }
 
 // New starts a member from the records of its disk. fresh is the identity to
@@ -222,6 +225,9 @@
 		}
 	}
 	c.writes = append(c.writes, r)
+	if c.instead != nil {
+		c.instead = append(c.instead, r)
+	}
 }
 
 func (c *Node) swear(v Vow) {
@@ -239,6 +245,9 @@
 		c.sends = append(c.sends, s)
 		return
 	}
+	if kind == wire.Append2 && c.stuck() {
+		c.dropHeld(s)
+	}
 	c.held = append(c.held, held{seq, c.vow.Term, s})
 }
 
@@ -270,7 +279,15 @@
 		c.led = c.now.Mono
 		c.flush()
 	}
-	for _, r := range c.writes {
+	batch = encode(c.writes)
+	sends, seq, whole = c.sends, c.wrote, c.whole
+	c.sends, c.writes, c.whole, c.instead = nil, nil, false, nil
+	return
+}
+
+// encode writes records as they stand in the file.
+func encode(list []Record) (batch [][]byte) {
+	for _, r := range list {
 		if r.part != nil {
 			batch = append(batch, r.part)
 			continue
@@ -281,14 +298,7 @@
 		}
 		batch = append(batch, b)
 	}
-	sends, seq, whole = c.sends, c.wrote, c.whole
-	c.sends, c.writes, c.whole = nil, nil, false
-	return
-}
-
-// stuck is true when the disk has not answered for as long as a duty may wait.
-func (c *Node) stuck() bool {
-	return c.wrote > c.done && c.now.Mono.Sub(c.stall) > c.pace.Stall
+	return batch
 }
 
 // Tick lets time pass.
@@ -305,7 +315,7 @@
 		c.asked = now.Mono
 		c.knock()
 	}
-	if (c.role == follow || c.role == stand) && now.Mono >= c.wait && !c.stuck() && !c.going {
+	if (c.role == follow || c.role == stand) && now.Mono >= c.wait && !c.stuck() && !c.loading && !c.going {
 		c.campaign(true, false)
 	}
 }
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -14,6 +14,7 @@
 
 const (
 	bunch   = 256
+	bulk    = 1 << 20 // bytes of entries that one record of the file holds, but for a larger entry
 	longest = 120_000 // entries that a log may have before it takes no more
 )
 
@@ -78,16 +79,22 @@
 		t := c.peer(m.ID)
 		if c.now.Mono.Sub(t.heard) > c.pace.Least { // silent: only asked whether it is there
 			if due {
-				t.next = t.match + 1
+				t.next, t.flow = t.match+1, flow{}
 				c.probe(m, t)
 			}
 			continue
 		}
-		if due && t.match+1 < t.next && c.now.Mono.Sub(t.sent) > 2*c.pace.Beat {
+		if due && t.match+1 < t.next && c.now.Mono.Sub(t.sent) > t.flow.patience(2*c.pace.Beat) {
 			t.next = t.match + 1
+			t.flow.lost()
 		}
 		flying := t.match+1 < t.next && c.now.Mono.Sub(t.sent) < c.pace.Beat
-		if due || t.next <= c.last() && !flying {
+		switch {
+		case t.match+1 < t.next && t.flow.full():
+			if due {
+				c.probe(m, t)
+			}
+		case due || t.next <= c.last() && !flying:
 			c.feed(m, t)
 		}
 	}
@@ -108,7 +115,10 @@
 func (c *Node) feed(m Member, t *track) {
 	p := c.push(m, t.next-1)
 	if t.next <= c.snap.Index {
-		if c.now.Mono.Sub(t.sent) > 5*c.pace.Beat && c.snap.Count > 0 {
+		if c.now.Mono.Sub(t.sent) > t.flow.patience(5*c.pace.Beat) && c.snap.Count > 0 {
+			if t.sent != never {
+				t.flow.lost()
+			}
 			t.sent, p.Prev, p.PrevT = c.now.Mono, c.snap.Index, c.snap.Term
 			t.part = min(t.part, c.snap.Count-1)
 			c.say(m.Addr, wire.Snap, snap{p, c.snap, t.part, c.snap.Parts[t.part]})
@@ -117,7 +127,7 @@
 	}
 	if t.next <= c.last() {
 		rest := c.log[t.next-c.snap.Index-1:]
-		p.Entries = rest[:min(len(rest), bunch)]
+		p.Entries = t.flow.take(rest)
 		t.next += types.Index(len(p.Entries))
 		t.sent = c.now.Mono
 	}
@@ -245,17 +255,25 @@
 	}
 	t.heard = c.now.Mono
 	if a.Parts > 0 {
-		t.part, t.sent = a.Parts, never
+		if a.Parts != t.part { // else it is of a part that was sent twice
+			t.flow.answered(c.now.Mono.Sub(t.sent), c.pace.Least)
+			t.part, t.sent = a.Parts, never
+		}
 		return
 	}
 	if !a.OK {
-		t.part = 0
+		t.part, t.flow.flying = 0, 0
 		t.match = min(t.match, a.Match)
 		t.next = a.Match + 1
 		return
 	}
-	t.match = max(t.match, a.Match)
-	t.next = max(t.next, t.match+1)
+	if a.Match > t.match {
+		t.match = a.Match
+		t.next = max(t.next, t.match+1)
+		if t.next == t.match+1 {
+			t.flow.answered(c.now.Mono.Sub(t.sent), c.pace.Least)
+		}
+	}
 	c.advance()
 }
 
@@ -289,13 +307,18 @@
 	for _, m := range c.peers {
 		m.part = 0
 	}
+	instead := append([]Record{}, c.writes...)
+	if c.whole {
+		instead = nil
+	}
 	c.rewrite()
+	c.instead = instead
 	c.marked()
 }
 
 // rewrite gathers the records that stand for everything.
 func (c *Node) rewrite() {
-	c.writes = nil
+	c.writes, c.instead = nil, nil
 	v, s := c.vow, c.snap
 	c.write(Record{Self: &Self{c.self.ID, c.origin.First}})
 	c.write(Record{Charter: &Charter{Name: c.name, Roll: s.Roll}})
@@ -304,8 +327,10 @@
 	for _, b := range s.Parts {
 		c.write(Record{part: b})
 	}
-	if len(c.log) > 0 {
-		c.write(Record{Entries: c.log})
+	for rest := c.log; len(rest) > 0; {
+		n := within(rest, bulk)
+		c.write(Record{Entries: rest[:n]})
+		rest = rest[n:]
 	}
 	c.whole = true
 }
--- a/internal/server/owner.go
+++ b/internal/server/owner.go
@@ -1,12 +1,11 @@
 // Package server is the shell round a state machine: the one goroutine that owns
-// it, the disk writer, the outgoing posts and the HTTP pages. What the machine
+// it, the disk writer (disk.go), the outgoing posts and the HTTP pages. What the machine
 // shows is published as immutable values behind atomic pointers.
 package server
 
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"sync/atomic"
 	"time"
 
@@ -58,7 +57,7 @@
 	o := &Owner{post: post, in: make(chan event, inbox), closed: make(chan struct{}), asks: map[uint64]chan wire.Answer{},
 		slots: make(chan struct{}, callsAtOnce)}
 	if file != nil {
-		o.disk = &Disk{file: file, in: make(chan batch, 1024), done: o.synced}
+		o.disk = NewDisk(file, o.synced, o.diskFailed)
 	}
 	return o
 }
@@ -66,14 +65,7 @@
 // Carry sets the machine; it must be called before Run.
 func (o *Owner) Carry(m wire.Machine) { o.m = m }
 
-func (o *Owner) synced(seq uint64) {
-	select {
-	case o.in <- event{Event: wire.Event{Synced: seq}}:
-	case <-o.closed:
-	}
-}
-
-// Note gives the machine a message; false when its inbox is full.
+// Message gives the machine a message; false when its inbox is full.
 func (o *Owner) Message(n wire.Message) bool {
 	select {
 	case o.in <- event{Event: wire.Event{Message: &n}}:
@@ -154,7 +146,7 @@
 		o.call(c)
 	}
 	if out.Batch != nil {
-		o.disk.in <- batch{out.Batch, out.Seq, out.Whole}
+		o.disk.Write(Batch{Records: out.Batch, Seq: out.Seq, Whole: out.Whole, Instead: out.Instead})
 	}
 	for _, a := range out.Answers {
 		if back := o.asks[a.Token]; back != nil {
@@ -172,62 +164,3 @@
 		o.view.Store(&b)
 	}
 }
-
-type batch struct {
-	list  [][]byte
-	seq   uint64
-	whole bool
-}
-
-// Disk is the one writer of the file. All batches that wait are synced as one.
-type Disk struct {
-	file *wal.File
-	in   chan batch
-	done func(uint64)
-}
-
-var errDisk = errors.New("disk")
-
-func (d *Disk) Run(ctx context.Context) error {
-	rest := time.NewTimer(wal.Rest)
-	defer rest.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return d.file.Close()
-		case <-rest.C:
-			if err := d.file.Seal(); err != nil {
-				return errors.Join(errDisk, err)
-			}
-		case b := <-d.in:
-			group := []batch{b}
-			for len(d.in) > 0 {
-				group = append(group, <-d.in)
-			}
-			if err := d.write(group); err != nil {
-				return errors.Join(errDisk, err)
-			}
-			d.done(group[len(group)-1].seq)
-			rest.Reset(wal.Rest)
-		}
-	}
-}
-
-func (d *Disk) write(group []batch) error {
-	var list [][]byte
-	for i, b := range group {
-		if b.whole {
-			if err := d.file.Rewrite(b.list); err != nil {
-				return err
-			}
-			return d.write(group[i+1:])
-		}
-	}
-	for _, b := range group {
-		list = append(list, b.list...)
-	}
-	if list == nil {
-		return nil
-	}
-	return d.file.Append(list)
-}
--- a/internal/server/post.go
+++ b/internal/server/post.go
@@ -84,9 +84,10 @@
 	return
 }
 
-// NewPost makes a sender whose connections come from the given IP, if any.
+// NewPost makes a sender whose connections come from the given IP, if any. The
+// time of each request goes by its size, so the client has no bound of its own.
 func NewPost(ctx context.Context, source string) *Post {
-	return &Post{ctx: ctx, client: Client(source, 2*time.Second), lanes: map[types.Addr]*lane{}}
+	return &Post{ctx: ctx, client: Client(source, 0), lanes: map[types.Addr]*lane{}}
 }
 
 // Send puts a note into its lane; a full lane drops its oldest.
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -77,6 +77,7 @@
 		return nil
 	}})
 	if p.Owner.disk != nil {
+		p.Owner.disk.logger = log
 		kids = append(kids, supervisor.Child{Name: "disk", Vital: true, Run: p.Owner.disk.Run})
 	}
 	return supervisor.Run(root, log, supervisor.Branch(log, "daemon", kids...))
--- /dev/null
+++ b/internal/server/waiting.go
@@ -0,0 +1,86 @@
+package server
+
+import (
+	"context"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"github.com/go-logr/logr"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/wal"
+	"coppercourse/internal/wire"
+)
+
+// OpenLog opens the log of a data folder, and waits for a disk that refuses: a
+// daemon without its log may neither vote nor lead, and doesn't know yet what it
+// has promised, but ending itself would mend nothing. While it waits, its inner
+// address tells that it is alive, not ready, and why. The error is that of ctx.
+func OpenLog(ctx context.Context, log logr.Logger, storage wal.Storage, dir, listen string) (*wal.File, [][]byte, error) {
+	page := &waitingPage{}
+	defer page.close()
+	for failures := 1; ; failures++ {
+		file, records, spoilt, err := wal.Open(storage, dir)
+		if spoilt != "" {
+			log.Error(nil, "the data file is damaged; put aside, starting as a new member", "kept", spoilt)
+		}
+		if err == nil {
+			return file, records, nil
+		}
+		if failures == 1 || retryPause(failures) > retryPause(failures-1) {
+			log.Error(err, "the log can't be opened; trying again", "failures", failures, "pause", retryPause(failures).String())
+		}
+		page.show(ctx, log, listen, err)
+		select {
+		case <-ctx.Done():
+			return nil, nil, ctx.Err()
+		case <-time.After(retryPause(failures)):
+		}
+	}
+}
+
+// waitingPage answers for a daemon that has not opened its log.
+type waitingPage struct {
+	reason atomic.Value
+	server *http.Server
+}
+
+// show tells why the daemon waits, from now on.
+func (p *waitingPage) show(ctx context.Context, log logr.Logger, listen string, why error) {
+	p.reason.Store(why.Error())
+	if p.server != nil || listen == "" {
+		return
+	}
+	ln, err := Listen(ctx, listen)
+	if err != nil {
+		log.Error(err, "no page while waiting")
+		return
+	}
+	p.server = &http.Server{Handler: p, ReadHeaderTimeout: time.Second}
+	go p.server.Serve(ln)
+}
+
+func (p *waitingPage) close() {
+	if p.server != nil {
+		p.server.Close()
+	}
+}
+
+func (p *waitingPage) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+	reason := "the log can't be opened: " + p.reason.Load().(string)
+	switch q.URL.Path {
+	case "/live":
+		write(w, http.StatusOK, []byte(`{"live":true}`))
+	case "/v1/status":
+		write(w, http.StatusOK, wire.Body(waitingStatus{Reason: reason}))
+	default:
+		Fail(w, apierror.New(apierror.NotReady, "", reason))
+	}
+}
+
+// waitingStatus is what a status page says before there is a member.
+type waitingStatus struct {
+	Ready  bool   `json:"ready"`
+	Reason string `json:"reason"`
+}
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -100,26 +100,58 @@
 	}
 }
 
-// Restore reads a snapshot's parts; none gives the state before the first fact.
+// Loader reads a snapshot back, a bounded piece at a time.
+type Loader struct {
+	state *State
+	parts [][]byte
+}
+
+// NewLoader starts reading a snapshot's parts; none gives the state before the
+// first fact.
+func NewLoader(parts [][]byte) *Loader { return &Loader{state: New(), parts: parts} }
+
+// Load reads parts for about so many bytes, one at least, and gives the state
+// once it is whole.
+func (l *Loader) Load(budget int) (*State, error) {
+	for budget > 0 && len(l.parts) > 0 {
+		budget -= len(l.parts[0])
+		if err := l.state.restore(l.parts[0]); err != nil {
+			return nil, err
+		}
+		l.parts = l.parts[1:]
+	}
+	if len(l.parts) > 0 {
+		return nil, nil
+	}
+	l.state.index()
+	return l.state, nil
+}
+
+// Restore reads all of a snapshot at once.
 func Restore(parts [][]byte) (*State, error) {
-	s := New()
+	size := 1
 	for _, b := range parts {
-		var p struct {
-			Head  *head  `json:"head"`
-			Jobs  []*Job `json:"jobs"`
-			Marks []line `json:"marks"`
-		}
-		p.Head = &s.head
-		if err := json.Unmarshal(b, &p); err != nil {
-			return nil, apierror.Wrap(apierror.Unfit, err, "snapshot")
-		}
-		for _, j := range p.Jobs {
-			s.Jobs[j.ID] = j
-		}
-		for _, l := range p.Marks {
-			s.marks.put(l.id, l.trace)
-		}
+		size += len(b)
+	}
+	return NewLoader(parts).Load(size)
+}
+
+// restore takes over one part.
+func (s *State) restore(b []byte) error {
+	var p struct {
+		Head  *head  `json:"head"`
+		Jobs  []*Job `json:"jobs"`
+		Marks []line `json:"marks"`
+	}
+	p.Head = &s.head
+	if err := json.Unmarshal(b, &p); err != nil {
+		return apierror.Wrap(apierror.Unfit, err, "snapshot")
+	}
+	for _, j := range p.Jobs {
+		s.Jobs[j.ID] = j
+	}
+	for _, l := range p.Marks {
+		s.marks.put(l.id, l.trace)
 	}
-	s.index()
-	return s, nil
+	return nil
 }
--- a/internal/wal/file.go
+++ b/internal/wal/file.go
@@ -1,91 +1,136 @@
-// The real file: opened and scanned at start, appended and synced in groups by
-// one writer, rewritten whole under a second name and renamed when it is long.
+// The log on a file system: opened and scanned at start, appended and synced in
+// groups by one writer, rewritten whole under a second name and renamed when it
+// is long. A write or sync that fails leaves the File usable: what came after
+// the last successful sync is cut off before the next write, and the caller
+// writes the same records again.
 package wal
 
 import (
-	"os"
+	"errors"
+	"io/fs"
 	"path/filepath"
+	"syscall"
 	"time"
-
-	"coppercourse/internal/apierror"
 )
 
-const name = "lore.log"
+const (
+	name       = "lore.log"
+	newSuffix  = ".new"
+	badSuffix  = ".spoilt"
+	sealRecord = "{}"
+)
 
+// File is the log of one data folder. One goroutine owns it.
 type File struct {
-	dir    string
-	f      *os.File
-	size   int64
-	synced int64
-	sealed bool
+	storage Storage
+	dir     string
+	handle  Handle
+	synced  int64 // the length that the last successful sync covered
+	sealed  bool
+	torn    bool // bytes past synced are unknown: a write or sync of them failed
+	renamed bool // the folder has not been synced since a rename
 }
 
 // Rest is how long nothing is written before the file is sealed.
 const Rest = 50 * time.Millisecond
 
+// DiskError is an operation on the log that the file system refused. The log
+// stays usable, and the operation may be tried again.
+type DiskError struct {
+	Op  string
+	Err error
+}
+
+func (e *DiskError) Error() string { return "log: " + e.Op + ": " + e.Err.Error() }
+func (e *DiskError) Unwrap() error { return e.Err }
+
+func failed(op string, err error) error { return &DiskError{Op: op, Err: err} }
+
+// NoSpace tells whether an operation failed for want of room.
+func NoSpace(err error) bool {
+	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
+}
+
 // Open reads the file of a data folder. A damaged file is put aside under
 // another name and told in spoilt; the daemon then starts as a new member.
-func Open(dir string) (file *File, list [][]byte, spoilt string, err error) {
-	if err = os.MkdirAll(dir, 0o700); err != nil {
-		return nil, nil, "", apierror.Wrap(apierror.Unfit, err, "data folder")
+// What is returned is synced: records that an earlier process wrote and did not
+// sync may be read from the cache and are not on the disk yet.
+func Open(storage Storage, dir string) (file *File, list [][]byte, spoilt string, err error) {
+	if err = storage.MakeDir(dir); err != nil {
+		return nil, nil, "", failed("data folder", err)
 	}
 	path := filepath.Join(dir, name)
-	b, err := os.ReadFile(path)
-	if err != nil && !os.IsNotExist(err) {
-		return nil, nil, "", apierror.Wrap(apierror.Unfit, err, "read")
+	b, err := storage.ReadFile(path)
+	if err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return nil, nil, "", failed("read", err)
 	}
+	storage.Remove(path + newSuffix) // of a rewrite that a crash ended; there may be none
 	list, keep, bad := Scan(b)
 	if bad != nil {
-		spoilt = path + ".spoilt"
-		if err = os.Rename(path, spoilt); err != nil {
-			return nil, nil, "", apierror.Wrap(apierror.Unfit, err, "put aside")
+		spoilt = path + badSuffix
+		if err = storage.Rename(path, spoilt); err != nil {
+			return nil, nil, "", failed("put aside", err)
 		}
 		list, keep = nil, 0
 	}
-	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
+	handle, err := storage.OpenFile(path)
 	if err != nil {
-		return nil, nil, "", apierror.Wrap(apierror.Unfit, err, "open")
+		return nil, nil, "", failed("open", err)
 	}
-	file = &File{dir: dir, f: f, size: keep}
-	if err = f.Truncate(keep); err == nil {
-		_, err = f.Seek(keep, 0)
-	}
-	if err == nil {
+	file = &File{storage: storage, dir: dir, handle: handle, synced: keep, torn: true, renamed: true}
+	if err = file.repair(); err == nil {
 		err = file.sync()
 	}
-	return file, list, spoilt, err
+	if err != nil {
+		handle.Close()
+		return nil, nil, "", err
+	}
+	return file, list, spoilt, nil
 }
 
-func (x *File) sync() error {
-	if err := x.f.Sync(); err != nil {
-		return apierror.Wrap(apierror.Unfit, err, "sync")
+// repair brings the file back to its last synced length after a failure.
+func (x *File) repair() error {
+	if x.renamed {
+		if err := x.storage.SyncDir(x.dir); err != nil {
+			return failed("sync folder", err)
+		}
+		x.renamed = false
 	}
-	d, err := os.Open(x.dir)
-	if err != nil {
-		return apierror.Wrap(apierror.Unfit, err, "sync folder")
+	if x.torn {
+		if err := x.handle.Truncate(x.synced); err != nil {
+			return failed("truncate", err)
+		}
+		x.torn = false
 	}
-	defer d.Close()
-	if err := d.Sync(); err != nil {
-		return apierror.Wrap(apierror.Unfit, err, "sync folder")
+	return nil
+}
+
+func (x *File) sync() error {
+	if err := x.handle.Sync(); err != nil {
+		return failed("sync", err)
 	}
-	x.synced = x.size
 	return nil
 }
 
-// Append writes a group of records and syncs them once.
+// Append writes a group of records and syncs them once. After an error none of
+// them counts, and the same records may be appended again.
 func (x *File) Append(group [][]byte) error {
-	var b []byte
-	for _, r := range group {
-		b = Pack(b, r, x.synced)
+	if err := x.repair(); err != nil {
+		return err
 	}
-	if _, err := x.f.Write(b); err != nil {
-		return apierror.Wrap(apierror.Unfit, err, "write")
+	b, err := packAll(group, x.synced)
+	if err != nil {
+		return err
 	}
-	x.size += int64(len(b))
-	if err := x.f.Sync(); err != nil {
-		return apierror.Wrap(apierror.Unfit, err, "sync")
+	x.torn = true // until all of it is synced
+	if _, err := x.handle.WriteAt(b, x.synced); err != nil {
+		return failed("write", err)
 	}
-	x.synced, x.sealed = x.size, false
+	if err := x.sync(); err != nil {
+		return err
+	}
+	x.synced += int64(len(b))
+	x.torn, x.sealed = false, false
 	return nil
 }
 
@@ -93,44 +138,63 @@
 // the witness that all before it was synced, so that damage to the last record
 // is told from a torn tail.
 func (x *File) Seal() error {
-	if x.sealed || x.size == 0 {
+	if x.sealed || x.synced == 0 {
 		return nil
 	}
-	err := x.Append([][]byte{[]byte("{}")})
+	err := x.Append([][]byte{[]byte(sealRecord)})
 	x.sealed = err == nil
 	return err
 }
 
-// Rewrite puts the given records in place of the whole file.
+// Rewrite puts the given records in place of the whole file. After an error the
+// old file stands, or the new one does whose name may not be durable yet; either
+// way the same records may be written again.
 func (x *File) Rewrite(group [][]byte) error {
+	b, err := packAll(append(group[:len(group):len(group)], []byte(sealRecord)), Whole)
+	if err != nil {
+		return err
+	}
 	path := filepath.Join(x.dir, name)
-	f, err := os.OpenFile(path+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
+	handle, err := x.writeNew(path+newSuffix, b)
 	if err != nil {
-		return apierror.Wrap(apierror.Unfit, err, "rewrite")
+		return err
+	}
+	if err := x.storage.Rename(path+newSuffix, path); err != nil {
+		x.discard(handle, path+newSuffix)
+		return failed("rename", err)
 	}
-	var b []byte
-	for _, r := range append(group, []byte("{}")) {
-		b = Pack(b, r, Whole)
+	x.handle.Close()
+	x.handle, x.synced = handle, int64(len(b))
+	x.sealed, x.torn, x.renamed = true, false, true
+	return x.repair()
+}
+
+// writeNew makes a synced file of the given content.
+func (x *File) writeNew(path string, b []byte) (Handle, error) {
+	handle, err := x.storage.OpenFile(path)
+	if err != nil {
+		return nil, failed("rewrite", err)
 	}
-	if _, err = f.Write(b); err == nil {
-		err = f.Sync()
+	if err = handle.Truncate(0); err == nil {
+		_, err = handle.WriteAt(b, 0)
 	}
 	if err == nil {
-		err = os.Rename(path+".new", path)
+		err = handle.Sync()
 	}
 	if err != nil {
-		f.Close()
-		return apierror.Wrap(apierror.Unfit, err, "rewrite")
+		x.discard(handle, path)
+		return nil, failed("rewrite", err)
 	}
-	x.f.Close()
-	x.f, x.size, x.sealed = f, int64(len(b)), true
-	return x.sync()
+	return handle, nil
 }
 
+// discard gives the room of an unfinished file back; what it holds is of no use.
+func (x *File) discard(handle Handle, path string) {
+	handle.Close()
+	x.storage.Remove(path)
+}
+
+// Close seals the file and closes it.
 func (x *File) Close() error {
-	if err := x.Seal(); err != nil {
-		x.f.Close()
-		return err
-	}
-	return x.f.Close()
+	return errors.Join(x.Seal(), x.handle.Close())
 }
--- a/internal/wal/lore_test.go
+++ b/internal/wal/file_test.go
@@ -13,7 +13,7 @@
 func file(t *testing.T, n int) (dir string, b []byte) {
 	is := is.New(t)
 	dir = t.TempDir()
-	f, list, _, err := Open(dir)
+	f, list, _, err := Open(Disk{}, dir)
 	is.NoErr(err)
 	is.Equal(len(list), 0)
 	for i := range n {
@@ -21,7 +21,7 @@
 	}
 	b, err = os.ReadFile(filepath.Join(dir, name))
 	is.NoErr(err)
-	is.NoErr(f.f.Close()) // killed: nothing more is written
+	is.NoErr(f.handle.Close()) // killed: nothing more is written
 	return
 }
 
@@ -29,7 +29,7 @@
 	is := is.New(t)
 	dir, b := file(t, 5)
 	whole := len(b)
-	f, _, _, err := Open(dir)
+	f, _, _, err := Open(Disk{}, dir)
 	is.NoErr(err)
 	is.NoErr(f.Seal())
 	is.NoErr(f.Seal()) // once is enough
@@ -79,7 +79,7 @@
 func TestRewrittenFileIsGuardedToItsLastRecord(t *testing.T) {
 	is := is.New(t)
 	dir, _ := file(t, 5)
-	f, _, _, err := Open(dir)
+	f, _, _, err := Open(Disk{}, dir)
 	is.NoErr(err)
 	is.NoErr(f.Rewrite([][]byte{[]byte(`{"a":1}`), []byte(`{"b":2}`)}))
 	is.NoErr(f.Append([][]byte{[]byte(`{"c":3}`)}))
@@ -92,7 +92,7 @@
 	is.Equal(len(list), 5) // the two, the seal, what came after, and its seal
 	b[head+2] ^= 1
 	is.NoErr(os.WriteFile(path, b, 0o600))
-	f, list, spoilt, err := Open(dir)
+	f, list, spoilt, err := Open(Disk{}, dir)
 	is.NoErr(err)
 	defer f.Close()
 	is.Equal(len(list), 0) // refused: the daemon comes back as a new member
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -8,6 +8,7 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 	"hash/crc32"
 
 	"coppercourse/internal/apierror"
@@ -33,6 +34,17 @@
 	return append(append(out, h[:]...), body...)
 }
 
+// packAll lays records one after another; it refuses one that Scan would not read.
+func packAll(group [][]byte, synced int64) (b []byte, err error) {
+	for _, r := range group {
+		if len(r) == 0 || len(r) > MaxLen {
+			return nil, apierror.New(apierror.Unfit, "record", fmt.Sprintf("%d bytes are no record", len(r)))
+		}
+		b = Pack(b, r, synced)
+	}
+	return b, nil
+}
+
 // take reads the record at the start of b; ok is false when it is not whole.
 func take(b []byte) (body []byte, synced int64, ok bool) {
 	if len(b) < head {
--- a/internal/wire/step.go
+++ b/internal/wire/step.go
@@ -17,6 +17,7 @@
 	Message *Message
 	Ask     *Ask
 	Synced  uint64
+	Disk    error // the disk has refused what was given it to write; it is tried again
 	Reply   *WorkerReply
 	Close   bool
 }
@@ -42,13 +43,15 @@
 }
 
 // Out is what a step wants done. Batch is one group of records to sync as
-// number Seq; Whole puts it in place of the file.
+// number Seq; Whole puts it in place of the file. Where there is no room for that,
+// Instead, if set, says the same when it is appended to the file as it was.
 type Out struct {
 	Sends   []Send
 	Calls   []WorkerCall
 	Batch   [][]byte
 	Seq     uint64
 	Whole   bool
+	Instead [][]byte
 	Answers []Answer
 	Idle    bool // closing, and nothing is left to do
 }
