--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -14,6 +14,7 @@
 
 const (
 	maxBatch      = 256
+	bulk          = 1 << 20 // bytes of entries that one record of the file holds, but for a larger entry
 	maxLogEntries = 120_000 // entries that a log may have before it takes no more
 )
 
@@ -80,16 +81,22 @@
 		t := n.progressOf(m.ID)
 		if n.now.Mono.Sub(t.heardAt) > n.timeouts.ElectionMin { // silent: only asked whether it is there
 			if due {
-				t.next = t.match + 1
+				t.next, t.flow = t.match+1, flow{}
 				n.probe(m, t)
 			}
 			continue
 		}
-		if due && t.match+1 < t.next && n.now.Mono.Sub(t.sentAt) > 2*n.timeouts.Heartbeat {
+		if due && t.match+1 < t.next && n.now.Mono.Sub(t.sentAt) > t.flow.patience(2*n.timeouts.Heartbeat) {
 			t.next = t.match + 1
+			t.flow.lost()
 		}
 		flying := t.match+1 < t.next && n.now.Mono.Sub(t.sentAt) < n.timeouts.Heartbeat
-		if due || t.next <= n.lastIndex() && !flying {
+		switch {
+		case t.match+1 < t.next && t.flow.full():
+			if due {
+				n.probe(m, t)
+			}
+		case due || t.next <= n.lastIndex() && !flying:
 			n.sendNext(m, t)
 		}
 	}
@@ -109,7 +116,10 @@
 func (n *Node) sendNext(m Member, t *progress) {
 	p := n.newAppend(m, t.next-1)
 	if t.next <= n.snapshot.Index {
-		if n.now.Mono.Sub(t.sentAt) > 5*n.timeouts.Heartbeat && n.snapshot.Count > 0 {
+		if n.now.Mono.Sub(t.sentAt) > t.flow.patience(5*n.timeouts.Heartbeat) && n.snapshot.Count > 0 {
+			if t.sentAt != never {
+				t.flow.lost()
+			}
 			t.sentAt, p.PrevIndex, p.PrevTerm = n.now.Mono, n.snapshot.Index, n.snapshot.Term
 			t.part = min(t.part, n.snapshot.Count-1)
 			n.send(m.Addr, wire.Snap, installSnapshot{p, n.snapshot, t.part, n.snapshot.Parts[t.part]})
@@ -118,7 +128,7 @@
 	}
 	if t.next <= n.lastIndex() {
 		rest := n.log[t.next-n.snapshot.Index-1:]
-		p.Entries = rest[:min(len(rest), maxBatch)]
+		p.Entries = t.flow.take(rest)
 		t.next += types.Index(len(p.Entries))
 		t.sentAt = n.now.Mono
 	}
@@ -246,17 +256,25 @@
 	}
 	t.heardAt, t.lag = n.now.Mono, time.Duration(a.LagMS)*time.Millisecond
 	if a.Parts > 0 {
-		t.part, t.sentAt = a.Parts, never
+		if a.Parts != t.part { // else it is of a part that was sent twice
+			t.flow.answered(n.now.Mono.Sub(t.sentAt), n.timeouts.ElectionMin)
+			t.part, t.sentAt = a.Parts, never
+		}
 		return
 	}
 	if !a.OK {
-		t.part = 0
+		t.part, t.flow.flying = 0, 0
 		t.match = min(t.match, a.Match)
 		t.next = a.Match + 1
 		return
 	}
-	t.match = max(t.match, a.Match)
-	t.next = max(t.next, t.match+1)
+	if a.Match > t.match {
+		t.match = a.Match
+		t.next = max(t.next, t.match+1)
+		if t.next == t.match+1 {
+			t.flow.answered(n.now.Mono.Sub(t.sentAt), n.timeouts.ElectionMin)
+		}
+	}
 	n.advanceCommit()
 }
 
@@ -290,13 +308,18 @@
 	for _, m := range n.progress {
 		m.part = 0
 	}
+	instead := append([]Record{}, n.writes...)
+	if n.replacesFile {
+		instead = nil
+	}
 	n.rewrite()
+	n.instead = instead
 	n.trackSync()
 }
 
 // rewrite collects the records that replace the whole file.
 func (n *Node) rewrite() {
-	n.writes = nil
+	n.writes, n.instead = nil, nil
 	v, s := n.voteRecord, n.snapshot
 	n.write(Record{Identity: &Identity{n.self.ID, n.bootstrap.First}})
 	n.write(Record{Bootstrap: &BootstrapConfig{Name: n.name, Config: s.Config}})
@@ -305,8 +328,10 @@
 	for _, b := range s.Parts {
 		n.write(Record{part: b})
 	}
-	if len(n.log) > 0 {
-		n.write(Record{Entries: n.log})
+	for rest := n.log; len(rest) > 0; {
+		count := within(rest, bulk)
+		n.write(Record{Entries: rest[:count]})
+		rest = rest[count:]
 	}
 	n.replacesFile = true
 }
