--- /dev/null
+++ b/sim/linear_models_test.go
@@ -0,0 +1,213 @@
+// Sequential models of what operators and callers are promised: one list of
+// configurations that only grows, and jobs that are there once accepted. A history
+// is right if it can be explained by requests that take effect one at a time, each
+// between its sending and its answer.
+package sim
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/anishathalye/porcupine"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+// outcome is what an answer told whoever asked.
+type outcome string
+
+const (
+	done     outcome = "done"     // 2xx
+	refused  outcome = "refused"  // not taken, and another is in its place
+	absent   outcome = "absent"   // there is no such job
+	over     outcome = "over"     // the job has ended, and can't be cancelled
+	noEffect outcome = "noEffect" // not taken by this call
+	unclear  outcome = "unclear"  // it may have been taken, or may be yet
+)
+
+// outcomeOf reads an answer.
+func outcomeOf(verb string, bad *apierror.Error) outcome {
+	switch {
+	case bad == nil:
+		return done
+	case bad.Kind == apierror.Unsure:
+		return unclear
+	case bad.Kind == apierror.Stale || bad.Kind == apierror.Conflict || bad.Kind == apierror.BadField:
+		return refused
+	case bad.Kind == apierror.NoJob:
+		return absent
+	case bad.Kind == apierror.Ended:
+		return over
+	case verb == "table.put": // 503: the operator sends the same again
+		return unclear
+	}
+	return noEffect
+}
+
+// tableInput is an order to replace the configuration, or a read of it.
+type tableInput struct {
+	put  bool
+	base types.Version
+	next types.Version
+	hash string
+}
+
+type tableOutput struct {
+	outcome outcome
+	version types.Version
+	hash    string
+}
+
+// chain is the changes taken, oldest first, as "version:hash;" each.
+type chain string
+
+func link(v types.Version, hash string) string { return fmt.Sprintf("%d:%s;", v, hash) }
+
+func (c chain) holds(v types.Version, hash string) bool {
+	return strings.Contains(";"+string(c), ";"+link(v, hash))
+}
+
+// last is the newest change.
+func (c chain) last() (v types.Version, hash string) {
+	list := strings.Split(strings.TrimSuffix(string(c), ";"), ";")
+	fmt.Sscanf(strings.Replace(list[len(list)-1], ":", " ", 1), "%d %s", &v, &hash)
+	return
+}
+
+// tables is the model of the configuration.
+var tables = porcupine.NondeterministicModel{
+	Init:  func() []any { return []any{chain("")} },
+	Step:  func(s, in, out any) []any { return stepTable(s.(chain), in.(tableInput), out.(tableOutput)) },
+	Equal: func(a, b any) bool { return a == b },
+	DescribeOperation: func(in, out any) string {
+		return fmt.Sprintf("%+v -> %+v", in, out)
+	},
+}
+
+func stepTable(c chain, in tableInput, out tableOutput) (next []any) {
+	current, hash := c.last()
+	if !in.put {
+		if out.version == current && (current == 0 || out.hash == hash) {
+			next = append(next, c)
+		}
+		return
+	}
+	repeat, fits := c.holds(in.next, in.hash), in.base == current
+	if (out.outcome == done || out.outcome == unclear) && fits && !repeat {
+		next = append(next, c+chain(link(in.next, in.hash)))
+	}
+	if out.outcome == unclear || out.outcome == done && repeat || out.outcome == refused && !repeat && !fits {
+		next = append(next, c)
+	}
+	return
+}
+
+// jobInput is a job handed in, asked for or cancelled.
+type jobInput struct {
+	verb string
+	id   types.JobID
+	hash string
+}
+
+type jobOutput struct {
+	outcome outcome
+	stage   state.Stage
+}
+
+// jobState is one job: the hash of what was accepted, or "" before; whether its
+// cancelling was accepted; and how it ended, once anybody was told.
+type jobState struct {
+	hash   string
+	halted bool
+	end    state.Stage
+}
+
+// jobs is the model of all jobs, each by itself.
+var jobs = porcupine.NondeterministicModel{
+	Init:  func() []any { return []any{jobState{}} },
+	Step:  func(s, in, out any) []any { return stepJob(s.(jobState), in.(jobInput), out.(jobOutput)) },
+	Equal: func(a, b any) bool { return a == b },
+	Partition: func(history []porcupine.Operation) (parts [][]porcupine.Operation) {
+		by := map[types.JobID]int{}
+		for _, o := range history {
+			id := o.Input.(jobInput).id
+			if _, ok := by[id]; !ok {
+				by[id] = len(parts)
+				parts = append(parts, nil)
+			}
+			parts[by[id]] = append(parts[by[id]], o)
+		}
+		return
+	},
+	DescribeOperation: func(in, out any) string {
+		return fmt.Sprintf("%+v -> %+v", in, out)
+	},
+}
+
+func stepJob(s jobState, in jobInput, out jobOutput) []any {
+	if out.outcome == noEffect {
+		return []any{s}
+	}
+	switch in.verb {
+	case "job.put":
+		return stepSubmit(s, in.hash, out.outcome)
+	case "job.cancel":
+		return stepCancel(s, out.outcome)
+	}
+	return stepShow(s, out)
+}
+
+func stepSubmit(s jobState, hash string, o outcome) (next []any) {
+	taken := s
+	taken.hash = hash
+	if s.hash == "" && o != refused {
+		next = append(next, taken)
+	}
+	if o == unclear || o == done && s.hash == hash || o == refused && s.hash != "" && s.hash != hash {
+		next = append(next, s)
+	}
+	return
+}
+
+func stepCancel(s jobState, o outcome) (next []any) {
+	halted := s
+	halted.halted = true
+	ended := s.end == state.Done || s.end == state.Failed
+	if (o == done || o == unclear) && s.hash != "" && !ended {
+		next = append(next, halted)
+	}
+	if o == unclear || o == absent && s.hash == "" {
+		next = append(next, s)
+	}
+	if o == over && s.hash != "" && s.end != state.Stopped { // it has ended, one way or the other
+		for _, end := range []state.Stage{state.Done, state.Failed} {
+			if x := s; s.end == "" || s.end == end {
+				x.end = end
+				next = append(next, x)
+			}
+		}
+	}
+	return
+}
+
+func stepShow(s jobState, out jobOutput) []any {
+	switch {
+	case out.outcome == unclear:
+		return []any{s}
+	case out.outcome == absent && s.hash == "":
+		return []any{s}
+	case out.outcome != done || s.hash == "":
+		return nil
+	}
+	ended := out.stage == state.Done || out.stage == state.Failed || out.stage == state.Stopped
+	switch {
+	case !ended && s.end == "" && !(s.halted && out.stage == state.Open):
+		return []any{s}
+	case ended && (s.end == "" || s.end == out.stage) && (out.stage != state.Stopped || s.halted):
+		s.end = out.stage
+		return []any{s}
+	}
+	return nil
+}
--- /dev/null
+++ b/sim/linear_test.go
@@ -0,0 +1,237 @@
+// Histories of operators and callers under every fault of the control side, checked
+// for linearizability; and planted bugs, each of which the check must find.
+package sim
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"github.com/anishathalye/porcupine"
+	"github.com/matryer/is"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// checkTime bounds one check; a history that needs longer is told as undecided.
+const checkTime = time.Minute
+
+var controlFaults = []string{"kill-leader", "kill-controller", "kill-gateway", "freeze-leader", "freeze-controller", "freeze-gateway",
+	"cut-leader", "cut-core", "cut-core-in", "cut-core-out", "cut-controller", "cut-zone", "slow-disk", "stall-disk", "jump-clock",
+	"weather", "lose-disk", "swap-controller", "power-all", "handover"}
+
+// recorded plays clients through faults, each one's time drawn, and gives what
+// they saw.
+func recorded(seed int64, plant func(*Run), faults ...string) *recorder {
+	r := Build(Plan{Seed: seed, Town: "kingston"})
+	if plant != nil {
+		plant(r)
+	}
+	r.Run(4 * time.Second)
+	c := record(r)
+	r.Run(7 * time.Second)
+	for _, name := range faults {
+		r.cause(name, time.Duration(500+r.rnd.Intn(4000))*time.Millisecond)
+		r.Run(time.Duration(r.now) + time.Duration(2000+r.rnd.Intn(4000))*time.Millisecond)
+	}
+	c.finish()
+	return c
+}
+
+func (c *recorder) check() (tablesOK, jobsOK porcupine.CheckResult) {
+	model, all := tables.ToModel(), jobs.ToModel()
+	return porcupine.CheckOperationsTimeout(model, c.history(), checkTime), porcupine.CheckOperationsTimeout(all, c.jobs, checkTime)
+}
+
+func TestHistoriesAreLinearizable(t *testing.T) {
+	seeds, step := int64(4), 1
+	if testing.Short() {
+		seeds, step = 1, 4 // the race detector makes it eight times as long
+	}
+	total := map[string]int{}
+	for seed := range seeds {
+		for i := 0; i < len(controlFaults); i += step {
+			name := controlFaults[i]
+			faults := []string{name, name, controlFaults[(i+int(seed)*7+3)%len(controlFaults)]}
+			c := recorded(1000*seed+int64(i), nil, faults...)
+			tablesOK, jobsOK := c.check()
+			if tablesOK != porcupine.Ok || jobsOK != porcupine.Ok {
+				t.Errorf("seed %d, %v: configurations %v, jobs %v; %v", seed, faults, tablesOK, jobsOK, c.count)
+			}
+			for k, n := range c.count {
+				total[k] += n
+			}
+		}
+	}
+	t.Log(total)
+	for _, what := range []string{"table done", "table refused", "table unclear", "table read", "job.put done", "job.put refused",
+		"job.put unclear", "job.put noEffect", "job.get done", "job.get absent", "job.cancel done", "job.cancel over", "job.cancel absent"} {
+		if total[what] == 0 {
+			t.Error("never came about: ", what)
+		}
+	}
+}
+
+// answers changes what clients are told, from the time that it is asked.
+func answers(f func(r *Run, verb string, a *wire.Answer)) func(*Run) {
+	return func(r *Run) { r.Twist = func(verb string, a *wire.Answer) { f(r, verb, a) } }
+}
+
+func isFault(a *wire.Answer, k apierror.Kind) bool { return a.Fault != nil && a.Fault.Kind == k }
+
+var plantedInRequests = map[string]func(*Run){
+	"a deposed leader reads its old configuration": func(r *Run) {
+		var old json.RawMessage
+		n := 0
+		answers(func(_ *Run, verb string, a *wire.Answer) {
+			if verb != "table.get" || a.Fault != nil {
+				return
+			}
+			if n++; n%20 == 5 {
+				old = a.Body
+			}
+			if n%20 == 15 {
+				a.Body = old
+			}
+		})(r)
+	},
+	"a snapshot forgets what was taken": func(r *Run) {
+		taken := map[string]bool{}
+		r.Tamper = func(s *wire.Send) bool {
+			b, _ := wire.Read[wire.CallBody](s.Message)
+			var t config.Table
+			if s.Message.Kind != wire.Call || b.Verb != "table.put" || json.Unmarshal(b.Body, &t) != nil {
+				return true
+			}
+			key := link(t.Next().Version, t.Hash())
+			if taken[key] { // on another base it is no repeat
+				t.Version = 1 << 40
+				t.Becomes = t.Version + 1
+				b.Body = wire.Body(t)
+				s.Message.Body = wire.Body(b)
+			}
+			taken[key] = true
+			return true
+		}
+	},
+	"a repeat is applied twice": func(r *Run) {
+		var newest config.Table
+		onMessage(wire.Call, func(b *wire.CallBody) {
+			var t config.Table
+			if b.Verb != "table.put" || json.Unmarshal(b.Body, &t) != nil {
+				return
+			}
+			if t.Same(newest) {
+				t.Version, t.Becomes = newest.Next().Version, 0
+				b.Body = wire.Body(t)
+			}
+			newest = t
+		})(r)
+	},
+	"both of a race are acknowledged": answers(func(_ *Run, verb string, a *wire.Answer) {
+		if verb == "table.put" && isFault(a, apierror.Stale) {
+			*a = wire.Answer{Code: 200}
+		}
+	}),
+	"an answer goes to another call": func(r *Run) {
+		last := map[types.Addr]wire.ReplyBody{}
+		n := 0
+		r.Tamper = func(s *wire.Send) bool {
+			b, ok := wire.Read[wire.ReplyBody](s.Message)
+			if s.Message.Kind != wire.Reply || !ok {
+				return true
+			}
+			before := last[s.To]
+			last[s.To] = b
+			if n++; n%10 == 0 && before.Code != 0 {
+				before.ID = b.ID
+				s.Message.Body = wire.Body(before)
+			}
+			return true
+		}
+	},
+	"a job that was taken is denied": answers(func(r *Run, verb string, a *wire.Answer) {
+		if verb == "job.get" && r.now/int64(time.Second)%5 == 0 {
+			*a = wire.Answer{Fault: apierror.New(apierror.NoJob, "id", "")}
+		}
+	}),
+	"a cancel is acknowledged and not taken": answers(func(_ *Run, verb string, a *wire.Answer) {
+		if verb == "job.cancel" && a.Fault != nil {
+			*a = wire.Answer{Code: 200}
+		}
+	}),
+	"what was taken is told as turned away": answers(func(_ *Run, verb string, a *wire.Answer) {
+		if verb == "job.put" && a.Code == 201 {
+			*a = wire.Answer{Fault: apierror.New(apierror.Full, "", "")}
+		}
+	}),
+}
+
+func TestPlantedBugsInRequestsAreCaught(t *testing.T) {
+	for name, plant := range plantedInRequests {
+		t.Run(name, func(t *testing.T) {
+			for seed := range int64(5) {
+				c := recorded(100+seed, plant, "handover", "freeze-gateway")
+				if tablesOK, jobsOK := c.check(); tablesOK == porcupine.Illegal || jobsOK == porcupine.Illegal {
+					return
+				}
+			}
+			t.Error("not caught")
+		})
+	}
+}
+
+// Two operators put different configurations under one number: whoever is asked
+// first, and although the first answers are lost and the leader changes, one is
+// acknowledged and the other refused.
+func TestOneOfTwoOrdersUnderOneNumberWins(t *testing.T) {
+	seeds := int64(24)
+	if testing.Short() {
+		seeds = 8
+	}
+	for seed := range seeds {
+		is := is.New(t)
+		r := Build(Plan{Seed: 300 + seed, Town: "kingston"})
+		r.Run(8 * time.Second)
+		lost := 2
+		r.Twist = func(verb string, a *wire.Answer) {
+			if lost--; lost >= 0 {
+				*a = wire.Answer{Fault: apierror.New(apierror.Unsure, "", "")}
+			}
+		}
+		got := map[outcome]int{}
+		var send func(t config.Table)
+		send = func(t config.Table) {
+			over := false
+			again := func(o outcome) {
+				if over {
+					return
+				}
+				if over = true; o == unclear {
+					r.at(pause, func() { send(t) })
+					return
+				}
+				got[o]++
+			}
+			to := one(r.rnd, r.controllers).addr
+			if r.rnd.Intn(2) == 0 {
+				to = r.Crew.any()
+			}
+			r.ask("operator", to, "table.put", "", wire.Body(t), func(a wire.Answer) { again(outcomeOf("table.put", a.Fault)) })
+			r.at(silence, func() { again(unclear) })
+		}
+		for i := range 2 {
+			t := r.Crew.town.Table()
+			t.Becomes, t.Rows[0].Weight = 5, 100+i
+			r.at(time.Duration(r.rnd.Int63n(int64(4*time.Millisecond))), func() { send(t) })
+		}
+		r.at(time.Duration(r.rnd.Int63n(int64(8*time.Millisecond))), func() {
+			r.cause([]string{"kill-leader", "freeze-leader", "handover", "cut-core", "power-all"}[seed%5], 3*time.Second)
+		})
+		r.Run(25 * time.Second)
+		is.Equal(got, map[outcome]int{done: 1, refused: 1})
+	}
+}
