--- a/internal/dispatch/caller.go
+++ b/internal/dispatch/caller.go
@@ -68,6 +68,8 @@
 	calls []wire.WorkerCall
 	Sums  CallSums
 
+	departing bool // it deregistered without a drain, and runs on for a while
+
 	proven  types.Room    // what ran there when it last turned a start away for want of room, or since
 	tight   types.Stamp   // until then it is believed to hold no more than that,
 	backoff time.Duration // for so long after each such refusal
@@ -114,18 +116,29 @@
 	}
 }
 
-// Leave takes it that a worker process ends now, all that it ran with it.
+// Leave takes it that a worker process goes. One that said before that it is
+// draining ends now, all that it ran with it. Any other runs on for a while: it is
+// draining from now on, whatever late beats of it say, and is over only when its
+// lease has run out or another process answers in its place.
 func (h *Executor) Leave(now types.Stamp, life types.ID) {
-	if h.now = now; h.caller != nil && h.caller.life == life {
+	h.now = now
+	if h.caller == nil || h.caller.life != life {
+		return
+	}
+	if h.rep.Leaving && !h.caller.departing {
 		h.over(true)
+		return
 	}
+	h.caller.departing = true
+	h.rep.Leaving, h.beat = true, never
 }
 
 func (h *Executor) report(b wire.WorkerBeat) {
-	if b.Leaving != h.rep.Leaving || !h.rep.Healthy {
+	leaving := b.Leaving || h.caller.departing
+	if leaving != h.rep.Leaving || !h.rep.Healthy {
 		h.beat = never
 	}
-	h.rep = Report{Rack: b.Rack, Kinds: b.Kinds, Room: b.Room, Labels: b.Labels, Leaving: b.Leaving, LeaveMS: b.LeaveMS,
+	h.rep = Report{Rack: b.Rack, Kinds: b.Kinds, Room: b.Room, Labels: b.Labels, Leaving: leaving, LeaveMS: b.LeaveMS,
 		Lacks: h.rep.Lacks, Healthy: h.rep.Healthy, Invoked: true}
 	h.goes = h.now.Add(time.Duration(b.LeaveMS) * time.Millisecond)
 }
@@ -133,7 +146,7 @@
 // adopt takes up a worker process. What it runs is asked before anything else.
 func (h *Executor) adopt(b wire.WorkerBeat) {
 	c := h.caller
-	c.life, c.to, c.seq, c.heir = b.Life, b.To, b.Seq, nil
+	c.life, c.to, c.seq, c.heir, c.departing = b.Life, b.To, b.Seq, nil, false
 	c.clock, c.got, c.until, c.read, c.seen, c.sick, c.mute = b.Clock, h.now, 0, 0, 0, never, false
 	c.tight, c.backoff = never, 0
 	c.fence, c.firm = uint64(max(b.Clock, 0))*fences, false
--- a/internal/dispatch/caller_test.go
+++ b/internal/dispatch/caller_test.go
@@ -296,12 +296,19 @@
 	is.Equal(r.log[attempt("b", 1)], state.OK)
 }
 
-// A worker that leaves takes along what it still ran; one that comes in its
-// place is taken up at once.
+// A worker that said that it drains and then leaves takes along what it still ran;
+// one that comes in its place is taken up at once.
 func TestAWorkerLeaves(t *testing.T) {
 	is, r := is.New(t), ready(t, 11)
 	r.give(attempt("a", 1), long)
 	r.pass(300 * ms)
+	b := r.beat()
+	b.Leaving = true
+	r.idle = true
+	r.hand.Beat(r.now, b)
+	r.pass(100 * ms)
+	is.Equal(r.log[attempt("a", 1)], state.Outcome("")) // it runs on while it drains
+	r.idle = false
 	r.hand.Leave(r.now, r.worker.ID)
 	r.die()
 	r.flow()
