--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -16,6 +16,7 @@
 const (
 	BadBody    Kind = "bad_body"
 	BadField   Kind = "bad_field"
+	CutShort   Kind = "body_cut_short" // what came of it says nothing about the request
 	TooLarge   Kind = "too_large"
 	NoPath     Kind = "no_such_path"
 	NoMethod   Kind = "no_such_method"
@@ -44,7 +45,7 @@
 // Code is the answer table: HTTP status by kind.
 var Code = map[Kind]int{
 	BadBody: http.StatusBadRequest, BadField: http.StatusUnprocessableEntity,
-	TooLarge: http.StatusRequestEntityTooLarge, NoPath: http.StatusNotFound,
+	CutShort: http.StatusRequestTimeout, TooLarge: http.StatusRequestEntityTooLarge, NoPath: http.StatusNotFound,
 	NoMethod: http.StatusMethodNotAllowed, NoJob: http.StatusNotFound,
 	NoWorker: http.StatusNotFound, NoDrain: http.StatusNotFound, NoPlan: http.StatusNotFound, Alive: http.StatusConflict,
 	NoQueue: http.StatusUnprocessableEntity, Conflict: http.StatusConflict,
--- a/internal/server/pages.go
+++ b/internal/server/pages.go
@@ -104,7 +104,7 @@
 	if _, large := err.(*http.MaxBytesError); large {
 		return nil, apierror.New(apierror.TooLarge, "", fmt.Sprintf("larger than %d bytes", most))
 	}
-	return nil, apierror.New(apierror.BadBody, "", "the body could not be read")
+	return nil, apierror.New(apierror.CutShort, "", "the body did not come whole; send it again")
 }
 
 // Read takes a request's body up to a size, or answers why not.
