--- a/internal/raft/observe.go
+++ b/internal/raft/observe.go
@@ -5,10 +5,10 @@
 
 // Observe takes the time of an event that is not for this node, so that its lease
 // is judged by that time and not by the time of the event before.
-func (c *Node) Observe(now types.Now) { c.now = now }
+func (n *Node) Observe(now types.Now) { n.now = now }
 
 // LeaderIsRecent tells whether a leader is known, other than this node, and was
 // heard within the time for which it may answer reads.
-func (c *Node) LeaderIsRecent() bool {
-	return c.role != lead && c.leadAt != "" && c.now.Mono.Sub(c.heard) < c.pace.Least
+func (n *Node) LeaderIsRecent() bool {
+	return n.role != leader && n.leaderAddr != "" && n.now.Mono.Sub(n.leaderHeardAt) < n.timeouts.ElectionMin
 }
--- a/sim/requests_test.go
+++ b/sim/requests_test.go
@@ -17,14 +17,14 @@
 
 // direct asks a controller itself and gives its answer, if one comes in time.
 func (r *Run) direct(n *node, verb string, body any, within time.Duration) (a wire.Answer, ok bool) {
-	r.ask("operator", n.addr, verb, "", wire.Body(body), func(b wire.Answer) { a, ok = b, true })
+	r.request("operator", n.addr, verb, "", wire.Body(body), func(b wire.Answer) { a, ok = b, true })
 	r.Run(time.Duration(r.now) + within)
 	return
 }
 
-// next is the town's table with another weight, put on a version.
+// next is the deployment's table with another weight, put on a version.
 func (r *Run) next(base types.Version, weight int) config.Table {
-	t := r.Crew.town.Table()
+	t := r.Clients.deployment.Table()
 	t.Version, t.Rows[0].Weight = base, weight
 	return t
 }
@@ -47,7 +47,7 @@
 			if verb == "table.put" {
 				body = r.next(2, 7)
 			}
-			r.ask("operator", old.addr, verb, "", wire.Body(body), func(b wire.Answer) { a, got = b, true }) // it is the first to come
+			r.request("operator", old.addr, verb, "", wire.Body(body), func(b wire.Answer) { a, got = b, true }) // it is the first to come
 			r.Run(18 * time.Second)
 			var heir *node
 			for _, h := range r.controllers {
@@ -78,7 +78,7 @@
 		{"a follower is cut off", func(r *Run, l *node) (a, b []types.Addr) {
 			for _, h := range r.controllers {
 				if h != l {
-					return []types.Addr{h.addr}, r.rest(h.addr)
+					return []types.Addr{h.addr}, r.others(h.addr)
 				}
 			}
 			return
@@ -89,7 +89,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			r, _ := core(t, 92)
-			r.sky = Weather{} // what is asked arrives, and so does the answer
+			r.network = NetworkQuality{} // what is asked arrives, and so does the answer
 			r.Run(8 * time.Second)
 			l := r.leader()
 			a, b := c.apart(r, l)
@@ -105,7 +105,7 @@
 					if answer.Lead != "" { // the one it names can have led within its lease
 						is.True(answer.Fault.Kind == apierror.NoLead)
 						reached := !r.cut[pair{answer.Lead, h.addr}]
-						is.True(reached || began-from < int64(r.core.Least+100*time.Millisecond))
+						is.True(reached || began-from < int64(r.raftTimeouts.ElectionMin+100*time.Millisecond))
 					}
 					if answer.Fault != nil && answer.Lead == "" {
 						is.True(answer.Fault.Retry > 0)
