--- a/sim/linear_rig_test.go
+++ b/sim/linear_rig_test.go
@@ -39,7 +39,7 @@
 	count    map[string]int
 }
 
-func record(r *Run) *recorder {
+func recordClients(r *Run) *recorder {
 	c := &recorder{Run: r, observed: map[string]bool{}, specs: map[types.JobID]state.Spec{}, count: map[string]int{}}
 	for range 3 {
 		c.clients++
@@ -55,7 +55,7 @@
 // asked sends one request; then is called once: with the answer, or with none.
 func (c *recorder) asked(to types.Addr, verb, arg string, body any, then func(*wire.Answer)) {
 	over := false
-	c.ask("client", to, verb, arg, wire.Body(body), func(a wire.Answer) {
+	c.request("client", to, verb, arg, wire.Body(body), func(a wire.Answer) {
 		if !over {
 			over = true
 			then(&a)
@@ -71,10 +71,10 @@
 
 // daemon picks one to ask: a gateway, or a controller itself.
 func (c *recorder) daemon() types.Addr {
-	if c.rnd.Intn(2) == 0 {
-		return one(c.rnd, c.Crew.gateways)
+	if c.random.Intn(2) == 0 {
+		return pickOne(c.random, c.Clients.gateways)
 	}
-	return one(c.rnd, c.controllers).addr
+	return pickOne(c.random, c.controllers).addr
 }
 
 // redirected is whom an answer names instead of whoever was asked.
@@ -86,7 +86,7 @@
 }
 
 func (c *recorder) soon(f func()) {
-	c.at(pause+time.Duration(c.rnd.Int63n(int64(600*time.Millisecond))), f)
+	c.at(pause+time.Duration(c.random.Int63n(int64(600*time.Millisecond))), f)
 }
 
 // operate is an operator: reads, new orders, and old ones once more.
@@ -95,15 +95,15 @@
 		return
 	}
 	again := func() { c.soon(func() { c.operate(client) }) }
-	switch n := c.rnd.Intn(10); {
+	switch n := c.random.Intn(10); {
 	case n < 4:
 		c.readTable(client, c.daemon(), again)
 	case n < 6 && len(c.orders) > 0:
-		c.putTable(client, c.daemon(), one(c.rnd, c.orders), 0, again)
+		c.putTable(client, c.daemon(), pickOne(c.random, c.orders), 0, again)
 	default:
-		t := c.Crew.town.Table()
-		t.Version, t.Becomes = c.seen, c.seen+1+types.Version(c.rnd.Intn(2))
-		t.Rows[0].Weight = 1 + c.rnd.Intn(900)
+		t := c.Clients.deployment.Table()
+		t.Version, t.Becomes = c.seen, c.seen+1+types.Version(c.random.Intn(2))
+		t.Rows[0].Weight = 1 + c.random.Intn(900)
 		c.orders = append(c.orders, t)
 		c.putTable(client, c.daemon(), t, 0, again)
 	}
@@ -163,15 +163,15 @@
 		return
 	}
 	again := func() { c.at(pause, func() { c.submit(client) }) }
-	n := c.rnd.Intn(10)
+	n := c.random.Intn(10)
 	if n < 4 || len(c.ids) == 0 {
 		id := types.JobID(fmt.Sprintf("quotes-%d", len(c.ids)))
 		c.ids = append(c.ids, id)
-		c.specs[id] = duo("payments", "pay")(c.rnd)
+		c.specs[id] = duo("payments", "pay")(c.random)
 		c.work(client, "job.put", id, c.specs[id], 0, again)
 		return
 	}
-	id := c.ids[max(0, len(c.ids)-1-c.rnd.Intn(12))]
+	id := c.ids[max(0, len(c.ids)-1-c.random.Intn(12))]
 	switch s := c.specs[id]; {
 	case n < 5:
 		c.work(client, "job.put", id, s, 0, again)
@@ -220,7 +220,7 @@
 	c.Heal()
 	c.Run.Run(time.Duration(c.now) + 12*time.Second)
 	for range 3 {
-		c.readTable(0, c.Crew.any(), func() {})
+		c.readTable(0, c.Clients.any(), func() {})
 		for _, id := range c.ids {
 			c.work(0, "job.get", id, state.Spec{}, 9, func() {})
 		}
--- a/sim/linear_test.go
+++ b/sim/linear_test.go
@@ -26,16 +26,16 @@
 // recorded plays clients through faults, each one's time drawn, and gives what
 // they saw.
 func recorded(seed int64, plant func(*Run), faults ...string) *recorder {
-	r := Build(Plan{Seed: seed, Town: "kingston"})
+	r := Build(Plan{Seed: seed, Deployment: "kingston"})
 	if plant != nil {
 		plant(r)
 	}
 	r.Run(4 * time.Second)
-	c := record(r)
+	c := recordClients(r)
 	r.Run(7 * time.Second)
 	for _, name := range faults {
-		r.cause(name, time.Duration(500+r.rnd.Intn(4000))*time.Millisecond)
-		r.Run(time.Duration(r.now) + time.Duration(2000+r.rnd.Intn(4000))*time.Millisecond)
+		r.inject(name, time.Duration(500+r.random.Intn(4000))*time.Millisecond)
+		r.Run(time.Duration(r.now) + time.Duration(2000+r.random.Intn(4000))*time.Millisecond)
 	}
 	c.finish()
 	return c
@@ -77,7 +77,7 @@
 
 // answers changes what clients are told, from the time that it is asked.
 func answers(f func(r *Run, verb string, a *wire.Answer)) func(*Run) {
-	return func(r *Run) { r.Twist = func(verb string, a *wire.Answer) { f(r, verb, a) } }
+	return func(r *Run) { r.TamperAnswer = func(verb string, a *wire.Answer) { f(r, verb, a) } }
 }
 
 func isFault(a *wire.Answer, k apierror.Kind) bool { return a.Fault != nil && a.Fault.Kind == k }
@@ -100,7 +100,7 @@
 	},
 	"a snapshot forgets what was taken": func(r *Run) {
 		taken := map[string]bool{}
-		r.Tamper = func(s *wire.Send) bool {
+		r.TamperMessage = func(s *wire.Send) bool {
 			b, _ := wire.Read[wire.CallBody](s.Message)
 			var t config.Table
 			if s.Message.Kind != wire.Call || b.Verb != "table.put" || json.Unmarshal(b.Body, &t) != nil {
@@ -139,7 +139,7 @@
 	"an answer goes to another call": func(r *Run) {
 		last := map[types.Addr]wire.ReplyBody{}
 		n := 0
-		r.Tamper = func(s *wire.Send) bool {
+		r.TamperMessage = func(s *wire.Send) bool {
 			b, ok := wire.Read[wire.ReplyBody](s.Message)
 			if s.Message.Kind != wire.Reply || !ok {
 				return true
@@ -194,10 +194,10 @@
 	}
 	for seed := range seeds {
 		is := is.New(t)
-		r := Build(Plan{Seed: 300 + seed, Town: "kingston"})
+		r := Build(Plan{Seed: 300 + seed, Deployment: "kingston"})
 		r.Run(8 * time.Second)
 		lost := 2
-		r.Twist = func(verb string, a *wire.Answer) {
+		r.TamperAnswer = func(verb string, a *wire.Answer) {
 			if lost--; lost >= 0 {
 				*a = wire.Answer{Fault: apierror.New(apierror.Unsure, "", "")}
 			}
@@ -216,20 +216,20 @@
 				}
 				got[o]++
 			}
-			to := one(r.rnd, r.controllers).addr
-			if r.rnd.Intn(2) == 0 {
-				to = r.Crew.any()
+			to := pickOne(r.random, r.controllers).addr
+			if r.random.Intn(2) == 0 {
+				to = r.Clients.any()
 			}
-			r.ask("operator", to, "table.put", "", wire.Body(t), func(a wire.Answer) { again(outcomeOf("table.put", a.Fault)) })
+			r.request("operator", to, "table.put", "", wire.Body(t), func(a wire.Answer) { again(outcomeOf("table.put", a.Fault)) })
 			r.at(silence, func() { again(unclear) })
 		}
 		for i := range 2 {
-			t := r.Crew.town.Table()
+			t := r.Clients.deployment.Table()
 			t.Becomes, t.Rows[0].Weight = 5, 100+i
-			r.at(time.Duration(r.rnd.Int63n(int64(4*time.Millisecond))), func() { send(t) })
+			r.at(time.Duration(r.random.Int63n(int64(4*time.Millisecond))), func() { send(t) })
 		}
-		r.at(time.Duration(r.rnd.Int63n(int64(8*time.Millisecond))), func() {
-			r.cause([]string{"kill-leader", "freeze-leader", "handover", "cut-core", "power-all"}[seed%5], 3*time.Second)
+		r.at(time.Duration(r.random.Int63n(int64(8*time.Millisecond))), func() {
+			r.inject([]string{"kill-leader", "freeze-leader", "handover", "cut-core", "power-all"}[seed%5], 3*time.Second)
 		})
 		r.Run(25 * time.Second)
 		is.Equal(got, map[outcome]int{done: 1, refused: 1})
