--- a/cmd/coppersim/capacity.go
+++ b/cmd/coppersim/capacity.go
@@ -1,7 +1,9 @@
-// The capacity runs: hollow fleets of several sizes, idle and under traffic in
-// proportion; what each role spends goes to a folder as CSV, markdown and plots.
 package main
 
+// The capacity command: hollow fleets of several sizes, idle and under traffic in
+// proportion. What each role spends is written to a folder as CSV, markdown and
+// plots.
+
 import (
 	"errors"
 	"fmt"
@@ -18,6 +20,7 @@
 	"coppercourse/sim/capacity"
 )
 
+// capacityRun is the flags of the capacity command.
 type capacityRun struct {
 	plan       sim.HollowPlan
 	idle, busy string
@@ -26,7 +29,7 @@
 	replot     bool
 }
 
-func measureCapacity(app *kingpin.Application, runs map[string]func() error) {
+func addCapacity(app *kingpin.Application, commands commandSet) {
 	r := &capacityRun{}
 	c := app.Command("capacity", "Measure what the daemons spend at several sizes of the fleet.")
 	c.Flag("idle", "Numbers of daemons to run idle, by comma.").Default("18,78,300,1000").StringVar(&r.idle)
@@ -39,57 +42,66 @@
 	c.Flag("budget", "Real time for all; a fleet that does not come to its end in it is told and left out.").Default("20m").DurationVar(&r.budget)
 	c.Flag("out", "Folder for capacity.csv, capacity.md and the plots.").Default("capacity-out").StringVar(&r.out)
 	c.Flag("replot", "Measure nothing; write the report again from the folder's capacity.csv.").BoolVar(&r.replot)
-	runs["capacity"] = r.run
+	commands["capacity"] = r.run
 }
 
+// Bounds of a capacity run.
+const (
+	memoryLimit   = 3500 << 20 // bytes; beyond it memory is collected harder
+	fewestDaemons = 18
+	mostDaemons   = 20_000
+)
+
+// run measures, or reads the last measurement, and writes the report.
 func (r *capacityRun) run() error {
-	debug.SetMemoryLimit(3500 << 20)
+	debug.SetMemoryLimit(memoryLimit)
 	if err := os.MkdirAll(r.out, 0o755); err != nil {
 		return err
 	}
-	path := filepath.Join(r.out, "capacity.csv")
-	var list []capacity.Point
-	var late error
+	points, late, err := r.points(filepath.Join(r.out, "capacity.csv"))
+	if err != nil {
+		return err
+	}
+	markdown := func(f *os.File) error { capacity.WriteMarkdown(f, points); return nil }
+	if err := save(filepath.Join(r.out, "capacity.md"), markdown); err != nil {
+		return err
+	}
+	capacity.WriteMarkdown(os.Stdout, points)
+	return errors.Join(late, capacity.Plot(r.out, capacity.Idle, points), capacity.Plot(r.out, capacity.Traffic, points))
+}
+
+// points returns the figures of all fleets: with --replot from the file at path,
+// otherwise measured and saved there. The error late holds the fleets that did not
+// come to their end.
+func (r *capacityRun) points(path string) (points []capacity.Point, late, err error) {
 	if r.replot {
 		f, err := os.Open(path)
 		if err != nil {
-			return err
+			return nil, nil, err
 		}
 		defer f.Close()
-		if list, err = capacity.ReadCSV(f); err != nil {
-			return err
-		}
-	} else {
-		if list, late = r.measure(); list == nil {
-			return late
-		}
-		if err := save(path, func(f *os.File) error { return capacity.WriteCSV(f, list) }); err != nil {
-			return err
-		}
+		points, err = capacity.ReadCSV(f)
+		return points, nil, err
 	}
-	md := func(f *os.File) error { capacity.WriteMarkdown(f, list); return nil }
-	if err := save(filepath.Join(r.out, "capacity.md"), md); err != nil {
-		return err
+	points, late = r.measure()
+	if points == nil {
+		return nil, nil, late
 	}
-	capacity.WriteMarkdown(os.Stdout, list)
-	return errors.Join(late, capacity.Plot(r.out, "idle", list), capacity.Plot(r.out, "traffic", list))
+	return points, late, save(path, func(f *os.File) error { return capacity.WriteCSV(f, points) })
 }
 
-// measure runs the fleets one after the other, the small ones first.
-func (r *capacityRun) measure() (list []capacity.Point, late error) {
+// measure runs the fleets one after the other, small ones first.
+func (r *capacityRun) measure() (points []capacity.Point, late error) {
 	end := time.Now().Add(r.budget)
 	for _, mode := range []struct {
 		sizes string
 		busy  bool
 	}{{r.idle, false}, {r.busy, true}} {
-		for _, word := range strings.Split(mode.sizes, ",") {
-			if word == "" {
-				continue
-			}
-			n, err := strconv.Atoi(word)
-			if err != nil || n < 18 || n > 20_000 {
-				return nil, fmt.Errorf("%q: want a number of daemons from 18 to 20000", word)
-			}
+		sizes, err := parseSizes(mode.sizes)
+		if err != nil {
+			return nil, err
+		}
+		for _, n := range sizes {
 			p := r.plan
 			p.Daemons, p.Busy, p.Limit = n, mode.busy, max(time.Millisecond, time.Until(end))
 			m, err := sim.Measure(p)
@@ -97,13 +109,29 @@
 				late = errors.Join(late, fmt.Errorf("%d daemons, traffic %v: %w", n, mode.busy, err))
 				continue
 			}
-			list = append(list, capacity.Points(m)...)
+			points = append(points, capacity.Points(m)...)
 			fmt.Printf("%d daemons, traffic %v: %d tasks ran at the window's end, took %s\n", n, mode.busy, m.Running, m.RealTime.Round(time.Millisecond))
 		}
 	}
 	return
 }
 
+// parseSizes reads numbers of daemons, by comma.
+func parseSizes(list string) (sizes []int, err error) {
+	for _, word := range strings.Split(list, ",") {
+		if word == "" {
+			continue
+		}
+		n, err := strconv.Atoi(word)
+		if err != nil || n < fewestDaemons || n > mostDaemons {
+			return nil, fmt.Errorf("%q: want a number of daemons from %d to %d", word, fewestDaemons, mostDaemons)
+		}
+		sizes = append(sizes, n)
+	}
+	return sizes, nil
+}
+
+// save creates a file and writes it.
 func save(path string, write func(*os.File) error) error {
 	f, err := os.Create(path)
 	if err != nil {
--- a/cmd/coppersim/fleet.go
+++ b/cmd/coppersim/fleet.go
@@ -1,7 +1,9 @@
-// The fleet: a town of real processes on loopback, its traffic, faults, and the
-// checker's verdict; and the worker process that the fleet starts.
 package main
 
+// The fleet command: a deployment of real processes on loopback with traffic and
+// faults, judged by the checker; and the worker command, whose processes the fleet
+// starts.
+
 import (
 	"context"
 	"encoding/json"
@@ -17,83 +19,128 @@
 	"coppercourse/sim"
 )
 
-func fleet(app *kingpin.Application, runs map[string]func() error) {
+// Timings and bounds of a fleet run.
+const (
+	startLimit  = 30 * time.Second // until all daemons are ready
+	extraTime   = 4 * time.Minute  // beside the traffic: start, settling, report
+	mostPrinted = 20               // broken rules that are printed
+)
+
+// fleetRun is the flags of the fleet command.
+type fleetRun struct {
+	deployment string
+	bin, dir   string
+	port       int
+	traffic    time.Duration
+	speed      float64
+	idle       time.Duration
+	seed       int64
+	faults     string
+}
+
+func addFleet(app *kingpin.Application, commands commandSet) {
+	r := &fleetRun{}
 	c := app.Command("fleet", "Run a town of real processes with its traffic and faults.")
-	town := c.Flag("town", "kingston or romania.").Default("kingston").Enum("kingston", "romania")
-	bin := c.Flag("bin", "The coppercourse program.").Default("bin/coppercourse").ExistingFile()
-	dir := c.Flag("dir", "Folder for logs, data and histories; a new one by default.").String()
-	port := c.Flag("port", "Port of all daemons, each on its own loopback address.").Default("7400").Int()
-	long := c.Flag("for", "How long the traffic goes on.").Default("30s").Duration()
-	speed := c.Flag("speed", "Times the town's usual rates.").Default("1").Float64()
-	idle := c.Flag("idle", "Before the traffic, let the fleet be so long and tell what its daemons spend.").Duration()
-	seed := c.Flag("seed", "Seed of the callers.").Default("1").Int64()
-	faults := c.Flag("faults", "Faults as name@at+long, by comma.").String()
-	runs["fleet"] = func() error {
-		list, err := sim.ParseEvents(*faults)
-		if err != nil {
-			return err
-		}
-		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-		defer stop()
-		ctx, end := context.WithTimeout(ctx, *long+*idle+4*time.Minute)
-		defer end()
-		self, err := os.Executable()
-		if err != nil {
-			return err
-		}
-		if *dir == "" {
-			if *dir, err = os.MkdirTemp("", "fleet"); err != nil {
-				return err
-			}
-		}
-		f := &sim.Fleet{Town: sim.Towns[*town], Dir: *dir, Bin: *bin, Self: self, Port: *port}
-		defer f.Shut()
-		if err := f.Open(ctx); err != nil {
-			return err
-		}
-		from := time.Now()
-		if err := f.Ready(30 * time.Second); err != nil {
-			return err
-		}
-		fmt.Printf("ready after %s; logs in %s\n", time.Since(from).Round(10*time.Millisecond), filepath.Clean(*dir))
-		s := sim.NewStreet(f, *seed, *speed)
-		if _, err := s.Put(f.Town.Table()); err != nil {
-			return err
-		}
-		if *idle > 0 {
-			text, err := f.Idle(*idle)
-			if err != nil {
-				return err
-			}
-			fmt.Print(text)
-		}
-		late := f.Live(s, *long, list)
-		breaks, err := f.Report(s)
-		if err != nil {
-			return err
-		}
-		for i, b := range breaks {
-			if i < 20 {
-				fmt.Println(b)
-			}
-		}
-		if late != nil {
-			return late
+	c.Flag("town", "kingston or romania.").Default("kingston").EnumVar(&r.deployment, "kingston", "romania")
+	c.Flag("bin", "The coppercourse program.").Default("bin/coppercourse").ExistingFileVar(&r.bin)
+	c.Flag("dir", "Folder for logs, data and histories; a new one by default.").StringVar(&r.dir)
+	c.Flag("port", "Port of all daemons, each on its own loopback address.").Default("7400").IntVar(&r.port)
+	c.Flag("for", "How long the traffic goes on.").Default("30s").DurationVar(&r.traffic)
+	c.Flag("speed", "Times the town's usual rates.").Default("1").Float64Var(&r.speed)
+	c.Flag("idle", "Before the traffic, let the fleet be so long and tell what its daemons spend.").DurationVar(&r.idle)
+	c.Flag("seed", "Seed of the callers.").Default("1").Int64Var(&r.seed)
+	c.Flag("faults", "Faults as name@at+long, by comma.").StringVar(&r.faults)
+	commands["fleet"] = r.run
+}
+
+// run starts the fleet, lets its traffic and faults go on, and reports.
+func (r *fleetRun) run() error {
+	faults, err := sim.ParseEvents(r.faults)
+	if err != nil {
+		return err
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	ctx, end := context.WithTimeout(ctx, r.traffic+r.idle+extraTime)
+	defer end()
+	f, err := r.open(ctx)
+	if err != nil {
+		return err
+	}
+	defer f.Shut()
+	workload := sim.NewStreet(f, r.seed, r.speed)
+	if _, err := workload.Put(f.Town.Table()); err != nil {
+		return err
+	}
+	if err := r.measureIdle(f); err != nil {
+		return err
+	}
+	late := f.Live(workload, r.traffic, faults)
+	broken, err := f.Report(workload)
+	if err != nil {
+		return err
+	}
+	for i, b := range broken {
+		if i < mostPrinted {
+			fmt.Println(b)
 		}
-		if len(breaks) > 0 {
-			return fmt.Errorf("%d breaks of the rules", len(breaks))
+	}
+	if late != nil {
+		return late
+	}
+	if len(broken) > 0 {
+		return fmt.Errorf("%d breaks of the rules", len(broken))
+	}
+	fmt.Println("no rule broken")
+	return nil
+}
+
+// open starts the processes and waits until all daemons are ready.
+func (r *fleetRun) open(ctx context.Context) (*sim.Fleet, error) {
+	self, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	if r.dir == "" {
+		if r.dir, err = os.MkdirTemp("", "fleet"); err != nil {
+			return nil, err
 		}
-		fmt.Println("no rule broken")
+	}
+	f := &sim.Fleet{Town: sim.Towns[r.deployment], Dir: r.dir, Bin: r.bin, Self: self, Port: r.port}
+	if err := f.Open(ctx); err != nil {
+		f.Shut()
+		return nil, err
+	}
+	from := time.Now()
+	if err := f.Ready(startLimit); err != nil {
+		f.Shut()
+		return nil, err
+	}
+	fmt.Printf("ready after %s; logs in %s\n", time.Since(from).Round(10*time.Millisecond), filepath.Clean(r.dir))
+	return f, nil
+}
+
+// measureIdle prints what the daemons spend before there is traffic.
+func (r *fleetRun) measureIdle(f *sim.Fleet) error {
+	if r.idle <= 0 {
 		return nil
 	}
+	text, err := f.Idle(r.idle)
+	if err != nil {
+		return err
+	}
+	fmt.Print(text)
+	return nil
+}
 
+func addWorker(app *kingpin.Application, commands commandSet) {
 	w := app.Command("worker", "Be one stand-in worker (the fleet starts these).")
 	agent := w.Flag("agent", "IP:port of its agent.").Required().String()
 	source := w.Flag("source", "IP to call from.").String()
 	id := w.Flag("id", "Its identity.").Default("worker").String()
 	hist := w.Flag("history", "File that its history is appended to.").Default("worker.history").String()
 	made := w.Flag("make", "What it is made of, as JSON.").Default(`{"Shard":"k1","Rack":"r1","Kinds":["quote"],"Room":{"cores":4,"memory":1024}}`).String()
-	runs["worker"] = func() error {
+	commands["worker"] = func() error {
 		var m sim.Make
 		if err := json.Unmarshal([]byte(*made), &m); err != nil {
 			return fmt.Errorf("--make: %w", err)
--- a/cmd/coppersim/main.go
+++ b/cmd/coppersim/main.go
@@ -1,6 +1,7 @@
-// The trial program: proof only. `sweep` runs the simulator over many seeds,
-// `fleet` runs real processes, `capacity` measures hollow fleets. Daemons start
-// no process; this one does.
+// Coppersim tests coppercourse under failure. The command sweep runs the simulator
+// over many seeds, fleet runs a deployment of real processes on loopback, capacity
+// measures what the daemons spend at several sizes. The daemons themselves start
+// no process; this program does.
 package main
 
 import (
@@ -11,15 +12,19 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
+// commandSet is what each command of the command line runs, by its full name.
+type commandSet map[string]func() error
+
 func main() {
 	app := kingpin.New("coppersim", "Proves coppercourse under failure: a seeded simulator and a fleet of real processes.")
 	app.HelpFlag.Short('h')
-	runs := map[string]func() error{}
-	sweep(app, runs)
-	fleet(app, runs)
-	measureCapacity(app, runs)
+	commands := commandSet{}
+	addSweep(app, commands)
+	addFleet(app, commands)
+	addWorker(app, commands)
+	addCapacity(app, commands)
 	name := kingpin.MustParse(app.Parse(os.Args[1:]))
-	if err := runs[name](); err != nil {
+	if err := commands[name](); err != nil {
 		fmt.Fprintln(os.Stderr, "coppersim: "+strings.ReplaceAll(err.Error(), "\n", "\ncoppersim: "))
 		os.Exit(1)
 	}
--- a/cmd/coppersim/sweep.go
+++ b/cmd/coppersim/sweep.go
@@ -1,8 +1,10 @@
-// The sweep: simulated runs over a range of seeds, several at a time, each with
-// its own faults; every broken rule is printed with the seed that shows it.
 package main
 
+// The sweep command: simulated runs over a range of seeds, several at a time, each
+// with its own faults. Every broken rule is printed with the seed that shows it.
+
 import (
+	"cmp"
 	"fmt"
 	"runtime"
 	"slices"
@@ -17,25 +19,36 @@
 	"coppercourse/sim"
 )
 
+// sweeper is the flags of the sweep command and the results so far.
 type sweeper struct {
-	plan          sim.Plan
-	seeds         int
-	faults        string
-	lease         time.Duration
-	verbose       bool
-	job           string
-	mu            sync.Mutex
-	bad, attempts int
-	seen          sim.Tally
-	after         []float64
-	pairs         bool
-	each          bool
-	part          map[string][]float64 // ratios by fault
-	broke         map[string]int
+	plan    sim.Plan
+	seeds   int
+	faults  string
+	lease   time.Duration
+	verbose bool
+	job     string
+	pairs   bool
+	each    bool
+
+	mu sync.Mutex
+	sweepResults
+}
+
+// sweepResults are the results of all seeds so far, guarded by the sweeper's mutex.
+type sweepResults struct {
+	broken        int       // seeds that broke a rule
+	attempts      int       // attempts at tasks
+	seen          sim.Tally // how often each rule could have been broken
+	ratios        []float64 // jobs done after the faults, beside before, by seed
+	ratiosByFault map[string][]float64
+	brokenByFault map[string]int
 }
 
-func sweep(app *kingpin.Application, runs map[string]func() error) {
-	s := &sweeper{seen: sim.Tally{}, part: map[string][]float64{}, broke: map[string]int{}}
+// mostBreaks is how many broken rules are printed of each seed.
+const mostBreaks = 6
+
+func addSweep(app *kingpin.Application, commands commandSet) {
+	s := &sweeper{sweepResults: sweepResults{seen: sim.Tally{}, ratiosByFault: map[string][]float64{}, brokenByFault: map[string]int{}}}
 	c := app.Command("sweep", "Run the simulator over many seeds.")
 	c.Flag("first", "First seed.").Default("1").Int64Var(&s.plan.Seed)
 	c.Flag("seeds", "How many seeds.").Default("200").IntVar(&s.seeds)
@@ -43,31 +56,26 @@
 		EnumVar(&s.plan.Town, "kingston", "romania", "kingston-called", "romania-called")
 	c.Flag("faults", "Faults to draw from, by comma; all that the town knows by default. A wrong name prints the list.").StringVar(&s.faults)
 	c.Flag("bare", "Called workers guard nothing.").BoolVar(&s.plan.Bare)
-	c.Flag("quick", "The quick pace, as where the surroundings give bounds.").BoolVar(&s.plan.Quick)
-	c.Flag("lease", "How long an agent's grant lasts, in place of the usual; loss comes a quarter later.").DurationVar(&s.lease)
+	c.Flag("quick", "The shorter timeouts, as where the deployment gives bounds.").BoolVar(&s.plan.Quick)
+	c.Flag("lease", "How long an agent's lease lasts, in place of the usual; loss comes a quarter later.").DurationVar(&s.lease)
 	c.Flag("count", "Faults in a run.").Default("8").IntVar(&s.plan.Count)
 	c.Flag("calm", "Traffic before the faults.").Default("10s").DurationVar(&s.plan.Calm)
 	c.Flag("storm", "How long faults come.").Default("30s").DurationVar(&s.plan.Storm)
 	c.Flag("after", "Traffic after they are healed.").Default("24s").DurationVar(&s.plan.After)
 	c.Flag("settle", "Time for everything to end.").Default("90s").DurationVar(&s.plan.Settle)
-	c.Flag("patience", "Every queue's patience; little of it shows that grants alone keep legs apart.").Default("30s").DurationVar(&s.plan.Patience)
+	c.Flag("patience", "Every queue's patience; little of it shows that leases alone keep attempts apart.").Default("30s").DurationVar(&s.plan.Patience)
 	c.Flag("last", "One more fault at the very end of the traffic.").BoolVar(&s.plan.Last)
 	c.Flag("pairs", "Each seed draws from one pair of the faults, all pairs in turn; --seeds 0 is one of each.").BoolVar(&s.pairs)
 	c.Flag("each", "Each seed draws from one fault, all in turn; --seeds 0 is one of each.").BoolVar(&s.each)
 	c.Flag("verbose", "Print each run; with one seed, its time line.").Short('v').BoolVar(&s.verbose)
 	c.Flag("job", "Print all that happened to one job, and to workers.").StringVar(&s.job)
-	runs["sweep"] = s.run
+	commands["sweep"] = s.run
 }
 
+// run plays all seeds and prints the summary.
 func (s *sweeper) run() error {
-	known := sim.FaultsOf(s.plan.Town)
-	if s.plan.Faults = known; s.faults != "" {
-		s.plan.Faults = strings.Split(s.faults, ",")
-	}
-	for _, f := range s.plan.Faults {
-		if !slices.Contains(known, f) {
-			return fmt.Errorf("no fault of %s is called %q; there are %s", s.plan.Town, f, strings.Join(known, ", "))
-		}
+	if err := s.chooseFaults(); err != nil {
+		return err
 	}
 	if s.lease > 0 {
 		s.plan.Pace = dispatch.Defaults
@@ -77,6 +85,36 @@
 	if s.seeds == 0 {
 		s.seeds = len(sets)
 	}
+	from := time.Now()
+	s.play(sets)
+	fmt.Printf("chances the rules had:\n%v", s.seen)
+	fmt.Printf("%d seeds of %s, %d attempts run, %d seeds broke a rule, %d re-runs after an end nobody alive was told of; took %s\n",
+		s.seeds, s.plan.Town, s.attempts, s.broken, s.seen.Reruns(), time.Since(from).Round(time.Second))
+	fmt.Printf("jobs done for each one sent from 12 s after healing, beside before the faults: %s\n", sim.Spread(s.ratios))
+	s.worst()
+	if s.broken > 0 {
+		return fmt.Errorf("%d of %d seeds broke a rule", s.broken, s.seeds)
+	}
+	return nil
+}
+
+// chooseFaults sets the faults of the plan from the flag, all known ones by default.
+func (s *sweeper) chooseFaults() error {
+	known := sim.FaultsOf(s.plan.Town)
+	s.plan.Faults = known
+	if s.faults != "" {
+		s.plan.Faults = strings.Split(s.faults, ",")
+	}
+	for _, f := range s.plan.Faults {
+		if !slices.Contains(known, f) {
+			return fmt.Errorf("no fault of %s is called %q; there are %s", s.plan.Town, f, strings.Join(known, ", "))
+		}
+	}
+	return nil
+}
+
+// play runs all seeds, as many at a time as there are processors.
+func (s *sweeper) play(sets [][]string) {
 	seeds := make(chan int64)
 	var all sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -88,24 +126,15 @@
 			}
 		}()
 	}
-	from := time.Now()
 	for i := range s.seeds {
 		seeds <- s.plan.Seed + int64(i)
 	}
 	close(seeds)
 	all.Wait()
-	fmt.Printf("chances the rules had:\n%v", s.seen)
-	fmt.Printf("%d seeds of %s, %d legs run, %d seeds broke a rule, %d re-runs after an end nobody alive was told of; took %s\n",
-		s.seeds, s.plan.Town, s.attempts, s.bad, s.seen.Reruns(), time.Since(from).Round(time.Second))
-	fmt.Printf("jobs done for each one sent from 12 s after healing, beside before the faults: %s\n", sim.Spread(s.after))
-	s.worst()
-	if s.bad > 0 {
-		return fmt.Errorf("%d of %d seeds broke a rule", s.bad, s.seeds)
-	}
-	return nil
 }
 
-// sets are the faults that the seeds draw from in turn.
+// sets returns the faults that the seeds draw from in turn: one set, or with
+// --each or --pairs one for each fault or pair.
 func (s *sweeper) sets() (list [][]string) {
 	all := s.plan.Faults
 	for i, a := range all {
@@ -121,23 +150,27 @@
 	return
 }
 
-// worst prints the faults after which service came back least.
+// worst prints, with --each or --pairs, the faults in the order of the least service
+// after them.
 func (s *sweeper) worst() {
 	type row struct {
 		name string
 		list []float64
 	}
 	var rows []row
-	for n, l := range s.part {
+	for n, l := range s.ratiosByFault {
 		sort.Float64s(l)
 		rows = append(rows, row{n, l})
 	}
-	sort.Slice(rows, func(i, k int) bool { return rows[i].list[0] < rows[k].list[0] })
+	slices.SortFunc(rows, func(a, b row) int {
+		return cmp.Or(cmp.Compare(a.list[0], b.list[0]), cmp.Compare(a.name, b.name))
+	})
 	for _, r := range rows {
-		fmt.Printf("  %-16s ratio %s; %d runs broke a rule\n", r.name, sim.Spread(r.list), s.broke[r.name])
+		fmt.Printf("  %-16s ratio %s; %d runs broke a rule\n", r.name, sim.Spread(r.list), s.brokenByFault[r.name])
 	}
 }
 
+// one plays a seed and adds its results.
 func (s *sweeper) one(seed int64, faults []string) {
 	p := s.plan
 	p.Seed, p.Faults = seed, faults
@@ -150,43 +183,55 @@
 	v := r.Verdict()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen.Add(v.Seen)
-	s.attempts += v.Attempts
-	s.after = append(s.after, v.Ratio)
-	if s.pairs || s.each {
-		for i, f := range faults {
-			if i == 0 || f != faults[0] {
-				s.part[f] = append(s.part[f], v.Ratio)
-				if len(v.Breaks) > 0 {
-					s.broke[f]++
-				}
-			}
-		}
+	s.count(v, faults)
+	broke := len(v.Breaks) > 0
+	if broke && len(faults) == 2 {
+		fmt.Println(strings.Join(faults, ","))
 	}
-	if s.verbose || len(v.Breaks) > 0 {
-		if len(v.Breaks) > 0 && len(faults) == 2 {
-			fmt.Println(strings.Join(faults, ","))
-		}
+	if s.verbose || broke {
 		fmt.Printf("seed %d: ratio %.2f, %s\n", seed, v.Ratio, sim.Summary(&r.Hist))
 	}
 	if s.seeds == 1 && s.verbose {
 		fmt.Println(sim.Timeline(&r.Hist))
 	}
-	for _, h := range r.Hist.List {
-		if s.job != "" && (string(h.Job) == s.job || string(h.Attempt.Job) == s.job || h.Attempt.Job == "" && h.Shard != "") {
-			fmt.Printf("  %8.3f s %-10s %s %v %s %s %s\n", float64(h.At)/1e9, h.What, h.Who, h.Attempt, h.Outcome, h.Stage, h.Text)
-		}
-	}
 	if s.job != "" {
-		fmt.Print(r.Marks(s.job))
+		s.printJob(r)
+	}
+	for _, b := range v.Breaks[:min(len(v.Breaks), mostBreaks)] {
+		fmt.Printf("  %s\n", b)
+	}
+}
+
+// count adds a verdict to the results.
+func (s *sweeper) count(v sim.Verdict, faults []string) {
+	broke := len(v.Breaks) > 0
+	s.seen.Add(v.Seen)
+	s.attempts += v.Attempts
+	s.ratios = append(s.ratios, v.Ratio)
+	if broke {
+		s.broken++
 	}
-	if len(v.Breaks) == 0 {
+	if !s.pairs && !s.each {
 		return
 	}
-	s.bad++
-	for i, b := range v.Breaks {
-		if i < 6 {
-			fmt.Printf("  %s\n", b)
+	for i, f := range faults {
+		if i > 0 && f == faults[0] {
+			continue
+		}
+		s.ratiosByFault[f] = append(s.ratiosByFault[f], v.Ratio)
+		if broke {
+			s.brokenByFault[f]++
+		}
+	}
+}
+
+// printJob prints what happened to the job of the flag, and to workers.
+func (s *sweeper) printJob(r *sim.Run) {
+	for _, h := range r.Hist.List {
+		of := string(h.Job) == s.job || string(h.Attempt.Job) == s.job
+		if of || h.Attempt.Job == "" && h.Shard != "" {
+			fmt.Printf("  %8.3f s %-10s %s %v %s %s %s\n", float64(h.At)/float64(time.Second), h.What, h.Who, h.Attempt, h.Outcome, h.Stage, h.Text)
 		}
 	}
+	fmt.Print(r.Marks(s.job))
 }
--- a/sim/capacity/figure.go
+++ b/sim/capacity/figure.go
@@ -1,7 +1,10 @@
-// Package capacity tells what the fleet spends at the size that the project
-// designs for: figures for each role out of measured hollow fleets, how each
-// grows with the number of workers, and where that leads beside its limit. This
-// file is the list of figures and the way they are carried on to the full size.
+// Package capacity extrapolates what the daemons spend to the size that the project
+// is designed for. It derives figures for each role from measured fleets, fits how
+// each grows with the number of workers, and compares the value at the full size
+// with its limit.
+//
+// figure.go holds the figures and their extrapolation, report.go the tables,
+// plot.go the plots.
 package capacity
 
 import (
@@ -12,9 +15,9 @@
 	"coppercourse/sim"
 )
 
-// Limits of the plan. What a daemon may spend on control is said of those beside
-// the workers; the controllers have machines of their own, and a core for the one
-// goroutine that owns the machine is all that a controller can use of them.
+// Limits of the plan (DEVELOPERS.md). Those on control work hold for the daemons
+// beside the workers. Controllers have machines of their own; the goroutine that
+// owns the state machine can use one core of them.
 const (
 	limitCPU    = 2.3  // percent of a core
 	limitMemory = 128  // MB
@@ -24,15 +27,22 @@
 	limitOwner  = 100  // percent of a core
 )
 
-// Figure is one number of a role. The limit is 0 where the plan sets none; Core
-// is the controllers' own.
+// Modes of a measured fleet.
+const (
+	Idle    = "idle"
+	Traffic = "traffic"
+)
+
+// Figure is one measured quantity of some roles.
 type Figure struct {
-	Name, Unit  string
-	Limit, Core float64
-	Roles       []string
-	of          func(m *sim.Measurement, u sim.RoleUsage) float64
+	Name, Unit string
+	Limit      float64  // of gateways and agents, in the unit, or 0 for none
+	Core       float64  // of controllers, or 0 for none
+	Roles      []string // the roles that have it
+	of         func(m *sim.Measurement, u sim.RoleUsage) float64
 }
 
+// limit returns the limit of a role, or 0.
 func (f Figure) limit(role string) float64 {
 	if slices.Contains(controllers, role) {
 		return f.Core
@@ -46,8 +56,8 @@
 	onlyOne     = []string{"leader"}
 )
 
-// a gives the mean of something a second over the daemons of a role.
-func a(f func(sim.Usage) float64) func(*sim.Measurement, sim.RoleUsage) float64 {
+// perSecond returns the mean of a quantity over the daemons of a role, per second.
+func perSecond(f func(sim.Usage) float64) func(*sim.Measurement, sim.RoleUsage) float64 {
 	return func(m *sim.Measurement, u sim.RoleUsage) (sum float64) {
 		for _, x := range u.Each {
 			sum += f(x) / float64(len(u.Each)) / m.Window.Seconds()
@@ -56,6 +66,7 @@
 	}
 }
 
+// class returns one count of the messages of a class, sent and received.
 func class(c sim.Class, of func(sim.Count) int) func(sim.Usage) float64 {
 	return func(u sim.Usage) float64 { return float64(of(u.Sent[c]) + of(u.Received[c])) }
 }
@@ -63,6 +74,7 @@
 func bytesOf(c sim.Count) int    { return c.Bytes }
 func messagesOf(c sim.Count) int { return c.Messages }
 
+// millis returns the longest of a list in milliseconds, or 0.
 func millis(list []time.Duration) float64 {
 	if len(list) == 0 {
 		return 0
@@ -70,22 +82,22 @@
 	return float64(slices.Max(list).Microseconds()) / 1000
 }
 
-// Figures are all that is told, in order.
+// Figures are all figures, in the order of the report.
 var Figures = []Figure{
-	{"control messages", "1/s", 0, 0, all, a(func(u sim.Usage) float64 { return float64(u.Control().Messages) })},
-	{"control bytes", "B/s", limitBytes, 0, all, a(func(u sim.Usage) float64 { return float64(u.Control().Bytes) })},
-	{"roster bytes", "B/s", limitBytes, 0, all, a(class(sim.RosterMessages, bytesOf))},
-	{"heartbeat bytes", "B/s", limitBytes, 0, all, a(class(sim.HeartbeatMessages, bytesOf))},
-	{"log bytes", "B/s", 0, 0, all, a(class(sim.LogMessages, bytesOf))},
-	{"table bytes", "B/s", limitBytes, 0, all, a(class(sim.TableMessages, bytesOf))},
-	{"work messages", "1/s", 0, 0, all, a(class(sim.WorkMessages, messagesOf))},
-	{"work bytes", "B/s", 0, 0, all, a(class(sim.WorkMessages, bytesOf))},
-	{"processor", "% of a core", limitCPU, limitOwner, all, a(func(u sim.Usage) float64 { return 100 * u.CPU.Seconds() })},
+	{"control messages", "1/s", 0, 0, all, perSecond(func(u sim.Usage) float64 { return float64(u.Control().Messages) })},
+	{"control bytes", "B/s", limitBytes, 0, all, perSecond(func(u sim.Usage) float64 { return float64(u.Control().Bytes) })},
+	{"roster bytes", "B/s", limitBytes, 0, all, perSecond(class(sim.RosterMessages, bytesOf))},
+	{"heartbeat bytes", "B/s", limitBytes, 0, all, perSecond(class(sim.HeartbeatMessages, bytesOf))},
+	{"log bytes", "B/s", 0, 0, all, perSecond(class(sim.LogMessages, bytesOf))},
+	{"table bytes", "B/s", limitBytes, 0, all, perSecond(class(sim.TableMessages, bytesOf))},
+	{"work messages", "1/s", 0, 0, all, perSecond(class(sim.WorkMessages, messagesOf))},
+	{"work bytes", "B/s", 0, 0, all, perSecond(class(sim.WorkMessages, bytesOf))},
+	{"processor", "% of a core", limitCPU, limitOwner, all, perSecond(func(u sim.Usage) float64 { return 100 * u.CPU.Seconds() })},
 	{"state", "MB", limitMemory, 0, all, func(_ *sim.Measurement, u sim.RoleUsage) float64 {
 		return float64(slices.Max(u.State)) / 1e6
 	}},
-	{"disk bytes", "B/s", 0, 0, controllers, a(func(u sim.Usage) float64 { return float64(u.Written) })},
-	{"disk syncs", "1/s", 0, 0, controllers, a(func(u sim.Usage) float64 { return float64(u.Syncs) })},
+	{"disk bytes", "B/s", 0, 0, controllers, perSecond(func(u sim.Usage) float64 { return float64(u.Written) })},
+	{"disk syncs", "1/s", 0, 0, controllers, perSecond(func(u sim.Usage) float64 { return float64(u.Syncs) })},
 	{"step p50", "ms", 0, 0, onlyOne, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
 		return float64(m.Steps.ValueAtQuantile(50)) / 1e6
 	}},
@@ -102,18 +114,18 @@
 	}},
 }
 
-// Point is one figure of one role in one fleet.
+// Point is the value of one figure for one role in one fleet.
 type Point struct {
 	Mode, Role, Name, Unit string
 	Daemons, Workers       int
 	Value                  float64
 }
 
-// Points are all figures of a measurement.
+// Points returns all figures of a measurement.
 func Points(m *sim.Measurement) (list []Point) {
-	mode := "idle"
+	mode := Idle
 	if m.Busy {
-		mode = "traffic"
+		mode = Traffic
 	}
 	for _, f := range Figures {
 		for _, u := range m.Roles {
@@ -125,11 +137,12 @@
 	return
 }
 
-// Growth is how a figure grows with the workers: the line by least squares, and
-// the power between the last two sizes, which is 1 for a line and 2 for a square.
+// Growth is how a figure grows with the number of workers: the line by least
+// squares, and the exponent between the last two sizes, which is 1 for linear and 2
+// for quadratic growth.
 type Growth struct{ Const, Slope, Power float64 }
 
-// Grow fits points in order of their workers.
+// Grow fits points that are in order of their workers.
 func Grow(list []Point) (g Growth) {
 	n := float64(len(list))
 	var sx, sy, sxx, sxy float64
@@ -150,23 +163,22 @@
 	return
 }
 
-// bent is the power from which a line would tell too little, even the one below
-// which nothing grows but by the measure's own spread.
+// Exponents between which a figure is extrapolated along its line.
 const (
-	bent = 1.15
-	even = 0.1
+	superlinear = 1.15 // above it a line would predict too little
+	constant    = 0.1  // below it growth is within the spread of the measurement
 )
 
-// At carries a figure on to a number of workers: by the line, from the last size
-// by its power where it bends upward, and unchanged where it does not grow.
+// At extrapolates a figure to a number of workers: along the line; by its exponent
+// from the last size where growth is superlinear; unchanged where it does not grow.
 func (g Growth) At(workers int, list []Point) float64 {
 	last := list[len(list)-1]
 	switch {
 	case last.Workers == workers: // measured
 		return last.Value
-	case g.Power > bent:
+	case g.Power > superlinear:
 		return last.Value * math.Pow(float64(workers)/float64(last.Workers), g.Power)
-	case g.Slope <= 0 || math.Abs(g.Power) < even:
+	case g.Slope <= 0 || math.Abs(g.Power) < constant:
 		return last.Value
 	}
 	return g.Const + g.Slope*float64(workers)
--- a/sim/capacity/figure_test.go
+++ b/sim/capacity/figure_test.go
@@ -1,7 +1,8 @@
-// Figures are carried on to the full size as they grow, and the report says
-// whether that keeps the limit.
 package capacity
 
+// Figures are extrapolated to the full size as they grow, and the report says
+// whether that keeps the limit.
+
 import (
 	"bytes"
 	"math"
@@ -21,7 +22,7 @@
 	return
 }
 
-func TestGrowthIsCarriedOn(t *testing.T) {
+func TestGrowthIsExtrapolated(t *testing.T) {
 	is := is.New(t)
 	near := func(a, b float64) bool { return math.Abs(a-b) < 0.001*math.Abs(b) }
 	line := grown("x", "agent", func(n float64) float64 { return 7 + 3*n })
--- a/sim/capacity/plot.go
+++ b/sim/capacity/plot.go
@@ -1,7 +1,8 @@
-// One plot for each figure: over the number of workers, a line for each role, the
-// limit and the full size drawn in, and dashed what is extrapolated.
 package capacity
 
+// One plot for each figure: its value over the number of workers, with a line for
+// each role, the limit and the full size. The extrapolated part is dashed.
+
 import (
 	"image/color"
 	"path/filepath"
@@ -16,69 +17,116 @@
 	"coppercourse/sim"
 )
 
-// Plot writes the figures of a mode as SVG files into a folder.
+// Layout of a plot.
+const (
+	leastWorkers = 8 // where the axis of workers begins
+	width        = 15 * vg.Centimeter
+	height       = 9 * vg.Centimeter
+)
+
+// Names of the limits in the legend.
+const (
+	anyLimit        = "limit"
+	controllerLimit = "limit of a controller"
+)
+
+// Plot writes the figures of a mode as SVG files into a folder. A figure without
+// points has none.
 func Plot(dir, mode string, list []Point) error {
 	for _, f := range Figures {
-		p := plot.New()
-		p.Title.Text = f.Name + ", " + mode
-		p.X.Label.Text, p.Y.Label.Text = "workers", f.Unit
-		p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
-		p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
-		p.Legend.Top, p.Legend.Left = true, true
-		most := max(f.Limit, f.Core)
-		if slices.Contains(f.Roles, "agent") {
-			most = f.Limit
-		}
-		low, high, drawn := most, max(most, f.Core), false
-		for i, role := range f.Roles {
-			some := pick(list, mode, role, f.Name)
-			line := points(some)
-			if len(line) == 0 {
-				continue
-			}
-			drawn = true
-			full := plotter.XY{X: sim.FullWorkers, Y: Grow(some).At(sim.FullWorkers, some)}
-			rest := plotter.XYs{line[len(line)-1]}
-			if full.Y > 0 {
-				rest = append(rest, full)
-			}
-			for _, q := range append(line, rest...) {
-				if low == 0 || q.Y < low {
-					low = q.Y
-				}
-				high = max(high, q.Y)
-			}
-			if err := add(p, role, line, rest, plotutil.Color(i)); err != nil {
-				return err
-			}
+		if err := plotFigure(dir, mode, f, list); err != nil {
+			return err
 		}
-		if !drawn {
+	}
+	return nil
+}
+
+// yRange is the least and the greatest value in a plot.
+type yRange struct{ low, high float64 }
+
+func (r *yRange) include(y float64) {
+	if r.low == 0 || y < r.low {
+		r.low = y
+	}
+	r.high = max(r.high, y)
+}
+
+func plotFigure(dir, mode string, f Figure, list []Point) error {
+	p := newPlot(f.Name+", "+mode, f.Unit)
+	limit := max(f.Limit, f.Core)
+	if slices.Contains(f.Roles, "agent") {
+		limit = f.Limit
+	}
+	shown, drawn := yRange{limit, max(limit, f.Core)}, false
+	for i, role := range f.Roles {
+		some := pick(list, mode, role, f.Name)
+		if len(points(some)) == 0 {
 			continue
 		}
-		for _, l := range []struct {
-			name string
-			most float64
-		}{{"limit", most}, {"limit of a controller", f.Core}} {
-			if l.most == 0 || l.name != "limit" && l.most == most {
-				continue
-			}
-			if err := rule(p, plotter.XYs{{X: 8, Y: l.most}, {X: sim.FullWorkers, Y: l.most}}, l.name); err != nil {
-				return err
-			}
-		}
-		if err := rule(p, plotter.XYs{{X: sim.FullWorkers, Y: low * 0.8}, {X: sim.FullWorkers, Y: high * 1.2}}, ""); err != nil {
+		drawn = true
+		if err := addRole(p, role, some, plotutil.Color(i), &shown); err != nil {
 			return err
 		}
-		p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = 8, sim.FullWorkers*1.3, low*0.7, high*4
-		name := mode + "-" + strings.ReplaceAll(f.Name, " ", "-") + ".svg"
-		if err := p.Save(15*vg.Centimeter, 9*vg.Centimeter, filepath.Join(dir, name)); err != nil {
+	}
+	if !drawn {
+		return nil
+	}
+	if err := addLimits(p, limit, f.Core); err != nil {
+		return err
+	}
+	full := plotter.XYs{{X: sim.FullWorkers, Y: shown.low * 0.8}, {X: sim.FullWorkers, Y: shown.high * 1.2}}
+	if err := rule(p, full, ""); err != nil {
+		return err
+	}
+	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = leastWorkers, sim.FullWorkers*1.3, shown.low*0.7, shown.high*4
+	name := mode + "-" + strings.ReplaceAll(f.Name, " ", "-") + ".svg"
+	return p.Save(width, height, filepath.Join(dir, name))
+}
+
+// newPlot returns an empty plot with logarithmic axes.
+func newPlot(title, unit string) *plot.Plot {
+	p := plot.New()
+	p.Title.Text = title
+	p.X.Label.Text, p.Y.Label.Text = "workers", unit
+	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
+	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
+	p.Legend.Top, p.Legend.Left = true, true
+	return p
+}
+
+// addRole adds a role's measured line and its extrapolation to the full size.
+func addRole(p *plot.Plot, role string, some []Point, c color.Color, shown *yRange) error {
+	line := points(some)
+	rest := plotter.XYs{line[len(line)-1]}
+	full := plotter.XY{X: sim.FullWorkers, Y: Grow(some).At(sim.FullWorkers, some)}
+	if full.Y > 0 {
+		rest = append(rest, full)
+	}
+	for _, q := range append(line, rest...) {
+		shown.include(q.Y)
+	}
+	return add(p, role, line, rest, c)
+}
+
+// addLimits draws the limits that there are.
+func addLimits(p *plot.Plot, limit, core float64) error {
+	if limit != 0 {
+		if err := rule(p, across(limit), anyLimit); err != nil {
 			return err
 		}
 	}
+	if core != 0 && core != limit {
+		return rule(p, across(core), controllerLimit)
+	}
 	return nil
 }
 
-// points leaves out what a logarithmic axis can't show.
+// across is a horizontal line.
+func across(y float64) plotter.XYs {
+	return plotter.XYs{{X: leastWorkers, Y: y}, {X: sim.FullWorkers, Y: y}}
+}
+
+// points returns the points that a logarithmic axis can show.
 func points(some []Point) (line plotter.XYs) {
 	for _, p := range some {
 		if p.Value > 0 {
@@ -88,6 +136,7 @@
 	return
 }
 
+// add draws a measured line, and dashed what is extrapolated.
 func add(p *plot.Plot, name string, line, rest plotter.XYs, c color.Color) error {
 	l, s, err := plotter.NewLinePoints(line)
 	if err != nil {
@@ -104,6 +153,7 @@
 	return nil
 }
 
+// rule draws a limit, or with an empty name the full size.
 func rule(p *plot.Plot, at plotter.XYs, name string) error {
 	l, err := plotter.NewLine(at)
 	if err != nil {
@@ -112,7 +162,7 @@
 	switch l.Color = (color.RGBA{R: 200, A: 255}); name {
 	case "":
 		l.Color = color.Gray{Y: 160}
-	case "limit of a controller":
+	case controllerLimit:
 		l.Dashes = []vg.Length{vg.Points(1), vg.Points(2)}
 	}
 	p.Add(l)
--- a/sim/capacity/report.go
+++ b/sim/capacity/report.go
@@ -1,7 +1,8 @@
-// The report: all points as CSV, one markdown table for each role with what was
-// measured, how it grows, what that makes at the full size, and the limit.
 package capacity
 
+// The report: all points as CSV, and a markdown table for each role with what was
+// measured, how it grows, the value at the full size, and the limit.
+
 import (
 	"encoding/csv"
 	"fmt"
@@ -12,9 +13,10 @@
 	"coppercourse/sim"
 )
 
+// head is the first line of the CSV.
 var head = []string{"mode", "role", "figure", "unit", "daemons", "workers", "value"}
 
-// WriteCSV writes one line a point.
+// WriteCSV writes one line for each point.
 func WriteCSV(w io.Writer, list []Point) error {
 	c := csv.NewWriter(w)
 	c.Write(head)
@@ -25,7 +27,7 @@
 	return c.Error()
 }
 
-// ReadCSV reads them back.
+// ReadCSV reads what WriteCSV wrote.
 func ReadCSV(r io.Reader) (list []Point, err error) {
 	rows, err := csv.NewReader(r).ReadAll()
 	if err != nil {
@@ -53,7 +55,7 @@
 	return
 }
 
-// pick gives one figure's points in order of size.
+// pick returns the points of one figure and role, in order of size.
 func pick(list []Point, mode, role, name string) (some []Point) {
 	for _, p := range list {
 		if p.Mode == mode && p.Role == role && p.Name == name {
@@ -66,7 +68,7 @@
 
 // WriteMarkdown writes a table for each mode and role.
 func WriteMarkdown(w io.Writer, list []Point) {
-	for _, mode := range []string{"idle", "traffic"} {
+	for _, mode := range []string{Idle, Traffic} {
 		for _, role := range all {
 			var sizes []int
 			for _, p := range pick(list, mode, role, Figures[0].Name) {
@@ -87,6 +89,7 @@
 	}
 }
 
+// bars returns the rest of a table's separator line, for n columns.
 func bars(n int) (s string) {
 	for range n {
 		s += " --- |"
@@ -94,6 +97,7 @@
 	return
 }
 
+// row writes one figure's row.
 func row(w io.Writer, f Figure, most float64, some []Point) {
 	if some == nil {
 		return
@@ -116,4 +120,5 @@
 	fmt.Fprintf(w, " %s | %s | %.1f | %s %s | %s |\n", short(g.Const), short(g.Slope), g.Power, short(at), how, limit)
 }
 
+// short writes a number with three digits.
 func short(v float64) string { return strconv.FormatFloat(v, 'g', 3, 64) }
