--- /dev/null
+++ b/cmd/coppercourse/layers_test.go
@@ -0,0 +1,85 @@
+package main
+
+import (
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/matryer/is"
+)
+
+// module is the import path of the repository's root.
+const module = "coppercourse"
+
+// layers are all packages, lowest layer first, as docs/ARCHITECTURE.md shows them.
+var layers = [][]string{
+	{"internal/types", "internal/apierror"},
+	{"internal/wire", "internal/config", "internal/trace", "internal/wal", "internal/supervisor"},
+	{"internal/raft", "internal/membership", "internal/state", "internal/placement", "internal/configwatch"},
+	{"internal/dispatch", "internal/maintenance"},
+	{"internal/controller", "internal/gateway", "internal/agent", "internal/settings", "internal/server"},
+	{"platform"},
+	{"cmd/coppercourse", "sim"},
+	{"sim/capacity"},
+	{"cmd/coppersim"},
+}
+
+// A package imports only from lower layers, and every package has a layer. Test
+// files may import from anywhere.
+func TestPackagesImportFromLowerLayers(t *testing.T) {
+	is := is.New(t)
+	layerOf := map[string]int{}
+	for i, layer := range layers {
+		for _, name := range layer {
+			layerOf[name] = i
+		}
+	}
+	root, err := filepath.Abs("../..")
+	is.NoErr(err)
+	found := map[string]bool{}
+	is.NoErr(filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
+		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		folder, err := filepath.Rel(root, filepath.Dir(path))
+		if err != nil {
+			return err
+		}
+		from, ok := layerOf[folder]
+		if !ok {
+			t.Errorf("%s has no layer", folder)
+			return nil
+		}
+		found[folder] = true
+		for _, name := range imports(t, path) {
+			if to, ok := layerOf[name]; !ok || to >= from {
+				t.Errorf("%s imports %s, which is in no lower layer", folder, name)
+			}
+		}
+		return nil
+	}))
+	is.Equal(len(found), len(layerOf)) // no layer names a package that is gone
+}
+
+// imports returns the repository's packages that a file imports, without the
+// module's name.
+func imports(t *testing.T, path string) (list []string) {
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, spec := range file.Imports {
+		name, err := strconv.Unquote(spec.Path.Value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if inner, ok := strings.CutPrefix(name, module+"/"); ok {
+			list = append(list, inner)
+		}
+	}
+	return list
+}
