--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -141,13 +141,13 @@
 	case wire.Order:
 		a.Sums.Orders++
 		if o, ok := wire.Read[dispatch.Order](n); ok {
-			a.Trail.Add(a.now.Wall, trace.Job(o.Job.Attempt.Job), "order came", "leg", o.Job.Attempt)
+			a.Trail.Add(a.now.Wall, trace.Job(o.Job.Attempt.Job), "order received", "attempt", o.Job.Attempt)
 		}
 	case wire.Stop:
 		a.Sums.Stops++
 		if s, ok := wire.Read[dispatch.Stop](n); ok {
 			for _, l := range s.Attempts {
-				a.Trail.Add(a.now.Wall, trace.Job(l.Job), "stop came", "leg", l)
+				a.Trail.Add(a.now.Wall, trace.Job(l.Job), "stop received", "attempt", l)
 			}
 		}
 	}
@@ -212,7 +212,7 @@
 		a.refuse(a.pollToken, apierror.New(apierror.Stale, "call", "a newer call has come"))
 	}
 	for _, e := range p.Ends {
-		a.Trail.Add(a.now.Wall, trace.Job(e.Attempt.Job), "worker told an end", "leg", e.Attempt, "fate", e.Outcome)
+		a.Trail.Add(a.now.Wall, trace.Job(e.Attempt.Job), "worker reported an end", "attempt", e.Attempt, "outcome", e.Outcome)
 	}
 	a.pollToken, a.pollSince = ask.Token, a.now.Mono
 }
