--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -36,7 +36,7 @@
 	heardAt     types.Stamp
 	wallOffset  types.Wall
 	sentAt      types.Stamp
-	part        int           // of the snapshot that it has
+	part        int // of the snapshot that it has
 	flow        flow
 	lag         time.Duration // of the event loop of its daemon
 }
--- a/internal/raft/overload_test.go
+++ b/internal/raft/overload_test.go
@@ -58,5 +58,5 @@
 	n := aLeader([2]types.Index{10, 10}, [2]time.Duration{})
 	n.overloadTransfers = 3
 	is.True(n.TransferLeadership(types.Now{})) // a planned stop waits for nothing
-	is.Equal(n.announcedTransfers, 0)       // and what follows begins anew
+	is.Equal(n.announcedTransfers, 0)          // and what follows begins anew
 }
