--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -79,6 +79,8 @@
 	kept      *placement.Reserve // workers kept for work that was passed over
 	waited    map[placement.Part]types.Stamp
 	moves     types.Stamp // when something was last displaced
+	limits    check       // of attempts against the table's time limits
+	checks    check       // for attempts to take back and second attempts
 	sends     []wire.Send
 	answers   []wire.Answer
 	Sums      Sums
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -29,26 +29,24 @@
 		doom, spent = append(doom, x.Doomed...), append(spent, x.Spent...)
 	}
 	h.propose(spent)
-	holds := h.scheduler.Holds()
-	h.scheduler.Halt(append(doom, h.scheduler.Strays()...), h.overtime(holds))
+	h.scheduler.Halt(append(doom, h.scheduler.Strays()...), h.overtime())
 	if !h.raft.Firm() || h.drain {
 		return
 	}
 	h.shapes()
 	h.times()
 	if h.giving > h.applied {
-		h.more(holds)
+		h.more()
 		return
 	}
 	clear(h.given)
-	backs := h.recall(holds)
+	backs, more := h.reviewAttempts()
 	if h.scheduler.Wait {
 		h.give(nil, backs)
 		return
 	}
 	in := placement.Input{Kept: h.kept}
 	in.Wants, in.Dues = h.wants()
-	more := h.behind(holds)
 	if len(in.Wants) == 0 {
 		h.kept, h.waited = nil, nil
 	}
@@ -56,7 +54,7 @@
 		h.give(nil, backs)
 		return
 	}
-	in.Slots, in.Total = h.slots(holds)
+	in.Slots, in.Total = h.slots()
 	var attempts []state.Assignment
 	if len(in.Wants) > 0 {
 		h.ages(in.Wants)
@@ -73,7 +71,7 @@
 }
 
 // more gives out work while an earlier round is on its way into the log.
-func (h *Controller) more(holds []*dispatch.Hold) {
+func (h *Controller) more() {
 	h.rounds = slices.DeleteFunc(h.rounds, func(i types.Index) bool { return i <= h.applied })
 	if h.scheduler.Wait || len(h.rounds) >= rounds || h.kept != nil {
 		return
@@ -82,7 +80,7 @@
 	if in.Wants, in.Dues = h.wants(); len(in.Wants) == 0 {
 		return
 	}
-	in.Slots, in.Total = h.slots(holds)
+	in.Slots, in.Total = h.slots()
 	h.ages(in.Wants)
 	h.caps(in)
 	h.give(h.number(placement.Place(in).Picks), nil)
@@ -173,7 +171,7 @@
 }
 
 // slots lists the workers that may be given work, and all cores there are.
-func (h *Controller) slots(holds []*dispatch.Hold) (list []placement.Slot, total types.Cores) {
+func (h *Controller) slots() (list []placement.Slot, total types.Cores) {
 	at := map[types.Shard]int{}
 	for _, s := range h.scheduler.Seats() {
 		if s.State != dispatch.Healthy {
@@ -196,24 +194,26 @@
 			list[i].Has[placement.Part{Job: g.Attempt.Job, Stage: stage}]++
 		}
 	}
-	for _, o := range holds {
-		i, ok := at[o.Shard]
-		if !ok {
-			continue
-		}
-		x := &list[i]
-		if !h.freed[o.Attempt] {
-			x.Free = x.Free.Minus(o.Room)
-			x.Busy++
-		}
-		x.Clear = max(x.Clear, h.rest(o))
-		if o.Stage >= 0 {
-			x.Has[placement.Part{Job: o.Attempt.Job, Stage: o.Stage}]++
+	for i := range list {
+		for _, o := range h.scheduler.Running(list[i].Shard) {
+			h.occupy(&list[i], o)
 		}
 	}
 	return
 }
 
+// occupy takes what an attempt uses from the slot that it runs on.
+func (h *Controller) occupy(x *placement.Slot, o *dispatch.Hold) {
+	if !h.freed[o.Attempt] {
+		x.Free = x.Free.Minus(o.Room)
+		x.Busy++
+	}
+	x.Clear = max(x.Clear, h.rest(o))
+	if o.Stage >= 0 {
+		x.Has[placement.Part{Job: o.Attempt.Job, Stage: o.Stage}]++
+	}
+}
+
 // order sends the attempts that the log has just given out.
 func (h *Controller) order(attempts []state.Assignment) {
 	for _, g := range attempts {
--- a/internal/controller/windows.go
+++ b/internal/controller/windows.go
@@ -41,6 +41,35 @@
 	return
 }
 
+// checkInterval is how often at most all attempts are looked at for what time alone
+// brings about: a limit, a stall, a window, a second attempt that is wanted.
+const checkInterval = 10 * time.Millisecond
+
+// check is something that is done at most once in each interval.
+type check struct {
+	done bool
+	at   types.Stamp
+}
+
+// due tells whether it is time, and if so takes it as done.
+func (c *check) due(now types.Stamp) bool {
+	if c.done && now.Sub(c.at) < checkInterval {
+		return false
+	}
+	c.done, c.at = true, now
+	return true
+}
+
+// reviewAttempts gives the attempts to be taken back now, and the second attempts that are
+// wanted.
+func (h *Controller) reviewAttempts() (backs []state.Back, copies []placement.Want) {
+	if !h.checks.due(h.now.Mono) {
+		return nil, nil
+	}
+	holds := h.scheduler.Holds()
+	return h.recall(holds), h.behind(holds)
+}
+
 // recall lists the attempts to be taken back now.
 func (h *Controller) recall(holds []*dispatch.Hold) (list []state.Back) {
 	gone := map[types.Shard]state.Why{}
@@ -118,8 +147,11 @@
 
 // overtime lists the attempts that run longer than the table in force allows; each was
 // told its limit with its order, but the table may have changed since.
-func (h *Controller) overtime(holds []*dispatch.Hold) (list []types.Attempt) {
-	for _, o := range holds {
+func (h *Controller) overtime() (list []types.Attempt) {
+	if !h.limits.due(h.now.Mono) {
+		return nil
+	}
+	for _, o := range h.scheduler.Holds() {
 		j := h.state.Jobs[o.Attempt.Job]
 		if j == nil || j.Over() || o.Limit == 0 {
 			continue
--- a/internal/dispatch/watch.go
+++ b/internal/dispatch/watch.go
@@ -184,8 +184,14 @@
 // Holds lists the attempts that possibly run, by shard.
 func (h *Scheduler) Holds() []*Hold { return h.holds.all() }
 
-// On lists those of one shard.
-func (h *Scheduler) On(shard types.Shard) []*Hold { return h.holds.of(shard) }
+// Running lists those of one shard in order; the list is the scheduler's own and
+// holds until its next step.
+func (h *Scheduler) Running(shard types.Shard) []*Hold {
+	if x := h.holds.on[shard]; x != nil {
+		return x.list
+	}
+	return nil
+}
 
 // Free is a seat's room less what its agent believes it to lack and all that possibly
 // runs on it.
--- /dev/null
+++ b/sim/leader_bench_test.go
@@ -0,0 +1,78 @@
+// What the leader of a grown town spends under the load that its users send: go test
+// ./sim -bench LeaderOfTheGrownTown -run ^$ -benchtime 10x -cpuprofile FILE, and then go
+// tool pprof -tagfocus leader=yes FILE. One round of the benchmark is a simulated second.
+package sim
+
+import (
+	"context"
+	"runtime"
+	"runtime/pprof"
+	"slices"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"coppercourse/internal/wire"
+)
+
+// labelled marks a machine's steps in a processor profile.
+type labelled struct {
+	wire.Machine
+	spent time.Duration
+	steps int
+}
+
+func (m *labelled) Step(e wire.Event) (out wire.Out) {
+	from := threadTime()
+	pprof.Do(context.Background(), pprof.Labels("leader", "yes"), func(context.Context) { out = m.Machine.Step(e) })
+	m.spent += threadTime() - from
+	m.steps++
+	return
+}
+
+// threadTime is the processor time of this thread.
+func threadTime() time.Duration {
+	var use unix.Rusage
+	if err := unix.Getrusage(unix.RUSAGE_THREAD, &use); err != nil {
+		panic(err)
+	}
+	return time.Duration(use.Utime.Nano() + use.Stime.Nano())
+}
+
+// BenchmarkLeaderOfTheGrownTown runs 62 workers, 8 controllers and twice the jobs that
+// the town's tests send, about 850 starts a second.
+func BenchmarkLeaderOfTheGrownTown(b *testing.B) {
+	runtime.LockOSThread()
+	defer runtime.UnlockOSThread()
+	const settle = 14 * time.Second
+	p := Plan{Seed: 1, Town: "kingston-grown", Quick: true, Calm: settle + time.Duration(b.N)*time.Second}
+	r := Build(p)
+	r.Crew.town.Streams = slices.Clone(r.Crew.town.Streams)
+	for i := range r.Crew.town.Streams {
+		r.Crew.town.Streams[i].Every /= 2
+	}
+	r.at(3*time.Second, func() { r.Crew.put(r.Crew.town.Table(), r.Crew.any(), 0, func(bool) {}) })
+	r.at(6*time.Second, r.traffic)
+	r.wait(settle)
+	lead := r.leader()
+	m := &labelled{Machine: lead.m}
+	lead.m = m
+	started := r.count(Started)
+	b.ResetTimer()
+	r.wait(time.Duration(b.N) * time.Second)
+	b.StopTimer()
+	seconds := float64(b.N)
+	b.ReportMetric(float64(m.spent.Milliseconds())/seconds, "leader-ms/s")
+	b.ReportMetric(float64(m.steps)/seconds, "steps/s")
+	b.ReportMetric(float64(r.count(Started)-started)/seconds, "starts/s")
+}
+
+func (r *Run) count(what What) (n int) {
+	for _, h := range r.Hist.List {
+		if h.What == what {
+			n++
+		}
+	}
+	return
+}
