--- a/internal/server/pages.go
+++ b/internal/server/pages.go
@@ -145,8 +145,8 @@
 	if !ok {
 		return
 	}
-	var list []wire.Message
-	if json.Unmarshal(b, &list) != nil {
+	list, err := wire.DecodeMessages(b)
+	if err != nil {
 		Fail(w, apierror.New(apierror.BadBody, "", "not a list of notes"))
 		return
 	}
--- a/internal/server/post.go
+++ b/internal/server/post.go
@@ -6,7 +6,6 @@
 import (
 	"bytes"
 	"context"
-	"encoding/json"
 	"io"
 	"net/http"
 	"sync"
@@ -121,10 +120,7 @@
 }
 
 func (p *Post) deliver(to types.Addr, group []wire.Message) {
-	b, err := json.Marshal(group)
-	if err != nil {
-		panic(err)
-	}
+	b := wire.EncodeMessages(group)
 	ctx, stop := context.WithTimeout(p.ctx, limit+time.Duration(len(b)/slow)*time.Millisecond)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+string(to)+"/mate", bytes.NewReader(b))
--- /dev/null
+++ b/internal/wire/encode_test.go
@@ -0,0 +1,84 @@
+package wire
+
+import (
+	"encoding/json"
+	"math/rand"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/types"
+)
+
+// randomMessages draws messages with bodies of every form, names with what JSON
+// escapes, and bodies that are missing.
+func randomMessages(r *rand.Rand) (list []Message) {
+	bodies := []string{`{}`, `null`, `[1,2,{"a":"<\u00e9\"}"}]`, `{"deep":{"er":[[],[{}]]},"n":-1.5e3}`, `"text"`, `true`}
+	names := []string{"", Beat, `quote"d`, "tab\t", "é", `back\slash`, "<&>"}
+	for range 1 + r.Intn(4) {
+		m := Message{From: types.Addr(names[r.Intn(len(names))]), Kind: names[r.Intn(len(names))]}
+		if r.Intn(5) > 0 {
+			m.Body = json.RawMessage(bodies[r.Intn(len(bodies))])
+		}
+		list = append(list, m)
+	}
+	return
+}
+
+// What is written reads back by the standard library as what went in, and what the
+// standard library writes is read as it reads it: daemons of earlier versions write
+// and read so.
+func TestMessagesAreThoseOfTheStandardEncoding(t *testing.T) {
+	is := is.New(t)
+	r := rand.New(rand.NewSource(1))
+	for range 2000 {
+		list := randomMessages(r)
+		theirs, err := json.Marshal(list)
+		is.NoErr(err)
+		var want, got []Message
+		is.NoErr(json.Unmarshal(theirs, &want))
+		is.NoErr(json.Unmarshal(EncodeMessages(list), &got))
+		is.Equal(len(got), len(want))
+		for i := range got {
+			is.Equal([2]string{string(got[i].From), got[i].Kind}, [2]string{string(want[i].From), want[i].Kind})
+			var a, b any
+			is.NoErr(json.Unmarshal(got[i].Body, &a))
+			is.NoErr(json.Unmarshal(want[i].Body, &b))
+			is.Equal(a, b)
+		}
+		got, err = DecodeMessages(theirs)
+		is.NoErr(err)
+		is.Equal(got, want)
+	}
+}
+
+// Unknown fields are let pass; fields may come in any order.
+func TestMessagesOfLaterVersionsAreRead(t *testing.T) {
+	is := is.New(t)
+	list, err := DecodeMessages([]byte(` [ {"trace":{"a":[1]},"body":{"x":1},"kind":"beat","from":"a:1"} ] `))
+	is.NoErr(err)
+	is.Equal(list, []Message{{From: "a:1", Kind: "beat", Body: json.RawMessage(`{"x":1}`)}})
+}
+
+// What is cut short, goes on, or is spoilt is refused whole, as the standard library
+// refuses it.
+func TestSpoiltMessagesAreRefused(t *testing.T) {
+	is := is.New(t)
+	r := rand.New(rand.NewSource(2))
+	for range 2000 {
+		b := EncodeMessages(randomMessages(r))
+		switch at := r.Intn(len(b)); r.Intn(3) {
+		case 0:
+			b = b[:at]
+		case 1:
+			b = append(b, "[]x,"[r.Intn(4)])
+		default:
+			b[at] = `{}[],:"x0`[r.Intn(9)]
+		}
+		var want []Message
+		if json.Unmarshal(b, &want) != nil {
+			_, err := DecodeMessages(b)
+			is.True(err != nil)
+		}
+	}
+}
