--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -4,7 +4,6 @@
 package controller
 
 import (
-	"encoding/json"
 	"maps"
 	"math/rand"
 	"slices"
@@ -50,6 +49,7 @@
 	roster    *membership.Roster
 	state     *state.State
 	applied   types.Index
+	proposals map[types.Index]proposal
 	scheduler *dispatch.Scheduler
 	desk      *configwatch.Desk
 	Trail     *trace.Ring
@@ -105,7 +105,7 @@
 func New(now types.Now, rnd *rand.Rand, p Options, recs [][]byte) *Controller {
 	me := raft.Member{Addr: p.Addr, Zone: p.Zone}
 	h := &Controller{options: p, now: now, raft: raft.New(now, p.Core, rnd, me, p.Begin, recs, types.Mint(rnd)),
-		waiters: map[types.Index]waiter{}, ahead: map[types.JobID]types.Index{}, flight: map[state.End]bool{}, freed: map[types.Attempt]bool{},
+		waiters: map[types.Index]waiter{}, proposals: map[types.Index]proposal{}, ahead: map[types.JobID]types.Index{}, flight: map[state.End]bool{}, freed: map[types.Attempt]bool{},
 		given: map[types.Task]state.Assignment{}, rates: map[types.Queue]*rate{}, works: map[types.Queue]float64{}, peaks: map[types.Queue]float64{},
 		tasks: map[types.Queue]float64{}, habits: map[types.Queue]*habit{}, courses: map[types.JobID][]course{}, Trail: trace.New()}
 	h.roster = membership.New(rnd, h.card(), p.Seeds)
@@ -245,53 +245,6 @@
 	h.raft.Leave(h.now)
 }
 
-// catch brings the state up to what is committed.
-func (h *Controller) applyCommitted() {
-	if s := h.raft.State(); s.Index > h.applied {
-		h.load()
-	}
-	for h.applied < h.raft.Commit() {
-		h.applied++
-		e := h.raft.Entry(h.applied)
-		h.Sums.Applied++
-		if e.Fact == nil {
-			continue
-		}
-		var f state.Command
-		if err := json.Unmarshal(e.Fact, &f); err != nil {
-			panic(err)
-		}
-		h.moved = true
-		h.learn(f)
-		attempts, bad := h.state.Apply(f)
-		h.raft.Wind(h.state.Tick)
-		h.told(f, e.Index)
-		w, ok := h.waiters[e.Index]
-		delete(h.waiters, e.Index)
-		if ok && w.term == e.Term {
-			h.settle(w, f, bad)
-		}
-		if h.scheduler != nil && h.raft.Leads() {
-			if f.Job != nil && bad == nil {
-				h.weigh(h.state.Jobs[f.Job.ID])
-			}
-			for _, g := range f.Attempts {
-				delete(h.given, g.Attempt.Task)
-			}
-			h.order(attempts)
-			h.scheduler.Settle(f.Ends)
-			for _, x := range f.Ends {
-				delete(h.flight, x)
-				delete(h.freed, x.Attempt)
-				if h.ahead[x.Attempt.Job] <= h.applied {
-					delete(h.ahead, x.Attempt.Job)
-				}
-			}
-		}
-	}
-	h.answer()
-}
-
 // told leaves marks of what was applied for the tracer.
 func (h *Controller) told(f state.Command, at types.Index) {
 	switch {
@@ -351,11 +304,6 @@
 	}
 }
 
-func (h *Controller) fact(f state.Command) (types.Index, bool) {
-	f.Tick = max(h.raft.Clock(), h.state.Tick)
-	return h.raft.Propose(wire.Body(f))
-}
-
 // outs lists the attempts given out as the state has them.
 func (h *Controller) outs() (list []dispatch.Hold) {
 	for _, j := range h.state.Live() {
--- /dev/null
+++ b/internal/controller/entries_test.go
@@ -0,0 +1,68 @@
+package controller
+
+import (
+	"encoding/json"
+	"math/rand"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/raft"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// randomPlain draws a command of values only, with names that JSON escapes.
+func randomPlain(r *rand.Rand) (c state.Command) {
+	names := []types.JobID{"a", "menus-1", `q"uo<te>&`, "é\u2028"}
+	attempt := func() types.Attempt {
+		return types.Attempt{Task: types.Task{Job: names[r.Intn(len(names))], N: r.Intn(1 << 40)}, Attempt: r.Intn(9)}
+	}
+	c.Tick = types.Tick(r.Int63())
+	if r.Intn(2) == 0 {
+		c.Cancel, c.Gone = names[r.Intn(len(names))], types.Shard("k1")
+	}
+	for range r.Intn(4) {
+		c.Attempts = append(c.Attempts, state.Assignment{Attempt: attempt(), Shard: "k2", Copy: r.Intn(2) == 0})
+		c.Ends = append(c.Ends, state.End{Attempt: attempt(), Outcome: state.OK, Ref: string(names[r.Intn(len(names))])})
+		c.Backs = append(c.Backs, state.Back{Attempt: attempt(), Why: state.Stalled})
+	}
+	return
+}
+
+// A command that is kept is just what followers read of its entry.
+func TestKeptProposalsAreWhatFollowersRead(t *testing.T) {
+	is := is.New(t)
+	r := rand.New(rand.NewSource(1))
+	h := &Controller{proposals: map[types.Index]proposal{}}
+	for i := range types.Index(2000) {
+		c := randomPlain(r)
+		is.True(plain(&c))
+		e := raft.Entry{Term: 3, Index: i, Fact: wire.Body(c)}
+		h.proposals[i] = proposal{3, c}
+		var read state.Command
+		is.NoErr(json.Unmarshal(e.Fact, &read))
+		is.Equal(h.command(e), read)
+		is.Equal(len(h.proposals), 0)
+	}
+}
+
+// An entry of another term at the index of a proposal is another leader's: it is read.
+func TestAnOverwrittenProposalIsNotApplied(t *testing.T) {
+	is := is.New(t)
+	h := &Controller{proposals: map[types.Index]proposal{7: {3, state.Command{Tick: types.Tick(time.Second), Gone: "mine"}}}}
+	theirs := state.Command{Tick: types.Tick(time.Minute), Gone: "theirs"}
+	is.Equal(h.command(raft.Entry{Term: 4, Index: 7, Fact: wire.Body(theirs)}), theirs)
+	is.Equal(len(h.proposals), 0)
+}
+
+// Commands that bring documents are never kept.
+func TestDocumentsAreReadFromTheLog(t *testing.T) {
+	is := is.New(t)
+	off := types.Wall(1)
+	for _, c := range []state.Command{{Off: &off}, {Job: &state.Submit{}}, {Shapes: []state.WorkerShape{}}, {Drain: &state.Drain{}}, {Plan: &state.Plan{}}} {
+		is.True(!plain(&c))
+	}
+}
