--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -80,7 +80,8 @@
 	waited    map[placement.Part]types.Stamp
 	moves     types.Stamp // when something was last displaced
 	limits    check       // of attempts against the table's time limits
-	checks    check       // for attempts to take back and second attempts
+	slots     slotCache
+	checks    check // for attempts to take back and second attempts
 	sends     []wire.Send
 	answers   []wire.Answer
 	Sums      Sums
@@ -279,6 +280,7 @@
 		clear(h.flight)
 		clear(h.freed)
 		clear(h.given)
+		h.slots.reset()
 		h.giving, h.rounds, h.shaped, h.kept, h.waited = 0, nil, 0, nil, nil
 		return
 	}
--- a/internal/controller/displace.go
+++ b/internal/controller/displace.go
@@ -9,7 +9,6 @@
 	"sort"
 	"time"
 
-	"coppercourse/internal/dispatch"
 	"coppercourse/internal/placement"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
@@ -107,7 +106,7 @@
 				free = free.Plus(v.room[s.Shard])
 			}
 			k := 0
-			for room := free; room.Holds(w.Room) && n+k < need && (w.Spread == 0 || s.Has[w.Part]+k < w.Spread); k++ {
+			for room := free; room.Holds(w.Room) && n+k < need && (w.Spread == 0 || s.Count(w.Part)+k < w.Spread); k++ {
 				room = room.Minus(w.Room)
 			}
 			if k > 0 {
@@ -156,11 +155,3 @@
 	}
 	h.waited = next
 }
-
-// rest is how long an attempt may still run by its limit.
-func (h *Controller) rest(o *dispatch.Hold) time.Duration {
-	if o.Limit == 0 {
-		return time.Hour
-	}
-	return max(0, o.Limit-h.now.Mono.Sub(o.At))
-}
--- a/internal/controller/ends.go
+++ b/internal/controller/ends.go
@@ -3,6 +3,7 @@
 
 import (
 	"coppercourse/internal/state"
+	"coppercourse/internal/types"
 )
 
 // heed sends what the dispatcher has to say and puts the ends it has into the log.
@@ -27,9 +28,15 @@
 		for _, e := range list {
 			h.flight[e], h.ahead[e.Attempt.Job] = true, i
 			if e.Outcome.Over() {
-				h.freed[e.Attempt], h.moved = true, true
+				h.free(e.Attempt)
 			}
 		}
 		h.Sums.Ends += uint64(len(list))
 	}
 }
+
+// free tells that an attempt surely runs no more: its room may be given out again.
+func (h *Controller) free(attempt types.Attempt) {
+	h.freed[attempt], h.moved = true, true
+	h.slots.forget(h.scheduler.Where(attempt))
+}
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -19,6 +19,8 @@
 
 	rounds  = 4                  // that are on their way into the log at once
 	endless = 10_000 * time.Hour // what lasts fits before no window
+
+	endlessRest = time.Hour // how long what has no limit is taken to run on
 )
 
 func (h *Controller) plan() {
@@ -54,7 +56,7 @@
 		h.give(nil, backs)
 		return
 	}
-	in.Slots, in.Total = h.slots()
+	in.Slots, in.Total = h.slots.list(h)
 	var attempts []state.Assignment
 	if len(in.Wants) > 0 {
 		h.ages(in.Wants)
@@ -80,7 +82,7 @@
 	if in.Wants, in.Dues = h.wants(); len(in.Wants) == 0 {
 		return
 	}
-	in.Slots, in.Total = h.slots()
+	in.Slots, in.Total = h.slots.list(h)
 	h.ages(in.Wants)
 	h.caps(in)
 	h.give(h.number(placement.Place(in).Picks), nil)
@@ -170,50 +172,6 @@
 	return
 }
 
-// slots lists the workers that may be given work, and all cores there are.
-func (h *Controller) slots() (list []placement.Slot, total types.Cores) {
-	at := map[types.Shard]int{}
-	for _, s := range h.scheduler.Seats() {
-		if s.State != dispatch.Healthy {
-			continue
-		}
-		total += s.Room.Cores
-		if till, _, _ := h.till(s); !s.Leaving && s.Healthy {
-			at[s.Shard] = len(list)
-			list = append(list, placement.Slot{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Labels: s.Labels, Free: s.Room.Minus(s.Lacks), Size: s.Room, Till: till,
-				Bad: s.Worth.Bad, Slow: s.Worth.Slow, Now: h.scheduler.Slow(s), Has: map[placement.Part]int{}})
-		}
-	}
-	for _, g := range h.given {
-		if i, ok := at[g.Shard]; ok {
-			stage := types.StageOf(g.Attempt.N)
-			if j := h.state.Jobs[g.Attempt.Job]; j != nil && !j.Over() {
-				list[i].Free = list[i].Free.Minus(j.Spec.Steps[stage.Step()].Room)
-			}
-			list[i].Busy++
-			list[i].Has[placement.Part{Job: g.Attempt.Job, Stage: stage}]++
-		}
-	}
-	for i := range list {
-		for _, o := range h.scheduler.Running(list[i].Shard) {
-			h.occupy(&list[i], o)
-		}
-	}
-	return
-}
-
-// occupy takes what an attempt uses from the slot that it runs on.
-func (h *Controller) occupy(x *placement.Slot, o *dispatch.Hold) {
-	if !h.freed[o.Attempt] {
-		x.Free = x.Free.Minus(o.Room)
-		x.Busy++
-	}
-	x.Clear = max(x.Clear, h.rest(o))
-	if o.Stage >= 0 {
-		x.Has[placement.Part{Job: o.Attempt.Job, Stage: o.Stage}]++
-	}
-}
-
 // order sends the attempts that the log has just given out.
 func (h *Controller) order(attempts []state.Assignment) {
 	for _, g := range attempts {
--- a/internal/dispatch/hold.go
+++ b/internal/dispatch/hold.go
@@ -36,16 +36,19 @@
 
 // holds is all of them.
 type holds struct {
-	by    map[types.Attempt]*Hold
-	on    map[types.Shard]*load
-	dim   int
-	open  map[types.Shard]bool    // those with unsure attempts
-	sent  []*Hold                 // in order of time; some are not any more
-	alien map[types.Attempt]*Hold // told by an agent, and not given out as far as the log says
+	by   map[types.Attempt]*Hold
+	on   map[types.Shard]*load
+	dim  int
+	open map[types.Shard]bool // those with unsure attempts
+	sent []*Hold              // in order of time; some are not any more
+	// revisions counts, for each shard, how often its list has changed.
+	revisions map[types.Shard]uint64
+	alien     map[types.Attempt]*Hold // told by an agent, and not given out as far as the log says
 }
 
 func newHolds() holds {
-	return holds{by: map[types.Attempt]*Hold{}, on: map[types.Shard]*load{}, open: map[types.Shard]bool{}, alien: map[types.Attempt]*Hold{}}
+	return holds{by: map[types.Attempt]*Hold{}, on: map[types.Shard]*load{}, open: map[types.Shard]bool{}, alien: map[types.Attempt]*Hold{},
+		revisions: map[types.Shard]uint64{}}
 }
 
 func least(a, b *Hold) int { return a.Attempt.Compare(b.Attempt) }
@@ -61,6 +64,7 @@
 	x.list = slices.Insert(x.list, i, o)
 	x.used = x.used.Plus(o.Room)
 	h.by[o.Attempt] = o
+	h.revisions[o.Shard]++
 	if o.Stage < 0 {
 		h.alien[o.Attempt] = o
 	}
@@ -74,6 +78,7 @@
 	}
 	h.count(o, -1)
 	delete(h.by, l)
+	h.revisions[o.Shard]++
 	delete(h.alien, l)
 	x := h.on[o.Shard]
 	i, _ := slices.BinarySearchFunc(x.list, o, least)
--- a/internal/dispatch/set.go
+++ b/internal/dispatch/set.go
@@ -155,6 +155,9 @@
 		h.took(o, h.now.Sub(o.At), true)
 	}
 	took := float64(h.now.Sub(o.At))
+	if took <= 0 {
+		return // it tells nothing, and nothing can be set beside it
+	}
 	n := h.norm[o.Usual]
 	if n == nil {
 		n = &usual{took: took}
--- a/internal/dispatch/watch.go
+++ b/internal/dispatch/watch.go
@@ -184,13 +184,22 @@
 // Holds lists the attempts that possibly run, by shard.
 func (h *Scheduler) Holds() []*Hold { return h.holds.all() }
 
-// Running lists those of one shard in order; the list is the scheduler's own and
-// holds until its next step.
-func (h *Scheduler) Running(shard types.Shard) []*Hold {
+// Running lists those of one shard in order, with a number that differs whenever the
+// list does; the list is the scheduler's own and holds until its next step.
+func (h *Scheduler) Running(shard types.Shard) ([]*Hold, uint64) {
+	var list []*Hold
 	if x := h.holds.on[shard]; x != nil {
-		return x.list
+		list = x.list
 	}
-	return nil
+	return list, h.holds.revisions[shard]
+}
+
+// Where is the shard on which an attempt possibly runs, or nothing.
+func (h *Scheduler) Where(attempt types.Attempt) types.Shard {
+	if o := h.holds.by[attempt]; o != nil {
+		return o.Shard
+	}
+	return ""
 }
 
 // Free is a seat's room less what its agent believes it to lack and all that possibly
--- a/internal/placement/fit.go
+++ b/internal/placement/fit.go
@@ -27,7 +27,7 @@
 	}
 	got := try(w.Near)
 	for i := 0; i < len(r.Slots) && got == nil; i++ {
-		if at := r.Slots[i].Rack; r.Slots[i].Has[w.Part] > 0 {
+		if at := r.Slots[i].Rack; r.Slots[i].Count(w.Part) > 0 {
 			got = try(at)
 		}
 	}
@@ -49,7 +49,7 @@
 		for i := range r.Slots {
 			s := &r.Slots[i]
 			if rack != "" && s.Rack != rack || !free[i].Holds(w.Room) || !s.Suits(w) ||
-				w.Spread > 0 && s.Has[w.Part]+more[i] >= w.Spread ||
+				w.Spread > 0 && s.Count(w.Part)+more[i] >= w.Spread ||
 				!free[i].Minus(s.held).Holds(w.Room) && w.Long > s.Clear {
 				continue
 			}
@@ -97,7 +97,7 @@
 		for i := range r.Slots {
 			s := &r.Slots[i]
 			if s.held != (types.Room{}) || !s.Suits(*w) || s.Now > slow || s.Now > 0 && s.Busy >= proves ||
-				w.Spread > 0 && s.Has[w.Part] >= w.Spread || r.bad(s) && s.Busy > 0 {
+				w.Spread > 0 && s.Count(w.Part) >= w.Spread || r.bad(s) && s.Busy > 0 {
 				continue
 			}
 			if best < 0 || s.Free.Cores > r.Slots[best].Free.Cores {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -30,11 +30,30 @@
 	Slow  float64
 	Now   float64 // how many times the usual what runs there takes now; 0 is as usual
 	Busy  int
-	Has   map[Part]int
+	Has   map[Part]int  // tasks of each part that run there; it may be shared, and is not changed
 	Size  types.Room    // when nothing runs there
 	Till  time.Duration // how long until it may run nothing; 0 is without end
 	Clear time.Duration // by when all that runs there has ended, by its limits
 	held  types.Room    // reserved of it
+	added []Part        // of the tasks that were placed there since Has was made
+}
+
+// Count is how many tasks of a part are there.
+func (s *Slot) Count(p Part) int {
+	n := s.Has[p]
+	for _, x := range s.added {
+		if x == p {
+			n++
+		}
+	}
+	return n
+}
+
+// Add places a task of a part there, and takes its room.
+func (s *Slot) Add(p Part, room types.Room) {
+	s.Free = s.Free.Minus(room)
+	s.Busy++
+	s.added = append(s.added, p)
 }
 
 // Part is one step of one job, at one of its times.
@@ -200,9 +219,7 @@
 func (r *round) take(w *Want, d *Due, got []int) {
 	for i, at := range got {
 		s := &r.Slots[at]
-		s.Free = s.Free.Minus(w.Room)
-		s.Busy++
-		s.Has[w.Part]++
+		s.Add(w.Part, w.Room)
 		r.out.Picks = append(r.out.Picks, Pick{types.Task{Job: w.Job, N: w.Tasks[i]}, s.Shard})
 	}
 	d.Running += len(got)
@@ -274,7 +291,7 @@
 	most := func(s Slot) int { // by its size, and by how many of the step may be there
 		n := s.Size.Fits(w.Room)
 		if w.Spread > 0 {
-			n = min(n, w.Spread-s.Has[w.Part])
+			n = min(n, w.Spread-s.Count(w.Part))
 		}
 		return n
 	}
