--- a/internal/configwatch/configwatch.go
+++ b/internal/configwatch/configwatch.go
@@ -6,7 +6,6 @@
 package configwatch
 
 import (
-	"maps"
 	"slices"
 	"time"
 
@@ -73,22 +72,32 @@
 
 // Tell answers those for whom there is news, or whose hold is over.
 func (d *Desk) Tell(now types.Stamp, t config.Table) (sends []wire.Send) {
-	for _, from := range slices.Sorted(maps.Keys(d.waits)) {
-		w := d.waits[from]
-		fresh := !w.ask.Any || w.ask.Have != t.Version
-		if !fresh && now < w.by {
-			continue
+	var due []types.Addr
+	for from, w := range d.waits {
+		if w.news(t.Version) || now >= w.by {
+			due = append(due, from)
 		}
-		b := told{Version: t.Version, Mark: w.ask.Mark}
-		if fresh {
-			b.Table = &t
-		}
-		sends = append(sends, wire.Make(d.me, from, wire.Told, b))
+	}
+	slices.Sort(due)
+	for _, from := range due {
+		sends = append(sends, wire.Make(d.me, from, wire.Told, d.waits[from].answer(t)))
 		delete(d.waits, from)
 	}
 	return
 }
 
+// news tells whether who asked has not the table of that version.
+func (w wait) news(version types.Version) bool { return !w.ask.Any || w.ask.Have != version }
+
+// answer brings the table where it is news, and else confirms the version held.
+func (w wait) answer(t config.Table) told {
+	a := told{Version: t.Version, Mark: w.ask.Mark}
+	if w.news(t.Version) {
+		a.Table = &t
+	}
+	return a
+}
+
 // Reader is the data-plane side.
 type Reader struct {
 	me    types.Addr
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -81,7 +81,8 @@
 	moves     types.Stamp // when something was last displaced
 	limits    check       // of attempts against the table's time limits
 	slots     slotCache
-	checks    check // for attempts to take back and second attempts
+	wanted    []placement.Want // the memory of the last list
+	checks    check            // for attempts to take back and second attempts
 	sends     []wire.Send
 	answers   []wire.Answer
 	Sums      Sums
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -120,8 +120,11 @@
 	}
 }
 
-// wants lists what may start now, and what each queue has in use.
+// wants lists what may start now, and what each queue has in use. The list holds until
+// the next one is made.
 func (h *Controller) wants() (list []placement.Want, dues map[types.Queue]*placement.Due) {
+	list = h.wanted[:0]
+	defer func() { h.wanted = list }()
 	dues = map[types.Queue]*placement.Due{}
 	for q, r := range h.state.Retired {
 		dues[q] = &placement.Due{Row: r}
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -69,8 +69,9 @@
 
 // times are what the attempts of a stage take, and where.
 type times struct {
-	list []sample
-	at   types.Stamp
+	list   []sample
+	at     types.Stamp
+	median time.Duration // of all samples, or 0 where it is to be worked out anew
 }
 
 type sample struct {
@@ -115,7 +116,7 @@
 	if i < 0 {
 		t.list, i = append(t.list, sample{attempt: o.Attempt, shard: o.Shard}), len(t.list)
 	}
-	t.list[i].took = d
+	t.list[i].took, t.median = d, 0
 	usual, ok := t.elsewhere(o.Shard)
 	s := h.seats[o.Shard]
 	if !ok || s == nil {
@@ -136,8 +137,11 @@
 	if t == nil {
 		return 0, false
 	}
-	list := t.sorted(func(sample) bool { return true })
-	return list[len(list)/2], true
+	if t.median == 0 {
+		list := t.sorted(func(sample) bool { return true })
+		t.median = list[len(list)/2]
+	}
+	return t.median, true
 }
 
 // fade forgets a bad name with time.
