--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -4,7 +4,6 @@
 package controller
 
 import (
-	"encoding/json"
 	"maps"
 	"math/rand"
 	"slices"
@@ -53,6 +52,7 @@
 	loaded    types.Index   // the entry that it stands for
 	disk      error         // why the disk refuses, until it takes writes again
 	applied   types.Index
+	proposals map[types.Index]proposal
 	scheduler *dispatch.Scheduler
 	desk      *configwatch.Desk
 	Trail     *trace.Ring
@@ -82,6 +82,10 @@
 	kept      *placement.Reserve // workers kept for work that was passed over
 	waited    map[placement.Part]types.Stamp
 	moves     types.Stamp // when something was last displaced
+	limits    check       // of attempts against the table's time limits
+	slots     slotCache
+	wanted    []placement.Want // the memory of the last list
+	checks    check            // for attempts to take back and second attempts
 	sends     []wire.Send
 	answers   []wire.Answer
 	overload  overload
@@ -98,7 +102,7 @@
 func New(now types.Now, rnd *rand.Rand, p Options, recs [][]byte) *Controller {
 	me := raft.Member{Addr: p.Addr, Zone: p.Zone}
 	h := &Controller{options: p, now: now, raft: raft.New(now, p.Core, rnd, me, p.Begin, recs, types.Mint(rnd)),
-		waiters: map[types.Index]waiter{}, ahead: map[types.JobID]types.Index{}, flight: map[state.End]bool{}, freed: map[types.Attempt]bool{},
+		waiters: map[types.Index]waiter{}, proposals: map[types.Index]proposal{}, ahead: map[types.JobID]types.Index{}, flight: map[state.End]bool{}, freed: map[types.Attempt]bool{},
 		given: map[types.Task]state.Assignment{}, rates: map[types.Queue]*rate{}, works: map[types.Queue]float64{}, peaks: map[types.Queue]float64{},
 		tasks: map[types.Queue]float64{}, habits: map[types.Queue]*habit{}, courses: map[types.JobID][]course{}, Trail: trace.New()}
 	h.roster = membership.New(rnd, h.card(), p.Seeds)
@@ -212,58 +216,6 @@
 	h.raft.PrepareStop(h.now)
 }
 
-// applyCommitted brings the state up to what is committed, a bounded number of
-// entries a step.
-func (h *Controller) applyCommitted() {
-	if h.replaced() {
-		h.beginLoad()
-		h.loadPart() // a small one at once, a large one as time passes
-	}
-	if h.loader != nil {
-		return
-	}
-	for most := h.applied + applyAtOnce; h.applied < h.raft.Commit() && h.applied < most; {
-		h.applied++
-		e := h.raft.Entry(h.applied)
-		h.Sums.Applied++
-		if e.Data == nil {
-			continue
-		}
-		var f state.Command
-		if err := json.Unmarshal(e.Data, &f); err != nil {
-			panic(err)
-		}
-		h.moved = true
-		h.learn(f)
-		attempts, bad := h.state.Apply(f)
-		h.raft.AdvanceClock(h.state.Tick)
-		h.told(f, e.Index)
-		w, ok := h.waiters[e.Index]
-		delete(h.waiters, e.Index)
-		if ok && w.term == e.Term {
-			h.settle(w, f, bad)
-		}
-		if h.scheduler != nil && h.raft.IsLeader() {
-			if f.Job != nil && bad == nil {
-				h.weigh(h.state.Jobs[f.Job.ID])
-			}
-			for _, g := range f.Attempts {
-				delete(h.given, g.Attempt.Task)
-			}
-			h.order(attempts)
-			h.scheduler.Settle(f.Ends)
-			for _, x := range f.Ends {
-				delete(h.flight, x)
-				delete(h.freed, x.Attempt)
-				if h.ahead[x.Attempt.Job] <= h.applied {
-					delete(h.ahead, x.Attempt.Job)
-				}
-			}
-		}
-	}
-	h.answer()
-}
-
 // told leaves marks of what was applied for the tracer.
 func (h *Controller) told(f state.Command, at types.Index) {
 	switch {
@@ -298,6 +250,7 @@
 		clear(h.flight)
 		clear(h.freed)
 		clear(h.given)
+		h.slots.reset()
 		h.giving, h.rounds, h.shaped, h.kept, h.waited = 0, nil, 0, nil, nil
 		return
 	}
@@ -325,11 +278,6 @@
 	}
 }
 
-func (h *Controller) fact(f state.Command) (types.Index, bool) {
-	f.Tick = max(h.raft.Clock(), h.state.Tick)
-	return h.raft.Propose(wire.Body(f))
-}
-
 // outs lists the attempts given out as the state has them.
 func (h *Controller) outs() (list []dispatch.Hold) {
 	for _, j := range h.state.Live() {
