--- a/internal/controller/calls.go
+++ b/internal/controller/calls.go
@@ -52,11 +52,7 @@
 	h.Sums.Calls++
 	w.term = h.raft.Term()
 	if h.scheduler == nil || !h.raft.Firm() {
-		lead := h.raft.Leader()
-		if h.raft.Name() == "" {
-			lead = h.roster.Lead()
-		}
-		h.reply(w, wire.ReplyBody{Away: true, Lead: lead})
+		h.reply(w, wire.ReplyBody{Away: true, Lead: h.elsewhere()})
 		return
 	}
 	f := verbs[c.Verb]
@@ -71,6 +67,18 @@
 	f(h, w, c)
 }
 
+// elsewhere is the leader to ask instead, or nobody: a leader that may not answer now
+// knows of no other.
+func (h *Controller) elsewhere() types.Addr {
+	switch {
+	case h.raft.Leads():
+		return ""
+	case h.raft.Name() == "":
+		return h.roster.Lead()
+	}
+	return h.raft.Leader()
+}
+
 func (h *Controller) reply(w waiter, r wire.ReplyBody) {
 	r.ID = w.id
 	if r.Fault != nil {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -140,6 +140,7 @@
 // Step takes one event.
 func (h *Controller) Step(e wire.Event) wire.Out {
 	h.now = e.Now
+	h.raft.Observe(e.Now)
 	h.Sums.Steps++
 	switch {
 	case e.Message != nil:
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -352,11 +352,22 @@
 	return list
 }
 
+// Observe moves the member's clocks, before anything is asked of it.
+func (c *Node) Observe(now types.Now) { c.now = now }
+
+// Leader is where the leader of now is, as far as this member can know: itself, or one
+// that it has heard within the longest election wait.
+func (c *Node) Leader() types.Addr {
+	if c.role != lead && c.now.Mono.Sub(c.heard) >= 2*c.pace.Least {
+		return ""
+	}
+	return c.leadAt
+}
+
 func (c *Node) ID() types.ID              { return c.self.ID }
 func (c *Node) Name() string              { return c.name }
 func (c *Node) Role() string              { return string(c.role) }
 func (c *Node) Term() types.Term          { return c.vow.Term }
-func (c *Node) Leader() types.Addr        { return c.leadAt }
 func (c *Node) Leads() bool               { return c.role == lead }
 func (c *Node) Why() string               { return c.why }
 func (c *Node) Roll() Roll                { return c.roll }
--- /dev/null
+++ b/sim/cutoff_observe_test.go
@@ -0,0 +1,85 @@
+// What the recorder sees without asking: messages between daemons, and what agents
+// answer their workers.
+package sim
+
+import (
+	"net/http"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// observeMessages keeps what controllers tell their peers, and who heard a leader.
+func (c *recorder) observeMessages() {
+	w := c.r.World
+	tamper := w.TamperMessage
+	w.TamperMessage = func(s *wire.Send) bool {
+		if tamper != nil && !tamper(s) {
+			return false
+		}
+		c.told(s)
+		return true
+	}
+	w.Delivered = func(to types.Addr, m wire.Message) {
+		if m.Kind == wire.Append || m.Kind == wire.Snap || m.Kind == wire.Hello && leads(m) {
+			c.word[[2]types.Addr{to, m.From}] = w.now
+		}
+	}
+}
+
+// leads tells whether the sender of a greeting says that it leads.
+func leads(m wire.Message) bool {
+	h, ok := wire.Read[struct {
+		Me struct {
+			Leads bool `json:"leads"`
+		} `json:"me"`
+	}](m)
+	return ok && h.Me.Leads
+}
+
+func (c *recorder) told(s *wire.Send) {
+	from, now := s.Message.From, c.r.now
+	switch s.Message.Kind {
+	case wire.Told:
+		if m, ok := wire.Read[struct {
+			Version types.Version `json:"edition"`
+		}](s.Message); ok {
+			c.list = append(c.list, &observation{sent: now, answered: now, daemon: from, audience: toPeers, request: confirmTable, code: http.StatusOK,
+				last: http.StatusOK, version: m.Version})
+		}
+	case wire.Reply:
+		if m, ok := wire.Read[wire.ReplyBody](s.Message); ok {
+			o := &observation{sent: now, answered: now, daemon: from, audience: toPeers, request: forwarded, code: m.Code}
+			switch {
+			case m.Away:
+				o.code, o.redirect, o.retry = http.StatusTemporaryRedirect, m.Lead, true
+				o.word = c.word[[2]types.Addr{from, m.Lead}]
+			case m.Fault != nil:
+				c.control(o, wire.Answer{Fault: m.Fault})
+				o.retry = m.Fault.Retry > 0
+			}
+			o.last = o.code
+			c.list = append(c.list, o)
+		}
+	}
+}
+
+// observeWorkers keeps what agents answer to their workers' beats.
+func (c *recorder) observeWorkers() {
+	w := c.r.World
+	tamper := w.TamperAnswerOf
+	w.TamperAnswerOf = func(daemon types.Addr, verb string, a *wire.Answer) bool {
+		if tamper != nil && !tamper(daemon, verb, a) {
+			return false
+		}
+		if verb == "beat" {
+			o := &observation{sent: w.now, answered: w.now, daemon: daemon, audience: toWorkers, request: workerBeat, code: http.StatusOK, last: http.StatusOK}
+			if a.Fault != nil {
+				o.code, o.retry = a.Fault.Code(), apierror.Later[a.Fault.Kind]
+			}
+			c.list = append(c.list, o)
+		}
+		return true
+	}
+}
--- /dev/null
+++ b/sim/cutoff_planted_test.go
@@ -0,0 +1,231 @@
+// Each rule on what a side without a majority answers is shown to catch a planted bug.
+package sim
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/raft"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// noLeader tells an answer by which a controller says that it can't answer now.
+func noLeader(a *wire.Answer) bool { return a.Fault != nil && a.Fault.Kind == apierror.NoLead }
+
+// whileCut changes the answers of controllers that can't give one, while some are cut off.
+func whileCut(verb string, change func(c *cutoff, daemon types.Addr, a *wire.Answer) bool) func(*cutoff) {
+	return func(c *cutoff) {
+		c.TamperAnswerOf = func(daemon types.Addr, v string, a *wire.Answer) bool {
+			if v != verb || c.now < int64(cutFrom) || c.now > int64(cutEnd) || c.nodes[daemon].role != "controller" || !noLeader(a) {
+				return true
+			}
+			return change(c, daemon, a)
+		}
+	}
+}
+
+// slowAnswers has answers to the leader's rounds take their time until it is cut off, and
+// operators ask often just after that.
+func slowAnswers(c *cutoff) {
+	const back = 300 * time.Millisecond
+	var slow *node
+	c.at(cutFrom-time.Second, func() {
+		slow = c.leader()
+		for _, n := range c.controllers {
+			if n != slow {
+				c.lag[pair{n.addr, slow.addr}] = back
+			}
+		}
+	})
+	for d := 100 * time.Millisecond; d < 700*time.Millisecond; d += 10 * time.Millisecond {
+		c.at(cutFrom+d, func() {
+			c.record.read(slow.addr)
+			if l := c.leader(); l != nil && l != slow {
+				c.record.replace(l.addr)
+			}
+		})
+	}
+}
+
+// leaseFromReceipt has a leader count its lease from when an answer to a round came.
+func leaseFromReceipt(c *cutoff) {
+	slowAnswers(c)
+	c.TamperMessage = func(s *wire.Send) bool {
+		if lag := c.lag[pair{s.Message.From, s.To}]; lag > 0 && s.Message.Kind == wire.Append2 {
+			alter(&s.Message.Body, func(m *map[string]json.RawMessage) {
+				(*m)["round"] = wire.Body(c.nodes[s.To].mono().Add(lag))
+			})
+		}
+		return true
+	}
+}
+
+// keepsRefusing has gateways never doubt the table that they have, and callers ask for
+// what it does not hold.
+func keepsRefusing(c *cutoff) {
+	c.staleAfter = time.Hour
+	c.at(cutFrom+time.Second, func() { c.record.strangers = true })
+}
+
+var plantedCutoffs = []struct {
+	name  string
+	rule  string
+	way   string
+	leads bool
+	plant func(*cutoff)
+}{
+	{"a lease is counted from receipt", "old configuration", "nothing goes out to controllers", true, leaseFromReceipt},
+	{"a gateway keeps taking requests by its table", "at once", "with its zone", true, func(c *cutoff) { c.staleAfter = time.Hour }},
+	{"a gateway keeps serving its table", "old configuration", "with its zone", true, keepsRefusing},
+	{"a gateway keeps refusing by its table", "definite refusal", "with its zone", false, keepsRefusing},
+	{"a redirect by the last known leader", "stale redirect", "from all machines", false, whileCut("table.get", func(c *cutoff, daemon types.Addr, a *wire.Answer) bool {
+		if a.Lead == "" {
+			a.Lead = c.leader().addr
+		}
+		return true
+	})},
+	{"redirects in a circle", "redirect chain", "from all machines", true, whileCut("table.get", func(c *cutoff, daemon types.Addr, a *wire.Answer) bool {
+		i := slices.IndexFunc(c.controllers, func(n *node) bool { return n.addr == daemon })
+		a.Lead = c.controllers[(i+1)%len(c.controllers)].addr
+		return true
+	})},
+	{"an order is acknowledged before its commit", "acknowledges", "from the other controllers", true, whileCut("table.put", func(_ *cutoff, _ types.Addr, a *wire.Answer) bool {
+		*a = wire.Answer{Code: http.StatusOK, Body: a.Body}
+		return true
+	})},
+	{"an order is refused by what was known", "definite refusal", "from all machines", true, whileCut("table.put", func(_ *cutoff, _ types.Addr, a *wire.Answer) bool {
+		*a = wire.Answer{Fault: apierror.New(apierror.Stale, "edition", "")}
+		return true
+	})},
+	{"no answer in place of a refusal", "at once", "from all machines", false, whileCut("table.get", func(*cutoff, types.Addr, *wire.Answer) bool { return false })},
+	{"an unclear answer in place of a refusal", "at once", "from all machines", true, whileCut("table.get", func(_ *cutoff, _ types.Addr, a *wire.Answer) bool {
+		*a = wire.Answer{Fault: apierror.New(apierror.Unsure, "", "")}
+		return true
+	})},
+	{"a gateway is not confirmed after the cut", "serves again", "with its zone", true, func(c *cutoff) {
+		c.TamperMessage = func(s *wire.Send) bool {
+			return s.Message.Kind != wire.Told || s.To != "g1" || c.now < int64(cutEnd) || c.now > int64(cutEnd+contact+2*time.Second)
+		}
+	}},
+}
+
+func TestPlantedBugsOfACutOffSideAreCaught(t *testing.T) {
+	for i, p := range plantedCutoffs {
+		if testing.Short() && i%4 != 0 {
+			continue // a few with the race detector
+		}
+		t.Run(strings.ReplaceAll(p.name, " ", "-"), func(t *testing.T) {
+			t.Parallel()
+			is := is.New(t)
+			w := ways[slices.IndexFunc(ways, func(w way) bool { return w.name == p.way })]
+			found := 0
+			for seed := int64(1500); seed < 1506 && found == 0; seed++ { // ends with the first that shows it
+				for _, text := range cutOff(seed, 3, p.leads, w, p.plant).broken() {
+					if strings.HasPrefix(text, p.rule+": ") {
+						found++
+						t.Log(text)
+						break
+					}
+				}
+			}
+			is.True(found > 0) // the rule must be seen broken
+		})
+	}
+}
+
+// Answers that are on their way when a leader is cut off prolong its lease by nothing.
+func TestAnswersOnTheirWayProlongNoLease(t *testing.T) {
+	w := ways[slices.IndexFunc(ways, func(w way) bool { return w.name == "nothing goes out to controllers" })]
+	for seed := int64(1500); seed < 1502; seed++ {
+		for _, text := range cutOff(seed, 3, true, w, slowAnswers).broken() {
+			if strings.HasPrefix(text, "old configuration: ") || strings.HasPrefix(text, "acknowledges: ") {
+				t.Error(text)
+			}
+		}
+	}
+}
+
+// A leader stands still for as long as a cut lasts, and requests wait at it. When it goes
+// on, it answers none of them by the lease and the state that it had.
+func TestAThawedLeaderAnswersNobodyByItsOldLease(t *testing.T) {
+	for seed := range int64(4) {
+		is := is.New(t)
+		r, acked := core(t, 1600+seed)
+		r.Run(8 * time.Second)
+		is.True(acked())
+		l := r.leader()
+		l.freeze()
+		r.Run(20 * time.Second)
+		again := r.table(1)
+		r.Run(22 * time.Second)
+		is.True(again()) // the others lead, and the configuration is another
+		answers := map[string]wire.Answer{}
+		stale := r.Clients.deployment.Table()
+		stale.Version = 7
+		for verb, body := range map[string]json.RawMessage{"table.get": nil, "table.put": wire.Body(stale), "job.get": nil, "queue.count": nil} {
+			r.request(probeAddr, l.addr, verb, "none", body, func(a wire.Answer) { answers[verb] = a })
+		}
+		r.wait(5 * time.Millisecond)
+		slices.Reverse(l.queue) // what waits at a daemon's sockets is taken in any order
+		l.thaw()
+		r.wait(50 * time.Millisecond)
+		is.Equal(len(answers), 4) // all at once
+		for verb, a := range answers {
+			if a.Fault == nil || a.Fault.Kind != apierror.NoLead || a.Fault.Retry == 0 || a.Lead == l.addr {
+				t.Error(fmt.Sprintf("seed %d: %s is answered by what was known before: %+v %v", seed, verb, a, a.Fault))
+			}
+		}
+	}
+}
+
+// A member without a vote, and one whose disk stalls, stand for no election; they too
+// send nobody to a leader that they have not heard for longer than an election takes.
+func TestNobodyRedirectsToALeaderOfWhichItHasNoWord(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		make func(*Run) *node
+	}{
+		{"a learner", func(r *Run) *node {
+			n := r.World.controller("h99", "z1")
+			n.boot()
+			r.waits(10*time.Second, func() bool { return n.m != nil && r.status(n).Part == "learner" && r.status(n).Leader != "" })
+			return n
+		}},
+		{"a stalled disk", func(r *Run) *node {
+			n := r.controllers[0]
+			if n == r.leader() {
+				n = r.controllers[1]
+			}
+			n.disk.stall = r.now + int64(time.Minute)
+			again := r.table(1)
+			r.wait(time.Second)
+			_ = again
+			return n
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			r, _ := core(t, 1700)
+			r.Run(8 * time.Second)
+			n := c.make(r)
+			is.True(r.status(n).Leader != "")
+			r.Split([]types.Addr{n.addr}, r.others(n.addr), true, true)
+			r.wait(2*raft.Defaults.Least + 100*time.Millisecond)
+			var got wire.Answer
+			r.request(probeAddr, n.addr, "table.get", "", nil, func(a wire.Answer) { got = a })
+			r.wait(50 * time.Millisecond)
+			is.True(got.Fault != nil && got.Fault.Kind == apierror.NoLead)
+			is.Equal(got.Lead, types.Addr(""))
+			is.Equal(r.status(n).Ready, false)
+		})
+	}
+}
--- /dev/null
+++ b/sim/cutoff_test.go
@@ -0,0 +1,366 @@
+// A control machine is cut off for twenty seconds, in every way that is known to come
+// about, in cores of three and of seven. What each daemon answers in each second is
+// recorded, and held against what a side without a majority may say.
+package sim
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"coppercourse/internal/controller"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/types"
+)
+
+const (
+	cutFrom     = 10 * time.Second
+	cutFor      = 20 * time.Second
+	cutEnd      = cutFrom + cutFor
+	applyWithin = 2 * time.Second // configApplyMs of the platform's usual bounds
+	contact     = 3 * time.Second // contactMs
+	atOnce      = 100 * time.Millisecond
+	routeHost   = "callers.example"
+	wordAge     = time.Second // a leader's word is fresh for so long
+)
+
+// cutoff is one run in which a part of the controllers loses touch with a majority.
+type cutoff struct {
+	*Run
+	record *recorder
+	away   []types.Addr // controllers without a path both ways to a majority
+	zone   []types.Addr // all daemons that are beyond the cut, if it takes more than controllers
+	events []int64      // when something was cut, joined or restarted
+	hears  bool         // those cut off still hear the others
+}
+
+// way is one manner of cutting a controller off.
+type way struct {
+	name string
+	cut  func(c *cutoff, n *node)
+}
+
+var ways = []way{
+	{"from all machines", func(c *cutoff, n *node) { c.split([]types.Addr{n.addr}, c.machines(n.addr), true) }},
+	{"from the other controllers", func(c *cutoff, n *node) { c.split([]types.Addr{n.addr}, c.peers(n.addr), true) }},
+	{"nothing comes in", func(c *cutoff, n *node) { c.split(c.machines(n.addr), []types.Addr{n.addr}, false) }},
+	{"nothing goes out", func(c *cutoff, n *node) {
+		c.hears = true
+		c.split([]types.Addr{n.addr}, c.machines(n.addr), false)
+	}},
+	{"nothing comes in from controllers", func(c *cutoff, n *node) { c.split(c.peers(n.addr), []types.Addr{n.addr}, false) }},
+	{"nothing goes out to controllers", func(c *cutoff, n *node) {
+		c.hears = true
+		c.split([]types.Addr{n.addr}, c.peers(n.addr), false)
+	}},
+	{"with its zone", func(c *cutoff, n *node) { c.leave(c.zones[n.zone]) }},
+	{"with others, together a minority", func(c *cutoff, n *node) {
+		group := append([]types.Addr{n.addr}, c.peers(n.addr)[:(len(c.controllers)-1)/2-1]...)
+		c.leave(group)
+	}},
+	{"both sides restarted", func(c *cutoff, n *node) {
+		c.split([]types.Addr{n.addr}, c.peers(n.addr), true)
+		c.restart(3*time.Second, n)
+		for i, a := range c.peers(n.addr) {
+			c.restart(6*time.Second+time.Duration(i)*1200*time.Millisecond, c.nodes[a])
+		}
+	}},
+	{"first of the new seeds", func(c *cutoff, n *node) {
+		c.split([]types.Addr{n.addr}, c.machines(n.addr), true)
+		c.seeds = append([]types.Addr{n.addr}, c.peers(n.addr)[:2]...)
+		c.restart(4*time.Second, c.gateways[0], c.gateways[1], c.agents[0], c.agents[1], c.nodes[c.peers(n.addr)[0]])
+	}},
+	{"departing workers report to it first", func(c *cutoff, n *node) {
+		c.split([]types.Addr{n.addr}, c.peers(n.addr), true)
+		c.lure(n)
+	}},
+}
+
+// machines are all daemons and workers but one.
+func (c *cutoff) machines(but types.Addr) []types.Addr {
+	return slices.DeleteFunc(slices.Clone(c.order), func(a types.Addr) bool { return a == but })
+}
+
+// peers are the controllers but one.
+func (c *cutoff) peers(but types.Addr) (list []types.Addr) {
+	for _, n := range c.controllers {
+		if n.addr != but {
+			list = append(list, n.addr)
+		}
+	}
+	return
+}
+
+// split cuts one direction, or both, until the cut is over.
+func (c *cutoff) split(from, to []types.Addr, both bool) {
+	c.Split(from, to, both, true)
+	c.event()
+	c.at(cutFor, func() {
+		c.Split(from, to, both, false)
+		c.event()
+	})
+}
+
+// leave cuts a group of daemons off from all others.
+func (c *cutoff) leave(group []types.Addr) {
+	c.zone, c.away = group, nil
+	for _, a := range group {
+		if c.nodes[a].role == "controller" {
+			c.away = append(c.away, a)
+		}
+	}
+	rest := slices.DeleteFunc(slices.Clone(c.order), func(a types.Addr) bool { return slices.Contains(group, a) })
+	c.split(group, rest, true)
+}
+
+func (c *cutoff) event() { c.events = append(c.events, c.now) }
+
+// restart kills daemons after a while and starts them again.
+func (c *cutoff) restart(after time.Duration, list ...*node) {
+	c.at(after, func() {
+		c.event()
+		for _, n := range list {
+			n.kill()
+		}
+		c.at(400*time.Millisecond, func() {
+			c.event()
+			for _, n := range list {
+				n.boot()
+			}
+		})
+	})
+}
+
+// lure has three workers leave whose agents reach just the controller that is cut off.
+func (c *cutoff) lure(n *node) {
+	for i := range 3 {
+		agent, worker := c.agents[i].addr, c.invokedWorkers[i]
+		away := slices.DeleteFunc(c.machines(n.addr), func(a types.Addr) bool { return a == agent || a == worker.node.addr })
+		c.Split([]types.Addr{agent}, away, true, true)
+		c.at(500*time.Millisecond, func() { worker.leave(4 * time.Second) })
+		c.at(10*time.Second, worker.boot) // another comes in its place
+		c.at(8*time.Second, func() {
+			c.Split([]types.Addr{agent}, away, true, false)
+			c.event()
+		})
+	}
+}
+
+// cutOff sets a deployment up and cuts a controller of it off.
+func cutOff(seed int64, controllers int, leads bool, w way, plant func(*cutoff)) *cutoff {
+	d := Deployments["kingston-called"]
+	d.Size = Small
+	d.Size.Controllers, d.Size.Gateways = controllers, 3
+	if controllers > Small.Controllers {
+		d.Size.Zones, d.Size.Founders = 4, 3
+	}
+	d.Streams = slices.Clone(d.Streams)
+	for i := range d.Streams {
+		d.Streams[i].Every *= 8
+	}
+	d.rows = slices.Clone(d.rows)
+	for i := range d.rows {
+		d.rows[i].Host, d.rows[i].Prefix = routeHost, "/"+string(d.rows[i].Name)+"/"
+	}
+	c := &cutoff{Run: build(Plan{Seed: seed, Quick: true, Patience: 5 * time.Second}, d)}
+	c.network = NetworkQuality{}
+	table := c.Clients.deployment.Table()
+	c.at(3*time.Second, func() { c.Clients.put(table, c.gateways[0].addr, 0, func(bool) {}) })
+	if plant != nil {
+		plant(c)
+	}
+	c.at(6*time.Second, func() {
+		c.traffic()
+		c.record = record(c.Run, table.Next())
+	})
+	c.at(cutFrom, func() { c.begin(leads, w) })
+	c.Run.Run(cutEnd + 8*time.Second)
+	c.Clients.open, c.record.stopped = false, true
+	c.Run.Run(cutEnd + 26*time.Second)
+	return c
+}
+
+func (c *cutoff) begin(leads bool, w way) {
+	n := c.leader()
+	for _, other := range c.controllers {
+		if !leads && other != c.leader() {
+			n = other
+		}
+	}
+	c.away = []types.Addr{n.addr}
+	c.Run.record(HistoryEvent{What: Trouble, Text: fmt.Sprintf("cut-off for %s", cutFor)})
+	w.cut(c, n)
+}
+
+// broken lists what was answered and may not be.
+func (c *cutoff) broken() (list []string) {
+	for _, o := range c.record.list {
+		for _, rule := range answerRules {
+			if why := rule.broken(c, o); why != "" {
+				list = append(list, fmt.Sprintf("%s: %s at %.3f s, asked by %s to %s, answers %d (version %d, redirect %q) after %d ms: %s", rule.name, o.daemon,
+					float64(o.sent)/1e9, o.audience, o.request, o.code, o.version, o.redirect, (o.answered-o.sent)/1e6, why))
+			}
+		}
+	}
+	if n := c.healthyWorkers(); n != len(c.agents) {
+		list = append(list, fmt.Sprintf("serves again: %d of %d workers are healthy at the end", n, len(c.agents)))
+	}
+	return
+}
+
+func (c *cutoff) healthyWorkers() (n int) {
+	l := c.leader()
+	if l == nil {
+		return 0
+	}
+	for _, w := range l.m.(*controller.Controller).Workers() {
+		if w.State == dispatch.Healthy {
+			n++
+		}
+	}
+	return
+}
+
+// beyond tells whether a daemon has no path to a majority at a time.
+func (c *cutoff) beyond(o *observation) bool {
+	if o.sent < int64(cutFrom) || o.sent >= int64(cutEnd) {
+		return false
+	}
+	return slices.Contains(c.away, o.daemon) || slices.Contains(c.zone, o.daemon)
+}
+
+// settled tells whether nothing was cut, joined or restarted for a while before a
+// request and while it was worked on.
+func (c *cutoff) settled(o *observation) bool {
+	for _, at := range c.events {
+		if at > o.sent-int64(contact) && at <= o.sent+int64(time.Second) {
+			return false
+		}
+	}
+	return o.sent > int64(cutFrom-contact)
+}
+
+// lease is how long the leader's right to answer lasts after its last round, at most.
+func (c *cutoff) lease() int64 { return int64(c.raftTimeouts.Least) }
+
+// noticed is when a side without a majority knows so at the latest.
+func (c *cutoff) noticed(o *observation) int64 {
+	late := c.raftTimeouts.Least + c.raftTimeouts.Stall + atOnce
+	if o.audience == toCallers {
+		late = applyWithin
+	}
+	since := int64(cutFrom)
+	for _, at := range c.events {
+		if at <= o.sent && at > since && at < int64(cutEnd) {
+			since = at // a restart begins anew
+		}
+	}
+	return since + int64(late)
+}
+
+var answerRules = []struct {
+	name   string
+	broken func(c *cutoff, o *observation) string
+}{
+	{"acknowledges", func(c *cutoff, o *observation) string {
+		changes := o.request == replaceTable || o.request == submitJob
+		if c.beyond(o) && changes && o.code == http.StatusOK {
+			return "an order is acknowledged without a majority"
+		}
+		return ""
+	}},
+	{"old configuration", func(c *cutoff, o *observation) string {
+		bound := int64(0)
+		if o.audience == toCallers {
+			bound = int64(applyWithin)
+		}
+		if least := c.record.ackedBefore(o.sent - bound); o.version != 0 && o.code < 500 && o.version < least {
+			return fmt.Sprintf("version %d was acknowledged before", least)
+		}
+		return ""
+	}},
+	{"definite refusal", func(c *cutoff, o *observation) string {
+		late := c.lease()
+		if o.audience == toCallers {
+			late = int64(applyWithin)
+		}
+		definite := o.code >= 400 && o.code < 500
+		if c.beyond(o) && definite && o.sent > int64(cutFrom)+late {
+			return "it can't know that any more"
+		}
+		return ""
+	}},
+	{"at once", func(c *cutoff, o *observation) string {
+		if !c.beyond(o) || o.audience == toWorkers || o.audience == toPeers || o.sent < c.noticed(o) || c.nodes[o.daemon].m == nil || c.restarting(o.sent) {
+			return ""
+		}
+		hop := o.code == http.StatusTemporaryRedirect && c.hears
+		switch {
+		case o.answered == 0 || o.answered-o.sent > int64(atOnce):
+			return "it has no majority, and does not say so at once"
+		case o.code != http.StatusServiceUnavailable && !hop:
+			return "it has no majority, and answers otherwise than with 503"
+		case !o.retry && !hop:
+			return "it does not tell when to come back"
+		}
+		return ""
+	}},
+	{"stale redirect", func(c *cutoff, o *observation) string {
+		if o.redirect == "" {
+			return ""
+		}
+		if age := o.answered - o.word; age > int64(wordAge) {
+			return fmt.Sprintf("the last word of that leader is %d ms old", age/1e6)
+		}
+		return ""
+	}},
+	{"redirect chain", func(c *cutoff, o *observation) string {
+		if o.chain > 2 {
+			return fmt.Sprintf("%d redirects were followed", o.chain)
+		}
+		return ""
+	}},
+	{"serves again", func(c *cutoff, o *observation) string {
+		if c.beyond(o) || !c.settled(o) || o.request == replaceTable || o.audience == toPeers || o.last == http.StatusOK {
+			return ""
+		}
+		return fmt.Sprintf("nothing is in its way, and the last answer is %d", o.last)
+	}},
+}
+
+// restarting tells whether daemons are down for a restart at a time.
+func (c *cutoff) restarting(at int64) bool {
+	return slices.ContainsFunc(c.events, func(e int64) bool {
+		return e > int64(cutFrom) && e < int64(cutEnd) && at >= e && at < e+int64(450*time.Millisecond)
+	})
+}
+
+func TestAControllerCutOffForTwentySeconds(t *testing.T) {
+	for i, w := range ways {
+		for _, controllers := range []int{3, 7} {
+			for _, leads := range []bool{true, false} {
+				if testing.Short() && ((controllers == 7) != (i%2 == 1) || leads != (i/2%2 == 0)) {
+					continue // one of each way with the race detector
+				}
+				who := map[bool]string{true: "leader", false: "follower"}[leads]
+				t.Run(fmt.Sprintf("%s/%s of %d", strings.ReplaceAll(w.name, " ", "-"), who, controllers), func(t *testing.T) {
+					t.Parallel()
+					c := cutOff(int64(1000+10*i+controllers), controllers, leads, w, nil)
+					for _, text := range c.broken() {
+						t.Error(text)
+					}
+					breaks, _ := CheckInvoked(&c.Hist, InvokedRules(c.environment.WorkerRules), c.now)
+					for _, b := range breaks {
+						t.Error(b)
+					}
+					if t.Failed() || testing.Verbose() {
+						t.Logf("cut off: %v, beyond: %v\n%s", c.away, c.zone, c.record.seconds())
+					}
+				})
+			}
+		}
+	}
+}
--- a/sim/world.go
+++ b/sim/world.go
@@ -79,6 +79,11 @@
 	TamperMessage func(s *wire.Send) bool
 	TamperRequest func(verb string, body *json.RawMessage)
 	TamperAnswer  func(verb string, a *wire.Answer)
+	// What one daemon answers may be changed, too; an answer for which it is false is lost.
+	TamperAnswerOf func(daemon types.Addr, verb string, a *wire.Answer) bool
+	// Delivered is told of each message that a daemon takes.
+	Delivered  func(to types.Addr, m wire.Message)
+	staleAfter time.Duration // how old a gateway's confirmation of the table may be; 0 is the default
 	// Calls to workers and their replies may be changed on their way, too.
 	TamperCall  func(c *wire.WorkerCall)
 	TamperReply func(c wire.WorkerCall, r *wire.WorkerReply)
@@ -176,6 +181,9 @@
 
 // hears writes down that a daemon is told of ends by an agent.
 func (n *node) hears(message wire.Message) {
+	if n.w.Delivered != nil {
+		n.w.Delivered(n.addr, message)
+	}
 	if message.Kind != wire.Status {
 		return
 	}
@@ -286,6 +294,9 @@
 				if w.TamperAnswer != nil {
 					w.TamperAnswer(verb, &a)
 				}
+				if w.TamperAnswerOf != nil && !w.TamperAnswerOf(to, verb, &a) {
+					return
+				}
 				w.transmit(to, from, func() { back(a) })
 			}
 			n.step(wire.Event{Ask: &wire.Ask{Token: n.token, Verb: verb, Arg: arg, Body: body}})
@@ -312,7 +323,7 @@
 
 func (w *World) gateway(addr types.Addr, zone types.Zone) *node {
 	return w.add(addr, "gateway", zone, func(n *node) wire.Machine {
-		return gateway.New(n.clock(), w.chance(), gateway.Place{Addr: addr, Zone: zone, Seeds: w.seeds})
+		return gateway.New(n.clock(), w.chance(), gateway.Place{Addr: addr, Zone: zone, Seeds: w.seeds, Stale: w.staleAfter})
 	})
 }
 
