--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -368,11 +368,19 @@
 	return list
 }
 
+// Leader is the address of the current leader as far as this node can know: its own,
+// or that of one that it has heard within the longest election timeout.
+func (n *Node) Leader() types.Addr {
+	if n.role != leader && n.now.Mono.Sub(n.leaderHeardAt) >= 2*n.timeouts.ElectionMin {
+		return ""
+	}
+	return n.leaderAddr
+}
+
 func (n *Node) ID() types.ID              { return n.self.ID }
 func (n *Node) Name() string              { return n.name }
 func (n *Node) Role() string              { return string(n.role) }
 func (n *Node) Term() types.Term          { return n.voteRecord.Term }
-func (n *Node) Leader() types.Addr        { return n.leaderAddr }
 func (n *Node) IsLeader() bool            { return n.role == leader }
 func (n *Node) Reason() string            { return n.reason }
 func (n *Node) Config() Configuration     { return n.config }
