--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -154,6 +154,7 @@
 	case e.Close:
 		h.close()
 	default:
+		h.refuseExpired(e.Expired)
 		h.tick()
 	}
 	h.applyCommitted()
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -70,15 +70,32 @@
 // refuses is the answer to a request for which there is no time, or nil. What is
 // known already is answered, and so are reads, cancels and operators.
 func (h *Controller) refuses(c wire.CallBody) *apierror.Error {
-	lag := max(h.overload.load.Control, h.overload.load.Callers)
+	lag := h.overload.lag()
 	switch {
 	case !wire.Enters(c.Verb), c.Verb == "job.put" && h.state.Find(types.JobID(c.Arg)) != nil:
 		return nil
 	case lag <= entryLag && h.overload.load.Age <= staleCall:
 		return nil
 	}
+	return h.tooBusy()
+}
+
+func (o *overload) lag() time.Duration { return max(o.load.Control, o.load.Callers) }
+
+// tooBusy is the refusal of a request that was not taken, with when to come back.
+func (h *Controller) tooBusy() *apierror.Error {
 	h.Sums.TurnedAway++
-	return apierror.New(apierror.Crowd, "", "the leader is behind with its work; the request was not taken").After(2 * lag)
+	return apierror.New(apierror.Crowd, "", "the controller is behind with its work; the request was not taken").After(2 * h.overload.lag())
+}
+
+// refuseExpired answers all requests at once that waited too long for a step.
+func (h *Controller) refuseExpired(calls []wire.Message) {
+	for _, n := range calls {
+		if c, ok := wire.Read[wire.CallBody](n); ok {
+			h.Sums.Calls++
+			h.bad(waiter{from: n.From, id: c.ID}, h.tooBusy())
+		}
+	}
 }
 
 // relieve lets a leader that has been behind for long hand over.
--- a/internal/server/door_test.go
+++ b/internal/server/door_test.go
@@ -131,6 +131,7 @@
 	for kind := range map[string]bool{wire.Append: true, wire.Ballot: true, wire.News: true, wire.Beat: true, wire.Status: true} {
 		is.True(o.Message(wire.Message{Kind: kind})) // one class leaves the others their room
 	}
-	is.Equal(o.inbox.refused()[wire.Callers], uint64(2))
-	is.Equal(o.inbox.refused()[wire.Consensus], uint64(0))
+	refused, _ := o.inbox.refused()
+	is.Equal(refused[wire.Callers], uint64(2))
+	is.Equal(refused[wire.Consensus], uint64(0))
 }
--- a/internal/server/inbox.go
+++ b/internal/server/inbox.go
@@ -13,15 +13,6 @@
 	"coppercourse/internal/workqueue"
 )
 
-const (
-	// entryPatience is how long the oldest request of a caller may have waited
-	// before new work is turned away at once.
-	entryPatience = 250 * time.Millisecond
-	// callerPatience is how long a request waits for the machine before it is
-	// turned away untaken.
-	callerPatience = 700 * time.Millisecond
-)
-
 // event is one for the machine. Of a request only one side decides: the owner that
 // takes it, or whoever waited and gives up.
 type event struct {
@@ -38,6 +29,7 @@
 	queue workqueue.Queue[event]
 	wake  chan struct{}
 	clock func() types.Stamp
+	stale uint64 // reports dropped after waiting too long
 }
 
 func newInbox() *inbox { return &inbox{wake: make(chan struct{}, 1), clock: Steady} }
@@ -99,19 +91,30 @@
 	return b.queue.Age(b.clock(), wire.Callers, wire.Callers)
 }
 
-// expire takes out the requests that have waited too long. Messages of other
-// daemons stay: the machine answers those.
-func (b *inbox) expire() []event {
+// expire takes out what has waited too long: requests, and those that gateways
+// handed over, which the machine answers. Reports that are repeated are dropped.
+func (b *inbox) expire() (asks []event, calls []wire.Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.queue.Expire(wire.Callers, b.clock(), callerPatience, func(e event) bool { return e.Ask == nil })
+	patience := func(e event) time.Duration { return workqueue.Patience(e.Event) }
+	now := b.clock()
+	b.stale += uint64(len(b.queue.Expire(wire.Reports, now, patience)))
+	for _, e := range b.queue.Expire(wire.Callers, now, patience) {
+		if e.Ask != nil {
+			asks = append(asks, e)
+		} else {
+			calls = append(calls, *e.Message)
+		}
+	}
+	return
 }
 
-// refused sums what was refused for want of room, by class.
-func (b *inbox) refused() [wire.Classes]uint64 {
+// refused counts what was refused for want of room, by class, and the reports
+// dropped since they had waited too long.
+func (b *inbox) refused() (full [wire.Classes]uint64, stale uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.queue.Refused
+	return b.queue.Refused, b.stale
 }
 
 // tooBusy is the answer to a request that was not taken, with when to come back:
--- a/internal/server/inbox_test.go
+++ b/internal/server/inbox_test.go
@@ -10,6 +10,7 @@
 	"coppercourse/internal/apierror"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/internal/workqueue"
 )
 
 // recorder is a machine that notes what it is given and answers nothing.
@@ -41,7 +42,7 @@
 	o, _ := stalled(&now)
 	go o.Ask(t.Context(), "job.get", "a", nil)
 	o.untilWaiting(1)
-	now = types.Stamp(entryPatience + 2*time.Second)
+	now = types.Stamp(workqueue.EntryPatience + 2*time.Second)
 	a := o.Ask(context.Background(), "job.put", "b", nil)
 	is.Equal(a.Fault.Kind, apierror.Crowd)
 	is.Equal(a.Fault.Retry, 5) // twice as long as the loop is behind
@@ -76,7 +77,7 @@
 	got := make(chan wire.Answer)
 	go func() { got <- o.Ask(t.Context(), "job.get", "a", nil) }()
 	o.untilWaiting(1)
-	now = types.Stamp(callerPatience) + 1
+	now = types.Stamp(workqueue.RequestPatience) + 1
 	o.tick()
 	is.Equal((<-got).Fault.Kind, apierror.Crowd)
 	is.Equal(o.inbox.len(), 0)
--- a/internal/server/owner.go
+++ b/internal/server/owner.go
@@ -81,7 +81,7 @@
 	}
 	e := event{Event: wire.Event{Ask: ask}, back: make(chan wire.Answer, 1), claimed: &atomic.Bool{}}
 	behind := o.inbox.behind()
-	if wire.Enters(verb) && behind > entryPatience || !o.inbox.push(e) {
+	if wire.Enters(verb) && behind > workqueue.EntryPatience || !o.inbox.push(e) {
 		o.busy.Add(1)
 		return wire.Answer{Fault: tooBusy(max(behind, time.Second))}
 	}
@@ -93,7 +93,7 @@
 	case <-ctx.Done():
 		if e.claim() { // the machine has not seen it, and never will
 			o.busy.Add(1)
-			return wire.Answer{Fault: tooBusy(callerPatience)}
+			return wire.Answer{Fault: tooBusy(workqueue.RequestPatience)}
 		}
 		return wire.Answer{Fault: apierror.New(apierror.Unsure, "", "no answer within the time there was")}
 	}
@@ -142,13 +142,14 @@
 // tick lets time pass in the machine, and answers the requests that it won't get to.
 func (o *Owner) tick() {
 	o.ticks.Ticked(Steady())
-	for _, e := range o.inbox.expire() {
+	asks, calls := o.inbox.expire()
+	for _, e := range asks {
 		if e.claim() {
 			o.busy.Add(1)
-			e.back <- wire.Answer{Fault: tooBusy(callerPatience)}
+			e.back <- wire.Answer{Fault: tooBusy(workqueue.RequestPatience)}
 		}
 	}
-	o.step(event{Event: wire.Event{Load: o.inbox.load()}})
+	o.step(event{Event: wire.Event{Load: o.inbox.load(), Expired: calls}})
 }
 
 // take hands an event to the machine, but for a request that was given up.
--- a/internal/server/pages.go
+++ b/internal/server/pages.go
@@ -181,7 +181,9 @@
 	flat := map[string]float64{"post_sent": float64(p.Post.Sent.Load()), "post_failed": float64(p.Post.Failed.Load()),
 		"post_dropped": float64(p.Post.Dropped.Load()), "requests_turned_away_busy": float64(p.Owner.busy.Load()),
 		"requests_under_way_http": float64(p.under.Load())}
-	for class, n := range p.Owner.inbox.refused() {
+	refused, stale := p.Owner.inbox.refused()
+	flat["reports_dropped_stale"] = float64(stale)
+	for class, n := range refused {
 		flat["inbox_refused_"+wire.Class(class).String()] = float64(n)
 	}
 	flatten("", v, flat)
--- a/internal/wire/step.go
+++ b/internal/wire/step.go
@@ -20,6 +20,12 @@
 	Reply   *WorkerReply
 	Close   bool
 	Load    Load
+	Expired []Message // with a tick: requests handed over that waited too long for a step
+}
+
+// IsTick tells that an event is none but that time has passed.
+func (e Event) IsTick() bool {
+	return e.Message == nil && e.Ask == nil && e.Reply == nil && e.Synced == 0 && !e.Close
 }
 
 // Load is how far the loop that carries the machine is behind, as measured by the
--- a/internal/workqueue/workqueue.go
+++ b/internal/workqueue/workqueue.go
@@ -110,11 +110,15 @@
 	return e
 }
 
-// Expire takes out the events of a class that have waited for longer than so long,
-// up to the first that must be kept.
-func (q *Queue[T]) Expire(class wire.Class, now types.Stamp, longest time.Duration, keep func(T) bool) (list []T) {
+// Expire takes out the oldest events of a class that have waited for longer than
+// their patience, up to the first that has not; 0 is for what waits for ever.
+func (q *Queue[T]) Expire(class wire.Class, now types.Stamp, patience func(T) time.Duration) (list []T) {
 	l := &q.lines[class]
-	for len(l.entries) > 0 && now.Sub(l.entries[0].at) > longest && !keep(l.entries[0].item) {
+	for len(l.entries) > 0 {
+		longest := patience(l.entries[0].item)
+		if longest == 0 || now.Sub(l.entries[0].at) <= longest {
+			break
+		}
 		list = append(list, q.take(class).item)
 	}
 	return
--- a/internal/workqueue/workqueue_test.go
+++ b/internal/workqueue/workqueue_test.go
@@ -107,7 +107,7 @@
 	q.Pop()
 	_, class, since, _ = q.Pop()
 	is.Equal(q.Load(at(200), class, since), wire.Load{Age: 200 * time.Millisecond, Callers: 200 * time.Millisecond})
-	is.Equal(q.Expire(wire.Callers, at(999), 0, func(int) bool { return false }), nil)
+	is.Equal(q.Expire(wire.Callers, at(999), func(int) time.Duration { return 1 }), nil)
 }
 
 func TestOnlyWhatMayExpireDoes(t *testing.T) {
@@ -116,8 +116,8 @@
 	for i := range 5 {
 		q.Push(wire.Callers, types.Stamp(i), i)
 	}
-	is.Equal(q.Expire(wire.Callers, 12, 8, func(int) bool { return false }), []int{0, 1, 2, 3})
-	is.Equal(q.Expire(wire.Callers, 99, 8, func(int) bool { return true }), nil)
+	is.Equal(q.Expire(wire.Callers, 12, func(int) time.Duration { return 8 }), []int{0, 1, 2, 3})
+	is.Equal(q.Expire(wire.Callers, 99, func(int) time.Duration { return 0 }), nil)
 	is.Equal(q.Len(), 1)
 }
 
@@ -143,3 +143,18 @@
 		is.True(took >= ticked/2) // dear ticks leave room for events
 	}
 }
+
+// What a sender doesn't repeat, and what other than a caller waits for, stays.
+func TestWhatMayNotBeLostNeverExpires(t *testing.T) {
+	is := is.New(t)
+	message := func(kind string) wire.Event { return wire.Event{Message: &wire.Message{Kind: kind}} }
+	for _, kind := range []string{wire.Append, wire.Ballot, wire.News, wire.Told, wire.Beat, wire.Settled, wire.Reply, wire.Order, wire.Stop} {
+		is.Equal(Patience(message(kind)), time.Duration(0))
+	}
+	for _, e := range []wire.Event{{}, {Synced: 1}, {Close: true}, {Reply: &wire.WorkerReply{}}, {Ask: &wire.Ask{Verb: "table.put"}}, {Ask: &wire.Ask{Verb: "poll"}}} {
+		is.Equal(Patience(e), time.Duration(0))
+	}
+	is.Equal(Patience(message(wire.Call)), CallPatience)
+	is.Equal(Patience(message(wire.Status)), ReportPatience)
+	is.Equal(Patience(wire.Event{Ask: &wire.Ask{Verb: "job.cancel"}}), RequestPatience)
+}
--- /dev/null
+++ b/sim/processor.go
@@ -0,0 +1,196 @@
+// Processors: where a world has costs, every step of a daemon takes virtual time
+// and the events that come meanwhile wait, in the queues and the order of the
+// daemons' own loop. What a step sends, writes and answers goes out at its end. A
+// processor may be slowed; planted bugs change its order of work.
+package sim
+
+import (
+	"time"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/controller"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+	"coppercourse/internal/workqueue"
+)
+
+// Costs is how long steps take on a processor that is not slowed.
+type Costs struct {
+	Tick      time.Duration
+	Control   time.Duration // an event of the control classes
+	Request   time.Duration // any other event
+	Placement time.Duration // more, for a step that placed work
+}
+
+// SmallCore is the costs on a part of a core, as the daemons of a small machine have.
+var SmallCore = Costs{Tick: 600 * time.Microsecond, Control: 250 * time.Microsecond, Request: 500 * time.Microsecond, Placement: 4 * time.Millisecond}
+
+// processor carries one process's steps, one after another.
+type processor struct {
+	node    *node
+	costs   Costs
+	queue   workqueue.Queue[wire.Event]
+	ticks   workqueue.Ticks
+	busy    bool
+	used    time.Duration
+	asked   map[uint64]int64                      // when the requests under way came in, by token
+	longest [wire.Classes]time.Duration           // that an event waited for its step
+	held    map[string][]time.Duration            // how long requests were under way, by verb
+	Sums    struct{ Refused, Expired, Stale int } // requests, and reports, that the machine never saw
+}
+
+// Order is what a planted bug changes in the loops of a world.
+type Order struct {
+	OneQueue     bool // everything waits in one line
+	NeverRefuses bool // no request is turned away, and the machine knows of no load
+}
+
+func newProcessor(n *node, c Costs) *processor {
+	return &processor{node: n, costs: c, asked: map[uint64]int64{}, held: map[string][]time.Duration{}}
+}
+
+func (p *processor) class(e wire.Event) wire.Class {
+	if p.node.w.Order.OneQueue {
+		return wire.Consensus
+	}
+	return e.Class()
+}
+
+// put takes an event in; a tick only tells that one may be due.
+func (p *processor) put(e wire.Event) {
+	now := p.node.mono()
+	switch {
+	case e.IsTick():
+	case e.Synced > 0 || e.Reply != nil || e.Close:
+		p.queue.Force(p.class(e), now, e)
+	case e.Ask != nil && !p.enters(now, e):
+		p.Sums.Refused++
+		p.turnAway(e)
+	case e.Message != nil:
+		p.queue.Push(p.class(e), now, e)
+	}
+	p.next()
+}
+
+// enters lets a request wait for the machine, or not.
+func (p *processor) enters(now types.Stamp, e wire.Event) bool {
+	p.asked[e.Ask.Token] = p.node.w.now
+	behind := p.queue.Age(now, wire.Callers, wire.Callers)
+	if !p.node.w.Order.NeverRefuses && wire.Enters(e.Ask.Verb) && behind > workqueue.EntryPatience {
+		return false
+	}
+	return p.queue.Push(p.class(e), now, e)
+}
+
+// turnAway answers a request in place of the machine.
+func (p *processor) turnAway(e wire.Event) {
+	p.node.answer(wire.Answer{Token: e.Ask.Token, Fault: apierror.New(apierror.Crowd, "", "behind").After(time.Second)})
+}
+
+// next begins a step, if the processor is free and there is one to take.
+func (p *processor) next() {
+	n := p.node
+	if p.busy || n.m == nil || n.frozen {
+		return
+	}
+	e, ok := p.pick(n.mono())
+	if !ok {
+		return
+	}
+	p.busy = true
+	before := placed(n.m)
+	e.Now = n.clock()
+	out := n.run(e)
+	cost := time.Duration(float64(p.cost(e, placed(n.m) > before)) * max(1, n.slow))
+	p.used += cost
+	gen := n.gen
+	n.w.at(cost, func() {
+		if n.gen != gen {
+			return
+		}
+		n.deliver(func() {
+			p.busy = false
+			n.emit(out)
+			p.next()
+		})
+	})
+}
+
+// pick is a tick where one is due, else the most urgent event.
+func (p *processor) pick(now types.Stamp) (wire.Event, bool) {
+	if p.ticks.Due(now, p.queue.Len()) {
+		p.ticks.Ticked(now)
+		return p.loaded(wire.Event{Expired: p.expire(now)}, now, wire.Background, now), true
+	}
+	e, class, at, ok := p.queue.Pop()
+	if !ok {
+		return e, false
+	}
+	p.ticks.Took()
+	class = e.Class()
+	p.longest[class] = max(p.longest[class], now.Sub(at))
+	return p.loaded(e, now, class, at), true
+}
+
+func (p *processor) loaded(e wire.Event, now types.Stamp, class wire.Class, at types.Stamp) wire.Event {
+	if !p.node.w.Order.NeverRefuses {
+		e.Load = p.queue.Load(now, class, at)
+	}
+	return e
+}
+
+// expire answers the requests that have waited too long, and gives those that
+// gateways handed over.
+func (p *processor) expire(now types.Stamp) (calls []wire.Message) {
+	if p.node.w.Order.NeverRefuses {
+		return
+	}
+	p.Sums.Stale += len(p.queue.Expire(wire.Reports, now, workqueue.Patience))
+	for _, e := range p.queue.Expire(wire.Callers, now, workqueue.Patience) {
+		p.Sums.Expired++
+		if e.Ask != nil {
+			p.turnAway(e)
+		} else {
+			calls = append(calls, *e.Message)
+		}
+	}
+	return
+}
+
+func (p *processor) cost(e wire.Event, placed bool) (d time.Duration) {
+	switch {
+	case e.IsTick():
+		d = p.costs.Tick + time.Duration(len(e.Expired))*p.costs.Request/10
+	case e.Class() <= workqueue.ControlClasses:
+		d = p.costs.Control
+	default:
+		d = p.costs.Request
+	}
+	if placed {
+		d += p.costs.Placement
+	}
+	return
+}
+
+// answered notes how long a request was under way.
+func (p *processor) answered(token uint64, verb string) {
+	if from, ok := p.asked[token]; ok {
+		p.held[verb] = append(p.held[verb], time.Duration(p.node.w.now-from))
+		delete(p.asked, token)
+	}
+}
+
+// placed counts the rounds of placing of a controller.
+func placed(m wire.Machine) uint64 {
+	if h, ok := m.(*controller.Controller); ok {
+		return h.Sums.Placed
+	}
+	return 0
+}
+
+// slowDown makes a node's processor so many times slower for a while.
+func (r *Run) slowDown(n *node, times float64, long time.Duration) {
+	n.slow = times
+	r.tell(Happening{What: Trouble, Text: "slow-processor for " + long.String(), Hits: []types.Addr{n.addr}})
+	r.at(long, func() { n.slow = 1 })
+}
--- /dev/null
+++ b/sim/processor_test.go
@@ -0,0 +1,205 @@
+// Days on which steps take time and processors are slow: the rules hold, control
+// work goes first, callers are answered in time, and the service goes on after it.
+// Each planted bug is caught by what the same day measures.
+package sim
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/gateway"
+	"coppercourse/internal/settings"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+	"coppercourse/internal/workqueue"
+)
+
+const (
+	slowFrom = 10 * time.Second
+	slowFor  = 8 * time.Second
+	// mostConsensusWait is half of the shortest election wait: a follower that is
+	// heard of so late still keeps its leader.
+	mostConsensusWait = 100 * time.Millisecond
+	// mostRequestWait is when a request in the leader's queue must have been answered,
+	// with what its gateway needs to ask elsewhere, within the gateway's limit.
+	mostRequestWait = time.Second
+)
+
+// slowDay is a day on which a step takes time; slow makes processors slower.
+func slowDay(seed int64, order Order, slow func(*Run)) *Run {
+	r := Build(Plan{Seed: seed, Town: "kingston-called", Quick: true, Calm: 4 * time.Second, Storm: slowFor, After: 7 * time.Second,
+		Settle: 45 * time.Second, Patience: 5 * time.Second})
+	c := SmallCore
+	r.Costs, r.Order = &c, order
+	r.at(slowFrom, func() { slow(r) })
+	return r.Go()
+}
+
+// slowed picks whose processors are slow on a day.
+var slowed = map[string]func(r *Run, times float64){
+	"leader":   func(r *Run, times float64) { r.slowDown(r.leader(), times, slowFor) },
+	"follower": func(r *Run, times float64) { r.slowDown(r.follower(), times, slowFor) },
+	"gateway":  func(r *Run, times float64) { r.slowDown(r.gateways[0], times, slowFor) },
+	"in turn": func(r *Run, times float64) {
+		for i, n := range []*node{r.leader(), r.follower(), r.gateways[0], r.gateways[1]} {
+			r.at(time.Duration(i)*slowFor/4, func() { r.slowDown(n, times, slowFor/4) })
+		}
+	},
+}
+
+func (r *Run) follower() *node {
+	for _, n := range up(r.controllers) {
+		if n != r.leader() {
+			return n
+		}
+	}
+	return nil
+}
+
+// loops sums what the loops of controllers and gateways measured.
+type loops struct {
+	longest     [wire.Classes]time.Duration // that an event waited
+	held        time.Duration               // the longest that a request was under way
+	turned      int                         // requests that no machine saw
+	away        uint64                      // and those that a leader had no time for
+	relieved    uint64
+	leaderTerms types.Term
+}
+
+func (r *Run) loops() (l loops) {
+	for _, n := range append(append([]*node{}, r.controllers...), r.gateways...) {
+		for c, d := range n.cpu.longest {
+			l.longest[c] = max(l.longest[c], d)
+		}
+		l.turned += n.cpu.Sums.Refused + n.cpu.Sums.Expired
+		for _, list := range n.cpu.held {
+			for _, d := range list {
+				l.held = max(l.held, d)
+			}
+		}
+	}
+	for _, n := range r.controllers {
+		s := r.status(n)
+		l.away += s.Sums.TurnedAway
+		l.relieved += s.Sums.Relieved
+		l.leaderTerms = max(l.leaderTerms, s.Term)
+	}
+	return
+}
+
+// accepted counts jobs taken in a stretch of time.
+func (r *Run) accepted(from, to time.Duration) (n int) {
+	for _, h := range r.Hist.List {
+		if h.What == Accepted && h.At >= int64(from) && h.At < int64(to) {
+			n++
+		}
+	}
+	return
+}
+
+func TestSlowProcessorsKeepTheRules(t *testing.T) {
+	for who, slow := range slowed {
+		for _, times := range []float64{2, 5, 10} {
+			if testing.Short() && (who != "leader" || times != 10) {
+				continue
+			}
+			t.Run(fmt.Sprint(who, " ", times, " times slower"), func(t *testing.T) {
+				t.Parallel()
+				is := is.New(t)
+				r := slowDay(int64(times), Order{}, func(r *Run) { slow(r, times) })
+				for _, b := range r.Verdict().Breaks {
+					t.Error(b)
+				}
+				l := r.loops()
+				before, after := r.accepted(6*time.Second, slowFrom), r.accepted(slowFrom+slowFor+3*time.Second, slowFrom+slowFor+7*time.Second)
+				t.Logf("%+v; taken in 4 s before %d, during %d a 4 s, after %d", l, before, r.accepted(slowFrom, slowFrom+slowFor)/2, after)
+				is.True(l.longest[wire.Consensus] <= mostConsensusWait)
+				is.True(l.longest[wire.Callers] <= mostRequestWait)
+				is.True(l.held <= gateway.Limit+200*time.Millisecond*time.Duration(times)/2) // a request given up on is answered at a tick
+				is.True(after >= before*8/10)                                                // and the service comes back
+			})
+		}
+	}
+}
+
+// One line for everything lets heartbeats wait; a loop that never refuses lets
+// callers wait, and placement take what control needs.
+func TestPlantedOrdersOfWorkAreCaught(t *testing.T) {
+	if testing.Short() {
+		t.Skip("run without the race detector")
+	}
+	for name, c := range map[string]struct {
+		order  Order
+		caught func(loops) bool
+	}{
+		"one queue":     {Order{OneQueue: true}, func(l loops) bool { return l.longest[wire.Consensus] > mostConsensusWait }},
+		"never refuses": {Order{NeverRefuses: true}, func(l loops) bool { return l.longest[wire.Callers] > mostRequestWait }},
+		"both": {Order{OneQueue: true, NeverRefuses: true}, func(l loops) bool {
+			return l.longest[wire.Consensus] > mostConsensusWait
+		}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			l := slowDay(10, c.order, func(r *Run) { slowed["leader"](r, 10) }).loops()
+			t.Logf("%+v", l)
+			if !c.caught(l) {
+				t.Error("not caught")
+			}
+		})
+	}
+}
+
+// A leader whose processor stays slow hands over to another, which keeps the duty;
+// where all are as slow the duty does not go round.
+func TestASlowLeaderIsRelievedOnce(t *testing.T) {
+	if testing.Short() {
+		t.Skip("run without the race detector")
+	}
+	for name, c := range map[string]struct {
+		slow func(*Run) []*node
+		most types.Term // terms, with the first
+	}{
+		"the leader": {func(r *Run) []*node { return []*node{r.leader()} }, 2},
+		"all":        {func(r *Run) []*node { return slices.Clone(r.controllers) }, 3},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			is := is.New(t)
+			var was types.Addr
+			r := Build(Plan{Seed: 4, Town: "kingston-called", Quick: true, Calm: 8 * time.Second, Storm: 30 * time.Second, After: 4 * time.Second,
+				Settle: 45 * time.Second, Patience: 5 * time.Second})
+			costs := SmallCore
+			r.Costs = &costs
+			r.at(14*time.Second, func() {
+				was = r.leader().addr
+				for _, n := range c.slow(r) {
+					r.slowDown(n, 10, 26*time.Second)
+				}
+			})
+			r.Go()
+			for _, b := range r.Verdict().Breaks {
+				t.Error(b)
+			}
+			l := r.loops()
+			t.Logf("%+v; led by %s, then %s", l, was, r.leader().addr)
+			is.True(l.leaderTerms <= c.most)
+			is.True(l.longest[wire.Consensus] <= mostConsensusWait)
+			is.True(l.longest[wire.Callers] <= mostRequestWait)
+			if name == "the leader" {
+				is.Equal(l.relieved, uint64(1))
+				is.True(r.leader().addr != was)
+			}
+		})
+	}
+}
+
+func TestTheBoundsOfSlowDaysFitThePace(t *testing.T) {
+	is := is.New(t)
+	is.True(mostConsensusWait <= settings.Quick.Core().Least/2)
+	is.True(workqueue.CallPatience < gateway.Attempt)
+	is.True(mostRequestWait < gateway.Limit)
+}
--- a/sim/world.go
+++ b/sim/world.go
@@ -45,11 +45,19 @@
 	drift  float64
 	wall   time.Duration
 	disk   *disk
-	asks   map[uint64]func(wire.Answer)
+	asks   map[uint64]asking
 	token  uint64
 	closes bool
 	use    Usage
 	took   *hdrhistogram.Histogram // its steps' times in nanoseconds, if wanted
+	slow   float64                 // how many times slower its processor is
+	cpu    *processor              // where steps take time
+}
+
+// asking is a request that a node has not answered.
+type asking struct {
+	verb string
+	back func(wire.Answer)
 }
 
 // World is one run.
@@ -74,6 +82,8 @@
 	founders []types.Addr                            // that found the cluster together, where they are named
 	Meter    bool                                    // count what every daemon spends
 	far      func(from, to types.Addr) time.Duration // more than within a region, one way
+	Costs    *Costs                                  // of steps; where none are given, a step takes no time
+	Order    Order
 	// Planted bugs: what is sent, asked and answered may be changed on its way,
 	// and a note for which Tamper is false is never sent.
 	Tamper func(s *wire.Send) bool
@@ -108,7 +118,7 @@
 }
 
 func (w *World) add(addr types.Addr, role string, zone types.Zone, make func(*node) wire.Machine) *node {
-	n := &node{w: w, addr: addr, role: role, zone: zone, make: make, asks: map[uint64]func(wire.Answer){},
+	n := &node{w: w, addr: addr, role: role, zone: zone, make: make, asks: map[uint64]asking{},
 		base: types.Stamp(w.rnd.Int63n(1 << 50)), drift: 1 + (w.rnd.Float64()-0.5)*4e-4}
 	if role == "controller" {
 		n.disk = &disk{w: w, use: &n.use}
@@ -131,6 +141,9 @@
 	n.gen++
 	n.frozen, n.queue, n.closes = false, nil, false
 	clear(n.asks)
+	if n.w.Costs != nil {
+		n.cpu = newProcessor(n, *n.w.Costs)
+	}
 	n.m = n.make(n)
 	n.step(wire.Event{})
 	gen := n.gen
@@ -202,8 +215,16 @@
 }
 
 func (n *node) step(e wire.Event) {
+	if n.cpu != nil {
+		n.cpu.put(e)
+		return
+	}
 	e.Now = n.clock()
-	out := n.run(e)
+	n.emit(n.run(e))
+}
+
+// emit carries out what a step wants done.
+func (n *node) emit(out wire.Out) {
 	w, gen := n.w, n.gen
 	m := meter{}
 	for _, s := range out.Sends {
@@ -221,7 +242,6 @@
 					if w.Meter {
 						transfer(nil, &t.use, message, first)
 					}
-					t.hears(message)
 					t.step(wire.Event{Message: &message})
 				})
 			}
@@ -238,18 +258,31 @@
 		}})
 	}
 	for _, a := range out.Answers {
-		if back := n.asks[a.Token]; back != nil {
-			delete(n.asks, a.Token)
-			back(a)
-		}
+		n.answer(a)
 	}
 	if n.closes && out.Idle {
 		n.kill()
 	}
 }
 
+// answer ends a request.
+func (n *node) answer(a wire.Answer) {
+	q, ok := n.asks[a.Token]
+	if !ok {
+		return
+	}
+	delete(n.asks, a.Token)
+	if n.cpu != nil {
+		n.cpu.answered(a.Token, q.verb)
+	}
+	q.back(a)
+}
+
 // run gives the machine an event and counts the time that it takes.
 func (n *node) run(e wire.Event) wire.Out {
+	if e.Message != nil {
+		n.hears(*e.Message)
+	}
 	if !n.w.Meter {
 		return n.m.Step(e)
 	}
@@ -282,12 +315,12 @@
 		n.deliver(func() {
 			took(n)
 			n.token++
-			n.asks[n.token] = func(a wire.Answer) {
+			n.asks[n.token] = asking{verb, func(a wire.Answer) {
 				if w.Twist != nil {
 					w.Twist(verb, &a)
 				}
 				w.carry(to, from, func() { back(a) })
-			}
+			}}
 			n.step(wire.Event{Ask: &wire.Ask{Token: n.token, Verb: verb, Arg: arg, Body: body}})
 		})
 	})
