--- /dev/null
+++ b/sim/front_test.go
@@ -0,0 +1,84 @@
+package sim
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/gateway"
+	"coppercourse/internal/types"
+)
+
+// front is what a gateway last published of its table, as its requests see it.
+type front struct {
+	version types.Version
+	until   types.Stamp
+	fresh   bool // as a planted bug had it: found at the step, and not at the request
+}
+
+// probeFronts asks what each gateway would decide by, every 20 ms from the start of
+// the traffic, and gives the decisions by a version that was replaced longer ago
+// than a table may be in use after its acknowledgement.
+func probeFronts(r *Run, decides func(front, types.Stamp) bool) (late *int, decided *int) {
+	fronts := map[*node]front{}
+	r.After = func(n *node) {
+		if g, ok := n.m.(*gateway.Gateway); ok {
+			t, fresh := g.Table()
+			fronts[n] = front{t.Version, g.ConfirmedUntil(), fresh}
+		}
+	}
+	late, decided = new(int), new(int)
+	var probe func()
+	probe = func() {
+		old := types.Version(0) // the newest that was acknowledged so long ago
+		for _, h := range r.Hist.List {
+			if h.What == TableAck && h.At+int64(Rules.Table) < r.now {
+				old = max(old, h.Table.Version)
+			}
+		}
+		for n, f := range fronts {
+			if n.m == nil || !decides(f, n.mono()) {
+				continue
+			}
+			*decided++
+			if f.version < old {
+				*late++
+			}
+		}
+		r.at(20*time.Millisecond, probe)
+	}
+	r.at(6*time.Second, probe)
+	return
+}
+
+// A gateway whose processor hardly runs, so that a step takes seconds, decides by no
+// table that was replaced long ago; the planted bug, a bit that the step publishes,
+// does.
+func TestAGatewayWithoutProcessorTimeDecidesByNoOldTable(t *testing.T) {
+	if testing.Short() {
+		t.Skip("run without the race detector")
+	}
+	for name, c := range map[string]struct {
+		decides func(front, types.Stamp) bool
+		caught  bool
+	}{
+		"as it is":      {func(f front, now types.Stamp) bool { return now < f.until }, false},
+		"published bit": {func(f front, _ types.Stamp) bool { return f.fresh }, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			is := is.New(t)
+			r := Build(Plan{Seed: 9, Town: "kingston-called", Quick: true, Calm: 4 * time.Second, Storm: 30 * time.Second, After: 4 * time.Second,
+				Settle: time.Second, Patience: 5 * time.Second})
+			costs := SmallCore
+			r.Costs = &costs
+			r.at(slowFrom, func() { r.slowDown(r.gateways[0], 10_000, 25*time.Second) })
+			late, decided := probeFronts(r, c.decides)
+			r.Go()
+			t.Logf("%d decisions, %d by an old table", *decided, *late)
+			is.True(*decided > 1000)
+			is.Equal(*late > 0, c.caught)
+		})
+	}
+}
--- a/sim/world.go
+++ b/sim/world.go
@@ -84,6 +84,7 @@
 	far      func(from, to types.Addr) time.Duration // more than within a region, one way
 	Costs    *Costs                                  // of steps; where none are given, a step takes no time
 	Order    Order
+	After    func(*node) // once a node's step is carried out
 	// Planted bugs: what is sent, asked and answered may be changed on its way,
 	// and a note for which Tamper is false is never sent.
 	Tamper func(s *wire.Send) bool
@@ -260,6 +261,9 @@
 	for _, a := range out.Answers {
 		n.answer(a)
 	}
+	if w.After != nil {
+		w.After(n)
+	}
 	if n.closes && out.Idle {
 		n.kill()
 	}
