--- a/internal/server/post.go
+++ b/internal/server/post.go
@@ -39,22 +39,25 @@
 	Dropped atomic.Uint64
 }
 
-// lane is what waits for one peer, oldest first. It holds so many bytes at most;
-// the oldest go first then, since newer ones say the same or more.
+// lane is what waits for one peer, by class and oldest first. It holds so many bytes
+// at most. What is more urgent goes first; the oldest of the least urgent are dropped
+// first, since newer ones say the same or more.
 type lane struct {
-	mu   sync.Mutex
-	list []wire.Message
-	size int
-	wake chan struct{}
+	mu    sync.Mutex
+	lists [wire.Classes][]wire.Message
+	count int
+	size  int
+	wake  chan struct{}
 }
 
 func (l *lane) put(n wire.Message) (dropped int) {
 	l.mu.Lock()
-	l.list = append(l.list, n)
+	class := wire.ClassOf(n.Kind)
+	l.lists[class] = append(l.lists[class], n)
+	l.count++
 	l.size += len(n.Body)
-	for l.size > heavy && len(l.list) > 1 || len(l.list) > depth {
-		l.size -= len(l.list[0].Body)
-		l.list = l.list[1:]
+	for l.size > heavy && l.count > 1 || l.count > depth {
+		l.remove(l.lowest(), 1)
 		dropped++
 	}
 	l.mu.Unlock()
@@ -65,21 +68,51 @@
 	return
 }
 
+// lowest is the least urgent class of which anything waits.
+func (l *lane) lowest() wire.Class {
+	for c := wire.Classes - 1; c > 0; c-- {
+		if len(l.lists[c]) > 0 {
+			return c
+		}
+	}
+	return 0
+}
+
+// remove takes the oldest of a class out.
+func (l *lane) remove(c wire.Class, n int) (group []wire.Message) {
+	group = l.lists[c][:n:n]
+	for _, m := range group {
+		l.size -= len(m.Body)
+	}
+	l.count -= n
+	if l.lists[c] = l.lists[c][n:]; len(l.lists[c]) == 0 {
+		l.lists[c] = nil
+	}
+	return
+}
+
 // take gives what fits into one request.
 func (l *lane) take() (group []wire.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	size := 0
-	for i, n := range l.list {
-		if i == share || i > 0 && size+len(n.Body) > bulk {
+	for c := range wire.Classes {
+		n := 0
+		for n < len(l.lists[c]) && len(group)+n < share {
+			body := len(l.lists[c][n].Body)
+			if size > 0 && size+body > bulk {
+				break
+			}
+			size += body
+			n++
+		}
+		whole := n == len(l.lists[c])
+		if n > 0 {
+			group = append(group, l.remove(c, n)...)
+		}
+		if !whole {
 			break
 		}
-		size += len(n.Body)
-		group = append(group, n)
-	}
-	l.size -= size
-	if l.list = l.list[len(group):]; len(l.list) == 0 {
-		l.list = nil
 	}
 	return
 }
--- a/internal/server/post_test.go
+++ b/internal/server/post_test.go
@@ -19,8 +19,10 @@
 		dropped += l.put(wire.Message{Kind: string(rune('a' + i%26)), Body: big})
 	}
 	is.True(l.size <= heavy)
-	is.Equal(len(l.list)+dropped, 200)
-	is.Equal(l.list[len(l.list)-1].Kind, string(rune('a'+199%26)))
+	kept := l.lists[wire.Background]
+	is.Equal(len(kept)+dropped, 200)
+	is.Equal(l.count, len(kept))
+	is.Equal(kept[len(kept)-1].Kind, string(rune('a'+199%26)))
 	for group := l.take(); len(group) > 0; group = l.take() {
 		size := 0
 		for _, n := range group {
@@ -32,6 +34,34 @@
 	for range 5000 {
 		l.put(wire.Message{Body: []byte("1")})
 	}
-	is.Equal(len(l.list), depth)
+	is.Equal(l.count, depth)
 	is.Equal(len(l.take()), share)
 }
+
+// A heartbeat goes out with the next request, before what a slow link has left
+// waiting, and is not what a full lane drops.
+func TestWhatIsUrgentLeavesALaneFirst(t *testing.T) {
+	is := is.New(t)
+	l := &lane{wake: make(chan struct{}, 1)}
+	big := bytes.Repeat([]byte("x"), 100<<10)
+	for range 30 {
+		l.put(wire.Message{Kind: wire.Call, Body: big})
+	}
+	l.put(wire.Message{Kind: wire.Status, Body: big})
+	l.put(wire.Message{Kind: wire.News})
+	l.put(wire.Message{Kind: wire.Append})
+	for range 30 {
+		l.put(wire.Message{Kind: wire.Call, Body: big})
+	}
+	var kinds []string
+	for _, n := range l.take() {
+		kinds = append(kinds, n.Kind)
+	}
+	is.Equal(kinds, []string{wire.Append, wire.News, wire.Status, wire.Call})
+	for range 2 * depth {
+		l.put(wire.Message{Kind: wire.Call})
+	}
+	l.put(wire.Message{Kind: wire.Append})
+	is.Equal(l.count, depth)
+	is.Equal(l.take()[0].Kind, wire.Append)
+}
