--- a/sim/world.go
+++ b/sim/world.go
@@ -45,11 +45,19 @@
 	drift           float64
 	wall            time.Duration
 	disk            *disk
-	pendingRequests map[uint64]func(wire.Answer)
+	pendingRequests map[uint64]pendingRequest
 	token           uint64
 	closes          bool
 	usage           Usage
 	stepTimes       *hdrhistogram.Histogram // its steps' times in nanoseconds, if wanted
+	slowness        float64                 // how many times slower its processor is
+	processor       *processor              // where steps take time
+}
+
+// pendingRequest is one that a node has not answered.
+type pendingRequest struct {
+	verb string
+	back func(wire.Answer)
 }
 
 // World is one run.
@@ -74,6 +82,9 @@
 	founders       []types.Addr                            // that found the cluster together, where they are named
 	Meter          bool                                    // count what every daemon spends
 	distance       func(from, to types.Addr) time.Duration // more than within a region, one way
+	Costs          *Costs                                  // of steps; where none are given, a step takes no time
+	Order          Order
+	After          func(*node) // once a node's step is carried out
 	// Planted bugs: what is sent, asked and answered may be changed on its way,
 	// and a note for which Tamper is false is never sent.
 	TamperMessage func(s *wire.Send) bool
@@ -113,7 +124,7 @@
 }
 
 func (w *World) add(addr types.Addr, role string, zone types.Zone, make func(*node) wire.Machine) *node {
-	n := &node{w: w, addr: addr, role: role, zone: zone, make: make, pendingRequests: map[uint64]func(wire.Answer){},
+	n := &node{w: w, addr: addr, role: role, zone: zone, make: make, pendingRequests: map[uint64]pendingRequest{},
 		base: types.Stamp(w.random.Int63n(1 << 50)), drift: 1 + (w.random.Float64()-0.5)*4e-4}
 	if role == "controller" {
 		n.disk = &disk{w: w, use: &n.usage}
@@ -136,6 +147,9 @@
 	n.gen++
 	n.frozen, n.queue, n.closes = false, nil, false
 	clear(n.pendingRequests)
+	if n.w.Costs != nil {
+		n.processor = newProcessor(n, *n.w.Costs)
+	}
 	n.m = n.make(n)
 	n.step(wire.Event{})
 	gen := n.gen
@@ -210,8 +224,16 @@
 }
 
 func (n *node) step(e wire.Event) {
+	if n.processor != nil {
+		n.processor.put(e)
+		return
+	}
 	e.Now = n.clock()
-	out := n.run(e)
+	n.emit(n.run(e))
+}
+
+// emit carries out what a step wants done.
+func (n *node) emit(out wire.Out) {
 	w, gen := n.w, n.gen
 	m := meter{}
 	for _, s := range out.Sends {
@@ -229,7 +251,6 @@
 					if w.Meter {
 						transfer(nil, &t.usage, message, first)
 					}
-					t.hears(message)
 					t.step(wire.Event{Message: &message})
 				})
 			}
@@ -246,18 +267,34 @@
 		}})
 	}
 	for _, a := range out.Answers {
-		if back := n.pendingRequests[a.Token]; back != nil {
-			delete(n.pendingRequests, a.Token)
-			back(a)
-		}
+		n.answer(a)
+	}
+	if w.After != nil {
+		w.After(n)
 	}
 	if n.closes && out.Idle {
 		n.kill()
 	}
 }
 
+// answer ends a request.
+func (n *node) answer(a wire.Answer) {
+	q, ok := n.pendingRequests[a.Token]
+	if !ok {
+		return
+	}
+	delete(n.pendingRequests, a.Token)
+	if n.processor != nil {
+		n.processor.answered(a.Token, q.verb)
+	}
+	q.back(a)
+}
+
 // run gives the machine an event and counts the time that it takes.
 func (n *node) run(e wire.Event) wire.Out {
+	if e.Message != nil {
+		n.hears(*e.Message)
+	}
 	if !n.w.Meter {
 		return n.m.Step(e)
 	}
@@ -290,7 +327,7 @@
 		n.deliver(func() {
 			took(n)
 			n.token++
-			n.pendingRequests[n.token] = func(a wire.Answer) {
+			n.pendingRequests[n.token] = pendingRequest{verb, func(a wire.Answer) {
 				if w.TamperAnswer != nil {
 					w.TamperAnswer(verb, &a)
 				}
@@ -298,7 +335,7 @@
 					return
 				}
 				w.transmit(to, from, func() { back(a) })
-			}
+			}}
 			n.step(wire.Event{Ask: &wire.Ask{Token: n.token, Verb: verb, Arg: arg, Body: body}})
 		})
 	})
