--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -162,7 +162,7 @@
 	out.Sends = append(append(out.Sends, h.sends...), h.roster.Out()...)
 	out.Answers = h.answers
 	h.sends, h.answers = nil, nil
-	out.Idle = h.drain && (!h.raft.IsLeader() || h.now.Mono >= h.late) && len(h.waiters) == 0
+	out.Idle = h.drain && (h.raft.MayStop() || h.now.Mono >= h.late) && len(h.waiters) == 0
 	return out
 }
 
--- a/internal/raft/bootstrap.go
+++ b/internal/raft/bootstrap.go
@@ -113,10 +113,12 @@
 // that has heard no leader for long asks whether it still is a member, since all
 // members that it knows of may have been replaced.
 func (n *Node) requestJoin() (any bool) {
+	me := n.self
+	me.Provisional = me.Provisional || n.name != ""
 	for _, s := range n.controllers {
 		if s.Name != "" && (n.name == "" || n.name == s.Name) {
 			any = true
-			n.send(s.Addr, wire.Join, joinRequest{s.Name, n.self, n.role == follower || n.role == candidate})
+			n.send(s.Addr, wire.Join, joinRequest{s.Name, me, n.role == follower || n.role == candidate})
 		}
 	}
 	return
--- /dev/null
+++ b/internal/raft/checker_test.go
@@ -0,0 +1,185 @@
+// What must hold after each step of a world: Raft's own safety properties, the read
+// lease, that nothing acknowledged is lost, and that whatever may still be lost leaves a
+// quorum.
+package raft
+
+import (
+	"time"
+
+	"coppercourse/internal/types"
+)
+
+// checker remembers what was once true and must stay so.
+type checker struct {
+	leaders   map[types.Term]types.ID
+	entries   map[types.Index]Entry // committed, by whoever saw that first
+	committed types.Index
+	acked     types.Index
+	ackedAt   time.Duration
+	counter   int
+	leaderAt  time.Duration // when a lease holder was last there
+	led       bool
+	compared  map[*machine]compared
+}
+
+type compared struct {
+	life   int
+	commit types.Index
+}
+
+func newChecker() checker {
+	return checker{leaders: map[types.Term]types.ID{}, entries: map[types.Index]Entry{}, compared: map[*machine]compared{}}
+}
+
+// step checks all that one step of one machine can have broken.
+func (c *checker) step(w *world, m *machine) {
+	c.oneLeaderPerTerm(w, m)
+	c.committedIsKept(w, m)
+	c.lease(w, m)
+	c.leaderIsComplete(w, m)
+	c.logsMatch(w, m)
+}
+
+func (c *checker) oneLeaderPerTerm(w *world, m *machine) {
+	n := m.node
+	if n.role != leader {
+		return
+	}
+	term := n.voteRecord.Term
+	if other, ok := c.leaders[term]; ok && other != n.self.ID {
+		w.fail("ONE LEADER: %s and %s both lead in term %d", other, n.self.ID, term)
+	}
+	c.leaders[term] = n.self.ID
+}
+
+// committedIsKept compares what a member holds as committed with what anybody held so:
+// log matching for the committed part, and no committed entry ever replaced.
+func (c *checker) committedIsKept(w *world, m *machine) {
+	n := m.node
+	from := n.snapshot.Index
+	if was := c.compared[m]; was.life == m.life && was.commit > from {
+		from = was.commit
+	}
+	for i := from + 1; i <= n.commitIndex; i++ {
+		if i > n.lastIndex() {
+			w.fail("COMMIT: %s has committed %d and holds only %d", m.addr, i, n.lastIndex())
+			return
+		}
+		e := n.Entry(i)
+		was, ok := c.entries[i]
+		if ok && (was.Term != e.Term || string(was.Data) != string(e.Data)) {
+			w.fail("COMMITTED: entry %d is %d:%s at %s and was %d:%s", i, e.Term, e.Data, m.addr, was.Term, was.Data)
+			return
+		}
+		c.entries[i] = e
+		c.committed = max(c.committed, i)
+	}
+	c.compared[m] = compared{m.life, n.commitIndex}
+}
+
+// lease checks that nobody else may answer reads now, and that a read would miss nothing.
+func (c *checker) lease(w *world, m *machine) {
+	if m.frozen || !m.leases() {
+		return
+	}
+	c.leaderAt, c.led = w.now, true
+	if m.node.commitIndex < c.acked {
+		w.fail("READ: %s answers reads with %d, and %d is acknowledged", m.addr, m.node.commitIndex, c.acked)
+	}
+	for _, o := range w.machines {
+		if o != m && o.up() && !o.frozen && o.node.role == leader && o.leases() {
+			w.fail("LEASE: %s in term %d and %s in term %d may answer reads", m.addr, m.node.voteRecord.Term, o.addr, o.node.voteRecord.Term)
+		}
+	}
+}
+
+// leaderIsComplete checks that a leader of the newest term holds all that is committed.
+func (c *checker) leaderIsComplete(w *world, m *machine) {
+	n := m.node
+	if n.role != leader {
+		return
+	}
+	for term := range c.leaders {
+		if term > n.voteRecord.Term {
+			return
+		}
+	}
+	if n.lastIndex() < c.committed {
+		w.fail("COMPLETE: %s leads term %d with %d entries, and %d are committed", m.addr, n.voteRecord.Term, n.lastIndex(), c.committed)
+	} else if t, ok := n.termAt(c.committed); ok && c.committed > 0 && t != c.entries[c.committed].Term {
+		w.fail("COMPLETE: %s leads term %d with entry %d of term %d, and that of term %d is committed", m.addr, n.voteRecord.Term, c.committed, t, c.entries[c.committed].Term)
+	}
+}
+
+// logsMatch checks that two logs with an entry of one index and term have the same one
+// there, for the last entry of the node that made a step.
+func (c *checker) logsMatch(w *world, m *machine) {
+	last := m.node.lastIndex()
+	t, _ := m.node.termAt(last)
+	for _, o := range w.machines {
+		if o == m || !o.up() || last <= o.node.snapshot.Index || last <= m.node.snapshot.Index {
+			continue
+		}
+		if ot, ok := o.node.termAt(last); ok && ot == t && string(o.node.Entry(last).Data) != string(m.node.Entry(last).Data) {
+			w.fail("MATCH: %s and %s differ in entry %d of term %d", m.addr, o.addr, last, t)
+		}
+	}
+}
+
+// counts tells whether the machine counts as lost now, as the pages count it.
+func (m *machine) counts() bool {
+	w := m.w
+	if m.gone {
+		return m.backAt == 0 || w.now < m.backAt+testCatchUp // backAt is its successor's start
+	}
+	if m.former != nil && m.former.gone && m.up() && !m.faulty && m.life == 1 && m.backAt == m.starts {
+		return false // counted with the one that it replaces
+	}
+	return !m.up() || m.faulty || w.now < m.backAt+testCatchUp
+}
+
+// lost is how many machines count as lost now.
+func (w *world) lost() (count int) {
+	for _, m := range w.machines {
+		if m.counts() {
+			count++
+		}
+	}
+	return
+}
+
+// survives checks that whatever may be lost on top of what is lost now, disks included,
+// leaves a quorum of the voters of the committed configuration. Machines that count as
+// lost but run on are taken for there only if needed for nothing.
+func (c *checker) survives(w *world) {
+	l := w.leader()
+	if l == nil || l.node.commitIndex < l.node.configIndex {
+		return
+	}
+	spare := w.tolerate - w.lost()
+	if spare < 0 {
+		return
+	}
+	alive, voters := 0, 0
+	for _, v := range l.node.config {
+		if !v.Voter {
+			continue
+		}
+		voters++
+		if m := w.find(v.Addr); m != nil && m.up() && m.node.self.ID == v.ID && !m.counts() {
+			alive++
+		}
+	}
+	if alive-spare <= voters/2 {
+		w.fail("QUORUM: %d of %d voters are safe, %d more machines may be lost: %s", alive, voters, spare, describe(l.node.config))
+	}
+}
+
+// leadership checks that a leader is there within the bound, once nothing has been done
+// to the core for so long.
+func (c *checker) leadership(w *world) {
+	since := max(c.leaderAt, w.lastHurt)
+	if c.led && w.now-since > testAck {
+		w.fail("LEADER: none that may answer for %v, nothing done for %v", w.now-c.leaderAt, w.now-w.lastHurt)
+	}
+}
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -5,6 +5,7 @@
 package raft
 
 import (
+	"slices"
 	"time"
 
 	"coppercourse/internal/types"
@@ -118,7 +119,7 @@
 func (n *Node) progressOf(id types.ID) *progress {
 	t, ok := n.progress[id]
 	if !ok {
-		t = &progress{next: n.lastIndex() + 1, heardAt: n.now.Mono, round: -1 << 62}
+		t = &progress{next: n.lastIndex() + 1, heardAt: n.now.Mono, round: never}
 		n.progress[id] = t
 	}
 	return t
@@ -183,3 +184,17 @@
 		n.campaign(false, true)
 	}
 }
+
+// MayStop reports whether a node that prepares to stop has nothing left to do for the
+// cluster.
+// While a provisional member of its zone is there, a voter that stops waits until that
+// one has replaced it.
+func (n *Node) MayStop() bool {
+	switch n.role {
+	case leader:
+		return false
+	case follower, candidate:
+		return !slices.ContainsFunc(n.config, func(m Member) bool { return m.Provisional && m.Zone == n.self.Zone && m.ID != n.self.ID })
+	}
+	return true
+}
--- a/internal/raft/messages.go
+++ b/internal/raft/messages.go
@@ -13,13 +13,15 @@
 
 // Member is one controller of the configuration. Without a vote it is a learner. A
 // provisional member came to a cluster that existed before it, and may replace a voter
-// that is gone.
+// that is gone or leaves. A standby gave its vote to a successor in its zone, and gets
+// one again only in place of a voter that is gone.
 type Member struct {
 	ID          types.ID   `json:"id"`
 	Addr        types.Addr `json:"addr"`
 	Zone        types.Zone `json:"zone"`
 	Voter       bool       `json:"voter"`
 	Provisional bool       `json:"provisional,omitempty"`
+	Standby     bool       `json:"standby,omitempty"`
 }
 
 // Bootstrap is what the settings say of the cluster's beginning: that this is the first
@@ -141,6 +143,8 @@
 	Round types.Stamp `json:"round"`
 	Wall  types.Wall  `json:"wall"`
 	Parts int         `json:"parts,omitempty"` // of a snapshot that is coming
+	// Leaving is set by a member whose process is about to stop.
+	Leaving bool `json:"leaving,omitempty"`
 }
 
 type installSnapshot struct {
@@ -179,7 +183,7 @@
 	Heartbeat    time.Duration // between rounds of the leader
 	ElectionMin  time.Duration // shortest election wait; the longest is twice that
 	Stall        time.Duration // a disk or majority silent for so long ends the duty
-	ReplaceAfter time.Duration // a voter silent for so long may be replaced
+	ReplaceAfter time.Duration // a voter silent for so long may be replaced; a member gets its vote well within twice that
 	Authority    time.Duration // authority past the start of the last majority round
 }
 
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -36,6 +36,7 @@
 	wallOffset  types.Wall
 	sentAt      types.Stamp
 	part        int // of the snapshot that it has
+	leaving     bool
 }
 
 // Node is one member. It is owned by one goroutine and does no I/O.
@@ -301,7 +302,7 @@
 	if n.role == empty {
 		n.tryBootstrap()
 	}
-	if n.role != empty && n.role != removed && now.Mono.Sub(n.leaderHeardAt) > n.timeouts.ReplaceAfter/2 && now.Mono.Sub(n.lastRequestAt) > n.timeouts.Stall {
+	if n.mustAskForPlace() {
 		n.lastRequestAt = now.Mono
 		n.requestJoin()
 	}
@@ -310,6 +311,23 @@
 	}
 }
 
+// mustAskForPlace is true when it is time to ask whether this node still is a member, or
+// to be let in again. One that is about to stop asks sooner, as the leader no longer
+// sends anything to a member that it has removed.
+func (n *Node) mustAskForPlace() bool {
+	wait := n.timeouts.ReplaceAfter / 2
+	if n.stopping {
+		wait = n.timeouts.ElectionMin
+	}
+	switch {
+	case n.role == empty || n.role == removed && n.stopping:
+		return false
+	case n.role != removed && n.now.Mono.Sub(n.leaderHeardAt) <= wait:
+		return false
+	}
+	return n.now.Mono.Sub(n.lastRequestAt) > min(wait, n.timeouts.Stall)
+}
+
 // Clock is the cluster's own time as this member knows it.
 func (n *Node) Clock() types.Tick { return n.clock.Add(n.now.Mono.Sub(n.clockSetAt)) }
 
--- /dev/null
+++ b/internal/raft/plant_test.go
@@ -0,0 +1,113 @@
+// Bugs that are put in on purpose, each by one name: what lies between the real nodes
+// and their surroundings is made to lie. A check counts only if it catches one.
+package raft
+
+import (
+	"slices"
+
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+const (
+	plantLeaseFromReceipt  = "lease counted from the receipt of an answer"
+	plantVoteBeforeSync    = "vote told before it is synced"
+	plantCommitBeforeSync  = "commit counted before sync"
+	plantCountedTwice      = "a member counted twice"
+	plantWipedKeepsVote    = "a wiped member keeps its vote"
+	plantRemovedEarly      = "removal before the successor has caught up"
+	plantOldTermByCount    = "commit of an entry of an older term by count"
+	plantVoteWhileLeader   = "a vote though a leader is heard"
+	plantVoteForShorterLog = "a vote for a shorter log"
+	plantNoReplacement     = "nobody who is gone is ever replaced"
+)
+
+// plantBefore lies to a node before its step.
+func (w *world) plantBefore(m *machine) {
+	n := m.node
+	switch w.plant {
+	case plantVoteWhileLeader:
+		n.leaderHeardAt, n.startedAt = never, never
+	case plantRemovedEarly:
+		for _, v := range n.config {
+			if n.role == leader && !v.Voter {
+				n.progressOf(v.ID).match = n.commitIndex
+			}
+		}
+	case plantNoReplacement:
+		for _, p := range n.progress {
+			p.heardAt = n.now.Mono
+		}
+	}
+}
+
+// plantAfter lies about the outcome of a step.
+func (w *world) plantAfter(m *machine) {
+	n := m.node
+	switch w.plant {
+	case plantVoteBeforeSync:
+		n.held = slices.DeleteFunc(n.held, func(h heldSend) bool {
+			if h.send.Message.Kind == wire.Vote || h.send.Message.Kind == wire.Ballot {
+				n.sends = append(n.sends, h.send)
+				return true
+			}
+			return false
+		})
+	case plantCommitBeforeSync:
+		n.held = slices.DeleteFunc(n.held, func(h heldSend) bool {
+			if h.send.Message.Kind == wire.Append2 {
+				n.sends = append(n.sends, h.send)
+				return true
+			}
+			return false
+		})
+		n.syncedIndex = n.lastIndex()
+		if n.role == leader {
+			n.advanceCommit()
+		}
+	case plantCountedTwice:
+		if n.role == leader && n.config.Voters() > 0 && n.commitIndex >= n.termStart {
+			own := n.syncedIndex
+			if t, ok := n.termAt(own); ok && t == n.voteRecord.Term && own > n.commitIndex && n.ackedBy(own)+1 > n.config.Voters()/2 {
+				n.commitIndex = own
+			}
+		}
+	case plantOldTermByCount:
+		if n.role == leader {
+			to := quorumValue(n, func(v Member) types.Index {
+				if v.ID == n.self.ID {
+					return n.syncedIndex
+				}
+				return n.progressOf(v.ID).match
+			})
+			n.commitIndex = max(n.commitIndex, to)
+		}
+	}
+}
+
+// ackedBy is how many voters have an entry synced, as the leader knows.
+func (n *Node) ackedBy(i types.Index) (count int) {
+	for _, v := range n.config {
+		if v.Voter && (v.ID == n.self.ID && n.syncedIndex >= i || v.ID != n.self.ID && n.progressOf(v.ID).match >= i) {
+			count++
+		}
+	}
+	return
+}
+
+// plantMessage lies about a message on its way.
+func (w *world) plantMessage(m *machine, x wire.Message) wire.Message {
+	switch {
+	case w.plant == plantLeaseFromReceipt && x.Kind == wire.Append2:
+		if a, ok := wire.Read[appendReply](x); ok && a.Term == m.node.voteRecord.Term {
+			a.Round = m.clock().Mono
+			x.Body = wire.Body(a)
+		}
+	case w.plant == plantVoteForShorterLog && x.Kind == wire.Ballot:
+		if b, ok := wire.Read[requestVote](x); ok {
+			b.LastIndex, b.LastTerm = 1<<40, 1<<40
+			x.Body = wire.Body(b)
+		}
+	}
+	return x
+}
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -134,7 +134,7 @@
 	if !n.acceptLeader(from, p) {
 		return
 	}
-	a := appendReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term, Round: p.Round, Wall: n.now.Wall}
+	a := appendReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term, Round: p.Round, Wall: n.now.Wall, Leaving: n.stopping}
 	t, ok := n.termAt(p.PrevIndex)
 	if p.PrevIndex < n.snapshot.Index {
 		skip := min(int(n.snapshot.Index-p.PrevIndex), len(p.Entries))
@@ -177,7 +177,7 @@
 // acceptLeader is the part common to entries and snapshots: false unless the message is
 // for this node and from the leader of the current term.
 func (n *Node) acceptLeader(from types.Addr, p appendEntries) bool {
-	if p.To != n.self.ID || n.role == removed || n.name != "" && p.Name != n.name {
+	if p.To != n.self.ID || n.name != "" && p.Name != n.name {
 		return false
 	}
 	if n.name == "" {
@@ -194,6 +194,9 @@
 	if p.Term > n.voteRecord.Term {
 		n.becomeFollower(p.Term)
 	}
+	if n.role == removed {
+		n.role, n.reason = learner, "" // let in again
+	}
 	n.assignRole()
 	n.leaderID, n.leaderAddr, n.leaderHeardAt = p.ID, from, n.now.Mono
 	n.followClock(p.Term, p.Tick)
@@ -205,7 +208,7 @@
 	if !n.acceptLeader(from, s.appendEntries) {
 		return
 	}
-	a := appendReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term, OK: true, Match: s.Snap.Index, Round: s.Round, Wall: n.now.Wall}
+	a := appendReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term, OK: true, Match: s.Snap.Index, Round: s.Round, Wall: n.now.Wall, Leaving: n.stopping}
 	if s.Snap.Index > n.commitIndex {
 		if x := &n.incoming; x.Index != s.Snap.Index || x.Term != s.Snap.Term {
 			*x = s.Snap
@@ -244,7 +247,7 @@
 	if a.Round > t.round {
 		t.round, t.wallOffset = a.Round, a.Wall-types.Wall(n.Clock())
 	}
-	t.heardAt = n.now.Mono
+	t.heardAt, t.leaving = n.now.Mono, a.Leaving
 	if a.Parts > 0 {
 		t.part, t.sentAt = a.Parts, never
 		return
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -14,6 +14,7 @@
 	Drain      int     // from when a leaving worker may be given nothing
 	Apply      int     // from when a table must be in use everywhere
 	Ack        int     // by when a table must be acknowledged
+	CatchUp    int     // until a member that is new, or back, counts as there
 	Contact    int     // after which daemons that reach each other again must serve
 	Early      int     // how far ahead of its time a task may start
 	Grace      int     // from the warning of a planned stop to its end
@@ -51,6 +52,7 @@
 	p.Beat = max(1, min(p.Beat, p.Grant*3/20))
 	p.Again = min(p.Again, p.Beat, some(p.Again, b.Gang, 1, 5))
 	p.Loss = max(p.Loss, (5*p.Grant+3)/4)
+	p.Dead = max(p.Loss+1, some(p.Dead, b.CatchUp, 3, 8))
 	return p
 }
 
@@ -63,6 +65,7 @@
 	within(b.Apply, 5*p.Stale <= 4*b.Apply, "pace.stale_ms", "must be at most four fifths of the time in which a table is in use everywhere")
 	within(b.Contact, 4*p.Election <= b.Contact, "pace.election_ms", "must be at most a quarter of the time after which daemons must serve again")
 	within(b.Ack, p.Stall+2*p.Election < b.Ack, "pace.stall_ms", "must leave time to elect another leader before a table must be acknowledged")
+	within(b.CatchUp, p.Dead+2*p.Stall+4*p.Election <= b.CatchUp, "pace.dead_ms", "must leave time to elect a leader and to give a new member its vote before a lost one counts as replaced")
 	within(b.Gang, 4*p.Again <= b.Gang, "pace.again_ms", "must be at most a quarter of the time that members of a gang wait for one another")
 	within(b.Grace, b.Notice < b.Grace, "notice_ms", "must be less than the time that a planned stop may take")
 }
