--- a/internal/configwatch/configwatch.go
+++ b/internal/configwatch/configwatch.go
@@ -1,7 +1,8 @@
-// Package configwatch is the versioned long poll by which data-plane daemons get the
-// table: a watcher asks with the version it has, and the publisher answers when it
-// has another, or after a short wait to say that there is none. A watcher that has
-// not been confirmed for a while knows that it may not decide by what it has.
+// Package configwatch is the editioned long poll by which data-plane daemons get the
+// table: the reader asks with the version it has, and the desk answers when it
+// has another, or after a short hold to say that there is none. A reader that
+// has not been confirmed for a while knows that it may not decide by what it
+// has.
 package configwatch
 
 import (
@@ -15,14 +16,14 @@
 )
 
 const (
-	longPoll         = 400 * time.Millisecond
-	retryAfter       = 700 * time.Millisecond
-	retryUnconfirmed = 100 * time.Millisecond // while what it has is not confirmed
-	shortPoll        = time.Millisecond       // then no news is news too, and told at once
-	maxWatchers      = 500
+	hold  = 400 * time.Millisecond
+	again = 700 * time.Millisecond
+	eager = 100 * time.Millisecond // while what it has is not confirmed
+	soon  = time.Millisecond       // then no news is news too, and told at once
+	most  = 500
 )
 
-type watchRequest struct {
+type ask struct {
 	Have types.Version `json:"have"`
 	Any  bool          `json:"any"`
 	Wait int64         `json:"wait_ms,omitempty"` // how long no news may be held back
@@ -30,59 +31,57 @@
 	Life uint64        `json:"life,omitempty"` // of the process that asks
 }
 
-func (a watchRequest) hold() time.Duration {
+func (a ask) hold() time.Duration {
 	if a.Wait == 0 {
-		return longPoll
+		return hold
 	}
-	return min(longPoll, time.Duration(a.Wait)*time.Millisecond)
+	return min(hold, time.Duration(a.Wait)*time.Millisecond)
 }
 
-type watchResponse struct {
+type told struct {
 	Version types.Version `json:"edition"`
 	Table   *config.Table `json:"table,omitempty"`
 	Mark    types.Stamp   `json:"mark"`
 	Life    uint64        `json:"life,omitempty"`
 }
 
-type pendingWatch struct {
-	ask watchRequest
+type wait struct {
+	ask ask
 	by  types.Stamp
 }
 
-// DefaultStaleAfter is how long a confirmation lasts where nothing else is set.
-const DefaultStaleAfter = 1500 * time.Millisecond
+// Stale is the default for how long a confirmation lasts.
+const Stale = 1500 * time.Millisecond
 
-// Publisher is the leader's side.
-type Publisher struct {
+// Desk is the leader's side.
+type Desk struct {
 	me    types.Addr
-	waits map[types.Addr]pendingWatch
+	waits map[types.Addr]wait
 }
 
-// NewPublisher makes the leader's side at an address.
-func NewPublisher(me types.Addr) *Publisher { return &Publisher{me, map[types.Addr]pendingWatch{}} }
+func NewDesk(me types.Addr) *Desk { return &Desk{me, map[types.Addr]wait{}} }
 
-// Take handles a request; its answer comes from Answer.
-func (d *Publisher) Take(now types.Stamp, n wire.Message) {
-	a, ok := wire.Read[watchRequest](n)
-	if !ok || len(d.waits) >= maxWatchers {
+func (d *Desk) Take(now types.Stamp, n wire.Message) {
+	a, ok := wire.Read[ask](n)
+	if !ok || len(d.waits) >= most {
 		return
 	}
 	by := now.Add(a.hold())
 	if w, ok := d.waits[n.From]; ok { // who asks again does not wait longer for it
 		by = min(by, w.by)
 	}
-	d.waits[n.From] = pendingWatch{a, by}
+	d.waits[n.From] = wait{a, by}
 }
 
-// Answer answers those for whom there is news, or whose hold is over.
-func (d *Publisher) Answer(now types.Stamp, t config.Table) (sends []wire.Send) {
+// Tell answers those for whom there is news, or whose hold is over.
+func (d *Desk) Tell(now types.Stamp, t config.Table) (sends []wire.Send) {
 	for _, from := range slices.Sorted(maps.Keys(d.waits)) {
 		w := d.waits[from]
 		fresh := !w.ask.Any || w.ask.Have != t.Version
 		if !fresh && now < w.by {
 			continue
 		}
-		b := watchResponse{Version: t.Version, Mark: w.ask.Mark, Life: w.ask.Life}
+		b := told{Version: t.Version, Mark: w.ask.Mark, Life: w.ask.Life}
 		if fresh {
 			b.Table = &t
 		}
@@ -92,8 +91,8 @@
 	return
 }
 
-// Watcher is the data-plane side.
-type Watcher struct {
+// Reader is the data-plane side.
+type Reader struct {
 	me    types.Addr
 	life  uint64
 	stale time.Duration
@@ -104,44 +103,42 @@
 	sure  types.Stamp
 }
 
-// NewWatcher makes one that does not decide by what was last confirmed so long ago.
+// NewReader makes one that does not decide by what was last confirmed so long ago.
 // Its life is drawn anew by each process: an answer to the one before at the same
 // address counts from that one's clock, and is dropped.
-func NewWatcher(me types.Addr, life uint64, stale time.Duration) *Watcher {
-	return &Watcher{me: me, life: life, stale: stale, sure: -1 << 61, asked: -1 << 61}
+func NewReader(me types.Addr, life uint64, stale time.Duration) *Reader {
+	return &Reader{me: me, life: life, stale: stale, sure: -1 << 61, asked: -1 << 61}
 }
 
 // Fresh tells whether the table may be decided by.
-func (r *Watcher) Fresh(now types.Stamp) bool { return r.any && now.Sub(r.sure) < r.stale }
+func (r *Reader) Fresh(now types.Stamp) bool { return r.any && now.Sub(r.sure) < r.stale }
 
 // part is as much of a timing as the confirmation's life is of the default.
-func (r *Watcher) part(d time.Duration) time.Duration {
-	return min(r.stale, DefaultStaleAfter) * d / DefaultStaleAfter
-}
+func (r *Reader) part(d time.Duration) time.Duration { return min(r.stale, Stale) * d / Stale }
 
 // Tick asks the leader again, at once after an answer.
-func (r *Watcher) Tick(now types.Stamp, lead types.Addr) (sends []wire.Send) {
-	wait, held := retryAfter, r.part(longPoll)
+func (r *Reader) Tick(now types.Stamp, lead types.Addr) (sends []wire.Send) {
+	wait, held := again, r.part(hold)
 	if !r.Fresh(now) {
-		wait, held = retryUnconfirmed, shortPoll
+		wait, held = eager, soon
 	}
 	if lead == "" || r.open && now.Sub(r.asked) < r.part(wait) {
 		return nil
 	}
 	r.open, r.asked = true, now
-	return []wire.Send{wire.Make(r.me, lead, wire.News, watchRequest{r.Table.Version, r.any, held.Milliseconds(), now, r.life})}
+	return []wire.Send{wire.Make(r.me, lead, wire.News, ask{r.Table.Version, r.any, held.Milliseconds(), now, r.life})}
 }
 
-// mine tells whether an answer is to a question of this life. Publishers of earlier
+// mine tells whether an answer is to a question of this life. Desks of earlier
 // releases name no life; then only the clock can tell.
-func (r *Watcher) mine(t watchResponse) bool {
+func (r *Reader) mine(t told) bool {
 	return (t.Life == r.life || t.Life == 0) && t.Mark <= r.asked
 }
 
 // Take handles an answer; true when the table changed. What it confirms counts
 // from when it was asked.
-func (r *Watcher) Take(n wire.Message) bool {
-	t, ok := wire.Read[watchResponse](n)
+func (r *Reader) Take(n wire.Message) bool {
+	t, ok := wire.Read[told](n)
 	if !ok || !r.mine(t) {
 		return false
 	}
