--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -4,7 +4,6 @@
 package controller
 
 import (
-	"encoding/json"
 	"maps"
 	"math/rand"
 	"slices"
@@ -49,7 +48,11 @@
 	raft      *raft.Node
 	roster    *membership.Roster
 	state     *state.State
+	loader    *state.Loader // of a snapshot that is being read back, or nil
+	loaded    types.Index   // the entry that it stands for
+	disk      error         // why the disk refuses, until it takes writes again
 	applied   types.Index
+	proposals map[types.Index]proposal
 	scheduler *dispatch.Scheduler
 	desk      *configwatch.Desk
 	Trail     *trace.Ring
@@ -79,53 +82,37 @@
 	kept      *placement.Reserve // workers kept for work that was passed over
 	waited    map[placement.Part]types.Stamp
 	moves     types.Stamp // when something was last displaced
+	limits    check       // of attempts against the table's time limits
+	slots     slotCache
+	wanted    []placement.Want // the memory of the last list
+	checks    check            // for attempts to take back and second attempts
 	sends     []wire.Send
 	answers   []wire.Answer
+	overload  overload
 	Sums      Sums
 }
 
 // Sums are counters since start.
 type Sums struct {
 	Steps, Applied, Calls, Refused, Orders, Ends, Elected, Lost uint64
+	Placed, TurnedAway, Relieved                                uint64
 }
 
-// Every is how many entries the log grows at least before it is put together,
-// and it must have grown to a good part of what it would be put together to, so
-// that the file is not rewritten more often than it is worth. Slice is about
-// how many bytes of a snapshot one step writes out.
-const (
-	Every = 4096
-	Far   = 50_000
-	slice = 64 << 10
-)
-
 // New starts a controller from the records of its disk.
 func New(now types.Now, rnd *rand.Rand, p Options, recs [][]byte) *Controller {
 	me := raft.Member{Addr: p.Addr, Zone: p.Zone}
 	h := &Controller{options: p, now: now, raft: raft.New(now, p.Core, rnd, me, p.Begin, recs, types.Mint(rnd)),
-		waiters: map[types.Index]waiter{}, ahead: map[types.JobID]types.Index{}, flight: map[state.End]bool{}, freed: map[types.Attempt]bool{},
+		waiters: map[types.Index]waiter{}, proposals: map[types.Index]proposal{}, ahead: map[types.JobID]types.Index{}, flight: map[state.End]bool{}, freed: map[types.Attempt]bool{},
 		given: map[types.Task]state.Assignment{}, rates: map[types.Queue]*rate{}, works: map[types.Queue]float64{}, peaks: map[types.Queue]float64{},
 		tasks: map[types.Queue]float64{}, habits: map[types.Queue]*habit{}, courses: map[types.JobID][]course{}, Trail: trace.New()}
 	h.roster = membership.New(rnd, h.card(), p.Seeds)
 	h.desk = configwatch.NewDesk(p.Addr)
-	h.load()
+	h.state = state.New()
+	h.beginLoad()
+	h.loadPart()
 	return h
 }
 
-func (h *Controller) load() {
-	s := h.raft.Snapshot()
-	st, err := state.Restore(s.Parts)
-	if err != nil {
-		panic(err)
-	}
-	h.state, h.applied, h.since = st, s.Index, s.Index
-	h.shot = 0
-	for _, b := range s.Parts {
-		h.shot += len(b)
-	}
-	h.raft.AdvanceClock(st.Tick)
-}
-
 func (h *Controller) card() membership.Card {
 	return membership.Card{Addr: h.options.Addr, ID: h.raft.ID(), Role: "controller", Zone: h.options.Zone, Name: h.raft.Name(),
 		Term: h.raft.Term(), Leads: h.raft.IsLeader() && !h.drain, Part: h.raft.Role(), Ready: h.Ready(), Issue: h.options.Issue}
@@ -134,7 +121,7 @@
 // Ready tells whether the platform may send callers here: a controller that knows a
 // leader of now, or is it.
 func (h *Controller) Ready() bool {
-	return !h.drain && h.raft.Name() != "" && (h.raft.IsLeader() && h.raft.HoldsLease() || !h.raft.IsLeader() && h.raft.Leader() != "")
+	return !h.drain && h.disk == nil && h.loader == nil && h.raft.Name() != "" && (h.raft.IsLeader() && h.raft.HoldsLease() || !h.raft.IsLeader() && h.raft.Leader() != "")
 }
 
 // Step takes one event.
@@ -142,23 +129,30 @@
 	h.now = e.Now
 	h.raft.Observe(e.Now)
 	h.Sums.Steps++
+	h.overload.measure(e.Now.Mono, e.Load)
 	switch {
 	case e.Message != nil:
 		h.take(*e.Message)
 	case e.Ask != nil:
 		h.ask(waiter{token: e.Ask.Token}, wire.CallBody{Verb: e.Ask.Verb, Arg: e.Ask.Arg, Body: e.Ask.Body})
 	case e.Synced > 0:
+		h.disk = nil
 		h.raft.Synced(e.Now, e.Synced)
+	case e.Disk != nil:
+		h.disk = e.Disk
+		h.raft.DiskFailed(e.Now)
 	case e.Close:
 		h.close()
 	default:
 		h.tick()
 	}
 	h.applyCommitted()
+	h.relieve()
 	h.lead()
 	var out wire.Out
 	h.writeSnapshotPart()
 	h.roster.Me(h.card())
+	out.Instead = h.raft.Instead()
 	out.Sends, out.Batch, out.Seq, out.Whole = h.raft.Out()
 	out.Sends = append(append(out.Sends, h.sends...), h.roster.Out()...)
 	out.Answers = h.answers
@@ -167,29 +161,6 @@
 	return out
 }
 
-// shoot puts the log together, a little a step.
-func (h *Controller) writeSnapshotPart() {
-	if !h.state.Shooting() {
-		n := h.applied - h.since
-		every := h.options.Every
-		if every == 0 {
-			every = Every
-		}
-		if n <= every || h.raft.LogBytes() < h.shot/2 && n < Far {
-			return
-		}
-		h.since = h.applied
-		h.state.Begin()
-	}
-	if parts := h.state.Shoot(slice); parts != nil {
-		h.shot = 0
-		for _, b := range parts {
-			h.shot += len(b)
-		}
-		h.raft.Compact(h.since, parts)
-	}
-}
-
 func (h *Controller) take(n wire.Message) {
 	switch {
 	case h.roster.Take(h.now.Mono, n):
@@ -212,6 +183,7 @@
 
 func (h *Controller) tick() {
 	h.moved = true
+	h.loadPart()
 	h.roster.Tick(h.now.Mono)
 	var seen []raft.Discovered
 	for _, c := range h.roster.Controllers() {
@@ -244,53 +216,6 @@
 	h.raft.PrepareStop(h.now)
 }
 
-// catch brings the state up to what is committed.
-func (h *Controller) applyCommitted() {
-	if s := h.raft.Snapshot(); s.Index > h.applied {
-		h.load()
-	}
-	for h.applied < h.raft.Commit() {
-		h.applied++
-		e := h.raft.Entry(h.applied)
-		h.Sums.Applied++
-		if e.Data == nil {
-			continue
-		}
-		var f state.Command
-		if err := json.Unmarshal(e.Data, &f); err != nil {
-			panic(err)
-		}
-		h.moved = true
-		h.learn(f)
-		attempts, bad := h.state.Apply(f)
-		h.raft.AdvanceClock(h.state.Tick)
-		h.told(f, e.Index)
-		w, ok := h.waiters[e.Index]
-		delete(h.waiters, e.Index)
-		if ok && w.term == e.Term {
-			h.settle(w, f, bad)
-		}
-		if h.scheduler != nil && h.raft.IsLeader() {
-			if f.Job != nil && bad == nil {
-				h.weigh(h.state.Jobs[f.Job.ID])
-			}
-			for _, g := range f.Attempts {
-				delete(h.given, g.Attempt.Task)
-			}
-			h.order(attempts)
-			h.scheduler.Settle(f.Ends)
-			for _, x := range f.Ends {
-				delete(h.flight, x)
-				delete(h.freed, x.Attempt)
-				if h.ahead[x.Attempt.Job] <= h.applied {
-					delete(h.ahead, x.Attempt.Job)
-				}
-			}
-		}
-	}
-	h.answer()
-}
-
 // told leaves marks of what was applied for the tracer.
 func (h *Controller) told(f state.Command, at types.Index) {
 	switch {
@@ -325,11 +250,12 @@
 		clear(h.flight)
 		clear(h.freed)
 		clear(h.given)
+		h.slots.reset()
 		h.giving, h.rounds, h.shaped, h.kept, h.waited = 0, nil, 0, nil, nil
 		return
 	}
 	if h.scheduler == nil {
-		if !h.raft.HoldsLease() {
+		if !h.raft.HoldsLease() || h.lags() {
 			return
 		}
 		h.Sums.Elected++
@@ -340,8 +266,10 @@
 	}
 	h.scheduler.Tick(h.now.Mono, h.raft.AuthorityLeft())
 	h.heed()
-	if h.moved {
+	if h.moved && h.overload.mayPlace(h.now.Mono) {
 		h.moved = false
+		h.overload.place(h.now.Mono)
+		h.Sums.Placed++
 		h.plan()
 		h.heed()
 	}
@@ -350,11 +278,6 @@
 	}
 }
 
-func (h *Controller) fact(f state.Command) (types.Index, bool) {
-	f.Tick = max(h.raft.Clock(), h.state.Tick)
-	return h.raft.Propose(wire.Body(f))
-}
-
 // outs lists the attempts given out as the state has them.
 func (h *Controller) outs() (list []dispatch.Hold) {
 	for _, j := range h.state.Live() {
--- a/internal/raft/messages.go
+++ b/internal/raft/messages.go
@@ -141,6 +141,8 @@
 	Round types.Stamp `json:"round"`
 	Wall  types.Wall  `json:"wall"`
 	Parts int         `json:"parts,omitempty"` // of a snapshot that is coming
+	// LagMS is how far the loop of the member's daemon is behind with control work.
+	LagMS int64 `json:"lag_ms,omitempty"`
 }
 
 type installSnapshot struct {
@@ -154,6 +156,9 @@
 	Name string     `json:"name"`
 	To   types.ID   `json:"to"`
 	Term types.Term `json:"term"`
+	// OverloadTransfers is how many leaders in a row gave leadership away since they
+	// were overloaded.
+	OverloadTransfers int `json:"overload_transfers,omitempty"`
 }
 
 type joinRequest struct {
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -7,6 +7,7 @@
 	"encoding/json"
 	"math/rand"
 	"sort"
+	"time"
 
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -36,6 +37,8 @@
 	wallOffset  types.Wall
 	sentAt      types.Stamp
 	part        int // of the snapshot that it has
+	flow        flow
+	lag         time.Duration // of the event loop of its daemon
 }
 
 // Node is one member. It is owned by one goroutine and does no I/O.
@@ -86,17 +89,23 @@
 	lastRoundAt      types.Stamp
 	transferTarget   types.ID
 	transferDeadline types.Stamp
-	stopping         bool // this member is about to stop and takes no duty
-	promised         *BootstrapConfig
-	promisedAt       types.Stamp
-	promises         map[types.ID]bool
-	controllers      []Discovered
-	otherDaemons     []types.Addr // daemons that are no controllers
-	lastRequestAt    types.Stamp
+	lag              time.Duration // of the event loop of this daemon
+	// Leaders in a row, up to this one, that transferred leadership since they were
+	// overloaded; and what a target is told of that.
+	overloadTransfers, announcedTransfers int
+	stopping                              bool // this member is about to stop and takes no duty
+	promised                              *BootstrapConfig
+	promisedAt                            types.Stamp
+	promises                              map[types.ID]bool
+	controllers                           []Discovered
+	otherDaemons                          []types.Addr // daemons that are no controllers
+	lastRequestAt                         types.Stamp
 
 	sends        []wire.Send
 	writes       []Record
 	replacesFile bool
+	instead      []Record // of a compaction: what would be appended without it; nil if the file must be replaced
+	loading      bool     // the state is still being read back
 }
 
 // New starts a member from the records of its disk. fresh is the identity to take if
@@ -222,6 +231,9 @@
 		}
 	}
 	n.writes = append(n.writes, r)
+	if n.instead != nil {
+		n.instead = append(n.instead, r)
+	}
 }
 
 func (n *Node) persistVote(v VoteRecord) {
@@ -239,6 +251,9 @@
 		n.sends = append(n.sends, s)
 		return
 	}
+	if kind == wire.Append2 && n.diskStalled() {
+		n.dropHeld(s)
+	}
 	n.held = append(n.held, heldSend{seq, n.voteRecord.Term, s})
 }
 
@@ -270,7 +285,15 @@
 		n.lastLedAt = n.now.Mono
 		n.replicate()
 	}
-	for _, r := range n.writes {
+	batch = encode(n.writes)
+	sends, seq, whole = n.sends, n.writtenBatch, n.replacesFile
+	n.sends, n.writes, n.replacesFile, n.instead = nil, nil, false, nil
+	return
+}
+
+// encode writes records as they stand in the file.
+func encode(list []Record) (batch [][]byte) {
+	for _, r := range list {
 		if r.part != nil {
 			batch = append(batch, r.part)
 			continue
@@ -281,14 +304,7 @@
 		}
 		batch = append(batch, b)
 	}
-	sends, seq, whole = n.sends, n.writtenBatch, n.replacesFile
-	n.sends, n.writes, n.replacesFile = nil, nil, false
-	return
-}
-
-// diskStalled is true when the disk has not answered for longer than a leader may wait.
-func (n *Node) diskStalled() bool {
-	return n.writtenBatch > n.syncedBatch && n.now.Mono.Sub(n.diskAnsweredAt) > n.timeouts.Stall
+	return batch
 }
 
 // Tick lets time pass.
@@ -305,7 +321,7 @@
 		n.lastRequestAt = now.Mono
 		n.requestJoin()
 	}
-	if (n.role == follower || n.role == candidate) && now.Mono >= n.electionDeadline && !n.diskStalled() && !n.stopping {
+	if (n.role == follower || n.role == candidate) && now.Mono >= n.electionDeadline && !n.diskStalled() && !n.loading && !n.stopping {
 		n.campaign(true, false)
 	}
 }
--- a/internal/server/post.go
+++ b/internal/server/post.go
@@ -6,7 +6,6 @@
 import (
 	"bytes"
 	"context"
-	"encoding/json"
 	"io"
 	"net/http"
 	"sync"
@@ -84,9 +83,10 @@
 	return
 }
 
-// NewPost makes a sender whose connections come from the given IP, if any.
+// NewPost makes a sender whose connections come from the given IP, if any. The
+// time of each request goes by its size, so the client has no bound of its own.
 func NewPost(ctx context.Context, source string) *Post {
-	return &Post{ctx: ctx, client: Client(source, 2*time.Second), lanes: map[types.Addr]*lane{}}
+	return &Post{ctx: ctx, client: Client(source, 0), lanes: map[types.Addr]*lane{}}
 }
 
 // Send puts a note into its lane; a full lane drops its oldest.
@@ -121,10 +121,7 @@
 }
 
 func (p *Post) deliver(to types.Addr, group []wire.Message) {
-	b, err := json.Marshal(group)
-	if err != nil {
-		panic(err)
-	}
+	b := wire.EncodeMessages(group)
 	ctx, stop := context.WithTimeout(p.ctx, limit+time.Duration(len(b)/slow)*time.Millisecond)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+string(to)+"/mate", bytes.NewReader(b))
--- a/internal/wire/step.go
+++ b/internal/wire/step.go
@@ -19,8 +19,19 @@
 	Message *Message     // from another daemon
 	Ask     *Ask         // from a client
 	Synced  uint64       // the batch with this Seq is on disk
+	Disk    error        // the disk has refused what was given it to write; it is tried again
 	Reply   *WorkerReply // the result of a call to the worker
 	Close   bool         // the daemon is asked to stop
+	Load    Load         // how far the event loop is behind
+}
+
+// Load is how far the loop that carries the machine is behind, as measured by the
+// loop when it took the event.
+type Load struct {
+	Age     time.Duration // how long this event has waited
+	Control time.Duration // how long the oldest event of the control classes has waited
+	Callers time.Duration // how long the oldest request of a caller has waited
+	Waiting bool          // more events wait
 }
 
 // Ask is a client's request, to be answered under its token. Limit is how long
@@ -50,6 +61,7 @@
 	Batch   [][]byte     // records to write and sync together
 	Seq     uint64       // number of the batch, for Event.Synced
 	Whole   bool         // the batch replaces the whole file
+	Instead [][]byte     // what to append where there is no room to replace the file
 	Answers []Answer     // responses to clients
 	Idle    bool         // stopping, and nothing is left to do
 }
