--- a/cmd/coppercourse/daemons.go
+++ b/cmd/coppercourse/daemons.go
@@ -200,7 +200,7 @@
 	s := d.s
 	post := server.NewPost(context.Background(), s.Source)
 	o := server.NewOwner(post, nil)
-	place := gateway.Place{Addr: s.Addr(), Zone: s.ZoneName(), Seeds: s.Near(), Issue: version, Stale: s.Pace.News()}
+	place := gateway.Options{Addr: s.Addr(), Zone: s.ZoneName(), Seeds: s.Near(), Issue: version, Stale: s.Pace.News()}
 	m := gateway.New(server.Now(), randomSource(), place)
 	o.Carry(m)
 	var ready atomic.Bool
--- a/internal/configwatch/configwatch_test.go
+++ b/internal/configwatch/configwatch_test.go
@@ -10,23 +10,23 @@
 	"coppercourse/internal/types"
 )
 
-// A reader that was out of the desk's reach for longer than its confirmation lasts,
+// A reader that was out of the publisher's reach for longer than its confirmation lasts,
 // and has the very table in force, may decide by it again soon after it can ask;
 // however often it asks, it does not put off its own answer.
-func TestAReaderThatFellSilentIsConfirmedAgain(t *testing.T) {
-	for _, stale := range []time.Duration{300 * time.Millisecond, Stale} {
+func TestAWatcherThatFellSilentIsConfirmedAgain(t *testing.T) {
+	for _, stale := range []time.Duration{300 * time.Millisecond, DefaultStaleAfter} {
 		is := is.New(t)
 		table := config.Table{Version: 31}
-		desk, r := NewDesk("controller:1"), NewReader("gateway:1", stale, 7<<32)
+		publisher, r := NewPublisher("controller:1"), NewWatcher("gateway:1", stale, 7<<32)
 		fresh := func(from, to time.Duration, reach bool) (first time.Duration) {
 			for at := from; at < to; at += 10 * time.Millisecond {
 				now := types.Stamp(at)
 				for _, s := range r.Tick(now, "controller:1") {
 					if reach {
-						desk.Take(now, s.Message)
+						publisher.Take(now, s.Message)
 					}
 				}
-				for _, s := range desk.Tell(now, table) {
+				for _, s := range publisher.Answer(now, table) {
 					if reach {
 						r.Take(s.Message)
 					}
@@ -50,15 +50,15 @@
 // Who asks often is answered when the hold of the first question is over.
 func TestAskingAgainDoesNotPutTheAnswerOff(t *testing.T) {
 	is := is.New(t)
-	desk, r := NewDesk("controller:1"), NewReader("gateway:1", Stale, 7<<32)
+	publisher, r := NewPublisher("controller:1"), NewWatcher("gateway:1", DefaultStaleAfter, 7<<32)
 	r.any, r.Table.Version = true, 31
 	told := 0
 	for at := time.Second; at < 2*time.Second; at += 50 * time.Millisecond {
 		r.open, r.sure = false, types.Stamp(at) // a reader that is confirmed and asks each time
 		for _, s := range r.Tick(types.Stamp(at), "controller:1") {
-			desk.Take(types.Stamp(at), s.Message)
+			publisher.Take(types.Stamp(at), s.Message)
 		}
-		told += len(desk.Tell(types.Stamp(at), config.Table{Version: 31}))
+		told += len(publisher.Answer(types.Stamp(at), config.Table{Version: 31}))
 	}
 	is.True(told >= 2)
 }
@@ -68,23 +68,23 @@
 func TestAnAnswerToAFormerLifeConfirmsNothing(t *testing.T) {
 	is := is.New(t)
 	for _, former := range []time.Duration{time.Hour, 2 * time.Second} {
-		desk := NewDesk("controller:1")
-		old := NewReader("gateway:1", Stale, 7<<32)
+		publisher := NewPublisher("controller:1")
+		old := NewWatcher("gateway:1", DefaultStaleAfter, 7<<32)
 		for _, s := range old.Tick(types.Stamp(former), "controller:1") {
-			desk.Take(types.Stamp(former), s.Message)
+			publisher.Take(types.Stamp(former), s.Message)
 		}
-		late := desk.Tell(types.Stamp(former), config.Table{Version: 31})
+		late := publisher.Answer(types.Stamp(former), config.Table{Version: 31})
 		is.Equal(len(late), 1)
 		is.True(old.Take(late[0].Message)) // it was a good answer to that one
 
 		now := types.Stamp(3 * time.Second)
-		r := NewReader("gateway:1", Stale, 8<<32) // the next process at the address, by a clock of its own
+		r := NewWatcher("gateway:1", DefaultStaleAfter, 8<<32) // the next process at the address, by a clock of its own
 		asked := r.Tick(now, "controller:1")
 		is.Equal(len(asked), 1)
 		is.True(!r.Take(late[0].Message))
 		is.True(!r.Fresh(now))
-		desk.Take(now, asked[0].Message)
-		for _, s := range desk.Tell(now.Add(hold), config.Table{Version: 32}) {
+		publisher.Take(now, asked[0].Message)
+		for _, s := range publisher.Answer(now.Add(longPoll), config.Table{Version: 32}) {
 			is.True(r.Take(s.Message)) // its own answer does
 		}
 		is.True(r.Fresh(now))
--- a/internal/configwatch/confirmed_test.go
+++ b/internal/configwatch/confirmed_test.go
@@ -22,7 +22,7 @@
 
 // sound is the reader as it is.
 type sound struct {
-	reader *Reader
+	reader *Watcher
 	base   types.Stamp // when its process began: its clock starts there
 	lives  types.Stamp
 }
@@ -36,7 +36,7 @@
 }
 func (s *sound) Restart(now types.Stamp) {
 	s.lives++
-	s.base, s.reader = now, NewReader("gateway:1", Stale, s.lives<<32)
+	s.base, s.reader = now, NewWatcher("gateway:1", DefaultStaleAfter, s.lives<<32)
 }
 
 // countsFromReceipt lets a confirmation count from when its answer is taken.
@@ -44,7 +44,7 @@
 
 func (p *countsFromReceipt) Take(now types.Stamp, n wire.Message) {
 	p.sound.Take(now, n)
-	if b, ok := wire.Read[told](n); ok && b.Version == p.reader.Table.Version {
+	if b, ok := wire.Read[watchResponse](n); ok && b.Version == p.reader.Table.Version {
 		p.reader.sure = now - p.base
 	}
 }
@@ -55,15 +55,15 @@
 func (p *takesAnyMark) Tick(now types.Stamp, lead types.Addr) []wire.Send {
 	sends := p.sound.Tick(now, lead)
 	for i := range sends {
-		a, _ := wire.Read[ask](sends[i].Message)
+		a, _ := wire.Read[watchRequest](sends[i].Message)
 		a.Mark = now - p.base
 		sends[i].Message.Body = wire.Body(a)
 	}
 	return sends
 }
 
-func (p *takesAnyMark) Take(now types.Stamp, n wire.Message) {
-	b, _ := wire.Read[told](n)
+func (p *takesAnyMark) Take(_ types.Stamp, n wire.Message) {
+	b, _ := wire.Read[watchResponse](n)
 	mark := b.Mark
 	b.Mark = p.reader.mark
 	n.Body = wire.Body(b)
@@ -97,11 +97,11 @@
 func day(w watcher, late time.Duration) string {
 	const step = 10 * time.Millisecond
 	type flight struct {
-		at      types.Stamp
-		message wire.Message
-		toDesk  bool
+		at          types.Stamp
+		message     wire.Message
+		toPublisher bool
 	}
-	desk, table := NewDesk("controller:1"), config.Table{Version: 1}
+	publisher, table := NewPublisher("controller:1"), config.Table{Version: 1}
 	changed := types.Stamp(0) // when the latest version was acknowledged
 	var way []flight
 	w.Restart(0)
@@ -117,8 +117,8 @@
 			switch {
 			case f.at > now:
 				kept = append(kept, f)
-			case f.toDesk:
-				desk.Take(now, f.message)
+			case f.toPublisher:
+				publisher.Take(now, f.message)
 			default:
 				w.Take(now, f.message)
 			}
@@ -131,10 +131,10 @@
 		for _, s := range w.Tick(now, "controller:1") {
 			way = append(way, flight{now.Add(2 * step), s.Message, true})
 		}
-		for _, s := range desk.Tell(now, table) {
+		for _, s := range publisher.Answer(now, table) {
 			way = append(way, flight{now.Add(delay), s.Message, false})
 		}
-		if v, ok := w.Decides(now); ok && v < table.Version && now.Sub(changed) > Stale {
+		if v, ok := w.Decides(now); ok && v < table.Version && now.Sub(changed) > DefaultStaleAfter {
 			return fmt.Sprintf("at %v by version %d, %v after version %d", time.Duration(now), v, now.Sub(changed), table.Version)
 		}
 	}
@@ -144,7 +144,7 @@
 // However late answers come and however often the process starts anew, nothing is
 // decided by a table that was replaced longer ago than a confirmation lasts; each
 // planted bug is seen to do so.
-func TestNoReaderDecidesByATableReplacedLongAgo(t *testing.T) {
+func TestNoWatcherDecidesByATableReplacedLongAgo(t *testing.T) {
 	planted := map[string]func() watcher{
 		"counts from receipt": func() watcher { return &countsFromReceipt{} },
 		"takes any mark":      func() watcher { return &takesAnyMark{} },
@@ -170,18 +170,18 @@
 // An answer to a question of an earlier process confirms nothing.
 func TestAnAnswerToAnEarlierProcessConfirmsNothing(t *testing.T) {
 	is := is.New(t)
-	old := NewReader("gateway:1", Stale, 1<<40)
+	old := NewWatcher("gateway:1", DefaultStaleAfter, 1<<40)
 	question := old.Tick(types.Stamp(500*time.Second), "controller:1")[0].Message
-	desk := NewDesk("controller:1")
-	desk.Take(0, question)
-	answer := desk.Tell(0, config.Table{Version: 7})[0].Message
-	r := NewReader("gateway:1", Stale, 1<<50)
+	publisher := NewPublisher("controller:1")
+	publisher.Take(0, question)
+	answer := publisher.Answer(0, config.Table{Version: 7})[0].Message
+	r := NewWatcher("gateway:1", DefaultStaleAfter, 1<<50)
 	is.True(!r.Take(answer)) // not even the table is taken: this process has not asked
 	is.True(!r.any)
 	is.True(!r.Fresh(0))
 	is.True(!r.Fresh(types.Stamp(time.Second)))
-	desk.Take(0, r.Tick(types.Stamp(time.Second), "controller:1")[0].Message)
-	desk.waits["gateway:1"] = wait{desk.waits["gateway:1"].ask, 0}
-	r.Take(desk.Tell(types.Stamp(time.Second), config.Table{Version: 7})[0].Message)
-	is.Equal(r.ConfirmedUntil(), types.Stamp(time.Second).Add(Stale)) // from when it was asked
+	publisher.Take(0, r.Tick(types.Stamp(time.Second), "controller:1")[0].Message)
+	publisher.waits["gateway:1"] = pendingWatch{publisher.waits["gateway:1"].ask, 0}
+	r.Take(publisher.Answer(types.Stamp(time.Second), config.Table{Version: 7})[0].Message)
+	is.Equal(r.ConfirmedUntil(), types.Stamp(time.Second).Add(DefaultStaleAfter)) // from when it was asked
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -54,7 +54,7 @@
 	applied   types.Index
 	proposals map[types.Index]proposal
 	scheduler *dispatch.Scheduler
-	desk      *configwatch.Desk
+	desk      *configwatch.Publisher
 	Trail     *trace.Ring
 	waiters   map[types.Index]waiter
 	ahead     map[types.JobID]types.Index // of the latest ends on their way into the log
@@ -106,7 +106,7 @@
 		given: map[types.Task]state.Assignment{}, rates: map[types.Queue]*rate{}, works: map[types.Queue]float64{}, peaks: map[types.Queue]float64{},
 		tasks: map[types.Queue]float64{}, habits: map[types.Queue]*habit{}, courses: map[types.JobID][]course{}, Trail: trace.New()}
 	h.roster = membership.New(rnd, h.card(), p.Seeds)
-	h.desk = configwatch.NewDesk(p.Addr)
+	h.desk = configwatch.NewPublisher(p.Addr)
 	h.state = state.New()
 	h.beginLoad()
 	h.loadPart()
@@ -274,7 +274,7 @@
 		h.heed()
 	}
 	if h.raft.HoldsLease() {
-		h.sends = append(h.sends, h.desk.Tell(h.now.Mono, h.state.Table)...)
+		h.sends = append(h.sends, h.desk.Answer(h.now.Mono, h.state.Table)...)
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,7 +1,6 @@
-// Package gateway is the callers' and operators' door as one state machine. It
-// checks what needs no leader, grants entry, hands over the rest to the leader
-// and answers every request it has read: with the leader's answer, or, when it
-// gives up, at once with when to come back.
+// Package gateway is the entry for clients and operators, as one state machine. It
+// admits requests, forwards them to the leader and answers each request that it has
+// read: with the leader's answer or, when it gives up, with when to retry.
 package gateway
 
 import (
@@ -19,8 +18,8 @@
 	"coppercourse/internal/wire"
 )
 
-// Place is where a gateway runs.
-type Place struct {
+// Options are where a gateway runs and what it is told at the start.
+type Options struct {
 	Addr  types.Addr
 	Zone  types.Zone
 	Seeds []types.Addr
@@ -30,10 +29,10 @@
 
 // Bounds and timings, ours.
 const (
-	Crowd   = 512                     // requests under way at once
-	Attempt = 700 * time.Millisecond  // how long one controller is waited for
-	Limit   = 2500 * time.Millisecond // how long a request is worked on
-	early   = 50 * time.Millisecond   // before whoever asks has given up
+	MaxCalls       = 512                     // requests under way at once
+	AttemptTimeout = 700 * time.Millisecond  // how long one controller is waited for
+	CallTimeout    = 2500 * time.Millisecond // how long a request is worked on
+	answerMargin   = 50 * time.Millisecond   // before whoever asks has given up
 )
 
 type call struct {
@@ -46,12 +45,12 @@
 	open     bool // somebody asked before has not answered, and may have taken it
 }
 
-// Gateway is one door.
+// Gateway forwards requests to the leader.
 type Gateway struct {
-	place  Place
+	place  Options
 	now    types.Now
 	roster *membership.Roster
-	news   *configwatch.Reader
+	news   *configwatch.Watcher
 	Trail  *trace.Ring
 	calls  map[uint64]*call
 	next   uint64
@@ -59,7 +58,7 @@
 	was    types.Addr  // who led at the last tick that anybody did
 	lost   types.Stamp // since when no leader is known; 0 when one is
 	drain  bool
-	told   []report
+	told   []endReport
 	sends  []wire.Send
 	outs   []wire.Answer
 	Sums   Sums
@@ -72,11 +71,12 @@
 	Calls, Answered, Refused, GivenUp, Attempts, Crowded uint64
 }
 
-func New(now types.Now, rnd *rand.Rand, p Place) *Gateway {
+// New starts a gateway that knows no other daemon but the seeds.
+func New(now types.Now, rnd *rand.Rand, p Options) *Gateway {
 	if p.Stale == 0 {
-		p.Stale = configwatch.Stale
+		p.Stale = configwatch.DefaultStaleAfter
 	}
-	g := &Gateway{place: p, now: now, news: configwatch.NewReader(p.Addr, p.Stale, configwatch.FirstMark(rnd)), calls: map[uint64]*call{}, Trail: trace.New(),
+	g := &Gateway{place: p, now: now, news: configwatch.NewWatcher(p.Addr, p.Stale, configwatch.FirstMark(rnd)), calls: map[uint64]*call{}, Trail: trace.New(),
 		next: rnd.Uint64() >> 12, lost: now.Mono}
 	g.roster = membership.New(rnd, g.card(), p.Seeds)
 	return g
@@ -156,7 +156,7 @@
 		case g.now.Mono.Sub(c.from) >= c.limit:
 			g.Sums.GivenUp++
 			g.fail(id, g.giveUp(c))
-		case c.to == "" || g.now.Mono.Sub(c.sent) >= Attempt:
+		case c.to == "" || g.now.Mono.Sub(c.sent) >= AttemptTimeout:
 			g.send(id, c, "")
 		case lead != "" && lead != g.was && c.to == g.was: // another leads now
 			g.send(id, c, lead)
@@ -197,9 +197,9 @@
 		return
 	}
 	g.next++
-	c := &call{ask: a, from: g.now.Mono, limit: Limit}
+	c := &call{ask: a, from: g.now.Mono, limit: CallTimeout}
 	if a.Limit > 0 {
-		c.limit = min(Limit, max(a.Limit-early, a.Limit/2))
+		c.limit = min(CallTimeout, max(a.Limit-answerMargin, a.Limit/2))
 	}
 	g.calls[g.next] = c
 	if a.Verb == "job.put" {
@@ -212,11 +212,11 @@
 	switch {
 	case a.Verb == "mates":
 		return nil
-	case len(g.calls) >= Crowd:
+	case len(g.calls) >= MaxCalls:
 		g.Sums.Crowded++
 		return apierror.New(apierror.Crowd, "", "this gateway has all the requests under way that it may have").
 			After(time.Duration(float64(len(g.calls)) / max(g.pace, 1) * float64(time.Second)))
-	case g.lost != 0 && g.now.Mono.Sub(g.lost) > Limit:
+	case g.lost != 0 && g.now.Mono.Sub(g.lost) > CallTimeout:
 		return apierror.New(apierror.NoLead, "", "no leader can be reached from here").After(g.back())
 	}
 	return nil
@@ -256,7 +256,7 @@
 		}
 	case r.Fault != nil && r.Fault.Kind == apierror.Unsure:
 		c.to, c.open = "", true
-	case r.Fault != nil && (c.open || from != c.to) && changes[c.ask.Verb] && untaken(r.Fault.Kind):
+	case r.Fault != nil && (c.open || from != c.to) && mutatingVerbs[c.ask.Verb] && saysNotTaken(r.Fault.Kind):
 		g.fail(r.ID, apierror.New(apierror.Unsure, "", "one controller refused the request, another may have taken it; send the same again").After(g.back()))
 	case r.Fault != nil:
 		g.fail(r.ID, r.Fault)
@@ -266,12 +266,12 @@
 }
 
 // untaken tells a refusal by which whoever asked may think that nothing was done.
-func untaken(k apierror.Kind) bool {
+func saysNotTaken(k apierror.Kind) bool {
 	return apierror.Later[k] || k == apierror.NoQueue || k == apierror.Unplaced
 }
 
 // changes are the verbs that take something in.
-var changes = map[string]bool{"job.put": true, "job.cancel": true, "table.put": true}
+var mutatingVerbs = map[string]bool{"job.put": true, "job.cancel": true, "table.put": true}
 
 func (g *Gateway) fail(id uint64, f *apierror.Error) { g.end(id, wire.Answer{Fault: f}) }
 
@@ -300,6 +300,7 @@
 	Sums    Sums              `json:"sums"`
 }
 
+// Status gives the gateway's account of itself.
 func (g *Gateway) Status() StatusView {
 	v := StatusView{Role: "gateway", Program: g.place.Issue, Ready: g.Ready(), Leader: g.roster.Lead(), Version: g.news.Table.Version,
 		Fresh: g.news.Fresh(g.now.Mono), Under: len(g.calls), Peers: g.roster.Peers(), Sums: g.Sums}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -58,7 +58,7 @@
 
 func begin(limit time.Duration) *desk {
 	d := &desk{now: types.Stamp(time.Minute)}
-	d.g = New(types.Now{Mono: d.now}, rand.New(rand.NewSource(1)), Place{Addr: "g", Zone: "z"})
+	d.g = New(types.Now{Mono: d.now}, rand.New(rand.NewSource(1)), Options{Addr: "g", Zone: "z"})
 	d.hear()
 	d.step(wire.Event{})
 	d.step(wire.Event{Ask: &wire.Ask{Token: 1, Verb: "job.put", Arg: "j", Limit: limit}})
@@ -73,13 +73,13 @@
 	is.Equal(d.outs[0].Fault.Kind, apierror.Full) // the only one that was asked
 
 	d = begin(0)
-	d.pass(Attempt + 40*time.Millisecond)
+	d.pass(AttemptTimeout + 40*time.Millisecond)
 	is.Equal(len(d.sent), 2) // a was silent
 	d.reply(d.sent[1].To, 1, full)
 	is.Equal(d.outs[0].Fault.Kind, apierror.Unsure)
 
 	d = begin(0)
-	d.pass(Attempt + 40*time.Millisecond)
+	d.pass(AttemptTimeout + 40*time.Millisecond)
 	d.reply("a", 0, full) // the other one has not answered
 	is.Equal(d.outs[0].Fault.Kind, apierror.Unsure)
 
@@ -122,7 +122,7 @@
 func TestAnAnswerBelongsToItsCallAlone(t *testing.T) {
 	is := is.New(t)
 	d := begin(0)
-	d.pass(Attempt + 40*time.Millisecond)
+	d.pass(AttemptTimeout + 40*time.Millisecond)
 	is.Equal(len(d.sent), 2) // a was silent, b was asked
 	d.step(wire.Event{Ask: &wire.Ask{Token: 2, Verb: "job.get", Arg: "k"}})
 	is.Equal(len(d.sent), 3)
@@ -151,7 +151,7 @@
 	seen := map[uint64]bool{}
 	for seed := range int64(200) {
 		d := &desk{now: types.Stamp(time.Minute)}
-		d.g = New(types.Now{Mono: d.now}, rand.New(rand.NewSource(seed)), Place{Addr: "g", Zone: "z"})
+		d.g = New(types.Now{Mono: d.now}, rand.New(rand.NewSource(seed)), Options{Addr: "g", Zone: "z"})
 		d.hear()
 		for token := range uint64(50) {
 			d.step(wire.Event{Ask: &wire.Ask{Token: token + 1, Verb: "job.get", Arg: "j"}})
--- a/internal/server/door_test.go
+++ b/internal/server/door_test.go
@@ -26,7 +26,7 @@
 	t.Cleanup(stop)
 	post := NewPost(ctx, "")
 	o := NewOwner(post, nil)
-	m := gateway.New(Now(), rand.New(rand.NewSource(1)), gateway.Place{Addr: "127.0.0.1:9", Zone: "z"})
+	m := gateway.New(Now(), rand.New(rand.NewSource(1)), gateway.Options{Addr: "127.0.0.1:9", Zone: "z"})
 	o.Carry(m)
 	o.Show = func() any { return m.Status() }
 	p := &Pages{Owner: o, Post: post, Trail: m.Trail, Ready: func() bool { return false }}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -47,7 +47,7 @@
 	t, a := dispatch.Defaults, raft.Defaults
 	return Settings{Listen: "127.0.0.1:7400", Log: "info", Bounds: Usual, Pace: Timeouts{Beat: ms(t.Beat), Ill: ms(t.Ill), Loss: ms(t.Loss),
 		Grant: ms(t.Grant), Worker: ms(t.Worker), Again: ms(t.Again), Round: ms(a.Heartbeat), Election: ms(a.ElectionMin),
-		Stall: ms(a.Stall), Dead: ms(a.ReplaceAfter), Stale: ms(configwatch.Stale)}}
+		Stall: ms(a.Stall), Dead: ms(a.ReplaceAfter), Stale: ms(configwatch.DefaultStaleAfter)}}
 }
 
 // ReadSettings lays a file over the defaults.
--- a/sim/world.go
+++ b/sim/world.go
@@ -312,7 +312,7 @@
 
 func (w *World) gateway(addr types.Addr, zone types.Zone) *node {
 	return w.add(addr, "gateway", zone, func(n *node) wire.Machine {
-		return gateway.New(n.clock(), w.chance(), gateway.Place{Addr: addr, Zone: zone, Seeds: w.seeds})
+		return gateway.New(n.clock(), w.chance(), gateway.Options{Addr: addr, Zone: zone, Seeds: w.seeds})
 	})
 }
 
