--- a/cmd/coppercourse/daemons.go
+++ b/cmd/coppercourse/daemons.go
@@ -228,7 +228,7 @@
 	post := server.NewPost(context.Background(), s.Source)
 	o := server.NewOwner(post, nil)
 	place := agent.Place{
-		Addr: s.Addr(), Zone: s.ZoneName(), Shard: s.ShardName(), Seeds: s.Near(), Issue: version, Truth: s.Pace.Truth(),
+		Addr: s.Addr(), Zone: s.ZoneName(), Shard: s.ShardName(), Seeds: s.Near(), Issue: version, Truth: s.Dispatch(),
 	}
 	m := agent.New(server.Now(), randomSource(), place)
 	o.Carry(m)
--- a/internal/dispatch/caller.go
+++ b/internal/dispatch/caller.go
@@ -129,18 +129,32 @@
 		h.over(true)
 		return
 	}
+	if h.caller.departing {
+		return
+	}
 	h.caller.departing = true
-	h.rep.Leaving, h.beat = true, never
+	h.beat = never
+	h.leaves(h.pace.Drain)
+}
+
+// leaves notes that the worker goes, and how long it surely runs on; 0 is not known.
+func (h *Executor) leaves(in time.Duration) {
+	h.rep.Leaving, h.rep.LeaveMS = true, in.Milliseconds()
+	h.goes = h.now.Add(in)
 }
 
 func (h *Executor) report(b wire.WorkerBeat) {
-	leaving := b.Leaving || h.caller.departing
-	if leaving != h.rep.Leaving || !h.rep.Healthy {
+	before := h.rep
+	h.rep = Report{Rack: b.Rack, Kinds: b.Kinds, Room: b.Room, Labels: b.Labels, Lacks: before.Lacks, Healthy: before.Healthy, Invoked: true}
+	switch {
+	case b.Leaving:
+		h.leaves(time.Duration(b.LeaveMS) * time.Millisecond)
+	case h.caller.departing: // a late beat, or one of a worker that never says that it drains
+		h.rep.Leaving, h.rep.LeaveMS = true, before.LeaveMS
+	}
+	if h.rep.Leaving != before.Leaving || !before.Healthy {
 		h.beat = never
 	}
-	h.rep = Report{Rack: b.Rack, Kinds: b.Kinds, Room: b.Room, Labels: b.Labels, Leaving: leaving, LeaveMS: b.LeaveMS,
-		Lacks: h.rep.Lacks, Healthy: h.rep.Healthy, Invoked: true}
-	h.goes = h.now.Add(time.Duration(b.LeaveMS) * time.Millisecond)
 }
 
 // adopt takes up a worker process. What it runs is asked before anything else.
--- a/internal/dispatch/late_beat_test.go
+++ b/internal/dispatch/late_beat_test.go
@@ -8,16 +8,24 @@
 
 	"github.com/matryer/is"
 
+	"coppercourse/internal/dispatch"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 )
 
+// drained is a pace that knows how long workers run on that deregister.
+var drained = func() dispatch.Timeouts {
+	p := dispatch.Defaults
+	p.Drain = 2 * time.Second
+	return p
+}()
+
 // A worker that deregisters without having said that it drains runs on: nothing
 // new is started there, what runs is neither lost nor run again, and what ends
 // well counts.
 func TestAWorkerThatDeregistersFirstRunsOn(t *testing.T) {
-	is, r := is.New(t), ready(t, 21)
+	is, r := is.New(t), paced(t, 21, drained)
 	r.give(attempt("a", 1), short)
 	r.give(attempt("b", 1), long)
 	r.pass(200 * ms)
@@ -28,10 +36,13 @@
 	r.pass(100 * ms)
 	is.Equal(r.log[attempt("b", 1)], state.Outcome(""))
 	is.True(r.head.Seat("s").Leaving)
+	goes := r.head.Seat("s").LeaveMS
+	is.True(goes > 1700 && goes <= 2000) // what runs there may be saved before
 	r.hand.Beat(r.now, late)
 	r.flow()
 	r.pass(time.Second)
 	is.True(r.head.Seat("s").Leaving) // the late beat does not undo it
+	is.True(r.head.Seat("s").LeaveMS < goes)
 	is.Equal(r.log[attempt("a", 1)], state.OK)
 	r.give(attempt("c", 1), short)
 	r.pass(time.Second)
--- a/internal/dispatch/say.go
+++ b/internal/dispatch/say.go
@@ -31,6 +31,7 @@
 	Grant  time.Duration // an agent's grant past its own stamp
 	Worker time.Duration // a worker's grant past its own stamp
 	Again  time.Duration // between repeats of queries, stops and reports
+	Drain  time.Duration // a worker that deregisters without a drain runs on so long; 0: not known
 }
 
 // Defaults are ours; blueprint checks how they hang together.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -150,6 +150,13 @@
 	return raft.Timeouts{Heartbeat: un(p.Round), ElectionMin: un(p.Election), Stall: un(p.Stall), ReplaceAfter: un(p.Dead), Authority: un(p.Grant)}
 }
 
+// Dispatch is the pace of attempts, with what is known of the workers.
+func (s Settings) Dispatch() dispatch.Timeouts {
+	timeouts := s.Pace.Truth()
+	timeouts.Drain = un(s.Bounds.Drain)
+	return timeouts
+}
+
 // News is how old a gateway's confirmation of the table may be.
 func (p Timeouts) News() time.Duration { return un(p.Stale) }
 
