--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -9,7 +9,6 @@
 	"slices"
 	"time"
 
-	"coppercourse/internal/apierror"
 	"coppercourse/internal/configwatch"
 	"coppercourse/internal/dispatch"
 	"coppercourse/internal/membership"
@@ -243,7 +242,7 @@
 			h.Sums.Lost++
 		}
 		for _, i := range slices.Sorted(maps.Keys(h.waiters)) {
-			h.reply(h.waiters[i], wire.ReplyBody{Fault: apierror.New(apierror.Unsure, "", "the leader changed; send the same again")})
+			h.bad(h.waiters[i], leaderChanged())
 		}
 		h.turnAway()
 		clear(h.waiters)
--- a/internal/controller/entries.go
+++ b/internal/controller/entries.go
@@ -7,6 +7,7 @@
 	"encoding/json"
 	"maps"
 
+	"coppercourse/internal/apierror"
 	"coppercourse/internal/raft"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
@@ -72,6 +73,24 @@
 	h.answer()
 }
 
+// answerWaiter answers who waited for an entry. Another leader's entry in its place
+// tells nothing of the request, which may be committed there under another index.
+func (h *Controller) answerWaiter(e raft.Entry, command state.Command, bad *apierror.Error) {
+	w, ok := h.waiters[e.Index]
+	delete(h.waiters, e.Index)
+	switch {
+	case ok && w.term == e.Term:
+		h.settle(w, command, bad)
+	case ok:
+		h.bad(w, leaderChanged())
+	}
+}
+
+// leaderChanged is the answer where it is not known what became of a request.
+func leaderChanged() *apierror.Error {
+	return apierror.New(apierror.Unsure, "", "the leader changed; send the same again")
+}
+
 // apply takes one entry into the state, and answers who waited for it.
 func (h *Controller) apply(e raft.Entry) {
 	command := h.command(e)
@@ -80,11 +99,7 @@
 	attempts, bad := h.state.Apply(command)
 	h.raft.AdvanceClock(h.state.Tick)
 	h.told(command, e.Index)
-	w, ok := h.waiters[e.Index]
-	delete(h.waiters, e.Index)
-	if ok && w.term == e.Term {
-		h.settle(w, command, bad)
-	}
+	h.answerWaiter(e, command, bad)
 	if h.scheduler == nil || !h.raft.IsLeader() {
 		return
 	}
