--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -47,7 +47,7 @@
 	t, a := dispatch.Defaults, raft.Defaults
 	return Settings{Listen: "127.0.0.1:7400", Log: "info", Bounds: Usual, Pace: Timeouts{Beat: ms(t.Beat), Ill: ms(t.Ill), Loss: ms(t.Loss),
 		Grant: ms(t.Grant), Worker: ms(t.Worker), Again: ms(t.Again), Round: ms(a.Heartbeat), Election: ms(a.ElectionMin),
-		Stall: ms(a.Stall), Dead: ms(a.ReplaceAfter), Stale: ms(configwatch.Stale)}}
+		Stall: ms(a.Stall), Dead: ms(a.ReplaceAfter), Stale: ms(configwatch.DefaultStaleAfter)}}
 }
 
 // ReadSettings lays a file over the defaults.
@@ -150,6 +150,13 @@
 	return raft.Timeouts{Heartbeat: un(p.Round), ElectionMin: un(p.Election), Stall: un(p.Stall), ReplaceAfter: un(p.Dead), Authority: un(p.Grant)}
 }
 
+// Dispatch is the pace of attempts, with what is known of the workers.
+func (s Settings) Dispatch() dispatch.Timeouts {
+	timeouts := s.Pace.Truth()
+	timeouts.Drain = un(s.Bounds.Drain)
+	return timeouts
+}
+
 // News is how old a gateway's confirmation of the table may be.
 func (p Timeouts) News() time.Duration { return un(p.Stale) }
 
