--- a/cmd/coppersim/capacity.go
+++ b/cmd/coppersim/capacity.go
@@ -1,6 +1,6 @@
 package main
 
-// The capacity command: hollow fleets of several sizes, idle and under traffic in
+// The capacity command: simulated fleets of several sizes, idle and under traffic in
 // proportion. What each role spends is written to a folder as CSV, markdown and
 // plots.
 
@@ -22,7 +22,7 @@
 
 // capacityRun is the flags of the capacity command.
 type capacityRun struct {
-	plan       sim.HollowPlan
+	plan       sim.ScalePlan
 	idle, busy string
 	out        string
 	budget     time.Duration
--- a/cmd/coppersim/fleet.go
+++ b/cmd/coppersim/fleet.go
@@ -40,13 +40,13 @@
 
 func addFleet(app *kingpin.Application, commands commandSet) {
 	r := &fleetRun{}
-	c := app.Command("fleet", "Run a town of real processes with its traffic and faults.")
-	c.Flag("town", "kingston or romania.").Default("kingston").EnumVar(&r.deployment, "kingston", "romania")
+	c := app.Command("fleet", "Run a deployment of real processes with its traffic and faults.")
+	c.Flag("deployment", "kingston or romania.").Default("kingston").EnumVar(&r.deployment, "kingston", "romania")
 	c.Flag("bin", "The coppercourse program.").Default("bin/coppercourse").ExistingFileVar(&r.bin)
 	c.Flag("dir", "Folder for logs, data and histories; a new one by default.").StringVar(&r.dir)
 	c.Flag("port", "Port of all daemons, each on its own loopback address.").Default("7400").IntVar(&r.port)
 	c.Flag("for", "How long the traffic goes on.").Default("30s").DurationVar(&r.traffic)
-	c.Flag("speed", "Times the town's usual rates.").Default("1").Float64Var(&r.speed)
+	c.Flag("speed", "Times the deployment's usual rates.").Default("1").Float64Var(&r.speed)
 	c.Flag("idle", "Before the traffic, let the fleet be so long and tell what its daemons spend.").DurationVar(&r.idle)
 	c.Flag("seed", "Seed of the callers.").Default("1").Int64Var(&r.seed)
 	c.Flag("faults", "Faults as name@at+long, by comma.").StringVar(&r.faults)
@@ -68,8 +68,8 @@
 		return err
 	}
 	defer f.Shut()
-	workload := sim.NewStreet(f, r.seed, r.speed)
-	if _, err := workload.Put(f.Town.Table()); err != nil {
+	workload := sim.NewWorkload(f, r.seed, r.speed)
+	if _, err := workload.Put(f.Deployment.Table()); err != nil {
 		return err
 	}
 	if err := r.measureIdle(f); err != nil {
@@ -106,7 +106,7 @@
 			return nil, err
 		}
 	}
-	f := &sim.Fleet{Town: sim.Towns[r.deployment], Dir: r.dir, Bin: r.bin, Self: self, Port: r.port}
+	f := &sim.Fleet{Deployment: sim.Deployments[r.deployment], Dir: r.dir, Bin: r.bin, Self: self, Port: r.port}
 	if err := f.Open(ctx); err != nil {
 		f.Shut()
 		return nil, err
@@ -141,7 +141,7 @@
 	hist := w.Flag("history", "File that its history is appended to.").Default("worker.history").String()
 	made := w.Flag("make", "What it is made of, as JSON.").Default(`{"Shard":"k1","Rack":"r1","Kinds":["quote"],"Room":{"cores":4,"memory":1024}}`).String()
 	commands["worker"] = func() error {
-		var m sim.Make
+		var m sim.WorkerSpec
 		if err := json.Unmarshal([]byte(*made), &m); err != nil {
 			return fmt.Errorf("--make: %w", err)
 		}
--- a/cmd/coppersim/sweep.go
+++ b/cmd/coppersim/sweep.go
@@ -52,15 +52,15 @@
 	c := app.Command("sweep", "Run the simulator over many seeds.")
 	c.Flag("first", "First seed.").Default("1").Int64Var(&s.plan.Seed)
 	c.Flag("seeds", "How many seeds.").Default("200").IntVar(&s.seeds)
-	c.Flag("town", "kingston or romania, or kingston-called or romania-called, whose workers are called.").Default("kingston").
-		EnumVar(&s.plan.Town, "kingston", "romania", "kingston-called", "romania-called")
-	c.Flag("faults", "Faults to draw from, by comma; all that the town knows by default. A wrong name prints the list.").StringVar(&s.faults)
-	c.Flag("bare", "Called workers guard nothing.").BoolVar(&s.plan.Bare)
+	c.Flag("deployment", "kingston or romania, or kingston-called or romania-called, whose workers are invoked.").Default("kingston").
+		EnumVar(&s.plan.Deployment, "kingston", "romania", "kingston-called", "romania-called")
+	c.Flag("faults", "Faults to draw from, by comma; all that the deployment knows by default. A wrong name prints the list.").StringVar(&s.faults)
+	c.Flag("bare", "Invoked workers guard nothing.").BoolVar(&s.plan.Unguarded)
 	c.Flag("quick", "The shorter timeouts, as where the deployment gives bounds.").BoolVar(&s.plan.Quick)
 	c.Flag("lease", "How long an agent's lease lasts, in place of the usual; loss comes a quarter later.").DurationVar(&s.lease)
 	c.Flag("count", "Faults in a run.").Default("8").IntVar(&s.plan.Count)
-	c.Flag("calm", "Traffic before the faults.").Default("10s").DurationVar(&s.plan.Calm)
-	c.Flag("storm", "How long faults come.").Default("30s").DurationVar(&s.plan.Storm)
+	c.Flag("before", "Traffic before the faults.").Default("10s").DurationVar(&s.plan.Before)
+	c.Flag("faults-for", "How long faults come.").Default("30s").DurationVar(&s.plan.FaultsFor)
 	c.Flag("after", "Traffic after they are healed.").Default("24s").DurationVar(&s.plan.After)
 	c.Flag("settle", "Time for everything to end.").Default("90s").DurationVar(&s.plan.Settle)
 	c.Flag("patience", "Every queue's patience; little of it shows that leases alone keep attempts apart.").Default("30s").DurationVar(&s.plan.Patience)
@@ -78,8 +78,8 @@
 		return err
 	}
 	if s.lease > 0 {
-		s.plan.Pace = dispatch.Defaults
-		s.plan.Pace.Grant, s.plan.Pace.Loss = s.lease, s.lease*5/4
+		s.plan.Timeouts = dispatch.Defaults
+		s.plan.Timeouts.Grant, s.plan.Timeouts.Loss = s.lease, s.lease*5/4
 	}
 	sets := s.sets()
 	if s.seeds == 0 {
@@ -89,7 +89,7 @@
 	s.play(sets)
 	fmt.Printf("chances the rules had:\n%v", s.seen)
 	fmt.Printf("%d seeds of %s, %d attempts run, %d seeds broke a rule, %d re-runs after an end nobody alive was told of; took %s\n",
-		s.seeds, s.plan.Town, s.attempts, s.broken, s.seen.Reruns(), time.Since(from).Round(time.Second))
+		s.seeds, s.plan.Deployment, s.attempts, s.broken, s.seen.Reruns(), time.Since(from).Round(time.Second))
 	fmt.Printf("jobs done for each one sent from 12 s after healing, beside before the faults: %s\n", sim.Spread(s.ratios))
 	s.worst()
 	if s.broken > 0 {
@@ -100,14 +100,14 @@
 
 // chooseFaults sets the faults of the plan from the flag, all known ones by default.
 func (s *sweeper) chooseFaults() error {
-	known := sim.FaultsOf(s.plan.Town)
+	known := sim.FaultsOf(s.plan.Deployment)
 	s.plan.Faults = known
 	if s.faults != "" {
 		s.plan.Faults = strings.Split(s.faults, ",")
 	}
 	for _, f := range s.plan.Faults {
 		if !slices.Contains(known, f) {
-			return fmt.Errorf("no fault of %s is called %q; there are %s", s.plan.Town, f, strings.Join(known, ", "))
+			return fmt.Errorf("no fault of %s is called %q; there are %s", s.plan.Deployment, f, strings.Join(known, ", "))
 		}
 	}
 	return nil
