--- a/cmd/coppercourse/daemons.go
+++ b/cmd/coppercourse/daemons.go
@@ -171,12 +171,9 @@
 // runController runs a controller on its write-ahead log.
 func runController(d *daemon) error {
 	s := d.s
-	file, records, damaged, err := wal.Open(s.Data)
+	file, records, err := server.OpenLog(d.ctx, d.log, wal.Disk{}, s.Data, s.Listen)
 	if err != nil {
-		return err
-	}
-	if damaged != "" {
-		d.log.Error(nil, "the data file is damaged; put aside, starting as a new member", "kept", damaged)
+		return nil // stopped while it waited for its disk
 	}
 	post := server.NewPost(context.Background(), s.Source)
 	o := server.NewOwner(post, file)
--- a/cmd/coppercourse/layers_test.go
+++ b/cmd/coppercourse/layers_test.go
@@ -22,7 +22,7 @@
 var layers = [][]string{
 	{"internal/types", "internal/apierror"},
 	{"internal/wire", "internal/config", "internal/trace", "internal/wal", "internal/supervisor"},
-	{"internal/raft", "internal/membership", "internal/state", "internal/placement", "internal/configwatch", "internal/workqueue"},
+	{"internal/raft", "internal/membership", "internal/state", "internal/placement", "internal/configwatch", "internal/workqueue", "internal/wal/waltest"},
 	{"internal/dispatch", "internal/maintenance"},
 	{"internal/controller", "internal/gateway", "internal/agent", "internal/settings", "internal/server"},
 	{"platform"},
--- a/cmd/coppersim/sweep.go
+++ b/cmd/coppersim/sweep.go
@@ -55,7 +55,7 @@
 	c.Flag("deployment", "kingston or romania, or kingston-called or romania-called, whose workers are invoked.").Default("kingston").
 		EnumVar(&s.plan.Deployment, "kingston", "romania", "kingston-called", "romania-called")
 	c.Flag("faults", "Faults to draw from, by comma; all that the deployment knows by default. A wrong name prints the list.").StringVar(&s.faults)
-	c.Flag("bare", "Invoked workers guard nothing.").BoolVar(&s.plan.Unguarded)
+	c.Flag("unguarded", "Invoked workers guard nothing.").BoolVar(&s.plan.Unguarded)
 	c.Flag("quick", "The shorter timeouts, as where the deployment gives bounds.").BoolVar(&s.plan.Quick)
 	c.Flag("lease", "How long an agent's lease lasts, in place of the usual; loss comes a quarter later.").DurationVar(&s.lease)
 	c.Flag("count", "Faults in a run.").Default("8").IntVar(&s.plan.Count)
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -19,6 +19,8 @@
 
 	rounds  = 4                  // that are on their way into the log at once
 	endless = 10_000 * time.Hour // what lasts fits before no window
+
+	endlessRest = time.Hour // how long what has no limit is taken to run on
 )
 
 func (h *Controller) plan() {
@@ -29,26 +31,24 @@
 		doom, spent = append(doom, x.Doomed...), append(spent, x.Spent...)
 	}
 	h.propose(spent)
-	holds := h.scheduler.Holds()
-	h.scheduler.Halt(append(doom, h.scheduler.Strays()...), h.overtime(holds))
+	h.scheduler.Halt(append(doom, h.scheduler.Strays()...), h.overtime())
 	if !h.raft.HoldsLease() || h.drain {
 		return
 	}
 	h.shapes()
 	h.times()
 	if h.giving > h.applied {
-		h.more(holds)
+		h.more()
 		return
 	}
 	clear(h.given)
-	backs := h.recall(holds)
+	backs, more := h.reviewAttempts()
 	if h.scheduler.Wait {
 		h.give(nil, backs)
 		return
 	}
 	in := placement.Input{Kept: h.kept}
 	in.Wants, in.Dues = h.wants()
-	more := h.behind(holds)
 	if len(in.Wants) == 0 {
 		h.kept, h.waited = nil, nil
 	}
@@ -56,7 +56,7 @@
 		h.give(nil, backs)
 		return
 	}
-	in.Slots, in.Total = h.slots(holds)
+	in.Slots, in.Total = h.slots.list(h)
 	var attempts []state.Assignment
 	if len(in.Wants) > 0 {
 		h.ages(in.Wants)
@@ -73,7 +73,7 @@
 }
 
 // more gives out work while an earlier round is on its way into the log.
-func (h *Controller) more(holds []*dispatch.Hold) {
+func (h *Controller) more() {
 	h.rounds = slices.DeleteFunc(h.rounds, func(i types.Index) bool { return i <= h.applied })
 	if h.scheduler.Wait || len(h.rounds) >= rounds || h.kept != nil {
 		return
@@ -82,7 +82,7 @@
 	if in.Wants, in.Dues = h.wants(); len(in.Wants) == 0 {
 		return
 	}
-	in.Slots, in.Total = h.slots(holds)
+	in.Slots, in.Total = h.slots.list(h)
 	h.ages(in.Wants)
 	h.caps(in)
 	h.give(h.number(placement.Place(in).Picks), nil)
@@ -120,8 +120,11 @@
 	}
 }
 
-// wants lists what may start now, and what each queue has in use.
+// wants lists what may start now, and what each queue has in use. The list holds until
+// the next one is made.
 func (h *Controller) wants() (list []placement.Want, dues map[types.Queue]*placement.Due) {
+	list = h.wanted[:0]
+	defer func() { h.wanted = list }()
 	dues = map[types.Queue]*placement.Due{}
 	for q, r := range h.state.Retired {
 		dues[q] = &placement.Due{Row: r}
@@ -172,48 +175,6 @@
 	return
 }
 
-// slots lists the workers that may be given work, and all cores there are.
-func (h *Controller) slots(holds []*dispatch.Hold) (list []placement.Slot, total types.Cores) {
-	at := map[types.Shard]int{}
-	for _, s := range h.scheduler.Seats() {
-		if s.State != dispatch.Healthy {
-			continue
-		}
-		total += s.Room.Cores
-		if till, _, _ := h.till(s); !s.Leaving && s.Healthy {
-			at[s.Shard] = len(list)
-			list = append(list, placement.Slot{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Labels: s.Labels, Free: s.Room.Minus(s.Lacks), Size: s.Room, Till: till,
-				Bad: s.Worth.Bad, Slow: s.Worth.Slow, Now: h.scheduler.Slow(s), Has: map[placement.Part]int{}})
-		}
-	}
-	for _, g := range h.given {
-		if i, ok := at[g.Shard]; ok {
-			stage := types.StageOf(g.Attempt.N)
-			if j := h.state.Jobs[g.Attempt.Job]; j != nil && !j.Over() {
-				list[i].Free = list[i].Free.Minus(j.Spec.Steps[stage.Step()].Room)
-			}
-			list[i].Busy++
-			list[i].Has[placement.Part{Job: g.Attempt.Job, Stage: stage}]++
-		}
-	}
-	for _, o := range holds {
-		i, ok := at[o.Shard]
-		if !ok {
-			continue
-		}
-		x := &list[i]
-		if !h.freed[o.Attempt] {
-			x.Free = x.Free.Minus(o.Room)
-			x.Busy++
-		}
-		x.Clear = max(x.Clear, h.rest(o))
-		if o.Stage >= 0 {
-			x.Has[placement.Part{Job: o.Attempt.Job, Stage: o.Stage}]++
-		}
-	}
-	return
-}
-
 // order sends the attempts that the log has just given out.
 func (h *Controller) order(attempts []state.Assignment) {
 	for _, g := range attempts {
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -189,7 +189,7 @@
 }
 
 func (n *Node) onTimeoutNow(_ types.Addr, h timeoutNow) {
-	if h.Name == n.name && h.To == n.self.ID && h.Term == n.voteRecord.Term && n.role == follower && !n.diskStalled() && !n.stopping {
+	if h.Name == n.name && h.To == n.self.ID && h.Term == n.voteRecord.Term && n.role == follower && !n.diskStalled() && !n.loading && !n.stopping {
 		n.announcedTransfers = h.OverloadTransfers
 		n.campaign(false, true)
 	}
--- a/internal/server/pages.go
+++ b/internal/server/pages.go
@@ -104,7 +104,7 @@
 	if _, large := err.(*http.MaxBytesError); large {
 		return nil, apierror.New(apierror.TooLarge, "", fmt.Sprintf("larger than %d bytes", most))
 	}
-	return nil, apierror.New(apierror.BadBody, "", "the body could not be read")
+	return nil, apierror.New(apierror.CutShort, "", "the body did not come whole; send it again")
 }
 
 // Read takes a request's body up to a size, or answers why not.
@@ -145,8 +145,8 @@
 	if !ok {
 		return
 	}
-	var list []wire.Message
-	if json.Unmarshal(b, &list) != nil {
+	list, err := wire.DecodeMessages(b)
+	if err != nil {
 		Fail(w, apierror.New(apierror.BadBody, "", "not a list of notes"))
 		return
 	}
--- a/internal/wire/step.go
+++ b/internal/wire/step.go
@@ -19,6 +19,7 @@
 	Message *Message     // from another daemon
 	Ask     *Ask         // from a client
 	Synced  uint64       // the batch with this Seq is on disk
+	Disk    error        // the disk has refused what was given it to write; it is tried again
 	Reply   *WorkerReply // the result of a call to the worker
 	Close   bool         // the daemon is asked to stop
 	Load    Load         // how far the event loop is behind
@@ -60,6 +61,7 @@
 	Batch   [][]byte     // records to write and sync together
 	Seq     uint64       // number of the batch, for Event.Synced
 	Whole   bool         // the batch replaces the whole file
+	Instead [][]byte     // what to append where there is no room to replace the file
 	Answers []Answer     // responses to clients
 	Idle    bool         // stopping, and nothing is left to do
 }
