--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -8,8 +8,6 @@
 	"io"
 
 	"github.com/go-faster/jx"
-
-	"coppercourse/internal/types"
 )
 
 var errTrailing = errors.New("something stands behind the list of messages")
@@ -70,11 +68,9 @@
 	return d.ObjBytes(func(d *jx.Decoder, key []byte) (err error) {
 		switch string(key) {
 		case "from":
-			var s string
-			s, err = d.Str()
-			m.From = types.Addr(s)
+			err = Text(d, &m.From)
 		case "kind":
-			m.Kind, err = d.Str()
+			err = Text(d, &m.Kind)
 		case "body":
 			var raw jx.Raw
 			raw, err = d.Raw()
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -32,11 +32,6 @@
 	return Send{To: to, Message: Message{From: from, Kind: kind, Body: b}}
 }
 
-// Read gives the body as a type, and false for one that does not fit.
-func Read[T any](n Message) (t T, ok bool) {
-	return t, json.Unmarshal(n.Body, &t) == nil
-}
-
 // On makes a handler of notes out of a machine's method for one kind of body;
 // a body that does not fit is let fall.
 func On[M, T any](f func(*M, types.Addr, T)) func(*M, Message) {
