--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -48,6 +48,9 @@
 	raft      *raft.Node
 	roster    *membership.Roster
 	state     *state.State
+	loader    *state.Loader // of a snapshot that is being read back, or nil
+	loaded    types.Index   // the entry that it stands for
+	disk      error         // why the disk refuses, until it takes writes again
 	applied   types.Index
 	proposals map[types.Index]proposal
 	scheduler *dispatch.Scheduler
@@ -85,24 +88,16 @@
 	checks    check            // for attempts to take back and second attempts
 	sends     []wire.Send
 	answers   []wire.Answer
+	overload  overload
 	Sums      Sums
 }
 
 // Sums are counters since start.
 type Sums struct {
 	Steps, Applied, Calls, Refused, Orders, Ends, Elected, Lost uint64
+	Placed, TurnedAway, Relieved                                uint64
 }
 
-// Every is how many entries the log grows at least before it is put together,
-// and it must have grown to a good part of what it would be put together to, so
-// that the file is not rewritten more often than it is worth. Slice is about
-// how many bytes of a snapshot one step writes out.
-const (
-	Every = 4096
-	Far   = 50_000
-	slice = 64 << 10
-)
-
 // New starts a controller from the records of its disk.
 func New(now types.Now, rnd *rand.Rand, p Options, recs [][]byte) *Controller {
 	me := raft.Member{Addr: p.Addr, Zone: p.Zone}
@@ -112,95 +107,68 @@
 		tasks: map[types.Queue]float64{}, habits: map[types.Queue]*habit{}, courses: map[types.JobID][]course{}, Trail: trace.New()}
 	h.roster = membership.New(rnd, h.card(), p.Seeds)
 	h.desk = configwatch.NewDesk(p.Addr)
-	h.load()
+	h.state = state.New()
+	h.beginLoad()
+	h.loadPart()
 	return h
 }
 
-func (h *Controller) load() {
-	s := h.raft.State()
-	st, err := state.Restore(s.Parts)
-	if err != nil {
-		panic(err)
-	}
-	h.state, h.applied, h.since = st, s.Index, s.Index
-	h.shot = 0
-	for _, b := range s.Parts {
-		h.shot += len(b)
-	}
-	h.raft.Wind(st.Tick)
-}
-
 func (h *Controller) card() membership.Card {
 	return membership.Card{Addr: h.options.Addr, ID: h.raft.ID(), Role: "controller", Zone: h.options.Zone, Name: h.raft.Name(),
-		Term: h.raft.Term(), Leads: h.raft.Leads() && !h.drain, Part: h.raft.Role(), Ready: h.Ready(), Issue: h.options.Issue}
+		Term: h.raft.Term(), Leads: h.raft.IsLeader() && !h.drain, Part: h.raft.Role(), Ready: h.Ready(), Issue: h.options.Issue}
 }
 
 // Ready tells whether the platform may send callers here: a controller that knows a
 // leader of now, or is it.
 func (h *Controller) Ready() bool {
-	return !h.drain && h.raft.Name() != "" && (h.raft.Leads() && h.raft.Firm() || !h.raft.Leads() && h.raft.Leader() != "")
+	return !h.drain && h.disk == nil && h.loader == nil && h.raft.Name() != "" && (h.raft.IsLeader() && h.raft.HoldsLease() || !h.raft.IsLeader() && h.raft.Leader() != "")
 }
 
 // Step takes one event.
 func (h *Controller) Step(e wire.Event) wire.Out {
 	h.now = e.Now
+	h.raft.Observe(e.Now)
 	h.Sums.Steps++
+	h.overload.measure(e.Now.Mono, e.Load)
 	switch {
 	case e.Message != nil:
 		h.take(*e.Message)
 	case e.Ask != nil:
 		h.ask(waiter{token: e.Ask.Token}, wire.CallBody{Verb: e.Ask.Verb, Arg: e.Ask.Arg, Body: e.Ask.Body})
 	case e.Synced > 0:
+		h.disk = nil
 		h.raft.Synced(e.Now, e.Synced)
+	case e.Disk != nil:
+		h.disk = e.Disk
+		h.raft.DiskFailed(e.Now)
 	case e.Close:
 		h.close()
 	default:
 		h.tick()
 	}
 	h.applyCommitted()
+	h.relieve()
 	h.lead()
 	var out wire.Out
 	h.writeSnapshotPart()
 	h.roster.Me(h.card())
+	out.Instead = h.raft.Instead()
 	out.Sends, out.Batch, out.Seq, out.Whole = h.raft.Out()
 	out.Sends = append(append(out.Sends, h.sends...), h.roster.Out()...)
 	out.Answers = h.answers
 	h.sends, h.answers = nil, nil
-	out.Idle = h.drain && (!h.raft.Leads() || h.now.Mono >= h.late) && len(h.waiters) == 0
+	out.Idle = h.drain && (!h.raft.IsLeader() || h.now.Mono >= h.late) && len(h.waiters) == 0
 	return out
 }
 
-// shoot puts the log together, a little a step.
-func (h *Controller) writeSnapshotPart() {
-	if !h.state.Shooting() {
-		n := h.applied - h.since
-		every := h.options.Every
-		if every == 0 {
-			every = Every
-		}
-		if n <= every || h.raft.Grown() < h.shot/2 && n < Far {
-			return
-		}
-		h.since = h.applied
-		h.state.Begin()
-	}
-	if parts := h.state.Shoot(slice); parts != nil {
-		h.shot = 0
-		for _, b := range parts {
-			h.shot += len(b)
-		}
-		h.raft.Compact(h.since, parts)
-	}
-}
-
 func (h *Controller) take(n wire.Message) {
 	switch {
 	case h.roster.Take(h.now.Mono, n):
-	case h.raft.Take(h.now, n):
+	case h.raft.Receive(h.now, n):
 	case n.Kind == wire.Call:
 		h.call(n)
 	case n.Kind == wire.News:
-		if h.raft.Firm() {
+		if h.raft.HoldsLease() {
 			h.desk.Take(h.now.Mono, n)
 		}
 	default:
@@ -208,21 +176,22 @@
 			h.keep(n)
 		}
 		if h.scheduler != nil {
-			h.scheduler.Take(h.now.Mono, h.raft.Grace(), n)
+			h.scheduler.Take(h.now.Mono, h.raft.AuthorityLeft(), n)
 		}
 	}
 }
 
 func (h *Controller) tick() {
 	h.moved = true
+	h.loadPart()
 	h.roster.Tick(h.now.Mono)
-	var seen []raft.Seen
+	var seen []raft.Discovered
 	for _, c := range h.roster.Controllers() {
 		if c.ID != "" && c.Part != "out" {
-			seen = append(seen, raft.Seen{Member: raft.Member{ID: c.ID, Addr: c.Addr, Zone: c.Zone}, Name: c.Name})
+			seen = append(seen, raft.Discovered{Member: raft.Member{ID: c.ID, Addr: c.Addr, Zone: c.Zone}, Name: c.Name})
 		}
 	}
-	h.raft.See(seen, h.others())
+	h.raft.SetDiscovered(seen, h.others())
 	h.raft.Tick(h.now)
 	h.pass()
 }
@@ -244,7 +213,7 @@
 func (h *Controller) close() {
 	h.drain = true
 	h.late = h.now.Mono.Add(3 * time.Second)
-	h.raft.Leave(h.now)
+	h.raft.PrepareStop(h.now)
 }
 
 // told leaves marks of what was applied for the tracer.
@@ -268,7 +237,7 @@
 
 // lead does the leader's work, or lets go of it.
 func (h *Controller) lead() {
-	if !h.raft.Leads() {
+	if !h.raft.IsLeader() {
 		if h.scheduler != nil {
 			h.scheduler = nil
 			h.Sums.Lost++
@@ -286,23 +255,25 @@
 		return
 	}
 	if h.scheduler == nil {
-		if !h.raft.Firm() {
+		if !h.raft.HoldsLease() || h.lags() {
 			return
 		}
 		h.Sums.Elected++
-		h.scheduler = dispatch.NewScheduler(h.now.Mono, h.raft.Ruled(), h.options.Truth, h.options.Addr, h.raft.Term(), h.outs())
+		h.scheduler = dispatch.NewScheduler(h.now.Mono, h.raft.PriorAuthority(), h.options.Truth, h.options.Addr, h.raft.Term(), h.outs())
 		h.scheduler.Invoked = func(x types.Shard) bool { return h.state.Shapes[x].Invoked }
 		h.scheduler.Apart = func(x types.Shard) bool { return h.roster.Apart(string(x)) }
 		h.scheduler.Taken, h.scheduler.Doubts = h.taken, func(x types.Shard) []types.Attempt { return h.state.Doubts(x) }
 	}
-	h.scheduler.Tick(h.now.Mono, h.raft.Grace())
+	h.scheduler.Tick(h.now.Mono, h.raft.AuthorityLeft())
 	h.heed()
-	if h.moved {
+	if h.moved && h.overload.mayPlace(h.now.Mono) {
 		h.moved = false
+		h.overload.place(h.now.Mono)
+		h.Sums.Placed++
 		h.plan()
 		h.heed()
 	}
-	if h.raft.Firm() {
+	if h.raft.HoldsLease() {
 		h.sends = append(h.sends, h.desk.Tell(h.now.Mono, h.state.Table)...)
 	}
 }
--- a/internal/controller/entries.go
+++ b/internal/controller/entries.go
@@ -43,22 +43,27 @@
 	if ok && own.term == e.Term {
 		return own.command
 	}
-	if err := json.Unmarshal(e.Fact, &command); err != nil {
+	if err := json.Unmarshal(e.Data, &command); err != nil {
 		panic(err)
 	}
 	return
 }
 
-// applyCommitted brings the state up to what is committed.
+// applyCommitted brings the state up to what is committed, a bounded number of
+// entries a step.
 func (h *Controller) applyCommitted() {
-	if s := h.raft.State(); s.Index > h.applied {
-		h.load()
-		maps.DeleteFunc(h.proposals, func(at types.Index, _ proposal) bool { return at <= h.applied })
+	if h.replaced() {
+		h.beginLoad()
+		h.loadPart() // a small one at once, a large one as time passes
+		maps.DeleteFunc(h.proposals, func(at types.Index, _ proposal) bool { return at <= h.loaded })
 	}
-	for h.applied < h.raft.Commit() {
+	if h.loader != nil {
+		return
+	}
+	for most := h.applied + applyAtOnce; h.applied < h.raft.Commit() && h.applied < most; {
 		h.applied++
 		h.Sums.Applied++
-		if e := h.raft.Entry(h.applied); e.Fact != nil {
+		if e := h.raft.Entry(h.applied); e.Data != nil {
 			h.apply(e)
 		} else {
 			delete(h.proposals, e.Index)
@@ -73,14 +78,14 @@
 	h.moved = true
 	h.learn(command)
 	attempts, bad := h.state.Apply(command)
-	h.raft.Wind(h.state.Tick)
+	h.raft.AdvanceClock(h.state.Tick)
 	h.told(command, e.Index)
 	w, ok := h.waiters[e.Index]
 	delete(h.waiters, e.Index)
 	if ok && w.term == e.Term {
 		h.settle(w, command, bad)
 	}
-	if h.scheduler == nil || !h.raft.Leads() {
+	if h.scheduler == nil || !h.raft.IsLeader() {
 		return
 	}
 	if command.Job != nil && bad == nil {
--- a/internal/controller/entries_test.go
+++ b/internal/controller/entries_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"math/rand"
+	"reflect"
 	"testing"
 	"time"
 
@@ -40,10 +41,10 @@
 	for i := range types.Index(2000) {
 		c := randomPlain(r)
 		is.True(plain(&c))
-		e := raft.Entry{Term: 3, Index: i, Fact: wire.Body(c)}
+		e := raft.Entry{Term: 3, Index: i, Data: wire.Body(c)}
 		h.proposals[i] = proposal{3, c}
 		var read state.Command
-		is.NoErr(json.Unmarshal(e.Fact, &read))
+		is.NoErr(json.Unmarshal(e.Data, &read))
 		is.Equal(h.command(e), read)
 		is.Equal(len(h.proposals), 0)
 	}
@@ -54,15 +55,24 @@
 	is := is.New(t)
 	h := &Controller{proposals: map[types.Index]proposal{7: {3, state.Command{Tick: types.Tick(time.Second), Gone: "mine"}}}}
 	theirs := state.Command{Tick: types.Tick(time.Minute), Gone: "theirs"}
-	is.Equal(h.command(raft.Entry{Term: 4, Index: 7, Fact: wire.Body(theirs)}), theirs)
+	is.Equal(h.command(raft.Entry{Term: 4, Index: 7, Data: wire.Body(theirs)}), theirs)
 	is.Equal(len(h.proposals), 0)
 }
 
-// Commands that bring documents are never kept.
+// Commands that bring documents are never kept: all that is behind a pointer, and shapes.
 func TestDocumentsAreReadFromTheLog(t *testing.T) {
 	is := is.New(t)
-	off := types.Wall(1)
-	for _, c := range []state.Command{{Off: &off}, {Job: &state.Submit{}}, {Shapes: []state.WorkerShape{}}, {Drain: &state.Drain{}}, {Plan: &state.Plan{}}} {
+	is.True(!plain(&state.Command{Shapes: []state.WorkerShape{}}))
+	documents := 0
+	for i := range reflect.TypeFor[state.Command]().NumField() {
+		var c state.Command
+		field := reflect.ValueOf(&c).Elem().Field(i)
+		if field.Kind() != reflect.Pointer {
+			continue
+		}
+		field.Set(reflect.New(field.Type().Elem()))
 		is.True(!plain(&c))
+		documents++
 	}
+	is.True(documents >= 5)
 }
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -32,7 +32,7 @@
 	}
 	h.propose(spent)
 	h.scheduler.Halt(append(doom, h.scheduler.Strays()...), h.overtime())
-	if !h.raft.Firm() || h.drain {
+	if !h.raft.HoldsLease() || h.drain {
 		return
 	}
 	h.shapes()
@@ -237,7 +237,7 @@
 		return
 	}
 	h.timed = h.now.Mono
-	offs := h.raft.Offs()
+	offs := h.raft.WallOffsets()
 	for i := 0; i+1 < len(offs); i++ {
 		if offs[i+1]-offs[i] > near {
 			continue
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -17,12 +17,13 @@
 	DecodeJSON(*jx.Decoder) error
 }
 
-// Read gives the body as a type, and false for one that does not fit.
-func Read[T any](n Message) (t T, ok bool) {
-	if own, is := any(&t).(SelfReading); is {
-		return t, decodeWhole(own, n.Body) == nil
+// Read decodes the body as a type, and reports whether it is one.
+func Read[T any](message Message) (body T, ok bool) {
+	if own, is := any(&body).(SelfReading); is {
+		return body, decodeWhole(own, message.Body) == nil
 	}
-	return t, json.Unmarshal(n.Body, &t) == nil
+	err := json.Unmarshal(message.Body, &body)
+	return body, err == nil
 }
 
 var errTrailingBody = errors.New("something stands behind the body")
--- a/sim/leader_bench_test.go
+++ b/sim/leader_bench_test.go
@@ -1,5 +1,5 @@
 // What the leader of a grown town spends under the load that its users send: go test
-// ./sim -bench LeaderOfTheGrownTown -run ^$ -benchtime 10x -cpuprofile FILE, and then go
+// ./sim -bench LeaderOfTheGrownDeployment -run ^$ -benchtime 10x -cpuprofile FILE, and then go
 // tool pprof -tagfocus leader=yes FILE. One round of the benchmark is a simulated second.
 package sim
 
@@ -40,19 +40,19 @@
 	return time.Duration(use.Utime.Nano() + use.Stime.Nano())
 }
 
-// BenchmarkLeaderOfTheGrownTown runs 62 workers, 8 controllers and twice the jobs that
-// the town's tests send, about 850 starts a second.
-func BenchmarkLeaderOfTheGrownTown(b *testing.B) {
+// BenchmarkLeaderOfTheGrownDeployment runs 62 workers, 8 controllers and twice the jobs that
+// the tests of the deployment send, about 850 starts a second.
+func BenchmarkLeaderOfTheGrownDeployment(b *testing.B) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	const settle = 14 * time.Second
-	p := Plan{Seed: 1, Town: "kingston-grown", Quick: true, Calm: settle + time.Duration(b.N)*time.Second}
+	p := Plan{Seed: 1, Deployment: "kingston-grown", Quick: true, Before: settle + time.Duration(b.N)*time.Second}
 	r := Build(p)
-	r.Crew.town.Streams = slices.Clone(r.Crew.town.Streams)
-	for i := range r.Crew.town.Streams {
-		r.Crew.town.Streams[i].Every /= 2
+	r.Clients.deployment.Streams = slices.Clone(r.Clients.deployment.Streams)
+	for i := range r.Clients.deployment.Streams {
+		r.Clients.deployment.Streams[i].Every /= 2
 	}
-	r.at(3*time.Second, func() { r.Crew.put(r.Crew.town.Table(), r.Crew.any(), 0, func(bool) {}) })
+	r.at(3*time.Second, func() { r.Clients.put(r.Clients.deployment.Table(), r.Clients.any(), 0, func(bool) {}) })
 	r.at(6*time.Second, r.traffic)
 	r.wait(settle)
 	lead := r.leader()
@@ -68,7 +68,7 @@
 	b.ReportMetric(float64(r.count(Started)-started)/seconds, "starts/s")
 }
 
-func (r *Run) count(what What) (n int) {
+func (r *Run) count(what EventKind) (n int) {
 	for _, h := range r.Hist.List {
 		if h.What == what {
 			n++
