--- a/cmd/coppercourse/daemons.go
+++ b/cmd/coppercourse/daemons.go
@@ -169,24 +169,13 @@
 }
 
 // runController runs a controller on its write-ahead log.
-// lingers is how many times shorter than a heartbeat interval a message that can wait is
-// kept for company.
-const lingers = 5
-
-// post makes the sender of messages to other daemons.
-func (d *daemon) post() *server.Post {
-	post := server.NewPost(context.Background(), d.s.Source)
-	post.Linger = d.s.Pace.Truth().Beat / lingers
-	return post
-}
-
 func runController(d *daemon) error {
 	s := d.s
 	file, records, err := server.OpenLog(d.ctx, d.log, wal.Disk{}, s.Data, s.Listen)
 	if err != nil {
 		return nil // stopped while it waited for its disk
 	}
-	post := d.post()
+	post := server.NewPost(context.Background(), s.Source)
 	o := server.NewOwner(post, file)
 	options := controller.Options{
 		Addr: s.Addr(), Zone: s.ZoneName(), Seeds: s.Near(), Issue: version,
@@ -209,7 +198,7 @@
 // runGateway runs a gateway.
 func runGateway(d *daemon) error {
 	s := d.s
-	post := d.post()
+	post := server.NewPost(context.Background(), s.Source)
 	o := server.NewOwner(post, nil)
 	place := gateway.Place{Addr: s.Addr(), Zone: s.ZoneName(), Seeds: s.Near(), Issue: version, Stale: s.Pace.News()}
 	m := gateway.New(server.Now(), randomSource(), place)
@@ -236,7 +225,7 @@
 // runAgent runs the agent of one worker.
 func runAgent(d *daemon) error {
 	s := d.s
-	post := d.post()
+	post := server.NewPost(context.Background(), s.Source)
 	o := server.NewOwner(post, nil)
 	place := agent.Place{
 		Addr: s.Addr(), Zone: s.ZoneName(), Shard: s.ShardName(), Seeds: s.Near(), Issue: version, Truth: s.Pace.Truth(),
--- a/internal/server/post.go
+++ b/internal/server/post.go
@@ -33,7 +33,6 @@
 	client  *http.Client
 	mu      sync.Mutex
 	lanes   map[types.Addr]*lane
-	Linger  time.Duration // how long what can wait is kept for company; set before use
 	Sent    atomic.Uint64
 	Failed  atomic.Uint64
 	Dropped atomic.Uint64
@@ -46,7 +45,6 @@
 	list []wire.Message
 	size int
 	wake chan struct{}
-	late *time.Timer // wakes it for what can wait
 }
 
 func (l *lane) put(n wire.Message) (dropped int) {
@@ -59,42 +57,17 @@
 		dropped++
 	}
 	l.mu.Unlock()
-	return
-}
-
-// rouse has the lane sent, at once or, if nothing else does before, after a while.
-func (l *lane) rouse(after time.Duration) {
-	if after <= 0 {
-		l.send()
-		return
-	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.late == nil {
-		l.late = time.AfterFunc(after, l.send)
-	}
-}
-
-func (l *lane) send() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
-}
-
-// settled lets go of the timer: all that waits is on its way. The lane is locked.
-func (l *lane) settled() {
-	if l.late != nil {
-		l.late.Stop()
-		l.late = nil
-	}
+	return
 }
 
 // take gives what fits into one request.
 func (l *lane) take() (group []wire.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.settled()
 	size := 0
 	for i, n := range l.list {
 		if i == share || i > 0 && size+len(n.Body) > bulk {
@@ -132,11 +105,6 @@
 	}
 	p.mu.Unlock()
 	p.Dropped.Add(uint64(l.put(s.Message)))
-	if wire.CanWait(s.Message.Kind) {
-		l.rouse(p.Linger)
-	} else {
-		l.rouse(0)
-	}
 }
 
 func (p *Post) run(to types.Addr, l *lane) {
--- a/internal/server/post_test.go
+++ b/internal/server/post_test.go
@@ -3,8 +3,6 @@
 import (
 	"bytes"
 	"testing"
-	"testing/synctest"
-	"time"
 
 	"github.com/matryer/is"
 
@@ -37,41 +35,3 @@
 	is.Equal(len(l.list), depth)
 	is.Equal(len(l.take()), share)
 }
-
-// What can wait is sent with what can't, or after its time; nothing waits longer for
-// what comes after it.
-func TestWhatCanWaitIsKeptForCompany(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		const linger = 20 * time.Millisecond
-		l := &lane{wake: make(chan struct{}, 1)}
-		put := func(kind string, after time.Duration) {
-			l.put(wire.Message{Kind: kind})
-			l.rouse(after)
-		}
-		sent := func(after time.Duration) (kinds string) {
-			time.Sleep(after) // of the test's own clock
-			synctest.Wait()
-			select {
-			case <-l.wake:
-			default:
-				return "nothing"
-			}
-			for _, m := range l.take() {
-				kinds += m.Kind
-			}
-			return
-		}
-		put("a", linger)
-		is.Equal(sent(linger-time.Millisecond), "nothing")
-		put("b", linger) // goes with a, whose time is over first
-		is.Equal(sent(time.Millisecond), "ab")
-		is.Equal(sent(time.Second), "nothing")
-		put("c", linger)
-		put("d", 0)
-		is.Equal(sent(0), "cd")
-		is.Equal(sent(time.Second), "nothing")
-		put("e", linger)
-		is.Equal(sent(linger), "e")
-	})
-}
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -76,10 +76,3 @@
 	News    = "news"    // configwatch: asks for changes after a version
 	Told    = "told"    // configwatch: its reply
 )
-
-// CanWait reports whether a kind of message may be kept for a small part of a heartbeat
-// interval so that it shares a request: what its receiver only books, and what it
-// counts from a stamp of its own.
-func CanWait(kind string) bool {
-	return kind == Beaten || kind == Settled || kind == Ordered
-}
