--- a/sim/processor_test.go
+++ b/sim/processor_test.go
@@ -200,6 +200,6 @@
 func TestTheBoundsOfSlowDaysFitThePace(t *testing.T) {
 	is := is.New(t)
 	is.True(mostConsensusWait <= settings.Quick.Core().ElectionMin/2)
-	is.True(workqueue.CallPatience < gateway.Attempt)
+	is.True(workqueue.CallPatience < gateway.AttemptTimeout)
 	is.True(mostRequestWait < gateway.CallTimeout)
 }
