--- a/sim/linear_rig_test.go
+++ b/sim/linear_rig_test.go
@@ -24,8 +24,8 @@
 	pause   = 150 * time.Millisecond
 )
 
-// recorder is a run with clients whose histories are kept.
-type recorder struct {
+// operationRecorder is a run with clients whose histories are kept.
+type operationRecorder struct {
 	*Run
 	tables   []porcupine.Operation
 	jobs     []porcupine.Operation
@@ -39,8 +39,8 @@
 	count    map[string]int
 }
 
-func recordClients(r *Run) *recorder {
-	c := &recorder{Run: r, observed: map[string]bool{}, specs: map[types.JobID]state.Spec{}, count: map[string]int{}}
+func recordClients(r *Run) *operationRecorder {
+	c := &operationRecorder{Run: r, observed: map[string]bool{}, specs: map[types.JobID]state.Spec{}, count: map[string]int{}}
 	for range 3 {
 		c.clients++
 		c.operate(c.clients)
@@ -53,7 +53,7 @@
 }
 
 // asked sends one request; then is called once: with the answer, or with none.
-func (c *recorder) asked(to types.Addr, verb, arg string, body any, then func(*wire.Answer)) {
+func (c *operationRecorder) asked(to types.Addr, verb, arg string, body any, then func(*wire.Answer)) {
 	over := false
 	c.request("client", to, verb, arg, wire.Body(body), func(a wire.Answer) {
 		if !over {
@@ -70,7 +70,7 @@
 }
 
 // daemon picks one to ask: a gateway, or a controller itself.
-func (c *recorder) daemon() types.Addr {
+func (c *operationRecorder) daemon() types.Addr {
 	if c.random.Intn(2) == 0 {
 		return pickOne(c.random, c.Clients.gateways)
 	}
@@ -85,12 +85,12 @@
 	return a.Lead
 }
 
-func (c *recorder) soon(f func()) {
+func (c *operationRecorder) soon(f func()) {
 	c.at(pause+time.Duration(c.random.Int63n(int64(600*time.Millisecond))), f)
 }
 
 // operate is an operator: reads, new orders, and old ones once more.
-func (c *recorder) operate(client int) {
+func (c *operationRecorder) operate(client int) {
 	if c.closed {
 		return
 	}
@@ -109,7 +109,7 @@
 	}
 }
 
-func (c *recorder) readTable(client int, to types.Addr, then func()) {
+func (c *operationRecorder) readTable(client int, to types.Addr, then func()) {
 	began := c.now
 	c.asked(to, "table.get", "", nil, func(a *wire.Answer) {
 		var t config.Table
@@ -124,12 +124,12 @@
 }
 
 // note remembers that a change is known to be taken.
-func (c *recorder) note(v types.Version, hash string) {
+func (c *operationRecorder) note(v types.Version, hash string) {
 	c.observed[link(v, hash)] = true
 	c.seen = max(c.seen, v)
 }
 
-func (c *recorder) putTable(client int, to types.Addr, t config.Table, n int, then func()) {
+func (c *operationRecorder) putTable(client int, to types.Addr, t config.Table, n int, then func()) {
 	began := c.now
 	c.asked(to, "table.put", "", t, func(a *wire.Answer) {
 		o, end := unclear, int64(math.MaxInt64)
@@ -158,7 +158,7 @@
 }
 
 // submit is a caller: new jobs, known ones once more, looks and cancels.
-func (c *recorder) submit(client int) {
+func (c *operationRecorder) submit(client int) {
 	if c.closed {
 		return
 	}
@@ -185,7 +185,7 @@
 	}
 }
 
-func (c *recorder) work(client int, verb string, id types.JobID, s state.Spec, n int, then func()) {
+func (c *operationRecorder) work(client int, verb string, id types.JobID, s state.Spec, n int, then func()) {
 	began := c.now
 	var body any
 	if verb == "job.put" {
@@ -215,7 +215,7 @@
 }
 
 // finish lets the clients end, and reads all back.
-func (c *recorder) finish() {
+func (c *operationRecorder) finish() {
 	c.closed = true
 	c.Heal()
 	c.Run.Run(time.Duration(c.now) + 12*time.Second)
@@ -231,7 +231,7 @@
 // history is the orders that matter: one without a clear answer, of which nobody
 // has ever seen anything, changes nothing, since each change builds on one that
 // was seen, and the newest was read at the end.
-func (c *recorder) history() (list []porcupine.Operation) {
+func (c *operationRecorder) history() (list []porcupine.Operation) {
 	for _, o := range c.tables {
 		in, out := o.Input.(tableInput), o.Output.(tableOutput)
 		if !in.put || out.outcome != unclear || c.observed[link(in.next, in.hash)] {
