--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -154,7 +154,7 @@
 // that has been so for much longer.
 func (n *Node) replaceSilent() bool {
 	for _, m := range n.config {
-		if !m.Voter && n.silence(m) > longSilences*n.timeouts.ReplaceAfter {
+		if !m.Voter && n.silence(m) > n.patience(m) {
 			n.changeConfig(n.configWithout(m.ID))
 			return true
 		}
@@ -166,6 +166,15 @@
 	return false
 }
 
+// patience is how long a learner may be silent: a standby, which has been replaced already,
+// as long as a voter that is replaced.
+func (n *Node) patience(m Member) time.Duration {
+	if m.Standby {
+		return n.timeouts.ReplaceAfter
+	}
+	return longSilences * n.timeouts.ReplaceAfter
+}
+
 // promoteLearner gives a learner that has caught up its vote.
 func (n *Node) promoteLearner() bool {
 	for _, m := range n.config {
