--- a/internal/controller/early.go
+++ b/internal/controller/early.go
@@ -46,7 +46,7 @@
 	if !ok || len(h.early) >= Crowd {
 		return
 	}
-	u.Ends = slices.DeleteFunc(u.Ends, func(e state.End) bool { return !e.Outcome.Fact() || h.logged(e, h.now.Mono) })
+	u.Ends = slices.DeleteFunc(u.Ends, func(e state.End) bool { return !e.Outcome.IsFact() || h.logged(e, h.now.Mono) })
 	for _, x := range h.early {
 		u.Ends = slices.DeleteFunc(u.Ends, func(e state.End) bool { return slices.Contains(x.Ends, e) })
 	}
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -27,7 +27,7 @@
 	var doom []types.Attempt
 	var spent []state.End
 	for _, j := range h.state.Live() {
-		x := h.state.Heat(j, h.raft.Clock())
+		x := h.state.ReadyIndex(j, h.raft.Clock())
 		doom, spent = append(doom, x.Doomed...), append(spent, x.Spent...)
 	}
 	h.propose(spent)
@@ -138,7 +138,7 @@
 		if d == nil {
 			continue
 		}
-		x := h.state.Heat(j, now)
+		x := h.state.ReadyIndex(j, now)
 		d.Running += x.Running
 		d.Cores += x.Cores
 		for _, b := range x.Batches {
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -154,7 +154,7 @@
 	c := h.raft
 	v := StatusView{Role: "controller", Program: h.options.Issue, ID: c.ID(), Cluster: c.Name(), Part: c.Role(), Why: c.Reason(),
 		Ready: h.Ready(), Term: c.Term(), Leader: c.Leader(), Commit: c.Commit(), Roll: c.Config(), Version: h.state.Table.Version,
-		Jobs: len(h.state.Live()), Known: len(h.state.Jobs) + h.state.Marks(), Peers: h.roster.Peers(), Sums: h.Sums,
+		Jobs: len(h.state.Live()), Known: len(h.state.Jobs) + h.state.Tombstones(), Peers: h.roster.Peers(), Sums: h.Sums,
 		Behind: h.overload.isBehind, LagMS: h.overload.load.Control.Milliseconds(),
 		Wall: time.Unix(0, int64(h.raft.Clock())+int64(h.state.Off)).UTC().Format(time.RFC3339Nano)}
 	if h.scheduler != nil && h.scheduler.Wait {
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -339,7 +339,7 @@
 	known := s != nil && (s.ID != u.ID || s.State != New)
 	var done []state.End
 	for _, e := range u.Ends {
-		if !known && !e.Outcome.Fact() {
+		if !known && !e.Outcome.IsFact() {
 			continue
 		}
 		if h.Taken(e) {
--- a/internal/state/history.go
+++ b/internal/state/history.go
@@ -1,7 +1,8 @@
+package state
+
 // The history of configurations: which version each change that was taken got,
 // and a digest of what it said. An order that comes again is known by it, and an
 // order is refused only where it proves that the order was not taken.
-package state
 
 import (
 	"encoding/base64"
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -1,7 +1,8 @@
+package state
+
 // The job as an aggregate: its tasks, the attempts given out for them, and the
 // rules by which ends move it on. A job is shown ended only when none of its
 // attempts can be running.
-package state
 
 import (
 	"fmt"
@@ -12,8 +13,10 @@
 	"coppercourse/internal/types"
 )
 
+// Stage is how far a job is.
 type Stage string
 
+// Stages of a job: open, ending while the last attempts are stopped, and three ends.
 const (
 	Open    Stage = "open"
 	Ending  Stage = "ending"
--- a/internal/state/kinds_test.go
+++ b/internal/state/kinds_test.go
@@ -20,7 +20,7 @@
 }
 
 func batches(s *State, j *Job, at types.Tick) (list []int) {
-	for _, b := range s.Heat(j, at).Batches {
+	for _, b := range s.ReadyIndex(j, at).Batches {
 		list = append(list, b.Tasks...)
 	}
 	return
--- a/internal/state/marks_test.go
+++ b/internal/state/marks_test.go
@@ -57,19 +57,19 @@
 		again, bad := s.CheckCancel("halted")
 		is.True(again && bad == nil)
 	}
-	s.marks.most = s.Marks() + len(s.Jobs)
+	s.tombstones.limit = s.Tombstones() + len(s.Jobs)
 	_, bad := s.CheckJob("new", quick("new", 1).Job.Spec)
 	is.Equal(bad.Kind, apierror.Kept) // refused rather than an old one forgotten
 	is.True(bad.Retry >= 60)
-	for i := range 2 * pageSize {
-		s.marks.most = MarkMost
+	for i := range 2 * tombstonesPerPage {
+		s.tombstones.limit = TombstoneLimit
 		s.finish(23*3600*sec, fmt.Sprint("fill", i))
 	}
 	s.must(26*3600*sec, Command{})
 	is.True(s.Find("fill1") != nil)
 	s.must(48*3600*sec, Command{})
 	is.True(s.Find("old") == nil) // more than a day has passed
-	is.True(s.Marks() < pageSize)
+	is.True(s.Tombstones() < tombstonesPerPage)
 }
 
 // whole is the state as one list of parts, put together at once.
@@ -137,7 +137,7 @@
 				}
 			}
 			for _, j := range s.Live() {
-				kept, afresh := *s.Heat(j, at), *j.heat(s.row("q"), at, s.Off)
+				kept, afresh := *s.ReadyIndex(j, at), *j.heat(s.row("q"), at, s.Off)
 				kept.until, afresh.until = 0, 0
 				is.Equal(fmt.Sprint(kept), fmt.Sprint(afresh))
 			}
@@ -176,8 +176,8 @@
 	once := time.Since(at)
 	got, err := Restore(bytes.Split(b, []byte("\n")))
 	is.NoErr(err)
-	is.Equal(got.Marks(), s.Marks())
-	is.Equal(got.Marks()+len(got.Jobs), *count)
+	is.Equal(got.Tombstones(), s.Tombstones())
+	is.Equal(got.Tombstones()+len(got.Jobs), *count)
 	sort.Slice(steps, func(i, k int) bool { return steps[i] < steps[k] })
 	t.Logf("%d ids of a day: %d MB of memory, %d MB of snapshot; %d steps, the first %s, median %s, longest %s; all at once %s; read back %s",
 		*count, (to.HeapAlloc-from.HeapAlloc)>>20, size>>20, len(steps), first, steps[len(steps)/2], steps[len(steps)-1], once, time.Since(at)-once)
--- a/internal/state/ready.go
+++ b/internal/state/ready.go
@@ -1,6 +1,7 @@
+package state
+
 // What of a job may start: worked out once and kept until the job changes, so
 // that a round costs as much as changed, not all that waits.
-package state
 
 import (
 	"slices"
@@ -31,8 +32,8 @@
 
 const far = types.Tick(1 << 62)
 
-// ReadyIndex gives a job's as of now.
-func (s *State) Heat(j *Job, now types.Tick) *ReadyIndex {
+// ReadyIndex is what of a job may start, as of now.
+func (s *State) ReadyIndex(j *Job, now types.Tick) *ReadyIndex {
 	if j.hot == nil || now >= j.hot.until || s.Off != j.off || s.Table.Version != j.row {
 		j.hot, j.off, j.row = j.heat(s.row(j.Queue), now, s.Off), s.Off, s.Table.Version
 	}
--- a/internal/state/rules.go
+++ b/internal/state/rules.go
@@ -1,6 +1,7 @@
+package state
+
 // What may be taken: the rules for tables, jobs and cancels, each told without
 // changing anything, and the budget that all queues share.
-package state
 
 import (
 	"fmt"
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -1,8 +1,9 @@
+package state
+
 // The snapshot, put together a little a step. Every job is written as it was
 // when the snapshot began: one that is about to change before its turn is
 // written first. So no step ever writes out everything, no second copy of the
 // state is held, and all runs in one goroutine, in the simulator too.
-package state
 
 import (
 	"encoding/json"
@@ -31,7 +32,6 @@
 	jobs  []*Job
 	parts [][]byte
 	buf   []byte
-	pages []*page
 }
 
 // part is how much one part of a snapshot holds at most, but for one job.
@@ -50,8 +50,8 @@
 	s.shots++
 	x := &shot{no: s.shots, jobs: append(append(make([]*Job, 0, len(s.Jobs)), s.done...), s.Live()...)}
 	x.parts = append(x.parts, pack(map[string]head{"head": s.head}))
-	for _, p := range s.marks.pages {
-		x.parts = append(x.parts, s.marks.encode(p))
+	for _, p := range s.tombstones.pages {
+		x.parts = append(x.parts, s.tombstones.encode(p))
 	}
 	s.shot = x
 }
@@ -139,9 +139,9 @@
 // restore takes over one part.
 func (s *State) restore(b []byte) error {
 	var p struct {
-		Head  *head  `json:"head"`
-		Jobs  []*Job `json:"jobs"`
-		Marks []line `json:"marks"`
+		Head  *head          `json:"head"`
+		Jobs  []*Job         `json:"jobs"`
+		Marks []tombstoneRow `json:"marks"`
 	}
 	p.Head = &s.head
 	if err := json.Unmarshal(b, &p); err != nil {
@@ -151,7 +151,7 @@
 		s.Jobs[j.ID] = j
 	}
 	for _, l := range p.Marks {
-		s.marks.put(l.id, l.trace)
+		s.tombstones.put(l.id, l.tombstone)
 	}
 	return nil
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,6 +1,7 @@
+package state
+
 // The state that the log makes. Apply is the only way to change it; it looks
 // at nothing but the fact and the state, so every controller comes to the same.
-package state
 
 import (
 	"maps"
@@ -29,6 +30,7 @@
 	Gone     types.Shard   `json:"gone,omitempty"`
 }
 
+// Submit is a job handed in under an id.
 type Submit struct {
 	ID   types.JobID `json:"id"`
 	Spec Spec        `json:"spec"`
@@ -69,14 +71,14 @@
 // State is all of it: the head, the jobs and the marks of ended ones.
 type State struct {
 	head
-	Jobs  map[types.JobID]*Job
-	marks marks
-	live  map[types.JobID]*Job // not over
-	order []*Job               // the same, oldest first, some over
-	held  map[types.Queue]held // what live jobs hold, a queue
-	done  []*Job               // over, oldest first
-	shot  *shot
-	shots uint64
+	Jobs       map[types.JobID]*Job
+	tombstones tombstones
+	live       map[types.JobID]*Job // not over
+	order      []*Job               // the same, oldest first, some over
+	held       map[types.Queue]held // what live jobs hold, a queue
+	done       []*Job               // over, oldest first
+	shot       *shot
+	shots      uint64
 }
 
 // Counts are a queue's sums since its first job.
@@ -90,8 +92,9 @@
 	Moved     uint64 `json:"legs_taken_back"`
 }
 
+// New is the state before the first command.
 func New() *State {
-	s := &State{head: head{Shapes: map[types.Shard]WorkerShape{}, Count: map[types.Queue]*Counts{}}, Jobs: map[types.JobID]*Job{}, marks: newMarks()}
+	s := &State{head: head{Shapes: map[types.Shard]WorkerShape{}, Count: map[types.Queue]*Counts{}}, Jobs: map[types.JobID]*Job{}, tombstones: newTombstones()}
 	s.index()
 	return s
 }
@@ -342,10 +345,10 @@
 func (s *State) forget() {
 	for len(s.done) > 0 && (len(s.done) > KeepMost || s.Tick.Sub(s.done[0].End) > Keep) {
 		delete(s.Jobs, s.done[0].ID)
-		s.marks.add(s.done[0])
+		s.tombstones.add(s.done[0])
 		s.done = s.done[1:]
 	}
-	s.marks.forget(s.Tick)
+	s.tombstones.forget(s.Tick)
 	if len(s.order) > 2*len(s.live)+1024 {
 		s.Live()
 	}
--- a/internal/state/task.go
+++ b/internal/state/task.go
@@ -1,6 +1,7 @@
+package state
+
 // One task of a job: how its attempts ended, what is known of it, and whether it may
 // have another.
-package state
 
 import (
 	"slices"
@@ -10,9 +11,10 @@
 	"coppercourse/internal/types"
 )
 
-// Fate is how an attempt ended.
+// Outcome is how an attempt ended.
 type Outcome string
 
+// Outcomes of attempts.
 const (
 	OK     Outcome = "ok"
 	Bad    Outcome = "failed"
@@ -28,12 +30,12 @@
 // doubtful outcomes are not the last word: the attempt may have ended well unseen.
 func (f Outcome) doubtful() bool { return f == Lost || f == Cut }
 
-// Command is true for what a worker did, whoever tells it.
-func (f Outcome) Fact() bool { return f == OK || f == Bad }
+// IsFact is true for what a worker did, whoever tells it.
+func (f Outcome) IsFact() bool { return f == OK || f == Bad }
 
 // Over is true where somebody beside the worker knows that the attempt takes no room
 // there any more.
-func (f Outcome) Over() bool { return f.Fact() || f == Halted || f == Unrun }
+func (f Outcome) Over() bool { return f.IsFact() || f == Halted || f == Unrun }
 
 // Out is the attempt given out and not ended.
 type Out struct {
--- a/internal/state/tombstones.go
+++ b/internal/state/tombstones.go
@@ -1,9 +1,10 @@
-// Marks of ended jobs: when a job's full record is let go, a small mark of it
-// stays for a day, so that an id sent again is answered and not run again. They
-// are kept by time; where there are as many as may be, new jobs are refused
-// rather than old ones forgotten. Pages are sealed and written out once.
 package state
 
+// Tombstones of ended jobs: when a job's full record is dropped, a small one stays
+// for a day, so that an id sent again is answered and not run again. They are kept by
+// time; at the limit new jobs are refused rather than old ones forgotten. A full
+// page is encoded once.
+
 import (
 	"encoding/json"
 	"fmt"
@@ -14,14 +15,15 @@
 	"coppercourse/internal/types"
 )
 
-// Bounds on marks: a day of the busier town is about 720,000.
+// Bounds on tombstones: a day of the busier deployment has about 720,000.
 const (
-	MarkAge  = 24 * time.Hour
-	MarkMost = 1_200_000
-	pageSize = 4096
+	TombstoneAge      = 24 * time.Hour
+	TombstoneLimit    = 1_200_000
+	tombstonesPerPage = 4096
 )
 
-type trace struct {
+// tombstone is what stays of a job.
+type tombstone struct {
 	hash  uint64
 	end   types.Tick
 	stage byte
@@ -29,23 +31,27 @@
 
 var stages = []Stage{Done, Failed, Stopped}
 
-type page struct {
+// tombstonePage is a run of tombstones in the order of their jobs' ends.
+type tombstonePage struct {
 	ids  []types.JobID
 	last types.Tick
 	enc  []byte // once it is full
 }
 
-type marks struct {
-	at    map[types.JobID]trace
-	pages []*page
-	most  int
+// tombstones are all of them.
+type tombstones struct {
+	byID  map[types.JobID]tombstone
+	pages []*tombstonePage
+	limit int
 }
 
-func newMarks() marks { return marks{at: map[types.JobID]trace{}, most: MarkMost} }
+func newTombstones() tombstones {
+	return tombstones{byID: map[types.JobID]tombstone{}, limit: TombstoneLimit}
+}
 
-func (m *marks) add(j *Job) {
+func (m *tombstones) add(j *Job) {
 	hash, _ := strconv.ParseUint(j.Hash, 16, 64)
-	t := trace{hash: hash, end: j.End}
+	t := tombstone{hash: hash, end: j.End}
 	for i, s := range stages {
 		if s == j.State {
 			t.stage = byte(i)
@@ -54,30 +60,30 @@
 	m.put(j.ID, t)
 }
 
-func (m *marks) put(id types.JobID, t trace) {
-	if len(m.pages) == 0 || len(m.pages[len(m.pages)-1].ids) >= pageSize {
-		m.pages = append(m.pages, &page{ids: make([]types.JobID, 0, pageSize)})
+func (m *tombstones) put(id types.JobID, t tombstone) {
+	if len(m.pages) == 0 || len(m.pages[len(m.pages)-1].ids) >= tombstonesPerPage {
+		m.pages = append(m.pages, &tombstonePage{ids: make([]types.JobID, 0, tombstonesPerPage)})
 	}
 	p := m.pages[len(m.pages)-1]
-	m.at[id] = t
+	m.byID[id] = t
 	p.ids, p.last = append(p.ids, id), max(p.last, t.end)
-	if len(p.ids) == pageSize {
+	if len(p.ids) == tombstonesPerPage {
 		p.enc = m.encode(p)
 	}
 }
 
-// forget lets go of pages whose newest mark is old enough.
-func (m *marks) forget(now types.Tick) {
-	for len(m.pages) > 0 && len(m.pages[0].ids) == pageSize && now.Sub(m.pages[0].last) > MarkAge {
+// forget drops the pages whose newest tombstone is old enough.
+func (m *tombstones) forget(now types.Tick) {
+	for len(m.pages) > 0 && len(m.pages[0].ids) == tombstonesPerPage && now.Sub(m.pages[0].last) > TombstoneAge {
 		for _, id := range m.pages[0].ids {
-			delete(m.at, id)
+			delete(m.byID, id)
 		}
 		m.pages = m.pages[1:]
 	}
 }
 
 // encode writes a page as {"marks":[[id,hash,stage,end],...]}.
-func (m *marks) encode(p *page) []byte {
+func (m *tombstones) encode(p *tombstonePage) []byte {
 	if p.enc != nil {
 		return p.enc
 	}
@@ -86,7 +92,7 @@
 		if i > 0 {
 			b = append(b, ',')
 		}
-		t := m.at[id]
+		t := m.byID[id]
 		b = append(b, `["`...)
 		b = append(b, id...)
 		b = append(b, `","`...)
@@ -100,13 +106,14 @@
 	return append(b, `]}`...)
 }
 
-// line reads one mark as it was written.
-type line struct {
+// line is one tombstone as it is written.
+type tombstoneRow struct {
 	id types.JobID
-	trace
+	tombstone
 }
 
-func (l *line) UnmarshalJSON(b []byte) error {
+// UnmarshalJSON reads [id, hash, stage, end].
+func (l *tombstoneRow) UnmarshalJSON(b []byte) error {
 	hash := ""
 	if err := json.Unmarshal(b, &[]any{&l.id, &hash, &l.stage, &l.end}); err != nil {
 		return err
@@ -116,15 +123,15 @@
 	return err
 }
 
-// Marks tells how many there are.
-func (s *State) Marks() int { return len(s.marks.at) }
+// Tombstones tells how many there are.
+func (s *State) Tombstones() int { return len(s.tombstones.byID) }
 
-// Find gives a job by its id: whole, or what its mark still says, or nil.
+// Find gives a job by its id: whole, or what its tombstone still says, or nil.
 func (s *State) Find(id types.JobID) *Job {
 	if j := s.Jobs[id]; j != nil {
 		return j
 	}
-	if t, ok := s.marks.at[id]; ok {
+	if t, ok := s.tombstones.byID[id]; ok {
 		return &Job{ID: id, Hash: fmt.Sprintf("%016x", t.hash), State: stages[t.stage], End: t.end}
 	}
 	return nil
@@ -132,13 +139,13 @@
 
 // full tells whether no more ids may be remembered.
 func (s *State) full() *apierror.Error {
-	n := len(s.marks.at) + len(s.Jobs)
-	if n < s.marks.most {
+	n := len(s.tombstones.byID) + len(s.Jobs)
+	if n < s.tombstones.limit {
 		return nil
 	}
 	wait := time.Minute
-	if len(s.marks.pages) > 0 {
-		wait = max(wait, s.marks.pages[0].last.Add(MarkAge).Sub(s.Tick))
+	if len(s.tombstones.pages) > 0 {
+		wait = max(wait, s.tombstones.pages[0].last.Add(TombstoneAge).Sub(s.Tick))
 	}
 	return apierror.New(apierror.Kept, "", fmt.Sprintf("%d ids of the last day are remembered, as many as may be", n)).After(wait)
 }
--- a/internal/state/window.go
+++ b/internal/state/window.go
@@ -1,8 +1,9 @@
+package state
+
 // Windows: when a worker takes nothing that would last beyond, and until when.
 // Drains and maintenance plans come to the same notion here; a worker that says
 // it is leaving is the third kind, known to the dispatcher alone. Also attempts that
 // are taken back, for whichever reason.
-package state
 
 import (
 	"slices"
@@ -21,6 +22,7 @@
 // Why an attempt is taken back.
 type Why string
 
+// Reasons for which an attempt is taken back.
 const (
 	Leaves    Why = "its worker leaves"
 	Drained   Why = "its worker is drained"
