--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -143,6 +143,7 @@
 	case e.Close:
 		h.close()
 	default:
+		h.refuseExpired(e.Expired)
 		h.tick()
 	}
 	h.applyCommitted()
@@ -156,7 +157,7 @@
 	out.Sends = append(append(out.Sends, h.sends...), h.roster.Out()...)
 	out.Answers = h.answers
 	h.sends, h.answers = nil, nil
-	out.Idle = h.drain && (!h.raft.IsLeader() || h.now.Mono >= h.late) && len(h.waiters) == 0
+	out.Idle = h.drain && (h.raft.MayStop() || h.now.Mono >= h.late) && len(h.waiters) == 0
 	return out
 }
 
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -144,7 +144,7 @@
 	if !n.acceptLeader(from, p) {
 		return
 	}
-	a := appendReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term, Round: p.Round, Wall: n.now.Wall, LagMS: n.lag.Milliseconds()}
+	a := appendReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term, Round: p.Round, Wall: n.now.Wall, LagMS: n.lag.Milliseconds(), Leaving: n.stopping}
 	t, ok := n.termAt(p.PrevIndex)
 	if p.PrevIndex < n.snapshot.Index {
 		skip := min(int(n.snapshot.Index-p.PrevIndex), len(p.Entries))
@@ -187,7 +187,7 @@
 // acceptLeader is the part common to entries and snapshots: false unless the message is
 // for this node and from the leader of the current term.
 func (n *Node) acceptLeader(from types.Addr, p appendEntries) bool {
-	if p.To != n.self.ID || n.role == removed || n.name != "" && p.Name != n.name {
+	if p.To != n.self.ID || n.name != "" && p.Name != n.name {
 		return false
 	}
 	if n.name == "" {
@@ -204,6 +204,9 @@
 	if p.Term > n.voteRecord.Term {
 		n.becomeFollower(p.Term)
 	}
+	if n.role == removed {
+		n.role, n.reason = learner, "" // let in again
+	}
 	n.assignRole()
 	n.leaderID, n.leaderAddr, n.leaderHeardAt = p.ID, from, n.now.Mono
 	n.followClock(p.Term, p.Tick)
@@ -215,7 +218,7 @@
 	if !n.acceptLeader(from, s.appendEntries) {
 		return
 	}
-	a := appendReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term, OK: true, Match: s.Snap.Index, Round: s.Round, Wall: n.now.Wall}
+	a := appendReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term, OK: true, Match: s.Snap.Index, Round: s.Round, Wall: n.now.Wall, Leaving: n.stopping}
 	if s.Snap.Index > n.commitIndex {
 		if x := &n.incoming; x.Index != s.Snap.Index || x.Term != s.Snap.Term {
 			*x = s.Snap
@@ -254,7 +257,7 @@
 	if a.Round > t.round {
 		t.round, t.wallOffset = a.Round, a.Wall-types.Wall(n.Clock())
 	}
-	t.heardAt, t.lag = n.now.Mono, time.Duration(a.LagMS)*time.Millisecond
+	t.heardAt, t.lag, t.leaving = n.now.Mono, time.Duration(a.LagMS)*time.Millisecond, a.Leaving
 	if a.Parts > 0 {
 		if a.Parts != t.part { // else it is of a part that was sent twice
 			t.flow.answered(n.now.Mono.Sub(t.sentAt), n.timeouts.ElectionMin)
--- a/sim/linear_test.go
+++ b/sim/linear_test.go
@@ -30,7 +30,7 @@
 
 // recorded plays clients through faults, each one's time drawn, and gives what
 // they saw.
-func recorded(seed int64, plant func(*Run), faults ...string) *recorder {
+func recorded(seed int64, plant func(*Run), faults ...string) *operationRecorder {
 	r := Build(Plan{Seed: seed, Deployment: "kingston"})
 	if plant != nil {
 		plant(r)
@@ -46,7 +46,7 @@
 	return c
 }
 
-func (c *recorder) check() (tablesOK, jobsOK porcupine.CheckResult) {
+func (c *operationRecorder) check() (tablesOK, jobsOK porcupine.CheckResult) {
 	model, all := tables.ToModel(), jobs.ToModel()
 	return porcupine.CheckOperationsTimeout(model, c.history(), checkTime), porcupine.CheckOperationsTimeout(all, c.jobs, checkTime)
 }
