--- a/sim/processor_test.go
+++ b/sim/processor_test.go
@@ -119,7 +119,7 @@
 				t.Logf("%+v; taken in 4 s before %d, during %d a 4 s, after %d", l, before, r.accepted(slowFrom, slowFrom+slowFor)/2, after)
 				is.True(l.longest[wire.Consensus] <= mostConsensusWait)
 				is.True(l.longest[wire.Callers] <= mostRequestWait)
-				is.True(l.held <= gateway.Limit+200*time.Millisecond*time.Duration(times)/2) // a request given up on is answered at a tick
+				is.True(l.held <= gateway.CallTimeout+200*time.Millisecond*time.Duration(times)/2) // a request given up on is answered at a tick
 				is.True(after >= before*8/10)                                                // and the service comes back
 			})
 		}
@@ -200,6 +200,6 @@
 func TestTheBoundsOfSlowDaysFitThePace(t *testing.T) {
 	is := is.New(t)
 	is.True(mostConsensusWait <= settings.Quick.Core().ElectionMin/2)
-	is.True(workqueue.CallPatience < gateway.Attempt)
-	is.True(mostRequestWait < gateway.Limit)
+	is.True(workqueue.CallPatience < gateway.AttemptTimeout)
+	is.True(mostRequestWait < gateway.CallTimeout)
 }
