--- a/sim/processor_test.go
+++ b/sim/processor_test.go
@@ -120,7 +120,7 @@
 				is.True(l.longest[wire.Consensus] <= mostConsensusWait)
 				is.True(l.longest[wire.Callers] <= mostRequestWait)
 				is.True(l.held <= gateway.CallTimeout+200*time.Millisecond*time.Duration(times)/2) // a request given up on is answered at a tick
-				is.True(after >= before*8/10)                                                // and the service comes back
+				is.True(after >= before*8/10)                                                      // and the service comes back
 			})
 		}
 	}
