--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -13,14 +13,16 @@
 )
 
 const (
-	// placeEvery is how often work is placed at least while other events wait.
+	// placeLag is how far the loop may be behind for work to be placed at any step.
+	placeLag = 25 * time.Millisecond
+	// placeEvery is how often work is placed at least while the loop is further behind.
 	placeEvery = 100 * time.Millisecond
-	// placeShare is how many times as long as a round of placing took the loop goes
-	// on with other events before the next, up to placeLongest.
+	// placeShare is how many times as long as a round of placing took, with it, is
+	// between its start and that of the next then, up to placeLongest.
 	placeShare   = 4
 	placeLongest = 500 * time.Millisecond
 	// entryLag is how far the loop may be behind before new work is turned away.
-	entryLag = 300 * time.Millisecond
+	entryLag = 400 * time.Millisecond
 	// staleCall is how old a request may be before it is turned away: the gateway
 	// that sent it asks elsewhere by then.
 	staleCall = 700 * time.Millisecond
@@ -49,7 +51,7 @@
 
 // mayPlace tells whether work may be placed in this step.
 func (o *overload) mayPlace(now types.Stamp) bool {
-	return !o.load.Waiting || now.Sub(o.placed) >= min(placeLongest, max(placeEvery, placeShare*o.cost))
+	return o.lag() <= placeLag || now.Sub(o.placed) >= min(placeLongest, max(placeEvery, placeShare*o.cost))
 }
 
 func (o *overload) place(now types.Stamp) { o.placing, o.placed = true, now }
