--- a/internal/server/owner.go
+++ b/internal/server/owner.go
@@ -116,8 +116,8 @@
 // Run is the owner goroutine: a tick when one is due, else the most urgent event.
 func (o *Owner) Run(ctx context.Context) error {
 	defer close(o.closed)
-	timer := time.NewTimer(0)
-	defer timer.Stop()
+	ticker := time.NewTicker(workqueue.TickEvery)
+	defer ticker.Stop()
 	o.tick()
 	for ctx.Err() == nil {
 		if o.ticks.Due(Steady(), o.inbox.len()) {
@@ -129,11 +129,10 @@
 			o.take(e)
 			continue
 		}
-		timer.Reset(o.ticks.Next().Sub(Steady()))
 		select {
 		case <-ctx.Done():
 		case <-o.inbox.wake:
-		case <-timer.C:
+		case <-ticker.C:
 		}
 	}
 	return nil
--- a/internal/workqueue/ticks.go
+++ b/internal/workqueue/ticks.go
@@ -10,6 +10,7 @@
 // that dear ticks leave room for what came in, but never for long.
 const (
 	TickEvery     = 20 * time.Millisecond
+	tickEarly     = 2 * time.Millisecond // a loop's ticker and its steps are not in phase
 	eventsATick   = 16
 	longestToTick = 100 * time.Millisecond
 )
@@ -23,7 +24,7 @@
 // Due tells whether the next step must be a tick; waiting is how many events wait.
 func (t *Ticks) Due(now types.Stamp, waiting int) bool {
 	since := now.Sub(t.last)
-	return since >= TickEvery && (waiting == 0 || t.events >= eventsATick || t.events > 0 && since >= longestToTick)
+	return since >= TickEvery-tickEarly && (waiting == 0 || t.events >= eventsATick || t.events > 0 && since >= longestToTick)
 }
 
 // Ticked notes a tick.
@@ -31,6 +32,3 @@
 
 // Took notes an event.
 func (t *Ticks) Took() { t.events++ }
-
-// Next is when a tick will be due at the latest, if nothing else comes.
-func (t *Ticks) Next() types.Stamp { return t.last.Add(TickEvery) }
