--- a/sim/clients.go
+++ b/sim/clients.go
@@ -31,6 +31,7 @@
 	Races      bool
 	Count      map[apierror.Kind]int
 	Rude       float64 // part of the callers that do not heed when to come back
+	Burst      int     // how many times as much is sent; 0 is once
 	Tries      int     // how often a job is sent, at most
 	cancels    map[types.JobID]time.Duration
 }
@@ -50,7 +51,7 @@
 
 // flow sends jobs of one shape until the clients is closed.
 func (c *Clients) flow(f Flow) {
-	gap := time.Duration((0.5 + c.w.random.Float64()) * float64(f.Every))
+	gap := time.Duration((0.5+c.w.random.Float64())*float64(f.Every)) / time.Duration(max(1, c.Burst))
 	c.w.at(gap, func() {
 		if !c.open {
 			return
@@ -70,7 +71,7 @@
 
 // stream sends jobs to the invoked workers' deployment until the clients is closed.
 func (c *Clients) stream(f Stream) {
-	gap := time.Duration((0.5 + c.w.random.Float64()) * float64(f.Every))
+	gap := time.Duration((0.5+c.w.random.Float64())*float64(f.Every)) / time.Duration(max(1, c.Burst))
 	c.w.at(gap, func() {
 		if !c.open {
 			return
@@ -256,11 +257,7 @@
 		}
 		c.read(func(t config.Table) {
 			for i := range 2 {
-				n := config.Table{Version: t.Version, Rows: append([]config.Row(nil), t.Rows...)}
-				n.Rows[0].Weight = 1 + c.w.random.Intn(900)
-				n.Rows[1].Running = 12 + c.w.random.Intn(30)
-				n.Rows[2].Tries = 1 + c.w.random.Intn(4)
-				c.put(n, c.gateways[(i+c.w.random.Intn(2))%len(c.gateways)], 0, func(bool) {})
+				c.put(c.altered(t), c.gateways[(i+c.w.random.Intn(2))%len(c.gateways)], 0, func(bool) {})
 			}
 		})
 		c.races()
--- /dev/null
+++ b/sim/control_faults_test.go
@@ -0,0 +1,122 @@
+// Each fault of control does what its name says: what it strikes is seen to be struck,
+// and is whole again when it has ended.
+package sim
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/types"
+)
+
+// struck tells, by the kind of a fault, that it has struck by now.
+var struck = map[string]func(r *Run) bool{
+	"cut":  func(r *Run) bool { return len(r.cut) > 0 },
+	"down": func(r *Run) bool { return slices.ContainsFunc(r.everyone(), func(n *node) bool { return n.m == nil }) },
+	"all": func(r *Run) bool {
+		return !slices.ContainsFunc(r.controllers, func(n *node) bool { return n.m != nil })
+	},
+	"frozen": func(r *Run) bool { return slices.ContainsFunc(r.everyone(), func(n *node) bool { return n.frozen }) },
+	"wiped": func(r *Run) bool {
+		return slices.ContainsFunc(r.controllers, func(n *node) bool { return n.disk.wiped })
+	},
+	"full": func(r *Run) bool {
+		return slices.ContainsFunc(r.controllers, func(n *node) bool { return n.disk.full && len(n.disk.queue) > 0 })
+	},
+	"clock":  func(r *Run) bool { return slices.ContainsFunc(r.everyone(), func(n *node) bool { return n.wall != 0 }) },
+	"resets": func(r *Run) bool { return len(r.resets) > 0 },
+	"acks":   func(r *Run) bool { return r.lostAcks > 0 },
+	"burst":  func(r *Run) bool { return r.Clients.Burst > 1 },
+	"seeds":  func(r *Run) bool { return !slices.Equal(r.seeds, []types.Addr{"h1", "g1", "w1"}) },
+	"left":   left,
+	"new": func(r *Run) bool {
+		return slices.ContainsFunc(r.controllers, func(n *node) bool { return len(n.addr) > 2 })
+	},
+}
+
+// left tells whether a controller that another has replaced is gone.
+func left(r *Run) bool {
+	return slices.ContainsFunc(r.order, func(a types.Addr) bool {
+		n := r.nodes[a]
+		return n.role == "controller" && n.m == nil && !slices.Contains(r.controllers, n)
+	})
+}
+
+var strikes = map[string][]string{
+	"cut-core-near": {"cut"}, "cut-core-oldest": {"cut"}, "cut-core-seeds": {"cut", "seeds", "down"}, "cut-core-both": {"cut", "down"},
+	"cut-core-meet": {"cut"}, "cut-core-race": {"cut"}, "cut-leader-race": {"cut"}, "cut-core-out-meet": {"cut"},
+	"freeze-leader-race": {"frozen"}, "kill-leader-meet": {"down"}, "cut-from-core": {"cut"}, "cut-from-core-in": {"cut"}, "cut-from-core-out": {"cut"},
+	"turn-seeds": {"seeds", "down"}, "kill-after-ack": {"down"}, "kill-after-send": {"down"}, "kill-after-accept": {"down"},
+	"wipe-after-ack": {"wiped"}, "wipe-after-send": {"wiped"}, "wipe-oldest": {"wiped"}, "power-after-accept": {"all"}, "power-after-ack": {"all"},
+	"kill-herd": {"down"}, "roll-controllers": {"down"}, "roll-gateways": {"down"}, "replace-planned": {"new", "left"},
+	"fill-disk": {"full"}, "fill-leader-disk": {"full"}, "jump-clocks": {"clock"}, "reset-connections": {"resets"}, "lose-acks": {"acks"}, "burst": {"burst"},
+}
+
+func TestControlFaultsStrike(t *testing.T) {
+	if testing.Short() {
+		t.Skip("run without the race detector")
+	}
+	for name := range ControlFaults {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			is := is.New(t)
+			want := strikes[name]
+			is.True(len(want) > 0) // each fault must say what it strikes
+			got := map[string]bool{}
+			for seed := int64(1800); seed < 1804 && len(got) < len(want); seed++ {
+				r := Build(Plan{Seed: seed, Deployment: "kingston-called", Quick: true, Patience: 5 * time.Second})
+				r.at(3*time.Second, func() { r.Clients.put(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
+				r.at(5*time.Second, func() {
+					r.traffic()
+					r.Clients.versions()
+				})
+				r.at(6*time.Second, func() { r.inject(name, 6*time.Second) })
+				r.Run(6 * time.Second)
+				for at := 6 * time.Second; at < 14*time.Second && len(got) < len(want); at += 20 * time.Millisecond {
+					r.Run(at)
+					for _, kind := range want {
+						if struck[kind](r) {
+							got[kind] = true
+						}
+					}
+				}
+			}
+			is.Equal(len(got), len(want)) // what the fault strikes must be seen
+		})
+	}
+}
+
+// A change whose acknowledgements get lost is sent again, to other gateways, and is
+// acknowledged in the end; nobody is told that it was refused.
+func TestLostAcknowledgementsRefuseNobody(t *testing.T) {
+	is := is.New(t)
+	lost, taken := 0, 0
+	for seed := int64(1820); seed < 1824; seed++ {
+		r := Build(Plan{Seed: seed, Deployment: "kingston-called", Quick: true, Patience: 5 * time.Second})
+		r.at(3*time.Second, func() { r.Clients.put(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
+		r.at(5*time.Second, func() {
+			r.inject("lose-acks", 20*time.Second)
+			r.Clients.changeNow(1)
+		})
+		r.Run(40 * time.Second)
+		sent := map[types.Version]int64{}
+		for _, h := range r.Hist.List {
+			switch h.What {
+			case TableTry:
+				sent[h.Table.Next().Version] = h.At
+			case TableAck:
+				taken++
+				if h.At-sent[h.Table.Version] > int64(lostAfter) {
+					lost++
+				}
+			case TableNo:
+				t.Error(seed, h.Text)
+			}
+		}
+	}
+	is.Equal(taken, 8)
+	is.True(lost > 0) // some acknowledgement must have been lost
+}
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -4,6 +4,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"time"
 
 	"coppercourse/internal/config"
@@ -310,20 +311,31 @@
 	}
 }
 
-// lose wipes a controller's disk; it comes back empty, at once, maybe elsewhere. Only
-// one disk may be lost at a time: the others must be whole voters.
-func (r *Run) lose(swap bool) func() {
+// allVote tells whether all controllers vote, so that one disk may be lost: the others
+// must be whole voters.
+func (r *Run) allVote() bool {
 	for _, h := range r.controllers {
 		if h.m == nil || h.frozen {
-			return nil
+			return false
 		}
 		if s := h.m.(*controller.Controller).Status(); s.Part != "leader" && s.Part != "follower" || len(s.Roll) != len(r.controllers) {
-			return nil
+			return false
 		}
 	}
+	return true
+}
+
+// lose wipes the disk of any controller.
+func (r *Run) lose(swap bool) func() {
+	if !r.allVote() {
+		return nil
+	}
 	r.spare++
-	i := r.random.Intn(len(r.controllers))
-	n := r.controllers[i]
+	return r.loseDiskOf(pickOne(r.random, r.controllers), swap)
+}
+
+// loseDiskOf wipes a controller's disk; it comes back empty, at once, maybe elsewhere.
+func (r *Run) loseDiskOf(n *node, swap bool) func() {
 	n.kill()
 	n.disk.wipe()
 	if !swap {
@@ -334,10 +346,15 @@
 		}
 	}
 	n.closes, n.make = true, nil
-	fresh := r.World.controller(types.Addr(string(n.addr)+"x"), n.zone)
-	r.controllers[i] = fresh
+	return r.successor(n, "x").boot
+}
+
+// successor is a new machine in place of a controller's, at another address.
+func (r *Run) successor(n *node, suffix types.Addr) *node {
+	fresh := r.World.controller(n.addr+suffix, n.zone)
+	r.controllers[slices.Index(r.controllers, n)] = fresh
 	r.zones[n.zone] = append(r.zones[n.zone], fresh.addr)
-	return fresh.boot
+	return fresh
 }
 
 // Close warns a node, as the platform does before it kills it.
--- a/sim/invoked_faults.go
+++ b/sim/invoked_faults.go
@@ -180,8 +180,11 @@
 			list = append(list, n)
 		}
 	}
+	for n := range ControlFaults {
+		list = append(list, n)
+	}
 	for n := range InvokedFaults {
-		if called && Faults[n] == nil {
+		if called && Faults[n] == nil && ControlFaults[n] == nil {
 			list = append(list, n)
 		}
 	}
--- a/sim/net.go
+++ b/sim/net.go
@@ -62,8 +62,9 @@
 		if w.random.Float64() < w.network.Late {
 			d += time.Duration(w.random.Int63n(int64(900 * time.Millisecond)))
 		}
+		sent := w.now
 		w.at(d, func() {
-			if !w.cut[pair{from, to}] {
+			if !w.cut[pair{from, to}] && !w.reset(from, to, sent) {
 				run()
 			}
 		})
@@ -96,6 +97,7 @@
 	synced     []byte
 	unsynced   []byte
 	slow       time.Duration
+	full       bool  // it takes no more bytes
 	stall      int64 // until this time nothing is synced
 	busy       bool
 	queue      []write
@@ -126,6 +128,10 @@
 		return
 	}
 	d.busy = true
+	if d.full {
+		d.retry()
+		return
+	}
 	group := d.queue
 	for i, x := range group {
 		if x.whole && i > 0 {
@@ -182,6 +188,19 @@
 	})
 }
 
+// refusedAgain is how long a daemon waits after a refused write before it tries again.
+const refusedAgain = 100 * time.Millisecond
+
+// retry tries what waits again later, as a daemon does whose disk refused a write.
+func (d *disk) retry() {
+	gen := d.generation
+	d.w.at(refusedAgain, func() {
+		if gen == d.generation {
+			d.next()
+		}
+	})
+}
+
 // seal has a last small record witness what was synced, once the disk rests.
 func (d *disk) seal() {
 	gen := d.generation
--- a/sim/operator.go
+++ b/sim/operator.go
@@ -88,3 +88,30 @@
 		c.w.record(h)
 	}, func() {})
 }
+
+// changeNow puts changes on the version in force, each at another gateway.
+func (c *Clients) changeNow(changes int) {
+	if !c.open {
+		return
+	}
+	c.read(func(t config.Table) {
+		if len(t.Rows) < 3 {
+			return
+		}
+		for i := range changes {
+			c.put(c.altered(t), c.gateways[(i+c.w.random.Intn(2))%len(c.gateways)], 0, func(bool) {})
+		}
+	})
+}
+
+// altered is a change of a table as this deployment's operators make it.
+func (c *Clients) altered(t config.Table) config.Table {
+	if c.deployment.WorkerRules != nil {
+		return c.change(t)
+	}
+	n := config.Table{Version: t.Version, Rows: slices.Clone(t.Rows)}
+	n.Rows[0].Weight = 1 + c.w.random.Intn(900)
+	n.Rows[1].Running = 12 + c.w.random.Intn(30)
+	n.Rows[2].Tries = 1 + c.w.random.Intn(4)
+	return n
+}
--- a/sim/run.go
+++ b/sim/run.go
@@ -161,6 +161,8 @@
 // Heal ends all faults: everything that is down starts, all cuts go.
 func (r *Run) Heal() {
 	clear(r.cut)
+	clear(r.resets)
+	r.lostAcks, r.watchers, r.Clients.Burst = 0, nil, 0
 	r.network = NetworkQuality{Loss: 0.001, Twice: 0.001, Late: 0.001}
 	for _, a := range r.order {
 		n := r.nodes[a]
@@ -169,7 +171,7 @@
 		}
 		n.thaw()
 		if n.disk != nil {
-			n.disk.slow, n.disk.stall = 0, 0
+			n.disk.slow, n.disk.stall, n.disk.full = 0, 0, false
 		}
 		if n.m == nil {
 			n.boot()
@@ -209,6 +211,9 @@
 // inject begins a fault and ends it after a while.
 func (r *Run) inject(name string, long time.Duration) {
 	f := Faults[name]
+	if c := ControlFaults[name]; c != nil {
+		f = c
+	}
 	if c := InvokedFaults[name]; c != nil && r.environment != nil {
 		f = c
 	}
--- /dev/null
+++ b/sim/triggers.go
@@ -0,0 +1,55 @@
+// Faults that strike when something happens: an acknowledgement, an accepted job, an
+// order on its way; and what of the network they change.
+package sim
+
+import (
+	"slices"
+	"time"
+
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// watcher is shown what is recorded until it has had enough.
+type watcher func(HistoryEvent) (enough bool)
+
+func (w *World) notify(h HistoryEvent) {
+	if len(w.watchers) == 0 {
+		return
+	}
+	list := w.watchers
+	w.watchers = nil
+	list = slices.DeleteFunc(list, func(f watcher) bool { return f(h) })
+	w.watchers = append(list, w.watchers...)
+}
+
+// onNext runs something once, some time after the next event of a kind.
+func (w *World) onNext(what EventKind, least, most time.Duration, run func()) {
+	w.watchers = append(w.watchers, func(h HistoryEvent) bool {
+		if h.What != what {
+			return false
+		}
+		w.at(least+time.Duration(w.random.Int63n(int64(most-least))), run)
+		return true
+	})
+}
+
+// resetPart is the part of a daemon's connections that are reset at once.
+const resetPart = 0.5
+
+// reset tells whether a message was lost because connections were reset on its way.
+func (w *World) reset(from, to types.Addr, sent int64) bool {
+	if len(w.resets) == 0 {
+		return false
+	}
+	hit := func(a types.Addr) bool {
+		at, ok := w.resets[a]
+		return ok && at >= sent && at <= w.now
+	}
+	return (hit(from) || hit(to)) && w.random.Float64() < resetPart
+}
+
+// losesAck tells whether the acknowledgement of a change gets lost on its way.
+func (w *World) losesAck(verb string, a wire.Answer) bool {
+	return w.lostAcks > 0 && verb == "table.put" && a.Fault == nil && w.random.Float64() < w.lostAcks
+}
--- a/sim/world.go
+++ b/sim/world.go
@@ -83,14 +83,17 @@
 	TamperAnswerOf func(daemon types.Addr, verb string, a *wire.Answer) bool
 	// Delivered is told of each message that a daemon takes.
 	Delivered  func(to types.Addr, m wire.Message)
-	staleAfter time.Duration // how old a gateway's confirmation of the table may be; 0 is the default
+	watchers   []watcher            // of the history, for faults that strike when something happens
+	resets     map[types.Addr]int64 // when a daemon's connections were reset last
+	lostAcks   float64              // part of the acknowledgements to operators that are lost
+	staleAfter time.Duration        // how old a gateway's confirmation of the table may be; 0 is the default
 	// Calls to workers and their replies may be changed on their way, too.
 	TamperCall  func(c *wire.WorkerCall)
 	TamperReply func(c wire.WorkerCall, r *wire.WorkerReply)
 }
 
 func NewWorld(seed int64) *World {
-	return &World{random: rand.New(rand.NewSource(seed)), cut: map[pair]bool{}, lag: map[pair]time.Duration{}, nodes: map[types.Addr]*node{},
+	return &World{random: rand.New(rand.NewSource(seed)), cut: map[pair]bool{}, resets: map[types.Addr]int64{}, lag: map[pair]time.Duration{}, nodes: map[types.Addr]*node{},
 		invokedAt: map[types.Addr]*invokedNode{}, timeouts: dispatch.Defaults, raftTimeouts: raft.Defaults}
 }
 
@@ -110,6 +113,7 @@
 		w.environment.Sent(h.Job, h.Spec)
 	}
 	w.Hist.Add(h)
+	w.notify(h)
 }
 
 func (w *World) add(addr types.Addr, role string, zone types.Zone, make func(*node) wire.Machine) *node {
@@ -297,6 +301,9 @@
 				if w.TamperAnswerOf != nil && !w.TamperAnswerOf(to, verb, &a) {
 					return
 				}
+				if w.losesAck(verb, a) {
+					return
+				}
 				w.transmit(to, from, func() { back(a) })
 			}
 			n.step(wire.Event{Ask: &wire.Ask{Token: n.token, Verb: verb, Arg: arg, Body: body}})
