--- /dev/null
+++ b/internal/controller/catchup_test.go
@@ -0,0 +1,276 @@
+// Members that come back late: restarted, wiped, frozen, on slow disks and links,
+// behind one, hundreds and thousands of changes. All in virtual time.
+package controller
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// catchUp is how long a member may take after its return where the settings say least.
+const catchUp = 4 * time.Second
+
+// changes puts so many configurations into the log at once, with jobs between.
+func (c *cluster) changes(n, bytes int) {
+	c.t.Helper()
+	for left := n; left > 0; {
+		m := c.leader()
+		if m == nil {
+			c.run(tickTime)
+			continue
+		}
+		base := m.machine.state.Table.Version
+		for i := range min(left, 100) {
+			if _, ok := m.machine.fact(state.Command{Table: new(table(base+types.Version(i), bytes))}); ok {
+				left--
+			}
+			if i%50 == 0 {
+				c.job(int(base)+i, 300)
+			}
+		}
+		m.step(wire.Event{})
+		c.until(20*time.Second, "changes applied", func() bool {
+			return !m.serves() || m.machine.applied == m.machine.raft.Commit() && m.machine.raft.Commit() > 0 && m.machine.state.Table.Version >= base+1
+		})
+		c.run(20 * time.Millisecond)
+	}
+}
+
+// beside makes changes and jobs for a time, and tells when a member had caught up
+// first, or a time past the end.
+func (c *cluster) beside(m *member, d time.Duration) (caughtUp time.Duration) {
+	began := c.now
+	caughtUp = d + 1
+	for n := 0; c.now-began < d; n++ {
+		c.change(2000)
+		if n%20 == 0 {
+			c.job(1_000_000+int(c.now/time.Microsecond), 300)
+		}
+		for pause := c.now + 200*time.Millisecond; c.now < pause && (caughtUp <= d || !c.caughtUp(m)); {
+			c.run(tickTime)
+		}
+		if caughtUp > d && c.caughtUp(m) {
+			caughtUp = c.now - began
+		}
+	}
+	return caughtUp
+}
+
+// hardships are what befalls a member, and what ends it.
+var hardships = []struct {
+	name       string
+	lasts      time.Duration
+	begin, end func(*member)
+}{
+	{"restarted", 2 * time.Second, (*member).kill, func(m *member) { m.start(false) }},
+	{"wiped", 2 * time.Second, (*member).wipe, func(m *member) { m.start(false) }},
+	{"frozen", 20 * time.Second, func(m *member) { m.frozen = true }, (*member).thaw},
+	{"on a slow disk", 5 * time.Second, func(m *member) { m.syncTime = 30 * 5 * time.Millisecond }, func(*member) {}},
+	{"on a full disk", 10 * time.Second, func(m *member) { m.full = true }, func(m *member) { m.full = false }},
+}
+
+func TestMembersCatchUpAfterManyChanges(t *testing.T) {
+	for _, n := range []int{1, 300, 5000} {
+		t.Run(fmt.Sprint(n), func(t *testing.T) {
+			c := newCluster(t, int64(n), 600)
+			c.changes(n, 2000)
+			for _, h := range hardships {
+				m := c.follower()
+				h.begin(m)
+				c.changes(min(n, 300), 2000)
+				c.beside(m, h.lasts)
+				h.end(m)
+				if took := c.beside(m, catchUp+time.Second); took > catchUp {
+					t.Errorf("%s: caught up only %v after its return", h.name, took)
+				}
+				m.syncTime = syncTime
+				c.run(time.Second)
+			}
+			snapshots := 0
+			for _, m := range c.members {
+				if m.machine.raft.State().Index > 0 {
+					snapshots++
+				}
+				if v := m.machine.state.Table.Version; v != c.acked {
+					t.Errorf("%s has version %d of %d", m.addr, v, c.acked)
+				}
+			}
+			if n > 1 && snapshots < len(c.members) {
+				t.Errorf("%d members have a snapshot", snapshots)
+			}
+			if c.wrong != "" {
+				t.Error(c.wrong)
+			}
+		})
+	}
+}
+
+// freezeLeader freezes the leader while others make changes, and thaws it.
+func freezeLeader(t *testing.T, plant func(*member, wire.Event)) *cluster {
+	c := newCluster(t, 7, 600)
+	c.plant = plant
+	c.changes(300, 2000)
+	m := c.leader()
+	m.frozen = true
+	c.run(3 * time.Second)
+	c.changes(300, 2000)
+	c.beside(m, 14*time.Second)
+	m.thaw()
+	if took := c.beside(m, catchUp+time.Second); took > catchUp {
+		t.Errorf("caught up only after %v", took)
+	}
+	return c
+}
+
+func TestAFrozenLeaderServesNobodyWhenItThaws(t *testing.T) {
+	if c := freezeLeader(t, nil); c.wrong != "" {
+		t.Error(c.wrong)
+	}
+}
+
+// thin is a link of 2 Mbit/s, in bytes a second; slowSync is a disk of 5 ms a sync
+// that is 30 times slower than that.
+const (
+	thin     = 250_000
+	slowSync = 30 * 5 * time.Millisecond
+)
+
+// A thin link carries heartbeats beside what is caught up on, so that messages stay
+// small; and nothing is sent so often that it takes more than twice its time.
+func TestAWipedMemberCatchesUpOverAThinLinkAndASlowDisk(t *testing.T) {
+	for _, n := range []int{300, 5000} {
+		bytes := 3_000_000 / n
+		for name, hamper := range map[string]func(*member){
+			"thin link": func(m *member) { m.perSecond = thin },
+			"slow disk": func(m *member) { m.syncTime = slowSync },
+			"both":      func(m *member) { m.perSecond, m.syncTime = thin, slowSync },
+		} {
+			t.Run(fmt.Sprint(n, " ", name), func(t *testing.T) { catchUpHampered(t, n, bytes, hamper) })
+		}
+	}
+}
+
+func catchUpHampered(t *testing.T, n, bytes int, hamper func(*member)) {
+	c := newCluster(t, 11, Every)
+	c.changes(n, bytes)
+	m := c.follower()
+	m.wipe()
+	hamper(m)
+	c.run(time.Second)
+	m.start(false)
+	lead := c.leader()
+	size := lead.machine.raft.Grown() + sizeOf(lead.machine.raft.State().Parts)
+	limit := 4 * time.Second
+	if m.perSecond > 0 {
+		limit += 2 * time.Duration(size) * time.Second / thin
+	}
+	took := c.until(time.Minute, "caught up", func() bool { return m.machine.applied > 0 && c.caughtUp(m) })
+	t.Logf("%d bytes in %v", size, took)
+	if took > limit {
+		t.Errorf("%d bytes took %v", size, took)
+	}
+	if lead.mostSent > 1<<20 {
+		t.Errorf("a message of %d bytes", lead.mostSent)
+	}
+}
+
+// largeState fills a cluster with jobs of so many bytes in all, in a snapshot.
+func largeState(t *testing.T, seed int64, bytes int) *cluster {
+	const each = 20_000
+	c := newCluster(t, seed, 100)
+	c.change(1000)
+	for n := range bytes / each {
+		c.job(n, each)
+		c.run(2 * time.Millisecond)
+	}
+	c.run(5 * time.Second)
+	return c
+}
+
+func TestALargeStateIsReadBackInPieces(t *testing.T) {
+	const bytes = 8 << 20
+	c := largeState(t, 3, bytes)
+	m := c.follower()
+	m.wipe()
+	c.run(time.Second)
+	m.start(false)
+	c.until(20*time.Second, "a snapshot", func() bool { return m.machine.loader != nil })
+	if size := sizeOf(m.machine.raft.State().Parts); size < bytes/2 {
+		t.Fatalf("a snapshot of %d bytes only", size)
+	}
+	from, replies, began := m.machine.Sums.Steps, m.replies, c.now
+	c.until(20*time.Second, "read back", func() bool { return m.machine.loader == nil })
+	if ticks := (c.now - began) / tickTime; int(ticks) < bytes/2/readPart-1 {
+		t.Errorf("%d bytes were read back within %d ticks (%d steps)", bytes, ticks, m.machine.Sums.Steps-from)
+	}
+	if m.replies-replies < int((c.now-began)/(200*time.Millisecond)) {
+		t.Errorf("%d answers to the leader in %v", m.replies-replies, c.now-began)
+	}
+	c.until(catchUp, "caught up", func() bool { return c.caughtUp(m) })
+	if c.wrong != "" {
+		t.Error(c.wrong)
+	}
+}
+
+// loseLeaderWhileLoading restarts a member and ends the leader while the member
+// reads its state back.
+func loseLeaderWhileLoading(t *testing.T, plant func(*member, wire.Event)) *cluster {
+	c := largeState(t, 5, 8<<20)
+	c.plant = plant
+	m := c.follower()
+	m.kill()
+	m.pace = 300 * time.Millisecond // a slow processor
+	c.run(time.Second)
+	m.start(false)
+	if plant == nil && m.machine.loader == nil {
+		t.Fatal("the state was read back in one step")
+	}
+	c.leader().kill()
+	c.until(20*time.Second, "a leader", func() bool { return c.leader() != nil })
+	c.change(1000)
+	c.until(15*time.Second, "caught up", func() bool { return c.caughtUp(m) })
+	if v := m.machine.state.Table.Version; v < c.acked {
+		c.broken("%s has version %d of %d", m.addr, v, c.acked)
+	}
+	return c
+}
+
+func TestNobodyLeadsWhileItReadsItsStateBack(t *testing.T) {
+	if c := loseLeaderWhileLoading(t, nil); c.wrong != "" {
+		t.Error(c.wrong)
+	}
+}
+
+func TestPlantedBugsOfCatchingUpAreCaught(t *testing.T) {
+	for _, bug := range []struct {
+		name  string
+		days  func(*testing.T, func(*member, wire.Event)) *cluster
+		plant func(*member, wire.Event)
+	}{
+		{"a member stands for election while it reads its state back", loseLeaderWhileLoading,
+			func(m *member, _ wire.Event) { m.machine.raft.Loading(false) }},
+		{"a member goes on without the state that it should read back", loseLeaderWhileLoading, func(m *member, _ wire.Event) {
+			if h := m.machine; h.loader != nil {
+				h.applied, h.since, h.loader = h.loaded, h.loaded, nil
+				h.raft.Loading(false)
+			}
+		}},
+		{"a lease is judged by the time of the last tick", freezeLeader, func(m *member, e wire.Event) {
+			if e.Message == nil {
+				m.lastTick = m.clock()
+			}
+			m.machine.raft.Advance(m.lastTick)
+		}},
+	} {
+		t.Run(bug.name, func(t *testing.T) {
+			if bug.days(t, bug.plant).wrong == "" {
+				t.Error("not caught")
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/controller/cluster_test.go
@@ -0,0 +1,376 @@
+package controller
+
+import (
+	"container/heap"
+	"encoding/json"
+	"fmt"
+	"math/rand"
+	"syscall"
+	"testing"
+	"time"
+
+	"coppercourse/internal/config"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/raft"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// cluster is some controllers in virtual time, with links and disks that take
+// as long as they are told to.
+type cluster struct {
+	t       *testing.T
+	now     time.Duration
+	seq     int
+	events  timeline
+	rnd     *rand.Rand
+	members []*member
+	every   types.Index
+	// plant is a bug to run after each step of a member.
+	plant func(*member, wire.Event)
+	wrong string        // the first broken rule
+	acked types.Version // the newest configuration that was acknowledged
+}
+
+// member is one controller with its disk and its link.
+type member struct {
+	cluster   *cluster
+	addr      types.Addr
+	machine   *Controller
+	life      int // of its process; what an earlier one began does not finish
+	disk      [][]byte
+	queue     []write
+	writing   bool
+	syncTime  time.Duration
+	full      bool
+	mute      bool // a planted bug: the machine isn't told that its disk refuses
+	frozen    bool
+	missed    []wire.Event // while frozen
+	perSecond int          // bytes that its link carries in; 0 is no bound
+	linkFree  time.Duration
+	pace      time.Duration // between two ticks on a slow processor
+	lastTick  types.Now
+	tokens    uint64
+	answers   map[uint64]func(wire.Answer)
+	replies   int // answers to its leader's rounds
+	mostSent  int // bytes of the largest message
+}
+
+type write struct {
+	list  [][]byte
+	seq   uint64
+	whole bool
+}
+
+type occasion struct {
+	at  time.Duration
+	seq int
+	act func()
+}
+
+type timeline []occasion
+
+func (l timeline) Len() int { return len(l) }
+func (l timeline) Less(i, k int) bool {
+	return l[i].at < l[k].at || l[i].at == l[k].at && l[i].seq < l[k].seq
+}
+func (l timeline) Swap(i, k int) { l[i], l[k] = l[k], l[i] }
+func (l *timeline) Push(x any)   { *l = append(*l, x.(occasion)) }
+func (l *timeline) Pop() any {
+	last := (*l)[len(*l)-1]
+	*l = (*l)[:len(*l)-1]
+	return last
+}
+
+const (
+	tickTime = 20 * time.Millisecond
+	latency  = 500 * time.Microsecond
+	syncTime = time.Millisecond
+)
+
+// newCluster founds a cluster of three and waits for its leader.
+func newCluster(t *testing.T, seed int64, every types.Index) *cluster {
+	t.Helper()
+	c := &cluster{t: t, rnd: rand.New(rand.NewSource(seed)), every: every}
+	for i := range 3 {
+		c.members = append(c.members, &member{cluster: c, addr: types.Addr(fmt.Sprintf("10.0.0.%d:7000", i+1)), syncTime: syncTime})
+	}
+	for _, m := range c.members {
+		m.start(true)
+	}
+	c.until(10*time.Second, "a leader", func() bool { return c.leader() != nil })
+	return c
+}
+
+func (c *cluster) after(d time.Duration, act func()) {
+	c.seq++
+	heap.Push(&c.events, occasion{c.now + d, c.seq, act})
+}
+
+// run lets virtual time pass.
+func (c *cluster) run(d time.Duration) {
+	for end := c.now + d; ; {
+		if len(c.events) == 0 || c.events[0].at > end {
+			c.now = end
+			return
+		}
+		next := heap.Pop(&c.events).(occasion)
+		c.now = next.at
+		next.act()
+	}
+}
+
+// until lets time pass until something holds, and fails when it doesn't in time.
+func (c *cluster) until(limit time.Duration, what string, holds func() bool) time.Duration {
+	c.t.Helper()
+	began := c.now
+	for !holds() {
+		if c.now-began > limit {
+			c.t.Fatalf("not within %v: %s", limit, what)
+		}
+		c.run(5 * time.Millisecond)
+	}
+	return c.now - began
+}
+
+// leader is the member that serves, or nil.
+func (c *cluster) leader() *member {
+	for _, m := range c.members {
+		if m.serves() {
+			return m
+		}
+	}
+	return nil
+}
+
+// follower is a member that runs and does not lead.
+func (c *cluster) follower() *member {
+	for _, m := range c.members {
+		if m.machine != nil && !m.machine.raft.Leads() {
+			return m
+		}
+	}
+	c.t.Fatal("no follower")
+	return nil
+}
+
+func (m *member) clock() types.Now {
+	return types.Now{Mono: types.Stamp(m.cluster.now), Wall: types.Wall(m.cluster.now)}
+}
+
+// serves tells whether a member answers as the leader.
+func (m *member) serves() bool {
+	return m.machine != nil && !m.frozen && m.machine.scheduler != nil && m.machine.raft.Firm()
+}
+
+func (m *member) start(first bool) {
+	var seeds []types.Addr
+	for _, other := range m.cluster.members {
+		seeds = append(seeds, other.addr)
+	}
+	m.life++
+	m.queue, m.writing, m.frozen, m.missed, m.answers = nil, false, false, nil, map[uint64]func(wire.Answer){}
+	m.machine = New(m.clock(), rand.New(rand.NewSource(m.cluster.rnd.Int63())), Options{Addr: m.addr, Zone: types.Zone(m.addr), Seeds: seeds,
+		Begin: raft.Bootstrap{First: first, Founders: seeds}, Core: raft.Defaults, Truth: dispatch.Defaults, Every: m.cluster.every}, m.disk)
+	m.tick(m.life)
+}
+
+func (m *member) tick(life int) {
+	if m.life != life {
+		return
+	}
+	m.step(wire.Event{})
+	m.cluster.after(max(m.pace, tickTime), func() { m.tick(life) })
+}
+
+// kill ends the process; wipe loses its disk too.
+func (m *member) kill() {
+	m.life++
+	m.machine = nil
+}
+
+func (m *member) wipe() {
+	m.kill()
+	m.disk = nil
+}
+
+func (m *member) thaw() {
+	m.frozen = false
+	missed := m.missed
+	m.missed = nil
+	for _, e := range missed {
+		m.step(e)
+	}
+}
+
+// step gives the machine an event and carries out what it wants.
+func (m *member) step(e wire.Event) {
+	if m.machine == nil {
+		return
+	}
+	if m.frozen {
+		if e.Message != nil {
+			m.missed = append(m.missed, e)
+		}
+		return
+	}
+	e.Now = m.clock()
+	out := m.machine.Step(e)
+	if m.cluster.plant != nil {
+		m.cluster.plant(m, e)
+	}
+	m.check()
+	for _, s := range out.Sends {
+		m.send(s)
+	}
+	if out.Batch != nil {
+		m.queue = append(m.queue, write{out.Batch, out.Seq, out.Whole})
+		m.flush()
+	}
+	for _, a := range out.Answers {
+		if back := m.answers[a.Token]; back != nil {
+			delete(m.answers, a.Token)
+			back(a)
+		}
+	}
+}
+
+// check looks for a member that leads or serves with less than it must have.
+func (m *member) check() {
+	h := m.machine
+	switch {
+	case h.raft.Leads() && h.loader != nil:
+		m.cluster.broken("%s leads without its state", m.addr)
+	case m.serves() && h.state.Table.Version < m.cluster.acked:
+		m.cluster.broken("%s serves version %d after %d was acknowledged", m.addr, h.state.Table.Version, m.cluster.acked)
+	}
+}
+
+func (c *cluster) broken(format string, args ...any) {
+	if c.wrong == "" {
+		c.wrong = fmt.Sprintf("at %v: ", c.now) + fmt.Sprintf(format, args...)
+	}
+}
+
+// send carries a message over the link of its receiver, behind what is on it.
+func (m *member) send(s wire.Send) {
+	for _, to := range m.cluster.members {
+		if to.addr != s.To {
+			continue
+		}
+		if s.Message.Kind == wire.Append2 {
+			m.replies++
+		}
+		m.mostSent = max(m.mostSent, len(s.Message.Body))
+		way := latency
+		if to.perSecond > 0 {
+			to.linkFree = max(to.linkFree, m.cluster.now) + time.Duration(len(s.Message.Body))*time.Second/time.Duration(to.perSecond)
+			way += to.linkFree - m.cluster.now
+		}
+		life := to.life
+		m.cluster.after(way, func() {
+			if to.life == life {
+				to.step(wire.Event{Message: &s.Message})
+			}
+		})
+	}
+}
+
+// flush writes what waits, as the disk writer does.
+func (m *member) flush() {
+	if m.writing || len(m.queue) == 0 {
+		return
+	}
+	m.writing = true
+	life := m.life
+	again := func(act func()) {
+		m.cluster.after(m.syncTime, func() {
+			if m.life == life {
+				m.writing = false
+				act()
+			}
+		})
+	}
+	if m.full {
+		if !m.mute {
+			m.step(wire.Event{Disk: syscall.ENOSPC})
+		}
+		again(m.flush)
+		return
+	}
+	group := m.queue
+	m.queue = nil
+	again(func() {
+		for _, w := range group {
+			if w.whole {
+				m.disk = nil
+			}
+			m.disk = append(m.disk, w.list...)
+		}
+		m.step(wire.Event{Synced: group[len(group)-1].seq})
+		m.flush()
+	})
+}
+
+// ask puts a request to a member; the answer comes later, or never.
+func (m *member) ask(verb, arg string, body json.RawMessage, back func(wire.Answer)) {
+	if m.machine == nil {
+		return
+	}
+	m.tokens++
+	m.answers[m.tokens] = back
+	m.step(wire.Event{Ask: &wire.Ask{Token: m.tokens, Verb: verb, Arg: arg, Body: body}})
+}
+
+// table is a configuration of about so many bytes.
+func table(base types.Version, bytes int) config.Table {
+	source, err := json.Marshal(make([]byte, bytes*3/4))
+	if err != nil {
+		panic(err)
+	}
+	return config.Table{Version: base, Source: source, Rows: []config.Row{{Name: "q", Weight: 1, Running: 1000, Waiting: 100_000,
+		Tries: 3, TaskMS: 1000, Patience: 1000}}}
+}
+
+// change has a configuration acknowledged, whoever leads.
+func (c *cluster) change(bytes int) types.Version {
+	c.t.Helper()
+	var got types.Version
+	c.until(10*time.Second, "a configuration acknowledged", func() bool {
+		m := c.leader()
+		if m == nil {
+			return false
+		}
+		base := m.machine.state.Table.Version
+		done := false
+		m.ask("table.put", "", wire.Body(table(base, bytes)), func(a wire.Answer) {
+			if done = a.Fault == nil; done {
+				c.acked = max(c.acked, base+1)
+			}
+		})
+		for range 40 {
+			if c.run(5 * time.Millisecond); done {
+				got = base + 1
+				return true
+			}
+		}
+		return false
+	})
+	return got
+}
+
+// job puts a job into the log of the leader.
+func (c *cluster) job(n, bytes int) {
+	if m := c.leader(); m != nil {
+		spec := state.Spec{Queue: "q", Steps: []state.Step{{Name: "s", Kind: "k", Tasks: 1, Work: json.RawMessage(wire.Body(make([]byte, bytes*3/4)))}}}
+		m.machine.fact(state.Command{Job: &state.Submit{ID: types.JobID(fmt.Sprintf("job-%d", n)), Spec: spec}})
+		m.step(wire.Event{})
+	}
+}
+
+// caughtUp tells whether a member has all that the leader has committed.
+func (c *cluster) caughtUp(m *member) bool {
+	l := c.leader()
+	return l != nil && m.machine != nil && !m.machine.lags() && m.machine.applied >= l.machine.applied
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -121,6 +121,7 @@
 // Step takes one event.
 func (h *Controller) Step(e wire.Event) wire.Out {
 	h.now = e.Now
+	h.raft.Advance(e.Now) // a lease must not be judged by the time before a freeze
 	h.Sums.Steps++
 	switch {
 	case e.Message != nil:
--- /dev/null
+++ b/internal/controller/disk_test.go
@@ -0,0 +1,100 @@
+// Members whose disks refuse: without vote and duty, and back by themselves.
+package controller
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/wire"
+)
+
+// handOverTime is how long it takes until another leads when a leader's disk is full.
+func handOverTime(t *testing.T, mute bool) (time.Duration, *cluster, *member) {
+	c := newCluster(t, 21, 600)
+	c.changes(20, 1000)
+	m := c.leader()
+	m.full, m.mute = true, mute
+	m.ask("table.put", "", wire.Body(table(m.machine.state.Table.Version, 1000)), func(wire.Answer) {})
+	return c.until(10*time.Second, "another leader", func() bool { l := c.leader(); return l != nil && l != m }), c, m
+}
+
+func TestALeaderWithAFullDiskHandsOverAtOnce(t *testing.T) {
+	is := is.New(t)
+	took, c, m := handOverTime(t, false)
+	is.True(took < 200*time.Millisecond)
+	for range 20 {
+		c.change(1000)
+		c.run(500 * time.Millisecond)
+		is.True(!m.machine.raft.Leads())
+		is.True(!m.machine.Ready())
+		is.True(strings.Contains(m.machine.Status().Why, "no space left"))
+	}
+	m.full = false
+	c.until(time.Second, "caught up", func() bool { return c.caughtUp(m) })
+	is.True(m.machine.Ready())
+	is.Equal(m.machine.Status().Why, "")
+	is.Equal(m.machine.state.Table.Version, c.acked)
+	is.Equal(c.wrong, "")
+}
+
+func TestADiskThatRefusesInSilenceIsNoticedLater(t *testing.T) {
+	if took, _, _ := handOverTime(t, true); took < 200*time.Millisecond {
+		t.Errorf("the planted bug is not caught: %v", took)
+	}
+}
+
+// Two of three disks are full: nothing is acknowledged that only one could keep,
+// and all goes on when they are back.
+func TestNothingIsAcknowledgedWithoutAMajorityOfDisks(t *testing.T) {
+	is := is.New(t)
+	c := newCluster(t, 22, 600)
+	c.changes(20, 1000)
+	before := c.change(1000)
+	for _, m := range c.members {
+		m.full = m != c.leader()
+	}
+	acknowledged := 0
+	for range 20 {
+		if m := c.leader(); m != nil {
+			m.ask("table.put", "", wire.Body(table(m.machine.state.Table.Version, 1000)), func(a wire.Answer) {
+				if a.Fault == nil {
+					acknowledged++
+				}
+			})
+		}
+		c.run(500 * time.Millisecond)
+	}
+	is.Equal(acknowledged, 0)
+	for _, m := range c.members { // power goes before the disks are back: what waited is lost
+		m.kill()
+		m.full = false
+	}
+	for _, m := range c.members {
+		m.start(false)
+	}
+	c.until(5*time.Second, "a leader", func() bool { return c.leader() != nil })
+	is.True(c.leader().machine.state.Table.Version >= before)
+	c.change(1000)
+	is.Equal(c.wrong, "")
+}
+
+// A member whose disk is full for long keeps no more than it must.
+func TestWhatWaitsForAFullDiskIsBounded(t *testing.T) {
+	is := is.New(t)
+	c := newCluster(t, 23, 600)
+	m := c.follower()
+	m.full = true
+	sent := m.replies
+	for range 10 {
+		c.changes(300, 1000)
+		c.run(2 * time.Second)
+	}
+	is.True(m.machine.raft.Waiting() < 50)
+	is.True(m.replies > sent)
+	m.full = false
+	c.until(catchUp, "caught up", func() bool { return c.caughtUp(m) })
+	is.Equal(c.wrong, "")
+}
--- a/internal/raft/disk.go
+++ b/internal/raft/disk.go
@@ -51,3 +51,6 @@
 		return h.send.To == newer.To && h.send.Message.Kind == newer.Message.Kind
 	})
 }
+
+// Waiting counts the messages that wait for the disk.
+func (c *Node) Waiting() int { return len(c.held) }
--- a/internal/raft/flow.go
+++ b/internal/raft/flow.go
@@ -3,21 +3,27 @@
 // again each beat, and a large log must not go out in one message.
 package raft
 
-import "time"
+import (
+	"time"
+
+	"coppercourse/internal/types"
+)
 
 // Bounds on the bytes of entries under way to one member.
 const (
 	leastWindow = 16 << 10
-	firstWindow = 128 << 10
+	firstWindow = 64 << 10
 	mostWindow  = 1 << 20
 	mostLost    = 4 // doublings of the wait for an answer
 )
 
 // flow is the window of one member.
 type flow struct {
-	window int // bytes that may be under way; 0 is firstWindow
-	flying int // bytes that are
-	losses int // in a row
+	window int           // bytes that may be under way; 0 is firstWindow
+	flying int           // bytes that are
+	began  types.Stamp   // when the first of them was sent for the first time; 0 is never
+	took   time.Duration // from there to the last answer
+	losses int           // in a row
 }
 
 func (f *flow) size() int {
@@ -30,15 +36,24 @@
 // full tells whether no more may be sent before an answer.
 func (f *flow) full() bool { return f.flying >= f.size() }
 
-// take gives the first entries that fit, one at least.
-func (f *flow) take(list []Entry) []Entry {
+// take gives the first entries that fit, one at least, as sent now.
+func (f *flow) take(now types.Stamp, list []Entry) []Entry {
 	n := min(within(list, f.size()-f.flying), bunch)
 	for _, e := range list[:n] {
 		f.flying += len(e.Fact)
 	}
+	f.sent(now)
 	return list[:n]
 }
 
+// sent tells that something goes out. An answer after a repetition counts from
+// the first time, since it may be the answer to that.
+func (f *flow) sent(now types.Stamp) {
+	if f.began == 0 {
+		f.began = now
+	}
+}
+
 // within counts the entries that fit into so many bytes, one at least.
 func within(list []Entry, bytes int) int {
 	for i, e := range list {
@@ -50,21 +65,31 @@
 }
 
 // patience is how long an answer is waited for before the same is sent again.
-func (f *flow) patience(least time.Duration) time.Duration { return least << f.losses }
+func (f *flow) patience(least time.Duration) time.Duration {
+	return max(least, 2*f.took) << f.losses
+}
 
-// lost tells that no answer came in time.
+// lost tells that no answer came in time. Once may be a lost message, or a first
+// answer from a slow disk; the window shrinks from the second time on.
 func (f *flow) lost() {
-	f.window, f.flying = max(f.size()/2, leastWindow), 0
+	if f.losses > 0 {
+		f.window = max(f.size()/2, leastWindow)
+	}
+	f.flying = 0
 	f.losses = min(f.losses+1, mostLost)
 }
 
-// answered tells that all under way has arrived, and how long that took.
-func (f *flow) answered(took, swift time.Duration) {
-	f.flying, f.losses = 0, 0
+// answered tells that all under way has arrived. The window grows while that takes
+// less than the shortest election wait, and shrinks where it takes twice as long.
+func (f *flow) answered(now types.Stamp, least time.Duration) {
+	if f.began != 0 {
+		f.took = now.Sub(f.began)
+	}
+	f.flying, f.losses, f.began = 0, 0, 0
 	switch {
-	case took < swift:
+	case f.took < least:
 		f.window = min(f.size()*2, mostWindow)
-	case took > 2*swift:
+	case f.took > 2*least:
 		f.window = max(f.size()/2, leastWindow)
 	}
 }
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -301,6 +301,10 @@
 	return batch
 }
 
+// Advance sets the time of the step that begins, whatever its event is: Firm and
+// Grace go by it.
+func (c *Node) Advance(now types.Now) { c.now = now }
+
 // Tick lets time pass.
 func (c *Node) Tick(now types.Now) {
 	c.now = now
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -120,6 +120,7 @@
 				t.flow.lost()
 			}
 			t.sent, p.Prev, p.PrevT = c.now.Mono, c.snap.Index, c.snap.Term
+			t.flow.sent(c.now.Mono)
 			t.part = min(t.part, c.snap.Count-1)
 			c.say(m.Addr, wire.Snap, snap{p, c.snap, t.part, c.snap.Parts[t.part]})
 		}
@@ -127,7 +128,7 @@
 	}
 	if t.next <= c.last() {
 		rest := c.log[t.next-c.snap.Index-1:]
-		p.Entries = t.flow.take(rest)
+		p.Entries = t.flow.take(c.now.Mono, rest)
 		t.next += types.Index(len(p.Entries))
 		t.sent = c.now.Mono
 	}
@@ -256,7 +257,7 @@
 	t.heard = c.now.Mono
 	if a.Parts > 0 {
 		if a.Parts != t.part { // else it is of a part that was sent twice
-			t.flow.answered(c.now.Mono.Sub(t.sent), c.pace.Least)
+			t.flow.answered(c.now.Mono, c.pace.Least)
 			t.part, t.sent = a.Parts, never
 		}
 		return
@@ -271,7 +272,7 @@
 		t.match = a.Match
 		t.next = max(t.next, t.match+1)
 		if t.next == t.match+1 {
-			t.flow.answered(c.now.Mono.Sub(t.sent), c.pace.Least)
+			t.flow.answered(c.now.Mono, c.pace.Least)
 		}
 	}
 	c.advance()
@@ -304,6 +305,9 @@
 	c.log = slices.Clone(c.log[i-c.snap.Index:])
 	c.snap = Snap{Index: i, Term: t, Roll: roll, Count: len(parts), Parts: parts}
 	c.grown = 0
+	for _, e := range c.log {
+		c.grown += len(e.Fact)
+	}
 	for _, m := range c.peers {
 		m.part = 0
 	}
