--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -76,7 +76,7 @@
 	}
 	for p := at + 1; p < len(b); p++ {
 		if _, synced, ok := take(b[p:]); ok && synced > int64(at) {
-			return nil, 0, apierror.New(apierror.Unfit, "lore", "a record that was once synced is damaged; the file is refused")
+			return nil, 0, apierror.New(apierror.Unfit, "log", "a record that was once synced is damaged; the file is refused")
 		}
 	}
 	return list, int64(at), nil
