--- a/internal/raft/flow.go
+++ b/internal/raft/flow.go
@@ -15,6 +15,7 @@
 	firstWindow = 64 << 10
 	mostWindow  = 1 << 20
 	mostLost    = 4 // doublings of the wait for an answer
+	mostWait    = 5 * time.Second
 )
 
 // flow is the window of one member.
@@ -66,7 +67,7 @@
 
 // patience is how long an answer is waited for before the same is sent again.
 func (f *flow) patience(least time.Duration) time.Duration {
-	return max(least, 2*f.took) << f.losses
+	return min(max(least, 2*f.took)<<f.losses, mostWait)
 }
 
 // lost tells that no answer came in time. Once may be a lost message, or a first
--- a/internal/raft/flow_test.go
+++ b/internal/raft/flow_test.go
@@ -52,18 +52,18 @@
 func TestAWaitFollowsWhatAnswersTake(t *testing.T) {
 	is := is.New(t)
 	f := &flow{}
-	const took = 3 * time.Second
+	const took = time.Second
 	is.Equal(f.patience(2*Defaults.Beat), 2*Defaults.Beat)
 	f.take(types.Stamp(time.Second), entriesOf(1, 100))
 	f.lost()
 	is.Equal(f.patience(2*Defaults.Beat), 4*Defaults.Beat)
-	f.take(types.Stamp(2*time.Second), entriesOf(1, 100)) // again
+	f.take(types.Stamp(3*time.Second/2), entriesOf(1, 100)) // again
 	f.answered(types.Stamp(time.Second).Add(took), Defaults.Least)
 	is.Equal(f.patience(2*Defaults.Beat), 2*took)
 	for range 100 {
 		f.lost()
 	}
-	is.Equal(f.patience(2*Defaults.Beat), 2*took<<mostLost)
+	is.Equal(f.patience(2*Defaults.Beat), mostWait)
 	is.Equal(f.size(), leastWindow)
 }
 
