--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -12,7 +12,7 @@
 const (
 	Every     = 4096
 	Far       = 50_000
-	largeLog  = 1 << 20   // bytes of entries that are put together before there are Every
+	largeLog  = 4 << 20   // bytes of entries that are put together before there are Every
 	writePart = 64 << 10  // about how many bytes of a snapshot one step writes
 	readPart  = 256 << 10 // about how many bytes of a snapshot one step reads back
 	// applyAtOnce is how many entries one step applies at most.
