--- a/internal/raft/disk.go
+++ b/internal/raft/disk.go
@@ -51,3 +51,6 @@
 		return h.send.To == newer.To && h.send.Message.Kind == newer.Message.Kind
 	})
 }
+
+// Waiting counts the messages that wait for the disk.
+func (n *Node) Waiting() int { return len(n.held) }
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -121,6 +121,7 @@
 				t.flow.lost()
 			}
 			t.sentAt, p.PrevIndex, p.PrevTerm = n.now.Mono, n.snapshot.Index, n.snapshot.Term
+			t.flow.sent(n.now.Mono)
 			t.part = min(t.part, n.snapshot.Count-1)
 			n.send(m.Addr, wire.Snap, installSnapshot{p, n.snapshot, t.part, n.snapshot.Parts[t.part]})
 		}
@@ -128,7 +129,7 @@
 	}
 	if t.next <= n.lastIndex() {
 		rest := n.log[t.next-n.snapshot.Index-1:]
-		p.Entries = t.flow.take(rest)
+		p.Entries = t.flow.take(n.now.Mono, rest)
 		t.next += types.Index(len(p.Entries))
 		t.sentAt = n.now.Mono
 	}
@@ -260,7 +261,7 @@
 	t.heardAt, t.lag, t.leaving = n.now.Mono, time.Duration(a.LagMS)*time.Millisecond, a.Leaving
 	if a.Parts > 0 {
 		if a.Parts != t.part { // else it is of a part that was sent twice
-			t.flow.answered(n.now.Mono.Sub(t.sentAt), n.timeouts.ElectionMin)
+			t.flow.answered(n.now.Mono, n.timeouts.ElectionMin)
 			t.part, t.sentAt = a.Parts, never
 		}
 		return
@@ -275,7 +276,7 @@
 		t.match = a.Match
 		t.next = max(t.next, t.match+1)
 		if t.next == t.match+1 {
-			t.flow.answered(n.now.Mono.Sub(t.sentAt), n.timeouts.ElectionMin)
+			t.flow.answered(n.now.Mono, n.timeouts.ElectionMin)
 		}
 	}
 	n.advanceCommit()
@@ -308,6 +309,9 @@
 	n.log = slices.Clone(n.log[i-n.snapshot.Index:])
 	n.snapshot = Snapshot{Index: i, Term: t, Config: config, Count: len(parts), Parts: parts}
 	n.logBytes = 0
+	for _, e := range n.log {
+		n.logBytes += len(e.Data)
+	}
 	for _, m := range n.progress {
 		m.part = 0
 	}
