--- a/cmd/coppercourse/layers_test.go
+++ b/cmd/coppercourse/layers_test.go
@@ -1,10 +1,13 @@
 package main
 
 import (
+	"go/ast"
 	"go/parser"
 	"go/token"
 	"io/fs"
+	"os"
 	"path/filepath"
+	"regexp"
 	"strconv"
 	"strings"
 	"testing"
@@ -66,6 +69,58 @@
 	is.Equal(len(found), len(layerOf)) // no layer names a package that is gone
 }
 
+// mentioned are the names in code type, such as raft.Node.Propose.
+var mentioned = regexp.MustCompile("`([A-Za-z]+(?:\\.[A-Za-z]+)*)`")
+
+// Every function and type that docs/ARCHITECTURE.md names in the lives of a job, of
+// a change and of a heartbeat is there.
+func TestArchitecturePageNamesWhatIsThere(t *testing.T) {
+	is := is.New(t)
+	page, err := os.ReadFile("../../docs/ARCHITECTURE.md")
+	is.NoErr(err)
+	_, lives, found := strings.Cut(string(page), "## The life of a job")
+	is.True(found)
+	there := map[string]bool{}
+	for _, layer := range layers {
+		for _, folder := range layer {
+			declared(t, filepath.Join("../..", folder), there)
+		}
+	}
+	for _, match := range mentioned.FindAllStringSubmatch(lives, -1) {
+		parts := strings.Split(match[1], ".")
+		if name := parts[len(parts)-1]; !there[name] {
+			t.Errorf("the page names %s, which is not there", match[1])
+		}
+	}
+}
+
+// declared adds the names of a package's functions, methods and types.
+func declared(t *testing.T, folder string, there map[string]bool) {
+	files, err := filepath.Glob(filepath.Join(folder, "*.go"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, path := range files {
+		if strings.HasSuffix(path, "_test.go") {
+			continue
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			t.Fatal(err)
+		}
+		ast.Inspect(file, func(node ast.Node) bool {
+			switch d := node.(type) {
+			case *ast.FuncDecl:
+				there[d.Name.Name] = true
+				return false
+			case *ast.TypeSpec:
+				there[d.Name.Name] = true
+			}
+			return true
+		})
+	}
+}
+
 // imports returns the repository's packages that a file imports, without the
 // module's name.
 func imports(t *testing.T, path string) (list []string) {
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -36,12 +36,6 @@
 	return Send{To: to, Message: Message{From: from, Kind: kind, Body: b}}
 }
 
-// Read decodes the body as a type, and reports whether it is one.
-func Read[T any](message Message) (body T, ok bool) {
-	err := json.Unmarshal(message.Body, &body)
-	return body, err == nil
-}
-
 // On makes a message handler out of a machine's method for one type of body. A
 // message with another body is dropped.
 func On[M, T any](method func(*M, types.Addr, T)) func(*M, Message) {
