--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -46,7 +46,7 @@
 	p.Grant = min(some(p.Grant, b.Hold, 8, 10), some(p.Grant, b.Cancel, 2, 3))
 	p.Worker = min(p.Worker, p.Grant*3/4)
 	p.Stale = some(p.Stale, b.Apply, 3, 4)
-	p.Election = min(p.Election, p.Grant/4, some(p.Election, b.Contact, 1, 6), some(p.Election, b.Ack, 1, 8))
+	p.Election = min(p.Election, p.Grant/4, some(p.Election, b.Contact, 1, 6), some(p.Election, b.Ack, 1, 8), some(p.Election, b.CatchUp, 1, 17))
 	p.Round = max(1, min(p.Round, p.Election/5))
 	p.Stall = min(p.Stall, 2*p.Election)
 	p.Beat = max(1, min(p.Beat, p.Grant*3/20))
--- a/internal/settings/bounds_test.go
+++ b/internal/settings/bounds_test.go
@@ -65,7 +65,7 @@
 	}
 	for range 20_000 {
 		b := Bounds{Hold: pick(2000, 60_000), Stop: pick(50, 5000), Gang: pick(300, 20_000), Cancel: pick(1000, 30_000),
-			Drain: pick(200, 20_000), Apply: pick(300, 30_000), Ack: pick(1000, 30_000), Contact: pick(500, 30_000), CatchUp: pick(3000, 60_000),
+			Drain: pick(200, 20_000), Apply: pick(300, 30_000), Ack: pick(1000, 30_000), Contact: pick(500, 30_000), CatchUp: pick(2000, 60_000),
 			Early: pick(50, 2000), Grace: pick(2500, 60_000), Notice: 2300, Checkpoint: pick(100, 20_000), Restore: pick(50, 5000)}
 		if err := faults(b); err != nil {
 			t.Fatal(fmt.Sprintf("%+v", b), Derive(b), err)
