--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -9,7 +9,6 @@
 	"slices"
 	"time"
 
-	"coppercourse/internal/apierror"
 	"coppercourse/internal/configwatch"
 	"coppercourse/internal/dispatch"
 	"coppercourse/internal/membership"
@@ -54,7 +53,7 @@
 	applied   types.Index
 	proposals map[types.Index]proposal
 	scheduler *dispatch.Scheduler
-	desk      *configwatch.Desk
+	desk      *configwatch.Publisher
 	Trail     *trace.Ring
 	waiters   map[types.Index]waiter
 	ahead     map[types.JobID]types.Index // of the latest ends on their way into the log
@@ -106,7 +105,7 @@
 		given: map[types.Task]state.Assignment{}, rates: map[types.Queue]*rate{}, works: map[types.Queue]float64{}, peaks: map[types.Queue]float64{},
 		tasks: map[types.Queue]float64{}, habits: map[types.Queue]*habit{}, courses: map[types.JobID][]course{}, Trail: trace.New()}
 	h.roster = membership.New(rnd, h.card(), p.Seeds)
-	h.desk = configwatch.NewDesk(p.Addr)
+	h.desk = configwatch.NewPublisher(p.Addr)
 	h.state = state.New()
 	h.beginLoad()
 	h.loadPart()
@@ -144,6 +143,7 @@
 	case e.Close:
 		h.close()
 	default:
+		h.refuseExpired(e.Expired)
 		h.tick()
 	}
 	h.applyCommitted()
@@ -157,7 +157,7 @@
 	out.Sends = append(append(out.Sends, h.sends...), h.roster.Out()...)
 	out.Answers = h.answers
 	h.sends, h.answers = nil, nil
-	out.Idle = h.drain && (!h.raft.IsLeader() || h.now.Mono >= h.late) && len(h.waiters) == 0
+	out.Idle = h.drain && (h.raft.MayStop() || h.now.Mono >= h.late) && len(h.waiters) == 0
 	return out
 }
 
@@ -243,7 +243,7 @@
 			h.Sums.Lost++
 		}
 		for _, i := range slices.Sorted(maps.Keys(h.waiters)) {
-			h.reply(h.waiters[i], wire.ReplyBody{Fault: apierror.New(apierror.Unsure, "", "the leader changed; send the same again")})
+			h.bad(h.waiters[i], leaderChanged())
 		}
 		h.turnAway()
 		clear(h.waiters)
@@ -274,7 +274,7 @@
 		h.heed()
 	}
 	if h.raft.HoldsLease() {
-		h.sends = append(h.sends, h.desk.Tell(h.now.Mono, h.state.Table)...)
+		h.sends = append(h.sends, h.desk.Answer(h.now.Mono, h.state.Table)...)
 	}
 }
 
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -13,14 +13,16 @@
 )
 
 const (
-	// placeEvery is how often work is placed at least while other events wait.
+	// placeLag is how far the loop may be behind for work to be placed at any step.
+	placeLag = 25 * time.Millisecond
+	// placeEvery is how often work is placed at least while the loop is further behind.
 	placeEvery = 100 * time.Millisecond
-	// placeShare is how many times as long as a round of placing took the loop goes
-	// on with other events before the next, up to placeLongest.
+	// placeShare is how many times as long as a round of placing took, with it, is
+	// between its start and that of the next then, up to placeLongest.
 	placeShare   = 4
 	placeLongest = 500 * time.Millisecond
 	// entryLag is how far the loop may be behind before new work is turned away.
-	entryLag = 300 * time.Millisecond
+	entryLag = 400 * time.Millisecond
 	// staleCall is how old a request may be before it is turned away: the gateway
 	// that sent it asks elsewhere by then.
 	staleCall = 700 * time.Millisecond
@@ -49,7 +51,7 @@
 
 // mayPlace tells whether work may be placed in this step.
 func (o *overload) mayPlace(now types.Stamp) bool {
-	return !o.load.Waiting || now.Sub(o.placed) >= min(placeLongest, max(placeEvery, placeShare*o.cost))
+	return o.lag() <= placeLag || now.Sub(o.placed) >= min(placeLongest, max(placeEvery, placeShare*o.cost))
 }
 
 func (o *overload) place(now types.Stamp) { o.placing, o.placed = true, now }
@@ -70,15 +72,32 @@
 // refuses is the answer to a request for which there is no time, or nil. What is
 // known already is answered, and so are reads, cancels and operators.
 func (h *Controller) refuses(c wire.CallBody) *apierror.Error {
-	lag := max(h.overload.load.Control, h.overload.load.Callers)
+	lag := h.overload.lag()
 	switch {
 	case !wire.Enters(c.Verb), c.Verb == "job.put" && h.state.Find(types.JobID(c.Arg)) != nil:
 		return nil
 	case lag <= entryLag && h.overload.load.Age <= staleCall:
 		return nil
 	}
+	return h.tooBusy()
+}
+
+func (o *overload) lag() time.Duration { return max(o.load.Control, o.load.Callers) }
+
+// tooBusy is the refusal of a request that was not taken, with when to come back.
+func (h *Controller) tooBusy() *apierror.Error {
 	h.Sums.TurnedAway++
-	return apierror.New(apierror.Crowd, "", "the leader is behind with its work; the request was not taken").After(2 * lag)
+	return apierror.New(apierror.Crowd, "", "the controller is behind with its work; the request was not taken").After(2 * h.overload.lag())
+}
+
+// refuseExpired answers all requests at once that waited too long for a step.
+func (h *Controller) refuseExpired(calls []wire.Message) {
+	for _, n := range calls {
+		if c, ok := wire.Read[wire.CallBody](n); ok {
+			h.Sums.Calls++
+			h.bad(waiter{from: n.From, id: c.ID}, h.tooBusy())
+		}
+	}
 }
 
 // relieve lets a leader that has been behind for long hand over.
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -39,6 +39,7 @@
 	part        int // of the snapshot that it has
 	flow        flow
 	lag         time.Duration // of the event loop of its daemon
+	leaving     bool
 }
 
 // Node is one member. It is owned by one goroutine and does no I/O.
@@ -317,7 +318,7 @@
 	if n.role == empty {
 		n.tryBootstrap()
 	}
-	if n.role != empty && n.role != removed && now.Mono.Sub(n.leaderHeardAt) > n.timeouts.ReplaceAfter/2 && now.Mono.Sub(n.lastRequestAt) > n.timeouts.Stall {
+	if n.mustAskForPlace() {
 		n.lastRequestAt = now.Mono
 		n.requestJoin()
 	}
@@ -326,6 +327,23 @@
 	}
 }
 
+// mustAskForPlace is true when it is time to ask whether this node still is a member, or
+// to be let in again. One that is about to stop asks sooner, as the leader no longer
+// sends anything to a member that it has removed.
+func (n *Node) mustAskForPlace() bool {
+	wait := n.timeouts.ReplaceAfter / 2
+	if n.stopping {
+		wait = n.timeouts.ElectionMin
+	}
+	switch {
+	case n.role == empty || n.role == removed && n.stopping:
+		return false
+	case n.role != removed && n.now.Mono.Sub(n.leaderHeardAt) <= wait:
+		return false
+	}
+	return n.now.Mono.Sub(n.lastRequestAt) > min(wait, n.timeouts.Stall)
+}
+
 // Clock is the cluster's own time as this member knows it.
 func (n *Node) Clock() types.Tick { return n.clock.Add(n.now.Mono.Sub(n.clockSetAt)) }
 
@@ -368,11 +386,19 @@
 	return list
 }
 
+// Leader is the address of the current leader as far as this node can know: its own,
+// or that of one that it has heard within the longest election timeout.
+func (n *Node) Leader() types.Addr {
+	if n.role != leader && n.now.Mono.Sub(n.leaderHeardAt) >= 2*n.timeouts.ElectionMin {
+		return ""
+	}
+	return n.leaderAddr
+}
+
 func (n *Node) ID() types.ID              { return n.self.ID }
 func (n *Node) Name() string              { return n.name }
 func (n *Node) Role() string              { return string(n.role) }
 func (n *Node) Term() types.Term          { return n.voteRecord.Term }
-func (n *Node) Leader() types.Addr        { return n.leaderAddr }
 func (n *Node) IsLeader() bool            { return n.role == leader }
 func (n *Node) Reason() string            { return n.reason }
 func (n *Node) Config() Configuration     { return n.config }
--- a/internal/server/door_test.go
+++ b/internal/server/door_test.go
@@ -26,7 +26,7 @@
 	t.Cleanup(stop)
 	post := NewPost(ctx, "")
 	o := NewOwner(post, nil)
-	m := gateway.New(Now(), rand.New(rand.NewSource(1)), gateway.Place{Addr: "127.0.0.1:9", Zone: "z"})
+	m := gateway.New(Now(), rand.New(rand.NewSource(1)), gateway.Options{Addr: "127.0.0.1:9", Zone: "z"})
 	o.Carry(m)
 	o.Show = func() any { return m.Status() }
 	p := &Pages{Owner: o, Post: post, Trail: m.Trail, Ready: func() bool { return false }}
@@ -131,6 +131,7 @@
 	for kind := range map[string]bool{wire.Append: true, wire.Ballot: true, wire.News: true, wire.Beat: true, wire.Status: true} {
 		is.True(o.Message(wire.Message{Kind: kind})) // one class leaves the others their room
 	}
-	is.Equal(o.inbox.refused()[wire.Callers], uint64(2))
-	is.Equal(o.inbox.refused()[wire.Consensus], uint64(0))
+	refused, _ := o.inbox.refused()
+	is.Equal(refused[wire.Callers], uint64(2))
+	is.Equal(refused[wire.Consensus], uint64(0))
 }
--- a/internal/server/owner.go
+++ b/internal/server/owner.go
@@ -84,7 +84,7 @@
 	}
 	e := event{Event: wire.Event{Ask: ask}, back: make(chan wire.Answer, 1), claimed: &atomic.Bool{}}
 	behind := o.inbox.behind()
-	if wire.Enters(verb) && behind > entryPatience || !o.inbox.push(e) {
+	if wire.Enters(verb) && behind > workqueue.EntryPatience || !o.inbox.push(e) {
 		o.busy.Add(1)
 		return wire.Answer{Fault: tooBusy(max(behind, time.Second))}
 	}
@@ -96,7 +96,7 @@
 	case <-ctx.Done():
 		if e.claim() { // the machine has not seen it, and never will
 			o.busy.Add(1)
-			return wire.Answer{Fault: tooBusy(callerPatience)}
+			return wire.Answer{Fault: tooBusy(workqueue.RequestPatience)}
 		}
 		return wire.Answer{Fault: apierror.New(apierror.Unsure, "", "no answer within the time there was")}
 	}
@@ -129,8 +129,8 @@
 // Run is the owner goroutine: a tick when one is due, else the most urgent event.
 func (o *Owner) Run(ctx context.Context) error {
 	defer close(o.closed)
-	timer := time.NewTimer(0)
-	defer timer.Stop()
+	ticker := time.NewTicker(workqueue.TickEvery)
+	defer ticker.Stop()
 	o.tick()
 	for ctx.Err() == nil {
 		if o.ticks.Due(Steady(), o.inbox.len()) {
@@ -142,11 +142,10 @@
 			o.take(e)
 			continue
 		}
-		timer.Reset(o.ticks.Next().Sub(Steady()))
 		select {
 		case <-ctx.Done():
 		case <-o.inbox.wake:
-		case <-timer.C:
+		case <-ticker.C:
 		}
 	}
 	return nil
@@ -155,13 +154,14 @@
 // tick lets time pass in the machine, and answers the requests that it won't get to.
 func (o *Owner) tick() {
 	o.ticks.Ticked(Steady())
-	for _, e := range o.inbox.expire() {
+	asks, calls := o.inbox.expire()
+	for _, e := range asks {
 		if e.claim() {
 			o.busy.Add(1)
-			e.back <- wire.Answer{Fault: tooBusy(callerPatience)}
+			e.back <- wire.Answer{Fault: tooBusy(workqueue.RequestPatience)}
 		}
 	}
-	o.step(event{Event: wire.Event{Load: o.inbox.load()}})
+	o.step(event{Event: wire.Event{Load: o.inbox.load(), Expired: calls}})
 }
 
 // take hands an event to the machine, but for a request that was given up.
--- a/internal/wire/class.go
+++ b/internal/wire/class.go
@@ -1,7 +1,8 @@
+package wire
+
 // The order of work: every event that a daemon's loop takes has a class, found by
 // the kind of message or the verb of a request. What is urgent for the safety of
 // the cluster goes before what only serves callers.
-package wire
 
 // Class is how urgent an event is; a lower one goes first.
 type Class uint8
@@ -20,6 +21,7 @@
 
 var classNames = [Classes]string{"consensus", "configuration", "leases", "reports", "operators", "callers", "background"}
 
+// String returns the class's name in lower case.
 func (c Class) String() string { return classNames[c] }
 
 // messageClasses gives the class of each kind of message.
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -1,6 +1,7 @@
+package wire
+
 // The list of messages that one request carries, written and read in one pass each.
 // Bodies are JSON already: they are taken as they are and not looked through again.
-package wire
 
 import (
 	"encoding/json"
--- a/internal/wire/step.go
+++ b/internal/wire/step.go
@@ -23,6 +23,12 @@
 	Reply   *WorkerReply // the result of a call to the worker
 	Close   bool         // the daemon is asked to stop
 	Load    Load         // how far the event loop is behind
+	Expired []Message    // with a tick: forwarded requests that waited too long for a step
+}
+
+// IsTick tells that an event is none but that time has passed.
+func (e Event) IsTick() bool {
+	return e.Message == nil && e.Ask == nil && e.Reply == nil && e.Synced == 0 && e.Disk == nil && !e.Close
 }
 
 // Load is how far the loop that carries the machine is behind, as measured by the
