--- a/sim/control_faults_test.go
+++ b/sim/control_faults_test.go
@@ -121,3 +121,11 @@
 	is.Equal(taken, 8)
 	is.True(lost > 0) // some acknowledgement must have been lost
 }
+
+// A job of which one task has used all its tries has failed, whether its caller has been
+// told so yet or not: its other tasks wait for nothing.
+func TestAJobThatHasFailedIsNotIdle(t *testing.T) {
+	t.Parallel()
+	clean(t, Plan{Seed: 61428, Deployment: "kingston-called", Faults: []string{"wipe-after-send", "roll-gateways"}, Count: 4, Quick: true, Before: 4 * time.Second,
+		FaultsFor: 9 * time.Second, After: 3 * time.Second, Settle: 45 * time.Second, Patience: 5 * time.Second})
+}
--- a/sim/invoked_idle.go
+++ b/sim/invoked_idle.go
@@ -72,6 +72,9 @@
 	if at < j.taken || j.asked > 0 && j.asked <= at || slices.ContainsFunc(j.sight, func(h HistoryEvent) bool { return h.At <= at && ended(h.Stage) }) {
 		return
 	}
+	if c.spent(j, at) {
+		return
+	}
 	for time := range j.spec.Count() {
 		for i, p := range j.spec.Steps {
 			if j.due(p, time)+int64(c.b.Early) > at || !c.met(j, p, time, at) {
@@ -117,6 +120,16 @@
 	return len(failed) < least
 }
 
+// spent tells whether a task has used all its tries, by which the whole job has failed.
+func (c *checker) spent(j *job, at int64) bool {
+	for n := range j.spans {
+		if !j.good(n, at) && !c.left(j, n, j.spec.Steps[j.spec.Step(n)], at) {
+			return true
+		}
+	}
+	return false
+}
+
 // roomy tells whether there is room twice over for a step's next work, and less
 // than half of all room in use.
 func (c *checker) roomy(p state.Step, used map[types.Shard]types.Room) bool {
