--- a/internal/raft/bootstrap.go
+++ b/internal/raft/bootstrap.go
@@ -19,6 +19,10 @@
 const (
 	bootstrapTimeout = 5 * time.Second
 	requestInterval  = 200 * time.Millisecond
+	// Where no named founder is a controller, those that are there bootstrap: this many
+	// at least, and only this long after their start, when all have heard of each other.
+	fewestUnnamed = 3
+	unnamedDelay  = 2 * time.Second
 )
 
 // Discovered is a controller as the membership service shows it; Name is empty when
@@ -79,28 +83,29 @@
 	me := n.self
 	me.Voter, me.Provisional = true, false
 	config := Configuration{me}
+	anyone := n.bootstrap.Founders == nil || n.noFounderIsController()
 	for _, s := range n.controllers {
 		if s.Name != "" {
 			return nil, "a cluster exists; waiting to be let in"
 		}
-		if n.bootstrap.Founders == nil || slices.Contains(n.bootstrap.Founders, s.Addr) {
+		if anyone || slices.Contains(n.bootstrap.Founders, s.Addr) {
 			config = append(config, Member{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Voter: true})
 		}
 	}
 	slices.SortFunc(config, func(a, b Member) int { return strings.Compare(string(a.ID), string(b.ID)) })
-	want := 3
+	want := fewestUnnamed
 	if list := n.bootstrap.Founders; list != nil {
 		switch {
 		case !n.bootstrap.First:
 			return nil, "waiting for a cluster: one has been before"
+		case anyone && n.now.Mono.Sub(n.startedAt) < unnamedDelay:
+			return nil, "no founder is a controller; looking who else is there"
+		case anyone:
+			want = max(fewestUnnamed, len(config))
 		case !slices.Contains(list, n.self.Addr):
 			return nil, "waiting for the founders: " + fmt.Sprint(list)
-		}
-		want = 0
-		for _, a := range list {
-			if !slices.Contains(n.otherDaemons, a) {
-				want++
-			}
+		default:
+			want = n.foundersWanted()
 		}
 	}
 	if len(config) != want {
@@ -190,3 +195,19 @@
 		}
 	}
 }
+
+// foundersWanted counts the founders that may be controllers.
+func (n *Node) foundersWanted() (count int) {
+	for _, a := range n.bootstrap.Founders {
+		if !slices.Contains(n.otherDaemons, a) {
+			count++
+		}
+	}
+	return count
+}
+
+// noFounderIsController tells that all founders turned out to be other daemons: then
+// the empty controllers that see each other bootstrap, if all of them agree on the list.
+func (n *Node) noFounderIsController() bool {
+	return len(n.bootstrap.Founders) > 0 && n.foundersWanted() == 0
+}
--- a/sim/grown_test.go
+++ b/sim/grown_test.go
@@ -69,6 +69,23 @@
 	r.must(t, "the others vote", r.waits(5*time.Second, func() bool { return r.whole(4) }))
 }
 
+// Where every named founder is on a machine without a disk, all that are there found the
+// cluster together, one cluster and no more.
+func TestControllersFoundWhereNoNamedFounderIsOne(t *testing.T) {
+	for seed := int64(1); seed <= 10; seed++ {
+		r := many(seed, 6, 3)
+		r.controllers = r.controllers[3:]
+		for i := range 3 {
+			a := types.Addr(fmt.Sprintf("h%d", i+1))
+			g := r.gateway(a, types.Zone(fmt.Sprintf("z%d", i+1)))
+			r.nodes[a] = g
+			g.boot()
+		}
+		r.start(r.random.Perm(3), 300*time.Millisecond)
+		r.must(t, "the three vote", r.waits(8*time.Second, func() bool { return r.whole(3) }))
+	}
+}
+
 // Whatever its settings say of founders, a controller whose disk was lost founds nothing.
 func TestLostDisksFoundNothing(t *testing.T) {
 	is := is.New(t)
--- a/sim/processor.go
+++ b/sim/processor.go
@@ -122,12 +122,12 @@
 		p.ticks.Ticked(now)
 		return p.loaded(wire.Event{Expired: p.expire(now)}, now, wire.Background, now), true
 	}
-	e, class, at, ok := p.queue.Pop()
+	e, _, at, ok := p.queue.Pop()
 	if !ok {
 		return e, false
 	}
 	p.ticks.Took()
-	class = e.Class()
+	class := e.Class()
 	p.longest[class] = max(p.longest[class], now.Sub(at))
 	return p.loaded(e, now, class, at), true
 }
