--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,7 +1,8 @@
+package wire
+
 // Reading bodies in one pass: types that come often read themselves, with these helpers,
 // and all others are read by the standard library. Both read the same: unknown fields
 // are let pass, and null leaves a value as it is.
-package wire
 
 import (
 	"encoding/json"
