--- a/cmd/coppersim/capacity.go
+++ b/cmd/coppersim/capacity.go
@@ -53,28 +53,28 @@
 )
 
 // run measures, or reads the last measurement, and writes the report.
-func (r *capacityRun) run() error {
+func (c *capacityRun) run() error {
 	debug.SetMemoryLimit(memoryLimit)
-	if err := os.MkdirAll(r.out, 0o755); err != nil {
+	if err := os.MkdirAll(c.out, 0o755); err != nil {
 		return err
 	}
-	points, late, err := r.points(filepath.Join(r.out, "capacity.csv"))
+	points, late, err := c.points(filepath.Join(c.out, "capacity.csv"))
 	if err != nil {
 		return err
 	}
 	markdown := func(f *os.File) error { capacity.WriteMarkdown(f, points); return nil }
-	if err := save(filepath.Join(r.out, "capacity.md"), markdown); err != nil {
+	if err := save(filepath.Join(c.out, "capacity.md"), markdown); err != nil {
 		return err
 	}
 	capacity.WriteMarkdown(os.Stdout, points)
-	return errors.Join(late, capacity.Plot(r.out, capacity.Idle, points), capacity.Plot(r.out, capacity.Traffic, points))
+	return errors.Join(late, capacity.Plot(c.out, capacity.Idle, points), capacity.Plot(c.out, capacity.Traffic, points))
 }
 
 // points returns the figures of all fleets: with --replot from the file at path,
 // otherwise measured and saved there. The error late holds the fleets that did not
 // come to their end.
-func (r *capacityRun) points(path string) (points []capacity.Point, late, err error) {
-	if r.replot {
+func (c *capacityRun) points(path string) (points []capacity.Point, late, err error) {
+	if c.replot {
 		f, err := os.Open(path)
 		if err != nil {
 			return nil, nil, err
@@ -83,7 +83,7 @@
 		points, err = capacity.ReadCSV(f)
 		return points, nil, err
 	}
-	points, late = r.measure()
+	points, late = c.measure()
 	if points == nil {
 		return nil, nil, late
 	}
@@ -91,18 +91,18 @@
 }
 
 // measure runs the fleets one after the other, small ones first.
-func (r *capacityRun) measure() (points []capacity.Point, late error) {
-	end := time.Now().Add(r.budget)
+func (c *capacityRun) measure() (points []capacity.Point, late error) {
+	end := time.Now().Add(c.budget)
 	for _, mode := range []struct {
 		sizes string
 		busy  bool
-	}{{r.idle, false}, {r.busy, true}} {
+	}{{c.idle, false}, {c.busy, true}} {
 		sizes, err := parseSizes(mode.sizes)
 		if err != nil {
 			return nil, err
 		}
 		for _, n := range sizes {
-			p := r.plan
+			p := c.plan
 			p.Daemons, p.Busy, p.Limit = n, mode.busy, max(time.Millisecond, time.Until(end))
 			m, err := sim.Measure(p)
 			if err != nil {
--- a/cmd/coppersim/fleet.go
+++ b/cmd/coppersim/fleet.go
@@ -54,28 +54,28 @@
 }
 
 // run starts the fleet, lets its traffic and faults go on, and reports.
-func (r *fleetRun) run() error {
-	faults, err := sim.ParseEvents(r.faults)
+func (fr *fleetRun) run() error {
+	faults, err := sim.ParseEvents(fr.faults)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	ctx, end := context.WithTimeout(ctx, r.traffic+r.idle+extraTime)
+	ctx, end := context.WithTimeout(ctx, fr.traffic+fr.idle+extraTime)
 	defer end()
-	f, err := r.open(ctx)
+	f, err := fr.open(ctx)
 	if err != nil {
 		return err
 	}
 	defer f.Shut()
-	workload := sim.NewWorkload(f, r.seed, r.speed)
+	workload := sim.NewWorkload(f, fr.seed, fr.speed)
 	if _, err := workload.Put(f.Deployment.Table()); err != nil {
 		return err
 	}
-	if err := r.measureIdle(f); err != nil {
+	if err := fr.measureIdle(f); err != nil {
 		return err
 	}
-	late := f.Live(workload, r.traffic, faults)
+	late := f.Live(workload, fr.traffic, faults)
 	broken, err := f.Report(workload)
 	if err != nil {
 		return err
@@ -96,17 +96,17 @@
 }
 
 // open starts the processes and waits until all daemons are ready.
-func (r *fleetRun) open(ctx context.Context) (*sim.Fleet, error) {
+func (fr *fleetRun) open(ctx context.Context) (*sim.Fleet, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	if r.dir == "" {
-		if r.dir, err = os.MkdirTemp("", "fleet"); err != nil {
+	if fr.dir == "" {
+		if fr.dir, err = os.MkdirTemp("", "fleet"); err != nil {
 			return nil, err
 		}
 	}
-	f := &sim.Fleet{Deployment: sim.Deployments[r.deployment], Dir: r.dir, Bin: r.bin, Self: self, Port: r.port}
+	f := &sim.Fleet{Deployment: sim.Deployments[fr.deployment], Dir: fr.dir, Bin: fr.bin, Self: self, Port: fr.port}
 	if err := f.Open(ctx); err != nil {
 		f.Shut()
 		return nil, err
@@ -116,16 +116,16 @@
 		f.Shut()
 		return nil, err
 	}
-	fmt.Printf("ready after %s; logs in %s\n", time.Since(from).Round(10*time.Millisecond), filepath.Clean(r.dir))
+	fmt.Printf("ready after %s; logs in %s\n", time.Since(from).Round(10*time.Millisecond), filepath.Clean(fr.dir))
 	return f, nil
 }
 
 // measureIdle prints what the daemons spend before there is traffic.
-func (r *fleetRun) measureIdle(f *sim.Fleet) error {
-	if r.idle <= 0 {
+func (fr *fleetRun) measureIdle(f *sim.Fleet) error {
+	if fr.idle <= 0 {
 		return nil
 	}
-	text, err := f.Idle(r.idle)
+	text, err := f.Idle(fr.idle)
 	if err != nil {
 		return err
 	}
--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -122,32 +122,32 @@
 type ErrorList struct{ list []*Error }
 
 // Add appends an error.
-func (l *ErrorList) Add(kind Kind, field, reason string) {
-	l.list = append(l.list, New(kind, field, reason))
+func (el *ErrorList) Add(kind Kind, field, reason string) {
+	el.list = append(el.list, New(kind, field, reason))
 }
 
 // Check appends a BadField error unless ok.
-func (l *ErrorList) Check(ok bool, field, reason string) {
+func (el *ErrorList) Check(ok bool, field, reason string) {
 	if !ok {
-		l.Add(BadField, field, reason)
+		el.Add(BadField, field, reason)
 	}
 }
 
 // List returns all errors in order.
-func (l *ErrorList) List() []*Error { return l.list }
+func (el *ErrorList) List() []*Error { return el.list }
 
 // First returns the first error, with which a caller is answered, or nil.
-func (l *ErrorList) First() *Error {
-	if len(l.list) == 0 {
+func (el *ErrorList) First() *Error {
+	if len(el.list) == 0 {
 		return nil
 	}
-	return l.list[0]
+	return el.list[0]
 }
 
 // Err joins all errors into one for the command line; nil if there are none.
-func (l *ErrorList) Err() error {
+func (el *ErrorList) Err() error {
 	var all []error
-	for _, e := range l.list {
+	for _, e := range el.list {
 		all = append(all, e)
 	}
 	return errors.Join(all...)
--- a/internal/configwatch/configwatch.go
+++ b/internal/configwatch/configwatch.go
@@ -32,11 +32,11 @@
 	Mark types.Stamp   `json:"mark"`
 }
 
-func (a watchRequest) hold() time.Duration {
-	if a.Wait == 0 {
+func (w watchRequest) hold() time.Duration {
+	if w.Wait == 0 {
 		return longPoll
 	}
-	return min(longPoll, time.Duration(a.Wait)*time.Millisecond)
+	return min(longPoll, time.Duration(w.Wait)*time.Millisecond)
 }
 
 type watchResponse struct {
@@ -63,41 +63,41 @@
 func NewPublisher(me types.Addr) *Publisher { return &Publisher{me, map[types.Addr]pendingWatch{}} }
 
 // Take handles a request; its answer comes from Answer.
-func (d *Publisher) Take(now types.Stamp, n wire.Message) {
+func (p *Publisher) Take(now types.Stamp, n wire.Message) {
 	a, ok := wire.Read[watchRequest](n)
-	if !ok || len(d.waits) >= maxWatchers {
+	if !ok || len(p.waits) >= maxWatchers {
 		return
 	}
 	by := now.Add(a.hold())
-	if w, ok := d.waits[n.From]; ok { // who asks again does not wait longer for it
+	if w, ok := p.waits[n.From]; ok { // who asks again does not wait longer for it
 		by = min(by, w.by)
 	}
-	d.waits[n.From] = pendingWatch{a, by}
+	p.waits[n.From] = pendingWatch{a, by}
 }
 
 // Answer answers those for whom there is news, or whose hold is over.
-func (d *Publisher) Answer(now types.Stamp, t config.Table) (sends []wire.Send) {
+func (p *Publisher) Answer(now types.Stamp, t config.Table) (sends []wire.Send) {
 	var due []types.Addr
-	for from, w := range d.waits {
+	for from, w := range p.waits {
 		if w.news(t.Version) || now >= w.by {
 			due = append(due, from)
 		}
 	}
 	slices.Sort(due)
 	for _, from := range due {
-		sends = append(sends, wire.Make(d.me, from, wire.Told, d.waits[from].answer(t)))
-		delete(d.waits, from)
+		sends = append(sends, wire.Make(p.me, from, wire.Told, p.waits[from].answer(t)))
+		delete(p.waits, from)
 	}
 	return
 }
 
 // news tells whether who asked has not the table of that version.
-func (w pendingWatch) news(version types.Version) bool { return !w.ask.Any || w.ask.Have != version }
+func (p pendingWatch) news(version types.Version) bool { return !p.ask.Any || p.ask.Have != version }
 
 // answer brings the table where it is news, and else confirms the version held.
-func (w pendingWatch) answer(t config.Table) watchResponse {
-	a := watchResponse{Version: t.Version, Mark: w.ask.Mark}
-	if w.news(t.Version) {
+func (p pendingWatch) answer(t config.Table) watchResponse {
+	a := watchResponse{Version: t.Version, Mark: p.ask.Mark}
+	if p.news(t.Version) {
 		a.Table = &t
 	}
 	return a
@@ -138,48 +138,48 @@
 func FirstMark(rnd *rand.Rand) types.Stamp { return types.Stamp(rnd.Uint64() >> 12) }
 
 // Fresh tells whether the table may be decided by.
-func (r *Watcher) Fresh(now types.Stamp) bool { return now < r.ConfirmedUntil() }
+func (w *Watcher) Fresh(now types.Stamp) bool { return now < w.ConfirmedUntil() }
 
 // ConfirmedUntil is when the confirmation of the table ends by the watcher's own
 // steady clock. Whoever answers by the table compares it with that clock when
 // the answer is given.
-func (r *Watcher) ConfirmedUntil() types.Stamp {
-	if !r.any {
+func (w *Watcher) ConfirmedUntil() types.Stamp {
+	if !w.any {
 		return never
 	}
-	return r.sure.Add(r.stale)
+	return w.sure.Add(w.stale)
 }
 
 // part is as much of a timing as the confirmation's life is of the default.
-func (r *Watcher) part(d time.Duration) time.Duration {
-	return min(r.stale, DefaultStaleAfter) * d / DefaultStaleAfter
+func (w *Watcher) part(d time.Duration) time.Duration {
+	return min(w.stale, DefaultStaleAfter) * d / DefaultStaleAfter
 }
 
 // Tick asks the leader again, at once after an answer.
-func (r *Watcher) Tick(now types.Stamp, lead types.Addr) (sends []wire.Send) {
-	wait, held := retryAfter, r.part(longPoll)
-	if !r.Fresh(now) {
+func (w *Watcher) Tick(now types.Stamp, lead types.Addr) (sends []wire.Send) {
+	wait, held := retryAfter, w.part(longPoll)
+	if !w.Fresh(now) {
 		wait, held = retryUnconfirmed, shortPoll
 	}
-	if lead == "" || r.open && now.Sub(r.asked) < r.part(wait) {
+	if lead == "" || w.open && now.Sub(w.asked) < w.part(wait) {
 		return nil
 	}
-	r.open, r.asked = true, now
-	return []wire.Send{wire.Make(r.me, lead, wire.News, watchRequest{r.Table.Version, r.any, held.Milliseconds(), r.question(now)})}
+	w.open, w.asked = true, now
+	return []wire.Send{wire.Make(w.me, lead, wire.News, watchRequest{w.Table.Version, w.any, held.Milliseconds(), w.question(now)})}
 }
 
 // question notes that one is sent, and gives its mark. Those whose answer could
 // no longer confirm anything are forgotten.
-func (r *Watcher) question(now types.Stamp) types.Stamp {
-	r.questions = slices.DeleteFunc(r.questions, func(q question) bool { return now.Sub(q.sent) >= r.stale })
-	r.mark++
-	r.questions = append(r.questions, question{r.mark, now})
-	return r.mark
+func (w *Watcher) question(now types.Stamp) types.Stamp {
+	w.questions = slices.DeleteFunc(w.questions, func(q question) bool { return now.Sub(q.sent) >= w.stale })
+	w.mark++
+	w.questions = append(w.questions, question{w.mark, now})
+	return w.mark
 }
 
 // sent is when the question with a mark was sent.
-func (r *Watcher) sent(mark types.Stamp) types.Stamp {
-	for _, q := range r.questions {
+func (w *Watcher) sent(mark types.Stamp) types.Stamp {
+	for _, q := range w.questions {
 		if q.mark == mark {
 			return q.sent
 		}
@@ -188,24 +188,24 @@
 }
 
 // hasAsked tells whether a question of this process had a mark, answered or not.
-func (r *Watcher) hasAsked(mark types.Stamp) bool { return mark > r.firstMark && mark <= r.mark }
+func (w *Watcher) hasAsked(mark types.Stamp) bool { return mark > w.firstMark && mark <= w.mark }
 
 // Take handles an answer; true when the table changed. What it confirms counts
 // from when it was asked.
-func (r *Watcher) Take(n wire.Message) bool {
+func (w *Watcher) Take(n wire.Message) bool {
 	t, ok := wire.Read[watchResponse](n)
-	if !ok || !r.hasAsked(t.Mark) {
+	if !ok || !w.hasAsked(t.Mark) {
 		return false
 	}
-	if t.Mark == r.mark {
-		r.open = false
+	if t.Mark == w.mark {
+		w.open = false
 	}
-	if t.Table != nil && (!r.any || t.Version > r.Table.Version) {
-		r.Table, r.any, r.sure = *t.Table, true, max(r.sure, r.sent(t.Mark))
+	if t.Table != nil && (!w.any || t.Version > w.Table.Version) {
+		w.Table, w.any, w.sure = *t.Table, true, max(w.sure, w.sent(t.Mark))
 		return true
 	}
-	if r.any && t.Version == r.Table.Version {
-		r.sure = max(r.sure, r.sent(t.Mark))
+	if w.any && t.Version == w.Table.Version {
+		w.sure = max(w.sure, w.sent(t.Mark))
 	}
 	return false
 }
--- a/internal/configwatch/confirmed_test.go
+++ b/internal/configwatch/confirmed_test.go
@@ -42,36 +42,36 @@
 // countsFromReceipt lets a confirmation count from when its answer is taken.
 type countsFromReceipt struct{ sound }
 
-func (p *countsFromReceipt) Take(now types.Stamp, n wire.Message) {
-	p.sound.Take(now, n)
-	if b, ok := wire.Read[watchResponse](n); ok && b.Version == p.reader.Table.Version {
-		p.reader.sure = now - p.base
+func (c *countsFromReceipt) Take(now types.Stamp, n wire.Message) {
+	c.sound.Take(now, n)
+	if b, ok := wire.Read[watchResponse](n); ok && b.Version == c.reader.Table.Version {
+		c.reader.sure = now - c.base
 	}
 }
 
 // takesAnyMark believes the stamp that an answer brings, as marks once were.
 type takesAnyMark struct{ sound }
 
-func (p *takesAnyMark) Tick(now types.Stamp, lead types.Addr) []wire.Send {
-	sends := p.sound.Tick(now, lead)
+func (t *takesAnyMark) Tick(now types.Stamp, lead types.Addr) []wire.Send {
+	sends := t.sound.Tick(now, lead)
 	for i := range sends {
 		a, _ := wire.Read[watchRequest](sends[i].Message)
-		a.Mark = now - p.base
+		a.Mark = now - t.base
 		sends[i].Message.Body = wire.Body(a)
 	}
 	return sends
 }
 
-func (p *takesAnyMark) Take(_ types.Stamp, n wire.Message) {
+func (t *takesAnyMark) Take(_ types.Stamp, n wire.Message) {
 	b, _ := wire.Read[watchResponse](n)
 	mark := b.Mark
-	b.Mark = p.reader.mark
+	b.Mark = t.reader.mark
 	n.Body = wire.Body(b)
-	was := p.reader.sure
-	p.reader.Take(n)
-	p.reader.sure = was
-	if b.Version == p.reader.Table.Version {
-		p.reader.sure = max(was, mark)
+	was := t.reader.sure
+	t.reader.Take(n)
+	t.reader.sure = was
+	if b.Version == t.reader.Table.Version {
+		t.reader.sure = max(was, mark)
 	}
 }
 
--- a/internal/controller/aims.go
+++ b/internal/controller/aims.go
@@ -27,51 +27,51 @@
 )
 
 // weigh takes a new job into the mean of its queue's.
-func (h *Controller) weigh(j *state.Job) {
+func (co *Controller) weigh(j *state.Job) {
 	work := 0.0
 	for i, p := range j.Spec.Steps {
-		work += float64(p.Tasks) * h.expect(j, i).Seconds() * float64(p.Room.Cores) / float64(types.Core)
+		work += float64(p.Tasks) * co.expect(j, i).Seconds() * float64(p.Room.Cores) / float64(types.Core)
 	}
 	if len(j.Spec.Steps) > 0 && !j.Spec.Steps[0].Lasts {
-		t := h.expect(j, 0).Seconds()
-		if m, ok := h.tasks[j.Queue]; ok {
+		t := co.expect(j, 0).Seconds()
+		if m, ok := co.tasks[j.Queue]; ok {
 			t = m + (t-m)/16
 		}
-		h.tasks[j.Queue] = t
+		co.tasks[j.Queue] = t
 	}
-	if m, ok := h.works[j.Queue]; ok {
+	if m, ok := co.works[j.Queue]; ok {
 		work = m + (work-m)/16
 	}
-	h.works[j.Queue] = work
+	co.works[j.Queue] = work
 }
 
 // mean is the work of a queue's jobs, in core-seconds.
-func (h *Controller) mean(q types.Queue) float64 { return max(h.works[q], 0.001) }
+func (co *Controller) mean(q types.Queue) float64 { return max(co.works[q], 0.001) }
 
 // aim tells what a job can still be worth, how soon it should have its turn, and
 // what part of all cores, in percent, its queue leaves to those before it. What goes
 // first is what gains most for the work that is left, the less the more time it has:
 // the rule of apparent tardiness cost.
-func (h *Controller) aim(j *state.Job, row config.Row, x *state.ReadyIndex, b state.Batch) (placement.Class, float64, int) {
+func (co *Controller) aim(j *state.Job, row config.Row, x *state.ReadyIndex, b state.Batch) (placement.Class, float64, int) {
 	if !row.Aims() {
 		return placement.InAim, 0, 0
 	}
-	cost := func(step int) time.Duration { return h.expect(j, step) }
+	cost := func(step int) time.Duration { return co.expect(j, step) }
 	rest, whole := 0.0, 0.0
 	for i, p := range j.Spec.Steps {
 		one := cost(i).Seconds() * float64(p.Room.Cores) / float64(types.Core)
 		rest += float64(x.Left[i]) * one
 		whole += float64(p.Tasks) * one
 	}
-	worth := min(most, 0.3+0.7*whole/h.mean(j.Queue))
+	worth := min(most, 0.3+0.7*whole/co.mean(j.Queue))
 	step := b.Stage.Step()
 	if j.Spec.Steps[step].Lasts {
 		return placement.InAim, -worth / (1 + rest), 0
 	}
 	aim := time.Duration(row.Stretch*float64(j.Spec.Chain(-1, cost))) + time.Duration(row.Target)*time.Millisecond
-	left := b.From.Add(aim).Sub(h.raft.Clock()) - j.Spec.Chain(step, cost)
+	left := b.From.Add(aim).Sub(co.raft.Clock()) - j.Spec.Chain(step, cost)
 	class, stake, spare := placement.InAim, 0.7*worth, 0
-	if h.long(j.Queue, row, cost(step)) {
+	if co.long(j.Queue, row, cost(step)) {
 		spare = spareLater
 		if left > aim*patient/100 {
 			spare = spareMost
@@ -90,9 +90,9 @@
 
 // long tells whether tasks take so long that what goes before their queue would be
 // worth nothing any more if it had to wait for them.
-func (h *Controller) long(q types.Queue, row config.Row, task time.Duration) bool {
-	for _, r := range h.state.Table.Rows {
-		if u, ok := h.tasks[r.Name]; ok && r.Name != q && r.Priority < row.Priority && task.Seconds() > lates*(r.Stretch*u+float64(r.Target)/1000) {
+func (co *Controller) long(q types.Queue, row config.Row, task time.Duration) bool {
+	for _, r := range co.state.Table.Rows {
+		if u, ok := co.tasks[r.Name]; ok && r.Name != q && r.Priority < row.Priority && task.Seconds() > lates*(r.Stretch*u+float64(r.Target)/1000) {
 			return true
 		}
 	}
@@ -101,16 +101,16 @@
 
 // caps keeps room for what goes first: work of later queues, whose tasks take long,
 // leaves free what the queues before it have lately needed at once.
-func (h *Controller) caps(in placement.Input) {
-	fade := math.Exp2(-h.now.Mono.Sub(h.peaked).Seconds() / halving.Seconds())
-	h.peaked = h.now.Mono
+func (co *Controller) caps(in placement.Input) {
+	fade := math.Exp2(-co.now.Mono.Sub(co.peaked).Seconds() / halving.Seconds())
+	co.peaked = co.now.Mono
 	need, used := map[types.Queue]float64{}, types.Cores(0)
 	for _, w := range in.Wants {
 		need[w.Queue] += float64(len(w.Tasks)) * float64(w.Room.Cores)
 	}
 	for q, d := range in.Dues {
 		used += d.Cores
-		h.peaks[q] = max(min(float64(in.Total), float64(d.Cores)+need[q]), h.peaks[q]*fade)
+		co.peaks[q] = max(min(float64(in.Total), float64(d.Cores)+need[q]), co.peaks[q]*fade)
 	}
 	for i := range in.Wants {
 		w := &in.Wants[i]
@@ -128,7 +128,7 @@
 		for q, o := range in.Dues {
 			switch {
 			case o.Row.Priority < d.Row.Priority:
-				first += h.peaks[q]
+				first += co.peaks[q]
 			case o != d:
 				beside += o.Cores
 			}
--- a/internal/controller/calls.go
+++ b/internal/controller/calls.go
@@ -41,190 +41,190 @@
 	"status":      func(h *Controller, w waiter, _ wire.CallBody) { h.good(w, 200, h.Status()) },
 }
 
-func (h *Controller) call(n wire.Message) {
+func (co *Controller) call(n wire.Message) {
 	if c, ok := wire.Read[wire.CallBody](n); ok {
-		h.ask(waiter{from: n.From, id: c.ID}, c)
+		co.ask(waiter{from: n.From, id: c.ID}, c)
 	}
 }
 
 // ask takes a request, from a gateway or that came here itself.
-func (h *Controller) ask(w waiter, c wire.CallBody) {
-	h.Sums.Calls++
-	w.term = h.raft.Term()
-	if h.scheduler == nil || !h.raft.HoldsLease() {
-		h.reply(w, wire.ReplyBody{Away: true, Lead: h.otherLeader()})
+func (co *Controller) ask(w waiter, c wire.CallBody) {
+	co.Sums.Calls++
+	w.term = co.raft.Term()
+	if co.scheduler == nil || !co.raft.HoldsLease() {
+		co.reply(w, wire.ReplyBody{Away: true, Lead: co.otherLeader()})
 		return
 	}
-	if f := h.refuses(c); f != nil {
-		h.bad(w, f)
+	if f := co.refuses(c); f != nil {
+		co.bad(w, f)
 		return
 	}
 	f := verbs[c.Verb]
 	if f == nil {
-		h.bad(w, apierror.New(apierror.NoPath, "", "no such verb"))
+		co.bad(w, apierror.New(apierror.NoPath, "", "no such verb"))
 		return
 	}
-	if len(h.waiters) >= Crowd {
-		h.bad(w, apierror.New(apierror.Crowd, "", "too many changes wait for the log").After(2*time.Second))
+	if len(co.waiters) >= Crowd {
+		co.bad(w, apierror.New(apierror.Crowd, "", "too many changes wait for the log").After(2*time.Second))
 		return
 	}
-	f(h, w, c)
+	f(co, w, c)
 }
 
 // otherLeader is whom a caller should ask instead, if there is fresh word of a
 // leader: one of which nothing was heard for as long as its lease lasts may lead
 // no more, and this controller itself can't be the answer.
-func (h *Controller) otherLeader() types.Addr {
-	if h.raft.Name() == "" {
-		if lead := h.roster.Lead(); lead != h.options.Addr {
+func (co *Controller) otherLeader() types.Addr {
+	if co.raft.Name() == "" {
+		if lead := co.roster.Lead(); lead != co.options.Addr {
 			return lead
 		}
 		return ""
 	}
-	if !h.raft.LeaderIsRecent() {
+	if !co.raft.LeaderIsRecent() {
 		return ""
 	}
-	return h.raft.Leader()
+	return co.raft.Leader()
 }
 
-func (h *Controller) reply(w waiter, r wire.ReplyBody) {
+func (co *Controller) reply(w waiter, r wire.ReplyBody) {
 	r.ID = w.id
 	if r.Fault != nil {
-		h.Sums.Refused++
+		co.Sums.Refused++
 	}
 	if w.token == 0 {
-		h.sends = append(h.sends, wire.Make(h.options.Addr, w.from, wire.Reply, r))
+		co.sends = append(co.sends, wire.Make(co.options.Addr, w.from, wire.Reply, r))
 		return
 	}
 	a := wire.Answer{Token: w.token, Code: r.Code, Body: r.Body, Fault: r.Fault, Lead: r.Lead}
 	if r.Away {
 		a.Fault = apierror.New(apierror.NoLead, "", "this controller does not lead").After(time.Second)
 	}
-	h.answers = append(h.answers, a)
+	co.answers = append(co.answers, a)
 }
 
-func (h *Controller) bad(w waiter, f *apierror.Error) { h.reply(w, wire.ReplyBody{Fault: f}) }
-func (h *Controller) good(w waiter, code int, v any) {
-	h.reply(w, wire.ReplyBody{Code: code, Body: wire.Body(v)})
+func (co *Controller) bad(w waiter, f *apierror.Error) { co.reply(w, wire.ReplyBody{Fault: f}) }
+func (co *Controller) good(w waiter, code int, v any) {
+	co.reply(w, wire.ReplyBody{Code: code, Body: wire.Body(v)})
 }
 
 // wait proposes a fact and keeps who waits for it.
-func (h *Controller) wait(w waiter, f state.Command) {
-	i, ok := h.fact(f)
+func (co *Controller) wait(w waiter, f state.Command) {
+	i, ok := co.fact(f)
 	if !ok {
-		h.bad(w, apierror.New(apierror.NoLead, "", "the log takes nothing now").After(2*time.Second))
+		co.bad(w, apierror.New(apierror.NoLead, "", "the log takes nothing now").After(2*time.Second))
 		return
 	}
-	h.waiters[i] = w
+	co.waiters[i] = w
 }
 
 // settle answers a change that is committed.
-func (h *Controller) settle(w waiter, f state.Command, bad *apierror.Error) {
+func (co *Controller) settle(w waiter, f state.Command, bad *apierror.Error) {
 	switch {
 	case bad != nil:
-		h.bad(w, h.when(bad, f))
+		co.bad(w, co.when(bad, f))
 	case f.Table != nil:
-		h.good(w, 200, f.Table.Next())
+		co.good(w, 200, f.Table.Next())
 	case f.Drain != nil:
-		h.good(w, 200, h.Drains())
+		co.good(w, 200, co.Drains())
 	case f.Plan != nil:
-		h.good(w, 200, h.Plans())
+		co.good(w, 200, co.Plans())
 	case f.Gone != "":
-		h.good(w, 200, h.Workers())
+		co.good(w, 200, co.Workers())
 	case f.Job != nil:
-		h.good(w, http.StatusCreated, h.View(f.Job.ID))
+		co.good(w, http.StatusCreated, co.View(f.Job.ID))
 	case f.Cancel != "":
-		h.good(w, http.StatusAccepted, h.View(f.Cancel))
+		co.good(w, http.StatusAccepted, co.View(f.Cancel))
 	}
 }
 
-func (h *Controller) when(bad *apierror.Error, f state.Command) *apierror.Error {
+func (co *Controller) when(bad *apierror.Error, f state.Command) *apierror.Error {
 	if bad.Kind == apierror.Full && f.Job != nil {
-		bad.After(h.rate(f.Job.Spec.Queue).eta(h.now.Mono, h.state.Held(f.Job.Spec.Queue)))
+		bad.After(co.rate(f.Job.Spec.Queue).eta(co.now.Mono, co.state.Held(f.Job.Spec.Queue)))
 	}
 	return bad
 }
 
-func (h *Controller) putJob(w waiter, c wire.CallBody) {
+func (co *Controller) putJob(w waiter, c wire.CallBody) {
 	var s state.Spec
 	if json.Unmarshal(c.Body, &s) != nil {
-		h.bad(w, apierror.New(apierror.BadBody, "", "not a job"))
+		co.bad(w, apierror.New(apierror.BadBody, "", "not a job"))
 		return
 	}
 	id := types.JobID(c.Arg)
-	known, bad := h.state.CheckJob(id, s)
+	known, bad := co.state.CheckJob(id, s)
 	switch {
 	case known != nil:
-		h.good(w, 200, h.View(id))
+		co.good(w, 200, co.View(id))
 		return
 	case bad == nil:
-		bad = h.placeable(s)
+		bad = co.placeable(s)
 	}
 	f := state.Command{Job: &state.Submit{ID: id, Spec: s}}
 	if bad != nil {
-		h.bad(w, h.when(bad, f))
+		co.bad(w, co.when(bad, f))
 		return
 	}
-	h.Trail.Add(h.now.Wall, trace.Job(id), "handed over here", "from", w.from)
-	h.wait(w, f)
+	co.Trail.Add(co.now.Wall, trace.Job(id), "handed over here", "from", w.from)
+	co.wait(w, f)
 }
 
 // countQueue tells how many jobs of a queue wait: unfinished, with nothing that
 // runs or has run.
-func (h *Controller) countQueue(w waiter, c wire.CallBody) {
+func (co *Controller) countQueue(w waiter, c wire.CallBody) {
 	q := types.Queue(c.Arg)
-	if _, ok := h.state.Table.Find(q); !ok {
-		h.bad(w, apierror.New(apierror.NoQueue, "queue", "no queue is called "+c.Arg))
+	if _, ok := co.state.Table.Find(q); !ok {
+		co.bad(w, apierror.New(apierror.NoQueue, "queue", "no queue is called "+c.Arg))
 		return
 	}
 	n := 0
-	for _, j := range h.state.Live() {
+	for _, j := range co.state.Live() {
 		if j.Queue == q && j.Attempts == 0 {
 			n++
 		}
 	}
-	h.good(w, 200, map[string]int{"waiting": n})
+	co.good(w, 200, map[string]int{"waiting": n})
 }
 
-func (h *Controller) cancelJob(w waiter, c wire.CallBody) {
+func (co *Controller) cancelJob(w waiter, c wire.CallBody) {
 	id := types.JobID(c.Arg)
-	switch repeat, bad := h.state.CheckCancel(id); {
+	switch repeat, bad := co.state.CheckCancel(id); {
 	case bad != nil:
-		h.bad(w, bad)
+		co.bad(w, bad)
 	case repeat:
-		h.good(w, 200, h.View(id))
+		co.good(w, 200, co.View(id))
 	default:
-		h.wait(w, state.Command{Cancel: id})
+		co.wait(w, state.Command{Cancel: id})
 	}
 }
 
-func (h *Controller) putTable(w waiter, c wire.CallBody) {
+func (co *Controller) putTable(w waiter, c wire.CallBody) {
 	var t config.Table
 	if json.Unmarshal(c.Body, &t) != nil {
-		h.bad(w, apierror.New(apierror.BadBody, "", "not a table"))
+		co.bad(w, apierror.New(apierror.BadBody, "", "not a table"))
 		return
 	}
-	if bad := h.state.CheckTable(t); bad != nil {
-		h.bad(w, bad)
+	if bad := co.state.CheckTable(t); bad != nil {
+		co.bad(w, bad)
 		return
 	}
-	if h.state.Known(t) {
-		h.good(w, 200, t.Next())
+	if co.state.Known(t) {
+		co.good(w, 200, t.Next())
 		return
 	}
-	h.wait(w, state.Command{Table: &t})
+	co.wait(w, state.Command{Table: &t})
 }
 
 // placeable tells a job that no known worker, away or not, could ever hold.
-func (h *Controller) placeable(s state.Spec) *apierror.Error {
-	if len(h.state.Shapes) == 0 {
+func (co *Controller) placeable(s state.Spec) *apierror.Error {
+	if len(co.state.Shapes) == 0 {
 		return apierror.New(apierror.NotReady, "", "no worker has come yet").After(2 * time.Second)
 	}
-	row, _ := h.state.Table.Find(s.Queue)
+	row, _ := co.state.Table.Find(s.Queue)
 	for i, p := range s.Steps {
 		at := fmt.Sprintf("steps[%d]", i)
 		seats, most, kinds, racks := 0, 0, false, false
-		for _, x := range h.state.Shapes {
+		for _, x := range co.state.Shapes {
 			k, r := x.Fits(p)
 			kinds, racks = kinds || k, racks || k && r
 			if !k || !r || !x.Room.Holds(p.Room) {
@@ -258,11 +258,11 @@
 	each float64 // a second
 }
 
-func (h *Controller) rate(q types.Queue) *rate {
-	r := h.rates[q]
+func (co *Controller) rate(q types.Queue) *rate {
+	r := co.rates[q]
 	if r == nil {
 		r = &rate{}
-		h.rates[q] = r
+		co.rates[q] = r
 	}
 	return r
 }
@@ -286,9 +286,9 @@
 	return time.Duration(min(max(s, 1), 60) * float64(time.Second))
 }
 
-func (h *Controller) ended(e state.End) {
-	if j := h.state.Jobs[e.Attempt.Job]; j != nil && j.Over() {
-		delete(h.courses, j.ID)
-		h.rate(j.Queue).hit(h.now.Mono)
+func (co *Controller) ended(e state.End) {
+	if j := co.state.Jobs[e.Attempt.Job]; j != nil && j.Over() {
+		delete(co.courses, j.ID)
+		co.rate(j.Queue).hit(co.now.Mono)
 	}
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -71,15 +71,15 @@
 
 type timeline []occasion
 
-func (l timeline) Len() int { return len(l) }
-func (l timeline) Less(i, k int) bool {
-	return l[i].at < l[k].at || l[i].at == l[k].at && l[i].seq < l[k].seq
+func (t timeline) Len() int { return len(t) }
+func (t timeline) Less(i, k int) bool {
+	return t[i].at < t[k].at || t[i].at == t[k].at && t[i].seq < t[k].seq
 }
-func (l timeline) Swap(i, k int) { l[i], l[k] = l[k], l[i] }
-func (l *timeline) Push(x any)   { *l = append(*l, x.(occasion)) }
-func (l *timeline) Pop() any {
-	last := (*l)[len(*l)-1]
-	*l = (*l)[:len(*l)-1]
+func (t timeline) Swap(i, k int) { t[i], t[k] = t[k], t[i] }
+func (t *timeline) Push(x any)   { *t = append(*t, x.(occasion)) }
+func (t *timeline) Pop() any {
+	last := (*t)[len(*t)-1]
+	*t = (*t)[:len(*t)-1]
 	return last
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -112,96 +112,96 @@
 	return h
 }
 
-func (h *Controller) card() membership.Card {
-	return membership.Card{Addr: h.options.Addr, ID: h.raft.ID(), Role: "controller", Zone: h.options.Zone, Name: h.raft.Name(),
-		Term: h.raft.Term(), Leads: h.raft.IsLeader() && !h.drain, Part: h.raft.Role(), Ready: h.Ready(), Issue: h.options.Issue}
+func (co *Controller) card() membership.Card {
+	return membership.Card{Addr: co.options.Addr, ID: co.raft.ID(), Role: "controller", Zone: co.options.Zone, Name: co.raft.Name(),
+		Term: co.raft.Term(), Leads: co.raft.IsLeader() && !co.drain, Part: co.raft.Role(), Ready: co.Ready(), Issue: co.options.Issue}
 }
 
 // Ready tells whether the platform may send callers here: a controller that knows a
 // leader of now, or is it.
-func (h *Controller) Ready() bool {
-	return !h.drain && h.disk == nil && h.loader == nil && h.raft.Name() != "" && (h.raft.IsLeader() && h.raft.HoldsLease() || !h.raft.IsLeader() && h.raft.Leader() != "")
+func (co *Controller) Ready() bool {
+	return !co.drain && co.disk == nil && co.loader == nil && co.raft.Name() != "" && (co.raft.IsLeader() && co.raft.HoldsLease() || !co.raft.IsLeader() && co.raft.Leader() != "")
 }
 
 // Step takes one event.
-func (h *Controller) Step(e wire.Event) wire.Out {
-	h.now = e.Now
-	h.raft.Observe(e.Now)
-	h.Sums.Steps++
-	h.overload.measure(e.Now.Mono, e.Load)
+func (co *Controller) Step(e wire.Event) wire.Out {
+	co.now = e.Now
+	co.raft.Observe(e.Now)
+	co.Sums.Steps++
+	co.overload.measure(e.Now.Mono, e.Load)
 	switch {
 	case e.Message != nil:
-		h.take(*e.Message)
+		co.take(*e.Message)
 	case e.Ask != nil:
-		h.ask(waiter{token: e.Ask.Token}, wire.CallBody{Verb: e.Ask.Verb, Arg: e.Ask.Arg, Body: e.Ask.Body})
+		co.ask(waiter{token: e.Ask.Token}, wire.CallBody{Verb: e.Ask.Verb, Arg: e.Ask.Arg, Body: e.Ask.Body})
 	case e.Synced > 0:
-		h.disk = nil
-		h.raft.Synced(e.Now, e.Synced)
+		co.disk = nil
+		co.raft.Synced(e.Now, e.Synced)
 	case e.Disk != nil:
-		h.disk = e.Disk
-		h.raft.DiskFailed(e.Now)
+		co.disk = e.Disk
+		co.raft.DiskFailed(e.Now)
 	case e.Close:
-		h.close()
+		co.close()
 	default:
-		h.refuseExpired(e.Expired)
-		h.tick()
+		co.refuseExpired(e.Expired)
+		co.tick()
 	}
-	h.applyCommitted()
-	h.relieve()
-	h.lead()
+	co.applyCommitted()
+	co.relieve()
+	co.lead()
 	var out wire.Out
-	h.writeSnapshotPart()
-	h.roster.Me(h.card())
-	out.Instead = h.raft.Instead()
-	out.Sends, out.Batch, out.Seq, out.Whole = h.raft.Out()
-	out.Sends = append(append(out.Sends, h.sends...), h.roster.Out()...)
-	out.Answers = h.answers
-	h.sends, h.answers = nil, nil
-	out.Idle = h.drain && (h.raft.MayStop() || h.now.Mono >= h.late) && len(h.waiters) == 0
+	co.writeSnapshotPart()
+	co.roster.Me(co.card())
+	out.Instead = co.raft.Instead()
+	out.Sends, out.Batch, out.Seq, out.Whole = co.raft.Out()
+	out.Sends = append(append(out.Sends, co.sends...), co.roster.Out()...)
+	out.Answers = co.answers
+	co.sends, co.answers = nil, nil
+	out.Idle = co.drain && (co.raft.MayStop() || co.now.Mono >= co.late) && len(co.waiters) == 0
 	return out
 }
 
-func (h *Controller) take(n wire.Message) {
+func (co *Controller) take(n wire.Message) {
 	switch {
-	case h.roster.Take(h.now.Mono, n):
-	case h.raft.Receive(h.now, n):
+	case co.roster.Take(co.now.Mono, n):
+	case co.raft.Receive(co.now, n):
 	case n.Kind == wire.Call:
-		h.call(n)
+		co.call(n)
 	case n.Kind == wire.News:
-		if h.raft.HoldsLease() {
-			h.desk.Take(h.now.Mono, n)
+		if co.raft.HoldsLease() {
+			co.desk.Take(co.now.Mono, n)
 		}
 	default:
 		if n.Kind == wire.Status {
-			h.keep(n)
+			co.keep(n)
 		}
-		if h.scheduler != nil {
-			h.scheduler.Take(h.now.Mono, h.raft.AuthorityLeft(), n)
+		if co.scheduler != nil {
+			co.scheduler.Take(co.now.Mono, co.raft.AuthorityLeft(), n)
 		}
 	}
 }
 
-func (h *Controller) tick() {
-	h.moved = true
-	h.loadPart()
-	h.roster.Tick(h.now.Mono)
+func (co *Controller) tick() {
+	co.moved = true
+	co.loadPart()
+	co.roster.Tick(co.now.Mono)
 	var seen []raft.Discovered
-	for _, c := range h.roster.Controllers() {
+	for _, c := range co.roster.Controllers() {
 		if c.ID != "" && c.Part != "out" {
 			seen = append(seen, raft.Discovered{Member: raft.Member{ID: c.ID, Addr: c.Addr, Zone: c.Zone}, Name: c.Name})
 		}
 	}
-	h.raft.SetDiscovered(seen, h.others())
-	h.raft.Tick(h.now)
-	h.pass()
+	co.raft.SetDiscovered(seen, co.others())
+	co.raft.Tick(co.now)
+	co.pass()
 }
 
 // others are, while no cluster is known, where daemons are that are no controllers: a
 // founder that turns out to be one of them is not waited for.
-func (h *Controller) others() (list []types.Addr) {
-	if h.raft.Name() == "" {
-		for _, a := range h.options.Begin.Founders {
-			if role := h.roster.Role(a); role != "" && role != "controller" {
+func (co *Controller) others() (list []types.Addr) {
+	if co.raft.Name() == "" {
+		for _, a := range co.options.Begin.Founders {
+			if role := co.roster.Role(a); role != "" && role != "controller" {
 				list = append(list, a)
 			}
 		}
@@ -210,83 +210,83 @@
 }
 
 // close begins a planned stop: the duty goes to a successor.
-func (h *Controller) close() {
-	h.drain = true
-	h.late = h.now.Mono.Add(3 * time.Second)
-	h.raft.PrepareStop(h.now)
+func (co *Controller) close() {
+	co.drain = true
+	co.late = co.now.Mono.Add(3 * time.Second)
+	co.raft.PrepareStop(co.now)
 }
 
 // told leaves marks of what was applied for the tracer.
-func (h *Controller) told(f state.Command, at types.Index) {
+func (co *Controller) told(f state.Command, at types.Index) {
 	switch {
 	case f.Table != nil:
-		h.Trail.Add(h.now.Wall, trace.Table(h.state.Table.Version), "applied", "index", at)
+		co.Trail.Add(co.now.Wall, trace.Table(co.state.Table.Version), "applied", "index", at)
 	case f.Job != nil:
-		h.Trail.Add(h.now.Wall, trace.Job(f.Job.ID), "accept applied", "index", at)
+		co.Trail.Add(co.now.Wall, trace.Job(f.Job.ID), "accept applied", "index", at)
 	case f.Cancel != "":
-		h.Trail.Add(h.now.Wall, trace.Job(f.Cancel), "cancel applied", "index", at)
+		co.Trail.Add(co.now.Wall, trace.Job(f.Cancel), "cancel applied", "index", at)
 	}
 	for _, g := range f.Attempts {
-		h.Trail.Add(h.now.Wall, trace.Job(g.Attempt.Job), "leg given out", "leg", g.Attempt, "shard", g.Shard)
+		co.Trail.Add(co.now.Wall, trace.Job(g.Attempt.Job), "leg given out", "leg", g.Attempt, "shard", g.Shard)
 	}
 	for _, x := range f.Ends {
-		h.Trail.Add(h.now.Wall, trace.Job(x.Attempt.Job), "end applied", "leg", x.Attempt, "fate", x.Outcome)
-		h.ended(x)
+		co.Trail.Add(co.now.Wall, trace.Job(x.Attempt.Job), "end applied", "leg", x.Attempt, "fate", x.Outcome)
+		co.ended(x)
 	}
 }
 
 // lead does the leader's work, or lets go of it.
-func (h *Controller) lead() {
-	if !h.raft.IsLeader() {
-		if h.scheduler != nil {
-			h.scheduler = nil
-			h.Sums.Lost++
+func (co *Controller) lead() {
+	if !co.raft.IsLeader() {
+		if co.scheduler != nil {
+			co.scheduler = nil
+			co.Sums.Lost++
 		}
-		for _, i := range slices.Sorted(maps.Keys(h.waiters)) {
-			h.bad(h.waiters[i], leaderChanged())
+		for _, i := range slices.Sorted(maps.Keys(co.waiters)) {
+			co.bad(co.waiters[i], leaderChanged())
 		}
-		h.turnAway()
-		clear(h.waiters)
-		clear(h.flight)
-		clear(h.freed)
-		clear(h.given)
-		h.slots.reset()
-		h.giving, h.rounds, h.shaped, h.kept, h.waited = 0, nil, 0, nil, nil
+		co.turnAway()
+		clear(co.waiters)
+		clear(co.flight)
+		clear(co.freed)
+		clear(co.given)
+		co.slots.reset()
+		co.giving, co.rounds, co.shaped, co.kept, co.waited = 0, nil, 0, nil, nil
 		return
 	}
-	if h.scheduler == nil {
-		if !h.raft.HoldsLease() || h.lags() {
+	if co.scheduler == nil {
+		if !co.raft.HoldsLease() || co.lags() {
 			return
 		}
-		h.Sums.Elected++
-		h.scheduler = dispatch.NewScheduler(h.now.Mono, h.raft.PriorAuthority(), h.options.Truth, h.options.Addr, h.raft.Term(), h.outs())
-		h.scheduler.Invoked = func(x types.Shard) bool { return h.state.Shapes[x].Invoked }
-		h.scheduler.Apart = func(x types.Shard) bool { return h.roster.Apart(string(x)) }
-		h.scheduler.Taken, h.scheduler.Doubts = h.taken, func(x types.Shard) []types.Attempt { return h.state.Doubts(x) }
+		co.Sums.Elected++
+		co.scheduler = dispatch.NewScheduler(co.now.Mono, co.raft.PriorAuthority(), co.options.Truth, co.options.Addr, co.raft.Term(), co.outs())
+		co.scheduler.Invoked = func(x types.Shard) bool { return co.state.Shapes[x].Invoked }
+		co.scheduler.Apart = func(x types.Shard) bool { return co.roster.Apart(string(x)) }
+		co.scheduler.Taken, co.scheduler.Doubts = co.taken, func(x types.Shard) []types.Attempt { return co.state.Doubts(x) }
 	}
-	h.scheduler.Tick(h.now.Mono, h.raft.AuthorityLeft())
-	h.heed()
-	if h.moved && h.overload.mayPlace(h.now.Mono) {
-		h.moved = false
-		h.overload.place(h.now.Mono)
-		h.Sums.Placed++
-		h.plan()
-		h.heed()
+	co.scheduler.Tick(co.now.Mono, co.raft.AuthorityLeft())
+	co.heed()
+	if co.moved && co.overload.mayPlace(co.now.Mono) {
+		co.moved = false
+		co.overload.place(co.now.Mono)
+		co.Sums.Placed++
+		co.plan()
+		co.heed()
 	}
-	if h.raft.HoldsLease() {
-		h.sends = append(h.sends, h.desk.Answer(h.now.Mono, h.state.Table)...)
+	if co.raft.HoldsLease() {
+		co.sends = append(co.sends, co.desk.Answer(co.now.Mono, co.state.Table)...)
 	}
 }
 
 // outs lists the attempts given out as the state has them.
-func (h *Controller) outs() (list []dispatch.Hold) {
-	for _, j := range h.state.Live() {
+func (co *Controller) outs() (list []dispatch.Hold) {
+	for _, j := range co.state.Live() {
 		for i := range j.Tasks {
 			for _, o := range j.Tasks[i].Outs() {
 				n := j.Spec.No(i)
 				at := types.StageOf(n)
 				list = append(list, dispatch.Hold{Attempt: types.Attempt{Task: types.Task{Job: j.ID, N: n}, Attempt: o.Attempt},
-					Shard: o.Shard, Stage: at, Room: j.Spec.Steps[at.Step()].Room, Usual: usual(j, at), Limit: h.limit(j, at)})
+					Shard: o.Shard, Stage: at, Room: j.Spec.Steps[at.Step()].Room, Usual: usual(j, at), Limit: co.limit(j, at)})
 			}
 		}
 	}
@@ -294,8 +294,8 @@
 }
 
 // taken tells whether the state already has an end, or has no use for it.
-func (h *Controller) taken(e state.End) bool {
-	j := h.state.Jobs[e.Attempt.Job]
+func (co *Controller) taken(e state.End) bool {
+	j := co.state.Jobs[e.Attempt.Job]
 	if j == nil || j.Over() {
 		return true
 	}
--- a/internal/controller/displace.go
+++ b/internal/controller/displace.go
@@ -29,8 +29,8 @@
 
 // displace finds what to take back for the first want that may displace, and
 // the workers to keep for it.
-func (h *Controller) displace(in placement.Input) ([]state.Back, *placement.Reserve) {
-	if h.now.Mono.Sub(h.moves) < gap {
+func (co *Controller) displace(in placement.Input) ([]state.Back, *placement.Reserve) {
+	if co.now.Mono.Sub(co.moves) < gap {
 		return nil, nil
 	}
 	for _, w := range in.Wants {
@@ -41,8 +41,8 @@
 		if d.Running+w.Need() > d.Row.Running {
 			continue
 		}
-		if attempts, kept := oust(w, in.Slots, h.victims(w, below(d, in.Total), in)); attempts != nil {
-			h.moves = h.now.Mono
+		if attempts, kept := oust(w, in.Slots, co.victims(w, below(d, in.Total), in)); attempts != nil {
+			co.moves = co.now.Mono
 			return attempts, kept
 		}
 	}
@@ -55,11 +55,11 @@
 
 // victims lists what a want may displace: the least urgent first, then what has
 // run for the shortest time.
-func (h *Controller) victims(w placement.Want, under bool, in placement.Input) (list []*victim) {
+func (co *Controller) victims(w placement.Want, under bool, in placement.Input) (list []*victim) {
 	gangs := map[placement.Part]*victim{}
-	for _, o := range h.scheduler.Holds() {
-		j := h.state.Jobs[o.Attempt.Job]
-		if j == nil || o.Stage < 0 || !h.mayTake(o.Attempt) || j.Queue == w.Queue && j.Spec.Urgency >= w.Urgency {
+	for _, o := range co.scheduler.Holds() {
+		j := co.state.Jobs[o.Attempt.Job]
+		if j == nil || o.Stage < 0 || !co.mayTake(o.Attempt) || j.Queue == w.Queue && j.Spec.Urgency >= w.Urgency {
 			continue
 		}
 		d := in.Dues[j.Queue]
@@ -68,7 +68,7 @@
 			j.Task(o.Attempt.N).Moved >= d.Row.Moves {
 			continue
 		}
-		v := &victim{room: map[types.Shard]types.Room{}, urgency: j.Spec.Urgency, age: h.now.Mono.Sub(o.At)}
+		v := &victim{room: map[types.Shard]types.Room{}, urgency: j.Spec.Urgency, age: co.now.Mono.Sub(o.At)}
 		if j.Spec.Steps[o.Stage.Step()].Gang {
 			k := placement.Part{Job: o.Attempt.Job, Stage: o.Stage}
 			if gangs[k] != nil {
@@ -143,15 +143,15 @@
 }
 
 // ages keeps since when each step has had something that could start.
-func (h *Controller) ages(list []placement.Want) {
+func (co *Controller) ages(list []placement.Want) {
 	next := make(map[placement.Part]types.Stamp, len(list))
 	for i := range list {
 		w := &list[i]
-		at, ok := h.waited[w.Part]
+		at, ok := co.waited[w.Part]
 		if !ok {
-			at = h.now.Mono
+			at = co.now.Mono
 		}
-		next[w.Part], w.Since = at, h.now.Mono.Sub(at)
+		next[w.Part], w.Since = at, co.now.Mono.Sub(at)
 	}
-	h.waited = next
+	co.waited = next
 }
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -16,18 +16,18 @@
 )
 
 // target reads "workers/NAME" or "racks/NAME" and finds whether it is known.
-func (h *Controller) target(arg string) (t state.Target, bad *apierror.Error) {
+func (co *Controller) target(arg string) (t state.Target, bad *apierror.Error) {
 	kind, name, _ := strings.Cut(arg, "/")
 	if kind == "racks" {
 		t.Rack = types.Rack(name)
 	} else {
 		t.Shard = types.Shard(name)
 	}
-	return t, h.known(t)
+	return t, co.known(t)
 }
 
-func (h *Controller) known(t state.Target) *apierror.Error {
-	for _, x := range h.state.Shapes {
+func (co *Controller) known(t state.Target) *apierror.Error {
+	for _, x := range co.state.Shapes {
 		if t.Is(x.Shard, x.Rack) {
 			return nil
 		}
@@ -35,59 +35,59 @@
 	return apierror.New(apierror.NoWorker, "", "no worker or rack of that name has ever come")
 }
 
-func (h *Controller) putDrain(w waiter, c wire.CallBody) {
+func (co *Controller) putDrain(w waiter, c wire.CallBody) {
 	var d config.Drain
-	t, bad := h.target(c.Arg)
+	t, bad := co.target(c.Arg)
 	if json.Unmarshal(c.Body, &d) != nil {
 		bad = apierror.New(apierror.BadBody, "", "not a drain")
 	}
 	if bad != nil {
-		h.bad(w, bad)
+		co.bad(w, bad)
 		return
 	}
 	x := state.Drain{Target: t}
 	if d.Within > 0 {
-		x.By = h.raft.Clock().Add(time.Duration(d.Within) * time.Millisecond)
+		x.By = co.raft.Clock().Add(time.Duration(d.Within) * time.Millisecond)
 	}
-	h.wait(w, state.Command{Drain: &x})
+	co.wait(w, state.Command{Drain: &x})
 }
 
-func (h *Controller) dropDrain(w waiter, c wire.CallBody) {
-	t, _ := h.target(c.Arg)
-	h.wait(w, state.Command{Drain: &state.Drain{Target: t, Over: true}})
+func (co *Controller) dropDrain(w waiter, c wire.CallBody) {
+	t, _ := co.target(c.Arg)
+	co.wait(w, state.Command{Drain: &state.Drain{Target: t, Over: true}})
 }
 
-func (h *Controller) putPlan(w waiter, c wire.CallBody) {
+func (co *Controller) putPlan(w waiter, c wire.CallBody) {
 	var p state.Plan
 	if json.Unmarshal(c.Body, &p) != nil {
-		h.bad(w, apierror.New(apierror.BadBody, "", "not a calendar"))
+		co.bad(w, apierror.New(apierror.BadBody, "", "not a calendar"))
 		return
 	}
-	if bad := h.known(p.Target); bad != nil {
-		h.bad(w, bad)
+	if bad := co.known(p.Target); bad != nil {
+		co.bad(w, bad)
 		return
 	}
-	h.wait(w, state.Command{Plan: &p})
+	co.wait(w, state.Command{Plan: &p})
 }
 
-func (h *Controller) dropPlan(w waiter, c wire.CallBody) {
-	h.wait(w, state.Command{Plan: &state.Plan{Name: c.Arg}})
+func (co *Controller) dropPlan(w waiter, c wire.CallBody) {
+	co.wait(w, state.Command{Plan: &state.Plan{Name: c.Arg}})
 }
 
 // gone ends the doubts about a worker that its operators know to be lost.
-func (h *Controller) gone(w waiter, c wire.CallBody) {
+func (co *Controller) gone(w waiter, c wire.CallBody) {
 	shard := types.Shard(c.Arg)
-	bad := h.known(state.Target{Shard: shard})
-	for _, s := range h.scheduler.Seats() {
+	bad := co.known(state.Target{Shard: shard})
+	for _, s := range co.scheduler.Seats() {
 		if s.Shard == shard && s.State != dispatch.MustDie {
 			bad = apierror.New(apierror.Alive, "", "the worker's agent is heard of; only one that is lost can be given up")
 		}
 	}
 	if bad != nil {
-		h.bad(w, bad)
+		co.bad(w, bad)
 		return
 	}
-	h.wait(w, state.Command{Gone: shard})
+	co.wait(w, state.Command{Gone: shard})
 }
 
 // DrainView is a drain as operators see it.
@@ -98,15 +98,15 @@
 }
 
 // Drains lists what is drained, and how much still runs there.
-func (h *Controller) Drains() (list []DrainView) {
+func (co *Controller) Drains() (list []DrainView) {
 	list = []DrainView{}
-	for _, d := range h.state.Drains {
+	for _, d := range co.state.Drains {
 		v := DrainView{Target: d.Target}
 		if d.By != 0 {
-			v.Left = max(1, d.By.Sub(h.raft.Clock()).Milliseconds())
+			v.Left = max(1, d.By.Sub(co.raft.Clock()).Milliseconds())
 		}
-		for _, o := range h.holds() {
-			if d.Is(o.Shard, h.state.Shapes[o.Shard].Rack) {
+		for _, o := range co.holds() {
+			if d.Is(o.Shard, co.state.Shapes[o.Shard].Rack) {
 				v.Attempts++
 			}
 		}
@@ -124,11 +124,11 @@
 }
 
 // Plans lists the calendars and the next windows of each.
-func (h *Controller) Plans() (list []PlanView) {
+func (co *Controller) Plans() (list []PlanView) {
 	list = []PlanView{}
-	at := types.Wall(h.raft.Clock()) + h.state.Off
+	at := types.Wall(co.raft.Clock()) + co.state.Off
 	show := func(w types.Wall) string { return time.Unix(0, int64(w)).UTC().Format(time.RFC3339) }
-	for _, p := range h.state.Plans {
+	for _, p := range co.state.Plans {
 		v := PlanView{Name: p.Name, Target: p.Target, Next: []string{}}
 		for _, x := range p.Spans {
 			if x[1] <= at {
@@ -143,9 +143,9 @@
 	return
 }
 
-func (h *Controller) holds() []*dispatch.Hold {
-	if h.scheduler == nil {
+func (co *Controller) holds() []*dispatch.Hold {
+	if co.scheduler == nil {
 		return nil
 	}
-	return h.scheduler.Holds()
+	return co.scheduler.Holds()
 }
--- a/internal/controller/early.go
+++ b/internal/controller/early.go
@@ -29,74 +29,74 @@
 )
 
 // logged tells whether an end need not be kept any longer.
-func (h *Controller) logged(e state.End, at types.Stamp) bool {
-	j := h.state.Jobs[e.Attempt.Job]
+func (co *Controller) logged(e state.End, at types.Stamp) bool {
+	j := co.state.Jobs[e.Attempt.Job]
 	if j == nil {
-		return h.now.Mono.Sub(at) > lag
+		return co.now.Mono.Sub(at) > lag
 	}
 	if t := j.Task(e.Attempt.N); t != nil && e.Attempt.Attempt > t.Attempt {
-		return h.now.Mono.Sub(at) > lag
+		return co.now.Mono.Sub(at) > lag
 	}
-	return h.taken(e)
+	return co.taken(e)
 }
 
 // keep holds on to a report until its ends are in the log.
-func (h *Controller) keep(n wire.Message) {
+func (co *Controller) keep(n wire.Message) {
 	u, ok := wire.Read[dispatch.Status](n)
-	if !ok || len(h.early) >= Crowd {
+	if !ok || len(co.early) >= Crowd {
 		return
 	}
-	u.Ends = slices.DeleteFunc(u.Ends, func(e state.End) bool { return !e.Outcome.IsFact() || h.logged(e, h.now.Mono) })
-	for _, x := range h.early {
+	u.Ends = slices.DeleteFunc(u.Ends, func(e state.End) bool { return !e.Outcome.IsFact() || co.logged(e, co.now.Mono) })
+	for _, x := range co.early {
 		u.Ends = slices.DeleteFunc(u.Ends, func(e state.End) bool { return slices.Contains(x.Ends, e) })
 	}
 	if len(u.Ends) > 0 {
-		h.early = append(h.early, early{from: n.From, Status: u, at: h.now.Mono, sent: h.now.Mono})
+		co.early = append(co.early, early{from: n.From, Status: u, at: co.now.Mono, sent: co.now.Mono})
 	}
 }
 
 // pass tells this controller's own dispatcher what is not in the log, or the leader, to
 // whom the agent itself repeats it: so only after a while, lest a leader that is
 // behind is told everything by everybody.
-func (h *Controller) pass() {
-	h.early = slices.DeleteFunc(h.early, func(x early) bool {
-		return !slices.ContainsFunc(x.Ends, func(e state.End) bool { return !h.logged(e, x.at) })
+func (co *Controller) pass() {
+	co.early = slices.DeleteFunc(co.early, func(x early) bool {
+		return !slices.ContainsFunc(x.Ends, func(e state.End) bool { return !co.logged(e, x.at) })
 	})
-	for i := range h.early {
-		x := &h.early[i]
-		wait := h.options.Truth.Ill
-		if h.scheduler != nil {
-			wait = h.options.Truth.Again
+	for i := range co.early {
+		x := &co.early[i]
+		wait := co.options.Truth.Ill
+		if co.scheduler != nil {
+			wait = co.options.Truth.Again
 		}
-		if h.now.Mono.Sub(x.sent) < wait {
+		if co.now.Mono.Sub(x.sent) < wait {
 			continue
 		}
-		to := h.raft.Leader()
-		if h.scheduler != nil {
-			to = h.options.Addr
+		to := co.raft.Leader()
+		if co.scheduler != nil {
+			to = co.options.Addr
 		}
-		if s := wire.Make(x.from, to, wire.Status, x.Status); h.scheduler != nil {
-			h.scheduler.Take(h.now.Mono, h.raft.AuthorityLeft(), s.Message)
+		if s := wire.Make(x.from, to, wire.Status, x.Status); co.scheduler != nil {
+			co.scheduler.Take(co.now.Mono, co.raft.AuthorityLeft(), s.Message)
 		} else {
-			h.relay(s, to, x.tries)
+			co.relay(s, to, x.tries)
 			x.tries++
 		}
-		x.sent = h.now.Mono
+		x.sent = co.now.Mono
 	}
 }
 
 // relay sends a report to the leader, and, if it is none known or that did not help,
 // by way of a few gateways, others each time: this controller may be cut off from the leader
 // alone.
-func (h *Controller) relay(s wire.Send, to types.Addr, tries int) {
+func (co *Controller) relay(s wire.Send, to types.Addr, tries int) {
 	if to != "" {
-		h.sends = append(h.sends, s)
+		co.sends = append(co.sends, s)
 	}
 	if to != "" && tries == 0 {
 		return
 	}
-	gateways := h.roster.Known("gateway")
+	gateways := co.roster.Known("gateway")
 	for i := range min(by, len(gateways)) {
-		h.sends = append(h.sends, wire.Send{To: gateways[(by*tries+i)%len(gateways)].Addr, Message: s.Message})
+		co.sends = append(co.sends, wire.Send{To: gateways[(by*tries+i)%len(gateways)].Addr, Message: s.Message})
 	}
 }
--- a/internal/controller/entries.go
+++ b/internal/controller/entries.go
@@ -28,19 +28,19 @@
 }
 
 // fact puts a command into the log; false when this controller may not.
-func (h *Controller) fact(command state.Command) (types.Index, bool) {
-	command.Tick = max(h.raft.Clock(), h.state.Tick)
-	at, ok := h.raft.Propose(wire.Body(command))
+func (co *Controller) fact(command state.Command) (types.Index, bool) {
+	command.Tick = max(co.raft.Clock(), co.state.Tick)
+	at, ok := co.raft.Propose(wire.Body(command))
 	if ok && plain(&command) {
-		h.proposals[at] = proposal{h.raft.Term(), command}
+		co.proposals[at] = proposal{co.raft.Term(), command}
 	}
 	return at, ok
 }
 
 // command gives what an entry says.
-func (h *Controller) command(e raft.Entry) (command state.Command) {
-	own, ok := h.proposals[e.Index]
-	delete(h.proposals, e.Index)
+func (co *Controller) command(e raft.Entry) (command state.Command) {
+	own, ok := co.proposals[e.Index]
+	delete(co.proposals, e.Index)
 	if ok && own.term == e.Term {
 		return own.command
 	}
@@ -52,37 +52,37 @@
 
 // applyCommitted brings the state up to what is committed, a bounded number of
 // entries a step.
-func (h *Controller) applyCommitted() {
-	if h.replaced() {
-		h.beginLoad()
-		h.loadPart() // a small one at once, a large one as time passes
-		maps.DeleteFunc(h.proposals, func(at types.Index, _ proposal) bool { return at <= h.loaded })
+func (co *Controller) applyCommitted() {
+	if co.replaced() {
+		co.beginLoad()
+		co.loadPart() // a small one at once, a large one as time passes
+		maps.DeleteFunc(co.proposals, func(at types.Index, _ proposal) bool { return at <= co.loaded })
 	}
-	if h.loader != nil {
+	if co.loader != nil {
 		return
 	}
-	for most := h.applied + applyAtOnce; h.applied < h.raft.Commit() && h.applied < most; {
-		h.applied++
-		h.Sums.Applied++
-		if e := h.raft.Entry(h.applied); e.Data != nil {
-			h.apply(e)
+	for most := co.applied + applyAtOnce; co.applied < co.raft.Commit() && co.applied < most; {
+		co.applied++
+		co.Sums.Applied++
+		if e := co.raft.Entry(co.applied); e.Data != nil {
+			co.apply(e)
 		} else {
-			delete(h.proposals, e.Index)
+			delete(co.proposals, e.Index)
 		}
 	}
-	h.answer()
+	co.answer()
 }
 
 // answerWaiter answers who waited for an entry. Another leader's entry in its place
 // tells nothing of the request, which may be committed there under another index.
-func (h *Controller) answerWaiter(e raft.Entry, command state.Command, bad *apierror.Error) {
-	w, ok := h.waiters[e.Index]
-	delete(h.waiters, e.Index)
+func (co *Controller) answerWaiter(e raft.Entry, command state.Command, bad *apierror.Error) {
+	w, ok := co.waiters[e.Index]
+	delete(co.waiters, e.Index)
 	switch {
 	case ok && w.term == e.Term:
-		h.settle(w, command, bad)
+		co.settle(w, command, bad)
 	case ok:
-		h.bad(w, leaderChanged())
+		co.bad(w, leaderChanged())
 	}
 }
 
@@ -92,35 +92,35 @@
 }
 
 // apply takes one entry into the state, and answers who waited for it.
-func (h *Controller) apply(e raft.Entry) {
-	command := h.command(e)
-	h.moved = true
-	h.learn(command)
-	attempts, bad := h.state.Apply(command)
-	h.raft.AdvanceClock(h.state.Tick)
-	h.told(command, e.Index)
-	h.answerWaiter(e, command, bad)
-	if h.scheduler == nil || !h.raft.IsLeader() {
+func (co *Controller) apply(e raft.Entry) {
+	command := co.command(e)
+	co.moved = true
+	co.learn(command)
+	attempts, bad := co.state.Apply(command)
+	co.raft.AdvanceClock(co.state.Tick)
+	co.told(command, e.Index)
+	co.answerWaiter(e, command, bad)
+	if co.scheduler == nil || !co.raft.IsLeader() {
 		return
 	}
 	if command.Job != nil && bad == nil {
-		h.weigh(h.state.Jobs[command.Job.ID])
+		co.weigh(co.state.Jobs[command.Job.ID])
 	}
 	for _, g := range command.Attempts {
-		delete(h.given, g.Attempt.Task)
+		delete(co.given, g.Attempt.Task)
 	}
-	h.order(attempts)
-	h.scheduler.Settle(command.Ends)
+	co.order(attempts)
+	co.scheduler.Settle(command.Ends)
 	for _, end := range command.Ends {
-		h.landed(end)
+		co.landed(end)
 	}
 }
 
 // landed forgets that an end is on its way into the log.
-func (h *Controller) landed(end state.End) {
-	delete(h.flight, end)
-	delete(h.freed, end.Attempt)
-	if h.ahead[end.Attempt.Job] <= h.applied {
-		delete(h.ahead, end.Attempt.Job)
+func (co *Controller) landed(end state.End) {
+	delete(co.flight, end)
+	delete(co.freed, end.Attempt)
+	if co.ahead[end.Attempt.Job] <= co.applied {
+		delete(co.ahead, end.Attempt.Job)
 	}
 }
--- a/internal/controller/learn.go
+++ b/internal/controller/learn.go
@@ -63,12 +63,12 @@
 }
 
 // learn takes the good ends of a fact that is about to be applied.
-func (h *Controller) learn(f state.Command) {
-	if len(h.courses) > 2*len(h.state.Live())+64 {
-		maps.DeleteFunc(h.courses, func(id types.JobID, _ []course) bool { j := h.state.Jobs[id]; return j == nil || j.Over() })
+func (co *Controller) learn(f state.Command) {
+	if len(co.courses) > 2*len(co.state.Live())+64 {
+		maps.DeleteFunc(co.courses, func(id types.JobID, _ []course) bool { j := co.state.Jobs[id]; return j == nil || j.Over() })
 	}
 	for _, e := range f.Ends {
-		j := h.state.Jobs[e.Attempt.Job]
+		j := co.state.Jobs[e.Attempt.Job]
 		if e.Outcome != state.OK || j == nil || j.Over() {
 			continue
 		}
@@ -79,20 +79,20 @@
 		step := types.StageOf(e.Attempt.N).Step()
 		p := &j.Spec.Steps[step]
 		took := max(time.Millisecond, f.Tick.Sub(t.On(e.Attempt.Attempt).At))
-		k := h.habits[j.Queue]
+		k := co.habits[j.Queue]
 		if k == nil {
 			k = &habit{}
-			h.habits[j.Queue] = k
+			co.habits[j.Queue] = k
 		}
 		part := 1 / float64(p.Tasks)
 		if p.Joint {
 			part = 1 // one end stands for all
 		}
 		k.add(took, time.Duration(p.Estimate)*time.Millisecond, part)
-		c := h.courses[j.ID]
+		c := co.courses[j.ID]
 		if c == nil {
 			c = make([]course, len(j.Spec.Steps))
-			h.courses[j.ID] = c
+			co.courses[j.ID] = c
 		}
 		c[step].logs += math.Log(took.Seconds())
 		c[step].count++
@@ -100,14 +100,14 @@
 }
 
 // expect is how long a task of a step is expected to take.
-func (h *Controller) expect(j *state.Job, step int) time.Duration {
-	if c := h.courses[j.ID]; c != nil && c[step].count > 0 {
+func (co *Controller) expect(j *state.Job, step int) time.Duration {
+	if c := co.courses[j.ID]; c != nil && c[step].count > 0 {
 		return time.Duration(math.Exp(c[step].logs/c[step].count) * float64(time.Second))
 	}
-	if h.scheduler != nil {
-		if d, ok := h.scheduler.Took(j.ID, step); ok {
+	if co.scheduler != nil {
+		if d, ok := co.scheduler.Took(j.ID, step); ok {
 			return d
 		}
 	}
-	return h.habits[j.Queue].expect(time.Duration(j.Spec.Steps[step].Estimate) * time.Millisecond)
+	return co.habits[j.Queue].expect(time.Duration(j.Spec.Steps[step].Estimate) * time.Millisecond)
 }
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -71,43 +71,43 @@
 
 // refuses is the answer to a request for which there is no time, or nil. What is
 // known already is answered, and so are reads, cancels and operators.
-func (h *Controller) refuses(c wire.CallBody) *apierror.Error {
-	lag := h.overload.lag()
+func (co *Controller) refuses(c wire.CallBody) *apierror.Error {
+	lag := co.overload.lag()
 	switch {
-	case !wire.Enters(c.Verb), c.Verb == "job.put" && h.state.Find(types.JobID(c.Arg)) != nil:
+	case !wire.Enters(c.Verb), c.Verb == "job.put" && co.state.Find(types.JobID(c.Arg)) != nil:
 		return nil
-	case lag <= entryLag && h.overload.load.Age <= staleCall:
+	case lag <= entryLag && co.overload.load.Age <= staleCall:
 		return nil
 	}
-	return h.tooBusy()
+	return co.tooBusy()
 }
 
 func (o *overload) lag() time.Duration { return max(o.load.Control, o.load.Callers) }
 
 // tooBusy is the refusal of a request that was not taken, with when to come back.
-func (h *Controller) tooBusy() *apierror.Error {
-	h.Sums.TurnedAway++
-	return apierror.New(apierror.Crowd, "", "the controller is behind with its work; the request was not taken").After(2 * h.overload.lag())
+func (co *Controller) tooBusy() *apierror.Error {
+	co.Sums.TurnedAway++
+	return apierror.New(apierror.Crowd, "", "the controller is behind with its work; the request was not taken").After(2 * co.overload.lag())
 }
 
 // refuseExpired answers all requests at once that waited too long for a step.
-func (h *Controller) refuseExpired(calls []wire.Message) {
+func (co *Controller) refuseExpired(calls []wire.Message) {
 	for _, n := range calls {
 		if c, ok := wire.Read[wire.CallBody](n); ok {
-			h.Sums.Calls++
-			h.bad(waiter{from: n.From, id: c.ID}, h.tooBusy())
+			co.Sums.Calls++
+			co.bad(waiter{from: n.From, id: c.ID}, co.tooBusy())
 		}
 	}
 }
 
 // relieve lets a leader that has been behind for long hand over.
-func (h *Controller) relieve() {
-	h.raft.SetLag(h.overload.load.Control)
-	h.overload.watch(h.now.Mono, h.raft.LagTolerance())
+func (co *Controller) relieve() {
+	co.raft.SetLag(co.overload.load.Control)
+	co.overload.watch(co.now.Mono, co.raft.LagTolerance())
 	switch {
-	case !h.raft.IsLeader():
-		h.overload.ledSince = h.now.Mono
-	case h.overload.isBehind && h.raft.HoldsLease() && h.raft.TransferOverloaded(h.now, h.now.Mono.Sub(h.overload.ledSince)):
-		h.Sums.Relieved++
+	case !co.raft.IsLeader():
+		co.overload.ledSince = co.now.Mono
+	case co.overload.isBehind && co.raft.HoldsLease() && co.raft.TransferOverloaded(co.now, co.now.Mono.Sub(co.overload.ledSince)):
+		co.Sums.Relieved++
 	}
 }
--- a/internal/controller/reads.go
+++ b/internal/controller/reads.go
@@ -16,41 +16,41 @@
 	at types.Index
 }
 
-func (h *Controller) getJob(w waiter, c wire.CallBody) {
+func (co *Controller) getJob(w waiter, c wire.CallBody) {
 	id := types.JobID(c.Arg)
-	if at := h.ahead[id]; at > h.applied && len(h.reads) < Crowd {
-		h.reads = append(h.reads, reader{w, id, at})
+	if at := co.ahead[id]; at > co.applied && len(co.reads) < Crowd {
+		co.reads = append(co.reads, reader{w, id, at})
 		return
 	}
-	h.show(w, id)
+	co.show(w, id)
 }
 
-func (h *Controller) show(w waiter, id types.JobID) {
-	if v := h.View(id); v != nil {
-		h.good(w, 200, v)
+func (co *Controller) show(w waiter, id types.JobID) {
+	if v := co.View(id); v != nil {
+		co.good(w, 200, v)
 		return
 	}
-	h.bad(w, apierror.New(apierror.NoJob, "id", "no such job"))
+	co.bad(w, apierror.New(apierror.NoJob, "id", "no such job"))
 }
 
 // answer gives the reads whose ends are in the log by now.
-func (h *Controller) answer() {
-	kept := h.reads[:0]
-	for _, r := range h.reads {
-		if r.at > h.applied {
+func (co *Controller) answer() {
+	kept := co.reads[:0]
+	for _, r := range co.reads {
+		if r.at > co.applied {
 			kept = append(kept, r)
 		} else {
-			h.show(r.w, r.id)
+			co.show(r.w, r.id)
 		}
 	}
-	h.reads = kept
+	co.reads = kept
 }
 
 // turnAway sends those who read to the next leader.
-func (h *Controller) turnAway() {
-	for _, r := range h.reads {
-		h.reply(r.w, wire.ReplyBody{Away: true, Lead: h.otherLeader()})
+func (co *Controller) turnAway() {
+	for _, r := range co.reads {
+		co.reply(r.w, wire.ReplyBody{Away: true, Lead: co.otherLeader()})
 	}
-	h.reads = nil
-	clear(h.ahead)
+	co.reads = nil
+	clear(co.ahead)
 }
--- a/internal/controller/slots.go
+++ b/internal/controller/slots.go
@@ -29,32 +29,32 @@
 }
 
 // reset forgets everything, for another leadership.
-func (c *slotCache) reset() { *c = slotCache{} }
+func (sc *slotCache) reset() { *sc = slotCache{} }
 
 // forget has one worker summed up anew.
-func (c *slotCache) forget(shard types.Shard) { delete(c.kept, shard) }
+func (sc *slotCache) forget(shard types.Shard) { delete(sc.kept, shard) }
 
 // list gives the workers that may be given work, and all cores there are. The list
 // holds until the next one is made.
-func (c *slotCache) list(h *Controller) (slots []placement.Slot, total types.Cores) {
-	if c.kept == nil {
-		c.kept, c.at = map[types.Shard]*occupancy{}, map[types.Shard]int{}
+func (sc *slotCache) list(h *Controller) (slots []placement.Slot, total types.Cores) {
+	if sc.kept == nil {
+		sc.kept, sc.at = map[types.Shard]*occupancy{}, map[types.Shard]int{}
 	}
-	clear(c.at)
-	slots = c.last[:0]
+	clear(sc.at)
+	slots = sc.last[:0]
 	for _, s := range h.scheduler.Seats() {
 		if s.State != dispatch.Healthy {
 			continue
 		}
 		total += s.Room.Cores
 		if till, _, _ := h.till(s); !s.Leaving && s.Healthy {
-			c.at[s.Shard] = len(slots)
-			slots = append(slots, h.slot(s, c.of(h, s.Shard), till))
+			sc.at[s.Shard] = len(slots)
+			slots = append(slots, h.slot(s, sc.of(h, s.Shard), till))
 		}
 	}
-	c.last = slots
+	sc.last = slots
 	for _, given := range h.given {
-		if i, ok := c.at[given.Shard]; ok {
+		if i, ok := sc.at[given.Shard]; ok {
 			part := placement.Part{Job: given.Attempt.Job, Stage: types.StageOf(given.Attempt.N)}
 			slots[i].Add(part, h.roomOf(part))
 		}
@@ -63,55 +63,55 @@
 }
 
 // slot is one worker with what runs there.
-func (h *Controller) slot(s *dispatch.WorkerEntry, runs *occupancy, till time.Duration) placement.Slot {
+func (co *Controller) slot(s *dispatch.WorkerEntry, runs *occupancy, till time.Duration) placement.Slot {
 	return placement.Slot{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Labels: s.Labels,
-		Free: s.Room.Minus(s.Lacks).Minus(runs.used), Size: s.Room, Till: till, Clear: runs.rest(h.now.Mono),
-		Bad: s.Worth.Bad, Slow: s.Worth.Slow, Now: h.scheduler.Slow(s), Busy: runs.busy, Has: runs.has}
+		Free: s.Room.Minus(s.Lacks).Minus(runs.used), Size: s.Room, Till: till, Clear: runs.rest(co.now.Mono),
+		Bad: s.Worth.Bad, Slow: s.Worth.Slow, Now: co.scheduler.Slow(s), Busy: runs.busy, Has: runs.has}
 }
 
 // roomOf is what a task of a part takes, or nothing if its job is over.
-func (h *Controller) roomOf(p placement.Part) types.Room {
-	if j := h.state.Jobs[p.Job]; j != nil && !j.Over() {
+func (co *Controller) roomOf(p placement.Part) types.Room {
+	if j := co.state.Jobs[p.Job]; j != nil && !j.Over() {
 		return j.Spec.Steps[p.Stage.Step()].Room
 	}
 	return types.Room{}
 }
 
 // of gives what runs on a worker.
-func (c *slotCache) of(h *Controller, shard types.Shard) *occupancy {
+func (sc *slotCache) of(h *Controller, shard types.Shard) *occupancy {
 	attempts, revision := h.scheduler.Running(shard)
-	if runs := c.kept[shard]; runs != nil && runs.revision == revision {
+	if runs := sc.kept[shard]; runs != nil && runs.revision == revision {
 		return runs
 	}
 	runs := &occupancy{revision: revision, has: make(map[placement.Part]int, len(attempts))}
 	for _, o := range attempts {
 		runs.add(o, h.freed[o.Attempt])
 	}
-	c.kept[shard] = runs
+	sc.kept[shard] = runs
 	return runs
 }
 
 // add counts an attempt. One that is freed surely runs no more, but still counts for
 // the spread of its step until its end is committed.
-func (x *occupancy) add(o *dispatch.Hold, freed bool) {
+func (oc *occupancy) add(o *dispatch.Hold, freed bool) {
 	if !freed {
-		x.used = x.used.Plus(o.Room)
-		x.busy++
+		oc.used = oc.used.Plus(o.Room)
+		oc.busy++
 	}
 	if o.Limit == 0 {
-		x.endless = true
+		oc.endless = true
 	} else {
-		x.latest = max(x.latest, o.At.Add(o.Limit))
+		oc.latest = max(oc.latest, o.At.Add(o.Limit))
 	}
 	if o.Stage >= 0 {
-		x.has[placement.Part{Job: o.Attempt.Job, Stage: o.Stage}]++
+		oc.has[placement.Part{Job: o.Attempt.Job, Stage: o.Stage}]++
 	}
 }
 
 // rest is by when all that runs there has ended, by its limits.
-func (x *occupancy) rest(now types.Stamp) time.Duration {
-	rest := max(0, x.latest.Sub(now))
-	if x.endless {
+func (oc *occupancy) rest(now types.Stamp) time.Duration {
+	rest := max(0, oc.latest.Sub(now))
+	if oc.endless {
 		rest = max(rest, endlessRest)
 	}
 	return rest
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -20,33 +20,33 @@
 )
 
 // compactionDue tells whether the log has grown enough to be put together.
-func (h *Controller) compactionDue() bool {
-	entries, bytes := h.applied-h.since, h.raft.LogBytes()
-	every := h.options.Every
+func (co *Controller) compactionDue() bool {
+	entries, bytes := co.applied-co.since, co.raft.LogBytes()
+	every := co.options.Every
 	if every == 0 {
 		every = Every
 	}
 	if entries <= every && bytes <= largeLog {
 		return false
 	}
-	return bytes >= h.shot/2 || entries >= Far
+	return bytes >= co.shot/2 || entries >= Far
 }
 
 // writeSnapshotPart puts the log together, a little a step.
-func (h *Controller) writeSnapshotPart() {
-	if h.loader != nil {
+func (co *Controller) writeSnapshotPart() {
+	if co.loader != nil {
 		return
 	}
-	if !h.state.Shooting() {
-		if !h.compactionDue() {
+	if !co.state.Shooting() {
+		if !co.compactionDue() {
 			return
 		}
-		h.since = h.applied
-		h.state.Begin()
+		co.since = co.applied
+		co.state.Begin()
 	}
-	if parts := h.state.Shoot(writePart); parts != nil {
-		h.shot = sizeOf(parts)
-		h.raft.Compact(h.since, parts)
+	if parts := co.state.Shoot(writePart); parts != nil {
+		co.shot = sizeOf(parts)
+		co.raft.Compact(co.since, parts)
 	}
 }
 
@@ -60,35 +60,35 @@
 // beginLoad starts to read back the snapshot that the log begins with. Until it
 // is done the state is the old one, nothing is applied, and this member does not
 // stand for election.
-func (h *Controller) beginLoad() {
-	s := h.raft.Snapshot()
-	h.loader, h.loaded = state.NewLoader(s.Parts), s.Index
-	h.raft.Loading(true)
+func (co *Controller) beginLoad() {
+	s := co.raft.Snapshot()
+	co.loader, co.loaded = state.NewLoader(s.Parts), s.Index
+	co.raft.Loading(true)
 }
 
 // loadPart reads on, and takes the state over once it is whole.
-func (h *Controller) loadPart() {
-	if h.loader == nil {
+func (co *Controller) loadPart() {
+	if co.loader == nil {
 		return
 	}
-	whole, err := h.loader.Load(readPart)
+	whole, err := co.loader.Load(readPart)
 	if err != nil {
 		panic(err)
 	}
 	if whole == nil {
 		return
 	}
-	h.state, h.applied, h.since, h.loader = whole, h.loaded, h.loaded, nil
-	h.shot = sizeOf(h.raft.Snapshot().Parts)
-	h.raft.AdvanceClock(whole.Tick)
-	h.raft.Loading(false)
+	co.state, co.applied, co.since, co.loader = whole, co.loaded, co.loaded, nil
+	co.shot = sizeOf(co.raft.Snapshot().Parts)
+	co.raft.AdvanceClock(whole.Tick)
+	co.raft.Loading(false)
 }
 
 // replaced tells whether a leader has sent a snapshot in place of what this
 // member had.
-func (h *Controller) replaced() bool {
-	return h.raft.Snapshot().Index > max(h.applied, h.loaded)
+func (co *Controller) replaced() bool {
+	return co.raft.Snapshot().Index > max(co.applied, co.loaded)
 }
 
 // lags tells whether the state lacks something that is committed.
-func (h *Controller) lags() bool { return h.loader != nil || h.applied < h.raft.Commit() }
+func (co *Controller) lags() bool { return co.loader != nil || co.applied < co.raft.Commit() }
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -30,8 +30,8 @@
 }
 
 // View shows a job, or nil.
-func (h *Controller) View(id types.JobID) *JobView {
-	j := h.state.Find(id)
+func (co *Controller) View(id types.JobID) *JobView {
+	j := co.state.Find(id)
 	if j == nil {
 		return nil
 	}
@@ -67,25 +67,25 @@
 }
 
 // Queues lists them in the table's order.
-func (h *Controller) Queues() (list []QueueView) {
-	wants, dues := h.wants()
+func (co *Controller) Queues() (list []QueueView) {
+	wants, dues := co.wants()
 	ready, oldest := map[types.Queue]int{}, map[types.Queue]types.Tick{}
 	for _, w := range wants {
 		ready[w.Queue] += len(w.Tasks)
 	}
-	for _, j := range h.state.Live() {
+	for _, j := range co.state.Live() {
 		if _, ok := oldest[j.Queue]; !ok {
 			oldest[j.Queue] = j.At
 		}
 	}
 	list = []QueueView{}
-	for _, r := range h.state.Table.Rows {
-		v := QueueView{Name: r.Name, Weight: r.Weight, Share: r.Share, Jobs: h.state.Held(r.Name), Limit: r.Waiting,
+	for _, r := range co.state.Table.Rows {
+		v := QueueView{Name: r.Name, Weight: r.Weight, Share: r.Share, Jobs: co.state.Held(r.Name), Limit: r.Waiting,
 			Running: dues[r.Name].Running, Cores: dues[r.Name].Cores, Ready: ready[r.Name]}
 		if at, ok := oldest[r.Name]; ok {
-			v.Oldest = h.raft.Clock().Sub(at).Milliseconds()
+			v.Oldest = co.raft.Clock().Sub(at).Milliseconds()
 		}
-		if c := h.state.Count[r.Name]; c != nil {
+		if c := co.state.Count[r.Name]; c != nil {
 			v.Counts = *c
 		}
 		list = append(list, v)
@@ -108,18 +108,18 @@
 	Slow     float64    `json:"slowness"`
 }
 
-func (h *Controller) Workers() (list []WorkerView) {
+func (co *Controller) Workers() (list []WorkerView) {
 	list = []WorkerView{}
-	if h.scheduler == nil {
+	if co.scheduler == nil {
 		return
 	}
 	n := map[types.Shard]int{}
-	for _, o := range h.scheduler.Holds() {
+	for _, o := range co.scheduler.Holds() {
 		n[o.Shard]++
 	}
-	for _, s := range h.scheduler.Seats() {
-		list = append(list, WorkerView{Shard: s.Shard, ID: s.ID, Addr: s.Addr, State: s.State, ForMS: h.now.Mono.Sub(s.Since).Milliseconds(),
-			QuietMS: h.now.Mono.Sub(s.Good).Milliseconds(), Report: s.Report, Free: h.scheduler.Free(s), Attempts: n[s.Shard],
+	for _, s := range co.scheduler.Seats() {
+		list = append(list, WorkerView{Shard: s.Shard, ID: s.ID, Addr: s.Addr, State: s.State, ForMS: co.now.Mono.Sub(s.Since).Milliseconds(),
+			QuietMS: co.now.Mono.Sub(s.Good).Milliseconds(), Report: s.Report, Free: co.scheduler.Free(s), Attempts: n[s.Shard],
 			Bad: s.Worth.Bad, Slow: s.Worth.Slow})
 	}
 	return
@@ -150,29 +150,29 @@
 	Sums    Sums               `json:"sums"`
 }
 
-func (h *Controller) Status() StatusView {
-	c := h.raft
-	v := StatusView{Role: "controller", Program: h.options.Issue, ID: c.ID(), Cluster: c.Name(), Part: c.Role(), Why: c.Reason(),
-		Ready: h.Ready(), Term: c.Term(), Leader: c.Leader(), Commit: c.Commit(), Roll: c.Config(), Version: h.state.Table.Version,
-		Jobs: len(h.state.Live()), Known: len(h.state.Jobs) + h.state.Tombstones(), Peers: h.roster.Peers(), Sums: h.Sums,
-		Behind: h.overload.isBehind, LagMS: h.overload.load.Control.Milliseconds(),
-		Wall: time.Unix(0, int64(h.raft.Clock())+int64(h.state.Off)).UTC().Format(time.RFC3339Nano)}
-	if h.scheduler != nil && h.scheduler.Wait {
-		v.Wait = h.scheduler.Why
+func (co *Controller) Status() StatusView {
+	c := co.raft
+	v := StatusView{Role: "controller", Program: co.options.Issue, ID: c.ID(), Cluster: c.Name(), Part: c.Role(), Why: c.Reason(),
+		Ready: co.Ready(), Term: c.Term(), Leader: c.Leader(), Commit: c.Commit(), Roll: c.Config(), Version: co.state.Table.Version,
+		Jobs: len(co.state.Live()), Known: len(co.state.Jobs) + co.state.Tombstones(), Peers: co.roster.Peers(), Sums: co.Sums,
+		Behind: co.overload.isBehind, LagMS: co.overload.load.Control.Milliseconds(),
+		Wall: time.Unix(0, int64(co.raft.Clock())+int64(co.state.Off)).UTC().Format(time.RFC3339Nano)}
+	if co.scheduler != nil && co.scheduler.Wait {
+		v.Wait = co.scheduler.Why
 	}
 	if n := c.Config().Voters(); n > 0 {
 		v.Bears = (n - 1) / 2
 	}
 	switch {
-	case h.disk != nil:
-		v.Why = "the disk refuses, so this member has no vote and no duty: " + h.disk.Error()
+	case co.disk != nil:
+		v.Why = "the disk refuses, so this member has no vote and no duty: " + co.disk.Error()
 	case c.Stuck():
 		v.Why = "the disk does not answer, so this member has no duty"
-	case h.loader != nil:
+	case co.loader != nil:
 		v.Why = "reading a snapshot back"
 	}
-	if v.Why == "" && c.Name() != "" && v.Bears < h.options.Loses {
-		v.Why = fmt.Sprintf("%d voters bear the loss of %d at once, and the settings ask for %d", c.Config().Voters(), v.Bears, h.options.Loses)
+	if v.Why == "" && c.Name() != "" && v.Bears < co.options.Loses {
+		v.Why = fmt.Sprintf("%d voters bear the loss of %d at once, and the settings ask for %d", c.Config().Voters(), v.Bears, co.options.Loses)
 	}
 	return v
 }
--- a/internal/controller/windows.go
+++ b/internal/controller/windows.go
@@ -22,19 +22,19 @@
 
 // till tells how long a seat may still run something, 0 for without end, and
 // when all there must be gone, if it must.
-func (h *Controller) till(s *dispatch.WorkerEntry) (left time.Duration, by types.Stamp, why state.Why) {
-	now := h.raft.Clock()
+func (co *Controller) till(s *dispatch.WorkerEntry) (left time.Duration, by types.Stamp, why state.Why) {
+	now := co.raft.Clock()
 	if s.Leaving {
 		left, why = time.Nanosecond, state.Leaves
 		if s.LeaveMS > 0 {
 			by = s.Goes
 		}
 	}
-	if w, ok := h.state.Window(s.Shard, s.Rack, now); ok {
-		if d := max(time.Nanosecond, w.From.Sub(now)-h.options.Truth.Grant); left == 0 || d < left { // an order may lie so long
+	if w, ok := co.state.Window(s.Shard, s.Rack, now); ok {
+		if d := max(time.Nanosecond, w.From.Sub(now)-co.options.Truth.Grant); left == 0 || d < left { // an order may lie so long
 			left = d
 		}
-		if at := h.now.Mono.Add(w.By.Sub(now)); w.By != 0 && (by == 0 || at < by) {
+		if at := co.now.Mono.Add(w.By.Sub(now)); w.By != 0 && (by == 0 || at < by) {
 			by, why = at, w.Why
 		}
 	}
@@ -62,25 +62,25 @@
 
 // reviewAttempts gives the attempts to be taken back now, and the second attempts that are
 // wanted.
-func (h *Controller) reviewAttempts() (backs []state.Back, copies []placement.Want) {
-	if !h.checks.due(h.now.Mono) {
+func (co *Controller) reviewAttempts() (backs []state.Back, copies []placement.Want) {
+	if !co.checks.due(co.now.Mono) {
 		return nil, nil
 	}
-	holds := h.scheduler.Holds()
-	return h.recall(holds), h.behind(holds)
+	holds := co.scheduler.Holds()
+	return co.recall(holds), co.behind(holds)
 }
 
 // recall lists the attempts to be taken back now.
-func (h *Controller) recall(holds []*dispatch.Hold) (list []state.Back) {
+func (co *Controller) recall(holds []*dispatch.Hold) (list []state.Back) {
 	gone := map[types.Shard]state.Why{}
-	for _, s := range h.scheduler.Seats() {
-		if _, by, why := h.till(s); by != 0 && by.Sub(h.now.Mono) < ahead {
+	for _, s := range co.scheduler.Seats() {
+		if _, by, why := co.till(s); by != 0 && by.Sub(co.now.Mono) < ahead {
 			gone[s.Shard] = why
 		}
 	}
 	left := map[placement.Part]bool{}
-	for _, o := range h.scheduler.Missing() {
-		if j := h.state.Jobs[o.Attempt.Job]; j != nil && j.State == state.Open && j.Spec.Steps[o.Stage.Step()].Gang {
+	for _, o := range co.scheduler.Missing() {
+		if j := co.state.Jobs[o.Attempt.Job]; j != nil && j.State == state.Open && j.Spec.Steps[o.Stage.Step()].Gang {
 			left[placement.Part{Job: o.Attempt.Job, Stage: o.Stage}] = true
 		}
 	}
@@ -89,10 +89,10 @@
 		if why == "" && left[placement.Part{Job: o.Attempt.Job, Stage: o.Stage}] {
 			why = state.Alone
 		}
-		if why == "" && (h.stalled(o) || h.crawls(o)) {
+		if why == "" && (co.stalled(o) || co.crawls(o)) {
 			why = state.Stalled
 		}
-		if why != "" && h.mayTake(o.Attempt) {
+		if why != "" && co.mayTake(o.Attempt) {
 			list = append(list, state.Back{Attempt: o.Attempt, Why: why})
 		}
 	}
@@ -100,8 +100,8 @@
 }
 
 // mayTake tells whether an attempt is out and not yet being taken back.
-func (h *Controller) mayTake(l types.Attempt) bool {
-	j := h.state.Jobs[l.Job]
+func (co *Controller) mayTake(l types.Attempt) bool {
+	j := co.state.Jobs[l.Job]
 	if j == nil || j.State != state.Open {
 		return false
 	}
@@ -114,26 +114,26 @@
 }
 
 // stalled tells an attempt far beyond its step's usual time, once for a task.
-func (h *Controller) stalled(o *dispatch.Hold) bool {
-	u, ok := h.scheduler.Usual(o.Usual)
-	j := h.state.Jobs[o.Attempt.Job]
+func (co *Controller) stalled(o *dispatch.Hold) bool {
+	u, ok := co.scheduler.Usual(o.Usual)
+	j := co.state.Jobs[o.Attempt.Job]
 	if !ok || j == nil {
 		return false
 	}
 	if t := j.Task(o.Attempt.N); t == nil || t.Shun != "" || j.Spec.Steps[o.Stage.Step()].Lasts {
 		return false
 	}
-	row, _ := h.state.Row(j.Queue)
-	return row.Stall > 0 && h.now.Mono.Sub(o.At) > max(briefs, time.Duration(row.Stall)*u)
+	row, _ := co.state.Row(j.Queue)
+	return row.Stall > 0 && co.now.Mono.Sub(o.At) > max(briefs, time.Duration(row.Stall)*u)
 }
 
 // crawls tells an attempt that will take so much longer where it is that it had better
 // begin anew elsewhere, once for a task. What takes long anyway is left to its
 // worker, which may be quick again before it would be done elsewhere; what may run
 // twice gets a copy instead.
-func (h *Controller) crawls(o *dispatch.Hold) bool {
-	j := h.state.Jobs[o.Attempt.Job]
-	if j == nil || o.Late <= h.now.Mono || o.Stage < 0 {
+func (co *Controller) crawls(o *dispatch.Hold) bool {
+	j := co.state.Jobs[o.Attempt.Job]
+	if j == nil || o.Late <= co.now.Mono || o.Stage < 0 {
 		return false
 	}
 	p := &j.Spec.Steps[o.Stage.Step()]
@@ -141,22 +141,22 @@
 	if t == nil || t.Shun != "" || p.Lasts || p.Copies && !p.Gang {
 		return false
 	}
-	usual := h.expect(j, o.Stage.Step())
-	return usual < shorts && o.Late.Sub(h.now.Mono) > 3*usual/2+halts
+	usual := co.expect(j, o.Stage.Step())
+	return usual < shorts && o.Late.Sub(co.now.Mono) > 3*usual/2+halts
 }
 
 // overtime lists the attempts that run longer than the table in force allows; each was
 // told its limit with its order, but the table may have changed since.
-func (h *Controller) overtime() (list []types.Attempt) {
-	if !h.limits.due(h.now.Mono) {
+func (co *Controller) overtime() (list []types.Attempt) {
+	if !co.limits.due(co.now.Mono) {
 		return nil
 	}
-	for _, o := range h.scheduler.Holds() {
-		j := h.state.Jobs[o.Attempt.Job]
+	for _, o := range co.scheduler.Holds() {
+		j := co.state.Jobs[o.Attempt.Job]
 		if j == nil || j.Over() || o.Limit == 0 {
 			continue
 		}
-		if row, ok := h.state.Row(j.Queue); ok && h.now.Mono.Sub(o.At) > row.Limit() && row.Limit() < o.Limit {
+		if row, ok := co.state.Row(j.Queue); ok && co.now.Mono.Sub(o.At) > row.Limit() && row.Limit() < o.Limit {
 			list = append(list, o.Attempt)
 		}
 	}
--- a/internal/dispatch/caller.go
+++ b/internal/dispatch/caller.go
@@ -81,38 +81,38 @@
 }
 
 // Invoked tells whether the worker is one that is called.
-func (h *Executor) Invoked() bool { return h.caller != nil }
+func (ex *Executor) Invoked() bool { return ex.caller != nil }
 
 // Calls drains the calls to make.
-func (h *Executor) Calls() []wire.WorkerCall {
-	if h.caller == nil {
+func (ex *Executor) Calls() []wire.WorkerCall {
+	if ex.caller == nil {
 		return nil
 	}
-	c := h.caller.calls
-	h.caller.calls = nil
+	c := ex.caller.calls
+	ex.caller.calls = nil
 	return c
 }
 
 // Beat takes what the worker tells of itself. A process that is over is not
 // heard; another one waits until the present one is known to be over. If that
 // still answers, the beat was late, of a process before it.
-func (h *Executor) Beat(now types.Stamp, b wire.WorkerBeat) {
-	h.now = now
-	if h.caller == nil {
-		h.caller = &Caller{past: map[types.ID]bool{}, open: map[uint64]*flight{}, ends: map[uint64]*ending{}}
+func (ex *Executor) Beat(now types.Stamp, b wire.WorkerBeat) {
+	ex.now = now
+	if ex.caller == nil {
+		ex.caller = &Caller{past: map[types.ID]bool{}, open: map[uint64]*flight{}, ends: map[uint64]*ending{}}
 	}
-	c := h.caller
+	c := ex.caller
 	switch {
 	case c.past[b.Life]:
 	case c.life == "":
-		h.adopt(b)
+		ex.adopt(b)
 	case c.life != b.Life:
 		c.heir, c.came = &b, now
-		h.line()
+		ex.line()
 	case b.Seq > c.seq:
-		c.seq, c.to, h.heard = b.Seq, b.To, now
-		h.hear(b.Clock)
-		h.report(b)
+		c.seq, c.to, ex.heard = b.Seq, b.To, now
+		ex.hear(b.Clock)
+		ex.report(b)
 	}
 }
 
@@ -120,63 +120,63 @@
 // draining ends now, all that it ran with it. Any other runs on for a while: it is
 // draining from now on, whatever late beats of it say, and is over only when its
 // lease has run out or another process answers in its place.
-func (h *Executor) Leave(now types.Stamp, life types.ID) {
-	h.now = now
-	if h.caller == nil || h.caller.life != life {
+func (ex *Executor) Leave(now types.Stamp, life types.ID) {
+	ex.now = now
+	if ex.caller == nil || ex.caller.life != life {
 		return
 	}
-	if h.rep.Leaving && !h.caller.departing {
-		h.over(true)
+	if ex.rep.Leaving && !ex.caller.departing {
+		ex.over(true)
 		return
 	}
-	if h.caller.departing {
+	if ex.caller.departing {
 		return
 	}
-	h.caller.departing = true
-	h.beat = never
-	h.leaves(h.pace.Drain)
+	ex.caller.departing = true
+	ex.beat = never
+	ex.leaves(ex.pace.Drain)
 }
 
 // leaves notes that the worker goes, and how long it surely runs on; 0 is not known.
-func (h *Executor) leaves(in time.Duration) {
-	h.rep.Leaving, h.rep.LeaveMS = true, in.Milliseconds()
-	h.goes = h.now.Add(in)
+func (ex *Executor) leaves(in time.Duration) {
+	ex.rep.Leaving, ex.rep.LeaveMS = true, in.Milliseconds()
+	ex.goes = ex.now.Add(in)
 }
 
-func (h *Executor) report(b wire.WorkerBeat) {
-	before := h.rep
-	h.rep = Report{Rack: b.Rack, Kinds: b.Kinds, Room: b.Room, Labels: b.Labels, Lacks: before.Lacks, Healthy: before.Healthy, Invoked: true}
+func (ex *Executor) report(b wire.WorkerBeat) {
+	before := ex.rep
+	ex.rep = Report{Rack: b.Rack, Kinds: b.Kinds, Room: b.Room, Labels: b.Labels, Lacks: before.Lacks, Healthy: before.Healthy, Invoked: true}
 	switch {
 	case b.Leaving:
-		h.leaves(time.Duration(b.LeaveMS) * time.Millisecond)
-	case h.caller.departing: // a late beat, or one of a worker that never says that it drains
-		h.rep.Leaving, h.rep.LeaveMS = true, before.LeaveMS
+		ex.leaves(time.Duration(b.LeaveMS) * time.Millisecond)
+	case ex.caller.departing: // a late beat, or one of a worker that never says that it drains
+		ex.rep.Leaving, ex.rep.LeaveMS = true, before.LeaveMS
 	}
-	if h.rep.Leaving != before.Leaving || !before.Healthy {
-		h.beat = never
+	if ex.rep.Leaving != before.Leaving || !before.Healthy {
+		ex.beat = never
 	}
 }
 
 // adopt takes up a worker process. What it runs is asked before anything else.
-func (h *Executor) adopt(b wire.WorkerBeat) {
-	c := h.caller
+func (ex *Executor) adopt(b wire.WorkerBeat) {
+	c := ex.caller
 	c.life, c.to, c.seq, c.heir, c.departing = b.Life, b.To, b.Seq, nil, false
-	c.clock, c.got, c.until, c.read, c.seen, c.sick, c.mute = b.Clock, h.now, 0, 0, 0, never, false
+	c.clock, c.got, c.until, c.read, c.seen, c.sick, c.mute = b.Clock, ex.now, 0, 0, 0, never, false
 	c.tight, c.backoff = never, 0
 	c.fence, c.firm = uint64(max(b.Clock, 0))*fences, false
 	c.hold, c.query, c.next = 0, 0, never
 	clear(c.ends)
 	c.Sums.Lives++
-	h.worker, h.heard, h.told = b.Life, h.now, false
-	h.report(b)
-	h.line()
+	ex.worker, ex.heard, ex.told = b.Life, ex.now, false
+	ex.report(b)
+	ex.line()
 }
 
 // over gives up the worker's present process: nothing of it runs any more. If it
 // is gone, rather than out of reach for longer than its lease, it is not heard
 // again.
-func (h *Executor) over(gone bool) {
-	c := h.caller
+func (ex *Executor) over(gone bool) {
+	c := ex.caller
 	if len(c.past) >= lives {
 		clear(c.past)
 	}
@@ -186,47 +186,47 @@
 	c.life, c.hold, c.query = "", 0, 0
 	clear(c.open)
 	clear(c.ends)
-	for _, l := range h.sorted() {
+	for _, l := range ex.sorted() {
 		if l.part != ended {
-			h.finish(l, state.Gone)
+			ex.finish(l, state.Gone)
 		}
 		if l.settled {
-			h.forget(l.job.Attempt)
+			ex.forget(l.job.Attempt)
 		}
 	}
-	h.rep.Healthy, h.beat = false, never
+	ex.rep.Healthy, ex.beat = false, never
 	if c.heir != nil {
-		h.adopt(*c.heir)
+		ex.adopt(*c.heir)
 	}
 }
 
 // listen is how long a hold waits for an end. Each renews the lease, which must
 // outlast two that get no reply.
-func (h *Executor) listen() time.Duration { return min(listens, h.pace.Grant/3) }
+func (ex *Executor) listen() time.Duration { return min(listens, ex.pace.Grant/3) }
 
 // quiet tells whether a worker that is called is sick, or has said nothing since a
 // call that got no reply.
-func (h *Executor) quiet() bool {
-	c := h.caller
-	return h.now < c.sick || c.life == "" || c.mute || h.now.Sub(h.heard) > h.listen()+answers+h.pace.Ill
+func (ex *Executor) quiet() bool {
+	c := ex.caller
+	return ex.now < c.sick || c.life == "" || c.mute || ex.now.Sub(ex.heard) > ex.listen()+answers+ex.pace.Ill
 }
 
 // full takes it that the worker turned a start away for want of room: for a while it
 // holds no more than what runs there now, for twice as long if it does so again soon.
-func (h *Executor) full() {
-	c := h.caller
-	switch since := h.now.Sub(c.tight); {
+func (ex *Executor) full() {
+	c := ex.caller
+	switch since := ex.now.Sub(c.tight); {
 	case since >= c.backoff:
 		c.backoff = leastBackoff
 	case since >= 0:
 		c.backoff = min(2*c.backoff, mostBackoff)
 	}
-	c.proven, c.tight = h.used(), h.now.Add(c.backoff)
+	c.proven, c.tight = ex.used(), ex.now.Add(c.backoff)
 }
 
 // used is the room that what runs there takes.
-func (h *Executor) used() (r types.Room) {
-	for _, l := range h.attempts {
+func (ex *Executor) used() (r types.Room) {
+	for _, l := range ex.attempts {
 		if l.part == going || l.part == halting {
 			r = r.Plus(l.job.Room)
 		}
@@ -235,18 +235,18 @@
 }
 
 // lacks is how much less room the worker is believed to have than it tells.
-func (h *Executor) lacks() (r types.Room) {
-	if c := h.caller; c != nil && h.now < c.tight {
-		r = h.rep.Room.Minus(c.proven)
+func (ex *Executor) lacks() (r types.Room) {
+	if c := ex.caller; c != nil && ex.now < c.tight {
+		r = ex.rep.Room.Minus(c.proven)
 		r = types.Room{Cores: max(0, r.Cores), Memory: max(0, r.Memory), Accel: max(0, r.Accel)}
 	}
 	return
 }
 
 // hear takes a reading of the worker's clock, if it says more than is known.
-func (h *Executor) hear(clock int64) {
-	if c := h.caller; clock > c.reads(h.now) {
-		c.clock, c.got = clock, h.now
+func (ex *Executor) hear(clock int64) {
+	if c := ex.caller; clock > c.reads(ex.now) {
+		c.clock, c.got = clock, ex.now
 	}
 }
 
@@ -257,13 +257,13 @@
 
 // lease is the end of the lease that the worker may have now, on its own clock,
 // or 0 for none.
-func (h *Executor) lease() int64 {
-	c := h.caller
-	if h.state == MustDie || h.until <= h.now {
+func (ex *Executor) lease() int64 {
+	c := ex.caller
+	if ex.state == MustDie || ex.until <= ex.now {
 		return 0
 	}
-	end := c.clock + int64(slowest*float64((h.until.Sub(c.got)-early).Milliseconds()))
-	if end <= c.reads(h.now) {
+	end := c.clock + int64(slowest*float64((ex.until.Sub(c.got)-early).Milliseconds()))
+	if end <= c.reads(ex.now) {
 		return 0
 	}
 	return end
@@ -271,9 +271,9 @@
 
 // expired is true when the worker's lease has surely ended, and with it all
 // that ran there. An earlier agent may have given a longer one.
-func (h *Executor) expired() bool {
-	c := h.caller
-	return c.reads(h.now) > c.until && h.now.Sub(h.boot) > h.pace.Loss
+func (ex *Executor) expired() bool {
+	c := ex.caller
+	return c.reads(ex.now) > c.until && ex.now.Sub(ex.boot) > ex.pace.Loss
 }
 
 // Lease is how the worker's lease stands, for the status page.
@@ -289,10 +289,10 @@
 }
 
 // Lease shows it, or nil where the worker calls by itself.
-func (h *Executor) Lease() *Lease {
-	c := h.caller
+func (ex *Executor) Lease() *Lease {
+	c := ex.caller
 	if c == nil {
 		return nil
 	}
-	return &Lease{c.life, c.reads(h.now), c.until, c.fence, c.seen, len(c.ends), len(c.open), c.Sums}
+	return &Lease{c.life, c.reads(ex.now), c.until, c.fence, c.seen, len(c.ends), len(c.open), c.Sums}
 }
--- a/internal/dispatch/decode.go
+++ b/internal/dispatch/decode.go
@@ -11,25 +11,25 @@
 )
 
 // DecodeJSON reads a heartbeat.
-func (b *Heartbeat) DecodeJSON(d *jx.Decoder) error {
+func (h *Heartbeat) DecodeJSON(d *jx.Decoder) error {
 	return wire.Object(d, func(key string) (bool, error) {
 		switch key {
 		case "shard":
-			return true, wire.Text(d, &b.Shard)
+			return true, wire.Text(d, &h.Shard)
 		case "id":
-			return true, wire.Text(d, &b.ID)
+			return true, wire.Text(d, &h.ID)
 		case "past":
-			return true, wire.Text(d, &b.Past)
+			return true, wire.Text(d, &h.Past)
 		case "stamp":
-			return true, wire.Number(d, &b.Stamp)
+			return true, wire.Number(d, &h.Stamp)
 		case "set":
-			return true, b.Set.decode(d)
+			return true, h.Set.decode(d)
 		case "saves":
-			return true, wire.List(d, &b.Saves, func(s *Save) error { return s.decode(d) })
+			return true, wire.List(d, &h.Saves, func(s *Save) error { return s.decode(d) })
 		case "spans":
-			return true, wire.List(d, &b.Spans, func(s *Span) error { return s.decode(d) })
+			return true, wire.List(d, &h.Spans, func(s *Span) error { return s.decode(d) })
 		}
-		return b.Report.field(d, key)
+		return h.Report.field(d, key)
 	})
 }
 
@@ -99,34 +99,34 @@
 }
 
 // DecodeJSON reads a report of ended attempts.
-func (u *Status) DecodeJSON(d *jx.Decoder) error {
+func (s *Status) DecodeJSON(d *jx.Decoder) error {
 	return wire.Object(d, func(key string) (bool, error) {
 		switch key {
 		case "shard":
-			return true, wire.Text(d, &u.Shard)
+			return true, wire.Text(d, &s.Shard)
 		case "id":
-			return true, wire.Text(d, &u.ID)
+			return true, wire.Text(d, &s.ID)
 		case "ends":
-			return true, wire.List(d, &u.Ends, func(e *state.End) error { return decodeEnd(d, e) })
+			return true, wire.List(d, &s.Ends, func(e *state.End) error { return decodeEnd(d, e) })
 		}
 		return false, nil
 	})
 }
 
 // DecodeJSON reads the answer to an order.
-func (r *OrderReply) DecodeJSON(d *jx.Decoder) error {
+func (o *OrderReply) DecodeJSON(d *jx.Decoder) error {
 	return wire.Object(d, func(key string) (bool, error) {
 		switch key {
 		case "term":
-			return true, wire.Count(d, &r.Term)
+			return true, wire.Count(d, &o.Term)
 		case "shard":
-			return true, wire.Text(d, &r.Shard)
+			return true, wire.Text(d, &o.Shard)
 		case "id":
-			return true, wire.Text(d, &r.ID)
+			return true, wire.Text(d, &o.ID)
 		case "leg":
-			return true, decodeAttempt(d, &r.Attempt)
+			return true, decodeAttempt(d, &o.Attempt)
 		case "why":
-			return true, wire.Text(d, &r.Why)
+			return true, wire.Text(d, &o.Why)
 		}
 		return false, nil
 	})
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -93,169 +93,169 @@
 }
 
 // put takes an attempt into the account, forget out of it.
-func (h *Executor) put(l *attempt) {
-	if h.attempts[l.job.Attempt] == nil {
-		i, _ := slices.BinarySearchFunc(h.order, l, byAttempt)
-		h.order = slices.Insert(h.order, i, l)
+func (ex *Executor) put(l *attempt) {
+	if ex.attempts[l.job.Attempt] == nil {
+		i, _ := slices.BinarySearchFunc(ex.order, l, byAttempt)
+		ex.order = slices.Insert(ex.order, i, l)
 	}
-	h.attempts[l.job.Attempt] = l
+	ex.attempts[l.job.Attempt] = l
 }
 
-func (h *Executor) forget(k types.Attempt) {
-	if l := h.attempts[k]; l != nil {
-		i, _ := slices.BinarySearchFunc(h.order, l, byAttempt)
-		h.order = slices.Delete(h.order, i, i+1)
-		delete(h.attempts, k)
+func (ex *Executor) forget(k types.Attempt) {
+	if l := ex.attempts[k]; l != nil {
+		i, _ := slices.BinarySearchFunc(ex.order, l, byAttempt)
+		ex.order = slices.Delete(ex.order, i, i+1)
+		delete(ex.attempts, k)
 	}
 }
 
 func byAttempt(a, b *attempt) int { return a.job.Attempt.Compare(b.job.Attempt) }
 
 // sorted lists the attempts in order; the list is a copy.
-func (h *Executor) sorted() []*attempt { return slices.Clone(h.order) }
+func (ex *Executor) sorted() []*attempt { return slices.Clone(ex.order) }
 
-func (h *Executor) say(to types.Addr, kind string, body any) {
-	h.sends = append(h.sends, wire.Make(h.me, to, kind, body))
+func (ex *Executor) say(to types.Addr, kind string, body any) {
+	ex.sends = append(ex.sends, wire.Make(ex.me, to, kind, body))
 }
 
-func (h *Executor) turn(s Health) {
-	if h.state != s {
-		h.state, h.since = s, h.now
+func (ex *Executor) turn(s Health) {
+	if ex.state != s {
+		ex.state, ex.since = s, ex.now
 	}
 }
 
 // finish ends an attempt in the account and has it told. Lost is not the last word:
 // the attempt stays until the worker is heard again and says what became of it.
-func (h *Executor) finish(l *attempt, f state.Outcome) {
+func (ex *Executor) finish(l *attempt, f state.Outcome) {
 	if l.over && f != state.OK {
 		f = state.Bad
 	}
-	l.part, l.outcome, l.settled, l.unsure, h.status = ended, f, false, false, never
+	l.part, l.outcome, l.settled, l.unsure, ex.status = ended, f, false, false, never
 }
 
 // halt has an attempt stopped. One that the worker was never shown ends at once.
-func (h *Executor) halt(l *attempt) {
+func (ex *Executor) halt(l *attempt) {
 	switch {
 	case l.part == waiting && !l.shown:
-		h.finish(l, state.Unrun)
+		ex.finish(l, state.Unrun)
 	case l.part == waiting || l.part == going:
-		l.part, h.news = halting, true
+		l.part, ex.news = halting, true
 	}
 }
 
 // Tick lets time pass; lead is whom the roster holds for the leader.
-func (h *Executor) Tick(now types.Stamp, lead types.Addr) {
-	if lead != h.lead {
-		h.beat = never // it is told at once who is here
+func (ex *Executor) Tick(now types.Stamp, lead types.Addr) {
+	if lead != ex.lead {
+		ex.beat = never // it is told at once who is here
 	}
-	h.now, h.lead = now, lead
-	was := h.rep.Healthy
-	if h.caller != nil {
-		h.rep.Healthy = h.told && !h.quiet()
+	ex.now, ex.lead = now, lead
+	was := ex.rep.Healthy
+	if ex.caller != nil {
+		ex.rep.Healthy = ex.told && !ex.quiet()
 	} else {
-		h.rep.Healthy = h.told && now.Sub(h.heard) < h.pace.Ill*6/10
+		ex.rep.Healthy = ex.told && now.Sub(ex.heard) < ex.pace.Ill*6/10
 	}
-	if was != h.rep.Healthy {
-		h.beat = never
+	if was != ex.rep.Healthy {
+		ex.beat = never
 	}
-	quiet := now.Sub(h.good)
+	quiet := now.Sub(ex.good)
 	switch {
-	case h.state == MustDie:
-		h.rise()
-	case h.state == New:
-	case quiet > h.pace.Loss:
-		h.turn(MustDie)
-	case quiet > h.pace.Ill:
-		h.turn(Unhealthy)
+	case ex.state == MustDie:
+		ex.rise()
+	case ex.state == New:
+	case quiet > ex.pace.Loss:
+		ex.turn(MustDie)
+	case quiet > ex.pace.Ill:
+		ex.turn(Unhealthy)
 	default:
-		h.turn(Healthy)
+		ex.turn(Healthy)
 	}
-	if now >= h.until && !h.anew() || h.state == MustDie {
-		for _, l := range h.sorted() {
-			h.halt(l)
+	if now >= ex.until && !ex.anew() || ex.state == MustDie {
+		for _, l := range ex.sorted() {
+			ex.halt(l)
 		}
 	}
-	for _, l := range h.sorted() {
+	for _, l := range ex.sorted() {
 		if l.part == going && l.job.Limit > 0 && now.Sub(l.from) > time.Duration(l.job.Limit)*time.Millisecond {
 			l.over = true
-			h.halt(l)
+			ex.halt(l)
 		}
-		if l.part == ended || !h.told {
+		if l.part == ended || !ex.told {
 			continue
 		}
 		switch {
-		case h.caller == nil && h.lapsed():
-			h.finish(l, state.Lost)
-		case h.caller != nil && h.expired():
-			h.caller.Sums.Lapsed++
-			h.finish(l, state.Lapsed)
+		case ex.caller == nil && ex.lapsed():
+			ex.finish(l, state.Lost)
+		case ex.caller != nil && ex.expired():
+			ex.caller.Sums.Lapsed++
+			ex.finish(l, state.Lapsed)
 		}
 	}
-	for l, by := range h.seen {
+	for l, by := range ex.seen {
 		if now > by {
-			delete(h.seen, l)
+			delete(ex.seen, l)
 		}
 	}
-	h.line()
-	h.pulse()
+	ex.line()
+	ex.pulse()
 }
 
 // anew is true for an agent that starts anew beside a worker that is called, until
 // its first grant: what it finds there runs under a lease of the one before it,
 // and may run on under its own.
-func (h *Executor) anew() bool {
-	return h.caller != nil && h.until == never && h.now.Sub(h.boot) <= h.pace.Loss
+func (ex *Executor) anew() bool {
+	return ex.caller != nil && ex.until == never && ex.now.Sub(ex.boot) <= ex.pace.Loss
 }
 
 // rise comes back as a new instance once nothing can be running any more.
-func (h *Executor) rise() {
-	for _, l := range h.attempts {
+func (ex *Executor) rise() {
+	for _, l := range ex.attempts {
 		if l.part != ended {
 			return
 		}
 	}
-	h.id, h.past, h.set, h.seq = h.mint(), "", SetID{}, 0
-	h.good, h.until, h.beat = h.now, never, never
-	h.turn(New)
+	ex.id, ex.past, ex.set, ex.seq = ex.mint(), "", SetID{}, 0
+	ex.good, ex.until, ex.beat = ex.now, never, never
+	ex.turn(New)
 }
 
-func (h *Executor) pulse() {
-	if h.lead == "" {
+func (ex *Executor) pulse() {
+	if ex.lead == "" {
 		return
 	}
-	if l := h.lacks(); l != h.rep.Lacks {
-		h.rep.Lacks, h.beat = l, never
+	if l := ex.lacks(); l != ex.rep.Lacks {
+		ex.rep.Lacks, ex.beat = l, never
 	}
-	if h.now.Sub(h.beat) >= h.pace.Beat && h.ready() {
-		h.beat = h.now
-		if h.rep.LeaveMS > 0 {
-			h.rep.LeaveMS = max(1, h.goes.Sub(h.now).Milliseconds())
+	if ex.now.Sub(ex.beat) >= ex.pace.Beat && ex.ready() {
+		ex.beat = ex.now
+		if ex.rep.LeaveMS > 0 {
+			ex.rep.LeaveMS = max(1, ex.goes.Sub(ex.now).Milliseconds())
 		}
-		h.say(h.lead, wire.Beat, Heartbeat{h.shard, h.id, h.past, h.now, h.set, h.rep, h.saves(), h.spans()})
+		ex.say(ex.lead, wire.Beat, Heartbeat{ex.shard, ex.id, ex.past, ex.now, ex.set, ex.rep, ex.saves(), ex.spans()})
 	}
-	if h.now.Sub(h.status) < h.pace.Again {
+	if ex.now.Sub(ex.status) < ex.pace.Again {
 		return
 	}
 	var list []state.End
-	for _, l := range h.sorted() {
+	for _, l := range ex.sorted() {
 		if l.part == ended && !l.settled && len(list) < 500 {
 			list = append(list, state.End{Attempt: l.job.Attempt, Outcome: l.outcome, Ref: l.ref})
 		}
 	}
 	if list != nil {
-		h.status = h.now
-		h.say(h.lead, wire.Status, Status{h.shard, h.id, list})
+		ex.status = ex.now
+		ex.say(ex.lead, wire.Status, Status{ex.shard, ex.id, list})
 	}
 }
 
 // ready is false while the agent can't tell what runs: its worker has not
 // called yet and could still hold a grant of an earlier agent.
-func (h *Executor) ready() bool { return h.told || h.now.Sub(h.boot) > h.pace.Loss }
+func (ex *Executor) ready() bool { return ex.told || ex.now.Sub(ex.boot) > ex.pace.Loss }
 
 // Out drains what there is to send.
-func (h *Executor) Out() []wire.Send {
-	s := h.sends
-	h.sends = nil
+func (ex *Executor) Out() []wire.Send {
+	s := ex.sends
+	ex.sends = nil
 	return s
 }
 
@@ -279,11 +279,11 @@
 	Outcome state.Outcome `json:"fate,omitempty"`
 }
 
-func (h *Executor) View() View {
-	v := View{Shard: h.shard, ID: h.id, Term: h.term, State: h.state, ForMS: h.now.Sub(h.since).Milliseconds(),
-		Report: h.rep, Worker: h.worker, Lease: h.Lease(), Attempts: []AttemptView{}}
-	v.Grant = max(0, h.until.Sub(h.now).Milliseconds())
-	for _, l := range h.sorted() {
+func (ex *Executor) View() View {
+	v := View{Shard: ex.shard, ID: ex.id, Term: ex.term, State: ex.state, ForMS: ex.now.Sub(ex.since).Milliseconds(),
+		Report: ex.rep, Worker: ex.worker, Lease: ex.Lease(), Attempts: []AttemptView{}}
+	v.Grant = max(0, ex.until.Sub(ex.now).Milliseconds())
+	for _, l := range ex.sorted() {
 		v.Attempts = append(v.Attempts, AttemptView{l.job.Attempt, string(l.part), l.outcome})
 	}
 	return v
--- a/internal/dispatch/heed.go
+++ b/internal/dispatch/heed.go
@@ -11,78 +11,78 @@
 )
 
 // heeds checks the term and the addressee, and takes up a new leader.
-func (h *Executor) heeds(from types.Addr, t Top) bool {
-	if t.To != h.id || t.Term < h.term {
+func (ex *Executor) heeds(from types.Addr, t Top) bool {
+	if t.To != ex.id || t.Term < ex.term {
 		return false
 	}
-	if t.Term > h.term {
-		h.term, h.seq = t.Term, 0
-		if h.state != MustDie {
-			h.turn(New)
+	if t.Term > ex.term {
+		ex.term, ex.seq = t.Term, 0
+		if ex.state != MustDie {
+			ex.turn(New)
 		}
 	}
-	h.lead = from
+	ex.lead = from
 	return true
 }
 
-func (h *Executor) onBeaten(from types.Addr, b HeartbeatReply) {
-	if !h.heeds(from, b.Top) {
+func (ex *Executor) onBeaten(from types.Addr, b HeartbeatReply) {
+	if !ex.heeds(from, b.Top) {
 		return
 	}
-	if b.Set != h.set {
-		h.set, h.beat = b.Set, never
+	if b.Set != ex.set {
+		ex.set, ex.beat = b.Set, never
 	}
 	if !b.Known {
 		return
 	}
-	h.past = ""
+	ex.past = ""
 	if b.Until > b.Stamp {
-		h.until, h.good = max(h.until, b.Until), max(h.good, b.Stamp)
+		ex.until, ex.good = max(ex.until, b.Until), max(ex.good, b.Stamp)
 	}
-	if h.state == New {
-		h.turn(Unhealthy)
+	if ex.state == New {
+		ex.turn(Unhealthy)
 	}
-	if h.state == Unhealthy && h.now.Sub(h.good) <= h.pace.Ill {
-		h.turn(Healthy)
+	if ex.state == Unhealthy && ex.now.Sub(ex.good) <= ex.pace.Ill {
+		ex.turn(Healthy)
 	}
 }
 
-func (h *Executor) onAsk(from types.Addr, a RunningTasksQuery) {
-	if !h.heeds(from, a.Top) || !h.ready() {
+func (ex *Executor) onAsk(from types.Addr, a RunningTasksQuery) {
+	if !ex.heeds(from, a.Top) || !ex.ready() {
 		return
 	}
 	list := []Run{}
-	for _, l := range h.sorted() {
+	for _, l := range ex.sorted() {
 		if !l.settled || l.outcome == state.Lost {
 			list = append(list, Run{l.job.Attempt, l.job.Room})
 		}
 	}
-	h.say(from, wire.Account, RunningTasks{h.term, h.shard, h.id, list, h.told})
+	ex.say(from, wire.Account, RunningTasks{ex.term, ex.shard, ex.id, list, ex.told})
 }
 
-func (h *Executor) onOrder(from types.Addr, o Order) {
-	if !h.heeds(from, o.Top) {
+func (ex *Executor) onOrder(from types.Addr, o Order) {
+	if !ex.heeds(from, o.Top) {
 		return
 	}
-	l := h.attempts[o.Job.Attempt]
-	_, seen := h.seen[o.Job.Attempt]
+	l := ex.attempts[o.Job.Attempt]
+	_, seen := ex.seen[o.Job.Attempt]
 	if l != nil || seen {
 		return
 	}
-	h.seen[o.Job.Attempt] = max(o.Until, h.now).Add(h.pace.Loss)
-	why := h.refuse(o)
+	ex.seen[o.Job.Attempt] = max(o.Until, ex.now).Add(ex.pace.Loss)
+	why := ex.refuse(o)
 	if why == "" {
-		h.put(&attempt{job: o.Job, part: waiting, until: min(o.Until, h.until)})
-		h.news = true
+		ex.put(&attempt{job: o.Job, part: waiting, until: min(o.Until, ex.until)})
+		ex.news = true
 	}
-	h.say(from, wire.Ordered, OrderReply{h.term, h.shard, h.id, o.Job.Attempt, why})
+	ex.say(from, wire.Ordered, OrderReply{ex.term, ex.shard, ex.id, o.Job.Attempt, why})
 }
 
 // refuse gives the reason why an order may not be taken, or nothing.
-func (h *Executor) refuse(o Order) string {
-	free := h.rep.Room.Minus(h.lacks())
+func (ex *Executor) refuse(o Order) string {
+	free := ex.rep.Room.Minus(ex.lacks())
 	twin := false
-	for _, l := range h.attempts {
+	for _, l := range ex.attempts {
 		if l.part != ended {
 			free = free.Minus(l.job.Room)
 			twin = twin || l.job.Attempt.Task == o.Job.Attempt.Task
@@ -92,14 +92,14 @@
 		bad bool
 		why string
 	}{
-		{o.Seq < h.seq, "sent before the latest query"},
-		{h.now >= o.Until || h.now >= h.until, "grant has lapsed"},
-		{h.state != Healthy, "agent is " + string(h.state)},
-		{!h.rep.Healthy, "worker is silent"},
-		{h.rep.Leaving, "worker is leaving"},
-		{!slices.Contains(h.rep.Kinds, o.Job.Kind), "worker has not this kind"},
-		{o.Job.Rack != "" && o.Job.Rack != h.rep.Rack, "worker is in another rack"},
-		{!h.rep.fits(o.Job.Label), "worker lacks a label"},
+		{o.Seq < ex.seq, "sent before the latest query"},
+		{ex.now >= o.Until || ex.now >= ex.until, "grant has lapsed"},
+		{ex.state != Healthy, "agent is " + string(ex.state)},
+		{!ex.rep.Healthy, "worker is silent"},
+		{ex.rep.Leaving, "worker is leaving"},
+		{!slices.Contains(ex.rep.Kinds, o.Job.Kind), "worker has not this kind"},
+		{o.Job.Rack != "" && o.Job.Rack != ex.rep.Rack, "worker is in another rack"},
+		{!ex.rep.fits(o.Job.Label), "worker lacks a label"},
 		{twin, "another leg of the task is here"},
 		{!free.Holds(o.Job.Room), "no room"},
 	} {
@@ -112,60 +112,60 @@
 
 // onQuery answers which of the attempts asked about do not run here; from now on
 // orders sent before it are refused.
-func (h *Executor) onQuery(from types.Addr, q Query) {
-	if !h.heeds(from, q.Top) || q.Seq <= h.seq {
+func (ex *Executor) onQuery(from types.Addr, q Query) {
+	if !ex.heeds(from, q.Top) || q.Seq <= ex.seq {
 		return
 	}
-	h.seq = q.Seq
+	ex.seq = q.Seq
 	var idle []state.End
 	for _, l := range q.Attempts {
-		if h.attempts[l] == nil {
-			h.put(&attempt{job: Job{Attempt: l}, part: ended, outcome: state.Unrun})
+		if ex.attempts[l] == nil {
+			ex.put(&attempt{job: Job{Attempt: l}, part: ended, outcome: state.Unrun})
 			idle = append(idle, state.End{Attempt: l, Outcome: state.Unrun})
 		}
 	}
 	if idle != nil {
-		h.status = never
+		ex.status = never
 	}
-	h.say(from, wire.Queried, QueryReply{h.term, h.shard, h.id, q.Seq})
+	ex.say(from, wire.Queried, QueryReply{ex.term, ex.shard, ex.id, q.Seq})
 }
 
-func (h *Executor) onSettled(from types.Addr, s CommittedEnds) {
-	if !h.heeds(from, s.Top) {
+func (ex *Executor) onSettled(from types.Addr, s CommittedEnds) {
+	if !ex.heeds(from, s.Top) {
 		return
 	}
 	for _, e := range s.Ends {
-		l := h.attempts[e.Attempt]
+		l := ex.attempts[e.Attempt]
 		if l == nil || l.part != ended || l.outcome == state.OK && e.Outcome != state.OK {
 			continue
 		}
-		l.settled, h.news = true, true
-		if h.caller != nil {
-			h.settle(l)
-		} else if h.worker == "" {
-			h.forget(e.Attempt)
+		l.settled, ex.news = true, true
+		if ex.caller != nil {
+			ex.settle(l)
+		} else if ex.worker == "" {
+			ex.forget(e.Attempt)
 		}
 	}
 }
 
-func (h *Executor) onStop(from types.Addr, s Stop) {
-	if !h.heeds(from, s.Top) {
+func (ex *Executor) onStop(from types.Addr, s Stop) {
+	if !ex.heeds(from, s.Top) {
 		return
 	}
 	for _, k := range s.Attempts {
-		if l := h.attempts[k]; l != nil {
+		if l := ex.attempts[k]; l != nil {
 			l.over = l.over || l.part != ended && slices.Contains(s.Late, k)
-			h.halt(l)
+			ex.halt(l)
 		} else {
-			h.put(&attempt{job: Job{Attempt: k}, part: ended, outcome: state.Unrun})
-			h.seen[k], h.status = h.now.Add(2*h.pace.Loss), never
+			ex.put(&attempt{job: Job{Attempt: k}, part: ended, outcome: state.Unrun})
+			ex.seen[k], ex.status = ex.now.Add(2*ex.pace.Loss), never
 		}
 	}
 }
 
-func (h *Executor) onQuit(from types.Addr, q Quit) {
-	if h.heeds(from, q.Top) {
-		h.turn(MustDie)
+func (ex *Executor) onQuit(from types.Addr, q Quit) {
+	if ex.heeds(from, q.Top) {
+		ex.turn(MustDie)
 	}
 }
 
@@ -180,10 +180,10 @@
 }
 
 // Take handles a scheduler's note.
-func (h *Executor) Take(now types.Stamp, n wire.Message) {
-	h.now = now
+func (ex *Executor) Take(now types.Stamp, n wire.Message) {
+	ex.now = now
 	if f := hands[n.Kind]; f != nil {
-		f(h, n)
+		f(ex, n)
 	}
-	h.line()
+	ex.line()
 }
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -33,25 +33,25 @@
 }
 
 // span is how long an attempt will take in all, or 0 if that can't be told.
-func (l *attempt) span(now types.Stamp) time.Duration {
-	ran := l.read.Sub(l.from)
+func (a *attempt) span(now types.Stamp) time.Duration {
+	ran := a.read.Sub(a.from)
 	switch {
-	case l.part != going || l.read == 0 || ran < brief:
+	case a.part != going || a.read == 0 || ran < brief:
 		return 0
-	case l.done <= 0 && now.Sub(l.moved) < 2*still:
+	case a.done <= 0 && now.Sub(a.moved) < 2*still:
 		return 0 // it may wait for its gang
-	case now.Sub(l.moved) > still && l.read.Sub(l.moved) > still:
+	case now.Sub(a.moved) > still && a.read.Sub(a.moved) > still:
 		return worst * ran
-	case l.done <= 0:
+	case a.done <= 0:
 		return 0
 	}
-	return time.Duration(float64(ran) * 100 / l.done)
+	return time.Duration(float64(ran) * 100 / a.done)
 }
 
 // spans lists what there is to tell of the attempts' times.
-func (h *Executor) spans() (list []Span) {
-	for _, l := range h.sorted() {
-		d := l.span(h.now)
+func (ex *Executor) spans() (list []Span) {
+	for _, l := range ex.sorted() {
+		d := l.span(ex.now)
 		if d == 0 || l.spoke > 0 && float64(d) < change*float64(l.spoke) && float64(l.spoke) < change*float64(d) {
 			continue
 		}
@@ -101,28 +101,28 @@
 
 // took takes what an attempt takes, or has taken, and what that tells of its
 // worker and of itself.
-func (h *Scheduler) took(o *Hold, d time.Duration, over bool) {
+func (sc *Scheduler) took(o *Hold, d time.Duration, over bool) {
 	if o.Stage < 0 || d <= 0 {
 		return
 	}
 	k := stage{o.Attempt.Job, o.Stage}
-	t := h.stages[k]
+	t := sc.stages[k]
 	if t == nil {
 		t = &times{}
-		h.stages[k] = t
+		sc.stages[k] = t
 	}
-	t.at = h.now
+	t.at = sc.now
 	i := slices.IndexFunc(t.list, func(x sample) bool { return x.attempt == o.Attempt })
 	if i < 0 {
 		t.list, i = append(t.list, sample{attempt: o.Attempt, shard: o.Shard}), len(t.list)
 	}
 	t.list[i].took, t.median = d, 0
 	usual, ok := t.elsewhere(o.Shard)
-	s := h.seats[o.Shard]
+	s := sc.seats[o.Shard]
 	if !ok || s == nil {
 		return
 	}
-	s.fade(h.now)
+	s.fade(sc.now)
 	s.pace += 0.2 * (math.Log(min(worst, max(1.0/worst, float64(d)/float64(usual)))) - s.pace)
 	o.Late = 0
 	if end := o.At.Add(d); !over && float64(d) > far*float64(usual) {
@@ -132,8 +132,8 @@
 
 // Took is what the tasks of a step take, as far as is known: the median of those
 // that have ended or told how far they are.
-func (h *Scheduler) Took(job types.JobID, step int) (time.Duration, bool) {
-	t := h.stages[stage{job, types.StageOf(types.No(0, step, 0))}]
+func (sc *Scheduler) Took(job types.JobID, step int) (time.Duration, bool) {
+	t := sc.stages[stage{job, types.StageOf(types.No(0, step, 0))}]
 	if t == nil {
 		return 0, false
 	}
@@ -145,14 +145,14 @@
 }
 
 // fade forgets a bad name with time.
-func (s *WorkerEntry) fade(now types.Stamp) {
-	s.pace *= math.Exp2(-now.Sub(s.paced).Seconds() / trust.Seconds())
-	s.paced = now
+func (w *WorkerEntry) fade(now types.Stamp) {
+	w.pace *= math.Exp2(-now.Sub(w.paced).Seconds() / trust.Seconds())
+	w.paced = now
 }
 
 // Slow is how many times the usual a worker's attempts take now; 0 is as usual.
-func (h *Scheduler) Slow(s *WorkerEntry) float64 {
-	s.fade(h.now)
+func (sc *Scheduler) Slow(s *WorkerEntry) float64 {
+	s.fade(sc.now)
 	if x := math.Exp(s.pace); x > tells {
 		return x
 	}
@@ -160,10 +160,10 @@
 }
 
 // outlive forgets stages of which nothing was heard for long.
-func (h *Scheduler) outlive() {
-	for k, t := range h.stages {
-		if h.now.Sub(t.at) > keeps {
-			delete(h.stages, k)
+func (sc *Scheduler) outlive() {
+	for k, t := range sc.stages {
+		if sc.now.Sub(t.at) > keeps {
+			delete(sc.stages, k)
 		}
 	}
 }
--- a/internal/dispatch/poll.go
+++ b/internal/dispatch/poll.go
@@ -76,29 +76,29 @@
 var outcomes = []state.Outcome{state.OK, state.Bad, state.Halted, state.Unrun}
 
 // Poll takes a worker's call; false means that it is not to be answered.
-func (h *Executor) Poll(now types.Stamp, p Poll) bool {
-	h.now = now
-	if p.Worker != h.worker {
-		if h.worker != "" && !h.lapsed() {
+func (ex *Executor) Poll(now types.Stamp, p Poll) bool {
+	ex.now = now
+	if p.Worker != ex.worker {
+		if ex.worker != "" && !ex.lapsed() {
 			return false
 		}
-		h.fresh(p)
-	} else if p.Call <= h.call {
+		ex.fresh(p)
+	} else if p.Call <= ex.call {
 		return false
 	}
-	h.call, h.heard, h.stamp, h.told = p.Call, now, p.Stamp, true
-	if p.Leave != h.rep.Leaving || !h.rep.Healthy {
-		h.beat = never
+	ex.call, ex.heard, ex.stamp, ex.told = p.Call, now, p.Stamp, true
+	if p.Leave != ex.rep.Leaving || !ex.rep.Healthy {
+		ex.beat = never
 	}
-	h.rep = Report{Rack: p.Rack, Kinds: p.Kinds, Room: p.Room, Leaving: p.Leave, LeaveMS: p.GoMS, Healthy: true}
-	h.goes = now.Add(time.Duration(p.GoMS) * time.Millisecond)
+	ex.rep = Report{Rack: p.Rack, Kinds: p.Kinds, Room: p.Room, Leaving: p.Leave, LeaveMS: p.GoMS, Healthy: true}
+	ex.goes = now.Add(time.Duration(p.GoMS) * time.Millisecond)
 	runs := map[types.Attempt]bool{}
 	for _, r := range p.Runs {
 		runs[r.Attempt] = true
-		l := h.attempts[r.Attempt]
+		l := ex.attempts[r.Attempt]
 		if l == nil {
 			l = &attempt{job: Job{Attempt: r.Attempt, Room: r.Room}, part: going, from: now}
-			h.put(l)
+			ex.put(l)
 		}
 		if l.part == waiting {
 			l.part, l.from = going, now
@@ -106,31 +106,31 @@
 		l.ghost = l.part == ended
 	}
 	for _, e := range p.Ends {
-		l := h.attempts[e.Attempt]
+		l := ex.attempts[e.Attempt]
 		if l == nil {
 			l = &attempt{job: Job{Attempt: e.Attempt, Room: e.Room}, part: going}
-			h.put(l)
+			ex.put(l)
 		}
 		if l.part != ended || l.outcome == state.Lost || e.Outcome == state.OK && l.outcome != state.OK {
-			h.finish(l, e.Outcome)
+			ex.finish(l, e.Outcome)
 		}
 		l.ghost, runs[e.Attempt] = false, true
 	}
-	for _, l := range h.sorted() {
+	for _, l := range ex.sorted() {
 		if runs[l.job.Attempt] {
 			continue
 		}
 		switch {
 		case l.part == going, l.part == halting && l.from != 0:
-			h.finish(l, state.Gone)
+			ex.finish(l, state.Gone)
 		case l.part == halting:
-			h.finish(l, state.Unrun)
+			ex.finish(l, state.Unrun)
 		case l.part == waiting && now >= l.until:
-			h.finish(l, state.Unrun)
+			ex.finish(l, state.Unrun)
 		case l.part == ended && l.outcome == state.Lost:
-			h.finish(l, state.Gone)
+			ex.finish(l, state.Gone)
 		case l.part == ended && l.settled:
-			h.forget(l.job.Attempt)
+			ex.forget(l.job.Attempt)
 		}
 	}
 	return true
@@ -138,33 +138,33 @@
 
 // fresh takes another worker process in place of the last, all of whose attempts
 // have ended with it.
-func (h *Executor) fresh(p Poll) {
-	for _, l := range h.sorted() {
+func (ex *Executor) fresh(p Poll) {
+	for _, l := range ex.sorted() {
 		if l.part != ended || l.outcome == state.Lost {
-			h.finish(l, state.Gone)
+			ex.finish(l, state.Gone)
 		}
 		if l.settled {
-			h.forget(l.job.Attempt)
+			ex.forget(l.job.Attempt)
 		}
 	}
-	if h.worker == "" {
-		h.past = p.Agent
+	if ex.worker == "" {
+		ex.past = p.Agent
 	}
-	h.worker = p.Worker
+	ex.worker = p.Worker
 }
 
 // Reply makes the answer to the worker's latest call.
-func (h *Executor) Reply(now types.Stamp) Answer {
-	h.now, h.news = now, false
-	left := min(h.pace.Worker, h.until.Sub(now))
-	if h.state == MustDie || left < 0 {
+func (ex *Executor) Reply(now types.Stamp) Answer {
+	ex.now, ex.news = now, false
+	left := min(ex.pace.Worker, ex.until.Sub(now))
+	if ex.state == MustDie || left < 0 {
 		left = 0
 	}
-	a := Answer{Agent: h.id, Call: h.call, Until: h.stamp.Add(left)}
+	a := Answer{Agent: ex.id, Call: ex.call, Until: ex.stamp.Add(left)}
 	if left > 0 {
-		h.given = max(h.given, now.Add(left-h.pace.Worker))
+		ex.given = max(ex.given, now.Add(left-ex.pace.Worker))
 	}
-	for _, l := range h.sorted() {
+	for _, l := range ex.sorted() {
 		switch {
 		case l.part == waiting && left > 0 && now < l.until:
 			a.Start = append(a.Start, l.job)
@@ -179,14 +179,14 @@
 }
 
 // News tells whether the worker's call should be answered now.
-func (h *Executor) News() bool { return h.news }
+func (ex *Executor) News() bool { return ex.news }
 
 // Slack is how long after its grant a worker may take to notice and stop.
 const Slack = 150 * time.Millisecond
 
 // lapsed is true when the worker's last grant has surely ended, and it has had
 // the time to stop.
-func (h *Executor) lapsed() bool { return h.now.Sub(h.given) > h.pace.Worker+Slack }
+func (ex *Executor) lapsed() bool { return ex.now.Sub(ex.given) > ex.pace.Worker+Slack }
 
 // Worker gives the time since the worker's last call.
-func (h *Executor) Quiet(now types.Stamp) time.Duration { return now.Sub(h.heard) }
+func (ex *Executor) Quiet(now types.Stamp) time.Duration { return now.Sub(ex.heard) }
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -94,237 +94,237 @@
 	return h
 }
 
-func (h *Scheduler) say(s *WorkerEntry, kind string, body any) {
-	h.sends = append(h.sends, wire.Make(h.me, s.Addr, kind, body))
+func (sc *Scheduler) say(s *WorkerEntry, kind string, body any) {
+	sc.sends = append(sc.sends, wire.Make(sc.me, s.Addr, kind, body))
 }
 
-func (h *Scheduler) top(s *WorkerEntry) Top { return Top{h.term, s.ID} }
+func (sc *Scheduler) top(s *WorkerEntry) Top { return Top{sc.term, s.ID} }
 
 // Out drains the step: what to send, and the ends to commit.
-func (h *Scheduler) Out() (sends []wire.Send, ends []state.End) {
-	sends, ends = h.sends, h.ends
-	h.sends, h.ends = nil, nil
+func (sc *Scheduler) Out() (sends []wire.Send, ends []state.End) {
+	sends, ends = sc.sends, sc.ends
+	sc.sends, sc.ends = nil, nil
 	return
 }
 
-func (h *Scheduler) onBeat(from types.Addr, b Heartbeat) {
-	s := h.seats[b.Shard]
+func (sc *Scheduler) onBeat(from types.Addr, b Heartbeat) {
+	s := sc.seats[b.Shard]
 	switch {
 	case s == nil:
-		s = h.sit(from, b)
-	case s.ID != b.ID && h.past[b.ID]:
-		h.sends = append(h.sends, wire.Make(h.me, from, wire.Quit, Quit{Top{h.term, b.ID}}))
+		s = sc.sit(from, b)
+	case s.ID != b.ID && sc.past[b.ID]:
+		sc.sends = append(sc.sends, wire.Make(sc.me, from, wire.Quit, Quit{Top{sc.term, b.ID}}))
 		return
-	case s.ID != b.ID && (s.State == MustDie || b.Past == s.ID || h.follows(s, from)):
-		h.past[s.ID] = true
+	case s.ID != b.ID && (s.State == MustDie || b.Past == s.ID || sc.follows(s, from)):
+		sc.past[s.ID] = true
 		if s.State != MustDie {
-			h.dim(s)
+			sc.dim(s)
 		}
-		s = h.sit(from, b)
+		s = sc.sit(from, b)
 	case s.ID != b.ID:
 		return
 	}
-	s.heard = h.now
+	s.heard = sc.now
 	if s.State == MustDie {
-		h.say(s, wire.Quit, Quit{h.top(s)})
+		sc.say(s, wire.Quit, Quit{sc.top(s)})
 		return
 	}
 	if b.Stamp <= s.stamp {
 		return
 	}
 	s.Addr, s.stamp, s.Report = from, b.Stamp, b.Report
-	s.Goes = h.now.Add(time.Duration(b.LeaveMS)*time.Millisecond - h.pace.Beat)
+	s.Goes = sc.now.Add(time.Duration(b.LeaveMS)*time.Millisecond - sc.pace.Beat)
 	if b.Healthy {
-		s.Good = h.now
+		s.Good = sc.now
 	}
-	if b.Set.Born == h.term && b.Set.Ver > s.ver && b.Set.Ver <= h.sets.ver {
+	if b.Set.Born == sc.term && b.Set.Ver > s.ver && b.Set.Ver <= sc.sets.ver {
 		s.ver = b.Set.Ver
-		h.sets.lift(s)
+		sc.sets.lift(s)
 	}
 	for _, x := range b.Spans {
-		if o := h.holds.by[x.Attempt]; o != nil && o.Shard == b.Shard {
-			h.took(o, time.Duration(x.MS)*time.Millisecond, false)
+		if o := sc.holds.by[x.Attempt]; o != nil && o.Shard == b.Shard {
+			sc.took(o, time.Duration(x.MS)*time.Millisecond, false)
 		}
 	}
 	for _, x := range b.Saves {
-		if o := h.holds.by[x.Attempt]; o != nil {
+		if o := sc.holds.by[x.Attempt]; o != nil {
 			o.Ref = x.Ref
 		}
 	}
 	if s.State == New {
-		h.ask(s)
+		sc.ask(s)
 	}
-	h.judge(s)
-	h.answer(s, b.Healthy)
+	sc.judge(s)
+	sc.answer(s, b.Healthy)
 }
 
 // follows tells that another agent instance at a seat's own address has come after
 // it: one process stands at an address. While the present one beats, the other's
 // beat was only late.
-func (h *Scheduler) follows(s *WorkerEntry, from types.Addr) bool {
-	return s.Addr == from && h.now.Sub(s.heard) > 2*h.pace.Beat
+func (sc *Scheduler) follows(s *WorkerEntry, from types.Addr) bool {
+	return s.Addr == from && sc.now.Sub(s.heard) > 2*sc.pace.Beat
 }
 
 // answer renews the agent's grant, but only for a beat that told of a sound
 // worker: the time to loss counts from the same beat.
-func (h *Scheduler) answer(s *WorkerEntry, healthy bool) {
-	a := HeartbeatReply{Top: h.top(s), Stamp: s.stamp, Known: s.State != New, Set: h.set()}
+func (sc *Scheduler) answer(s *WorkerEntry, healthy bool) {
+	a := HeartbeatReply{Top: sc.top(s), Stamp: s.stamp, Known: s.State != New, Set: sc.set()}
 	if healthy && s.State != New {
-		a.Until = s.stamp.Add(min(h.pace.Grant, h.grace))
+		a.Until = s.stamp.Add(min(sc.pace.Grant, sc.grace))
 	}
-	h.say(s, wire.Beaten, a)
+	sc.say(s, wire.Beaten, a)
 }
 
-func (h *Scheduler) sit(from types.Addr, b Heartbeat) *WorkerEntry {
-	s := &WorkerEntry{Shard: b.Shard, ID: b.ID, Addr: from, State: New, Since: h.now, Good: h.now, old: b.Set, Worth: Worth{Slow: 1},
+func (sc *Scheduler) sit(from types.Addr, b Heartbeat) *WorkerEntry {
+	s := &WorkerEntry{Shard: b.Shard, ID: b.ID, Addr: from, State: New, Since: sc.now, Good: sc.now, old: b.Set, Worth: Worth{Slow: 1},
 		asked: -1 << 62, stamp: -1 << 62, quest: map[types.Seq][]types.Attempt{}}
-	old := h.seats[b.Shard]
-	i, _ := slices.BinarySearchFunc(h.order, b.Shard, func(x *WorkerEntry, k types.Shard) int { return cmp.Compare(x.Shard, k) })
+	old := sc.seats[b.Shard]
+	i, _ := slices.BinarySearchFunc(sc.order, b.Shard, func(x *WorkerEntry, k types.Shard) int { return cmp.Compare(x.Shard, k) })
 	if old != nil {
-		h.order[i] = s
+		sc.order[i] = s
 	} else {
-		h.order = slices.Insert(h.order, i, s)
+		sc.order = slices.Insert(sc.order, i, s)
 	}
-	h.seats[b.Shard] = s
-	h.sets.enter(s, old)
+	sc.seats[b.Shard] = s
+	sc.sets.enter(s, old)
 	return s
 }
 
 // dim makes a replaced agent's attempts unknown until its successor's account.
-func (h *Scheduler) dim(s *WorkerEntry) {
-	for _, o := range h.holds.of(s.Shard) {
-		h.holds.turn(o, dim)
+func (sc *Scheduler) dim(s *WorkerEntry) {
+	for _, o := range sc.holds.of(s.Shard) {
+		sc.holds.turn(o, dim)
 	}
 }
 
-func (h *Scheduler) ask(s *WorkerEntry) {
-	if h.now.Sub(s.asked) >= h.pace.Again/3 {
-		s.asked = h.now
-		h.say(s, wire.AskRun, RunningTasksQuery{h.top(s)})
+func (sc *Scheduler) ask(s *WorkerEntry) {
+	if sc.now.Sub(s.asked) >= sc.pace.Again/3 {
+		s.asked = sc.now
+		sc.say(s, wire.AskRun, RunningTasksQuery{sc.top(s)})
 	}
 }
 
 // mine finds the seat that an agent's message speaks for.
-func (h *Scheduler) mine(t types.Term, shard types.Shard, id types.ID) *WorkerEntry {
-	if s := h.seats[shard]; s != nil && s.ID == id && t == h.term {
+func (sc *Scheduler) mine(t types.Term, shard types.Shard, id types.ID) *WorkerEntry {
+	if s := sc.seats[shard]; s != nil && s.ID == id && t == sc.term {
 		return s
 	}
 	return nil
 }
 
-func (h *Scheduler) onAccount(_ types.Addr, a RunningTasks) {
-	s := h.mine(a.Term, a.Shard, a.ID)
+func (sc *Scheduler) onAccount(_ types.Addr, a RunningTasks) {
+	s := sc.mine(a.Term, a.Shard, a.ID)
 	if s == nil || s.State != New {
 		return
 	}
 	told := map[types.Attempt]bool{}
 	for _, r := range a.Runs {
 		told[r.Attempt] = true
-		if o := h.holds.by[r.Attempt]; o != nil && o.Shard == s.Shard {
-			h.holds.turn(o, sure)
+		if o := sc.holds.by[r.Attempt]; o != nil && o.Shard == s.Shard {
+			sc.holds.turn(o, sure)
 		} else if o == nil {
-			h.holds.add(&Hold{Attempt: r.Attempt, Shard: s.Shard, Stage: -1, Room: r.Room, Phase: sure, At: h.now})
+			sc.holds.add(&Hold{Attempt: r.Attempt, Shard: s.Shard, Stage: -1, Room: r.Room, Phase: sure, At: sc.now})
 		}
 	}
 	outcome := state.Lost
-	if h.Invoked(s.Shard) {
+	if sc.Invoked(s.Shard) {
 		outcome = state.Lapsed
 	}
 	if a.Whole {
 		outcome = state.Unrun
-		h.clear(s.Shard, told)
+		sc.clear(s.Shard, told)
 	}
-	for _, o := range h.holds.of(s.Shard) {
+	for _, o := range sc.holds.of(s.Shard) {
 		if !told[o.Attempt] {
-			h.drop(o.Attempt, outcome)
+			sc.drop(o.Attempt, outcome)
 		}
 	}
-	s.State, s.Since = Unhealthy, h.now
-	h.judge(s)
-	h.answer(s, s.Healthy)
+	s.State, s.Since = Unhealthy, sc.now
+	sc.judge(s)
+	sc.answer(s, s.Healthy)
 }
 
 // clear ends the doubt about attempts that were lost on a shard and are not in its
 // worker's own account: they did not end well and never will.
-func (h *Scheduler) clear(shard types.Shard, told map[types.Attempt]bool) {
-	for _, l := range h.Doubts(shard) {
+func (sc *Scheduler) clear(shard types.Shard, told map[types.Attempt]bool) {
+	for _, l := range sc.Doubts(shard) {
 		if !told[l] {
-			h.drop(l, state.Unrun)
+			sc.drop(l, state.Unrun)
 		}
 	}
 }
 
 // gone is the outcome of an attempt whose worker is out of reach. One that is called
 // has no lease any more by then, and what it did is not settled there.
-func (h *Scheduler) gone(shard types.Shard) state.Outcome {
+func (sc *Scheduler) gone(shard types.Shard) state.Outcome {
 	switch {
-	case h.Invoked(shard):
+	case sc.Invoked(shard):
 		return state.Lapsed
-	case h.Apart(shard):
+	case sc.Apart(shard):
 		return state.Cut
 	}
 	return state.Lost
 }
 
 // drop says that an attempt has ended; it is held until that is committed.
-func (h *Scheduler) drop(l types.Attempt, f state.Outcome) {
+func (sc *Scheduler) drop(l types.Attempt, f state.Outcome) {
 	e := state.End{Attempt: l, Outcome: f}
-	if o := h.holds.by[l]; o != nil {
+	if o := sc.holds.by[l]; o != nil {
 		e.Ref = o.Ref
 	}
-	h.ends = append(h.ends, e)
+	sc.ends = append(sc.ends, e)
 }
 
 // Settle forgets attempts whose end is committed and tells their agents.
-func (h *Scheduler) Settle(list []state.End) {
+func (sc *Scheduler) Settle(list []state.End) {
 	by := map[types.Shard][]state.End{}
 	for _, e := range list {
-		if o := h.holds.by[e.Attempt]; o != nil {
-			h.mark(o, e.Outcome)
+		if o := sc.holds.by[e.Attempt]; o != nil {
+			sc.mark(o, e.Outcome)
 			by[o.Shard] = append(by[o.Shard], e)
-			h.holds.drop(e.Attempt)
+			sc.holds.drop(e.Attempt)
 		}
 	}
 	for _, k := range sorted(by) {
-		if s := h.seats[k]; s != nil && s.State != MustDie {
-			h.say(s, wire.Settled, CommittedEnds{h.top(s), by[k]})
+		if s := sc.seats[k]; s != nil && s.State != MustDie {
+			sc.say(s, wire.Settled, CommittedEnds{sc.top(s), by[k]})
 		}
 	}
 }
 
 // Order marks an attempt running and sends it, once.
-func (h *Scheduler) Order(shard types.Shard, at types.Stage, usual string, j Job) {
-	o := &Hold{Attempt: j.Attempt, Shard: shard, Stage: at, Room: j.Room, Phase: sent, Usual: usual, Limit: time.Duration(j.Limit) * time.Millisecond, At: h.now}
-	h.holds.add(o)
-	s := h.seats[shard]
-	if s == nil || s.State != Healthy || s.Leaving || h.grace <= 0 {
-		h.drop(j.Attempt, state.Unrun)
+func (sc *Scheduler) Order(shard types.Shard, at types.Stage, usual string, j Job) {
+	o := &Hold{Attempt: j.Attempt, Shard: shard, Stage: at, Room: j.Room, Phase: sent, Usual: usual, Limit: time.Duration(j.Limit) * time.Millisecond, At: sc.now}
+	sc.holds.add(o)
+	s := sc.seats[shard]
+	if s == nil || s.State != Healthy || s.Leaving || sc.grace <= 0 {
+		sc.drop(j.Attempt, state.Unrun)
 		return
 	}
-	h.say(s, wire.Order, Order{h.top(s), s.seq, s.stamp.Add(min(h.pace.Grant, h.grace)), j})
+	sc.say(s, wire.Order, Order{sc.top(s), s.seq, s.stamp.Add(min(sc.pace.Grant, sc.grace)), j})
 }
 
-func (h *Scheduler) onOrdered(_ types.Addr, r OrderReply) {
-	s, o := h.mine(r.Term, r.Shard, r.ID), h.holds.by[r.Attempt]
+func (sc *Scheduler) onOrdered(_ types.Addr, r OrderReply) {
+	s, o := sc.mine(r.Term, r.Shard, r.ID), sc.holds.by[r.Attempt]
 	if s == nil || o == nil || o.Shard != s.Shard || o.Phase == sure {
 		return
 	}
 	if r.Why != "" {
 		s.Healthy = false // until the next beat says otherwise
-		h.drop(r.Attempt, state.Unrun)
+		sc.drop(r.Attempt, state.Unrun)
 		return
 	}
-	h.holds.turn(o, sure)
+	sc.holds.turn(o, sure)
 }
 
-func (h *Scheduler) onQueried(_ types.Addr, q QueryReply) {
-	s := h.mine(q.Term, q.Shard, q.ID)
+func (sc *Scheduler) onQueried(_ types.Addr, q QueryReply) {
+	s := sc.mine(q.Term, q.Shard, q.ID)
 	if s == nil {
 		return
 	}
 	for _, l := range s.quest[q.Seq] {
-		if o := h.holds.by[l]; o != nil && o.Phase == unsure {
-			h.holds.turn(o, sure)
+		if o := sc.holds.by[l]; o != nil && o.Phase == unsure {
+			sc.holds.turn(o, sure)
 		}
 	}
 	delete(s.quest, q.Seq)
@@ -334,28 +334,28 @@
 // number is used once, so an end counts whoever of the shard's agents tells it.
 // Of an agent not known yet only what its worker did is taken, for the agent may
 // not live until it is.
-func (h *Scheduler) onStatus(from types.Addr, u Status) {
-	s := h.seats[u.Shard]
+func (sc *Scheduler) onStatus(from types.Addr, u Status) {
+	s := sc.seats[u.Shard]
 	known := s != nil && (s.ID != u.ID || s.State != New)
 	var done []state.End
 	for _, e := range u.Ends {
 		if !known && !e.Outcome.IsFact() {
 			continue
 		}
-		if h.Taken(e) {
-			h.holds.drop(e.Attempt)
+		if sc.Taken(e) {
+			sc.holds.drop(e.Attempt)
 			done = append(done, e)
 		} else {
-			h.ends = append(h.ends, e)
+			sc.ends = append(sc.ends, e)
 		}
 	}
 	if done != nil {
-		h.sends = append(h.sends, wire.Make(h.me, from, wire.Settled, CommittedEnds{Top{h.term, u.ID}, done}))
+		sc.sends = append(sc.sends, wire.Make(sc.me, from, wire.Settled, CommittedEnds{Top{sc.term, u.ID}, done}))
 	}
 }
 
 // WorkerEntry finds a shard's, or gives nil.
-func (h *Scheduler) Seat(shard types.Shard) *WorkerEntry { return h.seats[shard] }
+func (sc *Scheduler) Seat(shard types.Shard) *WorkerEntry { return sc.seats[shard] }
 
 // Seats lists the seats in order; the list is the head's own.
-func (h *Scheduler) Seats() []*WorkerEntry { return h.order }
+func (sc *Scheduler) Seats() []*WorkerEntry { return sc.order }
--- a/internal/dispatch/set.go
+++ b/internal/dispatch/set.go
@@ -32,75 +32,75 @@
 }
 
 // in tells whether a seat's agent is in a set.
-func (s *WorkerEntry) in(set int) bool { return s.join <= set && (s.left == 0 || set < s.left) }
+func (w *WorkerEntry) in(set int) bool { return w.join <= set && (w.left == 0 || set < w.left) }
 
 // enter makes the next set, with an agent in it and the one that it replaces out.
-func (h *sets) enter(s, old *WorkerEntry) {
-	h.ver++
+func (se *sets) enter(s, old *WorkerEntry) {
+	se.ver++
 	if old != nil {
-		h.out(old)
-		h.ungroup(old)
-	}
-	s.join = h.ver
-	h.hash += digest(s.ID)
-	h.size++
-	h.groups[0] = append(h.groups[0], s)
-	h.came = append(h.came, s)
+		se.out(old)
+		se.ungroup(old)
+	}
+	s.join = se.ver
+	se.hash += digest(s.ID)
+	se.size++
+	se.groups[0] = append(se.groups[0], s)
+	se.came = append(se.came, s)
 }
 
 // exit makes the next set, with a lost agent out of it.
-func (h *sets) exit(s *WorkerEntry) {
-	h.ver++
-	h.out(s)
+func (se *sets) exit(s *WorkerEntry) {
+	se.ver++
+	se.out(s)
 }
 
-func (h *sets) out(s *WorkerEntry) {
+func (se *sets) out(s *WorkerEntry) {
 	if s.left != 0 {
 		return
 	}
-	s.left = h.ver
-	h.hash -= digest(s.ID)
-	h.size--
-	if len(h.came) > 2*h.size+64 {
-		h.came = slices.DeleteFunc(h.came, func(s *WorkerEntry) bool { return s.left != 0 })
+	s.left = se.ver
+	se.hash -= digest(s.ID)
+	se.size--
+	if len(se.came) > 2*se.size+64 {
+		se.came = slices.DeleteFunc(se.came, func(s *WorkerEntry) bool { return s.left != 0 })
 	}
 }
 
-func (h *sets) ungroup(s *WorkerEntry) {
-	list := slices.DeleteFunc(h.groups[s.ind], func(o *WorkerEntry) bool { return o == s })
-	if h.groups[s.ind] = list; len(list) == 0 {
-		delete(h.groups, s.ind)
+func (se *sets) ungroup(s *WorkerEntry) {
+	list := slices.DeleteFunc(se.groups[s.ind], func(o *WorkerEntry) bool { return o == s })
+	if se.groups[s.ind] = list; len(list) == 0 {
+		delete(se.groups, s.ind)
 	}
 }
 
 // lift brings indirect sets up after an agent told of a newer set: its own to that
 // one or the highest of the agents in it, then that of any agent whose set has it
 // in, or one brought up so, to the same.
-func (h *sets) lift(s *WorkerEntry) {
+func (se *sets) lift(s *WorkerEntry) {
 	if s.ver <= s.ind {
 		return
 	}
-	h.ungroup(s)
+	se.ungroup(s)
 	s.ind = s.ver
 	for more := true; more; {
 		more = false
-		for set, list := range h.groups {
+		for set, list := range se.groups {
 			if set > s.ind && slices.ContainsFunc(list, func(o *WorkerEntry) bool { return o.in(s.ind) }) {
 				s.ind, more = set, true
 			}
 		}
 	}
-	h.groups[s.ind] = append(h.groups[s.ind], s)
+	se.groups[s.ind] = append(se.groups[s.ind], s)
 	for up := []*WorkerEntry{s}; len(up) > 0; up = up[1:] {
-		for set, list := range h.groups {
+		for set, list := range se.groups {
 			if set == 0 || set >= s.ind || !up[0].in(set) {
 				continue
 			}
-			delete(h.groups, set)
+			delete(se.groups, set)
 			for _, o := range list {
 				o.ind = s.ind
 			}
-			h.groups[s.ind] = append(h.groups[s.ind], list...)
+			se.groups[s.ind] = append(se.groups[s.ind], list...)
 			up = append(up, list...)
 		}
 	}
@@ -108,16 +108,16 @@
 
 // permits is consensusPermitsWorkerToBecomeHealthy: the agent requires every
 // other that is not lost, and each of those requires it, if indirectly.
-func (h *sets) permits(w *WorkerEntry) bool {
+func (se *sets) permits(w *WorkerEntry) bool {
 	if w.ver == 0 {
 		return false
 	}
-	for i := len(h.came) - 1; i >= 0 && h.came[i].join > w.ver; i-- {
-		if u := h.came[i]; u != w && u.left == 0 {
+	for i := len(se.came) - 1; i >= 0 && se.came[i].join > w.ver; i-- {
+		if u := se.came[i]; u != w && u.left == 0 {
 			return false
 		}
 	}
-	for set, list := range h.groups {
+	for set, list := range se.groups {
 		if set < w.join && slices.ContainsFunc(list, func(u *WorkerEntry) bool { return u != w && u.left == 0 }) {
 			return false
 		}
@@ -125,8 +125,8 @@
 	return true
 }
 
-func (h *Scheduler) set() SetID {
-	return SetID{Born: h.term, Ver: h.sets.ver, Hash: h.sets.hash, Size: h.sets.size}
+func (sc *Scheduler) set() SetID {
+	return SetID{Born: sc.term, Ver: sc.sets.ver, Hash: sc.sets.hash, Size: sc.sets.size}
 }
 
 // Worth is how a worker's attempts have ended of late and how long they took
@@ -138,8 +138,8 @@
 
 const fade = 0.1
 
-func (h *Scheduler) mark(o *Hold, f state.Outcome) {
-	s := h.seats[o.Shard]
+func (sc *Scheduler) mark(o *Hold, f state.Outcome) {
+	s := sc.seats[o.Shard]
 	if s == nil || f == state.Unrun || f == state.Halted || f == state.Cut {
 		return
 	}
@@ -152,16 +152,16 @@
 		return
 	}
 	if s.Invoked {
-		h.took(o, h.now.Sub(o.At), true)
+		sc.took(o, sc.now.Sub(o.At), true)
 	}
-	took := float64(h.now.Sub(o.At))
+	took := float64(sc.now.Sub(o.At))
 	if took <= 0 {
 		return // it tells nothing, and nothing can be set beside it
 	}
-	n := h.norm[o.Usual]
+	n := sc.norm[o.Usual]
 	if n == nil {
 		n = &usual{took: took}
-		h.norm[o.Usual] = n
+		sc.norm[o.Usual] = n
 	}
 	n.count++
 	s.Worth.Slow += fade * (took/n.took - s.Worth.Slow)
@@ -175,8 +175,8 @@
 }
 
 // Usual gives that, once enough of them have ended well to tell.
-func (h *Scheduler) Usual(name string) (time.Duration, bool) {
-	n := h.norm[name]
+func (sc *Scheduler) Usual(name string) (time.Duration, bool) {
+	n := sc.norm[name]
 	if n == nil || n.count < 10 {
 		return 0, false
 	}
--- a/internal/membership/roster_test.go
+++ b/internal/membership/roster_test.go
@@ -30,16 +30,16 @@
 		count: map[types.Addr]int{}, bytes: map[types.Addr]int{}}
 }
 
-func (t *cluster) add(role string, i, zones int, seeds ...types.Addr) types.Addr {
+func (cl *cluster) add(role string, i, zones int, seeds ...types.Addr) types.Addr {
 	a := types.Addr(fmt.Sprintf("%s%d", role, i))
-	if !slices.Contains(t.order, a) {
-		t.order = append(t.order, a)
+	if !slices.Contains(cl.order, a) {
+		cl.order = append(cl.order, a)
 	}
 	c := Card{Addr: a, Role: role, Zone: types.Zone(fmt.Sprint("z", i%zones)), Ready: true}
 	if role == "agent" {
 		c.Part = fmt.Sprint("k", i)
 	}
-	t.by[a] = New(rand.New(rand.NewSource(int64(len(t.order)))), c, seeds)
+	cl.by[a] = New(rand.New(rand.NewSource(int64(len(cl.order)))), c, seeds)
 	return a
 }
 
@@ -59,50 +59,50 @@
 	return t
 }
 
-func (t *cluster) lead(a types.Addr, term types.Term) {
-	c := t.by[a].me
+func (cl *cluster) lead(a types.Addr, term types.Term) {
+	c := cl.by[a].me
 	c.Leads, c.Term = true, term
-	t.by[a].Me(c)
+	cl.by[a].Me(c)
 }
 
 // post delivers all that is to be said until nothing is.
-func (t *cluster) post(list []wire.Send) {
+func (cl *cluster) post(list []wire.Send) {
 	for len(list) > 0 {
 		s := list[0]
 		list = list[1:]
 		if s.Message.Kind == wire.Hello {
-			t.count[s.Message.From]++
-			t.bytes[s.Message.From] += len(s.Message.Body)
+			cl.count[s.Message.From]++
+			cl.bytes[s.Message.From] += len(s.Message.Body)
 		}
-		if r := t.by[s.To]; r != nil && !t.lost(s.Message.From, s.To) {
-			r.Take(t.now, s.Message)
+		if r := cl.by[s.To]; r != nil && !cl.lost(s.Message.From, s.To) {
+			r.Take(cl.now, s.Message)
 			list = append(list, r.Out()...)
 		}
 	}
 }
 
 // pass lets time go by; each 300 ms all speak with whom they hold for the leader.
-func (t *cluster) pass(d time.Duration) {
-	for end := t.now.Add(d); t.now < end; {
-		t.now = t.now.Add(100 * time.Millisecond)
-		for _, a := range t.order {
-			r := t.by[a]
+func (cl *cluster) pass(d time.Duration) {
+	for end := cl.now.Add(d); cl.now < end; {
+		cl.now = cl.now.Add(100 * time.Millisecond)
+		for _, a := range cl.order {
+			r := cl.by[a]
 			if r == nil {
 				continue
 			}
-			r.Tick(t.now)
-			t.post(r.Out())
-			if l := r.Lead(); l != "" && l != a && t.now%types.Stamp(300*time.Millisecond) == 0 {
-				t.post([]wire.Send{wire.Make(a, l, wire.Beat, 0)})
-				if !t.lost(a, l) && t.by[l] != nil {
-					t.post([]wire.Send{wire.Make(l, a, wire.Beaten, 0)})
+			r.Tick(cl.now)
+			cl.post(r.Out())
+			if l := r.Lead(); l != "" && l != a && cl.now%types.Stamp(300*time.Millisecond) == 0 {
+				cl.post([]wire.Send{wire.Make(a, l, wire.Beat, 0)})
+				if !cl.lost(a, l) && cl.by[l] != nil {
+					cl.post([]wire.Send{wire.Make(l, a, wire.Beaten, 0)})
 				}
 			}
 		}
 	}
 }
 
-func (t *cluster) knows(a types.Addr) (n int) { return len(t.by[a].Peers()) }
+func (cl *cluster) knows(a types.Addr) (n int) { return len(cl.by[a].Peers()) }
 
 func TestIdleCostDoesNotGrowWithTheFleet(t *testing.T) {
 	is := is.New(t)
--- a/internal/raft/messages.go
+++ b/internal/raft/messages.go
@@ -35,8 +35,8 @@
 // Configuration is the list of members, in force from the moment it is in the log.
 type Configuration []Member
 
-func (r Configuration) Find(id types.ID) (Member, bool) {
-	for _, m := range r {
+func (c Configuration) Find(id types.ID) (Member, bool) {
+	for _, m := range c {
 		if m.ID == id {
 			return m, true
 		}
@@ -44,8 +44,8 @@
 	return Member{}, false
 }
 
-func (r Configuration) Voters() (n int) {
-	for _, m := range r {
+func (c Configuration) Voters() (n int) {
+	for _, m := range c {
 		if m.Voter {
 			n++
 		}
--- a/internal/raft/world_test.go
+++ b/internal/raft/world_test.go
@@ -37,16 +37,16 @@
 
 type eventHeap []event
 
-func (h eventHeap) Len() int { return len(h) }
-func (h eventHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
+func (eh eventHeap) Len() int { return len(eh) }
+func (eh eventHeap) Less(i, j int) bool {
+	return eh[i].at < eh[j].at || eh[i].at == eh[j].at && eh[i].seq < eh[j].seq
 }
-func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *eventHeap) Pop() any {
-	last := len(*h) - 1
-	e := (*h)[last]
-	*h = (*h)[:last]
+func (eh eventHeap) Swap(i, j int) { eh[i], eh[j] = eh[j], eh[i] }
+func (eh *eventHeap) Push(x any)   { *eh = append(*eh, x.(event)) }
+func (eh *eventHeap) Pop() any {
+	last := len(*eh) - 1
+	e := (*eh)[last]
+	*eh = (*eh)[:last]
 	return e
 }
 
--- a/internal/server/inbox.go
+++ b/internal/server/inbox.go
@@ -35,71 +35,71 @@
 func newInbox() *inbox { return &inbox{wake: make(chan struct{}, 1), clock: Steady} }
 
 // push adds an event; false where its class is full.
-func (b *inbox) push(e event) bool {
-	b.mu.Lock()
-	ok := b.queue.Push(e.Class(), b.clock(), e)
-	b.mu.Unlock()
-	b.rouse()
+func (i *inbox) push(e event) bool {
+	i.mu.Lock()
+	ok := i.queue.Push(e.Class(), i.clock(), e)
+	i.mu.Unlock()
+	i.rouse()
 	return ok
 }
 
 // force adds an event that may not be lost.
-func (b *inbox) force(e event) {
-	b.mu.Lock()
-	b.queue.Force(e.Class(), b.clock(), e)
-	b.mu.Unlock()
-	b.rouse()
+func (i *inbox) force(e event) {
+	i.mu.Lock()
+	i.queue.Force(e.Class(), i.clock(), e)
+	i.mu.Unlock()
+	i.rouse()
 }
 
-func (b *inbox) rouse() {
+func (i *inbox) rouse() {
 	select {
-	case b.wake <- struct{}{}:
+	case i.wake <- struct{}{}:
 	default:
 	}
 }
 
 // pop gives the next event with the load that its step is told of.
-func (b *inbox) pop() (event, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e, class, at, ok := b.queue.Pop()
+func (i *inbox) pop() (event, bool) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	e, class, at, ok := i.queue.Pop()
 	if ok {
-		e.Load = b.queue.Load(b.clock(), class, at)
+		e.Load = i.queue.Load(i.clock(), class, at)
 	}
 	return e, ok
 }
 
 // len is how many events wait.
-func (b *inbox) len() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.queue.Len()
+func (i *inbox) len() int {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.queue.Len()
 }
 
 // load is what a tick is told.
-func (b *inbox) load() wire.Load {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.clock()
-	return b.queue.Load(now, wire.Background, now)
+func (i *inbox) load() wire.Load {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	now := i.clock()
+	return i.queue.Load(now, wire.Background, now)
 }
 
 // behind is how long the oldest request of a caller has waited.
-func (b *inbox) behind() time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.queue.Age(b.clock(), wire.Callers, wire.Callers)
+func (i *inbox) behind() time.Duration {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.queue.Age(i.clock(), wire.Callers, wire.Callers)
 }
 
 // expire takes out what has waited too long: requests, and those that gateways
 // handed over, which the machine answers. Reports that are repeated are dropped.
-func (b *inbox) expire() (asks []event, calls []wire.Message) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (i *inbox) expire() (asks []event, calls []wire.Message) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
 	patience := func(e event) time.Duration { return workqueue.Patience(e.Event) }
-	now := b.clock()
-	b.stale += uint64(len(b.queue.Expire(wire.Reports, now, patience)))
-	for _, e := range b.queue.Expire(wire.Callers, now, patience) {
+	now := i.clock()
+	i.stale += uint64(len(i.queue.Expire(wire.Reports, now, patience)))
+	for _, e := range i.queue.Expire(wire.Callers, now, patience) {
 		if e.Ask != nil {
 			asks = append(asks, e)
 		} else {
@@ -111,10 +111,10 @@
 
 // refused counts what was refused for want of room, by class, and the reports
 // dropped since they had waited too long.
-func (b *inbox) refused() (full [wire.Classes]uint64, stale uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.queue.Refused, b.stale
+func (i *inbox) refused() (full [wire.Classes]uint64, stale uint64) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.queue.Refused, i.stale
 }
 
 // tooBusy is the answer to a request that was not taken, with when to come back:
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -31,16 +31,16 @@
 	closed  bool
 }
 
-func (m *echo) Step(e wire.Event) wire.Out {
-	out := wire.Out{Calls: m.calls, Idle: m.closed}
-	m.calls = nil
+func (ec *echo) Step(e wire.Event) wire.Out {
+	out := wire.Out{Calls: ec.calls, Idle: ec.closed}
+	ec.calls = nil
 	if e.Reply != nil {
-		m.replies <- *e.Reply
+		ec.replies <- *e.Reply
 	}
 	if e.Ask != nil {
 		out.Answers = []wire.Answer{{Token: e.Ask.Token, Code: 200, Body: wire.Body(e.Ask.Limit > 0)}}
 	}
-	m.closed = m.closed || e.Close
+	ec.closed = ec.closed || e.Close
 	return out
 }
 
@@ -116,12 +116,12 @@
 // pipes is a listener whose connections take no time on any machine.
 type pipes struct{ *feed }
 
-func (l pipes) dial(context.Context, string, string) (net.Conn, error) {
+func (p pipes) dial(context.Context, string, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	select {
-	case l.in <- far:
+	case p.in <- far:
 		return near, nil
-	case <-l.done:
+	case <-p.done:
 		return nil, net.ErrClosed
 	}
 }
--- a/internal/server/waiting.go
+++ b/internal/server/waiting.go
@@ -47,9 +47,9 @@
 }
 
 // show tells why the daemon waits, from now on.
-func (p *waitingPage) show(ctx context.Context, log logr.Logger, listen string, why error) {
-	p.reason.Store(why.Error())
-	if p.server != nil || listen == "" {
+func (wp *waitingPage) show(ctx context.Context, log logr.Logger, listen string, why error) {
+	wp.reason.Store(why.Error())
+	if wp.server != nil || listen == "" {
 		return
 	}
 	ln, err := Listen(ctx, listen)
@@ -57,18 +57,18 @@
 		log.Error(err, "no page while waiting")
 		return
 	}
-	p.server = &http.Server{Handler: p, ReadHeaderTimeout: time.Second}
-	go p.server.Serve(ln)
+	wp.server = &http.Server{Handler: wp, ReadHeaderTimeout: time.Second}
+	go wp.server.Serve(ln)
 }
 
-func (p *waitingPage) close() {
-	if p.server != nil {
-		p.server.Close()
+func (wp *waitingPage) close() {
+	if wp.server != nil {
+		wp.server.Close()
 	}
 }
 
-func (p *waitingPage) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	reason := "the log can't be opened: " + p.reason.Load().(string)
+func (wp *waitingPage) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+	reason := "the log can't be opened: " + wp.reason.Load().(string)
 	switch q.URL.Path {
 	case "/live":
 		write(w, http.StatusOK, []byte(`{"live":true}`))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -127,27 +127,27 @@
 
 // check ties the timings together: each line is a rule that the proofs of the
 // dispatcher and of the elections rest on.
-func (p Timeouts) check(h *apierror.ErrorList) {
-	h.Check(p.Worker < p.Grant, "pace.worker_ms", "must be less than grant_ms: the worker's grant ends first")
-	h.Check(p.Grant*5 <= p.Loss*4, "pace.grant_ms", "must be at most four fifths of loss_ms: an agent's grant ends before it is counted lost, drift included")
-	h.Check(p.Grant+ms(dispatch.Slack) < p.Loss, "pace.loss_ms", "must be more than grant_ms and the 150 ms that a worker may take to stop")
-	h.Check(p.Grant <= 2500, "pace.grant_ms", "must be at most 2500: a cancel holds within 3 s, however cut")
-	h.Check(3*p.Beat <= p.Ill, "pace.ill_ms", "must be at least three beats")
-	h.Check(2*p.Ill <= p.Loss, "pace.loss_ms", "must be at least twice ill_ms")
-	h.Check(3*p.Round <= p.Election, "pace.election_ms", "must be at least three rounds")
-	h.Check(2*p.Election < p.Grant, "pace.election_ms", "must be less than half of grant_ms, or every change of leader costs the running work")
-	h.Check(p.Stall >= p.Election, "pace.stall_ms", "must be at least election_ms")
-	h.Check(p.Dead > p.Loss, "pace.dead_ms", "must be more than loss_ms")
-	h.Check(p.Again <= p.Ill, "pace.again_ms", "must be at most ill_ms")
+func (t Timeouts) check(h *apierror.ErrorList) {
+	h.Check(t.Worker < t.Grant, "pace.worker_ms", "must be less than grant_ms: the worker's grant ends first")
+	h.Check(t.Grant*5 <= t.Loss*4, "pace.grant_ms", "must be at most four fifths of loss_ms: an agent's grant ends before it is counted lost, drift included")
+	h.Check(t.Grant+ms(dispatch.Slack) < t.Loss, "pace.loss_ms", "must be more than grant_ms and the 150 ms that a worker may take to stop")
+	h.Check(t.Grant <= 2500, "pace.grant_ms", "must be at most 2500: a cancel holds within 3 s, however cut")
+	h.Check(3*t.Beat <= t.Ill, "pace.ill_ms", "must be at least three beats")
+	h.Check(2*t.Ill <= t.Loss, "pace.loss_ms", "must be at least twice ill_ms")
+	h.Check(3*t.Round <= t.Election, "pace.election_ms", "must be at least three rounds")
+	h.Check(2*t.Election < t.Grant, "pace.election_ms", "must be less than half of grant_ms, or every change of leader costs the running work")
+	h.Check(t.Stall >= t.Election, "pace.stall_ms", "must be at least election_ms")
+	h.Check(t.Dead > t.Loss, "pace.dead_ms", "must be more than loss_ms")
+	h.Check(t.Again <= t.Ill, "pace.again_ms", "must be at most ill_ms")
 }
 
 // Truth and Core give the paces that the machines take.
-func (p Timeouts) Truth() dispatch.Timeouts {
-	return dispatch.Timeouts{Beat: un(p.Beat), Ill: un(p.Ill), Loss: un(p.Loss), Grant: un(p.Grant), Worker: un(p.Worker), Again: un(p.Again)}
+func (t Timeouts) Truth() dispatch.Timeouts {
+	return dispatch.Timeouts{Beat: un(t.Beat), Ill: un(t.Ill), Loss: un(t.Loss), Grant: un(t.Grant), Worker: un(t.Worker), Again: un(t.Again)}
 }
 
-func (p Timeouts) Core() raft.Timeouts {
-	return raft.Timeouts{Heartbeat: un(p.Round), ElectionMin: un(p.Election), Stall: un(p.Stall), ReplaceAfter: un(p.Dead), Authority: un(p.Grant)}
+func (t Timeouts) Core() raft.Timeouts {
+	return raft.Timeouts{Heartbeat: un(t.Round), ElectionMin: un(t.Election), Stall: un(t.Stall), ReplaceAfter: un(t.Dead), Authority: un(t.Grant)}
 }
 
 // Dispatch is the pace of attempts, with what is known of the workers.
@@ -158,7 +158,7 @@
 }
 
 // News is how old a gateway's confirmation of the table may be.
-func (p Timeouts) News() time.Duration { return un(p.Stale) }
+func (t Timeouts) News() time.Duration { return un(t.Stale) }
 
 // Stops bounds a planned stop.
 func (b Bounds) Stops() (grace, notice time.Duration) { return un(b.Grace), un(b.Notice) }
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -94,9 +94,9 @@
 	x.buf = append(x.buf, b...)
 }
 
-func (x *shot) flush() {
-	if len(x.buf) > 0 {
-		x.parts, x.buf = append(x.parts, append(x.buf, `]}`...)), nil
+func (s *shot) flush() {
+	if len(s.buf) > 0 {
+		s.parts, s.buf = append(s.parts, append(s.buf, `]}`...)), nil
 	}
 }
 
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -355,10 +355,10 @@
 }
 
 // Fits tells whether a worker has the kind of a step, and its rack and labels.
-func (x WorkerShape) Fits(p Step) (kind, rack bool) {
-	rack = p.Rack == "" || p.Rack == x.Rack
+func (w WorkerShape) Fits(p Step) (kind, rack bool) {
+	rack = p.Rack == "" || p.Rack == w.Rack
 	for _, l := range p.Labels {
-		rack = rack && slices.Contains(x.Labels, l)
+		rack = rack && slices.Contains(w.Labels, l)
 	}
-	return slices.Contains(x.Kinds, p.Kind), rack
+	return slices.Contains(w.Kinds, p.Kind), rack
 }
--- a/internal/state/task.go
+++ b/internal/state/task.go
@@ -28,14 +28,14 @@
 )
 
 // doubtful outcomes are not the last word: the attempt may have ended well unseen.
-func (f Outcome) doubtful() bool { return f == Lost || f == Cut }
+func (o Outcome) doubtful() bool { return o == Lost || o == Cut }
 
 // IsFact is true for what a worker did, whoever tells it.
-func (f Outcome) IsFact() bool { return f == OK || f == Bad }
+func (o Outcome) IsFact() bool { return o == OK || o == Bad }
 
 // Over is true where somebody beside the worker knows that the attempt takes no room
 // there any more.
-func (f Outcome) Over() bool { return f.IsFact() || f == Halted || f == Unrun }
+func (o Outcome) Over() bool { return o.IsFact() || o == Halted || o == Unrun }
 
 // Out is the attempt given out and not ended.
 type Out struct {
--- a/internal/state/tombstones.go
+++ b/internal/state/tombstones.go
@@ -49,7 +49,7 @@
 	return tombstones{byID: map[types.JobID]tombstone{}, limit: TombstoneLimit}
 }
 
-func (m *tombstones) add(j *Job) {
+func (to *tombstones) add(j *Job) {
 	hash, _ := strconv.ParseUint(j.Hash, 16, 64)
 	t := tombstone{hash: hash, end: j.End}
 	for i, s := range stages {
@@ -57,33 +57,33 @@
 			t.stage = byte(i)
 		}
 	}
-	m.put(j.ID, t)
+	to.put(j.ID, t)
 }
 
-func (m *tombstones) put(id types.JobID, t tombstone) {
-	if len(m.pages) == 0 || len(m.pages[len(m.pages)-1].ids) >= tombstonesPerPage {
-		m.pages = append(m.pages, &tombstonePage{ids: make([]types.JobID, 0, tombstonesPerPage)})
+func (to *tombstones) put(id types.JobID, t tombstone) {
+	if len(to.pages) == 0 || len(to.pages[len(to.pages)-1].ids) >= tombstonesPerPage {
+		to.pages = append(to.pages, &tombstonePage{ids: make([]types.JobID, 0, tombstonesPerPage)})
 	}
-	p := m.pages[len(m.pages)-1]
-	m.byID[id] = t
+	p := to.pages[len(to.pages)-1]
+	to.byID[id] = t
 	p.ids, p.last = append(p.ids, id), max(p.last, t.end)
 	if len(p.ids) == tombstonesPerPage {
-		p.enc = m.encode(p)
+		p.enc = to.encode(p)
 	}
 }
 
 // forget drops the pages whose newest tombstone is old enough.
-func (m *tombstones) forget(now types.Tick) {
-	for len(m.pages) > 0 && len(m.pages[0].ids) == tombstonesPerPage && now.Sub(m.pages[0].last) > TombstoneAge {
-		for _, id := range m.pages[0].ids {
-			delete(m.byID, id)
+func (to *tombstones) forget(now types.Tick) {
+	for len(to.pages) > 0 && len(to.pages[0].ids) == tombstonesPerPage && now.Sub(to.pages[0].last) > TombstoneAge {
+		for _, id := range to.pages[0].ids {
+			delete(to.byID, id)
 		}
-		m.pages = m.pages[1:]
+		to.pages = to.pages[1:]
 	}
 }
 
 // encode writes a page as {"marks":[[id,hash,stage,end],...]}.
-func (m *tombstones) encode(p *tombstonePage) []byte {
+func (to *tombstones) encode(p *tombstonePage) []byte {
 	if p.enc != nil {
 		return p.enc
 	}
@@ -92,7 +92,7 @@
 		if i > 0 {
 			b = append(b, ',')
 		}
-		t := m.byID[id]
+		t := to.byID[id]
 		b = append(b, `["`...)
 		b = append(b, id...)
 		b = append(b, `","`...)
@@ -113,13 +113,13 @@
 }
 
 // UnmarshalJSON reads [id, hash, stage, end].
-func (l *tombstoneRow) UnmarshalJSON(b []byte) error {
+func (t *tombstoneRow) UnmarshalJSON(b []byte) error {
 	hash := ""
-	if err := json.Unmarshal(b, &[]any{&l.id, &hash, &l.stage, &l.end}); err != nil {
+	if err := json.Unmarshal(b, &[]any{&t.id, &hash, &t.stage, &t.end}); err != nil {
 		return err
 	}
 	n, err := strconv.ParseUint(hash, 16, 64)
-	l.hash = n
+	t.hash = n
 	return err
 }
 
--- a/internal/wal/faults_test.go
+++ b/internal/wal/faults_test.go
@@ -33,13 +33,13 @@
 }
 
 // open opens the log, however often that is refused.
-func (x *trial) open() ([]string, error) {
+func (t *trial) open() ([]string, error) {
 	for {
-		log, list, spoilt, err := wal.Open(x.wrap(x.storage), dir)
+		log, list, spoilt, err := wal.Open(t.wrap(t.storage), dir)
 		if err != nil {
 			continue
 		}
-		x.log = log
+		t.log = log
 		if spoilt != "" {
 			return nil, errors.New("what a loss of power left was taken for damage")
 		}
@@ -57,35 +57,35 @@
 }
 
 // fault draws what fails: nothing, mostly.
-func (x *trial) fault(op waltest.Op, _ string) *waltest.Fault {
-	if x.rnd.Intn(12) > 0 || op == waltest.Remove {
+func (t *trial) fault(op waltest.Op, _ string) *waltest.Fault {
+	if t.rnd.Intn(12) > 0 || op == waltest.Remove {
 		return nil
 	}
-	return &waltest.Fault{Err: syscall.ENOSPC, Written: x.rnd.Intn(64)}
+	return &waltest.Fault{Err: syscall.ENOSPC, Written: t.rnd.Intn(64)}
 }
 
-func (x *trial) group() (list [][]byte) {
-	for range 1 + x.rnd.Intn(4) {
-		x.next++
-		list = append(list, fmt.Appendf(nil, `{"n":%d,"pad":"%s"}`, x.next, strings.Repeat("x", x.rnd.Intn(40))))
+func (t *trial) group() (list [][]byte) {
+	for range 1 + t.rnd.Intn(4) {
+		t.next++
+		list = append(list, fmt.Appendf(nil, `{"n":%d,"pad":"%s"}`, t.next, strings.Repeat("x", t.rnd.Intn(40))))
 	}
 	return list
 }
 
 // write carries out one step until it succeeds or the power goes.
-func (x *trial) write() (before, after []string, done bool) {
-	group, whole := x.group(), x.rnd.Intn(5) == 0
-	before, after = x.kept, append(slices.Clone(x.kept), texts(group)...)
-	act := func() error { return x.log.Append(group) }
+func (t *trial) write() (before, after []string, done bool) {
+	group, whole := t.group(), t.rnd.Intn(5) == 0
+	before, after = t.kept, append(slices.Clone(t.kept), texts(group)...)
+	act := func() error { return t.log.Append(group) }
 	if whole {
 		after = texts(group)
-		act = func() error { return x.log.Rewrite(group) }
+		act = func() error { return t.log.Rewrite(group) }
 	}
 	for {
 		if act() == nil {
 			return before, after, true
 		}
-		if x.rnd.Intn(6) == 0 {
+		if t.rnd.Intn(6) == 0 {
 			return before, after, false
 		}
 	}
@@ -154,7 +154,7 @@
 
 func (f flawed) SyncDir(dir string) error { return f.syncDir(dir) }
 
-func (h flawedHandle) Sync() error { return h.sync(h.Handle) }
+func (f flawedHandle) Sync() error { return f.sync(f.Handle) }
 
 func TestPlantedDiskBugsAreCaught(t *testing.T) {
 	soundSync := wal.Handle.Sync
--- a/internal/wal/file.go
+++ b/internal/wal/file.go
@@ -41,8 +41,8 @@
 	Err error
 }
 
-func (e *DiskError) Error() string { return "log: " + e.Op + ": " + e.Err.Error() }
-func (e *DiskError) Unwrap() error { return e.Err }
+func (d *DiskError) Error() string { return "log: " + d.Op + ": " + d.Err.Error() }
+func (d *DiskError) Unwrap() error { return d.Err }
 
 func failed(op string, err error) error { return &DiskError{Op: op, Err: err} }
 
@@ -89,24 +89,24 @@
 }
 
 // repair brings the file back to its last synced length after a failure.
-func (x *File) repair() error {
-	if x.renamed {
-		if err := x.storage.SyncDir(x.dir); err != nil {
+func (f *File) repair() error {
+	if f.renamed {
+		if err := f.storage.SyncDir(f.dir); err != nil {
 			return failed("sync folder", err)
 		}
-		x.renamed = false
+		f.renamed = false
 	}
-	if x.torn {
-		if err := x.handle.Truncate(x.synced); err != nil {
+	if f.torn {
+		if err := f.handle.Truncate(f.synced); err != nil {
 			return failed("truncate", err)
 		}
-		x.torn = false
+		f.torn = false
 	}
 	return nil
 }
 
-func (x *File) sync() error {
-	if err := x.handle.Sync(); err != nil {
+func (f *File) sync() error {
+	if err := f.handle.Sync(); err != nil {
 		return failed("sync", err)
 	}
 	return nil
@@ -114,64 +114,64 @@
 
 // Append writes a group of records and syncs them once. After an error none of
 // them counts, and the same records may be appended again.
-func (x *File) Append(group [][]byte) error {
-	if err := x.repair(); err != nil {
+func (f *File) Append(group [][]byte) error {
+	if err := f.repair(); err != nil {
 		return err
 	}
-	b, err := packAll(group, x.synced)
+	b, err := packAll(group, f.synced)
 	if err != nil {
 		return err
 	}
-	x.torn = true // until all of it is synced
-	if _, err := x.handle.WriteAt(b, x.synced); err != nil {
+	f.torn = true // until all of it is synced
+	if _, err := f.handle.WriteAt(b, f.synced); err != nil {
 		return failed("write", err)
 	}
-	if err := x.sync(); err != nil {
+	if err := f.sync(); err != nil {
 		return err
 	}
-	x.synced += int64(len(b))
-	x.torn, x.sealed = false, false
+	f.synced += int64(len(b))
+	f.torn, f.sealed = false, false
 	return nil
 }
 
 // Seal writes an empty record behind the last one, unless it is there already:
 // the witness that all before it was synced, so that damage to the last record
 // is told from a torn tail.
-func (x *File) Seal() error {
-	if x.sealed || x.synced == 0 {
+func (f *File) Seal() error {
+	if f.sealed || f.synced == 0 {
 		return nil
 	}
-	err := x.Append([][]byte{[]byte(sealRecord)})
-	x.sealed = err == nil
+	err := f.Append([][]byte{[]byte(sealRecord)})
+	f.sealed = err == nil
 	return err
 }
 
 // Rewrite puts the given records in place of the whole file. After an error the
 // old file stands, or the new one does whose name may not be durable yet; either
 // way the same records may be written again.
-func (x *File) Rewrite(group [][]byte) error {
+func (f *File) Rewrite(group [][]byte) error {
 	b, err := packAll(append(group[:len(group):len(group)], []byte(sealRecord)), Whole)
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(x.dir, name)
-	handle, err := x.writeNew(path+newSuffix, b)
+	path := filepath.Join(f.dir, name)
+	handle, err := f.writeNew(path+newSuffix, b)
 	if err != nil {
 		return err
 	}
-	if err := x.storage.Rename(path+newSuffix, path); err != nil {
-		x.discard(handle, path+newSuffix)
+	if err := f.storage.Rename(path+newSuffix, path); err != nil {
+		f.discard(handle, path+newSuffix)
 		return failed("rename", err)
 	}
-	x.handle.Close()
-	x.handle, x.synced = handle, int64(len(b))
-	x.sealed, x.torn, x.renamed = true, false, true
-	return x.repair()
+	f.handle.Close()
+	f.handle, f.synced = handle, int64(len(b))
+	f.sealed, f.torn, f.renamed = true, false, true
+	return f.repair()
 }
 
 // writeNew makes a synced file of the given content.
-func (x *File) writeNew(path string, b []byte) (Handle, error) {
-	handle, err := x.storage.OpenFile(path)
+func (f *File) writeNew(path string, b []byte) (Handle, error) {
+	handle, err := f.storage.OpenFile(path)
 	if err != nil {
 		return nil, failed("rewrite", err)
 	}
@@ -182,19 +182,19 @@
 		err = handle.Sync()
 	}
 	if err != nil {
-		x.discard(handle, path)
+		f.discard(handle, path)
 		return nil, failed("rewrite", err)
 	}
 	return handle, nil
 }
 
 // discard gives the room of an unfinished file back; what it holds is of no use.
-func (x *File) discard(handle Handle, path string) {
+func (f *File) discard(handle Handle, path string) {
 	handle.Close()
-	x.storage.Remove(path)
+	f.storage.Remove(path)
 }
 
 // Close seals the file and closes it.
-func (x *File) Close() error {
-	return errors.Join(x.Seal(), x.handle.Close())
+func (f *File) Close() error {
+	return errors.Join(f.Seal(), f.handle.Close())
 }
--- a/sim/attempt.go
+++ b/sim/attempt.go
@@ -37,37 +37,37 @@
 }
 
 // start begins an attempt, whoever sent it.
-func (w *InvokedWorker) start(c wire.WorkerCall, step *state.Step) {
-	now := w.time()
+func (iw *InvokedWorker) start(c wire.WorkerCall, step *state.Step) {
+	now := iw.time()
 	k := task(c.Work)
-	a := &attempt{w: w, attempt: c.Attempt, step: step, from: now, at: now, ready: now, work: k.length(c.Attempt.Task), fails: math.Inf(1), slow: 1}
+	a := &attempt{w: iw, attempt: c.Attempt, step: step, from: now, at: now, ready: now, work: k.length(c.Attempt.Task), fails: math.Inf(1), slow: 1}
 	if step != nil {
 		a.room = step.Room
-		a.slow = w.environment.far(w, c.Attempt, step)
+		a.slow = iw.environment.far(iw, c.Attempt, step)
 		switch {
 		case step.Lasts:
-			a.work, a.fails = math.Inf(1), 1000*w.rnd.ExpFloat64()*30
+			a.work, a.fails = math.Inf(1), 1000*iw.rnd.ExpFloat64()*30
 		case step.Keeps && c.Ref != "":
-			a.ref, a.did = c.Ref, w.environment.saves[c.Ref]
-			a.kept, a.ready = a.did, now.Add(w.environment.Restore)
+			a.ref, a.did = c.Ref, iw.environment.saves[c.Ref]
+			a.kept, a.ready = a.did, now.Add(iw.environment.Restore)
 		}
 	}
-	if k.Fail || w.rnd.Float64() < k.Fails+w.Fails {
-		a.fails = min(a.fails, a.did+(a.work-a.did)*(0.1+0.9*w.rnd.Float64()))
+	if k.Fail || iw.rnd.Float64() < k.Fails+iw.Fails {
+		a.fails = min(a.fails, a.did+(a.work-a.did)*(0.1+0.9*iw.rnd.Float64()))
 	}
-	w.runs[c.Attempt] = a
-	w.say(HistoryEvent{What: Started, Attempt: c.Attempt, Work: c.Work, Ref: c.Ref, Late: w.late})
+	iw.runs[c.Attempt] = a
+	iw.say(HistoryEvent{What: Started, Attempt: c.Attempt, Work: c.Work, Ref: c.Ref, Late: iw.late})
 	if step != nil && step.Joint {
-		w.environment.join(a)
+		iw.environment.join(a)
 	}
 }
 
 // length is how long a task takes on a sound worker near its data; the tasks of
 // a step differ, but each is the same in all its attempts.
-func (k Work) length(t types.Task) float64 {
+func (w Work) length(t types.Task) float64 {
 	f := fnv.New32a()
 	f.Write([]byte(string(t.Job) + "/" + strconv.Itoa(t.N)))
-	return float64(k.MS) * (1 + k.Uneven*(2*float64(f.Sum32()%1024)/1023-1))
+	return float64(w.MS) * (1 + w.Uneven*(2*float64(f.Sum32()%1024)/1023-1))
 }
 
 func (a *attempt) percent() float64 {
@@ -99,47 +99,47 @@
 }
 
 // advance lets all that runs get on until now, and no further than the lease.
-func (w *InvokedWorker) advance() {
-	now := w.time()
-	until, over := now, len(w.runs)+len(w.ends) > 0 && w.over()
+func (iw *InvokedWorker) advance() {
+	now := iw.time()
+	until, over := now, len(iw.runs)+len(iw.ends) > 0 && iw.over()
 	if over {
-		until = min(now, w.born.Add(time.Duration(float64(w.lease-w.first)/w.pace*float64(time.Millisecond))))
+		until = min(now, iw.born.Add(time.Duration(float64(iw.lease-iw.first)/iw.pace*float64(time.Millisecond))))
 	}
-	for _, l := range w.sorted() {
-		a := w.runs[l]
+	for _, l := range iw.sorted() {
+		a := iw.runs[l]
 		if a == nil {
 			continue // it ended with another of its gang
 		}
 		a.on(until)
 		switch {
 		case a.did >= min(a.work, a.fails) && a.fails <= a.work:
-			w.end(a, wire.Failed)
+			iw.end(a, wire.Failed)
 		case a.did >= a.work && a.gang == nil:
-			w.end(a, wire.Done)
+			iw.end(a, wire.Done)
 		case a.did >= a.work && a.gang.works:
 			a.gang.finish()
 		case a.stops > 0 && until >= a.stops:
 			if a.step != nil && a.step.Keeps && a.did > a.kept {
 				a.save(a.did)
 			}
-			w.end(a, wire.Stopped)
-		case a.gang != nil && !a.gang.works && until.Sub(a.from) >= w.environment.Gang:
-			w.end(a, wire.Lonely)
+			iw.end(a, wire.Stopped)
+		case a.gang != nil && !a.gang.works && until.Sub(a.from) >= iw.environment.Gang:
+			iw.end(a, wire.Lonely)
 		}
 	}
 	if over {
-		w.lapse()
+		iw.lapse()
 	}
 }
 
 // lapse kills all that runs; ends not settled by now count for nothing.
-func (w *InvokedWorker) lapse() {
-	for i := range w.ends {
-		w.ends[i].void = true
+func (iw *InvokedWorker) lapse() {
+	for i := range iw.ends {
+		iw.ends[i].void = true
 	}
-	for _, l := range w.sorted() {
-		if a := w.runs[l]; a != nil {
-			w.end(a, wire.Expired)
+	for _, l := range iw.sorted() {
+		if a := iw.runs[l]; a != nil {
+			iw.end(a, wire.Expired)
 		}
 	}
 }
@@ -160,4 +160,4 @@
 	Uneven float64 `json:"uneven,omitempty"` // how much its tasks differ in length
 }
 
-func (k Work) raw() json.RawMessage { return wire.Body(k) }
+func (w Work) raw() json.RawMessage { return wire.Body(w) }
--- a/sim/capacity/plot.go
+++ b/sim/capacity/plot.go
@@ -44,11 +44,11 @@
 // yRange is the least and the greatest value in a plot.
 type yRange struct{ low, high float64 }
 
-func (r *yRange) include(y float64) {
-	if r.low == 0 || y < r.low {
-		r.low = y
+func (yr *yRange) include(y float64) {
+	if yr.low == 0 || y < yr.low {
+		yr.low = y
 	}
-	r.high = max(r.high, y)
+	yr.high = max(yr.high, y)
 }
 
 func plotFigure(dir, mode string, f Figure, list []Point) error {
--- a/sim/cutoff_observe_test.go
+++ b/sim/cutoff_observe_test.go
@@ -11,19 +11,19 @@
 )
 
 // observeMessages keeps what controllers tell their peers, and who heard a leader.
-func (c *recorder) observeMessages() {
-	w := c.r.World
+func (r *recorder) observeMessages() {
+	w := r.r.World
 	tamper := w.TamperMessage
 	w.TamperMessage = func(s *wire.Send) bool {
 		if tamper != nil && !tamper(s) {
 			return false
 		}
-		c.told(s)
+		r.told(s)
 		return true
 	}
 	w.Delivered = func(to types.Addr, m wire.Message) {
 		if m.Kind == wire.Append || m.Kind == wire.Snap || m.Kind == wire.Hello && leads(m) {
-			c.word[[2]types.Addr{to, m.From}] = w.now
+			r.word[[2]types.Addr{to, m.From}] = w.now
 		}
 	}
 }
@@ -38,14 +38,14 @@
 	return ok && h.Me.Leads
 }
 
-func (c *recorder) told(s *wire.Send) {
-	from, now := s.Message.From, c.r.now
+func (r *recorder) told(s *wire.Send) {
+	from, now := s.Message.From, r.r.now
 	switch s.Message.Kind {
 	case wire.Told:
 		if m, ok := wire.Read[struct {
 			Version types.Version `json:"edition"`
 		}](s.Message); ok {
-			c.list = append(c.list, &observation{sent: now, answered: now, daemon: from, audience: toPeers, request: confirmTable, code: http.StatusOK,
+			r.list = append(r.list, &observation{sent: now, answered: now, daemon: from, audience: toPeers, request: confirmTable, code: http.StatusOK,
 				last: http.StatusOK, version: m.Version})
 		}
 	case wire.Reply:
@@ -54,20 +54,20 @@
 			switch {
 			case m.Away:
 				o.code, o.redirect, o.retry = http.StatusTemporaryRedirect, m.Lead, true
-				o.word = c.word[[2]types.Addr{from, m.Lead}]
+				o.word = r.word[[2]types.Addr{from, m.Lead}]
 			case m.Fault != nil:
-				c.control(o, wire.Answer{Fault: m.Fault})
+				r.control(o, wire.Answer{Fault: m.Fault})
 				o.retry = m.Fault.Retry > 0
 			}
 			o.last = o.code
-			c.list = append(c.list, o)
+			r.list = append(r.list, o)
 		}
 	}
 }
 
 // observeWorkers keeps what agents answer to their workers' beats.
-func (c *recorder) observeWorkers() {
-	w := c.r.World
+func (r *recorder) observeWorkers() {
+	w := r.r.World
 	tamper := w.TamperAnswerOf
 	w.TamperAnswerOf = func(daemon types.Addr, verb string, a *wire.Answer) bool {
 		if tamper != nil && !tamper(daemon, verb, a) {
@@ -78,7 +78,7 @@
 			if a.Fault != nil {
 				o.code, o.retry = a.Fault.Code(), apierror.Later[a.Fault.Kind]
 			}
-			c.list = append(c.list, o)
+			r.list = append(r.list, o)
 		}
 		return true
 	}
--- a/sim/cutoff_record_test.go
+++ b/sim/cutoff_record_test.go
@@ -119,65 +119,65 @@
 func (a answering) Ask(context.Context, string, string, json.RawMessage) wire.Answer { return a.answer }
 
 // control gives the answer that an operator sees for that of a controller.
-func (c *recorder) control(o *observation, a wire.Answer) {
+func (r *recorder) control(o *observation, a wire.Answer) {
 	if a.Fault == nil {
 		o.code = http.StatusOK
 		return
 	}
 	if a.Lead != "" {
-		a.Lead = types.Addr(c.ipOf(a.Lead))
+		a.Lead = types.Addr(r.ipOf(a.Lead))
 	}
 	w := httptest.NewRecorder()
 	q := httptest.NewRequest(http.MethodGet, "/coppercourse/Config.Read", nil)
 	platform.NewControl(answering{a}, "10.0.0.1:"+controlPort).Handler().ServeHTTP(w, q)
 	o.code, o.retry = w.Code, w.Header().Get("Retry-After") != ""
 	if to := w.Header().Get("Location"); to != "" {
-		o.redirect = c.addrOf(to)
-		o.word = c.word[[2]types.Addr{o.daemon, o.redirect}]
+		o.redirect = r.addrOf(to)
+		o.word = r.word[[2]types.Addr{o.daemon, o.redirect}]
 	}
 }
 
 // ipOf stands for a daemon in the pages, which know daemons by IP number.
-func (c *recorder) ipOf(a types.Addr) string {
-	return fmt.Sprintf("10.0.%d.1:7400", slices.Index(c.r.order, a)+1)
+func (r *recorder) ipOf(a types.Addr) string {
+	return fmt.Sprintf("10.0.%d.1:7400", slices.Index(r.r.order, a)+1)
 }
 
-func (c *recorder) addrOf(location string) types.Addr {
+func (r *recorder) addrOf(location string) types.Addr {
 	host := strings.TrimSuffix(strings.TrimPrefix(location, "http://"), "/coppercourse/Config.Read")
 	ip, err := netip.ParseAddrPort(host)
 	if err != nil {
 		return ""
 	}
-	return c.r.order[ip.Addr().As4()[2]-1]
+	return r.r.order[ip.Addr().As4()[2]-1]
 }
 
 // probe asks every daemon once, each at a moment of its own, and again after a second.
-func (c *recorder) probe() {
-	if c.stopped {
+func (r *recorder) probe() {
+	if r.stopped {
 		return
 	}
-	spread := func(run func()) { c.r.at(time.Duration(c.r.random.Int63n(int64(probeEvery*9/10))), run) }
-	for _, n := range c.r.controllers {
-		spread(func() { c.read(n.addr) })
-		spread(func() { c.replace(n.addr) })
+	spread := func(run func()) { r.r.at(time.Duration(r.r.random.Int63n(int64(probeEvery*9/10))), run) }
+	for _, n := range r.r.controllers {
+		spread(func() { r.read(n.addr) })
+		spread(func() { r.replace(n.addr) })
 	}
-	for _, n := range c.r.gateways {
-		spread(func() { c.count(n.addr) })
-		spread(func() { c.submit(n.addr) })
-		spread(func() { c.look(n.addr) })
+	for _, n := range r.r.gateways {
+		spread(func() { r.count(n.addr) })
+		spread(func() { r.submit(n.addr) })
+		spread(func() { r.look(n.addr) })
 	}
-	c.r.at(probeEvery, c.probe)
+	r.r.at(probeEvery, r.probe)
 }
 
 // ask sends one request and keeps the observation; then runs once it is answered.
-func (c *recorder) ask(to types.Addr, who audience, what request, verb, arg string, body json.RawMessage, then func(*observation, wire.Answer)) {
-	o := &observation{sent: c.r.now, daemon: to, audience: who, request: what}
-	c.list = append(c.list, o)
-	c.r.request(probeAddr, to, verb, arg, body, func(a wire.Answer) {
+func (r *recorder) ask(to types.Addr, who audience, what request, verb, arg string, body json.RawMessage, then func(*observation, wire.Answer)) {
+	o := &observation{sent: r.r.now, daemon: to, audience: who, request: what}
+	r.list = append(r.list, o)
+	r.r.request(probeAddr, to, verb, arg, body, func(a wire.Answer) {
 		if o.answered != 0 {
 			return
 		}
-		o.answered = c.r.now
+		o.answered = r.r.now
 		then(o, a)
 		if o.last == 0 {
 			o.last = o.code
@@ -185,12 +185,12 @@
 	})
 }
 
-func (c *recorder) read(to types.Addr) { c.hop(to, nil) }
+func (r *recorder) read(to types.Addr) { r.hop(to, nil) }
 
 // hop reads the table and follows redirects, as an operator does.
-func (c *recorder) hop(to types.Addr, first *observation) {
-	c.ask(to, toOperators, readTable, "table.get", "", nil, func(o *observation, a wire.Answer) {
-		c.control(o, a)
+func (r *recorder) hop(to types.Addr, first *observation) {
+	r.ask(to, toOperators, readTable, "table.get", "", nil, func(o *observation, a wire.Answer) {
+		r.control(o, a)
 		if first == nil {
 			first = o
 		}
@@ -198,61 +198,61 @@
 		var t config.Table
 		if a.Fault == nil && json.Unmarshal(a.Body, &t) == nil {
 			o.version = t.Version
-			if t.Version > c.newest.Version {
-				c.newest = t
+			if t.Version > r.newest.Version {
+				r.newest = t
 			}
 		}
 		if o.redirect != "" && first.chain < mostHops {
 			first.chain++
-			c.hop(o.redirect, first)
+			r.hop(o.redirect, first)
 		}
 	})
 }
 
 // replace puts a change of its own on the newest version that is known.
-func (c *recorder) replace(to types.Addr) {
-	c.next++
-	t := c.newest
+func (r *recorder) replace(to types.Addr) {
+	r.next++
+	t := r.newest
 	t.Rows = slices.Clone(t.Rows)
-	t.Rows[0].Timeout = 1000 + c.next
+	t.Rows[0].Timeout = 1000 + r.next
 	t.Becomes = t.Version + 1
-	c.r.record(HistoryEvent{What: TableTry, Table: &t})
-	c.ask(to, toOperators, replaceTable, "table.put", "", wire.Body(t), func(o *observation, a wire.Answer) {
-		c.control(o, a)
+	r.r.record(HistoryEvent{What: TableTry, Table: &t})
+	r.ask(to, toOperators, replaceTable, "table.put", "", wire.Body(t), func(o *observation, a wire.Answer) {
+		r.control(o, a)
 		if o.code != http.StatusOK {
 			return
 		}
 		got := t.Next()
 		o.version = got.Version
-		c.r.record(HistoryEvent{What: TableAck, Table: &got, Text: fmt.Sprint(t.Version)})
-		c.acked = append(c.acked, acknowledgement{c.r.now, got.Version})
-		if got.Version > c.newest.Version {
-			c.newest = got
+		r.r.record(HistoryEvent{What: TableAck, Table: &got, Text: fmt.Sprint(t.Version)})
+		r.acked = append(r.acked, acknowledgement{r.r.now, got.Version})
+		if got.Version > r.newest.Version {
+			r.newest = got
 		}
 	})
 }
 
 // front has a gateway's page decide whether a request is passed on to its machine.
-func (c *recorder) front(to types.Addr, what request) (o *observation, passed bool) {
-	n := c.r.nodes[to]
+func (r *recorder) front(to types.Addr, what request) (o *observation, passed bool) {
+	n := r.r.nodes[to]
 	if n.m == nil || n.frozen {
 		return nil, false
 	}
 	door := n.m.(*gateway.Gateway)
 	t, _ := door.Table()
-	page := c.fronts[to]
+	page := r.fronts[to]
 	page.Publish(t, inPageTime(door.ConfirmedUntil(), n.clock().Mono))
-	*c.passed[to] = false
-	route := c.newest.Rows[0].Prefix
-	if c.strangers {
+	*r.passed[to] = false
+	route := r.newest.Rows[0].Prefix
+	if r.strangers {
 		route = "/nowhere/"
 	}
 	w := httptest.NewRecorder()
 	page.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "http://"+routeHost+route, nil))
-	if *c.passed[to] {
+	if *r.passed[to] {
 		return nil, true
 	}
-	c.list = append(c.list, &observation{sent: c.r.now, answered: c.r.now, daemon: to, audience: toCallers, request: what, code: w.Code, last: w.Code,
+	r.list = append(r.list, &observation{sent: r.r.now, answered: r.r.now, daemon: to, audience: toCallers, request: what, code: w.Code, last: w.Code,
 		retry: w.Header().Get("Retry-After") != "", version: t.Version})
 	return nil, false
 }
@@ -267,50 +267,50 @@
 }
 
 // caller asks a gateway's machine for what its page lets through.
-func (c *recorder) caller(to types.Addr, what request, verb, arg string, body json.RawMessage, then func(ok bool)) {
-	if _, ok := c.front(to, what); !ok {
+func (r *recorder) caller(to types.Addr, what request, verb, arg string, body json.RawMessage, then func(ok bool)) {
+	if _, ok := r.front(to, what); !ok {
 		return
 	}
-	used, _ := c.r.nodes[to].m.(*gateway.Gateway).Table()
-	c.ask(to, toCallers, what, verb, arg, body, func(o *observation, a wire.Answer) {
+	used, _ := r.r.nodes[to].m.(*gateway.Gateway).Table()
+	r.ask(to, toCallers, what, verb, arg, body, func(o *observation, a wire.Answer) {
 		o.code, o.version = http.StatusOK, used.Version
 		if a.Fault != nil {
-			c.control(o, wire.Answer{Fault: a.Fault})
+			r.control(o, wire.Answer{Fault: a.Fault})
 		}
 		then(a.Fault == nil)
 	})
 }
 
-func (c *recorder) count(to types.Addr) {
-	c.caller(to, countQueue, "queue.count", string(c.newest.Rows[0].Name), nil, func(bool) {})
+func (r *recorder) count(to types.Addr) {
+	r.caller(to, countQueue, "queue.count", string(r.newest.Rows[0].Name), nil, func(bool) {})
 }
 
-func (c *recorder) submit(to types.Addr) {
-	c.next++
-	id := types.JobID(fmt.Sprintf("%016x", 1<<40+c.next))
-	s := state.Spec{Queue: c.newest.Rows[0].Name, Steps: []state.Step{{Name: "a", Kind: "work", Room: types.Room{Cores: types.Core, Memory: 32}, Tasks: 1, Work: Work{MS: 50}.raw()}}}
-	c.r.record(HistoryEvent{What: Sent, Job: id, Spec: &s})
-	c.caller(to, submitJob, "job.put", string(id), wire.Body(s), func(ok bool) {
+func (r *recorder) submit(to types.Addr) {
+	r.next++
+	id := types.JobID(fmt.Sprintf("%016x", 1<<40+r.next))
+	s := state.Spec{Queue: r.newest.Rows[0].Name, Steps: []state.Step{{Name: "a", Kind: "work", Room: types.Room{Cores: types.Core, Memory: 32}, Tasks: 1, Work: Work{MS: 50}.raw()}}}
+	r.r.record(HistoryEvent{What: Sent, Job: id, Spec: &s})
+	r.caller(to, submitJob, "job.put", string(id), wire.Body(s), func(ok bool) {
 		if ok {
-			c.r.record(HistoryEvent{What: Accepted, Job: id})
-			c.jobs = append(c.jobs, id)
-			c.r.Clients.look(id)
+			r.r.record(HistoryEvent{What: Accepted, Job: id})
+			r.jobs = append(r.jobs, id)
+			r.r.Clients.look(id)
 			return
 		}
-		c.r.record(HistoryEvent{What: Unclear, Job: id})
+		r.r.record(HistoryEvent{What: Unclear, Job: id})
 	})
 }
 
-func (c *recorder) look(to types.Addr) {
-	if len(c.jobs) == 0 {
+func (r *recorder) look(to types.Addr) {
+	if len(r.jobs) == 0 {
 		return
 	}
-	c.caller(to, readJob, "job.get", string(c.jobs[len(c.jobs)-1]), nil, func(bool) {})
+	r.caller(to, readJob, "job.get", string(r.jobs[len(r.jobs)-1]), nil, func(bool) {})
 }
 
 // ackedBefore is the newest version that was acknowledged before a time.
-func (c *recorder) ackedBefore(at int64) (v types.Version) {
-	for _, a := range c.acked {
+func (r *recorder) ackedBefore(at int64) (v types.Version) {
+	for _, a := range r.acked {
 		if a.at < at {
 			v = max(v, a.version)
 		}
@@ -319,14 +319,14 @@
 }
 
 // seconds prints the statuses by second, daemon and audience.
-func (c *recorder) seconds() string {
+func (r *recorder) seconds() string {
 	type cell struct {
 		second   int64
 		daemon   types.Addr
 		audience audience
 	}
 	cells := map[cell][]string{}
-	for _, o := range c.list {
+	for _, o := range r.list {
 		code := fmt.Sprint(o.code)
 		if o.answered == 0 {
 			code = "silence"
--- a/sim/deployment.go
+++ b/sim/deployment.go
@@ -34,15 +34,15 @@
 // Small is the size of the first deployments: three controllers, any of which found.
 var Small = Size{Zones: 3, Controllers: 3, Gateways: 4, Workers: 11, Rack: 3}
 
-func (t Deployment) size() Size {
-	if t.Size == (Size{}) {
+func (d Deployment) size() Size {
+	if d.Size == (Size{}) {
 		return Small
 	}
-	return t.Size
+	return d.Size
 }
 
 // zone names the zone of the i-th of something.
-func (x Size) zone(i int) types.Zone { return types.Zone(fmt.Sprintf("z%d", i%x.Zones+1)) }
+func (s Size) zone(i int) types.Zone { return types.Zone(fmt.Sprintf("z%d", i%s.Zones+1)) }
 
 // Flow is one stream of jobs of a shape, with its mean rate.
 type Flow struct {
@@ -117,25 +117,25 @@
 }
 
 // Table is a deployment's first table.
-func (t Deployment) Table() config.Table {
-	if t.WorkerRules != nil {
-		return config.Table{Orphans: config.Finish, Rows: t.rows, Services: []config.Service{{Name: "work", Guards: true}}}
+func (d Deployment) Table() config.Table {
+	if d.WorkerRules != nil {
+		return config.Table{Orphans: config.Finish, Rows: d.rows, Services: []config.Service{{Name: "work", Guards: true}}}
 	}
 	row := func(f Flow, weight, share int) config.Row {
 		return config.Row{Name: f.Queue, Weight: weight, Share: share, Running: 500, Waiting: 400, Tries: 3, TaskMS: 60_000, Patience: 30_000, CutMS: 86_400_000, Stall: 10, Moves: 3}
 	}
-	return config.Table{Rows: []config.Row{row(t.Flows[0], 4, 30), row(t.Flows[1], 2, 10), row(t.Flows[2], 4, 20)}}
+	return config.Table{Rows: []config.Row{row(d.Flows[0], 4, 30), row(d.Flows[1], 2, 10), row(d.Flows[2], 4, 20)}}
 }
 
 // Workers lists them, rack by rack.
-func (t Deployment) Workers() (list []WorkerSpec) {
+func (d Deployment) Workers() (list []WorkerSpec) {
 	kinds := [][]types.Kind{{"quote", "menu"}, {"quote", "pay"}, {"menu", "pay", "quote"}}
-	x := t.size()
+	x := d.size()
 	for i := range x.Workers {
-		if t.WorkerRules != nil {
+		if d.WorkerRules != nil {
 			size := []float64{1, 1, 1.5}[i%3]
 			m := WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.Rack+1)), Kinds: []types.Kind{"work"},
-				Room: types.Room{Cores: types.Cores(float64(t.Cores) * size), Memory: int(float64(t.Cores) * size * 2048 / 1000)}, Guards: true}
+				Room: types.Room{Cores: types.Cores(float64(d.Cores) * size), Memory: int(float64(d.Cores) * size * 2048 / 1000)}, Guards: true}
 			if m.Labels = []string{"a"}; i%3 == 1 {
 				m.Labels = append(m.Labels, "b")
 			}
@@ -143,7 +143,7 @@
 			continue
 		}
 		list = append(list, WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.Rack+1)),
-			Kinds: kinds[i%3], Room: types.Room{Cores: t.Cores, Memory: int(t.Cores) * 1024 / 1000}})
+			Kinds: kinds[i%3], Room: types.Room{Cores: d.Cores, Memory: int(d.Cores) * 1024 / 1000}})
 	}
 	return
 }
@@ -153,9 +153,9 @@
 
 // LongGangs is a stream of gangs of long tasks. No deployment sends it; the simulator
 // does, so that faults meet gangs that run for long.
-func (t Deployment) LongGangs() Flow {
-	return Flow{t.Flows[1].Queue, 5 * time.Second, func(r *rand.Rand) state.Spec {
-		return state.Spec{Queue: t.Flows[1].Queue, Steps: []state.Step{{Name: "parade", Kind: "menu", Room: types.Room{Cores: 1 * types.Core, Memory: 64},
+func (d Deployment) LongGangs() Flow {
+	return Flow{d.Flows[1].Queue, 5 * time.Second, func(r *rand.Rand) state.Spec {
+		return state.Spec{Queue: d.Flows[1].Queue, Steps: []state.Step{{Name: "parade", Kind: "menu", Room: types.Room{Cores: 1 * types.Core, Memory: 64},
 			Tasks: 3, Gang: true, Spread: 1, Work: work(r, 7000, 9000)}}}
 	}}
 }
--- a/sim/invoked_check.go
+++ b/sim/invoked_check.go
@@ -93,11 +93,11 @@
 }
 
 // ours is a trouble of the system's own machines, or of all the world.
-func (t faultWindow) ours(who ...types.Addr) bool {
-	if t.affected == nil {
+func (f faultWindow) ours(who ...types.Addr) bool {
+	if f.affected == nil {
 		return true
 	}
-	for _, a := range t.affected {
+	for _, a := range f.affected {
 		if slices.Contains(who, a) {
 			return true
 		}
--- a/sim/invoked_deployment.go
+++ b/sim/invoked_deployment.go
@@ -56,19 +56,19 @@
 	return min(most, mean*math.Exp(spread*r.NormFloat64()-spread*spread/2))
 }
 
-func (x shape) spec(r *rand.Rand, now int64, largest float64) state.Spec {
-	s := state.Spec{Queue: x.queue}
+func (sh shape) spec(r *rand.Rand, now int64, largest float64) state.Spec {
+	s := state.Spec{Queue: sh.queue}
 	yes := func(p float64) bool { return r.Float64() < p }
-	near, copies, keeps, apart, label := yes(x.near), yes(x.copies), yes(x.keeps), yes(x.apart), yes(x.labels)
-	rack, lost := types.Rack(fmt.Sprintf("r%d", 1+r.Intn(4))), yes(x.poison)
-	for i := range max(1, int(around(r, x.steps+0.3, 0.4, 2.5*x.steps))) {
-		work := Work{MS: int(around(r, x.ms, 0.5, 2.5*x.ms)), Fails: x.fails, Uneven: x.uneven}
+	near, copies, keeps, apart, label := yes(sh.near), yes(sh.copies), yes(sh.keeps), yes(sh.apart), yes(sh.labels)
+	rack, lost := types.Rack(fmt.Sprintf("r%d", 1+r.Intn(4))), yes(sh.poison)
+	for i := range max(1, int(around(r, sh.steps+0.3, 0.4, 2.5*sh.steps))) {
+		work := Work{MS: int(around(r, sh.ms, 0.5, 2.5*sh.ms)), Fails: sh.fails, Uneven: sh.uneven}
 		if lost {
 			work.Fails = 1
 		}
-		p := state.Step{Name: fmt.Sprint("s", i), Kind: "work", Tasks: max(1, int(around(r, x.width, 0.8, 6*x.width))), Copies: copies, Keeps: keeps,
-			Room: types.Room{Cores: types.Cores(1000 * around(r, x.cores, 0.45, min(largest, 3*x.cores))), Memory: int(around(r, x.memory, 0.6, 3*x.memory))},
-			Work: work.raw(), Estimate: int(float64(work.MS) * (1 + x.off*(2*r.Float64()-1)))}
+		p := state.Step{Name: fmt.Sprint("s", i), Kind: "work", Tasks: max(1, int(around(r, sh.width, 0.8, 6*sh.width))), Copies: copies, Keeps: keeps,
+			Room: types.Room{Cores: types.Cores(1000 * around(r, sh.cores, 0.45, min(largest, 3*sh.cores))), Memory: int(around(r, sh.memory, 0.6, 3*sh.memory))},
+			Work: work.raw(), Estimate: int(float64(work.MS) * (1 + sh.off*(2*r.Float64()-1)))}
 		if near {
 			p.Near = rack
 		}
@@ -81,20 +81,20 @@
 		if i > 0 {
 			p.After = []string{s.Steps[r.Intn(i)].Name}
 		}
-		if yes(x.gangs) {
+		if yes(sh.gangs) {
 			p.Gang, p.Joint, p.Copies, p.OneRack, p.Tasks = true, true, false, yes(0.5), min(p.Tasks, 2+r.Intn(5))
 		}
 		s.Steps = append(s.Steps, p)
 	}
-	if yes(x.timed) {
+	if yes(sh.timed) {
 		s.Times = &state.Times{First: (origin+now)/1e6 + int64(r.Intn(3000)), Every: 1000 + int64(r.Intn(2000)), Count: 2 + r.Intn(4)}
 	}
 	return s
 }
 
-func (x shape) row() config.Row {
-	return config.Row{Name: x.queue, Weight: 1, Running: 10_000, Waiting: 5000, Tries: x.tries, TaskMS: 120_000, Patience: 5000, CutMS: 5000,
-		Moves: 3, Displace: true, Service: "work", Priority: x.priority, Stretch: x.stretch, Target: x.target, Rest: 100}
+func (sh shape) row() config.Row {
+	return config.Row{Name: sh.queue, Weight: 1, Running: 10_000, Waiting: 5000, Tries: sh.tries, TaskMS: 120_000, Patience: 5000, CutMS: 5000,
+		Moves: 3, Displace: true, Service: "work", Priority: sh.priority, Stretch: sh.stretch, Target: sh.target, Rest: 100}
 }
 
 // lasting is tasks that run until their job is cancelled.
@@ -120,15 +120,15 @@
 
 // grown is a deployment with more of everything. Its callers send as many jobs a worker
 // as before, half as often, so that a run is short enough for every change.
-func (t Deployment) grown(name string, x Size) Deployment {
-	t.Name, t.Size = name, x
-	m := *t.WorkerRules
+func (d Deployment) grown(name string, x Size) Deployment {
+	d.Name, d.Size = name, x
+	m := *d.WorkerRules
 	m.Gang = 4 * time.Second
-	t.WorkerRules, t.Streams = &m, slices.Clone(t.Streams)
-	for i := range t.Streams {
-		t.Streams[i].Every = 2 * t.Streams[i].Every * time.Duration(Small.Workers) / time.Duration(x.Workers)
+	d.WorkerRules, d.Streams = &m, slices.Clone(d.Streams)
+	for i := range d.Streams {
+		d.Streams[i].Every = 2 * d.Streams[i].Every * time.Duration(Small.Workers) / time.Duration(x.Workers)
 	}
-	return t
+	return d
 }
 
 func init() {
--- a/sim/invoked_node.go
+++ b/sim/invoked_node.go
@@ -38,25 +38,25 @@
 	return k
 }
 
-func (k *invokedNode) boot() {
-	n := k.node
-	k.gen++
-	k.seq, k.goes, k.told = 0, 0, false
-	k.w = NewInvokedWorker(k.make, types.ID(fmt.Sprintf("%s.%d", n.addr, k.gen)), n.w.environment, n.w.chance(), n.mono, n.w.record)
-	k.w.Wild, k.w.Rash = k.wild, k.rash
-	n.w.record(HistoryEvent{What: Staying, Who: string(k.w.ID), Shard: k.make.Shard, Make: &k.make})
-	gen := k.gen
-	on := func() bool { return k.gen == gen && k.w != nil }
+func (i *invokedNode) boot() {
+	n := i.node
+	i.gen++
+	i.seq, i.goes, i.told = 0, 0, false
+	i.w = NewInvokedWorker(i.make, types.ID(fmt.Sprintf("%s.%d", n.addr, i.gen)), n.w.environment, n.w.chance(), n.mono, n.w.record)
+	i.w.Wild, i.w.Rash = i.wild, i.rash
+	n.w.record(HistoryEvent{What: Staying, Who: string(i.w.ID), Shard: i.make.Shard, Make: &i.make})
+	gen := i.gen
+	on := func() bool { return i.gen == gen && i.w != nil }
 	var tick, beat func()
 	tick = func() {
 		if on() {
-			k.w.Tick()
+			i.w.Tick()
 			n.w.at(10*time.Millisecond, tick)
 		}
 	}
 	beat = func() {
 		if on() {
-			k.beat(0)
+			i.beat(0)
 			n.w.at(n.w.environment.Beat*95/100+time.Duration(n.w.random.Int63n(int64(n.w.environment.Beat/10))), beat)
 		}
 	}
@@ -65,99 +65,99 @@
 }
 
 // beat tells the agent of the worker, again if there is no answer in a second.
-func (k *invokedNode) beat(tries int) {
-	w, gen := k.node.w, k.gen
-	k.seq++
-	b := wire.WorkerBeat{Life: k.w.ID, To: k.node.addr, Seq: k.seq, Rack: k.make.Rack, Labels: k.make.Labels, Kinds: k.make.Kinds,
-		Room: k.make.Room, Clock: k.w.Clock()}
-	if k.goes != 0 {
-		b.Leaving, b.LeaveMS = true, max(1, k.goes.Sub(k.node.mono()).Milliseconds())
+func (i *invokedNode) beat(tries int) {
+	w, gen := i.node.w, i.gen
+	i.seq++
+	b := wire.WorkerBeat{Life: i.w.ID, To: i.node.addr, Seq: i.seq, Rack: i.make.Rack, Labels: i.make.Labels, Kinds: i.make.Kinds,
+		Room: i.make.Room, Clock: i.w.Clock()}
+	if i.goes != 0 {
+		b.Leaving, b.LeaveMS = true, max(1, i.goes.Sub(i.node.mono()).Milliseconds())
 	}
 	over := false
 	send := func() {
-		w.request(k.node.addr, k.agent, "beat", "", wire.Body(b), func(a wire.Answer) {
-			if over = over || a.Fault == nil; a.Fault == nil && b.Leaving && k.gen == gen && !k.told {
-				k.told = true
-				w.record(HistoryEvent{What: Leaving, Who: string(b.Life), Shard: k.make.Shard})
+		w.request(i.node.addr, i.agent, "beat", "", wire.Body(b), func(a wire.Answer) {
+			if over = over || a.Fault == nil; a.Fault == nil && b.Leaving && i.gen == gen && !i.told {
+				i.told = true
+				w.record(HistoryEvent{What: Leaving, Who: string(b.Life), Shard: i.make.Shard})
 			}
 		})
 	}
-	if k.lag > 0 && w.random.Float64() < k.lag {
+	if i.lag > 0 && w.random.Float64() < i.lag {
 		w.at(2*time.Second+time.Duration(w.random.Int63n(int64(4*time.Second))), send)
 		return
 	}
 	send()
 	w.at(time.Second, func() {
-		if !over && k.gen == gen && k.w != nil && tries < 2 {
-			k.beat(tries + 1)
+		if !over && i.gen == gen && i.w != nil && tries < 2 {
+			i.beat(tries + 1)
 		}
 	})
 }
 
 // kill ends the process; calls are then refused or lost.
-func (k *invokedNode) kill(refuses bool) {
-	if k.w == nil {
+func (i *invokedNode) kill(refuses bool) {
+	if i.w == nil {
 		return
 	}
-	k.refuses = refuses
-	k.node.w.record(HistoryEvent{What: Died, Who: string(k.w.ID), Shard: k.make.Shard})
-	k.gen++
-	w := k.w
-	k.w = nil
+	i.refuses = refuses
+	i.node.w.record(HistoryEvent{What: Died, Who: string(i.w.ID), Shard: i.make.Shard})
+	i.gen++
+	w := i.w
+	i.w = nil
 	w.Die()
 }
 
 // leave has the worker say that it goes within a time, and go then.
-func (k *invokedNode) leave(within time.Duration) {
-	if k.w == nil || k.goes != 0 {
+func (i *invokedNode) leave(within time.Duration) {
+	if i.w == nil || i.goes != 0 {
 		return
 	}
-	w, gen := k.node.w, k.gen
-	k.goes = k.node.mono().Add(within)
-	k.beat(0)
+	w, gen := i.node.w, i.gen
+	i.goes = i.node.mono().Add(within)
+	i.beat(0)
 	w.at(within, func() {
-		if k.gen != gen || k.w == nil {
+		if i.gen != gen || i.w == nil {
 			return
 		}
-		w.request(k.node.addr, k.agent, "leave", string(k.w.ID), nil, func(wire.Answer) {})
-		w.record(HistoryEvent{What: Removed, Who: string(k.w.ID), Shard: k.make.Shard, Text: within.String()})
-		k.kill(true)
+		w.request(i.node.addr, i.agent, "leave", string(i.w.ID), nil, func(wire.Answer) {})
+		w.record(HistoryEvent{What: Removed, Who: string(i.w.ID), Shard: i.make.Shard, Text: within.String()})
+		i.kill(true)
 	})
 }
 
 // heal ends what is wrong with the worker.
-func (k *invokedNode) heal() {
-	k.hangs, k.lates, k.lag = false, 0, 0
-	if k.w == nil {
-		k.boot()
+func (i *invokedNode) heal() {
+	i.hangs, i.lates, i.lag = false, 0, 0
+	if i.w == nil {
+		i.boot()
 		return
 	}
-	k.w.Still, k.w.Sick = false, false
-	k.w.Slow, k.w.Fails = max(1, k.make.Slow), k.make.Fails
+	i.w.Still, i.w.Sick = false, false
+	i.w.Slow, i.w.Fails = max(1, i.make.Slow), i.make.Fails
 }
 
 // take is a call that has come to the worker's address.
-func (k *invokedNode) take(c wire.WorkerCall, reply func(wire.WorkerReply)) {
-	w, gen := k.node.w, k.gen
+func (i *invokedNode) take(c wire.WorkerCall, reply func(wire.WorkerReply)) {
+	w, gen := i.node.w, i.gen
 	mute := func(wire.WorkerReply) {}
 	switch {
-	case k.w == nil && k.refuses:
+	case i.w == nil && i.refuses:
 		reply(wire.WorkerReply{Result: wire.Closed})
-	case k.w == nil:
-	case k.lates > 0 && w.random.Float64() < k.lates:
+	case i.w == nil:
+	case i.lates > 0 && w.random.Float64() < i.lates:
 		w.at(2*time.Second+time.Duration(w.random.Int63n(int64(10*time.Second))), func() {
-			if k.gen == gen && k.w != nil {
-				k.w.late = true
-				k.w.Do(c, mute)
-				k.w.late = false
+			if i.gen == gen && i.w != nil {
+				i.w.late = true
+				i.w.Do(c, mute)
+				i.w.late = false
 			}
 		})
-	case k.hangs:
+	case i.hangs:
 		if w.random.Intn(2) == 0 {
-			k.w.Do(c, mute)
+			i.w.Do(c, mute)
 		}
 	default:
-		k.w.Do(c, reply)
+		i.w.Do(c, reply)
 	}
 }
 
