--- a/sim/invoked_worker.go
+++ b/sim/invoked_worker.go
@@ -70,157 +70,157 @@
 }
 
 // Clock is what the worker's own clock reads.
-func (w *InvokedWorker) Clock() int64 {
-	return w.first + int64(w.pace*float64(w.time().Sub(w.born).Microseconds())/1000)
+func (iw *InvokedWorker) Clock() int64 {
+	return iw.first + int64(iw.pace*float64(iw.time().Sub(iw.born).Microseconds())/1000)
 }
 
 // over tells whether the lease has ended.
-func (w *InvokedWorker) over() bool { return !w.Wild && w.Clock() >= w.lease }
+func (iw *InvokedWorker) over() bool { return !iw.Wild && iw.Clock() >= iw.lease }
 
-func (w *InvokedWorker) say(h HistoryEvent) {
-	h.Who, h.Shard = string(w.ID), w.Shard
-	w.tell(h)
+func (iw *InvokedWorker) say(h HistoryEvent) {
+	h.Who, h.Shard = string(iw.ID), iw.Shard
+	iw.tell(h)
 }
 
 // Tick lets time pass.
-func (w *InvokedWorker) Tick() {
-	w.advance()
-	w.wake()
+func (iw *InvokedWorker) Tick() {
+	iw.advance()
+	iw.wake()
 }
 
 // Do takes a call. Reply is called once, when the call is answered.
-func (w *InvokedWorker) Do(c wire.WorkerCall, reply func(wire.WorkerReply)) {
-	w.advance()
-	defer w.wake()
-	r := wire.WorkerReply{No: c.No, Result: wire.Taken, Clock: w.Clock()}
+func (iw *InvokedWorker) Do(c wire.WorkerCall, reply func(wire.WorkerReply)) {
+	iw.advance()
+	defer iw.wake()
+	r := wire.WorkerReply{No: c.No, Result: wire.Taken, Clock: iw.Clock()}
 	switch {
-	case c.Life != w.ID:
+	case c.Life != iw.ID:
 		reply(wire.WorkerReply{No: c.No, Result: wire.Stranger})
 		return
-	case c.Fence < w.fence && !w.Rash:
-		if w.late && c.Kind == wire.Start {
-			w.say(HistoryEvent{What: Spared, Attempt: c.Attempt, Late: true})
+	case c.Fence < iw.fence && !iw.Rash:
+		if iw.late && c.Kind == wire.Start {
+			iw.say(HistoryEvent{What: Spared, Attempt: c.Attempt, Late: true})
 		}
 		r.Result = wire.Fenced
 		reply(r)
 		return
 	}
-	w.fence = max(w.fence, c.Fence)
+	iw.fence = max(iw.fence, c.Fence)
 	switch c.Kind {
 	case wire.Start:
-		r.Result = w.begin(c)
+		r.Result = iw.begin(c)
 	case wire.Halt:
-		w.halt(c.Attempt)
+		iw.halt(c.Attempt)
 	case wire.Hold:
-		w.hold(c.Until)
-		w.settle(c.Seen)
-		if c.Wait > 0 && len(w.ends) == 0 {
-			w.waits = append(w.waits, waitingHold{c, w.time().Add(min(c.Wait, mostWait)), reply})
+		iw.hold(c.Until)
+		iw.settle(c.Seen)
+		if c.Wait > 0 && len(iw.ends) == 0 {
+			iw.waits = append(iw.waits, waitingHold{c, iw.time().Add(min(c.Wait, mostWait)), reply})
 			return
 		}
-		r = w.list(c)
+		r = iw.list(c)
 	}
 	reply(r)
 }
 
 // hold takes up the end of a lease: never shortened, and not beyond the limit.
-func (w *InvokedWorker) hold(until int64) {
-	now := w.Clock()
-	if until = min(until, now+w.environment.Lease.Milliseconds()); until > now {
-		w.lease = max(w.lease, until)
+func (iw *InvokedWorker) hold(until int64) {
+	now := iw.Clock()
+	if until = min(until, now+iw.environment.Lease.Milliseconds()); until > now {
+		iw.lease = max(iw.lease, until)
 	}
 }
 
-func (w *InvokedWorker) begin(c wire.WorkerCall) wire.Result {
-	if w.Sick {
+func (iw *InvokedWorker) begin(c wire.WorkerCall) wire.Result {
+	if iw.Sick {
 		return wire.Sick
 	}
-	if now := w.Clock(); c.Until <= now && !(w.Lax && w.lease > now) {
+	if now := iw.Clock(); c.Until <= now && !(iw.Lax && iw.lease > now) {
 		return wire.Late
 	}
-	w.hold(c.Until)
+	iw.hold(c.Until)
 	switch {
-	case w.runs[c.Attempt] != nil:
+	case iw.runs[c.Attempt] != nil:
 		return wire.Taken
-	case c.Attempt.Attempt <= w.shut[c.Attempt.Task]:
+	case c.Attempt.Attempt <= iw.shut[c.Attempt.Task]:
 		return wire.Outdated
 	}
-	step := w.environment.step(c.Attempt)
-	if w.Guards && step != nil && !w.free().Holds(step.Room) {
-		w.say(HistoryEvent{What: Spared, Attempt: c.Attempt})
+	step := iw.environment.step(c.Attempt)
+	if iw.Guards && step != nil && !iw.free().Holds(step.Room) {
+		iw.say(HistoryEvent{What: Spared, Attempt: c.Attempt})
 		return wire.Full
 	}
-	w.start(c, step)
+	iw.start(c, step)
 	return wire.Taken
 }
 
 // free is the room that nothing takes; what is being stopped still does.
-func (w *InvokedWorker) free() types.Room {
-	r := w.Room
-	for _, a := range w.runs {
+func (iw *InvokedWorker) free() types.Room {
+	r := iw.Room
+	for _, a := range iw.runs {
 		r = r.Minus(a.room)
 	}
 	return r
 }
 
-func (w *InvokedWorker) halt(l types.Attempt) {
-	a := w.runs[l]
+func (iw *InvokedWorker) halt(l types.Attempt) {
+	a := iw.runs[l]
 	switch {
 	case a == nil:
-		w.shut[l.Task] = max(w.shut[l.Task], l.Attempt)
+		iw.shut[l.Task] = max(iw.shut[l.Task], l.Attempt)
 	case a.stops == 0:
-		a.stops = w.time().Add(w.environment.some(w.rnd, w.environment.Stop))
+		a.stops = iw.time().Add(iw.environment.some(iw.rnd, iw.environment.Stop))
 	}
 }
 
 // settle forgets ends; those that had not lapsed are thereby noted for good.
-func (w *InvokedWorker) settle(seen uint64) {
-	for len(w.ends) > 0 && w.ends[0].N <= seen {
-		e := w.ends[0]
-		w.ends = w.ends[1:]
+func (iw *InvokedWorker) settle(seen uint64) {
+	for len(iw.ends) > 0 && iw.ends[0].N <= seen {
+		e := iw.ends[0]
+		iw.ends = iw.ends[1:]
 		what := Noted
 		if e.void {
 			what = Void
 		}
-		w.say(HistoryEvent{What: what, Attempt: e.Attempt, How: e.How})
+		iw.say(HistoryEvent{What: what, Attempt: e.Attempt, How: e.How})
 	}
 }
 
-func (w *InvokedWorker) list(c wire.WorkerCall) wire.WorkerReply {
-	r := wire.WorkerReply{No: c.No, Result: wire.Taken, Clock: w.Clock()}
-	for _, l := range w.sorted() {
-		a := w.runs[l]
+func (iw *InvokedWorker) list(c wire.WorkerCall) wire.WorkerReply {
+	r := wire.WorkerReply{No: c.No, Result: wire.Taken, Clock: iw.Clock()}
+	for _, l := range iw.sorted() {
+		a := iw.runs[l]
 		r.Runs = append(r.Runs, wire.WorkerRun{Attempt: l, Ref: a.ref, Percent: a.percent()})
 	}
-	for _, e := range w.ends[:min(len(w.ends), listed)] {
+	for _, e := range iw.ends[:min(len(iw.ends), listed)] {
 		r.Ends = append(r.Ends, e.WorkerEnd)
 	}
 	return r
 }
 
 // wake answers the holds that wait, once something has ended or their time is up.
-func (w *InvokedWorker) wake() {
-	kept := w.waits[:0]
-	for _, h := range w.waits {
-		if len(w.ends) > 0 || w.time() >= h.until {
-			h.reply(w.list(h.call))
+func (iw *InvokedWorker) wake() {
+	kept := iw.waits[:0]
+	for _, h := range iw.waits {
+		if len(iw.ends) > 0 || iw.time() >= h.until {
+			h.reply(iw.list(h.call))
 		} else {
 			kept = append(kept, h)
 		}
 	}
-	w.waits = kept
+	iw.waits = kept
 }
 
 // end ends an attempt; a gang ends with any of its members.
-func (w *InvokedWorker) end(a *attempt, how wire.How) {
-	if w.runs[a.attempt] != a {
+func (iw *InvokedWorker) end(a *attempt, how wire.How) {
+	if iw.runs[a.attempt] != a {
 		return
 	}
-	delete(w.runs, a.attempt)
-	w.shut[a.attempt.Task] = max(w.shut[a.attempt.Task], a.attempt.Attempt)
-	w.n++
-	w.ends = append(w.ends, invokedEnd{WorkerEnd: wire.WorkerEnd{N: w.n, Attempt: a.attempt, How: how, Ref: a.ref}})
-	w.say(HistoryEvent{What: Ended, Attempt: a.attempt, Outcome: outcomes[how], How: how})
+	delete(iw.runs, a.attempt)
+	iw.shut[a.attempt.Task] = max(iw.shut[a.attempt.Task], a.attempt.Attempt)
+	iw.n++
+	iw.ends = append(iw.ends, invokedEnd{WorkerEnd: wire.WorkerEnd{N: iw.n, Attempt: a.attempt, How: how, Ref: a.ref}})
+	iw.say(HistoryEvent{What: Ended, Attempt: a.attempt, Outcome: outcomes[how], How: how})
 	a.quit(how)
 }
 
@@ -228,17 +228,17 @@
 	wire.Expired: state.Lapsed, wire.Broken: state.Halted, wire.Lonely: state.Halted}
 
 // Die ends the process and all that it runs.
-func (w *InvokedWorker) Die() {
-	attempts, runs := w.sorted(), w.runs
-	w.waits, w.runs = nil, nil
+func (iw *InvokedWorker) Die() {
+	attempts, runs := iw.sorted(), iw.runs
+	iw.waits, iw.runs = nil, nil
 	for _, l := range attempts {
 		runs[l].quit(wire.Stopped)
 	}
 }
 
-func (w *InvokedWorker) sorted() []types.Attempt {
-	list := make([]types.Attempt, 0, len(w.runs))
-	for l := range w.runs {
+func (iw *InvokedWorker) sorted() []types.Attempt {
+	list := make([]types.Attempt, 0, len(iw.runs))
+	for l := range iw.runs {
 		list = append(list, l)
 	}
 	sort.Slice(list, func(i, k int) bool { return list[i].Least(list[k]) })
--- a/sim/leader_bench_test.go
+++ b/sim/leader_bench_test.go
@@ -23,11 +23,11 @@
 	steps int
 }
 
-func (m *labelled) Step(e wire.Event) (out wire.Out) {
+func (l *labelled) Step(e wire.Event) (out wire.Out) {
 	from := threadTime()
-	pprof.Do(context.Background(), pprof.Labels("leader", "yes"), func(context.Context) { out = m.Machine.Step(e) })
-	m.spent += threadTime() - from
-	m.steps++
+	pprof.Do(context.Background(), pprof.Labels("leader", "yes"), func(context.Context) { out = l.Machine.Step(e) })
+	l.spent += threadTime() - from
+	l.steps++
 	return
 }
 
--- a/sim/linear_test.go
+++ b/sim/linear_test.go
@@ -46,9 +46,9 @@
 	return c
 }
 
-func (c *operationRecorder) check() (tablesOK, jobsOK porcupine.CheckResult) {
+func (or *operationRecorder) check() (tablesOK, jobsOK porcupine.CheckResult) {
 	model, all := tables.ToModel(), jobs.ToModel()
-	return porcupine.CheckOperationsTimeout(model, c.history(), checkTime), porcupine.CheckOperationsTimeout(all, c.jobs, checkTime)
+	return porcupine.CheckOperationsTimeout(model, or.history(), checkTime), porcupine.CheckOperationsTimeout(all, or.jobs, checkTime)
 }
 
 func TestHistoriesAreLinearizable(t *testing.T) {
--- a/sim/polling_node.go
+++ b/sim/polling_node.go
@@ -29,133 +29,133 @@
 	return h
 }
 
-func (h *pollingNode) boot() {
-	n := h.node
-	h.gen++
+func (pn *pollingNode) boot() {
+	n := pn.node
+	pn.gen++
 	n.frozen, n.queue = false, nil
-	h.w = NewWorker(h.make, types.ID(fmt.Sprintf("%s.%d", n.addr, h.gen)), n.w.chance(), n.w.record)
-	h.w.Deaf, h.w.Willing = h.deaf, h.willing
-	h.told = map[types.Attempt]int{}
-	n.w.record(HistoryEvent{What: Staying, Who: string(h.w.ID), Shard: h.make.Shard, Make: &h.make})
-	gen := h.gen
+	pn.w = NewWorker(pn.make, types.ID(fmt.Sprintf("%s.%d", n.addr, pn.gen)), n.w.chance(), n.w.record)
+	pn.w.Deaf, pn.w.Willing = pn.deaf, pn.willing
+	pn.told = map[types.Attempt]int{}
+	n.w.record(HistoryEvent{What: Staying, Who: string(pn.w.ID), Shard: pn.make.Shard, Make: &pn.make})
+	gen := pn.gen
 	var beat func()
 	beat = func() {
-		if h.gen != gen || h.w == nil {
+		if pn.gen != gen || pn.w == nil {
 			return
 		}
 		if !n.frozen {
-			if h.w.Tick(n.mono()); h.w.Crashed {
-				h.crash()
+			if pn.w.Tick(n.mono()); pn.w.Crashed {
+				pn.crash()
 				return
 			}
-			if h.w.News {
-				h.call()
+			if pn.w.News {
+				pn.call()
 			}
 		}
 		n.w.at(10*time.Millisecond, beat)
 	}
 	beat()
-	h.call()
+	pn.call()
 }
 
-func (h *pollingNode) kill() {
-	if h.w == nil {
+func (pn *pollingNode) kill() {
+	if pn.w == nil {
 		return
 	}
-	h.node.w.record(HistoryEvent{What: Died, Who: string(h.w.ID), Shard: h.make.Shard})
-	h.gen++
-	h.w = nil
-	h.node.frozen, h.node.queue = false, nil
+	pn.node.w.record(HistoryEvent{What: Died, Who: string(pn.w.ID), Shard: pn.make.Shard})
+	pn.gen++
+	pn.w = nil
+	pn.node.frozen, pn.node.queue = false, nil
 }
 
-func (h *pollingNode) freeze() {
-	if h.w != nil && !h.node.frozen {
-		h.node.frozen = true
-		h.node.w.record(HistoryEvent{What: Froze, Who: string(h.w.ID), Shard: h.make.Shard})
+func (pn *pollingNode) freeze() {
+	if pn.w != nil && !pn.node.frozen {
+		pn.node.frozen = true
+		pn.node.w.record(HistoryEvent{What: Froze, Who: string(pn.w.ID), Shard: pn.make.Shard})
 	}
 }
 
-func (h *pollingNode) thaw() {
-	if h.w == nil || !h.node.frozen {
+func (pn *pollingNode) thaw() {
+	if pn.w == nil || !pn.node.frozen {
 		return
 	}
-	h.node.w.record(HistoryEvent{What: Thawed, Who: string(h.w.ID), Shard: h.make.Shard})
-	h.node.frozen = false
-	h.w.Tick(h.node.mono())
-	list := h.node.queue
-	h.node.queue = nil
+	pn.node.w.record(HistoryEvent{What: Thawed, Who: string(pn.w.ID), Shard: pn.make.Shard})
+	pn.node.frozen = false
+	pn.w.Tick(pn.node.mono())
+	list := pn.node.queue
+	pn.node.queue = nil
 	for _, run := range list {
 		run()
 	}
-	h.call()
+	pn.call()
 }
 
 // crash ends the process, and the platform starts another.
-func (h *pollingNode) crash() {
-	h.kill()
-	h.node.w.at(time.Second, func() {
-		if h.w == nil {
-			h.boot()
+func (pn *pollingNode) crash() {
+	pn.kill()
+	pn.node.w.at(time.Second, func() {
+		if pn.w == nil {
+			pn.boot()
 		}
 	})
 }
 
 // call makes a call and waits for its answer, or calls again after a while.
-func (h *pollingNode) call() {
-	if h.w == nil || h.node.frozen {
+func (pn *pollingNode) call() {
+	if pn.w == nil || pn.node.frozen {
 		return
 	}
-	w, gen := h.node.w, h.gen
-	p := h.w.Call(h.node.mono())
-	on := func() bool { return h.gen == gen && h.w != nil && p.Call == h.w.call }
+	w, gen := pn.node.w, pn.gen
+	p := pn.w.Call(pn.node.mono())
+	on := func() bool { return pn.gen == gen && pn.w != nil && p.Call == pn.w.call }
 	took := func(n *node) {
 		for _, e := range p.Ends {
-			if h.told[e.Attempt] != n.gen {
-				h.told[e.Attempt] = n.gen
+			if pn.told[e.Attempt] != n.gen {
+				pn.told[e.Attempt] = n.gen
 				w.record(HistoryEvent{What: Heard, Who: n.name(), Attempt: e.Attempt, Outcome: e.Outcome})
 			}
 		}
 	}
-	w.requestWith(h.node.addr, h.agent, "poll", "", wire.Body(p), took, func(a wire.Answer) {
+	w.requestWith(pn.node.addr, pn.agent, "poll", "", wire.Body(p), took, func(a wire.Answer) {
 		take := func() {
 			if !on() {
 				return
 			}
 			var r dispatch.Answer
 			if a.Fault == nil && json.Unmarshal(a.Body, &r) == nil {
-				h.w.Take(h.node.mono(), r)
+				pn.w.Take(pn.node.mono(), r)
 			}
 			w.at(time.Millisecond, func() {
 				if on() {
-					h.call()
+					pn.call()
 				}
 			})
 		}
-		if h.node.frozen {
-			h.node.queue = append(h.node.queue, take)
+		if pn.node.frozen {
+			pn.node.queue = append(pn.node.queue, take)
 			return
 		}
 		take()
 	})
 	w.at(400*time.Millisecond, func() {
 		if on() {
-			h.call()
+			pn.call()
 		}
 	})
 }
 
 // leave has the worker say that it is going, or is not, and within how long.
-func (h *pollingNode) leave(on bool, within time.Duration) {
-	if h.w == nil || h.w.Leave == on {
+func (pn *pollingNode) leave(on bool, within time.Duration) {
+	if pn.w == nil || pn.w.Leave == on {
 		return
 	}
-	h.w.Leave, h.w.Goes = on, 0
+	pn.w.Leave, pn.w.Goes = on, 0
 	if within > 0 {
-		h.w.Goes = h.node.mono().Add(within)
+		pn.w.Goes = pn.node.mono().Add(within)
 	}
 	what := Staying
 	if on {
 		what = Leaving
 	}
-	h.node.w.record(HistoryEvent{What: what, Who: string(h.w.ID), Shard: h.make.Shard})
+	pn.node.w.record(HistoryEvent{What: what, Who: string(pn.w.ID), Shard: pn.make.Shard})
 }
--- a/sim/usage_test.go
+++ b/sim/usage_test.go
@@ -41,12 +41,12 @@
 	in, out atomic.Int64
 }
 
-func (l *countedListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+func (cl *countedListener) Accept() (net.Conn, error) {
+	c, err := cl.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return counted{c, &l.in, &l.out}, nil
+	return counted{c, &cl.in, &cl.out}, nil
 }
 
 // echo hands on the notes that it is given.
--- a/sim/worker_environment.go
+++ b/sim/worker_environment.go
@@ -55,11 +55,11 @@
 }
 
 // Sent takes note of a job that a caller sends.
-func (f *WorkerEnvironment) Sent(id types.JobID, s *state.Spec) { f.specs[id] = s }
+func (we *WorkerEnvironment) Sent(id types.JobID, s *state.Spec) { we.specs[id] = s }
 
 // step finds what an attempt is of, or nil where nobody sent that.
-func (f *WorkerEnvironment) step(l types.Attempt) *state.Step {
-	if s := f.specs[l.Job]; s != nil {
+func (we *WorkerEnvironment) step(l types.Attempt) *state.Step {
+	if s := we.specs[l.Job]; s != nil {
 		if i := s.Step(l.N); i >= 0 {
 			return &s.Steps[i]
 		}
@@ -68,31 +68,31 @@
 }
 
 // some is any time up to a most.
-func (f *WorkerEnvironment) some(rnd *rand.Rand, most time.Duration) time.Duration {
+func (we *WorkerEnvironment) some(rnd *rand.Rand, most time.Duration) time.Duration {
 	return time.Duration(rnd.Int63n(int64(most) + 1))
 }
 
 // far is how many times as long a task takes on a worker.
-func (f *WorkerEnvironment) far(w *InvokedWorker, l types.Attempt, p *state.Step) float64 {
+func (we *WorkerEnvironment) far(w *InvokedWorker, l types.Attempt, p *state.Step) float64 {
 	if p.Near != "" && p.Near != w.Rack {
-		return f.Far
+		return we.Far
 	}
 	return 1
 }
 
-func (f *WorkerEnvironment) save(rnd *rand.Rand, did float64) string {
+func (we *WorkerEnvironment) save(rnd *rand.Rand, did float64) string {
 	ref := fmt.Sprintf("%016x", rnd.Uint64())
-	f.saves[ref] = did
+	we.saves[ref] = did
 	return ref
 }
 
 // join has an attempt wait for its gang, or completes it.
-func (f *WorkerEnvironment) join(a *attempt) {
+func (we *WorkerEnvironment) join(a *attempt) {
 	id := gangID{a.attempt.Job, types.StageOf(a.attempt.N), a.attempt.Attempt}
-	g := f.gangs[id]
+	g := we.gangs[id]
 	if g == nil {
-		g = &gang{id: id, environment: f, need: a.step.Tasks, here: map[int]*attempt{}}
-		f.gangs[id] = g
+		g = &gang{id: id, environment: we, need: a.step.Tasks, here: map[int]*attempt{}}
+		we.gangs[id] = g
 	}
 	a.gang = g
 	if g.here[a.attempt.N] = a; len(g.here) < g.need {
@@ -106,7 +106,7 @@
 	}
 	for _, m := range g.members() {
 		if a.step.OneRack && len(racks) > 1 {
-			m.slow *= f.Far
+			m.slow *= we.Far
 		}
 		m.w.say(HistoryEvent{What: Working, Attempt: m.attempt})
 	}
--- a/sim/workload.go
+++ b/sim/workload.go
@@ -55,53 +55,53 @@
 }
 
 // Watch keeps the list of ready gateways, as the platform does.
-func (s *Workload) Watch() {
-	for s.f.ctx.Err() == nil {
+func (w *Workload) Watch() {
+	for w.f.ctx.Err() == nil {
 		var list []*proc
-		for _, p := range s.f.of("gateway") {
+		for _, p := range w.f.of("gateway") {
 			var v any
-			if !p.down.Load() && !p.ice.Load() && s.f.page(p, "/ready", &v) == nil {
+			if !p.down.Load() && !p.ice.Load() && w.f.page(p, "/ready", &v) == nil {
 				list = append(list, p)
 			}
 		}
 		if len(list) > 0 {
-			s.ready.Store(&list)
+			w.ready.Store(&list)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-func (s *Workload) chance(n int) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.rnd.Intn(n)
+func (w *Workload) chance(n int) int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.rnd.Intn(n)
 }
 
-func (s *Workload) gateway() *proc {
-	list := *s.ready.Load()
-	return list[s.chance(len(list))]
+func (w *Workload) gateway() *proc {
+	list := *w.ready.Load()
+	return list[w.chance(len(list))]
 }
 
 // Flow sends jobs of one shape until the workload is closed.
-func (s *Workload) Flow(fl Flow) {
-	s.work.Add(1)
-	defer s.work.Done()
-	for s.open.Load() {
-		gap := float64(fl.Every) / s.Speed
-		time.Sleep(time.Duration((0.5 + float64(s.chance(1000))/1000) * gap))
-		s.mu.Lock()
-		s.next++
-		id := types.JobID(fmt.Sprintf("%s-%d", fl.Queue, s.next))
-		spec := fl.Spec(s.rnd)
-		s.mu.Unlock()
+func (w *Workload) Flow(fl Flow) {
+	w.work.Add(1)
+	defer w.work.Done()
+	for w.open.Load() {
+		gap := float64(fl.Every) / w.Speed
+		time.Sleep(time.Duration((0.5 + float64(w.chance(1000))/1000) * gap))
+		w.mu.Lock()
+		w.next++
+		id := types.JobID(fmt.Sprintf("%s-%d", fl.Queue, w.next))
+		spec := fl.Spec(w.rnd)
+		w.mu.Unlock()
 		select {
-		case s.slots <- struct{}{}:
-			s.f.Tell(HistoryEvent{What: Sent, Job: id, Spec: &spec})
-			s.work.Add(1)
+		case w.slots <- struct{}{}:
+			w.f.Tell(HistoryEvent{What: Sent, Job: id, Spec: &spec})
+			w.work.Add(1)
 			go func() {
-				defer s.work.Done()
-				defer func() { <-s.slots }()
-				s.job(id, wire.Body(spec))
+				defer w.work.Done()
+				defer func() { <-w.slots }()
+				w.job(id, wire.Body(spec))
 			}()
 		default:
 		}
@@ -110,13 +110,13 @@
 
 // try asks once. A request that was taken up and got no answer from a gateway
 // that nobody killed is a drop.
-func (s *Workload) try(method, path string, body []byte) (code int, b []byte) {
-	g := s.gateway()
-	req, err := http.NewRequestWithContext(s.f.ctx, method, fmt.Sprintf("http://%s:%d%s", g.ip, s.f.Port, path), bytes.NewReader(body))
+func (w *Workload) try(method, path string, body []byte) (code int, b []byte) {
+	g := w.gateway()
+	req, err := http.NewRequestWithContext(w.f.ctx, method, fmt.Sprintf("http://%s:%d%s", g.ip, w.f.Port, path), bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
-	res, err := s.client.Do(req)
+	res, err := w.client.Do(req)
 	if err == nil {
 		defer res.Body.Close()
 		b, err = io.ReadAll(res.Body)
@@ -124,57 +124,57 @@
 	}
 	if err != nil {
 		if (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)) && !g.down.Load() && !g.ice.Load() {
-			s.Drops.Add(1)
-			s.f.Tell(HistoryEvent{What: Dropped, Who: g.name, Text: err.Error()})
+			w.Drops.Add(1)
+			w.f.Tell(HistoryEvent{What: Dropped, Who: g.name, Text: err.Error()})
 		}
 		return 0, nil
 	}
 	return
 }
 
-func (s *Workload) job(id types.JobID, body []byte) {
+func (w *Workload) job(id types.JobID, body []byte) {
 	from := time.Now()
 	for n := 0; ; n++ {
-		code, b := s.try(http.MethodPut, "/v1/jobs/"+string(id), body)
+		code, b := w.try(http.MethodPut, "/v1/jobs/"+string(id), body)
 		if code == 200 || code == 201 {
 			break
 		}
-		if n > 60 || s.f.ctx.Err() != nil || !s.later(code, b) {
-			s.f.Tell(HistoryEvent{What: Denied, Job: id, Text: string(b)})
+		if n > 60 || w.f.ctx.Err() != nil || !w.later(code, b) {
+			w.f.Tell(HistoryEvent{What: Denied, Job: id, Text: string(b)})
 			return
 		}
 	}
-	s.f.Tell(HistoryEvent{What: Accepted, Job: id})
-	s.message(&s.Takes, from)
-	if s.chance(1000) < int(s.Cancel*1000) {
-		time.Sleep(time.Duration(s.chance(2000)) * time.Millisecond)
+	w.f.Tell(HistoryEvent{What: Accepted, Job: id})
+	w.message(&w.Takes, from)
+	if w.chance(1000) < int(w.Cancel*1000) {
+		time.Sleep(time.Duration(w.chance(2000)) * time.Millisecond)
 		for range 20 {
-			code, b := s.try(http.MethodPost, "/v1/jobs/"+string(id)+"/cancel", nil)
+			code, b := w.try(http.MethodPost, "/v1/jobs/"+string(id)+"/cancel", nil)
 			if code == 200 || code == 202 {
-				s.f.Tell(HistoryEvent{What: Halt, Job: id})
+				w.f.Tell(HistoryEvent{What: Halt, Job: id})
 				break
 			}
-			if !s.later(code, b) {
+			if !w.later(code, b) {
 				break
 			}
 		}
 	}
-	for s.f.ctx.Err() == nil {
-		time.Sleep(150*time.Millisecond + time.Duration(s.chance(150))*time.Millisecond)
-		code, b := s.try(http.MethodGet, "/v1/jobs/"+string(id), nil)
+	for w.f.ctx.Err() == nil {
+		time.Sleep(150*time.Millisecond + time.Duration(w.chance(150))*time.Millisecond)
+		code, b := w.try(http.MethodGet, "/v1/jobs/"+string(id), nil)
 		var v controller.JobView
 		switch {
 		case code == 404:
-			s.f.Tell(HistoryEvent{What: Missed, Job: id})
+			w.f.Tell(HistoryEvent{What: Missed, Job: id})
 			return
 		case code != 200 || json.Unmarshal(b, &v) != nil:
-			s.later(code, b)
+			w.later(code, b)
 			continue
 		}
 		if v.State == "done" || v.State == "failed" || v.State == "cancelled" {
-			s.f.Tell(HistoryEvent{What: Saw, Job: id, Stage: v.State, Text: v.Why})
+			w.f.Tell(HistoryEvent{What: Saw, Job: id, Stage: v.State, Text: v.Why})
 			if v.State == "done" {
-				s.message(&s.Ends, from)
+				w.message(&w.Ends, from)
 			}
 			return
 		}
@@ -182,16 +182,16 @@
 }
 
 // later waits as an answer says, and tells whether to ask again at all.
-func (s *Workload) later(code int, b []byte) bool {
+func (w *Workload) later(code int, b []byte) bool {
 	var f apierror.Error
 	if code == 0 {
 		time.Sleep(100 * time.Millisecond)
 		return true
 	}
 	json.Unmarshal(b, &f)
-	s.mu.Lock()
-	s.Denials[f.Kind]++
-	s.mu.Unlock()
+	w.mu.Lock()
+	w.Denials[f.Kind]++
+	w.mu.Unlock()
 	if code != 503 && code != 429 {
 		return false
 	}
@@ -199,24 +199,24 @@
 	return true
 }
 
-func (s *Workload) message(to *[]float64, from time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (w *Workload) message(to *[]float64, from time.Time) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	*to = append(*to, float64(time.Since(from).Microseconds())/1000)
 }
 
 // Put puts a table until it is taken or refused; it gives the version.
-func (s *Workload) Put(t config.Table) (types.Version, error) {
-	s.f.Tell(HistoryEvent{What: TableTry, Table: &t})
+func (w *Workload) Put(t config.Table) (types.Version, error) {
+	w.f.Tell(HistoryEvent{What: TableTry, Table: &t})
 	for range 60 {
-		code, b := s.try(http.MethodPut, "/v1/table", wire.Body(t))
+		code, b := w.try(http.MethodPut, "/v1/table", wire.Body(t))
 		if code == 200 {
 			got := t.Next()
-			s.f.Tell(HistoryEvent{What: TableAck, Table: &got})
+			w.f.Tell(HistoryEvent{What: TableAck, Table: &got})
 			return got.Version, nil
 		}
-		if !s.later(code, b) {
-			s.f.Tell(HistoryEvent{What: TableNo, Table: &t, Text: string(b)})
+		if !w.later(code, b) {
+			w.f.Tell(HistoryEvent{What: TableNo, Table: &t, Text: string(b)})
 			return 0, fmt.Errorf("table refused: %s", b)
 		}
 	}
@@ -224,34 +224,34 @@
 }
 
 // Races has two operators put different tables on one version, now and then.
-func (s *Workload) Races() {
-	s.work.Add(1)
-	defer s.work.Done()
-	for s.open.Load() {
+func (w *Workload) Races() {
+	w.work.Add(1)
+	defer w.work.Done()
+	for w.open.Load() {
 		time.Sleep(3 * time.Second)
 		var t config.Table
-		began := strconv.FormatInt(time.Since(s.f.start).Nanoseconds(), 10)
-		code, b := s.try(http.MethodGet, "/v1/table", nil)
+		began := strconv.FormatInt(time.Since(w.f.start).Nanoseconds(), 10)
+		code, b := w.try(http.MethodGet, "/v1/table", nil)
 		if code != 200 || json.Unmarshal(b, &t) != nil || len(t.Rows) < 2 {
 			continue
 		}
-		s.f.Tell(HistoryEvent{What: TableSaw, Table: &t, Text: began})
+		w.f.Tell(HistoryEvent{What: TableSaw, Table: &t, Text: began})
 		var two sync.WaitGroup
 		for range 2 {
 			n := config.Table{Version: t.Version, Rows: append([]config.Row(nil), t.Rows...)}
-			n.Rows[0].Weight = 1 + s.chance(900)
+			n.Rows[0].Weight = 1 + w.chance(900)
 			two.Add(1)
-			go func() { defer two.Done(); s.Put(n) }()
+			go func() { defer two.Done(); w.Put(n) }()
 		}
 		two.Wait()
 	}
 }
 
 // Close sends no more jobs and waits for those under way to be seen ended.
-func (s *Workload) Close(limit time.Duration) bool {
-	s.open.Store(false)
+func (w *Workload) Close(limit time.Duration) bool {
+	w.open.Store(false)
 	done := make(chan struct{})
-	go func() { s.work.Wait(); close(done) }()
+	go func() { w.work.Wait(); close(done) }()
 	select {
 	case <-done:
 		return true
