--- /dev/null
+++ b/internal/wal/golden_test.go
@@ -0,0 +1,84 @@
+package wal_test
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"coppercourse/internal/goldentest"
+	"coppercourse/internal/wal"
+)
+
+// fileName is the file of a data folder.
+const fileName = "lore.log"
+
+// records are groups as they are appended: one record, several, and bytes of all sorts.
+var records = [][][]byte{
+	{[]byte(`{"identity":{"id":"a1"}}`)},
+	{[]byte(`{"entries":[]}`), []byte("\x00\xff\n"), bytes.Repeat([]byte("long "), 30)},
+	{[]byte("last")},
+}
+
+// A file as it is appended to and sealed, and as it is rewritten whole. Both are read back.
+func TestFileGolden(t *testing.T) {
+	for name, write := range map[string]func(*wal.File) error{
+		"appended.bin": func(*wal.File) error { return nil },
+		"rewritten.bin": func(file *wal.File) error {
+			if err := file.Rewrite(records[1]); err != nil {
+				return err
+			}
+			return file.Append(records[2])
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			dir := t.TempDir()
+			file, _, _, err := wal.Open(wal.Disk{}, dir)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, group := range records {
+				if err := file.Append(group); err != nil {
+					t.Fatal(err)
+				}
+			}
+			if err := write(file); err != nil {
+				t.Fatal(err)
+			}
+			if err := file.Close(); err != nil {
+				t.Fatal(err)
+			}
+			b, err := os.ReadFile(filepath.Join(dir, fileName))
+			if err != nil {
+				t.Fatal(err)
+			}
+			goldentest.File(t, name, b)
+		})
+	}
+	readBack(t, "appended.bin", [][]byte{records[0][0], records[1][0], records[1][1], records[1][2], records[2][0], []byte("{}")})
+	readBack(t, "rewritten.bin", [][]byte{records[1][0], records[1][1], records[1][2], []byte("{}"), records[2][0], []byte("{}")})
+}
+
+// readBack opens a golden file as a daemon's own.
+func readBack(t *testing.T, name string, want [][]byte) {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, fileName), goldentest.Read(t, name), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	file, got, spoilt, err := wal.Open(wal.Disk{}, dir)
+	if err != nil || spoilt != "" {
+		t.Fatal(err, spoilt)
+	}
+	if err := file.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if len(got) != len(want) {
+		t.Fatalf("%s holds %d records, want %d", name, len(got), len(want))
+	}
+	for i := range want {
+		if !bytes.Equal(got[i], want[i]) {
+			t.Errorf("%s, record %d: %q, want %q", name, i, got[i], want[i])
+		}
+	}
+}
--- /dev/null
+++ b/internal/wire/golden_test.go
@@ -0,0 +1,94 @@
+package wire_test
+
+import (
+	"encoding/json"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"coppercourse/internal/goldentest"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// The kinds of message, the kinds and results of calls and all other texts that are
+// constants here stay as they are, whatever their names.
+func TestConstantsGolden(t *testing.T) {
+	goldentest.File(t, "constants.txt", []byte(strings.Join(constants(t), "\n")+"\n"))
+}
+
+// constants lists the values of the package's string constants, sorted.
+func constants(t *testing.T) (list []string) {
+	t.Helper()
+	files, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, path := range files {
+		if strings.HasSuffix(path, "_test.go") {
+			continue
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, decl := range file.Decls {
+			if group, ok := decl.(*ast.GenDecl); ok && group.Tok == token.CONST {
+				list = append(list, texts(t, group)...)
+			}
+		}
+	}
+	slices.Sort(list)
+	return list
+}
+
+// texts lists the texts in one declaration.
+func texts(t *testing.T, group *ast.GenDecl) (list []string) {
+	t.Helper()
+	ast.Inspect(group, func(node ast.Node) bool {
+		if lit, ok := node.(*ast.BasicLit); ok && lit.Kind == token.STRING {
+			text, err := strconv.Unquote(lit.Value)
+			if err != nil {
+				t.Error(err)
+			}
+			list = append(list, text)
+		}
+		return true
+	})
+	return list
+}
+
+// The bodies that belong to this package.
+func TestMessagesGolden(t *testing.T) {
+	goldentest.Message[wire.CallBody](t, wire.Call)
+	goldentest.Message[wire.ReplyBody](t, wire.Reply)
+	goldentest.JSON[wire.WorkerBeat](t, "worker-beat.json")
+	goldentest.JSON[wire.Message](t, "message.json")
+}
+
+// A list of several messages, as one request between daemons carries it.
+func TestMessageListGolden(t *testing.T) {
+	one, two := goldentest.Fill[wire.Message](), goldentest.Fill[wire.Message](json.RawMessage(`[1,"é<&>"]`), types.Addr("quote\"\\\u2028"))
+	list := []wire.Message{one, two, {}}
+	goldentest.File(t, "message-list.json", append(wire.EncodeMessages(list), '\n'))
+	goldentest.File(t, "message-list-empty.json", append(wire.EncodeMessages(nil), '\n'))
+	read, err := wire.DecodeMessages(goldentest.Read(t, "message-list.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.File(t, "message-list.json", append(wire.EncodeMessages(read), '\n'))
+}
+
+// The class of each kind of message and of each verb, by their texts.
+func TestClassesGolden(t *testing.T) {
+	var lines strings.Builder
+	for _, text := range append(constants(t), "job.put", "job.get", "job.cancel", "queue.count", "poll", "beat", "leave", "table.put", "other") {
+		lines.WriteString(text + ": message " + wire.ClassOf(text).String() + ", verb " + wire.VerbClass(text).String() + ", new work " + strconv.FormatBool(wire.Enters(text)) + "\n")
+	}
+	goldentest.File(t, "classes.txt", []byte(lines.String()))
+}
