--- a/cmd/coppercourse/client.go
+++ b/cmd/coppercourse/client.go
@@ -150,8 +150,8 @@
 	if json.Unmarshal(body, refused) != nil || refused.Kind == "" {
 		return fmt.Errorf("%s answered %s", addr, status)
 	}
-	if refused.Retry > 0 {
-		return fmt.Errorf("%w (come back in %d s)", refused, refused.Retry)
+	if refused.RetryAfterSeconds > 0 {
+		return fmt.Errorf("%w (come back in %d s)", refused, refused.RetryAfterSeconds)
 	}
 	return refused
 }
--- a/cmd/coppercourse/daemons.go
+++ b/cmd/coppercourse/daemons.go
@@ -144,10 +144,10 @@
 	ctx     context.Context
 	log     logr.Logger
 	s       settings.Settings
-	ports   func(*server.Pages) []server.Port                // further addresses to listen on
-	publish func(t config.Table, confirmedUntil types.Stamp) // gateway: takes each table, and until when it may be used
-	caller  server.Caller                                    // agent: calls the worker
-	said    string                                           // the state that was logged last
+	ports   func(*server.Pages) []server.Port                   // further addresses to listen on
+	publish func(t config.Table, confirmedUntil types.MonoTime) // gateway: takes each table, and until when it may be used
+	caller  server.Caller                                       // agent: calls the worker
+	said    string                                              // the state that was logged last
 }
 
 // serve runs the daemon's pages on its own address and on those of the platform
--- a/cmd/coppercourse/maintenance.go
+++ b/cmd/coppercourse/maintenance.go
@@ -36,7 +36,7 @@
 		name := d.Arg("name", "Its name.").Required().String()
 		within := d.Flag("within", "Stop what still runs after so long and have it go elsewhere; 0 lets it end.").Default("0s").Duration()
 		commands["drain "+kind] = func() error {
-			body, _ := json.Marshal(config.Drain{Within: int(within.Milliseconds())})
+			body, _ := json.Marshal(config.Drain{WithinMillis: int(within.Milliseconds())})
 			return show(*gateway, http.MethodPut, path+*name, body)
 		}
 		u := undrain.Command(kind, "A "+kind+".")
@@ -60,7 +60,7 @@
 		if (*worker == "") == (*rack == "") {
 			return errors.New("say either --worker or --rack")
 		}
-		body, _ := json.Marshal(config.Calendar{Shard: types.Shard(*worker), Rack: types.Rack(*rack), Text: string(text)})
+		body, _ := json.Marshal(config.Calendar{Shard: types.Shard(*worker), Rack: types.Rack(*rack), ICS: string(text)})
 		return show(*gateway, http.MethodPut, "/v1/calendars/"+*name, body)
 	}
 	check := calendars.Command("check", "Check an iCalendar file without putting it.")
--- a/cmd/coppercourse/platform.go
+++ b/cmd/coppercourse/platform.go
@@ -78,7 +78,7 @@
 var adapters = map[string]func(platform.Boot, *daemon){
 	"gateway": func(b platform.Boot, d *daemon) {
 		var front *platform.Front
-		d.publish = func(t config.Table, confirmedUntil types.Stamp) { front.Publish(t, confirmedUntil) }
+		d.publish = func(t config.Table, confirmedUntil types.MonoTime) { front.Publish(t, confirmedUntil) }
 		d.ports = func(p *server.Pages) []server.Port {
 			front = platform.NewFront(p.Owner)
 			return []server.Port{{Addr: b.Front, Handler: front, Limits: front.Limits, Conns: d.s.Conns},
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -39,7 +39,7 @@
 	executor  *dispatch.Executor
 	Trail     *trace.Ring
 	pollToken uint64
-	pollSince types.Stamp
+	pollSince types.MonoTime
 	closing   bool
 	answers   []wire.Answer
 	Sums      Sums
@@ -54,7 +54,7 @@
 // New returns an agent at its start. Its instance ids are drawn from rnd.
 func New(now types.Now, rnd *rand.Rand, p Place) *Agent {
 	a := &Agent{place: p, now: now, Trail: trace.New()}
-	a.executor = dispatch.NewExecutor(now.Mono, p.Truth, p.Addr, p.Shard, func() types.ID { return types.Mint(rnd) })
+	a.executor = dispatch.NewExecutor(now.Mono, p.Truth, p.Addr, p.Shard, func() types.ID { return types.NewID(rnd) })
 	a.roster = membership.New(rnd, a.card(), p.Seeds)
 	return a
 }
@@ -161,7 +161,7 @@
 		handler(a, ask)
 		return
 	}
-	a.refuse(ask.Token, apierror.New(apierror.NoPath, "", "no such verb"))
+	a.refuse(ask.Token, apierror.New(apierror.NoSuchPath, "", "no such verb"))
 }
 
 func (a *Agent) refuse(token uint64, err *apierror.Error) {
@@ -205,11 +205,11 @@
 	}
 	if !a.executor.Poll(a.now.Mono, p) {
 		a.Sums.Stale++
-		a.refuse(ask.Token, apierror.New(apierror.Stale, "call", "older than the latest call, or another worker still holds a lease"))
+		a.refuse(ask.Token, apierror.New(apierror.StaleVersion, "call", "older than the latest call, or another worker still holds a lease"))
 		return
 	}
 	if a.pollToken != 0 {
-		a.refuse(a.pollToken, apierror.New(apierror.Stale, "call", "a newer call has come"))
+		a.refuse(a.pollToken, apierror.New(apierror.StaleVersion, "call", "a newer call has come"))
 	}
 	for _, e := range p.Ends {
 		a.Trail.Add(a.now.Wall, trace.Job(e.Attempt.Job), "worker reported an end", "attempt", e.Attempt, "outcome", e.Outcome)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -46,7 +46,7 @@
 	is.Equal(w.Status().Account.Worker, types.ID(""))                 // none of it was taken
 	is.Equal(ask(`{"worker":"a","call":1,"stamp":5}`), wire.Answer{}) // a good one is held
 	a := ask(`{"worker":"a","call":1,"stamp":5}`)
-	is.Equal(a.Fault.Kind, apierror.Stale)
+	is.Equal(a.Fault.Kind, apierror.StaleVersion)
 	is.Equal(a.Token, token) // the call held before it is still held
 	is.True(w.pollToken != 0)
 }
--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -17,59 +17,59 @@
 
 // All kinds of error; docs/api.md says when each is answered.
 const (
-	BadBody    Kind = "bad_body"
-	BadField   Kind = "bad_field"
-	CutShort   Kind = "body_cut_short" // what came of it says nothing about the request
-	TooLarge   Kind = "too_large"
-	NoPath     Kind = "no_such_path"
-	NoMethod   Kind = "no_such_method"
-	NoJob      Kind = "no_such_job"
-	NoQueue    Kind = "no_such_queue"
-	NoWorker   Kind = "no_such_worker"
-	NoDrain    Kind = "not_drained"
-	NoPlan     Kind = "no_such_calendar"
-	Alive      Kind = "worker_is_healthy"
-	Conflict   Kind = "id_in_use"
-	Ended      Kind = "already_ended"
-	Unplaced   Kind = "never_placeable"
-	Stale      Kind = "stale_edition"
-	InUse      Kind = "queue_in_use"
-	Full       Kind = "queue_full"
-	Kept       Kind = "too_many_ids"
-	Crowd      Kind = "too_busy"
-	NoLead     Kind = "no_leader"
-	NotReady   Kind = "not_ready"
-	Unsure     Kind = "outcome_unknown"
-	Closing    Kind = "closing"
-	Unfit      Kind = "unfit"
-	BadSetting Kind = "bad_setting"
+	BadBody        Kind = "bad_body"
+	BadField       Kind = "bad_field"
+	BodyCutShort   Kind = "body_cut_short" // what came of it says nothing about the request
+	TooLarge       Kind = "too_large"
+	NoSuchPath     Kind = "no_such_path"
+	NoSuchMethod   Kind = "no_such_method"
+	NoSuchJob      Kind = "no_such_job"
+	NoSuchQueue    Kind = "no_such_queue"
+	NoSuchWorker   Kind = "no_such_worker"
+	NotDrained     Kind = "not_drained"
+	NoSuchCalendar Kind = "no_such_calendar"
+	WorkerHealthy  Kind = "worker_is_healthy"
+	IDInUse        Kind = "id_in_use"
+	AlreadyEnded   Kind = "already_ended"
+	NeverPlaceable Kind = "never_placeable"
+	StaleVersion   Kind = "stale_edition"
+	QueueInUse     Kind = "queue_in_use"
+	QueueFull      Kind = "queue_full"
+	TooManyIDs     Kind = "too_many_ids"
+	TooBusy        Kind = "too_busy"
+	NoLeader       Kind = "no_leader"
+	NotReady       Kind = "not_ready"
+	OutcomeUnknown Kind = "outcome_unknown"
+	ShuttingDown   Kind = "closing"
+	Unusable       Kind = "unfit"
+	BadSetting     Kind = "bad_setting"
 )
 
-// Code is the HTTP status of each kind.
-var Code = map[Kind]int{
+// StatusCodes is the HTTP status of each kind.
+var StatusCodes = map[Kind]int{
 	BadBody: http.StatusBadRequest, BadField: http.StatusUnprocessableEntity,
-	CutShort: http.StatusRequestTimeout, TooLarge: http.StatusRequestEntityTooLarge, NoPath: http.StatusNotFound,
-	NoMethod: http.StatusMethodNotAllowed, NoJob: http.StatusNotFound,
-	NoWorker: http.StatusNotFound, NoDrain: http.StatusNotFound, NoPlan: http.StatusNotFound, Alive: http.StatusConflict,
-	NoQueue: http.StatusUnprocessableEntity, Conflict: http.StatusConflict,
-	Ended: http.StatusConflict, Unplaced: http.StatusUnprocessableEntity,
-	Stale: http.StatusConflict, InUse: http.StatusConflict,
-	Full: http.StatusTooManyRequests, Kept: http.StatusServiceUnavailable, Crowd: http.StatusServiceUnavailable,
-	NoLead: http.StatusServiceUnavailable, NotReady: http.StatusServiceUnavailable,
-	Unsure: http.StatusServiceUnavailable, Closing: http.StatusServiceUnavailable,
-	Unfit: http.StatusConflict, BadSetting: http.StatusUnprocessableEntity,
+	BodyCutShort: http.StatusRequestTimeout, TooLarge: http.StatusRequestEntityTooLarge, NoSuchPath: http.StatusNotFound,
+	NoSuchMethod: http.StatusMethodNotAllowed, NoSuchJob: http.StatusNotFound,
+	NoSuchWorker: http.StatusNotFound, NotDrained: http.StatusNotFound, NoSuchCalendar: http.StatusNotFound, WorkerHealthy: http.StatusConflict,
+	NoSuchQueue: http.StatusUnprocessableEntity, IDInUse: http.StatusConflict,
+	AlreadyEnded: http.StatusConflict, NeverPlaceable: http.StatusUnprocessableEntity,
+	StaleVersion: http.StatusConflict, QueueInUse: http.StatusConflict,
+	QueueFull: http.StatusTooManyRequests, TooManyIDs: http.StatusServiceUnavailable, TooBusy: http.StatusServiceUnavailable,
+	NoLeader: http.StatusServiceUnavailable, NotReady: http.StatusServiceUnavailable,
+	OutcomeUnknown: http.StatusServiceUnavailable, ShuttingDown: http.StatusServiceUnavailable,
+	Unusable: http.StatusConflict, BadSetting: http.StatusUnprocessableEntity,
 }
 
-// Later names the kinds whose answer carries Retry-After.
-var Later = map[Kind]bool{Full: true, Kept: true, Crowd: true, NoLead: true, NotReady: true, Unsure: true, Closing: true}
+// Retryable names the kinds whose answer carries Retry-After.
+var Retryable = map[Kind]bool{QueueFull: true, TooManyIDs: true, TooBusy: true, NoLeader: true, NotReady: true, OutcomeUnknown: true, ShuttingDown: true}
 
 // Error is the body of every refusal. Field is the path of the field at fault, if
 // there is one; Retry is the Retry-After in seconds, or 0 for none.
 type Error struct {
-	Kind   Kind   `json:"kind"`
-	Field  string `json:"field,omitempty"`
-	Reason string `json:"reason"`
-	Retry  int    `json:"retry_after_s,omitempty"`
+	Kind              Kind   `json:"kind"`
+	Field             string `json:"field,omitempty"`
+	Reason            string `json:"reason"`
+	RetryAfterSeconds int    `json:"retry_after_s,omitempty"`
 }
 
 // Error returns kind, field and reason on one line.
@@ -80,21 +80,21 @@
 	return string(e.Kind) + ": " + e.Reason
 }
 
-// Code returns the HTTP status of the error's kind.
-func (e *Error) Code() int { return Code[e.Kind] }
+// StatusCode returns the HTTP status of the error's kind.
+func (e *Error) StatusCode() int { return StatusCodes[e.Kind] }
 
 // New makes an error; kinds in Later get a Retry-After of one second.
 func New(kind Kind, field, reason string) *Error {
 	e := &Error{Kind: kind, Field: field, Reason: reason}
-	if Later[kind] {
-		e.Retry = 1
+	if Retryable[kind] {
+		e.RetryAfterSeconds = 1
 	}
 	return e
 }
 
-// After sets the Retry-After, rounded up to whole seconds, one at least.
-func (e *Error) After(d time.Duration) *Error {
-	e.Retry = max(1, int((d+time.Second-1)/time.Second))
+// WithRetryAfter sets the Retry-After, rounded up to whole seconds, one at least.
+func (e *Error) WithRetryAfter(wait time.Duration) *Error {
+	e.RetryAfterSeconds = max(1, int((wait+time.Second-1)/time.Second))
 	return e
 }
 
@@ -105,7 +105,7 @@
 
 func makeErrorTypes() map[Kind]*errorx.Type {
 	byKind := map[Kind]*errorx.Type{}
-	for kind := range Code {
+	for kind := range StatusCodes {
 		byKind[kind] = errorx.NewType(namespace, string(kind))
 	}
 	return byKind
@@ -113,8 +113,8 @@
 
 // Wrap makes an errorx error of a kind around its cause, for errors that stay
 // inside a process or end it.
-func Wrap(kind Kind, err error, text string) error {
-	return errorTypes[kind].Wrap(err, "%s", text)
+func Wrap(kind Kind, err error, message string) error {
+	return errorTypes[kind].Wrap(err, "%s", message)
 }
 
 // ErrorList collects the errors of one document or request, so that all of them
--- a/internal/config/readtable.go
+++ b/internal/config/readtable.go
@@ -11,56 +11,56 @@
 
 // Bounds of a table.
 const (
-	rows     = 1000    // queues
-	services = 200     // services
-	source   = 1 << 20 // bytes of the operator's own document
+	maxQueues      = 1000    // queues
+	maxServices    = 200     // services
+	maxSourceBytes = 1 << 20 // bytes of the operator's own document
 )
 
 // Bounds of numbers in a document.
 const (
-	dayMS      = 86_400_000 // a day in milliseconds
-	weekMS     = 7 * dayMS  // a week in milliseconds
-	mostExact  = 1 << 53    // the largest whole number that every JSON reader keeps exactly
-	mostPrefix = 256        // bytes of a route's path prefix
-	mostShares = 100        // percent, all queues together
+	dayMillis            = 86_400_000    // a day in milliseconds
+	weekMillis           = 7 * dayMillis // a week in milliseconds
+	maxExactInteger      = 1 << 53       // the largest whole number that every JSON reader keeps exactly
+	maxPrefixBytes       = 256           // bytes of a route's path prefix
+	maxTotalSharePercent = 100           // percent, all queues together
 )
 
 // ReadTable decodes a table as an operator writes it. Its Version is the one that
 // it is based on.
-func ReadTable(document []byte, errs *apierror.ErrorList) (t Table) {
+func ReadTable(document []byte, errs *apierror.ErrorList) (table Table) {
 	r := NewReader(document, errs)
-	base := false
-	r.Whole(map[string]Field{
-		"edition":   func(at string) { base = true; Num(r, &t.Version, 0, mostExact)(at) },
-		"tasks":     Num(r, &t.Tasks, 1000, 1_000_000),
-		"megabytes": Num(r, &t.MB, 8, 512),
+	hasBase := false
+	r.ReadDocument(map[string]Field{
+		"edition":   func(at string) { hasBase = true; Int(r, &table.Version, 0, maxExactInteger)(at) },
+		"tasks":     Int(r, &table.MaxTasks, 1000, 1_000_000),
+		"megabytes": Int(r, &table.MaxMegabytes, 8, 512),
 		"queues": func(at string) {
-			t.Rows = []Row{}
-			r.List(at, rows, func(at string, _ int) { t.Rows = append(t.Rows, readRow(r, at)) })
+			table.Queues = []Queue{}
+			r.Array(at, maxQueues, func(at string, _ int) { table.Queues = append(table.Queues, readQueue(r, at)) })
 		},
-		"becomes": Num(r, &t.Becomes, 0, mostExact),
-		"orphans": Text(r, &t.Orphans, orphans),
+		"becomes": Int(r, &table.RequestedVersion, 0, maxExactInteger),
+		"orphans": Text(r, &table.Orphans, checkOrphanPolicy),
 		"services": func(at string) {
-			r.List(at, services, func(at string, _ int) { t.Services = append(t.Services, readService(r, at)) })
+			r.Array(at, maxServices, func(at string, _ int) { table.Services = append(table.Services, readService(r, at)) })
 		},
 		"limits": func(at string) {
-			l := &t.Limits
-			r.Obj(at, map[string]Field{"header_bytes": Num(r, &l.Header, 0, 1<<20), "body_bytes": Num(r, &l.Body, 0, 4<<20),
-				"header_ms": Num(r, &l.HeaderMS, 0, 600_000), "idle_ms": Num(r, &l.IdleMS, 0, 3_600_000)})
+			l := &table.Limits
+			r.Object(at, map[string]Field{"header_bytes": Int(r, &l.HeaderBytes, 0, 1<<20), "body_bytes": Int(r, &l.BodyBytes, 0, 4<<20),
+				"header_ms": Int(r, &l.HeaderTimeoutMillis, 0, 600_000), "idle_ms": Int(r, &l.IdleTimeoutMillis, 0, 3_600_000)})
 		},
-		"source": Raw(r, (*[]byte)(&t.Source), source),
+		"source": Raw(r, (*[]byte)(&table.Source), maxSourceBytes),
 	})
 	if len(errs.List()) > 0 {
 		return
 	}
-	errs.Check(base, "edition", "missing: say which edition the table is based on")
-	errs.Check(t.Rows != nil, "queues", "missing")
-	t.Check(errs)
+	errs.Check(hasBase, "edition", "missing: say which edition the table is based on")
+	errs.Check(table.Queues != nil, "queues", "missing")
+	table.Check(errs)
 	return
 }
 
-func orphans(s string) string {
-	if s != string(Refuse) && s != string(Finish) {
+func checkOrphanPolicy(s string) string {
+	if s != string(RefuseOrphans) && s != string(FinishOrphans) {
 		return "want finish, or nothing"
 	}
 	return ""
@@ -69,66 +69,66 @@
 // Check adds the errors of a table as a whole: repeated names and routes, unknown
 // services, shares over 100%.
 func (t Table) Check(errs *apierror.ErrorList) {
-	errs.Check(t.Becomes == 0 || t.Becomes > t.Version, "becomes", "must be above the edition it is based on")
-	shares, seen, routes := 0, map[types.Queue]bool{}, map[[2]string]bool{}
-	for i, row := range t.Rows {
+	errs.Check(t.RequestedVersion == 0 || t.RequestedVersion > t.Version, "becomes", "must be above the edition it is based on")
+	shares, seen, routes := 0, map[types.QueueName]bool{}, map[[2]string]bool{}
+	for i, queue := range t.Queues {
 		at := fmt.Sprintf("queues[%d]", i)
-		errs.Check(!seen[row.Name], at+".name", "two rows for "+string(row.Name))
-		seen[row.Name] = true
-		shares += row.Share
-		if row.Prefix != "" {
-			route := [2]string{row.Host, row.Prefix}
-			errs.Check(!routes[route], at+".prefix", "two rows take "+row.Host+row.Prefix)
+		errs.Check(!seen[queue.Name], at+".name", "two rows for "+string(queue.Name))
+		seen[queue.Name] = true
+		shares += queue.SharePercent
+		if queue.PathPrefix != "" {
+			route := [2]string{queue.Host, queue.PathPrefix}
+			errs.Check(!routes[route], at+".prefix", "two rows take "+queue.Host+queue.PathPrefix)
 			routes[route] = true
 		}
-		if _, ok := t.Serves(row.Service); row.Service != "" && len(t.Services) > 0 {
-			errs.Check(ok, at+".service", "no service is called "+string(row.Service))
+		if _, ok := t.FindService(queue.Service); queue.Service != "" && len(t.Services) > 0 {
+			errs.Check(ok, at+".service", "no service is called "+string(queue.Service))
 		}
 	}
-	errs.Check(shares <= mostShares, "queues", "the shares add up to more than 100")
+	errs.Check(shares <= maxTotalSharePercent, "queues", "the shares add up to more than 100")
 }
 
-func readService(r *Reader, at string) (s Service) {
-	s.Guards = true
-	r.Obj(at, map[string]Field{"name": Text(r, &s.Name, Name), "guards": Bool(r, &s.Guards),
-		"health": Text(r, &s.Health, anyText), "connections": Num(r, &s.Conns, 0, 65535)})
+func readService(r *Reader, at string) (service Service) {
+	service.EnforcesResources = true
+	r.Object(at, map[string]Field{"name": Text(r, &service.Name, CheckName), "guards": Bool(r, &service.EnforcesResources),
+		"health": Text(r, &service.HealthPath, acceptAny), "connections": Int(r, &service.MaxConnections, 0, 65535)})
 	return
 }
 
-// readRow decodes one queue; fields left out have the defaults of docs/settings.md.
-func readRow(r *Reader, at string) Row {
-	row := Row{Weight: 1, Running: 1000, Waiting: 1000, Tries: 3, TaskMS: 600_000, Patience: 30_000, CutMS: dayMS,
-		Stall: 10, Moves: 3}
-	r.Obj(at, map[string]Field{
-		"name":            Text(r, &row.Name, Name),
-		"weight":          Num(r, &row.Weight, 1, 1000),
-		"share":           Num(r, &row.Share, 0, 100),
-		"running":         Num(r, &row.Running, 1, 100_000),
-		"waiting":         Num(r, &row.Waiting, 1, 100_000),
-		"tries":           Num(r, &row.Tries, 1, 100),
-		"task_time_ms":    Num(r, &row.TaskMS, 10, dayMS),
-		"patience_ms":     Num(r, &row.Patience, 0, dayMS),
-		"cut_patience_ms": Num(r, &row.CutMS, 0, weekMS),
-		"losses":          Num(r, &row.Losses, 0, 1000),
-		"stall_times":     Num(r, &row.Stall, 0, 1000),
-		"displaces":       Bool(r, &row.Displace),
-		"displaced":       Num(r, &row.Moves, 0, 100),
-		"host":            Text(r, &row.Host, anyText),
-		"prefix":          Text(r, &row.Prefix, Maybe(pathPrefix)),
-		"service":         Text(r, &row.Service, Maybe(Name)),
-		"priority":        Num(r, &row.Priority, 0, 9),
-		"stretch":         Real(r, &row.Stretch, 0, 1000),
-		"target_ms":       Num(r, &row.Target, 0, dayMS),
-		"timeout_ms":      Num(r, &row.Timeout, 0, dayMS),
-		"rest_ms":         Num(r, &row.Rest, 0, 60_000),
+// readQueue decodes one queue; fields left out have the defaults of docs/settings.md.
+func readQueue(r *Reader, at string) Queue {
+	queue := Queue{Weight: 1, MaxRunning: 1000, MaxUnfinished: 1000, MaxFailures: 3, TaskTimeoutMillis: 600_000, UnresolvedTimeoutMillis: 30_000, PartitionTimeoutMillis: dayMillis,
+		StragglerFactor: 10, MaxPreemptions: 3}
+	r.Object(at, map[string]Field{
+		"name":            Text(r, &queue.Name, CheckName),
+		"weight":          Int(r, &queue.Weight, 1, 1000),
+		"share":           Int(r, &queue.SharePercent, 0, 100),
+		"running":         Int(r, &queue.MaxRunning, 1, 100_000),
+		"waiting":         Int(r, &queue.MaxUnfinished, 1, 100_000),
+		"tries":           Int(r, &queue.MaxFailures, 1, 100),
+		"task_time_ms":    Int(r, &queue.TaskTimeoutMillis, 10, dayMillis),
+		"patience_ms":     Int(r, &queue.UnresolvedTimeoutMillis, 0, dayMillis),
+		"cut_patience_ms": Int(r, &queue.PartitionTimeoutMillis, 0, weekMillis),
+		"losses":          Int(r, &queue.MaxLosses, 0, 1000),
+		"stall_times":     Int(r, &queue.StragglerFactor, 0, 1000),
+		"displaces":       Bool(r, &queue.CanPreempt),
+		"displaced":       Int(r, &queue.MaxPreemptions, 0, 100),
+		"host":            Text(r, &queue.Host, acceptAny),
+		"prefix":          Text(r, &queue.PathPrefix, Optional(checkPathPrefix)),
+		"service":         Text(r, &queue.Service, Optional(CheckName)),
+		"priority":        Int(r, &queue.Priority, 0, 9),
+		"stretch":         Float(r, &queue.TargetFactor, 0, 1000),
+		"target_ms":       Int(r, &queue.TargetMarginMillis, 0, dayMillis),
+		"timeout_ms":      Int(r, &queue.RequestTimeoutMillis, 0, dayMillis),
+		"rest_ms":         Int(r, &queue.InitialBackoffMillis, 0, 60_000),
 	})
-	r.Heap.Check(row.Name != "", at+".name", "missing")
-	return row
+	r.Errors.Check(queue.Name != "", at+".name", "missing")
+	return queue
 }
 
-// pathPrefix accepts the prefixes that routes may have.
-func pathPrefix(s string) string {
-	if s[0] != '/' || len(s) > mostPrefix {
+// checkPathPrefix accepts the prefixes that routes may have.
+func checkPathPrefix(s string) string {
+	if s[0] != '/' || len(s) > maxPrefixBytes {
 		return "want a path that begins with a slash"
 	}
 	return ""
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -12,39 +12,39 @@
 // Routes is the routing table of one version of the queue table. It is built once
 // and only read then, by any number of goroutines.
 type Routes struct {
-	hosts map[string]*radix.Tree[Row]
+	hosts map[string]*radix.Tree[Queue]
 }
 
 // Routes builds the routing table. Rows without a prefix have no route.
 func (t Table) Routes() *Routes {
-	r := &Routes{hosts: map[string]*radix.Tree[Row]{}}
-	for _, row := range t.Rows {
-		if row.Prefix == "" {
+	r := &Routes{hosts: map[string]*radix.Tree[Queue]{}}
+	for _, queue := range t.Queues {
+		if queue.PathPrefix == "" {
 			continue
 		}
-		host := strings.ToLower(row.Host)
+		host := strings.ToLower(queue.Host)
 		tree := r.hosts[host]
 		if tree == nil {
-			tree = radix.New[Row]()
+			tree = radix.New[Queue]()
 		}
-		r.hosts[host], _, _ = tree.Insert([]byte(row.Prefix), row)
+		r.hosts[host], _, _ = tree.Insert([]byte(queue.PathPrefix), queue)
 	}
 	return r
 }
 
-// Find returns the row for a host and path, and the part of the path that follows
+// Match returns the row for a host and path, and the part of the path that follows
 // the row's prefix. A port in the host is ignored.
-func (r *Routes) Find(host, path string) (row Row, rest string, ok bool) {
+func (r *Routes) Match(host, path string) (queue Queue, rest string, ok bool) {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
 	tree := r.hosts[strings.ToLower(host)]
 	if tree == nil {
-		return Row{}, "", false
+		return Queue{}, "", false
 	}
-	pre, row, ok := tree.Root().LongestPrefix([]byte(path))
+	prefix, queue, ok := tree.Root().LongestPrefix([]byte(path))
 	if !ok {
-		return Row{}, "", false
+		return Queue{}, "", false
 	}
-	return row, path[len(pre):], true
+	return queue, path[len(prefix):], true
 }
--- a/internal/config/table_test.go
+++ b/internal/config/table_test.go
@@ -10,18 +10,18 @@
 
 func TestRoutesTakeTheLongestPrefixOfTheHost(t *testing.T) {
 	is := is.New(t)
-	r := Table{Rows: []Row{{Name: "a", Host: "x.example", Prefix: "/"}, {Name: "b", Host: "x.example", Prefix: "/b/"},
-		{Name: "c", Host: "x.example", Prefix: "/b/c/"}, {Name: "d", Host: "y.example", Prefix: "/b/"}, {Name: "e"}}}.Routes()
+	r := Table{Queues: []Queue{{Name: "a", Host: "x.example", PathPrefix: "/"}, {Name: "b", Host: "x.example", PathPrefix: "/b/"},
+		{Name: "c", Host: "x.example", PathPrefix: "/b/c/"}, {Name: "d", Host: "y.example", PathPrefix: "/b/"}, {Name: "e"}}}.Routes()
 	for _, c := range []struct{ host, path, name, rest string }{
 		{"x.example", "/b/c/1", "c", "1"}, {"X.example:80", "/b/1", "b", "1"}, {"x.example", "/q", "a", "q"}, {"y.example", "/b/", "d", ""}} {
-		row, rest, ok := r.Find(c.host, c.path)
+		row, rest, ok := r.Match(c.host, c.path)
 		is.True(ok)
 		is.Equal(string(row.Name), c.name)
 		is.Equal(rest, c.rest)
 	}
-	_, _, ok := r.Find("y.example", "/c")
+	_, _, ok := r.Match("y.example", "/c")
 	is.True(!ok)
-	_, _, ok = r.Find("z.example", "/b/")
+	_, _, ok = r.Match("z.example", "/b/")
 	is.True(!ok)
 }
 
@@ -44,8 +44,8 @@
 	var errs apierror.ErrorList
 	tab := ReadTable([]byte(`{"edition":5,"becomes":9,"orphans":"finish","queues":[{"name":"a","host":"h","prefix":"/a/","service":"s","priority":2,"stretch":1.5,"target_ms":200}],"services":[{"name":"s","guards":false}],"source":{"x":1}}`), &errs)
 	is.True(errs.First() == nil)
-	is.Equal(int(tab.Next().Version), 9)
-	is.Equal(tab.Rows[0].Stretch, 1.5)
+	is.Equal(int(tab.Accepted().Version), 9)
+	is.Equal(tab.Queues[0].TargetFactor, 1.5)
 	is.Equal(string(tab.Source), `{"x":1}`)
-	is.True(!tab.Services[0].Guards)
+	is.True(!tab.Services[0].EnforcesResources)
 }
--- a/internal/configwatch/configwatch.go
+++ b/internal/configwatch/configwatch.go
@@ -26,10 +26,10 @@
 )
 
 type watchRequest struct {
-	Have types.Version `json:"have"`
-	Any  bool          `json:"any"`
-	Wait int64         `json:"wait_ms,omitempty"` // how long no news may be held back
-	Mark types.Stamp   `json:"mark"`
+	Have types.Version  `json:"have"`
+	Any  bool           `json:"any"`
+	Wait int64          `json:"wait_ms,omitempty"` // how long no news may be held back
+	Mark types.MonoTime `json:"mark"`
 }
 
 func (w watchRequest) hold() time.Duration {
@@ -40,14 +40,14 @@
 }
 
 type watchResponse struct {
-	Version types.Version `json:"edition"`
-	Table   *config.Table `json:"table,omitempty"`
-	Mark    types.Stamp   `json:"mark"`
+	Version types.Version  `json:"edition"`
+	Table   *config.Table  `json:"table,omitempty"`
+	Mark    types.MonoTime `json:"mark"`
 }
 
 type pendingWatch struct {
 	ask watchRequest
-	by  types.Stamp
+	by  types.MonoTime
 }
 
 // DefaultStaleAfter is how long a confirmation lasts where nothing else is set.
@@ -63,7 +63,7 @@
 func NewPublisher(me types.Addr) *Publisher { return &Publisher{me, map[types.Addr]pendingWatch{}} }
 
 // Take handles a request; its answer comes from Answer.
-func (p *Publisher) Take(now types.Stamp, n wire.Message) {
+func (p *Publisher) Take(now types.MonoTime, n wire.Message) {
 	a, ok := wire.Read[watchRequest](n)
 	if !ok || len(p.waits) >= maxWatchers {
 		return
@@ -76,7 +76,7 @@
 }
 
 // Answer answers those for whom there is news, or whose hold is over.
-func (p *Publisher) Answer(now types.Stamp, t config.Table) (sends []wire.Send) {
+func (p *Publisher) Answer(now types.MonoTime, t config.Table) (sends []wire.Send) {
 	var due []types.Addr
 	for from, w := range p.waits {
 		if w.news(t.Version) || now >= w.by {
@@ -110,11 +110,11 @@
 	Table     config.Table
 	any       bool
 	open      bool
-	asked     types.Stamp
-	sure      types.Stamp
-	firstMark types.Stamp // of this process; its questions have higher ones
-	mark      types.Stamp // of the latest question
-	questions []question  // that may still be answered, oldest first
+	asked     types.MonoTime
+	sure      types.MonoTime
+	firstMark types.MonoTime // of this process; its questions have higher ones
+	mark      types.MonoTime // of the latest question
+	questions []question     // that may still be answered, oldest first
 }
 
 // question is one that was sent. Its mark comes back with the answer. Marks are
@@ -122,28 +122,28 @@
 // each process, and an answer that was meant for an earlier process at this
 // address must not confirm anything to this one.
 type question struct {
-	mark types.Stamp
-	sent types.Stamp
+	mark types.MonoTime
+	sent types.MonoTime
 }
 
-const never = types.Stamp(-1 << 61)
+const never = types.MonoTime(-1 << 61)
 
 // NewWatcher makes one that does not decide by what was last confirmed so long
 // ago. The first mark must differ from process to process.
-func NewWatcher(me types.Addr, stale time.Duration, first types.Stamp) *Watcher {
+func NewWatcher(me types.Addr, stale time.Duration, first types.MonoTime) *Watcher {
 	return &Watcher{me: me, stale: stale, sure: never, asked: never, firstMark: first, mark: first}
 }
 
 // FirstMark draws the first mark of a process.
-func FirstMark(rnd *rand.Rand) types.Stamp { return types.Stamp(rnd.Uint64() >> 12) }
+func FirstMark(rnd *rand.Rand) types.MonoTime { return types.MonoTime(rnd.Uint64() >> 12) }
 
 // Fresh tells whether the table may be decided by.
-func (w *Watcher) Fresh(now types.Stamp) bool { return now < w.ConfirmedUntil() }
+func (w *Watcher) Fresh(now types.MonoTime) bool { return now < w.ConfirmedUntil() }
 
 // ConfirmedUntil is when the confirmation of the table ends by the watcher's own
 // steady clock. Whoever answers by the table compares it with that clock when
 // the answer is given.
-func (w *Watcher) ConfirmedUntil() types.Stamp {
+func (w *Watcher) ConfirmedUntil() types.MonoTime {
 	if !w.any {
 		return never
 	}
@@ -156,7 +156,7 @@
 }
 
 // Tick asks the leader again, at once after an answer.
-func (w *Watcher) Tick(now types.Stamp, lead types.Addr) (sends []wire.Send) {
+func (w *Watcher) Tick(now types.MonoTime, lead types.Addr) (sends []wire.Send) {
 	wait, held := retryAfter, w.part(longPoll)
 	if !w.Fresh(now) {
 		wait, held = retryUnconfirmed, shortPoll
@@ -170,7 +170,7 @@
 
 // question notes that one is sent, and gives its mark. Those whose answer could
 // no longer confirm anything are forgotten.
-func (w *Watcher) question(now types.Stamp) types.Stamp {
+func (w *Watcher) question(now types.MonoTime) types.MonoTime {
 	w.questions = slices.DeleteFunc(w.questions, func(q question) bool { return now.Sub(q.sent) >= w.stale })
 	w.mark++
 	w.questions = append(w.questions, question{w.mark, now})
@@ -178,7 +178,7 @@
 }
 
 // sent is when the question with a mark was sent.
-func (w *Watcher) sent(mark types.Stamp) types.Stamp {
+func (w *Watcher) sent(mark types.MonoTime) types.MonoTime {
 	for _, q := range w.questions {
 		if q.mark == mark {
 			return q.sent
@@ -188,7 +188,7 @@
 }
 
 // hasAsked tells whether a question of this process had a mark, answered or not.
-func (w *Watcher) hasAsked(mark types.Stamp) bool { return mark > w.firstMark && mark <= w.mark }
+func (w *Watcher) hasAsked(mark types.MonoTime) bool { return mark > w.firstMark && mark <= w.mark }
 
 // Take handles an answer; true when the table changed. What it confirms counts
 // from when it was asked.
--- a/internal/configwatch/configwatch_test.go
+++ b/internal/configwatch/configwatch_test.go
@@ -20,7 +20,7 @@
 		publisher, r := NewPublisher("controller:1"), NewWatcher("gateway:1", stale, 7<<32)
 		fresh := func(from, to time.Duration, reach bool) (first time.Duration) {
 			for at := from; at < to; at += 10 * time.Millisecond {
-				now := types.Stamp(at)
+				now := types.MonoTime(at)
 				for _, s := range r.Tick(now, "controller:1") {
 					if reach {
 						publisher.Take(now, s.Message)
@@ -38,12 +38,12 @@
 			return
 		}
 		is.True(fresh(time.Second, 2*time.Second, true) > 0)
-		is.True(r.Fresh(types.Stamp(2 * time.Second)))
+		is.True(r.Fresh(types.MonoTime(2 * time.Second)))
 		fresh(2*time.Second, 6*time.Second, false)
-		is.True(!r.Fresh(types.Stamp(6 * time.Second)))
+		is.True(!r.Fresh(types.MonoTime(6 * time.Second)))
 		first := fresh(6*time.Second, 8*time.Second, true)
 		is.True(first > 0 && first < 6*time.Second+200*time.Millisecond) // it must be confirmed again at once
-		is.True(r.Fresh(types.Stamp(8 * time.Second)))
+		is.True(r.Fresh(types.MonoTime(8 * time.Second)))
 	}
 }
 
@@ -54,11 +54,11 @@
 	r.any, r.Table.Version = true, 31
 	told := 0
 	for at := time.Second; at < 2*time.Second; at += 50 * time.Millisecond {
-		r.open, r.sure = false, types.Stamp(at) // a reader that is confirmed and asks each time
-		for _, s := range r.Tick(types.Stamp(at), "controller:1") {
-			publisher.Take(types.Stamp(at), s.Message)
+		r.open, r.sure = false, types.MonoTime(at) // a reader that is confirmed and asks each time
+		for _, s := range r.Tick(types.MonoTime(at), "controller:1") {
+			publisher.Take(types.MonoTime(at), s.Message)
 		}
-		told += len(publisher.Answer(types.Stamp(at), config.Table{Version: 31}))
+		told += len(publisher.Answer(types.MonoTime(at), config.Table{Version: 31}))
 	}
 	is.True(told >= 2)
 }
@@ -70,14 +70,14 @@
 	for _, former := range []time.Duration{time.Hour, 2 * time.Second} {
 		publisher := NewPublisher("controller:1")
 		old := NewWatcher("gateway:1", DefaultStaleAfter, 7<<32)
-		for _, s := range old.Tick(types.Stamp(former), "controller:1") {
-			publisher.Take(types.Stamp(former), s.Message)
+		for _, s := range old.Tick(types.MonoTime(former), "controller:1") {
+			publisher.Take(types.MonoTime(former), s.Message)
 		}
-		late := publisher.Answer(types.Stamp(former), config.Table{Version: 31})
+		late := publisher.Answer(types.MonoTime(former), config.Table{Version: 31})
 		is.Equal(len(late), 1)
 		is.True(old.Take(late[0].Message)) // it was a good answer to that one
 
-		now := types.Stamp(3 * time.Second)
+		now := types.MonoTime(3 * time.Second)
 		r := NewWatcher("gateway:1", DefaultStaleAfter, 8<<32) // the next process at the address, by a clock of its own
 		asked := r.Tick(now, "controller:1")
 		is.Equal(len(asked), 1)
--- a/internal/configwatch/confirmed_test.go
+++ b/internal/configwatch/confirmed_test.go
@@ -14,27 +14,27 @@
 
 // watcher is a reader, or one with a planted bug.
 type watcher interface {
-	Tick(now types.Stamp, lead types.Addr) []wire.Send
-	Take(now types.Stamp, n wire.Message)
-	Decides(now types.Stamp) (types.Version, bool)
-	Restart(now types.Stamp)
+	Tick(now types.MonoTime, lead types.Addr) []wire.Send
+	Take(now types.MonoTime, n wire.Message)
+	Decides(now types.MonoTime) (types.Version, bool)
+	Restart(now types.MonoTime)
 }
 
 // sound is the reader as it is.
 type sound struct {
 	reader *Watcher
-	base   types.Stamp // when its process began: its clock starts there
-	lives  types.Stamp
+	base   types.MonoTime // when its process began: its clock starts there
+	lives  types.MonoTime
 }
 
-func (s *sound) Tick(now types.Stamp, lead types.Addr) []wire.Send {
+func (s *sound) Tick(now types.MonoTime, lead types.Addr) []wire.Send {
 	return s.reader.Tick(now-s.base, lead)
 }
-func (s *sound) Take(_ types.Stamp, n wire.Message) { s.reader.Take(n) }
-func (s *sound) Decides(now types.Stamp) (types.Version, bool) {
+func (s *sound) Take(_ types.MonoTime, n wire.Message) { s.reader.Take(n) }
+func (s *sound) Decides(now types.MonoTime) (types.Version, bool) {
 	return s.reader.Table.Version, s.reader.Fresh(now - s.base)
 }
-func (s *sound) Restart(now types.Stamp) {
+func (s *sound) Restart(now types.MonoTime) {
 	s.lives++
 	s.base, s.reader = now, NewWatcher("gateway:1", DefaultStaleAfter, s.lives<<32)
 }
@@ -42,7 +42,7 @@
 // countsFromReceipt lets a confirmation count from when its answer is taken.
 type countsFromReceipt struct{ sound }
 
-func (c *countsFromReceipt) Take(now types.Stamp, n wire.Message) {
+func (c *countsFromReceipt) Take(now types.MonoTime, n wire.Message) {
 	c.sound.Take(now, n)
 	if b, ok := wire.Read[watchResponse](n); ok && b.Version == c.reader.Table.Version {
 		c.reader.sure = now - c.base
@@ -52,7 +52,7 @@
 // takesAnyMark believes the stamp that an answer brings, as marks once were.
 type takesAnyMark struct{ sound }
 
-func (t *takesAnyMark) Tick(now types.Stamp, lead types.Addr) []wire.Send {
+func (t *takesAnyMark) Tick(now types.MonoTime, lead types.Addr) []wire.Send {
 	sends := t.sound.Tick(now, lead)
 	for i := range sends {
 		a, _ := wire.Read[watchRequest](sends[i].Message)
@@ -62,7 +62,7 @@
 	return sends
 }
 
-func (t *takesAnyMark) Take(_ types.Stamp, n wire.Message) {
+func (t *takesAnyMark) Take(_ types.MonoTime, n wire.Message) {
 	b, _ := wire.Read[watchResponse](n)
 	mark := b.Mark
 	b.Mark = t.reader.mark
@@ -80,10 +80,10 @@
 	sound
 	version types.Version
 	fresh   bool
-	stepped types.Stamp
+	stepped types.MonoTime
 }
 
-func (p *publishedBit) Decides(now types.Stamp) (types.Version, bool) {
+func (p *publishedBit) Decides(now types.MonoTime) (types.Version, bool) {
 	if now.Sub(p.stepped) >= 3*time.Second {
 		p.stepped = now
 		p.version, p.fresh = p.sound.Decides(now)
@@ -97,19 +97,19 @@
 func day(w watcher, late time.Duration) string {
 	const step = 10 * time.Millisecond
 	type flight struct {
-		at          types.Stamp
+		at          types.MonoTime
 		message     wire.Message
 		toPublisher bool
 	}
 	publisher, table := NewPublisher("controller:1"), config.Table{Version: 1}
-	changed := types.Stamp(0) // when the latest version was acknowledged
+	changed := types.MonoTime(0) // when the latest version was acknowledged
 	var way []flight
 	w.Restart(0)
-	for now := types.Stamp(0); now < types.Stamp(40*time.Second); now += types.Stamp(step) {
+	for now := types.MonoTime(0); now < types.MonoTime(40*time.Second); now += types.MonoTime(step) {
 		switch {
-		case now%types.Stamp(6*time.Second) == types.Stamp(4*time.Second):
+		case now%types.MonoTime(6*time.Second) == types.MonoTime(4*time.Second):
 			table, changed = config.Table{Version: table.Version + 1}, now
-		case now%types.Stamp(9*time.Second) == types.Stamp(8*time.Second):
+		case now%types.MonoTime(9*time.Second) == types.MonoTime(8*time.Second):
 			w.Restart(now)
 		}
 		kept := way[:0]
@@ -125,7 +125,7 @@
 		}
 		way = kept
 		delay := late
-		if now%types.Stamp(7*time.Second) < types.Stamp(2*time.Second) {
+		if now%types.MonoTime(7*time.Second) < types.MonoTime(2*time.Second) {
 			delay = 2 * step
 		}
 		for _, s := range w.Tick(now, "controller:1") {
@@ -171,7 +171,7 @@
 func TestAnAnswerToAnEarlierProcessConfirmsNothing(t *testing.T) {
 	is := is.New(t)
 	old := NewWatcher("gateway:1", DefaultStaleAfter, 1<<40)
-	question := old.Tick(types.Stamp(500*time.Second), "controller:1")[0].Message
+	question := old.Tick(types.MonoTime(500*time.Second), "controller:1")[0].Message
 	publisher := NewPublisher("controller:1")
 	publisher.Take(0, question)
 	answer := publisher.Answer(0, config.Table{Version: 7})[0].Message
@@ -179,9 +179,9 @@
 	is.True(!r.Take(answer)) // not even the table is taken: this process has not asked
 	is.True(!r.any)
 	is.True(!r.Fresh(0))
-	is.True(!r.Fresh(types.Stamp(time.Second)))
-	publisher.Take(0, r.Tick(types.Stamp(time.Second), "controller:1")[0].Message)
+	is.True(!r.Fresh(types.MonoTime(time.Second)))
+	publisher.Take(0, r.Tick(types.MonoTime(time.Second), "controller:1")[0].Message)
 	publisher.waits["gateway:1"] = pendingWatch{publisher.waits["gateway:1"].ask, 0}
-	r.Take(publisher.Answer(types.Stamp(time.Second), config.Table{Version: 7})[0].Message)
-	is.Equal(r.ConfirmedUntil(), types.Stamp(time.Second).Add(DefaultStaleAfter)) // from when it was asked
+	r.Take(publisher.Answer(types.MonoTime(time.Second), config.Table{Version: 7})[0].Message)
+	is.Equal(r.ConfirmedUntil(), types.MonoTime(time.Second).Add(DefaultStaleAfter)) // from when it was asked
 }
--- a/internal/controller/aims.go
+++ b/internal/controller/aims.go
@@ -30,9 +30,9 @@
 func (co *Controller) weigh(j *state.Job) {
 	work := 0.0
 	for i, p := range j.Spec.Steps {
-		work += float64(p.Tasks) * co.expect(j, i).Seconds() * float64(p.Room.Cores) / float64(types.Core)
+		work += float64(p.Tasks) * co.expect(j, i).Seconds() * float64(p.Resources.Cores) / float64(types.Core)
 	}
-	if len(j.Spec.Steps) > 0 && !j.Spec.Steps[0].Lasts {
+	if len(j.Spec.Steps) > 0 && !j.Spec.Steps[0].AlwaysRestart {
 		t := co.expect(j, 0).Seconds()
 		if m, ok := co.tasks[j.Queue]; ok {
 			t = m + (t-m)/16
@@ -46,31 +46,31 @@
 }
 
 // mean is the work of a queue's jobs, in core-seconds.
-func (co *Controller) mean(q types.Queue) float64 { return max(co.works[q], 0.001) }
+func (co *Controller) mean(q types.QueueName) float64 { return max(co.works[q], 0.001) }
 
 // aim tells what a job can still be worth, how soon it should have its turn, and
 // what part of all cores, in percent, its queue leaves to those before it. What goes
 // first is what gains most for the work that is left, the less the more time it has:
 // the rule of apparent tardiness cost.
-func (co *Controller) aim(j *state.Job, row config.Row, x *state.ReadyIndex, b state.Batch) (placement.Class, float64, int) {
-	if !row.Aims() {
-		return placement.InAim, 0, 0
+func (co *Controller) aim(j *state.Job, row config.Queue, x *state.ReadyIndex, b state.ReadyStage) (placement.TargetClass, float64, int) {
+	if !row.HasLatencyTarget() {
+		return placement.OnTarget, 0, 0
 	}
 	cost := func(step int) time.Duration { return co.expect(j, step) }
 	rest, whole := 0.0, 0.0
 	for i, p := range j.Spec.Steps {
-		one := cost(i).Seconds() * float64(p.Room.Cores) / float64(types.Core)
-		rest += float64(x.Left[i]) * one
+		one := cost(i).Seconds() * float64(p.Resources.Cores) / float64(types.Core)
+		rest += float64(x.RemainingTasks[i]) * one
 		whole += float64(p.Tasks) * one
 	}
 	worth := min(most, 0.3+0.7*whole/co.mean(j.Queue))
 	step := b.Stage.Step()
-	if j.Spec.Steps[step].Lasts {
-		return placement.InAim, -worth / (1 + rest), 0
+	if j.Spec.Steps[step].AlwaysRestart {
+		return placement.OnTarget, -worth / (1 + rest), 0
 	}
-	aim := time.Duration(row.Stretch*float64(j.Spec.Chain(-1, cost))) + time.Duration(row.Target)*time.Millisecond
-	left := b.From.Add(aim).Sub(co.raft.Clock()) - j.Spec.Chain(step, cost)
-	class, stake, spare := placement.InAim, 0.7*worth, 0
+	aim := time.Duration(row.TargetFactor*float64(j.Spec.CriticalPath(-1, cost))) + time.Duration(row.TargetMarginMillis)*time.Millisecond
+	left := b.ReadySince.Add(aim).Sub(co.raft.Clock()) - j.Spec.CriticalPath(step, cost)
+	class, stake, spare := placement.OnTarget, 0.7*worth, 0
 	if co.long(j.Queue, row, cost(step)) {
 		spare = spareLater
 		if left > aim*patient/100 {
@@ -82,7 +82,7 @@
 	case left+(lates-1)*aim > 0:
 		class, stake, left = placement.Late, 0.3*worth, left+(lates-1)*aim
 	default:
-		class, stake, left = placement.Spent, 0.001*worth, 0
+		class, stake, left = placement.TargetMissed, 0.001*worth, 0
 	}
 	gain := stake / (rest + 0.01) * math.Exp(-max(0, left.Seconds())/hurry) * math.Pow(prior, -float64(row.Priority))
 	return class, -gain, spare
@@ -90,9 +90,9 @@
 
 // long tells whether tasks take so long that what goes before their queue would be
 // worth nothing any more if it had to wait for them.
-func (co *Controller) long(q types.Queue, row config.Row, task time.Duration) bool {
-	for _, r := range co.state.Table.Rows {
-		if u, ok := co.tasks[r.Name]; ok && r.Name != q && r.Priority < row.Priority && task.Seconds() > lates*(r.Stretch*u+float64(r.Target)/1000) {
+func (co *Controller) long(q types.QueueName, row config.Queue, task time.Duration) bool {
+	for _, r := range co.state.Table.Queues {
+		if u, ok := co.tasks[r.Name]; ok && r.Name != q && r.Priority < row.Priority && task.Seconds() > lates*(r.TargetFactor*u+float64(r.TargetMarginMillis)/1000) {
 			return true
 		}
 	}
@@ -104,36 +104,36 @@
 func (co *Controller) caps(in placement.Input) {
 	fade := math.Exp2(-co.now.Mono.Sub(co.peaked).Seconds() / halving.Seconds())
 	co.peaked = co.now.Mono
-	need, used := map[types.Queue]float64{}, types.Cores(0)
-	for _, w := range in.Wants {
-		need[w.Queue] += float64(len(w.Tasks)) * float64(w.Room.Cores)
+	need, used := map[types.QueueName]float64{}, types.MilliCores(0)
+	for _, w := range in.Requests {
+		need[w.Queue] += float64(len(w.Tasks)) * float64(w.Resources.Cores)
 	}
-	for q, d := range in.Dues {
-		used += d.Cores
-		co.peaks[q] = max(min(float64(in.Total), float64(d.Cores)+need[q]), co.peaks[q]*fade)
+	for q, d := range in.Usage {
+		used += d.CoresInUse
+		co.peaks[q] = max(min(float64(in.TotalCores), float64(d.CoresInUse)+need[q]), co.peaks[q]*fade)
 	}
-	for i := range in.Wants {
-		w := &in.Wants[i]
-		d := in.Dues[w.Queue]
+	for i := range in.Requests {
+		w := &in.Requests[i]
+		d := in.Usage[w.Queue]
 		switch {
-		case w.Spare == 0:
+		case w.HeadroomPercent == 0:
 			continue
-		case w.Idle && w.Since >= idle && 2*used < in.Total:
+		case w.JobIdle && w.WaitingFor >= idle && 2*used < in.TotalCores:
 			if !w.Gang { // a job that has nothing running gets something to run
 				w.Tasks = w.Tasks[:1]
 			}
 			continue
 		}
-		first, beside := 0.0, types.Cores(0)
-		for q, o := range in.Dues {
+		first, beside := 0.0, types.MilliCores(0)
+		for q, o := range in.Usage {
 			switch {
-			case o.Row.Priority < d.Row.Priority:
+			case o.Queue.Priority < d.Queue.Priority:
 				first += co.peaks[q]
 			case o != d:
-				beside += o.Cores
+				beside += o.CoresInUse
 			}
 		}
-		first = min(first, float64(in.Total)*float64(w.Spare)/100)
-		w.Cap = max(1, in.Total-types.Cores(first)-beside)
+		first = min(first, float64(in.TotalCores)*float64(w.HeadroomPercent)/100)
+		w.MaxQueueCores = max(1, in.TotalCores-types.MilliCores(first)-beside)
 	}
 }
--- a/internal/controller/aims_test.go
+++ b/internal/controller/aims_test.go
@@ -19,8 +19,8 @@
 		name        string
 		spare       int
 		since       time.Duration
-		quick, long types.Cores // in use
-		want        types.Cores
+		quick, long types.MilliCores // in use
+		want        types.MilliCores
 		runs        bool // something of its job
 		tasks       int
 	}{
@@ -35,15 +35,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := &Controller{now: types.Now{Mono: types.Stamp(time.Hour)}, peaked: types.Stamp(time.Hour), peaks: map[types.Queue]float64{"quick": 80}}
-			in := placement.Input{Total: 100, Wants: []placement.Want{{Queue: "long", Spare: c.spare, Since: c.since, Idle: !c.runs, Tasks: []int{0, 1, 2}}}, Dues: map[types.Queue]*placement.Due{
-				"quick": {Row: config.Row{Name: "quick", Stretch: 1}, Cores: c.quick}, "long": {Row: config.Row{Name: "long", Stretch: 3, Priority: 2}, Cores: c.long}}}
+			h := &Controller{now: types.Now{Mono: types.MonoTime(time.Hour)}, peaked: types.MonoTime(time.Hour), peaks: map[types.QueueName]float64{"quick": 80}}
+			in := placement.Input{TotalCores: 100, Requests: []placement.Request{{Queue: "long", HeadroomPercent: c.spare, WaitingFor: c.since, JobIdle: !c.runs, Tasks: []int{0, 1, 2}}}, Usage: map[types.QueueName]*placement.QueueUsage{
+				"quick": {Queue: config.Queue{Name: "quick", TargetFactor: 1}, CoresInUse: c.quick}, "long": {Queue: config.Queue{Name: "long", TargetFactor: 3, Priority: 2}, CoresInUse: c.long}}}
 			if c.quick == 70 {
 				h.peaks["quick"] = 0
 			}
 			h.caps(in)
-			is.Equal(in.Wants[0].Cap, c.want)
-			is.Equal(len(in.Wants[0].Tasks), c.tasks)
+			is.Equal(in.Requests[0].MaxQueueCores, c.want)
+			is.Equal(len(in.Requests[0].Tasks), c.tasks)
 		})
 	}
 }
--- a/internal/controller/calls.go
+++ b/internal/controller/calls.go
@@ -61,11 +61,11 @@
 	}
 	f := verbs[c.Verb]
 	if f == nil {
-		co.bad(w, apierror.New(apierror.NoPath, "", "no such verb"))
+		co.bad(w, apierror.New(apierror.NoSuchPath, "", "no such verb"))
 		return
 	}
 	if len(co.waiters) >= Crowd {
-		co.bad(w, apierror.New(apierror.Crowd, "", "too many changes wait for the log").After(2*time.Second))
+		co.bad(w, apierror.New(apierror.TooBusy, "", "too many changes wait for the log").WithRetryAfter(2*time.Second))
 		return
 	}
 	f(co, w, c)
@@ -98,7 +98,7 @@
 	}
 	a := wire.Answer{Token: w.token, Code: r.Code, Body: r.Body, Fault: r.Fault, Lead: r.Lead}
 	if r.Away {
-		a.Fault = apierror.New(apierror.NoLead, "", "this controller does not lead").After(time.Second)
+		a.Fault = apierror.New(apierror.NoLeader, "", "this controller does not lead").WithRetryAfter(time.Second)
 	}
 	co.answers = append(co.answers, a)
 }
@@ -112,7 +112,7 @@
 func (co *Controller) wait(w waiter, f state.Command) {
 	i, ok := co.fact(f)
 	if !ok {
-		co.bad(w, apierror.New(apierror.NoLead, "", "the log takes nothing now").After(2*time.Second))
+		co.bad(w, apierror.New(apierror.NoLeader, "", "the log takes nothing now").WithRetryAfter(2*time.Second))
 		return
 	}
 	co.waiters[i] = w
@@ -124,12 +124,12 @@
 	case bad != nil:
 		co.bad(w, co.when(bad, f))
 	case f.Table != nil:
-		co.good(w, 200, f.Table.Next())
+		co.good(w, 200, f.Table.Accepted())
 	case f.Drain != nil:
 		co.good(w, 200, co.Drains())
-	case f.Plan != nil:
+	case f.Calendar != nil:
 		co.good(w, 200, co.Plans())
-	case f.Gone != "":
+	case f.ExitedWorker != "":
 		co.good(w, 200, co.Workers())
 	case f.Job != nil:
 		co.good(w, http.StatusCreated, co.View(f.Job.ID))
@@ -139,8 +139,8 @@
 }
 
 func (co *Controller) when(bad *apierror.Error, f state.Command) *apierror.Error {
-	if bad.Kind == apierror.Full && f.Job != nil {
-		bad.After(co.rate(f.Job.Spec.Queue).eta(co.now.Mono, co.state.Held(f.Job.Spec.Queue)))
+	if bad.Kind == apierror.QueueFull && f.Job != nil {
+		bad.WithRetryAfter(co.rate(f.Job.Spec.Queue).eta(co.now.Mono, co.state.UnfinishedJobs(f.Job.Spec.Queue)))
 	}
 	return bad
 }
@@ -160,7 +160,7 @@
 	case bad == nil:
 		bad = co.placeable(s)
 	}
-	f := state.Command{Job: &state.Submit{ID: id, Spec: s}}
+	f := state.Command{Job: &state.Submission{ID: id, Spec: s}}
 	if bad != nil {
 		co.bad(w, co.when(bad, f))
 		return
@@ -172,14 +172,14 @@
 // countQueue tells how many jobs of a queue wait: unfinished, with nothing that
 // runs or has run.
 func (co *Controller) countQueue(w waiter, c wire.CallBody) {
-	q := types.Queue(c.Arg)
-	if _, ok := co.state.Table.Find(q); !ok {
-		co.bad(w, apierror.New(apierror.NoQueue, "queue", "no queue is called "+c.Arg))
+	q := types.QueueName(c.Arg)
+	if _, ok := co.state.Table.FindQueue(q); !ok {
+		co.bad(w, apierror.New(apierror.NoSuchQueue, "queue", "no queue is called "+c.Arg))
 		return
 	}
 	n := 0
-	for _, j := range co.state.Live() {
-		if j.Queue == q && j.Attempts == 0 {
+	for _, j := range co.state.LiveJobs() {
+		if j.Queue == q && j.AttemptCount == 0 {
 			n++
 		}
 	}
@@ -208,8 +208,8 @@
 		co.bad(w, bad)
 		return
 	}
-	if co.state.Known(t) {
-		co.good(w, 200, t.Next())
+	if co.state.IsRepeat(t) {
+		co.good(w, 200, t.Accepted())
 		return
 	}
 	co.wait(w, state.Command{Table: &t})
@@ -217,36 +217,36 @@
 
 // placeable tells a job that no known worker, away or not, could ever hold.
 func (co *Controller) placeable(s state.Spec) *apierror.Error {
-	if len(co.state.Shapes) == 0 {
-		return apierror.New(apierror.NotReady, "", "no worker has come yet").After(2 * time.Second)
+	if len(co.state.WorkerShapes) == 0 {
+		return apierror.New(apierror.NotReady, "", "no worker has come yet").WithRetryAfter(2 * time.Second)
 	}
-	row, _ := co.state.Table.Find(s.Queue)
+	row, _ := co.state.Table.FindQueue(s.Queue)
 	for i, p := range s.Steps {
 		at := fmt.Sprintf("steps[%d]", i)
 		seats, most, kinds, racks := 0, 0, false, false
-		for _, x := range co.state.Shapes {
-			k, r := x.Fits(p)
+		for _, x := range co.state.WorkerShapes {
+			k, r := x.Matches(p)
 			kinds, racks = kinds || k, racks || k && r
-			if !k || !r || !x.Room.Holds(p.Room) {
+			if !k || !r || !x.Resources.Contains(p.Resources) {
 				continue
 			}
-			n := x.Room.Fits(p.Room)
-			if p.Spread > 0 {
-				n = min(n, p.Spread)
+			n := x.Resources.FitCount(p.Resources)
+			if p.MaxPerWorker > 0 {
+				n = min(n, p.MaxPerWorker)
 			}
 			seats, most = seats+1, most+n
 		}
 		switch {
 		case !kinds:
-			return apierror.New(apierror.Unplaced, at+".kind", "no worker is of kind "+string(p.Kind))
+			return apierror.New(apierror.NeverPlaceable, at+".kind", "no worker is of kind "+string(p.Kind))
 		case !racks:
-			return apierror.New(apierror.Unplaced, at+".rack", "no worker of the kind is in rack "+string(p.Rack))
+			return apierror.New(apierror.NeverPlaceable, at+".rack", "no worker of the kind is in rack "+string(p.Rack))
 		case seats == 0:
-			return apierror.New(apierror.Unplaced, at+".room", "larger than any worker")
+			return apierror.New(apierror.NeverPlaceable, at+".room", "larger than any worker")
 		case p.Gang && most < p.Tasks:
-			return apierror.New(apierror.Unplaced, at+".gang", fmt.Sprintf("the workers hold at most %d of its %d members at once", most, p.Tasks))
-		case p.Gang && p.Tasks > row.Running:
-			return apierror.New(apierror.Unplaced, at+".gang", "more members than the queue may run at once")
+			return apierror.New(apierror.NeverPlaceable, at+".gang", fmt.Sprintf("the workers hold at most %d of its %d members at once", most, p.Tasks))
+		case p.Gang && p.Tasks > row.MaxRunning:
+			return apierror.New(apierror.NeverPlaceable, at+".gang", "more members than the queue may run at once")
 		}
 	}
 	return nil
@@ -254,11 +254,11 @@
 
 // rate is how fast a queue's jobs end, to tell when to come back.
 type rate struct {
-	last types.Stamp
+	last types.MonoTime
 	each float64 // a second
 }
 
-func (co *Controller) rate(q types.Queue) *rate {
+func (co *Controller) rate(q types.QueueName) *rate {
 	r := co.rates[q]
 	if r == nil {
 		r = &rate{}
@@ -267,7 +267,7 @@
 	return r
 }
 
-func (r *rate) hit(now types.Stamp) {
+func (r *rate) hit(now types.MonoTime) {
 	if r.last != 0 {
 		gap := now.Sub(r.last).Seconds()
 		r.each += 0.1 * (1/max(gap, 0.001) - r.each)
@@ -277,7 +277,7 @@
 }
 
 // eta is when a tenth of what waits will have gone, from 1 s to a minute.
-func (r *rate) eta(now types.Stamp, waiting int) time.Duration {
+func (r *rate) eta(now types.MonoTime, waiting int) time.Duration {
 	each := r.each
 	if gap := now.Sub(r.last).Seconds(); gap > 1 {
 		each = min(each, 1/gap)
@@ -286,8 +286,8 @@
 	return time.Duration(min(max(s, 1), 60) * float64(time.Second))
 }
 
-func (co *Controller) ended(e state.End) {
-	if j := co.state.Jobs[e.Attempt.Job]; j != nil && j.Over() {
+func (co *Controller) ended(e state.AttemptEnd) {
+	if j := co.state.Jobs[e.ID.Job]; j != nil && j.Ended() {
 		delete(co.courses, j.ID)
 		co.rate(j.Queue).hit(co.now.Mono)
 	}
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -156,7 +156,7 @@
 }
 
 func (m *member) clock() types.Now {
-	return types.Now{Mono: types.Stamp(m.cluster.now), Wall: types.Wall(m.cluster.now)}
+	return types.Now{Mono: types.MonoTime(m.cluster.now), Wall: types.WallTime(m.cluster.now)}
 }
 
 // serves tells whether a member answers as the leader.
@@ -329,8 +329,8 @@
 	if err != nil {
 		panic(err)
 	}
-	return config.Table{Version: base, Source: source, Rows: []config.Row{{Name: "q", Weight: 1, Running: 1000, Waiting: 100_000,
-		Tries: 3, TaskMS: 1000, Patience: 1000}}}
+	return config.Table{Version: base, Source: source, Queues: []config.Queue{{Name: "q", Weight: 1, MaxRunning: 1000, MaxUnfinished: 100_000,
+		MaxFailures: 3, TaskTimeoutMillis: 1000, UnresolvedTimeoutMillis: 1000}}}
 }
 
 // change has a configuration acknowledged, whoever leads.
@@ -364,7 +364,7 @@
 func (c *cluster) job(n, bytes int) {
 	if m := c.leader(); m != nil {
 		spec := state.Spec{Queue: "q", Steps: []state.Step{{Name: "s", Kind: "k", Tasks: 1, Work: json.RawMessage(wire.Body(make([]byte, bytes*3/4)))}}}
-		m.machine.fact(state.Command{Job: &state.Submit{ID: types.JobID(fmt.Sprintf("job-%d", n)), Spec: spec}})
+		m.machine.fact(state.Command{Job: &state.Submission{ID: types.JobID(fmt.Sprintf("job-%d", n)), Spec: spec}})
 		m.step(wire.Event{})
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -58,33 +58,33 @@
 	waiters   map[types.Index]waiter
 	ahead     map[types.JobID]types.Index // of the latest ends on their way into the log
 	reads     []reader
-	flight    map[state.End]bool
-	freed     map[types.Attempt]bool // of those, what surely runs no more
+	flight    map[state.AttemptEnd]bool
+	freed     map[types.AttemptID]bool // of those, what surely runs no more
 	giving    types.Index
-	given     map[types.Task]state.Assignment // on their way into the log, or just there
-	rounds    []types.Index                   // of them
+	given     map[types.TaskID]state.Assignment // on their way into the log, or just there
+	rounds    []types.Index                     // of them
 	shaped    types.Index
-	timed     types.Stamp
+	timed     types.MonoTime
 	since     types.Index // the entry of the latest snapshot, or of the one under way
 	shot      int         // bytes of the latest snapshot
 	drain     bool
-	late      types.Stamp
+	late      types.MonoTime
 	moved     bool // something was applied, or time passed, since work was last placed
-	rates     map[types.Queue]*rate
-	works     map[types.Queue]float64 // mean work of a queue\'s jobs
-	habits    map[types.Queue]*habit
-	courses   map[types.JobID][]course // of jobs that are not over
-	tasks     map[types.Queue]float64  // mean seconds of a queue's tasks
-	peaks     map[types.Queue]float64  // cores that a queue lately had in use at once
-	peaked    types.Stamp
+	rates     map[types.QueueName]*rate
+	works     map[types.QueueName]float64 // mean work of a queue\'s jobs
+	habits    map[types.QueueName]*habit
+	courses   map[types.JobID][]course    // of jobs that are not over
+	tasks     map[types.QueueName]float64 // mean seconds of a queue's tasks
+	peaks     map[types.QueueName]float64 // cores that a queue lately had in use at once
+	peaked    types.MonoTime
 	early     []early
-	kept      *placement.Reserve // workers kept for work that was passed over
-	waited    map[placement.Part]types.Stamp
-	moves     types.Stamp // when something was last displaced
-	limits    check       // of attempts against the table's time limits
+	kept      *placement.Reservation // workers kept for work that was passed over
+	waited    map[placement.TaskGroup]types.MonoTime
+	moves     types.MonoTime // when something was last displaced
+	limits    check          // of attempts against the table's time limits
 	slots     slotCache
-	wanted    []placement.Want // the memory of the last list
-	checks    check            // for attempts to take back and second attempts
+	wanted    []placement.Request // the memory of the last list
+	checks    check               // for attempts to take back and second attempts
 	sends     []wire.Send
 	answers   []wire.Answer
 	overload  overload
@@ -100,10 +100,10 @@
 // New starts a controller from the records of its disk.
 func New(now types.Now, rnd *rand.Rand, p Options, recs [][]byte) *Controller {
 	me := raft.Member{Addr: p.Addr, Zone: p.Zone}
-	h := &Controller{options: p, now: now, raft: raft.New(now, p.Core, rnd, me, p.Begin, recs, types.Mint(rnd)),
-		waiters: map[types.Index]waiter{}, proposals: map[types.Index]proposal{}, ahead: map[types.JobID]types.Index{}, flight: map[state.End]bool{}, freed: map[types.Attempt]bool{},
-		given: map[types.Task]state.Assignment{}, rates: map[types.Queue]*rate{}, works: map[types.Queue]float64{}, peaks: map[types.Queue]float64{},
-		tasks: map[types.Queue]float64{}, habits: map[types.Queue]*habit{}, courses: map[types.JobID][]course{}, Trail: trace.New()}
+	h := &Controller{options: p, now: now, raft: raft.New(now, p.Core, rnd, me, p.Begin, recs, types.NewID(rnd)),
+		waiters: map[types.Index]waiter{}, proposals: map[types.Index]proposal{}, ahead: map[types.JobID]types.Index{}, flight: map[state.AttemptEnd]bool{}, freed: map[types.AttemptID]bool{},
+		given: map[types.TaskID]state.Assignment{}, rates: map[types.QueueName]*rate{}, works: map[types.QueueName]float64{}, peaks: map[types.QueueName]float64{},
+		tasks: map[types.QueueName]float64{}, habits: map[types.QueueName]*habit{}, courses: map[types.JobID][]course{}, Trail: trace.New()}
 	h.roster = membership.New(rnd, h.card(), p.Seeds)
 	h.desk = configwatch.NewPublisher(p.Addr)
 	h.state = state.New()
@@ -226,11 +226,11 @@
 	case f.Cancel != "":
 		co.Trail.Add(co.now.Wall, trace.Job(f.Cancel), "cancel applied", "index", at)
 	}
-	for _, g := range f.Attempts {
-		co.Trail.Add(co.now.Wall, trace.Job(g.Attempt.Job), "leg given out", "leg", g.Attempt, "shard", g.Shard)
+	for _, g := range f.Assignments {
+		co.Trail.Add(co.now.Wall, trace.Job(g.ID.Job), "leg given out", "leg", g.ID, "shard", g.Shard)
 	}
 	for _, x := range f.Ends {
-		co.Trail.Add(co.now.Wall, trace.Job(x.Attempt.Job), "end applied", "leg", x.Attempt, "fate", x.Outcome)
+		co.Trail.Add(co.now.Wall, trace.Job(x.ID.Job), "end applied", "leg", x.ID, "fate", x.Outcome)
 		co.ended(x)
 	}
 }
@@ -260,9 +260,9 @@
 		}
 		co.Sums.Elected++
 		co.scheduler = dispatch.NewScheduler(co.now.Mono, co.raft.PriorAuthority(), co.options.Truth, co.options.Addr, co.raft.Term(), co.outs())
-		co.scheduler.Invoked = func(x types.Shard) bool { return co.state.Shapes[x].Invoked }
+		co.scheduler.Invoked = func(x types.Shard) bool { return co.state.WorkerShapes[x].CalledByAgent }
 		co.scheduler.Apart = func(x types.Shard) bool { return co.roster.Apart(string(x)) }
-		co.scheduler.Taken, co.scheduler.Doubts = co.taken, func(x types.Shard) []types.Attempt { return co.state.Doubts(x) }
+		co.scheduler.Taken, co.scheduler.Doubts = co.taken, func(x types.Shard) []types.AttemptID { return co.state.UnresolvedAttempts(x) }
 	}
 	co.scheduler.Tick(co.now.Mono, co.raft.AuthorityLeft())
 	co.heed()
@@ -280,13 +280,13 @@
 
 // outs lists the attempts given out as the state has them.
 func (co *Controller) outs() (list []dispatch.Hold) {
-	for _, j := range co.state.Live() {
+	for _, j := range co.state.LiveJobs() {
 		for i := range j.Tasks {
-			for _, o := range j.Tasks[i].Outs() {
-				n := j.Spec.No(i)
+			for _, o := range j.Tasks[i].Outstanding() {
+				n := j.Spec.TaskNumber(i)
 				at := types.StageOf(n)
-				list = append(list, dispatch.Hold{Attempt: types.Attempt{Task: types.Task{Job: j.ID, N: n}, Attempt: o.Attempt},
-					Shard: o.Shard, Stage: at, Room: j.Spec.Steps[at.Step()].Room, Usual: usual(j, at), Limit: co.limit(j, at)})
+				list = append(list, dispatch.Hold{Attempt: types.AttemptID{TaskID: types.TaskID{Job: j.ID, Number: n}, Attempt: o.Number},
+					Shard: o.Shard, Stage: at, Room: j.Spec.Steps[at.Step()].Resources, Usual: usual(j, at), Limit: co.limit(j, at)})
 			}
 		}
 	}
@@ -294,11 +294,11 @@
 }
 
 // taken tells whether the state already has an end, or has no use for it.
-func (co *Controller) taken(e state.End) bool {
-	j := co.state.Jobs[e.Attempt.Job]
-	if j == nil || j.Over() {
+func (co *Controller) taken(e state.AttemptEnd) bool {
+	j := co.state.Jobs[e.ID.Job]
+	if j == nil || j.Ended() {
 		return true
 	}
-	t := j.Task(e.Attempt.N)
-	return t == nil || t.Knows(e.Attempt.Attempt, e.Outcome)
+	t := j.Task(e.ID.Number)
+	return t == nil || t.EndIsKnown(e.ID.Attempt, e.Outcome)
 }
--- a/internal/controller/copies.go
+++ b/internal/controller/copies.go
@@ -18,34 +18,34 @@
 )
 
 // behind lists the second attempts that are wanted.
-func (co *Controller) behind(holds []*dispatch.Hold) (wants []placement.Want) {
+func (co *Controller) behind(holds []*dispatch.Hold) (wants []placement.Request) {
 	for _, o := range holds {
 		j := co.state.Jobs[o.Attempt.Job]
-		if j == nil || j.State != state.Open || o.Stage < 0 {
+		if j == nil || j.Status != state.JobOpen || o.Stage < 0 {
 			continue
 		}
 		p := &j.Spec.Steps[o.Stage.Step()]
-		t := j.Task(o.Attempt.N)
-		if !p.Copies || p.Gang || t == nil || t.Done || t.Copy != nil || t.On(o.Attempt.Attempt) == nil || !co.slow(o, p) {
+		t := j.Task(o.Attempt.Number)
+		if !p.AllowHedge || p.Gang || t == nil || t.Done || t.Hedge != nil || t.FindOutstanding(o.Attempt.Attempt) == nil || !co.slow(o, p) {
 			continue
 		}
-		wants = append(wants, placement.Want{Part: placement.Part{Job: j.ID, Stage: o.Stage}, Queue: j.Queue, Urgency: j.Spec.Urgency,
-			Kind: p.Kind, Rack: p.Rack, Labels: p.Labels, Room: p.Room, Spread: p.Spread, Near: p.Near,
-			Tasks: []int{o.Attempt.N}, Long: co.limit(j, o.Stage), Shun: map[types.Shard]bool{o.Shard: true}})
+		wants = append(wants, placement.Request{TaskGroup: placement.TaskGroup{Job: j.ID, Stage: o.Stage}, Queue: j.Queue, Urgency: j.Spec.Urgency,
+			Kind: p.Kind, Rack: p.Rack, Labels: p.Labels, Resources: p.Resources, MaxPerWorker: p.MaxPerWorker, DataRack: p.DataRack,
+			Tasks: []int{o.Attempt.Number}, TimeLimit: co.limit(j, o.Stage), AvoidWorkers: map[types.Shard]bool{o.Shard: true}})
 	}
 	return
 }
 
 // copies places second attempts in what the round has left.
-func (co *Controller) copies(in placement.Input, wants []placement.Want) (attempts []state.Assignment) {
+func (co *Controller) copies(in placement.Input, wants []placement.Request) (attempts []state.Assignment) {
 	if wants == nil {
 		return nil
 	}
-	in.Wants, in.Kept = wants, nil
-	for _, p := range placement.Place(in).Picks {
-		t := co.state.Jobs[p.Task.Job].Task(p.Task.N)
-		if t.Out.Shard != p.Shard {
-			attempts = append(attempts, state.Assignment{Attempt: types.Attempt{Task: p.Task, Attempt: t.Attempt + 1}, Shard: p.Shard, Copy: true})
+	in.Requests, in.Reservation = wants, nil
+	for _, p := range placement.Place(in).Assignments {
+		t := co.state.Jobs[p.Task.Job].Task(p.Task.Number)
+		if t.Primary.Shard != p.Shard {
+			attempts = append(attempts, state.Assignment{ID: types.AttemptID{TaskID: p.Task, Attempt: t.LastAttempt + 1}, Shard: p.Shard, Hedge: true})
 		}
 	}
 	return
@@ -59,7 +59,7 @@
 	if o.Late > co.now.Mono {
 		return true
 	}
-	usual := time.Duration(p.Estimate) * time.Millisecond
+	usual := time.Duration(p.EstimateMillis) * time.Millisecond
 	if u, ok := co.scheduler.Usual(o.Usual); ok {
 		usual = max(usual, u)
 	}
--- a/internal/controller/displace.go
+++ b/internal/controller/displace.go
@@ -21,27 +21,27 @@
 
 // victim is an attempt that may be displaced, with its gang.
 type victim struct {
-	attempts []types.Attempt
-	room     map[types.Shard]types.Room
+	attempts []types.AttemptID
+	room     map[types.Shard]types.Resources
 	urgency  int
 	age      time.Duration
 }
 
 // displace finds what to take back for the first want that may displace, and
 // the workers to keep for it.
-func (co *Controller) displace(in placement.Input) ([]state.Back, *placement.Reserve) {
+func (co *Controller) displace(in placement.Input) ([]state.Withdrawal, *placement.Reservation) {
 	if co.now.Mono.Sub(co.moves) < gap {
 		return nil, nil
 	}
-	for _, w := range in.Wants {
-		d := in.Dues[w.Queue]
-		if d == nil || !d.Row.Displace || w.Since < endure || len(w.Tasks) == 0 {
+	for _, w := range in.Requests {
+		d := in.Usage[w.Queue]
+		if d == nil || !d.Queue.CanPreempt || w.WaitingFor < endure || len(w.Tasks) == 0 {
 			continue
 		}
-		if d.Running+w.Need() > d.Row.Running {
+		if d.RunningTasks+w.MinTasks() > d.Queue.MaxRunning {
 			continue
 		}
-		if attempts, kept := oust(w, in.Slots, co.victims(w, below(d, in.Total), in)); attempts != nil {
+		if attempts, kept := oust(w, in.Slots, co.victims(w, below(d, in.TotalCores), in)); attempts != nil {
 			co.moves = co.now.Mono
 			return attempts, kept
 		}
@@ -49,28 +49,28 @@
 	return nil, nil
 }
 
-func below(d *placement.Due, total types.Cores) bool {
-	return 100*d.Cores < types.Cores(d.Row.Share)*total
+func below(d *placement.QueueUsage, total types.MilliCores) bool {
+	return 100*d.CoresInUse < types.MilliCores(d.Queue.SharePercent)*total
 }
 
 // victims lists what a want may displace: the least urgent first, then what has
 // run for the shortest time.
-func (co *Controller) victims(w placement.Want, under bool, in placement.Input) (list []*victim) {
-	gangs := map[placement.Part]*victim{}
+func (co *Controller) victims(w placement.Request, under bool, in placement.Input) (list []*victim) {
+	gangs := map[placement.TaskGroup]*victim{}
 	for _, o := range co.scheduler.Holds() {
 		j := co.state.Jobs[o.Attempt.Job]
 		if j == nil || o.Stage < 0 || !co.mayTake(o.Attempt) || j.Queue == w.Queue && j.Spec.Urgency >= w.Urgency {
 			continue
 		}
-		d := in.Dues[j.Queue]
+		d := in.Usage[j.Queue]
 		urgent := j.Spec.Urgency < w.Urgency
-		if d == nil || below(d, in.Total) || !urgent && !(under && j.Queue != w.Queue && j.Spec.Urgency <= w.Urgency) ||
-			j.Task(o.Attempt.N).Moved >= d.Row.Moves {
+		if d == nil || below(d, in.TotalCores) || !urgent && !(under && j.Queue != w.Queue && j.Spec.Urgency <= w.Urgency) ||
+			j.Task(o.Attempt.Number).Preemptions >= d.Queue.MaxPreemptions {
 			continue
 		}
-		v := &victim{room: map[types.Shard]types.Room{}, urgency: j.Spec.Urgency, age: co.now.Mono.Sub(o.At)}
+		v := &victim{room: map[types.Shard]types.Resources{}, urgency: j.Spec.Urgency, age: co.now.Mono.Sub(o.At)}
 		if j.Spec.Steps[o.Stage.Step()].Gang {
-			k := placement.Part{Job: o.Attempt.Job, Stage: o.Stage}
+			k := placement.TaskGroup{Job: o.Attempt.Job, Stage: o.Stage}
 			if gangs[k] != nil {
 				v = gangs[k]
 			} else {
@@ -81,7 +81,7 @@
 			list = append(list, v)
 		}
 		v.attempts = append(v.attempts, o.Attempt)
-		v.room[o.Shard] = v.room[o.Shard].Plus(o.Room)
+		v.room[o.Shard] = v.room[o.Shard].Add(o.Room)
 	}
 	sort.SliceStable(list, func(i, k int) bool {
 		a, b := list[i], list[k]
@@ -92,25 +92,25 @@
 
 // oust takes victims until the want would fit, and lets go of those that turn
 // out not to be needed.
-func oust(w placement.Want, slots []placement.Slot, list []*victim) (attempts []state.Back, kept *placement.Reserve) {
-	need := w.Need()
-	fits := func(use []*victim) (seats []placement.Seat) {
+func oust(w placement.Request, slots []placement.Slot, list []*victim) (attempts []state.Withdrawal, kept *placement.Reservation) {
+	need := w.MinTasks()
+	fits := func(use []*victim) (seats []placement.ReservedWorker) {
 		n := 0
 		for i := range slots {
 			s := &slots[i]
-			if !s.Suits(w) {
+			if !s.Feasible(w) {
 				continue
 			}
 			free := s.Free
 			for _, v := range use {
-				free = free.Plus(v.room[s.Shard])
+				free = free.Add(v.room[s.Shard])
 			}
 			k := 0
-			for room := free; room.Holds(w.Room) && n+k < need && (w.Spread == 0 || s.Count(w.Part)+k < w.Spread); k++ {
-				room = room.Minus(w.Room)
+			for room := free; room.Contains(w.Resources) && n+k < need && (w.MaxPerWorker == 0 || s.TaskCount(w.TaskGroup)+k < w.MaxPerWorker); k++ {
+				room = room.Sub(w.Resources)
 			}
 			if k > 0 {
-				seats = append(seats, placement.Seat{Shard: s.Shard, Tasks: k})
+				seats = append(seats, placement.ReservedWorker{Shard: s.Shard, Tasks: k})
 			}
 			if n += k; n >= need {
 				return seats
@@ -136,22 +136,22 @@
 	}
 	for _, v := range use {
 		for _, l := range v.attempts {
-			attempts = append(attempts, state.Back{Attempt: l, Why: state.Displaced})
+			attempts = append(attempts, state.Withdrawal{ID: l, Reason: state.Preempted})
 		}
 	}
-	return attempts, &placement.Reserve{Part: w.Part, Seats: fits(use)}
+	return attempts, &placement.Reservation{TaskGroup: w.TaskGroup, Workers: fits(use)}
 }
 
 // ages keeps since when each step has had something that could start.
-func (co *Controller) ages(list []placement.Want) {
-	next := make(map[placement.Part]types.Stamp, len(list))
+func (co *Controller) ages(list []placement.Request) {
+	next := make(map[placement.TaskGroup]types.MonoTime, len(list))
 	for i := range list {
 		w := &list[i]
-		at, ok := co.waited[w.Part]
+		at, ok := co.waited[w.TaskGroup]
 		if !ok {
 			at = co.now.Mono
 		}
-		next[w.Part], w.Since = at, co.now.Mono.Sub(at)
+		next[w.TaskGroup], w.WaitingFor = at, co.now.Mono.Sub(at)
 	}
 	co.waited = next
 }
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -27,12 +27,12 @@
 }
 
 func (co *Controller) known(t state.Target) *apierror.Error {
-	for _, x := range co.state.Shapes {
-		if t.Is(x.Shard, x.Rack) {
+	for _, x := range co.state.WorkerShapes {
+		if t.Matches(x.Shard, x.Rack) {
 			return nil
 		}
 	}
-	return apierror.New(apierror.NoWorker, "", "no worker or rack of that name has ever come")
+	return apierror.New(apierror.NoSuchWorker, "", "no worker or rack of that name has ever come")
 }
 
 func (co *Controller) putDrain(w waiter, c wire.CallBody) {
@@ -46,19 +46,19 @@
 		return
 	}
 	x := state.Drain{Target: t}
-	if d.Within > 0 {
-		x.By = co.raft.Clock().Add(time.Duration(d.Within) * time.Millisecond)
+	if d.WithinMillis > 0 {
+		x.Deadline = co.raft.Clock().Add(time.Duration(d.WithinMillis) * time.Millisecond)
 	}
 	co.wait(w, state.Command{Drain: &x})
 }
 
 func (co *Controller) dropDrain(w waiter, c wire.CallBody) {
 	t, _ := co.target(c.Arg)
-	co.wait(w, state.Command{Drain: &state.Drain{Target: t, Over: true}})
+	co.wait(w, state.Command{Drain: &state.Drain{Target: t, Lift: true}})
 }
 
 func (co *Controller) putPlan(w waiter, c wire.CallBody) {
-	var p state.Plan
+	var p state.Calendar
 	if json.Unmarshal(c.Body, &p) != nil {
 		co.bad(w, apierror.New(apierror.BadBody, "", "not a calendar"))
 		return
@@ -67,11 +67,11 @@
 		co.bad(w, bad)
 		return
 	}
-	co.wait(w, state.Command{Plan: &p})
+	co.wait(w, state.Command{Calendar: &p})
 }
 
 func (co *Controller) dropPlan(w waiter, c wire.CallBody) {
-	co.wait(w, state.Command{Plan: &state.Plan{Name: c.Arg}})
+	co.wait(w, state.Command{Calendar: &state.Calendar{Name: c.Arg}})
 }
 
 // gone ends the doubts about a worker that its operators know to be lost.
@@ -80,14 +80,14 @@
 	bad := co.known(state.Target{Shard: shard})
 	for _, s := range co.scheduler.Seats() {
 		if s.Shard == shard && s.State != dispatch.MustDie {
-			bad = apierror.New(apierror.Alive, "", "the worker's agent is heard of; only one that is lost can be given up")
+			bad = apierror.New(apierror.WorkerHealthy, "", "the worker's agent is heard of; only one that is lost can be given up")
 		}
 	}
 	if bad != nil {
 		co.bad(w, bad)
 		return
 	}
-	co.wait(w, state.Command{Gone: shard})
+	co.wait(w, state.Command{ExitedWorker: shard})
 }
 
 // DrainView is a drain as operators see it.
@@ -102,11 +102,11 @@
 	list = []DrainView{}
 	for _, d := range co.state.Drains {
 		v := DrainView{Target: d.Target}
-		if d.By != 0 {
-			v.Left = max(1, d.By.Sub(co.raft.Clock()).Milliseconds())
+		if d.Deadline != 0 {
+			v.Left = max(1, d.Deadline.Sub(co.raft.Clock()).Milliseconds())
 		}
 		for _, o := range co.holds() {
-			if d.Is(o.Shard, co.state.Shapes[o.Shard].Rack) {
+			if d.Matches(o.Shard, co.state.WorkerShapes[o.Shard].Rack) {
 				v.Attempts++
 			}
 		}
@@ -126,11 +126,11 @@
 // Plans lists the calendars and the next windows of each.
 func (co *Controller) Plans() (list []PlanView) {
 	list = []PlanView{}
-	at := types.Wall(co.raft.Clock()) + co.state.Off
-	show := func(w types.Wall) string { return time.Unix(0, int64(w)).UTC().Format(time.RFC3339) }
-	for _, p := range co.state.Plans {
+	at := types.WallTime(co.raft.Clock()) + co.state.WallOffset
+	show := func(w types.WallTime) string { return time.Unix(0, int64(w)).UTC().Format(time.RFC3339) }
+	for _, p := range co.state.Calendars {
 		v := PlanView{Name: p.Name, Target: p.Target, Next: []string{}}
-		for _, x := range p.Spans {
+		for _, x := range p.Windows {
 			if x[1] <= at {
 				continue
 			}
--- a/internal/controller/early.go
+++ b/internal/controller/early.go
@@ -16,8 +16,8 @@
 type early struct {
 	from types.Addr
 	dispatch.Status
-	at    types.Stamp
-	sent  types.Stamp
+	at    types.MonoTime
+	sent  types.MonoTime
 	tries int // so often it was passed on
 }
 
@@ -29,12 +29,12 @@
 )
 
 // logged tells whether an end need not be kept any longer.
-func (co *Controller) logged(e state.End, at types.Stamp) bool {
-	j := co.state.Jobs[e.Attempt.Job]
+func (co *Controller) logged(e state.AttemptEnd, at types.MonoTime) bool {
+	j := co.state.Jobs[e.ID.Job]
 	if j == nil {
 		return co.now.Mono.Sub(at) > lag
 	}
-	if t := j.Task(e.Attempt.N); t != nil && e.Attempt.Attempt > t.Attempt {
+	if t := j.Task(e.ID.Number); t != nil && e.ID.Attempt > t.LastAttempt {
 		return co.now.Mono.Sub(at) > lag
 	}
 	return co.taken(e)
@@ -46,9 +46,9 @@
 	if !ok || len(co.early) >= Crowd {
 		return
 	}
-	u.Ends = slices.DeleteFunc(u.Ends, func(e state.End) bool { return !e.Outcome.IsFact() || co.logged(e, co.now.Mono) })
+	u.Ends = slices.DeleteFunc(u.Ends, func(e state.AttemptEnd) bool { return !e.Outcome.ReportedByWorker() || co.logged(e, co.now.Mono) })
 	for _, x := range co.early {
-		u.Ends = slices.DeleteFunc(u.Ends, func(e state.End) bool { return slices.Contains(x.Ends, e) })
+		u.Ends = slices.DeleteFunc(u.Ends, func(e state.AttemptEnd) bool { return slices.Contains(x.Ends, e) })
 	}
 	if len(u.Ends) > 0 {
 		co.early = append(co.early, early{from: n.From, Status: u, at: co.now.Mono, sent: co.now.Mono})
@@ -60,7 +60,7 @@
 // behind is told everything by everybody.
 func (co *Controller) pass() {
 	co.early = slices.DeleteFunc(co.early, func(x early) bool {
-		return !slices.ContainsFunc(x.Ends, func(e state.End) bool { return !co.logged(e, x.at) })
+		return !slices.ContainsFunc(x.Ends, func(e state.AttemptEnd) bool { return !co.logged(e, x.at) })
 	})
 	for i := range co.early {
 		x := &co.early[i]
--- a/internal/controller/ends.go
+++ b/internal/controller/ends.go
@@ -14,8 +14,8 @@
 }
 
 // propose puts ends into the log, each at most once at a time.
-func (co *Controller) propose(ends []state.End) {
-	var list []state.End
+func (co *Controller) propose(ends []state.AttemptEnd) {
+	var list []state.AttemptEnd
 	for _, e := range ends {
 		if !co.flight[e] && !co.taken(e) {
 			list = append(list, e)
@@ -26,9 +26,9 @@
 	}
 	if i, ok := co.fact(state.Command{Ends: list}); ok {
 		for _, e := range list {
-			co.flight[e], co.ahead[e.Attempt.Job] = true, i
-			if e.Outcome.Over() {
-				co.free(e.Attempt)
+			co.flight[e], co.ahead[e.ID.Job] = true, i
+			if e.Outcome.FreesResources() {
+				co.free(e.ID)
 			}
 		}
 		co.Sums.Ends += uint64(len(list))
@@ -36,7 +36,7 @@
 }
 
 // free tells that an attempt surely runs no more: its room may be given out again.
-func (co *Controller) free(attempt types.Attempt) {
+func (co *Controller) free(attempt types.AttemptID) {
 	co.freed[attempt], co.moved = true, true
 	co.slots.forget(co.scheduler.Where(attempt))
 }
--- a/internal/controller/entries.go
+++ b/internal/controller/entries.go
@@ -24,12 +24,12 @@
 // plain tells whether a command consists of values only, so that it is the same before
 // and after it was written and read. Others bring documents, which are kept as read.
 func plain(c *state.Command) bool {
-	return c.Job == nil && c.Table == nil && c.Off == nil && c.Shapes == nil && c.Drain == nil && c.Plan == nil
+	return c.Job == nil && c.Table == nil && c.WallOffset == nil && c.WorkerShapes == nil && c.Drain == nil && c.Calendar == nil
 }
 
 // fact puts a command into the log; false when this controller may not.
 func (co *Controller) fact(command state.Command) (types.Index, bool) {
-	command.Tick = max(co.raft.Clock(), co.state.Tick)
+	command.Time = max(co.raft.Clock(), co.state.Time)
 	at, ok := co.raft.Propose(wire.Body(command))
 	if ok && plain(&command) {
 		co.proposals[at] = proposal{co.raft.Term(), command}
@@ -88,7 +88,7 @@
 
 // leaderChanged is the answer where it is not known what became of a request.
 func leaderChanged() *apierror.Error {
-	return apierror.New(apierror.Unsure, "", "the leader changed; send the same again")
+	return apierror.New(apierror.OutcomeUnknown, "", "the leader changed; send the same again")
 }
 
 // apply takes one entry into the state, and answers who waited for it.
@@ -97,7 +97,7 @@
 	co.moved = true
 	co.learn(command)
 	attempts, bad := co.state.Apply(command)
-	co.raft.AdvanceClock(co.state.Tick)
+	co.raft.AdvanceClock(co.state.Time)
 	co.told(command, e.Index)
 	co.answerWaiter(e, command, bad)
 	if co.scheduler == nil || !co.raft.IsLeader() {
@@ -106,8 +106,8 @@
 	if command.Job != nil && bad == nil {
 		co.weigh(co.state.Jobs[command.Job.ID])
 	}
-	for _, g := range command.Attempts {
-		delete(co.given, g.Attempt.Task)
+	for _, g := range command.Assignments {
+		delete(co.given, g.ID.TaskID)
 	}
 	co.order(attempts)
 	co.scheduler.Settle(command.Ends)
@@ -117,10 +117,10 @@
 }
 
 // landed forgets that an end is on its way into the log.
-func (co *Controller) landed(end state.End) {
+func (co *Controller) landed(end state.AttemptEnd) {
 	delete(co.flight, end)
-	delete(co.freed, end.Attempt)
-	if co.ahead[end.Attempt.Job] <= co.applied {
-		delete(co.ahead, end.Attempt.Job)
+	delete(co.freed, end.ID)
+	if co.ahead[end.ID.Job] <= co.applied {
+		delete(co.ahead, end.ID.Job)
 	}
 }
--- a/internal/controller/entries_test.go
+++ b/internal/controller/entries_test.go
@@ -18,17 +18,17 @@
 // randomPlain draws a command of values only, with names that JSON escapes.
 func randomPlain(r *rand.Rand) (c state.Command) {
 	names := []types.JobID{"a", "menus-1", `q"uo<te>&`, "é\u2028"}
-	attempt := func() types.Attempt {
-		return types.Attempt{Task: types.Task{Job: names[r.Intn(len(names))], N: r.Intn(1 << 40)}, Attempt: r.Intn(9)}
+	attempt := func() types.AttemptID {
+		return types.AttemptID{TaskID: types.TaskID{Job: names[r.Intn(len(names))], Number: r.Intn(1 << 40)}, Attempt: r.Intn(9)}
 	}
-	c.Tick = types.Tick(r.Int63())
+	c.Time = types.ClusterTime(r.Int63())
 	if r.Intn(2) == 0 {
-		c.Cancel, c.Gone = names[r.Intn(len(names))], types.Shard("k1")
+		c.Cancel, c.ExitedWorker = names[r.Intn(len(names))], types.Shard("k1")
 	}
 	for range r.Intn(4) {
-		c.Attempts = append(c.Attempts, state.Assignment{Attempt: attempt(), Shard: "k2", Copy: r.Intn(2) == 0})
-		c.Ends = append(c.Ends, state.End{Attempt: attempt(), Outcome: state.OK, Ref: string(names[r.Intn(len(names))])})
-		c.Backs = append(c.Backs, state.Back{Attempt: attempt(), Why: state.Stalled})
+		c.Assignments = append(c.Assignments, state.Assignment{ID: attempt(), Shard: "k2", Hedge: r.Intn(2) == 0})
+		c.Ends = append(c.Ends, state.AttemptEnd{ID: attempt(), Outcome: state.OutcomeOK, Checkpoint: string(names[r.Intn(len(names))])})
+		c.Withdrawals = append(c.Withdrawals, state.Withdrawal{ID: attempt(), Reason: state.Straggling})
 	}
 	return
 }
@@ -53,8 +53,8 @@
 // An entry of another term at the index of a proposal is another leader's: it is read.
 func TestAnOverwrittenProposalIsNotApplied(t *testing.T) {
 	is := is.New(t)
-	h := &Controller{proposals: map[types.Index]proposal{7: {3, state.Command{Tick: types.Tick(time.Second), Gone: "mine"}}}}
-	theirs := state.Command{Tick: types.Tick(time.Minute), Gone: "theirs"}
+	h := &Controller{proposals: map[types.Index]proposal{7: {3, state.Command{Time: types.ClusterTime(time.Second), ExitedWorker: "mine"}}}}
+	theirs := state.Command{Time: types.ClusterTime(time.Minute), ExitedWorker: "theirs"}
 	is.Equal(h.command(raft.Entry{Term: 4, Index: 7, Data: wire.Body(theirs)}), theirs)
 	is.Equal(len(h.proposals), 0)
 }
@@ -62,7 +62,7 @@
 // Commands that bring documents are never kept: all that is behind a pointer, and shapes.
 func TestDocumentsAreReadFromTheLog(t *testing.T) {
 	is := is.New(t)
-	is.True(!plain(&state.Command{Shapes: []state.WorkerShape{}}))
+	is.True(!plain(&state.Command{WorkerShapes: []state.WorkerShape{}}))
 	documents := 0
 	for i := range reflect.TypeFor[state.Command]().NumField() {
 		var c state.Command
--- a/internal/controller/learn.go
+++ b/internal/controller/learn.go
@@ -64,21 +64,21 @@
 
 // learn takes the good ends of a fact that is about to be applied.
 func (co *Controller) learn(f state.Command) {
-	if len(co.courses) > 2*len(co.state.Live())+64 {
-		maps.DeleteFunc(co.courses, func(id types.JobID, _ []course) bool { j := co.state.Jobs[id]; return j == nil || j.Over() })
+	if len(co.courses) > 2*len(co.state.LiveJobs())+64 {
+		maps.DeleteFunc(co.courses, func(id types.JobID, _ []course) bool { j := co.state.Jobs[id]; return j == nil || j.Ended() })
 	}
 	for _, e := range f.Ends {
-		j := co.state.Jobs[e.Attempt.Job]
-		if e.Outcome != state.OK || j == nil || j.Over() {
+		j := co.state.Jobs[e.ID.Job]
+		if e.Outcome != state.OutcomeOK || j == nil || j.Ended() {
 			continue
 		}
-		t := j.Task(e.Attempt.N)
-		if t == nil || t.Done || t.On(e.Attempt.Attempt) == nil {
+		t := j.Task(e.ID.Number)
+		if t == nil || t.Done || t.FindOutstanding(e.ID.Attempt) == nil {
 			continue
 		}
-		step := types.StageOf(e.Attempt.N).Step()
+		step := types.StageOf(e.ID.Number).Step()
 		p := &j.Spec.Steps[step]
-		took := max(time.Millisecond, f.Tick.Sub(t.On(e.Attempt.Attempt).At))
+		took := max(time.Millisecond, f.Time.Sub(t.FindOutstanding(e.ID.Attempt).AssignedAt))
 		k := co.habits[j.Queue]
 		if k == nil {
 			k = &habit{}
@@ -88,7 +88,7 @@
 		if p.Joint {
 			part = 1 // one end stands for all
 		}
-		k.add(took, time.Duration(p.Estimate)*time.Millisecond, part)
+		k.add(took, time.Duration(p.EstimateMillis)*time.Millisecond, part)
 		c := co.courses[j.ID]
 		if c == nil {
 			c = make([]course, len(j.Spec.Steps))
@@ -109,5 +109,5 @@
 			return d
 		}
 	}
-	return co.habits[j.Queue].expect(time.Duration(j.Spec.Steps[step].Estimate) * time.Millisecond)
+	return co.habits[j.Queue].expect(time.Duration(j.Spec.Steps[step].EstimateMillis) * time.Millisecond)
 }
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -33,16 +33,16 @@
 // overload is what a controller knows of its loop.
 type overload struct {
 	load     wire.Load
-	placing  bool          // the last step placed work
-	placed   types.Stamp   // when work was placed last
-	cost     time.Duration // of that, as the event after it saw
-	lagging  types.Stamp   // since when the lag is beyond what a leader may have
+	placing  bool           // the last step placed work
+	placed   types.MonoTime // when work was placed last
+	cost     time.Duration  // of that, as the event after it saw
+	lagging  types.MonoTime // since when the lag is beyond what a leader may have
 	isBehind bool
-	ledSince types.Stamp
+	ledSince types.MonoTime
 }
 
 // measure takes the load of an event.
-func (o *overload) measure(now types.Stamp, load wire.Load) {
+func (o *overload) measure(now types.MonoTime, load wire.Load) {
 	if o.placing {
 		o.cost = min(load.Age, now.Sub(o.placed))
 	}
@@ -50,15 +50,15 @@
 }
 
 // mayPlace tells whether work may be placed in this step.
-func (o *overload) mayPlace(now types.Stamp) bool {
+func (o *overload) mayPlace(now types.MonoTime) bool {
 	return o.lag() <= placeLag || now.Sub(o.placed) >= min(placeLongest, max(placeEvery, placeShare*o.cost))
 }
 
-func (o *overload) place(now types.Stamp) { o.placing, o.placed = true, now }
+func (o *overload) place(now types.MonoTime) { o.placing, o.placed = true, now }
 
 // watch finds whether the loop has been behind a tolerance for long. It is no more
 // so once the lag is within half of that.
-func (o *overload) watch(now types.Stamp, tolerance time.Duration) {
+func (o *overload) watch(now types.MonoTime, tolerance time.Duration) {
 	switch lag := o.load.Control; {
 	case lag <= tolerance/2:
 		o.lagging, o.isBehind = 0, false
@@ -87,7 +87,7 @@
 // tooBusy is the refusal of a request that was not taken, with when to come back.
 func (co *Controller) tooBusy() *apierror.Error {
 	co.Sums.TurnedAway++
-	return apierror.New(apierror.Crowd, "", "the controller is behind with its work; the request was not taken").After(2 * co.overload.lag())
+	return apierror.New(apierror.TooBusy, "", "the controller is behind with its work; the request was not taken").WithRetryAfter(2 * co.overload.lag())
 }
 
 // refuseExpired answers all requests at once that waited too long for a step.
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -10,7 +10,7 @@
 	"coppercourse/internal/wire"
 )
 
-func stamp(ms int) types.Stamp { return types.Stamp(time.Duration(ms) * time.Millisecond) }
+func stamp(ms int) types.MonoTime { return types.MonoTime(time.Duration(ms) * time.Millisecond) }
 
 // Work is placed at every turn while the loop keeps up; else so often only that
 // other events get three quarters of the time, or 500 ms have passed.
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	near   = types.Wall(50 * time.Millisecond)
-	astray = types.Wall(20 * time.Millisecond)
+	near   = types.WallTime(50 * time.Millisecond)
+	astray = types.WallTime(20 * time.Millisecond)
 
 	rounds  = 4                  // that are on their way into the log at once
 	endless = 10_000 * time.Hour // what lasts fits before no window
@@ -24,11 +24,11 @@
 )
 
 func (co *Controller) plan() {
-	var doom []types.Attempt
-	var spent []state.End
-	for _, j := range co.state.Live() {
+	var doom []types.AttemptID
+	var spent []state.AttemptEnd
+	for _, j := range co.state.LiveJobs() {
 		x := co.state.ReadyIndex(j, co.raft.Clock())
-		doom, spent = append(doom, x.Doomed...), append(spent, x.Spent...)
+		doom, spent = append(doom, x.ToStop...), append(spent, x.Exhausted...)
 	}
 	co.propose(spent)
 	co.scheduler.Halt(append(doom, co.scheduler.Strays()...), co.overtime())
@@ -47,23 +47,23 @@
 		co.give(nil, backs)
 		return
 	}
-	in := placement.Input{Kept: co.kept}
-	in.Wants, in.Dues = co.wants()
-	if len(in.Wants) == 0 {
+	in := placement.Input{Reservation: co.kept}
+	in.Requests, in.Usage = co.wants()
+	if len(in.Requests) == 0 {
 		co.kept, co.waited = nil, nil
 	}
-	if len(in.Wants)+len(more) == 0 {
+	if len(in.Requests)+len(more) == 0 {
 		co.give(nil, backs)
 		return
 	}
-	in.Slots, in.Total = co.slots.list(co)
+	in.Slots, in.TotalCores = co.slots.list(co)
 	var attempts []state.Assignment
-	if len(in.Wants) > 0 {
-		co.ages(in.Wants)
+	if len(in.Requests) > 0 {
+		co.ages(in.Requests)
 		co.caps(in)
 		out := placement.Place(in)
-		co.kept = out.Kept
-		attempts = co.number(out.Picks)
+		co.kept = out.Reservation
+		attempts = co.number(out.Assignments)
 	}
 	attempts = append(attempts, co.copies(in, more)...)
 	if attempts == nil && backs == nil && co.kept == nil {
@@ -79,98 +79,98 @@
 		return
 	}
 	var in placement.Input
-	if in.Wants, in.Dues = co.wants(); len(in.Wants) == 0 {
+	if in.Requests, in.Usage = co.wants(); len(in.Requests) == 0 {
 		return
 	}
-	in.Slots, in.Total = co.slots.list(co)
-	co.ages(in.Wants)
+	in.Slots, in.TotalCores = co.slots.list(co)
+	co.ages(in.Requests)
 	co.caps(in)
-	co.give(co.number(placement.Place(in).Picks), nil)
+	co.give(co.number(placement.Place(in).Assignments), nil)
 }
 
 // number gives each placement its attempt's number; the members of a gang get the
 // same.
-func (co *Controller) number(picks []placement.Pick) (attempts []state.Assignment) {
+func (co *Controller) number(picks []placement.Assignment) (attempts []state.Assignment) {
 	for _, p := range picks {
 		j := co.state.Jobs[p.Task.Job]
-		at := types.StageOf(p.Task.N)
-		attempt := j.Task(p.Task.N).Attempt + 1
+		at := types.StageOf(p.Task.Number)
+		attempt := j.Task(p.Task.Number).LastAttempt + 1
 		if j.Spec.Steps[at.Step()].Gang {
-			for _, m := range j.Part(at) {
-				attempt = max(attempt, m.Attempt+1)
+			for _, m := range j.StageTasks(at) {
+				attempt = max(attempt, m.LastAttempt+1)
 			}
 		}
-		attempts = append(attempts, state.Assignment{Attempt: types.Attempt{Task: p.Task, Attempt: attempt}, Shard: p.Shard})
-		delete(co.waited, placement.Part{Job: p.Task.Job, Stage: at})
+		attempts = append(attempts, state.Assignment{ID: types.AttemptID{TaskID: p.Task, Attempt: attempt}, Shard: p.Shard})
+		delete(co.waited, placement.TaskGroup{Job: p.Task.Job, Stage: at})
 	}
 	return
 }
 
 // give puts a round into the log; the next waits until it is applied.
-func (co *Controller) give(attempts []state.Assignment, backs []state.Back) {
+func (co *Controller) give(attempts []state.Assignment, backs []state.Withdrawal) {
 	if attempts == nil && backs == nil {
 		return
 	}
-	if i, ok := co.fact(state.Command{Attempts: attempts, Backs: backs}); ok {
+	if i, ok := co.fact(state.Command{Assignments: attempts, Withdrawals: backs}); ok {
 		co.giving = i
 		co.rounds = append(co.rounds, i)
 		for _, g := range attempts {
-			co.given[g.Attempt.Task] = g
+			co.given[g.ID.TaskID] = g
 		}
 	}
 }
 
 // wants lists what may start now, and what each queue has in use. The list holds until
 // the next one is made.
-func (co *Controller) wants() (list []placement.Want, dues map[types.Queue]*placement.Due) {
+func (co *Controller) wants() (list []placement.Request, dues map[types.QueueName]*placement.QueueUsage) {
 	list = co.wanted[:0]
 	defer func() { co.wanted = list }()
-	dues = map[types.Queue]*placement.Due{}
-	for q, r := range co.state.Retired {
-		dues[q] = &placement.Due{Row: r}
+	dues = map[types.QueueName]*placement.QueueUsage{}
+	for q, r := range co.state.RemovedQueues {
+		dues[q] = &placement.QueueUsage{Queue: r}
 	}
-	for _, r := range co.state.Table.Rows {
-		dues[r.Name] = &placement.Due{Row: r}
+	for _, r := range co.state.Table.Queues {
+		dues[r.Name] = &placement.QueueUsage{Queue: r}
 	}
 	now := co.raft.Clock()
-	for _, j := range co.state.Live() {
+	for _, j := range co.state.LiveJobs() {
 		d := dues[j.Queue]
 		if d == nil {
 			continue
 		}
 		x := co.state.ReadyIndex(j, now)
-		d.Running += x.Running
-		d.Cores += x.Cores
-		for _, b := range x.Batches {
+		d.RunningTasks += x.OutstandingAttempts
+		d.CoresInUse += x.CoresInUse
+		for _, b := range x.Stages {
 			if b.Tasks = co.unsent(j, b, d); len(b.Tasks) == 0 {
 				continue
 			}
 			p := j.Spec.Steps[b.Stage.Step()]
 			long := co.limit(j, b.Stage)
-			if p.Lasts {
+			if p.AlwaysRestart {
 				long = endless
 			}
-			class, turn, spare := co.aim(j, d.Row, x, b)
-			list = append(list, placement.Want{Part: placement.Part{Job: j.ID, Stage: b.Stage}, Queue: j.Queue, Urgency: j.Spec.Urgency,
-				Kind: p.Kind, Rack: p.Rack, Labels: p.Labels, Room: p.Room, Spread: p.Spread, Gang: p.Gang, Tasks: b.Tasks, Long: long, Shun: b.Shun,
-				Class: class, Turn: turn, Spare: spare, Idle: x.Running == 0, Near: p.Near, OneRack: p.OneRack})
+			class, turn, spare := co.aim(j, d.Queue, x, b)
+			list = append(list, placement.Request{TaskGroup: placement.TaskGroup{Job: j.ID, Stage: b.Stage}, Queue: j.Queue, Urgency: j.Spec.Urgency,
+				Kind: p.Kind, Rack: p.Rack, Labels: p.Labels, Resources: p.Resources, MaxPerWorker: p.MaxPerWorker, Gang: p.Gang, Tasks: b.Tasks, TimeLimit: long, AvoidWorkers: b.AvoidWorkers,
+				Class: class, SortKey: turn, HeadroomPercent: spare, JobIdle: x.OutstandingAttempts == 0, DataRack: p.DataRack, PreferOneRack: p.PreferOneRack})
 		}
 	}
 	return
 }
 
 // unsent is what of a batch is not on its way into the log; what is counts as in use.
-func (co *Controller) unsent(j *state.Job, b state.Batch, d *placement.Due) (list []int) {
+func (co *Controller) unsent(j *state.Job, b state.ReadyStage, d *placement.QueueUsage) (list []int) {
 	if len(co.given) == 0 {
 		return b.Tasks
 	}
 	for _, n := range b.Tasks {
-		if _, ok := co.given[types.Task{Job: j.ID, N: n}]; !ok {
+		if _, ok := co.given[types.TaskID{Job: j.ID, Number: n}]; !ok {
 			list = append(list, n)
 			continue
 		}
-		d.Running++
-		d.Cores += j.Spec.Steps[b.Stage.Step()].Room.Cores
+		d.RunningTasks++
+		d.CoresInUse += j.Spec.Steps[b.Stage.Step()].Resources.Cores
 	}
 	return
 }
@@ -178,12 +178,12 @@
 // order sends the attempts that the log has just given out.
 func (co *Controller) order(attempts []state.Assignment) {
 	for _, g := range attempts {
-		j := co.state.Jobs[g.Attempt.Job]
-		at := types.StageOf(g.Attempt.N)
+		j := co.state.Jobs[g.ID.Job]
+		at := types.StageOf(g.ID.Number)
 		p := j.Spec.Steps[at.Step()]
 		co.Sums.Orders++
-		co.scheduler.Order(g.Shard, at, usual(j, at), dispatch.Job{Attempt: g.Attempt, Kind: p.Kind, Rack: p.Rack, Room: p.Room,
-			Limit: int(co.limit(j, at).Milliseconds()), Label: p.Labels, Ref: j.Task(g.Attempt.N).Ref, Work: j.Spec.What(at.Step())})
+		co.scheduler.Order(g.Shard, at, usual(j, at), dispatch.Job{Attempt: g.ID, Kind: p.Kind, Rack: p.Rack, Room: p.Resources,
+			Limit: int(co.limit(j, at).Milliseconds()), Label: p.Labels, Ref: j.Task(g.ID.Number).Checkpoint, Work: j.Spec.StepWork(at.Step())})
 	}
 }
 
@@ -196,13 +196,13 @@
 // has none.
 func (co *Controller) limit(j *state.Job, at types.Stage) time.Duration {
 	p := &j.Spec.Steps[at.Step()]
-	if p.Lasts {
+	if p.AlwaysRestart {
 		return 0
 	}
-	row, ok := co.state.Row(j.Queue)
-	own := time.Duration(p.Limit) * time.Millisecond
-	if ok && (own == 0 || own > row.Limit()) {
-		return row.Limit()
+	row, ok := co.state.QueueConfig(j.Queue)
+	own := time.Duration(p.TimeLimitMillis) * time.Millisecond
+	if ok && (own == 0 || own > row.TaskTimeout()) {
+		return row.TaskTimeout()
 	}
 	return own
 }
@@ -214,18 +214,18 @@
 	}
 	var list []state.WorkerShape
 	for _, s := range co.scheduler.Seats() {
-		x := state.WorkerShape{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Room: s.Room, Labels: s.Labels, Invoked: s.Invoked}
-		y, ok := co.state.Shapes[s.Shard]
+		x := state.WorkerShape{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Resources: s.Room, Labels: s.Labels, CalledByAgent: s.Invoked}
+		y, ok := co.state.WorkerShapes[s.Shard]
 		if s.Room.Cores == 0 && ok {
 			continue // an agent that has not heard its worker yet
 		}
-		if s.State != dispatch.New && (!ok || y.Rack != x.Rack || y.Room != x.Room || y.Invoked != x.Invoked ||
+		if s.State != dispatch.New && (!ok || y.Rack != x.Rack || y.Resources != x.Resources || y.CalledByAgent != x.CalledByAgent ||
 			!slices.Equal(y.Kinds, x.Kinds) || !slices.Equal(y.Labels, x.Labels)) {
 			list = append(list, x)
 		}
 	}
 	if list != nil {
-		co.shaped, _ = co.fact(state.Command{Shapes: list})
+		co.shaped, _ = co.fact(state.Command{WorkerShapes: list})
 	}
 }
 
@@ -242,8 +242,8 @@
 		if offs[i+1]-offs[i] > near {
 			continue
 		}
-		if d := offs[i] - co.state.Off; d > astray || d < -astray {
-			co.fact(state.Command{Off: &offs[i]})
+		if d := offs[i] - co.state.WallOffset; d > astray || d < -astray {
+			co.fact(state.Command{WallOffset: &offs[i]})
 		}
 		return
 	}
--- a/internal/controller/reads.go
+++ b/internal/controller/reads.go
@@ -30,7 +30,7 @@
 		co.good(w, 200, v)
 		return
 	}
-	co.bad(w, apierror.New(apierror.NoJob, "id", "no such job"))
+	co.bad(w, apierror.New(apierror.NoSuchJob, "id", "no such job"))
 }
 
 // answer gives the reads whose ends are in the log by now.
--- a/internal/controller/slots.go
+++ b/internal/controller/slots.go
@@ -14,11 +14,11 @@
 // occupancy is what possibly runs on one worker.
 type occupancy struct {
 	revision uint64 // of the scheduler's list that it was summed up from
-	used     types.Room
+	used     types.Resources
 	busy     int
-	has      map[placement.Part]int
-	latest   types.Stamp // when the last of what has a time limit reaches it
-	endless  bool        // something has none
+	has      map[placement.TaskGroup]int
+	latest   types.MonoTime // when the last of what has a time limit reaches it
+	endless  bool           // something has none
 }
 
 // slotCache keeps occupancies, and the memory of the last round's list.
@@ -36,7 +36,7 @@
 
 // list gives the workers that may be given work, and all cores there are. The list
 // holds until the next one is made.
-func (sc *slotCache) list(h *Controller) (slots []placement.Slot, total types.Cores) {
+func (sc *slotCache) list(h *Controller) (slots []placement.Slot, total types.MilliCores) {
 	if sc.kept == nil {
 		sc.kept, sc.at = map[types.Shard]*occupancy{}, map[types.Shard]int{}
 	}
@@ -55,8 +55,8 @@
 	sc.last = slots
 	for _, given := range h.given {
 		if i, ok := sc.at[given.Shard]; ok {
-			part := placement.Part{Job: given.Attempt.Job, Stage: types.StageOf(given.Attempt.N)}
-			slots[i].Add(part, h.roomOf(part))
+			part := placement.TaskGroup{Job: given.ID.Job, Stage: types.StageOf(given.ID.Number)}
+			slots[i].Assign(part, h.roomOf(part))
 		}
 	}
 	return
@@ -65,16 +65,16 @@
 // slot is one worker with what runs there.
 func (co *Controller) slot(s *dispatch.WorkerEntry, runs *occupancy, till time.Duration) placement.Slot {
 	return placement.Slot{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Labels: s.Labels,
-		Free: s.Room.Minus(s.Lacks).Minus(runs.used), Size: s.Room, Till: till, Clear: runs.rest(co.now.Mono),
-		Bad: s.Worth.Bad, Slow: s.Worth.Slow, Now: co.scheduler.Slow(s), Busy: runs.busy, Has: runs.has}
+		Free: s.Room.Sub(s.Lacks).Sub(runs.used), Capacity: s.Room, AvailableFor: till, IdleIn: runs.rest(co.now.Mono),
+		FailureRate: s.Worth.Bad, DurationFactor: s.Worth.Slow, CurrentDurationFactor: co.scheduler.Slow(s), RunningTasks: runs.busy, TasksByGroup: runs.has}
 }
 
 // roomOf is what a task of a part takes, or nothing if its job is over.
-func (co *Controller) roomOf(p placement.Part) types.Room {
-	if j := co.state.Jobs[p.Job]; j != nil && !j.Over() {
-		return j.Spec.Steps[p.Stage.Step()].Room
+func (co *Controller) roomOf(p placement.TaskGroup) types.Resources {
+	if j := co.state.Jobs[p.Job]; j != nil && !j.Ended() {
+		return j.Spec.Steps[p.Stage.Step()].Resources
 	}
-	return types.Room{}
+	return types.Resources{}
 }
 
 // of gives what runs on a worker.
@@ -83,7 +83,7 @@
 	if runs := sc.kept[shard]; runs != nil && runs.revision == revision {
 		return runs
 	}
-	runs := &occupancy{revision: revision, has: make(map[placement.Part]int, len(attempts))}
+	runs := &occupancy{revision: revision, has: make(map[placement.TaskGroup]int, len(attempts))}
 	for _, o := range attempts {
 		runs.add(o, h.freed[o.Attempt])
 	}
@@ -95,7 +95,7 @@
 // the spread of its step until its end is committed.
 func (oc *occupancy) add(o *dispatch.Hold, freed bool) {
 	if !freed {
-		oc.used = oc.used.Plus(o.Room)
+		oc.used = oc.used.Add(o.Room)
 		oc.busy++
 	}
 	if o.Limit == 0 {
@@ -104,12 +104,12 @@
 		oc.latest = max(oc.latest, o.At.Add(o.Limit))
 	}
 	if o.Stage >= 0 {
-		oc.has[placement.Part{Job: o.Attempt.Job, Stage: o.Stage}]++
+		oc.has[placement.TaskGroup{Job: o.Attempt.Job, Stage: o.Stage}]++
 	}
 }
 
 // rest is by when all that runs there has ended, by its limits.
-func (oc *occupancy) rest(now types.Stamp) time.Duration {
+func (oc *occupancy) rest(now types.MonoTime) time.Duration {
 	rest := max(0, oc.latest.Sub(now))
 	if oc.endless {
 		rest = max(rest, endlessRest)
--- a/internal/controller/slots_test.go
+++ b/internal/controller/slots_test.go
@@ -19,7 +19,7 @@
 
 // slotsAfresh is the full scan over all workers and all attempts that slotCache must
 // agree with.
-func slotsAfresh(h *Controller) (list []placement.Slot, total types.Cores) {
+func slotsAfresh(h *Controller) (list []placement.Slot, total types.MilliCores) {
 	at := map[types.Shard]int{}
 	for _, s := range h.scheduler.Seats() {
 		if s.State != dispatch.Healthy {
@@ -28,18 +28,18 @@
 		total += s.Room.Cores
 		if till, _, _ := h.till(s); !s.Leaving && s.Healthy {
 			at[s.Shard] = len(list)
-			list = append(list, placement.Slot{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Labels: s.Labels, Free: s.Room.Minus(s.Lacks), Size: s.Room, Till: till,
-				Bad: s.Worth.Bad, Slow: s.Worth.Slow, Now: h.scheduler.Slow(s), Has: map[placement.Part]int{}})
+			list = append(list, placement.Slot{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Labels: s.Labels, Free: s.Room.Sub(s.Lacks), Capacity: s.Room, AvailableFor: till,
+				FailureRate: s.Worth.Bad, DurationFactor: s.Worth.Slow, CurrentDurationFactor: h.scheduler.Slow(s), TasksByGroup: map[placement.TaskGroup]int{}})
 		}
 	}
 	for _, g := range h.given {
 		if i, ok := at[g.Shard]; ok {
-			stage := types.StageOf(g.Attempt.N)
-			if j := h.state.Jobs[g.Attempt.Job]; j != nil && !j.Over() {
-				list[i].Free = list[i].Free.Minus(j.Spec.Steps[stage.Step()].Room)
+			stage := types.StageOf(g.ID.Number)
+			if j := h.state.Jobs[g.ID.Job]; j != nil && !j.Ended() {
+				list[i].Free = list[i].Free.Sub(j.Spec.Steps[stage.Step()].Resources)
 			}
-			list[i].Busy++
-			list[i].Has[placement.Part{Job: g.Attempt.Job, Stage: stage}]++
+			list[i].RunningTasks++
+			list[i].TasksByGroup[placement.TaskGroup{Job: g.ID.Job, Stage: stage}]++
 		}
 	}
 	for _, o := range h.scheduler.Holds() {
@@ -49,16 +49,16 @@
 		}
 		x := &list[i]
 		if !h.freed[o.Attempt] {
-			x.Free = x.Free.Minus(o.Room)
-			x.Busy++
+			x.Free = x.Free.Sub(o.Room)
+			x.RunningTasks++
 		}
 		left := time.Hour
 		if o.Limit != 0 {
 			left = max(0, o.Limit-h.now.Mono.Sub(o.At))
 		}
-		x.Clear = max(x.Clear, left)
+		x.IdleIn = max(x.IdleIn, left)
 		if o.Stage >= 0 {
-			x.Has[placement.Part{Job: o.Attempt.Job, Stage: o.Stage}]++
+			x.TasksByGroup[placement.TaskGroup{Job: o.Attempt.Job, Stage: o.Stage}]++
 		}
 	}
 	return
@@ -71,27 +71,27 @@
 	rnd    *rand.Rand
 	agents []dispatch.Heartbeat
 	next   int
-	out    []types.Attempt
+	out    []types.AttemptID
 }
 
 func newLeadership(seed int64) *leadership {
 	rnd := rand.New(rand.NewSource(seed))
-	now := types.Now{Mono: types.Stamp(time.Hour), Wall: types.Wall(time.Hour)}
+	now := types.Now{Mono: types.MonoTime(time.Hour), Wall: types.WallTime(time.Hour)}
 	h := New(now, rnd, Options{Addr: "h1", Core: raft.Defaults, Truth: dispatch.Defaults}, nil)
 	l := &leadership{Controller: h, rnd: rnd}
 	h.scheduler = dispatch.NewScheduler(now.Mono, now.Mono, dispatch.Defaults, "h1", 1, nil)
 	h.scheduler.Invoked = func(types.Shard) bool { return true }
 	h.scheduler.Apart = func(types.Shard) bool { return false }
-	h.scheduler.Taken, h.scheduler.Doubts = func(state.End) bool { return false }, func(types.Shard) []types.Attempt { return nil }
+	h.scheduler.Taken, h.scheduler.Doubts = func(state.AttemptEnd) bool { return false }, func(types.Shard) []types.AttemptID { return nil }
 	for i := range 5 {
 		id := types.JobID(fmt.Sprint("job-", i))
-		h.state.Jobs[id] = &state.Job{ID: id, State: state.Open, Spec: &state.Spec{Steps: []state.Step{
-			{Name: "a", Room: types.Room{Cores: 1500, Memory: 100}}, {Name: "b", Room: types.Room{Cores: 500, Memory: 900}}}}}
+		h.state.Jobs[id] = &state.Job{ID: id, Status: state.JobOpen, Spec: &state.Spec{Steps: []state.Step{
+			{Name: "a", Resources: types.Resources{Cores: 1500, MemoryMB: 100}}, {Name: "b", Resources: types.Resources{Cores: 500, MemoryMB: 900}}}}}
 	}
 	for i := range 6 {
 		shard := types.Shard(fmt.Sprint("k", i))
 		l.agents = append(l.agents, dispatch.Heartbeat{Shard: shard, ID: types.ID("agent-" + shard), Report: dispatch.Report{Rack: "r1",
-			Kinds: []types.Kind{"x"}, Room: types.Room{Cores: 16_000, Memory: 32_000}, Healthy: true, Invoked: true}})
+			Kinds: []types.ServiceKind{"x"}, Room: types.Resources{Cores: 16_000, MemoryMB: 32_000}, Healthy: true, Invoked: true}})
 	}
 	for range 4 { // until all agree on the worker set
 		for i := range l.agents {
@@ -102,7 +102,7 @@
 }
 
 func (l *leadership) pass(d time.Duration) {
-	l.now.Mono, l.now.Wall = l.now.Mono.Add(d), l.now.Wall+types.Wall(d)
+	l.now.Mono, l.now.Wall = l.now.Mono.Add(d), l.now.Wall+types.WallTime(d)
 	l.scheduler.Tick(l.now.Mono, time.Minute)
 }
 
@@ -131,12 +131,12 @@
 
 // change does something at random that placement must take note of.
 func (l *leadership) change() {
-	attempt := types.Attempt{Task: types.Task{Job: types.JobID(fmt.Sprint("job-", l.rnd.Intn(6))), N: types.No(0, l.rnd.Intn(2), l.rnd.Intn(8))}, Attempt: l.next}
+	attempt := types.AttemptID{TaskID: types.TaskID{Job: types.JobID(fmt.Sprint("job-", l.rnd.Intn(6))), Number: types.TaskNumber(0, l.rnd.Intn(2), l.rnd.Intn(8))}, Attempt: l.next}
 	shard := l.agents[l.rnd.Intn(len(l.agents))].Shard
 	l.next++
 	switch i := l.rnd.Intn(len(l.agents)); l.rnd.Intn(10) {
 	case 0, 1, 2:
-		l.scheduler.Order(shard, types.StageOf(attempt.N), "u", dispatch.Job{Attempt: attempt, Room: types.Room{Cores: types.Cores(l.rnd.Intn(3000)), Memory: l.rnd.Intn(2000)},
+		l.scheduler.Order(shard, types.StageOf(attempt.Number), "u", dispatch.Job{Attempt: attempt, Room: types.Resources{Cores: types.MilliCores(l.rnd.Intn(3000)), MemoryMB: l.rnd.Intn(2000)},
 			Limit: l.rnd.Intn(3) * 1000})
 		l.out = append(l.out, attempt)
 	case 3, 4:
@@ -146,12 +146,12 @@
 			l.free(l.out[l.rnd.Intn(len(l.out))])
 		}
 	case 6:
-		l.given[attempt.Task] = state.Assignment{Attempt: attempt, Shard: shard}
+		l.given[attempt.TaskID] = state.Assignment{ID: attempt, Shard: shard}
 	case 7:
 		clear(l.given)
 	case 8:
 		b := &l.agents[i]
-		b.Room.Cores, b.Lacks.Cores, b.Leaving, b.Healthy = types.Cores(l.rnd.Intn(20_000)), types.Cores(l.rnd.Intn(500)), l.rnd.Intn(5) == 0, l.rnd.Intn(5) > 0
+		b.Room.Cores, b.Lacks.Cores, b.Leaving, b.Healthy = types.MilliCores(l.rnd.Intn(20_000)), types.MilliCores(l.rnd.Intn(500)), l.rnd.Intn(5) == 0, l.rnd.Intn(5) > 0
 		l.beat(i)
 	default:
 		if l.rnd.Intn(20) == 0 { // another agent process, before which the account is unknown
@@ -168,9 +168,9 @@
 func (l *leadership) settleSome() {
 	l.rnd.Shuffle(len(l.out), func(i, k int) { l.out[i], l.out[k] = l.out[k], l.out[i] })
 	n := min(len(l.out), l.rnd.Intn(4))
-	var ends []state.End
+	var ends []state.AttemptEnd
 	for _, attempt := range l.out[:n] {
-		ends = append(ends, state.End{Attempt: attempt, Outcome: state.OK})
+		ends = append(ends, state.AttemptEnd{ID: attempt, Outcome: state.OutcomeOK})
 	}
 	l.out = l.out[n:]
 	l.scheduler.Settle(ends)
@@ -183,7 +183,7 @@
 func (l *leadership) counts(s *placement.Slot) (list []int) {
 	for job := range 6 {
 		for step := range 2 {
-			list = append(list, s.Count(placement.Part{Job: types.JobID(fmt.Sprint("job-", job)), Stage: types.StageOf(types.No(0, step, 0))}))
+			list = append(list, s.TaskCount(placement.TaskGroup{Job: types.JobID(fmt.Sprint("job-", job)), Stage: types.StageOf(types.TaskNumber(0, step, 0))}))
 		}
 	}
 	return
@@ -208,8 +208,8 @@
 			for i := range got {
 				is.Equal(l.counts(&got[i]), l.counts(&want[i]))
 				a, b := got[i], want[i]
-				is.Equal([]any{a.Shard, a.Rack, a.Kinds, a.Labels, a.Free, a.Size, a.Busy, a.Bad, a.Slow, a.Now, a.Till, a.Clear},
-					[]any{b.Shard, b.Rack, b.Kinds, b.Labels, b.Free, b.Size, b.Busy, b.Bad, b.Slow, b.Now, b.Till, b.Clear})
+				is.Equal([]any{a.Shard, a.Rack, a.Kinds, a.Labels, a.Free, a.Capacity, a.RunningTasks, a.FailureRate, a.DurationFactor, a.CurrentDurationFactor, a.AvailableFor, a.IdleIn},
+					[]any{b.Shard, b.Rack, b.Kinds, b.Labels, b.Free, b.Capacity, b.RunningTasks, b.FailureRate, b.DurationFactor, b.CurrentDurationFactor, b.AvailableFor, b.IdleIn})
 			}
 			healthy += len(got)
 			placed += len(l.placeBoth(is, got, want, total))
@@ -221,17 +221,17 @@
 }
 
 // placeBoth places the same wants on both lists of slots.
-func (l *leadership) placeBoth(is *is.I, got, want []placement.Slot, total types.Cores) []placement.Pick {
+func (l *leadership) placeBoth(is *is.I, got, want []placement.Slot, total types.MilliCores) []placement.Assignment {
 	input := func(slots []placement.Slot) placement.Input {
-		in := placement.Input{Slots: slots, Total: total, Dues: map[types.Queue]*placement.Due{"q": {}}}
-		in.Dues["q"].Row.Running, in.Dues["q"].Row.Weight = 100, 1
+		in := placement.Input{Slots: slots, TotalCores: total, Usage: map[types.QueueName]*placement.QueueUsage{"q": {}}}
+		in.Usage["q"].Queue.MaxRunning, in.Usage["q"].Queue.Weight = 100, 1
 		for job := range 3 {
-			in.Wants = append(in.Wants, placement.Want{Part: placement.Part{Job: types.JobID(fmt.Sprint("job-", job)), Stage: types.StageOf(types.No(0, 1, 0))}, Queue: "q", Kind: "x",
-				Room: types.Room{Cores: 1000 * types.Cores(1+job), Memory: 100}, Tasks: []int{8, 9, 10}, Spread: 2 * (job % 2), Long: time.Second, Gang: job == 2})
+			in.Requests = append(in.Requests, placement.Request{TaskGroup: placement.TaskGroup{Job: types.JobID(fmt.Sprint("job-", job)), Stage: types.StageOf(types.TaskNumber(0, 1, 0))}, Queue: "q", Kind: "x",
+				Resources: types.Resources{Cores: 1000 * types.MilliCores(1+job), MemoryMB: 100}, Tasks: []int{8, 9, 10}, MaxPerWorker: 2 * (job % 2), TimeLimit: time.Second, Gang: job == 2})
 		}
 		return in
 	}
 	a, b := placement.Place(input(got)), placement.Place(input(slices.Clone(want)))
 	is.Equal(a, b)
-	return a.Picks
+	return a.Assignments
 }
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -37,14 +37,14 @@
 	if co.loader != nil {
 		return
 	}
-	if !co.state.Shooting() {
+	if !co.state.SnapshotInProgress() {
 		if !co.compactionDue() {
 			return
 		}
 		co.since = co.applied
-		co.state.Begin()
+		co.state.BeginSnapshot()
 	}
-	if parts := co.state.Shoot(writePart); parts != nil {
+	if parts := co.state.ContinueSnapshot(writePart); parts != nil {
 		co.shot = sizeOf(parts)
 		co.raft.Compact(co.since, parts)
 	}
@@ -80,7 +80,7 @@
 	}
 	co.state, co.applied, co.since, co.loader = whole, co.loaded, co.loaded, nil
 	co.shot = sizeOf(co.raft.Snapshot().Parts)
-	co.raft.AdvanceClock(whole.Tick)
+	co.raft.AdvanceClock(whole.Time)
 	co.raft.Loading(false)
 }
 
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -15,18 +15,18 @@
 
 // JobView is a job as callers see it.
 type JobView struct {
-	ID        types.JobID  `json:"id"`
-	Queue     types.Queue  `json:"queue,omitempty"`
-	State     state.Stage  `json:"state"`
-	Fixed     state.Stage  `json:"outcome,omitempty"` // what it will end as, while the last legs are stopped
-	Why       string       `json:"reason,omitempty"`
-	Accepted  string       `json:"accepted_at,omitempty"`
-	Cancelled bool         `json:"cancel_accepted,omitempty"`
-	Tasks     int          `json:"tasks"`
-	Done      int          `json:"tasks_done"`
-	Running   int          `json:"tasks_running"`
-	Attempts  int          `json:"legs"`
-	List      []state.Task `json:"detail,omitempty"`
+	ID        types.JobID     `json:"id"`
+	Queue     types.QueueName `json:"queue,omitempty"`
+	State     state.JobStatus `json:"state"`
+	Fixed     state.JobStatus `json:"outcome,omitempty"` // what it will end as, while the last legs are stopped
+	Why       string          `json:"reason,omitempty"`
+	Accepted  string          `json:"accepted_at,omitempty"`
+	Cancelled bool            `json:"cancel_accepted,omitempty"`
+	Tasks     int             `json:"tasks"`
+	Done      int             `json:"tasks_done"`
+	Running   int             `json:"tasks_running"`
+	Attempts  int             `json:"legs"`
+	List      []state.Task    `json:"detail,omitempty"`
 }
 
 // View shows a job, or nil.
@@ -35,16 +35,16 @@
 	if j == nil {
 		return nil
 	}
-	v := &JobView{ID: j.ID, Queue: j.Queue, State: j.State, Why: j.Why, Cancelled: j.Halt, Tasks: j.Size, Done: j.Fine,
-		Attempts: j.Attempts}
-	if j.State == state.Ending && j.Fine == j.Size {
-		v.Fixed = state.Done
+	v := &JobView{ID: j.ID, Queue: j.Queue, State: j.Status, Why: j.Reason, Cancelled: j.CancelRequested, Tasks: j.TaskCount, Done: j.DoneTasks,
+		Attempts: j.AttemptCount}
+	if j.Status == state.JobEnding && j.DoneTasks == j.TaskCount {
+		v.Fixed = state.JobDone
 	}
-	if j.Wall != 0 {
-		v.Accepted = time.Unix(0, int64(j.Wall)).UTC().Format(time.RFC3339Nano)
+	if j.AcceptedWallTime != 0 {
+		v.Accepted = time.Unix(0, int64(j.AcceptedWallTime)).UTC().Format(time.RFC3339Nano)
 	}
 	for i := range j.Tasks {
-		v.Running += len(j.Tasks[i].Outs())
+		v.Running += len(j.Tasks[i].Outstanding())
 	}
 	if len(j.Tasks) <= 200 {
 		v.List = append([]state.Task(nil), j.Tasks...)
@@ -54,39 +54,39 @@
 
 // QueueView is a queue's row beside what is in it.
 type QueueView struct {
-	Name    types.Queue `json:"name"`
-	Weight  int         `json:"weight"`
-	Share   int         `json:"share"`
-	Jobs    int         `json:"jobs_unfinished"`
-	Limit   int         `json:"jobs_limit"`
-	Running int         `json:"tasks_running"`
-	Cores   types.Cores `json:"cores_in_use"`
-	Ready   int         `json:"tasks_waiting_for_room"`
-	Oldest  int64       `json:"oldest_job_ms"`
-	state.Counts
+	Name    types.QueueName  `json:"name"`
+	Weight  int              `json:"weight"`
+	Share   int              `json:"share"`
+	Jobs    int              `json:"jobs_unfinished"`
+	Limit   int              `json:"jobs_limit"`
+	Running int              `json:"tasks_running"`
+	Cores   types.MilliCores `json:"cores_in_use"`
+	Ready   int              `json:"tasks_waiting_for_room"`
+	Oldest  int64            `json:"oldest_job_ms"`
+	state.QueueCounts
 }
 
 // Queues lists them in the table's order.
 func (co *Controller) Queues() (list []QueueView) {
 	wants, dues := co.wants()
-	ready, oldest := map[types.Queue]int{}, map[types.Queue]types.Tick{}
+	ready, oldest := map[types.QueueName]int{}, map[types.QueueName]types.ClusterTime{}
 	for _, w := range wants {
 		ready[w.Queue] += len(w.Tasks)
 	}
-	for _, j := range co.state.Live() {
+	for _, j := range co.state.LiveJobs() {
 		if _, ok := oldest[j.Queue]; !ok {
-			oldest[j.Queue] = j.At
+			oldest[j.Queue] = j.AcceptedAt
 		}
 	}
 	list = []QueueView{}
-	for _, r := range co.state.Table.Rows {
-		v := QueueView{Name: r.Name, Weight: r.Weight, Share: r.Share, Jobs: co.state.Held(r.Name), Limit: r.Waiting,
-			Running: dues[r.Name].Running, Cores: dues[r.Name].Cores, Ready: ready[r.Name]}
+	for _, r := range co.state.Table.Queues {
+		v := QueueView{Name: r.Name, Weight: r.Weight, Share: r.SharePercent, Jobs: co.state.UnfinishedJobs(r.Name), Limit: r.MaxUnfinished,
+			Running: dues[r.Name].RunningTasks, Cores: dues[r.Name].CoresInUse, Ready: ready[r.Name]}
 		if at, ok := oldest[r.Name]; ok {
 			v.Oldest = co.raft.Clock().Sub(at).Milliseconds()
 		}
-		if c := co.state.Count[r.Name]; c != nil {
-			v.Counts = *c
+		if c := co.state.QueueCounts[r.Name]; c != nil {
+			v.QueueCounts = *c
 		}
 		list = append(list, v)
 	}
@@ -102,10 +102,10 @@
 	ForMS   int64           `json:"for_ms"`
 	QuietMS int64           `json:"quiet_ms"`
 	dispatch.Report
-	Free     types.Room `json:"free"`
-	Attempts int        `json:"legs"`
-	Bad      float64    `json:"bad_ends"`
-	Slow     float64    `json:"slowness"`
+	Free     types.Resources `json:"free"`
+	Attempts int             `json:"legs"`
+	Bad      float64         `json:"bad_ends"`
+	Slow     float64         `json:"slowness"`
 }
 
 func (co *Controller) Workers() (list []WorkerView) {
@@ -154,9 +154,9 @@
 	c := co.raft
 	v := StatusView{Role: "controller", Program: co.options.Issue, ID: c.ID(), Cluster: c.Name(), Part: c.Role(), Why: c.Reason(),
 		Ready: co.Ready(), Term: c.Term(), Leader: c.Leader(), Commit: c.Commit(), Roll: c.Config(), Version: co.state.Table.Version,
-		Jobs: len(co.state.Live()), Known: len(co.state.Jobs) + co.state.Tombstones(), Peers: co.roster.Peers(), Sums: co.Sums,
+		Jobs: len(co.state.LiveJobs()), Known: len(co.state.Jobs) + co.state.TombstoneCount(), Peers: co.roster.Peers(), Sums: co.Sums,
 		Behind: co.overload.isBehind, LagMS: co.overload.load.Control.Milliseconds(),
-		Wall: time.Unix(0, int64(co.raft.Clock())+int64(co.state.Off)).UTC().Format(time.RFC3339Nano)}
+		Wall: time.Unix(0, int64(co.raft.Clock())+int64(co.state.WallOffset)).UTC().Format(time.RFC3339Nano)}
 	if co.scheduler != nil && co.scheduler.Wait {
 		v.Wait = co.scheduler.Why
 	}
--- a/internal/controller/windows.go
+++ b/internal/controller/windows.go
@@ -22,20 +22,20 @@
 
 // till tells how long a seat may still run something, 0 for without end, and
 // when all there must be gone, if it must.
-func (co *Controller) till(s *dispatch.WorkerEntry) (left time.Duration, by types.Stamp, why state.Why) {
+func (co *Controller) till(s *dispatch.WorkerEntry) (left time.Duration, by types.MonoTime, why state.WithdrawReason) {
 	now := co.raft.Clock()
 	if s.Leaving {
-		left, why = time.Nanosecond, state.Leaves
+		left, why = time.Nanosecond, state.WorkerLeaving
 		if s.LeaveMS > 0 {
 			by = s.Goes
 		}
 	}
-	if w, ok := co.state.Window(s.Shard, s.Rack, now); ok {
+	if w, ok := co.state.NextWindow(s.Shard, s.Rack, now); ok {
 		if d := max(time.Nanosecond, w.From.Sub(now)-co.options.Truth.Grant); left == 0 || d < left { // an order may lie so long
 			left = d
 		}
-		if at := co.now.Mono.Add(w.By.Sub(now)); w.By != 0 && (by == 0 || at < by) {
-			by, why = at, w.Why
+		if at := co.now.Mono.Add(w.Deadline.Sub(now)); w.Deadline != 0 && (by == 0 || at < by) {
+			by, why = at, w.Reason
 		}
 	}
 	return
@@ -48,11 +48,11 @@
 // check is something that is done at most once in each interval.
 type check struct {
 	done bool
-	at   types.Stamp
+	at   types.MonoTime
 }
 
 // due tells whether it is time, and if so takes it as done.
-func (c *check) due(now types.Stamp) bool {
+func (c *check) due(now types.MonoTime) bool {
 	if c.done && now.Sub(c.at) < checkInterval {
 		return false
 	}
@@ -62,7 +62,7 @@
 
 // reviewAttempts gives the attempts to be taken back now, and the second attempts that are
 // wanted.
-func (co *Controller) reviewAttempts() (backs []state.Back, copies []placement.Want) {
+func (co *Controller) reviewAttempts() (backs []state.Withdrawal, copies []placement.Request) {
 	if !co.checks.due(co.now.Mono) {
 		return nil, nil
 	}
@@ -71,46 +71,46 @@
 }
 
 // recall lists the attempts to be taken back now.
-func (co *Controller) recall(holds []*dispatch.Hold) (list []state.Back) {
-	gone := map[types.Shard]state.Why{}
+func (co *Controller) recall(holds []*dispatch.Hold) (list []state.Withdrawal) {
+	gone := map[types.Shard]state.WithdrawReason{}
 	for _, s := range co.scheduler.Seats() {
 		if _, by, why := co.till(s); by != 0 && by.Sub(co.now.Mono) < ahead {
 			gone[s.Shard] = why
 		}
 	}
-	left := map[placement.Part]bool{}
+	left := map[placement.TaskGroup]bool{}
 	for _, o := range co.scheduler.Missing() {
-		if j := co.state.Jobs[o.Attempt.Job]; j != nil && j.State == state.Open && j.Spec.Steps[o.Stage.Step()].Gang {
-			left[placement.Part{Job: o.Attempt.Job, Stage: o.Stage}] = true
+		if j := co.state.Jobs[o.Attempt.Job]; j != nil && j.Status == state.JobOpen && j.Spec.Steps[o.Stage.Step()].Gang {
+			left[placement.TaskGroup{Job: o.Attempt.Job, Stage: o.Stage}] = true
 		}
 	}
 	for _, o := range holds {
 		why := gone[o.Shard]
-		if why == "" && left[placement.Part{Job: o.Attempt.Job, Stage: o.Stage}] {
-			why = state.Alone
+		if why == "" && left[placement.TaskGroup{Job: o.Attempt.Job, Stage: o.Stage}] {
+			why = state.GangPeerUnreachable
 		}
 		if why == "" && (co.stalled(o) || co.crawls(o)) {
-			why = state.Stalled
+			why = state.Straggling
 		}
 		if why != "" && co.mayTake(o.Attempt) {
-			list = append(list, state.Back{Attempt: o.Attempt, Why: why})
+			list = append(list, state.Withdrawal{ID: o.Attempt, Reason: why})
 		}
 	}
 	return
 }
 
 // mayTake tells whether an attempt is out and not yet being taken back.
-func (co *Controller) mayTake(l types.Attempt) bool {
+func (co *Controller) mayTake(l types.AttemptID) bool {
 	j := co.state.Jobs[l.Job]
-	if j == nil || j.State != state.Open {
+	if j == nil || j.Status != state.JobOpen {
 		return false
 	}
-	t := j.Task(l.N)
+	t := j.Task(l.Number)
 	if t == nil {
 		return false
 	}
-	o := t.On(l.Attempt)
-	return o != nil && o.Back == ""
+	o := t.FindOutstanding(l.Attempt)
+	return o != nil && o.Withdrawn == ""
 }
 
 // stalled tells an attempt far beyond its step's usual time, once for a task.
@@ -120,11 +120,11 @@
 	if !ok || j == nil {
 		return false
 	}
-	if t := j.Task(o.Attempt.N); t == nil || t.Shun != "" || j.Spec.Steps[o.Stage.Step()].Lasts {
+	if t := j.Task(o.Attempt.Number); t == nil || t.AvoidWorker != "" || j.Spec.Steps[o.Stage.Step()].AlwaysRestart {
 		return false
 	}
-	row, _ := co.state.Row(j.Queue)
-	return row.Stall > 0 && co.now.Mono.Sub(o.At) > max(briefs, time.Duration(row.Stall)*u)
+	row, _ := co.state.QueueConfig(j.Queue)
+	return row.StragglerFactor > 0 && co.now.Mono.Sub(o.At) > max(briefs, time.Duration(row.StragglerFactor)*u)
 }
 
 // crawls tells an attempt that will take so much longer where it is that it had better
@@ -137,8 +137,8 @@
 		return false
 	}
 	p := &j.Spec.Steps[o.Stage.Step()]
-	t := j.Task(o.Attempt.N)
-	if t == nil || t.Shun != "" || p.Lasts || p.Copies && !p.Gang {
+	t := j.Task(o.Attempt.Number)
+	if t == nil || t.AvoidWorker != "" || p.AlwaysRestart || p.AllowHedge && !p.Gang {
 		return false
 	}
 	usual := co.expect(j, o.Stage.Step())
@@ -147,16 +147,16 @@
 
 // overtime lists the attempts that run longer than the table in force allows; each was
 // told its limit with its order, but the table may have changed since.
-func (co *Controller) overtime() (list []types.Attempt) {
+func (co *Controller) overtime() (list []types.AttemptID) {
 	if !co.limits.due(co.now.Mono) {
 		return nil
 	}
 	for _, o := range co.scheduler.Holds() {
 		j := co.state.Jobs[o.Attempt.Job]
-		if j == nil || j.Over() || o.Limit == 0 {
+		if j == nil || j.Ended() || o.Limit == 0 {
 			continue
 		}
-		if row, ok := co.state.Row(j.Queue); ok && co.now.Mono.Sub(o.At) > row.Limit() && row.Limit() < o.Limit {
+		if row, ok := co.state.QueueConfig(j.Queue); ok && co.now.Mono.Sub(o.At) > row.TaskTimeout() && row.TaskTimeout() < o.Limit {
 			list = append(list, o.Attempt)
 		}
 	}
--- a/internal/dispatch/caller.go
+++ b/internal/dispatch/caller.go
@@ -33,12 +33,12 @@
 // flight is a call that has no reply yet.
 type flight struct {
 	wire.WorkerCall
-	at types.Stamp
+	at types.MonoTime
 }
 
 // ending is an end that the worker still lists.
 type ending struct {
-	attempt types.Attempt
+	attempt types.AttemptID
 	settled bool
 }
 
@@ -49,9 +49,9 @@
 	seq   uint64
 	past  map[types.ID]bool
 	heir  *wire.WorkerBeat // another process, until this one is known to be over, or to live
-	came  types.Stamp      // when that one beat
+	came  types.MonoTime   // when that one beat
 	clock int64            // the worker's, as of got or a little before
-	got   types.Stamp
+	got   types.MonoTime
 	until int64 // the highest end of a lease that was sent
 	fence uint64
 	firm  bool // the fence is above all that an earlier agent sent
@@ -59,20 +59,20 @@
 	open  map[uint64]*flight
 	hold  uint64 // the hold that waits for an end, or 0
 	query uint64 // the hold that settles what is unsure, or 0
-	next  types.Stamp
+	next  types.MonoTime
 	read  int64 // the clock of the newest list of runs heeded
 	seen  uint64
-	sick  types.Stamp // until then it is not given work
-	mute  bool        // it has said nothing since a call that got no reply
+	sick  types.MonoTime // until then it is not given work
+	mute  bool           // it has said nothing since a call that got no reply
 	ends  map[uint64]*ending
 	calls []wire.WorkerCall
 	Sums  CallSums
 
 	departing bool // it deregistered without a drain, and runs on for a while
 
-	proven  types.Room    // what ran there when it last turned a start away for want of room, or since
-	tight   types.Stamp   // until then it is believed to hold no more than that,
-	backoff time.Duration // for so long after each such refusal
+	proven  types.Resources // what ran there when it last turned a start away for want of room, or since
+	tight   types.MonoTime  // until then it is believed to hold no more than that,
+	backoff time.Duration   // for so long after each such refusal
 }
 
 // CallSums are counters since start.
@@ -96,7 +96,7 @@
 // Beat takes what the worker tells of itself. A process that is over is not
 // heard; another one waits until the present one is known to be over. If that
 // still answers, the beat was late, of a process before it.
-func (ex *Executor) Beat(now types.Stamp, b wire.WorkerBeat) {
+func (ex *Executor) Beat(now types.MonoTime, b wire.WorkerBeat) {
 	ex.now = now
 	if ex.caller == nil {
 		ex.caller = &Caller{past: map[types.ID]bool{}, open: map[uint64]*flight{}, ends: map[uint64]*ending{}}
@@ -120,7 +120,7 @@
 // draining ends now, all that it ran with it. Any other runs on for a while: it is
 // draining from now on, whatever late beats of it say, and is over only when its
 // lease has run out or another process answers in its place.
-func (ex *Executor) Leave(now types.Stamp, life types.ID) {
+func (ex *Executor) Leave(now types.MonoTime, life types.ID) {
 	ex.now = now
 	if ex.caller == nil || ex.caller.life != life {
 		return
@@ -188,7 +188,7 @@
 	clear(c.ends)
 	for _, l := range ex.sorted() {
 		if l.part != ended {
-			ex.finish(l, state.Gone)
+			ex.finish(l, state.OutcomeWorkerExited)
 		}
 		if l.settled {
 			ex.forget(l.job.Attempt)
@@ -225,20 +225,20 @@
 }
 
 // used is the room that what runs there takes.
-func (ex *Executor) used() (r types.Room) {
+func (ex *Executor) used() (r types.Resources) {
 	for _, l := range ex.attempts {
 		if l.part == going || l.part == halting {
-			r = r.Plus(l.job.Room)
+			r = r.Add(l.job.Room)
 		}
 	}
 	return
 }
 
 // lacks is how much less room the worker is believed to have than it tells.
-func (ex *Executor) lacks() (r types.Room) {
+func (ex *Executor) lacks() (r types.Resources) {
 	if c := ex.caller; c != nil && ex.now < c.tight {
-		r = ex.rep.Room.Minus(c.proven)
-		r = types.Room{Cores: max(0, r.Cores), Memory: max(0, r.Memory), Accel: max(0, r.Accel)}
+		r = ex.rep.Room.Sub(c.proven)
+		r = types.Resources{Cores: max(0, r.Cores), MemoryMB: max(0, r.MemoryMB), Accelerators: max(0, r.Accelerators)}
 	}
 	return
 }
@@ -251,7 +251,7 @@
 }
 
 // reads is what the worker's clock reads at a time, at the least.
-func (c *Caller) reads(now types.Stamp) int64 {
+func (c *Caller) reads(now types.MonoTime) int64 {
 	return c.clock + int64(slowest*float64(now.Sub(c.got).Milliseconds()))
 }
 
--- a/internal/dispatch/caller_ends_test.go
+++ b/internal/dispatch/caller_ends_test.go
@@ -19,7 +19,7 @@
 		was := r.hand.Lease().Sums.Holds
 		r.give(attempt("a", i+1), `{"ms":200}`)
 		r.pass(400 * ms)
-		is.Equal(r.log[attempt("a", i+1)], state.OK)
+		is.Equal(r.log[attempt("a", i+1)], state.OutcomeOK)
 		is.True(r.hand.Lease().Sums.Holds <= was+2) // the one that waits may run out besides
 	}
 }
@@ -30,7 +30,7 @@
 	is, r := is.New(t), ready(t, 16)
 	const n = 620
 	for i := range n {
-		l := types.Attempt{Task: types.Task{Job: "a", N: i}, Attempt: 1}
+		l := types.AttemptID{TaskID: types.TaskID{Job: "a", Number: i}, Attempt: 1}
 		r.out[l] = true
 		r.worker.Do(wire.WorkerCall{Kind: wire.Start, Life: r.worker.ID, Attempt: l, Work: []byte(`{"ms":5}`), Until: r.worker.Clock() + 3000,
 			Fence: r.hand.Lease().Fence}, func(wire.WorkerReply) {})
@@ -40,6 +40,6 @@
 	r.pass(6 * time.Second)
 	is.Equal(len(r.log), n)
 	for _, f := range r.log {
-		is.Equal(f, state.OK)
+		is.Equal(f, state.OutcomeOK)
 	}
 }
--- a/internal/dispatch/caller_test.go
+++ b/internal/dispatch/caller_test.go
@@ -32,7 +32,7 @@
 	is, r := is.New(t), ready(t, 1)
 	r.give(attempt("a", 1), short)
 	r.pass(time.Second)
-	is.Equal(r.log[attempt("a", 1)], state.OK)
+	is.Equal(r.log[attempt("a", 1)], state.OutcomeOK)
 	is.True(r.noted[attempt("a", 1)])
 	is.Equal(len(r.hand.View().Attempts), 0)
 }
@@ -45,13 +45,13 @@
 		lag     time.Duration
 		outcome state.Outcome
 	}{
-		{lost, 0, state.Unrun},
-		{unsaid, 0, state.OK},
-		{late, 200 * ms, state.OK}, // before the query
-		{late, 300 * ms, state.Unrun},
-		{late, 900 * ms, state.Unrun},
-		{late, 1500 * ms, state.Unrun},
-		{late, 3 * time.Second, state.Unrun},
+		{lost, 0, state.OutcomeNeverRan},
+		{unsaid, 0, state.OutcomeOK},
+		{late, 200 * ms, state.OutcomeOK}, // before the query
+		{late, 300 * ms, state.OutcomeNeverRan},
+		{late, 900 * ms, state.OutcomeNeverRan},
+		{late, 1500 * ms, state.OutcomeNeverRan},
+		{late, 3 * time.Second, state.OutcomeNeverRan},
 	} {
 		is, r := is.New(t), ready(t, 2)
 		r.lag = func() time.Duration { return c.lag }
@@ -59,8 +59,8 @@
 		r.give(attempt("a", 1), short)
 		r.pass(6 * time.Second)
 		is.Equal(r.log[attempt("a", 1)], c.outcome)
-		is.Equal(r.began[attempt("a", 1)] > 0, c.outcome == state.OK)
-		is.Equal(r.noted[attempt("a", 1)], c.outcome == state.OK)
+		is.Equal(r.began[attempt("a", 1)] > 0, c.outcome == state.OutcomeOK)
+		is.Equal(r.noted[attempt("a", 1)], c.outcome == state.OutcomeOK)
 	}
 }
 
@@ -132,7 +132,7 @@
 	r.slow = 0
 	r.pass(1500 * ms)
 	is.Equal(len(r.log), 0)
-	for _, l := range []types.Attempt{attempt("a", 1), attempt("b", 1), attempt("c", 1)} {
+	for _, l := range []types.AttemptID{attempt("a", 1), attempt("b", 1), attempt("c", 1)} {
 		p, _ := r.part(l)
 		is.Equal(p, "running")
 	}
@@ -153,10 +153,10 @@
 			r.pass(4 * time.Second)
 			switch {
 			case r.noted[attempt("a", 1)] && r.hows[attempt("a", 1)] == wire.Done:
-				is.Equal(r.log[attempt("a", 1)], state.OK)
+				is.Equal(r.log[attempt("a", 1)], state.OutcomeOK)
 				good++
 			case r.hows[attempt("a", 1)] == wire.Expired:
-				is.Equal(r.log[attempt("a", 1)], state.Lapsed)
+				is.Equal(r.log[attempt("a", 1)], state.OutcomeLeaseExpired)
 				lapsed++
 			}
 		}
@@ -180,7 +180,7 @@
 		r.cut, r.how = false, func(wire.WorkerCall) way { return fine }
 		r.pass(4 * time.Second)
 		if f, ok := r.log[attempt("a", 1)]; ok {
-			is.Equal(f, state.Lapsed) // the rig itself tells an attempt that runs on
+			is.Equal(f, state.OutcomeLeaseExpired) // the rig itself tells an attempt that runs on
 			lapsed++
 		}
 	}
@@ -201,7 +201,7 @@
 	is.True(r.hand.Lease().Until > 0)
 	r.how = func(wire.WorkerCall) way { return lost } // the worker can't be reached any more
 	r.pass(5 * time.Second)                           // the rig tells if the attempt is given up while it runs
-	is.Equal(r.log[attempt("a", 1)], state.Lapsed)
+	is.Equal(r.log[attempt("a", 1)], state.OutcomeLeaseExpired)
 }
 
 // What a worker runs runs on when its agent starts anew, and the new agent is given
@@ -220,8 +220,8 @@
 	}
 	r.give(attempt("b", 1), short)
 	r.pass(3 * time.Second)
-	is.Equal(r.log[attempt("a", 1)], state.OK)
-	is.Equal(r.log[attempt("b", 1)], state.OK)
+	is.Equal(r.log[attempt("a", 1)], state.OutcomeOK)
+	is.Equal(r.log[attempt("b", 1)], state.OutcomeOK)
 	is.True(r.noted[attempt("a", 1)])
 }
 
@@ -251,7 +251,7 @@
 		r.head.Take(r.now, r.grace, s.Message)
 	}
 	r.pass(3 * time.Second)
-	is.Equal(r.log[attempt("a", 1)], state.OK)
+	is.Equal(r.log[attempt("a", 1)], state.OutcomeOK)
 }
 
 // Another life at the worker's address: what ran has gone with the one before.
@@ -262,12 +262,12 @@
 	r.die()
 	r.life()
 	r.pass(time.Second) // it has not even beaten yet, but it answers
-	is.Equal(r.log[attempt("a", 1)], state.Gone)
+	is.Equal(r.log[attempt("a", 1)], state.OutcomeWorkerExited)
 	r.pass(3 * time.Second)
 	is.Equal(r.hand.View().Worker, types.ID("k2"))
 	r.give(attempt("a", 2), short)
 	r.pass(time.Second)
-	is.Equal(r.log[attempt("a", 2)], state.OK)
+	is.Equal(r.log[attempt("a", 2)], state.OutcomeOK)
 }
 
 // A beat of a life that is over, and that this agent never knew, comes late: the
@@ -293,7 +293,7 @@
 	is.Equal(r.hand.View().Worker, types.ID("k2"))
 	r.give(attempt("b", 1), short)
 	r.pass(time.Second)
-	is.Equal(r.log[attempt("b", 1)], state.OK)
+	is.Equal(r.log[attempt("b", 1)], state.OutcomeOK)
 }
 
 // A worker that said that it drains and then leaves takes along what it still ran;
@@ -313,7 +313,7 @@
 	r.die()
 	r.flow()
 	r.pass(200 * ms)
-	is.Equal(r.log[attempt("a", 1)], state.Gone)
+	is.Equal(r.log[attempt("a", 1)], state.OutcomeWorkerExited)
 	r.life()
 	r.pass(2 * time.Second)
 	is.Equal(r.hand.View().Worker, types.ID("k2"))
@@ -332,7 +332,7 @@
 	r.lead()
 	r.cut = false
 	r.pass(1500 * ms)
-	is.Equal(r.log[attempt("a", 1)], state.OK)
+	is.Equal(r.log[attempt("a", 1)], state.OutcomeOK)
 	is.True(r.noted[attempt("a", 1)])
 }
 
@@ -362,7 +362,7 @@
 	r.pass(6 * time.Second)
 	r.give(attempt("b", 1), short)
 	r.pass(time.Second)
-	is.Equal(r.log[attempt("b", 1)], state.OK)
+	is.Equal(r.log[attempt("b", 1)], state.OutcomeOK)
 	is.True(r.noted[attempt("b", 1)])
 	r.pass(500 * ms) // the hold that told the worker so has waited, and was answered
 	is.Equal(len(r.hand.View().Attempts), 0)
--- a/internal/dispatch/chaos_test.go
+++ b/internal/dispatch/chaos_test.go
@@ -69,7 +69,7 @@
 		case 12:
 			for l := range r.out {
 				if rnd.Intn(4) == 0 {
-					r.head.Halt([]types.Attempt{l}, nil)
+					r.head.Halt([]types.AttemptID{l}, nil)
 				}
 			}
 			r.flow()
@@ -92,7 +92,7 @@
 			n := map[string]int{}
 			r.every(120*ms, func() {
 				job := fmt.Sprint("j", r.rnd.Intn(7))
-				if l := attempt(job, n[job]); n[job] > 0 && (r.out[l] || r.log[l] == state.OK) {
+				if l := attempt(job, n[job]); n[job] > 0 && (r.out[l] || r.log[l] == state.OutcomeOK) {
 					return
 				}
 				if n[job] >= 400 {
--- a/internal/dispatch/decode.go
+++ b/internal/dispatch/decode.go
@@ -39,7 +39,7 @@
 	case "rack":
 		return true, wire.Text(d, &r.Rack)
 	case "kinds":
-		return true, wire.List(d, &r.Kinds, func(k *types.Kind) error { return wire.Text(d, k) })
+		return true, wire.List(d, &r.Kinds, func(k *types.ServiceKind) error { return wire.Text(d, k) })
 	case "room":
 		return true, decodeRoom(d, &r.Room)
 	case "lacks":
@@ -107,7 +107,7 @@
 		case "id":
 			return true, wire.Text(d, &s.ID)
 		case "ends":
-			return true, wire.List(d, &s.Ends, func(e *state.End) error { return decodeEnd(d, e) })
+			return true, wire.List(d, &s.Ends, func(e *state.AttemptEnd) error { return decodeEnd(d, e) })
 		}
 		return false, nil
 	})
@@ -132,27 +132,27 @@
 	})
 }
 
-func decodeEnd(d *jx.Decoder, e *state.End) error {
+func decodeEnd(d *jx.Decoder, e *state.AttemptEnd) error {
 	return wire.Object(d, func(key string) (bool, error) {
 		switch key {
 		case "leg":
-			return true, decodeAttempt(d, &e.Attempt)
+			return true, decodeAttempt(d, &e.ID)
 		case "fate":
 			return true, wire.Text(d, &e.Outcome)
 		case "ref":
-			return true, wire.Text(d, &e.Ref)
+			return true, wire.Text(d, &e.Checkpoint)
 		}
 		return false, nil
 	})
 }
 
-func decodeAttempt(d *jx.Decoder, a *types.Attempt) error {
+func decodeAttempt(d *jx.Decoder, a *types.AttemptID) error {
 	return wire.Object(d, func(key string) (bool, error) {
 		switch key {
 		case "job":
 			return true, wire.Text(d, &a.Job)
 		case "n":
-			return true, wire.Number(d, &a.N)
+			return true, wire.Number(d, &a.Number)
 		case "leg":
 			return true, wire.Number(d, &a.Attempt)
 		}
@@ -160,7 +160,7 @@
 	})
 }
 
-func decodeRoom(d *jx.Decoder, r *types.Room) error {
+func decodeRoom(d *jx.Decoder, r *types.Resources) error {
 	return wire.Object(d, func(key string) (bool, error) {
 		switch key {
 		case "cores":
@@ -170,9 +170,9 @@
 			}
 			return true, err
 		case "memory":
-			return true, wire.Number(d, &r.Memory)
+			return true, wire.Number(d, &r.MemoryMB)
 		case "accelerators":
-			return true, wire.Number(d, &r.Accel)
+			return true, wire.Number(d, &r.Accelerators)
 		}
 		return false, nil
 	})
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -23,8 +23,8 @@
 type attempt struct {
 	job     Job
 	part    part
-	until   types.Stamp
-	from    types.Stamp
+	until   types.MonoTime
+	from    types.MonoTime
 	outcome state.Outcome
 	over    bool // past its time limit: however it is stopped, it failed
 	shown   bool
@@ -32,18 +32,18 @@
 	ghost   bool // the worker runs it although it has ended here
 
 	// of a worker that is called
-	fence  uint64        // under which it was started
-	asked  types.Stamp   // when its stop was last asked for
-	sure   types.Stamp   // when the worker last said that it runs
-	turned types.Stamp   // when the worker took its stop
-	unsure bool          // its start had no clear answer
-	n      uint64        // the number of its end
-	ref    string        // what it has saved
-	saved  types.Stamp   // when that last changed
-	done   float64       // how far it is, in percent
-	read   types.Stamp   // when that was told
-	moved  types.Stamp   // when it last changed
-	spoke  time.Duration // how long it takes in all, as was told last
+	fence  uint64         // under which it was started
+	asked  types.MonoTime // when its stop was last asked for
+	sure   types.MonoTime // when the worker last said that it runs
+	turned types.MonoTime // when the worker took its stop
+	unsure bool           // its start had no clear answer
+	n      uint64         // the number of its end
+	ref    string         // what it has saved
+	saved  types.MonoTime // when that last changed
+	done   float64        // how far it is, in percent
+	read   types.MonoTime // when that was told
+	moved  types.MonoTime // when it last changed
+	spoke  time.Duration  // how long it takes in all, as was told last
 }
 
 // Executor is one agent's half.
@@ -55,41 +55,41 @@
 	mint  func() types.ID
 	past  types.ID
 
-	now      types.Stamp
-	boot     types.Stamp
+	now      types.MonoTime
+	boot     types.MonoTime
 	term     types.Term
 	lead     types.Addr
 	state    Health
-	since    types.Stamp
-	good     types.Stamp
-	until    types.Stamp
+	since    types.MonoTime
+	good     types.MonoTime
+	until    types.MonoTime
 	seq      types.Seq
 	set      SetID
-	beat     types.Stamp
-	status   types.Stamp
-	attempts map[types.Attempt]*attempt
+	beat     types.MonoTime
+	status   types.MonoTime
+	attempts map[types.AttemptID]*attempt
 	order    []*attempt // the same, in order
-	seen     map[types.Attempt]types.Stamp
+	seen     map[types.AttemptID]types.MonoTime
 	worker   types.ID
 	told     bool
 	call     uint64
-	heard    types.Stamp
-	stamp    types.Stamp
-	given    types.Stamp
-	goes     types.Stamp // when the worker goes, if it said so
+	heard    types.MonoTime
+	stamp    types.MonoTime
+	given    types.MonoTime
+	goes     types.MonoTime // when the worker goes, if it said so
 	rep      Report
 	news     bool
 	caller   *Caller // of a worker that is called
 	sends    []wire.Send
 }
 
-const never = types.Stamp(-1 << 61)
+const never = types.MonoTime(-1 << 61)
 
 // NewHand starts an agent that knows nothing of its worker yet.
-func NewExecutor(now types.Stamp, pace Timeouts, me types.Addr, shard types.Shard, mint func() types.ID) *Executor {
+func NewExecutor(now types.MonoTime, pace Timeouts, me types.Addr, shard types.Shard, mint func() types.ID) *Executor {
 	return &Executor{pace: pace, me: me, shard: shard, id: mint(), mint: mint, now: now, boot: now, state: New, since: now,
 		good: now, until: never, beat: never, status: never, heard: never, given: now,
-		attempts: map[types.Attempt]*attempt{}, seen: map[types.Attempt]types.Stamp{}}
+		attempts: map[types.AttemptID]*attempt{}, seen: map[types.AttemptID]types.MonoTime{}}
 }
 
 // put takes an attempt into the account, forget out of it.
@@ -101,7 +101,7 @@
 	ex.attempts[l.job.Attempt] = l
 }
 
-func (ex *Executor) forget(k types.Attempt) {
+func (ex *Executor) forget(k types.AttemptID) {
 	if l := ex.attempts[k]; l != nil {
 		i, _ := slices.BinarySearchFunc(ex.order, l, byAttempt)
 		ex.order = slices.Delete(ex.order, i, i+1)
@@ -127,8 +127,8 @@
 // finish ends an attempt in the account and has it told. Lost is not the last word:
 // the attempt stays until the worker is heard again and says what became of it.
 func (ex *Executor) finish(l *attempt, f state.Outcome) {
-	if l.over && f != state.OK {
-		f = state.Bad
+	if l.over && f != state.OutcomeOK {
+		f = state.OutcomeFailed
 	}
 	l.part, l.outcome, l.settled, l.unsure, ex.status = ended, f, false, false, never
 }
@@ -137,14 +137,14 @@
 func (ex *Executor) halt(l *attempt) {
 	switch {
 	case l.part == waiting && !l.shown:
-		ex.finish(l, state.Unrun)
+		ex.finish(l, state.OutcomeNeverRan)
 	case l.part == waiting || l.part == going:
 		l.part, ex.news = halting, true
 	}
 }
 
 // Tick lets time pass; lead is whom the roster holds for the leader.
-func (ex *Executor) Tick(now types.Stamp, lead types.Addr) {
+func (ex *Executor) Tick(now types.MonoTime, lead types.Addr) {
 	if lead != ex.lead {
 		ex.beat = never // it is told at once who is here
 	}
@@ -185,10 +185,10 @@
 		}
 		switch {
 		case ex.caller == nil && ex.lapsed():
-			ex.finish(l, state.Lost)
+			ex.finish(l, state.OutcomeLost)
 		case ex.caller != nil && ex.expired():
 			ex.caller.Sums.Lapsed++
-			ex.finish(l, state.Lapsed)
+			ex.finish(l, state.OutcomeLeaseExpired)
 		}
 	}
 	for l, by := range ex.seen {
@@ -236,10 +236,10 @@
 	if ex.now.Sub(ex.status) < ex.pace.Again {
 		return
 	}
-	var list []state.End
+	var list []state.AttemptEnd
 	for _, l := range ex.sorted() {
 		if l.part == ended && !l.settled && len(list) < 500 {
-			list = append(list, state.End{Attempt: l.job.Attempt, Outcome: l.outcome, Ref: l.ref})
+			list = append(list, state.AttemptEnd{ID: l.job.Attempt, Outcome: l.outcome, Checkpoint: l.ref})
 		}
 	}
 	if list != nil {
@@ -274,9 +274,9 @@
 }
 
 type AttemptView struct {
-	Attempt types.Attempt `json:"leg"`
-	Part    string        `json:"part"`
-	Outcome state.Outcome `json:"fate,omitempty"`
+	Attempt types.AttemptID `json:"leg"`
+	Part    string          `json:"part"`
+	Outcome state.Outcome   `json:"fate,omitempty"`
 }
 
 func (ex *Executor) View() View {
--- a/internal/dispatch/heed.go
+++ b/internal/dispatch/heed.go
@@ -53,7 +53,7 @@
 	}
 	list := []Run{}
 	for _, l := range ex.sorted() {
-		if !l.settled || l.outcome == state.Lost {
+		if !l.settled || l.outcome == state.OutcomeLost {
 			list = append(list, Run{l.job.Attempt, l.job.Room})
 		}
 	}
@@ -80,12 +80,12 @@
 
 // refuse gives the reason why an order may not be taken, or nothing.
 func (ex *Executor) refuse(o Order) string {
-	free := ex.rep.Room.Minus(ex.lacks())
+	free := ex.rep.Room.Sub(ex.lacks())
 	twin := false
 	for _, l := range ex.attempts {
 		if l.part != ended {
-			free = free.Minus(l.job.Room)
-			twin = twin || l.job.Attempt.Task == o.Job.Attempt.Task
+			free = free.Sub(l.job.Room)
+			twin = twin || l.job.Attempt.TaskID == o.Job.Attempt.TaskID
 		}
 	}
 	for _, c := range []struct {
@@ -101,7 +101,7 @@
 		{o.Job.Rack != "" && o.Job.Rack != ex.rep.Rack, "worker is in another rack"},
 		{!ex.rep.fits(o.Job.Label), "worker lacks a label"},
 		{twin, "another leg of the task is here"},
-		{!free.Holds(o.Job.Room), "no room"},
+		{!free.Contains(o.Job.Room), "no room"},
 	} {
 		if c.bad {
 			return c.why
@@ -117,11 +117,11 @@
 		return
 	}
 	ex.seq = q.Seq
-	var idle []state.End
+	var idle []state.AttemptEnd
 	for _, l := range q.Attempts {
 		if ex.attempts[l] == nil {
-			ex.put(&attempt{job: Job{Attempt: l}, part: ended, outcome: state.Unrun})
-			idle = append(idle, state.End{Attempt: l, Outcome: state.Unrun})
+			ex.put(&attempt{job: Job{Attempt: l}, part: ended, outcome: state.OutcomeNeverRan})
+			idle = append(idle, state.AttemptEnd{ID: l, Outcome: state.OutcomeNeverRan})
 		}
 	}
 	if idle != nil {
@@ -135,15 +135,15 @@
 		return
 	}
 	for _, e := range s.Ends {
-		l := ex.attempts[e.Attempt]
-		if l == nil || l.part != ended || l.outcome == state.OK && e.Outcome != state.OK {
+		l := ex.attempts[e.ID]
+		if l == nil || l.part != ended || l.outcome == state.OutcomeOK && e.Outcome != state.OutcomeOK {
 			continue
 		}
 		l.settled, ex.news = true, true
 		if ex.caller != nil {
 			ex.settle(l)
 		} else if ex.worker == "" {
-			ex.forget(e.Attempt)
+			ex.forget(e.ID)
 		}
 	}
 }
@@ -157,7 +157,7 @@
 			l.over = l.over || l.part != ended && slices.Contains(s.Late, k)
 			ex.halt(l)
 		} else {
-			ex.put(&attempt{job: Job{Attempt: k}, part: ended, outcome: state.Unrun})
+			ex.put(&attempt{job: Job{Attempt: k}, part: ended, outcome: state.OutcomeNeverRan})
 			ex.seen[k], ex.status = ex.now.Add(2*ex.pace.Loss), never
 		}
 	}
@@ -180,7 +180,7 @@
 }
 
 // Take handles a scheduler's note.
-func (ex *Executor) Take(now types.Stamp, n wire.Message) {
+func (ex *Executor) Take(now types.MonoTime, n wire.Message) {
 	ex.now = now
 	if f := hands[n.Kind]; f != nil {
 		f(ex, n)
--- a/internal/dispatch/hold.go
+++ b/internal/dispatch/hold.go
@@ -13,41 +13,41 @@
 
 // Hold is an attempt that possibly runs.
 type Hold struct {
-	Attempt types.Attempt
+	Attempt types.AttemptID
 	Shard   types.Shard
 	Stage   types.Stage // or -1, where the log does not have it
-	Room    types.Room
+	Room    types.Resources
 	Phase   phase
 	Usual   string // what its time is compared with
 	Limit   time.Duration
-	At      types.Stamp
-	Ref     string      // what it has saved
-	Late    types.Stamp // by when it will have ended, where it is far behind its like
-	halt    types.Stamp
+	At      types.MonoTime
+	Ref     string         // what it has saved
+	Late    types.MonoTime // by when it will have ended, where it is far behind its like
+	halt    types.MonoTime
 }
 
 // load is what possibly runs on one shard.
 type load struct {
 	list   []*Hold
-	used   types.Room
+	used   types.Resources
 	dim    int
 	unsure int
 }
 
 // holds is all of them.
 type holds struct {
-	by   map[types.Attempt]*Hold
+	by   map[types.AttemptID]*Hold
 	on   map[types.Shard]*load
 	dim  int
 	open map[types.Shard]bool // those with unsure attempts
 	sent []*Hold              // in order of time; some are not any more
 	// revisions counts, for each shard, how often its list has changed.
 	revisions map[types.Shard]uint64
-	alien     map[types.Attempt]*Hold // told by an agent, and not given out as far as the log says
+	alien     map[types.AttemptID]*Hold // told by an agent, and not given out as far as the log says
 }
 
 func newHolds() holds {
-	return holds{by: map[types.Attempt]*Hold{}, on: map[types.Shard]*load{}, open: map[types.Shard]bool{}, alien: map[types.Attempt]*Hold{},
+	return holds{by: map[types.AttemptID]*Hold{}, on: map[types.Shard]*load{}, open: map[types.Shard]bool{}, alien: map[types.AttemptID]*Hold{},
 		revisions: map[types.Shard]uint64{}}
 }
 
@@ -62,7 +62,7 @@
 	}
 	i, _ := slices.BinarySearchFunc(x.list, o, least)
 	x.list = slices.Insert(x.list, i, o)
-	x.used = x.used.Plus(o.Room)
+	x.used = x.used.Add(o.Room)
 	h.by[o.Attempt] = o
 	h.revisions[o.Shard]++
 	if o.Stage < 0 {
@@ -71,7 +71,7 @@
 	h.count(o, 1)
 }
 
-func (h *holds) drop(l types.Attempt) {
+func (h *holds) drop(l types.AttemptID) {
 	o := h.by[l]
 	if o == nil {
 		return
@@ -83,7 +83,7 @@
 	x := h.on[o.Shard]
 	i, _ := slices.BinarySearchFunc(x.list, o, least)
 	x.list = slices.Delete(x.list, i, i+1)
-	x.used = x.used.Minus(o.Room)
+	x.used = x.used.Sub(o.Room)
 	if len(x.list) == 0 {
 		delete(h.on, o.Shard)
 	}
@@ -116,7 +116,7 @@
 
 // overdue takes from the sent ones those that are no longer, and gives the ones
 // that have been since before a time.
-func (h *holds) overdue(by types.Stamp) (list []*Hold) {
+func (h *holds) overdue(by types.MonoTime) (list []*Hold) {
 	for len(h.sent) > 0 && (h.sent[0].Phase != sent || h.by[h.sent[0].Attempt] != h.sent[0] || h.sent[0].At < by) {
 		if o := h.sent[0]; o.Phase == sent && h.by[o.Attempt] == o {
 			list = append(list, o)
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (h *holds) used(s types.Shard) (r types.Room) {
+func (h *holds) used(s types.Shard) (r types.Resources) {
 	if x := h.on[s]; x != nil {
 		r = x.used
 	}
--- a/internal/dispatch/lacks_test.go
+++ b/internal/dispatch/lacks_test.go
@@ -13,15 +13,15 @@
 	"coppercourse/internal/types"
 )
 
-func cores(n int) types.Room { return types.Room{Cores: types.Core}.Times(n) }
+func cores(n int) types.Resources { return types.Resources{Cores: types.Core}.Scale(n) }
 
 // boasts is a rig whose worker tells 8 cores and has 2; a task takes one, a large one 4.
 func boasts(t *testing.T) *rig {
 	r := ready(t, 17)
 	r.worker.Room = cores(2)
-	r.floor.Sent("large", &state.Spec{Steps: []state.Step{{Name: "s", Tasks: 1, Room: cores(4)}}})
+	r.floor.Sent("large", &state.Spec{Steps: []state.Step{{Name: "s", Tasks: 1, Resources: cores(4)}}})
 	for i := range 10 {
-		r.floor.Sent(types.JobID(fmt.Sprint("j", i)), &state.Spec{Steps: []state.Step{{Name: "s", Tasks: 1, Room: cores(1)}}})
+		r.floor.Sent(types.JobID(fmt.Sprint("j", i)), &state.Spec{Steps: []state.Step{{Name: "s", Tasks: 1, Resources: cores(1)}}})
 	}
 	return r
 }
@@ -29,7 +29,7 @@
 // believed is for how long the leader counts a worker's room as less from now on.
 func (r *rig) believed() time.Duration {
 	from := r.now
-	for r.head.Seat("s").Lacks != (types.Room{}) && r.now.Sub(from) < time.Minute {
+	for r.head.Seat("s").Lacks != (types.Resources{}) && r.now.Sub(from) < time.Minute {
 		r.pass(20 * ms)
 	}
 	return r.now.Sub(from)
@@ -44,15 +44,15 @@
 	}
 	r.pass(100 * ms) // less than to the next beat
 	s := r.head.Seat("s")
-	is.Equal(r.log[attempt("j2", 1)], state.Unrun)
+	is.Equal(r.log[attempt("j2", 1)], state.OutcomeNeverRan)
 	is.Equal(s.Lacks, cores(6))
 	is.Equal(s.Room, cores(8)) // it is not another worker
-	is.Equal(r.head.Free(s), types.Room{})
+	is.Equal(r.head.Free(s), types.Resources{})
 
 	starts := r.hand.Lease().Sums.Starts
 	r.give(attempt("j3", 1), long)
 	r.pass(100 * ms)
-	is.Equal(r.log[attempt("j3", 1)], state.Unrun)
+	is.Equal(r.log[attempt("j3", 1)], state.OutcomeNeverRan)
 	is.Equal(r.hand.Lease().Sums.Starts, starts) // the worker need not be asked
 
 	is.True(about(r.believed()+200*ms, time.Second))
@@ -85,11 +85,11 @@
 	r.give(attempt("j2", 1), long)
 	r.pass(600 * ms)
 	s := r.head.Seat("s")
-	is.Equal(r.log[attempt("j0", 1)], state.OK)
+	is.Equal(r.log[attempt("j0", 1)], state.OutcomeOK)
 	is.Equal(r.head.Free(s), cores(1))
 	r.give(attempt("j3", 1), `{"ms":100}`)
 	r.pass(250 * ms)
-	is.Equal(r.log[attempt("j3", 1)], state.OK)
+	is.Equal(r.log[attempt("j3", 1)], state.OutcomeOK)
 	is.Equal(s.Lacks, cores(6))
 }
 
@@ -101,9 +101,9 @@
 	r.give(attempt("large", 1), long)
 	r.give(attempt("j1", 1), long)
 	r.pass(400 * ms)
-	is.Equal(r.log[attempt("large", 1)], state.Unrun)
+	is.Equal(r.log[attempt("large", 1)], state.OutcomeNeverRan)
 	is.Equal(r.head.Seat("s").Lacks, cores(6))
-	is.Equal(r.head.Free(r.head.Seat("s")), types.Room{})
+	is.Equal(r.head.Free(r.head.Seat("s")), types.Resources{})
 }
 
 // Of another process nothing is known.
@@ -119,5 +119,5 @@
 	r.hand.Beat(r.now, r.beat())
 	r.pass(500 * ms)
 	is.Equal(r.hand.View().Worker, types.ID("k2"))
-	is.Equal(r.head.Seat("s").Lacks, types.Room{})
+	is.Equal(r.head.Seat("s").Lacks, types.Resources{})
 }
--- a/internal/dispatch/late_beat_test.go
+++ b/internal/dispatch/late_beat_test.go
@@ -43,7 +43,7 @@
 	r.pass(time.Second)
 	is.True(r.head.Seat("s").Leaving) // the late beat does not undo it
 	is.True(r.head.Seat("s").LeaveMS < goes)
-	is.Equal(r.log[attempt("a", 1)], state.OK)
+	is.Equal(r.log[attempt("a", 1)], state.OutcomeOK)
 	r.give(attempt("c", 1), short)
 	r.pass(time.Second)
 	is.Equal(r.began[attempt("c", 1)], 0)
@@ -56,7 +56,7 @@
 	r.life()
 	r.idle = false
 	r.pass(3 * time.Second)
-	is.Equal(r.log[attempt("b", 1)], state.Gone) // now that another process answers there
+	is.Equal(r.log[attempt("b", 1)], state.OutcomeWorkerExited) // now that another process answers there
 	is.Equal(r.hand.View().Worker, types.ID("k2"))
 	is.True(!r.head.Seat("s").Leaving)
 }
--- a/internal/dispatch/line.go
+++ b/internal/dispatch/line.go
@@ -58,7 +58,7 @@
 	end := ex.lease()
 	switch {
 	case ex.now >= l.until:
-		ex.finish(l, state.Unrun)
+		ex.finish(l, state.OutcomeNeverRan)
 	case end == 0 || !ex.told:
 	default:
 		l.shown = true
@@ -87,7 +87,7 @@
 }
 
 // Back takes the reply to a call, or that there was none.
-func (ex *Executor) Back(now types.Stamp, r wire.WorkerReply) {
+func (ex *Executor) Back(now types.MonoTime, r wire.WorkerReply) {
 	ex.now = now
 	c := ex.caller
 	if c == nil || c.open[r.No] == nil {
@@ -144,7 +144,7 @@
 			l.part, l.from = going, ex.now
 		}
 		l.sure = ex.now
-		if c := ex.caller; ex.now < c.tight && !c.proven.Holds(ex.used()) {
+		if c := ex.caller; ex.now < c.tight && !c.proven.Contains(ex.used()) {
 			c.proven = ex.used()
 		}
 	case wire.Silent:
@@ -156,7 +156,7 @@
 		if r.Result == wire.Sick || r.Result == wire.Closed {
 			ex.caller.sick, ex.beat = ex.now.Add(ex.pace.Ill), never
 		}
-		ex.finish(l, state.Unrun)
+		ex.finish(l, state.OutcomeNeverRan)
 	}
 }
 
@@ -177,7 +177,7 @@
 		c.next = ex.now.Add(retries)
 		return
 	}
-	runs := map[types.Attempt]bool{}
+	runs := map[types.AttemptID]bool{}
 	if len(r.Ends) > 0 { // those before it were settled, maybe by an earlier agent
 		c.seen = max(c.seen, r.Ends[0].N-1)
 	}
@@ -204,8 +204,8 @@
 	}
 }
 
-var hows = map[wire.How]state.Outcome{wire.Done: state.OK, wire.Failed: state.Bad, wire.Stopped: state.Halted,
-	wire.Expired: state.Lapsed, wire.Broken: state.Halted, wire.Lonely: state.Halted}
+var hows = map[wire.How]state.Outcome{wire.Done: state.OutcomeOK, wire.Failed: state.OutcomeFailed, wire.Stopped: state.OutcomeStopped,
+	wire.Expired: state.OutcomeLeaseExpired, wire.Broken: state.OutcomeStopped, wire.Lonely: state.OutcomeStopped}
 
 // list takes an end that the worker tells for the first time. It counts even if
 // the lease may have ended since, unless the log has the attempt as lapsed by then:
@@ -227,7 +227,7 @@
 	}
 	f := hows[e.How]
 	if f == "" {
-		f = state.Lapsed
+		f = state.OutcomeLeaseExpired
 	}
 	l.ref = e.Ref
 	ex.finish(l, f)
@@ -260,16 +260,16 @@
 // miss judges what a reply does not list: it can't be running, if the reply was
 // asked for after it was known to run, after it was turned away, or by a query
 // that raised the fence above it.
-func (ex *Executor) miss(f *flight, listed map[types.Attempt]bool) {
+func (ex *Executor) miss(f *flight, listed map[types.AttemptID]bool) {
 	for _, l := range ex.sorted() {
 		if listed[l.job.Attempt] || l.part == ended || !l.shown && l.part == waiting {
 			continue
 		}
 		switch {
 		case l.sure > 0 && l.sure < f.at:
-			ex.finish(l, state.Gone)
+			ex.finish(l, state.OutcomeWorkerExited)
 		case l.sure == 0 && (f.Fence > l.fence || l.turned > 0 && l.turned < f.at):
-			ex.finish(l, state.Unrun)
+			ex.finish(l, state.OutcomeNeverRan)
 		}
 	}
 }
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -28,12 +28,12 @@
 
 // Span is how long an attempt takes in all, as far as can be told.
 type Span struct {
-	Attempt types.Attempt `json:"leg"`
-	MS      int64         `json:"ms"`
+	Attempt types.AttemptID `json:"leg"`
+	MS      int64           `json:"ms"`
 }
 
 // span is how long an attempt will take in all, or 0 if that can't be told.
-func (a *attempt) span(now types.Stamp) time.Duration {
+func (a *attempt) span(now types.MonoTime) time.Duration {
 	ran := a.read.Sub(a.from)
 	switch {
 	case a.part != going || a.read == 0 || ran < brief:
@@ -70,12 +70,12 @@
 // times are what the attempts of a stage take, and where.
 type times struct {
 	list   []sample
-	at     types.Stamp
+	at     types.MonoTime
 	median time.Duration // of all samples, or 0 where it is to be worked out anew
 }
 
 type sample struct {
-	attempt types.Attempt
+	attempt types.AttemptID
 	shard   types.Shard
 	took    time.Duration
 }
@@ -133,7 +133,7 @@
 // Took is what the tasks of a step take, as far as is known: the median of those
 // that have ended or told how far they are.
 func (sc *Scheduler) Took(job types.JobID, step int) (time.Duration, bool) {
-	t := sc.stages[stage{job, types.StageOf(types.No(0, step, 0))}]
+	t := sc.stages[stage{job, types.StageOf(types.TaskNumber(0, step, 0))}]
 	if t == nil {
 		return 0, false
 	}
@@ -145,7 +145,7 @@
 }
 
 // fade forgets a bad name with time.
-func (w *WorkerEntry) fade(now types.Stamp) {
+func (w *WorkerEntry) fade(now types.MonoTime) {
 	w.pace *= math.Exp2(-now.Sub(w.paced).Seconds() / trust.Seconds())
 	w.paced = now
 }
--- a/internal/dispatch/poll.go
+++ b/internal/dispatch/poll.go
@@ -18,17 +18,17 @@
 
 // Poll is the worker's call.
 type Poll struct {
-	Worker types.ID     `json:"worker"`
-	Agent  types.ID     `json:"agent"`
-	Call   uint64       `json:"call"`
-	Stamp  types.Stamp  `json:"stamp"`
-	Rack   types.Rack   `json:"rack"`
-	Kinds  []types.Kind `json:"kinds"`
-	Room   types.Room   `json:"room"`
-	Leave  bool         `json:"leaving"`
-	GoMS   int64        `json:"leave_in_ms"`
-	Runs   []Run        `json:"running"`
-	Ends   []Finish     `json:"ended"`
+	Worker types.ID            `json:"worker"`
+	Agent  types.ID            `json:"agent"`
+	Call   uint64              `json:"call"`
+	Stamp  types.MonoTime      `json:"stamp"`
+	Rack   types.Rack          `json:"rack"`
+	Kinds  []types.ServiceKind `json:"kinds"`
+	Room   types.Resources     `json:"room"`
+	Leave  bool                `json:"leaving"`
+	GoMS   int64               `json:"leave_in_ms"`
+	Runs   []Run               `json:"running"`
+	Ends   []Finish            `json:"ended"`
 }
 
 // Finish is an ended attempt that the worker keeps until it is settled.
@@ -40,28 +40,28 @@
 // Answer is what the agent answers. Until is on the worker's own clock: past it
 // the worker stops everything by itself.
 type Answer struct {
-	Agent   types.ID        `json:"agent"`
-	Call    uint64          `json:"call"`
-	Until   types.Stamp     `json:"until"`
-	Start   []Job           `json:"start"`
-	Stop    []types.Attempt `json:"stop"`
-	Settled []types.Attempt `json:"settled"`
+	Agent   types.ID          `json:"agent"`
+	Call    uint64            `json:"call"`
+	Until   types.MonoTime    `json:"until"`
+	Start   []Job             `json:"start"`
+	Stop    []types.AttemptID `json:"stop"`
+	Settled []types.AttemptID `json:"settled"`
 }
 
 // Check tells what is wrong with a call; nothing of a bad one is taken.
 func (p Poll) Check(h *apierror.ErrorList) {
 	h.Check(p.Worker != "" && len(p.Worker) <= 128, "worker", "want 1 to 128 characters")
-	h.Check(p.Room.Holds(types.Room{}), "room", "want no negative numbers")
+	h.Check(p.Room.Contains(types.Resources{}), "room", "want no negative numbers")
 	h.Check(len(p.Kinds) <= 64, "kinds", "more than 64")
 	h.Check(p.GoMS >= 0 && p.GoMS <= 86_400_000, "leave_in_ms", "want 0 to a day")
 	h.Check(p.GoMS == 0 || p.Leave, "leave_in_ms", "only for a worker that is leaving")
 	h.Check(len(p.Runs)+len(p.Ends) <= 2000, "running", "more than 2000 legs")
 	for i, k := range p.Kinds {
-		h.Check(config.Name(string(k)) == "", fmt.Sprintf("kinds[%d]", i), "not a name")
+		h.Check(config.CheckName(string(k)) == "", fmt.Sprintf("kinds[%d]", i), "not a name")
 	}
 	attempt := func(at string, r Run) {
-		h.Check(config.Name(string(r.Attempt.Job)) == "" && r.Attempt.N >= 0 && r.Attempt.Attempt >= 1, at+".leg", "no such leg can be")
-		h.Check(r.Room.Holds(types.Room{}), at+".room", "want no negative numbers")
+		h.Check(config.CheckName(string(r.Attempt.Job)) == "" && r.Attempt.Number >= 0 && r.Attempt.Attempt >= 1, at+".leg", "no such leg can be")
+		h.Check(r.Room.Contains(types.Resources{}), at+".room", "want no negative numbers")
 	}
 	for i, r := range p.Runs {
 		attempt(fmt.Sprintf("running[%d]", i), r)
@@ -73,10 +73,10 @@
 	}
 }
 
-var outcomes = []state.Outcome{state.OK, state.Bad, state.Halted, state.Unrun}
+var outcomes = []state.Outcome{state.OutcomeOK, state.OutcomeFailed, state.OutcomeStopped, state.OutcomeNeverRan}
 
 // Poll takes a worker's call; false means that it is not to be answered.
-func (ex *Executor) Poll(now types.Stamp, p Poll) bool {
+func (ex *Executor) Poll(now types.MonoTime, p Poll) bool {
 	ex.now = now
 	if p.Worker != ex.worker {
 		if ex.worker != "" && !ex.lapsed() {
@@ -92,7 +92,7 @@
 	}
 	ex.rep = Report{Rack: p.Rack, Kinds: p.Kinds, Room: p.Room, Leaving: p.Leave, LeaveMS: p.GoMS, Healthy: true}
 	ex.goes = now.Add(time.Duration(p.GoMS) * time.Millisecond)
-	runs := map[types.Attempt]bool{}
+	runs := map[types.AttemptID]bool{}
 	for _, r := range p.Runs {
 		runs[r.Attempt] = true
 		l := ex.attempts[r.Attempt]
@@ -111,7 +111,7 @@
 			l = &attempt{job: Job{Attempt: e.Attempt, Room: e.Room}, part: going}
 			ex.put(l)
 		}
-		if l.part != ended || l.outcome == state.Lost || e.Outcome == state.OK && l.outcome != state.OK {
+		if l.part != ended || l.outcome == state.OutcomeLost || e.Outcome == state.OutcomeOK && l.outcome != state.OutcomeOK {
 			ex.finish(l, e.Outcome)
 		}
 		l.ghost, runs[e.Attempt] = false, true
@@ -122,13 +122,13 @@
 		}
 		switch {
 		case l.part == going, l.part == halting && l.from != 0:
-			ex.finish(l, state.Gone)
+			ex.finish(l, state.OutcomeWorkerExited)
 		case l.part == halting:
-			ex.finish(l, state.Unrun)
+			ex.finish(l, state.OutcomeNeverRan)
 		case l.part == waiting && now >= l.until:
-			ex.finish(l, state.Unrun)
-		case l.part == ended && l.outcome == state.Lost:
-			ex.finish(l, state.Gone)
+			ex.finish(l, state.OutcomeNeverRan)
+		case l.part == ended && l.outcome == state.OutcomeLost:
+			ex.finish(l, state.OutcomeWorkerExited)
 		case l.part == ended && l.settled:
 			ex.forget(l.job.Attempt)
 		}
@@ -140,8 +140,8 @@
 // have ended with it.
 func (ex *Executor) fresh(p Poll) {
 	for _, l := range ex.sorted() {
-		if l.part != ended || l.outcome == state.Lost {
-			ex.finish(l, state.Gone)
+		if l.part != ended || l.outcome == state.OutcomeLost {
+			ex.finish(l, state.OutcomeWorkerExited)
 		}
 		if l.settled {
 			ex.forget(l.job.Attempt)
@@ -154,7 +154,7 @@
 }
 
 // Reply makes the answer to the worker's latest call.
-func (ex *Executor) Reply(now types.Stamp) Answer {
+func (ex *Executor) Reply(now types.MonoTime) Answer {
 	ex.now, ex.news = now, false
 	left := min(ex.pace.Worker, ex.until.Sub(now))
 	if ex.state == MustDie || left < 0 {
@@ -189,4 +189,4 @@
 func (ex *Executor) lapsed() bool { return ex.now.Sub(ex.given) > ex.pace.Worker+Slack }
 
 // Worker gives the time since the worker's last call.
-func (ex *Executor) Quiet(now types.Stamp) time.Duration { return now.Sub(ex.heard) }
+func (ex *Executor) Quiet(now types.MonoTime) time.Duration { return now.Sub(ex.heard) }
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -37,7 +37,7 @@
 )
 
 type due struct {
-	at types.Stamp
+	at types.MonoTime
 	no int
 	do func()
 }
@@ -46,7 +46,7 @@
 	t      *testing.T
 	rnd    *rand.Rand
 	pace   dispatch.Timeouts
-	now    types.Stamp
+	now    types.MonoTime
 	term   types.Term
 	head   *dispatch.Scheduler
 	hand   *dispatch.Executor
@@ -67,23 +67,23 @@
 	plan   []due
 	no     int
 
-	out    map[types.Attempt]bool          // given out, not ended in the log
-	log    map[types.Attempt]state.Outcome // the first end of each
-	runs   map[types.Attempt]bool          // on the worker now
-	began  map[types.Attempt]int
-	hows   map[types.Attempt]wire.How
-	noted  map[types.Attempt]bool
-	flight map[state.End]bool
-	shows  []state.End // what the agent has told, in order
+	out    map[types.AttemptID]bool          // given out, not ended in the log
+	log    map[types.AttemptID]state.Outcome // the first end of each
+	runs   map[types.AttemptID]bool          // on the worker now
+	began  map[types.AttemptID]int
+	hows   map[types.AttemptID]wire.How
+	noted  map[types.AttemptID]bool
+	flight map[state.AttemptEnd]bool
+	shows  []state.AttemptEnd // what the agent has told, in order
 }
 
 func newRig(t *testing.T, seed int64, pace dispatch.Timeouts) *rig {
-	r := &rig{t: t, rnd: rand.New(rand.NewSource(seed)), pace: pace, grace: pace.Grant, now: types.Stamp(time.Hour),
+	r := &rig{t: t, rnd: rand.New(rand.NewSource(seed)), pace: pace, grace: pace.Grant, now: types.MonoTime(time.Hour),
 		floor: sim.NewWorkerEnvironment(sim.WorkerRules{Lease: 6 * time.Second, Stop: 400 * ms, Gang: 3 * time.Second, Save: 2 * time.Second, Restore: 600 * ms, Far: 1.5}),
-		made:  sim.WorkerSpec{Shard: "s", Rack: "r", Kinds: []types.Kind{"x"}, Room: types.Room{Cores: 8 * types.Core}, Guards: true},
+		made:  sim.WorkerSpec{Shard: "s", Rack: "r", Kinds: []types.ServiceKind{"x"}, Room: types.Resources{Cores: 8 * types.Core}, Guards: true},
 		how:   func(wire.WorkerCall) way { return fine }, lag: func() time.Duration { return 3 * time.Second },
-		out: map[types.Attempt]bool{}, log: map[types.Attempt]state.Outcome{}, runs: map[types.Attempt]bool{}, began: map[types.Attempt]int{},
-		hows: map[types.Attempt]wire.How{}, noted: map[types.Attempt]bool{}, flight: map[state.End]bool{}}
+		out: map[types.AttemptID]bool{}, log: map[types.AttemptID]state.Outcome{}, runs: map[types.AttemptID]bool{}, began: map[types.AttemptID]int{},
+		hows: map[types.AttemptID]wire.How{}, noted: map[types.AttemptID]bool{}, flight: map[state.AttemptEnd]bool{}}
 	r.lead()
 	r.agent()
 	r.life()
@@ -134,14 +134,14 @@
 	r.term++
 	var outs []dispatch.Hold
 	for l := range r.out {
-		outs = append(outs, dispatch.Hold{Attempt: l, Shard: "s", Room: types.Room{Cores: types.Core}})
+		outs = append(outs, dispatch.Hold{Attempt: l, Shard: "s", Room: types.Resources{Cores: types.Core}})
 	}
-	sort.Slice(outs, func(i, k int) bool { return outs[i].Attempt.Least(outs[k].Attempt) })
+	sort.Slice(outs, func(i, k int) bool { return outs[i].Attempt.Less(outs[k].Attempt) })
 	h := dispatch.NewScheduler(r.now, r.now, r.pace, "h", r.term, outs)
-	h.Taken = func(e state.End) bool { _, ok := r.log[e.Attempt]; return ok || !r.out[e.Attempt] }
+	h.Taken = func(e state.AttemptEnd) bool { _, ok := r.log[e.ID]; return ok || !r.out[e.ID] }
 	h.Apart = func(types.Shard) bool { return false }
 	h.Invoked = func(types.Shard) bool { return true }
-	h.Doubts = func(types.Shard) []types.Attempt { return nil }
+	h.Doubts = func(types.Shard) []types.AttemptID { return nil }
 	r.head = h
 	clear(r.flight)
 }
@@ -159,7 +159,7 @@
 	id := types.ID(fmt.Sprint("k", r.lives))
 	r.seq = 0
 	clear(r.runs)
-	r.worker = sim.NewInvokedWorker(r.made, id, r.floor, r.rnd, func() types.Stamp { return r.now }, func(h sim.HistoryEvent) {
+	r.worker = sim.NewInvokedWorker(r.made, id, r.floor, r.rnd, func() types.MonoTime { return r.now }, func(h sim.HistoryEvent) {
 		if r.worker == nil || types.ID(h.Who) != r.worker.ID {
 			return
 		}
@@ -175,7 +175,7 @@
 			r.hows[h.Attempt] = h.How
 		case sim.Noted:
 			r.noted[h.Attempt] = true
-			if f := r.log[h.Attempt]; h.How == wire.Done && f != state.OK {
+			if f := r.log[h.Attempt]; h.How == wire.Done && f != state.OutcomeOK {
 				r.t.Errorf("%v is noted as done, and the log has it as %q", h.Attempt, f)
 			}
 		}
@@ -263,7 +263,7 @@
 }
 
 // propose puts ends into the log a little later; the first one of an attempt stands.
-func (r *rig) propose(list []state.End) {
+func (r *rig) propose(list []state.AttemptEnd) {
 	for _, e := range list {
 		if r.flight[e] {
 			continue
@@ -275,36 +275,36 @@
 				return
 			}
 			delete(r.flight, e)
-			if _, ok := r.log[e.Attempt]; !ok && r.out[e.Attempt] {
+			if _, ok := r.log[e.ID]; !ok && r.out[e.ID] {
 				r.commit(e)
 			}
-			r.head.Settle([]state.End{e})
+			r.head.Settle([]state.AttemptEnd{e})
 			r.flow()
 		})
 	}
 }
 
-func (r *rig) commit(e state.End) {
-	r.log[e.Attempt] = e.Outcome
-	delete(r.out, e.Attempt)
+func (r *rig) commit(e state.AttemptEnd) {
+	r.log[e.ID] = e.Outcome
+	delete(r.out, e.ID)
 	switch {
-	case e.Outcome == state.OK:
-	case r.runs[e.Attempt]:
-		r.t.Errorf("the log has %v as %s while it runs", e.Attempt, e.Outcome)
-	case r.noted[e.Attempt] && r.hows[e.Attempt] == wire.Done:
-		r.t.Errorf("the log has %v as %s after its good end was noted", e.Attempt, e.Outcome)
+	case e.Outcome == state.OutcomeOK:
+	case r.runs[e.ID]:
+		r.t.Errorf("the log has %v as %s while it runs", e.ID, e.Outcome)
+	case r.noted[e.ID] && r.hows[e.ID] == wire.Done:
+		r.t.Errorf("the log has %v as %s after its good end was noted", e.ID, e.Outcome)
 	}
 }
 
 // give has the leader give an attempt out.
-func (r *rig) give(l types.Attempt, work string) {
+func (r *rig) give(l types.AttemptID, work string) {
 	r.out[l] = true
-	r.head.Order("s", 0, "", dispatch.Job{Attempt: l, Kind: "x", Room: types.Room{Cores: types.Core}, Work: []byte(work)})
+	r.head.Order("s", 0, "", dispatch.Job{Attempt: l, Kind: "x", Room: types.Resources{Cores: types.Core}, Work: []byte(work)})
 	r.flow()
 }
 
-func attempt(job string, n int) types.Attempt {
-	return types.Attempt{Task: types.Task{Job: types.JobID(job)}, Attempt: n}
+func attempt(job string, n int) types.AttemptID {
+	return types.AttemptID{TaskID: types.TaskID{Job: types.JobID(job)}, Attempt: n}
 }
 
 // ready is a rig in which all have found each other healthy.
@@ -320,7 +320,7 @@
 }
 
 // part is how the agent has an attempt: its part, and its outcome.
-func (r *rig) part(l types.Attempt) (string, state.Outcome) {
+func (r *rig) part(l types.AttemptID) (string, state.Outcome) {
 	for _, v := range r.hand.View().Attempts {
 		if v.Attempt == l {
 			return v.Part, v.Outcome
--- a/internal/dispatch/say.go
+++ b/internal/dispatch/say.go
@@ -40,15 +40,15 @@
 
 // Report is what a worker says of itself, and its agent of it.
 type Report struct {
-	Rack    types.Rack   `json:"rack"`
-	Kinds   []types.Kind `json:"kinds"`
-	Room    types.Room   `json:"room"`           // as the worker tells it
-	Lacks   types.Room   `json:"lacks,omitzero"` // how much less its agent believes it to have
-	Leaving bool         `json:"leaving"`
-	LeaveMS int64        `json:"leave_in_ms,omitempty"` // how long until it goes; 0 is not told
-	Healthy bool         `json:"sound"`
-	Labels  []string     `json:"labels,omitempty"`
-	Invoked bool         `json:"invoked,omitempty"` // it is called, rather than calling its agent
+	Rack    types.Rack          `json:"rack"`
+	Kinds   []types.ServiceKind `json:"kinds"`
+	Room    types.Resources     `json:"room"`           // as the worker tells it
+	Lacks   types.Resources     `json:"lacks,omitzero"` // how much less its agent believes it to have
+	Leaving bool                `json:"leaving"`
+	LeaveMS int64               `json:"leave_in_ms,omitempty"` // how long until it goes; 0 is not told
+	Healthy bool                `json:"sound"`
+	Labels  []string            `json:"labels,omitempty"`
+	Invoked bool                `json:"invoked,omitempty"` // it is called, rather than calling its agent
 }
 
 // SetID names a worker set: which leader made it, its version there, its hash.
@@ -61,11 +61,11 @@
 
 // Beat is processHeartbeat.
 type Heartbeat struct {
-	Shard types.Shard `json:"shard"`
-	ID    types.ID    `json:"id"`
-	Past  types.ID    `json:"past,omitempty"`
-	Stamp types.Stamp `json:"stamp"`
-	Set   SetID       `json:"set"`
+	Shard types.Shard    `json:"shard"`
+	ID    types.ID       `json:"id"`
+	Past  types.ID       `json:"past,omitempty"`
+	Stamp types.MonoTime `json:"stamp"`
+	Set   SetID          `json:"set"`
 	Report
 	Saves []Save `json:"saves,omitempty"`
 	Spans []Span `json:"spans,omitempty"`
@@ -73,8 +73,8 @@
 
 // Save is what a running attempt has saved, for the next to go on from.
 type Save struct {
-	Attempt types.Attempt `json:"leg"`
-	Ref     string        `json:"ref"`
+	Attempt types.AttemptID `json:"leg"`
+	Ref     string          `json:"ref"`
 }
 
 // Top is the part that every message of the scheduler begins with.
@@ -86,10 +86,10 @@
 // HeartbeatReply answers a beat. Until is the grant's end on the agent's own clock.
 type HeartbeatReply struct {
 	Top
-	Stamp types.Stamp `json:"stamp"`
-	Until types.Stamp `json:"until"`
-	Known bool        `json:"known"`
-	Set   SetID       `json:"set"`
+	Stamp types.MonoTime `json:"stamp"`
+	Until types.MonoTime `json:"until"`
+	Known bool           `json:"known"`
+	Set   SetID          `json:"set"`
 }
 
 // Ask is getRunningTasks.
@@ -97,8 +97,8 @@
 
 // Run is one attempt as an account tells it.
 type Run struct {
-	Attempt types.Attempt `json:"leg"`
-	Room    types.Room    `json:"room"`
+	Attempt types.AttemptID `json:"leg"`
+	Room    types.Resources `json:"room"`
 }
 
 // Account answers Ask. Whole means that the worker itself has told its attempts.
@@ -112,38 +112,38 @@
 
 // Job is what an attempt is to do.
 type Job struct {
-	Attempt types.Attempt   `json:"leg"`
-	Kind    types.Kind      `json:"kind"`
-	Rack    types.Rack      `json:"rack,omitempty"`
-	Room    types.Room      `json:"room"`
-	Limit   int             `json:"limit_ms"`
-	Label   []string        `json:"labels,omitempty"`
-	Ref     string          `json:"ref,omitempty"`
-	Work    json.RawMessage `json:"work,omitempty"`
+	Attempt types.AttemptID   `json:"leg"`
+	Kind    types.ServiceKind `json:"kind"`
+	Rack    types.Rack        `json:"rack,omitempty"`
+	Room    types.Resources   `json:"room"`
+	Limit   int               `json:"limit_ms"`
+	Label   []string          `json:"labels,omitempty"`
+	Ref     string            `json:"ref,omitempty"`
+	Work    json.RawMessage   `json:"work,omitempty"`
 }
 
 // Order is runTask.
 type Order struct {
 	Top
-	Seq   types.Seq   `json:"seq"`
-	Until types.Stamp `json:"until"`
-	Job   Job         `json:"job"`
+	Seq   types.Seq      `json:"seq"`
+	Until types.MonoTime `json:"until"`
+	Job   Job            `json:"job"`
 }
 
 // Ordered answers an order.
 type OrderReply struct {
-	Term    types.Term    `json:"term"`
-	Shard   types.Shard   `json:"shard"`
-	ID      types.ID      `json:"id"`
-	Attempt types.Attempt `json:"leg"`
-	Why     string        `json:"why,omitempty"`
+	Term    types.Term      `json:"term"`
+	Shard   types.Shard     `json:"shard"`
+	ID      types.ID        `json:"id"`
+	Attempt types.AttemptID `json:"leg"`
+	Why     string          `json:"why,omitempty"`
 }
 
 // Query is notifyIfTasksNotRunning.
 type Query struct {
 	Top
-	Seq      types.Seq       `json:"seq"`
-	Attempts []types.Attempt `json:"legs"`
+	Seq      types.Seq         `json:"seq"`
+	Attempts []types.AttemptID `json:"legs"`
 }
 
 type QueryReply struct {
@@ -155,22 +155,22 @@
 
 // Status is updateStatus, of both kinds.
 type Status struct {
-	Shard types.Shard `json:"shard"`
-	ID    types.ID    `json:"id"`
-	Ends  []state.End `json:"ends"`
+	Shard types.Shard        `json:"shard"`
+	ID    types.ID           `json:"id"`
+	Ends  []state.AttemptEnd `json:"ends"`
 }
 
 // Settled tells an agent which ends are committed, and as what.
 type CommittedEnds struct {
 	Top
-	Ends []state.End `json:"ends"`
+	Ends []state.AttemptEnd `json:"ends"`
 }
 
 // Stop is killTask.
 type Stop struct {
 	Top
-	Attempts []types.Attempt `json:"legs"`
-	Late     []types.Attempt `json:"late,omitempty"` // of these, those past the time their queue allows: they have failed
+	Attempts []types.AttemptID `json:"legs"`
+	Late     []types.AttemptID `json:"late,omitempty"` // of these, those past the time their queue allows: they have failed
 }
 
 // Quit is requestSuicide: the agent stops all attempts and comes back as another.
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -28,17 +28,17 @@
 	ID    types.ID
 	Addr  types.Addr
 	State Health
-	Since types.Stamp
+	Since types.MonoTime
 	Report
-	Goes  types.Stamp // when its worker goes, if it said so
+	Goes  types.MonoTime // when its worker goes, if it said so
 	Been  bool
-	Good  types.Stamp
-	heard types.Stamp
-	stamp types.Stamp
+	Good  types.MonoTime
+	heard types.MonoTime
+	stamp types.MonoTime
 	seq   types.Seq
-	asked types.Stamp
-	query types.Stamp
-	quest map[types.Seq][]types.Attempt
+	asked types.MonoTime
+	query types.MonoTime
+	quest map[types.Seq][]types.AttemptID
 	old   SetID
 	ver   int
 	ind   int
@@ -46,7 +46,7 @@
 	left  int // the first that has it no more, or 0
 	Worth Worth
 	pace  float64 // log of how many times the usual its attempts take
-	paced types.Stamp
+	paced types.MonoTime
 }
 
 // Scheduler is the whole model.
@@ -54,36 +54,36 @@
 	pace   Timeouts
 	me     types.Addr
 	term   types.Term
-	born   types.Stamp
-	ruled  types.Stamp // when an earlier leader can last have had authority
-	now    types.Stamp
+	born   types.MonoTime
+	ruled  types.MonoTime // when an earlier leader can last have had authority
+	now    types.MonoTime
 	grace  time.Duration
 	Wait   bool
 	Why    string
-	swept  types.Stamp
+	swept  types.MonoTime
 	seats  map[types.Shard]*WorkerEntry
 	order  []*WorkerEntry // the same, by shard
 	past   map[types.ID]bool
 	holds  holds
 	sets   sets
-	ends   []state.End
+	ends   []state.AttemptEnd
 	norm   map[string]*usual
 	stages map[stage]*times
-	pruned types.Stamp
+	pruned types.MonoTime
 	sends  []wire.Send
 	// Doubts lists the attempts lost on a shard whose true ends are still awaited.
-	Doubts func(types.Shard) []types.Attempt
+	Doubts func(types.Shard) []types.AttemptID
 	// Apart tells whether a shard is silent together with its whole zone.
 	Apart func(types.Shard) bool
 	// Invoked tells whether a shard's worker is one that is called.
 	Invoked func(types.Shard) bool
 	// Taken tells whether the log already has an end, or has no use for it.
-	Taken func(state.End) bool
+	Taken func(state.AttemptEnd) bool
 }
 
 // NewHead starts a leadership; outs are the attempts that the log has as given out,
 // and ruled is when an earlier leader can last have had authority.
-func NewScheduler(now, ruled types.Stamp, pace Timeouts, me types.Addr, term types.Term, outs []Hold) *Scheduler {
+func NewScheduler(now, ruled types.MonoTime, pace Timeouts, me types.Addr, term types.Term, outs []Hold) *Scheduler {
 	h := &Scheduler{pace: pace, me: me, term: term, born: now, ruled: min(now, ruled), now: now, Wait: true, seats: map[types.Shard]*WorkerEntry{},
 		past: map[types.ID]bool{}, holds: newHolds(), sets: sets{groups: map[int][]*WorkerEntry{}}, norm: map[string]*usual{},
 		stages: map[stage]*times{}, swept: now.Add(-sweep)}
@@ -101,7 +101,7 @@
 func (sc *Scheduler) top(s *WorkerEntry) Top { return Top{sc.term, s.ID} }
 
 // Out drains the step: what to send, and the ends to commit.
-func (sc *Scheduler) Out() (sends []wire.Send, ends []state.End) {
+func (sc *Scheduler) Out() (sends []wire.Send, ends []state.AttemptEnd) {
 	sends, ends = sc.sends, sc.ends
 	sc.sends, sc.ends = nil, nil
 	return
@@ -177,7 +177,7 @@
 
 func (sc *Scheduler) sit(from types.Addr, b Heartbeat) *WorkerEntry {
 	s := &WorkerEntry{Shard: b.Shard, ID: b.ID, Addr: from, State: New, Since: sc.now, Good: sc.now, old: b.Set, Worth: Worth{Slow: 1},
-		asked: -1 << 62, stamp: -1 << 62, quest: map[types.Seq][]types.Attempt{}}
+		asked: -1 << 62, stamp: -1 << 62, quest: map[types.Seq][]types.AttemptID{}}
 	old := sc.seats[b.Shard]
 	i, _ := slices.BinarySearchFunc(sc.order, b.Shard, func(x *WorkerEntry, k types.Shard) int { return cmp.Compare(x.Shard, k) })
 	if old != nil {
@@ -217,7 +217,7 @@
 	if s == nil || s.State != New {
 		return
 	}
-	told := map[types.Attempt]bool{}
+	told := map[types.AttemptID]bool{}
 	for _, r := range a.Runs {
 		told[r.Attempt] = true
 		if o := sc.holds.by[r.Attempt]; o != nil && o.Shard == s.Shard {
@@ -226,12 +226,12 @@
 			sc.holds.add(&Hold{Attempt: r.Attempt, Shard: s.Shard, Stage: -1, Room: r.Room, Phase: sure, At: sc.now})
 		}
 	}
-	outcome := state.Lost
+	outcome := state.OutcomeLost
 	if sc.Invoked(s.Shard) {
-		outcome = state.Lapsed
+		outcome = state.OutcomeLeaseExpired
 	}
 	if a.Whole {
-		outcome = state.Unrun
+		outcome = state.OutcomeNeverRan
 		sc.clear(s.Shard, told)
 	}
 	for _, o := range sc.holds.of(s.Shard) {
@@ -246,10 +246,10 @@
 
 // clear ends the doubt about attempts that were lost on a shard and are not in its
 // worker's own account: they did not end well and never will.
-func (sc *Scheduler) clear(shard types.Shard, told map[types.Attempt]bool) {
+func (sc *Scheduler) clear(shard types.Shard, told map[types.AttemptID]bool) {
 	for _, l := range sc.Doubts(shard) {
 		if !told[l] {
-			sc.drop(l, state.Unrun)
+			sc.drop(l, state.OutcomeNeverRan)
 		}
 	}
 }
@@ -259,30 +259,30 @@
 func (sc *Scheduler) gone(shard types.Shard) state.Outcome {
 	switch {
 	case sc.Invoked(shard):
-		return state.Lapsed
+		return state.OutcomeLeaseExpired
 	case sc.Apart(shard):
-		return state.Cut
+		return state.OutcomePartitioned
 	}
-	return state.Lost
+	return state.OutcomeLost
 }
 
 // drop says that an attempt has ended; it is held until that is committed.
-func (sc *Scheduler) drop(l types.Attempt, f state.Outcome) {
-	e := state.End{Attempt: l, Outcome: f}
+func (sc *Scheduler) drop(l types.AttemptID, f state.Outcome) {
+	e := state.AttemptEnd{ID: l, Outcome: f}
 	if o := sc.holds.by[l]; o != nil {
-		e.Ref = o.Ref
+		e.Checkpoint = o.Ref
 	}
 	sc.ends = append(sc.ends, e)
 }
 
 // Settle forgets attempts whose end is committed and tells their agents.
-func (sc *Scheduler) Settle(list []state.End) {
-	by := map[types.Shard][]state.End{}
+func (sc *Scheduler) Settle(list []state.AttemptEnd) {
+	by := map[types.Shard][]state.AttemptEnd{}
 	for _, e := range list {
-		if o := sc.holds.by[e.Attempt]; o != nil {
+		if o := sc.holds.by[e.ID]; o != nil {
 			sc.mark(o, e.Outcome)
 			by[o.Shard] = append(by[o.Shard], e)
-			sc.holds.drop(e.Attempt)
+			sc.holds.drop(e.ID)
 		}
 	}
 	for _, k := range sorted(by) {
@@ -298,7 +298,7 @@
 	sc.holds.add(o)
 	s := sc.seats[shard]
 	if s == nil || s.State != Healthy || s.Leaving || sc.grace <= 0 {
-		sc.drop(j.Attempt, state.Unrun)
+		sc.drop(j.Attempt, state.OutcomeNeverRan)
 		return
 	}
 	sc.say(s, wire.Order, Order{sc.top(s), s.seq, s.stamp.Add(min(sc.pace.Grant, sc.grace)), j})
@@ -311,7 +311,7 @@
 	}
 	if r.Why != "" {
 		s.Healthy = false // until the next beat says otherwise
-		sc.drop(r.Attempt, state.Unrun)
+		sc.drop(r.Attempt, state.OutcomeNeverRan)
 		return
 	}
 	sc.holds.turn(o, sure)
@@ -337,13 +337,13 @@
 func (sc *Scheduler) onStatus(from types.Addr, u Status) {
 	s := sc.seats[u.Shard]
 	known := s != nil && (s.ID != u.ID || s.State != New)
-	var done []state.End
+	var done []state.AttemptEnd
 	for _, e := range u.Ends {
-		if !known && !e.Outcome.IsFact() {
+		if !known && !e.Outcome.ReportedByWorker() {
 			continue
 		}
 		if sc.Taken(e) {
-			sc.holds.drop(e.Attempt)
+			sc.holds.drop(e.ID)
 			done = append(done, e)
 		} else {
 			sc.ends = append(sc.ends, e)
--- a/internal/dispatch/set.go
+++ b/internal/dispatch/set.go
@@ -140,15 +140,15 @@
 
 func (sc *Scheduler) mark(o *Hold, f state.Outcome) {
 	s := sc.seats[o.Shard]
-	if s == nil || f == state.Unrun || f == state.Halted || f == state.Cut {
+	if s == nil || f == state.OutcomeNeverRan || f == state.OutcomeStopped || f == state.OutcomePartitioned {
 		return
 	}
 	bad := 0.0
-	if f != state.OK {
+	if f != state.OutcomeOK {
 		bad = 1
 	}
 	s.Worth.Bad += fade * (bad - s.Worth.Bad)
-	if o.Usual == "" || f != state.OK {
+	if o.Usual == "" || f != state.OutcomeOK {
 		return
 	}
 	if s.Invoked {
--- a/internal/dispatch/set_test.go
+++ b/internal/dispatch/set_test.go
@@ -124,14 +124,14 @@
 	is := is.New(t)
 	rnd := rand.New(rand.NewSource(5))
 	h := newHolds()
-	now := types.Stamp(time.Hour)
-	plain := map[types.Attempt]*Hold{}
+	now := types.MonoTime(time.Hour)
+	plain := map[types.AttemptID]*Hold{}
 	for range 4000 {
 		now = now.Add(time.Millisecond)
-		l := types.Attempt{Task: types.Task{Job: types.JobID(fmt.Sprint("j", rnd.Intn(6))), N: rnd.Intn(4)}, Attempt: 1 + rnd.Intn(2)}
+		l := types.AttemptID{TaskID: types.TaskID{Job: types.JobID(fmt.Sprint("j", rnd.Intn(6))), Number: rnd.Intn(4)}, Attempt: 1 + rnd.Intn(2)}
 		switch o := plain[l]; {
 		case o == nil || rnd.Intn(9) == 0:
-			o = &Hold{Attempt: l, Shard: types.Shard(fmt.Sprint("s", rnd.Intn(4))), Stage: types.Stage(rnd.Intn(3) - 1), Room: types.Room{Cores: types.Cores(1 + rnd.Intn(3))},
+			o = &Hold{Attempt: l, Shard: types.Shard(fmt.Sprint("s", rnd.Intn(4))), Stage: types.Stage(rnd.Intn(3) - 1), Room: types.Resources{Cores: types.MilliCores(1 + rnd.Intn(3))},
 				Phase: []phase{dim, sent, sure}[rnd.Intn(3)], At: now}
 			h.add(o)
 			plain[l] = o
@@ -147,10 +147,10 @@
 			h.turn(o, unsure)
 		}
 		n, dims, alien, open := 0, 0, 0, map[types.Shard]bool{}
-		rooms := map[types.Shard]types.Room{}
+		rooms := map[types.Shard]types.Resources{}
 		for _, o := range plain {
 			n++
-			rooms[o.Shard] = rooms[o.Shard].Plus(o.Room)
+			rooms[o.Shard] = rooms[o.Shard].Add(o.Room)
 			if o.Phase == dim {
 				dims++
 			}
--- a/internal/dispatch/truth_test.go
+++ b/internal/dispatch/truth_test.go
@@ -18,26 +18,26 @@
 
 // bench is one leader's half and some agents' halves, with a shared clock.
 type bench struct {
-	now    types.Stamp
+	now    types.MonoTime
 	head   *Scheduler
 	hands  map[types.Addr]*Executor
 	post   []wire.Send // not yet delivered
-	ends   []state.End
+	ends   []state.AttemptEnd
 	minted int
 }
 
 func newBench() *bench {
-	b := &bench{now: types.Stamp(time.Hour), hands: map[types.Addr]*Executor{}}
+	b := &bench{now: types.MonoTime(time.Hour), hands: map[types.Addr]*Executor{}}
 	b.lead(1)
 	return b
 }
 
 func (b *bench) lead(term types.Term, outs ...Hold) {
 	b.head = NewScheduler(b.now, b.now, Defaults, "h", term, outs)
-	b.head.Taken = func(state.End) bool { return false }
+	b.head.Taken = func(state.AttemptEnd) bool { return false }
 	b.head.Apart = func(types.Shard) bool { return false }
 	b.head.Invoked = func(types.Shard) bool { return false }
-	b.head.Doubts = func(types.Shard) []types.Attempt { return nil }
+	b.head.Doubts = func(types.Shard) []types.AttemptID { return nil }
 }
 
 func (b *bench) agent(addr types.Addr, shard types.Shard) *Executor {
@@ -49,10 +49,10 @@
 	return h
 }
 
-func (b *bench) poll(h *Executor, call uint64, runs ...types.Attempt) Answer {
-	p := Poll{Worker: "k", Call: call, Stamp: b.now, Rack: "r", Kinds: []types.Kind{"x"}, Room: types.Room{Cores: 4 * types.Core}}
+func (b *bench) poll(h *Executor, call uint64, runs ...types.AttemptID) Answer {
+	p := Poll{Worker: "k", Call: call, Stamp: b.now, Rack: "r", Kinds: []types.ServiceKind{"x"}, Room: types.Resources{Cores: 4 * types.Core}}
 	for _, l := range runs {
-		p.Runs = append(p.Runs, Run{l, types.Room{Cores: 1 * types.Core}})
+		p.Runs = append(p.Runs, Run{l, types.Resources{Cores: 1 * types.Core}})
 	}
 	h.Poll(b.now, p)
 	return h.Reply(b.now)
@@ -96,7 +96,7 @@
 	for end := b.now.Add(d); b.now < end; {
 		b.now = b.now.Add(50 * ms)
 		for _, h := range b.hands {
-			var runs []types.Attempt
+			var runs []types.AttemptID
 			for _, l := range h.sorted() {
 				if l.part != ended {
 					runs = append(runs, l.job.Attempt)
@@ -118,12 +118,12 @@
 	return is.New(t), b, w
 }
 
-func try(job string, n int) types.Attempt {
-	return types.Attempt{Task: types.Task{Job: types.JobID(job)}, Attempt: n}
+func try(job string, n int) types.AttemptID {
+	return types.AttemptID{TaskID: types.TaskID{Job: types.JobID(job)}, Attempt: n}
 }
 
-func order(b *bench, shard types.Shard, l types.Attempt) {
-	b.head.Order(shard, 0, "", Job{Attempt: l, Kind: "x", Room: types.Room{Cores: 1 * types.Core}})
+func order(b *bench, shard types.Shard, l types.AttemptID) {
+	b.head.Order(shard, 0, "", Job{Attempt: l, Kind: "x", Room: types.Resources{Cores: 1 * types.Core}})
 }
 
 func kind(k string) func(wire.Send) bool {
@@ -138,7 +138,7 @@
 	is.Equal(len(late), 1)
 	b.pass(400*ms, nil) // unanswered, so unsure, so asked about
 	is.True(w.attempts[try("j", 1)].part == ended)
-	is.Equal(b.ends[len(b.ends)-1], state.End{Attempt: try("j", 1), Outcome: state.Unrun})
+	is.Equal(b.ends[len(b.ends)-1], state.AttemptEnd{ID: try("j", 1), Outcome: state.OutcomeNeverRan})
 	b.give(late[0])
 	is.True(w.attempts[try("j", 1)].part == ended) // it stays what the agent said
 	// An order for an attempt that was not asked about, sent before the query, is refused by its number.
@@ -152,17 +152,17 @@
 	is, b, w := calm(t)
 	order(b, "s", try("j", 1))
 	b.flow(nil)
-	w.finish(w.attempts[try("j", 1)], state.OK)
-	b.head.Settle([]state.End{{Attempt: try("j", 1), Outcome: state.OK}})
-	b.head.Taken = func(state.End) bool { return true }
+	w.finish(w.attempts[try("j", 1)], state.OutcomeOK)
+	b.head.Settle([]state.AttemptEnd{{ID: try("j", 1), Outcome: state.OutcomeOK}})
+	b.head.Taken = func(state.AttemptEnd) bool { return true }
 	b.flow(nil)
 	b.poll(w, w.call+1)
 	b.poll(w, w.call+1) // the worker has let go of it, so the agent has too
 	is.Equal(len(w.attempts), 0)
 	s := b.head.seats["s"]
 	s.seq++
-	b.give(wire.Make("h", "w", wire.Query, Query{b.head.top(s), s.seq, []types.Attempt{try("j", 1)}}))
-	is.Equal(w.attempts[try("j", 1)].outcome, state.Unrun)
+	b.give(wire.Make("h", "w", wire.Query, Query{b.head.top(s), s.seq, []types.AttemptID{try("j", 1)}}))
+	is.Equal(w.attempts[try("j", 1)].outcome, state.OutcomeNeverRan)
 	b.ends = nil
 	b.pass(time.Second, nil)
 	is.Equal(len(b.ends), 0)     // the redundant report changes nothing
@@ -172,11 +172,11 @@
 // To a new leader an agent's own conclusions wait for its account; what its
 // worker did counts at once, since the agent may not live to tell it again.
 func TestEndReportWhileNew(t *testing.T) {
-	for outcome, at := range map[state.Outcome]bool{state.OK: true, state.Bad: true, state.Lost: false, state.Unrun: false} {
+	for outcome, at := range map[state.Outcome]bool{state.OutcomeOK: true, state.OutcomeFailed: true, state.OutcomeLost: false, state.OutcomeNeverRan: false} {
 		is, b, w := calm(t)
 		order(b, "s", try("j", 1))
 		b.flow(nil)
-		b.lead(2, Hold{Attempt: try("j", 1), Shard: "s", Room: types.Room{Cores: 1 * types.Core}})
+		b.lead(2, Hold{Attempt: try("j", 1), Shard: "s", Room: types.Resources{Cores: 1 * types.Core}})
 		b.ends = nil
 		w.finish(w.attempts[try("j", 1)], outcome)
 		b.pass(600*ms, kind(wire.AskRun)) // the new leader's question does not arrive
@@ -185,7 +185,7 @@
 		b.pass(600*ms, nil)
 		is.True(len(b.ends) > 0)
 		if at {
-			is.Equal(b.ends[0], state.End{Attempt: try("j", 1), Outcome: outcome})
+			is.Equal(b.ends[0], state.AttemptEnd{ID: try("j", 1), Outcome: outcome})
 		}
 	}
 }
@@ -220,13 +220,13 @@
 	b.lead(2)
 	b.pass(700*ms, nil)
 	is.Equal(b.head.Wait, false) // the one agent agrees with itself
-	b.lead(3, Hold{Attempt: try("j", 1), Shard: "s2", Room: types.Room{Cores: 1 * types.Core}})
+	b.lead(3, Hold{Attempt: try("j", 1), Shard: "s2", Room: types.Resources{Cores: 1 * types.Core}})
 	b.pass(700*ms, nil)
 	is.Equal(b.head.Wait, true)
 	b.ends = nil
 	b.pass(2500*ms, nil)
 	is.Equal(b.head.Wait, false)
-	is.Equal(b.ends[0], state.End{Attempt: try("j", 1), Outcome: state.Lost})
+	is.Equal(b.ends[0], state.AttemptEnd{ID: try("j", 1), Outcome: state.OutcomeLost})
 }
 
 func TestReplacedWorkerComesBack(t *testing.T) {
@@ -267,8 +267,8 @@
 	is, b, w := calm(t)
 	order(b, "s", try("j", 1))
 	b.flow(nil)
-	w.finish(w.attempts[try("j", 1)], state.OK)
-	b.head.Settle([]state.End{{Attempt: try("j", 1), Outcome: state.Lost}})
+	w.finish(w.attempts[try("j", 1)], state.OutcomeOK)
+	b.head.Settle([]state.AttemptEnd{{ID: try("j", 1), Outcome: state.OutcomeLost}})
 	b.flow(nil)
 	is.Equal(w.attempts[try("j", 1)].settled, false)
 }
@@ -300,7 +300,7 @@
 		b.head.Tick(b.now, time.Second)
 		b.flow(mute)
 	}
-	is.Equal(b.ends[0].Outcome, state.Lost)
+	is.Equal(b.ends[0].Outcome, state.OutcomeLost)
 	is.True(b.now > until)
 	is.True(b.now > given.Add(Defaults.Worker))
 }
@@ -311,14 +311,14 @@
 	for _, end := range []struct {
 		told []Finish
 		want state.Outcome
-	}{{nil, state.Gone}, {[]Finish{{Run{try("j", 1), types.Room{}}, state.OK}}, state.OK}} {
+	}{{nil, state.OutcomeWorkerExited}, {[]Finish{{Run{try("j", 1), types.Resources{}}, state.OutcomeOK}}, state.OutcomeOK}} {
 		is, b, w := calm(t)
 		order(b, "s", try("j", 1))
 		b.flow(nil)
 		b.poll(w, w.call+1, try("j", 1))
 		b.now = b.now.Add(Defaults.Worker + Slack + 10*ms)
 		w.Tick(b.now, "h")
-		is.Equal(w.attempts[try("j", 1)].outcome, state.Lost)
+		is.Equal(w.attempts[try("j", 1)].outcome, state.OutcomeLost)
 		w.attempts[try("j", 1)].settled = true
 		w.Poll(b.now, Poll{Worker: "k", Call: w.call + 1, Stamp: b.now, Ends: end.told})
 		is.Equal(w.attempts[try("j", 1)].outcome, end.want)
@@ -344,7 +344,7 @@
 	b := newBench()
 	for _, ago := range []time.Duration{0, 900 * time.Millisecond, time.Hour} {
 		h := NewScheduler(b.now, b.now.Add(-ago), Defaults, "h", 2, []Hold{{Attempt: try("j", 1), Shard: "s"}})
-		h.Taken, h.Doubts = func(state.End) bool { return false }, func(types.Shard) []types.Attempt { return nil }
+		h.Taken, h.Doubts = func(state.AttemptEnd) bool { return false }, func(types.Shard) []types.AttemptID { return nil }
 		h.Apart, h.Invoked = func(types.Shard) bool { return false }, func(types.Shard) bool { return true }
 		for at := time.Duration(0); at < Defaults.Loss+time.Second; at += 10 * time.Millisecond {
 			h.Tick(b.now.Add(at), time.Second)
--- a/internal/dispatch/watch.go
+++ b/internal/dispatch/watch.go
@@ -17,7 +17,7 @@
 const sweep = 10 * time.Millisecond
 
 // Tick lets time pass. Grace is how long the leader's own authority lasts.
-func (sc *Scheduler) Tick(now types.Stamp, grace time.Duration) {
+func (sc *Scheduler) Tick(now types.MonoTime, grace time.Duration) {
 	sc.now, sc.grace = now, grace
 	if now.Sub(sc.swept) < sweep {
 		return
@@ -125,7 +125,7 @@
 		if s == nil || s.State == MustDie || s.State == New || sc.now.Sub(s.query) < sc.pace.Again {
 			continue
 		}
-		var attempts []types.Attempt
+		var attempts []types.AttemptID
 		for _, o := range sc.holds.of(k) {
 			if o.Phase == unsure {
 				attempts = append(attempts, o.Attempt)
@@ -144,8 +144,8 @@
 // Halt asks for attempts to be stopped, again and again until they have ended; late
 // ones are past the time their queue allows. Attempts of this leadership that were
 // never sent are left alone.
-func (sc *Scheduler) Halt(attempts, late []types.Attempt) {
-	by := map[types.Shard][]types.Attempt{}
+func (sc *Scheduler) Halt(attempts, late []types.AttemptID) {
+	by := map[types.Shard][]types.AttemptID{}
 	for _, l := range append(attempts, late...) {
 		o := sc.holds.by[l]
 		if o == nil || o.halt != 0 && sc.now.Sub(o.halt) < sc.pace.Again/2 {
@@ -162,13 +162,13 @@
 }
 
 // Strays lists attempts that an agent runs but the log does not have as given out.
-func (sc *Scheduler) Strays() (list []types.Attempt) {
+func (sc *Scheduler) Strays() (list []types.AttemptID) {
 	for l, o := range sc.holds.alien {
-		if o.Phase == sure && sc.Taken(state.End{Attempt: l, Outcome: state.Halted}) {
+		if o.Phase == sure && sc.Taken(state.AttemptEnd{ID: l, Outcome: state.OutcomeStopped}) {
 			list = append(list, l)
 		}
 	}
-	slices.SortFunc(list, types.Attempt.Compare)
+	slices.SortFunc(list, types.AttemptID.Compare)
 	return
 }
 
@@ -195,7 +195,7 @@
 }
 
 // Where is the shard on which an attempt possibly runs, or nothing.
-func (sc *Scheduler) Where(attempt types.Attempt) types.Shard {
+func (sc *Scheduler) Where(attempt types.AttemptID) types.Shard {
 	if o := sc.holds.by[attempt]; o != nil {
 		return o.Shard
 	}
@@ -204,8 +204,8 @@
 
 // Free is a seat's room less what its agent believes it to lack and all that possibly
 // runs on it.
-func (sc *Scheduler) Free(s *WorkerEntry) types.Room {
-	return s.Room.Minus(s.Lacks).Minus(sc.holds.used(s.Shard))
+func (sc *Scheduler) Free(s *WorkerEntry) types.Resources {
+	return s.Room.Sub(s.Lacks).Sub(sc.holds.used(s.Shard))
 }
 
 var heads = map[string]func(*Scheduler, wire.Message){
@@ -217,7 +217,7 @@
 }
 
 // Take handles an agent's note.
-func (sc *Scheduler) Take(now types.Stamp, grace time.Duration, n wire.Message) {
+func (sc *Scheduler) Take(now types.MonoTime, grace time.Duration, n wire.Message) {
 	sc.now, sc.grace = now, grace
 	if f := heads[n.Kind]; f != nil {
 		f(sc, n)
--- a/internal/gateway/end_reports.go
+++ b/internal/gateway/end_reports.go
@@ -20,8 +20,8 @@
 
 type endReport struct {
 	message wire.Message
-	at      types.Stamp
-	sent    types.Stamp
+	at      types.MonoTime
+	sent    types.MonoTime
 }
 
 func (g *Gateway) keep(n wire.Message) {
