--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -37,9 +37,9 @@
 
 type call struct {
 	ask      wire.Ask
-	from     types.Stamp
+	from     types.MonoTime
 	limit    time.Duration
-	sent     types.Stamp
+	sent     types.MonoTime
 	to       types.Addr
 	attempts int
 	open     bool // somebody asked before has not answered, and may have taken it
@@ -55,15 +55,15 @@
 	calls  map[uint64]*call
 	next   uint64
 	turn   int
-	was    types.Addr  // who led at the last tick that anybody did
-	lost   types.Stamp // since when no leader is known; 0 when one is
+	was    types.Addr     // who led at the last tick that anybody did
+	lost   types.MonoTime // since when no leader is known; 0 when one is
 	drain  bool
 	told   []endReport
 	sends  []wire.Send
 	outs   []wire.Answer
 	Sums   Sums
 	pace   float64 // requests answered a second, to tell when to come back
-	last   types.Stamp
+	last   types.MonoTime
 }
 
 // Sums are counters since start.
@@ -100,7 +100,7 @@
 
 // ConfirmedUntil is when the confirmation of the table ends, by the gateway's
 // steady clock.
-func (g *Gateway) ConfirmedUntil() types.Stamp { return g.news.ConfirmedUntil() }
+func (g *Gateway) ConfirmedUntil() types.MonoTime { return g.news.ConfirmedUntil() }
 
 // Leader is whom the gateway holds for the leader now.
 func (g *Gateway) Leader() types.Addr { return g.roster.Lead() }
@@ -170,9 +170,9 @@
 // giveUp says which it is: nobody has seen the request, or somebody may have.
 func (g *Gateway) giveUp(c *call) *apierror.Error {
 	if c.open || c.to != "" {
-		return apierror.New(apierror.Unsure, "", "no answer from the leader; the request may have been taken; send the same again").After(g.back())
+		return apierror.New(apierror.OutcomeUnknown, "", "no answer from the leader; the request may have been taken; send the same again").WithRetryAfter(g.back())
 	}
-	return apierror.New(apierror.NoLead, "", "no leader can be reached from here").After(g.back())
+	return apierror.New(apierror.NoLeader, "", "no leader can be reached from here").WithRetryAfter(g.back())
 }
 
 // back estimates when a leader will be reachable: an election is short, a cut
@@ -214,10 +214,10 @@
 		return nil
 	case len(g.calls) >= MaxCalls:
 		g.Sums.Crowded++
-		return apierror.New(apierror.Crowd, "", "this gateway has all the requests under way that it may have").
-			After(time.Duration(float64(len(g.calls)) / max(g.pace, 1) * float64(time.Second)))
+		return apierror.New(apierror.TooBusy, "", "this gateway has all the requests under way that it may have").
+			WithRetryAfter(time.Duration(float64(len(g.calls)) / max(g.pace, 1) * float64(time.Second)))
 	case g.lost != 0 && g.now.Mono.Sub(g.lost) > CallTimeout:
-		return apierror.New(apierror.NoLead, "", "no leader can be reached from here").After(g.back())
+		return apierror.New(apierror.NoLeader, "", "no leader can be reached from here").WithRetryAfter(g.back())
 	}
 	return nil
 }
@@ -254,10 +254,10 @@
 		if other && c.attempts < 6 {
 			g.send(r.ID, c, r.Lead)
 		}
-	case r.Fault != nil && r.Fault.Kind == apierror.Unsure:
+	case r.Fault != nil && r.Fault.Kind == apierror.OutcomeUnknown:
 		c.to, c.open = "", true
 	case r.Fault != nil && (c.open || from != c.to) && mutatingVerbs[c.ask.Verb] && saysNotTaken(r.Fault.Kind):
-		g.fail(r.ID, apierror.New(apierror.Unsure, "", "one controller refused the request, another may have taken it; send the same again").After(g.back()))
+		g.fail(r.ID, apierror.New(apierror.OutcomeUnknown, "", "one controller refused the request, another may have taken it; send the same again").WithRetryAfter(g.back()))
 	case r.Fault != nil:
 		g.fail(r.ID, r.Fault)
 	default:
@@ -267,7 +267,7 @@
 
 // untaken tells a refusal by which whoever asked may think that nothing was done.
 func saysNotTaken(k apierror.Kind) bool {
-	return apierror.Later[k] || k == apierror.NoQueue || k == apierror.Unplaced
+	return apierror.Retryable[k] || k == apierror.NoSuchQueue || k == apierror.NeverPlaceable
 }
 
 // changes are the verbs that take something in.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -18,7 +18,7 @@
 // desk is a gateway and the calls that it has sent.
 type desk struct {
 	g    *Gateway
-	now  types.Stamp
+	now  types.MonoTime
 	sent []wire.Send
 	outs []wire.Answer
 }
@@ -57,7 +57,7 @@
 }
 
 func begin(limit time.Duration) *desk {
-	d := &desk{now: types.Stamp(time.Minute)}
+	d := &desk{now: types.MonoTime(time.Minute)}
 	d.g = New(types.Now{Mono: d.now}, rand.New(rand.NewSource(1)), Options{Addr: "g", Zone: "z"})
 	d.hear()
 	d.step(wire.Event{})
@@ -67,27 +67,27 @@
 
 func TestARefusalAfterSilenceIsUnsure(t *testing.T) {
 	is := is.New(t)
-	full := wire.ReplyBody{Fault: apierror.New(apierror.Full, "", "full")}
+	full := wire.ReplyBody{Fault: apierror.New(apierror.QueueFull, "", "full")}
 	d := begin(0)
 	d.reply("a", 0, full)
-	is.Equal(d.outs[0].Fault.Kind, apierror.Full) // the only one that was asked
+	is.Equal(d.outs[0].Fault.Kind, apierror.QueueFull) // the only one that was asked
 
 	d = begin(0)
 	d.pass(AttemptTimeout + 40*time.Millisecond)
 	is.Equal(len(d.sent), 2) // a was silent
 	d.reply(d.sent[1].To, 1, full)
-	is.Equal(d.outs[0].Fault.Kind, apierror.Unsure)
+	is.Equal(d.outs[0].Fault.Kind, apierror.OutcomeUnknown)
 
 	d = begin(0)
 	d.pass(AttemptTimeout + 40*time.Millisecond)
 	d.reply("a", 0, full) // the other one has not answered
-	is.Equal(d.outs[0].Fault.Kind, apierror.Unsure)
+	is.Equal(d.outs[0].Fault.Kind, apierror.OutcomeUnknown)
 
 	d = begin(0)
 	d.reply("a", 0, wire.ReplyBody{Away: true, Lead: "b"})
 	is.Equal(d.sent[1].To, types.Addr("b"))
 	d.reply("b", 1, full)
-	is.Equal(d.outs[0].Fault.Kind, apierror.Full) // a has said that it took nothing
+	is.Equal(d.outs[0].Fault.Kind, apierror.QueueFull) // a has said that it took nothing
 }
 
 func TestARequestIsGivenUpInItsTime(t *testing.T) {
@@ -96,14 +96,14 @@
 	d.pass(340 * time.Millisecond)
 	is.Equal(len(d.outs), 0)
 	d.pass(40 * time.Millisecond)
-	is.Equal(d.outs[0].Fault.Kind, apierror.Unsure)
+	is.Equal(d.outs[0].Fault.Kind, apierror.OutcomeUnknown)
 
 	d = begin(400 * time.Millisecond)
 	for n := 0; len(d.outs) == 0; n = len(d.sent) - 1 { // nobody leads
 		d.reply(d.sent[n].To, n, wire.ReplyBody{Away: true})
 		d.pass(20 * time.Millisecond)
 	}
-	is.Equal(d.outs[0].Fault.Kind, apierror.NoLead) // nothing can have been taken
+	is.Equal(d.outs[0].Fault.Kind, apierror.NoLeader) // nothing can have been taken
 }
 
 // answered is the bodies of the answers that callers were given.
@@ -135,7 +135,7 @@
 
 	d = begin(400 * time.Millisecond)
 	d.pass(400 * time.Millisecond)
-	is.Equal(d.outs[0].Fault.Kind, apierror.Unsure)
+	is.Equal(d.outs[0].Fault.Kind, apierror.OutcomeUnknown)
 	d.step(wire.Event{Ask: &wire.Ask{Token: 2, Verb: "job.get", Arg: "k"}})
 	d.reply("a", 0, good(`"of j"`)) // too late
 	is.Equal(len(d.outs), 1)
@@ -150,7 +150,7 @@
 	is := is.New(t)
 	seen := map[uint64]bool{}
 	for seed := range int64(200) {
-		d := &desk{now: types.Stamp(time.Minute)}
+		d := &desk{now: types.MonoTime(time.Minute)}
 		d.g = New(types.Now{Mono: d.now}, rand.New(rand.NewSource(seed)), Options{Addr: "g", Zone: "z"})
 		d.hear()
 		for token := range uint64(50) {
--- a/internal/maintenance/calendar.go
+++ b/internal/maintenance/calendar.go
@@ -20,84 +20,84 @@
 
 const day = 24 * time.Hour
 
-// Ahead is how far from now recurring events are expanded.
-const Ahead = 400 * day
+// ExpansionHorizon is how far from now recurring events are expanded.
+const ExpansionHorizon = 400 * day
 
 // Bounds of an event.
 const (
-	longest         = 31 * day // of one occurrence
-	mostOccurrences = 200_000  // looked at, also those of the past
+	maxOccurrenceLength = 31 * day // of one occurrence
+	maxOccurrences      = 200_000  // looked at, also those of the past
 )
 
 // Window is the start and the end of a maintenance window.
-type Window = [2]types.Wall
+type Window = [2]types.WallTime
 
 // lineReader returns one line of the file for each Read and counts them, so that
 // an error can be reported with its line.
 type lineReader struct {
-	rest []byte
-	n    int  // lines returned
-	end  bool // the end of the file was reached
+	unread    []byte
+	linesRead int  // lines returned
+	atEOF     bool // the end of the file was reached
 }
 
-// at returns the number of the line that was being decoded. The decoder reads one
+// currentLine returns the number of the line that was being decoded. The decoder reads one
 // line ahead, where a folded line may continue.
-func (l *lineReader) at() int {
-	if l.end {
-		return l.n
+func (l *lineReader) currentLine() int {
+	if l.atEOF {
+		return l.linesRead
 	}
-	return max(0, l.n-1)
+	return max(0, l.linesRead-1)
 }
 
 // Read implements io.Reader.
 func (l *lineReader) Read(p []byte) (int, error) {
-	if l.end = len(l.rest) == 0; l.end {
+	if l.atEOF = len(l.unread) == 0; l.atEOF {
 		return 0, io.EOF
 	}
-	end := bytes.IndexByte(l.rest, '\n') + 1
+	end := bytes.IndexByte(l.unread, '\n') + 1
 	if end == 0 {
-		end = len(l.rest)
+		end = len(l.unread)
 	}
 	if end > len(p) {
-		n := copy(p, l.rest)
-		l.rest = l.rest[n:]
+		n := copy(p, l.unread)
+		l.unread = l.unread[n:]
 		return n, nil
 	}
-	l.n++
-	n := copy(p, l.rest[:end])
-	l.rest = l.rest[n:]
+	l.linesRead++
+	n := copy(p, l.unread[:end])
+	l.unread = l.unread[n:]
 	return n, nil
 }
 
 // Read returns the windows of a file that end after now, in order, merged where
 // they overlap. Times without a zone are UTC. An error has the field
 // ics.line[N].PROPERTY; then no windows are returned.
-func Read(b []byte, now time.Time, errs *apierror.ErrorList) []Window {
-	in := &lineReader{rest: b}
-	cal, err := decode(in)
+func Read(file []byte, now time.Time, errs *apierror.ErrorList) []Window {
+	reader := &lineReader{unread: file}
+	calendar, err := decode(reader)
 	if err != nil {
-		errs.Add(apierror.BadField, fmt.Sprintf("ics.line[%d]", in.at()), err.Error())
+		errs.Add(apierror.BadField, fmt.Sprintf("ics.line[%d]", reader.currentLine()), err.Error())
 		return nil
 	}
-	starts := eventLines(b)
-	var list []Window
-	events := cal.Events()
+	eventStarts := eventLines(file)
+	var windows []Window
+	events := calendar.Events()
 	errs.Check(len(events) > 0, "ics", "no VEVENT in it")
 	for i, e := range events {
-		at := "ics"
-		if i < len(starts) {
-			at = fmt.Sprintf("ics.line[%d]", starts[i])
+		path := "ics"
+		if i < len(eventStarts) {
+			path = fmt.Sprintf("ics.line[%d]", eventStarts[i])
 		}
-		list = append(list, windowsOf(e, at, now, errs)...)
-		if len(list) > state.MostSpans {
-			errs.Add(apierror.BadField, at, fmt.Sprintf("more than %d windows in the next %d days", state.MostSpans, Ahead/day))
+		windows = append(windows, eventWindows(e, path, now, errs)...)
+		if len(windows) > state.MaxWindows {
+			errs.Add(apierror.BadField, path, fmt.Sprintf("more than %d windows in the next %d days", state.MaxWindows, ExpansionHorizon/day))
 			return nil
 		}
 	}
 	if len(errs.List()) > 0 {
 		return nil
 	}
-	return merge(list)
+	return mergeWindows(windows)
 }
 
 // decode parses a file; a panic of the library counts as an error of the file.
@@ -117,75 +117,75 @@
 }
 
 // eventLines returns the numbers of the lines on which events begin.
-func eventLines(b []byte) (list []int) {
-	for i, l := range bytes.Split(b, []byte("\n")) {
+func eventLines(file []byte) (lines []int) {
+	for i, l := range bytes.Split(file, []byte("\n")) {
 		if strings.EqualFold(strings.TrimSpace(string(l)), "BEGIN:VEVENT") {
-			list = append(list, i+1)
+			lines = append(lines, i+1)
 		}
 	}
 	return
 }
 
-// windowsOf returns the windows of one event that end after now. Errors are
+// eventWindows returns the windows of one event that end after now. Errors are
 // reported under the path of the event.
-func windowsOf(e ical.Event, at string, now time.Time, errs *apierror.ErrorList) (list []Window) {
-	from, length, ok := times(e, at, errs)
+func eventWindows(event ical.Event, path string, now time.Time, errs *apierror.ErrorList) (windows []Window) {
+	firstStart, length, ok := firstOccurrence(event, path, errs)
 	if !ok {
 		return nil
 	}
-	for _, start := range occurrences(e, at, from, length, now, errs) {
+	for _, start := range occurrences(event, path, firstStart, length, now, errs) {
 		end := start.Add(length)
 		if end.After(now) {
-			list = append(list, Window{types.Wall(start.UnixNano()), types.Wall(end.UnixNano())})
+			windows = append(windows, Window{types.WallTime(start.UnixNano()), types.WallTime(end.UnixNano())})
 		}
 	}
 	return
 }
 
-// times returns the start and the length of an event's first occurrence.
-func times(e ical.Event, at string, errs *apierror.ErrorList) (from time.Time, length time.Duration, ok bool) {
-	if e.Props.Get(ical.PropDateTimeStart) == nil {
-		errs.Add(apierror.BadField, at+".DTSTART", "missing")
+// firstOccurrence returns the start and the length of an event's first occurrence.
+func firstOccurrence(event ical.Event, path string, errs *apierror.ErrorList) (start time.Time, length time.Duration, ok bool) {
+	if event.Props.Get(ical.PropDateTimeStart) == nil {
+		errs.Add(apierror.BadField, path+".DTSTART", "missing")
 		return
 	}
-	from, err := e.DateTimeStart(time.UTC)
+	start, err := event.DateTimeStart(time.UTC)
 	if err != nil {
-		errs.Add(apierror.BadField, at+".DTSTART", err.Error())
+		errs.Add(apierror.BadField, path+".DTSTART", err.Error())
 		return
 	}
-	to, err := e.DateTimeEnd(time.UTC)
+	to, err := event.DateTimeEnd(time.UTC)
 	if err != nil {
-		errs.Add(apierror.BadField, at+".DTEND", err.Error())
+		errs.Add(apierror.BadField, path+".DTEND", err.Error())
 		return
 	}
-	length = to.Sub(from)
-	if length <= 0 || length > longest {
-		errs.Add(apierror.BadField, at+".DTEND", fmt.Sprintf("want an end after the start, at most %d days later", longest/day))
+	length = to.Sub(start)
+	if length <= 0 || length > maxOccurrenceLength {
+		errs.Add(apierror.BadField, path+".DTEND", fmt.Sprintf("want an end after the start, at most %d days later", maxOccurrenceLength/day))
 		return
 	}
-	return from, length, true
+	return start, length, true
 }
 
 // occurrences returns the starts of an event: one, or by its recurrence rule those
 // that end after now and start before now plus Ahead.
-func occurrences(e ical.Event, at string, from time.Time, length time.Duration, now time.Time, errs *apierror.ErrorList) []time.Time {
-	rule, err := e.RecurrenceSet(time.UTC)
+func occurrences(event ical.Event, path string, firstStart time.Time, length time.Duration, now time.Time, errs *apierror.ErrorList) []time.Time {
+	rule, err := event.RecurrenceSet(time.UTC)
 	if err != nil {
-		errs.Add(apierror.BadField, at+".RRULE", err.Error())
+		errs.Add(apierror.BadField, path+".RRULE", err.Error())
 		return nil
 	}
 	if rule == nil {
-		return []time.Time{from}
+		return []time.Time{firstStart}
 	}
 	var starts []time.Time
 	next := rule.Iterator()
 	for n := 0; ; n++ {
 		start, ok := next()
-		if !ok || start.After(now.Add(Ahead)) || len(starts) > state.MostSpans {
+		if !ok || start.After(now.Add(ExpansionHorizon)) || len(starts) > state.MaxWindows {
 			return starts
 		}
-		if n > mostOccurrences {
-			errs.Add(apierror.BadField, at+".RRULE", "repeats too often")
+		if n > maxOccurrences {
+			errs.Add(apierror.BadField, path+".RRULE", "repeats too often")
 			return nil
 		}
 		if start.Add(length).After(now) {
@@ -194,14 +194,14 @@
 	}
 }
 
-// merge sorts windows and joins those that overlap.
-func merge(list []Window) (out []Window) {
-	sort.Slice(list, func(i, k int) bool { return list[i][0] < list[k][0] })
-	for _, w := range list {
-		if n := len(out); n > 0 && w[0] <= out[n-1][1] {
-			out[n-1][1] = max(out[n-1][1], w[1])
+// mergeWindows sorts windows and joins those that overlap.
+func mergeWindows(windows []Window) (merged []Window) {
+	sort.Slice(windows, func(i, k int) bool { return windows[i][0] < windows[k][0] })
+	for _, w := range windows {
+		if n := len(merged); n > 0 && w[0] <= merged[n-1][1] {
+			merged[n-1][1] = max(merged[n-1][1], w[1])
 		} else {
-			out = append(out, w)
+			merged = append(merged, w)
 		}
 	}
 	return
--- a/internal/membership/cards.go
+++ b/internal/membership/cards.go
@@ -29,16 +29,16 @@
 // entry is one card and when its daemon was last heard of.
 type entry struct {
 	card   Card
-	heard  types.Stamp // by anyone
-	direct types.Stamp // by this daemon
-	seq    uint64      // of its latest change here
-	silent bool        // the leader has not heard it for long
+	heard  types.MonoTime // by anyone
+	direct types.MonoTime // by this daemon
+	seq    uint64         // of its latest change here
+	silent bool           // the leader has not heard it for long
 }
 
 // zoneState is how many daemons of a zone are known, and when any was last heard of.
 type zoneState struct {
 	count int
-	heard types.Stamp
+	heard types.MonoTime
 }
 
 // change says that a card changed. It is outdated once the entry has a later seq.
@@ -131,7 +131,7 @@
 }
 
 // markHeard records that a peer was last heard of at a time.
-func (r *Roster) markHeard(e *entry, at types.Stamp) {
+func (r *Roster) markHeard(e *entry, at types.MonoTime) {
 	if at <= e.heard {
 		return
 	}
--- a/internal/membership/hello.go
+++ b/internal/membership/hello.go
@@ -37,7 +37,7 @@
 }
 
 // age returns how many milliseconds ago a stamp was.
-func (r *Roster) age(at types.Stamp) int64 { return max(0, r.now.Sub(at).Milliseconds()) }
+func (r *Roster) age(at types.MonoTime) int64 { return max(0, r.now.Sub(at).Milliseconds()) }
 
 // newHello returns what every hello holds: the own card, digests, and when the
 // controllers were last heard of.
@@ -96,7 +96,7 @@
 
 // Take handles a hello and reports true for it. Any other message counts as a sign
 // of life of its sender only, and false is returned.
-func (r *Roster) Take(now types.Stamp, n wire.Message) bool {
+func (r *Roster) Take(now types.MonoTime, n wire.Message) bool {
 	r.now = now
 	if n.Kind != wire.Hello {
 		r.touch(n)
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -86,12 +86,12 @@
 	rnd          *rand.Rand
 	me           Card
 	seeds        []types.Addr
-	now          types.Stamp
-	lastTick     types.Stamp
+	now          types.MonoTime
+	lastTick     types.MonoTime
 	beats        uint64
-	leadsSince   types.Stamp // since when this daemon leads
-	askedVersion uint64      // version of this daemon's card in its last question to the leader
-	ackedVersion uint64      // the version that the leader has answered to
+	leadsSince   types.MonoTime // since when this daemon leads
+	askedVersion uint64         // version of this daemon's card in its last question to the leader
+	ackedVersion uint64         // the version that the leader has answered to
 	sends        []wire.Send
 	cards
 	following
@@ -100,24 +100,24 @@
 
 // following is how far this daemon has followed the leader's log of changes.
 type following struct {
-	source     types.Addr  // the leader whose changes are followed
-	sourceSeq  uint64      // number of the last change applied
-	mismatches int         // replies in a row after which the digests still differed
-	repairedAt types.Stamp // when all cards were last asked for
-	vouchedAt  types.Stamp // when the leader last said that there are no more changes
+	source     types.Addr     // the leader whose changes are followed
+	sourceSeq  uint64         // number of the last change applied
+	mismatches int            // replies in a row after which the digests still differed
+	repairedAt types.MonoTime // when all cards were last asked for
+	vouchedAt  types.MonoTime // when the leader last said that there are no more changes
 }
 
 // gossip is the state of the exchange among agents.
 type gossip struct {
-	gossipPeer     types.Addr  // the peer that this agent asked last
-	gossipAt       types.Stamp // and when
-	nextController int         // index of the controller to ask next
-	lastAsker      Peer        // the agent that asked this daemon last
-	lastAskedAt    types.Stamp // and when
+	gossipPeer     types.Addr     // the peer that this agent asked last
+	gossipAt       types.MonoTime // and when
+	nextController int            // index of the controller to ask next
+	lastAsker      Peer           // the agent that asked this daemon last
+	lastAskedAt    types.MonoTime // and when
 }
 
 // never lies before all stamps, and far enough from them to be subtracted.
-const never = types.Stamp(-1 << 61)
+const never = types.MonoTime(-1 << 61)
 
 // versionSpread bounds the random version that a card starts with, so that two
 // processes at one address seldom start with the same.
@@ -174,7 +174,7 @@
 }
 
 // Tick sends what is due at the time now.
-func (r *Roster) Tick(now types.Stamp) {
+func (r *Roster) Tick(now types.MonoTime) {
 	r.now = now
 	if now.Sub(r.lastTick) < Beat {
 		return
--- a/internal/membership/roster_test.go
+++ b/internal/membership/roster_test.go
@@ -17,7 +17,7 @@
 )
 
 type cluster struct {
-	now   types.Stamp
+	now   types.MonoTime
 	by    map[types.Addr]*Roster
 	order []types.Addr
 	lost  func(from, to types.Addr) bool
@@ -26,7 +26,7 @@
 }
 
 func newCluster() *cluster {
-	return &cluster{now: types.Stamp(time.Hour), by: map[types.Addr]*Roster{}, lost: func(_, _ types.Addr) bool { return false },
+	return &cluster{now: types.MonoTime(time.Hour), by: map[types.Addr]*Roster{}, lost: func(_, _ types.Addr) bool { return false },
 		count: map[types.Addr]int{}, bytes: map[types.Addr]int{}}
 }
 
@@ -92,7 +92,7 @@
 			}
 			r.Tick(cl.now)
 			cl.post(r.Out())
-			if l := r.Lead(); l != "" && l != a && cl.now%types.Stamp(300*time.Millisecond) == 0 {
+			if l := r.Lead(); l != "" && l != a && cl.now%types.MonoTime(300*time.Millisecond) == 0 {
 				cl.post([]wire.Send{wire.Make(a, l, wire.Beat, 0)})
 				if !cl.lost(a, l) && cl.by[l] != nil {
 					cl.post([]wire.Send{wire.Make(l, a, wire.Beaten, 0)})
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -8,7 +8,7 @@
 
 // lastHeard returns when a peer was last heard of, as far as is known: the leader
 // reports those that fell silent, and so vouches for all others.
-func (r *Roster) lastHeard(e *entry) types.Stamp {
+func (r *Roster) lastHeard(e *entry) types.MonoTime {
 	if e.silent || !r.keepsAll() {
 		return e.heard
 	}
--- a/internal/placement/choice_test.go
+++ b/internal/placement/choice_test.go
@@ -12,31 +12,31 @@
 	"coppercourse/internal/types"
 )
 
-func slots(n, cores int) (list []Slot) {
+func newSlots(n, cores int) (list []Slot) {
 	for i := range n {
 		list = append(list, Slot{Shard: types.Shard(fmt.Sprintf("k%d", i)), Rack: types.Rack(fmt.Sprintf("r%d", i/3)),
-			Kinds: []types.Kind{"x"}, Free: types.Room{Cores: types.Cores(cores) * types.Core, Memory: 1000}, Size: types.Room{Cores: types.Cores(cores) * types.Core, Memory: 1000}, Slow: 1, Has: map[Part]int{}})
+			Kinds: []types.ServiceKind{"x"}, Free: types.Resources{Cores: types.MilliCores(cores) * types.Core, MemoryMB: 1000}, Capacity: types.Resources{Cores: types.MilliCores(cores) * types.Core, MemoryMB: 1000}, DurationFactor: 1, TasksByGroup: map[TaskGroup]int{}})
 	}
 	return
 }
 
-func want(job string, q types.Queue, n, cores int) Want {
-	w := Want{Part: Part{Job: types.JobID(job)}, Queue: q, Kind: "x", Room: types.Room{Cores: types.Cores(cores) * types.Core}}
-	for i := range n {
-		w.Tasks = append(w.Tasks, i)
+func newRequest(job string, queue types.QueueName, tasks, cores int) Request {
+	request := Request{TaskGroup: TaskGroup{Job: types.JobID(job)}, Queue: queue, Kind: "x", Resources: types.Resources{Cores: types.MilliCores(cores) * types.Core}}
+	for i := range tasks {
+		request.Tasks = append(request.Tasks, i)
 	}
-	return w
+	return request
 }
 
-func due(weight, share, running int) *Due {
-	return &Due{Row: config.Row{Weight: weight, Share: share, Running: running}}
+func newUsage(weight, share, running int) *QueueUsage {
+	return &QueueUsage{Queue: config.Queue{Weight: weight, SharePercent: share, MaxRunning: running}}
 }
 
-func place(wants []Want, list []Slot, dues map[types.Queue]*Due, total int) []Pick {
-	return Place(Input{Wants: wants, Slots: list, Dues: dues, Total: types.Cores(total) * types.Core}).Picks
+func assignments(requests []Request, slots []Slot, usage map[types.QueueName]*QueueUsage, total int) []Assignment {
+	return Place(Input{Requests: requests, Slots: slots, Usage: usage, TotalCores: types.MilliCores(total) * types.Core}).Assignments
 }
 
-func count(picks []Pick) map[types.JobID]int {
+func tasksByJob(picks []Assignment) map[types.JobID]int {
 	m := map[types.JobID]int{}
 	for _, p := range picks {
 		m[p.Task.Job]++
@@ -46,49 +46,49 @@
 
 func TestWeightsShareWhatThereIs(t *testing.T) {
 	is := is.New(t)
-	got := count(place([]Want{want("a", "a", 100, 1), want("b", "b", 100, 1)}, slots(4, 10),
-		map[types.Queue]*Due{"a": due(3, 0, 500), "b": due(1, 0, 500)}, 40))
+	got := tasksByJob(assignments([]Request{newRequest("a", "a", 100, 1), newRequest("b", "b", 100, 1)}, newSlots(4, 10),
+		map[types.QueueName]*QueueUsage{"a": newUsage(3, 0, 500), "b": newUsage(1, 0, 500)}, 40))
 	is.Equal(got, map[types.JobID]int{"a": 30, "b": 10})
 }
 
 func TestAShareComesBeforeWeights(t *testing.T) {
 	is := is.New(t)
-	got := count(place([]Want{want("a", "a", 100, 1), want("b", "b", 100, 1)}, slots(4, 10),
-		map[types.Queue]*Due{"a": due(1000, 0, 500), "b": due(1, 50, 500)}, 40))
+	got := tasksByJob(assignments([]Request{newRequest("a", "a", 100, 1), newRequest("b", "b", 100, 1)}, newSlots(4, 10),
+		map[types.QueueName]*QueueUsage{"a": newUsage(1000, 0, 500), "b": newUsage(1, 50, 500)}, 40))
 	is.Equal(got["b"], 20)
 }
 
 func TestWhatCannotBePlacedHoldsUpNobody(t *testing.T) {
 	is := is.New(t)
-	big := want("big", "a", 3, 11)
-	gang := want("gang", "a", 9, 5)
+	big := newRequest("big", "a", 3, 11)
+	gang := newRequest("gang", "a", 9, 5)
 	gang.Gang = true
-	far := want("far", "a", 1, 1)
+	far := newRequest("far", "a", 1, 1)
 	far.Rack = "r9"
-	got := count(place([]Want{big, gang, far, want("small", "a", 4, 1)}, slots(4, 10), map[types.Queue]*Due{"a": due(1, 0, 500)}, 40))
+	got := tasksByJob(assignments([]Request{big, gang, far, newRequest("small", "a", 4, 1)}, newSlots(4, 10), map[types.QueueName]*QueueUsage{"a": newUsage(1, 0, 500)}, 40))
 	is.Equal(got, map[types.JobID]int{"small": 4}) // and no part of the gang
 }
 
 func TestGangsAreWholeAndSpreadHolds(t *testing.T) {
 	is := is.New(t)
-	gang := want("g", "a", 6, 2)
-	gang.Gang, gang.Spread = true, 2
-	s := slots(3, 10)
-	picks := place([]Want{gang}, s, map[types.Queue]*Due{"a": due(1, 0, 6)}, 30)
+	gang := newRequest("g", "a", 6, 2)
+	gang.Gang, gang.MaxPerWorker = true, 2
+	s := newSlots(3, 10)
+	picks := assignments([]Request{gang}, s, map[types.QueueName]*QueueUsage{"a": newUsage(1, 0, 6)}, 30)
 	is.Equal(len(picks), 6)
 	at := map[types.Shard]int{}
 	for _, p := range picks {
 		at[p.Shard]++
 	}
 	is.Equal(at, map[types.Shard]int{"k0": 2, "k1": 2, "k2": 2})
-	is.Equal(len(place([]Want{gang}, slots(3, 10), map[types.Queue]*Due{"a": due(1, 0, 5)}, 30)), 0) // the queue's limit is whole too
-	is.Equal(len(place([]Want{gang}, slots(2, 10), map[types.Queue]*Due{"a": due(1, 0, 6)}, 30)), 0)
+	is.Equal(len(assignments([]Request{gang}, newSlots(3, 10), map[types.QueueName]*QueueUsage{"a": newUsage(1, 0, 5)}, 30)), 0) // the queue's limit is whole too
+	is.Equal(len(assignments([]Request{gang}, newSlots(2, 10), map[types.QueueName]*QueueUsage{"a": newUsage(1, 0, 6)}, 30)), 0)
 }
 
 func TestRoomIsNeverExceeded(t *testing.T) {
 	is := is.New(t)
-	s := slots(3, 7)
-	place([]Want{want("a", "a", 50, 2), want("b", "a", 50, 3)}, s, map[types.Queue]*Due{"a": due(1, 0, 500)}, 21)
+	s := newSlots(3, 7)
+	assignments([]Request{newRequest("a", "a", 50, 2), newRequest("b", "a", 50, 3)}, s, map[types.QueueName]*QueueUsage{"a": newUsage(1, 0, 500)}, 21)
 	for _, x := range s {
 		is.True(x.Free.Cores >= 0)
 	}
@@ -96,19 +96,19 @@
 
 func TestUrgentFirstWithinAQueueOnly(t *testing.T) {
 	is := is.New(t)
-	hot := want("hot", "a", 50, 1)
+	hot := newRequest("hot", "a", 50, 1)
 	hot.Urgency = 9
-	got := count(place([]Want{want("cold", "a", 50, 1), hot, want("other", "b", 50, 1)}, slots(1, 10),
-		map[types.Queue]*Due{"a": due(1, 0, 500), "b": due(1, 0, 500)}, 10))
+	got := tasksByJob(assignments([]Request{newRequest("cold", "a", 50, 1), hot, newRequest("other", "b", 50, 1)}, newSlots(1, 10),
+		map[types.QueueName]*QueueUsage{"a": newUsage(1, 0, 500), "b": newUsage(1, 0, 500)}, 10))
 	is.Equal(got, map[types.JobID]int{"hot": 5, "other": 5})
 }
 
 func TestABadWorkerIsProbedNotUsed(t *testing.T) {
 	is := is.New(t)
-	s := slots(3, 10)
-	s[0].Bad = 0.9
+	s := newSlots(3, 10)
+	s[0].FailureRate = 0.9
 	at := 0
-	for _, p := range place([]Want{want("a", "a", 12, 1)}, s, map[types.Queue]*Due{"a": due(1, 0, 500)}, 30) {
+	for _, p := range assignments([]Request{newRequest("a", "a", 12, 1)}, s, map[types.QueueName]*QueueUsage{"a": newUsage(1, 0, 500)}, 30) {
 		if p.Shard == "k0" {
 			at++
 		}
@@ -120,64 +120,64 @@
 // full. Without a reservation they never start; with it they do in bounded
 // time, and small work that surely ends before goes on beside it.
 func TestLargeWorkGetsItsTurn(t *testing.T) {
-	large := want("large", "a", 1, 10)
-	wide := want("wide", "a", 3, 10)
+	large := newRequest("large", "a", 1, 10)
+	wide := newRequest("wide", "a", 3, 10)
 	wide.Gang = true
-	for _, w := range []Want{large, wide} {
-		for _, kept := range []bool{true, false} {
+	for _, w := range []Request{large, wide} {
+		for _, reserving := range []bool{true, false} {
 			is := is.New(t)
-			list := slots(4, 10)
+			list := newSlots(4, 10)
 			ends := map[types.Shard][]int{} // when small tasks end, by round
-			var r *Reserve
-			at, small := -1, 0
+			var reservation *Reservation
+			startedIn, smallStarted := -1, 0
 			for round := range 400 {
-				wants := []Want{}
+				requests := []Request{}
 				for i := range 6 {
-					wants = append(wants, want(fmt.Sprint("s", round, i), "b", 2, 1))
-					wants[i].Long = time.Second
+					requests = append(requests, newRequest(fmt.Sprint("s", round, i), "b", 2, 1))
+					requests[i].TimeLimit = time.Second
 				}
-				if at < 0 && round >= 20 {
-					w.Long, w.Since = time.Second, time.Duration(round-20)*100*time.Millisecond
-					wants = append([]Want{w}, wants...)
+				if startedIn < 0 && round >= 20 {
+					w.TimeLimit, w.WaitingFor = time.Second, time.Duration(round-20)*100*time.Millisecond
+					requests = append([]Request{w}, requests...)
 				}
 				for i := range list {
 					s := &list[i]
-					s.held, s.Clear = types.Room{}, 0
+					s.reserved, s.IdleIn = types.Resources{}, 0
 					left := ends[s.Shard][:0]
 					for _, e := range ends[s.Shard] {
 						if e > round {
 							left = append(left, e)
-							s.Clear = max(s.Clear, time.Duration(e-round)*100*time.Millisecond)
+							s.IdleIn = max(s.IdleIn, time.Duration(e-round)*100*time.Millisecond)
 						}
 					}
-					s.Free, ends[s.Shard] = types.Room{Cores: types.Cores(10-len(left)) * types.Core, Memory: 1000}, left
+					s.Free, ends[s.Shard] = types.Resources{Cores: types.MilliCores(10-len(left)) * types.Core, MemoryMB: 1000}, left
 				}
-				out := Place(Input{Wants: wants, Slots: list, Total: 40 * types.Core, Kept: r,
-					Dues: map[types.Queue]*Due{"a": due(1, 0, 500), "b": due(1, 0, 500)}})
-				if r = out.Kept; !kept {
-					r = nil
+				out := Place(Input{Requests: requests, Slots: list, TotalCores: 40 * types.Core, Reservation: reservation,
+					Usage: map[types.QueueName]*QueueUsage{"a": newUsage(1, 0, 500), "b": newUsage(1, 0, 500)}})
+				if reservation = out.Reservation; !reserving {
+					reservation = nil
 				}
-				for _, p := range out.Picks {
+				for _, p := range out.Assignments {
 					if p.Task.Job == w.Job {
-						at = round
+						startedIn = round
 						for range 10 {
 							ends[p.Shard] = append(ends[p.Shard], round+10)
 						}
 					} else {
-						small++
+						smallStarted++
 						ends[p.Shard] = append(ends[p.Shard], round+10)
 					}
 				}
-				if at >= 0 && round > at+20 {
+				if startedIn >= 0 && round > startedIn+20 {
 					break
 				}
 			}
-			if !kept {
-				is.Equal(at, -1) // it starves
+			if !reserving {
+				is.Equal(startedIn, -1) // it starves
 				continue
 			}
-			is.True(at > 20 && at < 80) // 3 s of patience, and the time of a small task or two
-			is.True(small > 100)
+			is.True(startedIn > 20 && startedIn < 80) // 3 s of patience, and the time of a small task or two
+			is.True(smallStarted > 100)
 		}
 	}
 }
@@ -186,10 +186,10 @@
 func TestNothingRunsIntoAWindow(t *testing.T) {
 	is := is.New(t)
 	for long, n := range map[time.Duration]int{time.Minute: 10, time.Second: 20} {
-		s := slots(2, 10)
-		s[0].Till = 30 * time.Second
-		w := want("a", "a", 30, 1)
-		w.Long = long
-		is.Equal(len(place([]Want{w}, s, map[types.Queue]*Due{"a": due(1, 0, 500)}, 20)), n)
+		s := newSlots(2, 10)
+		s[0].AvailableFor = 30 * time.Second
+		w := newRequest("a", "a", 30, 1)
+		w.TimeLimit = long
+		is.Equal(len(assignments([]Request{w}, s, map[types.QueueName]*QueueUsage{"a": newUsage(1, 0, 500)}, 20)), n)
 	}
 }
--- a/internal/placement/fit.go
+++ b/internal/placement/fit.go
@@ -5,74 +5,74 @@
 
 import "coppercourse/internal/types"
 
-// fit finds workers for n tasks of a want, or nil.
-func (r *round) fit(w Want, n int) (got []int) {
-	if w.OneRack {
-		if got = r.rack(w, n); got != nil {
-			return got
+// findSlots finds workers for n tasks of a want, or nil.
+func (r *round) findSlots(request Request, tasks int) (slots []int) {
+	if request.PreferOneRack {
+		if slots = r.findSlotsOnOneRack(request, tasks); slots != nil {
+			return slots
 		}
 	}
-	return r.among(w, n, "")
+	return r.findSlotsOnRack(request, tasks, "")
 }
 
-// rack finds one rack that holds n tasks of a want, the one of its data first.
-func (r *round) rack(w Want, n int) []int {
+// findSlotsOnOneRack finds one rack that holds n tasks of a want, the one of its data first.
+func (r *round) findSlotsOnOneRack(request Request, tasks int) []int {
 	seen := map[types.Rack]bool{"": true}
-	try := func(x types.Rack) []int {
-		if seen[x] {
+	try := func(rack types.Rack) []int {
+		if seen[rack] {
 			return nil
 		}
-		seen[x] = true
-		return r.among(w, n, x)
+		seen[rack] = true
+		return r.findSlotsOnRack(request, tasks, rack)
 	}
-	got := try(w.Near)
-	for i := 0; i < len(r.Slots) && got == nil; i++ {
-		if at := r.Slots[i].Rack; r.Slots[i].Count(w.Part) > 0 {
-			got = try(at)
+	slots := try(request.DataRack)
+	for i := 0; i < len(r.Slots) && slots == nil; i++ {
+		if rack := r.Slots[i].Rack; r.Slots[i].TaskCount(request.TaskGroup) > 0 {
+			slots = try(rack)
 		}
 	}
-	for i := 0; i < len(r.Slots) && got == nil; i++ {
-		got = try(r.Slots[i].Rack)
+	for i := 0; i < len(r.Slots) && slots == nil; i++ {
+		slots = try(r.Slots[i].Rack)
 	}
-	return got
+	return slots
 }
 
-// among finds workers in a rack, or in any.
-func (r *round) among(w Want, n int, rack types.Rack) (got []int) {
-	free, more := r.free[:0], r.more[:0]
+// findSlotsOnRack finds workers in a rack, or in any.
+func (r *round) findSlotsOnRack(request Request, tasks int, rack types.Rack) (slots []int) {
+	free, added := r.freeScratch[:0], r.addedScratch[:0]
 	for i := range r.Slots {
-		free, more = append(free, r.Slots[i].Free), append(more, 0)
+		free, added = append(free, r.Slots[i].Free), append(added, 0)
 	}
-	r.free, r.more = free, more
-	for range n {
-		best, top := -1, 0.0
+	r.freeScratch, r.addedScratch = free, added
+	for range tasks {
+		best, bestScore := -1, 0.0
 		for i := range r.Slots {
-			s := &r.Slots[i]
-			if rack != "" && s.Rack != rack || !free[i].Holds(w.Room) || !s.Suits(w) ||
-				w.Spread > 0 && s.Count(w.Part)+more[i] >= w.Spread ||
-				!free[i].Minus(s.held).Holds(w.Room) && w.Long > s.Clear {
+			slot := &r.Slots[i]
+			if rack != "" && slot.Rack != rack || !free[i].Contains(request.Resources) || !slot.Feasible(request) ||
+				request.MaxPerWorker > 0 && slot.TaskCount(request.TaskGroup)+added[i] >= request.MaxPerWorker ||
+				!free[i].Sub(slot.reserved).Contains(request.Resources) && request.TimeLimit > slot.IdleIn {
 				continue
 			}
-			if r.bad(s) && s.Busy+more[i] > 0 || s.Now > slow || s.Now > 0 && s.Busy+more[i] >= proves {
+			if r.unreliable(slot) && slot.RunningTasks+added[i] > 0 || slot.CurrentDurationFactor > maxDurationFactor || slot.CurrentDurationFactor > 0 && slot.RunningTasks+added[i] >= probationTasks {
 				continue
 			}
-			v := worth(s, free[i])
-			if w.Near != "" && s.Rack != w.Near {
-				v /= 100
+			score := score(slot, free[i])
+			if request.DataRack != "" && slot.Rack != request.DataRack {
+				score /= 100
 			}
-			if w.Shun[s.Shard] {
-				v /= 1000
+			if request.AvoidWorkers[slot.Shard] {
+				score /= 1000
 			}
-			if best < 0 || v > top {
-				best, top = i, v
+			if best < 0 || score > bestScore {
+				best, bestScore = i, score
 			}
 		}
 		if best < 0 {
 			return nil
 		}
-		free[best] = free[best].Minus(w.Room)
-		more[best]++
-		got = append(got, best)
+		free[best] = free[best].Sub(request.Resources)
+		added[best]++
+		slots = append(slots, best)
 	}
 	return
 }
@@ -80,45 +80,47 @@
 // A worker on which all takes more than slow times as long gets nothing; one that
 // is being trusted again gets a little, by which it can prove itself.
 const (
-	slow   = 2.0
-	proves = 2
+	maxDurationFactor = 2.0
+	probationTasks    = 2
 )
 
-// hold keeps the room of the slots where a want that found none will soonest find it,
+// holdSlotsFree keeps the room of the slots where a want that found none will soonest find it,
 // so that smaller work whose turn is later does not take it piece by piece. It lasts
 // for the round: the next one comes to the same while nothing changes. A part of the
 // slots at most is kept so.
-func (r *round) hold(w *Want) {
-	if w.Class == Spent || w.Gang {
+func (r *round) holdSlotsFree(request *Request) {
+	if request.Class == TargetMissed || request.Gang {
 		return
 	}
-	for range w.Tasks {
+	for range request.Tasks {
 		best := -1
 		for i := range r.Slots {
-			s := &r.Slots[i]
-			if s.held != (types.Room{}) || !s.Suits(*w) || s.Now > slow || s.Now > 0 && s.Busy >= proves ||
-				w.Spread > 0 && s.Count(w.Part) >= w.Spread || r.bad(s) && s.Busy > 0 {
+			slot := &r.Slots[i]
+			if slot.reserved != (types.Resources{}) || !slot.Feasible(*request) || slot.CurrentDurationFactor > maxDurationFactor || slot.CurrentDurationFactor > 0 && slot.RunningTasks >= probationTasks ||
+				request.MaxPerWorker > 0 && slot.TaskCount(request.TaskGroup) >= request.MaxPerWorker || r.unreliable(slot) && slot.RunningTasks > 0 {
 				continue
 			}
-			if best < 0 || s.Free.Cores > r.Slots[best].Free.Cores {
+			if best < 0 || slot.Free.Cores > r.Slots[best].Free.Cores {
 				best = i
 			}
 		}
-		if best < 0 || (r.holds+1)*keeps > len(r.Slots) {
+		if best < 0 || (r.slotsHeldFree+1)*heldFreeFraction > len(r.Slots) {
 			return
 		}
-		r.Slots[best].held = w.Room
-		r.holds++
+		r.Slots[best].reserved = request.Resources
+		r.slotsHeldFree++
 	}
 }
 
-// keeps is of how many slots one at most has its room kept for work that found none.
-const keeps = 4
+// heldFreeFraction is of how many slots one at most has its room kept for work that found none.
+const heldFreeFraction = 4
 
-// bad tells a worker whose attempts end badly much more often than the others'.
-func (r *round) bad(s *Slot) bool { return s.Bad > r.mean+shun }
+// unreliable tells a worker whose attempts end badly much more often than the others'.
+func (r *round) unreliable(slot *Slot) bool {
+	return slot.FailureRate > r.meanFailureRate+failureRateMargin
+}
 
-// worth prefers workers with much room that end their attempts well and in time.
-func worth(s *Slot, free types.Room) float64 {
-	return float64(free.Cores) * (1 - s.Bad) / max(s.Slow, 0.2)
+// score prefers workers with much room that end their attempts well and in time.
+func score(slot *Slot, free types.Resources) float64 {
+	return float64(free.Cores) * (1 - slot.FailureRate) / max(slot.DurationFactor, 0.2)
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -21,310 +21,310 @@
 type Slot struct {
 	Shard types.Shard
 	Rack  types.Rack
-	Kinds []types.Kind
+	Kinds []types.ServiceKind
 
 	Labels []string
 
-	Free  types.Room
-	Bad   float64
-	Slow  float64
-	Now   float64 // how many times the usual what runs there takes now; 0 is as usual
-	Busy  int
-	Has   map[Part]int  // tasks of each part that run there; it may be shared, and is not changed
-	Size  types.Room    // when nothing runs there
-	Till  time.Duration // how long until it may run nothing; 0 is without end
-	Clear time.Duration // by when all that runs there has ended, by its limits
-	held  types.Room    // reserved of it
-	added []Part        // of the tasks that were placed there since Has was made
+	Free                  types.Resources
+	FailureRate           float64
+	DurationFactor        float64
+	CurrentDurationFactor float64 // how many times the usual what runs there takes now; 0 is as usual
+	RunningTasks          int
+	TasksByGroup          map[TaskGroup]int // tasks of each part that run there; it may be shared, and is not changed
+	Capacity              types.Resources   // when nothing runs there
+	AvailableFor          time.Duration     // how long until it may run nothing; 0 is without end
+	IdleIn                time.Duration     // by when all that runs there has ended, by its limits
+	reserved              types.Resources   // reserved of it
+	assigned              []TaskGroup       // of the tasks that were placed there since Has was made
 }
 
-// Count is how many tasks of a part are there.
-func (s *Slot) Count(p Part) int {
-	n := s.Has[p]
-	for _, x := range s.added {
-		if x == p {
-			n++
+// TaskCount is how many tasks of a part are there.
+func (s *Slot) TaskCount(group TaskGroup) int {
+	count := s.TasksByGroup[group]
+	for _, x := range s.assigned {
+		if x == group {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Add places a task of a part there, and takes its room.
-func (s *Slot) Add(p Part, room types.Room) {
-	s.Free = s.Free.Minus(room)
-	s.Busy++
-	s.added = append(s.added, p)
+// Assign places a task of a part there, and takes its room.
+func (s *Slot) Assign(group TaskGroup, resources types.Resources) {
+	s.Free = s.Free.Sub(resources)
+	s.RunningTasks++
+	s.assigned = append(s.assigned, group)
 }
 
-// Part is one step of one job, at one of its times.
-type Part struct {
+// TaskGroup is one step of one job, at one of its times.
+type TaskGroup struct {
 	Job   types.JobID
 	Stage types.Stage
 }
 
-// Want is the tasks of one step that may start now.
-type Want struct {
-	Part
-	Queue   types.Queue
-	Urgency int
-	Kind    types.Kind
-	Rack    types.Rack
-	Labels  []string
-	Room    types.Room
-	Spread  int
-	Gang    bool
-	Tasks   []int
-	Long    time.Duration // its time limit
-	Since   time.Duration // how long it has been ready
+// Request is the tasks of one step that may start now.
+type Request struct {
+	TaskGroup
+	Queue        types.QueueName
+	Urgency      int
+	Kind         types.ServiceKind
+	Rack         types.Rack
+	Labels       []string
+	Resources    types.Resources
+	MaxPerWorker int
+	Gang         bool
+	Tasks        []int
+	TimeLimit    time.Duration // its time limit
+	WaitingFor   time.Duration // how long it has been ready
 
-	Class   Class       // whether its job can still meet its aim
-	Spare   int         // percent of all cores that it leaves at most to what goes before it
-	Cap     types.Cores // what its queue may have in use with it, or 0 for no bound
-	Idle    bool        // nothing of its job runs
-	Turn    float64     // of what is in the same class, the lowest goes first
-	Near    types.Rack  // where its data is
-	OneRack bool        // it is slower when spread over racks
-	Shun    map[types.Shard]bool
+	Class           TargetClass      // whether its job can still meet its aim
+	HeadroomPercent int              // percent of all cores that it leaves at most to what goes before it
+	MaxQueueCores   types.MilliCores // what its queue may have in use with it, or 0 for no bound
+	JobIdle         bool             // nothing of its job runs
+	SortKey         float64          // of what is in the same class, the lowest goes first
+	DataRack        types.Rack       // where its data is
+	PreferOneRack   bool             // it is slower when spread over racks
+	AvoidWorkers    map[types.Shard]bool
 }
 
-// Need is how many tasks must be placed together.
-func (w Want) Need() int {
+// MinTasks is how many tasks must be placed together.
+func (w Request) MinTasks() int {
 	if w.Gang {
 		return len(w.Tasks)
 	}
 	return 1
 }
 
-// Reserve is room on named workers kept for one step of a job.
-type Reserve struct {
-	Part
-	Seats []Seat
+// Reservation is room on named workers kept for one step of a job.
+type Reservation struct {
+	TaskGroup
+	Workers []ReservedWorker
 }
 
 // WorkerEntry is a worker and for how many tasks room is kept there.
-type Seat struct {
+type ReservedWorker struct {
 	Shard types.Shard
 	Tasks int
 }
 
 // Input is all that the choice looks at.
 type Input struct {
-	Wants []Want // oldest first
-	Slots []Slot
-	Dues  map[types.Queue]*Due
-	Total types.Cores
-	Kept  *Reserve
+	Requests    []Request // oldest first
+	Slots       []Slot
+	Usage       map[types.QueueName]*QueueUsage
+	TotalCores  types.MilliCores
+	Reservation *Reservation
 }
 
 // Output is the round's placements, and the reservation to keep.
 type Output struct {
-	Picks []Pick
-	Kept  *Reserve
+	Assignments []Assignment
+	Reservation *Reservation
 }
 
-// Endure is how long work is passed over before workers are reserved for it.
-const Endure = 3 * time.Second
+// ReserveAfter is how long work is passed over before workers are reserved for it.
+const ReserveAfter = 3 * time.Second
 
-// Due is a queue's row and what it has in use.
-type Due struct {
-	Row     config.Row
-	Running int
-	Cores   types.Cores
+// QueueUsage is a queue's row and what it has in use.
+type QueueUsage struct {
+	Queue        config.Queue
+	RunningTasks int
+	CoresInUse   types.MilliCores
 }
 
-// Pick is one placement.
-type Pick struct {
-	Task  types.Task
+// Assignment is one placement.
+type Assignment struct {
+	Task  types.TaskID
 	Shard types.Shard
 }
 
-// Most is how many tasks one round places; the next round goes on.
-const Most = 400
+// MaxAssignments is how many tasks one round places; the next round goes on.
+const MaxAssignments = 400
 
 // A worker whose attempts end badly this much more often than the others' gets
 // one task at a time, by which it can prove itself.
-const shun = 0.35
+const failureRateMargin = 0.35
 
-type turn struct {
-	due   *Due
-	wants []Want
+type queueTurn struct {
+	usage    *QueueUsage
+	requests []Request
 }
 
 // round is one call of Place.
 type round struct {
 	Input
-	out    Output
-	mean   float64
-	dead   map[shape]bool
-	missed *Want // the first whose turn it was, passed over for too long
-	passed bool  // and other work took room that would have suited it
-	free   []types.Room
-	more   []int
-	holds  int // slots on which room is kept, for this round, for work that found none
+	output          Output
+	meanFailureRate float64
+	infeasible      map[requestShape]bool
+	passedOver      *Request // the first whose turn it was, passed over for too long
+	bypassed        bool     // and other work took room that would have suited it
+	freeScratch     []types.Resources
+	addedScratch    []int
+	slotsHeldFree   int // slots on which room is kept, for this round, for work that found none
 }
 
 // Place gives the round's placements.
-func Place(in Input) Output {
-	r := &round{Input: in, dead: map[shape]bool{}}
+func Place(input Input) Output {
+	r := &round{Input: input, infeasible: map[requestShape]bool{}}
 	for _, s := range r.Slots {
-		r.mean += s.Bad / float64(len(r.Slots))
+		r.meanFailureRate += s.FailureRate / float64(len(r.Slots))
 	}
-	r.redeem()
-	turns := line(r.Wants, r.Dues)
-	for len(r.out.Picks) < Most {
-		t := next(turns, r.Total)
-		if t == nil {
+	r.honorReservation()
+	turns := groupByQueue(r.Requests, r.Usage)
+	for len(r.output.Assignments) < MaxAssignments {
+		turn := nextQueue(turns, r.TotalCores)
+		if turn == nil {
 			break
 		}
-		w := &t.wants[0]
-		n := w.Need()
-		room := t.due.Running+n <= t.due.Row.Running && !t.due.capped(w, n)
-		var got []int
-		if k := w.shape(); room && (!r.dead[k] || w.Gang) {
-			got = r.fit(*w, n)
-			if got == nil && !w.Gang && w.Spread == 0 && w.Shun == nil {
-				r.dead[k] = true
+		request := &turn.requests[0]
+		tasks := request.MinTasks()
+		withinQuota := turn.usage.RunningTasks+tasks <= turn.usage.Queue.MaxRunning && !turn.usage.exceedsCap(request, tasks)
+		var slots []int
+		if shape := request.resourceShape(); withinQuota && (!r.infeasible[shape] || request.Gang) {
+			slots = r.findSlots(*request, tasks)
+			if slots == nil && !request.Gang && request.MaxPerWorker == 0 && request.AvoidWorkers == nil {
+				r.infeasible[shape] = true
 			}
 		}
-		if got == nil {
-			if room && t.due.Row.Aims() {
-				r.hold(w)
+		if slots == nil {
+			if withinQuota && turn.usage.Queue.HasLatencyTarget() {
+				r.holdSlotsFree(request)
 			}
-			if room && r.missed == nil && r.out.Kept == nil && w.Since >= Endure && w.Class == InAim {
-				r.missed = w
+			if withinQuota && r.passedOver == nil && r.output.Reservation == nil && request.WaitingFor >= ReserveAfter && request.Class == OnTarget {
+				r.passedOver = request
 			}
-			t.wants = t.wants[1:]
+			turn.requests = turn.requests[1:]
 			continue
 		}
-		for _, at := range got {
-			r.passed = r.passed || r.missed != nil && r.Slots[at].Suits(*r.missed)
+		for _, index := range slots {
+			r.bypassed = r.bypassed || r.passedOver != nil && r.Slots[index].Feasible(*r.passedOver)
 		}
-		r.take(w, t.due, got)
-		if len(w.Tasks) == 0 {
-			t.wants = t.wants[1:]
+		r.assign(request, turn.usage, slots)
+		if len(request.Tasks) == 0 {
+			turn.requests = turn.requests[1:]
 		}
 	}
-	if r.missed != nil && r.passed {
-		r.out.Kept = r.reserve(*r.missed)
+	if r.passedOver != nil && r.bypassed {
+		r.output.Reservation = r.reserve(*r.passedOver)
 	}
-	return r.out
+	return r.output
 }
 
-// capped tells whether patient work would take more than is left for it beside the
+// exceedsCap tells whether patient work would take more than is left for it beside the
 // peaks of what goes before it. A little of it always may run.
-func (d *Due) capped(w *Want, n int) bool {
-	return w.Cap > 0 && d.Cores > 0 && d.Cores+types.Cores(n)*w.Room.Cores > w.Cap
+func (d *QueueUsage) exceedsCap(request *Request, tasks int) bool {
+	return request.MaxQueueCores > 0 && d.CoresInUse > 0 && d.CoresInUse+types.MilliCores(tasks)*request.Resources.Cores > request.MaxQueueCores
 }
 
-func (r *round) take(w *Want, d *Due, got []int) {
-	for i, at := range got {
-		s := &r.Slots[at]
-		s.Add(w.Part, w.Room)
-		r.out.Picks = append(r.out.Picks, Pick{types.Task{Job: w.Job, N: w.Tasks[i]}, s.Shard})
+func (r *round) assign(request *Request, usage *QueueUsage, slots []int) {
+	for i, index := range slots {
+		slot := &r.Slots[index]
+		slot.Assign(request.TaskGroup, request.Resources)
+		r.output.Assignments = append(r.output.Assignments, Assignment{types.TaskID{Job: request.Job, Number: request.Tasks[i]}, slot.Shard})
 	}
-	d.Running += len(got)
-	d.Cores += types.Cores(len(got)) * w.Room.Cores
-	w.Tasks = w.Tasks[len(got):]
+	usage.RunningTasks += len(slots)
+	usage.CoresInUse += types.MilliCores(len(slots)) * request.Resources.Cores
+	request.Tasks = request.Tasks[len(slots):]
 }
 
-// redeem places what a reservation was kept for, or keeps it on. It lapses when
+// honorReservation places what a reservation was kept for, or keeps it on. It lapses when
 // what it was for waits no more, or a worker of it is gone.
-func (r *round) redeem() {
-	if r.Kept == nil {
+func (r *round) honorReservation() {
+	if r.Reservation == nil {
 		return
 	}
-	for i := range r.Wants {
-		w := &r.Wants[i]
-		d := r.Dues[w.Queue]
-		if w.Part != r.Kept.Part || d == nil {
+	for i := range r.Requests {
+		request := &r.Requests[i]
+		usage := r.Usage[request.Queue]
+		if request.TaskGroup != r.Reservation.TaskGroup || usage == nil {
 			continue
 		}
-		n := w.Need()
-		if d.Running+n > d.Row.Running {
+		tasks := request.MinTasks()
+		if usage.RunningTasks+tasks > usage.Queue.MaxRunning {
 			return
 		}
-		if got := r.fit(*w, n); got != nil {
-			r.take(w, d, got)
+		if slots := r.findSlots(*request, tasks); slots != nil {
+			r.assign(request, usage, slots)
 			return
 		}
-		for _, x := range r.Kept.Seats {
-			k := slices.IndexFunc(r.Slots, func(s Slot) bool { return s.Shard == x.Shard && s.Suits(*w) })
+		for _, worker := range r.Reservation.Workers {
+			k := slices.IndexFunc(r.Slots, func(s Slot) bool { return s.Shard == worker.Shard && s.Feasible(*request) })
 			if k < 0 {
 				for k := range r.Slots {
-					r.Slots[k].held = types.Room{}
+					r.Slots[k].reserved = types.Resources{}
 				}
 				return
 			}
-			r.Slots[k].held = w.Room.Times(x.Tasks)
+			r.Slots[k].reserved = request.Resources.Scale(worker.Tasks)
 		}
-		r.out.Kept = r.Kept
+		r.output.Reservation = r.Reservation
 		return
 	}
 }
 
-// Suits tells whether a worker could run a task of a want if it were empty.
-func (s *Slot) Suits(w Want) bool {
-	for _, l := range w.Labels {
+// Feasible tells whether a worker could run a task of a want if it were empty.
+func (s *Slot) Feasible(request Request) bool {
+	for _, l := range request.Labels {
 		if !slices.Contains(s.Labels, l) {
 			return false
 		}
 	}
-	return s.Size.Holds(w.Room) && (w.Rack == "" || w.Rack == s.Rack) && slices.Contains(s.Kinds, w.Kind) &&
-		(s.Till == 0 || w.Long <= s.Till)
+	return s.Capacity.Contains(request.Resources) && (request.Rack == "" || request.Rack == s.Rack) && slices.Contains(s.Kinds, request.Kind) &&
+		(s.AvailableFor == 0 || request.TimeLimit <= s.AvailableFor)
 }
 
 // reserve names the workers that lack the least room for the want, or none if
 // all that suit it could not hold it together.
-func (r *round) reserve(w Want) *Reserve {
-	need := w.Need()
-	var at []int
+func (r *round) reserve(request Request) *Reservation {
+	need := request.MinTasks()
+	var feasible []int
 	for i := range r.Slots {
-		if r.Slots[i].Suits(w) {
-			at = append(at, i)
+		if r.Slots[i].Feasible(request) {
+			feasible = append(feasible, i)
 		}
 	}
-	sort.SliceStable(at, func(i, k int) bool {
-		a, b := r.Slots[at[i]], r.Slots[at[k]]
-		return a.Free.Cores > b.Free.Cores || a.Free.Cores == b.Free.Cores && a.Clear < b.Clear
+	sort.SliceStable(feasible, func(i, k int) bool {
+		a, b := r.Slots[feasible[i]], r.Slots[feasible[k]]
+		return a.Free.Cores > b.Free.Cores || a.Free.Cores == b.Free.Cores && a.IdleIn < b.IdleIn
 	})
-	kept := &Reserve{Part: w.Part}
-	most := func(s Slot) int { // by its size, and by how many of the step may be there
-		n := s.Size.Fits(w.Room)
-		if w.Spread > 0 {
-			n = min(n, w.Spread-s.Count(w.Part))
+	reservation := &Reservation{TaskGroup: request.TaskGroup}
+	capacity := func(s Slot) int { // by its size, and by how many of the step may be there
+		n := s.Capacity.FitCount(request.Resources)
+		if request.MaxPerWorker > 0 {
+			n = min(n, request.MaxPerWorker-s.TaskCount(request.TaskGroup))
 		}
 		return n
 	}
 	for pass := range 2 { // one each at first, then as many as they hold
-		for _, i := range at {
+		for _, i := range feasible {
 			s := r.Slots[i]
-			k := slices.IndexFunc(kept.Seats, func(x Seat) bool { return x.Shard == s.Shard })
-			switch n := most(s); {
+			k := slices.IndexFunc(reservation.Workers, func(x ReservedWorker) bool { return x.Shard == s.Shard })
+			switch n := capacity(s); {
 			case need == 0 || n < 1:
 			case pass == 0:
-				kept.Seats = append(kept.Seats, Seat{s.Shard, 1})
+				reservation.Workers = append(reservation.Workers, ReservedWorker{s.Shard, 1})
 				need--
 			case k >= 0:
-				add := min(need, n-kept.Seats[k].Tasks)
-				kept.Seats[k].Tasks += add
-				need -= add
+				added := min(need, n-reservation.Workers[k].Tasks)
+				reservation.Workers[k].Tasks += added
+				need -= added
 			}
 		}
 	}
 	if need > 0 {
 		return nil
 	}
-	return kept
+	return reservation
 }
 
-func (w Want) shape() shape {
-	return shape{w.Kind, w.Rack, strings.Join(w.Labels, " "), w.Room, w.Long}
+func (w Request) resourceShape() requestShape {
+	return requestShape{w.Kind, w.Rack, strings.Join(w.Labels, " "), w.Resources, w.TimeLimit}
 }
 
-type shape struct {
-	kind types.Kind
-	rack types.Rack
-	need string
-	room types.Room
-	long time.Duration
+type requestShape struct {
+	kind      types.ServiceKind
+	rack      types.Rack
+	labels    string
+	resources types.Resources
+	timeLimit time.Duration
 }
--- a/internal/placement/turn.go
+++ b/internal/placement/turn.go
@@ -8,94 +8,96 @@
 	"coppercourse/internal/types"
 )
 
-func line(wants []Want, dues map[types.Queue]*Due) (turns []*turn) {
-	by := map[types.Queue]*turn{}
-	for _, w := range wants {
-		if len(w.Tasks) == 0 {
+func groupByQueue(requests []Request, usage map[types.QueueName]*QueueUsage) (turns []*queueTurn) {
+	byQueue := map[types.QueueName]*queueTurn{}
+	for _, request := range requests {
+		if len(request.Tasks) == 0 {
 			continue
 		}
-		t := by[w.Queue]
+		t := byQueue[request.Queue]
 		if t == nil {
-			d := dues[w.Queue]
-			if d == nil {
+			queueUsage := usage[request.Queue]
+			if queueUsage == nil {
 				continue
 			}
-			t = &turn{due: d}
-			by[w.Queue], turns = t, append(turns, t)
+			t = &queueTurn{usage: queueUsage}
+			byQueue[request.Queue], turns = t, append(turns, t)
 		}
-		t.wants = append(t.wants, w)
+		t.requests = append(t.requests, request)
 	}
 	for _, t := range turns {
-		sort.SliceStable(t.wants, func(i, k int) bool {
-			a, b := &t.wants[i], &t.wants[k]
-			return a.Urgency > b.Urgency || a.Urgency == b.Urgency && t.due.Row.Aims() && sooner(a, b)
+		sort.SliceStable(t.requests, func(i, k int) bool {
+			a, b := &t.requests[i], &t.requests[k]
+			return a.Urgency > b.Urgency || a.Urgency == b.Urgency && t.usage.Queue.HasLatencyTarget() && smallerSortKey(a, b)
 		})
 	}
 	return
 }
 
-// Class is what a job can still be worth.
-type Class int
+// TargetClass is what a job can still be worth.
+type TargetClass int
 
 const (
-	InAim Class = iota // it can be done within its aim
-	Late               // within three times that
-	Spent              // it can't
+	OnTarget     TargetClass = iota // it can be done within its aim
+	Late                            // within three times that
+	TargetMissed                    // it can't
 )
 
-// behind is how far a class puts work behind that of other queues that is in aim.
-var behind = map[Class]int{InAim: 0, Late: 2, Spent: 6}
+// priorityPenalty is how far a class puts work behind that of other queues that is in aim.
+var priorityPenalty = map[TargetClass]int{OnTarget: 0, Late: 2, TargetMissed: 6}
 
-func (w *Want) rank(d *Due) int { return d.Row.Priority + behind[w.Class] }
+func (w *Request) effectivePriority(usage *QueueUsage) int {
+	return usage.Queue.Priority + priorityPenalty[w.Class]
+}
 
-// sooner puts what can still meet its aim before what can't.
-func sooner(a, b *Want) bool {
-	return a.Turn < b.Turn
+// smallerSortKey puts what can still meet its aim before what can't.
+func smallerSortKey(a, b *Request) bool {
+	return a.SortKey < b.SortKey
 }
 
-// next is the queue whose turn it is: by priority; then those below their share,
+// nextQueue is the queue whose turn it is: by priority; then those below their share,
 // the one furthest below before the others; then by cores in use for each weight.
 // Queues whose jobs have aims stand together, at the place of the first of them, and
 // of those it is the one with the lowest turn, which has their priority in it.
-func next(turns []*turn, total types.Cores) *turn {
-	var plain, aims *turn
-	first := 0 // the best rank of those with aims
+func nextQueue(turns []*queueTurn, total types.MilliCores) *queueTurn {
+	var withoutTarget, withTarget *queueTurn
+	bestPriority := 0 // the best rank of those with aims
 	for _, t := range turns {
-		if len(t.wants) == 0 {
+		if len(t.requests) == 0 {
 			continue
 		}
-		if rank := t.wants[0].rank(t.due); t.due.Row.Aims() {
-			if aims == nil || rank < first {
-				first = rank
+		if priority := t.requests[0].effectivePriority(t.usage); t.usage.Queue.HasLatencyTarget() {
+			if withTarget == nil || priority < bestPriority {
+				bestPriority = priority
 			}
-			if aims == nil || sooner(&t.wants[0], &aims.wants[0]) {
-				aims = t
+			if withTarget == nil || smallerSortKey(&t.requests[0], &withTarget.requests[0]) {
+				withTarget = t
 			}
-		} else if plain == nil || t.before(plain, rank, plain.wants[0].rank(plain.due), total) {
-			plain = t
+		} else if withoutTarget == nil || t.goesBefore(withoutTarget, priority, withoutTarget.requests[0].effectivePriority(withoutTarget.usage), total) {
+			withoutTarget = t
 		}
 	}
-	if aims == nil || plain != nil && plain.before(aims, plain.wants[0].rank(plain.due), first, total) {
-		return plain
+	if withTarget == nil || withoutTarget != nil && withoutTarget.goesBefore(withTarget, withoutTarget.requests[0].effectivePriority(withoutTarget.usage), bestPriority, total) {
+		return withoutTarget
 	}
-	return aims
+	return withTarget
 }
 
-// before compares two queues by the ranks that they have.
-func (t *turn) before(o *turn, p, q int, total types.Cores) bool {
-	if p != q {
-		return p < q
+// goesBefore compares two queues by the ranks that they have.
+func (t *queueTurn) goesBefore(o *queueTurn, priority, otherPriority int, total types.MilliCores) bool {
+	if priority != otherPriority {
+		return priority < otherPriority
 	}
-	a, x := t.due.lacks(total)
-	b, y := o.due.lacks(total)
+	a, x := t.usage.shareDeficit(total)
+	b, y := o.usage.shareDeficit(total)
 	return a && !b || a == b && x < y
 }
 
-// lacks tells whether a queue is below its share, and how little it has.
-func (d *Due) lacks(total types.Cores) (bool, float64) {
-	part := 100 * float64(d.Cores) / float64(max(total, 1))
-	if s := float64(d.Row.Share); part < s {
-		return true, part / s
+// shareDeficit tells whether a queue is below its share, and how little it has.
+func (d *QueueUsage) shareDeficit(total types.MilliCores) (bool, float64) {
+	percent := 100 * float64(d.CoresInUse) / float64(max(total, 1))
+	if s := float64(d.Queue.SharePercent); percent < s {
+		return true, percent / s
 	}
-	return false, float64(d.Cores) / float64(d.Row.Weight)
+	return false, float64(d.CoresInUse) / float64(d.Queue.Weight)
 }
--- a/internal/raft/bootstrap.go
+++ b/internal/raft/bootstrap.go
@@ -57,7 +57,7 @@
 	}
 	if k := n.promised; k != nil {
 		if n.now.Mono.Sub(n.promisedAt) > bootstrapTimeout {
-			n.newIdentity(types.Mint(n.rand))
+			n.newIdentity(types.NewID(n.rand))
 			return
 		}
 		n.reason = "promised to a bootstrap that is not complete yet"
@@ -73,7 +73,7 @@
 			return
 		}
 	}
-	n.promiseBootstrap(BootstrapConfig{Name: string(types.Mint(n.rand)), Config: config})
+	n.promiseBootstrap(BootstrapConfig{Name: string(types.NewID(n.rand)), Config: config})
 	n.completeBootstrap()
 }
 
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -131,8 +131,8 @@
 
 // quorumRound is the start of the newest round that a quorum has answered, on this
 // leader's own clock.
-func (n *Node) quorumRound() types.Stamp {
-	return quorumValue(n, func(m Member) types.Stamp {
+func (n *Node) quorumRound() types.MonoTime {
+	return quorumValue(n, func(m Member) types.MonoTime {
 		if m.ID == n.self.ID {
 			return n.now.Mono
 		}
@@ -142,7 +142,7 @@
 
 // PriorAuthority is when an earlier leader can last have held a lease: a quorum's last
 // answer to it came from a member that voted for this one.
-func (n *Node) PriorAuthority() types.Stamp { return n.priorAuthority }
+func (n *Node) PriorAuthority() types.MonoTime { return n.priorAuthority }
 
 // HoldsLease reports whether this node may answer reads as the leader: a quorum
 // confirmed it within the shortest election timeout, and an entry of its term is
--- a/internal/raft/flow.go
+++ b/internal/raft/flow.go
@@ -20,11 +20,11 @@
 
 // flow is the window of one member.
 type flow struct {
-	window int           // bytes that may be under way; 0 is firstWindow
-	flying int           // bytes that are
-	began  types.Stamp   // when the first of them was sent for the first time; 0 is never
-	took   time.Duration // from there to the last answer
-	losses int           // in a row
+	window int            // bytes that may be under way; 0 is firstWindow
+	flying int            // bytes that are
+	began  types.MonoTime // when the first of them was sent for the first time; 0 is never
+	took   time.Duration  // from there to the last answer
+	losses int            // in a row
 }
 
 func (f *flow) size() int {
@@ -38,7 +38,7 @@
 func (f *flow) full() bool { return f.flying >= f.size() }
 
 // take gives the first entries that fit, one at least, as sent now.
-func (f *flow) take(now types.Stamp, list []Entry) []Entry {
+func (f *flow) take(now types.MonoTime, list []Entry) []Entry {
 	n := min(within(list, f.size()-f.flying), maxBatch)
 	for _, e := range list[:n] {
 		f.flying += len(e.Data)
@@ -49,7 +49,7 @@
 
 // sent tells that something goes out. An answer after a repetition counts from
 // the first time, since it may be the answer to that.
-func (f *flow) sent(now types.Stamp) {
+func (f *flow) sent(now types.MonoTime) {
 	if f.began == 0 {
 		f.began = now
 	}
@@ -82,7 +82,7 @@
 
 // answered tells that all under way has arrived. The window grows while that takes
 // less than the shortest election wait, and shrinks where it takes twice as long.
-func (f *flow) answered(now types.Stamp, least time.Duration) {
+func (f *flow) answered(now types.MonoTime, least time.Duration) {
 	if f.began != 0 {
 		f.took = now.Sub(f.began)
 	}
--- a/internal/raft/flow_test.go
+++ b/internal/raft/flow_test.go
@@ -30,7 +30,7 @@
 func TestAWindowGrowsWhileAnswersAreSwift(t *testing.T) {
 	is := is.New(t)
 	f := &flow{}
-	now := types.Stamp(0)
+	now := types.MonoTime(0)
 	for range 10 {
 		now = now.Add(time.Second)
 		f.take(now, entriesOf(1, 100))
@@ -54,11 +54,11 @@
 	f := &flow{}
 	const took = time.Second
 	is.Equal(f.patience(2*Defaults.Heartbeat), 2*Defaults.Heartbeat)
-	f.take(types.Stamp(time.Second), entriesOf(1, 100))
+	f.take(types.MonoTime(time.Second), entriesOf(1, 100))
 	f.lost()
 	is.Equal(f.patience(2*Defaults.Heartbeat), 4*Defaults.Heartbeat)
-	f.take(types.Stamp(3*time.Second/2), entriesOf(1, 100)) // again
-	f.answered(types.Stamp(time.Second).Add(took), Defaults.ElectionMin)
+	f.take(types.MonoTime(3*time.Second/2), entriesOf(1, 100)) // again
+	f.answered(types.MonoTime(time.Second).Add(took), Defaults.ElectionMin)
 	is.Equal(f.patience(2*Defaults.Heartbeat), 2*took)
 	for range 100 {
 		f.lost()
--- a/internal/raft/messages.go
+++ b/internal/raft/messages.go
@@ -122,27 +122,27 @@
 }
 
 type appendEntries struct {
-	Name      string      `json:"name"`
-	ID        types.ID    `json:"id"`
-	To        types.ID    `json:"to"`
-	Term      types.Term  `json:"term"`
-	PrevIndex types.Index `json:"prev_index"`
-	PrevTerm  types.Term  `json:"prev_term"`
-	Entries   []Entry     `json:"entries,omitempty"`
-	Commit    types.Index `json:"commit"`
-	Round     types.Stamp `json:"round"`
-	Tick      types.Tick  `json:"tick"`
+	Name      string            `json:"name"`
+	ID        types.ID          `json:"id"`
+	To        types.ID          `json:"to"`
+	Term      types.Term        `json:"term"`
+	PrevIndex types.Index       `json:"prev_index"`
+	PrevTerm  types.Term        `json:"prev_term"`
+	Entries   []Entry           `json:"entries,omitempty"`
+	Commit    types.Index       `json:"commit"`
+	Round     types.MonoTime    `json:"round"`
+	Tick      types.ClusterTime `json:"tick"`
 }
 
 type appendReply struct {
-	Name  string      `json:"name"`
-	ID    types.ID    `json:"id"`
-	Term  types.Term  `json:"term"`
-	OK    bool        `json:"ok"`
-	Match types.Index `json:"match"`
-	Round types.Stamp `json:"round"`
-	Wall  types.Wall  `json:"wall"`
-	Parts int         `json:"parts,omitempty"` // of a snapshot that is coming
+	Name  string         `json:"name"`
+	ID    types.ID       `json:"id"`
+	Term  types.Term     `json:"term"`
+	OK    bool           `json:"ok"`
+	Match types.Index    `json:"match"`
+	Round types.MonoTime `json:"round"`
+	Wall  types.WallTime `json:"wall"`
+	Parts int            `json:"parts,omitempty"` // of a snapshot that is coming
 	// LagMS is how far the loop of the member's daemon is behind with control work.
 	LagMS int64 `json:"lag_ms,omitempty"`
 	// Leaving is set by a member whose process is about to stop.
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -31,10 +31,10 @@
 
 type progress struct {
 	next, match types.Index
-	round       types.Stamp
-	heardAt     types.Stamp
-	wallOffset  types.Wall
-	sentAt      types.Stamp
+	round       types.MonoTime
+	heardAt     types.MonoTime
+	wallOffset  types.WallTime
+	sentAt      types.MonoTime
 	part        int // of the snapshot that it has
 	flow        flow
 	lag         time.Duration // of the event loop of its daemon
@@ -68,38 +68,38 @@
 		at  types.Index
 	}
 	held           []heldSend
-	diskAnsweredAt types.Stamp
+	diskAnsweredAt types.MonoTime
 
 	now              types.Now
-	clock            types.Tick
-	clockSetAt       types.Stamp
+	clock            types.ClusterTime
+	clockSetAt       types.MonoTime
 	clockTerm        types.Term // whose clock it follows
-	startedAt        types.Stamp
-	leaderHeardAt    types.Stamp
-	electionDeadline types.Stamp
+	startedAt        types.MonoTime
+	leaderHeardAt    types.MonoTime
+	electionDeadline types.MonoTime
 	leaderID         types.ID
 	leaderAddr       types.Addr
 	votes            map[types.ID]bool
-	lastLedAt        types.Stamp // when this member led last
-	priorAuthority   types.Stamp // until when an earlier leader can have had authority
+	lastLedAt        types.MonoTime // when this member led last
+	priorAuthority   types.MonoTime // until when an earlier leader can have had authority
 	preVoting        bool
 	progress         map[types.ID]*progress
 	termStart        types.Index
-	votersHeardSince types.Stamp // when a voter was last silent, to this leader
-	lastRoundAt      types.Stamp
+	votersHeardSince types.MonoTime // when a voter was last silent, to this leader
+	lastRoundAt      types.MonoTime
 	transferTarget   types.ID
-	transferDeadline types.Stamp
+	transferDeadline types.MonoTime
 	lag              time.Duration // of the event loop of this daemon
 	// Leaders in a row, up to this one, that transferred leadership since they were
 	// overloaded; and what a target is told of that.
 	overloadTransfers, announcedTransfers int
 	stopping                              bool // this member is about to stop and takes no duty
 	promised                              *BootstrapConfig
-	promisedAt                            types.Stamp
+	promisedAt                            types.MonoTime
 	promises                              map[types.ID]bool
 	controllers                           []Discovered
 	otherDaemons                          []types.Addr // daemons that are no controllers
-	lastRequestAt                         types.Stamp
+	lastRequestAt                         types.MonoTime
 
 	sends        []wire.Send
 	writes       []Record
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -18,7 +18,7 @@
 	maxLogEntries = 120_000 // entries that a log may have before it takes no more
 )
 
-const never = types.Stamp(-1 << 62)
+const never = types.MonoTime(-1 << 62)
 
 func (n *Node) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(n.rand.Int63n(int64(d)))
@@ -256,7 +256,7 @@
 	}
 	t := n.progressOf(a.ID)
 	if a.Round > t.round {
-		t.round, t.wallOffset = a.Round, a.Wall-types.Wall(n.Clock())
+		t.round, t.wallOffset = a.Round, a.Wall-types.WallTime(n.Clock())
 	}
 	t.heardAt, t.lag, t.leaving = n.now.Mono, time.Duration(a.LagMS)*time.Millisecond, a.Leaving
 	if a.Parts > 0 {
--- a/internal/raft/world_test.go
+++ b/internal/raft/world_test.go
@@ -70,7 +70,7 @@
 	synced   [][]byte
 	pending  []pendingBatch
 	slow     int // times as long as a sync usually takes
-	base     types.Stamp
+	base     types.MonoTime
 	drift    float64
 	stops    bool     // SIGTERM was sent
 	replaced bool     // another comes in its place
@@ -208,7 +208,7 @@
 }
 
 func (m *machine) clock() types.Now {
-	return types.Now{Mono: m.base + types.Stamp(float64(m.w.now)*m.drift), Wall: types.Wall(m.w.now)}
+	return types.Now{Mono: m.base + types.MonoTime(float64(m.w.now)*m.drift), Wall: types.WallTime(m.w.now)}
 }
 
 func (m *machine) up() bool { return m.node != nil }
@@ -220,7 +220,7 @@
 	}
 	w := m.w
 	m.life++
-	m.base = types.Stamp(w.rnd.Int63n(1 << 40))
+	m.base = types.MonoTime(w.rnd.Int63n(1 << 40))
 	m.frozen, m.stops, m.backlog, m.waits, m.seen = false, false, nil, nil, -time.Hour
 	m.starts, m.backAt = w.now, w.now
 	records := m.synced
@@ -231,7 +231,7 @@
 		}
 	}
 	m.node = New(m.clock(), w.timeouts, rand.New(rand.NewSource(w.rnd.Int63())), Member{Addr: m.addr, Zone: m.zone},
-		Bootstrap{First: m.first, Founders: w.founders}, records, types.Mint(w.rnd))
+		Bootstrap{First: m.first, Founders: w.founders}, records, types.NewID(w.rnd))
 	w.logf("%s starts as %s", m.addr, m.node.self.ID)
 	life := m.life
 	var beat func()
--- a/internal/server/door_test.go
+++ b/internal/server/door_test.go
@@ -46,17 +46,17 @@
 		kind               apierror.Kind
 		field              string
 	}{
-		{"GET", "/nowhere", "", 404, apierror.NoPath, ""},
-		{"POST", "/v1/table", "", 405, apierror.NoMethod, ""},
-		{"DELETE", "/v1/jobs/a", "", 405, apierror.NoMethod, ""},
+		{"GET", "/nowhere", "", 404, apierror.NoSuchPath, ""},
+		{"POST", "/v1/table", "", 405, apierror.NoSuchMethod, ""},
+		{"DELETE", "/v1/jobs/a", "", 405, apierror.NoSuchMethod, ""},
 		{"PUT", "/v1/jobs/a", "{", 400, apierror.BadBody, ""},
 		{"PUT", "/v1/jobs/a", strings.Repeat(" ", 300_000) + job, 413, apierror.TooLarge, ""},
 		{"PUT", "/v1/jobs/a%20b", job, 422, apierror.BadField, "id"},
 		{"PUT", "/v1/jobs/" + strings.Repeat("a", 65), job, 422, apierror.BadField, "id"},
 		{"PUT", "/v1/jobs/a", `{"queue":"q","steps":[{"name":"a","kind":"x","tasks":-1}]}`, 422, apierror.BadField, "steps[0].tasks"},
-		{"PUT", "/v1/jobs/a", job, 503, apierror.NoLead, ""},
-		{"GET", "/v1/jobs/a", "", 503, apierror.NoLead, ""},
-		{"POST", "/v1/jobs/a/cancel", "", 503, apierror.NoLead, ""},
+		{"PUT", "/v1/jobs/a", job, 503, apierror.NoLeader, ""},
+		{"GET", "/v1/jobs/a", "", 503, apierror.NoLeader, ""},
+		{"POST", "/v1/jobs/a/cancel", "", 503, apierror.NoLeader, ""},
 		{"PUT", "/v1/table", `{"queues":[]}`, 422, apierror.BadField, "edition"},
 		{"PUT", "/v1/table", `{"edition":0,"queues":[{"name":"a","weight":0}]}`, 422, apierror.BadField, "queues[0].weight"},
 		{"PUT", "/v1/table", `{"edition":0,"queues":[{"name":"a"},{"name":"a"}]}`, 422, apierror.BadField, "queues[1].name"},
@@ -113,7 +113,7 @@
 	defer res.Body.Close()
 	var f apierror.Error
 	is.NoErr(json.NewDecoder(res.Body).Decode(&f))
-	is.Equal(f.Kind, apierror.Closing)
+	is.Equal(f.Kind, apierror.ShuttingDown)
 	is.True(res.Close)
 }
 
@@ -126,8 +126,8 @@
 	}
 	is.True(took >= 1000)
 	a := o.Ask(context.Background(), "job.get", "a", nil)
-	is.Equal(a.Fault.Kind, apierror.Crowd)
-	is.True(a.Fault.Retry > 0)
+	is.Equal(a.Fault.Kind, apierror.TooBusy)
+	is.True(a.Fault.RetryAfterSeconds > 0)
 	for kind := range map[string]bool{wire.Append: true, wire.Ballot: true, wire.News: true, wire.Beat: true, wire.Status: true} {
 		is.True(o.Message(wire.Message{Kind: kind})) // one class leaves the others their room
 	}
--- a/internal/server/entry.go
+++ b/internal/server/entry.go
@@ -20,7 +20,7 @@
 
 // Entry checks requests on their way in.
 type Entry struct {
-	Clock     func() types.Stamp // the daemon's steady clock; Steady where not set
+	Clock     func() types.MonoTime // the daemon's steady clock; Steady where not set
 	published atomic.Pointer[publishedTable]
 }
 
@@ -29,12 +29,12 @@
 // that takes no step for long can't keep an old table in use.
 type publishedTable struct {
 	table          config.Table
-	confirmedUntil types.Stamp
-	names          map[types.Queue]bool
+	confirmedUntil types.MonoTime
+	names          map[types.QueueName]bool
 }
 
 // Publish puts a table in place of the last, for all requests from now on.
-func (e *Entry) Publish(t config.Table, confirmedUntil types.Stamp) {
+func (e *Entry) Publish(t config.Table, confirmedUntil types.MonoTime) {
 	last := e.published.Load()
 	if last != nil && last.table.Version == t.Version {
 		if last.confirmedUntil != confirmedUntil {
@@ -42,20 +42,20 @@
 		}
 		return
 	}
-	next := &publishedTable{t, confirmedUntil, map[types.Queue]bool{}}
-	for _, r := range t.Rows {
+	next := &publishedTable{t, confirmedUntil, map[types.QueueName]bool{}}
+	for _, r := range t.Queues {
 		next.names[r.Name] = true
 	}
 	e.published.Store(next)
 }
 
 // unknown tells that a queue is not in the table, as far as that is confirmed now.
-func (e *Entry) unknown(q types.Queue) bool {
+func (e *Entry) unknown(q types.QueueName) bool {
 	p := e.published.Load()
 	return p != nil && e.now() < p.confirmedUntil && !p.names[q]
 }
 
-func (e *Entry) now() types.Stamp {
+func (e *Entry) now() types.MonoTime {
 	if e.Clock == nil {
 		return Steady()
 	}
@@ -87,7 +87,7 @@
 // named lets a request pass only with a proper job id.
 func named(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
-		if bad := config.Name(mux.Vars(q)["id"]); bad != "" {
+		if bad := config.CheckName(mux.Vars(q)["id"]); bad != "" {
 			Fail(w, apierror.New(apierror.BadField, "id", bad))
 			return
 		}
@@ -98,7 +98,7 @@
 // put reads, checks and hands on the body of a request.
 func put[T any](p *Pages, verb string, read func(*http.Request, []byte, *apierror.ErrorList) T) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
-		b, ok := Read(w, q, state.Body)
+		b, ok := Read(w, q, state.MaxDocumentBytes)
 		if !ok {
 			return
 		}
@@ -115,7 +115,7 @@
 func (e *Entry) job(_ *http.Request, b []byte, heap *apierror.ErrorList) state.Spec {
 	s := state.ReadSpec(b, heap)
 	if len(heap.List()) == 0 && e.unknown(s.Queue) {
-		heap.Add(apierror.NoQueue, "queue", "no queue is called "+string(s.Queue))
+		heap.Add(apierror.NoSuchQueue, "queue", "no queue is called "+string(s.Queue))
 	}
 	return s
 }
@@ -128,14 +128,14 @@
 	return config.ReadDrain(b, heap)
 }
 
-func plan(q *http.Request, b []byte, heap *apierror.ErrorList) state.Plan {
+func plan(q *http.Request, b []byte, heap *apierror.ErrorList) state.Calendar {
 	c := config.ReadCalendar(b, heap)
-	x := state.Plan{Name: mux.Vars(q)["id"], Target: state.Target{Shard: c.Shard, Rack: c.Rack}}
+	x := state.Calendar{Name: mux.Vars(q)["id"], Target: state.Target{Shard: c.Shard, Rack: c.Rack}}
 	if len(heap.List()) == 0 {
-		x.Spans = maintenance.Read([]byte(c.Text), time.Now(), heap)
+		x.Windows = maintenance.Read([]byte(c.ICS), time.Now(), heap)
 	}
 	if len(heap.List()) == 0 {
-		heap.Check(len(x.Spans) > 0, "ics", "no window of it is still to come")
+		heap.Check(len(x.Windows) > 0, "ics", "no window of it is still to come")
 	}
 	return x
 }
--- a/internal/server/entry_test.go
+++ b/internal/server/entry_test.go
@@ -14,15 +14,15 @@
 // moment, also when the machine has published nothing since.
 func TestAQueueIsUnknownOnlyWhileTheTableIsConfirmed(t *testing.T) {
 	is := is.New(t)
-	now := types.Stamp(0)
-	e := &Entry{Clock: func() types.Stamp { return now }}
+	now := types.MonoTime(0)
+	e := &Entry{Clock: func() types.MonoTime { return now }}
 	is.True(!e.unknown("later")) // nothing is published yet
-	e.Publish(config.Table{Version: 1, Rows: []config.Row{{Name: "here"}}}, types.Stamp(time.Second))
+	e.Publish(config.Table{Version: 1, Queues: []config.Queue{{Name: "here"}}}, types.MonoTime(time.Second))
 	is.True(e.unknown("later"))
 	is.True(!e.unknown("here"))
-	now = types.Stamp(time.Second)
+	now = types.MonoTime(time.Second)
 	is.True(!e.unknown("later"))
-	e.Publish(config.Table{Version: 1}, types.Stamp(2*time.Second))
+	e.Publish(config.Table{Version: 1}, types.MonoTime(2*time.Second))
 	is.True(e.unknown("later"))
 	is.True(!e.unknown("here")) // the same version has the same queues
 }
--- a/internal/server/inbox.go
+++ b/internal/server/inbox.go
@@ -28,7 +28,7 @@
 	mu    sync.Mutex
 	queue workqueue.Queue[event]
 	wake  chan struct{}
-	clock func() types.Stamp
+	clock func() types.MonoTime
 	stale uint64 // reports dropped after waiting too long
 }
 
@@ -120,5 +120,5 @@
 // tooBusy is the answer to a request that was not taken, with when to come back:
 // not before what is ahead of it will have gone.
 func tooBusy(behind time.Duration) *apierror.Error {
-	return apierror.New(apierror.Crowd, "", "this daemon is behind with its work; the request was not taken").After(2 * behind)
+	return apierror.New(apierror.TooBusy, "", "this daemon is behind with its work; the request was not taken").WithRetryAfter(2 * behind)
 }
--- a/internal/server/inbox_test.go
+++ b/internal/server/inbox_test.go
@@ -22,10 +22,10 @@
 }
 
 // stalled is an owner whose loop takes nothing, on a clock of the test.
-func stalled(now *types.Stamp) (*Owner, *recorder) {
+func stalled(now *types.MonoTime) (*Owner, *recorder) {
 	o, m := NewOwner(nil, nil), &recorder{}
 	o.Carry(m)
-	o.inbox.clock = func() types.Stamp { return *now }
+	o.inbox.clock = func() types.MonoTime { return *now }
 	return o, m
 }
 
@@ -38,14 +38,14 @@
 
 func TestNewWorkIsTurnedAwayAtOnceWhileTheLoopIsBehind(t *testing.T) {
 	is := is.New(t)
-	now := types.Stamp(0)
+	now := types.MonoTime(0)
 	o, _ := stalled(&now)
 	go o.Ask(t.Context(), "job.get", "a", nil)
 	o.untilWaiting(1)
-	now = types.Stamp(workqueue.EntryPatience + 2*time.Second)
+	now = types.MonoTime(workqueue.EntryPatience + 2*time.Second)
 	a := o.Ask(context.Background(), "job.put", "b", nil)
-	is.Equal(a.Fault.Kind, apierror.Crowd)
-	is.Equal(a.Fault.Retry, 5) // twice as long as the loop is behind
+	is.Equal(a.Fault.Kind, apierror.TooBusy)
+	is.Equal(a.Fault.RetryAfterSeconds, 5) // twice as long as the loop is behind
 	is.Equal(o.inbox.len(), 1)
 	go o.Ask(t.Context(), "job.cancel", "a", nil) // brings no new work: it may wait
 	o.untilWaiting(2)
@@ -55,14 +55,14 @@
 // the machine never sees it.
 func TestARequestGivenUpIsAnsweredAtOnceAndNotTaken(t *testing.T) {
 	is := is.New(t)
-	now := types.Stamp(0)
+	now := types.MonoTime(0)
 	o, m := stalled(&now)
 	ctx, stop := context.WithCancel(context.Background())
 	got := make(chan wire.Answer)
 	go func() { got <- o.Ask(ctx, "job.put", "a", nil) }()
 	o.untilWaiting(1)
 	stop()
-	is.Equal((<-got).Fault.Kind, apierror.Crowd)
+	is.Equal((<-got).Fault.Kind, apierror.TooBusy)
 	e, ok := o.inbox.pop()
 	is.True(ok)
 	o.take(e)
@@ -72,14 +72,14 @@
 // A request that the loop does not get to is answered at the next tick.
 func TestARequestThatWaitedTooLongIsAnsweredUntaken(t *testing.T) {
 	is := is.New(t)
-	now := types.Stamp(0)
+	now := types.MonoTime(0)
 	o, m := stalled(&now)
 	got := make(chan wire.Answer)
 	go func() { got <- o.Ask(t.Context(), "job.get", "a", nil) }()
 	o.untilWaiting(1)
-	now = types.Stamp(workqueue.RequestPatience) + 1
+	now = types.MonoTime(workqueue.RequestPatience) + 1
 	o.tick()
-	is.Equal((<-got).Fault.Kind, apierror.Crowd)
+	is.Equal((<-got).Fault.Kind, apierror.TooBusy)
 	is.Equal(o.inbox.len(), 0)
 	for _, e := range m.events {
 		is.True(e.Ask == nil)
@@ -90,7 +90,7 @@
 // the planted bug, it goes last.
 func TestAHeartbeatDoesNotWaitBehindRequests(t *testing.T) {
 	is := is.New(t)
-	now := types.Stamp(0)
+	now := types.MonoTime(0)
 	o, m := stalled(&now)
 	for range 1000 {
 		is.True(o.Message(wire.Message{Kind: wire.Call}))
--- a/internal/server/owner.go
+++ b/internal/server/owner.go
@@ -46,11 +46,11 @@
 // Now reads the clocks; nothing else in the daemons does for a machine.
 func Now() types.Now {
 	t := time.Now()
-	return types.Now{Mono: types.Stamp(t.Sub(start)), Wall: types.Wall(t.UnixNano())}
+	return types.Now{Mono: types.MonoTime(t.Sub(start)), Wall: types.WallTime(t.UnixNano())}
 }
 
 // Steady reads the daemon's steady clock.
-func Steady() types.Stamp { return Now().Mono }
+func Steady() types.MonoTime { return Now().Mono }
 
 func NewOwner(post *Post, file *wal.File) *Owner {
 	o := &Owner{post: post, inbox: newInbox(), closed: make(chan struct{}), asks: map[uint64]chan wire.Answer{},
@@ -79,7 +79,7 @@
 	}
 	select {
 	case <-o.closed:
-		return wire.Answer{Fault: apierror.New(apierror.Closing, "", "this daemon is stopping").After(time.Second)}
+		return wire.Answer{Fault: apierror.New(apierror.ShuttingDown, "", "this daemon is stopping").WithRetryAfter(time.Second)}
 	default:
 	}
 	e := event{Event: wire.Event{Ask: ask}, back: make(chan wire.Answer, 1), claimed: &atomic.Bool{}}
@@ -98,7 +98,7 @@
 			o.busy.Add(1)
 			return wire.Answer{Fault: tooBusy(workqueue.RequestPatience)}
 		}
-		return wire.Answer{Fault: apierror.New(apierror.Unsure, "", "no answer within the time there was")}
+		return wire.Answer{Fault: apierror.New(apierror.OutcomeUnknown, "", "no answer within the time there was")}
 	}
 }
 
@@ -108,7 +108,7 @@
 	case a := <-back:
 		return a
 	default:
-		return wire.Answer{Fault: apierror.New(apierror.Unsure, "", "this daemon stopped before it had an answer")}
+		return wire.Answer{Fault: apierror.New(apierror.OutcomeUnknown, "", "this daemon stopped before it had an answer")}
 	}
 }
 
--- a/internal/server/pages.go
+++ b/internal/server/pages.go
@@ -43,10 +43,10 @@
 		write(w, 200, wire.Body(p.Trail.Of(q.URL.Query().Get("subject"))))
 	}).Methods(http.MethodGet)
 	r.NotFoundHandler = http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		Fail(w, apierror.New(apierror.NoPath, "", "no such path: "+q.URL.Path))
+		Fail(w, apierror.New(apierror.NoSuchPath, "", "no such path: "+q.URL.Path))
 	})
 	r.MethodNotAllowedHandler = http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		Fail(w, apierror.New(apierror.NoMethod, "", q.Method+" is not for this path"))
+		Fail(w, apierror.New(apierror.NoSuchMethod, "", q.Method+" is not for this path"))
 	})
 	return r
 }
@@ -61,7 +61,7 @@
 			w.Header().Set("Connection", "close")
 		}
 		if p.shut.Load() && q.URL.Path != "/mate" {
-			Fail(w, apierror.New(apierror.Closing, "", "this daemon is stopping; ask another"))
+			Fail(w, apierror.New(apierror.ShuttingDown, "", "this daemon is stopping; ask another"))
 			return
 		}
 		next.ServeHTTP(w, q)
@@ -76,10 +76,10 @@
 
 // Fail answers with a fault, by the one table.
 func Fail(w http.ResponseWriter, f *apierror.Error) {
-	if f.Retry > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(f.Retry))
+	if f.RetryAfterSeconds > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(f.RetryAfterSeconds))
 	}
-	write(w, f.Code(), wire.Body(f))
+	write(w, f.StatusCode(), wire.Body(f))
 }
 
 // Assignment answers with what the machine said.
@@ -104,7 +104,7 @@
 	if _, large := err.(*http.MaxBytesError); large {
 		return nil, apierror.New(apierror.TooLarge, "", fmt.Sprintf("larger than %d bytes", most))
 	}
-	return nil, apierror.New(apierror.CutShort, "", "the body did not come whole; send it again")
+	return nil, apierror.New(apierror.BodyCutShort, "", "the body did not come whole; send it again")
 }
 
 // Read takes a request's body up to a size, or answers why not.
@@ -119,7 +119,7 @@
 // Ask reads a body and has the machine answer it.
 func (p *Pages) Ask(verb string) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
-		b, ok := Read(w, q, state.Body)
+		b, ok := Read(w, q, state.MaxDocumentBytes)
 		if !ok {
 			return
 		}
@@ -155,7 +155,7 @@
 		refused = !p.Owner.Message(n) || refused
 	}
 	if refused {
-		Fail(w, apierror.New(apierror.Crowd, "", "no room for messages of this kind"))
+		Fail(w, apierror.New(apierror.TooBusy, "", "no room for messages of this kind"))
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -141,12 +141,12 @@
 	if s.web != nil {
 		s.olds = append(s.olds, s.web)
 	}
-	idle := or(time.Duration(l.IdleMS)*time.Millisecond, time.Minute)
+	idle := or(time.Duration(l.IdleTimeoutMillis)*time.Millisecond, time.Minute)
 	idle += min(idle, reuse)
-	head := or(time.Duration(l.HeaderMS)*time.Millisecond, 5*time.Second)
+	head := or(time.Duration(l.HeaderTimeoutMillis)*time.Millisecond, 5*time.Second)
 	s.now, s.in = l, &feed{in: make(chan net.Conn), done: make(chan struct{}), addr: s.ln.Addr()}
 	s.web = &http.Server{Handler: s.h, ReadHeaderTimeout: head, ReadTimeout: head + 10*time.Second,
-		IdleTimeout: idle, MaxHeaderBytes: or(l.Header, 16<<10)}
+		IdleTimeout: idle, MaxHeaderBytes: or(l.HeaderBytes, 16<<10)}
 	go s.web.Serve(s.in)
 }
 
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -67,7 +67,7 @@
 	o.Carry(&echo{})
 	p := &Pages{Owner: o, Ready: func() bool { return true }}
 	var limits atomic.Pointer[config.Limits]
-	limits.Store(&config.Limits{Header: 1000, IdleMS: 100, HeaderMS: int(hang.Milliseconds())})
+	limits.Store(&config.Limits{HeaderBytes: 1000, IdleTimeoutMillis: 100, HeaderTimeoutMillis: int(hang.Milliseconds())})
 	ctx, stop := context.WithCancel(context.Background())
 	end := make(chan error)
 	go func() {
@@ -101,7 +101,7 @@
 	res, err := http.ReadResponse(bufio.NewReader(kept), nil)
 	is.NoErr(err)
 	is.Equal(res.StatusCode, 200)
-	limits.Store(&config.Limits{Header: 16 << 10, IdleMS: 10 * int(hang.Milliseconds())})
+	limits.Store(&config.Limits{HeaderBytes: 16 << 10, IdleTimeoutMillis: 10 * int(hang.Milliseconds())})
 	is.Equal(get(b, long), "200 front") // without a restart
 	kept.SetReadDeadline(time.Now().Add(hang))
 	_, err = io.Copy(io.Discard, kept)
@@ -223,6 +223,6 @@
 		is.Equal(string(o.Ask(short, "x", "", nil).Body), "true")
 		stop()
 		<-o.closed
-		is.Equal(o.Ask(context.Background(), "x", "", nil).Fault.Kind, apierror.Closing)
+		is.Equal(o.Ask(context.Background(), "x", "", nil).Fault.Kind, apierror.ShuttingDown)
 	})
 }
--- a/internal/server/under_way_test.go
+++ b/internal/server/under_way_test.go
@@ -44,8 +44,8 @@
 		synctest.Wait() // the machine has it, and may have handed it to the leader
 		is.Equal(m.seen, 1)
 		stop()
-		is.Equal((<-got).Fault.Kind, apierror.Unsure)
-		is.Equal(o.Ask(context.Background(), "job.put", "a", nil).Fault.Kind, apierror.Closing) // this one it never saw
+		is.Equal((<-got).Fault.Kind, apierror.OutcomeUnknown)
+		is.Equal(o.Ask(context.Background(), "job.put", "a", nil).Fault.Kind, apierror.ShuttingDown) // this one it never saw
 		is.Equal(m.seen, 1)
 	})
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -55,8 +55,8 @@
 	r := config.NewReader(b, heap)
 	any := func(string) string { return "" }
 	p := &s.Pace
-	num := func(to *int) config.Field { return config.Num(r, to, 1, 3_600_000) }
-	r.Whole(map[string]config.Field{
+	num := func(to *int) config.Field { return config.Int(r, to, 1, 3_600_000) }
+	r.ReadDocument(map[string]config.Field{
 		"listen":    config.Text(r, &s.Listen, any),
 		"address":   config.Text(r, &s.Address, any),
 		"source":    config.Text(r, &s.Source, any),
@@ -67,11 +67,11 @@
 		"seeds":     addrs(r, &s.Seeds),
 		"founders":  addrs(r, &s.Founders),
 		"first":     config.Bool(r, &s.First),
-		"losses":    config.Num(r, &s.Loses, 0, 4),
+		"losses":    config.Int(r, &s.Loses, 0, 4),
 		"grace_ms":  num(&s.Bounds.Grace),
 		"notice_ms": num(&s.Bounds.Notice),
 		"pace": func(at string) {
-			r.Obj(at, map[string]config.Field{"beat_ms": num(&p.Beat), "ill_ms": num(&p.Ill), "loss_ms": num(&p.Loss),
+			r.Object(at, map[string]config.Field{"beat_ms": num(&p.Beat), "ill_ms": num(&p.Ill), "loss_ms": num(&p.Loss),
 				"grant_ms": num(&p.Grant), "worker_ms": num(&p.Worker), "again_ms": num(&p.Again), "round_ms": num(&p.Round),
 				"election_ms": num(&p.Election), "stall_ms": num(&p.Stall), "dead_ms": num(&p.Dead), "stale_ms": num(&p.Stale)})
 		},
@@ -81,7 +81,7 @@
 func addrs(r *config.Reader, to *[]string) config.Field {
 	return func(at string) {
 		*to = nil
-		r.List(at, 16, func(at string, _ int) {
+		r.Array(at, 16, func(at string, _ int) {
 			var a string
 			config.Text(r, &a, func(string) string { return "" })(at)
 			*to = append(*to, a)
@@ -104,7 +104,7 @@
 		_, err := netip.ParseAddr(s.Source)
 		heap.Check(err == nil, "source", "want an IP number")
 	}
-	bad := config.Name(s.Zone)
+	bad := config.CheckName(s.Zone)
 	heap.Check(bad == "", "locality", bad)
 	heap.Check(len(s.Seeds) > 0, "seeds", "missing: give the addresses of up to three other daemons")
 	for i, a := range s.Seeds {
@@ -115,7 +115,7 @@
 	}
 	heap.Check((s.Data != "") == (role == "controller"), "data", "a controller needs a data folder, and no other daemon may have one")
 	if role == "agent" {
-		bad := config.Name(s.Shard)
+		bad := config.CheckName(s.Shard)
 		heap.Check(bad == "", "shard", bad)
 	} else {
 		heap.Check(s.Shard == "", "shard", "only an agent has one")
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -9,7 +9,7 @@
 )
 
 // changes is a history that holds two changes.
-var changes = History{horizon: 5, changes: []change{{6, 0x0123456789abcdef}, {7, 0xfedcba9876543210}}}
+var changes = History{horizon: 5, changes: []acceptedChange{{6, 0x0123456789abcdef}, {7, 0xfedcba9876543210}}}
 
 // What a log entry holds: every kind of command with every field.
 func TestCommandGolden(t *testing.T) {
@@ -21,12 +21,12 @@
 	spec := goldentest.Fill[Spec]()
 	unnamed := goldentest.Fill[Spec]("")
 	table := goldentest.Fill[Command]().Table
-	goldentest.File(t, "hashes.txt", []byte(spec.Hash()+"\n"+unnamed.Hash()+"\n"+table.Hash()+"\n"))
+	goldentest.File(t, "hashes.txt", []byte(spec.Hash()+"\n"+unnamed.Hash()+"\n"+table.ContentHash()+"\n"))
 }
 
 // The parts of a snapshot, each with every field.
 func TestSnapshotPartsGolden(t *testing.T) {
-	goldentest.JSON[head](t, "head.json", changes)
+	goldentest.JSON[header](t, "head.json", changes)
 	goldentest.JSON[Job](t, "job.json")
 	goldentest.JSON[History](t, "history.json", changes)
 }
@@ -34,19 +34,19 @@
 // A whole snapshot is written, and read back into a state that writes the same.
 func TestSnapshotGolden(t *testing.T) {
 	s := New()
-	s.head = goldentest.Fill[head](changes)
-	for i, stage := range []Stage{Open, Ending, Done, Failed, Stopped} {
+	s.header = goldentest.Fill[header](changes)
+	for i, stage := range []JobStatus{JobOpen, JobEnding, JobDone, JobFailed, JobCancelled} {
 		j := goldentest.Fill[Job](stage)
 		j.ID += types.JobID(rune('a' + i))
 		j.Seq += uint64(i)
 		s.Jobs[j.ID] = &j
 	}
-	for i, stage := range []Stage{Done, Failed, Stopped} {
+	for i, stage := range []JobStatus{JobDone, JobFailed, JobCancelled} {
 		j := goldentest.Fill[Job](stage, "00000000000000af")
 		j.ID += types.JobID(rune('k' + i))
 		s.tombstones.add(&j)
 	}
-	s.index()
+	s.buildIndexes()
 	goldentest.File(t, "snapshot.jsonl", snapshot(s))
 	read, err := Restore(bytes.Split(bytes.TrimSuffix(goldentest.Read(t, "snapshot.jsonl"), []byte("\n")), []byte("\n")))
 	if err != nil {
@@ -57,6 +57,6 @@
 
 // snapshot is a state's parts, one a line.
 func snapshot(s *State) []byte {
-	s.Begin()
-	return append(bytes.Join(s.Shoot(1<<30), []byte("\n")), '\n')
+	s.BeginSnapshot()
+	return append(bytes.Join(s.ContinueSnapshot(1<<30), []byte("\n")), '\n')
 }
--- a/internal/state/history.go
+++ b/internal/state/history.go
@@ -22,8 +22,8 @@
 // entrySize is what one change takes in a snapshot.
 const entrySize = 16
 
-// change is one configuration that was taken.
-type change struct {
+// acceptedChange is one configuration that was taken.
+type acceptedChange struct {
 	version types.Version
 	digest  uint64
 }
@@ -33,17 +33,17 @@
 // in it; of those up to the horizon nothing is known any more.
 type History struct {
 	horizon types.Version
-	changes []change
+	changes []acceptedChange
 }
 
 // changeOf is what remains of a configuration once it is taken.
-func changeOf(t config.Table) change {
-	digest, _ := strconv.ParseUint(t.Hash(), 16, 64)
-	return change{t.Next().Version, digest}
+func changeOf(t config.Table) acceptedChange {
+	digest, _ := strconv.ParseUint(t.ContentHash(), 16, 64)
+	return acceptedChange{t.Accepted().Version, digest}
 }
 
 // add remembers the change that was just taken; it is the newest.
-func (h *History) add(c change) {
+func (h *History) add(c acceptedChange) {
 	h.changes = append(h.changes, c)
 	if over := len(h.changes) - HistoryLimit; over > 0 {
 		h.horizon = h.changes[over-1].version
@@ -51,15 +51,15 @@
 	}
 }
 
-// taken tells whether this very change is remembered as taken.
-func (h *History) taken(c change) bool {
+// contains tells whether this very change is remembered as taken.
+func (h *History) contains(c acceptedChange) bool {
 	i := sort.Search(len(h.changes), func(i int) bool { return h.changes[i].version >= c.version })
 	return i < len(h.changes) && h.changes[i] == c
 }
 
-// forgotten tells whether a change of this version may have been taken so long
+// mayHaveForgotten tells whether a change of this version may have been taken so long
 // ago that nothing is remembered of it.
-func (h *History) forgotten(v types.Version) bool { return v <= h.horizon }
+func (h *History) mayHaveForgotten(v types.Version) bool { return v <= h.horizon }
 
 // historyJSON is how a snapshot holds the history: 16 bytes a change.
 type historyJSON struct {
@@ -94,7 +94,7 @@
 	h.horizon = read.Horizon
 	for ; len(packed) >= entrySize; packed = packed[entrySize:] {
 		version := types.Version(binary.BigEndian.Uint64(packed))
-		h.changes = append(h.changes, change{version, binary.BigEndian.Uint64(packed[8:])})
+		h.changes = append(h.changes, acceptedChange{version, binary.BigEndian.Uint64(packed[8:])})
 	}
 	return nil
 }
@@ -117,7 +117,7 @@
 		if err != nil {
 			return err
 		}
-		h.changes = append(h.changes, change{x.Version, digest})
+		h.changes = append(h.changes, acceptedChange{x.Version, digest})
 	}
 	if len(list) >= listLimit {
 		h.horizon = list[0].Version - 1
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -13,102 +13,104 @@
 	"coppercourse/internal/types"
 )
 
-// Stage is how far a job is.
-type Stage string
+// JobStatus is how far a job is.
+type JobStatus string
 
 // Stages of a job: open, ending while the last attempts are stopped, and three ends.
 const (
-	Open    Stage = "open"
-	Ending  Stage = "ending"
-	Done    Stage = "done"
-	Failed  Stage = "failed"
-	Stopped Stage = "cancelled"
+	JobOpen      JobStatus = "open"
+	JobEnding    JobStatus = "ending"
+	JobDone      JobStatus = "done"
+	JobFailed    JobStatus = "failed"
+	JobCancelled JobStatus = "cancelled"
 )
 
 // Job is one accepted job.
 type Job struct {
-	ID       types.JobID          `json:"id"`
-	Seq      uint64               `json:"seq"`
-	Hash     string               `json:"hash"`
-	Queue    types.Queue          `json:"queue"`
-	At       types.Tick           `json:"at"`
-	Wall     types.Wall           `json:"wall"`
-	State    Stage                `json:"state"`
-	Why      string               `json:"why,omitempty"`
-	Spec     *Spec                `json:"spec,omitempty"`
-	Tasks    []Task               `json:"tasks,omitempty"`
-	Broken   map[types.Stage]bool `json:"broken,omitempty"`
-	Halt     bool                 `json:"halt,omitempty"`
-	End      types.Tick           `json:"end,omitempty"`
-	Size     int                  `json:"size"`
-	Bytes    int                  `json:"bytes"`
-	Fine     int                  `json:"fine"`
-	Attempts int                  `json:"legs"`
-	shot     uint64
-	hot      *ReadyIndex
-	off      types.Wall // as of which the heat is
-	row      types.Version
+	ID                types.JobID          `json:"id"`
+	Seq               uint64               `json:"seq"`
+	Hash              string               `json:"hash"`
+	Queue             types.QueueName      `json:"queue"`
+	AcceptedAt        types.ClusterTime    `json:"at"`
+	AcceptedWallTime  types.WallTime       `json:"wall"`
+	Status            JobStatus            `json:"state"`
+	Reason            string               `json:"why,omitempty"`
+	Spec              *Spec                `json:"spec,omitempty"`
+	Tasks             []Task               `json:"tasks,omitempty"`
+	BrokenGangs       map[types.Stage]bool `json:"broken,omitempty"`
+	CancelRequested   bool                 `json:"halt,omitempty"`
+	EndedAt           types.ClusterTime    `json:"end,omitempty"`
+	TaskCount         int                  `json:"size"`
+	ApproxBytes       int                  `json:"bytes"`
+	DoneTasks         int                  `json:"fine"`
+	AttemptCount      int                  `json:"legs"`
+	snapshotNumber    uint64
+	readyCache        *ReadyIndex
+	readyCacheOffset  types.WallTime // as of which the heat is
+	readyCacheVersion types.Version
 }
 
-// Over is true once the job has ended for good.
-func (j *Job) Over() bool { return j.State == Done || j.State == Failed || j.State == Stopped }
+// Ended is true once the job has ended for good.
+func (j *Job) Ended() bool {
+	return j.Status == JobDone || j.Status == JobFailed || j.Status == JobCancelled
+}
 
-// stages calls f for every step at every time, with the tasks it has.
-func (j *Job) stages(f func(at types.Stage, p *Step, part []Task)) {
-	i := 0
-	for time := range j.Spec.Count() {
+// eachStage calls f for every step at every time, with the tasks it has.
+func (j *Job) eachStage(f func(at types.Stage, spec *Step, part []Task)) {
+	first := 0
+	for occurrence := range j.Spec.Occurrences() {
 		for step := range j.Spec.Steps {
-			p := &j.Spec.Steps[step]
-			f(types.StageOf(types.No(time, step, 0)), p, j.Tasks[i:i+p.Tasks])
-			i += p.Tasks
+			spec := &j.Spec.Steps[step]
+			f(types.StageOf(types.TaskNumber(occurrence, step, 0)), spec, j.Tasks[first:first+spec.Tasks])
+			first += spec.Tasks
 		}
 	}
 }
 
 // Task finds a task by its number, or gives nil.
-func (j *Job) Task(n int) *Task {
+func (j *Job) Task(number int) *Task {
 	if j.Spec == nil {
 		return nil
 	}
-	if i := j.Spec.Index(n); i >= 0 {
+	if i := j.Spec.TaskIndex(number); i >= 0 {
 		return &j.Tasks[i]
 	}
 	return nil
 }
 
-// Part is the tasks of one step at one time.
-func (j *Job) Part(at types.Stage) []Task {
-	i := j.Spec.Index(at.No(0))
-	return j.Tasks[i : i+j.Spec.Steps[at.Step()].Tasks]
+// StageTasks is the tasks of one step at one time.
+func (j *Job) StageTasks(stage types.Stage) []Task {
+	i := j.Spec.TaskIndex(stage.TaskNumber(0))
+	return j.Tasks[i : i+j.Spec.Steps[stage.Step()].Tasks]
 }
 
-// due tells when a step may start at one of the times, but for what it depends
+// startTime tells when a step may start at one of the times, but for what it depends
 // on: by the cluster's clock, and by the wall where a time of day is told.
-func (j *Job) due(p *Step, time int) (types.Tick, types.Wall) {
-	wall := clock(p.Not)
-	if t := j.Spec.Times; t != nil {
-		wall = max(wall, types.Wall(t.First+int64(time)*t.Every)*types.Wall(ms))
+func (j *Job) startTime(step *Step, occurrence int) (types.ClusterTime, types.WallTime) {
+	wall := parseWallTime(step.NotBefore)
+	if schedule := j.Spec.Schedule; schedule != nil {
+		wall = max(wall, types.WallTime(schedule.FirstUnixMillis+int64(occurrence)*schedule.IntervalMillis)*types.WallTime(millisecond))
 	}
-	return j.At.Add(gotime(p.Delay)), wall
+	return j.AcceptedAt.Add(milliseconds(step.DelayMillis)), wall
 }
 
-const ms = time.Millisecond
+const millisecond = time.Millisecond
 
-func gotime(n int) time.Duration { return time.Duration(n) * ms }
+func milliseconds(n int) time.Duration { return time.Duration(n) * millisecond }
 
-func clock(s string) types.Wall {
+func parseWallTime(s string) types.WallTime {
 	t, err := time.Parse(time.RFC3339Nano, s)
 	if err != nil {
 		return 0
 	}
-	return types.Wall(t.UnixNano())
+	return types.WallTime(t.UnixNano())
 }
 
-// met tells whether all that a step depends on has ended well.
-func (j *Job) met(p *Step, time int) bool {
-	for _, a := range p.After {
+// dependenciesMet tells whether all that a step depends on has ended well.
+func (j *Job) dependenciesMet(step *Step, occurrence int) bool {
+	for _, a := range step.DependsOn {
 		for i, q := range j.Spec.Steps {
-			if q.Name == a && !full(j.Part(types.StageOf(types.No(time, i, 0)))) {
+			if q.Name == a && !allDone(j.StageTasks(types.StageOf(types.TaskNumber(occurrence, i, 0)))) {
 				return false
 			}
 		}
@@ -116,34 +118,34 @@
 	return true
 }
 
-func full(part []Task) bool {
-	for i := range part {
-		if !part[i].Done {
+func allDone(tasks []Task) bool {
+	for i := range tasks {
+		if !tasks[i].Done {
 			return false
 		}
 	}
 	return true
 }
 
-func (j *Job) outs() (n int) {
+func (j *Job) outstanding() (n int) {
 	for i := range j.Tasks {
-		n += len(j.Tasks[i].Outs())
+		n += len(j.Tasks[i].Outstanding())
 	}
 	return
 }
 
-// Doomed lists the attempts that are out and must be stopped: the job is ending,
+// ToStop lists the attempts that are out and must be stopped: the job is ending,
 // the task is done by another attempt, or a peer of the gang ended badly.
-func (j *Job) Doomed() (list []types.Attempt) {
-	if j.Over() {
+func (j *Job) ToStop() (list []types.AttemptID) {
+	if j.Ended() {
 		return nil
 	}
-	j.stages(func(at types.Stage, _ *Step, part []Task) {
-		for i := range part {
-			t := &part[i]
-			for _, o := range t.Outs() {
-				if j.State == Ending || t.Done || o.Back != "" || j.Broken[at] {
-					list = append(list, types.Attempt{Task: types.Task{Job: j.ID, N: at.No(i)}, Attempt: o.Attempt})
+	j.eachStage(func(stage types.Stage, _ *Step, tasks []Task) {
+		for i := range tasks {
+			t := &tasks[i]
+			for _, attempt := range t.Outstanding() {
+				if j.Status == JobEnding || t.Done || attempt.Withdrawn != "" || j.BrokenGangs[stage] {
+					list = append(list, types.AttemptID{TaskID: types.TaskID{Job: j.ID, Number: stage.TaskNumber(i)}, Attempt: attempt.Number})
 				}
 			}
 		}
@@ -151,249 +153,249 @@
 	return
 }
 
-// may tells whether a task may be given out now.
-func (j *Job) may(t *Task, row config.Row, now types.Tick) bool {
-	return j.State == Open && t != nil && t.Out == nil && !t.Done && !t.Dead && t.Ready <= now && !t.spent(row)
+// canAssign tells whether a task may be given out now.
+func (j *Job) canAssign(t *Task, queue config.Queue, now types.ClusterTime) bool {
+	return j.Status == JobOpen && t != nil && t.Primary == nil && !t.Done && !t.Failed && t.ReadyAt <= now && !t.exhausted(queue)
 }
 
-// give hands out the next attempt of a task, if the task may still have one. The
+// assign hands out the next attempt of a task, if the task may still have one. The
 // members of a gang are given the same number, which leaves some out.
-func (j *Job) give(n, least int, shard types.Shard, row config.Row, now types.Tick) bool {
-	t := j.Task(n)
-	if !j.may(t, row, now) {
+func (j *Job) assign(number, minAttempt int, shard types.Shard, queue config.Queue, now types.ClusterTime) bool {
+	t := j.Task(number)
+	if !j.canAssign(t, queue, now) {
 		return false
 	}
-	t.Attempt = max(t.Attempt+1, least)
-	t.Doubt = ""
-	j.Attempts++
-	t.Out = &Out{Attempt: t.Attempt, Shard: shard, At: now}
+	t.LastAttempt = max(t.LastAttempt+1, minAttempt)
+	t.UnresolvedOn = ""
+	j.AttemptCount++
+	t.Primary = &OutstandingAttempt{Number: t.LastAttempt, Shard: shard, AssignedAt: now}
 	return true
 }
 
-// copy hands out a second attempt beside the first, where the step allows that.
-func (j *Job) copy(n int, shard types.Shard, row config.Row, now types.Tick) bool {
-	t := j.Task(n)
-	if j.State != Open || t == nil || t.Done || t.Dead || t.Out == nil || t.Copy != nil || t.spent(row) ||
-		t.Out.Shard == shard || !j.Spec.Steps[types.StageOf(n).Step()].Copies {
+// assignHedge hands out a second attempt beside the first, where the step allows that.
+func (j *Job) assignHedge(number int, shard types.Shard, queue config.Queue, now types.ClusterTime) bool {
+	t := j.Task(number)
+	if j.Status != JobOpen || t == nil || t.Done || t.Failed || t.Primary == nil || t.Hedge != nil || t.exhausted(queue) ||
+		t.Primary.Shard == shard || !j.Spec.Steps[types.StageOf(number).Step()].AllowHedge {
 		return false
 	}
-	t.Attempt++
-	j.Attempts++
-	t.Copy = &Out{Attempt: t.Attempt, Shard: shard, At: now}
+	t.LastAttempt++
+	j.AttemptCount++
+	t.Hedge = &OutstandingAttempt{Number: t.LastAttempt, Shard: shard, AssignedAt: now}
 	return true
 }
 
-// end takes an attempt's end. A late one, of an attempt already counted lost, matters
+// applyEnd takes an attempt's end. A late one, of an attempt already counted lost, matters
 // only if it ended well.
-func (j *Job) end(e End, row config.Row, now types.Tick) {
-	attempt, f := e.Attempt.Attempt, e.Outcome
-	if j.Over() {
+func (j *Job) applyEnd(e AttemptEnd, queue config.Queue, now types.ClusterTime) {
+	attempt, outcome := e.ID.Attempt, e.Outcome
+	if j.Ended() {
 		return
 	}
-	t := j.Task(e.Attempt.N)
-	if t == nil || attempt <= t.Shut && t.On(attempt) == nil {
+	t := j.Task(e.ID.Number)
+	if t == nil || attempt <= t.ExpiredThrough && t.FindOutstanding(attempt) == nil {
 		return
 	}
-	at := types.StageOf(e.Attempt.N)
-	p := &j.Spec.Steps[at.Step()]
-	mine := t.On(attempt)
-	if p.Lasts && f == OK {
-		f = Gone
-	}
-	if f == OK && attempt <= t.Attempt {
-		j.fine(t)
-		if p.Joint {
-			for i := range j.Part(at) {
-				j.fine(&j.Part(at)[i])
+	stage := types.StageOf(e.ID.Number)
+	step := &j.Spec.Steps[stage.Step()]
+	outstanding := t.FindOutstanding(attempt)
+	if step.AlwaysRestart && outcome == OutcomeOK {
+		outcome = OutcomeWorkerExited
+	}
+	if outcome == OutcomeOK && attempt <= t.LastAttempt {
+		j.markDone(t)
+		if step.Joint {
+			for i := range j.StageTasks(stage) {
+				j.markDone(&j.StageTasks(stage)[i])
 			}
 		}
 	}
-	late := slices.Index(t.Limbo, attempt)
+	unresolved := slices.Index(t.UnresolvedAttempts, attempt)
 	switch {
-	case mine != nil:
-		from := mine.Shard
-		t.drop(attempt)
-		if f.doubtful() && !t.Done {
-			t.Doubt, t.Limbo = from, append(t.Limbo, attempt)
+	case outstanding != nil:
+		shard := outstanding.Shard
+		t.removeOutstanding(attempt)
+		if outcome.unresolved() && !t.Done {
+			t.UnresolvedOn, t.UnresolvedAttempts = shard, append(t.UnresolvedAttempts, attempt)
 		}
-		if f == Lapsed {
-			t.Shut = max(t.Shut, attempt)
+		if outcome == OutcomeLeaseExpired {
+			t.ExpiredThrough = max(t.ExpiredThrough, attempt)
 		}
-		j.save(p, at, t, e.Ref)
-		if f == Bad {
-			t.Shun = from
+		j.saveCheckpoint(step, stage, t, e.Checkpoint)
+		if outcome == OutcomeFailed {
+			t.AvoidWorker = shard
 		}
-		j.count(at, t, attempt, f, row, now)
-	case late >= 0 && f == Waited:
-		if t.Attempt == attempt && t.Ready <= now {
-			t.Doubt = ""
-			j.judge(t, row)
+		j.applyOutcome(stage, t, attempt, outcome, queue, now)
+	case unresolved >= 0 && outcome == OutcomeWaitExpired:
+		if t.LastAttempt == attempt && t.ReadyAt <= now {
+			t.UnresolvedOn = ""
+			j.failIfExhausted(t, queue)
 		}
-	case late >= 0 && !f.doubtful():
-		t.Limbo = slices.Delete(t.Limbo, late, late+1)
-		if t.Attempt == attempt {
-			t.Doubt, t.Ready = "", now
-			if f == Gone {
-				t.Ready = now.Add(rest(p, t, row))
+	case unresolved >= 0 && !outcome.unresolved():
+		t.UnresolvedAttempts = slices.Delete(t.UnresolvedAttempts, unresolved, unresolved+1)
+		if t.LastAttempt == attempt {
+			t.UnresolvedOn, t.ReadyAt = "", now
+			if outcome == OutcomeWorkerExited {
+				t.ReadyAt = now.Add(lossBackoff(step, t, queue))
 			}
 		}
-		if f == Bad {
-			j.fail(at, t, attempt, row, now)
+		if outcome == OutcomeFailed {
+			j.recordFailure(stage, t, attempt, queue, now)
 		}
-		j.judge(t, row)
+		j.failIfExhausted(t, queue)
 	}
-	j.turn(now)
+	j.updateStatus(now)
 }
 
-// fine marks a task as ended well.
-func (j *Job) fine(t *Task) {
+// markDone marks a task as ended well.
+func (j *Job) markDone(t *Task) {
 	if !t.Done {
-		t.Done, t.Dead, t.Doubt = true, false, ""
-		j.Fine++
+		t.Done, t.Failed, t.UnresolvedOn = true, false, ""
+		j.DoneTasks++
 	}
 }
 
-// save keeps what an attempt saved, for the next to go on from; any member's is good
+// saveCheckpoint keeps what an attempt saved, for the next to go on from; any member's is good
 // for its whole gang, and all must have the same.
-func (j *Job) save(p *Step, at types.Stage, t *Task, ref string) {
-	if ref == "" || !p.Keeps {
+func (j *Job) saveCheckpoint(step *Step, stage types.Stage, t *Task, ref string) {
+	if ref == "" || !step.KeepsCheckpoint {
 		return
 	}
-	t.Ref = ref
-	if p.Gang {
-		for i := range j.Part(at) {
-			j.Part(at)[i].Ref = ref
+	t.Checkpoint = ref
+	if step.Gang {
+		for i := range j.StageTasks(stage) {
+			j.StageTasks(stage)[i].Checkpoint = ref
 		}
 	}
 }
 
-func (j *Job) count(at types.Stage, t *Task, attempt int, f Outcome, row config.Row, now types.Tick) {
-	switch f {
-	case Bad:
-		j.fail(at, t, attempt, row, now)
-	case Lost:
-		j.lose(at, t, row, now, row.Wait())
-	case Cut:
-		j.lose(at, t, row, now, max(row.WaitCut(), row.Wait()))
-	case Gone, Lapsed:
-		j.lose(at, t, row, now, 0)
-	case Halted, Unrun:
-		t.Halts++
-		t.Ready = now.Add(row.Pause(1))
-	}
-	if !j.Spec.Steps[at.Step()].Gang {
+func (j *Job) applyOutcome(stage types.Stage, t *Task, attempt int, outcome Outcome, queue config.Queue, now types.ClusterTime) {
+	switch outcome {
+	case OutcomeFailed:
+		j.recordFailure(stage, t, attempt, queue, now)
+	case OutcomeLost:
+		j.recordLoss(stage, t, queue, now, queue.UnresolvedTimeout())
+	case OutcomePartitioned:
+		j.recordLoss(stage, t, queue, now, max(queue.PartitionTimeout(), queue.UnresolvedTimeout()))
+	case OutcomeWorkerExited, OutcomeLeaseExpired:
+		j.recordLoss(stage, t, queue, now, 0)
+	case OutcomeStopped, OutcomeNeverRan:
+		t.Stops++
+		t.ReadyAt = now.Add(queue.Backoff(1))
+	}
+	if !j.Spec.Steps[stage.Step()].Gang {
 		return
 	}
-	out := false
-	for _, m := range j.Part(at) {
-		out = out || m.Out != nil
+	outstanding := false
+	for _, member := range j.StageTasks(stage) {
+		outstanding = outstanding || member.Primary != nil
 	}
 	switch {
-	case f != OK && out:
-		if j.Broken == nil {
-			j.Broken = map[types.Stage]bool{}
+	case outcome != OutcomeOK && outstanding:
+		if j.BrokenGangs == nil {
+			j.BrokenGangs = map[types.Stage]bool{}
 		}
-		j.Broken[at] = true
-	case !out:
-		delete(j.Broken, at)
+		j.BrokenGangs[stage] = true
+	case !outstanding:
+		delete(j.BrokenGangs, stage)
 	}
 }
 
-// lose counts a loss; one that loses its workers again and again rests longer
+// recordLoss counts a loss; one that loses its workers again and again rests longer
 // each time, and fails its job only where the queue's row sets a bound.
-func (j *Job) lose(at types.Stage, t *Task, row config.Row, now types.Tick, wait time.Duration) {
-	t.Lost++
-	t.Ready = now.Add(max(wait, rest(&j.Spec.Steps[at.Step()], t, row)))
-	j.judge(t, row)
+func (j *Job) recordLoss(stage types.Stage, t *Task, queue config.Queue, now types.ClusterTime, wait time.Duration) {
+	t.Losses++
+	t.ReadyAt = now.Add(max(wait, lossBackoff(&j.Spec.Steps[stage.Step()], t, queue)))
+	j.failIfExhausted(t, queue)
 }
 
-// fail counts a failure against the queue's tries; a gang fails as one, once
+// recordFailure counts a failure against the queue's tries; a gang fails as one, once
 // with each number that its members had.
-func (j *Job) fail(at types.Stage, t *Task, attempt int, row config.Row, now types.Tick) {
-	p := &j.Spec.Steps[at.Step()]
-	if p.Lasts {
-		t.Ready = now.Add(row.Pause(1))
+func (j *Job) recordFailure(stage types.Stage, t *Task, attempt int, queue config.Queue, now types.ClusterTime) {
+	step := &j.Spec.Steps[stage.Step()]
+	if step.AlwaysRestart {
+		t.ReadyAt = now.Add(queue.Backoff(1))
 		return
 	}
-	all := []*Task{t}
-	if p.Joint {
-		all = all[:0]
-		for i := range j.Part(at) {
-			m := &j.Part(at)[i]
-			if m.Bad == attempt {
+	failed := []*Task{t}
+	if step.Joint {
+		failed = failed[:0]
+		for i := range j.StageTasks(stage) {
+			member := &j.StageTasks(stage)[i]
+			if member.LastFailedAttempt == attempt {
 				return
 			}
-			all = append(all, m)
+			failed = append(failed, member)
 		}
 	}
-	for _, m := range all {
-		m.Bad = attempt
-		m.Fails++
-		if m.Doubt == "" {
-			m.Ready = now.Add(row.Pause(m.Fails))
+	for _, member := range failed {
+		member.LastFailedAttempt = attempt
+		member.Failures++
+		if member.UnresolvedOn == "" {
+			member.ReadyAt = now.Add(queue.Backoff(member.Failures))
 		}
-		j.judge(m, row)
+		j.failIfExhausted(member, queue)
 	}
 }
 
-// judge ends a task whose tries are spent, unless a lost attempt of it may still
+// failIfExhausted ends a task whose tries are spent, unless a lost attempt of it may still
 // turn out to have ended well.
-func (j *Job) judge(t *Task, row config.Row) {
-	if t.Done || t.Dead || t.Doubt != "" {
+func (j *Job) failIfExhausted(t *Task, queue config.Queue) {
+	if t.Done || t.Failed || t.UnresolvedOn != "" {
 		return
 	}
 	switch {
-	case t.Fails >= row.Tries:
-		t.Dead, j.Why = true, fmt.Sprintf("task %d failed %d times", j.number(t), t.Fails)
-	case row.Losses > 0 && t.Lost >= row.Losses && t.Out == nil:
-		t.Dead, j.Why = true, fmt.Sprintf("task %d was lost with its worker %d times", j.number(t), t.Lost)
+	case t.Failures >= queue.MaxFailures:
+		t.Failed, j.Reason = true, fmt.Sprintf("task %d failed %d times", j.taskNumber(t), t.Failures)
+	case queue.MaxLosses > 0 && t.Losses >= queue.MaxLosses && t.Primary == nil:
+		t.Failed, j.Reason = true, fmt.Sprintf("task %d was lost with its worker %d times", j.taskNumber(t), t.Losses)
 	}
 }
 
-func (j *Job) number(t *Task) int {
+func (j *Job) taskNumber(t *Task) int {
 	for i := range j.Tasks {
 		if &j.Tasks[i] == t {
-			return j.Spec.No(i)
+			return j.Spec.TaskNumber(i)
 		}
 	}
 	return -1
 }
 
-// Spent lists the lost attempts of tasks that have no try left, whose ends have
+// Exhausted lists the lost attempts of tasks that have no try left, whose ends have
 // been waited for as long as the queue says.
-func (j *Job) Spent(row config.Row, now types.Tick) (list []End) {
+func (j *Job) Exhausted(queue config.Queue, now types.ClusterTime) (list []AttemptEnd) {
 	for i := range j.Tasks {
-		if t := &j.Tasks[i]; j.State == Open && t.Out == nil && t.Doubt != "" && !t.Done && t.spent(row) && t.Ready <= now {
-			list = append(list, End{Attempt: types.Attempt{Task: types.Task{Job: j.ID, N: j.Spec.No(i)}, Attempt: t.Attempt}, Outcome: Waited})
+		if t := &j.Tasks[i]; j.Status == JobOpen && t.Primary == nil && t.UnresolvedOn != "" && !t.Done && t.exhausted(queue) && t.ReadyAt <= now {
+			list = append(list, AttemptEnd{ID: types.AttemptID{TaskID: types.TaskID{Job: j.ID, Number: j.Spec.TaskNumber(i)}, Attempt: t.LastAttempt}, Outcome: OutcomeWaitExpired})
 		}
 	}
 	return
 }
 
-// turn moves the job's state on after anything changed.
-func (j *Job) turn(now types.Tick) {
-	dead := false
+// updateStatus moves the job's state on after anything changed.
+func (j *Job) updateStatus(now types.ClusterTime) {
+	taskFailed := false
 	for i := range j.Tasks {
-		dead = dead || j.Tasks[i].Dead
+		taskFailed = taskFailed || j.Tasks[i].Failed
 	}
 	switch {
-	case j.Fine == j.Size:
-		j.State = Done
-	case j.Halt:
-		j.State = Stopped
-	case dead:
-		j.State = Failed
+	case j.DoneTasks == j.TaskCount:
+		j.Status = JobDone
+	case j.CancelRequested:
+		j.Status = JobCancelled
+	case taskFailed:
+		j.Status = JobFailed
 	default:
-		j.State, j.Why = Open, ""
+		j.Status, j.Reason = JobOpen, ""
 		return
 	}
-	if j.outs() > 0 {
-		j.State = Ending
+	if j.outstanding() > 0 {
+		j.Status = JobEnding
 		return
 	}
-	j.End = now
-	if j.State == Done {
-		j.Why = ""
+	j.EndedAt = now
+	if j.Status == JobDone {
+		j.Reason = ""
 	}
-	j.Spec, j.Tasks, j.Broken = nil, nil, nil
+	j.Spec, j.Tasks, j.BrokenGangs = nil, nil, nil
 }
--- a/internal/state/kinds_test.go
+++ b/internal/state/kinds_test.go
@@ -14,13 +14,13 @@
 	"coppercourse/internal/types"
 )
 
-func put(t *testing.T, s *State, text string) *Job {
-	s.must(sec, Command{Job: &Submit{"j", read(t, text)}})
+func submitJob(t *testing.T, s *State, text string) *Job {
+	s.mustApply(sec, Command{Job: &Submission{"j", readTestSpec(t, text)}})
 	return s.Jobs["j"]
 }
 
-func batches(s *State, j *Job, at types.Tick) (list []int) {
-	for _, b := range s.ReadyIndex(j, at).Batches {
+func readyTasks(s *State, j *Job, at types.ClusterTime) (list []int) {
+	for _, b := range s.ReadyIndex(j, at).Stages {
 		list = append(list, b.Tasks...)
 	}
 	return
@@ -28,37 +28,37 @@
 
 func TestTimesRunSideBySideAndEachWaitsForItsOwn(t *testing.T) {
 	is := is.New(t)
-	s := town(t)
-	s.must(sec, Command{Off: new(types.Wall)})
-	j := put(t, s, `{"queue":"q","times":{"first_ms":5000,"every_ms":2000,"count":3},"steps":[{"name":"a","kind":"x"},{"name":"b","kind":"x","after":["a"]}]}`)
-	is.Equal(j.Size, 6)
-	is.Equal(len(batches(s, j, 4*sec)), 0)
-	is.Equal(batches(s, j, 5*sec), []int{types.No(0, 0, 0)})
-	is.Equal(batches(s, j, 7*sec), []int{types.No(0, 0, 0), types.No(1, 0, 0)}) // the times may overlap
-	s.must(7*sec, Command{Attempts: give(types.No(1, 0, 0))})
-	s.must(8*sec, end(types.No(1, 0, 0), 1, OK))
-	is.Equal(batches(s, j, 8*sec), []int{types.No(0, 0, 0), types.No(1, 1, 0)}) // its own step a is done
-	for _, n := range []int{types.No(0, 0, 0), types.No(0, 1, 0), types.No(1, 1, 0), types.No(2, 0, 0), types.No(2, 1, 0)} {
-		is.Equal(j.State, Open)
-		s.must(20*sec, Command{Attempts: give(n)})
-		s.must(20*sec, end(n, 1, OK))
+	s := newTestState(t)
+	s.mustApply(sec, Command{WallOffset: new(types.WallTime)})
+	j := submitJob(t, s, `{"queue":"q","times":{"first_ms":5000,"every_ms":2000,"count":3},"steps":[{"name":"a","kind":"x"},{"name":"b","kind":"x","after":["a"]}]}`)
+	is.Equal(j.TaskCount, 6)
+	is.Equal(len(readyTasks(s, j, 4*sec)), 0)
+	is.Equal(readyTasks(s, j, 5*sec), []int{types.TaskNumber(0, 0, 0)})
+	is.Equal(readyTasks(s, j, 7*sec), []int{types.TaskNumber(0, 0, 0), types.TaskNumber(1, 0, 0)}) // the times may overlap
+	s.mustApply(7*sec, Command{Assignments: assignTo(types.TaskNumber(1, 0, 0))})
+	s.mustApply(8*sec, endOf(types.TaskNumber(1, 0, 0), 1, OutcomeOK))
+	is.Equal(readyTasks(s, j, 8*sec), []int{types.TaskNumber(0, 0, 0), types.TaskNumber(1, 1, 0)}) // its own step a is done
+	for _, n := range []int{types.TaskNumber(0, 0, 0), types.TaskNumber(0, 1, 0), types.TaskNumber(1, 1, 0), types.TaskNumber(2, 0, 0), types.TaskNumber(2, 1, 0)} {
+		is.Equal(j.Status, JobOpen)
+		s.mustApply(20*sec, Command{Assignments: assignTo(n)})
+		s.mustApply(20*sec, endOf(n, 1, OutcomeOK))
 	}
-	is.Equal(j.State, Done)
-	is.Equal(len(s.must(20*sec, Command{Attempts: give(types.No(3, 0, 0))})), 0) // there is no fourth time
+	is.Equal(j.Status, JobDone)
+	is.Equal(len(s.mustApply(20*sec, Command{Assignments: assignTo(types.TaskNumber(3, 0, 0))})), 0) // there is no fourth time
 }
 
 func TestWhatLastsGoesAgainHoweverItEnds(t *testing.T) {
 	is := is.New(t)
-	s := town(t)
-	j := put(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x","lasts":true}]}`)
-	for i, f := range []Outcome{OK, Bad, Bad, Bad, Lapsed, Halted, Gone, OK} {
-		at := types.Tick(i+2) * 20 * sec
-		is.Equal(len(s.must(at, Command{Attempts: give(0)})), 1)
-		s.must(at, end(0, i+1, f))
-		is.Equal(j.State, Open)
+	s := newTestState(t)
+	j := submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x","lasts":true}]}`)
+	for i, f := range []Outcome{OutcomeOK, OutcomeFailed, OutcomeFailed, OutcomeFailed, OutcomeLeaseExpired, OutcomeStopped, OutcomeWorkerExited, OutcomeOK} {
+		at := types.ClusterTime(i+2) * 20 * sec
+		is.Equal(len(s.mustApply(at, Command{Assignments: assignTo(0)})), 1)
+		s.mustApply(at, endOf(0, i+1, f))
+		is.Equal(j.Status, JobOpen)
 	}
-	s.must(900*sec, Command{Cancel: "j"})
-	is.Equal(j.State, Stopped)
+	s.mustApply(900*sec, Command{Cancel: "j"})
+	is.Equal(j.Status, JobCancelled)
 }
 
 func TestAJointGangEndsAndFailsAsOne(t *testing.T) {
@@ -66,101 +66,101 @@
 	text := `{"queue":"q","steps":[{"name":"a","kind":"x","tasks":3,"gang":true,"joint":true}]}`
 	gang := func(n int, attempt int) (list []Assignment) {
 		for i := range n {
-			list = append(list, Assignment{Attempt: types.Attempt{Task: types.Task{Job: "j", N: i}, Attempt: attempt}, Shard: "k"})
+			list = append(list, Assignment{ID: types.AttemptID{TaskID: types.TaskID{Job: "j", Number: i}, Attempt: attempt}, Shard: "k"})
 		}
 		return
 	}
-	s := town(t)
-	j := put(t, s, text)
-	is.Equal(len(s.must(2*sec, Command{Attempts: gang(2, 1)})), 0) // whole or not at all
-	is.Equal(len(s.must(2*sec, Command{Attempts: gang(3, 1)})), 3)
-	s.must(3*sec, end(1, 1, Bad))
-	is.Equal(len(j.Doomed()), 2) // the others are stopped
-	s.must(3*sec, end(0, 1, Bad))
-	s.must(3*sec, end(2, 1, Halted))
-	is.Equal(j.Tasks[2].Fails, 1) // one failure of the gang, whoever tells it
-	is.Equal(j.State, Open)
-	attempts := s.must(9*sec, Command{Attempts: gang(3, 2)})
+	s := newTestState(t)
+	j := submitJob(t, s, text)
+	is.Equal(len(s.mustApply(2*sec, Command{Assignments: gang(2, 1)})), 0) // whole or not at all
+	is.Equal(len(s.mustApply(2*sec, Command{Assignments: gang(3, 1)})), 3)
+	s.mustApply(3*sec, endOf(1, 1, OutcomeFailed))
+	is.Equal(len(j.ToStop()), 2) // the others are stopped
+	s.mustApply(3*sec, endOf(0, 1, OutcomeFailed))
+	s.mustApply(3*sec, endOf(2, 1, OutcomeStopped))
+	is.Equal(j.Tasks[2].Failures, 1) // one failure of the gang, whoever tells it
+	is.Equal(j.Status, JobOpen)
+	attempts := s.mustApply(9*sec, Command{Assignments: gang(3, 2)})
 	is.Equal(len(attempts), 3)
 	for _, l := range attempts {
-		is.Equal(l.Attempt.Attempt, 2) // all members have one number
+		is.Equal(l.ID.Attempt, 2) // all members have one number
 	}
-	s.must(10*sec, end(2, 2, OK)) // stands for all
-	is.Equal(j.Fine, 3)
-	is.Equal(j.State, Ending)
-	s.must(10*sec, end(0, 2, OK))
-	s.must(10*sec, end(1, 2, Gone))
-	is.Equal(j.State, Done)
-
-	s = town(t)
-	j = put(t, s, text)
+	s.mustApply(10*sec, endOf(2, 2, OutcomeOK)) // stands for all
+	is.Equal(j.DoneTasks, 3)
+	is.Equal(j.Status, JobEnding)
+	s.mustApply(10*sec, endOf(0, 2, OutcomeOK))
+	s.mustApply(10*sec, endOf(1, 2, OutcomeWorkerExited))
+	is.Equal(j.Status, JobDone)
+
+	s = newTestState(t)
+	j = submitJob(t, s, text)
 	for attempt := 1; attempt <= 2; attempt++ { // as many as the queue's tries
-		at := types.Tick(attempt) * 10 * sec
-		s.must(at, Command{Attempts: gang(3, attempt)})
-		s.must(at, end(0, attempt, Bad))
-		s.must(at, end(1, attempt, Halted))
-		s.must(at, end(2, attempt, Halted))
+		at := types.ClusterTime(attempt) * 10 * sec
+		s.mustApply(at, Command{Assignments: gang(3, attempt)})
+		s.mustApply(at, endOf(0, attempt, OutcomeFailed))
+		s.mustApply(at, endOf(1, attempt, OutcomeStopped))
+		s.mustApply(at, endOf(2, attempt, OutcomeStopped))
 	}
-	is.Equal(j.State, Failed)
+	is.Equal(j.Status, JobFailed)
 }
 
 func TestWhatWasSavedGoesWithTheNextAttempt(t *testing.T) {
 	is := is.New(t)
-	s := town(t)
-	j := put(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x","tasks":2,"gang":true,"joint":true,"keeps":true},{"name":"b","kind":"x"}]}`)
-	s.must(2*sec, Command{Attempts: []Assignment{{Attempt: attempt(0, 1), Shard: "k"}, {Attempt: attempt(1, 1), Shard: "k"}}})
-	s.must(3*sec, Command{Ends: []End{{Attempt: attempt(0, 1), Outcome: Halted, Ref: "r1"}, {Attempt: attempt(1, 1), Outcome: Lapsed}}})
-	is.Equal(j.Tasks[0].Ref, "r1")
-	is.Equal(j.Tasks[1].Ref, "r1") // any member's is good for the gang
-	b := types.No(0, 1, 0)
-	s.must(4*sec, Command{Attempts: give(b)})
-	s.must(5*sec, Command{Ends: []End{{Attempt: attempt(b, 1), Outcome: Halted, Ref: "r2"}}})
-	is.Equal(j.Task(b).Ref, "") // it keeps nothing
+	s := newTestState(t)
+	j := submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x","tasks":2,"gang":true,"joint":true,"keeps":true},{"name":"b","kind":"x"}]}`)
+	s.mustApply(2*sec, Command{Assignments: []Assignment{{ID: attemptID(0, 1), Shard: "k"}, {ID: attemptID(1, 1), Shard: "k"}}})
+	s.mustApply(3*sec, Command{Ends: []AttemptEnd{{ID: attemptID(0, 1), Outcome: OutcomeStopped, Checkpoint: "r1"}, {ID: attemptID(1, 1), Outcome: OutcomeLeaseExpired}}})
+	is.Equal(j.Tasks[0].Checkpoint, "r1")
+	is.Equal(j.Tasks[1].Checkpoint, "r1") // any member's is good for the gang
+	b := types.TaskNumber(0, 1, 0)
+	s.mustApply(4*sec, Command{Assignments: assignTo(b)})
+	s.mustApply(5*sec, Command{Ends: []AttemptEnd{{ID: attemptID(b, 1), Outcome: OutcomeStopped, Checkpoint: "r2"}}})
+	is.Equal(j.Task(b).Checkpoint, "") // it keeps nothing
 }
 
 func TestALapseIsTheLastWord(t *testing.T) {
 	is := is.New(t)
-	s := town(t)
-	j := put(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
-	s.must(2*sec, Command{Attempts: give(0)})
-	s.must(3*sec, end(0, 1, Lapsed))
-	is.Equal(len(s.Doubts("k")), 0)
-	is.True(j.Task(0).Knows(1, OK))
-	s.must(3*sec, end(0, 1, OK)) // told late: it does not count
-	is.Equal(j.Fine, 0)
-	is.Equal(len(s.must(4*sec, Command{Attempts: give(0)})), 1)
-	s.must(4*sec, end(0, 1, Bad))
-	is.Equal(j.Task(0).Fails, 0)
-	s.must(5*sec, end(0, 2, OK))
-	is.Equal(j.State, Done)
+	s := newTestState(t)
+	j := submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
+	s.mustApply(2*sec, Command{Assignments: assignTo(0)})
+	s.mustApply(3*sec, endOf(0, 1, OutcomeLeaseExpired))
+	is.Equal(len(s.UnresolvedAttempts("k")), 0)
+	is.True(j.Task(0).EndIsKnown(1, OutcomeOK))
+	s.mustApply(3*sec, endOf(0, 1, OutcomeOK)) // told late: it does not count
+	is.Equal(j.DoneTasks, 0)
+	is.Equal(len(s.mustApply(4*sec, Command{Assignments: assignTo(0)})), 1)
+	s.mustApply(4*sec, endOf(0, 1, OutcomeFailed))
+	is.Equal(j.Task(0).Failures, 0)
+	s.mustApply(5*sec, endOf(0, 2, OutcomeOK))
+	is.Equal(j.Status, JobDone)
 }
 
 func TestTablesThatTheOperatorNumbers(t *testing.T) {
 	is := is.New(t)
-	s := town(t) // version 1
-	q := s.Table.Rows[0]
-	next := func(base, becomes types.Version, orphans config.Orphans, rows ...config.Row) *apierror.Error {
-		_, bad := s.Apply(Command{Tick: 9 * sec, Table: &config.Table{Version: base, Becomes: becomes, Orphans: orphans, Rows: rows}})
+	s := newTestState(t) // version 1
+	q := s.Table.Queues[0]
+	next := func(base, becomes types.Version, orphans config.OrphanPolicy, rows ...config.Queue) *apierror.Error {
+		_, bad := s.Apply(Command{Time: 9 * sec, Table: &config.Table{Version: base, RequestedVersion: becomes, Orphans: orphans, Queues: rows}})
 		return bad
 	}
 	is.True(next(1, 7, "", q) == nil)
 	is.Equal(int(s.Table.Version), 7)
 	is.True(next(1, 7, "", q) == nil) // the same again
-	is.Equal(next(1, 8, "", q).Kind, apierror.Stale)
+	is.Equal(next(1, 8, "", q).Kind, apierror.StaleVersion)
 	is.Equal(next(7, 7, "", q).Kind, apierror.BadField)
-	j := put(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
-	is.Equal(next(7, 9, "").Kind, apierror.InUse)
-	is.True(next(7, 9, config.Finish) == nil)
-	_, ok := s.Table.Find("q")
+	j := submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
+	is.Equal(next(7, 9, "").Kind, apierror.QueueInUse)
+	is.True(next(7, 9, config.FinishOrphans) == nil)
+	_, ok := s.Table.FindQueue("q")
 	is.True(!ok)
-	row, ok := s.Row("q") // its jobs are finished by the last row
+	row, ok := s.QueueConfig("q") // its jobs are finished by the last row
 	is.True(ok)
-	is.Equal(row.Tries, 2)
-	is.Equal(len(s.must(10*sec, Command{Attempts: give(0)})), 1)
-	s.must(11*sec, end(0, 1, OK))
-	is.Equal(j.State, Done)
-	is.True(next(9, 12, config.Finish) == nil)
-	_, ok = s.Row("q")
+	is.Equal(row.MaxFailures, 2)
+	is.Equal(len(s.mustApply(10*sec, Command{Assignments: assignTo(0)})), 1)
+	s.mustApply(11*sec, endOf(0, 1, OutcomeOK))
+	is.Equal(j.Status, JobDone)
+	is.True(next(9, 12, config.FinishOrphans) == nil)
+	_, ok = s.QueueConfig("q")
 	is.True(!ok)
 	is.True(next(1, 7, "", q) == nil) // told the truth late: it was taken
 	is.Equal(int(s.Table.Version), 12)
@@ -168,75 +168,75 @@
 
 func TestTheLongestChainOfSteps(t *testing.T) {
 	is := is.New(t)
-	j := put(t, town(t), `{"queue":"q","steps":[{"name":"a","kind":"x","estimate_ms":400},{"name":"b","kind":"x","estimate_ms":600,"after":["a"]},{"name":"c","kind":"x","estimate_ms":100}]}`)
-	cost := func(i int) time.Duration { return time.Duration(j.Spec.Steps[i].Estimate) * ms }
+	j := submitJob(t, newTestState(t), `{"queue":"q","steps":[{"name":"a","kind":"x","estimate_ms":400},{"name":"b","kind":"x","estimate_ms":600,"after":["a"]},{"name":"c","kind":"x","estimate_ms":100}]}`)
+	cost := func(i int) time.Duration { return time.Duration(j.Spec.Steps[i].EstimateMillis) * millisecond }
 	for from, want := range map[int]time.Duration{-1: 1000, 0: 1000, 1: 600, 2: 100} {
-		is.Equal(j.Spec.Chain(from, cost), want*ms)
+		is.Equal(j.Spec.CriticalPath(from, cost), want*millisecond)
 	}
 }
 
 func TestACopyRunsBesideAndTheFirstGoodEndCounts(t *testing.T) {
 	is := is.New(t)
-	s := town(t)
-	j := put(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x","copies":true}]}`)
+	s := newTestState(t)
+	j := submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x","copies":true}]}`)
 	twin := func(shard types.Shard) []Assignment {
-		return []Assignment{{Attempt: attempt(0, 0), Shard: shard, Copy: true}}
+		return []Assignment{{ID: attemptID(0, 0), Shard: shard, Hedge: true}}
 	}
-	is.Equal(len(s.must(2*sec, Command{Attempts: twin("m")})), 0) // there is no first yet
-	s.must(2*sec, Command{Attempts: give(0)})
-	is.Equal(len(s.must(2*sec, Command{Attempts: twin("k")})), 0) // not on the same worker
-	is.Equal(s.must(2*sec, Command{Attempts: twin("m")})[0].Attempt.Attempt, 2)
-	is.Equal(len(s.must(2*sec, Command{Attempts: twin("l")})), 0) // one copy at a time
-	s.must(3*sec, end(0, 2, Lapsed))
-	is.True(!j.Task(0).Knows(1, OK)) // the first is still out
-	is.Equal(s.must(3*sec, Command{Attempts: twin("l")})[0].Attempt.Attempt, 3)
-	s.must(4*sec, end(0, 1, Bad))
-	is.Equal(j.Task(0).Fails, 1)
-	is.Equal(j.Task(0).Out.Attempt, 3) // the copy goes on as the only one
-	is.Equal(s.must(4*sec, Command{Attempts: twin("m")})[0].Attempt.Attempt, 4)
-	s.must(5*sec, end(0, 4, OK))
-	is.Equal(j.Doomed(), []types.Attempt{attempt(0, 3)})
-	s.must(5*sec, end(0, 3, Halted))
-	is.Equal(j.State, Done)
-
-	s = town(t)
-	put(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
-	s.must(2*sec, Command{Attempts: give(0)})
-	is.Equal(len(s.must(2*sec, Command{Attempts: twin("m")})), 0) // the step does not allow it
+	is.Equal(len(s.mustApply(2*sec, Command{Assignments: twin("m")})), 0) // there is no first yet
+	s.mustApply(2*sec, Command{Assignments: assignTo(0)})
+	is.Equal(len(s.mustApply(2*sec, Command{Assignments: twin("k")})), 0) // not on the same worker
+	is.Equal(s.mustApply(2*sec, Command{Assignments: twin("m")})[0].ID.Attempt, 2)
+	is.Equal(len(s.mustApply(2*sec, Command{Assignments: twin("l")})), 0) // one copy at a time
+	s.mustApply(3*sec, endOf(0, 2, OutcomeLeaseExpired))
+	is.True(!j.Task(0).EndIsKnown(1, OutcomeOK)) // the first is still out
+	is.Equal(s.mustApply(3*sec, Command{Assignments: twin("l")})[0].ID.Attempt, 3)
+	s.mustApply(4*sec, endOf(0, 1, OutcomeFailed))
+	is.Equal(j.Task(0).Failures, 1)
+	is.Equal(j.Task(0).Primary.Number, 3) // the copy goes on as the only one
+	is.Equal(s.mustApply(4*sec, Command{Assignments: twin("m")})[0].ID.Attempt, 4)
+	s.mustApply(5*sec, endOf(0, 4, OutcomeOK))
+	is.Equal(j.ToStop(), []types.AttemptID{attemptID(0, 3)})
+	s.mustApply(5*sec, endOf(0, 3, OutcomeStopped))
+	is.Equal(j.Status, JobDone)
+
+	s = newTestState(t)
+	submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
+	s.mustApply(2*sec, Command{Assignments: assignTo(0)})
+	is.Equal(len(s.mustApply(2*sec, Command{Assignments: twin("m")})), 0) // the step does not allow it
 }
 
 // A lost attempt of any step, at any time, is named as it was given out.
 func TestDoubtsNameTheirTasks(t *testing.T) {
 	is := is.New(t)
-	s := town(t)
-	s.must(sec, Command{Off: new(types.Wall)})
-	put(t, s, `{"queue":"q","times":{"first_ms":0,"every_ms":0,"count":2},"steps":[{"name":"a","kind":"x"},{"name":"b","kind":"x","tasks":2}]}`)
-	n := types.No(1, 1, 1)
-	s.must(2*sec, Command{Attempts: give(n)})
-	s.must(3*sec, end(n, 1, Lost))
-	is.Equal(s.Doubts("k"), []types.Attempt{attempt(n, 1)})
-	s.must(4*sec, Command{Gone: "k"})
-	is.Equal(len(s.Doubts("k")), 0)
+	s := newTestState(t)
+	s.mustApply(sec, Command{WallOffset: new(types.WallTime)})
+	submitJob(t, s, `{"queue":"q","times":{"first_ms":0,"every_ms":0,"count":2},"steps":[{"name":"a","kind":"x"},{"name":"b","kind":"x","tasks":2}]}`)
+	n := types.TaskNumber(1, 1, 1)
+	s.mustApply(2*sec, Command{Assignments: assignTo(n)})
+	s.mustApply(3*sec, endOf(n, 1, OutcomeLost))
+	is.Equal(s.UnresolvedAttempts("k"), []types.AttemptID{attemptID(n, 1)})
+	s.mustApply(4*sec, Command{ExitedWorker: "k"})
+	is.Equal(len(s.UnresolvedAttempts("k")), 0)
 }
 
 // A task that loses its worker each time rests longer each time, also where the
 // loss is first in doubt.
 func TestLossesRestLongerEachTime(t *testing.T) {
 	is := is.New(t)
-	s := town(t)
-	j := put(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
+	s := newTestState(t)
+	j := submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
 	at, rests := 2*sec, []time.Duration{}
 	for n := 1; n <= 12; n++ {
-		is.Equal(len(s.must(at, Command{Attempts: give(0)})), 1)
+		is.Equal(len(s.mustApply(at, Command{Assignments: assignTo(0)})), 1)
 		if n%2 == 0 {
-			s.must(at, end(0, n, Lost))
+			s.mustApply(at, endOf(0, n, OutcomeLost))
 		}
-		s.must(at, end(0, n, Gone))
-		rests = append(rests, j.Tasks[0].Ready.Sub(at))
-		at = j.Tasks[0].Ready
+		s.mustApply(at, endOf(0, n, OutcomeWorkerExited))
+		rests = append(rests, j.Tasks[0].ReadyAt.Sub(at))
+		at = j.Tasks[0].ReadyAt
 	}
-	is.Equal(rests[0], 200*ms)
-	is.Equal(rests[1], 400*ms)
-	is.Equal(rests[7], 25600*ms)
+	is.Equal(rests[0], 200*millisecond)
+	is.Equal(rests[1], 400*millisecond)
+	is.Equal(rests[7], 25600*millisecond)
 	is.Equal(rests[11], 5*time.Minute)
 }
--- a/internal/state/marks_test.go
+++ b/internal/state/marks_test.go
@@ -19,126 +19,126 @@
 	"coppercourse/internal/types"
 )
 
-var count = flag.Int("marks", 30_000, "how many jobs have ended in the day")
+var tombstoneCount = flag.Int("marks", 30_000, "how many jobs have ended in the day")
 
-func quick(id string, n int) Command {
-	return Command{Job: &Submit{types.JobID(id), Spec{Queue: "q", Steps: []Step{{Name: "a", Kind: "x", Room: types.Room{Cores: 1 * types.Core}, Tasks: n}}}}}
+func quickJob(id string, n int) Command {
+	return Command{Job: &Submission{types.JobID(id), Spec{Queue: "q", Steps: []Step{{Name: "a", Kind: "x", Resources: types.Resources{Cores: 1 * types.Core}, Tasks: n}}}}}
 }
 
-// finish takes a job in and ends it well.
-func (s *State) finish(at types.Tick, id string) {
-	s.must(at, quick(id, 1))
-	l := types.Attempt{Task: types.Task{Job: types.JobID(id)}}
-	s.must(at, Command{Attempts: []Assignment{{Attempt: l, Shard: "k"}}})
+// finishJob takes a job in and ends it well.
+func (s *State) finishJob(at types.ClusterTime, id string) {
+	s.mustApply(at, quickJob(id, 1))
+	l := types.AttemptID{TaskID: types.TaskID{Job: types.JobID(id)}}
+	s.mustApply(at, Command{Assignments: []Assignment{{ID: l, Shard: "k"}}})
 	l.Attempt = 1
-	s.must(at, Command{Ends: []End{{Attempt: l, Outcome: OK}}})
+	s.mustApply(at, Command{Ends: []AttemptEnd{{ID: l, Outcome: OutcomeOK}}})
 }
 
 func TestIdsAreRememberedForADay(t *testing.T) {
 	is := is.New(t)
-	s := town(t)
-	s.finish(sec, "old")
-	s.must(sec, quick("halted", 1))
-	s.must(sec, Command{Cancel: "halted"})
+	s := newTestState(t)
+	s.finishJob(sec, "old")
+	s.mustApply(sec, quickJob("halted", 1))
+	s.mustApply(sec, Command{Cancel: "halted"})
 	for _, c := range []struct {
-		at    types.Tick
+		at    types.ClusterTime
 		whole bool
 		known bool
 	}{{2 * sec, true, true}, {2 * 3600 * sec, false, true}, {23 * 3600 * sec, false, true}} {
-		s.must(c.at, Command{})
+		s.mustApply(c.at, Command{})
 		is.Equal(s.Jobs["old"] != nil, c.whole)
-		j, bad := s.CheckJob("old", quick("old", 1).Job.Spec)
+		j, bad := s.CheckJob("old", quickJob("old", 1).Job.Spec)
 		is.True(bad == nil)
-		is.Equal(j.State, Done)
-		_, bad = s.CheckJob("old", quick("old", 2).Job.Spec)
-		is.Equal(bad.Kind, apierror.Conflict)
+		is.Equal(j.Status, JobDone)
+		_, bad = s.CheckJob("old", quickJob("old", 2).Job.Spec)
+		is.Equal(bad.Kind, apierror.IDInUse)
 		_, bad = s.CheckCancel("old")
-		is.Equal(bad.Kind, apierror.Ended)
+		is.Equal(bad.Kind, apierror.AlreadyEnded)
 		again, bad := s.CheckCancel("halted")
 		is.True(again && bad == nil)
 	}
-	s.tombstones.limit = s.Tombstones() + len(s.Jobs)
-	_, bad := s.CheckJob("new", quick("new", 1).Job.Spec)
-	is.Equal(bad.Kind, apierror.Kept) // refused rather than an old one forgotten
-	is.True(bad.Retry >= 60)
+	s.tombstones.limit = s.TombstoneCount() + len(s.Jobs)
+	_, bad := s.CheckJob("new", quickJob("new", 1).Job.Spec)
+	is.Equal(bad.Kind, apierror.TooManyIDs) // refused rather than an old one forgotten
+	is.True(bad.RetryAfterSeconds >= 60)
 	for i := range 2 * tombstonesPerPage {
 		s.tombstones.limit = TombstoneLimit
-		s.finish(23*3600*sec, fmt.Sprint("fill", i))
+		s.finishJob(23*3600*sec, fmt.Sprint("fill", i))
 	}
-	s.must(26*3600*sec, Command{})
+	s.mustApply(26*3600*sec, Command{})
 	is.True(s.Find("fill1") != nil)
-	s.must(48*3600*sec, Command{})
+	s.mustApply(48*3600*sec, Command{})
 	is.True(s.Find("old") == nil) // more than a day has passed
-	is.True(s.Tombstones() < tombstonesPerPage)
+	is.True(s.TombstoneCount() < tombstonesPerPage)
 }
 
-// whole is the state as one list of parts, put together at once.
-func whole(t *testing.T, s *State) []byte {
+// wholeSnapshot is the state as one list of parts, put together at once.
+func wholeSnapshot(t *testing.T, s *State) []byte {
 	t.Helper()
-	s.Begin()
-	b := bytes.Join(s.Shoot(1<<30), []byte("\n"))
+	s.BeginSnapshot()
+	b := bytes.Join(s.ContinueSnapshot(1<<30), []byte("\n"))
 	return b
 }
 
-func anyFact(rnd *rand.Rand, s *State) Command {
+func randomCommand(rnd *rand.Rand, s *State) Command {
 	id := fmt.Sprint("j", rnd.Intn(40))
-	task := func() types.Attempt {
-		l := types.Attempt{Task: types.Task{Job: types.JobID(id), N: rnd.Intn(4)}}
-		if j := s.Jobs[l.Job]; j != nil && l.N < len(j.Tasks) {
-			l.Attempt = max(0, j.Tasks[l.N].Attempt-rnd.Intn(2))
+	task := func() types.AttemptID {
+		l := types.AttemptID{TaskID: types.TaskID{Job: types.JobID(id), Number: rnd.Intn(4)}}
+		if j := s.Jobs[l.Job]; j != nil && l.Number < len(j.Tasks) {
+			l.Attempt = max(0, j.Tasks[l.Number].LastAttempt-rnd.Intn(2))
 		}
 		return l
 	}
 	switch rnd.Intn(10) {
 	case 0, 1:
-		f := quick(id, 1+rnd.Intn(4))
+		f := quickJob(id, 1+rnd.Intn(4))
 		f.Job.Spec.Steps[0].Gang = rnd.Intn(2) == 0
-		f.Job.Spec.Steps = append(f.Job.Spec.Steps, Step{Name: "b", Kind: "x", Room: types.Room{Cores: 1 * types.Core}, Tasks: 1,
-			After: []string{"a"}, Delay: rnd.Intn(3000)})
+		f.Job.Spec.Steps = append(f.Job.Spec.Steps, Step{Name: "b", Kind: "x", Resources: types.Resources{Cores: 1 * types.Core}, Tasks: 1,
+			DependsOn: []string{"a"}, DelayMillis: rnd.Intn(3000)})
 		return f
 	case 2:
 		return Command{Cancel: types.JobID(id)}
 	case 3:
-		row := s.Table.Rows[0]
-		row.Tries = 1 + rnd.Intn(4)
-		return Command{Table: &config.Table{Version: s.Table.Version, Rows: []config.Row{row}}}
+		row := s.Table.Queues[0]
+		row.MaxFailures = 1 + rnd.Intn(4)
+		return Command{Table: &config.Table{Version: s.Table.Version, Queues: []config.Queue{row}}}
 	case 4, 5, 6:
-		return Command{Attempts: []Assignment{{Attempt: task(), Shard: "k"}, {Attempt: task(), Shard: "m", Copy: rnd.Intn(2) == 0}}}
+		return Command{Assignments: []Assignment{{ID: task(), Shard: "k"}, {ID: task(), Shard: "m", Hedge: rnd.Intn(2) == 0}}}
 	}
-	return Command{Ends: []End{{Attempt: task(), Outcome: []Outcome{OK, OK, Bad, Lost, Cut, Gone, Halted, Unrun, Waited}[rnd.Intn(9)]}}}
+	return Command{Ends: []AttemptEnd{{ID: task(), Outcome: []Outcome{OutcomeOK, OutcomeOK, OutcomeFailed, OutcomeLost, OutcomePartitioned, OutcomeWorkerExited, OutcomeStopped, OutcomeNeverRan, OutcomeWaitExpired}[rnd.Intn(9)]}}}
 }
 
 func TestSnapshotsAndHeatAgainstTheSlowWay(t *testing.T) {
 	is := is.New(t)
 	for seed := range int64(30) {
 		rnd := rand.New(rand.NewSource(seed))
-		s := town(t)
-		s.Table.Rows[0].Waiting = 100
+		s := newTestState(t)
+		s.Table.Queues[0].MaxUnfinished = 100
 		var want []byte
 		at := sec
 		shots := 0
 		for range 1500 {
 			at = at.Add(time.Duration(rnd.Intn(400)) * time.Millisecond)
-			s.must(at, anyFact(rnd, s))
-			if rnd.Intn(60) == 0 && !s.Shooting() {
+			s.mustApply(at, randomCommand(rnd, s))
+			if rnd.Intn(60) == 0 && !s.SnapshotInProgress() {
 				_, err := Restore([][]byte{})
 				is.NoErr(err)
-				copied, err := Restore(bytes.Split(whole(t, s), []byte("\n")))
+				copied, err := Restore(bytes.Split(wholeSnapshot(t, s), []byte("\n")))
 				is.NoErr(err)
-				want = whole(t, copied)
-				s.Begin()
+				want = wholeSnapshot(t, copied)
+				s.BeginSnapshot()
 			}
-			if s.Shooting() {
-				if parts := s.Shoot(400); parts != nil {
+			if s.SnapshotInProgress() {
+				if parts := s.ContinueSnapshot(400); parts != nil {
 					shots++
 					got, err := Restore(parts)
 					is.NoErr(err)
-					is.Equal(string(whole(t, got)), string(want)) // as it was when it began
+					is.Equal(string(wholeSnapshot(t, got)), string(want)) // as it was when it began
 				}
 			}
-			for _, j := range s.Live() {
-				kept, afresh := *s.ReadyIndex(j, at), *j.heat(s.row("q"), at, s.Off)
-				kept.until, afresh.until = 0, 0
+			for _, j := range s.LiveJobs() {
+				kept, afresh := *s.ReadyIndex(j, at), *j.computeReady(s.effectiveQueueConfig("q"), at, s.WallOffset)
+				kept.validUntil, afresh.validUntil = 0, 0
 				is.Equal(fmt.Sprint(kept), fmt.Sprint(afresh))
 			}
 		}
@@ -150,60 +150,60 @@
 // putting it together takes. Times are told, not judged.
 func TestADayOfMarks(t *testing.T) {
 	is := is.New(t)
-	s := town(t)
+	s := newTestState(t)
 	var from, to runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&from)
-	for i := range *count {
-		s.finish(types.Tick(i)*types.Tick(86_400*time.Second)/types.Tick(*count), fmt.Sprintf("quotes-%08d", i))
+	for i := range *tombstoneCount {
+		s.finishJob(types.ClusterTime(i)*types.ClusterTime(86_400*time.Second)/types.ClusterTime(*tombstoneCount), fmt.Sprintf("quotes-%08d", i))
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&to)
 	began := time.Now()
-	s.Begin()
+	s.BeginSnapshot()
 	steps := []time.Duration{time.Since(began)}
 	first := steps[0]
 	size := 0
-	for s.Shooting() {
+	for s.SnapshotInProgress() {
 		at := time.Now()
-		for _, b := range s.Shoot(64 << 10) {
+		for _, b := range s.ContinueSnapshot(64 << 10) {
 			size += len(b)
 		}
 		steps = append(steps, time.Since(at))
 	}
 	at := time.Now()
-	b := whole(t, s)
+	b := wholeSnapshot(t, s)
 	once := time.Since(at)
 	got, err := Restore(bytes.Split(b, []byte("\n")))
 	is.NoErr(err)
-	is.Equal(got.Tombstones(), s.Tombstones())
-	is.Equal(got.Tombstones()+len(got.Jobs), *count)
+	is.Equal(got.TombstoneCount(), s.TombstoneCount())
+	is.Equal(got.TombstoneCount()+len(got.Jobs), *tombstoneCount)
 	sort.Slice(steps, func(i, k int) bool { return steps[i] < steps[k] })
 	t.Logf("%d ids of a day: %d MB of memory, %d MB of snapshot; %d steps, the first %s, median %s, longest %s; all at once %s; read back %s",
-		*count, (to.HeapAlloc-from.HeapAlloc)>>20, size>>20, len(steps), first, steps[len(steps)/2], steps[len(steps)-1], once, time.Since(at)-once)
+		*tombstoneCount, (to.HeapAlloc-from.HeapAlloc)>>20, size>>20, len(steps), first, steps[len(steps)/2], steps[len(steps)-1], once, time.Since(at)-once)
 }
 
 // One flooded queue leaves every other room for its first jobs.
 func TestBudgetKeepsRoomForEveryQueue(t *testing.T) {
 	is := is.New(t)
 	s := New()
-	rows := []config.Row{}
+	rows := []config.Queue{}
 	for i := range 10 {
-		rows = append(rows, config.Row{Name: types.Queue(fmt.Sprint("q", i)), Weight: 1, Running: 1000, Waiting: 100_000, Tries: 3, TaskMS: 1000})
+		rows = append(rows, config.Queue{Name: types.QueueName(fmt.Sprint("q", i)), Weight: 1, MaxRunning: 1000, MaxUnfinished: 100_000, MaxFailures: 3, TaskTimeoutMillis: 1000})
 	}
-	_, bad := s.Apply(Command{Tick: sec, Table: &config.Table{Tasks: 20_000, Rows: rows}})
+	_, bad := s.Apply(Command{Time: sec, Table: &config.Table{MaxTasks: 20_000, Queues: rows}})
 	is.True(bad == nil)
-	spec := quick("", 100).Job.Spec
+	spec := quickJob("", 100).Job.Spec
 	put := func(q string, i int) *apierror.Error {
-		spec.Queue = types.Queue(q)
-		_, bad := s.Apply(Command{Tick: sec, Job: &Submit{types.JobID(fmt.Sprint(q, "-", i)), spec}})
+		spec.Queue = types.QueueName(q)
+		_, bad := s.Apply(Command{Time: sec, Job: &Submission{types.JobID(fmt.Sprint(q, "-", i)), spec}})
 		return bad
 	}
 	n := 0
 	for bad = nil; bad == nil; n++ {
 		bad = put("q0", n)
 	}
-	is.Equal(bad.Kind, apierror.Full)
+	is.Equal(bad.Kind, apierror.QueueFull)
 	is.Equal(n-1, 110) // its own tenth of one half, and the whole other half
 	for i := 1; i < 10; i++ {
 		for k := range 10 {
--- a/internal/state/ready.go
+++ b/internal/state/ready.go
@@ -11,118 +11,118 @@
 	"coppercourse/internal/types"
 )
 
-// Batch is the tasks of one stage that may start now.
-type Batch struct {
-	Stage types.Stage
-	Tasks []int
-	From  types.Tick           // when the job was accepted, or the stage's time came
-	Shun  map[types.Shard]bool // workers where attempts of these stalled or failed
+// ReadyStage is the tasks of one stage that may start now.
+type ReadyStage struct {
+	Stage        types.Stage
+	Tasks        []int
+	ReadySince   types.ClusterTime    // when the job was accepted, or the stage's time came
+	AvoidWorkers map[types.Shard]bool // workers where attempts of these stalled or failed
 }
 
 // ReadyIndex is what a round needs to know of a job.
 type ReadyIndex struct {
-	Batches []Batch
-	Running int
-	Cores   types.Cores
-	Left    []int // tasks of each step that have not ended well, of the times that have come
-	Doomed  []types.Attempt
-	Spent   []End
-	until   types.Tick // from then on something more may start
+	Stages              []ReadyStage
+	OutstandingAttempts int
+	CoresInUse          types.MilliCores
+	RemainingTasks      []int // tasks of each step that have not ended well, of the times that have come
+	ToStop              []types.AttemptID
+	Exhausted           []AttemptEnd
+	validUntil          types.ClusterTime // from then on something more may start
 }
 
-const far = types.Tick(1 << 62)
+const neverTime = types.ClusterTime(1 << 62)
 
 // ReadyIndex is what of a job may start, as of now.
-func (s *State) ReadyIndex(j *Job, now types.Tick) *ReadyIndex {
-	if j.hot == nil || now >= j.hot.until || s.Off != j.off || s.Table.Version != j.row {
-		j.hot, j.off, j.row = j.heat(s.row(j.Queue), now, s.Off), s.Off, s.Table.Version
+func (s *State) ReadyIndex(j *Job, now types.ClusterTime) *ReadyIndex {
+	if j.readyCache == nil || now >= j.readyCache.validUntil || s.WallOffset != j.readyCacheOffset || s.Table.Version != j.readyCacheVersion {
+		j.readyCache, j.readyCacheOffset, j.readyCacheVersion = j.computeReady(s.effectiveQueueConfig(j.Queue), now, s.WallOffset), s.WallOffset, s.Table.Version
 	}
-	return j.hot
+	return j.readyCache
 }
 
-// Chain is the longest chain of work, of the whole job or from one step on, where
+// CriticalPath is the longest chain of work, of the whole job or from one step on, where
 // cost tells how long a step takes.
-func (s Spec) Chain(from int, cost func(step int) time.Duration) time.Duration {
-	long := make([]time.Duration, len(s.Steps))
-	var tail func(i int) time.Duration
-	tail = func(i int) time.Duration {
-		if long[i] > 0 {
-			return long[i]
+func (s Spec) CriticalPath(from int, cost func(step int) time.Duration) time.Duration {
+	longest := make([]time.Duration, len(s.Steps))
+	var pathFrom func(i int) time.Duration
+	pathFrom = func(i int) time.Duration {
+		if longest[i] > 0 {
+			return longest[i]
 		}
-		rest := time.Duration(0)
-		for k, q := range s.Steps {
-			if slices.Contains(q.After, s.Steps[i].Name) {
-				rest = max(rest, tail(k))
+		following := time.Duration(0)
+		for k, next := range s.Steps {
+			if slices.Contains(next.DependsOn, s.Steps[i].Name) {
+				following = max(following, pathFrom(k))
 			}
 		}
-		long[i] = max(1, cost(i)) + rest
-		return long[i]
+		longest[i] = max(1, cost(i)) + following
+		return longest[i]
 	}
 	if from >= 0 {
-		return tail(from)
+		return pathFrom(from)
 	}
-	most := time.Duration(0)
+	total := time.Duration(0)
 	for i := range s.Steps {
-		most = max(most, tail(i))
+		total = max(total, pathFrom(i))
 	}
-	return most
+	return total
 }
 
-// heat works it out afresh.
-func (j *Job) heat(row config.Row, now types.Tick, off types.Wall) *ReadyIndex {
-	h := &ReadyIndex{Doomed: j.Doomed(), Spent: j.Spent(row, now), until: far, Left: make([]int, len(j.Spec.Steps))}
-	wait := func(t types.Tick) {
+// computeReady works it out afresh.
+func (j *Job) computeReady(queue config.Queue, now types.ClusterTime, wallOffset types.WallTime) *ReadyIndex {
+	index := &ReadyIndex{ToStop: j.ToStop(), Exhausted: j.Exhausted(queue, now), validUntil: neverTime, RemainingTasks: make([]int, len(j.Spec.Steps))}
+	recheckAt := func(t types.ClusterTime) {
 		if t > now {
-			h.until = min(h.until, t)
+			index.validUntil = min(index.validUntil, t)
 		}
 	}
-	j.stages(func(at types.Stage, p *Step, part []Task) {
-		for i := range part {
-			if t := &part[i]; t.Out != nil {
-				n := len(t.Outs())
-				h.Running += n
-				h.Cores += p.Room.Cores * types.Cores(n)
-			} else if !t.Done && !t.Dead {
-				wait(t.Ready)
+	j.eachStage(func(stage types.Stage, step *Step, tasks []Task) {
+		for i := range tasks {
+			if t := &tasks[i]; t.Primary != nil {
+				n := len(t.Outstanding())
+				index.OutstandingAttempts += n
+				index.CoresInUse += step.Resources.Cores * types.MilliCores(n)
+			} else if !t.Done && !t.Failed {
+				recheckAt(t.ReadyAt)
 			}
 		}
-		if j.State != Open {
+		if j.Status != JobOpen {
 			return
 		}
-		due, wall := j.due(p, at.Time())
-		due = max(due, types.Tick(wall-off))
-		wait(due)
-		if due <= now {
-			for i := range part {
-				if !part[i].Done {
-					h.Left[at.Step()]++
+		startTime, wallStart := j.startTime(step, stage.Occurrence())
+		startTime = max(startTime, types.ClusterTime(wallStart-wallOffset))
+		recheckAt(startTime)
+		if startTime <= now {
+			for i := range tasks {
+				if !tasks[i].Done {
+					index.RemainingTasks[stage.Step()]++
 				}
 			}
 		}
-		if due > now || !j.met(p, at.Time()) {
+		if startTime > now || !j.dependenciesMet(step, stage.Occurrence()) {
 			return
 		}
-		b, whole := Batch{Stage: at, From: max(j.At, due)}, true
-		for i := range part {
-			t := &part[i]
+		ready, complete := ReadyStage{Stage: stage, ReadySince: max(j.AcceptedAt, startTime)}, true
+		for i := range tasks {
+			t := &tasks[i]
 			if t.Done {
 				continue
 			}
-			if !j.may(t, row, now) {
-				whole = false
+			if !j.canAssign(t, queue, now) {
+				complete = false
 				continue
 			}
-			b.Tasks = append(b.Tasks, at.No(i))
-			if t.Shun != "" {
-				if b.Shun == nil {
-					b.Shun = map[types.Shard]bool{}
+			ready.Tasks = append(ready.Tasks, stage.TaskNumber(i))
+			if t.AvoidWorker != "" {
+				if ready.AvoidWorkers == nil {
+					ready.AvoidWorkers = map[types.Shard]bool{}
 				}
-				b.Shun[t.Shun] = true
+				ready.AvoidWorkers[t.AvoidWorker] = true
 			}
 		}
-		if len(b.Tasks) > 0 && (whole || !p.Gang) {
-			h.Batches = append(h.Batches, b)
+		if len(ready.Tasks) > 0 && (complete || !step.Gang) {
+			index.Stages = append(index.Stages, ready)
 		}
 	})
-	return h
+	return index
 }
--- a/internal/state/rules.go
+++ b/internal/state/rules.go
@@ -11,32 +11,32 @@
 	"coppercourse/internal/types"
 )
 
-// Known tells whether a table is a repeat: it was taken under its version, and
+// IsRepeat tells whether a table is a repeat: it was taken under its version, and
 // said just the same.
-func (s *State) Known(t config.Table) bool { return s.Past.taken(changeOf(t)) }
+func (s *State) IsRepeat(table config.Table) bool { return s.History.contains(changeOf(table)) }
 
 // CheckTable tells whether a table may be put now, or is a repeat. It is refused
 // only where it surely was not taken earlier.
-func (s *State) CheckTable(t config.Table) *apierror.Error {
-	if s.Known(t) {
+func (s *State) CheckTable(table config.Table) *apierror.Error {
+	if s.IsRepeat(table) {
 		return nil
 	}
-	if t.Version != s.Table.Version {
-		if next := t.Next().Version; s.Past.forgotten(next) {
-			return apierror.New(apierror.Unsure, "edition", fmt.Sprintf("edition %d is older than what is remembered; it may have been taken", next))
+	if table.Version != s.Table.Version {
+		if next := table.Accepted().Version; s.History.mayHaveForgotten(next) {
+			return apierror.New(apierror.OutcomeUnknown, "edition", fmt.Sprintf("edition %d is older than what is remembered; it may have been taken", next))
 		}
-		return apierror.New(apierror.Stale, "edition", fmt.Sprintf("based on edition %d, but %d is in force", t.Version, s.Table.Version))
+		return apierror.New(apierror.StaleVersion, "edition", fmt.Sprintf("based on edition %d, but %d is in force", table.Version, s.Table.Version))
 	}
-	if t.Becomes != 0 && t.Becomes <= s.Table.Version {
+	if table.RequestedVersion != 0 && table.RequestedVersion <= s.Table.Version {
 		return apierror.New(apierror.BadField, "becomes", fmt.Sprintf("edition %d is in force", s.Table.Version))
 	}
-	for i, r := range s.Table.Rows {
-		if t.Orphans == config.Finish {
+	for i, queue := range s.Table.Queues {
+		if table.Orphans == config.FinishOrphans {
 			break
 		}
-		if _, ok := t.Find(r.Name); !ok && s.held[r.Name].jobs > 0 {
-			return apierror.New(apierror.InUse, fmt.Sprintf("queues[%d].name", i),
-				fmt.Sprintf("queue %s of the table in force has %d unfinished jobs and may not be left out", r.Name, s.held[r.Name].jobs))
+		if _, ok := table.FindQueue(queue.Name); !ok && s.usage[queue.Name].jobs > 0 {
+			return apierror.New(apierror.QueueInUse, fmt.Sprintf("queues[%d].name", i),
+				fmt.Sprintf("queue %s of the table in force has %d unfinished jobs and may not be left out", queue.Name, s.usage[queue.Name].jobs))
 		}
 	}
 	return nil
@@ -44,75 +44,75 @@
 
 // CheckJob tells whether a job may be accepted now; known is an earlier one of
 // the same id and body.
-func (s *State) CheckJob(id types.JobID, spec Spec) (known *Job, bad *apierror.Error) {
+func (s *State) CheckJob(id types.JobID, spec Spec) (known *Job, refusal *apierror.Error) {
 	if j := s.Find(id); j != nil {
 		if j.Hash != spec.Hash() {
-			return nil, apierror.New(apierror.Conflict, "id", "another job has this id")
+			return nil, apierror.New(apierror.IDInUse, "id", "another job has this id")
 		}
 		return j, nil
 	}
-	row, ok := s.Table.Find(spec.Queue)
+	queue, ok := s.Table.FindQueue(spec.Queue)
 	if !ok {
-		return nil, apierror.New(apierror.NoQueue, "queue", "no queue is called "+string(spec.Queue))
+		return nil, apierror.New(apierror.NoSuchQueue, "queue", "no queue is called "+string(spec.Queue))
 	}
-	if n := s.held[spec.Queue].jobs; n >= row.Waiting {
-		return nil, apierror.New(apierror.Full, "queue", fmt.Sprintf("%d unfinished jobs, as many as the queue may hold", n))
+	if n := s.usage[spec.Queue].jobs; n >= queue.MaxUnfinished {
+		return nil, apierror.New(apierror.QueueFull, "queue", fmt.Sprintf("%d unfinished jobs, as many as the queue may hold", n))
 	}
-	if bad = s.full(); bad != nil {
-		return nil, bad
+	if refusal = s.checkIDLimit(); refusal != nil {
+		return nil, refusal
 	}
-	return nil, s.afford(spec)
+	return nil, s.checkBudget(spec)
 }
 
 // CheckCancel tells whether a job may be cancelled now; repeat is true when it
 // already is, which is fine. One that ended otherwise can't be.
-func (s *State) CheckCancel(id types.JobID) (repeat bool, bad *apierror.Error) {
+func (s *State) CheckCancel(id types.JobID) (repeat bool, refusal *apierror.Error) {
 	j := s.Find(id)
 	switch {
 	case j == nil:
-		return false, apierror.New(apierror.NoJob, "id", "no such job")
-	case j.State == Stopped || j.Halt && !j.Over():
+		return false, apierror.New(apierror.NoSuchJob, "id", "no such job")
+	case j.Status == JobCancelled || j.CancelRequested && !j.Ended():
 		return true, nil
-	case j.Over():
-		return false, apierror.New(apierror.Ended, "id", "the job has ended: "+string(j.State))
+	case j.Ended():
+		return false, apierror.New(apierror.AlreadyEnded, "id", "the job has ended: "+string(j.Status))
 	}
 	return false, nil
 }
 
-// held is what a queue's unfinished jobs hold.
-type held struct{ jobs, tasks, bytes int }
+// queueUsage is what a queue's unfinished jobs hold.
+type queueUsage struct{ jobs, tasks, bytes int }
 
-func (s *State) hold(j *Job, by int) {
-	h := s.held[j.Queue]
-	s.held[j.Queue] = held{h.jobs + by, h.tasks + by*j.Size, h.bytes + by*j.Bytes}
+func (s *State) addUsage(j *Job, sign int) {
+	usage := s.usage[j.Queue]
+	s.usage[j.Queue] = queueUsage{usage.jobs + sign, usage.tasks + sign*j.TaskCount, usage.bytes + sign*j.ApproxBytes}
 }
 
-// Held is how many unfinished jobs a queue has.
-func (s *State) Held(q types.Queue) int { return s.held[q].jobs }
+// UnfinishedJobs is how many unfinished jobs a queue has.
+func (s *State) UnfinishedJobs(queue types.QueueName) int { return s.usage[queue].jobs }
 
-// afford keeps all unfinished work within the table's budget. Half of it is
+// checkBudget keeps all unfinished work within the table's budget. Half of it is
 // kept apart in equal parts, one a queue, so that a flooded queue leaves every
 // other room for its first jobs; the other half is first come, first served.
-func (s *State) afford(spec Spec) *apierror.Error {
-	for _, c := range []struct {
+func (s *State) checkBudget(spec Spec) *apierror.Error {
+	for _, budget := range []struct {
 		what string
 		most int
 		add  int
-		of   func(held) int
+		of   func(queueUsage) int
 	}{
-		{"tasks", s.Table.MostTasks(), spec.Total(), func(h held) int { return h.tasks }},
-		{"bytes", s.Table.MostBytes(), spec.Bytes(), func(h held) int { return h.bytes }},
+		{"tasks", s.Table.TaskLimit(), spec.TotalTasks(), func(usage queueUsage) int { return usage.tasks }},
+		{"bytes", s.Table.ByteLimit(), spec.ApproxBytes(), func(usage queueUsage) int { return usage.bytes }},
 	} {
-		part := c.most / 2 / max(1, len(s.Table.Rows))
-		own := c.of(s.held[spec.Queue]) + c.add
-		over := max(0, own-part)
-		for q, h := range s.held {
-			if q != spec.Queue {
-				over += max(0, c.of(h)-part)
+		reserved := budget.most / 2 / max(1, len(s.Table.Queues))
+		own := budget.of(s.usage[spec.Queue]) + budget.add
+		beyondReserved := max(0, own-reserved)
+		for queue, usage := range s.usage {
+			if queue != spec.Queue {
+				beyondReserved += max(0, budget.of(usage)-reserved)
 			}
 		}
-		if own > part && over > c.most/2 {
-			return apierror.New(apierror.Full, "queue", fmt.Sprintf("the cluster holds as many unfinished %s as it may (%d), and the queue has more than its own part (%d)", c.what, c.most, part))
+		if own > reserved && beyondReserved > budget.most/2 {
+			return apierror.New(apierror.QueueFull, "queue", fmt.Sprintf("the cluster holds as many unfinished %s as it may (%d), and the queue has more than its own part (%d)", budget.what, budget.most, reserved))
 		}
 	}
 	return nil
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -13,31 +13,31 @@
 	"coppercourse/internal/types"
 )
 
-type head struct {
-	Tick   types.Tick                  `json:"tick"`
-	Off    types.Wall                  `json:"off"`
-	Table  config.Table                `json:"table"`
-	Shapes map[types.Shard]WorkerShape `json:"shapes"`
-	Seq    uint64                      `json:"seq"`
-	Past   History                     `json:"past"`
-	Count  map[types.Queue]*Counts     `json:"count"`
-	Drains []Drain                     `json:"drains,omitempty"`
-	Plans  []Plan                      `json:"plans,omitempty"`
+type header struct {
+	Time         types.ClusterTime                `json:"tick"`
+	WallOffset   types.WallTime                   `json:"off"`
+	Table        config.Table                     `json:"table"`
+	WorkerShapes map[types.Shard]WorkerShape      `json:"shapes"`
+	LastSeq      uint64                           `json:"seq"`
+	History      History                          `json:"past"`
+	QueueCounts  map[types.QueueName]*QueueCounts `json:"count"`
+	Drains       []Drain                          `json:"drains,omitempty"`
+	Calendars    []Calendar                       `json:"plans,omitempty"`
 	// Retired are the rows of queues that were left out with unfinished jobs.
-	Retired map[types.Queue]config.Row `json:"retired,omitempty"`
+	RemovedQueues map[types.QueueName]config.Queue `json:"retired,omitempty"`
 }
 
-type shot struct {
-	no    uint64
-	jobs  []*Job
-	parts [][]byte
-	buf   []byte
+type snapshotWriter struct {
+	number  uint64
+	pending []*Job
+	parts   [][]byte
+	buffer  []byte
 }
 
-// part is how much one part of a snapshot holds at most, but for one job.
-const part = 128 << 10
+// partBytes is how much one part of a snapshot holds at most, but for one job.
+const partBytes = 128 << 10
 
-func pack(v any) []byte {
+func mustMarshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -45,58 +45,58 @@
 	return b
 }
 
-// Begin starts a snapshot of the state as it is now.
-func (s *State) Begin() {
-	s.shots++
-	x := &shot{no: s.shots, jobs: append(append(make([]*Job, 0, len(s.Jobs)), s.done...), s.Live()...)}
-	x.parts = append(x.parts, pack(map[string]head{"head": s.head}))
+// BeginSnapshot starts a snapshot of the state as it is now.
+func (s *State) BeginSnapshot() {
+	s.snapshotNumber++
+	writer := &snapshotWriter{number: s.snapshotNumber, pending: append(append(make([]*Job, 0, len(s.Jobs)), s.endedJobs...), s.LiveJobs()...)}
+	writer.parts = append(writer.parts, mustMarshal(map[string]header{"head": s.header}))
 	for _, p := range s.tombstones.pages {
-		x.parts = append(x.parts, s.tombstones.encode(p))
+		writer.parts = append(writer.parts, s.tombstones.encode(p))
 	}
-	s.shot = x
+	s.snapshot = writer
 }
 
-// Shooting tells whether a snapshot is under way.
-func (s *State) Shooting() bool { return s.shot != nil }
+// SnapshotInProgress tells whether a snapshot is under way.
+func (s *State) SnapshotInProgress() bool { return s.snapshot != nil }
 
-// Shoot goes on with the snapshot for about so many bytes; its parts come once
+// ContinueSnapshot goes on with the snapshot for about so many bytes; its parts come once
 // it is whole.
-func (s *State) Shoot(budget int) (parts [][]byte) {
-	x := s.shot
-	for from := len(x.parts)*part + len(x.buf); len(x.jobs) > 0; x.jobs = x.jobs[1:] {
-		if len(x.parts)*part+len(x.buf)-from > budget {
+func (s *State) ContinueSnapshot(budget int) (parts [][]byte) {
+	writer := s.snapshot
+	for from := len(writer.parts)*partBytes + len(writer.buffer); len(writer.pending) > 0; writer.pending = writer.pending[1:] {
+		if len(writer.parts)*partBytes+len(writer.buffer)-from > budget {
 			return nil
 		}
-		s.touch(x.jobs[0])
+		s.beforeChange(writer.pending[0])
 	}
-	x.flush()
-	s.shot = nil
-	return x.parts
+	writer.flush()
+	s.snapshot = nil
+	return writer.parts
 }
 
-// touch is called before a job changes: a snapshot under way gets it as it is.
-func (s *State) touch(j *Job) {
-	j.hot = nil
-	x := s.shot
-	if x == nil || j.shot >= x.no {
+// beforeChange is called before a job changes: a snapshot under way gets it as it is.
+func (s *State) beforeChange(j *Job) {
+	j.readyCache = nil
+	writer := s.snapshot
+	if writer == nil || j.snapshotNumber >= writer.number {
 		return
 	}
-	j.shot = x.no
-	b := pack(j)
-	if len(x.buf)+len(b) > part {
-		x.flush()
+	j.snapshotNumber = writer.number
+	b := mustMarshal(j)
+	if len(writer.buffer)+len(b) > partBytes {
+		writer.flush()
 	}
-	if len(x.buf) == 0 {
-		x.buf = append(x.buf, `{"jobs":[`...)
+	if len(writer.buffer) == 0 {
+		writer.buffer = append(writer.buffer, `{"jobs":[`...)
 	} else {
-		x.buf = append(x.buf, ',')
+		writer.buffer = append(writer.buffer, ',')
 	}
-	x.buf = append(x.buf, b...)
+	writer.buffer = append(writer.buffer, b...)
 }
 
-func (s *shot) flush() {
-	if len(s.buf) > 0 {
-		s.parts, s.buf = append(s.parts, append(s.buf, `]}`...)), nil
+func (s *snapshotWriter) flush() {
+	if len(s.buffer) > 0 {
+		s.parts, s.buffer = append(s.parts, append(s.buffer, `]}`...)), nil
 	}
 }
 
@@ -115,7 +115,7 @@
 func (l *Loader) Load(budget int) (*State, error) {
 	for budget > 0 && len(l.parts) > 0 {
 		budget -= len(l.parts[0])
-		if err := l.state.restore(l.parts[0]); err != nil {
+		if err := l.state.loadPart(l.parts[0]); err != nil {
 			return nil, err
 		}
 		l.parts = l.parts[1:]
@@ -123,7 +123,7 @@
 	if len(l.parts) > 0 {
 		return nil, nil
 	}
-	l.state.index()
+	l.state.buildIndexes()
 	return l.state, nil
 }
 
@@ -136,21 +136,21 @@
 	return NewLoader(parts).Load(size)
 }
 
-// restore takes over one part.
-func (s *State) restore(b []byte) error {
-	var p struct {
-		Head  *head          `json:"head"`
+// loadPart takes over one part.
+func (s *State) loadPart(b []byte) error {
+	var part struct {
+		Head  *header        `json:"head"`
 		Jobs  []*Job         `json:"jobs"`
 		Marks []tombstoneRow `json:"marks"`
 	}
-	p.Head = &s.head
-	if err := json.Unmarshal(b, &p); err != nil {
-		return apierror.Wrap(apierror.Unfit, err, "snapshot")
+	part.Head = &s.header
+	if err := json.Unmarshal(b, &part); err != nil {
+		return apierror.Wrap(apierror.Unusable, err, "snapshot")
 	}
-	for _, j := range p.Jobs {
+	for _, j := range part.Jobs {
 		s.Jobs[j.ID] = j
 	}
-	for _, l := range p.Marks {
+	for _, l := range part.Marks {
 		s.tombstones.put(l.id, l.tombstone)
 	}
 	return nil
--- a/internal/state/spec.go
+++ b/internal/state/spec.go
@@ -17,142 +17,142 @@
 )
 
 // Step is one stage of a job: so many tasks of one shape. Rack and Labels say
-// where its tasks must run, Near the rack where its data is; OneRack that they
+// where its tasks must run, Near the rack where its data is; PreferOneRack that they
 // are slower when spread over racks. With Copies a second attempt may run beside
 // a first, with Keeps an attempt goes on from what the last one saved, and what
 // Lasts is started again however it ends. The members of a Joint gang work only
 // together, and one good end stands for all of them.
 type Step struct {
-	Name   string          `json:"name"`
-	After  []string        `json:"after,omitempty"`
-	Kind   types.Kind      `json:"kind"`
-	Rack   types.Rack      `json:"rack,omitempty"`
-	Room   types.Room      `json:"room"`
-	Tasks  int             `json:"tasks"`
-	Gang   bool            `json:"gang,omitempty"`
-	Spread int             `json:"spread,omitempty"`
-	Delay  int             `json:"delay_ms,omitempty"`
-	Not    string          `json:"not_before,omitempty"`
-	Limit  int             `json:"limit_ms,omitempty"`
-	Work   json.RawMessage `json:"work,omitempty"`
+	Name            string            `json:"name"`
+	DependsOn       []string          `json:"after,omitempty"`
+	Kind            types.ServiceKind `json:"kind"`
+	Rack            types.Rack        `json:"rack,omitempty"`
+	Resources       types.Resources   `json:"room"`
+	Tasks           int               `json:"tasks"`
+	Gang            bool              `json:"gang,omitempty"`
+	MaxPerWorker    int               `json:"spread,omitempty"`
+	DelayMillis     int               `json:"delay_ms,omitempty"`
+	NotBefore       string            `json:"not_before,omitempty"`
+	TimeLimitMillis int               `json:"limit_ms,omitempty"`
+	Work            json.RawMessage   `json:"work,omitempty"`
 
-	Labels   []string   `json:"labels,omitempty"`
-	Near     types.Rack `json:"near,omitempty"`
-	OneRack  bool       `json:"one_rack,omitempty"`
-	Estimate int        `json:"estimate_ms,omitempty"`
-	Copies   bool       `json:"copies,omitempty"`
-	Keeps    bool       `json:"keeps,omitempty"`
-	Lasts    bool       `json:"lasts,omitempty"`
-	Joint    bool       `json:"joint,omitempty"`
+	Labels          []string   `json:"labels,omitempty"`
+	DataRack        types.Rack `json:"near,omitempty"`
+	PreferOneRack   bool       `json:"one_rack,omitempty"`
+	EstimateMillis  int        `json:"estimate_ms,omitempty"`
+	AllowHedge      bool       `json:"copies,omitempty"`
+	KeepsCheckpoint bool       `json:"keeps,omitempty"`
+	AlwaysRestart   bool       `json:"lasts,omitempty"`
+	Joint           bool       `json:"joint,omitempty"`
 }
 
-// Times are when a job's steps run: Count times, the first at First, counted in
+// Schedule are when a job's steps run: Count times, the first at First, counted in
 // milliseconds from 1970, the others Every milliseconds after one another.
-type Times struct {
-	First int64 `json:"first_ms"`
-	Every int64 `json:"every_ms"`
-	Count int   `json:"count"`
+type Schedule struct {
+	FirstUnixMillis int64 `json:"first_ms"`
+	IntervalMillis  int64 `json:"every_ms"`
+	Count           int   `json:"count"`
 }
 
 // Spec is a whole job. Work is for steps that bring none of their own. Request,
 // where it is set, is the hash of what the caller wrote; the rest may then depend
 // on the configuration by which the request was read.
 type Spec struct {
-	Queue   types.Queue     `json:"queue"`
-	Urgency int             `json:"urgency,omitempty"`
-	Steps   []Step          `json:"steps"`
-	Times   *Times          `json:"times,omitempty"`
-	Work    json.RawMessage `json:"work,omitempty"`
-	Request string          `json:"request,omitempty"`
+	Queue    types.QueueName `json:"queue"`
+	Urgency  int             `json:"urgency,omitempty"`
+	Steps    []Step          `json:"steps"`
+	Schedule *Schedule       `json:"times,omitempty"`
+	Work     json.RawMessage `json:"work,omitempty"`
+	Request  string          `json:"request,omitempty"`
 }
 
 const (
-	steps  = types.MostSteps
-	tasks  = types.MostTasks
-	total  = 20_000
-	times  = 10_000
-	work   = 16 << 10
-	labels = 16
-	// Body is how large a job or a table may be.
-	Body = 256 << 10
+	maxSteps        = types.MaxSteps
+	maxTasksPerStep = types.MaxTasksPerStep
+	maxTasks        = 20_000
+	maxOccurrences  = 10_000
+	maxWorkBytes    = 16 << 10
+	maxLabels       = 16
+	// MaxDocumentBytes is how large a job or a table may be.
+	MaxDocumentBytes = 256 << 10
 )
 
 // ReadSpec reads and checks a job.
-func ReadSpec(b []byte, heap *apierror.ErrorList) (s Spec) {
-	r := config.NewReader(b, heap)
+func ReadSpec(b []byte, errs *apierror.ErrorList) (s Spec) {
+	r := config.NewReader(b, errs)
 	var raw []byte
-	r.Whole(map[string]config.Field{
-		"work":    config.Raw(r, &raw, work),
-		"times":   func(at string) { s.Times = readTimes(r, at) },
-		"queue":   config.Text(r, &s.Queue, config.Name),
-		"urgency": config.Num(r, &s.Urgency, 0, 9),
-		"steps": func(at string) {
-			r.List(at, steps, func(at string, _ int) { s.Steps = append(s.Steps, readStep(r, at)) })
+	r.ReadDocument(map[string]config.Field{
+		"work":    config.Raw(r, &raw, maxWorkBytes),
+		"times":   func(path string) { s.Schedule = readSchedule(r, path) },
+		"queue":   config.Text(r, &s.Queue, config.CheckName),
+		"urgency": config.Int(r, &s.Urgency, 0, 9),
+		"steps": func(path string) {
+			r.Array(path, maxSteps, func(path string, _ int) { s.Steps = append(s.Steps, readStep(r, path)) })
 		},
 	})
 	s.Work = raw
-	if len(heap.List()) == 0 {
-		s.Check(heap)
+	if len(errs.List()) == 0 {
+		s.Check(errs)
 	}
 	return
 }
 
-func readTimes(r *config.Reader, at string) *Times {
-	t := &Times{Count: 1}
-	r.Obj(at, map[string]config.Field{
-		"first_ms": config.Num(r, &t.First, 0, 1<<53),
-		"every_ms": config.Num(r, &t.Every, 0, 1<<40),
-		"count":    config.Num(r, &t.Count, 1, times),
+func readSchedule(r *config.Reader, at string) *Schedule {
+	schedule := &Schedule{Count: 1}
+	r.Object(at, map[string]config.Field{
+		"first_ms": config.Int(r, &schedule.FirstUnixMillis, 0, 1<<53),
+		"every_ms": config.Int(r, &schedule.IntervalMillis, 0, 1<<40),
+		"count":    config.Int(r, &schedule.Count, 1, maxOccurrences),
 	})
-	return t
+	return schedule
 }
 
-func readStep(r *config.Reader, at string) (s Step) {
-	s.Tasks, s.Room = 1, types.Room{Cores: types.Core}
+func readStep(r *config.Reader, path string) (s Step) {
+	s.Tasks, s.Resources = 1, types.Resources{Cores: types.Core}
 	var raw []byte
-	r.Obj(at, map[string]config.Field{
-		"name": config.Text(r, &s.Name, config.Name),
-		"after": func(at string) {
-			r.List(at, steps, func(at string, _ int) {
+	r.Object(path, map[string]config.Field{
+		"name": config.Text(r, &s.Name, config.CheckName),
+		"after": func(path string) {
+			r.Array(path, maxSteps, func(path string, _ int) {
 				var n string
-				config.Text(r, &n, config.Name)(at)
-				s.After = append(s.After, n)
+				config.Text(r, &n, config.CheckName)(path)
+				s.DependsOn = append(s.DependsOn, n)
 			})
 		},
-		"kind": config.Text(r, &s.Kind, config.Name),
-		"rack": config.Text(r, &s.Rack, config.Maybe(config.Name)),
-		"room": func(at string) {
-			r.Obj(at, map[string]config.Field{
-				"cores":        config.Cores(r, &s.Room.Cores, 1, 4096*types.Core),
-				"memory":       config.Num(r, &s.Room.Memory, 0, 1<<30),
-				"accelerators": config.Num(r, &s.Room.Accel, 0, 4096),
+		"kind": config.Text(r, &s.Kind, config.CheckName),
+		"rack": config.Text(r, &s.Rack, config.Optional(config.CheckName)),
+		"room": func(path string) {
+			r.Object(path, map[string]config.Field{
+				"cores":        config.MilliCores(r, &s.Resources.Cores, 1, 4096*types.Core),
+				"memory":       config.Int(r, &s.Resources.MemoryMB, 0, 1<<30),
+				"accelerators": config.Int(r, &s.Resources.Accelerators, 0, 4096),
 			})
 		},
-		"tasks":    config.Num(r, &s.Tasks, 1, tasks),
+		"tasks":    config.Int(r, &s.Tasks, 1, maxTasksPerStep),
 		"gang":     config.Bool(r, &s.Gang),
-		"spread":   config.Num(r, &s.Spread, 0, tasks),
-		"delay_ms": config.Num(r, &s.Delay, 0, 86_400_000),
-		"not_before": config.Text(r, &s.Not, config.Maybe(func(t string) string {
+		"spread":   config.Int(r, &s.MaxPerWorker, 0, maxTasksPerStep),
+		"delay_ms": config.Int(r, &s.DelayMillis, 0, 86_400_000),
+		"not_before": config.Text(r, &s.NotBefore, config.Optional(func(t string) string {
 			if _, err := time.Parse(time.RFC3339Nano, t); err != nil {
 				return "want a time as in RFC 3339"
 			}
 			return ""
 		})),
-		"limit_ms": config.Num(r, &s.Limit, 0, 86_400_000),
-		"work":     config.Raw(r, &raw, work),
-		"labels": func(at string) {
-			r.List(at, labels, func(at string, _ int) {
+		"limit_ms": config.Int(r, &s.TimeLimitMillis, 0, 86_400_000),
+		"work":     config.Raw(r, &raw, maxWorkBytes),
+		"labels": func(path string) {
+			r.Array(path, maxLabels, func(path string, _ int) {
 				var n string
-				config.Text(r, &n, config.Name)(at)
+				config.Text(r, &n, config.CheckName)(path)
 				s.Labels = append(s.Labels, n)
 			})
 		},
-		"near":        config.Text(r, &s.Near, config.Maybe(config.Name)),
-		"one_rack":    config.Bool(r, &s.OneRack),
-		"estimate_ms": config.Num(r, &s.Estimate, 0, 86_400_000),
-		"copies":      config.Bool(r, &s.Copies),
-		"keeps":       config.Bool(r, &s.Keeps),
-		"lasts":       config.Bool(r, &s.Lasts),
+		"near":        config.Text(r, &s.DataRack, config.Optional(config.CheckName)),
+		"one_rack":    config.Bool(r, &s.PreferOneRack),
+		"estimate_ms": config.Int(r, &s.EstimateMillis, 0, 86_400_000),
+		"copies":      config.Bool(r, &s.AllowHedge),
+		"keeps":       config.Bool(r, &s.KeepsCheckpoint),
+		"lasts":       config.Bool(r, &s.AlwaysRestart),
 		"joint":       config.Bool(r, &s.Joint),
 	})
 	s.Work = raw
@@ -160,51 +160,51 @@
 }
 
 // Check tells all that is wrong with a job as a whole.
-func (s Spec) Check(h *apierror.ErrorList) {
-	h.Check(s.Queue != "", "queue", "missing")
-	h.Check(len(s.Steps) > 0, "steps", "missing or empty")
-	sum, at := 0, map[string]int{}
+func (s Spec) Check(errs *apierror.ErrorList) {
+	errs.Check(s.Queue != "", "queue", "missing")
+	errs.Check(len(s.Steps) > 0, "steps", "missing or empty")
+	taskCount, stepIndex := 0, map[string]int{}
 	for i, p := range s.Steps {
-		f := fmt.Sprintf("steps[%d]", i)
-		h.Check(p.Name != "", f+".name", "missing")
-		h.Check(p.Kind != "", f+".kind", "missing")
-		_, twice := at[p.Name]
-		h.Check(!twice, f+".name", "two steps are called "+p.Name)
-		at[p.Name] = i
-		sum += p.Tasks
+		field := fmt.Sprintf("steps[%d]", i)
+		errs.Check(p.Name != "", field+".name", "missing")
+		errs.Check(p.Kind != "", field+".kind", "missing")
+		_, twice := stepIndex[p.Name]
+		errs.Check(!twice, field+".name", "two steps are called "+p.Name)
+		stepIndex[p.Name] = i
+		taskCount += p.Tasks
 	}
-	if s.Times != nil {
-		h.Check(s.Times.Count >= 1 && s.Times.Count <= times, "times.count", fmt.Sprintf("want 1 to %d", times))
-		sum *= s.Times.Count
+	if s.Schedule != nil {
+		errs.Check(s.Schedule.Count >= 1 && s.Schedule.Count <= maxOccurrences, "times.count", fmt.Sprintf("want 1 to %d", maxOccurrences))
+		taskCount *= s.Schedule.Count
 	}
-	h.Check(sum <= total, "steps", fmt.Sprintf("more than %d tasks in all", total))
+	errs.Check(taskCount <= maxTasks, "steps", fmt.Sprintf("more than %d tasks in all", maxTasks))
 	for i, p := range s.Steps {
-		for j, a := range p.After {
-			_, ok := at[a]
-			h.Check(ok, fmt.Sprintf("steps[%d].after[%d]", i, j), "no step is called "+a)
+		for j, a := range p.DependsOn {
+			_, ok := stepIndex[a]
+			errs.Check(ok, fmt.Sprintf("steps[%d].after[%d]", i, j), "no step is called "+a)
 		}
 	}
-	if len(h.List()) > 0 {
+	if len(errs.List()) > 0 {
 		return
 	}
-	tone := make([]int, len(s.Steps))
+	visited := make([]int, len(s.Steps))
 	var visit func(i int) bool
 	visit = func(i int) bool {
-		if tone[i] != 0 {
-			return tone[i] == 2
+		if visited[i] != 0 {
+			return visited[i] == 2
 		}
-		tone[i] = 1
-		for _, a := range s.Steps[i].After {
-			if !visit(at[a]) {
+		visited[i] = 1
+		for _, a := range s.Steps[i].DependsOn {
+			if !visit(stepIndex[a]) {
 				return false
 			}
 		}
-		tone[i] = 2
+		visited[i] = 2
 		return true
 	}
 	for i := range s.Steps {
 		if !visit(i) {
-			h.Add(apierror.BadField, fmt.Sprintf("steps[%d].after", i), "the steps wait for one another in a circle")
+			errs.Add(apierror.BadField, fmt.Sprintf("steps[%d].after", i), "the steps wait for one another in a circle")
 			return
 		}
 	}
@@ -230,76 +230,76 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// Bytes is about what the job takes in memory and on disk.
-func (s Spec) Bytes() (n int) {
+// ApproxBytes is about what the job takes in memory and on disk.
+func (s Spec) ApproxBytes() (n int) {
 	for _, p := range s.Steps {
-		n += 256 + len(p.Work) + 64*p.Tasks*s.Count()
+		n += 256 + len(p.Work) + 64*p.Tasks*s.Occurrences()
 	}
 	return n + len(s.Work)
 }
 
-// Count is how many times the steps run.
-func (s Spec) Count() int {
-	if s.Times == nil {
+// Occurrences is how many times the steps run.
+func (s Spec) Occurrences() int {
+	if s.Schedule == nil {
 		return 1
 	}
-	return s.Times.Count
+	return s.Schedule.Count
 }
 
-// once is how many tasks the steps have together.
-func (s Spec) once() (n int) {
+// tasksPerOccurrence is how many tasks the steps have together.
+func (s Spec) tasksPerOccurrence() (n int) {
 	for _, p := range s.Steps {
 		n += p.Tasks
 	}
 	return
 }
 
-// Total is how many tasks the job has.
-func (s Spec) Total() int { return s.Count() * s.once() }
+// TotalTasks is how many tasks the job has.
+func (s Spec) TotalTasks() int { return s.Occurrences() * s.tasksPerOccurrence() }
 
-// Step gives the step that a task's number names, or -1 if the job has no such
+// StepOf gives the step that a task's number names, or -1 if the job has no such
 // task.
-func (s Spec) Step(n int) int {
-	time, step, place := types.Parts(n)
-	if n < 0 || time >= s.Count() || step >= len(s.Steps) || place >= s.Steps[step].Tasks {
+func (s Spec) StepOf(n int) int {
+	occurrence, step, index := types.SplitTaskNumber(n)
+	if n < 0 || occurrence >= s.Occurrences() || step >= len(s.Steps) || index >= s.Steps[step].Tasks {
 		return -1
 	}
 	return step
 }
 
-// Index gives a task's place in the flat list of all of the job's, or -1.
-func (s Spec) Index(n int) int {
-	step := s.Step(n)
+// TaskIndex gives a task's place in the flat list of all of the job's, or -1.
+func (s Spec) TaskIndex(n int) int {
+	step := s.StepOf(n)
 	if step < 0 {
 		return -1
 	}
-	time, _, place := types.Parts(n)
-	return time*s.once() + s.base(step) + place
+	occurrence, _, index := types.SplitTaskNumber(n)
+	return occurrence*s.tasksPerOccurrence() + s.stepOffset(step) + index
 }
 
-// No gives the number of the task at a place of the flat list.
-func (s Spec) No(i int) int {
-	once := s.once()
-	time, i := i/once, i%once
+// TaskNumber gives the number of the task at a place of the flat list.
+func (s Spec) TaskNumber(i int) int {
+	once := s.tasksPerOccurrence()
+	occurrence, i := i/once, i%once
 	for step, p := range s.Steps {
 		if i < p.Tasks {
-			return types.No(time, step, i)
+			return types.TaskNumber(occurrence, step, i)
 		}
 		i -= p.Tasks
 	}
 	return -1
 }
 
-// base is where a step's tasks begin within one time's.
-func (s Spec) base(step int) (n int) {
+// stepOffset is where a step's tasks begin within one time's.
+func (s Spec) stepOffset(step int) (n int) {
 	for _, p := range s.Steps[:step] {
 		n += p.Tasks
 	}
 	return
 }
 
-// What is the work of a step.
-func (s Spec) What(step int) json.RawMessage {
+// StepWork is the work of a step.
+func (s Spec) StepWork(step int) json.RawMessage {
 	if w := s.Steps[step].Work; w != nil {
 		return w
 	}
