--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -16,124 +16,124 @@
 
 // Command is what one log entry says; one of its fields is set.
 type Command struct {
-	Tick     types.Tick    `json:"tick"`
-	Off      *types.Wall   `json:"off,omitempty"`
-	Table    *config.Table `json:"table,omitempty"`
-	Job      *Submit       `json:"job,omitempty"`
-	Cancel   types.JobID   `json:"cancel,omitempty"`
-	Attempts []Assignment  `json:"legs,omitempty"`
-	Ends     []End         `json:"ends,omitempty"`
-	Shapes   []WorkerShape `json:"shapes,omitempty"`
-	Backs    []Back        `json:"backs,omitempty"`
-	Drain    *Drain        `json:"drain,omitempty"`
-	Plan     *Plan         `json:"plan,omitempty"`
-	Gone     types.Shard   `json:"gone,omitempty"`
+	Time         types.ClusterTime `json:"tick"`
+	WallOffset   *types.WallTime   `json:"off,omitempty"`
+	Table        *config.Table     `json:"table,omitempty"`
+	Job          *Submission       `json:"job,omitempty"`
+	Cancel       types.JobID       `json:"cancel,omitempty"`
+	Assignments  []Assignment      `json:"legs,omitempty"`
+	Ends         []AttemptEnd      `json:"ends,omitempty"`
+	WorkerShapes []WorkerShape     `json:"shapes,omitempty"`
+	Withdrawals  []Withdrawal      `json:"backs,omitempty"`
+	Drain        *Drain            `json:"drain,omitempty"`
+	Calendar     *Calendar         `json:"plan,omitempty"`
+	ExitedWorker types.Shard       `json:"gone,omitempty"`
 }
 
-// Submit is a job handed in under an id.
-type Submit struct {
+// Submission is a job handed in under an id.
+type Submission struct {
 	ID   types.JobID `json:"id"`
 	Spec Spec        `json:"spec"`
 }
 
 // Assignment is an attempt number given out, and for which worker.
 type Assignment struct {
-	Attempt types.Attempt `json:"leg"`
-	Shard   types.Shard   `json:"shard"`
-	Copy    bool          `json:"copy,omitempty"` // beside another that is out
+	ID    types.AttemptID `json:"leg"`
+	Shard types.Shard     `json:"shard"`
+	Hedge bool            `json:"copy,omitempty"` // beside another that is out
 }
 
-// End is how an attempt ended; Ref is what it saved, if it saves anything.
-type End struct {
-	Attempt types.Attempt `json:"leg"`
-	Outcome Outcome       `json:"fate"`
-	Ref     string        `json:"ref,omitempty"`
+// AttemptEnd is how an attempt ended; Ref is what it saved, if it saves anything.
+type AttemptEnd struct {
+	ID         types.AttemptID `json:"leg"`
+	Outcome    Outcome         `json:"fate"`
+	Checkpoint string          `json:"ref,omitempty"`
 }
 
 // WorkerShape is what a worker is made of, kept so that a job that no worker could
 // ever hold is told apart from one whose workers are away.
 type WorkerShape struct {
-	Shard types.Shard  `json:"shard"`
-	Rack  types.Rack   `json:"rack"`
-	Kinds []types.Kind `json:"kinds"`
-	Room  types.Room   `json:"room"`
+	Shard     types.Shard         `json:"shard"`
+	Rack      types.Rack          `json:"rack"`
+	Kinds     []types.ServiceKind `json:"kinds"`
+	Resources types.Resources     `json:"room"`
 
-	Labels  []string `json:"labels,omitempty"`
-	Invoked bool     `json:"invoked,omitempty"` // it is called, rather than calling its agent
+	Labels        []string `json:"labels,omitempty"`
+	CalledByAgent bool     `json:"invoked,omitempty"` // it is called, rather than calling its agent
 }
 
 // Bounds on what is remembered in full of ended jobs.
 const (
-	Keep     = 30 * time.Minute
-	KeepMost = 20_000
+	EndedJobAge   = 30 * time.Minute
+	EndedJobLimit = 20_000
 )
 
 // State is all of it: the head, the jobs and the marks of ended ones.
 type State struct {
-	head
-	Jobs       map[types.JobID]*Job
-	tombstones tombstones
-	live       map[types.JobID]*Job // not over
-	order      []*Job               // the same, oldest first, some over
-	held       map[types.Queue]held // what live jobs hold, a queue
-	done       []*Job               // over, oldest first
-	shot       *shot
-	shots      uint64
+	header
+	Jobs           map[types.JobID]*Job
+	tombstones     tombstones
+	liveJobs       map[types.JobID]*Job           // not over
+	jobsInOrder    []*Job                         // the same, oldest first, some over
+	usage          map[types.QueueName]queueUsage // what live jobs hold, a queue
+	endedJobs      []*Job                         // over, oldest first
+	snapshot       *snapshotWriter
+	snapshotNumber uint64
 }
 
-// Counts are a queue's sums since its first job.
-type Counts struct {
-	Accepted  uint64 `json:"accepted"`
-	Done      uint64 `json:"done"`
-	Failed    uint64 `json:"failed"`
-	Cancelled uint64 `json:"cancelled"`
-	Bad       uint64 `json:"legs_failed"`
-	Lost      uint64 `json:"legs_lost"`
-	Moved     uint64 `json:"legs_taken_back"`
+// QueueCounts are a queue's sums since its first job.
+type QueueCounts struct {
+	Accepted          uint64 `json:"accepted"`
+	Done              uint64 `json:"done"`
+	Failed            uint64 `json:"failed"`
+	Cancelled         uint64 `json:"cancelled"`
+	FailedAttempts    uint64 `json:"legs_failed"`
+	LostAttempts      uint64 `json:"legs_lost"`
+	WithdrawnAttempts uint64 `json:"legs_taken_back"`
 }
 
 // New is the state before the first command.
 func New() *State {
-	s := &State{head: head{Shapes: map[types.Shard]WorkerShape{}, Count: map[types.Queue]*Counts{}}, Jobs: map[types.JobID]*Job{}, tombstones: newTombstones()}
-	s.index()
+	s := &State{header: header{WorkerShapes: map[types.Shard]WorkerShape{}, QueueCounts: map[types.QueueName]*QueueCounts{}}, Jobs: map[types.JobID]*Job{}, tombstones: newTombstones()}
+	s.buildIndexes()
 	return s
 }
 
-func (s *State) index() {
-	s.live, s.held, s.done, s.order = map[types.JobID]*Job{}, map[types.Queue]held{}, nil, nil
+func (s *State) buildIndexes() {
+	s.liveJobs, s.usage, s.endedJobs, s.jobsInOrder = map[types.JobID]*Job{}, map[types.QueueName]queueUsage{}, nil, nil
 	for id, j := range s.Jobs {
-		if j.Over() {
-			s.done = append(s.done, j)
+		if j.Ended() {
+			s.endedJobs = append(s.endedJobs, j)
 		} else {
-			s.live[id], s.order = j, append(s.order, j)
-			s.hold(j, 1)
+			s.liveJobs[id], s.jobsInOrder = j, append(s.jobsInOrder, j)
+			s.addUsage(j, 1)
 		}
 	}
-	sort.Slice(s.done, func(i, k int) bool {
-		a, b := s.done[i], s.done[k]
-		return a.End < b.End || a.End == b.End && a.Seq < b.Seq
+	sort.Slice(s.endedJobs, func(i, k int) bool {
+		a, b := s.endedJobs[i], s.endedJobs[k]
+		return a.EndedAt < b.EndedAt || a.EndedAt == b.EndedAt && a.Seq < b.Seq
 	})
-	sort.Slice(s.order, func(i, k int) bool { return s.order[i].Seq < s.order[k].Seq })
+	sort.Slice(s.jobsInOrder, func(i, k int) bool { return s.jobsInOrder[i].Seq < s.jobsInOrder[k].Seq })
 }
 
-// Live lists the jobs that are not over, oldest first.
-func (s *State) Live() []*Job {
-	kept := s.order[:0]
-	for _, j := range s.order {
-		if !j.Over() {
-			kept = append(kept, j)
+// LiveJobs lists the jobs that are not over, oldest first.
+func (s *State) LiveJobs() []*Job {
+	live := s.jobsInOrder[:0]
+	for _, j := range s.jobsInOrder {
+		if !j.Ended() {
+			live = append(live, j)
 		}
 	}
-	s.order = kept
-	return kept
+	s.jobsInOrder = live
+	return live
 }
 
-// Doubts lists the attempts lost on a shard whose true ends are still awaited.
-func (s *State) Doubts(shard types.Shard) (list []types.Attempt) {
-	for _, j := range s.Live() {
+// UnresolvedAttempts lists the attempts lost on a shard whose true ends are still awaited.
+func (s *State) UnresolvedAttempts(shard types.Shard) (list []types.AttemptID) {
+	for _, j := range s.LiveJobs() {
 		for n, t := range j.Tasks {
-			if t.Doubt == shard && t.Out == nil {
-				list = append(list, types.Attempt{Task: types.Task{Job: j.ID, N: j.Spec.No(n)}, Attempt: t.Attempt})
+			if t.UnresolvedOn == shard && t.Primary == nil {
+				list = append(list, types.AttemptID{TaskID: types.TaskID{Job: j.ID, Number: j.Spec.TaskNumber(n)}, Attempt: t.LastAttempt})
 			}
 		}
 	}
@@ -142,223 +142,223 @@
 
 // Apply takes a fact. The fault is the answer to whoever proposed it; attempts are
 // those that were really given out.
-func (s *State) Apply(f Command) (attempts []Assignment, bad *apierror.Error) {
-	s.Tick = max(s.Tick, f.Tick)
-	if f.Off != nil {
-		s.Off = *f.Off
+func (s *State) Apply(command Command) (assigned []Assignment, refusal *apierror.Error) {
+	s.Time = max(s.Time, command.Time)
+	if command.WallOffset != nil {
+		s.WallOffset = *command.WallOffset
 	}
 	switch {
-	case f.Table != nil:
-		bad = s.CheckTable(*f.Table)
-		if bad == nil && !s.Known(*f.Table) {
-			s.retire(s.Table, *f.Table)
-			s.Table = f.Table.Next()
-			s.Past.add(changeOf(*f.Table))
-			s.judge()
+	case command.Table != nil:
+		refusal = s.CheckTable(*command.Table)
+		if refusal == nil && !s.IsRepeat(*command.Table) {
+			s.keepRemovedQueues(s.Table, *command.Table)
+			s.Table = command.Table.Accepted()
+			s.History.add(changeOf(*command.Table))
+			s.failExhaustedTasks()
 		}
-	case f.Job != nil:
-		bad = s.accept(*f.Job)
-	case f.Cancel != "":
-		bad = s.cancel(f.Cancel)
-	case f.Drain != nil:
-		bad = s.drain(*f.Drain)
-	case f.Plan != nil:
-		bad = s.plan(*f.Plan)
-	case f.Gone != "":
-		for _, l := range s.Doubts(f.Gone) {
-			s.end(End{Attempt: l, Outcome: Gone})
+	case command.Job != nil:
+		refusal = s.accept(*command.Job)
+	case command.Cancel != "":
+		refusal = s.cancel(command.Cancel)
+	case command.Drain != nil:
+		refusal = s.applyDrain(*command.Drain)
+	case command.Calendar != nil:
+		refusal = s.applyCalendar(*command.Calendar)
+	case command.ExitedWorker != "":
+		for _, id := range s.UnresolvedAttempts(command.ExitedWorker) {
+			s.applyEnd(AttemptEnd{ID: id, Outcome: OutcomeWorkerExited})
 		}
 	}
-	for _, b := range f.Backs {
-		s.back(b)
+	for _, withdrawal := range command.Withdrawals {
+		s.withdraw(withdrawal)
 	}
-	attempts = s.give(f.Attempts)
-	for _, e := range f.Ends {
-		s.end(e)
+	assigned = s.assign(command.Assignments)
+	for _, end := range command.Ends {
+		s.applyEnd(end)
 	}
-	for _, h := range f.Shapes {
-		s.Shapes[h.Shard] = h
+	for _, shape := range command.WorkerShapes {
+		s.WorkerShapes[shape.Shard] = shape
 	}
-	s.forget()
+	s.expireEndedJobs()
 	return
 }
 
-// give hands out attempts; a gang of a joint step is given whole or not at all.
-func (s *State) give(list []Assignment) (attempts []Assignment) {
-	type gang struct {
+// assign hands out attempts; a gang of a joint step is given whole or not at all.
+func (s *State) assign(list []Assignment) (assigned []Assignment) {
+	type jobStage struct {
 		job types.JobID
 		at  types.Stage
 	}
-	part := map[gang]int{}
-	for _, g := range list {
-		if j := s.live[g.Attempt.Job]; j != nil && j.may(j.Task(g.Attempt.N), s.row(j.Queue), s.Tick) {
-			part[gang{j.ID, types.StageOf(g.Attempt.N)}]++
+	assignable := map[jobStage]int{}
+	for _, assignment := range list {
+		if j := s.liveJobs[assignment.ID.Job]; j != nil && j.canAssign(j.Task(assignment.ID.Number), s.effectiveQueueConfig(j.Queue), s.Time) {
+			assignable[jobStage{j.ID, types.StageOf(assignment.ID.Number)}]++
 		}
 	}
-	for _, g := range list {
-		j := s.live[g.Attempt.Job]
-		if j == nil || j.Task(g.Attempt.N) == nil {
+	for _, assignment := range list {
+		j := s.liveJobs[assignment.ID.Job]
+		if j == nil || j.Task(assignment.ID.Number) == nil {
 			continue
 		}
-		at := types.StageOf(g.Attempt.N)
-		if p := j.Spec.Steps[at.Step()]; p.Joint && part[gang{j.ID, at}] < p.Tasks {
+		stage := types.StageOf(assignment.ID.Number)
+		if step := j.Spec.Steps[stage.Step()]; step.Joint && assignable[jobStage{j.ID, stage}] < step.Tasks {
 			continue
 		}
-		s.touch(j)
-		row, ok := s.row(j.Queue), false
-		if g.Copy {
-			ok = j.copy(g.Attempt.N, g.Shard, row, s.Tick)
+		s.beforeChange(j)
+		queue, ok := s.effectiveQueueConfig(j.Queue), false
+		if assignment.Hedge {
+			ok = j.assignHedge(assignment.ID.Number, assignment.Shard, queue, s.Time)
 		} else {
-			ok = j.give(g.Attempt.N, g.Attempt.Attempt, g.Shard, row, s.Tick)
+			ok = j.assign(assignment.ID.Number, assignment.ID.Attempt, assignment.Shard, queue, s.Time)
 		}
 		if ok {
-			g.Attempt.Attempt = j.Task(g.Attempt.N).Attempt
-			attempts = append(attempts, g)
+			assignment.ID.Attempt = j.Task(assignment.ID.Number).LastAttempt
+			assigned = append(assigned, assignment)
 		}
 	}
 	return
 }
 
-func (s *State) accept(m Submit) *apierror.Error {
-	known, bad := s.CheckJob(m.ID, m.Spec)
-	if known != nil || bad != nil {
-		return bad
+func (s *State) accept(submission Submission) *apierror.Error {
+	known, refusal := s.CheckJob(submission.ID, submission.Spec)
+	if known != nil || refusal != nil {
+		return refusal
 	}
-	s.Seq++
-	j := &Job{ID: m.ID, Seq: s.Seq, Hash: m.Spec.Hash(), Queue: m.Spec.Queue, At: s.Tick, Wall: types.Wall(s.Tick) + s.Off,
-		State: Open, Spec: &m.Spec, Size: m.Spec.Total(), Bytes: m.Spec.Bytes()}
-	j.Tasks = make([]Task, j.Size)
-	s.Jobs[m.ID], s.live[m.ID], s.order = j, j, append(s.order, j)
-	j.shot = s.shots // what began before it does not have it
-	s.hold(j, 1)
-	s.count(j.Queue).Accepted++
+	s.LastSeq++
+	j := &Job{ID: submission.ID, Seq: s.LastSeq, Hash: submission.Spec.Hash(), Queue: submission.Spec.Queue, AcceptedAt: s.Time, AcceptedWallTime: types.WallTime(s.Time) + s.WallOffset,
+		Status: JobOpen, Spec: &submission.Spec, TaskCount: submission.Spec.TotalTasks(), ApproxBytes: submission.Spec.ApproxBytes()}
+	j.Tasks = make([]Task, j.TaskCount)
+	s.Jobs[submission.ID], s.liveJobs[submission.ID], s.jobsInOrder = j, j, append(s.jobsInOrder, j)
+	j.snapshotNumber = s.snapshotNumber // what began before it does not have it
+	s.addUsage(j, 1)
+	s.queueCounts(j.Queue).Accepted++
 	return nil
 }
 
-func (s *State) count(q types.Queue) *Counts {
-	c := s.Count[q]
+func (s *State) queueCounts(queue types.QueueName) *QueueCounts {
+	c := s.QueueCounts[queue]
 	if c == nil {
-		c = &Counts{}
-		s.Count[q] = c
+		c = &QueueCounts{}
+		s.QueueCounts[queue] = c
 	}
 	return c
 }
 
 func (s *State) cancel(id types.JobID) *apierror.Error {
-	repeat, bad := s.CheckCancel(id)
-	if repeat || bad != nil {
-		return bad
+	repeat, refusal := s.CheckCancel(id)
+	if repeat || refusal != nil {
+		return refusal
 	}
 	j := s.Jobs[id]
-	s.touch(j)
-	j.Halt, j.Why = true, "cancelled"
-	j.turn(s.Tick)
-	s.close(j)
+	s.beforeChange(j)
+	j.CancelRequested, j.Reason = true, "cancelled"
+	j.updateStatus(s.Time)
+	s.closeIfEnded(j)
 	return nil
 }
 
-func (s *State) end(e End) {
-	j := s.live[e.Attempt.Job]
+func (s *State) applyEnd(e AttemptEnd) {
+	j := s.liveJobs[e.ID.Job]
 	if j == nil {
 		return
 	}
-	switch c := s.count(j.Queue); {
-	case e.Outcome == Bad:
-		c.Bad++
-	case e.Outcome.doubtful() || e.Outcome == Gone:
-		c.Lost++
+	switch c := s.queueCounts(j.Queue); {
+	case e.Outcome == OutcomeFailed:
+		c.FailedAttempts++
+	case e.Outcome.unresolved() || e.Outcome == OutcomeWorkerExited:
+		c.LostAttempts++
 	}
-	s.touch(j)
-	j.end(e, s.row(j.Queue), s.Tick)
-	s.close(j)
+	s.beforeChange(j)
+	j.applyEnd(e, s.effectiveQueueConfig(j.Queue), s.Time)
+	s.closeIfEnded(j)
 }
 
-// Row is the row that a queue's jobs go by: the table's, or the last one of a
+// QueueConfig is the row that a queue's jobs go by: the table's, or the last one of a
 // queue that was left out while it had unfinished jobs.
-func (s *State) Row(q types.Queue) (row config.Row, ok bool) {
-	if row, ok = s.Table.Find(q); !ok {
-		row, ok = s.Retired[q]
+func (s *State) QueueConfig(name types.QueueName) (queue config.Queue, ok bool) {
+	if queue, ok = s.Table.FindQueue(name); !ok {
+		queue, ok = s.RemovedQueues[name]
 	}
 	return
 }
 
-func (s *State) row(q types.Queue) config.Row {
-	row, ok := s.Row(q)
+func (s *State) effectiveQueueConfig(name types.QueueName) config.Queue {
+	queue, ok := s.QueueConfig(name)
 	if !ok {
-		row.Tries = 1
+		queue.MaxFailures = 1
 	}
-	return row
+	return queue
 }
 
-// retire keeps the rows of queues that have unfinished jobs and are not in the
+// keepRemovedQueues keeps the rows of queues that have unfinished jobs and are not in the
 // new table.
-func (s *State) retire(old, next config.Table) {
-	rows := maps.Clone(s.Retired)
-	if rows == nil {
-		rows = map[types.Queue]config.Row{}
+func (s *State) keepRemovedQueues(old, next config.Table) {
+	removed := maps.Clone(s.RemovedQueues)
+	if removed == nil {
+		removed = map[types.QueueName]config.Queue{}
 	}
-	for _, r := range old.Rows {
-		rows[r.Name] = r
+	for _, queue := range old.Queues {
+		removed[queue.Name] = queue
 	}
-	for q := range rows {
-		if _, ok := next.Find(q); ok || s.held[q].jobs == 0 {
-			delete(rows, q)
+	for name := range removed {
+		if _, ok := next.FindQueue(name); ok || s.usage[name].jobs == 0 {
+			delete(removed, name)
 		}
 	}
-	s.Retired = rows
+	s.RemovedQueues = removed
 }
 
-// judge ends what a new table leaves no try.
-func (s *State) judge() {
-	for _, j := range s.Live() {
-		if j.State != Open {
+// failExhaustedTasks ends what a new table leaves no try.
+func (s *State) failExhaustedTasks() {
+	for _, j := range s.LiveJobs() {
+		if j.Status != JobOpen {
 			continue
 		}
-		s.touch(j)
+		s.beforeChange(j)
 		for n := range j.Tasks {
-			j.judge(&j.Tasks[n], s.row(j.Queue))
+			j.failIfExhausted(&j.Tasks[n], s.effectiveQueueConfig(j.Queue))
 		}
-		j.turn(s.Tick)
-		s.close(j)
+		j.updateStatus(s.Time)
+		s.closeIfEnded(j)
 	}
 }
 
-// close moves a job that is over from the live ones to the remembered.
-func (s *State) close(j *Job) {
-	if !j.Over() || s.live[j.ID] == nil {
+// closeIfEnded moves a job that is over from the live ones to the remembered.
+func (s *State) closeIfEnded(j *Job) {
+	if !j.Ended() || s.liveJobs[j.ID] == nil {
 		return
 	}
-	delete(s.live, j.ID)
-	s.hold(j, -1)
-	s.done = append(s.done, j)
-	c := s.count(j.Queue)
-	switch j.State {
-	case Done:
+	delete(s.liveJobs, j.ID)
+	s.addUsage(j, -1)
+	s.endedJobs = append(s.endedJobs, j)
+	c := s.queueCounts(j.Queue)
+	switch j.Status {
+	case JobDone:
 		c.Done++
-	case Failed:
+	case JobFailed:
 		c.Failed++
-	case Stopped:
+	case JobCancelled:
 		c.Cancelled++
 	}
 }
 
-func (s *State) forget() {
-	for len(s.done) > 0 && (len(s.done) > KeepMost || s.Tick.Sub(s.done[0].End) > Keep) {
-		delete(s.Jobs, s.done[0].ID)
-		s.tombstones.add(s.done[0])
-		s.done = s.done[1:]
+func (s *State) expireEndedJobs() {
+	for len(s.endedJobs) > 0 && (len(s.endedJobs) > EndedJobLimit || s.Time.Sub(s.endedJobs[0].EndedAt) > EndedJobAge) {
+		delete(s.Jobs, s.endedJobs[0].ID)
+		s.tombstones.add(s.endedJobs[0])
+		s.endedJobs = s.endedJobs[1:]
 	}
-	s.tombstones.forget(s.Tick)
-	if len(s.order) > 2*len(s.live)+1024 {
-		s.Live()
+	s.tombstones.expire(s.Time)
+	if len(s.jobsInOrder) > 2*len(s.liveJobs)+1024 {
+		s.LiveJobs()
 	}
 }
 
-// Fits tells whether a worker has the kind of a step, and its rack and labels.
-func (w WorkerShape) Fits(p Step) (kind, rack bool) {
-	rack = p.Rack == "" || p.Rack == w.Rack
-	for _, l := range p.Labels {
-		rack = rack && slices.Contains(w.Labels, l)
+// Matches tells whether a worker has the kind of a step, and its rack and labels.
+func (w WorkerShape) Matches(step Step) (kind, place bool) {
+	place = step.Rack == "" || step.Rack == w.Rack
+	for _, l := range step.Labels {
+		place = place && slices.Contains(w.Labels, l)
 	}
-	return slices.Contains(w.Kinds, p.Kind), rack
+	return slices.Contains(w.Kinds, step.Kind), place
 }
--- a/internal/state/tombstones.go
+++ b/internal/state/tombstones.go
@@ -24,18 +24,18 @@
 
 // tombstone is what stays of a job.
 type tombstone struct {
-	hash  uint64
-	end   types.Tick
-	stage byte
+	hash    uint64
+	endedAt types.ClusterTime
+	status  byte
 }
 
-var stages = []Stage{Done, Failed, Stopped}
+var endStatuses = []JobStatus{JobDone, JobFailed, JobCancelled}
 
 // tombstonePage is a run of tombstones in the order of their jobs' ends.
 type tombstonePage struct {
-	ids  []types.JobID
-	last types.Tick
-	enc  []byte // once it is full
+	ids     []types.JobID
+	lastEnd types.ClusterTime
+	encoded []byte // once it is full
 }
 
 // tombstones are all of them.
@@ -51,10 +51,10 @@
 
 func (to *tombstones) add(j *Job) {
 	hash, _ := strconv.ParseUint(j.Hash, 16, 64)
-	t := tombstone{hash: hash, end: j.End}
-	for i, s := range stages {
-		if s == j.State {
-			t.stage = byte(i)
+	t := tombstone{hash: hash, endedAt: j.EndedAt}
+	for i, s := range endStatuses {
+		if s == j.Status {
+			t.status = byte(i)
 		}
 	}
 	to.put(j.ID, t)
@@ -66,15 +66,15 @@
 	}
 	p := to.pages[len(to.pages)-1]
 	to.byID[id] = t
-	p.ids, p.last = append(p.ids, id), max(p.last, t.end)
+	p.ids, p.lastEnd = append(p.ids, id), max(p.lastEnd, t.endedAt)
 	if len(p.ids) == tombstonesPerPage {
-		p.enc = to.encode(p)
+		p.encoded = to.encode(p)
 	}
 }
 
-// forget drops the pages whose newest tombstone is old enough.
-func (to *tombstones) forget(now types.Tick) {
-	for len(to.pages) > 0 && len(to.pages[0].ids) == tombstonesPerPage && now.Sub(to.pages[0].last) > TombstoneAge {
+// expire drops the pages whose newest tombstone is old enough.
+func (to *tombstones) expire(now types.ClusterTime) {
+	for len(to.pages) > 0 && len(to.pages[0].ids) == tombstonesPerPage && now.Sub(to.pages[0].lastEnd) > TombstoneAge {
 		for _, id := range to.pages[0].ids {
 			delete(to.byID, id)
 		}
@@ -84,8 +84,8 @@
 
 // encode writes a page as {"marks":[[id,hash,stage,end],...]}.
 func (to *tombstones) encode(p *tombstonePage) []byte {
-	if p.enc != nil {
-		return p.enc
+	if p.encoded != nil {
+		return p.encoded
 	}
 	b := append(make([]byte, 0, 64*len(p.ids)+16), `{"marks":[`...)
 	for i, id := range p.ids {
@@ -98,9 +98,9 @@
 		b = append(b, `","`...)
 		b = strconv.AppendUint(b, t.hash, 16)
 		b = append(b, `",`...)
-		b = strconv.AppendInt(b, int64(t.stage), 10)
+		b = strconv.AppendInt(b, int64(t.status), 10)
 		b = append(b, ',')
-		b = strconv.AppendInt(b, int64(t.end), 10)
+		b = strconv.AppendInt(b, int64(t.endedAt), 10)
 		b = append(b, ']')
 	}
 	return append(b, `]}`...)
@@ -115,7 +115,7 @@
 // UnmarshalJSON reads [id, hash, stage, end].
 func (t *tombstoneRow) UnmarshalJSON(b []byte) error {
 	hash := ""
-	if err := json.Unmarshal(b, &[]any{&t.id, &hash, &t.stage, &t.end}); err != nil {
+	if err := json.Unmarshal(b, &[]any{&t.id, &hash, &t.status, &t.endedAt}); err != nil {
 		return err
 	}
 	n, err := strconv.ParseUint(hash, 16, 64)
@@ -123,8 +123,8 @@
 	return err
 }
 
-// Tombstones tells how many there are.
-func (s *State) Tombstones() int { return len(s.tombstones.byID) }
+// TombstoneCount tells how many there are.
+func (s *State) TombstoneCount() int { return len(s.tombstones.byID) }
 
 // Find gives a job by its id: whole, or what its tombstone still says, or nil.
 func (s *State) Find(id types.JobID) *Job {
@@ -132,20 +132,20 @@
 		return j
 	}
 	if t, ok := s.tombstones.byID[id]; ok {
-		return &Job{ID: id, Hash: fmt.Sprintf("%016x", t.hash), State: stages[t.stage], End: t.end}
+		return &Job{ID: id, Hash: fmt.Sprintf("%016x", t.hash), Status: endStatuses[t.status], EndedAt: t.endedAt}
 	}
 	return nil
 }
 
-// full tells whether no more ids may be remembered.
-func (s *State) full() *apierror.Error {
+// checkIDLimit tells whether no more ids may be remembered.
+func (s *State) checkIDLimit() *apierror.Error {
 	n := len(s.tombstones.byID) + len(s.Jobs)
 	if n < s.tombstones.limit {
 		return nil
 	}
 	wait := time.Minute
 	if len(s.tombstones.pages) > 0 {
-		wait = max(wait, s.tombstones.pages[0].last.Add(TombstoneAge).Sub(s.Tick))
+		wait = max(wait, s.tombstones.pages[0].lastEnd.Add(TombstoneAge).Sub(s.Time))
 	}
-	return apierror.New(apierror.Kept, "", fmt.Sprintf("%d ids of the last day are remembered, as many as may be", n)).After(wait)
+	return apierror.New(apierror.TooManyIDs, "", fmt.Sprintf("%d ids of the last day are remembered, as many as may be", n)).WithRetryAfter(wait)
 }
--- a/internal/state/window.go
+++ b/internal/state/window.go
@@ -13,46 +13,46 @@
 	"coppercourse/internal/types"
 )
 
-// Back takes an attempt back: it is stopped, its end is told, and its task goes again.
-type Back struct {
-	Attempt types.Attempt `json:"leg"`
-	Why     Why           `json:"why"`
+// Withdrawal takes an attempt back: it is stopped, its end is told, and its task goes again.
+type Withdrawal struct {
+	ID     types.AttemptID `json:"leg"`
+	Reason WithdrawReason  `json:"why"`
 }
 
-// Why an attempt is taken back.
-type Why string
+// WithdrawReason an attempt is taken back.
+type WithdrawReason string
 
 // Reasons for which an attempt is taken back.
 const (
-	Leaves    Why = "its worker leaves"
-	Drained   Why = "its worker is drained"
-	Stalled   Why = "far beyond its usual time"
-	Displaced Why = "displaced by more urgent work"
-	Alone     Why = "a mate of its gang is out of reach"
+	WorkerLeaving       WithdrawReason = "its worker leaves"
+	WorkerDrained       WithdrawReason = "its worker is drained"
+	Straggling          WithdrawReason = "far beyond its usual time"
+	Preempted           WithdrawReason = "displaced by more urgent work"
+	GangPeerUnreachable WithdrawReason = "a mate of its gang is out of reach"
 )
 
-func (s *State) back(b Back) {
-	j := s.live[b.Attempt.Job]
-	if j == nil || j.State != Open {
+func (s *State) withdraw(withdrawal Withdrawal) {
+	j := s.liveJobs[withdrawal.ID.Job]
+	if j == nil || j.Status != JobOpen {
 		return
 	}
-	t := j.Task(b.Attempt.N)
+	t := j.Task(withdrawal.ID.Number)
 	if t == nil {
 		return
 	}
-	o := t.On(b.Attempt.Attempt)
-	if o == nil || o.Back != "" {
+	attempt := t.FindOutstanding(withdrawal.ID.Attempt)
+	if attempt == nil || attempt.Withdrawn != "" {
 		return
 	}
-	s.touch(j)
-	o.Back = b.Why
-	switch b.Why {
-	case Stalled:
-		t.Shun = o.Shard
-	case Displaced:
-		t.Moved++
+	s.beforeChange(j)
+	attempt.Withdrawn = withdrawal.Reason
+	switch withdrawal.Reason {
+	case Straggling:
+		t.AvoidWorker = attempt.Shard
+	case Preempted:
+		t.Preemptions++
 	}
-	s.count(j.Queue).Moved++
+	s.queueCounts(j.Queue).WithdrawnAttempts++
 }
 
 // Target is a worker or a rack.
@@ -61,8 +61,8 @@
 	Rack  types.Rack  `json:"rack,omitempty"`
 }
 
-// Is tells whether a worker is the target or in it.
-func (t Target) Is(shard types.Shard, rack types.Rack) bool {
+// Matches tells whether a worker is the target or in it.
+func (t Target) Matches(shard types.Shard, rack types.Rack) bool {
 	return t.Shard != "" && t.Shard == shard || t.Rack != "" && t.Rack == rack
 }
 
@@ -70,53 +70,53 @@
 // all that runs there is stopped, or 0 to let it end. Over takes it back.
 type Drain struct {
 	Target
-	By   types.Tick `json:"by,omitempty"`
-	Over bool       `json:"over,omitempty"`
+	Deadline types.ClusterTime `json:"by,omitempty"`
+	Lift     bool              `json:"over,omitempty"`
 }
 
-// Plan is one maintenance calendar of a target, as stretches of wall time in
+// Calendar is one maintenance calendar of a target, as stretches of wall time in
 // order. One without stretches is taken away.
-type Plan struct {
+type Calendar struct {
 	Name string `json:"name"`
 	Target
-	Spans [][2]types.Wall `json:"spans"`
+	Windows [][2]types.WallTime `json:"spans"`
 }
 
 // Bounds on drains, plans, and a plan's stretches.
 const (
-	MostDrains = 100
-	MostPlans  = 100
-	MostSpans  = 1000
+	MaxDrains    = 100
+	MaxCalendars = 100
+	MaxWindows   = 1000
 )
 
-func (s *State) drain(d Drain) *apierror.Error {
-	if d.Over && !slices.ContainsFunc(s.Drains, d.same) {
-		return apierror.New(apierror.NoDrain, "", "it is not drained")
+func (s *State) applyDrain(d Drain) *apierror.Error {
+	if d.Lift && !slices.ContainsFunc(s.Drains, d.sameTarget) {
+		return apierror.New(apierror.NotDrained, "", "it is not drained")
 	}
-	return lay(&s.Drains, d, d.same, d.Over, MostDrains)
+	return replaceInList(&s.Drains, d, d.sameTarget, d.Lift, MaxDrains)
 }
 
-func (d Drain) same(o Drain) bool { return o.Target == d.Target }
+func (d Drain) sameTarget(o Drain) bool { return o.Target == d.Target }
 
-func (s *State) plan(p Plan) *apierror.Error {
-	if len(p.Spans) == 0 && !slices.ContainsFunc(s.Plans, p.same) {
-		return apierror.New(apierror.NoPlan, "name", "no calendar is called "+p.Name)
+func (s *State) applyCalendar(p Calendar) *apierror.Error {
+	if len(p.Windows) == 0 && !slices.ContainsFunc(s.Calendars, p.sameName) {
+		return apierror.New(apierror.NoSuchCalendar, "name", "no calendar is called "+p.Name)
 	}
-	return lay(&s.Plans, p, p.same, len(p.Spans) == 0, MostPlans)
+	return replaceInList(&s.Calendars, p, p.sameName, len(p.Windows) == 0, MaxCalendars)
 }
 
-func (p Plan) same(o Plan) bool { return o.Name == p.Name }
+func (p Calendar) sameName(o Calendar) bool { return o.Name == p.Name }
 
-// lay puts one of a list in place of the same, adds it, or takes it away. The
+// replaceInList puts one of a list in place of the same, adds it, or takes it away. The
 // list is another one then, since a snapshot may hold the old.
-func lay[T any](list *[]T, x T, same func(T) bool, away bool, most int) *apierror.Error {
+func replaceInList[T any](list *[]T, item T, same func(T) bool, remove bool, limit int) *apierror.Error {
 	next := slices.DeleteFunc(slices.Clone(*list), same)
 	switch {
-	case away:
-	case len(next) >= most:
-		return apierror.New(apierror.Full, "", "as many as there may be").After(time.Minute)
+	case remove:
+	case len(next) >= limit:
+		return apierror.New(apierror.QueueFull, "", "as many as there may be").WithRetryAfter(time.Minute)
 	default:
-		next = append(next, x)
+		next = append(next, item)
 	}
 	*list = next
 	return nil
@@ -125,39 +125,39 @@
 // Window is the next one of a worker. From is when it must have nothing left
 // that could last beyond By; By 0 lets what runs end.
 type Window struct {
-	From types.Tick
-	By   types.Tick
-	Why  Why
+	From     types.ClusterTime
+	Deadline types.ClusterTime
+	Reason   WithdrawReason
 }
 
-// Window gives the first that is on or to come.
-func (s *State) Window(shard types.Shard, rack types.Rack, now types.Tick) (w Window, ok bool) {
-	add := func(o Window) {
+// NextWindow gives the first that is on or to come.
+func (s *State) NextWindow(shard types.Shard, rack types.Rack, now types.ClusterTime) (window Window, ok bool) {
+	merge := func(other Window) {
 		switch {
 		case !ok:
-			w, ok = o, true
+			window, ok = other, true
 			return
-		case o.From < w.From:
-			w.From = o.From
+		case other.From < window.From:
+			window.From = other.From
 		}
-		if o.By != 0 && (w.By == 0 || o.By < w.By) {
-			w.By = o.By
+		if other.Deadline != 0 && (window.Deadline == 0 || other.Deadline < window.Deadline) {
+			window.Deadline = other.Deadline
 		}
 	}
 	for _, d := range s.Drains {
-		if d.Is(shard, rack) {
-			add(Window{now, d.By, Drained})
+		if d.Matches(shard, rack) {
+			merge(Window{now, d.Deadline, WorkerDrained})
 		}
 	}
-	at := types.Wall(now) + s.Off
-	for _, p := range s.Plans {
-		if !p.Is(shard, rack) {
+	at := types.WallTime(now) + s.WallOffset
+	for _, p := range s.Calendars {
+		if !p.Matches(shard, rack) {
 			continue
 		}
-		for _, x := range p.Spans {
+		for _, x := range p.Windows {
 			if at < x[1] {
-				from := max(now, types.Tick(x[0]-s.Off))
-				add(Window{from, from, Drained})
+				from := max(now, types.ClusterTime(x[0]-s.WallOffset))
+				merge(Window{from, from, WorkerDrained})
 				break
 			}
 		}
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -75,7 +75,7 @@
 			fails = fails[1:]
 		}
 		if k.Vital || len(fails) > often {
-			return apierror.Wrap(apierror.Unfit, err, k.Name)
+			return apierror.Wrap(apierror.Unusable, err, k.Name)
 		}
 		log.Error(err, "child starts again", "child", k.Name)
 		select {
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -17,9 +17,9 @@
 
 // Mark is one trace point: what happened to a subject in this daemon, and when.
 type Mark struct {
-	At      types.Wall `json:"at"`
-	Subject string     `json:"subject"`
-	What    string     `json:"what"`
+	At      types.WallTime `json:"at"`
+	Subject string         `json:"subject"`
+	What    string         `json:"what"`
 }
 
 // Ring is a bounded buffer of trace points. The goroutine that owns the state
@@ -40,7 +40,7 @@
 func Table(version types.Version) string { return fmt.Sprintf("table/%d", version) }
 
 // Add records a trace point; pairs are names and values in turn.
-func (r *Ring) Add(at types.Wall, subject, what string, pairs ...any) {
+func (r *Ring) Add(at types.WallTime, subject, what string, pairs ...any) {
 	var b strings.Builder
 	b.WriteString(what)
 	for i := 0; i+1 < len(pairs); i += 2 {
--- a/internal/types/types.go
+++ b/internal/types/types.go
@@ -29,10 +29,10 @@
 	Shard string
 	// Rack is a label of workers that jobs may ask for.
 	Rack string
-	// Kind is a service kind: which workers can run a task.
-	Kind string
-	// Queue names one row of the queue table.
-	Queue string
+	// ServiceKind is a service kind: which workers can run a task.
+	ServiceKind string
+	// QueueName names one row of the queue table.
+	QueueName string
 	// JobID is a job's identity, chosen by its caller.
 	JobID string
 	// Term is an election term of the replicated log.
@@ -43,94 +43,96 @@
 	Version uint64
 	// Seq numbers the messages of one sender.
 	Seq uint64
-	// Stamp is a reading of a process's monotonic clock, in nanoseconds.
-	Stamp int64
-	// Tick is a reading of the cluster's clock, in nanoseconds.
-	Tick int64
-	// Wall is a reading of a wall clock, in nanoseconds since 1970 (UTC).
-	Wall int64
+	// MonoTime is a reading of a process's monotonic clock, in nanoseconds.
+	MonoTime int64
+	// ClusterTime is a reading of the cluster's clock, in nanoseconds.
+	ClusterTime int64
+	// WallTime is a reading of a wall clock, in nanoseconds since 1970 (UTC).
+	WallTime int64
 )
 
 // Add returns the stamp that lies d later.
-func (s Stamp) Add(d time.Duration) Stamp { return s + Stamp(d) }
+func (s MonoTime) Add(d time.Duration) MonoTime { return s + MonoTime(d) }
 
 // Sub returns how much later s is than o, both of the same process.
-func (s Stamp) Sub(o Stamp) time.Duration { return time.Duration(s - o) }
+func (s MonoTime) Sub(o MonoTime) time.Duration { return time.Duration(s - o) }
 
 // Add returns the tick that lies d later.
-func (t Tick) Add(d time.Duration) Tick { return t + Tick(d) }
+func (t ClusterTime) Add(d time.Duration) ClusterTime { return t + ClusterTime(d) }
 
 // Sub returns how much later t is than o.
-func (t Tick) Sub(o Tick) time.Duration { return time.Duration(t - o) }
+func (t ClusterTime) Sub(o ClusterTime) time.Duration { return time.Duration(t - o) }
 
 // Now is the time that a state machine is given with each step.
 type Now struct {
-	Mono Stamp
-	Wall Wall
+	Mono MonoTime
+	Wall WallTime
 }
 
-// Task names one task of a job. Its number N encodes which round of the job,
+// TaskID names one task of a job. Its number N encodes which round of the job,
 // which step and which place in the step it is; see No and Parts.
-type Task struct {
-	Job JobID `json:"job"`
-	N   int   `json:"n"`
+type TaskID struct {
+	Job    JobID `json:"job"`
+	Number int   `json:"n"`
 }
 
 // Bounds on the parts of a task's number.
 const (
-	MostSteps = 64   // steps of a job
-	MostTasks = 4096 // tasks of a step
+	MaxSteps        = 64   // steps of a job
+	MaxTasksPerStep = 4096 // tasks of a step
 )
 
-// No encodes the number of a task from its round, step and place in the step.
-func No(round, step, place int) int { return (round*MostSteps+step)*MostTasks + place }
+// TaskNumber encodes the number of a task from its round, step and place in the step.
+func TaskNumber(occurrence, step, index int) int {
+	return (occurrence*MaxSteps+step)*MaxTasksPerStep + index
+}
 
 // Stage numbers one step in one round of a job.
 type Stage int
 
 // StageOf returns the stage of the task with number n.
-func StageOf(n int) Stage { return Stage(n / MostTasks) }
+func StageOf(n int) Stage { return Stage(n / MaxTasksPerStep) }
 
-// Time returns the round of the job that the stage belongs to.
-func (s Stage) Time() int { return int(s) / MostSteps }
+// Occurrence returns the round of the job that the stage belongs to.
+func (s Stage) Occurrence() int { return int(s) / MaxSteps }
 
 // Step returns the index of the stage's step.
-func (s Stage) Step() int { return int(s) % MostSteps }
+func (s Stage) Step() int { return int(s) % MaxSteps }
 
-// No returns the number of the task at a place in the stage.
-func (s Stage) No(place int) int { return int(s)*MostTasks + place }
+// TaskNumber returns the number of the task at a place in the stage.
+func (s Stage) TaskNumber(index int) int { return int(s)*MaxTasksPerStep + index }
 
-// Parts decodes a task's number into its round, step and place in the step.
-func Parts(n int) (round, step, place int) {
-	return n / MostTasks / MostSteps, n / MostTasks % MostSteps, n % MostTasks
+// SplitTaskNumber decodes a task's number into its round, step and place in the step.
+func SplitTaskNumber(n int) (occurrence, step, index int) {
+	return n / MaxTasksPerStep / MaxSteps, n / MaxTasksPerStep % MaxSteps, n % MaxTasksPerStep
 }
 
-// Attempt names one attempt at a task: the paper's invocation id. A number is
+// AttemptID names one attempt at a task: the paper's invocation id. A number is
 // used once, whoever leads.
-type Attempt struct {
-	Task
+type AttemptID struct {
+	TaskID
 	Attempt int `json:"leg"`
 }
 
 // String returns the task as JOB/NUMBER.
-func (t Task) String() string { return fmt.Sprintf("%s/%d", t.Job, t.N) }
+func (t TaskID) String() string { return fmt.Sprintf("%s/%d", t.Job, t.Number) }
 
 // String returns the attempt as JOB/NUMBER#ATTEMPT.
-func (a Attempt) String() string { return fmt.Sprintf("%s/%d#%d", a.Job, a.N, a.Attempt) }
+func (a AttemptID) String() string { return fmt.Sprintf("%s/%d#%d", a.Job, a.Number, a.Attempt) }
 
 // Compare orders attempts by job, task number and attempt number.
-func (a Attempt) Compare(o Attempt) int {
-	return cmp.Or(cmp.Compare(a.Job, o.Job), cmp.Compare(a.N, o.N), cmp.Compare(a.Attempt, o.Attempt))
+func (a AttemptID) Compare(o AttemptID) int {
+	return cmp.Or(cmp.Compare(a.Job, o.Job), cmp.Compare(a.Number, o.Number), cmp.Compare(a.Attempt, o.Attempt))
 }
 
-// Least reports whether the attempt sorts before another.
-func (a Attempt) Least(o Attempt) bool { return a.Compare(o) < 0 }
+// Less reports whether the attempt sorts before another.
+func (a AttemptID) Less(o AttemptID) bool { return a.Compare(o) < 0 }
 
 // idLength is the number of hexadecimal digits in an ID: 48 random bits.
 const idLength = 12
 
-// Mint makes a random identity.
-func Mint(rnd *rand.Rand) ID {
+// NewID makes a random identity.
+func NewID(rnd *rand.Rand) ID {
 	const hex = "0123456789abcdef"
 	b := make([]byte, idLength)
 	for i := range b {
@@ -139,29 +141,29 @@
 	return ID(b)
 }
 
-// Cores counts processor cores in thousandths. It is written as a decimal
+// MilliCores counts processor cores in thousandths. It is written as a decimal
 // number of cores: 1500 thousandths are 1.5.
-type Cores int
+type MilliCores int
 
 // Core is one whole core.
-const Core Cores = 1000
+const Core MilliCores = 1000
 
 // MarshalJSON writes a decimal number of cores, without trailing zeros.
-func (c Cores) MarshalJSON() ([]byte, error) {
-	n, sign := int(c), ""
-	if n < 0 {
-		n, sign = -n, "-"
+func (c MilliCores) MarshalJSON() ([]byte, error) {
+	thousandths, sign := int(c), ""
+	if thousandths < 0 {
+		thousandths, sign = -thousandths, "-"
 	}
-	b := strconv.AppendInt([]byte(sign), int64(n/1000), 10)
-	if part := n % 1000; part > 0 {
-		b = append(b, '.', byte('0'+part/100), byte('0'+part/10%10), byte('0'+part%10))
+	b := strconv.AppendInt([]byte(sign), int64(thousandths/1000), 10)
+	if fraction := thousandths % 1000; fraction > 0 {
+		b = append(b, '.', byte('0'+fraction/100), byte('0'+fraction/10%10), byte('0'+fraction%10))
 		b = bytes.TrimRight(b, "0")
 	}
 	return b, nil
 }
 
 // UnmarshalJSON reads a decimal number of cores with at most three decimals.
-func (c *Cores) UnmarshalJSON(b []byte) error {
+func (c *MilliCores) UnmarshalJSON(b []byte) error {
 	v, ok := ParseCores(string(b))
 	if !ok {
 		return fmt.Errorf("want a number of cores with at most three decimals, got %s", b)
@@ -172,50 +174,50 @@
 
 // ParseCores reads a decimal number of cores with at most three decimals, and
 // reports whether the text is one.
-func ParseCores(s string) (Cores, bool) {
-	whole, part, _ := strings.Cut(s, ".")
-	if len(part) > 3 || strings.ContainsAny(part, "+-eE") {
+func ParseCores(s string) (MilliCores, bool) {
+	whole, fraction, _ := strings.Cut(s, ".")
+	if len(fraction) > 3 || strings.ContainsAny(fraction, "+-eE") {
 		return 0, false
 	}
-	n, err := strconv.ParseInt(whole+part+"000"[len(part):], 10, 32)
-	return Cores(n), err == nil
+	n, err := strconv.ParseInt(whole+fraction+"000"[len(fraction):], 10, 32)
+	return MilliCores(n), err == nil
 }
 
-// Room is the resources that a task takes or a worker offers: processor cores,
+// Resources is the resources that a task takes or a worker offers: processor cores,
 // memory in megabytes, accelerators.
-type Room struct {
-	Cores  Cores `json:"cores"`
-	Memory int   `json:"memory"`
-	Accel  int   `json:"accelerators,omitempty"`
+type Resources struct {
+	Cores        MilliCores `json:"cores"`
+	MemoryMB     int        `json:"memory"`
+	Accelerators int        `json:"accelerators,omitempty"`
 }
 
-// Plus returns the sum of two rooms.
-func (r Room) Plus(o Room) Room {
-	return Room{r.Cores + o.Cores, r.Memory + o.Memory, r.Accel + o.Accel}
+// Add returns the sum of two rooms.
+func (r Resources) Add(o Resources) Resources {
+	return Resources{r.Cores + o.Cores, r.MemoryMB + o.MemoryMB, r.Accelerators + o.Accelerators}
 }
 
-// Minus returns the difference of two rooms; a part may become negative.
-func (r Room) Minus(o Room) Room {
-	return Room{r.Cores - o.Cores, r.Memory - o.Memory, r.Accel - o.Accel}
+// Sub returns the difference of two rooms; a part may become negative.
+func (r Resources) Sub(o Resources) Resources {
+	return Resources{r.Cores - o.Cores, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
 }
 
-// Holds reports whether o fits into r.
-func (r Room) Holds(o Room) bool {
-	return r.Cores >= o.Cores && r.Memory >= o.Memory && r.Accel >= o.Accel
+// Contains reports whether o fits into r.
+func (r Resources) Contains(o Resources) bool {
+	return r.Cores >= o.Cores && r.MemoryMB >= o.MemoryMB && r.Accelerators >= o.Accelerators
 }
 
-// Times returns the room that n of the same take.
-func (r Room) Times(n int) Room {
-	return Room{r.Cores * Cores(n), r.Memory * n, r.Accel * n}
+// Scale returns the room that n of the same take.
+func (r Resources) Scale(n int) Resources {
+	return Resources{r.Cores * MilliCores(n), r.MemoryMB * n, r.Accelerators * n}
 }
 
-// noBound is what Fits returns for a room that takes nothing.
-const noBound = 1 << 30
+// unlimited is what Fits returns for a room that takes nothing.
+const unlimited = 1 << 30
 
-// Fits returns how many of o fit into r at once.
-func (r Room) Fits(o Room) int {
-	n := noBound
-	for _, x := range [...]struct{ have, want int }{{int(r.Cores), int(o.Cores)}, {r.Memory, o.Memory}, {r.Accel, o.Accel}} {
+// FitCount returns how many of o fit into r at once.
+func (r Resources) FitCount(o Resources) int {
+	n := unlimited
+	for _, x := range [...]struct{ have, want int }{{int(r.Cores), int(o.Cores)}, {r.MemoryMB, o.MemoryMB}, {r.Accelerators, o.Accelerators}} {
 		if x.want > 0 {
 			n = min(n, max(0, x.have/x.want))
 		}
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -38,7 +38,7 @@
 func packAll(group [][]byte, synced int64) (b []byte, err error) {
 	for _, r := range group {
 		if len(r) == 0 || len(r) > MaxLen {
-			return nil, apierror.New(apierror.Unfit, "record", fmt.Sprintf("%d bytes are no record", len(r)))
+			return nil, apierror.New(apierror.Unusable, "record", fmt.Sprintf("%d bytes are no record", len(r)))
 		}
 		b = Pack(b, r, synced)
 	}
@@ -76,7 +76,7 @@
 	}
 	for p := at + 1; p < len(b); p++ {
 		if _, synced, ok := take(b[p:]); ok && synced > int64(at) {
-			return nil, 0, apierror.New(apierror.Unfit, "log", "a record that was once synced is damaged; the file is refused")
+			return nil, 0, apierror.New(apierror.Unusable, "log", "a record that was once synced is damaged; the file is refused")
 		}
 	}
 	return list, int64(at), nil
--- a/internal/wire/call.go
+++ b/internal/wire/call.go
@@ -30,7 +30,7 @@
 	To      types.Addr // where the worker listens
 	Life    types.ID   // the worker process meant; another one refuses
 	Kind    CallKind
-	Attempt types.Attempt   // Start, Halt
+	Attempt types.AttemptID // Start, Halt
 	Work    json.RawMessage // Start: the task's input
 	Ref     string          // Start: checkpoint to continue from
 	Until   int64           // Start, Hold: end of the lease, ms of the worker's clock
@@ -69,7 +69,7 @@
 
 // WorkerRun is an attempt that runs, with its last checkpoint and its progress.
 type WorkerRun struct {
-	Attempt types.Attempt
+	Attempt types.AttemptID
 	Ref     string
 	Percent float64
 }
@@ -91,7 +91,7 @@
 // from 1; Ref is the last checkpoint.
 type WorkerEnd struct {
 	N       uint64
-	Attempt types.Attempt
+	Attempt types.AttemptID
 	How     How
 	Ref     string
 }
@@ -100,15 +100,15 @@
 // Clock is the worker's clock in milliseconds; LeaveMS, with Leaving, is how long
 // it will still be there; Cold is how long it is still slow from its start, in ms.
 type WorkerBeat struct {
-	Life    types.ID     `json:"life"`
-	To      types.Addr   `json:"to"` // where it listens for calls
-	Seq     uint64       `json:"seq"`
-	Rack    types.Rack   `json:"rack"`
-	Labels  []string     `json:"labels"`
-	Kinds   []types.Kind `json:"kinds"`
-	Room    types.Room   `json:"room"`
-	Clock   int64        `json:"clock"`
-	Leaving bool         `json:"leaving"`
-	LeaveMS int64        `json:"leave_in_ms"`
-	Cold    int64        `json:"cold_ms"`
+	Life    types.ID            `json:"life"`
+	To      types.Addr          `json:"to"` // where it listens for calls
+	Seq     uint64              `json:"seq"`
+	Rack    types.Rack          `json:"rack"`
+	Labels  []string            `json:"labels"`
+	Kinds   []types.ServiceKind `json:"kinds"`
+	Room    types.Resources     `json:"room"`
+	Clock   int64               `json:"clock"`
+	Leaving bool                `json:"leaving"`
+	LeaveMS int64               `json:"leave_in_ms"`
+	Cold    int64               `json:"cold_ms"`
 }
--- a/internal/workqueue/ticks.go
+++ b/internal/workqueue/ticks.go
@@ -17,18 +17,18 @@
 
 // Ticks tells a loop when to let time pass in its machine.
 type Ticks struct {
-	last   types.Stamp
+	last   types.MonoTime
 	events int
 }
 
 // Due tells whether the next step must be a tick; waiting is how many events wait.
-func (t *Ticks) Due(now types.Stamp, waiting int) bool {
+func (t *Ticks) Due(now types.MonoTime, waiting int) bool {
 	since := now.Sub(t.last)
 	return since >= TickEvery-tickEarly && (waiting == 0 || t.events >= eventsATick || t.events > 0 && since >= longestToTick)
 }
 
 // Ticked notes a tick.
-func (t *Ticks) Ticked(now types.Stamp) { t.last, t.events = now, 0 }
+func (t *Ticks) Ticked(now types.MonoTime) { t.last, t.events = now, 0 }
 
 // Took notes an event.
 func (t *Ticks) Took() { t.events++ }
--- a/internal/workqueue/workqueue.go
+++ b/internal/workqueue/workqueue.go
@@ -42,12 +42,12 @@
 }
 
 type entry[T any] struct {
-	at   types.Stamp
+	at   types.MonoTime
 	item T
 }
 
 // Push adds an event to its class; false, and counted, where that is full.
-func (q *Queue[T]) Push(class wire.Class, now types.Stamp, item T) bool {
+func (q *Queue[T]) Push(class wire.Class, now types.MonoTime, item T) bool {
 	if len(q.lines[class].entries) >= limits[class].depth {
 		q.Refused[class]++
 		return false
@@ -58,14 +58,14 @@
 
 // Force adds an event that can't be refused: how many there are is bounded by
 // what the machine itself has asked for.
-func (q *Queue[T]) Force(class wire.Class, now types.Stamp, item T) {
+func (q *Queue[T]) Force(class wire.Class, now types.MonoTime, item T) {
 	l := &q.lines[class]
 	l.entries = append(l.entries, entry[T]{now, item})
 	q.size++
 }
 
 // Pop gives the next event, its class, and since when it has waited.
-func (q *Queue[T]) Pop() (item T, class wire.Class, at types.Stamp, ok bool) {
+func (q *Queue[T]) Pop() (item T, class wire.Class, at types.MonoTime, ok bool) {
 	if q.size == 0 {
 		return
 	}
@@ -112,7 +112,7 @@
 
 // Expire takes out the oldest events of a class that have waited for longer than
 // their patience, up to the first that has not; 0 is for what waits for ever.
-func (q *Queue[T]) Expire(class wire.Class, now types.Stamp, patience func(T) time.Duration) (list []T) {
+func (q *Queue[T]) Expire(class wire.Class, now types.MonoTime, patience func(T) time.Duration) (list []T) {
 	l := &q.lines[class]
 	for len(l.entries) > 0 {
 		longest := patience(l.entries[0].item)
@@ -131,7 +131,7 @@
 func (q *Queue[T]) Waits(class wire.Class) int { return len(q.lines[class].entries) }
 
 // Age is how long the oldest event of the classes from one to another has waited.
-func (q *Queue[T]) Age(now types.Stamp, from, to wire.Class) (oldest time.Duration) {
+func (q *Queue[T]) Age(now types.MonoTime, from, to wire.Class) (oldest time.Duration) {
 	for c := from; c <= to; c++ {
 		if l := q.lines[c].entries; len(l) > 0 {
 			oldest = max(oldest, now.Sub(l[0].at))
@@ -141,7 +141,7 @@
 }
 
 // Load measures how far the loop is behind, for the event that it has just taken.
-func (q *Queue[T]) Load(now types.Stamp, class wire.Class, at types.Stamp) wire.Load {
+func (q *Queue[T]) Load(now types.MonoTime, class wire.Class, at types.MonoTime) wire.Load {
 	load := wire.Load{Age: now.Sub(at), Waiting: q.size > 0,
 		Control: q.Age(now, 0, ControlClasses), Callers: q.Age(now, wire.Operators, wire.Callers)}
 	switch {
--- a/internal/workqueue/workqueue_test.go
+++ b/internal/workqueue/workqueue_test.go
@@ -35,7 +35,7 @@
 	item, class, at, _ := q.Pop()
 	is.Equal(class, wire.Callers)
 	is.Equal(item, 0) // within a class the oldest
-	is.Equal(at, types.Stamp(0))
+	is.Equal(at, types.MonoTime(0))
 }
 
 // However many events of one class come, each lower class is served in its turn:
@@ -97,7 +97,7 @@
 func TestTheLoadIsTheAgeOfWhatWaits(t *testing.T) {
 	is := is.New(t)
 	var q Queue[int]
-	at := func(ms int) types.Stamp { return types.Stamp(time.Duration(ms) * time.Millisecond) }
+	at := func(ms int) types.MonoTime { return types.MonoTime(time.Duration(ms) * time.Millisecond) }
 	q.Push(wire.Callers, at(0), 0)
 	q.Push(wire.Leases, at(40), 0)
 	q.Push(wire.Consensus, at(90), 0)
@@ -114,7 +114,7 @@
 	is := is.New(t)
 	var q Queue[int]
 	for i := range 5 {
-		q.Push(wire.Callers, types.Stamp(i), i)
+		q.Push(wire.Callers, types.MonoTime(i), i)
 	}
 	is.Equal(q.Expire(wire.Callers, 12, func(int) time.Duration { return 8 }), []int{0, 1, 2, 3})
 	is.Equal(q.Expire(wire.Callers, 99, func(int) time.Duration { return 0 }), nil)
@@ -126,8 +126,8 @@
 	for _, cost := range []time.Duration{time.Millisecond, 5 * time.Millisecond, 60 * time.Millisecond, 300 * time.Millisecond} {
 		is := is.New(t)
 		var ticks Ticks
-		now, last, ticked, took := types.Stamp(0), types.Stamp(0), 0, 0
-		for now < types.Stamp(20*time.Second) {
+		now, last, ticked, took := types.MonoTime(0), types.MonoTime(0), 0, 0
+		for now < types.MonoTime(20*time.Second) {
 			if ticks.Due(now, 1) {
 				ticks.Ticked(now)
 				is.True(now.Sub(last) <= longestToTick+2*cost)
--- a/sim/active_tables.go
+++ b/sim/active_tables.go
@@ -51,7 +51,7 @@
 func (c *checker) collectTables() {
 	find := func(t config.Table) *activeTable {
 		for i := range c.activeTables {
-			if r := &c.activeTables[i]; r.Version == t.Version && r.Same(t) {
+			if r := &c.activeTables[i]; r.Version == t.Version && r.SameContent(t) {
 				return r
 			}
 		}
@@ -60,7 +60,7 @@
 	for _, h := range c.hist.List {
 		switch h.What {
 		case TableTry:
-			t := h.Table.Next()
+			t := h.Table.Accepted()
 			if r := find(t); r.from == 0 {
 				c.activeTables = append(c.activeTables, activeTable{Table: t, base: h.Table.Version, from: h.At})
 			}
@@ -71,14 +71,14 @@
 		case TableSaw:
 			find(*h.Table).read = true
 		case TableNo:
-			find(h.Table.Next()).no = true
+			find(h.Table.Accepted()).no = true
 		}
 	}
 	kept := c.activeTables[:0]
 	for _, r := range c.activeTables {
 		rival := false
 		for _, o := range c.activeTables {
-			rival = rival || o.base == r.base && (o.Version != r.Version || !o.Same(r.Table)) && (o.acked > 0 || o.read)
+			rival = rival || o.base == r.base && (o.Version != r.Version || !o.SameContent(r.Table)) && (o.acked > 0 || o.read)
 		}
 		if !rival && (!r.no || r.acked > 0 || r.read) {
 			kept = append(kept, r)
@@ -88,7 +88,7 @@
 }
 
 // rows are a queue's rows that may be followed somewhere in a stretch.
-func (c *checker) rows(q types.Queue, from, to int64) (list []config.Row) {
+func (c *checker) rows(q types.QueueName, from, to int64) (list []config.Queue) {
 	over := types.Version(0)
 	for _, r := range c.activeTables {
 		if r.acked > 0 && r.acked+int64(c.b.Table) < from {
@@ -96,7 +96,7 @@
 		}
 	}
 	for _, r := range c.activeTables {
-		if row, ok := r.Find(q); ok && r.from <= to && r.Version >= over {
+		if row, ok := r.FindQueue(q); ok && r.from <= to && r.Version >= over {
 			list = append(list, row)
 		}
 	}
@@ -106,8 +106,8 @@
 // effects: starts keep the running limit, attempts their time, and entry the
 // waiting limit and the queues of a table in force.
 func (c *checker) effects() {
-	by := map[types.Queue][]*span{}
-	jobs := map[types.Queue][]*job{}
+	by := map[types.QueueName][]*span{}
+	jobs := map[types.QueueName][]*job{}
 	for _, s := range c.spans {
 		if j := c.jobs[s.attempt.Job]; j.spec != nil {
 			by[j.spec.Queue] = append(by[j.spec.Queue], s)
@@ -129,14 +129,14 @@
 
 const overtime = int64(1500 * time.Millisecond)
 
-func (c *checker) running(q types.Queue, list []*span) {
+func (c *checker) running(q types.QueueName, list []*span) {
 	var on []*span // those before it that had not ended
 	for _, s := range list {
 		on = slices.DeleteFunc(on, func(o *span) bool { return o.to <= s.from })
 		rows := c.rows(q, s.from, s.from)
 		most, long := 0, 0
 		for _, r := range rows {
-			most, long = max(most, r.Running), max(long, r.TaskMS)
+			most, long = max(most, r.MaxRunning), max(long, r.TaskTimeoutMillis)
 		}
 		n := 1
 		for _, o := range on {
@@ -151,8 +151,8 @@
 		if n > most {
 			c.bad("table", s.from, "%v starts as running task %d of %s, %d allowed", s.attempt, n, q, most)
 		}
-		if p := c.step(s); p.Limit > 0 {
-			long = min(long, p.Limit)
+		if p := c.step(s); p.TimeLimitMillis > 0 {
+			long = min(long, p.TimeLimitMillis)
 		}
 		if s.runs(s.from+int64(long)*1e6+overtime, c.end) {
 			c.bad("table", s.to, "%v runs %.3f s, its queue or step allows %d ms", s.attempt, float64(s.to-s.from)/1e9, long)
@@ -162,7 +162,7 @@
 
 // entry: a job taken in while at least as many others as the queue may hold
 // were surely unfinished all the while it was asked for.
-func (c *checker) entry(q types.Queue, list []*job) {
+func (c *checker) entry(q types.QueueName, list []*job) {
 	var on []*job // those before it that were surely unfinished
 	for _, j := range list {
 		last := j.last()
@@ -174,7 +174,7 @@
 		}
 		most := 0
 		for _, r := range rows {
-			most = max(most, r.Waiting)
+			most = max(most, r.MaxUnfinished)
 		}
 		n := 0
 		for _, o := range on {
--- a/sim/attempt.go
+++ b/sim/attempt.go
@@ -20,14 +20,14 @@
 // attempt is one attempt that runs.
 type attempt struct {
 	w       *InvokedWorker
-	attempt types.Attempt
+	attempt types.AttemptID
 	step    *state.Step // nil for what nobody sent
-	room    types.Room
-	from    types.Stamp
-	at      types.Stamp // up to when it has got on
-	ready   types.Stamp // before that it does not
-	stops   types.Stamp // by when its stop is over, or 0
-	work    float64     // ms in all
+	room    types.Resources
+	from    types.MonoTime
+	at      types.MonoTime // up to when it has got on
+	ready   types.MonoTime // before that it does not
+	stops   types.MonoTime // by when its stop is over, or 0
+	work    float64        // ms in all
 	did     float64
 	fails   float64 // where in its work it fails, or beyond all of it
 	kept    float64 // what its reference stands for
@@ -40,14 +40,14 @@
 func (iw *InvokedWorker) start(c wire.WorkerCall, step *state.Step) {
 	now := iw.time()
 	k := task(c.Work)
-	a := &attempt{w: iw, attempt: c.Attempt, step: step, from: now, at: now, ready: now, work: k.length(c.Attempt.Task), fails: math.Inf(1), slow: 1}
+	a := &attempt{w: iw, attempt: c.Attempt, step: step, from: now, at: now, ready: now, work: k.length(c.Attempt.TaskID), fails: math.Inf(1), slow: 1}
 	if step != nil {
-		a.room = step.Room
+		a.room = step.Resources
 		a.slow = iw.environment.far(iw, c.Attempt, step)
 		switch {
-		case step.Lasts:
+		case step.AlwaysRestart:
 			a.work, a.fails = math.Inf(1), 1000*iw.rnd.ExpFloat64()*30
-		case step.Keeps && c.Ref != "":
+		case step.KeepsCheckpoint && c.Ref != "":
 			a.ref, a.did = c.Ref, iw.environment.saves[c.Ref]
 			a.kept, a.ready = a.did, now.Add(iw.environment.Restore)
 		}
@@ -64,9 +64,9 @@
 
 // length is how long a task takes on a sound worker near its data; the tasks of
 // a step differ, but each is the same in all its attempts.
-func (w Work) length(t types.Task) float64 {
+func (w Work) length(t types.TaskID) float64 {
 	f := fnv.New32a()
-	f.Write([]byte(string(t.Job) + "/" + strconv.Itoa(t.N)))
+	f.Write([]byte(string(t.Job) + "/" + strconv.Itoa(t.Number)))
 	return float64(w.MS) * (1 + w.Uneven*(2*float64(f.Sum32()%1024)/1023-1))
 }
 
@@ -81,12 +81,12 @@
 func (a *attempt) moves() bool { return !a.w.Still && (a.gang == nil || a.gang.works) }
 
 // on lets the attempt work until a time.
-func (a *attempt) on(until types.Stamp) {
+func (a *attempt) on(until types.MonoTime) {
 	if from := max(a.at, a.ready); until > from && a.moves() {
 		a.did += float64(until.Sub(from).Microseconds()) / 1000 / (a.w.Slow * a.slow)
 	}
 	a.at = max(a.at, until)
-	if every := float64(a.w.environment.Save.Milliseconds()); a.step != nil && a.step.Keeps && a.did-a.kept >= every {
+	if every := float64(a.w.environment.Save.Milliseconds()); a.step != nil && a.step.KeepsCheckpoint && a.did-a.kept >= every {
 		a.save(math.Floor(a.did/every) * every)
 	}
 }
@@ -119,7 +119,7 @@
 		case a.did >= a.work && a.gang.works:
 			a.gang.finish()
 		case a.stops > 0 && until >= a.stops:
-			if a.step != nil && a.step.Keeps && a.did > a.kept {
+			if a.step != nil && a.step.KeepsCheckpoint && a.did > a.kept {
 				a.save(a.did)
 			}
 			iw.end(a, wire.Stopped)
--- a/sim/capacity/figure.go
+++ b/sim/capacity/figure.go
@@ -20,7 +20,7 @@
 // owns the state machine can use one core of them.
 const (
 	limitCPU    = 2.3  // percent of a core
-	limitMemory = 128  // MB
+	limitMemory = 128  // MaxMegabytes
 	limitBytes  = 2000 // a second, both ways together
 	limitTable  = 6000 // ms
 	limitUrgent = 1600 // ms
--- a/sim/check.go
+++ b/sim/check.go
@@ -30,7 +30,7 @@
 
 // span is one attempt as it ran on a worker.
 type span struct {
-	attempt types.Attempt
+	attempt types.AttemptID
 	who     string
 	shard   types.Shard
 	from    int64
@@ -173,7 +173,7 @@
 }
 
 func (c *checker) read() {
-	live := map[string]map[types.Attempt]*span{}
+	live := map[string]map[types.AttemptID]*span{}
 	close := func(s *span, at int64, f state.Outcome) {
 		s.to, s.outcome = at, f
 		delete(live[s.who], s.attempt)
@@ -194,19 +194,19 @@
 		case Started:
 			s := &span{attempt: h.Attempt, who: h.Who, shard: h.Shard, from: h.At, to: c.end, ref: h.Ref, work: h.Work, late: h.Late}
 			if live[h.Who] == nil {
-				live[h.Who] = map[types.Attempt]*span{}
+				live[h.Who] = map[types.AttemptID]*span{}
 			}
 			live[h.Who][h.Attempt] = s
 			c.spans = append(c.spans, s)
 			j := c.job(h.Attempt.Job)
-			j.spans[h.Attempt.N] = append(j.spans[h.Attempt.N], s)
+			j.spans[h.Attempt.Number] = append(j.spans[h.Attempt.Number], s)
 		case Ended:
 			if s := live[h.Who][h.Attempt]; s != nil {
 				s.how = h.How
 				close(s, h.At, h.Outcome)
 			}
 		case Noted:
-			for _, s := range c.job(h.Attempt.Job).spans[h.Attempt.N] {
+			for _, s := range c.job(h.Attempt.Job).spans[h.Attempt.Number] {
 				if s.attempt == h.Attempt && s.who == h.Who {
 					s.noted = h.At
 				}
@@ -218,13 +218,13 @@
 		case Unclear:
 			c.job(h.Job).unclear++
 		case Settled:
-			for _, s := range c.job(h.Attempt.Job).spans[h.Attempt.N] {
+			for _, s := range c.job(h.Attempt.Job).spans[h.Attempt.Number] {
 				if s.told == 0 && s.attempt == h.Attempt {
 					s.told = h.At
 				}
 			}
 		case Heard:
-			for _, s := range c.job(h.Attempt.Job).spans[h.Attempt.N] {
+			for _, s := range c.job(h.Attempt.Job).spans[h.Attempt.Number] {
 				if s.attempt == h.Attempt {
 					s.heard = append(s.heard, heard{h.Who, h.At})
 				}
@@ -238,7 +238,7 @@
 				if at, ok := c.frozen[h.Who]; ok {
 					s.ice = append(s.ice, [2]int64{at, h.At})
 				}
-				close(s, h.At, state.Gone)
+				close(s, h.At, state.OutcomeWorkerExited)
 			}
 			delete(c.frozen, h.Who)
 			for _, s := range c.spans {
@@ -292,13 +292,13 @@
 // stands for all.
 func (j *job) good(n int, by int64) bool {
 	list := j.spans[n]
-	if p, at := &j.spec.Steps[j.spec.Step(n)], types.StageOf(n); p.Joint {
+	if p, at := &j.spec.Steps[j.spec.StepOf(n)], types.StageOf(n); p.Joint {
 		for i := range p.Tasks {
-			list = slices.Concat(list, j.spans[at.No(i)])
+			list = slices.Concat(list, j.spans[at.TaskNumber(i)])
 		}
 	}
 	for _, s := range list {
-		if s.outcome == state.OK && s.to <= by {
+		if s.outcome == state.OutcomeOK && s.to <= by {
 			return true
 		}
 	}
@@ -308,9 +308,9 @@
 // due is when a step may start at one of the times, by true time, but for what it
 // depends on.
 func (j *job) due(p state.Step, time int) int64 {
-	at := j.sent + int64(p.Delay)*1e6
-	if t := j.spec.Times; t != nil {
-		at = max(at, (t.First+int64(time)*t.Every)*1e6-origin)
+	at := j.sent + int64(p.DelayMillis)*1e6
+	if t := j.spec.Schedule; t != nil {
+		at = max(at, (t.FirstUnixMillis+int64(time)*t.IntervalMillis)*1e6-origin)
 	}
 	return at
 }
@@ -318,17 +318,17 @@
 // order: nothing before what it depends on, nor before its time.
 func (c *checker) order(j *job) {
 	for n, list := range j.spans {
-		p := j.spec.Steps[j.spec.Step(n)]
+		p := j.spec.Steps[j.spec.StepOf(n)]
 		for _, s := range list {
-			if due := j.due(p, types.StageOf(n).Time()); s.from < due-int64(c.b.Early) {
+			if due := j.due(p, types.StageOf(n).Occurrence()); s.from < due-int64(c.b.Early) {
 				c.bad("early", s.from, "%v starts %.3f s too soon", s.attempt, float64(due-s.from)/1e9)
 			}
-			if t, err := time.Parse(time.RFC3339Nano, p.Not); err == nil && s.from+origin < t.UnixNano()-int64(c.b.Early) {
-				c.bad("early", s.from, "%v starts before %s", s.attempt, p.Not)
+			if t, err := time.Parse(time.RFC3339Nano, p.NotBefore); err == nil && s.from+origin < t.UnixNano()-int64(c.b.Early) {
+				c.bad("early", s.from, "%v starts before %s", s.attempt, p.NotBefore)
 			}
-			for _, a := range p.After {
+			for _, a := range p.DependsOn {
 				for i, q := range j.spec.Steps {
-					b := types.No(types.StageOf(n).Time(), i, 0)
+					b := types.TaskNumber(types.StageOf(n).Occurrence(), i, 0)
 					for m := b; q.Name == a && m < b+q.Tasks; m++ {
 						if !j.good(m, s.from) {
 							c.bad("order", s.from, "%v starts before task %d of step %s ended well", s.attempt, m, a)
--- a/sim/check_attempts.go
+++ b/sim/check_attempts.go
@@ -48,11 +48,11 @@
 func (c *checker) overran(s *span) bool {
 	p := c.step(s)
 	for _, r := range c.rows(c.jobs[s.attempt.Job].spec.Queue, s.from, s.to) {
-		long := r.TaskMS
-		if p.Limit > 0 {
-			long = min(long, p.Limit)
+		long := r.TaskTimeoutMillis
+		if p.TimeLimitMillis > 0 {
+			long = min(long, p.TimeLimitMillis)
 		}
-		if s.outcome == state.Halted && s.to-s.from >= int64(long)*1e6 {
+		if s.outcome == state.OutcomeStopped && s.to-s.from >= int64(long)*1e6 {
 			return true
 		}
 	}
@@ -74,23 +74,23 @@
 					continue
 				}
 				why := ""
-				if o.outcome == state.OK || o.outcome == state.Bad {
+				if o.outcome == state.OutcomeOK || o.outcome == state.OutcomeFailed {
 					why = c.excuse(o, s.from, patience)
 				}
 				switch {
-				case o.outcome == state.Bad && why == "":
+				case o.outcome == state.OutcomeFailed && why == "":
 					fails++
-				case o.outcome == state.OK && why == "":
+				case o.outcome == state.OutcomeOK && why == "":
 					c.bad("again", s.from, "%v starts although %v ended well at %.3f s", s.attempt, o.attempt, float64(o.to)/1e9)
-				case o.outcome == state.OK:
+				case o.outcome == state.OutcomeOK:
 					c.seen[why]++
-				case o.outcome != state.Bad:
+				case o.outcome != state.OutcomeFailed:
 					c.seen["again: started again after a lost or stopped attempt"]++
 				}
 			}
 			most := 0
 			for _, r := range c.rows(j.spec.Queue, s.from, s.from) {
-				most = max(most, r.Tries)
+				most = max(most, r.MaxFailures)
 			}
 			if fails >= most {
 				c.bad("tries", s.from, "task %d of %s starts after %d failures, %d allowed", n, j.id, fails, most)
@@ -109,7 +109,7 @@
 const fair = 2500 * time.Millisecond
 
 // removed counts what a worker still ran that had said in time when it goes.
-func (c *checker) removed(h HistoryEvent, live map[types.Attempt]*span) {
+func (c *checker) removed(h HistoryEvent, live map[types.AttemptID]*span) {
 	if d, _ := time.ParseDuration(h.Text); d >= fair {
 		c.seen["removed: workers taken away with notice"]++
 		c.seen["removed: attempts lost to that"] += len(live)
--- a/sim/check_tasks.go
+++ b/sim/check_tasks.go
@@ -17,7 +17,7 @@
 // place: the right service, rack and spread, and nothing for one that leaves.
 func (c *checker) place(j *job) {
 	for n, list := range j.spans {
-		i := j.spec.Step(n)
+		i := j.spec.StepOf(n)
 		p := j.spec.Steps[i]
 		for _, s := range list {
 			m := c.makes[s.shard]
@@ -46,22 +46,22 @@
 					c.bad("leaving", s.from, "%v starts on %s, leaving for %.3f s", s.attempt, s.who, float64(s.from-l[0])/1e9)
 				}
 			}
-			if p.Spread == 0 {
+			if p.MaxPerWorker == 0 {
 				continue
 			}
 			at := 0
 			for m := range p.Tasks {
-				for _, o := range j.spans[types.StageOf(n).No(m)] {
+				for _, o := range j.spans[types.StageOf(n).TaskNumber(m)] {
 					if o.who == s.who && o.from <= s.from && o.to > s.from {
 						at++
 					}
 				}
 			}
-			if at == p.Spread {
+			if at == p.MaxPerWorker {
 				c.seen["spread: started at the limit"]++
 			}
-			if at > p.Spread {
-				c.bad("spread", s.from, "%d tasks of step %s of %s on %s, %d allowed", at, p.Name, j.id, s.who, p.Spread)
+			if at > p.MaxPerWorker {
+				c.bad("spread", s.from, "%d tasks of step %s of %s on %s, %d allowed", at, p.Name, j.id, s.who, p.MaxPerWorker)
 			}
 		}
 	}
@@ -77,21 +77,21 @@
 		var on []*span // those that had not ended
 		for _, s := range list {
 			on = append(slices.DeleteFunc(on, func(o *span) bool { return o.to <= s.from }), s)
-			var sum types.Room
+			var sum types.Resources
 			for _, o := range on {
 				if o.to > s.from {
 					if sp := c.jobs[o.attempt.Job].spec; sp != nil {
-						sum = sum.Plus(sp.Steps[sp.Step(o.attempt.N)].Room)
+						sum = sum.Add(sp.Steps[sp.StepOf(o.attempt.Number)].Resources)
 					}
 				}
 			}
 			if m := c.makes[s.shard]; m.Room.Cores == sum.Cores {
 				c.seen["room: started into the last core"]++
 			}
-			if m := c.makes[s.shard]; c.jobs[s.attempt.Job].spec != nil && !m.Room.Holds(sum.Plus(c.step(s).Room)) {
+			if m := c.makes[s.shard]; c.jobs[s.attempt.Job].spec != nil && !m.Room.Contains(sum.Add(c.step(s).Resources)) {
 				c.seen["room: started where no other like it would fit"]++
 			}
-			if m := c.makes[s.shard]; !m.Room.Holds(sum) {
+			if m := c.makes[s.shard]; !m.Room.Contains(sum) {
 				c.bad("room", s.from, "%s runs %v at once, its room is %v", who, sum, m.Room)
 			}
 		}
@@ -104,7 +104,7 @@
 		if !p.Gang {
 			continue
 		}
-		b := types.No(0, i, 0)
+		b := types.TaskNumber(0, i, 0)
 		for n := b; n < b+p.Tasks; n++ {
 			for _, s := range j.spans[n] {
 				for m := b; m < b+p.Tasks; m++ {
@@ -120,7 +120,7 @@
 func (c *checker) mated(j *job, s *span, m int) {
 	alone := int64(c.b.Alone)
 	for _, o := range j.spans[m] {
-		if o.outcome != state.OK && o.to < c.end && o.to > s.from && s.runs(o.to, c.end) && !newer(j.spans[m], o) {
+		if o.outcome != state.OutcomeOK && o.to < c.end && o.to > s.from && s.runs(o.to, c.end) && !newer(j.spans[m], o) {
 			c.seen["gang: a member lost while a mate ran"]++
 			if len(s.ice) == 0 {
 				c.seen.most("gang: longest alone, ms", int(min(s.to, c.end)-o.to)/1e6)
@@ -134,7 +134,7 @@
 	for _, o := range j.spans[m] {
 		if o.to > s.from && o.from < s.from+alone {
 			met = true
-			if !newer(j.spans[m], o) && o.outcome != state.OK && o.to < c.end && s.runs(o.to+alone, c.end) {
+			if !newer(j.spans[m], o) && o.outcome != state.OutcomeOK && o.to < c.end && s.runs(o.to+alone, c.end) {
 				c.bad("gang", o.to+alone, "%v runs on although %v ended (%s)", s.attempt, o.attempt, o.outcome)
 			}
 		}
@@ -163,10 +163,10 @@
 	if j.missed > j.taken {
 		c.bad("forgotten", j.missed, "%s was accepted, then there was no such job", j.id)
 	}
-	last := state.Stage("")
+	last := state.JobStatus("")
 	for _, h := range j.sight {
-		over := h.Stage == state.Done || h.Stage == state.Failed || h.Stage == state.Stopped
-		if (last == state.Done || last == state.Failed || last == state.Stopped) && h.Stage != last && over {
+		over := h.Stage == state.JobDone || h.Stage == state.JobFailed || h.Stage == state.JobCancelled
+		if (last == state.JobDone || last == state.JobFailed || last == state.JobCancelled) && h.Stage != last && over {
 			c.bad("shown", h.At, "%s was %s, then %s", j.id, last, h.Stage)
 		}
 		if over && last != h.Stage {
@@ -183,37 +183,37 @@
 
 func (c *checker) told(j *job, h HistoryEvent) {
 	dead, late := false, 0
-	for i := range j.spec.Total() {
-		n := j.spec.No(i)
+	for i := range j.spec.TotalTasks() {
+		n := j.spec.TaskNumber(i)
 		fails, last := 0, int64(0)
 		for _, s := range j.spans[n] {
 			if s.runs(h.At, c.end) {
 				c.bad("shown", h.At, "%s is shown %s while %v runs", j.id, h.Stage, s.attempt)
 			}
-			if s.to <= h.At && (s.outcome == state.Bad || c.overran(s)) {
+			if s.to <= h.At && (s.outcome == state.OutcomeFailed || c.overran(s)) {
 				fails, last = fails+1, max(last, s.to)
 			}
 		}
 		least := 1 << 30
 		for _, r := range c.rows(j.spec.Queue, last, h.At) {
-			least = min(least, r.Tries)
+			least = min(least, r.MaxFailures)
 		}
 		dead = dead || fails >= least
-		if h.Stage == state.Failed && j.good(n, h.At) {
+		if h.Stage == state.JobFailed && j.good(n, h.At) {
 			late++
 		}
-		if h.Stage == state.Done && !j.good(n, h.At) {
+		if h.Stage == state.JobDone && !j.good(n, h.At) {
 			c.bad("shown", h.At, "%s is shown done, but task %d never ended well", j.id, n)
 		}
 	}
 	c.seen["shown: ended "+string(h.Stage)]++
-	if h.Stage == state.Failed && !dead && !strings.Contains(h.Text, "lost") {
+	if h.Stage == state.JobFailed && !dead && !strings.Contains(h.Text, "lost") {
 		c.bad("shown", h.At, "%s is shown failed (%s), but no task failed as often as its queue allows", j.id, h.Text)
 	}
-	if h.Stage == state.Failed && late == j.spec.Total() {
+	if h.Stage == state.JobFailed && late == j.spec.TotalTasks() {
 		c.bad("shown", h.At, "%s is shown failed (%s), but all its tasks had ended well", j.id, h.Text)
 	}
-	if h.Stage == state.Stopped && j.halt == 0 && !strings.Contains(h.Text, "cancel") {
+	if h.Stage == state.JobCancelled && j.halt == 0 && !strings.Contains(h.Text, "cancel") {
 		c.bad("shown", h.At, "%s is shown cancelled, but nobody did", j.id)
 	}
 }
@@ -225,7 +225,7 @@
 	var acked []HistoryEvent
 	tried := []config.Table{}
 	fixed := func(t config.Table, at int64) {
-		if o, ok := says[t.Version]; ok && !o.Same(t) {
+		if o, ok := says[t.Version]; ok && !o.SameContent(t) {
 			c.bad("table", at, "version %d says two different things", t.Version)
 		}
 		says[t.Version] = t
@@ -249,7 +249,7 @@
 			}
 			known := h.Table.Version == 0
 			for _, t := range tried {
-				known = known || t.Next().Version == h.Table.Version && t.Same(*h.Table)
+				known = known || t.Accepted().Version == h.Table.Version && t.SameContent(*h.Table)
 			}
 			if !known {
 				c.bad("table", h.At, "version %d was put by nobody", h.Table.Version)
@@ -257,11 +257,11 @@
 		}
 	}
 	for _, h := range c.hist.List {
-		if o, ok := says[types.Version(0)]; h.What == TableNo && ok && len(o.Rows) > 0 {
+		if o, ok := says[types.Version(0)]; h.What == TableNo && ok && len(o.Queues) > 0 {
 			c.bad("table", h.At, "version 0 is not empty")
 		}
 		if h.What == TableNo {
-			if o, ok := says[h.Table.Next().Version]; ok && o.Same(*h.Table) && !c.twin(tried, *h.Table) {
+			if o, ok := says[h.Table.Accepted().Version]; ok && o.SameContent(*h.Table) && !c.twin(tried, *h.Table) {
 				c.bad("table", h.At, "a refused table is version %d", o.Version)
 			}
 		}
@@ -271,7 +271,7 @@
 func (c *checker) twin(tried []config.Table, t config.Table) bool {
 	n := 0
 	for _, o := range tried {
-		if o.Version == t.Version && o.Same(t) {
+		if o.Version == t.Version && o.SameContent(t) {
 			n++
 		}
 	}
@@ -283,7 +283,7 @@
 	first := map[types.JobID]bool{}
 	n := 0
 	for _, x := range h.List {
-		if x.What == Saw && x.Stage == state.Done && !first[x.Job] {
+		if x.What == Saw && x.Stage == state.JobDone && !first[x.Job] {
 			first[x.Job] = true
 			if x.At >= from && x.At < to {
 				n++
--- a/sim/clients.go
+++ b/sim/clients.go
@@ -61,7 +61,7 @@
 		s := f.Spec(c.w.random)
 		if c.w.random.Intn(8) == 0 {
 			due := origin + c.w.now + int64(c.w.random.Intn(3000))*1e6
-			s.Steps[len(s.Steps)-1].Not = time.Unix(0, due).UTC().Format(time.RFC3339Nano)
+			s.Steps[len(s.Steps)-1].NotBefore = time.Unix(0, due).UTC().Format(time.RFC3339Nano)
 		}
 		c.w.record(HistoryEvent{What: Sent, Job: id, Spec: &s})
 		c.send(id, wire.Body(s), c.pick(c.w.random.Intn(3)), 0)
@@ -122,9 +122,9 @@
 			} else if c.deployment.WorkerRules == nil && c.w.random.Float64() < c.Cancel {
 				c.w.at(time.Duration(c.w.random.Int63n(int64(3*time.Second))), func() { c.cancel(id, 0) })
 			}
-		case a.Fault.Retry > 0:
+		case a.Fault.RetryAfterSeconds > 0:
 			c.Count[a.Fault.Kind]++
-			if a.Fault.Kind == apierror.Unsure {
+			if a.Fault.Kind == apierror.OutcomeUnknown {
 				c.w.record(HistoryEvent{What: Unclear, Job: id})
 			} else {
 				c.w.record(HistoryEvent{What: Turned, Job: id, Text: a.Fault.Error()})
@@ -133,7 +133,7 @@
 				again(200 * time.Millisecond)
 				return
 			}
-			again(time.Duration(a.Fault.Retry) * time.Second)
+			again(time.Duration(a.Fault.RetryAfterSeconds) * time.Second)
 		default:
 			c.Count[a.Fault.Kind]++
 			c.w.record(HistoryEvent{What: Denied, Job: id, Text: a.Fault.Error()})
@@ -158,7 +158,7 @@
 	c.w.at(500*time.Millisecond+time.Duration(c.w.random.Int63n(int64(2*time.Second))), func() {
 		c.try(c.any(), "job.get", string(id), nil, func(a wire.Answer) {
 			switch {
-			case a.Fault != nil && a.Fault.Kind == apierror.NoJob:
+			case a.Fault != nil && a.Fault.Kind == apierror.NoSuchJob:
 				c.w.record(HistoryEvent{What: Missed, Job: id})
 			case a.Fault != nil || !c.saw(id, a):
 				c.look(id)
@@ -180,8 +180,8 @@
 		switch {
 		case a.Fault == nil:
 			c.w.record(HistoryEvent{What: Halt, Job: id})
-		case a.Fault.Retry > 0:
-			again(time.Duration(a.Fault.Retry) * time.Second)
+		case a.Fault.RetryAfterSeconds > 0:
+			again(time.Duration(a.Fault.RetryAfterSeconds) * time.Second)
 		}
 	}, func() { again(100 * time.Millisecond) })
 }
@@ -199,11 +199,11 @@
 	c.try(to, "table.put", "", wire.Body(t), func(a wire.Answer) {
 		switch {
 		case a.Fault == nil:
-			got := t.Next()
+			got := t.Accepted()
 			c.w.record(HistoryEvent{What: TableAck, Table: &got, Text: fmt.Sprint(t.Version)})
 			then(true)
-		case a.Fault.Retry > 0:
-			again(time.Duration(a.Fault.Retry) * time.Second)
+		case a.Fault.RetryAfterSeconds > 0:
+			again(time.Duration(a.Fault.RetryAfterSeconds) * time.Second)
 		default:
 			c.w.record(HistoryEvent{What: TableNo, Table: &t, Text: a.Fault.Error()})
 			then(false)
@@ -228,8 +228,8 @@
 				c.w.record(HistoryEvent{What: Drained, Text: arg})
 			}
 			then()
-		case a.Fault.Retry > 0:
-			again(time.Duration(a.Fault.Retry) * time.Second)
+		case a.Fault.RetryAfterSeconds > 0:
+			again(time.Duration(a.Fault.RetryAfterSeconds) * time.Second)
 		}
 	}, func() { again(100 * time.Millisecond) })
 }
--- a/sim/control_faults_test.go
+++ b/sim/control_faults_test.go
@@ -107,7 +107,7 @@
 		for _, h := range r.Hist.List {
 			switch h.What {
 			case TableTry:
-				sent[h.Table.Next().Version] = h.At
+				sent[h.Table.Accepted().Version] = h.At
 			case TableAck:
 				taken++
 				if h.At-sent[h.Table.Version] > int64(lostAfter) {
--- a/sim/core_test.go
+++ b/sim/core_test.go
@@ -223,24 +223,24 @@
 		kind           apierror.Kind
 		field          string
 	}{
-		{"job.put", "a", `{"queue":"none","steps":[]}`, apierror.NoQueue, "queue"},
-		{"job.put", "a", step(`"kind":"none","room":{"cores":1,"memory":0},"tasks":1`), apierror.Unplaced, "steps[0].kind"},
-		{"job.put", "a", step(`"kind":"quote","rack":"r9","room":{"cores":1,"memory":0},"tasks":1`), apierror.Unplaced, "steps[0].rack"},
-		{"job.put", "a", step(`"kind":"quote","room":{"cores":17,"memory":0},"tasks":1`), apierror.Unplaced, "steps[0].room"},
-		{"job.put", "a", step(`"kind":"quote","room":{"cores":9,"memory":0},"tasks":12,"gang":true`), apierror.Unplaced, "steps[0].gang"},
-		{"job.put", "a", step(`"kind":"quote","room":{"cores":1,"memory":0},"tasks":12,"gang":true,"spread":1`), apierror.Unplaced, "steps[0].gang"},
+		{"job.put", "a", `{"queue":"none","steps":[]}`, apierror.NoSuchQueue, "queue"},
+		{"job.put", "a", step(`"kind":"none","room":{"cores":1,"memory":0},"tasks":1`), apierror.NeverPlaceable, "steps[0].kind"},
+		{"job.put", "a", step(`"kind":"quote","rack":"r9","room":{"cores":1,"memory":0},"tasks":1`), apierror.NeverPlaceable, "steps[0].rack"},
+		{"job.put", "a", step(`"kind":"quote","room":{"cores":17,"memory":0},"tasks":1`), apierror.NeverPlaceable, "steps[0].room"},
+		{"job.put", "a", step(`"kind":"quote","room":{"cores":9,"memory":0},"tasks":12,"gang":true`), apierror.NeverPlaceable, "steps[0].gang"},
+		{"job.put", "a", step(`"kind":"quote","room":{"cores":1,"memory":0},"tasks":12,"gang":true,"spread":1`), apierror.NeverPlaceable, "steps[0].gang"},
 		{"job.put", "a", good, "", ""},
 		{"job.put", "a", good, "", ""},
-		{"job.put", "a", step(`"kind":"quote","room":{"cores":2,"memory":0},"tasks":1`), apierror.Conflict, "id"},
-		{"job.get", "b", "", apierror.NoJob, "id"},
-		{"job.cancel", "b", "", apierror.NoJob, "id"},
-		{"job.cancel", "a", "", apierror.Ended, "id"},
+		{"job.put", "a", step(`"kind":"quote","room":{"cores":2,"memory":0},"tasks":1`), apierror.IDInUse, "id"},
+		{"job.get", "b", "", apierror.NoSuchJob, "id"},
+		{"job.cancel", "b", "", apierror.NoSuchJob, "id"},
+		{"job.cancel", "a", "", apierror.AlreadyEnded, "id"},
 		{"job.put", "c", step(`"kind":"quote","room":{"cores":1,"memory":0},"tasks":1,"delay_ms":60000`), "", ""},
 		{"job.cancel", "c", "", "", ""},
 		{"job.cancel", "c", "", "", ""},
-		{"table.put", "", `{"edition":0,"queues":[]}`, apierror.Stale, "edition"},
-		{"table.put", "", `{"edition":7,"queues":[]}`, apierror.Stale, "edition"},
-		{"made.up", "", "", apierror.NoPath, ""},
+		{"table.put", "", `{"edition":0,"queues":[]}`, apierror.StaleVersion, "edition"},
+		{"table.put", "", `{"edition":7,"queues":[]}`, apierror.StaleVersion, "edition"},
+		{"made.up", "", "", apierror.NoSuchPath, ""},
 	} {
 		a := ask(c.verb, c.id, c.body)
 		if c.kind == "" {
@@ -293,8 +293,8 @@
 		for i, at := range []string{"delay", "time"} {
 			s := duo("payments", "pay")(r.random)
 			s.Steps = s.Steps[:1]
-			if s.Steps[0].Delay = 3000; i > 0 {
-				s.Steps[0].Delay, s.Steps[0].Not = 0, time.Unix(0, origin+r.now+3e9).UTC().Format(time.RFC3339Nano)
+			if s.Steps[0].DelayMillis = 3000; i > 0 {
+				s.Steps[0].DelayMillis, s.Steps[0].NotBefore = 0, time.Unix(0, origin+r.now+3e9).UTC().Format(time.RFC3339Nano)
 			}
 			r.record(HistoryEvent{What: Sent, Job: types.JobID(at), Spec: &s})
 			r.Clients.send(types.JobID(at), wire.Body(s), "g1", 0)
--- a/sim/cost_test.go
+++ b/sim/cost_test.go
@@ -39,9 +39,9 @@
 		r.Clients.Cancel = 0
 		r.Run(9 * time.Second)
 		for i := range tasks / 500 {
-			s := state.Spec{Queue: "menus", Steps: []state.Step{{Name: "f", Kind: "menu", Room: types.Room{Cores: 16 * types.Core}, Tasks: 500, Work: []byte(`{"ms":30000}`)}}}
+			s := state.Spec{Queue: "menus", Steps: []state.Step{{Name: "f", Kind: "menu", Resources: types.Resources{Cores: 16 * types.Core}, Tasks: 500, Work: []byte(`{"ms":30000}`)}}}
 			if i%2 == 0 {
-				s.Steps[0].Delay = 3_600_000
+				s.Steps[0].DelayMillis = 3_600_000
 			}
 			id := types.JobID(fmt.Sprint("menus-f", i))
 			r.record(HistoryEvent{What: Sent, Job: id, Spec: &s})
--- a/sim/crowd_test.go
+++ b/sim/crowd_test.go
@@ -15,7 +15,7 @@
 )
 
 // rateOf counts a queue's jobs seen done a second.
-func rateOf(h *History, q types.Queue, from, to time.Duration) float64 {
+func rateOf(h *History, q types.QueueName, from, to time.Duration) float64 {
 	part := &History{}
 	for _, x := range h.List {
 		if len(x.Job) > len(q) && string(x.Job[:len(q)]) == string(q) {
@@ -39,7 +39,7 @@
 		}
 	})
 	flood := Flow{"menus", 25 * time.Millisecond, func(rnd *rand.Rand) state.Spec {
-		return state.Spec{Queue: "menus", Urgency: 9, Steps: []state.Step{{Name: "all", Kind: "menu", Room: types.Room{Cores: 2 * types.Core, Memory: 64},
+		return state.Spec{Queue: "menus", Urgency: 9, Steps: []state.Step{{Name: "all", Kind: "menu", Resources: types.Resources{Cores: 2 * types.Core, MemoryMB: 64},
 			Tasks: 20, Work: work(rnd, 2000, 4000)}}}
 	}}
 	r.at(18*time.Second, func() { r.Clients.flow(flood) })
@@ -50,7 +50,7 @@
 	t.Logf("quotes a second: calm %.2f, in the flood %.2f; payments %.2f; refusals %v", calm, full, pay, r.Clients.Count)
 	is.True(full > 0.85*calm)
 	is.True(pay > 0.6)
-	is.True(r.Clients.Count[apierror.Full] > 100) // told to come back
+	is.True(r.Clients.Count[apierror.QueueFull] > 100) // told to come back
 	v, _ := Check(&r.Hist, Bounds{Start: Rules.Start, Run: Rules.Run, Early: Rules.Early, Leave: Rules.Leave, Alone: Rules.Alone, Table: Rules.Table},
 		r.now, 30*time.Second)
 	is.Equal(len(v), 0)
--- a/sim/cutoff_observe_test.go
+++ b/sim/cutoff_observe_test.go
@@ -57,7 +57,7 @@
 				o.word = r.word[[2]types.Addr{from, m.Lead}]
 			case m.Fault != nil:
 				r.control(o, wire.Answer{Fault: m.Fault})
-				o.retry = m.Fault.Retry > 0
+				o.retry = m.Fault.RetryAfterSeconds > 0
 			}
 			o.last = o.code
 			r.list = append(r.list, o)
@@ -76,7 +76,7 @@
 		if verb == "beat" {
 			o := &observation{sent: w.now, answered: w.now, daemon: daemon, audience: toWorkers, request: workerBeat, code: http.StatusOK, last: http.StatusOK}
 			if a.Fault != nil {
-				o.code, o.retry = a.Fault.Code(), apierror.Later[a.Fault.Kind]
+				o.code, o.retry = a.Fault.StatusCode(), apierror.Retryable[a.Fault.Kind]
 			}
 			r.list = append(r.list, o)
 		}
--- a/sim/cutoff_planted_test.go
+++ b/sim/cutoff_planted_test.go
@@ -19,7 +19,7 @@
 )
 
 // noLeader tells an answer by which a controller says that it can't answer now.
-func noLeader(a *wire.Answer) bool { return a.Fault != nil && a.Fault.Kind == apierror.NoLead }
+func noLeader(a *wire.Answer) bool { return a.Fault != nil && a.Fault.Kind == apierror.NoLeader }
 
 // whileCut changes the answers of controllers that can't give one, while some are cut off.
 func whileCut(verb string, change func(c *cutoff, daemon types.Addr, a *wire.Answer) bool) func(*cutoff) {
@@ -103,12 +103,12 @@
 		return true
 	})},
 	{"an order is refused by what was known", "definite refusal", "from all machines", true, whileCut("table.put", func(_ *cutoff, _ types.Addr, a *wire.Answer) bool {
-		*a = wire.Answer{Fault: apierror.New(apierror.Stale, "edition", "")}
+		*a = wire.Answer{Fault: apierror.New(apierror.StaleVersion, "edition", "")}
 		return true
 	})},
 	{"no answer in place of a refusal", "at once", "from all machines", false, whileCut("table.get", func(*cutoff, types.Addr, *wire.Answer) bool { return false })},
 	{"an unclear answer in place of a refusal", "at once", "from all machines", true, whileCut("table.get", func(_ *cutoff, _ types.Addr, a *wire.Answer) bool {
-		*a = wire.Answer{Fault: apierror.New(apierror.Unsure, "", "")}
+		*a = wire.Answer{Fault: apierror.New(apierror.OutcomeUnknown, "", "")}
 		return true
 	})},
 	{"a gateway is not confirmed after the cut", "serves again", "with its zone", true, func(c *cutoff) {
@@ -182,7 +182,7 @@
 		r.wait(50 * time.Millisecond)
 		is.Equal(len(answers), 4) // all at once
 		for verb, a := range answers {
-			if a.Fault == nil || a.Fault.Kind != apierror.NoLead || a.Fault.Retry == 0 || a.Lead == l.addr {
+			if a.Fault == nil || a.Fault.Kind != apierror.NoLeader || a.Fault.RetryAfterSeconds == 0 || a.Lead == l.addr {
 				t.Error(fmt.Sprintf("seed %d: %s is answered by what was known before: %+v %v", seed, verb, a, a.Fault))
 			}
 		}
@@ -225,7 +225,7 @@
 			var got wire.Answer
 			r.request(probeAddr, n.addr, "table.get", "", nil, func(a wire.Answer) { got = a })
 			r.wait(50 * time.Millisecond)
-			is.True(got.Fault != nil && got.Fault.Kind == apierror.NoLead)
+			is.True(got.Fault != nil && got.Fault.Kind == apierror.NoLeader)
 			is.Equal(got.Lead, types.Addr(""))
 			is.Equal(r.status(n).Ready, false)
 		})
--- a/sim/cutoff_record_test.go
+++ b/sim/cutoff_record_test.go
@@ -213,16 +213,16 @@
 func (r *recorder) replace(to types.Addr) {
 	r.next++
 	t := r.newest
-	t.Rows = slices.Clone(t.Rows)
-	t.Rows[0].Timeout = 1000 + r.next
-	t.Becomes = t.Version + 1
+	t.Queues = slices.Clone(t.Queues)
+	t.Queues[0].RequestTimeoutMillis = 1000 + r.next
+	t.RequestedVersion = t.Version + 1
 	r.r.record(HistoryEvent{What: TableTry, Table: &t})
 	r.ask(to, toOperators, replaceTable, "table.put", "", wire.Body(t), func(o *observation, a wire.Answer) {
 		r.control(o, a)
 		if o.code != http.StatusOK {
 			return
 		}
-		got := t.Next()
+		got := t.Accepted()
 		o.version = got.Version
 		r.r.record(HistoryEvent{What: TableAck, Table: &got, Text: fmt.Sprint(t.Version)})
 		r.acked = append(r.acked, acknowledgement{r.r.now, got.Version})
@@ -243,7 +243,7 @@
 	page := r.fronts[to]
 	page.Publish(t, inPageTime(door.ConfirmedUntil(), n.clock().Mono))
 	*r.passed[to] = false
-	route := r.newest.Rows[0].Prefix
+	route := r.newest.Queues[0].PathPrefix
 	if r.strangers {
 		route = "/nowhere/"
 	}
@@ -259,7 +259,7 @@
 
 // inPageTime moves the end of a confirmation from the simulated clock of a daemon to
 // the real one that its page compares it with.
-func inPageTime(confirmedUntil, now types.Stamp) types.Stamp {
+func inPageTime(confirmedUntil, now types.MonoTime) types.MonoTime {
 	if now >= confirmedUntil {
 		return 0
 	}
@@ -282,13 +282,13 @@
 }
 
 func (r *recorder) count(to types.Addr) {
-	r.caller(to, countQueue, "queue.count", string(r.newest.Rows[0].Name), nil, func(bool) {})
+	r.caller(to, countQueue, "queue.count", string(r.newest.Queues[0].Name), nil, func(bool) {})
 }
 
 func (r *recorder) submit(to types.Addr) {
 	r.next++
 	id := types.JobID(fmt.Sprintf("%016x", 1<<40+r.next))
-	s := state.Spec{Queue: r.newest.Rows[0].Name, Steps: []state.Step{{Name: "a", Kind: "work", Room: types.Room{Cores: types.Core, Memory: 32}, Tasks: 1, Work: Work{MS: 50}.raw()}}}
+	s := state.Spec{Queue: r.newest.Queues[0].Name, Steps: []state.Step{{Name: "a", Kind: "work", Resources: types.Resources{Cores: types.Core, MemoryMB: 32}, Tasks: 1, Work: Work{MS: 50}.raw()}}}
 	r.r.record(HistoryEvent{What: Sent, Job: id, Spec: &s})
 	r.caller(to, submitJob, "job.put", string(id), wire.Body(s), func(ok bool) {
 		if ok {
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -163,7 +163,7 @@
 	}
 	d.rows = slices.Clone(d.rows)
 	for i := range d.rows {
-		d.rows[i].Host, d.rows[i].Prefix = routeHost, "/"+string(d.rows[i].Name)+"/"
+		d.rows[i].Host, d.rows[i].PathPrefix = routeHost, "/"+string(d.rows[i].Name)+"/"
 	}
 	c := &cutoff{Run: build(Plan{Seed: seed, Quick: true, Patience: 5 * time.Second}, d)}
 	c.network = NetworkQuality{}
@@ -174,7 +174,7 @@
 	}
 	c.at(6*time.Second, func() {
 		c.traffic()
-		c.record = record(c.Run, table.Next())
+		c.record = record(c.Run, table.Accepted())
 	})
 	c.at(cutFrom, func() { c.begin(leads, w) })
 	c.Run.Run(cutEnd + 8*time.Second)
--- a/sim/deployment.go
+++ b/sim/deployment.go
@@ -16,13 +16,13 @@
 // Deployment is a deployment.
 type Deployment struct {
 	Name  string
-	Cores types.Cores
+	Cores types.MilliCores
 	Flows []Flow
 
 	Size                     // of the deployment; nothing said is Small
 	WorkerRules *WorkerRules // of its workers, where they are called
 	Streams     []Stream
-	rows        []config.Row
+	rows        []config.Queue
 }
 
 // Size is how many of each there are. Where controllers found the cluster together, they
@@ -46,7 +46,7 @@
 
 // Flow is one stream of jobs of a shape, with its mean rate.
 type Flow struct {
-	Queue types.Queue
+	Queue types.QueueName
 	Every time.Duration
 	Spec  func(r *rand.Rand) state.Spec
 }
@@ -56,44 +56,44 @@
 }
 
 // gangs is two small gangs of short tasks.
-func gangs(q types.Queue, kind types.Kind, cores int) func(*rand.Rand) state.Spec {
+func gangs(q types.QueueName, kind types.ServiceKind, cores int) func(*rand.Rand) state.Spec {
 	return func(r *rand.Rand) state.Spec {
 		s := state.Spec{Queue: q, Urgency: r.Intn(3)}
 		for _, name := range []string{"near", "far"} {
-			s.Steps = append(s.Steps, state.Step{Name: name, Kind: kind, Room: types.Room{Cores: types.Cores(cores) * types.Core, Memory: 64}, Tasks: 2 + r.Intn(2),
-				Gang: true, Spread: 1 + r.Intn(2), Work: work(r, 60, 250)})
+			s.Steps = append(s.Steps, state.Step{Name: name, Kind: kind, Resources: types.Resources{Cores: types.MilliCores(cores) * types.Core, MemoryMB: 64}, Tasks: 2 + r.Intn(2),
+				Gang: true, MaxPerWorker: 1 + r.Intn(2), Work: work(r, 60, 250)})
 		}
 		if r.Intn(3) == 0 {
-			s.Steps[1].After = []string{"near"}
+			s.Steps[1].DependsOn = []string{"near"}
 		}
 		return s
 	}
 }
 
 // wide is one wide step of long tasks.
-func wide(q types.Queue, kind types.Kind, cores, tasks int) func(*rand.Rand) state.Spec {
+func wide(q types.QueueName, kind types.ServiceKind, cores, tasks int) func(*rand.Rand) state.Spec {
 	return func(r *rand.Rand) state.Spec {
-		s := state.Spec{Queue: q, Steps: []state.Step{{Name: "all", Kind: kind, Room: types.Room{Cores: types.Cores(cores) * types.Core, Memory: 256}, Tasks: tasks,
-			Spread: 3, Work: work(r, 1500, 4000)}}}
+		s := state.Spec{Queue: q, Steps: []state.Step{{Name: "all", Kind: kind, Resources: types.Resources{Cores: types.MilliCores(cores) * types.Core, MemoryMB: 256}, Tasks: tasks,
+			MaxPerWorker: 3, Work: work(r, 1500, 4000)}}}
 		if r.Intn(4) == 0 {
-			s.Steps[0].Rack, s.Steps[0].Spread = types.Rack(fmt.Sprintf("r%d", 1+r.Intn(3))), 0
+			s.Steps[0].Rack, s.Steps[0].MaxPerWorker = types.Rack(fmt.Sprintf("r%d", 1+r.Intn(3))), 0
 		}
 		return s
 	}
 }
 
 // duo is two short tasks, one after the other or side by side.
-func duo(q types.Queue, kind types.Kind) func(*rand.Rand) state.Spec {
+func duo(q types.QueueName, kind types.ServiceKind) func(*rand.Rand) state.Spec {
 	return func(r *rand.Rand) state.Spec {
 		s := state.Spec{Queue: q, Urgency: 5}
 		for _, name := range []string{"hold", "book"} {
-			s.Steps = append(s.Steps, state.Step{Name: name, Kind: kind, Room: types.Room{Cores: 1 * types.Core, Memory: 32}, Tasks: 1, Work: work(r, 40, 150)})
+			s.Steps = append(s.Steps, state.Step{Name: name, Kind: kind, Resources: types.Resources{Cores: 1 * types.Core, MemoryMB: 32}, Tasks: 1, Work: work(r, 40, 150)})
 		}
 		switch r.Intn(3) {
 		case 0:
-			s.Steps[1].After = []string{"hold"}
+			s.Steps[1].DependsOn = []string{"hold"}
 		case 1:
-			s.Steps[1].Delay = 300 + r.Intn(700)
+			s.Steps[1].DelayMillis = 300 + r.Intn(700)
 		}
 		if r.Intn(25) == 0 {
 			s.Steps[1].Work = json.RawMessage(`{"ms":50,"fail":true}`)
@@ -119,23 +119,23 @@
 // Table is a deployment's first table.
 func (d Deployment) Table() config.Table {
 	if d.WorkerRules != nil {
-		return config.Table{Orphans: config.Finish, Rows: d.rows, Services: []config.Service{{Name: "work", Guards: true}}}
+		return config.Table{Orphans: config.FinishOrphans, Queues: d.rows, Services: []config.Service{{Name: "work", EnforcesResources: true}}}
 	}
-	row := func(f Flow, weight, share int) config.Row {
-		return config.Row{Name: f.Queue, Weight: weight, Share: share, Running: 500, Waiting: 400, Tries: 3, TaskMS: 60_000, Patience: 30_000, CutMS: 86_400_000, Stall: 10, Moves: 3}
+	row := func(f Flow, weight, share int) config.Queue {
+		return config.Queue{Name: f.Queue, Weight: weight, SharePercent: share, MaxRunning: 500, MaxUnfinished: 400, MaxFailures: 3, TaskTimeoutMillis: 60_000, UnresolvedTimeoutMillis: 30_000, PartitionTimeoutMillis: 86_400_000, StragglerFactor: 10, MaxPreemptions: 3}
 	}
-	return config.Table{Rows: []config.Row{row(d.Flows[0], 4, 30), row(d.Flows[1], 2, 10), row(d.Flows[2], 4, 20)}}
+	return config.Table{Queues: []config.Queue{row(d.Flows[0], 4, 30), row(d.Flows[1], 2, 10), row(d.Flows[2], 4, 20)}}
 }
 
 // Workers lists them, rack by rack.
 func (d Deployment) Workers() (list []WorkerSpec) {
-	kinds := [][]types.Kind{{"quote", "menu"}, {"quote", "pay"}, {"menu", "pay", "quote"}}
+	kinds := [][]types.ServiceKind{{"quote", "menu"}, {"quote", "pay"}, {"menu", "pay", "quote"}}
 	x := d.size()
 	for i := range x.Workers {
 		if d.WorkerRules != nil {
 			size := []float64{1, 1, 1.5}[i%3]
-			m := WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.Rack+1)), Kinds: []types.Kind{"work"},
-				Room: types.Room{Cores: types.Cores(float64(d.Cores) * size), Memory: int(float64(d.Cores) * size * 2048 / 1000)}, Guards: true}
+			m := WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.Rack+1)), Kinds: []types.ServiceKind{"work"},
+				Room: types.Resources{Cores: types.MilliCores(float64(d.Cores) * size), MemoryMB: int(float64(d.Cores) * size * 2048 / 1000)}, Guards: true}
 			if m.Labels = []string{"a"}; i%3 == 1 {
 				m.Labels = append(m.Labels, "b")
 			}
@@ -143,7 +143,7 @@
 			continue
 		}
 		list = append(list, WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.Rack+1)),
-			Kinds: kinds[i%3], Room: types.Room{Cores: d.Cores, Memory: int(d.Cores) * 1024 / 1000}})
+			Kinds: kinds[i%3], Room: types.Resources{Cores: d.Cores, MemoryMB: int(d.Cores) * 1024 / 1000}})
 	}
 	return
 }
@@ -155,7 +155,7 @@
 // does, so that faults meet gangs that run for long.
 func (d Deployment) LongGangs() Flow {
 	return Flow{d.Flows[1].Queue, 5 * time.Second, func(r *rand.Rand) state.Spec {
-		return state.Spec{Queue: d.Flows[1].Queue, Steps: []state.Step{{Name: "parade", Kind: "menu", Room: types.Room{Cores: 1 * types.Core, Memory: 64},
-			Tasks: 3, Gang: true, Spread: 1, Work: work(r, 7000, 9000)}}}
+		return state.Spec{Queue: d.Flows[1].Queue, Steps: []state.Step{{Name: "parade", Kind: "menu", Resources: types.Resources{Cores: 1 * types.Core, MemoryMB: 64},
+			Tasks: 3, Gang: true, MaxPerWorker: 1, Work: work(r, 7000, 9000)}}}
 	}}
 }
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -239,7 +239,7 @@
 		undo := func() {
 			r.Clients.order("drain.drop", rack, nil, 0, func() { delete(r.drains, rack) })
 		}
-		r.Clients.order("drain.put", rack, wire.Body(config.Drain{Within: r.random.Intn(3) * 1000}), 0, func() {
+		r.Clients.order("drain.put", rack, wire.Body(config.Drain{WithinMillis: r.random.Intn(3) * 1000}), 0, func() {
 			if acked = true; over {
 				undo()
 			}
--- a/sim/front_test.go
+++ b/sim/front_test.go
@@ -13,14 +13,14 @@
 // front is what a gateway last published of its table, as its requests see it.
 type front struct {
 	version types.Version
-	until   types.Stamp
+	until   types.MonoTime
 	fresh   bool // as a planted bug had it: found at the step, and not at the request
 }
 
 // probeFronts asks what each gateway would decide by, every 20 ms from the start of
 // the traffic, and gives the decisions by a version that was replaced longer ago
 // than a table may be in use after its acknowledgement.
-func probeFronts(r *Run, decides func(front, types.Stamp) bool) (late *int, decided *int) {
+func probeFronts(r *Run, decides func(front, types.MonoTime) bool) (late *int, decided *int) {
 	fronts := map[*node]front{}
 	r.After = func(n *node) {
 		if g, ok := n.m.(*gateway.Gateway); ok {
@@ -60,11 +60,11 @@
 		t.Skip("run without the race detector")
 	}
 	for name, c := range map[string]struct {
-		decides func(front, types.Stamp) bool
+		decides func(front, types.MonoTime) bool
 		caught  bool
 	}{
-		"as it is":      {func(f front, now types.Stamp) bool { return now < f.until }, false},
-		"published bit": {func(f front, _ types.Stamp) bool { return f.fresh }, true},
+		"as it is":      {func(f front, now types.MonoTime) bool { return now < f.until }, false},
+		"published bit": {func(f front, _ types.MonoTime) bool { return f.fresh }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/sim/goodput_test.go
+++ b/sim/goodput_test.go
@@ -28,8 +28,8 @@
 func crowd(t *testing.T, seed int64, each time.Duration, rude float64, also ...Flow) (good, pay float64) {
 	t.Helper()
 	r := busy(seed, func(t *config.Table) {
-		for i := range t.Rows {
-			t.Rows[i].Waiting = 150
+		for i := range t.Queues {
+			t.Queues[i].MaxUnfinished = 150
 		}
 	}, heavy(each), Deployments["kingston"].Flows[1], Deployments["kingston"].Flows[2])
 	r.Clients.Rude = rude
@@ -82,10 +82,10 @@
 		return
 	}
 	burst := Flow{"menus", 400 * time.Millisecond, func(rnd *rand.Rand) state.Spec {
-		return state.Spec{Queue: "menus", Urgency: 9, Steps: []state.Step{{Name: "b", Kind: "menu", Room: types.Room{Cores: 12 * types.Core}, Tasks: 3, Work: work(rnd, 1000, 3000)}}}
+		return state.Spec{Queue: "menus", Urgency: 9, Steps: []state.Step{{Name: "b", Kind: "menu", Resources: types.Resources{Cores: 12 * types.Core}, Tasks: 3, Work: work(rnd, 1000, 3000)}}}
 	}}
 	endless := Flow{"menus", 400 * time.Millisecond, func(rnd *rand.Rand) state.Spec {
-		return state.Spec{Queue: "menus", Steps: []state.Step{{Name: "e", Kind: "menu", Room: types.Room{Cores: 1 * types.Core}, Tasks: 20, Work: []byte(`{"ms":100000000}`)}}}
+		return state.Spec{Queue: "menus", Steps: []state.Step{{Name: "e", Kind: "menu", Resources: types.Resources{Cores: 1 * types.Core}, Tasks: 20, Work: []byte(`{"ms":100000000}`)}}}
 	}}
 	for name, f := range map[string]Flow{"large and urgent jobs": burst, "work that never ends": endless} {
 		one, pay1 := crowd(t, 71, sustained, 0, f)
--- a/sim/grown_day_test.go
+++ b/sim/grown_day_test.go
@@ -57,16 +57,16 @@
 // cause, is the verdict's to judge.
 func unstarted(events []HistoryEvent) (count int) {
 	owed := map[types.JobID]int{}
-	started := map[types.Task]bool{}
-	failed := map[types.Task]bool{}
+	started := map[types.TaskID]bool{}
+	failed := map[types.TaskID]bool{}
 	for _, h := range events {
 		switch h.What {
 		case Sent:
-			owed[h.Job] = h.Spec.Total()
+			owed[h.Job] = h.Spec.TotalTasks()
 		case Started:
-			started[h.Attempt.Task] = true
+			started[h.Attempt.TaskID] = true
 		case Ended:
-			failed[h.Attempt.Task] = h.How != wire.Done && (failed[h.Attempt.Task] || h.How == wire.Failed)
+			failed[h.Attempt.TaskID] = h.How != wire.Done && (failed[h.Attempt.TaskID] || h.How == wire.Failed)
 		case Halting:
 			delete(owed, h.Job)
 		}
--- a/sim/history.go
+++ b/sim/history.go
@@ -55,18 +55,18 @@
 
 // HistoryEvent is one line of the history. At is true time in nanoseconds.
 type HistoryEvent struct {
-	At      int64         `json:"at"`
-	What    EventKind     `json:"what"`
-	Who     string        `json:"who,omitempty"`
-	Shard   types.Shard   `json:"shard,omitempty"`
-	Attempt types.Attempt `json:"attempt,omitzero"`
-	Outcome state.Outcome `json:"outcome,omitempty"`
-	Job     types.JobID   `json:"job,omitempty"`
-	Stage   state.Stage   `json:"stage,omitempty"`
-	Spec    *state.Spec   `json:"spec,omitempty"`
-	Make    *WorkerSpec   `json:"make,omitempty"`
-	Table   *config.Table `json:"table,omitempty"`
-	Text    string        `json:"text,omitempty"`
+	At      int64           `json:"at"`
+	What    EventKind       `json:"what"`
+	Who     string          `json:"who,omitempty"`
+	Shard   types.Shard     `json:"shard,omitempty"`
+	Attempt types.AttemptID `json:"attempt,omitzero"`
+	Outcome state.Outcome   `json:"outcome,omitempty"`
+	Job     types.JobID     `json:"job,omitempty"`
+	Stage   state.JobStatus `json:"stage,omitempty"`
+	Spec    *state.Spec     `json:"spec,omitempty"`
+	Make    *WorkerSpec     `json:"make,omitempty"`
+	Table   *config.Table   `json:"table,omitempty"`
+	Text    string          `json:"text,omitempty"`
 
 	// Of workers that are invoked.
 	How      wire.How        `json:"how,omitempty"`
--- a/sim/hours_test.go
+++ b/sim/hours_test.go
@@ -45,8 +45,8 @@
 	var f *apierror.Error
 	r.request(r.Clients.addr, "g1", "job.cancel", "quotes-1", nil, func(a wire.Answer) { f = a.Fault })
 	r.Run(32 * time.Second)
-	is.Equal(f.Kind, apierror.NoLead) // the cut side's own gateway refuses at once
-	is.True(f.Retry > 1)
+	is.Equal(f.Kind, apierror.NoLeader) // the cut side's own gateway refuses at once
+	is.True(f.RetryAfterSeconds > 1)
 	r.Clients.open = *steady // else hours of little traffic: a burst every two minutes
 	if *steady {
 		r.Run(time.Duration(cut) + *long)
@@ -69,7 +69,7 @@
 		if h.What == Sent && h.At < cut+int64(10*time.Second) {
 			sent++
 			r.request(r.Clients.addr, "g1", "job.put", string(h.Job), wire.Body(h.Spec), func(a wire.Answer) {
-				if a.Fault != nil && a.Fault.Retry == 0 {
+				if a.Fault != nil && a.Fault.RetryAfterSeconds == 0 {
 					t.Error(h.Job, a.Fault)
 				}
 			})
--- a/sim/invoked_check.go
+++ b/sim/invoked_check.go
@@ -123,31 +123,31 @@
 func (c *checker) twice(j *job) {
 	shown := int64(0)
 	for _, h := range j.sight {
-		if h.Stage == state.Done && shown == 0 {
+		if h.Stage == state.JobDone && shown == 0 {
 			shown = h.At
 		}
 	}
 	for n, list := range j.spans {
-		p := j.spec.Steps[j.spec.Step(n)]
+		p := j.spec.Steps[j.spec.StepOf(n)]
 		for i, s := range list {
 			hard := !s.late && c.touched(s.shard, s.from)
 			if shown > 0 && s.from > shown+sec && hard {
 				c.bad("again", s.from, "%v starts %.3f s after its job was shown done", s.attempt, float64(s.from-shown)/1e9)
 			}
 			for _, o := range list[:i] {
-				if o.runs(s.from, s.to) && !p.Copies {
+				if o.runs(s.from, s.to) && !p.AllowHedge {
 					c.bad("twice", s.from, "%v on %s while %v runs on %s", s.attempt, s.who, o.attempt, o.who)
 				}
-				if o.outcome == state.Lapsed || o.outcome == state.Gone {
+				if o.outcome == state.OutcomeLeaseExpired || o.outcome == state.OutcomeWorkerExited {
 					c.seen["twice: started again after a lapse or a crash"]++
 				}
 			}
 			for _, o := range c.peers(j, n, p) {
 				switch {
-				case o.outcome != state.OK || o.to > s.from || o == s:
+				case o.outcome != state.OutcomeOK || o.to > s.from || o == s:
 				case o.noted == 0:
 					c.seen["again: started after a good end that was never noted"]++
-				case !p.Copies || s.from > o.noted+sec && hard:
+				case !p.AllowHedge || s.from > o.noted+sec && hard:
 					c.bad("again", s.from, "%v starts although %v ended well at %.3f s, noted at %.3f s", s.attempt, o.attempt, float64(o.to)/1e9, float64(o.noted)/1e9)
 				}
 			}
@@ -161,7 +161,7 @@
 		return j.spans[n]
 	}
 	for i := range p.Tasks {
-		list = append(list, j.spans[types.StageOf(n).No(i)]...)
+		list = append(list, j.spans[types.StageOf(n).TaskNumber(i)]...)
 	}
 	return
 }
@@ -170,22 +170,22 @@
 // gang's members with one number are one.
 func (c *checker) tries(j *job) {
 	for n, list := range j.spans {
-		p := j.spec.Steps[j.spec.Step(n)]
-		if p.Lasts {
+		p := j.spec.Steps[j.spec.StepOf(n)]
+		if p.AlwaysRestart {
 			continue
 		}
 		for _, s := range list {
 			failed, last := map[int]bool{}, int64(0)
 			for _, o := range c.peers(j, n, p) {
-				if o.outcome == state.Bad && o.to <= s.from && o.noted > 0 && o.attempt.Attempt != s.attempt.Attempt {
+				if o.outcome == state.OutcomeFailed && o.to <= s.from && o.noted > 0 && o.attempt.Attempt != s.attempt.Attempt {
 					failed[o.attempt.Attempt], last = true, max(last, o.noted)
 				}
 			}
 			most := 0
 			for _, r := range c.rows(j.spec.Queue, s.from, s.from) {
-				most = max(most, r.Tries)
+				most = max(most, r.MaxFailures)
 			}
-			if len(failed) >= most && (!p.Copies || s.from > last+sec && !s.late && c.touched(s.shard, s.from)) {
+			if len(failed) >= most && (!p.AllowHedge || s.from > last+sec && !s.late && c.touched(s.shard, s.from)) {
 				c.bad("tries", s.from, "%v starts after %d failures, %d allowed", s.attempt, len(failed), most)
 			}
 			if len(failed) > 0 {
@@ -212,13 +212,13 @@
 // unasked: only what was sent, with its own work, from what its own task saved.
 func (c *checker) unasked(j *job, saves map[string]HistoryEvent) {
 	for n, list := range j.spans {
-		i := j.spec.Step(n)
+		i := j.spec.StepOf(n)
 		for _, s := range list {
 			if i < 0 {
 				c.bad("unasked", s.from, "%v starts, a task that its job has not", s.attempt)
 				continue
 			}
-			if !same(s.work, j.spec.What(i)) {
+			if !same(s.work, j.spec.StepWork(i)) {
 				c.bad("unasked", s.from, "%v starts with other work: %s", s.attempt, s.work)
 			}
 			if s.from < j.sent {
@@ -229,7 +229,7 @@
 			}
 			c.seen["unasked: started from what was saved"]++
 			h, p := saves[s.ref], j.spec.Steps[i]
-			own := h.Attempt.Job == j.id && (h.Attempt.N == n || p.Joint && types.StageOf(h.Attempt.N) == types.StageOf(n))
+			own := h.Attempt.Job == j.id && (h.Attempt.Number == n || p.Joint && types.StageOf(h.Attempt.Number) == types.StageOf(n))
 			if !own || h.At > s.from {
 				c.bad("unasked", s.from, "%v starts from %s, which is not its own", s.attempt, s.ref)
 			}
--- a/sim/invoked_deployment.go
+++ b/sim/invoked_deployment.go
@@ -17,7 +17,7 @@
 
 // Stream is jobs of a shape with their mean rate, of which some are cancelled.
 type Stream struct {
-	Queue  types.Queue
+	Queue  types.QueueName
 	Every  time.Duration
 	Spec   func(r *rand.Rand, now int64) state.Spec
 	Cancel float64       // the part that is cancelled,
@@ -26,7 +26,7 @@
 
 // shape is the size of one kind of job: means, and what they are at most.
 type shape struct {
-	queue    types.Queue
+	queue    types.QueueName
 	every    time.Duration
 	steps    float64
 	width    float64
@@ -66,47 +66,47 @@
 		if lost {
 			work.Fails = 1
 		}
-		p := state.Step{Name: fmt.Sprint("s", i), Kind: "work", Tasks: max(1, int(around(r, sh.width, 0.8, 6*sh.width))), Copies: copies, Keeps: keeps,
-			Room: types.Room{Cores: types.Cores(1000 * around(r, sh.cores, 0.45, min(largest, 3*sh.cores))), Memory: int(around(r, sh.memory, 0.6, 3*sh.memory))},
-			Work: work.raw(), Estimate: int(float64(work.MS) * (1 + sh.off*(2*r.Float64()-1)))}
+		p := state.Step{Name: fmt.Sprint("s", i), Kind: "work", Tasks: max(1, int(around(r, sh.width, 0.8, 6*sh.width))), AllowHedge: copies, KeepsCheckpoint: keeps,
+			Resources: types.Resources{Cores: types.MilliCores(1000 * around(r, sh.cores, 0.45, min(largest, 3*sh.cores))), MemoryMB: int(around(r, sh.memory, 0.6, 3*sh.memory))},
+			Work:      work.raw(), EstimateMillis: int(float64(work.MS) * (1 + sh.off*(2*r.Float64()-1)))}
 		if near {
-			p.Near = rack
+			p.DataRack = rack
 		}
 		if label {
 			p.Labels = []string{"b"}
 		}
 		if apart {
-			p.Spread = 1 + r.Intn(2)
+			p.MaxPerWorker = 1 + r.Intn(2)
 		}
 		if i > 0 {
-			p.After = []string{s.Steps[r.Intn(i)].Name}
+			p.DependsOn = []string{s.Steps[r.Intn(i)].Name}
 		}
 		if yes(sh.gangs) {
-			p.Gang, p.Joint, p.Copies, p.OneRack, p.Tasks = true, true, false, yes(0.5), min(p.Tasks, 2+r.Intn(5))
+			p.Gang, p.Joint, p.AllowHedge, p.PreferOneRack, p.Tasks = true, true, false, yes(0.5), min(p.Tasks, 2+r.Intn(5))
 		}
 		s.Steps = append(s.Steps, p)
 	}
 	if yes(sh.timed) {
-		s.Times = &state.Times{First: (origin+now)/1e6 + int64(r.Intn(3000)), Every: 1000 + int64(r.Intn(2000)), Count: 2 + r.Intn(4)}
+		s.Schedule = &state.Schedule{FirstUnixMillis: (origin+now)/1e6 + int64(r.Intn(3000)), IntervalMillis: 1000 + int64(r.Intn(2000)), Count: 2 + r.Intn(4)}
 	}
 	return s
 }
 
-func (sh shape) row() config.Row {
-	return config.Row{Name: sh.queue, Weight: 1, Running: 10_000, Waiting: 5000, Tries: sh.tries, TaskMS: 120_000, Patience: 5000, CutMS: 5000,
-		Moves: 3, Displace: true, Service: "work", Priority: sh.priority, Stretch: sh.stretch, Target: sh.target, Rest: 100}
+func (sh shape) row() config.Queue {
+	return config.Queue{Name: sh.queue, Weight: 1, MaxRunning: 10_000, MaxUnfinished: 5000, MaxFailures: sh.tries, TaskTimeoutMillis: 120_000, UnresolvedTimeoutMillis: 5000, PartitionTimeoutMillis: 5000,
+		MaxPreemptions: 3, CanPreempt: true, Service: "work", Priority: sh.priority, TargetFactor: sh.stretch, TargetMarginMillis: sh.target, InitialBackoffMillis: 100}
 }
 
 // lasting is tasks that run until their job is cancelled.
-func lasting(q types.Queue) func(*rand.Rand, int64) state.Spec {
+func lasting(q types.QueueName) func(*rand.Rand, int64) state.Spec {
 	return func(r *rand.Rand, _ int64) state.Spec {
-		return state.Spec{Queue: q, Steps: []state.Step{{Name: "serve", Kind: "work", Room: types.Room{Cores: types.Core, Memory: 512},
-			Tasks: 1 + r.Intn(3), Lasts: true, Work: Work{MS: 100}.raw()}}}
+		return state.Spec{Queue: q, Steps: []state.Step{{Name: "serve", Kind: "work", Resources: types.Resources{Cores: types.Core, MemoryMB: 512},
+			Tasks: 1 + r.Intn(3), AlwaysRestart: true, Work: Work{MS: 100}.raw()}}}
 	}
 }
 
 // invokedDeployment makes a deployment of shapes.
-func invokedDeployment(name string, cores types.Cores, m WorkerRules, shapes ...shape) Deployment {
+func invokedDeployment(name string, cores types.MilliCores, m WorkerRules, shapes ...shape) Deployment {
 	t := Deployment{Name: name, Cores: cores, WorkerRules: &m}
 	for _, x := range shapes {
 		t.Streams = append(t.Streams, Stream{Queue: x.queue, Every: x.every, Cancel: x.cancel, Within: 4 * time.Second,
--- a/sim/invoked_idle.go
+++ b/sim/invoked_idle.go
@@ -56,12 +56,12 @@
 }
 
 // load is the room in use on each worker, and which jobs run.
-func (c *checker) load(on []*span) (used map[types.Shard]types.Room, runs map[types.JobID]bool) {
-	used, runs = map[types.Shard]types.Room{}, map[types.JobID]bool{}
+func (c *checker) load(on []*span) (used map[types.Shard]types.Resources, runs map[types.JobID]bool) {
+	used, runs = map[types.Shard]types.Resources{}, map[types.JobID]bool{}
 	for _, s := range on {
 		runs[s.attempt.Job] = true
 		if j := c.jobs[s.attempt.Job]; j.spec != nil {
-			used[s.shard] = used[s.shard].Plus(c.step(s).Room)
+			used[s.shard] = used[s.shard].Add(c.step(s).Resources)
 		}
 	}
 	return
@@ -75,13 +75,13 @@
 	if c.spent(j, at) {
 		return
 	}
-	for time := range j.spec.Count() {
+	for time := range j.spec.Occurrences() {
 		for i, p := range j.spec.Steps {
 			if j.due(p, time)+int64(c.b.Early) > at || !c.met(j, p, time, at) {
 				continue
 			}
 			for k := range p.Tasks {
-				n := types.No(time, i, k)
+				n := types.TaskNumber(time, i, k)
 				if !j.good(n, at) && c.left(j, n, p, at) {
 					return p, true
 				}
@@ -94,7 +94,7 @@
 func (c *checker) met(j *job, p state.Step, time int, at int64) bool {
 	for i, q := range j.spec.Steps {
 		for k := range q.Tasks {
-			if slices.Contains(p.After, q.Name) && !j.good(types.No(time, i, k), at) {
+			if slices.Contains(p.DependsOn, q.Name) && !j.good(types.TaskNumber(time, i, k), at) {
 				return false
 			}
 		}
@@ -104,18 +104,18 @@
 
 // left tells whether a task has a try left.
 func (c *checker) left(j *job, n int, p state.Step, at int64) bool {
-	if p.Lasts {
+	if p.AlwaysRestart {
 		return true
 	}
 	failed := map[int]bool{}
 	for _, o := range c.peers(j, n, p) {
-		if o.outcome == state.Bad && o.to <= at {
+		if o.outcome == state.OutcomeFailed && o.to <= at {
 			failed[o.attempt.Attempt] = true
 		}
 	}
 	least := 1 << 30
 	for _, r := range c.rows(j.spec.Queue, at, at) {
-		least = min(least, r.Tries)
+		least = min(least, r.MaxFailures)
 	}
 	return len(failed) < least
 }
@@ -123,7 +123,7 @@
 // spent tells whether a task has used all its tries, by which the whole job has failed.
 func (c *checker) spent(j *job, at int64) bool {
 	for n := range j.spans {
-		if !j.good(n, at) && !c.left(j, n, j.spec.Steps[j.spec.Step(n)], at) {
+		if !j.good(n, at) && !c.left(j, n, j.spec.Steps[j.spec.StepOf(n)], at) {
 			return true
 		}
 	}
@@ -132,8 +132,8 @@
 
 // roomy tells whether there is room twice over for a step's next work, and less
 // than half of all room in use.
-func (c *checker) roomy(p state.Step, used map[types.Shard]types.Room) bool {
-	var all, busy types.Cores
+func (c *checker) roomy(p state.Step, used map[types.Shard]types.Resources) bool {
+	var all, busy types.MilliCores
 	places, need := 0, 2
 	if p.Gang {
 		need = 2 * p.Tasks
@@ -147,9 +147,9 @@
 		if !fits {
 			continue
 		}
-		n := m.Room.Minus(used[shard]).Fits(p.Room)
-		if p.Spread > 0 {
-			n = min(n, p.Spread)
+		n := m.Room.Sub(used[shard]).FitCount(p.Resources)
+		if p.MaxPerWorker > 0 {
+			n = min(n, p.MaxPerWorker)
 		}
 		places += n
 	}
--- a/sim/invoked_jobs.go
+++ b/sim/invoked_jobs.go
@@ -19,7 +19,9 @@
 	}
 }
 
-func ended(s state.Stage) bool { return s == state.Done || s == state.Failed || s == state.Stopped }
+func ended(s state.JobStatus) bool {
+	return s == state.JobDone || s == state.JobFailed || s == state.JobCancelled
+}
 
 // answers: what callers were told of a job is true, and none is forgotten.
 func (c *checker) answers(j *job) {
@@ -29,7 +31,7 @@
 	if j.missed > j.taken+int64(c.b.Seen) && !c.on(j.missed, j.missed, func(t faultWindow) bool { return t.affected == nil }) {
 		c.bad("forgotten", j.missed, "%s was accepted, then there was no such job", j.id)
 	}
-	last := state.Stage("")
+	last := state.JobStatus("")
 	for _, h := range j.sight {
 		if ended(last) && h.Stage != last && ended(h.Stage) {
 			c.bad("shown", h.At, "%s was %s, then %s", j.id, last, h.Stage)
@@ -50,27 +52,27 @@
 // outcome looks for the cause of what a caller was shown.
 func (c *checker) outcome(j *job, h HistoryEvent) {
 	dead := false
-	for i := range j.spec.Total() {
-		n := j.spec.No(i)
-		p := j.spec.Steps[j.spec.Step(n)]
-		if h.Stage == state.Done && !j.good(n, h.At) {
+	for i := range j.spec.TotalTasks() {
+		n := j.spec.TaskNumber(i)
+		p := j.spec.Steps[j.spec.StepOf(n)]
+		if h.Stage == state.JobDone && !j.good(n, h.At) {
 			c.bad("shown", h.At, "%s is shown done, but task %d never ended well", j.id, n)
 		}
 		failed, least := map[int]bool{}, 1<<30
 		for _, s := range c.peers(j, n, p) {
-			if s.outcome == state.Bad && s.to <= h.At {
+			if s.outcome == state.OutcomeFailed && s.to <= h.At {
 				failed[s.attempt.Attempt] = true
 			}
 		}
 		for _, r := range c.rows(j.spec.Queue, j.sent, h.At) {
-			least = min(least, r.Tries)
+			least = min(least, r.MaxFailures)
 		}
 		dead = dead || len(failed) >= least
 	}
-	if h.Stage == state.Failed && !dead {
+	if h.Stage == state.JobFailed && !dead {
 		c.bad("shown", h.At, "%s is shown failed (%s), but no task failed as often as its queue allows", j.id, h.Text)
 	}
-	if h.Stage == state.Stopped && (j.asked == 0 || j.asked > h.At) {
+	if h.Stage == state.JobCancelled && (j.asked == 0 || j.asked > h.At) {
 		c.bad("shown", h.At, "%s is shown cancelled, but nobody did", j.id)
 	}
 }
--- a/sim/invoked_node.go
+++ b/sim/invoked_node.go
@@ -19,8 +19,8 @@
 	w     *InvokedWorker
 	gen   int
 	seq   uint64
-	goes  types.Stamp // when it leaves; 0 is never
-	told  bool        // its leaving was acknowledged
+	goes  types.MonoTime // when it leaves; 0 is never
+	told  bool           // its leaving was acknowledged
 
 	refuses    bool    // calls are refused while no process is there, rather than lost
 	hangs      bool    // calls get no answer, and may be carried out or not
--- a/sim/invoked_planted_test.go
+++ b/sim/invoked_planted_test.go
@@ -91,17 +91,17 @@
 	}},
 	{"good ends told as lapsed", nil, []string{"again"}, false, onEnd(wire.Done, wire.Expired)},
 	{"failures told as stops", nil, []string{"tries"}, false, onEnd(wire.Failed, wire.Stopped)},
-	{"workers say that they are larger", nil, []string{"room"}, true, onBeat(func(b *wire.WorkerBeat) { b.Room = b.Room.Times(10) })},
+	{"workers say that they are larger", nil, []string{"room"}, true, onBeat(func(b *wire.WorkerBeat) { b.Room = b.Room.Scale(10) })},
 	{"a worker says that it serves what it does not", nil, []string{"service"}, false, func(r *Run) {
-		r.invokedWorkers[3].make.Kinds = []types.Kind{"other"}
-		onBeat(func(b *wire.WorkerBeat) { b.Kinds = []types.Kind{"work"} })(r)
+		r.invokedWorkers[3].make.Kinds = []types.ServiceKind{"other"}
+		onBeat(func(b *wire.WorkerBeat) { b.Kinds = []types.ServiceKind{"work"} })(r)
 	}},
 	{"workers say that they have all labels", nil, []string{"label"}, false, onBeat(func(b *wire.WorkerBeat) { b.Labels = []string{"a", "b"} })},
-	{"spread is forgotten", nil, []string{"spread"}, false, onJob(func(s *state.Step) { s.Spread = 0 })},
-	{"dependencies are forgotten", nil, []string{"order"}, false, onJob(func(s *state.Step) { s.After = nil })},
+	{"spread is forgotten", nil, []string{"spread"}, false, onJob(func(s *state.Step) { s.MaxPerWorker = 0 })},
+	{"dependencies are forgotten", nil, []string{"order"}, false, onJob(func(s *state.Step) { s.DependsOn = nil })},
 	{"times are forgotten", nil, []string{"early"}, false, onSpec(func(s *state.Spec) {
-		if s.Times != nil {
-			s.Times.First, s.Times.Every = 0, 0
+		if s.Schedule != nil {
+			s.Schedule.FirstUnixMillis, s.Schedule.IntervalMillis = 0, 0
 		}
 	})},
 	{"starts get lost, and stops", nil, []string{"alone"}, false, func(r *Run) {
@@ -129,7 +129,7 @@
 		})(r)
 	}},
 	{"what was taken is answered as not taken", nil, []string{"refused"}, false, onAnswer("job.put", func(a *wire.Answer) {
-		*a = wire.Answer{Fault: apierror.New(apierror.Full, "queue", "")}
+		*a = wire.Answer{Fault: apierror.New(apierror.QueueFull, "queue", "")}
 	})},
 	{"nobody hears that a worker leaves", []string{"notice-worker"}, []string{"leaving"}, false, onBeat(func(b *wire.WorkerBeat) { b.Leaving, b.LeaveMS = false, 0 })},
 	{"open jobs shown done", nil, []string{"shown"}, false, onAnswer("job.get", func(a *wire.Answer) {
@@ -143,17 +143,17 @@
 		}
 	})},
 	{"jobs denied after acceptance", nil, []string{"forgotten"}, false, onAnswer("job.get", func(a *wire.Answer) {
-		*a = wire.Answer{Fault: apierror.New(apierror.NoJob, "id", "")}
+		*a = wire.Answer{Fault: apierror.New(apierror.NoSuchJob, "id", "")}
 	})},
 	{"orders get lost", nil, []string{"idle"}, false, func(r *Run) { r.at(8*time.Second, func() { mute(wire.Order)(r) }) }},
 	{"doors know no queue that came", nil, []string{"table"}, false, onAnswer("queue.count", func(a *wire.Answer) {
-		*a = wire.Answer{Fault: apierror.New(apierror.NoQueue, "queue", "")}
+		*a = wire.Answer{Fault: apierror.New(apierror.NoSuchQueue, "queue", "")}
 	})},
 	{"doors know queues that went", nil, []string{"table"}, false, onAnswer("queue.count", func(a *wire.Answer) {
 		*a = wire.Answer{Code: 200}
 	})},
 	{"both of a race are acknowledged", nil, []string{"table"}, false, onAnswer("table.put", func(a *wire.Answer) {
-		if a.Fault != nil && a.Fault.Retry == 0 {
+		if a.Fault != nil && a.Fault.RetryAfterSeconds == 0 {
 			*a = wire.Answer{Code: 200}
 		}
 	})},
@@ -199,8 +199,8 @@
 // A door that knew a queue of version 7 may not, a while later, answer as only
 // version 5 does; within the time to hear of it another door may.
 func TestADoorThatGoesBackIsCaught(t *testing.T) {
-	row := func(q types.Queue) config.Row { return config.Row{Name: q} }
-	old, next := config.Table{Becomes: 5, Rows: []config.Row{row("idle-1")}}, config.Table{Version: 5, Becomes: 7, Rows: []config.Row{row("idle-2")}}
+	row := func(q types.QueueName) config.Queue { return config.Queue{Name: q} }
+	old, next := config.Table{RequestedVersion: 5, Queues: []config.Queue{row("idle-1")}}, config.Table{Version: 5, RequestedVersion: 7, Queues: []config.Queue{row("idle-2")}}
 	for who, want := range map[string]int{"g1.1": 1, "g2.1": 0, "g1.2": 0} {
 		is := is.New(t)
 		h := &History{}
@@ -209,9 +209,9 @@
 			h.Add(x)
 		}
 		for _, x := range []config.Table{old, next} {
-			got := x.Next()
-			add(int64(x.Becomes)*1000, HistoryEvent{What: TableTry, Table: &x})
-			add(int64(x.Becomes)*1000+10, HistoryEvent{What: TableAck, Table: &got, Text: "x"})
+			got := x.Accepted()
+			add(int64(x.RequestedVersion)*1000, HistoryEvent{What: TableTry, Table: &x})
+			add(int64(x.RequestedVersion)*1000+10, HistoryEvent{What: TableAck, Table: &got, Text: "x"})
 		}
 		add(7100, HistoryEvent{What: Counted, Who: "g1.1", Job: "idle-2", Stage: "there", Text: "7090000000"})
 		add(7900, HistoryEvent{What: Counted, Who: who, Job: "idle-1", Stage: "there", Text: "7800000000"})
--- a/sim/invoked_tables.go
+++ b/sim/invoked_tables.go
@@ -18,7 +18,7 @@
 		if h.What != TableAck || h.Text == "" {
 			continue
 		}
-		if o, ok := acked[h.Text]; ok && (o.Table.Version != h.Table.Version || !o.Table.Same(*h.Table)) {
+		if o, ok := acked[h.Text]; ok && (o.Table.Version != h.Table.Version || !o.Table.SameContent(*h.Table)) {
 			c.bad("table", h.At, "versions %d and %d were both acknowledged, put on version %s", o.Table.Version, h.Table.Version, h.Text)
 		}
 		acked[h.Text] = h
@@ -42,7 +42,7 @@
 			}
 		}
 		for _, r := range c.activeTables {
-			if _, ok := r.Find(types.Queue(h.Job)); ok != (h.Stage == "there") || r.from > h.At {
+			if _, ok := r.FindQueue(types.QueueName(h.Job)); ok != (h.Stage == "there") || r.from > h.At {
 				continue
 			}
 			e := uint64(r.Version)
@@ -75,13 +75,13 @@
 		}
 		p := c.step(s)
 		for name, ok := range map[string]bool{
-			"order: started a step with dependencies":        len(p.After) > 0,
-			"early: started a step with a time":              j.spec.Times != nil,
+			"order: started a step with dependencies":        len(p.DependsOn) > 0,
+			"early: started a step with a time":              j.spec.Schedule != nil,
 			"alone: a member of a joint gang started":        p.Joint,
 			"label: started under one":                       len(p.Labels) > 0,
 			"late: a start was carried out late":             s.late,
 			"ended: " + string(s.how):                        s.how != "",
-			"again: a good end that had lapsed when settled": s.outcome == state.OK && s.noted == 0,
+			"again: a good end that had lapsed when settled": s.outcome == state.OutcomeOK && s.noted == 0,
 		} {
 			if ok {
 				c.seen[name]++
--- a/sim/invoked_test.go
+++ b/sim/invoked_test.go
@@ -37,7 +37,7 @@
 			for _, b := range r.Verdict().Breaks {
 				t.Error(b)
 			}
-			n, hows, last := map[EventKind]int{}, map[wire.How]int{}, map[string]state.Stage{}
+			n, hows, last := map[EventKind]int{}, map[wire.How]int{}, map[string]state.JobStatus{}
 			for _, h := range r.Hist.List {
 				n[h.What]++
 				switch h.What {
@@ -54,7 +54,7 @@
 			is.Equal(hows[wire.Expired]+hows[wire.Lonely], 0)
 			is.True(n[Working] > 0)
 			for id, s := range last {
-				if s == state.Open || s == state.Ending {
+				if s == state.JobOpen || s == state.JobEnding {
 					t.Error(id, s)
 				}
 			}
@@ -157,7 +157,7 @@
 func boasts(r *Run) {
 	onBeat(func(b *wire.WorkerBeat) {
 		if b.To == r.invokedWorkers[4].node.addr {
-			b.Room = b.Room.Times(3)
+			b.Room = b.Room.Scale(3)
 		}
 	})(r)
 }
@@ -211,7 +211,7 @@
 			t.Parallel()
 			is := is.New(t)
 			r := ofGangs(40, how).Go()
-			waits, again, longest := map[types.Attempt]int64{}, 0, int64(0)
+			waits, again, longest := map[types.AttemptID]int64{}, 0, int64(0)
 			for _, h := range r.Hist.List {
 				switch h.What {
 				case Started:
--- a/sim/invoked_worker.go
+++ b/sim/invoked_worker.go
@@ -28,8 +28,8 @@
 	environment *WorkerEnvironment
 	rnd         *rand.Rand
 	tell        func(HistoryEvent)
-	time        func() types.Stamp
-	born        types.Stamp
+	time        func() types.MonoTime
+	born        types.MonoTime
 	first       int64   // what its clock read at its birth
 	pace        float64 // of its clock
 	late        bool    // the call at hand is carried out late
@@ -37,8 +37,8 @@
 	fence       uint64
 	n           uint64
 	seen        uint64
-	runs        map[types.Attempt]*attempt
-	shut        map[types.Task]int
+	runs        map[types.AttemptID]*attempt
+	shut        map[types.TaskID]int
 	ends        []invokedEnd
 	waits       []waitingHold
 }
@@ -52,7 +52,7 @@
 // waitingHold is a hold that is answered when something ends, or at a time.
 type waitingHold struct {
 	call  wire.WorkerCall
-	until types.Stamp
+	until types.MonoTime
 	reply func(wire.WorkerReply)
 }
 
@@ -61,12 +61,12 @@
 
 // NewInvokedWorker starts a worker process. Its clock is up to 2% slow and begins
 // anywhere.
-func NewInvokedWorker(m WorkerSpec, id types.ID, environment *WorkerEnvironment, rnd *rand.Rand, time func() types.Stamp, tell func(HistoryEvent)) *InvokedWorker {
+func NewInvokedWorker(m WorkerSpec, id types.ID, environment *WorkerEnvironment, rnd *rand.Rand, time func() types.MonoTime, tell func(HistoryEvent)) *InvokedWorker {
 	if m.Slow == 0 {
 		m.Slow = 1
 	}
 	return &InvokedWorker{WorkerSpec: m, ID: id, Lax: rnd.Intn(2) == 0, environment: environment, rnd: rnd, tell: tell, time: time, born: time(), first: 1 + rnd.Int63n(1<<40),
-		pace: 1 - 0.02*rnd.Float64(), runs: map[types.Attempt]*attempt{}, shut: map[types.Task]int{}}
+		pace: 1 - 0.02*rnd.Float64(), runs: map[types.AttemptID]*attempt{}, shut: map[types.TaskID]int{}}
 }
 
 // Clock is what the worker's own clock reads.
@@ -142,11 +142,11 @@
 	switch {
 	case iw.runs[c.Attempt] != nil:
 		return wire.Taken
-	case c.Attempt.Attempt <= iw.shut[c.Attempt.Task]:
+	case c.Attempt.Attempt <= iw.shut[c.Attempt.TaskID]:
 		return wire.Outdated
 	}
 	step := iw.environment.step(c.Attempt)
-	if iw.Guards && step != nil && !iw.free().Holds(step.Room) {
+	if iw.Guards && step != nil && !iw.free().Contains(step.Resources) {
 		iw.say(HistoryEvent{What: Spared, Attempt: c.Attempt})
 		return wire.Full
 	}
@@ -155,19 +155,19 @@
 }
 
 // free is the room that nothing takes; what is being stopped still does.
-func (iw *InvokedWorker) free() types.Room {
+func (iw *InvokedWorker) free() types.Resources {
 	r := iw.Room
 	for _, a := range iw.runs {
-		r = r.Minus(a.room)
+		r = r.Sub(a.room)
 	}
 	return r
 }
 
-func (iw *InvokedWorker) halt(l types.Attempt) {
+func (iw *InvokedWorker) halt(l types.AttemptID) {
 	a := iw.runs[l]
 	switch {
 	case a == nil:
-		iw.shut[l.Task] = max(iw.shut[l.Task], l.Attempt)
+		iw.shut[l.TaskID] = max(iw.shut[l.TaskID], l.Attempt)
 	case a.stops == 0:
 		a.stops = iw.time().Add(iw.environment.some(iw.rnd, iw.environment.Stop))
 	}
@@ -217,15 +217,15 @@
 		return
 	}
 	delete(iw.runs, a.attempt)
-	iw.shut[a.attempt.Task] = max(iw.shut[a.attempt.Task], a.attempt.Attempt)
+	iw.shut[a.attempt.TaskID] = max(iw.shut[a.attempt.TaskID], a.attempt.Attempt)
 	iw.n++
 	iw.ends = append(iw.ends, invokedEnd{WorkerEnd: wire.WorkerEnd{N: iw.n, Attempt: a.attempt, How: how, Ref: a.ref}})
 	iw.say(HistoryEvent{What: Ended, Attempt: a.attempt, Outcome: outcomes[how], How: how})
 	a.quit(how)
 }
 
-var outcomes = map[wire.How]state.Outcome{wire.Done: state.OK, wire.Failed: state.Bad, wire.Stopped: state.Halted,
-	wire.Expired: state.Lapsed, wire.Broken: state.Halted, wire.Lonely: state.Halted}
+var outcomes = map[wire.How]state.Outcome{wire.Done: state.OutcomeOK, wire.Failed: state.OutcomeFailed, wire.Stopped: state.OutcomeStopped,
+	wire.Expired: state.OutcomeLeaseExpired, wire.Broken: state.OutcomeStopped, wire.Lonely: state.OutcomeStopped}
 
 // Die ends the process and all that it runs.
 func (iw *InvokedWorker) Die() {
@@ -236,12 +236,12 @@
 	}
 }
 
-func (iw *InvokedWorker) sorted() []types.Attempt {
-	list := make([]types.Attempt, 0, len(iw.runs))
+func (iw *InvokedWorker) sorted() []types.AttemptID {
+	list := make([]types.AttemptID, 0, len(iw.runs))
 	for l := range iw.runs {
 		list = append(list, l)
 	}
-	sort.Slice(list, func(i, k int) bool { return list[i].Least(list[k]) })
+	sort.Slice(list, func(i, k int) bool { return list[i].Less(list[k]) })
 	return list
 }
 
--- a/sim/linear_models_test.go
+++ b/sim/linear_models_test.go
@@ -32,13 +32,13 @@
 	switch {
 	case bad == nil:
 		return done
-	case bad.Kind == apierror.Unsure:
+	case bad.Kind == apierror.OutcomeUnknown:
 		return unclear
-	case bad.Kind == apierror.Stale || bad.Kind == apierror.Conflict || bad.Kind == apierror.BadField:
+	case bad.Kind == apierror.StaleVersion || bad.Kind == apierror.IDInUse || bad.Kind == apierror.BadField:
 		return refused
-	case bad.Kind == apierror.NoJob:
+	case bad.Kind == apierror.NoSuchJob:
 		return absent
-	case bad.Kind == apierror.Ended:
+	case bad.Kind == apierror.AlreadyEnded:
 		return over
 	case verb == "table.put": // 503: the operator sends the same again
 		return unclear
@@ -113,7 +113,7 @@
 
 type jobOutput struct {
 	outcome outcome
-	stage   state.Stage
+	stage   state.JobStatus
 }
 
 // jobState is one job: the hash of what was accepted, or "" before; whether its
@@ -121,7 +121,7 @@
 type jobState struct {
 	hash   string
 	halted bool
-	end    state.Stage
+	end    state.JobStatus
 }
 
 // jobs is the model of all jobs, each by itself.
@@ -174,15 +174,15 @@
 func stepCancel(s jobState, o outcome) (next []any) {
 	halted := s
 	halted.halted = true
-	ended := s.end == state.Done || s.end == state.Failed
+	ended := s.end == state.JobDone || s.end == state.JobFailed
 	if (o == done || o == unclear) && s.hash != "" && !ended {
 		next = append(next, halted)
 	}
 	if o == unclear || o == absent && s.hash == "" {
 		next = append(next, s)
 	}
-	if o == over && s.hash != "" && s.end != state.Stopped { // it has ended, one way or the other
-		for _, end := range []state.Stage{state.Done, state.Failed} {
+	if o == over && s.hash != "" && s.end != state.JobCancelled { // it has ended, one way or the other
+		for _, end := range []state.JobStatus{state.JobDone, state.JobFailed} {
 			if x := s; s.end == "" || s.end == end {
 				x.end = end
 				next = append(next, x)
@@ -201,11 +201,11 @@
 	case out.outcome != done || s.hash == "":
 		return nil
 	}
-	ended := out.stage == state.Done || out.stage == state.Failed || out.stage == state.Stopped
+	ended := out.stage == state.JobDone || out.stage == state.JobFailed || out.stage == state.JobCancelled
 	switch {
-	case !ended && s.end == "" && !(s.halted && out.stage == state.Open):
+	case !ended && s.end == "" && !(s.halted && out.stage == state.JobOpen):
 		return []any{s}
-	case ended && (s.end == "" || s.end == out.stage) && (out.stage != state.Stopped || s.halted):
+	case ended && (s.end == "" || s.end == out.stage) && (out.stage != state.JobCancelled || s.halted):
 		s.end = out.stage
 		return []any{s}
 	}
--- a/sim/linear_rig_test.go
+++ b/sim/linear_rig_test.go
@@ -79,7 +79,7 @@
 
 // redirected is whom an answer names instead of whoever was asked.
 func redirected(a *wire.Answer) types.Addr {
-	if a == nil || a.Fault == nil || a.Fault.Kind != apierror.NoLead {
+	if a == nil || a.Fault == nil || a.Fault.Kind != apierror.NoLeader {
 		return ""
 	}
 	return a.Lead
@@ -102,8 +102,8 @@
 		or.putTable(client, or.daemon(), pickOne(or.random, or.orders), 0, again)
 	default:
 		t := or.Clients.deployment.Table()
-		t.Version, t.Becomes = or.seen, or.seen+1+types.Version(or.random.Intn(2))
-		t.Rows[0].Weight = 1 + or.random.Intn(900)
+		t.Version, t.RequestedVersion = or.seen, or.seen+1+types.Version(or.random.Intn(2))
+		t.Queues[0].Weight = 1 + or.random.Intn(900)
 		or.orders = append(or.orders, t)
 		or.putTable(client, or.daemon(), t, 0, again)
 	}
@@ -114,10 +114,10 @@
 	or.asked(to, "table.get", "", nil, func(a *wire.Answer) {
 		var t config.Table
 		if a != nil && a.Fault == nil && json.Unmarshal(a.Body, &t) == nil {
-			or.note(t.Version, t.Hash())
+			or.note(t.Version, t.ContentHash())
 			or.count["table read"]++
 			or.tables = append(or.tables, porcupine.Operation{ClientId: client, Input: tableInput{}, Call: began, Return: or.now,
-				Output: tableOutput{done, t.Version, t.Hash()}})
+				Output: tableOutput{done, t.Version, t.ContentHash()}})
 		}
 		then()
 	})
@@ -138,12 +138,12 @@
 				end = or.now
 			}
 		}
-		next := t.Next()
+		next := t.Accepted()
 		if o == done {
-			or.note(next.Version, t.Hash())
+			or.note(next.Version, t.ContentHash())
 		}
 		or.count["table "+string(o)]++
-		or.tables = append(or.tables, porcupine.Operation{ClientId: client, Input: tableInput{true, t.Version, next.Version, t.Hash()},
+		or.tables = append(or.tables, porcupine.Operation{ClientId: client, Input: tableInput{true, t.Version, next.Version, t.ContentHash()},
 			Call: began, Return: end, Output: tableOutput{outcome: o}})
 		if o != unclear || n >= 6 || or.closed {
 			then()
--- a/sim/linear_test.go
+++ b/sim/linear_test.go
@@ -111,10 +111,10 @@
 			if s.Message.Kind != wire.Call || b.Verb != "table.put" || json.Unmarshal(b.Body, &t) != nil {
 				return true
 			}
-			key := link(t.Next().Version, t.Hash())
+			key := link(t.Accepted().Version, t.ContentHash())
 			if taken[key] { // on another base it is no repeat
 				t.Version = 1 << 40
-				t.Becomes = t.Version + 1
+				t.RequestedVersion = t.Version + 1
 				b.Body = wire.Body(t)
 				s.Message.Body = wire.Body(b)
 			}
@@ -129,15 +129,15 @@
 			if b.Verb != "table.put" || json.Unmarshal(b.Body, &t) != nil {
 				return
 			}
-			if t.Same(newest) {
-				t.Version, t.Becomes = newest.Next().Version, 0
+			if t.SameContent(newest) {
+				t.Version, t.RequestedVersion = newest.Accepted().Version, 0
 				b.Body = wire.Body(t)
 			}
 			newest = t
 		})(r)
 	},
 	"both of a race are acknowledged": answers(func(_ *Run, verb string, a *wire.Answer) {
-		if verb == "table.put" && isFault(a, apierror.Stale) {
+		if verb == "table.put" && isFault(a, apierror.StaleVersion) {
 			*a = wire.Answer{Code: 200}
 		}
 	}),
@@ -160,7 +160,7 @@
 	},
 	"a job that was taken is denied": answers(func(r *Run, verb string, a *wire.Answer) {
 		if verb == "job.get" && r.now/int64(time.Second)%5 == 0 {
-			*a = wire.Answer{Fault: apierror.New(apierror.NoJob, "id", "")}
+			*a = wire.Answer{Fault: apierror.New(apierror.NoSuchJob, "id", "")}
 		}
 	}),
 	"a cancel is acknowledged and not taken": answers(func(_ *Run, verb string, a *wire.Answer) {
@@ -170,7 +170,7 @@
 	}),
 	"what was taken is told as turned away": answers(func(_ *Run, verb string, a *wire.Answer) {
 		if verb == "job.put" && a.Code == 201 {
-			*a = wire.Answer{Fault: apierror.New(apierror.Full, "", "")}
+			*a = wire.Answer{Fault: apierror.New(apierror.QueueFull, "", "")}
 		}
 	}),
 }
@@ -205,7 +205,7 @@
 		lost := 2
 		r.TamperAnswer = func(verb string, a *wire.Answer) {
 			if lost--; lost >= 0 {
-				*a = wire.Answer{Fault: apierror.New(apierror.Unsure, "", "")}
+				*a = wire.Answer{Fault: apierror.New(apierror.OutcomeUnknown, "", "")}
 			}
 		}
 		got := map[outcome]int{}
@@ -231,7 +231,7 @@
 		}
 		for i := range 2 {
 			t := r.Clients.deployment.Table()
-			t.Becomes, t.Rows[0].Weight = 5, 100+i
+			t.RequestedVersion, t.Queues[0].Weight = 5, 100+i
 			r.at(time.Duration(r.random.Int63n(int64(4*time.Millisecond))), func() { send(t) })
 		}
 		r.at(time.Duration(r.random.Int63n(int64(8*time.Millisecond))), func() {
--- a/sim/operator.go
+++ b/sim/operator.go
@@ -18,19 +18,19 @@
 // change makes the next version of a table: time-outs, and a queue more or less.
 func (c *Clients) change(t config.Table) config.Table {
 	n := t
-	n.Rows = slices.Clone(t.Rows)
-	n.Becomes = t.Version + 1 + types.Version(c.w.random.Intn(9))
-	n.Rows[c.w.random.Intn(3)].Timeout = 1000 + c.w.random.Intn(4000)
-	if i := slices.IndexFunc(n.Rows, idle); i >= 0 && c.w.random.Intn(2) == 0 {
-		n.Rows = slices.Delete(n.Rows, i, i+1)
-	} else if len(n.Rows) < 8 {
+	n.Queues = slices.Clone(t.Queues)
+	n.RequestedVersion = t.Version + 1 + types.Version(c.w.random.Intn(9))
+	n.Queues[c.w.random.Intn(3)].RequestTimeoutMillis = 1000 + c.w.random.Intn(4000)
+	if i := slices.IndexFunc(n.Queues, idle); i >= 0 && c.w.random.Intn(2) == 0 {
+		n.Queues = slices.Delete(n.Queues, i, i+1)
+	} else if len(n.Queues) < 8 {
 		c.next++
-		n.Rows = append(n.Rows, config.Row{Name: types.Queue(fmt.Sprint("idle-", c.next)), Weight: 1, Running: 10, Waiting: 10, Tries: 1, TaskMS: 1000, Service: "work"})
+		n.Queues = append(n.Queues, config.Queue{Name: types.QueueName(fmt.Sprint("idle-", c.next)), Weight: 1, MaxRunning: 10, MaxUnfinished: 10, MaxFailures: 1, TaskTimeoutMillis: 1000, Service: "work"})
 	}
 	return n
 }
 
-func idle(r config.Row) bool { return strings.HasPrefix(string(r.Name), "idle") }
+func idle(r config.Queue) bool { return strings.HasPrefix(string(r.Name), "idle") }
 
 // versions puts new tables now and then.
 func (c *Clients) versions() {
@@ -39,14 +39,14 @@
 			return
 		}
 		c.read(func(t config.Table) {
-			if len(t.Rows) < 3 {
+			if len(t.Queues) < 3 {
 				return
 			}
 			for range 1 + c.w.random.Intn(2) {
 				n := c.change(t)
 				switch c.w.random.Intn(8) {
 				case 0:
-					n.Becomes = max(1, t.Version)
+					n.RequestedVersion = max(1, t.Version)
 				case 1:
 					n.Version--
 				}
@@ -59,8 +59,8 @@
 
 // counts asks each gateway after queues that have just come or gone.
 func (c *Clients) counts(t, n config.Table) {
-	var names []types.Queue
-	for _, r := range slices.Concat(t.Rows, n.Rows) {
+	var names []types.QueueName
+	for _, r := range slices.Concat(t.Queues, n.Queues) {
 		if idle(r) && !slices.Contains(names, r.Name) {
 			names = append(names, r.Name)
 		}
@@ -75,14 +75,14 @@
 
 // count writes down whether a gateway knows a queue: when it was asked, and who
 // answered.
-func (c *Clients) count(q types.Queue, g types.Addr) {
+func (c *Clients) count(q types.QueueName, g types.Addr) {
 	began := c.w.now
 	c.try(g, "queue.count", string(q), nil, func(a wire.Answer) {
 		h := HistoryEvent{What: Counted, Who: c.w.nodes[g].name(), Job: types.JobID(q), Text: fmt.Sprint(began)}
 		switch {
 		case a.Fault == nil:
 			h.Stage = "there"
-		case a.Fault.Kind != apierror.NoQueue:
+		case a.Fault.Kind != apierror.NoSuchQueue:
 			return
 		}
 		c.w.record(h)
@@ -95,7 +95,7 @@
 		return
 	}
 	c.read(func(t config.Table) {
-		if len(t.Rows) < 3 {
+		if len(t.Queues) < 3 {
 			return
 		}
 		for i := range changes {
@@ -109,9 +109,9 @@
 	if c.deployment.WorkerRules != nil {
 		return c.change(t)
 	}
-	n := config.Table{Version: t.Version, Rows: slices.Clone(t.Rows)}
-	n.Rows[0].Weight = 1 + c.w.random.Intn(900)
-	n.Rows[1].Running = 12 + c.w.random.Intn(30)
-	n.Rows[2].Tries = 1 + c.w.random.Intn(4)
+	n := config.Table{Version: t.Version, Queues: slices.Clone(t.Queues)}
+	n.Queues[0].Weight = 1 + c.w.random.Intn(900)
+	n.Queues[1].MaxRunning = 12 + c.w.random.Intn(30)
+	n.Queues[2].MaxFailures = 1 + c.w.random.Intn(4)
 	return n
 }
--- a/sim/opportunities.go
+++ b/sim/opportunities.go
@@ -12,7 +12,7 @@
 
 func (c *checker) step(s *span) state.Step {
 	p := c.jobs[s.attempt.Job].spec
-	return p.Steps[p.Step(s.attempt.N)]
+	return p.Steps[p.StepOf(s.attempt.Number)]
 }
 
 func (c *checker) chances() {
@@ -53,22 +53,22 @@
 			continue
 		}
 		p := c.step(s)
-		if len(p.After) > 0 {
+		if len(p.DependsOn) > 0 {
 			c.seen["order: started a step with dependencies"]++
 		}
-		if p.Not != "" || p.Delay > 0 {
+		if p.NotBefore != "" || p.DelayMillis > 0 {
 			c.seen["early: started a step with a time"]++
 			if on(s.from, 3*sec, "jump", "power", "kill-leader", "handover", "freeze-leader", "cut-core", "cut-leader") {
 				c.seen["early: started a step with a time near a clock or leader fault"]++
 			}
 		}
-		if len(s.ice) > 0 && s.outcome == state.Halted {
+		if len(s.ice) > 0 && s.outcome == state.OutcomeStopped {
 			c.seen["twice: a frozen attempt found its grant lapsed"]++
 		}
-		if s.outcome == state.OK && (s.told == 0 || s.told-s.to > sec) {
+		if s.outcome == state.OutcomeOK && (s.told == 0 || s.told-s.to > sec) {
 			c.seen["again: a good end told late or never"]++
 		}
-		if s.outcome == state.OK && on(s.to, 0, "cut", "kill", "freeze", "power") {
+		if s.outcome == state.OutcomeOK && on(s.to, 0, "cut", "kill", "freeze", "power") {
 			c.seen["again: a good end during a cut, kill or freeze"]++
 		}
 	}
--- a/sim/planted_test.go
+++ b/sim/planted_test.go
@@ -85,23 +85,23 @@
 	{"accounts hide what runs", []string{"handover"}, []string{"again"}, 30 * time.Second, false, onMessage(wire.Account, func(a *dispatch.RunningTasks) { a.Runs = nil })},
 	{"good ends told as stops", nil, []string{"again"}, 30 * time.Second, true, onPoll(func(p *dispatch.Poll) {
 		for i := range p.Ends {
-			p.Ends[i].Outcome = state.Halted
+			p.Ends[i].Outcome = state.OutcomeStopped
 		}
 	})},
 	{"failures told as stops", nil, []string{"tries"}, 30 * time.Second, false, onPoll(func(p *dispatch.Poll) {
 		for i := range p.Ends {
-			if p.Ends[i].Outcome == state.Bad {
-				p.Ends[i].Outcome = state.Halted
+			if p.Ends[i].Outcome == state.OutcomeFailed {
+				p.Ends[i].Outcome = state.OutcomeStopped
 			}
 		}
 	})},
 	{"workers report what they are not", nil, []string{"service", "rack", "room"}, 30 * time.Second, false, onPoll(func(p *dispatch.Poll) {
-		p.Kinds, p.Room, p.Rack = []types.Kind{"quote", "menu", "pay"}, types.Room{Cores: 4000 * types.Core, Memory: 4_000_000}, "r1"
+		p.Kinds, p.Room, p.Rack = []types.ServiceKind{"quote", "menu", "pay"}, types.Resources{Cores: 4000 * types.Core, MemoryMB: 4_000_000}, "r1"
 	})},
 	{"nobody hears that a worker leaves", []string{"leave-worker"}, []string{"leaving"}, 30 * time.Second, false, onPoll(func(p *dispatch.Poll) { p.Leave = false })},
-	{"spread is forgotten", nil, []string{"spread"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.Spread = 0 })},
-	{"times are forgotten", nil, []string{"early"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.Delay, s.Not = 0, "" })},
-	{"dependencies are forgotten", nil, []string{"order"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.After = nil })},
+	{"spread is forgotten", nil, []string{"spread"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.MaxPerWorker = 0 })},
+	{"times are forgotten", nil, []string{"early"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.DelayMillis, s.NotBefore = 0, "" })},
+	{"dependencies are forgotten", nil, []string{"order"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.DependsOn = nil })},
 	{"stops get lost", []string{"kill-machine"}, []string{"cancel-run", "gang"}, 30 * time.Second, false, func(r *Run) { mute(wire.Stop)(r); r.Clients.Cancel = 0.5 }},
 	{"open jobs shown done", nil, []string{"shown"}, 30 * time.Second, false, func(r *Run) {
 		r.TamperAnswer = func(verb string, a *wire.Answer) {
@@ -113,7 +113,7 @@
 	{"jobs denied after acceptance", nil, []string{"forgotten"}, 30 * time.Second, false, func(r *Run) {
 		r.TamperAnswer = func(verb string, a *wire.Answer) {
 			if verb == "job.get" {
-				*a = wire.Answer{Fault: apierror.New(apierror.NoJob, "id", "")}
+				*a = wire.Answer{Fault: apierror.New(apierror.NoSuchJob, "id", "")}
 			}
 		}
 	}},
@@ -128,8 +128,8 @@
 		told := map[types.Version]config.Table{}
 		swap := func(b *json.RawMessage) {
 			alter(b, func(t *config.Table) {
-				if o, ok := told[t.Version]; ok && len(t.Rows) > 0 {
-					t.Rows = o.Rows
+				if o, ok := told[t.Version]; ok && len(t.Queues) > 0 {
+					t.Queues = o.Queues
 				}
 			})
 		}
@@ -138,8 +138,8 @@
 				alter(&s.Message.Body, func(c *wire.CallBody) {
 					if c.Verb == "table.put" {
 						alter(&c.Body, func(t *config.Table) {
-							told[t.Version+1] = config.Table{Rows: slices.Clone(t.Rows)}
-							t.Rows[1].Running, t.Rows[2].Tries = 1000, 9
+							told[t.Version+1] = config.Table{Queues: slices.Clone(t.Queues)}
+							t.Queues[1].MaxRunning, t.Queues[2].MaxFailures = 1000, 9
 						})
 					}
 				})
@@ -154,8 +154,8 @@
 		r.Clients.Races = false
 		r.at(7*time.Second, func() {
 			r.Clients.read(func(t config.Table) {
-				t.Rows = slices.Clone(t.Rows)
-				t.Rows[1].Running = 8
+				t.Queues = slices.Clone(t.Queues)
+				t.Queues[1].MaxRunning = 8
 				r.Clients.put(t, "g1", 0, func(bool) {})
 			})
 		})
--- a/sim/polling_node.go
+++ b/sim/polling_node.go
@@ -19,7 +19,7 @@
 	w             *Worker
 	gen           int
 	deaf, willing bool
-	told          map[types.Attempt]int // which of the agent's processes was told of an end
+	told          map[types.AttemptID]int // which of the agent's processes was told of an end
 }
 
 func (w *World) worker(addr, agent types.Addr, zone types.Zone, m WorkerSpec) *pollingNode {
@@ -35,7 +35,7 @@
 	n.frozen, n.queue = false, nil
 	pn.w = NewWorker(pn.make, types.ID(fmt.Sprintf("%s.%d", n.addr, pn.gen)), n.w.chance(), n.w.record)
 	pn.w.Deaf, pn.w.Willing = pn.deaf, pn.willing
-	pn.told = map[types.Attempt]int{}
+	pn.told = map[types.AttemptID]int{}
 	n.w.record(HistoryEvent{What: Staying, Who: string(pn.w.ID), Shard: pn.make.Shard, Make: &pn.make})
 	gen := pn.gen
 	var beat func()
--- a/sim/processor.go
+++ b/sim/processor.go
@@ -73,7 +73,7 @@
 }
 
 // enters lets a request wait for the machine, or not.
-func (p *processor) enters(now types.Stamp, e wire.Event) bool {
+func (p *processor) enters(now types.MonoTime, e wire.Event) bool {
 	p.asked[e.Ask.Token] = p.node.w.now
 	behind := p.queue.Age(now, wire.Callers, wire.Callers)
 	if !p.node.w.Order.NeverRefuses && wire.Enters(e.Ask.Verb) && behind > workqueue.EntryPatience {
@@ -84,7 +84,7 @@
 
 // turnAway answers a request in place of the machine.
 func (p *processor) turnAway(e wire.Event) {
-	p.node.answer(wire.Answer{Token: e.Ask.Token, Fault: apierror.New(apierror.Crowd, "", "behind").After(time.Second)})
+	p.node.answer(wire.Answer{Token: e.Ask.Token, Fault: apierror.New(apierror.TooBusy, "", "behind").WithRetryAfter(time.Second)})
 }
 
 // next begins a step, if the processor is free and there is one to take.
@@ -117,7 +117,7 @@
 }
 
 // pick is a tick where one is due, else the most urgent event.
-func (p *processor) pick(now types.Stamp) (wire.Event, bool) {
+func (p *processor) pick(now types.MonoTime) (wire.Event, bool) {
 	if p.ticks.Due(now, p.queue.Len()) {
 		p.ticks.Ticked(now)
 		return p.loaded(wire.Event{Expired: p.expire(now)}, now, wire.Background, now), true
@@ -132,7 +132,7 @@
 	return p.loaded(e, now, class, at), true
 }
 
-func (p *processor) loaded(e wire.Event, now types.Stamp, class wire.Class, at types.Stamp) wire.Event {
+func (p *processor) loaded(e wire.Event, now types.MonoTime, class wire.Class, at types.MonoTime) wire.Event {
 	if !p.node.w.Order.NeverRefuses {
 		e.Load = p.queue.Load(now, class, at)
 	}
@@ -141,7 +141,7 @@
 
 // expire answers the requests that have waited too long, and gives those that
 // gateways handed over.
-func (p *processor) expire(now types.Stamp) (calls []wire.Message) {
+func (p *processor) expire(now types.MonoTime) (calls []wire.Message) {
 	if p.node.w.Order.NeverRefuses {
 		return
 	}
--- a/sim/requests_test.go
+++ b/sim/requests_test.go
@@ -25,7 +25,7 @@
 // next is the deployment's table with another weight, put on a version.
 func (r *Run) next(base types.Version, weight int) config.Table {
 	t := r.Clients.deployment.Table()
-	t.Version, t.Rows[0].Weight = base, weight
+	t.Version, t.Queues[0].Weight = base, weight
 	return t
 }
 
@@ -62,7 +62,7 @@
 			r.Run(time.Duration(r.now) + 500*time.Millisecond)
 			is.True(got)
 			is.True(a.Fault != nil)
-			is.Equal(a.Fault.Kind, apierror.NoLead) // neither the old table nor a refusal by it
+			is.Equal(a.Fault.Kind, apierror.NoLeader) // neither the old table nor a refusal by it
 		})
 	}
 }
@@ -103,12 +103,12 @@
 					is.True(ok) // at once
 					is.True(answer.Lead != h.addr)
 					if answer.Lead != "" { // the one it names can have led within its lease
-						is.True(answer.Fault.Kind == apierror.NoLead)
+						is.True(answer.Fault.Kind == apierror.NoLeader)
 						reached := !r.cut[pair{answer.Lead, h.addr}]
 						is.True(reached || began-from < int64(r.raftTimeouts.ElectionMin+100*time.Millisecond))
 					}
 					if answer.Fault != nil && answer.Lead == "" {
-						is.True(answer.Fault.Retry > 0)
+						is.True(answer.Fault.RetryAfterSeconds > 0)
 					}
 				}
 			}
--- a/sim/run.go
+++ b/sim/run.go
@@ -112,10 +112,10 @@
 func (r *Run) Go() *Run {
 	p := r.Plan
 	t := r.Clients.deployment.Table()
-	for i := range t.Rows {
-		t.Rows[i].Patience = int(p.Patience.Milliseconds())
+	for i := range t.Queues {
+		t.Queues[i].UnresolvedTimeoutMillis = int(p.Patience.Milliseconds())
 		if p.Patience < 10*time.Second {
-			t.Rows[i].CutMS = t.Rows[i].Patience
+			t.Queues[i].PartitionTimeoutMillis = t.Queues[i].UnresolvedTimeoutMillis
 		}
 	}
 	r.at(3*time.Second, func() { r.Clients.put(t, r.Clients.any(), 0, func(bool) {}) })
--- a/sim/scale.go
+++ b/sim/scale.go
@@ -64,8 +64,8 @@
 		r.gateways = append(r.gateways, r.gateway(addr(2, i), zone(i)))
 	}
 	for i := range s.Agents {
-		m := WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/20+1)), Kinds: []types.Kind{"quote", "menu"},
-			Room: types.Room{Cores: 16, Memory: 16 << 10}}
+		m := WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/20+1)), Kinds: []types.ServiceKind{"quote", "menu"},
+			Room: types.Resources{Cores: 16, MemoryMB: 16 << 10}}
 		r.agents = append(r.agents, r.agent(addr(3, i), zone(i), m))
 		r.worker(addr(4, i), addr(3, i), zone(i), m)
 	}
@@ -218,17 +218,17 @@
 }
 
 func (r *Run) fleetTable(s Scale) (t config.Table) {
-	t.Tasks = 1_000_000
+	t.MaxTasks = 1_000_000
 	for i := range max(3, min(200, FullQueues*s.Agents/FullWorkers)) {
-		t.Rows = append(t.Rows, config.Row{Name: types.Queue(fmt.Sprintf("team-%d", i)), Weight: 1, Running: 100_000, Waiting: 10_000, Tries: 3,
-			TaskMS: 600_000, Patience: 30_000, CutMS: 86_400_000, Stall: 10, Moves: 3})
+		t.Queues = append(t.Queues, config.Queue{Name: types.QueueName(fmt.Sprintf("team-%d", i)), Weight: 1, MaxRunning: 100_000, MaxUnfinished: 10_000, MaxFailures: 3,
+			TaskTimeoutMillis: 600_000, UnresolvedTimeoutMillis: 30_000, PartitionTimeoutMillis: 86_400_000, StragglerFactor: 10, MaxPreemptions: 3})
 	}
 	return
 }
 
 // scaleJob has a step whose name says what it is: times are compared by name.
 func scaleJob(name string, q, tasks int, gang bool, ms int) state.Spec {
-	return state.Spec{Queue: types.Queue(fmt.Sprintf("team-%d", q)), Steps: []state.Step{{Name: name, Kind: "quote", Room: types.Room{Cores: 1, Memory: 64},
+	return state.Spec{Queue: types.QueueName(fmt.Sprintf("team-%d", q)), Steps: []state.Step{{Name: name, Kind: "quote", Resources: types.Resources{Cores: 1, MemoryMB: 64},
 		Tasks: tasks, Gang: gang, Work: json.RawMessage(fmt.Sprintf(`{"ms":%d}`, ms))}}}
 }
 
@@ -321,8 +321,8 @@
 func (r *Run) change(t *config.Table) (time.Duration, error) {
 	from := r.now
 	next := *t
-	next.Version, next.Rows = t.Version+1, slices.Clone(t.Rows)
-	next.Rows[0].Weight = 1 + rand.New(rand.NewSource(r.now)).Intn(900)
+	next.Version, next.Queues = t.Version+1, slices.Clone(t.Queues)
+	next.Queues[0].Weight = 1 + rand.New(rand.NewSource(r.now)).Intn(900)
 	acked := false
 	r.Clients.put(next, r.Clients.any(), 0, func(ok bool) { acked = ok })
 	err := r.await(20*time.Second, "a table in force at every gateway", func() bool {
--- a/sim/schedule_test.go
+++ b/sim/schedule_test.go
@@ -86,7 +86,7 @@
 			return
 		}
 		r.Clients.read(func(t config.Table) {
-			if len(t.Rows) >= 3 {
+			if len(t.Queues) >= 3 {
 				r.Clients.put(r.Clients.change(t), r.Clients.any(), 0, func(bool) {})
 			}
 		})
@@ -139,7 +139,7 @@
 		plant func(*Run)
 	}{
 		"both of a race are acknowledged": {[]string{"table"}, onAnswer("table.put", func(a *wire.Answer) {
-			if a.Fault != nil && a.Fault.Kind == apierror.Stale {
+			if a.Fault != nil && a.Fault.Kind == apierror.StaleVersion {
 				*a = wire.Answer{Code: http.StatusOK}
 			}
 		})},
@@ -150,7 +150,7 @@
 					return
 				}
 				if again := seen[string(*body)]; again {
-					alter(body, func(t *config.Table) { t.Rows[0].Timeout++ })
+					alter(body, func(t *config.Table) { t.Queues[0].RequestTimeoutMillis++ })
 					return
 				}
 				seen[string(*body)] = true
--- a/sim/turnover_test.go
+++ b/sim/turnover_test.go
@@ -23,8 +23,8 @@
 	}
 	r.at(3*time.Second, func() { r.Clients.put(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
 	r.Run(8 * time.Second)
-	r.put("wide", state.Spec{Queue: "menus", Steps: []state.Step{{Name: "s0", Kind: "work", Room: types.Room{Cores: 9 * types.Core, Memory: 64}, Tasks: 200,
-		Work: Work{MS: 300}.raw(), Estimate: 300}}})
+	r.put("wide", state.Spec{Queue: "menus", Steps: []state.Step{{Name: "s0", Kind: "work", Resources: types.Resources{Cores: 9 * types.Core, MemoryMB: 64}, Tasks: 200,
+		Work: Work{MS: 300}.raw(), EstimateMillis: 300}}})
 	r.Run(20 * time.Second)
 	last, gaps := map[string]int64{}, []time.Duration{}
 	for _, h := range r.Hist.List {
--- a/sim/upkeep_test.go
+++ b/sim/upkeep_test.go
@@ -89,8 +89,8 @@
 	t.Parallel()
 	for _, bound := range []int{0, 3} {
 		is := is.New(t)
-		r := busy(31, func(t *config.Table) { t.Rows[1].Losses = bound })
-		r.put("menus-poison", state.Spec{Queue: "menus", Urgency: 9, Steps: []state.Step{{Name: "p", Kind: "menu", Room: types.Room{Cores: 1 * types.Core}, Tasks: 1,
+		r := busy(31, func(t *config.Table) { t.Queues[1].MaxLosses = bound })
+		r.put("menus-poison", state.Spec{Queue: "menus", Urgency: 9, Steps: []state.Step{{Name: "p", Kind: "menu", Resources: types.Resources{Cores: 1 * types.Core}, Tasks: 1,
 			Work: []byte(`{"ms":50,"crash":true}`)}}})
 		r.Run(60 * time.Second)
 		deaths := 0
@@ -105,11 +105,11 @@
 		is.True(rate > 6)
 		if bound > 0 {
 			is.Equal(deaths, bound)
-			is.Equal(jobState.Stage, state.Failed)
+			is.Equal(jobState.Stage, state.JobFailed)
 			continue
 		}
 		is.True(deaths >= 5 && deaths <= 9) // 0.2, 0.4, ... 12.8, 25.6 s between them
-		is.Equal(jobState.Stage, state.Open)
+		is.Equal(jobState.Stage, state.JobOpen)
 	}
 }
 
@@ -128,7 +128,7 @@
 // fill keeps every worker busy with long, unhurried tasks of one queue.
 func fill(r *Run, n, ms int) {
 	for i := range n {
-		r.put(fmt.Sprint("menus-fill", i), state.Spec{Queue: "menus", Steps: []state.Step{{Name: "f", Kind: "menu", Room: types.Room{Cores: 4 * types.Core}, Tasks: 40,
+		r.put(fmt.Sprint("menus-fill", i), state.Spec{Queue: "menus", Steps: []state.Step{{Name: "f", Kind: "menu", Resources: types.Resources{Cores: 4 * types.Core}, Tasks: 40,
 			Work: work(r.random, ms, ms)}}})
 	}
 }
@@ -149,28 +149,28 @@
 	}{{"urgent work", 9, 0}, {"work below its share", 0, 40}} {
 		wait := map[bool]time.Duration{}
 		for _, on := range []bool{false, true} {
-			r := busy(33, func(t *config.Table) { t.Rows[2].Displace, t.Rows[2].Share = on, c.share })
+			r := busy(33, func(t *config.Table) { t.Queues[2].CanPreempt, t.Queues[2].SharePercent = on, c.share })
 			fill(r, 3, 25_000)
 			r.Run(20 * time.Second)
 			from := time.Duration(r.now)
 			r.put("payments-big", state.Spec{Queue: "payments", Urgency: c.urgency, Steps: []state.Step{{Name: "b", Kind: "menu",
-				Room: types.Room{Cores: 14 * types.Core}, Tasks: 2, Gang: true, Spread: 1, Work: []byte(`{"ms":500}`)}}})
+				Resources: types.Resources{Cores: 14 * types.Core}, Tasks: 2, Gang: true, MaxPerWorker: 1, Work: []byte(`{"ms":500}`)}}})
 			r.Run(from + 30*time.Second)
 			at, ok := r.started("payments-big")
 			is.True(ok)
 			wait[on] = at - from
 			r.settle(t, 150*time.Second)
-			moved := map[types.Task]int{}
+			moved := map[types.TaskID]int{}
 			for _, h := range r.Hist.List {
-				if h.What == Ended && h.Outcome == state.Halted {
-					moved[h.Attempt.Task]++
-					is.True(moved[h.Attempt.Task] <= 3)
+				if h.What == Ended && h.Outcome == state.OutcomeStopped {
+					moved[h.Attempt.TaskID]++
+					is.True(moved[h.Attempt.TaskID] <= 3)
 				}
 			}
 			t.Logf("%s, displaces %v: the gang waited %s, %d tasks were displaced", c.name, on, wait[on].Round(time.Millisecond), len(moved))
 			is.Equal(len(moved) > 0, on)
 			for i := range 3 {
-				is.Equal(r.see(types.JobID(fmt.Sprint("menus-fill", i))).Stage, state.Done)
+				is.Equal(r.see(types.JobID(fmt.Sprint("menus-fill", i))).Stage, state.JobDone)
 			}
 		}
 		is.True(wait[true] < 4*time.Second)
@@ -188,13 +188,13 @@
 	is := is.New(t)
 	for seed := range int64(3) {
 		r := busy(40+seed, func(t *config.Table) {
-			for i := range t.Rows {
-				t.Rows[i].TaskMS = 20_000
+			for i := range t.Queues {
+				t.Queues[i].TaskTimeoutMillis = 20_000
 			}
 		})
 		fill(r, 1, 12_000)
 		open, shut := r.now+int64(40*time.Second), r.now+int64(52*time.Second)
-		plan := state.Plan{Name: "roof", Target: state.Target{Rack: "r1"}, Spans: [][2]types.Wall{{types.Wall(origin + open), types.Wall(origin + shut)}}}
+		plan := state.Calendar{Name: "roof", Target: state.Target{Rack: "r1"}, Windows: [][2]types.WallTime{{types.WallTime(origin + open), types.WallTime(origin + shut)}}}
 		r.Clients.order("plan.put", "roof", wire.Body(plan), 0, func() {})
 		r.Run(time.Duration(open) - 3*time.Second)
 		r.leader().kill() // the windows outlive a change of leader
@@ -268,15 +268,15 @@
 	}
 	t.Parallel()
 	is := is.New(t)
-	r := busy(60, func(t *config.Table) { t.Rows[0].TaskMS, t.Rows[1].TaskMS = 5000, 5000 })
+	r := busy(60, func(t *config.Table) { t.Queues[0].TaskTimeoutMillis, t.Queues[1].TaskTimeoutMillis = 5000, 5000 })
 	r.Clients.flow(Flow{"menus", 30 * time.Millisecond, func(rnd *rand.Rand) state.Spec {
-		return state.Spec{Queue: "menus", Steps: []state.Step{{Name: "s", Kind: "menu", Room: types.Room{Cores: 3 * types.Core}, Tasks: 1, Work: work(rnd, 800, 1600)}}}
+		return state.Spec{Queue: "menus", Steps: []state.Step{{Name: "s", Kind: "menu", Resources: types.Resources{Cores: 3 * types.Core}, Tasks: 1, Work: work(rnd, 800, 1600)}}}
 	}})
 	r.Run(20 * time.Second)
 	var waits []time.Duration
 	for i := range 4 {
 		id, from := fmt.Sprint("payments-large", i), time.Duration(r.now)
-		r.put(id, state.Spec{Queue: "payments", Steps: []state.Step{{Name: "l", Kind: "menu", Room: types.Room{Cores: 16 * types.Core}, Tasks: 1, Limit: 5000, Work: []byte(`{"ms":1000}`)}}})
+		r.put(id, state.Spec{Queue: "payments", Steps: []state.Step{{Name: "l", Kind: "menu", Resources: types.Resources{Cores: 16 * types.Core}, Tasks: 1, TimeLimitMillis: 5000, Work: []byte(`{"ms":1000}`)}}})
 		r.Run(from + 15*time.Second)
 		at, ok := r.started(id)
 		is.True(ok)
@@ -293,7 +293,7 @@
 		down: map[string][]int64{}, leave: map[types.Shard][][2]int64{}, drain: map[types.Shard][][2]int64{}, hist: &r.Hist, seen: Tally{}}
 	c.read()
 	for _, s := range c.spans {
-		cores += float64(c.step(s).Room.Cores) / 1000 * float64(max(0, s.to-max(s.from, int64(20*time.Second)))) / 1e9
+		cores += float64(c.step(s).Resources.Cores) / 1000 * float64(max(0, s.to-max(s.from, int64(20*time.Second)))) / 1e9
 	}
 	long := (time.Duration(r.now) - 20*time.Second).Seconds()
 	t.Logf("large tasks waited %v; %.1f small tasks a second; %.0f of 176 cores in use", waits, float64(n)/long, cores/long)
--- a/sim/work.go
+++ b/sim/work.go
@@ -33,7 +33,7 @@
 	w := NewWorker(m, types.ID(id), rand.New(rand.NewSource(seed)), tell)
 	tell(HistoryEvent{What: Staying, Who: id, Shard: m.Shard, Make: &m})
 	client := server.Client(source, 500*time.Millisecond)
-	told := map[types.Attempt]bool{}
+	told := map[types.AttemptID]bool{}
 	call := func(p dispatch.Poll) {
 		a, ok := post(ctx, client, agent, p)
 		if !ok {
--- a/sim/worker.go
+++ b/sim/worker.go
@@ -19,8 +19,8 @@
 type WorkerSpec struct {
 	Shard types.Shard
 	Rack  types.Rack
-	Kinds []types.Kind
-	Room  types.Room
+	Kinds []types.ServiceKind
+	Room  types.Resources
 	Slow  float64 // times the usual length; 0 is 1
 	Fails float64 // part of its attempts that fail
 	Stall float64 // part of its attempts that take ten times as long
@@ -31,7 +31,7 @@
 
 type run struct {
 	job     dispatch.Job
-	ends    types.Stamp
+	ends    types.MonoTime
 	outcome state.Outcome
 	crash   bool
 }
@@ -42,14 +42,14 @@
 	ID            types.ID
 	Agent         types.ID
 	Leave         bool
-	Goes          types.Stamp // when it goes, if it said so
+	Goes          types.MonoTime // when it goes, if it said so
 	Crashed       bool
 	Deaf, Willing bool // planted bugs: heeds no grant; guards neither room nor leaving
 	rnd           *rand.Rand
 	call          uint64
-	until         types.Stamp
-	runs          map[types.Attempt]*run
-	ends          map[types.Attempt]dispatch.Finish
+	until         types.MonoTime
+	runs          map[types.AttemptID]*run
+	ends          map[types.AttemptID]dispatch.Finish
 	News          bool // an attempt has ended since the latest call
 	tell          func(HistoryEvent)
 }
@@ -59,20 +59,20 @@
 	if m.Slow == 0 {
 		m.Slow = 1
 	}
-	return &Worker{WorkerSpec: m, ID: id, rnd: rnd, runs: map[types.Attempt]*run{}, ends: map[types.Attempt]dispatch.Finish{}, tell: tell, until: -1 << 61}
+	return &Worker{WorkerSpec: m, ID: id, rnd: rnd, runs: map[types.AttemptID]*run{}, ends: map[types.AttemptID]dispatch.Finish{}, tell: tell, until: -1 << 61}
 }
 
-func (w *Worker) say(what EventKind, l types.Attempt, f state.Outcome) {
+func (w *Worker) say(what EventKind, l types.AttemptID, f state.Outcome) {
 	w.tell(HistoryEvent{What: what, Who: string(w.ID), Shard: w.Shard, Attempt: l, Outcome: f})
 }
 
 // Tick looks at the grant first, then ends what is due.
-func (w *Worker) Tick(now types.Stamp) {
+func (w *Worker) Tick(now types.MonoTime) {
 	for _, l := range w.sorted() {
 		r := w.runs[l]
 		switch {
 		case now >= w.until && !w.Deaf:
-			w.end(r, state.Halted)
+			w.end(r, state.OutcomeStopped)
 		case now >= r.ends && r.crash:
 			w.Crashed = true
 		case now >= r.ends:
@@ -81,12 +81,12 @@
 	}
 }
 
-func (w *Worker) sorted() []types.Attempt {
-	list := make([]types.Attempt, 0, len(w.runs))
+func (w *Worker) sorted() []types.AttemptID {
+	list := make([]types.AttemptID, 0, len(w.runs))
 	for l := range w.runs {
 		list = append(list, l)
 	}
-	sort.Slice(list, func(i, k int) bool { return list[i].Least(list[k]) })
+	sort.Slice(list, func(i, k int) bool { return list[i].Less(list[k]) })
 	return list
 }
 
@@ -98,7 +98,7 @@
 }
 
 // Call makes the next call to the agent.
-func (w *Worker) Call(now types.Stamp) dispatch.Poll {
+func (w *Worker) Call(now types.MonoTime) dispatch.Poll {
 	w.Tick(now)
 	w.call++
 	w.News = false
@@ -112,12 +112,12 @@
 	for _, f := range w.ends {
 		p.Ends = append(p.Ends, f)
 	}
-	sort.Slice(p.Ends, func(i, k int) bool { return p.Ends[i].Attempt.Least(p.Ends[k].Attempt) })
+	sort.Slice(p.Ends, func(i, k int) bool { return p.Ends[i].Attempt.Less(p.Ends[k].Attempt) })
 	return p
 }
 
 // Take heeds an answer, if it is to the latest call.
-func (w *Worker) Take(now types.Stamp, a dispatch.Answer) {
+func (w *Worker) Take(now types.MonoTime, a dispatch.Answer) {
 	w.Tick(now)
 	if a.Call != w.call {
 		return
@@ -131,38 +131,38 @@
 	}
 	for _, l := range a.Stop {
 		if r := w.runs[l]; r != nil {
-			w.end(r, state.Halted)
+			w.end(r, state.OutcomeStopped)
 		}
 	}
 	w.Tick(now)
 	free := w.Room
 	for _, r := range w.runs {
-		free = free.Minus(r.job.Room)
+		free = free.Sub(r.job.Room)
 	}
 	for _, j := range a.Start {
 		if _, old := w.ends[j.Attempt]; old || w.runs[j.Attempt] != nil || now >= w.until {
 			continue
 		}
-		if (w.Leave || !free.Holds(j.Room)) && !w.Willing {
-			w.ends[j.Attempt] = dispatch.Finish{Run: dispatch.Run{Attempt: j.Attempt, Room: j.Room}, Outcome: state.Unrun}
-			w.say(Spared, j.Attempt, state.Unrun)
+		if (w.Leave || !free.Contains(j.Room)) && !w.Willing {
+			w.ends[j.Attempt] = dispatch.Finish{Run: dispatch.Run{Attempt: j.Attempt, Room: j.Room}, Outcome: state.OutcomeNeverRan}
+			w.say(Spared, j.Attempt, state.OutcomeNeverRan)
 			continue
 		}
-		free = free.Minus(j.Room)
+		free = free.Sub(j.Room)
 		w.start(now, j)
 	}
 }
 
-func (w *Worker) start(now types.Stamp, j dispatch.Job) {
+func (w *Worker) start(now types.MonoTime, j dispatch.Job) {
 	var k Work
 	json.Unmarshal(j.Work, &k)
 	long := float64(k.MS) * w.Slow
 	if w.Stall > 0 && w.rnd.Float64() < w.Stall {
 		long *= 10
 	}
-	r := &run{job: j, ends: now.Add(time.Duration(long * float64(time.Millisecond))), outcome: state.OK, crash: k.Crash}
+	r := &run{job: j, ends: now.Add(time.Duration(long * float64(time.Millisecond))), outcome: state.OutcomeOK, crash: k.Crash}
 	if k.Fail || w.Fails > 0 && w.rnd.Float64() < w.Fails {
-		r.outcome = state.Bad
+		r.outcome = state.OutcomeFailed
 	}
 	w.runs[j.Attempt] = r
 	w.say(Started, j.Attempt, "")
--- a/sim/worker_environment.go
+++ b/sim/worker_environment.go
@@ -58,9 +58,9 @@
 func (we *WorkerEnvironment) Sent(id types.JobID, s *state.Spec) { we.specs[id] = s }
 
 // step finds what an attempt is of, or nil where nobody sent that.
-func (we *WorkerEnvironment) step(l types.Attempt) *state.Step {
+func (we *WorkerEnvironment) step(l types.AttemptID) *state.Step {
 	if s := we.specs[l.Job]; s != nil {
-		if i := s.Step(l.N); i >= 0 {
+		if i := s.StepOf(l.Number); i >= 0 {
 			return &s.Steps[i]
 		}
 	}
@@ -73,8 +73,8 @@
 }
 
 // far is how many times as long a task takes on a worker.
-func (we *WorkerEnvironment) far(w *InvokedWorker, l types.Attempt, p *state.Step) float64 {
-	if p.Near != "" && p.Near != w.Rack {
+func (we *WorkerEnvironment) far(w *InvokedWorker, l types.AttemptID, p *state.Step) float64 {
+	if p.DataRack != "" && p.DataRack != w.Rack {
 		return we.Far
 	}
 	return 1
@@ -88,14 +88,14 @@
 
 // join has an attempt wait for its gang, or completes it.
 func (we *WorkerEnvironment) join(a *attempt) {
-	id := gangID{a.attempt.Job, types.StageOf(a.attempt.N), a.attempt.Attempt}
+	id := gangID{a.attempt.Job, types.StageOf(a.attempt.Number), a.attempt.Attempt}
 	g := we.gangs[id]
 	if g == nil {
 		g = &gang{id: id, environment: we, need: a.step.Tasks, here: map[int]*attempt{}}
 		we.gangs[id] = g
 	}
 	a.gang = g
-	if g.here[a.attempt.N] = a; len(g.here) < g.need {
+	if g.here[a.attempt.Number] = a; len(g.here) < g.need {
 		return
 	}
 	g.works = true
@@ -105,7 +105,7 @@
 		m.at = max(m.at, m.w.time())
 	}
 	for _, m := range g.members() {
-		if a.step.OneRack && len(racks) > 1 {
+		if a.step.PreferOneRack && len(racks) > 1 {
 			m.slow *= we.Far
 		}
 		m.w.say(HistoryEvent{What: Working, Attempt: m.attempt})
@@ -117,7 +117,7 @@
 	for _, a := range g.here {
 		list = append(list, a)
 	}
-	sort.Slice(list, func(i, k int) bool { return list[i].attempt.N < list[k].attempt.N })
+	sort.Slice(list, func(i, k int) bool { return list[i].attempt.Number < list[k].attempt.Number })
 	return list
 }
 
--- a/sim/workload.go
+++ b/sim/workload.go
@@ -195,7 +195,7 @@
 	if code != 503 && code != 429 {
 		return false
 	}
-	time.Sleep(time.Duration(max(f.Retry, 1)) * time.Second)
+	time.Sleep(time.Duration(max(f.RetryAfterSeconds, 1)) * time.Second)
 	return true
 }
 
@@ -211,7 +211,7 @@
 	for range 60 {
 		code, b := w.try(http.MethodPut, "/v1/table", wire.Body(t))
 		if code == 200 {
-			got := t.Next()
+			got := t.Accepted()
 			w.f.Tell(HistoryEvent{What: TableAck, Table: &got})
 			return got.Version, nil
 		}
@@ -232,14 +232,14 @@
 		var t config.Table
 		began := strconv.FormatInt(time.Since(w.f.start).Nanoseconds(), 10)
 		code, b := w.try(http.MethodGet, "/v1/table", nil)
-		if code != 200 || json.Unmarshal(b, &t) != nil || len(t.Rows) < 2 {
+		if code != 200 || json.Unmarshal(b, &t) != nil || len(t.Queues) < 2 {
 			continue
 		}
 		w.f.Tell(HistoryEvent{What: TableSaw, Table: &t, Text: began})
 		var two sync.WaitGroup
 		for range 2 {
-			n := config.Table{Version: t.Version, Rows: append([]config.Row(nil), t.Rows...)}
-			n.Rows[0].Weight = 1 + w.chance(900)
+			n := config.Table{Version: t.Version, Queues: append([]config.Queue(nil), t.Queues...)}
+			n.Queues[0].Weight = 1 + w.chance(900)
 			two.Add(1)
 			go func() { defer two.Done(); w.Put(n) }()
 		}
--- a/sim/world.go
+++ b/sim/world.go
@@ -41,7 +41,7 @@
 	first           bool // a controller of the first start; a lost disk ends that
 	frozen          bool
 	queue           []func()
-	base            types.Stamp
+	base            types.MonoTime
 	drift           float64
 	wall            time.Duration
 	disk            *disk
@@ -129,7 +129,7 @@
 
 func (w *World) add(addr types.Addr, role string, zone types.Zone, make func(*node) wire.Machine) *node {
 	n := &node{w: w, addr: addr, role: role, zone: zone, make: make, pendingRequests: map[uint64]pendingRequest{},
-		base: types.Stamp(w.random.Int63n(1 << 50)), drift: 1 + (w.random.Float64()-0.5)*4e-4}
+		base: types.MonoTime(w.random.Int63n(1 << 50)), drift: 1 + (w.random.Float64()-0.5)*4e-4}
 	if role == "controller" {
 		n.disk = &disk{w: w, use: &n.usage}
 	}
@@ -137,10 +137,10 @@
 	return n
 }
 
-func (n *node) mono() types.Stamp { return n.base + types.Stamp(float64(n.w.now)*n.drift) }
+func (n *node) mono() types.MonoTime { return n.base + types.MonoTime(float64(n.w.now)*n.drift) }
 
 func (n *node) clock() types.Now {
-	return types.Now{Mono: n.mono(), Wall: types.Wall(origin + n.w.now + int64(n.wall))}
+	return types.Now{Mono: n.mono(), Wall: types.WallTime(origin + n.w.now + int64(n.wall))}
 }
 
 // boot starts the node's process.
@@ -207,8 +207,8 @@
 	}
 	u, _ := wire.Read[dispatch.Status](message)
 	for _, e := range u.Ends {
-		if e.Outcome == state.OK || e.Outcome == state.Bad {
-			n.w.record(HistoryEvent{What: Heard, Who: n.name(), Attempt: e.Attempt, Outcome: e.Outcome})
+		if e.Outcome == state.OutcomeOK || e.Outcome == state.OutcomeFailed {
+			n.w.record(HistoryEvent{What: Heard, Who: n.name(), Attempt: e.ID, Outcome: e.Outcome})
 		}
 	}
 }
