--- a/internal/controller/calls.go
+++ b/internal/controller/calls.go
@@ -51,7 +51,7 @@
 func (co *Controller) ask(w waiter, c wire.CallBody) {
 	co.Sums.Calls++
 	w.term = co.raft.Term()
-	if co.scheduler == nil || !co.raft.HoldsLease() {
+	if co.scheduler == nil || !co.raft.HoldsReadLease() {
 		co.reply(w, wire.ReplyBody{Away: true, Lead: co.otherLeader()})
 		return
 	}
@@ -75,16 +75,16 @@
 // leader: one of which nothing was heard for as long as its lease lasts may lead
 // no more, and this controller itself can't be the answer.
 func (co *Controller) otherLeader() types.Addr {
-	if co.raft.Name() == "" {
+	if co.raft.ClusterName() == "" {
 		if lead := co.roster.Lead(); lead != co.options.Addr {
 			return lead
 		}
 		return ""
 	}
-	if !co.raft.LeaderIsRecent() {
+	if !co.raft.HasRecentLeader() {
 		return ""
 	}
-	return co.raft.Leader()
+	return co.raft.LeaderAddr()
 }
 
 func (co *Controller) reply(w waiter, r wire.ReplyBody) {
--- a/internal/controller/catchup_test.go
+++ b/internal/controller/catchup_test.go
@@ -44,7 +44,7 @@
 		}
 		m.step(wire.Event{})
 		c.until(20*time.Second, "changes applied", func() bool {
-			return !m.serves() || m.machine.applied == m.machine.raft.Commit() && m.machine.raft.Commit() > 0 && m.machine.state.Table.Version >= base+1
+			return !m.serves() || m.machine.applied == m.machine.raft.CommittedIndex() && m.machine.raft.CommittedIndex() > 0 && m.machine.state.Table.Version >= base+1
 		})
 		c.run(20 * time.Millisecond)
 	}
@@ -271,18 +271,18 @@
 		plant func(*member, wire.Event)
 	}{
 		{"a member stands for election while it reads its state back", loseLeaderWhileLoading,
-			func(m *member, _ wire.Event) { m.machine.raft.Loading(false) }},
+			func(m *member, _ wire.Event) { m.machine.raft.SetStateLoading(false) }},
 		{"a member goes on without the state that it should read back", loseLeaderWhileLoading, func(m *member, _ wire.Event) {
 			if h := m.machine; h.loader != nil {
 				h.applied, h.since, h.loader = h.loaded, h.loaded, nil
-				h.raft.Loading(false)
+				h.raft.SetStateLoading(false)
 			}
 		}},
 		{"a lease is judged by the time of the last tick", freezeLeader, func(m *member, e wire.Event) {
 			if e.Message == nil {
 				m.lastTick = m.clock()
 			}
-			m.machine.raft.Observe(m.lastTick)
+			m.machine.raft.SetTime(m.lastTick)
 		}},
 	} {
 		t.Run(bug.name, func(t *testing.T) {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -161,7 +161,7 @@
 
 // serves tells whether a member answers as the leader.
 func (m *member) serves() bool {
-	return m.machine != nil && !m.frozen && m.machine.scheduler != nil && m.machine.raft.HoldsLease()
+	return m.machine != nil && !m.frozen && m.machine.scheduler != nil && m.machine.raft.HoldsReadLease()
 }
 
 func (m *member) start(first bool) {
@@ -172,7 +172,7 @@
 	m.life++
 	m.queue, m.writing, m.frozen, m.missed, m.answers = nil, false, false, nil, map[uint64]func(wire.Answer){}
 	m.machine = New(m.clock(), rand.New(rand.NewSource(m.cluster.rnd.Int63())), Options{Addr: m.addr, Zone: types.Zone(m.addr), Seeds: seeds,
-		Begin: raft.Bootstrap{First: first, Founders: seeds}, Core: raft.Defaults, Truth: dispatch.Defaults, Every: m.cluster.every}, m.disk)
+		Begin: raft.BootstrapOptions{FirstStart: first, Founders: seeds}, Core: raft.DefaultTimeouts, Truth: dispatch.Defaults, Every: m.cluster.every}, m.disk)
 	m.tick(m.life)
 }
 
@@ -259,7 +259,7 @@
 		if to.addr != s.To {
 			continue
 		}
-		if s.Message.Kind == wire.Append2 {
+		if s.Message.Kind == wire.AppendReply {
 			m.replies++
 		}
 		m.mostSent = max(m.mostSent, len(s.Message.Body))
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -25,7 +25,7 @@
 	Addr  types.Addr
 	Zone  types.Zone
 	Seeds []types.Addr
-	Begin raft.Bootstrap
+	Begin raft.BootstrapOptions
 	Loses int // voters that may be lost at once, disk and all
 	Issue string
 	Core  raft.Timeouts
@@ -113,20 +113,20 @@
 }
 
 func (co *Controller) card() membership.Card {
-	return membership.Card{Addr: co.options.Addr, ID: co.raft.ID(), Role: "controller", Zone: co.options.Zone, Name: co.raft.Name(),
+	return membership.Card{Addr: co.options.Addr, ID: co.raft.ID(), Role: "controller", Zone: co.options.Zone, Name: co.raft.ClusterName(),
 		Term: co.raft.Term(), Leads: co.raft.IsLeader() && !co.drain, Part: co.raft.Role(), Ready: co.Ready(), Issue: co.options.Issue}
 }
 
 // Ready tells whether the platform may send callers here: a controller that knows a
 // leader of now, or is it.
 func (co *Controller) Ready() bool {
-	return !co.drain && co.disk == nil && co.loader == nil && co.raft.Name() != "" && (co.raft.IsLeader() && co.raft.HoldsLease() || !co.raft.IsLeader() && co.raft.Leader() != "")
+	return !co.drain && co.disk == nil && co.loader == nil && co.raft.ClusterName() != "" && (co.raft.IsLeader() && co.raft.HoldsReadLease() || !co.raft.IsLeader() && co.raft.LeaderAddr() != "")
 }
 
 // Step takes one event.
 func (co *Controller) Step(e wire.Event) wire.Out {
 	co.now = e.Now
-	co.raft.Observe(e.Now)
+	co.raft.SetTime(e.Now)
 	co.Sums.Steps++
 	co.overload.measure(e.Now.Mono, e.Load)
 	switch {
@@ -152,8 +152,8 @@
 	var out wire.Out
 	co.writeSnapshotPart()
 	co.roster.Me(co.card())
-	out.Instead = co.raft.Instead()
-	out.Sends, out.Batch, out.Seq, out.Whole = co.raft.Out()
+	out.Instead = co.raft.AppendInstead()
+	out.Sends, out.Batch, out.Seq, out.Whole = co.raft.Ready()
 	out.Sends = append(append(out.Sends, co.sends...), co.roster.Out()...)
 	out.Answers = co.answers
 	co.sends, co.answers = nil, nil
@@ -164,11 +164,11 @@
 func (co *Controller) take(n wire.Message) {
 	switch {
 	case co.roster.Take(co.now.Mono, n):
-	case co.raft.Receive(co.now, n):
+	case co.raft.Step(co.now, n):
 	case n.Kind == wire.Call:
 		co.call(n)
 	case n.Kind == wire.News:
-		if co.raft.HoldsLease() {
+		if co.raft.HoldsReadLease() {
 			co.desk.Take(co.now.Mono, n)
 		}
 	default:
@@ -176,7 +176,7 @@
 			co.keep(n)
 		}
 		if co.scheduler != nil {
-			co.scheduler.Take(co.now.Mono, co.raft.AuthorityLeft(), n)
+			co.scheduler.Take(co.now.Mono, co.raft.AuthorityRemaining(), n)
 		}
 	}
 }
@@ -185,13 +185,13 @@
 	co.moved = true
 	co.loadPart()
 	co.roster.Tick(co.now.Mono)
-	var seen []raft.Discovered
+	var seen []raft.DiscoveredPeer
 	for _, c := range co.roster.Controllers() {
 		if c.ID != "" && c.Part != "out" {
-			seen = append(seen, raft.Discovered{Member: raft.Member{ID: c.ID, Addr: c.Addr, Zone: c.Zone}, Name: c.Name})
+			seen = append(seen, raft.DiscoveredPeer{Member: raft.Member{ID: c.ID, Addr: c.Addr, Zone: c.Zone}, ClusterName: c.Name})
 		}
 	}
-	co.raft.SetDiscovered(seen, co.others())
+	co.raft.SetDiscoveredPeers(seen, co.others())
 	co.raft.Tick(co.now)
 	co.pass()
 }
@@ -199,7 +199,7 @@
 // others are, while no cluster is known, where daemons are that are no controllers: a
 // founder that turns out to be one of them is not waited for.
 func (co *Controller) others() (list []types.Addr) {
-	if co.raft.Name() == "" {
+	if co.raft.ClusterName() == "" {
 		for _, a := range co.options.Begin.Founders {
 			if role := co.roster.Role(a); role != "" && role != "controller" {
 				list = append(list, a)
@@ -255,16 +255,16 @@
 		return
 	}
 	if co.scheduler == nil {
-		if !co.raft.HoldsLease() || co.lags() {
+		if !co.raft.HoldsReadLease() || co.lags() {
 			return
 		}
 		co.Sums.Elected++
-		co.scheduler = dispatch.NewScheduler(co.now.Mono, co.raft.PriorAuthority(), co.options.Truth, co.options.Addr, co.raft.Term(), co.outs())
+		co.scheduler = dispatch.NewScheduler(co.now.Mono, co.raft.PriorLeaderHeardAt(), co.options.Truth, co.options.Addr, co.raft.Term(), co.outs())
 		co.scheduler.Invoked = func(x types.Shard) bool { return co.state.WorkerShapes[x].CalledByAgent }
 		co.scheduler.Apart = func(x types.Shard) bool { return co.roster.Apart(string(x)) }
 		co.scheduler.Taken, co.scheduler.Doubts = co.taken, func(x types.Shard) []types.AttemptID { return co.state.UnresolvedAttempts(x) }
 	}
-	co.scheduler.Tick(co.now.Mono, co.raft.AuthorityLeft())
+	co.scheduler.Tick(co.now.Mono, co.raft.AuthorityRemaining())
 	co.heed()
 	if co.moved && co.overload.mayPlace(co.now.Mono) {
 		co.moved = false
@@ -273,7 +273,7 @@
 		co.plan()
 		co.heed()
 	}
-	if co.raft.HoldsLease() {
+	if co.raft.HoldsReadLease() {
 		co.sends = append(co.sends, co.desk.Answer(co.now.Mono, co.state.Table)...)
 	}
 }
--- a/internal/controller/disk_test.go
+++ b/internal/controller/disk_test.go
@@ -92,7 +92,7 @@
 		c.changes(300, 1000)
 		c.run(2 * time.Second)
 	}
-	is.True(m.machine.raft.Waiting() < 50)
+	is.True(m.machine.raft.MessagesAwaitingSync() < 50)
 	is.True(m.replies > sent)
 	m.full = false
 	c.until(catchUp, "caught up", func() bool { return c.caughtUp(m) })
--- a/internal/controller/early.go
+++ b/internal/controller/early.go
@@ -71,12 +71,12 @@
 		if co.now.Mono.Sub(x.sent) < wait {
 			continue
 		}
-		to := co.raft.Leader()
+		to := co.raft.LeaderAddr()
 		if co.scheduler != nil {
 			to = co.options.Addr
 		}
 		if s := wire.Make(x.from, to, wire.Status, x.Status); co.scheduler != nil {
-			co.scheduler.Take(co.now.Mono, co.raft.AuthorityLeft(), s.Message)
+			co.scheduler.Take(co.now.Mono, co.raft.AuthorityRemaining(), s.Message)
 		} else {
 			co.relay(s, to, x.tries)
 			x.tries++
--- a/internal/controller/entries.go
+++ b/internal/controller/entries.go
@@ -61,7 +61,7 @@
 	if co.loader != nil {
 		return
 	}
-	for most := co.applied + applyAtOnce; co.applied < co.raft.Commit() && co.applied < most; {
+	for most := co.applied + applyAtOnce; co.applied < co.raft.CommittedIndex() && co.applied < most; {
 		co.applied++
 		co.Sums.Applied++
 		if e := co.raft.Entry(co.applied); e.Data != nil {
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -102,12 +102,12 @@
 
 // relieve lets a leader that has been behind for long hand over.
 func (co *Controller) relieve() {
-	co.raft.SetLag(co.overload.load.Control)
-	co.overload.watch(co.now.Mono, co.raft.LagTolerance())
+	co.raft.SetLoopLag(co.overload.load.Control)
+	co.overload.watch(co.now.Mono, co.raft.MaxLoopLag())
 	switch {
 	case !co.raft.IsLeader():
 		co.overload.ledSince = co.now.Mono
-	case co.overload.isBehind && co.raft.HoldsLease() && co.raft.TransferOverloaded(co.now, co.now.Mono.Sub(co.overload.ledSince)):
+	case co.overload.isBehind && co.raft.HoldsReadLease() && co.raft.TransferWhenOverloaded(co.now, co.now.Mono.Sub(co.overload.ledSince)):
 		co.Sums.Relieved++
 	}
 }
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -32,7 +32,7 @@
 	}
 	co.propose(spent)
 	co.scheduler.Halt(append(doom, co.scheduler.Strays()...), co.overtime())
-	if !co.raft.HoldsLease() || co.drain {
+	if !co.raft.HoldsReadLease() || co.drain {
 		return
 	}
 	co.shapes()
--- a/internal/controller/slots_test.go
+++ b/internal/controller/slots_test.go
@@ -77,7 +77,7 @@
 func newLeadership(seed int64) *leadership {
 	rnd := rand.New(rand.NewSource(seed))
 	now := types.Now{Mono: types.MonoTime(time.Hour), Wall: types.WallTime(time.Hour)}
-	h := New(now, rnd, Options{Addr: "h1", Core: raft.Defaults, Truth: dispatch.Defaults}, nil)
+	h := New(now, rnd, Options{Addr: "h1", Core: raft.DefaultTimeouts, Truth: dispatch.Defaults}, nil)
 	l := &leadership{Controller: h, rnd: rnd}
 	h.scheduler = dispatch.NewScheduler(now.Mono, now.Mono, dispatch.Defaults, "h1", 1, nil)
 	h.scheduler.Invoked = func(types.Shard) bool { return true }
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -63,7 +63,7 @@
 func (co *Controller) beginLoad() {
 	s := co.raft.Snapshot()
 	co.loader, co.loaded = state.NewLoader(s.Parts), s.Index
-	co.raft.Loading(true)
+	co.raft.SetStateLoading(true)
 }
 
 // loadPart reads on, and takes the state over once it is whole.
@@ -81,7 +81,7 @@
 	co.state, co.applied, co.since, co.loader = whole, co.loaded, co.loaded, nil
 	co.shot = sizeOf(co.raft.Snapshot().Parts)
 	co.raft.AdvanceClock(whole.Time)
-	co.raft.Loading(false)
+	co.raft.SetStateLoading(false)
 }
 
 // replaced tells whether a leader has sent a snapshot in place of what this
@@ -91,4 +91,4 @@
 }
 
 // lags tells whether the state lacks something that is committed.
-func (co *Controller) lags() bool { return co.loader != nil || co.applied < co.raft.Commit() }
+func (co *Controller) lags() bool { return co.loader != nil || co.applied < co.raft.CommittedIndex() }
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -152,27 +152,27 @@
 
 func (co *Controller) Status() StatusView {
 	c := co.raft
-	v := StatusView{Role: "controller", Program: co.options.Issue, ID: c.ID(), Cluster: c.Name(), Part: c.Role(), Why: c.Reason(),
-		Ready: co.Ready(), Term: c.Term(), Leader: c.Leader(), Commit: c.Commit(), Roll: c.Config(), Version: co.state.Table.Version,
+	v := StatusView{Role: "controller", Program: co.options.Issue, ID: c.ID(), Cluster: c.ClusterName(), Part: c.Role(), Why: c.RoleReason(),
+		Ready: co.Ready(), Term: c.Term(), Leader: c.LeaderAddr(), Commit: c.CommittedIndex(), Roll: c.Configuration(), Version: co.state.Table.Version,
 		Jobs: len(co.state.LiveJobs()), Known: len(co.state.Jobs) + co.state.TombstoneCount(), Peers: co.roster.Peers(), Sums: co.Sums,
 		Behind: co.overload.isBehind, LagMS: co.overload.load.Control.Milliseconds(),
 		Wall: time.Unix(0, int64(co.raft.Clock())+int64(co.state.WallOffset)).UTC().Format(time.RFC3339Nano)}
 	if co.scheduler != nil && co.scheduler.Wait {
 		v.Wait = co.scheduler.Why
 	}
-	if n := c.Config().Voters(); n > 0 {
+	if n := c.Configuration().Voters(); n > 0 {
 		v.Bears = (n - 1) / 2
 	}
 	switch {
 	case co.disk != nil:
 		v.Why = "the disk refuses, so this member has no vote and no duty: " + co.disk.Error()
-	case c.Stuck():
+	case c.DiskStalled():
 		v.Why = "the disk does not answer, so this member has no duty"
 	case co.loader != nil:
 		v.Why = "reading a snapshot back"
 	}
-	if v.Why == "" && c.Name() != "" && v.Bears < co.options.Loses {
-		v.Why = fmt.Sprintf("%d voters bear the loss of %d at once, and the settings ask for %d", c.Config().Voters(), v.Bears, co.options.Loses)
+	if v.Why == "" && c.ClusterName() != "" && v.Bears < co.options.Loses {
+		v.Why = fmt.Sprintf("%d voters bear the loss of %d at once, and the settings ask for %d", c.Configuration().Voters(), v.Bears, co.options.Loses)
 	}
 	return v
 }
--- a/internal/raft/bootstrap.go
+++ b/internal/raft/bootstrap.go
@@ -17,55 +17,55 @@
 )
 
 const (
-	bootstrapTimeout = 5 * time.Second
-	requestInterval  = 200 * time.Millisecond
+	bootstrapTimeout    = 5 * time.Second
+	joinRequestInterval = 200 * time.Millisecond
 	// Where no named founder is a controller, those that are there bootstrap: this many
 	// at least, and only this long after their start, when all have heard of each other.
-	fewestUnnamed = 3
-	unnamedDelay  = 2 * time.Second
+	minUnnamedFounders   = 3
+	unnamedFoundersDelay = 2 * time.Second
 )
 
-// Discovered is a controller as the membership service shows it; Name is empty when
+// DiscoveredPeer is a controller as the membership service shows it; Name is empty when
 // it has no cluster.
-type Discovered struct {
+type DiscoveredPeer struct {
 	Member
-	Name string
+	ClusterName string
 }
 
-// SetDiscovered tells which other controllers are healthy now and, while there is no
+// SetDiscoveredPeers tells which other controllers are healthy now and, while there is no
 // cluster, where daemons of other roles are.
-func (n *Node) SetDiscovered(list []Discovered, others []types.Addr) {
-	n.controllers, n.otherDaemons = list, others
+func (n *Node) SetDiscoveredPeers(peers []DiscoveredPeer, nonControllers []types.Addr) {
+	n.discoveredPeers, n.nonControllers = peers, nonControllers
 }
 
-func (n *Node) adoptBootstrap(k BootstrapConfig) {
-	n.name, n.snapshot.Config, n.promised, n.reason = k.Name, k.Config, nil, ""
-	n.write(Record{Bootstrap: &k})
-	n.reloadConfig()
+func (n *Node) enterCluster(cluster InitialCluster) {
+	n.clusterName, n.snapshot.Config, n.acceptedCluster, n.reason = cluster.ClusterName, cluster.Config, nil, ""
+	n.writeRecord(Record{Cluster: &cluster})
+	n.recomputeConfiguration()
 	n.assignRole()
 	n.resetElectionTimer()
 }
 
 func (n *Node) tryBootstrap() {
-	if n.now.Mono.Sub(n.lastRequestAt) < requestInterval {
+	if n.now.Mono.Sub(n.lastJoinRequestAt) < joinRequestInterval {
 		return
 	}
-	n.lastRequestAt = n.now.Mono
+	n.lastJoinRequestAt = n.now.Mono
 	if n.requestJoin() {
 		n.reason = "a cluster exists; waiting to be let in"
 		return
 	}
-	if k := n.promised; k != nil {
-		if n.now.Mono.Sub(n.promisedAt) > bootstrapTimeout {
+	if k := n.acceptedCluster; k != nil {
+		if n.now.Mono.Sub(n.acceptedAt) > bootstrapTimeout {
 			n.newIdentity(types.NewID(n.rand))
 			return
 		}
 		n.reason = "promised to a bootstrap that is not complete yet"
-		n.repeatBootstrap(*k)
+		n.resendBootstrap(*k)
 		return
 	}
 	var config Configuration
-	if config, n.reason = n.founders(); config == nil {
+	if config, n.reason = n.proposedConfiguration(); config == nil {
 		return
 	}
 	for _, m := range config {
@@ -73,19 +73,19 @@
 			return
 		}
 	}
-	n.promiseBootstrap(BootstrapConfig{Name: string(types.NewID(n.rand)), Config: config})
-	n.completeBootstrap()
+	n.acceptBootstrap(InitialCluster{ClusterName: string(types.NewID(n.rand)), Config: config})
+	n.commitBootstrap()
 }
 
-// founders lists the members of the cluster that this node would bootstrap now, in an
+// proposedConfiguration lists the members of the cluster that this node would bootstrap now, in an
 // order that all of them agree on, or tells why it bootstraps none.
-func (n *Node) founders() (Configuration, string) {
+func (n *Node) proposedConfiguration() (Configuration, string) {
 	me := n.self
 	me.Voter, me.Provisional = true, false
 	config := Configuration{me}
 	anyone := n.bootstrap.Founders == nil || n.noFounderIsController()
-	for _, s := range n.controllers {
-		if s.Name != "" {
+	for _, s := range n.discoveredPeers {
+		if s.ClusterName != "" {
 			return nil, "a cluster exists; waiting to be let in"
 		}
 		if anyone || slices.Contains(n.bootstrap.Founders, s.Addr) {
@@ -93,19 +93,19 @@
 		}
 	}
 	slices.SortFunc(config, func(a, b Member) int { return strings.Compare(string(a.ID), string(b.ID)) })
-	want := fewestUnnamed
+	want := minUnnamedFounders
 	if list := n.bootstrap.Founders; list != nil {
 		switch {
-		case !n.bootstrap.First:
+		case !n.bootstrap.FirstStart:
 			return nil, "waiting for a cluster: one has been before"
-		case anyone && n.now.Mono.Sub(n.startedAt) < unnamedDelay:
+		case anyone && n.now.Mono.Sub(n.startedAt) < unnamedFoundersDelay:
 			return nil, "no founder is a controller; looking who else is there"
 		case anyone:
-			want = max(fewestUnnamed, len(config))
+			want = max(minUnnamedFounders, len(config))
 		case !slices.Contains(list, n.self.Addr):
 			return nil, "waiting for the founders: " + fmt.Sprint(list)
 		default:
-			want = n.foundersWanted()
+			want = n.controllerFounders()
 		}
 	}
 	if len(config) != want {
@@ -119,87 +119,87 @@
 // members that it knows of may have been replaced.
 func (n *Node) requestJoin() (any bool) {
 	me := n.self
-	me.Provisional = me.Provisional || n.name != ""
-	for _, s := range n.controllers {
-		if s.Name != "" && (n.name == "" || n.name == s.Name) {
+	me.Provisional = me.Provisional || n.clusterName != ""
+	for _, s := range n.discoveredPeers {
+		if s.ClusterName != "" && (n.clusterName == "" || n.clusterName == s.ClusterName) {
 			any = true
-			n.send(s.Addr, wire.Join, joinRequest{s.Name, me, n.role == follower || n.role == candidate})
+			n.send(s.Addr, wire.JoinRequest, joinRequest{s.ClusterName, me, n.role == roleFollower || n.role == roleCandidate})
 		}
 	}
 	return
 }
 
-func (n *Node) promiseBootstrap(k BootstrapConfig) {
-	n.promised, n.promisedAt, n.promises = &k, n.now.Mono, map[types.ID]bool{n.self.ID: true}
-	n.write(Record{Promise: &k})
-	n.voteBatch = n.writtenBatch
-	n.repeatBootstrap(k)
+func (n *Node) acceptBootstrap(cluster InitialCluster) {
+	n.acceptedCluster, n.acceptedAt, n.acceptances = &cluster, n.now.Mono, map[types.ID]bool{n.self.ID: true}
+	n.writeRecord(Record{AcceptedCluster: &cluster})
+	n.hardStateBatch = n.writtenBatch
+	n.resendBootstrap(cluster)
 }
 
-// repeatBootstrap sends this node's part in a bootstrap again: the offer or the promise.
-func (n *Node) repeatBootstrap(k BootstrapConfig) {
+// resendBootstrap sends this node's part in a bootstrap again: the offer or the promise.
+func (n *Node) resendBootstrap(cluster InitialCluster) {
 	step := "offer"
-	for _, m := range k.Config {
+	for _, m := range cluster.Config {
 		if m.ID < n.self.ID {
 			step = "promise"
 		}
 	}
-	for _, m := range k.Config {
+	for _, m := range cluster.Config {
 		if m.ID != n.self.ID {
-			n.send(m.Addr, wire.Found, bootstrapMessage{k, n.self.ID, step})
+			n.send(m.Addr, wire.Bootstrap, bootstrapMessage{cluster, n.self.ID, step})
 		}
 	}
 }
 
-func (n *Node) onBootstrap(from types.Addr, f bootstrapMessage) {
-	if n.name != "" {
-		if n.name == f.Config.Name && f.Step != "done" {
-			n.send(from, wire.Found, bootstrapMessage{f.Config, n.self.ID, "done"})
+func (n *Node) onBootstrap(from types.Addr, message bootstrapMessage) {
+	if n.clusterName != "" {
+		if n.clusterName == message.Cluster.ClusterName && message.Step != "done" {
+			n.send(from, wire.Bootstrap, bootstrapMessage{message.Cluster, n.self.ID, "done"})
 		}
 		return
 	}
-	if _, mine := f.Config.Config.Find(n.self.ID); !mine || n.role != empty {
+	if _, mine := message.Cluster.Config.Find(n.self.ID); !mine || n.role != roleEmpty {
 		return
 	}
-	same := n.promised != nil && n.promised.Name == f.Config.Name
-	switch f.Step {
+	same := n.acceptedCluster != nil && n.acceptedCluster.ClusterName == message.Cluster.ClusterName
+	switch message.Step {
 	case "offer":
-		if config, _ := n.founders(); n.promised == nil && slices.Equal(config, f.Config.Config) {
-			n.promiseBootstrap(f.Config)
+		if config, _ := n.proposedConfiguration(); n.acceptedCluster == nil && slices.Equal(config, message.Cluster.Config) {
+			n.acceptBootstrap(message.Cluster)
 		}
 	case "promise":
 		if same {
-			n.promises[f.ID] = true
-			n.completeBootstrap()
+			n.acceptances[message.SenderID] = true
+			n.commitBootstrap()
 		}
 	case "done":
 		if same {
-			n.adoptBootstrap(*n.promised)
+			n.enterCluster(*n.acceptedCluster)
 		}
 	}
 }
 
-// completeBootstrap adopts the initial configuration once the node with the least
+// commitBootstrap adopts the initial configuration once the node with the least
 // identity has the promises of all.
-func (n *Node) completeBootstrap() {
-	k := *n.promised
-	for _, m := range k.Config {
-		if !n.promises[m.ID] || m.ID < n.self.ID {
+func (n *Node) commitBootstrap() {
+	cluster := *n.acceptedCluster
+	for _, m := range cluster.Config {
+		if !n.acceptances[m.ID] || m.ID < n.self.ID {
 			return
 		}
 	}
-	n.adoptBootstrap(k)
-	for _, m := range k.Config {
+	n.enterCluster(cluster)
+	for _, m := range cluster.Config {
 		if m.ID != n.self.ID {
-			n.sendAfter(n.writtenBatch, m.Addr, wire.Found, bootstrapMessage{k, n.self.ID, "done"})
+			n.sendAfterBatch(n.writtenBatch, m.Addr, wire.Bootstrap, bootstrapMessage{cluster, n.self.ID, "done"})
 		}
 	}
 }
 
-// foundersWanted counts the founders that may be controllers.
-func (n *Node) foundersWanted() (count int) {
+// controllerFounders counts the founders that may be controllers.
+func (n *Node) controllerFounders() (count int) {
 	for _, a := range n.bootstrap.Founders {
-		if !slices.Contains(n.otherDaemons, a) {
+		if !slices.Contains(n.nonControllers, a) {
 			count++
 		}
 	}
@@ -209,5 +209,5 @@
 // noFounderIsController tells that all founders turned out to be other daemons: then
 // the empty controllers that see each other bootstrap, if all of them agree on the list.
 func (n *Node) noFounderIsController() bool {
-	return len(n.bootstrap.Founders) > 0 && n.foundersWanted() == 0
+	return len(n.bootstrap.Founders) > 0 && n.controllerFounders() == 0
 }
--- a/internal/raft/checker_test.go
+++ b/internal/raft/checker_test.go
@@ -11,53 +11,53 @@
 
 // checker remembers what was once true and must stay so.
 type checker struct {
-	leaders   map[types.Term]types.ID
-	entries   map[types.Index]Entry // committed, by whoever saw that first
-	committed types.Index
-	acked     types.Index
-	ackedAt   time.Duration
-	counter   int
-	leaderAt  time.Duration // when a lease holder was last there
-	led       bool
-	compared  map[*machine]compared
+	leaders           map[types.Term]types.ID
+	entries           map[types.Index]Entry // committed, by whoever saw that first
+	committed         types.Index
+	acknowledged      types.Index
+	acknowledgedAt    time.Duration
+	proposals         int
+	leaseHolderSeenAt time.Duration // when a lease holder was last there
+	leaseHolderSeen   bool
+	compared          map[*machine]comparedState
 }
 
-type compared struct {
+type comparedState struct {
 	life   int
 	commit types.Index
 }
 
 func newChecker() checker {
-	return checker{leaders: map[types.Term]types.ID{}, entries: map[types.Index]Entry{}, compared: map[*machine]compared{}}
+	return checker{leaders: map[types.Term]types.ID{}, entries: map[types.Index]Entry{}, compared: map[*machine]comparedState{}}
 }
 
 // step checks all that one step of one machine can have broken.
 func (c *checker) step(w *world, m *machine) {
 	c.oneLeaderPerTerm(w, m)
-	c.committedIsKept(w, m)
-	c.lease(w, m)
+	c.committedEntriesAreKept(w, m)
+	c.readLeaseIsExclusive(w, m)
 	c.leaderIsComplete(w, m)
 	c.logsMatch(w, m)
 }
 
 func (c *checker) oneLeaderPerTerm(w *world, m *machine) {
 	n := m.node
-	if n.role != leader {
+	if n.role != roleLeader {
 		return
 	}
-	term := n.voteRecord.Term
+	term := n.hardState.Term
 	if other, ok := c.leaders[term]; ok && other != n.self.ID {
 		w.fail("ONE LEADER: %s and %s both lead in term %d", other, n.self.ID, term)
 	}
 	c.leaders[term] = n.self.ID
 }
 
-// committedIsKept compares what a member holds as committed with what anybody held so:
+// committedEntriesAreKept compares what a member holds as committed with what anybody held so:
 // log matching for the committed part, and no committed entry ever replaced.
-func (c *checker) committedIsKept(w *world, m *machine) {
+func (c *checker) committedEntriesAreKept(w *world, m *machine) {
 	n := m.node
 	from := n.snapshot.Index
-	if was := c.compared[m]; was.life == m.life && was.commit > from {
+	if was := c.compared[m]; was.life == m.incarnation && was.commit > from {
 		from = was.commit
 	}
 	for i := from + 1; i <= n.commitIndex; i++ {
@@ -74,21 +74,21 @@
 		c.entries[i] = e
 		c.committed = max(c.committed, i)
 	}
-	c.compared[m] = compared{m.life, n.commitIndex}
+	c.compared[m] = comparedState{m.incarnation, n.commitIndex}
 }
 
-// lease checks that nobody else may answer reads now, and that a read would miss nothing.
-func (c *checker) lease(w *world, m *machine) {
-	if m.frozen || !m.leases() {
+// readLeaseIsExclusive checks that nobody else may answer reads now, and that a read would miss nothing.
+func (c *checker) readLeaseIsExclusive(w *world, m *machine) {
+	if m.frozen || !m.holdsReadLease() {
 		return
 	}
-	c.leaderAt, c.led = w.now, true
-	if m.node.commitIndex < c.acked {
-		w.fail("READ: %s answers reads with %d, and %d is acknowledged", m.addr, m.node.commitIndex, c.acked)
+	c.leaseHolderSeenAt, c.leaseHolderSeen = w.now, true
+	if m.node.commitIndex < c.acknowledged {
+		w.fail("READ: %s answers reads with %d, and %d is acknowledged", m.addr, m.node.commitIndex, c.acknowledged)
 	}
 	for _, o := range w.machines {
-		if o != m && o.up() && !o.frozen && o.node.role == leader && o.leases() {
-			w.fail("LEASE: %s in term %d and %s in term %d may answer reads", m.addr, m.node.voteRecord.Term, o.addr, o.node.voteRecord.Term)
+		if o != m && o.up() && !o.frozen && o.node.role == roleLeader && o.holdsReadLease() {
+			w.fail("LEASE: %s in term %d and %s in term %d may answer reads", m.addr, m.node.hardState.Term, o.addr, o.node.hardState.Term)
 		}
 	}
 }
@@ -96,18 +96,18 @@
 // leaderIsComplete checks that a leader of the newest term holds all that is committed.
 func (c *checker) leaderIsComplete(w *world, m *machine) {
 	n := m.node
-	if n.role != leader {
+	if n.role != roleLeader {
 		return
 	}
 	for term := range c.leaders {
-		if term > n.voteRecord.Term {
+		if term > n.hardState.Term {
 			return
 		}
 	}
 	if n.lastIndex() < c.committed {
-		w.fail("COMPLETE: %s leads term %d with %d entries, and %d are committed", m.addr, n.voteRecord.Term, n.lastIndex(), c.committed)
+		w.fail("COMPLETE: %s leads term %d with %d entries, and %d are committed", m.addr, n.hardState.Term, n.lastIndex(), c.committed)
 	} else if t, ok := n.termAt(c.committed); ok && c.committed > 0 && t != c.entries[c.committed].Term {
-		w.fail("COMPLETE: %s leads term %d with entry %d of term %d, and that of term %d is committed", m.addr, n.voteRecord.Term, c.committed, t, c.entries[c.committed].Term)
+		w.fail("COMPLETE: %s leads term %d with entry %d of term %d, and that of term %d is committed", m.addr, n.hardState.Term, c.committed, t, c.entries[c.committed].Term)
 	}
 }
 
@@ -126,37 +126,37 @@
 	}
 }
 
-// counts tells whether the machine counts as lost now, as the pages count it.
-func (m *machine) counts() bool {
+// countsAsLost tells whether the machine counts as lost now, as the pages count it.
+func (m *machine) countsAsLost() bool {
 	w := m.w
-	if m.gone {
-		return m.backAt == 0 || w.now < m.backAt+testCatchUp // backAt is its successor's start
+	if m.departed {
+		return m.recoveredAt == 0 || w.now < m.recoveredAt+testCatchUpTime // recoveredAt is its successor's start
 	}
-	if m.former != nil && m.former.gone && m.up() && !m.faulty && m.life == 1 && m.backAt == m.starts {
+	if m.predecessor != nil && m.predecessor.departed && m.up() && !m.faulty && m.incarnation == 1 && m.recoveredAt == m.startedAt {
 		return false // counted with the one that it replaces
 	}
-	return !m.up() || m.faulty || w.now < m.backAt+testCatchUp
+	return !m.up() || m.faulty || w.now < m.recoveredAt+testCatchUpTime
 }
 
-// lost is how many machines count as lost now.
-func (w *world) lost() (count int) {
+// lostCount is how many machines count as lost now.
+func (w *world) lostCount() (count int) {
 	for _, m := range w.machines {
-		if m.counts() {
+		if m.countsAsLost() {
 			count++
 		}
 	}
 	return
 }
 
-// survives checks that whatever may be lost on top of what is lost now, disks included,
+// quorumSurvivesFurtherLosses checks that whatever may be lost on top of what is lost now, disks included,
 // leaves a quorum of the voters of the committed configuration. Machines that count as
 // lost but run on are taken for there only if needed for nothing.
-func (c *checker) survives(w *world) {
+func (c *checker) quorumSurvivesFurtherLosses(w *world) {
 	l := w.leader()
 	if l == nil || l.node.commitIndex < l.node.configIndex {
 		return
 	}
-	spare := w.tolerate - w.lost()
+	spare := w.lossTolerance - w.lostCount()
 	if spare < 0 {
 		return
 	}
@@ -166,7 +166,7 @@
 			continue
 		}
 		voters++
-		if m := w.find(v.Addr); m != nil && m.up() && m.node.self.ID == v.ID && !m.counts() {
+		if m := w.find(v.Addr); m != nil && m.up() && m.node.self.ID == v.ID && !m.countsAsLost() {
 			alive++
 		}
 	}
@@ -175,11 +175,11 @@
 	}
 }
 
-// leadership checks that a leader is there within the bound, once nothing has been done
+// leaderWithinBound checks that a leader is there within the bound, once nothing has been done
 // to the core for so long.
-func (c *checker) leadership(w *world) {
-	since := max(c.leaderAt, w.lastHurt)
-	if c.led && w.now-since > testAck {
-		w.fail("LEADER: none that may answer for %v, nothing done for %v", w.now-c.leaderAt, w.now-w.lastHurt)
+func (c *checker) leaderWithinBound(w *world) {
+	since := max(c.leaseHolderSeenAt, w.lastFaultAt)
+	if c.leaseHolderSeen && w.now-since > testServiceBound {
+		w.fail("LEADER: none that may answer for %v, nothing done for %v", w.now-c.leaseHolderSeenAt, w.now-w.lastFaultAt)
 	}
 }
--- a/internal/raft/clock.go
+++ b/internal/raft/clock.go
@@ -41,7 +41,7 @@
 func (n *Node) WallOffsets() []types.WallTime {
 	list := []types.WallTime{n.now.Wall - types.WallTime(n.Clock())}
 	for id, t := range n.progress {
-		if m, ok := n.config.Find(id); ok && m.Voter && id != n.self.ID && n.now.Mono.Sub(t.heardAt) < n.timeouts.Stall {
+		if m, ok := n.config.Find(id); ok && m.Voter && id != n.self.ID && n.now.Mono.Sub(t.lastHeardAt) < n.timeouts.StallTimeout {
 			list = append(list, t.wallOffset)
 		}
 	}
--- a/internal/raft/disk.go
+++ b/internal/raft/disk.go
@@ -11,11 +11,11 @@
 
 // stuck is true when the disk has not answered for as long as a duty may wait.
 func (n *Node) diskStalled() bool {
-	return n.writtenBatch > n.syncedBatch && n.now.Mono.Sub(n.diskAnsweredAt) > n.timeouts.Stall
+	return n.writtenBatch > n.syncedBatch && n.now.Mono.Sub(n.diskAnsweredAt) > n.timeouts.StallTimeout
 }
 
-// Stuck tells whether the disk holds this member up.
-func (n *Node) Stuck() bool { return n.diskStalled() }
+// DiskStalled tells whether the disk holds this member up.
+func (n *Node) DiskStalled() bool { return n.diskStalled() }
 
 // DiskFailed tells that the disk refuses what it was given and is tried again:
 // that counts as a wait that has already been too long.
@@ -24,33 +24,33 @@
 	if n.writtenBatch == n.syncedBatch {
 		return
 	}
-	n.diskAnsweredAt = now.Mono.Add(-n.timeouts.Stall - 1)
-	if n.role == leader {
-		n.leaderTick()
+	n.diskAnsweredAt = now.Mono.Add(-n.timeouts.StallTimeout - 1)
+	if n.role == roleLeader {
+		n.tickLeader()
 	}
 }
 
-// Loading tells whether the state is still being read back: a member without it
+// SetStateLoading tells whether the state is still being read back: a member without it
 // could lead and serve nobody, so it doesn't stand for election.
-func (n *Node) Loading(yes bool) { n.loading = yes }
+func (n *Node) SetStateLoading(loading bool) { n.stateLoading = loading }
 
-// Instead is what would be appended in place of the compaction in this step, for
+// AppendInstead is what would be appended in place of the compaction in this step, for
 // a disk without room for a second file; nil where there is no other way. It is
 // asked for before Out.
-func (n *Node) Instead() [][]byte {
-	if n.instead == nil {
+func (n *Node) AppendInstead() [][]byte {
+	if n.appendInstead == nil {
 		return nil
 	}
-	return append([][]byte{}, encode(n.instead)...)
+	return append([][]byte{}, encodeRecords(n.appendInstead)...)
 }
 
-// dropHeld forgets answers to a leader that wait for the disk and that a newer
+// dropSuperseded forgets answers to a leader that wait for the disk and that a newer
 // one makes needless, so that a disk in trouble for hours takes no memory.
-func (n *Node) dropHeld(newer wire.Send) {
-	n.held = slices.DeleteFunc(n.held, func(h heldSend) bool {
+func (n *Node) dropSuperseded(newer wire.Send) {
+	n.pendingSends = slices.DeleteFunc(n.pendingSends, func(h pendingSend) bool {
 		return h.send.To == newer.To && h.send.Message.Kind == newer.Message.Kind
 	})
 }
 
-// Waiting counts the messages that wait for the disk.
-func (n *Node) Waiting() int { return len(n.held) }
+// MessagesAwaitingSync counts the messages that wait for the disk.
+func (n *Node) MessagesAwaitingSync() int { return len(n.pendingSends) }
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -12,79 +12,79 @@
 	"coppercourse/internal/wire"
 )
 
-func (n *Node) campaign(pre, named bool) {
+func (n *Node) campaign(preVote, byTransfer bool) {
 	n.resetElectionTimer()
-	n.role, n.preVoting, n.votes = candidate, pre, map[types.ID]bool{n.self.ID: true}
+	n.role, n.preVote, n.votes = roleCandidate, preVote, map[types.ID]bool{n.self.ID: true}
 	n.leaderID, n.leaderAddr = "", ""
 	n.overloadTransfers = 0
-	if named {
+	if byTransfer {
 		n.overloadTransfers = n.announcedTransfers
 	}
-	next := n.voteRecord.Term + 1
-	n.priorAuthority = max(n.leaderHeardAt, n.lastLedAt)
-	if !pre {
-		n.persistVote(VoteRecord{Term: next, VotedFor: n.self.ID})
+	next := n.hardState.Term + 1
+	n.priorLeaderHeardAt = max(n.leaderHeardAt, n.lastLedAt)
+	if !preVote {
+		n.setHardState(HardState{Term: next, VotedFor: n.self.ID})
 	}
 	t, _ := n.termAt(n.lastIndex())
 	for _, m := range n.config {
 		if m.Voter && m.ID != n.self.ID {
-			n.send(m.Addr, wire.Ballot, requestVote{n.name, n.self.ID, m.ID, next, n.lastIndex(), t, pre, named})
+			n.send(m.Addr, wire.RequestVote, requestVote{n.clusterName, n.self.ID, m.ID, next, n.lastIndex(), t, preVote, byTransfer})
 		}
 	}
 }
 
-func (n *Node) onRequestVote(from types.Addr, b requestVote) {
-	if b.Name != n.name || b.To != n.self.ID || n.name == "" {
+func (n *Node) onRequestVote(from types.Addr, request requestVote) {
+	if request.ClusterName != n.clusterName || request.To != n.self.ID || n.clusterName == "" {
 		return
 	}
-	if n.role == leader {
-		if _, ok := n.config.Find(b.ID); !ok && n.HoldsLease() && n.mayChangeConfig() {
-			n.send(from, wire.Gone, removedNotice{n.name, b.ID, n.commitIndex})
+	if n.role == roleLeader {
+		if _, ok := n.config.Find(request.CandidateID); !ok && n.HoldsReadLease() && n.canChangeConfiguration() {
+			n.send(from, wire.Removed, removedNotice{n.clusterName, request.CandidateID, n.commitIndex})
 			return
 		}
 	}
-	calm := n.now.Mono.Sub(n.leaderHeardAt) >= n.timeouts.ElectionMin && n.now.Mono.Sub(n.startedAt) >= n.timeouts.ElectionMin && n.role != leader
+	noLiveLeader := n.now.Mono.Sub(n.leaderHeardAt) >= n.timeouts.MinElectionTimeout && n.now.Mono.Sub(n.startedAt) >= n.timeouts.MinElectionTimeout && n.role != roleLeader
 	t, _ := n.termAt(n.lastIndex())
-	newer := b.LastTerm > t || b.LastTerm == t && b.LastIndex >= n.lastIndex()
-	if b.PreVote {
-		yes := calm && newer && b.Term > n.voteRecord.Term
-		n.send(from, wire.Vote, voteReply{Name: n.name, ID: n.self.ID, Term: b.Term, PreVote: true, Granted: yes})
-		if !yes && b.Term <= n.voteRecord.Term {
-			n.send(from, wire.Vote, voteReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term})
+	upToDate := request.LastLogTerm > t || request.LastLogTerm == t && request.LastLogIndex >= n.lastIndex()
+	if request.PreVote {
+		yes := noLiveLeader && upToDate && request.Term > n.hardState.Term
+		n.send(from, wire.VoteReply, voteReply{ClusterName: n.clusterName, VoterID: n.self.ID, Term: request.Term, PreVote: true, Granted: yes})
+		if !yes && request.Term <= n.hardState.Term {
+			n.send(from, wire.VoteReply, voteReply{ClusterName: n.clusterName, VoterID: n.self.ID, Term: n.hardState.Term})
 		}
 		return
 	}
-	if !calm && !b.Transfer {
+	if !noLiveLeader && !request.LeadershipTransfer {
 		return
 	}
-	if b.Term > n.voteRecord.Term {
-		n.becomeFollower(b.Term)
+	if request.Term > n.hardState.Term {
+		n.becomeFollower(request.Term)
 	}
-	yes := b.Term == n.voteRecord.Term && newer && (n.voteRecord.VotedFor == "" || n.voteRecord.VotedFor == b.ID) && n.role != leader
-	if yes && n.voteRecord.VotedFor == "" {
-		n.persistVote(VoteRecord{Term: b.Term, VotedFor: b.ID})
+	yes := request.Term == n.hardState.Term && upToDate && (n.hardState.VotedFor == "" || n.hardState.VotedFor == request.CandidateID) && n.role != roleLeader
+	if yes && n.hardState.VotedFor == "" {
+		n.setHardState(HardState{Term: request.Term, VotedFor: request.CandidateID})
 		n.resetElectionTimer()
 	}
-	n.send(from, wire.Vote, voteReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term, Granted: yes, SilentMS: n.now.Mono.Sub(max(n.leaderHeardAt, n.lastLedAt)).Milliseconds()})
+	n.send(from, wire.VoteReply, voteReply{ClusterName: n.clusterName, VoterID: n.self.ID, Term: n.hardState.Term, Granted: yes, SilentMS: n.now.Mono.Sub(max(n.leaderHeardAt, n.lastLedAt)).Milliseconds()})
 }
 
-func (n *Node) onVoteReply(_ types.Addr, v voteReply) {
-	if v.Name != n.name {
+func (n *Node) onVoteReply(_ types.Addr, reply voteReply) {
+	if reply.ClusterName != n.clusterName {
 		return
 	}
-	if !v.PreVote && v.Term > n.voteRecord.Term {
-		n.becomeFollower(v.Term)
+	if !reply.PreVote && reply.Term > n.hardState.Term {
+		n.becomeFollower(reply.Term)
 		return
 	}
-	want := n.voteRecord.Term
-	if n.preVoting {
+	want := n.hardState.Term
+	if n.preVote {
 		want++
 	}
-	if n.role != candidate || v.PreVote != n.preVoting || v.Term != want || !v.Granted {
+	if n.role != roleCandidate || reply.PreVote != n.preVote || reply.Term != want || !reply.Granted {
 		return
 	}
-	n.votes[v.ID] = true
-	n.priorAuthority = max(n.priorAuthority, n.now.Mono.Add(-time.Duration(v.SilentMS)*time.Millisecond))
+	n.votes[reply.VoterID] = true
+	n.priorLeaderHeardAt = max(n.priorLeaderHeardAt, n.now.Mono.Add(-time.Duration(reply.SilentMS)*time.Millisecond))
 	granted := 0
 	for _, m := range n.config {
 		if m.Voter && n.votes[m.ID] {
@@ -94,7 +94,7 @@
 	if granted <= n.config.Voters()/2 {
 		return
 	}
-	if n.preVoting {
+	if n.preVote {
 		n.campaign(false, false)
 		return
 	}
@@ -103,61 +103,61 @@
 
 // becomeFollower adopts a higher term and gives up any role held in the earlier one.
 func (n *Node) becomeFollower(t types.Term) {
-	n.persistVote(VoteRecord{Term: t})
+	n.setHardState(HardState{Term: t})
 	n.leaderID, n.leaderAddr = "", ""
 	n.assignRole()
 	n.resetElectionTimer()
 }
 
 func (n *Node) becomeLeader() {
-	n.role, n.leaderID, n.leaderAddr = leader, n.self.ID, n.self.Addr
-	n.transferTarget, n.lastRoundAt, n.votersHeardSince = "", 0, n.now.Mono
+	n.role, n.leaderID, n.leaderAddr = roleLeader, n.self.ID, n.self.Addr
+	n.transferTarget, n.lastRoundAt, n.allVotersHeardSince = "", 0, n.now.Mono
 	n.progress = map[types.ID]*progress{}
 	for _, m := range n.config {
 		n.progressOf(m.ID)
 	}
 	n.appendEntry(Entry{Config: n.config})
-	n.termStart = n.lastIndex()
+	n.termStartIndex = n.lastIndex()
 }
 
 func (n *Node) progressOf(id types.ID) *progress {
 	t, ok := n.progress[id]
 	if !ok {
-		t = &progress{next: n.lastIndex() + 1, heardAt: n.now.Mono, round: never}
+		t = &progress{next: n.lastIndex() + 1, lastHeardAt: n.now.Mono, ackedRound: never}
 		n.progress[id] = t
 	}
 	return t
 }
 
-// quorumRound is the start of the newest round that a quorum has answered, on this
+// quorumAckedRound is the start of the newest round that a quorum has answered, on this
 // leader's own clock.
-func (n *Node) quorumRound() types.MonoTime {
+func (n *Node) quorumAckedRound() types.MonoTime {
 	return quorumValue(n, func(m Member) types.MonoTime {
 		if m.ID == n.self.ID {
 			return n.now.Mono
 		}
-		return n.progressOf(m.ID).round
+		return n.progressOf(m.ID).ackedRound
 	})
 }
 
-// PriorAuthority is when an earlier leader can last have held a lease: a quorum's last
+// PriorLeaderHeardAt is when an earlier leader can last have held a lease: a quorum's last
 // answer to it came from a member that voted for this one.
-func (n *Node) PriorAuthority() types.MonoTime { return n.priorAuthority }
+func (n *Node) PriorLeaderHeardAt() types.MonoTime { return n.priorLeaderHeardAt }
 
-// HoldsLease reports whether this node may answer reads as the leader: a quorum
+// HoldsReadLease reports whether this node may answer reads as the leader: a quorum
 // confirmed it within the shortest election timeout, and an entry of its term is
 // committed.
-func (n *Node) HoldsLease() bool {
-	return n.role == leader && n.transferTarget == "" && n.commitIndex >= n.termStart &&
-		n.now.Mono.Sub(n.quorumRound()) < n.timeouts.ElectionMin*9/10
+func (n *Node) HoldsReadLease() bool {
+	return n.role == roleLeader && n.transferTarget == "" && n.commitIndex >= n.termStartIndex &&
+		n.now.Mono.Sub(n.quorumAckedRound()) < n.timeouts.MinElectionTimeout*9/10
 }
 
-// AuthorityLeft is how much longer this leader may let others act on its behalf.
-func (n *Node) AuthorityLeft() time.Duration {
-	if n.role != leader {
+// AuthorityRemaining is how much longer this leader may let others act on its behalf.
+func (n *Node) AuthorityRemaining() time.Duration {
+	if n.role != roleLeader {
 		return 0
 	}
-	return max(0, n.quorumRound().Add(n.timeouts.Authority).Sub(n.now.Mono))
+	return max(0, n.quorumAckedRound().Add(n.timeouts.AuthorityLease).Sub(n.now.Mono))
 }
 
 // PrepareStop makes this node take no leadership from now on and transfer what it holds.
@@ -175,23 +175,23 @@
 // transferTo picks the eligible reachable voter with the longest log.
 func (n *Node) transferTo(now types.Now, eligible func(*progress) bool) bool {
 	n.now = now
-	if n.role != leader || n.transferTarget != "" {
+	if n.role != roleLeader || n.transferTarget != "" {
 		return false
 	}
 	var best *progress
 	for _, m := range n.config {
 		t := n.progressOf(m.ID)
-		if m.Voter && m.ID != n.self.ID && now.Mono.Sub(t.heardAt) < n.timeouts.ElectionMin && eligible(t) && (best == nil || t.match > best.match) {
+		if m.Voter && m.ID != n.self.ID && now.Mono.Sub(t.lastHeardAt) < n.timeouts.MinElectionTimeout && eligible(t) && (best == nil || t.match > best.match) {
 			best, n.transferTarget = t, m.ID
 		}
 	}
-	n.transferDeadline = now.Mono.Add(n.timeouts.ElectionMin)
+	n.transferDeadline = now.Mono.Add(n.timeouts.MinElectionTimeout)
 	return n.transferTarget != ""
 }
 
-func (n *Node) onTimeoutNow(_ types.Addr, h timeoutNow) {
-	if h.Name == n.name && h.To == n.self.ID && h.Term == n.voteRecord.Term && n.role == follower && !n.diskStalled() && !n.loading && !n.stopping {
-		n.announcedTransfers = h.OverloadTransfers
+func (n *Node) onTimeoutNow(_ types.Addr, message timeoutNow) {
+	if message.ClusterName == n.clusterName && message.To == n.self.ID && message.Term == n.hardState.Term && n.role == roleFollower && !n.diskStalled() && !n.stateLoading && !n.stopping {
+		n.announcedTransfers = message.OverloadTransfers
 		n.campaign(false, true)
 	}
 }
@@ -202,9 +202,9 @@
 // one has replaced it.
 func (n *Node) MayStop() bool {
 	switch n.role {
-	case leader:
+	case roleLeader:
 		return false
-	case follower, candidate:
+	case roleFollower, roleCandidate:
 		return !slices.ContainsFunc(n.config, func(m Member) bool { return m.Provisional && m.Zone == n.self.Zone && m.ID != n.self.ID })
 	}
 	return true
--- a/internal/raft/flow.go
+++ b/internal/raft/flow.go
@@ -11,86 +11,86 @@
 
 // Bounds on the bytes of entries under way to one member.
 const (
-	leastWindow = 16 << 10
-	firstWindow = 64 << 10
-	mostWindow  = 1 << 20
-	mostLost    = 4 // doublings of the wait for an answer
-	mostWait    = 5 * time.Second
+	minWindowBytes      = 16 << 10
+	initialWindowBytes  = 64 << 10
+	maxWindowBytes      = 1 << 20
+	maxBackoffDoublings = 4 // doublings of the wait for an answer
+	maxRetryTimeout     = 5 * time.Second
 )
 
-// flow is the window of one member.
-type flow struct {
-	window int            // bytes that may be under way; 0 is firstWindow
-	flying int            // bytes that are
-	began  types.MonoTime // when the first of them was sent for the first time; 0 is never
-	took   time.Duration  // from there to the last answer
-	losses int            // in a row
+// sendWindow is the window of one member.
+type sendWindow struct {
+	limitBytes          int            // bytes that may be under way; 0 is initialWindowBytes
+	inFlightBytes       int            // bytes that are
+	firstSentAt         types.MonoTime // when the first of them was sent for the first time; 0 is never
+	lastAckDelay        time.Duration  // from there to the last answer
+	consecutiveTimeouts int            // in a row
 }
 
-func (f *flow) size() int {
-	if f.window == 0 {
-		return firstWindow
+func (f *sendWindow) limit() int {
+	if f.limitBytes == 0 {
+		return initialWindowBytes
 	}
-	return f.window
+	return f.limitBytes
 }
 
 // full tells whether no more may be sent before an answer.
-func (f *flow) full() bool { return f.flying >= f.size() }
+func (f *sendWindow) full() bool { return f.inFlightBytes >= f.limit() }
 
-// take gives the first entries that fit, one at least, as sent now.
-func (f *flow) take(now types.MonoTime, list []Entry) []Entry {
-	n := min(within(list, f.size()-f.flying), maxBatch)
-	for _, e := range list[:n] {
-		f.flying += len(e.Data)
+// takeEntries gives the first entries that fit, one at least, as sent now.
+func (f *sendWindow) takeEntries(now types.MonoTime, entries []Entry) []Entry {
+	count := min(entriesWithin(entries, f.limit()-f.inFlightBytes), maxEntriesPerMessage)
+	for _, e := range entries[:count] {
+		f.inFlightBytes += len(e.Data)
 	}
-	f.sent(now)
-	return list[:n]
+	f.onSend(now)
+	return entries[:count]
 }
 
-// sent tells that something goes out. An answer after a repetition counts from
+// onSend tells that something goes out. An answer after a repetition counts from
 // the first time, since it may be the answer to that.
-func (f *flow) sent(now types.MonoTime) {
-	if f.began == 0 {
-		f.began = now
+func (f *sendWindow) onSend(now types.MonoTime) {
+	if f.firstSentAt == 0 {
+		f.firstSentAt = now
 	}
 }
 
-// within counts the entries that fit into so many bytes, one at least.
-func within(list []Entry, bytes int) int {
-	for i, e := range list {
+// entriesWithin counts the entries that fit into so many bytes, one at least.
+func entriesWithin(entries []Entry, bytes int) int {
+	for i, e := range entries {
 		if bytes -= len(e.Data); bytes < 0 {
 			return max(i, 1)
 		}
 	}
-	return len(list)
+	return len(entries)
 }
 
-// patience is how long an answer is waited for before the same is sent again.
-func (f *flow) patience(least time.Duration) time.Duration {
-	return min(max(least, 2*f.took)<<f.losses, mostWait)
+// retryTimeout is how long an answer is waited for before the same is sent again.
+func (f *sendWindow) retryTimeout(minimum time.Duration) time.Duration {
+	return min(max(minimum, 2*f.lastAckDelay)<<f.consecutiveTimeouts, maxRetryTimeout)
 }
 
-// lost tells that no answer came in time. Once may be a lost message, or a first
+// onTimeout tells that no answer came in time. Once may be a lost message, or a first
 // answer from a slow disk; the window shrinks from the second time on.
-func (f *flow) lost() {
-	if f.losses > 0 {
-		f.window = max(f.size()/2, leastWindow)
+func (f *sendWindow) onTimeout() {
+	if f.consecutiveTimeouts > 0 {
+		f.limitBytes = max(f.limit()/2, minWindowBytes)
 	}
-	f.flying = 0
-	f.losses = min(f.losses+1, mostLost)
+	f.inFlightBytes = 0
+	f.consecutiveTimeouts = min(f.consecutiveTimeouts+1, maxBackoffDoublings)
 }
 
-// answered tells that all under way has arrived. The window grows while that takes
+// onAcknowledged tells that all under way has arrived. The window grows while that takes
 // less than the shortest election wait, and shrinks where it takes twice as long.
-func (f *flow) answered(now types.MonoTime, least time.Duration) {
-	if f.began != 0 {
-		f.took = now.Sub(f.began)
+func (f *sendWindow) onAcknowledged(now types.MonoTime, minElectionTimeout time.Duration) {
+	if f.firstSentAt != 0 {
+		f.lastAckDelay = now.Sub(f.firstSentAt)
 	}
-	f.flying, f.losses, f.began = 0, 0, 0
+	f.inFlightBytes, f.consecutiveTimeouts, f.firstSentAt = 0, 0, 0
 	switch {
-	case f.took < least:
-		f.window = min(f.size()*2, mostWindow)
-	case f.took > 2*least:
-		f.window = max(f.size()/2, leastWindow)
+	case f.lastAckDelay < minElectionTimeout:
+		f.limitBytes = min(f.limit()*2, maxWindowBytes)
+	case f.lastAckDelay > 2*minElectionTimeout:
+		f.limitBytes = max(f.limit()/2, minWindowBytes)
 	}
 }
--- a/internal/raft/golden_test.go
+++ b/internal/raft/golden_test.go
@@ -9,23 +9,23 @@
 
 // The messages between members, each in the list that daemons exchange.
 func TestMessagesGolden(t *testing.T) {
-	goldentest.Message[bootstrapMessage](t, wire.Found)
-	goldentest.Message[joinRequest](t, wire.Join)
-	goldentest.Message[requestVote](t, wire.Ballot)
-	goldentest.Message[voteReply](t, wire.Vote)
-	goldentest.Message[appendEntries](t, wire.Append)
-	goldentest.Message[appendReply](t, wire.Append2)
-	goldentest.Message[installSnapshot](t, wire.Snap)
-	goldentest.Message[timeoutNow](t, wire.Heir)
-	goldentest.Message[removedNotice](t, wire.Gone)
+	goldentest.Message[bootstrapMessage](t, wire.Bootstrap)
+	goldentest.Message[joinRequest](t, wire.JoinRequest)
+	goldentest.Message[requestVote](t, wire.RequestVote)
+	goldentest.Message[voteReply](t, wire.VoteReply)
+	goldentest.Message[appendEntries](t, wire.AppendEntries)
+	goldentest.Message[appendReply](t, wire.AppendReply)
+	goldentest.Message[installSnapshot](t, wire.InstallSnapshot)
+	goldentest.Message[timeoutNow](t, wire.TimeoutNow)
+	goldentest.Message[removedNotice](t, wire.Removed)
 }
 
 // The records of a disk: identity, promise, founding, vote, entries and snapshot.
 func TestRecordsGolden(t *testing.T) {
 	goldentest.JSON[Record](t, "record.json")
 	goldentest.JSON[Identity](t, "identity.json")
-	goldentest.JSON[BootstrapConfig](t, "bootstrap.json")
-	goldentest.JSON[VoteRecord](t, "vote.json")
+	goldentest.JSON[InitialCluster](t, "bootstrap.json")
+	goldentest.JSON[HardState](t, "vote.json")
 	goldentest.JSON[Entry](t, "entry.json")
 	goldentest.JSON[Snapshot](t, "snapshot.json")
 	goldentest.JSON[Configuration](t, "configuration.json")
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -17,87 +17,87 @@
 const (
 	maxVoters  = 9  // voters
 	maxMembers = 12 // members
-	// catchUpGap is how many entries a member may lack to be promoted: a part of what the
+	// promotionGap is how many entries a member may lack to be promoted: a part of what the
 	// next message brings.
-	catchUpGap = maxBatch / 4
-	// longSilences times ReplaceAfter is when a silent learner is forgotten.
-	longSilences = 6
-	// confirmAfter is how long a provisional member votes beside all others until it is a
+	promotionGap = maxEntriesPerMessage / 4
+	// longSilenceFactor times ReplaceAfter is when a silent learner is forgotten.
+	longSilenceFactor = 6
+	// provisionalPeriod is how long a provisional member votes beside all others until it is a
 	// regular one. No bound rests on it: it only tells an addition from a replacement.
-	confirmAfter = 30 * time.Second
+	provisionalPeriod = 30 * time.Second
 )
 
 var handlers = map[string]func(*Node, wire.Message){
-	wire.Found:   wire.On((*Node).onBootstrap),
-	wire.Join:    wire.On((*Node).onJoinRequest),
-	wire.Ballot:  wire.On((*Node).onRequestVote),
-	wire.Vote:    wire.On((*Node).onVoteReply),
-	wire.Append:  wire.On((*Node).onAppendEntries),
-	wire.Append2: wire.On((*Node).onAppendReply),
-	wire.Snap:    wire.On((*Node).onInstallSnapshot),
-	wire.Heir:    wire.On((*Node).onTimeoutNow),
-	wire.Gone:    wire.On((*Node).onRemoved),
+	wire.Bootstrap:       wire.On((*Node).onBootstrap),
+	wire.JoinRequest:     wire.On((*Node).onJoinRequest),
+	wire.RequestVote:     wire.On((*Node).onRequestVote),
+	wire.VoteReply:       wire.On((*Node).onVoteReply),
+	wire.AppendEntries:   wire.On((*Node).onAppendEntries),
+	wire.AppendReply:     wire.On((*Node).onAppendReply),
+	wire.InstallSnapshot: wire.On((*Node).onInstallSnapshot),
+	wire.TimeoutNow:      wire.On((*Node).onTimeoutNow),
+	wire.Removed:         wire.On((*Node).onRemoved),
 }
 
-// Receive handles a message; false when its kind is not one of this package's.
-func (n *Node) Receive(now types.Now, message wire.Message) bool {
+// Step handles a message; false when its kind is not one of this package's.
+func (n *Node) Step(now types.Now, message wire.Message) bool {
 	n.now = now
 	f, ok := handlers[message.Kind]
-	if ok && (n.role != removed || message.Kind == wire.Append || message.Kind == wire.Snap) {
+	if ok && (n.role != roleRemoved || message.Kind == wire.AppendEntries || message.Kind == wire.InstallSnapshot) {
 		f(n, message)
 	}
 	return ok
 }
 
-func (n *Node) onRemoved(_ types.Addr, g removedNotice) {
-	if g.Name == n.name && g.ID == n.self.ID && n.role != leader && g.CommitIndex >= n.commitIndex {
-		n.role, n.reason = removed, "struck off the config; empty the data folder to come back as a new member"
+func (n *Node) onRemoved(_ types.Addr, notice removedNotice) {
+	if notice.ClusterName == n.clusterName && notice.MemberID == n.self.ID && n.role != roleLeader && notice.CommitIndex >= n.commitIndex {
+		n.role, n.reason = roleRemoved, "struck off the config; empty the data folder to come back as a new member"
 	}
 }
 
-// mayChangeConfig is true for a leader whose configuration and an entry of whose own
+// canChangeConfiguration is true for a leader whose configuration and an entry of whose own
 // term are committed.
-func (n *Node) mayChangeConfig() bool {
-	return n.commitIndex >= n.termStart && n.commitIndex >= n.configIndex && n.transferTarget == ""
+func (n *Node) canChangeConfiguration() bool {
+	return n.commitIndex >= n.termStartIndex && n.commitIndex >= n.configIndex && n.transferTarget == ""
 }
 
-func (n *Node) onJoinRequest(from types.Addr, j joinRequest) {
-	if n.role != leader || j.Name != n.name || !n.mayChangeConfig() {
+func (n *Node) onJoinRequest(from types.Addr, request joinRequest) {
+	if n.role != roleLeader || request.ClusterName != n.clusterName || !n.canChangeConfiguration() {
 		return
 	}
-	_, ok := n.config.Find(j.Member.ID)
-	if !ok && j.WasVoter && n.HoldsLease() {
-		n.send(from, wire.Gone, removedNotice{n.name, j.Member.ID, n.commitIndex})
+	_, ok := n.config.Find(request.Member.ID)
+	if !ok && request.WasVoter && n.HoldsReadLease() {
+		n.send(from, wire.Removed, removedNotice{n.clusterName, request.Member.ID, n.commitIndex})
 	}
-	if ok || j.WasVoter || len(n.config) >= maxMembers {
+	if ok || request.WasVoter || len(n.config) >= maxMembers {
 		return
 	}
-	j.Member.Voter = false
-	n.changeConfig(append(n.config[:len(n.config):len(n.config)], j.Member))
+	request.Member.Voter = false
+	n.proposeConfiguration(append(n.config[:len(n.config):len(n.config)], request.Member))
 }
 
-func (n *Node) changeConfig(r Configuration) {
-	n.appendEntry(Entry{Config: r})
-	for _, m := range r {
+func (n *Node) proposeConfiguration(config Configuration) {
+	n.appendEntry(Entry{Config: config})
+	for _, m := range config {
 		n.progressOf(m.ID)
 	}
 }
 
-func (n *Node) configWithout(id types.ID) (r Configuration) {
+func (n *Node) configurationWithout(id types.ID) (config Configuration) {
 	for _, m := range n.config {
 		if m.ID != id {
-			r = append(r, m)
+			config = append(config, m)
 		}
 	}
 	return
 }
 
-// silence is how long a member has not been heard.
-func (n *Node) silence(m Member) time.Duration {
-	if m.ID == n.self.ID {
+// silentFor is how long a member has not been heard.
+func (n *Node) silentFor(member Member) time.Duration {
+	if member.ID == n.self.ID {
 		return 0
 	}
-	return n.now.Mono.Sub(n.progressOf(m.ID).heardAt)
+	return n.now.Mono.Sub(n.progressOf(member.ID).lastHeardAt)
 }
 
 // caughtUp is true for a member that answers now and has nearly all of the log.
@@ -106,15 +106,15 @@
 		return true
 	}
 	t := n.progressOf(m.ID)
-	return n.silence(m) < n.timeouts.Stall && t.match+catchUpGap >= n.commitIndex && t.match > 0
+	return n.silentFor(m) < n.timeouts.StallTimeout && t.match+promotionGap >= n.commitIndex && t.match > 0
 }
 
-// maintainMembers makes at most one change of the configuration.
-func (n *Node) maintainMembers() {
-	if !n.mayChangeConfig() {
+// maintainMembership makes at most one change of the configuration.
+func (n *Node) maintainMembership() {
+	if !n.canChangeConfiguration() {
 		return
 	}
-	for _, change := range []func() bool{n.replaceWiped, n.replaceLeaving, n.replaceSilent, n.promoteLearner, n.keepOdd, n.confirmProvisional} {
+	for _, change := range []func() bool{n.replaceWiped, n.replaceStopping, n.replaceSilent, n.promoteLearner, n.restoreOddVoters, n.confirmProvisional} {
 		if change() {
 			return
 		}
@@ -125,7 +125,7 @@
 // same address has caught up.
 func (n *Node) replaceWiped() bool {
 	for _, m := range n.config {
-		if o, ok := n.predecessorAtAddr(m); ok && n.caughtUp(m) {
+		if o, ok := n.predecessorAtAddress(m); ok && n.caughtUp(m) {
 			n.replaceMember(m, o)
 			return true
 		}
@@ -133,15 +133,15 @@
 	return false
 }
 
-// replaceLeaving replaces a voter that is about to stop by a provisional member of its
+// replaceStopping replaces a voter that is about to stop by a provisional member of its
 // zone, while it still is there to agree.
-func (n *Node) replaceLeaving() bool {
+func (n *Node) replaceStopping() bool {
 	for _, v := range n.config {
-		if !v.Voter || v.ID == n.self.ID || !n.progressOf(v.ID).leaving {
+		if !v.Voter || v.ID == n.self.ID || !n.progressOf(v.ID).stopping {
 			continue
 		}
 		for _, m := range n.config {
-			if m.Provisional && m.Zone == v.Zone && m.ID != v.ID && n.caughtUp(m) && !n.progressOf(m.ID).leaving {
+			if m.Provisional && m.Zone == v.Zone && m.ID != v.ID && n.caughtUp(m) && !n.progressOf(m.ID).stopping {
 				n.replaceMember(m, v)
 				return true
 			}
@@ -154,8 +154,8 @@
 // that has been so for much longer.
 func (n *Node) replaceSilent() bool {
 	for _, m := range n.config {
-		if !m.Voter && n.silence(m) > n.patience(m) {
-			n.changeConfig(n.configWithout(m.ID))
+		if !m.Voter && n.silentFor(m) > n.learnerTimeout(m) {
+			n.proposeConfiguration(n.configurationWithout(m.ID))
 			return true
 		}
 		if v, ok := n.replaceableVoter(m); ok && m.Provisional && n.caughtUp(m) {
@@ -166,81 +166,81 @@
 	return false
 }
 
-// patience is how long a learner may be silent: a standby, which has been replaced already,
+// learnerTimeout is how long a learner may be silent: a standby, which has been replaced already,
 // as long as a voter that is replaced.
-func (n *Node) patience(m Member) time.Duration {
-	if m.Standby {
+func (n *Node) learnerTimeout(m Member) time.Duration {
+	if m.Demoted {
 		return n.timeouts.ReplaceAfter
 	}
-	return longSilences * n.timeouts.ReplaceAfter
+	return longSilenceFactor * n.timeouts.ReplaceAfter
 }
 
 // promoteLearner gives a learner that has caught up its vote.
 func (n *Node) promoteLearner() bool {
 	for _, m := range n.config {
-		if m.Voter || m.Standby || !n.caughtUp(m) || !n.roomFor(m) || m.Provisional && n.zoneHasSilentVoter(m) {
+		if m.Voter || m.Demoted || !n.caughtUp(m) || !n.canAddVoter(m) || m.Provisional && n.zoneHasSilentVoter(m) {
 			continue
 		}
 		m.Voter = true
-		n.changeMember(m)
+		n.updateMembers(m)
 		return true
 	}
 	return false
 }
 
-// roomFor is true while a member more may vote. A provisional one may do so beside as many
+// canAddVoter is true while a member more may vote. A provisional one may do so beside as many
 // as may be, until it has replaced one of them.
-func (n *Node) roomFor(m Member) bool {
+func (n *Node) canAddVoter(m Member) bool {
 	voters := n.config.Voters()
 	return voters < maxVoters || voters == maxVoters && m.Provisional && len(n.config) == maxVoters+1
 }
 
-// keepOdd makes the number of voters odd again after a provisional member was promoted.
+// restoreOddVoters makes the number of voters odd again after a provisional member was promoted.
 // An even number asks for one more voter and bears no more losses, so that the voter
 // which the new one came to replace could not go without warning. A standby gets its
 // vote back, or else the only other voter of the zone becomes one.
-func (n *Node) keepOdd() bool {
+func (n *Node) restoreOddVoters() bool {
 	if n.config.Voters()%2 == 1 {
 		return false
 	}
 	for _, m := range n.config {
-		if m.Voter && m.Provisional && n.caughtUp(m) && (n.recallStandby() || n.standDown(m)) {
+		if m.Voter && m.Provisional && n.caughtUp(m) && (n.promoteDemoted() || n.demotePredecessor(m)) {
 			return true
 		}
 	}
 	return false
 }
 
-// recallStandby gives a standby its vote back.
-func (n *Node) recallStandby() bool {
+// promoteDemoted gives a standby its vote back.
+func (n *Node) promoteDemoted() bool {
 	for _, m := range n.config {
-		if m.Standby && n.caughtUp(m) && n.config.Voters() < maxVoters {
-			m.Voter, m.Standby = true, false
-			n.changeMember(m)
+		if m.Demoted && n.caughtUp(m) && n.config.Voters() < maxVoters {
+			m.Voter, m.Demoted = true, false
+			n.updateMembers(m)
 			return true
 		}
 	}
 	return false
 }
 
-// standDown makes the only other voter of a provisional member's zone a standby, and that
+// demotePredecessor makes the only other voter of a provisional member's zone a standby, and that
 // member a regular one. A leader hands over before it stands down itself.
-func (n *Node) standDown(successor Member) bool {
-	former, ok := n.onlyOtherVoter(successor)
+func (n *Node) demotePredecessor(successor Member) bool {
+	former, ok := n.onlyOtherVoterInZone(successor)
 	if !ok {
 		return false
 	}
 	if former.ID == n.self.ID {
 		return n.TransferLeadership(n.now)
 	}
-	former.Voter, former.Provisional, former.Standby = false, true, true
+	former.Voter, former.Provisional, former.Demoted = false, true, true
 	successor.Provisional = false
-	n.changeMember(former, successor)
+	n.updateMembers(former, successor)
 	return true
 }
 
-// onlyOtherVoter is the voter beside a member in its zone, if there is just one.
-func (n *Node) onlyOtherVoter(m Member) (other Member, ok bool) {
+// onlyOtherVoterInZone is the voter beside a member in its zone, if there is just one.
+func (n *Node) onlyOtherVoterInZone(m Member) (other Member, ok bool) {
 	for _, v := range n.config {
 		if v.Voter && v.Zone == m.Zone && v.ID != m.ID {
 			if ok {
@@ -252,11 +252,11 @@
 	return
 }
 
-// predecessorAtAddr is an earlier member at the same address: its disk was lost, since
+// predecessorAtAddress is an earlier member at the same address: its disk was lost, since
 // another identity answers there.
-func (n *Node) predecessorAtAddr(m Member) (Member, bool) {
+func (n *Node) predecessorAtAddress(m Member) (Member, bool) {
 	for _, o := range n.config {
-		if o.Addr == m.Addr && o.ID != m.ID && n.silence(o) > n.silence(m) {
+		if o.Addr == m.Addr && o.ID != m.ID && n.silentFor(o) > n.silentFor(m) {
 			return o, true
 		}
 	}
@@ -269,9 +269,9 @@
 func (n *Node) replaceableVoter(m Member) (worst Member, ok bool) {
 	full := !m.Voter && n.config.Voters() >= maxVoters
 	for _, v := range n.config {
-		q := n.silence(v)
-		gone := v.Zone == m.Zone && q > n.timeouts.ReplaceAfter || full && q > longSilences*n.timeouts.ReplaceAfter
-		if v.Voter && v.ID != m.ID && gone && (!ok || q > n.silence(worst)) {
+		q := n.silentFor(v)
+		gone := v.Zone == m.Zone && q > n.timeouts.ReplaceAfter || full && q > longSilenceFactor*n.timeouts.ReplaceAfter
+		if v.Voter && v.ID != m.ID && gone && (!ok || q > n.silentFor(worst)) {
 			worst, ok = v, true
 		}
 	}
@@ -285,30 +285,30 @@
 		if !v.Voter || v.Zone != m.Zone || v.ID == n.self.ID {
 			return false
 		}
-		return n.progressOf(v.ID).round == never || n.silence(v) > n.timeouts.ElectionMin
+		return n.progressOf(v.ID).ackedRound == never || n.silentFor(v) > n.timeouts.MinElectionTimeout
 	})
 }
 
 // replaceMember removes a member that is gone in favour of one that is not provisional
 // from then on. The vote of the new one, where it has none, comes with the next change.
-func (n *Node) replaceMember(m, gone Member) {
-	r := n.configWithout(gone.ID)
-	for i := range r {
-		if r[i].ID == m.ID {
-			r[i].Provisional = m.Provisional && (gone.Provisional || !gone.Voter)
-			r[i].Standby = m.Standby && !gone.Voter
+func (n *Node) replaceMember(successor, former Member) {
+	config := n.configurationWithout(former.ID)
+	for i := range config {
+		if config[i].ID == successor.ID {
+			config[i].Provisional = successor.Provisional && (former.Provisional || !former.Voter)
+			config[i].Demoted = successor.Demoted && !former.Voter
 		}
 	}
-	n.changeConfig(r)
+	n.proposeConfiguration(config)
 }
 
-// changeMember changes members that the configuration has.
-func (n *Node) changeMember(list ...Member) {
-	r := slices.Clone(n.config)
-	for _, m := range list {
-		r[slices.IndexFunc(r, func(o Member) bool { return o.ID == m.ID })] = m
+// updateMembers changes members that the configuration has.
+func (n *Node) updateMembers(members ...Member) {
+	config := slices.Clone(n.config)
+	for _, m := range members {
+		config[slices.IndexFunc(config, func(o Member) bool { return o.ID == m.ID })] = m
 	}
-	n.changeConfig(r)
+	n.proposeConfiguration(config)
 }
 
 // confirmProvisional makes a provisional member that has long voted beside all others,
@@ -316,17 +316,17 @@
 // may replace another.
 func (n *Node) confirmProvisional() bool {
 	for _, m := range n.config {
-		if m.Voter && n.silence(m) > n.timeouts.Stall {
-			n.votersHeardSince = n.now.Mono
+		if m.Voter && n.silentFor(m) > n.timeouts.StallTimeout {
+			n.allVotersHeardSince = n.now.Mono
 		}
 	}
-	if n.now.Mono.Sub(n.votersHeardSince) < confirmAfter || n.config.Voters()%2 == 0 {
+	if n.now.Mono.Sub(n.allVotersHeardSince) < provisionalPeriod || n.config.Voters()%2 == 0 {
 		return false
 	}
 	for _, m := range n.config {
 		if m.Voter && m.Provisional {
 			m.Provisional = false
-			n.changeMember(m)
+			n.updateMembers(m)
 			return true
 		}
 	}
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -15,30 +15,30 @@
 type role string
 
 const (
-	empty     role = "empty"
-	learner   role = "learner"
-	follower  role = "follower"
-	candidate role = "candidate"
-	leader    role = "leader"
-	removed   role = "out"
+	roleEmpty     role = "empty"
+	roleLearner   role = "learner"
+	roleFollower  role = "follower"
+	roleCandidate role = "candidate"
+	roleLeader    role = "leader"
+	roleRemoved   role = "out"
 )
 
-type heldSend struct {
-	seq  uint64
-	term types.Term
-	send wire.Send
+type pendingSend struct {
+	afterBatch uint64
+	term       types.Term
+	send       wire.Send
 }
 
 type progress struct {
-	next, match types.Index
-	round       types.MonoTime
-	heardAt     types.MonoTime
-	wallOffset  types.WallTime
-	sentAt      types.MonoTime
-	part        int // of the snapshot that it has
-	flow        flow
-	lag         time.Duration // of the event loop of its daemon
-	leaving     bool
+	next, match   types.Index
+	ackedRound    types.MonoTime
+	lastHeardAt   types.MonoTime
+	wallOffset    types.WallTime
+	lastSentAt    types.MonoTime
+	snapshotParts int // of the snapshot that it has
+	window        sendWindow
+	loopLag       time.Duration // of the event loop of its daemon
+	stopping      bool
 }
 
 // Node is one member. It is owned by one goroutine and does no I/O.
@@ -46,88 +46,88 @@
 	timeouts  Timeouts
 	rand      *rand.Rand
 	self      Member
-	bootstrap Bootstrap
+	bootstrap BootstrapOptions
 
-	name        string
-	voteRecord  VoteRecord
-	role        role
-	reason      string
-	snapshot    Snapshot
-	incoming    Snapshot // a leader's, not whole yet
-	logBytes    int      // bytes of entries since the snapshot
-	log         []Entry
-	config      Configuration
-	configIndex types.Index
-	commitIndex types.Index
-	syncedIndex types.Index
+	clusterName      string
+	hardState        HardState
+	role             role
+	reason           string
+	snapshot         Snapshot
+	incomingSnapshot Snapshot // a leader's, not whole yet
+	logBytes         int      // bytes of entries since the snapshot
+	log              []Entry
+	config           Configuration
+	configIndex      types.Index
+	commitIndex      types.Index
+	syncedIndex      types.Index
 
 	writtenBatch, syncedBatch uint64
-	voteBatch                 uint64
+	hardStateBatch            uint64
 	unsynced                  []struct {
 		seq uint64
 		at  types.Index
 	}
-	held           []heldSend
+	pendingSends   []pendingSend
 	diskAnsweredAt types.MonoTime
 
-	now              types.Now
-	clock            types.ClusterTime
-	clockSetAt       types.MonoTime
-	clockTerm        types.Term // whose clock it follows
-	startedAt        types.MonoTime
-	leaderHeardAt    types.MonoTime
-	electionDeadline types.MonoTime
-	leaderID         types.ID
-	leaderAddr       types.Addr
-	votes            map[types.ID]bool
-	lastLedAt        types.MonoTime // when this member led last
-	priorAuthority   types.MonoTime // until when an earlier leader can have had authority
-	preVoting        bool
-	progress         map[types.ID]*progress
-	termStart        types.Index
-	votersHeardSince types.MonoTime // when a voter was last silent, to this leader
-	lastRoundAt      types.MonoTime
-	transferTarget   types.ID
-	transferDeadline types.MonoTime
-	lag              time.Duration // of the event loop of this daemon
+	now                 types.Now
+	clock               types.ClusterTime
+	clockSetAt          types.MonoTime
+	clockTerm           types.Term // whose clock it follows
+	startedAt           types.MonoTime
+	leaderHeardAt       types.MonoTime
+	electionDeadline    types.MonoTime
+	leaderID            types.ID
+	leaderAddr          types.Addr
+	votes               map[types.ID]bool
+	lastLedAt           types.MonoTime // when this member led last
+	priorLeaderHeardAt  types.MonoTime // until when an earlier leader can have had authority
+	preVote             bool
+	progress            map[types.ID]*progress
+	termStartIndex      types.Index
+	allVotersHeardSince types.MonoTime // when a voter was last silent, to this leader
+	lastRoundAt         types.MonoTime
+	transferTarget      types.ID
+	transferDeadline    types.MonoTime
+	loopLag             time.Duration // of the event loop of this daemon
 	// Leaders in a row, up to this one, that transferred leadership since they were
 	// overloaded; and what a target is told of that.
 	overloadTransfers, announcedTransfers int
 	stopping                              bool // this member is about to stop and takes no duty
-	promised                              *BootstrapConfig
-	promisedAt                            types.MonoTime
-	promises                              map[types.ID]bool
-	controllers                           []Discovered
-	otherDaemons                          []types.Addr // daemons that are no controllers
-	lastRequestAt                         types.MonoTime
+	acceptedCluster                       *InitialCluster
+	acceptedAt                            types.MonoTime
+	acceptances                           map[types.ID]bool
+	discoveredPeers                       []DiscoveredPeer
+	nonControllers                        []types.Addr // daemons that are no controllers
+	lastJoinRequestAt                     types.MonoTime
 
-	sends        []wire.Send
-	writes       []Record
-	replacesFile bool
-	instead      []Record // of a compaction: what would be appended without it; nil if the file must be replaced
-	loading      bool     // the state is still being read back
+	sends         []wire.Send
+	records       []Record
+	replacesFile  bool
+	appendInstead []Record // of a compaction: what would be appended without it; nil if the file must be replaced
+	stateLoading  bool     // the state is still being read back
 }
 
 // New starts a member from the records of its disk. fresh is the identity to take if
 // the folder is empty.
-func New(now types.Now, pace Timeouts, rnd *rand.Rand, me Member, o Bootstrap, recs [][]byte, fresh types.ID) *Node {
-	n := &Node{timeouts: pace, rand: rnd, self: me, bootstrap: o, role: empty, now: now, startedAt: now.Mono, clockSetAt: now.Mono,
-		leaderHeardAt: now.Mono, lastLedAt: never, progress: map[types.ID]*progress{}, promises: map[types.ID]bool{}}
+func New(now types.Now, timeouts Timeouts, random *rand.Rand, self Member, bootstrap BootstrapOptions, records [][]byte, newID types.ID) *Node {
+	n := &Node{timeouts: timeouts, rand: random, self: self, bootstrap: bootstrap, role: roleEmpty, now: now, startedAt: now.Mono, clockSetAt: now.Mono,
+		leaderHeardAt: now.Mono, lastLedAt: never, progress: map[types.ID]*progress{}, acceptances: map[types.ID]bool{}}
 	n.self.ID = ""
-	for _, b := range recs {
+	for _, b := range records {
 		var r Record
-		if len(n.snapshot.Parts) < n.snapshot.Count {
+		if len(n.snapshot.Parts) < n.snapshot.PartCount {
 			n.snapshot.Parts = append(n.snapshot.Parts, b)
 		} else if json.Unmarshal(b, &r) == nil {
-			n.load(r)
+			n.restoreRecord(r)
 		}
 	}
 	if n.self.ID == "" {
-		n.newIdentity(fresh)
+		n.newIdentity(newID)
 	}
-	n.syncedIndex, n.promisedAt = n.lastIndex(), now.Mono
-	if last := len(n.log) - 1; last >= 0 && n.log[last].Term > n.voteRecord.Term {
-		n.voteRecord = VoteRecord{Term: n.log[last].Term}
+	n.syncedIndex, n.acceptedAt = n.lastIndex(), now.Mono
+	if last := len(n.log) - 1; last >= 0 && n.log[last].Term > n.hardState.Term {
+		n.hardState = HardState{Term: n.log[last].Term}
 	}
 	n.assignRole()
 	n.resetElectionTimer()
@@ -135,55 +135,55 @@
 }
 
 func (n *Node) newIdentity(id types.ID) {
-	n.self.ID, n.promised, n.promises = id, nil, map[types.ID]bool{}
-	n.self.Provisional = !n.bootstrap.First
-	n.write(Record{Identity: &Identity{id, n.bootstrap.First}})
+	n.self.ID, n.acceptedCluster, n.acceptances = id, nil, map[types.ID]bool{}
+	n.self.Provisional = !n.bootstrap.FirstStart
+	n.writeRecord(Record{Identity: &Identity{id, n.bootstrap.FirstStart}})
 }
 
-func (n *Node) load(r Record) {
-	if r.Identity != nil {
-		n.self.ID, n.self.Provisional, n.promised = r.Identity.ID, !r.Identity.First, nil
-		n.bootstrap.First = r.Identity.First
+func (n *Node) restoreRecord(record Record) {
+	if record.Identity != nil {
+		n.self.ID, n.self.Provisional, n.acceptedCluster = record.Identity.ID, !record.Identity.FirstStart, nil
+		n.bootstrap.FirstStart = record.Identity.FirstStart
 	}
-	if r.Promise != nil {
-		n.promised = r.Promise
+	if record.AcceptedCluster != nil {
+		n.acceptedCluster = record.AcceptedCluster
 	}
-	if r.Bootstrap != nil {
-		n.name, n.config, n.snapshot.Config, n.promised = r.Bootstrap.Name, r.Bootstrap.Config, r.Bootstrap.Config, nil
+	if record.Cluster != nil {
+		n.clusterName, n.config, n.snapshot.Config, n.acceptedCluster = record.Cluster.ClusterName, record.Cluster.Config, record.Cluster.Config, nil
 	}
-	if r.Vote != nil {
-		n.voteRecord = *r.Vote
+	if record.HardState != nil {
+		n.hardState = *record.HardState
 	}
-	if r.Snapshot != nil {
-		n.snapshot, n.log, n.commitIndex = *r.Snapshot, nil, r.Snapshot.Index
+	if record.Snapshot != nil {
+		n.snapshot, n.log, n.commitIndex = *record.Snapshot, nil, record.Snapshot.Index
 	}
-	if len(r.Entries) > 0 {
-		n.storeEntries(r.Entries)
+	if len(record.Entries) > 0 {
+		n.truncateAndAppend(record.Entries)
 	}
-	n.reloadConfig()
+	n.recomputeConfiguration()
 }
 
-// storeEntries overwrites the log from the first of the entries on.
-func (n *Node) storeEntries(list []Entry) {
-	i := list[0].Index
+// truncateAndAppend overwrites the log from the first of the entries on.
+func (n *Node) truncateAndAppend(entries []Entry) {
+	i := entries[0].Index
 	if i <= n.snapshot.Index {
 		return
 	}
-	n.log = append(n.log[:i-n.snapshot.Index-1], list...)
+	n.log = append(n.log[:i-n.snapshot.Index-1], entries...)
 	if i <= n.configIndex {
-		n.reloadConfig()
+		n.recomputeConfiguration()
 		return
 	}
-	n.applyConfigs(list)
+	n.applyConfigurations(entries)
 }
 
-func (n *Node) reloadConfig() {
+func (n *Node) recomputeConfiguration() {
 	n.config, n.configIndex = n.snapshot.Config, n.snapshot.Index
-	n.applyConfigs(n.log)
+	n.applyConfigurations(n.log)
 }
 
-func (n *Node) applyConfigs(list []Entry) {
-	for _, e := range list {
+func (n *Node) applyConfigurations(entries []Entry) {
+	for _, e := range entries {
 		if e.Config != nil {
 			n.config, n.configIndex = e.Config, e.Index
 		}
@@ -193,22 +193,22 @@
 // assignRole gives the role that follows from the configuration for a node that does
 // not lead.
 func (n *Node) assignRole() {
-	if n.role == removed {
+	if n.role == roleRemoved {
 		return
 	}
 	m, ok := n.config.Find(n.self.ID)
 	switch {
-	case n.name == "":
-		n.role = empty
+	case n.clusterName == "":
+		n.role = roleEmpty
 	case ok && m.Voter:
-		n.role = follower
+		n.role = roleFollower
 	default:
-		n.role = learner
+		n.role = roleLearner
 	}
 }
 
 func (n *Node) resetElectionTimer() {
-	n.electionDeadline = n.now.Mono.Add(n.timeouts.ElectionMin + n.randomUpTo(n.timeouts.ElectionMin))
+	n.electionDeadline = n.now.Mono.Add(n.timeouts.MinElectionTimeout + n.randomUpTo(n.timeouts.MinElectionTimeout))
 }
 
 func (n *Node) lastIndex() types.Index { return n.snapshot.Index + types.Index(len(n.log)) }
@@ -223,38 +223,40 @@
 	return n.log[i-n.snapshot.Index-1].Term, true
 }
 
-func (n *Node) write(r Record) {
-	if len(n.writes) == 0 {
+func (n *Node) writeRecord(record Record) {
+	if len(n.records) == 0 {
 		n.writtenBatch++
 		if n.writtenBatch == n.syncedBatch+1 {
 			n.diskAnsweredAt = n.now.Mono
 		}
 	}
-	n.writes = append(n.writes, r)
-	if n.instead != nil {
-		n.instead = append(n.instead, r)
+	n.records = append(n.records, record)
+	if n.appendInstead != nil {
+		n.appendInstead = append(n.appendInstead, record)
 	}
 }
 
-func (n *Node) persistVote(v VoteRecord) {
-	n.voteRecord = v
-	n.write(Record{Vote: &v})
-	n.voteBatch = n.writtenBatch
+func (n *Node) setHardState(state HardState) {
+	n.hardState = state
+	n.writeRecord(Record{HardState: &state})
+	n.hardStateBatch = n.writtenBatch
 }
 
 // send sends once the latest vote record is on disk.
-func (n *Node) send(to types.Addr, kind string, body any) { n.sendAfter(n.voteBatch, to, kind, body) }
+func (n *Node) send(to types.Addr, kind string, body any) {
+	n.sendAfterBatch(n.hardStateBatch, to, kind, body)
+}
 
-func (n *Node) sendAfter(seq uint64, to types.Addr, kind string, body any) {
+func (n *Node) sendAfterBatch(batch uint64, to types.Addr, kind string, body any) {
 	s := wire.Make(n.self.Addr, to, kind, body)
-	if seq <= n.syncedBatch {
+	if batch <= n.syncedBatch {
 		n.sends = append(n.sends, s)
 		return
 	}
-	if kind == wire.Append2 && n.diskStalled() {
-		n.dropHeld(s)
+	if kind == wire.AppendReply && n.diskStalled() {
+		n.dropSuperseded(s)
 	}
-	n.held = append(n.held, heldSend{seq, n.voteRecord.Term, s})
+	n.pendingSends = append(n.pendingSends, pendingSend{batch, n.hardState.Term, s})
 }
 
 // Synced reports that all batches up to seq are on disk.
@@ -264,38 +266,38 @@
 		n.syncedIndex = max(n.syncedIndex, n.unsynced[0].at)
 		n.unsynced = n.unsynced[1:]
 	}
-	kept := n.held[:0]
-	for _, h := range n.held {
-		if h.seq > n.syncedBatch {
+	kept := n.pendingSends[:0]
+	for _, h := range n.pendingSends {
+		if h.afterBatch > n.syncedBatch {
 			kept = append(kept, h)
-		} else if h.term == n.voteRecord.Term {
+		} else if h.term == n.hardState.Term {
 			n.sends = append(n.sends, h.send)
 		}
 	}
-	n.held = kept
-	if n.role == leader {
+	n.pendingSends = kept
+	if n.role == roleLeader {
 		n.advanceCommit()
 	}
 }
 
-// Out returns what the step collected: messages, one batch of records with its number,
+// Ready returns what the step collected: messages, one batch of records with its number,
 // and whether the batch replaces the file.
-func (n *Node) Out() (sends []wire.Send, batch [][]byte, seq uint64, whole bool) {
-	if n.role == leader {
+func (n *Node) Ready() (sends []wire.Send, batch [][]byte, seq uint64, whole bool) {
+	if n.role == roleLeader {
 		n.lastLedAt = n.now.Mono
 		n.replicate()
 	}
-	batch = encode(n.writes)
+	batch = encodeRecords(n.records)
 	sends, seq, whole = n.sends, n.writtenBatch, n.replacesFile
-	n.sends, n.writes, n.replacesFile, n.instead = nil, nil, false, nil
+	n.sends, n.records, n.replacesFile, n.appendInstead = nil, nil, false, nil
 	return
 }
 
-// encode writes records as they stand in the file.
-func encode(list []Record) (batch [][]byte) {
-	for _, r := range list {
-		if r.part != nil {
-			batch = append(batch, r.part)
+// encodeRecords writes records as they stand in the file.
+func encodeRecords(records []Record) (batch [][]byte) {
+	for _, r := range records {
+		if r.snapshotPart != nil {
+			batch = append(batch, r.snapshotPart)
 			continue
 		}
 		b, err := json.Marshal(r)
@@ -310,35 +312,35 @@
 // Tick lets time pass.
 func (n *Node) Tick(now types.Now) {
 	n.now = now
-	if n.role == leader {
-		n.leaderTick()
+	if n.role == roleLeader {
+		n.tickLeader()
 		return
 	}
-	if n.role == empty {
+	if n.role == roleEmpty {
 		n.tryBootstrap()
 	}
-	if n.mustAskForPlace() {
-		n.lastRequestAt = now.Mono
+	if n.shouldRequestJoin() {
+		n.lastJoinRequestAt = now.Mono
 		n.requestJoin()
 	}
-	if (n.role == follower || n.role == candidate) && now.Mono >= n.electionDeadline && !n.diskStalled() && !n.loading && !n.stopping {
+	if (n.role == roleFollower || n.role == roleCandidate) && now.Mono >= n.electionDeadline && !n.diskStalled() && !n.stateLoading && !n.stopping {
 		n.campaign(true, false)
 	}
 }
 
-// mustAskForPlace is true when it is time to ask whether this node still is a member, or
+// shouldRequestJoin is true when it is time to ask whether this node still is a member, or
 // to be let in again. One that is about to stop asks sooner, as the leader no longer
 // sends anything to a member that it has removed.
-func (n *Node) mustAskForPlace() bool {
+func (n *Node) shouldRequestJoin() bool {
 	wait := n.timeouts.ReplaceAfter / 2
 	if n.stopping {
-		wait = n.timeouts.ElectionMin
+		wait = n.timeouts.MinElectionTimeout
 	}
 	switch {
-	case n.role == empty || n.role == removed && n.stopping:
+	case n.role == roleEmpty || n.role == roleRemoved && n.stopping:
 		return false
-	case n.role != removed && n.now.Mono.Sub(n.leaderHeardAt) <= wait:
+	case n.role != roleRemoved && n.now.Mono.Sub(n.leaderHeardAt) <= wait:
 		return false
 	}
-	return n.now.Mono.Sub(n.lastRequestAt) > min(wait, n.timeouts.Stall)
+	return n.now.Mono.Sub(n.lastJoinRequestAt) > min(wait, n.timeouts.StallTimeout)
 }
--- a/internal/raft/overload.go
+++ b/internal/raft/overload.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	overloadRest         = 10 * time.Second // a leader's time before its first such transfer
+	minOverloadedTenure  = 10 * time.Second // a leader's time before its first such transfer
 	maxOverloadDoublings = 5                // of that time
 	targetLagDivisor     = 2                // a target's lag is at most this part of the leader's
 )
 
-// SetLag tells the node how far its daemon's event loop is behind with control work.
-func (n *Node) SetLag(lag time.Duration) { n.lag = lag }
+// SetLoopLag tells the node how far its daemon's event loop is behind with control work.
+func (n *Node) SetLoopLag(lag time.Duration) { n.loopLag = lag }
 
-// LagTolerance is how far a leader's loop may be behind for long: half of the shortest
+// MaxLoopLag is how far a leader's loop may be behind for long: half of the shortest
 // election timeout, beyond which its heartbeats are hardly in time.
-func (n *Node) LagTolerance() time.Duration { return n.timeouts.ElectionMin / 2 }
+func (n *Node) MaxLoopLag() time.Duration { return n.timeouts.MinElectionTimeout / 2 }
 
-// TransferOverloaded transfers leadership if this leader has led for long enough and
+// TransferWhenOverloaded transfers leadership if this leader has led for long enough and
 // another voter would do better.
-func (n *Node) TransferOverloaded(now types.Now, led time.Duration) bool {
-	if led < overloadRest<<min(n.overloadTransfers, maxOverloadDoublings) {
+func (n *Node) TransferWhenOverloaded(now types.Now, led time.Duration) bool {
+	if led < minOverloadedTenure<<min(n.overloadTransfers, maxOverloadDoublings) {
 		return false
 	}
 	n.announcedTransfers = n.overloadTransfers + 1
 	return n.transferTo(now, func(p *progress) bool {
-		return p.match >= n.commitIndex && p.lag <= n.lag/targetLagDivisor
+		return p.match >= n.commitIndex && p.loopLag <= n.loopLag/targetLagDivisor
 	})
 }
--- a/internal/raft/plant_test.go
+++ b/internal/raft/plant_test.go
@@ -22,58 +22,58 @@
 	plantNoReplacement     = "nobody who is gone is ever replaced"
 )
 
-// plantBefore lies to a node before its step.
-func (w *world) plantBefore(m *machine) {
+// injectBeforeStep lies to a node before its step.
+func (w *world) injectBeforeStep(m *machine) {
 	n := m.node
-	switch w.plant {
+	switch w.plantedBug {
 	case plantVoteWhileLeader:
 		n.leaderHeardAt, n.startedAt = never, never
 	case plantRemovedEarly:
 		for _, v := range n.config {
-			if n.role == leader && !v.Voter {
+			if n.role == roleLeader && !v.Voter {
 				n.progressOf(v.ID).match = n.commitIndex
 			}
 		}
 	case plantNoReplacement:
 		for _, p := range n.progress {
-			p.heardAt = n.now.Mono
+			p.lastHeardAt = n.now.Mono
 		}
 	}
 }
 
-// plantAfter lies about the outcome of a step.
-func (w *world) plantAfter(m *machine) {
+// injectAfterStep lies about the outcome of a step.
+func (w *world) injectAfterStep(m *machine) {
 	n := m.node
-	switch w.plant {
+	switch w.plantedBug {
 	case plantVoteBeforeSync:
-		n.held = slices.DeleteFunc(n.held, func(h heldSend) bool {
-			if h.send.Message.Kind == wire.Vote || h.send.Message.Kind == wire.Ballot {
+		n.pendingSends = slices.DeleteFunc(n.pendingSends, func(h pendingSend) bool {
+			if h.send.Message.Kind == wire.VoteReply || h.send.Message.Kind == wire.RequestVote {
 				n.sends = append(n.sends, h.send)
 				return true
 			}
 			return false
 		})
 	case plantCommitBeforeSync:
-		n.held = slices.DeleteFunc(n.held, func(h heldSend) bool {
-			if h.send.Message.Kind == wire.Append2 {
+		n.pendingSends = slices.DeleteFunc(n.pendingSends, func(h pendingSend) bool {
+			if h.send.Message.Kind == wire.AppendReply {
 				n.sends = append(n.sends, h.send)
 				return true
 			}
 			return false
 		})
 		n.syncedIndex = n.lastIndex()
-		if n.role == leader {
+		if n.role == roleLeader {
 			n.advanceCommit()
 		}
 	case plantCountedTwice:
-		if n.role == leader && n.config.Voters() > 0 && n.commitIndex >= n.termStart {
+		if n.role == roleLeader && n.config.Voters() > 0 && n.commitIndex >= n.termStartIndex {
 			own := n.syncedIndex
-			if t, ok := n.termAt(own); ok && t == n.voteRecord.Term && own > n.commitIndex && n.ackedBy(own)+1 > n.config.Voters()/2 {
+			if t, ok := n.termAt(own); ok && t == n.hardState.Term && own > n.commitIndex && n.votersHolding(own)+1 > n.config.Voters()/2 {
 				n.commitIndex = own
 			}
 		}
 	case plantOldTermByCount:
-		if n.role == leader {
+		if n.role == roleLeader {
 			to := quorumValue(n, func(v Member) types.Index {
 				if v.ID == n.self.ID {
 					return n.syncedIndex
@@ -85,8 +85,8 @@
 	}
 }
 
-// ackedBy is how many voters have an entry synced, as the leader knows.
-func (n *Node) ackedBy(i types.Index) (count int) {
+// votersHolding is how many voters have an entry synced, as the leader knows.
+func (n *Node) votersHolding(i types.Index) (count int) {
 	for _, v := range n.config {
 		if v.Voter && (v.ID == n.self.ID && n.syncedIndex >= i || v.ID != n.self.ID && n.progressOf(v.ID).match >= i) {
 			count++
@@ -95,17 +95,17 @@
 	return
 }
 
-// plantMessage lies about a message on its way.
-func (w *world) plantMessage(m *machine, x wire.Message) wire.Message {
+// injectIntoMessage lies about a message on its way.
+func (w *world) injectIntoMessage(m *machine, x wire.Message) wire.Message {
 	switch {
-	case w.plant == plantLeaseFromReceipt && x.Kind == wire.Append2:
-		if a, ok := wire.Read[appendReply](x); ok && a.Term == m.node.voteRecord.Term {
+	case w.plantedBug == plantLeaseFromReceipt && x.Kind == wire.AppendReply:
+		if a, ok := wire.Read[appendReply](x); ok && a.Term == m.node.hardState.Term {
 			a.Round = m.clock().Mono
 			x.Body = wire.Body(a)
 		}
-	case w.plant == plantVoteForShorterLog && x.Kind == wire.Ballot:
+	case w.plantedBug == plantVoteForShorterLog && x.Kind == wire.RequestVote:
 		if b, ok := wire.Read[requestVote](x); ok {
-			b.LastIndex, b.LastTerm = 1<<40, 1<<40
+			b.LastLogIndex, b.LastLogTerm = 1<<40, 1<<40
 			x.Body = wire.Body(b)
 		}
 	}
--- a/internal/raft/planted_test.go
+++ b/internal/raft/planted_test.go
@@ -11,32 +11,32 @@
 	"coppercourse/internal/wire"
 )
 
-// plantedWalks is how many walks a planted bug may take to be caught. Which of them
+// maxPlantedWalks is how many walks a planted bug may take to be caught. Which of them
 // catches it depends on every message's size and order.
-const plantedWalks = 120
+const maxPlantedWalks = 120
 
 // Those that the search catches as well are left to it where time is dear.
-func TestWalksCatchPlantedBugs(t *testing.T) {
+func TestRandomWalksCatchPlantedBugs(t *testing.T) {
 	for _, c := range []struct {
 		plant  string
 		caught []string // one of these checks must catch it
-		on     core
+		on     scenario
 		search bool // caught by TestSearchCatchesPlantedBugs too
 	}{
-		{plantCommitBeforeSync, []string{"COMMITTED", "COMPLETE", "READ", "MATCH"}, core{3, 3, 1, false}, true},
-		{plantCountedTwice, []string{"COMMITTED", "COMPLETE", "READ", "MATCH"}, core{3, 3, 1, false}, true},
-		{plantRemovedEarly, []string{"COMMITTED", "COMPLETE", "READ", "QUORUM", "LEADER"}, core{3, 3, 1, true}, false},
-		{plantVoteForShorterLog, []string{"COMMITTED", "COMPLETE", "READ", "MATCH"}, core{3, 3, 1, false}, true},
-		{plantLeaseFromReceipt, []string{"READ", "LEASE"}, core{3, 3, 1, false}, false},
-		{plantNoReplacement, []string{"QUORUM"}, core{3, 3, 1, false}, false},
+		{plantCommitBeforeSync, []string{"COMMITTED", "COMPLETE", "READ", "MATCH"}, scenario{3, 3, 1, false}, true},
+		{plantCountedTwice, []string{"COMMITTED", "COMPLETE", "READ", "MATCH"}, scenario{3, 3, 1, false}, true},
+		{plantRemovedEarly, []string{"COMMITTED", "COMPLETE", "READ", "QUORUM", "LEADER"}, scenario{3, 3, 1, true}, false},
+		{plantVoteForShorterLog, []string{"COMMITTED", "COMPLETE", "READ", "MATCH"}, scenario{3, 3, 1, false}, true},
+		{plantLeaseFromReceipt, []string{"READ", "LEASE"}, scenario{3, 3, 1, false}, false},
+		{plantNoReplacement, []string{"QUORUM"}, scenario{3, 3, 1, false}, false},
 	} {
 		t.Run(c.plant, func(t *testing.T) {
 			if c.search && testing.Short() {
 				t.Skip("caught by the search")
 			}
 			t.Parallel()
-			for seed := int64(1); seed <= plantedWalks; seed++ {
-				w := walk(t, seed, c.on, 60*time.Second, c.plant)
+			for seed := int64(1); seed <= maxPlantedWalks; seed++ {
+				w := randomWalk(t, seed, c.on, 60*time.Second, c.plant)
 				for _, check := range c.caught {
 					if strings.Contains(w.failure, " s: "+check) {
 						t.Logf("seed %d: %s", seed, w.failure)
@@ -44,7 +44,7 @@
 					}
 				}
 			}
-			t.Fatalf("not caught in %d walks", plantedWalks)
+			t.Fatalf("not caught in %d walks", maxPlantedWalks)
 		})
 	}
 }
@@ -63,10 +63,10 @@
 	} {
 		t.Run(c.plant, func(t *testing.T) {
 			t.Parallel()
-			s := search{start: manualWorld, budget: wandering}
+			s := pathSearch{start: manualWorld, budget: randomPathBudget}
 			for seed := range int64(8000) {
 				s.failure = ""
-				s.wander(seed, 150, c.plant)
+				s.playRandom(seed, 150, c.plant)
 				for _, check := range c.caught {
 					if strings.Contains(s.failure, " s: "+check) {
 						t.Logf("seed %d: %s", seed, s.failure[strings.LastIndex(s.failure, "\n")+1:])
@@ -81,51 +81,51 @@
 
 // A leader whose entry is on a majority only from an older term does not take it for
 // committed: this is the figure 8 of the Raft paper, step by step.
-func TestEntriesOfOlderTermsAreNotCommittedByCount(t *testing.T) {
+func TestOlderTermEntriesAreNotCommittedByCounting(t *testing.T) {
 	play := func(plant string) string {
 		w := manualWorld()
 		a, b, c := w.machines[0], w.machines[1], w.machines[2]
-		w.plant = plant
-		crash := func(m *machine) { m.pending, m.node, m.waits = nil, nil, nil }
+		w.plantedBug = plant
+		crash := func(m *machine) { m.unsynced, m.node, m.pendingProposals = nil, nil, nil }
 		only := func(from, to *machine, kinds ...string) { // delivers and syncs between two
 			for range 60 {
 				for _, m := range []*machine{from, to} {
-					if m.up() && len(m.pending) > 0 {
-						m.sync()
+					if m.up() && len(m.unsynced) > 0 {
+						m.completeSync()
 					}
 				}
-				i := slices.IndexFunc(w.mail, func(x mail) bool {
+				i := slices.IndexFunc(w.inFlight, func(x envelope) bool {
 					return (x.from == from.addr && x.to == to.addr || x.from == to.addr && x.to == from.addr) && (len(kinds) == 0 || slices.Contains(kinds, x.message.Kind))
 				})
 				if i < 0 {
 					return
 				}
-				x := w.mail[i]
-				w.mail = slices.Delete(w.mail, i, i+1)
-				w.hand(x)
+				x := w.inFlight[i]
+				w.inFlight = slices.Delete(w.inFlight, i, i+1)
+				w.deliver(x)
 			}
 		}
 		elect := func(m, by *machine) {
 			for try := 0; try < 3 && !m.node.IsLeader(); try++ {
 				w.now += 2 * time.Second
-				w.mail = nil
-				w.expire(m)
-				only(m, by, wire.Ballot, wire.Vote)
+				w.inFlight = nil
+				w.expireElectionTimer(m)
+				only(m, by, wire.RequestVote, wire.VoteReply)
 			}
-			w.mail = nil
+			w.inFlight = nil
 		}
-		a.sync() // the entry of a's term is on a alone
+		a.completeSync() // the entry of a's term is on a alone
 		crash(a)
 		elect(b, c) // b leads the next term and puts its entry on its own disk alone
-		b.sync()
+		b.completeSync()
 		crash(b)
 		a.start()
 		elect(a, c) // a leads again; its older entry reaches c, the newer ones do not
-		a.sync()
+		a.completeSync()
 		old := a.node.log[0].Index
 		a.node.progressOf(c.node.self.ID).match = old // as after a message with the older entry only
 		w.now += time.Millisecond
-		c.node.storeEntries(a.node.log[:1])
+		c.node.truncateAndAppend(a.node.log[:1])
 		a.step(func() { a.node.advanceCommit() })
 		if a.node.commitIndex >= old {
 			crash(a)
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	maxBatch      = 256
-	bulk          = 1 << 20 // bytes of entries that one record of the file holds, but for a larger entry
-	maxLogEntries = 120_000 // entries that a log may have before it takes no more
+	maxEntriesPerMessage = 256
+	maxRecordBytes       = 1 << 20 // bytes of entries that one record of the file holds, but for a larger entry
+	maxLogEntries        = 120_000 // entries that a log may have before it takes no more
 )
 
 const never = types.MonoTime(-1 << 62)
@@ -37,10 +37,10 @@
 }
 
 func (n *Node) appendEntry(e Entry) types.Index {
-	e.Term, e.Index = n.voteRecord.Term, n.lastIndex()+1
+	e.Term, e.Index = n.hardState.Term, n.lastIndex()+1
 	n.logBytes += len(e.Data)
-	n.storeEntries([]Entry{e})
-	n.write(Record{Entries: []Entry{e}})
+	n.truncateAndAppend([]Entry{e})
+	n.writeRecord(Record{Entries: []Entry{e}})
 	n.trackSync()
 	return e.Index
 }
@@ -53,11 +53,11 @@
 }
 
 // Propose appends data to the log; false when this member may not.
-func (n *Node) Propose(fact json.RawMessage) (types.Index, bool) {
-	if n.role != leader || n.transferTarget != "" || len(n.log) > maxLogEntries {
+func (n *Node) Propose(data json.RawMessage) (types.Index, bool) {
+	if n.role != roleLeader || n.transferTarget != "" || len(n.log) > maxLogEntries {
 		return 0, false
 	}
-	return n.appendEntry(Entry{Data: fact}), true
+	return n.appendEntry(Entry{Data: data}), true
 }
 
 // replicate sends each member what it has not been sent. Entries that come while earlier
@@ -66,11 +66,11 @@
 func (n *Node) replicate() {
 	if n.transferTarget != "" && n.progressOf(n.transferTarget).match == n.lastIndex() {
 		m, _ := n.config.Find(n.transferTarget)
-		n.send(m.Addr, wire.Heir, timeoutNow{n.name, n.transferTarget, n.voteRecord.Term, n.announcedTransfers})
+		n.send(m.Addr, wire.TimeoutNow, timeoutNow{n.clusterName, n.transferTarget, n.hardState.Term, n.announcedTransfers})
 		n.stepDown()
 		return
 	}
-	due := n.now.Mono.Sub(n.lastRoundAt) >= n.timeouts.Heartbeat
+	due := n.now.Mono.Sub(n.lastRoundAt) >= n.timeouts.HeartbeatInterval
 	if due {
 		n.lastRoundAt = n.now.Mono
 	}
@@ -79,204 +79,204 @@
 			continue
 		}
 		t := n.progressOf(m.ID)
-		if n.now.Mono.Sub(t.heardAt) > n.timeouts.ElectionMin { // silent: only asked whether it is there
+		if n.now.Mono.Sub(t.lastHeardAt) > n.timeouts.MinElectionTimeout { // silent: only asked whether it is there
 			if due {
-				t.next, t.flow = t.match+1, flow{}
+				t.next, t.window = t.match+1, sendWindow{}
 				n.probe(m, t)
 			}
 			continue
 		}
-		if due && t.match+1 < t.next && n.now.Mono.Sub(t.sentAt) > t.flow.patience(2*n.timeouts.Heartbeat) {
+		if due && t.match+1 < t.next && n.now.Mono.Sub(t.lastSentAt) > t.window.retryTimeout(2*n.timeouts.HeartbeatInterval) {
 			t.next = t.match + 1
-			t.flow.lost()
+			t.window.onTimeout()
 		}
-		flying := t.match+1 < t.next && n.now.Mono.Sub(t.sentAt) < n.timeouts.Heartbeat
+		flying := t.match+1 < t.next && n.now.Mono.Sub(t.lastSentAt) < n.timeouts.HeartbeatInterval
 		switch {
-		case t.match+1 < t.next && t.flow.full():
+		case t.match+1 < t.next && t.window.full():
 			if due {
 				n.probe(m, t)
 			}
 		case due || t.next <= n.lastIndex() && !flying:
-			n.sendNext(m, t)
+			n.sendAppend(m, t)
 		}
 	}
 }
 
-func (n *Node) newAppend(m Member, prev types.Index) appendEntries {
-	t, _ := n.termAt(prev)
-	return appendEntries{Name: n.name, ID: n.self.ID, To: m.ID, Term: n.voteRecord.Term, PrevIndex: prev, PrevTerm: t, Commit: n.commitIndex,
-		Round: n.now.Mono, Tick: n.Clock()}
+func (n *Node) newAppendEntries(peer Member, prevLogIndex types.Index) appendEntries {
+	t, _ := n.termAt(prevLogIndex)
+	return appendEntries{ClusterName: n.clusterName, LeaderID: n.self.ID, To: peer.ID, Term: n.hardState.Term, PrevLogIndex: prevLogIndex, PrevLogTerm: t, LeaderCommit: n.commitIndex,
+		Round: n.now.Mono, ClusterTime: n.Clock()}
 }
 
 // probe sends a silent member no entries, so that nothing piles up in flight.
-func (n *Node) probe(m Member, t *progress) {
-	n.send(m.Addr, wire.Append, n.newAppend(m, max(t.match, n.snapshot.Index)))
+func (n *Node) probe(peer Member, progress *progress) {
+	n.send(peer.Addr, wire.AppendEntries, n.newAppendEntries(peer, max(progress.match, n.snapshot.Index)))
 }
 
-func (n *Node) sendNext(m Member, t *progress) {
-	p := n.newAppend(m, t.next-1)
-	if t.next <= n.snapshot.Index {
-		if n.now.Mono.Sub(t.sentAt) > t.flow.patience(5*n.timeouts.Heartbeat) && n.snapshot.Count > 0 {
-			if t.sentAt != never {
-				t.flow.lost()
+func (n *Node) sendAppend(peer Member, progress *progress) {
+	request := n.newAppendEntries(peer, progress.next-1)
+	if progress.next <= n.snapshot.Index {
+		if n.now.Mono.Sub(progress.lastSentAt) > progress.window.retryTimeout(5*n.timeouts.HeartbeatInterval) && n.snapshot.PartCount > 0 {
+			if progress.lastSentAt != never {
+				progress.window.onTimeout()
 			}
-			t.sentAt, p.PrevIndex, p.PrevTerm = n.now.Mono, n.snapshot.Index, n.snapshot.Term
-			t.flow.sent(n.now.Mono)
-			t.part = min(t.part, n.snapshot.Count-1)
-			n.send(m.Addr, wire.Snap, installSnapshot{p, n.snapshot, t.part, n.snapshot.Parts[t.part]})
+			progress.lastSentAt, request.PrevLogIndex, request.PrevLogTerm = n.now.Mono, n.snapshot.Index, n.snapshot.Term
+			progress.window.onSend(n.now.Mono)
+			progress.snapshotParts = min(progress.snapshotParts, n.snapshot.PartCount-1)
+			n.send(peer.Addr, wire.InstallSnapshot, installSnapshot{request, n.snapshot, progress.snapshotParts, n.snapshot.Parts[progress.snapshotParts]})
 		}
 		return
 	}
-	if t.next <= n.lastIndex() {
-		rest := n.log[t.next-n.snapshot.Index-1:]
-		p.Entries = t.flow.take(n.now.Mono, rest)
-		t.next += types.Index(len(p.Entries))
-		t.sentAt = n.now.Mono
+	if progress.next <= n.lastIndex() {
+		rest := n.log[progress.next-n.snapshot.Index-1:]
+		request.Entries = progress.window.takeEntries(n.now.Mono, rest)
+		progress.next += types.Index(len(request.Entries))
+		progress.lastSentAt = n.now.Mono
 	}
-	n.send(m.Addr, wire.Append, p)
+	n.send(peer.Addr, wire.AppendEntries, request)
 }
 
-func (n *Node) onAppendEntries(from types.Addr, p appendEntries) {
-	for i, e := range p.Entries {
-		if e.Index != p.PrevIndex+types.Index(i)+1 {
+func (n *Node) onAppendEntries(from types.Addr, request appendEntries) {
+	for i, e := range request.Entries {
+		if e.Index != request.PrevLogIndex+types.Index(i)+1 {
 			return // not what a leader says
 		}
 	}
-	if !n.acceptLeader(from, p) {
+	if !n.acceptLeader(from, request) {
 		return
 	}
-	a := appendReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term, Round: p.Round, Wall: n.now.Wall, LagMS: n.lag.Milliseconds(), Leaving: n.stopping}
-	t, ok := n.termAt(p.PrevIndex)
-	if p.PrevIndex < n.snapshot.Index {
-		skip := min(int(n.snapshot.Index-p.PrevIndex), len(p.Entries))
-		p.Entries, p.PrevIndex = p.Entries[skip:], p.PrevIndex+types.Index(skip)
-		ok, t, p.PrevTerm = true, n.snapshot.Term, n.snapshot.Term
+	reply := appendReply{ClusterName: n.clusterName, FollowerID: n.self.ID, Term: n.hardState.Term, Round: request.Round, Wall: n.now.Wall, LagMS: n.loopLag.Milliseconds(), Stopping: n.stopping}
+	t, ok := n.termAt(request.PrevLogIndex)
+	if request.PrevLogIndex < n.snapshot.Index {
+		skip := min(int(n.snapshot.Index-request.PrevLogIndex), len(request.Entries))
+		request.Entries, request.PrevLogIndex = request.Entries[skip:], request.PrevLogIndex+types.Index(skip)
+		ok, t, request.PrevLogTerm = true, n.snapshot.Term, n.snapshot.Term
 	}
-	if !ok || t != p.PrevTerm {
-		a.Match = min(n.lastIndex(), p.PrevIndex-1)
-		n.send(from, wire.Append2, a)
+	if !ok || t != request.PrevLogTerm {
+		reply.MatchIndex = min(n.lastIndex(), request.PrevLogIndex-1)
+		n.send(from, wire.AppendReply, reply)
 		return
 	}
-	tip := p.PrevIndex + types.Index(len(p.Entries))
-	for i, e := range p.Entries {
+	lastNewIndex := request.PrevLogIndex + types.Index(len(request.Entries))
+	for i, e := range request.Entries {
 		if t, ok := n.termAt(e.Index); !ok || t != e.Term {
 			n.syncedIndex = min(n.syncedIndex, e.Index-1)
 			for j := range n.unsynced {
 				n.unsynced[j].at = min(n.unsynced[j].at, e.Index-1)
 			}
-			n.storeEntries(p.Entries[i:])
-			n.write(Record{Entries: p.Entries[i:]})
+			n.truncateAndAppend(request.Entries[i:])
+			n.writeRecord(Record{Entries: request.Entries[i:]})
 			n.trackSync()
 			n.assignRole()
 			break
 		}
 	}
-	for _, e := range p.Entries {
+	for _, e := range request.Entries {
 		n.logBytes += len(e.Data)
 	}
-	n.commitIndex = max(n.commitIndex, min(p.Commit, tip))
-	a.OK, a.Match = true, min(tip, n.syncedIndex)
-	if tip <= n.syncedIndex || n.now.Mono.Sub(n.diskAnsweredAt) >= n.timeouts.Heartbeat { // a slow disk is no silence
-		n.send(from, wire.Append2, a)
+	n.commitIndex = max(n.commitIndex, min(request.LeaderCommit, lastNewIndex))
+	reply.Success, reply.MatchIndex = true, min(lastNewIndex, n.syncedIndex)
+	if lastNewIndex <= n.syncedIndex || n.now.Mono.Sub(n.diskAnsweredAt) >= n.timeouts.HeartbeatInterval { // a slow disk is no silence
+		n.send(from, wire.AppendReply, reply)
 	}
-	if tip > n.syncedIndex {
-		a.Match = tip
-		n.sendAfter(n.writtenBatch, from, wire.Append2, a)
+	if lastNewIndex > n.syncedIndex {
+		reply.MatchIndex = lastNewIndex
+		n.sendAfterBatch(n.writtenBatch, from, wire.AppendReply, reply)
 	}
 }
 
 // acceptLeader is the part common to entries and snapshots: false unless the message is
 // for this node and from the leader of the current term.
-func (n *Node) acceptLeader(from types.Addr, p appendEntries) bool {
-	if p.To != n.self.ID || n.name != "" && p.Name != n.name {
+func (n *Node) acceptLeader(from types.Addr, request appendEntries) bool {
+	if request.To != n.self.ID || n.clusterName != "" && request.ClusterName != n.clusterName {
 		return false
 	}
-	if n.name == "" {
-		k := BootstrapConfig{Name: p.Name}
-		if n.promised != nil && n.promised.Name == p.Name {
-			k = *n.promised
+	if n.clusterName == "" {
+		k := InitialCluster{ClusterName: request.ClusterName}
+		if n.acceptedCluster != nil && n.acceptedCluster.ClusterName == request.ClusterName {
+			k = *n.acceptedCluster
 		}
-		n.adoptBootstrap(k)
+		n.enterCluster(k)
 	}
-	if p.Term < n.voteRecord.Term {
-		n.send(from, wire.Append2, appendReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term})
+	if request.Term < n.hardState.Term {
+		n.send(from, wire.AppendReply, appendReply{ClusterName: n.clusterName, FollowerID: n.self.ID, Term: n.hardState.Term})
 		return false
 	}
-	if p.Term > n.voteRecord.Term {
-		n.becomeFollower(p.Term)
+	if request.Term > n.hardState.Term {
+		n.becomeFollower(request.Term)
 	}
-	if n.role == removed {
-		n.role, n.reason = learner, "" // let in again
+	if n.role == roleRemoved {
+		n.role, n.reason = roleLearner, "" // let in again
 	}
 	n.assignRole()
-	n.leaderID, n.leaderAddr, n.leaderHeardAt = p.ID, from, n.now.Mono
-	n.followClock(p.Term, p.Tick)
+	n.leaderID, n.leaderAddr, n.leaderHeardAt = request.LeaderID, from, n.now.Mono
+	n.followClock(request.Term, request.ClusterTime)
 	n.resetElectionTimer()
 	return true
 }
 
-func (n *Node) onInstallSnapshot(from types.Addr, s installSnapshot) {
-	if !n.acceptLeader(from, s.appendEntries) {
+func (n *Node) onInstallSnapshot(from types.Addr, request installSnapshot) {
+	if !n.acceptLeader(from, request.appendEntries) {
 		return
 	}
-	a := appendReply{Name: n.name, ID: n.self.ID, Term: n.voteRecord.Term, OK: true, Match: s.Snap.Index, Round: s.Round, Wall: n.now.Wall, Leaving: n.stopping}
-	if s.Snap.Index > n.commitIndex {
-		if x := &n.incoming; x.Index != s.Snap.Index || x.Term != s.Snap.Term {
-			*x = s.Snap
+	reply := appendReply{ClusterName: n.clusterName, FollowerID: n.self.ID, Term: n.hardState.Term, Success: true, MatchIndex: request.Snapshot.Index, Round: request.Round, Wall: n.now.Wall, Stopping: n.stopping}
+	if request.Snapshot.Index > n.commitIndex {
+		if x := &n.incomingSnapshot; x.Index != request.Snapshot.Index || x.Term != request.Snapshot.Term {
+			*x = request.Snapshot
 		}
-		if s.PartNo == len(n.incoming.Parts) {
-			n.incoming.Parts = append(n.incoming.Parts, s.Part)
+		if request.PartNumber == len(n.incomingSnapshot.Parts) {
+			n.incomingSnapshot.Parts = append(n.incomingSnapshot.Parts, request.Part)
 		}
-		if len(n.incoming.Parts) < s.Snap.Count {
-			a.Match, a.Parts = 0, len(n.incoming.Parts)
-			n.send(from, wire.Append2, a)
+		if len(n.incomingSnapshot.Parts) < request.Snapshot.PartCount {
+			reply.MatchIndex, reply.SnapshotParts = 0, len(n.incomingSnapshot.Parts)
+			n.send(from, wire.AppendReply, reply)
 			return
 		}
-		n.snapshot, n.log, n.unsynced = n.incoming, nil, nil
-		n.incoming, n.logBytes = Snapshot{}, 0
-		n.commitIndex, n.syncedIndex = s.Snap.Index, 0
-		n.reloadConfig()
+		n.snapshot, n.log, n.unsynced = n.incomingSnapshot, nil, nil
+		n.incomingSnapshot, n.logBytes = Snapshot{}, 0
+		n.commitIndex, n.syncedIndex = request.Snapshot.Index, 0
+		n.recomputeConfiguration()
 		n.assignRole()
-		n.rewrite()
+		n.rewriteFile()
 		n.trackSync()
 	}
-	n.sendAfter(n.writtenBatch, from, wire.Append2, a)
+	n.sendAfterBatch(n.writtenBatch, from, wire.AppendReply, reply)
 }
 
-func (n *Node) onAppendReply(_ types.Addr, a appendReply) {
-	if a.Name != n.name {
+func (n *Node) onAppendReply(_ types.Addr, reply appendReply) {
+	if reply.ClusterName != n.clusterName {
 		return
 	}
-	if a.Term > n.voteRecord.Term {
-		n.becomeFollower(a.Term)
+	if reply.Term > n.hardState.Term {
+		n.becomeFollower(reply.Term)
 		return
 	}
-	if _, ok := n.config.Find(a.ID); !ok || n.role != leader || a.Term != n.voteRecord.Term {
+	if _, ok := n.config.Find(reply.FollowerID); !ok || n.role != roleLeader || reply.Term != n.hardState.Term {
 		return
 	}
-	t := n.progressOf(a.ID)
-	if a.Round > t.round {
-		t.round, t.wallOffset = a.Round, a.Wall-types.WallTime(n.Clock())
+	progress := n.progressOf(reply.FollowerID)
+	if reply.Round > progress.ackedRound {
+		progress.ackedRound, progress.wallOffset = reply.Round, reply.Wall-types.WallTime(n.Clock())
 	}
-	t.heardAt, t.lag, t.leaving = n.now.Mono, time.Duration(a.LagMS)*time.Millisecond, a.Leaving
-	if a.Parts > 0 {
-		if a.Parts != t.part { // else it is of a part that was sent twice
-			t.flow.answered(n.now.Mono, n.timeouts.ElectionMin)
-			t.part, t.sentAt = a.Parts, never
+	progress.lastHeardAt, progress.loopLag, progress.stopping = n.now.Mono, time.Duration(reply.LagMS)*time.Millisecond, reply.Stopping
+	if reply.SnapshotParts > 0 {
+		if reply.SnapshotParts != progress.snapshotParts { // else it is of a part that was sent twice
+			progress.window.onAcknowledged(n.now.Mono, n.timeouts.MinElectionTimeout)
+			progress.snapshotParts, progress.lastSentAt = reply.SnapshotParts, never
 		}
 		return
 	}
-	if !a.OK {
-		t.part, t.flow.flying = 0, 0
-		t.match = min(t.match, a.Match)
-		t.next = a.Match + 1
+	if !reply.Success {
+		progress.snapshotParts, progress.window.inFlightBytes = 0, 0
+		progress.match = min(progress.match, reply.MatchIndex)
+		progress.next = reply.MatchIndex + 1
 		return
 	}
-	if a.Match > t.match {
-		t.match = a.Match
-		t.next = max(t.next, t.match+1)
-		if t.next == t.match+1 {
-			t.flow.answered(n.now.Mono, n.timeouts.ElectionMin)
+	if reply.MatchIndex > progress.match {
+		progress.match = reply.MatchIndex
+		progress.next = max(progress.next, progress.match+1)
+		if progress.next == progress.match+1 {
+			progress.window.onAcknowledged(n.now.Mono, n.timeouts.MinElectionTimeout)
 		}
 	}
 	n.advanceCommit()
@@ -289,7 +289,7 @@
 		}
 		return n.progressOf(m.ID).match
 	})
-	if t, ok := n.termAt(to); ok && t == n.voteRecord.Term && to > n.commitIndex {
+	if t, ok := n.termAt(to); ok && t == n.hardState.Term && to > n.commitIndex {
 		n.commitIndex = to
 	}
 }
@@ -307,49 +307,49 @@
 		}
 	}
 	n.log = slices.Clone(n.log[i-n.snapshot.Index:])
-	n.snapshot = Snapshot{Index: i, Term: t, Config: config, Count: len(parts), Parts: parts}
+	n.snapshot = Snapshot{Index: i, Term: t, Config: config, PartCount: len(parts), Parts: parts}
 	n.logBytes = 0
 	for _, e := range n.log {
 		n.logBytes += len(e.Data)
 	}
 	for _, m := range n.progress {
-		m.part = 0
+		m.snapshotParts = 0
 	}
-	instead := append([]Record{}, n.writes...)
+	instead := append([]Record{}, n.records...)
 	if n.replacesFile {
 		instead = nil
 	}
-	n.rewrite()
-	n.instead = instead
+	n.rewriteFile()
+	n.appendInstead = instead
 	n.trackSync()
 }
 
-// rewrite collects the records that replace the whole file.
-func (n *Node) rewrite() {
-	n.writes, n.instead = nil, nil
-	v, s := n.voteRecord, n.snapshot
-	n.write(Record{Identity: &Identity{n.self.ID, n.bootstrap.First}})
-	n.write(Record{Bootstrap: &BootstrapConfig{Name: n.name, Config: s.Config}})
-	n.write(Record{Vote: &v})
-	n.write(Record{Snapshot: &s})
+// rewriteFile collects the records that replace the whole file.
+func (n *Node) rewriteFile() {
+	n.records, n.appendInstead = nil, nil
+	v, s := n.hardState, n.snapshot
+	n.writeRecord(Record{Identity: &Identity{n.self.ID, n.bootstrap.FirstStart}})
+	n.writeRecord(Record{Cluster: &InitialCluster{ClusterName: n.clusterName, Config: s.Config}})
+	n.writeRecord(Record{HardState: &v})
+	n.writeRecord(Record{Snapshot: &s})
 	for _, b := range s.Parts {
-		n.write(Record{part: b})
+		n.writeRecord(Record{snapshotPart: b})
 	}
 	for rest := n.log; len(rest) > 0; {
-		count := within(rest, bulk)
-		n.write(Record{Entries: rest[:count]})
+		count := entriesWithin(rest, maxRecordBytes)
+		n.writeRecord(Record{Entries: rest[:count]})
 		rest = rest[count:]
 	}
 	n.replacesFile = true
 }
 
-// leaderTick is what the leader does as time passes.
-func (n *Node) leaderTick() {
+// tickLeader is what the leader does as time passes.
+func (n *Node) tickLeader() {
 	if n.transferTarget != "" && n.now.Mono >= n.transferDeadline {
 		n.stepDown()
 		return
 	}
-	if n.now.Mono.Sub(n.quorumRound()) > n.timeouts.Stall && n.now.Mono.Sub(n.progressOf(n.self.ID).heardAt) > n.timeouts.Stall {
+	if n.now.Mono.Sub(n.quorumAckedRound()) > n.timeouts.StallTimeout && n.now.Mono.Sub(n.progressOf(n.self.ID).lastHeardAt) > n.timeouts.StallTimeout {
 		n.stepDown()
 		return
 	}
@@ -357,13 +357,13 @@
 		n.stepDown()
 		return
 	}
-	n.maintainMembers()
+	n.maintainMembership()
 }
 
 func (n *Node) stepDown() {
 	n.transferTarget, n.leaderID, n.leaderAddr = "", "", ""
-	n.role = follower
+	n.role = roleFollower
 	n.assignRole()
 	n.resetElectionTimer()
-	n.electionDeadline = n.electionDeadline.Add(n.timeouts.ElectionMin)
+	n.electionDeadline = n.electionDeadline.Add(n.timeouts.MinElectionTimeout)
 }
--- a/internal/raft/traffic_test.go
+++ b/internal/raft/traffic_test.go
@@ -11,10 +11,10 @@
 	for _, m := range w.machines {
 		if m.up() && !m.frozen && m.node.IsLeader() {
 			m.step(func() {
-				if m.node.HoldsLease() {
-					w.check.counter++
-					if i, ok := m.node.Propose(json.RawMessage(fmt.Sprint(w.check.counter))); ok {
-						m.waits = append(m.waits, proposal{i, m.node.voteRecord.Term})
+				if m.node.HoldsReadLease() {
+					w.checker.proposals++
+					if i, ok := m.node.Propose(json.RawMessage(fmt.Sprint(w.checker.proposals))); ok {
+						m.pendingProposals = append(m.pendingProposals, proposal{i, m.node.hardState.Term})
 					}
 				}
 			})
@@ -24,35 +24,35 @@
 
 // acknowledge answers what this process proposed and sees committed.
 func (m *machine) acknowledge() {
-	n, kept := m.node, m.waits[:0]
-	for _, p := range m.waits {
+	n, kept := m.node, m.pendingProposals[:0]
+	for _, p := range m.pendingProposals {
 		t, ok := n.termAt(p.index)
 		switch {
 		case n.commitIndex < p.index:
 			kept = append(kept, p)
 		case ok && t == p.term:
-			m.w.check.acked = max(m.w.check.acked, p.index)
-			m.w.check.ackedAt = m.w.now
+			m.w.checker.acknowledged = max(m.w.checker.acknowledged, p.index)
+			m.w.checker.acknowledgedAt = m.w.now
 		}
 	}
-	m.waits = kept
+	m.pendingProposals = kept
 }
 
 // leader is the machine that may answer reads now, if any.
 func (w *world) leader() *machine {
 	for _, m := range w.machines {
-		if m.up() && !m.frozen && m.node.IsLeader() && m.leases() {
+		if m.up() && !m.frozen && m.node.IsLeader() && m.holdsReadLease() {
 			return m
 		}
 	}
 	return nil
 }
 
-// leases tells whether the process would answer a read that comes now.
-func (m *machine) leases() bool {
+// holdsReadLease tells whether the process would answer a read that comes now.
+func (m *machine) holdsReadLease() bool {
 	was := m.node.now
 	m.node.now = m.clock()
-	ok := m.node.HoldsLease()
+	ok := m.node.HoldsReadLease()
 	m.node.now = was
 	return ok
 }
--- a/internal/raft/walk_test.go
+++ b/internal/raft/walk_test.go
@@ -14,85 +14,85 @@
 )
 
 var (
-	walkSeeds = flag.Int("walks", 0, "random walks of each size; 0 is the usual number")
-	walkFirst = flag.Int64("walkfrom", 1, "seed of the first walk")
+	walkCount     = flag.Int("walks", 0, "random walks of each size; 0 is the usual number")
+	firstWalkSeed = flag.Int64("walkfrom", 1, "seed of the first walk")
 )
 
-func readRecord(b []byte, r *Record) bool { return json.Unmarshal(b, r) == nil }
+func decodeRecord(b []byte, r *Record) bool { return json.Unmarshal(b, r) == nil }
 
-// opened is a world whose machines all vote.
-func opened(t testing.TB, seed int64, count, zones int) *world {
+// newRunningWorld is a world whose machines all vote.
+func newRunningWorld(t testing.TB, seed int64, count, zones int) *world {
 	t.Helper()
 	w := newWorld(seed, count, zones)
 	for _, m := range w.machines {
-		w.after(time.Duration(w.rnd.Intn(300))*time.Millisecond, m.start)
+		w.schedule(time.Duration(w.random.Intn(300))*time.Millisecond, m.start)
 	}
-	if !w.waits(8*time.Second, func() bool { return w.allVote(count) }) {
+	if !w.waitUntil(8*time.Second, func() bool { return w.allAreVoters(count) }) {
 		t.Fatalf("not all %d vote:\n%s", count, w.report())
 	}
 	return w
 }
 
-func (w *world) allVote(count int) bool {
+func (w *world) allAreVoters(count int) bool {
 	l := w.leader()
 	return l != nil && l.node.config.Voters() == count && l.node.commitIndex >= l.node.configIndex
 }
 
-// traffic proposes all the time, and looks at what must hold between steps.
-func (w *world) traffic() {
+// proposeForever proposes all the time, and looks at what must hold between steps.
+func (w *world) proposeForever() {
 	w.propose()
-	w.check.survives(w)
-	w.check.leadership(w)
+	w.checker.quorumSurvivesFurtherLosses(w)
+	w.checker.leaderWithinBound(w)
 	w.compactSome()
-	w.after(time.Duration(10+w.rnd.Intn(40))*time.Millisecond, w.traffic)
+	w.schedule(time.Duration(10+w.random.Intn(40))*time.Millisecond, w.proposeForever)
 }
 
 // compactSome replaces a member's log by a snapshot now and then.
 func (w *world) compactSome() {
-	m := w.machines[w.rnd.Intn(len(w.machines))]
-	if w.rnd.Intn(10) > 0 || !m.up() || m.frozen || m.node.commitIndex < m.node.snapshot.Index+30 {
+	m := w.machines[w.random.Intn(len(w.machines))]
+	if w.random.Intn(10) > 0 || !m.up() || m.frozen || m.node.commitIndex < m.node.snapshot.Index+30 {
 		return
 	}
 	m.step(func() {
-		m.node.Compact(m.node.commitIndex-types.Index(w.rnd.Intn(10)), [][]byte{[]byte(`{"a":1}`), []byte(`{"b":2}`)})
+		m.node.Compact(m.node.commitIndex-types.Index(w.random.Intn(10)), [][]byte{[]byte(`{"a":1}`), []byte(`{"b":2}`)})
 	})
 }
 
-// core is what a walk is played on: so many machines in so many zones, of which some may
+// scenario is what a walk is played on: so many machines in so many zones, of which some may
 // be lost at once, with planned replacements or without.
-type core struct {
-	count, zones, tolerate int
-	plans                  bool
+type scenario struct {
+	machines, zones, lossTolerance int
+	plannedReplacements            bool
 }
 
-// cores are the sizes that are walked. What may be lost is a minority, but for planned
+// scenarios are the sizes that are walked. What may be lost is a minority, but for planned
 // replacements in an odd core with several voters in a zone: there, which one goes is
 // known only at its SIGTERM, and until then there is a voter too many.
-var cores = []core{
+var scenarios = []scenario{
 	{3, 3, 1, true}, {4, 2, 1, true}, {6, 3, 2, true}, {8, 4, 3, true},
 	{5, 3, 2, false}, {7, 4, 3, false}, {9, 3, 4, false},
 	{5, 3, 1, true}, {7, 4, 2, true}, {9, 3, 3, true},
 }
 
-func (c core) String() string {
-	return fmt.Sprintf("%d of %d, planned %v", c.tolerate, c.count, c.plans)
+func (c scenario) String() string {
+	return fmt.Sprintf("%d of %d, planned %v", c.lossTolerance, c.machines, c.plannedReplacements)
 }
 
-// walk plays one walk and gives its world when all has calmed down again.
-func walk(t testing.TB, seed int64, c core, lasts time.Duration, plant string) *world {
+// randomWalk plays one walk and gives its world when all has calmed down again.
+func randomWalk(t testing.TB, seed int64, c scenario, lasts time.Duration, plant string) *world {
 	t.Helper()
-	w := opened(t, seed, c.count, c.zones)
-	w.tolerate = c.tolerate
-	w.run(testCatchUp) // all have had their time
-	w.plant = plant
-	a := &adversary{w: w, rnd: rand.New(rand.NewSource(seed)), plans: c.plans}
-	w.after(0, w.traffic)
-	w.after(a.upTo(500), a.next)
+	w := newRunningWorld(t, seed, c.machines, c.zones)
+	w.lossTolerance = c.lossTolerance
+	w.run(testCatchUpTime) // all have had their time
+	w.plantedBug = plant
+	a := &adversary{w: w, random: rand.New(rand.NewSource(seed)), plannedReplacements: c.plannedReplacements}
+	w.schedule(0, w.proposeForever)
+	w.schedule(a.randomMillis(500), a.act)
 	w.run(lasts)
-	a.settle()
+	a.healAll()
 	w.run(12 * time.Second)
-	if w.failure == "" && w.check.ackedAt < w.now-time.Second {
-		w.fail("SERVICE: nothing acknowledged since %v", w.check.ackedAt)
+	if w.failure == "" && w.checker.acknowledgedAt < w.now-time.Second {
+		w.fail("SERVICE: nothing acknowledged since %v", w.checker.acknowledgedAt)
 	}
 	return w
 }
@@ -102,15 +102,15 @@
 	if testing.Short() {
 		seeds, lasts = 1, 20*time.Second
 	}
-	if *walkSeeds > 0 {
-		seeds = *walkSeeds
+	if *walkCount > 0 {
+		seeds = *walkCount
 	}
-	for k, c := range cores {
-		first := *walkFirst + int64(1000*k)
+	for k, c := range scenarios {
+		first := *firstWalkSeed + int64(1000*k)
 		t.Run(c.String(), func(t *testing.T) {
 			t.Parallel()
 			for i := range int64(seeds) {
-				w := walk(t, first+i, c, lasts, "")
+				w := randomWalk(t, first+i, c, lasts, "")
 				if w.failure != "" {
 					t.Errorf("seed %d\n%s", first+i, w.report())
 				}
--- a/internal/raft/world_test.go
+++ b/internal/raft/world_test.go
@@ -16,18 +16,18 @@
 
 // The bounds that the walks are played with, as a deployment's settings give them.
 const (
-	testCatchUp  = 4 * time.Second
-	testAck      = 4 * time.Second
-	testGrace    = 6 * time.Second
-	testTick     = 20 * time.Millisecond
-	testDiscover = 300 * time.Millisecond
-	testDelay    = 2 * time.Millisecond
-	testSync     = 3 * time.Millisecond
-	traceLines   = 60
+	testCatchUpTime       = 4 * time.Second
+	testServiceBound      = 4 * time.Second
+	testStopGrace         = 6 * time.Second
+	testTickInterval      = 20 * time.Millisecond
+	testDiscoveryInterval = 300 * time.Millisecond
+	testMessageDelay      = 2 * time.Millisecond
+	testSyncTime          = 3 * time.Millisecond
+	maxTraceLines         = 60
 )
 
-var testTimeouts = Timeouts{Heartbeat: 40 * time.Millisecond, ElectionMin: 200 * time.Millisecond, Stall: 400 * time.Millisecond,
-	ReplaceAfter: testCatchUp * 3 / 8, Authority: 800 * time.Millisecond}
+var testTimeouts = Timeouts{HeartbeatInterval: 40 * time.Millisecond, MinElectionTimeout: 200 * time.Millisecond, StallTimeout: 400 * time.Millisecond,
+	ReplaceAfter: testCatchUpTime * 3 / 8, AuthorityLease: 800 * time.Millisecond}
 
 type event struct {
 	at  time.Duration
@@ -58,31 +58,31 @@
 
 // machine is one machine: its process, if one runs, and what its disk holds.
 type machine struct {
-	w        *world
-	addr     types.Addr
-	zone     types.Zone
-	node     *Node
-	life     int
-	first    bool
-	frozen   bool
-	gone     bool // removed for good
-	backlog  []func()
-	synced   [][]byte
-	pending  []pendingBatch
-	slow     int // times as long as a sync usually takes
-	base     types.MonoTime
-	drift    float64
-	stops    bool     // SIGTERM was sent
-	replaced bool     // another comes in its place
-	former   *machine // the one that this one replaces
-	starts   time.Duration
-	backAt   time.Duration // when it last came back from a loss
-	faulty   bool          // a fault of the adversary is on it now
-	waits    []proposal
-	seen     time.Duration // last look at who is there
-	known    []Discovered
-	oldID    *Identity // for the planted bug of a wiped member that keeps its identity
-	oldName  *BootstrapConfig
+	w                *world
+	addr             types.Addr
+	zone             types.Zone
+	node             *Node
+	incarnation      int
+	first            bool
+	frozen           bool
+	departed         bool // removed for good
+	backlog          []func()
+	synced           [][]byte
+	unsynced         []pendingBatch
+	syncSlowdown     int // times as long as a sync usually takes
+	clockBase        types.MonoTime
+	clockRate        float64
+	stopping         bool     // SIGTERM was sent
+	replaced         bool     // another comes in its place
+	predecessor      *machine // the one that this one replaces
+	startedAt        time.Duration
+	recoveredAt      time.Duration // when it last came back from a loss
+	faulty           bool          // a fault of the adversary is on it now
+	pendingProposals []proposal
+	discoveredAt     time.Duration // last look at who is there
+	discovered       []DiscoveredPeer
+	wipedIdentity    *Identity // for the planted bug of a wiped member that keeps its identity
+	wipedCluster     *InitialCluster
 }
 
 type proposal struct {
@@ -94,35 +94,35 @@
 
 // world carries the machines. plant names a bug that is put in on purpose.
 type world struct {
-	now      time.Duration
-	rnd      *rand.Rand
-	queue    eventHeap
-	seq      int
-	machines []*machine
-	cut      map[link]bool
-	loss     float64
-	repeat   float64
-	plant    string
-	timeouts Timeouts
-	tolerate int
-	check    checker
-	trace    []string
-	failure  string
-	manual   bool // messages and syncs wait until a script or search releases them
-	mail     []mail
-	founders []types.Addr
-	lastHurt time.Duration // when the adversary last did something
+	now               time.Duration
+	random            *rand.Rand
+	queue             eventHeap
+	nextEvent         int
+	machines          []*machine
+	cutLinks          map[link]bool
+	lossProbability   float64
+	repeatProbability float64
+	plantedBug        string
+	timeouts          Timeouts
+	lossTolerance     int
+	checker           checker
+	trace             []string
+	failure           string
+	manual            bool // messages and syncs wait until a script or search releases them
+	inFlight          []envelope
+	founders          []types.Addr
+	lastFaultAt       time.Duration // when the adversary last did something
 }
 
-type mail struct {
+type envelope struct {
 	from, to types.Addr
 	message  wire.Message
 }
 
 func newWorld(seed int64, count, zones int) *world {
-	w := &world{rnd: rand.New(rand.NewSource(seed)), cut: map[link]bool{}, timeouts: testTimeouts, loss: 0.01, repeat: 0.02,
-		tolerate: (count - 1) / 2}
-	w.check = newChecker()
+	w := &world{random: rand.New(rand.NewSource(seed)), cutLinks: map[link]bool{}, timeouts: testTimeouts, lossProbability: 0.01, repeatProbability: 0.02,
+		lossTolerance: (count - 1) / 2}
+	w.checker = newChecker()
 	for i := range count {
 		m := w.addMachine(fmt.Sprint("m", i+1), i%zones, true)
 		if i < 3 {
@@ -133,15 +133,15 @@
 }
 
 func (w *world) addMachine(addr string, zone int, first bool) *machine {
-	m := &machine{w: w, addr: types.Addr(addr), zone: types.Zone(fmt.Sprint("z", zone+1)), first: first, slow: 1,
-		drift: 1 + (w.rnd.Float64()-0.5)*0.02}
+	m := &machine{w: w, addr: types.Addr(addr), zone: types.Zone(fmt.Sprint("z", zone+1)), first: first, syncSlowdown: 1,
+		clockRate: 1 + (w.random.Float64()-0.5)*0.02}
 	w.machines = append(w.machines, m)
 	return m
 }
 
 func (w *world) logf(format string, args ...any) {
 	w.trace = append(w.trace, fmt.Sprintf("%9.3f ", w.now.Seconds())+fmt.Sprintf(format, args...))
-	if len(w.trace) > traceLines {
+	if len(w.trace) > maxTraceLines {
 		w.trace = w.trace[1:]
 	}
 }
@@ -160,7 +160,7 @@
 	for _, m := range w.machines {
 		if m.node != nil {
 			n := m.node
-			fmt.Fprintf(&b, "%s %s %s term %d commit %d last %d config@%d %s\n", m.addr, n.self.ID, n.role, n.voteRecord.Term, n.commitIndex, n.lastIndex(), n.configIndex, describe(n.config))
+			fmt.Fprintf(&b, "%s %s %s term %d commit %d last %d config@%d %s\n", m.addr, n.self.ID, n.role, n.hardState.Term, n.commitIndex, n.lastIndex(), n.configIndex, describe(n.config))
 		}
 	}
 	return b.String() + w.failure
@@ -181,9 +181,9 @@
 	return strings.Join(list, " ")
 }
 
-func (w *world) after(d time.Duration, run func()) {
-	w.seq++
-	heap.Push(&w.queue, event{w.now + d, w.seq, run})
+func (w *world) schedule(d time.Duration, run func()) {
+	w.nextEvent++
+	heap.Push(&w.queue, event{w.now + d, w.nextEvent, run})
 }
 
 // run lets the world go on for so long, or until something is broken.
@@ -195,60 +195,60 @@
 	}
 }
 
-// waits runs until something holds, for so long at most.
-func (w *world) waits(d time.Duration, ok func() bool) bool {
+// waitUntil runs until something holds, for so long at most.
+func (w *world) waitUntil(d time.Duration, ok func() bool) bool {
 	for end := w.now + d; w.now < end && w.failure == ""; {
 		if ok() {
 			return true
 		}
-		w.after(10*time.Millisecond, func() {})
+		w.schedule(10*time.Millisecond, func() {})
 		w.run(10 * time.Millisecond)
 	}
 	return ok()
 }
 
 func (m *machine) clock() types.Now {
-	return types.Now{Mono: m.base + types.MonoTime(float64(m.w.now)*m.drift), Wall: types.WallTime(m.w.now)}
+	return types.Now{Mono: m.clockBase + types.MonoTime(float64(m.w.now)*m.clockRate), Wall: types.WallTime(m.w.now)}
 }
 
 func (m *machine) up() bool { return m.node != nil }
 
 // start boots the machine's process from what its disk holds.
 func (m *machine) start() {
-	if m.gone || m.up() {
+	if m.departed || m.up() {
 		return
 	}
 	w := m.w
-	m.life++
-	m.base = types.MonoTime(w.rnd.Int63n(1 << 40))
-	m.frozen, m.stops, m.backlog, m.waits, m.seen = false, false, nil, nil, -time.Hour
-	m.starts, m.backAt = w.now, w.now
+	m.incarnation++
+	m.clockBase = types.MonoTime(w.random.Int63n(1 << 40))
+	m.frozen, m.stopping, m.backlog, m.pendingProposals, m.discoveredAt = false, false, nil, nil, -time.Hour
+	m.startedAt, m.recoveredAt = w.now, w.now
 	records := m.synced
-	if m.oldID != nil && len(records) == 0 && w.plant == plantWipedKeepsVote {
-		for _, r := range []Record{{Identity: m.oldID}, {Bootstrap: m.oldName}} {
+	if m.wipedIdentity != nil && len(records) == 0 && w.plantedBug == plantWipedKeepsVote {
+		for _, r := range []Record{{Identity: m.wipedIdentity}, {Cluster: m.wipedCluster}} {
 			b, _ := json.Marshal(r)
 			records = append(records, b)
 		}
 	}
-	m.node = New(m.clock(), w.timeouts, rand.New(rand.NewSource(w.rnd.Int63())), Member{Addr: m.addr, Zone: m.zone},
-		Bootstrap{First: m.first, Founders: w.founders}, records, types.NewID(w.rnd))
+	m.node = New(m.clock(), w.timeouts, rand.New(rand.NewSource(w.random.Int63())), Member{Addr: m.addr, Zone: m.zone},
+		BootstrapOptions{FirstStart: m.first, Founders: w.founders}, records, types.NewID(w.random))
 	w.logf("%s starts as %s", m.addr, m.node.self.ID)
-	life := m.life
+	life := m.incarnation
 	var beat func()
 	beat = func() {
-		if m.life == life && m.up() {
-			m.deliver(func() { m.tick() })
-			w.after(testTick, beat)
+		if m.incarnation == life && m.up() {
+			m.runOrBuffer(func() { m.tick() })
+			w.schedule(testTickInterval, beat)
 		}
 	}
 	if !w.manual {
-		w.after(time.Duration(w.rnd.Int63n(int64(testTick))), beat)
+		w.schedule(time.Duration(w.random.Int63n(int64(testTickInterval))), beat)
 	}
 	m.step(func() {})
 }
 
-// deliver gives the process an event, at its thaw if it is frozen.
-func (m *machine) deliver(run func()) {
+// runOrBuffer gives the process an event, at its thaw if it is frozen.
+func (m *machine) runOrBuffer(run func()) {
 	if m.frozen {
 		if len(m.backlog) < 500 {
 			m.backlog = append(m.backlog, run)
@@ -260,15 +260,15 @@
 
 func (m *machine) tick() {
 	w := m.w
-	if w.now-m.seen > testDiscover {
-		m.seen, m.known = w.now, nil
+	if w.now-m.discoveredAt > testDiscoveryInterval {
+		m.discoveredAt, m.discovered = w.now, nil
 		for _, o := range w.machines {
-			if o != m && o.up() && !o.frozen && !w.cut[link{o.addr, m.addr}] && !w.cut[link{m.addr, o.addr}] {
-				m.known = append(m.known, Discovered{Member{ID: o.node.self.ID, Addr: o.addr, Zone: o.zone}, o.node.name})
+			if o != m && o.up() && !o.frozen && !w.cutLinks[link{o.addr, m.addr}] && !w.cutLinks[link{m.addr, o.addr}] {
+				m.discovered = append(m.discovered, DiscoveredPeer{Member{ID: o.node.self.ID, Addr: o.addr, Zone: o.zone}, o.node.clusterName})
 			}
 		}
 	}
-	m.node.SetDiscovered(m.known, nil)
+	m.node.SetDiscoveredPeers(m.discovered, nil)
 	m.step(func() { m.node.Tick(m.clock()) })
 }
 
@@ -279,42 +279,42 @@
 		return
 	}
 	n.now = m.clock()
-	w.plantBefore(m)
+	w.injectBeforeStep(m)
 	run()
-	w.plantAfter(m)
-	sends, batch, seq, replaces := n.Out()
+	w.injectAfterStep(m)
+	sends, batch, seq, replaces := n.Ready()
 	for _, s := range sends {
-		w.carry(m.addr, s)
+		w.transmit(m.addr, s)
 	}
 	if batch != nil {
-		m.pending = append(m.pending, pendingBatch{batch, seq, replaces})
-		if len(m.pending) == 1 && !w.manual {
-			m.syncSoon()
+		m.unsynced = append(m.unsynced, pendingBatch{batch, seq, replaces})
+		if len(m.unsynced) == 1 && !w.manual {
+			m.scheduleSync()
 		}
 	}
 	m.acknowledge()
-	w.check.step(w, m)
+	w.checker.step(w, m)
 }
 
-func (m *machine) syncSoon() {
-	w, life := m.w, m.life
-	takes := time.Duration(m.slow) * (testSync/2 + time.Duration(w.rnd.Int63n(int64(testSync))))
-	w.after(takes, func() {
-		if m.life == life && m.up() {
-			m.sync()
+func (m *machine) scheduleSync() {
+	w, life := m.w, m.incarnation
+	takes := time.Duration(m.syncSlowdown) * (testSyncTime/2 + time.Duration(w.random.Int63n(int64(testSyncTime))))
+	w.schedule(takes, func() {
+		if m.incarnation == life && m.up() {
+			m.completeSync()
 		}
 	})
 }
 
-// sync puts all that waits on the disk and tells the process so.
-func (m *machine) sync() {
+// completeSync puts all that waits on the disk and tells the process so.
+func (m *machine) completeSync() {
 	seq := uint64(0)
-	for _, b := range m.pending {
+	for _, b := range m.unsynced {
 		m.store(b)
 		seq = b.seq
 	}
-	m.pending = nil
-	m.deliver(func() { m.step(func() { m.node.Synced(m.clock(), seq) }) })
+	m.unsynced = nil
+	m.runOrBuffer(func() { m.step(func() { m.node.Synced(m.clock(), seq) }) })
 }
 
 func (m *machine) store(b pendingBatch) {
@@ -333,34 +333,34 @@
 	return nil
 }
 
-func (w *world) carry(from types.Addr, s wire.Send) {
+func (w *world) transmit(from types.Addr, s wire.Send) {
 	if w.manual {
-		w.mail = append(w.mail, mail{from, s.To, s.Message})
+		w.inFlight = append(w.inFlight, envelope{from, s.To, s.Message})
 		return
 	}
 	copies := 1
-	if w.rnd.Float64() < w.loss {
+	if w.random.Float64() < w.lossProbability {
 		copies = 0
-	} else if w.rnd.Float64() < w.repeat {
+	} else if w.random.Float64() < w.repeatProbability {
 		copies = 2
 	}
 	for range copies {
-		delay := testDelay/4 + time.Duration(w.rnd.Int63n(int64(testDelay)))
-		if w.rnd.Float64() < 0.01 {
-			delay += time.Duration(w.rnd.Int63n(int64(2 * time.Second)))
+		delay := testMessageDelay/4 + time.Duration(w.random.Int63n(int64(testMessageDelay)))
+		if w.random.Float64() < 0.01 {
+			delay += time.Duration(w.random.Int63n(int64(2 * time.Second)))
 		}
-		w.after(delay, func() { w.hand(mail{from, s.To, s.Message}) })
+		w.schedule(delay, func() { w.deliver(envelope{from, s.To, s.Message}) })
 	}
 }
 
-func (w *world) hand(x mail) {
+func (w *world) deliver(x envelope) {
 	m := w.find(x.to)
-	if m == nil || !m.up() || w.cut[link{x.from, x.to}] {
+	if m == nil || !m.up() || w.cutLinks[link{x.from, x.to}] {
 		return
 	}
-	m.deliver(func() {
+	m.runOrBuffer(func() {
 		if m.up() {
-			m.step(func() { m.node.Receive(m.clock(), w.plantMessage(m, x.message)) })
+			m.step(func() { m.node.Step(m.clock(), w.injectIntoMessage(m, x.message)) })
 		}
 	})
 }
--- a/internal/server/door_test.go
+++ b/internal/server/door_test.go
@@ -128,7 +128,7 @@
 	a := o.Ask(context.Background(), "job.get", "a", nil)
 	is.Equal(a.Fault.Kind, apierror.TooBusy)
 	is.True(a.Fault.RetryAfterSeconds > 0)
-	for kind := range map[string]bool{wire.Append: true, wire.Ballot: true, wire.News: true, wire.Beat: true, wire.Status: true} {
+	for kind := range map[string]bool{wire.AppendEntries: true, wire.RequestVote: true, wire.News: true, wire.Beat: true, wire.Status: true} {
 		is.True(o.Message(wire.Message{Kind: kind})) // one class leaves the others their room
 	}
 	refused, _ := o.inbox.refused()
--- a/internal/server/inbox_test.go
+++ b/internal/server/inbox_test.go
@@ -95,13 +95,13 @@
 	for range 1000 {
 		is.True(o.Message(wire.Message{Kind: wire.Call}))
 	}
-	is.True(o.Message(wire.Message{Kind: wire.Append}))
+	is.True(o.Message(wire.Message{Kind: wire.AppendEntries}))
 	o.synced(7)
 	for range 2 {
 		e, _ := o.inbox.pop()
 		o.take(e)
 	}
-	is.Equal(m.events[0].Message.Kind, wire.Append)
+	is.Equal(m.events[0].Message.Kind, wire.AppendEntries)
 	is.Equal(m.events[1].Synced, uint64(7))
 	is.True(m.events[0].Load.Waiting)
 }
--- a/internal/server/post_test.go
+++ b/internal/server/post_test.go
@@ -49,7 +49,7 @@
 	}
 	l.put(wire.Message{Kind: wire.Status, Body: big})
 	l.put(wire.Message{Kind: wire.News})
-	l.put(wire.Message{Kind: wire.Append})
+	l.put(wire.Message{Kind: wire.AppendEntries})
 	for range 30 {
 		l.put(wire.Message{Kind: wire.Call, Body: big})
 	}
@@ -57,11 +57,11 @@
 	for _, n := range l.take() {
 		kinds = append(kinds, n.Kind)
 	}
-	is.Equal(kinds, []string{wire.Append, wire.News, wire.Status, wire.Call})
+	is.Equal(kinds, []string{wire.AppendEntries, wire.News, wire.Status, wire.Call})
 	for range 2 * depth {
 		l.put(wire.Message{Kind: wire.Call})
 	}
-	l.put(wire.Message{Kind: wire.Append})
+	l.put(wire.Message{Kind: wire.AppendEntries})
 	is.Equal(l.count, depth)
-	is.Equal(l.take()[0].Kind, wire.Append)
+	is.Equal(l.take()[0].Kind, wire.AppendEntries)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -44,10 +44,10 @@
 
 // Defaults are the settings before file and flags.
 func Defaults() Settings {
-	t, a := dispatch.Defaults, raft.Defaults
+	t, a := dispatch.Defaults, raft.DefaultTimeouts
 	return Settings{Listen: "127.0.0.1:7400", Log: "info", Bounds: Usual, Pace: Timeouts{Beat: ms(t.Beat), Ill: ms(t.Ill), Loss: ms(t.Loss),
-		Grant: ms(t.Grant), Worker: ms(t.Worker), Again: ms(t.Again), Round: ms(a.Heartbeat), Election: ms(a.ElectionMin),
-		Stall: ms(a.Stall), Dead: ms(a.ReplaceAfter), Stale: ms(configwatch.DefaultStaleAfter)}}
+		Grant: ms(t.Grant), Worker: ms(t.Worker), Again: ms(t.Again), Round: ms(a.HeartbeatInterval), Election: ms(a.MinElectionTimeout),
+		Stall: ms(a.StallTimeout), Dead: ms(a.ReplaceAfter), Stale: ms(configwatch.DefaultStaleAfter)}}
 }
 
 // ReadSettings lays a file over the defaults.
@@ -147,7 +147,7 @@
 }
 
 func (t Timeouts) Core() raft.Timeouts {
-	return raft.Timeouts{Heartbeat: un(t.Round), ElectionMin: un(t.Election), Stall: un(t.Stall), ReplaceAfter: un(t.Dead), Authority: un(t.Grant)}
+	return raft.Timeouts{HeartbeatInterval: un(t.Round), MinElectionTimeout: un(t.Election), StallTimeout: un(t.Stall), ReplaceAfter: un(t.Dead), AuthorityLease: un(t.Grant)}
 }
 
 // Dispatch is the pace of attempts, with what is known of the workers.
@@ -173,8 +173,8 @@
 }
 
 // Begin is what the settings say of the cluster's beginning.
-func (s Settings) Begin() (o raft.Bootstrap) {
-	o.First = s.First
+func (s Settings) Begin() (o raft.BootstrapOptions) {
+	o.FirstStart = s.First
 	for _, a := range s.Founders {
 		o.Founders = append(o.Founders, types.Addr(a))
 	}
--- a/internal/wire/class.go
+++ b/internal/wire/class.go
@@ -26,8 +26,8 @@
 
 // messageClasses gives the class of each kind of message.
 var messageClasses = map[string]Class{
-	Found: Consensus, Join: Consensus, Ballot: Consensus, Vote: Consensus, Append: Consensus, Append2: Consensus,
-	Snap: Consensus, Heir: Consensus, Gone: Consensus,
+	Bootstrap: Consensus, JoinRequest: Consensus, RequestVote: Consensus, VoteReply: Consensus, AppendEntries: Consensus, AppendReply: Consensus,
+	InstallSnapshot: Consensus, TimeoutNow: Consensus, Removed: Consensus,
 	News: Configuration, Told: Configuration,
 	Hello: Leases, Beat: Leases, Beaten: Leases, AskRun: Leases, Account: Leases, Query: Leases, Queried: Leases,
 	Order: Leases, Ordered: Leases, Stop: Leases, Quit: Leases,
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -49,30 +49,30 @@
 // The kinds of message, each with the package that handles it. Those of dispatch
 // name the call of the paper that they carry.
 const (
-	Hello   = "hello"   // membership: who is there
-	Found   = "found"   // raft: bootstrap of a cluster
-	Join    = "join"    // raft: a new member asks to join
-	Ballot  = "ballot"  // raft: RequestVote
-	Vote    = "vote"    // raft: its reply
-	Append  = "append"  // raft: AppendEntries, with entries or none
-	Append2 = "taken"   // raft: its reply
-	Snap    = "snap"    // raft: InstallSnapshot, one part
-	Heir    = "heir"    // raft: leadership transfer, to its target
-	Gone    = "gone"    // raft: tells a member that it was removed
-	Beat    = "beat"    // dispatch: processHeartbeat
-	Beaten  = "beaten"  // dispatch: its reply
-	AskRun  = "ask"     // dispatch: getRunningTasks
-	Account = "account" // dispatch: its reply
-	Order   = "order"   // dispatch: runTask
-	Ordered = "ordered" // dispatch: its reply
-	Query   = "query"   // dispatch: notifyIfTasksNotRunning
-	Queried = "queried" // dispatch: its reply
-	Status  = "status"  // dispatch: updateStatus
-	Settled = "settled" // dispatch: its reply, once committed
-	Stop    = "stop"    // dispatch: killTask
-	Quit    = "quit"    // dispatch: requestSuicide, for one instance
-	Call    = "call"    // gateway: forwards a caller's request
-	Reply   = "reply"   // controller: its reply
-	News    = "news"    // configwatch: asks for changes after a version
-	Told    = "told"    // configwatch: its reply
+	Hello           = "hello"   // membership: who is there
+	Bootstrap       = "found"   // raft: bootstrap of a cluster
+	JoinRequest     = "join"    // raft: a new member asks to join
+	RequestVote     = "ballot"  // raft: RequestVote
+	VoteReply       = "vote"    // raft: its reply
+	AppendEntries   = "append"  // raft: AppendEntries, with entries or none
+	AppendReply     = "taken"   // raft: its reply
+	InstallSnapshot = "snap"    // raft: InstallSnapshot, one part
+	TimeoutNow      = "heir"    // raft: leadership transfer, to its target
+	Removed         = "gone"    // raft: tells a member that it was removed
+	Beat            = "beat"    // dispatch: processHeartbeat
+	Beaten          = "beaten"  // dispatch: its reply
+	AskRun          = "ask"     // dispatch: getRunningTasks
+	Account         = "account" // dispatch: its reply
+	Order           = "order"   // dispatch: runTask
+	Ordered         = "ordered" // dispatch: its reply
+	Query           = "query"   // dispatch: notifyIfTasksNotRunning
+	Queried         = "queried" // dispatch: its reply
+	Status          = "status"  // dispatch: updateStatus
+	Settled         = "settled" // dispatch: its reply, once committed
+	Stop            = "stop"    // dispatch: killTask
+	Quit            = "quit"    // dispatch: requestSuicide, for one instance
+	Call            = "call"    // gateway: forwards a caller's request
+	Reply           = "reply"   // controller: its reply
+	News            = "news"    // configwatch: asks for changes after a version
+	Told            = "told"    // configwatch: its reply
 )
--- a/internal/workqueue/workqueue_test.go
+++ b/internal/workqueue/workqueue_test.go
@@ -148,7 +148,7 @@
 func TestWhatMayNotBeLostNeverExpires(t *testing.T) {
 	is := is.New(t)
 	message := func(kind string) wire.Event { return wire.Event{Message: &wire.Message{Kind: kind}} }
-	for _, kind := range []string{wire.Append, wire.Ballot, wire.News, wire.Told, wire.Beat, wire.Settled, wire.Reply, wire.Order, wire.Stop} {
+	for _, kind := range []string{wire.AppendEntries, wire.RequestVote, wire.News, wire.Told, wire.Beat, wire.Settled, wire.Reply, wire.Order, wire.Stop} {
 		is.Equal(Patience(message(kind)), time.Duration(0))
 	}
 	for _, e := range []wire.Event{{}, {Synced: 1}, {Close: true}, {Reply: &wire.WorkerReply{}}, {Ask: &wire.Ask{Verb: "table.put"}}, {Ask: &wire.Ask{Verb: "poll"}}} {
--- a/sim/attempt.go
+++ b/sim/attempt.go
@@ -14,7 +14,7 @@
 	"coppercourse/internal/wire"
 )
 
-// mostWait is how long a hold may wait for an end.
+// maxRetryTimeout is how long a hold may wait for an end.
 const mostWait = 2 * time.Second
 
 // attempt is one attempt that runs.
--- a/sim/check.go
+++ b/sim/check.go
@@ -90,12 +90,12 @@
 // alone is how long a gang's member may run on after a peer was lost: until the
 // loss is known, an election, a commit, and a stop repeated until it arrives.
 func alone(p dispatch.Timeouts, a raft.Timeouts) time.Duration {
-	return p.Loss + p.Beat + 2*a.ElectionMin + a.Stall + p.Again/2 + dispatch.Slack + 400*time.Millisecond
+	return p.Loss + p.Beat + 2*a.MinElectionTimeout + a.StallTimeout + p.Again/2 + dispatch.Slack + 400*time.Millisecond
 }
 
 // Rules are the brief's bounds.
 var Rules = Bounds{Start: 3 * time.Second, Run: 4 * time.Second, Early: 100 * time.Millisecond, Leave: 2 * time.Second,
-	Alone: alone(dispatch.Defaults, raft.Defaults), Table: 2 * time.Second, Settled: true}
+	Alone: alone(dispatch.Defaults, raft.DefaultTimeouts), Table: 2 * time.Second, Settled: true}
 
 type checker struct {
 	b            Bounds
--- a/sim/core_test.go
+++ b/sim/core_test.go
@@ -130,7 +130,7 @@
 	is.Equal(roll.Voters(), 3) // of the two in its zone one votes, the other stands by
 	standbys := 0
 	for _, o := range roll {
-		if o.Standby {
+		if o.Demoted {
 			standbys++
 			is.Equal(o.Zone, m.Zone)
 		}
--- a/sim/cutoff_observe_test.go
+++ b/sim/cutoff_observe_test.go
@@ -22,7 +22,7 @@
 		return true
 	}
 	w.Delivered = func(to types.Addr, m wire.Message) {
-		if m.Kind == wire.Append || m.Kind == wire.Snap || m.Kind == wire.Hello && leads(m) {
+		if m.Kind == wire.AppendEntries || m.Kind == wire.InstallSnapshot || m.Kind == wire.Hello && leads(m) {
 			r.word[[2]types.Addr{to, m.From}] = w.now
 		}
 	}
--- a/sim/cutoff_planted_test.go
+++ b/sim/cutoff_planted_test.go
@@ -60,7 +60,7 @@
 func leaseFromReceipt(c *cutoff) {
 	slowAnswers(c)
 	c.TamperMessage = func(s *wire.Send) bool {
-		if lag := c.lag[pair{s.Message.From, s.To}]; lag > 0 && s.Message.Kind == wire.Append2 {
+		if lag := c.lag[pair{s.Message.From, s.To}]; lag > 0 && s.Message.Kind == wire.AppendReply {
 			alter(&s.Message.Body, func(m *map[string]json.RawMessage) {
 				(*m)["round"] = wire.Body(c.nodes[s.To].mono().Add(lag))
 			})
@@ -221,7 +221,7 @@
 			n := c.make(r)
 			is.True(r.status(n).Leader != "")
 			r.Split([]types.Addr{n.addr}, r.others(n.addr), true, true)
-			r.wait(2*raft.Defaults.ElectionMin + 100*time.Millisecond)
+			r.wait(2*raft.DefaultTimeouts.MinElectionTimeout + 100*time.Millisecond)
 			var got wire.Answer
 			r.request(probeAddr, n.addr, "table.get", "", nil, func(a wire.Answer) { got = a })
 			r.wait(50 * time.Millisecond)
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -244,11 +244,11 @@
 }
 
 // lease is how long the leader's right to answer lasts after its last round, at most.
-func (c *cutoff) lease() int64 { return int64(c.raftTimeouts.ElectionMin) }
+func (c *cutoff) lease() int64 { return int64(c.raftTimeouts.MinElectionTimeout) }
 
 // noticed is when a side without a majority knows so at the latest.
 func (c *cutoff) noticed(o *observation) int64 {
-	late := c.raftTimeouts.ElectionMin + c.raftTimeouts.Stall + atOnce
+	late := c.raftTimeouts.MinElectionTimeout + c.raftTimeouts.StallTimeout + atOnce
 	if o.audience == toCallers {
 		late = applyWithin
 	}
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -311,7 +311,7 @@
 	}
 }
 
-// allVote tells whether all controllers vote, so that one disk may be lost: the others
+// allAreVoters tells whether all controllers vote, so that one disk may be lost: the others
 // must be whole voters.
 func (r *Run) allVote() bool {
 	for _, h := range r.controllers {
--- a/sim/processor_test.go
+++ b/sim/processor_test.go
@@ -199,7 +199,7 @@
 
 func TestTheBoundsOfSlowDaysFitThePace(t *testing.T) {
 	is := is.New(t)
-	is.True(mostConsensusWait <= settings.Quick.Core().ElectionMin/2)
+	is.True(mostConsensusWait <= settings.Quick.Core().MinElectionTimeout/2)
 	is.True(workqueue.CallPatience < gateway.AttemptTimeout)
 	is.True(mostRequestWait < gateway.CallTimeout)
 }
--- a/sim/requests_test.go
+++ b/sim/requests_test.go
@@ -105,7 +105,7 @@
 					if answer.Lead != "" { // the one it names can have led within its lease
 						is.True(answer.Fault.Kind == apierror.NoLeader)
 						reached := !r.cut[pair{answer.Lead, h.addr}]
-						is.True(reached || began-from < int64(r.raftTimeouts.ElectionMin+100*time.Millisecond))
+						is.True(reached || began-from < int64(r.raftTimeouts.MinElectionTimeout+100*time.Millisecond))
 					}
 					if answer.Fault != nil && answer.Lead == "" {
 						is.True(answer.Fault.RetryAfterSeconds > 0)
--- a/sim/usage.go
+++ b/sim/usage.go
@@ -34,8 +34,8 @@
 	wire.Beat:  HeartbeatMessages, wire.Beaten: HeartbeatMessages, wire.AskRun: HeartbeatMessages, wire.Account: HeartbeatMessages,
 	wire.Quit: HeartbeatMessages,
 	wire.News: TableMessages, wire.Told: TableMessages,
-	wire.Found: LogMessages, wire.Join: LogMessages, wire.Ballot: LogMessages, wire.Vote: LogMessages, wire.Append: LogMessages,
-	wire.Append2: LogMessages, wire.Snap: LogMessages, wire.Heir: LogMessages, wire.Gone: LogMessages,
+	wire.Bootstrap: LogMessages, wire.JoinRequest: LogMessages, wire.RequestVote: LogMessages, wire.VoteReply: LogMessages, wire.AppendEntries: LogMessages,
+	wire.AppendReply: LogMessages, wire.InstallSnapshot: LogMessages, wire.TimeoutNow: LogMessages, wire.Removed: LogMessages,
 }
 
 var entries = []byte(`"entries":`)
@@ -43,7 +43,7 @@
 // classOf calls entries on their way to the other controllers work.
 func classOf(n wire.Message) Class {
 	c, ok := classes[n.Kind]
-	if !ok || n.Kind == wire.Append && bytes.Contains(n.Body, entries) {
+	if !ok || n.Kind == wire.AppendEntries && bytes.Contains(n.Body, entries) {
 		return WorkMessages
 	}
 	return c
--- a/sim/world.go
+++ b/sim/world.go
@@ -105,7 +105,7 @@
 
 func NewWorld(seed int64) *World {
 	return &World{random: rand.New(rand.NewSource(seed)), cut: map[pair]bool{}, resets: map[types.Addr]int64{}, lag: map[pair]time.Duration{}, nodes: map[types.Addr]*node{},
-		invokedAt: map[types.Addr]*invokedNode{}, timeouts: dispatch.Defaults, raftTimeouts: raft.Defaults}
+		invokedAt: map[types.Addr]*invokedNode{}, timeouts: dispatch.Defaults, raftTimeouts: raft.DefaultTimeouts}
 }
 
 // Run lets the world go on until a time.
@@ -359,9 +359,9 @@
 		}
 		n.disk.synced = n.disk.synced[:keep]
 		core := w.raftTimeouts
-		core.Authority = w.timeouts.Grant
+		core.AuthorityLease = w.timeouts.Grant
 		return controller.New(n.clock(), w.chance(), controller.Options{Addr: addr, Zone: zone, Seeds: w.seeds,
-			Begin: raft.Bootstrap{First: n.first && !n.disk.wiped, Founders: w.founders}, Core: core, Truth: w.timeouts, Every: 600}, recs)
+			Begin: raft.BootstrapOptions{FirstStart: n.first && !n.disk.wiped, Founders: w.founders}, Core: core, Truth: w.timeouts, Every: 600}, recs)
 	})
 }
 
