--- a/cmd/coppercourse/daemons.go
+++ b/cmd/coppercourse/daemons.go
@@ -235,7 +235,7 @@
 	o.Caller = d.caller
 	o.Show = func() any {
 		v := m.Status()
-		d.state("health", v.Account.State, "term", v.Account.Term, "instance", v.Account.ID, "leaving", v.Account.Leaving)
+		d.state("health", v.Account.State, "term", v.Account.Term, "instance", v.Account.Instance, "leaving", v.Account.Draining)
 		return v
 	}
 	p := &server.Pages{Owner: o, Post: post, Trail: m.Trail, Ready: func() bool { return true }}
--- a/cmd/coppersim/sweep.go
+++ b/cmd/coppersim/sweep.go
@@ -79,7 +79,7 @@
 	}
 	if s.lease > 0 {
 		s.plan.Timeouts = dispatch.Defaults
-		s.plan.Timeouts.Grant, s.plan.Timeouts.Loss = s.lease, s.lease*5/4
+		s.plan.Timeouts.AgentLease, s.plan.Timeouts.LostAfter = s.lease, s.lease*5/4
 	}
 	sets := s.sets()
 	if s.seeds == 0 {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -83,7 +83,7 @@
 	case e.Ask != nil:
 		a.handle(*e.Ask)
 	case e.Reply != nil:
-		a.executor.Back(a.now.Mono, *e.Reply)
+		a.executor.HandleWorkerReply(a.now.Mono, *e.Reply)
 	case e.Close:
 		a.closing = true
 	default:
@@ -91,8 +91,8 @@
 	}
 	a.answerPoll()
 	out := wire.Out{
-		Sends:   append(a.copyReports(a.executor.Out()), a.roster.Out()...),
-		Calls:   a.executor.Calls(),
+		Sends:   append(a.copyReports(a.executor.TakeOutput()), a.roster.Out()...),
+		Calls:   a.executor.TakeCalls(),
 		Answers: a.answers,
 		Idle:    a.closing && a.pollToken == 0,
 	}
@@ -109,8 +109,8 @@
 // answerPoll answers the poll that is held if there is something to tell, or if it
 // was held for long enough.
 func (a *Agent) answerPoll() {
-	if a.pollToken != 0 && (a.executor.News() || a.closing || a.now.Mono.Sub(a.pollSince) >= pollWait) {
-		a.answers = append(a.answers, wire.Answer{Token: a.pollToken, Code: http.StatusOK, Body: wire.Body(a.executor.Reply(a.now.Mono))})
+	if a.pollToken != 0 && (a.executor.HasUpdate() || a.closing || a.now.Mono.Sub(a.pollSince) >= pollWait) {
+		a.answers = append(a.answers, wire.Answer{Token: a.pollToken, Code: http.StatusOK, Body: wire.Body(a.executor.ReplyToPoll(a.now.Mono))})
 		a.pollToken = 0
 	}
 }
@@ -136,16 +136,16 @@
 	if a.roster.Take(a.now.Mono, n) {
 		return
 	}
-	a.executor.Take(a.now.Mono, n)
+	a.executor.HandleMessage(a.now.Mono, n)
 	switch n.Kind {
 	case wire.Order:
 		a.Sums.Orders++
-		if o, ok := wire.Read[dispatch.Order](n); ok {
-			a.Trail.Add(a.now.Wall, trace.Job(o.Job.Attempt.Job), "order received", "attempt", o.Job.Attempt)
+		if o, ok := wire.Read[dispatch.RunTask](n); ok {
+			a.Trail.Add(a.now.Wall, trace.Job(o.Spec.Attempt.Job), "order received", "attempt", o.Spec.Attempt)
 		}
 	case wire.Stop:
 		a.Sums.Stops++
-		if s, ok := wire.Read[dispatch.Stop](n); ok {
+		if s, ok := wire.Read[dispatch.KillTasks](n); ok {
 			for _, l := range s.Attempts {
 				a.Trail.Add(a.now.Wall, trace.Job(l.Job), "stop received", "attempt", l)
 			}
@@ -179,13 +179,13 @@
 		a.refuse(ask.Token, apierror.New(apierror.BadBody, "", "not a worker's beat"))
 		return
 	}
-	a.executor.Beat(a.now.Mono, b)
+	a.executor.HandleWorkerHeartbeat(a.now.Mono, b)
 	a.accept(ask.Token)
 }
 
 // leave takes the word of a worker process that it ends now.
 func (a *Agent) leave(ask wire.Ask) {
-	a.executor.Leave(a.now.Mono, types.ID(ask.Arg))
+	a.executor.HandleDeregistration(a.now.Mono, types.ID(ask.Arg))
 	a.accept(ask.Token)
 }
 
@@ -197,13 +197,13 @@
 	if json.Unmarshal(ask.Body, &p) != nil {
 		errs.Add(apierror.BadBody, "", "not a worker's call")
 	} else {
-		p.Check(&errs)
+		p.Validate(&errs)
 	}
 	if bad := errs.First(); bad != nil {
 		a.refuse(ask.Token, bad)
 		return
 	}
-	if !a.executor.Poll(a.now.Mono, p) {
+	if !a.executor.HandlePoll(a.now.Mono, p) {
 		a.Sums.Stale++
 		a.refuse(ask.Token, apierror.New(apierror.StaleVersion, "call", "older than the latest call, or another worker still holds a lease"))
 		return
@@ -211,7 +211,7 @@
 	if a.pollToken != 0 {
 		a.refuse(a.pollToken, apierror.New(apierror.StaleVersion, "call", "a newer call has come"))
 	}
-	for _, e := range p.Ends {
+	for _, e := range p.Ended {
 		a.Trail.Add(a.now.Wall, trace.Job(e.Attempt.Job), "worker reported an end", "attempt", e.Attempt, "outcome", e.Outcome)
 	}
 	a.pollToken, a.pollSince = ask.Token, a.now.Mono
@@ -219,18 +219,18 @@
 
 // StatusView is the status of an agent, as GET /v1/status shows it.
 type StatusView struct {
-	Role    string            `json:"role"`
-	Program string            `json:"program"`
-	Ready   bool              `json:"ready"`
-	Leader  types.Addr        `json:"leader"`
-	QuietMS int64             `json:"worker_quiet_ms"`
-	Account dispatch.View     `json:"account"`
-	Peers   []membership.Peer `json:"mates"`
-	Sums    Sums              `json:"sums"`
+	Role    string                `json:"role"`
+	Program string                `json:"program"`
+	Ready   bool                  `json:"ready"`
+	Leader  types.Addr            `json:"leader"`
+	QuietMS int64                 `json:"worker_quiet_ms"`
+	Account dispatch.ExecutorView `json:"account"`
+	Peers   []membership.Peer     `json:"mates"`
+	Sums    Sums                  `json:"sums"`
 }
 
 // Status returns the agent's status.
 func (a *Agent) Status() StatusView {
 	return StatusView{Role: "agent", Program: a.place.Issue, Ready: a.Ready(), Leader: a.roster.Lead(),
-		QuietMS: min(1<<40, a.executor.Quiet(a.now.Mono).Milliseconds()), Account: a.executor.View(), Peers: a.roster.Peers(), Sums: a.Sums}
+		QuietMS: min(1<<40, a.executor.SinceLastHeard(a.now.Mono).Milliseconds()), Account: a.executor.View(), Peers: a.roster.Peers(), Sums: a.Sums}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -176,7 +176,7 @@
 			co.keep(n)
 		}
 		if co.scheduler != nil {
-			co.scheduler.Take(co.now.Mono, co.raft.AuthorityRemaining(), n)
+			co.scheduler.HandleMessage(co.now.Mono, co.raft.AuthorityRemaining(), n)
 		}
 	}
 }
@@ -261,8 +261,8 @@
 		co.Sums.Elected++
 		co.scheduler = dispatch.NewScheduler(co.now.Mono, co.raft.PriorLeaderHeardAt(), co.options.Truth, co.options.Addr, co.raft.Term(), co.outs())
 		co.scheduler.Invoked = func(x types.Shard) bool { return co.state.WorkerShapes[x].CalledByAgent }
-		co.scheduler.Apart = func(x types.Shard) bool { return co.roster.Apart(string(x)) }
-		co.scheduler.Taken, co.scheduler.Doubts = co.taken, func(x types.Shard) []types.AttemptID { return co.state.UnresolvedAttempts(x) }
+		co.scheduler.Partitioned = func(x types.Shard) bool { return co.roster.Apart(string(x)) }
+		co.scheduler.EndRecorded, co.scheduler.Unresolved = co.taken, func(x types.Shard) []types.AttemptID { return co.state.UnresolvedAttempts(x) }
 	}
 	co.scheduler.Tick(co.now.Mono, co.raft.AuthorityRemaining())
 	co.heed()
@@ -279,14 +279,14 @@
 }
 
 // outs lists the attempts given out as the state has them.
-func (co *Controller) outs() (list []dispatch.Hold) {
+func (co *Controller) outs() (list []dispatch.OutstandingAttempt) {
 	for _, j := range co.state.LiveJobs() {
 		for i := range j.Tasks {
 			for _, o := range j.Tasks[i].Outstanding() {
 				n := j.Spec.TaskNumber(i)
 				at := types.StageOf(n)
-				list = append(list, dispatch.Hold{Attempt: types.AttemptID{TaskID: types.TaskID{Job: j.ID, Number: n}, Attempt: o.Number},
-					Shard: o.Shard, Stage: at, Room: j.Spec.Steps[at.Step()].Resources, Usual: usual(j, at), Limit: co.limit(j, at)})
+				list = append(list, dispatch.OutstandingAttempt{Attempt: types.AttemptID{TaskID: types.TaskID{Job: j.ID, Number: n}, Attempt: o.Number},
+					Shard: o.Shard, Stage: at, Resources: j.Spec.Steps[at.Step()].Resources, BaselineName: usual(j, at), TimeLimit: co.limit(j, at)})
 			}
 		}
 	}
--- a/internal/controller/copies.go
+++ b/internal/controller/copies.go
@@ -18,7 +18,7 @@
 )
 
 // behind lists the second attempts that are wanted.
-func (co *Controller) behind(holds []*dispatch.Hold) (wants []placement.Request) {
+func (co *Controller) behind(holds []*dispatch.OutstandingAttempt) (wants []placement.Request) {
 	for _, o := range holds {
 		j := co.state.Jobs[o.Attempt.Job]
 		if j == nil || j.Status != state.JobOpen || o.Stage < 0 {
@@ -52,16 +52,16 @@
 }
 
 // slow tells whether an attempt is far behind its like, or its worker out of reach.
-func (co *Controller) slow(o *dispatch.Hold, p *state.Step) bool {
-	if s := co.scheduler.Seat(o.Shard); s == nil || s.State != dispatch.Healthy || !s.Healthy {
+func (co *Controller) slow(o *dispatch.OutstandingAttempt, p *state.Step) bool {
+	if s := co.scheduler.Worker(o.Shard); s == nil || s.State != dispatch.Healthy || !s.Healthy {
 		return true
 	}
-	if o.Late > co.now.Mono {
+	if o.StragglerEnd > co.now.Mono {
 		return true
 	}
 	usual := time.Duration(p.EstimateMillis) * time.Millisecond
-	if u, ok := co.scheduler.Usual(o.Usual); ok {
+	if u, ok := co.scheduler.BaselineDuration(o.BaselineName); ok {
 		usual = max(usual, u)
 	}
-	return usual > 0 && co.now.Mono.Sub(o.At) > time.Duration(behind*float64(usual))+slack
+	return usual > 0 && co.now.Mono.Sub(o.OrderedAt) > time.Duration(behind*float64(usual))+slack
 }
--- a/internal/controller/displace.go
+++ b/internal/controller/displace.go
@@ -57,7 +57,7 @@
 // run for the shortest time.
 func (co *Controller) victims(w placement.Request, under bool, in placement.Input) (list []*victim) {
 	gangs := map[placement.TaskGroup]*victim{}
-	for _, o := range co.scheduler.Holds() {
+	for _, o := range co.scheduler.Attempts() {
 		j := co.state.Jobs[o.Attempt.Job]
 		if j == nil || o.Stage < 0 || !co.mayTake(o.Attempt) || j.Queue == w.Queue && j.Spec.Urgency >= w.Urgency {
 			continue
@@ -68,7 +68,7 @@
 			j.Task(o.Attempt.Number).Preemptions >= d.Queue.MaxPreemptions {
 			continue
 		}
-		v := &victim{room: map[types.Shard]types.Resources{}, urgency: j.Spec.Urgency, age: co.now.Mono.Sub(o.At)}
+		v := &victim{room: map[types.Shard]types.Resources{}, urgency: j.Spec.Urgency, age: co.now.Mono.Sub(o.OrderedAt)}
 		if j.Spec.Steps[o.Stage.Step()].Gang {
 			k := placement.TaskGroup{Job: o.Attempt.Job, Stage: o.Stage}
 			if gangs[k] != nil {
@@ -81,7 +81,7 @@
 			list = append(list, v)
 		}
 		v.attempts = append(v.attempts, o.Attempt)
-		v.room[o.Shard] = v.room[o.Shard].Add(o.Room)
+		v.room[o.Shard] = v.room[o.Shard].Add(o.Resources)
 	}
 	sort.SliceStable(list, func(i, k int) bool {
 		a, b := list[i], list[k]
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -78,7 +78,7 @@
 func (co *Controller) gone(w waiter, c wire.CallBody) {
 	shard := types.Shard(c.Arg)
 	bad := co.known(state.Target{Shard: shard})
-	for _, s := range co.scheduler.Seats() {
+	for _, s := range co.scheduler.Workers() {
 		if s.Shard == shard && s.State != dispatch.MustDie {
 			bad = apierror.New(apierror.WorkerHealthy, "", "the worker's agent is heard of; only one that is lost can be given up")
 		}
@@ -143,9 +143,9 @@
 	return
 }
 
-func (co *Controller) holds() []*dispatch.Hold {
+func (co *Controller) holds() []*dispatch.OutstandingAttempt {
 	if co.scheduler == nil {
 		return nil
 	}
-	return co.scheduler.Holds()
+	return co.scheduler.Attempts()
 }
--- a/internal/controller/early.go
+++ b/internal/controller/early.go
@@ -15,7 +15,7 @@
 
 type early struct {
 	from types.Addr
-	dispatch.Status
+	dispatch.UpdateStatus
 	at    types.MonoTime
 	sent  types.MonoTime
 	tries int // so often it was passed on
@@ -42,7 +42,7 @@
 
 // keep holds on to a report until its ends are in the log.
 func (co *Controller) keep(n wire.Message) {
-	u, ok := wire.Read[dispatch.Status](n)
+	u, ok := wire.Read[dispatch.UpdateStatus](n)
 	if !ok || len(co.early) >= Crowd {
 		return
 	}
@@ -51,7 +51,7 @@
 		u.Ends = slices.DeleteFunc(u.Ends, func(e state.AttemptEnd) bool { return slices.Contains(x.Ends, e) })
 	}
 	if len(u.Ends) > 0 {
-		co.early = append(co.early, early{from: n.From, Status: u, at: co.now.Mono, sent: co.now.Mono})
+		co.early = append(co.early, early{from: n.From, UpdateStatus: u, at: co.now.Mono, sent: co.now.Mono})
 	}
 }
 
@@ -64,9 +64,9 @@
 	})
 	for i := range co.early {
 		x := &co.early[i]
-		wait := co.options.Truth.Ill
+		wait := co.options.Truth.UnhealthyAfter
 		if co.scheduler != nil {
-			wait = co.options.Truth.Again
+			wait = co.options.Truth.RetryInterval
 		}
 		if co.now.Mono.Sub(x.sent) < wait {
 			continue
@@ -75,8 +75,8 @@
 		if co.scheduler != nil {
 			to = co.options.Addr
 		}
-		if s := wire.Make(x.from, to, wire.Status, x.Status); co.scheduler != nil {
-			co.scheduler.Take(co.now.Mono, co.raft.AuthorityRemaining(), s.Message)
+		if s := wire.Make(x.from, to, wire.Status, x.UpdateStatus); co.scheduler != nil {
+			co.scheduler.HandleMessage(co.now.Mono, co.raft.AuthorityRemaining(), s.Message)
 		} else {
 			co.relay(s, to, x.tries)
 			x.tries++
--- a/internal/controller/ends.go
+++ b/internal/controller/ends.go
@@ -8,7 +8,7 @@
 
 // heed sends what the dispatcher has to say and puts the ends it has into the log.
 func (co *Controller) heed() {
-	sends, ends := co.scheduler.Out()
+	sends, ends := co.scheduler.TakeOutput()
 	co.sends = append(co.sends, sends...)
 	co.propose(ends)
 }
@@ -38,5 +38,5 @@
 // free tells that an attempt surely runs no more: its room may be given out again.
 func (co *Controller) free(attempt types.AttemptID) {
 	co.freed[attempt], co.moved = true, true
-	co.slots.forget(co.scheduler.Where(attempt))
+	co.slots.forget(co.scheduler.ShardOf(attempt))
 }
--- a/internal/controller/entries.go
+++ b/internal/controller/entries.go
@@ -110,7 +110,7 @@
 		delete(co.given, g.ID.TaskID)
 	}
 	co.order(attempts)
-	co.scheduler.Settle(command.Ends)
+	co.scheduler.OnEndsCommitted(command.Ends)
 	for _, end := range command.Ends {
 		co.landed(end)
 	}
--- a/internal/controller/learn.go
+++ b/internal/controller/learn.go
@@ -105,7 +105,7 @@
 		return time.Duration(math.Exp(c[step].logs/c[step].count) * float64(time.Second))
 	}
 	if co.scheduler != nil {
-		if d, ok := co.scheduler.Took(j.ID, step); ok {
+		if d, ok := co.scheduler.StageDuration(j.ID, step); ok {
 			return d
 		}
 	}
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -31,7 +31,7 @@
 		doom, spent = append(doom, x.ToStop...), append(spent, x.Exhausted...)
 	}
 	co.propose(spent)
-	co.scheduler.Halt(append(doom, co.scheduler.Strays()...), co.overtime())
+	co.scheduler.KillTasks(append(doom, co.scheduler.UnknownAttempts()...), co.overtime())
 	if !co.raft.HoldsReadLease() || co.drain {
 		return
 	}
@@ -43,7 +43,7 @@
 	}
 	clear(co.given)
 	backs, more := co.reviewAttempts()
-	if co.scheduler.Wait {
+	if co.scheduler.InInitialWait {
 		co.give(nil, backs)
 		return
 	}
@@ -75,7 +75,7 @@
 // more gives out work while an earlier round is on its way into the log.
 func (co *Controller) more() {
 	co.rounds = slices.DeleteFunc(co.rounds, func(i types.Index) bool { return i <= co.applied })
-	if co.scheduler.Wait || len(co.rounds) >= rounds || co.kept != nil {
+	if co.scheduler.InInitialWait || len(co.rounds) >= rounds || co.kept != nil {
 		return
 	}
 	var in placement.Input
@@ -182,8 +182,8 @@
 		at := types.StageOf(g.ID.Number)
 		p := j.Spec.Steps[at.Step()]
 		co.Sums.Orders++
-		co.scheduler.Order(g.Shard, at, usual(j, at), dispatch.Job{Attempt: g.ID, Kind: p.Kind, Rack: p.Rack, Room: p.Resources,
-			Limit: int(co.limit(j, at).Milliseconds()), Label: p.Labels, Ref: j.Task(g.ID.Number).Checkpoint, Work: j.Spec.StepWork(at.Step())})
+		co.scheduler.RunTask(g.Shard, at, usual(j, at), dispatch.AttemptSpec{Attempt: g.ID, Kind: p.Kind, Rack: p.Rack, Resources: p.Resources,
+			TimeLimitMS: int(co.limit(j, at).Milliseconds()), Labels: p.Labels, Checkpoint: j.Task(g.ID.Number).Checkpoint, Input: j.Spec.StepWork(at.Step())})
 	}
 }
 
@@ -213,10 +213,10 @@
 		return
 	}
 	var list []state.WorkerShape
-	for _, s := range co.scheduler.Seats() {
-		x := state.WorkerShape{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Resources: s.Room, Labels: s.Labels, CalledByAgent: s.Invoked}
+	for _, s := range co.scheduler.Workers() {
+		x := state.WorkerShape{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Resources: s.Capacity, Labels: s.Labels, CalledByAgent: s.Invoked}
 		y, ok := co.state.WorkerShapes[s.Shard]
-		if s.Room.Cores == 0 && ok {
+		if s.Capacity.Cores == 0 && ok {
 			continue // an agent that has not heard its worker yet
 		}
 		if s.State != dispatch.New && (!ok || y.Rack != x.Rack || y.Resources != x.Resources || y.CalledByAgent != x.CalledByAgent ||
--- a/internal/controller/slots.go
+++ b/internal/controller/slots.go
@@ -42,12 +42,12 @@
 	}
 	clear(sc.at)
 	slots = sc.last[:0]
-	for _, s := range h.scheduler.Seats() {
+	for _, s := range h.scheduler.Workers() {
 		if s.State != dispatch.Healthy {
 			continue
 		}
-		total += s.Room.Cores
-		if till, _, _ := h.till(s); !s.Leaving && s.Healthy {
+		total += s.Capacity.Cores
+		if till, _, _ := h.till(s); !s.Draining && s.Healthy {
 			sc.at[s.Shard] = len(slots)
 			slots = append(slots, h.slot(s, sc.of(h, s.Shard), till))
 		}
@@ -63,10 +63,10 @@
 }
 
 // slot is one worker with what runs there.
-func (co *Controller) slot(s *dispatch.WorkerEntry, runs *occupancy, till time.Duration) placement.Slot {
+func (co *Controller) slot(s *dispatch.RemoteWorker, runs *occupancy, till time.Duration) placement.Slot {
 	return placement.Slot{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Labels: s.Labels,
-		Free: s.Room.Sub(s.Lacks).Sub(runs.used), Capacity: s.Room, AvailableFor: till, IdleIn: runs.rest(co.now.Mono),
-		FailureRate: s.Worth.Bad, DurationFactor: s.Worth.Slow, CurrentDurationFactor: co.scheduler.Slow(s), RunningTasks: runs.busy, TasksByGroup: runs.has}
+		Free: s.Capacity.Sub(s.Shortfall).Sub(runs.used), Capacity: s.Capacity, AvailableFor: till, IdleIn: runs.rest(co.now.Mono),
+		FailureRate: s.Reliability.FailureRate, DurationFactor: s.Reliability.RelativeDuration, CurrentDurationFactor: co.scheduler.Slowdown(s), RunningTasks: runs.busy, TasksByGroup: runs.has}
 }
 
 // roomOf is what a task of a part takes, or nothing if its job is over.
@@ -79,7 +79,7 @@
 
 // of gives what runs on a worker.
 func (sc *slotCache) of(h *Controller, shard types.Shard) *occupancy {
-	attempts, revision := h.scheduler.Running(shard)
+	attempts, revision := h.scheduler.AttemptsOn(shard)
 	if runs := sc.kept[shard]; runs != nil && runs.revision == revision {
 		return runs
 	}
@@ -93,15 +93,15 @@
 
 // add counts an attempt. One that is freed surely runs no more, but still counts for
 // the spread of its step until its end is committed.
-func (oc *occupancy) add(o *dispatch.Hold, freed bool) {
+func (oc *occupancy) add(o *dispatch.OutstandingAttempt, freed bool) {
 	if !freed {
-		oc.used = oc.used.Add(o.Room)
+		oc.used = oc.used.Add(o.Resources)
 		oc.busy++
 	}
-	if o.Limit == 0 {
+	if o.TimeLimit == 0 {
 		oc.endless = true
 	} else {
-		oc.latest = max(oc.latest, o.At.Add(o.Limit))
+		oc.latest = max(oc.latest, o.OrderedAt.Add(o.TimeLimit))
 	}
 	if o.Stage >= 0 {
 		oc.has[placement.TaskGroup{Job: o.Attempt.Job, Stage: o.Stage}]++
--- a/internal/controller/slots_test.go
+++ b/internal/controller/slots_test.go
@@ -21,15 +21,15 @@
 // agree with.
 func slotsAfresh(h *Controller) (list []placement.Slot, total types.MilliCores) {
 	at := map[types.Shard]int{}
-	for _, s := range h.scheduler.Seats() {
+	for _, s := range h.scheduler.Workers() {
 		if s.State != dispatch.Healthy {
 			continue
 		}
-		total += s.Room.Cores
-		if till, _, _ := h.till(s); !s.Leaving && s.Healthy {
+		total += s.Capacity.Cores
+		if till, _, _ := h.till(s); !s.Draining && s.Healthy {
 			at[s.Shard] = len(list)
-			list = append(list, placement.Slot{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Labels: s.Labels, Free: s.Room.Sub(s.Lacks), Capacity: s.Room, AvailableFor: till,
-				FailureRate: s.Worth.Bad, DurationFactor: s.Worth.Slow, CurrentDurationFactor: h.scheduler.Slow(s), TasksByGroup: map[placement.TaskGroup]int{}})
+			list = append(list, placement.Slot{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Labels: s.Labels, Free: s.Capacity.Sub(s.Shortfall), Capacity: s.Capacity, AvailableFor: till,
+				FailureRate: s.Reliability.FailureRate, DurationFactor: s.Reliability.RelativeDuration, CurrentDurationFactor: h.scheduler.Slowdown(s), TasksByGroup: map[placement.TaskGroup]int{}})
 		}
 	}
 	for _, g := range h.given {
@@ -42,19 +42,19 @@
 			list[i].TasksByGroup[placement.TaskGroup{Job: g.ID.Job, Stage: stage}]++
 		}
 	}
-	for _, o := range h.scheduler.Holds() {
+	for _, o := range h.scheduler.Attempts() {
 		i, ok := at[o.Shard]
 		if !ok {
 			continue
 		}
 		x := &list[i]
 		if !h.freed[o.Attempt] {
-			x.Free = x.Free.Sub(o.Room)
+			x.Free = x.Free.Sub(o.Resources)
 			x.RunningTasks++
 		}
 		left := time.Hour
-		if o.Limit != 0 {
-			left = max(0, o.Limit-h.now.Mono.Sub(o.At))
+		if o.TimeLimit != 0 {
+			left = max(0, o.TimeLimit-h.now.Mono.Sub(o.OrderedAt))
 		}
 		x.IdleIn = max(x.IdleIn, left)
 		if o.Stage >= 0 {
@@ -81,8 +81,8 @@
 	l := &leadership{Controller: h, rnd: rnd}
 	h.scheduler = dispatch.NewScheduler(now.Mono, now.Mono, dispatch.Defaults, "h1", 1, nil)
 	h.scheduler.Invoked = func(types.Shard) bool { return true }
-	h.scheduler.Apart = func(types.Shard) bool { return false }
-	h.scheduler.Taken, h.scheduler.Doubts = func(state.AttemptEnd) bool { return false }, func(types.Shard) []types.AttemptID { return nil }
+	h.scheduler.Partitioned = func(types.Shard) bool { return false }
+	h.scheduler.EndRecorded, h.scheduler.Unresolved = func(state.AttemptEnd) bool { return false }, func(types.Shard) []types.AttemptID { return nil }
 	for i := range 5 {
 		id := types.JobID(fmt.Sprint("job-", i))
 		h.state.Jobs[id] = &state.Job{ID: id, Status: state.JobOpen, Spec: &state.Spec{Steps: []state.Step{
@@ -90,8 +90,8 @@
 	}
 	for i := range 6 {
 		shard := types.Shard(fmt.Sprint("k", i))
-		l.agents = append(l.agents, dispatch.Heartbeat{Shard: shard, ID: types.ID("agent-" + shard), Report: dispatch.Report{Rack: "r1",
-			Kinds: []types.ServiceKind{"x"}, Room: types.Resources{Cores: 16_000, MemoryMB: 32_000}, Healthy: true, Invoked: true}})
+		l.agents = append(l.agents, dispatch.Heartbeat{Shard: shard, Instance: types.ID("agent-" + shard), Report: dispatch.Report{Rack: "r1",
+			Kinds: []types.ServiceKind{"x"}, Capacity: types.Resources{Cores: 16_000, MemoryMB: 32_000}, Healthy: true, Invoked: true}})
 	}
 	for range 4 { // until all agree on the worker set
 		for i := range l.agents {
@@ -107,23 +107,23 @@
 }
 
 func (l *leadership) say(kind string, body any) {
-	l.scheduler.Take(l.now.Mono, time.Minute, wire.Make("a", "h1", kind, body).Message)
+	l.scheduler.HandleMessage(l.now.Mono, time.Minute, wire.Make("a", "h1", kind, body).Message)
 }
 
 // beat has an agent tell of itself, and take in what it is answered.
 func (l *leadership) beat(i int) {
 	l.pass(time.Millisecond)
 	b := &l.agents[i]
-	b.Stamp = l.now.Mono
+	b.SentAt = l.now.Mono
 	l.say(wire.Beat, *b)
-	sends, _ := l.scheduler.Out()
+	sends, _ := l.scheduler.TakeOutput()
 	for _, s := range sends {
 		switch s.Message.Kind {
 		case wire.AskRun:
-			l.say(wire.Account, dispatch.RunningTasks{Term: 1, Shard: b.Shard, ID: b.ID, Whole: true})
+			l.say(wire.Account, dispatch.RunningTasksReply{Term: 1, Shard: b.Shard, Instance: b.Instance, Complete: true})
 		case wire.Beaten:
 			if r, ok := wire.Read[dispatch.HeartbeatReply](s.Message); ok {
-				b.Set = r.Set
+				b.WorkerSet = r.WorkerSet
 			}
 		}
 	}
@@ -136,8 +136,8 @@
 	l.next++
 	switch i := l.rnd.Intn(len(l.agents)); l.rnd.Intn(10) {
 	case 0, 1, 2:
-		l.scheduler.Order(shard, types.StageOf(attempt.Number), "u", dispatch.Job{Attempt: attempt, Room: types.Resources{Cores: types.MilliCores(l.rnd.Intn(3000)), MemoryMB: l.rnd.Intn(2000)},
-			Limit: l.rnd.Intn(3) * 1000})
+		l.scheduler.RunTask(shard, types.StageOf(attempt.Number), "u", dispatch.AttemptSpec{Attempt: attempt, Resources: types.Resources{Cores: types.MilliCores(l.rnd.Intn(3000)), MemoryMB: l.rnd.Intn(2000)},
+			TimeLimitMS: l.rnd.Intn(3) * 1000})
 		l.out = append(l.out, attempt)
 	case 3, 4:
 		l.settleSome()
@@ -151,11 +151,11 @@
 		clear(l.given)
 	case 8:
 		b := &l.agents[i]
-		b.Room.Cores, b.Lacks.Cores, b.Leaving, b.Healthy = types.MilliCores(l.rnd.Intn(20_000)), types.MilliCores(l.rnd.Intn(500)), l.rnd.Intn(5) == 0, l.rnd.Intn(5) > 0
+		b.Capacity.Cores, b.Shortfall.Cores, b.Draining, b.Healthy = types.MilliCores(l.rnd.Intn(20_000)), types.MilliCores(l.rnd.Intn(500)), l.rnd.Intn(5) == 0, l.rnd.Intn(5) > 0
 		l.beat(i)
 	default:
 		if l.rnd.Intn(20) == 0 { // another agent process, before which the account is unknown
-			l.agents[i].Past, l.agents[i].ID = l.agents[i].ID, types.ID(fmt.Sprint("agent-", l.next))
+			l.agents[i].PreviousInstance, l.agents[i].Instance = l.agents[i].Instance, types.ID(fmt.Sprint("agent-", l.next))
 		}
 		l.pass(time.Duration(l.rnd.Intn(300)) * time.Millisecond)
 		for i := range l.agents {
@@ -173,7 +173,7 @@
 		ends = append(ends, state.AttemptEnd{ID: attempt, Outcome: state.OutcomeOK})
 	}
 	l.out = l.out[n:]
-	l.scheduler.Settle(ends)
+	l.scheduler.OnEndsCommitted(ends)
 	for _, end := range ends {
 		l.landed(end)
 	}
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -114,13 +114,13 @@
 		return
 	}
 	n := map[types.Shard]int{}
-	for _, o := range co.scheduler.Holds() {
+	for _, o := range co.scheduler.Attempts() {
 		n[o.Shard]++
 	}
-	for _, s := range co.scheduler.Seats() {
-		list = append(list, WorkerView{Shard: s.Shard, ID: s.ID, Addr: s.Addr, State: s.State, ForMS: co.now.Mono.Sub(s.Since).Milliseconds(),
-			QuietMS: co.now.Mono.Sub(s.Good).Milliseconds(), Report: s.Report, Free: co.scheduler.Free(s), Attempts: n[s.Shard],
-			Bad: s.Worth.Bad, Slow: s.Worth.Slow})
+	for _, s := range co.scheduler.Workers() {
+		list = append(list, WorkerView{Shard: s.Shard, ID: s.Instance, Addr: s.Addr, State: s.State, ForMS: co.now.Mono.Sub(s.StateSince).Milliseconds(),
+			QuietMS: co.now.Mono.Sub(s.LastHealthyAt).Milliseconds(), Report: s.Report, Free: co.scheduler.FreeCapacity(s), Attempts: n[s.Shard],
+			Bad: s.Reliability.FailureRate, Slow: s.Reliability.RelativeDuration})
 	}
 	return
 }
@@ -157,8 +157,8 @@
 		Jobs: len(co.state.LiveJobs()), Known: len(co.state.Jobs) + co.state.TombstoneCount(), Peers: co.roster.Peers(), Sums: co.Sums,
 		Behind: co.overload.isBehind, LagMS: co.overload.load.Control.Milliseconds(),
 		Wall: time.Unix(0, int64(co.raft.Clock())+int64(co.state.WallOffset)).UTC().Format(time.RFC3339Nano)}
-	if co.scheduler != nil && co.scheduler.Wait {
-		v.Wait = co.scheduler.Why
+	if co.scheduler != nil && co.scheduler.InInitialWait {
+		v.Wait = co.scheduler.InitialWaitReason
 	}
 	if n := c.Configuration().Voters(); n > 0 {
 		v.Bears = (n - 1) / 2
--- a/internal/controller/windows.go
+++ b/internal/controller/windows.go
@@ -22,16 +22,16 @@
 
 // till tells how long a seat may still run something, 0 for without end, and
 // when all there must be gone, if it must.
-func (co *Controller) till(s *dispatch.WorkerEntry) (left time.Duration, by types.MonoTime, why state.WithdrawReason) {
+func (co *Controller) till(s *dispatch.RemoteWorker) (left time.Duration, by types.MonoTime, why state.WithdrawReason) {
 	now := co.raft.Clock()
-	if s.Leaving {
+	if s.Draining {
 		left, why = time.Nanosecond, state.WorkerLeaving
-		if s.LeaveMS > 0 {
-			by = s.Goes
+		if s.DepartsInMS > 0 {
+			by = s.DepartsAt
 		}
 	}
 	if w, ok := co.state.NextWindow(s.Shard, s.Rack, now); ok {
-		if d := max(time.Nanosecond, w.From.Sub(now)-co.options.Truth.Grant); left == 0 || d < left { // an order may lie so long
+		if d := max(time.Nanosecond, w.From.Sub(now)-co.options.Truth.AgentLease); left == 0 || d < left { // an order may lie so long
 			left = d
 		}
 		if at := co.now.Mono.Add(w.Deadline.Sub(now)); w.Deadline != 0 && (by == 0 || at < by) {
@@ -66,20 +66,20 @@
 	if !co.checks.due(co.now.Mono) {
 		return nil, nil
 	}
-	holds := co.scheduler.Holds()
+	holds := co.scheduler.Attempts()
 	return co.recall(holds), co.behind(holds)
 }
 
 // recall lists the attempts to be taken back now.
-func (co *Controller) recall(holds []*dispatch.Hold) (list []state.Withdrawal) {
+func (co *Controller) recall(holds []*dispatch.OutstandingAttempt) (list []state.Withdrawal) {
 	gone := map[types.Shard]state.WithdrawReason{}
-	for _, s := range co.scheduler.Seats() {
+	for _, s := range co.scheduler.Workers() {
 		if _, by, why := co.till(s); by != 0 && by.Sub(co.now.Mono) < ahead {
 			gone[s.Shard] = why
 		}
 	}
 	left := map[placement.TaskGroup]bool{}
-	for _, o := range co.scheduler.Missing() {
+	for _, o := range co.scheduler.OverdueAttempts() {
 		if j := co.state.Jobs[o.Attempt.Job]; j != nil && j.Status == state.JobOpen && j.Spec.Steps[o.Stage.Step()].Gang {
 			left[placement.TaskGroup{Job: o.Attempt.Job, Stage: o.Stage}] = true
 		}
@@ -114,8 +114,8 @@
 }
 
 // stalled tells an attempt far beyond its step's usual time, once for a task.
-func (co *Controller) stalled(o *dispatch.Hold) bool {
-	u, ok := co.scheduler.Usual(o.Usual)
+func (co *Controller) stalled(o *dispatch.OutstandingAttempt) bool {
+	u, ok := co.scheduler.BaselineDuration(o.BaselineName)
 	j := co.state.Jobs[o.Attempt.Job]
 	if !ok || j == nil {
 		return false
@@ -124,16 +124,16 @@
 		return false
 	}
 	row, _ := co.state.QueueConfig(j.Queue)
-	return row.StragglerFactor > 0 && co.now.Mono.Sub(o.At) > max(briefs, time.Duration(row.StragglerFactor)*u)
+	return row.StragglerFactor > 0 && co.now.Mono.Sub(o.OrderedAt) > max(briefs, time.Duration(row.StragglerFactor)*u)
 }
 
 // crawls tells an attempt that will take so much longer where it is that it had better
 // begin anew elsewhere, once for a task. What takes long anyway is left to its
 // worker, which may be quick again before it would be done elsewhere; what may run
 // twice gets a copy instead.
-func (co *Controller) crawls(o *dispatch.Hold) bool {
+func (co *Controller) crawls(o *dispatch.OutstandingAttempt) bool {
 	j := co.state.Jobs[o.Attempt.Job]
-	if j == nil || o.Late <= co.now.Mono || o.Stage < 0 {
+	if j == nil || o.StragglerEnd <= co.now.Mono || o.Stage < 0 {
 		return false
 	}
 	p := &j.Spec.Steps[o.Stage.Step()]
@@ -142,7 +142,7 @@
 		return false
 	}
 	usual := co.expect(j, o.Stage.Step())
-	return usual < shorts && o.Late.Sub(co.now.Mono) > 3*usual/2+halts
+	return usual < shorts && o.StragglerEnd.Sub(co.now.Mono) > 3*usual/2+halts
 }
 
 // overtime lists the attempts that run longer than the table in force allows; each was
@@ -151,12 +151,12 @@
 	if !co.limits.due(co.now.Mono) {
 		return nil
 	}
-	for _, o := range co.scheduler.Holds() {
+	for _, o := range co.scheduler.Attempts() {
 		j := co.state.Jobs[o.Attempt.Job]
-		if j == nil || j.Ended() || o.Limit == 0 {
+		if j == nil || j.Ended() || o.TimeLimit == 0 {
 			continue
 		}
-		if row, ok := co.state.QueueConfig(j.Queue); ok && co.now.Mono.Sub(o.At) > row.TaskTimeout() && row.TaskTimeout() < o.Limit {
+		if row, ok := co.state.QueueConfig(j.Queue); ok && co.now.Mono.Sub(o.OrderedAt) > row.TaskTimeout() && row.TaskTimeout() < o.TimeLimit {
 			list = append(list, o.Attempt)
 		}
 	}
--- a/internal/dispatch/caller_ends_test.go
+++ b/internal/dispatch/caller_ends_test.go
@@ -14,32 +14,32 @@
 // Once an end is settled one hold tells the worker so and waits for the next: a
 // look at a worker has its price.
 func TestOneLookForEachEnd(t *testing.T) {
-	is, r := is.New(t), ready(t, 3)
+	is, r := is.New(t), newReadyRig(t, 3)
 	for i := range 10 {
-		was := r.hand.Lease().Sums.Holds
-		r.give(attempt("a", i+1), `{"ms":200}`)
-		r.pass(400 * ms)
-		is.Equal(r.log[attempt("a", i+1)], state.OutcomeOK)
-		is.True(r.hand.Lease().Sums.Holds <= was+2) // the one that waits may run out besides
+		was := r.executor.WorkerLease().Counters.Holds
+		r.runTask(attempt("a", i+1), `{"ms":200}`)
+		r.advance(400 * ms)
+		is.Equal(r.committed[attempt("a", i+1)], state.OutcomeOK)
+		is.True(r.executor.WorkerLease().Counters.Holds <= was+2) // the one that waits may run out besides
 	}
 }
 
 // A worker lists so many ends at once; until a new agent has heard them all it does
 // not say that what it has not heard of never ran.
 func TestMoreEndsThanOneAnswerLists(t *testing.T) {
-	is, r := is.New(t), ready(t, 16)
+	is, r := is.New(t), newReadyRig(t, 16)
 	const n = 620
 	for i := range n {
 		l := types.AttemptID{TaskID: types.TaskID{Job: "a", Number: i}, Attempt: 1}
-		r.out[l] = true
+		r.outstanding[l] = true
 		r.worker.Do(wire.WorkerCall{Kind: wire.Start, Life: r.worker.ID, Attempt: l, Work: []byte(`{"ms":5}`), Until: r.worker.Clock() + 3000,
-			Fence: r.hand.Lease().Fence}, func(wire.WorkerReply) {})
+			Fence: r.executor.WorkerLease().Fence}, func(wire.WorkerReply) {})
 	}
-	r.agent()
-	r.lead()
-	r.pass(6 * time.Second)
-	is.Equal(len(r.log), n)
-	for _, f := range r.log {
+	r.newAgent()
+	r.newLeader()
+	r.advance(6 * time.Second)
+	is.Equal(len(r.committed), n)
+	for _, f := range r.committed {
 		is.Equal(f, state.OutcomeOK)
 	}
 }
--- a/internal/dispatch/chaos_test.go
+++ b/internal/dispatch/chaos_test.go
@@ -17,106 +17,106 @@
 )
 
 var (
-	chaos   = flag.Int("chaos", 150, "how many seeds of chaos")
-	chaosAt = flag.Int64("chaosfrom", 1000, "the first of them")
+	chaosSeeds     = flag.Int("chaos", 150, "how many seeds of chaos")
+	chaosFirstSeed = flag.Int64("chaosfrom", 1000, "the first of them")
 )
 
-// storm brings trouble about for a while.
-func (r *rig) storm(long time.Duration) {
-	rnd := r.rnd
+// injectFaults brings trouble about for a while.
+func (r *linkRig) injectFaults(long time.Duration) {
+	rnd := r.random
 	bad := rnd.Float64() * 0.2
-	r.lag = func() time.Duration { return time.Duration(rnd.Intn(1+rnd.Intn(9000))) * ms }
-	r.how = func(wire.WorkerCall) way {
+	r.lateDelay = func() time.Duration { return time.Duration(rnd.Intn(1+rnd.Intn(9000))) * ms }
+	r.fateOf = func(wire.WorkerCall) callFate {
 		if rnd.Float64() < bad {
-			return way(1 + rnd.Intn(3))
+			return callFate(1 + rnd.Intn(3))
 		}
-		return fine
+		return callDelivered
 	}
 	var beats []wire.WorkerBeat
 	for end := r.now.Add(long); r.now < end; {
-		r.pass(time.Duration(rnd.Intn(700)) * ms)
+		r.advance(time.Duration(rnd.Intn(700)) * ms)
 		if r.worker == nil {
-			r.life()
-			r.idle = rnd.Intn(4) == 0 // it answers before it beats
+			r.startWorker()
+			r.heartbeatsStopped = rnd.Intn(4) == 0 // it answers before it beats
 			continue
 		}
 		switch rnd.Intn(14) {
 		case 0:
-			r.agent()
+			r.newAgent()
 		case 1:
-			r.lead()
+			r.newLeader()
 		case 2:
-			r.cut = true
+			r.partitioned = true
 		case 3, 4, 5:
-			r.cut, r.idle = false, false
+			r.partitioned, r.heartbeatsStopped = false, false
 		case 6:
 			if rnd.Intn(3) == 0 {
-				r.die()
+				r.crashWorker()
 			}
 		case 7:
-			beats = append(beats, r.beat())
+			beats = append(beats, r.nextHeartbeat())
 		case 8:
 			if beats != nil {
-				r.hand.Beat(r.now, beats[rnd.Intn(len(beats))])
-				r.flow()
+				r.executor.HandleWorkerHeartbeat(r.now, beats[rnd.Intn(len(beats))])
+				r.deliver()
 			}
 		case 9:
-			r.slow = time.Duration(rnd.Intn(600)) * ms
+			r.holdReplyDelay = time.Duration(rnd.Intn(600)) * ms
 		case 10:
-			r.slow = 0
+			r.holdReplyDelay = 0
 		case 11:
 			r.worker.Sick = !r.worker.Sick
 		case 12:
-			for l := range r.out {
+			for l := range r.outstanding {
 				if rnd.Intn(4) == 0 {
-					r.head.Halt([]types.AttemptID{l}, nil)
+					r.scheduler.KillTasks([]types.AttemptID{l}, nil)
 				}
 			}
-			r.flow()
+			r.deliver()
 		case 13:
 			r.worker.Lax = !r.worker.Lax
 		}
 	}
-	r.cut, r.idle, r.slow, r.how = false, false, 0, func(wire.WorkerCall) way { return fine }
+	r.partitioned, r.heartbeatsStopped, r.holdReplyDelay, r.fateOf = false, false, 0, func(wire.WorkerCall) callFate { return callDelivered }
 	if r.worker == nil {
-		r.life()
+		r.startWorker()
 	}
 	r.worker.Sick = false
 }
 
 func TestChaosOnOneWorker(t *testing.T) {
 	sum := map[state.Outcome]int{}
-	for seed := *chaosAt; seed < *chaosAt+int64(*chaos); seed++ {
+	for seed := *chaosFirstSeed; seed < *chaosFirstSeed+int64(*chaosSeeds); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			r := paced(t, seed, []dispatch.Timeouts{dispatch.Defaults, ample}[seed%2])
+			r := newReadyRigWith(t, seed, []dispatch.Timeouts{dispatch.Defaults, longLeases}[seed%2])
 			n := map[string]int{}
 			r.every(120*ms, func() {
-				job := fmt.Sprint("j", r.rnd.Intn(7))
-				if l := attempt(job, n[job]); n[job] > 0 && (r.out[l] || r.log[l] == state.OutcomeOK) {
+				job := fmt.Sprint("j", r.random.Intn(7))
+				if l := attempt(job, n[job]); n[job] > 0 && (r.outstanding[l] || r.committed[l] == state.OutcomeOK) {
 					return
 				}
 				if n[job] >= 400 {
 					return
 				}
 				n[job]++
-				r.give(attempt(job, n[job]), fmt.Sprintf(`{"ms":%d,"fails":0.1}`, r.rnd.Intn(2500)))
+				r.runTask(attempt(job, n[job]), fmt.Sprintf(`{"ms":%d,"fails":0.1}`, r.random.Intn(2500)))
 			})
-			r.storm(30 * time.Second)
-			r.pass(25 * time.Second)
-			for l := range r.out {
-				if !r.runs[l] {
+			r.injectFaults(30 * time.Second)
+			r.advance(25 * time.Second)
+			for l := range r.outstanding {
+				if !r.running[l] {
 					t.Error(l, "is out for ever")
 				}
 			}
-			for _, f := range r.log {
+			for _, f := range r.committed {
 				sum[f]++
 			}
-			if n := len(r.hand.View().Attempts); n > 7 {
+			if n := len(r.executor.View().Attempts); n > 7 {
 				t.Error("the agent keeps", n, "legs")
 			}
-			if t.Failed() && *chaos == 1 {
-				t.Logf("%+v", r.hand.View())
-				t.Log(r.log)
+			if t.Failed() && *chaosSeeds == 1 {
+				t.Logf("%+v", r.executor.View())
+				t.Log(r.committed)
 			}
 		})
 	}
--- a/internal/dispatch/decode.go
+++ b/internal/dispatch/decode.go
@@ -17,37 +17,37 @@
 		case "shard":
 			return true, wire.Text(d, &h.Shard)
 		case "id":
-			return true, wire.Text(d, &h.ID)
+			return true, wire.Text(d, &h.Instance)
 		case "past":
-			return true, wire.Text(d, &h.Past)
+			return true, wire.Text(d, &h.PreviousInstance)
 		case "stamp":
-			return true, wire.Number(d, &h.Stamp)
+			return true, wire.Number(d, &h.SentAt)
 		case "set":
-			return true, h.Set.decode(d)
+			return true, h.WorkerSet.decode(d)
 		case "saves":
-			return true, wire.List(d, &h.Saves, func(s *Save) error { return s.decode(d) })
+			return true, wire.List(d, &h.Checkpoints, func(s *Checkpoint) error { return s.decode(d) })
 		case "spans":
-			return true, wire.List(d, &h.Spans, func(s *Span) error { return s.decode(d) })
+			return true, wire.List(d, &h.Durations, func(s *DurationEstimate) error { return s.decode(d) })
 		}
-		return h.Report.field(d, key)
+		return h.Report.decodeField(d, key)
 	})
 }
 
-// field reads one field of a report.
-func (r *Report) field(d *jx.Decoder, key string) (known bool, err error) {
+// decodeField reads one field of a report.
+func (r *Report) decodeField(d *jx.Decoder, key string) (known bool, err error) {
 	switch key {
 	case "rack":
 		return true, wire.Text(d, &r.Rack)
 	case "kinds":
 		return true, wire.List(d, &r.Kinds, func(k *types.ServiceKind) error { return wire.Text(d, k) })
 	case "room":
-		return true, decodeRoom(d, &r.Room)
+		return true, decodeRoom(d, &r.Capacity)
 	case "lacks":
-		return true, decodeRoom(d, &r.Lacks)
+		return true, decodeRoom(d, &r.Shortfall)
 	case "leaving":
-		return true, wire.Flag(d, &r.Leaving)
+		return true, wire.Flag(d, &r.Draining)
 	case "leave_in_ms":
-		return true, wire.Number(d, &r.LeaveMS)
+		return true, wire.Number(d, &r.DepartsInMS)
 	case "sound":
 		return true, wire.Flag(d, &r.Healthy)
 	case "labels":
@@ -58,13 +58,13 @@
 	return false, nil
 }
 
-func (s *SetID) decode(d *jx.Decoder) error {
+func (s *WorkerSetID) decode(d *jx.Decoder) error {
 	return wire.Object(d, func(key string) (bool, error) {
 		switch key {
 		case "born":
-			return true, wire.Count(d, &s.Born)
+			return true, wire.Count(d, &s.Term)
 		case "ver":
-			return true, wire.Number(d, &s.Ver)
+			return true, wire.Number(d, &s.Version)
 		case "hash":
 			return true, wire.Count(d, &s.Hash)
 		case "size":
@@ -74,7 +74,7 @@
 	})
 }
 
-func (s *Save) decode(d *jx.Decoder) error {
+func (s *Checkpoint) decode(d *jx.Decoder) error {
 	return wire.Object(d, func(key string) (bool, error) {
 		switch key {
 		case "leg":
@@ -86,7 +86,7 @@
 	})
 }
 
-func (s *Span) decode(d *jx.Decoder) error {
+func (s *DurationEstimate) decode(d *jx.Decoder) error {
 	return wire.Object(d, func(key string) (bool, error) {
 		switch key {
 		case "leg":
@@ -99,13 +99,13 @@
 }
 
 // DecodeJSON reads a report of ended attempts.
-func (s *Status) DecodeJSON(d *jx.Decoder) error {
+func (s *UpdateStatus) DecodeJSON(d *jx.Decoder) error {
 	return wire.Object(d, func(key string) (bool, error) {
 		switch key {
 		case "shard":
 			return true, wire.Text(d, &s.Shard)
 		case "id":
-			return true, wire.Text(d, &s.ID)
+			return true, wire.Text(d, &s.Instance)
 		case "ends":
 			return true, wire.List(d, &s.Ends, func(e *state.AttemptEnd) error { return decodeEnd(d, e) })
 		}
@@ -114,7 +114,7 @@
 }
 
 // DecodeJSON reads the answer to an order.
-func (o *OrderReply) DecodeJSON(d *jx.Decoder) error {
+func (o *RunTaskReply) DecodeJSON(d *jx.Decoder) error {
 	return wire.Object(d, func(key string) (bool, error) {
 		switch key {
 		case "term":
@@ -122,11 +122,11 @@
 		case "shard":
 			return true, wire.Text(d, &o.Shard)
 		case "id":
-			return true, wire.Text(d, &o.ID)
+			return true, wire.Text(d, &o.Instance)
 		case "leg":
 			return true, decodeAttempt(d, &o.Attempt)
 		case "why":
-			return true, wire.Text(d, &o.Why)
+			return true, wire.Text(d, &o.Refusal)
 		}
 		return false, nil
 	})
--- a/internal/dispatch/decode_test.go
+++ b/internal/dispatch/decode_test.go
@@ -12,18 +12,18 @@
 	"coppercourse/internal/wire"
 )
 
-// fill sets every field of a value at random, deep; lists may be nil, empty or filled.
-func fill(r *rand.Rand, v reflect.Value) {
+// fillRandom sets every field of a value at random, deep; lists may be nil, empty or filled.
+func fillRandom(r *rand.Rand, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(r, v.Field(i))
+			fillRandom(r, v.Field(i))
 		}
 	case reflect.Slice:
 		if n := r.Intn(4) - 1; n >= 0 {
 			v.Set(reflect.MakeSlice(v.Type(), n, n))
 			for i := range n {
-				fill(r, v.Index(i))
+				fillRandom(r, v.Index(i))
 			}
 		}
 	case reflect.String:
@@ -39,15 +39,15 @@
 	}
 }
 
-// same holds a body's own reading against the standard library's, on what is whole,
+// compareWithStandardLibrary holds a body's own reading against the standard library's, on what is whole,
 // spoilt, or of a later version.
-func same[T any](t *testing.T, seed int64) {
+func compareWithStandardLibrary[T any](t *testing.T, seed int64) {
 	is := is.New(t)
 	r := rand.New(rand.NewSource(seed))
 	whole := 0
 	for range 3000 {
 		var v T
-		fill(r, reflect.ValueOf(&v).Elem())
+		fillRandom(r, reflect.ValueOf(&v).Elem())
 		b, err := json.Marshal(v)
 		is.NoErr(err)
 		switch r.Intn(6) {
@@ -75,9 +75,9 @@
 }
 
 func TestBodiesReadThemselvesAsTheStandardLibraryDoes(t *testing.T) {
-	same[Heartbeat](t, 1)
-	same[Status](t, 2)
-	same[OrderReply](t, 3)
+	compareWithStandardLibrary[Heartbeat](t, 1)
+	compareWithStandardLibrary[UpdateStatus](t, 2)
+	compareWithStandardLibrary[RunTaskReply](t, 3)
 }
 
 func TestNullLeavesAFieldAsItIs(t *testing.T) {
@@ -94,13 +94,13 @@
 	b.Run("own", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			wire.Read[Status](wire.Message{Body: body})
+			wire.Read[UpdateStatus](wire.Message{Body: body})
 		}
 	})
 	b.Run("standard", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			var u Status
+			var u UpdateStatus
 			json.Unmarshal(body, &u)
 		}
 	})
--- a/internal/dispatch/heed.go
+++ b/internal/dispatch/heed.go
@@ -10,98 +10,98 @@
 	"coppercourse/internal/wire"
 )
 
-// heeds checks the term and the addressee, and takes up a new leader.
-func (ex *Executor) heeds(from types.Addr, t Top) bool {
-	if t.To != ex.id || t.Term < ex.term {
+// acceptTerm checks the term and the addressee, and takes up a new leader.
+func (ex *Executor) acceptTerm(from types.Addr, t Header) bool {
+	if t.To != ex.instance || t.Term < ex.term {
 		return false
 	}
 	if t.Term > ex.term {
-		ex.term, ex.seq = t.Term, 0
+		ex.term, ex.querySequence = t.Term, 0
 		if ex.state != MustDie {
-			ex.turn(New)
+			ex.setState(New)
 		}
 	}
-	ex.lead = from
+	ex.leader = from
 	return true
 }
 
-func (ex *Executor) onBeaten(from types.Addr, b HeartbeatReply) {
-	if !ex.heeds(from, b.Top) {
+func (ex *Executor) onHeartbeatReply(from types.Addr, b HeartbeatReply) {
+	if !ex.acceptTerm(from, b.Header) {
 		return
 	}
-	if b.Set != ex.set {
-		ex.set, ex.beat = b.Set, never
+	if b.WorkerSet != ex.workerSet {
+		ex.workerSet, ex.lastHeartbeatAt = b.WorkerSet, never
 	}
-	if !b.Known {
+	if !b.Associated {
 		return
 	}
-	ex.past = ""
-	if b.Until > b.Stamp {
-		ex.until, ex.good = max(ex.until, b.Until), max(ex.good, b.Stamp)
+	ex.previousInstance = ""
+	if b.LeaseUntil > b.HeartbeatSentAt {
+		ex.leaseUntil, ex.lastGrantSentAt = max(ex.leaseUntil, b.LeaseUntil), max(ex.lastGrantSentAt, b.HeartbeatSentAt)
 	}
 	if ex.state == New {
-		ex.turn(Unhealthy)
+		ex.setState(Unhealthy)
 	}
-	if ex.state == Unhealthy && ex.now.Sub(ex.good) <= ex.pace.Ill {
-		ex.turn(Healthy)
+	if ex.state == Unhealthy && ex.now.Sub(ex.lastGrantSentAt) <= ex.timeouts.UnhealthyAfter {
+		ex.setState(Healthy)
 	}
 }
 
-func (ex *Executor) onAsk(from types.Addr, a RunningTasksQuery) {
-	if !ex.heeds(from, a.Top) || !ex.ready() {
+func (ex *Executor) onGetRunningTasks(from types.Addr, a GetRunningTasks) {
+	if !ex.acceptTerm(from, a.Header) || !ex.canReportRunningTasks() {
 		return
 	}
 	list := []Run{}
-	for _, l := range ex.sorted() {
-		if !l.settled || l.outcome == state.OutcomeLost {
-			list = append(list, Run{l.job.Attempt, l.job.Room})
+	for _, l := range ex.attemptsInOrder() {
+		if !l.committed || l.outcome == state.OutcomeLost {
+			list = append(list, Run{l.spec.Attempt, l.spec.Resources})
 		}
 	}
-	ex.say(from, wire.Account, RunningTasks{ex.term, ex.shard, ex.id, list, ex.told})
+	ex.send(from, wire.Account, RunningTasksReply{ex.term, ex.shard, ex.instance, list, ex.runningTasksKnown})
 }
 
-func (ex *Executor) onOrder(from types.Addr, o Order) {
-	if !ex.heeds(from, o.Top) {
+func (ex *Executor) onRunTask(from types.Addr, o RunTask) {
+	if !ex.acceptTerm(from, o.Header) {
 		return
 	}
-	l := ex.attempts[o.Job.Attempt]
-	_, seen := ex.seen[o.Job.Attempt]
+	l := ex.attempts[o.Spec.Attempt]
+	_, seen := ex.seenAttempts[o.Spec.Attempt]
 	if l != nil || seen {
 		return
 	}
-	ex.seen[o.Job.Attempt] = max(o.Until, ex.now).Add(ex.pace.Loss)
-	why := ex.refuse(o)
+	ex.seenAttempts[o.Spec.Attempt] = max(o.StartBefore, ex.now).Add(ex.timeouts.LostAfter)
+	why := ex.refusalReason(o)
 	if why == "" {
-		ex.put(&attempt{job: o.Job, part: waiting, until: min(o.Until, ex.until)})
-		ex.news = true
+		ex.add(&attempt{spec: o.Spec, state: attemptWaiting, startBefore: min(o.StartBefore, ex.leaseUntil)})
+		ex.hasUpdate = true
 	}
-	ex.say(from, wire.Ordered, OrderReply{ex.term, ex.shard, ex.id, o.Job.Attempt, why})
+	ex.send(from, wire.Ordered, RunTaskReply{ex.term, ex.shard, ex.instance, o.Spec.Attempt, why})
 }
 
-// refuse gives the reason why an order may not be taken, or nothing.
-func (ex *Executor) refuse(o Order) string {
-	free := ex.rep.Room.Sub(ex.lacks())
+// refusalReason gives the reason why an order may not be taken, or nothing.
+func (ex *Executor) refusalReason(o RunTask) string {
+	free := ex.report.Capacity.Sub(ex.capacityShortfall())
 	twin := false
 	for _, l := range ex.attempts {
-		if l.part != ended {
-			free = free.Sub(l.job.Room)
-			twin = twin || l.job.Attempt.TaskID == o.Job.Attempt.TaskID
+		if l.state != attemptEnded {
+			free = free.Sub(l.spec.Resources)
+			twin = twin || l.spec.Attempt.TaskID == o.Spec.Attempt.TaskID
 		}
 	}
 	for _, c := range []struct {
 		bad bool
 		why string
 	}{
-		{o.Seq < ex.seq, "sent before the latest query"},
-		{ex.now >= o.Until || ex.now >= ex.until, "grant has lapsed"},
+		{o.Sequence < ex.querySequence, "sent before the latest query"},
+		{ex.now >= o.StartBefore || ex.now >= ex.leaseUntil, "grant has lapsed"},
 		{ex.state != Healthy, "agent is " + string(ex.state)},
-		{!ex.rep.Healthy, "worker is silent"},
-		{ex.rep.Leaving, "worker is leaving"},
-		{!slices.Contains(ex.rep.Kinds, o.Job.Kind), "worker has not this kind"},
-		{o.Job.Rack != "" && o.Job.Rack != ex.rep.Rack, "worker is in another rack"},
-		{!ex.rep.fits(o.Job.Label), "worker lacks a label"},
+		{!ex.report.Healthy, "worker is silent"},
+		{ex.report.Draining, "worker is leaving"},
+		{!slices.Contains(ex.report.Kinds, o.Spec.Kind), "worker has not this kind"},
+		{o.Spec.Rack != "" && o.Spec.Rack != ex.report.Rack, "worker is in another rack"},
+		{!ex.report.hasLabels(o.Spec.Labels), "worker lacks a label"},
 		{twin, "another leg of the task is here"},
-		{!free.Contains(o.Job.Room), "no room"},
+		{!free.Contains(o.Spec.Resources), "no room"},
 	} {
 		if c.bad {
 			return c.why
@@ -110,80 +110,80 @@
 	return ""
 }
 
-// onQuery answers which of the attempts asked about do not run here; from now on
+// onNotifyIfTasksNotRunning answers which of the attempts asked about do not run here; from now on
 // orders sent before it are refused.
-func (ex *Executor) onQuery(from types.Addr, q Query) {
-	if !ex.heeds(from, q.Top) || q.Seq <= ex.seq {
+func (ex *Executor) onNotifyIfTasksNotRunning(from types.Addr, q NotifyIfTasksNotRunning) {
+	if !ex.acceptTerm(from, q.Header) || q.Sequence <= ex.querySequence {
 		return
 	}
-	ex.seq = q.Seq
+	ex.querySequence = q.Sequence
 	var idle []state.AttemptEnd
 	for _, l := range q.Attempts {
 		if ex.attempts[l] == nil {
-			ex.put(&attempt{job: Job{Attempt: l}, part: ended, outcome: state.OutcomeNeverRan})
+			ex.add(&attempt{spec: AttemptSpec{Attempt: l}, state: attemptEnded, outcome: state.OutcomeNeverRan})
 			idle = append(idle, state.AttemptEnd{ID: l, Outcome: state.OutcomeNeverRan})
 		}
 	}
 	if idle != nil {
-		ex.status = never
+		ex.lastStatusAt = never
 	}
-	ex.say(from, wire.Queried, QueryReply{ex.term, ex.shard, ex.id, q.Seq})
+	ex.send(from, wire.Queried, NotifyIfTasksNotRunningReply{ex.term, ex.shard, ex.instance, q.Sequence})
 }
 
-func (ex *Executor) onSettled(from types.Addr, s CommittedEnds) {
-	if !ex.heeds(from, s.Top) {
+func (ex *Executor) onCommittedEnds(from types.Addr, s CommittedEnds) {
+	if !ex.acceptTerm(from, s.Header) {
 		return
 	}
 	for _, e := range s.Ends {
 		l := ex.attempts[e.ID]
-		if l == nil || l.part != ended || l.outcome == state.OutcomeOK && e.Outcome != state.OutcomeOK {
+		if l == nil || l.state != attemptEnded || l.outcome == state.OutcomeOK && e.Outcome != state.OutcomeOK {
 			continue
 		}
-		l.settled, ex.news = true, true
-		if ex.caller != nil {
-			ex.settle(l)
-		} else if ex.worker == "" {
-			ex.forget(e.ID)
+		l.committed, ex.hasUpdate = true, true
+		if ex.link != nil {
+			ex.acknowledgeEnd(l)
+		} else if ex.workerInstance == "" {
+			ex.remove(e.ID)
 		}
 	}
 }
 
-func (ex *Executor) onStop(from types.Addr, s Stop) {
-	if !ex.heeds(from, s.Top) {
+func (ex *Executor) onKillTasks(from types.Addr, s KillTasks) {
+	if !ex.acceptTerm(from, s.Header) {
 		return
 	}
 	for _, k := range s.Attempts {
 		if l := ex.attempts[k]; l != nil {
-			l.over = l.over || l.part != ended && slices.Contains(s.Late, k)
-			ex.halt(l)
+			l.overTimeLimit = l.overTimeLimit || l.state != attemptEnded && slices.Contains(s.OverTimeLimit, k)
+			ex.stopAttempt(l)
 		} else {
-			ex.put(&attempt{job: Job{Attempt: k}, part: ended, outcome: state.OutcomeNeverRan})
-			ex.seen[k], ex.status = ex.now.Add(2*ex.pace.Loss), never
+			ex.add(&attempt{spec: AttemptSpec{Attempt: k}, state: attemptEnded, outcome: state.OutcomeNeverRan})
+			ex.seenAttempts[k], ex.lastStatusAt = ex.now.Add(2*ex.timeouts.LostAfter), never
 		}
 	}
 }
 
-func (ex *Executor) onQuit(from types.Addr, q Quit) {
-	if ex.heeds(from, q.Top) {
-		ex.turn(MustDie)
+func (ex *Executor) onRequestSuicide(from types.Addr, q RequestSuicide) {
+	if ex.acceptTerm(from, q.Header) {
+		ex.setState(MustDie)
 	}
 }
 
-var hands = map[string]func(*Executor, wire.Message){
-	wire.Beaten:  wire.On((*Executor).onBeaten),
-	wire.AskRun:  wire.On((*Executor).onAsk),
-	wire.Order:   wire.On((*Executor).onOrder),
-	wire.Query:   wire.On((*Executor).onQuery),
-	wire.Settled: wire.On((*Executor).onSettled),
-	wire.Stop:    wire.On((*Executor).onStop),
-	wire.Quit:    wire.On((*Executor).onQuit),
+var executorHandlers = map[string]func(*Executor, wire.Message){
+	wire.Beaten:  wire.On((*Executor).onHeartbeatReply),
+	wire.AskRun:  wire.On((*Executor).onGetRunningTasks),
+	wire.Order:   wire.On((*Executor).onRunTask),
+	wire.Query:   wire.On((*Executor).onNotifyIfTasksNotRunning),
+	wire.Settled: wire.On((*Executor).onCommittedEnds),
+	wire.Stop:    wire.On((*Executor).onKillTasks),
+	wire.Quit:    wire.On((*Executor).onRequestSuicide),
 }
 
-// Take handles a scheduler's note.
-func (ex *Executor) Take(now types.MonoTime, n wire.Message) {
+// HandleMessage handles a scheduler's note.
+func (ex *Executor) HandleMessage(now types.MonoTime, n wire.Message) {
 	ex.now = now
-	if f := hands[n.Kind]; f != nil {
+	if f := executorHandlers[n.Kind]; f != nil {
 		f(ex, n)
 	}
-	ex.line()
+	ex.makeDueCalls()
 }
--- a/internal/dispatch/hold.go
+++ b/internal/dispatch/hold.go
@@ -11,145 +11,145 @@
 	"coppercourse/internal/types"
 )
 
-// Hold is an attempt that possibly runs.
-type Hold struct {
-	Attempt types.AttemptID
-	Shard   types.Shard
-	Stage   types.Stage // or -1, where the log does not have it
-	Room    types.Resources
-	Phase   phase
-	Usual   string // what its time is compared with
-	Limit   time.Duration
-	At      types.MonoTime
-	Ref     string         // what it has saved
-	Late    types.MonoTime // by when it will have ended, where it is far behind its like
-	halt    types.MonoTime
+// OutstandingAttempt is an attempt that possibly runs.
+type OutstandingAttempt struct {
+	Attempt      types.AttemptID
+	Shard        types.Shard
+	Stage        types.Stage // or -1, where the log does not have it
+	Resources    types.Resources
+	Phase        attemptPhase
+	BaselineName string // what its time is compared with
+	TimeLimit    time.Duration
+	OrderedAt    types.MonoTime
+	Checkpoint   string         // what it has saved
+	StragglerEnd types.MonoTime // by when it will have ended, where it is far behind its like
+	killSentAt   types.MonoTime
 }
 
-// load is what possibly runs on one shard.
-type load struct {
-	list   []*Hold
-	used   types.Resources
-	dim    int
-	unsure int
+// shardAttempts is what possibly runs on one shard.
+type shardAttempts struct {
+	list        []*OutstandingAttempt
+	reserved    types.Resources
+	unconfirmed int
+	unsure      int
 }
 
-// holds is all of them.
-type holds struct {
-	by   map[types.AttemptID]*Hold
-	on   map[types.Shard]*load
-	dim  int
-	open map[types.Shard]bool // those with unsure attempts
-	sent []*Hold              // in order of time; some are not any more
+// attemptIndex is all of them.
+type attemptIndex struct {
+	byID         map[types.AttemptID]*OutstandingAttempt
+	byShard      map[types.Shard]*shardAttempts
+	unconfirmed  int
+	unsureShards map[types.Shard]bool  // those with unsure attempts
+	sentInOrder  []*OutstandingAttempt // in order of time; some are not any more
 	// revisions counts, for each shard, how often its list has changed.
-	revisions map[types.Shard]uint64
-	alien     map[types.AttemptID]*Hold // told by an agent, and not given out as far as the log says
+	revisions    map[types.Shard]uint64
+	unknownToLog map[types.AttemptID]*OutstandingAttempt // told by an agent, and not given out as far as the log says
 }
 
-func newHolds() holds {
-	return holds{by: map[types.AttemptID]*Hold{}, on: map[types.Shard]*load{}, open: map[types.Shard]bool{}, alien: map[types.AttemptID]*Hold{},
+func newAttemptIndex() attemptIndex {
+	return attemptIndex{byID: map[types.AttemptID]*OutstandingAttempt{}, byShard: map[types.Shard]*shardAttempts{}, unsureShards: map[types.Shard]bool{}, unknownToLog: map[types.AttemptID]*OutstandingAttempt{},
 		revisions: map[types.Shard]uint64{}}
 }
 
-func least(a, b *Hold) int { return a.Attempt.Compare(b.Attempt) }
+func compareOutstanding(a, b *OutstandingAttempt) int { return a.Attempt.Compare(b.Attempt) }
 
-func (h *holds) add(o *Hold) {
-	h.drop(o.Attempt)
-	x := h.on[o.Shard]
+func (h *attemptIndex) add(o *OutstandingAttempt) {
+	h.remove(o.Attempt)
+	x := h.byShard[o.Shard]
 	if x == nil {
-		x = &load{}
-		h.on[o.Shard] = x
+		x = &shardAttempts{}
+		h.byShard[o.Shard] = x
 	}
-	i, _ := slices.BinarySearchFunc(x.list, o, least)
+	i, _ := slices.BinarySearchFunc(x.list, o, compareOutstanding)
 	x.list = slices.Insert(x.list, i, o)
-	x.used = x.used.Add(o.Room)
-	h.by[o.Attempt] = o
+	x.reserved = x.reserved.Add(o.Resources)
+	h.byID[o.Attempt] = o
 	h.revisions[o.Shard]++
 	if o.Stage < 0 {
-		h.alien[o.Attempt] = o
+		h.unknownToLog[o.Attempt] = o
 	}
-	h.count(o, 1)
+	h.adjustCounts(o, 1)
 }
 
-func (h *holds) drop(l types.AttemptID) {
-	o := h.by[l]
+func (h *attemptIndex) remove(l types.AttemptID) {
+	o := h.byID[l]
 	if o == nil {
 		return
 	}
-	h.count(o, -1)
-	delete(h.by, l)
+	h.adjustCounts(o, -1)
+	delete(h.byID, l)
 	h.revisions[o.Shard]++
-	delete(h.alien, l)
-	x := h.on[o.Shard]
-	i, _ := slices.BinarySearchFunc(x.list, o, least)
+	delete(h.unknownToLog, l)
+	x := h.byShard[o.Shard]
+	i, _ := slices.BinarySearchFunc(x.list, o, compareOutstanding)
 	x.list = slices.Delete(x.list, i, i+1)
-	x.used = x.used.Sub(o.Room)
+	x.reserved = x.reserved.Sub(o.Resources)
 	if len(x.list) == 0 {
-		delete(h.on, o.Shard)
+		delete(h.byShard, o.Shard)
 	}
 }
 
-func (h *holds) turn(o *Hold, p phase) {
-	h.count(o, -1)
+func (h *attemptIndex) setPhase(o *OutstandingAttempt, p attemptPhase) {
+	h.adjustCounts(o, -1)
 	o.Phase = p
-	h.count(o, 1)
+	h.adjustCounts(o, 1)
 }
 
-func (h *holds) count(o *Hold, by int) {
-	x := h.on[o.Shard]
+func (h *attemptIndex) adjustCounts(o *OutstandingAttempt, by int) {
+	x := h.byShard[o.Shard]
 	switch o.Phase {
-	case dim:
-		x.dim += by
-		h.dim += by
-	case unsure:
+	case unconfirmed:
+		x.unconfirmed += by
+		h.unconfirmed += by
+	case unsureIfRunning:
 		if x.unsure += by; x.unsure > 0 {
-			h.open[o.Shard] = true
+			h.unsureShards[o.Shard] = true
 		} else {
-			delete(h.open, o.Shard)
+			delete(h.unsureShards, o.Shard)
 		}
-	case sent:
+	case orderSent:
 		if by > 0 {
-			h.sent = append(h.sent, o)
+			h.sentInOrder = append(h.sentInOrder, o)
 		}
 	}
 }
 
-// overdue takes from the sent ones those that are no longer, and gives the ones
+// takeOverdue takes from the sent ones those that are no longer, and gives the ones
 // that have been since before a time.
-func (h *holds) overdue(by types.MonoTime) (list []*Hold) {
-	for len(h.sent) > 0 && (h.sent[0].Phase != sent || h.by[h.sent[0].Attempt] != h.sent[0] || h.sent[0].At < by) {
-		if o := h.sent[0]; o.Phase == sent && h.by[o.Attempt] == o {
+func (h *attemptIndex) takeOverdue(by types.MonoTime) (list []*OutstandingAttempt) {
+	for len(h.sentInOrder) > 0 && (h.sentInOrder[0].Phase != orderSent || h.byID[h.sentInOrder[0].Attempt] != h.sentInOrder[0] || h.sentInOrder[0].OrderedAt < by) {
+		if o := h.sentInOrder[0]; o.Phase == orderSent && h.byID[o.Attempt] == o {
 			list = append(list, o)
 		}
-		h.sent = h.sent[1:]
+		h.sentInOrder = h.sentInOrder[1:]
 	}
 	return
 }
 
-// of lists what possibly runs on a shard; the list is a copy.
-func (h *holds) of(s types.Shard) []*Hold {
-	if x := h.on[s]; x != nil {
+// onShard lists what possibly runs on a shard; the list is a copy.
+func (h *attemptIndex) onShard(s types.Shard) []*OutstandingAttempt {
+	if x := h.byShard[s]; x != nil {
 		return slices.Clone(x.list)
 	}
 	return nil
 }
 
-func (h *holds) used(s types.Shard) (r types.Resources) {
-	if x := h.on[s]; x != nil {
-		r = x.used
+func (h *attemptIndex) reservedOn(s types.Shard) (r types.Resources) {
+	if x := h.byShard[s]; x != nil {
+		r = x.reserved
 	}
 	return
 }
 
-// dims lists the attempts not told of yet on shards that no agent has come for.
-func (h *holds) dims(came map[types.Shard]*WorkerEntry) (list []*Hold) {
-	if h.dim == 0 {
+// unconfirmedWithoutWorker lists the attempts not told of yet on shards that no agent has come for.
+func (h *attemptIndex) unconfirmedWithoutWorker(came map[types.Shard]*RemoteWorker) (list []*OutstandingAttempt) {
+	if h.unconfirmed == 0 {
 		return nil
 	}
-	for _, s := range sorted(h.on) {
-		if x := h.on[s]; x.dim > 0 && came[s] == nil {
+	for _, s := range sortedShards(h.byShard) {
+		if x := h.byShard[s]; x.unconfirmed > 0 && came[s] == nil {
 			for _, o := range x.list {
-				if o.Phase == dim {
+				if o.Phase == unconfirmed {
 					list = append(list, o)
 				}
 			}
@@ -159,12 +159,12 @@
 }
 
 // all lists every attempt, by shard.
-func (h *holds) all() []*Hold {
-	list := make([]*Hold, 0, len(h.by))
-	for _, s := range sorted(h.on) {
-		list = append(list, h.on[s].list...)
+func (h *attemptIndex) all() []*OutstandingAttempt {
+	list := make([]*OutstandingAttempt, 0, len(h.byID))
+	for _, s := range sortedShards(h.byShard) {
+		list = append(list, h.byShard[s].list...)
 	}
 	return list
 }
 
-func sorted[T any](m map[types.Shard]T) []types.Shard { return slices.Sorted(maps.Keys(m)) }
+func sortedShards[T any](m map[types.Shard]T) []types.Shard { return slices.Sorted(maps.Keys(m)) }
--- a/internal/dispatch/line.go
+++ b/internal/dispatch/line.go
@@ -14,317 +14,317 @@
 	"coppercourse/internal/wire"
 )
 
-// line makes the calls that are due.
-func (ex *Executor) line() {
-	c := ex.caller
-	if c == nil || c.life == "" {
+// makeDueCalls makes the calls that are due.
+func (ex *Executor) makeDueCalls() {
+	c := ex.link
+	if c == nil || c.incarnation == "" {
 		return
 	}
-	if c.heir != nil && ex.expired() {
-		ex.over(false)
+	if c.successor != nil && ex.linkLeaseExpired() {
+		ex.endIncarnation(false)
 		return
 	}
-	unsure := !ex.told || c.heir != nil
-	for _, l := range ex.sorted() {
+	unsure := !ex.runningTasksKnown || c.successor != nil
+	for _, l := range ex.attemptsInOrder() {
 		switch {
-		case l.part == waiting && !l.shown:
-			ex.start(l)
-		case (l.part == halting || l.ghost) && (l.asked == 0 || ex.now.Sub(l.asked) >= ex.pace.Again):
-			l.asked = ex.now
-			c.Sums.Stops++
-			ex.send(wire.WorkerCall{Kind: wire.Halt, Attempt: l.job.Attempt})
+		case l.state == attemptWaiting && !l.sentToWorker:
+			ex.startAttempt(l)
+		case (l.state == attemptStopping || l.runsAfterEnd) && (l.killAskedAt == 0 || ex.now.Sub(l.killAskedAt) >= ex.timeouts.RetryInterval):
+			l.killAskedAt = ex.now
+			c.Counters.Stops++
+			ex.callWorker(wire.WorkerCall{Kind: wire.Halt, Attempt: l.spec.Attempt})
 		}
-		unsure = unsure || l.unsure
+		unsure = unsure || l.startUnsure
 	}
-	if unsure && c.query == 0 && ex.now >= c.next {
-		c.fence = max(c.fence+1, uint64(c.clock)*fences)
-		c.Sums.Queries++
-		c.query = ex.send(wire.WorkerCall{Kind: wire.Hold})
+	if unsure && c.openQuery == 0 && ex.now >= c.nextHoldAt {
+		c.fence = max(c.fence+1, uint64(c.clock)*fencesPerMillisecond)
+		c.Counters.Queries++
+		c.openQuery = ex.callWorker(wire.WorkerCall{Kind: wire.Hold})
 	}
-	if f := c.open[c.hold]; f != nil && (ex.now.Sub(f.at) > f.Wait+overdue || f.Until == 0 && ex.lease() > 0) {
-		c.hold = 0 // it is late, or gave no lease where there may be one now
+	if f := c.openCalls[c.openHold]; f != nil && (ex.now.Sub(f.sentAt) > f.Wait+holdOverdueAfter || f.Until == 0 && ex.nextLeaseEnd() > 0) {
+		c.openHold = 0 // it is late, or gave no lease where there may be one now
 	}
-	if c.hold == 0 && c.query == 0 && ex.now >= c.next && ex.told {
-		wait := ex.listen()
-		if c.seen < c.high() {
+	if c.openHold == 0 && c.openQuery == 0 && ex.now >= c.nextHoldAt && ex.runningTasksKnown {
+		wait := ex.longPollWait()
+		if c.acknowledgedEnd < c.highestEnd() {
 			wait = 0 // the worker lists at once what is not settled
 		}
-		c.hold = ex.send(wire.WorkerCall{Kind: wire.Hold, Wait: wait})
+		c.openHold = ex.callWorker(wire.WorkerCall{Kind: wire.Hold, Wait: wait})
 	}
 }
 
-// start sends an order on to the worker, once, or lets it go past its time.
-func (ex *Executor) start(l *attempt) {
-	end := ex.lease()
+// startAttempt sends an order on to the worker, once, or lets it go past its time.
+func (ex *Executor) startAttempt(l *attempt) {
+	end := ex.nextLeaseEnd()
 	switch {
-	case ex.now >= l.until:
-		ex.finish(l, state.OutcomeNeverRan)
-	case end == 0 || !ex.told:
+	case ex.now >= l.startBefore:
+		ex.endAttempt(l, state.OutcomeNeverRan)
+	case end == 0 || !ex.runningTasksKnown:
 	default:
-		l.shown = true
-		l.fence = ex.caller.fence
-		ex.caller.Sums.Starts++
-		ex.send(wire.WorkerCall{Kind: wire.Start, Attempt: l.job.Attempt, Work: l.job.Work, Ref: l.job.Ref})
+		l.sentToWorker = true
+		l.startFence = ex.link.fence
+		ex.link.Counters.Starts++
+		ex.callWorker(wire.WorkerCall{Kind: wire.Start, Attempt: l.spec.Attempt, Work: l.spec.Input, Ref: l.spec.Checkpoint})
 	}
 }
 
-// send fills in what all calls have in common.
-func (ex *Executor) send(w wire.WorkerCall) uint64 {
-	c := ex.caller
-	c.no++
-	w.No, w.To, w.Life, w.Fence, w.Limit = c.no, c.to, c.life, c.fence, answers+w.Wait
-	if w.Kind != wire.Halt && ex.told {
-		w.Until = ex.lease()
+// callWorker fills in what all calls have in common.
+func (ex *Executor) callWorker(w wire.WorkerCall) uint64 {
+	c := ex.link
+	c.lastCallNumber++
+	w.No, w.To, w.Life, w.Fence, w.Limit = c.lastCallNumber, c.addr, c.incarnation, c.fence, replyTimeout+w.Wait
+	if w.Kind != wire.Halt && ex.runningTasksKnown {
+		w.Until = ex.nextLeaseEnd()
 	}
 	if w.Kind == wire.Hold {
-		w.Seen = c.seen
-		c.Sums.Holds++
+		w.Seen = c.acknowledgedEnd
+		c.Counters.Holds++
 	}
-	c.open[w.No] = &flight{w, ex.now}
-	c.until = max(c.until, w.Until)
-	c.calls = append(c.calls, w)
+	c.openCalls[w.No] = &openCall{w, ex.now}
+	c.maxLeaseSent = max(c.maxLeaseSent, w.Until)
+	c.outCalls = append(c.outCalls, w)
 	return w.No
 }
 
-// Back takes the reply to a call, or that there was none.
-func (ex *Executor) Back(now types.MonoTime, r wire.WorkerReply) {
+// HandleWorkerReply takes the reply to a call, or that there was none.
+func (ex *Executor) HandleWorkerReply(now types.MonoTime, r wire.WorkerReply) {
 	ex.now = now
-	c := ex.caller
-	if c == nil || c.open[r.No] == nil {
+	c := ex.link
+	if c == nil || c.openCalls[r.No] == nil {
 		return
 	}
-	f := c.open[r.No]
-	delete(c.open, r.No)
-	if c.hold == r.No {
-		c.hold, c.next = 0, now
+	f := c.openCalls[r.No]
+	delete(c.openCalls, r.No)
+	if c.openHold == r.No {
+		c.openHold, c.nextHoldAt = 0, now
 	}
-	if c.query == r.No {
-		c.query = 0
+	if c.openQuery == r.No {
+		c.openQuery = 0
 	}
 	if r.Result == wire.Stranger {
-		ex.over(true)
+		ex.endIncarnation(true)
 		return
 	}
-	if r.Clock > 0 && f.at >= c.came {
-		c.heir = nil
+	if r.Clock > 0 && f.sentAt >= c.successorSeenAt {
+		c.successor = nil
 	}
 	switch {
 	case r.Clock == 0:
-		c.Sums.Silent++
-		c.mute = c.mute || ex.heard <= f.at
-		backs[f.Kind](ex, f, r)
-	case !c.firm: // a beat's reading may be old, and a fence made of it no higher than an earlier agent's
-		c.firm, c.fence = true, max(c.fence, uint64(r.Clock)*fences)
-		ex.hear(r.Clock)
-		ex.heard, c.mute = now, false
+		c.Counters.Silent++
+		c.silent = c.silent || ex.workerHeardAt <= f.sentAt
+		replyHandlers[f.Kind](ex, f, r)
+	case !c.fenceConfirmed: // a beat's reading may be old, and a fence made of it no higher than an earlier agent's
+		c.fenceConfirmed, c.fence = true, max(c.fence, uint64(r.Clock)*fencesPerMillisecond)
+		ex.readClock(r.Clock)
+		ex.workerHeardAt, c.silent = now, false
 	default:
-		ex.hear(r.Clock)
-		ex.heard, c.mute = now, false
-		backs[f.Kind](ex, f, r)
+		ex.readClock(r.Clock)
+		ex.workerHeardAt, c.silent = now, false
+		replyHandlers[f.Kind](ex, f, r)
 	}
-	ex.line()
-	ex.pulse()
+	ex.makeDueCalls()
+	ex.sendReports()
 }
 
-var backs = map[wire.CallKind]func(*Executor, *flight, wire.WorkerReply){
-	wire.Start: (*Executor).started,
-	wire.Halt:  (*Executor).halted,
-	wire.Hold:  (*Executor).held,
+var replyHandlers = map[wire.CallKind]func(*Executor, *openCall, wire.WorkerReply){
+	wire.Start: (*Executor).onStartReply,
+	wire.Halt:  (*Executor).onStopReply,
+	wire.Hold:  (*Executor).onHoldReply,
 }
 
-// started takes the reply to a start.
-func (ex *Executor) started(f *flight, r wire.WorkerReply) {
+// onStartReply takes the reply to a start.
+func (ex *Executor) onStartReply(f *openCall, r wire.WorkerReply) {
 	l := ex.attempts[f.Attempt]
-	if l == nil || l.part == ended {
+	if l == nil || l.state == attemptEnded {
 		return
 	}
 	switch r.Result {
 	case wire.Taken:
-		if l.part == waiting {
-			l.part, l.from = going, ex.now
+		if l.state == attemptWaiting {
+			l.state, l.startedAt = attemptRunning, ex.now
 		}
-		l.sure = ex.now
-		if c := ex.caller; ex.now < c.tight && !c.proven.Contains(ex.used()) {
-			c.proven = ex.used()
+		l.seenRunningAt = ex.now
+		if c := ex.link; ex.now < c.shortUntil && !c.provenCapacity.Contains(ex.runningResources()) {
+			c.provenCapacity = ex.runningResources()
 		}
 	case wire.Silent:
-		l.unsure = true
+		l.startUnsure = true
 	default:
 		if r.Result == wire.Full {
-			ex.full()
+			ex.limitCapacity()
 		}
 		if r.Result == wire.Sick || r.Result == wire.Closed {
-			ex.caller.sick, ex.beat = ex.now.Add(ex.pace.Ill), never
+			ex.link.unhealthyUntil, ex.lastHeartbeatAt = ex.now.Add(ex.timeouts.UnhealthyAfter), never
 		}
-		ex.finish(l, state.OutcomeNeverRan)
+		ex.endAttempt(l, state.OutcomeNeverRan)
 	}
 }
 
-func (ex *Executor) halted(f *flight, r wire.WorkerReply) {
+func (ex *Executor) onStopReply(f *openCall, r wire.WorkerReply) {
 	if l := ex.attempts[f.Attempt]; l != nil && r.Result == wire.Taken {
-		l.turned = max(l.turned, ex.now)
+		l.killAcceptedAt = max(l.killAcceptedAt, ex.now)
 	}
 }
 
-// held takes the reply to a hold: what runs, and what has ended.
-func (ex *Executor) held(f *flight, r wire.WorkerReply) {
-	c := ex.caller
+// onHoldReply takes the reply to a hold: what runs, and what has ended.
+func (ex *Executor) onHoldReply(f *openCall, r wire.WorkerReply) {
+	c := ex.link
 	switch {
 	case r.Result == wire.Fenced:
-		c.fence = max(c.fence, uint64(c.clock)*fences)
+		c.fence = max(c.fence, uint64(c.clock)*fencesPerMillisecond)
 		return
 	case r.Result != wire.Taken:
-		c.next = ex.now.Add(retries)
+		c.nextHoldAt = ex.now.Add(holdRetryInterval)
 		return
 	}
 	runs := map[types.AttemptID]bool{}
 	if len(r.Ends) > 0 { // those before it were settled, maybe by an earlier agent
-		c.seen = max(c.seen, r.Ends[0].N-1)
+		c.acknowledgedEnd = max(c.acknowledgedEnd, r.Ends[0].N-1)
 	}
 	for _, e := range r.Ends {
 		runs[e.Attempt] = true
-		if e.N > c.seen && c.ends[e.N] == nil {
-			ex.list(e)
+		if e.N > c.acknowledgedEnd && c.openEnds[e.N] == nil {
+			ex.recordEnd(e)
 		}
 	}
-	if r.Clock >= c.read {
-		c.read = r.Clock
+	if r.Clock >= c.newestListClock {
+		c.newestListClock = r.Clock
 		for _, x := range r.Runs {
 			runs[x.Attempt] = true
-			ex.runs(x)
+			ex.recordRunning(x)
 		}
-		if len(r.Ends) < lists {
-			ex.miss(f, runs)
+		if len(r.Ends) < maxEndsPerReply {
+			ex.resolveUnlisted(f, runs)
 		}
 	}
-	ex.clear(f.Seen)
-	ex.told = ex.told || len(r.Ends) < lists
-	if len(c.ends) > 0 {
-		c.next = ex.now.Add(settles)
+	ex.dropAcknowledgedEnds(f.Seen)
+	ex.runningTasksKnown = ex.runningTasksKnown || len(r.Ends) < maxEndsPerReply
+	if len(c.openEnds) > 0 {
+		c.nextHoldAt = ex.now.Add(commitTime)
 	}
 }
 
-var hows = map[wire.How]state.Outcome{wire.Done: state.OutcomeOK, wire.Failed: state.OutcomeFailed, wire.Stopped: state.OutcomeStopped,
+var outcomesByEnding = map[wire.How]state.Outcome{wire.Done: state.OutcomeOK, wire.Failed: state.OutcomeFailed, wire.Stopped: state.OutcomeStopped,
 	wire.Expired: state.OutcomeLeaseExpired, wire.Broken: state.OutcomeStopped, wire.Lonely: state.OutcomeStopped}
 
-// list takes an end that the worker tells for the first time. It counts even if
+// recordEnd takes an end that the worker tells for the first time. It counts even if
 // the lease may have ended since, unless the log has the attempt as lapsed by then:
 // then its task may be elsewhere.
-func (ex *Executor) list(e wire.WorkerEnd) {
-	c := ex.caller
-	c.ends[e.N] = &ending{attempt: e.Attempt}
+func (ex *Executor) recordEnd(e wire.WorkerEnd) {
+	c := ex.link
+	c.openEnds[e.N] = &openEnd{attempt: e.Attempt}
 	l := ex.attempts[e.Attempt]
 	if l == nil {
-		l = &attempt{job: Job{Attempt: e.Attempt}, part: going}
-		ex.put(l)
+		l = &attempt{spec: AttemptSpec{Attempt: e.Attempt}, state: attemptRunning}
+		ex.add(l)
 	}
-	l.ghost, l.unsure, l.n = false, false, e.N
-	if l.part == ended {
-		if l.settled {
-			ex.settle(l)
+	l.runsAfterEnd, l.startUnsure, l.endNumber = false, false, e.N
+	if l.state == attemptEnded {
+		if l.committed {
+			ex.acknowledgeEnd(l)
 		}
 		return
 	}
-	f := hows[e.How]
+	f := outcomesByEnding[e.How]
 	if f == "" {
 		f = state.OutcomeLeaseExpired
 	}
-	l.ref = e.Ref
-	ex.finish(l, f)
+	l.checkpoint = e.Ref
+	ex.endAttempt(l, f)
 }
 
-// runs takes an attempt that the worker tells to be running. One that has ended
+// recordRunning takes an attempt that the worker tells to be running. One that has ended
 // here, or that nobody sent since the worker told all, is stopped.
-func (ex *Executor) runs(x wire.WorkerRun) {
+func (ex *Executor) recordRunning(x wire.WorkerRun) {
 	l := ex.attempts[x.Attempt]
 	if l == nil {
-		l = &attempt{job: Job{Attempt: x.Attempt}, part: going, from: ex.now}
-		if ex.told {
-			l.part = halting
+		l = &attempt{spec: AttemptSpec{Attempt: x.Attempt}, state: attemptRunning, startedAt: ex.now}
+		if ex.runningTasksKnown {
+			l.state = attemptStopping
 		}
-		ex.put(l)
+		ex.add(l)
 	}
-	if l.part == waiting {
-		l.part, l.from = going, ex.now
+	if l.state == attemptWaiting {
+		l.state, l.startedAt = attemptRunning, ex.now
 	}
-	l.ghost = l.part == ended && l.n == 0
-	if x.Ref != l.ref {
-		l.ref, l.saved = x.Ref, ex.now
+	l.runsAfterEnd = l.state == attemptEnded && l.endNumber == 0
+	if x.Ref != l.checkpoint {
+		l.checkpoint, l.checkpointAt = x.Ref, ex.now
 	}
-	if x.Percent != l.done || l.read == 0 {
-		l.done, l.moved = x.Percent, ex.now
+	if x.Percent != l.percentDone || l.progressReadAt == 0 {
+		l.percentDone, l.progressChangedAt = x.Percent, ex.now
 	}
-	l.sure, l.unsure, l.read = ex.now, false, ex.now
+	l.seenRunningAt, l.startUnsure, l.progressReadAt = ex.now, false, ex.now
 }
 
-// miss judges what a reply does not list: it can't be running, if the reply was
+// resolveUnlisted judges what a reply does not list: it can't be running, if the reply was
 // asked for after it was known to run, after it was turned away, or by a query
 // that raised the fence above it.
-func (ex *Executor) miss(f *flight, listed map[types.AttemptID]bool) {
-	for _, l := range ex.sorted() {
-		if listed[l.job.Attempt] || l.part == ended || !l.shown && l.part == waiting {
+func (ex *Executor) resolveUnlisted(f *openCall, listed map[types.AttemptID]bool) {
+	for _, l := range ex.attemptsInOrder() {
+		if listed[l.spec.Attempt] || l.state == attemptEnded || !l.sentToWorker && l.state == attemptWaiting {
 			continue
 		}
 		switch {
-		case l.sure > 0 && l.sure < f.at:
-			ex.finish(l, state.OutcomeWorkerExited)
-		case l.sure == 0 && (f.Fence > l.fence || l.turned > 0 && l.turned < f.at):
-			ex.finish(l, state.OutcomeNeverRan)
+		case l.seenRunningAt > 0 && l.seenRunningAt < f.sentAt:
+			ex.endAttempt(l, state.OutcomeWorkerExited)
+		case l.seenRunningAt == 0 && (f.Fence > l.startFence || l.killAcceptedAt > 0 && l.killAcceptedAt < f.sentAt):
+			ex.endAttempt(l, state.OutcomeNeverRan)
 		}
 	}
 }
 
-// clear drops the ends that the worker has dropped.
-func (ex *Executor) clear(seen uint64) {
-	c := ex.caller
-	for n, e := range c.ends {
+// dropAcknowledgedEnds drops the ends that the worker has dropped.
+func (ex *Executor) dropAcknowledgedEnds(seen uint64) {
+	c := ex.link
+	for n, e := range c.openEnds {
 		if n <= seen {
-			delete(c.ends, n)
-			if l := ex.attempts[e.attempt]; l != nil && l.settled {
-				ex.forget(e.attempt)
+			delete(c.openEnds, n)
+			if l := ex.attempts[e.attempt]; l != nil && l.committed {
+				ex.remove(e.attempt)
 			}
 		}
 	}
 }
 
-// settle takes it that the log has an attempt's end; ends are settled at the worker
+// acknowledgeEnd takes it that the log has an attempt's end; ends are settled at the worker
 // in their order.
-func (ex *Executor) settle(l *attempt) {
-	c := ex.caller
-	if e := c.ends[l.n]; l.n > 0 && e != nil {
-		e.settled = true
-		for c.ends[c.seen+1] != nil && c.ends[c.seen+1].settled {
-			c.seen++
+func (ex *Executor) acknowledgeEnd(l *attempt) {
+	c := ex.link
+	if e := c.openEnds[l.endNumber]; l.endNumber > 0 && e != nil {
+		e.committed = true
+		for c.openEnds[c.acknowledgedEnd+1] != nil && c.openEnds[c.acknowledgedEnd+1].committed {
+			c.acknowledgedEnd++
 		}
-		if c.seen == c.high() {
-			c.next = ex.now
+		if c.acknowledgedEnd == c.highestEnd() {
+			c.nextHoldAt = ex.now
 		}
 		return
 	}
-	ex.forget(l.job.Attempt)
+	ex.remove(l.spec.Attempt)
 }
 
-// high is the highest end that the worker has told.
-func (c *Caller) high() uint64 {
-	n := c.seen
-	for k := range c.ends {
+// highestEnd is the highest end that the worker has told.
+func (c *WorkerLink) highestEnd() uint64 {
+	n := c.acknowledgedEnd
+	for k := range c.openEnds {
 		n = max(n, k)
 	}
 	return n
 }
 
-// saves lists what attempts have saved of late.
-func (ex *Executor) saves() (list []Save) {
-	for _, l := range ex.sorted() {
-		if l.part != ended && l.ref != "" && ex.now.Sub(l.saved) < 4*ex.pace.Beat {
-			list = append(list, Save{l.job.Attempt, l.ref})
+// recentCheckpoints lists what attempts have saved of late.
+func (ex *Executor) recentCheckpoints() (list []Checkpoint) {
+	for _, l := range ex.attemptsInOrder() {
+		if l.state != attemptEnded && l.checkpoint != "" && ex.now.Sub(l.checkpointAt) < 4*ex.timeouts.HeartbeatInterval {
+			list = append(list, Checkpoint{l.spec.Attempt, l.checkpoint})
 		}
 	}
 	return
 }
 
-// fits tells whether a worker has all the labels that a task needs.
-func (r Report) fits(labels []string) bool {
+// hasLabels tells whether a worker has all the labels that a task needs.
+func (r Report) hasLabels(labels []string) bool {
 	for _, l := range labels {
 		if !slices.Contains(r.Labels, l) {
 			return false
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -15,155 +15,155 @@
 )
 
 const (
-	brief  = 60 * time.Millisecond  // an attempt that runs for less tells nothing
-	still  = 300 * time.Millisecond // one that has not moved for so long stands still
-	worst  = 10                     // times what it has run, for one that stands still
-	change = 1.3                    // what is told is told again when it changes so much
-	trust  = 2 * time.Second        // half of a bad name is forgotten in so long
-	tells  = 1.4                    // a worker that is slower than this is known as slow
-	far    = 2.2                    // an attempt so far behind its like is late
-	like   = 2                      // others of its step that it is set beside, at least
-	keeps  = 30 * time.Second       // how long a step's times are remembered
+	minRunTime       = 60 * time.Millisecond  // an attempt that runs for less tells nothing
+	stallTime        = 300 * time.Millisecond // one that has not moved for so long stands still
+	maxSlowdown      = 10                     // times what it has run, for one that stands still
+	reportRatio      = 1.3                    // what is told is told again when it changes so much
+	slowdownHalfLife = 2 * time.Second        // half of a bad name is forgotten in so long
+	slowThreshold    = 1.4                    // a worker that is slower than this is known as slow
+	stragglerRatio   = 2.2                    // an attempt so far behind its like is late
+	minPeers         = 2                      // others of its step that it is set beside, at least
+	stageRetention   = 30 * time.Second       // how long a step's times are remembered
 )
 
-// Span is how long an attempt takes in all, as far as can be told.
-type Span struct {
+// DurationEstimate is how long an attempt takes in all, as far as can be told.
+type DurationEstimate struct {
 	Attempt types.AttemptID `json:"leg"`
 	MS      int64           `json:"ms"`
 }
 
-// span is how long an attempt will take in all, or 0 if that can't be told.
-func (a *attempt) span(now types.MonoTime) time.Duration {
-	ran := a.read.Sub(a.from)
+// estimateDuration is how long an attempt will take in all, or 0 if that can't be told.
+func (a *attempt) estimateDuration(now types.MonoTime) time.Duration {
+	ran := a.progressReadAt.Sub(a.startedAt)
 	switch {
-	case a.part != going || a.read == 0 || ran < brief:
+	case a.state != attemptRunning || a.progressReadAt == 0 || ran < minRunTime:
 		return 0
-	case a.done <= 0 && now.Sub(a.moved) < 2*still:
+	case a.percentDone <= 0 && now.Sub(a.progressChangedAt) < 2*stallTime:
 		return 0 // it may wait for its gang
-	case now.Sub(a.moved) > still && a.read.Sub(a.moved) > still:
-		return worst * ran
-	case a.done <= 0:
+	case now.Sub(a.progressChangedAt) > stallTime && a.progressReadAt.Sub(a.progressChangedAt) > stallTime:
+		return maxSlowdown * ran
+	case a.percentDone <= 0:
 		return 0
 	}
-	return time.Duration(float64(ran) * 100 / a.done)
+	return time.Duration(float64(ran) * 100 / a.percentDone)
 }
 
-// spans lists what there is to tell of the attempts' times.
-func (ex *Executor) spans() (list []Span) {
-	for _, l := range ex.sorted() {
-		d := l.span(ex.now)
-		if d == 0 || l.spoke > 0 && float64(d) < change*float64(l.spoke) && float64(l.spoke) < change*float64(d) {
+// durationEstimates lists what there is to tell of the attempts' times.
+func (ex *Executor) durationEstimates() (list []DurationEstimate) {
+	for _, l := range ex.attemptsInOrder() {
+		d := l.estimateDuration(ex.now)
+		if d == 0 || l.reportedDuration > 0 && float64(d) < reportRatio*float64(l.reportedDuration) && float64(l.reportedDuration) < reportRatio*float64(d) {
 			continue
 		}
-		l.spoke = d
-		list = append(list, Span{l.job.Attempt, d.Milliseconds()})
+		l.reportedDuration = d
+		list = append(list, DurationEstimate{l.spec.Attempt, d.Milliseconds()})
 	}
 	return
 }
 
-// stage is one step of one job at one time.
-type stage struct {
-	job types.JobID
-	at  types.Stage
+// stageKey is one step of one job at one time.
+type stageKey struct {
+	job   types.JobID
+	stage types.Stage
 }
 
-// times are what the attempts of a stage take, and where.
-type times struct {
-	list   []sample
-	at     types.MonoTime
-	median time.Duration // of all samples, or 0 where it is to be worked out anew
+// stageTimes are what the attempts of a stage take, and where.
+type stageTimes struct {
+	samples   []durationSample
+	updatedAt types.MonoTime
+	median    time.Duration // of all samples, or 0 where it is to be worked out anew
 }
 
-type sample struct {
-	attempt types.AttemptID
-	shard   types.Shard
-	took    time.Duration
+type durationSample struct {
+	attempt  types.AttemptID
+	shard    types.Shard
+	duration time.Duration
 }
 
-// elsewhere is the median of what the stage takes on other workers.
-func (t *times) elsewhere(shard types.Shard) (time.Duration, bool) {
-	list := t.sorted(func(x sample) bool { return x.shard != shard })
-	if len(list) < like {
+// medianElsewhere is the median of what the stage takes on other workers.
+func (t *stageTimes) medianElsewhere(shard types.Shard) (time.Duration, bool) {
+	list := t.sortedDurations(func(x durationSample) bool { return x.shard != shard })
+	if len(list) < minPeers {
 		return 0, false
 	}
 	return list[len(list)/2], true
 }
 
-func (t *times) sorted(only func(sample) bool) (list []time.Duration) {
-	for _, x := range t.list {
+func (t *stageTimes) sortedDurations(only func(durationSample) bool) (list []time.Duration) {
+	for _, x := range t.samples {
 		if only(x) {
-			list = append(list, x.took)
+			list = append(list, x.duration)
 		}
 	}
 	slices.Sort(list)
 	return
 }
 
-// took takes what an attempt takes, or has taken, and what that tells of its
+// recordDuration takes what an attempt takes, or has taken, and what that tells of its
 // worker and of itself.
-func (sc *Scheduler) took(o *Hold, d time.Duration, over bool) {
+func (sc *Scheduler) recordDuration(o *OutstandingAttempt, d time.Duration, over bool) {
 	if o.Stage < 0 || d <= 0 {
 		return
 	}
-	k := stage{o.Attempt.Job, o.Stage}
-	t := sc.stages[k]
+	k := stageKey{o.Attempt.Job, o.Stage}
+	t := sc.stageDurations[k]
 	if t == nil {
-		t = &times{}
-		sc.stages[k] = t
+		t = &stageTimes{}
+		sc.stageDurations[k] = t
 	}
-	t.at = sc.now
-	i := slices.IndexFunc(t.list, func(x sample) bool { return x.attempt == o.Attempt })
+	t.updatedAt = sc.now
+	i := slices.IndexFunc(t.samples, func(x durationSample) bool { return x.attempt == o.Attempt })
 	if i < 0 {
-		t.list, i = append(t.list, sample{attempt: o.Attempt, shard: o.Shard}), len(t.list)
+		t.samples, i = append(t.samples, durationSample{attempt: o.Attempt, shard: o.Shard}), len(t.samples)
 	}
-	t.list[i].took, t.median = d, 0
-	usual, ok := t.elsewhere(o.Shard)
-	s := sc.seats[o.Shard]
+	t.samples[i].duration, t.median = d, 0
+	usual, ok := t.medianElsewhere(o.Shard)
+	s := sc.workers[o.Shard]
 	if !ok || s == nil {
 		return
 	}
-	s.fade(sc.now)
-	s.pace += 0.2 * (math.Log(min(worst, max(1.0/worst, float64(d)/float64(usual)))) - s.pace)
-	o.Late = 0
-	if end := o.At.Add(d); !over && float64(d) > far*float64(usual) {
-		o.Late = end
+	s.decaySlowdown(sc.now)
+	s.slowdownLog += 0.2 * (math.Log(min(maxSlowdown, max(1.0/maxSlowdown, float64(d)/float64(usual)))) - s.slowdownLog)
+	o.StragglerEnd = 0
+	if end := o.OrderedAt.Add(d); !over && float64(d) > stragglerRatio*float64(usual) {
+		o.StragglerEnd = end
 	}
 }
 
-// Took is what the tasks of a step take, as far as is known: the median of those
+// StageDuration is what the tasks of a step take, as far as is known: the median of those
 // that have ended or told how far they are.
-func (sc *Scheduler) Took(job types.JobID, step int) (time.Duration, bool) {
-	t := sc.stages[stage{job, types.StageOf(types.TaskNumber(0, step, 0))}]
+func (sc *Scheduler) StageDuration(job types.JobID, step int) (time.Duration, bool) {
+	t := sc.stageDurations[stageKey{job, types.StageOf(types.TaskNumber(0, step, 0))}]
 	if t == nil {
 		return 0, false
 	}
 	if t.median == 0 {
-		list := t.sorted(func(sample) bool { return true })
+		list := t.sortedDurations(func(durationSample) bool { return true })
 		t.median = list[len(list)/2]
 	}
 	return t.median, true
 }
 
-// fade forgets a bad name with time.
-func (w *WorkerEntry) fade(now types.MonoTime) {
-	w.pace *= math.Exp2(-now.Sub(w.paced).Seconds() / trust.Seconds())
-	w.paced = now
+// decaySlowdown forgets a bad name with time.
+func (w *RemoteWorker) decaySlowdown(now types.MonoTime) {
+	w.slowdownLog *= math.Exp2(-now.Sub(w.slowdownAt).Seconds() / slowdownHalfLife.Seconds())
+	w.slowdownAt = now
 }
 
-// Slow is how many times the usual a worker's attempts take now; 0 is as usual.
-func (sc *Scheduler) Slow(s *WorkerEntry) float64 {
-	s.fade(sc.now)
-	if x := math.Exp(s.pace); x > tells {
+// Slowdown is how many times the usual a worker's attempts take now; 0 is as usual.
+func (sc *Scheduler) Slowdown(s *RemoteWorker) float64 {
+	s.decaySlowdown(sc.now)
+	if x := math.Exp(s.slowdownLog); x > slowThreshold {
 		return x
 	}
 	return 0
 }
 
-// outlive forgets stages of which nothing was heard for long.
-func (sc *Scheduler) outlive() {
-	for k, t := range sc.stages {
-		if sc.now.Sub(t.at) > keeps {
-			delete(sc.stages, k)
+// pruneStages forgets stages of which nothing was heard for long.
+func (sc *Scheduler) pruneStages() {
+	for k, t := range sc.stageDurations {
+		if sc.now.Sub(t.updatedAt) > stageRetention {
+			delete(sc.stageDurations, k)
 		}
 	}
 }
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -19,163 +19,163 @@
 
 const ms = time.Millisecond
 
-// ample is a pace with leases of five seconds.
-var ample = func() dispatch.Timeouts {
+// longLeases is a pace with leases of five seconds.
+var longLeases = func() dispatch.Timeouts {
 	p := dispatch.Defaults
-	p.Grant, p.Loss = 5*time.Second, 6*time.Second
+	p.AgentLease, p.LostAfter = 5*time.Second, 6*time.Second
 	return p
 }()
 
-// way is what becomes of a call.
-type way int
+// callFate is what becomes of a call.
+type callFate int
 
 const (
-	fine   way = iota
-	lost       // it never comes, and nothing is heard
-	unsaid     // it is carried out, and nothing is heard
-	late       // nothing is heard, and it is carried out later
+	callDelivered callFate = iota
+	callLost               // it never comes, and nothing is heard
+	replyLost              // it is carried out, and nothing is heard
+	callLate               // nothing is heard, and it is carried out later
 )
 
-type due struct {
+type timer struct {
 	at types.MonoTime
 	no int
 	do func()
 }
 
-type rig struct {
-	t      *testing.T
-	rnd    *rand.Rand
-	pace   dispatch.Timeouts
-	now    types.MonoTime
-	term   types.Term
-	head   *dispatch.Scheduler
-	hand   *dispatch.Executor
-	worker *sim.InvokedWorker
-	floor  *sim.WorkerEnvironment
-	made   sim.WorkerSpec
-	lives  int
-	agents int
-	seq    uint64
-	cut    bool          // leader and agent hear nothing of each other
-	grace  time.Duration // how long the leader may let others act on its word
-	idle   bool          // the worker's own beats stop
-	how    func(wire.WorkerCall) way
-	lag    func() time.Duration // of a call that is late
-	spy    func(wire.WorkerCall)
-	tap    func(wire.Send) // hears what the agent says
-	slow   time.Duration   // of replies to holds
-	plan   []due
-	no     int
+type linkRig struct {
+	t                 *testing.T
+	random            *rand.Rand
+	timeouts          dispatch.Timeouts
+	now               types.MonoTime
+	term              types.Term
+	scheduler         *dispatch.Scheduler
+	executor          *dispatch.Executor
+	worker            *sim.InvokedWorker
+	environment       *sim.WorkerEnvironment
+	workerSpec        sim.WorkerSpec
+	incarnations      int
+	agents            int
+	heartbeatSequence uint64
+	partitioned       bool          // leader and agent hear nothing of each other
+	authorityLeft     time.Duration // how long the leader may let others act on its word
+	heartbeatsStopped bool          // the worker's own beats stop
+	fateOf            func(wire.WorkerCall) callFate
+	lateDelay         func() time.Duration // of a call that is late
+	onCall            func(wire.WorkerCall)
+	onSend            func(wire.Send) // hears what the agent says
+	holdReplyDelay    time.Duration   // of replies to holds
+	timers            []timer
+	lastTimer         int
 
-	out    map[types.AttemptID]bool          // given out, not ended in the log
-	log    map[types.AttemptID]state.Outcome // the first end of each
-	runs   map[types.AttemptID]bool          // on the worker now
-	began  map[types.AttemptID]int
-	hows   map[types.AttemptID]wire.How
-	noted  map[types.AttemptID]bool
-	flight map[state.AttemptEnd]bool
-	shows  []state.AttemptEnd // what the agent has told, in order
+	outstanding  map[types.AttemptID]bool          // given out, not ended in the log
+	committed    map[types.AttemptID]state.Outcome // the first end of each
+	running      map[types.AttemptID]bool          // on the worker now
+	starts       map[types.AttemptID]int
+	endings      map[types.AttemptID]wire.How
+	acknowledged map[types.AttemptID]bool
+	proposed     map[state.AttemptEnd]bool
+	reported     []state.AttemptEnd // what the agent has told, in order
 }
 
-func newRig(t *testing.T, seed int64, pace dispatch.Timeouts) *rig {
-	r := &rig{t: t, rnd: rand.New(rand.NewSource(seed)), pace: pace, grace: pace.Grant, now: types.MonoTime(time.Hour),
-		floor: sim.NewWorkerEnvironment(sim.WorkerRules{Lease: 6 * time.Second, Stop: 400 * ms, Gang: 3 * time.Second, Save: 2 * time.Second, Restore: 600 * ms, Far: 1.5}),
-		made:  sim.WorkerSpec{Shard: "s", Rack: "r", Kinds: []types.ServiceKind{"x"}, Room: types.Resources{Cores: 8 * types.Core}, Guards: true},
-		how:   func(wire.WorkerCall) way { return fine }, lag: func() time.Duration { return 3 * time.Second },
-		out: map[types.AttemptID]bool{}, log: map[types.AttemptID]state.Outcome{}, runs: map[types.AttemptID]bool{}, began: map[types.AttemptID]int{},
-		hows: map[types.AttemptID]wire.How{}, noted: map[types.AttemptID]bool{}, flight: map[state.AttemptEnd]bool{}}
-	r.lead()
-	r.agent()
-	r.life()
+func newLinkRig(t *testing.T, seed int64, pace dispatch.Timeouts) *linkRig {
+	r := &linkRig{t: t, random: rand.New(rand.NewSource(seed)), timeouts: pace, authorityLeft: pace.AgentLease, now: types.MonoTime(time.Hour),
+		environment: sim.NewWorkerEnvironment(sim.WorkerRules{Lease: 6 * time.Second, Stop: 400 * ms, Gang: 3 * time.Second, Save: 2 * time.Second, Restore: 600 * ms, Far: 1.5}),
+		workerSpec:  sim.WorkerSpec{Shard: "s", Rack: "r", Kinds: []types.ServiceKind{"x"}, Room: types.Resources{Cores: 8 * types.Core}, Guards: true},
+		fateOf:      func(wire.WorkerCall) callFate { return callDelivered }, lateDelay: func() time.Duration { return 3 * time.Second },
+		outstanding: map[types.AttemptID]bool{}, committed: map[types.AttemptID]state.Outcome{}, running: map[types.AttemptID]bool{}, starts: map[types.AttemptID]int{},
+		endings: map[types.AttemptID]wire.How{}, acknowledged: map[types.AttemptID]bool{}, proposed: map[state.AttemptEnd]bool{}}
+	r.newLeader()
+	r.newAgent()
+	r.startWorker()
 	r.every(10*ms, func() {
 		if r.worker != nil {
 			r.worker.Tick()
 		}
 	})
-	r.every(20*ms, func() { r.hand.Tick(r.now, "h"); r.flow() })
-	r.every(20*ms, func() { r.head.Tick(r.now, r.grace); r.flow() })
+	r.every(20*ms, func() { r.executor.Tick(r.now, "h"); r.deliver() })
+	r.every(20*ms, func() { r.scheduler.Tick(r.now, r.authorityLeft); r.deliver() })
 	r.every(1500*ms, func() {
-		if r.worker != nil && !r.idle {
-			r.hand.Beat(r.now, r.beat())
-			r.flow()
+		if r.worker != nil && !r.heartbeatsStopped {
+			r.executor.HandleWorkerHeartbeat(r.now, r.nextHeartbeat())
+			r.deliver()
 		}
 	})
 	return r
 }
 
-// at has something done after a time.
-func (r *rig) at(d time.Duration, do func()) {
-	r.no++
-	r.plan = append(r.plan, due{r.now.Add(d), r.no, do})
-	sort.Slice(r.plan, func(i, k int) bool {
-		a, b := r.plan[i], r.plan[k]
+// after has something done after a time.
+func (r *linkRig) after(d time.Duration, do func()) {
+	r.lastTimer++
+	r.timers = append(r.timers, timer{r.now.Add(d), r.lastTimer, do})
+	sort.Slice(r.timers, func(i, k int) bool {
+		a, b := r.timers[i], r.timers[k]
 		return a.at < b.at || a.at == b.at && a.no < b.no
 	})
 }
 
-func (r *rig) every(d time.Duration, do func()) {
-	r.at(d, func() { do(); r.every(d, do) })
+func (r *linkRig) every(d time.Duration, do func()) {
+	r.after(d, func() { do(); r.every(d, do) })
 }
 
-// pass lets time go by.
-func (r *rig) pass(d time.Duration) {
+// advance lets time go by.
+func (r *linkRig) advance(d time.Duration) {
 	end := r.now.Add(d)
-	for r.plan[0].at <= end {
-		x := r.plan[0]
-		r.plan = r.plan[1:]
+	for r.timers[0].at <= end {
+		x := r.timers[0]
+		r.timers = r.timers[1:]
 		r.now = x.at
 		x.do()
 	}
 	r.now = end
 }
 
-// lead has another leader take over; what the old one had proposed is gone.
-func (r *rig) lead() {
+// newLeader has another leader take over; what the old one had proposed is gone.
+func (r *linkRig) newLeader() {
 	r.term++
-	var outs []dispatch.Hold
-	for l := range r.out {
-		outs = append(outs, dispatch.Hold{Attempt: l, Shard: "s", Room: types.Resources{Cores: types.Core}})
+	var outs []dispatch.OutstandingAttempt
+	for l := range r.outstanding {
+		outs = append(outs, dispatch.OutstandingAttempt{Attempt: l, Shard: "s", Resources: types.Resources{Cores: types.Core}})
 	}
 	sort.Slice(outs, func(i, k int) bool { return outs[i].Attempt.Less(outs[k].Attempt) })
-	h := dispatch.NewScheduler(r.now, r.now, r.pace, "h", r.term, outs)
-	h.Taken = func(e state.AttemptEnd) bool { _, ok := r.log[e.ID]; return ok || !r.out[e.ID] }
-	h.Apart = func(types.Shard) bool { return false }
+	h := dispatch.NewScheduler(r.now, r.now, r.timeouts, "h", r.term, outs)
+	h.EndRecorded = func(e state.AttemptEnd) bool { _, ok := r.committed[e.ID]; return ok || !r.outstanding[e.ID] }
+	h.Partitioned = func(types.Shard) bool { return false }
 	h.Invoked = func(types.Shard) bool { return true }
-	h.Doubts = func(types.Shard) []types.AttemptID { return nil }
-	r.head = h
-	clear(r.flight)
+	h.Unresolved = func(types.Shard) []types.AttemptID { return nil }
+	r.scheduler = h
+	clear(r.proposed)
 }
 
-// agent starts an agent that knows nothing.
-func (r *rig) agent() {
+// newAgent starts an agent that knows nothing.
+func (r *linkRig) newAgent() {
 	r.agents++
 	n := 0
-	r.hand = dispatch.NewExecutor(r.now, r.pace, "w", "s", func() types.ID { n++; return types.ID(fmt.Sprintf("w%d.%d", r.agents, n)) })
+	r.executor = dispatch.NewExecutor(r.now, r.timeouts, "w", "s", func() types.ID { n++; return types.ID(fmt.Sprintf("w%d.%d", r.agents, n)) })
 }
 
-// life starts a worker process.
-func (r *rig) life() {
-	r.lives++
-	id := types.ID(fmt.Sprint("k", r.lives))
-	r.seq = 0
-	clear(r.runs)
-	r.worker = sim.NewInvokedWorker(r.made, id, r.floor, r.rnd, func() types.MonoTime { return r.now }, func(h sim.HistoryEvent) {
+// startWorker starts a worker process.
+func (r *linkRig) startWorker() {
+	r.incarnations++
+	id := types.ID(fmt.Sprint("k", r.incarnations))
+	r.heartbeatSequence = 0
+	clear(r.running)
+	r.worker = sim.NewInvokedWorker(r.workerSpec, id, r.environment, r.random, func() types.MonoTime { return r.now }, func(h sim.HistoryEvent) {
 		if r.worker == nil || types.ID(h.Who) != r.worker.ID {
 			return
 		}
 		switch h.What {
 		case sim.Started:
-			r.runs[h.Attempt] = true
-			r.began[h.Attempt]++
-			if f, ok := r.log[h.Attempt]; ok {
+			r.running[h.Attempt] = true
+			r.starts[h.Attempt]++
+			if f, ok := r.committed[h.Attempt]; ok {
 				r.t.Errorf("%v starts, although the log has it as %s", h.Attempt, f)
 			}
 		case sim.Ended:
-			delete(r.runs, h.Attempt)
-			r.hows[h.Attempt] = h.How
+			delete(r.running, h.Attempt)
+			r.endings[h.Attempt] = h.How
 		case sim.Noted:
-			r.noted[h.Attempt] = true
-			if f := r.log[h.Attempt]; h.How == wire.Done && f != state.OutcomeOK {
+			r.acknowledged[h.Attempt] = true
+			if f := r.committed[h.Attempt]; h.How == wire.Done && f != state.OutcomeOK {
 				r.t.Errorf("%v is noted as done, and the log has it as %q", h.Attempt, f)
 			}
 		}
@@ -183,57 +183,57 @@
 	r.worker.Lax = true
 }
 
-func (r *rig) die() {
+func (r *linkRig) crashWorker() {
 	r.worker = nil
-	clear(r.runs)
+	clear(r.running)
 }
 
-func (r *rig) beat() wire.WorkerBeat {
-	r.seq++
-	return wire.WorkerBeat{Life: r.worker.ID, To: "k", Seq: r.seq, Rack: "r", Kinds: r.made.Kinds, Room: r.made.Room, Clock: r.worker.Clock()}
+func (r *linkRig) nextHeartbeat() wire.WorkerBeat {
+	r.heartbeatSequence++
+	return wire.WorkerBeat{Life: r.worker.ID, To: "k", Seq: r.heartbeatSequence, Rack: "r", Kinds: r.workerSpec.Kinds, Room: r.workerSpec.Room, Clock: r.worker.Clock()}
 }
 
-// flow carries all that the two halves want sent and called.
-func (r *rig) flow() {
+// deliver carries all that the two halves want sent and called.
+func (r *linkRig) deliver() {
 	for more := true; more; {
-		sends, ends := r.head.Out()
+		sends, ends := r.scheduler.TakeOutput()
 		r.propose(ends)
-		from := r.hand.Out()
+		from := r.executor.TakeOutput()
 		more = len(sends)+len(from) > 0
 		for _, s := range from {
-			if u, ok := wire.Read[dispatch.Status](s.Message); ok && s.Message.Kind == wire.Status {
-				r.shows = append(r.shows, u.Ends...)
+			if u, ok := wire.Read[dispatch.UpdateStatus](s.Message); ok && s.Message.Kind == wire.Status {
+				r.reported = append(r.reported, u.Ends...)
 			}
-			if r.tap != nil {
-				r.tap(s)
+			if r.onSend != nil {
+				r.onSend(s)
 			}
-			if !r.cut {
-				r.head.Take(r.now, r.grace, s.Message)
+			if !r.partitioned {
+				r.scheduler.HandleMessage(r.now, r.authorityLeft, s.Message)
 			}
 		}
 		for _, s := range sends {
-			if !r.cut {
-				r.hand.Take(r.now, s.Message)
+			if !r.partitioned {
+				r.executor.HandleMessage(r.now, s.Message)
 			}
 		}
-		for _, c := range r.hand.Calls() {
+		for _, c := range r.executor.TakeCalls() {
 			more = true
-			r.call(c)
+			r.makeCall(c)
 		}
 	}
 }
 
-func (r *rig) call(c wire.WorkerCall) {
-	if r.spy != nil {
-		r.spy(c)
+func (r *linkRig) makeCall(c wire.WorkerCall) {
+	if r.onCall != nil {
+		r.onCall(c)
 	}
-	hand, over := r.hand, false
+	hand, over := r.executor, false
 	back := func(x wire.WorkerReply) {
-		if !over && r.hand == hand {
+		if !over && r.executor == hand {
 			over = true
 			x.No = c.No
-			r.hand.Back(r.now, x)
-			r.flow()
+			r.executor.HandleWorkerReply(r.now, x)
+			r.deliver()
 		}
 	}
 	mute := func(wire.WorkerReply) {}
@@ -243,87 +243,89 @@
 		}
 		r.worker.Do(c, reply)
 	}
-	r.at(c.Limit, func() { back(wire.WorkerReply{Result: wire.Silent}) })
-	switch r.how(c) {
-	case fine:
-		r.at(ms, func() {
+	r.after(c.Limit, func() { back(wire.WorkerReply{Result: wire.Silent}) })
+	switch r.fateOf(c) {
+	case callDelivered:
+		r.after(ms, func() {
 			do(func(x wire.WorkerReply) {
 				d := ms
 				if c.Kind == wire.Hold {
-					d += r.slow
+					d += r.holdReplyDelay
 				}
-				r.at(d, func() { back(x) })
+				r.after(d, func() { back(x) })
 			})
 		})
-	case unsaid:
-		r.at(ms, func() { do(mute) })
-	case late:
-		r.at(r.lag(), func() { do(mute) })
+	case replyLost:
+		r.after(ms, func() { do(mute) })
+	case callLate:
+		r.after(r.lateDelay(), func() { do(mute) })
 	}
 }
 
 // propose puts ends into the log a little later; the first one of an attempt stands.
-func (r *rig) propose(list []state.AttemptEnd) {
+func (r *linkRig) propose(list []state.AttemptEnd) {
 	for _, e := range list {
-		if r.flight[e] {
+		if r.proposed[e] {
 			continue
 		}
-		r.flight[e] = true
-		head := r.head
-		r.at(time.Duration(5+r.rnd.Intn(40))*ms, func() {
-			if r.head != head {
+		r.proposed[e] = true
+		head := r.scheduler
+		r.after(time.Duration(5+r.random.Intn(40))*ms, func() {
+			if r.scheduler != head {
 				return
 			}
-			delete(r.flight, e)
-			if _, ok := r.log[e.ID]; !ok && r.out[e.ID] {
+			delete(r.proposed, e)
+			if _, ok := r.committed[e.ID]; !ok && r.outstanding[e.ID] {
 				r.commit(e)
 			}
-			r.head.Settle([]state.AttemptEnd{e})
-			r.flow()
+			r.scheduler.OnEndsCommitted([]state.AttemptEnd{e})
+			r.deliver()
 		})
 	}
 }
 
-func (r *rig) commit(e state.AttemptEnd) {
-	r.log[e.ID] = e.Outcome
-	delete(r.out, e.ID)
+func (r *linkRig) commit(e state.AttemptEnd) {
+	r.committed[e.ID] = e.Outcome
+	delete(r.outstanding, e.ID)
 	switch {
 	case e.Outcome == state.OutcomeOK:
-	case r.runs[e.ID]:
+	case r.running[e.ID]:
 		r.t.Errorf("the log has %v as %s while it runs", e.ID, e.Outcome)
-	case r.noted[e.ID] && r.hows[e.ID] == wire.Done:
+	case r.acknowledged[e.ID] && r.endings[e.ID] == wire.Done:
 		r.t.Errorf("the log has %v as %s after its good end was noted", e.ID, e.Outcome)
 	}
 }
 
-// give has the leader give an attempt out.
-func (r *rig) give(l types.AttemptID, work string) {
-	r.out[l] = true
-	r.head.Order("s", 0, "", dispatch.Job{Attempt: l, Kind: "x", Room: types.Resources{Cores: types.Core}, Work: []byte(work)})
-	r.flow()
+// runTask has the leader give an attempt out.
+func (r *linkRig) runTask(l types.AttemptID, work string) {
+	r.outstanding[l] = true
+	r.scheduler.RunTask("s", 0, "", dispatch.AttemptSpec{Attempt: l, Kind: "x", Resources: types.Resources{Cores: types.Core}, Input: []byte(work)})
+	r.deliver()
 }
 
 func attempt(job string, n int) types.AttemptID {
 	return types.AttemptID{TaskID: types.TaskID{Job: types.JobID(job)}, Attempt: n}
 }
 
-// ready is a rig in which all have found each other healthy.
-func ready(t *testing.T, seed int64) *rig { return paced(t, seed, dispatch.Defaults) }
+// newReadyRig is a rig in which all have found each other healthy.
+func newReadyRig(t *testing.T, seed int64) *linkRig {
+	return newReadyRigWith(t, seed, dispatch.Defaults)
+}
 
-func paced(t *testing.T, seed int64, pace dispatch.Timeouts) *rig {
-	r := newRig(t, seed, pace)
-	r.pass(pace.Loss + 1500*ms)
-	if s := r.hand.View().State; s != dispatch.Healthy {
+func newReadyRigWith(t *testing.T, seed int64, pace dispatch.Timeouts) *linkRig {
+	r := newLinkRig(t, seed, pace)
+	r.advance(pace.LostAfter + 1500*ms)
+	if s := r.executor.View().State; s != dispatch.Healthy {
 		t.Fatal("the agent is", s)
 	}
 	return r
 }
 
-// part is how the agent has an attempt: its part, and its outcome.
-func (r *rig) part(l types.AttemptID) (string, state.Outcome) {
-	for _, v := range r.hand.View().Attempts {
+// attemptState is how the agent has an attempt: its part, and its outcome.
+func (r *linkRig) attemptState(l types.AttemptID) (string, state.Outcome) {
+	for _, v := range r.executor.View().Attempts {
 		if v.Attempt == l {
-			return v.Part, v.Outcome
+			return v.State, v.Outcome
 		}
 	}
 	return "", ""
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -13,349 +13,349 @@
 	"coppercourse/internal/wire"
 )
 
-type phase string
+type attemptPhase string
 
 const (
-	dim    phase = "unknown" // given out before this leadership, not told of yet
-	sent   phase = "sent"
-	sure   phase = "running"
-	unsure phase = "unsure"
+	unconfirmed      attemptPhase = "unknown" // given out before this leadership, not told of yet
+	orderSent        attemptPhase = "sent"
+	confirmedRunning attemptPhase = "running"
+	unsureIfRunning  attemptPhase = "unsure"
 )
 
-// WorkerEntry is one shard and the agent instance that has it.
-type WorkerEntry struct {
-	Shard types.Shard
-	ID    types.ID
-	Addr  types.Addr
-	State Health
-	Since types.MonoTime
+// RemoteWorker is one shard and the agent instance that has it.
+type RemoteWorker struct {
+	Shard      types.Shard
+	Instance   types.ID
+	Addr       types.Addr
+	State      Health
+	StateSince types.MonoTime
 	Report
-	Goes  types.MonoTime // when its worker goes, if it said so
-	Been  bool
-	Good  types.MonoTime
-	heard types.MonoTime
-	stamp types.MonoTime
-	seq   types.Seq
-	asked types.MonoTime
-	query types.MonoTime
-	quest map[types.Seq][]types.AttemptID
-	old   SetID
-	ver   int
-	ind   int
-	join  int // the set that has it first
-	left  int // the first that has it no more, or 0
-	Worth Worth
-	pace  float64 // log of how many times the usual its attempts take
-	paced types.MonoTime
+	DepartsAt           types.MonoTime // when its worker goes, if it said so
+	HasBeenHealthy      bool
+	LastHealthyAt       types.MonoTime
+	lastHeartbeatAt     types.MonoTime
+	lastHeartbeatSentAt types.MonoTime
+	querySequence       types.Seq
+	runningTasksAskedAt types.MonoTime
+	queriedAt           types.MonoTime
+	openQueries         map[types.Seq][]types.AttemptID
+	initialWorkerSet    WorkerSetID
+	setVersion          int
+	indirectSetVersion  int
+	joinedVersion       int // the set that has it first
+	leftVersion         int // the first that has it no more, or 0
+	Reliability         Reliability
+	slowdownLog         float64 // log of how many times the usual its attempts take
+	slowdownAt          types.MonoTime
 }
 
 // Scheduler is the whole model.
 type Scheduler struct {
-	pace   Timeouts
-	me     types.Addr
-	term   types.Term
-	born   types.MonoTime
-	ruled  types.MonoTime // when an earlier leader can last have had authority
-	now    types.MonoTime
-	grace  time.Duration
-	Wait   bool
-	Why    string
-	swept  types.MonoTime
-	seats  map[types.Shard]*WorkerEntry
-	order  []*WorkerEntry // the same, by shard
-	past   map[types.ID]bool
-	holds  holds
-	sets   sets
-	ends   []state.AttemptEnd
-	norm   map[string]*usual
-	stages map[stage]*times
-	pruned types.MonoTime
-	sends  []wire.Send
+	timeouts          Timeouts
+	addr              types.Addr
+	term              types.Term
+	startedAt         types.MonoTime
+	priorAuthorityEnd types.MonoTime // when an earlier leader can last have had authority
+	now               types.MonoTime
+	authorityLeft     time.Duration
+	InInitialWait     bool
+	InitialWaitReason string
+	lastSweepAt       types.MonoTime
+	workers           map[types.Shard]*RemoteWorker
+	sortedWorkers     []*RemoteWorker // the same, by shard
+	replacedInstances map[types.ID]bool
+	attempts          attemptIndex
+	workerSets        workerSetHistory
+	ends              []state.AttemptEnd
+	baselines         map[string]*baseline
+	stageDurations    map[stageKey]*stageTimes
+	lastPruneAt       types.MonoTime
+	sends             []wire.Send
 	// Doubts lists the attempts lost on a shard whose true ends are still awaited.
-	Doubts func(types.Shard) []types.AttemptID
+	Unresolved func(types.Shard) []types.AttemptID
 	// Apart tells whether a shard is silent together with its whole zone.
-	Apart func(types.Shard) bool
+	Partitioned func(types.Shard) bool
 	// Invoked tells whether a shard's worker is one that is called.
 	Invoked func(types.Shard) bool
 	// Taken tells whether the log already has an end, or has no use for it.
-	Taken func(state.AttemptEnd) bool
+	EndRecorded func(state.AttemptEnd) bool
 }
 
 // NewHead starts a leadership; outs are the attempts that the log has as given out,
 // and ruled is when an earlier leader can last have had authority.
-func NewScheduler(now, ruled types.MonoTime, pace Timeouts, me types.Addr, term types.Term, outs []Hold) *Scheduler {
-	h := &Scheduler{pace: pace, me: me, term: term, born: now, ruled: min(now, ruled), now: now, Wait: true, seats: map[types.Shard]*WorkerEntry{},
-		past: map[types.ID]bool{}, holds: newHolds(), sets: sets{groups: map[int][]*WorkerEntry{}}, norm: map[string]*usual{},
-		stages: map[stage]*times{}, swept: now.Add(-sweep)}
+func NewScheduler(now, ruled types.MonoTime, pace Timeouts, me types.Addr, term types.Term, outs []OutstandingAttempt) *Scheduler {
+	h := &Scheduler{timeouts: pace, addr: me, term: term, startedAt: now, priorAuthorityEnd: min(now, ruled), now: now, InInitialWait: true, workers: map[types.Shard]*RemoteWorker{},
+		replacedInstances: map[types.ID]bool{}, attempts: newAttemptIndex(), workerSets: workerSetHistory{byIndirectVersion: map[int][]*RemoteWorker{}}, baselines: map[string]*baseline{},
+		stageDurations: map[stageKey]*stageTimes{}, lastSweepAt: now.Add(-sweepInterval)}
 	for _, o := range outs {
-		o.Phase, o.At = dim, now
-		h.holds.add(&o)
+		o.Phase, o.OrderedAt = unconfirmed, now
+		h.attempts.add(&o)
 	}
 	return h
 }
 
-func (sc *Scheduler) say(s *WorkerEntry, kind string, body any) {
-	sc.sends = append(sc.sends, wire.Make(sc.me, s.Addr, kind, body))
+func (sc *Scheduler) send(s *RemoteWorker, kind string, body any) {
+	sc.sends = append(sc.sends, wire.Make(sc.addr, s.Addr, kind, body))
 }
 
-func (sc *Scheduler) top(s *WorkerEntry) Top { return Top{sc.term, s.ID} }
+func (sc *Scheduler) header(s *RemoteWorker) Header { return Header{sc.term, s.Instance} }
 
-// Out drains the step: what to send, and the ends to commit.
-func (sc *Scheduler) Out() (sends []wire.Send, ends []state.AttemptEnd) {
+// TakeOutput drains the step: what to send, and the ends to commit.
+func (sc *Scheduler) TakeOutput() (sends []wire.Send, ends []state.AttemptEnd) {
 	sends, ends = sc.sends, sc.ends
 	sc.sends, sc.ends = nil, nil
 	return
 }
 
-func (sc *Scheduler) onBeat(from types.Addr, b Heartbeat) {
-	s := sc.seats[b.Shard]
+func (sc *Scheduler) onHeartbeat(from types.Addr, b Heartbeat) {
+	s := sc.workers[b.Shard]
 	switch {
 	case s == nil:
-		s = sc.sit(from, b)
-	case s.ID != b.ID && sc.past[b.ID]:
-		sc.sends = append(sc.sends, wire.Make(sc.me, from, wire.Quit, Quit{Top{sc.term, b.ID}}))
+		s = sc.register(from, b)
+	case s.Instance != b.Instance && sc.replacedInstances[b.Instance]:
+		sc.sends = append(sc.sends, wire.Make(sc.addr, from, wire.Quit, RequestSuicide{Header{sc.term, b.Instance}}))
 		return
-	case s.ID != b.ID && (s.State == MustDie || b.Past == s.ID || sc.follows(s, from)):
-		sc.past[s.ID] = true
+	case s.Instance != b.Instance && (s.State == MustDie || b.PreviousInstance == s.Instance || sc.succeedsAtAddress(s, from)):
+		sc.replacedInstances[s.Instance] = true
 		if s.State != MustDie {
-			sc.dim(s)
+			sc.markUnconfirmed(s)
 		}
-		s = sc.sit(from, b)
-	case s.ID != b.ID:
+		s = sc.register(from, b)
+	case s.Instance != b.Instance:
 		return
 	}
-	s.heard = sc.now
+	s.lastHeartbeatAt = sc.now
 	if s.State == MustDie {
-		sc.say(s, wire.Quit, Quit{sc.top(s)})
+		sc.send(s, wire.Quit, RequestSuicide{sc.header(s)})
 		return
 	}
-	if b.Stamp <= s.stamp {
+	if b.SentAt <= s.lastHeartbeatSentAt {
 		return
 	}
-	s.Addr, s.stamp, s.Report = from, b.Stamp, b.Report
-	s.Goes = sc.now.Add(time.Duration(b.LeaveMS)*time.Millisecond - sc.pace.Beat)
+	s.Addr, s.lastHeartbeatSentAt, s.Report = from, b.SentAt, b.Report
+	s.DepartsAt = sc.now.Add(time.Duration(b.DepartsInMS)*time.Millisecond - sc.timeouts.HeartbeatInterval)
 	if b.Healthy {
-		s.Good = sc.now
+		s.LastHealthyAt = sc.now
 	}
-	if b.Set.Born == sc.term && b.Set.Ver > s.ver && b.Set.Ver <= sc.sets.ver {
-		s.ver = b.Set.Ver
-		sc.sets.lift(s)
+	if b.WorkerSet.Term == sc.term && b.WorkerSet.Version > s.setVersion && b.WorkerSet.Version <= sc.workerSets.version {
+		s.setVersion = b.WorkerSet.Version
+		sc.workerSets.propagate(s)
 	}
-	for _, x := range b.Spans {
-		if o := sc.holds.by[x.Attempt]; o != nil && o.Shard == b.Shard {
-			sc.took(o, time.Duration(x.MS)*time.Millisecond, false)
+	for _, x := range b.Durations {
+		if o := sc.attempts.byID[x.Attempt]; o != nil && o.Shard == b.Shard {
+			sc.recordDuration(o, time.Duration(x.MS)*time.Millisecond, false)
 		}
 	}
-	for _, x := range b.Saves {
-		if o := sc.holds.by[x.Attempt]; o != nil {
-			o.Ref = x.Ref
+	for _, x := range b.Checkpoints {
+		if o := sc.attempts.byID[x.Attempt]; o != nil {
+			o.Checkpoint = x.Ref
 		}
 	}
 	if s.State == New {
-		sc.ask(s)
+		sc.askRunningTasks(s)
 	}
-	sc.judge(s)
-	sc.answer(s, b.Healthy)
+	sc.updateHealth(s)
+	sc.replyToHeartbeat(s, b.Healthy)
 }
 
-// follows tells that another agent instance at a seat's own address has come after
+// succeedsAtAddress tells that another agent instance at a seat's own address has come after
 // it: one process stands at an address. While the present one beats, the other's
 // beat was only late.
-func (sc *Scheduler) follows(s *WorkerEntry, from types.Addr) bool {
-	return s.Addr == from && sc.now.Sub(s.heard) > 2*sc.pace.Beat
+func (sc *Scheduler) succeedsAtAddress(s *RemoteWorker, from types.Addr) bool {
+	return s.Addr == from && sc.now.Sub(s.lastHeartbeatAt) > 2*sc.timeouts.HeartbeatInterval
 }
 
-// answer renews the agent's grant, but only for a beat that told of a sound
+// replyToHeartbeat renews the agent's grant, but only for a beat that told of a sound
 // worker: the time to loss counts from the same beat.
-func (sc *Scheduler) answer(s *WorkerEntry, healthy bool) {
-	a := HeartbeatReply{Top: sc.top(s), Stamp: s.stamp, Known: s.State != New, Set: sc.set()}
+func (sc *Scheduler) replyToHeartbeat(s *RemoteWorker, healthy bool) {
+	a := HeartbeatReply{Header: sc.header(s), HeartbeatSentAt: s.lastHeartbeatSentAt, Associated: s.State != New, WorkerSet: sc.currentWorkerSet()}
 	if healthy && s.State != New {
-		a.Until = s.stamp.Add(min(sc.pace.Grant, sc.grace))
+		a.LeaseUntil = s.lastHeartbeatSentAt.Add(min(sc.timeouts.AgentLease, sc.authorityLeft))
 	}
-	sc.say(s, wire.Beaten, a)
+	sc.send(s, wire.Beaten, a)
 }
 
-func (sc *Scheduler) sit(from types.Addr, b Heartbeat) *WorkerEntry {
-	s := &WorkerEntry{Shard: b.Shard, ID: b.ID, Addr: from, State: New, Since: sc.now, Good: sc.now, old: b.Set, Worth: Worth{Slow: 1},
-		asked: -1 << 62, stamp: -1 << 62, quest: map[types.Seq][]types.AttemptID{}}
-	old := sc.seats[b.Shard]
-	i, _ := slices.BinarySearchFunc(sc.order, b.Shard, func(x *WorkerEntry, k types.Shard) int { return cmp.Compare(x.Shard, k) })
+func (sc *Scheduler) register(from types.Addr, b Heartbeat) *RemoteWorker {
+	s := &RemoteWorker{Shard: b.Shard, Instance: b.Instance, Addr: from, State: New, StateSince: sc.now, LastHealthyAt: sc.now, initialWorkerSet: b.WorkerSet, Reliability: Reliability{RelativeDuration: 1},
+		runningTasksAskedAt: -1 << 62, lastHeartbeatSentAt: -1 << 62, openQueries: map[types.Seq][]types.AttemptID{}}
+	old := sc.workers[b.Shard]
+	i, _ := slices.BinarySearchFunc(sc.sortedWorkers, b.Shard, func(x *RemoteWorker, k types.Shard) int { return cmp.Compare(x.Shard, k) })
 	if old != nil {
-		sc.order[i] = s
+		sc.sortedWorkers[i] = s
 	} else {
-		sc.order = slices.Insert(sc.order, i, s)
+		sc.sortedWorkers = slices.Insert(sc.sortedWorkers, i, s)
 	}
-	sc.seats[b.Shard] = s
-	sc.sets.enter(s, old)
+	sc.workers[b.Shard] = s
+	sc.workerSets.add(s, old)
 	return s
 }
 
-// dim makes a replaced agent's attempts unknown until its successor's account.
-func (sc *Scheduler) dim(s *WorkerEntry) {
-	for _, o := range sc.holds.of(s.Shard) {
-		sc.holds.turn(o, dim)
+// markUnconfirmed makes a replaced agent's attempts unknown until its successor's account.
+func (sc *Scheduler) markUnconfirmed(s *RemoteWorker) {
+	for _, o := range sc.attempts.onShard(s.Shard) {
+		sc.attempts.setPhase(o, unconfirmed)
 	}
 }
 
-func (sc *Scheduler) ask(s *WorkerEntry) {
-	if sc.now.Sub(s.asked) >= sc.pace.Again/3 {
-		s.asked = sc.now
-		sc.say(s, wire.AskRun, RunningTasksQuery{sc.top(s)})
+func (sc *Scheduler) askRunningTasks(s *RemoteWorker) {
+	if sc.now.Sub(s.runningTasksAskedAt) >= sc.timeouts.RetryInterval/3 {
+		s.runningTasksAskedAt = sc.now
+		sc.send(s, wire.AskRun, GetRunningTasks{sc.header(s)})
 	}
 }
 
-// mine finds the seat that an agent's message speaks for.
-func (sc *Scheduler) mine(t types.Term, shard types.Shard, id types.ID) *WorkerEntry {
-	if s := sc.seats[shard]; s != nil && s.ID == id && t == sc.term {
+// senderOf finds the seat that an agent's message speaks for.
+func (sc *Scheduler) senderOf(t types.Term, shard types.Shard, id types.ID) *RemoteWorker {
+	if s := sc.workers[shard]; s != nil && s.Instance == id && t == sc.term {
 		return s
 	}
 	return nil
 }
 
-func (sc *Scheduler) onAccount(_ types.Addr, a RunningTasks) {
-	s := sc.mine(a.Term, a.Shard, a.ID)
+func (sc *Scheduler) onRunningTasksReply(_ types.Addr, a RunningTasksReply) {
+	s := sc.senderOf(a.Term, a.Shard, a.Instance)
 	if s == nil || s.State != New {
 		return
 	}
 	told := map[types.AttemptID]bool{}
-	for _, r := range a.Runs {
+	for _, r := range a.Tasks {
 		told[r.Attempt] = true
-		if o := sc.holds.by[r.Attempt]; o != nil && o.Shard == s.Shard {
-			sc.holds.turn(o, sure)
+		if o := sc.attempts.byID[r.Attempt]; o != nil && o.Shard == s.Shard {
+			sc.attempts.setPhase(o, confirmedRunning)
 		} else if o == nil {
-			sc.holds.add(&Hold{Attempt: r.Attempt, Shard: s.Shard, Stage: -1, Room: r.Room, Phase: sure, At: sc.now})
+			sc.attempts.add(&OutstandingAttempt{Attempt: r.Attempt, Shard: s.Shard, Stage: -1, Resources: r.Resources, Phase: confirmedRunning, OrderedAt: sc.now})
 		}
 	}
 	outcome := state.OutcomeLost
 	if sc.Invoked(s.Shard) {
 		outcome = state.OutcomeLeaseExpired
 	}
-	if a.Whole {
+	if a.Complete {
 		outcome = state.OutcomeNeverRan
-		sc.clear(s.Shard, told)
+		sc.resolveUnreported(s.Shard, told)
 	}
-	for _, o := range sc.holds.of(s.Shard) {
+	for _, o := range sc.attempts.onShard(s.Shard) {
 		if !told[o.Attempt] {
-			sc.drop(o.Attempt, outcome)
+			sc.reportEnd(o.Attempt, outcome)
 		}
 	}
-	s.State, s.Since = Unhealthy, sc.now
-	sc.judge(s)
-	sc.answer(s, s.Healthy)
+	s.State, s.StateSince = Unhealthy, sc.now
+	sc.updateHealth(s)
+	sc.replyToHeartbeat(s, s.Healthy)
 }
 
-// clear ends the doubt about attempts that were lost on a shard and are not in its
+// resolveUnreported ends the doubt about attempts that were lost on a shard and are not in its
 // worker's own account: they did not end well and never will.
-func (sc *Scheduler) clear(shard types.Shard, told map[types.AttemptID]bool) {
-	for _, l := range sc.Doubts(shard) {
+func (sc *Scheduler) resolveUnreported(shard types.Shard, told map[types.AttemptID]bool) {
+	for _, l := range sc.Unresolved(shard) {
 		if !told[l] {
-			sc.drop(l, state.OutcomeNeverRan)
+			sc.reportEnd(l, state.OutcomeNeverRan)
 		}
 	}
 }
 
-// gone is the outcome of an attempt whose worker is out of reach. One that is called
+// lossOutcome is the outcome of an attempt whose worker is out of reach. One that is called
 // has no lease any more by then, and what it did is not settled there.
-func (sc *Scheduler) gone(shard types.Shard) state.Outcome {
+func (sc *Scheduler) lossOutcome(shard types.Shard) state.Outcome {
 	switch {
 	case sc.Invoked(shard):
 		return state.OutcomeLeaseExpired
-	case sc.Apart(shard):
+	case sc.Partitioned(shard):
 		return state.OutcomePartitioned
 	}
 	return state.OutcomeLost
 }
 
-// drop says that an attempt has ended; it is held until that is committed.
-func (sc *Scheduler) drop(l types.AttemptID, f state.Outcome) {
+// reportEnd says that an attempt has ended; it is held until that is committed.
+func (sc *Scheduler) reportEnd(l types.AttemptID, f state.Outcome) {
 	e := state.AttemptEnd{ID: l, Outcome: f}
-	if o := sc.holds.by[l]; o != nil {
-		e.Checkpoint = o.Ref
+	if o := sc.attempts.byID[l]; o != nil {
+		e.Checkpoint = o.Checkpoint
 	}
 	sc.ends = append(sc.ends, e)
 }
 
-// Settle forgets attempts whose end is committed and tells their agents.
-func (sc *Scheduler) Settle(list []state.AttemptEnd) {
+// OnEndsCommitted forgets attempts whose end is committed and tells their agents.
+func (sc *Scheduler) OnEndsCommitted(list []state.AttemptEnd) {
 	by := map[types.Shard][]state.AttemptEnd{}
 	for _, e := range list {
-		if o := sc.holds.by[e.ID]; o != nil {
-			sc.mark(o, e.Outcome)
+		if o := sc.attempts.byID[e.ID]; o != nil {
+			sc.recordOutcome(o, e.Outcome)
 			by[o.Shard] = append(by[o.Shard], e)
-			sc.holds.drop(e.ID)
+			sc.attempts.remove(e.ID)
 		}
 	}
-	for _, k := range sorted(by) {
-		if s := sc.seats[k]; s != nil && s.State != MustDie {
-			sc.say(s, wire.Settled, CommittedEnds{sc.top(s), by[k]})
+	for _, k := range sortedShards(by) {
+		if s := sc.workers[k]; s != nil && s.State != MustDie {
+			sc.send(s, wire.Settled, CommittedEnds{sc.header(s), by[k]})
 		}
 	}
 }
 
-// Order marks an attempt running and sends it, once.
-func (sc *Scheduler) Order(shard types.Shard, at types.Stage, usual string, j Job) {
-	o := &Hold{Attempt: j.Attempt, Shard: shard, Stage: at, Room: j.Room, Phase: sent, Usual: usual, Limit: time.Duration(j.Limit) * time.Millisecond, At: sc.now}
-	sc.holds.add(o)
-	s := sc.seats[shard]
-	if s == nil || s.State != Healthy || s.Leaving || sc.grace <= 0 {
-		sc.drop(j.Attempt, state.OutcomeNeverRan)
+// RunTask marks an attempt running and sends it, once.
+func (sc *Scheduler) RunTask(shard types.Shard, at types.Stage, usual string, j AttemptSpec) {
+	o := &OutstandingAttempt{Attempt: j.Attempt, Shard: shard, Stage: at, Resources: j.Resources, Phase: orderSent, BaselineName: usual, TimeLimit: time.Duration(j.TimeLimitMS) * time.Millisecond, OrderedAt: sc.now}
+	sc.attempts.add(o)
+	s := sc.workers[shard]
+	if s == nil || s.State != Healthy || s.Draining || sc.authorityLeft <= 0 {
+		sc.reportEnd(j.Attempt, state.OutcomeNeverRan)
 		return
 	}
-	sc.say(s, wire.Order, Order{sc.top(s), s.seq, s.stamp.Add(min(sc.pace.Grant, sc.grace)), j})
+	sc.send(s, wire.Order, RunTask{sc.header(s), s.querySequence, s.lastHeartbeatSentAt.Add(min(sc.timeouts.AgentLease, sc.authorityLeft)), j})
 }
 
-func (sc *Scheduler) onOrdered(_ types.Addr, r OrderReply) {
-	s, o := sc.mine(r.Term, r.Shard, r.ID), sc.holds.by[r.Attempt]
-	if s == nil || o == nil || o.Shard != s.Shard || o.Phase == sure {
+func (sc *Scheduler) onRunTaskReply(_ types.Addr, r RunTaskReply) {
+	s, o := sc.senderOf(r.Term, r.Shard, r.Instance), sc.attempts.byID[r.Attempt]
+	if s == nil || o == nil || o.Shard != s.Shard || o.Phase == confirmedRunning {
 		return
 	}
-	if r.Why != "" {
+	if r.Refusal != "" {
 		s.Healthy = false // until the next beat says otherwise
-		sc.drop(r.Attempt, state.OutcomeNeverRan)
+		sc.reportEnd(r.Attempt, state.OutcomeNeverRan)
 		return
 	}
-	sc.holds.turn(o, sure)
+	sc.attempts.setPhase(o, confirmedRunning)
 }
 
-func (sc *Scheduler) onQueried(_ types.Addr, q QueryReply) {
-	s := sc.mine(q.Term, q.Shard, q.ID)
+func (sc *Scheduler) onNotifyReply(_ types.Addr, q NotifyIfTasksNotRunningReply) {
+	s := sc.senderOf(q.Term, q.Shard, q.Instance)
 	if s == nil {
 		return
 	}
-	for _, l := range s.quest[q.Seq] {
-		if o := sc.holds.by[l]; o != nil && o.Phase == unsure {
-			sc.holds.turn(o, sure)
+	for _, l := range s.openQueries[q.Sequence] {
+		if o := sc.attempts.byID[l]; o != nil && o.Phase == unsureIfRunning {
+			sc.attempts.setPhase(o, confirmedRunning)
 		}
 	}
-	delete(s.quest, q.Seq)
+	delete(s.openQueries, q.Sequence)
 }
 
-// onStatus takes ends. Those already committed are settled at once; an attempt's
+// onUpdateStatus takes ends. Those already committed are settled at once; an attempt's
 // number is used once, so an end counts whoever of the shard's agents tells it.
 // Of an agent not known yet only what its worker did is taken, for the agent may
 // not live until it is.
-func (sc *Scheduler) onStatus(from types.Addr, u Status) {
-	s := sc.seats[u.Shard]
-	known := s != nil && (s.ID != u.ID || s.State != New)
+func (sc *Scheduler) onUpdateStatus(from types.Addr, u UpdateStatus) {
+	s := sc.workers[u.Shard]
+	known := s != nil && (s.Instance != u.Instance || s.State != New)
 	var done []state.AttemptEnd
 	for _, e := range u.Ends {
 		if !known && !e.Outcome.ReportedByWorker() {
 			continue
 		}
-		if sc.Taken(e) {
-			sc.holds.drop(e.ID)
+		if sc.EndRecorded(e) {
+			sc.attempts.remove(e.ID)
 			done = append(done, e)
 		} else {
 			sc.ends = append(sc.ends, e)
 		}
 	}
 	if done != nil {
-		sc.sends = append(sc.sends, wire.Make(sc.me, from, wire.Settled, CommittedEnds{Top{sc.term, u.ID}, done}))
+		sc.sends = append(sc.sends, wire.Make(sc.addr, from, wire.Settled, CommittedEnds{Header{sc.term, u.Instance}, done}))
 	}
 }
 
-// WorkerEntry finds a shard's, or gives nil.
-func (sc *Scheduler) Seat(shard types.Shard) *WorkerEntry { return sc.seats[shard] }
+// RemoteWorker finds a shard's, or gives nil.
+func (sc *Scheduler) Worker(shard types.Shard) *RemoteWorker { return sc.workers[shard] }
 
-// Seats lists the seats in order; the list is the head's own.
-func (sc *Scheduler) Seats() []*WorkerEntry { return sc.order }
+// Workers lists the seats in order; the list is the head's own.
+func (sc *Scheduler) Workers() []*RemoteWorker { return sc.sortedWorkers }
--- a/internal/dispatch/set.go
+++ b/internal/dispatch/set.go
@@ -15,131 +15,133 @@
 	"coppercourse/internal/types"
 )
 
-// digest stands for an agent instance; that of a set is the sum of its members'.
-func digest(id types.ID) uint64 {
+// instanceHash stands for an agent instance; that of a set is the sum of its members'.
+func instanceHash(id types.ID) uint64 {
 	f := fnv.New64a()
 	f.Write([]byte(id))
 	return f.Sum64()
 }
 
-// sets is the history. Groups are the seats by their indirect sets.
-type sets struct {
-	ver    int
-	hash   uint64
-	size   int
-	groups map[int][]*WorkerEntry
-	came   []*WorkerEntry // in order of joining; some have left
+// workerSetHistory is the history. Groups are the seats by their indirect sets.
+type workerSetHistory struct {
+	version           int
+	hash              uint64
+	size              int
+	byIndirectVersion map[int][]*RemoteWorker
+	joined            []*RemoteWorker // in order of joining; some have left
 }
 
-// in tells whether a seat's agent is in a set.
-func (w *WorkerEntry) in(set int) bool { return w.join <= set && (w.left == 0 || set < w.left) }
+// inSet tells whether a seat's agent is in a set.
+func (w *RemoteWorker) inSet(set int) bool {
+	return w.joinedVersion <= set && (w.leftVersion == 0 || set < w.leftVersion)
+}
 
-// enter makes the next set, with an agent in it and the one that it replaces out.
-func (se *sets) enter(s, old *WorkerEntry) {
-	se.ver++
+// add makes the next set, with an agent in it and the one that it replaces out.
+func (se *workerSetHistory) add(s, old *RemoteWorker) {
+	se.version++
 	if old != nil {
-		se.out(old)
+		se.leave(old)
 		se.ungroup(old)
 	}
-	s.join = se.ver
-	se.hash += digest(s.ID)
+	s.joinedVersion = se.version
+	se.hash += instanceHash(s.Instance)
 	se.size++
-	se.groups[0] = append(se.groups[0], s)
-	se.came = append(se.came, s)
+	se.byIndirectVersion[0] = append(se.byIndirectVersion[0], s)
+	se.joined = append(se.joined, s)
 }
 
-// exit makes the next set, with a lost agent out of it.
-func (se *sets) exit(s *WorkerEntry) {
-	se.ver++
-	se.out(s)
+// removeLost makes the next set, with a lost agent out of it.
+func (se *workerSetHistory) removeLost(s *RemoteWorker) {
+	se.version++
+	se.leave(s)
 }
 
-func (se *sets) out(s *WorkerEntry) {
-	if s.left != 0 {
+func (se *workerSetHistory) leave(s *RemoteWorker) {
+	if s.leftVersion != 0 {
 		return
 	}
-	s.left = se.ver
-	se.hash -= digest(s.ID)
+	s.leftVersion = se.version
+	se.hash -= instanceHash(s.Instance)
 	se.size--
-	if len(se.came) > 2*se.size+64 {
-		se.came = slices.DeleteFunc(se.came, func(s *WorkerEntry) bool { return s.left != 0 })
+	if len(se.joined) > 2*se.size+64 {
+		se.joined = slices.DeleteFunc(se.joined, func(s *RemoteWorker) bool { return s.leftVersion != 0 })
 	}
 }
 
-func (se *sets) ungroup(s *WorkerEntry) {
-	list := slices.DeleteFunc(se.groups[s.ind], func(o *WorkerEntry) bool { return o == s })
-	if se.groups[s.ind] = list; len(list) == 0 {
-		delete(se.groups, s.ind)
+func (se *workerSetHistory) ungroup(s *RemoteWorker) {
+	list := slices.DeleteFunc(se.byIndirectVersion[s.indirectSetVersion], func(o *RemoteWorker) bool { return o == s })
+	if se.byIndirectVersion[s.indirectSetVersion] = list; len(list) == 0 {
+		delete(se.byIndirectVersion, s.indirectSetVersion)
 	}
 }
 
-// lift brings indirect sets up after an agent told of a newer set: its own to that
+// propagate brings indirect sets up after an agent told of a newer set: its own to that
 // one or the highest of the agents in it, then that of any agent whose set has it
 // in, or one brought up so, to the same.
-func (se *sets) lift(s *WorkerEntry) {
-	if s.ver <= s.ind {
+func (se *workerSetHistory) propagate(s *RemoteWorker) {
+	if s.setVersion <= s.indirectSetVersion {
 		return
 	}
 	se.ungroup(s)
-	s.ind = s.ver
+	s.indirectSetVersion = s.setVersion
 	for more := true; more; {
 		more = false
-		for set, list := range se.groups {
-			if set > s.ind && slices.ContainsFunc(list, func(o *WorkerEntry) bool { return o.in(s.ind) }) {
-				s.ind, more = set, true
+		for set, list := range se.byIndirectVersion {
+			if set > s.indirectSetVersion && slices.ContainsFunc(list, func(o *RemoteWorker) bool { return o.inSet(s.indirectSetVersion) }) {
+				s.indirectSetVersion, more = set, true
 			}
 		}
 	}
-	se.groups[s.ind] = append(se.groups[s.ind], s)
-	for up := []*WorkerEntry{s}; len(up) > 0; up = up[1:] {
-		for set, list := range se.groups {
-			if set == 0 || set >= s.ind || !up[0].in(set) {
+	se.byIndirectVersion[s.indirectSetVersion] = append(se.byIndirectVersion[s.indirectSetVersion], s)
+	for up := []*RemoteWorker{s}; len(up) > 0; up = up[1:] {
+		for set, list := range se.byIndirectVersion {
+			if set == 0 || set >= s.indirectSetVersion || !up[0].inSet(set) {
 				continue
 			}
-			delete(se.groups, set)
+			delete(se.byIndirectVersion, set)
 			for _, o := range list {
-				o.ind = s.ind
+				o.indirectSetVersion = s.indirectSetVersion
 			}
-			se.groups[s.ind] = append(se.groups[s.ind], list...)
+			se.byIndirectVersion[s.indirectSetVersion] = append(se.byIndirectVersion[s.indirectSetVersion], list...)
 			up = append(up, list...)
 		}
 	}
 }
 
-// permits is consensusPermitsWorkerToBecomeHealthy: the agent requires every
+// permitsHealthy is consensusPermitsWorkerToBecomeHealthy: the agent requires every
 // other that is not lost, and each of those requires it, if indirectly.
-func (se *sets) permits(w *WorkerEntry) bool {
-	if w.ver == 0 {
+func (se *workerSetHistory) permitsHealthy(w *RemoteWorker) bool {
+	if w.setVersion == 0 {
 		return false
 	}
-	for i := len(se.came) - 1; i >= 0 && se.came[i].join > w.ver; i-- {
-		if u := se.came[i]; u != w && u.left == 0 {
+	for i := len(se.joined) - 1; i >= 0 && se.joined[i].joinedVersion > w.setVersion; i-- {
+		if u := se.joined[i]; u != w && u.leftVersion == 0 {
 			return false
 		}
 	}
-	for set, list := range se.groups {
-		if set < w.join && slices.ContainsFunc(list, func(u *WorkerEntry) bool { return u != w && u.left == 0 }) {
+	for set, list := range se.byIndirectVersion {
+		if set < w.joinedVersion && slices.ContainsFunc(list, func(u *RemoteWorker) bool { return u != w && u.leftVersion == 0 }) {
 			return false
 		}
 	}
 	return true
 }
 
-func (sc *Scheduler) set() SetID {
-	return SetID{Born: sc.term, Ver: sc.sets.ver, Hash: sc.sets.hash, Size: sc.sets.size}
+func (sc *Scheduler) currentWorkerSet() WorkerSetID {
+	return WorkerSetID{Term: sc.term, Version: sc.workerSets.version, Hash: sc.workerSets.hash, Size: sc.workerSets.size}
 }
 
-// Worth is how a worker's attempts have ended of late and how long they took
+// Reliability is how a worker's attempts have ended of late and how long they took
 // beside what is usual for the same step of a queue.
-type Worth struct {
-	Bad  float64
-	Slow float64
+type Reliability struct {
+	FailureRate      float64
+	RelativeDuration float64
 }
 
-const fade = 0.1
+const smoothing = 0.1
 
-func (sc *Scheduler) mark(o *Hold, f state.Outcome) {
-	s := sc.seats[o.Shard]
+func (sc *Scheduler) recordOutcome(o *OutstandingAttempt, f state.Outcome) {
+	s := sc.workers[o.Shard]
 	if s == nil || f == state.OutcomeNeverRan || f == state.OutcomeStopped || f == state.OutcomePartitioned {
 		return
 	}
@@ -147,38 +149,38 @@
 	if f != state.OutcomeOK {
 		bad = 1
 	}
-	s.Worth.Bad += fade * (bad - s.Worth.Bad)
-	if o.Usual == "" || f != state.OutcomeOK {
+	s.Reliability.FailureRate += smoothing * (bad - s.Reliability.FailureRate)
+	if o.BaselineName == "" || f != state.OutcomeOK {
 		return
 	}
 	if s.Invoked {
-		sc.took(o, sc.now.Sub(o.At), true)
+		sc.recordDuration(o, sc.now.Sub(o.OrderedAt), true)
 	}
-	took := float64(sc.now.Sub(o.At))
+	took := float64(sc.now.Sub(o.OrderedAt))
 	if took <= 0 {
 		return // it tells nothing, and nothing can be set beside it
 	}
-	n := sc.norm[o.Usual]
+	n := sc.baselines[o.BaselineName]
 	if n == nil {
-		n = &usual{took: took}
-		sc.norm[o.Usual] = n
+		n = &baseline{duration: took}
+		sc.baselines[o.BaselineName] = n
 	}
 	n.count++
-	s.Worth.Slow += fade * (took/n.took - s.Worth.Slow)
-	n.took += fade * (min(took, 4*n.took) - n.took)
+	s.Reliability.RelativeDuration += smoothing * (took/n.duration - s.Reliability.RelativeDuration)
+	n.duration += smoothing * (min(took, 4*n.duration) - n.duration)
 }
 
-// usual is how long attempts of one step of a queue take.
-type usual struct {
-	took  float64
-	count int
+// baseline is how long attempts of one step of a queue take.
+type baseline struct {
+	duration float64
+	count    int
 }
 
-// Usual gives that, once enough of them have ended well to tell.
-func (sc *Scheduler) Usual(name string) (time.Duration, bool) {
-	n := sc.norm[name]
+// BaselineDuration gives that, once enough of them have ended well to tell.
+func (sc *Scheduler) BaselineDuration(name string) (time.Duration, bool) {
+	n := sc.baselines[name]
 	if n == nil || n.count < 10 {
 		return 0, false
 	}
-	return time.Duration(n.took), true
+	return time.Duration(n.duration), true
 }
--- a/internal/dispatch/set_test.go
+++ b/internal/dispatch/set_test.go
@@ -14,103 +14,103 @@
 	"coppercourse/internal/types"
 )
 
-// whole is the worker sets kept whole.
-type whole struct {
-	hist []map[types.ID]bool
-	ind  map[types.ID]int
+// referenceSets is the worker sets kept whole.
+type referenceSets struct {
+	history  []map[types.ID]bool
+	indirect map[types.ID]int
 }
 
-func (w *whole) reset(seats map[types.Shard]*WorkerEntry) {
+func (w *referenceSets) recordSet(seats map[types.Shard]*RemoteWorker) {
 	ids := map[types.ID]bool{}
 	for _, s := range seats {
 		if s.State != MustDie {
-			ids[s.ID] = true
+			ids[s.Instance] = true
 		}
 	}
-	w.hist = append(w.hist, ids)
+	w.history = append(w.history, ids)
 }
 
-func (w *whole) spread(seats map[types.Shard]*WorkerEntry) {
-	by := map[types.ID]*WorkerEntry{}
+func (w *referenceSets) propagate(seats map[types.Shard]*RemoteWorker) {
+	by := map[types.ID]*RemoteWorker{}
 	for _, s := range seats {
-		by[s.ID] = s
-		w.ind[s.ID] = max(w.ind[s.ID], s.ver)
+		by[s.Instance] = s
+		w.indirect[s.Instance] = max(w.indirect[s.Instance], s.setVersion)
 	}
 	for more := true; more; {
 		more = false
 		for _, s := range seats {
-			if w.ind[s.ID] == 0 {
+			if w.indirect[s.Instance] == 0 {
 				continue
 			}
-			for id := range w.hist[w.ind[s.ID]] {
-				if by[id] != nil && w.ind[id] > w.ind[s.ID] {
-					w.ind[s.ID], more = w.ind[id], true
+			for id := range w.history[w.indirect[s.Instance]] {
+				if by[id] != nil && w.indirect[id] > w.indirect[s.Instance] {
+					w.indirect[s.Instance], more = w.indirect[id], true
 				}
 			}
 		}
 	}
 }
 
-func (w *whole) permits(x *WorkerEntry, seats map[types.Shard]*WorkerEntry) bool {
-	if x.ver == 0 {
+func (w *referenceSets) permitsHealthy(x *RemoteWorker, seats map[types.Shard]*RemoteWorker) bool {
+	if x.setVersion == 0 {
 		return false
 	}
 	for _, u := range seats {
 		if u == x || u.State == MustDie {
 			continue
 		}
-		if !w.hist[x.ver][u.ID] || w.ind[u.ID] == 0 || !w.hist[w.ind[u.ID]][x.ID] {
+		if !w.history[x.setVersion][u.Instance] || w.indirect[u.Instance] == 0 || !w.history[w.indirect[u.Instance]][x.Instance] {
 			return false
 		}
 	}
 	return true
 }
 
-func TestSetsAgainstTheSlowWay(t *testing.T) {
+func TestWorkerSetHistoryAgainstReference(t *testing.T) {
 	is := is.New(t)
 	for seed := range int64(60) {
 		rnd := rand.New(rand.NewSource(seed))
-		fast := sets{groups: map[int][]*WorkerEntry{}}
-		slow := whole{hist: []map[types.ID]bool{{}}, ind: map[types.ID]int{}}
-		seats := map[types.Shard]*WorkerEntry{}
+		fast := workerSetHistory{byIndirectVersion: map[int][]*RemoteWorker{}}
+		slow := referenceSets{history: []map[types.ID]bool{{}}, indirect: map[types.ID]int{}}
+		seats := map[types.Shard]*RemoteWorker{}
 		shards := 2 + rnd.Intn(9)
-		pick := func() *WorkerEntry { return seats[types.Shard(fmt.Sprint("s", rnd.Intn(shards)))] }
+		pick := func() *RemoteWorker { return seats[types.Shard(fmt.Sprint("s", rnd.Intn(shards)))] }
 		permitted := 0
 		for step := range 400 {
 			k := types.Shard(fmt.Sprint("s", rnd.Intn(shards)))
 			switch s := pick(); {
 			case rnd.Intn(8) == 0 && (seats[k] == nil || rnd.Intn(2) == 0): // one comes, maybe in another's place
-				x := &WorkerEntry{Shard: k, ID: types.ID(fmt.Sprint(k, "-", step)), State: Unhealthy}
+				x := &RemoteWorker{Shard: k, Instance: types.ID(fmt.Sprint(k, "-", step)), State: Unhealthy}
 				old := seats[k]
 				seats[k] = x
-				fast.enter(x, old)
-				slow.reset(seats)
+				fast.add(x, old)
+				slow.recordSet(seats)
 			case s == nil:
 			case rnd.Intn(12) == 0 && s.State != MustDie:
 				s.State = MustDie
-				fast.exit(s)
-				slow.reset(seats)
+				fast.removeLost(s)
+				slow.recordSet(seats)
 			case s.State != MustDie:
-				if v := fast.ver - rnd.Intn(min(4, fast.ver+1)); v > s.ver {
-					s.ver = v
-					fast.lift(s)
+				if v := fast.version - rnd.Intn(min(4, fast.version+1)); v > s.setVersion {
+					s.setVersion = v
+					fast.propagate(s)
 				}
 			}
-			slow.spread(seats)
-			last := slow.hist[len(slow.hist)-1]
-			is.Equal(fast.ver, len(slow.hist)-1)
+			slow.propagate(seats)
+			last := slow.history[len(slow.history)-1]
+			is.Equal(fast.version, len(slow.history)-1)
 			is.Equal(fast.size, len(last))
 			sum := uint64(0)
 			for id := range last {
-				sum += digest(id)
+				sum += instanceHash(id)
 			}
 			is.Equal(fast.hash, sum)
 			for _, s := range seats {
-				is.Equal(s.ind, slow.ind[s.ID])
-				is.True(slices.Contains(fast.groups[s.ind], s))
+				is.Equal(s.indirectSetVersion, slow.indirect[s.Instance])
+				is.True(slices.Contains(fast.byIndirectVersion[s.indirectSetVersion], s))
 				if s.State != MustDie {
-					is.Equal(fast.permits(s), slow.permits(s, seats))
-					if fast.permits(s) {
+					is.Equal(fast.permitsHealthy(s), slow.permitsHealthy(s, seats))
+					if fast.permitsHealthy(s) {
 						permitted++
 					}
 				}
@@ -120,58 +120,58 @@
 	}
 }
 
-func TestHoldsAgainstTheSlowWay(t *testing.T) {
+func TestAttemptIndexAgainstReference(t *testing.T) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewSource(5))
-	h := newHolds()
+	h := newAttemptIndex()
 	now := types.MonoTime(time.Hour)
-	plain := map[types.AttemptID]*Hold{}
+	plain := map[types.AttemptID]*OutstandingAttempt{}
 	for range 4000 {
 		now = now.Add(time.Millisecond)
 		l := types.AttemptID{TaskID: types.TaskID{Job: types.JobID(fmt.Sprint("j", rnd.Intn(6))), Number: rnd.Intn(4)}, Attempt: 1 + rnd.Intn(2)}
 		switch o := plain[l]; {
 		case o == nil || rnd.Intn(9) == 0:
-			o = &Hold{Attempt: l, Shard: types.Shard(fmt.Sprint("s", rnd.Intn(4))), Stage: types.Stage(rnd.Intn(3) - 1), Room: types.Resources{Cores: types.MilliCores(1 + rnd.Intn(3))},
-				Phase: []phase{dim, sent, sure}[rnd.Intn(3)], At: now}
+			o = &OutstandingAttempt{Attempt: l, Shard: types.Shard(fmt.Sprint("s", rnd.Intn(4))), Stage: types.Stage(rnd.Intn(3) - 1), Resources: types.Resources{Cores: types.MilliCores(1 + rnd.Intn(3))},
+				Phase: []attemptPhase{unconfirmed, orderSent, confirmedRunning}[rnd.Intn(3)], OrderedAt: now}
 			h.add(o)
 			plain[l] = o
 		case rnd.Intn(3) == 0:
-			h.drop(l)
+			h.remove(l)
 			delete(plain, l)
 		default:
-			h.turn(o, []phase{dim, sure}[rnd.Intn(2)])
+			h.setPhase(o, []attemptPhase{unconfirmed, confirmedRunning}[rnd.Intn(2)])
 		}
-		for _, o := range h.overdue(now.Add(-20 * time.Millisecond)) {
-			is.Equal(o.Phase, sent)
-			is.True(now.Sub(o.At) > 20*time.Millisecond)
-			h.turn(o, unsure)
+		for _, o := range h.takeOverdue(now.Add(-20 * time.Millisecond)) {
+			is.Equal(o.Phase, orderSent)
+			is.True(now.Sub(o.OrderedAt) > 20*time.Millisecond)
+			h.setPhase(o, unsureIfRunning)
 		}
 		n, dims, alien, open := 0, 0, 0, map[types.Shard]bool{}
 		rooms := map[types.Shard]types.Resources{}
 		for _, o := range plain {
 			n++
-			rooms[o.Shard] = rooms[o.Shard].Add(o.Room)
-			if o.Phase == dim {
+			rooms[o.Shard] = rooms[o.Shard].Add(o.Resources)
+			if o.Phase == unconfirmed {
 				dims++
 			}
 			if o.Stage < 0 {
 				alien++
 			}
-			if o.Phase == unsure {
+			if o.Phase == unsureIfRunning {
 				open[o.Shard] = true
 			}
-			is.True(o.Phase != sent || now.Sub(o.At) <= 20*time.Millisecond) // none is missed
-			is.Equal(h.by[o.Attempt], o)
+			is.True(o.Phase != orderSent || now.Sub(o.OrderedAt) <= 20*time.Millisecond) // none is missed
+			is.Equal(h.byID[o.Attempt], o)
 		}
 		is.Equal(len(h.all()), n)
-		is.Equal(h.dim, dims)
-		is.Equal(len(h.alien), alien)
-		is.Equal(h.open, open)
-		is.Equal(len(h.dims(nil)), dims)
+		is.Equal(h.unconfirmed, dims)
+		is.Equal(len(h.unknownToLog), alien)
+		is.Equal(h.unsureShards, open)
+		is.Equal(len(h.unconfirmedWithoutWorker(nil)), dims)
 		for k := range 4 {
 			s := types.Shard(fmt.Sprint("s", k))
-			is.Equal(h.used(s), rooms[s])
-			is.True(slices.IsSortedFunc(h.of(s), least))
+			is.Equal(h.reservedOn(s), rooms[s])
+			is.True(slices.IsSortedFunc(h.onShard(s), compareOutstanding))
 		}
 	}
 }
--- a/internal/dispatch/truth_test.go
+++ b/internal/dispatch/truth_test.go
@@ -16,155 +16,155 @@
 
 const ms = time.Millisecond
 
-// bench is one leader's half and some agents' halves, with a shared clock.
-type bench struct {
-	now    types.MonoTime
-	head   *Scheduler
-	hands  map[types.Addr]*Executor
-	post   []wire.Send // not yet delivered
-	ends   []state.AttemptEnd
-	minted int
+// testCluster is one leader's half and some agents' halves, with a shared clock.
+type testCluster struct {
+	now       types.MonoTime
+	scheduler *Scheduler
+	executors map[types.Addr]*Executor
+	inFlight  []wire.Send // not yet delivered
+	ends      []state.AttemptEnd
+	instances int
 }
 
-func newBench() *bench {
-	b := &bench{now: types.MonoTime(time.Hour), hands: map[types.Addr]*Executor{}}
-	b.lead(1)
+func newTestCluster() *testCluster {
+	b := &testCluster{now: types.MonoTime(time.Hour), executors: map[types.Addr]*Executor{}}
+	b.newLeader(1)
 	return b
 }
 
-func (b *bench) lead(term types.Term, outs ...Hold) {
-	b.head = NewScheduler(b.now, b.now, Defaults, "h", term, outs)
-	b.head.Taken = func(state.AttemptEnd) bool { return false }
-	b.head.Apart = func(types.Shard) bool { return false }
-	b.head.Invoked = func(types.Shard) bool { return false }
-	b.head.Doubts = func(types.Shard) []types.AttemptID { return nil }
+func (b *testCluster) newLeader(term types.Term, outs ...OutstandingAttempt) {
+	b.scheduler = NewScheduler(b.now, b.now, Defaults, "h", term, outs)
+	b.scheduler.EndRecorded = func(state.AttemptEnd) bool { return false }
+	b.scheduler.Partitioned = func(types.Shard) bool { return false }
+	b.scheduler.Invoked = func(types.Shard) bool { return false }
+	b.scheduler.Unresolved = func(types.Shard) []types.AttemptID { return nil }
 }
 
-func (b *bench) agent(addr types.Addr, shard types.Shard) *Executor {
+func (b *testCluster) newAgent(addr types.Addr, shard types.Shard) *Executor {
 	h := NewExecutor(b.now, Defaults, addr, shard, func() types.ID {
-		b.minted++
-		return types.ID(fmt.Sprintf("%s-%d", addr, b.minted))
+		b.instances++
+		return types.ID(fmt.Sprintf("%s-%d", addr, b.instances))
 	})
-	b.hands[addr] = h
+	b.executors[addr] = h
 	return h
 }
 
-func (b *bench) poll(h *Executor, call uint64, runs ...types.AttemptID) Answer {
-	p := Poll{Worker: "k", Call: call, Stamp: b.now, Rack: "r", Kinds: []types.ServiceKind{"x"}, Room: types.Resources{Cores: 4 * types.Core}}
+func (b *testCluster) poll(h *Executor, call uint64, runs ...types.AttemptID) PollReply {
+	p := Poll{Worker: "k", Call: call, SentAt: b.now, Rack: "r", Kinds: []types.ServiceKind{"x"}, Capacity: types.Resources{Cores: 4 * types.Core}}
 	for _, l := range runs {
-		p.Runs = append(p.Runs, Run{l, types.Resources{Cores: 1 * types.Core}})
+		p.Running = append(p.Running, Run{l, types.Resources{Cores: 1 * types.Core}})
 	}
-	h.Poll(b.now, p)
-	return h.Reply(b.now)
+	h.HandlePoll(b.now, p)
+	return h.ReplyToPoll(b.now)
 }
 
-// gather moves all that the machines want sent into the post.
-func (b *bench) gather() {
-	s, e := b.head.Out()
-	b.post, b.ends = append(b.post, s...), append(b.ends, e...)
-	for _, h := range b.hands {
-		b.post = append(b.post, h.Out()...)
+// collect moves all that the machines want sent into the post.
+func (b *testCluster) collect() {
+	s, e := b.scheduler.TakeOutput()
+	b.inFlight, b.ends = append(b.inFlight, s...), append(b.ends, e...)
+	for _, h := range b.executors {
+		b.inFlight = append(b.inFlight, h.TakeOutput()...)
 	}
 }
 
-// flow delivers the post until it is empty, but for what keep holds back.
-func (b *bench) flow(keep func(wire.Send) bool) (held []wire.Send) {
-	b.gather()
-	for len(b.post) > 0 {
-		s := b.post[0]
-		b.post = b.post[1:]
+// deliver delivers the post until it is empty, but for what keep holds back.
+func (b *testCluster) deliver(keep func(wire.Send) bool) (held []wire.Send) {
+	b.collect()
+	for len(b.inFlight) > 0 {
+		s := b.inFlight[0]
+		b.inFlight = b.inFlight[1:]
 		if keep != nil && keep(s) {
 			held = append(held, s)
 			continue
 		}
-		b.give(s)
-		b.gather()
+		b.deliverOne(s)
+		b.collect()
 	}
 	return
 }
 
-func (b *bench) give(s wire.Send) {
+func (b *testCluster) deliverOne(s wire.Send) {
 	if s.To == "h" {
-		b.head.Take(b.now, time.Second, s.Message)
-	} else if h := b.hands[s.To]; h != nil {
-		h.Take(b.now, s.Message)
+		b.scheduler.HandleMessage(b.now, time.Second, s.Message)
+	} else if h := b.executors[s.To]; h != nil {
+		h.HandleMessage(b.now, s.Message)
 	}
 }
 
-// pass lets time go by in small steps, with workers that call all the while.
-func (b *bench) pass(d time.Duration, keep func(wire.Send) bool) {
+// advance lets time go by in small steps, with workers that call all the while.
+func (b *testCluster) advance(d time.Duration, keep func(wire.Send) bool) {
 	for end := b.now.Add(d); b.now < end; {
 		b.now = b.now.Add(50 * ms)
-		for _, h := range b.hands {
+		for _, h := range b.executors {
 			var runs []types.AttemptID
-			for _, l := range h.sorted() {
-				if l.part != ended {
-					runs = append(runs, l.job.Attempt)
+			for _, l := range h.attemptsInOrder() {
+				if l.state != attemptEnded {
+					runs = append(runs, l.spec.Attempt)
 				}
 			}
-			b.poll(h, h.call+1, runs...)
+			b.poll(h, h.lastCall+1, runs...)
 			h.Tick(b.now, "h")
 		}
-		b.head.Tick(b.now, time.Second)
-		b.flow(keep)
+		b.scheduler.Tick(b.now, time.Second)
+		b.deliver(keep)
 	}
 }
 
-// calm is a leader and one agent that have found each other healthy.
-func calm(t *testing.T) (*is.I, *bench, *Executor) {
-	b := newBench()
-	w := b.agent("w", "s")
-	b.pass(4*time.Second, nil)
+// newHealthyCluster is a leader and one agent that have found each other healthy.
+func newHealthyCluster(t *testing.T) (*is.I, *testCluster, *Executor) {
+	b := newTestCluster()
+	w := b.newAgent("w", "s")
+	b.advance(4*time.Second, nil)
 	return is.New(t), b, w
 }
 
-func try(job string, n int) types.AttemptID {
+func newAttempt(job string, n int) types.AttemptID {
 	return types.AttemptID{TaskID: types.TaskID{Job: types.JobID(job)}, Attempt: n}
 }
 
-func order(b *bench, shard types.Shard, l types.AttemptID) {
-	b.head.Order(shard, 0, "", Job{Attempt: l, Kind: "x", Room: types.Resources{Cores: 1 * types.Core}})
+func runTask(b *testCluster, shard types.Shard, l types.AttemptID) {
+	b.scheduler.RunTask(shard, 0, "", AttemptSpec{Attempt: l, Kind: "x", Resources: types.Resources{Cores: 1 * types.Core}})
 }
 
-func kind(k string) func(wire.Send) bool {
+func ofKind(k string) func(wire.Send) bool {
 	return func(s wire.Send) bool { return s.Message.Kind == k }
 }
 
 func TestDelayedOrderAfterQuery(t *testing.T) {
-	is, b, w := calm(t)
-	is.Equal(b.head.seats["s"].State, Healthy)
-	order(b, "s", try("j", 1))
-	late := b.flow(kind(wire.Order))
+	is, b, w := newHealthyCluster(t)
+	is.Equal(b.scheduler.workers["s"].State, Healthy)
+	runTask(b, "s", newAttempt("j", 1))
+	late := b.deliver(ofKind(wire.Order))
 	is.Equal(len(late), 1)
-	b.pass(400*ms, nil) // unanswered, so unsure, so asked about
-	is.True(w.attempts[try("j", 1)].part == ended)
-	is.Equal(b.ends[len(b.ends)-1], state.AttemptEnd{ID: try("j", 1), Outcome: state.OutcomeNeverRan})
-	b.give(late[0])
-	is.True(w.attempts[try("j", 1)].part == ended) // it stays what the agent said
+	b.advance(400*ms, nil) // unanswered, so unsure, so asked about
+	is.True(w.attempts[newAttempt("j", 1)].state == attemptEnded)
+	is.Equal(b.ends[len(b.ends)-1], state.AttemptEnd{ID: newAttempt("j", 1), Outcome: state.OutcomeNeverRan})
+	b.deliverOne(late[0])
+	is.True(w.attempts[newAttempt("j", 1)].state == attemptEnded) // it stays what the agent said
 	// An order for an attempt that was not asked about, sent before the query, is refused by its number.
-	o, _ := wire.Read[Order](late[0].Message)
-	o.Job.Attempt, o.Until = try("k", 1), b.now.Add(time.Second)
-	w.Take(b.now, wire.Make("h", "w", wire.Order, o).Message)
-	is.Equal(w.attempts[try("k", 1)], nil)
+	o, _ := wire.Read[RunTask](late[0].Message)
+	o.Spec.Attempt, o.StartBefore = newAttempt("k", 1), b.now.Add(time.Second)
+	w.HandleMessage(b.now, wire.Make("h", "w", wire.Order, o).Message)
+	is.Equal(w.attempts[newAttempt("k", 1)], nil)
 }
 
 func TestRedundantNotRunningIsLetPass(t *testing.T) {
-	is, b, w := calm(t)
-	order(b, "s", try("j", 1))
-	b.flow(nil)
-	w.finish(w.attempts[try("j", 1)], state.OutcomeOK)
-	b.head.Settle([]state.AttemptEnd{{ID: try("j", 1), Outcome: state.OutcomeOK}})
-	b.head.Taken = func(state.AttemptEnd) bool { return true }
-	b.flow(nil)
-	b.poll(w, w.call+1)
-	b.poll(w, w.call+1) // the worker has let go of it, so the agent has too
+	is, b, w := newHealthyCluster(t)
+	runTask(b, "s", newAttempt("j", 1))
+	b.deliver(nil)
+	w.endAttempt(w.attempts[newAttempt("j", 1)], state.OutcomeOK)
+	b.scheduler.OnEndsCommitted([]state.AttemptEnd{{ID: newAttempt("j", 1), Outcome: state.OutcomeOK}})
+	b.scheduler.EndRecorded = func(state.AttemptEnd) bool { return true }
+	b.deliver(nil)
+	b.poll(w, w.lastCall+1)
+	b.poll(w, w.lastCall+1) // the worker has let go of it, so the agent has too
 	is.Equal(len(w.attempts), 0)
-	s := b.head.seats["s"]
-	s.seq++
-	b.give(wire.Make("h", "w", wire.Query, Query{b.head.top(s), s.seq, []types.AttemptID{try("j", 1)}}))
-	is.Equal(w.attempts[try("j", 1)].outcome, state.OutcomeNeverRan)
+	s := b.scheduler.workers["s"]
+	s.querySequence++
+	b.deliverOne(wire.Make("h", "w", wire.Query, NotifyIfTasksNotRunning{b.scheduler.header(s), s.querySequence, []types.AttemptID{newAttempt("j", 1)}}))
+	is.Equal(w.attempts[newAttempt("j", 1)].outcome, state.OutcomeNeverRan)
 	b.ends = nil
-	b.pass(time.Second, nil)
+	b.advance(time.Second, nil)
 	is.Equal(len(b.ends), 0)     // the redundant report changes nothing
 	is.Equal(len(w.attempts), 0) // and is settled
 }
@@ -173,19 +173,19 @@
 // worker did counts at once, since the agent may not live to tell it again.
 func TestEndReportWhileNew(t *testing.T) {
 	for outcome, at := range map[state.Outcome]bool{state.OutcomeOK: true, state.OutcomeFailed: true, state.OutcomeLost: false, state.OutcomeNeverRan: false} {
-		is, b, w := calm(t)
-		order(b, "s", try("j", 1))
-		b.flow(nil)
-		b.lead(2, Hold{Attempt: try("j", 1), Shard: "s", Room: types.Resources{Cores: 1 * types.Core}})
+		is, b, w := newHealthyCluster(t)
+		runTask(b, "s", newAttempt("j", 1))
+		b.deliver(nil)
+		b.newLeader(2, OutstandingAttempt{Attempt: newAttempt("j", 1), Shard: "s", Resources: types.Resources{Cores: 1 * types.Core}})
 		b.ends = nil
-		w.finish(w.attempts[try("j", 1)], outcome)
-		b.pass(600*ms, kind(wire.AskRun)) // the new leader's question does not arrive
-		is.Equal(b.head.seats["s"].State, New)
+		w.endAttempt(w.attempts[newAttempt("j", 1)], outcome)
+		b.advance(600*ms, ofKind(wire.AskRun)) // the new leader's question does not arrive
+		is.Equal(b.scheduler.workers["s"].State, New)
 		is.Equal(len(b.ends) > 0, at)
-		b.pass(600*ms, nil)
+		b.advance(600*ms, nil)
 		is.True(len(b.ends) > 0)
 		if at {
-			is.Equal(b.ends[0], state.AttemptEnd{ID: try("j", 1), Outcome: outcome})
+			is.Equal(b.ends[0], state.AttemptEnd{ID: newAttempt("j", 1), Outcome: outcome})
 		}
 	}
 }
@@ -194,161 +194,161 @@
 // a second comes, and a leader that starts then must not believe w1 alone.
 func TestSpuriousConsensusOfLoneWorker(t *testing.T) {
 	is := is.New(t)
-	b := newBench()
-	b.agent("w1", "s1")
-	b.pass(4*time.Second, nil)
-	is.Equal(b.head.seats["s1"].State, Healthy)
+	b := newTestCluster()
+	b.newAgent("w1", "s1")
+	b.advance(4*time.Second, nil)
+	is.Equal(b.scheduler.workers["s1"].State, Healthy)
 	mute := func(s wire.Send) bool { return s.Message.From == "w1" || s.To == "w1" }
-	b.pass(1200*ms, mute)
-	is.Equal(b.head.seats["s1"].State, Unhealthy)
-	b.agent("w2", "s2")
-	b.pass(900*ms, mute)
-	is.Equal(b.head.seats["s2"].State, Unhealthy) // for lack of consensus: w1 does not know of w2
-	b.pass(900*ms, mute)
-	is.Equal(b.head.seats["s1"].State, MustDie)
-	b.pass(600*ms, mute)
-	is.Equal(b.head.seats["s2"].State, Healthy) // w1 is lost, its set binds nobody
+	b.advance(1200*ms, mute)
+	is.Equal(b.scheduler.workers["s1"].State, Unhealthy)
+	b.newAgent("w2", "s2")
+	b.advance(900*ms, mute)
+	is.Equal(b.scheduler.workers["s2"].State, Unhealthy) // for lack of consensus: w1 does not know of w2
+	b.advance(900*ms, mute)
+	is.Equal(b.scheduler.workers["s1"].State, MustDie)
+	b.advance(600*ms, mute)
+	is.Equal(b.scheduler.workers["s2"].State, Healthy) // w1 is lost, its set binds nobody
 }
 
 // An attempt in the log on a worker that has not come holds the wait up even where
 // all worker sets agree.
 func TestWaitHoldsForAttemptsNotHeardOf(t *testing.T) {
 	is := is.New(t)
-	b := newBench()
-	b.agent("w1", "s1")
-	b.pass(4*time.Second, nil)
-	b.lead(2)
-	b.pass(700*ms, nil)
-	is.Equal(b.head.Wait, false) // the one agent agrees with itself
-	b.lead(3, Hold{Attempt: try("j", 1), Shard: "s2", Room: types.Resources{Cores: 1 * types.Core}})
-	b.pass(700*ms, nil)
-	is.Equal(b.head.Wait, true)
+	b := newTestCluster()
+	b.newAgent("w1", "s1")
+	b.advance(4*time.Second, nil)
+	b.newLeader(2)
+	b.advance(700*ms, nil)
+	is.Equal(b.scheduler.InInitialWait, false) // the one agent agrees with itself
+	b.newLeader(3, OutstandingAttempt{Attempt: newAttempt("j", 1), Shard: "s2", Resources: types.Resources{Cores: 1 * types.Core}})
+	b.advance(700*ms, nil)
+	is.Equal(b.scheduler.InInitialWait, true)
 	b.ends = nil
-	b.pass(2500*ms, nil)
-	is.Equal(b.head.Wait, false)
-	is.Equal(b.ends[0], state.AttemptEnd{ID: try("j", 1), Outcome: state.OutcomeLost})
+	b.advance(2500*ms, nil)
+	is.Equal(b.scheduler.InInitialWait, false)
+	is.Equal(b.ends[0], state.AttemptEnd{ID: newAttempt("j", 1), Outcome: state.OutcomeLost})
 }
 
 func TestReplacedWorkerComesBack(t *testing.T) {
 	is := is.New(t)
-	b := newBench()
-	old := b.agent("w", "s")
-	b.pass(4*time.Second, nil)
-	was := old.id
-	delete(b.hands, "w")
-	fresh := b.agent("v", "s")
-	b.pass(600*ms, nil)
-	is.Equal(b.head.seats["s"].ID, was) // only a lost one may be replaced
-	b.pass(3500*ms, nil)
-	is.Equal(b.head.seats["s"].ID, fresh.id)
-	b.hands["w"] = old
-	old.good, old.until = b.now, b.now.Add(time.Second) // it believes itself well
+	b := newTestCluster()
+	old := b.newAgent("w", "s")
+	b.advance(4*time.Second, nil)
+	was := old.instance
+	delete(b.executors, "w")
+	fresh := b.newAgent("v", "s")
+	b.advance(600*ms, nil)
+	is.Equal(b.scheduler.workers["s"].Instance, was) // only a lost one may be replaced
+	b.advance(3500*ms, nil)
+	is.Equal(b.scheduler.workers["s"].Instance, fresh.instance)
+	b.executors["w"] = old
+	old.lastGrantSentAt, old.leaseUntil = b.now, b.now.Add(time.Second) // it believes itself well
 	b.now = b.now.Add(400 * ms)
 	old.Tick(b.now, "h")
-	b.flow(nil)
+	b.deliver(nil)
 	is.Equal(old.state, MustDie)
-	is.Equal(b.head.seats["s"].ID, fresh.id)
+	is.Equal(b.scheduler.workers["s"].Instance, fresh.instance)
 }
 
 func TestOldLeaderIsRefused(t *testing.T) {
-	is, b, w := calm(t)
-	old := b.head
-	b.lead(2)
-	b.pass(time.Second, nil)
+	is, b, w := newHealthyCluster(t)
+	old := b.scheduler
+	b.newLeader(2)
+	b.advance(time.Second, nil)
 	is.Equal(w.term, types.Term(2))
-	b.head = old
-	order(b, "s", try("j", 1))
-	b.flow(nil)
+	b.scheduler = old
+	runTask(b, "s", newAttempt("j", 1))
+	b.deliver(nil)
 	is.Equal(len(w.attempts), 0)
-	is.Equal(w.lead, types.Addr("h"))
+	is.Equal(w.leader, types.Addr("h"))
 }
 
 func TestSettledLostKeepsAGoodEnd(t *testing.T) {
-	is, b, w := calm(t)
-	order(b, "s", try("j", 1))
-	b.flow(nil)
-	w.finish(w.attempts[try("j", 1)], state.OutcomeOK)
-	b.head.Settle([]state.AttemptEnd{{ID: try("j", 1), Outcome: state.OutcomeLost}})
-	b.flow(nil)
-	is.Equal(w.attempts[try("j", 1)].settled, false)
+	is, b, w := newHealthyCluster(t)
+	runTask(b, "s", newAttempt("j", 1))
+	b.deliver(nil)
+	w.endAttempt(w.attempts[newAttempt("j", 1)], state.OutcomeOK)
+	b.scheduler.OnEndsCommitted([]state.AttemptEnd{{ID: newAttempt("j", 1), Outcome: state.OutcomeLost}})
+	b.deliver(nil)
+	is.Equal(w.attempts[newAttempt("j", 1)].committed, false)
 }
 
 // A grant counts from the agent's own stamp: however late the answer comes, the
 // grant ends when it would have.
 func TestLateGrantIsStale(t *testing.T) {
-	is, b, w := calm(t)
-	w.beat, b.now = never, b.now.Add(10*ms)
+	is, b, w := newHealthyCluster(t)
+	w.lastHeartbeatAt, b.now = never, b.now.Add(10*ms)
 	w.Tick(b.now, "h")
 	at := b.now
-	late := b.flow(kind(wire.Beaten))
+	late := b.deliver(ofKind(wire.Beaten))
 	is.True(len(late) > 0)
 	b.now = at.Add(3 * time.Second)
-	b.give(late[len(late)-1])
-	is.True(w.until <= at.Add(Defaults.Grant))
-	is.Equal(b.poll(w, w.call+1).Until, b.now) // nothing is left to give on
+	b.deliverOne(late[len(late)-1])
+	is.True(w.leaseUntil <= at.Add(Defaults.AgentLease))
+	is.Equal(b.poll(w, w.lastCall+1).LeaseUntil, b.now) // nothing is left to give on
 }
 
 func TestFrozenAgentIsLostBeforeItsWorkIsGivenAgain(t *testing.T) {
-	is, b, w := calm(t)
-	order(b, "s", try("j", 1))
-	b.flow(nil)
-	until, given := w.until, w.given
+	is, b, w := newHealthyCluster(t)
+	runTask(b, "s", newAttempt("j", 1))
+	b.deliver(nil)
+	until, given := w.leaseUntil, w.workerLeaseBase
 	mute := func(s wire.Send) bool { return s.Message.From == "w" || s.To == "w" }
 	b.ends = nil
 	for len(b.ends) == 0 {
 		b.now = b.now.Add(50 * ms)
-		b.head.Tick(b.now, time.Second)
-		b.flow(mute)
+		b.scheduler.Tick(b.now, time.Second)
+		b.deliver(mute)
 	}
 	is.Equal(b.ends[0].Outcome, state.OutcomeLost)
 	is.True(b.now > until)
-	is.True(b.now > given.Add(Defaults.Worker))
+	is.True(b.now > given.Add(Defaults.WorkerLease))
 }
 
 // An attempt that its agent counts lost is in doubt until the worker is heard again:
 // then it went well, or is known to be gone, and both are told.
 func TestLostIsNotTheLastWord(t *testing.T) {
 	for _, end := range []struct {
-		told []Finish
+		told []FinishedTask
 		want state.Outcome
-	}{{nil, state.OutcomeWorkerExited}, {[]Finish{{Run{try("j", 1), types.Resources{}}, state.OutcomeOK}}, state.OutcomeOK}} {
-		is, b, w := calm(t)
-		order(b, "s", try("j", 1))
-		b.flow(nil)
-		b.poll(w, w.call+1, try("j", 1))
-		b.now = b.now.Add(Defaults.Worker + Slack + 10*ms)
+	}{{nil, state.OutcomeWorkerExited}, {[]FinishedTask{{Run{newAttempt("j", 1), types.Resources{}}, state.OutcomeOK}}, state.OutcomeOK}} {
+		is, b, w := newHealthyCluster(t)
+		runTask(b, "s", newAttempt("j", 1))
+		b.deliver(nil)
+		b.poll(w, w.lastCall+1, newAttempt("j", 1))
+		b.now = b.now.Add(Defaults.WorkerLease + WorkerStopTime + 10*ms)
 		w.Tick(b.now, "h")
-		is.Equal(w.attempts[try("j", 1)].outcome, state.OutcomeLost)
-		w.attempts[try("j", 1)].settled = true
-		w.Poll(b.now, Poll{Worker: "k", Call: w.call + 1, Stamp: b.now, Ends: end.told})
-		is.Equal(w.attempts[try("j", 1)].outcome, end.want)
-		is.Equal(w.attempts[try("j", 1)].settled, false)
+		is.Equal(w.attempts[newAttempt("j", 1)].outcome, state.OutcomeLost)
+		w.attempts[newAttempt("j", 1)].committed = true
+		w.HandlePoll(b.now, Poll{Worker: "k", Call: w.lastCall + 1, SentAt: b.now, Ended: end.told})
+		is.Equal(w.attempts[newAttempt("j", 1)].outcome, end.want)
+		is.Equal(w.attempts[newAttempt("j", 1)].committed, false)
 	}
 }
 
 // A worker looks at its grant now and then; until it has had the time to, its
 // agent does not say that an attempt is lost.
 func TestLossLeavesTheWorkerTimeToStop(t *testing.T) {
-	is, b, w := calm(t)
-	order(b, "s", try("j", 1))
-	b.flow(nil)
-	b.poll(w, w.call+1, try("j", 1))
-	b.now = w.given.Add(Defaults.Worker + Slack/2)
+	is, b, w := newHealthyCluster(t)
+	runTask(b, "s", newAttempt("j", 1))
+	b.deliver(nil)
+	b.poll(w, w.lastCall+1, newAttempt("j", 1))
+	b.now = w.workerLeaseBase.Add(Defaults.WorkerLease + WorkerStopTime/2)
 	w.Tick(b.now, "h")
-	is.True(w.attempts[try("j", 1)].part != ended)
+	is.True(w.attempts[newAttempt("j", 1)].state != attemptEnded)
 }
 
 // The initial wait counts from when an earlier leader can last have had authority.
 func TestInitialWaitCountsFromTheLastAuthority(t *testing.T) {
 	is := is.New(t)
-	b := newBench()
+	b := newTestCluster()
 	for _, ago := range []time.Duration{0, 900 * time.Millisecond, time.Hour} {
-		h := NewScheduler(b.now, b.now.Add(-ago), Defaults, "h", 2, []Hold{{Attempt: try("j", 1), Shard: "s"}})
-		h.Taken, h.Doubts = func(state.AttemptEnd) bool { return false }, func(types.Shard) []types.AttemptID { return nil }
-		h.Apart, h.Invoked = func(types.Shard) bool { return false }, func(types.Shard) bool { return true }
-		for at := time.Duration(0); at < Defaults.Loss+time.Second; at += 10 * time.Millisecond {
+		h := NewScheduler(b.now, b.now.Add(-ago), Defaults, "h", 2, []OutstandingAttempt{{Attempt: newAttempt("j", 1), Shard: "s"}})
+		h.EndRecorded, h.Unresolved = func(state.AttemptEnd) bool { return false }, func(types.Shard) []types.AttemptID { return nil }
+		h.Partitioned, h.Invoked = func(types.Shard) bool { return false }, func(types.Shard) bool { return true }
+		for at := time.Duration(0); at < Defaults.LostAfter+time.Second; at += 10 * time.Millisecond {
 			h.Tick(b.now.Add(at), time.Second)
-			is.Equal(h.Wait, at+ago <= Defaults.Loss+Defaults.Beat)
+			is.Equal(h.InInitialWait, at+ago <= Defaults.LostAfter+Defaults.HeartbeatInterval)
 		}
 	}
 }
--- a/internal/dispatch/watch.go
+++ b/internal/dispatch/watch.go
@@ -13,158 +13,158 @@
 	"coppercourse/internal/wire"
 )
 
-// sweep is how much time passes before all seats are looked at again.
-const sweep = 10 * time.Millisecond
+// sweepInterval is how much time passes before all seats are looked at again.
+const sweepInterval = 10 * time.Millisecond
 
 // Tick lets time pass. Grace is how long the leader's own authority lasts.
 func (sc *Scheduler) Tick(now types.MonoTime, grace time.Duration) {
-	sc.now, sc.grace = now, grace
-	if now.Sub(sc.swept) < sweep {
+	sc.now, sc.authorityLeft = now, grace
+	if now.Sub(sc.lastSweepAt) < sweepInterval {
 		return
 	}
-	sc.swept = now
-	for _, s := range sc.order {
-		sc.judge(s)
+	sc.lastSweepAt = now
+	for _, s := range sc.sortedWorkers {
+		sc.updateHealth(s)
 		if s.State == New {
-			sc.ask(s)
+			sc.askRunningTasks(s)
 		}
 	}
-	sc.chase()
-	if now.Sub(sc.pruned) > time.Second {
-		sc.pruned = now
-		sc.outlive()
+	sc.resolveUnsure()
+	if now.Sub(sc.lastPruneAt) > time.Second {
+		sc.lastPruneAt = now
+		sc.pruneStages()
 	}
-	if sc.Wait {
-		sc.wake()
+	if sc.InInitialWait {
+		sc.endInitialWait()
 	}
 }
 
-// judge moves one seat through the health machine.
-func (sc *Scheduler) judge(s *WorkerEntry) {
-	quiet := sc.now.Sub(s.Good)
+// updateHealth moves one seat through the health machine.
+func (sc *Scheduler) updateHealth(s *RemoteWorker) {
+	quiet := sc.now.Sub(s.LastHealthyAt)
 	var to Health
 	switch {
 	case s.State == MustDie:
 		return
-	case quiet > sc.pace.Loss:
+	case quiet > sc.timeouts.LostAfter:
 		to = MustDie
 	case s.State == New:
 		return
-	case quiet > sc.pace.Ill:
+	case quiet > sc.timeouts.UnhealthyAfter:
 		to = Unhealthy
-	case s.Been || sc.sets.permits(s):
-		to, s.Been = Healthy, true
+	case s.HasBeenHealthy || sc.workerSets.permitsHealthy(s):
+		to, s.HasBeenHealthy = Healthy, true
 	default:
 		to = Unhealthy
 	}
 	if to != s.State {
-		s.State, s.Since = to, sc.now
+		s.State, s.StateSince = to, sc.now
 	}
 	if to == MustDie {
-		sc.lose(s)
+		sc.markLost(s)
 	}
 }
 
-// lose forgets what a lost worker ran; its grants have lapsed by now.
-func (sc *Scheduler) lose(s *WorkerEntry) {
-	outcome := sc.gone(s.Shard)
-	for _, o := range sc.holds.of(s.Shard) {
-		sc.drop(o.Attempt, outcome)
+// markLost forgets what a lost worker ran; its grants have lapsed by now.
+func (sc *Scheduler) markLost(s *RemoteWorker) {
+	outcome := sc.lossOutcome(s.Shard)
+	for _, o := range sc.attempts.onShard(s.Shard) {
+		sc.reportEnd(o.Attempt, outcome)
 	}
-	sc.sets.exit(s)
-	sc.say(s, wire.Quit, Quit{sc.top(s)})
+	sc.workerSets.removeLost(s)
+	sc.send(s, wire.Quit, RequestSuicide{sc.header(s)})
 }
 
-// wake ends the initial wait: by time, counted from when an earlier leader can
+// endInitialWait ends the initial wait: by time, counted from when an earlier leader can
 // last have let anybody run anything, when every worker that still did so has had
 // to stop; or early, when all agents that came carry the same
 // worker set, it is just the set of those that came, and no attempt in the log
 // waits to be heard of. The last is more than the paper asks.
-func (sc *Scheduler) wake() {
-	late := sc.now.Sub(sc.ruled) > sc.pace.Loss+sc.pace.Beat
-	sc.Why = sc.short()
-	if !late && sc.Why != "" {
+func (sc *Scheduler) endInitialWait() {
+	late := sc.now.Sub(sc.priorAuthorityEnd) > sc.timeouts.LostAfter+sc.timeouts.HeartbeatInterval
+	sc.InitialWaitReason = sc.initialWaitReason()
+	if !late && sc.InitialWaitReason != "" {
 		return
 	}
-	sc.Wait, sc.Why = false, ""
-	for _, o := range sc.holds.dims(sc.seats) {
-		sc.drop(o.Attempt, sc.gone(o.Shard))
+	sc.InInitialWait, sc.InitialWaitReason = false, ""
+	for _, o := range sc.attempts.unconfirmedWithoutWorker(sc.workers) {
+		sc.reportEnd(o.Attempt, sc.lossOutcome(o.Shard))
 	}
 }
 
-// short says why the wait can't be cut short, or nothing.
-func (sc *Scheduler) short() string {
-	want := sc.set()
+// initialWaitReason says why the wait can't be cut short, or nothing.
+func (sc *Scheduler) initialWaitReason() string {
+	want := sc.currentWorkerSet()
 	if want.Size == 0 {
 		return "no agent has come yet"
 	}
-	for _, s := range sc.order {
+	for _, s := range sc.sortedWorkers {
 		if s.State == MustDie {
 			continue
 		}
 		if s.State == New {
 			return "agent of " + string(s.Shard) + " has not told what runs"
 		}
-		if s.old.Hash != want.Hash || s.old.Size != want.Size {
+		if s.initialWorkerSet.Hash != want.Hash || s.initialWorkerSet.Size != want.Size {
 			return "the agents do not agree on the worker set"
 		}
 	}
-	if n := sc.holds.dim; n > 0 {
+	if n := sc.attempts.unconfirmed; n > 0 {
 		return fmt.Sprintf("%d legs given out before are not heard of", n)
 	}
 	return ""
 }
 
-// chase repeats orders' doubts and stops.
-func (sc *Scheduler) chase() {
-	for _, o := range sc.holds.overdue(sc.now.Add(-sc.pace.Again)) {
-		sc.holds.turn(o, unsure)
+// resolveUnsure repeats orders' doubts and stops.
+func (sc *Scheduler) resolveUnsure() {
+	for _, o := range sc.attempts.takeOverdue(sc.now.Add(-sc.timeouts.RetryInterval)) {
+		sc.attempts.setPhase(o, unsureIfRunning)
 	}
-	for _, k := range sorted(sc.holds.open) {
-		s := sc.seats[k]
-		if s == nil || s.State == MustDie || s.State == New || sc.now.Sub(s.query) < sc.pace.Again {
+	for _, k := range sortedShards(sc.attempts.unsureShards) {
+		s := sc.workers[k]
+		if s == nil || s.State == MustDie || s.State == New || sc.now.Sub(s.queriedAt) < sc.timeouts.RetryInterval {
 			continue
 		}
 		var attempts []types.AttemptID
-		for _, o := range sc.holds.of(k) {
-			if o.Phase == unsure {
+		for _, o := range sc.attempts.onShard(k) {
+			if o.Phase == unsureIfRunning {
 				attempts = append(attempts, o.Attempt)
 			}
 		}
-		s.query = sc.now
-		s.seq++
-		if len(s.quest) > 16 {
-			clear(s.quest)
+		s.queriedAt = sc.now
+		s.querySequence++
+		if len(s.openQueries) > 16 {
+			clear(s.openQueries)
 		}
-		s.quest[s.seq] = attempts
-		sc.say(s, wire.Query, Query{sc.top(s), s.seq, attempts})
+		s.openQueries[s.querySequence] = attempts
+		sc.send(s, wire.Query, NotifyIfTasksNotRunning{sc.header(s), s.querySequence, attempts})
 	}
 }
 
-// Halt asks for attempts to be stopped, again and again until they have ended; late
+// KillTasks asks for attempts to be stopped, again and again until they have ended; late
 // ones are past the time their queue allows. Attempts of this leadership that were
 // never sent are left alone.
-func (sc *Scheduler) Halt(attempts, late []types.AttemptID) {
+func (sc *Scheduler) KillTasks(attempts, late []types.AttemptID) {
 	by := map[types.Shard][]types.AttemptID{}
 	for _, l := range append(attempts, late...) {
-		o := sc.holds.by[l]
-		if o == nil || o.halt != 0 && sc.now.Sub(o.halt) < sc.pace.Again/2 {
+		o := sc.attempts.byID[l]
+		if o == nil || o.killSentAt != 0 && sc.now.Sub(o.killSentAt) < sc.timeouts.RetryInterval/2 {
 			continue
 		}
-		o.halt = sc.now
+		o.killSentAt = sc.now
 		by[o.Shard] = append(by[o.Shard], l)
 	}
-	for _, k := range sorted(by) {
-		if s := sc.seats[k]; s != nil && s.State != MustDie && s.State != New {
-			sc.say(s, wire.Stop, Stop{sc.top(s), by[k], late})
+	for _, k := range sortedShards(by) {
+		if s := sc.workers[k]; s != nil && s.State != MustDie && s.State != New {
+			sc.send(s, wire.Stop, KillTasks{sc.header(s), by[k], late})
 		}
 	}
 }
 
-// Strays lists attempts that an agent runs but the log does not have as given out.
-func (sc *Scheduler) Strays() (list []types.AttemptID) {
-	for l, o := range sc.holds.alien {
-		if o.Phase == sure && sc.Taken(state.AttemptEnd{ID: l, Outcome: state.OutcomeStopped}) {
+// UnknownAttempts lists attempts that an agent runs but the log does not have as given out.
+func (sc *Scheduler) UnknownAttempts() (list []types.AttemptID) {
+	for l, o := range sc.attempts.unknownToLog {
+		if o.Phase == confirmedRunning && sc.EndRecorded(state.AttemptEnd{ID: l, Outcome: state.OutcomeStopped}) {
 			list = append(list, l)
 		}
 	}
@@ -172,54 +172,54 @@
 	return
 }
 
-// Missing lists attempts whose agent has still not come to this leadership when a
+// OverdueAttempts lists attempts whose agent has still not come to this leadership when a
 // sound one would have.
-func (sc *Scheduler) Missing() (list []*Hold) {
-	if !sc.Wait || sc.now.Sub(sc.born) <= sc.pace.Ill {
+func (sc *Scheduler) OverdueAttempts() (list []*OutstandingAttempt) {
+	if !sc.InInitialWait || sc.now.Sub(sc.startedAt) <= sc.timeouts.UnhealthyAfter {
 		return nil
 	}
-	return sc.holds.dims(sc.seats)
+	return sc.attempts.unconfirmedWithoutWorker(sc.workers)
 }
 
-// Holds lists the attempts that possibly run, by shard.
-func (sc *Scheduler) Holds() []*Hold { return sc.holds.all() }
+// Attempts lists the attempts that possibly run, by shard.
+func (sc *Scheduler) Attempts() []*OutstandingAttempt { return sc.attempts.all() }
 
-// Running lists those of one shard in order, with a number that differs whenever the
+// AttemptsOn lists those of one shard in order, with a number that differs whenever the
 // list does; the list is the scheduler's own and holds until its next step.
-func (sc *Scheduler) Running(shard types.Shard) ([]*Hold, uint64) {
-	var list []*Hold
-	if x := sc.holds.on[shard]; x != nil {
+func (sc *Scheduler) AttemptsOn(shard types.Shard) ([]*OutstandingAttempt, uint64) {
+	var list []*OutstandingAttempt
+	if x := sc.attempts.byShard[shard]; x != nil {
 		list = x.list
 	}
-	return list, sc.holds.revisions[shard]
+	return list, sc.attempts.revisions[shard]
 }
 
-// Where is the shard on which an attempt possibly runs, or nothing.
-func (sc *Scheduler) Where(attempt types.AttemptID) types.Shard {
-	if o := sc.holds.by[attempt]; o != nil {
+// ShardOf is the shard on which an attempt possibly runs, or nothing.
+func (sc *Scheduler) ShardOf(attempt types.AttemptID) types.Shard {
+	if o := sc.attempts.byID[attempt]; o != nil {
 		return o.Shard
 	}
 	return ""
 }
 
-// Free is a seat's room less what its agent believes it to lack and all that possibly
+// FreeCapacity is a seat's room less what its agent believes it to lack and all that possibly
 // runs on it.
-func (sc *Scheduler) Free(s *WorkerEntry) types.Resources {
-	return s.Room.Sub(s.Lacks).Sub(sc.holds.used(s.Shard))
+func (sc *Scheduler) FreeCapacity(s *RemoteWorker) types.Resources {
+	return s.Capacity.Sub(s.Shortfall).Sub(sc.attempts.reservedOn(s.Shard))
 }
 
-var heads = map[string]func(*Scheduler, wire.Message){
-	wire.Beat:    wire.On((*Scheduler).onBeat),
-	wire.Account: wire.On((*Scheduler).onAccount),
-	wire.Ordered: wire.On((*Scheduler).onOrdered),
-	wire.Queried: wire.On((*Scheduler).onQueried),
-	wire.Status:  wire.On((*Scheduler).onStatus),
+var schedulerHandlers = map[string]func(*Scheduler, wire.Message){
+	wire.Beat:    wire.On((*Scheduler).onHeartbeat),
+	wire.Account: wire.On((*Scheduler).onRunningTasksReply),
+	wire.Ordered: wire.On((*Scheduler).onRunTaskReply),
+	wire.Queried: wire.On((*Scheduler).onNotifyReply),
+	wire.Status:  wire.On((*Scheduler).onUpdateStatus),
 }
 
-// Take handles an agent's note.
-func (sc *Scheduler) Take(now types.MonoTime, grace time.Duration, n wire.Message) {
-	sc.now, sc.grace = now, grace
-	if f := heads[n.Kind]; f != nil {
+// HandleMessage handles an agent's note.
+func (sc *Scheduler) HandleMessage(now types.MonoTime, grace time.Duration, n wire.Message) {
+	sc.now, sc.authorityLeft = now, grace
+	if f := schedulerHandlers[n.Kind]; f != nil {
 		f(sc, n)
 	}
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -101,7 +101,7 @@
 	Workers []ReservedWorker
 }
 
-// WorkerEntry is a worker and for how many tasks room is kept there.
+// RemoteWorker is a worker and for how many tasks room is kept there.
 type ReservedWorker struct {
 	Shard types.Shard
 	Tasks int
--- a/internal/raft/observe.go
+++ b/internal/raft/observe.go
@@ -22,7 +22,7 @@
 	return n.leaderAddr
 }
 
-// ID is the identity of this member, drawn with its empty data folder.
+// Instance is the identity of this member, drawn with its empty data folder.
 func (n *Node) ID() types.ID { return n.self.ID }
 
 // ClusterName is the cluster that this member belongs to, or empty.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -45,8 +45,8 @@
 // Defaults are the settings before file and flags.
 func Defaults() Settings {
 	t, a := dispatch.Defaults, raft.DefaultTimeouts
-	return Settings{Listen: "127.0.0.1:7400", Log: "info", Bounds: Usual, Pace: Timeouts{Beat: ms(t.Beat), Ill: ms(t.Ill), Loss: ms(t.Loss),
-		Grant: ms(t.Grant), Worker: ms(t.Worker), Again: ms(t.Again), Round: ms(a.HeartbeatInterval), Election: ms(a.MinElectionTimeout),
+	return Settings{Listen: "127.0.0.1:7400", Log: "info", Bounds: Usual, Pace: Timeouts{Beat: ms(t.HeartbeatInterval), Ill: ms(t.UnhealthyAfter), Loss: ms(t.LostAfter),
+		Grant: ms(t.AgentLease), Worker: ms(t.WorkerLease), Again: ms(t.RetryInterval), Round: ms(a.HeartbeatInterval), Election: ms(a.MinElectionTimeout),
 		Stall: ms(a.StallTimeout), Dead: ms(a.ReplaceAfter), Stale: ms(configwatch.DefaultStaleAfter)}}
 }
 
@@ -130,7 +130,7 @@
 func (t Timeouts) check(h *apierror.ErrorList) {
 	h.Check(t.Worker < t.Grant, "pace.worker_ms", "must be less than grant_ms: the worker's grant ends first")
 	h.Check(t.Grant*5 <= t.Loss*4, "pace.grant_ms", "must be at most four fifths of loss_ms: an agent's grant ends before it is counted lost, drift included")
-	h.Check(t.Grant+ms(dispatch.Slack) < t.Loss, "pace.loss_ms", "must be more than grant_ms and the 150 ms that a worker may take to stop")
+	h.Check(t.Grant+ms(dispatch.WorkerStopTime) < t.Loss, "pace.loss_ms", "must be more than grant_ms and the 150 ms that a worker may take to stop")
 	h.Check(t.Grant <= 2500, "pace.grant_ms", "must be at most 2500: a cancel holds within 3 s, however cut")
 	h.Check(3*t.Beat <= t.Ill, "pace.ill_ms", "must be at least three beats")
 	h.Check(2*t.Ill <= t.Loss, "pace.loss_ms", "must be at least twice ill_ms")
@@ -143,7 +143,7 @@
 
 // Truth and Core give the paces that the machines take.
 func (t Timeouts) Truth() dispatch.Timeouts {
-	return dispatch.Timeouts{Beat: un(t.Beat), Ill: un(t.Ill), Loss: un(t.Loss), Grant: un(t.Grant), Worker: un(t.Worker), Again: un(t.Again)}
+	return dispatch.Timeouts{HeartbeatInterval: un(t.Beat), UnhealthyAfter: un(t.Ill), LostAfter: un(t.Loss), AgentLease: un(t.Grant), WorkerLease: un(t.Worker), RetryInterval: un(t.Again)}
 }
 
 func (t Timeouts) Core() raft.Timeouts {
@@ -153,7 +153,7 @@
 // Dispatch is the pace of attempts, with what is known of the workers.
 func (s Settings) Dispatch() dispatch.Timeouts {
 	timeouts := s.Pace.Truth()
-	timeouts.Drain = un(s.Bounds.Drain)
+	timeouts.DrainTime = un(s.Bounds.Drain)
 	return timeouts
 }
 
--- a/internal/types/types.go
+++ b/internal/types/types.go
@@ -20,7 +20,7 @@
 type (
 	// Addr is the IP:port by which other daemons reach a daemon or a worker.
 	Addr string
-	// ID is a random identity of a process, a member or an instance; see Mint.
+	// Instance is a random identity of a process, a member or an instance; see Mint.
 	ID string
 	// Zone is a failure domain of the deployment.
 	Zone string
@@ -128,7 +128,7 @@
 // Less reports whether the attempt sorts before another.
 func (a AttemptID) Less(o AttemptID) bool { return a.Compare(o) < 0 }
 
-// idLength is the number of hexadecimal digits in an ID: 48 random bits.
+// idLength is the number of hexadecimal digits in an Instance: 48 random bits.
 const idLength = 12
 
 // NewID makes a random identity.
--- a/internal/wire/call.go
+++ b/internal/wire/call.go
@@ -97,7 +97,7 @@
 }
 
 // WorkerBeat is the heartbeat of an invoked worker. Seq rises with each one;
-// Clock is the worker's clock in milliseconds; LeaveMS, with Leaving, is how long
+// Clock is the worker's clock in milliseconds; DepartsInMS, with Leaving, is how long
 // it will still be there; Cold is how long it is still slow from its start, in ms.
 type WorkerBeat struct {
 	Life    types.ID            `json:"life"`
--- a/internal/wire/step.go
+++ b/internal/wire/step.go
@@ -88,7 +88,7 @@
 	return b
 }
 
-// CallBody is the body of a Call: a client's request that a gateway forwards. ID
+// CallBody is the body of a Call: a client's request that a gateway forwards. Instance
 // is the gateway's own number for it.
 type CallBody struct {
 	ID   uint64          `json:"id"`
@@ -97,7 +97,7 @@
 	Body json.RawMessage `json:"body,omitempty"`
 }
 
-// ReplyBody is the body of a Reply: the response to the request with that ID.
+// ReplyBody is the body of a Reply: the response to the request with that Instance.
 type ReplyBody struct {
 	ID    uint64          `json:"id"`
 	Code  int             `json:"code"`
--- a/sim/check.go
+++ b/sim/check.go
@@ -90,7 +90,7 @@
 // alone is how long a gang's member may run on after a peer was lost: until the
 // loss is known, an election, a commit, and a stop repeated until it arrives.
 func alone(p dispatch.Timeouts, a raft.Timeouts) time.Duration {
-	return p.Loss + p.Beat + 2*a.MinElectionTimeout + a.StallTimeout + p.Again/2 + dispatch.Slack + 400*time.Millisecond
+	return p.LostAfter + p.HeartbeatInterval + 2*a.MinElectionTimeout + a.StallTimeout + p.RetryInterval/2 + dispatch.WorkerStopTime + 400*time.Millisecond
 }
 
 // Rules are the brief's bounds.
--- a/sim/planted_test.go
+++ b/sim/planted_test.go
@@ -82,23 +82,23 @@
 			h.deaf = true
 		}
 	}},
-	{"accounts hide what runs", []string{"handover"}, []string{"again"}, 30 * time.Second, false, onMessage(wire.Account, func(a *dispatch.RunningTasks) { a.Runs = nil })},
+	{"accounts hide what runs", []string{"handover"}, []string{"again"}, 30 * time.Second, false, onMessage(wire.Account, func(a *dispatch.RunningTasksReply) { a.Tasks = nil })},
 	{"good ends told as stops", nil, []string{"again"}, 30 * time.Second, true, onPoll(func(p *dispatch.Poll) {
-		for i := range p.Ends {
-			p.Ends[i].Outcome = state.OutcomeStopped
+		for i := range p.Ended {
+			p.Ended[i].Outcome = state.OutcomeStopped
 		}
 	})},
 	{"failures told as stops", nil, []string{"tries"}, 30 * time.Second, false, onPoll(func(p *dispatch.Poll) {
-		for i := range p.Ends {
-			if p.Ends[i].Outcome == state.OutcomeFailed {
-				p.Ends[i].Outcome = state.OutcomeStopped
+		for i := range p.Ended {
+			if p.Ended[i].Outcome == state.OutcomeFailed {
+				p.Ended[i].Outcome = state.OutcomeStopped
 			}
 		}
 	})},
 	{"workers report what they are not", nil, []string{"service", "rack", "room"}, 30 * time.Second, false, onPoll(func(p *dispatch.Poll) {
-		p.Kinds, p.Room, p.Rack = []types.ServiceKind{"quote", "menu", "pay"}, types.Resources{Cores: 4000 * types.Core, MemoryMB: 4_000_000}, "r1"
+		p.Kinds, p.Capacity, p.Rack = []types.ServiceKind{"quote", "menu", "pay"}, types.Resources{Cores: 4000 * types.Core, MemoryMB: 4_000_000}, "r1"
 	})},
-	{"nobody hears that a worker leaves", []string{"leave-worker"}, []string{"leaving"}, 30 * time.Second, false, onPoll(func(p *dispatch.Poll) { p.Leave = false })},
+	{"nobody hears that a worker leaves", []string{"leave-worker"}, []string{"leaving"}, 30 * time.Second, false, onPoll(func(p *dispatch.Poll) { p.Draining = false })},
 	{"spread is forgotten", nil, []string{"spread"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.MaxPerWorker = 0 })},
 	{"times are forgotten", nil, []string{"early"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.DelayMillis, s.NotBefore = 0, "" })},
 	{"dependencies are forgotten", nil, []string{"order"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.DependsOn = nil })},
--- a/sim/polling_node.go
+++ b/sim/polling_node.go
@@ -109,7 +109,7 @@
 	p := pn.w.Call(pn.node.mono())
 	on := func() bool { return pn.gen == gen && pn.w != nil && p.Call == pn.w.call }
 	took := func(n *node) {
-		for _, e := range p.Ends {
+		for _, e := range p.Ended {
 			if pn.told[e.Attempt] != n.gen {
 				pn.told[e.Attempt] = n.gen
 				w.record(HistoryEvent{What: Heard, Who: n.name(), Attempt: e.Attempt, Outcome: e.Outcome})
@@ -121,7 +121,7 @@
 			if !on() {
 				return
 			}
-			var r dispatch.Answer
+			var r dispatch.PollReply
 			if a.Fault == nil && json.Unmarshal(a.Body, &r) == nil {
 				pn.w.Take(pn.node.mono(), r)
 			}
--- a/sim/work.go
+++ b/sim/work.go
@@ -41,7 +41,7 @@
 		}
 		mu.Lock()
 		if ok {
-			for _, e := range p.Ends {
+			for _, e := range p.Ended {
 				if !told[e.Attempt] {
 					told[e.Attempt] = true
 					tell(HistoryEvent{What: Heard, Who: agent, Attempt: e.Attempt, Outcome: e.Outcome})
@@ -69,7 +69,7 @@
 	}
 }
 
-func post(ctx context.Context, client *http.Client, agent string, p dispatch.Poll) (a dispatch.Answer, ok bool) {
+func post(ctx context.Context, client *http.Client, agent string, p dispatch.Poll) (a dispatch.PollReply, ok bool) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+agent+"/v1/poll", bytes.NewReader(wire.Body(p)))
 	if err != nil {
 		return a, false
--- a/sim/worker.go
+++ b/sim/worker.go
@@ -30,7 +30,7 @@
 }
 
 type run struct {
-	job     dispatch.Job
+	job     dispatch.AttemptSpec
 	ends    types.MonoTime
 	outcome state.Outcome
 	crash   bool
@@ -49,7 +49,7 @@
 	call          uint64
 	until         types.MonoTime
 	runs          map[types.AttemptID]*run
-	ends          map[types.AttemptID]dispatch.Finish
+	ends          map[types.AttemptID]dispatch.FinishedTask
 	News          bool // an attempt has ended since the latest call
 	tell          func(HistoryEvent)
 }
@@ -59,7 +59,7 @@
 	if m.Slow == 0 {
 		m.Slow = 1
 	}
-	return &Worker{WorkerSpec: m, ID: id, rnd: rnd, runs: map[types.AttemptID]*run{}, ends: map[types.AttemptID]dispatch.Finish{}, tell: tell, until: -1 << 61}
+	return &Worker{WorkerSpec: m, ID: id, rnd: rnd, runs: map[types.AttemptID]*run{}, ends: map[types.AttemptID]dispatch.FinishedTask{}, tell: tell, until: -1 << 61}
 }
 
 func (w *Worker) say(what EventKind, l types.AttemptID, f state.Outcome) {
@@ -93,7 +93,7 @@
 func (w *Worker) end(r *run, f state.Outcome) {
 	delete(w.runs, r.job.Attempt)
 	w.News = true
-	w.ends[r.job.Attempt] = dispatch.Finish{Run: dispatch.Run{Attempt: r.job.Attempt, Room: r.job.Room}, Outcome: f}
+	w.ends[r.job.Attempt] = dispatch.FinishedTask{Run: dispatch.Run{Attempt: r.job.Attempt, Resources: r.job.Resources}, Outcome: f}
 	w.say(Ended, r.job.Attempt, f)
 }
 
@@ -102,28 +102,28 @@
 	w.Tick(now)
 	w.call++
 	w.News = false
-	p := dispatch.Poll{Worker: w.ID, Agent: w.Agent, Call: w.call, Stamp: now, Rack: w.Rack, Kinds: w.Kinds, Room: w.Room, Leave: w.Leave}
+	p := dispatch.Poll{Worker: w.ID, Agent: w.Agent, Call: w.call, SentAt: now, Rack: w.Rack, Kinds: w.Kinds, Capacity: w.Room, Draining: w.Leave}
 	if w.Leave && w.Goes > 0 {
-		p.GoMS = max(1, w.Goes.Sub(now).Milliseconds())
+		p.DepartsInMS = max(1, w.Goes.Sub(now).Milliseconds())
 	}
 	for _, l := range w.sorted() {
-		p.Runs = append(p.Runs, dispatch.Run{Attempt: l, Room: w.runs[l].job.Room})
+		p.Running = append(p.Running, dispatch.Run{Attempt: l, Resources: w.runs[l].job.Resources})
 	}
 	for _, f := range w.ends {
-		p.Ends = append(p.Ends, f)
+		p.Ended = append(p.Ended, f)
 	}
-	sort.Slice(p.Ends, func(i, k int) bool { return p.Ends[i].Attempt.Less(p.Ends[k].Attempt) })
+	sort.Slice(p.Ended, func(i, k int) bool { return p.Ended[i].Attempt.Less(p.Ended[k].Attempt) })
 	return p
 }
 
 // Take heeds an answer, if it is to the latest call.
-func (w *Worker) Take(now types.MonoTime, a dispatch.Answer) {
+func (w *Worker) Take(now types.MonoTime, a dispatch.PollReply) {
 	w.Tick(now)
 	if a.Call != w.call {
 		return
 	}
-	w.Agent, w.until = a.Agent, a.Until
-	for _, l := range a.Settled {
+	w.Agent, w.until = a.Agent, a.LeaseUntil
+	for _, l := range a.Committed {
 		if _, ok := w.ends[l]; ok {
 			delete(w.ends, l)
 			w.say(Settled, l, "")
@@ -137,25 +137,25 @@
 	w.Tick(now)
 	free := w.Room
 	for _, r := range w.runs {
-		free = free.Sub(r.job.Room)
+		free = free.Sub(r.job.Resources)
 	}
 	for _, j := range a.Start {
 		if _, old := w.ends[j.Attempt]; old || w.runs[j.Attempt] != nil || now >= w.until {
 			continue
 		}
-		if (w.Leave || !free.Contains(j.Room)) && !w.Willing {
-			w.ends[j.Attempt] = dispatch.Finish{Run: dispatch.Run{Attempt: j.Attempt, Room: j.Room}, Outcome: state.OutcomeNeverRan}
+		if (w.Leave || !free.Contains(j.Resources)) && !w.Willing {
+			w.ends[j.Attempt] = dispatch.FinishedTask{Run: dispatch.Run{Attempt: j.Attempt, Resources: j.Resources}, Outcome: state.OutcomeNeverRan}
 			w.say(Spared, j.Attempt, state.OutcomeNeverRan)
 			continue
 		}
-		free = free.Sub(j.Room)
+		free = free.Sub(j.Resources)
 		w.start(now, j)
 	}
 }
 
-func (w *Worker) start(now types.MonoTime, j dispatch.Job) {
+func (w *Worker) start(now types.MonoTime, j dispatch.AttemptSpec) {
 	var k Work
-	json.Unmarshal(j.Work, &k)
+	json.Unmarshal(j.Input, &k)
 	long := float64(k.MS) * w.Slow
 	if w.Stall > 0 && w.rnd.Float64() < w.Stall {
 		long *= 10
--- a/sim/world.go
+++ b/sim/world.go
@@ -205,7 +205,7 @@
 	if message.Kind != wire.Status {
 		return
 	}
-	u, _ := wire.Read[dispatch.Status](message)
+	u, _ := wire.Read[dispatch.UpdateStatus](message)
 	for _, e := range u.Ends {
 		if e.Outcome == state.OutcomeOK || e.Outcome == state.OutcomeFailed {
 			n.w.record(HistoryEvent{What: Heard, Who: n.name(), Attempt: e.ID, Outcome: e.Outcome})
@@ -359,7 +359,7 @@
 		}
 		n.disk.synced = n.disk.synced[:keep]
 		core := w.raftTimeouts
-		core.AuthorityLease = w.timeouts.Grant
+		core.AuthorityLease = w.timeouts.AgentLease
 		return controller.New(n.clock(), w.chance(), controller.Options{Addr: addr, Zone: zone, Seeds: w.seeds,
 			Begin: raft.BootstrapOptions{FirstStart: n.first && !n.disk.wiped, Founders: w.founders}, Core: core, Truth: w.timeouts, Every: 600}, recs)
 	})
