--- a/cmd/coppercourse/daemons.go
+++ b/cmd/coppercourse/daemons.go
@@ -178,20 +178,20 @@
 	post := server.NewPost(context.Background(), s.Source)
 	o := server.NewOwner(post, file)
 	options := controller.Options{
-		Addr: s.Addr(), Zone: s.ZoneName(), Seeds: s.Near(), Issue: version,
-		Begin: s.Begin(), Loses: s.Loses, Core: s.Pace.Core(), Truth: s.Pace.Truth(),
+		Addr: s.Addr(), Zone: s.ZoneName(), Seeds: s.Near(), Build: version,
+		Bootstrap: s.Begin(), LossTolerance: s.Loses, RaftTimeouts: s.Pace.Core(), DispatchTimeouts: s.Pace.Truth(),
 	}
 	m := controller.New(server.Now(), randomSource(), options, records)
 	o.Carry(m)
 	var ready atomic.Bool
 	o.Show = func() any {
 		v := m.Status()
-		d.state("part", v.Part, "term", v.Term, "leader", v.Leader, "reason", v.Why, "waits", v.Wait != "", "members", len(v.Roll), "voters", v.Roll.Voters(),
-			"behind", v.Behind, "relieved", v.Sums.Relieved)
+		d.state("part", v.RaftRole, "term", v.Term, "leader", v.Leader, "reason", v.Reason, "waits", v.InitialWait != "", "members", len(v.Members), "voters", v.Members.Voters(),
+			"behind", v.Overloaded, "relieved", v.Counters.Relieved)
 		return v
 	}
 	o.After = func() { ready.Store(m.Ready()) }
-	p := &server.Pages{Owner: o, Post: post, Trail: m.Trail, Ready: ready.Load}
+	p := &server.Pages{Owner: o, Post: post, Trail: m.Trace, Ready: ready.Load}
 	return d.serve(p, p.Router())
 }
 
--- a/internal/controller/aims_test.go
+++ b/internal/controller/aims_test.go
@@ -25,23 +25,23 @@
 		tasks       int
 	}{
 		{"short work is not bound", 0, 0, 70, 10, 0, false, 3},
-		{"patient work", spareMost, 0, 70, 10, 30, false, 3},
-		{"so much at most is left", spareMost, 0, 95, 5, 8, false, 3},
-		{"less patient work", spareLater, 0, 95, 5, 25, false, 3},
-		{"just come, most is free", spareMost, 0, 0, 30, 20, false, 3},
-		{"waits, most is free", spareMost, idle, 0, 30, 0, false, 1},
-		{"waits, most is free, but its job runs", spareMost, idle, 0, 30, 20, true, 3},
-		{"waits, half is in use", spareMost, idle, 40, 10, 20, false, 3},
+		{"patient work", patientHeadroomPercent, 0, 70, 10, 30, false, 3},
+		{"so much at most is left", patientHeadroomPercent, 0, 95, 5, 8, false, 3},
+		{"less patient work", longHeadroomPercent, 0, 95, 5, 25, false, 3},
+		{"just come, most is free", patientHeadroomPercent, 0, 0, 30, 20, false, 3},
+		{"waits, most is free", patientHeadroomPercent, idleJobDelay, 0, 30, 0, false, 1},
+		{"waits, most is free, but its job runs", patientHeadroomPercent, idleJobDelay, 0, 30, 20, true, 3},
+		{"waits, half is in use", patientHeadroomPercent, idleJobDelay, 40, 10, 20, false, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := &Controller{now: types.Now{Mono: types.MonoTime(time.Hour)}, peaked: types.MonoTime(time.Hour), peaks: map[types.QueueName]float64{"quick": 80}}
+			h := &Controller{now: types.Now{Mono: types.MonoTime(time.Hour)}, peaksUpdatedAt: types.MonoTime(time.Hour), peakCores: map[types.QueueName]float64{"quick": 80}}
 			in := placement.Input{TotalCores: 100, Requests: []placement.Request{{Queue: "long", HeadroomPercent: c.spare, WaitingFor: c.since, JobIdle: !c.runs, Tasks: []int{0, 1, 2}}}, Usage: map[types.QueueName]*placement.QueueUsage{
 				"quick": {Queue: config.Queue{Name: "quick", TargetFactor: 1}, CoresInUse: c.quick}, "long": {Queue: config.Queue{Name: "long", TargetFactor: 3, Priority: 2}, CoresInUse: c.long}}}
 			if c.quick == 70 {
-				h.peaks["quick"] = 0
+				h.peakCores["quick"] = 0
 			}
-			h.caps(in)
+			h.limitLongWork(in)
 			is.Equal(in.Requests[0].MaxQueueCores, c.want)
 			is.Equal(len(in.Requests[0].Tasks), c.tasks)
 		})
--- a/internal/controller/calls.go
+++ b/internal/controller/calls.go
@@ -17,55 +17,55 @@
 	"coppercourse/internal/wire"
 )
 
-// Crowd is how many changes may wait for their commit at once.
-const Crowd = 1024
+// MaxPendingRequests is how many changes may wait for their commit at once.
+const MaxPendingRequests = 1024
 
-type verb func(h *Controller, w waiter, c wire.CallBody)
+type requestHandler func(h *Controller, w caller, c wire.CallBody)
 
-var verbs = map[string]verb{
-	"job.put":     (*Controller).putJob,
+var requestHandlers = map[string]requestHandler{
+	"job.put":     (*Controller).submitJob,
 	"job.get":     (*Controller).getJob,
 	"job.cancel":  (*Controller).cancelJob,
 	"table.put":   (*Controller).putTable,
-	"table.get":   func(h *Controller, w waiter, _ wire.CallBody) { h.good(w, 200, h.state.Table) },
-	"queues":      func(h *Controller, w waiter, _ wire.CallBody) { h.good(w, 200, h.Queues()) },
-	"workers":     func(h *Controller, w waiter, _ wire.CallBody) { h.good(w, 200, h.Workers()) },
-	"drain.put":   (*Controller).putDrain,
-	"drain.drop":  (*Controller).dropDrain,
-	"drains":      func(h *Controller, w waiter, _ wire.CallBody) { h.good(w, 200, h.Drains()) },
-	"plan.put":    (*Controller).putPlan,
-	"plan.drop":   (*Controller).dropPlan,
-	"plans":       func(h *Controller, w waiter, _ wire.CallBody) { h.good(w, 200, h.Plans()) },
-	"gone":        (*Controller).gone,
+	"table.get":   func(h *Controller, w caller, _ wire.CallBody) { h.replyOK(w, 200, h.state.Table) },
+	"queues":      func(h *Controller, w caller, _ wire.CallBody) { h.replyOK(w, 200, h.Queues()) },
+	"workers":     func(h *Controller, w caller, _ wire.CallBody) { h.replyOK(w, 200, h.Workers()) },
+	"drain.put":   (*Controller).startDrain,
+	"drain.drop":  (*Controller).cancelDrain,
+	"drains":      func(h *Controller, w caller, _ wire.CallBody) { h.replyOK(w, 200, h.Drains()) },
+	"plan.put":    (*Controller).putCalendar,
+	"plan.drop":   (*Controller).deleteCalendar,
+	"plans":       func(h *Controller, w caller, _ wire.CallBody) { h.replyOK(w, 200, h.Calendars()) },
+	"gone":        (*Controller).confirmWorkerGone,
 	"queue.count": (*Controller).countQueue,
-	"status":      func(h *Controller, w waiter, _ wire.CallBody) { h.good(w, 200, h.Status()) },
+	"status":      func(h *Controller, w caller, _ wire.CallBody) { h.replyOK(w, 200, h.Status()) },
 }
 
-func (co *Controller) call(n wire.Message) {
+func (co *Controller) handleCall(n wire.Message) {
 	if c, ok := wire.Read[wire.CallBody](n); ok {
-		co.ask(waiter{from: n.From, id: c.ID}, c)
+		co.handleRequest(caller{gateway: n.From, requestID: c.ID}, c)
 	}
 }
 
-// ask takes a request, from a gateway or that came here itself.
-func (co *Controller) ask(w waiter, c wire.CallBody) {
-	co.Sums.Calls++
+// handleRequest takes a request, from a gateway or that came here itself.
+func (co *Controller) handleRequest(w caller, c wire.CallBody) {
+	co.Counters.Calls++
 	w.term = co.raft.Term()
 	if co.scheduler == nil || !co.raft.HoldsReadLease() {
 		co.reply(w, wire.ReplyBody{Away: true, Lead: co.otherLeader()})
 		return
 	}
-	if f := co.refuses(c); f != nil {
-		co.bad(w, f)
+	if f := co.checkOverload(c); f != nil {
+		co.replyError(w, f)
 		return
 	}
-	f := verbs[c.Verb]
+	f := requestHandlers[c.Verb]
 	if f == nil {
-		co.bad(w, apierror.New(apierror.NoSuchPath, "", "no such verb"))
+		co.replyError(w, apierror.New(apierror.NoSuchPath, "", "no such verb"))
 		return
 	}
-	if len(co.waiters) >= Crowd {
-		co.bad(w, apierror.New(apierror.TooBusy, "", "too many changes wait for the log").WithRetryAfter(2*time.Second))
+	if len(co.waiters) >= MaxPendingRequests {
+		co.replyError(w, apierror.New(apierror.TooBusy, "", "too many changes wait for the log").WithRetryAfter(2*time.Second))
 		return
 	}
 	f(co, w, c)
@@ -76,7 +76,7 @@
 // no more, and this controller itself can't be the answer.
 func (co *Controller) otherLeader() types.Addr {
 	if co.raft.ClusterName() == "" {
-		if lead := co.roster.Lead(); lead != co.options.Addr {
+		if lead := co.members.Lead(); lead != co.options.Addr {
 			return lead
 		}
 		return ""
@@ -87,13 +87,13 @@
 	return co.raft.LeaderAddr()
 }
 
-func (co *Controller) reply(w waiter, r wire.ReplyBody) {
-	r.ID = w.id
+func (co *Controller) reply(w caller, r wire.ReplyBody) {
+	r.ID = w.requestID
 	if r.Fault != nil {
-		co.Sums.Refused++
+		co.Counters.Refused++
 	}
 	if w.token == 0 {
-		co.sends = append(co.sends, wire.Make(co.options.Addr, w.from, wire.Reply, r))
+		co.sends = append(co.sends, wire.Make(co.options.Addr, w.gateway, wire.Reply, r))
 		return
 	}
 	a := wire.Answer{Token: w.token, Code: r.Code, Body: r.Body, Fault: r.Fault, Lead: r.Lead}
@@ -103,78 +103,78 @@
 	co.answers = append(co.answers, a)
 }
 
-func (co *Controller) bad(w waiter, f *apierror.Error) { co.reply(w, wire.ReplyBody{Fault: f}) }
-func (co *Controller) good(w waiter, code int, v any) {
+func (co *Controller) replyError(w caller, f *apierror.Error) { co.reply(w, wire.ReplyBody{Fault: f}) }
+func (co *Controller) replyOK(w caller, code int, v any) {
 	co.reply(w, wire.ReplyBody{Code: code, Body: wire.Body(v)})
 }
 
-// wait proposes a fact and keeps who waits for it.
-func (co *Controller) wait(w waiter, f state.Command) {
-	i, ok := co.fact(f)
+// proposeRequest proposes a fact and keeps who waits for it.
+func (co *Controller) proposeRequest(w caller, f state.Command) {
+	i, ok := co.propose(f)
 	if !ok {
-		co.bad(w, apierror.New(apierror.NoLeader, "", "the log takes nothing now").WithRetryAfter(2*time.Second))
+		co.replyError(w, apierror.New(apierror.NoLeader, "", "the log takes nothing now").WithRetryAfter(2*time.Second))
 		return
 	}
 	co.waiters[i] = w
 }
 
-// settle answers a change that is committed.
-func (co *Controller) settle(w waiter, f state.Command, bad *apierror.Error) {
+// replyCommitted answers a change that is committed.
+func (co *Controller) replyCommitted(w caller, f state.Command, bad *apierror.Error) {
 	switch {
 	case bad != nil:
-		co.bad(w, co.when(bad, f))
+		co.replyError(w, co.withRetryAfter(bad, f))
 	case f.Table != nil:
-		co.good(w, 200, f.Table.Accepted())
+		co.replyOK(w, 200, f.Table.Accepted())
 	case f.Drain != nil:
-		co.good(w, 200, co.Drains())
+		co.replyOK(w, 200, co.Drains())
 	case f.Calendar != nil:
-		co.good(w, 200, co.Plans())
+		co.replyOK(w, 200, co.Calendars())
 	case f.ExitedWorker != "":
-		co.good(w, 200, co.Workers())
+		co.replyOK(w, 200, co.Workers())
 	case f.Job != nil:
-		co.good(w, http.StatusCreated, co.View(f.Job.ID))
+		co.replyOK(w, http.StatusCreated, co.View(f.Job.ID))
 	case f.Cancel != "":
-		co.good(w, http.StatusAccepted, co.View(f.Cancel))
+		co.replyOK(w, http.StatusAccepted, co.View(f.Cancel))
 	}
 }
 
-func (co *Controller) when(bad *apierror.Error, f state.Command) *apierror.Error {
+func (co *Controller) withRetryAfter(bad *apierror.Error, f state.Command) *apierror.Error {
 	if bad.Kind == apierror.QueueFull && f.Job != nil {
-		bad.WithRetryAfter(co.rate(f.Job.Spec.Queue).eta(co.now.Mono, co.state.UnfinishedJobs(f.Job.Spec.Queue)))
+		bad.WithRetryAfter(co.completionRate(f.Job.Spec.Queue).retryAfter(co.now.Mono, co.state.UnfinishedJobs(f.Job.Spec.Queue)))
 	}
 	return bad
 }
 
-func (co *Controller) putJob(w waiter, c wire.CallBody) {
+func (co *Controller) submitJob(w caller, c wire.CallBody) {
 	var s state.Spec
 	if json.Unmarshal(c.Body, &s) != nil {
-		co.bad(w, apierror.New(apierror.BadBody, "", "not a job"))
+		co.replyError(w, apierror.New(apierror.BadBody, "", "not a job"))
 		return
 	}
 	id := types.JobID(c.Arg)
 	known, bad := co.state.CheckJob(id, s)
 	switch {
 	case known != nil:
-		co.good(w, 200, co.View(id))
+		co.replyOK(w, 200, co.View(id))
 		return
 	case bad == nil:
-		bad = co.placeable(s)
+		bad = co.checkFeasible(s)
 	}
 	f := state.Command{Job: &state.Submission{ID: id, Spec: s}}
 	if bad != nil {
-		co.bad(w, co.when(bad, f))
+		co.replyError(w, co.withRetryAfter(bad, f))
 		return
 	}
-	co.Trail.Add(co.now.Wall, trace.Job(id), "handed over here", "from", w.from)
-	co.wait(w, f)
+	co.Trace.Add(co.now.Wall, trace.Job(id), "handed over here", "from", w.gateway)
+	co.proposeRequest(w, f)
 }
 
 // countQueue tells how many jobs of a queue wait: unfinished, with nothing that
 // runs or has run.
-func (co *Controller) countQueue(w waiter, c wire.CallBody) {
+func (co *Controller) countQueue(w caller, c wire.CallBody) {
 	q := types.QueueName(c.Arg)
 	if _, ok := co.state.Table.FindQueue(q); !ok {
-		co.bad(w, apierror.New(apierror.NoSuchQueue, "queue", "no queue is called "+c.Arg))
+		co.replyError(w, apierror.New(apierror.NoSuchQueue, "queue", "no queue is called "+c.Arg))
 		return
 	}
 	n := 0
@@ -183,50 +183,50 @@
 			n++
 		}
 	}
-	co.good(w, 200, map[string]int{"waiting": n})
+	co.replyOK(w, 200, map[string]int{"waiting": n})
 }
 
-func (co *Controller) cancelJob(w waiter, c wire.CallBody) {
+func (co *Controller) cancelJob(w caller, c wire.CallBody) {
 	id := types.JobID(c.Arg)
 	switch repeat, bad := co.state.CheckCancel(id); {
 	case bad != nil:
-		co.bad(w, bad)
+		co.replyError(w, bad)
 	case repeat:
-		co.good(w, 200, co.View(id))
+		co.replyOK(w, 200, co.View(id))
 	default:
-		co.wait(w, state.Command{Cancel: id})
+		co.proposeRequest(w, state.Command{Cancel: id})
 	}
 }
 
-func (co *Controller) putTable(w waiter, c wire.CallBody) {
+func (co *Controller) putTable(w caller, c wire.CallBody) {
 	var t config.Table
 	if json.Unmarshal(c.Body, &t) != nil {
-		co.bad(w, apierror.New(apierror.BadBody, "", "not a table"))
+		co.replyError(w, apierror.New(apierror.BadBody, "", "not a table"))
 		return
 	}
 	if bad := co.state.CheckTable(t); bad != nil {
-		co.bad(w, bad)
+		co.replyError(w, bad)
 		return
 	}
 	if co.state.IsRepeat(t) {
-		co.good(w, 200, t.Accepted())
+		co.replyOK(w, 200, t.Accepted())
 		return
 	}
-	co.wait(w, state.Command{Table: &t})
+	co.proposeRequest(w, state.Command{Table: &t})
 }
 
-// placeable tells a job that no known worker, away or not, could ever hold.
-func (co *Controller) placeable(s state.Spec) *apierror.Error {
+// checkFeasible tells a job that no known worker, away or not, could ever hold.
+func (co *Controller) checkFeasible(s state.Spec) *apierror.Error {
 	if len(co.state.WorkerShapes) == 0 {
 		return apierror.New(apierror.NotReady, "", "no worker has come yet").WithRetryAfter(2 * time.Second)
 	}
 	row, _ := co.state.Table.FindQueue(s.Queue)
 	for i, p := range s.Steps {
 		at := fmt.Sprintf("steps[%d]", i)
-		seats, most, kinds, racks := 0, 0, false, false
+		workers, capacity, kindFound, rackFound := 0, 0, false, false
 		for _, x := range co.state.WorkerShapes {
 			k, r := x.Matches(p)
-			kinds, racks = kinds || k, racks || k && r
+			kindFound, rackFound = kindFound || k, rackFound || k && r
 			if !k || !r || !x.Resources.Contains(p.Resources) {
 				continue
 			}
@@ -234,17 +234,17 @@
 			if p.MaxPerWorker > 0 {
 				n = min(n, p.MaxPerWorker)
 			}
-			seats, most = seats+1, most+n
+			workers, capacity = workers+1, capacity+n
 		}
 		switch {
-		case !kinds:
+		case !kindFound:
 			return apierror.New(apierror.NeverPlaceable, at+".kind", "no worker is of kind "+string(p.Kind))
-		case !racks:
+		case !rackFound:
 			return apierror.New(apierror.NeverPlaceable, at+".rack", "no worker of the kind is in rack "+string(p.Rack))
-		case seats == 0:
+		case workers == 0:
 			return apierror.New(apierror.NeverPlaceable, at+".room", "larger than any worker")
-		case p.Gang && most < p.Tasks:
-			return apierror.New(apierror.NeverPlaceable, at+".gang", fmt.Sprintf("the workers hold at most %d of its %d members at once", most, p.Tasks))
+		case p.Gang && capacity < p.Tasks:
+			return apierror.New(apierror.NeverPlaceable, at+".gang", fmt.Sprintf("the workers hold at most %d of its %d members at once", capacity, p.Tasks))
 		case p.Gang && p.Tasks > row.MaxRunning:
 			return apierror.New(apierror.NeverPlaceable, at+".gang", "more members than the queue may run at once")
 		}
@@ -252,43 +252,43 @@
 	return nil
 }
 
-// rate is how fast a queue's jobs end, to tell when to come back.
-type rate struct {
-	last types.MonoTime
-	each float64 // a second
+// completionRate is how fast a queue's jobs end, to tell when to come back.
+type completionRate struct {
+	lastAt    types.MonoTime
+	perSecond float64 // a second
 }
 
-func (co *Controller) rate(q types.QueueName) *rate {
-	r := co.rates[q]
+func (co *Controller) completionRate(q types.QueueName) *completionRate {
+	r := co.completionRates[q]
 	if r == nil {
-		r = &rate{}
-		co.rates[q] = r
+		r = &completionRate{}
+		co.completionRates[q] = r
 	}
 	return r
 }
 
-func (r *rate) hit(now types.MonoTime) {
-	if r.last != 0 {
-		gap := now.Sub(r.last).Seconds()
-		r.each += 0.1 * (1/max(gap, 0.001) - r.each)
-		r.each = min(r.each, 1000)
+func (r *completionRate) record(now types.MonoTime) {
+	if r.lastAt != 0 {
+		gap := now.Sub(r.lastAt).Seconds()
+		r.perSecond += 0.1 * (1/max(gap, 0.001) - r.perSecond)
+		r.perSecond = min(r.perSecond, 1000)
 	}
-	r.last = now
+	r.lastAt = now
 }
 
-// eta is when a tenth of what waits will have gone, from 1 s to a minute.
-func (r *rate) eta(now types.MonoTime, waiting int) time.Duration {
-	each := r.each
-	if gap := now.Sub(r.last).Seconds(); gap > 1 {
-		each = min(each, 1/gap)
+// retryAfter is when a tenth of what waits will have gone, from 1 s to a minute.
+func (r *completionRate) retryAfter(now types.MonoTime, waiting int) time.Duration {
+	perSecond := r.perSecond
+	if gap := now.Sub(r.lastAt).Seconds(); gap > 1 {
+		perSecond = min(perSecond, 1/gap)
 	}
-	s := float64(max(waiting/10, 1)) / max(each, 0.01)
-	return time.Duration(min(max(s, 1), 60) * float64(time.Second))
+	seconds := float64(max(waiting/10, 1)) / max(perSecond, 0.01)
+	return time.Duration(min(max(seconds, 1), 60) * float64(time.Second))
 }
 
-func (co *Controller) ended(e state.AttemptEnd) {
+func (co *Controller) attemptEnded(e state.AttemptEnd) {
 	if j := co.state.Jobs[e.ID.Job]; j != nil && j.Ended() {
-		delete(co.courses, j.ID)
-		co.rate(j.Queue).hit(co.now.Mono)
+		delete(co.jobDurations, j.ID)
+		co.completionRate(j.Queue).record(co.now.Mono)
 	}
 }
--- a/internal/controller/catchup_test.go
+++ b/internal/controller/catchup_test.go
@@ -12,9 +12,9 @@
 	"coppercourse/internal/wire"
 )
 
-// oneThread skips what is long and gains nothing by the race detector: a cluster in
+// skipUnderRaceDetector skips what is long and gains nothing by the race detector: a cluster in
 // virtual time is one goroutine. It runs without the detector.
-func oneThread(t *testing.T) {
+func skipUnderRaceDetector(t *testing.T) {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("run without the race detector")
@@ -35,7 +35,7 @@
 		}
 		base := m.machine.state.Table.Version
 		for i := range min(left, 100) {
-			if _, ok := m.machine.fact(state.Command{Table: new(table(base+types.Version(i), bytes))}); ok {
+			if _, ok := m.machine.propose(state.Command{Table: new(table(base+types.Version(i), bytes))}); ok {
 				left--
 			}
 			if i%50 == 0 {
@@ -50,9 +50,9 @@
 	}
 }
 
-// beside makes changes and jobs for a time, and tells when a member had caught up
+// runWithChanges makes changes and jobs for a time, and tells when a member had caught up
 // first, or a time past the end.
-func (c *cluster) beside(m *member, d time.Duration) (caughtUp time.Duration) {
+func (c *cluster) runWithChanges(m *member, d time.Duration) (caughtUp time.Duration) {
 	began := c.now
 	caughtUp = d + 1
 	for n := 0; c.now-began < d; n++ {
@@ -70,8 +70,8 @@
 	return caughtUp
 }
 
-// hardships are what befalls a member, and what ends it.
-var hardships = []struct {
+// memberFaults are what befalls a member, and what ends it.
+var memberFaults = []struct {
 	name       string
 	lasts      time.Duration
 	begin, end func(*member)
@@ -80,24 +80,24 @@
 	{"wiped", 2 * time.Second, (*member).wipe, func(m *member) { m.start(false) }},
 	{"frozen", 20 * time.Second, func(m *member) { m.frozen = true }, (*member).thaw},
 	{"on a slow disk", 5 * time.Second, func(m *member) { m.syncTime = 30 * 5 * time.Millisecond }, func(*member) {}},
-	{"on a full disk", 10 * time.Second, func(m *member) { m.full = true }, func(m *member) { m.full = false }},
+	{"on a full disk", 10 * time.Second, func(m *member) { m.diskFull = true }, func(m *member) { m.diskFull = false }},
 }
 
 func TestMembersCatchUpAfterManyChanges(t *testing.T) {
 	for _, n := range []int{1, 300, 5000} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			if n > 300 {
-				oneThread(t)
+				skipUnderRaceDetector(t)
 			}
 			c := newCluster(t, int64(n), 600)
 			c.changes(n, 2000)
-			for _, h := range hardships {
+			for _, h := range memberFaults {
 				m := c.follower()
 				h.begin(m)
 				c.changes(min(n, 300), 2000)
-				c.beside(m, h.lasts)
+				c.runWithChanges(m, h.lasts)
 				h.end(m)
-				if took := c.beside(m, catchUp+time.Second); took > catchUp {
+				if took := c.runWithChanges(m, catchUp+time.Second); took > catchUp {
 					t.Errorf("%s: caught up only %v after its return", h.name, took)
 				}
 				m.syncTime = syncTime
@@ -108,48 +108,48 @@
 				if m.machine.raft.Snapshot().Index > 0 {
 					snapshots++
 				}
-				if v := m.machine.state.Table.Version; v != c.acked {
-					t.Errorf("%s has version %d of %d", m.addr, v, c.acked)
+				if v := m.machine.state.Table.Version; v != c.acknowledged {
+					t.Errorf("%s has version %d of %d", m.addr, v, c.acknowledged)
 				}
 			}
 			if n > 1 && snapshots < len(c.members) {
 				t.Errorf("%d members have a snapshot", snapshots)
 			}
-			if c.wrong != "" {
-				t.Error(c.wrong)
+			if c.violation != "" {
+				t.Error(c.violation)
 			}
 		})
 	}
 }
 
-// freezeLeader freezes the leader while others make changes, and thaws it.
-func freezeLeader(t *testing.T, plant func(*member, wire.Event)) *cluster {
+// runFrozenLeader freezes the leader while others make changes, and thaws it.
+func runFrozenLeader(t *testing.T, bug func(*member, wire.Event)) *cluster {
 	c := newCluster(t, 7, 600)
-	c.plant = plant
+	c.bug = bug
 	c.changes(300, 2000)
 	m := c.leader()
 	m.frozen = true
 	c.run(3 * time.Second)
 	c.changes(300, 2000)
-	c.beside(m, 14*time.Second)
+	c.runWithChanges(m, 14*time.Second)
 	m.thaw()
-	if took := c.beside(m, catchUp+time.Second); took > catchUp {
+	if took := c.runWithChanges(m, catchUp+time.Second); took > catchUp {
 		t.Errorf("caught up only after %v", took)
 	}
 	return c
 }
 
 func TestAFrozenLeaderServesNobodyWhenItThaws(t *testing.T) {
-	if c := freezeLeader(t, nil); c.wrong != "" {
-		t.Error(c.wrong)
+	if c := runFrozenLeader(t, nil); c.violation != "" {
+		t.Error(c.violation)
 	}
 }
 
-// thin is a link of 2 Mbit/s, in bytes a second; slowSync is a disk of 5 ms a sync
+// thinLinkBytesPerSecond is a link of 2 Mbit/s, in bytes a second; slowSyncTime is a disk of 5 ms a sync
 // that is 30 times slower than that.
 const (
-	thin     = 250_000
-	slowSync = 30 * 5 * time.Millisecond
+	thinLinkBytesPerSecond = 250_000
+	slowSyncTime           = 30 * 5 * time.Millisecond
 )
 
 // A thin link carries heartbeats beside what is caught up on, so that messages stay
@@ -158,9 +158,9 @@
 	for _, n := range []int{300, 5000} {
 		bytes := 3_000_000 / n
 		for name, hamper := range map[string]func(*member){
-			"thin link": func(m *member) { m.perSecond = thin },
-			"slow disk": func(m *member) { m.syncTime = slowSync },
-			"both":      func(m *member) { m.perSecond, m.syncTime = thin, slowSync },
+			"thin link": func(m *member) { m.perSecond = thinLinkBytesPerSecond },
+			"slow disk": func(m *member) { m.syncTime = slowSyncTime },
+			"both":      func(m *member) { m.perSecond, m.syncTime = thinLinkBytesPerSecond, slowSyncTime },
 		} {
 			t.Run(fmt.Sprint(n, " ", name), func(t *testing.T) { catchUpHampered(t, n, bytes, hamper) })
 		}
@@ -169,9 +169,9 @@
 
 func catchUpHampered(t *testing.T, n, bytes int, hamper func(*member)) {
 	if n > 300 {
-		oneThread(t)
+		skipUnderRaceDetector(t)
 	}
-	c := newCluster(t, 11, Every)
+	c := newCluster(t, 11, DefaultSnapshotThreshold)
 	c.changes(n, bytes)
 	m := c.follower()
 	m.wipe()
@@ -179,18 +179,18 @@
 	c.run(time.Second)
 	m.start(false)
 	lead := c.leader()
-	size := lead.machine.raft.LogBytes() + sizeOf(lead.machine.raft.Snapshot().Parts)
+	size := lead.machine.raft.LogBytes() + totalBytes(lead.machine.raft.Snapshot().Parts)
 	limit := 4 * time.Second
 	if m.perSecond > 0 {
-		limit += 2 * time.Duration(size) * time.Second / thin
+		limit += 2 * time.Duration(size) * time.Second / thinLinkBytesPerSecond
 	}
 	took := c.until(time.Minute, "caught up", func() bool { return m.machine.applied > 0 && c.caughtUp(m) })
 	t.Logf("%d bytes in %v", size, took)
 	if took > limit {
 		t.Errorf("%d bytes took %v", size, took)
 	}
-	if lead.mostSent > 1<<20+32<<10 { // a window counts entries without what is round them
-		t.Errorf("a message of %d bytes", lead.mostSent)
+	if lead.largestMessage > 1<<20+32<<10 { // a window counts entries without what is round them
+		t.Errorf("a message of %d bytes", lead.largestMessage)
 	}
 }
 
@@ -208,7 +208,7 @@
 }
 
 func TestALargeStateIsReadBackInPieces(t *testing.T) {
-	oneThread(t)
+	skipUnderRaceDetector(t)
 	const bytes = 8 << 20
 	c := largeState(t, 3, bytes)
 	m := c.follower()
@@ -216,55 +216,55 @@
 	c.run(time.Second)
 	m.start(false)
 	c.until(20*time.Second, "a snapshot", func() bool { return m.machine.loader != nil })
-	if size := sizeOf(m.machine.raft.Snapshot().Parts); size < bytes/2 {
+	if size := totalBytes(m.machine.raft.Snapshot().Parts); size < bytes/2 {
 		t.Fatalf("a snapshot of %d bytes only", size)
 	}
-	from, replies, began := m.machine.Sums.Steps, m.replies, c.now
+	from, replies, began := m.machine.Counters.Steps, m.appendReplies, c.now
 	c.until(20*time.Second, "read back", func() bool { return m.machine.loader == nil })
-	if ticks := (c.now - began) / tickTime; int(ticks) < bytes/2/readPart-1 {
-		t.Errorf("%d bytes were read back within %d ticks (%d steps)", bytes, ticks, m.machine.Sums.Steps-from)
+	if ticks := (c.now - began) / tickTime; int(ticks) < bytes/2/snapshotReadBytes-1 {
+		t.Errorf("%d bytes were read back within %d ticks (%d steps)", bytes, ticks, m.machine.Counters.Steps-from)
 	}
-	if m.replies-replies < int((c.now-began)/(200*time.Millisecond)) {
-		t.Errorf("%d answers to the leader in %v", m.replies-replies, c.now-began)
+	if m.appendReplies-replies < int((c.now-began)/(200*time.Millisecond)) {
+		t.Errorf("%d answers to the leader in %v", m.appendReplies-replies, c.now-began)
 	}
 	c.until(catchUp, "caught up", func() bool { return c.caughtUp(m) })
-	if c.wrong != "" {
-		t.Error(c.wrong)
+	if c.violation != "" {
+		t.Error(c.violation)
 	}
 }
 
 // loseLeaderWhileLoading restarts a member and ends the leader while the member
 // reads its state back.
-func loseLeaderWhileLoading(t *testing.T, plant func(*member, wire.Event)) *cluster {
+func loseLeaderWhileLoading(t *testing.T, bug func(*member, wire.Event)) *cluster {
 	c := largeState(t, 5, 8<<20)
-	c.plant = plant
+	c.bug = bug
 	m := c.follower()
 	m.kill()
-	m.pace = 300 * time.Millisecond // a slow processor
+	m.tickInterval = 300 * time.Millisecond // a slow processor
 	c.run(time.Second)
 	m.start(false)
-	if plant == nil && m.machine.loader == nil {
+	if bug == nil && m.machine.loader == nil {
 		t.Fatal("the state was read back in one step")
 	}
 	c.leader().kill()
 	c.until(20*time.Second, "a leader", func() bool { return c.leader() != nil })
 	c.change(1000)
 	c.until(15*time.Second, "caught up", func() bool { return c.caughtUp(m) })
-	if v := m.machine.state.Table.Version; v < c.acked {
-		c.broken("%s has version %d of %d", m.addr, v, c.acked)
+	if v := m.machine.state.Table.Version; v < c.acknowledged {
+		c.violate("%s has version %d of %d", m.addr, v, c.acknowledged)
 	}
 	return c
 }
 
 func TestNobodyLeadsWhileItReadsItsStateBack(t *testing.T) {
-	oneThread(t)
-	if c := loseLeaderWhileLoading(t, nil); c.wrong != "" {
-		t.Error(c.wrong)
+	skipUnderRaceDetector(t)
+	if c := loseLeaderWhileLoading(t, nil); c.violation != "" {
+		t.Error(c.violation)
 	}
 }
 
 func TestPlantedBugsOfCatchingUpAreCaught(t *testing.T) {
-	oneThread(t)
+	skipUnderRaceDetector(t)
 	for _, bug := range []struct {
 		name  string
 		days  func(*testing.T, func(*member, wire.Event)) *cluster
@@ -274,11 +274,11 @@
 			func(m *member, _ wire.Event) { m.machine.raft.SetStateLoading(false) }},
 		{"a member goes on without the state that it should read back", loseLeaderWhileLoading, func(m *member, _ wire.Event) {
 			if h := m.machine; h.loader != nil {
-				h.applied, h.since, h.loader = h.loaded, h.loaded, nil
+				h.applied, h.snapshotIndex, h.loader = h.loadedIndex, h.loadedIndex, nil
 				h.raft.SetStateLoading(false)
 			}
 		}},
-		{"a lease is judged by the time of the last tick", freezeLeader, func(m *member, e wire.Event) {
+		{"a lease is judged by the time of the last tick", runFrozenLeader, func(m *member, e wire.Event) {
 			if e.Message == nil {
 				m.lastTick = m.clock()
 			}
@@ -286,7 +286,7 @@
 		}},
 	} {
 		t.Run(bug.name, func(t *testing.T) {
-			if bug.days(t, bug.plant).wrong == "" {
+			if bug.days(t, bug.plant).violation == "" {
 				t.Error("not caught")
 			}
 		})
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -20,41 +20,41 @@
 // cluster is some controllers in virtual time, with links and disks that take
 // as long as they are told to.
 type cluster struct {
-	t       *testing.T
-	now     time.Duration
-	seq     int
-	events  timeline
-	rnd     *rand.Rand
-	members []*member
-	every   types.Index
+	t                 *testing.T
+	now               time.Duration
+	seq               int
+	events            eventHeap
+	rnd               *rand.Rand
+	members           []*member
+	snapshotThreshold types.Index
 	// plant is a bug to run after each step of a member.
-	plant func(*member, wire.Event)
-	wrong string        // the first broken rule
-	acked types.Version // the newest configuration that was acknowledged
+	bug          func(*member, wire.Event)
+	violation    string        // the first broken rule
+	acknowledged types.Version // the newest configuration that was acknowledged
 }
 
 // member is one controller with its disk and its link.
 type member struct {
-	cluster   *cluster
-	addr      types.Addr
-	machine   *Controller
-	life      int // of its process; what an earlier one began does not finish
-	disk      [][]byte
-	queue     []write
-	writing   bool
-	syncTime  time.Duration
-	full      bool
-	mute      bool // a planted bug: the machine isn't told that its disk refuses
-	frozen    bool
-	missed    []wire.Event // while frozen
-	perSecond int          // bytes that its link carries in; 0 is no bound
-	linkFree  time.Duration
-	pace      time.Duration // between two ticks on a slow processor
-	lastTick  types.Now
-	tokens    uint64
-	answers   map[uint64]func(wire.Answer)
-	replies   int // answers to its leader's rounds
-	mostSent  int // bytes of the largest message
+	cluster         *cluster
+	addr            types.Addr
+	machine         *Controller
+	incarnation     int // of its process; what an earlier one began does not finish
+	disk            [][]byte
+	queue           []write
+	writing         bool
+	syncTime        time.Duration
+	diskFull        bool
+	hidesDiskErrors bool // a planted bug: the machine isn't told that its disk refuses
+	frozen          bool
+	missedEvents    []wire.Event // while frozen
+	perSecond       int          // bytes that its link carries in; 0 is no bound
+	linkFreeAt      time.Duration
+	tickInterval    time.Duration // between two ticks on a slow processor
+	lastTick        types.Now
+	tokens          uint64
+	answers         map[uint64]func(wire.Answer)
+	appendReplies   int // answers to its leader's rounds
+	largestMessage  int // bytes of the largest message
 }
 
 type write struct {
@@ -63,21 +63,21 @@
 	whole bool
 }
 
-type occasion struct {
+type scheduledEvent struct {
 	at  time.Duration
 	seq int
-	act func()
+	run func()
 }
 
-type timeline []occasion
+type eventHeap []scheduledEvent
 
-func (t timeline) Len() int { return len(t) }
-func (t timeline) Less(i, k int) bool {
+func (t eventHeap) Len() int { return len(t) }
+func (t eventHeap) Less(i, k int) bool {
 	return t[i].at < t[k].at || t[i].at == t[k].at && t[i].seq < t[k].seq
 }
-func (t timeline) Swap(i, k int) { t[i], t[k] = t[k], t[i] }
-func (t *timeline) Push(x any)   { *t = append(*t, x.(occasion)) }
-func (t *timeline) Pop() any {
+func (t eventHeap) Swap(i, k int) { t[i], t[k] = t[k], t[i] }
+func (t *eventHeap) Push(x any)   { *t = append(*t, x.(scheduledEvent)) }
+func (t *eventHeap) Pop() any {
 	last := (*t)[len(*t)-1]
 	*t = (*t)[:len(*t)-1]
 	return last
@@ -90,9 +90,9 @@
 )
 
 // newCluster founds a cluster of three and waits for its leader.
-func newCluster(t *testing.T, seed int64, every types.Index) *cluster {
+func newCluster(t *testing.T, seed int64, snapshotThreshold types.Index) *cluster {
 	t.Helper()
-	c := &cluster{t: t, rnd: rand.New(rand.NewSource(seed)), every: every}
+	c := &cluster{t: t, rnd: rand.New(rand.NewSource(seed)), snapshotThreshold: snapshotThreshold}
 	for i := range 3 {
 		c.members = append(c.members, &member{cluster: c, addr: types.Addr(fmt.Sprintf("10.0.0.%d:7000", i+1)), syncTime: syncTime})
 	}
@@ -105,7 +105,7 @@
 
 func (c *cluster) after(d time.Duration, act func()) {
 	c.seq++
-	heap.Push(&c.events, occasion{c.now + d, c.seq, act})
+	heap.Push(&c.events, scheduledEvent{c.now + d, c.seq, act})
 }
 
 // run lets virtual time pass.
@@ -115,9 +115,9 @@
 			c.now = end
 			return
 		}
-		next := heap.Pop(&c.events).(occasion)
+		next := heap.Pop(&c.events).(scheduledEvent)
 		c.now = next.at
-		next.act()
+		next.run()
 	}
 }
 
@@ -169,24 +169,24 @@
 	for _, other := range m.cluster.members {
 		seeds = append(seeds, other.addr)
 	}
-	m.life++
-	m.queue, m.writing, m.frozen, m.missed, m.answers = nil, false, false, nil, map[uint64]func(wire.Answer){}
+	m.incarnation++
+	m.queue, m.writing, m.frozen, m.missedEvents, m.answers = nil, false, false, nil, map[uint64]func(wire.Answer){}
 	m.machine = New(m.clock(), rand.New(rand.NewSource(m.cluster.rnd.Int63())), Options{Addr: m.addr, Zone: types.Zone(m.addr), Seeds: seeds,
-		Begin: raft.BootstrapOptions{FirstStart: first, Founders: seeds}, Core: raft.DefaultTimeouts, Truth: dispatch.Defaults, Every: m.cluster.every}, m.disk)
-	m.tick(m.life)
+		Bootstrap: raft.BootstrapOptions{FirstStart: first, Founders: seeds}, RaftTimeouts: raft.DefaultTimeouts, DispatchTimeouts: dispatch.Defaults, SnapshotThreshold: m.cluster.snapshotThreshold}, m.disk)
+	m.tick(m.incarnation)
 }
 
 func (m *member) tick(life int) {
-	if m.life != life {
+	if m.incarnation != life {
 		return
 	}
 	m.step(wire.Event{})
-	m.cluster.after(max(m.pace, tickTime), func() { m.tick(life) })
+	m.cluster.after(max(m.tickInterval, tickTime), func() { m.tick(life) })
 }
 
 // kill ends the process; wipe loses its disk too.
 func (m *member) kill() {
-	m.life++
+	m.incarnation++
 	m.machine = nil
 }
 
@@ -197,8 +197,8 @@
 
 func (m *member) thaw() {
 	m.frozen = false
-	missed := m.missed
-	m.missed = nil
+	missed := m.missedEvents
+	m.missedEvents = nil
 	for _, e := range missed {
 		m.step(e)
 	}
@@ -211,14 +211,14 @@
 	}
 	if m.frozen {
 		if e.Message != nil {
-			m.missed = append(m.missed, e)
+			m.missedEvents = append(m.missedEvents, e)
 		}
 		return
 	}
 	e.Now = m.clock()
 	out := m.machine.Step(e)
-	if m.cluster.plant != nil {
-		m.cluster.plant(m, e)
+	if m.cluster.bug != nil {
+		m.cluster.bug(m, e)
 	}
 	m.check()
 	for _, s := range out.Sends {
@@ -241,15 +241,15 @@
 	h := m.machine
 	switch {
 	case h.raft.IsLeader() && h.loader != nil:
-		m.cluster.broken("%s leads without its state", m.addr)
-	case m.serves() && h.state.Table.Version < m.cluster.acked:
-		m.cluster.broken("%s serves version %d after %d was acknowledged", m.addr, h.state.Table.Version, m.cluster.acked)
+		m.cluster.violate("%s leads without its state", m.addr)
+	case m.serves() && h.state.Table.Version < m.cluster.acknowledged:
+		m.cluster.violate("%s serves version %d after %d was acknowledged", m.addr, h.state.Table.Version, m.cluster.acknowledged)
 	}
 }
 
-func (c *cluster) broken(format string, args ...any) {
-	if c.wrong == "" {
-		c.wrong = fmt.Sprintf("at %v: ", c.now) + fmt.Sprintf(format, args...)
+func (c *cluster) violate(format string, args ...any) {
+	if c.violation == "" {
+		c.violation = fmt.Sprintf("at %v: ", c.now) + fmt.Sprintf(format, args...)
 	}
 }
 
@@ -260,17 +260,17 @@
 			continue
 		}
 		if s.Message.Kind == wire.AppendReply {
-			m.replies++
+			m.appendReplies++
 		}
-		m.mostSent = max(m.mostSent, len(s.Message.Body))
+		m.largestMessage = max(m.largestMessage, len(s.Message.Body))
 		way := latency
 		if to.perSecond > 0 {
-			to.linkFree = max(to.linkFree, m.cluster.now) + time.Duration(len(s.Message.Body))*time.Second/time.Duration(to.perSecond)
-			way += to.linkFree - m.cluster.now
+			to.linkFreeAt = max(to.linkFreeAt, m.cluster.now) + time.Duration(len(s.Message.Body))*time.Second/time.Duration(to.perSecond)
+			way += to.linkFreeAt - m.cluster.now
 		}
-		life := to.life
+		life := to.incarnation
 		m.cluster.after(way, func() {
-			if to.life == life {
+			if to.incarnation == life {
 				to.step(wire.Event{Message: &s.Message})
 			}
 		})
@@ -283,17 +283,17 @@
 		return
 	}
 	m.writing = true
-	life := m.life
+	life := m.incarnation
 	again := func(act func()) {
 		m.cluster.after(m.syncTime, func() {
-			if m.life == life {
+			if m.incarnation == life {
 				m.writing = false
 				act()
 			}
 		})
 	}
-	if m.full {
-		if !m.mute {
+	if m.diskFull {
+		if !m.hidesDiskErrors {
 			m.step(wire.Event{Disk: syscall.ENOSPC})
 		}
 		again(m.flush)
@@ -346,7 +346,7 @@
 		done := false
 		m.ask("table.put", "", wire.Body(table(base, bytes)), func(a wire.Answer) {
 			if done = a.Fault == nil; done {
-				c.acked = max(c.acked, base+1)
+				c.acknowledged = max(c.acknowledged, base+1)
 			}
 		})
 		for range 40 {
@@ -364,7 +364,7 @@
 func (c *cluster) job(n, bytes int) {
 	if m := c.leader(); m != nil {
 		spec := state.Spec{Queue: "q", Steps: []state.Step{{Name: "s", Kind: "k", Tasks: 1, Work: json.RawMessage(wire.Body(make([]byte, bytes*3/4)))}}}
-		m.machine.fact(state.Command{Job: &state.Submission{ID: types.JobID(fmt.Sprintf("job-%d", n)), Spec: spec}})
+		m.machine.propose(state.Command{Job: &state.Submission{ID: types.JobID(fmt.Sprintf("job-%d", n)), Spec: spec}})
 		m.step(wire.Event{})
 	}
 }
@@ -372,5 +372,5 @@
 // caughtUp tells whether a member has all that the leader has committed.
 func (c *cluster) caughtUp(m *member) bool {
 	l := c.leader()
-	return l != nil && m.machine != nil && !m.machine.lags() && m.machine.applied >= l.machine.applied
+	return l != nil && m.machine != nil && !m.machine.isLagging() && m.machine.applied >= l.machine.applied
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -22,77 +22,77 @@
 
 // Place is where and as what a controller runs.
 type Options struct {
-	Addr  types.Addr
-	Zone  types.Zone
-	Seeds []types.Addr
-	Begin raft.BootstrapOptions
-	Loses int // voters that may be lost at once, disk and all
-	Issue string
-	Core  raft.Timeouts
-	Truth dispatch.Timeouts
-	Every types.Index // entries between two snapshots at least; 0 is Every
+	Addr              types.Addr
+	Zone              types.Zone
+	Seeds             []types.Addr
+	Bootstrap         raft.BootstrapOptions
+	LossTolerance     int // voters that may be lost at once, disk and all
+	Build             string
+	RaftTimeouts      raft.Timeouts
+	DispatchTimeouts  dispatch.Timeouts
+	SnapshotThreshold types.Index // entries between two snapshots at least; 0 is Every
 }
 
-type waiter struct {
-	from  types.Addr
-	id    uint64
-	token uint64 // of a request that came here itself, not by way of a gateway
-	term  types.Term
+type caller struct {
+	gateway   types.Addr
+	requestID uint64
+	token     uint64 // of a request that came here itself, not by way of a gateway
+	term      types.Term
 }
 
 // Controller is one control daemon.
 type Controller struct {
-	options   Options
-	now       types.Now
-	raft      *raft.Node
-	roster    *membership.Roster
-	state     *state.State
-	loader    *state.Loader // of a snapshot that is being read back, or nil
-	loaded    types.Index   // the entry that it stands for
-	disk      error         // why the disk refuses, until it takes writes again
-	applied   types.Index
-	proposals map[types.Index]proposal
-	scheduler *dispatch.Scheduler
-	desk      *configwatch.Publisher
-	Trail     *trace.Ring
-	waiters   map[types.Index]waiter
-	ahead     map[types.JobID]types.Index // of the latest ends on their way into the log
-	reads     []reader
-	flight    map[state.AttemptEnd]bool
-	freed     map[types.AttemptID]bool // of those, what surely runs no more
-	giving    types.Index
-	given     map[types.TaskID]state.Assignment // on their way into the log, or just there
-	rounds    []types.Index                     // of them
-	shaped    types.Index
-	timed     types.MonoTime
-	since     types.Index // the entry of the latest snapshot, or of the one under way
-	shot      int         // bytes of the latest snapshot
-	drain     bool
-	late      types.MonoTime
-	moved     bool // something was applied, or time passed, since work was last placed
-	rates     map[types.QueueName]*rate
-	works     map[types.QueueName]float64 // mean work of a queue\'s jobs
-	habits    map[types.QueueName]*habit
-	courses   map[types.JobID][]course    // of jobs that are not over
-	tasks     map[types.QueueName]float64 // mean seconds of a queue's tasks
-	peaks     map[types.QueueName]float64 // cores that a queue lately had in use at once
-	peaked    types.MonoTime
-	early     []early
-	kept      *placement.Reservation // workers kept for work that was passed over
-	waited    map[placement.TaskGroup]types.MonoTime
-	moves     types.MonoTime // when something was last displaced
-	limits    check          // of attempts against the table's time limits
-	slots     slotCache
-	wanted    []placement.Request // the memory of the last list
-	checks    check               // for attempts to take back and second attempts
-	sends     []wire.Send
-	answers   []wire.Answer
-	overload  overload
-	Sums      Sums
+	options             Options
+	now                 types.Now
+	raft                *raft.Node
+	members             *membership.Roster
+	state               *state.State
+	loader              *state.Loader // of a snapshot that is being read back, or nil
+	loadedIndex         types.Index   // the entry that it stands for
+	diskError           error         // why the disk refuses, until it takes writes again
+	applied             types.Index
+	proposals           map[types.Index]proposal
+	scheduler           *dispatch.Scheduler
+	publisher           *configwatch.Publisher
+	Trace               *trace.Ring
+	waiters             map[types.Index]caller
+	pendingEnds         map[types.JobID]types.Index // of the latest ends on their way into the log
+	pendingReads        []pendingRead
+	endsInFlight        map[state.AttemptEnd]bool
+	released            map[types.AttemptID]bool // of those, what surely runs no more
+	lastRound           types.Index
+	assignmentsInFlight map[types.TaskID]state.Assignment // on their way into the log, or just there
+	roundsInFlight      []types.Index                     // of them
+	shapesIndex         types.Index
+	offsetCheckedAt     types.MonoTime
+	snapshotIndex       types.Index // the entry of the latest snapshot, or of the one under way
+	snapshotBytes       int         // bytes of the latest snapshot
+	shuttingDown        bool
+	shutdownDeadline    types.MonoTime
+	needsPlacement      bool // something was applied, or time passed, since work was last placed
+	completionRates     map[types.QueueName]*completionRate
+	meanJobWork         map[types.QueueName]float64 // mean work of a queue\'s jobs
+	queueDurations      map[types.QueueName]*queueDurations
+	jobDurations        map[types.JobID][]stepDurations // of jobs that are not over
+	meanTaskSeconds     map[types.QueueName]float64     // mean seconds of a queue's tasks
+	peakCores           map[types.QueueName]float64     // cores that a queue lately had in use at once
+	peaksUpdatedAt      types.MonoTime
+	bufferedReports     []bufferedReport
+	reservation         *placement.Reservation // workers kept for work that was passed over
+	readySince          map[placement.TaskGroup]types.MonoTime
+	preemptedAt         types.MonoTime // when something was last displaced
+	limitReview         reviewTimer    // of attempts against the table's time limits
+	slots               slotCache
+	workBuffer          []placement.Request // the memory of the last list
+	attemptReview       reviewTimer         // for attempts to take back and second attempts
+	sends               []wire.Send
+	answers             []wire.Answer
+	overload            overload
+	Counters            Counters
 }
 
-// Sums are counters since start.
-type Sums struct {
+// Counters are counters since start.
+type Counters struct {
 	Steps, Applied, Calls, Refused, Orders, Ends, Elected, Lost uint64
 	Placed, TurnedAway, Relieved                                uint64
 }
@@ -100,80 +100,80 @@
 // New starts a controller from the records of its disk.
 func New(now types.Now, rnd *rand.Rand, p Options, recs [][]byte) *Controller {
 	me := raft.Member{Addr: p.Addr, Zone: p.Zone}
-	h := &Controller{options: p, now: now, raft: raft.New(now, p.Core, rnd, me, p.Begin, recs, types.NewID(rnd)),
-		waiters: map[types.Index]waiter{}, proposals: map[types.Index]proposal{}, ahead: map[types.JobID]types.Index{}, flight: map[state.AttemptEnd]bool{}, freed: map[types.AttemptID]bool{},
-		given: map[types.TaskID]state.Assignment{}, rates: map[types.QueueName]*rate{}, works: map[types.QueueName]float64{}, peaks: map[types.QueueName]float64{},
-		tasks: map[types.QueueName]float64{}, habits: map[types.QueueName]*habit{}, courses: map[types.JobID][]course{}, Trail: trace.New()}
-	h.roster = membership.New(rnd, h.card(), p.Seeds)
-	h.desk = configwatch.NewPublisher(p.Addr)
+	h := &Controller{options: p, now: now, raft: raft.New(now, p.RaftTimeouts, rnd, me, p.Bootstrap, recs, types.NewID(rnd)),
+		waiters: map[types.Index]caller{}, proposals: map[types.Index]proposal{}, pendingEnds: map[types.JobID]types.Index{}, endsInFlight: map[state.AttemptEnd]bool{}, released: map[types.AttemptID]bool{},
+		assignmentsInFlight: map[types.TaskID]state.Assignment{}, completionRates: map[types.QueueName]*completionRate{}, meanJobWork: map[types.QueueName]float64{}, peakCores: map[types.QueueName]float64{},
+		meanTaskSeconds: map[types.QueueName]float64{}, queueDurations: map[types.QueueName]*queueDurations{}, jobDurations: map[types.JobID][]stepDurations{}, Trace: trace.New()}
+	h.members = membership.New(rnd, h.describe(), p.Seeds)
+	h.publisher = configwatch.NewPublisher(p.Addr)
 	h.state = state.New()
-	h.beginLoad()
-	h.loadPart()
+	h.startSnapshotLoad()
+	h.loadSnapshotPart()
 	return h
 }
 
-func (co *Controller) card() membership.Card {
+func (co *Controller) describe() membership.Card {
 	return membership.Card{Addr: co.options.Addr, ID: co.raft.ID(), Role: "controller", Zone: co.options.Zone, Name: co.raft.ClusterName(),
-		Term: co.raft.Term(), Leads: co.raft.IsLeader() && !co.drain, Part: co.raft.Role(), Ready: co.Ready(), Issue: co.options.Issue}
+		Term: co.raft.Term(), Leads: co.raft.IsLeader() && !co.shuttingDown, Part: co.raft.Role(), Ready: co.Ready(), Issue: co.options.Build}
 }
 
 // Ready tells whether the platform may send callers here: a controller that knows a
 // leader of now, or is it.
 func (co *Controller) Ready() bool {
-	return !co.drain && co.disk == nil && co.loader == nil && co.raft.ClusterName() != "" && (co.raft.IsLeader() && co.raft.HoldsReadLease() || !co.raft.IsLeader() && co.raft.LeaderAddr() != "")
+	return !co.shuttingDown && co.diskError == nil && co.loader == nil && co.raft.ClusterName() != "" && (co.raft.IsLeader() && co.raft.HoldsReadLease() || !co.raft.IsLeader() && co.raft.LeaderAddr() != "")
 }
 
 // Step takes one event.
 func (co *Controller) Step(e wire.Event) wire.Out {
 	co.now = e.Now
 	co.raft.SetTime(e.Now)
-	co.Sums.Steps++
+	co.Counters.Steps++
 	co.overload.measure(e.Now.Mono, e.Load)
 	switch {
 	case e.Message != nil:
-		co.take(*e.Message)
+		co.handleMessage(*e.Message)
 	case e.Ask != nil:
-		co.ask(waiter{token: e.Ask.Token}, wire.CallBody{Verb: e.Ask.Verb, Arg: e.Ask.Arg, Body: e.Ask.Body})
+		co.handleRequest(caller{token: e.Ask.Token}, wire.CallBody{Verb: e.Ask.Verb, Arg: e.Ask.Arg, Body: e.Ask.Body})
 	case e.Synced > 0:
-		co.disk = nil
+		co.diskError = nil
 		co.raft.Synced(e.Now, e.Synced)
 	case e.Disk != nil:
-		co.disk = e.Disk
+		co.diskError = e.Disk
 		co.raft.DiskFailed(e.Now)
 	case e.Close:
-		co.close()
+		co.beginShutdown()
 	default:
-		co.refuseExpired(e.Expired)
+		co.rejectExpired(e.Expired)
 		co.tick()
 	}
 	co.applyCommitted()
-	co.relieve()
-	co.lead()
+	co.transferIfOverloaded()
+	co.runLeader()
 	var out wire.Out
 	co.writeSnapshotPart()
-	co.roster.Me(co.card())
+	co.members.Me(co.describe())
 	out.Instead = co.raft.AppendInstead()
 	out.Sends, out.Batch, out.Seq, out.Whole = co.raft.Ready()
-	out.Sends = append(append(out.Sends, co.sends...), co.roster.Out()...)
+	out.Sends = append(append(out.Sends, co.sends...), co.members.Out()...)
 	out.Answers = co.answers
 	co.sends, co.answers = nil, nil
-	out.Idle = co.drain && (co.raft.MayStop() || co.now.Mono >= co.late) && len(co.waiters) == 0
+	out.Idle = co.shuttingDown && (co.raft.MayStop() || co.now.Mono >= co.shutdownDeadline) && len(co.waiters) == 0
 	return out
 }
 
-func (co *Controller) take(n wire.Message) {
+func (co *Controller) handleMessage(n wire.Message) {
 	switch {
-	case co.roster.Take(co.now.Mono, n):
+	case co.members.Take(co.now.Mono, n):
 	case co.raft.Step(co.now, n):
 	case n.Kind == wire.Call:
-		co.call(n)
+		co.handleCall(n)
 	case n.Kind == wire.News:
 		if co.raft.HoldsReadLease() {
-			co.desk.Take(co.now.Mono, n)
+			co.publisher.Take(co.now.Mono, n)
 		}
 	default:
 		if n.Kind == wire.Status {
-			co.keep(n)
+			co.bufferEndReport(n)
 		}
 		if co.scheduler != nil {
 			co.scheduler.HandleMessage(co.now.Mono, co.raft.AuthorityRemaining(), n)
@@ -182,26 +182,26 @@
 }
 
 func (co *Controller) tick() {
-	co.moved = true
-	co.loadPart()
-	co.roster.Tick(co.now.Mono)
+	co.needsPlacement = true
+	co.loadSnapshotPart()
+	co.members.Tick(co.now.Mono)
 	var seen []raft.DiscoveredPeer
-	for _, c := range co.roster.Controllers() {
+	for _, c := range co.members.Controllers() {
 		if c.ID != "" && c.Part != "out" {
 			seen = append(seen, raft.DiscoveredPeer{Member: raft.Member{ID: c.ID, Addr: c.Addr, Zone: c.Zone}, ClusterName: c.Name})
 		}
 	}
-	co.raft.SetDiscoveredPeers(seen, co.others())
+	co.raft.SetDiscoveredPeers(seen, co.foundersInOtherRoles())
 	co.raft.Tick(co.now)
-	co.pass()
+	co.forwardEndReports()
 }
 
-// others are, while no cluster is known, where daemons are that are no controllers: a
+// foundersInOtherRoles are, while no cluster is known, where daemons are that are no controllers: a
 // founder that turns out to be one of them is not waited for.
-func (co *Controller) others() (list []types.Addr) {
+func (co *Controller) foundersInOtherRoles() (list []types.Addr) {
 	if co.raft.ClusterName() == "" {
-		for _, a := range co.options.Begin.Founders {
-			if role := co.roster.Role(a); role != "" && role != "controller" {
+		for _, a := range co.options.Bootstrap.Founders {
+			if role := co.members.Role(a); role != "" && role != "controller" {
 				list = append(list, a)
 			}
 		}
@@ -209,92 +209,92 @@
 	return
 }
 
-// close begins a planned stop: the duty goes to a successor.
-func (co *Controller) close() {
-	co.drain = true
-	co.late = co.now.Mono.Add(3 * time.Second)
+// beginShutdown begins a planned stop: the duty goes to a successor.
+func (co *Controller) beginShutdown() {
+	co.shuttingDown = true
+	co.shutdownDeadline = co.now.Mono.Add(3 * time.Second)
 	co.raft.PrepareStop(co.now)
 }
 
-// told leaves marks of what was applied for the tracer.
-func (co *Controller) told(f state.Command, at types.Index) {
+// traceCommand leaves marks of what was applied for the tracer.
+func (co *Controller) traceCommand(f state.Command, at types.Index) {
 	switch {
 	case f.Table != nil:
-		co.Trail.Add(co.now.Wall, trace.Table(co.state.Table.Version), "applied", "index", at)
+		co.Trace.Add(co.now.Wall, trace.Table(co.state.Table.Version), "applied", "index", at)
 	case f.Job != nil:
-		co.Trail.Add(co.now.Wall, trace.Job(f.Job.ID), "accept applied", "index", at)
+		co.Trace.Add(co.now.Wall, trace.Job(f.Job.ID), "accept applied", "index", at)
 	case f.Cancel != "":
-		co.Trail.Add(co.now.Wall, trace.Job(f.Cancel), "cancel applied", "index", at)
+		co.Trace.Add(co.now.Wall, trace.Job(f.Cancel), "cancel applied", "index", at)
 	}
 	for _, g := range f.Assignments {
-		co.Trail.Add(co.now.Wall, trace.Job(g.ID.Job), "leg given out", "leg", g.ID, "shard", g.Shard)
+		co.Trace.Add(co.now.Wall, trace.Job(g.ID.Job), "leg given out", "leg", g.ID, "shard", g.Shard)
 	}
 	for _, x := range f.Ends {
-		co.Trail.Add(co.now.Wall, trace.Job(x.ID.Job), "end applied", "leg", x.ID, "fate", x.Outcome)
-		co.ended(x)
+		co.Trace.Add(co.now.Wall, trace.Job(x.ID.Job), "end applied", "leg", x.ID, "fate", x.Outcome)
+		co.attemptEnded(x)
 	}
 }
 
-// lead does the leader's work, or lets go of it.
-func (co *Controller) lead() {
+// runLeader does the leader's work, or lets go of it.
+func (co *Controller) runLeader() {
 	if !co.raft.IsLeader() {
 		if co.scheduler != nil {
 			co.scheduler = nil
-			co.Sums.Lost++
+			co.Counters.Lost++
 		}
 		for _, i := range slices.Sorted(maps.Keys(co.waiters)) {
-			co.bad(co.waiters[i], leaderChanged())
+			co.replyError(co.waiters[i], leaderChanged())
 		}
 		co.turnAway()
 		clear(co.waiters)
-		clear(co.flight)
-		clear(co.freed)
-		clear(co.given)
+		clear(co.endsInFlight)
+		clear(co.released)
+		clear(co.assignmentsInFlight)
 		co.slots.reset()
-		co.giving, co.rounds, co.shaped, co.kept, co.waited = 0, nil, 0, nil, nil
+		co.lastRound, co.roundsInFlight, co.shapesIndex, co.reservation, co.readySince = 0, nil, 0, nil, nil
 		return
 	}
 	if co.scheduler == nil {
-		if !co.raft.HoldsReadLease() || co.lags() {
+		if !co.raft.HoldsReadLease() || co.isLagging() {
 			return
 		}
-		co.Sums.Elected++
-		co.scheduler = dispatch.NewScheduler(co.now.Mono, co.raft.PriorLeaderHeardAt(), co.options.Truth, co.options.Addr, co.raft.Term(), co.outs())
+		co.Counters.Elected++
+		co.scheduler = dispatch.NewScheduler(co.now.Mono, co.raft.PriorLeaderHeardAt(), co.options.DispatchTimeouts, co.options.Addr, co.raft.Term(), co.outstandingAttempts())
 		co.scheduler.Invoked = func(x types.Shard) bool { return co.state.WorkerShapes[x].CalledByAgent }
-		co.scheduler.Partitioned = func(x types.Shard) bool { return co.roster.Apart(string(x)) }
-		co.scheduler.EndRecorded, co.scheduler.Unresolved = co.taken, func(x types.Shard) []types.AttemptID { return co.state.UnresolvedAttempts(x) }
+		co.scheduler.Partitioned = func(x types.Shard) bool { return co.members.Apart(string(x)) }
+		co.scheduler.EndRecorded, co.scheduler.Unresolved = co.endRecorded, func(x types.Shard) []types.AttemptID { return co.state.UnresolvedAttempts(x) }
 	}
 	co.scheduler.Tick(co.now.Mono, co.raft.AuthorityRemaining())
-	co.heed()
-	if co.moved && co.overload.mayPlace(co.now.Mono) {
-		co.moved = false
-		co.overload.place(co.now.Mono)
-		co.Sums.Placed++
-		co.plan()
-		co.heed()
+	co.drainScheduler()
+	if co.needsPlacement && co.overload.mayPlace(co.now.Mono) {
+		co.needsPlacement = false
+		co.overload.startPlacement(co.now.Mono)
+		co.Counters.Placed++
+		co.placeWork()
+		co.drainScheduler()
 	}
 	if co.raft.HoldsReadLease() {
-		co.sends = append(co.sends, co.desk.Answer(co.now.Mono, co.state.Table)...)
+		co.sends = append(co.sends, co.publisher.Answer(co.now.Mono, co.state.Table)...)
 	}
 }
 
-// outs lists the attempts given out as the state has them.
-func (co *Controller) outs() (list []dispatch.OutstandingAttempt) {
+// outstandingAttempts lists the attempts given out as the state has them.
+func (co *Controller) outstandingAttempts() (list []dispatch.OutstandingAttempt) {
 	for _, j := range co.state.LiveJobs() {
 		for i := range j.Tasks {
 			for _, o := range j.Tasks[i].Outstanding() {
 				n := j.Spec.TaskNumber(i)
 				at := types.StageOf(n)
 				list = append(list, dispatch.OutstandingAttempt{Attempt: types.AttemptID{TaskID: types.TaskID{Job: j.ID, Number: n}, Attempt: o.Number},
-					Shard: o.Shard, Stage: at, Resources: j.Spec.Steps[at.Step()].Resources, BaselineName: usual(j, at), TimeLimit: co.limit(j, at)})
+					Shard: o.Shard, Stage: at, Resources: j.Spec.Steps[at.Step()].Resources, BaselineName: durationKey(j, at), TimeLimit: co.timeLimit(j, at)})
 			}
 		}
 	}
 	return
 }
 
-// taken tells whether the state already has an end, or has no use for it.
-func (co *Controller) taken(e state.AttemptEnd) bool {
+// endRecorded tells whether the state already has an end, or has no use for it.
+func (co *Controller) endRecorded(e state.AttemptEnd) bool {
 	j := co.state.Jobs[e.ID.Job]
 	if j == nil || j.Ended() {
 		return true
--- a/internal/controller/copies.go
+++ b/internal/controller/copies.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	slack  = 150 * time.Millisecond // beyond a task's usual time
-	behind = 1.8                    // times of it
+	stragglerMargin = 150 * time.Millisecond // beyond a task's usual time
+	stragglerFactor = 1.8                    // times of it
 )
 
-// behind lists the second attempts that are wanted.
-func (co *Controller) behind(holds []*dispatch.OutstandingAttempt) (wants []placement.Request) {
+// speculationCandidates lists the second attempts that are wanted.
+func (co *Controller) speculationCandidates(holds []*dispatch.OutstandingAttempt) (wants []placement.Request) {
 	for _, o := range holds {
 		j := co.state.Jobs[o.Attempt.Job]
 		if j == nil || j.Status != state.JobOpen || o.Stage < 0 {
@@ -26,18 +26,18 @@
 		}
 		p := &j.Spec.Steps[o.Stage.Step()]
 		t := j.Task(o.Attempt.Number)
-		if !p.AllowHedge || p.Gang || t == nil || t.Done || t.Hedge != nil || t.FindOutstanding(o.Attempt.Attempt) == nil || !co.slow(o, p) {
+		if !p.AllowHedge || p.Gang || t == nil || t.Done || t.Hedge != nil || t.FindOutstanding(o.Attempt.Attempt) == nil || !co.isStraggler(o, p) {
 			continue
 		}
 		wants = append(wants, placement.Request{TaskGroup: placement.TaskGroup{Job: j.ID, Stage: o.Stage}, Queue: j.Queue, Urgency: j.Spec.Urgency,
 			Kind: p.Kind, Rack: p.Rack, Labels: p.Labels, Resources: p.Resources, MaxPerWorker: p.MaxPerWorker, DataRack: p.DataRack,
-			Tasks: []int{o.Attempt.Number}, TimeLimit: co.limit(j, o.Stage), AvoidWorkers: map[types.Shard]bool{o.Shard: true}})
+			Tasks: []int{o.Attempt.Number}, TimeLimit: co.timeLimit(j, o.Stage), AvoidWorkers: map[types.Shard]bool{o.Shard: true}})
 	}
 	return
 }
 
-// copies places second attempts in what the round has left.
-func (co *Controller) copies(in placement.Input, wants []placement.Request) (attempts []state.Assignment) {
+// placeSpeculative places second attempts in what the round has left.
+func (co *Controller) placeSpeculative(in placement.Input, wants []placement.Request) (attempts []state.Assignment) {
 	if wants == nil {
 		return nil
 	}
@@ -51,8 +51,8 @@
 	return
 }
 
-// slow tells whether an attempt is far behind its like, or its worker out of reach.
-func (co *Controller) slow(o *dispatch.OutstandingAttempt, p *state.Step) bool {
+// isStraggler tells whether an attempt is far behind its like, or its worker out of reach.
+func (co *Controller) isStraggler(o *dispatch.OutstandingAttempt, p *state.Step) bool {
 	if s := co.scheduler.Worker(o.Shard); s == nil || s.State != dispatch.Healthy || !s.Healthy {
 		return true
 	}
@@ -63,5 +63,5 @@
 	if u, ok := co.scheduler.BaselineDuration(o.BaselineName); ok {
 		usual = max(usual, u)
 	}
-	return usual > 0 && co.now.Mono.Sub(o.OrderedAt) > time.Duration(behind*float64(usual))+slack
+	return usual > 0 && co.now.Mono.Sub(o.OrderedAt) > time.Duration(stragglerFactor*float64(usual))+stragglerMargin
 }
--- a/internal/controller/disk_test.go
+++ b/internal/controller/disk_test.go
@@ -16,7 +16,7 @@
 	c := newCluster(t, 21, 600)
 	c.changes(20, 1000)
 	m := c.leader()
-	m.full, m.mute = true, mute
+	m.diskFull, m.hidesDiskErrors = true, mute
 	m.ask("table.put", "", wire.Body(table(m.machine.state.Table.Version, 1000)), func(wire.Answer) {})
 	return c.until(10*time.Second, "another leader", func() bool { l := c.leader(); return l != nil && l != m }), c, m
 }
@@ -30,14 +30,14 @@
 		c.run(500 * time.Millisecond)
 		is.True(!m.machine.raft.IsLeader())
 		is.True(!m.machine.Ready())
-		is.True(strings.Contains(m.machine.Status().Why, "no space left"))
+		is.True(strings.Contains(m.machine.Status().Reason, "no space left"))
 	}
-	m.full = false
+	m.diskFull = false
 	c.until(time.Second, "caught up", func() bool { return c.caughtUp(m) })
 	is.True(m.machine.Ready())
-	is.Equal(m.machine.Status().Why, "")
-	is.Equal(m.machine.state.Table.Version, c.acked)
-	is.Equal(c.wrong, "")
+	is.Equal(m.machine.Status().Reason, "")
+	is.Equal(m.machine.state.Table.Version, c.acknowledged)
+	is.Equal(c.violation, "")
 }
 
 func TestADiskThatRefusesInSilenceIsNoticedLater(t *testing.T) {
@@ -54,7 +54,7 @@
 	c.changes(20, 1000)
 	before := c.change(1000)
 	for _, m := range c.members {
-		m.full = m != c.leader()
+		m.diskFull = m != c.leader()
 	}
 	acknowledged := 0
 	for range 20 {
@@ -70,7 +70,7 @@
 	is.Equal(acknowledged, 0)
 	for _, m := range c.members { // power goes before the disks are back: what waited is lost
 		m.kill()
-		m.full = false
+		m.diskFull = false
 	}
 	for _, m := range c.members {
 		m.start(false)
@@ -78,7 +78,7 @@
 	c.until(5*time.Second, "a leader", func() bool { return c.leader() != nil })
 	is.True(c.leader().machine.state.Table.Version >= before)
 	c.change(1000)
-	is.Equal(c.wrong, "")
+	is.Equal(c.violation, "")
 }
 
 // A member whose disk is full for long keeps no more than it must.
@@ -86,15 +86,15 @@
 	is := is.New(t)
 	c := newCluster(t, 23, 600)
 	m := c.follower()
-	m.full = true
-	sent := m.replies
+	m.diskFull = true
+	sent := m.appendReplies
 	for range 10 {
 		c.changes(300, 1000)
 		c.run(2 * time.Second)
 	}
 	is.True(m.machine.raft.MessagesAwaitingSync() < 50)
-	is.True(m.replies > sent)
-	m.full = false
+	is.True(m.appendReplies > sent)
+	m.diskFull = false
 	c.until(catchUp, "caught up", func() bool { return c.caughtUp(m) })
-	is.Equal(c.wrong, "")
+	is.Equal(c.violation, "")
 }
--- a/internal/controller/displace.go
+++ b/internal/controller/displace.go
@@ -15,60 +15,60 @@
 )
 
 const (
-	endure = time.Second     // displacing work has waited so long
-	gap    = 2 * time.Second // between two displacings
+	preemptionDelay    = time.Second     // displacing work has waited so long
+	preemptionInterval = 2 * time.Second // between two displacings
 )
 
-// victim is an attempt that may be displaced, with its gang.
-type victim struct {
+// preemptionVictim is an attempt that may be displaced, with its gang.
+type preemptionVictim struct {
 	attempts []types.AttemptID
-	room     map[types.Shard]types.Resources
+	freed    map[types.Shard]types.Resources
 	urgency  int
 	age      time.Duration
 }
 
-// displace finds what to take back for the first want that may displace, and
+// preempt finds what to take back for the first want that may displace, and
 // the workers to keep for it.
-func (co *Controller) displace(in placement.Input) ([]state.Withdrawal, *placement.Reservation) {
-	if co.now.Mono.Sub(co.moves) < gap {
+func (co *Controller) preempt(in placement.Input) ([]state.Withdrawal, *placement.Reservation) {
+	if co.now.Mono.Sub(co.preemptedAt) < preemptionInterval {
 		return nil, nil
 	}
 	for _, w := range in.Requests {
 		d := in.Usage[w.Queue]
-		if d == nil || !d.Queue.CanPreempt || w.WaitingFor < endure || len(w.Tasks) == 0 {
+		if d == nil || !d.Queue.CanPreempt || w.WaitingFor < preemptionDelay || len(w.Tasks) == 0 {
 			continue
 		}
 		if d.RunningTasks+w.MinTasks() > d.Queue.MaxRunning {
 			continue
 		}
-		if attempts, kept := oust(w, in.Slots, co.victims(w, below(d, in.TotalCores), in)); attempts != nil {
-			co.moves = co.now.Mono
+		if attempts, kept := selectVictims(w, in.Slots, co.preemptionCandidates(w, belowShare(d, in.TotalCores), in)); attempts != nil {
+			co.preemptedAt = co.now.Mono
 			return attempts, kept
 		}
 	}
 	return nil, nil
 }
 
-func below(d *placement.QueueUsage, total types.MilliCores) bool {
+func belowShare(d *placement.QueueUsage, total types.MilliCores) bool {
 	return 100*d.CoresInUse < types.MilliCores(d.Queue.SharePercent)*total
 }
 
-// victims lists what a want may displace: the least urgent first, then what has
+// preemptionCandidates lists what a want may displace: the least urgent first, then what has
 // run for the shortest time.
-func (co *Controller) victims(w placement.Request, under bool, in placement.Input) (list []*victim) {
-	gangs := map[placement.TaskGroup]*victim{}
+func (co *Controller) preemptionCandidates(w placement.Request, under bool, in placement.Input) (list []*preemptionVictim) {
+	gangs := map[placement.TaskGroup]*preemptionVictim{}
 	for _, o := range co.scheduler.Attempts() {
 		j := co.state.Jobs[o.Attempt.Job]
-		if j == nil || o.Stage < 0 || !co.mayTake(o.Attempt) || j.Queue == w.Queue && j.Spec.Urgency >= w.Urgency {
+		if j == nil || o.Stage < 0 || !co.isEvictable(o.Attempt) || j.Queue == w.Queue && j.Spec.Urgency >= w.Urgency {
 			continue
 		}
 		d := in.Usage[j.Queue]
 		urgent := j.Spec.Urgency < w.Urgency
-		if d == nil || below(d, in.TotalCores) || !urgent && !(under && j.Queue != w.Queue && j.Spec.Urgency <= w.Urgency) ||
+		if d == nil || belowShare(d, in.TotalCores) || !urgent && !(under && j.Queue != w.Queue && j.Spec.Urgency <= w.Urgency) ||
 			j.Task(o.Attempt.Number).Preemptions >= d.Queue.MaxPreemptions {
 			continue
 		}
-		v := &victim{room: map[types.Shard]types.Resources{}, urgency: j.Spec.Urgency, age: co.now.Mono.Sub(o.OrderedAt)}
+		v := &preemptionVictim{freed: map[types.Shard]types.Resources{}, urgency: j.Spec.Urgency, age: co.now.Mono.Sub(o.OrderedAt)}
 		if j.Spec.Steps[o.Stage.Step()].Gang {
 			k := placement.TaskGroup{Job: o.Attempt.Job, Stage: o.Stage}
 			if gangs[k] != nil {
@@ -81,7 +81,7 @@
 			list = append(list, v)
 		}
 		v.attempts = append(v.attempts, o.Attempt)
-		v.room[o.Shard] = v.room[o.Shard].Add(o.Resources)
+		v.freed[o.Shard] = v.freed[o.Shard].Add(o.Resources)
 	}
 	sort.SliceStable(list, func(i, k int) bool {
 		a, b := list[i], list[k]
@@ -90,11 +90,11 @@
 	return
 }
 
-// oust takes victims until the want would fit, and lets go of those that turn
+// selectVictims takes victims until the want would fit, and lets go of those that turn
 // out not to be needed.
-func oust(w placement.Request, slots []placement.Slot, list []*victim) (attempts []state.Withdrawal, kept *placement.Reservation) {
+func selectVictims(w placement.Request, slots []placement.Slot, candidates []*preemptionVictim) (attempts []state.Withdrawal, kept *placement.Reservation) {
 	need := w.MinTasks()
-	fits := func(use []*victim) (seats []placement.ReservedWorker) {
+	fits := func(chosen []*preemptionVictim) (seats []placement.ReservedWorker) {
 		n := 0
 		for i := range slots {
 			s := &slots[i]
@@ -102,8 +102,8 @@
 				continue
 			}
 			free := s.Free
-			for _, v := range use {
-				free = free.Add(v.room[s.Shard])
+			for _, v := range chosen {
+				free = free.Add(v.freed[s.Shard])
 			}
 			k := 0
 			for room := free; room.Contains(w.Resources) && n+k < need && (w.MaxPerWorker == 0 || s.TaskCount(w.TaskGroup)+k < w.MaxPerWorker); k++ {
@@ -118,40 +118,40 @@
 		}
 		return nil
 	}
-	if fits(nil) != nil || fits(list) == nil {
+	if fits(nil) != nil || fits(candidates) == nil {
 		return nil, nil
 	}
-	var use []*victim
-	for _, v := range list {
-		if use = append(use, v); fits(use) != nil {
+	var chosen []*preemptionVictim
+	for _, v := range candidates {
+		if chosen = append(chosen, v); fits(chosen) != nil {
 			break
 		}
 	}
-	for i := 0; i < len(use); {
-		if less := slices.Delete(slices.Clone(use), i, i+1); fits(less) != nil {
-			use = less
+	for i := 0; i < len(chosen); {
+		if less := slices.Delete(slices.Clone(chosen), i, i+1); fits(less) != nil {
+			chosen = less
 		} else {
 			i++
 		}
 	}
-	for _, v := range use {
+	for _, v := range chosen {
 		for _, l := range v.attempts {
 			attempts = append(attempts, state.Withdrawal{ID: l, Reason: state.Preempted})
 		}
 	}
-	return attempts, &placement.Reservation{TaskGroup: w.TaskGroup, Workers: fits(use)}
+	return attempts, &placement.Reservation{TaskGroup: w.TaskGroup, Workers: fits(chosen)}
 }
 
-// ages keeps since when each step has had something that could start.
-func (co *Controller) ages(list []placement.Request) {
+// updateWaitTimes keeps since when each step has had something that could start.
+func (co *Controller) updateWaitTimes(list []placement.Request) {
 	next := make(map[placement.TaskGroup]types.MonoTime, len(list))
 	for i := range list {
 		w := &list[i]
-		at, ok := co.waited[w.TaskGroup]
+		at, ok := co.readySince[w.TaskGroup]
 		if !ok {
 			at = co.now.Mono
 		}
 		next[w.TaskGroup], w.WaitingFor = at, co.now.Mono.Sub(at)
 	}
-	co.waited = next
+	co.readySince = next
 }
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -15,18 +15,18 @@
 	"coppercourse/internal/wire"
 )
 
-// target reads "workers/NAME" or "racks/NAME" and finds whether it is known.
-func (co *Controller) target(arg string) (t state.Target, bad *apierror.Error) {
+// parseTarget reads "workers/NAME" or "racks/NAME" and finds whether it is known.
+func (co *Controller) parseTarget(arg string) (t state.Target, bad *apierror.Error) {
 	kind, name, _ := strings.Cut(arg, "/")
 	if kind == "racks" {
 		t.Rack = types.Rack(name)
 	} else {
 		t.Shard = types.Shard(name)
 	}
-	return t, co.known(t)
+	return t, co.checkTargetKnown(t)
 }
 
-func (co *Controller) known(t state.Target) *apierror.Error {
+func (co *Controller) checkTargetKnown(t state.Target) *apierror.Error {
 	for _, x := range co.state.WorkerShapes {
 		if t.Matches(x.Shard, x.Rack) {
 			return nil
@@ -35,66 +35,66 @@
 	return apierror.New(apierror.NoSuchWorker, "", "no worker or rack of that name has ever come")
 }
 
-func (co *Controller) putDrain(w waiter, c wire.CallBody) {
+func (co *Controller) startDrain(w caller, c wire.CallBody) {
 	var d config.Drain
-	t, bad := co.target(c.Arg)
+	t, bad := co.parseTarget(c.Arg)
 	if json.Unmarshal(c.Body, &d) != nil {
 		bad = apierror.New(apierror.BadBody, "", "not a drain")
 	}
 	if bad != nil {
-		co.bad(w, bad)
+		co.replyError(w, bad)
 		return
 	}
 	x := state.Drain{Target: t}
 	if d.WithinMillis > 0 {
 		x.Deadline = co.raft.Clock().Add(time.Duration(d.WithinMillis) * time.Millisecond)
 	}
-	co.wait(w, state.Command{Drain: &x})
+	co.proposeRequest(w, state.Command{Drain: &x})
 }
 
-func (co *Controller) dropDrain(w waiter, c wire.CallBody) {
-	t, _ := co.target(c.Arg)
-	co.wait(w, state.Command{Drain: &state.Drain{Target: t, Lift: true}})
+func (co *Controller) cancelDrain(w caller, c wire.CallBody) {
+	t, _ := co.parseTarget(c.Arg)
+	co.proposeRequest(w, state.Command{Drain: &state.Drain{Target: t, Lift: true}})
 }
 
-func (co *Controller) putPlan(w waiter, c wire.CallBody) {
+func (co *Controller) putCalendar(w caller, c wire.CallBody) {
 	var p state.Calendar
 	if json.Unmarshal(c.Body, &p) != nil {
-		co.bad(w, apierror.New(apierror.BadBody, "", "not a calendar"))
+		co.replyError(w, apierror.New(apierror.BadBody, "", "not a calendar"))
 		return
 	}
-	if bad := co.known(p.Target); bad != nil {
-		co.bad(w, bad)
+	if bad := co.checkTargetKnown(p.Target); bad != nil {
+		co.replyError(w, bad)
 		return
 	}
-	co.wait(w, state.Command{Calendar: &p})
+	co.proposeRequest(w, state.Command{Calendar: &p})
 }
 
-func (co *Controller) dropPlan(w waiter, c wire.CallBody) {
-	co.wait(w, state.Command{Calendar: &state.Calendar{Name: c.Arg}})
+func (co *Controller) deleteCalendar(w caller, c wire.CallBody) {
+	co.proposeRequest(w, state.Command{Calendar: &state.Calendar{Name: c.Arg}})
 }
 
-// gone ends the doubts about a worker that its operators know to be lost.
-func (co *Controller) gone(w waiter, c wire.CallBody) {
+// confirmWorkerGone ends the doubts about a worker that its operators know to be lost.
+func (co *Controller) confirmWorkerGone(w caller, c wire.CallBody) {
 	shard := types.Shard(c.Arg)
-	bad := co.known(state.Target{Shard: shard})
+	bad := co.checkTargetKnown(state.Target{Shard: shard})
 	for _, s := range co.scheduler.Workers() {
 		if s.Shard == shard && s.State != dispatch.MustDie {
 			bad = apierror.New(apierror.WorkerHealthy, "", "the worker's agent is heard of; only one that is lost can be given up")
 		}
 	}
 	if bad != nil {
-		co.bad(w, bad)
+		co.replyError(w, bad)
 		return
 	}
-	co.wait(w, state.Command{ExitedWorker: shard})
+	co.proposeRequest(w, state.Command{ExitedWorker: shard})
 }
 
 // DrainView is a drain as operators see it.
 type DrainView struct {
 	state.Target
-	Left     int64 `json:"left_ms,omitempty"` // until what still runs is stopped
-	Attempts int   `json:"legs"`              // that still run there
+	RemainingMS int64 `json:"left_ms,omitempty"` // until what still runs is stopped
+	Attempts    int   `json:"legs"`              // that still run there
 }
 
 // Drains lists what is drained, and how much still runs there.
@@ -103,9 +103,9 @@
 	for _, d := range co.state.Drains {
 		v := DrainView{Target: d.Target}
 		if d.Deadline != 0 {
-			v.Left = max(1, d.Deadline.Sub(co.raft.Clock()).Milliseconds())
+			v.RemainingMS = max(1, d.Deadline.Sub(co.raft.Clock()).Milliseconds())
 		}
-		for _, o := range co.holds() {
+		for _, o := range co.outstanding() {
 			if d.Matches(o.Shard, co.state.WorkerShapes[o.Shard].Rack) {
 				v.Attempts++
 			}
@@ -115,27 +115,27 @@
 	return
 }
 
-// PlanView is a calendar as operators see it.
-type PlanView struct {
+// CalendarView is a calendar as operators see it.
+type CalendarView struct {
 	Name string `json:"name"`
 	state.Target
-	Count int      `json:"windows"`
-	Next  []string `json:"next"`
+	WindowCount int      `json:"windows"`
+	NextWindows []string `json:"next"`
 }
 
-// Plans lists the calendars and the next windows of each.
-func (co *Controller) Plans() (list []PlanView) {
-	list = []PlanView{}
+// Calendars lists the calendars and the next windows of each.
+func (co *Controller) Calendars() (list []CalendarView) {
+	list = []CalendarView{}
 	at := types.WallTime(co.raft.Clock()) + co.state.WallOffset
 	show := func(w types.WallTime) string { return time.Unix(0, int64(w)).UTC().Format(time.RFC3339) }
 	for _, p := range co.state.Calendars {
-		v := PlanView{Name: p.Name, Target: p.Target, Next: []string{}}
+		v := CalendarView{Name: p.Name, Target: p.Target, NextWindows: []string{}}
 		for _, x := range p.Windows {
 			if x[1] <= at {
 				continue
 			}
-			if v.Count++; len(v.Next) < 5 {
-				v.Next = append(v.Next, show(x[0])+"/"+show(x[1]))
+			if v.WindowCount++; len(v.NextWindows) < 5 {
+				v.NextWindows = append(v.NextWindows, show(x[0])+"/"+show(x[1]))
 			}
 		}
 		list = append(list, v)
@@ -143,7 +143,7 @@
 	return
 }
 
-func (co *Controller) holds() []*dispatch.OutstandingAttempt {
+func (co *Controller) outstanding() []*dispatch.OutstandingAttempt {
 	if co.scheduler == nil {
 		return nil
 	}
--- a/internal/controller/early.go
+++ b/internal/controller/early.go
@@ -13,62 +13,62 @@
 	"coppercourse/internal/wire"
 )
 
-type early struct {
+type bufferedReport struct {
 	from types.Addr
 	dispatch.UpdateStatus
-	at    types.MonoTime
-	sent  types.MonoTime
-	tries int // so often it was passed on
+	receivedAt  types.MonoTime
+	forwardedAt types.MonoTime
+	forwards    int // so often it was passed on
 }
 
-// lag is how long a report of an attempt that this controller's log does not have yet is
+// unknownAttemptRetention is how long a report of an attempt that this controller's log does not have yet is
 // kept; by is by way of how many gateways one is passed on at once.
 const (
-	lag = 10 * time.Second
-	by  = 2
+	unknownAttemptRetention = 10 * time.Second
+	gatewayFanout           = 2
 )
 
-// logged tells whether an end need not be kept any longer.
-func (co *Controller) logged(e state.AttemptEnd, at types.MonoTime) bool {
+// endLogged tells whether an end need not be kept any longer.
+func (co *Controller) endLogged(e state.AttemptEnd, at types.MonoTime) bool {
 	j := co.state.Jobs[e.ID.Job]
 	if j == nil {
-		return co.now.Mono.Sub(at) > lag
+		return co.now.Mono.Sub(at) > unknownAttemptRetention
 	}
 	if t := j.Task(e.ID.Number); t != nil && e.ID.Attempt > t.LastAttempt {
-		return co.now.Mono.Sub(at) > lag
+		return co.now.Mono.Sub(at) > unknownAttemptRetention
 	}
-	return co.taken(e)
+	return co.endRecorded(e)
 }
 
-// keep holds on to a report until its ends are in the log.
-func (co *Controller) keep(n wire.Message) {
+// bufferEndReport holds on to a report until its ends are in the log.
+func (co *Controller) bufferEndReport(n wire.Message) {
 	u, ok := wire.Read[dispatch.UpdateStatus](n)
-	if !ok || len(co.early) >= Crowd {
+	if !ok || len(co.bufferedReports) >= MaxPendingRequests {
 		return
 	}
-	u.Ends = slices.DeleteFunc(u.Ends, func(e state.AttemptEnd) bool { return !e.Outcome.ReportedByWorker() || co.logged(e, co.now.Mono) })
-	for _, x := range co.early {
+	u.Ends = slices.DeleteFunc(u.Ends, func(e state.AttemptEnd) bool { return !e.Outcome.ReportedByWorker() || co.endLogged(e, co.now.Mono) })
+	for _, x := range co.bufferedReports {
 		u.Ends = slices.DeleteFunc(u.Ends, func(e state.AttemptEnd) bool { return slices.Contains(x.Ends, e) })
 	}
 	if len(u.Ends) > 0 {
-		co.early = append(co.early, early{from: n.From, UpdateStatus: u, at: co.now.Mono, sent: co.now.Mono})
+		co.bufferedReports = append(co.bufferedReports, bufferedReport{from: n.From, UpdateStatus: u, receivedAt: co.now.Mono, forwardedAt: co.now.Mono})
 	}
 }
 
-// pass tells this controller's own dispatcher what is not in the log, or the leader, to
+// forwardEndReports tells this controller's own dispatcher what is not in the log, or the leader, to
 // whom the agent itself repeats it: so only after a while, lest a leader that is
 // behind is told everything by everybody.
-func (co *Controller) pass() {
-	co.early = slices.DeleteFunc(co.early, func(x early) bool {
-		return !slices.ContainsFunc(x.Ends, func(e state.AttemptEnd) bool { return !co.logged(e, x.at) })
+func (co *Controller) forwardEndReports() {
+	co.bufferedReports = slices.DeleteFunc(co.bufferedReports, func(x bufferedReport) bool {
+		return !slices.ContainsFunc(x.Ends, func(e state.AttemptEnd) bool { return !co.endLogged(e, x.receivedAt) })
 	})
-	for i := range co.early {
-		x := &co.early[i]
-		wait := co.options.Truth.UnhealthyAfter
+	for i := range co.bufferedReports {
+		x := &co.bufferedReports[i]
+		interval := co.options.DispatchTimeouts.UnhealthyAfter
 		if co.scheduler != nil {
-			wait = co.options.Truth.RetryInterval
+			interval = co.options.DispatchTimeouts.RetryInterval
 		}
-		if co.now.Mono.Sub(x.sent) < wait {
+		if co.now.Mono.Sub(x.forwardedAt) < interval {
 			continue
 		}
 		to := co.raft.LeaderAddr()
@@ -78,25 +78,25 @@
 		if s := wire.Make(x.from, to, wire.Status, x.UpdateStatus); co.scheduler != nil {
 			co.scheduler.HandleMessage(co.now.Mono, co.raft.AuthorityRemaining(), s.Message)
 		} else {
-			co.relay(s, to, x.tries)
-			x.tries++
+			co.relayReport(s, to, x.forwards)
+			x.forwards++
 		}
-		x.sent = co.now.Mono
+		x.forwardedAt = co.now.Mono
 	}
 }
 
-// relay sends a report to the leader, and, if it is none known or that did not help,
+// relayReport sends a report to the leader, and, if it is none known or that did not help,
 // by way of a few gateways, others each time: this controller may be cut off from the leader
 // alone.
-func (co *Controller) relay(s wire.Send, to types.Addr, tries int) {
+func (co *Controller) relayReport(s wire.Send, to types.Addr, tries int) {
 	if to != "" {
 		co.sends = append(co.sends, s)
 	}
 	if to != "" && tries == 0 {
 		return
 	}
-	gateways := co.roster.Known("gateway")
-	for i := range min(by, len(gateways)) {
-		co.sends = append(co.sends, wire.Send{To: gateways[(by*tries+i)%len(gateways)].Addr, Message: s.Message})
+	gateways := co.members.Known("gateway")
+	for i := range min(gatewayFanout, len(gateways)) {
+		co.sends = append(co.sends, wire.Send{To: gateways[(gatewayFanout*tries+i)%len(gateways)].Addr, Message: s.Message})
 	}
 }
--- a/internal/controller/ends.go
+++ b/internal/controller/ends.go
@@ -6,37 +6,37 @@
 	"coppercourse/internal/types"
 )
 
-// heed sends what the dispatcher has to say and puts the ends it has into the log.
-func (co *Controller) heed() {
+// drainScheduler sends what the dispatcher has to say and puts the ends it has into the log.
+func (co *Controller) drainScheduler() {
 	sends, ends := co.scheduler.TakeOutput()
 	co.sends = append(co.sends, sends...)
-	co.propose(ends)
+	co.proposeEnds(ends)
 }
 
-// propose puts ends into the log, each at most once at a time.
-func (co *Controller) propose(ends []state.AttemptEnd) {
+// proposeEnds puts ends into the log, each at most once at a time.
+func (co *Controller) proposeEnds(ends []state.AttemptEnd) {
 	var list []state.AttemptEnd
 	for _, e := range ends {
-		if !co.flight[e] && !co.taken(e) {
+		if !co.endsInFlight[e] && !co.endRecorded(e) {
 			list = append(list, e)
 		}
 	}
 	if list == nil {
 		return
 	}
-	if i, ok := co.fact(state.Command{Ends: list}); ok {
+	if i, ok := co.propose(state.Command{Ends: list}); ok {
 		for _, e := range list {
-			co.flight[e], co.ahead[e.ID.Job] = true, i
+			co.endsInFlight[e], co.pendingEnds[e.ID.Job] = true, i
 			if e.Outcome.FreesResources() {
-				co.free(e.ID)
+				co.releaseResources(e.ID)
 			}
 		}
-		co.Sums.Ends += uint64(len(list))
+		co.Counters.Ends += uint64(len(list))
 	}
 }
 
-// free tells that an attempt surely runs no more: its room may be given out again.
-func (co *Controller) free(attempt types.AttemptID) {
-	co.freed[attempt], co.moved = true, true
-	co.slots.forget(co.scheduler.ShardOf(attempt))
+// releaseResources tells that an attempt surely runs no more: its room may be given out again.
+func (co *Controller) releaseResources(attempt types.AttemptID) {
+	co.released[attempt], co.needsPlacement = true, true
+	co.slots.invalidate(co.scheduler.ShardOf(attempt))
 }
--- a/internal/controller/entries.go
+++ b/internal/controller/entries.go
@@ -21,24 +21,24 @@
 	command state.Command
 }
 
-// plain tells whether a command consists of values only, so that it is the same before
+// holdsOnlyValues tells whether a command consists of values only, so that it is the same before
 // and after it was written and read. Others bring documents, which are kept as read.
-func plain(c *state.Command) bool {
+func holdsOnlyValues(c *state.Command) bool {
 	return c.Job == nil && c.Table == nil && c.WallOffset == nil && c.WorkerShapes == nil && c.Drain == nil && c.Calendar == nil
 }
 
-// fact puts a command into the log; false when this controller may not.
-func (co *Controller) fact(command state.Command) (types.Index, bool) {
+// propose puts a command into the log; false when this controller may not.
+func (co *Controller) propose(command state.Command) (types.Index, bool) {
 	command.Time = max(co.raft.Clock(), co.state.Time)
 	at, ok := co.raft.Propose(wire.Body(command))
-	if ok && plain(&command) {
+	if ok && holdsOnlyValues(&command) {
 		co.proposals[at] = proposal{co.raft.Term(), command}
 	}
 	return at, ok
 }
 
-// command gives what an entry says.
-func (co *Controller) command(e raft.Entry) (command state.Command) {
+// decodeEntry gives what an entry says.
+func (co *Controller) decodeEntry(e raft.Entry) (command state.Command) {
 	own, ok := co.proposals[e.Index]
 	delete(co.proposals, e.Index)
 	if ok && own.term == e.Term {
@@ -53,36 +53,36 @@
 // applyCommitted brings the state up to what is committed, a bounded number of
 // entries a step.
 func (co *Controller) applyCommitted() {
-	if co.replaced() {
-		co.beginLoad()
-		co.loadPart() // a small one at once, a large one as time passes
-		maps.DeleteFunc(co.proposals, func(at types.Index, _ proposal) bool { return at <= co.loaded })
+	if co.snapshotReplaced() {
+		co.startSnapshotLoad()
+		co.loadSnapshotPart() // a small one at once, a large one as time passes
+		maps.DeleteFunc(co.proposals, func(at types.Index, _ proposal) bool { return at <= co.loadedIndex })
 	}
 	if co.loader != nil {
 		return
 	}
-	for most := co.applied + applyAtOnce; co.applied < co.raft.CommittedIndex() && co.applied < most; {
+	for most := co.applied + maxAppliesPerStep; co.applied < co.raft.CommittedIndex() && co.applied < most; {
 		co.applied++
-		co.Sums.Applied++
+		co.Counters.Applied++
 		if e := co.raft.Entry(co.applied); e.Data != nil {
-			co.apply(e)
+			co.applyEntry(e)
 		} else {
 			delete(co.proposals, e.Index)
 		}
 	}
-	co.answer()
+	co.replyReadyReads()
 }
 
-// answerWaiter answers who waited for an entry. Another leader's entry in its place
+// replyToCaller answers who waited for an entry. Another leader's entry in its place
 // tells nothing of the request, which may be committed there under another index.
-func (co *Controller) answerWaiter(e raft.Entry, command state.Command, bad *apierror.Error) {
+func (co *Controller) replyToCaller(e raft.Entry, command state.Command, bad *apierror.Error) {
 	w, ok := co.waiters[e.Index]
 	delete(co.waiters, e.Index)
 	switch {
 	case ok && w.term == e.Term:
-		co.settle(w, command, bad)
+		co.replyCommitted(w, command, bad)
 	case ok:
-		co.bad(w, leaderChanged())
+		co.replyError(w, leaderChanged())
 	}
 }
 
@@ -91,36 +91,36 @@
 	return apierror.New(apierror.OutcomeUnknown, "", "the leader changed; send the same again")
 }
 
-// apply takes one entry into the state, and answers who waited for it.
-func (co *Controller) apply(e raft.Entry) {
-	command := co.command(e)
-	co.moved = true
-	co.learn(command)
+// applyEntry takes one entry into the state, and answers who waited for it.
+func (co *Controller) applyEntry(e raft.Entry) {
+	command := co.decodeEntry(e)
+	co.needsPlacement = true
+	co.recordDurations(command)
 	attempts, bad := co.state.Apply(command)
 	co.raft.AdvanceClock(co.state.Time)
-	co.told(command, e.Index)
-	co.answerWaiter(e, command, bad)
+	co.traceCommand(command, e.Index)
+	co.replyToCaller(e, command, bad)
 	if co.scheduler == nil || !co.raft.IsLeader() {
 		return
 	}
 	if command.Job != nil && bad == nil {
-		co.weigh(co.state.Jobs[command.Job.ID])
+		co.recordJobWork(co.state.Jobs[command.Job.ID])
 	}
 	for _, g := range command.Assignments {
-		delete(co.given, g.ID.TaskID)
+		delete(co.assignmentsInFlight, g.ID.TaskID)
 	}
-	co.order(attempts)
+	co.sendOrders(attempts)
 	co.scheduler.OnEndsCommitted(command.Ends)
 	for _, end := range command.Ends {
-		co.landed(end)
+		co.endCommitted(end)
 	}
 }
 
-// landed forgets that an end is on its way into the log.
-func (co *Controller) landed(end state.AttemptEnd) {
-	delete(co.flight, end)
-	delete(co.freed, end.ID)
-	if co.ahead[end.ID.Job] <= co.applied {
-		delete(co.ahead, end.ID.Job)
+// endCommitted forgets that an end is on its way into the log.
+func (co *Controller) endCommitted(end state.AttemptEnd) {
+	delete(co.endsInFlight, end)
+	delete(co.released, end.ID)
+	if co.pendingEnds[end.ID.Job] <= co.applied {
+		delete(co.pendingEnds, end.ID.Job)
 	}
 }
--- a/internal/controller/entries_test.go
+++ b/internal/controller/entries_test.go
@@ -40,12 +40,12 @@
 	h := &Controller{proposals: map[types.Index]proposal{}}
 	for i := range types.Index(2000) {
 		c := randomPlain(r)
-		is.True(plain(&c))
+		is.True(holdsOnlyValues(&c))
 		e := raft.Entry{Term: 3, Index: i, Data: wire.Body(c)}
 		h.proposals[i] = proposal{3, c}
 		var read state.Command
 		is.NoErr(json.Unmarshal(e.Data, &read))
-		is.Equal(h.command(e), read)
+		is.Equal(h.decodeEntry(e), read)
 		is.Equal(len(h.proposals), 0)
 	}
 }
@@ -55,14 +55,14 @@
 	is := is.New(t)
 	h := &Controller{proposals: map[types.Index]proposal{7: {3, state.Command{Time: types.ClusterTime(time.Second), ExitedWorker: "mine"}}}}
 	theirs := state.Command{Time: types.ClusterTime(time.Minute), ExitedWorker: "theirs"}
-	is.Equal(h.command(raft.Entry{Term: 4, Index: 7, Data: wire.Body(theirs)}), theirs)
+	is.Equal(h.decodeEntry(raft.Entry{Term: 4, Index: 7, Data: wire.Body(theirs)}), theirs)
 	is.Equal(len(h.proposals), 0)
 }
 
 // Commands that bring documents are never kept: all that is behind a pointer, and shapes.
 func TestDocumentsAreReadFromTheLog(t *testing.T) {
 	is := is.New(t)
-	is.True(!plain(&state.Command{WorkerShapes: []state.WorkerShape{}}))
+	is.True(!holdsOnlyValues(&state.Command{WorkerShapes: []state.WorkerShape{}}))
 	documents := 0
 	for i := range reflect.TypeFor[state.Command]().NumField() {
 		var c state.Command
@@ -71,7 +71,7 @@
 			continue
 		}
 		field.Set(reflect.New(field.Type().Elem()))
-		is.True(!plain(&c))
+		is.True(!holdsOnlyValues(&c))
 		documents++
 	}
 	is.True(documents >= 5)
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -13,70 +13,70 @@
 )
 
 const (
-	// placeLag is how far the loop may be behind for work to be placed at any step.
-	placeLag = 25 * time.Millisecond
-	// placeEvery is how often work is placed at least while the loop is further behind.
-	placeEvery = 100 * time.Millisecond
-	// placeShare is how many times as long as a round of placing took, with it, is
-	// between its start and that of the next then, up to placeLongest.
-	placeShare   = 4
-	placeLongest = 500 * time.Millisecond
-	// entryLag is how far the loop may be behind before new work is turned away.
-	entryLag = 400 * time.Millisecond
-	// staleCall is how old a request may be before it is turned away: the gateway
+	// maxPlacementLag is how far the loop may be behind for work to be placed at any step.
+	maxPlacementLag = 25 * time.Millisecond
+	// minPlacementInterval is how often work is placed at least while the loop is further behind.
+	minPlacementInterval = 100 * time.Millisecond
+	// placementIntervalFactor is how many times as long as a round of placing took, with it, is
+	// between its start and that of the next then, up to maxPlacementInterval.
+	placementIntervalFactor = 4
+	maxPlacementInterval    = 500 * time.Millisecond
+	// maxAdmissionLag is how far the loop may be behind before new work is turned away.
+	maxAdmissionLag = 400 * time.Millisecond
+	// maxRequestAge is how old a request may be before it is turned away: the gateway
 	// that sent it asks elsewhere by then.
-	staleCall = 700 * time.Millisecond
-	// behindFor is how long a leader must have been behind to be so called.
-	behindFor = time.Second
+	maxRequestAge = 700 * time.Millisecond
+	// overloadDelay is how long a leader must have been behind to be so called.
+	overloadDelay = time.Second
 )
 
 // overload is what a controller knows of its loop.
 type overload struct {
-	load     wire.Load
-	placing  bool           // the last step placed work
-	placed   types.MonoTime // when work was placed last
-	cost     time.Duration  // of that, as the event after it saw
-	lagging  types.MonoTime // since when the lag is beyond what a leader may have
-	isBehind bool
-	ledSince types.MonoTime
+	load           wire.Load
+	placedLastStep bool           // the last step placed work
+	placedAt       types.MonoTime // when work was placed last
+	placementCost  time.Duration  // of that, as the event after it saw
+	laggingSince   types.MonoTime // since when the lag is beyond what a leader may have
+	isBehind       bool
+	leaderSince    types.MonoTime
 }
 
 // measure takes the load of an event.
 func (o *overload) measure(now types.MonoTime, load wire.Load) {
-	if o.placing {
-		o.cost = min(load.Age, now.Sub(o.placed))
+	if o.placedLastStep {
+		o.placementCost = min(load.Age, now.Sub(o.placedAt))
 	}
-	o.load, o.placing = load, false
+	o.load, o.placedLastStep = load, false
 }
 
 // mayPlace tells whether work may be placed in this step.
 func (o *overload) mayPlace(now types.MonoTime) bool {
-	return o.lag() <= placeLag || now.Sub(o.placed) >= min(placeLongest, max(placeEvery, placeShare*o.cost))
+	return o.lag() <= maxPlacementLag || now.Sub(o.placedAt) >= min(maxPlacementInterval, max(minPlacementInterval, placementIntervalFactor*o.placementCost))
 }
 
-func (o *overload) place(now types.MonoTime) { o.placing, o.placed = true, now }
+func (o *overload) startPlacement(now types.MonoTime) { o.placedLastStep, o.placedAt = true, now }
 
-// watch finds whether the loop has been behind a tolerance for long. It is no more
+// update finds whether the loop has been behind a tolerance for long. It is no more
 // so once the lag is within half of that.
-func (o *overload) watch(now types.MonoTime, tolerance time.Duration) {
+func (o *overload) update(now types.MonoTime, tolerance time.Duration) {
 	switch lag := o.load.Control; {
 	case lag <= tolerance/2:
-		o.lagging, o.isBehind = 0, false
-	case lag > tolerance && o.lagging == 0:
-		o.lagging = now
-	case lag > tolerance && now.Sub(o.lagging) >= behindFor:
+		o.laggingSince, o.isBehind = 0, false
+	case lag > tolerance && o.laggingSince == 0:
+		o.laggingSince = now
+	case lag > tolerance && now.Sub(o.laggingSince) >= overloadDelay:
 		o.isBehind = true
 	}
 }
 
-// refuses is the answer to a request for which there is no time, or nil. What is
+// checkOverload is the answer to a request for which there is no time, or nil. What is
 // known already is answered, and so are reads, cancels and operators.
-func (co *Controller) refuses(c wire.CallBody) *apierror.Error {
+func (co *Controller) checkOverload(c wire.CallBody) *apierror.Error {
 	lag := co.overload.lag()
 	switch {
 	case !wire.Enters(c.Verb), c.Verb == "job.put" && co.state.Find(types.JobID(c.Arg)) != nil:
 		return nil
-	case lag <= entryLag && co.overload.load.Age <= staleCall:
+	case lag <= maxAdmissionLag && co.overload.load.Age <= maxRequestAge:
 		return nil
 	}
 	return co.tooBusy()
@@ -86,28 +86,28 @@
 
 // tooBusy is the refusal of a request that was not taken, with when to come back.
 func (co *Controller) tooBusy() *apierror.Error {
-	co.Sums.TurnedAway++
+	co.Counters.TurnedAway++
 	return apierror.New(apierror.TooBusy, "", "the controller is behind with its work; the request was not taken").WithRetryAfter(2 * co.overload.lag())
 }
 
-// refuseExpired answers all requests at once that waited too long for a step.
-func (co *Controller) refuseExpired(calls []wire.Message) {
+// rejectExpired answers all requests at once that waited too long for a step.
+func (co *Controller) rejectExpired(calls []wire.Message) {
 	for _, n := range calls {
 		if c, ok := wire.Read[wire.CallBody](n); ok {
-			co.Sums.Calls++
-			co.bad(waiter{from: n.From, id: c.ID}, co.tooBusy())
+			co.Counters.Calls++
+			co.replyError(caller{gateway: n.From, requestID: c.ID}, co.tooBusy())
 		}
 	}
 }
 
-// relieve lets a leader that has been behind for long hand over.
-func (co *Controller) relieve() {
+// transferIfOverloaded lets a leader that has been behind for long hand over.
+func (co *Controller) transferIfOverloaded() {
 	co.raft.SetLoopLag(co.overload.load.Control)
-	co.overload.watch(co.now.Mono, co.raft.MaxLoopLag())
+	co.overload.update(co.now.Mono, co.raft.MaxLoopLag())
 	switch {
 	case !co.raft.IsLeader():
-		co.overload.ledSince = co.now.Mono
-	case co.overload.isBehind && co.raft.HoldsReadLease() && co.raft.TransferWhenOverloaded(co.now, co.now.Mono.Sub(co.overload.ledSince)):
-		co.Sums.Relieved++
+		co.overload.leaderSince = co.now.Mono
+	case co.overload.isBehind && co.raft.HoldsReadLease() && co.raft.TransferWhenOverloaded(co.now, co.now.Mono.Sub(co.overload.leaderSince)):
+		co.Counters.Relieved++
 	}
 }
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -31,11 +31,11 @@
 				is.True(now-placed <= c.most)
 			}
 			gaps++
-			o.place(stamp(now))
+			o.startPlacement(stamp(now))
 			placed = now
 			now += c.cost
 		}
-		o.measure(stamp(now), wire.Load{Waiting: true, Control: placeLag})
+		o.measure(stamp(now), wire.Load{Waiting: true, Control: maxPlacementLag})
 		is.True(o.mayPlace(stamp(now))) // it keeps up
 	}
 }
@@ -46,7 +46,7 @@
 	const tolerance = 100 * time.Millisecond
 	at := func(ms, lag int) bool {
 		o.measure(stamp(ms), wire.Load{Control: time.Duration(lag) * time.Millisecond})
-		o.watch(stamp(ms), tolerance)
+		o.update(stamp(ms), tolerance)
 		return o.isBehind
 	}
 	is.True(!at(1000, 5000)) // one long step
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -14,83 +14,83 @@
 )
 
 const (
-	near   = types.WallTime(50 * time.Millisecond)
-	astray = types.WallTime(20 * time.Millisecond)
+	maxOffsetDisagreement = types.WallTime(50 * time.Millisecond)
+	minOffsetChange       = types.WallTime(20 * time.Millisecond)
 
-	rounds  = 4                  // that are on their way into the log at once
-	endless = 10_000 * time.Hour // what lasts fits before no window
+	maxRoundsInFlight = 4                  // that are on their way into the log at once
+	unlimitedDuration = 10_000 * time.Hour // what lasts fits before no window
 
-	endlessRest = time.Hour // how long what has no limit is taken to run on
+	assumedUnlimitedRemainder = time.Hour // how long what has no limit is taken to run on
 )
 
-func (co *Controller) plan() {
-	var doom []types.AttemptID
+func (co *Controller) placeWork() {
+	var doomed []types.AttemptID
 	var spent []state.AttemptEnd
 	for _, j := range co.state.LiveJobs() {
 		x := co.state.ReadyIndex(j, co.raft.Clock())
-		doom, spent = append(doom, x.ToStop...), append(spent, x.Exhausted...)
+		doomed, spent = append(doomed, x.ToStop...), append(spent, x.Exhausted...)
 	}
-	co.propose(spent)
-	co.scheduler.KillTasks(append(doom, co.scheduler.UnknownAttempts()...), co.overtime())
-	if !co.raft.HoldsReadLease() || co.drain {
+	co.proposeEnds(spent)
+	co.scheduler.KillTasks(append(doomed, co.scheduler.UnknownAttempts()...), co.beyondTimeLimit())
+	if !co.raft.HoldsReadLease() || co.shuttingDown {
 		return
 	}
-	co.shapes()
-	co.times()
-	if co.giving > co.applied {
-		co.more()
+	co.proposeWorkerShapes()
+	co.proposeWallOffset()
+	if co.lastRound > co.applied {
+		co.placeWhileInFlight()
 		return
 	}
-	clear(co.given)
-	backs, more := co.reviewAttempts()
+	clear(co.assignmentsInFlight)
+	evictions, speculative := co.reviewAttempts()
 	if co.scheduler.InInitialWait {
-		co.give(nil, backs)
+		co.proposeRound(nil, evictions)
 		return
 	}
-	in := placement.Input{Reservation: co.kept}
-	in.Requests, in.Usage = co.wants()
+	in := placement.Input{Reservation: co.reservation}
+	in.Requests, in.Usage = co.pendingWork()
 	if len(in.Requests) == 0 {
-		co.kept, co.waited = nil, nil
+		co.reservation, co.readySince = nil, nil
 	}
-	if len(in.Requests)+len(more) == 0 {
-		co.give(nil, backs)
+	if len(in.Requests)+len(speculative) == 0 {
+		co.proposeRound(nil, evictions)
 		return
 	}
 	in.Slots, in.TotalCores = co.slots.list(co)
 	var attempts []state.Assignment
 	if len(in.Requests) > 0 {
-		co.ages(in.Requests)
-		co.caps(in)
+		co.updateWaitTimes(in.Requests)
+		co.limitLongWork(in)
 		out := placement.Place(in)
-		co.kept = out.Reservation
-		attempts = co.number(out.Assignments)
+		co.reservation = out.Reservation
+		attempts = co.numberAttempts(out.Assignments)
 	}
-	attempts = append(attempts, co.copies(in, more)...)
-	if attempts == nil && backs == nil && co.kept == nil {
-		backs, co.kept = co.displace(in)
+	attempts = append(attempts, co.placeSpeculative(in, speculative)...)
+	if attempts == nil && evictions == nil && co.reservation == nil {
+		evictions, co.reservation = co.preempt(in)
 	}
-	co.give(attempts, backs)
+	co.proposeRound(attempts, evictions)
 }
 
-// more gives out work while an earlier round is on its way into the log.
-func (co *Controller) more() {
-	co.rounds = slices.DeleteFunc(co.rounds, func(i types.Index) bool { return i <= co.applied })
-	if co.scheduler.InInitialWait || len(co.rounds) >= rounds || co.kept != nil {
+// placeWhileInFlight gives out work while an earlier round is on its way into the log.
+func (co *Controller) placeWhileInFlight() {
+	co.roundsInFlight = slices.DeleteFunc(co.roundsInFlight, func(i types.Index) bool { return i <= co.applied })
+	if co.scheduler.InInitialWait || len(co.roundsInFlight) >= maxRoundsInFlight || co.reservation != nil {
 		return
 	}
 	var in placement.Input
-	if in.Requests, in.Usage = co.wants(); len(in.Requests) == 0 {
+	if in.Requests, in.Usage = co.pendingWork(); len(in.Requests) == 0 {
 		return
 	}
 	in.Slots, in.TotalCores = co.slots.list(co)
-	co.ages(in.Requests)
-	co.caps(in)
-	co.give(co.number(placement.Place(in).Assignments), nil)
+	co.updateWaitTimes(in.Requests)
+	co.limitLongWork(in)
+	co.proposeRound(co.numberAttempts(placement.Place(in).Assignments), nil)
 }
 
-// number gives each placement its attempt's number; the members of a gang get the
+// numberAttempts gives each placement its attempt's number; the members of a gang get the
 // same.
-func (co *Controller) number(picks []placement.Assignment) (attempts []state.Assignment) {
+func (co *Controller) numberAttempts(picks []placement.Assignment) (attempts []state.Assignment) {
 	for _, p := range picks {
 		j := co.state.Jobs[p.Task.Job]
 		at := types.StageOf(p.Task.Number)
@@ -101,30 +101,30 @@
 			}
 		}
 		attempts = append(attempts, state.Assignment{ID: types.AttemptID{TaskID: p.Task, Attempt: attempt}, Shard: p.Shard})
-		delete(co.waited, placement.TaskGroup{Job: p.Task.Job, Stage: at})
+		delete(co.readySince, placement.TaskGroup{Job: p.Task.Job, Stage: at})
 	}
 	return
 }
 
-// give puts a round into the log; the next waits until it is applied.
-func (co *Controller) give(attempts []state.Assignment, backs []state.Withdrawal) {
-	if attempts == nil && backs == nil {
+// proposeRound puts a round into the log; the next waits until it is applied.
+func (co *Controller) proposeRound(attempts []state.Assignment, evictions []state.Withdrawal) {
+	if attempts == nil && evictions == nil {
 		return
 	}
-	if i, ok := co.fact(state.Command{Assignments: attempts, Withdrawals: backs}); ok {
-		co.giving = i
-		co.rounds = append(co.rounds, i)
+	if i, ok := co.propose(state.Command{Assignments: attempts, Withdrawals: evictions}); ok {
+		co.lastRound = i
+		co.roundsInFlight = append(co.roundsInFlight, i)
 		for _, g := range attempts {
-			co.given[g.ID.TaskID] = g
+			co.assignmentsInFlight[g.ID.TaskID] = g
 		}
 	}
 }
 
-// wants lists what may start now, and what each queue has in use. The list holds until
+// pendingWork lists what may start now, and what each queue has in use. The list holds until
 // the next one is made.
-func (co *Controller) wants() (list []placement.Request, dues map[types.QueueName]*placement.QueueUsage) {
-	list = co.wanted[:0]
-	defer func() { co.wanted = list }()
+func (co *Controller) pendingWork() (list []placement.Request, dues map[types.QueueName]*placement.QueueUsage) {
+	list = co.workBuffer[:0]
+	defer func() { co.workBuffer = list }()
 	dues = map[types.QueueName]*placement.QueueUsage{}
 	for q, r := range co.state.RemovedQueues {
 		dues[q] = &placement.QueueUsage{Queue: r}
@@ -142,30 +142,30 @@
 		d.RunningTasks += x.OutstandingAttempts
 		d.CoresInUse += x.CoresInUse
 		for _, b := range x.Stages {
-			if b.Tasks = co.unsent(j, b, d); len(b.Tasks) == 0 {
+			if b.Tasks = co.withoutInFlight(j, b, d); len(b.Tasks) == 0 {
 				continue
 			}
 			p := j.Spec.Steps[b.Stage.Step()]
-			long := co.limit(j, b.Stage)
+			timeLimit := co.timeLimit(j, b.Stage)
 			if p.AlwaysRestart {
-				long = endless
+				timeLimit = unlimitedDuration
 			}
-			class, turn, spare := co.aim(j, d.Queue, x, b)
+			class, turn, spare := co.rank(j, d.Queue, x, b)
 			list = append(list, placement.Request{TaskGroup: placement.TaskGroup{Job: j.ID, Stage: b.Stage}, Queue: j.Queue, Urgency: j.Spec.Urgency,
-				Kind: p.Kind, Rack: p.Rack, Labels: p.Labels, Resources: p.Resources, MaxPerWorker: p.MaxPerWorker, Gang: p.Gang, Tasks: b.Tasks, TimeLimit: long, AvoidWorkers: b.AvoidWorkers,
+				Kind: p.Kind, Rack: p.Rack, Labels: p.Labels, Resources: p.Resources, MaxPerWorker: p.MaxPerWorker, Gang: p.Gang, Tasks: b.Tasks, TimeLimit: timeLimit, AvoidWorkers: b.AvoidWorkers,
 				Class: class, SortKey: turn, HeadroomPercent: spare, JobIdle: x.OutstandingAttempts == 0, DataRack: p.DataRack, PreferOneRack: p.PreferOneRack})
 		}
 	}
 	return
 }
 
-// unsent is what of a batch is not on its way into the log; what is counts as in use.
-func (co *Controller) unsent(j *state.Job, b state.ReadyStage, d *placement.QueueUsage) (list []int) {
-	if len(co.given) == 0 {
+// withoutInFlight is what of a batch is not on its way into the log; what is counts as in use.
+func (co *Controller) withoutInFlight(j *state.Job, b state.ReadyStage, d *placement.QueueUsage) (list []int) {
+	if len(co.assignmentsInFlight) == 0 {
 		return b.Tasks
 	}
 	for _, n := range b.Tasks {
-		if _, ok := co.given[types.TaskID{Job: j.ID, Number: n}]; !ok {
+		if _, ok := co.assignmentsInFlight[types.TaskID{Job: j.ID, Number: n}]; !ok {
 			list = append(list, n)
 			continue
 		}
@@ -175,26 +175,26 @@
 	return
 }
 
-// order sends the attempts that the log has just given out.
-func (co *Controller) order(attempts []state.Assignment) {
+// sendOrders sends the attempts that the log has just given out.
+func (co *Controller) sendOrders(attempts []state.Assignment) {
 	for _, g := range attempts {
 		j := co.state.Jobs[g.ID.Job]
 		at := types.StageOf(g.ID.Number)
 		p := j.Spec.Steps[at.Step()]
-		co.Sums.Orders++
-		co.scheduler.RunTask(g.Shard, at, usual(j, at), dispatch.AttemptSpec{Attempt: g.ID, Kind: p.Kind, Rack: p.Rack, Resources: p.Resources,
-			TimeLimitMS: int(co.limit(j, at).Milliseconds()), Labels: p.Labels, Checkpoint: j.Task(g.ID.Number).Checkpoint, Input: j.Spec.StepWork(at.Step())})
+		co.Counters.Orders++
+		co.scheduler.RunTask(g.Shard, at, durationKey(j, at), dispatch.AttemptSpec{Attempt: g.ID, Kind: p.Kind, Rack: p.Rack, Resources: p.Resources,
+			TimeLimitMS: int(co.timeLimit(j, at).Milliseconds()), Labels: p.Labels, Checkpoint: j.Task(g.ID.Number).Checkpoint, Input: j.Spec.StepWork(at.Step())})
 	}
 }
 
-// usual names what an attempt's time is compared with.
-func usual(j *state.Job, at types.Stage) string {
+// durationKey names what an attempt's time is compared with.
+func durationKey(j *state.Job, at types.Stage) string {
 	return string(j.Queue) + "/" + j.Spec.Steps[at.Step()].Name
 }
 
-// limit is how long an attempt of a step may take by the table in force; what lasts
+// timeLimit is how long an attempt of a step may take by the table in force; what lasts
 // has none.
-func (co *Controller) limit(j *state.Job, at types.Stage) time.Duration {
+func (co *Controller) timeLimit(j *state.Job, at types.Stage) time.Duration {
 	p := &j.Spec.Steps[at.Step()]
 	if p.AlwaysRestart {
 		return 0
@@ -207,9 +207,9 @@
 	return own
 }
 
-// shapes keeps in the log what the workers are made of.
-func (co *Controller) shapes() {
-	if co.shaped > co.applied {
+// proposeWorkerShapes keeps in the log what the workers are made of.
+func (co *Controller) proposeWorkerShapes() {
+	if co.shapesIndex > co.applied {
 		return
 	}
 	var list []state.WorkerShape
@@ -225,25 +225,25 @@
 		}
 	}
 	if list != nil {
-		co.shaped, _ = co.fact(state.Command{WorkerShapes: list})
+		co.shapesIndex, _ = co.propose(state.Command{WorkerShapes: list})
 	}
 }
 
-// times keeps the offset from the cluster's clock to the wall clocks. Only two
+// proposeWallOffset keeps the offset from the cluster's clock to the wall clocks. Only two
 // voters that agree closely move it, so one clock that jumps moves nothing; of
 // the two the offset that lets nothing start early is taken.
-func (co *Controller) times() {
-	if co.now.Mono.Sub(co.timed) < time.Second {
+func (co *Controller) proposeWallOffset() {
+	if co.now.Mono.Sub(co.offsetCheckedAt) < time.Second {
 		return
 	}
-	co.timed = co.now.Mono
-	offs := co.raft.WallOffsets()
-	for i := 0; i+1 < len(offs); i++ {
-		if offs[i+1]-offs[i] > near {
+	co.offsetCheckedAt = co.now.Mono
+	offsets := co.raft.WallOffsets()
+	for i := 0; i+1 < len(offsets); i++ {
+		if offsets[i+1]-offsets[i] > maxOffsetDisagreement {
 			continue
 		}
-		if d := offs[i] - co.state.WallOffset; d > astray || d < -astray {
-			co.fact(state.Command{WallOffset: &offs[i]})
+		if d := offsets[i] - co.state.WallOffset; d > minOffsetChange || d < -minOffsetChange {
+			co.propose(state.Command{WallOffset: &offsets[i]})
 		}
 		return
 	}
--- a/internal/controller/reads.go
+++ b/internal/controller/reads.go
@@ -10,47 +10,47 @@
 	"coppercourse/internal/wire"
 )
 
-type reader struct {
-	w  waiter
-	id types.JobID
-	at types.Index
+type pendingRead struct {
+	caller caller
+	job    types.JobID
+	index  types.Index
 }
 
-func (co *Controller) getJob(w waiter, c wire.CallBody) {
+func (co *Controller) getJob(w caller, c wire.CallBody) {
 	id := types.JobID(c.Arg)
-	if at := co.ahead[id]; at > co.applied && len(co.reads) < Crowd {
-		co.reads = append(co.reads, reader{w, id, at})
+	if at := co.pendingEnds[id]; at > co.applied && len(co.pendingReads) < MaxPendingRequests {
+		co.pendingReads = append(co.pendingReads, pendingRead{w, id, at})
 		return
 	}
-	co.show(w, id)
+	co.replyJob(w, id)
 }
 
-func (co *Controller) show(w waiter, id types.JobID) {
+func (co *Controller) replyJob(w caller, id types.JobID) {
 	if v := co.View(id); v != nil {
-		co.good(w, 200, v)
+		co.replyOK(w, 200, v)
 		return
 	}
-	co.bad(w, apierror.New(apierror.NoSuchJob, "id", "no such job"))
+	co.replyError(w, apierror.New(apierror.NoSuchJob, "id", "no such job"))
 }
 
-// answer gives the reads whose ends are in the log by now.
-func (co *Controller) answer() {
-	kept := co.reads[:0]
-	for _, r := range co.reads {
-		if r.at > co.applied {
+// replyReadyReads gives the reads whose ends are in the log by now.
+func (co *Controller) replyReadyReads() {
+	kept := co.pendingReads[:0]
+	for _, r := range co.pendingReads {
+		if r.index > co.applied {
 			kept = append(kept, r)
 		} else {
-			co.show(r.w, r.id)
+			co.replyJob(r.caller, r.job)
 		}
 	}
-	co.reads = kept
+	co.pendingReads = kept
 }
 
 // turnAway sends those who read to the next leader.
 func (co *Controller) turnAway() {
-	for _, r := range co.reads {
-		co.reply(r.w, wire.ReplyBody{Away: true, Lead: co.otherLeader()})
+	for _, r := range co.pendingReads {
+		co.reply(r.caller, wire.ReplyBody{Away: true, Lead: co.otherLeader()})
 	}
-	co.reads = nil
-	clear(co.ahead)
+	co.pendingReads = nil
+	clear(co.pendingEnds)
 }
--- a/internal/controller/slots.go
+++ b/internal/controller/slots.go
@@ -13,81 +13,81 @@
 
 // occupancy is what possibly runs on one worker.
 type occupancy struct {
-	revision uint64 // of the scheduler's list that it was summed up from
-	used     types.Resources
-	busy     int
-	has      map[placement.TaskGroup]int
-	latest   types.MonoTime // when the last of what has a time limit reaches it
-	endless  bool           // something has none
+	revision  uint64 // of the scheduler's list that it was summed up from
+	used      types.Resources
+	busy      int
+	byPart    map[placement.TaskGroup]int
+	lastEnd   types.MonoTime // when the last of what has a time limit reaches it
+	unlimited bool           // something has none
 }
 
 // slotCache keeps occupancies, and the memory of the last round's list.
 type slotCache struct {
-	kept map[types.Shard]*occupancy
-	last []placement.Slot
-	at   map[types.Shard]int
+	byShard  map[types.Shard]*occupancy
+	slots    []placement.Slot
+	position map[types.Shard]int
 }
 
 // reset forgets everything, for another leadership.
 func (sc *slotCache) reset() { *sc = slotCache{} }
 
-// forget has one worker summed up anew.
-func (sc *slotCache) forget(shard types.Shard) { delete(sc.kept, shard) }
+// invalidate has one worker summed up anew.
+func (sc *slotCache) invalidate(shard types.Shard) { delete(sc.byShard, shard) }
 
 // list gives the workers that may be given work, and all cores there are. The list
 // holds until the next one is made.
 func (sc *slotCache) list(h *Controller) (slots []placement.Slot, total types.MilliCores) {
-	if sc.kept == nil {
-		sc.kept, sc.at = map[types.Shard]*occupancy{}, map[types.Shard]int{}
+	if sc.byShard == nil {
+		sc.byShard, sc.position = map[types.Shard]*occupancy{}, map[types.Shard]int{}
 	}
-	clear(sc.at)
-	slots = sc.last[:0]
+	clear(sc.position)
+	slots = sc.slots[:0]
 	for _, s := range h.scheduler.Workers() {
 		if s.State != dispatch.Healthy {
 			continue
 		}
 		total += s.Capacity.Cores
-		if till, _, _ := h.till(s); !s.Draining && s.Healthy {
-			sc.at[s.Shard] = len(slots)
-			slots = append(slots, h.slot(s, sc.of(h, s.Shard), till))
+		if till, _, _ := h.availability(s); !s.Draining && s.Healthy {
+			sc.position[s.Shard] = len(slots)
+			slots = append(slots, h.workerSlot(s, sc.occupancyOf(h, s.Shard), till))
 		}
 	}
-	sc.last = slots
-	for _, given := range h.given {
-		if i, ok := sc.at[given.Shard]; ok {
+	sc.slots = slots
+	for _, given := range h.assignmentsInFlight {
+		if i, ok := sc.position[given.Shard]; ok {
 			part := placement.TaskGroup{Job: given.ID.Job, Stage: types.StageOf(given.ID.Number)}
-			slots[i].Assign(part, h.roomOf(part))
+			slots[i].Assign(part, h.resourcesOf(part))
 		}
 	}
 	return
 }
 
-// slot is one worker with what runs there.
-func (co *Controller) slot(s *dispatch.RemoteWorker, runs *occupancy, till time.Duration) placement.Slot {
+// workerSlot is one worker with what runs there.
+func (co *Controller) workerSlot(s *dispatch.RemoteWorker, runs *occupancy, till time.Duration) placement.Slot {
 	return placement.Slot{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Labels: s.Labels,
-		Free: s.Capacity.Sub(s.Shortfall).Sub(runs.used), Capacity: s.Capacity, AvailableFor: till, IdleIn: runs.rest(co.now.Mono),
-		FailureRate: s.Reliability.FailureRate, DurationFactor: s.Reliability.RelativeDuration, CurrentDurationFactor: co.scheduler.Slowdown(s), RunningTasks: runs.busy, TasksByGroup: runs.has}
+		Free: s.Capacity.Sub(s.Shortfall).Sub(runs.used), Capacity: s.Capacity, AvailableFor: till, IdleIn: runs.remaining(co.now.Mono),
+		FailureRate: s.Reliability.FailureRate, DurationFactor: s.Reliability.RelativeDuration, CurrentDurationFactor: co.scheduler.Slowdown(s), RunningTasks: runs.busy, TasksByGroup: runs.byPart}
 }
 
-// roomOf is what a task of a part takes, or nothing if its job is over.
-func (co *Controller) roomOf(p placement.TaskGroup) types.Resources {
+// resourcesOf is what a task of a part takes, or nothing if its job is over.
+func (co *Controller) resourcesOf(p placement.TaskGroup) types.Resources {
 	if j := co.state.Jobs[p.Job]; j != nil && !j.Ended() {
 		return j.Spec.Steps[p.Stage.Step()].Resources
 	}
 	return types.Resources{}
 }
 
-// of gives what runs on a worker.
-func (sc *slotCache) of(h *Controller, shard types.Shard) *occupancy {
+// occupancyOf gives what runs on a worker.
+func (sc *slotCache) occupancyOf(h *Controller, shard types.Shard) *occupancy {
 	attempts, revision := h.scheduler.AttemptsOn(shard)
-	if runs := sc.kept[shard]; runs != nil && runs.revision == revision {
+	if runs := sc.byShard[shard]; runs != nil && runs.revision == revision {
 		return runs
 	}
-	runs := &occupancy{revision: revision, has: make(map[placement.TaskGroup]int, len(attempts))}
+	runs := &occupancy{revision: revision, byPart: make(map[placement.TaskGroup]int, len(attempts))}
 	for _, o := range attempts {
-		runs.add(o, h.freed[o.Attempt])
+		runs.add(o, h.released[o.Attempt])
 	}
-	sc.kept[shard] = runs
+	sc.byShard[shard] = runs
 	return runs
 }
 
@@ -99,20 +99,20 @@
 		oc.busy++
 	}
 	if o.TimeLimit == 0 {
-		oc.endless = true
+		oc.unlimited = true
 	} else {
-		oc.latest = max(oc.latest, o.OrderedAt.Add(o.TimeLimit))
+		oc.lastEnd = max(oc.lastEnd, o.OrderedAt.Add(o.TimeLimit))
 	}
 	if o.Stage >= 0 {
-		oc.has[placement.TaskGroup{Job: o.Attempt.Job, Stage: o.Stage}]++
+		oc.byPart[placement.TaskGroup{Job: o.Attempt.Job, Stage: o.Stage}]++
 	}
 }
 
-// rest is by when all that runs there has ended, by its limits.
-func (oc *occupancy) rest(now types.MonoTime) time.Duration {
-	rest := max(0, oc.latest.Sub(now))
-	if oc.endless {
-		rest = max(rest, endlessRest)
+// remaining is by when all that runs there has ended, by its limits.
+func (oc *occupancy) remaining(now types.MonoTime) time.Duration {
+	rest := max(0, oc.lastEnd.Sub(now))
+	if oc.unlimited {
+		rest = max(rest, assumedUnlimitedRemainder)
 	}
 	return rest
 }
--- a/internal/controller/slots_test.go
+++ b/internal/controller/slots_test.go
@@ -17,22 +17,22 @@
 	"coppercourse/internal/wire"
 )
 
-// slotsAfresh is the full scan over all workers and all attempts that slotCache must
+// slotsFromScratch is the full scan over all workers and all attempts that slotCache must
 // agree with.
-func slotsAfresh(h *Controller) (list []placement.Slot, total types.MilliCores) {
+func slotsFromScratch(h *Controller) (list []placement.Slot, total types.MilliCores) {
 	at := map[types.Shard]int{}
 	for _, s := range h.scheduler.Workers() {
 		if s.State != dispatch.Healthy {
 			continue
 		}
 		total += s.Capacity.Cores
-		if till, _, _ := h.till(s); !s.Draining && s.Healthy {
+		if till, _, _ := h.availability(s); !s.Draining && s.Healthy {
 			at[s.Shard] = len(list)
 			list = append(list, placement.Slot{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Labels: s.Labels, Free: s.Capacity.Sub(s.Shortfall), Capacity: s.Capacity, AvailableFor: till,
 				FailureRate: s.Reliability.FailureRate, DurationFactor: s.Reliability.RelativeDuration, CurrentDurationFactor: h.scheduler.Slowdown(s), TasksByGroup: map[placement.TaskGroup]int{}})
 		}
 	}
-	for _, g := range h.given {
+	for _, g := range h.assignmentsInFlight {
 		if i, ok := at[g.Shard]; ok {
 			stage := types.StageOf(g.ID.Number)
 			if j := h.state.Jobs[g.ID.Job]; j != nil && !j.Ended() {
@@ -48,7 +48,7 @@
 			continue
 		}
 		x := &list[i]
-		if !h.freed[o.Attempt] {
+		if !h.released[o.Attempt] {
 			x.Free = x.Free.Sub(o.Resources)
 			x.RunningTasks++
 		}
@@ -64,21 +64,21 @@
 	return
 }
 
-// leadership is a controller as it leads, with agents that come, tell of themselves,
+// leaderRig is a controller as it leads, with agents that come, tell of themselves,
 // and are given attempts, at random.
-type leadership struct {
+type leaderRig struct {
 	*Controller
-	rnd    *rand.Rand
-	agents []dispatch.Heartbeat
-	next   int
-	out    []types.AttemptID
+	rnd               *rand.Rand
+	agents            []dispatch.Heartbeat
+	next              int
+	outstandingOrders []types.AttemptID
 }
 
-func newLeadership(seed int64) *leadership {
+func newLeaderRig(seed int64) *leaderRig {
 	rnd := rand.New(rand.NewSource(seed))
 	now := types.Now{Mono: types.MonoTime(time.Hour), Wall: types.WallTime(time.Hour)}
-	h := New(now, rnd, Options{Addr: "h1", Core: raft.DefaultTimeouts, Truth: dispatch.Defaults}, nil)
-	l := &leadership{Controller: h, rnd: rnd}
+	h := New(now, rnd, Options{Addr: "h1", RaftTimeouts: raft.DefaultTimeouts, DispatchTimeouts: dispatch.Defaults}, nil)
+	l := &leaderRig{Controller: h, rnd: rnd}
 	h.scheduler = dispatch.NewScheduler(now.Mono, now.Mono, dispatch.Defaults, "h1", 1, nil)
 	h.scheduler.Invoked = func(types.Shard) bool { return true }
 	h.scheduler.Partitioned = func(types.Shard) bool { return false }
@@ -95,32 +95,32 @@
 	}
 	for range 4 { // until all agree on the worker set
 		for i := range l.agents {
-			l.beat(i)
+			l.heartbeat(i)
 		}
 	}
 	return l
 }
 
-func (l *leadership) pass(d time.Duration) {
+func (l *leaderRig) advance(d time.Duration) {
 	l.now.Mono, l.now.Wall = l.now.Mono.Add(d), l.now.Wall+types.WallTime(d)
 	l.scheduler.Tick(l.now.Mono, time.Minute)
 }
 
-func (l *leadership) say(kind string, body any) {
+func (l *leaderRig) deliver(kind string, body any) {
 	l.scheduler.HandleMessage(l.now.Mono, time.Minute, wire.Make("a", "h1", kind, body).Message)
 }
 
-// beat has an agent tell of itself, and take in what it is answered.
-func (l *leadership) beat(i int) {
-	l.pass(time.Millisecond)
+// heartbeat has an agent tell of itself, and take in what it is answered.
+func (l *leaderRig) heartbeat(i int) {
+	l.advance(time.Millisecond)
 	b := &l.agents[i]
 	b.SentAt = l.now.Mono
-	l.say(wire.Beat, *b)
+	l.deliver(wire.Beat, *b)
 	sends, _ := l.scheduler.TakeOutput()
 	for _, s := range sends {
 		switch s.Message.Kind {
 		case wire.AskRun:
-			l.say(wire.Account, dispatch.RunningTasksReply{Term: 1, Shard: b.Shard, Instance: b.Instance, Complete: true})
+			l.deliver(wire.Account, dispatch.RunningTasksReply{Term: 1, Shard: b.Shard, Instance: b.Instance, Complete: true})
 		case wire.Beaten:
 			if r, ok := wire.Read[dispatch.HeartbeatReply](s.Message); ok {
 				b.WorkerSet = r.WorkerSet
@@ -130,7 +130,7 @@
 }
 
 // change does something at random that placement must take note of.
-func (l *leadership) change() {
+func (l *leaderRig) change() {
 	attempt := types.AttemptID{TaskID: types.TaskID{Job: types.JobID(fmt.Sprint("job-", l.rnd.Intn(6))), Number: types.TaskNumber(0, l.rnd.Intn(2), l.rnd.Intn(8))}, Attempt: l.next}
 	shard := l.agents[l.rnd.Intn(len(l.agents))].Shard
 	l.next++
@@ -138,49 +138,51 @@
 	case 0, 1, 2:
 		l.scheduler.RunTask(shard, types.StageOf(attempt.Number), "u", dispatch.AttemptSpec{Attempt: attempt, Resources: types.Resources{Cores: types.MilliCores(l.rnd.Intn(3000)), MemoryMB: l.rnd.Intn(2000)},
 			TimeLimitMS: l.rnd.Intn(3) * 1000})
-		l.out = append(l.out, attempt)
+		l.outstandingOrders = append(l.outstandingOrders, attempt)
 	case 3, 4:
 		l.settleSome()
 	case 5:
-		if len(l.out) > 0 {
-			l.free(l.out[l.rnd.Intn(len(l.out))])
+		if len(l.outstandingOrders) > 0 {
+			l.releaseResources(l.outstandingOrders[l.rnd.Intn(len(l.outstandingOrders))])
 		}
 	case 6:
-		l.given[attempt.TaskID] = state.Assignment{ID: attempt, Shard: shard}
+		l.assignmentsInFlight[attempt.TaskID] = state.Assignment{ID: attempt, Shard: shard}
 	case 7:
-		clear(l.given)
+		clear(l.assignmentsInFlight)
 	case 8:
 		b := &l.agents[i]
 		b.Capacity.Cores, b.Shortfall.Cores, b.Draining, b.Healthy = types.MilliCores(l.rnd.Intn(20_000)), types.MilliCores(l.rnd.Intn(500)), l.rnd.Intn(5) == 0, l.rnd.Intn(5) > 0
-		l.beat(i)
+		l.heartbeat(i)
 	default:
 		if l.rnd.Intn(20) == 0 { // another agent process, before which the account is unknown
 			l.agents[i].PreviousInstance, l.agents[i].Instance = l.agents[i].Instance, types.ID(fmt.Sprint("agent-", l.next))
 		}
-		l.pass(time.Duration(l.rnd.Intn(300)) * time.Millisecond)
+		l.advance(time.Duration(l.rnd.Intn(300)) * time.Millisecond)
 		for i := range l.agents {
-			l.beat(i)
+			l.heartbeat(i)
 		}
 	}
 }
 
 // settleSome lets some attempts end in the log.
-func (l *leadership) settleSome() {
-	l.rnd.Shuffle(len(l.out), func(i, k int) { l.out[i], l.out[k] = l.out[k], l.out[i] })
-	n := min(len(l.out), l.rnd.Intn(4))
+func (l *leaderRig) settleSome() {
+	l.rnd.Shuffle(len(l.outstandingOrders), func(i, k int) {
+		l.outstandingOrders[i], l.outstandingOrders[k] = l.outstandingOrders[k], l.outstandingOrders[i]
+	})
+	n := min(len(l.outstandingOrders), l.rnd.Intn(4))
 	var ends []state.AttemptEnd
-	for _, attempt := range l.out[:n] {
+	for _, attempt := range l.outstandingOrders[:n] {
 		ends = append(ends, state.AttemptEnd{ID: attempt, Outcome: state.OutcomeOK})
 	}
-	l.out = l.out[n:]
+	l.outstandingOrders = l.outstandingOrders[n:]
 	l.scheduler.OnEndsCommitted(ends)
 	for _, end := range ends {
-		l.landed(end)
+		l.endCommitted(end)
 	}
 }
 
 // counts gives how many tasks of each part are on a slot.
-func (l *leadership) counts(s *placement.Slot) (list []int) {
+func (l *leaderRig) counts(s *placement.Slot) (list []int) {
 	for job := range 6 {
 		for step := range 2 {
 			list = append(list, s.TaskCount(placement.TaskGroup{Job: types.JobID(fmt.Sprint("job-", job)), Stage: types.StageOf(types.TaskNumber(0, step, 0))}))
@@ -195,14 +197,14 @@
 	is := is.New(t)
 	placed, healthy := 0, 0
 	for seed := range int64(12) {
-		l := newLeadership(seed)
+		l := newLeaderRig(seed)
 		for range 400 {
 			l.change()
 			if l.rnd.Intn(3) == 0 {
 				continue
 			}
 			got, total := l.slots.list(l.Controller)
-			want, wantTotal := slotsAfresh(l.Controller)
+			want, wantTotal := slotsFromScratch(l.Controller)
 			is.Equal(total, wantTotal)
 			is.Equal(len(got), len(want))
 			for i := range got {
@@ -221,7 +223,7 @@
 }
 
 // placeBoth places the same wants on both lists of slots.
-func (l *leadership) placeBoth(is *is.I, got, want []placement.Slot, total types.MilliCores) []placement.Assignment {
+func (l *leaderRig) placeBoth(is *is.I, got, want []placement.Slot, total types.MilliCores) []placement.Assignment {
 	input := func(slots []placement.Slot) placement.Input {
 		in := placement.Input{Slots: slots, TotalCores: total, Usage: map[types.QueueName]*placement.QueueUsage{"q": {}}}
 		in.Usage["q"].Queue.MaxRunning, in.Usage["q"].Queue.Weight = 100, 1
--- a/internal/controller/waiters_test.go
+++ b/internal/controller/waiters_test.go
@@ -16,15 +16,15 @@
 // request: its caller is told so at once, and not what became of the other entry.
 func TestAnEntryOfAnotherTermAnswersNobodysRequest(t *testing.T) {
 	is := is.New(t)
-	h := &Controller{state: state.New(), waiters: map[types.Index]waiter{7: {token: 1, term: 2}, 8: {token: 2, term: 3}}}
+	h := &Controller{state: state.New(), waiters: map[types.Index]caller{7: {token: 1, term: 2}, 8: {token: 2, term: 3}}}
 	refused := apierror.New(apierror.StaleVersion, "edition", "another order was first")
-	h.answerWaiter(raft.Entry{Index: 7, Term: 3}, state.Command{Cancel: "j"}, refused)
+	h.replyToCaller(raft.Entry{Index: 7, Term: 3}, state.Command{Cancel: "j"}, refused)
 	is.Equal(len(h.answers), 1)
 	is.Equal(h.answers[0].Token, uint64(1))
 	is.Equal(h.answers[0].Fault.Kind, apierror.OutcomeUnknown)
-	h.answerWaiter(raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, refused)
+	h.replyToCaller(raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, refused)
 	is.Equal(h.answers[1].Token, uint64(2))
 	is.Equal(h.answers[1].Fault.Kind, apierror.StaleVersion)
-	h.answerWaiter(raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, refused)
+	h.replyToCaller(raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, refused)
 	is.Equal(len(h.answers), 2) // once
 }
--- a/internal/controller/windows.go
+++ b/internal/controller/windows.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	ahead  = 1500 * time.Millisecond // an attempt is stopped so long before it must be gone
-	briefs = 2 * time.Second         // an attempt shorter than this has not stalled
-	shorts = 1500 * time.Millisecond // work shorter than this is begun anew elsewhere
-	halts  = 300 * time.Millisecond  // to stop an attempt and begin it elsewhere
+	stopMargin         = 1500 * time.Millisecond // an attempt is stopped so long before it must be gone
+	minStallDuration   = 2 * time.Second         // an attempt shorter than this has not stalled
+	maxRestartDuration = 1500 * time.Millisecond // work shorter than this is begun anew elsewhere
+	restartDelay       = 300 * time.Millisecond  // to stop an attempt and begin it elsewhere
 )
 
-// till tells how long a seat may still run something, 0 for without end, and
+// availability tells how long a seat may still run something, 0 for without end, and
 // when all there must be gone, if it must.
-func (co *Controller) till(s *dispatch.RemoteWorker) (left time.Duration, by types.MonoTime, why state.WithdrawReason) {
+func (co *Controller) availability(s *dispatch.RemoteWorker) (left time.Duration, by types.MonoTime, why state.WithdrawReason) {
 	now := co.raft.Clock()
 	if s.Draining {
 		left, why = time.Nanosecond, state.WorkerLeaving
@@ -31,7 +31,7 @@
 		}
 	}
 	if w, ok := co.state.NextWindow(s.Shard, s.Rack, now); ok {
-		if d := max(time.Nanosecond, w.From.Sub(now)-co.options.Truth.AgentLease); left == 0 || d < left { // an order may lie so long
+		if d := max(time.Nanosecond, w.From.Sub(now)-co.options.DispatchTimeouts.AgentLease); left == 0 || d < left { // an order may lie so long
 			left = d
 		}
 		if at := co.now.Mono.Add(w.Deadline.Sub(now)); w.Deadline != 0 && (by == 0 || at < by) {
@@ -41,40 +41,40 @@
 	return
 }
 
-// checkInterval is how often at most all attempts are looked at for what time alone
+// reviewInterval is how often at most all attempts are looked at for what time alone
 // brings about: a limit, a stall, a window, a second attempt that is wanted.
-const checkInterval = 10 * time.Millisecond
+const reviewInterval = 10 * time.Millisecond
 
-// check is something that is done at most once in each interval.
-type check struct {
-	done bool
-	at   types.MonoTime
+// reviewTimer is something that is done at most once in each interval.
+type reviewTimer struct {
+	done   bool
+	lastAt types.MonoTime
 }
 
 // due tells whether it is time, and if so takes it as done.
-func (c *check) due(now types.MonoTime) bool {
-	if c.done && now.Sub(c.at) < checkInterval {
+func (c *reviewTimer) due(now types.MonoTime) bool {
+	if c.done && now.Sub(c.lastAt) < reviewInterval {
 		return false
 	}
-	c.done, c.at = true, now
+	c.done, c.lastAt = true, now
 	return true
 }
 
 // reviewAttempts gives the attempts to be taken back now, and the second attempts that are
 // wanted.
 func (co *Controller) reviewAttempts() (backs []state.Withdrawal, copies []placement.Request) {
-	if !co.checks.due(co.now.Mono) {
+	if !co.attemptReview.due(co.now.Mono) {
 		return nil, nil
 	}
 	holds := co.scheduler.Attempts()
-	return co.recall(holds), co.behind(holds)
+	return co.evictions(holds), co.speculationCandidates(holds)
 }
 
-// recall lists the attempts to be taken back now.
-func (co *Controller) recall(holds []*dispatch.OutstandingAttempt) (list []state.Withdrawal) {
+// evictions lists the attempts to be taken back now.
+func (co *Controller) evictions(holds []*dispatch.OutstandingAttempt) (list []state.Withdrawal) {
 	gone := map[types.Shard]state.WithdrawReason{}
 	for _, s := range co.scheduler.Workers() {
-		if _, by, why := co.till(s); by != 0 && by.Sub(co.now.Mono) < ahead {
+		if _, by, why := co.availability(s); by != 0 && by.Sub(co.now.Mono) < stopMargin {
 			gone[s.Shard] = why
 		}
 	}
@@ -89,18 +89,18 @@
 		if why == "" && left[placement.TaskGroup{Job: o.Attempt.Job, Stage: o.Stage}] {
 			why = state.GangPeerUnreachable
 		}
-		if why == "" && (co.stalled(o) || co.crawls(o)) {
+		if why == "" && (co.isStalled(o) || co.isWorthRestarting(o)) {
 			why = state.Straggling
 		}
-		if why != "" && co.mayTake(o.Attempt) {
+		if why != "" && co.isEvictable(o.Attempt) {
 			list = append(list, state.Withdrawal{ID: o.Attempt, Reason: why})
 		}
 	}
 	return
 }
 
-// mayTake tells whether an attempt is out and not yet being taken back.
-func (co *Controller) mayTake(l types.AttemptID) bool {
+// isEvictable tells whether an attempt is out and not yet being taken back.
+func (co *Controller) isEvictable(l types.AttemptID) bool {
 	j := co.state.Jobs[l.Job]
 	if j == nil || j.Status != state.JobOpen {
 		return false
@@ -113,8 +113,8 @@
 	return o != nil && o.Withdrawn == ""
 }
 
-// stalled tells an attempt far beyond its step's usual time, once for a task.
-func (co *Controller) stalled(o *dispatch.OutstandingAttempt) bool {
+// isStalled tells an attempt far beyond its step's usual time, once for a task.
+func (co *Controller) isStalled(o *dispatch.OutstandingAttempt) bool {
 	u, ok := co.scheduler.BaselineDuration(o.BaselineName)
 	j := co.state.Jobs[o.Attempt.Job]
 	if !ok || j == nil {
@@ -124,14 +124,14 @@
 		return false
 	}
 	row, _ := co.state.QueueConfig(j.Queue)
-	return row.StragglerFactor > 0 && co.now.Mono.Sub(o.OrderedAt) > max(briefs, time.Duration(row.StragglerFactor)*u)
+	return row.StragglerFactor > 0 && co.now.Mono.Sub(o.OrderedAt) > max(minStallDuration, time.Duration(row.StragglerFactor)*u)
 }
 
-// crawls tells an attempt that will take so much longer where it is that it had better
+// isWorthRestarting tells an attempt that will take so much longer where it is that it had better
 // begin anew elsewhere, once for a task. What takes long anyway is left to its
 // worker, which may be quick again before it would be done elsewhere; what may run
 // twice gets a copy instead.
-func (co *Controller) crawls(o *dispatch.OutstandingAttempt) bool {
+func (co *Controller) isWorthRestarting(o *dispatch.OutstandingAttempt) bool {
 	j := co.state.Jobs[o.Attempt.Job]
 	if j == nil || o.StragglerEnd <= co.now.Mono || o.Stage < 0 {
 		return false
@@ -141,14 +141,14 @@
 	if t == nil || t.AvoidWorker != "" || p.AlwaysRestart || p.AllowHedge && !p.Gang {
 		return false
 	}
-	usual := co.expect(j, o.Stage.Step())
-	return usual < shorts && o.StragglerEnd.Sub(co.now.Mono) > 3*usual/2+halts
+	usual := co.expectedDuration(j, o.Stage.Step())
+	return usual < maxRestartDuration && o.StragglerEnd.Sub(co.now.Mono) > 3*usual/2+restartDelay
 }
 
-// overtime lists the attempts that run longer than the table in force allows; each was
+// beyondTimeLimit lists the attempts that run longer than the table in force allows; each was
 // told its limit with its order, but the table may have changed since.
-func (co *Controller) overtime() (list []types.AttemptID) {
-	if !co.limits.due(co.now.Mono) {
+func (co *Controller) beyondTimeLimit() (list []types.AttemptID) {
+	if !co.limitReview.due(co.now.Mono) {
 		return nil
 	}
 	for _, o := range co.scheduler.Attempts() {
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -136,7 +136,7 @@
 	return NewLoader(parts).Load(size)
 }
 
-// loadPart takes over one part.
+// loadSnapshotPart takes over one part.
 func (s *State) loadPart(b []byte) error {
 	var part struct {
 		Head  *header        `json:"head"`
--- a/sim/clients.go
+++ b/sim/clients.go
@@ -149,7 +149,7 @@
 	if json.Unmarshal(a.Body, &v) != nil {
 		return false
 	}
-	c.w.record(HistoryEvent{What: Saw, Job: id, Stage: v.State, Text: v.Why})
+	c.w.record(HistoryEvent{What: Saw, Job: id, Stage: v.State, Text: v.Reason})
 	return v.State == "done" || v.State == "failed" || v.State == "cancelled"
 }
 
--- a/sim/core_test.go
+++ b/sim/core_test.go
@@ -48,8 +48,8 @@
 			lost.boot() // comes back empty, with only one that knows
 			r.Run(time.Duration(r.now) + 12*time.Second)
 			_, served := r.version(5 * time.Second)
-			is.Equal(served, false)                                                     // no majority of those who acknowledged: no answer, rather than an old one
-			is.True(r.status(lost).Part == "empty" || r.status(lost).Part == "learner") // it has no vote
+			is.Equal(served, false)                                                             // no majority of those who acknowledged: no answer, rather than an old one
+			is.True(r.status(lost).RaftRole == "empty" || r.status(lost).RaftRole == "learner") // it has no vote
 			down.boot()
 			r.Run(time.Duration(r.now) + 10*time.Second)
 			e, ok := r.version(5 * time.Second)
@@ -68,7 +68,7 @@
 		s := r.status(h)
 		is.Equal(s.Cluster, "")
 		is.Equal(s.Ready, false)
-		is.True(s.Why != "")
+		is.True(s.Reason != "")
 	}
 }
 
@@ -113,8 +113,8 @@
 		r.controllers[i] = fresh
 		fresh.boot()
 		r.Run(time.Duration(r.now) + 15*time.Second)
-		is.Equal(len(r.status(fresh).Roll), 3)
-		is.True(r.status(fresh).Part == "follower" || r.status(fresh).Part == "leader")
+		is.Equal(len(r.status(fresh).Members), 3)
+		is.True(r.status(fresh).RaftRole == "follower" || r.status(fresh).RaftRole == "leader")
 	}
 	e, ok := r.version(5 * time.Second)
 	is.True(ok)
@@ -123,7 +123,7 @@
 	r.Run(time.Duration(r.now) + 15*time.Second)
 	l := r.leader()
 	is.True(l != nil && l != old[0])
-	roll := r.status(l).Roll
+	roll := r.status(l).Members
 	m, ok := roll.Find(r.status(old[0]).ID)
 	is.True(ok)
 	is.Equal(len(roll), 4)
@@ -155,7 +155,7 @@
 	r.Run(12 * time.Second)
 	is.True(r.leader() != nil)
 	is.True(r.leader() != l)
-	is.Equal(r.status(l).Part != "leader", true)
+	is.Equal(r.status(l).RaftRole != "leader", true)
 	e, ok := r.version(3 * time.Second)
 	is.True(ok)
 	is.Equal(e, types.Version(1))
@@ -172,7 +172,7 @@
 	r.controllers[0].wall = 0
 	r.Run(16 * time.Second)
 	for _, h := range r.controllers {
-		at, err := time.Parse(time.RFC3339Nano, r.status(h).Wall)
+		at, err := time.Parse(time.RFC3339Nano, r.status(h).ClusterTime)
 		is.NoErr(err)
 		off := at.Sub(time.Unix(0, origin+r.now))
 		is.True(off < 100*time.Millisecond)
@@ -199,7 +199,7 @@
 		r.Run(9500 * time.Millisecond)
 		for _, h := range r.controllers {
 			if h != stays && h.m != nil {
-				is.True(r.status(h).Part != "leader")
+				is.True(r.status(h).RaftRole != "leader")
 			}
 		}
 	}
--- a/sim/crowd_test.go
+++ b/sim/crowd_test.go
@@ -55,5 +55,5 @@
 		r.now, 30*time.Second)
 	is.Equal(len(v), 0)
 	is.True(len(r.status(r.leader()).Peers) > 0)
-	is.True(r.status(r.leader()).Jobs <= 400+400+400)
+	is.True(r.status(r.leader()).UnfinishedJobs <= 400+400+400)
 }
--- a/sim/cutoff_planted_test.go
+++ b/sim/cutoff_planted_test.go
@@ -199,7 +199,7 @@
 		{"a learner", func(r *Run) *node {
 			n := r.World.controller("h99", "z1")
 			n.boot()
-			r.waits(10*time.Second, func() bool { return n.m != nil && r.status(n).Part == "learner" && r.status(n).Leader != "" })
+			r.waits(10*time.Second, func() bool { return n.m != nil && r.status(n).RaftRole == "learner" && r.status(n).Leader != "" })
 			return n
 		}},
 		{"a stalled disk", func(r *Run) *node {
--- a/sim/daylong_test.go
+++ b/sim/daylong_test.go
@@ -38,9 +38,9 @@
 		runtime.GC()
 		runtime.ReadMemStats(&m)
 		s := r.leader().m.(*controller.Controller).Status()
-		t.Logf("%s: %d MB in all daemons, %d ids remembered, %d jobs unfinished, %d happenings", time.Duration(r.now), m.HeapAlloc>>20, s.Known, s.Jobs, seen)
-		is.True(s.Jobs < 200)
-		is.True(s.Known > 0)
+		t.Logf("%s: %d MB in all daemons, %d ids remembered, %d jobs unfinished, %d happenings", time.Duration(r.now), m.HeapAlloc>>20, s.JobsRemembered, s.UnfinishedJobs, seen)
+		is.True(s.UnfinishedJobs < 200)
+		is.True(s.JobsRemembered > 0)
 	}
 	runtime.KeepAlive(r)
 }
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -31,7 +31,7 @@
 	var term types.Term
 	for _, n := range upNodes(r.controllers) {
 		if h, ok := n.m.(*controller.Controller); ok {
-			if s := h.Status(); s.Part == "leader" && s.Term > term {
+			if s := h.Status(); s.RaftRole == "leader" && s.Term > term {
 				best, term = n, s.Term
 			}
 		}
@@ -318,7 +318,7 @@
 		if h.m == nil || h.frozen {
 			return false
 		}
-		if s := h.m.(*controller.Controller).Status(); s.Part != "leader" && s.Part != "follower" || len(s.Roll) != len(r.controllers) {
+		if s := h.m.(*controller.Controller).Status(); s.RaftRole != "leader" && s.RaftRole != "follower" || len(s.Members) != len(r.controllers) {
 			return false
 		}
 	}
--- a/sim/grown_rig_test.go
+++ b/sim/grown_rig_test.go
@@ -51,12 +51,12 @@
 		if h.m == nil {
 			continue
 		}
-		m, ok := s.Roll.Find(r.status(h).ID)
-		if x := r.status(h); !ok || m.Addr != h.addr || x.Cluster != s.Cluster || len(x.Roll) != len(s.Roll) {
+		m, ok := s.Members.Find(r.status(h).ID)
+		if x := r.status(h); !ok || m.Addr != h.addr || x.Cluster != s.Cluster || len(x.Members) != len(s.Members) {
 			return false
 		}
 	}
-	return s.Roll.Voters() == votes && len(s.Roll) == len(r.controllers)
+	return s.Members.Voters() == votes && len(s.Members) == len(r.controllers)
 }
 
 // table has an operator put the next table; acked tells whether it was taken.
@@ -76,7 +76,7 @@
 	for _, h := range r.controllers {
 		if h.m != nil {
 			s := r.status(h)
-			t.Logf("%s %s %s term %d, %q, roll %v", h.addr, s.ID, s.Part, s.Term, s.Why, s.Roll)
+			t.Logf("%s %s %s term %d, %q, roll %v", h.addr, s.ID, s.RaftRole, s.Term, s.Reason, s.Members)
 		}
 	}
 	t.Fatalf("%.3f s: not so: %s", float64(r.now)/1e9, what)
--- a/sim/grown_test.go
+++ b/sim/grown_test.go
@@ -29,10 +29,10 @@
 				r.start(order, 1500*time.Millisecond)
 				votes := min(n, 9)
 				r.must(t, "all vote in time", r.waits(5*time.Second, func() bool { return r.whole(votes) }))
-				for _, m := range r.status(r.leader()).Roll {
+				for _, m := range r.status(r.leader()).Members {
 					r.must(t, "who was there at the first start is no guest", !m.Provisional)
 				}
-				r.must(t, "losses borne are told", r.status(r.leader()).Bears == (votes-1)/2)
+				r.must(t, "losses borne are told", r.status(r.leader()).LossesTolerated == (votes-1)/2)
 			})
 		}
 	}
@@ -101,8 +101,8 @@
 	r.wait(20 * time.Second)
 	for _, h := range r.controllers {
 		s := r.status(h)
-		is.Equal([2]string{s.Cluster, s.Part}, [2]string{"", "empty"})
-		is.True(s.Why != "")
+		is.Equal([2]string{s.Cluster, s.RaftRole}, [2]string{"", "empty"})
+		is.True(s.Reason != "")
 		is.True(name != "")
 	}
 }
@@ -212,7 +212,7 @@
 			r.start(r.random.Perm(n), 300*time.Millisecond)
 			r.must(t, "all vote", r.waits(5*time.Second, func() bool { return r.whole(n) }))
 			r.wait(time.Second)
-			before := r.status(r.leader()).Roll
+			before := r.status(r.leader()).Members
 			l := r.leader()
 			away := []types.Addr{l.addr}
 			for _, h := range r.controllers {
@@ -227,14 +227,14 @@
 			r.wait(20 * time.Second)
 			now := r.leader()
 			is.True(now != nil && !slices.Contains(away, now.addr)) // the larger side goes on
-			is.Equal(len(r.status(now).Roll), n)
+			is.Equal(len(r.status(now).Members), n)
 			acked := r.table(0)
 			r.must(t, "a table is taken", r.waits(9*time.Second, acked))
 			fresh.kill()
 			clear(r.cut)
 			r.must(t, "all are back", r.waits(3*time.Second, func() bool { return r.whole(n) }))
 			for _, m := range before {
-				_, ok := r.status(r.leader()).Roll.Find(m.ID)
+				_, ok := r.status(r.leader()).Members.Find(m.ID)
 				is.True(ok)
 			}
 		})
@@ -278,7 +278,7 @@
 	r.wait(40 * time.Second)
 	r.controllers[0].kill()
 	r.wait(20 * time.Second)
-	is.Equal(len(r.status(r.leader()).Roll), 7)
+	is.Equal(len(r.status(r.leader()).Members), 7)
 	r.controllers[0].boot()
 	r.must(t, "all vote", r.waits(3*time.Second, func() bool { return r.whole(7) }))
 }
@@ -302,7 +302,7 @@
 	r.controllers[0].boot()
 	r.Split([]types.Addr{"h1x"}, cut, true, true)
 	r.wait(10 * time.Second)
-	roll := r.status(r.leader()).Roll
+	roll := r.status(r.leader()).Members
 	is.Equal(roll.Voters(), 8)
 	for i, id := range ids {
 		_, ok := roll.Find(id)
@@ -327,8 +327,8 @@
 	r.controllers = r.controllers[1:]
 	r.wait(50 * time.Second)
 	s := r.status(r.leader())
-	is.Equal(s.Roll.Voters(), 9)
-	for _, m := range s.Roll {
+	is.Equal(s.Members.Voters(), 9)
+	for _, m := range s.Members {
 		is.True(m.Addr != lost.addr)
 	}
 }
--- a/sim/invoked_test.go
+++ b/sim/invoked_test.go
@@ -181,7 +181,7 @@
 			}
 		}
 		for _, n := range r.controllers {
-			orders += n.m.(*controller.Controller).Sums.Orders
+			orders += n.m.(*controller.Controller).Counters.Orders
 		}
 		t.Logf("%d: %d orders, %d starts, %d turned away; %s", seed, orders, started, full, Summary(&r.Hist))
 		is.True(full > 0)
--- a/sim/processor.go
+++ b/sim/processor.go
@@ -183,7 +183,7 @@
 // placed counts the rounds of placing of a controller.
 func placed(m wire.Machine) uint64 {
 	if h, ok := m.(*controller.Controller); ok {
-		return h.Sums.Placed
+		return h.Counters.Placed
 	}
 	return 0
 }
--- a/sim/processor_test.go
+++ b/sim/processor_test.go
@@ -84,8 +84,8 @@
 	}
 	for _, n := range r.controllers {
 		s := r.status(n)
-		l.away += s.Sums.TurnedAway
-		l.relieved += s.Sums.Relieved
+		l.away += s.Counters.TurnedAway
+		l.relieved += s.Counters.Relieved
 		l.leaderTerms = max(l.leaderTerms, s.Term)
 	}
 	return
--- a/sim/requests_test.go
+++ b/sim/requests_test.go
@@ -51,7 +51,7 @@
 			r.Run(18 * time.Second)
 			var heir *node
 			for _, h := range r.controllers {
-				if h != old && r.status(h).Part == "leader" {
+				if h != old && r.status(h).RaftRole == "leader" {
 					heir = h
 				}
 			}
--- a/sim/silent_test.go
+++ b/sim/silent_test.go
@@ -24,7 +24,7 @@
 	r.Run(10 * time.Second)
 	var lead, away *node
 	for _, n := range r.controllers {
-		if s := r.status(n); s.Part == "leader" {
+		if s := r.status(n); s.RaftRole == "leader" {
 			lead = n
 		} else {
 			away = n
@@ -47,7 +47,7 @@
 	r.Split([]types.Addr{away.addr}, r.order, true, false)
 	r.Run(30 * time.Second)
 	a, b := r.status(lead), r.status(away)
-	is.Equal(a.Part, "leader")
+	is.Equal(a.RaftRole, "leader")
 	is.True(a.Commit-b.Commit < 100) // it has caught up
 	is.True(a.Commit > 500)
 }
--- a/sim/verdict.go
+++ b/sim/verdict.go
@@ -120,7 +120,7 @@
 		var ring *trace.Ring
 		switch m := n.m.(type) {
 		case *controller.Controller:
-			ring = m.Trail
+			ring = m.Trace
 		case *gateway.Gateway:
 			ring = m.Trail
 		case *agent.Agent:
--- a/sim/workload.go
+++ b/sim/workload.go
@@ -172,7 +172,7 @@
 			continue
 		}
 		if v.State == "done" || v.State == "failed" || v.State == "cancelled" {
-			w.f.Tell(HistoryEvent{What: Saw, Job: id, Stage: v.State, Text: v.Why})
+			w.f.Tell(HistoryEvent{What: Saw, Job: id, Stage: v.State, Text: v.Reason})
 			if v.State == "done" {
 				w.message(&w.Ends, from)
 			}
--- a/sim/world.go
+++ b/sim/world.go
@@ -361,7 +361,7 @@
 		core := w.raftTimeouts
 		core.AuthorityLease = w.timeouts.AgentLease
 		return controller.New(n.clock(), w.chance(), controller.Options{Addr: addr, Zone: zone, Seeds: w.seeds,
-			Begin: raft.BootstrapOptions{FirstStart: n.first && !n.disk.wiped, Founders: w.founders}, Core: core, Truth: w.timeouts, Every: 600}, recs)
+			Bootstrap: raft.BootstrapOptions{FirstStart: n.first && !n.disk.wiped, Founders: w.founders}, RaftTimeouts: core, DispatchTimeouts: w.timeouts, SnapshotThreshold: 600}, recs)
 	})
 }
 
