--- a/cmd/coppercourse/daemons.go
+++ b/cmd/coppercourse/daemons.go
@@ -87,7 +87,7 @@
 		settings.Read(b, &s, errs)
 	}
 	f.override(&s)
-	s.Check(role, errs)
+	s.Validate(role, errs)
 	return s, errs.Err()
 }
 
@@ -144,20 +144,20 @@
 	ctx     context.Context
 	log     logr.Logger
 	s       settings.Settings
-	ports   func(*server.Pages) []server.Port                   // further addresses to listen on
+	ports   func(*server.Handlers) []server.Endpoint            // further addresses to listen on
 	publish func(t config.Table, confirmedUntil types.MonoTime) // gateway: takes each table, and until when it may be used
-	caller  server.Caller                                       // agent: calls the worker
+	caller  server.WorkerCaller                                 // agent: calls the worker
 	said    string                                              // the state that was logged last
 }
 
 // serve runs the daemon's pages on its own address and on those of the platform
 // until the context ends.
-func (d *daemon) serve(p *server.Pages, h http.Handler) error {
-	ports := []server.Port{{Addr: d.s.Listen, Handler: h, Conns: d.s.Conns}}
+func (d *daemon) serve(p *server.Handlers, h http.Handler) error {
+	ports := []server.Endpoint{{Addr: d.s.Listen, Handler: h, MaxConns: d.s.MaxConns}}
 	if d.ports != nil {
 		ports = append(ports, d.ports(p)...)
 	}
-	return server.Serve(d.ctx, d.log, p, server.Leave(d.s.Bounds.Stops()), ports...)
+	return server.Serve(d.ctx, d.log, p, server.NewShutdownTiming(d.s.Bounds.ShutdownTimes()), ports...)
 }
 
 // state logs the daemon's state if it has changed since the last call.
@@ -171,75 +171,75 @@
 // runController runs a controller on its write-ahead log.
 func runController(d *daemon) error {
 	s := d.s
-	file, records, err := server.OpenLog(d.ctx, d.log, wal.Disk{}, s.Data, s.Listen)
+	file, records, err := server.OpenLog(d.ctx, d.log, wal.OSStorage{}, s.Data, s.Listen)
 	if err != nil {
 		return nil // stopped while it waited for its disk
 	}
-	post := server.NewPost(context.Background(), s.Source)
-	o := server.NewOwner(post, file)
+	post := server.NewSender(context.Background(), s.Source)
+	o := server.NewEventLoop(post, file)
 	options := controller.Options{
-		Addr: s.Addr(), Zone: s.ZoneName(), Seeds: s.Near(), Build: version,
-		Bootstrap: s.Begin(), LossTolerance: s.Loses, RaftTimeouts: s.Pace.Core(), DispatchTimeouts: s.Pace.Truth(),
+		Addr: s.AdvertisedAddr(), Zone: s.ZoneName(), Seeds: s.SeedAddrs(), Build: version,
+		Bootstrap: s.Bootstrap(), LossTolerance: s.MaxLosses, RaftTimeouts: s.Timeouts.Raft(), DispatchTimeouts: s.Timeouts.Dispatch(),
 	}
 	m := controller.New(server.Now(), randomSource(), options, records)
-	o.Carry(m)
+	o.SetMachine(m)
 	var ready atomic.Bool
-	o.Show = func() any {
+	o.Status = func() any {
 		v := m.Status()
 		d.state("part", v.RaftRole, "term", v.Term, "leader", v.Leader, "reason", v.Reason, "waits", v.InitialWait != "", "members", len(v.Members), "voters", v.Members.Voters(),
 			"behind", v.Overloaded, "relieved", v.Counters.Relieved)
 		return v
 	}
-	o.After = func() { ready.Store(m.Ready()) }
-	p := &server.Pages{Owner: o, Post: post, Trail: m.Trace, Ready: ready.Load}
+	o.AfterStep = func() { ready.Store(m.Ready()) }
+	p := &server.Handlers{Loop: o, Sender: post, Trace: m.Trace, Ready: ready.Load}
 	return d.serve(p, p.Router())
 }
 
 // runGateway runs a gateway.
 func runGateway(d *daemon) error {
 	s := d.s
-	post := server.NewPost(context.Background(), s.Source)
-	o := server.NewOwner(post, nil)
-	place := gateway.Options{Addr: s.Addr(), Zone: s.ZoneName(), Seeds: s.Near(), Issue: version, Stale: s.Pace.News()}
+	post := server.NewSender(context.Background(), s.Source)
+	o := server.NewEventLoop(post, nil)
+	place := gateway.Options{Addr: s.AdvertisedAddr(), Zone: s.ZoneName(), Seeds: s.SeedAddrs(), Issue: version, Stale: s.Timeouts.StaleAfter()}
 	m := gateway.New(server.Now(), randomSource(), place)
-	o.Carry(m)
+	o.SetMachine(m)
 	var ready atomic.Bool
-	o.Show = func() any {
+	o.Status = func() any {
 		v := m.Status()
 		d.state("ready", v.Ready, "leader", v.Leader, "table_edition", v.Version)
 		return v
 	}
-	entry := &server.Entry{}
-	o.After = func() {
+	entry := &server.GatewayHandlers{}
+	o.AfterStep = func() {
 		ready.Store(m.Ready())
 		t, _ := m.Table()
-		entry.Publish(t, m.ConfirmedUntil())
+		entry.PublishTable(t, m.ConfirmedUntil())
 		if d.publish != nil {
 			d.publish(t, m.ConfirmedUntil())
 		}
 	}
-	p := &server.Pages{Owner: o, Post: post, Trail: m.Trail, Ready: ready.Load}
+	p := &server.Handlers{Loop: o, Sender: post, Trace: m.Trail, Ready: ready.Load}
 	return d.serve(p, entry.Routes(p))
 }
 
 // runAgent runs the agent of one worker.
 func runAgent(d *daemon) error {
 	s := d.s
-	post := server.NewPost(context.Background(), s.Source)
-	o := server.NewOwner(post, nil)
+	post := server.NewSender(context.Background(), s.Source)
+	o := server.NewEventLoop(post, nil)
 	place := agent.Place{
-		Addr: s.Addr(), Zone: s.ZoneName(), Shard: s.ShardName(), Seeds: s.Near(), Issue: version, Truth: s.Dispatch(),
+		Addr: s.AdvertisedAddr(), Zone: s.ZoneName(), Shard: s.ShardName(), Seeds: s.SeedAddrs(), Issue: version, Truth: s.Dispatch(),
 	}
 	m := agent.New(server.Now(), randomSource(), place)
-	o.Carry(m)
-	o.Caller = d.caller
-	o.Show = func() any {
+	o.SetMachine(m)
+	o.CallWorker = d.caller
+	o.Status = func() any {
 		v := m.Status()
 		d.state("health", v.Account.State, "term", v.Account.Term, "instance", v.Account.Instance, "leaving", v.Account.Draining)
 		return v
 	}
-	p := &server.Pages{Owner: o, Post: post, Trail: m.Trail, Ready: func() bool { return true }}
+	p := &server.Handlers{Loop: o, Sender: post, Trace: m.Trail, Ready: func() bool { return true }}
 	r := p.Router()
-	r.HandleFunc("/v1/poll", p.Ask("poll")).Methods("POST")
+	r.HandleFunc("/v1/poll", p.RequestHandler("poll")).Methods("POST")
 	return d.serve(p, r)
 }
--- a/cmd/coppercourse/platform.go
+++ b/cmd/coppercourse/platform.go
@@ -79,21 +79,21 @@
 	"gateway": func(b platform.Boot, d *daemon) {
 		var front *platform.Front
 		d.publish = func(t config.Table, confirmedUntil types.MonoTime) { front.Publish(t, confirmedUntil) }
-		d.ports = func(p *server.Pages) []server.Port {
-			front = platform.NewFront(p.Owner)
-			return []server.Port{{Addr: b.Front, Handler: front, Limits: front.Limits, Conns: d.s.Conns},
-				{Addr: b.Ready, Handler: platform.Readiness(p.Open), Conns: fewConns}}
+		d.ports = func(p *server.Handlers) []server.Endpoint {
+			front = platform.NewFront(p.Loop)
+			return []server.Endpoint{{Addr: b.Front, Handler: front, Limits: front.Limits, MaxConns: d.s.MaxConns},
+				{Addr: b.Ready, Handler: platform.Readiness(p.IsReady), MaxConns: fewConns}}
 		}
 	},
 	"controller": func(b platform.Boot, d *daemon) {
-		d.ports = func(p *server.Pages) []server.Port {
-			return []server.Port{{Addr: b.Control, Handler: platform.NewControl(p.Owner, b.Control).Handler(), Conns: fewConns}}
+		d.ports = func(p *server.Handlers) []server.Endpoint {
+			return []server.Endpoint{{Addr: b.Control, Handler: platform.NewControl(p.Loop, b.Control).Handler(), MaxConns: fewConns}}
 		}
 	},
 	"agent": func(b platform.Boot, d *daemon) {
 		d.caller = platform.NewWorker().Call
-		d.ports = func(p *server.Pages) []server.Port {
-			return []server.Port{{Addr: b.Control, Handler: platform.NewSide(p.Owner, b.App).Handler(), Conns: fewConns}}
+		d.ports = func(p *server.Handlers) []server.Endpoint {
+			return []server.Endpoint{{Addr: b.Control, Handler: platform.NewSide(p.Loop, b.App).Handler(), MaxConns: fewConns}}
 		}
 	},
 }
--- a/cmd/coppercourse/trace.go
+++ b/cmd/coppercourse/trace.go
@@ -21,7 +21,7 @@
 
 // tracePoint is a trace point and the daemon that recorded it.
 type tracePoint struct {
-	trace.Mark
+	trace.Point
 	daemon string
 }
 
@@ -30,13 +30,13 @@
 	kind := t.Arg("kind", "job or table.").Required().Enum("job", "table")
 	name := t.Arg("name", "The job's id or the table's edition.").Required().String()
 	commands["trace"] = func() error {
-		subject := trace.Job(types.JobID(*name))
+		subject := trace.JobSubject(types.JobID(*name))
 		if *kind == "table" {
 			n, err := strconv.ParseUint(*name, 10, 64)
 			if err != nil {
 				return fmt.Errorf("a table's edition is a whole number, got %q", *name)
 			}
-			subject = trace.Table(types.Version(n))
+			subject = trace.TableSubject(types.Version(n))
 		}
 		return traceChange(*gateway, subject)
 	}
@@ -58,7 +58,7 @@
 	sort.SliceStable(points, func(i, k int) bool { return points[i].At < points[k].At })
 	first := points[0].At
 	for _, p := range points {
-		fmt.Printf("%10.3f ms  %-26s %s\n", float64(p.At-first)/float64(time.Millisecond), p.daemon, p.What)
+		fmt.Printf("%10.3f ms  %-26s %s\n", float64(p.At-first)/float64(time.Millisecond), p.daemon, p.Description)
 	}
 	return nil
 }
@@ -82,7 +82,7 @@
 func fetchTrace(peer membership.Peer, subject string) (points []tracePoint) {
 	daemon := fmt.Sprintf("%s %s", peer.Role, peer.Addr)
 	body, err := fetch(string(peer.Addr), http.MethodGet, "/v1/trace?subject="+url.QueryEscape(subject), nil)
-	var list []trace.Mark
+	var list []trace.Point
 	if err != nil || json.Unmarshal(body, &list) != nil {
 		fmt.Printf("%-26s no answer, last heard of %d ms ago\n", daemon, peer.AgeMS)
 		return nil
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -35,13 +35,13 @@
 type Agent struct {
 	place     Place
 	now       types.Now
-	roster    *membership.Roster
+	roster    *membership.MemberList
 	executor  *dispatch.Executor
 	Trail     *trace.Ring
 	pollToken uint64
 	pollSince types.MonoTime
 	closing   bool
-	answers   []wire.Answer
+	answers   []wire.Response
 	Sums      Sums
 }
 
@@ -61,9 +61,9 @@
 
 // card returns what this daemon tells the cluster of itself.
 func (a *Agent) card() membership.Card {
-	c := membership.Card{Addr: a.place.Addr, Role: membership.RoleAgent, Zone: a.place.Zone, Part: string(a.place.Shard), Ready: a.Ready(), Issue: a.place.Issue}
+	c := membership.Card{Addr: a.place.Addr, Role: membership.RoleAgent, Zone: a.place.Zone, Shard: string(a.place.Shard), Ready: a.Ready(), Build: a.place.Issue}
 	if a.roster != nil {
-		c.Name = a.roster.Cluster()
+		c.Name = a.roster.ClusterName()
 	}
 	return c
 }
@@ -72,59 +72,59 @@
 func (a *Agent) Ready() bool { return !a.closing }
 
 // Leader returns the address of the leader as far as the agent knows, or nothing.
-func (a *Agent) Leader() types.Addr { return a.roster.Lead() }
+func (a *Agent) Leader() types.Addr { return a.roster.Leader() }
 
 // Step takes one event and returns its effects; see wire.Machine.
-func (a *Agent) Step(e wire.Event) wire.Out {
+func (a *Agent) Step(e wire.Event) wire.Effects {
 	a.now = e.Now
 	switch {
 	case e.Message != nil:
 		a.take(*e.Message)
-	case e.Ask != nil:
-		a.handle(*e.Ask)
-	case e.Reply != nil:
-		a.executor.HandleWorkerReply(a.now.Mono, *e.Reply)
-	case e.Close:
+	case e.Request != nil:
+		a.handle(*e.Request)
+	case e.WorkerReply != nil:
+		a.executor.HandleWorkerReply(a.now.Mono, *e.WorkerReply)
+	case e.Shutdown:
 		a.closing = true
 	default:
 		a.tick()
 	}
 	a.answerPoll()
-	out := wire.Out{
-		Sends:   append(a.copyReports(a.executor.TakeOutput()), a.roster.Out()...),
-		Calls:   a.executor.TakeCalls(),
-		Answers: a.answers,
-		Idle:    a.closing && a.pollToken == 0,
+	out := wire.Effects{
+		Messages:  append(a.copyReports(a.executor.TakeOutput()), a.roster.TakeMessages()...),
+		Calls:     a.executor.TakeCalls(),
+		Responses: a.answers,
+		Drained:   a.closing && a.pollToken == 0,
 	}
 	a.answers = nil
 	return out
 }
 
 func (a *Agent) tick() {
-	a.roster.Me(a.card())
+	a.roster.SetSelf(a.card())
 	a.roster.Tick(a.now.Mono)
-	a.executor.Tick(a.now.Mono, a.roster.Lead())
+	a.executor.Tick(a.now.Mono, a.roster.Leader())
 }
 
 // answerPoll answers the poll that is held if there is something to tell, or if it
 // was held for long enough.
 func (a *Agent) answerPoll() {
 	if a.pollToken != 0 && (a.executor.HasUpdate() || a.closing || a.now.Mono.Sub(a.pollSince) >= pollWait) {
-		a.answers = append(a.answers, wire.Answer{Token: a.pollToken, Code: http.StatusOK, Body: wire.Body(a.executor.ReplyToPoll(a.now.Mono))})
+		a.answers = append(a.answers, wire.Response{Token: a.pollToken, StatusCode: http.StatusOK, Body: wire.EncodeBody(a.executor.ReplyToPoll(a.now.Mono))})
 		a.pollToken = 0
 	}
 }
 
 // copyReports sends status reports to every controller: the leader may be lost, and
 // so may this machine before another one leads.
-func (a *Agent) copyReports(list []wire.Send) []wire.Send {
+func (a *Agent) copyReports(list []wire.OutboundMessage) []wire.OutboundMessage {
 	for _, s := range list {
-		if s.Message.Kind != wire.Status {
+		if s.Message.Kind != wire.StatusReport {
 			continue
 		}
-		for _, c := range a.roster.Known(membership.RoleController) {
+		for _, c := range a.roster.MembersOf(membership.RoleController) {
 			if c.Addr != s.To {
-				list = append(list, wire.Send{To: c.Addr, Message: s.Message})
+				list = append(list, wire.OutboundMessage{To: c.Addr, Message: s.Message})
 			}
 		}
 	}
@@ -133,30 +133,30 @@
 
 // take handles a message of another daemon.
 func (a *Agent) take(n wire.Message) {
-	if a.roster.Take(a.now.Mono, n) {
+	if a.roster.HandleMessage(a.now.Mono, n) {
 		return
 	}
 	a.executor.HandleMessage(a.now.Mono, n)
 	switch n.Kind {
-	case wire.Order:
+	case wire.RunTask:
 		a.Sums.Orders++
-		if o, ok := wire.Read[dispatch.RunTask](n); ok {
-			a.Trail.Add(a.now.Wall, trace.Job(o.Spec.Attempt.Job), "order received", "attempt", o.Spec.Attempt)
+		if o, ok := wire.DecodeBody[dispatch.RunTask](n); ok {
+			a.Trail.Add(a.now.Wall, trace.JobSubject(o.Spec.Attempt.Job), "order received", "attempt", o.Spec.Attempt)
 		}
-	case wire.Stop:
+	case wire.KillTask:
 		a.Sums.Stops++
-		if s, ok := wire.Read[dispatch.KillTasks](n); ok {
+		if s, ok := wire.DecodeBody[dispatch.KillTasks](n); ok {
 			for _, l := range s.Attempts {
-				a.Trail.Add(a.now.Wall, trace.Job(l.Job), "stop received", "attempt", l)
+				a.Trail.Add(a.now.Wall, trace.JobSubject(l.Job), "stop received", "attempt", l)
 			}
 		}
 	}
 }
 
-var handlers = map[string]func(*Agent, wire.Ask){"poll": (*Agent).poll, "beat": (*Agent).beat, "leave": (*Agent).leave}
+var handlers = map[string]func(*Agent, wire.Request){"poll": (*Agent).poll, "beat": (*Agent).beat, "leave": (*Agent).leave}
 
 // handle dispatches a request by its verb.
-func (a *Agent) handle(ask wire.Ask) {
+func (a *Agent) handle(ask wire.Request) {
 	if handler := handlers[ask.Verb]; handler != nil {
 		handler(a, ask)
 		return
@@ -165,17 +165,17 @@
 }
 
 func (a *Agent) refuse(token uint64, err *apierror.Error) {
-	a.answers = append(a.answers, wire.Answer{Token: token, Fault: err})
+	a.answers = append(a.answers, wire.Response{Token: token, Error: err})
 }
 
 func (a *Agent) accept(token uint64) {
-	a.answers = append(a.answers, wire.Answer{Token: token, Code: http.StatusOK})
+	a.answers = append(a.answers, wire.Response{Token: token, StatusCode: http.StatusOK})
 }
 
 // beat takes the heartbeat of an invoked worker.
-func (a *Agent) beat(ask wire.Ask) {
-	var b wire.WorkerBeat
-	if json.Unmarshal(ask.Body, &b) != nil || b.Life == "" || b.To == "" {
+func (a *Agent) beat(ask wire.Request) {
+	var b wire.WorkerHeartbeat
+	if json.Unmarshal(ask.Body, &b) != nil || b.Incarnation == "" || b.Addr == "" {
 		a.refuse(ask.Token, apierror.New(apierror.BadBody, "", "not a worker's beat"))
 		return
 	}
@@ -184,13 +184,13 @@
 }
 
 // leave takes the word of a worker process that it ends now.
-func (a *Agent) leave(ask wire.Ask) {
+func (a *Agent) leave(ask wire.Request) {
 	a.executor.HandleDeregistration(a.now.Mono, types.ID(ask.Arg))
 	a.accept(ask.Token)
 }
 
 // poll takes a worker's poll and holds it; the one held before is refused as stale.
-func (a *Agent) poll(ask wire.Ask) {
+func (a *Agent) poll(ask wire.Request) {
 	a.Sums.Polls++
 	var p dispatch.Poll
 	var errs apierror.ErrorList
@@ -212,7 +212,7 @@
 		a.refuse(a.pollToken, apierror.New(apierror.StaleVersion, "call", "a newer call has come"))
 	}
 	for _, e := range p.Ended {
-		a.Trail.Add(a.now.Wall, trace.Job(e.Attempt.Job), "worker reported an end", "attempt", e.Attempt, "outcome", e.Outcome)
+		a.Trail.Add(a.now.Wall, trace.JobSubject(e.Attempt.Job), "worker reported an end", "attempt", e.Attempt, "outcome", e.Outcome)
 	}
 	a.pollToken, a.pollSince = ask.Token, a.now.Mono
 }
@@ -231,6 +231,6 @@
 
 // Status returns the agent's status.
 func (a *Agent) Status() StatusView {
-	return StatusView{Role: "agent", Program: a.place.Issue, Ready: a.Ready(), Leader: a.roster.Lead(),
+	return StatusView{Role: "agent", Program: a.place.Issue, Ready: a.Ready(), Leader: a.roster.Leader(),
 		QuietMS: min(1<<40, a.executor.SinceLastHeard(a.now.Mono).Milliseconds()), Account: a.executor.View(), Peers: a.roster.Peers(), Sums: a.Sums}
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -19,13 +19,13 @@
 	now := types.Now{Mono: 1 << 40}
 	w := New(now, rand.New(rand.NewSource(1)), Place{Addr: "w", Shard: "k", Truth: dispatch.Defaults})
 	token := uint64(0)
-	ask := func(body string) wire.Answer {
+	ask := func(body string) wire.Response {
 		token++
-		out := w.Step(wire.Event{Now: now, Ask: &wire.Ask{Token: token, Verb: "poll", Body: []byte(body)}})
-		if len(out.Answers) == 0 {
-			return wire.Answer{}
+		out := w.Step(wire.Event{Now: now, Request: &wire.Request{Token: token, Verb: "poll", Body: []byte(body)}})
+		if len(out.Responses) == 0 {
+			return wire.Response{}
 		}
-		return out.Answers[len(out.Answers)-1]
+		return out.Responses[len(out.Responses)-1]
 	}
 	for body, field := range map[string]string{
 		`nonsense`:   "",
@@ -39,14 +39,14 @@
 		`{"worker":"a","call":1,"ended":[{"leg":{"job":"j","n":0,"leg":1},"fate":"lost"}]}`:     "ended[0].fate",
 	} {
 		a := ask(body)
-		is.True(a.Fault != nil)
-		is.Equal(a.Fault.Field, field)
+		is.True(a.Error != nil)
+		is.Equal(a.Error.Field, field)
 	}
 	is.Equal(len(w.Status().Account.Attempts), 0)
-	is.Equal(w.Status().Account.Worker, types.ID(""))                 // none of it was taken
-	is.Equal(ask(`{"worker":"a","call":1,"stamp":5}`), wire.Answer{}) // a good one is held
+	is.Equal(w.Status().Account.Worker, types.ID(""))                   // none of it was taken
+	is.Equal(ask(`{"worker":"a","call":1,"stamp":5}`), wire.Response{}) // a good one is held
 	a := ask(`{"worker":"a","call":1,"stamp":5}`)
-	is.Equal(a.Fault.Kind, apierror.StaleVersion)
+	is.Equal(a.Error.Kind, apierror.StaleVersion)
 	is.Equal(a.Token, token) // the call held before it is still held
 	is.True(w.pollToken != 0)
 }
--- a/internal/configwatch/configwatch.go
+++ b/internal/configwatch/configwatch.go
@@ -18,36 +18,36 @@
 )
 
 const (
-	longPoll         = 400 * time.Millisecond
-	retryAfter       = 700 * time.Millisecond
-	retryUnconfirmed = 100 * time.Millisecond // while what it has is not confirmed
-	shortPoll        = time.Millisecond       // then no news is news too, and told at once
-	maxWatchers      = 500
+	longPollHold             = 400 * time.Millisecond
+	retryInterval            = 700 * time.Millisecond
+	retryIntervalUnconfirmed = 100 * time.Millisecond // while what it has is not confirmed
+	unconfirmedHold          = time.Millisecond       // then no news is news too, and told at once
+	maxWatchers              = 500
 )
 
 type watchRequest struct {
-	Have types.Version  `json:"have"`
-	Any  bool           `json:"any"`
-	Wait int64          `json:"wait_ms,omitempty"` // how long no news may be held back
-	Mark types.MonoTime `json:"mark"`
+	Version  types.Version  `json:"have"`
+	HasTable bool           `json:"any"`
+	HoldMS   int64          `json:"wait_ms,omitempty"` // how long no news may be held back
+	Nonce    types.MonoTime `json:"mark"`
 }
 
 func (w watchRequest) hold() time.Duration {
-	if w.Wait == 0 {
-		return longPoll
+	if w.HoldMS == 0 {
+		return longPollHold
 	}
-	return min(longPoll, time.Duration(w.Wait)*time.Millisecond)
+	return min(longPollHold, time.Duration(w.HoldMS)*time.Millisecond)
 }
 
 type watchResponse struct {
 	Version types.Version  `json:"edition"`
 	Table   *config.Table  `json:"table,omitempty"`
-	Mark    types.MonoTime `json:"mark"`
+	Nonce   types.MonoTime `json:"mark"`
 }
 
 type pendingWatch struct {
-	ask watchRequest
-	by  types.MonoTime
+	request  watchRequest
+	deadline types.MonoTime
 }
 
 // DefaultStaleAfter is how long a confirmation lasts where nothing else is set.
@@ -55,49 +55,51 @@
 
 // Publisher is the leader's side.
 type Publisher struct {
-	me    types.Addr
-	waits map[types.Addr]pendingWatch
+	self    types.Addr
+	pending map[types.Addr]pendingWatch
 }
 
 // NewPublisher makes the leader's side at an address.
 func NewPublisher(me types.Addr) *Publisher { return &Publisher{me, map[types.Addr]pendingWatch{}} }
 
-// Take handles a request; its answer comes from Answer.
-func (p *Publisher) Take(now types.MonoTime, n wire.Message) {
-	a, ok := wire.Read[watchRequest](n)
-	if !ok || len(p.waits) >= maxWatchers {
+// HandleRequest handles a request; its answer comes from Answer.
+func (p *Publisher) HandleRequest(now types.MonoTime, n wire.Message) {
+	a, ok := wire.DecodeBody[watchRequest](n)
+	if !ok || len(p.pending) >= maxWatchers {
 		return
 	}
 	by := now.Add(a.hold())
-	if w, ok := p.waits[n.From]; ok { // who asks again does not wait longer for it
-		by = min(by, w.by)
+	if w, ok := p.pending[n.From]; ok { // who asks again does not wait longer for it
+		by = min(by, w.deadline)
 	}
-	p.waits[n.From] = pendingWatch{a, by}
+	p.pending[n.From] = pendingWatch{a, by}
 }
 
-// Answer answers those for whom there is news, or whose hold is over.
-func (p *Publisher) Answer(now types.MonoTime, t config.Table) (sends []wire.Send) {
+// Responses answers those for whom there is news, or whose hold is over.
+func (p *Publisher) Responses(now types.MonoTime, t config.Table) (sends []wire.OutboundMessage) {
 	var due []types.Addr
-	for from, w := range p.waits {
-		if w.news(t.Version) || now >= w.by {
+	for from, w := range p.pending {
+		if w.hasUpdate(t.Version) || now >= w.deadline {
 			due = append(due, from)
 		}
 	}
 	slices.Sort(due)
 	for _, from := range due {
-		sends = append(sends, wire.Make(p.me, from, wire.Told, p.waits[from].answer(t)))
-		delete(p.waits, from)
+		sends = append(sends, wire.NewMessage(p.self, from, wire.ConfigWatchReply, p.pending[from].response(t)))
+		delete(p.pending, from)
 	}
 	return
 }
 
-// news tells whether who asked has not the table of that version.
-func (p pendingWatch) news(version types.Version) bool { return !p.ask.Any || p.ask.Have != version }
+// hasUpdate tells whether who asked has not the table of that version.
+func (p pendingWatch) hasUpdate(version types.Version) bool {
+	return !p.request.HasTable || p.request.Version != version
+}
 
-// answer brings the table where it is news, and else confirms the version held.
-func (p pendingWatch) answer(t config.Table) watchResponse {
-	a := watchResponse{Version: t.Version, Mark: p.ask.Mark}
-	if p.news(t.Version) {
+// response brings the table where it is news, and else confirms the version held.
+func (p pendingWatch) response(t config.Table) watchResponse {
+	a := watchResponse{Version: t.Version, Nonce: p.request.Nonce}
+	if p.hasUpdate(t.Version) {
 		a.Table = &t
 	}
 	return a
@@ -105,25 +107,25 @@
 
 // Watcher is the data-plane side.
 type Watcher struct {
-	me        types.Addr
-	stale     time.Duration
-	Table     config.Table
-	any       bool
-	open      bool
-	asked     types.MonoTime
-	sure      types.MonoTime
-	firstMark types.MonoTime // of this process; its questions have higher ones
-	mark      types.MonoTime // of the latest question
-	questions []question     // that may still be answered, oldest first
-}
-
-// question is one that was sent. Its mark comes back with the answer. Marks are
+	self             types.Addr
+	staleAfter       time.Duration
+	Table            config.Table
+	hasTable         bool
+	awaitingResponse bool
+	requestedAt      types.MonoTime
+	confirmedAt      types.MonoTime
+	firstNonce       types.MonoTime // of this process; its questions have higher ones
+	lastNonce        types.MonoTime // of the latest question
+	requests         []sentRequest  // that may still be answered, oldest first
+}
+
+// sentRequest is one that was sent. Its mark comes back with the answer. Marks are
 // numbers from a random start and no stamps: the steady clock starts anew with
 // each process, and an answer that was meant for an earlier process at this
 // address must not confirm anything to this one.
-type question struct {
-	mark types.MonoTime
-	sent types.MonoTime
+type sentRequest struct {
+	nonce  types.MonoTime
+	sentAt types.MonoTime
 }
 
 const never = types.MonoTime(-1 << 61)
@@ -131,11 +133,11 @@
 // NewWatcher makes one that does not decide by what was last confirmed so long
 // ago. The first mark must differ from process to process.
 func NewWatcher(me types.Addr, stale time.Duration, first types.MonoTime) *Watcher {
-	return &Watcher{me: me, stale: stale, sure: never, asked: never, firstMark: first, mark: first}
+	return &Watcher{self: me, staleAfter: stale, confirmedAt: never, requestedAt: never, firstNonce: first, lastNonce: first}
 }
 
-// FirstMark draws the first mark of a process.
-func FirstMark(rnd *rand.Rand) types.MonoTime { return types.MonoTime(rnd.Uint64() >> 12) }
+// NewNonce draws the first mark of a process.
+func NewNonce(rnd *rand.Rand) types.MonoTime { return types.MonoTime(rnd.Uint64() >> 12) }
 
 // Fresh tells whether the table may be decided by.
 func (w *Watcher) Fresh(now types.MonoTime) bool { return now < w.ConfirmedUntil() }
@@ -144,68 +146,70 @@
 // steady clock. Whoever answers by the table compares it with that clock when
 // the answer is given.
 func (w *Watcher) ConfirmedUntil() types.MonoTime {
-	if !w.any {
+	if !w.hasTable {
 		return never
 	}
-	return w.sure.Add(w.stale)
+	return w.confirmedAt.Add(w.staleAfter)
 }
 
-// part is as much of a timing as the confirmation's life is of the default.
-func (w *Watcher) part(d time.Duration) time.Duration {
-	return min(w.stale, DefaultStaleAfter) * d / DefaultStaleAfter
+// scaled is as much of a timing as the confirmation's life is of the default.
+func (w *Watcher) scaled(d time.Duration) time.Duration {
+	return min(w.staleAfter, DefaultStaleAfter) * d / DefaultStaleAfter
 }
 
 // Tick asks the leader again, at once after an answer.
-func (w *Watcher) Tick(now types.MonoTime, lead types.Addr) (sends []wire.Send) {
-	wait, held := retryAfter, w.part(longPoll)
+func (w *Watcher) Tick(now types.MonoTime, lead types.Addr) (sends []wire.OutboundMessage) {
+	wait, held := retryInterval, w.scaled(longPollHold)
 	if !w.Fresh(now) {
-		wait, held = retryUnconfirmed, shortPoll
+		wait, held = retryIntervalUnconfirmed, unconfirmedHold
 	}
-	if lead == "" || w.open && now.Sub(w.asked) < w.part(wait) {
+	if lead == "" || w.awaitingResponse && now.Sub(w.requestedAt) < w.scaled(wait) {
 		return nil
 	}
-	w.open, w.asked = true, now
-	return []wire.Send{wire.Make(w.me, lead, wire.News, watchRequest{w.Table.Version, w.any, held.Milliseconds(), w.question(now)})}
+	w.awaitingResponse, w.requestedAt = true, now
+	return []wire.OutboundMessage{wire.NewMessage(w.self, lead, wire.ConfigWatch, watchRequest{w.Table.Version, w.hasTable, held.Milliseconds(), w.recordRequest(now)})}
 }
 
-// question notes that one is sent, and gives its mark. Those whose answer could
+// recordRequest notes that one is sent, and gives its mark. Those whose answer could
 // no longer confirm anything are forgotten.
-func (w *Watcher) question(now types.MonoTime) types.MonoTime {
-	w.questions = slices.DeleteFunc(w.questions, func(q question) bool { return now.Sub(q.sent) >= w.stale })
-	w.mark++
-	w.questions = append(w.questions, question{w.mark, now})
-	return w.mark
-}
-
-// sent is when the question with a mark was sent.
-func (w *Watcher) sent(mark types.MonoTime) types.MonoTime {
-	for _, q := range w.questions {
-		if q.mark == mark {
-			return q.sent
+func (w *Watcher) recordRequest(now types.MonoTime) types.MonoTime {
+	w.requests = slices.DeleteFunc(w.requests, func(q sentRequest) bool { return now.Sub(q.sentAt) >= w.staleAfter })
+	w.lastNonce++
+	w.requests = append(w.requests, sentRequest{w.lastNonce, now})
+	return w.lastNonce
+}
+
+// sentAt is when the question with a mark was sent.
+func (w *Watcher) sentAt(mark types.MonoTime) types.MonoTime {
+	for _, q := range w.requests {
+		if q.nonce == mark {
+			return q.sentAt
 		}
 	}
 	return never
 }
 
-// hasAsked tells whether a question of this process had a mark, answered or not.
-func (w *Watcher) hasAsked(mark types.MonoTime) bool { return mark > w.firstMark && mark <= w.mark }
+// isOwnNonce tells whether a question of this process had a mark, answered or not.
+func (w *Watcher) isOwnNonce(mark types.MonoTime) bool {
+	return mark > w.firstNonce && mark <= w.lastNonce
+}
 
-// Take handles an answer; true when the table changed. What it confirms counts
+// HandleResponse handles an answer; true when the table changed. What it confirms counts
 // from when it was asked.
-func (w *Watcher) Take(n wire.Message) bool {
-	t, ok := wire.Read[watchResponse](n)
-	if !ok || !w.hasAsked(t.Mark) {
+func (w *Watcher) HandleResponse(n wire.Message) bool {
+	t, ok := wire.DecodeBody[watchResponse](n)
+	if !ok || !w.isOwnNonce(t.Nonce) {
 		return false
 	}
-	if t.Mark == w.mark {
-		w.open = false
+	if t.Nonce == w.lastNonce {
+		w.awaitingResponse = false
 	}
-	if t.Table != nil && (!w.any || t.Version > w.Table.Version) {
-		w.Table, w.any, w.sure = *t.Table, true, max(w.sure, w.sent(t.Mark))
+	if t.Table != nil && (!w.hasTable || t.Version > w.Table.Version) {
+		w.Table, w.hasTable, w.confirmedAt = *t.Table, true, max(w.confirmedAt, w.sentAt(t.Nonce))
 		return true
 	}
-	if w.any && t.Version == w.Table.Version {
-		w.sure = max(w.sure, w.sent(t.Mark))
+	if w.hasTable && t.Version == w.Table.Version {
+		w.confirmedAt = max(w.confirmedAt, w.sentAt(t.Nonce))
 	}
 	return false
 }
--- a/internal/configwatch/configwatch_test.go
+++ b/internal/configwatch/configwatch_test.go
@@ -13,7 +13,7 @@
 // A reader that was out of the publisher's reach for longer than its confirmation lasts,
 // and has the very table in force, may decide by it again soon after it can ask;
 // however often it asks, it does not put off its own answer.
-func TestAWatcherThatFellSilentIsConfirmedAgain(t *testing.T) {
+func TestWatcherIsConfirmedAgainAfterAPartition(t *testing.T) {
 	for _, stale := range []time.Duration{300 * time.Millisecond, DefaultStaleAfter} {
 		is := is.New(t)
 		table := config.Table{Version: 31}
@@ -23,12 +23,12 @@
 				now := types.MonoTime(at)
 				for _, s := range r.Tick(now, "controller:1") {
 					if reach {
-						publisher.Take(now, s.Message)
+						publisher.HandleRequest(now, s.Message)
 					}
 				}
-				for _, s := range publisher.Answer(now, table) {
+				for _, s := range publisher.Responses(now, table) {
 					if reach {
-						r.Take(s.Message)
+						r.HandleResponse(s.Message)
 					}
 				}
 				if first == 0 && r.Fresh(now) {
@@ -48,44 +48,44 @@
 }
 
 // Who asks often is answered when the hold of the first question is over.
-func TestAskingAgainDoesNotPutTheAnswerOff(t *testing.T) {
+func TestAskingAgainDoesNotDelayTheResponse(t *testing.T) {
 	is := is.New(t)
 	publisher, r := NewPublisher("controller:1"), NewWatcher("gateway:1", DefaultStaleAfter, 7<<32)
-	r.any, r.Table.Version = true, 31
+	r.hasTable, r.Table.Version = true, 31
 	told := 0
 	for at := time.Second; at < 2*time.Second; at += 50 * time.Millisecond {
-		r.open, r.sure = false, types.MonoTime(at) // a reader that is confirmed and asks each time
+		r.awaitingResponse, r.confirmedAt = false, types.MonoTime(at) // a reader that is confirmed and asks each time
 		for _, s := range r.Tick(types.MonoTime(at), "controller:1") {
-			publisher.Take(types.MonoTime(at), s.Message)
+			publisher.HandleRequest(types.MonoTime(at), s.Message)
 		}
-		told += len(publisher.Answer(types.MonoTime(at), config.Table{Version: 31}))
+		told += len(publisher.Responses(types.MonoTime(at), config.Table{Version: 31}))
 	}
 	is.True(told >= 2)
 }
 
 // An answer to the process that was at this address before counts from that
 // one's clock. It confirms nothing, whether that clock was ahead or behind.
-func TestAnAnswerToAFormerLifeConfirmsNothing(t *testing.T) {
+func TestResponseToFormerIncarnationConfirmsNothing(t *testing.T) {
 	is := is.New(t)
 	for _, former := range []time.Duration{time.Hour, 2 * time.Second} {
 		publisher := NewPublisher("controller:1")
 		old := NewWatcher("gateway:1", DefaultStaleAfter, 7<<32)
 		for _, s := range old.Tick(types.MonoTime(former), "controller:1") {
-			publisher.Take(types.MonoTime(former), s.Message)
+			publisher.HandleRequest(types.MonoTime(former), s.Message)
 		}
-		late := publisher.Answer(types.MonoTime(former), config.Table{Version: 31})
+		late := publisher.Responses(types.MonoTime(former), config.Table{Version: 31})
 		is.Equal(len(late), 1)
-		is.True(old.Take(late[0].Message)) // it was a good answer to that one
+		is.True(old.HandleResponse(late[0].Message)) // it was a good answer to that one
 
 		now := types.MonoTime(3 * time.Second)
 		r := NewWatcher("gateway:1", DefaultStaleAfter, 8<<32) // the next process at the address, by a clock of its own
 		asked := r.Tick(now, "controller:1")
 		is.Equal(len(asked), 1)
-		is.True(!r.Take(late[0].Message))
+		is.True(!r.HandleResponse(late[0].Message))
 		is.True(!r.Fresh(now))
-		publisher.Take(now, asked[0].Message)
-		for _, s := range publisher.Answer(now.Add(longPoll), config.Table{Version: 32}) {
-			is.True(r.Take(s.Message)) // its own answer does
+		publisher.HandleRequest(now, asked[0].Message)
+		for _, s := range publisher.Responses(now.Add(longPollHold), config.Table{Version: 32}) {
+			is.True(r.HandleResponse(s.Message)) // its own answer does
 		}
 		is.True(r.Fresh(now))
 		is.Equal(r.Table.Version, types.Version(32))
--- a/internal/configwatch/confirmed_test.go
+++ b/internal/configwatch/confirmed_test.go
@@ -12,89 +12,89 @@
 	"coppercourse/internal/wire"
 )
 
-// watcher is a reader, or one with a planted bug.
-type watcher interface {
-	Tick(now types.MonoTime, lead types.Addr) []wire.Send
-	Take(now types.MonoTime, n wire.Message)
+// testWatcher is a reader, or one with a planted bug.
+type testWatcher interface {
+	Tick(now types.MonoTime, lead types.Addr) []wire.OutboundMessage
+	HandleResponse(now types.MonoTime, n wire.Message)
 	Decides(now types.MonoTime) (types.Version, bool)
 	Restart(now types.MonoTime)
 }
 
-// sound is the reader as it is.
-type sound struct {
-	reader *Watcher
-	base   types.MonoTime // when its process began: its clock starts there
-	lives  types.MonoTime
+// soundWatcher is the reader as it is.
+type soundWatcher struct {
+	watcher     *Watcher
+	startedAt   types.MonoTime // when its process began: its clock starts there
+	incarnation types.MonoTime
 }
 
-func (s *sound) Tick(now types.MonoTime, lead types.Addr) []wire.Send {
-	return s.reader.Tick(now-s.base, lead)
+func (s *soundWatcher) Tick(now types.MonoTime, lead types.Addr) []wire.OutboundMessage {
+	return s.watcher.Tick(now-s.startedAt, lead)
 }
-func (s *sound) Take(_ types.MonoTime, n wire.Message) { s.reader.Take(n) }
-func (s *sound) Decides(now types.MonoTime) (types.Version, bool) {
-	return s.reader.Table.Version, s.reader.Fresh(now - s.base)
+func (s *soundWatcher) HandleResponse(_ types.MonoTime, n wire.Message) { s.watcher.HandleResponse(n) }
+func (s *soundWatcher) Decides(now types.MonoTime) (types.Version, bool) {
+	return s.watcher.Table.Version, s.watcher.Fresh(now - s.startedAt)
 }
-func (s *sound) Restart(now types.MonoTime) {
-	s.lives++
-	s.base, s.reader = now, NewWatcher("gateway:1", DefaultStaleAfter, s.lives<<32)
+func (s *soundWatcher) Restart(now types.MonoTime) {
+	s.incarnation++
+	s.startedAt, s.watcher = now, NewWatcher("gateway:1", DefaultStaleAfter, s.incarnation<<32)
 }
 
 // countsFromReceipt lets a confirmation count from when its answer is taken.
-type countsFromReceipt struct{ sound }
+type countsFromReceipt struct{ soundWatcher }
 
-func (c *countsFromReceipt) Take(now types.MonoTime, n wire.Message) {
-	c.sound.Take(now, n)
-	if b, ok := wire.Read[watchResponse](n); ok && b.Version == c.reader.Table.Version {
-		c.reader.sure = now - c.base
+func (c *countsFromReceipt) HandleResponse(now types.MonoTime, n wire.Message) {
+	c.soundWatcher.HandleResponse(now, n)
+	if b, ok := wire.DecodeBody[watchResponse](n); ok && b.Version == c.watcher.Table.Version {
+		c.watcher.confirmedAt = now - c.startedAt
 	}
 }
 
-// takesAnyMark believes the stamp that an answer brings, as marks once were.
-type takesAnyMark struct{ sound }
+// trustsAnyNonce believes the stamp that an answer brings, as marks once were.
+type trustsAnyNonce struct{ soundWatcher }
 
-func (t *takesAnyMark) Tick(now types.MonoTime, lead types.Addr) []wire.Send {
-	sends := t.sound.Tick(now, lead)
+func (t *trustsAnyNonce) Tick(now types.MonoTime, lead types.Addr) []wire.OutboundMessage {
+	sends := t.soundWatcher.Tick(now, lead)
 	for i := range sends {
-		a, _ := wire.Read[watchRequest](sends[i].Message)
-		a.Mark = now - t.base
-		sends[i].Message.Body = wire.Body(a)
+		a, _ := wire.DecodeBody[watchRequest](sends[i].Message)
+		a.Nonce = now - t.startedAt
+		sends[i].Message.Body = wire.EncodeBody(a)
 	}
 	return sends
 }
 
-func (t *takesAnyMark) Take(_ types.MonoTime, n wire.Message) {
-	b, _ := wire.Read[watchResponse](n)
-	mark := b.Mark
-	b.Mark = t.reader.mark
-	n.Body = wire.Body(b)
-	was := t.reader.sure
-	t.reader.Take(n)
-	t.reader.sure = was
-	if b.Version == t.reader.Table.Version {
-		t.reader.sure = max(was, mark)
+func (t *trustsAnyNonce) HandleResponse(_ types.MonoTime, n wire.Message) {
+	b, _ := wire.DecodeBody[watchResponse](n)
+	mark := b.Nonce
+	b.Nonce = t.watcher.lastNonce
+	n.Body = wire.EncodeBody(b)
+	was := t.watcher.confirmedAt
+	t.watcher.HandleResponse(n)
+	t.watcher.confirmedAt = was
+	if b.Version == t.watcher.Table.Version {
+		t.watcher.confirmedAt = max(was, mark)
 	}
 }
 
-// publishedBit answers by what its last step found, and steps seldom.
-type publishedBit struct {
-	sound
+// cachesDecision answers by what its last step found, and steps seldom.
+type cachesDecision struct {
+	soundWatcher
 	version types.Version
 	fresh   bool
 	stepped types.MonoTime
 }
 
-func (p *publishedBit) Decides(now types.MonoTime) (types.Version, bool) {
+func (p *cachesDecision) Decides(now types.MonoTime) (types.Version, bool) {
 	if now.Sub(p.stepped) >= 3*time.Second {
 		p.stepped = now
-		p.version, p.fresh = p.sound.Decides(now)
+		p.version, p.fresh = p.soundWatcher.Decides(now)
 	}
 	return p.version, p.fresh
 }
 
-// day plays a reader whose questions and answers take long on their way, whose
+// runScenario plays a reader whose questions and answers take long on their way, whose
 // process starts anew at times, and a leader whose table changes. It gives the
 // first time that the reader decided by a version too old.
-func day(w watcher, late time.Duration) string {
+func runScenario(w testWatcher, late time.Duration) string {
 	const step = 10 * time.Millisecond
 	type flight struct {
 		at          types.MonoTime
@@ -118,9 +118,9 @@
 			case f.at > now:
 				kept = append(kept, f)
 			case f.toPublisher:
-				publisher.Take(now, f.message)
+				publisher.HandleRequest(now, f.message)
 			default:
-				w.Take(now, f.message)
+				w.HandleResponse(now, f.message)
 			}
 		}
 		way = kept
@@ -131,7 +131,7 @@
 		for _, s := range w.Tick(now, "controller:1") {
 			way = append(way, flight{now.Add(2 * step), s.Message, true})
 		}
-		for _, s := range publisher.Answer(now, table) {
+		for _, s := range publisher.Responses(now, table) {
 			way = append(way, flight{now.Add(delay), s.Message, false})
 		}
 		if v, ok := w.Decides(now); ok && v < table.Version && now.Sub(changed) > DefaultStaleAfter {
@@ -145,17 +145,17 @@
 // decided by a table that was replaced longer ago than a confirmation lasts; each
 // planted bug is seen to do so.
 func TestNoWatcherDecidesByATableReplacedLongAgo(t *testing.T) {
-	planted := map[string]func() watcher{
-		"counts from receipt": func() watcher { return &countsFromReceipt{} },
-		"takes any mark":      func() watcher { return &takesAnyMark{} },
-		"published bit":       func() watcher { return &publishedBit{stepped: -1 << 60} },
+	planted := map[string]func() testWatcher{
+		"counts from receipt": func() testWatcher { return &countsFromReceipt{} },
+		"takes any mark":      func() testWatcher { return &trustsAnyNonce{} },
+		"published bit":       func() testWatcher { return &cachesDecision{stepped: -1 << 60} },
 	}
 	caught := map[string]string{}
 	for late := 100 * time.Millisecond; late <= 5*time.Second; late += 100 * time.Millisecond {
 		is := is.New(t)
-		is.Equal(day(&sound{}, late), "")
+		is.Equal(runScenario(&soundWatcher{}, late), "")
 		for name, make := range planted {
-			if found := day(make(), late); found != "" && caught[name] == "" {
+			if found := runScenario(make(), late); found != "" && caught[name] == "" {
 				caught[name] = found
 			}
 		}
@@ -168,20 +168,20 @@
 }
 
 // An answer to a question of an earlier process confirms nothing.
-func TestAnAnswerToAnEarlierProcessConfirmsNothing(t *testing.T) {
+func TestResponseToEarlierProcessConfirmsNothing(t *testing.T) {
 	is := is.New(t)
 	old := NewWatcher("gateway:1", DefaultStaleAfter, 1<<40)
 	question := old.Tick(types.MonoTime(500*time.Second), "controller:1")[0].Message
 	publisher := NewPublisher("controller:1")
-	publisher.Take(0, question)
-	answer := publisher.Answer(0, config.Table{Version: 7})[0].Message
+	publisher.HandleRequest(0, question)
+	answer := publisher.Responses(0, config.Table{Version: 7})[0].Message
 	r := NewWatcher("gateway:1", DefaultStaleAfter, 1<<50)
-	is.True(!r.Take(answer)) // not even the table is taken: this process has not asked
-	is.True(!r.any)
+	is.True(!r.HandleResponse(answer)) // not even the table is taken: this process has not asked
+	is.True(!r.hasTable)
 	is.True(!r.Fresh(0))
 	is.True(!r.Fresh(types.MonoTime(time.Second)))
-	publisher.Take(0, r.Tick(types.MonoTime(time.Second), "controller:1")[0].Message)
-	publisher.waits["gateway:1"] = pendingWatch{publisher.waits["gateway:1"].ask, 0}
-	r.Take(publisher.Answer(types.MonoTime(time.Second), config.Table{Version: 7})[0].Message)
+	publisher.HandleRequest(0, r.Tick(types.MonoTime(time.Second), "controller:1")[0].Message)
+	publisher.pending["gateway:1"] = pendingWatch{publisher.pending["gateway:1"].request, 0}
+	r.HandleResponse(publisher.Responses(types.MonoTime(time.Second), config.Table{Version: 7})[0].Message)
 	is.Equal(r.ConfirmedUntil(), types.MonoTime(time.Second).Add(DefaultStaleAfter)) // from when it was asked
 }
--- a/internal/configwatch/golden_test.go
+++ b/internal/configwatch/golden_test.go
@@ -9,6 +9,6 @@
 
 // The question after a table, and its answer.
 func TestMessagesGolden(t *testing.T) {
-	goldentest.Message[watchRequest](t, wire.News)
-	goldentest.Message[watchResponse](t, wire.Told)
+	goldentest.Message[watchRequest](t, wire.ConfigWatch)
+	goldentest.Message[watchResponse](t, wire.ConfigWatchReply)
 }
--- a/internal/controller/calls.go
+++ b/internal/controller/calls.go
@@ -20,39 +20,39 @@
 // MaxPendingRequests is how many changes may wait for their commit at once.
 const MaxPendingRequests = 1024
 
-type requestHandler func(h *Controller, w caller, c wire.CallBody)
+type requestHandler func(h *Controller, w caller, c wire.ForwardedRequest)
 
 var requestHandlers = map[string]requestHandler{
 	"job.put":     (*Controller).submitJob,
 	"job.get":     (*Controller).getJob,
 	"job.cancel":  (*Controller).cancelJob,
 	"table.put":   (*Controller).putTable,
-	"table.get":   func(h *Controller, w caller, _ wire.CallBody) { h.replyOK(w, 200, h.state.Table) },
-	"queues":      func(h *Controller, w caller, _ wire.CallBody) { h.replyOK(w, 200, h.Queues()) },
-	"workers":     func(h *Controller, w caller, _ wire.CallBody) { h.replyOK(w, 200, h.Workers()) },
+	"table.get":   func(h *Controller, w caller, _ wire.ForwardedRequest) { h.replyOK(w, 200, h.state.Table) },
+	"queues":      func(h *Controller, w caller, _ wire.ForwardedRequest) { h.replyOK(w, 200, h.Queues()) },
+	"workers":     func(h *Controller, w caller, _ wire.ForwardedRequest) { h.replyOK(w, 200, h.Workers()) },
 	"drain.put":   (*Controller).startDrain,
 	"drain.drop":  (*Controller).cancelDrain,
-	"drains":      func(h *Controller, w caller, _ wire.CallBody) { h.replyOK(w, 200, h.Drains()) },
+	"drains":      func(h *Controller, w caller, _ wire.ForwardedRequest) { h.replyOK(w, 200, h.Drains()) },
 	"plan.put":    (*Controller).putCalendar,
 	"plan.drop":   (*Controller).deleteCalendar,
-	"plans":       func(h *Controller, w caller, _ wire.CallBody) { h.replyOK(w, 200, h.Calendars()) },
+	"plans":       func(h *Controller, w caller, _ wire.ForwardedRequest) { h.replyOK(w, 200, h.Calendars()) },
 	"gone":        (*Controller).confirmWorkerGone,
 	"queue.count": (*Controller).countQueue,
-	"status":      func(h *Controller, w caller, _ wire.CallBody) { h.replyOK(w, 200, h.Status()) },
+	"status":      func(h *Controller, w caller, _ wire.ForwardedRequest) { h.replyOK(w, 200, h.Status()) },
 }
 
 func (co *Controller) handleCall(n wire.Message) {
-	if c, ok := wire.Read[wire.CallBody](n); ok {
+	if c, ok := wire.DecodeBody[wire.ForwardedRequest](n); ok {
 		co.handleRequest(caller{gateway: n.From, requestID: c.ID}, c)
 	}
 }
 
 // handleRequest takes a request, from a gateway or that came here itself.
-func (co *Controller) handleRequest(w caller, c wire.CallBody) {
+func (co *Controller) handleRequest(w caller, c wire.ForwardedRequest) {
 	co.Counters.Calls++
 	w.term = co.raft.Term()
 	if co.scheduler == nil || !co.raft.HoldsReadLease() {
-		co.reply(w, wire.ReplyBody{Away: true, Lead: co.otherLeader()})
+		co.reply(w, wire.ForwardedReply{NotLeader: true, Leader: co.otherLeader()})
 		return
 	}
 	if f := co.checkOverload(c); f != nil {
@@ -76,7 +76,7 @@
 // no more, and this controller itself can't be the answer.
 func (co *Controller) otherLeader() types.Addr {
 	if co.raft.ClusterName() == "" {
-		if lead := co.members.Lead(); lead != co.options.Addr {
+		if lead := co.members.Leader(); lead != co.options.Addr {
 			return lead
 		}
 		return ""
@@ -87,25 +87,27 @@
 	return co.raft.LeaderAddr()
 }
 
-func (co *Controller) reply(w caller, r wire.ReplyBody) {
+func (co *Controller) reply(w caller, r wire.ForwardedReply) {
 	r.ID = w.requestID
-	if r.Fault != nil {
+	if r.Error != nil {
 		co.Counters.Refused++
 	}
 	if w.token == 0 {
-		co.sends = append(co.sends, wire.Make(co.options.Addr, w.gateway, wire.Reply, r))
+		co.sends = append(co.sends, wire.NewMessage(co.options.Addr, w.gateway, wire.ForwardReply, r))
 		return
 	}
-	a := wire.Answer{Token: w.token, Code: r.Code, Body: r.Body, Fault: r.Fault, Lead: r.Lead}
-	if r.Away {
-		a.Fault = apierror.New(apierror.NoLeader, "", "this controller does not lead").WithRetryAfter(time.Second)
+	a := wire.Response{Token: w.token, StatusCode: r.StatusCode, Body: r.Body, Error: r.Error, Leader: r.Leader}
+	if r.NotLeader {
+		a.Error = apierror.New(apierror.NoLeader, "", "this controller does not lead").WithRetryAfter(time.Second)
 	}
 	co.answers = append(co.answers, a)
 }
 
-func (co *Controller) replyError(w caller, f *apierror.Error) { co.reply(w, wire.ReplyBody{Fault: f}) }
+func (co *Controller) replyError(w caller, f *apierror.Error) {
+	co.reply(w, wire.ForwardedReply{Error: f})
+}
 func (co *Controller) replyOK(w caller, code int, v any) {
-	co.reply(w, wire.ReplyBody{Code: code, Body: wire.Body(v)})
+	co.reply(w, wire.ForwardedReply{StatusCode: code, Body: wire.EncodeBody(v)})
 }
 
 // proposeRequest proposes a fact and keeps who waits for it.
@@ -145,7 +147,7 @@
 	return bad
 }
 
-func (co *Controller) submitJob(w caller, c wire.CallBody) {
+func (co *Controller) submitJob(w caller, c wire.ForwardedRequest) {
 	var s state.Spec
 	if json.Unmarshal(c.Body, &s) != nil {
 		co.replyError(w, apierror.New(apierror.BadBody, "", "not a job"))
@@ -165,13 +167,13 @@
 		co.replyError(w, co.withRetryAfter(bad, f))
 		return
 	}
-	co.Trace.Add(co.now.Wall, trace.Job(id), "handed over here", "from", w.gateway)
+	co.Trace.Add(co.now.Wall, trace.JobSubject(id), "handed over here", "from", w.gateway)
 	co.proposeRequest(w, f)
 }
 
 // countQueue tells how many jobs of a queue wait: unfinished, with nothing that
 // runs or has run.
-func (co *Controller) countQueue(w caller, c wire.CallBody) {
+func (co *Controller) countQueue(w caller, c wire.ForwardedRequest) {
 	q := types.QueueName(c.Arg)
 	if _, ok := co.state.Table.FindQueue(q); !ok {
 		co.replyError(w, apierror.New(apierror.NoSuchQueue, "queue", "no queue is called "+c.Arg))
@@ -186,7 +188,7 @@
 	co.replyOK(w, 200, map[string]int{"waiting": n})
 }
 
-func (co *Controller) cancelJob(w caller, c wire.CallBody) {
+func (co *Controller) cancelJob(w caller, c wire.ForwardedRequest) {
 	id := types.JobID(c.Arg)
 	switch repeat, bad := co.state.CheckCancel(id); {
 	case bad != nil:
@@ -198,7 +200,7 @@
 	}
 }
 
-func (co *Controller) putTable(w caller, c wire.CallBody) {
+func (co *Controller) putTable(w caller, c wire.ForwardedRequest) {
 	var t config.Table
 	if json.Unmarshal(c.Body, &t) != nil {
 		co.replyError(w, apierror.New(apierror.BadBody, "", "not a table"))
@@ -276,7 +278,7 @@
 	r.lastAt = now
 }
 
-// retryAfter is when a tenth of what waits will have gone, from 1 s to a minute.
+// retryInterval is when a tenth of what waits will have gone, from 1 s to a minute.
 func (r *completionRate) retryAfter(now types.MonoTime, waiting int) time.Duration {
 	perSecond := r.perSecond
 	if gap := now.Sub(r.lastAt).Seconds(); gap > 1 {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -52,7 +52,7 @@
 	tickInterval    time.Duration // between two ticks on a slow processor
 	lastTick        types.Now
 	tokens          uint64
-	answers         map[uint64]func(wire.Answer)
+	answers         map[uint64]func(wire.Response)
 	appendReplies   int // answers to its leader's rounds
 	largestMessage  int // bytes of the largest message
 }
@@ -170,7 +170,7 @@
 		seeds = append(seeds, other.addr)
 	}
 	m.incarnation++
-	m.queue, m.writing, m.frozen, m.missedEvents, m.answers = nil, false, false, nil, map[uint64]func(wire.Answer){}
+	m.queue, m.writing, m.frozen, m.missedEvents, m.answers = nil, false, false, nil, map[uint64]func(wire.Response){}
 	m.machine = New(m.clock(), rand.New(rand.NewSource(m.cluster.rnd.Int63())), Options{Addr: m.addr, Zone: types.Zone(m.addr), Seeds: seeds,
 		Bootstrap: raft.BootstrapOptions{FirstStart: first, Founders: seeds}, RaftTimeouts: raft.DefaultTimeouts, DispatchTimeouts: dispatch.Defaults, SnapshotThreshold: m.cluster.snapshotThreshold}, m.disk)
 	m.tick(m.incarnation)
@@ -221,14 +221,14 @@
 		m.cluster.bug(m, e)
 	}
 	m.check()
-	for _, s := range out.Sends {
+	for _, s := range out.Messages {
 		m.send(s)
 	}
-	if out.Batch != nil {
-		m.queue = append(m.queue, write{out.Batch, out.Seq, out.Whole})
+	if out.Records != nil {
+		m.queue = append(m.queue, write{out.Records, out.BatchNumber, out.ReplaceLog})
 		m.flush()
 	}
-	for _, a := range out.Answers {
+	for _, a := range out.Responses {
 		if back := m.answers[a.Token]; back != nil {
 			delete(m.answers, a.Token)
 			back(a)
@@ -254,7 +254,7 @@
 }
 
 // send carries a message over the link of its receiver, behind what is on it.
-func (m *member) send(s wire.Send) {
+func (m *member) send(s wire.OutboundMessage) {
 	for _, to := range m.cluster.members {
 		if to.addr != s.To {
 			continue
@@ -294,7 +294,7 @@
 	}
 	if m.diskFull {
 		if !m.hidesDiskErrors {
-			m.step(wire.Event{Disk: syscall.ENOSPC})
+			m.step(wire.Event{DiskError: syscall.ENOSPC})
 		}
 		again(m.flush)
 		return
@@ -314,13 +314,13 @@
 }
 
 // ask puts a request to a member; the answer comes later, or never.
-func (m *member) ask(verb, arg string, body json.RawMessage, back func(wire.Answer)) {
+func (m *member) ask(verb, arg string, body json.RawMessage, back func(wire.Response)) {
 	if m.machine == nil {
 		return
 	}
 	m.tokens++
 	m.answers[m.tokens] = back
-	m.step(wire.Event{Ask: &wire.Ask{Token: m.tokens, Verb: verb, Arg: arg, Body: body}})
+	m.step(wire.Event{Request: &wire.Request{Token: m.tokens, Verb: verb, Arg: arg, Body: body}})
 }
 
 // table is a configuration of about so many bytes.
@@ -344,8 +344,8 @@
 		}
 		base := m.machine.state.Table.Version
 		done := false
-		m.ask("table.put", "", wire.Body(table(base, bytes)), func(a wire.Answer) {
-			if done = a.Fault == nil; done {
+		m.ask("table.put", "", wire.EncodeBody(table(base, bytes)), func(a wire.Response) {
+			if done = a.Error == nil; done {
 				c.acknowledged = max(c.acknowledged, base+1)
 			}
 		})
@@ -363,7 +363,7 @@
 // job puts a job into the log of the leader.
 func (c *cluster) job(n, bytes int) {
 	if m := c.leader(); m != nil {
-		spec := state.Spec{Queue: "q", Steps: []state.Step{{Name: "s", Kind: "k", Tasks: 1, Work: json.RawMessage(wire.Body(make([]byte, bytes*3/4)))}}}
+		spec := state.Spec{Queue: "q", Steps: []state.Step{{Name: "s", Kind: "k", Tasks: 1, Work: json.RawMessage(wire.EncodeBody(make([]byte, bytes*3/4)))}}}
 		m.machine.propose(state.Command{Job: &state.Submission{ID: types.JobID(fmt.Sprintf("job-%d", n)), Spec: spec}})
 		m.step(wire.Event{})
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -45,7 +45,7 @@
 	options             Options
 	now                 types.Now
 	raft                *raft.Node
-	members             *membership.Roster
+	members             *membership.MemberList
 	state               *state.State
 	loader              *state.Loader // of a snapshot that is being read back, or nil
 	loadedIndex         types.Index   // the entry that it stands for
@@ -85,8 +85,8 @@
 	slots               slotCache
 	workBuffer          []placement.Request // the memory of the last list
 	attemptReview       reviewTimer         // for attempts to take back and second attempts
-	sends               []wire.Send
-	answers             []wire.Answer
+	sends               []wire.OutboundMessage
+	answers             []wire.Response
 	overload            overload
 	Counters            Counters
 }
@@ -114,7 +114,7 @@
 
 func (co *Controller) describe() membership.Card {
 	return membership.Card{Addr: co.options.Addr, ID: co.raft.ID(), Role: "controller", Zone: co.options.Zone, Name: co.raft.ClusterName(),
-		Term: co.raft.Term(), Leads: co.raft.IsLeader() && !co.shuttingDown, Part: co.raft.Role(), Ready: co.Ready(), Issue: co.options.Build}
+		Term: co.raft.Term(), Leads: co.raft.IsLeader() && !co.shuttingDown, Shard: co.raft.Role(), Ready: co.Ready(), Build: co.options.Build}
 }
 
 // Ready tells whether the platform may send callers here: a controller that knows a
@@ -124,7 +124,7 @@
 }
 
 // Step takes one event.
-func (co *Controller) Step(e wire.Event) wire.Out {
+func (co *Controller) Step(e wire.Event) wire.Effects {
 	co.now = e.Now
 	co.raft.SetTime(e.Now)
 	co.Counters.Steps++
@@ -132,47 +132,47 @@
 	switch {
 	case e.Message != nil:
 		co.handleMessage(*e.Message)
-	case e.Ask != nil:
-		co.handleRequest(caller{token: e.Ask.Token}, wire.CallBody{Verb: e.Ask.Verb, Arg: e.Ask.Arg, Body: e.Ask.Body})
+	case e.Request != nil:
+		co.handleRequest(caller{token: e.Request.Token}, wire.ForwardedRequest{Verb: e.Request.Verb, Arg: e.Request.Arg, Body: e.Request.Body})
 	case e.Synced > 0:
 		co.diskError = nil
 		co.raft.Synced(e.Now, e.Synced)
-	case e.Disk != nil:
-		co.diskError = e.Disk
+	case e.DiskError != nil:
+		co.diskError = e.DiskError
 		co.raft.DiskFailed(e.Now)
-	case e.Close:
+	case e.Shutdown:
 		co.beginShutdown()
 	default:
-		co.rejectExpired(e.Expired)
+		co.rejectExpired(e.ExpiredForwards)
 		co.tick()
 	}
 	co.applyCommitted()
 	co.transferIfOverloaded()
 	co.runLeader()
-	var out wire.Out
+	var out wire.Effects
 	co.writeSnapshotPart()
-	co.members.Me(co.describe())
-	out.Instead = co.raft.AppendInstead()
-	out.Sends, out.Batch, out.Seq, out.Whole = co.raft.Ready()
-	out.Sends = append(append(out.Sends, co.sends...), co.members.Out()...)
-	out.Answers = co.answers
+	co.members.SetSelf(co.describe())
+	out.FallbackRecords = co.raft.AppendInstead()
+	out.Messages, out.Records, out.BatchNumber, out.ReplaceLog = co.raft.Ready()
+	out.Messages = append(append(out.Messages, co.sends...), co.members.TakeMessages()...)
+	out.Responses = co.answers
 	co.sends, co.answers = nil, nil
-	out.Idle = co.shuttingDown && (co.raft.MayStop() || co.now.Mono >= co.shutdownDeadline) && len(co.waiters) == 0
+	out.Drained = co.shuttingDown && (co.raft.MayStop() || co.now.Mono >= co.shutdownDeadline) && len(co.waiters) == 0
 	return out
 }
 
 func (co *Controller) handleMessage(n wire.Message) {
 	switch {
-	case co.members.Take(co.now.Mono, n):
+	case co.members.HandleMessage(co.now.Mono, n):
 	case co.raft.Step(co.now, n):
-	case n.Kind == wire.Call:
+	case n.Kind == wire.ForwardRequest:
 		co.handleCall(n)
-	case n.Kind == wire.News:
+	case n.Kind == wire.ConfigWatch:
 		if co.raft.HoldsReadLease() {
-			co.publisher.Take(co.now.Mono, n)
+			co.publisher.HandleRequest(co.now.Mono, n)
 		}
 	default:
-		if n.Kind == wire.Status {
+		if n.Kind == wire.StatusReport {
 			co.bufferEndReport(n)
 		}
 		if co.scheduler != nil {
@@ -187,7 +187,7 @@
 	co.members.Tick(co.now.Mono)
 	var seen []raft.DiscoveredPeer
 	for _, c := range co.members.Controllers() {
-		if c.ID != "" && c.Part != "out" {
+		if c.ID != "" && c.Shard != "out" {
 			seen = append(seen, raft.DiscoveredPeer{Member: raft.Member{ID: c.ID, Addr: c.Addr, Zone: c.Zone}, ClusterName: c.Name})
 		}
 	}
@@ -201,7 +201,7 @@
 func (co *Controller) foundersInOtherRoles() (list []types.Addr) {
 	if co.raft.ClusterName() == "" {
 		for _, a := range co.options.Bootstrap.Founders {
-			if role := co.members.Role(a); role != "" && role != "controller" {
+			if role := co.members.RoleOf(a); role != "" && role != "controller" {
 				list = append(list, a)
 			}
 		}
@@ -220,17 +220,17 @@
 func (co *Controller) traceCommand(f state.Command, at types.Index) {
 	switch {
 	case f.Table != nil:
-		co.Trace.Add(co.now.Wall, trace.Table(co.state.Table.Version), "applied", "index", at)
+		co.Trace.Add(co.now.Wall, trace.TableSubject(co.state.Table.Version), "applied", "index", at)
 	case f.Job != nil:
-		co.Trace.Add(co.now.Wall, trace.Job(f.Job.ID), "accept applied", "index", at)
+		co.Trace.Add(co.now.Wall, trace.JobSubject(f.Job.ID), "accept applied", "index", at)
 	case f.Cancel != "":
-		co.Trace.Add(co.now.Wall, trace.Job(f.Cancel), "cancel applied", "index", at)
+		co.Trace.Add(co.now.Wall, trace.JobSubject(f.Cancel), "cancel applied", "index", at)
 	}
 	for _, g := range f.Assignments {
-		co.Trace.Add(co.now.Wall, trace.Job(g.ID.Job), "leg given out", "leg", g.ID, "shard", g.Shard)
+		co.Trace.Add(co.now.Wall, trace.JobSubject(g.ID.Job), "leg given out", "leg", g.ID, "shard", g.Shard)
 	}
 	for _, x := range f.Ends {
-		co.Trace.Add(co.now.Wall, trace.Job(x.ID.Job), "end applied", "leg", x.ID, "fate", x.Outcome)
+		co.Trace.Add(co.now.Wall, trace.JobSubject(x.ID.Job), "end applied", "leg", x.ID, "fate", x.Outcome)
 		co.attemptEnded(x)
 	}
 }
@@ -261,7 +261,7 @@
 		co.Counters.Elected++
 		co.scheduler = dispatch.NewScheduler(co.now.Mono, co.raft.PriorLeaderHeardAt(), co.options.DispatchTimeouts, co.options.Addr, co.raft.Term(), co.outstandingAttempts())
 		co.scheduler.Invoked = func(x types.Shard) bool { return co.state.WorkerShapes[x].CalledByAgent }
-		co.scheduler.Partitioned = func(x types.Shard) bool { return co.members.Apart(string(x)) }
+		co.scheduler.Partitioned = func(x types.Shard) bool { return co.members.ZonePartitioned(string(x)) }
 		co.scheduler.EndRecorded, co.scheduler.Unresolved = co.endRecorded, func(x types.Shard) []types.AttemptID { return co.state.UnresolvedAttempts(x) }
 	}
 	co.scheduler.Tick(co.now.Mono, co.raft.AuthorityRemaining())
@@ -274,7 +274,7 @@
 		co.drainScheduler()
 	}
 	if co.raft.HoldsReadLease() {
-		co.sends = append(co.sends, co.publisher.Answer(co.now.Mono, co.state.Table)...)
+		co.sends = append(co.sends, co.publisher.Responses(co.now.Mono, co.state.Table)...)
 	}
 }
 
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -35,7 +35,7 @@
 	return apierror.New(apierror.NoSuchWorker, "", "no worker or rack of that name has ever come")
 }
 
-func (co *Controller) startDrain(w caller, c wire.CallBody) {
+func (co *Controller) startDrain(w caller, c wire.ForwardedRequest) {
 	var d config.Drain
 	t, bad := co.parseTarget(c.Arg)
 	if json.Unmarshal(c.Body, &d) != nil {
@@ -52,12 +52,12 @@
 	co.proposeRequest(w, state.Command{Drain: &x})
 }
 
-func (co *Controller) cancelDrain(w caller, c wire.CallBody) {
+func (co *Controller) cancelDrain(w caller, c wire.ForwardedRequest) {
 	t, _ := co.parseTarget(c.Arg)
 	co.proposeRequest(w, state.Command{Drain: &state.Drain{Target: t, Lift: true}})
 }
 
-func (co *Controller) putCalendar(w caller, c wire.CallBody) {
+func (co *Controller) putCalendar(w caller, c wire.ForwardedRequest) {
 	var p state.Calendar
 	if json.Unmarshal(c.Body, &p) != nil {
 		co.replyError(w, apierror.New(apierror.BadBody, "", "not a calendar"))
@@ -70,12 +70,12 @@
 	co.proposeRequest(w, state.Command{Calendar: &p})
 }
 
-func (co *Controller) deleteCalendar(w caller, c wire.CallBody) {
+func (co *Controller) deleteCalendar(w caller, c wire.ForwardedRequest) {
 	co.proposeRequest(w, state.Command{Calendar: &state.Calendar{Name: c.Arg}})
 }
 
 // confirmWorkerGone ends the doubts about a worker that its operators know to be lost.
-func (co *Controller) confirmWorkerGone(w caller, c wire.CallBody) {
+func (co *Controller) confirmWorkerGone(w caller, c wire.ForwardedRequest) {
 	shard := types.Shard(c.Arg)
 	bad := co.checkTargetKnown(state.Target{Shard: shard})
 	for _, s := range co.scheduler.Workers() {
--- a/internal/controller/early.go
+++ b/internal/controller/early.go
@@ -42,7 +42,7 @@
 
 // bufferEndReport holds on to a report until its ends are in the log.
 func (co *Controller) bufferEndReport(n wire.Message) {
-	u, ok := wire.Read[dispatch.UpdateStatus](n)
+	u, ok := wire.DecodeBody[dispatch.UpdateStatus](n)
 	if !ok || len(co.bufferedReports) >= MaxPendingRequests {
 		return
 	}
@@ -75,7 +75,7 @@
 		if co.scheduler != nil {
 			to = co.options.Addr
 		}
-		if s := wire.Make(x.from, to, wire.Status, x.UpdateStatus); co.scheduler != nil {
+		if s := wire.NewMessage(x.from, to, wire.StatusReport, x.UpdateStatus); co.scheduler != nil {
 			co.scheduler.HandleMessage(co.now.Mono, co.raft.AuthorityRemaining(), s.Message)
 		} else {
 			co.relayReport(s, to, x.forwards)
@@ -88,15 +88,15 @@
 // relayReport sends a report to the leader, and, if it is none known or that did not help,
 // by way of a few gateways, others each time: this controller may be cut off from the leader
 // alone.
-func (co *Controller) relayReport(s wire.Send, to types.Addr, tries int) {
+func (co *Controller) relayReport(s wire.OutboundMessage, to types.Addr, tries int) {
 	if to != "" {
 		co.sends = append(co.sends, s)
 	}
 	if to != "" && tries == 0 {
 		return
 	}
-	gateways := co.members.Known("gateway")
+	gateways := co.members.MembersOf("gateway")
 	for i := range min(gatewayFanout, len(gateways)) {
-		co.sends = append(co.sends, wire.Send{To: gateways[(gatewayFanout*tries+i)%len(gateways)].Addr, Message: s.Message})
+		co.sends = append(co.sends, wire.OutboundMessage{To: gateways[(gatewayFanout*tries+i)%len(gateways)].Addr, Message: s.Message})
 	}
 }
--- a/internal/controller/entries.go
+++ b/internal/controller/entries.go
@@ -30,7 +30,7 @@
 // propose puts a command into the log; false when this controller may not.
 func (co *Controller) propose(command state.Command) (types.Index, bool) {
 	command.Time = max(co.raft.Clock(), co.state.Time)
-	at, ok := co.raft.Propose(wire.Body(command))
+	at, ok := co.raft.Propose(wire.EncodeBody(command))
 	if ok && holdsOnlyValues(&command) {
 		co.proposals[at] = proposal{co.raft.Term(), command}
 	}
--- a/internal/controller/entries_test.go
+++ b/internal/controller/entries_test.go
@@ -41,7 +41,7 @@
 	for i := range types.Index(2000) {
 		c := randomPlain(r)
 		is.True(holdsOnlyValues(&c))
-		e := raft.Entry{Term: 3, Index: i, Data: wire.Body(c)}
+		e := raft.Entry{Term: 3, Index: i, Data: wire.EncodeBody(c)}
 		h.proposals[i] = proposal{3, c}
 		var read state.Command
 		is.NoErr(json.Unmarshal(e.Data, &read))
@@ -55,7 +55,7 @@
 	is := is.New(t)
 	h := &Controller{proposals: map[types.Index]proposal{7: {3, state.Command{Time: types.ClusterTime(time.Second), ExitedWorker: "mine"}}}}
 	theirs := state.Command{Time: types.ClusterTime(time.Minute), ExitedWorker: "theirs"}
-	is.Equal(h.decodeEntry(raft.Entry{Term: 4, Index: 7, Data: wire.Body(theirs)}), theirs)
+	is.Equal(h.decodeEntry(raft.Entry{Term: 4, Index: 7, Data: wire.EncodeBody(theirs)}), theirs)
 	is.Equal(len(h.proposals), 0)
 }
 
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -44,7 +44,7 @@
 // measure takes the load of an event.
 func (o *overload) measure(now types.MonoTime, load wire.Load) {
 	if o.placedLastStep {
-		o.placementCost = min(load.Age, now.Sub(o.placedAt))
+		o.placementCost = min(load.EventAge, now.Sub(o.placedAt))
 	}
 	o.load, o.placedLastStep = load, false
 }
@@ -59,7 +59,7 @@
 // update finds whether the loop has been behind a tolerance for long. It is no more
 // so once the lag is within half of that.
 func (o *overload) update(now types.MonoTime, tolerance time.Duration) {
-	switch lag := o.load.Control; {
+	switch lag := o.load.ControlAge; {
 	case lag <= tolerance/2:
 		o.laggingSince, o.isBehind = 0, false
 	case lag > tolerance && o.laggingSince == 0:
@@ -71,20 +71,20 @@
 
 // checkOverload is the answer to a request for which there is no time, or nil. What is
 // known already is answered, and so are reads, cancels and operators.
-func (co *Controller) checkOverload(c wire.CallBody) *apierror.Error {
+func (co *Controller) checkOverload(c wire.ForwardedRequest) *apierror.Error {
 	lag := co.overload.lag()
 	switch {
-	case !wire.Enters(c.Verb), c.Verb == "job.put" && co.state.Find(types.JobID(c.Arg)) != nil:
+	case !wire.SubmitsWork(c.Verb), c.Verb == "job.put" && co.state.Find(types.JobID(c.Arg)) != nil:
 		return nil
-	case lag <= maxAdmissionLag && co.overload.load.Age <= maxRequestAge:
+	case lag <= maxAdmissionLag && co.overload.load.EventAge <= maxRequestAge:
 		return nil
 	}
 	return co.tooBusy()
 }
 
-func (o *overload) lag() time.Duration { return max(o.load.Control, o.load.Callers) }
+func (o *overload) lag() time.Duration { return max(o.load.ControlAge, o.load.CallerAge) }
 
-// tooBusy is the refusal of a request that was not taken, with when to come back.
+// overloadError is the refusal of a request that was not taken, with when to come back.
 func (co *Controller) tooBusy() *apierror.Error {
 	co.Counters.TurnedAway++
 	return apierror.New(apierror.TooBusy, "", "the controller is behind with its work; the request was not taken").WithRetryAfter(2 * co.overload.lag())
@@ -93,7 +93,7 @@
 // rejectExpired answers all requests at once that waited too long for a step.
 func (co *Controller) rejectExpired(calls []wire.Message) {
 	for _, n := range calls {
-		if c, ok := wire.Read[wire.CallBody](n); ok {
+		if c, ok := wire.DecodeBody[wire.ForwardedRequest](n); ok {
 			co.Counters.Calls++
 			co.replyError(caller{gateway: n.From, requestID: c.ID}, co.tooBusy())
 		}
@@ -102,7 +102,7 @@
 
 // transferIfOverloaded lets a leader that has been behind for long hand over.
 func (co *Controller) transferIfOverloaded() {
-	co.raft.SetLoopLag(co.overload.load.Control)
+	co.raft.SetLoopLag(co.overload.load.ControlAge)
 	co.overload.update(co.now.Mono, co.raft.MaxLoopLag())
 	switch {
 	case !co.raft.IsLeader():
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -21,7 +21,7 @@
 		now, placed := 0, -1
 		gaps := 0
 		for now < 10_000 {
-			o.measure(stamp(now), wire.Load{Control: time.Second, Age: time.Duration(c.cost) * time.Millisecond})
+			o.measure(stamp(now), wire.Load{ControlAge: time.Second, EventAge: time.Duration(c.cost) * time.Millisecond})
 			if !o.mayPlace(stamp(now)) {
 				now++
 				continue
@@ -35,7 +35,7 @@
 			placed = now
 			now += c.cost
 		}
-		o.measure(stamp(now), wire.Load{Waiting: true, Control: maxPlacementLag})
+		o.measure(stamp(now), wire.Load{MoreWaiting: true, ControlAge: maxPlacementLag})
 		is.True(o.mayPlace(stamp(now))) // it keeps up
 	}
 }
@@ -45,7 +45,7 @@
 	var o overload
 	const tolerance = 100 * time.Millisecond
 	at := func(ms, lag int) bool {
-		o.measure(stamp(ms), wire.Load{Control: time.Duration(lag) * time.Millisecond})
+		o.measure(stamp(ms), wire.Load{ControlAge: time.Duration(lag) * time.Millisecond})
 		o.update(stamp(ms), tolerance)
 		return o.isBehind
 	}
--- a/internal/controller/reads.go
+++ b/internal/controller/reads.go
@@ -16,7 +16,7 @@
 	index  types.Index
 }
 
-func (co *Controller) getJob(w caller, c wire.CallBody) {
+func (co *Controller) getJob(w caller, c wire.ForwardedRequest) {
 	id := types.JobID(c.Arg)
 	if at := co.pendingEnds[id]; at > co.applied && len(co.pendingReads) < MaxPendingRequests {
 		co.pendingReads = append(co.pendingReads, pendingRead{w, id, at})
@@ -49,7 +49,7 @@
 // turnAway sends those who read to the next leader.
 func (co *Controller) turnAway() {
 	for _, r := range co.pendingReads {
-		co.reply(r.caller, wire.ReplyBody{Away: true, Lead: co.otherLeader()})
+		co.reply(r.caller, wire.ForwardedReply{NotLeader: true, Leader: co.otherLeader()})
 	}
 	co.pendingReads = nil
 	clear(co.pendingEnds)
--- a/internal/controller/slots_test.go
+++ b/internal/controller/slots_test.go
@@ -107,7 +107,7 @@
 }
 
 func (l *leaderRig) deliver(kind string, body any) {
-	l.scheduler.HandleMessage(l.now.Mono, time.Minute, wire.Make("a", "h1", kind, body).Message)
+	l.scheduler.HandleMessage(l.now.Mono, time.Minute, wire.NewMessage("a", "h1", kind, body).Message)
 }
 
 // heartbeat has an agent tell of itself, and take in what it is answered.
@@ -115,14 +115,14 @@
 	l.advance(time.Millisecond)
 	b := &l.agents[i]
 	b.SentAt = l.now.Mono
-	l.deliver(wire.Beat, *b)
+	l.deliver(wire.Heartbeat, *b)
 	sends, _ := l.scheduler.TakeOutput()
 	for _, s := range sends {
 		switch s.Message.Kind {
-		case wire.AskRun:
-			l.deliver(wire.Account, dispatch.RunningTasksReply{Term: 1, Shard: b.Shard, Instance: b.Instance, Complete: true})
-		case wire.Beaten:
-			if r, ok := wire.Read[dispatch.HeartbeatReply](s.Message); ok {
+		case wire.RunningTasksQuery:
+			l.deliver(wire.RunningTasksReply, dispatch.RunningTasksReply{Term: 1, Shard: b.Shard, Instance: b.Instance, Complete: true})
+		case wire.HeartbeatReply:
+			if r, ok := wire.DecodeBody[dispatch.HeartbeatReply](s.Message); ok {
 				b.WorkerSet = r.WorkerSet
 			}
 		}
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -155,7 +155,7 @@
 	v := StatusView{Role: "controller", Build: co.options.Build, ID: c.ID(), Cluster: c.ClusterName(), RaftRole: c.Role(), Reason: c.RoleReason(),
 		Ready: co.Ready(), Term: c.Term(), Leader: c.LeaderAddr(), Commit: c.CommittedIndex(), Members: c.Configuration(), TableVersion: co.state.Table.Version,
 		UnfinishedJobs: len(co.state.LiveJobs()), JobsRemembered: len(co.state.Jobs) + co.state.TombstoneCount(), Peers: co.members.Peers(), Counters: co.Counters,
-		Overloaded: co.overload.isBehind, LagMS: co.overload.load.Control.Milliseconds(),
+		Overloaded: co.overload.isBehind, LagMS: co.overload.load.ControlAge.Milliseconds(),
 		ClusterTime: time.Unix(0, int64(co.raft.Clock())+int64(co.state.WallOffset)).UTC().Format(time.RFC3339Nano)}
 	if co.scheduler != nil && co.scheduler.InInitialWait {
 		v.InitialWait = co.scheduler.InitialWaitReason
--- a/internal/controller/waiters_test.go
+++ b/internal/controller/waiters_test.go
@@ -21,10 +21,10 @@
 	h.replyToCaller(raft.Entry{Index: 7, Term: 3}, state.Command{Cancel: "j"}, refused)
 	is.Equal(len(h.answers), 1)
 	is.Equal(h.answers[0].Token, uint64(1))
-	is.Equal(h.answers[0].Fault.Kind, apierror.OutcomeUnknown)
+	is.Equal(h.answers[0].Error.Kind, apierror.OutcomeUnknown)
 	h.replyToCaller(raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, refused)
 	is.Equal(h.answers[1].Token, uint64(2))
-	is.Equal(h.answers[1].Fault.Kind, apierror.StaleVersion)
+	is.Equal(h.answers[1].Error.Kind, apierror.StaleVersion)
 	h.replyToCaller(raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, refused)
 	is.Equal(len(h.answers), 2) // once
 }
--- a/internal/dispatch/caller.go
+++ b/internal/dispatch/caller.go
@@ -48,9 +48,9 @@
 	addr              types.Addr
 	heartbeatSequence uint64
 	endedIncarnations map[types.ID]bool
-	successor         *wire.WorkerBeat // another process, until this one is known to be over, or to live
-	successorSeenAt   types.MonoTime   // when that one beat
-	clock             int64            // the worker's, as of got or a little before
+	successor         *wire.WorkerHeartbeat // another process, until this one is known to be over, or to live
+	successorSeenAt   types.MonoTime        // when that one beat
+	clock             int64                 // the worker's, as of got or a little before
 	clockReadAt       types.MonoTime
 	maxLeaseSent      int64 // the highest end of a lease that was sent
 	fence             uint64
@@ -96,22 +96,22 @@
 // HandleWorkerHeartbeat takes what the worker tells of itself. A process that is over is not
 // heard; another one waits until the present one is known to be over. If that
 // still answers, the beat was late, of a process before it.
-func (ex *Executor) HandleWorkerHeartbeat(now types.MonoTime, b wire.WorkerBeat) {
+func (ex *Executor) HandleWorkerHeartbeat(now types.MonoTime, b wire.WorkerHeartbeat) {
 	ex.now = now
 	if ex.link == nil {
 		ex.link = &WorkerLink{endedIncarnations: map[types.ID]bool{}, openCalls: map[uint64]*openCall{}, openEnds: map[uint64]*openEnd{}}
 	}
 	c := ex.link
 	switch {
-	case c.endedIncarnations[b.Life]:
+	case c.endedIncarnations[b.Incarnation]:
 	case c.incarnation == "":
 		ex.adoptIncarnation(b)
-	case c.incarnation != b.Life:
+	case c.incarnation != b.Incarnation:
 		c.successor, c.successorSeenAt = &b, now
 		ex.makeDueCalls()
 	case b.Seq > c.heartbeatSequence:
-		c.heartbeatSequence, c.addr, ex.workerHeardAt = b.Seq, b.To, now
-		ex.readClock(b.Clock)
+		c.heartbeatSequence, c.addr, ex.workerHeardAt = b.Seq, b.Addr, now
+		ex.readClock(b.ClockMS)
 		ex.updateReport(b)
 	}
 }
@@ -143,12 +143,12 @@
 	ex.workerDepartsAt = ex.now.Add(in)
 }
 
-func (ex *Executor) updateReport(b wire.WorkerBeat) {
+func (ex *Executor) updateReport(b wire.WorkerHeartbeat) {
 	before := ex.report
-	ex.report = Report{Rack: b.Rack, Kinds: b.Kinds, Capacity: b.Room, Labels: b.Labels, Shortfall: before.Shortfall, Healthy: before.Healthy, Invoked: true}
+	ex.report = Report{Rack: b.Rack, Kinds: b.Kinds, Capacity: b.Capacity, Labels: b.Labels, Shortfall: before.Shortfall, Healthy: before.Healthy, Invoked: true}
 	switch {
-	case b.Leaving:
-		ex.setDraining(time.Duration(b.LeaveMS) * time.Millisecond)
+	case b.Draining:
+		ex.setDraining(time.Duration(b.DepartsInMS) * time.Millisecond)
 	case ex.link.deregistered: // a late beat, or one of a worker that never says that it drains
 		ex.report.Draining, ex.report.DepartsInMS = true, before.DepartsInMS
 	}
@@ -158,16 +158,16 @@
 }
 
 // adoptIncarnation takes up a worker process. What it runs is asked before anything else.
-func (ex *Executor) adoptIncarnation(b wire.WorkerBeat) {
+func (ex *Executor) adoptIncarnation(b wire.WorkerHeartbeat) {
 	c := ex.link
-	c.incarnation, c.addr, c.heartbeatSequence, c.successor, c.deregistered = b.Life, b.To, b.Seq, nil, false
-	c.clock, c.clockReadAt, c.maxLeaseSent, c.newestListClock, c.acknowledgedEnd, c.unhealthyUntil, c.silent = b.Clock, ex.now, 0, 0, 0, never, false
+	c.incarnation, c.addr, c.heartbeatSequence, c.successor, c.deregistered = b.Incarnation, b.Addr, b.Seq, nil, false
+	c.clock, c.clockReadAt, c.maxLeaseSent, c.newestListClock, c.acknowledgedEnd, c.unhealthyUntil, c.silent = b.ClockMS, ex.now, 0, 0, 0, never, false
 	c.shortUntil, c.shortBackoff = never, 0
-	c.fence, c.fenceConfirmed = uint64(max(b.Clock, 0))*fencesPerMillisecond, false
+	c.fence, c.fenceConfirmed = uint64(max(b.ClockMS, 0))*fencesPerMillisecond, false
 	c.openHold, c.openQuery, c.nextHoldAt = 0, 0, never
 	clear(c.openEnds)
 	c.Counters.Lives++
-	ex.workerInstance, ex.workerHeardAt, ex.runningTasksKnown = b.Life, ex.now, false
+	ex.workerInstance, ex.workerHeardAt, ex.runningTasksKnown = b.Incarnation, ex.now, false
 	ex.updateReport(b)
 	ex.makeDueCalls()
 }
--- a/internal/dispatch/caller_ends_test.go
+++ b/internal/dispatch/caller_ends_test.go
@@ -32,8 +32,8 @@
 	for i := range n {
 		l := types.AttemptID{TaskID: types.TaskID{Job: "a", Number: i}, Attempt: 1}
 		r.outstanding[l] = true
-		r.worker.Do(wire.WorkerCall{Kind: wire.Start, Life: r.worker.ID, Attempt: l, Work: []byte(`{"ms":5}`), Until: r.worker.Clock() + 3000,
-			Fence: r.executor.WorkerLease().Fence}, func(wire.WorkerReply) {})
+		r.worker.Do(wire.WorkerCall{Kind: wire.StartAttempt, Incarnation: r.worker.ID, Attempt: l, Input: []byte(`{"ms":5}`), LeaseEndMS: r.worker.Clock() + 3000,
+			FencingToken: r.executor.WorkerLease().Fence}, func(wire.WorkerReply) {})
 	}
 	r.newAgent()
 	r.newLeader()
--- a/internal/dispatch/caller_test.go
+++ b/internal/dispatch/caller_test.go
@@ -55,7 +55,7 @@
 	} {
 		is, r := is.New(t), newReadyRig(t, 2)
 		r.lateDelay = func() time.Duration { return c.lag }
-		r.applyToFirst(wire.Start, c.way)
+		r.applyToFirst(wire.StartAttempt, c.way)
 		r.runTask(attempt("a", 1), short)
 		r.advance(6 * time.Second)
 		is.Equal(r.committed[attempt("a", 1)], c.outcome)
@@ -69,7 +69,7 @@
 func TestOneQuerySettlesAnUnsureStart(t *testing.T) {
 	is, r := is.New(t), newReadyRig(t, 3)
 	was := r.executor.WorkerLease().Counters
-	r.applyToFirst(wire.Start, callLost)
+	r.applyToFirst(wire.StartAttempt, callLost)
 	r.runTask(attempt("a", 1), short)
 	r.advance(650 * ms)
 	r.partitioned = true // what the agent tells is not heard, nor settled
@@ -80,7 +80,7 @@
 // An agent that starts anew raises the fence above all that the one before it sent.
 func TestFenceRisesOverRestarts(t *testing.T) {
 	is, r := is.New(t), newReadyRigWith(t, 4, longLeases)
-	r.applyToFirst(wire.Start, callLate)
+	r.applyToFirst(wire.StartAttempt, callLate)
 	r.runTask(attempt("a", 1), short)
 	r.advance(20 * ms)
 	r.newAgent()
@@ -102,7 +102,7 @@
 	r.advance(4 * time.Second)
 	is.Equal(r.executor.View().State, dispatch.Healthy)
 	r.lateDelay = func() time.Duration { return 100 * ms }
-	r.applyToFirst(wire.Start, callLate)
+	r.applyToFirst(wire.StartAttempt, callLate)
 	r.runTask(attempt("a", 1), long)
 	r.advance(10 * ms)
 	r.newAgent()
@@ -120,7 +120,7 @@
 func TestAnswersThatCross(t *testing.T) {
 	is, r := is.New(t), newReadyRig(t, 6)
 	was := r.executor.WorkerLease().Counters.Queries
-	r.applyToFirst(wire.Start, replyLost) // so that there is a query beside the hold that waits
+	r.applyToFirst(wire.StartAttempt, replyLost) // so that there is a query beside the hold that waits
 	r.runTask(attempt("a", 1), long)
 	r.holdReplyDelay = 200 * ms
 	r.advance(200 * ms)
@@ -152,10 +152,10 @@
 			r.partitioned = false // and is renewed, in time or not
 			r.advance(4 * time.Second)
 			switch {
-			case r.acknowledged[attempt("a", 1)] && r.endings[attempt("a", 1)] == wire.Done:
+			case r.acknowledged[attempt("a", 1)] && r.endings[attempt("a", 1)] == wire.EndSucceeded:
 				is.Equal(r.committed[attempt("a", 1)], state.OutcomeOK)
 				good++
-			case r.endings[attempt("a", 1)] == wire.Expired:
+			case r.endings[attempt("a", 1)] == wire.EndLeaseExpired:
 				is.Equal(r.committed[attempt("a", 1)], state.OutcomeLeaseExpired)
 				lapsed++
 			}
@@ -233,9 +233,9 @@
 	r.advance(100 * ms)
 	r.partitioned = true // what it says is under way for long
 	r.executor.HandleWorkerHeartbeat(r.now, r.nextHeartbeat())
-	var late []wire.Send
-	r.onSend = func(s wire.Send) {
-		if s.Message.Kind == wire.Beat {
+	var late []wire.OutboundMessage
+	r.onSend = func(s wire.OutboundMessage) {
+		if s.Message.Kind == wire.Heartbeat {
 			late = append(late, s)
 		}
 	}
@@ -303,7 +303,7 @@
 	r.runTask(attempt("a", 1), long)
 	r.advance(300 * ms)
 	b := r.nextHeartbeat()
-	b.Leaving = true
+	b.Draining = true
 	r.heartbeatsStopped = true
 	r.executor.HandleWorkerHeartbeat(r.now, b)
 	r.advance(100 * ms)
@@ -327,7 +327,7 @@
 	r.advance(250 * ms)
 	r.partitioned = true
 	r.advance(300 * ms)
-	is.Equal(r.endings[attempt("a", 1)], wire.Done)
+	is.Equal(r.endings[attempt("a", 1)], wire.EndSucceeded)
 	is.True(!r.acknowledged[attempt("a", 1)])
 	r.newLeader()
 	r.partitioned = false
--- a/internal/dispatch/chaos_test.go
+++ b/internal/dispatch/chaos_test.go
@@ -32,7 +32,7 @@
 		}
 		return callDelivered
 	}
-	var beats []wire.WorkerBeat
+	var beats []wire.WorkerHeartbeat
 	for end := r.now.Add(long); r.now < end; {
 		r.advance(time.Duration(rnd.Intn(700)) * ms)
 		if r.worker == nil {
--- a/internal/dispatch/decode_test.go
+++ b/internal/dispatch/decode_test.go
@@ -62,7 +62,7 @@
 		}
 		var want T
 		fits := json.Unmarshal(b, &want) == nil
-		got, ok := wire.Read[T](wire.Message{Body: b})
+		got, ok := wire.DecodeBody[T](wire.Message{Body: b})
 		if ok != fits {
 			t.Fatalf("read %v, and by the standard library %v: %s", ok, fits, b)
 		}
@@ -83,7 +83,7 @@
 func TestNullLeavesAFieldAsItIs(t *testing.T) {
 	is := is.New(t)
 	for _, body := range []string{`null`, `{"kinds":null,"set":null,"stamp":null,"sound":null,"shard":null,"saves":null,"room":null}`} {
-		b, ok := wire.Read[Heartbeat](wire.Message{Body: []byte(body)})
+		b, ok := wire.DecodeBody[Heartbeat](wire.Message{Body: []byte(body)})
 		is.True(ok)
 		is.Equal(b, Heartbeat{})
 	}
@@ -94,7 +94,7 @@
 	b.Run("own", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			wire.Read[UpdateStatus](wire.Message{Body: body})
+			wire.DecodeBody[UpdateStatus](wire.Message{Body: body})
 		}
 	})
 	b.Run("standard", func(b *testing.B) {
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -80,7 +80,7 @@
 	report            Report
 	hasUpdate         bool
 	link              *WorkerLink // of a worker that is called
-	sends             []wire.Send
+	sends             []wire.OutboundMessage
 }
 
 const never = types.MonoTime(-1 << 61)
@@ -115,7 +115,7 @@
 func (ex *Executor) attemptsInOrder() []*attempt { return slices.Clone(ex.sortedAttempts) }
 
 func (ex *Executor) send(to types.Addr, kind string, body any) {
-	ex.sends = append(ex.sends, wire.Make(ex.addr, to, kind, body))
+	ex.sends = append(ex.sends, wire.NewMessage(ex.addr, to, kind, body))
 }
 
 func (ex *Executor) setState(s Health) {
@@ -231,7 +231,7 @@
 		if ex.report.DepartsInMS > 0 {
 			ex.report.DepartsInMS = max(1, ex.workerDepartsAt.Sub(ex.now).Milliseconds())
 		}
-		ex.send(ex.leader, wire.Beat, Heartbeat{ex.shard, ex.instance, ex.previousInstance, ex.now, ex.workerSet, ex.report, ex.recentCheckpoints(), ex.durationEstimates()})
+		ex.send(ex.leader, wire.Heartbeat, Heartbeat{ex.shard, ex.instance, ex.previousInstance, ex.now, ex.workerSet, ex.report, ex.recentCheckpoints(), ex.durationEstimates()})
 	}
 	if ex.now.Sub(ex.lastStatusAt) < ex.timeouts.RetryInterval {
 		return
@@ -244,7 +244,7 @@
 	}
 	if list != nil {
 		ex.lastStatusAt = ex.now
-		ex.send(ex.leader, wire.Status, UpdateStatus{ex.shard, ex.instance, list})
+		ex.send(ex.leader, wire.StatusReport, UpdateStatus{ex.shard, ex.instance, list})
 	}
 }
 
@@ -255,7 +255,7 @@
 }
 
 // TakeOutput drains what there is to send.
-func (ex *Executor) TakeOutput() []wire.Send {
+func (ex *Executor) TakeOutput() []wire.OutboundMessage {
 	s := ex.sends
 	ex.sends = nil
 	return s
--- a/internal/dispatch/golden_test.go
+++ b/internal/dispatch/golden_test.go
@@ -9,18 +9,18 @@
 
 // The messages between the scheduler and the agents.
 func TestMessagesGolden(t *testing.T) {
-	goldentest.Message[Heartbeat](t, wire.Beat)
-	goldentest.Message[HeartbeatReply](t, wire.Beaten)
-	goldentest.Message[GetRunningTasks](t, wire.AskRun)
-	goldentest.Message[RunningTasksReply](t, wire.Account)
-	goldentest.Message[RunTask](t, wire.Order)
-	goldentest.Message[RunTaskReply](t, wire.Ordered)
-	goldentest.Message[NotifyIfTasksNotRunning](t, wire.Query)
-	goldentest.Message[NotifyIfTasksNotRunningReply](t, wire.Queried)
-	goldentest.Message[UpdateStatus](t, wire.Status)
-	goldentest.Message[CommittedEnds](t, wire.Settled)
-	goldentest.Message[KillTasks](t, wire.Stop)
-	goldentest.Message[RequestSuicide](t, wire.Quit)
+	goldentest.Message[Heartbeat](t, wire.Heartbeat)
+	goldentest.Message[HeartbeatReply](t, wire.HeartbeatReply)
+	goldentest.Message[GetRunningTasks](t, wire.RunningTasksQuery)
+	goldentest.Message[RunningTasksReply](t, wire.RunningTasksReply)
+	goldentest.Message[RunTask](t, wire.RunTask)
+	goldentest.Message[RunTaskReply](t, wire.RunTaskReply)
+	goldentest.Message[NotifyIfTasksNotRunning](t, wire.NotRunningQuery)
+	goldentest.Message[NotifyIfTasksNotRunningReply](t, wire.NotRunningReply)
+	goldentest.Message[UpdateStatus](t, wire.StatusReport)
+	goldentest.Message[CommittedEnds](t, wire.StatusAck)
+	goldentest.Message[KillTasks](t, wire.KillTask)
+	goldentest.Message[RequestSuicide](t, wire.ReplaceInstance)
 }
 
 // What a polling worker and its agent say to each other.
--- a/internal/dispatch/heed.go
+++ b/internal/dispatch/heed.go
@@ -57,7 +57,7 @@
 			list = append(list, Run{l.spec.Attempt, l.spec.Resources})
 		}
 	}
-	ex.send(from, wire.Account, RunningTasksReply{ex.term, ex.shard, ex.instance, list, ex.runningTasksKnown})
+	ex.send(from, wire.RunningTasksReply, RunningTasksReply{ex.term, ex.shard, ex.instance, list, ex.runningTasksKnown})
 }
 
 func (ex *Executor) onRunTask(from types.Addr, o RunTask) {
@@ -75,7 +75,7 @@
 		ex.add(&attempt{spec: o.Spec, state: attemptWaiting, startBefore: min(o.StartBefore, ex.leaseUntil)})
 		ex.hasUpdate = true
 	}
-	ex.send(from, wire.Ordered, RunTaskReply{ex.term, ex.shard, ex.instance, o.Spec.Attempt, why})
+	ex.send(from, wire.RunTaskReply, RunTaskReply{ex.term, ex.shard, ex.instance, o.Spec.Attempt, why})
 }
 
 // refusalReason gives the reason why an order may not be taken, or nothing.
@@ -127,7 +127,7 @@
 	if idle != nil {
 		ex.lastStatusAt = never
 	}
-	ex.send(from, wire.Queried, NotifyIfTasksNotRunningReply{ex.term, ex.shard, ex.instance, q.Sequence})
+	ex.send(from, wire.NotRunningReply, NotifyIfTasksNotRunningReply{ex.term, ex.shard, ex.instance, q.Sequence})
 }
 
 func (ex *Executor) onCommittedEnds(from types.Addr, s CommittedEnds) {
@@ -170,13 +170,13 @@
 }
 
 var executorHandlers = map[string]func(*Executor, wire.Message){
-	wire.Beaten:  wire.On((*Executor).onHeartbeatReply),
-	wire.AskRun:  wire.On((*Executor).onGetRunningTasks),
-	wire.Order:   wire.On((*Executor).onRunTask),
-	wire.Query:   wire.On((*Executor).onNotifyIfTasksNotRunning),
-	wire.Settled: wire.On((*Executor).onCommittedEnds),
-	wire.Stop:    wire.On((*Executor).onKillTasks),
-	wire.Quit:    wire.On((*Executor).onRequestSuicide),
+	wire.HeartbeatReply:    wire.HandlerFor((*Executor).onHeartbeatReply),
+	wire.RunningTasksQuery: wire.HandlerFor((*Executor).onGetRunningTasks),
+	wire.RunTask:           wire.HandlerFor((*Executor).onRunTask),
+	wire.NotRunningQuery:   wire.HandlerFor((*Executor).onNotifyIfTasksNotRunning),
+	wire.StatusAck:         wire.HandlerFor((*Executor).onCommittedEnds),
+	wire.KillTask:          wire.HandlerFor((*Executor).onKillTasks),
+	wire.ReplaceInstance:   wire.HandlerFor((*Executor).onRequestSuicide),
 }
 
 // HandleMessage handles a scheduler's note.
--- a/internal/dispatch/late_beat_test.go
+++ b/internal/dispatch/late_beat_test.go
@@ -66,15 +66,15 @@
 	is, r := is.New(t), newReadyRig(t, 22)
 	r.heartbeatsStopped = true
 	first, second, third := r.nextHeartbeat(), r.nextHeartbeat(), r.nextHeartbeat()
-	second.Leaving = true
-	third.Leaving, third.To = true, "elsewhere"
-	first.To = "old"
+	second.Draining = true
+	third.Draining, third.Addr = true, "elsewhere"
+	first.Addr = "old"
 	var to []types.Addr
-	r.onCall = func(c wire.WorkerCall) { to = append(to, c.To) }
+	r.onCall = func(c wire.WorkerCall) { to = append(to, c.Addr) }
 	r.executor.HandleWorkerHeartbeat(r.now, third)
 	r.deliver()
 	r.advance(2 * time.Second)
-	for _, b := range []wire.WorkerBeat{first, second, first} {
+	for _, b := range []wire.WorkerHeartbeat{first, second, first} {
 		r.executor.HandleWorkerHeartbeat(r.now, b)
 		r.deliver()
 		r.advance(500 * ms)
--- a/internal/dispatch/line.go
+++ b/internal/dispatch/line.go
@@ -32,16 +32,16 @@
 		case (l.state == attemptStopping || l.runsAfterEnd) && (l.killAskedAt == 0 || ex.now.Sub(l.killAskedAt) >= ex.timeouts.RetryInterval):
 			l.killAskedAt = ex.now
 			c.Counters.Stops++
-			ex.callWorker(wire.WorkerCall{Kind: wire.Halt, Attempt: l.spec.Attempt})
+			ex.callWorker(wire.WorkerCall{Kind: wire.StopAttempt, Attempt: l.spec.Attempt})
 		}
 		unsure = unsure || l.startUnsure
 	}
 	if unsure && c.openQuery == 0 && ex.now >= c.nextHoldAt {
 		c.fence = max(c.fence+1, uint64(c.clock)*fencesPerMillisecond)
 		c.Counters.Queries++
-		c.openQuery = ex.callWorker(wire.WorkerCall{Kind: wire.Hold})
+		c.openQuery = ex.callWorker(wire.WorkerCall{Kind: wire.RenewLease})
 	}
-	if f := c.openCalls[c.openHold]; f != nil && (ex.now.Sub(f.sentAt) > f.Wait+holdOverdueAfter || f.Until == 0 && ex.nextLeaseEnd() > 0) {
+	if f := c.openCalls[c.openHold]; f != nil && (ex.now.Sub(f.sentAt) > f.LongPollWait+holdOverdueAfter || f.LeaseEndMS == 0 && ex.nextLeaseEnd() > 0) {
 		c.openHold = 0 // it is late, or gave no lease where there may be one now
 	}
 	if c.openHold == 0 && c.openQuery == 0 && ex.now >= c.nextHoldAt && ex.runningTasksKnown {
@@ -49,7 +49,7 @@
 		if c.acknowledgedEnd < c.highestEnd() {
 			wait = 0 // the worker lists at once what is not settled
 		}
-		c.openHold = ex.callWorker(wire.WorkerCall{Kind: wire.Hold, Wait: wait})
+		c.openHold = ex.callWorker(wire.WorkerCall{Kind: wire.RenewLease, LongPollWait: wait})
 	}
 }
 
@@ -64,7 +64,7 @@
 		l.sentToWorker = true
 		l.startFence = ex.link.fence
 		ex.link.Counters.Starts++
-		ex.callWorker(wire.WorkerCall{Kind: wire.Start, Attempt: l.spec.Attempt, Work: l.spec.Input, Ref: l.spec.Checkpoint})
+		ex.callWorker(wire.WorkerCall{Kind: wire.StartAttempt, Attempt: l.spec.Attempt, Input: l.spec.Input, Checkpoint: l.spec.Checkpoint})
 	}
 }
 
@@ -72,53 +72,53 @@
 func (ex *Executor) callWorker(w wire.WorkerCall) uint64 {
 	c := ex.link
 	c.lastCallNumber++
-	w.No, w.To, w.Life, w.Fence, w.Limit = c.lastCallNumber, c.addr, c.incarnation, c.fence, replyTimeout+w.Wait
-	if w.Kind != wire.Halt && ex.runningTasksKnown {
-		w.Until = ex.nextLeaseEnd()
+	w.Number, w.Addr, w.Incarnation, w.FencingToken, w.Timeout = c.lastCallNumber, c.addr, c.incarnation, c.fence, replyTimeout+w.LongPollWait
+	if w.Kind != wire.StopAttempt && ex.runningTasksKnown {
+		w.LeaseEndMS = ex.nextLeaseEnd()
 	}
-	if w.Kind == wire.Hold {
-		w.Seen = c.acknowledgedEnd
+	if w.Kind == wire.RenewLease {
+		w.AckedEnds = c.acknowledgedEnd
 		c.Counters.Holds++
 	}
-	c.openCalls[w.No] = &openCall{w, ex.now}
-	c.maxLeaseSent = max(c.maxLeaseSent, w.Until)
+	c.openCalls[w.Number] = &openCall{w, ex.now}
+	c.maxLeaseSent = max(c.maxLeaseSent, w.LeaseEndMS)
 	c.outCalls = append(c.outCalls, w)
-	return w.No
+	return w.Number
 }
 
 // HandleWorkerReply takes the reply to a call, or that there was none.
 func (ex *Executor) HandleWorkerReply(now types.MonoTime, r wire.WorkerReply) {
 	ex.now = now
 	c := ex.link
-	if c == nil || c.openCalls[r.No] == nil {
+	if c == nil || c.openCalls[r.Number] == nil {
 		return
 	}
-	f := c.openCalls[r.No]
-	delete(c.openCalls, r.No)
-	if c.openHold == r.No {
+	f := c.openCalls[r.Number]
+	delete(c.openCalls, r.Number)
+	if c.openHold == r.Number {
 		c.openHold, c.nextHoldAt = 0, now
 	}
-	if c.openQuery == r.No {
+	if c.openQuery == r.Number {
 		c.openQuery = 0
 	}
-	if r.Result == wire.Stranger {
+	if r.Result == wire.ResultOtherIncarnation {
 		ex.endIncarnation(true)
 		return
 	}
-	if r.Clock > 0 && f.sentAt >= c.successorSeenAt {
+	if r.ClockMS > 0 && f.sentAt >= c.successorSeenAt {
 		c.successor = nil
 	}
 	switch {
-	case r.Clock == 0:
+	case r.ClockMS == 0:
 		c.Counters.Silent++
 		c.silent = c.silent || ex.workerHeardAt <= f.sentAt
 		replyHandlers[f.Kind](ex, f, r)
 	case !c.fenceConfirmed: // a beat's reading may be old, and a fence made of it no higher than an earlier agent's
-		c.fenceConfirmed, c.fence = true, max(c.fence, uint64(r.Clock)*fencesPerMillisecond)
-		ex.readClock(r.Clock)
+		c.fenceConfirmed, c.fence = true, max(c.fence, uint64(r.ClockMS)*fencesPerMillisecond)
+		ex.readClock(r.ClockMS)
 		ex.workerHeardAt, c.silent = now, false
 	default:
-		ex.readClock(r.Clock)
+		ex.readClock(r.ClockMS)
 		ex.workerHeardAt, c.silent = now, false
 		replyHandlers[f.Kind](ex, f, r)
 	}
@@ -127,9 +127,9 @@
 }
 
 var replyHandlers = map[wire.CallKind]func(*Executor, *openCall, wire.WorkerReply){
-	wire.Start: (*Executor).onStartReply,
-	wire.Halt:  (*Executor).onStopReply,
-	wire.Hold:  (*Executor).onHoldReply,
+	wire.StartAttempt: (*Executor).onStartReply,
+	wire.StopAttempt:  (*Executor).onStopReply,
+	wire.RenewLease:   (*Executor).onHoldReply,
 }
 
 // onStartReply takes the reply to a start.
@@ -139,7 +139,7 @@
 		return
 	}
 	switch r.Result {
-	case wire.Taken:
+	case wire.ResultAccepted:
 		if l.state == attemptWaiting {
 			l.state, l.startedAt = attemptRunning, ex.now
 		}
@@ -147,13 +147,13 @@
 		if c := ex.link; ex.now < c.shortUntil && !c.provenCapacity.Contains(ex.runningResources()) {
 			c.provenCapacity = ex.runningResources()
 		}
-	case wire.Silent:
+	case wire.ResultNoReply:
 		l.startUnsure = true
 	default:
-		if r.Result == wire.Full {
+		if r.Result == wire.ResultNoCapacity {
 			ex.limitCapacity()
 		}
-		if r.Result == wire.Sick || r.Result == wire.Closed {
+		if r.Result == wire.ResultUnhealthy || r.Result == wire.ResultNotListening {
 			ex.link.unhealthyUntil, ex.lastHeartbeatAt = ex.now.Add(ex.timeouts.UnhealthyAfter), never
 		}
 		ex.endAttempt(l, state.OutcomeNeverRan)
@@ -161,7 +161,7 @@
 }
 
 func (ex *Executor) onStopReply(f *openCall, r wire.WorkerReply) {
-	if l := ex.attempts[f.Attempt]; l != nil && r.Result == wire.Taken {
+	if l := ex.attempts[f.Attempt]; l != nil && r.Result == wire.ResultAccepted {
 		l.killAcceptedAt = max(l.killAcceptedAt, ex.now)
 	}
 }
@@ -170,72 +170,72 @@
 func (ex *Executor) onHoldReply(f *openCall, r wire.WorkerReply) {
 	c := ex.link
 	switch {
-	case r.Result == wire.Fenced:
+	case r.Result == wire.ResultFenced:
 		c.fence = max(c.fence, uint64(c.clock)*fencesPerMillisecond)
 		return
-	case r.Result != wire.Taken:
+	case r.Result != wire.ResultAccepted:
 		c.nextHoldAt = ex.now.Add(holdRetryInterval)
 		return
 	}
 	runs := map[types.AttemptID]bool{}
-	if len(r.Ends) > 0 { // those before it were settled, maybe by an earlier agent
-		c.acknowledgedEnd = max(c.acknowledgedEnd, r.Ends[0].N-1)
+	if len(r.Ended) > 0 { // those before it were settled, maybe by an earlier agent
+		c.acknowledgedEnd = max(c.acknowledgedEnd, r.Ended[0].Number-1)
 	}
-	for _, e := range r.Ends {
+	for _, e := range r.Ended {
 		runs[e.Attempt] = true
-		if e.N > c.acknowledgedEnd && c.openEnds[e.N] == nil {
+		if e.Number > c.acknowledgedEnd && c.openEnds[e.Number] == nil {
 			ex.recordEnd(e)
 		}
 	}
-	if r.Clock >= c.newestListClock {
-		c.newestListClock = r.Clock
-		for _, x := range r.Runs {
+	if r.ClockMS >= c.newestListClock {
+		c.newestListClock = r.ClockMS
+		for _, x := range r.Running {
 			runs[x.Attempt] = true
 			ex.recordRunning(x)
 		}
-		if len(r.Ends) < maxEndsPerReply {
+		if len(r.Ended) < maxEndsPerReply {
 			ex.resolveUnlisted(f, runs)
 		}
 	}
-	ex.dropAcknowledgedEnds(f.Seen)
-	ex.runningTasksKnown = ex.runningTasksKnown || len(r.Ends) < maxEndsPerReply
+	ex.dropAcknowledgedEnds(f.AckedEnds)
+	ex.runningTasksKnown = ex.runningTasksKnown || len(r.Ended) < maxEndsPerReply
 	if len(c.openEnds) > 0 {
 		c.nextHoldAt = ex.now.Add(commitTime)
 	}
 }
 
-var outcomesByEnding = map[wire.How]state.Outcome{wire.Done: state.OutcomeOK, wire.Failed: state.OutcomeFailed, wire.Stopped: state.OutcomeStopped,
-	wire.Expired: state.OutcomeLeaseExpired, wire.Broken: state.OutcomeStopped, wire.Lonely: state.OutcomeStopped}
+var outcomesByEnding = map[wire.EndReason]state.Outcome{wire.EndSucceeded: state.OutcomeOK, wire.EndFailed: state.OutcomeFailed, wire.EndStopped: state.OutcomeStopped,
+	wire.EndLeaseExpired: state.OutcomeLeaseExpired, wire.EndGangMemberEnded: state.OutcomeStopped, wire.EndGangStartTimeout: state.OutcomeStopped}
 
 // recordEnd takes an end that the worker tells for the first time. It counts even if
 // the lease may have ended since, unless the log has the attempt as lapsed by then:
 // then its task may be elsewhere.
-func (ex *Executor) recordEnd(e wire.WorkerEnd) {
+func (ex *Executor) recordEnd(e wire.EndedAttempt) {
 	c := ex.link
-	c.openEnds[e.N] = &openEnd{attempt: e.Attempt}
+	c.openEnds[e.Number] = &openEnd{attempt: e.Attempt}
 	l := ex.attempts[e.Attempt]
 	if l == nil {
 		l = &attempt{spec: AttemptSpec{Attempt: e.Attempt}, state: attemptRunning}
 		ex.add(l)
 	}
-	l.runsAfterEnd, l.startUnsure, l.endNumber = false, false, e.N
+	l.runsAfterEnd, l.startUnsure, l.endNumber = false, false, e.Number
 	if l.state == attemptEnded {
 		if l.committed {
 			ex.acknowledgeEnd(l)
 		}
 		return
 	}
-	f := outcomesByEnding[e.How]
+	f := outcomesByEnding[e.Reason]
 	if f == "" {
 		f = state.OutcomeLeaseExpired
 	}
-	l.checkpoint = e.Ref
+	l.checkpoint = e.Checkpoint
 	ex.endAttempt(l, f)
 }
 
 // recordRunning takes an attempt that the worker tells to be running. One that has ended
 // here, or that nobody sent since the worker told all, is stopped.
-func (ex *Executor) recordRunning(x wire.WorkerRun) {
+func (ex *Executor) recordRunning(x wire.RunningAttempt) {
 	l := ex.attempts[x.Attempt]
 	if l == nil {
 		l = &attempt{spec: AttemptSpec{Attempt: x.Attempt}, state: attemptRunning, startedAt: ex.now}
@@ -248,8 +248,8 @@
 		l.state, l.startedAt = attemptRunning, ex.now
 	}
 	l.runsAfterEnd = l.state == attemptEnded && l.endNumber == 0
-	if x.Ref != l.checkpoint {
-		l.checkpoint, l.checkpointAt = x.Ref, ex.now
+	if x.Checkpoint != l.checkpoint {
+		l.checkpoint, l.checkpointAt = x.Checkpoint, ex.now
 	}
 	if x.Percent != l.percentDone || l.progressReadAt == 0 {
 		l.percentDone, l.progressChangedAt = x.Percent, ex.now
@@ -268,7 +268,7 @@
 		switch {
 		case l.seenRunningAt > 0 && l.seenRunningAt < f.sentAt:
 			ex.endAttempt(l, state.OutcomeWorkerExited)
-		case l.seenRunningAt == 0 && (f.Fence > l.startFence || l.killAcceptedAt > 0 && l.killAcceptedAt < f.sentAt):
+		case l.seenRunningAt == 0 && (f.FencingToken > l.startFence || l.killAcceptedAt > 0 && l.killAcceptedAt < f.sentAt):
 			ex.endAttempt(l, state.OutcomeNeverRan)
 		}
 	}
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -62,8 +62,8 @@
 	fateOf            func(wire.WorkerCall) callFate
 	lateDelay         func() time.Duration // of a call that is late
 	onCall            func(wire.WorkerCall)
-	onSend            func(wire.Send) // hears what the agent says
-	holdReplyDelay    time.Duration   // of replies to holds
+	onSend            func(wire.OutboundMessage) // hears what the agent says
+	holdReplyDelay    time.Duration              // of replies to holds
 	timers            []timer
 	lastTimer         int
 
@@ -71,7 +71,7 @@
 	committed    map[types.AttemptID]state.Outcome // the first end of each
 	running      map[types.AttemptID]bool          // on the worker now
 	starts       map[types.AttemptID]int
-	endings      map[types.AttemptID]wire.How
+	endings      map[types.AttemptID]wire.EndReason
 	acknowledged map[types.AttemptID]bool
 	proposed     map[state.AttemptEnd]bool
 	reported     []state.AttemptEnd // what the agent has told, in order
@@ -83,7 +83,7 @@
 		workerSpec:  sim.WorkerSpec{Shard: "s", Rack: "r", Kinds: []types.ServiceKind{"x"}, Room: types.Resources{Cores: 8 * types.Core}, Guards: true},
 		fateOf:      func(wire.WorkerCall) callFate { return callDelivered }, lateDelay: func() time.Duration { return 3 * time.Second },
 		outstanding: map[types.AttemptID]bool{}, committed: map[types.AttemptID]state.Outcome{}, running: map[types.AttemptID]bool{}, starts: map[types.AttemptID]int{},
-		endings: map[types.AttemptID]wire.How{}, acknowledged: map[types.AttemptID]bool{}, proposed: map[state.AttemptEnd]bool{}}
+		endings: map[types.AttemptID]wire.EndReason{}, acknowledged: map[types.AttemptID]bool{}, proposed: map[state.AttemptEnd]bool{}}
 	r.newLeader()
 	r.newAgent()
 	r.startWorker()
@@ -175,7 +175,7 @@
 			r.endings[h.Attempt] = h.How
 		case sim.Noted:
 			r.acknowledged[h.Attempt] = true
-			if f := r.committed[h.Attempt]; h.How == wire.Done && f != state.OutcomeOK {
+			if f := r.committed[h.Attempt]; h.How == wire.EndSucceeded && f != state.OutcomeOK {
 				r.t.Errorf("%v is noted as done, and the log has it as %q", h.Attempt, f)
 			}
 		}
@@ -188,9 +188,9 @@
 	clear(r.running)
 }
 
-func (r *linkRig) nextHeartbeat() wire.WorkerBeat {
+func (r *linkRig) nextHeartbeat() wire.WorkerHeartbeat {
 	r.heartbeatSequence++
-	return wire.WorkerBeat{Life: r.worker.ID, To: "k", Seq: r.heartbeatSequence, Rack: "r", Kinds: r.workerSpec.Kinds, Room: r.workerSpec.Room, Clock: r.worker.Clock()}
+	return wire.WorkerHeartbeat{Incarnation: r.worker.ID, Addr: "k", Seq: r.heartbeatSequence, Rack: "r", Kinds: r.workerSpec.Kinds, Capacity: r.workerSpec.Room, ClockMS: r.worker.Clock()}
 }
 
 // deliver carries all that the two halves want sent and called.
@@ -201,7 +201,7 @@
 		from := r.executor.TakeOutput()
 		more = len(sends)+len(from) > 0
 		for _, s := range from {
-			if u, ok := wire.Read[dispatch.UpdateStatus](s.Message); ok && s.Message.Kind == wire.Status {
+			if u, ok := wire.DecodeBody[dispatch.UpdateStatus](s.Message); ok && s.Message.Kind == wire.StatusReport {
 				r.reported = append(r.reported, u.Ends...)
 			}
 			if r.onSend != nil {
@@ -231,7 +231,7 @@
 	back := func(x wire.WorkerReply) {
 		if !over && r.executor == hand {
 			over = true
-			x.No = c.No
+			x.Number = c.Number
 			r.executor.HandleWorkerReply(r.now, x)
 			r.deliver()
 		}
@@ -243,13 +243,13 @@
 		}
 		r.worker.Do(c, reply)
 	}
-	r.after(c.Limit, func() { back(wire.WorkerReply{Result: wire.Silent}) })
+	r.after(c.Timeout, func() { back(wire.WorkerReply{Result: wire.ResultNoReply}) })
 	switch r.fateOf(c) {
 	case callDelivered:
 		r.after(ms, func() {
 			do(func(x wire.WorkerReply) {
 				d := ms
-				if c.Kind == wire.Hold {
+				if c.Kind == wire.RenewLease {
 					d += r.holdReplyDelay
 				}
 				r.after(d, func() { back(x) })
@@ -291,7 +291,7 @@
 	case e.Outcome == state.OutcomeOK:
 	case r.running[e.ID]:
 		r.t.Errorf("the log has %v as %s while it runs", e.ID, e.Outcome)
-	case r.acknowledged[e.ID] && r.endings[e.ID] == wire.Done:
+	case r.acknowledged[e.ID] && r.endings[e.ID] == wire.EndSucceeded:
 		r.t.Errorf("the log has %v as %s after its good end was noted", e.ID, e.Outcome)
 	}
 }
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -70,7 +70,7 @@
 	baselines         map[string]*baseline
 	stageDurations    map[stageKey]*stageTimes
 	lastPruneAt       types.MonoTime
-	sends             []wire.Send
+	sends             []wire.OutboundMessage
 	// Doubts lists the attempts lost on a shard whose true ends are still awaited.
 	Unresolved func(types.Shard) []types.AttemptID
 	// Apart tells whether a shard is silent together with its whole zone.
@@ -95,13 +95,13 @@
 }
 
 func (sc *Scheduler) send(s *RemoteWorker, kind string, body any) {
-	sc.sends = append(sc.sends, wire.Make(sc.addr, s.Addr, kind, body))
+	sc.sends = append(sc.sends, wire.NewMessage(sc.addr, s.Addr, kind, body))
 }
 
 func (sc *Scheduler) header(s *RemoteWorker) Header { return Header{sc.term, s.Instance} }
 
 // TakeOutput drains the step: what to send, and the ends to commit.
-func (sc *Scheduler) TakeOutput() (sends []wire.Send, ends []state.AttemptEnd) {
+func (sc *Scheduler) TakeOutput() (sends []wire.OutboundMessage, ends []state.AttemptEnd) {
 	sends, ends = sc.sends, sc.ends
 	sc.sends, sc.ends = nil, nil
 	return
@@ -113,7 +113,7 @@
 	case s == nil:
 		s = sc.register(from, b)
 	case s.Instance != b.Instance && sc.replacedInstances[b.Instance]:
-		sc.sends = append(sc.sends, wire.Make(sc.addr, from, wire.Quit, RequestSuicide{Header{sc.term, b.Instance}}))
+		sc.sends = append(sc.sends, wire.NewMessage(sc.addr, from, wire.ReplaceInstance, RequestSuicide{Header{sc.term, b.Instance}}))
 		return
 	case s.Instance != b.Instance && (s.State == MustDie || b.PreviousInstance == s.Instance || sc.succeedsAtAddress(s, from)):
 		sc.replacedInstances[s.Instance] = true
@@ -126,7 +126,7 @@
 	}
 	s.lastHeartbeatAt = sc.now
 	if s.State == MustDie {
-		sc.send(s, wire.Quit, RequestSuicide{sc.header(s)})
+		sc.send(s, wire.ReplaceInstance, RequestSuicide{sc.header(s)})
 		return
 	}
 	if b.SentAt <= s.lastHeartbeatSentAt {
@@ -172,7 +172,7 @@
 	if healthy && s.State != New {
 		a.LeaseUntil = s.lastHeartbeatSentAt.Add(min(sc.timeouts.AgentLease, sc.authorityLeft))
 	}
-	sc.send(s, wire.Beaten, a)
+	sc.send(s, wire.HeartbeatReply, a)
 }
 
 func (sc *Scheduler) register(from types.Addr, b Heartbeat) *RemoteWorker {
@@ -200,7 +200,7 @@
 func (sc *Scheduler) askRunningTasks(s *RemoteWorker) {
 	if sc.now.Sub(s.runningTasksAskedAt) >= sc.timeouts.RetryInterval/3 {
 		s.runningTasksAskedAt = sc.now
-		sc.send(s, wire.AskRun, GetRunningTasks{sc.header(s)})
+		sc.send(s, wire.RunningTasksQuery, GetRunningTasks{sc.header(s)})
 	}
 }
 
@@ -287,7 +287,7 @@
 	}
 	for _, k := range sortedShards(by) {
 		if s := sc.workers[k]; s != nil && s.State != MustDie {
-			sc.send(s, wire.Settled, CommittedEnds{sc.header(s), by[k]})
+			sc.send(s, wire.StatusAck, CommittedEnds{sc.header(s), by[k]})
 		}
 	}
 }
@@ -301,7 +301,7 @@
 		sc.reportEnd(j.Attempt, state.OutcomeNeverRan)
 		return
 	}
-	sc.send(s, wire.Order, RunTask{sc.header(s), s.querySequence, s.lastHeartbeatSentAt.Add(min(sc.timeouts.AgentLease, sc.authorityLeft)), j})
+	sc.send(s, wire.RunTask, RunTask{sc.header(s), s.querySequence, s.lastHeartbeatSentAt.Add(min(sc.timeouts.AgentLease, sc.authorityLeft)), j})
 }
 
 func (sc *Scheduler) onRunTaskReply(_ types.Addr, r RunTaskReply) {
@@ -350,7 +350,7 @@
 		}
 	}
 	if done != nil {
-		sc.sends = append(sc.sends, wire.Make(sc.addr, from, wire.Settled, CommittedEnds{Header{sc.term, u.Instance}, done}))
+		sc.sends = append(sc.sends, wire.NewMessage(sc.addr, from, wire.StatusAck, CommittedEnds{Header{sc.term, u.Instance}, done}))
 	}
 }
 
--- a/internal/dispatch/truth_test.go
+++ b/internal/dispatch/truth_test.go
@@ -21,7 +21,7 @@
 	now       types.MonoTime
 	scheduler *Scheduler
 	executors map[types.Addr]*Executor
-	inFlight  []wire.Send // not yet delivered
+	inFlight  []wire.OutboundMessage // not yet delivered
 	ends      []state.AttemptEnd
 	instances int
 }
@@ -68,7 +68,7 @@
 }
 
 // deliver delivers the post until it is empty, but for what keep holds back.
-func (b *testCluster) deliver(keep func(wire.Send) bool) (held []wire.Send) {
+func (b *testCluster) deliver(keep func(wire.OutboundMessage) bool) (held []wire.OutboundMessage) {
 	b.collect()
 	for len(b.inFlight) > 0 {
 		s := b.inFlight[0]
@@ -83,7 +83,7 @@
 	return
 }
 
-func (b *testCluster) deliverOne(s wire.Send) {
+func (b *testCluster) deliverOne(s wire.OutboundMessage) {
 	if s.To == "h" {
 		b.scheduler.HandleMessage(b.now, time.Second, s.Message)
 	} else if h := b.executors[s.To]; h != nil {
@@ -92,7 +92,7 @@
 }
 
 // advance lets time go by in small steps, with workers that call all the while.
-func (b *testCluster) advance(d time.Duration, keep func(wire.Send) bool) {
+func (b *testCluster) advance(d time.Duration, keep func(wire.OutboundMessage) bool) {
 	for end := b.now.Add(d); b.now < end; {
 		b.now = b.now.Add(50 * ms)
 		for _, h := range b.executors {
@@ -126,15 +126,15 @@
 	b.scheduler.RunTask(shard, 0, "", AttemptSpec{Attempt: l, Kind: "x", Resources: types.Resources{Cores: 1 * types.Core}})
 }
 
-func ofKind(k string) func(wire.Send) bool {
-	return func(s wire.Send) bool { return s.Message.Kind == k }
+func ofKind(k string) func(wire.OutboundMessage) bool {
+	return func(s wire.OutboundMessage) bool { return s.Message.Kind == k }
 }
 
 func TestDelayedOrderAfterQuery(t *testing.T) {
 	is, b, w := newHealthyCluster(t)
 	is.Equal(b.scheduler.workers["s"].State, Healthy)
 	runTask(b, "s", newAttempt("j", 1))
-	late := b.deliver(ofKind(wire.Order))
+	late := b.deliver(ofKind(wire.RunTask))
 	is.Equal(len(late), 1)
 	b.advance(400*ms, nil) // unanswered, so unsure, so asked about
 	is.True(w.attempts[newAttempt("j", 1)].state == attemptEnded)
@@ -142,9 +142,9 @@
 	b.deliverOne(late[0])
 	is.True(w.attempts[newAttempt("j", 1)].state == attemptEnded) // it stays what the agent said
 	// An order for an attempt that was not asked about, sent before the query, is refused by its number.
-	o, _ := wire.Read[RunTask](late[0].Message)
+	o, _ := wire.DecodeBody[RunTask](late[0].Message)
 	o.Spec.Attempt, o.StartBefore = newAttempt("k", 1), b.now.Add(time.Second)
-	w.HandleMessage(b.now, wire.Make("h", "w", wire.Order, o).Message)
+	w.HandleMessage(b.now, wire.NewMessage("h", "w", wire.RunTask, o).Message)
 	is.Equal(w.attempts[newAttempt("k", 1)], nil)
 }
 
@@ -161,7 +161,7 @@
 	is.Equal(len(w.attempts), 0)
 	s := b.scheduler.workers["s"]
 	s.querySequence++
-	b.deliverOne(wire.Make("h", "w", wire.Query, NotifyIfTasksNotRunning{b.scheduler.header(s), s.querySequence, []types.AttemptID{newAttempt("j", 1)}}))
+	b.deliverOne(wire.NewMessage("h", "w", wire.NotRunningQuery, NotifyIfTasksNotRunning{b.scheduler.header(s), s.querySequence, []types.AttemptID{newAttempt("j", 1)}}))
 	is.Equal(w.attempts[newAttempt("j", 1)].outcome, state.OutcomeNeverRan)
 	b.ends = nil
 	b.advance(time.Second, nil)
@@ -179,7 +179,7 @@
 		b.newLeader(2, OutstandingAttempt{Attempt: newAttempt("j", 1), Shard: "s", Resources: types.Resources{Cores: 1 * types.Core}})
 		b.ends = nil
 		w.endAttempt(w.attempts[newAttempt("j", 1)], outcome)
-		b.advance(600*ms, ofKind(wire.AskRun)) // the new leader's question does not arrive
+		b.advance(600*ms, ofKind(wire.RunningTasksQuery)) // the new leader's question does not arrive
 		is.Equal(b.scheduler.workers["s"].State, New)
 		is.Equal(len(b.ends) > 0, at)
 		b.advance(600*ms, nil)
@@ -198,7 +198,7 @@
 	b.newAgent("w1", "s1")
 	b.advance(4*time.Second, nil)
 	is.Equal(b.scheduler.workers["s1"].State, Healthy)
-	mute := func(s wire.Send) bool { return s.Message.From == "w1" || s.To == "w1" }
+	mute := func(s wire.OutboundMessage) bool { return s.Message.From == "w1" || s.To == "w1" }
 	b.advance(1200*ms, mute)
 	is.Equal(b.scheduler.workers["s1"].State, Unhealthy)
 	b.newAgent("w2", "s2")
@@ -280,7 +280,7 @@
 	w.lastHeartbeatAt, b.now = never, b.now.Add(10*ms)
 	w.Tick(b.now, "h")
 	at := b.now
-	late := b.deliver(ofKind(wire.Beaten))
+	late := b.deliver(ofKind(wire.HeartbeatReply))
 	is.True(len(late) > 0)
 	b.now = at.Add(3 * time.Second)
 	b.deliverOne(late[len(late)-1])
@@ -293,7 +293,7 @@
 	runTask(b, "s", newAttempt("j", 1))
 	b.deliver(nil)
 	until, given := w.leaseUntil, w.workerLeaseBase
-	mute := func(s wire.Send) bool { return s.Message.From == "w" || s.To == "w" }
+	mute := func(s wire.OutboundMessage) bool { return s.Message.From == "w" || s.To == "w" }
 	b.ends = nil
 	for len(b.ends) == 0 {
 		b.now = b.now.Add(50 * ms)
--- a/internal/dispatch/watch.go
+++ b/internal/dispatch/watch.go
@@ -72,7 +72,7 @@
 		sc.reportEnd(o.Attempt, outcome)
 	}
 	sc.workerSets.removeLost(s)
-	sc.send(s, wire.Quit, RequestSuicide{sc.header(s)})
+	sc.send(s, wire.ReplaceInstance, RequestSuicide{sc.header(s)})
 }
 
 // endInitialWait ends the initial wait: by time, counted from when an earlier leader can
@@ -137,7 +137,7 @@
 			clear(s.openQueries)
 		}
 		s.openQueries[s.querySequence] = attempts
-		sc.send(s, wire.Query, NotifyIfTasksNotRunning{sc.header(s), s.querySequence, attempts})
+		sc.send(s, wire.NotRunningQuery, NotifyIfTasksNotRunning{sc.header(s), s.querySequence, attempts})
 	}
 }
 
@@ -156,7 +156,7 @@
 	}
 	for _, k := range sortedShards(by) {
 		if s := sc.workers[k]; s != nil && s.State != MustDie && s.State != New {
-			sc.send(s, wire.Stop, KillTasks{sc.header(s), by[k], late})
+			sc.send(s, wire.KillTask, KillTasks{sc.header(s), by[k], late})
 		}
 	}
 }
@@ -209,11 +209,11 @@
 }
 
 var schedulerHandlers = map[string]func(*Scheduler, wire.Message){
-	wire.Beat:    wire.On((*Scheduler).onHeartbeat),
-	wire.Account: wire.On((*Scheduler).onRunningTasksReply),
-	wire.Ordered: wire.On((*Scheduler).onRunTaskReply),
-	wire.Queried: wire.On((*Scheduler).onNotifyReply),
-	wire.Status:  wire.On((*Scheduler).onUpdateStatus),
+	wire.Heartbeat:         wire.HandlerFor((*Scheduler).onHeartbeat),
+	wire.RunningTasksReply: wire.HandlerFor((*Scheduler).onRunningTasksReply),
+	wire.RunTaskReply:      wire.HandlerFor((*Scheduler).onRunTaskReply),
+	wire.NotRunningReply:   wire.HandlerFor((*Scheduler).onNotifyReply),
+	wire.StatusReport:      wire.HandlerFor((*Scheduler).onUpdateStatus),
 }
 
 // HandleMessage handles an agent's note.
--- a/internal/gateway/end_reports.go
+++ b/internal/gateway/end_reports.go
@@ -34,11 +34,11 @@
 // repeat tells the leader what was kept.
 func (g *Gateway) repeat() {
 	g.told = slices.DeleteFunc(g.told, func(r endReport) bool { return g.now.Mono.Sub(r.at) > reportLifetime })
-	to := g.roster.Lead()
+	to := g.roster.Leader()
 	for i := range g.told {
 		if r := &g.told[i]; to != "" && g.now.Mono.Sub(r.sent) >= reportInterval {
 			r.sent = g.now.Mono
-			g.sends = append(g.sends, wire.Send{To: to, Message: r.message})
+			g.sends = append(g.sends, wire.OutboundMessage{To: to, Message: r.message})
 		}
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -36,7 +36,7 @@
 )
 
 type call struct {
-	ask      wire.Ask
+	ask      wire.Request
 	from     types.MonoTime
 	limit    time.Duration
 	sent     types.MonoTime
@@ -49,7 +49,7 @@
 type Gateway struct {
 	place  Options
 	now    types.Now
-	roster *membership.Roster
+	roster *membership.MemberList
 	news   *configwatch.Watcher
 	Trail  *trace.Ring
 	calls  map[uint64]*call
@@ -59,8 +59,8 @@
 	lost   types.MonoTime // since when no leader is known; 0 when one is
 	drain  bool
 	told   []endReport
-	sends  []wire.Send
-	outs   []wire.Answer
+	sends  []wire.OutboundMessage
+	outs   []wire.Response
 	Sums   Sums
 	pace   float64 // requests answered a second, to tell when to come back
 	last   types.MonoTime
@@ -76,23 +76,23 @@
 	if p.Stale == 0 {
 		p.Stale = configwatch.DefaultStaleAfter
 	}
-	g := &Gateway{place: p, now: now, news: configwatch.NewWatcher(p.Addr, p.Stale, configwatch.FirstMark(rnd)), calls: map[uint64]*call{}, Trail: trace.New(),
+	g := &Gateway{place: p, now: now, news: configwatch.NewWatcher(p.Addr, p.Stale, configwatch.NewNonce(rnd)), calls: map[uint64]*call{}, Trail: trace.New(),
 		next: rnd.Uint64() >> 12, lost: now.Mono}
 	g.roster = membership.New(rnd, g.card(), p.Seeds)
 	return g
 }
 
 func (g *Gateway) card() membership.Card {
-	c := membership.Card{Addr: g.place.Addr, Role: "gateway", Zone: g.place.Zone, Ready: g.Ready(), Issue: g.place.Issue}
+	c := membership.Card{Addr: g.place.Addr, Role: "gateway", Zone: g.place.Zone, Ready: g.Ready(), Build: g.place.Issue}
 	if g.roster != nil {
-		c.Name = g.roster.Cluster()
+		c.Name = g.roster.ClusterName()
 	}
 	return c
 }
 
 // Ready tells whether the platform may send callers here.
 func (g *Gateway) Ready() bool {
-	return !g.drain && g.roster != nil && g.roster.Lead() != "" && g.news.Fresh(g.now.Mono)
+	return !g.drain && g.roster != nil && g.roster.Leader() != "" && g.news.Fresh(g.now.Mono)
 }
 
 // Table is the table as the gateway has it, and whether it may be decided by.
@@ -103,48 +103,48 @@
 func (g *Gateway) ConfirmedUntil() types.MonoTime { return g.news.ConfirmedUntil() }
 
 // Leader is whom the gateway holds for the leader now.
-func (g *Gateway) Leader() types.Addr { return g.roster.Lead() }
+func (g *Gateway) Leader() types.Addr { return g.roster.Leader() }
 
 // Step takes one event.
-func (g *Gateway) Step(e wire.Event) wire.Out {
+func (g *Gateway) Step(e wire.Event) wire.Effects {
 	g.now = e.Now
 	switch {
 	case e.Message != nil:
 		g.take(*e.Message)
-	case e.Ask != nil:
-		g.enter(*e.Ask)
-	case e.Close:
+	case e.Request != nil:
+		g.enter(*e.Request)
+	case e.Shutdown:
 		g.drain = true
 	default:
 		g.tick()
 	}
-	g.sends = append(g.sends, g.news.Tick(g.now.Mono, g.roster.Lead())...)
-	out := wire.Out{Sends: append(g.sends, g.roster.Out()...), Answers: g.outs, Idle: g.drain && len(g.calls) == 0}
+	g.sends = append(g.sends, g.news.Tick(g.now.Mono, g.roster.Leader())...)
+	out := wire.Effects{Messages: append(g.sends, g.roster.TakeMessages()...), Responses: g.outs, Drained: g.drain && len(g.calls) == 0}
 	g.sends, g.outs = nil, nil
 	return out
 }
 
 func (g *Gateway) take(n wire.Message) {
 	switch {
-	case g.roster.Take(g.now.Mono, n):
-	case n.Kind == wire.Told:
-		if g.news.Take(n) {
-			g.Trail.Add(g.now.Wall, trace.Table(g.news.Table.Version), "in use here")
+	case g.roster.HandleMessage(g.now.Mono, n):
+	case n.Kind == wire.ConfigWatchReply:
+		if g.news.HandleResponse(n) {
+			g.Trail.Add(g.now.Wall, trace.TableSubject(g.news.Table.Version), "in use here")
 		}
-	case n.Kind == wire.Status:
+	case n.Kind == wire.StatusReport:
 		g.keep(n)
-	case n.Kind == wire.Reply:
-		if r, ok := wire.Read[wire.ReplyBody](n); ok {
+	case n.Kind == wire.ForwardReply:
+		if r, ok := wire.DecodeBody[wire.ForwardedReply](n); ok {
 			g.reply(n.From, r)
 		}
 	}
 }
 
 func (g *Gateway) tick() {
-	g.roster.Me(g.card())
+	g.roster.SetSelf(g.card())
 	g.roster.Tick(g.now.Mono)
 	g.repeat()
-	lead := g.roster.Lead()
+	lead := g.roster.Leader()
 	if lead != "" {
 		g.lost = 0
 	} else if g.lost == 0 {
@@ -185,30 +185,30 @@
 }
 
 // enter grants entry or refuses it.
-func (g *Gateway) enter(a wire.Ask) {
+func (g *Gateway) enter(a wire.Request) {
 	g.Sums.Calls++
 	switch f := g.refuse(a); {
 	case f != nil:
 		g.Sums.Refused++
-		g.outs = append(g.outs, wire.Answer{Token: a.Token, Fault: f})
+		g.outs = append(g.outs, wire.Response{Token: a.Token, Error: f})
 		return
 	case a.Verb == "mates":
-		g.outs = append(g.outs, wire.Answer{Token: a.Token, Code: 200, Body: wire.Body(g.roster.Peers())})
+		g.outs = append(g.outs, wire.Response{Token: a.Token, StatusCode: 200, Body: wire.EncodeBody(g.roster.Peers())})
 		return
 	}
 	g.next++
 	c := &call{ask: a, from: g.now.Mono, limit: CallTimeout}
-	if a.Limit > 0 {
-		c.limit = min(CallTimeout, max(a.Limit-answerMargin, a.Limit/2))
+	if a.Timeout > 0 {
+		c.limit = min(CallTimeout, max(a.Timeout-answerMargin, a.Timeout/2))
 	}
 	g.calls[g.next] = c
 	if a.Verb == "job.put" {
-		g.Trail.Add(g.now.Wall, trace.Job(types.JobID(a.Arg)), "granted entry")
+		g.Trail.Add(g.now.Wall, trace.JobSubject(types.JobID(a.Arg)), "granted entry")
 	}
 	g.send(g.next, c, "")
 }
 
-func (g *Gateway) refuse(a wire.Ask) *apierror.Error {
+func (g *Gateway) refuse(a wire.Request) *apierror.Error {
 	switch {
 	case a.Verb == "mates":
 		return nil
@@ -226,7 +226,7 @@
 func (g *Gateway) send(id uint64, c *call, hint types.Addr) {
 	to := hint
 	if to == "" {
-		to = g.roster.Lead()
+		to = g.roster.Leader()
 	}
 	if controllers := g.roster.Controllers(); len(controllers) > 0 && (to == "" || to == c.to && hint == "") {
 		g.turn++
@@ -239,29 +239,29 @@
 	c.to, c.sent = to, g.now.Mono
 	c.attempts++
 	g.Sums.Attempts++
-	g.sends = append(g.sends, wire.Make(g.place.Addr, to, wire.Call, wire.CallBody{ID: id, Verb: c.ask.Verb, Arg: c.ask.Arg, Body: c.ask.Body}))
+	g.sends = append(g.sends, wire.NewMessage(g.place.Addr, to, wire.ForwardRequest, wire.ForwardedRequest{ID: id, Verb: c.ask.Verb, Arg: c.ask.Arg, Body: c.ask.Body}))
 }
 
-func (g *Gateway) reply(from types.Addr, r wire.ReplyBody) {
+func (g *Gateway) reply(from types.Addr, r wire.ForwardedReply) {
 	c := g.calls[r.ID]
 	switch {
 	case c == nil:
-	case r.Away:
-		other := r.Lead != "" && r.Lead != c.to
+	case r.NotLeader:
+		other := r.Leader != "" && r.Leader != c.to
 		if from == c.to {
 			c.to, c.sent = "", g.now.Mono
 		}
 		if other && c.attempts < 6 {
-			g.send(r.ID, c, r.Lead)
+			g.send(r.ID, c, r.Leader)
 		}
-	case r.Fault != nil && r.Fault.Kind == apierror.OutcomeUnknown:
+	case r.Error != nil && r.Error.Kind == apierror.OutcomeUnknown:
 		c.to, c.open = "", true
-	case r.Fault != nil && (c.open || from != c.to) && mutatingVerbs[c.ask.Verb] && saysNotTaken(r.Fault.Kind):
+	case r.Error != nil && (c.open || from != c.to) && mutatingVerbs[c.ask.Verb] && saysNotTaken(r.Error.Kind):
 		g.fail(r.ID, apierror.New(apierror.OutcomeUnknown, "", "one controller refused the request, another may have taken it; send the same again").WithRetryAfter(g.back()))
-	case r.Fault != nil:
-		g.fail(r.ID, r.Fault)
+	case r.Error != nil:
+		g.fail(r.ID, r.Error)
 	default:
-		g.end(r.ID, wire.Answer{Code: r.Code, Body: r.Body})
+		g.end(r.ID, wire.Response{StatusCode: r.StatusCode, Body: r.Body})
 	}
 }
 
@@ -273,9 +273,9 @@
 // changes are the verbs that take something in.
 var mutatingVerbs = map[string]bool{"job.put": true, "job.cancel": true, "table.put": true}
 
-func (g *Gateway) fail(id uint64, f *apierror.Error) { g.end(id, wire.Answer{Fault: f}) }
+func (g *Gateway) fail(id uint64, f *apierror.Error) { g.end(id, wire.Response{Error: f}) }
 
-func (g *Gateway) end(id uint64, a wire.Answer) {
+func (g *Gateway) end(id uint64, a wire.Response) {
 	a.Token = g.calls[id].ask.Token
 	delete(g.calls, id)
 	g.Sums.Answered++
@@ -302,7 +302,7 @@
 
 // Status gives the gateway's account of itself.
 func (g *Gateway) Status() StatusView {
-	v := StatusView{Role: "gateway", Program: g.place.Issue, Ready: g.Ready(), Leader: g.roster.Lead(), Version: g.news.Table.Version,
+	v := StatusView{Role: "gateway", Program: g.place.Issue, Ready: g.Ready(), Leader: g.roster.Leader(), Version: g.news.Table.Version,
 		Fresh: g.news.Fresh(g.now.Mono), Under: len(g.calls), Peers: g.roster.Peers(), Sums: g.Sums}
 	if g.lost != 0 {
 		v.LostMS = g.now.Mono.Sub(g.lost).Milliseconds()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -19,19 +19,19 @@
 type desk struct {
 	g    *Gateway
 	now  types.MonoTime
-	sent []wire.Send
-	outs []wire.Answer
+	sent []wire.OutboundMessage
+	outs []wire.Response
 }
 
 func (d *desk) step(e wire.Event) {
 	e.Now = types.Now{Mono: d.now}
 	out := d.g.Step(e)
-	for _, s := range out.Sends {
-		if s.Message.Kind == wire.Call {
+	for _, s := range out.Messages {
+		if s.Message.Kind == wire.ForwardRequest {
 			d.sent = append(d.sent, s)
 		}
 	}
-	d.outs = append(d.outs, out.Answers...)
+	d.outs = append(d.outs, out.Responses...)
 }
 
 func (d *desk) pass(t time.Duration) {
@@ -44,15 +44,15 @@
 // hear lets both controllers say hello; a leads.
 func (d *desk) hear() {
 	for _, c := range []membership.Card{{Addr: "a", Role: "controller", Term: 1, Leads: true}, {Addr: "b", Role: "controller", Term: 1}} {
-		s := wire.Make(c.Addr, "g", wire.Hello, map[string]any{"me": c})
+		s := wire.NewMessage(c.Addr, "g", wire.Hello, map[string]any{"me": c})
 		d.step(wire.Event{Message: &s.Message})
 	}
 }
 
-func (d *desk) reply(from types.Addr, n int, r wire.ReplyBody) {
-	c, _ := wire.Read[wire.CallBody](d.sent[n].Message)
+func (d *desk) reply(from types.Addr, n int, r wire.ForwardedReply) {
+	c, _ := wire.DecodeBody[wire.ForwardedRequest](d.sent[n].Message)
 	r.ID = c.ID
-	s := wire.Make(from, "g", wire.Reply, r)
+	s := wire.NewMessage(from, "g", wire.ForwardReply, r)
 	d.step(wire.Event{Message: &s.Message})
 }
 
@@ -61,33 +61,33 @@
 	d.g = New(types.Now{Mono: d.now}, rand.New(rand.NewSource(1)), Options{Addr: "g", Zone: "z"})
 	d.hear()
 	d.step(wire.Event{})
-	d.step(wire.Event{Ask: &wire.Ask{Token: 1, Verb: "job.put", Arg: "j", Limit: limit}})
+	d.step(wire.Event{Request: &wire.Request{Token: 1, Verb: "job.put", Arg: "j", Timeout: limit}})
 	return d
 }
 
 func TestARefusalAfterSilenceIsUnsure(t *testing.T) {
 	is := is.New(t)
-	full := wire.ReplyBody{Fault: apierror.New(apierror.QueueFull, "", "full")}
+	full := wire.ForwardedReply{Error: apierror.New(apierror.QueueFull, "", "full")}
 	d := begin(0)
 	d.reply("a", 0, full)
-	is.Equal(d.outs[0].Fault.Kind, apierror.QueueFull) // the only one that was asked
+	is.Equal(d.outs[0].Error.Kind, apierror.QueueFull) // the only one that was asked
 
 	d = begin(0)
 	d.pass(AttemptTimeout + 40*time.Millisecond)
 	is.Equal(len(d.sent), 2) // a was silent
 	d.reply(d.sent[1].To, 1, full)
-	is.Equal(d.outs[0].Fault.Kind, apierror.OutcomeUnknown)
+	is.Equal(d.outs[0].Error.Kind, apierror.OutcomeUnknown)
 
 	d = begin(0)
 	d.pass(AttemptTimeout + 40*time.Millisecond)
 	d.reply("a", 0, full) // the other one has not answered
-	is.Equal(d.outs[0].Fault.Kind, apierror.OutcomeUnknown)
+	is.Equal(d.outs[0].Error.Kind, apierror.OutcomeUnknown)
 
 	d = begin(0)
-	d.reply("a", 0, wire.ReplyBody{Away: true, Lead: "b"})
+	d.reply("a", 0, wire.ForwardedReply{NotLeader: true, Leader: "b"})
 	is.Equal(d.sent[1].To, types.Addr("b"))
 	d.reply("b", 1, full)
-	is.Equal(d.outs[0].Fault.Kind, apierror.QueueFull) // a has said that it took nothing
+	is.Equal(d.outs[0].Error.Kind, apierror.QueueFull) // a has said that it took nothing
 }
 
 func TestARequestIsGivenUpInItsTime(t *testing.T) {
@@ -96,14 +96,14 @@
 	d.pass(340 * time.Millisecond)
 	is.Equal(len(d.outs), 0)
 	d.pass(40 * time.Millisecond)
-	is.Equal(d.outs[0].Fault.Kind, apierror.OutcomeUnknown)
+	is.Equal(d.outs[0].Error.Kind, apierror.OutcomeUnknown)
 
 	d = begin(400 * time.Millisecond)
 	for n := 0; len(d.outs) == 0; n = len(d.sent) - 1 { // nobody leads
-		d.reply(d.sent[n].To, n, wire.ReplyBody{Away: true})
+		d.reply(d.sent[n].To, n, wire.ForwardedReply{NotLeader: true})
 		d.pass(20 * time.Millisecond)
 	}
-	is.Equal(d.outs[0].Fault.Kind, apierror.NoLeader) // nothing can have been taken
+	is.Equal(d.outs[0].Error.Kind, apierror.NoLeader) // nothing can have been taken
 }
 
 // answered is the bodies of the answers that callers were given.
@@ -114,7 +114,9 @@
 	return
 }
 
-func good(text string) wire.ReplyBody { return wire.ReplyBody{Code: 200, Body: []byte(text)} }
+func good(text string) wire.ForwardedReply {
+	return wire.ForwardedReply{StatusCode: 200, Body: []byte(text)}
+}
 
 // An answer goes to the caller whose call it names, once: the second of two
 // daemons that answer one request, and one that answers after its request was
@@ -124,7 +126,7 @@
 	d := begin(0)
 	d.pass(AttemptTimeout + 40*time.Millisecond)
 	is.Equal(len(d.sent), 2) // a was silent, b was asked
-	d.step(wire.Event{Ask: &wire.Ask{Token: 2, Verb: "job.get", Arg: "k"}})
+	d.step(wire.Event{Request: &wire.Request{Token: 2, Verb: "job.get", Arg: "k"}})
 	is.Equal(len(d.sent), 3)
 	d.reply("b", 1, good(`"of j"`))
 	d.reply("a", 0, good(`"of j"`)) // the first one asked answers too
@@ -135,8 +137,8 @@
 
 	d = begin(400 * time.Millisecond)
 	d.pass(400 * time.Millisecond)
-	is.Equal(d.outs[0].Fault.Kind, apierror.OutcomeUnknown)
-	d.step(wire.Event{Ask: &wire.Ask{Token: 2, Verb: "job.get", Arg: "k"}})
+	is.Equal(d.outs[0].Error.Kind, apierror.OutcomeUnknown)
+	d.step(wire.Event{Request: &wire.Request{Token: 2, Verb: "job.get", Arg: "k"}})
 	d.reply("a", 0, good(`"of j"`)) // too late
 	is.Equal(len(d.outs), 1)
 	d.reply("a", 1, good(`"of k"`))
@@ -154,10 +156,10 @@
 		d.g = New(types.Now{Mono: d.now}, rand.New(rand.NewSource(seed)), Options{Addr: "g", Zone: "z"})
 		d.hear()
 		for token := range uint64(50) {
-			d.step(wire.Event{Ask: &wire.Ask{Token: token + 1, Verb: "job.get", Arg: "j"}})
+			d.step(wire.Event{Request: &wire.Request{Token: token + 1, Verb: "job.get", Arg: "j"}})
 		}
 		for _, s := range d.sent {
-			c, ok := wire.Read[wire.CallBody](s.Message)
+			c, ok := wire.DecodeBody[wire.ForwardedRequest](s.Message)
 			is.True(ok)
 			is.True(!seen[c.ID])
 			seen[c.ID] = true
@@ -168,7 +170,7 @@
 			}
 			r := good(`"of a former life"`)
 			r.ID = id
-			s := wire.Make("a", "g", wire.Reply, r)
+			s := wire.NewMessage("a", "g", wire.ForwardReply, r)
 			d.step(wire.Event{Message: &s.Message})
 			if len(seen) > 1000 {
 				break
--- a/internal/goldentest/golden.go
+++ b/internal/goldentest/golden.go
@@ -105,7 +105,7 @@
 	t.Helper()
 	t.Run(kind, func(t *testing.T) {
 		Codec(t, "message-"+kind+".json", func(body T) []byte {
-			return wire.EncodeMessages([]wire.Message{wire.Make(from, "", kind, body).Message})
+			return wire.EncodeMessages([]wire.Message{wire.NewMessage(from, "", kind, body).Message})
 		}, func(b []byte) (body T, err error) {
 			list, err := wire.DecodeMessages(b)
 			if err != nil || len(list) != 1 {
@@ -114,7 +114,7 @@
 			if list[0].Kind != kind || list[0].From != from {
 				t.Errorf("the message is %q from %q", list[0].Kind, list[0].From)
 			}
-			body, ok := wire.Read[T](list[0])
+			body, ok := wire.DecodeBody[T](list[0])
 			if !ok {
 				t.Errorf("the body is none of kind %q", kind)
 			}
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -33,17 +33,17 @@
 // raises it, also beyond the version that others have from an earlier process at
 // the same address.
 type Card struct {
-	Addr  types.Addr `json:"addr"`
-	ID    types.ID   `json:"id,omitempty"` // of a controller: its member identity
-	Role  string     `json:"role"`
-	Zone  types.Zone `json:"locality"`
-	Name  string     `json:"cluster,omitempty"` // the cluster's name, once one was formed
-	Term  types.Term `json:"term,omitempty"`    // of a controller: its election term
-	Leads bool       `json:"leads,omitempty"`
-	Part  string     `json:"part,omitempty"` // of an agent: its worker's shard
-	Ready bool       `json:"ready"`
-	Issue string     `json:"program,omitempty"` // build version
-	V     uint64     `json:"v,omitempty"`
+	Addr    types.Addr `json:"addr"`
+	ID      types.ID   `json:"id,omitempty"` // of a controller: its member identity
+	Role    string     `json:"role"`
+	Zone    types.Zone `json:"locality"`
+	Name    string     `json:"cluster,omitempty"` // the cluster's name, once one was formed
+	Term    types.Term `json:"term,omitempty"`    // of a controller: its election term
+	Leads   bool       `json:"leads,omitempty"`
+	Shard   string     `json:"part,omitempty"` // of an agent: its worker's shard
+	Ready   bool       `json:"ready"`
+	Build   string     `json:"program,omitempty"` // build version
+	Version uint64     `json:"v,omitempty"`
 }
 
 // Peer is another daemon's card, and how many milliseconds ago it was last heard
@@ -55,45 +55,45 @@
 
 // Timings that other packages read.
 const (
-	// Beat is the interval between two looks at what is due.
-	Beat = 500 * time.Millisecond
-	// Healthy is how long after its last message a peer counts as healthy.
-	Healthy = 3 * time.Second
-	// Forget is how long after its last message a peer is forgotten.
-	Forget = 24 * time.Hour
+	// TickInterval is the interval between two looks at what is due.
+	TickInterval = 500 * time.Millisecond
+	// HealthyWithin is how long after its last message a peer counts as healthy.
+	HealthyWithin = 3 * time.Second
+	// ForgetAfter is how long after its last message a peer is forgotten.
+	ForgetAfter = 24 * time.Hour
 )
 
 // Timings and bounds of the exchange.
 const (
-	leaderTimeout   = 1500 * time.Millisecond // silence after which the leader is looked for
-	silentAfter     = 10 * time.Second        // silence after which the leader tells others that a peer is silent
-	repairInterval  = 10 * time.Minute        // least time between two exchanges of all cards with the leader
-	announceFor     = 3 * time.Second         // how long a new leader repeats its announcement to those it has not heard
-	sampleSize      = 4                       // peers of each kind that an agent keeps
-	changesPerHello = 64                      // changed cards in one hello
-	mostMismatches  = 4                       // replies with other digests after which all cards are asked for
-	mostCards       = 20_000                  // cards that are kept
-	forgetEvery     = 64                      // beats between two searches for peers to forget
+	leaderTimeout    = 1500 * time.Millisecond // silence after which the leader is looked for
+	silentAfter      = 10 * time.Second        // silence after which the leader tells others that a peer is silent
+	repairInterval   = 10 * time.Minute        // least time between two exchanges of all cards with the leader
+	announceFor      = 3 * time.Second         // how long a new leader repeats its announcement to those it has not heard
+	sampleSize       = 4                       // peers of each kind that an agent keeps
+	changesPerHello  = 64                      // changed cards in one hello
+	maxMismatches    = 4                       // replies with other digests after which all cards are asked for
+	maxMembers       = 20_000                  // cards that are kept
+	forgetEveryTicks = 64                      // beats between two searches for peers to forget
 )
 
-// beatsPerAsk is how many beats lie between two questions of a daemon that hears
+// ticksPerAsk is how many beats lie between two questions of a daemon that hears
 // the leader.
-var beatsPerAsk = map[string]uint64{RoleController: 1, RoleGateway: 4, RoleAgent: 16}
+var ticksPerAsk = map[string]uint64{RoleController: 1, RoleGateway: 4, RoleAgent: 16}
 
-// Roster is one daemon's view of the cluster. It is a state machine: Take and Tick
+// MemberList is one daemon's view of the cluster. It is a state machine: Take and Tick
 // are its events, Out returns what to send.
-type Roster struct {
+type MemberList struct {
 	rnd          *rand.Rand
-	me           Card
+	self         Card
 	seeds        []types.Addr
 	now          types.MonoTime
 	lastTick     types.MonoTime
-	beats        uint64
+	ticks        uint64
 	leadsSince   types.MonoTime // since when this daemon leads
 	askedVersion uint64         // version of this daemon's card in its last question to the leader
 	ackedVersion uint64         // the version that the leader has answered to
-	sends        []wire.Send
-	cards
+	outbox       []wire.OutboundMessage
+	memberTable
 	following
 	gossip
 }
@@ -124,38 +124,38 @@
 const versionSpread = 1 << 20
 
 // New returns the roster of a daemon that knows nobody but its seeds.
-func New(rnd *rand.Rand, me Card, seeds []types.Addr) *Roster {
-	me.V = 1 + uint64(rnd.Intn(versionSpread))
-	r := &Roster{rnd: rnd, me: me, seeds: seeds, lastTick: never, leadsSince: never,
-		cards:     cards{entries: map[types.Addr]*entry{}, agents: map[string]*entry{}, zones: map[types.Zone]*zoneState{}},
-		following: following{repairedAt: never, vouchedAt: never}}
-	r.sums.add(me)
+func New(rnd *rand.Rand, me Card, seeds []types.Addr) *MemberList {
+	me.Version = 1 + uint64(rnd.Intn(versionSpread))
+	r := &MemberList{rnd: rnd, self: me, seeds: seeds, lastTick: never, leadsSince: never,
+		memberTable: memberTable{entries: map[types.Addr]*entry{}, agents: map[string]*entry{}, zones: map[types.Zone]*zoneState{}},
+		following:   following{repairedAt: never, vouchedAt: never}}
+	r.digests.add(me)
 	return r
 }
 
 // keepsAll reports whether this daemon keeps all cards; an agent keeps a sample.
-func (r *Roster) keepsAll() bool { return r.me.Role != RoleAgent }
+func (r *MemberList) keepsAll() bool { return r.self.Role != RoleAgent }
 
-// Me sets this daemon's own card and raises its version if anything changed. A
+// SetSelf sets this daemon's own card and raises its version if anything changed. A
 // daemon that has become the leader announces itself to all at once.
-func (r *Roster) Me(c Card) {
-	c.V = r.me.V
+func (r *MemberList) SetSelf(c Card) {
+	c.Version = r.self.Version
 	same := c
 	if c.Role != RoleController {
-		same.Name = r.me.Name // only a controller's word for the name counts
+		same.Name = r.self.Name // only a controller's word for the name counts
 	}
 	if !c.Leads {
-		same.Term = r.me.Term
+		same.Term = r.self.Term
 	}
-	if same == r.me {
-		r.me = c
+	if same == r.self {
+		r.self = c
 		return
 	}
-	leads := c.Leads && !r.me.Leads
-	r.sums.drop(r.me)
-	c.V++
-	r.me = c
-	r.sums.add(c)
+	leads := c.Leads && !r.self.Leads
+	r.digests.remove(r.self)
+	c.Version++
+	r.self = c
+	r.digests.add(c)
 	if leads {
 		r.leadsSince = r.now
 		r.announceLeadership()
@@ -164,43 +164,43 @@
 
 // announceLeadership sends this daemon's card to all peers that it has not heard
 // since it leads.
-func (r *Roster) announceLeadership() {
-	n := wire.Make(r.me.Addr, "", wire.Hello, hello{Me: r.me}).Message
+func (r *MemberList) announceLeadership() {
+	n := wire.NewMessage(r.self.Addr, "", wire.Hello, hello{Self: r.self}).Message
 	for _, a := range r.order {
-		if r.entries[a].direct <= r.leadsSince {
-			r.sends = append(r.sends, wire.Send{To: a, Message: n})
+		if r.entries[a].heardDirectlyAt <= r.leadsSince {
+			r.outbox = append(r.outbox, wire.OutboundMessage{To: a, Message: n})
 		}
 	}
 }
 
 // Tick sends what is due at the time now.
-func (r *Roster) Tick(now types.MonoTime) {
+func (r *MemberList) Tick(now types.MonoTime) {
 	r.now = now
-	if now.Sub(r.lastTick) < Beat {
+	if now.Sub(r.lastTick) < TickInterval {
 		return
 	}
 	r.lastTick = now
-	r.beats++
-	lead := r.Lead()
-	switch due := r.beats%beatsPerAsk[r.me.Role] == 0; {
-	case lead == r.me.Addr:
+	r.ticks++
+	lead := r.Leader()
+	switch due := r.ticks%ticksPerAsk[r.self.Role] == 0; {
+	case lead == r.self.Addr:
 		r.watchSilence()
-	case lead == "" || now.Sub(r.entries[lead].direct) > leaderTimeout:
+	case lead == "" || now.Sub(r.entries[lead].heardDirectlyAt) > leaderTimeout:
 		r.seekLeader()
-	case due && r.keepsAll() || r.ackedVersion != r.me.V:
+	case due && r.keepsAll() || r.ackedVersion != r.self.Version:
 		r.ask(lead)
 	case due:
 		r.askSample()
 	}
-	if r.me.Role == RoleController && r.beats%2 == 0 {
+	if r.self.Role == RoleController && r.ticks%2 == 0 {
 		if a, ok := r.randomPeer(RoleAgent); ok { // so that agents come to know of new controllers
 			r.send(a, r.newHello())
 		}
 	}
-	if r.beats%forgetEvery == 0 {
+	if r.ticks%forgetEveryTicks == 0 {
 		for _, a := range slices.Clone(r.order) {
-			if now.Sub(r.lastHeard(r.entries[a])) > Forget {
-				r.drop(a)
+			if now.Sub(r.lastHeard(r.entries[a])) > ForgetAfter {
+				r.forget(a)
 			}
 		}
 	}
@@ -208,13 +208,13 @@
 
 // watchSilence is run by the leader: it logs a change for each peer that has
 // fallen silent or is heard again.
-func (r *Roster) watchSilence() {
+func (r *MemberList) watchSilence() {
 	if r.now.Sub(r.leadsSince) < announceFor {
 		r.announceLeadership()
 	}
 	for _, a := range r.order {
 		e := r.entries[a]
-		gone := r.now.Sub(e.heard) >= silentAfter
+		gone := r.now.Sub(e.heardAt) >= silentAfter
 		if e.silent != gone && (!gone || r.now.Sub(r.leadsSince) >= silentAfter) {
 			e.silent = gone
 			r.logChange(e)
@@ -224,8 +224,8 @@
 
 // seekLeader asks for the leader: seeds, controllers (an agent asks one of them in
 // turn, since there are many agents), and a random peer.
-func (r *Roster) seekLeader() {
-	asked := map[types.Addr]bool{r.me.Addr: true}
+func (r *MemberList) seekLeader() {
+	asked := map[types.Addr]bool{r.self.Addr: true}
 	ask := func(a types.Addr) {
 		if !asked[a] {
 			asked[a] = true
@@ -233,7 +233,7 @@
 		}
 	}
 	for _, s := range r.seeds {
-		if e := r.entries[s]; e == nil || r.now.Sub(e.direct) > Healthy {
+		if e := r.entries[s]; e == nil || r.now.Sub(e.heardDirectlyAt) > HealthyWithin {
 			ask(s)
 		}
 	}
@@ -250,9 +250,9 @@
 
 // askSample is an agent's question to one peer of its sample. A peer that left the
 // last question unanswered while the leader was heard is gone, and forgotten.
-func (r *Roster) askSample() {
-	if e := r.entries[r.gossipPeer]; e != nil && e.card.Role == RoleAgent && e.direct < r.gossipAt {
-		r.drop(r.gossipPeer)
+func (r *MemberList) askSample() {
+	if e := r.entries[r.gossipPeer]; e != nil && e.info.Role == RoleAgent && e.heardDirectlyAt < r.gossipAt {
+		r.forget(r.gossipPeer)
 	}
 	a, ok := r.randomPeer(RoleAgent)
 	if !ok {
@@ -265,22 +265,22 @@
 }
 
 // randomPeer picks a random peer of a role, or of any role if that is empty.
-func (r *Roster) randomPeer(role string) (types.Addr, bool) {
+func (r *MemberList) randomPeer(role string) (types.Addr, bool) {
 	if len(r.order) == 0 {
 		return "", false
 	}
 	from := r.rnd.Intn(len(r.order))
 	for i := range r.order {
-		if a := r.order[(from+i)%len(r.order)]; role == "" || r.entries[a].card.Role == role {
+		if a := r.order[(from+i)%len(r.order)]; role == "" || r.entries[a].info.Role == role {
 			return a, true
 		}
 	}
 	return "", false
 }
 
-// Out returns the messages to send since the last call.
-func (r *Roster) Out() []wire.Send {
-	s := r.sends
-	r.sends = nil
+// TakeMessages returns the messages to send since the last call.
+func (r *MemberList) TakeMessages() []wire.OutboundMessage {
+	s := r.outbox
+	r.outbox = nil
 	return s
 }
--- a/internal/membership/roster_test.go
+++ b/internal/membership/roster_test.go
@@ -16,35 +16,35 @@
 	"coppercourse/internal/wire"
 )
 
-type cluster struct {
-	now   types.MonoTime
-	by    map[types.Addr]*Roster
-	order []types.Addr
-	lost  func(from, to types.Addr) bool
-	count map[types.Addr]int
-	bytes map[types.Addr]int
+type testCluster struct {
+	now     types.MonoTime
+	lists   map[types.Addr]*MemberList
+	order   []types.Addr
+	dropped func(from, to types.Addr) bool
+	count   map[types.Addr]int
+	bytes   map[types.Addr]int
 }
 
-func newCluster() *cluster {
-	return &cluster{now: types.MonoTime(time.Hour), by: map[types.Addr]*Roster{}, lost: func(_, _ types.Addr) bool { return false },
+func newCluster() *testCluster {
+	return &testCluster{now: types.MonoTime(time.Hour), lists: map[types.Addr]*MemberList{}, dropped: func(_, _ types.Addr) bool { return false },
 		count: map[types.Addr]int{}, bytes: map[types.Addr]int{}}
 }
 
-func (cl *cluster) add(role string, i, zones int, seeds ...types.Addr) types.Addr {
+func (cl *testCluster) add(role string, i, zones int, seeds ...types.Addr) types.Addr {
 	a := types.Addr(fmt.Sprintf("%s%d", role, i))
 	if !slices.Contains(cl.order, a) {
 		cl.order = append(cl.order, a)
 	}
 	c := Card{Addr: a, Role: role, Zone: types.Zone(fmt.Sprint("z", i%zones)), Ready: true}
 	if role == "agent" {
-		c.Part = fmt.Sprint("k", i)
+		c.Shard = fmt.Sprint("k", i)
 	}
-	cl.by[a] = New(rand.New(rand.NewSource(int64(len(cl.order)))), c, seeds)
+	cl.lists[a] = New(rand.New(rand.NewSource(int64(len(cl.order)))), c, seeds)
 	return a
 }
 
-// fleet is three controllers, of which the first leads, three gateways, and agents.
-func fleet(agents, zones int) *cluster {
+// newFleet is three controllers, of which the first leads, three gateways, and agents.
+func newFleet(agents, zones int) *testCluster {
 	t := newCluster()
 	for i := range 3 {
 		t.add("controller", i, zones, "controller0", "agent0")
@@ -55,18 +55,18 @@
 	for i := range agents {
 		t.add("agent", i, zones, "controller0", "agent0")
 	}
-	t.lead("controller0", 1)
+	t.elect("controller0", 1)
 	return t
 }
 
-func (cl *cluster) lead(a types.Addr, term types.Term) {
-	c := cl.by[a].me
+func (cl *testCluster) elect(a types.Addr, term types.Term) {
+	c := cl.lists[a].self
 	c.Leads, c.Term = true, term
-	cl.by[a].Me(c)
+	cl.lists[a].SetSelf(c)
 }
 
-// post delivers all that is to be said until nothing is.
-func (cl *cluster) post(list []wire.Send) {
+// deliver delivers all that is to be said until nothing is.
+func (cl *testCluster) deliver(list []wire.OutboundMessage) {
 	for len(list) > 0 {
 		s := list[0]
 		list = list[1:]
@@ -74,55 +74,55 @@
 			cl.count[s.Message.From]++
 			cl.bytes[s.Message.From] += len(s.Message.Body)
 		}
-		if r := cl.by[s.To]; r != nil && !cl.lost(s.Message.From, s.To) {
-			r.Take(cl.now, s.Message)
-			list = append(list, r.Out()...)
+		if r := cl.lists[s.To]; r != nil && !cl.dropped(s.Message.From, s.To) {
+			r.HandleMessage(cl.now, s.Message)
+			list = append(list, r.TakeMessages()...)
 		}
 	}
 }
 
-// pass lets time go by; each 300 ms all speak with whom they hold for the leader.
-func (cl *cluster) pass(d time.Duration) {
+// advance lets time go by; each 300 ms all speak with whom they hold for the leader.
+func (cl *testCluster) advance(d time.Duration) {
 	for end := cl.now.Add(d); cl.now < end; {
 		cl.now = cl.now.Add(100 * time.Millisecond)
 		for _, a := range cl.order {
-			r := cl.by[a]
+			r := cl.lists[a]
 			if r == nil {
 				continue
 			}
 			r.Tick(cl.now)
-			cl.post(r.Out())
-			if l := r.Lead(); l != "" && l != a && cl.now%types.MonoTime(300*time.Millisecond) == 0 {
-				cl.post([]wire.Send{wire.Make(a, l, wire.Beat, 0)})
-				if !cl.lost(a, l) && cl.by[l] != nil {
-					cl.post([]wire.Send{wire.Make(l, a, wire.Beaten, 0)})
+			cl.deliver(r.TakeMessages())
+			if l := r.Leader(); l != "" && l != a && cl.now%types.MonoTime(300*time.Millisecond) == 0 {
+				cl.deliver([]wire.OutboundMessage{wire.NewMessage(a, l, wire.Heartbeat, 0)})
+				if !cl.dropped(a, l) && cl.lists[l] != nil {
+					cl.deliver([]wire.OutboundMessage{wire.NewMessage(l, a, wire.HeartbeatReply, 0)})
 				}
 			}
 		}
 	}
 }
 
-func (cl *cluster) knows(a types.Addr) (n int) { return len(cl.by[a].Peers()) }
+func (cl *testCluster) knownBy(a types.Addr) (n int) { return len(cl.lists[a].Peers()) }
 
 func TestIdleCostDoesNotGrowWithTheFleet(t *testing.T) {
 	is := is.New(t)
 	var each []float64
 	for _, n := range []int{40, 160, 640} {
-		f := fleet(n, 4)
-		f.pass(40 * time.Second)
+		f := newFleet(n, 4)
+		f.advance(40 * time.Second)
 		clear(f.count)
 		clear(f.bytes)
-		f.pass(16 * time.Second)
+		f.advance(16 * time.Second)
 		most := 0
 		for _, a := range f.order {
-			if f.by[a].me.Role == "agent" {
+			if f.lists[a].self.Role == "agent" {
 				most = max(most, f.bytes[a])
 			}
 		}
 		sum, cards := 0, 0
 		for a, b := range f.bytes {
-			if f.by[a].me.Role == "agent" {
-				sum, cards = sum+b, max(cards, f.knows(a))
+			if f.lists[a].self.Role == "agent" {
+				sum, cards = sum+b, max(cards, f.knownBy(a))
 			}
 		}
 		each = append(each, float64(sum)/float64(n))
@@ -134,7 +134,7 @@
 	is.True(each[2] < 1.2*each[0])
 }
 
-func TestAnyOneAddressLeadsToAllTheRest(t *testing.T) {
+func TestAnySeedLeadsToAllMembers(t *testing.T) {
 	is := is.New(t)
 	f := newCluster()
 	last := f.add("agent", 0, 3)
@@ -145,87 +145,87 @@
 	for i := range 3 {
 		f.add("controller", i, 3, types.Addr(fmt.Sprint("agent", 10*i)))
 	}
-	f.pass(20 * time.Second)
+	f.advance(20 * time.Second)
 	for i := range 3 { // before anyone leads the controllers have found each other
-		is.Equal(len(f.by[types.Addr(fmt.Sprint("controller", i))].Controllers()), 2)
+		is.Equal(len(f.lists[types.Addr(fmt.Sprint("controller", i))].Controllers()), 2)
 	}
-	f.lead("controller1", 1)
-	f.pass(10 * time.Second)
+	f.elect("controller1", 1)
+	f.advance(10 * time.Second)
 	for _, a := range []types.Addr{"controller0", "controller1", "controller2", g} {
-		is.Equal(f.knows(a), len(f.order)-1)
+		is.Equal(f.knownBy(a), len(f.order)-1)
 	}
 	for _, a := range f.order {
-		is.Equal(f.by[a].Lead(), types.Addr("controller1"))
-		is.True(len(f.by[a].Known("controller")) >= 2)
+		is.Equal(f.lists[a].Leader(), types.Addr("controller1"))
+		is.True(len(f.lists[a].MembersOf("controller")) >= 2)
 	}
 	f.add("gateway", 7, 3, "agent4") // one address of a daemon that keeps few
-	f.pass(3 * time.Second)
-	is.Equal(f.knows("gateway7"), len(f.order)-1)
+	f.advance(3 * time.Second)
+	is.Equal(f.knownBy("gateway7"), len(f.order)-1)
 }
 
 func TestNewLeaderIsKnownAtOnce(t *testing.T) {
 	is := is.New(t)
-	f := fleet(100, 4)
-	f.pass(20 * time.Second)
-	delete(f.by, "controller0")
-	f.pass(900 * time.Millisecond)
-	f.lead("controller1", 2)
-	f.pass(100 * time.Millisecond)
+	f := newFleet(100, 4)
+	f.advance(20 * time.Second)
+	delete(f.lists, "controller0")
+	f.advance(900 * time.Millisecond)
+	f.elect("controller1", 2)
+	f.advance(100 * time.Millisecond)
 	for _, a := range f.order[1:] {
-		is.Equal(f.by[a].Lead(), types.Addr("controller1"))
+		is.Equal(f.lists[a].Leader(), types.Addr("controller1"))
 	}
 	// One that the word does not reach finds out by itself.
-	f.lost = func(_, to types.Addr) bool { return to == "agent3" }
-	delete(f.by, "controller1")
-	f.pass(900 * time.Millisecond)
-	f.lead("controller2", 3)
-	f.pass(100 * time.Millisecond)
-	is.Equal(f.by["agent3"].Lead(), types.Addr("controller1"))
-	f.pass(6 * time.Second)
-	f.lost = func(_, _ types.Addr) bool { return false }
-	f.pass(600 * time.Millisecond)
-	is.Equal(f.by["agent3"].Lead(), types.Addr("controller2"))
+	f.dropped = func(_, to types.Addr) bool { return to == "agent3" }
+	delete(f.lists, "controller1")
+	f.advance(900 * time.Millisecond)
+	f.elect("controller2", 3)
+	f.advance(100 * time.Millisecond)
+	is.Equal(f.lists["agent3"].Leader(), types.Addr("controller1"))
+	f.advance(6 * time.Second)
+	f.dropped = func(_, _ types.Addr) bool { return false }
+	f.advance(600 * time.Millisecond)
+	is.Equal(f.lists["agent3"].Leader(), types.Addr("controller2"))
 }
 
-func TestARestartedDaemonGoesBeyondItsOldCard(t *testing.T) {
+func TestRestartedDaemonSupersedesItsOldInfo(t *testing.T) {
 	is := is.New(t)
-	f := fleet(20, 4)
-	f.pass(10 * time.Second)
-	c := f.by["agent5"].me
+	f := newFleet(20, 4)
+	f.advance(10 * time.Second)
+	c := f.lists["agent5"].self
 	c.Ready = false
-	f.by["agent5"].Me(c)
-	f.pass(20 * time.Second)
-	was := f.by["gateway1"].entries["agent5"].card
+	f.lists["agent5"].SetSelf(c)
+	f.advance(20 * time.Second)
+	was := f.lists["gateway1"].entries["agent5"].info
 	is.Equal(was.Ready, false)
 	f.add("agent", 5, 4, "controller0")
-	f.by["agent5"].me.V = 1
-	f.pass(3 * time.Second)
-	now := f.by["gateway1"].entries["agent5"].card
+	f.lists["agent5"].self.Version = 1
+	f.advance(3 * time.Second)
+	now := f.lists["gateway1"].entries["agent5"].info
 	is.Equal(now.Ready, true)
-	is.True(now.V > was.V)
+	is.True(now.Version > was.Version)
 	// What it said before comes late and changes nothing.
-	f.by["gateway1"].Take(f.now, wire.Make("agent5", "gateway1", wire.Hello, hello{Me: was}).Message)
-	is.Equal(f.by["gateway1"].entries["agent5"].card, now)
+	f.lists["gateway1"].HandleMessage(f.now, wire.NewMessage("agent5", "gateway1", wire.Hello, hello{Self: was}).Message)
+	is.Equal(f.lists["gateway1"].entries["agent5"].info, now)
 }
 
 // Whichever agent it is, peers that are gone are forgotten, and it never keeps more
 // than it may. Some agents lose every peer that they know at once.
-func TestAgentForgetsPeersThatAreGone(t *testing.T) {
+func TestAgentForgetsDepartedPeers(t *testing.T) {
 	for i := range 12 {
 		is := is.New(t)
-		f := fleet(60, 4)
-		f.pass(40 * time.Second)
-		r := f.by[types.Addr(fmt.Sprint("agent", i))]
+		f := newFleet(60, 4)
+		f.advance(40 * time.Second)
+		r := f.lists[types.Addr(fmt.Sprint("agent", i))]
 		kept := slices.Clone(r.order)
 		for _, a := range kept {
-			if r.entries[a].card.Role == "agent" {
-				delete(f.by, a)
+			if r.entries[a].info.Role == "agent" {
+				delete(f.lists, a)
 			}
 		}
-		f.pass(5 * time.Minute)
+		f.advance(5 * time.Minute)
 		left := 0
 		for _, a := range r.order {
-			if r.entries[a].card.Role == "agent" && slices.Contains(kept, a) {
+			if r.entries[a].info.Role == "agent" && slices.Contains(kept, a) {
 				left++
 			}
 		}
@@ -234,74 +234,74 @@
 	}
 }
 
-func TestWhatWasMissedIsRepaired(t *testing.T) {
+func TestMissedChangesAreRepaired(t *testing.T) {
 	is := is.New(t)
-	f := fleet(200, 4)
-	f.pass(20 * time.Second)
-	is.Equal(f.knows("gateway0"), len(f.order)-1)
-	f.by["gateway0"].drop("agent7")
-	f.by["controller0"].drop("agent8") // known to the leader no more, and it says nothing
-	delete(f.by, "agent8")
-	f.pass(repairInterval + 30*time.Second)
-	is.Equal(f.knows("gateway0"), len(f.order)-1)
-	is.Equal(f.knows("controller0"), len(f.order)-1)
+	f := newFleet(200, 4)
+	f.advance(20 * time.Second)
+	is.Equal(f.knownBy("gateway0"), len(f.order)-1)
+	f.lists["gateway0"].forget("agent7")
+	f.lists["controller0"].forget("agent8") // known to the leader no more, and it says nothing
+	delete(f.lists, "agent8")
+	f.advance(repairInterval + 30*time.Second)
+	is.Equal(f.knownBy("gateway0"), len(f.order)-1)
+	is.Equal(f.knownBy("controller0"), len(f.order)-1)
 }
 
-func TestSilenceIsToldToThoseWhoKeepAll(t *testing.T) {
+func TestSilenceIsReportedToDaemonsThatKeepAll(t *testing.T) {
 	is := is.New(t)
-	f := fleet(50, 4)
-	f.pass(20 * time.Second)
-	delete(f.by, "agent9")
-	f.pass(30 * time.Second)
-	for _, m := range f.by["gateway2"].Peers() {
+	f := newFleet(50, 4)
+	f.advance(20 * time.Second)
+	delete(f.lists, "agent9")
+	f.advance(30 * time.Second)
+	for _, m := range f.lists["gateway2"].Peers() {
 		if m.Addr == "agent9" {
 			is.True(m.AgeMS > 25_000)
 		} else {
 			is.True(m.AgeMS <= 3000)
 		}
 	}
-	g := f.by["gateway2"]
+	g := f.lists["gateway2"]
 	for _, e := range g.entries { // as a day later
-		e.heard = e.heard.Add(-Forget)
+		e.heardAt = e.heardAt.Add(-ForgetAfter)
 	}
-	f.pass(time.Minute)
-	is.True(f.knows("gateway2") >= len(f.order)-2) // nobody who lives is forgotten
+	f.advance(time.Minute)
+	is.True(f.knownBy("gateway2") >= len(f.order)-2) // nobody who lives is forgotten
 	f.add("agent", 9, 4, "gateway1")
-	f.pass(5 * time.Second)
+	f.advance(5 * time.Second)
 	is.True(g.peer(g.entries["agent9"]).AgeMS <= 3000)
 }
 
-func TestWholeZoneSilentIsToldApart(t *testing.T) {
+func TestSilentZoneIsReportedAsPartitioned(t *testing.T) {
 	is := is.New(t)
-	f := fleet(40, 4)
-	f.pass(10 * time.Second)
-	h := f.by["controller0"]
-	delete(f.by, "agent9")
-	f.pass(3 * time.Second)
-	is.Equal(h.Apart("k9"), false) // others of its zone live
-	zone := func(a types.Addr) bool { return f.by[a] != nil && f.by[a].me.Zone == "z2" }
-	f.lost = func(from, to types.Addr) bool { return zone(from) != zone(to) }
-	f.pass(time.Second)
-	is.Equal(h.Apart("k6"), false)
-	f.pass(2 * time.Second)
-	is.Equal(h.Apart("k6"), true)
-	is.Equal(h.Apart("k9"), false)
-	is.Equal(h.Apart("k0"), false) // its own
+	f := newFleet(40, 4)
+	f.advance(10 * time.Second)
+	h := f.lists["controller0"]
+	delete(f.lists, "agent9")
+	f.advance(3 * time.Second)
+	is.Equal(h.ZonePartitioned("k9"), false) // others of its zone live
+	zone := func(a types.Addr) bool { return f.lists[a] != nil && f.lists[a].self.Zone == "z2" }
+	f.dropped = func(from, to types.Addr) bool { return zone(from) != zone(to) }
+	f.advance(time.Second)
+	is.Equal(h.ZonePartitioned("k6"), false)
+	f.advance(2 * time.Second)
+	is.Equal(h.ZonePartitioned("k6"), true)
+	is.Equal(h.ZonePartitioned("k9"), false)
+	is.Equal(h.ZonePartitioned("k0"), false) // its own
 	// The leader alone can't reach the zone, but another controller can.
-	f.lost = func(from, to types.Addr) bool {
+	f.dropped = func(from, to types.Addr) bool {
 		return from == "controller0" && zone(to) || zone(from) && to == "controller0"
 	}
-	f.pass(6 * time.Second)
+	f.advance(6 * time.Second)
 	for range 20 {
-		f.pass(200 * time.Millisecond)
-		is.Equal(h.Apart("k6"), false)
+		f.advance(200 * time.Millisecond)
+		is.Equal(h.ZonePartitioned("k6"), false)
 	}
 }
 
-func TestStrangersAreNotTakenIn(t *testing.T) {
+func TestMembersOfOtherClustersAreIgnored(t *testing.T) {
 	is := is.New(t)
 	r := New(rand.New(rand.NewSource(1)), Card{Addr: "a", Role: "controller", Name: "one"}, nil)
-	r.Take(1, wire.Make("b", "a", wire.Hello, hello{Me: Card{Addr: "b", Role: "controller", Name: "two", V: 3}}).Message)
-	r.Take(1, wire.Make("c", "a", wire.Hello, hello{Me: Card{Addr: "c", Role: "gateway", Name: "one", V: 3}}).Message)
+	r.HandleMessage(1, wire.NewMessage("b", "a", wire.Hello, hello{Self: Card{Addr: "b", Role: "controller", Name: "two", Version: 3}}).Message)
+	r.HandleMessage(1, wire.NewMessage("c", "a", wire.Hello, hello{Self: Card{Addr: "c", Role: "gateway", Name: "one", Version: 3}}).Message)
 	is.Equal(len(r.Peers()), 1)
 }
--- a/internal/raft/disk.go
+++ b/internal/raft/disk.go
@@ -46,7 +46,7 @@
 
 // dropSuperseded forgets answers to a leader that wait for the disk and that a newer
 // one makes needless, so that a disk in trouble for hours takes no memory.
-func (n *Node) dropSuperseded(newer wire.Send) {
+func (n *Node) dropSuperseded(newer wire.OutboundMessage) {
 	n.pendingSends = slices.DeleteFunc(n.pendingSends, func(h pendingSend) bool {
 		return h.send.To == newer.To && h.send.Message.Kind == newer.Message.Kind
 	})
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -28,15 +28,15 @@
 )
 
 var handlers = map[string]func(*Node, wire.Message){
-	wire.Bootstrap:       wire.On((*Node).onBootstrap),
-	wire.JoinRequest:     wire.On((*Node).onJoinRequest),
-	wire.RequestVote:     wire.On((*Node).onRequestVote),
-	wire.VoteReply:       wire.On((*Node).onVoteReply),
-	wire.AppendEntries:   wire.On((*Node).onAppendEntries),
-	wire.AppendReply:     wire.On((*Node).onAppendReply),
-	wire.InstallSnapshot: wire.On((*Node).onInstallSnapshot),
-	wire.TimeoutNow:      wire.On((*Node).onTimeoutNow),
-	wire.Removed:         wire.On((*Node).onRemoved),
+	wire.Bootstrap:       wire.HandlerFor((*Node).onBootstrap),
+	wire.JoinRequest:     wire.HandlerFor((*Node).onJoinRequest),
+	wire.RequestVote:     wire.HandlerFor((*Node).onRequestVote),
+	wire.VoteReply:       wire.HandlerFor((*Node).onVoteReply),
+	wire.AppendEntries:   wire.HandlerFor((*Node).onAppendEntries),
+	wire.AppendReply:     wire.HandlerFor((*Node).onAppendReply),
+	wire.InstallSnapshot: wire.HandlerFor((*Node).onInstallSnapshot),
+	wire.TimeoutNow:      wire.HandlerFor((*Node).onTimeoutNow),
+	wire.Removed:         wire.HandlerFor((*Node).onRemoved),
 }
 
 // Step handles a message; false when its kind is not one of this package's.
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -26,7 +26,7 @@
 type pendingSend struct {
 	afterBatch uint64
 	term       types.Term
-	send       wire.Send
+	send       wire.OutboundMessage
 }
 
 type progress struct {
@@ -101,7 +101,7 @@
 	nonControllers                        []types.Addr // daemons that are no controllers
 	lastJoinRequestAt                     types.MonoTime
 
-	sends         []wire.Send
+	sends         []wire.OutboundMessage
 	records       []Record
 	replacesFile  bool
 	appendInstead []Record // of a compaction: what would be appended without it; nil if the file must be replaced
@@ -248,7 +248,7 @@
 }
 
 func (n *Node) sendAfterBatch(batch uint64, to types.Addr, kind string, body any) {
-	s := wire.Make(n.self.Addr, to, kind, body)
+	s := wire.NewMessage(n.self.Addr, to, kind, body)
 	if batch <= n.syncedBatch {
 		n.sends = append(n.sends, s)
 		return
@@ -282,7 +282,7 @@
 
 // Ready returns what the step collected: messages, one batch of records with its number,
 // and whether the batch replaces the file.
-func (n *Node) Ready() (sends []wire.Send, batch [][]byte, seq uint64, whole bool) {
+func (n *Node) Ready() (sends []wire.OutboundMessage, batch [][]byte, seq uint64, whole bool) {
 	if n.role == roleLeader {
 		n.lastLedAt = n.now.Mono
 		n.replicate()
--- a/internal/raft/plant_test.go
+++ b/internal/raft/plant_test.go
@@ -99,14 +99,14 @@
 func (w *world) injectIntoMessage(m *machine, x wire.Message) wire.Message {
 	switch {
 	case w.plantedBug == plantLeaseFromReceipt && x.Kind == wire.AppendReply:
-		if a, ok := wire.Read[appendReply](x); ok && a.Term == m.node.hardState.Term {
+		if a, ok := wire.DecodeBody[appendReply](x); ok && a.Term == m.node.hardState.Term {
 			a.Round = m.clock().Mono
-			x.Body = wire.Body(a)
+			x.Body = wire.EncodeBody(a)
 		}
 	case w.plantedBug == plantVoteForShorterLog && x.Kind == wire.RequestVote:
-		if b, ok := wire.Read[requestVote](x); ok {
+		if b, ok := wire.DecodeBody[requestVote](x); ok {
 			b.LastLogIndex, b.LastLogTerm = 1<<40, 1<<40
-			x.Body = wire.Body(b)
+			x.Body = wire.EncodeBody(b)
 		}
 	}
 	return x
--- a/internal/raft/world_test.go
+++ b/internal/raft/world_test.go
@@ -333,7 +333,7 @@
 	return nil
 }
 
-func (w *world) transmit(from types.Addr, s wire.Send) {
+func (w *world) transmit(from types.Addr, s wire.OutboundMessage) {
 	if w.manual {
 		w.inFlight = append(w.inFlight, envelope{from, s.To, s.Message})
 		return
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -9,36 +9,36 @@
 	"coppercourse/internal/wire"
 )
 
-const callsAtOnce = 32
+const maxConcurrentCalls = 32
 
-// Caller carries one call to a worker and gives what came back.
-type Caller func(context.Context, wire.WorkerCall) wire.WorkerReply
+// WorkerCaller carries one call to a worker and gives what came back.
+type WorkerCaller func(context.Context, wire.WorkerCall) wire.WorkerReply
 
-// call carries one out without holding up the owner.
-func (o *Owner) call(c wire.WorkerCall) {
+// startCall carries one out without holding up the owner.
+func (o *EventLoop) startCall(c wire.WorkerCall) {
 	go func() {
-		ctx, stop := context.WithTimeout(context.Background(), c.Limit)
+		ctx, stop := context.WithTimeout(context.Background(), c.Timeout)
 		defer stop()
-		r := o.carry(ctx, c)
-		r.No = c.No
-		o.inbox.force(event{Event: wire.Event{Reply: &r}})
+		r := o.callWorker(ctx, c)
+		r.Number = c.Number
+		o.queue.force(queuedEvent{Event: wire.Event{WorkerReply: &r}})
 	}()
 }
 
-func (o *Owner) carry(ctx context.Context, c wire.WorkerCall) wire.WorkerReply {
-	if c.Kind == wire.Hold && c.Wait > 0 {
-		return o.Caller(ctx, c)
+func (o *EventLoop) callWorker(ctx context.Context, c wire.WorkerCall) wire.WorkerReply {
+	if c.Kind == wire.RenewLease && c.LongPollWait > 0 {
+		return o.CallWorker(ctx, c)
 	}
 	select {
-	case o.slots <- struct{}{}:
-		defer func() { <-o.slots }()
+	case o.callSlots <- struct{}{}:
+		defer func() { <-o.callSlots }()
 		if ctx.Err() != nil {
-			return wire.WorkerReply{Result: wire.Sick}
+			return wire.WorkerReply{Result: wire.ResultUnhealthy}
 		}
-		return o.Caller(ctx, c)
+		return o.CallWorker(ctx, c)
 	case <-ctx.Done():
-		return wire.WorkerReply{Result: wire.Sick}
-	case <-o.closed:
-		return wire.WorkerReply{Result: wire.Sick}
+		return wire.WorkerReply{Result: wire.ResultUnhealthy}
+	case <-o.stopped:
+		return wire.WorkerReply{Result: wire.ResultUnhealthy}
 	}
 }
--- a/internal/server/disk.go
+++ b/internal/server/disk.go
@@ -17,26 +17,26 @@
 
 // Pauses between two attempts to write on a disk that refuses.
 const (
-	firstRetryPause = 20 * time.Millisecond
-	maxRetryPause   = time.Second
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = time.Second
 )
 
-// retryPause gives the pause after a number of failures in a row.
-func retryPause(failures int) time.Duration {
-	pause := firstRetryPause
-	for i := 1; i < failures && pause < maxRetryPause; i++ {
+// retryDelay gives the pause after a number of failures in a row.
+func retryDelay(failures int) time.Duration {
+	pause := minRetryDelay
+	for i := 1; i < failures && pause < maxRetryDelay; i++ {
 		pause *= 2
 	}
-	return min(pause, maxRetryPause)
+	return min(pause, maxRetryDelay)
 }
 
 // Batch is one group of records to sync as number Seq. Whole puts it in place of
 // the file; Instead, if set, says the same when appended to the file as it was.
 type Batch struct {
-	Records [][]byte
-	Seq     uint64
-	Whole   bool
-	Instead [][]byte
+	Records         [][]byte
+	Number          uint64
+	ReplaceLog      bool
+	FallbackRecords [][]byte
 }
 
 // Log is the file as the writer sees it.
@@ -47,36 +47,36 @@
 	Close() error
 }
 
-// Disk is the one writer of the file. All batches that wait are synced as one.
-type Disk struct {
-	log    Log
-	synced func(uint64) // told the number of the last batch that is on disk
-	failed func(error)  // told of the first of several failures in a row
-	logger logr.Logger
+// DiskWriter is the one writer of the file. All batches that wait are synced as one.
+type DiskWriter struct {
+	log      Log
+	onSynced func(uint64) // told the number of the last batch that is on disk
+	onError  func(error)  // told of the first of several failures in a row
+	logger   logr.Logger
 
-	told bool // the machine knows that the disk refuses
+	errorReported bool // the machine knows that the disk refuses
 
-	mu     sync.Mutex
-	queue  []Batch
-	queued chan struct{}
+	mu      sync.Mutex
+	pending []Batch
+	wake    chan struct{}
 }
 
-// NewDisk makes a writer; synced and failed are called from its goroutine.
-func NewDisk(log Log, synced func(uint64), failed func(error)) *Disk {
-	return &Disk{log: log, synced: synced, failed: failed, logger: logr.Discard(), queued: make(chan struct{}, 1)}
+// NewDiskWriter makes a writer; synced and failed are called from its goroutine.
+func NewDiskWriter(log Log, synced func(uint64), failed func(error)) *DiskWriter {
+	return &DiskWriter{log: log, onSynced: synced, onError: failed, logger: logr.Discard(), wake: make(chan struct{}, 1)}
 }
 
-// Write queues a batch and returns at once. A batch that replaces the file makes
+// Enqueue queues a batch and returns at once. A batch that replaces the file makes
 // those before it obsolete, so what waits for a full disk stays bounded.
-func (d *Disk) Write(b Batch) {
+func (d *DiskWriter) Enqueue(b Batch) {
 	d.mu.Lock()
-	if b.Whole {
-		d.queue, b.Instead = supersede(d.queue, b.Instead)
+	if b.ReplaceLog {
+		d.pending, b.FallbackRecords = supersede(d.pending, b.FallbackRecords)
 	}
-	d.queue = append(d.queue, b)
+	d.pending = append(d.pending, b)
 	d.mu.Unlock()
 	select {
-	case d.queued <- struct{}{}:
+	case d.wake <- struct{}{}:
 	default:
 	}
 }
@@ -85,47 +85,47 @@
 // to that, nothing before it is needed; with one, all before it is needed where
 // it has to be used, except that an older replacement is written as its own
 // alternative. One that had none leaves none to what follows.
-func supersede(queue []Batch, instead [][]byte) ([]Batch, [][]byte) {
+func supersede(queue []Batch, fallback [][]byte) ([]Batch, [][]byte) {
 	for _, b := range queue {
-		if b.Whole && b.Instead == nil {
-			instead = nil
+		if b.ReplaceLog && b.FallbackRecords == nil {
+			fallback = nil
 		}
 	}
-	if instead == nil {
+	if fallback == nil {
 		return nil, nil
 	}
 	var kept []Batch
 	for _, b := range queue {
-		if b.Whole {
-			b = Batch{Records: b.Instead, Seq: b.Seq}
+		if b.ReplaceLog {
+			b = Batch{Records: b.FallbackRecords, Number: b.Number}
 		}
 		kept = append(kept, b)
 	}
-	return kept, instead
+	return kept, fallback
 }
 
-// waiting gives all batches that are queued.
-func (d *Disk) waiting() []Batch {
+// pendingBatches gives all batches that are queued.
+func (d *DiskWriter) pendingBatches() []Batch {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.queue[:len(d.queue):len(d.queue)]
+	return d.pending[:len(d.pending):len(d.pending)]
 }
 
-// drop forgets the batches up to a number, which are on disk.
-func (d *Disk) drop(seq uint64) {
+// discardThrough forgets the batches up to a number, which are on disk.
+func (d *DiskWriter) discardThrough(seq uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for len(d.queue) > 0 && d.queue[0].Seq <= seq {
-		d.queue = d.queue[1:]
+	for len(d.pending) > 0 && d.pending[0].Number <= seq {
+		d.pending = d.pending[1:]
 	}
-	if len(d.queue) == 0 {
-		d.queue = nil
+	if len(d.pending) == 0 {
+		d.pending = nil
 	}
 }
 
 // Run writes until its context ends. It never ends for its disk.
-func (d *Disk) Run(ctx context.Context) error {
-	timer := time.NewTimer(wal.Rest)
+func (d *DiskWriter) Run(ctx context.Context) error {
+	timer := time.NewTimer(wal.SealAfterIdle)
 	defer timer.Stop()
 	failures := 0
 	for {
@@ -138,76 +138,76 @@
 			return nil
 		case <-timer.C:
 			err = d.flush()
-		case <-d.queued:
+		case <-d.wake:
 			if failures > 0 {
 				continue // until the pause is over
 			}
 			err = d.flush()
 		}
 		if err == nil {
-			d.recovered(failures)
+			d.reportRecovery(failures)
 			failures = 0
-			timer.Reset(wal.Rest)
+			timer.Reset(wal.SealAfterIdle)
 			continue
 		}
 		failures++
-		d.refused(failures, err)
-		timer.Reset(retryPause(failures))
+		d.reportFailure(failures, err)
+		timer.Reset(retryDelay(failures))
 	}
 }
 
-// refused tells of a failure: the machine once as soon as something waits, the
+// reportFailure tells of a failure: the machine once as soon as something waits, the
 // operator of the first and of each later one whose pause has grown.
-func (d *Disk) refused(failures int, err error) {
-	if !d.told && len(d.waiting()) > 0 {
-		d.told = true
-		d.failed(err)
+func (d *DiskWriter) reportFailure(failures int, err error) {
+	if !d.errorReported && len(d.pendingBatches()) > 0 {
+		d.errorReported = true
+		d.onError(err)
 	}
-	if failures == 1 || retryPause(failures) > retryPause(failures-1) {
-		d.logger.Error(err, "the disk refuses; trying again", "failures", failures, "pause", retryPause(failures).String())
+	if failures == 1 || retryDelay(failures) > retryDelay(failures-1) {
+		d.logger.Error(err, "the disk refuses; trying again", "failures", failures, "pause", retryDelay(failures).String())
 	}
 }
 
-func (d *Disk) recovered(failures int) {
-	d.told = false
+func (d *DiskWriter) reportRecovery(failures int) {
+	d.errorReported = false
 	if failures > 0 {
 		d.logger.Info("the disk takes writes again", "failures", failures)
 	}
 }
 
 // flush writes what waits, or seals the file when nothing does.
-func (d *Disk) flush() error {
-	group := d.waiting()
+func (d *DiskWriter) flush() error {
+	group := d.pendingBatches()
 	if len(group) == 0 {
 		return d.log.Seal()
 	}
 	if err := d.write(group); err != nil {
 		return err
 	}
-	d.settle(group[len(group)-1].Seq)
+	d.acknowledge(group[len(group)-1].Number)
 	return nil
 }
 
-// settle forgets what is on disk and tells the machine of it.
-func (d *Disk) settle(seq uint64) {
-	d.drop(seq)
-	d.synced(seq)
+// acknowledge forgets what is on disk and tells the machine of it.
+func (d *DiskWriter) acknowledge(seq uint64) {
+	d.discardThrough(seq)
+	d.onSynced(seq)
 }
 
 // write syncs a group: first the batch that replaces the file, if there is one,
 // then what follows it. Where there is no room for a second file beside the old
 // one, the group is appended.
-func (d *Disk) write(group []Batch) error {
+func (d *DiskWriter) write(group []Batch) error {
 	for i, b := range group {
-		if !b.Whole {
+		if !b.ReplaceLog {
 			continue
 		}
 		err := d.log.Rewrite(b.Records)
 		switch {
 		case err == nil:
-			d.settle(b.Seq) // it need not be rewritten if what follows fails
+			d.acknowledge(b.Number) // it need not be rewritten if what follows fails
 			group = group[i+1:]
-		case b.Instead == nil || !wal.NoSpace(err):
+		case b.FallbackRecords == nil || !wal.IsNoSpace(err):
 			return err
 		default:
 			d.logger.Info("no room to rewrite the log; it grows on", "error", err.Error())
@@ -217,11 +217,11 @@
 	return d.append(group)
 }
 
-func (d *Disk) append(group []Batch) error {
+func (d *DiskWriter) append(group []Batch) error {
 	var list [][]byte
 	for _, b := range group {
-		if b.Whole {
-			list = append(list, b.Instead...)
+		if b.ReplaceLog {
+			list = append(list, b.FallbackRecords...)
 		} else {
 			list = append(list, b.Records...)
 		}
@@ -232,10 +232,10 @@
 	return d.log.Append(list)
 }
 
-// synced tells the machine what is on disk.
-func (o *Owner) synced(seq uint64) { o.tell(wire.Event{Synced: seq}) }
+// onSynced tells the machine what is on disk.
+func (o *EventLoop) onSynced(seq uint64) { o.enqueue(wire.Event{Synced: seq}) }
 
-// diskFailed tells the machine that the disk refuses.
-func (o *Owner) diskFailed(err error) { o.tell(wire.Event{Disk: err}) }
+// onDiskError tells the machine that the disk refuses.
+func (o *EventLoop) onDiskError(err error) { o.enqueue(wire.Event{DiskError: err}) }
 
-func (o *Owner) tell(e wire.Event) { o.inbox.force(event{Event: e}) }
+func (o *EventLoop) enqueue(e wire.Event) { o.queue.force(queuedEvent{Event: e}) }
--- a/internal/server/disk_test.go
+++ b/internal/server/disk_test.go
@@ -21,64 +21,64 @@
 	"coppercourse/internal/wal/waltest"
 )
 
-// writer is a disk writer on a file system in memory, and what it told.
-type writer struct {
-	storage *waltest.Storage
-	disk    *Disk
-	mu      sync.Mutex
-	seqs    []uint64
-	errs    []error
-	ended   chan error
-	stop    context.CancelFunc
+// diskRig is a disk writer on a file system in memory, and what it told.
+type diskRig struct {
+	storage       *waltest.Storage
+	disk          *DiskWriter
+	mu            sync.Mutex
+	syncedBatches []uint64
+	reported      []error
+	ended         chan error
+	stop          context.CancelFunc
 }
 
-// startWriter runs a writer in the bubble of a test.
-func startWriter(t *testing.T, wrap func(Log) Log) *writer {
+// startDiskRig runs a writer in the bubble of a test.
+func startDiskRig(t *testing.T, wrap func(Log) Log) *diskRig {
 	t.Helper()
-	w := &writer{storage: waltest.New(1), ended: make(chan error, 1)}
+	w := &diskRig{storage: waltest.New(1), ended: make(chan error, 1)}
 	file, _, _, err := wal.Open(w.storage, "data")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.disk = NewDisk(wrap(file), w.onSynced, w.onFailed)
+	w.disk = NewDiskWriter(wrap(file), w.onSynced, w.onFailed)
 	var ctx context.Context
 	ctx, w.stop = context.WithCancel(t.Context())
 	go func() { w.ended <- w.disk.Run(ctx) }()
 	return w
 }
 
-func (w *writer) onSynced(seq uint64) {
+func (w *diskRig) onSynced(seq uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.seqs = append(w.seqs, seq)
+	w.syncedBatches = append(w.syncedBatches, seq)
 }
 
-func (w *writer) onFailed(err error) {
+func (w *diskRig) onFailed(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.errs = append(w.errs, err)
+	w.reported = append(w.reported, err)
 }
 
 // synced gives the numbers that were told as synced.
-func (w *writer) synced() []uint64 {
+func (w *diskRig) synced() []uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.Clone(w.seqs)
+	return slices.Clone(w.syncedBatches)
 }
 
 // failures counts how often the machine was told that the disk refuses.
-func (w *writer) failures() int {
+func (w *diskRig) failures() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.errs)
+	return len(w.reported)
 }
 
-func sound(l Log) Log { return l }
+func unwrapped(l Log) Log { return l }
 
 func record(n int) []byte { return fmt.Appendf(nil, `{"n":%d}`, n) }
 
 // end stops the writer and gives what it left on the disk after a loss of power.
-func (w *writer) end(t *testing.T) (found []string) {
+func (w *diskRig) end(t *testing.T) (found []string) {
 	t.Helper()
 	w.stop()
 	if err := <-w.ended; err != nil {
@@ -98,46 +98,46 @@
 
 // surviveFaults writes while the disk refuses in one way for ten seconds, and
 // tells what was wrong with what the writer told and left.
-func surviveFaults(t *testing.T, fail func(waltest.Op, string) *waltest.Fault, wrap func(Log) Log) (wrong string) {
+func surviveFaults(t *testing.T, fail func(waltest.Op, string) *waltest.Fault, wrap func(Log) Log) (problem string) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startWriter(t, wrap)
-		w.disk.Write(Batch{Records: [][]byte{record(1)}, Seq: 1})
+		w := startDiskRig(t, wrap)
+		w.disk.Enqueue(Batch{Records: [][]byte{record(1)}, Number: 1})
 		synctest.Wait()
 		w.storage.SetFail(fail)
-		w.disk.Write(Batch{Records: [][]byte{record(2), record(3)}, Seq: 2})
+		w.disk.Enqueue(Batch{Records: [][]byte{record(2), record(3)}, Number: 2})
 		for range 10 {
 			time.Sleep(time.Second)
-			w.disk.Write(Batch{Records: [][]byte{record(4)}, Seq: 3})
+			w.disk.Enqueue(Batch{Records: [][]byte{record(4)}, Number: 3})
 		}
 		synctest.Wait()
 		switch {
 		case !slices.Equal(w.synced(), []uint64{1}):
-			wrong = fmt.Sprintf("told as synced while the disk refused: %v", w.synced())
+			problem = fmt.Sprintf("told as synced while the disk refused: %v", w.synced())
 		case w.failures() != 1:
-			wrong = fmt.Sprintf("the machine was told %d times", w.failures())
+			problem = fmt.Sprintf("the machine was told %d times", w.failures())
 		}
 		tries := w.storage.Count(waltest.Write) + w.storage.Count(waltest.Sync) + w.storage.Count(waltest.Truncate)
 		if tries > 60 {
-			wrong = fmt.Sprintf("%d operations in ten seconds on a disk that refuses", tries)
+			problem = fmt.Sprintf("%d operations in ten seconds on a disk that refuses", tries)
 		}
 		w.storage.SetFail(nil)
-		time.Sleep(maxRetryPause)
+		time.Sleep(maxRetryDelay)
 		synctest.Wait()
 		if len(w.synced()) == 0 || w.synced()[len(w.synced())-1] != 3 {
-			wrong = fmt.Sprintf("not told as synced when the disk was back: %v", w.synced())
+			problem = fmt.Sprintf("not told as synced when the disk was back: %v", w.synced())
 		}
 		if found := w.end(t); len(found) != 13 || found[0] != string(record(1)) || found[1] != string(record(2)) || found[12] != string(record(4)) {
-			wrong += fmt.Sprintf("; the disk holds %v", found)
+			problem += fmt.Sprintf("; the disk holds %v", found)
 		}
 	})
-	return wrong
+	return problem
 }
 
-var faults = map[string]func(waltest.Op, string) *waltest.Fault{
-	"no space":      waltest.Refuse(syscall.ENOSPC, waltest.Write, waltest.Create),
-	"write error":   waltest.Refuse(syscall.EIO, waltest.Write),
-	"sync error":    waltest.Refuse(syscall.EIO, waltest.Sync),
-	"truncate, too": waltest.Refuse(syscall.EROFS, waltest.Write, waltest.Truncate, waltest.Create),
+var diskFaults = map[string]func(waltest.Op, string) *waltest.Fault{
+	"no space":      waltest.FailWith(syscall.ENOSPC, waltest.Write, waltest.Create),
+	"write error":   waltest.FailWith(syscall.EIO, waltest.Write),
+	"sync error":    waltest.FailWith(syscall.EIO, waltest.Sync),
+	"truncate, too": waltest.FailWith(syscall.EROFS, waltest.Write, waltest.Truncate, waltest.Create),
 	"short write": func(op waltest.Op, _ string) *waltest.Fault {
 		if op == waltest.Write {
 			return &waltest.Fault{Err: syscall.ENOSPC, Written: 20}
@@ -146,25 +146,25 @@
 	},
 }
 
-func TestAWriterOutlivesItsDisk(t *testing.T) {
-	for name, fail := range faults {
+func TestDiskWriterSurvivesFaults(t *testing.T) {
+	for name, fail := range diskFaults {
 		t.Run(name, func(t *testing.T) {
-			if wrong := surviveFaults(t, fail, sound); wrong != "" {
+			if wrong := surviveFaults(t, fail, unwrapped); wrong != "" {
 				t.Error(wrong)
 			}
 		})
 	}
 }
 
-// lying is a log with one planted bug.
-type lying struct {
+// faultyLog is a log with one planted bug.
+type faultyLog struct {
 	Log
 	append func(Log, [][]byte) error
 }
 
-func (l lying) Append(list [][]byte) error { return l.append(l.Log, list) }
+func (l faultyLog) Append(list [][]byte) error { return l.append(l.Log, list) }
 
-func TestPlantedBugsOfTheWriterAreCaught(t *testing.T) {
+func TestDiskWriterBugsAreDetected(t *testing.T) {
 	bugs := map[string]func(Log, [][]byte) error{
 		"synced is told after a failure": func(l Log, list [][]byte) error {
 			l.Append(list)
@@ -191,7 +191,7 @@
 	}
 	for name, bug := range bugs {
 		t.Run(name, func(t *testing.T) {
-			wrong := surviveFaults(t, faults["sync error"], func(l Log) Log { return lying{l, bug} })
+			wrong := surviveFaults(t, diskFaults["sync error"], func(l Log) Log { return faultyLog{l, bug} })
 			if wrong == "" {
 				t.Error("not caught")
 			}
@@ -199,15 +199,15 @@
 	}
 }
 
-func TestARewriteWithoutRoomIsAppendedInstead(t *testing.T) {
+func TestRewriteWithoutSpaceIsAppended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := startWriter(t, sound)
-		w.disk.Write(Batch{Records: [][]byte{record(1)}, Seq: 1})
+		w := startDiskRig(t, unwrapped)
+		w.disk.Enqueue(Batch{Records: [][]byte{record(1)}, Number: 1})
 		synctest.Wait()
 		w.storage.SetCapacity(200)
 		snapshot := []byte(`{"snapshot":"` + strings.Repeat("x", 150) + `"}`)
-		w.disk.Write(Batch{Records: [][]byte{snapshot}, Seq: 2, Whole: true, Instead: [][]byte{record(2)}})
+		w.disk.Enqueue(Batch{Records: [][]byte{snapshot}, Number: 2, ReplaceLog: true, FallbackRecords: [][]byte{record(2)}})
 		synctest.Wait()
 		is.Equal(w.synced(), []uint64{1, 2})
 		is.Equal(w.failures(), 0)
@@ -215,73 +215,73 @@
 	})
 }
 
-func TestASnapshotOfALeaderWaitsForRoom(t *testing.T) {
+func TestLeaderSnapshotWaitsForSpace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := startWriter(t, sound)
+		w := startDiskRig(t, unwrapped)
 		w.storage.SetCapacity(200)
 		snapshot := []byte(`{"snapshot":"` + strings.Repeat("x", 150) + `"}`)
-		w.disk.Write(Batch{Records: [][]byte{record(1)}, Seq: 1})
+		w.disk.Enqueue(Batch{Records: [][]byte{record(1)}, Number: 1})
 		synctest.Wait()
-		w.disk.Write(Batch{Records: [][]byte{snapshot}, Seq: 2, Whole: true}) // nothing else will do
-		w.disk.Write(Batch{Records: [][]byte{record(3)}, Seq: 3})
+		w.disk.Enqueue(Batch{Records: [][]byte{snapshot}, Number: 2, ReplaceLog: true}) // nothing else will do
+		w.disk.Enqueue(Batch{Records: [][]byte{record(3)}, Number: 3})
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		is.Equal(w.synced(), []uint64{1})
 		w.storage.SetCapacity(2000)
-		time.Sleep(maxRetryPause)
+		time.Sleep(maxRetryDelay)
 		synctest.Wait()
 		is.Equal(w.synced()[len(w.synced())-1], uint64(3))
 		is.Equal(w.end(t), []string{string(snapshot), string(record(3))})
 	})
 }
 
-func TestWhatWaitsForADiskStaysBounded(t *testing.T) {
+func TestPendingBatchesStayBounded(t *testing.T) {
 	is := is.New(t)
-	d := NewDisk(nil, nil, nil)
+	d := NewDiskWriter(nil, nil, nil)
 	seq := uint64(0)
 	put := func(whole bool, instead [][]byte) {
 		seq++
-		d.Write(Batch{Records: [][]byte{record(int(seq))}, Seq: seq, Whole: whole, Instead: instead})
+		d.Enqueue(Batch{Records: [][]byte{record(int(seq))}, Number: seq, ReplaceLog: whole, FallbackRecords: instead})
 	}
 	put(false, nil)
 	put(true, [][]byte{record(100)})
 	put(false, nil)
 	put(true, [][]byte{record(101)})
-	is.Equal(len(d.waiting()), 4) // all are needed where a file can't be rewritten
-	is.Equal(d.waiting()[1], Batch{Records: [][]byte{record(100)}, Seq: 2})
+	is.Equal(len(d.pendingBatches()), 4) // all are needed where a file can't be rewritten
+	is.Equal(d.pendingBatches()[1], Batch{Records: [][]byte{record(100)}, Number: 2})
 	put(true, nil) // a snapshot of a leader: nothing before it is
-	is.Equal(len(d.waiting()), 1)
+	is.Equal(len(d.pendingBatches()), 1)
 	put(false, nil)
 	put(true, [][]byte{record(102)}) // builds on one that can't be appended
-	is.Equal(len(d.waiting()), 1)
-	is.Equal(d.waiting()[0].Instead, nil)
+	is.Equal(len(d.pendingBatches()), 1)
+	is.Equal(d.pendingBatches()[0].FallbackRecords, nil)
 }
 
-func TestOpeningWaitsForTheDisk(t *testing.T) {
+func TestOpenLogWaitsForTheDisk(t *testing.T) {
 	for _, op := range []waltest.Op{waltest.Create, waltest.Read, waltest.Sync} {
 		t.Run(string(op), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				storage := waltest.New(1)
-				storage.SetFail(waltest.Refuse(syscall.ENOSPC, op))
+				storage.SetFail(waltest.FailWith(syscall.ENOSPC, op))
 				time.AfterFunc(10*time.Second, func() { storage.SetFail(nil) })
 				begin := time.Now()
 				file, _, err := OpenLog(t.Context(), logr.Discard(), storage, "data", "")
 				is.NoErr(err)
 				is.NoErr(file.Append([][]byte{record(1)}))
 				is.True(time.Since(begin) >= 10*time.Second)
-				is.True(time.Since(begin) <= 10*time.Second+maxRetryPause)
+				is.True(time.Since(begin) <= 10*time.Second+maxRetryDelay)
 				is.True(storage.Count(op) < 30) // with growing pauses
 			})
 		})
 	}
 }
 
-func TestOpeningEndsWhenToldTo(t *testing.T) {
+func TestOpenLogEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		storage := waltest.New(1)
-		storage.SetFail(waltest.Refuse(syscall.ENOSPC, waltest.Create))
+		storage.SetFail(waltest.FailWith(syscall.ENOSPC, waltest.Create))
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		defer stop()
 		if _, _, err := OpenLog(ctx, logr.Discard(), storage, "data", ""); !errors.Is(err, context.DeadlineExceeded) {
@@ -290,18 +290,18 @@
 	})
 }
 
-func TestAWaitingDaemonSaysSo(t *testing.T) {
+func TestDiskWaitIsReported(t *testing.T) {
 	is := is.New(t)
-	page := &waitingPage{}
+	page := &diskWaitHandler{}
 	page.reason.Store("no space left on device")
-	is.Equal(get(page, "/live").Code, 200)
-	is.Equal(get(page, "/ready").Code, 503)
-	status := get(page, "/v1/status")
+	is.Equal(getPath(page, "/live").Code, 200)
+	is.Equal(getPath(page, "/ready").Code, 503)
+	status := getPath(page, "/v1/status")
 	is.Equal(status.Code, 200)
 	is.True(strings.Contains(status.Body.String(), "no space left on device"))
 }
 
-func get(h http.Handler, path string) *httptest.ResponseRecorder {
+func getPath(h http.Handler, path string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
 	return w
--- a/internal/server/door_test.go
+++ b/internal/server/door_test.go
@@ -20,25 +20,25 @@
 	"coppercourse/internal/wire"
 )
 
-// lone is a gateway that knows no other daemon.
-func lone(t *testing.T) (*Pages, *httptest.Server) {
+// startLoneGateway is a gateway that knows no other daemon.
+func startLoneGateway(t *testing.T) (*Handlers, *httptest.Server) {
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
-	post := NewPost(ctx, "")
-	o := NewOwner(post, nil)
+	post := NewSender(ctx, "")
+	o := NewEventLoop(post, nil)
 	m := gateway.New(Now(), rand.New(rand.NewSource(1)), gateway.Options{Addr: "127.0.0.1:9", Zone: "z"})
-	o.Carry(m)
-	o.Show = func() any { return m.Status() }
-	p := &Pages{Owner: o, Post: post, Trail: m.Trail, Ready: func() bool { return false }}
-	e := &Entry{}
-	srv := httptest.NewServer(p.Wrap(e.Routes(p)))
+	o.SetMachine(m)
+	o.Status = func() any { return m.Status() }
+	p := &Handlers{Loop: o, Sender: post, Trace: m.Trail, Ready: func() bool { return false }}
+	e := &GatewayHandlers{}
+	srv := httptest.NewServer(p.TrackInFlight(e.Routes(p)))
 	t.Cleanup(srv.Close)
 	go o.Run(ctx)
 	return p, srv
 }
 
-func TestEveryRefusalIsExact(t *testing.T) {
-	_, srv := lone(t)
+func TestRejectionsCarryStatusKindAndField(t *testing.T) {
+	_, srv := startLoneGateway(t)
 	job := `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`
 	for _, c := range []struct {
 		method, path, body string
@@ -81,9 +81,9 @@
 	}
 }
 
-func TestStoppingAnswersWhatWasRead(t *testing.T) {
+func TestShutdownAnswersRequestsInFlight(t *testing.T) {
 	is := is.New(t)
-	p, srv := lone(t)
+	p, srv := startLoneGateway(t)
 	got := make(chan int, 1)
 	ask := func() { // this one is under way when the stop begins, and waits for a leader
 		res, err := http.Get(srv.URL + "/v1/jobs/a")
@@ -95,7 +95,7 @@
 		got <- res.StatusCode
 	}
 	go ask()
-	for p.under.Load() == 0 {
+	for p.inFlight.Load() == 0 {
 		select {
 		case code := <-got: // it was over before it was seen: once more
 			is.Equal(code, 503)
@@ -104,10 +104,10 @@
 			runtime.Gosched()
 		}
 	}
-	p.drain.Store(true)
-	p.Owner.Close()
+	p.draining.Store(true)
+	p.Loop.BeginShutdown()
 	is.Equal(<-got, 503)
-	p.shut.Store(true)
+	p.rejecting.Store(true)
 	res, err := http.Get(srv.URL + "/v1/jobs/a")
 	is.NoErr(err)
 	defer res.Body.Close()
@@ -117,21 +117,21 @@
 	is.True(res.Close)
 }
 
-func TestFullInboxIsToldAtOnce(t *testing.T) {
+func TestFullQueueRejectsAtOnce(t *testing.T) {
 	is := is.New(t)
-	o := NewOwner(nil, nil) // nobody takes from it
+	o := NewEventLoop(nil, nil) // nobody takes from it
 	took := 0
-	for o.Message(wire.Message{Kind: wire.Call}) {
+	for o.Deliver(wire.Message{Kind: wire.ForwardRequest}) {
 		took++
 	}
 	is.True(took >= 1000)
 	a := o.Ask(context.Background(), "job.get", "a", nil)
-	is.Equal(a.Fault.Kind, apierror.TooBusy)
-	is.True(a.Fault.RetryAfterSeconds > 0)
-	for kind := range map[string]bool{wire.AppendEntries: true, wire.RequestVote: true, wire.News: true, wire.Beat: true, wire.Status: true} {
-		is.True(o.Message(wire.Message{Kind: kind})) // one class leaves the others their room
+	is.Equal(a.Error.Kind, apierror.TooBusy)
+	is.True(a.Error.RetryAfterSeconds > 0)
+	for kind := range map[string]bool{wire.AppendEntries: true, wire.RequestVote: true, wire.ConfigWatch: true, wire.Heartbeat: true, wire.StatusReport: true} {
+		is.True(o.Deliver(wire.Message{Kind: kind})) // one class leaves the others their room
 	}
-	refused, _ := o.inbox.refused()
-	is.Equal(refused[wire.Callers], uint64(2))
-	is.Equal(refused[wire.Consensus], uint64(0))
+	refused, _ := o.queue.rejected()
+	is.Equal(refused[wire.ClassCallers], uint64(2))
+	is.Equal(refused[wire.ClassConsensus], uint64(0))
 }
--- a/internal/server/entry.go
+++ b/internal/server/entry.go
@@ -18,8 +18,8 @@
 	"coppercourse/internal/wire"
 )
 
-// Entry checks requests on their way in.
-type Entry struct {
+// GatewayHandlers checks requests on their way in.
+type GatewayHandlers struct {
 	Clock     func() types.MonoTime // the daemon's steady clock; Steady where not set
 	published atomic.Pointer[publishedTable]
 }
@@ -33,8 +33,8 @@
 	names          map[types.QueueName]bool
 }
 
-// Publish puts a table in place of the last, for all requests from now on.
-func (e *Entry) Publish(t config.Table, confirmedUntil types.MonoTime) {
+// PublishTable puts a table in place of the last, for all requests from now on.
+func (e *GatewayHandlers) PublishTable(t config.Table, confirmedUntil types.MonoTime) {
 	last := e.published.Load()
 	if last != nil && last.table.Version == t.Version {
 		if last.confirmedUntil != confirmedUntil {
@@ -49,86 +49,86 @@
 	e.published.Store(next)
 }
 
-// unknown tells that a queue is not in the table, as far as that is confirmed now.
-func (e *Entry) unknown(q types.QueueName) bool {
+// queueUnknown tells that a queue is not in the table, as far as that is confirmed now.
+func (e *GatewayHandlers) queueUnknown(q types.QueueName) bool {
 	p := e.published.Load()
 	return p != nil && e.now() < p.confirmedUntil && !p.names[q]
 }
 
-func (e *Entry) now() types.MonoTime {
+func (e *GatewayHandlers) now() types.MonoTime {
 	if e.Clock == nil {
-		return Steady()
+		return MonotonicNow()
 	}
 	return e.Clock()
 }
 
 // Routes adds the gateway's pages to those that all daemons have.
-func (e *Entry) Routes(p *Pages) http.Handler {
+func (e *GatewayHandlers) Routes(p *Handlers) http.Handler {
 	r := p.Router()
-	r.HandleFunc("/v1/jobs/{id}", named(put(p, "job.put", e.job))).Methods(http.MethodPut)
-	r.HandleFunc("/v1/jobs/{id}", named(p.Ask("job.get"))).Methods(http.MethodGet)
-	r.HandleFunc("/v1/jobs/{id}/cancel", named(p.Ask("job.cancel"))).Methods(http.MethodPost)
-	r.HandleFunc("/v1/table", put(p, "table.put", table)).Methods(http.MethodPut)
-	r.HandleFunc("/v1/table", p.Ask("table.get")).Methods(http.MethodGet)
-	r.HandleFunc("/v1/queues", p.Ask("queues")).Methods(http.MethodGet)
-	r.HandleFunc("/v1/workers", p.Ask("workers")).Methods(http.MethodGet)
-	r.HandleFunc("/v1/workers/{id}/gone", named(p.Ask("gone"))).Methods(http.MethodPost)
-	r.HandleFunc("/v1/drains", p.Ask("drains")).Methods(http.MethodGet)
-	r.HandleFunc("/v1/drains/{kind:workers|racks}/{id}", named(put(p, "drain.put", drain))).Methods(http.MethodPut)
-	r.HandleFunc("/v1/drains/{kind:workers|racks}/{id}", named(p.Ask("drain.drop"))).Methods(http.MethodDelete)
-	r.HandleFunc("/v1/calendars", p.Ask("plans")).Methods(http.MethodGet)
-	r.HandleFunc("/v1/calendars/{id}", named(put(p, "plan.put", plan))).Methods(http.MethodPut)
-	r.HandleFunc("/v1/calendars/{id}", named(p.Ask("plan.drop"))).Methods(http.MethodDelete)
-	r.HandleFunc("/v1/mates", p.Ask("mates")).Methods(http.MethodGet)
-	r.HandleFunc("/v1/leader", p.Ask("status")).Methods(http.MethodGet)
+	r.HandleFunc("/v1/jobs/{id}", requireName(putHandler(p, "job.put", e.readJob))).Methods(http.MethodPut)
+	r.HandleFunc("/v1/jobs/{id}", requireName(p.RequestHandler("job.get"))).Methods(http.MethodGet)
+	r.HandleFunc("/v1/jobs/{id}/cancel", requireName(p.RequestHandler("job.cancel"))).Methods(http.MethodPost)
+	r.HandleFunc("/v1/table", putHandler(p, "table.put", readTable)).Methods(http.MethodPut)
+	r.HandleFunc("/v1/table", p.RequestHandler("table.get")).Methods(http.MethodGet)
+	r.HandleFunc("/v1/queues", p.RequestHandler("queues")).Methods(http.MethodGet)
+	r.HandleFunc("/v1/workers", p.RequestHandler("workers")).Methods(http.MethodGet)
+	r.HandleFunc("/v1/workers/{id}/gone", requireName(p.RequestHandler("gone"))).Methods(http.MethodPost)
+	r.HandleFunc("/v1/drains", p.RequestHandler("drains")).Methods(http.MethodGet)
+	r.HandleFunc("/v1/drains/{kind:workers|racks}/{id}", requireName(putHandler(p, "drain.put", readDrain))).Methods(http.MethodPut)
+	r.HandleFunc("/v1/drains/{kind:workers|racks}/{id}", requireName(p.RequestHandler("drain.drop"))).Methods(http.MethodDelete)
+	r.HandleFunc("/v1/calendars", p.RequestHandler("plans")).Methods(http.MethodGet)
+	r.HandleFunc("/v1/calendars/{id}", requireName(putHandler(p, "plan.put", readCalendar))).Methods(http.MethodPut)
+	r.HandleFunc("/v1/calendars/{id}", requireName(p.RequestHandler("plan.drop"))).Methods(http.MethodDelete)
+	r.HandleFunc("/v1/mates", p.RequestHandler("mates")).Methods(http.MethodGet)
+	r.HandleFunc("/v1/leader", p.RequestHandler("status")).Methods(http.MethodGet)
 	return r
 }
 
-// named lets a request pass only with a proper job id.
-func named(next http.HandlerFunc) http.HandlerFunc {
+// requireName lets a request pass only with a proper job id.
+func requireName(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
 		if bad := config.CheckName(mux.Vars(q)["id"]); bad != "" {
-			Fail(w, apierror.New(apierror.BadField, "id", bad))
+			WriteError(w, apierror.New(apierror.BadField, "id", bad))
 			return
 		}
 		next(w, q)
 	}
 }
 
-// put reads, checks and hands on the body of a request.
-func put[T any](p *Pages, verb string, read func(*http.Request, []byte, *apierror.ErrorList) T) http.HandlerFunc {
+// putHandler reads, checks and hands on the body of a request.
+func putHandler[T any](p *Handlers, verb string, read func(*http.Request, []byte, *apierror.ErrorList) T) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
-		b, ok := Read(w, q, state.MaxDocumentBytes)
+		b, ok := ReadBodyOrReject(w, q, state.MaxDocumentBytes)
 		if !ok {
 			return
 		}
 		var heap apierror.ErrorList
 		body := read(q, b, &heap)
 		if f := heap.First(); f != nil {
-			Fail(w, f)
+			WriteError(w, f)
 			return
 		}
-		Give(w, p.Owner.Ask(q.Context(), verb, arg(q), wire.Body(body)))
+		WriteResponse(w, p.Loop.Ask(q.Context(), verb, pathArgument(q), wire.EncodeBody(body)))
 	}
 }
 
-func (e *Entry) job(_ *http.Request, b []byte, heap *apierror.ErrorList) state.Spec {
+func (e *GatewayHandlers) readJob(_ *http.Request, b []byte, heap *apierror.ErrorList) state.Spec {
 	s := state.ReadSpec(b, heap)
-	if len(heap.List()) == 0 && e.unknown(s.Queue) {
+	if len(heap.List()) == 0 && e.queueUnknown(s.Queue) {
 		heap.Add(apierror.NoSuchQueue, "queue", "no queue is called "+string(s.Queue))
 	}
 	return s
 }
 
-func table(_ *http.Request, b []byte, heap *apierror.ErrorList) config.Table {
+func readTable(_ *http.Request, b []byte, heap *apierror.ErrorList) config.Table {
 	return config.ReadTable(b, heap)
 }
 
-func drain(_ *http.Request, b []byte, heap *apierror.ErrorList) config.Drain {
+func readDrain(_ *http.Request, b []byte, heap *apierror.ErrorList) config.Drain {
 	return config.ReadDrain(b, heap)
 }
 
-func plan(q *http.Request, b []byte, heap *apierror.ErrorList) state.Calendar {
+func readCalendar(q *http.Request, b []byte, heap *apierror.ErrorList) state.Calendar {
 	c := config.ReadCalendar(b, heap)
 	x := state.Calendar{Name: mux.Vars(q)["id"], Target: state.Target{Shard: c.Shard, Rack: c.Rack}}
 	if len(heap.List()) == 0 {
