--- a/internal/server/inbox.go
+++ b/internal/server/inbox.go
@@ -13,45 +13,47 @@
 	"coppercourse/internal/workqueue"
 )
 
-// event is one for the machine. Of a request only one side decides: the owner that
+// queuedEvent is one for the machine. Of a request only one side decides: the owner that
 // takes it, or whoever waited and gives up.
-type event struct {
+type queuedEvent struct {
 	wire.Event
-	back    chan wire.Answer
-	claimed *atomic.Bool
+	responses chan wire.Response
+	claimed   *atomic.Bool
 }
 
 // claim is true for whoever decides on the request.
-func (e event) claim() bool { return e.claimed == nil || e.claimed.CompareAndSwap(false, true) }
-
-type inbox struct {
-	mu    sync.Mutex
-	queue workqueue.Queue[event]
-	wake  chan struct{}
-	clock func() types.MonoTime
-	stale uint64 // reports dropped after waiting too long
+func (e queuedEvent) claim() bool { return e.claimed == nil || e.claimed.CompareAndSwap(false, true) }
+
+type eventQueue struct {
+	mu             sync.Mutex
+	queue          workqueue.Queue[queuedEvent]
+	wake           chan struct{}
+	clock          func() types.MonoTime
+	expiredReports uint64 // reports dropped after waiting too long
 }
 
-func newInbox() *inbox { return &inbox{wake: make(chan struct{}, 1), clock: Steady} }
+func newEventQueue() *eventQueue {
+	return &eventQueue{wake: make(chan struct{}, 1), clock: MonotonicNow}
+}
 
 // push adds an event; false where its class is full.
-func (i *inbox) push(e event) bool {
+func (i *eventQueue) push(e queuedEvent) bool {
 	i.mu.Lock()
 	ok := i.queue.Push(e.Class(), i.clock(), e)
 	i.mu.Unlock()
-	i.rouse()
+	i.signal()
 	return ok
 }
 
 // force adds an event that may not be lost.
-func (i *inbox) force(e event) {
+func (i *eventQueue) force(e queuedEvent) {
 	i.mu.Lock()
-	i.queue.Force(e.Class(), i.clock(), e)
+	i.queue.PushAlways(e.Class(), i.clock(), e)
 	i.mu.Unlock()
-	i.rouse()
+	i.signal()
 }
 
-func (i *inbox) rouse() {
+func (i *eventQueue) signal() {
 	select {
 	case i.wake <- struct{}{}:
 	default:
@@ -59,7 +61,7 @@
 }
 
 // pop gives the next event with the load that its step is told of.
-func (i *inbox) pop() (event, bool) {
+func (i *eventQueue) pop() (queuedEvent, bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	e, class, at, ok := i.queue.Pop()
@@ -70,55 +72,55 @@
 }
 
 // len is how many events wait.
-func (i *inbox) len() int {
+func (i *eventQueue) len() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.queue.Len()
 }
 
 // load is what a tick is told.
-func (i *inbox) load() wire.Load {
+func (i *eventQueue) load() wire.Load {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	now := i.clock()
-	return i.queue.Load(now, wire.Background, now)
+	return i.queue.Load(now, wire.ClassBackground, now)
 }
 
-// behind is how long the oldest request of a caller has waited.
-func (i *inbox) behind() time.Duration {
+// callerDelay is how long the oldest request of a caller has waited.
+func (i *eventQueue) callerDelay() time.Duration {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.queue.Age(i.clock(), wire.Callers, wire.Callers)
+	return i.queue.Age(i.clock(), wire.ClassCallers, wire.ClassCallers)
 }
 
 // expire takes out what has waited too long: requests, and those that gateways
 // handed over, which the machine answers. Reports that are repeated are dropped.
-func (i *inbox) expire() (asks []event, calls []wire.Message) {
+func (i *eventQueue) expire() (requests []queuedEvent, forwards []wire.Message) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	patience := func(e event) time.Duration { return workqueue.Patience(e.Event) }
+	patience := func(e queuedEvent) time.Duration { return workqueue.MaxWait(e.Event) }
 	now := i.clock()
-	i.stale += uint64(len(i.queue.Expire(wire.Reports, now, patience)))
-	for _, e := range i.queue.Expire(wire.Callers, now, patience) {
-		if e.Ask != nil {
-			asks = append(asks, e)
+	i.expiredReports += uint64(len(i.queue.Expire(wire.ClassReports, now, patience)))
+	for _, e := range i.queue.Expire(wire.ClassCallers, now, patience) {
+		if e.Request != nil {
+			requests = append(requests, e)
 		} else {
-			calls = append(calls, *e.Message)
+			forwards = append(forwards, *e.Message)
 		}
 	}
 	return
 }
 
-// refused counts what was refused for want of room, by class, and the reports
+// rejected counts what was refused for want of room, by class, and the reports
 // dropped since they had waited too long.
-func (i *inbox) refused() (full [wire.Classes]uint64, stale uint64) {
+func (i *eventQueue) rejected() (full [wire.NumClasses]uint64, stale uint64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.queue.Refused, i.stale
+	return i.queue.Rejected, i.expiredReports
 }
 
-// tooBusy is the answer to a request that was not taken, with when to come back:
+// overloadError is the answer to a request that was not taken, with when to come back:
 // not before what is ahead of it will have gone.
-func tooBusy(behind time.Duration) *apierror.Error {
+func overloadError(behind time.Duration) *apierror.Error {
 	return apierror.New(apierror.TooBusy, "", "this daemon is behind with its work; the request was not taken").WithRetryAfter(2 * behind)
 }
--- a/internal/server/inbox_test.go
+++ b/internal/server/inbox_test.go
@@ -16,92 +16,92 @@
 // recorder is a machine that notes what it is given and answers nothing.
 type recorder struct{ events []wire.Event }
 
-func (r *recorder) Step(e wire.Event) wire.Out {
+func (r *recorder) Step(e wire.Event) wire.Effects {
 	r.events = append(r.events, e)
-	return wire.Out{}
+	return wire.Effects{}
 }
 
-// stalled is an owner whose loop takes nothing, on a clock of the test.
-func stalled(now *types.MonoTime) (*Owner, *recorder) {
-	o, m := NewOwner(nil, nil), &recorder{}
-	o.Carry(m)
-	o.inbox.clock = func() types.MonoTime { return *now }
+// newStalledLoop is an owner whose loop takes nothing, on a clock of the test.
+func newStalledLoop(now *types.MonoTime) (*EventLoop, *recorder) {
+	o, m := NewEventLoop(nil, nil), &recorder{}
+	o.SetMachine(m)
+	o.queue.clock = func() types.MonoTime { return *now }
 	return o, m
 }
 
 // waits tells when so many requests are in the inbox.
-func (o *Owner) untilWaiting(n int) {
-	for o.inbox.len() < n {
-		<-o.inbox.wake
+func (o *EventLoop) waitForQueued(n int) {
+	for o.queue.len() < n {
+		<-o.queue.wake
 	}
 }
 
-func TestNewWorkIsTurnedAwayAtOnceWhileTheLoopIsBehind(t *testing.T) {
+func TestSubmissionsAreRejectedWhileTheLoopIsBehind(t *testing.T) {
 	is := is.New(t)
 	now := types.MonoTime(0)
-	o, _ := stalled(&now)
+	o, _ := newStalledLoop(&now)
 	go o.Ask(t.Context(), "job.get", "a", nil)
-	o.untilWaiting(1)
-	now = types.MonoTime(workqueue.EntryPatience + 2*time.Second)
+	o.waitForQueued(1)
+	now = types.MonoTime(workqueue.MaxSubmitDelay + 2*time.Second)
 	a := o.Ask(context.Background(), "job.put", "b", nil)
-	is.Equal(a.Fault.Kind, apierror.TooBusy)
-	is.Equal(a.Fault.RetryAfterSeconds, 5) // twice as long as the loop is behind
-	is.Equal(o.inbox.len(), 1)
+	is.Equal(a.Error.Kind, apierror.TooBusy)
+	is.Equal(a.Error.RetryAfterSeconds, 5) // twice as long as the loop is behind
+	is.Equal(o.queue.len(), 1)
 	go o.Ask(t.Context(), "job.cancel", "a", nil) // brings no new work: it may wait
-	o.untilWaiting(2)
+	o.waitForQueued(2)
 }
 
 // A request that was given up before the machine took it is surely not taken, and
 // the machine never sees it.
-func TestARequestGivenUpIsAnsweredAtOnceAndNotTaken(t *testing.T) {
+func TestAbandonedRequestIsAnsweredAtOnceAndNotProcessed(t *testing.T) {
 	is := is.New(t)
 	now := types.MonoTime(0)
-	o, m := stalled(&now)
+	o, m := newStalledLoop(&now)
 	ctx, stop := context.WithCancel(context.Background())
-	got := make(chan wire.Answer)
+	got := make(chan wire.Response)
 	go func() { got <- o.Ask(ctx, "job.put", "a", nil) }()
-	o.untilWaiting(1)
+	o.waitForQueued(1)
 	stop()
-	is.Equal((<-got).Fault.Kind, apierror.TooBusy)
-	e, ok := o.inbox.pop()
+	is.Equal((<-got).Error.Kind, apierror.TooBusy)
+	e, ok := o.queue.pop()
 	is.True(ok)
-	o.take(e)
+	o.handle(e)
 	is.Equal(len(m.events), 0)
 }
 
 // A request that the loop does not get to is answered at the next tick.
-func TestARequestThatWaitedTooLongIsAnsweredUntaken(t *testing.T) {
+func TestExpiredRequestIsAnsweredUnprocessed(t *testing.T) {
 	is := is.New(t)
 	now := types.MonoTime(0)
-	o, m := stalled(&now)
-	got := make(chan wire.Answer)
+	o, m := newStalledLoop(&now)
+	got := make(chan wire.Response)
 	go func() { got <- o.Ask(t.Context(), "job.get", "a", nil) }()
-	o.untilWaiting(1)
-	now = types.MonoTime(workqueue.RequestPatience) + 1
+	o.waitForQueued(1)
+	now = types.MonoTime(workqueue.MaxRequestWait) + 1
 	o.tick()
-	is.Equal((<-got).Fault.Kind, apierror.TooBusy)
-	is.Equal(o.inbox.len(), 0)
+	is.Equal((<-got).Error.Kind, apierror.TooBusy)
+	is.Equal(o.queue.len(), 0)
 	for _, e := range m.events {
-		is.True(e.Ask == nil)
+		is.True(e.Request == nil)
 	}
 }
 
 // A heartbeat goes before thousands of requests; with one queue for everything,
 // the planted bug, it goes last.
-func TestAHeartbeatDoesNotWaitBehindRequests(t *testing.T) {
+func TestHeartbeatOvertakesRequests(t *testing.T) {
 	is := is.New(t)
 	now := types.MonoTime(0)
-	o, m := stalled(&now)
+	o, m := newStalledLoop(&now)
 	for range 1000 {
-		is.True(o.Message(wire.Message{Kind: wire.Call}))
+		is.True(o.Deliver(wire.Message{Kind: wire.ForwardRequest}))
 	}
-	is.True(o.Message(wire.Message{Kind: wire.AppendEntries}))
-	o.synced(7)
+	is.True(o.Deliver(wire.Message{Kind: wire.AppendEntries}))
+	o.onSynced(7)
 	for range 2 {
-		e, _ := o.inbox.pop()
-		o.take(e)
+		e, _ := o.queue.pop()
+		o.handle(e)
 	}
 	is.Equal(m.events[0].Message.Kind, wire.AppendEntries)
 	is.Equal(m.events[1].Synced, uint64(7))
-	is.True(m.events[0].Load.Waiting)
+	is.True(m.events[0].Load.MoreWaiting)
 }
--- a/internal/server/net.go
+++ b/internal/server/net.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	backlog  = 4096
-	unheeded = 3 * time.Second // data not acknowledged for so long breaks a connection
+	backlog        = 4096
+	unackedTimeout = 3 * time.Second // data not acknowledged for so long breaks a connection
 )
 
-var probes = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: time.Second, Count: 3}
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: time.Second, Count: 3}
 
 // Listen opens an address with a queue for crowds of new connections.
 func Listen(ctx context.Context, addr string) (net.Listener, error) {
-	lc := net.ListenConfig{KeepAliveConfig: probes}
+	lc := net.ListenConfig{KeepAliveConfig: keepAlive}
 	ln, err := lc.Listen(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
@@ -33,11 +33,11 @@
 	return ln, nil
 }
 
-// Dialer dials from one source IP, if any.
-func Dialer(source string) *net.Dialer {
-	d := &net.Dialer{Timeout: dial, KeepAliveConfig: probes, Control: func(_, _ string, raw syscall.RawConn) error {
+// NewDialer dials from one source IP, if any.
+func NewDialer(source string) *net.Dialer {
+	d := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
-			unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unheeded/time.Millisecond))
+			unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout/time.Millisecond))
 		})
 	}}
 	if ip := net.ParseIP(source); ip != nil {
@@ -46,11 +46,11 @@
 	return d
 }
 
-// NoRedirect keeps a client from sending a request on to where its answer points.
-func NoRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+// RefuseRedirect keeps a client from sending a request on to where its answer points.
+func RefuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Client is an HTTP client that dials from one source IP. It follows no redirect.
-func Client(source string, wait time.Duration) *http.Client {
-	return &http.Client{Timeout: wait, CheckRedirect: NoRedirect, Transport: &http.Transport{DialContext: Dialer(source).DialContext, MaxIdleConnsPerHost: 64,
+// NewClient is an HTTP client that dials from one source IP. It follows no redirect.
+func NewClient(source string, wait time.Duration) *http.Client {
+	return &http.Client{Timeout: wait, CheckRedirect: RefuseRedirect, Transport: &http.Transport{DialContext: NewDialer(source).DialContext, MaxIdleConnsPerHost: 64,
 		IdleConnTimeout: 30 * time.Second, MaxConnsPerHost: 512}}
 }
--- a/internal/server/owner.go
+++ b/internal/server/owner.go
@@ -17,134 +17,134 @@
 )
 
 const (
-	show     = 200 * time.Millisecond
-	showBusy = time.Second // while events wait
+	statusInterval     = 200 * time.Millisecond
+	statusIntervalBusy = time.Second // while events wait
 )
 
-// Owner runs one machine.
-type Owner struct {
-	m      wire.Machine
-	post   *Post
-	disk   *Disk
-	inbox  *inbox
-	ticks  workqueue.Ticks
-	closed chan struct{}
-	asks   map[uint64]chan wire.Answer
-	next   uint64
-	shown  time.Time
-	Show   func() any // run by the owner, to publish
-	After  func()     // run by the owner after each step
-	Caller Caller     // carries calls to a worker
-	slots  chan struct{}
-	view   atomic.Pointer[json.RawMessage]
-	idle   atomic.Bool
-	busy   atomic.Uint64 // requests turned away since the loop was behind
+// EventLoop runs one machine.
+type EventLoop struct {
+	machine      wire.Machine
+	sender       *Sender
+	diskWriter   *DiskWriter
+	queue        *eventQueue
+	pacer        workqueue.TickPacer
+	stopped      chan struct{}
+	pending      map[uint64]chan wire.Response
+	lastToken    uint64
+	publishedAt  time.Time
+	Status       func() any   // run by the owner, to publish
+	AfterStep    func()       // run by the owner after each step
+	CallWorker   WorkerCaller // carries calls to a worker
+	callSlots    chan struct{}
+	statusJSON   atomic.Pointer[json.RawMessage]
+	drained      atomic.Bool
+	rejectedBusy atomic.Uint64 // requests turned away since the loop was behind
 }
 
-var start = time.Now()
+var processStart = time.Now()
 
 // Now reads the clocks; nothing else in the daemons does for a machine.
 func Now() types.Now {
 	t := time.Now()
-	return types.Now{Mono: types.MonoTime(t.Sub(start)), Wall: types.WallTime(t.UnixNano())}
+	return types.Now{Mono: types.MonoTime(t.Sub(processStart)), Wall: types.WallTime(t.UnixNano())}
 }
 
-// Steady reads the daemon's steady clock.
-func Steady() types.MonoTime { return Now().Mono }
+// MonotonicNow reads the daemon's steady clock.
+func MonotonicNow() types.MonoTime { return Now().Mono }
 
-func NewOwner(post *Post, file *wal.File) *Owner {
-	o := &Owner{post: post, inbox: newInbox(), closed: make(chan struct{}), asks: map[uint64]chan wire.Answer{},
-		slots: make(chan struct{}, callsAtOnce)}
+func NewEventLoop(post *Sender, file *wal.File) *EventLoop {
+	o := &EventLoop{sender: post, queue: newEventQueue(), stopped: make(chan struct{}), pending: map[uint64]chan wire.Response{},
+		callSlots: make(chan struct{}, maxConcurrentCalls)}
 	if file != nil {
-		o.disk = NewDisk(file, o.synced, o.diskFailed)
+		o.diskWriter = NewDiskWriter(file, o.onSynced, o.onDiskError)
 	}
 	return o
 }
 
-// Carry sets the machine; it must be called before Run.
-func (o *Owner) Carry(m wire.Machine) { o.m = m }
+// SetMachine sets the machine; it must be called before Run.
+func (o *EventLoop) SetMachine(m wire.Machine) { o.machine = m }
 
-// Message gives the machine a message; false when there is no room for its kind.
-func (o *Owner) Message(n wire.Message) bool {
-	return o.inbox.push(event{Event: wire.Event{Message: &n}})
+// Deliver gives the machine a message; false when there is no room for its kind.
+func (o *EventLoop) Deliver(n wire.Message) bool {
+	return o.queue.push(queuedEvent{Event: wire.Event{Message: &n}})
 }
 
 // Ask gives the machine a request and waits for its answer. One that brings new
 // work is turned away at once while the loop is behind with such requests. Once the
 // machine may have seen the request, no end of this daemon is told as a refusal.
-func (o *Owner) Ask(ctx context.Context, verb, arg string, body json.RawMessage) wire.Answer {
-	ask := &wire.Ask{Verb: verb, Arg: arg, Body: body}
-	if by, ok := ctx.Deadline(); ok {
-		ask.Limit = max(1, time.Until(by))
+func (o *EventLoop) Ask(ctx context.Context, verb, arg string, body json.RawMessage) wire.Response {
+	request := &wire.Request{Verb: verb, Arg: arg, Body: body}
+	if deadline, ok := ctx.Deadline(); ok {
+		request.Timeout = max(1, time.Until(deadline))
 	}
 	select {
-	case <-o.closed:
-		return wire.Answer{Fault: apierror.New(apierror.ShuttingDown, "", "this daemon is stopping").WithRetryAfter(time.Second)}
+	case <-o.stopped:
+		return wire.Response{Error: apierror.New(apierror.ShuttingDown, "", "this daemon is stopping").WithRetryAfter(time.Second)}
 	default:
 	}
-	e := event{Event: wire.Event{Ask: ask}, back: make(chan wire.Answer, 1), claimed: &atomic.Bool{}}
-	behind := o.inbox.behind()
-	if wire.Enters(verb) && behind > workqueue.EntryPatience || !o.inbox.push(e) {
-		o.busy.Add(1)
-		return wire.Answer{Fault: tooBusy(max(behind, time.Second))}
+	e := queuedEvent{Event: wire.Event{Request: request}, responses: make(chan wire.Response, 1), claimed: &atomic.Bool{}}
+	behind := o.queue.callerDelay()
+	if wire.SubmitsWork(verb) && behind > workqueue.MaxSubmitDelay || !o.queue.push(e) {
+		o.rejectedBusy.Add(1)
+		return wire.Response{Error: overloadError(max(behind, time.Second))}
 	}
 	select {
-	case a := <-e.back:
-		return a
-	case <-o.closed:
-		return o.last(e.back)
+	case response := <-e.responses:
+		return response
+	case <-o.stopped:
+		return o.finalResponse(e.responses)
 	case <-ctx.Done():
 		if e.claim() { // the machine has not seen it, and never will
-			o.busy.Add(1)
-			return wire.Answer{Fault: tooBusy(workqueue.RequestPatience)}
+			o.rejectedBusy.Add(1)
+			return wire.Response{Error: overloadError(workqueue.MaxRequestWait)}
 		}
-		return wire.Answer{Fault: apierror.New(apierror.OutcomeUnknown, "", "no answer within the time there was")}
+		return wire.Response{Error: apierror.New(apierror.OutcomeUnknown, "", "no answer within the time there was")}
 	}
 }
 
-// last is the answer to a request that was under way when the machine ended.
-func (o *Owner) last(back chan wire.Answer) wire.Answer {
+// finalResponse is the answer to a request that was under way when the machine ended.
+func (o *EventLoop) finalResponse(responses chan wire.Response) wire.Response {
 	select {
-	case a := <-back:
-		return a
+	case response := <-responses:
+		return response
 	default:
-		return wire.Answer{Fault: apierror.New(apierror.OutcomeUnknown, "", "this daemon stopped before it had an answer")}
+		return wire.Response{Error: apierror.New(apierror.OutcomeUnknown, "", "this daemon stopped before it had an answer")}
 	}
 }
 
-// Close tells the machine that its end is planned.
-func (o *Owner) Close() { o.inbox.force(event{Event: wire.Event{Close: true}}) }
+// BeginShutdown tells the machine that its end is planned.
+func (o *EventLoop) BeginShutdown() { o.queue.force(queuedEvent{Event: wire.Event{Shutdown: true}}) }
 
-// Idle tells whether a machine that was told to close has nothing left to do.
-func (o *Owner) Idle() bool { return o.idle.Load() }
+// Drained tells whether a machine that was told to close has nothing left to do.
+func (o *EventLoop) Drained() bool { return o.drained.Load() }
 
-// View is what the machine last showed.
-func (o *Owner) View() json.RawMessage {
-	if p := o.view.Load(); p != nil {
+// StatusJSON is what the machine last showed.
+func (o *EventLoop) StatusJSON() json.RawMessage {
+	if p := o.statusJSON.Load(); p != nil {
 		return *p
 	}
 	return json.RawMessage("{}")
 }
 
 // Run is the owner goroutine: a tick when one is due, else the most urgent event.
-func (o *Owner) Run(ctx context.Context) error {
-	defer close(o.closed)
-	ticker := time.NewTicker(workqueue.TickEvery)
+func (o *EventLoop) Run(ctx context.Context) error {
+	defer close(o.stopped)
+	ticker := time.NewTicker(workqueue.TickInterval)
 	defer ticker.Stop()
 	o.tick()
 	for ctx.Err() == nil {
-		if o.ticks.Due(Steady(), o.inbox.len()) {
+		if o.pacer.Due(MonotonicNow(), o.queue.len()) {
 			o.tick()
 			continue
 		}
-		if e, ok := o.inbox.pop(); ok {
-			o.ticks.Took()
-			o.take(e)
+		if e, ok := o.queue.pop(); ok {
+			o.pacer.NoteEvent()
+			o.handle(e)
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-o.inbox.wake:
+		case <-o.queue.wake:
 		case <-ticker.C:
 		}
 	}
@@ -152,64 +152,64 @@
 }
 
 // tick lets time pass in the machine, and answers the requests that it won't get to.
-func (o *Owner) tick() {
-	o.ticks.Ticked(Steady())
-	asks, calls := o.inbox.expire()
-	for _, e := range asks {
+func (o *EventLoop) tick() {
+	o.pacer.NoteTick(MonotonicNow())
+	requests, forwards := o.queue.expire()
+	for _, e := range requests {
 		if e.claim() {
-			o.busy.Add(1)
-			e.back <- wire.Answer{Fault: tooBusy(workqueue.RequestPatience)}
+			o.rejectedBusy.Add(1)
+			e.responses <- wire.Response{Error: overloadError(workqueue.MaxRequestWait)}
 		}
 	}
-	o.step(event{Event: wire.Event{Load: o.inbox.load(), Expired: calls}})
+	o.step(queuedEvent{Event: wire.Event{Load: o.queue.load(), ExpiredForwards: forwards}})
 }
 
-// take hands an event to the machine, but for a request that was given up.
-func (o *Owner) take(e event) {
+// handle hands an event to the machine, but for a request that was given up.
+func (o *EventLoop) handle(e queuedEvent) {
 	if e.claim() {
 		o.step(e)
 	}
 }
 
-func (o *Owner) step(e event) {
+func (o *EventLoop) step(e queuedEvent) {
 	e.Now = Now()
-	if e.Ask != nil {
-		o.next++
-		e.Ask.Token = o.next
-		o.asks[o.next] = e.back
+	if e.Request != nil {
+		o.lastToken++
+		e.Request.Token = o.lastToken
+		o.pending[o.lastToken] = e.responses
 	}
-	out := o.m.Step(e.Event)
-	for _, s := range out.Sends {
-		o.post.Send(s)
+	out := o.machine.Step(e.Event)
+	for _, s := range out.Messages {
+		o.sender.Send(s)
 	}
 	for _, c := range out.Calls {
-		o.call(c)
+		o.startCall(c)
 	}
-	if out.Batch != nil {
-		o.disk.Write(Batch{Records: out.Batch, Seq: out.Seq, Whole: out.Whole, Instead: out.Instead})
+	if out.Records != nil {
+		o.diskWriter.Enqueue(Batch{Records: out.Records, Number: out.BatchNumber, ReplaceLog: out.ReplaceLog, FallbackRecords: out.FallbackRecords})
 	}
-	for _, a := range out.Answers {
-		if back := o.asks[a.Token]; back != nil {
+	for _, a := range out.Responses {
+		if back := o.pending[a.Token]; back != nil {
 			back <- a
-			delete(o.asks, a.Token)
+			delete(o.pending, a.Token)
 		}
 	}
-	o.idle.Store(out.Idle)
-	if o.After != nil {
-		o.After()
+	o.drained.Store(out.Drained)
+	if o.AfterStep != nil {
+		o.AfterStep()
 	}
-	o.publish(e.Load.Waiting)
+	o.publishStatus(e.Load.MoreWaiting)
 }
 
-// publish shows the machine's account of itself, less often while events wait.
-func (o *Owner) publish(waiting bool) {
-	every := show
+// publishStatus shows the machine's account of itself, less often while events wait.
+func (o *EventLoop) publishStatus(waiting bool) {
+	every := statusInterval
 	if waiting {
-		every = showBusy
+		every = statusIntervalBusy
 	}
-	if o.Show != nil && time.Since(o.shown) > every {
-		o.shown = time.Now()
-		b := wire.Body(o.Show())
-		o.view.Store(&b)
+	if o.Status != nil && time.Since(o.publishedAt) > every {
+		o.publishedAt = time.Now()
+		b := wire.EncodeBody(o.Status())
+		o.statusJSON.Store(&b)
 	}
 }
--- a/internal/server/post.go
+++ b/internal/server/post.go
@@ -17,46 +17,46 @@
 )
 
 const (
-	depth = 1024
-	heavy = 2 << 20
-	share = 128
-	bulk  = 256 << 10
-	dial  = 300 * time.Millisecond // for a connection; a peer without power says nothing
-	limit = 500 * time.Millisecond // for a request, and more for its size
-	slow  = 200                    // bytes a millisecond, of a thin link
-	lanes = 4000
+	maxQueuedMessages     = 1024
+	maxQueuedBytes        = 2 << 20
+	maxMessagesPerRequest = 128
+	maxRequestBytes       = 256 << 10
+	dialTimeout           = 300 * time.Millisecond // for a connection; a peer without power says nothing
+	requestTimeout        = 500 * time.Millisecond // for a request, and more for its size
+	minBytesPerMS         = 200                    // bytes a millisecond, of a thin link
+	maxPeers              = 4000
 )
 
-// Post sends notes.
-type Post struct {
+// Sender sends notes.
+type Sender struct {
 	ctx     context.Context
 	client  *http.Client
 	mu      sync.Mutex
-	lanes   map[types.Addr]*lane
+	queues  map[types.Addr]*peerQueue
 	Sent    atomic.Uint64
 	Failed  atomic.Uint64
 	Dropped atomic.Uint64
 }
 
-// lane is what waits for one peer, by class and oldest first. It holds so many bytes
+// peerQueue is what waits for one peer, by class and oldest first. It holds so many bytes
 // at most. What is more urgent goes first; the oldest of the least urgent are dropped
 // first, since newer ones say the same or more.
-type lane struct {
-	mu    sync.Mutex
-	lists [wire.Classes][]wire.Message
-	count int
-	size  int
-	wake  chan struct{}
+type peerQueue struct {
+	mu      sync.Mutex
+	byClass [wire.NumClasses][]wire.Message
+	count   int
+	size    int
+	wake    chan struct{}
 }
 
-func (l *lane) put(n wire.Message) (dropped int) {
+func (l *peerQueue) put(n wire.Message) (dropped int) {
 	l.mu.Lock()
-	class := wire.ClassOf(n.Kind)
-	l.lists[class] = append(l.lists[class], n)
+	class := wire.ClassOfKind(n.Kind)
+	l.byClass[class] = append(l.byClass[class], n)
 	l.count++
 	l.size += len(n.Body)
-	for l.size > heavy && l.count > 1 || l.count > depth {
-		l.remove(l.lowest(), 1)
+	for l.size > maxQueuedBytes && l.count > 1 || l.count > maxQueuedMessages {
+		l.remove(l.leastUrgent(), 1)
 		dropped++
 	}
 	l.mu.Unlock()
@@ -67,10 +67,10 @@
 	return
 }
 
-// lowest is the least urgent class of which anything waits.
-func (l *lane) lowest() wire.Class {
-	for c := wire.Classes - 1; c > 0; c-- {
-		if len(l.lists[c]) > 0 {
+// leastUrgent is the least urgent class of which anything waits.
+func (l *peerQueue) leastUrgent() wire.Class {
+	for c := wire.NumClasses - 1; c > 0; c-- {
+		if len(l.byClass[c]) > 0 {
 			return c
 		}
 	}
@@ -78,34 +78,34 @@
 }
 
 // remove takes the oldest of a class out.
-func (l *lane) remove(c wire.Class, n int) (group []wire.Message) {
-	group = l.lists[c][:n:n]
+func (l *peerQueue) remove(c wire.Class, n int) (group []wire.Message) {
+	group = l.byClass[c][:n:n]
 	for _, m := range group {
 		l.size -= len(m.Body)
 	}
 	l.count -= n
-	if l.lists[c] = l.lists[c][n:]; len(l.lists[c]) == 0 {
-		l.lists[c] = nil
+	if l.byClass[c] = l.byClass[c][n:]; len(l.byClass[c]) == 0 {
+		l.byClass[c] = nil
 	}
 	return
 }
 
 // take gives what fits into one request.
-func (l *lane) take() (group []wire.Message) {
+func (l *peerQueue) take() (group []wire.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	size := 0
-	for c := range wire.Classes {
+	for c := range wire.NumClasses {
 		n := 0
-		for n < len(l.lists[c]) && len(group)+n < share {
-			body := len(l.lists[c][n].Body)
-			if size > 0 && size+body > bulk {
+		for n < len(l.byClass[c]) && len(group)+n < maxMessagesPerRequest {
+			body := len(l.byClass[c][n].Body)
+			if size > 0 && size+body > maxRequestBytes {
 				break
 			}
 			size += body
 			n++
 		}
-		whole := n == len(l.lists[c])
+		whole := n == len(l.byClass[c])
 		if n > 0 {
 			group = append(group, l.remove(c, n)...)
 		}
@@ -116,31 +116,31 @@
 	return
 }
 
-// NewPost makes a sender whose connections come from the given IP, if any. The
+// NewSender makes a sender whose connections come from the given IP, if any. The
 // time of each request goes by its size, so the client has no bound of its own.
-func NewPost(ctx context.Context, source string) *Post {
-	return &Post{ctx: ctx, client: Client(source, 0), lanes: map[types.Addr]*lane{}}
+func NewSender(ctx context.Context, source string) *Sender {
+	return &Sender{ctx: ctx, client: NewClient(source, 0), queues: map[types.Addr]*peerQueue{}}
 }
 
 // Send puts a note into its lane; a full lane drops its oldest.
-func (p *Post) Send(s wire.Send) {
+func (p *Sender) Send(s wire.OutboundMessage) {
 	p.mu.Lock()
-	l := p.lanes[s.To]
+	l := p.queues[s.To]
 	if l == nil {
-		if len(p.lanes) >= lanes {
+		if len(p.queues) >= maxPeers {
 			p.mu.Unlock()
 			p.Dropped.Add(1)
 			return
 		}
-		l = &lane{wake: make(chan struct{}, 1)}
-		p.lanes[s.To] = l
-		go p.run(s.To, l)
+		l = &peerQueue{wake: make(chan struct{}, 1)}
+		p.queues[s.To] = l
+		go p.sendQueued(s.To, l)
 	}
 	p.mu.Unlock()
 	p.Dropped.Add(uint64(l.put(s.Message)))
 }
 
-func (p *Post) run(to types.Addr, l *lane) {
+func (p *Sender) sendQueued(to types.Addr, l *peerQueue) {
 	for {
 		select {
 		case <-p.ctx.Done():
@@ -153,9 +153,9 @@
 	}
 }
 
-func (p *Post) deliver(to types.Addr, group []wire.Message) {
+func (p *Sender) deliver(to types.Addr, group []wire.Message) {
 	b := wire.EncodeMessages(group)
-	ctx, stop := context.WithTimeout(p.ctx, limit+time.Duration(len(b)/slow)*time.Millisecond)
+	ctx, stop := context.WithTimeout(p.ctx, requestTimeout+time.Duration(len(b)/minBytesPerMS)*time.Millisecond)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+string(to)+"/mate", bytes.NewReader(b))
 	if err != nil {
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -19,55 +19,55 @@
 	"coppercourse/internal/supervisor"
 )
 
-// Port is one address a daemon listens on, and what it answers there. Limits,
+// Endpoint is one address a daemon listens on, and what it answers there. Limits,
 // where given, bound what connections made from then on may bring; Conns is how
 // many there may be at once.
-type Port struct {
-	Addr    string
-	Handler http.Handler
-	Limits  func() config.Limits
-	Conns   int
+type Endpoint struct {
+	Addr     string
+	Handler  http.Handler
+	Limits   func() config.Limits
+	MaxConns int
 }
 
-// Parting is how a daemon ends: it goes on as before for Linger, so that all
+// ShutdownTiming is how a daemon ends: it goes on as before for Linger, so that all
 // have seen that it is not ready, then turns away what is new, and has ended
 // after Finish.
-type Parting struct{ Linger, Finish time.Duration }
+type ShutdownTiming struct{ NotReadyFor, Timeout time.Duration }
 
-// Leave is the parting within what there is between a warning and the end, when
+// NewShutdownTiming is the parting within what there is between a warning and the end, when
 // all have seen after notice that the daemon is not ready.
-func Leave(grace, notice time.Duration) Parting {
-	return Parting{Linger: min(notice, grace/2), Finish: grace * 3 / 4}
+func NewShutdownTiming(grace, notice time.Duration) ShutdownTiming {
+	return ShutdownTiming{NotReadyFor: min(notice, grace/2), Timeout: grace * 3 / 4}
 }
 
-const conns = 4096
+const defaultMaxConns = 4096
 
 // Serve runs the daemon until ctx is done, then stops it in order.
-func Serve(ctx context.Context, log logr.Logger, p *Pages, end Parting, ports ...Port) error {
-	var servers []*server
+func Serve(ctx context.Context, log logr.Logger, p *Handlers, timing ShutdownTiming, ports ...Endpoint) error {
+	var servers []*endpointServer
 	for _, port := range ports {
 		ln, err := Listen(ctx, port.Addr)
 		if err != nil {
 			return apierror.Wrap(apierror.BadSetting, err, "listen")
 		}
-		servers = append(servers, open(ln, p, port))
+		servers = append(servers, newEndpointServer(ln, p, port))
 		log.Info("serving", "listen", port.Addr)
 	}
-	return serve(ctx, log, p, end, servers)
+	return serve(ctx, log, p, timing, servers)
 }
 
 // serve runs the daemon on what it listens on already.
-func serve(ctx context.Context, log logr.Logger, p *Pages, end Parting, servers []*server) error {
+func serve(ctx context.Context, log logr.Logger, p *Handlers, timing ShutdownTiming, servers []*endpointServer) error {
 	root, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	kids := []supervisor.Child{{Name: "owner", Vital: true, Run: p.Owner.Run}}
+	children := []supervisor.Child{{Name: "owner", Vital: true, Run: p.Loop.Run}}
 	for _, s := range servers {
-		kids = append(kids, supervisor.Child{Name: "http " + s.port.Addr, Vital: true, Run: s.run})
+		children = append(children, supervisor.Child{Name: "http " + s.endpoint.Addr, Vital: true, Run: s.run})
 	}
-	kids = append(kids, supervisor.Child{Name: "stop", Run: func(c context.Context) error {
+	children = append(children, supervisor.Child{Name: "stop", Run: func(c context.Context) error {
 		select {
 		case <-ctx.Done():
-			p.wind(c, log, end)
+			p.shutDown(c, log, timing)
 			stop()
 		case <-c.Done():
 		}
@@ -76,90 +76,90 @@
 		}
 		return nil
 	}})
-	if p.Owner.disk != nil {
-		p.Owner.disk.logger = log
-		kids = append(kids, supervisor.Child{Name: "disk", Vital: true, Run: p.Owner.disk.Run})
+	if p.Loop.diskWriter != nil {
+		p.Loop.diskWriter.logger = log
+		children = append(children, supervisor.Child{Name: "disk", Vital: true, Run: p.Loop.diskWriter.Run})
 	}
-	return supervisor.Run(root, log, supervisor.Branch(log, "daemon", kids...))
+	return supervisor.Run(root, log, supervisor.Branch(log, "daemon", children...))
 }
 
-// wind stops taking part: unready first, duties handed over, then answers.
-func (p *Pages) wind(ctx context.Context, log logr.Logger, end Parting) {
-	log.Info("stopping: not ready, handing duties over", "linger", end.Linger.String(), "finish", end.Finish.String())
-	p.drain.Store(true)
-	p.Owner.Close()
+// shutDown stops taking part: unready first, duties handed over, then answers.
+func (p *Handlers) shutDown(ctx context.Context, log logr.Logger, timing ShutdownTiming) {
+	log.Info("stopping: not ready, handing duties over", "linger", timing.NotReadyFor.String(), "finish", timing.Timeout.String())
+	p.draining.Store(true)
+	p.Loop.BeginShutdown()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
-	from := time.Now()
-	for time.Since(from) < end.Finish {
+	startedAt := time.Now()
+	for time.Since(startedAt) < timing.Timeout {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		}
-		p.shut.Store(time.Since(from) > end.Linger)
-		if p.shut.Load() && p.Owner.Idle() && p.under.Load() == 0 {
+		p.rejecting.Store(time.Since(startedAt) > timing.NotReadyFor)
+		if p.rejecting.Load() && p.Loop.Drained() && p.inFlight.Load() == 0 {
 			break
 		}
 	}
-	log.Info("stopped", "unanswered", p.under.Load(), "after", time.Since(from).String())
+	log.Info("stopped", "unanswered", p.inFlight.Load(), "after", time.Since(startedAt).String())
 }
 
-// server is one port. The standard server fixes its bounds when it starts, so
+// endpointServer is one port. The standard server fixes its bounds when it starts, so
 // when they change another one takes the connections made from then on.
-type server struct {
-	port Port
-	ln   net.Listener
-	h    http.Handler
-	now  config.Limits
-	web  *http.Server
-	in   *feed
-	olds []*http.Server
-	stop chan struct{}
+type endpointServer struct {
+	endpoint      Endpoint
+	ln            net.Listener
+	handler       http.Handler
+	currentLimits config.Limits
+	current       *http.Server
+	feed          *connFeed
+	replaced      []*http.Server
+	done          chan struct{}
 }
 
-func open(ln net.Listener, p *Pages, port Port) *server {
-	if port.Conns == 0 {
-		port.Conns = conns
+func newEndpointServer(ln net.Listener, p *Handlers, port Endpoint) *endpointServer {
+	if port.MaxConns == 0 {
+		port.MaxConns = defaultMaxConns
 	}
-	return &server{port: port, ln: netutil.LimitListener(ln, port.Conns), h: p.Wrap(port.Handler), stop: make(chan struct{})}
+	return &endpointServer{endpoint: port, ln: netutil.LimitListener(ln, port.MaxConns), handler: p.TrackInFlight(port.Handler), done: make(chan struct{})}
 }
 
-func or[T int | time.Duration](v, other T) T {
+func orDefault[T int | time.Duration](v, other T) T {
 	if v > 0 {
 		return v
 	}
 	return other
 }
 
-// reuse is how much longer than its bound an idle connection is kept: a caller
+// idleReuseMargin is how much longer than its bound an idle connection is kept: a caller
 // that uses it again just within the bound must not meet its end.
-const reuse = 5 * time.Second
+const idleReuseMargin = 5 * time.Second
 
-// turn makes a server within the bounds of now.
-func (s *server) turn(l config.Limits) {
-	if s.web != nil {
-		s.olds = append(s.olds, s.web)
+// replaceServer makes a server within the bounds of now.
+func (s *endpointServer) replaceServer(l config.Limits) {
+	if s.current != nil {
+		s.replaced = append(s.replaced, s.current)
 	}
-	idle := or(time.Duration(l.IdleTimeoutMillis)*time.Millisecond, time.Minute)
-	idle += min(idle, reuse)
-	head := or(time.Duration(l.HeaderTimeoutMillis)*time.Millisecond, 5*time.Second)
-	s.now, s.in = l, &feed{in: make(chan net.Conn), done: make(chan struct{}), addr: s.ln.Addr()}
-	s.web = &http.Server{Handler: s.h, ReadHeaderTimeout: head, ReadTimeout: head + 10*time.Second,
-		IdleTimeout: idle, MaxHeaderBytes: or(l.HeaderBytes, 16<<10)}
-	go s.web.Serve(s.in)
+	idle := orDefault(time.Duration(l.IdleTimeoutMillis)*time.Millisecond, time.Minute)
+	idle += min(idle, idleReuseMargin)
+	head := orDefault(time.Duration(l.HeaderTimeoutMillis)*time.Millisecond, 5*time.Second)
+	s.currentLimits, s.feed = l, &connFeed{conns: make(chan net.Conn), done: make(chan struct{}), addr: s.ln.Addr()}
+	s.current = &http.Server{Handler: s.handler, ReadHeaderTimeout: head, ReadTimeout: head + 10*time.Second,
+		IdleTimeout: idle, MaxHeaderBytes: orDefault(l.HeaderBytes, 16<<10)}
+	go s.current.Serve(s.feed)
 }
 
-func (s *server) limits() config.Limits {
-	if s.port.Limits == nil {
+func (s *endpointServer) limits() config.Limits {
+	if s.endpoint.Limits == nil {
 		return config.Limits{}
 	}
-	return s.port.Limits()
+	return s.endpoint.Limits()
 }
 
-func (s *server) run(ctx context.Context) error {
-	defer close(s.stop)
-	s.turn(s.limits())
+func (s *endpointServer) run(ctx context.Context) error {
+	defer close(s.done)
+	s.replaceServer(s.limits())
 	for {
 		c, err := s.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -173,43 +173,43 @@
 			}
 			continue
 		}
-		if l := s.limits(); l != s.now {
-			s.turn(l)
+		if l := s.limits(); l != s.currentLimits {
+			s.replaceServer(l)
 		}
-		s.in.in <- c
+		s.feed.conns <- c
 	}
 }
 
 // close ends the port once what is under way has been answered.
-func (s *server) close() {
+func (s *endpointServer) close() {
 	s.ln.Close()
-	<-s.stop
+	<-s.done
 	end, done := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer done()
-	for _, w := range append(s.olds, s.web) {
+	for _, w := range append(s.replaced, s.current) {
 		if w.Shutdown(end) != nil {
 			w.Close()
 		}
 	}
 }
 
-// feed hands accepted connections to one server.
-type feed struct {
-	in   chan net.Conn
-	done chan struct{}
-	addr net.Addr
+// connFeed hands accepted connections to one server.
+type connFeed struct {
+	conns chan net.Conn
+	done  chan struct{}
+	addr  net.Addr
 }
 
-func (f *feed) Accept() (net.Conn, error) {
+func (f *connFeed) Accept() (net.Conn, error) {
 	select {
-	case c := <-f.in:
+	case c := <-f.conns:
 		return c, nil
 	case <-f.done:
 		return nil, net.ErrClosed
 	}
 }
 
-func (f *feed) Close() error {
+func (f *connFeed) Close() error {
 	select {
 	case <-f.done:
 	default:
@@ -218,4 +218,4 @@
 	return nil
 }
 
-func (f *feed) Addr() net.Addr { return f.addr }
+func (f *connFeed) Addr() net.Addr { return f.addr }
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -24,27 +24,27 @@
 	"coppercourse/internal/wire"
 )
 
-// echo is a machine that calls a worker at its first step and keeps the replies.
-type echo struct {
-	calls   []wire.WorkerCall
-	replies chan wire.WorkerReply
-	closed  bool
+// echoMachine is a machine that calls a worker at its first step and keeps the replies.
+type echoMachine struct {
+	calls    []wire.WorkerCall
+	replies  chan wire.WorkerReply
+	shutdown bool
 }
 
-func (ec *echo) Step(e wire.Event) wire.Out {
-	out := wire.Out{Calls: ec.calls, Idle: ec.closed}
+func (ec *echoMachine) Step(e wire.Event) wire.Effects {
+	out := wire.Effects{Calls: ec.calls, Drained: ec.shutdown}
 	ec.calls = nil
-	if e.Reply != nil {
-		ec.replies <- *e.Reply
+	if e.WorkerReply != nil {
+		ec.replies <- *e.WorkerReply
 	}
-	if e.Ask != nil {
-		out.Answers = []wire.Answer{{Token: e.Ask.Token, Code: 200, Body: wire.Body(e.Ask.Limit > 0)}}
+	if e.Request != nil {
+		out.Responses = []wire.Response{{Token: e.Request.Token, StatusCode: 200, Body: wire.EncodeBody(e.Request.Timeout > 0)}}
 	}
-	ec.closed = ec.closed || e.Close
+	ec.shutdown = ec.shutdown || e.Shutdown
 	return out
 }
 
-func free(t *testing.T) string {
+func freeAddr(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -53,26 +53,26 @@
 	return ln.Addr().String()
 }
 
-func said(what string) http.Handler {
+func textHandler(what string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { io.WriteString(w, what) })
 }
 
-// hang is a time that only what never ends would take on any machine.
-const hang = 2 * time.Minute
+// testTimeout is a time that only what never ends would take on any machine.
+const testTimeout = 2 * time.Minute
 
-func TestEachAddressAnswersItsOwn(t *testing.T) {
+func TestEachEndpointServesItsOwnHandler(t *testing.T) {
 	is := is.New(t)
-	a, b := free(t), free(t)
-	o := NewOwner(NewPost(context.Background(), ""), nil)
-	o.Carry(&echo{})
-	p := &Pages{Owner: o, Ready: func() bool { return true }}
+	a, b := freeAddr(t), freeAddr(t)
+	o := NewEventLoop(NewSender(context.Background(), ""), nil)
+	o.SetMachine(&echoMachine{})
+	p := &Handlers{Loop: o, Ready: func() bool { return true }}
 	var limits atomic.Pointer[config.Limits]
-	limits.Store(&config.Limits{HeaderBytes: 1000, IdleTimeoutMillis: 100, HeaderTimeoutMillis: int(hang.Milliseconds())})
+	limits.Store(&config.Limits{HeaderBytes: 1000, IdleTimeoutMillis: 100, HeaderTimeoutMillis: int(testTimeout.Milliseconds())})
 	ctx, stop := context.WithCancel(context.Background())
 	end := make(chan error)
 	go func() {
-		end <- Serve(ctx, logr.Discard(), p, Leave(800*time.Millisecond, 200*time.Millisecond),
-			Port{Addr: a, Handler: said("inner")}, Port{Addr: b, Handler: said("front"), Limits: func() config.Limits { return *limits.Load() }})
+		end <- Serve(ctx, logr.Discard(), p, NewShutdownTiming(800*time.Millisecond, 200*time.Millisecond),
+			Endpoint{Addr: a, Handler: textHandler("inner")}, Endpoint{Addr: b, Handler: textHandler("front"), Limits: func() config.Limits { return *limits.Load() }})
 	}()
 	get := func(to, head string) string {
 		for {
@@ -101,25 +101,25 @@
 	res, err := http.ReadResponse(bufio.NewReader(kept), nil)
 	is.NoErr(err)
 	is.Equal(res.StatusCode, 200)
-	limits.Store(&config.Limits{HeaderBytes: 16 << 10, IdleTimeoutMillis: 10 * int(hang.Milliseconds())})
+	limits.Store(&config.Limits{HeaderBytes: 16 << 10, IdleTimeoutMillis: 10 * int(testTimeout.Milliseconds())})
 	is.Equal(get(b, long), "200 front") // without a restart
-	kept.SetReadDeadline(time.Now().Add(hang))
+	kept.SetReadDeadline(time.Now().Add(testTimeout))
 	_, err = io.Copy(io.Discard, kept)
 	is.NoErr(err) // idle past the bound it was made under: closed
 	stop()
 	is.NoErr(<-end)
-	is.True(!p.Open())
+	is.True(!p.IsReady())
 	_, err = net.Dial("tcp", b)
 	is.True(err != nil)
 }
 
-// pipes is a listener whose connections take no time on any machine.
-type pipes struct{ *feed }
+// pipeListener is a listener whose connections take no time on any machine.
+type pipeListener struct{ *connFeed }
 
-func (p pipes) dial(context.Context, string, string) (net.Conn, error) {
+func (p pipeListener) dial(context.Context, string, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	select {
-	case p.in <- far:
+	case p.conns <- far:
 		return near, nil
 	case <-p.done:
 		return nil, net.ErrClosed
@@ -128,19 +128,19 @@
 
 // A daemon that is told to end lingers as long as it says, answering as before, and
 // has ended within what there is.
-func TestADaemonEndsWithinItsGrace(t *testing.T) {
+func TestDaemonStopsWithinItsGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(context.Background())
-		o := NewOwner(NewPost(ctx, ""), nil)
-		o.Carry(&echo{})
-		p := &Pages{Owner: o, Ready: func() bool { return true }}
-		ln := pipes{&feed{in: make(chan net.Conn), done: make(chan struct{})}}
-		other := pipes{&feed{in: make(chan net.Conn), done: make(chan struct{})}}
+		o := NewEventLoop(NewSender(ctx, ""), nil)
+		o.SetMachine(&echoMachine{})
+		p := &Handlers{Loop: o, Ready: func() bool { return true }}
+		ln := pipeListener{&connFeed{conns: make(chan net.Conn), done: make(chan struct{})}}
+		other := pipeListener{&connFeed{conns: make(chan net.Conn), done: make(chan struct{})}}
 		end := make(chan error)
 		go func() {
-			end <- serve(ctx, logr.Discard(), p, Leave(800*time.Millisecond, 200*time.Millisecond),
-				[]*server{open(other, p, Port{Addr: "inner", Handler: said("inner")}), open(ln, p, Port{Addr: "front", Handler: said("front")})})
+			end <- serve(ctx, logr.Discard(), p, NewShutdownTiming(800*time.Millisecond, 200*time.Millisecond),
+				[]*endpointServer{newEndpointServer(other, p, Endpoint{Addr: "inner", Handler: textHandler("inner")}), newEndpointServer(ln, p, Endpoint{Addr: "front", Handler: textHandler("front")})})
 		}()
 		client := &http.Client{Transport: &http.Transport{DialContext: ln.dial, DisableKeepAlives: true}}
 		get := func() string {
@@ -151,13 +151,13 @@
 			return fmt.Sprint(res.StatusCode, " ", string(text))
 		}
 		time.Sleep(time.Second)
-		is.True(p.Open())
+		is.True(p.IsReady())
 		is.Equal(get(), "200 front")
 		from := time.Now()
 		stop()
 		for _, at := range []time.Duration{50 * time.Millisecond, 199 * time.Millisecond} {
 			time.Sleep(at - time.Since(from))
-			is.True(!p.Open())
+			is.True(!p.IsReady())
 			is.Equal(get(), "200 front") // not ready, but still answering
 		}
 		is.NoErr(<-end)
@@ -169,23 +169,23 @@
 	})
 }
 
-func TestCallsComeBackAsEvents(t *testing.T) {
+func TestWorkerRepliesBecomeEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		m := &echo{replies: make(chan wire.WorkerReply, 100)}
+		m := &echoMachine{replies: make(chan wire.WorkerReply, 100)}
 		for no := uint64(1); no < 100; no += 2 {
-			m.calls = append(m.calls, wire.WorkerCall{No: no, Kind: wire.Start, Limit: 300 * time.Millisecond},
-				wire.WorkerCall{No: no + 1, Kind: wire.Hold, Wait: time.Second, Limit: 5 * time.Second})
+			m.calls = append(m.calls, wire.WorkerCall{Number: no, Kind: wire.StartAttempt, Timeout: 300 * time.Millisecond},
+				wire.WorkerCall{Number: no + 1, Kind: wire.RenewLease, LongPollWait: time.Second, Timeout: 5 * time.Second})
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
-		o := NewOwner(NewPost(ctx, ""), nil)
-		o.Carry(m)
+		o := NewEventLoop(NewSender(ctx, ""), nil)
+		o.SetMachine(m)
 		var mu sync.Mutex
 		var under, most int
-		o.Caller = func(ctx context.Context, c wire.WorkerCall) wire.WorkerReply {
-			if c.Kind == wire.Hold {
-				return wire.WorkerReply{Result: wire.Taken}
+		o.CallWorker = func(ctx context.Context, c wire.WorkerCall) wire.WorkerReply {
+			if c.Kind == wire.RenewLease {
+				return wire.WorkerReply{Result: wire.ResultAccepted}
 			}
 			mu.Lock()
 			under++
@@ -195,34 +195,34 @@
 			mu.Lock()
 			under--
 			mu.Unlock()
-			return wire.WorkerReply{Result: wire.Silent}
+			return wire.WorkerReply{Result: wire.ResultNoReply}
 		}
 		go o.Run(ctx)
-		got := map[wire.Result]int{}
+		got := map[wire.CallResult]int{}
 		for range 50 {
-			is.Equal((<-m.replies).No%2, uint64(0)) // holds do not wait for the rest
+			is.Equal((<-m.replies).Number%2, uint64(0)) // holds do not wait for the rest
 		}
 		for range 50 {
 			got[(<-m.replies).Result]++
 		}
-		is.Equal(got, map[wire.Result]int{wire.Silent: callsAtOnce, wire.Sick: 50 - callsAtOnce}) // the others were never sent
-		is.Equal(most, callsAtOnce)
+		is.Equal(got, map[wire.CallResult]int{wire.ResultNoReply: maxConcurrentCalls, wire.ResultUnhealthy: 50 - maxConcurrentCalls}) // the others were never sent
+		is.Equal(most, maxConcurrentCalls)
 	})
 }
 
-func TestAnAskerSaysHowLongItWaits(t *testing.T) {
+func TestRequestCarriesItsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(context.Background())
-		o := NewOwner(NewPost(ctx, ""), nil)
-		o.Carry(&echo{})
+		o := NewEventLoop(NewSender(ctx, ""), nil)
+		o.SetMachine(&echoMachine{})
 		go o.Run(ctx)
 		is.Equal(string(o.Ask(context.Background(), "x", "", nil).Body), "false")
 		short, done := context.WithTimeout(ctx, time.Second)
 		defer done()
 		is.Equal(string(o.Ask(short, "x", "", nil).Body), "true")
 		stop()
-		<-o.closed
-		is.Equal(o.Ask(context.Background(), "x", "", nil).Fault.Kind, apierror.ShuttingDown)
+		<-o.stopped
+		is.Equal(o.Ask(context.Background(), "x", "", nil).Error.Kind, apierror.ShuttingDown)
 	})
 }
--- a/internal/server/waiting.go
+++ b/internal/server/waiting.go
@@ -18,8 +18,8 @@
 // has promised, but ending itself would mend nothing. While it waits, its inner
 // address tells that it is alive, not ready, and why. The error is that of ctx.
 func OpenLog(ctx context.Context, log logr.Logger, storage wal.Storage, dir, listen string) (*wal.File, [][]byte, error) {
-	page := &waitingPage{}
-	defer page.close()
+	waitHandler := &diskWaitHandler{}
+	defer waitHandler.stop()
 	for failures := 1; ; failures++ {
 		file, records, spoilt, err := wal.Open(storage, dir)
 		if spoilt != "" {
@@ -28,26 +28,26 @@
 		if err == nil {
 			return file, records, nil
 		}
-		if failures == 1 || retryPause(failures) > retryPause(failures-1) {
-			log.Error(err, "the log can't be opened; trying again", "failures", failures, "pause", retryPause(failures).String())
+		if failures == 1 || retryDelay(failures) > retryDelay(failures-1) {
+			log.Error(err, "the log can't be opened; trying again", "failures", failures, "pause", retryDelay(failures).String())
 		}
-		page.show(ctx, log, listen, err)
+		waitHandler.show(ctx, log, listen, err)
 		select {
 		case <-ctx.Done():
 			return nil, nil, ctx.Err()
-		case <-time.After(retryPause(failures)):
+		case <-time.After(retryDelay(failures)):
 		}
 	}
 }
 
-// waitingPage answers for a daemon that has not opened its log.
-type waitingPage struct {
+// diskWaitHandler answers for a daemon that has not opened its log.
+type diskWaitHandler struct {
 	reason atomic.Value
 	server *http.Server
 }
 
 // show tells why the daemon waits, from now on.
-func (wp *waitingPage) show(ctx context.Context, log logr.Logger, listen string, why error) {
+func (wp *diskWaitHandler) show(ctx context.Context, log logr.Logger, listen string, why error) {
 	wp.reason.Store(why.Error())
 	if wp.server != nil || listen == "" {
 		return
@@ -61,26 +61,26 @@
 	go wp.server.Serve(ln)
 }
 
-func (wp *waitingPage) close() {
+func (wp *diskWaitHandler) stop() {
 	if wp.server != nil {
 		wp.server.Close()
 	}
 }
 
-func (wp *waitingPage) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (wp *diskWaitHandler) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	reason := "the log can't be opened: " + wp.reason.Load().(string)
 	switch q.URL.Path {
 	case "/live":
-		write(w, http.StatusOK, []byte(`{"live":true}`))
+		writeJSON(w, http.StatusOK, []byte(`{"live":true}`))
 	case "/v1/status":
-		write(w, http.StatusOK, wire.Body(waitingStatus{Reason: reason}))
+		writeJSON(w, http.StatusOK, wire.EncodeBody(diskWaitStatus{Reason: reason}))
 	default:
-		Fail(w, apierror.New(apierror.NotReady, "", reason))
+		WriteError(w, apierror.New(apierror.NotReady, "", reason))
 	}
 }
 
-// waitingStatus is what a status page says before there is a member.
-type waitingStatus struct {
+// diskWaitStatus is what a status page says before there is a member.
+type diskWaitStatus struct {
 	Ready  bool   `json:"ready"`
 	Reason string `json:"reason"`
 }
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -7,65 +7,65 @@
 
 // Bounds are in milliseconds; 0 is one that nobody asks for.
 type Bounds struct {
-	Hold       int     // the longest lease of a worker
-	Stop       int     // a worker's attempt to end what it was told to stop
-	Gang       int     // how long members of a gang wait for one another
-	Cancel     int     // from when nothing of a cancelled job may start
-	Drain      int     // from when a leaving worker may be given nothing
-	Apply      int     // from when a table must be in use everywhere
-	Ack        int     // by when a table must be acknowledged
-	CatchUp    int     // until a member that is new, or back, counts as there
-	Contact    int     // after which daemons that reach each other again must serve
-	Early      int     // how far ahead of its time a task may start
-	Grace      int     // from the warning of a planned stop to its end
-	Notice     int     // until callers know that a daemon is not ready
-	Checkpoint int     // work between two times that progress is kept
-	Restore    int     // to go on from kept progress
-	Far        float64 // how many times as long a task takes away from its data
+	MaxLeaseMS     int     // the longest lease of a worker
+	StopMS         int     // a worker's attempt to end what it was told to stop
+	GangWaitMS     int     // how long members of a gang wait for one another
+	CancelMS       int     // from when nothing of a cancelled job may start
+	DrainMS        int     // from when a leaving worker may be given nothing
+	ApplyTableMS   int     // from when a table must be in use everywhere
+	AckTableMS     int     // by when a table must be acknowledged
+	CatchUpMS      int     // until a member that is new, or back, counts as there
+	ReconnectMS    int     // after which daemons that reach each other again must serve
+	EarlyStartMS   int     // how far ahead of its time a task may start
+	GraceMS        int     // from the warning of a planned stop to its end
+	NoticeMS       int     // until callers know that a daemon is not ready
+	CheckpointMS   int     // work between two times that progress is kept
+	RestoreMS      int     // to go on from kept progress
+	RemoteSlowdown float64 // how many times as long a task takes away from its data
 }
 
-// Usual are the bounds where nobody gives others.
-var Usual = Bounds{Cancel: 3000, Drain: 2000, Apply: 2000, Early: 250, Grace: 6000, Notice: 700, Far: 1}
+// DefaultBounds are the bounds where nobody gives others.
+var DefaultBounds = Bounds{CancelMS: 3000, DrainMS: 2000, ApplyTableMS: 2000, EarlyStartMS: 250, GraceMS: 6000, NoticeMS: 700, RemoteSlowdown: 1}
 
-// some is a part of a bound, or the default where the bound asks for nothing less.
-func some(usual, bound, times, of int) int {
+// scaledBound is a part of a bound, or the default where the bound asks for nothing less.
+func scaledBound(usual, bound, times, of int) int {
 	if bound == 0 {
 		return usual
 	}
 	return max(1, min(usual, bound*times/of))
 }
 
-// Quick is the pace where the surroundings give bounds: a lost worker or leader
+// QuickTimeouts is the pace where the surroundings give bounds: a lost worker or leader
 // costs less there than beats do.
-var Quick = Timeouts{Beat: 100, Ill: 400, Loss: 1000, Grant: 800, Worker: 600, Again: 100, Round: 40, Election: 200, Stall: 400,
-	Dead: 5000, Stale: 1500}
+var QuickTimeouts = Timeouts{HeartbeatMS: 100, UnhealthyMS: 400, LostMS: 1000, LeaseMS: 800, WorkerLeaseMS: 600, RetryMS: 100, RaftHeartbeatMS: 40, ElectionMS: 200, StallMS: 400,
+	ReplaceAfterMS: 5000, StaleAfterMS: 1500}
 
-// Derive makes a pace that holds within the bounds: the quick one, or less of it.
-func Derive(b Bounds) Timeouts {
-	p := Quick
-	p.Grant = min(some(p.Grant, b.Hold, 8, 10), some(p.Grant, b.Cancel, 2, 3))
-	p.Worker = min(p.Worker, p.Grant*3/4)
-	p.Stale = some(p.Stale, b.Apply, 3, 4)
-	p.Election = min(p.Election, p.Grant/4, some(p.Election, b.Contact, 1, 6), some(p.Election, b.Ack, 1, 8), some(p.Election, b.CatchUp, 1, 17))
-	p.Round = max(1, min(p.Round, p.Election/5))
-	p.Stall = min(p.Stall, 2*p.Election)
-	p.Beat = max(1, min(p.Beat, p.Grant*3/20))
-	p.Again = min(p.Again, p.Beat, some(p.Again, b.Gang, 1, 5))
-	p.Loss = max(p.Loss, (5*p.Grant+3)/4)
-	p.Dead = max(p.Loss+1, some(p.Dead, b.CatchUp, 3, 8))
-	return p
+// DeriveTimeouts makes a pace that holds within the bounds: the quick one, or less of it.
+func DeriveTimeouts(bounds Bounds) Timeouts {
+	timeouts := QuickTimeouts
+	timeouts.LeaseMS = min(scaledBound(timeouts.LeaseMS, bounds.MaxLeaseMS, 8, 10), scaledBound(timeouts.LeaseMS, bounds.CancelMS, 2, 3))
+	timeouts.WorkerLeaseMS = min(timeouts.WorkerLeaseMS, timeouts.LeaseMS*3/4)
+	timeouts.StaleAfterMS = scaledBound(timeouts.StaleAfterMS, bounds.ApplyTableMS, 3, 4)
+	timeouts.ElectionMS = min(timeouts.ElectionMS, timeouts.LeaseMS/4, scaledBound(timeouts.ElectionMS, bounds.ReconnectMS, 1, 6), scaledBound(timeouts.ElectionMS, bounds.AckTableMS, 1, 8), scaledBound(timeouts.ElectionMS, bounds.CatchUpMS, 1, 17))
+	timeouts.RaftHeartbeatMS = max(1, min(timeouts.RaftHeartbeatMS, timeouts.ElectionMS/5))
+	timeouts.StallMS = min(timeouts.StallMS, 2*timeouts.ElectionMS)
+	timeouts.HeartbeatMS = max(1, min(timeouts.HeartbeatMS, timeouts.LeaseMS*3/20))
+	timeouts.RetryMS = min(timeouts.RetryMS, timeouts.HeartbeatMS, scaledBound(timeouts.RetryMS, bounds.GangWaitMS, 1, 5))
+	timeouts.LostMS = max(timeouts.LostMS, (5*timeouts.LeaseMS+3)/4)
+	timeouts.ReplaceAfterMS = max(timeouts.LostMS+1, scaledBound(timeouts.ReplaceAfterMS, bounds.CatchUpMS, 3, 8))
+	return timeouts
 }
 
 // check ties bounds and pace together.
-func (b Bounds) check(p Timeouts, h *apierror.ErrorList) {
-	within := func(bound int, ok bool, field, reason string) { h.Check(bound == 0 || ok, field, reason) }
-	within(b.Hold, 10*p.Grant <= 9*b.Hold, "pace.grant_ms", "must be at most nine tenths of the longest lease of a worker")
-	within(b.Hold, p.Loss > p.Worker*51/50, "pace.loss_ms", "must outlast a worker's lease on a clock that is 2% slow")
-	within(b.Cancel, 6*p.Grant <= 5*b.Cancel, "pace.grant_ms", "must be at most five sixths of the time in which a cancel holds")
-	within(b.Apply, 5*p.Stale <= 4*b.Apply, "pace.stale_ms", "must be at most four fifths of the time in which a table is in use everywhere")
-	within(b.Contact, 4*p.Election <= b.Contact, "pace.election_ms", "must be at most a quarter of the time after which daemons must serve again")
-	within(b.Ack, p.Stall+2*p.Election < b.Ack, "pace.stall_ms", "must leave time to elect another leader before a table must be acknowledged")
-	within(b.CatchUp, p.Dead+2*p.Stall+4*p.Election <= b.CatchUp, "pace.dead_ms", "must leave time to elect a leader and to give a new member its vote before a lost one counts as replaced")
-	within(b.Gang, 4*p.Again <= b.Gang, "pace.again_ms", "must be at most a quarter of the time that members of a gang wait for one another")
-	within(b.Grace, b.Notice < b.Grace, "notice_ms", "must be less than the time that a planned stop may take")
+func (b Bounds) check(timeouts Timeouts, errs *apierror.ErrorList) {
+	within := func(bound int, ok bool, field, reason string) { errs.Check(bound == 0 || ok, field, reason) }
+	within(b.MaxLeaseMS, 10*timeouts.LeaseMS <= 9*b.MaxLeaseMS, "pace.grant_ms", "must be at most nine tenths of the longest lease of a worker")
+	within(b.MaxLeaseMS, timeouts.LostMS > timeouts.WorkerLeaseMS*51/50, "pace.loss_ms", "must outlast a worker's lease on a clock that is 2% slow")
+	within(b.CancelMS, 6*timeouts.LeaseMS <= 5*b.CancelMS, "pace.grant_ms", "must be at most five sixths of the time in which a cancel holds")
+	within(b.ApplyTableMS, 5*timeouts.StaleAfterMS <= 4*b.ApplyTableMS, "pace.stale_ms", "must be at most four fifths of the time in which a table is in use everywhere")
+	within(b.ReconnectMS, 4*timeouts.ElectionMS <= b.ReconnectMS, "pace.election_ms", "must be at most a quarter of the time after which daemons must serve again")
+	within(b.AckTableMS, timeouts.StallMS+2*timeouts.ElectionMS < b.AckTableMS, "pace.stall_ms", "must leave time to elect another leader before a table must be acknowledged")
+	within(b.CatchUpMS, timeouts.ReplaceAfterMS+2*timeouts.StallMS+4*timeouts.ElectionMS <= b.CatchUpMS, "pace.dead_ms", "must leave time to elect a leader and to give a new member its vote before a lost one counts as replaced")
+	within(b.GangWaitMS, 4*timeouts.RetryMS <= b.GangWaitMS, "pace.again_ms", "must be at most a quarter of the time that members of a gang wait for one another")
+	within(b.GraceMS, b.NoticeMS < b.GraceMS, "notice_ms", "must be less than the time that a planned stop may take")
 }
--- a/internal/settings/bounds_test.go
+++ b/internal/settings/bounds_test.go
@@ -13,22 +13,22 @@
 	"coppercourse/internal/apierror"
 )
 
-func faults(b Bounds) error {
+func boundsErrors(b Bounds) error {
 	h := &apierror.ErrorList{}
-	p := Derive(b)
+	p := DeriveTimeouts(b)
 	p.check(h)
 	b.check(p, h)
 	return h.Err()
 }
 
-func TestUsualBoundsGiveTheQuickPace(t *testing.T) {
+func TestDefaultBoundsGiveQuickTimeouts(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Derive(Usual), Quick)
-	is.Equal(Derive(Bounds{}), Quick)
-	is.NoErr(faults(Usual))
+	is.Equal(DeriveTimeouts(DefaultBounds), QuickTimeouts)
+	is.Equal(DeriveTimeouts(Bounds{}), QuickTimeouts)
+	is.NoErr(boundsErrors(DefaultBounds))
 }
 
-func TestDerivedPaceHolds(t *testing.T) {
+func TestDerivedTimeoutsKeepTheBounds(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		b      Bounds
@@ -36,26 +36,26 @@
 		worker int
 		stale  int
 	}{
-		{"kingston", Bounds{Hold: 6000, Stop: 400, Gang: 3000, Cancel: 3000, Drain: 2000, Apply: 2000, Ack: 4000, Contact: 3000, Grace: 6000, Notice: 2300}, 800, 600, 1500},
-		{"cluj", Bounds{Hold: 10000, Stop: 900, Gang: 3000, Cancel: 3000, Drain: 2000, Apply: 2000, Ack: 4000, Contact: 3000, Grace: 6000, Notice: 2300}, 800, 600, 1500},
-		{"short hold", Bounds{Hold: 2000, Cancel: 30000}, 800, 600, 1500},
-		{"shorter hold", Bounds{Hold: 1000, Cancel: 30000}, 800, 600, 1500},
-		{"short cancel", Bounds{Hold: 60000, Cancel: 1000}, 666, 499, 1500},
-		{"quick tables", Bounds{Hold: 6000, Cancel: 3000, Apply: 500}, 800, 600, 375},
-		{"quick gangs", Bounds{Hold: 6000, Cancel: 3000, Gang: 400}, 800, 600, 1500},
+		{"kingston", Bounds{MaxLeaseMS: 6000, StopMS: 400, GangWaitMS: 3000, CancelMS: 3000, DrainMS: 2000, ApplyTableMS: 2000, AckTableMS: 4000, ReconnectMS: 3000, GraceMS: 6000, NoticeMS: 2300}, 800, 600, 1500},
+		{"cluj", Bounds{MaxLeaseMS: 10000, StopMS: 900, GangWaitMS: 3000, CancelMS: 3000, DrainMS: 2000, ApplyTableMS: 2000, AckTableMS: 4000, ReconnectMS: 3000, GraceMS: 6000, NoticeMS: 2300}, 800, 600, 1500},
+		{"short hold", Bounds{MaxLeaseMS: 2000, CancelMS: 30000}, 800, 600, 1500},
+		{"shorter hold", Bounds{MaxLeaseMS: 1000, CancelMS: 30000}, 800, 600, 1500},
+		{"short cancel", Bounds{MaxLeaseMS: 60000, CancelMS: 1000}, 666, 499, 1500},
+		{"quick tables", Bounds{MaxLeaseMS: 6000, CancelMS: 3000, ApplyTableMS: 500}, 800, 600, 375},
+		{"quick gangs", Bounds{MaxLeaseMS: 6000, CancelMS: 3000, GangWaitMS: 400}, 800, 600, 1500},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			p := Derive(c.b)
-			is.NoErr(faults(c.b))
-			is.Equal(p.Grant, c.grant)
-			is.Equal(p.Worker, c.worker)
-			is.Equal(p.Stale, c.stale)
+			p := DeriveTimeouts(c.b)
+			is.NoErr(boundsErrors(c.b))
+			is.Equal(p.LeaseMS, c.grant)
+			is.Equal(p.WorkerLeaseMS, c.worker)
+			is.Equal(p.StaleAfterMS, c.stale)
 		})
 	}
 }
 
-func TestAnySensibleBoundsGiveAHealthyPace(t *testing.T) {
+func TestAnySensibleBoundsGiveValidTimeouts(t *testing.T) {
 	rnd := rand.New(rand.NewSource(1))
 	pick := func(least, most int) int {
 		if rnd.Intn(8) == 0 {
@@ -64,20 +64,20 @@
 		return least + rnd.Intn(most-least+1)
 	}
 	for range 20_000 {
-		b := Bounds{Hold: pick(2000, 60_000), Stop: pick(50, 5000), Gang: pick(300, 20_000), Cancel: pick(1000, 30_000),
-			Drain: pick(200, 20_000), Apply: pick(300, 30_000), Ack: pick(1000, 30_000), Contact: pick(500, 30_000), CatchUp: pick(2000, 60_000),
-			Early: pick(50, 2000), Grace: pick(2500, 60_000), Notice: 2300, Checkpoint: pick(100, 20_000), Restore: pick(50, 5000)}
-		if err := faults(b); err != nil {
-			t.Fatal(fmt.Sprintf("%+v", b), Derive(b), err)
+		b := Bounds{MaxLeaseMS: pick(2000, 60_000), StopMS: pick(50, 5000), GangWaitMS: pick(300, 20_000), CancelMS: pick(1000, 30_000),
+			DrainMS: pick(200, 20_000), ApplyTableMS: pick(300, 30_000), AckTableMS: pick(1000, 30_000), ReconnectMS: pick(500, 30_000), CatchUpMS: pick(2000, 60_000),
+			EarlyStartMS: pick(50, 2000), GraceMS: pick(2500, 60_000), NoticeMS: 2300, CheckpointMS: pick(100, 20_000), RestoreMS: pick(50, 5000)}
+		if err := boundsErrors(b); err != nil {
+			t.Fatal(fmt.Sprintf("%+v", b), DeriveTimeouts(b), err)
 		}
 	}
 }
 
-func TestPaceAgainstBoundsIsTold(t *testing.T) {
+func TestTimeoutsBeyondBoundsAreReported(t *testing.T) {
 	is := is.New(t)
 	h := &apierror.ErrorList{}
-	p := Defaults().Pace
-	Bounds{Hold: 1400, Gang: 1000, Cancel: 2000, Apply: 1500, Ack: 1500, Contact: 1500, Grace: 600, Notice: 700}.check(p, h)
+	p := Defaults().Timeouts
+	Bounds{MaxLeaseMS: 1400, GangWaitMS: 1000, CancelMS: 2000, ApplyTableMS: 1500, AckTableMS: 1500, ReconnectMS: 1500, GraceMS: 600, NoticeMS: 700}.check(p, h)
 	text := h.Err().Error()
 	for _, f := range []string{"pace.grant_ms", "pace.stale_ms", "pace.election_ms", "pace.stall_ms", "pace.again_ms", "notice_ms"} {
 		is.True(strings.Contains(text, ": "+f+": "))
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -27,71 +27,71 @@
 // Restart limits: a child may fail often times within window, and is restarted
 // after pause.
 const (
-	often  = 5
-	window = 30 * time.Second
-	pause  = 100 * time.Millisecond
+	maxFailures   = 5
+	failureWindow = 30 * time.Second
+	restartDelay  = 100 * time.Millisecond
 )
 
 // Branch makes a vital child that supervises children of its own.
-func Branch(log logr.Logger, name string, kids ...Child) Child {
-	return Child{Name: name, Vital: true, Run: func(ctx context.Context) error { return Run(ctx, log, kids...) }}
+func Branch(log logr.Logger, name string, children ...Child) Child {
+	return Child{Name: name, Vital: true, Run: func(ctx context.Context) error { return Run(ctx, log, children...) }}
 }
 
 // Run supervises the children and returns, once all of them have ended, the first
 // failure that a restart could not mend. A vital child that returns without
 // error ends the others too.
-func Run(ctx context.Context, log logr.Logger, kids ...Child) error {
+func Run(ctx context.Context, log logr.Logger, children ...Child) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	var all sync.WaitGroup
-	for _, k := range kids {
-		all.Add(1)
+	var running sync.WaitGroup
+	for _, child := range children {
+		running.Add(1)
 		go func() {
-			defer all.Done()
-			if err := keep(ctx, log, k); err != nil || k.Vital {
+			defer running.Done()
+			if err := superviseChild(ctx, log, child); err != nil || child.Vital {
 				stop(err)
 			}
 		}()
 	}
-	all.Wait()
+	running.Wait()
 	if err := context.Cause(ctx); err != nil && err != context.Canceled {
 		return err
 	}
 	return nil
 }
 
-// keep runs one child until its context ends, it returns without error, or its
+// superviseChild runs one child until its context ends, it returns without error, or its
 // failures pass the restart limits.
-func keep(ctx context.Context, log logr.Logger, k Child) error {
-	var fails []time.Time
+func superviseChild(ctx context.Context, log logr.Logger, child Child) error {
+	var failures []time.Time
 	for {
-		err := once(ctx, k)
+		err := runOnce(ctx, child)
 		if ctx.Err() != nil || err == nil {
 			return err
 		}
 		now := time.Now()
-		fails = append(fails, now)
-		for len(fails) > 0 && now.Sub(fails[0]) > window {
-			fails = fails[1:]
+		failures = append(failures, now)
+		for len(failures) > 0 && now.Sub(failures[0]) > failureWindow {
+			failures = failures[1:]
 		}
-		if k.Vital || len(fails) > often {
-			return apierror.Wrap(apierror.Unusable, err, k.Name)
+		if child.Vital || len(failures) > maxFailures {
+			return apierror.Wrap(apierror.Unusable, err, child.Name)
 		}
-		log.Error(err, "child starts again", "child", k.Name)
+		log.Error(err, "child starts again", "child", child.Name)
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(pause):
+		case <-time.After(restartDelay):
 		}
 	}
 }
 
-// once runs a child one time and turns a panic into an error.
-func once(ctx context.Context, k Child) (err error) {
+// runOnce runs a child one time and turns a panic into an error.
+func runOnce(ctx context.Context, child Child) (err error) {
 	defer func() {
-		if p := recover(); p != nil {
-			err = fmt.Errorf("%s: panic: %v\n%s", k.Name, p, debug.Stack())
+		if panicked := recover(); panicked != nil {
+			err = fmt.Errorf("%s: panic: %v\n%s", child.Name, panicked, debug.Stack())
 		}
 	}()
-	return k.Run(ctx)
+	return child.Run(ctx)
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -12,58 +12,58 @@
 	"coppercourse/internal/types"
 )
 
-// size is how many trace points a daemon keeps.
-const size = 8192
+// capacity is how many trace points a daemon keeps.
+const capacity = 8192
 
-// Mark is one trace point: what happened to a subject in this daemon, and when.
-type Mark struct {
-	At      types.WallTime `json:"at"`
-	Subject string         `json:"subject"`
-	What    string         `json:"what"`
+// Point is one trace point: what happened to a subject in this daemon, and when.
+type Point struct {
+	At          types.WallTime `json:"at"`
+	Subject     string         `json:"subject"`
+	Description string         `json:"what"`
 }
 
 // Ring is a bounded buffer of trace points. The goroutine that owns the state
 // machine writes it; HTTP handlers read it at the same time.
 type Ring struct {
-	mu   sync.Mutex
-	list []Mark
-	at   int // index of the oldest, once the ring is full
+	mu     sync.Mutex
+	points []Point
+	oldest int // index of the oldest, once the ring is full
 }
 
 // New returns an empty ring.
 func New() *Ring { return &Ring{} }
 
-// Job returns the subject of a job's trace points.
-func Job(id types.JobID) string { return "job/" + string(id) }
+// JobSubject returns the subject of a job's trace points.
+func JobSubject(id types.JobID) string { return "job/" + string(id) }
 
-// Table returns the subject of the trace points of a version of the table.
-func Table(version types.Version) string { return fmt.Sprintf("table/%d", version) }
+// TableSubject returns the subject of the trace points of a version of the table.
+func TableSubject(version types.Version) string { return fmt.Sprintf("table/%d", version) }
 
 // Add records a trace point; pairs are names and values in turn.
-func (r *Ring) Add(at types.WallTime, subject, what string, pairs ...any) {
+func (r *Ring) Add(at types.WallTime, subject, description string, keysAndValues ...any) {
 	var b strings.Builder
-	b.WriteString(what)
-	for i := 0; i+1 < len(pairs); i += 2 {
-		fmt.Fprintf(&b, " %v=%v", pairs[i], pairs[i+1])
+	b.WriteString(description)
+	for i := 0; i+1 < len(keysAndValues); i += 2 {
+		fmt.Fprintf(&b, " %v=%v", keysAndValues[i], keysAndValues[i+1])
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m := Mark{at, subject, b.String()}
-	if len(r.list) < size {
-		r.list = append(r.list, m)
+	m := Point{at, subject, b.String()}
+	if len(r.points) < capacity {
+		r.points = append(r.points, m)
 		return
 	}
-	r.list[r.at] = m
-	r.at = (r.at + 1) % size
+	r.points[r.oldest] = m
+	r.oldest = (r.oldest + 1) % capacity
 }
 
-// Of returns a subject's trace points, oldest first.
-func (r *Ring) Of(subject string) []Mark {
+// Points returns a subject's trace points, oldest first.
+func (r *Ring) Points(subject string) []Point {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := []Mark{}
-	for i := range r.list {
-		if m := r.list[(r.at+i)%len(r.list)]; m.Subject == subject {
+	list := []Point{}
+	for i := range r.points {
+		if m := r.points[(r.oldest+i)%len(r.points)]; m.Subject == subject {
 			list = append(list, m)
 		}
 	}
--- a/internal/wal/faults_test.go
+++ b/internal/wal/faults_test.go
@@ -21,19 +21,19 @@
 
 var errIO = errors.New("input/output error")
 
-// trial is one random life of a log: groups appended and rewritten, each tried
+// crashTrial is one random life of a log: groups appended and rewritten, each tried
 // again until it succeeds, with faults between and losses of power.
-type trial struct {
-	rnd     *rand.Rand
-	storage *waltest.Storage
-	wrap    func(wal.Storage) wal.Storage
-	log     *wal.File
-	kept    []string // told as synced
-	next    int
+type crashTrial struct {
+	rnd          *rand.Rand
+	storage      *waltest.Storage
+	wrap         func(wal.Storage) wal.Storage
+	log          *wal.File
+	acknowledged []string // told as synced
+	next         int
 }
 
 // open opens the log, however often that is refused.
-func (t *trial) open() ([]string, error) {
+func (t *crashTrial) open() ([]string, error) {
 	for {
 		log, list, spoilt, err := wal.Open(t.wrap(t.storage), dir)
 		if err != nil {
@@ -43,11 +43,11 @@
 		if spoilt != "" {
 			return nil, errors.New("what a loss of power left was taken for damage")
 		}
-		return texts(list), nil
+		return recordTexts(list), nil
 	}
 }
 
-func texts(list [][]byte) (out []string) {
+func recordTexts(list [][]byte) (out []string) {
 	for _, b := range list {
 		if s := string(b); s != "{}" {
 			out = append(out, s)
@@ -57,14 +57,14 @@
 }
 
 // fault draws what fails: nothing, mostly.
-func (t *trial) fault(op waltest.Op, _ string) *waltest.Fault {
+func (t *crashTrial) fault(op waltest.Op, _ string) *waltest.Fault {
 	if t.rnd.Intn(12) > 0 || op == waltest.Remove {
 		return nil
 	}
 	return &waltest.Fault{Err: syscall.ENOSPC, Written: t.rnd.Intn(64)}
 }
 
-func (t *trial) group() (list [][]byte) {
+func (t *crashTrial) group() (list [][]byte) {
 	for range 1 + t.rnd.Intn(4) {
 		t.next++
 		list = append(list, fmt.Appendf(nil, `{"n":%d,"pad":"%s"}`, t.next, strings.Repeat("x", t.rnd.Intn(40))))
@@ -73,12 +73,12 @@
 }
 
 // write carries out one step until it succeeds or the power goes.
-func (t *trial) write() (before, after []string, done bool) {
+func (t *crashTrial) write() (before, after []string, done bool) {
 	group, whole := t.group(), t.rnd.Intn(5) == 0
-	before, after = t.kept, append(slices.Clone(t.kept), texts(group)...)
+	before, after = t.acknowledged, append(slices.Clone(t.acknowledged), recordTexts(group)...)
 	act := func() error { return t.log.Append(group) }
 	if whole {
-		after = texts(group)
+		after = recordTexts(group)
 		act = func() error { return t.log.Rewrite(group) }
 	}
 	for {
@@ -91,9 +91,9 @@
 	}
 }
 
-// run lives for so many steps and tells what was lost or made up.
-func run(seed int64, steps int, wrap func(wal.Storage) wal.Storage) error {
-	x := &trial{rnd: rand.New(rand.NewSource(seed)), storage: waltest.New(seed), wrap: wrap}
+// runTrial lives for so many steps and tells what was lost or made up.
+func runTrial(seed int64, steps int, wrap func(wal.Storage) wal.Storage) error {
+	x := &crashTrial{rnd: rand.New(rand.NewSource(seed)), storage: waltest.New(seed), wrap: wrap}
 	x.storage.Fail = x.fault
 	if _, err := x.open(); err != nil {
 		return err
@@ -101,7 +101,7 @@
 	for range steps {
 		before, after, done := x.write()
 		if done {
-			x.kept = after
+			x.acknowledged = after
 			if x.rnd.Intn(3) == 0 {
 				x.log.Seal()
 			}
@@ -120,65 +120,65 @@
 		if !appended && !slices.Equal(found, before) && !slices.Equal(found, after) {
 			return fmt.Errorf("found %d records, told were %d, then %d: %v", len(found), len(before), len(after), found)
 		}
-		x.kept = found
+		x.acknowledged = found
 	}
 	return nil
 }
 
-func asIs(s wal.Storage) wal.Storage { return s }
+func unwrapped(s wal.Storage) wal.Storage { return s }
 
 func TestNothingSyncedIsLostOnAFailingDisk(t *testing.T) {
 	for seed := range int64(400) {
-		if err := run(seed, 60, asIs); err != nil {
+		if err := runTrial(seed, 60, unwrapped); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
 }
 
-// flawed is a storage with one planted bug.
-type flawed struct {
+// faultyStorage is a storage with one planted bug.
+type faultyStorage struct {
 	wal.Storage
 	sync    func(wal.Handle) error
 	syncDir func(string) error
 }
 
-type flawedHandle struct {
+type faultyHandle struct {
 	wal.Handle
 	sync func(wal.Handle) error
 }
 
-func (f flawed) OpenFile(path string) (wal.Handle, error) {
+func (f faultyStorage) OpenFile(path string) (wal.Handle, error) {
 	h, err := f.Storage.OpenFile(path)
-	return flawedHandle{h, f.sync}, err
+	return faultyHandle{h, f.sync}, err
 }
 
-func (f flawed) SyncDir(dir string) error { return f.syncDir(dir) }
+func (f faultyStorage) SyncDir(dir string) error { return f.syncDir(dir) }
 
-func (f flawedHandle) Sync() error { return f.sync(f.Handle) }
+func (f faultyHandle) Sync() error { return f.sync(f.Handle) }
 
-func TestPlantedDiskBugsAreCaught(t *testing.T) {
+func TestStorageBugsAreDetected(t *testing.T) {
 	soundSync := wal.Handle.Sync
 	for name, plant := range map[string]func(wal.Storage) wal.Storage{
 		"a failed sync is told as done": func(s wal.Storage) wal.Storage {
-			return flawed{s, func(h wal.Handle) error { h.Sync(); return nil }, s.SyncDir}
+			return faultyStorage{s, func(h wal.Handle) error { h.Sync(); return nil }, s.SyncDir}
 		},
 		"a failed sync is tried again without writing again": func(s wal.Storage) wal.Storage {
-			return flawed{s, func(h wal.Handle) error {
+			return faultyStorage{s, func(h wal.Handle) error {
 				for h.Sync() != nil {
 				}
 				return nil
 			}, s.SyncDir}
 		},
 		"a failed sync of the folder is told as done": func(s wal.Storage) wal.Storage {
-			return flawed{s, soundSync, func(dir string) error { s.SyncDir(dir); return nil }}
+			return faultyStorage{s, soundSync, func(dir string) error { s.SyncDir(dir); return nil }}
 		},
 		"the folder is never synced": func(s wal.Storage) wal.Storage {
-			return flawed{s, soundSync, func(string) error { return nil }}
+			return faultyStorage{s, soundSync, func(string) error { return nil }}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range int64(400) {
-				if run(seed, 60, plant) != nil {
+				if runTrial(seed, 60, plant) != nil {
 					return
 				}
 			}
@@ -187,8 +187,8 @@
 	}
 }
 
-// opened makes a log with some records on a sound disk.
-func opened(t *testing.T) (*waltest.Storage, *wal.File) {
+// openSoundLog makes a log with some records on a sound disk.
+func openSoundLog(t *testing.T) (*waltest.Storage, *wal.File) {
 	t.Helper()
 	storage := waltest.New(1)
 	log, _, _, err := wal.Open(storage, dir)
@@ -201,18 +201,18 @@
 	return storage, log
 }
 
-func reread(t *testing.T, storage *waltest.Storage) []string {
+func rereadLog(t *testing.T, storage *waltest.Storage) []string {
 	t.Helper()
 	_, list, spoilt, err := wal.Open(storage, dir)
 	if err != nil || spoilt != "" {
 		t.Fatal(err, spoilt)
 	}
-	return texts(list)
+	return recordTexts(list)
 }
 
-func TestATornAppendIsCutBack(t *testing.T) {
+func TestTornAppendIsTruncated(t *testing.T) {
 	is := is.New(t)
-	storage, log := opened(t)
+	storage, log := openSoundLog(t)
 	size := len(storage.Content(dir, "lore.log"))
 	for _, fault := range []waltest.Fault{{Err: syscall.ENOSPC, Written: 30}, {Err: errIO, Written: 5}, {Err: errIO}} {
 		storage.SetFail(func(op waltest.Op, _ string) *waltest.Fault {
@@ -224,45 +224,45 @@
 		err := log.Append([][]byte{[]byte(`{"n":3,"long":"............................"}`), []byte(`{"n":4}`)})
 		is.True(err != nil)
 		is.True(errors.Is(err, fault.Err))
-		is.Equal(wal.NoSpace(err), fault.Err == syscall.ENOSPC)
+		is.Equal(wal.IsNoSpace(err), fault.Err == syscall.ENOSPC)
 	}
 	storage.SetFail(nil)
 	is.NoErr(log.Append([][]byte{[]byte(`{"n":5}`)})) // shorter than what was torn
 	is.True(len(storage.Content(dir, "lore.log")) < size+40)
-	is.Equal(reread(t, storage), []string{`{"n":1}`, `{"n":2}`, `{"n":5}`})
+	is.Equal(rereadLog(t, storage), []string{`{"n":1}`, `{"n":2}`, `{"n":5}`})
 }
 
-func TestARewriteWithoutRoomLeavesTheOldLog(t *testing.T) {
+func TestRewriteWithoutSpaceLeavesTheOldLog(t *testing.T) {
 	is := is.New(t)
-	storage, log := opened(t)
+	storage, log := openSoundLog(t)
 	storage.SetCapacity(100)
 	long := []byte(`{"long":"` + strings.Repeat("x", 80) + `"}`)
 	err := log.Rewrite([][]byte{long})
-	is.True(wal.NoSpace(err))
+	is.True(wal.IsNoSpace(err))
 	is.Equal(len(storage.Content(dir, "lore.log.new")), 0) // its room is given back
 	is.NoErr(log.Append([][]byte{[]byte(`{"n":3}`)}))
-	is.Equal(reread(t, storage), []string{`{"n":1}`, `{"n":2}`, `{"n":3}`})
+	is.Equal(rereadLog(t, storage), []string{`{"n":1}`, `{"n":2}`, `{"n":3}`})
 }
 
-func TestARewriteIsRefusedAtEachStep(t *testing.T) {
+func TestRewriteCanFailAtEachStep(t *testing.T) {
 	for _, op := range []waltest.Op{waltest.Create, waltest.Truncate, waltest.Write, waltest.Sync, waltest.Rename, waltest.SyncDir} {
 		t.Run(string(op), func(t *testing.T) {
 			is := is.New(t)
-			storage, log := opened(t)
-			storage.SetFail(waltest.Refuse(syscall.EIO, op))
+			storage, log := openSoundLog(t)
+			storage.SetFail(waltest.FailWith(syscall.EIO, op))
 			is.True(log.Rewrite([][]byte{[]byte(`{"n":9}`)}) != nil)
 			storage.SetFail(nil)
 			is.NoErr(log.Rewrite([][]byte{[]byte(`{"n":9}`)}))
 			is.NoErr(log.Append([][]byte{[]byte(`{"n":10}`)}))
-			is.Equal(reread(t, storage.LosePower()), []string{`{"n":9}`, `{"n":10}`})
+			is.Equal(rereadLog(t, storage.LosePower()), []string{`{"n":9}`, `{"n":10}`})
 		})
 	}
 }
 
-func TestOpenIsRefusedAtEachStep(t *testing.T) {
+func TestOpenCanFailAtEachStep(t *testing.T) {
 	for _, op := range []waltest.Op{waltest.MakeDir, waltest.Read, waltest.Create, waltest.Truncate, waltest.Sync, waltest.SyncDir} {
 		storage := waltest.New(1)
-		storage.SetFail(waltest.Refuse(syscall.ENOSPC, op))
+		storage.SetFail(waltest.FailWith(syscall.ENOSPC, op))
 		if _, _, _, err := wal.Open(storage, dir); !errors.Is(err, syscall.ENOSPC) {
 			t.Errorf("%s: %v", op, err)
 		}
@@ -273,11 +273,11 @@
 	}
 }
 
-func TestARecordTooLongToReadBackIsRefused(t *testing.T) {
+func TestRecordTooLongToReadBackIsRejected(t *testing.T) {
 	is := is.New(t)
-	storage, log := opened(t)
-	is.True(log.Append([][]byte{make([]byte, wal.MaxLen+1)}) != nil)
+	storage, log := openSoundLog(t)
+	is.True(log.Append([][]byte{make([]byte, wal.MaxRecordSize+1)}) != nil)
 	is.True(log.Append([][]byte{{}}) != nil)
 	is.NoErr(log.Append([][]byte{[]byte(`{"n":3}`)}))
-	is.Equal(len(reread(t, storage)), 3)
+	is.Equal(len(rereadLog(t, storage)), 3)
 }
--- a/internal/wal/file.go
+++ b/internal/wal/file.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	name       = "lore.log"
-	newSuffix  = ".new"
-	badSuffix  = ".spoilt"
-	sealRecord = "{}"
+	logName       = "lore.log"
+	newSuffix     = ".new"
+	damagedSuffix = ".spoilt"
+	sealRecord    = "{}"
 )
 
 // File is the log of one data folder. One goroutine owns it.
@@ -31,8 +31,8 @@
 	renamed bool // the folder has not been synced since a rename
 }
 
-// Rest is how long nothing is written before the file is sealed.
-const Rest = 50 * time.Millisecond
+// SealAfterIdle is how long nothing is written before the file is sealed.
+const SealAfterIdle = 50 * time.Millisecond
 
 // DiskError is an operation on the log that the file system refused. The log
 // stays usable, and the operation may be tried again.
@@ -44,10 +44,10 @@
 func (d *DiskError) Error() string { return "log: " + d.Op + ": " + d.Err.Error() }
 func (d *DiskError) Unwrap() error { return d.Err }
 
-func failed(op string, err error) error { return &DiskError{Op: op, Err: err} }
+func diskError(op string, err error) error { return &DiskError{Op: op, Err: err} }
 
-// NoSpace tells whether an operation failed for want of room.
-func NoSpace(err error) bool {
+// IsNoSpace tells whether an operation failed for want of room.
+func IsNoSpace(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
@@ -55,29 +55,29 @@
 // another name and told in spoilt; the daemon then starts as a new member.
 // What is returned is synced: records that an earlier process wrote and did not
 // sync may be read from the cache and are not on the disk yet.
-func Open(storage Storage, dir string) (file *File, list [][]byte, spoilt string, err error) {
+func Open(storage Storage, dir string) (file *File, records [][]byte, damagedPath string, err error) {
 	if err = storage.MakeDir(dir); err != nil {
-		return nil, nil, "", failed("data folder", err)
+		return nil, nil, "", diskError("data folder", err)
 	}
-	path := filepath.Join(dir, name)
+	path := filepath.Join(dir, logName)
 	b, err := storage.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return nil, nil, "", failed("read", err)
+		return nil, nil, "", diskError("read", err)
 	}
 	storage.Remove(path + newSuffix) // of a rewrite that a crash ended; there may be none
-	list, keep, bad := Scan(b)
+	records, validLength, bad := Scan(b)
 	if bad != nil {
-		spoilt = path + badSuffix
-		if err = storage.Rename(path, spoilt); err != nil {
-			return nil, nil, "", failed("put aside", err)
+		damagedPath = path + damagedSuffix
+		if err = storage.Rename(path, damagedPath); err != nil {
+			return nil, nil, "", diskError("put aside", err)
 		}
-		list, keep = nil, 0
+		records, validLength = nil, 0
 	}
 	handle, err := storage.OpenFile(path)
 	if err != nil {
-		return nil, nil, "", failed("open", err)
+		return nil, nil, "", diskError("open", err)
 	}
-	file = &File{storage: storage, dir: dir, handle: handle, synced: keep, torn: true, renamed: true}
+	file = &File{storage: storage, dir: dir, handle: handle, synced: validLength, torn: true, renamed: true}
 	if err = file.repair(); err == nil {
 		err = file.sync()
 	}
@@ -85,20 +85,20 @@
 		handle.Close()
 		return nil, nil, "", err
 	}
-	return file, list, spoilt, nil
+	return file, records, damagedPath, nil
 }
 
 // repair brings the file back to its last synced length after a failure.
 func (f *File) repair() error {
 	if f.renamed {
 		if err := f.storage.SyncDir(f.dir); err != nil {
-			return failed("sync folder", err)
+			return diskError("sync folder", err)
 		}
 		f.renamed = false
 	}
 	if f.torn {
 		if err := f.handle.Truncate(f.synced); err != nil {
-			return failed("truncate", err)
+			return diskError("truncate", err)
 		}
 		f.torn = false
 	}
@@ -107,7 +107,7 @@
 
 func (f *File) sync() error {
 	if err := f.handle.Sync(); err != nil {
-		return failed("sync", err)
+		return diskError("sync", err)
 	}
 	return nil
 }
@@ -118,13 +118,13 @@
 	if err := f.repair(); err != nil {
 		return err
 	}
-	b, err := packAll(group, f.synced)
+	b, err := encodeRecords(group, f.synced)
 	if err != nil {
 		return err
 	}
 	f.torn = true // until all of it is synced
 	if _, err := f.handle.WriteAt(b, f.synced); err != nil {
-		return failed("write", err)
+		return diskError("write", err)
 	}
 	if err := f.sync(); err != nil {
 		return err
@@ -150,18 +150,18 @@
 // old file stands, or the new one does whose name may not be durable yet; either
 // way the same records may be written again.
 func (f *File) Rewrite(group [][]byte) error {
-	b, err := packAll(append(group[:len(group):len(group)], []byte(sealRecord)), Whole)
+	b, err := encodeRecords(append(group[:len(group):len(group)], []byte(sealRecord)), SyncedByRename)
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(f.dir, name)
+	path := filepath.Join(f.dir, logName)
 	handle, err := f.writeNew(path+newSuffix, b)
 	if err != nil {
 		return err
 	}
 	if err := f.storage.Rename(path+newSuffix, path); err != nil {
 		f.discard(handle, path+newSuffix)
-		return failed("rename", err)
+		return diskError("rename", err)
 	}
 	f.handle.Close()
 	f.handle, f.synced = handle, int64(len(b))
@@ -173,7 +173,7 @@
 func (f *File) writeNew(path string, b []byte) (Handle, error) {
 	handle, err := f.storage.OpenFile(path)
 	if err != nil {
-		return nil, failed("rewrite", err)
+		return nil, diskError("rewrite", err)
 	}
 	if err = handle.Truncate(0); err == nil {
 		_, err = handle.WriteAt(b, 0)
@@ -183,7 +183,7 @@
 	}
 	if err != nil {
 		f.discard(handle, path)
-		return nil, failed("rewrite", err)
+		return nil, diskError("rewrite", err)
 	}
 	return handle, nil
 }
--- a/internal/wal/file_test.go
+++ b/internal/wal/file_test.go
@@ -10,31 +10,31 @@
 	"github.com/matryer/is"
 )
 
-func file(t *testing.T, n int) (dir string, b []byte) {
+func writeTestLog(t *testing.T, n int) (dir string, b []byte) {
 	is := is.New(t)
 	dir = t.TempDir()
-	f, list, _, err := Open(Disk{}, dir)
+	f, list, _, err := Open(OSStorage{}, dir)
 	is.NoErr(err)
 	is.Equal(len(list), 0)
 	for i := range n {
 		is.NoErr(f.Append([][]byte{fmt.Appendf(nil, `{"n":%d}`, i)}))
 	}
-	b, err = os.ReadFile(filepath.Join(dir, name))
+	b, err = os.ReadFile(filepath.Join(dir, logName))
 	is.NoErr(err)
 	is.NoErr(f.handle.Close()) // killed: nothing more is written
 	return
 }
 
-func TestSealGuardsTheLastRecord(t *testing.T) {
+func TestSealDetectsDamageToTheLastRecord(t *testing.T) {
 	is := is.New(t)
-	dir, b := file(t, 5)
+	dir, b := writeTestLog(t, 5)
 	whole := len(b)
-	f, _, _, err := Open(Disk{}, dir)
+	f, _, _, err := Open(OSStorage{}, dir)
 	is.NoErr(err)
 	is.NoErr(f.Seal())
 	is.NoErr(f.Seal()) // once is enough
 	is.NoErr(f.Close())
-	b, err = os.ReadFile(filepath.Join(dir, name))
+	b, err = os.ReadFile(filepath.Join(dir, logName))
 	is.NoErr(err)
 	list, _, err := Scan(b)
 	is.NoErr(err)
@@ -47,9 +47,9 @@
 	}
 }
 
-func TestEveryTornTailIsCut(t *testing.T) {
+func TestEveryTornTailIsTruncated(t *testing.T) {
 	is := is.New(t)
-	_, b := file(t, 5)
+	_, b := writeTestLog(t, 5)
 	for cut := range len(b) {
 		list, keep, err := Scan(b[:cut])
 		is.NoErr(err)
@@ -58,9 +58,9 @@
 	}
 }
 
-func TestDamageBeforeTheTailIsRefused(t *testing.T) {
+func TestDamageBeforeTheTailIsRejected(t *testing.T) {
 	is := is.New(t)
-	_, b := file(t, 5)
+	_, b := writeTestLog(t, 5)
 	last := len(b) / 5 * 4
 	for at := range b {
 		bad := append([]byte(nil), b...)
@@ -76,23 +76,23 @@
 	}
 }
 
-func TestRewrittenFileIsGuardedToItsLastRecord(t *testing.T) {
+func TestRewrittenFileDetectsDamageToItsLastRecord(t *testing.T) {
 	is := is.New(t)
-	dir, _ := file(t, 5)
-	f, _, _, err := Open(Disk{}, dir)
+	dir, _ := writeTestLog(t, 5)
+	f, _, _, err := Open(OSStorage{}, dir)
 	is.NoErr(err)
 	is.NoErr(f.Rewrite([][]byte{[]byte(`{"a":1}`), []byte(`{"b":2}`)}))
 	is.NoErr(f.Append([][]byte{[]byte(`{"c":3}`)}))
 	is.NoErr(f.Close())
-	path := filepath.Join(dir, name)
+	path := filepath.Join(dir, logName)
 	b, err := os.ReadFile(path)
 	is.NoErr(err)
 	list, _, err := Scan(b)
 	is.NoErr(err)
 	is.Equal(len(list), 5) // the two, the seal, what came after, and its seal
-	b[head+2] ^= 1
+	b[headerSize+2] ^= 1
 	is.NoErr(os.WriteFile(path, b, 0o600))
-	f, list, spoilt, err := Open(Disk{}, dir)
+	f, list, spoilt, err := Open(OSStorage{}, dir)
 	is.NoErr(err)
 	defer f.Close()
 	is.Equal(len(list), 0) // refused: the daemon comes back as a new member
--- a/internal/wal/golden_test.go
+++ b/internal/wal/golden_test.go
@@ -33,7 +33,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			file, _, _, err := wal.Open(wal.Disk{}, dir)
+			file, _, _, err := wal.Open(wal.OSStorage{}, dir)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -66,7 +66,7 @@
 	if err := os.WriteFile(filepath.Join(dir, fileName), goldentest.Read(t, name), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	file, got, spoilt, err := wal.Open(wal.Disk{}, dir)
+	file, got, spoilt, err := wal.Open(wal.OSStorage{}, dir)
 	if err != nil || spoilt != "" {
 		t.Fatal(err, spoilt)
 	}
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	head   = 16
-	MaxLen = 64 << 20
-	// Whole marks the records of a rewritten file: it takes its name only once
+	headerSize    = 16
+	MaxRecordSize = 64 << 20
+	// SyncedByRename marks the records of a rewritten file: it takes its name only once
 	// all of it is synced. An empty record closes it, so its last is guarded.
-	Whole = int64(1) << 62
+	SyncedByRename = int64(1) << 62
 )
 
 var table = crc32.MakeTable(crc32.Castagnoli)
 
-// Pack appends one record to the bytes of a file.
-func Pack(out []byte, body []byte, synced int64) []byte {
-	var h [head]byte
+// AppendRecord appends one record to the bytes of a file.
+func AppendRecord(out []byte, body []byte, synced int64) []byte {
+	var h [headerSize]byte
 	binary.BigEndian.PutUint32(h[0:], uint32(len(body)))
 	binary.BigEndian.PutUint64(h[8:], uint64(synced))
 	sum := crc32.Update(crc32.Checksum(h[8:], table), table, body)
@@ -34,28 +34,28 @@
 	return append(append(out, h[:]...), body...)
 }
 
-// packAll lays records one after another; it refuses one that Scan would not read.
-func packAll(group [][]byte, synced int64) (b []byte, err error) {
+// encodeRecords lays records one after another; it refuses one that Scan would not read.
+func encodeRecords(group [][]byte, synced int64) (b []byte, err error) {
 	for _, r := range group {
-		if len(r) == 0 || len(r) > MaxLen {
+		if len(r) == 0 || len(r) > MaxRecordSize {
 			return nil, apierror.New(apierror.Unusable, "record", fmt.Sprintf("%d bytes are no record", len(r)))
 		}
-		b = Pack(b, r, synced)
+		b = AppendRecord(b, r, synced)
 	}
 	return b, nil
 }
 
-// take reads the record at the start of b; ok is false when it is not whole.
-func take(b []byte) (body []byte, synced int64, ok bool) {
-	if len(b) < head {
+// decodeRecord reads the record at the start of b; ok is false when it is not whole.
+func decodeRecord(b []byte) (body []byte, synced int64, ok bool) {
+	if len(b) < headerSize {
 		return nil, 0, false
 	}
 	n := int(binary.BigEndian.Uint32(b[0:]))
-	if n == 0 || n > MaxLen || len(b) < head+n {
+	if n == 0 || n > MaxRecordSize || len(b) < headerSize+n {
 		return nil, 0, false
 	}
-	body = b[head : head+n]
-	sum := crc32.Update(crc32.Checksum(b[8:head], table), table, body)
+	body = b[headerSize : headerSize+n]
+	sum := crc32.Update(crc32.Checksum(b[8:headerSize], table), table, body)
 	if sum != binary.BigEndian.Uint32(b[4:]) {
 		return nil, 0, false
 	}
@@ -64,20 +64,20 @@
 
 // Scan reads all records of a file. keep is the length that stays; bytes past
 // it are a torn tail. Damage before a point once synced is an error.
-func Scan(b []byte) (list [][]byte, keep int64, err error) {
+func Scan(b []byte) (records [][]byte, validLength int64, err error) {
 	at := 0
 	for at < len(b) {
-		body, _, ok := take(b[at:])
+		body, _, ok := decodeRecord(b[at:])
 		if !ok {
 			break
 		}
-		list = append(list, body)
-		at += head + len(body)
+		records = append(records, body)
+		at += headerSize + len(body)
 	}
 	for p := at + 1; p < len(b); p++ {
-		if _, synced, ok := take(b[p:]); ok && synced > int64(at) {
+		if _, synced, ok := decodeRecord(b[p:]); ok && synced > int64(at) {
 			return nil, 0, apierror.New(apierror.Unusable, "log", "a record that was once synced is damaged; the file is refused")
 		}
 	}
-	return list, int64(at), nil
+	return records, int64(at), nil
 }
--- a/internal/wal/storage.go
+++ b/internal/wal/storage.go
@@ -23,19 +23,19 @@
 	Close() error
 }
 
-// Disk is the operating system's file system.
-type Disk struct{}
+// OSStorage is the operating system's file system.
+type OSStorage struct{}
 
-func (Disk) MakeDir(dir string) error             { return os.MkdirAll(dir, 0o700) }
-func (Disk) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
-func (Disk) Rename(from, to string) error         { return os.Rename(from, to) }
-func (Disk) Remove(path string) error             { return os.Remove(path) }
+func (OSStorage) MakeDir(dir string) error             { return os.MkdirAll(dir, 0o700) }
+func (OSStorage) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
+func (OSStorage) Rename(from, to string) error         { return os.Rename(from, to) }
+func (OSStorage) Remove(path string) error             { return os.Remove(path) }
 
-func (Disk) OpenFile(path string) (Handle, error) {
+func (OSStorage) OpenFile(path string) (Handle, error) {
 	return os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 }
 
-func (Disk) SyncDir(dir string) error {
+func (OSStorage) SyncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
 		return err
--- a/internal/wal/waltest/handle.go
+++ b/internal/wal/waltest/handle.go
@@ -8,26 +8,26 @@
 
 // handle is an open file.
 type handle struct {
-	s    *Storage
-	f    *file
-	path string
+	storage *Storage
+	file    *file
+	path    string
 }
 
 // WriteAt writes as much as a fault and the capacity let it.
 func (h *handle) WriteAt(b []byte, offset int64) (int, error) {
-	h.s.mu.Lock()
-	defer h.s.mu.Unlock()
+	h.storage.mu.Lock()
+	defer h.storage.mu.Unlock()
 	n, err := len(b), error(nil)
-	if f := h.s.fault(Write, h.path); f != nil {
+	if f := h.storage.fault(Write, h.path); f != nil {
 		n, err = min(n, f.Written), f.Err
 	}
-	if room := h.s.capacity - h.s.used() + len(h.f.content) - int(offset); h.s.capacity > 0 && n > room {
+	if room := h.storage.capacity - h.storage.used() + len(h.file.content) - int(offset); h.storage.capacity > 0 && n > room {
 		n, err = max(room, 0), syscall.ENOSPC
 	}
 	if n > 0 {
 		c := change{int(offset), slices.Clone(b[:n])}
-		h.f.content = apply(h.f.content, c)
-		h.f.dirty = append(h.f.dirty, c)
+		h.file.content = apply(h.file.content, c)
+		h.file.dirty = append(h.file.dirty, c)
 	}
 	if err != nil {
 		err = &fs.PathError{Op: "write", Path: h.path, Err: err}
@@ -37,30 +37,30 @@
 
 // Truncate sets the length.
 func (h *handle) Truncate(size int64) error {
-	return h.s.do(Truncate, h.path, func() {
+	return h.storage.do(Truncate, h.path, func() {
 		c := change{offset: int(size)}
-		h.f.content = apply(h.f.content, c)
-		h.f.dirty = append(h.f.dirty, c)
+		h.file.content = apply(h.file.content, c)
+		h.file.dirty = append(h.file.dirty, c)
 	})
 }
 
 // Sync makes all writes durable. When it fails, each of them may have got there,
 // and a later sync doesn't cover them: the cache holds them as written.
 func (h *handle) Sync() error {
-	h.s.mu.Lock()
-	defer h.s.mu.Unlock()
-	fault := h.s.fault(Sync, h.path)
-	for _, c := range h.f.dirty {
+	h.storage.mu.Lock()
+	defer h.storage.mu.Unlock()
+	fault := h.storage.fault(Sync, h.path)
+	for _, c := range h.file.dirty {
 		if fault != nil {
-			c = c.maybe(h.s.rnd)
+			c = c.partial(h.storage.rnd)
 		}
-		h.f.disk = apply(h.f.disk, c)
+		h.file.onDisk = apply(h.file.onDisk, c)
 	}
-	h.f.dirty = nil
+	h.file.dirty = nil
 	if fault != nil {
 		return &fs.PathError{Op: "sync", Path: h.path, Err: fault.Err}
 	}
-	h.s.keepName(h.f)
+	h.storage.keepName(h.file)
 	return nil
 }
 
--- a/internal/wal/waltest/storage.go
+++ b/internal/wal/waltest/storage.go
@@ -40,19 +40,19 @@
 	// once other goroutines use the storage.
 	Fail func(op Op, path string) *Fault
 
-	mu       sync.Mutex
-	capacity int // bytes that all files may hold; 0 is no bound
-	rnd      *rand.Rand
-	names    map[string]*file
-	durable  map[string]*file // after a loss of power, but for what renames may do
-	pending  []func()         // changes of names that a synced directory makes durable
-	count    map[Op]int
+	mu            sync.Mutex
+	capacity      int // bytes that all files may hold; 0 is no bound
+	rnd           *rand.Rand
+	names         map[string]*file
+	durable       map[string]*file // after a loss of power, but for what renames may do
+	unsyncedNames []func()         // changes of names that a synced directory makes durable
+	calls         map[Op]int
 }
 
 // file is its content, and what of it survives a loss of power.
 type file struct {
 	content []byte
-	disk    []byte
+	onDisk  []byte
 	dirty   []change // not synced yet; a failed sync forgets them
 }
 
@@ -64,7 +64,7 @@
 
 // New makes an empty file system.
 func New(seed int64) *Storage {
-	return &Storage{rnd: rand.New(rand.NewSource(seed)), names: map[string]*file{}, durable: map[string]*file{}, count: map[Op]int{}}
+	return &Storage{rnd: rand.New(rand.NewSource(seed)), names: map[string]*file{}, durable: map[string]*file{}, calls: map[Op]int{}}
 }
 
 // SetFail changes what fails from now on.
@@ -85,11 +85,11 @@
 func (s *Storage) Count(op Op) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.count[op]
+	return s.calls[op]
 }
 
-// Refuse makes the named operations fail with an error.
-func Refuse(err error, ops ...Op) func(Op, string) *Fault {
+// FailWith makes the named operations fail with an error.
+func FailWith(err error, ops ...Op) func(Op, string) *Fault {
 	return func(op Op, _ string) *Fault {
 		if slices.Contains(ops, op) {
 			return &Fault{Err: err}
@@ -100,7 +100,7 @@
 
 // fault asks whether an operation fails.
 func (s *Storage) fault(op Op, path string) *Fault {
-	s.count[op]++
+	s.calls[op]++
 	if s.Fail == nil {
 		return nil
 	}
@@ -144,7 +144,7 @@
 	err := s.do(op, path, func() {
 		if op == Create {
 			s.names[path] = f
-			s.pending = append(s.pending, func() { s.durable[path] = f })
+			s.unsyncedNames = append(s.unsyncedNames, func() { s.durable[path] = f })
 		}
 	})
 	return &handle{s, f, path}, err
@@ -156,7 +156,7 @@
 		f := s.names[from]
 		delete(s.names, from)
 		s.names[to] = f
-		s.pending = append(s.pending, func() {
+		s.unsyncedNames = append(s.unsyncedNames, func() {
 			delete(s.durable, from)
 			s.durable[to] = f
 		})
@@ -167,17 +167,17 @@
 func (s *Storage) Remove(path string) error {
 	return s.do(Remove, path, func() {
 		delete(s.names, path)
-		s.pending = append(s.pending, func() { delete(s.durable, path) })
+		s.unsyncedNames = append(s.unsyncedNames, func() { delete(s.durable, path) })
 	})
 }
 
 // SyncDir makes names durable.
 func (s *Storage) SyncDir(dir string) error {
 	return s.do(SyncDir, dir, func() {
-		for _, apply := range s.pending {
+		for _, apply := range s.unsyncedNames {
 			apply()
 		}
-		s.pending = nil
+		s.unsyncedNames = nil
 	})
 }
 
@@ -198,23 +198,23 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	after := New(s.rnd.Int63())
-	for _, apply := range s.pending {
+	for _, apply := range s.unsyncedNames {
 		if s.rnd.Intn(2) == 0 {
 			apply()
 		}
 	}
 	for path, f := range s.durable {
 		for _, c := range f.dirty {
-			f.disk = apply(f.disk, c.maybe(s.rnd))
+			f.onDisk = apply(f.onDisk, c.partial(s.rnd))
 		}
-		kept := &file{content: slices.Clone(f.disk), disk: slices.Clone(f.disk)}
+		kept := &file{content: slices.Clone(f.onDisk), onDisk: slices.Clone(f.onDisk)}
 		after.names[path], after.durable[path] = kept, kept
 	}
 	return after
 }
 
-// maybe gives a change, a part of it, or one that does nothing.
-func (c change) maybe(rnd *rand.Rand) change {
+// partial gives a change, a part of it, or one that does nothing.
+func (c change) partial(rnd *rand.Rand) change {
 	switch {
 	case rnd.Intn(3) == 0:
 		return change{bytes: []byte{}}
--- a/internal/wire/class.go
+++ b/internal/wire/class.go
@@ -9,67 +9,67 @@
 
 // The classes, most urgent first.
 const (
-	Consensus     Class = iota // votes, heartbeats, entries, disk completions
-	Configuration              // questions after the table in force, and their answers
-	Leases                     // health and permissions to run
-	Reports                    // ends of attempts, and answers to what was handed over
-	Operators                  // what operators ask
-	Callers                    // what callers ask
-	Background                 // whatever no class is known of
-	Classes                    // how many there are
+	ClassConsensus     Class = iota // votes, heartbeats, entries, disk completions
+	ClassConfiguration              // questions after the table in force, and their answers
+	ClassLeases                     // health and permissions to run
+	ClassReports                    // ends of attempts, and answers to what was handed over
+	ClassOperators                  // what operators ask
+	ClassCallers                    // what callers ask
+	ClassBackground                 // whatever no class is known of
+	NumClasses                      // how many there are
 )
 
-var classNames = [Classes]string{"consensus", "configuration", "leases", "reports", "operators", "callers", "background"}
+var classNames = [NumClasses]string{"consensus", "configuration", "leases", "reports", "operators", "callers", "background"}
 
 // String returns the class's name in lower case.
 func (c Class) String() string { return classNames[c] }
 
 // messageClasses gives the class of each kind of message.
 var messageClasses = map[string]Class{
-	Bootstrap: Consensus, JoinRequest: Consensus, RequestVote: Consensus, VoteReply: Consensus, AppendEntries: Consensus, AppendReply: Consensus,
-	InstallSnapshot: Consensus, TimeoutNow: Consensus, Removed: Consensus,
-	News: Configuration, Told: Configuration,
-	Hello: Leases, Beat: Leases, Beaten: Leases, AskRun: Leases, Account: Leases, Query: Leases, Queried: Leases,
-	Order: Leases, Ordered: Leases, Stop: Leases, Quit: Leases,
-	Status: Reports, Settled: Reports, Reply: Reports,
-	Call: Callers,
+	Bootstrap: ClassConsensus, JoinRequest: ClassConsensus, RequestVote: ClassConsensus, VoteReply: ClassConsensus, AppendEntries: ClassConsensus, AppendReply: ClassConsensus,
+	InstallSnapshot: ClassConsensus, TimeoutNow: ClassConsensus, Removed: ClassConsensus,
+	ConfigWatch: ClassConfiguration, ConfigWatchReply: ClassConfiguration,
+	Hello: ClassLeases, Heartbeat: ClassLeases, HeartbeatReply: ClassLeases, RunningTasksQuery: ClassLeases, RunningTasksReply: ClassLeases, NotRunningQuery: ClassLeases, NotRunningReply: ClassLeases,
+	RunTask: ClassLeases, RunTaskReply: ClassLeases, KillTask: ClassLeases, ReplaceInstance: ClassLeases,
+	StatusReport: ClassReports, StatusAck: ClassReports, ForwardReply: ClassReports,
+	ForwardRequest: ClassCallers,
 }
 
 // verbClasses gives the class of each verb that isn't an operator's.
 var verbClasses = map[string]Class{
-	"job.put": Callers, "job.get": Callers, "job.cancel": Callers, "queue.count": Callers,
-	"poll": Leases, "beat": Leases, "leave": Leases,
+	"job.put": ClassCallers, "job.get": ClassCallers, "job.cancel": ClassCallers, "queue.count": ClassCallers,
+	"poll": ClassLeases, "beat": ClassLeases, "leave": ClassLeases,
 }
 
-// ClassOf is the class of a kind of message.
-func ClassOf(kind string) Class {
+// ClassOfKind is the class of a kind of message.
+func ClassOfKind(kind string) Class {
 	if c, ok := messageClasses[kind]; ok {
 		return c
 	}
-	return Background
+	return ClassBackground
 }
 
-// VerbClass is the class of a request's verb.
-func VerbClass(verb string) Class {
+// ClassOfVerb is the class of a request's verb.
+func ClassOfVerb(verb string) Class {
 	if c, ok := verbClasses[verb]; ok {
 		return c
 	}
-	return Operators
+	return ClassOperators
 }
 
 // Class is the class of an event.
 func (e Event) Class() Class {
 	switch {
 	case e.Message != nil:
-		return ClassOf(e.Message.Kind)
-	case e.Ask != nil:
-		return VerbClass(e.Ask.Verb)
-	case e.Reply != nil:
-		return Leases
+		return ClassOfKind(e.Message.Kind)
+	case e.Request != nil:
+		return ClassOfVerb(e.Request.Verb)
+	case e.WorkerReply != nil:
+		return ClassLeases
 	}
-	return Consensus
+	return ClassConsensus
 }
 
-// Enters tells whether a verb brings new work in. Only that is refused when a loop
+// SubmitsWork tells whether a verb brings new work in. Only that is refused when a loop
 // falls behind: reads, cancels and what operators ask are served as long as they can.
-func Enters(verb string) bool { return verb == "job.put" || verb == "queue.count" }
+func SubmitsWork(verb string) bool { return verb == "job.put" || verb == "queue.count" }
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -13,15 +13,15 @@
 	"github.com/go-faster/jx"
 )
 
-// SelfReading is a body that reads itself.
-type SelfReading interface {
+// BodyDecoder is a body that reads itself.
+type BodyDecoder interface {
 	DecodeJSON(*jx.Decoder) error
 }
 
-// Read decodes the body as a type, and reports whether it is one.
-func Read[T any](message Message) (body T, ok bool) {
-	if own, is := any(&body).(SelfReading); is {
-		return body, decodeWhole(own, message.Body) == nil
+// DecodeBody decodes the body as a type, and reports whether it is one.
+func DecodeBody[T any](message Message) (body T, ok bool) {
+	if own, is := any(&body).(BodyDecoder); is {
+		return body, decodeComplete(own, message.Body) == nil
 	}
 	err := json.Unmarshal(message.Body, &body)
 	return body, err == nil
@@ -29,7 +29,7 @@
 
 var errTrailingBody = errors.New("something stands behind the body")
 
-func decodeWhole(t SelfReading, body []byte) error {
+func decodeComplete(t BodyDecoder, body []byte) error {
 	d := jx.GetDecoder()
 	defer jx.PutDecoder(d)
 	d.ResetBytes(body)
@@ -42,14 +42,14 @@
 	return nil
 }
 
-// Object reads an object; field reads the value of a key, or gives false for a key that
+// DecodeObject reads an object; field reads the value of a key, or gives false for a key that
 // it does not know.
-func Object(d *jx.Decoder, field func(key string) (known bool, err error)) error {
-	if null(d) {
+func DecodeObject(d *jx.Decoder, decodeField func(key string) (known bool, err error)) error {
+	if nextIsNull(d) {
 		return d.Null()
 	}
 	return d.ObjBytes(func(d *jx.Decoder, key []byte) error {
-		known, err := field(string(key))
+		known, err := decodeField(string(key))
 		if err == nil && !known {
 			return d.Skip()
 		}
@@ -57,9 +57,9 @@
 	})
 }
 
-// List reads a list of what one reads.
-func List[T any](d *jx.Decoder, list *[]T, one func(*T) error) error {
-	if null(d) {
+// DecodeList reads a list of what one reads.
+func DecodeList[T any](d *jx.Decoder, list *[]T, one func(*T) error) error {
+	if nextIsNull(d) {
 		*list = nil
 		return d.Null()
 	}
@@ -72,9 +72,9 @@
 	})
 }
 
-// Text reads a string.
-func Text[T ~string](d *jx.Decoder, to *T) error {
-	if null(d) {
+// DecodeString reads a string.
+func DecodeString[T ~string](d *jx.Decoder, to *T) error {
+	if nextIsNull(d) {
 		return d.Null()
 	}
 	s, err := d.Str()
@@ -85,9 +85,9 @@
 	return err
 }
 
-// Number reads a signed number.
-func Number[T ~int | ~int64](d *jx.Decoder, to *T) error {
-	if null(d) {
+// DecodeInt reads a signed number.
+func DecodeInt[T ~int | ~int64](d *jx.Decoder, to *T) error {
+	if nextIsNull(d) {
 		return d.Null()
 	}
 	n, err := d.Int64()
@@ -95,9 +95,9 @@
 	return err
 }
 
-// Count reads an unsigned number.
-func Count[T ~uint64](d *jx.Decoder, to *T) error {
-	if null(d) {
+// DecodeUint reads an unsigned number.
+func DecodeUint[T ~uint64](d *jx.Decoder, to *T) error {
+	if nextIsNull(d) {
 		return d.Null()
 	}
 	n, err := d.UInt64()
@@ -105,13 +105,13 @@
 	return err
 }
 
-// Flag reads true or false.
-func Flag(d *jx.Decoder, to *bool) (err error) {
-	if null(d) {
+// DecodeBool reads true or false.
+func DecodeBool(d *jx.Decoder, to *bool) (err error) {
+	if nextIsNull(d) {
 		return d.Null()
 	}
 	*to, err = d.Bool()
 	return err
 }
 
-func null(d *jx.Decoder) bool { return d.Next() == jx.Null }
+func nextIsNull(d *jx.Decoder) bool { return d.Next() == jx.Null }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -11,7 +11,7 @@
 	"github.com/go-faster/jx"
 )
 
-var errTrailing = errors.New("something stands behind the list of messages")
+var errTrailingList = errors.New("something stands behind the list of messages")
 
 // EncodeMessages writes a list as peers exchange it.
 func EncodeMessages(list []Message) []byte {
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	if err := d.Skip(); !errors.Is(err, io.EOF) {
-		return nil, errTrailing
+		return nil, errTrailingList
 	}
 	return list, nil
 }
@@ -69,9 +69,9 @@
 	return d.ObjBytes(func(d *jx.Decoder, key []byte) (err error) {
 		switch string(key) {
 		case "from":
-			err = Text(d, &m.From)
+			err = DecodeString(d, &m.From)
 		case "kind":
-			err = Text(d, &m.Kind)
+			err = DecodeString(d, &m.Kind)
 		case "body":
 			var raw jx.Raw
 			raw, err = d.Raw()
--- a/internal/wire/encode_test.go
+++ b/internal/wire/encode_test.go
@@ -14,7 +14,7 @@
 // escapes, and bodies that are missing.
 func randomMessages(r *rand.Rand) (list []Message) {
 	bodies := []string{`{}`, `null`, `[1,2,{"a":"<\u00e9\"}"}]`, `{"deep":{"er":[[],[{}]]},"n":-1.5e3}`, `"text"`, `true`}
-	names := []string{"", Beat, `quote"d`, "tab\t", "é", `back\slash`, "<&>"}
+	names := []string{"", Heartbeat, `quote"d`, "tab\t", "é", `back\slash`, "<&>"}
 	for range 1 + r.Intn(4) {
 		m := Message{From: types.Addr(names[r.Intn(len(names))]), Kind: names[r.Intn(len(names))]}
 		if r.Intn(5) > 0 {
@@ -28,7 +28,7 @@
 // What is written reads back by the standard library as what went in, and what the
 // standard library writes is read as it reads it: daemons of earlier versions write
 // and read so.
-func TestMessagesAreThoseOfTheStandardEncoding(t *testing.T) {
+func TestMessagesMatchStandardEncoding(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewSource(1))
 	for range 2000 {
@@ -53,7 +53,7 @@
 }
 
 // Unknown fields are let pass; fields may come in any order.
-func TestMessagesOfLaterVersionsAreRead(t *testing.T) {
+func TestMessagesOfLaterVersionsAreDecoded(t *testing.T) {
 	is := is.New(t)
 	list, err := DecodeMessages([]byte(` [ {"trace":{"a":[1]},"body":{"x":1},"kind":"beat","from":"a:1"} ] `))
 	is.NoErr(err)
@@ -62,7 +62,7 @@
 
 // What is cut short, goes on, or is spoilt is refused whole, as the standard library
 // refuses it.
-func TestSpoiltMessagesAreRefused(t *testing.T) {
+func TestCorruptMessagesAreRejected(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewSource(2))
 	for range 2000 {
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -65,9 +65,9 @@
 
 // The bodies that belong to this package.
 func TestMessagesGolden(t *testing.T) {
-	goldentest.Message[wire.CallBody](t, wire.Call)
-	goldentest.Message[wire.ReplyBody](t, wire.Reply)
-	goldentest.JSON[wire.WorkerBeat](t, "worker-beat.json")
+	goldentest.Message[wire.ForwardedRequest](t, wire.ForwardRequest)
+	goldentest.Message[wire.ForwardedReply](t, wire.ForwardReply)
+	goldentest.JSON[wire.WorkerHeartbeat](t, "worker-beat.json")
 	goldentest.JSON[wire.Message](t, "message.json")
 }
 
@@ -88,7 +88,7 @@
 func TestClassesGolden(t *testing.T) {
 	var lines strings.Builder
 	for _, text := range append(constants(t), "job.put", "job.get", "job.cancel", "queue.count", "poll", "beat", "leave", "table.put", "other") {
-		lines.WriteString(text + ": message " + wire.ClassOf(text).String() + ", verb " + wire.VerbClass(text).String() + ", new work " + strconv.FormatBool(wire.Enters(text)) + "\n")
+		lines.WriteString(text + ": message " + wire.ClassOfKind(text).String() + ", verb " + wire.ClassOfVerb(text).String() + ", new work " + strconv.FormatBool(wire.SubmitsWork(text)) + "\n")
 	}
 	goldentest.File(t, "classes.txt", []byte(lines.String()))
 }
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -20,27 +20,27 @@
 	Body json.RawMessage `json:"body"`
 }
 
-// Send is a message and its destination.
-type Send struct {
+// OutboundMessage is a message and its destination.
+type OutboundMessage struct {
 	To      types.Addr
 	Message Message
 }
 
-// Make builds a message to be sent. A body that JSON can't hold is a programming
+// NewMessage builds a message to be sent. A body that JSON can't hold is a programming
 // error and panics.
-func Make(from, to types.Addr, kind string, body any) Send {
+func NewMessage(from, to types.Addr, kind string, body any) OutboundMessage {
 	b, err := json.Marshal(body)
 	if err != nil {
 		panic(err)
 	}
-	return Send{To: to, Message: Message{From: from, Kind: kind, Body: b}}
+	return OutboundMessage{To: to, Message: Message{From: from, Kind: kind, Body: b}}
 }
 
-// On makes a message handler out of a machine's method for one type of body. A
+// HandlerFor makes a message handler out of a machine's method for one type of body. A
 // message with another body is dropped.
-func On[M, T any](method func(*M, types.Addr, T)) func(*M, Message) {
+func HandlerFor[M, T any](method func(*M, types.Addr, T)) func(*M, Message) {
 	return func(machine *M, message Message) {
-		if body, ok := Read[T](message); ok {
+		if body, ok := DecodeBody[T](message); ok {
 			method(machine, message.From, body)
 		}
 	}
@@ -49,30 +49,30 @@
 // The kinds of message, each with the package that handles it. Those of dispatch
 // name the call of the paper that they carry.
 const (
-	Hello           = "hello"   // membership: who is there
-	Bootstrap       = "found"   // raft: bootstrap of a cluster
-	JoinRequest     = "join"    // raft: a new member asks to join
-	RequestVote     = "ballot"  // raft: RequestVote
-	VoteReply       = "vote"    // raft: its reply
-	AppendEntries   = "append"  // raft: AppendEntries, with entries or none
-	AppendReply     = "taken"   // raft: its reply
-	InstallSnapshot = "snap"    // raft: InstallSnapshot, one part
-	TimeoutNow      = "heir"    // raft: leadership transfer, to its target
-	Removed         = "gone"    // raft: tells a member that it was removed
-	Beat            = "beat"    // dispatch: processHeartbeat
-	Beaten          = "beaten"  // dispatch: its reply
-	AskRun          = "ask"     // dispatch: getRunningTasks
-	Account         = "account" // dispatch: its reply
-	Order           = "order"   // dispatch: runTask
-	Ordered         = "ordered" // dispatch: its reply
-	Query           = "query"   // dispatch: notifyIfTasksNotRunning
-	Queried         = "queried" // dispatch: its reply
-	Status          = "status"  // dispatch: updateStatus
-	Settled         = "settled" // dispatch: its reply, once committed
-	Stop            = "stop"    // dispatch: killTask
-	Quit            = "quit"    // dispatch: requestSuicide, for one instance
-	Call            = "call"    // gateway: forwards a caller's request
-	Reply           = "reply"   // controller: its reply
-	News            = "news"    // configwatch: asks for changes after a version
-	Told            = "told"    // configwatch: its reply
+	Hello             = "hello"   // membership: who is there
+	Bootstrap         = "found"   // raft: bootstrap of a cluster
+	JoinRequest       = "join"    // raft: a new member asks to join
+	RequestVote       = "ballot"  // raft: RequestVote
+	VoteReply         = "vote"    // raft: its reply
+	AppendEntries     = "append"  // raft: AppendEntries, with entries or none
+	AppendReply       = "taken"   // raft: its reply
+	InstallSnapshot   = "snap"    // raft: InstallSnapshot, one part
+	TimeoutNow        = "heir"    // raft: leadership transfer, to its target
+	Removed           = "gone"    // raft: tells a member that it was removed
+	Heartbeat         = "beat"    // dispatch: processHeartbeat
+	HeartbeatReply    = "beaten"  // dispatch: its reply
+	RunningTasksQuery = "ask"     // dispatch: getRunningTasks
+	RunningTasksReply = "account" // dispatch: its reply
+	RunTask           = "order"   // dispatch: runTask
+	RunTaskReply      = "ordered" // dispatch: its reply
+	NotRunningQuery   = "query"   // dispatch: notifyIfTasksNotRunning
+	NotRunningReply   = "queried" // dispatch: its reply
+	StatusReport      = "status"  // dispatch: updateStatus
+	StatusAck         = "settled" // dispatch: its reply, once committed
+	KillTask          = "stop"    // dispatch: killTask
+	ReplaceInstance   = "quit"    // dispatch: requestSuicide, for one instance
+	ForwardRequest    = "call"    // gateway: forwards a caller's request
+	ForwardReply      = "reply"   // controller: its reply
+	ConfigWatch       = "news"    // configwatch: asks for changes after a version
+	ConfigWatchReply  = "told"    // configwatch: its reply
 )
--- a/internal/workqueue/workqueue.go
+++ b/internal/workqueue/workqueue.go
@@ -12,54 +12,54 @@
 	"coppercourse/internal/wire"
 )
 
-// limit bounds one class: how many events may wait, and how many events of higher
+// classLimit bounds one class: how many events may wait, and how many events of higher
 // classes may go before its oldest. 0 is for the highest class, which waits for none.
-type limit struct{ depth, passes int }
-
-var limits = [wire.Classes]limit{
-	wire.Consensus:     {8192, 0},
-	wire.Configuration: {1024, 8},
-	wire.Leases:        {8192, 8},
-	wire.Reports:       {8192, 12},
-	wire.Operators:     {256, 16},
-	wire.Callers:       {1024, 24},
-	wire.Background:    {1024, 48},
+type classLimit struct{ maxLen, maxPassed int }
+
+var limits = [wire.NumClasses]classLimit{
+	wire.ClassConsensus:     {8192, 0},
+	wire.ClassConfiguration: {1024, 8},
+	wire.ClassLeases:        {8192, 8},
+	wire.ClassReports:       {8192, 12},
+	wire.ClassOperators:     {256, 16},
+	wire.ClassCallers:       {1024, 24},
+	wire.ClassBackground:    {1024, 48},
 }
 
-// ControlClasses are those that keep the rules; the rest serves.
-const ControlClasses = wire.Reports
+// LastControlClass are those that keep the rules; the rest serves.
+const LastControlClass = wire.ClassReports
 
 // Queue holds what waits.
 type Queue[T any] struct {
-	lines   [wire.Classes]line[T]
-	size    int
-	Refused [wire.Classes]uint64 // for want of room
+	classes  [wire.NumClasses]classQueue[T]
+	size     int
+	Rejected [wire.NumClasses]uint64 // for want of room
 }
 
-type line[T any] struct {
+type classQueue[T any] struct {
 	entries []entry[T]
 	passed  int // events of higher classes since this one was served or was empty
 }
 
 type entry[T any] struct {
-	at   types.MonoTime
-	item T
+	queuedAt types.MonoTime
+	item     T
 }
 
 // Push adds an event to its class; false, and counted, where that is full.
 func (q *Queue[T]) Push(class wire.Class, now types.MonoTime, item T) bool {
-	if len(q.lines[class].entries) >= limits[class].depth {
-		q.Refused[class]++
+	if len(q.classes[class].entries) >= limits[class].maxLen {
+		q.Rejected[class]++
 		return false
 	}
-	q.Force(class, now, item)
+	q.PushAlways(class, now, item)
 	return true
 }
 
-// Force adds an event that can't be refused: how many there are is bounded by
+// PushAlways adds an event that can't be refused: how many there are is bounded by
 // what the machine itself has asked for.
-func (q *Queue[T]) Force(class wire.Class, now types.MonoTime, item T) {
-	l := &q.lines[class]
+func (q *Queue[T]) PushAlways(class wire.Class, now types.MonoTime, item T) {
+	l := &q.classes[class]
 	l.entries = append(l.entries, entry[T]{now, item})
 	q.size++
 }
@@ -70,36 +70,36 @@
 		return
 	}
 	class = q.next()
-	e := q.take(class)
-	for c := class + 1; c < wire.Classes; c++ {
-		if len(q.lines[c].entries) > 0 {
-			q.lines[c].passed++
+	e := q.popFrom(class)
+	for c := class + 1; c < wire.NumClasses; c++ {
+		if len(q.classes[c].entries) > 0 {
+			q.classes[c].passed++
 		}
 	}
-	return e.item, class, e.at, true
+	return e.item, class, e.queuedAt, true
 }
 
 // next is the class to serve: the highest that has been passed over too often, or
 // else the highest.
 func (q *Queue[T]) next() wire.Class {
-	first := wire.Classes
-	for c := range wire.Classes {
-		l := &q.lines[c]
+	first := wire.NumClasses
+	for c := range wire.NumClasses {
+		l := &q.classes[c]
 		if len(l.entries) == 0 {
 			continue
 		}
-		if first == wire.Classes {
+		if first == wire.NumClasses {
 			first = c
 		}
-		if passes := limits[c].passes; passes > 0 && l.passed >= passes {
+		if passes := limits[c].maxPassed; passes > 0 && l.passed >= passes {
 			return c
 		}
 	}
 	return first
 }
 
-func (q *Queue[T]) take(class wire.Class) entry[T] {
-	l := &q.lines[class]
+func (q *Queue[T]) popFrom(class wire.Class) entry[T] {
+	l := &q.classes[class]
 	e := l.entries[0]
 	l.entries[0] = entry[T]{}
 	l.passed = 0
@@ -112,14 +112,14 @@
 
 // Expire takes out the oldest events of a class that have waited for longer than
 // their patience, up to the first that has not; 0 is for what waits for ever.
-func (q *Queue[T]) Expire(class wire.Class, now types.MonoTime, patience func(T) time.Duration) (list []T) {
-	l := &q.lines[class]
+func (q *Queue[T]) Expire(class wire.Class, now types.MonoTime, maxWait func(T) time.Duration) (list []T) {
+	l := &q.classes[class]
 	for len(l.entries) > 0 {
-		longest := patience(l.entries[0].item)
-		if longest == 0 || now.Sub(l.entries[0].at) <= longest {
+		longest := maxWait(l.entries[0].item)
+		if longest == 0 || now.Sub(l.entries[0].queuedAt) <= longest {
 			break
 		}
-		list = append(list, q.take(class).item)
+		list = append(list, q.popFrom(class).item)
 	}
 	return
 }
@@ -127,14 +127,14 @@
 // Len is how many events wait.
 func (q *Queue[T]) Len() int { return q.size }
 
-// Waits is how many of a class wait.
-func (q *Queue[T]) Waits(class wire.Class) int { return len(q.lines[class].entries) }
+// LenOf is how many of a class wait.
+func (q *Queue[T]) LenOf(class wire.Class) int { return len(q.classes[class].entries) }
 
 // Age is how long the oldest event of the classes from one to another has waited.
 func (q *Queue[T]) Age(now types.MonoTime, from, to wire.Class) (oldest time.Duration) {
 	for c := from; c <= to; c++ {
-		if l := q.lines[c].entries; len(l) > 0 {
-			oldest = max(oldest, now.Sub(l[0].at))
+		if l := q.classes[c].entries; len(l) > 0 {
+			oldest = max(oldest, now.Sub(l[0].queuedAt))
 		}
 	}
 	return
@@ -142,13 +142,13 @@
 
 // Load measures how far the loop is behind, for the event that it has just taken.
 func (q *Queue[T]) Load(now types.MonoTime, class wire.Class, at types.MonoTime) wire.Load {
-	load := wire.Load{Age: now.Sub(at), Waiting: q.size > 0,
-		Control: q.Age(now, 0, ControlClasses), Callers: q.Age(now, wire.Operators, wire.Callers)}
+	load := wire.Load{EventAge: now.Sub(at), MoreWaiting: q.size > 0,
+		ControlAge: q.Age(now, 0, LastControlClass), CallerAge: q.Age(now, wire.ClassOperators, wire.ClassCallers)}
 	switch {
-	case class <= ControlClasses:
-		load.Control = max(load.Control, load.Age)
-	case class <= wire.Callers:
-		load.Callers = max(load.Callers, load.Age)
+	case class <= LastControlClass:
+		load.ControlAge = max(load.ControlAge, load.EventAge)
+	case class <= wire.ClassCallers:
+		load.CallerAge = max(load.CallerAge, load.EventAge)
 	}
 	return load
 }
--- a/sim/attempt.go
+++ b/sim/attempt.go
@@ -39,7 +39,7 @@
 // start begins an attempt, whoever sent it.
 func (iw *InvokedWorker) start(c wire.WorkerCall, step *state.Step) {
 	now := iw.time()
-	k := task(c.Work)
+	k := task(c.Input)
 	a := &attempt{w: iw, attempt: c.Attempt, step: step, from: now, at: now, ready: now, work: k.length(c.Attempt.TaskID), fails: math.Inf(1), slow: 1}
 	if step != nil {
 		a.room = step.Resources
@@ -47,8 +47,8 @@
 		switch {
 		case step.AlwaysRestart:
 			a.work, a.fails = math.Inf(1), 1000*iw.rnd.ExpFloat64()*30
-		case step.KeepsCheckpoint && c.Ref != "":
-			a.ref, a.did = c.Ref, iw.environment.saves[c.Ref]
+		case step.KeepsCheckpoint && c.Checkpoint != "":
+			a.ref, a.did = c.Checkpoint, iw.environment.saves[c.Checkpoint]
 			a.kept, a.ready = a.did, now.Add(iw.environment.Restore)
 		}
 	}
@@ -56,7 +56,7 @@
 		a.fails = min(a.fails, a.did+(a.work-a.did)*(0.1+0.9*iw.rnd.Float64()))
 	}
 	iw.runs[c.Attempt] = a
-	iw.say(HistoryEvent{What: Started, Attempt: c.Attempt, Work: c.Work, Ref: c.Ref, Late: iw.late})
+	iw.say(HistoryEvent{What: Started, Attempt: c.Attempt, Work: c.Input, Ref: c.Checkpoint, Late: iw.late})
 	if step != nil && step.Joint {
 		iw.environment.join(a)
 	}
@@ -113,18 +113,18 @@
 		a.on(until)
 		switch {
 		case a.did >= min(a.work, a.fails) && a.fails <= a.work:
-			iw.end(a, wire.Failed)
+			iw.end(a, wire.EndFailed)
 		case a.did >= a.work && a.gang == nil:
-			iw.end(a, wire.Done)
+			iw.end(a, wire.EndSucceeded)
 		case a.did >= a.work && a.gang.works:
 			a.gang.finish()
 		case a.stops > 0 && until >= a.stops:
 			if a.step != nil && a.step.KeepsCheckpoint && a.did > a.kept {
 				a.save(a.did)
 			}
-			iw.end(a, wire.Stopped)
+			iw.end(a, wire.EndStopped)
 		case a.gang != nil && !a.gang.works && until.Sub(a.from) >= iw.environment.Gang:
-			iw.end(a, wire.Lonely)
+			iw.end(a, wire.EndGangStartTimeout)
 		}
 	}
 	if over {
@@ -139,13 +139,13 @@
 	}
 	for _, l := range iw.sorted() {
 		if a := iw.runs[l]; a != nil {
-			iw.end(a, wire.Expired)
+			iw.end(a, wire.EndLeaseExpired)
 		}
 	}
 }
 
 // quit tells an attempt's gang that it has ended.
-func (a *attempt) quit(how wire.How) {
+func (a *attempt) quit(how wire.EndReason) {
 	if a.gang != nil {
 		a.gang.leave(a, how)
 	}
@@ -160,4 +160,4 @@
 	Uneven float64 `json:"uneven,omitempty"` // how much its tasks differ in length
 }
 
-func (w Work) raw() json.RawMessage { return wire.Body(w) }
+func (w Work) raw() json.RawMessage { return wire.EncodeBody(w) }
--- a/sim/check.go
+++ b/sim/check.go
@@ -41,7 +41,7 @@
 	died    int64      // when its worker process ended
 	ice     [][2]int64 // when its worker stood still
 
-	how   wire.How // of one that was called
+	how   wire.EndReason // of one that was called
 	ref   string
 	work  json.RawMessage
 	late  bool
--- a/sim/clients.go
+++ b/sim/clients.go
@@ -64,7 +64,7 @@
 			s.Steps[len(s.Steps)-1].NotBefore = time.Unix(0, due).UTC().Format(time.RFC3339Nano)
 		}
 		c.w.record(HistoryEvent{What: Sent, Job: id, Spec: &s})
-		c.send(id, wire.Body(s), c.pick(c.w.random.Intn(3)), 0)
+		c.send(id, wire.EncodeBody(s), c.pick(c.w.random.Intn(3)), 0)
 		c.flow(f)
 	})
 }
@@ -83,15 +83,15 @@
 			c.cancels[id] = f.Within/3 + time.Duration(c.w.random.Int63n(int64(f.Within)))
 		}
 		c.w.record(HistoryEvent{What: Sent, Job: id, Spec: &s})
-		c.send(id, wire.Body(s), c.pick(c.w.random.Intn(3)), 0)
+		c.send(id, wire.EncodeBody(s), c.pick(c.w.random.Intn(3)), 0)
 		c.stream(f)
 	})
 }
 
 // try asks once; lost is called when no answer came in time.
-func (c *Clients) try(to types.Addr, verb, arg string, body json.RawMessage, got func(wire.Answer), lost func()) {
+func (c *Clients) try(to types.Addr, verb, arg string, body json.RawMessage, got func(wire.Response), lost func()) {
 	over := false
-	c.w.request(c.addr, to, verb, arg, body, func(a wire.Answer) {
+	c.w.request(c.addr, to, verb, arg, body, func(a wire.Response) {
 		if !over {
 			over = true
 			got(a)
@@ -111,9 +111,9 @@
 			c.w.at(d, func() { c.send(id, body, c.any(), n+1) })
 		}
 	}
-	c.try(to, "job.put", string(id), body, func(a wire.Answer) {
+	c.try(to, "job.put", string(id), body, func(a wire.Response) {
 		switch {
-		case a.Fault == nil:
+		case a.Error == nil:
 			c.w.record(HistoryEvent{What: Accepted, Job: id})
 			c.saw(id, a)
 			c.look(id)
@@ -122,21 +122,21 @@
 			} else if c.deployment.WorkerRules == nil && c.w.random.Float64() < c.Cancel {
 				c.w.at(time.Duration(c.w.random.Int63n(int64(3*time.Second))), func() { c.cancel(id, 0) })
 			}
-		case a.Fault.RetryAfterSeconds > 0:
-			c.Count[a.Fault.Kind]++
-			if a.Fault.Kind == apierror.OutcomeUnknown {
+		case a.Error.RetryAfterSeconds > 0:
+			c.Count[a.Error.Kind]++
+			if a.Error.Kind == apierror.OutcomeUnknown {
 				c.w.record(HistoryEvent{What: Unclear, Job: id})
 			} else {
-				c.w.record(HistoryEvent{What: Turned, Job: id, Text: a.Fault.Error()})
+				c.w.record(HistoryEvent{What: Turned, Job: id, Text: a.Error.Error()})
 			}
 			if c.Rude > 0 && c.w.random.Float64() < c.Rude {
 				again(200 * time.Millisecond)
 				return
 			}
-			again(time.Duration(a.Fault.RetryAfterSeconds) * time.Second)
+			again(time.Duration(a.Error.RetryAfterSeconds) * time.Second)
 		default:
-			c.Count[a.Fault.Kind]++
-			c.w.record(HistoryEvent{What: Denied, Job: id, Text: a.Fault.Error()})
+			c.Count[a.Error.Kind]++
+			c.w.record(HistoryEvent{What: Denied, Job: id, Text: a.Error.Error()})
 		}
 	}, func() {
 		c.w.record(HistoryEvent{What: Unclear, Job: id})
@@ -144,7 +144,7 @@
 	})
 }
 
-func (c *Clients) saw(id types.JobID, a wire.Answer) (over bool) {
+func (c *Clients) saw(id types.JobID, a wire.Response) (over bool) {
 	var v controller.JobView
 	if json.Unmarshal(a.Body, &v) != nil {
 		return false
@@ -156,11 +156,11 @@
 // look asks after a job now and then until it has ended.
 func (c *Clients) look(id types.JobID) {
 	c.w.at(500*time.Millisecond+time.Duration(c.w.random.Int63n(int64(2*time.Second))), func() {
-		c.try(c.any(), "job.get", string(id), nil, func(a wire.Answer) {
+		c.try(c.any(), "job.get", string(id), nil, func(a wire.Response) {
 			switch {
-			case a.Fault != nil && a.Fault.Kind == apierror.NoSuchJob:
+			case a.Error != nil && a.Error.Kind == apierror.NoSuchJob:
 				c.w.record(HistoryEvent{What: Missed, Job: id})
-			case a.Fault != nil || !c.saw(id, a):
+			case a.Error != nil || !c.saw(id, a):
 				c.look(id)
 			}
 		}, func() { c.look(id) })
@@ -176,12 +176,12 @@
 			c.w.at(d, func() { c.cancel(id, n+1) })
 		}
 	}
-	c.try(c.any(), "job.cancel", string(id), nil, func(a wire.Answer) {
+	c.try(c.any(), "job.cancel", string(id), nil, func(a wire.Response) {
 		switch {
-		case a.Fault == nil:
+		case a.Error == nil:
 			c.w.record(HistoryEvent{What: Halt, Job: id})
-		case a.Fault.RetryAfterSeconds > 0:
-			again(time.Duration(a.Fault.RetryAfterSeconds) * time.Second)
+		case a.Error.RetryAfterSeconds > 0:
+			again(time.Duration(a.Error.RetryAfterSeconds) * time.Second)
 		}
 	}, func() { again(100 * time.Millisecond) })
 }
@@ -196,16 +196,16 @@
 			c.w.at(d, func() { c.put(t, c.any(), n+1, then) })
 		}
 	}
-	c.try(to, "table.put", "", wire.Body(t), func(a wire.Answer) {
+	c.try(to, "table.put", "", wire.EncodeBody(t), func(a wire.Response) {
 		switch {
-		case a.Fault == nil:
+		case a.Error == nil:
 			got := t.Accepted()
 			c.w.record(HistoryEvent{What: TableAck, Table: &got, Text: fmt.Sprint(t.Version)})
 			then(true)
-		case a.Fault.RetryAfterSeconds > 0:
-			again(time.Duration(a.Fault.RetryAfterSeconds) * time.Second)
+		case a.Error.RetryAfterSeconds > 0:
+			again(time.Duration(a.Error.RetryAfterSeconds) * time.Second)
 		default:
-			c.w.record(HistoryEvent{What: TableNo, Table: &t, Text: a.Fault.Error()})
+			c.w.record(HistoryEvent{What: TableNo, Table: &t, Text: a.Error.Error()})
 			then(false)
 		}
 	}, func() { again(100 * time.Millisecond) })
@@ -221,15 +221,15 @@
 			c.w.at(d, func() { c.order(verb, arg, body, n+1, then) })
 		}
 	}
-	c.try(c.any(), verb, arg, body, func(a wire.Answer) {
+	c.try(c.any(), verb, arg, body, func(a wire.Response) {
 		switch {
-		case a.Fault == nil:
+		case a.Error == nil:
 			if verb == "drain.put" {
 				c.w.record(HistoryEvent{What: Drained, Text: arg})
 			}
 			then()
-		case a.Fault.RetryAfterSeconds > 0:
-			again(time.Duration(a.Fault.RetryAfterSeconds) * time.Second)
+		case a.Error.RetryAfterSeconds > 0:
+			again(time.Duration(a.Error.RetryAfterSeconds) * time.Second)
 		}
 	}, func() { again(100 * time.Millisecond) })
 }
@@ -237,9 +237,9 @@
 // read reads the table and gives it on.
 func (c *Clients) read(then func(config.Table)) {
 	began := c.w.now
-	c.try(c.any(), "table.get", "", nil, func(a wire.Answer) {
+	c.try(c.any(), "table.get", "", nil, func(a wire.Response) {
 		var t config.Table
-		if a.Fault == nil && json.Unmarshal(a.Body, &t) == nil {
+		if a.Error == nil && json.Unmarshal(a.Body, &t) == nil {
 			c.w.record(HistoryEvent{What: TableSaw, Table: &t, Text: fmt.Sprint(began)})
 			if then != nil {
 				then(t)
--- a/sim/core_test.go
+++ b/sim/core_test.go
@@ -194,7 +194,7 @@
 				stays = h
 				continue
 			}
-			h.step(wire.Event{Close: true})
+			h.step(wire.Event{Shutdown: true})
 		}
 		r.Run(9500 * time.Millisecond)
 		for _, h := range r.controllers {
@@ -211,8 +211,8 @@
 	is := is.New(t)
 	r, _ := core(t, 61)
 	r.Run(9 * time.Second)
-	ask := func(verb, id, body string) (a wire.Answer) {
-		r.request(r.Clients.addr, "g2", verb, id, []byte(body), func(b wire.Answer) { a = b })
+	ask := func(verb, id, body string) (a wire.Response) {
+		r.request(r.Clients.addr, "g2", verb, id, []byte(body), func(b wire.Response) { a = b })
 		r.Run(time.Duration(r.now) + 300*time.Millisecond)
 		return
 	}
@@ -244,13 +244,13 @@
 	} {
 		a := ask(c.verb, c.id, c.body)
 		if c.kind == "" {
-			is.True(a.Fault == nil)
-			is.True(a.Code >= 200 && a.Code < 300)
+			is.True(a.Error == nil)
+			is.True(a.StatusCode >= 200 && a.StatusCode < 300)
 			continue
 		}
-		is.True(a.Fault != nil)
-		is.Equal(a.Fault.Kind, c.kind)
-		is.Equal(a.Fault.Field, c.field)
+		is.True(a.Error != nil)
+		is.Equal(a.Error.Kind, c.kind)
+		is.Equal(a.Error.Field, c.field)
 	}
 }
 
@@ -297,7 +297,7 @@
 				s.Steps[0].DelayMillis, s.Steps[0].NotBefore = 0, time.Unix(0, origin+r.now+3e9).UTC().Format(time.RFC3339Nano)
 			}
 			r.record(HistoryEvent{What: Sent, Job: types.JobID(at), Spec: &s})
-			r.Clients.send(types.JobID(at), wire.Body(s), "g1", 0)
+			r.Clients.send(types.JobID(at), wire.EncodeBody(s), "g1", 0)
 		}
 		r.Run(16 * time.Second)
 		clear(r.cut)
--- a/sim/cost_test.go
+++ b/sim/cost_test.go
@@ -22,7 +22,7 @@
 	list []time.Duration
 }
 
-func (t *timed) Step(e wire.Event) wire.Out {
+func (t *timed) Step(e wire.Event) wire.Effects {
 	at := time.Now()
 	out := t.Machine.Step(e)
 	t.list = append(t.list, time.Since(at))
@@ -45,7 +45,7 @@
 			}
 			id := types.JobID(fmt.Sprint("menus-f", i))
 			r.record(HistoryEvent{What: Sent, Job: id, Spec: &s})
-			r.Clients.send(id, wire.Body(s), "g1", 0)
+			r.Clients.send(id, wire.EncodeBody(s), "g1", 0)
 		}
 		r.Run(14 * time.Second)
 		is.Equal(r.Clients.Count["queue_full"], 0)
--- a/sim/cutoff_observe_test.go
+++ b/sim/cutoff_observe_test.go
@@ -14,7 +14,7 @@
 func (r *recorder) observeMessages() {
 	w := r.r.World
 	tamper := w.TamperMessage
-	w.TamperMessage = func(s *wire.Send) bool {
+	w.TamperMessage = func(s *wire.OutboundMessage) bool {
 		if tamper != nil && !tamper(s) {
 			return false
 		}
@@ -30,7 +30,7 @@
 
 // leads tells whether the sender of a greeting says that it leads.
 func leads(m wire.Message) bool {
-	h, ok := wire.Read[struct {
+	h, ok := wire.DecodeBody[struct {
 		Me struct {
 			Leads bool `json:"leads"`
 		} `json:"me"`
@@ -38,26 +38,26 @@
 	return ok && h.Me.Leads
 }
 
-func (r *recorder) told(s *wire.Send) {
+func (r *recorder) told(s *wire.OutboundMessage) {
 	from, now := s.Message.From, r.r.now
 	switch s.Message.Kind {
-	case wire.Told:
-		if m, ok := wire.Read[struct {
+	case wire.ConfigWatchReply:
+		if m, ok := wire.DecodeBody[struct {
 			Version types.Version `json:"edition"`
 		}](s.Message); ok {
 			r.list = append(r.list, &observation{sent: now, answered: now, daemon: from, audience: toPeers, request: confirmTable, code: http.StatusOK,
 				last: http.StatusOK, version: m.Version})
 		}
-	case wire.Reply:
-		if m, ok := wire.Read[wire.ReplyBody](s.Message); ok {
-			o := &observation{sent: now, answered: now, daemon: from, audience: toPeers, request: forwarded, code: m.Code}
+	case wire.ForwardReply:
+		if m, ok := wire.DecodeBody[wire.ForwardedReply](s.Message); ok {
+			o := &observation{sent: now, answered: now, daemon: from, audience: toPeers, request: forwarded, code: m.StatusCode}
 			switch {
-			case m.Away:
-				o.code, o.redirect, o.retry = http.StatusTemporaryRedirect, m.Lead, true
-				o.word = r.word[[2]types.Addr{from, m.Lead}]
-			case m.Fault != nil:
-				r.control(o, wire.Answer{Fault: m.Fault})
-				o.retry = m.Fault.RetryAfterSeconds > 0
+			case m.NotLeader:
+				o.code, o.redirect, o.retry = http.StatusTemporaryRedirect, m.Leader, true
+				o.word = r.word[[2]types.Addr{from, m.Leader}]
+			case m.Error != nil:
+				r.control(o, wire.Response{Error: m.Error})
+				o.retry = m.Error.RetryAfterSeconds > 0
 			}
 			o.last = o.code
 			r.list = append(r.list, o)
@@ -69,14 +69,14 @@
 func (r *recorder) observeWorkers() {
 	w := r.r.World
 	tamper := w.TamperAnswerOf
-	w.TamperAnswerOf = func(daemon types.Addr, verb string, a *wire.Answer) bool {
+	w.TamperAnswerOf = func(daemon types.Addr, verb string, a *wire.Response) bool {
 		if tamper != nil && !tamper(daemon, verb, a) {
 			return false
 		}
 		if verb == "beat" {
 			o := &observation{sent: w.now, answered: w.now, daemon: daemon, audience: toWorkers, request: workerBeat, code: http.StatusOK, last: http.StatusOK}
-			if a.Fault != nil {
-				o.code, o.retry = a.Fault.StatusCode(), apierror.Retryable[a.Fault.Kind]
+			if a.Error != nil {
+				o.code, o.retry = a.Error.StatusCode(), apierror.Retryable[a.Error.Kind]
 			}
 			r.list = append(r.list, o)
 		}
--- a/sim/cutoff_planted_test.go
+++ b/sim/cutoff_planted_test.go
@@ -19,12 +19,12 @@
 )
 
 // noLeader tells an answer by which a controller says that it can't answer now.
-func noLeader(a *wire.Answer) bool { return a.Fault != nil && a.Fault.Kind == apierror.NoLeader }
+func noLeader(a *wire.Response) bool { return a.Error != nil && a.Error.Kind == apierror.NoLeader }
 
 // whileCut changes the answers of controllers that can't give one, while some are cut off.
-func whileCut(verb string, change func(c *cutoff, daemon types.Addr, a *wire.Answer) bool) func(*cutoff) {
+func whileCut(verb string, change func(c *cutoff, daemon types.Addr, a *wire.Response) bool) func(*cutoff) {
 	return func(c *cutoff) {
-		c.TamperAnswerOf = func(daemon types.Addr, v string, a *wire.Answer) bool {
+		c.TamperAnswerOf = func(daemon types.Addr, v string, a *wire.Response) bool {
 			if v != verb || c.now < int64(cutFrom) || c.now > int64(cutEnd) || c.nodes[daemon].role != "controller" || !noLeader(a) {
 				return true
 			}
@@ -59,10 +59,10 @@
 // leaseFromReceipt has a leader count its lease from when an answer to a round came.
 func leaseFromReceipt(c *cutoff) {
 	slowAnswers(c)
-	c.TamperMessage = func(s *wire.Send) bool {
+	c.TamperMessage = func(s *wire.OutboundMessage) bool {
 		if lag := c.lag[pair{s.Message.From, s.To}]; lag > 0 && s.Message.Kind == wire.AppendReply {
 			alter(&s.Message.Body, func(m *map[string]json.RawMessage) {
-				(*m)["round"] = wire.Body(c.nodes[s.To].mono().Add(lag))
+				(*m)["round"] = wire.EncodeBody(c.nodes[s.To].mono().Add(lag))
 			})
 		}
 		return true
@@ -87,33 +87,33 @@
 	{"a gateway keeps taking requests by its table", "at once", "with its zone", true, func(c *cutoff) { c.staleAfter = time.Hour }},
 	{"a gateway keeps serving its table", "old configuration", "with its zone", true, keepsRefusing},
 	{"a gateway keeps refusing by its table", "definite refusal", "with its zone", false, keepsRefusing},
-	{"a redirect by the last known leader", "stale redirect", "from all machines", false, whileCut("table.get", func(c *cutoff, daemon types.Addr, a *wire.Answer) bool {
-		if a.Lead == "" {
-			a.Lead = c.leader().addr
+	{"a redirect by the last known leader", "stale redirect", "from all machines", false, whileCut("table.get", func(c *cutoff, daemon types.Addr, a *wire.Response) bool {
+		if a.Leader == "" {
+			a.Leader = c.leader().addr
 		}
 		return true
 	})},
-	{"redirects in a circle", "redirect chain", "from all machines", true, whileCut("table.get", func(c *cutoff, daemon types.Addr, a *wire.Answer) bool {
+	{"redirects in a circle", "redirect chain", "from all machines", true, whileCut("table.get", func(c *cutoff, daemon types.Addr, a *wire.Response) bool {
 		i := slices.IndexFunc(c.controllers, func(n *node) bool { return n.addr == daemon })
-		a.Lead = c.controllers[(i+1)%len(c.controllers)].addr
+		a.Leader = c.controllers[(i+1)%len(c.controllers)].addr
 		return true
 	})},
-	{"an order is acknowledged before its commit", "acknowledges", "from the other controllers", true, whileCut("table.put", func(_ *cutoff, _ types.Addr, a *wire.Answer) bool {
-		*a = wire.Answer{Code: http.StatusOK, Body: a.Body}
+	{"an order is acknowledged before its commit", "acknowledges", "from the other controllers", true, whileCut("table.put", func(_ *cutoff, _ types.Addr, a *wire.Response) bool {
+		*a = wire.Response{StatusCode: http.StatusOK, Body: a.Body}
 		return true
 	})},
-	{"an order is refused by what was known", "definite refusal", "from all machines", true, whileCut("table.put", func(_ *cutoff, _ types.Addr, a *wire.Answer) bool {
-		*a = wire.Answer{Fault: apierror.New(apierror.StaleVersion, "edition", "")}
+	{"an order is refused by what was known", "definite refusal", "from all machines", true, whileCut("table.put", func(_ *cutoff, _ types.Addr, a *wire.Response) bool {
+		*a = wire.Response{Error: apierror.New(apierror.StaleVersion, "edition", "")}
 		return true
 	})},
-	{"no answer in place of a refusal", "at once", "from all machines", false, whileCut("table.get", func(*cutoff, types.Addr, *wire.Answer) bool { return false })},
-	{"an unclear answer in place of a refusal", "at once", "from all machines", true, whileCut("table.get", func(_ *cutoff, _ types.Addr, a *wire.Answer) bool {
-		*a = wire.Answer{Fault: apierror.New(apierror.OutcomeUnknown, "", "")}
+	{"no answer in place of a refusal", "at once", "from all machines", false, whileCut("table.get", func(*cutoff, types.Addr, *wire.Response) bool { return false })},
+	{"an unclear answer in place of a refusal", "at once", "from all machines", true, whileCut("table.get", func(_ *cutoff, _ types.Addr, a *wire.Response) bool {
+		*a = wire.Response{Error: apierror.New(apierror.OutcomeUnknown, "", "")}
 		return true
 	})},
 	{"a gateway is not confirmed after the cut", "serves again", "with its zone", true, func(c *cutoff) {
-		c.TamperMessage = func(s *wire.Send) bool {
-			return s.Message.Kind != wire.Told || s.To != "g1" || c.now < int64(cutEnd) || c.now > int64(cutEnd+contact+2*time.Second)
+		c.TamperMessage = func(s *wire.OutboundMessage) bool {
+			return s.Message.Kind != wire.ConfigWatchReply || s.To != "g1" || c.now < int64(cutEnd) || c.now > int64(cutEnd+contact+2*time.Second)
 		}
 	}},
 }
@@ -170,11 +170,11 @@
 		again := r.table(1)
 		r.Run(22 * time.Second)
 		is.True(again()) // the others lead, and the configuration is another
-		answers := map[string]wire.Answer{}
+		answers := map[string]wire.Response{}
 		stale := r.Clients.deployment.Table()
 		stale.Version = 7
-		for verb, body := range map[string]json.RawMessage{"table.get": nil, "table.put": wire.Body(stale), "job.get": nil, "queue.count": nil} {
-			r.request(probeAddr, l.addr, verb, "none", body, func(a wire.Answer) { answers[verb] = a })
+		for verb, body := range map[string]json.RawMessage{"table.get": nil, "table.put": wire.EncodeBody(stale), "job.get": nil, "queue.count": nil} {
+			r.request(probeAddr, l.addr, verb, "none", body, func(a wire.Response) { answers[verb] = a })
 		}
 		r.wait(5 * time.Millisecond)
 		slices.Reverse(l.queue) // what waits at a daemon's sockets is taken in any order
@@ -182,8 +182,8 @@
 		r.wait(50 * time.Millisecond)
 		is.Equal(len(answers), 4) // all at once
 		for verb, a := range answers {
-			if a.Fault == nil || a.Fault.Kind != apierror.NoLeader || a.Fault.RetryAfterSeconds == 0 || a.Lead == l.addr {
-				t.Error(fmt.Sprintf("seed %d: %s is answered by what was known before: %+v %v", seed, verb, a, a.Fault))
+			if a.Error == nil || a.Error.Kind != apierror.NoLeader || a.Error.RetryAfterSeconds == 0 || a.Leader == l.addr {
+				t.Error(fmt.Sprintf("seed %d: %s is answered by what was known before: %+v %v", seed, verb, a, a.Error))
 			}
 		}
 	}
@@ -222,11 +222,11 @@
 			is.True(r.status(n).Leader != "")
 			r.Split([]types.Addr{n.addr}, r.others(n.addr), true, true)
 			r.wait(2*raft.DefaultTimeouts.MinElectionTimeout + 100*time.Millisecond)
-			var got wire.Answer
-			r.request(probeAddr, n.addr, "table.get", "", nil, func(a wire.Answer) { got = a })
+			var got wire.Response
+			r.request(probeAddr, n.addr, "table.get", "", nil, func(a wire.Response) { got = a })
 			r.wait(50 * time.Millisecond)
-			is.True(got.Fault != nil && got.Fault.Kind == apierror.NoLeader)
-			is.Equal(got.Lead, types.Addr(""))
+			is.True(got.Error != nil && got.Error.Kind == apierror.NoLeader)
+			is.Equal(got.Leader, types.Addr(""))
 			is.Equal(r.status(n).Ready, false)
 		})
 	}
--- a/sim/cutoff_record_test.go
+++ b/sim/cutoff_record_test.go
@@ -108,24 +108,26 @@
 // passing takes the place of the machine behind a front: it notes that the front would ask it.
 type passing struct{ passed *bool }
 
-func (p passing) Ask(context.Context, string, string, json.RawMessage) wire.Answer {
+func (p passing) Ask(context.Context, string, string, json.RawMessage) wire.Response {
 	*p.passed = true
-	return wire.Answer{Code: http.StatusOK, Body: json.RawMessage(`{}`)}
+	return wire.Response{StatusCode: http.StatusOK, Body: json.RawMessage(`{}`)}
 }
 
 // answering gives a machine's answer to the pages in front of it.
-type answering struct{ answer wire.Answer }
+type answering struct{ answer wire.Response }
 
-func (a answering) Ask(context.Context, string, string, json.RawMessage) wire.Answer { return a.answer }
+func (a answering) Ask(context.Context, string, string, json.RawMessage) wire.Response {
+	return a.answer
+}
 
 // control gives the answer that an operator sees for that of a controller.
-func (r *recorder) control(o *observation, a wire.Answer) {
-	if a.Fault == nil {
+func (r *recorder) control(o *observation, a wire.Response) {
+	if a.Error == nil {
 		o.code = http.StatusOK
 		return
 	}
-	if a.Lead != "" {
-		a.Lead = types.Addr(r.ipOf(a.Lead))
+	if a.Leader != "" {
+		a.Leader = types.Addr(r.ipOf(a.Leader))
 	}
 	w := httptest.NewRecorder()
 	q := httptest.NewRequest(http.MethodGet, "/coppercourse/Config.Read", nil)
@@ -170,10 +172,10 @@
 }
 
 // ask sends one request and keeps the observation; then runs once it is answered.
-func (r *recorder) ask(to types.Addr, who audience, what request, verb, arg string, body json.RawMessage, then func(*observation, wire.Answer)) {
+func (r *recorder) ask(to types.Addr, who audience, what request, verb, arg string, body json.RawMessage, then func(*observation, wire.Response)) {
 	o := &observation{sent: r.r.now, daemon: to, audience: who, request: what}
 	r.list = append(r.list, o)
-	r.r.request(probeAddr, to, verb, arg, body, func(a wire.Answer) {
+	r.r.request(probeAddr, to, verb, arg, body, func(a wire.Response) {
 		if o.answered != 0 {
 			return
 		}
@@ -189,14 +191,14 @@
 
 // hop reads the table and follows redirects, as an operator does.
 func (r *recorder) hop(to types.Addr, first *observation) {
-	r.ask(to, toOperators, readTable, "table.get", "", nil, func(o *observation, a wire.Answer) {
+	r.ask(to, toOperators, readTable, "table.get", "", nil, func(o *observation, a wire.Response) {
 		r.control(o, a)
 		if first == nil {
 			first = o
 		}
 		first.last = o.code
 		var t config.Table
-		if a.Fault == nil && json.Unmarshal(a.Body, &t) == nil {
+		if a.Error == nil && json.Unmarshal(a.Body, &t) == nil {
 			o.version = t.Version
 			if t.Version > r.newest.Version {
 				r.newest = t
@@ -217,7 +219,7 @@
 	t.Queues[0].RequestTimeoutMillis = 1000 + r.next
 	t.RequestedVersion = t.Version + 1
 	r.r.record(HistoryEvent{What: TableTry, Table: &t})
-	r.ask(to, toOperators, replaceTable, "table.put", "", wire.Body(t), func(o *observation, a wire.Answer) {
+	r.ask(to, toOperators, replaceTable, "table.put", "", wire.EncodeBody(t), func(o *observation, a wire.Response) {
 		r.control(o, a)
 		if o.code != http.StatusOK {
 			return
@@ -263,7 +265,7 @@
 	if now >= confirmedUntil {
 		return 0
 	}
-	return server.Steady().Add(time.Hour)
+	return server.MonotonicNow().Add(time.Hour)
 }
 
 // caller asks a gateway's machine for what its page lets through.
@@ -272,12 +274,12 @@
 		return
 	}
 	used, _ := r.r.nodes[to].m.(*gateway.Gateway).Table()
-	r.ask(to, toCallers, what, verb, arg, body, func(o *observation, a wire.Answer) {
+	r.ask(to, toCallers, what, verb, arg, body, func(o *observation, a wire.Response) {
 		o.code, o.version = http.StatusOK, used.Version
-		if a.Fault != nil {
-			r.control(o, wire.Answer{Fault: a.Fault})
+		if a.Error != nil {
+			r.control(o, wire.Response{Error: a.Error})
 		}
-		then(a.Fault == nil)
+		then(a.Error == nil)
 	})
 }
 
@@ -290,7 +292,7 @@
 	id := types.JobID(fmt.Sprintf("%016x", 1<<40+r.next))
 	s := state.Spec{Queue: r.newest.Queues[0].Name, Steps: []state.Step{{Name: "a", Kind: "work", Resources: types.Resources{Cores: types.Core, MemoryMB: 32}, Tasks: 1, Work: Work{MS: 50}.raw()}}}
 	r.r.record(HistoryEvent{What: Sent, Job: id, Spec: &s})
-	r.caller(to, submitJob, "job.put", string(id), wire.Body(s), func(ok bool) {
+	r.caller(to, submitJob, "job.put", string(id), wire.EncodeBody(s), func(ok bool) {
 		if ok {
 			r.r.record(HistoryEvent{What: Accepted, Job: id})
 			r.jobs = append(r.jobs, id)
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -239,7 +239,7 @@
 		undo := func() {
 			r.Clients.order("drain.drop", rack, nil, 0, func() { delete(r.drains, rack) })
 		}
-		r.Clients.order("drain.put", rack, wire.Body(config.Drain{WithinMillis: r.random.Intn(3) * 1000}), 0, func() {
+		r.Clients.order("drain.put", rack, wire.EncodeBody(config.Drain{WithinMillis: r.random.Intn(3) * 1000}), 0, func() {
 			if acked = true; over {
 				undo()
 			}
@@ -360,7 +360,7 @@
 // Close warns a node, as the platform does before it kills it.
 func (r *Run) Close(n *node) {
 	n.closes = true
-	n.deliver(func() { n.step(wire.Event{Close: true}) })
+	n.deliver(func() { n.step(wire.Event{Shutdown: true}) })
 	gen := n.gen
 	r.at(5*time.Second, func() {
 		if n.gen == gen && n.m != nil {
--- a/sim/grown_day_test.go
+++ b/sim/grown_day_test.go
@@ -32,7 +32,7 @@
 					t.Error(b)
 				}
 				is.Equal(unstarted(r.Hist.List), 0)
-				n, hows := map[EventKind]int{}, map[wire.How]int{}
+				n, hows := map[EventKind]int{}, map[wire.EndReason]int{}
 				for _, h := range r.Hist.List {
 					n[h.What]++
 					if h.What == Ended {
@@ -44,7 +44,7 @@
 				is.Equal(n[Denied], 0)
 				is.Equal(n[Noted]+n[Void], n[Started]) // every end is settled, and but for answers lost on the way in time
 				is.True(n[Void] <= 10)
-				is.Equal(hows[wire.Expired]+hows[wire.Lonely], 0)
+				is.Equal(hows[wire.EndLeaseExpired]+hows[wire.EndGangStartTimeout], 0)
 				is.True(r.whole(len(r.controllers)))
 			}
 			is.True(started > 1500)
@@ -66,7 +66,7 @@
 		case Started:
 			started[h.Attempt.TaskID] = true
 		case Ended:
-			failed[h.Attempt.TaskID] = h.How != wire.Done && (failed[h.Attempt.TaskID] || h.How == wire.Failed)
+			failed[h.Attempt.TaskID] = h.How != wire.EndSucceeded && (failed[h.Attempt.TaskID] || h.How == wire.EndFailed)
 		case Halting:
 			delete(owed, h.Job)
 		}
--- a/sim/history.go
+++ b/sim/history.go
@@ -69,7 +69,7 @@
 	Text    string          `json:"text,omitempty"`
 
 	// Of workers that are invoked.
-	How      wire.How        `json:"how,omitempty"`
+	How      wire.EndReason  `json:"how,omitempty"`
 	Work     json.RawMessage `json:"work,omitempty"`
 	Ref      string          `json:"ref,omitempty"`
 	Late     bool            `json:"late,omitempty"` // the order was carried out late
--- a/sim/hours_test.go
+++ b/sim/hours_test.go
@@ -43,7 +43,7 @@
 	cut := r.now
 	r.Run(30 * time.Second)
 	var f *apierror.Error
-	r.request(r.Clients.addr, "g1", "job.cancel", "quotes-1", nil, func(a wire.Answer) { f = a.Fault })
+	r.request(r.Clients.addr, "g1", "job.cancel", "quotes-1", nil, func(a wire.Response) { f = a.Error })
 	r.Run(32 * time.Second)
 	is.Equal(f.Kind, apierror.NoLeader) // the cut side's own gateway refuses at once
 	is.True(f.RetryAfterSeconds > 1)
@@ -68,9 +68,9 @@
 	for _, h := range r.Hist.List { // callers inside repeat what they sent before and at the time of the cut
 		if h.What == Sent && h.At < cut+int64(10*time.Second) {
 			sent++
-			r.request(r.Clients.addr, "g1", "job.put", string(h.Job), wire.Body(h.Spec), func(a wire.Answer) {
-				if a.Fault != nil && a.Fault.RetryAfterSeconds == 0 {
-					t.Error(h.Job, a.Fault)
+			r.request(r.Clients.addr, "g1", "job.put", string(h.Job), wire.EncodeBody(h.Spec), func(a wire.Response) {
+				if a.Error != nil && a.Error.RetryAfterSeconds == 0 {
+					t.Error(h.Job, a.Error)
 				}
 			})
 		}
--- a/sim/invoked_check.go
+++ b/sim/invoked_check.go
@@ -247,7 +247,7 @@
 func (c *checker) alone(j *job) {
 	for _, list := range j.spans {
 		for _, s := range list {
-			if s.how != wire.Lonely {
+			if s.how != wire.EndGangStartTimeout {
 				continue
 			}
 			if c.quiet(s.from-int64(c.b.Alone), s.to) && (j.halt == 0 || s.to < j.halt) {
--- a/sim/invoked_faults.go
+++ b/sim/invoked_faults.go
@@ -156,7 +156,7 @@
 		undo := func() {
 			r.Clients.order("drain.drop", name, nil, 0, func() { delete(r.drains, name) })
 		}
-		r.Clients.order("drain.put", name, wire.Body(config.Drain{WithinMillis: r.random.Intn(3) * 1000}), 0, func() {
+		r.Clients.order("drain.put", name, wire.EncodeBody(config.Drain{WithinMillis: r.random.Intn(3) * 1000}), 0, func() {
 			if acked = true; over {
 				undo()
 			}
--- a/sim/invoked_node.go
+++ b/sim/invoked_node.go
@@ -68,17 +68,17 @@
 func (i *invokedNode) beat(tries int) {
 	w, gen := i.node.w, i.gen
 	i.seq++
-	b := wire.WorkerBeat{Life: i.w.ID, To: i.node.addr, Seq: i.seq, Rack: i.make.Rack, Labels: i.make.Labels, Kinds: i.make.Kinds,
-		Room: i.make.Room, Clock: i.w.Clock()}
+	b := wire.WorkerHeartbeat{Incarnation: i.w.ID, Addr: i.node.addr, Seq: i.seq, Rack: i.make.Rack, Labels: i.make.Labels, Kinds: i.make.Kinds,
+		Capacity: i.make.Room, ClockMS: i.w.Clock()}
 	if i.goes != 0 {
-		b.Leaving, b.LeaveMS = true, max(1, i.goes.Sub(i.node.mono()).Milliseconds())
+		b.Draining, b.DepartsInMS = true, max(1, i.goes.Sub(i.node.mono()).Milliseconds())
 	}
 	over := false
 	send := func() {
-		w.request(i.node.addr, i.agent, "beat", "", wire.Body(b), func(a wire.Answer) {
-			if over = over || a.Fault == nil; a.Fault == nil && b.Leaving && i.gen == gen && !i.told {
+		w.request(i.node.addr, i.agent, "beat", "", wire.EncodeBody(b), func(a wire.Response) {
+			if over = over || a.Error == nil; a.Error == nil && b.Draining && i.gen == gen && !i.told {
 				i.told = true
-				w.record(HistoryEvent{What: Leaving, Who: string(b.Life), Shard: i.make.Shard})
+				w.record(HistoryEvent{What: Leaving, Who: string(b.Incarnation), Shard: i.make.Shard})
 			}
 		})
 	}
@@ -119,7 +119,7 @@
 		if i.gen != gen || i.w == nil {
 			return
 		}
-		w.request(i.node.addr, i.agent, "leave", string(i.w.ID), nil, func(wire.Answer) {})
+		w.request(i.node.addr, i.agent, "leave", string(i.w.ID), nil, func(wire.Response) {})
 		w.record(HistoryEvent{What: Removed, Who: string(i.w.ID), Shard: i.make.Shard, Text: within.String()})
 		i.kill(true)
 	})
@@ -142,7 +142,7 @@
 	mute := func(wire.WorkerReply) {}
 	switch {
 	case i.w == nil && i.refuses:
-		reply(wire.WorkerReply{Result: wire.Closed})
+		reply(wire.WorkerReply{Result: wire.ResultNotListening})
 	case i.w == nil:
 	case i.lates > 0 && w.random.Float64() < i.lates:
 		w.at(2*time.Second+time.Duration(w.random.Int63n(int64(10*time.Second))), func() {
@@ -173,16 +173,16 @@
 			return
 		}
 		over = true
-		r.No = c.No
+		r.Number = c.Number
 		if w.TamperReply != nil {
 			w.TamperReply(c, &r)
 		}
-		n.deliver(func() { n.step(wire.Event{Reply: &r}) })
+		n.deliver(func() { n.step(wire.Event{WorkerReply: &r}) })
 	}
-	w.at(c.Limit, func() { back(wire.WorkerReply{Result: wire.Silent}) })
-	w.transmit(n.addr, c.To, func() {
-		if k := w.invokedAt[c.To]; k != nil {
-			k.take(c, func(r wire.WorkerReply) { w.transmit(c.To, n.addr, func() { back(r) }) })
+	w.at(c.Timeout, func() { back(wire.WorkerReply{Result: wire.ResultNoReply}) })
+	w.transmit(n.addr, c.Addr, func() {
+		if k := w.invokedAt[c.Addr]; k != nil {
+			k.take(c, func(r wire.WorkerReply) { w.transmit(c.Addr, n.addr, func() { back(r) }) })
 		}
 	})
 }
--- a/sim/invoked_planted_test.go
+++ b/sim/invoked_planted_test.go
@@ -18,7 +18,7 @@
 	"coppercourse/internal/wire"
 )
 
-func onBeat(f func(*wire.WorkerBeat)) func(*Run) {
+func onBeat(f func(*wire.WorkerHeartbeat)) func(*Run) {
 	return func(r *Run) {
 		r.TamperRequest = func(verb string, b *json.RawMessage) {
 			if verb == "beat" {
@@ -29,13 +29,13 @@
 }
 
 // onEnd changes how workers' ends are told.
-func onEnd(from, to wire.How) func(*Run) {
+func onEnd(from, to wire.EndReason) func(*Run) {
 	return func(r *Run) {
 		r.TamperReply = func(_ wire.WorkerCall, x *wire.WorkerReply) {
-			x.Ends = slices.Clone(x.Ends)
-			for i := range x.Ends {
-				if x.Ends[i].How == from {
-					x.Ends[i].How = to
+			x.Ended = slices.Clone(x.Ended)
+			for i := range x.Ended {
+				if x.Ended[i].Reason == from {
+					x.Ended[i].Reason = to
 				}
 			}
 		}
@@ -46,7 +46,7 @@
 func onStart(some int, f func(*wire.WorkerCall)) func(*Run) {
 	return func(r *Run) {
 		r.TamperCall = func(c *wire.WorkerCall) {
-			if c.Kind == wire.Start && r.random.Intn(some) == 0 {
+			if c.Kind == wire.StartAttempt && r.random.Intn(some) == 0 {
 				f(c)
 			}
 		}
@@ -54,9 +54,9 @@
 }
 
 // onAnswer changes what callers are answered.
-func onAnswer(verb string, f func(*wire.Answer)) func(*Run) {
+func onAnswer(verb string, f func(*wire.Response)) func(*Run) {
 	return func(r *Run) {
-		r.TamperAnswer = func(v string, a *wire.Answer) {
+		r.TamperAnswer = func(v string, a *wire.Response) {
 			if v == verb {
 				f(a)
 			}
@@ -65,7 +65,7 @@
 }
 
 func onSpec(f func(*state.Spec)) func(*Run) {
-	return onMessage(wire.Call, func(c *wire.CallBody) {
+	return onMessage(wire.ForwardRequest, func(c *wire.ForwardedRequest) {
 		if c.Verb == "job.put" {
 			alter(&c.Body, f)
 		}
@@ -89,14 +89,14 @@
 			k.rash = true
 		}
 	}},
-	{"good ends told as lapsed", nil, []string{"again"}, false, onEnd(wire.Done, wire.Expired)},
-	{"failures told as stops", nil, []string{"tries"}, false, onEnd(wire.Failed, wire.Stopped)},
-	{"workers say that they are larger", nil, []string{"room"}, true, onBeat(func(b *wire.WorkerBeat) { b.Room = b.Room.Scale(10) })},
+	{"good ends told as lapsed", nil, []string{"again"}, false, onEnd(wire.EndSucceeded, wire.EndLeaseExpired)},
+	{"failures told as stops", nil, []string{"tries"}, false, onEnd(wire.EndFailed, wire.EndStopped)},
+	{"workers say that they are larger", nil, []string{"room"}, true, onBeat(func(b *wire.WorkerHeartbeat) { b.Capacity = b.Capacity.Scale(10) })},
 	{"a worker says that it serves what it does not", nil, []string{"service"}, false, func(r *Run) {
 		r.invokedWorkers[3].make.Kinds = []types.ServiceKind{"other"}
-		onBeat(func(b *wire.WorkerBeat) { b.Kinds = []types.ServiceKind{"work"} })(r)
+		onBeat(func(b *wire.WorkerHeartbeat) { b.Kinds = []types.ServiceKind{"work"} })(r)
 	}},
-	{"workers say that they have all labels", nil, []string{"label"}, false, onBeat(func(b *wire.WorkerBeat) { b.Labels = []string{"a", "b"} })},
+	{"workers say that they have all labels", nil, []string{"label"}, false, onBeat(func(b *wire.WorkerHeartbeat) { b.Labels = []string{"a", "b"} })},
 	{"spread is forgotten", nil, []string{"spread"}, false, onJob(func(s *state.Step) { s.MaxPerWorker = 0 })},
 	{"dependencies are forgotten", nil, []string{"order"}, false, onJob(func(s *state.Step) { s.DependsOn = nil })},
 	{"times are forgotten", nil, []string{"early"}, false, onSpec(func(s *state.Spec) {
@@ -105,15 +105,15 @@
 		}
 	})},
 	{"starts get lost, and stops", nil, []string{"alone"}, false, func(r *Run) {
-		mute(wire.Stop)(r)
-		onStart(10, func(c *wire.WorkerCall) { c.To = "nowhere" })(r)
+		mute(wire.KillTask)(r)
+		onStart(10, func(c *wire.WorkerCall) { c.Addr = "nowhere" })(r)
 	}},
-	{"other work is started", nil, []string{"unasked"}, false, onStart(20, func(c *wire.WorkerCall) { c.Work = []byte(`{"ms":7}`) })},
+	{"other work is started", nil, []string{"unasked"}, false, onStart(20, func(c *wire.WorkerCall) { c.Input = []byte(`{"ms":7}`) })},
 	{"work goes on from what another saved", []string{"drain-worker", "notice-worker", "drain-rack"}, []string{"unasked"}, false, func(r *Run) {
 		r.Clients.deployment.Streams[1].Every /= 4 // more of the long jobs, of which some save their progress
 		onStart(1, func(c *wire.WorkerCall) {
-			if c.Ref != "" {
-				c.Ref = "0123456789abcdef"
+			if c.Checkpoint != "" {
+				c.Checkpoint = "0123456789abcdef"
 			}
 		})(r)
 	}},
@@ -122,43 +122,43 @@
 		for i := range r.Clients.deployment.Streams {
 			r.Clients.deployment.Streams[i].Cancel, r.Clients.deployment.Streams[i].Within = 0.5, 500*time.Millisecond
 		}
-		onMessage(wire.Call, func(c *wire.CallBody) {
+		onMessage(wire.ForwardRequest, func(c *wire.ForwardedRequest) {
 			if c.Verb == "job.cancel" {
 				c.Verb = "job.get"
 			}
 		})(r)
 	}},
-	{"what was taken is answered as not taken", nil, []string{"refused"}, false, onAnswer("job.put", func(a *wire.Answer) {
-		*a = wire.Answer{Fault: apierror.New(apierror.QueueFull, "queue", "")}
+	{"what was taken is answered as not taken", nil, []string{"refused"}, false, onAnswer("job.put", func(a *wire.Response) {
+		*a = wire.Response{Error: apierror.New(apierror.QueueFull, "queue", "")}
 	})},
-	{"nobody hears that a worker leaves", []string{"notice-worker"}, []string{"leaving"}, false, onBeat(func(b *wire.WorkerBeat) { b.Leaving, b.LeaveMS = false, 0 })},
-	{"open jobs shown done", nil, []string{"shown"}, false, onAnswer("job.get", func(a *wire.Answer) {
-		if a.Fault == nil {
+	{"nobody hears that a worker leaves", []string{"notice-worker"}, []string{"leaving"}, false, onBeat(func(b *wire.WorkerHeartbeat) { b.Draining, b.DepartsInMS = false, 0 })},
+	{"open jobs shown done", nil, []string{"shown"}, false, onAnswer("job.get", func(a *wire.Response) {
+		if a.Error == nil {
 			alter(&a.Body, func(v *map[string]any) { (*v)["state"] = "done" })
 		}
 	})},
-	{"jobs shown failed without a cause", nil, []string{"shown"}, false, onAnswer("job.get", func(a *wire.Answer) {
-		if a.Fault == nil {
+	{"jobs shown failed without a cause", nil, []string{"shown"}, false, onAnswer("job.get", func(a *wire.Response) {
+		if a.Error == nil {
 			alter(&a.Body, func(v *map[string]any) { (*v)["state"] = "failed" })
 		}
 	})},
-	{"jobs denied after acceptance", nil, []string{"forgotten"}, false, onAnswer("job.get", func(a *wire.Answer) {
-		*a = wire.Answer{Fault: apierror.New(apierror.NoSuchJob, "id", "")}
+	{"jobs denied after acceptance", nil, []string{"forgotten"}, false, onAnswer("job.get", func(a *wire.Response) {
+		*a = wire.Response{Error: apierror.New(apierror.NoSuchJob, "id", "")}
 	})},
-	{"orders get lost", nil, []string{"idle"}, false, func(r *Run) { r.at(8*time.Second, func() { mute(wire.Order)(r) }) }},
-	{"doors know no queue that came", nil, []string{"table"}, false, onAnswer("queue.count", func(a *wire.Answer) {
-		*a = wire.Answer{Fault: apierror.New(apierror.NoSuchQueue, "queue", "")}
+	{"orders get lost", nil, []string{"idle"}, false, func(r *Run) { r.at(8*time.Second, func() { mute(wire.RunTask)(r) }) }},
+	{"doors know no queue that came", nil, []string{"table"}, false, onAnswer("queue.count", func(a *wire.Response) {
+		*a = wire.Response{Error: apierror.New(apierror.NoSuchQueue, "queue", "")}
 	})},
-	{"doors know queues that went", nil, []string{"table"}, false, onAnswer("queue.count", func(a *wire.Answer) {
-		*a = wire.Answer{Code: 200}
+	{"doors know queues that went", nil, []string{"table"}, false, onAnswer("queue.count", func(a *wire.Response) {
+		*a = wire.Response{StatusCode: 200}
 	})},
-	{"both of a race are acknowledged", nil, []string{"table"}, false, onAnswer("table.put", func(a *wire.Answer) {
-		if a.Fault != nil && a.Fault.RetryAfterSeconds == 0 {
-			*a = wire.Answer{Code: 200}
+	{"both of a race are acknowledged", nil, []string{"table"}, false, onAnswer("table.put", func(a *wire.Response) {
+		if a.Error != nil && a.Error.RetryAfterSeconds == 0 {
+			*a = wire.Response{StatusCode: 200}
 		}
 	})},
-	{"old tables read", nil, []string{"table"}, false, onAnswer("table.get", func(a *wire.Answer) {
-		if a.Fault == nil {
+	{"old tables read", nil, []string{"table"}, false, onAnswer("table.get", func(a *wire.Response) {
+		if a.Error == nil {
 			alter(&a.Body, func(t *config.Table) { t.Version-- })
 		}
 	})},
--- a/sim/invoked_test.go
+++ b/sim/invoked_test.go
@@ -37,7 +37,7 @@
 			for _, b := range r.Verdict().Breaks {
 				t.Error(b)
 			}
-			n, hows, last := map[EventKind]int{}, map[wire.How]int{}, map[string]state.JobStatus{}
+			n, hows, last := map[EventKind]int{}, map[wire.EndReason]int{}, map[string]state.JobStatus{}
 			for _, h := range r.Hist.List {
 				n[h.What]++
 				switch h.What {
@@ -51,7 +51,7 @@
 			is.True(n[Started] > 1000) // enough to tell; which jobs are drawn shifts with every message
 			is.Equal(n[Denied], 0)
 			is.Equal(n[Noted], n[Started]) // every end is settled, and in time
-			is.Equal(hows[wire.Expired]+hows[wire.Lonely], 0)
+			is.Equal(hows[wire.EndLeaseExpired]+hows[wire.EndGangStartTimeout], 0)
 			is.True(n[Working] > 0)
 			for id, s := range last {
 				if s == state.JobOpen || s == state.JobEnding {
@@ -155,9 +155,9 @@
 
 // boasts has one worker tell three times the room that it has.
 func boasts(r *Run) {
-	onBeat(func(b *wire.WorkerBeat) {
-		if b.To == r.invokedWorkers[4].node.addr {
-			b.Room = b.Room.Scale(3)
+	onBeat(func(b *wire.WorkerHeartbeat) {
+		if b.Addr == r.invokedWorkers[4].node.addr {
+			b.Capacity = b.Capacity.Scale(3)
 		}
 	})(r)
 }
@@ -219,7 +219,7 @@
 				case Working:
 					delete(waits, h.Attempt)
 				case Ended:
-					is.True(h.How != wire.Lonely)
+					is.True(h.How != wire.EndGangStartTimeout)
 					if at, ok := waits[h.Attempt]; ok {
 						again++
 						longest = max(longest, h.At-at)
--- a/sim/invoked_worker.go
+++ b/sim/invoked_worker.go
@@ -45,7 +45,7 @@
 
 // invokedEnd is an end not yet settled; it is void once the lease has lapsed.
 type invokedEnd struct {
-	wire.WorkerEnd
+	wire.EndedAttempt
 	void bool
 }
 
@@ -92,30 +92,30 @@
 func (iw *InvokedWorker) Do(c wire.WorkerCall, reply func(wire.WorkerReply)) {
 	iw.advance()
 	defer iw.wake()
-	r := wire.WorkerReply{No: c.No, Result: wire.Taken, Clock: iw.Clock()}
+	r := wire.WorkerReply{Number: c.Number, Result: wire.ResultAccepted, ClockMS: iw.Clock()}
 	switch {
-	case c.Life != iw.ID:
-		reply(wire.WorkerReply{No: c.No, Result: wire.Stranger})
+	case c.Incarnation != iw.ID:
+		reply(wire.WorkerReply{Number: c.Number, Result: wire.ResultOtherIncarnation})
 		return
-	case c.Fence < iw.fence && !iw.Rash:
-		if iw.late && c.Kind == wire.Start {
+	case c.FencingToken < iw.fence && !iw.Rash:
+		if iw.late && c.Kind == wire.StartAttempt {
 			iw.say(HistoryEvent{What: Spared, Attempt: c.Attempt, Late: true})
 		}
-		r.Result = wire.Fenced
+		r.Result = wire.ResultFenced
 		reply(r)
 		return
 	}
-	iw.fence = max(iw.fence, c.Fence)
+	iw.fence = max(iw.fence, c.FencingToken)
 	switch c.Kind {
-	case wire.Start:
+	case wire.StartAttempt:
 		r.Result = iw.begin(c)
-	case wire.Halt:
+	case wire.StopAttempt:
 		iw.halt(c.Attempt)
-	case wire.Hold:
-		iw.hold(c.Until)
-		iw.settle(c.Seen)
-		if c.Wait > 0 && len(iw.ends) == 0 {
-			iw.waits = append(iw.waits, waitingHold{c, iw.time().Add(min(c.Wait, mostWait)), reply})
+	case wire.RenewLease:
+		iw.hold(c.LeaseEndMS)
+		iw.settle(c.AckedEnds)
+		if c.LongPollWait > 0 && len(iw.ends) == 0 {
+			iw.waits = append(iw.waits, waitingHold{c, iw.time().Add(min(c.LongPollWait, mostWait)), reply})
 			return
 		}
 		r = iw.list(c)
@@ -131,27 +131,27 @@
 	}
 }
 
-func (iw *InvokedWorker) begin(c wire.WorkerCall) wire.Result {
+func (iw *InvokedWorker) begin(c wire.WorkerCall) wire.CallResult {
 	if iw.Sick {
-		return wire.Sick
+		return wire.ResultUnhealthy
 	}
-	if now := iw.Clock(); c.Until <= now && !(iw.Lax && iw.lease > now) {
-		return wire.Late
+	if now := iw.Clock(); c.LeaseEndMS <= now && !(iw.Lax && iw.lease > now) {
+		return wire.ResultLeaseExpired
 	}
-	iw.hold(c.Until)
+	iw.hold(c.LeaseEndMS)
 	switch {
 	case iw.runs[c.Attempt] != nil:
-		return wire.Taken
+		return wire.ResultAccepted
 	case c.Attempt.Attempt <= iw.shut[c.Attempt.TaskID]:
-		return wire.Outdated
+		return wire.ResultSuperseded
 	}
 	step := iw.environment.step(c.Attempt)
 	if iw.Guards && step != nil && !iw.free().Contains(step.Resources) {
 		iw.say(HistoryEvent{What: Spared, Attempt: c.Attempt})
-		return wire.Full
+		return wire.ResultNoCapacity
 	}
 	iw.start(c, step)
-	return wire.Taken
+	return wire.ResultAccepted
 }
 
 // free is the room that nothing takes; what is being stopped still does.
@@ -175,25 +175,25 @@
 
 // settle forgets ends; those that had not lapsed are thereby noted for good.
 func (iw *InvokedWorker) settle(seen uint64) {
-	for len(iw.ends) > 0 && iw.ends[0].N <= seen {
+	for len(iw.ends) > 0 && iw.ends[0].Number <= seen {
 		e := iw.ends[0]
 		iw.ends = iw.ends[1:]
 		what := Noted
 		if e.void {
 			what = Void
 		}
-		iw.say(HistoryEvent{What: what, Attempt: e.Attempt, How: e.How})
+		iw.say(HistoryEvent{What: what, Attempt: e.Attempt, How: e.Reason})
 	}
 }
 
 func (iw *InvokedWorker) list(c wire.WorkerCall) wire.WorkerReply {
-	r := wire.WorkerReply{No: c.No, Result: wire.Taken, Clock: iw.Clock()}
+	r := wire.WorkerReply{Number: c.Number, Result: wire.ResultAccepted, ClockMS: iw.Clock()}
 	for _, l := range iw.sorted() {
 		a := iw.runs[l]
-		r.Runs = append(r.Runs, wire.WorkerRun{Attempt: l, Ref: a.ref, Percent: a.percent()})
+		r.Running = append(r.Running, wire.RunningAttempt{Attempt: l, Checkpoint: a.ref, Percent: a.percent()})
 	}
 	for _, e := range iw.ends[:min(len(iw.ends), listed)] {
-		r.Ends = append(r.Ends, e.WorkerEnd)
+		r.Ended = append(r.Ended, e.EndedAttempt)
 	}
 	return r
 }
@@ -212,27 +212,27 @@
 }
 
 // end ends an attempt; a gang ends with any of its members.
-func (iw *InvokedWorker) end(a *attempt, how wire.How) {
+func (iw *InvokedWorker) end(a *attempt, how wire.EndReason) {
 	if iw.runs[a.attempt] != a {
 		return
 	}
 	delete(iw.runs, a.attempt)
 	iw.shut[a.attempt.TaskID] = max(iw.shut[a.attempt.TaskID], a.attempt.Attempt)
 	iw.n++
-	iw.ends = append(iw.ends, invokedEnd{WorkerEnd: wire.WorkerEnd{N: iw.n, Attempt: a.attempt, How: how, Ref: a.ref}})
+	iw.ends = append(iw.ends, invokedEnd{EndedAttempt: wire.EndedAttempt{Number: iw.n, Attempt: a.attempt, Reason: how, Checkpoint: a.ref}})
 	iw.say(HistoryEvent{What: Ended, Attempt: a.attempt, Outcome: outcomes[how], How: how})
 	a.quit(how)
 }
 
-var outcomes = map[wire.How]state.Outcome{wire.Done: state.OutcomeOK, wire.Failed: state.OutcomeFailed, wire.Stopped: state.OutcomeStopped,
-	wire.Expired: state.OutcomeLeaseExpired, wire.Broken: state.OutcomeStopped, wire.Lonely: state.OutcomeStopped}
+var outcomes = map[wire.EndReason]state.Outcome{wire.EndSucceeded: state.OutcomeOK, wire.EndFailed: state.OutcomeFailed, wire.EndStopped: state.OutcomeStopped,
+	wire.EndLeaseExpired: state.OutcomeLeaseExpired, wire.EndGangMemberEnded: state.OutcomeStopped, wire.EndGangStartTimeout: state.OutcomeStopped}
 
 // Die ends the process and all that it runs.
 func (iw *InvokedWorker) Die() {
 	attempts, runs := iw.sorted(), iw.runs
 	iw.waits, iw.runs = nil, nil
 	for _, l := range attempts {
-		runs[l].quit(wire.Stopped)
+		runs[l].quit(wire.EndStopped)
 	}
 }
 
--- a/sim/leader_bench_test.go
+++ b/sim/leader_bench_test.go
@@ -23,7 +23,7 @@
 	steps int
 }
 
-func (l *labelled) Step(e wire.Event) (out wire.Out) {
+func (l *labelled) Step(e wire.Event) (out wire.Effects) {
 	from := threadTime()
 	pprof.Do(context.Background(), pprof.Labels("leader", "yes"), func(context.Context) { out = l.Machine.Step(e) })
 	l.spent += threadTime() - from
--- a/sim/linear_rig_test.go
+++ b/sim/linear_rig_test.go
@@ -53,9 +53,9 @@
 }
 
 // asked sends one request; then is called once: with the answer, or with none.
-func (or *operationRecorder) asked(to types.Addr, verb, arg string, body any, then func(*wire.Answer)) {
+func (or *operationRecorder) asked(to types.Addr, verb, arg string, body any, then func(*wire.Response)) {
 	over := false
-	or.request("client", to, verb, arg, wire.Body(body), func(a wire.Answer) {
+	or.request("client", to, verb, arg, wire.EncodeBody(body), func(a wire.Response) {
 		if !over {
 			over = true
 			then(&a)
@@ -78,11 +78,11 @@
 }
 
 // redirected is whom an answer names instead of whoever was asked.
-func redirected(a *wire.Answer) types.Addr {
-	if a == nil || a.Fault == nil || a.Fault.Kind != apierror.NoLeader {
+func redirected(a *wire.Response) types.Addr {
+	if a == nil || a.Error == nil || a.Error.Kind != apierror.NoLeader {
 		return ""
 	}
-	return a.Lead
+	return a.Leader
 }
 
 func (or *operationRecorder) soon(f func()) {
@@ -111,9 +111,9 @@
 
 func (or *operationRecorder) readTable(client int, to types.Addr, then func()) {
 	began := or.now
-	or.asked(to, "table.get", "", nil, func(a *wire.Answer) {
+	or.asked(to, "table.get", "", nil, func(a *wire.Response) {
 		var t config.Table
-		if a != nil && a.Fault == nil && json.Unmarshal(a.Body, &t) == nil {
+		if a != nil && a.Error == nil && json.Unmarshal(a.Body, &t) == nil {
 			or.note(t.Version, t.ContentHash())
 			or.count["table read"]++
 			or.tables = append(or.tables, porcupine.Operation{ClientId: client, Input: tableInput{}, Call: began, Return: or.now,
@@ -131,10 +131,10 @@
 
 func (or *operationRecorder) putTable(client int, to types.Addr, t config.Table, n int, then func()) {
 	began := or.now
-	or.asked(to, "table.put", "", t, func(a *wire.Answer) {
+	or.asked(to, "table.put", "", t, func(a *wire.Response) {
 		o, end := unclear, int64(math.MaxInt64)
 		if a != nil {
-			if o = outcomeOf("table.put", a.Fault); o != unclear {
+			if o = outcomeOf("table.put", a.Error); o != unclear {
 				end = or.now
 			}
 		}
@@ -191,14 +191,14 @@
 	if verb == "job.put" {
 		body = s
 	}
-	or.asked(or.daemon(), verb, string(id), body, func(a *wire.Answer) {
+	or.asked(or.daemon(), verb, string(id), body, func(a *wire.Response) {
 		out, end := jobOutput{outcome: unclear}, int64(math.MaxInt64)
 		if a != nil {
-			if out.outcome = outcomeOf(verb, a.Fault); out.outcome != unclear {
+			if out.outcome = outcomeOf(verb, a.Error); out.outcome != unclear {
 				end = or.now
 			}
 			var v controller.JobView
-			if verb == "job.get" && a.Fault == nil && json.Unmarshal(a.Body, &v) == nil {
+			if verb == "job.get" && a.Error == nil && json.Unmarshal(a.Body, &v) == nil {
 				out.stage = v.State
 			}
 		}
--- a/sim/linear_test.go
+++ b/sim/linear_test.go
@@ -81,18 +81,18 @@
 }
 
 // answers changes what clients are told, from the time that it is asked.
-func answers(f func(r *Run, verb string, a *wire.Answer)) func(*Run) {
-	return func(r *Run) { r.TamperAnswer = func(verb string, a *wire.Answer) { f(r, verb, a) } }
+func answers(f func(r *Run, verb string, a *wire.Response)) func(*Run) {
+	return func(r *Run) { r.TamperAnswer = func(verb string, a *wire.Response) { f(r, verb, a) } }
 }
 
-func isFault(a *wire.Answer, k apierror.Kind) bool { return a.Fault != nil && a.Fault.Kind == k }
+func isFault(a *wire.Response, k apierror.Kind) bool { return a.Error != nil && a.Error.Kind == k }
 
 var plantedInRequests = map[string]func(*Run){
 	"a deposed leader reads its old configuration": func(r *Run) {
 		var old json.RawMessage
 		n := 0
-		answers(func(_ *Run, verb string, a *wire.Answer) {
-			if verb != "table.get" || a.Fault != nil {
+		answers(func(_ *Run, verb string, a *wire.Response) {
+			if verb != "table.get" || a.Error != nil {
 				return
 			}
 			if n++; n%20 == 5 {
@@ -105,18 +105,18 @@
 	},
 	"a snapshot forgets what was taken": func(r *Run) {
 		taken := map[string]bool{}
-		r.TamperMessage = func(s *wire.Send) bool {
-			b, _ := wire.Read[wire.CallBody](s.Message)
+		r.TamperMessage = func(s *wire.OutboundMessage) bool {
+			b, _ := wire.DecodeBody[wire.ForwardedRequest](s.Message)
 			var t config.Table
-			if s.Message.Kind != wire.Call || b.Verb != "table.put" || json.Unmarshal(b.Body, &t) != nil {
+			if s.Message.Kind != wire.ForwardRequest || b.Verb != "table.put" || json.Unmarshal(b.Body, &t) != nil {
 				return true
 			}
 			key := link(t.Accepted().Version, t.ContentHash())
 			if taken[key] { // on another base it is no repeat
 				t.Version = 1 << 40
 				t.RequestedVersion = t.Version + 1
-				b.Body = wire.Body(t)
-				s.Message.Body = wire.Body(b)
+				b.Body = wire.EncodeBody(t)
+				s.Message.Body = wire.EncodeBody(b)
 			}
 			taken[key] = true
 			return true
@@ -124,53 +124,53 @@
 	},
 	"a repeat is applied twice": func(r *Run) {
 		var newest config.Table
-		onMessage(wire.Call, func(b *wire.CallBody) {
+		onMessage(wire.ForwardRequest, func(b *wire.ForwardedRequest) {
 			var t config.Table
 			if b.Verb != "table.put" || json.Unmarshal(b.Body, &t) != nil {
 				return
 			}
 			if t.SameContent(newest) {
 				t.Version, t.RequestedVersion = newest.Accepted().Version, 0
-				b.Body = wire.Body(t)
+				b.Body = wire.EncodeBody(t)
 			}
 			newest = t
 		})(r)
 	},
-	"both of a race are acknowledged": answers(func(_ *Run, verb string, a *wire.Answer) {
+	"both of a race are acknowledged": answers(func(_ *Run, verb string, a *wire.Response) {
 		if verb == "table.put" && isFault(a, apierror.StaleVersion) {
-			*a = wire.Answer{Code: 200}
+			*a = wire.Response{StatusCode: 200}
 		}
 	}),
 	"an answer goes to another call": func(r *Run) {
-		last := map[types.Addr]wire.ReplyBody{}
+		last := map[types.Addr]wire.ForwardedReply{}
 		n := 0
-		r.TamperMessage = func(s *wire.Send) bool {
-			b, ok := wire.Read[wire.ReplyBody](s.Message)
-			if s.Message.Kind != wire.Reply || !ok {
+		r.TamperMessage = func(s *wire.OutboundMessage) bool {
+			b, ok := wire.DecodeBody[wire.ForwardedReply](s.Message)
+			if s.Message.Kind != wire.ForwardReply || !ok {
 				return true
 			}
 			before := last[s.To]
 			last[s.To] = b
-			if n++; n%10 == 0 && before.Code != 0 {
+			if n++; n%10 == 0 && before.StatusCode != 0 {
 				before.ID = b.ID
-				s.Message.Body = wire.Body(before)
+				s.Message.Body = wire.EncodeBody(before)
 			}
 			return true
 		}
 	},
-	"a job that was taken is denied": answers(func(r *Run, verb string, a *wire.Answer) {
+	"a job that was taken is denied": answers(func(r *Run, verb string, a *wire.Response) {
 		if verb == "job.get" && r.now/int64(time.Second)%5 == 0 {
-			*a = wire.Answer{Fault: apierror.New(apierror.NoSuchJob, "id", "")}
+			*a = wire.Response{Error: apierror.New(apierror.NoSuchJob, "id", "")}
 		}
 	}),
-	"a cancel is acknowledged and not taken": answers(func(_ *Run, verb string, a *wire.Answer) {
-		if verb == "job.cancel" && a.Fault != nil {
-			*a = wire.Answer{Code: 200}
+	"a cancel is acknowledged and not taken": answers(func(_ *Run, verb string, a *wire.Response) {
+		if verb == "job.cancel" && a.Error != nil {
+			*a = wire.Response{StatusCode: 200}
 		}
 	}),
-	"what was taken is told as turned away": answers(func(_ *Run, verb string, a *wire.Answer) {
-		if verb == "job.put" && a.Code == 201 {
-			*a = wire.Answer{Fault: apierror.New(apierror.QueueFull, "", "")}
+	"what was taken is told as turned away": answers(func(_ *Run, verb string, a *wire.Response) {
+		if verb == "job.put" && a.StatusCode == 201 {
+			*a = wire.Response{Error: apierror.New(apierror.QueueFull, "", "")}
 		}
 	}),
 }
@@ -203,9 +203,9 @@
 		r := Build(Plan{Seed: 300 + seed, Deployment: "kingston"})
 		r.Run(8 * time.Second)
 		lost := 2
-		r.TamperAnswer = func(verb string, a *wire.Answer) {
+		r.TamperAnswer = func(verb string, a *wire.Response) {
 			if lost--; lost >= 0 {
-				*a = wire.Answer{Fault: apierror.New(apierror.OutcomeUnknown, "", "")}
+				*a = wire.Response{Error: apierror.New(apierror.OutcomeUnknown, "", "")}
 			}
 		}
 		got := map[outcome]int{}
@@ -226,7 +226,7 @@
 			if r.random.Intn(2) == 0 {
 				to = r.Clients.any()
 			}
-			r.request("operator", to, "table.put", "", wire.Body(t), func(a wire.Answer) { again(outcomeOf("table.put", a.Fault)) })
+			r.request("operator", to, "table.put", "", wire.EncodeBody(t), func(a wire.Response) { again(outcomeOf("table.put", a.Error)) })
 			r.at(silence, func() { again(unclear) })
 		}
 		for i := range 2 {
--- a/sim/net.go
+++ b/sim/net.go
@@ -147,9 +147,9 @@
 	for _, x := range group {
 		for _, r := range x.list {
 			if x.whole {
-				b = wal.Pack(b, r, wal.Whole)
+				b = wal.AppendRecord(b, r, wal.SyncedByRename)
 			} else {
-				b = wal.Pack(b, r, int64(len(d.synced)))
+				b = wal.AppendRecord(b, r, int64(len(d.synced)))
 			}
 		}
 	}
@@ -175,7 +175,7 @@
 			return
 		}
 		if whole {
-			d.synced = wal.Pack(b, []byte("{}"), wal.Whole)
+			d.synced = wal.AppendRecord(b, []byte("{}"), wal.SyncedByRename)
 		} else {
 			d.synced = append(d.synced, b...)
 		}
@@ -204,11 +204,11 @@
 // seal has a last small record witness what was synced, once the disk rests.
 func (d *disk) seal() {
 	gen := d.generation
-	d.w.at(wal.Rest, func() {
+	d.w.at(wal.SealAfterIdle, func() {
 		if gen != d.generation || d.busy || d.sealed {
 			return
 		}
-		d.synced = wal.Pack(d.synced, []byte("{}"), int64(len(d.synced)))
+		d.synced = wal.AppendRecord(d.synced, []byte("{}"), int64(len(d.synced)))
 		d.sealed = true
 	})
 }
--- a/sim/operator.go
+++ b/sim/operator.go
@@ -77,12 +77,12 @@
 // answered.
 func (c *Clients) count(q types.QueueName, g types.Addr) {
 	began := c.w.now
-	c.try(g, "queue.count", string(q), nil, func(a wire.Answer) {
+	c.try(g, "queue.count", string(q), nil, func(a wire.Response) {
 		h := HistoryEvent{What: Counted, Who: c.w.nodes[g].name(), Job: types.JobID(q), Text: fmt.Sprint(began)}
 		switch {
-		case a.Fault == nil:
+		case a.Error == nil:
 			h.Stage = "there"
-		case a.Fault.Kind != apierror.NoSuchQueue:
+		case a.Error.Kind != apierror.NoSuchQueue:
 			return
 		}
 		c.w.record(h)
--- a/sim/planted_test.go
+++ b/sim/planted_test.go
@@ -24,13 +24,13 @@
 	var t T
 	if json.Unmarshal(*b, &t) == nil {
 		f(&t)
-		*b = wire.Body(t)
+		*b = wire.EncodeBody(t)
 	}
 }
 
 func onMessage[T any](kind string, f func(*T)) func(*Run) {
 	return func(r *Run) {
-		r.TamperMessage = func(s *wire.Send) bool {
+		r.TamperMessage = func(s *wire.OutboundMessage) bool {
 			if s.Message.Kind == kind {
 				alter(&s.Message.Body, f)
 			}
@@ -41,7 +41,7 @@
 
 // onJob changes jobs on their way from the gateways to the leader.
 func onJob(f func(*state.Step)) func(*Run) {
-	return onMessage(wire.Call, func(c *wire.CallBody) {
+	return onMessage(wire.ForwardRequest, func(c *wire.ForwardedRequest) {
 		if c.Verb == "job.put" {
 			alter(&c.Body, func(s *state.Spec) {
 				for i := range s.Steps {
@@ -66,7 +66,7 @@
 }
 
 func mute(kind string) func(*Run) {
-	return func(r *Run) { r.TamperMessage = func(s *wire.Send) bool { return s.Message.Kind != kind } }
+	return func(r *Run) { r.TamperMessage = func(s *wire.OutboundMessage) bool { return s.Message.Kind != kind } }
 }
 
 var planted = []struct {
@@ -82,7 +82,7 @@
 			h.deaf = true
 		}
 	}},
-	{"accounts hide what runs", []string{"handover"}, []string{"again"}, 30 * time.Second, false, onMessage(wire.Account, func(a *dispatch.RunningTasksReply) { a.Tasks = nil })},
+	{"accounts hide what runs", []string{"handover"}, []string{"again"}, 30 * time.Second, false, onMessage(wire.RunningTasksReply, func(a *dispatch.RunningTasksReply) { a.Tasks = nil })},
 	{"good ends told as stops", nil, []string{"again"}, 30 * time.Second, true, onPoll(func(p *dispatch.Poll) {
 		for i := range p.Ended {
 			p.Ended[i].Outcome = state.OutcomeStopped
@@ -102,24 +102,24 @@
 	{"spread is forgotten", nil, []string{"spread"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.MaxPerWorker = 0 })},
 	{"times are forgotten", nil, []string{"early"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.DelayMillis, s.NotBefore = 0, "" })},
 	{"dependencies are forgotten", nil, []string{"order"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.DependsOn = nil })},
-	{"stops get lost", []string{"kill-machine"}, []string{"cancel-run", "gang"}, 30 * time.Second, false, func(r *Run) { mute(wire.Stop)(r); r.Clients.Cancel = 0.5 }},
+	{"stops get lost", []string{"kill-machine"}, []string{"cancel-run", "gang"}, 30 * time.Second, false, func(r *Run) { mute(wire.KillTask)(r); r.Clients.Cancel = 0.5 }},
 	{"open jobs shown done", nil, []string{"shown"}, 30 * time.Second, false, func(r *Run) {
-		r.TamperAnswer = func(verb string, a *wire.Answer) {
-			if verb == "job.get" && a.Fault == nil {
+		r.TamperAnswer = func(verb string, a *wire.Response) {
+			if verb == "job.get" && a.Error == nil {
 				alter(&a.Body, func(v *map[string]any) { (*v)["state"] = "done" })
 			}
 		}
 	}},
 	{"jobs denied after acceptance", nil, []string{"forgotten"}, 30 * time.Second, false, func(r *Run) {
-		r.TamperAnswer = func(verb string, a *wire.Answer) {
+		r.TamperAnswer = func(verb string, a *wire.Response) {
 			if verb == "job.get" {
-				*a = wire.Answer{Fault: apierror.New(apierror.NoSuchJob, "id", "")}
+				*a = wire.Response{Error: apierror.New(apierror.NoSuchJob, "id", "")}
 			}
 		}
 	}},
 	{"old tables read", nil, []string{"table"}, 30 * time.Second, false, func(r *Run) {
-		r.TamperAnswer = func(verb string, a *wire.Answer) {
-			if verb == "table.get" && a.Fault == nil {
+		r.TamperAnswer = func(verb string, a *wire.Response) {
+			if verb == "table.get" && a.Error == nil {
 				alter(&a.Body, func(t *config.Table) { t.Version-- })
 			}
 		}
@@ -133,9 +133,9 @@
 				}
 			})
 		}
-		r.TamperMessage = func(s *wire.Send) bool {
-			if s.Message.Kind == wire.Call {
-				alter(&s.Message.Body, func(c *wire.CallBody) {
+		r.TamperMessage = func(s *wire.OutboundMessage) bool {
+			if s.Message.Kind == wire.ForwardRequest {
+				alter(&s.Message.Body, func(c *wire.ForwardedRequest) {
 					if c.Verb == "table.put" {
 						alter(&c.Body, func(t *config.Table) {
 							told[t.Version+1] = config.Table{Queues: slices.Clone(t.Queues)}
@@ -146,8 +146,8 @@
 			}
 			return true
 		}
-		r.TamperAnswer = func(verb string, a *wire.Answer) {
-			if verb == "table.get" && a.Fault == nil {
+		r.TamperAnswer = func(verb string, a *wire.Response) {
+			if verb == "table.get" && a.Error == nil {
 				swap(&a.Body)
 			}
 		}
@@ -168,7 +168,7 @@
 		})
 	}},
 	{"orders end with the faults", []string{"kill-gateway"}, []string{"recovery"}, 30 * time.Second, false, func(r *Run) {
-		r.at(26*time.Second, func() { mute(wire.Order)(r) })
+		r.at(26*time.Second, func() { mute(wire.RunTask)(r) })
 		r.at(52*time.Second, func() { r.TamperMessage = nil })
 	}},
 }
--- a/sim/polling_node.go
+++ b/sim/polling_node.go
@@ -116,13 +116,13 @@
 			}
 		}
 	}
-	w.requestWith(pn.node.addr, pn.agent, "poll", "", wire.Body(p), took, func(a wire.Answer) {
+	w.requestWith(pn.node.addr, pn.agent, "poll", "", wire.EncodeBody(p), took, func(a wire.Response) {
 		take := func() {
 			if !on() {
 				return
 			}
 			var r dispatch.PollReply
-			if a.Fault == nil && json.Unmarshal(a.Body, &r) == nil {
+			if a.Error == nil && json.Unmarshal(a.Body, &r) == nil {
 				pn.w.Take(pn.node.mono(), r)
 			}
 			w.at(time.Millisecond, func() {
--- a/sim/processor.go
+++ b/sim/processor.go
@@ -30,11 +30,11 @@
 	node    *node
 	costs   Costs
 	queue   workqueue.Queue[wire.Event]
-	ticks   workqueue.Ticks
+	ticks   workqueue.TickPacer
 	busy    bool
 	used    time.Duration
 	asked   map[uint64]int64                      // when the requests under way came in, by token
-	longest [wire.Classes]time.Duration           // that an event waited for its step
+	longest [wire.NumClasses]time.Duration        // that an event waited for its step
 	held    map[string][]time.Duration            // how long requests were under way, by verb
 	Sums    struct{ Refused, Expired, Stale int } // requests, and reports, that the machine never saw
 }
@@ -51,7 +51,7 @@
 
 func (p *processor) class(e wire.Event) wire.Class {
 	if p.node.w.Order.OneQueue {
-		return wire.Consensus
+		return wire.ClassConsensus
 	}
 	return e.Class()
 }
@@ -61,9 +61,9 @@
 	now := p.node.mono()
 	switch {
 	case e.IsTick():
-	case e.Synced > 0 || e.Disk != nil || e.Reply != nil || e.Close:
-		p.queue.Force(p.class(e), now, e)
-	case e.Ask != nil && !p.enters(now, e):
+	case e.Synced > 0 || e.DiskError != nil || e.WorkerReply != nil || e.Shutdown:
+		p.queue.PushAlways(p.class(e), now, e)
+	case e.Request != nil && !p.enters(now, e):
 		p.Sums.Refused++
 		p.turnAway(e)
 	case e.Message != nil:
@@ -74,9 +74,9 @@
 
 // enters lets a request wait for the machine, or not.
 func (p *processor) enters(now types.MonoTime, e wire.Event) bool {
-	p.asked[e.Ask.Token] = p.node.w.now
-	behind := p.queue.Age(now, wire.Callers, wire.Callers)
-	if !p.node.w.Order.NeverRefuses && wire.Enters(e.Ask.Verb) && behind > workqueue.EntryPatience {
+	p.asked[e.Request.Token] = p.node.w.now
+	behind := p.queue.Age(now, wire.ClassCallers, wire.ClassCallers)
+	if !p.node.w.Order.NeverRefuses && wire.SubmitsWork(e.Request.Verb) && behind > workqueue.MaxSubmitDelay {
 		return false
 	}
 	return p.queue.Push(p.class(e), now, e)
@@ -84,7 +84,7 @@
 
 // turnAway answers a request in place of the machine.
 func (p *processor) turnAway(e wire.Event) {
-	p.node.answer(wire.Answer{Token: e.Ask.Token, Fault: apierror.New(apierror.TooBusy, "", "behind").WithRetryAfter(time.Second)})
+	p.node.answer(wire.Response{Token: e.Request.Token, Error: apierror.New(apierror.TooBusy, "", "behind").WithRetryAfter(time.Second)})
 }
 
 // next begins a step, if the processor is free and there is one to take.
@@ -119,14 +119,14 @@
 // pick is a tick where one is due, else the most urgent event.
 func (p *processor) pick(now types.MonoTime) (wire.Event, bool) {
 	if p.ticks.Due(now, p.queue.Len()) {
-		p.ticks.Ticked(now)
-		return p.loaded(wire.Event{Expired: p.expire(now)}, now, wire.Background, now), true
+		p.ticks.NoteTick(now)
+		return p.loaded(wire.Event{ExpiredForwards: p.expire(now)}, now, wire.ClassBackground, now), true
 	}
 	e, _, at, ok := p.queue.Pop()
 	if !ok {
 		return e, false
 	}
-	p.ticks.Took()
+	p.ticks.NoteEvent()
 	class := e.Class()
 	p.longest[class] = max(p.longest[class], now.Sub(at))
 	return p.loaded(e, now, class, at), true
@@ -145,10 +145,10 @@
 	if p.node.w.Order.NeverRefuses {
 		return
 	}
-	p.Sums.Stale += len(p.queue.Expire(wire.Reports, now, workqueue.Patience))
-	for _, e := range p.queue.Expire(wire.Callers, now, workqueue.Patience) {
+	p.Sums.Stale += len(p.queue.Expire(wire.ClassReports, now, workqueue.MaxWait))
+	for _, e := range p.queue.Expire(wire.ClassCallers, now, workqueue.MaxWait) {
 		p.Sums.Expired++
-		if e.Ask != nil {
+		if e.Request != nil {
 			p.turnAway(e)
 		} else {
 			calls = append(calls, *e.Message)
@@ -160,8 +160,8 @@
 func (p *processor) cost(e wire.Event, placed bool) (d time.Duration) {
 	switch {
 	case e.IsTick():
-		d = p.costs.Tick + time.Duration(len(e.Expired))*p.costs.Request/10
-	case e.Class() <= workqueue.ControlClasses:
+		d = p.costs.Tick + time.Duration(len(e.ExpiredForwards))*p.costs.Request/10
+	case e.Class() <= workqueue.LastControlClass:
 		d = p.costs.Control
 	default:
 		d = p.costs.Request
--- a/sim/processor_test.go
+++ b/sim/processor_test.go
@@ -62,10 +62,10 @@
 
 // loops sums what the loops of controllers and gateways measured.
 type loops struct {
-	longest     [wire.Classes]time.Duration // that an event waited
-	held        time.Duration               // the longest that a request was under way
-	turned      int                         // requests that no machine saw
-	away        uint64                      // and those that a leader had no time for
+	longest     [wire.NumClasses]time.Duration // that an event waited
+	held        time.Duration                  // the longest that a request was under way
+	turned      int                            // requests that no machine saw
+	away        uint64                         // and those that a leader had no time for
 	relieved    uint64
 	leaderTerms types.Term
 }
@@ -117,8 +117,8 @@
 				l := r.loops()
 				before, after := r.accepted(6*time.Second, slowFrom), r.accepted(slowFrom+slowFor+3*time.Second, slowFrom+slowFor+7*time.Second)
 				t.Logf("%+v; taken in 4 s before %d, during %d a 4 s, after %d", l, before, r.accepted(slowFrom, slowFrom+slowFor)/2, after)
-				is.True(l.longest[wire.Consensus] <= mostConsensusWait)
-				is.True(l.longest[wire.Callers] <= mostRequestWait)
+				is.True(l.longest[wire.ClassConsensus] <= mostConsensusWait)
+				is.True(l.longest[wire.ClassCallers] <= mostRequestWait)
 				is.True(l.held <= gateway.CallTimeout+200*time.Millisecond*time.Duration(times)/2) // a request given up on is answered at a tick
 				is.True(after >= before*8/10)                                                      // and the service comes back
 			})
@@ -136,10 +136,10 @@
 		order  Order
 		caught func(loops) bool
 	}{
-		"one queue":     {Order{OneQueue: true}, func(l loops) bool { return l.longest[wire.Consensus] > mostConsensusWait }},
-		"never refuses": {Order{NeverRefuses: true}, func(l loops) bool { return l.longest[wire.Callers] > mostRequestWait }},
+		"one queue":     {Order{OneQueue: true}, func(l loops) bool { return l.longest[wire.ClassConsensus] > mostConsensusWait }},
+		"never refuses": {Order{NeverRefuses: true}, func(l loops) bool { return l.longest[wire.ClassCallers] > mostRequestWait }},
 		"both": {Order{OneQueue: true, NeverRefuses: true}, func(l loops) bool {
-			return l.longest[wire.Consensus] > mostConsensusWait
+			return l.longest[wire.ClassConsensus] > mostConsensusWait
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -187,8 +187,8 @@
 			l := r.loops()
 			t.Logf("%+v; led by %s, then %s", l, was, r.leader().addr)
 			is.True(l.leaderTerms <= c.most)
-			is.True(l.longest[wire.Consensus] <= mostConsensusWait)
-			is.True(l.longest[wire.Callers] <= mostRequestWait)
+			is.True(l.longest[wire.ClassConsensus] <= mostConsensusWait)
+			is.True(l.longest[wire.ClassCallers] <= mostRequestWait)
 			if name == "the leader" {
 				is.Equal(l.relieved, uint64(1))
 				is.True(r.leader().addr != was)
@@ -199,7 +199,7 @@
 
 func TestTheBoundsOfSlowDaysFitThePace(t *testing.T) {
 	is := is.New(t)
-	is.True(mostConsensusWait <= settings.Quick.Core().MinElectionTimeout/2)
-	is.True(workqueue.CallPatience < gateway.AttemptTimeout)
+	is.True(mostConsensusWait <= settings.QuickTimeouts.Raft().MinElectionTimeout/2)
+	is.True(workqueue.MaxForwardWait < gateway.AttemptTimeout)
 	is.True(mostRequestWait < gateway.CallTimeout)
 }
