--- a/sim/requests_test.go
+++ b/sim/requests_test.go
@@ -16,8 +16,8 @@
 )
 
 // direct asks a controller itself and gives its answer, if one comes in time.
-func (r *Run) direct(n *node, verb string, body any, within time.Duration) (a wire.Answer, ok bool) {
-	r.request("operator", n.addr, verb, "", wire.Body(body), func(b wire.Answer) { a, ok = b, true })
+func (r *Run) direct(n *node, verb string, body any, within time.Duration) (a wire.Response, ok bool) {
+	r.request("operator", n.addr, verb, "", wire.EncodeBody(body), func(b wire.Response) { a, ok = b, true })
 	r.Run(time.Duration(r.now) + within)
 	return
 }
@@ -41,13 +41,13 @@
 			is.True(acked())
 			old := r.leader()
 			old.freeze()
-			var a wire.Answer
+			var a wire.Response
 			got := false
 			var body any
 			if verb == "table.put" {
 				body = r.next(2, 7)
 			}
-			r.request("operator", old.addr, verb, "", wire.Body(body), func(b wire.Answer) { a, got = b, true }) // it is the first to come
+			r.request("operator", old.addr, verb, "", wire.EncodeBody(body), func(b wire.Response) { a, got = b, true }) // it is the first to come
 			r.Run(18 * time.Second)
 			var heir *node
 			for _, h := range r.controllers {
@@ -57,12 +57,12 @@
 			}
 			is.True(heir != nil)
 			b, ok := r.direct(heir, "table.put", r.next(1, 5), time.Second)
-			is.True(ok && b.Fault == nil)
+			is.True(ok && b.Error == nil)
 			old.thaw()
 			r.Run(time.Duration(r.now) + 500*time.Millisecond)
 			is.True(got)
-			is.True(a.Fault != nil)
-			is.Equal(a.Fault.Kind, apierror.NoLeader) // neither the old table nor a refusal by it
+			is.True(a.Error != nil)
+			is.Equal(a.Error.Kind, apierror.NoLeader) // neither the old table nor a refusal by it
 		})
 	}
 }
@@ -101,14 +101,14 @@
 					began := r.now
 					answer, ok := r.direct(h, "table.get", nil, 60*time.Millisecond)
 					is.True(ok) // at once
-					is.True(answer.Lead != h.addr)
-					if answer.Lead != "" { // the one it names can have led within its lease
-						is.True(answer.Fault.Kind == apierror.NoLeader)
-						reached := !r.cut[pair{answer.Lead, h.addr}]
+					is.True(answer.Leader != h.addr)
+					if answer.Leader != "" { // the one it names can have led within its lease
+						is.True(answer.Error.Kind == apierror.NoLeader)
+						reached := !r.cut[pair{answer.Leader, h.addr}]
 						is.True(reached || began-from < int64(r.raftTimeouts.MinElectionTimeout+100*time.Millisecond))
 					}
-					if answer.Fault != nil && answer.Lead == "" {
-						is.True(answer.Fault.RetryAfterSeconds > 0)
+					if answer.Error != nil && answer.Leader == "" {
+						is.True(answer.Error.RetryAfterSeconds > 0)
 					}
 				}
 			}
--- a/sim/run.go
+++ b/sim/run.go
@@ -58,7 +58,7 @@
 		r.environment = NewWorkerEnvironment(*deployment.WorkerRules)
 	}
 	if p.Quick {
-		r.timeouts, r.raftTimeouts = settings.Quick.Truth(), settings.Quick.Core()
+		r.timeouts, r.raftTimeouts = settings.QuickTimeouts.Dispatch(), settings.QuickTimeouts.Raft()
 	}
 	if p.Timeouts != (dispatch.Timeouts{}) {
 		r.timeouts = p.Timeouts
--- a/sim/scale.go
+++ b/sim/scale.go
@@ -234,7 +234,7 @@
 
 func (r *Run) submit(id string, s state.Spec) {
 	r.record(HistoryEvent{What: Sent, Job: types.JobID(id), Spec: &s})
-	r.Clients.send(types.JobID(id), wire.Body(s), r.Clients.any(), 0)
+	r.Clients.send(types.JobID(id), wire.EncodeBody(s), r.Clients.any(), 0)
 }
 
 // load starts as many long tasks as run at the full size for each worker, and
--- a/sim/schedule_test.go
+++ b/sim/schedule_test.go
@@ -138,9 +138,9 @@
 		rules []string
 		plant func(*Run)
 	}{
-		"both of a race are acknowledged": {[]string{"table"}, onAnswer("table.put", func(a *wire.Answer) {
-			if a.Fault != nil && a.Fault.Kind == apierror.StaleVersion {
-				*a = wire.Answer{Code: http.StatusOK}
+		"both of a race are acknowledged": {[]string{"table"}, onAnswer("table.put", func(a *wire.Response) {
+			if a.Error != nil && a.Error.Kind == apierror.StaleVersion {
+				*a = wire.Response{StatusCode: http.StatusOK}
 			}
 		})},
 		"a repeat of what was taken is refused": {[]string{"table"}, func(r *Run) {
--- a/sim/silent_test.go
+++ b/sim/silent_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	sent, most := 0, 0
-	r.TamperMessage = func(s *wire.Send) bool {
+	r.TamperMessage = func(s *wire.OutboundMessage) bool {
 		if s.Message.From == lead.addr && s.To == away.addr && s.Message.Kind == wire.AppendEntries {
 			sent += len(s.Message.Body)
 			most = max(most, len(s.Message.Body))
--- a/sim/triggers.go
+++ b/sim/triggers.go
@@ -50,6 +50,6 @@
 }
 
 // losesAck tells whether the acknowledgement of a change gets lost on its way.
-func (w *World) losesAck(verb string, a wire.Answer) bool {
-	return w.lostAcks > 0 && verb == "table.put" && a.Fault == nil && w.random.Float64() < w.lostAcks
+func (w *World) losesAck(verb string, a wire.Response) bool {
+	return w.lostAcks > 0 && verb == "table.put" && a.Error == nil && w.random.Float64() < w.lostAcks
 }
--- a/sim/upkeep_test.go
+++ b/sim/upkeep_test.go
@@ -39,7 +39,7 @@
 // put sends one job and gives when each of its tasks first started, by -1.
 func (r *Run) put(id string, s state.Spec) {
 	r.record(HistoryEvent{What: Sent, Job: types.JobID(id), Spec: &s})
-	r.Clients.send(types.JobID(id), wire.Body(s), r.Clients.any(), 0)
+	r.Clients.send(types.JobID(id), wire.EncodeBody(s), r.Clients.any(), 0)
 }
 
 func (r *Run) started(id string) (at time.Duration, ok bool) {
@@ -115,7 +115,7 @@
 
 // see asks after a job now.
 func (r *Run) see(id types.JobID) (h HistoryEvent) {
-	r.request(r.Clients.addr, "g2", "job.get", string(id), nil, func(a wire.Answer) { r.Clients.saw(id, a) })
+	r.request(r.Clients.addr, "g2", "job.get", string(id), nil, func(a wire.Response) { r.Clients.saw(id, a) })
 	r.Run(time.Duration(r.now) + 300*time.Millisecond)
 	for _, x := range r.Hist.List {
 		if x.What == Saw && x.Job == id {
@@ -195,7 +195,7 @@
 		fill(r, 1, 12_000)
 		open, shut := r.now+int64(40*time.Second), r.now+int64(52*time.Second)
 		plan := state.Calendar{Name: "roof", Target: state.Target{Rack: "r1"}, Windows: [][2]types.WallTime{{types.WallTime(origin + open), types.WallTime(origin + shut)}}}
-		r.Clients.order("plan.put", "roof", wire.Body(plan), 0, func() {})
+		r.Clients.order("plan.put", "roof", wire.EncodeBody(plan), 0, func() {})
 		r.Run(time.Duration(open) - 3*time.Second)
 		r.leader().kill() // the windows outlive a change of leader
 		r.Run(time.Duration(open) - time.Second)
--- a/sim/usage.go
+++ b/sim/usage.go
@@ -30,10 +30,10 @@
 }
 
 var classes = map[string]Class{
-	wire.Hello: RosterMessages,
-	wire.Beat:  HeartbeatMessages, wire.Beaten: HeartbeatMessages, wire.AskRun: HeartbeatMessages, wire.Account: HeartbeatMessages,
-	wire.Quit: HeartbeatMessages,
-	wire.News: TableMessages, wire.Told: TableMessages,
+	wire.Hello:     RosterMessages,
+	wire.Heartbeat: HeartbeatMessages, wire.HeartbeatReply: HeartbeatMessages, wire.RunningTasksQuery: HeartbeatMessages, wire.RunningTasksReply: HeartbeatMessages,
+	wire.ReplaceInstance: HeartbeatMessages,
+	wire.ConfigWatch:     TableMessages, wire.ConfigWatchReply: TableMessages,
 	wire.Bootstrap: LogMessages, wire.JoinRequest: LogMessages, wire.RequestVote: LogMessages, wire.VoteReply: LogMessages, wire.AppendEntries: LogMessages,
 	wire.AppendReply: LogMessages, wire.InstallSnapshot: LogMessages, wire.TimeoutNow: LogMessages, wire.Removed: LogMessages,
 }
--- a/sim/usage_test.go
+++ b/sim/usage_test.go
@@ -52,31 +52,31 @@
 // echo hands on the notes that it is given.
 type echo struct{ got chan wire.Message }
 
-func (e echo) Step(v wire.Event) wire.Out {
+func (e echo) Step(v wire.Event) wire.Effects {
 	if v.Message != nil {
 		e.got <- *v.Message
 	}
-	return wire.Out{}
+	return wire.Effects{}
 }
 
 // carried is what each of some notes took on the wire, there and back, when a real
 // client posts them one after the other. It is nothing when the post gave one up,
 // as it may after its time: what it drops, the machines say again.
-func carried(t *testing.T, to func(types.Addr) []wire.Send) (list [][2]int) {
+func carried(t *testing.T, to func(types.Addr) []wire.OutboundMessage) (list [][2]int) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	ln := &countedListener{Listener: plain}
 	sends := to(types.Addr(plain.Addr().String()))
-	post := server.NewPost(ctx, "")
+	post := server.NewSender(ctx, "")
 	e := echo{make(chan wire.Message, len(sends))}
-	owner := server.NewOwner(post, nil)
-	owner.Carry(e)
+	owner := server.NewEventLoop(post, nil)
+	owner.SetMachine(e)
 	go owner.Run(ctx)
-	p := &server.Pages{Owner: owner, Post: post, Ready: func() bool { return true }}
+	p := &server.Handlers{Loop: owner, Sender: post, Ready: func() bool { return true }}
 	written := make(chan bool, len(sends))
-	srv := &http.Server{Handler: p.Wrap(p.Router()), ConnState: func(_ net.Conn, s http.ConnState) {
+	srv := &http.Server{Handler: p.TrackInFlight(p.Router()), ConnState: func(_ net.Conn, s http.ConnState) {
 		if s == http.StateIdle { // told by the goroutine that wrote, and counted, the answer
 			written <- true
 		}
@@ -101,11 +101,11 @@
 
 func TestWireBytesAreThoseOfARealRequest(t *testing.T) {
 	is := is.New(t)
-	var sends []wire.Send
-	to := func(to types.Addr) []wire.Send {
+	var sends []wire.OutboundMessage
+	to := func(to types.Addr) []wire.OutboundMessage {
 		sends = nil
-		for _, kind := range []string{wire.Beat, wire.Beaten} {
-			sends = append(sends, wire.Make("127.0.0.1:7400", to, kind, json.RawMessage(`{"stamp":123456789,"sound":true}`)))
+		for _, kind := range []string{wire.Heartbeat, wire.HeartbeatReply} {
+			sends = append(sends, wire.NewMessage("127.0.0.1:7400", to, kind, json.RawMessage(`{"stamp":123456789,"sound":true}`)))
 		}
 		return sends
 	}
--- a/sim/verdict.go
+++ b/sim/verdict.go
@@ -128,8 +128,8 @@
 		default:
 			continue
 		}
-		for _, k := range ring.Of(trace.Job(types.JobID(id))) {
-			lines = append(lines, line{int64(k.At) - origin - int64(n.wall), string(a) + " " + k.What})
+		for _, k := range ring.Points(trace.JobSubject(types.JobID(id))) {
+			lines = append(lines, line{int64(k.At) - origin - int64(n.wall), string(a) + " " + k.Description})
 		}
 	}
 	sort.SliceStable(lines, func(i, k int) bool { return lines[i].at < lines[k].at })
--- a/sim/work.go
+++ b/sim/work.go
@@ -18,7 +18,7 @@
 	"coppercourse/internal/wire"
 )
 
-// WorkerRun runs a worker until ctx ends.
+// RunningAttempt runs a worker until ctx ends.
 func WorkerRun(ctx context.Context, m WorkerSpec, id, agent, source, history string, seed int64) error {
 	file, err := os.OpenFile(history, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -27,12 +27,12 @@
 	defer file.Close()
 	tell := func(h HistoryEvent) {
 		h.At = time.Now().UnixNano()
-		file.Write(append(wire.Body(h), '\n'))
+		file.Write(append(wire.EncodeBody(h), '\n'))
 	}
 	var mu sync.Mutex
 	w := NewWorker(m, types.ID(id), rand.New(rand.NewSource(seed)), tell)
 	tell(HistoryEvent{What: Staying, Who: id, Shard: m.Shard, Make: &m})
-	client := server.Client(source, 500*time.Millisecond)
+	client := server.NewClient(source, 500*time.Millisecond)
 	told := map[types.AttemptID]bool{}
 	call := func(p dispatch.Poll) {
 		a, ok := post(ctx, client, agent, p)
@@ -70,7 +70,7 @@
 }
 
 func post(ctx context.Context, client *http.Client, agent string, p dispatch.Poll) (a dispatch.PollReply, ok bool) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+agent+"/v1/poll", bytes.NewReader(wire.Body(p)))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+agent+"/v1/poll", bytes.NewReader(wire.EncodeBody(p)))
 	if err != nil {
 		return a, false
 	}
--- a/sim/worker_environment.go
+++ b/sim/worker_environment.go
@@ -137,7 +137,7 @@
 	}
 	g.close()
 	for _, a := range g.members() {
-		a.w.end(a, wire.Done)
+		a.w.end(a, wire.EndSucceeded)
 	}
 }
 
@@ -147,14 +147,14 @@
 }
 
 // leave breaks a gang of which a member has ended otherwise.
-func (g *gang) leave(a *attempt, how wire.How) {
+func (g *gang) leave(a *attempt, how wire.EndReason) {
 	if g.over {
 		return
 	}
 	g.close()
 	for _, m := range g.members() {
 		if m != a {
-			m.w.end(m, wire.Broken)
+			m.w.end(m, wire.EndGangMemberEnded)
 		}
 	}
 }
--- a/sim/workload.go
+++ b/sim/workload.go
@@ -45,7 +45,7 @@
 }
 
 func NewWorkload(f *Fleet, seed int64, speed float64) *Workload {
-	s := &Workload{f: f, rnd: rand.New(rand.NewSource(seed)), client: server.Client("127.0.9.1", 4*time.Second), Cancel: 0.04,
+	s := &Workload{f: f, rnd: rand.New(rand.NewSource(seed)), client: server.NewClient("127.0.9.1", 4*time.Second), Cancel: 0.04,
 		Speed: speed, Denials: map[apierror.Kind]int{}, slots: make(chan struct{}, 3000)}
 	s.client.Transport.(*http.Transport).DisableKeepAlives = true
 	list := f.of("gateway")
@@ -101,7 +101,7 @@
 			go func() {
 				defer w.work.Done()
 				defer func() { <-w.slots }()
-				w.job(id, wire.Body(spec))
+				w.job(id, wire.EncodeBody(spec))
 			}()
 		default:
 		}
@@ -209,7 +209,7 @@
 func (w *Workload) Put(t config.Table) (types.Version, error) {
 	w.f.Tell(HistoryEvent{What: TableTry, Table: &t})
 	for range 60 {
-		code, b := w.try(http.MethodPut, "/v1/table", wire.Body(t))
+		code, b := w.try(http.MethodPut, "/v1/table", wire.EncodeBody(t))
 		if code == 200 {
 			got := t.Accepted()
 			w.f.Tell(HistoryEvent{What: TableAck, Table: &got})
--- a/sim/workload_test.go
+++ b/sim/workload_test.go
@@ -32,7 +32,7 @@
 	port := srv.Listener.Addr().(*net.TCPAddr).Port
 	f := &Fleet{Port: port, ctx: context.Background(), start: time.Now(), procs: []*proc{{name: "gateway1", role: "gateway", ip: "127.0.0.1"}}}
 	s := NewWorkload(f, 1, 1)
-	d := server.Dialer("127.0.9.1") // as the workload's, on a machine that may be slow
+	d := server.NewDialer("127.0.9.1") // as the workload's, on a machine that may be slow
 	d.Timeout, s.client.Timeout = 2*time.Minute, 2*time.Minute
 	s.client.Transport.(*http.Transport).DialContext = d.DialContext
 	code, _ := s.try("PUT", "/v1/jobs/a", nil)
--- a/sim/world.go
+++ b/sim/world.go
@@ -57,7 +57,7 @@
 // pendingRequest is one that a node has not answered.
 type pendingRequest struct {
 	verb string
-	back func(wire.Answer)
+	back func(wire.Response)
 }
 
 // World is one run.
@@ -87,11 +87,11 @@
 	After          func(*node) // once a node's step is carried out
 	// Planted bugs: what is sent, asked and answered may be changed on its way,
 	// and a note for which Tamper is false is never sent.
-	TamperMessage func(s *wire.Send) bool
+	TamperMessage func(s *wire.OutboundMessage) bool
 	TamperRequest func(verb string, body *json.RawMessage)
-	TamperAnswer  func(verb string, a *wire.Answer)
+	TamperAnswer  func(verb string, a *wire.Response)
 	// What one daemon answers may be changed, too; an answer for which it is false is lost.
-	TamperAnswerOf func(daemon types.Addr, verb string, a *wire.Answer) bool
+	TamperAnswerOf func(daemon types.Addr, verb string, a *wire.Response) bool
 	// Delivered is told of each message that a daemon takes.
 	Delivered  func(to types.Addr, m wire.Message)
 	watchers   []watcher            // of the history, for faults that strike when something happens
@@ -202,10 +202,10 @@
 	if n.w.Delivered != nil {
 		n.w.Delivered(n.addr, message)
 	}
-	if message.Kind != wire.Status {
+	if message.Kind != wire.StatusReport {
 		return
 	}
-	u, _ := wire.Read[dispatch.UpdateStatus](message)
+	u, _ := wire.DecodeBody[dispatch.UpdateStatus](message)
 	for _, e := range u.Ends {
 		if e.Outcome == state.OutcomeOK || e.Outcome == state.OutcomeFailed {
 			n.w.record(HistoryEvent{What: Heard, Who: n.name(), Attempt: e.ID, Outcome: e.Outcome})
@@ -237,10 +237,10 @@
 }
 
 // emit carries out what a step wants done.
-func (n *node) emit(out wire.Out) {
+func (n *node) emit(out wire.Effects) {
 	w, gen := n.w, n.gen
 	m := meter{}
-	for _, s := range out.Sends {
+	for _, s := range out.Messages {
 		if w.TamperMessage != nil && !w.TamperMessage(&s) {
 			continue
 		}
@@ -263,26 +263,26 @@
 	for _, c := range out.Calls {
 		w.invoke(n, c)
 	}
-	if out.Batch != nil {
-		n.disk.put(write{out.Batch, out.Seq, out.Whole, func(seq uint64) {
+	if out.Records != nil {
+		n.disk.put(write{out.Records, out.BatchNumber, out.ReplaceLog, func(seq uint64) {
 			if n.gen == gen {
 				n.deliver(func() { n.step(wire.Event{Synced: seq}) })
 			}
 		}})
 	}
-	for _, a := range out.Answers {
+	for _, a := range out.Responses {
 		n.answer(a)
 	}
 	if w.After != nil {
 		w.After(n)
 	}
-	if n.closes && out.Idle {
+	if n.closes && out.Drained {
 		n.kill()
 	}
 }
 
 // answer ends a request.
-func (n *node) answer(a wire.Answer) {
+func (n *node) answer(a wire.Response) {
 	q, ok := n.pendingRequests[a.Token]
 	if !ok {
 		return
@@ -295,7 +295,7 @@
 }
 
 // run gives the machine an event and counts the time that it takes.
-func (n *node) run(e wire.Event) wire.Out {
+func (n *node) run(e wire.Event) wire.Effects {
 	if e.Message != nil {
 		n.hears(*e.Message)
 	}
@@ -314,12 +314,12 @@
 }
 
 // request carries a request from an address to a node and the answer back.
-func (w *World) request(from, to types.Addr, verb, arg string, body json.RawMessage, back func(wire.Answer)) {
+func (w *World) request(from, to types.Addr, verb, arg string, body json.RawMessage, back func(wire.Response)) {
 	w.requestWith(from, to, verb, arg, body, func(*node) {}, back)
 }
 
 // requestWith does so and tells when the node takes the request up.
-func (w *World) requestWith(from, to types.Addr, verb, arg string, body json.RawMessage, took func(*node), back func(wire.Answer)) {
+func (w *World) requestWith(from, to types.Addr, verb, arg string, body json.RawMessage, took func(*node), back func(wire.Response)) {
 	if w.TamperRequest != nil {
 		w.TamperRequest(verb, &body)
 	}
@@ -331,7 +331,7 @@
 		n.deliver(func() {
 			took(n)
 			n.token++
-			n.pendingRequests[n.token] = pendingRequest{verb, func(a wire.Answer) {
+			n.pendingRequests[n.token] = pendingRequest{verb, func(a wire.Response) {
 				if w.TamperAnswer != nil {
 					w.TamperAnswer(verb, &a)
 				}
@@ -343,7 +343,7 @@
 				}
 				w.transmit(to, from, func() { back(a) })
 			}}
-			n.step(wire.Event{Ask: &wire.Ask{Token: n.token, Verb: verb, Arg: arg, Body: body}})
+			n.step(wire.Event{Request: &wire.Request{Token: n.token, Verb: verb, Arg: arg, Body: body}})
 		})
 	})
 }
