--- a/cmd/coppercourse/client.go
+++ b/cmd/coppercourse/client.go
@@ -22,8 +22,8 @@
 
 var client = &http.Client{Timeout: 10 * time.Second}
 
-// mostAnswer bounds the answer of a daemon, in bytes.
-const mostAnswer = 64 << 20
+// maxResponseBytes bounds the answer of a daemon, in bytes.
+const maxResponseBytes = 64 << 20
 
 // addClient adds the commands that ask a gateway.
 func addClient(app *kingpin.Application, commands commandSet) {
@@ -39,7 +39,7 @@
 		{"calendars", "Show the maintenance calendars and their next windows.", "/v1/calendars"},
 	} {
 		app.Command(view.name, view.help)
-		commands[view.name] = func() error { return show(*gateway, http.MethodGet, view.path, nil) }
+		commands[view.name] = func() error { return printResponse(*gateway, http.MethodGet, view.path, nil) }
 	}
 	addMaintenance(app, gateway, commands)
 	addTrace(app, gateway, commands)
@@ -48,7 +48,7 @@
 func addTable(app *kingpin.Application, gateway *string, commands commandSet) {
 	table := app.Command("table", "Read, check or change the table of queues.")
 	table.Command("get", "Print the table in force.")
-	commands["table get"] = func() error { return show(*gateway, http.MethodGet, "/v1/table", nil) }
+	commands["table get"] = func() error { return printResponse(*gateway, http.MethodGet, "/v1/table", nil) }
 	put := table.Command("put", "Put a whole table, based on the edition that the file names.")
 	putFile := put.Arg("file", "Table file (JSON).").Required().String()
 	base := put.Flag("base", "The edition it is based on, in place of the file's.").Default("-1").Int64()
@@ -57,12 +57,12 @@
 		if err != nil {
 			return err
 		}
-		return show(*gateway, http.MethodPut, "/v1/table", body)
+		return printResponse(*gateway, http.MethodPut, "/v1/table", body)
 	}
 	check := table.Command("check", "Check a table file without putting it.")
 	checkFile := check.Arg("file", "Table file (JSON).").Required().String()
 	commands["table check"] = func() error {
-		if _, err := readTable(*checkFile, ownBase); err != nil {
+		if _, err := readTable(*checkFile, fileBase); err != nil {
 			return err
 		}
 		fmt.Println("the table is fine")
@@ -80,13 +80,13 @@
 		if err != nil {
 			return err
 		}
-		return show(*gateway, http.MethodPut, "/v1/jobs/"+*sendID, body)
+		return printResponse(*gateway, http.MethodPut, "/v1/jobs/"+*sendID, body)
 	}
 	shown := job.Command("show", "Show a job.").Arg("id", "The job's id.").Required().String()
-	commands["job show"] = func() error { return show(*gateway, http.MethodGet, "/v1/jobs/"+*shown, nil) }
+	commands["job show"] = func() error { return printResponse(*gateway, http.MethodGet, "/v1/jobs/"+*shown, nil) }
 	cancelled := job.Command("cancel", "Cancel a job.").Arg("id", "The job's id.").Required().String()
 	commands["job cancel"] = func() error {
-		return show(*gateway, http.MethodPost, "/v1/jobs/"+*cancelled+"/cancel", nil)
+		return printResponse(*gateway, http.MethodPost, "/v1/jobs/"+*cancelled+"/cancel", nil)
 	}
 }
 
@@ -101,8 +101,8 @@
 	return body, errs.Err()
 }
 
-// ownBase, as a base, leaves a table the base that its file names.
-const ownBase = -1
+// fileBase, as a base, leaves a table the base that its file names.
+const fileBase = -1
 
 // readTable reads and checks a table; a base of 0 or more replaces its own.
 func readTable(path string, base int64) ([]byte, error) {
@@ -134,18 +134,18 @@
 		return nil, apierror.Wrap(apierror.NotReady, err, "no answer")
 	}
 	defer res.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(res.Body, mostAnswer))
+	b, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return nil, apierror.Wrap(apierror.NotReady, err, "answer cut short")
 	}
 	if res.StatusCode >= http.StatusMultipleChoices {
-		return nil, refusal(addr, res.Status, b)
+		return nil, responseError(addr, res.Status, b)
 	}
 	return b, nil
 }
 
-// refusal makes an error of an answer that is not 2xx.
-func refusal(addr, status string, body []byte) error {
+// responseError makes an error of an answer that is not 2xx.
+func responseError(addr, status string, body []byte) error {
 	refused := &apierror.Error{}
 	if json.Unmarshal(body, refused) != nil || refused.Kind == "" {
 		return fmt.Errorf("%s answered %s", addr, status)
@@ -156,8 +156,8 @@
 	return refused
 }
 
-// show asks a daemon and prints its answer, indented.
-func show(addr, method, path string, body []byte) error {
+// printResponse asks a daemon and prints its answer, indented.
+func printResponse(addr, method, path string, body []byte) error {
 	b, err := fetch(addr, method, path, body)
 	if err != nil {
 		return err
--- a/cmd/coppercourse/daemons.go
+++ b/cmd/coppercourse/daemons.go
@@ -39,15 +39,15 @@
 	check                                                 bool
 }
 
-// roles are the roles of a daemon, with their help texts.
-var roles = map[string]string{
+// roleHelp are the roles of a daemon, with their help texts.
+var roleHelp = map[string]string{
 	membership.RoleController: "Run a control and scheduler daemon (on a machine with a disk).",
 	membership.RoleGateway:    "Run an entry for callers and operators.",
 	membership.RoleAgent:      "Run the daemon beside a worker.",
 }
 
-// starts runs the daemon of each role.
-var starts = map[string]func(*daemon) error{
+// runners runs the daemon of each role.
+var runners = map[string]func(*daemon) error{
 	membership.RoleController: runController,
 	membership.RoleGateway:    runGateway,
 	membership.RoleAgent:      runAgent,
@@ -56,7 +56,7 @@
 // addDaemons adds a command for each role.
 func addDaemons(app *kingpin.Application, commands commandSet) {
 	for _, role := range []string{membership.RoleController, membership.RoleGateway, membership.RoleAgent} {
-		c := app.Command(role, roles[role])
+		c := app.Command(role, roleHelp[role])
 		f := &flags{}
 		c.Flag("settings", "Settings file (JSON); flags go before it.").StringVar(&f.file)
 		c.Flag("listen", "IP:port to listen on. Default 127.0.0.1:7400.").StringVar(&f.listen)
@@ -119,7 +119,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	return starts[role](&daemon{ctx: ctx, log: logger(role, s), s: s})
+	return runners[role](&daemon{ctx: ctx, log: logger(role, s), settings: s})
 }
 
 // logger returns a logger that writes one JSON object a line to standard error.
@@ -141,36 +141,36 @@
 
 // daemon is one daemon to run, and what the platform's adapter adds to it.
 type daemon struct {
-	ctx     context.Context
-	log     logr.Logger
-	s       settings.Settings
-	ports   func(*server.Handlers) []server.Endpoint            // further addresses to listen on
-	publish func(t config.Table, confirmedUntil types.MonoTime) // gateway: takes each table, and until when it may be used
-	caller  server.WorkerCaller                                 // agent: calls the worker
-	said    string                                              // the state that was logged last
+	ctx           context.Context
+	log           logr.Logger
+	settings      settings.Settings
+	platformPorts func(*server.Handlers) []server.Endpoint            // further addresses to listen on
+	publishTable  func(t config.Table, confirmedUntil types.MonoTime) // gateway: takes each table, and until when it may be used
+	workerCaller  server.WorkerCaller                                 // agent: calls the worker
+	lastState     string                                              // the state that was logged last
 }
 
 // serve runs the daemon's pages on its own address and on those of the platform
 // until the context ends.
 func (d *daemon) serve(p *server.Handlers, h http.Handler) error {
-	ports := []server.Endpoint{{Addr: d.s.Listen, Handler: h, MaxConns: d.s.MaxConns}}
-	if d.ports != nil {
-		ports = append(ports, d.ports(p)...)
+	ports := []server.Endpoint{{Addr: d.settings.Listen, Handler: h, MaxConns: d.settings.MaxConns}}
+	if d.platformPorts != nil {
+		ports = append(ports, d.platformPorts(p)...)
 	}
-	return server.Serve(d.ctx, d.log, p, server.NewShutdownTiming(d.s.Bounds.ShutdownTimes()), ports...)
+	return server.Serve(d.ctx, d.log, p, server.NewShutdownTiming(d.settings.Bounds.ShutdownTimes()), ports...)
 }
 
-// state logs the daemon's state if it has changed since the last call.
-func (d *daemon) state(what ...any) {
-	if now := fmt.Sprint(what...); now != d.said {
-		d.said = now
+// logState logs the daemon's state if it has changed since the last call.
+func (d *daemon) logState(what ...any) {
+	if now := fmt.Sprint(what...); now != d.lastState {
+		d.lastState = now
 		d.log.Info("state", what...)
 	}
 }
 
 // runController runs a controller on its write-ahead log.
 func runController(d *daemon) error {
-	s := d.s
+	s := d.settings
 	file, records, err := server.OpenLog(d.ctx, d.log, wal.OSStorage{}, s.Data, s.Listen)
 	if err != nil {
 		return nil // stopped while it waited for its disk
@@ -186,7 +186,7 @@
 	var ready atomic.Bool
 	o.Status = func() any {
 		v := m.Status()
-		d.state("part", v.RaftRole, "term", v.Term, "leader", v.Leader, "reason", v.Reason, "waits", v.InitialWait != "", "members", len(v.Members), "voters", v.Members.Voters(),
+		d.logState("part", v.RaftRole, "term", v.Term, "leader", v.Leader, "reason", v.Reason, "waits", v.InitialWait != "", "members", len(v.Members), "voters", v.Members.Voters(),
 			"behind", v.Overloaded, "relieved", v.Counters.Relieved)
 		return v
 	}
@@ -197,16 +197,16 @@
 
 // runGateway runs a gateway.
 func runGateway(d *daemon) error {
-	s := d.s
+	s := d.settings
 	post := server.NewSender(context.Background(), s.Source)
 	o := server.NewEventLoop(post, nil)
-	place := gateway.Options{Addr: s.AdvertisedAddr(), Zone: s.ZoneName(), Seeds: s.SeedAddrs(), Issue: version, Stale: s.Timeouts.StaleAfter()}
+	place := gateway.Options{Addr: s.AdvertisedAddr(), Zone: s.ZoneName(), Seeds: s.SeedAddrs(), BuildVersion: version, StaleAfter: s.Timeouts.StaleAfter()}
 	m := gateway.New(server.Now(), randomSource(), place)
 	o.SetMachine(m)
 	var ready atomic.Bool
 	o.Status = func() any {
 		v := m.Status()
-		d.state("ready", v.Ready, "leader", v.Leader, "table_edition", v.Version)
+		d.logState("ready", v.Ready, "leader", v.Leader, "table_edition", v.TableVersion)
 		return v
 	}
 	entry := &server.GatewayHandlers{}
@@ -214,31 +214,31 @@
 		ready.Store(m.Ready())
 		t, _ := m.Table()
 		entry.PublishTable(t, m.ConfirmedUntil())
-		if d.publish != nil {
-			d.publish(t, m.ConfirmedUntil())
+		if d.publishTable != nil {
+			d.publishTable(t, m.ConfirmedUntil())
 		}
 	}
-	p := &server.Handlers{Loop: o, Sender: post, Trace: m.Trail, Ready: ready.Load}
+	p := &server.Handlers{Loop: o, Sender: post, Trace: m.Trace, Ready: ready.Load}
 	return d.serve(p, entry.Routes(p))
 }
 
 // runAgent runs the agent of one worker.
 func runAgent(d *daemon) error {
-	s := d.s
+	s := d.settings
 	post := server.NewSender(context.Background(), s.Source)
 	o := server.NewEventLoop(post, nil)
-	place := agent.Place{
-		Addr: s.AdvertisedAddr(), Zone: s.ZoneName(), Shard: s.ShardName(), Seeds: s.SeedAddrs(), Issue: version, Truth: s.Dispatch(),
+	place := agent.Options{
+		Addr: s.AdvertisedAddr(), Zone: s.ZoneName(), Shard: s.ShardName(), Seeds: s.SeedAddrs(), BuildVersion: version, Timeouts: s.Dispatch(),
 	}
 	m := agent.New(server.Now(), randomSource(), place)
 	o.SetMachine(m)
-	o.CallWorker = d.caller
+	o.CallWorker = d.workerCaller
 	o.Status = func() any {
 		v := m.Status()
-		d.state("health", v.Account.State, "term", v.Account.Term, "instance", v.Account.Instance, "leaving", v.Account.Draining)
+		d.logState("health", v.Executor.State, "term", v.Executor.Term, "instance", v.Executor.Instance, "leaving", v.Executor.Draining)
 		return v
 	}
-	p := &server.Handlers{Loop: o, Sender: post, Trace: m.Trail, Ready: func() bool { return true }}
+	p := &server.Handlers{Loop: o, Sender: post, Trace: m.Trace, Ready: func() bool { return true }}
 	r := p.Router()
 	r.HandleFunc("/v1/poll", p.RequestHandler("poll")).Methods("POST")
 	return d.serve(p, r)
--- a/cmd/coppercourse/maintenance.go
+++ b/cmd/coppercourse/maintenance.go
@@ -25,7 +25,7 @@
 	addCalendars(app, gateway, commands)
 	gone := app.Command("gone", "Say that a lost worker never comes back: its unfinished tasks go elsewhere now.")
 	shard := gone.Arg("worker", "Its name.").Required().String()
-	commands["gone"] = func() error { return show(*gateway, http.MethodPost, "/v1/workers/"+*shard+"/gone", nil) }
+	commands["gone"] = func() error { return printResponse(*gateway, http.MethodPost, "/v1/workers/"+*shard+"/gone", nil) }
 }
 
 func addDrains(app *kingpin.Application, gateway *string, commands commandSet) {
@@ -37,11 +37,11 @@
 		within := d.Flag("within", "Stop what still runs after so long and have it go elsewhere; 0 lets it end.").Default("0s").Duration()
 		commands["drain "+kind] = func() error {
 			body, _ := json.Marshal(config.Drain{WithinMillis: int(within.Milliseconds())})
-			return show(*gateway, http.MethodPut, path+*name, body)
+			return printResponse(*gateway, http.MethodPut, path+*name, body)
 		}
 		u := undrain.Command(kind, "A "+kind+".")
 		back := u.Arg("name", "Its name.").Required().String()
-		commands["undrain "+kind] = func() error { return show(*gateway, http.MethodDelete, path+*back, nil) }
+		commands["undrain "+kind] = func() error { return printResponse(*gateway, http.MethodDelete, path+*back, nil) }
 	}
 }
 
@@ -61,7 +61,7 @@
 			return errors.New("say either --worker or --rack")
 		}
 		body, _ := json.Marshal(config.Calendar{Shard: types.Shard(*worker), Rack: types.Rack(*rack), ICS: string(text)})
-		return show(*gateway, http.MethodPut, "/v1/calendars/"+*name, body)
+		return printResponse(*gateway, http.MethodPut, "/v1/calendars/"+*name, body)
 	}
 	check := calendars.Command("check", "Check an iCalendar file without putting it.")
 	checked := check.Arg("file", "iCalendar file.").Required().String()
@@ -74,7 +74,7 @@
 	}
 	drop := calendars.Command("drop", "Take a calendar away.")
 	dropped := drop.Arg("name", "The calendar's name.").Required().String()
-	commands["calendar drop"] = func() error { return show(*gateway, http.MethodDelete, "/v1/calendars/"+*dropped, nil) }
+	commands["calendar drop"] = func() error { return printResponse(*gateway, http.MethodDelete, "/v1/calendars/"+*dropped, nil) }
 }
 
 // readCalendar reads and checks an iCalendar file.
--- a/cmd/coppercourse/platform.go
+++ b/cmd/coppercourse/platform.go
@@ -23,7 +23,7 @@
 func addPlatform(app *kingpin.Application, commands commandSet) {
 	c := app.Command("platform", "Run a daemon from the settings file of the platform, or check one.")
 	for _, role := range platform.Roles {
-		c.Command(role, roles[role])
+		c.Command(role, roleHelp[role])
 		commands["platform "+role] = func() error { return runPlatform(role) }
 	}
 	check := c.Command("check", "Check a settings file and tell what the daemon would do.")
@@ -31,7 +31,7 @@
 	commands["platform check"] = func() error {
 		b, err := platform.LoadFile("", *file)
 		if err == nil {
-			fmt.Println(strings.Join(b.Tell(), "\n"))
+			fmt.Println(strings.Join(b.Describe(), "\n"))
 		}
 		return err
 	}
@@ -40,18 +40,18 @@
 // runPlatform runs a daemon from the settings file that the platform names.
 func runPlatform(role string) error {
 	signal.Ignore(syscall.SIGHUP) // until the file is watched
-	b, path, err := platform.Load(role)
+	b, path, err := platform.LoadFromEnvironment(role)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	debug.SetGCPercent(gcPercent(b.Machine()))
-	debug.SetMemoryLimit(b.Memory)
-	d := &daemon{ctx: ctx, log: logger(role, b.Settings), s: b.Settings}
-	platform.Watch(ctx, d.log, path, b, nil)
-	adapters[role](b, d)
-	return starts[b.Machine()](d)
+	debug.SetGCPercent(gcPercent(b.DaemonRole()))
+	debug.SetMemoryLimit(b.MemoryLimit)
+	d := &daemon{ctx: ctx, log: logger(role, b.Daemon), settings: b.Daemon}
+	platform.WatchFile(ctx, d.log, path, b, nil)
+	platformAdapters[role](b, d)
+	return runners[b.DaemonRole()](d)
 }
 
 // How far the heap grows between two collections, in percent. For gateways and agents,
@@ -70,30 +70,30 @@
 	return gcPercentSmall
 }
 
-// fewConns bounds the connections to an address that only operators or one worker
+// maxPeerConnections bounds the connections to an address that only operators or one worker
 // call.
-const fewConns = 256
+const maxPeerConnections = 256
 
-// adapters adds to the daemon of each role the addresses that the platform calls.
-var adapters = map[string]func(platform.Boot, *daemon){
-	"gateway": func(b platform.Boot, d *daemon) {
-		var front *platform.Front
-		d.publish = func(t config.Table, confirmedUntil types.MonoTime) { front.Publish(t, confirmedUntil) }
-		d.ports = func(p *server.Handlers) []server.Endpoint {
-			front = platform.NewFront(p.Loop)
-			return []server.Endpoint{{Addr: b.Front, Handler: front, Limits: front.Limits, MaxConns: d.s.MaxConns},
-				{Addr: b.Ready, Handler: platform.Readiness(p.IsReady), MaxConns: fewConns}}
+// platformAdapters adds to the daemon of each role the addresses that the platform calls.
+var platformAdapters = map[string]func(platform.Settings, *daemon){
+	"gateway": func(b platform.Settings, d *daemon) {
+		var front *platform.GatewayHandler
+		d.publishTable = func(t config.Table, confirmedUntil types.MonoTime) { front.Publish(t, confirmedUntil) }
+		d.platformPorts = func(p *server.Handlers) []server.Endpoint {
+			front = platform.NewGatewayHandler(p.Loop)
+			return []server.Endpoint{{Addr: b.FrontAddr, Handler: front, Limits: front.Limits, MaxConns: d.settings.MaxConns},
+				{Addr: b.ReadinessAddr, Handler: platform.ReadinessHandler(p.IsReady), MaxConns: maxPeerConnections}}
 		}
 	},
-	"controller": func(b platform.Boot, d *daemon) {
-		d.ports = func(p *server.Handlers) []server.Endpoint {
-			return []server.Endpoint{{Addr: b.Control, Handler: platform.NewControl(p.Loop, b.Control).Handler(), MaxConns: fewConns}}
+	"controller": func(b platform.Settings, d *daemon) {
+		d.platformPorts = func(p *server.Handlers) []server.Endpoint {
+			return []server.Endpoint{{Addr: b.ControlAddr, Handler: platform.NewControlHandler(p.Loop, b.ControlAddr).Handler(), MaxConns: maxPeerConnections}}
 		}
 	},
-	"agent": func(b platform.Boot, d *daemon) {
-		d.caller = platform.NewWorker().Call
-		d.ports = func(p *server.Handlers) []server.Endpoint {
-			return []server.Endpoint{{Addr: b.Control, Handler: platform.NewSide(p.Loop, b.App).Handler(), MaxConns: fewConns}}
+	"agent": func(b platform.Settings, d *daemon) {
+		d.workerCaller = platform.NewWorkerClient().Call
+		d.platformPorts = func(p *server.Handlers) []server.Endpoint {
+			return []server.Endpoint{{Addr: b.ControlAddr, Handler: platform.NewAgentHandler(p.Loop, b.WorkerAddr).Handler(), MaxConns: maxPeerConnections}}
 		}
 	},
 }
--- a/cmd/coppercourse/platform_test.go
+++ b/cmd/coppercourse/platform_test.go
@@ -24,10 +24,10 @@
 	"coppercourse/platform"
 )
 
-const asProgram = "COPPERCOURSE_TEST_AS_PROGRAM"
+const asProgramVariable = "COPPERCOURSE_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(asProgramVariable) != "" {
 		main()
 		os.Exit(0)
 	}
@@ -36,7 +36,7 @@
 
 func program(file string, args ...string) *exec.Cmd {
 	c := exec.Command(os.Args[0], args...)
-	c.Env = append(os.Environ(), asProgram+"=1", platform.Variable+"="+file)
+	c.Env = append(os.Environ(), asProgramVariable+"=1", platform.SettingsFileVariable+"="+file)
 	return c
 }
 
--- a/cmd/coppersim/capacity.go
+++ b/cmd/coppersim/capacity.go
@@ -47,9 +47,9 @@
 
 // Bounds of a capacity run.
 const (
-	memoryLimit   = 3500 << 20 // bytes; beyond it memory is collected harder
-	fewestDaemons = 18
-	mostDaemons   = 20_000
+	memoryLimit = 3500 << 20 // bytes; beyond it memory is collected harder
+	minDaemons  = 18
+	maxDaemons  = 20_000
 )
 
 // run measures, or reads the last measurement, and writes the report.
@@ -123,8 +123,8 @@
 			continue
 		}
 		n, err := strconv.Atoi(word)
-		if err != nil || n < fewestDaemons || n > mostDaemons {
-			return nil, fmt.Errorf("%q: want a number of daemons from %d to %d", word, fewestDaemons, mostDaemons)
+		if err != nil || n < minDaemons || n > maxDaemons {
+			return nil, fmt.Errorf("%q: want a number of daemons from %d to %d", word, minDaemons, maxDaemons)
 		}
 		sizes = append(sizes, n)
 	}
--- a/cmd/coppersim/fleet.go
+++ b/cmd/coppersim/fleet.go
@@ -21,9 +21,9 @@
 
 // Timings and bounds of a fleet run.
 const (
-	startLimit  = 30 * time.Second // until all daemons are ready
-	extraTime   = 4 * time.Minute  // beside the traffic: start, settling, report
-	mostPrinted = 20               // broken rules that are printed
+	startLimit = 30 * time.Second // until all daemons are ready
+	extraTime  = 4 * time.Minute  // beside the traffic: start, settling, report
+	maxPrinted = 20               // broken rules that are printed
 )
 
 // fleetRun is the flags of the fleet command.
@@ -81,7 +81,7 @@
 		return err
 	}
 	for i, b := range broken {
-		if i < mostPrinted {
+		if i < maxPrinted {
 			fmt.Println(b)
 		}
 	}
--- a/cmd/coppersim/sweep.go
+++ b/cmd/coppersim/sweep.go
@@ -44,8 +44,8 @@
 	brokenByFault map[string]int
 }
 
-// mostBreaks is how many broken rules are printed of each seed.
-const mostBreaks = 6
+// maxBreaksPrinted is how many broken rules are printed of each seed.
+const maxBreaksPrinted = 6
 
 func addSweep(app *kingpin.Application, commands commandSet) {
 	s := &sweeper{sweepResults: sweepResults{seen: sim.Tally{}, ratiosByFault: map[string][]float64{}, brokenByFault: map[string]int{}}}
@@ -81,17 +81,17 @@
 		s.plan.Timeouts = dispatch.Defaults
 		s.plan.Timeouts.AgentLease, s.plan.Timeouts.LostAfter = s.lease, s.lease*5/4
 	}
-	sets := s.sets()
+	sets := s.faultSets()
 	if s.seeds == 0 {
 		s.seeds = len(sets)
 	}
 	from := time.Now()
-	s.play(sets)
+	s.runSeeds(sets)
 	fmt.Printf("chances the rules had:\n%v", s.seen)
 	fmt.Printf("%d seeds of %s, %d attempts run, %d seeds broke a rule, %d re-runs after an end nobody alive was told of; took %s\n",
 		s.seeds, s.plan.Deployment, s.attempts, s.broken, s.seen.Reruns(), time.Since(from).Round(time.Second))
 	fmt.Printf("jobs done for each one sent from 12 s after healing, beside before the faults: %s\n", sim.Spread(s.ratios))
-	s.worst()
+	s.printByFault()
 	if s.broken > 0 {
 		return fmt.Errorf("%d of %d seeds broke a rule", s.broken, s.seeds)
 	}
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// play runs all seeds, as many at a time as there are processors.
-func (s *sweeper) play(sets [][]string) {
+// runSeeds runs all seeds, as many at a time as there are processors.
+func (s *sweeper) runSeeds(sets [][]string) {
 	seeds := make(chan int64)
 	var all sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -122,7 +122,7 @@
 		go func() {
 			defer all.Done()
 			for seed := range seeds {
-				s.one(seed, sets[int(seed-s.plan.Seed)%len(sets)])
+				s.runSeed(seed, sets[int(seed-s.plan.Seed)%len(sets)])
 			}
 		}()
 	}
@@ -133,9 +133,9 @@
 	all.Wait()
 }
 
-// sets returns the faults that the seeds draw from in turn: one set, or with
+// faultSets returns the faults that the seeds draw from in turn: one set, or with
 // --each or --pairs one for each fault or pair.
-func (s *sweeper) sets() (list [][]string) {
+func (s *sweeper) faultSets() (list [][]string) {
 	all := s.plan.Faults
 	for i, a := range all {
 		for _, b := range all[i:] {
@@ -150,9 +150,9 @@
 	return
 }
 
-// worst prints, with --each or --pairs, the faults in the order of the least service
+// printByFault prints, with --each or --pairs, the faults in the order of the least service
 // after them.
-func (s *sweeper) worst() {
+func (s *sweeper) printByFault() {
 	type row struct {
 		name string
 		list []float64
@@ -170,8 +170,8 @@
 	}
 }
 
-// one plays a seed and adds its results.
-func (s *sweeper) one(seed int64, faults []string) {
+// runSeed plays a seed and adds its results.
+func (s *sweeper) runSeed(seed int64, faults []string) {
 	p := s.plan
 	p.Seed, p.Faults = seed, faults
 	defer func() {
@@ -197,7 +197,7 @@
 	if s.job != "" {
 		s.printJob(r)
 	}
-	for _, b := range v.Breaks[:min(len(v.Breaks), mostBreaks)] {
+	for _, b := range v.Breaks[:min(len(v.Breaks), maxBreaksPrinted)] {
 		fmt.Printf("  %s\n", b)
 	}
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -17,7 +17,7 @@
 func TestBadCallsAreRefusedWhole(t *testing.T) {
 	is := is.New(t)
 	now := types.Now{Mono: 1 << 40}
-	w := New(now, rand.New(rand.NewSource(1)), Place{Addr: "w", Shard: "k", Truth: dispatch.Defaults})
+	w := New(now, rand.New(rand.NewSource(1)), Options{Addr: "w", Shard: "k", Timeouts: dispatch.Defaults})
 	token := uint64(0)
 	ask := func(body string) wire.Response {
 		token++
@@ -42,8 +42,8 @@
 		is.True(a.Error != nil)
 		is.Equal(a.Error.Field, field)
 	}
-	is.Equal(len(w.Status().Account.Attempts), 0)
-	is.Equal(w.Status().Account.Worker, types.ID(""))                   // none of it was taken
+	is.Equal(len(w.Status().Executor.Attempts), 0)
+	is.Equal(w.Status().Executor.Worker, types.ID(""))                  // none of it was taken
 	is.Equal(ask(`{"worker":"a","call":1,"stamp":5}`), wire.Response{}) // a good one is held
 	a := ask(`{"worker":"a","call":1,"stamp":5}`)
 	is.Equal(a.Error.Kind, apierror.StaleVersion)
--- a/internal/gateway/end_reports.go
+++ b/internal/gateway/end_reports.go
@@ -19,25 +19,25 @@
 )
 
 type endReport struct {
-	message wire.Message
-	at      types.MonoTime
-	sent    types.MonoTime
+	message    wire.Message
+	receivedAt types.MonoTime
+	sentAt     types.MonoTime
 }
 
-func (g *Gateway) keep(n wire.Message) {
+func (g *Gateway) bufferEndReport(n wire.Message) {
 	same := func(r endReport) bool { return string(r.message.Body) == string(n.Body) }
-	if len(g.told) < maxReports && !slices.ContainsFunc(g.told, same) {
-		g.told = append(g.told, endReport{n, g.now.Mono, -1 << 62})
+	if len(g.endReports) < maxReports && !slices.ContainsFunc(g.endReports, same) {
+		g.endReports = append(g.endReports, endReport{n, g.now.Mono, -1 << 62})
 	}
 }
 
-// repeat tells the leader what was kept.
-func (g *Gateway) repeat() {
-	g.told = slices.DeleteFunc(g.told, func(r endReport) bool { return g.now.Mono.Sub(r.at) > reportLifetime })
-	to := g.roster.Leader()
-	for i := range g.told {
-		if r := &g.told[i]; to != "" && g.now.Mono.Sub(r.sent) >= reportInterval {
-			r.sent = g.now.Mono
+// forwardEndReports tells the leader what was kept.
+func (g *Gateway) forwardEndReports() {
+	g.endReports = slices.DeleteFunc(g.endReports, func(r endReport) bool { return g.now.Mono.Sub(r.receivedAt) > reportLifetime })
+	to := g.members.Leader()
+	for i := range g.endReports {
+		if r := &g.endReports[i]; to != "" && g.now.Mono.Sub(r.sentAt) >= reportInterval {
+			r.sentAt = g.now.Mono
 			g.sends = append(g.sends, wire.OutboundMessage{To: to, Message: r.message})
 		}
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -15,51 +15,51 @@
 	"coppercourse/internal/wire"
 )
 
-// desk is a gateway and the calls that it has sent.
-type desk struct {
-	g    *Gateway
-	now  types.MonoTime
-	sent []wire.OutboundMessage
-	outs []wire.Response
+// harness is a gateway and the calls that it has sent.
+type harness struct {
+	gateway *Gateway
+	now     types.MonoTime
+	sent    []wire.OutboundMessage
+	answers []wire.Response
 }
 
-func (d *desk) step(e wire.Event) {
+func (d *harness) step(e wire.Event) {
 	e.Now = types.Now{Mono: d.now}
-	out := d.g.Step(e)
+	out := d.gateway.Step(e)
 	for _, s := range out.Messages {
 		if s.Message.Kind == wire.ForwardRequest {
 			d.sent = append(d.sent, s)
 		}
 	}
-	d.outs = append(d.outs, out.Responses...)
+	d.answers = append(d.answers, out.Responses...)
 }
 
-func (d *desk) pass(t time.Duration) {
+func (d *harness) advance(t time.Duration) {
 	for until := d.now.Add(t); d.now < until; d.now = d.now.Add(20 * time.Millisecond) {
-		d.hear()
+		d.helloFromControllers()
 		d.step(wire.Event{})
 	}
 }
 
-// hear lets both controllers say hello; a leads.
-func (d *desk) hear() {
+// helloFromControllers lets both controllers say hello; a leads.
+func (d *harness) helloFromControllers() {
 	for _, c := range []membership.Card{{Addr: "a", Role: "controller", Term: 1, Leads: true}, {Addr: "b", Role: "controller", Term: 1}} {
 		s := wire.NewMessage(c.Addr, "g", wire.Hello, map[string]any{"me": c})
 		d.step(wire.Event{Message: &s.Message})
 	}
 }
 
-func (d *desk) reply(from types.Addr, n int, r wire.ForwardedReply) {
+func (d *harness) reply(from types.Addr, n int, r wire.ForwardedReply) {
 	c, _ := wire.DecodeBody[wire.ForwardedRequest](d.sent[n].Message)
 	r.ID = c.ID
 	s := wire.NewMessage(from, "g", wire.ForwardReply, r)
 	d.step(wire.Event{Message: &s.Message})
 }
 
-func begin(limit time.Duration) *desk {
-	d := &desk{now: types.MonoTime(time.Minute)}
-	d.g = New(types.Now{Mono: d.now}, rand.New(rand.NewSource(1)), Options{Addr: "g", Zone: "z"})
-	d.hear()
+func newHarness(limit time.Duration) *harness {
+	d := &harness{now: types.MonoTime(time.Minute)}
+	d.gateway = New(types.Now{Mono: d.now}, rand.New(rand.NewSource(1)), Options{Addr: "g", Zone: "z"})
+	d.helloFromControllers()
 	d.step(wire.Event{})
 	d.step(wire.Event{Request: &wire.Request{Token: 1, Verb: "job.put", Arg: "j", Timeout: limit}})
 	return d
@@ -68,53 +68,53 @@
 func TestARefusalAfterSilenceIsUnsure(t *testing.T) {
 	is := is.New(t)
 	full := wire.ForwardedReply{Error: apierror.New(apierror.QueueFull, "", "full")}
-	d := begin(0)
+	d := newHarness(0)
 	d.reply("a", 0, full)
-	is.Equal(d.outs[0].Error.Kind, apierror.QueueFull) // the only one that was asked
+	is.Equal(d.answers[0].Error.Kind, apierror.QueueFull) // the only one that was asked
 
-	d = begin(0)
-	d.pass(AttemptTimeout + 40*time.Millisecond)
+	d = newHarness(0)
+	d.advance(AttemptTimeout + 40*time.Millisecond)
 	is.Equal(len(d.sent), 2) // a was silent
 	d.reply(d.sent[1].To, 1, full)
-	is.Equal(d.outs[0].Error.Kind, apierror.OutcomeUnknown)
+	is.Equal(d.answers[0].Error.Kind, apierror.OutcomeUnknown)
 
-	d = begin(0)
-	d.pass(AttemptTimeout + 40*time.Millisecond)
+	d = newHarness(0)
+	d.advance(AttemptTimeout + 40*time.Millisecond)
 	d.reply("a", 0, full) // the other one has not answered
-	is.Equal(d.outs[0].Error.Kind, apierror.OutcomeUnknown)
+	is.Equal(d.answers[0].Error.Kind, apierror.OutcomeUnknown)
 
-	d = begin(0)
+	d = newHarness(0)
 	d.reply("a", 0, wire.ForwardedReply{NotLeader: true, Leader: "b"})
 	is.Equal(d.sent[1].To, types.Addr("b"))
 	d.reply("b", 1, full)
-	is.Equal(d.outs[0].Error.Kind, apierror.QueueFull) // a has said that it took nothing
+	is.Equal(d.answers[0].Error.Kind, apierror.QueueFull) // a has said that it took nothing
 }
 
 func TestARequestIsGivenUpInItsTime(t *testing.T) {
 	is := is.New(t)
-	d := begin(400 * time.Millisecond)
-	d.pass(340 * time.Millisecond)
-	is.Equal(len(d.outs), 0)
-	d.pass(40 * time.Millisecond)
-	is.Equal(d.outs[0].Error.Kind, apierror.OutcomeUnknown)
-
-	d = begin(400 * time.Millisecond)
-	for n := 0; len(d.outs) == 0; n = len(d.sent) - 1 { // nobody leads
+	d := newHarness(400 * time.Millisecond)
+	d.advance(340 * time.Millisecond)
+	is.Equal(len(d.answers), 0)
+	d.advance(40 * time.Millisecond)
+	is.Equal(d.answers[0].Error.Kind, apierror.OutcomeUnknown)
+
+	d = newHarness(400 * time.Millisecond)
+	for n := 0; len(d.answers) == 0; n = len(d.sent) - 1 { // nobody leads
 		d.reply(d.sent[n].To, n, wire.ForwardedReply{NotLeader: true})
-		d.pass(20 * time.Millisecond)
+		d.advance(20 * time.Millisecond)
 	}
-	is.Equal(d.outs[0].Error.Kind, apierror.NoLeader) // nothing can have been taken
+	is.Equal(d.answers[0].Error.Kind, apierror.NoLeader) // nothing can have been taken
 }
 
-// answered is the bodies of the answers that callers were given.
-func (d *desk) answered() (list []string) {
-	for _, a := range d.outs {
+// answeredBodies is the bodies of the answers that callers were given.
+func (d *harness) answeredBodies() (list []string) {
+	for _, a := range d.answers {
 		list = append(list, string(a.Body))
 	}
 	return
 }
 
-func good(text string) wire.ForwardedReply {
+func okReply(text string) wire.ForwardedReply {
 	return wire.ForwardedReply{StatusCode: 200, Body: []byte(text)}
 }
 
@@ -123,27 +123,27 @@
 // given up, tell nobody anything.
 func TestAnAnswerBelongsToItsCallAlone(t *testing.T) {
 	is := is.New(t)
-	d := begin(0)
-	d.pass(AttemptTimeout + 40*time.Millisecond)
+	d := newHarness(0)
+	d.advance(AttemptTimeout + 40*time.Millisecond)
 	is.Equal(len(d.sent), 2) // a was silent, b was asked
 	d.step(wire.Event{Request: &wire.Request{Token: 2, Verb: "job.get", Arg: "k"}})
 	is.Equal(len(d.sent), 3)
-	d.reply("b", 1, good(`"of j"`))
-	d.reply("a", 0, good(`"of j"`)) // the first one asked answers too
-	is.Equal(d.answered(), []string{`"of j"`})
-	is.Equal(d.outs[0].Token, uint64(1))
-	d.reply("a", 2, good(`"of k"`))
-	is.Equal(d.outs[1].Token, uint64(2))
-
-	d = begin(400 * time.Millisecond)
-	d.pass(400 * time.Millisecond)
-	is.Equal(d.outs[0].Error.Kind, apierror.OutcomeUnknown)
+	d.reply("b", 1, okReply(`"of j"`))
+	d.reply("a", 0, okReply(`"of j"`)) // the first one asked answers too
+	is.Equal(d.answeredBodies(), []string{`"of j"`})
+	is.Equal(d.answers[0].Token, uint64(1))
+	d.reply("a", 2, okReply(`"of k"`))
+	is.Equal(d.answers[1].Token, uint64(2))
+
+	d = newHarness(400 * time.Millisecond)
+	d.advance(400 * time.Millisecond)
+	is.Equal(d.answers[0].Error.Kind, apierror.OutcomeUnknown)
 	d.step(wire.Event{Request: &wire.Request{Token: 2, Verb: "job.get", Arg: "k"}})
-	d.reply("a", 0, good(`"of j"`)) // too late
-	is.Equal(len(d.outs), 1)
-	d.reply("a", 1, good(`"of k"`))
-	is.Equal(d.outs[1].Token, uint64(2))
-	is.Equal(len(d.g.calls), 0)
+	d.reply("a", 0, okReply(`"of j"`)) // too late
+	is.Equal(len(d.answers), 1)
+	d.reply("a", 1, okReply(`"of k"`))
+	is.Equal(d.answers[1].Token, uint64(2))
+	is.Equal(len(d.gateway.pending), 0)
 }
 
 // The next process at an address takes no answer that is meant for the one
@@ -152,9 +152,9 @@
 	is := is.New(t)
 	seen := map[uint64]bool{}
 	for seed := range int64(200) {
-		d := &desk{now: types.MonoTime(time.Minute)}
-		d.g = New(types.Now{Mono: d.now}, rand.New(rand.NewSource(seed)), Options{Addr: "g", Zone: "z"})
-		d.hear()
+		d := &harness{now: types.MonoTime(time.Minute)}
+		d.gateway = New(types.Now{Mono: d.now}, rand.New(rand.NewSource(seed)), Options{Addr: "g", Zone: "z"})
+		d.helloFromControllers()
 		for token := range uint64(50) {
 			d.step(wire.Event{Request: &wire.Request{Token: token + 1, Verb: "job.get", Arg: "j"}})
 		}
@@ -165,10 +165,10 @@
 			seen[c.ID] = true
 		}
 		for id := range seen {
-			if d.g.calls[id] != nil {
+			if d.gateway.pending[id] != nil {
 				continue
 			}
-			r := good(`"of a former life"`)
+			r := okReply(`"of a former life"`)
 			r.ID = id
 			s := wire.NewMessage("a", "g", wire.ForwardReply, r)
 			d.step(wire.Event{Message: &s.Message})
@@ -176,6 +176,6 @@
 				break
 			}
 		}
-		is.Equal(len(d.outs), 0)
+		is.Equal(len(d.answers), 0)
 	}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -54,7 +54,7 @@
 	return
 }
 
-// RoleOf returns the role of the daemon at an address, or nothing if it is unknown.
+// RoleOfFile returns the role of the daemon at an address, or nothing if it is unknown.
 func (r *MemberList) RoleOf(a types.Addr) string {
 	if e := r.entries[a]; e != nil {
 		return e.info.Role
--- a/internal/server/door_test.go
+++ b/internal/server/door_test.go
@@ -29,7 +29,7 @@
 	m := gateway.New(Now(), rand.New(rand.NewSource(1)), gateway.Options{Addr: "127.0.0.1:9", Zone: "z"})
 	o.SetMachine(m)
 	o.Status = func() any { return m.Status() }
-	p := &Handlers{Loop: o, Sender: post, Trace: m.Trail, Ready: func() bool { return false }}
+	p := &Handlers{Loop: o, Sender: post, Trace: m.Trace, Ready: func() bool { return false }}
 	e := &GatewayHandlers{}
 	srv := httptest.NewServer(p.TrackInFlight(e.Routes(p)))
 	t.Cleanup(srv.Close)
--- a/sim/cutoff_record_test.go
+++ b/sim/cutoff_record_test.go
@@ -84,7 +84,7 @@
 	jobs    []types.JobID
 	next    int
 	word    map[[2]types.Addr]int64 // when one was last delivered a leader's message of another
-	fronts  map[types.Addr]*platform.Front
+	fronts  map[types.Addr]*platform.GatewayHandler
 	passed  map[types.Addr]*bool
 	stopped bool
 	// strangers has callers ask for a route that no configuration has.
@@ -94,10 +94,10 @@
 // record begins to probe a run's daemons now.
 func record(r *Run, table config.Table) *recorder {
 	c := &recorder{r: r, newest: table, word: map[[2]types.Addr]int64{},
-		fronts: map[types.Addr]*platform.Front{}, passed: map[types.Addr]*bool{}}
+		fronts: map[types.Addr]*platform.GatewayHandler{}, passed: map[types.Addr]*bool{}}
 	for _, g := range r.gateways {
 		passed := new(bool)
-		c.passed[g.addr], c.fronts[g.addr] = passed, platform.NewFront(passing{passed})
+		c.passed[g.addr], c.fronts[g.addr] = passed, platform.NewGatewayHandler(passing{passed})
 	}
 	c.observeMessages()
 	c.observeWorkers()
@@ -131,7 +131,7 @@
 	}
 	w := httptest.NewRecorder()
 	q := httptest.NewRequest(http.MethodGet, "/coppercourse/Config.Read", nil)
-	platform.NewControl(answering{a}, "10.0.0.1:"+controlPort).Handler().ServeHTTP(w, q)
+	platform.NewControlHandler(answering{a}, "10.0.0.1:"+controlPort).Handler().ServeHTTP(w, q)
 	o.code, o.retry = w.Code, w.Header().Get("Retry-After") != ""
 	if to := w.Header().Get("Location"); to != "" {
 		o.redirect = r.addrOf(to)
--- a/sim/invoked_test.go
+++ b/sim/invoked_test.go
@@ -59,7 +59,7 @@
 				}
 			}
 			for _, w := range r.agents {
-				is.Equal(w.m.(*agent.Agent).Status().Account.Lease.Counters.Lives, uint64(1))
+				is.Equal(w.m.(*agent.Agent).Status().Executor.Lease.Counters.Lives, uint64(1))
 			}
 		})
 	}
--- a/sim/processor_test.go
+++ b/sim/processor_test.go
@@ -119,8 +119,8 @@
 				t.Logf("%+v; taken in 4 s before %d, during %d a 4 s, after %d", l, before, r.accepted(slowFrom, slowFrom+slowFor)/2, after)
 				is.True(l.longest[wire.ClassConsensus] <= mostConsensusWait)
 				is.True(l.longest[wire.ClassCallers] <= mostRequestWait)
-				is.True(l.held <= gateway.CallTimeout+200*time.Millisecond*time.Duration(times)/2) // a request given up on is answered at a tick
-				is.True(after >= before*8/10)                                                      // and the service comes back
+				is.True(l.held <= gateway.RequestTimeout+200*time.Millisecond*time.Duration(times)/2) // a request given up on is answered at a tick
+				is.True(after >= before*8/10)                                                         // and the service comes back
 			})
 		}
 	}
@@ -201,5 +201,5 @@
 	is := is.New(t)
 	is.True(mostConsensusWait <= settings.QuickTimeouts.Raft().MinElectionTimeout/2)
 	is.True(workqueue.MaxForwardWait < gateway.AttemptTimeout)
-	is.True(mostRequestWait < gateway.CallTimeout)
+	is.True(mostRequestWait < gateway.RequestTimeout)
 }
--- a/sim/verdict.go
+++ b/sim/verdict.go
@@ -122,9 +122,9 @@
 		case *controller.Controller:
 			ring = m.Trace
 		case *gateway.Gateway:
-			ring = m.Trail
+			ring = m.Trace
 		case *agent.Agent:
-			ring = m.Trail
+			ring = m.Trace
 		default:
 			continue
 		}
--- a/sim/worker.go
+++ b/sim/worker.go
@@ -54,7 +54,7 @@
 	tell          func(HistoryEvent)
 }
 
-// NewWorker starts a worker process; what happens on it goes to tell.
+// NewWorkerClient starts a worker process; what happens on it goes to tell.
 func NewWorker(m WorkerSpec, id types.ID, rnd *rand.Rand, tell func(HistoryEvent)) *Worker {
 	if m.Slow == 0 {
 		m.Slow = 1
--- a/sim/world.go
+++ b/sim/world.go
@@ -367,13 +367,13 @@
 
 func (w *World) gateway(addr types.Addr, zone types.Zone) *node {
 	return w.add(addr, "gateway", zone, func(n *node) wire.Machine {
-		return gateway.New(n.clock(), w.chance(), gateway.Options{Addr: addr, Zone: zone, Seeds: w.seeds, Stale: w.staleAfter})
+		return gateway.New(n.clock(), w.chance(), gateway.Options{Addr: addr, Zone: zone, Seeds: w.seeds, StaleAfter: w.staleAfter})
 	})
 }
 
 func (w *World) agent(addr types.Addr, zone types.Zone, m WorkerSpec) *node {
 	n := w.add(addr, "agent", zone, func(n *node) wire.Machine {
-		return agent.New(n.clock(), w.chance(), agent.Place{Addr: addr, Zone: zone, Shard: m.Shard, Seeds: w.seeds, Truth: w.timeouts})
+		return agent.New(n.clock(), w.chance(), agent.Options{Addr: addr, Zone: zone, Shard: m.Shard, Seeds: w.seeds, Timeouts: w.timeouts})
 	})
 	n.shard = m.Shard
 	return n
