--- a/cmd/coppersim/capacity.go
+++ b/cmd/coppersim/capacity.go
@@ -110,7 +110,7 @@
 				continue
 			}
 			points = append(points, capacity.Points(m)...)
-			fmt.Printf("%d daemons, traffic %v: %d tasks ran at the window's end, took %s\n", n, mode.busy, m.Running, m.RealTime.Round(time.Millisecond))
+			fmt.Printf("%d daemons, traffic %v: %d tasks ran at the window's end, took %s\n", n, mode.busy, m.RunningTasks, m.RealTime.Round(time.Millisecond))
 		}
 	}
 	return
--- a/cmd/coppersim/fleet.go
+++ b/cmd/coppersim/fleet.go
@@ -55,7 +55,7 @@
 
 // run starts the fleet, lets its traffic and faults go on, and reports.
 func (fr *fleetRun) run() error {
-	faults, err := sim.ParseEvents(fr.faults)
+	faults, err := sim.ParseFaults(fr.faults)
 	if err != nil {
 		return err
 	}
@@ -67,15 +67,15 @@
 	if err != nil {
 		return err
 	}
-	defer f.Shut()
+	defer f.Stop()
 	workload := sim.NewWorkload(f, fr.seed, fr.speed)
-	if _, err := workload.Put(f.Deployment.Table()); err != nil {
+	if _, err := workload.PutTable(f.Deployment.Table()); err != nil {
 		return err
 	}
 	if err := fr.measureIdle(f); err != nil {
 		return err
 	}
-	late := f.Live(workload, fr.traffic, faults)
+	late := f.RunDay(workload, fr.traffic, faults)
 	broken, err := f.Report(workload)
 	if err != nil {
 		return err
@@ -107,13 +107,13 @@
 		}
 	}
 	f := &sim.Fleet{Deployment: sim.Deployments[fr.deployment], Dir: fr.dir, Bin: fr.bin, Self: self, Port: fr.port}
-	if err := f.Open(ctx); err != nil {
-		f.Shut()
+	if err := f.Start(ctx); err != nil {
+		f.Stop()
 		return nil, err
 	}
 	from := time.Now()
-	if err := f.Ready(startLimit); err != nil {
-		f.Shut()
+	if err := f.AwaitReady(startLimit); err != nil {
+		f.Stop()
 		return nil, err
 	}
 	fmt.Printf("ready after %s; logs in %s\n", time.Since(from).Round(10*time.Millisecond), filepath.Clean(fr.dir))
@@ -125,7 +125,7 @@
 	if fr.idle <= 0 {
 		return nil
 	}
-	text, err := f.Idle(fr.idle)
+	text, err := f.MeasureIdle(fr.idle)
 	if err != nil {
 		return err
 	}
@@ -147,6 +147,6 @@
 		}
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 		defer stop()
-		return sim.WorkerRun(ctx, m, *id, *agent, *source, *hist, time.Now().UnixNano())
+		return sim.RunWorkerProcess(ctx, m, *id, *agent, *source, *hist, time.Now().UnixNano())
 	}
 }
--- a/cmd/coppersim/sweep.go
+++ b/cmd/coppersim/sweep.go
@@ -36,10 +36,10 @@
 
 // sweepResults are the results of all seeds so far, guarded by the sweeper's mutex.
 type sweepResults struct {
-	broken        int       // seeds that broke a rule
-	attempts      int       // attempts at tasks
-	seen          sim.Tally // how often each rule could have been broken
-	ratios        []float64 // jobs done after the faults, beside before, by seed
+	broken        int          // seeds that broke a rule
+	attempts      int          // attempts at tasks
+	seen          sim.Coverage // how often each rule could have been broken
+	ratios        []float64    // jobs done after the faults, beside before, by seed
 	ratiosByFault map[string][]float64
 	brokenByFault map[string]int
 }
@@ -48,7 +48,7 @@
 const maxBreaksPrinted = 6
 
 func addSweep(app *kingpin.Application, commands commandSet) {
-	s := &sweeper{sweepResults: sweepResults{seen: sim.Tally{}, ratiosByFault: map[string][]float64{}, brokenByFault: map[string]int{}}}
+	s := &sweeper{sweepResults: sweepResults{seen: sim.Coverage{}, ratiosByFault: map[string][]float64{}, brokenByFault: map[string]int{}}}
 	c := app.Command("sweep", "Run the simulator over many seeds.")
 	c.Flag("first", "First seed.").Default("1").Int64Var(&s.plan.Seed)
 	c.Flag("seeds", "How many seeds.").Default("200").IntVar(&s.seeds)
@@ -58,13 +58,13 @@
 	c.Flag("unguarded", "Invoked workers guard nothing.").BoolVar(&s.plan.Unguarded)
 	c.Flag("quick", "The shorter timeouts, as where the deployment gives bounds.").BoolVar(&s.plan.Quick)
 	c.Flag("lease", "How long an agent's lease lasts, in place of the usual; loss comes a quarter later.").DurationVar(&s.lease)
-	c.Flag("count", "Faults in a run.").Default("8").IntVar(&s.plan.Count)
+	c.Flag("count", "Faults in a run.").Default("8").IntVar(&s.plan.FaultCount)
 	c.Flag("before", "Traffic before the faults.").Default("10s").DurationVar(&s.plan.Before)
 	c.Flag("faults-for", "How long faults come.").Default("30s").DurationVar(&s.plan.FaultsFor)
 	c.Flag("after", "Traffic after they are healed.").Default("24s").DurationVar(&s.plan.After)
 	c.Flag("settle", "Time for everything to end.").Default("90s").DurationVar(&s.plan.Settle)
 	c.Flag("patience", "Every queue's patience; little of it shows that leases alone keep attempts apart.").Default("30s").DurationVar(&s.plan.Patience)
-	c.Flag("last", "One more fault at the very end of the traffic.").BoolVar(&s.plan.Last)
+	c.Flag("last", "One more fault at the very end of the traffic.").BoolVar(&s.plan.LastFault)
 	c.Flag("pairs", "Each seed draws from one pair of the faults, all pairs in turn; --seeds 0 is one of each.").BoolVar(&s.pairs)
 	c.Flag("each", "Each seed draws from one fault, all in turn; --seeds 0 is one of each.").BoolVar(&s.each)
 	c.Flag("verbose", "Print each run; with one seed, its time line.").Short('v').BoolVar(&s.verbose)
@@ -90,7 +90,7 @@
 	fmt.Printf("chances the rules had:\n%v", s.seen)
 	fmt.Printf("%d seeds of %s, %d attempts run, %d seeds broke a rule, %d re-runs after an end nobody alive was told of; took %s\n",
 		s.seeds, s.plan.Deployment, s.attempts, s.broken, s.seen.Reruns(), time.Since(from).Round(time.Second))
-	fmt.Printf("jobs done for each one sent from 12 s after healing, beside before the faults: %s\n", sim.Spread(s.ratios))
+	fmt.Printf("jobs done for each one sent from 12 s after healing, beside before the faults: %s\n", sim.MinMedianMax(s.ratios))
 	s.printByFault()
 	if s.broken > 0 {
 		return fmt.Errorf("%d of %d seeds broke a rule", s.broken, s.seeds)
@@ -166,7 +166,7 @@
 		return cmp.Or(cmp.Compare(a.list[0], b.list[0]), cmp.Compare(a.name, b.name))
 	})
 	for _, r := range rows {
-		fmt.Printf("  %-16s ratio %s; %d runs broke a rule\n", r.name, sim.Spread(r.list), s.brokenByFault[r.name])
+		fmt.Printf("  %-16s ratio %s; %d runs broke a rule\n", r.name, sim.MinMedianMax(r.list), s.brokenByFault[r.name])
 	}
 }
 
@@ -179,33 +179,33 @@
 			panic(fmt.Sprintf("seed %d: %v", seed, e))
 		}
 	}()
-	r := sim.Build(p).Go()
+	r := sim.New(p).Execute()
 	v := r.Verdict()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.count(v, faults)
-	broke := len(v.Breaks) > 0
+	broke := len(v.Violations) > 0
 	if broke && len(faults) == 2 {
 		fmt.Println(strings.Join(faults, ","))
 	}
 	if s.verbose || broke {
-		fmt.Printf("seed %d: ratio %.2f, %s\n", seed, v.Ratio, sim.Summary(&r.Hist))
+		fmt.Printf("seed %d: ratio %.2f, %s\n", seed, v.Ratio, sim.Summary(&r.History))
 	}
 	if s.seeds == 1 && s.verbose {
-		fmt.Println(sim.Timeline(&r.Hist))
+		fmt.Println(sim.Timeline(&r.History))
 	}
 	if s.job != "" {
 		s.printJob(r)
 	}
-	for _, b := range v.Breaks[:min(len(v.Breaks), maxBreaksPrinted)] {
+	for _, b := range v.Violations[:min(len(v.Violations), maxBreaksPrinted)] {
 		fmt.Printf("  %s\n", b)
 	}
 }
 
 // count adds a verdict to the results.
 func (s *sweeper) count(v sim.Verdict, faults []string) {
-	broke := len(v.Breaks) > 0
-	s.seen.Add(v.Seen)
+	broke := len(v.Violations) > 0
+	s.seen.Add(v.Coverage)
 	s.attempts += v.Attempts
 	s.ratios = append(s.ratios, v.Ratio)
 	if broke {
@@ -227,11 +227,11 @@
 
 // printJob prints what happened to the job of the flag, and to workers.
 func (s *sweeper) printJob(r *sim.Run) {
-	for _, h := range r.Hist.List {
+	for _, h := range r.History.Events {
 		of := string(h.Job) == s.job || string(h.Attempt.Job) == s.job
 		if of || h.Attempt.Job == "" && h.Shard != "" {
-			fmt.Printf("  %8.3f s %-10s %s %v %s %s %s\n", float64(h.At)/float64(time.Second), h.What, h.Who, h.Attempt, h.Outcome, h.Stage, h.Text)
+			fmt.Printf("  %8.3f s %-10s %s %v %s %s %s\n", float64(h.At)/float64(time.Second), h.Kind, h.Process, h.Attempt, h.Outcome, h.Stage, h.Text)
 		}
 	}
-	fmt.Print(r.Marks(s.job))
+	fmt.Print(r.JobTrail(s.job))
 }
--- a/internal/controller/reads.go
+++ b/internal/controller/reads.go
@@ -46,7 +46,7 @@
 	co.pendingReads = kept
 }
 
-// turnAway sends those who read to the next leader.
+// reject sends those who read to the next leader.
 func (co *Controller) turnAway() {
 	for _, r := range co.pendingReads {
 		co.reply(r.caller, wire.ForwardedReply{NotLeader: true, Leader: co.otherLeader()})
--- a/internal/dispatch/caller_ends_test.go
+++ b/internal/dispatch/caller_ends_test.go
@@ -32,7 +32,7 @@
 	for i := range n {
 		l := types.AttemptID{TaskID: types.TaskID{Job: "a", Number: i}, Attempt: 1}
 		r.outstanding[l] = true
-		r.worker.Do(wire.WorkerCall{Kind: wire.StartAttempt, Incarnation: r.worker.ID, Attempt: l, Input: []byte(`{"ms":5}`), LeaseEndMS: r.worker.Clock() + 3000,
+		r.worker.HandleCall(wire.WorkerCall{Kind: wire.StartAttempt, Incarnation: r.worker.ID, Attempt: l, Input: []byte(`{"ms":5}`), LeaseEndMS: r.worker.Clock() + 3000,
 			FencingToken: r.executor.WorkerLease().Fence}, func(wire.WorkerReply) {})
 	}
 	r.newAgent()
--- a/internal/dispatch/chaos_test.go
+++ b/internal/dispatch/chaos_test.go
@@ -65,7 +65,7 @@
 		case 10:
 			r.holdReplyDelay = 0
 		case 11:
-			r.worker.Sick = !r.worker.Sick
+			r.worker.Unhealthy = !r.worker.Unhealthy
 		case 12:
 			for l := range r.outstanding {
 				if rnd.Intn(4) == 0 {
@@ -74,14 +74,14 @@
 			}
 			r.deliver()
 		case 13:
-			r.worker.Lax = !r.worker.Lax
+			r.worker.StartsUnderLease = !r.worker.StartsUnderLease
 		}
 	}
 	r.partitioned, r.heartbeatsStopped, r.holdReplyDelay, r.fateOf = false, false, 0, func(wire.WorkerCall) callFate { return callDelivered }
 	if r.worker == nil {
 		r.startWorker()
 	}
-	r.worker.Sick = false
+	r.worker.Unhealthy = false
 }
 
 func TestChaosOnOneWorker(t *testing.T) {
--- a/internal/dispatch/lacks_test.go
+++ b/internal/dispatch/lacks_test.go
@@ -19,9 +19,9 @@
 func newOverstatingRig(t *testing.T) *linkRig {
 	r := newReadyRig(t, 17)
 	r.worker.Room = cores(2)
-	r.environment.Sent("large", &state.Spec{Steps: []state.Step{{Name: "s", Tasks: 1, Resources: cores(4)}}})
+	r.environment.JobSubmitted("large", &state.Spec{Steps: []state.Step{{Name: "s", Tasks: 1, Resources: cores(4)}}})
 	for i := range 10 {
-		r.environment.Sent(types.JobID(fmt.Sprint("j", i)), &state.Spec{Steps: []state.Step{{Name: "s", Tasks: 1, Resources: cores(1)}}})
+		r.environment.JobSubmitted(types.JobID(fmt.Sprint("j", i)), &state.Spec{Steps: []state.Step{{Name: "s", Tasks: 1, Resources: cores(1)}}})
 	}
 	return r
 }
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -79,7 +79,7 @@
 
 func newLinkRig(t *testing.T, seed int64, pace dispatch.Timeouts) *linkRig {
 	r := &linkRig{t: t, random: rand.New(rand.NewSource(seed)), timeouts: pace, authorityLeft: pace.AgentLease, now: types.MonoTime(time.Hour),
-		environment: sim.NewWorkerEnvironment(sim.WorkerRules{Lease: 6 * time.Second, Stop: 400 * ms, Gang: 3 * time.Second, Save: 2 * time.Second, Restore: 600 * ms, Far: 1.5}),
+		environment: sim.NewWorkerEnvironment(sim.WorkerRules{MaxLease: 6 * time.Second, MaxStopTime: 400 * ms, GangTimeout: 3 * time.Second, CheckpointInterval: 2 * time.Second, RestoreTime: 600 * ms, RemoteSlowdown: 1.5}),
 		workerSpec:  sim.WorkerSpec{Shard: "s", Rack: "r", Kinds: []types.ServiceKind{"x"}, Room: types.Resources{Cores: 8 * types.Core}, Guards: true},
 		fateOf:      func(wire.WorkerCall) callFate { return callDelivered }, lateDelay: func() time.Duration { return 3 * time.Second },
 		outstanding: map[types.AttemptID]bool{}, committed: map[types.AttemptID]state.Outcome{}, running: map[types.AttemptID]bool{}, starts: map[types.AttemptID]int{},
@@ -160,27 +160,27 @@
 	r.heartbeatSequence = 0
 	clear(r.running)
 	r.worker = sim.NewInvokedWorker(r.workerSpec, id, r.environment, r.random, func() types.MonoTime { return r.now }, func(h sim.HistoryEvent) {
-		if r.worker == nil || types.ID(h.Who) != r.worker.ID {
+		if r.worker == nil || types.ID(h.Process) != r.worker.ID {
 			return
 		}
-		switch h.What {
-		case sim.Started:
+		switch h.Kind {
+		case sim.AttemptStarted:
 			r.running[h.Attempt] = true
 			r.starts[h.Attempt]++
 			if f, ok := r.committed[h.Attempt]; ok {
 				r.t.Errorf("%v starts, although the log has it as %s", h.Attempt, f)
 			}
-		case sim.Ended:
+		case sim.AttemptEnded:
 			delete(r.running, h.Attempt)
 			r.endings[h.Attempt] = h.How
-		case sim.Noted:
+		case sim.EndSettled:
 			r.acknowledged[h.Attempt] = true
 			if f := r.committed[h.Attempt]; h.How == wire.EndSucceeded && f != state.OutcomeOK {
 				r.t.Errorf("%v is noted as done, and the log has it as %q", h.Attempt, f)
 			}
 		}
 	})
-	r.worker.Lax = true
+	r.worker.StartsUnderLease = true
 }
 
 func (r *linkRig) crashWorker() {
@@ -241,7 +241,7 @@
 		if r.worker == nil {
 			return
 		}
-		r.worker.Do(c, reply)
+		r.worker.HandleCall(c, reply)
 	}
 	r.after(c.Timeout, func() { back(wire.WorkerReply{Result: wire.ResultNoReply}) })
 	switch r.fateOf(c) {
--- a/internal/raft/adversary_test.go
+++ b/internal/raft/adversary_test.go
@@ -183,7 +183,7 @@
 	turn()
 }
 
-// cutOff cuts a machine from others: from all, or from some of them.
+// runCutOff cuts a machine from others: from all, or from some of them.
 func (a *adversary) cutOff(m *machine, inwards, outwards bool) {
 	m.faulty = true
 	all := a.random.Intn(2) == 0
--- a/sim/capacity/figure.go
+++ b/sim/capacity/figure.go
@@ -35,25 +35,25 @@
 
 // Figure is one measured quantity of some roles.
 type Figure struct {
-	Name, Unit string
-	Limit      float64  // of gateways and agents, in the unit, or 0 for none
-	Core       float64  // of controllers, or 0 for none
-	Roles      []string // the roles that have it
-	of         func(m *sim.Measurement, u sim.RoleUsage) float64
+	Name, Unit      string
+	Limit           float64  // of gateways and agents, in the unit, or 0 for none
+	ControllerLimit float64  // of controllers, or 0 for none
+	Roles           []string // the roles that have it
+	value           func(m *sim.Measurement, u sim.RoleUsage) float64
 }
 
 // limit returns the limit of a role, or 0.
 func (f Figure) limit(role string) float64 {
 	if slices.Contains(controllers, role) {
-		return f.Core
+		return f.ControllerLimit
 	}
 	return f.Limit
 }
 
 var (
-	all         = []string{"leader", "follower", "gateway", "agent"}
+	allRoles    = []string{"leader", "follower", "gateway", "agent"}
 	controllers = []string{"leader", "follower"}
-	onlyOne     = []string{"leader"}
+	leaderOnly  = []string{"leader"}
 )
 
 // perSecond returns the mean of a quantity over the daemons of a role, per second.
@@ -66,16 +66,16 @@
 	}
 }
 
-// class returns one count of the messages of a class, sent and received.
-func class(c sim.Class, of func(sim.Count) int) func(sim.Usage) float64 {
+// messageClass returns one count of the messages of a class, sent and received.
+func messageClass(c sim.Class, of func(sim.Count) int) func(sim.Usage) float64 {
 	return func(u sim.Usage) float64 { return float64(of(u.Sent[c]) + of(u.Received[c])) }
 }
 
 func bytesOf(c sim.Count) int    { return c.Bytes }
 func messagesOf(c sim.Count) int { return c.Messages }
 
-// millis returns the longest of a list in milliseconds, or 0.
-func millis(list []time.Duration) float64 {
+// maxMillis returns the longest of a list in milliseconds, or 0.
+func maxMillis(list []time.Duration) float64 {
 	if len(list) == 0 {
 		return 0
 	}
@@ -84,33 +84,33 @@
 
 // Figures are all figures, in the order of the report.
 var Figures = []Figure{
-	{"control messages", "1/s", 0, 0, all, perSecond(func(u sim.Usage) float64 { return float64(u.Control().Messages) })},
-	{"control bytes", "B/s", limitBytes, 0, all, perSecond(func(u sim.Usage) float64 { return float64(u.Control().Bytes) })},
-	{"roster bytes", "B/s", limitBytes, 0, all, perSecond(class(sim.RosterMessages, bytesOf))},
-	{"heartbeat bytes", "B/s", limitBytes, 0, all, perSecond(class(sim.HeartbeatMessages, bytesOf))},
-	{"log bytes", "B/s", 0, 0, all, perSecond(class(sim.LogMessages, bytesOf))},
-	{"table bytes", "B/s", limitBytes, 0, all, perSecond(class(sim.TableMessages, bytesOf))},
-	{"work messages", "1/s", 0, 0, all, perSecond(class(sim.WorkMessages, messagesOf))},
-	{"work bytes", "B/s", 0, 0, all, perSecond(class(sim.WorkMessages, bytesOf))},
-	{"processor", "% of a core", limitCPU, limitOwner, all, perSecond(func(u sim.Usage) float64 { return 100 * u.CPU.Seconds() })},
-	{"state", "MB", limitMemory, 0, all, func(_ *sim.Measurement, u sim.RoleUsage) float64 {
+	{"control messages", "1/s", 0, 0, allRoles, perSecond(func(u sim.Usage) float64 { return float64(u.Control().Messages) })},
+	{"control bytes", "B/s", limitBytes, 0, allRoles, perSecond(func(u sim.Usage) float64 { return float64(u.Control().Bytes) })},
+	{"roster bytes", "B/s", limitBytes, 0, allRoles, perSecond(messageClass(sim.MembershipMessages, bytesOf))},
+	{"heartbeat bytes", "B/s", limitBytes, 0, allRoles, perSecond(messageClass(sim.HeartbeatMessages, bytesOf))},
+	{"log bytes", "B/s", 0, 0, allRoles, perSecond(messageClass(sim.LogMessages, bytesOf))},
+	{"table bytes", "B/s", limitBytes, 0, allRoles, perSecond(messageClass(sim.TableMessages, bytesOf))},
+	{"work messages", "1/s", 0, 0, allRoles, perSecond(messageClass(sim.WorkMessages, messagesOf))},
+	{"work bytes", "B/s", 0, 0, allRoles, perSecond(messageClass(sim.WorkMessages, bytesOf))},
+	{"processor", "% of a core", limitCPU, limitOwner, allRoles, perSecond(func(u sim.Usage) float64 { return 100 * u.CPU.Seconds() })},
+	{"state", "MB", limitMemory, 0, allRoles, func(_ *sim.Measurement, u sim.RoleUsage) float64 {
 		return float64(slices.Max(u.State)) / 1e6
 	}},
 	{"disk bytes", "B/s", 0, 0, controllers, perSecond(func(u sim.Usage) float64 { return float64(u.Written) })},
 	{"disk syncs", "1/s", 0, 0, controllers, perSecond(func(u sim.Usage) float64 { return float64(u.Syncs) })},
-	{"step p50", "ms", 0, 0, onlyOne, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
+	{"step p50", "ms", 0, 0, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
 		return float64(m.Steps.ValueAtQuantile(50)) / 1e6
 	}},
-	{"step p99", "ms", 0, 0, onlyOne, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
+	{"step p99", "ms", 0, 0, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
 		return float64(m.Steps.ValueAtQuantile(99)) / 1e6
 	}},
-	{"table in force everywhere", "ms", limitTable, limitTable, onlyOne, func(m *sim.Measurement, _ sim.RoleUsage) float64 { return millis(m.Table) }},
-	{"urgent job to its start", "ms", limitUrgent, limitUrgent, onlyOne, func(m *sim.Measurement, _ sim.RoleUsage) float64 { return millis(m.Urgent) }},
-	{"leader death to the next", "ms", 0, 0, onlyOne, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
-		return float64(m.Elected.Milliseconds())
+	{"table in force everywhere", "ms", limitTable, limitTable, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 { return maxMillis(m.TableLatencies) }},
+	{"urgent job to its start", "ms", limitUrgent, limitUrgent, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 { return maxMillis(m.UrgentLatencies) }},
+	{"leader death to the next", "ms", 0, 0, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
+		return float64(m.ElectionTime.Milliseconds())
 	}},
-	{"next leader known to all", "ms", 0, 0, onlyOne, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
-		return float64(m.Told.Milliseconds())
+	{"next leader known to all", "ms", 0, 0, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
+		return float64(m.LeaderKnownTime.Milliseconds())
 	}},
 }
 
@@ -130,7 +130,7 @@
 	for _, f := range Figures {
 		for _, u := range m.Roles {
 			if slices.Contains(f.Roles, u.Role) {
-				list = append(list, Point{mode, u.Role, f.Name, f.Unit, m.Scale.Daemons(), m.Agents, f.of(m, u)})
+				list = append(list, Point{mode, u.Role, f.Name, f.Unit, m.Scale.Daemons(), m.Agents, f.value(m, u)})
 			}
 		}
 	}
@@ -140,7 +140,7 @@
 // Growth is how a figure grows with the number of workers: the line by least
 // squares, and the exponent between the last two sizes, which is 1 for linear and 2
 // for quadratic growth.
-type Growth struct{ Const, Slope, Power float64 }
+type Growth struct{ Const, Slope, Exponent float64 }
 
 // Grow fits points that are in order of their workers.
 func Grow(list []Point) (g Growth) {
@@ -157,7 +157,7 @@
 	if len(list) > 1 {
 		p, q := list[len(list)-2], list[len(list)-1]
 		if p.Value > 0 && q.Value > 0 {
-			g.Power = math.Log(q.Value/p.Value) / math.Log(float64(q.Workers)/float64(p.Workers))
+			g.Exponent = math.Log(q.Value/p.Value) / math.Log(float64(q.Workers)/float64(p.Workers))
 		}
 	}
 	return
@@ -176,9 +176,9 @@
 	switch {
 	case last.Workers == workers: // measured
 		return last.Value
-	case g.Power > superlinear:
-		return last.Value * math.Pow(float64(workers)/float64(last.Workers), g.Power)
-	case g.Slope <= 0 || math.Abs(g.Power) < constant:
+	case g.Exponent > superlinear:
+		return last.Value * math.Pow(float64(workers)/float64(last.Workers), g.Exponent)
+	case g.Slope <= 0 || math.Abs(g.Exponent) < constant:
 		return last.Value
 	}
 	return g.Const + g.Slope*float64(workers)
--- a/sim/capacity/plot.go
+++ b/sim/capacity/plot.go
@@ -53,13 +53,13 @@
 
 func plotFigure(dir, mode string, f Figure, list []Point) error {
 	p := newPlot(f.Name+", "+mode, f.Unit)
-	limit := max(f.Limit, f.Core)
+	limit := max(f.Limit, f.ControllerLimit)
 	if slices.Contains(f.Roles, "agent") {
 		limit = f.Limit
 	}
-	shown, drawn := yRange{limit, max(limit, f.Core)}, false
+	shown, drawn := yRange{limit, max(limit, f.ControllerLimit)}, false
 	for i, role := range f.Roles {
-		some := pick(list, mode, role, f.Name)
+		some := selectPoints(list, mode, role, f.Name)
 		if len(points(some)) == 0 {
 			continue
 		}
@@ -71,11 +71,11 @@
 	if !drawn {
 		return nil
 	}
-	if err := addLimits(p, limit, f.Core); err != nil {
+	if err := addLimits(p, limit, f.ControllerLimit); err != nil {
 		return err
 	}
 	full := plotter.XYs{{X: sim.FullWorkers, Y: shown.low * 0.8}, {X: sim.FullWorkers, Y: shown.high * 1.2}}
-	if err := rule(p, full, ""); err != nil {
+	if err := addLimitLine(p, full, ""); err != nil {
 		return err
 	}
 	p.X.Min, p.X.Max, p.Y.Min, p.Y.Max = leastWorkers, sim.FullWorkers*1.3, shown.low*0.7, shown.high*4
@@ -105,24 +105,24 @@
 	for _, q := range append(line, rest...) {
 		shown.include(q.Y)
 	}
-	return add(p, role, line, rest, c)
+	return addLines(p, role, line, rest, c)
 }
 
 // addLimits draws the limits that there are.
 func addLimits(p *plot.Plot, limit, core float64) error {
 	if limit != 0 {
-		if err := rule(p, across(limit), anyLimit); err != nil {
+		if err := addLimitLine(p, horizontalLine(limit), anyLimit); err != nil {
 			return err
 		}
 	}
 	if core != 0 && core != limit {
-		return rule(p, across(core), controllerLimit)
+		return addLimitLine(p, horizontalLine(core), controllerLimit)
 	}
 	return nil
 }
 
-// across is a horizontal line.
-func across(y float64) plotter.XYs {
+// horizontalLine is a horizontal line.
+func horizontalLine(y float64) plotter.XYs {
 	return plotter.XYs{{X: leastWorkers, Y: y}, {X: sim.FullWorkers, Y: y}}
 }
 
@@ -136,8 +136,8 @@
 	return
 }
 
-// add draws a measured line, and dashed what is extrapolated.
-func add(p *plot.Plot, name string, line, rest plotter.XYs, c color.Color) error {
+// addLines draws a measured line, and dashed what is extrapolated.
+func addLines(p *plot.Plot, name string, line, rest plotter.XYs, c color.Color) error {
 	l, s, err := plotter.NewLinePoints(line)
 	if err != nil {
 		return err
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// rule draws a limit, or with an empty name the full size.
-func rule(p *plot.Plot, at plotter.XYs, name string) error {
+// addLimitLine draws a limit, or with an empty name the full size.
+func addLimitLine(p *plot.Plot, at plotter.XYs, name string) error {
 	l, err := plotter.NewLine(at)
 	if err != nil {
 		return err
--- a/sim/capacity/report.go
+++ b/sim/capacity/report.go
@@ -13,13 +13,13 @@
 	"coppercourse/sim"
 )
 
-// head is the first line of the CSV.
-var head = []string{"mode", "role", "figure", "unit", "daemons", "workers", "value"}
+// csvHeader is the first line of the CSV.
+var csvHeader = []string{"mode", "role", "figure", "unit", "daemons", "workers", "value"}
 
 // WriteCSV writes one line for each point.
 func WriteCSV(w io.Writer, list []Point) error {
 	c := csv.NewWriter(w)
-	c.Write(head)
+	c.Write(csvHeader)
 	for _, p := range list {
 		c.Write([]string{p.Mode, p.Role, p.Name, p.Unit, strconv.Itoa(p.Daemons), strconv.Itoa(p.Workers), strconv.FormatFloat(p.Value, 'g', 6, 64)})
 	}
@@ -34,11 +34,11 @@
 		return nil, err
 	}
 	for i, x := range rows {
-		if i == 0 && slices.Equal(x, head) {
+		if i == 0 && slices.Equal(x, csvHeader) {
 			continue
 		}
-		if len(x) != len(head) {
-			return nil, fmt.Errorf("line %d: want %d fields", i+1, len(head))
+		if len(x) != len(csvHeader) {
+			return nil, fmt.Errorf("line %d: want %d fields", i+1, len(csvHeader))
 		}
 		p := Point{Mode: x[0], Role: x[1], Name: x[2], Unit: x[3]}
 		if p.Daemons, err = strconv.Atoi(x[4]); err != nil {
@@ -55,23 +55,23 @@
 	return
 }
 
-// pick returns the points of one figure and role, in order of size.
-func pick(list []Point, mode, role, name string) (some []Point) {
+// selectPoints returns the points of one figure and role, in order of size.
+func selectPoints(list []Point, mode, role, name string) (selected []Point) {
 	for _, p := range list {
 		if p.Mode == mode && p.Role == role && p.Name == name {
-			some = append(some, p)
+			selected = append(selected, p)
 		}
 	}
-	slices.SortFunc(some, func(a, b Point) int { return a.Workers - b.Workers })
+	slices.SortFunc(selected, func(a, b Point) int { return a.Workers - b.Workers })
 	return
 }
 
 // WriteMarkdown writes a table for each mode and role.
 func WriteMarkdown(w io.Writer, list []Point) {
 	for _, mode := range []string{Idle, Traffic} {
-		for _, role := range all {
+		for _, role := range allRoles {
 			var sizes []int
-			for _, p := range pick(list, mode, role, Figures[0].Name) {
+			for _, p := range selectPoints(list, mode, role, Figures[0].Name) {
 				sizes = append(sizes, p.Workers)
 			}
 			if sizes == nil {
@@ -81,44 +81,44 @@
 			for _, n := range sizes {
 				fmt.Fprintf(w, " %d workers |", n)
 			}
-			fmt.Fprintf(w, " constant | a worker | power | at %d | limit |\n|%s\n", sim.FullWorkers, bars(6+len(sizes)))
+			fmt.Fprintf(w, " constant | a worker | power | at %d | limit |\n|%s\n", sim.FullWorkers, separatorCells(6+len(sizes)))
 			for _, f := range Figures {
-				row(w, f, f.limit(role), pick(list, mode, role, f.Name))
+				writeRow(w, f, f.limit(role), selectPoints(list, mode, role, f.Name))
 			}
 		}
 	}
 }
 
-// bars returns the rest of a table's separator line, for n columns.
-func bars(n int) (s string) {
+// separatorCells returns the rest of a table's separator line, for n columns.
+func separatorCells(n int) (s string) {
 	for range n {
 		s += " --- |"
 	}
 	return
 }
 
-// row writes one figure's row.
-func row(w io.Writer, f Figure, most float64, some []Point) {
-	if some == nil {
+// writeRow writes one figure's row.
+func writeRow(w io.Writer, f Figure, bound float64, points []Point) {
+	if points == nil {
 		return
 	}
 	fmt.Fprintf(w, "| %s, %s |", f.Name, f.Unit)
-	for _, p := range some {
-		fmt.Fprintf(w, " %s |", short(p.Value))
+	for _, p := range points {
+		fmt.Fprintf(w, " %s |", formatNumber(p.Value))
 	}
-	g := Grow(some)
-	at, limit, how := g.At(sim.FullWorkers, some), "none", "extrapolated"
-	if some[len(some)-1].Workers == sim.FullWorkers {
+	g := Grow(points)
+	at, limit, how := g.At(sim.FullWorkers, points), "none", "extrapolated"
+	if points[len(points)-1].Workers == sim.FullWorkers {
 		how = "measured"
 	}
 	switch {
-	case most > 0 && at > most:
-		limit = short(most) + ", missed"
-	case most > 0:
-		limit = short(most) + ", kept"
+	case bound > 0 && at > bound:
+		limit = formatNumber(bound) + ", missed"
+	case bound > 0:
+		limit = formatNumber(bound) + ", kept"
 	}
-	fmt.Fprintf(w, " %s | %s | %.1f | %s %s | %s |\n", short(g.Const), short(g.Slope), g.Power, short(at), how, limit)
+	fmt.Fprintf(w, " %s | %s | %.1f | %s %s | %s |\n", formatNumber(g.Const), formatNumber(g.Slope), g.Exponent, formatNumber(at), how, limit)
 }
 
-// short writes a number with three digits.
-func short(v float64) string { return strconv.FormatFloat(v, 'g', 3, 64) }
+// formatNumber writes a number with three digits.
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', 3, 64) }
--- a/sim/check_attempts.go
+++ b/sim/check_attempts.go
@@ -11,31 +11,31 @@
 	"coppercourse/internal/types"
 )
 
-// excuse tells why an attempt's end need not have been known at a time, or nothing:
+// rerunExcuse tells why an attempt's end need not have been known at a time, or nothing:
 // no daemon alive then had been told, and the worker is dead or the queue's
 // patience is over.
-func (c *checker) excuse(o *span, at, patience int64) string {
-	if o.told > 0 && o.told <= at {
+func (c *checker) rerunExcuse(o *execution, at, patience int64) string {
+	if o.acknowledgedAt > 0 && o.acknowledgedAt <= at {
 		return ""
 	}
 	known, once := false, false
-	for _, h := range o.heard {
+	for _, h := range o.reports {
 		dead := false
-		for _, d := range c.down[h.who] {
+		for _, d := range c.stoppedAt[h.process] {
 			dead = dead || d >= h.at && d <= at
 		}
 		once = once || h.at <= at
 		known = known || h.at <= at && !dead
 	}
-	late := at-o.to >= patience
+	late := at-o.endedAt >= patience
 	switch {
-	case known && c.b.Hurry && late:
+	case known && c.bounds.ShortPatience && late:
 		return "re-run: known beyond a cut, in hurry"
 	case known:
 		return ""
-	case o.died > 0 && o.died <= at && once:
+	case o.workerDiedAt > 0 && o.workerDiedAt <= at && once:
 		return "re-run: worker and all who were told are dead"
-	case o.died > 0 && o.died <= at:
+	case o.workerDiedAt > 0 && o.workerDiedAt <= at:
 		return "re-run: worker died before it told anybody"
 	case late:
 		return "re-run: worker out of reach beyond the patience"
@@ -43,16 +43,16 @@
 	return ""
 }
 
-// overran tells an attempt that was stopped at the time its queue or step allows,
+// exceededTimeLimit tells an attempt that was stopped at the time its queue or step allows,
 // which is a failure too.
-func (c *checker) overran(s *span) bool {
-	p := c.step(s)
-	for _, r := range c.rows(c.jobs[s.attempt.Job].spec.Queue, s.from, s.to) {
+func (c *checker) exceededTimeLimit(s *execution) bool {
+	p := c.stepOf(s)
+	for _, r := range c.rowsInForce(c.jobs[s.attempt.Job].spec.Queue, s.startedAt, s.endedAt) {
 		long := r.TaskTimeoutMillis
 		if p.TimeLimitMillis > 0 {
 			long = min(long, p.TimeLimitMillis)
 		}
-		if s.outcome == state.OutcomeStopped && s.to-s.from >= int64(long)*1e6 {
+		if s.outcome == state.OutcomeStopped && s.endedAt-s.startedAt >= int64(long)*1e6 {
 			return true
 		}
 	}
@@ -61,72 +61,72 @@
 
 // once: no task twice at once, and none again after it ended well; no more
 // tries than the queue allows.
-func (c *checker) once(j *job, patience int64) {
-	for n, list := range j.spans {
+func (c *checker) checkReruns(j *jobHistory, patience int64) {
+	for n, list := range j.executions {
 		for i, s := range list {
 			fails := 0
 			for _, o := range list[:i] {
-				if o.runs(s.from, s.to) && s.runs(o.from, o.to) {
-					c.bad("twice", s.from, "%v on %s while %v runs on %s", s.attempt, s.who, o.attempt, o.who)
+				if o.runs(s.startedAt, s.endedAt) && s.runs(o.startedAt, o.endedAt) {
+					c.violate("twice", s.startedAt, "%v on %s while %v runs on %s", s.attempt, s.process, o.attempt, o.process)
 				}
-				if o.to > s.from {
-					c.seen["twice: a newer attempt while an older stood frozen"]++
+				if o.endedAt > s.startedAt {
+					c.coverage["twice: a newer attempt while an older stood frozen"]++
 					continue
 				}
 				why := ""
 				if o.outcome == state.OutcomeOK || o.outcome == state.OutcomeFailed {
-					why = c.excuse(o, s.from, patience)
+					why = c.rerunExcuse(o, s.startedAt, patience)
 				}
 				switch {
 				case o.outcome == state.OutcomeFailed && why == "":
 					fails++
 				case o.outcome == state.OutcomeOK && why == "":
-					c.bad("again", s.from, "%v starts although %v ended well at %.3f s", s.attempt, o.attempt, float64(o.to)/1e9)
+					c.violate("again", s.startedAt, "%v starts although %v ended well at %.3f s", s.attempt, o.attempt, float64(o.endedAt)/1e9)
 				case o.outcome == state.OutcomeOK:
-					c.seen[why]++
+					c.coverage[why]++
 				case o.outcome != state.OutcomeFailed:
-					c.seen["again: started again after a lost or stopped attempt"]++
+					c.coverage["again: started again after a lost or stopped attempt"]++
 				}
 			}
 			most := 0
-			for _, r := range c.rows(j.spec.Queue, s.from, s.from) {
+			for _, r := range c.rowsInForce(j.spec.Queue, s.startedAt, s.startedAt) {
 				most = max(most, r.MaxFailures)
 			}
 			if fails >= most {
-				c.bad("tries", s.from, "task %d of %s starts after %d failures, %d allowed", n, j.id, fails, most)
+				c.violate("tries", s.startedAt, "task %d of %s starts after %d failures, %d allowed", n, j.id, fails, most)
 			}
 			if fails > 0 {
-				c.seen["tries: started again after a failure"]++
+				c.coverage["tries: started again after a failure"]++
 			}
 			if fails > 0 && fails == most-1 {
-				c.seen["tries: last try allowed"]++
+				c.coverage["tries: last try allowed"]++
 			}
 		}
 	}
 }
 
-// fair is the notice with which nothing need be lost to a removal.
-const fair = 2500 * time.Millisecond
+// fairNotice is the notice with which nothing need be lost to a removal.
+const fairNotice = 2500 * time.Millisecond
 
-// removed counts what a worker still ran that had said in time when it goes.
-func (c *checker) removed(h HistoryEvent, live map[types.AttemptID]*span) {
-	if d, _ := time.ParseDuration(h.Text); d >= fair {
-		c.seen["removed: workers taken away with notice"]++
-		c.seen["removed: attempts lost to that"] += len(live)
+// countRemoval counts what a worker still ran that had said in time when it goes.
+func (c *checker) countRemoval(h HistoryEvent, live map[types.AttemptID]*execution) {
+	if d, _ := time.ParseDuration(h.Text); d >= fairNotice {
+		c.coverage["removed: workers taken away with notice"]++
+		c.coverage["removed: attempts lost to that"] += len(live)
 	}
 }
 
-// drained opens or closes a drain of a worker or a rack.
-func (c *checker) drained(h HistoryEvent) {
+// recordDrain opens or closes a drain of a worker or a rack.
+func (c *checker) recordDrain(h HistoryEvent) {
 	kind, name, _ := strings.Cut(h.Text, "/")
-	for shard, m := range c.makes {
+	for shard, m := range c.workers {
 		if kind == "racks" && string(m.Rack) != name || kind == "workers" && string(shard) != name {
 			continue
 		}
-		l := c.drain[shard]
-		if h.What == Drained {
-			c.seen["leaving: a drain taken"]++
-			c.drain[shard] = append(l, [2]int64{h.At, c.end})
+		l := c.draining[shard]
+		if h.Kind == DrainAccepted {
+			c.coverage["leaving: a drain taken"]++
+			c.draining[shard] = append(l, [2]int64{h.At, c.end})
 			continue
 		}
 		for i := range l {
--- a/sim/clients.go
+++ b/sim/clients.go
@@ -17,230 +17,230 @@
 	"coppercourse/internal/wire"
 )
 
-const lostAfter = 4 * time.Second
+const answerTimeout = 4 * time.Second
 
 // Clients is all callers and operators of a world.
 type Clients struct {
-	w          *World
-	deployment Deployment
-	gateways   []types.Addr
-	addr       types.Addr
-	next       int
-	open       bool
-	Cancel     float64
-	Races      bool
-	Count      map[apierror.Kind]int
-	Rude       float64 // part of the callers that do not heed when to come back
-	Burst      int     // how many times as much is sent; 0 is once
-	Tries      int     // how often a job is sent, at most
-	cancels    map[types.JobID]time.Duration
+	world           *World
+	deployment      Deployment
+	gateways        []types.Addr
+	address         types.Addr
+	lastJob         int
+	open            bool
+	CancelRate      float64
+	RacingOperators bool
+	Refusals        map[apierror.Kind]int
+	ImpatientRate   float64 // part of the callers that do not heed when to come back
+	BurstFactor     int     // how many times as much is sent; 0 is once
+	MaxRetries      int     // how often a job is sent, at most
+	cancelDelays    map[types.JobID]time.Duration
 }
 
-func (c *Clients) pick(zone int) types.Addr {
+func (c *Clients) readyGateway(zone int) types.Addr {
 	first := c.gateways[zone%len(c.gateways)]
 	for i := range c.gateways {
 		a := c.gateways[(zone+i)%len(c.gateways)]
-		if g, ok := c.w.nodes[a].m.(*gateway.Gateway); ok && g.Ready() {
+		if g, ok := c.world.nodes[a].machine.(*gateway.Gateway); ok && g.Ready() {
 			return a
 		}
 	}
 	return first
 }
 
-func (c *Clients) any() types.Addr { return c.gateways[c.w.random.Intn(len(c.gateways))] }
+func (c *Clients) anyGateway() types.Addr { return c.gateways[c.world.random.Intn(len(c.gateways))] }
 
-// flow sends jobs of one shape until the clients is closed.
-func (c *Clients) flow(f Flow) {
-	gap := time.Duration((0.5+c.w.random.Float64())*float64(f.Every)) / time.Duration(max(1, c.Burst))
-	c.w.at(gap, func() {
+// startFlow sends jobs of one shape until the clients is closed.
+func (c *Clients) startFlow(f Flow) {
+	gap := time.Duration((0.5+c.world.random.Float64())*float64(f.MeanInterval)) / time.Duration(max(1, c.BurstFactor))
+	c.world.after(gap, func() {
 		if !c.open {
 			return
 		}
-		c.next++
-		id := types.JobID(fmt.Sprintf("%s-%d", f.Queue, c.next))
-		s := f.Spec(c.w.random)
-		if c.w.random.Intn(8) == 0 {
-			due := origin + c.w.now + int64(c.w.random.Intn(3000))*1e6
+		c.lastJob++
+		id := types.JobID(fmt.Sprintf("%s-%d", f.Queue, c.lastJob))
+		s := f.NewSpec(c.world.random)
+		if c.world.random.Intn(8) == 0 {
+			due := wallClockStart + c.world.now + int64(c.world.random.Intn(3000))*1e6
 			s.Steps[len(s.Steps)-1].NotBefore = time.Unix(0, due).UTC().Format(time.RFC3339Nano)
 		}
-		c.w.record(HistoryEvent{What: Sent, Job: id, Spec: &s})
-		c.send(id, wire.EncodeBody(s), c.pick(c.w.random.Intn(3)), 0)
-		c.flow(f)
+		c.world.record(HistoryEvent{Kind: JobSubmitted, Job: id, Spec: &s})
+		c.submit(id, wire.EncodeBody(s), c.readyGateway(c.world.random.Intn(3)), 0)
+		c.startFlow(f)
 	})
 }
 
-// stream sends jobs to the invoked workers' deployment until the clients is closed.
-func (c *Clients) stream(f Stream) {
-	gap := time.Duration((0.5+c.w.random.Float64())*float64(f.Every)) / time.Duration(max(1, c.Burst))
-	c.w.at(gap, func() {
+// startStream sends jobs to the invoked workers' deployment until the clients is closed.
+func (c *Clients) startStream(f Stream) {
+	gap := time.Duration((0.5+c.world.random.Float64())*float64(f.MeanInterval)) / time.Duration(max(1, c.BurstFactor))
+	c.world.after(gap, func() {
 		if !c.open {
 			return
 		}
-		c.next++
-		id := types.JobID(fmt.Sprintf("%s-%d", f.Queue, c.next))
-		s := f.Spec(c.w.random, c.w.now)
-		if c.w.random.Float64() < f.Cancel {
-			c.cancels[id] = f.Within/3 + time.Duration(c.w.random.Int63n(int64(f.Within)))
+		c.lastJob++
+		id := types.JobID(fmt.Sprintf("%s-%d", f.Queue, c.lastJob))
+		s := f.NewSpec(c.world.random, c.world.now)
+		if c.world.random.Float64() < f.CancelRate {
+			c.cancelDelays[id] = f.CancelWithin/3 + time.Duration(c.world.random.Int63n(int64(f.CancelWithin)))
 		}
-		c.w.record(HistoryEvent{What: Sent, Job: id, Spec: &s})
-		c.send(id, wire.EncodeBody(s), c.pick(c.w.random.Intn(3)), 0)
-		c.stream(f)
+		c.world.record(HistoryEvent{Kind: JobSubmitted, Job: id, Spec: &s})
+		c.submit(id, wire.EncodeBody(s), c.readyGateway(c.world.random.Intn(3)), 0)
+		c.startStream(f)
 	})
 }
 
-// try asks once; lost is called when no answer came in time.
-func (c *Clients) try(to types.Addr, verb, arg string, body json.RawMessage, got func(wire.Response), lost func()) {
-	over := false
-	c.w.request(c.addr, to, verb, arg, body, func(a wire.Response) {
-		if !over {
-			over = true
-			got(a)
+// request asks once; lost is called when no answer came in time.
+func (c *Clients) request(to types.Addr, verb, argument string, body json.RawMessage, onAnswer func(wire.Response), onTimeout func()) {
+	done := false
+	c.world.request(c.address, to, verb, argument, body, func(a wire.Response) {
+		if !done {
+			done = true
+			onAnswer(a)
 		}
 	})
-	c.w.at(lostAfter, func() {
-		if !over {
-			over = true
-			lost()
+	c.world.after(answerTimeout, func() {
+		if !done {
+			done = true
+			onTimeout()
 		}
 	})
 }
 
-func (c *Clients) send(id types.JobID, body json.RawMessage, to types.Addr, n int) {
-	again := func(d time.Duration) {
-		if n < c.Tries {
-			c.w.at(d, func() { c.send(id, body, c.any(), n+1) })
+func (c *Clients) submit(id types.JobID, body json.RawMessage, to types.Addr, retries int) {
+	retry := func(d time.Duration) {
+		if retries < c.MaxRetries {
+			c.world.after(d, func() { c.submit(id, body, c.anyGateway(), retries+1) })
 		}
 	}
-	c.try(to, "job.put", string(id), body, func(a wire.Response) {
+	c.request(to, "job.put", string(id), body, func(a wire.Response) {
 		switch {
 		case a.Error == nil:
-			c.w.record(HistoryEvent{What: Accepted, Job: id})
-			c.saw(id, a)
-			c.look(id)
-			if d, ok := c.cancels[id]; ok {
-				c.w.at(d, func() { c.cancel(id, 0) })
-			} else if c.deployment.WorkerRules == nil && c.w.random.Float64() < c.Cancel {
-				c.w.at(time.Duration(c.w.random.Int63n(int64(3*time.Second))), func() { c.cancel(id, 0) })
+			c.world.record(HistoryEvent{Kind: JobAccepted, Job: id})
+			c.recordObservation(id, a)
+			c.watchJob(id)
+			if d, ok := c.cancelDelays[id]; ok {
+				c.world.after(d, func() { c.cancelJob(id, 0) })
+			} else if c.deployment.WorkerRules == nil && c.world.random.Float64() < c.CancelRate {
+				c.world.after(time.Duration(c.world.random.Int63n(int64(3*time.Second))), func() { c.cancelJob(id, 0) })
 			}
 		case a.Error.RetryAfterSeconds > 0:
-			c.Count[a.Error.Kind]++
+			c.Refusals[a.Error.Kind]++
 			if a.Error.Kind == apierror.OutcomeUnknown {
-				c.w.record(HistoryEvent{What: Unclear, Job: id})
+				c.world.record(HistoryEvent{Kind: SubmissionUnresolved, Job: id})
 			} else {
-				c.w.record(HistoryEvent{What: Turned, Job: id, Text: a.Error.Error()})
+				c.world.record(HistoryEvent{Kind: SubmissionRejected, Job: id, Text: a.Error.Error()})
 			}
-			if c.Rude > 0 && c.w.random.Float64() < c.Rude {
-				again(200 * time.Millisecond)
+			if c.ImpatientRate > 0 && c.world.random.Float64() < c.ImpatientRate {
+				retry(200 * time.Millisecond)
 				return
 			}
-			again(time.Duration(a.Error.RetryAfterSeconds) * time.Second)
+			retry(time.Duration(a.Error.RetryAfterSeconds) * time.Second)
 		default:
-			c.Count[a.Error.Kind]++
-			c.w.record(HistoryEvent{What: Denied, Job: id, Text: a.Error.Error()})
+			c.Refusals[a.Error.Kind]++
+			c.world.record(HistoryEvent{Kind: JobDenied, Job: id, Text: a.Error.Error()})
 		}
 	}, func() {
-		c.w.record(HistoryEvent{What: Unclear, Job: id})
-		again(100 * time.Millisecond)
+		c.world.record(HistoryEvent{Kind: SubmissionUnresolved, Job: id})
+		retry(100 * time.Millisecond)
 	})
 }
 
-func (c *Clients) saw(id types.JobID, a wire.Response) (over bool) {
+func (c *Clients) recordObservation(id types.JobID, a wire.Response) (ended bool) {
 	var v controller.JobView
 	if json.Unmarshal(a.Body, &v) != nil {
 		return false
 	}
-	c.w.record(HistoryEvent{What: Saw, Job: id, Stage: v.State, Text: v.Reason})
+	c.world.record(HistoryEvent{Kind: JobObserved, Job: id, Stage: v.State, Text: v.Reason})
 	return v.State == "done" || v.State == "failed" || v.State == "cancelled"
 }
 
-// look asks after a job now and then until it has ended.
-func (c *Clients) look(id types.JobID) {
-	c.w.at(500*time.Millisecond+time.Duration(c.w.random.Int63n(int64(2*time.Second))), func() {
-		c.try(c.any(), "job.get", string(id), nil, func(a wire.Response) {
+// watchJob asks after a job now and then until it has ended.
+func (c *Clients) watchJob(id types.JobID) {
+	c.world.after(500*time.Millisecond+time.Duration(c.world.random.Int63n(int64(2*time.Second))), func() {
+		c.request(c.anyGateway(), "job.get", string(id), nil, func(a wire.Response) {
 			switch {
 			case a.Error != nil && a.Error.Kind == apierror.NoSuchJob:
-				c.w.record(HistoryEvent{What: Missed, Job: id})
-			case a.Error != nil || !c.saw(id, a):
-				c.look(id)
+				c.world.record(HistoryEvent{Kind: JobNotFound, Job: id})
+			case a.Error != nil || !c.recordObservation(id, a):
+				c.watchJob(id)
 			}
-		}, func() { c.look(id) })
+		}, func() { c.watchJob(id) })
 	})
 }
 
-func (c *Clients) cancel(id types.JobID, n int) {
-	if n == 0 {
-		c.w.record(HistoryEvent{What: Halting, Job: id})
+func (c *Clients) cancelJob(id types.JobID, retries int) {
+	if retries == 0 {
+		c.world.record(HistoryEvent{Kind: CancelSubmitted, Job: id})
 	}
-	again := func(d time.Duration) {
-		if n < 10 {
-			c.w.at(d, func() { c.cancel(id, n+1) })
+	retry := func(d time.Duration) {
+		if retries < 10 {
+			c.world.after(d, func() { c.cancelJob(id, retries+1) })
 		}
 	}
-	c.try(c.any(), "job.cancel", string(id), nil, func(a wire.Response) {
+	c.request(c.anyGateway(), "job.cancel", string(id), nil, func(a wire.Response) {
 		switch {
 		case a.Error == nil:
-			c.w.record(HistoryEvent{What: Halt, Job: id})
+			c.world.record(HistoryEvent{Kind: CancelAccepted, Job: id})
 		case a.Error.RetryAfterSeconds > 0:
-			again(time.Duration(a.Error.RetryAfterSeconds) * time.Second)
+			retry(time.Duration(a.Error.RetryAfterSeconds) * time.Second)
 		}
-	}, func() { again(100 * time.Millisecond) })
+	}, func() { retry(100 * time.Millisecond) })
 }
 
-// put sends a table until it is known to be taken or refused.
-func (c *Clients) put(t config.Table, to types.Addr, n int, then func(bool)) {
-	if n == 0 {
-		c.w.record(HistoryEvent{What: TableTry, Table: &t})
+// putTable sends a table until it is known to be taken or refused.
+func (c *Clients) putTable(t config.Table, to types.Addr, retries int, then func(bool)) {
+	if retries == 0 {
+		c.world.record(HistoryEvent{Kind: TableSubmitted, Table: &t})
 	}
-	again := func(d time.Duration) {
-		if n < 40 {
-			c.w.at(d, func() { c.put(t, c.any(), n+1, then) })
+	retry := func(d time.Duration) {
+		if retries < 40 {
+			c.world.after(d, func() { c.putTable(t, c.anyGateway(), retries+1, then) })
 		}
 	}
-	c.try(to, "table.put", "", wire.EncodeBody(t), func(a wire.Response) {
+	c.request(to, "table.put", "", wire.EncodeBody(t), func(a wire.Response) {
 		switch {
 		case a.Error == nil:
 			got := t.Accepted()
-			c.w.record(HistoryEvent{What: TableAck, Table: &got, Text: fmt.Sprint(t.Version)})
+			c.world.record(HistoryEvent{Kind: TableAcknowledged, Table: &got, Text: fmt.Sprint(t.Version)})
 			then(true)
 		case a.Error.RetryAfterSeconds > 0:
-			again(time.Duration(a.Error.RetryAfterSeconds) * time.Second)
+			retry(time.Duration(a.Error.RetryAfterSeconds) * time.Second)
 		default:
-			c.w.record(HistoryEvent{What: TableNo, Table: &t, Text: a.Error.Error()})
+			c.world.record(HistoryEvent{Kind: TableRefused, Table: &t, Text: a.Error.Error()})
 			then(false)
 		}
-	}, func() { again(100 * time.Millisecond) })
+	}, func() { retry(100 * time.Millisecond) })
 }
 
-// order gives an operator's order until it is known to be taken or refused.
-func (c *Clients) order(verb, arg string, body json.RawMessage, n int, then func()) {
-	if verb == "drain.drop" && n == 0 {
-		c.w.record(HistoryEvent{What: Undone, Text: arg})
+// requestAsOperator gives an operator's order until it is known to be taken or refused.
+func (c *Clients) requestAsOperator(verb, argument string, body json.RawMessage, retries int, then func()) {
+	if verb == "drain.drop" && retries == 0 {
+		c.world.record(HistoryEvent{Kind: DrainRemoval, Text: argument})
 	}
-	again := func(d time.Duration) {
-		if n < 100 {
-			c.w.at(d, func() { c.order(verb, arg, body, n+1, then) })
+	retry := func(d time.Duration) {
+		if retries < 100 {
+			c.world.after(d, func() { c.requestAsOperator(verb, argument, body, retries+1, then) })
 		}
 	}
-	c.try(c.any(), verb, arg, body, func(a wire.Response) {
+	c.request(c.anyGateway(), verb, argument, body, func(a wire.Response) {
 		switch {
 		case a.Error == nil:
 			if verb == "drain.put" {
-				c.w.record(HistoryEvent{What: Drained, Text: arg})
+				c.world.record(HistoryEvent{Kind: DrainAccepted, Text: argument})
 			}
 			then()
 		case a.Error.RetryAfterSeconds > 0:
-			again(time.Duration(a.Error.RetryAfterSeconds) * time.Second)
+			retry(time.Duration(a.Error.RetryAfterSeconds) * time.Second)
 		}
-	}, func() { again(100 * time.Millisecond) })
+	}, func() { retry(100 * time.Millisecond) })
 }
 
-// read reads the table and gives it on.
-func (c *Clients) read(then func(config.Table)) {
-	began := c.w.now
-	c.try(c.any(), "table.get", "", nil, func(a wire.Response) {
+// readTable reads the table and gives it on.
+func (c *Clients) readTable(then func(config.Table)) {
+	began := c.world.now
+	c.request(c.anyGateway(), "table.get", "", nil, func(a wire.Response) {
 		var t config.Table
 		if a.Error == nil && json.Unmarshal(a.Body, &t) == nil {
-			c.w.record(HistoryEvent{What: TableSaw, Table: &t, Text: fmt.Sprint(began)})
+			c.world.record(HistoryEvent{Kind: TableRead, Table: &t, Text: fmt.Sprint(began)})
 			if then != nil {
 				then(t)
 			}
@@ -248,18 +248,18 @@
 	}, func() {})
 }
 
-// races has two operators change the table on the same version, again and
+// startRacingOperators has two operators change the table on the same version, again and
 // again, at different gateways.
-func (c *Clients) races() {
-	c.w.at(time.Duration(2+c.w.random.Intn(4))*time.Second, func() {
-		if !c.open || !c.Races {
+func (c *Clients) startRacingOperators() {
+	c.world.after(time.Duration(2+c.world.random.Intn(4))*time.Second, func() {
+		if !c.open || !c.RacingOperators {
 			return
 		}
-		c.read(func(t config.Table) {
+		c.readTable(func(t config.Table) {
 			for i := range 2 {
-				c.put(c.altered(t), c.gateways[(i+c.w.random.Intn(2))%len(c.gateways)], 0, func(bool) {})
+				c.putTable(c.alteredTable(t), c.gateways[(i+c.world.random.Intn(2))%len(c.gateways)], 0, func(bool) {})
 			}
 		})
-		c.races()
+		c.startRacingOperators()
 	})
 }
--- a/sim/control_faults_test.go
+++ b/sim/control_faults_test.go
@@ -12,40 +12,44 @@
 	"coppercourse/internal/types"
 )
 
-// struck tells, by the kind of a fault, that it has struck by now.
-var struck = map[string]func(r *Run) bool{
-	"cut":  func(r *Run) bool { return len(r.cut) > 0 },
-	"down": func(r *Run) bool { return slices.ContainsFunc(r.everyone(), func(n *node) bool { return n.m == nil }) },
+// observedEffects tells, by the kind of a fault, that it has struck by now.
+var observedEffects = map[string]func(r *Run) bool{
+	"cut": func(r *Run) bool { return len(r.partitioned) > 0 },
+	"down": func(r *Run) bool {
+		return slices.ContainsFunc(r.daemons(), func(n *node) bool { return n.machine == nil })
+	},
 	"all": func(r *Run) bool {
-		return !slices.ContainsFunc(r.controllers, func(n *node) bool { return n.m != nil })
+		return !slices.ContainsFunc(r.controllers, func(n *node) bool { return n.machine != nil })
 	},
-	"frozen": func(r *Run) bool { return slices.ContainsFunc(r.everyone(), func(n *node) bool { return n.frozen }) },
+	"frozen": func(r *Run) bool { return slices.ContainsFunc(r.daemons(), func(n *node) bool { return n.frozen }) },
 	"wiped": func(r *Run) bool {
 		return slices.ContainsFunc(r.controllers, func(n *node) bool { return n.disk.wiped })
 	},
 	"full": func(r *Run) bool {
 		return slices.ContainsFunc(r.controllers, func(n *node) bool { return n.disk.full && len(n.disk.queue) > 0 })
 	},
-	"clock":  func(r *Run) bool { return slices.ContainsFunc(r.everyone(), func(n *node) bool { return n.wall != 0 }) },
-	"resets": func(r *Run) bool { return len(r.resets) > 0 },
-	"acks":   func(r *Run) bool { return r.lostAcks > 0 },
-	"burst":  func(r *Run) bool { return r.Clients.Burst > 1 },
+	"clock": func(r *Run) bool {
+		return slices.ContainsFunc(r.daemons(), func(n *node) bool { return n.wallOffset != 0 })
+	},
+	"resets": func(r *Run) bool { return len(r.connectionResets) > 0 },
+	"acks":   func(r *Run) bool { return r.ackLossRate > 0 },
+	"burst":  func(r *Run) bool { return r.Clients.BurstFactor > 1 },
 	"seeds":  func(r *Run) bool { return !slices.Equal(r.seeds, []types.Addr{"h1", "g1", "w1"}) },
-	"left":   left,
+	"left":   replacedIsGone,
 	"new": func(r *Run) bool {
 		return slices.ContainsFunc(r.controllers, func(n *node) bool { return len(n.addr) > 2 })
 	},
 }
 
-// left tells whether a controller that another has replaced is gone.
-func left(r *Run) bool {
-	return slices.ContainsFunc(r.order, func(a types.Addr) bool {
+// replacedIsGone tells whether a controller that another has replaced is gone.
+func replacedIsGone(r *Run) bool {
+	return slices.ContainsFunc(r.nodeOrder, func(a types.Addr) bool {
 		n := r.nodes[a]
-		return n.role == "controller" && n.m == nil && !slices.Contains(r.controllers, n)
+		return n.role == "controller" && n.machine == nil && !slices.Contains(r.controllers, n)
 	})
 }
 
-var strikes = map[string][]string{
+var faultEffects = map[string][]string{
 	"cut-core-near": {"cut"}, "cut-core-oldest": {"cut"}, "cut-core-seeds": {"cut", "seeds", "down"}, "cut-core-both": {"cut", "down"},
 	"cut-core-meet": {"cut"}, "cut-core-race": {"cut"}, "cut-leader-race": {"cut"}, "cut-core-out-meet": {"cut"},
 	"freeze-leader-race": {"frozen"}, "kill-leader-meet": {"down"}, "cut-from-core": {"cut"}, "cut-from-core-in": {"cut"}, "cut-from-core-out": {"cut"},
@@ -63,22 +67,22 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			want := strikes[name]
+			want := faultEffects[name]
 			is.True(len(want) > 0) // each fault must say what it strikes
 			got := map[string]bool{}
 			for seed := int64(1800); seed < 1804 && len(got) < len(want); seed++ {
-				r := Build(Plan{Seed: seed, Deployment: "kingston-called", Quick: true, Patience: 5 * time.Second})
-				r.at(3*time.Second, func() { r.Clients.put(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
-				r.at(5*time.Second, func() {
-					r.traffic()
-					r.Clients.versions()
+				r := New(Plan{Seed: seed, Deployment: "kingston-called", Quick: true, Patience: 5 * time.Second})
+				r.after(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
+				r.after(5*time.Second, func() {
+					r.startTraffic()
+					r.Clients.startVersioningOperators()
 				})
-				r.at(6*time.Second, func() { r.inject(name, 6*time.Second) })
-				r.Run(6 * time.Second)
+				r.after(6*time.Second, func() { r.injectFault(name, 6*time.Second) })
+				r.RunUntil(6 * time.Second)
 				for at := 6 * time.Second; at < 14*time.Second && len(got) < len(want); at += 20 * time.Millisecond {
-					r.Run(at)
+					r.RunUntil(at)
 					for _, kind := range want {
-						if struck[kind](r) {
+						if observedEffects[kind](r) {
 							got[kind] = true
 						}
 					}
@@ -96,24 +100,24 @@
 	is := is.New(t)
 	lost, taken := 0, 0
 	for seed := int64(1820); seed < 1824; seed++ {
-		r := Build(Plan{Seed: seed, Deployment: "kingston-called", Quick: true, Patience: 5 * time.Second})
-		r.at(3*time.Second, func() { r.Clients.put(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
-		r.at(5*time.Second, func() {
-			r.inject("lose-acks", 20*time.Second)
-			r.Clients.changeNow(1)
+		r := New(Plan{Seed: seed, Deployment: "kingston-called", Quick: true, Patience: 5 * time.Second})
+		r.after(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
+		r.after(5*time.Second, func() {
+			r.injectFault("lose-acks", 20*time.Second)
+			r.Clients.putChanges(1)
 		})
-		r.Run(40 * time.Second)
+		r.RunUntil(40 * time.Second)
 		sent := map[types.Version]int64{}
-		for _, h := range r.Hist.List {
-			switch h.What {
-			case TableTry:
+		for _, h := range r.History.Events {
+			switch h.Kind {
+			case TableSubmitted:
 				sent[h.Table.Accepted().Version] = h.At
-			case TableAck:
+			case TableAcknowledged:
 				taken++
-				if h.At-sent[h.Table.Version] > int64(lostAfter) {
+				if h.At-sent[h.Table.Version] > int64(answerTimeout) {
 					lost++
 				}
-			case TableNo:
+			case TableRefused:
 				t.Error(seed, h.Text)
 			}
 		}
@@ -126,6 +130,6 @@
 // told so yet or not: its other tasks wait for nothing.
 func TestAJobThatHasFailedIsNotIdle(t *testing.T) {
 	t.Parallel()
-	clean(t, Plan{Seed: 61428, Deployment: "kingston-called", Faults: []string{"wipe-after-send", "roll-gateways"}, Count: 4, Quick: true, Before: 4 * time.Second,
+	runWithoutViolations(t, Plan{Seed: 61428, Deployment: "kingston-called", Faults: []string{"wipe-after-send", "roll-gateways"}, FaultCount: 4, Quick: true, Before: 4 * time.Second,
 		FaultsFor: 9 * time.Second, After: 3 * time.Second, Settle: 45 * time.Second, Patience: 5 * time.Second})
 }
--- a/sim/core_test.go
+++ b/sim/core_test.go
@@ -16,20 +16,22 @@
 	"coppercourse/internal/wire"
 )
 
-func (r *Run) status(n *node) controller.StatusView { return n.m.(*controller.Controller).Status() }
+func (r *Run) controllerStatus(n *node) controller.StatusView {
+	return n.machine.(*controller.Controller).Status()
+}
 
-// core is a deployment without traffic, with a table acknowledged at some time.
-func core(t *testing.T, seed int64) (r *Run, acked func() bool) {
-	r = Build(Plan{Seed: seed, Deployment: "kingston"})
+// newControlRun is a deployment without traffic, with a table acknowledged at some time.
+func newControlRun(t *testing.T, seed int64) (r *Run, acked func() bool) {
+	r = New(Plan{Seed: seed, Deployment: "kingston"})
 	ok := false
-	r.at(4*time.Second, func() { r.Clients.put(r.Clients.deployment.Table(), "g1", 0, func(b bool) { ok = b }) })
+	r.after(4*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(b bool) { ok = b }) })
 	return r, func() bool { return ok }
 }
 
 // versions is what any gateway answers when asked for the table now.
-func (r *Run) version(within time.Duration) (e types.Version, ok bool) {
-	r.Clients.read(func(t config.Table) { e, ok = t.Version, true })
-	r.Run(time.Duration(r.now) + within)
+func (r *Run) readVersion(within time.Duration) (e types.Version, ok bool) {
+	r.Clients.readTable(func(t config.Table) { e, ok = t.Version, true })
+	r.RunUntil(time.Duration(r.now) + within)
 	return
 }
 
@@ -37,22 +39,22 @@
 	is := is.New(t)
 	for i := range 3 {
 		for k := 1; k < 3; k++ {
-			r, acked := core(t, int64(10*i+k))
+			r, acked := newControlRun(t, int64(10*i+k))
 			for !acked() {
-				r.Run(time.Duration(r.now) + time.Millisecond)
+				r.RunUntil(time.Duration(r.now) + time.Millisecond)
 			}
 			lost, down := r.controllers[i], r.controllers[(i+k)%3]
 			lost.kill()
 			lost.disk.wipe()
 			down.kill()
 			lost.boot() // comes back empty, with only one that knows
-			r.Run(time.Duration(r.now) + 12*time.Second)
-			_, served := r.version(5 * time.Second)
-			is.Equal(served, false)                                                             // no majority of those who acknowledged: no answer, rather than an old one
-			is.True(r.status(lost).RaftRole == "empty" || r.status(lost).RaftRole == "learner") // it has no vote
+			r.RunUntil(time.Duration(r.now) + 12*time.Second)
+			_, served := r.readVersion(5 * time.Second)
+			is.Equal(served, false)                                                                                 // no majority of those who acknowledged: no answer, rather than an old one
+			is.True(r.controllerStatus(lost).RaftRole == "empty" || r.controllerStatus(lost).RaftRole == "learner") // it has no vote
 			down.boot()
-			r.Run(time.Duration(r.now) + 10*time.Second)
-			e, ok := r.version(5 * time.Second)
+			r.RunUntil(time.Duration(r.now) + 10*time.Second)
+			e, ok := r.readVersion(5 * time.Second)
 			is.True(ok)
 			is.Equal(e, types.Version(1))
 		}
@@ -61,11 +63,11 @@
 
 func TestTwoEmptyControllersFoundNothing(t *testing.T) {
 	is := is.New(t)
-	r := Build(Plan{Seed: 3, Deployment: "kingston"})
-	r.controllers[2].make = nil
-	r.Run(30 * time.Second)
+	r := New(Plan{Seed: 3, Deployment: "kingston"})
+	r.controllers[2].newMachine = nil
+	r.RunUntil(30 * time.Second)
 	for _, h := range r.controllers[:2] {
-		s := r.status(h)
+		s := r.controllerStatus(h)
 		is.Equal(s.Cluster, "")
 		is.Equal(s.Ready, false)
 		is.True(s.Reason != "")
@@ -78,19 +80,19 @@
 	}
 	is := is.New(t)
 	for seed := range int64(12) {
-		r := Build(Plan{Seed: seed, Deployment: "kingston"})
-		r.at(time.Duration(200+r.random.Intn(1200))*time.Millisecond, func() {
+		r := New(Plan{Seed: seed, Deployment: "kingston"})
+		r.after(time.Duration(200+r.random.Intn(1200))*time.Millisecond, func() {
 			n := pickOne(r.random, r.controllers)
 			n.kill()
 			if seed%2 == 0 {
 				n.disk.wipe()
 			}
-			r.at(time.Duration(r.random.Intn(8000))*time.Millisecond, n.boot)
+			r.after(time.Duration(r.random.Intn(8000))*time.Millisecond, n.boot)
 		})
-		r.Run(45 * time.Second)
+		r.RunUntil(45 * time.Second)
 		names := map[string]bool{}
 		for _, h := range r.controllers {
-			names[r.status(h).Cluster] = true
+			names[r.controllerStatus(h).Cluster] = true
 		}
 		is.Equal(len(names), 1) // all three are in one cluster
 		is.Equal(names[""], false)
@@ -102,29 +104,29 @@
 		t.Skip("run without the race detector")
 	}
 	is := is.New(t)
-	r, _ := core(t, 8)
-	r.Run(8 * time.Second)
+	r, _ := newControlRun(t, 8)
+	r.RunUntil(8 * time.Second)
 	var old []*node
 	for i := range 3 {
 		n := r.controllers[i]
 		old = append(old, n)
 		n.kill()
-		fresh := r.World.controller(n.addr+"x", n.zone)
+		fresh := r.World.addController(n.addr+"x", n.zone)
 		r.controllers[i] = fresh
 		fresh.boot()
-		r.Run(time.Duration(r.now) + 15*time.Second)
-		is.Equal(len(r.status(fresh).Members), 3)
-		is.True(r.status(fresh).RaftRole == "follower" || r.status(fresh).RaftRole == "leader")
+		r.RunUntil(time.Duration(r.now) + 15*time.Second)
+		is.Equal(len(r.controllerStatus(fresh).Members), 3)
+		is.True(r.controllerStatus(fresh).RaftRole == "follower" || r.controllerStatus(fresh).RaftRole == "leader")
 	}
-	e, ok := r.version(5 * time.Second)
+	e, ok := r.readVersion(5 * time.Second)
 	is.True(ok)
 	is.Equal(e, types.Version(1))
 	old[0].boot() // a removed member returns with its old disk, and is let in as a new one would be
-	r.Run(time.Duration(r.now) + 15*time.Second)
+	r.RunUntil(time.Duration(r.now) + 15*time.Second)
 	l := r.leader()
 	is.True(l != nil && l != old[0])
-	roll := r.status(l).Members
-	m, ok := roll.Find(r.status(old[0]).ID)
+	roll := r.controllerStatus(l).Members
+	m, ok := roll.Find(r.controllerStatus(old[0]).ID)
 	is.True(ok)
 	is.Equal(len(roll), 4)
 	is.Equal(roll.Voters(), 3) // of the two in its zone one votes, the other stands by
@@ -136,9 +138,9 @@
 		}
 	}
 	is.Equal(standbys, 1)
-	is.Equal(r.status(old[0]).Ready, true) // it follows the leader of now
-	is.Equal(r.status(old[0]).Term, r.status(l).Term)
-	e, ok = r.version(5 * time.Second)
+	is.Equal(r.controllerStatus(old[0]).Ready, true) // it follows the leader of now
+	is.Equal(r.controllerStatus(old[0]).Term, r.controllerStatus(l).Term)
+	e, ok = r.readVersion(5 * time.Second)
 	is.True(ok)
 	is.Equal(e, types.Version(1))
 }
@@ -147,16 +149,16 @@
 // answer by what it has, and the others must go on.
 func TestDeposedLeaderAnswersNobody(t *testing.T) {
 	is := is.New(t)
-	r, _ := core(t, 21)
-	r.Run(8 * time.Second)
+	r, _ := newControlRun(t, 21)
+	r.RunUntil(8 * time.Second)
 	l := r.leader()
-	a, b := peers(r, l)
-	r.Split(a, b, true, true)
-	r.Run(12 * time.Second)
+	a, b := separatedFromPeers(r, l)
+	r.SetPartition(a, b, true, true)
+	r.RunUntil(12 * time.Second)
 	is.True(r.leader() != nil)
 	is.True(r.leader() != l)
-	is.Equal(r.status(l).RaftRole != "leader", true)
-	e, ok := r.version(3 * time.Second)
+	is.Equal(r.controllerStatus(l).RaftRole != "leader", true)
+	e, ok := r.readVersion(3 * time.Second)
 	is.True(ok)
 	is.Equal(e, types.Version(1))
 }
@@ -164,17 +166,17 @@
 // A clock that jumps at one controller moves nothing: the cluster's time stays.
 func TestOneJumpingClockMovesNothing(t *testing.T) {
 	is := is.New(t)
-	r, _ := core(t, 31)
-	r.Run(8 * time.Second)
-	r.controllers[1].wall = 3 * time.Hour
-	r.controllers[0].wall = -40 * time.Minute
-	r.Run(12 * time.Second)
-	r.controllers[0].wall = 0
-	r.Run(16 * time.Second)
+	r, _ := newControlRun(t, 31)
+	r.RunUntil(8 * time.Second)
+	r.controllers[1].wallOffset = 3 * time.Hour
+	r.controllers[0].wallOffset = -40 * time.Minute
+	r.RunUntil(12 * time.Second)
+	r.controllers[0].wallOffset = 0
+	r.RunUntil(16 * time.Second)
 	for _, h := range r.controllers {
-		at, err := time.Parse(time.RFC3339Nano, r.status(h).ClusterTime)
+		at, err := time.Parse(time.RFC3339Nano, r.controllerStatus(h).ClusterTime)
 		is.NoErr(err)
-		off := at.Sub(time.Unix(0, origin+r.now))
+		off := at.Sub(time.Unix(0, wallClockStart+r.now))
 		is.True(off < 100*time.Millisecond)
 		is.True(off > -300*time.Millisecond)
 	}
@@ -185,8 +187,8 @@
 func TestDutyGoesToOneThatStays(t *testing.T) {
 	is := is.New(t)
 	for seed := range int64(6) {
-		r, _ := core(t, 50+seed)
-		r.Run(8 * time.Second)
+		r, _ := newControlRun(t, 50+seed)
+		r.RunUntil(8 * time.Second)
 		l := r.leader()
 		var stays *node
 		for _, h := range r.controllers {
@@ -196,10 +198,10 @@
 			}
 			h.step(wire.Event{Shutdown: true})
 		}
-		r.Run(9500 * time.Millisecond)
+		r.RunUntil(9500 * time.Millisecond)
 		for _, h := range r.controllers {
-			if h != stays && h.m != nil {
-				is.True(r.status(h).RaftRole != "leader")
+			if h != stays && h.machine != nil {
+				is.True(r.controllerStatus(h).RaftRole != "leader")
 			}
 		}
 	}
@@ -209,11 +211,11 @@
 // the answers that the interface promises.
 func TestLeaderRefusesExactly(t *testing.T) {
 	is := is.New(t)
-	r, _ := core(t, 61)
-	r.Run(9 * time.Second)
+	r, _ := newControlRun(t, 61)
+	r.RunUntil(9 * time.Second)
 	ask := func(verb, id, body string) (a wire.Response) {
-		r.request(r.Clients.addr, "g2", verb, id, []byte(body), func(b wire.Response) { a = b })
-		r.Run(time.Duration(r.now) + 300*time.Millisecond)
+		r.request(r.Clients.address, "g2", verb, id, []byte(body), func(b wire.Response) { a = b })
+		r.RunUntil(time.Duration(r.now) + 300*time.Millisecond)
 		return
 	}
 	step := func(more string) string { return `{"queue":"quotes","steps":[{"name":"a",` + more + `}]}` }
@@ -260,9 +262,9 @@
 	is := is.New(t)
 	hits := 0
 	for seed := range int64(16) {
-		r, _ := core(t, 70+seed)
-		r.Clients.Cancel = 0
-		r.Run(8 * time.Second)
+		r, _ := newControlRun(t, 70+seed)
+		r.Clients.CancelRate = 0
+		r.RunUntil(8 * time.Second)
 		first := r.leader()
 		var heir, away *node
 		for _, h := range r.controllers {
@@ -275,36 +277,36 @@
 			}
 		}
 		heir.kill() // started again, it knows the time from what comes late only
-		r.lag[pair{first.addr, heir.addr}] = 350 * time.Millisecond
+		r.extraDelay[addressPair{first.addr, heir.addr}] = 350 * time.Millisecond
 		heir.boot()
-		r.Run(11 * time.Second)
-		r.Split([]types.Addr{away.addr}, r.others(away.addr), true, true)
-		r.Close(first)
-		r.Run(12 * time.Second)
-		clear(r.lag)
-		if first.m == nil {
+		r.RunUntil(11 * time.Second)
+		r.SetPartition([]types.Addr{away.addr}, r.allExcept(away.addr), true, true)
+		r.Shutdown(first)
+		r.RunUntil(12 * time.Second)
+		clear(r.extraDelay)
+		if first.machine == nil {
 			first.boot()
 		}
-		r.Run(15 * time.Second)
+		r.RunUntil(15 * time.Second)
 		if r.leader() != heir {
 			continue
 		}
 		hits++
 		for i, at := range []string{"delay", "time"} {
-			s := duo("payments", "pay")(r.random)
+			s := pairJobs("payments", "pay")(r.random)
 			s.Steps = s.Steps[:1]
 			if s.Steps[0].DelayMillis = 3000; i > 0 {
-				s.Steps[0].DelayMillis, s.Steps[0].NotBefore = 0, time.Unix(0, origin+r.now+3e9).UTC().Format(time.RFC3339Nano)
+				s.Steps[0].DelayMillis, s.Steps[0].NotBefore = 0, time.Unix(0, wallClockStart+r.now+3e9).UTC().Format(time.RFC3339Nano)
 			}
-			r.record(HistoryEvent{What: Sent, Job: types.JobID(at), Spec: &s})
-			r.Clients.send(types.JobID(at), wire.EncodeBody(s), "g1", 0)
+			r.record(HistoryEvent{Kind: JobSubmitted, Job: types.JobID(at), Spec: &s})
+			r.Clients.submit(types.JobID(at), wire.EncodeBody(s), "g1", 0)
 		}
-		r.Run(16 * time.Second)
-		clear(r.cut)
-		r.Run(16300 * time.Millisecond)
+		r.RunUntil(16 * time.Second)
+		clear(r.partitioned)
+		r.RunUntil(16300 * time.Millisecond)
 		heir.freeze()
-		r.Run(30 * time.Second)
-		breaks, seen := Check(&r.Hist, Rules, r.now, 30*time.Second)
+		r.RunUntil(30 * time.Second)
+		breaks, seen := Check(&r.History, DefaultBounds, r.now, 30*time.Second)
 		for _, b := range breaks {
 			t.Error(seed, b)
 		}
--- a/sim/cost_test.go
+++ b/sim/cost_test.go
@@ -16,13 +16,13 @@
 	"coppercourse/internal/wire"
 )
 
-// timed measures a machine's steps.
-type timed struct {
+// timedMachine measures a machine's steps.
+type timedMachine struct {
 	wire.Machine
 	list []time.Duration
 }
 
-func (t *timed) Step(e wire.Event) wire.Effects {
+func (t *timedMachine) Step(e wire.Event) wire.Effects {
 	at := time.Now()
 	out := t.Machine.Step(e)
 	t.list = append(t.list, time.Since(at))
@@ -35,28 +35,28 @@
 	}
 	is := is.New(t)
 	for _, tasks := range []int{1000, 10_000, 60_000} {
-		r, _ := core(t, 3)
-		r.Clients.Cancel = 0
-		r.Run(9 * time.Second)
+		r, _ := newControlRun(t, 3)
+		r.Clients.CancelRate = 0
+		r.RunUntil(9 * time.Second)
 		for i := range tasks / 500 {
 			s := state.Spec{Queue: "menus", Steps: []state.Step{{Name: "f", Kind: "menu", Resources: types.Resources{Cores: 16 * types.Core}, Tasks: 500, Work: []byte(`{"ms":30000}`)}}}
 			if i%2 == 0 {
 				s.Steps[0].DelayMillis = 3_600_000
 			}
 			id := types.JobID(fmt.Sprint("menus-f", i))
-			r.record(HistoryEvent{What: Sent, Job: id, Spec: &s})
-			r.Clients.send(id, wire.EncodeBody(s), "g1", 0)
+			r.record(HistoryEvent{Kind: JobSubmitted, Job: id, Spec: &s})
+			r.Clients.submit(id, wire.EncodeBody(s), "g1", 0)
 		}
-		r.Run(14 * time.Second)
-		is.Equal(r.Clients.Count["queue_full"], 0)
+		r.RunUntil(14 * time.Second)
+		is.Equal(r.Clients.Refusals["queue_full"], 0)
 		for _, f := range r.Clients.deployment.Flows {
-			r.Clients.flow(f)
+			r.Clients.startFlow(f)
 		}
-		r.Run(16 * time.Second)
+		r.RunUntil(16 * time.Second)
 		l := r.leader()
-		m := &timed{Machine: l.m}
-		l.m = m
-		r.Run(24 * time.Second)
+		m := &timedMachine{Machine: l.machine}
+		l.machine = m
+		r.RunUntil(24 * time.Second)
 		var mem runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&mem)
--- a/sim/cutoff_planted_test.go
+++ b/sim/cutoff_planted_test.go
@@ -18,14 +18,14 @@
 	"coppercourse/internal/wire"
 )
 
-// noLeader tells an answer by which a controller says that it can't answer now.
-func noLeader(a *wire.Response) bool { return a.Error != nil && a.Error.Kind == apierror.NoLeader }
+// isNoLeader tells an answer by which a controller says that it can't answer now.
+func isNoLeader(a *wire.Response) bool { return a.Error != nil && a.Error.Kind == apierror.NoLeader }
 
-// whileCut changes the answers of controllers that can't give one, while some are cut off.
-func whileCut(verb string, change func(c *cutoff, daemon types.Addr, a *wire.Response) bool) func(*cutoff) {
+// answersWhileCut changes the answers of controllers that can't give one, while some are cut off.
+func answersWhileCut(verb string, change func(c *cutoff, daemon types.Addr, a *wire.Response) bool) func(*cutoff) {
 	return func(c *cutoff) {
 		c.TamperAnswerOf = func(daemon types.Addr, v string, a *wire.Response) bool {
-			if v != verb || c.now < int64(cutFrom) || c.now > int64(cutEnd) || c.nodes[daemon].role != "controller" || !noLeader(a) {
+			if v != verb || c.now < int64(cutFrom) || c.now > int64(cutEnd) || c.nodes[daemon].role != "controller" || !isNoLeader(a) {
 				return true
 			}
 			return change(c, daemon, a)
@@ -38,16 +38,16 @@
 func slowAnswers(c *cutoff) {
 	const back = 300 * time.Millisecond
 	var slow *node
-	c.at(cutFrom-time.Second, func() {
+	c.after(cutFrom-time.Second, func() {
 		slow = c.leader()
 		for _, n := range c.controllers {
 			if n != slow {
-				c.lag[pair{n.addr, slow.addr}] = back
+				c.extraDelay[addressPair{n.addr, slow.addr}] = back
 			}
 		}
 	})
 	for d := 100 * time.Millisecond; d < 700*time.Millisecond; d += 10 * time.Millisecond {
-		c.at(cutFrom+d, func() {
+		c.after(cutFrom+d, func() {
 			c.record.read(slow.addr)
 			if l := c.leader(); l != nil && l != slow {
 				c.record.replace(l.addr)
@@ -60,20 +60,20 @@
 func leaseFromReceipt(c *cutoff) {
 	slowAnswers(c)
 	c.TamperMessage = func(s *wire.OutboundMessage) bool {
-		if lag := c.lag[pair{s.Message.From, s.To}]; lag > 0 && s.Message.Kind == wire.AppendReply {
+		if lag := c.extraDelay[addressPair{s.Message.From, s.To}]; lag > 0 && s.Message.Kind == wire.AppendReply {
 			alter(&s.Message.Body, func(m *map[string]json.RawMessage) {
-				(*m)["round"] = wire.EncodeBody(c.nodes[s.To].mono().Add(lag))
+				(*m)["round"] = wire.EncodeBody(c.nodes[s.To].monotonic().Add(lag))
 			})
 		}
 		return true
 	}
 }
 
-// keepsRefusing has gateways never doubt the table that they have, and callers ask for
+// neverStale has gateways never doubt the table that they have, and callers ask for
 // what it does not hold.
-func keepsRefusing(c *cutoff) {
-	c.staleAfter = time.Hour
-	c.at(cutFrom+time.Second, func() { c.record.strangers = true })
+func neverStale(c *cutoff) {
+	c.tableStaleAfter = time.Hour
+	c.after(cutFrom+time.Second, func() { c.record.strangers = true })
 }
 
 var plantedCutoffs = []struct {
@@ -84,30 +84,30 @@
 	plant func(*cutoff)
 }{
 	{"a lease is counted from receipt", "old configuration", "nothing goes out to controllers", true, leaseFromReceipt},
-	{"a gateway keeps taking requests by its table", "at once", "with its zone", true, func(c *cutoff) { c.staleAfter = time.Hour }},
-	{"a gateway keeps serving its table", "old configuration", "with its zone", true, keepsRefusing},
-	{"a gateway keeps refusing by its table", "definite refusal", "with its zone", false, keepsRefusing},
-	{"a redirect by the last known leader", "stale redirect", "from all machines", false, whileCut("table.get", func(c *cutoff, daemon types.Addr, a *wire.Response) bool {
+	{"a gateway keeps taking requests by its table", "at once", "with its zone", true, func(c *cutoff) { c.tableStaleAfter = time.Hour }},
+	{"a gateway keeps serving its table", "old configuration", "with its zone", true, neverStale},
+	{"a gateway keeps refusing by its table", "definite refusal", "with its zone", false, neverStale},
+	{"a redirect by the last known leader", "stale redirect", "from all machines", false, answersWhileCut("table.get", func(c *cutoff, daemon types.Addr, a *wire.Response) bool {
 		if a.Leader == "" {
 			a.Leader = c.leader().addr
 		}
 		return true
 	})},
-	{"redirects in a circle", "redirect chain", "from all machines", true, whileCut("table.get", func(c *cutoff, daemon types.Addr, a *wire.Response) bool {
+	{"redirects in a circle", "redirect chain", "from all machines", true, answersWhileCut("table.get", func(c *cutoff, daemon types.Addr, a *wire.Response) bool {
 		i := slices.IndexFunc(c.controllers, func(n *node) bool { return n.addr == daemon })
 		a.Leader = c.controllers[(i+1)%len(c.controllers)].addr
 		return true
 	})},
-	{"an order is acknowledged before its commit", "acknowledges", "from the other controllers", true, whileCut("table.put", func(_ *cutoff, _ types.Addr, a *wire.Response) bool {
+	{"an order is acknowledged before its commit", "acknowledges", "from the other controllers", true, answersWhileCut("table.put", func(_ *cutoff, _ types.Addr, a *wire.Response) bool {
 		*a = wire.Response{StatusCode: http.StatusOK, Body: a.Body}
 		return true
 	})},
-	{"an order is refused by what was known", "definite refusal", "from all machines", true, whileCut("table.put", func(_ *cutoff, _ types.Addr, a *wire.Response) bool {
+	{"an order is refused by what was known", "definite refusal", "from all machines", true, answersWhileCut("table.put", func(_ *cutoff, _ types.Addr, a *wire.Response) bool {
 		*a = wire.Response{Error: apierror.New(apierror.StaleVersion, "edition", "")}
 		return true
 	})},
-	{"no answer in place of a refusal", "at once", "from all machines", false, whileCut("table.get", func(*cutoff, types.Addr, *wire.Response) bool { return false })},
-	{"an unclear answer in place of a refusal", "at once", "from all machines", true, whileCut("table.get", func(_ *cutoff, _ types.Addr, a *wire.Response) bool {
+	{"no answer in place of a refusal", "at once", "from all machines", false, answersWhileCut("table.get", func(*cutoff, types.Addr, *wire.Response) bool { return false })},
+	{"an unclear answer in place of a refusal", "at once", "from all machines", true, answersWhileCut("table.get", func(_ *cutoff, _ types.Addr, a *wire.Response) bool {
 		*a = wire.Response{Error: apierror.New(apierror.OutcomeUnknown, "", "")}
 		return true
 	})},
@@ -126,10 +126,10 @@
 		t.Run(strings.ReplaceAll(p.name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			w := ways[slices.IndexFunc(ways, func(w way) bool { return w.name == p.way })]
+			w := partitionKinds[slices.IndexFunc(partitionKinds, func(w partitionKind) bool { return w.name == p.way })]
 			found := 0
 			for seed := int64(1500); seed < 1506 && found == 0; seed++ { // ends with the first that shows it
-				for _, text := range cutOff(seed, 3, p.leads, w, p.plant).broken() {
+				for _, text := range runCutOff(seed, 3, p.leads, w, p.plant).violations() {
 					if strings.HasPrefix(text, p.rule+": ") {
 						found++
 						t.Log(text)
@@ -145,9 +145,9 @@
 // Answers that are on their way when a leader is cut off prolong its lease by nothing.
 func TestAnswersOnTheirWayProlongNoLease(t *testing.T) {
 	t.Parallel()
-	w := ways[slices.IndexFunc(ways, func(w way) bool { return w.name == "nothing goes out to controllers" })]
+	w := partitionKinds[slices.IndexFunc(partitionKinds, func(w partitionKind) bool { return w.name == "nothing goes out to controllers" })]
 	for seed := int64(1500); seed < 1502; seed++ {
-		for _, text := range cutOff(seed, 3, true, w, slowAnswers).broken() {
+		for _, text := range runCutOff(seed, 3, true, w, slowAnswers).violations() {
 			if strings.HasPrefix(text, "old configuration: ") || strings.HasPrefix(text, "acknowledges: ") {
 				t.Error(text)
 			}
@@ -161,14 +161,14 @@
 	t.Parallel()
 	for seed := range int64(4) {
 		is := is.New(t)
-		r, acked := core(t, 1600+seed)
-		r.Run(8 * time.Second)
+		r, acked := newControlRun(t, 1600+seed)
+		r.RunUntil(8 * time.Second)
 		is.True(acked())
 		l := r.leader()
 		l.freeze()
-		r.Run(20 * time.Second)
-		again := r.table(1)
-		r.Run(22 * time.Second)
+		r.RunUntil(20 * time.Second)
+		again := r.putTable(1)
+		r.RunUntil(22 * time.Second)
 		is.True(again()) // the others lead, and the configuration is another
 		answers := map[string]wire.Response{}
 		stale := r.Clients.deployment.Table()
@@ -176,10 +176,10 @@
 		for verb, body := range map[string]json.RawMessage{"table.get": nil, "table.put": wire.EncodeBody(stale), "job.get": nil, "queue.count": nil} {
 			r.request(probeAddr, l.addr, verb, "none", body, func(a wire.Response) { answers[verb] = a })
 		}
-		r.wait(5 * time.Millisecond)
-		slices.Reverse(l.queue) // what waits at a daemon's sockets is taken in any order
+		r.advance(5 * time.Millisecond)
+		slices.Reverse(l.backlog) // what waits at a daemon's sockets is taken in any order
 		l.thaw()
-		r.wait(50 * time.Millisecond)
+		r.advance(50 * time.Millisecond)
 		is.Equal(len(answers), 4) // all at once
 		for verb, a := range answers {
 			if a.Error == nil || a.Error.Kind != apierror.NoLeader || a.Error.RetryAfterSeconds == 0 || a.Leader == l.addr {
@@ -197,9 +197,11 @@
 		make func(*Run) *node
 	}{
 		{"a learner", func(r *Run) *node {
-			n := r.World.controller("h99", "z1")
+			n := r.World.addController("h99", "z1")
 			n.boot()
-			r.waits(10*time.Second, func() bool { return n.m != nil && r.status(n).RaftRole == "learner" && r.status(n).Leader != "" })
+			r.advanceUntil(10*time.Second, func() bool {
+				return n.machine != nil && r.controllerStatus(n).RaftRole == "learner" && r.controllerStatus(n).Leader != ""
+			})
 			return n
 		}},
 		{"a stalled disk", func(r *Run) *node {
@@ -207,27 +209,27 @@
 			if n == r.leader() {
 				n = r.controllers[1]
 			}
-			n.disk.stall = r.now + int64(time.Minute)
-			again := r.table(1)
-			r.wait(time.Second)
+			n.disk.stalledUntil = r.now + int64(time.Minute)
+			again := r.putTable(1)
+			r.advance(time.Second)
 			_ = again
 			return n
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			r, _ := core(t, 1700)
-			r.Run(8 * time.Second)
+			r, _ := newControlRun(t, 1700)
+			r.RunUntil(8 * time.Second)
 			n := c.make(r)
-			is.True(r.status(n).Leader != "")
-			r.Split([]types.Addr{n.addr}, r.others(n.addr), true, true)
-			r.wait(2*raft.DefaultTimeouts.MinElectionTimeout + 100*time.Millisecond)
+			is.True(r.controllerStatus(n).Leader != "")
+			r.SetPartition([]types.Addr{n.addr}, r.allExcept(n.addr), true, true)
+			r.advance(2*raft.DefaultTimeouts.MinElectionTimeout + 100*time.Millisecond)
 			var got wire.Response
 			r.request(probeAddr, n.addr, "table.get", "", nil, func(a wire.Response) { got = a })
-			r.wait(50 * time.Millisecond)
+			r.advance(50 * time.Millisecond)
 			is.True(got.Error != nil && got.Error.Kind == apierror.NoLeader)
 			is.Equal(got.Leader, types.Addr(""))
-			is.Equal(r.status(n).Ready, false)
+			is.Equal(r.controllerStatus(n).Ready, false)
 		})
 	}
 }
--- a/sim/cutoff_record_test.go
+++ b/sim/cutoff_record_test.go
@@ -56,10 +56,10 @@
 	code           int
 	retry          bool // the answer tells when to come back
 	redirect       types.Addr
-	word           int64         // when the daemon last heard the leader that it redirects to
+	leaderHeardAt  int64         // when the daemon last heard the leader that it redirects to
 	version        types.Version // by which the answer was given, where it shows
-	chain          int           // redirects followed to the last answer
-	last           int           // the status of that answer
+	redirects      int           // redirects followed to the last answer
+	finalCode      int           // the status of that answer
 }
 
 // acknowledgement is a version that an operator was told is in force.
@@ -69,39 +69,39 @@
 }
 
 const (
-	probeAddr   = types.Addr("probe")
-	probeEvery  = time.Second
-	mostHops    = 5
-	controlPort = "8166"
+	probeAddr    = types.Addr("probe")
+	probeEvery   = time.Second
+	maxRedirects = 5
+	controlPort  = "8166"
 )
 
-// recorder probes all daemons once a second and keeps what they answer.
-type recorder struct {
-	r       *Run
-	list    []*observation
-	acked   []acknowledgement
-	newest  config.Table
-	jobs    []types.JobID
-	next    int
-	word    map[[2]types.Addr]int64 // when one was last delivered a leader's message of another
-	fronts  map[types.Addr]*platform.GatewayHandler
-	passed  map[types.Addr]*bool
-	stopped bool
+// answerRecorder probes all daemons once a second and keeps what they answer.
+type answerRecorder struct {
+	run           *Run
+	observations  []*observation
+	acked         []acknowledgement
+	newest        config.Table
+	jobs          []types.JobID
+	next          int
+	leaderHeardAt map[[2]types.Addr]int64 // when one was last delivered a leader's message of another
+	handlers      map[types.Addr]*platform.GatewayHandler
+	passed        map[types.Addr]*bool
+	stopped       bool
 	// strangers has callers ask for a route that no configuration has.
 	strangers bool
 }
 
 // record begins to probe a run's daemons now.
-func record(r *Run, table config.Table) *recorder {
-	c := &recorder{r: r, newest: table, word: map[[2]types.Addr]int64{},
-		fronts: map[types.Addr]*platform.GatewayHandler{}, passed: map[types.Addr]*bool{}}
+func record(r *Run, table config.Table) *answerRecorder {
+	c := &answerRecorder{run: r, newest: table, leaderHeardAt: map[[2]types.Addr]int64{},
+		handlers: map[types.Addr]*platform.GatewayHandler{}, passed: map[types.Addr]*bool{}}
 	for _, g := range r.gateways {
 		passed := new(bool)
-		c.passed[g.addr], c.fronts[g.addr] = passed, platform.NewGatewayHandler(passing{passed})
+		c.passed[g.addr], c.handlers[g.addr] = passed, platform.NewGatewayHandler(passing{passed})
 	}
 	c.observeMessages()
 	c.observeWorkers()
-	r.at(wordAge, c.probe)
+	r.after(maxLeaderSilence, c.probe)
 	return c
 }
 
@@ -121,7 +121,7 @@
 }
 
 // control gives the answer that an operator sees for that of a controller.
-func (r *recorder) control(o *observation, a wire.Response) {
+func (r *answerRecorder) control(o *observation, a wire.Response) {
 	if a.Error == nil {
 		o.code = http.StatusOK
 		return
@@ -135,68 +135,68 @@
 	o.code, o.retry = w.Code, w.Header().Get("Retry-After") != ""
 	if to := w.Header().Get("Location"); to != "" {
 		o.redirect = r.addrOf(to)
-		o.word = r.word[[2]types.Addr{o.daemon, o.redirect}]
+		o.leaderHeardAt = r.leaderHeardAt[[2]types.Addr{o.daemon, o.redirect}]
 	}
 }
 
 // ipOf stands for a daemon in the pages, which know daemons by IP number.
-func (r *recorder) ipOf(a types.Addr) string {
-	return fmt.Sprintf("10.0.%d.1:7400", slices.Index(r.r.order, a)+1)
+func (r *answerRecorder) ipOf(a types.Addr) string {
+	return fmt.Sprintf("10.0.%d.1:7400", slices.Index(r.run.nodeOrder, a)+1)
 }
 
-func (r *recorder) addrOf(location string) types.Addr {
+func (r *answerRecorder) addrOf(location string) types.Addr {
 	host := strings.TrimSuffix(strings.TrimPrefix(location, "http://"), "/coppercourse/Config.Read")
 	ip, err := netip.ParseAddrPort(host)
 	if err != nil {
 		return ""
 	}
-	return r.r.order[ip.Addr().As4()[2]-1]
+	return r.run.nodeOrder[ip.Addr().As4()[2]-1]
 }
 
 // probe asks every daemon once, each at a moment of its own, and again after a second.
-func (r *recorder) probe() {
+func (r *answerRecorder) probe() {
 	if r.stopped {
 		return
 	}
-	spread := func(run func()) { r.r.at(time.Duration(r.r.random.Int63n(int64(probeEvery*9/10))), run) }
-	for _, n := range r.r.controllers {
+	spread := func(run func()) { r.run.after(time.Duration(r.run.random.Int63n(int64(probeEvery*9/10))), run) }
+	for _, n := range r.run.controllers {
 		spread(func() { r.read(n.addr) })
 		spread(func() { r.replace(n.addr) })
 	}
-	for _, n := range r.r.gateways {
+	for _, n := range r.run.gateways {
 		spread(func() { r.count(n.addr) })
 		spread(func() { r.submit(n.addr) })
-		spread(func() { r.look(n.addr) })
+		spread(func() { r.readJob(n.addr) })
 	}
-	r.r.at(probeEvery, r.probe)
+	r.run.after(probeEvery, r.probe)
 }
 
 // ask sends one request and keeps the observation; then runs once it is answered.
-func (r *recorder) ask(to types.Addr, who audience, what request, verb, arg string, body json.RawMessage, then func(*observation, wire.Response)) {
-	o := &observation{sent: r.r.now, daemon: to, audience: who, request: what}
-	r.list = append(r.list, o)
-	r.r.request(probeAddr, to, verb, arg, body, func(a wire.Response) {
+func (r *answerRecorder) ask(to types.Addr, who audience, what request, verb, arg string, body json.RawMessage, then func(*observation, wire.Response)) {
+	o := &observation{sent: r.run.now, daemon: to, audience: who, request: what}
+	r.observations = append(r.observations, o)
+	r.run.request(probeAddr, to, verb, arg, body, func(a wire.Response) {
 		if o.answered != 0 {
 			return
 		}
-		o.answered = r.r.now
+		o.answered = r.run.now
 		then(o, a)
-		if o.last == 0 {
-			o.last = o.code
+		if o.finalCode == 0 {
+			o.finalCode = o.code
 		}
 	})
 }
 
-func (r *recorder) read(to types.Addr) { r.hop(to, nil) }
+func (r *answerRecorder) read(to types.Addr) { r.readFollowingRedirects(to, nil) }
 
-// hop reads the table and follows redirects, as an operator does.
-func (r *recorder) hop(to types.Addr, first *observation) {
+// readFollowingRedirects reads the table and follows redirects, as an operator does.
+func (r *answerRecorder) readFollowingRedirects(to types.Addr, first *observation) {
 	r.ask(to, toOperators, readTable, "table.get", "", nil, func(o *observation, a wire.Response) {
 		r.control(o, a)
 		if first == nil {
 			first = o
 		}
-		first.last = o.code
+		first.finalCode = o.code
 		var t config.Table
 		if a.Error == nil && json.Unmarshal(a.Body, &t) == nil {
 			o.version = t.Version
@@ -204,21 +204,21 @@
 				r.newest = t
 			}
 		}
-		if o.redirect != "" && first.chain < mostHops {
-			first.chain++
-			r.hop(o.redirect, first)
+		if o.redirect != "" && first.redirects < maxRedirects {
+			first.redirects++
+			r.readFollowingRedirects(o.redirect, first)
 		}
 	})
 }
 
 // replace puts a change of its own on the newest version that is known.
-func (r *recorder) replace(to types.Addr) {
+func (r *answerRecorder) replace(to types.Addr) {
 	r.next++
 	t := r.newest
 	t.Queues = slices.Clone(t.Queues)
 	t.Queues[0].RequestTimeoutMillis = 1000 + r.next
 	t.RequestedVersion = t.Version + 1
-	r.r.record(HistoryEvent{What: TableTry, Table: &t})
+	r.run.record(HistoryEvent{Kind: TableSubmitted, Table: &t})
 	r.ask(to, toOperators, replaceTable, "table.put", "", wire.EncodeBody(t), func(o *observation, a wire.Response) {
 		r.control(o, a)
 		if o.code != http.StatusOK {
@@ -226,24 +226,24 @@
 		}
 		got := t.Accepted()
 		o.version = got.Version
-		r.r.record(HistoryEvent{What: TableAck, Table: &got, Text: fmt.Sprint(t.Version)})
-		r.acked = append(r.acked, acknowledgement{r.r.now, got.Version})
+		r.run.record(HistoryEvent{Kind: TableAcknowledged, Table: &got, Text: fmt.Sprint(t.Version)})
+		r.acked = append(r.acked, acknowledgement{r.run.now, got.Version})
 		if got.Version > r.newest.Version {
 			r.newest = got
 		}
 	})
 }
 
-// front has a gateway's page decide whether a request is passed on to its machine.
-func (r *recorder) front(to types.Addr, what request) (o *observation, passed bool) {
-	n := r.r.nodes[to]
-	if n.m == nil || n.frozen {
+// askHandler has a gateway's page decide whether a request is passed on to its machine.
+func (r *answerRecorder) askHandler(to types.Addr, what request) (o *observation, passed bool) {
+	n := r.run.nodes[to]
+	if n.machine == nil || n.frozen {
 		return nil, false
 	}
-	door := n.m.(*gateway.Gateway)
+	door := n.machine.(*gateway.Gateway)
 	t, _ := door.Table()
-	page := r.fronts[to]
-	page.Publish(t, inPageTime(door.ConfirmedUntil(), n.clock().Mono))
+	page := r.handlers[to]
+	page.Publish(t, inPageTime(door.ConfirmedUntil(), n.clockReading().Mono))
 	*r.passed[to] = false
 	route := r.newest.Queues[0].PathPrefix
 	if r.strangers {
@@ -254,7 +254,7 @@
 	if *r.passed[to] {
 		return nil, true
 	}
-	r.list = append(r.list, &observation{sent: r.r.now, answered: r.r.now, daemon: to, audience: toCallers, request: what, code: w.Code, last: w.Code,
+	r.observations = append(r.observations, &observation{sent: r.run.now, answered: r.run.now, daemon: to, audience: toCallers, request: what, code: w.Code, finalCode: w.Code,
 		retry: w.Header().Get("Retry-After") != "", version: t.Version})
 	return nil, false
 }
@@ -269,11 +269,11 @@
 }
 
 // caller asks a gateway's machine for what its page lets through.
-func (r *recorder) caller(to types.Addr, what request, verb, arg string, body json.RawMessage, then func(ok bool)) {
-	if _, ok := r.front(to, what); !ok {
+func (r *answerRecorder) caller(to types.Addr, what request, verb, arg string, body json.RawMessage, then func(ok bool)) {
+	if _, ok := r.askHandler(to, what); !ok {
 		return
 	}
-	used, _ := r.r.nodes[to].m.(*gateway.Gateway).Table()
+	used, _ := r.run.nodes[to].machine.(*gateway.Gateway).Table()
 	r.ask(to, toCallers, what, verb, arg, body, func(o *observation, a wire.Response) {
 		o.code, o.version = http.StatusOK, used.Version
 		if a.Error != nil {
@@ -283,27 +283,27 @@
 	})
 }
 
-func (r *recorder) count(to types.Addr) {
+func (r *answerRecorder) count(to types.Addr) {
 	r.caller(to, countQueue, "queue.count", string(r.newest.Queues[0].Name), nil, func(bool) {})
 }
 
-func (r *recorder) submit(to types.Addr) {
+func (r *answerRecorder) submit(to types.Addr) {
 	r.next++
 	id := types.JobID(fmt.Sprintf("%016x", 1<<40+r.next))
-	s := state.Spec{Queue: r.newest.Queues[0].Name, Steps: []state.Step{{Name: "a", Kind: "work", Resources: types.Resources{Cores: types.Core, MemoryMB: 32}, Tasks: 1, Work: Work{MS: 50}.raw()}}}
-	r.r.record(HistoryEvent{What: Sent, Job: id, Spec: &s})
+	s := state.Spec{Queue: r.newest.Queues[0].Name, Steps: []state.Step{{Name: "a", Kind: "work", Resources: types.Resources{Cores: types.Core, MemoryMB: 32}, Tasks: 1, Work: Work{MS: 50}.encode()}}}
+	r.run.record(HistoryEvent{Kind: JobSubmitted, Job: id, Spec: &s})
 	r.caller(to, submitJob, "job.put", string(id), wire.EncodeBody(s), func(ok bool) {
 		if ok {
-			r.r.record(HistoryEvent{What: Accepted, Job: id})
+			r.run.record(HistoryEvent{Kind: JobAccepted, Job: id})
 			r.jobs = append(r.jobs, id)
-			r.r.Clients.look(id)
+			r.run.Clients.watchJob(id)
 			return
 		}
-		r.r.record(HistoryEvent{What: Unclear, Job: id})
+		r.run.record(HistoryEvent{Kind: SubmissionUnresolved, Job: id})
 	})
 }
 
-func (r *recorder) look(to types.Addr) {
+func (r *answerRecorder) readJob(to types.Addr) {
 	if len(r.jobs) == 0 {
 		return
 	}
@@ -311,7 +311,7 @@
 }
 
 // ackedBefore is the newest version that was acknowledged before a time.
-func (r *recorder) ackedBefore(at int64) (v types.Version) {
+func (r *answerRecorder) ackedBefore(at int64) (v types.Version) {
 	for _, a := range r.acked {
 		if a.at < at {
 			v = max(v, a.version)
@@ -321,14 +321,14 @@
 }
 
 // seconds prints the statuses by second, daemon and audience.
-func (r *recorder) seconds() string {
+func (r *answerRecorder) seconds() string {
 	type cell struct {
 		second   int64
 		daemon   types.Addr
 		audience audience
 	}
 	cells := map[cell][]string{}
-	for _, o := range r.list {
+	for _, o := range r.observations {
 		code := fmt.Sprint(o.code)
 		if o.answered == 0 {
 			code = "silence"
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -17,49 +17,49 @@
 )
 
 const (
-	cutFrom     = 10 * time.Second
-	cutFor      = 20 * time.Second
-	cutEnd      = cutFrom + cutFor
-	applyWithin = 2 * time.Second // configApplyMs of the platform's usual bounds
-	contact     = 3 * time.Second // contactMs
-	atOnce      = 100 * time.Millisecond
-	routeHost   = "callers.example"
-	wordAge     = time.Second // a leader's word is fresh for so long
+	cutFrom          = 10 * time.Second
+	cutFor           = 20 * time.Second
+	cutEnd           = cutFrom + cutFor
+	applyWithin      = 2 * time.Second // configApplyMs of the platform's usual bounds
+	contact          = 3 * time.Second // contactMs
+	atOnce           = 100 * time.Millisecond
+	routeHost        = "callers.example"
+	maxLeaderSilence = time.Second // a leader's word is fresh for so long
 )
 
 // cutoff is one run in which a part of the controllers loses touch with a majority.
 type cutoff struct {
 	*Run
-	record *recorder
-	away   []types.Addr // controllers without a path both ways to a majority
-	zone   []types.Addr // all daemons that are beyond the cut, if it takes more than controllers
-	events []int64      // when something was cut, joined or restarted
-	hears  bool         // those cut off still hear the others
+	record         *answerRecorder
+	cutControllers []types.Addr // controllers without a path both ways to a majority
+	cutDaemons     []types.Addr // all daemons that are beyond the cut, if it takes more than controllers
+	changes        []int64      // when something was cut, joined or restarted
+	stillHears     bool         // those cut off still hear the others
 }
 
-// way is one manner of cutting a controller off.
-type way struct {
+// partitionKind is one manner of cutting a controller off.
+type partitionKind struct {
 	name string
 	cut  func(c *cutoff, n *node)
 }
 
-var ways = []way{
+var partitionKinds = []partitionKind{
 	{"from all machines", func(c *cutoff, n *node) { c.split([]types.Addr{n.addr}, c.machines(n.addr), true) }},
 	{"from the other controllers", func(c *cutoff, n *node) { c.split([]types.Addr{n.addr}, c.peers(n.addr), true) }},
 	{"nothing comes in", func(c *cutoff, n *node) { c.split(c.machines(n.addr), []types.Addr{n.addr}, false) }},
 	{"nothing goes out", func(c *cutoff, n *node) {
-		c.hears = true
+		c.stillHears = true
 		c.split([]types.Addr{n.addr}, c.machines(n.addr), false)
 	}},
 	{"nothing comes in from controllers", func(c *cutoff, n *node) { c.split(c.peers(n.addr), []types.Addr{n.addr}, false) }},
 	{"nothing goes out to controllers", func(c *cutoff, n *node) {
-		c.hears = true
+		c.stillHears = true
 		c.split([]types.Addr{n.addr}, c.peers(n.addr), false)
 	}},
-	{"with its zone", func(c *cutoff, n *node) { c.leave(c.zones[n.zone]) }},
+	{"with its zone", func(c *cutoff, n *node) { c.separate(c.zones[n.zone]) }},
 	{"with others, together a minority", func(c *cutoff, n *node) {
 		group := append([]types.Addr{n.addr}, c.peers(n.addr)[:(len(c.controllers)-1)/2-1]...)
-		c.leave(group)
+		c.separate(group)
 	}},
 	{"both sides restarted", func(c *cutoff, n *node) {
 		c.split([]types.Addr{n.addr}, c.peers(n.addr), true)
@@ -75,13 +75,13 @@
 	}},
 	{"departing workers report to it first", func(c *cutoff, n *node) {
 		c.split([]types.Addr{n.addr}, c.peers(n.addr), true)
-		c.lure(n)
+		c.lureWorkers(n)
 	}},
 }
 
 // machines are all daemons and workers but one.
 func (c *cutoff) machines(but types.Addr) []types.Addr {
-	return slices.DeleteFunc(slices.Clone(c.order), func(a types.Addr) bool { return a == but })
+	return slices.DeleteFunc(slices.Clone(c.nodeOrder), func(a types.Addr) bool { return a == but })
 }
 
 // peers are the controllers but one.
@@ -96,37 +96,37 @@
 
 // split cuts one direction, or both, until the cut is over.
 func (c *cutoff) split(from, to []types.Addr, both bool) {
-	c.Split(from, to, both, true)
-	c.event()
-	c.at(cutFor, func() {
-		c.Split(from, to, both, false)
-		c.event()
+	c.SetPartition(from, to, both, true)
+	c.markChange()
+	c.after(cutFor, func() {
+		c.SetPartition(from, to, both, false)
+		c.markChange()
 	})
 }
 
-// leave cuts a group of daemons off from all others.
-func (c *cutoff) leave(group []types.Addr) {
-	c.zone, c.away = group, nil
+// separate cuts a group of daemons off from all others.
+func (c *cutoff) separate(group []types.Addr) {
+	c.cutDaemons, c.cutControllers = group, nil
 	for _, a := range group {
 		if c.nodes[a].role == "controller" {
-			c.away = append(c.away, a)
+			c.cutControllers = append(c.cutControllers, a)
 		}
 	}
-	rest := slices.DeleteFunc(slices.Clone(c.order), func(a types.Addr) bool { return slices.Contains(group, a) })
+	rest := slices.DeleteFunc(slices.Clone(c.nodeOrder), func(a types.Addr) bool { return slices.Contains(group, a) })
 	c.split(group, rest, true)
 }
 
-func (c *cutoff) event() { c.events = append(c.events, c.now) }
+func (c *cutoff) markChange() { c.changes = append(c.changes, c.now) }
 
 // restart kills daemons after a while and starts them again.
 func (c *cutoff) restart(after time.Duration, list ...*node) {
-	c.at(after, func() {
-		c.event()
+	c.after(after, func() {
+		c.markChange()
 		for _, n := range list {
 			n.kill()
 		}
-		c.at(400*time.Millisecond, func() {
-			c.event()
+		c.after(400*time.Millisecond, func() {
+			c.markChange()
 			for _, n := range list {
 				n.boot()
 			}
@@ -134,23 +134,23 @@
 	})
 }
 
-// lure has three workers leave whose agents reach just the controller that is cut off.
-func (c *cutoff) lure(n *node) {
+// lureWorkers has three workers leave whose agents reach just the controller that is cut off.
+func (c *cutoff) lureWorkers(n *node) {
 	for i := range 3 {
 		agent, worker := c.agents[i].addr, c.invokedWorkers[i]
 		away := slices.DeleteFunc(c.machines(n.addr), func(a types.Addr) bool { return a == agent || a == worker.node.addr })
-		c.Split([]types.Addr{agent}, away, true, true)
-		c.at(500*time.Millisecond, func() { worker.leave(4 * time.Second) })
-		c.at(10*time.Second, worker.boot) // another comes in its place
-		c.at(8*time.Second, func() {
-			c.Split([]types.Addr{agent}, away, true, false)
-			c.event()
+		c.SetPartition([]types.Addr{agent}, away, true, true)
+		c.after(500*time.Millisecond, func() { worker.leave(4 * time.Second) })
+		c.after(10*time.Second, worker.boot) // another comes in its place
+		c.after(8*time.Second, func() {
+			c.SetPartition([]types.Addr{agent}, away, true, false)
+			c.markChange()
 		})
 	}
 }
 
-// cutOff sets a deployment up and cuts a controller of it off.
-func cutOff(seed int64, controllers int, leads bool, w way, plant func(*cutoff)) *cutoff {
+// runCutOff sets a deployment up and cuts a controller of it off.
+func runCutOff(seed int64, controllers int, leads bool, w partitionKind, plant func(*cutoff)) *cutoff {
 	d := Deployments["kingston-called"]
 	d.Size = Small
 	d.Size.Controllers, d.Size.Gateways = controllers, 3
@@ -159,45 +159,45 @@
 	}
 	d.Streams = slices.Clone(d.Streams)
 	for i := range d.Streams {
-		d.Streams[i].Every *= 8
+		d.Streams[i].MeanInterval *= 8
 	}
 	d.rows = slices.Clone(d.rows)
 	for i := range d.rows {
 		d.rows[i].Host, d.rows[i].PathPrefix = routeHost, "/"+string(d.rows[i].Name)+"/"
 	}
-	c := &cutoff{Run: build(Plan{Seed: seed, Quick: true, Patience: 5 * time.Second}, d)}
+	c := &cutoff{Run: newRun(Plan{Seed: seed, Quick: true, Patience: 5 * time.Second}, d)}
 	c.network = NetworkQuality{}
 	table := c.Clients.deployment.Table()
-	c.at(3*time.Second, func() { c.Clients.put(table, c.gateways[0].addr, 0, func(bool) {}) })
+	c.after(3*time.Second, func() { c.Clients.putTable(table, c.gateways[0].addr, 0, func(bool) {}) })
 	if plant != nil {
 		plant(c)
 	}
-	c.at(6*time.Second, func() {
-		c.traffic()
+	c.after(6*time.Second, func() {
+		c.startTraffic()
 		c.record = record(c.Run, table.Accepted())
 	})
-	c.at(cutFrom, func() { c.begin(leads, w) })
-	c.Run.Run(cutEnd + 8*time.Second)
+	c.after(cutFrom, func() { c.beginCut(leads, w) })
+	c.Run.RunUntil(cutEnd + 8*time.Second)
 	c.Clients.open, c.record.stopped = false, true
-	c.Run.Run(cutEnd + 26*time.Second)
+	c.Run.RunUntil(cutEnd + 26*time.Second)
 	return c
 }
 
-func (c *cutoff) begin(leads bool, w way) {
+func (c *cutoff) beginCut(leads bool, w partitionKind) {
 	n := c.leader()
 	for _, other := range c.controllers {
 		if !leads && other != c.leader() {
 			n = other
 		}
 	}
-	c.away = []types.Addr{n.addr}
-	c.Run.record(HistoryEvent{What: Trouble, Text: fmt.Sprintf("cut-off for %s", cutFor)})
+	c.cutControllers = []types.Addr{n.addr}
+	c.Run.record(HistoryEvent{Kind: FaultStarted, Text: fmt.Sprintf("cut-off for %s", cutFor)})
 	w.cut(c, n)
 }
 
-// broken lists what was answered and may not be.
-func (c *cutoff) broken() (list []string) {
-	for _, o := range c.record.list {
+// violations lists what was answered and may not be.
+func (c *cutoff) violations() (list []string) {
+	for _, o := range c.record.observations {
 		for _, rule := range answerRules {
 			if why := rule.broken(c, o); why != "" {
 				list = append(list, fmt.Sprintf("%s: %s at %.3f s, asked by %s to %s, answers %d (version %d, redirect %q) after %d ms: %s", rule.name, o.daemon,
@@ -216,7 +216,7 @@
 	if l == nil {
 		return 0
 	}
-	for _, w := range l.m.(*controller.Controller).Workers() {
+	for _, w := range l.machine.(*controller.Controller).Workers() {
 		if w.State == dispatch.Healthy {
 			n++
 		}
@@ -224,18 +224,18 @@
 	return
 }
 
-// beyond tells whether a daemon has no path to a majority at a time.
-func (c *cutoff) beyond(o *observation) bool {
+// cutOffAt tells whether a daemon has no path to a majority at a time.
+func (c *cutoff) cutOffAt(o *observation) bool {
 	if o.sent < int64(cutFrom) || o.sent >= int64(cutEnd) {
 		return false
 	}
-	return slices.Contains(c.away, o.daemon) || slices.Contains(c.zone, o.daemon)
+	return slices.Contains(c.cutControllers, o.daemon) || slices.Contains(c.cutDaemons, o.daemon)
 }
 
 // settled tells whether nothing was cut, joined or restarted for a while before a
 // request and while it was worked on.
 func (c *cutoff) settled(o *observation) bool {
-	for _, at := range c.events {
+	for _, at := range c.changes {
 		if at > o.sent-int64(contact) && at <= o.sent+int64(time.Second) {
 			return false
 		}
@@ -246,14 +246,14 @@
 // lease is how long the leader's right to answer lasts after its last round, at most.
 func (c *cutoff) lease() int64 { return int64(c.raftTimeouts.MinElectionTimeout) }
 
-// noticed is when a side without a majority knows so at the latest.
-func (c *cutoff) noticed(o *observation) int64 {
+// noticeDeadline is when a side without a majority knows so at the latest.
+func (c *cutoff) noticeDeadline(o *observation) int64 {
 	late := c.raftTimeouts.MinElectionTimeout + c.raftTimeouts.StallTimeout + atOnce
 	if o.audience == toCallers {
 		late = applyWithin
 	}
 	since := int64(cutFrom)
-	for _, at := range c.events {
+	for _, at := range c.changes {
 		if at <= o.sent && at > since && at < int64(cutEnd) {
 			since = at // a restart begins anew
 		}
@@ -267,7 +267,7 @@
 }{
 	{"acknowledges", func(c *cutoff, o *observation) string {
 		changes := o.request == replaceTable || o.request == submitJob
-		if c.beyond(o) && changes && o.code == http.StatusOK {
+		if c.cutOffAt(o) && changes && o.code == http.StatusOK {
 			return "an order is acknowledged without a majority"
 		}
 		return ""
@@ -288,16 +288,16 @@
 			late = int64(applyWithin)
 		}
 		definite := o.code >= 400 && o.code < 500
-		if c.beyond(o) && definite && o.sent > int64(cutFrom)+late {
+		if c.cutOffAt(o) && definite && o.sent > int64(cutFrom)+late {
 			return "it can't know that any more"
 		}
 		return ""
 	}},
 	{"at once", func(c *cutoff, o *observation) string {
-		if !c.beyond(o) || o.audience == toWorkers || o.audience == toPeers || o.sent < c.noticed(o) || c.nodes[o.daemon].m == nil || c.restarting(o.sent) {
+		if !c.cutOffAt(o) || o.audience == toWorkers || o.audience == toPeers || o.sent < c.noticeDeadline(o) || c.nodes[o.daemon].machine == nil || c.restarting(o.sent) {
 			return ""
 		}
-		hop := o.code == http.StatusTemporaryRedirect && c.hears
+		hop := o.code == http.StatusTemporaryRedirect && c.stillHears
 		switch {
 		case o.answered == 0 || o.answered-o.sent > int64(atOnce):
 			return "it has no majority, and does not say so at once"
@@ -312,34 +312,34 @@
 		if o.redirect == "" {
 			return ""
 		}
-		if age := o.answered - o.word; age > int64(wordAge) {
+		if age := o.answered - o.leaderHeardAt; age > int64(maxLeaderSilence) {
 			return fmt.Sprintf("the last word of that leader is %d ms old", age/1e6)
 		}
 		return ""
 	}},
 	{"redirect chain", func(c *cutoff, o *observation) string {
-		if o.chain > 2 {
-			return fmt.Sprintf("%d redirects were followed", o.chain)
+		if o.redirects > 2 {
+			return fmt.Sprintf("%d redirects were followed", o.redirects)
 		}
 		return ""
 	}},
 	{"serves again", func(c *cutoff, o *observation) string {
-		if c.beyond(o) || !c.settled(o) || o.request == replaceTable || o.audience == toPeers || o.last == http.StatusOK {
+		if c.cutOffAt(o) || !c.settled(o) || o.request == replaceTable || o.audience == toPeers || o.finalCode == http.StatusOK {
 			return ""
 		}
-		return fmt.Sprintf("nothing is in its way, and the last answer is %d", o.last)
+		return fmt.Sprintf("nothing is in its way, and the last answer is %d", o.finalCode)
 	}},
 }
 
 // restarting tells whether daemons are down for a restart at a time.
 func (c *cutoff) restarting(at int64) bool {
-	return slices.ContainsFunc(c.events, func(e int64) bool {
+	return slices.ContainsFunc(c.changes, func(e int64) bool {
 		return e > int64(cutFrom) && e < int64(cutEnd) && at >= e && at < e+int64(450*time.Millisecond)
 	})
 }
 
 func TestAControllerCutOffForTwentySeconds(t *testing.T) {
-	for i, w := range ways {
+	for i, w := range partitionKinds {
 		for _, controllers := range []int{3, 7} {
 			for _, leads := range []bool{true, false} {
 				if testing.Short() && ((controllers == 7) != (i%2 == 1) || leads != (i/2%2 == 0)) {
@@ -348,16 +348,16 @@
 				who := map[bool]string{true: "leader", false: "follower"}[leads]
 				t.Run(fmt.Sprintf("%s/%s of %d", strings.ReplaceAll(w.name, " ", "-"), who, controllers), func(t *testing.T) {
 					t.Parallel()
-					c := cutOff(int64(1000+10*i+controllers), controllers, leads, w, nil)
-					for _, text := range c.broken() {
+					c := runCutOff(int64(1000+10*i+controllers), controllers, leads, w, nil)
+					for _, text := range c.violations() {
 						t.Error(text)
 					}
-					breaks, _ := CheckInvoked(&c.Hist, InvokedRules(c.environment.WorkerRules), c.now)
+					breaks, _ := CheckInvoked(&c.History, InvokedBounds(c.environment.WorkerRules), c.now)
 					for _, b := range breaks {
 						t.Error(b)
 					}
 					if t.Failed() || testing.Verbose() {
-						t.Logf("cut off: %v, beyond: %v\n%s", c.away, c.zone, c.record.seconds())
+						t.Logf("cut off: %v, beyond: %v\n%s", c.cutControllers, c.cutDaemons, c.record.seconds())
 					}
 				})
 			}
--- a/sim/daylong_test.go
+++ b/sim/daylong_test.go
@@ -14,7 +14,7 @@
 	"coppercourse/internal/controller"
 )
 
-var day24 = flag.Duration("day", 6*time.Minute, "how long the traffic goes on")
+var trafficDuration = flag.Duration("day", 6*time.Minute, "how long the traffic goes on")
 
 func TestDaylongMemoryIsFlat(t *testing.T) {
 	if testing.Short() {
@@ -22,22 +22,22 @@
 	}
 	t.Parallel()
 	is := is.New(t)
-	r := Build(Plan{Seed: 90, Deployment: "kingston", Patience: 30 * time.Second})
-	r.at(3*time.Second, func() { r.Clients.put(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
-	r.at(6*time.Second, func() {
+	r := New(Plan{Seed: 90, Deployment: "kingston", Patience: 30 * time.Second})
+	r.after(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
+	r.after(6*time.Second, func() {
 		for _, f := range r.Clients.deployment.Flows {
-			r.Clients.flow(f)
+			r.Clients.startFlow(f)
 		}
 	})
-	part := *day24 / 12
+	part := *trafficDuration / 12
 	for i := range 12 {
-		r.Run(time.Duration(i+1) * part)
-		seen := len(r.Hist.List)
-		r.Hist.List = nil // the trial's own, not the daemons'
+		r.RunUntil(time.Duration(i+1) * part)
+		seen := len(r.History.Events)
+		r.History.Events = nil // the trial's own, not the daemons'
 		var m runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&m)
-		s := r.leader().m.(*controller.Controller).Status()
+		s := r.leader().machine.(*controller.Controller).Status()
 		t.Logf("%s: %d MB in all daemons, %d ids remembered, %d jobs unfinished, %d happenings", time.Duration(r.now), m.HeapAlloc>>20, s.JobsRemembered, s.UnfinishedJobs, seen)
 		is.True(s.UnfinishedJobs < 200)
 		is.True(s.JobsRemembered > 0)
--- a/sim/deployment.go
+++ b/sim/deployment.go
@@ -28,13 +28,13 @@
 // Size is how many of each there are. Where controllers found the cluster together, they
 // are named to all.
 type Size struct {
-	Zones, Controllers, Gateways, Workers, Rack, Founders int
+	Zones, Controllers, Gateways, Workers, WorkersPerRack, Founders int
 }
 
 // Small is the size of the first deployments: three controllers, any of which found.
-var Small = Size{Zones: 3, Controllers: 3, Gateways: 4, Workers: 11, Rack: 3}
+var Small = Size{Zones: 3, Controllers: 3, Gateways: 4, Workers: 11, WorkersPerRack: 3}
 
-func (d Deployment) size() Size {
+func (d Deployment) effectiveSize() Size {
 	if d.Size == (Size{}) {
 		return Small
 	}
@@ -46,22 +46,22 @@
 
 // Flow is one stream of jobs of a shape, with its mean rate.
 type Flow struct {
-	Queue types.QueueName
-	Every time.Duration
-	Spec  func(r *rand.Rand) state.Spec
+	Queue        types.QueueName
+	MeanInterval time.Duration
+	NewSpec      func(r *rand.Rand) state.Spec
 }
 
-func work(r *rand.Rand, least, most int) json.RawMessage {
-	return json.RawMessage(fmt.Sprintf(`{"ms":%d}`, least+r.Intn(most-least+1)))
+func randomWork(r *rand.Rand, minMS, maxMS int) json.RawMessage {
+	return json.RawMessage(fmt.Sprintf(`{"ms":%d}`, minMS+r.Intn(maxMS-minMS+1)))
 }
 
-// gangs is two small gangs of short tasks.
-func gangs(q types.QueueName, kind types.ServiceKind, cores int) func(*rand.Rand) state.Spec {
+// gangJobs is two small gangs of short tasks.
+func gangJobs(q types.QueueName, kind types.ServiceKind, cores int) func(*rand.Rand) state.Spec {
 	return func(r *rand.Rand) state.Spec {
 		s := state.Spec{Queue: q, Urgency: r.Intn(3)}
 		for _, name := range []string{"near", "far"} {
 			s.Steps = append(s.Steps, state.Step{Name: name, Kind: kind, Resources: types.Resources{Cores: types.MilliCores(cores) * types.Core, MemoryMB: 64}, Tasks: 2 + r.Intn(2),
-				Gang: true, MaxPerWorker: 1 + r.Intn(2), Work: work(r, 60, 250)})
+				Gang: true, MaxPerWorker: 1 + r.Intn(2), Work: randomWork(r, 60, 250)})
 		}
 		if r.Intn(3) == 0 {
 			s.Steps[1].DependsOn = []string{"near"}
@@ -70,11 +70,11 @@
 	}
 }
 
-// wide is one wide step of long tasks.
-func wide(q types.QueueName, kind types.ServiceKind, cores, tasks int) func(*rand.Rand) state.Spec {
+// wideJobs is one wide step of long tasks.
+func wideJobs(q types.QueueName, kind types.ServiceKind, cores, tasks int) func(*rand.Rand) state.Spec {
 	return func(r *rand.Rand) state.Spec {
 		s := state.Spec{Queue: q, Steps: []state.Step{{Name: "all", Kind: kind, Resources: types.Resources{Cores: types.MilliCores(cores) * types.Core, MemoryMB: 256}, Tasks: tasks,
-			MaxPerWorker: 3, Work: work(r, 1500, 4000)}}}
+			MaxPerWorker: 3, Work: randomWork(r, 1500, 4000)}}}
 		if r.Intn(4) == 0 {
 			s.Steps[0].Rack, s.Steps[0].MaxPerWorker = types.Rack(fmt.Sprintf("r%d", 1+r.Intn(3))), 0
 		}
@@ -82,12 +82,12 @@
 	}
 }
 
-// duo is two short tasks, one after the other or side by side.
-func duo(q types.QueueName, kind types.ServiceKind) func(*rand.Rand) state.Spec {
+// pairJobs is two short tasks, one after the other or side by side.
+func pairJobs(q types.QueueName, kind types.ServiceKind) func(*rand.Rand) state.Spec {
 	return func(r *rand.Rand) state.Spec {
 		s := state.Spec{Queue: q, Urgency: 5}
 		for _, name := range []string{"hold", "book"} {
-			s.Steps = append(s.Steps, state.Step{Name: name, Kind: kind, Resources: types.Resources{Cores: 1 * types.Core, MemoryMB: 32}, Tasks: 1, Work: work(r, 40, 150)})
+			s.Steps = append(s.Steps, state.Step{Name: name, Kind: kind, Resources: types.Resources{Cores: 1 * types.Core, MemoryMB: 32}, Tasks: 1, Work: randomWork(r, 40, 150)})
 		}
 		switch r.Intn(3) {
 		case 0:
@@ -105,14 +105,14 @@
 // Deployments are the two.
 var Deployments = map[string]Deployment{
 	"kingston": {Name: "kingston", Cores: 16 * types.Core, Flows: []Flow{
-		{"quotes", 140 * time.Millisecond, gangs("quotes", "quote", 1)},
-		{"menus", 6 * time.Second, wide("menus", "menu", 2, 12)},
-		{"payments", 900 * time.Millisecond, duo("payments", "pay")},
+		{"quotes", 140 * time.Millisecond, gangJobs("quotes", "quote", 1)},
+		{"menus", 6 * time.Second, wideJobs("menus", "menu", 2, 12)},
+		{"payments", 900 * time.Millisecond, pairJobs("payments", "pay")},
 	}},
 	"romania": {Name: "romania", Cores: 64 * types.Core, Flows: []Flow{
-		{"searches", 220 * time.Millisecond, gangs("searches", "quote", 2)},
-		{"plans", 6 * time.Second, wide("plans", "menu", 4, 24)},
-		{"bookings", 330 * time.Millisecond, duo("bookings", "pay")},
+		{"searches", 220 * time.Millisecond, gangJobs("searches", "quote", 2)},
+		{"plans", 6 * time.Second, wideJobs("plans", "menu", 4, 24)},
+		{"bookings", 330 * time.Millisecond, pairJobs("bookings", "pay")},
 	}},
 }
 
@@ -130,11 +130,11 @@
 // Workers lists them, rack by rack.
 func (d Deployment) Workers() (list []WorkerSpec) {
 	kinds := [][]types.ServiceKind{{"quote", "menu"}, {"quote", "pay"}, {"menu", "pay", "quote"}}
-	x := d.size()
+	x := d.effectiveSize()
 	for i := range x.Workers {
 		if d.WorkerRules != nil {
 			size := []float64{1, 1, 1.5}[i%3]
-			m := WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.Rack+1)), Kinds: []types.ServiceKind{"work"},
+			m := WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.WorkersPerRack+1)), Kinds: []types.ServiceKind{"work"},
 				Room: types.Resources{Cores: types.MilliCores(float64(d.Cores) * size), MemoryMB: int(float64(d.Cores) * size * 2048 / 1000)}, Guards: true}
 			if m.Labels = []string{"a"}; i%3 == 1 {
 				m.Labels = append(m.Labels, "b")
@@ -142,7 +142,7 @@
 			list = append(list, m)
 			continue
 		}
-		list = append(list, WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.Rack+1)),
+		list = append(list, WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.WorkersPerRack+1)),
 			Kinds: kinds[i%3], Room: types.Resources{Cores: d.Cores, MemoryMB: int(d.Cores) * 1024 / 1000}})
 	}
 	return
@@ -156,6 +156,6 @@
 func (d Deployment) LongGangs() Flow {
 	return Flow{d.Flows[1].Queue, 5 * time.Second, func(r *rand.Rand) state.Spec {
 		return state.Spec{Queue: d.Flows[1].Queue, Steps: []state.Step{{Name: "parade", Kind: "menu", Resources: types.Resources{Cores: 1 * types.Core, MemoryMB: 64},
-			Tasks: 3, Gang: true, MaxPerWorker: 1, Work: work(r, 7000, 9000)}}}
+			Tasks: 3, Gang: true, MaxPerWorker: 1, Work: randomWork(r, 7000, 9000)}}}
 	}}
 }
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -16,9 +16,9 @@
 // Fault begins a trouble.
 type Fault func(r *Run, long time.Duration) func()
 
-func upNodes(list []*node) (ups []*node) {
+func running(list []*node) (ups []*node) {
 	for _, n := range list {
-		if n.m != nil && !n.frozen {
+		if n.machine != nil && !n.frozen {
 			ups = append(ups, n)
 		}
 	}
@@ -29,8 +29,8 @@
 func (r *Run) leader() *node {
 	var best *node
 	var term types.Term
-	for _, n := range upNodes(r.controllers) {
-		if h, ok := n.m.(*controller.Controller); ok {
+	for _, n := range running(r.controllers) {
+		if h, ok := n.machine.(*controller.Controller); ok {
 			if s := h.Status(); s.RaftRole == "leader" && s.Term > term {
 				best, term = n, s.Term
 			}
@@ -39,54 +39,54 @@
 	return best
 }
 
-func killer(pick func(*Run) []*node) Fault {
+func killFault(pick func(*Run) []*node) Fault {
 	return func(r *Run, _ time.Duration) func() {
-		list := upNodes(pick(r))
+		list := running(pick(r))
 		if len(list) == 0 {
 			return nil
 		}
 		n := pickOne(r.random, list)
 		n.kill()
-		r.affects(n.addr)
+		r.markAffected(n.addr)
 		return func() {
-			if n.m == nil {
+			if n.machine == nil {
 				n.boot()
 			}
 		}
 	}
 }
 
-func freezer(pick func(*Run) []*node) Fault {
+func freezeFault(pick func(*Run) []*node) Fault {
 	return func(r *Run, _ time.Duration) func() {
-		list := upNodes(pick(r))
+		list := running(pick(r))
 		if len(list) == 0 {
 			return nil
 		}
 		n := pickOne(r.random, list)
 		n.freeze()
-		r.affects(n.addr)
+		r.markAffected(n.addr)
 		return n.thaw
 	}
 }
 
-func cutter(both bool, groups func(*Run) (a, b []types.Addr)) Fault {
+func partitionFault(both bool, groups func(*Run) (a, b []types.Addr)) Fault {
 	return func(r *Run, _ time.Duration) func() {
 		a, b := groups(r)
 		if len(a) == 0 || len(b) == 0 {
 			return nil
 		}
-		r.Split(a, b, both, true)
+		r.SetPartition(a, b, both, true)
 		if len(a) > len(b) {
-			r.affects(b...)
+			r.markAffected(b...)
 		} else {
-			r.affects(a...)
+			r.markAffected(a...)
 		}
-		return func() { r.Split(a, b, both, false) }
+		return func() { r.SetPartition(a, b, both, false) }
 	}
 }
 
-// affects records whom a trouble touches: everybody, if that is one of the core.
-func (r *Run) affects(list ...types.Addr) {
+// markAffected records whom a trouble touches: everybody, if that is one of the core.
+func (r *Run) markAffected(list ...types.Addr) {
 	for _, a := range list {
 		if n := r.nodes[a]; n != nil && n.role == "controller" {
 			return
@@ -95,12 +95,12 @@
 	r.affected = append(r.affected, list...)
 }
 
-func (r *Run) others(out ...types.Addr) (list []types.Addr) {
+func (r *Run) allExcept(out ...types.Addr) (list []types.Addr) {
 	drop := map[types.Addr]bool{}
 	for _, a := range out {
 		drop[a] = true
 	}
-	for _, a := range append(r.order, r.Clients.addr) {
+	for _, a := range append(r.nodeOrder, r.Clients.address) {
 		if !drop[a] {
 			list = append(list, a)
 		}
@@ -115,15 +115,15 @@
 	return nil
 }
 
-func isolated(r *Run, n *node) (a, b []types.Addr) {
+func separatedFromAll(r *Run, n *node) (a, b []types.Addr) {
 	if n == nil {
 		return nil, nil
 	}
-	return []types.Addr{n.addr}, r.others(n.addr)
+	return []types.Addr{n.addr}, r.allExcept(n.addr)
 }
 
-// peers is a controller and the other controllers only: it still reaches agents and gateways.
-func peers(r *Run, n *node) (a, b []types.Addr) {
+// separatedFromPeers is a controller and the other controllers only: it still reaches agents and gateways.
+func separatedFromPeers(r *Run, n *node) (a, b []types.Addr) {
 	if n == nil {
 		return nil, nil
 	}
@@ -139,38 +139,43 @@
 
 // Faults is the table.
 var Faults = map[string]Fault{
-	"kill-leader":       killer(leaders),
-	"kill-controller":   killer(func(r *Run) []*node { return r.controllers }),
-	"kill-gateway":      killer(func(r *Run) []*node { return r.gateways }),
-	"kill-agent":        killer(func(r *Run) []*node { return r.agents }),
-	"freeze-leader":     freezer(leaders),
-	"freeze-controller": freezer(func(r *Run) []*node { return r.controllers }),
-	"freeze-gateway":    freezer(func(r *Run) []*node { return r.gateways }),
-	"freeze-agent":      freezer(func(r *Run) []*node { return r.agents }),
-	"cut-leader":        cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return isolated(r, r.leader()) }),
-	"cut-core":          cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return peers(r, r.leader()) }),
-	"cut-core-in":       cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { a, b := peers(r, r.leader()); return b, a }),
-	"cut-core-out":      cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { return peers(r, r.leader()) }),
-	"cut-controller":    cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return isolated(r, pickOne(r.random, r.controllers)) }),
-	"cut-agent":         cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return isolated(r, pickOne(r.random, r.agents)) }),
-	"cut-agent-in": cutter(false, func(r *Run) ([]types.Addr, []types.Addr) {
-		a, b := isolated(r, pickOne(r.random, r.agents))
+	"kill-leader":       killFault(leaders),
+	"kill-controller":   killFault(func(r *Run) []*node { return r.controllers }),
+	"kill-gateway":      killFault(func(r *Run) []*node { return r.gateways }),
+	"kill-agent":        killFault(func(r *Run) []*node { return r.agents }),
+	"freeze-leader":     freezeFault(leaders),
+	"freeze-controller": freezeFault(func(r *Run) []*node { return r.controllers }),
+	"freeze-gateway":    freezeFault(func(r *Run) []*node { return r.gateways }),
+	"freeze-agent":      freezeFault(func(r *Run) []*node { return r.agents }),
+	"cut-leader":        partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, r.leader()) }),
+	"cut-core":          partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromPeers(r, r.leader()) }),
+	"cut-core-in":       partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { a, b := separatedFromPeers(r, r.leader()); return b, a }),
+	"cut-core-out":      partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromPeers(r, r.leader()) }),
+	"cut-controller": partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) {
+		return separatedFromAll(r, pickOne(r.random, r.controllers))
+	}),
+	"cut-agent": partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, pickOne(r.random, r.agents)) }),
+	"cut-agent-in": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) {
+		a, b := separatedFromAll(r, pickOne(r.random, r.agents))
+		return b, a
+	}),
+	"cut-agent-out": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, pickOne(r.random, r.agents)) }),
+	"cut-worker":    partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, r.anyPollingWorker().node) }),
+	"cut-worker-in": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) {
+		a, b := separatedFromAll(r, r.anyPollingWorker().node)
 		return b, a
 	}),
-	"cut-agent-out":  cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { return isolated(r, pickOne(r.random, r.agents)) }),
-	"cut-worker":     cutter(true, func(r *Run) ([]types.Addr, []types.Addr) { return isolated(r, r.anyPollingWorker().node) }),
-	"cut-worker-in":  cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { a, b := isolated(r, r.anyPollingWorker().node); return b, a }),
-	"cut-worker-out": cutter(false, func(r *Run) ([]types.Addr, []types.Addr) { return isolated(r, r.anyPollingWorker().node) }),
-	"cut-zone": cutter(true, func(r *Run) ([]types.Addr, []types.Addr) {
-		x := r.Clients.deployment.size()
+	"cut-worker-out": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, r.anyPollingWorker().node) }),
+	"cut-zone": partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) {
+		x := r.Clients.deployment.effectiveSize()
 		z := r.zones[x.zone(r.random.Intn(x.Zones))]
-		return z, r.others(z...)
+		return z, r.allExcept(z...)
 	}),
 	"kill-worker": func(r *Run, _ time.Duration) func() {
 		h := r.anyPollingWorker()
 		h.kill()
 		return func() {
-			if h.w == nil {
+			if h.worker == nil {
 				h.boot()
 			}
 		}
@@ -180,10 +185,10 @@
 		r.pollingWorkers[i].kill()
 		r.agents[i].kill()
 		return func() {
-			if r.pollingWorkers[i].w == nil {
+			if r.pollingWorkers[i].worker == nil {
 				r.pollingWorkers[i].boot()
 			}
-			if r.agents[i].m == nil {
+			if r.agents[i].machine == nil {
 				r.agents[i].boot()
 			}
 		}
@@ -204,42 +209,42 @@
 	},
 	"leave-worker": func(r *Run, _ time.Duration) func() {
 		h := r.anyPollingWorker()
-		h.leave(true, 0)
-		return func() { h.leave(false, 0) }
+		h.setLeaving(true, 0)
+		return func() { h.setLeaving(false, 0) }
 	},
 	"remove-worker": func(r *Run, long time.Duration) func() {
 		h := r.anyPollingWorker()
-		if h.w == nil || h.w.Leave {
+		if h.worker == nil || h.worker.Leaving {
 			return nil
 		}
-		h.leave(true, long)
-		gen := h.gen
+		h.setLeaving(true, long)
+		gen := h.incarnation
 		return func() {
-			if h.gen == gen && h.w.Leave {
-				r.record(HistoryEvent{What: Removed, Who: string(h.w.ID), Shard: h.make.Shard, Text: long.String()})
+			if h.incarnation == gen && h.worker.Leaving {
+				r.record(HistoryEvent{Kind: WorkerRemoved, Process: string(h.worker.ID), Shard: h.spec.Shard, Text: long.String()})
 				h.kill()
-				r.at(2*time.Second, func() {
-					if h.w == nil {
+				r.after(2*time.Second, func() {
+					if h.worker == nil {
 						h.boot()
 					}
 				})
 			}
 		}
 	},
-	"slow-worker":    degraded(func(m *WorkerSpec) { m.Slow = 5 }),
-	"stall-worker":   degraded(func(m *WorkerSpec) { m.Stall = 0.3 }),
-	"failing-worker": degraded(func(m *WorkerSpec) { m.Fails = 0.5 }),
+	"slow-worker":    degradeFault(func(m *WorkerSpec) { m.Slow = 5 }),
+	"stall-worker":   degradeFault(func(m *WorkerSpec) { m.Stall = 0.3 }),
+	"failing-worker": degradeFault(func(m *WorkerSpec) { m.Fails = 0.5 }),
 	"drain-rack": func(r *Run, long time.Duration) func() {
 		rack := fmt.Sprintf("racks/r%d", 1+r.random.Intn(4))
-		if r.drains[rack] {
+		if r.drained[rack] {
 			return nil
 		}
-		r.drains[rack] = true
+		r.drained[rack] = true
 		acked, over := false, false
 		undo := func() {
-			r.Clients.order("drain.drop", rack, nil, 0, func() { delete(r.drains, rack) })
+			r.Clients.requestAsOperator("drain.drop", rack, nil, 0, func() { delete(r.drained, rack) })
 		}
-		r.Clients.order("drain.put", rack, wire.EncodeBody(config.Drain{WithinMillis: r.random.Intn(3) * 1000}), 0, func() {
+		r.Clients.requestAsOperator("drain.put", rack, wire.EncodeBody(config.Drain{WithinMillis: r.random.Intn(3) * 1000}), 0, func() {
 			if acked = true; over {
 				undo()
 			}
@@ -252,32 +257,32 @@
 	},
 	"slow-disk": func(r *Run, _ time.Duration) func() {
 		d := pickOne(r.random, r.controllers).disk
-		d.slow = time.Duration(20+r.random.Intn(200)) * time.Millisecond
-		return func() { d.slow = 0 }
+		d.extraLatency = time.Duration(20+r.random.Intn(200)) * time.Millisecond
+		return func() { d.extraLatency = 0 }
 	},
 	"stall-disk": func(r *Run, long time.Duration) func() {
 		d := pickOne(r.random, r.controllers).disk
-		d.stall = r.now + int64(long)
+		d.stalledUntil = r.now + int64(long)
 		return func() {}
 	},
 	"jump-clock": func(r *Run, _ time.Duration) func() {
-		n := r.nodes[pickOne(r.random, r.order)]
-		n.wall = time.Duration(r.random.Int63n(int64(4*time.Hour))) - 2*time.Hour
+		n := r.nodes[pickOne(r.random, r.nodeOrder)]
+		n.wallOffset = time.Duration(r.random.Int63n(int64(4*time.Hour))) - 2*time.Hour
 		return func() {}
 	},
 	"weather": func(r *Run, _ time.Duration) func() {
-		r.network = NetworkQuality{Loss: 0.03, Twice: 0.05, Late: 0.05}
-		return func() { r.network = NetworkQuality{Loss: 0.001, Twice: 0.001, Late: 0.001} }
+		r.network = NetworkQuality{LossRate: 0.03, DuplicateRate: 0.05, DelayRate: 0.05}
+		return func() { r.network = NetworkQuality{LossRate: 0.001, DuplicateRate: 0.001, DelayRate: 0.001} }
 	},
-	"lose-disk":       func(r *Run, _ time.Duration) func() { return r.lose(false) },
-	"swap-controller": func(r *Run, _ time.Duration) func() { return r.lose(true) },
+	"lose-disk":       func(r *Run, _ time.Duration) func() { return r.loseAnyDisk(false) },
+	"swap-controller": func(r *Run, _ time.Duration) func() { return r.loseAnyDisk(true) },
 	"power-all": func(r *Run, _ time.Duration) func() {
 		for _, h := range r.controllers {
 			h.kill()
 		}
 		return func() {
 			for _, h := range r.controllers {
-				if h.m == nil && !h.closes {
+				if h.machine == nil && !h.stopping {
 					h.boot()
 				}
 			}
@@ -288,23 +293,23 @@
 		if n == nil {
 			return nil
 		}
-		r.Close(n)
+		r.Shutdown(n)
 		return func() {
-			if n.m == nil {
+			if n.machine == nil {
 				n.boot()
 			}
 		}
 	},
 }
 
-// degraded makes a worker do badly while it looks healthy.
-func degraded(how func(*WorkerSpec)) Fault {
+// degradeFault makes a worker do badly while it looks healthy.
+func degradeFault(how func(*WorkerSpec)) Fault {
 	return func(r *Run, _ time.Duration) func() {
 		h := r.anyPollingWorker()
-		if h.w == nil {
+		if h.worker == nil {
 			return nil
 		}
-		w := h.w
+		w := h.worker
 		was := w.WorkerSpec
 		how(&w.WorkerSpec)
 		return func() { w.WorkerSpec = was }
@@ -313,21 +318,21 @@
 
 // allAreVoters tells whether all controllers vote, so that one disk may be lost: the others
 // must be whole voters.
-func (r *Run) allVote() bool {
+func (r *Run) allControllersVote() bool {
 	for _, h := range r.controllers {
-		if h.m == nil || h.frozen {
+		if h.machine == nil || h.frozen {
 			return false
 		}
-		if s := h.m.(*controller.Controller).Status(); s.RaftRole != "leader" && s.RaftRole != "follower" || len(s.Members) != len(r.controllers) {
+		if s := h.machine.(*controller.Controller).Status(); s.RaftRole != "leader" && s.RaftRole != "follower" || len(s.Members) != len(r.controllers) {
 			return false
 		}
 	}
 	return true
 }
 
-// lose wipes the disk of any controller.
-func (r *Run) lose(swap bool) func() {
-	if !r.allVote() {
+// loseAnyDisk wipes the disk of any controller.
+func (r *Run) loseAnyDisk(swap bool) func() {
+	if !r.allControllersVote() {
 		return nil
 	}
 	r.spare++
@@ -340,30 +345,30 @@
 	n.disk.wipe()
 	if !swap {
 		return func() {
-			if n.m == nil {
+			if n.machine == nil {
 				n.boot()
 			}
 		}
 	}
-	n.closes, n.make = true, nil
-	return r.successor(n, "x").boot
+	n.stopping, n.newMachine = true, nil
+	return r.addReplacement(n, "x").boot
 }
 
-// successor is a new machine in place of a controller's, at another address.
-func (r *Run) successor(n *node, suffix types.Addr) *node {
-	fresh := r.World.controller(n.addr+suffix, n.zone)
+// addReplacement is a new machine in place of a controller's, at another address.
+func (r *Run) addReplacement(n *node, suffix types.Addr) *node {
+	fresh := r.World.addController(n.addr+suffix, n.zone)
 	r.controllers[slices.Index(r.controllers, n)] = fresh
 	r.zones[n.zone] = append(r.zones[n.zone], fresh.addr)
 	return fresh
 }
 
-// Close warns a node, as the platform does before it kills it.
-func (r *Run) Close(n *node) {
-	n.closes = true
+// Shutdown warns a node, as the platform does before it kills it.
+func (r *Run) Shutdown(n *node) {
+	n.stopping = true
 	n.deliver(func() { n.step(wire.Event{Shutdown: true}) })
-	gen := n.gen
-	r.at(5*time.Second, func() {
-		if n.gen == gen && n.m != nil {
+	gen := n.incarnation
+	r.after(5*time.Second, func() {
+		if n.incarnation == gen && n.machine != nil {
 			n.kill()
 		}
 	})
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -20,70 +20,70 @@
 	"coppercourse/internal/types"
 )
 
-// proc is one process of the fleet.
-type proc struct {
-	name string
-	role string
-	zone types.Zone
-	ip   string // where it listens, and from where it calls
-	addr string // by which others reach it
-	args []string
-	bin  string
-	gen  int
-	cmd  *exec.Cmd
-	gone chan struct{} // closed when the process has ended
-	down atomic.Bool
-	ice  atomic.Bool
+// process is one process of the fleet.
+type process struct {
+	name        string
+	role        string
+	zone        types.Zone
+	ip          string // where it listens, and from where it calls
+	addr        string // by which others reach it
+	args        []string
+	program     string
+	incarnation int
+	cmd         *exec.Cmd
+	exited      chan struct{} // closed when the process has ended
+	down        atomic.Bool
+	frozen      atomic.Bool
 }
 
 // Fleet is the whole of them.
 type Fleet struct {
-	Deployment Deployment
-	Dir        string
-	Bin        string // the coppercourse program
-	Self       string // the trial program, for workers
-	Port       int
-	net        *Net
-	procs      []*proc
-	by         map[string]*proc
-	mu         sync.Mutex
-	Hist       History
-	ctx        context.Context
-	start      time.Time
-	client     *http.Client
+	Deployment    Deployment
+	Dir           string
+	Bin           string // the coppercourse program
+	Self          string // the trial program, for workers
+	Port          int
+	partitions    *Partitions
+	processes     []*process
+	processByName map[string]*process
+	mu            sync.Mutex
+	History       History
+	ctx           context.Context
+	start         time.Time
+	client        *http.Client
 }
 
-// Open lays the fleet out and starts it.
-func (f *Fleet) Open(ctx context.Context) error {
-	f.ctx, f.net, f.by, f.start = ctx, NewNet(), map[string]*proc{}, time.Now()
+// Start lays the fleet out and starts it.
+func (f *Fleet) Start(ctx context.Context) error {
+	f.ctx, f.partitions, f.processByName, f.start = ctx, NewPartitions(), map[string]*process{}, time.Now()
 	f.client = &http.Client{Timeout: 2 * time.Second}
 	if err := os.MkdirAll(f.Dir, 0o755); err != nil {
 		return err
 	}
 	for i := range 3 {
-		f.daemon("controller", i, "--data", filepath.Join(f.Dir, fmt.Sprintf("controller%d.data", i+1)))
+		f.addDaemon("controller", i, "--data", filepath.Join(f.Dir, fmt.Sprintf("controller%d.data", i+1)))
 	}
 	for i := range 4 {
-		f.daemon("gateway", i)
+		f.addDaemon("gateway", i)
 	}
 	for i, m := range f.Deployment.Workers() {
-		w := f.daemon("agent", i, "--shard", string(m.Shard))
+		w := f.addDaemon("agent", i, "--shard", string(m.Shard))
 		b, err := json.Marshal(m)
 		if err != nil {
 			return err
 		}
-		f.add(&proc{name: fmt.Sprintf("worker%d", i+1), role: "worker", zone: ZoneOf(i), ip: fmt.Sprintf("127.0.17.%d", i+1), bin: f.Self,
+		f.addProcess(&process{name: fmt.Sprintf("worker%d", i+1), role: "worker", zone: ZoneOf(i), ip: fmt.Sprintf("127.0.17.%d", i+1), program: f.Self,
 			args: []string{"worker", "--agent", w.addr, "--source", fmt.Sprintf("127.0.17.%d", i+1), "--make", string(b)}})
 	}
-	for _, p := range f.procs {
+	for _, p := range f.processes {
 		if p.role == "worker" {
 			continue
 		}
-		if err := f.net.Relay(ctx, p.addr, fmt.Sprintf("%s:%d", p.ip, f.Port)); err != nil {
+		if err := f.partitions.Relay(ctx, p.addr, fmt.Sprintf("%s:%d", p.ip, f.Port)); err != nil {
 			return err
 		}
 	}
-	for _, p := range f.procs {
+	for _, p := range f.processes {
 		if err := f.launch(p); err != nil {
 			return err
 		}
@@ -91,25 +91,25 @@
 	return nil
 }
 
-func (f *Fleet) add(p *proc) {
-	f.procs = append(f.procs, p)
-	f.by[p.name] = p
+func (f *Fleet) addProcess(p *process) {
+	f.processes = append(f.processes, p)
+	f.processByName[p.name] = p
 }
 
-func (f *Fleet) daemon(role string, i int, more ...string) *proc {
+func (f *Fleet) addDaemon(role string, i int, more ...string) *process {
 	part := map[string]int{"controller": 11, "gateway": 13, "agent": 15}[role]
-	p := &proc{name: fmt.Sprintf("%s%d", role, i+1), role: role, zone: ZoneOf(i), ip: fmt.Sprintf("127.0.%d.%d", part, i+1),
-		addr: fmt.Sprintf("127.0.%d.%d:%d", part+1, i+1, f.Port), bin: f.Bin}
+	p := &process{name: fmt.Sprintf("%s%d", role, i+1), role: role, zone: ZoneOf(i), ip: fmt.Sprintf("127.0.%d.%d", part, i+1),
+		addr: fmt.Sprintf("127.0.%d.%d:%d", part+1, i+1, f.Port), program: f.Bin}
 	seed := func(part int) string { return fmt.Sprintf("127.0.%d.1:%d", part, f.Port) }
 	p.args = append([]string{role, "--listen", fmt.Sprintf("%s:%d", p.ip, f.Port), "--address", p.addr, "--source", p.ip,
 		"--locality", string(p.zone), "--seed", seed(12), "--seed", seed(14), "--seed", seed(16)}, more...)
-	f.add(p)
+	f.addProcess(p)
 	return p
 }
 
 // launch starts a process; its log and, for a worker, its history go to files.
-func (f *Fleet) launch(p *proc) error {
-	p.gen++
+func (f *Fleet) launch(p *process) error {
+	p.incarnation++
 	args := p.args
 	log, err := os.OpenFile(filepath.Join(f.Dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -117,17 +117,17 @@
 	}
 	defer log.Close()
 	if p.role == "worker" {
-		args = append(args[:len(args):len(args)], "--id", f.id(p), "--history", filepath.Join(f.Dir, p.name+".history"))
+		args = append(args[:len(args):len(args)], "--id", f.processID(p), "--history", filepath.Join(f.Dir, p.name+".history"))
 	}
-	p.cmd = exec.Command(p.bin, args...)
+	p.cmd = exec.Command(p.program, args...)
 	p.cmd.Stderr, p.cmd.Stdout = log, log
 	p.down.Store(false)
-	p.ice.Store(false)
+	p.frozen.Store(false)
 	if err := p.cmd.Start(); err != nil {
 		return err
 	}
 	cmd, gone := p.cmd, make(chan struct{})
-	p.gone = gone
+	p.exited = gone
 	go func() {
 		cmd.Wait()
 		close(gone)
@@ -135,69 +135,69 @@
 	return nil
 }
 
-func (f *Fleet) id(p *proc) string { return fmt.Sprintf("%s.%d", p.name, p.gen) }
+func (f *Fleet) processID(p *process) string { return fmt.Sprintf("%s.%d", p.name, p.incarnation) }
 
-// Tell adds to the history what the fleet itself sees.
-func (f *Fleet) Tell(h HistoryEvent) {
+// Record adds to the history what the fleet itself sees.
+func (f *Fleet) Record(h HistoryEvent) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h.At = time.Since(f.start).Nanoseconds()
-	f.Hist.Add(h)
+	f.History.Add(h)
 }
 
-func (p *proc) signal(s syscall.Signal) {
+func (p *process) signal(s syscall.Signal) {
 	if p.cmd != nil && p.cmd.Process != nil {
 		p.cmd.Process.Signal(s)
 	}
 }
 
-func (f *Fleet) kill(p *proc) {
+func (f *Fleet) kill(p *process) {
 	p.signal(syscall.SIGKILL)
 	p.down.Store(true)
-	f.Tell(HistoryEvent{What: Down, Who: p.addr})
+	f.Record(HistoryEvent{Kind: DaemonStopped, Process: p.addr})
 	if p.role == "worker" {
-		f.Tell(HistoryEvent{What: Died, Who: f.id(p), Shard: f.shard(p)})
+		f.Record(HistoryEvent{Kind: WorkerDied, Process: f.processID(p), Shard: f.shard(p)})
 	}
 }
 
-func (f *Fleet) shard(p *proc) types.Shard {
+func (f *Fleet) shard(p *process) types.Shard {
 	var i int
 	fmt.Sscanf(p.name, "worker%d", &i)
 	return types.Shard(fmt.Sprintf("k%d", i))
 }
 
-func (f *Fleet) freeze(p *proc, on bool) {
-	what, sig := Froze, syscall.SIGSTOP
+func (f *Fleet) freeze(p *process, on bool) {
+	what, sig := WorkerFroze, syscall.SIGSTOP
 	if !on {
-		what, sig = Thawed, syscall.SIGCONT
+		what, sig = WorkerThawed, syscall.SIGCONT
 	}
 	if p.role == "worker" && !on {
-		f.Tell(HistoryEvent{What: what, Who: f.id(p), Shard: f.shard(p)})
+		f.Record(HistoryEvent{Kind: what, Process: f.processID(p), Shard: f.shard(p)})
 	}
 	p.signal(sig)
 	if p.role == "worker" && on {
-		f.Tell(HistoryEvent{What: what, Who: f.id(p), Shard: f.shard(p)})
+		f.Record(HistoryEvent{Kind: what, Process: f.processID(p), Shard: f.shard(p)})
 	}
-	p.ice.Store(on)
+	p.frozen.Store(on)
 }
 
-// Shut stops all processes of the fleet, and only those.
-func (f *Fleet) Shut() {
-	for _, p := range f.procs {
+// Stop stops all processes of the fleet, and only those.
+func (f *Fleet) Stop() {
+	for _, p := range f.processes {
 		p.signal(syscall.SIGCONT)
 		p.signal(syscall.SIGTERM)
 	}
 	time.Sleep(time.Second)
-	for _, p := range f.procs {
+	for _, p := range f.processes {
 		p.signal(syscall.SIGKILL)
 	}
 }
 
-// gather reads the workers' histories into the fleet's, in order of time.
-func (f *Fleet) gather() error {
+// gatherHistories reads the workers' histories into the fleet's, in order of time.
+func (f *Fleet) gatherHistories() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, p := range f.procs {
+	for _, p := range f.processes {
 		if p.role != "worker" {
 			continue
 		}
@@ -213,16 +213,16 @@
 				continue
 			}
 			h.At -= f.start.UnixNano()
-			f.Hist.Add(h)
+			f.History.Add(h)
 		}
 		file.Close()
 	}
-	sort.SliceStable(f.Hist.List, func(i, k int) bool { return f.Hist.List[i].At < f.Hist.List[k].At })
+	sort.SliceStable(f.History.Events, func(i, k int) bool { return f.History.Events[i].At < f.History.Events[k].At })
 	return nil
 }
 
 // ask gets a daemon's page straight from it, round the relays.
-func (f *Fleet) page(p *proc, path string, v any) error {
+func (f *Fleet) getPage(p *process, path string, v any) error {
 	res, err := f.client.Get(fmt.Sprintf("http://%s:%d%s", p.ip, f.Port, path))
 	if err != nil {
 		return err
@@ -235,23 +235,23 @@
 }
 
 // leader finds who leads by the controllers' own pages, to aim faults.
-func (f *Fleet) leader() *proc {
-	var best *proc
+func (f *Fleet) leader() *process {
+	var best *process
 	var term uint64
-	for _, p := range f.of("controller") {
+	for _, p := range f.withRole("controller") {
 		var v struct {
 			Part string `json:"part"`
 			Term uint64 `json:"term"`
 		}
-		if !p.down.Load() && !p.ice.Load() && f.page(p, "/v1/status", &v) == nil && v.Part == "leader" && v.Term > term {
+		if !p.down.Load() && !p.frozen.Load() && f.getPage(p, "/v1/status", &v) == nil && v.Part == "leader" && v.Term > term {
 			best, term = p, v.Term
 		}
 	}
 	return best
 }
 
-func (f *Fleet) of(role string) (list []*proc) {
-	for _, p := range f.procs {
+func (f *Fleet) withRole(role string) (list []*process) {
+	for _, p := range f.processes {
 		if p.role == role {
 			list = append(list, p)
 		}
@@ -259,14 +259,14 @@
 	return
 }
 
-// Ready waits until all daemons say that they are ready.
-func (f *Fleet) Ready(limit time.Duration) error {
+// AwaitReady waits until all daemons say that they are ready.
+func (f *Fleet) AwaitReady(limit time.Duration) error {
 	until := time.Now().Add(limit)
 	for time.Now().Before(until) {
 		n := 0
-		for _, p := range f.procs {
+		for _, p := range f.processes {
 			var v any
-			if p.role != "worker" && f.page(p, "/ready", &v) == nil {
+			if p.role != "worker" && f.getPage(p, "/ready", &v) == nil {
 				n++
 			}
 		}
--- a/sim/fleet_faults.go
+++ b/sim/fleet_faults.go
@@ -12,27 +12,27 @@
 	"time"
 )
 
-// Event is one fault of a day: its name, when it comes, and how long it lasts.
-type Event struct {
-	Name string
-	At   time.Duration
-	Long time.Duration
+// ScheduledFault is one fault of a day: its name, when it comes, and how long it lasts.
+type ScheduledFault struct {
+	Name     string
+	At       time.Duration
+	Duration time.Duration
 }
 
-// ParseEvents reads faults as name@at+long, by comma.
-func ParseEvents(s string) (list []Event, err error) {
+// ParseFaults reads faults as name@at+long, by comma.
+func ParseFaults(s string) (list []ScheduledFault, err error) {
 	for _, one := range strings.FieldsFunc(s, func(r rune) bool { return r == ',' }) {
 		name, rest, ok := strings.Cut(one, "@")
 		at, long, ok2 := strings.Cut(rest, "+")
-		e := Event{Name: name}
+		e := ScheduledFault{Name: name}
 		if ok && ok2 {
 			if e.At, err = time.ParseDuration(at); err == nil {
-				e.Long, err = time.ParseDuration(long)
+				e.Duration, err = time.ParseDuration(long)
 			}
 		}
-		if !ok || !ok2 || err != nil || find(name) == nil {
+		if !ok || !ok2 || err != nil || findFault(name) == nil {
 			return nil, fmt.Errorf("fault %q: want name@at+long, with a name of: %s; or kill:P, freeze:P, wipe:P, cut:P, cut:P:Q, "+
-				"where P and Q are controller1 to 3, gateway1 to 4, agent1 to 11, worker1 to 11", one, strings.Join(DayNames(), ", "))
+				"where P and Q are controller1 to 3, gateway1 to 4, agent1 to 11, worker1 to 11", one, strings.Join(FleetFaultNames(), ", "))
 		}
 		list = append(list, e)
 	}
@@ -40,43 +40,43 @@
 	return
 }
 
-// DayNames lists the faults a fleet knows.
-func DayNames() (list []string) {
-	for n := range days {
+// FleetFaultNames lists the faults a fleet knows.
+func FleetFaultNames() (list []string) {
+	for n := range fleetFaults {
 		list = append(list, n)
 	}
 	sort.Strings(list)
 	return
 }
 
-type day func(f *Fleet, s *Workload) (end func())
+type fleetFault func(f *Fleet, s *Workload) (end func())
 
-var counts = map[string]int{"controller": 3, "gateway": 4, "agent": 11, "worker": 11}
+var processCounts = map[string]int{"controller": 3, "gateway": 4, "agent": 11, "worker": 11}
 
-// find gives a fault by its name, or one aimed at named processes.
-func find(name string) day {
+// findFault gives a fault by its name, or one aimed at named processes.
+func findFault(name string) fleetFault {
 	kind, rest, ok := strings.Cut(name, ":")
 	if !ok {
-		return days[name]
+		return fleetFaults[name]
 	}
 	names := strings.Split(rest, ":")
 	for _, n := range names {
 		role := strings.TrimRight(n, "0123456789")
-		if i, err := strconv.Atoi(n[len(role):]); err != nil || i < 1 || i > counts[role] {
+		if i, err := strconv.Atoi(n[len(role):]); err != nil || i < 1 || i > processCounts[role] {
 			return nil
 		}
 	}
-	first := func(f *Fleet, _ *Workload) []*proc { return []*proc{f.by[names[0]]} }
+	first := func(f *Fleet, _ *Workload) []*process { return []*process{f.processByName[names[0]]} }
 	switch {
 	case kind == "cut" && len(names) == 2:
-		return dayCut(first, func(f *Fleet, p *proc) bool { return p.name == names[1] })
+		return partitionProcesses(first, func(f *Fleet, p *process) bool { return p.name == names[1] })
 	case len(names) != 1:
 		return nil
 	}
-	return map[string]day{"kill": dayKill(first, false), "wipe": dayKill(first, true), "freeze": dayFreeze(first), "cut": dayCut(first, all)}[kind]
+	return map[string]fleetFault{"kill": killProcesses(first, false), "wipe": killProcesses(first, true), "freeze": freezeProcesses(first), "cut": partitionProcesses(first, everyProcess)}[kind]
 }
 
-func dayKill(pick func(*Fleet, *Workload) []*proc, wipe bool) day {
+func killProcesses(pick func(*Fleet, *Workload) []*process, wipe bool) fleetFault {
 	return func(f *Fleet, s *Workload) func() {
 		list := pick(f, s)
 		for _, p := range list {
@@ -93,7 +93,7 @@
 	}
 }
 
-func dayFreeze(pick func(*Fleet, *Workload) []*proc) day {
+func freezeProcesses(pick func(*Fleet, *Workload) []*process) fleetFault {
 	return func(f *Fleet, s *Workload) func() {
 		list := pick(f, s)
 		for _, p := range list {
@@ -107,19 +107,19 @@
 	}
 }
 
-// dayCut cuts the picked processes from all others, or from some.
-func dayCut(pick func(*Fleet, *Workload) []*proc, from func(*Fleet, *proc) bool) day {
+// partitionProcesses cuts the picked processes from all others, or from some.
+func partitionProcesses(pick func(*Fleet, *Workload) []*process, from func(*Fleet, *process) bool) fleetFault {
 	return func(f *Fleet, s *Workload) func() {
-		in := map[*proc]bool{}
+		in := map[*process]bool{}
 		for _, p := range pick(f, s) {
 			in[p] = true
 		}
 		set := func(on bool) {
-			for _, a := range f.procs {
-				for _, b := range f.procs {
+			for _, a := range f.processes {
+				for _, b := range f.processes {
 					if in[a] && !in[b] && from(f, b) {
-						f.net.Cut(a.ip, b.ip, on)
-						f.net.Cut(b.ip, a.ip, on)
+						f.partitions.Set(a.ip, b.ip, on)
+						f.partitions.Set(b.ip, a.ip, on)
 					}
 				}
 			}
@@ -129,23 +129,23 @@
 	}
 }
 
-func lead(f *Fleet, _ *Workload) []*proc {
+func currentLeader(f *Fleet, _ *Workload) []*process {
 	if p := f.leader(); p != nil {
-		return []*proc{p}
+		return []*process{p}
 	}
 	return nil
 }
 
-func some(role string) func(*Fleet, *Workload) []*proc {
-	return func(f *Fleet, s *Workload) []*proc {
-		list := f.of(role)
-		return []*proc{list[s.chance(len(list))]}
+func oneOf(role string) func(*Fleet, *Workload) []*process {
+	return func(f *Fleet, s *Workload) []*process {
+		list := f.withRole(role)
+		return []*process{list[s.randomInt(len(list))]}
 	}
 }
 
-func zoneMembers(f *Fleet, s *Workload) (list []*proc) {
-	z := ZoneOf(s.chance(3))
-	for _, p := range f.procs {
+func zoneMembers(f *Fleet, s *Workload) (list []*process) {
+	z := ZoneOf(s.randomInt(3))
+	for _, p := range f.processes {
 		if p.zone == z {
 			list = append(list, p)
 		}
@@ -153,71 +153,71 @@
 	return
 }
 
-func machine(f *Fleet, s *Workload) []*proc {
-	i := s.chance(11) + 1
-	return []*proc{f.by[fmt.Sprintf("agent%d", i)], f.by[fmt.Sprintf("worker%d", i)]}
+func anyMachine(f *Fleet, s *Workload) []*process {
+	i := s.randomInt(11) + 1
+	return []*process{f.processByName[fmt.Sprintf("agent%d", i)], f.processByName[fmt.Sprintf("worker%d", i)]}
 }
 
-func controllers(f *Fleet, _ *Workload) []*proc { return f.of("controller") }
+func controllers(f *Fleet, _ *Workload) []*process { return f.withRole("controller") }
 
-func all(*Fleet, *proc) bool              { return true }
-func isController(_ *Fleet, p *proc) bool { return p.role == "controller" }
+func everyProcess(*Fleet, *process) bool     { return true }
+func isController(_ *Fleet, p *process) bool { return p.role == "controller" }
 
-// restart warns a process, as the platform does, and starts it again.
-func restart(f *Fleet, p *proc) {
+// restartProcess warns a process, as the platform does, and starts it again.
+func restartProcess(f *Fleet, p *process) {
 	p.signal(syscall.SIGTERM)
 	select {
-	case <-p.gone:
+	case <-p.exited:
 	case <-time.After(6 * time.Second):
 	}
 	p.signal(syscall.SIGKILL)
-	f.Tell(HistoryEvent{What: Down, Who: p.addr})
+	f.Record(HistoryEvent{Kind: DaemonStopped, Process: p.addr})
 	f.launch(p)
 }
 
-var days = map[string]day{
-	"kill-leader":     dayKill(lead, false),
-	"kill-controller": dayKill(some("controller"), false),
-	"kill-core":       dayKill(controllers, false),
-	"wipe-controller": dayKill(some("controller"), true),
-	"kill-gateway":    dayKill(some("gateway"), false),
-	"kill-agent":      dayKill(some("agent"), false),
-	"kill-worker":     dayKill(some("worker"), false),
-	"kill-machine":    dayKill(machine, false),
-	"freeze-leader":   dayFreeze(lead),
-	"freeze-agent":    dayFreeze(some("agent")),
-	"freeze-worker":   dayFreeze(some("worker")),
-	"freeze-machine":  dayFreeze(machine),
-	"cut-zone":        dayCut(zoneMembers, all),
-	"cut-leader":      dayCut(lead, all),
-	"cut-core":        dayCut(lead, isController),
-	"cut-agent":       dayCut(some("agent"), all),
-	"cut-worker":      dayCut(some("worker"), all),
+var fleetFaults = map[string]fleetFault{
+	"kill-leader":     killProcesses(currentLeader, false),
+	"kill-controller": killProcesses(oneOf("controller"), false),
+	"kill-core":       killProcesses(controllers, false),
+	"wipe-controller": killProcesses(oneOf("controller"), true),
+	"kill-gateway":    killProcesses(oneOf("gateway"), false),
+	"kill-agent":      killProcesses(oneOf("agent"), false),
+	"kill-worker":     killProcesses(oneOf("worker"), false),
+	"kill-machine":    killProcesses(anyMachine, false),
+	"freeze-leader":   freezeProcesses(currentLeader),
+	"freeze-agent":    freezeProcesses(oneOf("agent")),
+	"freeze-worker":   freezeProcesses(oneOf("worker")),
+	"freeze-machine":  freezeProcesses(anyMachine),
+	"cut-zone":        partitionProcesses(zoneMembers, everyProcess),
+	"cut-leader":      partitionProcesses(currentLeader, everyProcess),
+	"cut-core":        partitionProcesses(currentLeader, isController),
+	"cut-agent":       partitionProcesses(oneOf("agent"), everyProcess),
+	"cut-worker":      partitionProcesses(oneOf("worker"), everyProcess),
 	"stop-leader": func(f *Fleet, s *Workload) func() {
-		for _, p := range lead(f, s) {
-			restart(f, p)
+		for _, p := range currentLeader(f, s) {
+			restartProcess(f, p)
 		}
 		return func() {}
 	},
 	"roll-all": func(f *Fleet, s *Workload) func() {
 		for _, role := range []string{"controller", "gateway", "agent"} {
-			for _, p := range f.of(role) {
-				restart(f, p)
-				f.Ready(10 * time.Second)
+			for _, p := range f.withRole(role) {
+				restartProcess(f, p)
+				f.AwaitReady(10 * time.Second)
 			}
 		}
 		return func() {}
 	},
 }
 
-// Live runs the day: traffic for so long, with the events, then quiet.
-func (f *Fleet) Live(s *Workload, long time.Duration, list []Event) error {
+// RunDay runs the day: traffic for so long, with the events, then quiet.
+func (f *Fleet) RunDay(s *Workload, duration time.Duration, list []ScheduledFault) error {
 	from := time.Now()
-	go s.Watch()
+	go s.WatchReadiness()
 	for _, fl := range f.Deployment.Flows {
-		go s.Flow(fl)
+		go s.RunFlow(fl)
 	}
-	go s.Races()
+	go s.RunRacingOperators()
 	type ending struct {
 		at time.Time
 		do func()
@@ -227,18 +227,18 @@
 		for len(ends) > 0 && !ends[0].at.After(until) {
 			time.Sleep(time.Until(ends[0].at))
 			ends[0].do()
-			f.Tell(HistoryEvent{What: Healed})
+			f.Record(HistoryEvent{Kind: FaultsHealed})
 			ends = ends[1:]
 		}
 		time.Sleep(time.Until(until))
 	}
 	for _, e := range list {
 		wait(from.Add(e.At))
-		f.Tell(HistoryEvent{What: Trouble, Text: fmt.Sprintf("%s for %s", e.Name, e.Long)})
-		ends = append(ends, ending{time.Now().Add(e.Long), find(e.Name)(f, s)})
+		f.Record(HistoryEvent{Kind: FaultStarted, Text: fmt.Sprintf("%s for %s", e.Name, e.Duration)})
+		ends = append(ends, ending{time.Now().Add(e.Duration), findFault(e.Name)(f, s)})
 		sort.Slice(ends, func(i, k int) bool { return ends[i].at.Before(ends[k].at) })
 	}
-	wait(from.Add(long))
+	wait(from.Add(duration))
 	if len(ends) > 0 {
 		wait(ends[len(ends)-1].at)
 	}
@@ -259,20 +259,20 @@
 }
 
 // Report prints the day and gives its broken rules.
-func (f *Fleet) Report(s *Workload) ([]Break, error) {
+func (f *Fleet) Report(s *Workload) ([]Violation, error) {
 	end := time.Since(f.start).Nanoseconds()
-	if err := f.gather(); err != nil {
+	if err := f.gatherHistories(); err != nil {
 		return nil, err
 	}
-	breaks, seen := Check(&f.Hist, Rules, end, 30*time.Second)
-	for _, h := range f.Hist.List {
-		if h.What == Dropped {
-			breaks = append(breaks, Break{"dropped", h.At, "a request that was read got no answer: " + h.Who + ": " + h.Text})
+	breaks, seen := Check(&f.History, DefaultBounds, end, 30*time.Second)
+	for _, h := range f.History.Events {
+		if h.Kind == RequestDropped {
+			breaks = append(breaks, Violation{"dropped", h.At, "a request that was read got no answer: " + h.Process + ": " + h.Text})
 		}
 	}
-	fmt.Print(Timeline(&f.Hist))
-	fmt.Printf("%s\n", Summary(&f.Hist))
-	fmt.Printf("accepted after: %s\nseen done after: %s\n", Quantiles(s.Takes), Quantiles(s.Ends))
-	fmt.Printf("refusals on the way: %v\nchances the rules had:\n%v", s.Denials, seen)
+	fmt.Print(Timeline(&f.History))
+	fmt.Printf("%s\n", Summary(&f.History))
+	fmt.Printf("accepted after: %s\nseen done after: %s\n", Quantiles(s.AcceptTimes), Quantiles(s.DoneTimes))
+	fmt.Printf("refusals on the way: %v\nchances the rules had:\n%v", s.Refusals, seen)
 	return breaks, nil
 }
--- a/sim/front_test.go
+++ b/sim/front_test.go
@@ -10,8 +10,8 @@
 	"coppercourse/internal/types"
 )
 
-// front is what a gateway last published of its table, as its requests see it.
-type front struct {
+// publishedTable is what a gateway last published of its table, as its requests see it.
+type publishedTable struct {
 	version types.Version
 	until   types.MonoTime
 	fresh   bool // as a planted bug had it: found at the step, and not at the request
@@ -20,25 +20,25 @@
 // probeFronts asks what each gateway would decide by, every 20 ms from the start of
 // the traffic, and gives the decisions by a version that was replaced longer ago
 // than a table may be in use after its acknowledgement.
-func probeFronts(r *Run, decides func(front, types.MonoTime) bool) (late *int, decided *int) {
-	fronts := map[*node]front{}
-	r.After = func(n *node) {
-		if g, ok := n.m.(*gateway.Gateway); ok {
+func probeFronts(r *Run, decides func(publishedTable, types.MonoTime) bool) (late *int, decided *int) {
+	fronts := map[*node]publishedTable{}
+	r.AfterStep = func(n *node) {
+		if g, ok := n.machine.(*gateway.Gateway); ok {
 			t, fresh := g.Table()
-			fronts[n] = front{t.Version, g.ConfirmedUntil(), fresh}
+			fronts[n] = publishedTable{t.Version, g.ConfirmedUntil(), fresh}
 		}
 	}
 	late, decided = new(int), new(int)
 	var probe func()
 	probe = func() {
 		old := types.Version(0) // the newest that was acknowledged so long ago
-		for _, h := range r.Hist.List {
-			if h.What == TableAck && h.At+int64(Rules.Table) < r.now {
+		for _, h := range r.History.Events {
+			if h.Kind == TableAcknowledged && h.At+int64(DefaultBounds.TableLag) < r.now {
 				old = max(old, h.Table.Version)
 			}
 		}
 		for n, f := range fronts {
-			if n.m == nil || !decides(f, n.mono()) {
+			if n.machine == nil || !decides(f, n.monotonic()) {
 				continue
 			}
 			*decided++
@@ -46,9 +46,9 @@
 				*late++
 			}
 		}
-		r.at(20*time.Millisecond, probe)
+		r.after(20*time.Millisecond, probe)
 	}
-	r.at(6*time.Second, probe)
+	r.after(6*time.Second, probe)
 	return
 }
 
@@ -60,22 +60,22 @@
 		t.Skip("run without the race detector")
 	}
 	for name, c := range map[string]struct {
-		decides func(front, types.MonoTime) bool
+		decides func(publishedTable, types.MonoTime) bool
 		caught  bool
 	}{
-		"as it is":      {func(f front, now types.MonoTime) bool { return now < f.until }, false},
-		"published bit": {func(f front, _ types.MonoTime) bool { return f.fresh }, true},
+		"as it is":      {func(f publishedTable, now types.MonoTime) bool { return now < f.until }, false},
+		"published bit": {func(f publishedTable, _ types.MonoTime) bool { return f.fresh }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			r := Build(Plan{Seed: 9, Deployment: "kingston-called", Quick: true, Before: 4 * time.Second, FaultsFor: 30 * time.Second, After: 4 * time.Second,
+			r := New(Plan{Seed: 9, Deployment: "kingston-called", Quick: true, Before: 4 * time.Second, FaultsFor: 30 * time.Second, After: 4 * time.Second,
 				Settle: time.Second, Patience: 5 * time.Second})
-			costs := SmallCore
-			r.Costs = &costs
-			r.at(slowFrom, func() { r.slowDown(r.gateways[0], 10_000, 25*time.Second) })
+			costs := SmallCoreCosts
+			r.StepCosts = &costs
+			r.after(slowFrom, func() { r.slowProcessor(r.gateways[0], 10_000, 25*time.Second) })
 			late, decided := probeFronts(r, c.decides)
-			r.Go()
+			r.Execute()
 			t.Logf("%d decisions, %d by an old table", *decided, *late)
 			is.True(*decided > 1000)
 			is.Equal(*late > 0, c.caught)
--- a/sim/goodput_test.go
+++ b/sim/goodput_test.go
@@ -17,34 +17,34 @@
 	"coppercourse/internal/types"
 )
 
-var crowds = flag.Bool("crowds", false, "look at all loads")
+var allLoads = flag.Bool("crowds", false, "look at all loads")
 
-// heavy is quotes so large that a few dozen a second fill the deployment.
-func heavy(every time.Duration) Flow {
-	return Flow{"quotes", every, gangs("quotes", "quote", 6)}
+// heavyFlow is quotes so large that a few dozen a second fill the deployment.
+func heavyFlow(every time.Duration) Flow {
+	return Flow{"quotes", every, gangJobs("quotes", "quote", 6)}
 }
 
-// crowd runs one load and gives the jobs done a second: all, and payments.
-func crowd(t *testing.T, seed int64, each time.Duration, rude float64, also ...Flow) (good, pay float64) {
+// runOverload runs one load and gives the jobs done a second: all, and payments.
+func runOverload(t *testing.T, seed int64, each time.Duration, rude float64, also ...Flow) (good, pay float64) {
 	t.Helper()
-	r := busy(seed, func(t *config.Table) {
+	r := newBusyRun(seed, func(t *config.Table) {
 		for i := range t.Queues {
 			t.Queues[i].MaxUnfinished = 150
 		}
-	}, heavy(each), Deployments["kingston"].Flows[1], Deployments["kingston"].Flows[2])
-	r.Clients.Rude = rude
+	}, heavyFlow(each), Deployments["kingston"].Flows[1], Deployments["kingston"].Flows[2])
+	r.Clients.ImpatientRate = rude
 	for _, f := range also {
-		r.Clients.flow(f)
+		r.Clients.startFlow(f)
 	}
-	r.Run(50 * time.Second)
-	good = Rate(&r.Hist, int64(25*time.Second), int64(50*time.Second))
-	pay = rateOf(&r.Hist, "payments", 25*time.Second, 50*time.Second)
-	for k, n := range r.Clients.Count {
+	r.RunUntil(50 * time.Second)
+	good = CompletionRate(&r.History, int64(25*time.Second), int64(50*time.Second))
+	pay = queueCompletionRate(&r.History, "payments", 25*time.Second, 50*time.Second)
+	for k, n := range r.Clients.Refusals {
 		t.Logf("  %d refusals %s", n, k)
 	}
-	b := Rules
-	b.Settled = false
-	breaks, _ := Check(&r.Hist, b, r.now, 30*time.Second)
+	b := DefaultBounds
+	b.AllJobsEnd = false
+	breaks, _ := Check(&r.History, b, r.now, 30*time.Second)
 	for i, x := range breaks {
 		if i < 4 {
 			t.Error(x)
@@ -63,14 +63,14 @@
 	t.Parallel()
 	is := is.New(t)
 	loads := []float64{1, 2}
-	if *crowds {
+	if *allLoads {
 		loads = []float64{0.5, 1, 1.5, 2, 3}
 	}
 	for _, rude := range []float64{0, 0.5} {
 		most, at := 0.0, map[float64]float64{}
 		line := ""
 		for _, x := range loads {
-			good, pay := crowd(t, 70, time.Duration(float64(sustained)/x), rude)
+			good, pay := runOverload(t, 70, time.Duration(float64(sustained)/x), rude)
 			most, at[x] = max(most, good), good
 			line += fmt.Sprintf(" %.1fx %.1f (payments %.2f);", x, good, pay)
 			is.True(pay > 0.8)
@@ -78,18 +78,18 @@
 		t.Logf("rude %.1f: jobs done a second at%s", rude, line)
 		is.True(at[2] > 0.9*most)
 	}
-	if !*crowds {
+	if !*allLoads {
 		return
 	}
 	burst := Flow{"menus", 400 * time.Millisecond, func(rnd *rand.Rand) state.Spec {
-		return state.Spec{Queue: "menus", Urgency: 9, Steps: []state.Step{{Name: "b", Kind: "menu", Resources: types.Resources{Cores: 12 * types.Core}, Tasks: 3, Work: work(rnd, 1000, 3000)}}}
+		return state.Spec{Queue: "menus", Urgency: 9, Steps: []state.Step{{Name: "b", Kind: "menu", Resources: types.Resources{Cores: 12 * types.Core}, Tasks: 3, Work: randomWork(rnd, 1000, 3000)}}}
 	}}
 	endless := Flow{"menus", 400 * time.Millisecond, func(rnd *rand.Rand) state.Spec {
 		return state.Spec{Queue: "menus", Steps: []state.Step{{Name: "e", Kind: "menu", Resources: types.Resources{Cores: 1 * types.Core}, Tasks: 20, Work: []byte(`{"ms":100000000}`)}}}
 	}}
 	for name, f := range map[string]Flow{"large and urgent jobs": burst, "work that never ends": endless} {
-		one, pay1 := crowd(t, 71, sustained, 0, f)
-		two, pay2 := crowd(t, 71, sustained/2, 0, f)
+		one, pay1 := runOverload(t, 71, sustained, 0, f)
+		two, pay2 := runOverload(t, 71, sustained/2, 0, f)
 		t.Logf("with a flood of %s: 1x %.1f (payments %.2f), 2x %.1f (payments %.2f)", name, one, pay1, two, pay2)
 	}
 }
--- a/sim/grown_day_test.go
+++ b/sim/grown_day_test.go
@@ -13,7 +13,7 @@
 
 // grownDay is short enough for every change.
 func grownDay(seed int64, deployment string, count int, faults ...string) Plan {
-	return Plan{Seed: seed, Deployment: deployment, Faults: faults, Count: count, Quick: true, Before: 2 * time.Second, FaultsFor: 4 * time.Second,
+	return Plan{Seed: seed, Deployment: deployment, Faults: faults, FaultCount: count, Quick: true, Before: 2 * time.Second, FaultsFor: 4 * time.Second,
 		After: 3 * time.Second, Settle: 40 * time.Second, Patience: 5 * time.Second}
 }
 
@@ -27,25 +27,25 @@
 			is := is.New(t)
 			started := 0
 			for seed := int64(1 + i); started <= 1500 && seed < 400; seed += 100 { // how much a day's jobs ask for is drawn
-				r := Build(grownDay(seed, deployment, 0)).Go()
-				for _, b := range r.Verdict().Breaks {
+				r := New(grownDay(seed, deployment, 0)).Execute()
+				for _, b := range r.Verdict().Violations {
 					t.Error(b)
 				}
-				is.Equal(unstarted(r.Hist.List), 0)
+				is.Equal(unstarted(r.History.Events), 0)
 				n, hows := map[EventKind]int{}, map[wire.EndReason]int{}
-				for _, h := range r.Hist.List {
-					n[h.What]++
-					if h.What == Ended {
+				for _, h := range r.History.Events {
+					n[h.Kind]++
+					if h.Kind == AttemptEnded {
 						hows[h.How]++
 					}
 				}
-				t.Log(Summary(&r.Hist), hows)
-				started += n[Started]
-				is.Equal(n[Denied], 0)
-				is.Equal(n[Noted]+n[Void], n[Started]) // every end is settled, and but for answers lost on the way in time
-				is.True(n[Void] <= 10)
+				t.Log(Summary(&r.History), hows)
+				started += n[AttemptStarted]
+				is.Equal(n[JobDenied], 0)
+				is.Equal(n[EndSettled]+n[EndVoided], n[AttemptStarted]) // every end is settled, and but for answers lost on the way in time
+				is.True(n[EndVoided] <= 10)
 				is.Equal(hows[wire.EndLeaseExpired]+hows[wire.EndGangStartTimeout], 0)
-				is.True(r.whole(len(r.controllers)))
+				is.True(r.allVoting(len(r.controllers)))
 			}
 			is.True(started > 1500)
 		})
@@ -60,14 +60,14 @@
 	started := map[types.TaskID]bool{}
 	failed := map[types.TaskID]bool{}
 	for _, h := range events {
-		switch h.What {
-		case Sent:
+		switch h.Kind {
+		case JobSubmitted:
 			owed[h.Job] = h.Spec.TotalTasks()
-		case Started:
+		case AttemptStarted:
 			started[h.Attempt.TaskID] = true
-		case Ended:
+		case AttemptEnded:
 			failed[h.Attempt.TaskID] = h.How != wire.EndSucceeded && (failed[h.Attempt.TaskID] || h.How == wire.EndFailed)
-		case Halting:
+		case CancelSubmitted:
 			delete(owed, h.Job)
 		}
 	}
@@ -94,12 +94,12 @@
 	for i, deployment := range []string{"kingston-grown", "romania-grown"} {
 		t.Run(deployment, func(t *testing.T) {
 			t.Parallel()
-			r := Build(grownDay(int64(11+i), deployment, 5, "kill-leader", "lose-disk", "swap-controller", "kill-controller", "kill-agent", "kill-machine", "cut-zone")).Go()
-			for _, b := range r.Verdict().Breaks {
+			r := New(grownDay(int64(11+i), deployment, 5, "kill-leader", "lose-disk", "swap-controller", "kill-controller", "kill-agent", "kill-machine", "cut-zone")).Execute()
+			for _, b := range r.Verdict().Violations {
 				t.Error(b)
 			}
-			t.Log(Summary(&r.Hist))
-			r.must(t, "all controllers vote", r.whole(len(r.controllers)))
+			t.Log(Summary(&r.History))
+			r.require(t, "all controllers vote", r.allVoting(len(r.controllers)))
 		})
 	}
 }
@@ -110,17 +110,17 @@
 	is := is.New(t)
 	p := grownDay(21, "romania-grown", 0)
 	p.Before, p.Settle = 4*time.Second, 4*time.Second
-	r := Build(p)
-	r.Meter = true
-	r.at(8*time.Second, func() {
+	r := New(p)
+	r.Metering = true
+	r.after(8*time.Second, func() {
 		for _, h := range r.controllers {
-			h.disk.slow = 150 * time.Millisecond
+			h.disk.extraLatency = 150 * time.Millisecond
 		}
 	})
-	r.Go()
+	r.Execute()
 	attempts, pushes, told := 0, 0, 0
-	for _, h := range r.Hist.List {
-		if h.What == Ended {
+	for _, h := range r.History.Events {
+		if h.Kind == AttemptEnded {
 			attempts++
 		}
 	}
--- a/sim/grown_test.go
+++ b/sim/grown_test.go
@@ -14,45 +14,45 @@
 )
 
 func TestAllControllersVoteInWhateverOrderTheyStart(t *testing.T) {
-	for _, n := range sizes(3, 11, 6, 7, 10) {
-		for name, order := range map[string][]int{"founders first": upTo(n), "founders last": nil, "mixed": nil} {
+	for _, n := range coreSizes(3, 11, 6, 7, 10) {
+		for name, order := range map[string][]int{"founders first": ascending(n), "founders last": nil, "mixed": nil} {
 			t.Run(fmt.Sprint(n, " ", name), func(t *testing.T) {
 				t.Parallel()
-				r := many(int64(n), n, 2+n%3)
+				r := newControllerFleet(int64(n), n, 2+n%3)
 				switch name {
 				case "founders last":
-					order = upTo(n)
+					order = ascending(n)
 					slices.Reverse(order)
 				case "mixed":
 					order = r.random.Perm(n)
 				}
-				r.start(order, 1500*time.Millisecond)
+				r.startControllers(order, 1500*time.Millisecond)
 				votes := min(n, 9)
-				r.must(t, "all vote in time", r.waits(5*time.Second, func() bool { return r.whole(votes) }))
-				for _, m := range r.status(r.leader()).Members {
-					r.must(t, "who was there at the first start is no guest", !m.Provisional)
+				r.require(t, "all vote in time", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(votes) }))
+				for _, m := range r.controllerStatus(r.leader()).Members {
+					r.require(t, "who was there at the first start is no guest", !m.Provisional)
 				}
-				r.must(t, "losses borne are told", r.status(r.leader()).LossesTolerated == (votes-1)/2)
+				r.require(t, "losses borne are told", r.controllerStatus(r.leader()).LossesTolerated == (votes-1)/2)
 			})
 		}
 	}
 }
 
 func TestAFounderThatDiesMidwayIsWaitedFor(t *testing.T) {
-	for _, n := range sizes(6, 8, 7) {
+	for _, n := range coreSizes(6, 8, 7) {
 		for seed := range int64(6) {
 			t.Run(fmt.Sprint(n, " ", seed), func(t *testing.T) {
 				t.Parallel()
-				r := many(100+seed, n, 3)
-				r.start(upTo(n), 300*time.Millisecond)
+				r := newControllerFleet(100+seed, n, 3)
+				r.startControllers(ascending(n), 300*time.Millisecond)
 				f := r.controllers[r.random.Intn(3)]
-				r.at(time.Duration(200+150*seed)*time.Millisecond, func() {
+				r.after(time.Duration(200+150*seed)*time.Millisecond, func() {
 					f.kill()
-					f.first = false // the settings no more tell of a first start
-					r.at(time.Duration(200+r.random.Intn(8000))*time.Millisecond, f.boot)
+					f.firstStart = false // the settings no more tell of a first start
+					r.after(time.Duration(200+r.random.Intn(8000))*time.Millisecond, f.boot)
 				})
-				r.wait(11 * time.Second)
-				r.must(t, "all vote", r.waits(10*time.Second, func() bool { return r.whole(n) }))
+				r.advance(11 * time.Second)
+				r.require(t, "all vote", r.advanceUntil(10*time.Second, func() bool { return r.allVoting(n) }))
 			})
 		}
 	}
@@ -60,47 +60,47 @@
 
 // A founder on a machine without a disk runs as a gateway behind the controller's address.
 func TestAFounderThatIsNoControllerIsNotWaitedFor(t *testing.T) {
-	r := many(7, 5, 3)
+	r := newControllerFleet(7, 5, 3)
 	r.controllers = slices.Delete(r.controllers, 1, 2)
-	g := r.gateway("h2", "z2")
+	g := r.addGateway("h2", "z2")
 	r.nodes["h2"] = g
 	g.boot()
-	r.start(upTo(4), 300*time.Millisecond)
-	r.must(t, "the others vote", r.waits(5*time.Second, func() bool { return r.whole(4) }))
+	r.startControllers(ascending(4), 300*time.Millisecond)
+	r.require(t, "the others vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(4) }))
 }
 
 // Where every named founder is on a machine without a disk, all that are there found the
 // cluster together, one cluster and no more.
 func TestControllersFoundWhereNoNamedFounderIsOne(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
-		r := many(seed, 6, 3)
+		r := newControllerFleet(seed, 6, 3)
 		r.controllers = r.controllers[3:]
 		for i := range 3 {
 			a := types.Addr(fmt.Sprintf("h%d", i+1))
-			g := r.gateway(a, types.Zone(fmt.Sprintf("z%d", i+1)))
+			g := r.addGateway(a, types.Zone(fmt.Sprintf("z%d", i+1)))
 			r.nodes[a] = g
 			g.boot()
 		}
-		r.start(r.random.Perm(3), 300*time.Millisecond)
-		r.must(t, "the three vote", r.waits(8*time.Second, func() bool { return r.whole(3) }))
+		r.startControllers(r.random.Perm(3), 300*time.Millisecond)
+		r.require(t, "the three vote", r.advanceUntil(8*time.Second, func() bool { return r.allVoting(3) }))
 	}
 }
 
 // Whatever its settings say of founders, a controller whose disk was lost founds nothing.
 func TestLostDisksFoundNothing(t *testing.T) {
 	is := is.New(t)
-	r := many(9, 7, 4)
-	r.start(upTo(7), 300*time.Millisecond)
-	r.must(t, "all vote", r.waits(5*time.Second, func() bool { return r.whole(7) }))
-	name := r.status(r.controllers[0]).Cluster
+	r := newControllerFleet(9, 7, 4)
+	r.startControllers(ascending(7), 300*time.Millisecond)
+	r.require(t, "all vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(7) }))
+	name := r.controllerStatus(r.controllers[0]).Cluster
 	for _, h := range r.controllers {
 		h.kill()
 		h.disk.wipe()
 	}
-	r.start(r.random.Perm(7), time.Second)
-	r.wait(20 * time.Second)
+	r.startControllers(r.random.Perm(7), time.Second)
+	r.advance(20 * time.Second)
 	for _, h := range r.controllers {
-		s := r.status(h)
+		s := r.controllerStatus(h)
 		is.Equal([2]string{s.Cluster, s.RaftRole}, [2]string{"", "empty"})
 		is.True(s.Reason != "")
 		is.True(name != "")
@@ -110,18 +110,18 @@
 // Two of seven lose their disks just after something was acknowledged, whoever
 // acknowledged it, and the others their power: it is still there, and all vote again.
 func TestAcknowledgedTableOutlivesTwoDisksOfSeven(t *testing.T) {
-	for _, i := range sizes(0, 6, 2, 5) {
+	for _, i := range coreSizes(0, 6, 2, 5) {
 		for _, k := range []int{1, 3} {
 			t.Run(fmt.Sprint(i, " ", k), func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
-				r := many(int64(20+7*i+k), 7, 4)
-				r.start(r.random.Perm(7), 300*time.Millisecond)
-				r.must(t, "all vote", r.waits(5*time.Second, func() bool { return r.whole(7) }))
-				r.wait(time.Second)
-				acked := r.table(0)
+				r := newControllerFleet(int64(20+7*i+k), 7, 4)
+				r.startControllers(r.random.Perm(7), 300*time.Millisecond)
+				r.require(t, "all vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(7) }))
+				r.advance(time.Second)
+				acked := r.putTable(0)
 				for !acked() {
-					r.wait(time.Millisecond)
+					r.advance(time.Millisecond)
 				}
 				lost := []*node{r.controllers[i], r.controllers[(i+k)%7]}
 				if k == 3 {
@@ -137,15 +137,15 @@
 				for _, h := range lost {
 					h.disk.wipe()
 				}
-				r.wait(800 * time.Millisecond)
+				r.advance(800 * time.Millisecond)
 				for _, h := range r.controllers {
-					if h.m == nil {
+					if h.machine == nil {
 						h.boot()
 					}
 				}
-				r.must(t, "all seven vote again", r.waits(5*time.Second, func() bool { return r.whole(7) }))
-				r.wait(time.Second)
-				e, ok := r.version(3 * time.Second)
+				r.require(t, "all seven vote again", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(7) }))
+				r.advance(time.Second)
+				e, ok := r.readVersion(3 * time.Second)
 				is.True(ok)
 				is.Equal(e, types.Version(1))
 			})
@@ -156,29 +156,29 @@
 // Disks are lost and machines replaced in turn, one as soon as the last has caught
 // up. At the end just those that are there vote, and everything is still known.
 func TestWipesAndReplacementsInTurn(t *testing.T) {
-	for _, n := range sizes(3, 8, 3, 6) {
+	for _, n := range coreSizes(3, 8, 3, 6) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
 			zones := 2 + n%3
-			r := many(int64(40+n), n, zones)
-			r.start(r.random.Perm(n), 300*time.Millisecond)
-			r.must(t, "all vote", r.waits(5*time.Second, func() bool { return r.whole(n) }))
-			r.wait(time.Second)
+			r := newControllerFleet(int64(40+n), n, zones)
+			r.startControllers(r.random.Perm(n), 300*time.Millisecond)
+			r.require(t, "all vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(n) }))
+			r.advance(time.Second)
 			version := types.Version(0)
 			for i := range 2 * n {
-				acked := r.table(version)
-				r.must(t, "a table is taken", r.waits(9*time.Second, acked))
+				acked := r.putTable(version)
+				r.require(t, "a table is taken", r.advanceUntil(9*time.Second, acked))
 				version++
 				h := r.controllers[i%n]
 				if i%3 == 2 { // warned: a new one comes before it goes
-					r.Close(h)
+					r.Shutdown(h)
 				} else {
 					h.kill()
 					h.disk.wipe()
 				}
 				if i%3 == 0 {
-					r.at(time.Duration(r.random.Intn(1500))*time.Millisecond, h.boot)
+					r.after(time.Duration(r.random.Intn(1500))*time.Millisecond, h.boot)
 				} else {
 					r.seeds = nil // as they are when the new one starts
 					for _, k := range r.random.Perm(n) {
@@ -186,14 +186,14 @@
 							r.seeds = append(r.seeds, r.controllers[k].addr)
 						}
 					}
-					h.make = nil
-					r.controllers[i%n] = r.World.controller(h.addr+"x", h.zone)
-					r.at(time.Duration(r.random.Intn(1500))*time.Millisecond, r.controllers[i%n].boot)
+					h.newMachine = nil
+					r.controllers[i%n] = r.World.addController(h.addr+"x", h.zone)
+					r.after(time.Duration(r.random.Intn(1500))*time.Millisecond, r.controllers[i%n].boot)
 				}
-				r.wait(2 * time.Second)
-				r.must(t, fmt.Sprint("all vote after change ", i), r.waits(10*time.Second, func() bool { return r.whole(n) }))
+				r.advance(2 * time.Second)
+				r.require(t, fmt.Sprint("all vote after change ", i), r.advanceUntil(10*time.Second, func() bool { return r.allVoting(n) }))
 			}
-			e, ok := r.version(3 * time.Second)
+			e, ok := r.readVersion(3 * time.Second)
 			is.True(ok)
 			is.Equal(e, version)
 		})
@@ -204,15 +204,15 @@
 // them, on either side, and they vote again at once when they return. A controller that
 // comes on the smaller side changes nothing there.
 func TestACutStrikesNobodyOff(t *testing.T) {
-	for _, n := range sizes(6, 8, 7) {
+	for _, n := range coreSizes(6, 8, 7) {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			r := many(int64(60+n), n, 4)
-			r.start(r.random.Perm(n), 300*time.Millisecond)
-			r.must(t, "all vote", r.waits(5*time.Second, func() bool { return r.whole(n) }))
-			r.wait(time.Second)
-			before := r.status(r.leader()).Members
+			r := newControllerFleet(int64(60+n), n, 4)
+			r.startControllers(r.random.Perm(n), 300*time.Millisecond)
+			r.require(t, "all vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(n) }))
+			r.advance(time.Second)
+			before := r.controllerStatus(r.leader()).Members
 			l := r.leader()
 			away := []types.Addr{l.addr}
 			for _, h := range r.controllers {
@@ -220,21 +220,21 @@
 					away = append(away, h.addr)
 				}
 			}
-			fresh := r.World.controller("h99", l.zone)
+			fresh := r.World.addController("h99", l.zone)
 			away = append(away, fresh.addr)
-			r.Split(away, r.others(away...), true, true)
-			r.at(time.Second, fresh.boot)
-			r.wait(20 * time.Second)
+			r.SetPartition(away, r.allExcept(away...), true, true)
+			r.after(time.Second, fresh.boot)
+			r.advance(20 * time.Second)
 			now := r.leader()
 			is.True(now != nil && !slices.Contains(away, now.addr)) // the larger side goes on
-			is.Equal(len(r.status(now).Members), n)
-			acked := r.table(0)
-			r.must(t, "a table is taken", r.waits(9*time.Second, acked))
+			is.Equal(len(r.controllerStatus(now).Members), n)
+			acked := r.putTable(0)
+			r.require(t, "a table is taken", r.advanceUntil(9*time.Second, acked))
 			fresh.kill()
-			clear(r.cut)
-			r.must(t, "all are back", r.waits(3*time.Second, func() bool { return r.whole(n) }))
+			clear(r.partitioned)
+			r.require(t, "all are back", r.advanceUntil(3*time.Second, func() bool { return r.allVoting(n) }))
 			for _, m := range before {
-				_, ok := r.status(r.leader()).Members.Find(m.ID)
+				_, ok := r.controllerStatus(r.leader()).Members.Find(m.ID)
 				is.True(ok)
 			}
 		})
@@ -244,23 +244,23 @@
 // Of six, four go on and three do not, until a fourth is back.
 func TestHalfOfAnEvenCoreDecidesNothing(t *testing.T) {
 	is := is.New(t)
-	r := many(80, 6, 3)
-	r.start(upTo(6), 300*time.Millisecond)
-	r.must(t, "all vote", r.waits(5*time.Second, func() bool { return r.whole(6) }))
-	r.wait(time.Second)
+	r := newControllerFleet(80, 6, 3)
+	r.startControllers(ascending(6), 300*time.Millisecond)
+	r.require(t, "all vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(6) }))
+	r.advance(time.Second)
 	for _, h := range r.controllers[:2] {
 		h.kill()
 	}
-	r.wait(2 * time.Second)
-	acked := r.table(0)
-	r.must(t, "four of six take a table", r.waits(9*time.Second, acked))
+	r.advance(2 * time.Second)
+	acked := r.putTable(0)
+	r.require(t, "four of six take a table", r.advanceUntil(9*time.Second, acked))
 	r.controllers[2].kill()
-	r.wait(2 * time.Second)
-	_, ok := r.version(3 * time.Second)
+	r.advance(2 * time.Second)
+	_, ok := r.readVersion(3 * time.Second)
 	is.Equal(ok, false)
 	r.controllers[0].boot()
-	r.wait(3 * time.Second)
-	e, ok := r.version(3 * time.Second)
+	r.advance(3 * time.Second)
+	e, ok := r.readVersion(3 * time.Second)
 	is.True(ok)
 	is.Equal(e, types.Version(1))
 }
@@ -269,64 +269,64 @@
 // long: from then on it replaces nobody.
 func TestAnAddedControllerComesToStay(t *testing.T) {
 	is := is.New(t)
-	r := many(90, 6, 3)
-	r.start(upTo(6), 300*time.Millisecond)
-	r.must(t, "all vote", r.waits(5*time.Second, func() bool { return r.whole(6) }))
-	r.controllers = append(r.controllers, r.World.controller("h7", "z1"))
+	r := newControllerFleet(90, 6, 3)
+	r.startControllers(ascending(6), 300*time.Millisecond)
+	r.require(t, "all vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(6) }))
+	r.controllers = append(r.controllers, r.World.addController("h7", "z1"))
 	r.controllers[6].boot()
-	r.must(t, "the added one votes", r.waits(5*time.Second, func() bool { return r.whole(7) }))
-	r.wait(40 * time.Second)
+	r.require(t, "the added one votes", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(7) }))
+	r.advance(40 * time.Second)
 	r.controllers[0].kill()
-	r.wait(20 * time.Second)
-	is.Equal(len(r.status(r.leader()).Members), 7)
+	r.advance(20 * time.Second)
+	is.Equal(len(r.controllerStatus(r.leader()).Members), 7)
 	r.controllers[0].boot()
-	r.must(t, "all vote", r.waits(3*time.Second, func() bool { return r.whole(7) }))
+	r.require(t, "all vote", r.advanceUntil(3*time.Second, func() bool { return r.allVoting(7) }))
 }
 
 // While two voters of another zone are long cut off, one is replaced: that one is
 // struck off, and not those.
 func TestAReplacementStrikesOffJustWhatItReplaces(t *testing.T) {
 	is := is.New(t)
-	r := many(95, 8, 4)
-	r.start(upTo(8), 300*time.Millisecond)
-	r.must(t, "all vote", r.waits(5*time.Second, func() bool { return r.whole(8) }))
+	r := newControllerFleet(95, 8, 4)
+	r.startControllers(ascending(8), 300*time.Millisecond)
+	r.require(t, "all vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(8) }))
 	away := []*node{r.controllers[3], r.controllers[7]}
 	cut := []types.Addr{away[0].addr, away[1].addr}
-	ids := []types.ID{r.status(away[0]).ID, r.status(away[1]).ID, r.status(r.controllers[0]).ID}
-	r.Split(cut, r.others(cut...), true, true)
-	r.wait(40 * time.Second)
+	ids := []types.ID{r.controllerStatus(away[0]).ID, r.controllerStatus(away[1]).ID, r.controllerStatus(r.controllers[0]).ID}
+	r.SetPartition(cut, r.allExcept(cut...), true, true)
+	r.advance(40 * time.Second)
 	r.controllers[0].kill()
-	r.controllers[0].make = nil
-	r.controllers[0] = r.World.controller("h1x", "z1")
+	r.controllers[0].newMachine = nil
+	r.controllers[0] = r.World.addController("h1x", "z1")
 	r.seeds = []types.Addr{"h2", "h3", "h5"}
 	r.controllers[0].boot()
-	r.Split([]types.Addr{"h1x"}, cut, true, true)
-	r.wait(10 * time.Second)
-	roll := r.status(r.leader()).Members
+	r.SetPartition([]types.Addr{"h1x"}, cut, true, true)
+	r.advance(10 * time.Second)
+	roll := r.controllerStatus(r.leader()).Members
 	is.Equal(roll.Voters(), 8)
 	for i, id := range ids {
 		_, ok := roll.Find(id)
 		is.Equal(ok, i < 2)
 	}
-	clear(r.cut)
-	r.must(t, "all vote", r.waits(5*time.Second, func() bool { return r.whole(8) }))
+	clear(r.partitioned)
+	r.require(t, "all vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(8) }))
 }
 
 // Nine vote at most; a tenth learns, and replaces one that has been silent for long.
 func TestATenthControllerReplacesOneThatIsLongSilent(t *testing.T) {
 	is := is.New(t)
-	r := many(96, 10, 3)
-	r.start(upTo(10), 300*time.Millisecond)
-	r.must(t, "nine vote", r.waits(5*time.Second, func() bool { return r.whole(9) }))
-	r.controllers = append(r.controllers, r.World.controller("h11", "z2")) // this one was not there at first
+	r := newControllerFleet(96, 10, 3)
+	r.startControllers(ascending(10), 300*time.Millisecond)
+	r.require(t, "nine vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(9) }))
+	r.controllers = append(r.controllers, r.World.addController("h11", "z2")) // this one was not there at first
 	r.controllers[10].boot()
-	r.wait(5 * time.Second)
+	r.advance(5 * time.Second)
 	lost := r.controllers[0]
 	lost.kill()
-	lost.make = nil
+	lost.newMachine = nil
 	r.controllers = r.controllers[1:]
-	r.wait(50 * time.Second)
-	s := r.status(r.leader())
+	r.advance(50 * time.Second)
+	s := r.controllerStatus(r.leader())
 	is.Equal(s.Members.Voters(), 9)
 	for _, m := range s.Members {
 		is.True(m.Addr != lost.addr)
