--- a/sim/invoked_check.go
+++ b/sim/invoked_check.go
@@ -17,41 +17,41 @@
 	"coppercourse/internal/wire"
 )
 
-// InvokedRules are the bounds of the two deployments.
-func InvokedRules(m WorkerRules) Bounds {
-	return Bounds{Start: 3 * time.Second, Run: 3*time.Second + m.Stop, Early: 250 * time.Millisecond, Leave: 2 * time.Second, Alone: m.Gang,
-		Table: 2 * time.Second, Settled: true, Touch: 3 * time.Second, Seen: 3 * time.Second, Idle: 3 * time.Second,
-		Back: 250 * time.Millisecond, Jump: 5 * time.Second}
+// InvokedBounds are the bounds of the two deployments.
+func InvokedBounds(m WorkerRules) Bounds {
+	return Bounds{StartAfterCancel: 3 * time.Second, RunAfterCancel: 3*time.Second + m.MaxStopTime, StartEarly: 250 * time.Millisecond, StartAfterLeaving: 2 * time.Second, GangIncomplete: m.GangTimeout,
+		TableLag: 2 * time.Second, AllJobsEnd: true, FaultAftermath: 3 * time.Second, JobVisible: 3 * time.Second, IdleWork: 3 * time.Second,
+		TableRegression: 250 * time.Millisecond, ClockJump: 5 * time.Second}
 }
 
 // CheckCalled tells all rules a history breaks, and what chances it had to.
-func CheckInvoked(h *History, b Bounds, end int64) ([]Break, Tally) {
+func CheckInvoked(h *History, b Bounds, end int64) ([]Violation, Coverage) {
 	c := newChecker(h, b, end)
-	if c.on(0, end, func(t faultWindow) bool { return strings.HasPrefix(t.name, "jump") }) {
-		c.b.Early += b.Jump
+	if c.faultDuring(0, end, func(t faultWindow) bool { return strings.HasPrefix(t.name, "jump") }) {
+		c.bounds.StartEarly += b.ClockJump
 	}
-	saves := c.saves()
-	for _, j := range c.sorted() {
+	saves := c.savedCheckpoints()
+	for _, j := range c.sortedJobs() {
 		if j.spec == nil {
-			c.bad("unasked", 0, "an attempt of %s, which nobody sent", j.id)
+			c.violate("unasked", 0, "an attempt of %s, which nobody sent", j.id)
 			continue
 		}
-		c.twice(j)
-		c.tries(j)
-		c.unasked(j, saves)
-		c.order(j)
-		c.place(j)
-		c.alone(j)
-		c.stops(j)
-		c.refused(j)
-		c.answers(j)
+		c.checkOverlap(j)
+		c.checkFailureLimit(j)
+		c.checkUnsolicited(j, saves)
+		c.checkOrder(j)
+		c.checkPlacement(j)
+		c.checkGangWait(j)
+		c.checkCancelBounds(j)
+		c.checkRejected(j)
+		c.checkAnswers(j)
 	}
-	c.room()
-	c.idle()
-	c.tables()
-	c.versions()
-	c.effects()
-	c.invokedChances()
+	c.checkCapacity()
+	c.checkIdle()
+	c.checkTables()
+	c.checkVersions()
+	c.checkTableEffects()
+	c.countInvokedOpportunities()
 	return c.verdict()
 }
 
@@ -62,38 +62,38 @@
 	affected []types.Addr
 }
 
-func (c *checker) troubles() []faultWindow {
-	if c.woes != nil {
-		return c.woes
+func (c *checker) faultWindows() []faultWindow {
+	if c.faults != nil {
+		return c.faults
 	}
-	c.woes = []faultWindow{}
-	for _, h := range c.hist.List {
-		switch h.What {
-		case Trouble:
+	c.faults = []faultWindow{}
+	for _, h := range c.history.Events {
+		switch h.Kind {
+		case FaultStarted:
 			name, long, _ := strings.Cut(h.Text, " for ")
 			d, _ := time.ParseDuration(long)
-			c.woes = append(c.woes, faultWindow{name, h.At, h.At + int64(d), h.Affected})
-		case Healed:
-			for i := range c.woes {
-				c.woes[i].to = min(c.woes[i].to, h.At)
+			c.faults = append(c.faults, faultWindow{name, h.At, h.At + int64(d), h.Affected})
+		case FaultsHealed:
+			for i := range c.faults {
+				c.faults[i].to = min(c.faults[i].to, h.At)
 			}
 		}
 	}
-	return c.woes
+	return c.faults
 }
 
-// on tells whether a trouble of some kind touches a stretch, or did shortly before.
-func (c *checker) on(from, to int64, kind func(faultWindow) bool) bool {
-	for _, t := range c.troubles() {
-		if t.from <= to && t.to+int64(c.b.Touch) >= from && kind(t) {
+// faultDuring tells whether a trouble of some kind touches a stretch, or did shortly before.
+func (c *checker) faultDuring(from, to int64, matches func(faultWindow) bool) bool {
+	for _, t := range c.faultWindows() {
+		if t.from <= to && t.to+int64(c.bounds.FaultAftermath) >= from && matches(t) {
 			return true
 		}
 	}
 	return false
 }
 
-// ours is a trouble of the system's own machines, or of all the world.
-func (f faultWindow) ours(who ...types.Addr) bool {
+// affects is a trouble of the system's own machines, or of all the world.
+func (f faultWindow) affects(who ...types.Addr) bool {
 	if f.affected == nil {
 		return true
 	}
@@ -105,176 +105,176 @@
 	return false
 }
 
-// touched tells whether the machine beside a worker is in touch at a time.
-func (c *checker) touched(shard types.Shard, at int64) bool {
+// inContact tells whether the machine beside a worker is in touch at a time.
+func (c *checker) inContact(shard types.Shard, at int64) bool {
 	w := types.Addr("w" + string(shard[1:]))
-	return !c.on(at, at, func(t faultWindow) bool { return t.ours(w) })
+	return !c.faultDuring(at, at, func(t faultWindow) bool { return t.affects(w) })
 }
 
-// quiet tells that nothing at all was wrong in a stretch.
-func (c *checker) quiet(from, to int64) bool {
-	return !c.on(from, to, func(t faultWindow) bool { return t.affected == nil || len(t.affected) > 0 })
+// faultFree tells that nothing at all was wrong in a stretch.
+func (c *checker) faultFree(from, to int64) bool {
+	return !c.faultDuring(from, to, func(t faultWindow) bool { return t.affected == nil || len(t.affected) > 0 })
 }
 
-const sec = int64(time.Second)
+const second = int64(time.Second)
 
 // twice: no task two times at once, and none again after a good end that was
 // noted. Where a step allows copies, only long after.
-func (c *checker) twice(j *job) {
+func (c *checker) checkOverlap(j *jobHistory) {
 	shown := int64(0)
-	for _, h := range j.sight {
+	for _, h := range j.observations {
 		if h.Stage == state.JobDone && shown == 0 {
 			shown = h.At
 		}
 	}
-	for n, list := range j.spans {
+	for n, list := range j.executions {
 		p := j.spec.Steps[j.spec.StepOf(n)]
 		for i, s := range list {
-			hard := !s.late && c.touched(s.shard, s.from)
-			if shown > 0 && s.from > shown+sec && hard {
-				c.bad("again", s.from, "%v starts %.3f s after its job was shown done", s.attempt, float64(s.from-shown)/1e9)
+			hard := !s.deliveredLate && c.inContact(s.shard, s.startedAt)
+			if shown > 0 && s.startedAt > shown+second && hard {
+				c.violate("again", s.startedAt, "%v starts %.3f s after its job was shown done", s.attempt, float64(s.startedAt-shown)/1e9)
 			}
 			for _, o := range list[:i] {
-				if o.runs(s.from, s.to) && !p.AllowHedge {
-					c.bad("twice", s.from, "%v on %s while %v runs on %s", s.attempt, s.who, o.attempt, o.who)
+				if o.runs(s.startedAt, s.endedAt) && !p.AllowHedge {
+					c.violate("twice", s.startedAt, "%v on %s while %v runs on %s", s.attempt, s.process, o.attempt, o.process)
 				}
 				if o.outcome == state.OutcomeLeaseExpired || o.outcome == state.OutcomeWorkerExited {
-					c.seen["twice: started again after a lapse or a crash"]++
+					c.coverage["twice: started again after a lapse or a crash"]++
 				}
 			}
-			for _, o := range c.peers(j, n, p) {
+			for _, o := range c.gangExecutions(j, n, p) {
 				switch {
-				case o.outcome != state.OutcomeOK || o.to > s.from || o == s:
-				case o.noted == 0:
-					c.seen["again: started after a good end that was never noted"]++
-				case !p.AllowHedge || s.from > o.noted+sec && hard:
-					c.bad("again", s.from, "%v starts although %v ended well at %.3f s, noted at %.3f s", s.attempt, o.attempt, float64(o.to)/1e9, float64(o.noted)/1e9)
+				case o.outcome != state.OutcomeOK || o.endedAt > s.startedAt || o == s:
+				case o.settledAt == 0:
+					c.coverage["again: started after a good end that was never noted"]++
+				case !p.AllowHedge || s.startedAt > o.settledAt+second && hard:
+					c.violate("again", s.startedAt, "%v starts although %v ended well at %.3f s, noted at %.3f s", s.attempt, o.attempt, float64(o.endedAt)/1e9, float64(o.settledAt)/1e9)
 				}
 			}
 		}
 	}
 }
 
-// peers are the attempts of a task, or of all tasks of a joint gang.
-func (c *checker) peers(j *job, n int, p state.Step) (list []*span) {
+// gangExecutions are the attempts of a task, or of all tasks of a joint gang.
+func (c *checker) gangExecutions(j *jobHistory, n int, p state.Step) (list []*execution) {
 	if !p.Joint {
-		return j.spans[n]
+		return j.executions[n]
 	}
 	for i := range p.Tasks {
-		list = append(list, j.spans[types.StageOf(n).TaskNumber(i)]...)
+		list = append(list, j.executions[types.StageOf(n).TaskNumber(i)]...)
 	}
 	return
 }
 
 // tries: no start after as many noted failures as the table allows; those of a
 // gang's members with one number are one.
-func (c *checker) tries(j *job) {
-	for n, list := range j.spans {
+func (c *checker) checkFailureLimit(j *jobHistory) {
+	for n, list := range j.executions {
 		p := j.spec.Steps[j.spec.StepOf(n)]
 		if p.AlwaysRestart {
 			continue
 		}
 		for _, s := range list {
 			failed, last := map[int]bool{}, int64(0)
-			for _, o := range c.peers(j, n, p) {
-				if o.outcome == state.OutcomeFailed && o.to <= s.from && o.noted > 0 && o.attempt.Attempt != s.attempt.Attempt {
-					failed[o.attempt.Attempt], last = true, max(last, o.noted)
+			for _, o := range c.gangExecutions(j, n, p) {
+				if o.outcome == state.OutcomeFailed && o.endedAt <= s.startedAt && o.settledAt > 0 && o.attempt.Attempt != s.attempt.Attempt {
+					failed[o.attempt.Attempt], last = true, max(last, o.settledAt)
 				}
 			}
 			most := 0
-			for _, r := range c.rows(j.spec.Queue, s.from, s.from) {
+			for _, r := range c.rowsInForce(j.spec.Queue, s.startedAt, s.startedAt) {
 				most = max(most, r.MaxFailures)
 			}
-			if len(failed) >= most && (!p.AllowHedge || s.from > last+sec && !s.late && c.touched(s.shard, s.from)) {
-				c.bad("tries", s.from, "%v starts after %d failures, %d allowed", s.attempt, len(failed), most)
+			if len(failed) >= most && (!p.AllowHedge || s.startedAt > last+second && !s.deliveredLate && c.inContact(s.shard, s.startedAt)) {
+				c.violate("tries", s.startedAt, "%v starts after %d failures, %d allowed", s.attempt, len(failed), most)
 			}
 			if len(failed) > 0 {
-				c.seen["tries: started again after a failure"]++
+				c.coverage["tries: started again after a failure"]++
 			}
 			if len(failed) > 0 && len(failed) == most-1 {
-				c.seen["tries: last try allowed"]++
+				c.coverage["tries: last try allowed"]++
 			}
 		}
 	}
 }
 
-// saves lists what each stage's attempts saved, and when.
-func (c *checker) saves() map[string]HistoryEvent {
+// savedCheckpoints lists what each stage's attempts saved, and when.
+func (c *checker) savedCheckpoints() map[string]HistoryEvent {
 	saves := map[string]HistoryEvent{}
-	for _, h := range c.hist.List {
-		if h.What == Saved {
-			saves[h.Ref] = h
+	for _, h := range c.history.Events {
+		if h.Kind == CheckpointSaved {
+			saves[h.Checkpoint] = h
 		}
 	}
 	return saves
 }
 
 // unasked: only what was sent, with its own work, from what its own task saved.
-func (c *checker) unasked(j *job, saves map[string]HistoryEvent) {
-	for n, list := range j.spans {
+func (c *checker) checkUnsolicited(j *jobHistory, saves map[string]HistoryEvent) {
+	for n, list := range j.executions {
 		i := j.spec.StepOf(n)
 		for _, s := range list {
 			if i < 0 {
-				c.bad("unasked", s.from, "%v starts, a task that its job has not", s.attempt)
+				c.violate("unasked", s.startedAt, "%v starts, a task that its job has not", s.attempt)
 				continue
 			}
-			if !same(s.work, j.spec.StepWork(i)) {
-				c.bad("unasked", s.from, "%v starts with other work: %s", s.attempt, s.work)
+			if !sameJSON(s.work, j.spec.StepWork(i)) {
+				c.violate("unasked", s.startedAt, "%v starts with other work: %s", s.attempt, s.work)
 			}
-			if s.from < j.sent {
-				c.bad("unasked", s.from, "%v starts before its job was sent", s.attempt)
+			if s.startedAt < j.submittedAt {
+				c.violate("unasked", s.startedAt, "%v starts before its job was sent", s.attempt)
 			}
-			if s.ref == "" {
+			if s.checkpoint == "" {
 				continue
 			}
-			c.seen["unasked: started from what was saved"]++
-			h, p := saves[s.ref], j.spec.Steps[i]
+			c.coverage["unasked: started from what was saved"]++
+			h, p := saves[s.checkpoint], j.spec.Steps[i]
 			own := h.Attempt.Job == j.id && (h.Attempt.Number == n || p.Joint && types.StageOf(h.Attempt.Number) == types.StageOf(n))
-			if !own || h.At > s.from {
-				c.bad("unasked", s.from, "%v starts from %s, which is not its own", s.attempt, s.ref)
+			if !own || h.At > s.startedAt {
+				c.violate("unasked", s.startedAt, "%v starts from %s, which is not its own", s.attempt, s.checkpoint)
 			}
 		}
 	}
 }
 
-// same tells whether two texts of JSON say the same.
-func same(a, b json.RawMessage) bool {
+// sameJSON tells whether two texts of JSON say the same.
+func sameJSON(a, b json.RawMessage) bool {
 	var x, y bytes.Buffer
 	return json.Compact(&x, a) == nil && json.Compact(&y, b) == nil && x.String() == y.String()
 }
 
 // alone: no member of a gang waits in vain for the others while nothing is wrong.
-func (c *checker) alone(j *job) {
-	for _, list := range j.spans {
+func (c *checker) checkGangWait(j *jobHistory) {
+	for _, list := range j.executions {
 		for _, s := range list {
 			if s.how != wire.EndGangStartTimeout {
 				continue
 			}
-			if c.quiet(s.from-int64(c.b.Alone), s.to) && (j.halt == 0 || s.to < j.halt) {
-				c.bad("alone", s.to, "%v on %s waited for its gang in vain", s.attempt, s.who)
+			if c.faultFree(s.startedAt-int64(c.bounds.GangIncomplete), s.endedAt) && (j.cancelledAt == 0 || s.endedAt < j.cancelledAt) {
+				c.violate("alone", s.endedAt, "%v on %s waited for its gang in vain", s.attempt, s.process)
 			} else {
-				c.seen["alone: waited in vain during a trouble"]++
+				c.coverage["alone: waited in vain during a trouble"]++
 			}
 		}
 	}
 }
 
 // stops: no start and no running past the bounds after an accepted cancel.
-func (c *checker) stops(j *job) {
-	if j.halt == 0 {
+func (c *checker) checkCancelBounds(j *jobHistory) {
+	if j.cancelledAt == 0 {
 		return
 	}
-	for _, list := range j.spans {
+	for _, list := range j.executions {
 		for _, s := range list {
-			if s.from > j.halt+int64(c.b.Start) && !s.late && c.touched(s.shard, s.from) {
-				c.bad("cancel-start", s.from, "%v starts %.3f s after its cancel", s.attempt, float64(s.from-j.halt)/1e9)
+			if s.startedAt > j.cancelledAt+int64(c.bounds.StartAfterCancel) && !s.deliveredLate && c.inContact(s.shard, s.startedAt) {
+				c.violate("cancel-start", s.startedAt, "%v starts %.3f s after its cancel", s.attempt, float64(s.startedAt-j.cancelledAt)/1e9)
 			}
-			if !s.runs(j.halt, c.end) {
+			if !s.runs(j.cancelledAt, c.end) {
 				continue
 			}
-			c.seen["cancel: hit a running attempt"]++
-			if late := j.halt + int64(c.b.Run); s.runs(late, c.end) && !s.late && c.quiet(j.halt, late) {
-				c.bad("cancel-run", s.to, "%v runs %.3f s after its cancel", s.attempt, float64(s.to-j.halt)/1e9)
+			c.coverage["cancel: hit a running attempt"]++
+			if late := j.cancelledAt + int64(c.bounds.RunAfterCancel); s.runs(late, c.end) && !s.deliveredLate && c.faultFree(j.cancelledAt, late) {
+				c.violate("cancel-run", s.endedAt, "%v runs %.3f s after its cancel", s.attempt, float64(s.endedAt-j.cancelledAt)/1e9)
 			}
 		}
 	}
--- a/sim/invoked_faults.go
+++ b/sim/invoked_faults.go
@@ -14,59 +14,59 @@
 // anyInvokedWorker is a worker that is up, or nil.
 func (r *Run) anyInvokedWorker() *invokedNode {
 	k := pickOne(r.random, r.invokedWorkers)
-	if k.w == nil {
+	if k.worker == nil {
 		return nil
 	}
 	return k
 }
 
-// onWorker has a fault of one worker begin and end.
-func onWorker(begin, end func(r *Run, k *invokedNode)) Fault {
+// workerFault has a fault of one worker begin and end.
+func workerFault(begin, end func(r *Run, k *invokedNode)) Fault {
 	return func(r *Run, _ time.Duration) func() {
 		k := r.anyInvokedWorker()
 		if k == nil {
 			return nil
 		}
-		r.affects(k.node.addr)
-		gen := k.gen
+		r.markAffected(k.node.addr)
+		gen := k.incarnation
 		begin(r, k)
 		return func() {
-			if k.gen == gen && k.w != nil {
+			if k.incarnation == gen && k.worker != nil {
 				end(r, k)
 			}
 		}
 	}
 }
 
-// crash ends a worker's process; it returns, or never does.
-func crash(refuses, never bool) Fault {
+// crashFault ends a worker's process; it returns, or never does.
+func crashFault(refuses, never bool) Fault {
 	return func(r *Run, _ time.Duration) func() {
 		k := r.anyInvokedWorker()
 		if k == nil {
 			return nil
 		}
-		r.affects(k.node.addr)
+		r.markAffected(k.node.addr)
 		k.kill(refuses)
 		return func() {
-			if k.w == nil && !never {
+			if k.worker == nil && !never {
 				k.boot()
 			}
 		}
 	}
 }
 
-// departing has a worker leave within some time, another come in its place later.
-func departing(notice func(*Run, time.Duration) time.Duration) Fault {
+// departureFault has a worker leave within some time, another come in its place later.
+func departureFault(notice func(*Run, time.Duration) time.Duration) Fault {
 	return func(r *Run, long time.Duration) func() {
 		k := r.anyInvokedWorker()
-		if k == nil || k.goes != 0 {
+		if k == nil || k.departsAt != 0 {
 			return nil
 		}
-		r.affects(k.node.addr)
+		r.markAffected(k.node.addr)
 		k.leave(notice(r, long))
 		return func() {
-			r.at(4*time.Second, func() {
-				if k.w == nil {
+			r.after(4*time.Second, func() {
+				if k.worker == nil {
 					k.boot()
 				}
 			})
@@ -76,87 +76,87 @@
 
 // InvokedFaults is the table.
 var InvokedFaults = map[string]Fault{
-	"crash-silent":  crash(false, false),
-	"crash-refuse":  crash(true, false),
-	"crash-forever": crash(false, true),
-	"sick-worker":   onWorker(func(r *Run, k *invokedNode) { k.w.Sick = true }, func(_ *Run, k *invokedNode) { k.w.Sick = false }),
-	"still-worker":  onWorker(func(r *Run, k *invokedNode) { k.w.Still = true }, func(_ *Run, k *invokedNode) { k.w.Still = false }),
-	"hang-worker":   onWorker(func(r *Run, k *invokedNode) { k.hangs = true }, func(_ *Run, k *invokedNode) { k.hangs = false }),
-	"late-beats":    onWorker(func(r *Run, k *invokedNode) { k.lag = 0.5 }, func(_ *Run, k *invokedNode) { k.lag = 0 }),
+	"crash-silent":  crashFault(false, false),
+	"crash-refuse":  crashFault(true, false),
+	"crash-forever": crashFault(false, true),
+	"sick-worker":   workerFault(func(r *Run, k *invokedNode) { k.worker.Unhealthy = true }, func(_ *Run, k *invokedNode) { k.worker.Unhealthy = false }),
+	"still-worker":  workerFault(func(r *Run, k *invokedNode) { k.worker.Stalled = true }, func(_ *Run, k *invokedNode) { k.worker.Stalled = false }),
+	"hang-worker":   workerFault(func(r *Run, k *invokedNode) { k.hangs = true }, func(_ *Run, k *invokedNode) { k.hangs = false }),
+	"late-beats":    workerFault(func(r *Run, k *invokedNode) { k.lateHeartbeatRate = 0.5 }, func(_ *Run, k *invokedNode) { k.lateHeartbeatRate = 0 }),
 	"late-orders": func(r *Run, _ time.Duration) func() {
 		for _, k := range r.invokedWorkers {
-			k.lates = 0.055
-			r.affects(k.node.addr)
+			k.lateCallRate = 0.055
+			r.markAffected(k.node.addr)
 		}
 		return func() {
 			for _, k := range r.invokedWorkers {
-				k.lates = 0
+				k.lateCallRate = 0
 			}
 		}
 	},
-	"late-worker":   onWorker(func(r *Run, k *invokedNode) { k.lates = 0.4 }, func(_ *Run, k *invokedNode) { k.lates = 0 }),
-	"notice-worker": departing(func(_ *Run, long time.Duration) time.Duration { return 2*time.Second + long }),
-	"spot-worker": departing(func(r *Run, _ time.Duration) time.Duration {
+	"late-worker":   workerFault(func(r *Run, k *invokedNode) { k.lateCallRate = 0.4 }, func(_ *Run, k *invokedNode) { k.lateCallRate = 0 }),
+	"notice-worker": departureFault(func(_ *Run, long time.Duration) time.Duration { return 2*time.Second + long }),
+	"spot-worker": departureFault(func(r *Run, _ time.Duration) time.Duration {
 		return time.Duration(1+r.random.Intn(2000)) * time.Millisecond
 	}),
 
-	"kill-worker":    crash(true, false),
-	"slow-worker":    onWorker(func(_ *Run, k *invokedNode) { k.w.Slow = 6.5 }, func(_ *Run, k *invokedNode) { k.w.Slow = max(1, k.make.Slow) }),
-	"failing-worker": onWorker(func(_ *Run, k *invokedNode) { k.w.Fails = 0.4 }, func(_ *Run, k *invokedNode) { k.w.Fails = k.make.Fails }),
-	"cut-worker": cutter(true, func(r *Run) ([]types.Addr, []types.Addr) {
-		return isolated(r, pickOne(r.random, r.invokedWorkers).node)
+	"kill-worker":    crashFault(true, false),
+	"slow-worker":    workerFault(func(_ *Run, k *invokedNode) { k.worker.Slow = 6.5 }, func(_ *Run, k *invokedNode) { k.worker.Slow = max(1, k.spec.Slow) }),
+	"failing-worker": workerFault(func(_ *Run, k *invokedNode) { k.worker.Fails = 0.4 }, func(_ *Run, k *invokedNode) { k.worker.Fails = k.spec.Fails }),
+	"cut-worker": partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) {
+		return separatedFromAll(r, pickOne(r.random, r.invokedWorkers).node)
 	}),
-	"cut-worker-in": cutter(false, func(r *Run) ([]types.Addr, []types.Addr) {
-		a, b := isolated(r, pickOne(r.random, r.invokedWorkers).node)
+	"cut-worker-in": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) {
+		a, b := separatedFromAll(r, pickOne(r.random, r.invokedWorkers).node)
 		return b, a
 	}),
-	"cut-worker-out": cutter(false, func(r *Run) ([]types.Addr, []types.Addr) {
-		return isolated(r, pickOne(r.random, r.invokedWorkers).node)
+	"cut-worker-out": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) {
+		return separatedFromAll(r, pickOne(r.random, r.invokedWorkers).node)
 	}),
 	"kill-machine": func(r *Run, _ time.Duration) func() {
 		i := r.random.Intn(len(r.invokedWorkers))
 		k, n := r.invokedWorkers[i], r.agents[i]
-		r.affects(k.node.addr, n.addr)
+		r.markAffected(k.node.addr, n.addr)
 		k.kill(false)
 		n.kill()
 		return func() {
-			if k.w == nil {
+			if k.worker == nil {
 				k.boot()
 			}
-			if n.m == nil {
+			if n.machine == nil {
 				n.boot()
 			}
 		}
 	},
 	"restart-agent": func(r *Run, long time.Duration) func() {
 		n := pickOne(r.random, r.agents)
-		if n.m == nil || n.frozen {
+		if n.machine == nil || n.frozen {
 			return nil
 		}
-		r.affects(n.addr)
+		r.markAffected(n.addr)
 		again := func() {
 			n.kill()
-			r.at(time.Duration(50+r.random.Intn(800))*time.Millisecond, func() {
-				if n.m == nil {
+			r.after(time.Duration(50+r.random.Intn(800))*time.Millisecond, func() {
+				if n.machine == nil {
 					n.boot()
 				}
 			})
 		}
 		again()
-		r.at(long/2, again)
+		r.after(long/2, again)
 		return func() {}
 	},
 	"drain-worker": func(r *Run, long time.Duration) func() {
-		name := "workers/" + string(pickOne(r.random, r.invokedWorkers).make.Shard)
-		if r.drains[name] {
+		name := "workers/" + string(pickOne(r.random, r.invokedWorkers).spec.Shard)
+		if r.drained[name] {
 			return nil
 		}
-		r.drains[name], r.affected = true, []types.Addr{}
+		r.drained[name], r.affected = true, []types.Addr{}
 		acked, over := false, false
 		undo := func() {
-			r.Clients.order("drain.drop", name, nil, 0, func() { delete(r.drains, name) })
+			r.Clients.requestAsOperator("drain.drop", name, nil, 0, func() { delete(r.drained, name) })
 		}
-		r.Clients.order("drain.put", name, wire.EncodeBody(config.Drain{WithinMillis: r.random.Intn(3) * 1000}), 0, func() {
+		r.Clients.requestAsOperator("drain.put", name, wire.EncodeBody(config.Drain{WithinMillis: r.random.Intn(3) * 1000}), 0, func() {
 			if acked = true; over {
 				undo()
 			}
--- a/sim/invoked_planted_test.go
+++ b/sim/invoked_planted_test.go
@@ -18,7 +18,7 @@
 	"coppercourse/internal/wire"
 )
 
-func onBeat(f func(*wire.WorkerHeartbeat)) func(*Run) {
+func onHeartbeat(f func(*wire.WorkerHeartbeat)) func(*Run) {
 	return func(r *Run) {
 		r.TamperRequest = func(verb string, b *json.RawMessage) {
 			if verb == "beat" {
@@ -72,7 +72,7 @@
 	})
 }
 
-var plantedCalled = []struct {
+var plantedInvokedBugs = []struct {
 	name   string
 	faults []string
 	rules  []string
@@ -81,22 +81,22 @@
 }{
 	{"workers run on without a lease", []string{"cut-agent", "freeze-agent"}, []string{"twice"}, false, func(r *Run) {
 		for _, k := range r.invokedWorkers {
-			k.wild = true
+			k.ignoresLease = true
 		}
 	}},
 	{"workers heed no fence", []string{"late-worker", "restart-agent"}, []string{"twice"}, false, func(r *Run) {
 		for _, k := range r.invokedWorkers {
-			k.rash = true
+			k.ignoresFence = true
 		}
 	}},
 	{"good ends told as lapsed", nil, []string{"again"}, false, onEnd(wire.EndSucceeded, wire.EndLeaseExpired)},
 	{"failures told as stops", nil, []string{"tries"}, false, onEnd(wire.EndFailed, wire.EndStopped)},
-	{"workers say that they are larger", nil, []string{"room"}, true, onBeat(func(b *wire.WorkerHeartbeat) { b.Capacity = b.Capacity.Scale(10) })},
+	{"workers say that they are larger", nil, []string{"room"}, true, onHeartbeat(func(b *wire.WorkerHeartbeat) { b.Capacity = b.Capacity.Scale(10) })},
 	{"a worker says that it serves what it does not", nil, []string{"service"}, false, func(r *Run) {
-		r.invokedWorkers[3].make.Kinds = []types.ServiceKind{"other"}
-		onBeat(func(b *wire.WorkerHeartbeat) { b.Kinds = []types.ServiceKind{"work"} })(r)
+		r.invokedWorkers[3].spec.Kinds = []types.ServiceKind{"other"}
+		onHeartbeat(func(b *wire.WorkerHeartbeat) { b.Kinds = []types.ServiceKind{"work"} })(r)
 	}},
-	{"workers say that they have all labels", nil, []string{"label"}, false, onBeat(func(b *wire.WorkerHeartbeat) { b.Labels = []string{"a", "b"} })},
+	{"workers say that they have all labels", nil, []string{"label"}, false, onHeartbeat(func(b *wire.WorkerHeartbeat) { b.Labels = []string{"a", "b"} })},
 	{"spread is forgotten", nil, []string{"spread"}, false, onJob(func(s *state.Step) { s.MaxPerWorker = 0 })},
 	{"dependencies are forgotten", nil, []string{"order"}, false, onJob(func(s *state.Step) { s.DependsOn = nil })},
 	{"times are forgotten", nil, []string{"early"}, false, onSpec(func(s *state.Spec) {
@@ -105,12 +105,12 @@
 		}
 	})},
 	{"starts get lost, and stops", nil, []string{"alone"}, false, func(r *Run) {
-		mute(wire.KillTask)(r)
+		dropMessages(wire.KillTask)(r)
 		onStart(10, func(c *wire.WorkerCall) { c.Addr = "nowhere" })(r)
 	}},
 	{"other work is started", nil, []string{"unasked"}, false, onStart(20, func(c *wire.WorkerCall) { c.Input = []byte(`{"ms":7}`) })},
 	{"work goes on from what another saved", []string{"drain-worker", "notice-worker", "drain-rack"}, []string{"unasked"}, false, func(r *Run) {
-		r.Clients.deployment.Streams[1].Every /= 4 // more of the long jobs, of which some save their progress
+		r.Clients.deployment.Streams[1].MeanInterval /= 4 // more of the long jobs, of which some save their progress
 		onStart(1, func(c *wire.WorkerCall) {
 			if c.Checkpoint != "" {
 				c.Checkpoint = "0123456789abcdef"
@@ -120,7 +120,7 @@
 	{"what nobody sent is started", nil, []string{"unasked"}, false, onStart(50, func(c *wire.WorkerCall) { c.Attempt.Job = "ghost" })},
 	{"cancels are answered and not taken", nil, []string{"cancel-start", "cancel-run"}, false, func(r *Run) {
 		for i := range r.Clients.deployment.Streams {
-			r.Clients.deployment.Streams[i].Cancel, r.Clients.deployment.Streams[i].Within = 0.5, 500*time.Millisecond
+			r.Clients.deployment.Streams[i].CancelRate, r.Clients.deployment.Streams[i].CancelWithin = 0.5, 500*time.Millisecond
 		}
 		onMessage(wire.ForwardRequest, func(c *wire.ForwardedRequest) {
 			if c.Verb == "job.cancel" {
@@ -131,7 +131,7 @@
 	{"what was taken is answered as not taken", nil, []string{"refused"}, false, onAnswer("job.put", func(a *wire.Response) {
 		*a = wire.Response{Error: apierror.New(apierror.QueueFull, "queue", "")}
 	})},
-	{"nobody hears that a worker leaves", []string{"notice-worker"}, []string{"leaving"}, false, onBeat(func(b *wire.WorkerHeartbeat) { b.Draining, b.DepartsInMS = false, 0 })},
+	{"nobody hears that a worker leaves", []string{"notice-worker"}, []string{"leaving"}, false, onHeartbeat(func(b *wire.WorkerHeartbeat) { b.Draining, b.DepartsInMS = false, 0 })},
 	{"open jobs shown done", nil, []string{"shown"}, false, onAnswer("job.get", func(a *wire.Response) {
 		if a.Error == nil {
 			alter(&a.Body, func(v *map[string]any) { (*v)["state"] = "done" })
@@ -145,7 +145,7 @@
 	{"jobs denied after acceptance", nil, []string{"forgotten"}, false, onAnswer("job.get", func(a *wire.Response) {
 		*a = wire.Response{Error: apierror.New(apierror.NoSuchJob, "id", "")}
 	})},
-	{"orders get lost", nil, []string{"idle"}, false, func(r *Run) { r.at(8*time.Second, func() { mute(wire.RunTask)(r) }) }},
+	{"orders get lost", nil, []string{"idle"}, false, func(r *Run) { r.after(8*time.Second, func() { dropMessages(wire.RunTask)(r) }) }},
 	{"doors know no queue that came", nil, []string{"table"}, false, onAnswer("queue.count", func(a *wire.Response) {
 		*a = wire.Response{Error: apierror.New(apierror.NoSuchQueue, "queue", "")}
 	})},
@@ -168,7 +168,7 @@
 	if testing.Short() {
 		t.Skip("run without the race detector")
 	}
-	for _, p := range plantedCalled {
+	for _, p := range plantedInvokedBugs {
 		t.Run(p.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
@@ -179,15 +179,15 @@
 			for seed := int64(77); seed < 83 && need(); seed++ {
 				plan := Plan{Seed: seed, Deployment: "kingston-called", Unguarded: p.bare, Faults: p.faults, Before: 6 * time.Second, Settle: 12 * time.Second, Patience: 5 * time.Second}
 				if p.faults != nil {
-					plan.Count, plan.FaultsFor = 6, 10*time.Second
+					plan.FaultCount, plan.FaultsFor = 6, 10*time.Second
 				}
-				r := Build(plan)
+				r := New(plan)
 				r.Clients.deployment.Streams = slices.Clone(r.Clients.deployment.Streams)
 				p.plant(r)
-				for _, b := range r.Go().Verdict().Breaks {
+				for _, b := range r.Execute().Verdict().Violations {
 					got[b.Rule] = true
 				}
-				t.Log(seed, got, Summary(&r.Hist))
+				t.Log(seed, got, Summary(&r.History))
 			}
 			for _, rule := range p.rules {
 				is.True(got[rule]) // the rule must be seen broken
@@ -210,13 +210,13 @@
 		}
 		for _, x := range []config.Table{old, next} {
 			got := x.Accepted()
-			add(int64(x.RequestedVersion)*1000, HistoryEvent{What: TableTry, Table: &x})
-			add(int64(x.RequestedVersion)*1000+10, HistoryEvent{What: TableAck, Table: &got, Text: "x"})
+			add(int64(x.RequestedVersion)*1000, HistoryEvent{Kind: TableSubmitted, Table: &x})
+			add(int64(x.RequestedVersion)*1000+10, HistoryEvent{Kind: TableAcknowledged, Table: &got, Text: "x"})
 		}
-		add(7100, HistoryEvent{What: Counted, Who: "g1.1", Job: "idle-2", Stage: "there", Text: "7090000000"})
-		add(7900, HistoryEvent{What: Counted, Who: who, Job: "idle-1", Stage: "there", Text: "7800000000"})
+		add(7100, HistoryEvent{Kind: QueueCounted, Process: "g1.1", Job: "idle-2", Stage: "there", Text: "7090000000"})
+		add(7900, HistoryEvent{Kind: QueueCounted, Process: who, Job: "idle-1", Stage: "there", Text: "7800000000"})
 		n := 0
-		for _, b := range first(CheckInvoked(h, InvokedRules(*Deployments["kingston-called"].WorkerRules), 20e9)) {
+		for _, b := range first(CheckInvoked(h, InvokedBounds(*Deployments["kingston-called"].WorkerRules), 20e9)) {
 			if b.Rule == "back" {
 				n++
 			}
@@ -225,4 +225,4 @@
 	}
 }
 
-func first(b []Break, _ Tally) []Break { return b }
+func first(b []Violation, _ Coverage) []Violation { return b }
--- a/sim/invoked_test.go
+++ b/sim/invoked_test.go
@@ -17,14 +17,14 @@
 	"coppercourse/internal/wire"
 )
 
-// calm is a day without faults in a deployment whose workers are invoked.
-func calm(seed int64, deployment string, bare bool) Plan {
+// calmPlan is a day without faults in a deployment whose workers are invoked.
+func calmPlan(seed int64, deployment string, bare bool) Plan {
 	return Plan{Seed: seed, Deployment: deployment, Unguarded: bare, Before: 14 * time.Second, After: 4 * time.Second, Settle: 40 * time.Second, Patience: 5 * time.Second}
 }
 
-// brief is a few faults of some kinds, and no more time after them than all needs to end.
-func brief(seed int64, deployment string, count int, faults ...string) Plan {
-	return Plan{Seed: seed, Deployment: deployment, Unguarded: seed%2 == 0, Faults: faults, Count: count, Before: 3 * time.Second, FaultsFor: 9 * time.Second, After: 3 * time.Second,
+// briefPlan is a few faults of some kinds, and no more time after them than all needs to end.
+func briefPlan(seed int64, deployment string, count int, faults ...string) Plan {
+	return Plan{Seed: seed, Deployment: deployment, Unguarded: seed%2 == 0, Faults: faults, FaultCount: count, Before: 3 * time.Second, FaultsFor: 9 * time.Second, After: 3 * time.Second,
 		Settle: 45 * time.Second, Patience: 5 * time.Second}
 }
 
@@ -33,33 +33,33 @@
 		t.Run(deployment, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			r := Build(calm(int64(1+i), deployment, i == 1)).Go()
-			for _, b := range r.Verdict().Breaks {
+			r := New(calmPlan(int64(1+i), deployment, i == 1)).Execute()
+			for _, b := range r.Verdict().Violations {
 				t.Error(b)
 			}
 			n, hows, last := map[EventKind]int{}, map[wire.EndReason]int{}, map[string]state.JobStatus{}
-			for _, h := range r.Hist.List {
-				n[h.What]++
-				switch h.What {
-				case Ended:
+			for _, h := range r.History.Events {
+				n[h.Kind]++
+				switch h.Kind {
+				case AttemptEnded:
 					hows[h.How]++
-				case Saw:
+				case JobObserved:
 					last[string(h.Job)] = h.Stage
 				}
 			}
-			t.Log(Summary(&r.Hist), hows)
-			is.True(n[Started] > 1000) // enough to tell; which jobs are drawn shifts with every message
-			is.Equal(n[Denied], 0)
-			is.Equal(n[Noted], n[Started]) // every end is settled, and in time
+			t.Log(Summary(&r.History), hows)
+			is.True(n[AttemptStarted] > 1000) // enough to tell; which jobs are drawn shifts with every message
+			is.Equal(n[JobDenied], 0)
+			is.Equal(n[EndSettled], n[AttemptStarted]) // every end is settled, and in time
 			is.Equal(hows[wire.EndLeaseExpired]+hows[wire.EndGangStartTimeout], 0)
-			is.True(n[Working] > 0)
+			is.True(n[GangAssembled] > 0)
 			for id, s := range last {
 				if s == state.JobOpen || s == state.JobEnding {
 					t.Error(id, s)
 				}
 			}
 			for _, w := range r.agents {
-				is.Equal(w.m.(*agent.Agent).Status().Executor.Lease.Counters.Lives, uint64(1))
+				is.Equal(w.machine.(*agent.Agent).Status().Executor.Lease.Counters.Lives, uint64(1))
 			}
 		})
 	}
@@ -72,12 +72,12 @@
 	for i, name := range FaultsOf("romania-called") {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			clean(t, brief(int64(300+i), []string{"kingston-called", "romania-called"}[i/2%2], 3, name))
+			runWithoutViolations(t, briefPlan(int64(300+i), []string{"kingston-called", "romania-called"}[i/2%2], 3, name))
 		})
 	}
 }
 
-var ledgerCalled = []struct {
+var invokedCoverageCases = []struct {
 	rule    string
 	faults  []string
 	tries   int // how often callers send a job again; -1 is never, 0 the usual
@@ -110,29 +110,29 @@
 	if testing.Short() {
 		t.Skip("run without the race detector")
 	}
-	for i, c := range ledgerCalled {
+	for i, c := range invokedCoverageCases {
 		t.Run(c.rule, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			seen := Tally{}
+			seen := Coverage{}
 			need := func() bool {
 				return slices.ContainsFunc(c.chances, func(name string) bool { return seen[name] == 0 })
 			}
-			for seed := int64(0); seed < enough && need(); seed++ {
-				r := Build(brief(700+10*int64(i)+seed, []string{"kingston-called", "romania-called"}[seed%2], 6, c.faults...))
+			for seed := int64(0); seed < maxSeeds && need(); seed++ {
+				r := New(briefPlan(700+10*int64(i)+seed, []string{"kingston-called", "romania-called"}[seed%2], 6, c.faults...))
 				if c.long { // more of the long jobs, of which some save their progress and more are cancelled
 					r.Clients.deployment.Streams = slices.Clone(r.Clients.deployment.Streams)
-					r.Clients.deployment.Streams[1].Every /= 4
-					r.Clients.deployment.Streams[1].Cancel = 0.4
+					r.Clients.deployment.Streams[1].MeanInterval /= 4
+					r.Clients.deployment.Streams[1].CancelRate = 0.4
 				}
 				if c.tries != 0 {
-					r.Clients.Tries = max(0, c.tries)
+					r.Clients.MaxRetries = max(0, c.tries)
 				}
-				v := r.Go().Verdict()
-				for _, b := range v.Breaks {
+				v := r.Execute().Verdict()
+				for _, b := range v.Violations {
 					t.Error(r.Plan.Seed, b)
 				}
-				seen.Add(v.Seen)
+				seen.Add(v.Coverage)
 			}
 			for _, name := range c.chances {
 				t.Log(seen[name], name)
@@ -142,20 +142,20 @@
 	}
 }
 
-// ofGangs is a deployment of nothing but gangs, in which something goes wrong from 5 s on.
-func ofGangs(seed int64, how func(*Run)) *Run {
-	r := Build(calm(seed, "kingston-called", false))
+// newGangRun is a deployment of nothing but gangs, in which something goes wrong from 5 s on.
+func newGangRun(seed int64, how func(*Run)) *Run {
+	r := New(calmPlan(seed, "kingston-called", false))
 	r.Clients.deployment.Streams = slices.Clone(r.Clients.deployment.Streams[:1])
-	x := shape{queue: "quotes", steps: 1, width: 6, ms: 900, cores: 3, memory: 900, gangs: 1}
-	r.Clients.deployment.Streams[0].Every = 120 * time.Millisecond
-	r.Clients.deployment.Streams[0].Spec = func(rnd *rand.Rand, now int64) state.Spec { return x.spec(rnd, now, 16) }
-	r.at(5*time.Second, func() { how(r) })
+	x := shape{queue: "quotes", steps: 1, tasks: 6, taskMS: 900, cores: 3, memory: 900, gangRate: 1}
+	r.Clients.deployment.Streams[0].MeanInterval = 120 * time.Millisecond
+	r.Clients.deployment.Streams[0].NewSpec = func(rnd *rand.Rand, now int64) state.Spec { return x.spec(rnd, now, 16) }
+	r.after(5*time.Second, func() { how(r) })
 	return r
 }
 
-// boasts has one worker tell three times the room that it has.
-func boasts(r *Run) {
-	onBeat(func(b *wire.WorkerHeartbeat) {
+// exaggerateCapacity has one worker tell three times the room that it has.
+func exaggerateCapacity(r *Run) {
+	onHeartbeat(func(b *wire.WorkerHeartbeat) {
 		if b.Addr == r.invokedWorkers[4].node.addr {
 			b.Capacity = b.Capacity.Scale(3)
 		}
@@ -170,23 +170,23 @@
 	}
 	for seed := int64(40); seed < 44; seed++ {
 		is := is.New(t)
-		r := ofGangs(seed, boasts).Go()
+		r := newGangRun(seed, exaggerateCapacity).Execute()
 		full, started, orders := 0, 0, uint64(0)
-		for _, h := range r.Hist.List {
-			switch h.What {
-			case Spared:
+		for _, h := range r.History.Events {
+			switch h.Kind {
+			case AttemptRejected:
 				full++
-			case Started:
+			case AttemptStarted:
 				started++
 			}
 		}
 		for _, n := range r.controllers {
-			orders += n.m.(*controller.Controller).Counters.Orders
+			orders += n.machine.(*controller.Controller).Counters.Orders
 		}
-		t.Logf("%d: %d orders, %d starts, %d turned away; %s", seed, orders, started, full, Summary(&r.Hist))
+		t.Logf("%d: %d orders, %d starts, %d turned away; %s", seed, orders, started, full, Summary(&r.History))
 		is.True(full > 0)
 		is.True(int(orders)-started < 50)
-		for _, b := range r.Verdict().Breaks {
+		for _, b := range r.Verdict().Violations {
 			t.Error(seed, b)
 		}
 	}
@@ -199,26 +199,26 @@
 		t.Skip("run without the race detector")
 	}
 	for name, how := range map[string]func(*Run){
-		"sick":      func(r *Run) { r.invokedWorkers[2].w.Sick = true },
-		"too small": boasts,
+		"sick":      func(r *Run) { r.invokedWorkers[2].worker.Unhealthy = true },
+		"too small": exaggerateCapacity,
 		"no answers": func(r *Run) {
 			for _, k := range r.invokedWorkers {
-				k.lates = 0.1
+				k.lateCallRate = 0.1
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			r := ofGangs(40, how).Go()
+			r := newGangRun(40, how).Execute()
 			waits, again, longest := map[types.AttemptID]int64{}, 0, int64(0)
-			for _, h := range r.Hist.List {
-				switch h.What {
-				case Started:
+			for _, h := range r.History.Events {
+				switch h.Kind {
+				case AttemptStarted:
 					waits[h.Attempt] = h.At
-				case Working:
+				case GangAssembled:
 					delete(waits, h.Attempt)
-				case Ended:
+				case AttemptEnded:
 					is.True(h.How != wire.EndGangStartTimeout)
 					if at, ok := waits[h.Attempt]; ok {
 						again++
@@ -226,9 +226,9 @@
 					}
 				}
 			}
-			t.Logf("%d members were stopped before their gang was whole, after %.3f s at most; %s", again, float64(longest)/1e9, Summary(&r.Hist))
+			t.Logf("%d members were stopped before their gang was whole, after %.3f s at most; %s", again, float64(longest)/1e9, Summary(&r.History))
 			is.True(again > 0)
-			for _, b := range r.Verdict().Breaks {
+			for _, b := range r.Verdict().Violations {
 				t.Error(b)
 			}
 		})
--- a/sim/invoked_worker.go
+++ b/sim/invoked_worker.go
@@ -18,235 +18,235 @@
 // InvokedWorker is one process of such a worker.
 type InvokedWorker struct {
 	WorkerSpec
-	ID    types.ID
-	Still bool // what runs gets no further, but calls are answered
-	Sick  bool // it turns all starts away and says so
-	Lax   bool // a start is late only when the lease is over, not when its own time is
-	Wild  bool // a planted bug: runs on without a lease
-	Rash  bool // a planted bug: heeds no fence
-
-	environment *WorkerEnvironment
-	rnd         *rand.Rand
-	tell        func(HistoryEvent)
-	time        func() types.MonoTime
-	born        types.MonoTime
-	first       int64   // what its clock read at its birth
-	pace        float64 // of its clock
-	late        bool    // the call at hand is carried out late
-	lease       int64   // when that ends, on its clock; 0 is none
-	fence       uint64
-	n           uint64
-	seen        uint64
-	runs        map[types.AttemptID]*attempt
-	shut        map[types.TaskID]int
-	ends        []invokedEnd
-	waits       []waitingHold
+	ID               types.ID
+	Stalled          bool // what runs gets no further, but calls are answered
+	Unhealthy        bool // it turns all starts away and says so
+	StartsUnderLease bool // a start is late only when the lease is over, not when its own time is
+	IgnoresLease     bool // a planted bug: runs on without a lease
+	IgnoresFence     bool // a planted bug: heeds no fence
+
+	environment     *WorkerEnvironment
+	random          *rand.Rand
+	recordEvent     func(HistoryEvent)
+	now             func() types.MonoTime
+	startedAt       types.MonoTime
+	clockStart      int64   // what its clock read at its birth
+	clockRate       float64 // of its clock
+	deliveredLate   bool    // the call at hand is carried out late
+	leaseEnd        int64   // when that ends, on its clock; 0 is none
+	fencingToken    uint64
+	lastEndNumber   uint64
+	seen            uint64
+	running         map[types.AttemptID]*attempt
+	lastClosed      map[types.TaskID]int
+	unsettledEnds   []invokedEnd
+	pendingRenewals []pendingRenewal
 }
 
 // invokedEnd is an end not yet settled; it is void once the lease has lapsed.
 type invokedEnd struct {
 	wire.EndedAttempt
-	void bool
+	lapsed bool
 }
 
-// waitingHold is a hold that is answered when something ends, or at a time.
-type waitingHold struct {
-	call  wire.WorkerCall
-	until types.MonoTime
-	reply func(wire.WorkerReply)
+// pendingRenewal is a hold that is answered when something ends, or at a time.
+type pendingRenewal struct {
+	call     wire.WorkerCall
+	deadline types.MonoTime
+	reply    func(wire.WorkerReply)
 }
 
 // ends that one answer lists at most.
-const listed = 500
+const maxListedEnds = 500
 
 // NewInvokedWorker starts a worker process. Its clock is up to 2% slow and begins
 // anywhere.
-func NewInvokedWorker(m WorkerSpec, id types.ID, environment *WorkerEnvironment, rnd *rand.Rand, time func() types.MonoTime, tell func(HistoryEvent)) *InvokedWorker {
-	if m.Slow == 0 {
-		m.Slow = 1
+func NewInvokedWorker(spec WorkerSpec, id types.ID, environment *WorkerEnvironment, random *rand.Rand, now func() types.MonoTime, record func(HistoryEvent)) *InvokedWorker {
+	if spec.Slow == 0 {
+		spec.Slow = 1
 	}
-	return &InvokedWorker{WorkerSpec: m, ID: id, Lax: rnd.Intn(2) == 0, environment: environment, rnd: rnd, tell: tell, time: time, born: time(), first: 1 + rnd.Int63n(1<<40),
-		pace: 1 - 0.02*rnd.Float64(), runs: map[types.AttemptID]*attempt{}, shut: map[types.TaskID]int{}}
+	return &InvokedWorker{WorkerSpec: spec, ID: id, StartsUnderLease: random.Intn(2) == 0, environment: environment, random: random, recordEvent: record, now: now, startedAt: now(), clockStart: 1 + random.Int63n(1<<40),
+		clockRate: 1 - 0.02*random.Float64(), running: map[types.AttemptID]*attempt{}, lastClosed: map[types.TaskID]int{}}
 }
 
 // Clock is what the worker's own clock reads.
 func (iw *InvokedWorker) Clock() int64 {
-	return iw.first + int64(iw.pace*float64(iw.time().Sub(iw.born).Microseconds())/1000)
+	return iw.clockStart + int64(iw.clockRate*float64(iw.now().Sub(iw.startedAt).Microseconds())/1000)
 }
 
-// over tells whether the lease has ended.
-func (iw *InvokedWorker) over() bool { return !iw.Wild && iw.Clock() >= iw.lease }
+// leaseExpired tells whether the lease has ended.
+func (iw *InvokedWorker) leaseExpired() bool { return !iw.IgnoresLease && iw.Clock() >= iw.leaseEnd }
 
-func (iw *InvokedWorker) say(h HistoryEvent) {
-	h.Who, h.Shard = string(iw.ID), iw.Shard
-	iw.tell(h)
+func (iw *InvokedWorker) record(h HistoryEvent) {
+	h.Process, h.Shard = string(iw.ID), iw.Shard
+	iw.recordEvent(h)
 }
 
 // Tick lets time pass.
 func (iw *InvokedWorker) Tick() {
 	iw.advance()
-	iw.wake()
+	iw.answerRenewals()
 }
 
-// Do takes a call. Reply is called once, when the call is answered.
-func (iw *InvokedWorker) Do(c wire.WorkerCall, reply func(wire.WorkerReply)) {
+// HandleCall takes a call. Reply is called once, when the call is answered.
+func (iw *InvokedWorker) HandleCall(c wire.WorkerCall, reply func(wire.WorkerReply)) {
 	iw.advance()
-	defer iw.wake()
+	defer iw.answerRenewals()
 	r := wire.WorkerReply{Number: c.Number, Result: wire.ResultAccepted, ClockMS: iw.Clock()}
 	switch {
 	case c.Incarnation != iw.ID:
 		reply(wire.WorkerReply{Number: c.Number, Result: wire.ResultOtherIncarnation})
 		return
-	case c.FencingToken < iw.fence && !iw.Rash:
-		if iw.late && c.Kind == wire.StartAttempt {
-			iw.say(HistoryEvent{What: Spared, Attempt: c.Attempt, Late: true})
+	case c.FencingToken < iw.fencingToken && !iw.IgnoresFence:
+		if iw.deliveredLate && c.Kind == wire.StartAttempt {
+			iw.record(HistoryEvent{Kind: AttemptRejected, Attempt: c.Attempt, DeliveredLate: true})
 		}
 		r.Result = wire.ResultFenced
 		reply(r)
 		return
 	}
-	iw.fence = max(iw.fence, c.FencingToken)
+	iw.fencingToken = max(iw.fencingToken, c.FencingToken)
 	switch c.Kind {
 	case wire.StartAttempt:
-		r.Result = iw.begin(c)
+		r.Result = iw.acceptStart(c)
 	case wire.StopAttempt:
-		iw.halt(c.Attempt)
+		iw.stopAttempt(c.Attempt)
 	case wire.RenewLease:
-		iw.hold(c.LeaseEndMS)
-		iw.settle(c.AckedEnds)
-		if c.LongPollWait > 0 && len(iw.ends) == 0 {
-			iw.waits = append(iw.waits, waitingHold{c, iw.time().Add(min(c.LongPollWait, mostWait)), reply})
+		iw.extendLease(c.LeaseEndMS)
+		iw.settleEnds(c.AckedEnds)
+		if c.LongPollWait > 0 && len(iw.unsettledEnds) == 0 {
+			iw.pendingRenewals = append(iw.pendingRenewals, pendingRenewal{c, iw.now().Add(min(c.LongPollWait, maxRenewalWait)), reply})
 			return
 		}
-		r = iw.list(c)
+		r = iw.report(c)
 	}
 	reply(r)
 }
 
-// hold takes up the end of a lease: never shortened, and not beyond the limit.
-func (iw *InvokedWorker) hold(until int64) {
+// extendLease takes up the end of a lease: never shortened, and not beyond the limit.
+func (iw *InvokedWorker) extendLease(until int64) {
 	now := iw.Clock()
-	if until = min(until, now+iw.environment.Lease.Milliseconds()); until > now {
-		iw.lease = max(iw.lease, until)
+	if until = min(until, now+iw.environment.MaxLease.Milliseconds()); until > now {
+		iw.leaseEnd = max(iw.leaseEnd, until)
 	}
 }
 
-func (iw *InvokedWorker) begin(c wire.WorkerCall) wire.CallResult {
-	if iw.Sick {
+func (iw *InvokedWorker) acceptStart(c wire.WorkerCall) wire.CallResult {
+	if iw.Unhealthy {
 		return wire.ResultUnhealthy
 	}
-	if now := iw.Clock(); c.LeaseEndMS <= now && !(iw.Lax && iw.lease > now) {
+	if now := iw.Clock(); c.LeaseEndMS <= now && !(iw.StartsUnderLease && iw.leaseEnd > now) {
 		return wire.ResultLeaseExpired
 	}
-	iw.hold(c.LeaseEndMS)
+	iw.extendLease(c.LeaseEndMS)
 	switch {
-	case iw.runs[c.Attempt] != nil:
+	case iw.running[c.Attempt] != nil:
 		return wire.ResultAccepted
-	case c.Attempt.Attempt <= iw.shut[c.Attempt.TaskID]:
+	case c.Attempt.Attempt <= iw.lastClosed[c.Attempt.TaskID]:
 		return wire.ResultSuperseded
 	}
-	step := iw.environment.step(c.Attempt)
-	if iw.Guards && step != nil && !iw.free().Contains(step.Resources) {
-		iw.say(HistoryEvent{What: Spared, Attempt: c.Attempt})
+	step := iw.environment.stepOf(c.Attempt)
+	if iw.Guards && step != nil && !iw.freeCapacity().Contains(step.Resources) {
+		iw.record(HistoryEvent{Kind: AttemptRejected, Attempt: c.Attempt})
 		return wire.ResultNoCapacity
 	}
-	iw.start(c, step)
+	iw.startAttempt(c, step)
 	return wire.ResultAccepted
 }
 
-// free is the room that nothing takes; what is being stopped still does.
-func (iw *InvokedWorker) free() types.Resources {
+// freeCapacity is the room that nothing takes; what is being stopped still does.
+func (iw *InvokedWorker) freeCapacity() types.Resources {
 	r := iw.Room
-	for _, a := range iw.runs {
-		r = r.Sub(a.room)
+	for _, a := range iw.running {
+		r = r.Sub(a.capacity)
 	}
 	return r
 }
 
-func (iw *InvokedWorker) halt(l types.AttemptID) {
-	a := iw.runs[l]
+func (iw *InvokedWorker) stopAttempt(l types.AttemptID) {
+	a := iw.running[l]
 	switch {
 	case a == nil:
-		iw.shut[l.TaskID] = max(iw.shut[l.TaskID], l.Attempt)
-	case a.stops == 0:
-		a.stops = iw.time().Add(iw.environment.some(iw.rnd, iw.environment.Stop))
+		iw.lastClosed[l.TaskID] = max(iw.lastClosed[l.TaskID], l.Attempt)
+	case a.stopDeadline == 0:
+		a.stopDeadline = iw.now().Add(iw.environment.randomUpTo(iw.random, iw.environment.MaxStopTime))
 	}
 }
 
-// settle forgets ends; those that had not lapsed are thereby noted for good.
-func (iw *InvokedWorker) settle(seen uint64) {
-	for len(iw.ends) > 0 && iw.ends[0].Number <= seen {
-		e := iw.ends[0]
-		iw.ends = iw.ends[1:]
-		what := Noted
-		if e.void {
-			what = Void
+// settleEnds forgets ends; those that had not lapsed are thereby noted for good.
+func (iw *InvokedWorker) settleEnds(seen uint64) {
+	for len(iw.unsettledEnds) > 0 && iw.unsettledEnds[0].Number <= seen {
+		e := iw.unsettledEnds[0]
+		iw.unsettledEnds = iw.unsettledEnds[1:]
+		what := EndSettled
+		if e.lapsed {
+			what = EndVoided
 		}
-		iw.say(HistoryEvent{What: what, Attempt: e.Attempt, How: e.Reason})
+		iw.record(HistoryEvent{Kind: what, Attempt: e.Attempt, How: e.Reason})
 	}
 }
 
-func (iw *InvokedWorker) list(c wire.WorkerCall) wire.WorkerReply {
+func (iw *InvokedWorker) report(c wire.WorkerCall) wire.WorkerReply {
 	r := wire.WorkerReply{Number: c.Number, Result: wire.ResultAccepted, ClockMS: iw.Clock()}
-	for _, l := range iw.sorted() {
-		a := iw.runs[l]
-		r.Running = append(r.Running, wire.RunningAttempt{Attempt: l, Checkpoint: a.ref, Percent: a.percent()})
+	for _, l := range iw.runningAttempts() {
+		a := iw.running[l]
+		r.Running = append(r.Running, wire.RunningAttempt{Attempt: l, Checkpoint: a.checkpoint, Percent: a.percent()})
 	}
-	for _, e := range iw.ends[:min(len(iw.ends), listed)] {
+	for _, e := range iw.unsettledEnds[:min(len(iw.unsettledEnds), maxListedEnds)] {
 		r.Ended = append(r.Ended, e.EndedAttempt)
 	}
 	return r
 }
 
-// wake answers the holds that wait, once something has ended or their time is up.
-func (iw *InvokedWorker) wake() {
-	kept := iw.waits[:0]
-	for _, h := range iw.waits {
-		if len(iw.ends) > 0 || iw.time() >= h.until {
-			h.reply(iw.list(h.call))
+// answerRenewals answers the holds that wait, once something has ended or their time is up.
+func (iw *InvokedWorker) answerRenewals() {
+	kept := iw.pendingRenewals[:0]
+	for _, h := range iw.pendingRenewals {
+		if len(iw.unsettledEnds) > 0 || iw.now() >= h.deadline {
+			h.reply(iw.report(h.call))
 		} else {
 			kept = append(kept, h)
 		}
 	}
-	iw.waits = kept
+	iw.pendingRenewals = kept
 }
 
-// end ends an attempt; a gang ends with any of its members.
-func (iw *InvokedWorker) end(a *attempt, how wire.EndReason) {
-	if iw.runs[a.attempt] != a {
+// endAttempt ends an attempt; a gang ends with any of its members.
+func (iw *InvokedWorker) endAttempt(a *attempt, how wire.EndReason) {
+	if iw.running[a.id] != a {
 		return
 	}
-	delete(iw.runs, a.attempt)
-	iw.shut[a.attempt.TaskID] = max(iw.shut[a.attempt.TaskID], a.attempt.Attempt)
-	iw.n++
-	iw.ends = append(iw.ends, invokedEnd{EndedAttempt: wire.EndedAttempt{Number: iw.n, Attempt: a.attempt, Reason: how, Checkpoint: a.ref}})
-	iw.say(HistoryEvent{What: Ended, Attempt: a.attempt, Outcome: outcomes[how], How: how})
-	a.quit(how)
+	delete(iw.running, a.id)
+	iw.lastClosed[a.id.TaskID] = max(iw.lastClosed[a.id.TaskID], a.id.Attempt)
+	iw.lastEndNumber++
+	iw.unsettledEnds = append(iw.unsettledEnds, invokedEnd{EndedAttempt: wire.EndedAttempt{Number: iw.lastEndNumber, Attempt: a.id, Reason: how, Checkpoint: a.checkpoint}})
+	iw.record(HistoryEvent{Kind: AttemptEnded, Attempt: a.id, Outcome: outcomes[how], How: how})
+	a.leaveGang(how)
 }
 
 var outcomes = map[wire.EndReason]state.Outcome{wire.EndSucceeded: state.OutcomeOK, wire.EndFailed: state.OutcomeFailed, wire.EndStopped: state.OutcomeStopped,
 	wire.EndLeaseExpired: state.OutcomeLeaseExpired, wire.EndGangMemberEnded: state.OutcomeStopped, wire.EndGangStartTimeout: state.OutcomeStopped}
 
-// Die ends the process and all that it runs.
-func (iw *InvokedWorker) Die() {
-	attempts, runs := iw.sorted(), iw.runs
-	iw.waits, iw.runs = nil, nil
+// Kill ends the process and all that it runs.
+func (iw *InvokedWorker) Kill() {
+	attempts, runs := iw.runningAttempts(), iw.running
+	iw.pendingRenewals, iw.running = nil, nil
 	for _, l := range attempts {
-		runs[l].quit(wire.EndStopped)
+		runs[l].leaveGang(wire.EndStopped)
 	}
 }
 
-func (iw *InvokedWorker) sorted() []types.AttemptID {
-	list := make([]types.AttemptID, 0, len(iw.runs))
-	for l := range iw.runs {
+func (iw *InvokedWorker) runningAttempts() []types.AttemptID {
+	list := make([]types.AttemptID, 0, len(iw.running))
+	for l := range iw.running {
 		list = append(list, l)
 	}
 	sort.Slice(list, func(i, k int) bool { return list[i].Less(list[k]) })
 	return list
 }
 
-// task reads what an attempt's work says to a stand-in.
-func task(b json.RawMessage) (k Work) {
+// parseWork reads what an attempt's work says to a stand-in.
+func parseWork(b json.RawMessage) (k Work) {
 	json.Unmarshal(b, &k)
 	return
 }
--- a/sim/leader_bench_test.go
+++ b/sim/leader_bench_test.go
@@ -16,14 +16,14 @@
 	"coppercourse/internal/wire"
 )
 
-// labelled marks a machine's steps in a processor profile.
-type labelled struct {
+// labelledMachine marks a machine's steps in a processor profile.
+type labelledMachine struct {
 	wire.Machine
 	spent time.Duration
 	steps int
 }
 
-func (l *labelled) Step(e wire.Event) (out wire.Effects) {
+func (l *labelledMachine) Step(e wire.Event) (out wire.Effects) {
 	from := threadTime()
 	pprof.Do(context.Background(), pprof.Labels("leader", "yes"), func(context.Context) { out = l.Machine.Step(e) })
 	l.spent += threadTime() - from
@@ -47,30 +47,30 @@
 	defer runtime.UnlockOSThread()
 	const settle = 14 * time.Second
 	p := Plan{Seed: 1, Deployment: "kingston-grown", Quick: true, Before: settle + time.Duration(b.N)*time.Second}
-	r := Build(p)
+	r := New(p)
 	r.Clients.deployment.Streams = slices.Clone(r.Clients.deployment.Streams)
 	for i := range r.Clients.deployment.Streams {
-		r.Clients.deployment.Streams[i].Every /= 2
+		r.Clients.deployment.Streams[i].MeanInterval /= 2
 	}
-	r.at(3*time.Second, func() { r.Clients.put(r.Clients.deployment.Table(), r.Clients.any(), 0, func(bool) {}) })
-	r.at(6*time.Second, r.traffic)
-	r.wait(settle)
+	r.after(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), r.Clients.anyGateway(), 0, func(bool) {}) })
+	r.after(6*time.Second, r.startTraffic)
+	r.advance(settle)
 	lead := r.leader()
-	m := &labelled{Machine: lead.m}
-	lead.m = m
-	started := r.count(Started)
+	m := &labelledMachine{Machine: lead.machine}
+	lead.machine = m
+	started := r.countEvents(AttemptStarted)
 	b.ResetTimer()
-	r.wait(time.Duration(b.N) * time.Second)
+	r.advance(time.Duration(b.N) * time.Second)
 	b.StopTimer()
 	seconds := float64(b.N)
 	b.ReportMetric(float64(m.spent.Milliseconds())/seconds, "leader-ms/s")
 	b.ReportMetric(float64(m.steps)/seconds, "steps/s")
-	b.ReportMetric(float64(r.count(Started)-started)/seconds, "starts/s")
+	b.ReportMetric(float64(r.countEvents(AttemptStarted)-started)/seconds, "starts/s")
 }
 
-func (r *Run) count(what EventKind) (n int) {
-	for _, h := range r.Hist.List {
-		if h.What == what {
+func (r *Run) countEvents(what EventKind) (n int) {
+	for _, h := range r.History.Events {
+		if h.Kind == what {
 			n++
 		}
 	}
--- a/sim/ledger_test.go
+++ b/sim/ledger_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-var ledger = []struct {
+var coverageCases = []struct {
 	rule    string
 	faults  []string
 	cancel  float64 // part of the jobs that are cancelled; 0 is the usual
@@ -43,33 +43,33 @@
 		[]string{"table: acknowledged within 1 s of a kill, cut or lost disk", "table: refused or losing", "table: started at the running limit"}},
 }
 
-// enough is how many seeds are tried at most until every chance of a rule was seen;
+// maxSeeds is how many seeds are tried at most until every chance of a rule was seen;
 // each is a run that must break nothing.
-const enough = 40
+const maxSeeds = 40
 
 func TestEveryRuleHadItsChance(t *testing.T) {
 	if testing.Short() {
 		t.Skip("run without the race detector")
 	}
-	for i, c := range ledger {
+	for i, c := range coverageCases {
 		t.Run(c.rule, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			seen := Tally{}
+			seen := Coverage{}
 			need := func() bool {
 				return slices.ContainsFunc(c.chances, func(name string) bool { return seen[name] == 0 })
 			}
-			for seed := int64(0); seed < 3 || seed < enough && need(); seed++ {
-				p := faultRun(500+10*int64(i)+seed, []string{"kingston", "romania", "kingston"}[seed%3], 6, c.faults...)
-				r := Build(p)
+			for seed := int64(0); seed < 3 || seed < maxSeeds && need(); seed++ {
+				p := faultPlan(500+10*int64(i)+seed, []string{"kingston", "romania", "kingston"}[seed%3], 6, c.faults...)
+				r := New(p)
 				if c.cancel > 0 {
-					r.Clients.Cancel = c.cancel
+					r.Clients.CancelRate = c.cancel
 				}
-				v := r.Go().Verdict()
-				for _, b := range v.Breaks {
+				v := r.Execute().Verdict()
+				for _, b := range v.Violations {
 					t.Error(p.Seed, b)
 				}
-				seen.Add(v.Seen)
+				seen.Add(v.Coverage)
 			}
 			for _, name := range c.chances {
 				t.Log(seen[name], name)
--- a/sim/linear_rig_test.go
+++ b/sim/linear_rig_test.go
@@ -20,23 +20,23 @@
 )
 
 const (
-	silence = 1100 * time.Millisecond // after which a client goes on to another daemon
-	pause   = 150 * time.Millisecond
+	requestTimeout = 1100 * time.Millisecond // after which a client goes on to another daemon
+	retryPause     = 150 * time.Millisecond
 )
 
 // operationRecorder is a run with clients whose histories are kept.
 type operationRecorder struct {
 	*Run
-	tables   []porcupine.Operation
-	jobs     []porcupine.Operation
-	orders   []config.Table
-	seen     types.Version // the newest that any operator knows of
-	observed map[string]bool
-	ids      []types.JobID
-	specs    map[types.JobID]state.Spec
-	closed   bool
-	clients  int
-	count    map[string]int
+	tables      []porcupine.Operation
+	jobs        []porcupine.Operation
+	submitted   []config.Table
+	newestKnown types.Version // the newest that any operator knows of
+	observed    map[string]bool
+	ids         []types.JobID
+	specs       map[types.JobID]state.Spec
+	closed      bool
+	clients     int
+	count       map[string]int
 }
 
 func recordClients(r *Run) *operationRecorder {
@@ -52,8 +52,8 @@
 	return c
 }
 
-// asked sends one request; then is called once: with the answer, or with none.
-func (or *operationRecorder) asked(to types.Addr, verb, arg string, body any, then func(*wire.Response)) {
+// requestOnce sends one request; then is called once: with the answer, or with none.
+func (or *operationRecorder) requestOnce(to types.Addr, verb, arg string, body any, then func(*wire.Response)) {
 	over := false
 	or.request("client", to, verb, arg, wire.EncodeBody(body), func(a wire.Response) {
 		if !over {
@@ -61,7 +61,7 @@
 			then(&a)
 		}
 	})
-	or.at(silence, func() {
+	or.after(requestTimeout, func() {
 		if !over {
 			over = true
 			then(nil)
@@ -86,7 +86,7 @@
 }
 
 func (or *operationRecorder) soon(f func()) {
-	or.at(pause+time.Duration(or.random.Int63n(int64(600*time.Millisecond))), f)
+	or.after(retryPause+time.Duration(or.random.Int63n(int64(600*time.Millisecond))), f)
 }
 
 // operate is an operator: reads, new orders, and old ones once more.
@@ -98,23 +98,23 @@
 	switch n := or.random.Intn(10); {
 	case n < 4:
 		or.readTable(client, or.daemon(), again)
-	case n < 6 && len(or.orders) > 0:
-		or.putTable(client, or.daemon(), pickOne(or.random, or.orders), 0, again)
+	case n < 6 && len(or.submitted) > 0:
+		or.putTable(client, or.daemon(), pickOne(or.random, or.submitted), 0, again)
 	default:
 		t := or.Clients.deployment.Table()
-		t.Version, t.RequestedVersion = or.seen, or.seen+1+types.Version(or.random.Intn(2))
+		t.Version, t.RequestedVersion = or.newestKnown, or.newestKnown+1+types.Version(or.random.Intn(2))
 		t.Queues[0].Weight = 1 + or.random.Intn(900)
-		or.orders = append(or.orders, t)
+		or.submitted = append(or.submitted, t)
 		or.putTable(client, or.daemon(), t, 0, again)
 	}
 }
 
 func (or *operationRecorder) readTable(client int, to types.Addr, then func()) {
 	began := or.now
-	or.asked(to, "table.get", "", nil, func(a *wire.Response) {
+	or.requestOnce(to, "table.get", "", nil, func(a *wire.Response) {
 		var t config.Table
 		if a != nil && a.Error == nil && json.Unmarshal(a.Body, &t) == nil {
-			or.note(t.Version, t.ContentHash())
+			or.noteTaken(t.Version, t.ContentHash())
 			or.count["table read"]++
 			or.tables = append(or.tables, porcupine.Operation{ClientId: client, Input: tableInput{}, Call: began, Return: or.now,
 				Output: tableOutput{done, t.Version, t.ContentHash()}})
@@ -123,15 +123,15 @@
 	})
 }
 
-// note remembers that a change is known to be taken.
-func (or *operationRecorder) note(v types.Version, hash string) {
+// noteTaken remembers that a change is known to be taken.
+func (or *operationRecorder) noteTaken(v types.Version, hash string) {
 	or.observed[link(v, hash)] = true
-	or.seen = max(or.seen, v)
+	or.newestKnown = max(or.newestKnown, v)
 }
 
 func (or *operationRecorder) putTable(client int, to types.Addr, t config.Table, n int, then func()) {
 	began := or.now
-	or.asked(to, "table.put", "", t, func(a *wire.Response) {
+	or.requestOnce(to, "table.put", "", t, func(a *wire.Response) {
 		o, end := unclear, int64(math.MaxInt64)
 		if a != nil {
 			if o = outcomeOf("table.put", a.Error); o != unclear {
@@ -140,7 +140,7 @@
 		}
 		next := t.Accepted()
 		if o == done {
-			or.note(next.Version, t.ContentHash())
+			or.noteTaken(next.Version, t.ContentHash())
 		}
 		or.count["table "+string(o)]++
 		or.tables = append(or.tables, porcupine.Operation{ClientId: client, Input: tableInput{true, t.Version, next.Version, t.ContentHash()},
@@ -153,7 +153,7 @@
 		if other == "" {
 			other = or.daemon()
 		}
-		or.at(pause, func() { or.putTable(client, other, t, n+1, then) })
+		or.after(retryPause, func() { or.putTable(client, other, t, n+1, then) })
 	})
 }
 
@@ -162,36 +162,36 @@
 	if or.closed {
 		return
 	}
-	again := func() { or.at(pause, func() { or.submit(client) }) }
+	again := func() { or.after(retryPause, func() { or.submit(client) }) }
 	n := or.random.Intn(10)
 	if n < 4 || len(or.ids) == 0 {
 		id := types.JobID(fmt.Sprintf("quotes-%d", len(or.ids)))
 		or.ids = append(or.ids, id)
-		or.specs[id] = duo("payments", "pay")(or.random)
-		or.work(client, "job.put", id, or.specs[id], 0, again)
+		or.specs[id] = pairJobs("payments", "pay")(or.random)
+		or.requestJob(client, "job.put", id, or.specs[id], 0, again)
 		return
 	}
 	id := or.ids[max(0, len(or.ids)-1-or.random.Intn(12))]
 	switch s := or.specs[id]; {
 	case n < 5:
-		or.work(client, "job.put", id, s, 0, again)
+		or.requestJob(client, "job.put", id, s, 0, again)
 	case n < 6:
 		s.Urgency++ // another job under this id
-		or.work(client, "job.put", id, s, 0, again)
+		or.requestJob(client, "job.put", id, s, 0, again)
 	case n < 7:
-		or.work(client, "job.cancel", id, s, 0, again)
+		or.requestJob(client, "job.cancel", id, s, 0, again)
 	default:
-		or.work(client, "job.get", id, s, 0, again)
+		or.requestJob(client, "job.get", id, s, 0, again)
 	}
 }
 
-func (or *operationRecorder) work(client int, verb string, id types.JobID, s state.Spec, n int, then func()) {
+func (or *operationRecorder) requestJob(client int, verb string, id types.JobID, s state.Spec, n int, then func()) {
 	began := or.now
 	var body any
 	if verb == "job.put" {
 		body = s
 	}
-	or.asked(or.daemon(), verb, string(id), body, func(a *wire.Response) {
+	or.requestOnce(or.daemon(), verb, string(id), body, func(a *wire.Response) {
 		out, end := jobOutput{outcome: unclear}, int64(math.MaxInt64)
 		if a != nil {
 			if out.outcome = outcomeOf(verb, a.Error); out.outcome != unclear {
@@ -207,7 +207,7 @@
 			or.jobs = append(or.jobs, porcupine.Operation{ClientId: client, Input: jobInput{verb, id, s.Hash()}, Call: began, Return: end, Output: out})
 		}
 		if out.outcome == unclear && n < 6 && !or.closed {
-			or.at(pause, func() { or.work(client, verb, id, s, n+1, then) })
+			or.after(retryPause, func() { or.requestJob(client, verb, id, s, n+1, then) })
 			return
 		}
 		then()
@@ -218,13 +218,13 @@
 func (or *operationRecorder) finish() {
 	or.closed = true
 	or.Heal()
-	or.Run.Run(time.Duration(or.now) + 8*time.Second)
+	or.Run.RunUntil(time.Duration(or.now) + 8*time.Second)
 	for range 2 {
-		or.readTable(0, or.Clients.any(), func() {})
+		or.readTable(0, or.Clients.anyGateway(), func() {})
 		for _, id := range or.ids {
-			or.work(0, "job.get", id, state.Spec{}, 9, func() {})
+			or.requestJob(0, "job.get", id, state.Spec{}, 9, func() {})
 		}
-		or.Run.Run(time.Duration(or.now) + 2*time.Second)
+		or.Run.RunUntil(time.Duration(or.now) + 2*time.Second)
 	}
 }
 
--- a/sim/linear_test.go
+++ b/sim/linear_test.go
@@ -28,19 +28,19 @@
 	"cut-leader", "cut-core", "cut-core-in", "cut-core-out", "cut-controller", "cut-zone", "slow-disk", "stall-disk", "jump-clock",
 	"weather", "lose-disk", "swap-controller", "power-all", "handover"}
 
-// recorded plays clients through faults, each one's time drawn, and gives what
+// runRecorded plays clients through faults, each one's time drawn, and gives what
 // they saw.
-func recorded(seed int64, plant func(*Run), faults ...string) *operationRecorder {
-	r := Build(Plan{Seed: seed, Deployment: "kingston"})
+func runRecorded(seed int64, plant func(*Run), faults ...string) *operationRecorder {
+	r := New(Plan{Seed: seed, Deployment: "kingston"})
 	if plant != nil {
 		plant(r)
 	}
-	r.Run(4 * time.Second)
+	r.RunUntil(4 * time.Second)
 	c := recordClients(r)
-	r.Run(7 * time.Second)
+	r.RunUntil(7 * time.Second)
 	for _, name := range faults {
-		r.inject(name, time.Duration(500+r.random.Intn(4000))*time.Millisecond)
-		r.Run(time.Duration(r.now) + time.Duration(2000+r.random.Intn(4000))*time.Millisecond)
+		r.injectFault(name, time.Duration(500+r.random.Intn(4000))*time.Millisecond)
+		r.RunUntil(time.Duration(r.now) + time.Duration(2000+r.random.Intn(4000))*time.Millisecond)
 	}
 	c.finish()
 	return c
@@ -61,7 +61,7 @@
 		for i := 0; i < len(controlFaults); i += step {
 			name := controlFaults[i]
 			faults := []string{name, name, controlFaults[(i+int(seed)*7+3)%len(controlFaults)]}
-			c := recorded(1000*seed+int64(i), nil, faults...)
+			c := runRecorded(1000*seed+int64(i), nil, faults...)
 			tablesOK, jobsOK := c.check()
 			if tablesOK != porcupine.Ok || jobsOK != porcupine.Ok {
 				t.Errorf("seed %d, %v: configurations %v, jobs %v; %v", seed, faults, tablesOK, jobsOK, c.count)
@@ -180,7 +180,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range int64(5) {
-				c := recorded(100+seed, plant, "handover")
+				c := runRecorded(100+seed, plant, "handover")
 				if tablesOK, jobsOK := c.check(); tablesOK == porcupine.Illegal || jobsOK == porcupine.Illegal {
 					return
 				}
@@ -200,8 +200,8 @@
 	}
 	for seed := range seeds {
 		is := is.New(t)
-		r := Build(Plan{Seed: 300 + seed, Deployment: "kingston"})
-		r.Run(8 * time.Second)
+		r := New(Plan{Seed: 300 + seed, Deployment: "kingston"})
+		r.RunUntil(8 * time.Second)
 		lost := 2
 		r.TamperAnswer = func(verb string, a *wire.Response) {
 			if lost--; lost >= 0 {
@@ -217,27 +217,27 @@
 					return
 				}
 				if over = true; o == unclear {
-					r.at(pause, func() { send(t) })
+					r.after(retryPause, func() { send(t) })
 					return
 				}
 				got[o]++
 			}
 			to := pickOne(r.random, r.controllers).addr
 			if r.random.Intn(2) == 0 {
-				to = r.Clients.any()
+				to = r.Clients.anyGateway()
 			}
 			r.request("operator", to, "table.put", "", wire.EncodeBody(t), func(a wire.Response) { again(outcomeOf("table.put", a.Error)) })
-			r.at(silence, func() { again(unclear) })
+			r.after(requestTimeout, func() { again(unclear) })
 		}
 		for i := range 2 {
 			t := r.Clients.deployment.Table()
 			t.RequestedVersion, t.Queues[0].Weight = 5, 100+i
-			r.at(time.Duration(r.random.Int63n(int64(4*time.Millisecond))), func() { send(t) })
+			r.after(time.Duration(r.random.Int63n(int64(4*time.Millisecond))), func() { send(t) })
 		}
-		r.at(time.Duration(r.random.Int63n(int64(8*time.Millisecond))), func() {
-			r.inject([]string{"kill-leader", "freeze-leader", "handover", "cut-core", "power-all"}[seed%5], 3*time.Second)
+		r.after(time.Duration(r.random.Int63n(int64(8*time.Millisecond))), func() {
+			r.injectFault([]string{"kill-leader", "freeze-leader", "handover", "cut-core", "power-all"}[seed%5], 3*time.Second)
 		})
-		r.Run(25 * time.Second)
+		r.RunUntil(25 * time.Second)
 		is.Equal(got, map[outcome]int{done: 1, refused: 1})
 	}
 }
--- a/sim/net.go
+++ b/sim/net.go
@@ -11,118 +11,118 @@
 	"coppercourse/internal/wal"
 )
 
-type pending struct {
+type scheduledEvent struct {
 	at  int64
 	seq uint64
 	run func()
 }
 
-type agenda []pending
+type eventHeap []scheduledEvent
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, k int) bool {
+func (a eventHeap) Len() int { return len(a) }
+func (a eventHeap) Less(i, k int) bool {
 	return a[i].at < a[k].at || a[i].at == a[k].at && a[i].seq < a[k].seq
 }
-func (a agenda) Swap(i, k int) { a[i], a[k] = a[k], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(pending)) }
-func (a *agenda) Pop() any {
+func (a eventHeap) Swap(i, k int) { a[i], a[k] = a[k], a[i] }
+func (a *eventHeap) Push(x any)   { *a = append(*a, x.(scheduledEvent)) }
+func (a *eventHeap) Pop() any {
 	old := *a
 	x := old[len(old)-1]
 	*a = old[:len(old)-1]
 	return x
 }
 
-func (w *World) at(d time.Duration, run func()) {
-	w.seq++
-	heap.Push(&w.agenda, pending{w.now + int64(d), w.seq, run})
+func (w *World) after(d time.Duration, run func()) {
+	w.lastSequence++
+	heap.Push(&w.scheduled, scheduledEvent{w.now + int64(d), w.lastSequence, run})
 }
 
 // NetworkQuality is how the network behaves in a stretch of time.
 type NetworkQuality struct {
-	Loss, Twice, Late float64
+	LossRate, DuplicateRate, DelayRate float64
 }
 
-type pair struct{ from, to types.Addr }
+type addressPair struct{ from, to types.Addr }
 
 // transmit takes a packet from one address to another, or loses it.
 func (w *World) transmit(from, to types.Addr, run func()) {
 	times := 1
-	if w.random.Float64() < w.network.Twice {
+	if w.random.Float64() < w.network.DuplicateRate {
 		times = 2
 	}
 	for range times {
-		if w.random.Float64() < w.network.Loss {
+		if w.random.Float64() < w.network.LossRate {
 			continue
 		}
 		d := 200*time.Microsecond + time.Duration(w.random.Int63n(int64(2*time.Millisecond)))
-		d += w.lag[pair{from, to}]
-		if w.distance != nil {
-			d += w.distance(from, to)
+		d += w.extraDelay[addressPair{from, to}]
+		if w.regionDelay != nil {
+			d += w.regionDelay(from, to)
 		}
-		if w.random.Float64() < w.network.Late {
+		if w.random.Float64() < w.network.DelayRate {
 			d += time.Duration(w.random.Int63n(int64(900 * time.Millisecond)))
 		}
 		sent := w.now
-		w.at(d, func() {
-			if !w.cut[pair{from, to}] && !w.reset(from, to, sent) {
+		w.after(d, func() {
+			if !w.partitioned[addressPair{from, to}] && !w.lostToReset(from, to, sent) {
 				run()
 			}
 		})
 	}
 }
 
-// Split cuts all between two groups, in one direction or both.
-func (w *World) Split(a, b []types.Addr, both, on bool) {
+// SetPartition cuts all between two groups, in one direction or both.
+func (w *World) SetPartition(a, b []types.Addr, bothWays, cut bool) {
 	for _, x := range a {
 		for _, y := range b {
-			w.set(pair{x, y}, on)
-			if both {
-				w.set(pair{y, x}, on)
+			w.setPartitioned(addressPair{x, y}, cut)
+			if bothWays {
+				w.setPartitioned(addressPair{y, x}, cut)
 			}
 		}
 	}
 }
 
-func (w *World) set(p pair, on bool) {
+func (w *World) setPartitioned(p addressPair, on bool) {
 	if on {
-		w.cut[p] = true
+		w.partitioned[p] = true
 	} else {
-		delete(w.cut, p)
+		delete(w.partitioned, p)
 	}
 }
 
 // disk is one simulated disk: what is synced, and what is only written.
 type disk struct {
-	w          *World
-	synced     []byte
-	unsynced   []byte
-	slow       time.Duration
-	full       bool  // it takes no more bytes
-	stall      int64 // until this time nothing is synced
-	busy       bool
-	queue      []write
-	lies       bool // a planted bug: says synced, and is not
-	sealed     bool
-	wiped      bool // once at least
-	generation int  // a generation; writes of an earlier one do not finish
-	use        *Usage
-}
-
-type write struct {
-	list  [][]byte
-	seq   uint64
-	whole bool
-	done  func(uint64)
-}
-
-func (d *disk) put(x write) {
+	world        *World
+	synced       []byte
+	unsynced     []byte
+	extraLatency time.Duration
+	full         bool  // it takes no more bytes
+	stalledUntil int64 // until this time nothing is synced
+	busy         bool
+	queue        []diskWrite
+	falseSync    bool // a planted bug: says synced, and is not
+	sealed       bool
+	wiped        bool // once at least
+	generation   int  // a generation; writes of an earlier one do not finish
+	usage        *Usage
+}
+
+type diskWrite struct {
+	records  [][]byte
+	seq      uint64
+	rewrite  bool
+	onSynced func(uint64)
+}
+
+func (d *disk) enqueue(x diskWrite) {
 	d.queue = append(d.queue, x)
 	if !d.busy {
-		d.next()
+		d.syncNext()
 	}
 }
 
-func (d *disk) next() {
+func (d *disk) syncNext() {
 	if len(d.queue) == 0 {
 		d.busy = false
 		return
@@ -134,44 +134,44 @@
 	}
 	group := d.queue
 	for i, x := range group {
-		if x.whole && i > 0 {
+		if x.rewrite && i > 0 {
 			group = group[:i]
 			break
 		}
 	}
-	if group[0].whole {
+	if group[0].rewrite {
 		group = group[:1]
 	}
 	d.queue = d.queue[len(group):]
 	var b []byte
 	for _, x := range group {
-		for _, r := range x.list {
-			if x.whole {
+		for _, r := range x.records {
+			if x.rewrite {
 				b = wal.AppendRecord(b, r, wal.SyncedByRename)
 			} else {
 				b = wal.AppendRecord(b, r, int64(len(d.synced)))
 			}
 		}
 	}
-	d.use.Syncs++
-	d.use.Written += len(b)
-	whole := group[0].whole
+	d.usage.Syncs++
+	d.usage.Written += len(b)
+	whole := group[0].rewrite
 	if !whole {
 		d.unsynced = b
 	}
-	wait := time.Millisecond + d.slow + time.Duration(d.w.random.Int63n(int64(3*time.Millisecond)))
-	if d.stall > d.w.now {
-		wait += time.Duration(d.stall - d.w.now)
+	wait := time.Millisecond + d.extraLatency + time.Duration(d.world.random.Int63n(int64(3*time.Millisecond)))
+	if d.stalledUntil > d.world.now {
+		wait += time.Duration(d.stalledUntil - d.world.now)
 	}
 	gen := d.generation
-	d.w.at(wait, func() {
+	d.world.after(wait, func() {
 		if gen != d.generation {
 			return
 		}
-		if d.lies {
+		if d.falseSync {
 			last := group[len(group)-1]
-			last.done(last.seq)
-			d.next()
+			last.onSynced(last.seq)
+			d.syncNext()
 			return
 		}
 		if whole {
@@ -181,22 +181,22 @@
 		}
 		d.unsynced = nil
 		last := group[len(group)-1]
-		last.done(last.seq)
+		last.onSynced(last.seq)
 		d.sealed = whole
-		d.next()
+		d.syncNext()
 		d.seal()
 	})
 }
 
-// refusedAgain is how long a daemon waits after a refused write before it tries again.
-const refusedAgain = 100 * time.Millisecond
+// refusedWriteRetry is how long a daemon waits after a refused write before it tries again.
+const refusedWriteRetry = 100 * time.Millisecond
 
 // retry tries what waits again later, as a daemon does whose disk refused a write.
 func (d *disk) retry() {
 	gen := d.generation
-	d.w.at(refusedAgain, func() {
+	d.world.after(refusedWriteRetry, func() {
 		if gen == d.generation {
-			d.next()
+			d.syncNext()
 		}
 	})
 }
@@ -204,7 +204,7 @@
 // seal has a last small record witness what was synced, once the disk rests.
 func (d *disk) seal() {
 	gen := d.generation
-	d.w.at(wal.SealAfterIdle, func() {
+	d.world.after(wal.SealAfterIdle, func() {
 		if gen != d.generation || d.busy || d.sealed {
 			return
 		}
@@ -213,13 +213,13 @@
 	})
 }
 
-// power cuts the power: of what was not synced an arbitrary part stays, torn.
-func (d *disk) power() {
+// losePower cuts the power: of what was not synced an arbitrary part stays, torn.
+func (d *disk) losePower() {
 	d.generation++
 	d.busy, d.queue = false, nil
 	keep := 0
 	if n := len(d.unsynced); n > 0 {
-		keep = d.w.random.Intn(n + 1)
+		keep = d.world.random.Intn(n + 1)
 	}
 	d.synced = append(d.synced[:len(d.synced):len(d.synced)], d.unsynced[:keep]...)
 	d.unsynced = nil
@@ -227,6 +227,6 @@
 
 // wipe loses everything.
 func (d *disk) wipe() {
-	d.power()
+	d.losePower()
 	d.synced, d.wiped = nil, true
 }
--- a/sim/planted_test.go
+++ b/sim/planted_test.go
@@ -60,16 +60,16 @@
 			}
 		}
 		for _, h := range r.pollingWorkers {
-			h.willing = true
+			h.ignoresCapacity = true
 		}
 	}
 }
 
-func mute(kind string) func(*Run) {
+func dropMessages(kind string) func(*Run) {
 	return func(r *Run) { r.TamperMessage = func(s *wire.OutboundMessage) bool { return s.Message.Kind != kind } }
 }
 
-var planted = []struct {
+var plantedBugs = []struct {
 	name     string
 	faults   []string
 	rules    []string
@@ -79,7 +79,7 @@
 }{
 	{"workers heed no grant", []string{"cut-worker"}, []string{"twice"}, time.Millisecond, false, func(r *Run) {
 		for _, h := range r.pollingWorkers {
-			h.deaf = true
+			h.ignoresLease = true
 		}
 	}},
 	{"accounts hide what runs", []string{"handover"}, []string{"again"}, 30 * time.Second, false, onMessage(wire.RunningTasksReply, func(a *dispatch.RunningTasksReply) { a.Tasks = nil })},
@@ -102,7 +102,7 @@
 	{"spread is forgotten", nil, []string{"spread"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.MaxPerWorker = 0 })},
 	{"times are forgotten", nil, []string{"early"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.DelayMillis, s.NotBefore = 0, "" })},
 	{"dependencies are forgotten", nil, []string{"order"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.DependsOn = nil })},
-	{"stops get lost", []string{"kill-machine"}, []string{"cancel-run", "gang"}, 30 * time.Second, false, func(r *Run) { mute(wire.KillTask)(r); r.Clients.Cancel = 0.5 }},
+	{"stops get lost", []string{"kill-machine"}, []string{"cancel-run", "gang"}, 30 * time.Second, false, func(r *Run) { dropMessages(wire.KillTask)(r); r.Clients.CancelRate = 0.5 }},
 	{"open jobs shown done", nil, []string{"shown"}, 30 * time.Second, false, func(r *Run) {
 		r.TamperAnswer = func(verb string, a *wire.Response) {
 			if verb == "job.get" && a.Error == nil {
@@ -151,25 +151,25 @@
 				swap(&a.Body)
 			}
 		}
-		r.Clients.Races = false
-		r.at(7*time.Second, func() {
-			r.Clients.read(func(t config.Table) {
+		r.Clients.RacingOperators = false
+		r.after(7*time.Second, func() {
+			r.Clients.readTable(func(t config.Table) {
 				t.Queues = slices.Clone(t.Queues)
 				t.Queues[1].MaxRunning = 8
-				r.Clients.put(t, "g1", 0, func(bool) {})
+				r.Clients.putTable(t, "g1", 0, func(bool) {})
 			})
 		})
 	}},
 	{"disks say synced and are not", []string{"power-all"}, []string{"forgotten"}, 30 * time.Second, false, func(r *Run) {
-		r.at(10*time.Second, func() {
+		r.after(10*time.Second, func() {
 			for _, h := range r.controllers {
-				h.disk.lies = true
+				h.disk.falseSync = true
 			}
 		})
 	}},
 	{"orders end with the faults", []string{"kill-gateway"}, []string{"recovery"}, 30 * time.Second, false, func(r *Run) {
-		r.at(26*time.Second, func() { mute(wire.RunTask)(r) })
-		r.at(52*time.Second, func() { r.TamperMessage = nil })
+		r.after(26*time.Second, func() { dropMessages(wire.RunTask)(r) })
+		r.after(52*time.Second, func() { r.TamperMessage = nil })
 	}},
 }
 
@@ -177,7 +177,7 @@
 	if testing.Short() {
 		t.Skip("run without the race detector")
 	}
-	for _, p := range planted {
+	for _, p := range plantedBugs {
 		t.Run(p.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
@@ -189,17 +189,17 @@
 				plan := Plan{Seed: seed, Deployment: "kingston", Faults: p.faults, Before: 6 * time.Second, FaultsFor: 12 * time.Second,
 					After: 24 * time.Second, Settle: 40 * time.Second, Patience: p.patience}
 				if p.faults != nil {
-					plan.Count = 6
+					plan.FaultCount = 6
 				}
 				if p.short {
 					plan.Before, plan.FaultsFor, plan.After, plan.Settle = time.Second, 0, 0, time.Second
 				}
-				r := Build(plan)
+				r := New(plan)
 				p.plant(r)
-				for _, b := range r.Go().Verdict().Breaks {
+				for _, b := range r.Execute().Verdict().Violations {
 					got[b.Rule] = true
 				}
-				t.Log(seed, got, Summary(&r.Hist))
+				t.Log(seed, got, Summary(&r.History))
 			}
 			for _, rule := range p.rules {
 				is.True(got[rule]) // the rule must be seen broken
--- a/sim/polling_node.go
+++ b/sim/polling_node.go
@@ -13,149 +13,149 @@
 
 // pollingNode is a worker process in the world, and its calls.
 type pollingNode struct {
-	node          *node // its clocks; it carries no machine
-	agent         types.Addr
-	make          WorkerSpec
-	w             *Worker
-	gen           int
-	deaf, willing bool
-	told          map[types.AttemptID]int // which of the agent's processes was told of an end
+	node                          *node // its clocks; it carries no machine
+	agent                         types.Addr
+	spec                          WorkerSpec
+	worker                        *Worker
+	incarnation                   int
+	ignoresLease, ignoresCapacity bool
+	reportedTo                    map[types.AttemptID]int // which of the agent's processes was told of an end
 }
 
-func (w *World) worker(addr, agent types.Addr, zone types.Zone, m WorkerSpec) *pollingNode {
-	h := &pollingNode{agent: agent, make: m}
-	h.node = w.add(addr, "worker", zone, nil)
+func (w *World) addPollingWorker(addr, agent types.Addr, zone types.Zone, m WorkerSpec) *pollingNode {
+	h := &pollingNode{agent: agent, spec: m}
+	h.node = w.addNode(addr, "worker", zone, nil)
 	w.pollingWorkers = append(w.pollingWorkers, h)
 	return h
 }
 
 func (pn *pollingNode) boot() {
 	n := pn.node
-	pn.gen++
-	n.frozen, n.queue = false, nil
-	pn.w = NewWorker(pn.make, types.ID(fmt.Sprintf("%s.%d", n.addr, pn.gen)), n.w.chance(), n.w.record)
-	pn.w.Deaf, pn.w.Willing = pn.deaf, pn.willing
-	pn.told = map[types.AttemptID]int{}
-	n.w.record(HistoryEvent{What: Staying, Who: string(pn.w.ID), Shard: pn.make.Shard, Make: &pn.make})
-	gen := pn.gen
-	var beat func()
-	beat = func() {
-		if pn.gen != gen || pn.w == nil {
+	pn.incarnation++
+	n.frozen, n.backlog = false, nil
+	pn.worker = NewWorker(pn.spec, types.ID(fmt.Sprintf("%s.%d", n.addr, pn.incarnation)), n.world.newRandom(), n.world.record)
+	pn.worker.IgnoresLease, pn.worker.IgnoresCapacity = pn.ignoresLease, pn.ignoresCapacity
+	pn.reportedTo = map[types.AttemptID]int{}
+	n.world.record(HistoryEvent{Kind: WorkerStaying, Process: string(pn.worker.ID), Shard: pn.spec.Shard, Worker: &pn.spec})
+	gen := pn.incarnation
+	var tick func()
+	tick = func() {
+		if pn.incarnation != gen || pn.worker == nil {
 			return
 		}
 		if !n.frozen {
-			if pn.w.Tick(n.mono()); pn.w.Crashed {
-				pn.crash()
+			if pn.worker.Tick(n.monotonic()); pn.worker.Crashed {
+				pn.crashAndRestart()
 				return
 			}
-			if pn.w.News {
-				pn.call()
+			if pn.worker.HasUpdate {
+				pn.poll()
 			}
 		}
-		n.w.at(10*time.Millisecond, beat)
+		n.world.after(10*time.Millisecond, tick)
 	}
-	beat()
-	pn.call()
+	tick()
+	pn.poll()
 }
 
 func (pn *pollingNode) kill() {
-	if pn.w == nil {
+	if pn.worker == nil {
 		return
 	}
-	pn.node.w.record(HistoryEvent{What: Died, Who: string(pn.w.ID), Shard: pn.make.Shard})
-	pn.gen++
-	pn.w = nil
-	pn.node.frozen, pn.node.queue = false, nil
+	pn.node.world.record(HistoryEvent{Kind: WorkerDied, Process: string(pn.worker.ID), Shard: pn.spec.Shard})
+	pn.incarnation++
+	pn.worker = nil
+	pn.node.frozen, pn.node.backlog = false, nil
 }
 
 func (pn *pollingNode) freeze() {
-	if pn.w != nil && !pn.node.frozen {
+	if pn.worker != nil && !pn.node.frozen {
 		pn.node.frozen = true
-		pn.node.w.record(HistoryEvent{What: Froze, Who: string(pn.w.ID), Shard: pn.make.Shard})
+		pn.node.world.record(HistoryEvent{Kind: WorkerFroze, Process: string(pn.worker.ID), Shard: pn.spec.Shard})
 	}
 }
 
 func (pn *pollingNode) thaw() {
-	if pn.w == nil || !pn.node.frozen {
+	if pn.worker == nil || !pn.node.frozen {
 		return
 	}
-	pn.node.w.record(HistoryEvent{What: Thawed, Who: string(pn.w.ID), Shard: pn.make.Shard})
+	pn.node.world.record(HistoryEvent{Kind: WorkerThawed, Process: string(pn.worker.ID), Shard: pn.spec.Shard})
 	pn.node.frozen = false
-	pn.w.Tick(pn.node.mono())
-	list := pn.node.queue
-	pn.node.queue = nil
+	pn.worker.Tick(pn.node.monotonic())
+	list := pn.node.backlog
+	pn.node.backlog = nil
 	for _, run := range list {
 		run()
 	}
-	pn.call()
+	pn.poll()
 }
 
-// crash ends the process, and the platform starts another.
-func (pn *pollingNode) crash() {
+// crashAndRestart ends the process, and the platform starts another.
+func (pn *pollingNode) crashAndRestart() {
 	pn.kill()
-	pn.node.w.at(time.Second, func() {
-		if pn.w == nil {
+	pn.node.world.after(time.Second, func() {
+		if pn.worker == nil {
 			pn.boot()
 		}
 	})
 }
 
-// call makes a call and waits for its answer, or calls again after a while.
-func (pn *pollingNode) call() {
-	if pn.w == nil || pn.node.frozen {
+// poll makes a call and waits for its answer, or calls again after a while.
+func (pn *pollingNode) poll() {
+	if pn.worker == nil || pn.node.frozen {
 		return
 	}
-	w, gen := pn.node.w, pn.gen
-	p := pn.w.Call(pn.node.mono())
-	on := func() bool { return pn.gen == gen && pn.w != nil && p.Call == pn.w.call }
-	took := func(n *node) {
+	w, gen := pn.node.world, pn.incarnation
+	p := pn.worker.NextPoll(pn.node.monotonic())
+	current := func() bool { return pn.incarnation == gen && pn.worker != nil && p.Call == pn.worker.lastPoll }
+	onReceived := func(n *node) {
 		for _, e := range p.Ended {
-			if pn.told[e.Attempt] != n.gen {
-				pn.told[e.Attempt] = n.gen
-				w.record(HistoryEvent{What: Heard, Who: n.name(), Attempt: e.Attempt, Outcome: e.Outcome})
+			if pn.reportedTo[e.Attempt] != n.incarnation {
+				pn.reportedTo[e.Attempt] = n.incarnation
+				w.record(HistoryEvent{Kind: EndReported, Process: n.processName(), Attempt: e.Attempt, Outcome: e.Outcome})
 			}
 		}
 	}
-	w.requestWith(pn.node.addr, pn.agent, "poll", "", wire.EncodeBody(p), took, func(a wire.Response) {
+	w.requestObserved(pn.node.addr, pn.agent, "poll", "", wire.EncodeBody(p), onReceived, func(a wire.Response) {
 		take := func() {
-			if !on() {
+			if !current() {
 				return
 			}
 			var r dispatch.PollReply
 			if a.Error == nil && json.Unmarshal(a.Body, &r) == nil {
-				pn.w.Take(pn.node.mono(), r)
+				pn.worker.HandleAnswer(pn.node.monotonic(), r)
 			}
-			w.at(time.Millisecond, func() {
-				if on() {
-					pn.call()
+			w.after(time.Millisecond, func() {
+				if current() {
+					pn.poll()
 				}
 			})
 		}
 		if pn.node.frozen {
-			pn.node.queue = append(pn.node.queue, take)
+			pn.node.backlog = append(pn.node.backlog, take)
 			return
 		}
 		take()
 	})
-	w.at(400*time.Millisecond, func() {
-		if on() {
-			pn.call()
+	w.after(400*time.Millisecond, func() {
+		if current() {
+			pn.poll()
 		}
 	})
 }
 
-// leave has the worker say that it is going, or is not, and within how long.
-func (pn *pollingNode) leave(on bool, within time.Duration) {
-	if pn.w == nil || pn.w.Leave == on {
+// setLeaving has the worker say that it is going, or is not, and within how long.
+func (pn *pollingNode) setLeaving(leaving bool, within time.Duration) {
+	if pn.worker == nil || pn.worker.Leaving == leaving {
 		return
 	}
-	pn.w.Leave, pn.w.Goes = on, 0
+	pn.worker.Leaving, pn.worker.DepartsAt = leaving, 0
 	if within > 0 {
-		pn.w.Goes = pn.node.mono().Add(within)
+		pn.worker.DepartsAt = pn.node.monotonic().Add(within)
 	}
-	what := Staying
-	if on {
-		what = Leaving
+	kind := WorkerStaying
+	if leaving {
+		kind = WorkerLeaving
 	}
-	pn.node.w.record(HistoryEvent{What: what, Who: string(pn.w.ID), Shard: pn.make.Shard})
+	pn.node.world.record(HistoryEvent{Kind: kind, Process: string(pn.worker.ID), Shard: pn.spec.Shard})
 }
--- a/sim/processor_test.go
+++ b/sim/processor_test.go
@@ -30,29 +30,29 @@
 )
 
 // slowDay is a day on which a step takes time; slow makes processors slower.
-func slowDay(seed int64, order Order, slow func(*Run)) *Run {
-	r := Build(Plan{Seed: seed, Deployment: "kingston-called", Quick: true, Before: 4 * time.Second, FaultsFor: slowFor, After: 7 * time.Second,
+func slowDay(seed int64, order LoopBugs, slow func(*Run)) *Run {
+	r := New(Plan{Seed: seed, Deployment: "kingston-called", Quick: true, Before: 4 * time.Second, FaultsFor: slowFor, After: 7 * time.Second,
 		Settle: 45 * time.Second, Patience: 5 * time.Second})
-	c := SmallCore
-	r.Costs, r.Order = &c, order
-	r.at(slowFrom, func() { slow(r) })
-	return r.Go()
+	c := SmallCoreCosts
+	r.StepCosts, r.LoopBugs = &c, order
+	r.after(slowFrom, func() { slow(r) })
+	return r.Execute()
 }
 
-// slowed picks whose processors are slow on a day.
-var slowed = map[string]func(r *Run, times float64){
-	"leader":   func(r *Run, times float64) { r.slowDown(r.leader(), times, slowFor) },
-	"follower": func(r *Run, times float64) { r.slowDown(r.follower(), times, slowFor) },
-	"gateway":  func(r *Run, times float64) { r.slowDown(r.gateways[0], times, slowFor) },
+// slowProcessors picks whose processors are slow on a day.
+var slowProcessors = map[string]func(r *Run, times float64){
+	"leader":   func(r *Run, times float64) { r.slowProcessor(r.leader(), times, slowFor) },
+	"follower": func(r *Run, times float64) { r.slowProcessor(r.follower(), times, slowFor) },
+	"gateway":  func(r *Run, times float64) { r.slowProcessor(r.gateways[0], times, slowFor) },
 	"in turn": func(r *Run, times float64) {
 		for i, n := range []*node{r.leader(), r.follower(), r.gateways[0], r.gateways[1]} {
-			r.at(time.Duration(i)*slowFor/4, func() { r.slowDown(n, times, slowFor/4) })
+			r.after(time.Duration(i)*slowFor/4, func() { r.slowProcessor(n, times, slowFor/4) })
 		}
 	},
 }
 
 func (r *Run) follower() *node {
-	for _, n := range upNodes(r.controllers) {
+	for _, n := range running(r.controllers) {
 		if n != r.leader() {
 			return n
 		}
@@ -60,41 +60,41 @@
 	return nil
 }
 
-// loops sums what the loops of controllers and gateways measured.
-type loops struct {
-	longest     [wire.NumClasses]time.Duration // that an event waited
-	held        time.Duration                  // the longest that a request was under way
-	turned      int                            // requests that no machine saw
-	away        uint64                         // and those that a leader had no time for
-	relieved    uint64
-	leaderTerms types.Term
+// loopStats sums what the loops of controllers and gateways measured.
+type loopStats struct {
+	longest          [wire.NumClasses]time.Duration // that an event waited
+	longestRequest   time.Duration                  // the longest that a request was under way
+	rejectedByLoop   int                            // requests that no machine saw
+	rejectedByLeader uint64                         // and those that a leader had no time for
+	handovers        uint64
+	leaderTerms      types.Term
 }
 
-func (r *Run) loops() (l loops) {
+func (r *Run) loopStats() (l loopStats) {
 	for _, n := range append(append([]*node{}, r.controllers...), r.gateways...) {
-		for c, d := range n.processor.longest {
+		for c, d := range n.processor.longestWait {
 			l.longest[c] = max(l.longest[c], d)
 		}
-		l.turned += n.processor.Sums.Refused + n.processor.Sums.Expired
-		for _, list := range n.processor.held {
+		l.rejectedByLoop += n.processor.Sums.Refused + n.processor.Sums.Expired
+		for _, list := range n.processor.requestDurations {
 			for _, d := range list {
-				l.held = max(l.held, d)
+				l.longestRequest = max(l.longestRequest, d)
 			}
 		}
 	}
 	for _, n := range r.controllers {
-		s := r.status(n)
-		l.away += s.Counters.TurnedAway
-		l.relieved += s.Counters.Relieved
+		s := r.controllerStatus(n)
+		l.rejectedByLeader += s.Counters.TurnedAway
+		l.handovers += s.Counters.Relieved
 		l.leaderTerms = max(l.leaderTerms, s.Term)
 	}
 	return
 }
 
-// accepted counts jobs taken in a stretch of time.
-func (r *Run) accepted(from, to time.Duration) (n int) {
-	for _, h := range r.Hist.List {
-		if h.What == Accepted && h.At >= int64(from) && h.At < int64(to) {
+// countAccepted counts jobs taken in a stretch of time.
+func (r *Run) countAccepted(from, to time.Duration) (n int) {
+	for _, h := range r.History.Events {
+		if h.Kind == JobAccepted && h.At >= int64(from) && h.At < int64(to) {
 			n++
 		}
 	}
@@ -102,7 +102,7 @@
 }
 
 func TestSlowProcessorsKeepTheRules(t *testing.T) {
-	for who, slow := range slowed {
+	for who, slow := range slowProcessors {
 		for _, times := range []float64{2, 5, 10} {
 			if testing.Short() && (who != "leader" || times != 10) {
 				continue
@@ -110,17 +110,17 @@
 			t.Run(fmt.Sprint(who, " ", times, " times slower"), func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
-				r := slowDay(int64(times), Order{}, func(r *Run) { slow(r, times) })
-				for _, b := range r.Verdict().Breaks {
+				r := slowDay(int64(times), LoopBugs{}, func(r *Run) { slow(r, times) })
+				for _, b := range r.Verdict().Violations {
 					t.Error(b)
 				}
-				l := r.loops()
-				before, after := r.accepted(6*time.Second, slowFrom), r.accepted(slowFrom+slowFor+3*time.Second, slowFrom+slowFor+7*time.Second)
-				t.Logf("%+v; taken in 4 s before %d, during %d a 4 s, after %d", l, before, r.accepted(slowFrom, slowFrom+slowFor)/2, after)
+				l := r.loopStats()
+				before, after := r.countAccepted(6*time.Second, slowFrom), r.countAccepted(slowFrom+slowFor+3*time.Second, slowFrom+slowFor+7*time.Second)
+				t.Logf("%+v; taken in 4 s before %d, during %d a 4 s, after %d", l, before, r.countAccepted(slowFrom, slowFrom+slowFor)/2, after)
 				is.True(l.longest[wire.ClassConsensus] <= mostConsensusWait)
 				is.True(l.longest[wire.ClassCallers] <= mostRequestWait)
-				is.True(l.held <= gateway.RequestTimeout+200*time.Millisecond*time.Duration(times)/2) // a request given up on is answered at a tick
-				is.True(after >= before*8/10)                                                         // and the service comes back
+				is.True(l.longestRequest <= gateway.RequestTimeout+200*time.Millisecond*time.Duration(times)/2) // a request given up on is answered at a tick
+				is.True(after >= before*8/10)                                                                   // and the service comes back
 			})
 		}
 	}
@@ -133,18 +133,18 @@
 		t.Skip("run without the race detector")
 	}
 	for name, c := range map[string]struct {
-		order  Order
-		caught func(loops) bool
+		order  LoopBugs
+		caught func(loopStats) bool
 	}{
-		"one queue":     {Order{OneQueue: true}, func(l loops) bool { return l.longest[wire.ClassConsensus] > mostConsensusWait }},
-		"never refuses": {Order{NeverRefuses: true}, func(l loops) bool { return l.longest[wire.ClassCallers] > mostRequestWait }},
-		"both": {Order{OneQueue: true, NeverRefuses: true}, func(l loops) bool {
+		"one queue":     {LoopBugs{SingleQueue: true}, func(l loopStats) bool { return l.longest[wire.ClassConsensus] > mostConsensusWait }},
+		"never refuses": {LoopBugs{NeverRejects: true}, func(l loopStats) bool { return l.longest[wire.ClassCallers] > mostRequestWait }},
+		"both": {LoopBugs{SingleQueue: true, NeverRejects: true}, func(l loopStats) bool {
 			return l.longest[wire.ClassConsensus] > mostConsensusWait
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l := slowDay(10, c.order, func(r *Run) { slowed["leader"](r, 10) }).loops()
+			l := slowDay(10, c.order, func(r *Run) { slowProcessors["leader"](r, 10) }).loopStats()
 			t.Logf("%+v", l)
 			if !c.caught(l) {
 				t.Error("not caught")
@@ -170,27 +170,27 @@
 			t.Parallel()
 			is := is.New(t)
 			var was types.Addr
-			r := Build(Plan{Seed: 4, Deployment: "kingston-called", Quick: true, Before: 8 * time.Second, FaultsFor: 30 * time.Second, After: 4 * time.Second,
+			r := New(Plan{Seed: 4, Deployment: "kingston-called", Quick: true, Before: 8 * time.Second, FaultsFor: 30 * time.Second, After: 4 * time.Second,
 				Settle: 45 * time.Second, Patience: 5 * time.Second})
-			costs := SmallCore
-			r.Costs = &costs
-			r.at(14*time.Second, func() {
+			costs := SmallCoreCosts
+			r.StepCosts = &costs
+			r.after(14*time.Second, func() {
 				was = r.leader().addr
 				for _, n := range c.slow(r) {
-					r.slowDown(n, 10, 26*time.Second)
+					r.slowProcessor(n, 10, 26*time.Second)
 				}
 			})
-			r.Go()
-			for _, b := range r.Verdict().Breaks {
+			r.Execute()
+			for _, b := range r.Verdict().Violations {
 				t.Error(b)
 			}
-			l := r.loops()
+			l := r.loopStats()
 			t.Logf("%+v; led by %s, then %s", l, was, r.leader().addr)
 			is.True(l.leaderTerms <= c.most)
 			is.True(l.longest[wire.ClassConsensus] <= mostConsensusWait)
 			is.True(l.longest[wire.ClassCallers] <= mostRequestWait)
 			if name == "the leader" {
-				is.Equal(l.relieved, uint64(1))
+				is.Equal(l.handovers, uint64(1))
 				is.True(r.leader().addr != was)
 			}
 		})
--- a/sim/relay.go
+++ b/sim/relay.go
@@ -10,34 +10,36 @@
 	"sync"
 )
 
-// Net is the state of all cuts between host IPs.
-type Net struct {
-	mu   sync.Mutex
-	cuts map[[2]string]int
-	turn chan struct{}
+// Partitions is the state of all cuts between host IPs.
+type Partitions struct {
+	mu      sync.Mutex
+	cuts    map[[2]string]int
+	changed chan struct{}
 }
 
-func NewNet() *Net { return &Net{cuts: map[[2]string]int{}, turn: make(chan struct{})} }
+func NewPartitions() *Partitions {
+	return &Partitions{cuts: map[[2]string]int{}, changed: make(chan struct{})}
+}
 
-// Cut begins or ends a cut of everything from one host to another. Cuts of the
+// Set begins or ends a cut of everything from one host to another. Cuts of the
 // same pair add up.
-func (n *Net) Cut(from, to string, on bool) {
+func (n *Partitions) Set(from, to string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if on {
+	if cut {
 		n.cuts[[2]string{from, to}]++
 	} else {
 		n.cuts[[2]string{from, to}]--
 	}
-	close(n.turn)
-	n.turn = make(chan struct{})
+	close(n.changed)
+	n.changed = make(chan struct{})
 }
 
-// pass waits until nothing is cut from one host to another.
-func (n *Net) pass(ctx context.Context, from, to string) bool {
+// awaitOpen waits until nothing is cut from one host to another.
+func (n *Partitions) awaitOpen(ctx context.Context, from, to string) bool {
 	for {
 		n.mu.Lock()
-		cut, turn := n.cuts[[2]string{from, to}] > 0, n.turn
+		cut, turn := n.cuts[[2]string{from, to}] > 0, n.changed
 		n.mu.Unlock()
 		if !cut {
 			return true
@@ -51,7 +53,7 @@
 }
 
 // Relay listens for a daemon and carries its connections.
-func (n *Net) Relay(ctx context.Context, listen, target string) error {
+func (n *Partitions) Relay(ctx context.Context, listen, target string) error {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return err
@@ -64,18 +66,18 @@
 			if err != nil {
 				return
 			}
-			go n.carry(ctx, c, host, target)
+			go n.proxy(ctx, c, host, target)
 		}
 	}()
 	return nil
 }
 
-func (n *Net) carry(ctx context.Context, c net.Conn, host, target string) {
+func (n *Partitions) proxy(ctx context.Context, c net.Conn, host, target string) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	defer c.Close()
 	from, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-	if !n.pass(ctx, from, host) || !n.pass(ctx, host, from) {
+	if !n.awaitOpen(ctx, from, host) || !n.awaitOpen(ctx, host, from) {
 		return
 	}
 	t, err := net.Dial("tcp", target)
@@ -85,21 +87,21 @@
 	defer t.Close()
 	go func() {
 		defer stop()
-		n.pump(ctx, c, t, from, host)
+		n.copyBytes(ctx, c, t, from, host)
 	}()
 	go func() {
 		defer stop()
-		n.pump(ctx, t, c, host, from)
+		n.copyBytes(ctx, t, c, host, from)
 	}()
 	<-ctx.Done()
 }
 
-func (n *Net) pump(ctx context.Context, in, out net.Conn, from, to string) {
+func (n *Partitions) copyBytes(ctx context.Context, in, out net.Conn, from, to string) {
 	b := make([]byte, 64<<10)
 	for {
 		k, err := in.Read(b)
 		if k > 0 {
-			if !n.pass(ctx, from, to) {
+			if !n.awaitOpen(ctx, from, to) {
 				return
 			}
 			if _, err := out.Write(b[:k]); err != nil {
--- a/sim/requests_test.go
+++ b/sim/requests_test.go
@@ -15,15 +15,15 @@
 	"coppercourse/internal/wire"
 )
 
-// direct asks a controller itself and gives its answer, if one comes in time.
-func (r *Run) direct(n *node, verb string, body any, within time.Duration) (a wire.Response, ok bool) {
+// requestFrom asks a controller itself and gives its answer, if one comes in time.
+func (r *Run) requestFrom(n *node, verb string, body any, within time.Duration) (a wire.Response, ok bool) {
 	r.request("operator", n.addr, verb, "", wire.EncodeBody(body), func(b wire.Response) { a, ok = b, true })
-	r.Run(time.Duration(r.now) + within)
+	r.RunUntil(time.Duration(r.now) + within)
 	return
 }
 
-// next is the deployment's table with another weight, put on a version.
-func (r *Run) next(base types.Version, weight int) config.Table {
+// changedTable is the deployment's table with another weight, put on a version.
+func (r *Run) changedTable(base types.Version, weight int) config.Table {
 	t := r.Clients.deployment.Table()
 	t.Version, t.Queues[0].Weight = base, weight
 	return t
@@ -36,8 +36,8 @@
 	for _, verb := range []string{"table.get", "table.put", "job.get"} {
 		t.Run(verb, func(t *testing.T) {
 			is := is.New(t)
-			r, acked := core(t, 91)
-			r.Run(8 * time.Second)
+			r, acked := newControlRun(t, 91)
+			r.RunUntil(8 * time.Second)
 			is.True(acked())
 			old := r.leader()
 			old.freeze()
@@ -45,21 +45,21 @@
 			got := false
 			var body any
 			if verb == "table.put" {
-				body = r.next(2, 7)
+				body = r.changedTable(2, 7)
 			}
 			r.request("operator", old.addr, verb, "", wire.EncodeBody(body), func(b wire.Response) { a, got = b, true }) // it is the first to come
-			r.Run(18 * time.Second)
+			r.RunUntil(18 * time.Second)
 			var heir *node
 			for _, h := range r.controllers {
-				if h != old && r.status(h).RaftRole == "leader" {
+				if h != old && r.controllerStatus(h).RaftRole == "leader" {
 					heir = h
 				}
 			}
 			is.True(heir != nil)
-			b, ok := r.direct(heir, "table.put", r.next(1, 5), time.Second)
+			b, ok := r.requestFrom(heir, "table.put", r.changedTable(1, 5), time.Second)
 			is.True(ok && b.Error == nil)
 			old.thaw()
-			r.Run(time.Duration(r.now) + 500*time.Millisecond)
+			r.RunUntil(time.Duration(r.now) + 500*time.Millisecond)
 			is.True(got)
 			is.True(a.Error != nil)
 			is.Equal(a.Error.Kind, apierror.NoLeader) // neither the old table nor a refusal by it
@@ -78,33 +78,33 @@
 		{"a follower is cut off", func(r *Run, l *node) (a, b []types.Addr) {
 			for _, h := range r.controllers {
 				if h != l {
-					return []types.Addr{h.addr}, r.others(h.addr)
+					return []types.Addr{h.addr}, r.allExcept(h.addr)
 				}
 			}
 			return
 		}, true},
-		{"the leader is cut off", peers, true},
-		{"the leader is heard by nobody", peers, false},
+		{"the leader is cut off", separatedFromPeers, true},
+		{"the leader is heard by nobody", separatedFromPeers, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			r, _ := core(t, 92)
+			r, _ := newControlRun(t, 92)
 			r.network = NetworkQuality{} // what is asked arrives, and so does the answer
-			r.Run(8 * time.Second)
+			r.RunUntil(8 * time.Second)
 			l := r.leader()
 			a, b := c.apart(r, l)
-			r.Split(a, b, true, c.both)
+			r.SetPartition(a, b, true, c.both)
 			from := r.now
 			for r.now < from+int64(20*time.Second) {
-				r.Run(time.Duration(r.now) + 250*time.Millisecond)
+				r.RunUntil(time.Duration(r.now) + 250*time.Millisecond)
 				for _, h := range r.controllers {
 					began := r.now
-					answer, ok := r.direct(h, "table.get", nil, 60*time.Millisecond)
+					answer, ok := r.requestFrom(h, "table.get", nil, 60*time.Millisecond)
 					is.True(ok) // at once
 					is.True(answer.Leader != h.addr)
 					if answer.Leader != "" { // the one it names can have led within its lease
 						is.True(answer.Error.Kind == apierror.NoLeader)
-						reached := !r.cut[pair{answer.Leader, h.addr}]
+						reached := !r.partitioned[addressPair{answer.Leader, h.addr}]
 						is.True(reached || began-from < int64(r.raftTimeouts.MinElectionTimeout+100*time.Millisecond))
 					}
 					if answer.Error != nil && answer.Leader == "" {
--- a/sim/run.go
+++ b/sim/run.go
@@ -19,13 +19,13 @@
 	Seed       int64
 	Deployment string
 	Faults     []string // names from the table of faults; none: no faults
-	Count      int      // how many faults
+	FaultCount int      // how many faults
 	Before     time.Duration
 	FaultsFor  time.Duration
 	After      time.Duration     // traffic goes on after the faults
 	Settle     time.Duration     // no new traffic; all must end
 	Patience   time.Duration     // of every queue
-	Last       bool              // one more fault at the very end of the traffic
+	LastFault  bool              // one more fault at the very end of the traffic
 	Unguarded  bool              // invoked workers guard nothing
 	Timeouts   dispatch.Timeouts // of agents and controllers; the defaults if not set
 	Quick      bool              // the pace is the quick one, of elections too
@@ -34,26 +34,26 @@
 // Run is a world with a deployment in it.
 type Run struct {
 	*World
-	Plan        Plan
-	Clients     *Clients
-	controllers []*node
-	gateways    []*node
-	agents      []*node
-	zones       map[types.Zone][]types.Addr
-	spare       int
-	drains      map[string]bool // racks that an operator drains
-	done        int64
-	affected    []types.Addr // whom the trouble at hand touches; nil: everybody
-	Messages    []string
-	until       time.Time // of real time, for runs that measure; they give up then
+	Plan         Plan
+	Clients      *Clients
+	controllers  []*node
+	gateways     []*node
+	agents       []*node
+	zones        map[types.Zone][]types.Addr
+	spare        int
+	drained      map[string]bool // racks that an operator drains
+	endedAt      int64
+	affected     []types.Addr // whom the trouble at hand touches; nil: everybody
+	Messages     []string
+	realDeadline time.Time // of real time, for runs that measure; they give up then
 }
 
-// Build sets the plan's deployment up: its controllers, gateways, agents and their workers.
-func Build(p Plan) *Run { return build(p, Deployments[p.Deployment]) }
+// New sets the plan's deployment up: its controllers, gateways, agents and their workers.
+func New(p Plan) *Run { return newRun(p, Deployments[p.Deployment]) }
 
-func build(p Plan, deployment Deployment) *Run {
-	r := &Run{World: NewWorld(p.Seed), Plan: p, zones: map[types.Zone][]types.Addr{}, drains: map[string]bool{}}
-	size := deployment.size()
+func newRun(p Plan, deployment Deployment) *Run {
+	r := &Run{World: NewWorld(p.Seed), Plan: p, zones: map[types.Zone][]types.Addr{}, drained: map[string]bool{}}
+	size := deployment.effectiveSize()
 	if deployment.WorkerRules != nil {
 		r.environment = NewWorkerEnvironment(*deployment.WorkerRules)
 	}
@@ -69,47 +69,47 @@
 		r.seeds = r.founders
 	}
 	for i := range size.Controllers {
-		n := r.controller(types.Addr(fmt.Sprintf("h%d", i+1)), size.zone(i))
-		n.first = true
+		n := r.addController(types.Addr(fmt.Sprintf("h%d", i+1)), size.zone(i))
+		n.firstStart = true
 		r.controllers = append(r.controllers, n)
 	}
 	for i := range size.Gateways {
-		r.gateways = append(r.gateways, r.gateway(types.Addr(fmt.Sprintf("g%d", i+1)), size.zone(i)))
+		r.gateways = append(r.gateways, r.addGateway(types.Addr(fmt.Sprintf("g%d", i+1)), size.zone(i)))
 	}
 	for i, m := range deployment.Workers() {
 		a := types.Addr(fmt.Sprintf("w%d", i+1))
-		r.agents = append(r.agents, r.agent(a, size.zone(i), m))
+		r.agents = append(r.agents, r.addAgent(a, size.zone(i), m))
 		if deployment.WorkerRules != nil {
 			m.Guards = !p.Unguarded
 			r.addInvokedWorker(types.Addr(fmt.Sprintf("k%d", i+1)), a, size.zone(i), m)
 			continue
 		}
-		r.worker(types.Addr(fmt.Sprintf("k%d", i+1)), a, size.zone(i), m)
+		r.addPollingWorker(types.Addr(fmt.Sprintf("k%d", i+1)), a, size.zone(i), m)
 	}
-	for _, a := range r.order {
+	for _, a := range r.nodeOrder {
 		n := r.nodes[a]
 		r.zones[n.zone] = append(r.zones[n.zone], a)
-		if n.make != nil {
-			r.at(time.Duration(r.random.Int63n(int64(300*time.Millisecond))), n.boot)
+		if n.newMachine != nil {
+			r.after(time.Duration(r.random.Int63n(int64(300*time.Millisecond))), n.boot)
 		}
 	}
 	for _, h := range r.pollingWorkers {
-		r.at(time.Duration(r.random.Int63n(int64(500*time.Millisecond))), h.boot)
+		r.after(time.Duration(r.random.Int63n(int64(500*time.Millisecond))), h.boot)
 	}
 	for _, k := range r.invokedWorkers {
-		r.at(time.Duration(r.random.Int63n(int64(500*time.Millisecond))), k.boot)
+		r.after(time.Duration(r.random.Int63n(int64(500*time.Millisecond))), k.boot)
 	}
-	r.Clients = &Clients{w: r.World, deployment: deployment, addr: "caller", open: true, Cancel: 0.04, Races: true, Count: map[apierror.Kind]int{},
-		Tries: 30, cancels: map[types.JobID]time.Duration{}}
+	r.Clients = &Clients{world: r.World, deployment: deployment, address: "caller", open: true, CancelRate: 0.04, RacingOperators: true, Refusals: map[apierror.Kind]int{},
+		MaxRetries: 30, cancelDelays: map[types.JobID]time.Duration{}}
 	for _, g := range r.gateways {
 		r.Clients.gateways = append(r.Clients.gateways, g.addr)
 	}
-	r.network = NetworkQuality{Loss: 0.001, Twice: 0.001, Late: 0.001}
+	r.network = NetworkQuality{LossRate: 0.001, DuplicateRate: 0.001, DelayRate: 0.001}
 	return r
 }
 
-// Go does the whole run.
-func (r *Run) Go() *Run {
+// Execute does the whole run.
+func (r *Run) Execute() *Run {
 	p := r.Plan
 	t := r.Clients.deployment.Table()
 	for i := range t.Queues {
@@ -118,98 +118,98 @@
 			t.Queues[i].PartitionTimeoutMillis = t.Queues[i].UnresolvedTimeoutMillis
 		}
 	}
-	r.at(3*time.Second, func() { r.Clients.put(t, r.Clients.any(), 0, func(bool) {}) })
-	r.at(6*time.Second, func() {
-		if r.traffic(); r.Clients.deployment.WorkerRules != nil {
-			r.Clients.versions()
+	r.after(3*time.Second, func() { r.Clients.putTable(t, r.Clients.anyGateway(), 0, func(bool) {}) })
+	r.after(6*time.Second, func() {
+		if r.startTraffic(); r.Clients.deployment.WorkerRules != nil {
+			r.Clients.startVersioningOperators()
 		} else {
-			r.Clients.races()
+			r.Clients.startRacingOperators()
 		}
-		r.reads()
+		r.startTableReads()
 	})
 	from := 6*time.Second + p.Before
-	r.Run(from)
-	for range p.Count {
+	r.RunUntil(from)
+	for range p.FaultCount {
 		d := time.Duration(r.random.Int63n(int64(p.FaultsFor * 8 / 10)))
 		name := p.Faults[r.random.Intn(len(p.Faults))]
 		long := time.Duration(300+r.random.Intn(6000)) * time.Millisecond
-		r.at(d, func() { r.inject(name, long) })
+		r.after(d, func() { r.injectFault(name, long) })
 	}
-	r.Run(from + p.FaultsFor)
+	r.RunUntil(from + p.FaultsFor)
 	r.Heal()
-	r.Run(from + p.FaultsFor + p.After)
-	if p.Last {
-		r.inject(p.Faults[r.random.Intn(len(p.Faults))], 2*time.Second)
+	r.RunUntil(from + p.FaultsFor + p.After)
+	if p.LastFault {
+		r.injectFault(p.Faults[r.random.Intn(len(p.Faults))], 2*time.Second)
 	}
 	r.Clients.open = false
-	r.Run(from + p.FaultsFor + p.After + 3*time.Second)
+	r.RunUntil(from + p.FaultsFor + p.After + 3*time.Second)
 	r.Heal()
-	r.Run(from + p.FaultsFor + p.After + p.Settle)
-	r.done = r.now
+	r.RunUntil(from + p.FaultsFor + p.After + p.Settle)
+	r.endedAt = r.now
 	return r
 }
 
-func (r *Run) reads() {
-	r.at(700*time.Millisecond, func() {
+func (r *Run) startTableReads() {
+	r.after(700*time.Millisecond, func() {
 		if r.Clients.open {
-			r.Clients.read(nil)
-			r.reads()
+			r.Clients.readTable(nil)
+			r.startTableReads()
 		}
 	})
 }
 
 // Heal ends all faults: everything that is down starts, all cuts go.
 func (r *Run) Heal() {
-	clear(r.cut)
-	clear(r.resets)
-	r.lostAcks, r.watchers, r.Clients.Burst = 0, nil, 0
-	r.network = NetworkQuality{Loss: 0.001, Twice: 0.001, Late: 0.001}
-	for _, a := range r.order {
+	clear(r.partitioned)
+	clear(r.connectionResets)
+	r.ackLossRate, r.watchers, r.Clients.BurstFactor = 0, nil, 0
+	r.network = NetworkQuality{LossRate: 0.001, DuplicateRate: 0.001, DelayRate: 0.001}
+	for _, a := range r.nodeOrder {
 		n := r.nodes[a]
-		if n.make == nil {
+		if n.newMachine == nil {
 			continue
 		}
 		n.thaw()
 		if n.disk != nil {
-			n.disk.slow, n.disk.stall, n.disk.full = 0, 0, false
+			n.disk.extraLatency, n.disk.stalledUntil, n.disk.full = 0, 0, false
 		}
-		if n.m == nil {
+		if n.machine == nil {
 			n.boot()
 		}
 	}
 	for _, h := range r.pollingWorkers {
-		h.leave(false, 0)
+		h.setLeaving(false, 0)
 		h.thaw()
-		if h.w == nil {
+		if h.worker == nil {
 			h.boot()
 		}
-		h.w.WorkerSpec = h.make
-		if h.w.Slow == 0 {
-			h.w.Slow = 1
+		h.worker.WorkerSpec = h.spec
+		if h.worker.Slow == 0 {
+			h.worker.Slow = 1
 		}
 	}
 	for _, k := range r.invokedWorkers {
 		k.heal()
 	}
-	r.record(HistoryEvent{What: Healed})
+	r.record(HistoryEvent{Kind: FaultsHealed})
 }
 
-// traffic begins all that a deployment's callers send.
-func (r *Run) traffic() {
+// startTraffic begins all that a deployment's callers send.
+func (r *Run) startTraffic() {
 	for _, s := range r.Clients.deployment.Streams {
-		r.Clients.stream(s)
+		r.Clients.startStream(s)
 	}
 	if r.Clients.deployment.WorkerRules == nil {
 		for _, f := range append(r.Clients.deployment.Flows[:3:3], r.Clients.deployment.LongGangs()) {
-			r.Clients.flow(f)
+			r.Clients.startFlow(f)
 		}
 	}
 }
 
 func pickOne[T any](rnd *rand.Rand, list []T) T { return list[rnd.Intn(len(list))] }
 
-// inject begins a fault and ends it after a while.
-func (r *Run) inject(name string, long time.Duration) {
+// injectFault begins a fault and ends it after a while.
+func (r *Run) injectFault(name string, duration time.Duration) {
 	f := Faults[name]
 	if c := ControlFaults[name]; c != nil {
 		f = c
@@ -221,12 +221,12 @@
 		panic("no such fault: " + name)
 	}
 	r.affected = nil
-	end := f(r, long)
+	end := f(r, duration)
 	if end == nil {
 		return
 	}
-	r.record(HistoryEvent{What: Trouble, Text: fmt.Sprintf("%s for %s", name, long), Affected: r.affected})
-	r.at(long, end)
+	r.record(HistoryEvent{Kind: FaultStarted, Text: fmt.Sprintf("%s for %s", name, duration), Affected: r.affected})
+	r.after(duration, end)
 }
 
 // FaultNames lists the table.
--- a/sim/scale.go
+++ b/sim/scale.go
@@ -37,8 +37,8 @@
 // Scale is how many daemons of each role there are.
 type Scale struct{ Controllers, Gateways, Agents, Zones int }
 
-// ScaleOf lays out a number of daemons: three controllers, a gateway in each zone.
-func ScaleOf(daemons int) Scale {
+// NewScale lays out a number of daemons: three controllers, a gateway in each zone.
+func NewScale(daemons int) Scale {
 	s := Scale{Controllers: 3, Gateways: fullZones, Zones: fullZones}
 	if daemons < 50 {
 		s.Gateways, s.Zones = 4, 3
@@ -51,35 +51,35 @@
 
 // NewScaleRun sets such a fleet up without traffic.
 func NewScaleRun(seed int64, s Scale) *Run {
-	r := &Run{World: NewWorld(seed), zones: map[types.Zone][]types.Addr{}, drains: map[string]bool{}}
+	r := &Run{World: NewWorld(seed), zones: map[types.Zone][]types.Addr{}, drained: map[string]bool{}}
 	zone := func(i int) types.Zone { return types.Zone(fmt.Sprintf("z%d", i%s.Zones+1)) }
 	addr := func(part, i int) types.Addr {
 		return types.Addr(fmt.Sprintf("10.%d.%d.%d:7400", part, i/200, i%200+1))
 	}
 	r.seeds = []types.Addr{addr(1, 0), addr(2, 0), addr(3, 0)}
 	for i := range s.Controllers {
-		r.controllers = append(r.controllers, r.controller(addr(1, i), zone(i)))
+		r.controllers = append(r.controllers, r.addController(addr(1, i), zone(i)))
 	}
 	for i := range s.Gateways {
-		r.gateways = append(r.gateways, r.gateway(addr(2, i), zone(i)))
+		r.gateways = append(r.gateways, r.addGateway(addr(2, i), zone(i)))
 	}
 	for i := range s.Agents {
 		m := WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/20+1)), Kinds: []types.ServiceKind{"quote", "menu"},
 			Room: types.Resources{Cores: 16, MemoryMB: 16 << 10}}
-		r.agents = append(r.agents, r.agent(addr(3, i), zone(i), m))
-		r.worker(addr(4, i), addr(3, i), zone(i), m)
+		r.agents = append(r.agents, r.addAgent(addr(3, i), zone(i), m))
+		r.addPollingWorker(addr(4, i), addr(3, i), zone(i), m)
 	}
-	for _, a := range r.order {
+	for _, a := range r.nodeOrder {
 		n := r.nodes[a]
 		r.zones[n.zone] = append(r.zones[n.zone], a)
-		if n.make != nil {
-			r.at(time.Duration(r.random.Int63n(int64(300*time.Millisecond))), n.boot)
+		if n.newMachine != nil {
+			r.after(time.Duration(r.random.Int63n(int64(300*time.Millisecond))), n.boot)
 		}
 	}
 	for _, h := range r.pollingWorkers {
-		r.at(time.Duration(r.random.Int63n(int64(500*time.Millisecond))), h.boot)
+		r.after(time.Duration(r.random.Int63n(int64(500*time.Millisecond))), h.boot)
 	}
-	r.Clients = &Clients{w: r.World, addr: "caller", open: true, Count: map[apierror.Kind]int{}}
+	r.Clients = &Clients{world: r.World, address: "caller", open: true, Refusals: map[apierror.Kind]int{}}
 	for _, g := range r.gateways {
 		r.Clients.gateways = append(r.Clients.gateways, g.addr)
 	}
@@ -109,26 +109,26 @@
 type Measurement struct {
 	ScalePlan
 	Scale
-	Roles    []RoleUsage
-	Steps    *hdrhistogram.Histogram // of the leader
-	Table    []time.Duration
-	Urgent   []time.Duration
-	Elected  time.Duration // from the leader's death until another leads
-	Told     time.Duration // from then until every gateway and agent knows it
-	Running  int
-	RealTime time.Duration
+	Roles           []RoleUsage
+	Steps           *hdrhistogram.Histogram // of the leader
+	TableLatencies  []time.Duration
+	UrgentLatencies []time.Duration
+	ElectionTime    time.Duration // from the leader's death until another leads
+	LeaderKnownTime time.Duration // from then until every gateway and agent knows it
+	RunningTasks    int
+	RealTime        time.Duration
 }
 
 // Measure runs a simulated fleet; it is an error if it does not come up.
 func Measure(p ScalePlan) (*Measurement, error) {
 	from := time.Now()
-	s := ScaleOf(p.Daemons)
+	s := NewScale(p.Daemons)
 	r := NewScaleRun(p.Seed, s)
 	if p.Regions > 0 {
-		r.distance = r.regions(p.Regions)
+		r.regionDelay = r.regionDelays(p.Regions)
 	}
 	if p.Limit > 0 {
-		r.until = from.Add(p.Limit)
+		r.realDeadline = from.Add(p.Limit)
 	}
 	m := &Measurement{ScalePlan: p, Scale: s}
 	table := r.fleetTable(s)
@@ -136,36 +136,36 @@
 		return nil, err
 	}
 	acked := false
-	r.Clients.put(table, r.gateways[0].addr, 0, func(ok bool) { acked = ok })
-	if err := r.await(20*time.Second, "the first table and all workers healthy", func() bool { return acked && r.healthy() == s.Agents }); err != nil {
+	r.Clients.putTable(table, r.gateways[0].addr, 0, func(ok bool) { acked = ok })
+	if err := r.await(20*time.Second, "the first table and all workers healthy", func() bool { return acked && r.healthyWorkers() == s.Agents }); err != nil {
 		return nil, err
 	}
 	if p.Busy {
-		if err := r.load(s); err != nil {
+		if err := r.startLoad(s); err != nil {
 			return nil, err
 		}
 	}
-	if err := r.window(m); err != nil {
+	if err := r.measureWindow(m); err != nil {
 		return nil, err
 	}
 	for range p.Probes {
-		took, err := r.change(&table)
+		took, err := r.timeTableChange(&table)
 		if err != nil {
 			return nil, err
 		}
-		m.Table = append(m.Table, took)
-		if took, err = r.urgent(len(m.Urgent)); err != nil {
+		m.TableLatencies = append(m.TableLatencies, took)
+		if took, err = r.timeUrgentJob(len(m.UrgentLatencies)); err != nil {
 			return nil, err
 		}
-		m.Urgent = append(m.Urgent, took)
+		m.UrgentLatencies = append(m.UrgentLatencies, took)
 	}
-	err := r.succession(m)
+	err := r.measureSuccession(m)
 	m.RealTime = time.Since(from)
 	return m, err
 }
 
-// regions lays the zones out in three regions, by their numbers.
-func (r *Run) regions(lag time.Duration) func(from, to types.Addr) time.Duration {
+// regionDelays lays the zones out in three regions, by their numbers.
+func (r *Run) regionDelays(lag time.Duration) func(from, to types.Addr) time.Duration {
 	region := map[types.Addr]int{}
 	for a, n := range r.nodes {
 		var i int
@@ -182,34 +182,34 @@
 
 // await lets the world go on until something holds.
 func (r *Run) await(limit time.Duration, what string, holds func() bool) error {
-	for until := r.now + int64(limit); !holds(); r.Run(time.Duration(r.now) + 5*time.Millisecond) {
+	for until := r.now + int64(limit); !holds(); r.RunUntil(time.Duration(r.now) + 5*time.Millisecond) {
 		if r.now > until {
 			return fmt.Errorf("not within %s of simulated time: %s", limit, what)
 		}
-		if !r.until.IsZero() && time.Now().After(r.until) {
+		if !r.realDeadline.IsZero() && time.Now().After(r.realDeadline) {
 			return fmt.Errorf("out of real time, waiting for: %s", what)
 		}
 	}
 	return nil
 }
 
-// pass lets a stretch of time go by.
-func (r *Run) pass(d time.Duration) error {
+// runFor lets a stretch of time go by.
+func (r *Run) runFor(d time.Duration) error {
 	end := r.now + int64(d)
 	return r.await(2*d, fmt.Sprintf("%s to go by", d), func() bool { return r.now >= end })
 }
 
 func (r *Run) formed() bool {
-	ready := func(n *node) bool { return n.m != nil && n.m.(interface{ Ready() bool }).Ready() }
+	ready := func(n *node) bool { return n.machine != nil && n.machine.(interface{ Ready() bool }).Ready() }
 	return !slices.ContainsFunc(r.gateways, func(n *node) bool { return !ready(n) }) && slices.ContainsFunc(r.controllers, ready) && r.leader() != nil
 }
 
-func (r *Run) healthy() (n int) {
+func (r *Run) healthyWorkers() (n int) {
 	l := r.leader()
 	if l == nil || r.now/1e6%100 != 0 {
 		return
 	}
-	for _, w := range l.m.(*controller.Controller).Workers() {
+	for _, w := range l.machine.(*controller.Controller).Workers() {
 		if w.State == dispatch.Healthy {
 			n++
 		}
@@ -226,25 +226,25 @@
 	return
 }
 
-// scaleJob has a step whose name says what it is: times are compared by name.
-func scaleJob(name string, q, tasks int, gang bool, ms int) state.Spec {
+// oneStepJob has a step whose name says what it is: times are compared by name.
+func oneStepJob(name string, q, tasks int, gang bool, ms int) state.Spec {
 	return state.Spec{Queue: types.QueueName(fmt.Sprintf("team-%d", q)), Steps: []state.Step{{Name: name, Kind: "quote", Resources: types.Resources{Cores: 1, MemoryMB: 64},
 		Tasks: tasks, Gang: gang, Work: json.RawMessage(fmt.Sprintf(`{"ms":%d}`, ms))}}}
 }
 
 func (r *Run) submit(id string, s state.Spec) {
-	r.record(HistoryEvent{What: Sent, Job: types.JobID(id), Spec: &s})
-	r.Clients.send(types.JobID(id), wire.EncodeBody(s), r.Clients.any(), 0)
+	r.record(HistoryEvent{Kind: JobSubmitted, Job: types.JobID(id), Spec: &s})
+	r.Clients.submit(types.JobID(id), wire.EncodeBody(s), r.Clients.anyGateway(), 0)
 }
 
-// load starts as many long tasks as run at the full size for each worker, and
+// startLoad starts as many long tasks as run at the full size for each worker, and
 // then has short ones come at its rate, with a gang now and then.
-func (r *Run) load(s Scale) error {
+func (r *Run) startLoad(s Scale) error {
 	long := fullRunning * s.Agents / FullWorkers
 	for left, i := long, 0; left > 0; left, i = left-250, i+1 {
-		r.submit(fmt.Sprint("long-", i), scaleJob("long", i%3, min(left, 250), false, 3_600_000))
+		r.submit(fmt.Sprint("long-", i), oneStepJob("long", i%3, min(left, 250), false, 3_600_000))
 	}
-	if err := r.await(30*time.Second, "the long tasks running", func() bool { return r.running() >= long }); err != nil {
+	if err := r.await(30*time.Second, "the long tasks running", func() bool { return r.runningTasks() >= long }); err != nil {
 		return err
 	}
 	starts := float64(fullStarts*s.Agents) / FullWorkers
@@ -255,31 +255,31 @@
 		again = func() {
 			n++
 			f()
-			r.at(every, again)
+			r.after(every, again)
 		}
-		r.at(time.Duration(r.random.Int63n(int64(every))), again)
+		r.after(time.Duration(r.random.Int63n(int64(every))), again)
 	}
 	next(time.Duration(float64(tasks)/starts*float64(time.Second)), func() {
-		r.submit(fmt.Sprint("short-", n), scaleJob("short", r.random.Intn(3), tasks, false, 500+r.random.Intn(2000)))
+		r.submit(fmt.Sprint("short-", n), oneStepJob("short", r.random.Intn(3), tasks, false, 500+r.random.Intn(2000)))
 	})
 	next(5*time.Second, func() {
-		r.submit(fmt.Sprint("gang-", n), scaleJob("gang", r.random.Intn(3), max(2, fullGang*s.Agents/FullWorkers), true, 1000))
+		r.submit(fmt.Sprint("gang-", n), oneStepJob("gang", r.random.Intn(3), max(2, fullGang*s.Agents/FullWorkers), true, 1000))
 	})
 	return nil
 }
 
-func (r *Run) running() (n int) {
+func (r *Run) runningTasks() (n int) {
 	for _, h := range r.pollingWorkers {
-		if h.w != nil {
-			n += len(h.w.runs)
+		if h.worker != nil {
+			n += len(h.worker.running)
 		}
 	}
 	return
 }
 
-// window counts what all daemons spend while it lasts.
-func (r *Run) window(m *Measurement) error {
-	if err := r.pass(m.Settle); err != nil {
+// measureWindow counts what all daemons spend while it lasts.
+func (r *Run) measureWindow(m *Measurement) error {
+	if err := r.runFor(m.Settle); err != nil {
 		return err
 	}
 	lead := r.leader()
@@ -288,13 +288,13 @@
 	for _, n := range r.nodes {
 		n.usage = Usage{}
 	}
-	r.Meter = true
-	if err := r.pass(m.Window); err != nil {
+	r.Metering = true
+	if err := r.runFor(m.Window); err != nil {
 		return err
 	}
-	r.Meter = false
+	r.Metering = false
 	lead.stepTimes = nil
-	m.Running = r.running()
+	m.RunningTasks = r.runningTasks()
 	var others []*node
 	for _, h := range r.controllers {
 		if h != lead {
@@ -309,7 +309,7 @@
 		for i, n := range x.list {
 			u.Each = append(u.Each, n.usage)
 			if i < 4 {
-				u.State = append(u.State, Footprint(n.m))
+				u.State = append(u.State, Footprint(n.machine))
 			}
 		}
 		m.Roles = append(m.Roles, u)
@@ -317,17 +317,17 @@
 	return nil
 }
 
-// change puts another table and waits until every gateway has it.
-func (r *Run) change(t *config.Table) (time.Duration, error) {
+// timeTableChange puts another table and waits until every gateway has it.
+func (r *Run) timeTableChange(t *config.Table) (time.Duration, error) {
 	from := r.now
 	next := *t
 	next.Version, next.Queues = t.Version+1, slices.Clone(t.Queues)
 	next.Queues[0].Weight = 1 + rand.New(rand.NewSource(r.now)).Intn(900)
 	acked := false
-	r.Clients.put(next, r.Clients.any(), 0, func(ok bool) { acked = ok })
+	r.Clients.putTable(next, r.Clients.anyGateway(), 0, func(ok bool) { acked = ok })
 	err := r.await(20*time.Second, "a table in force at every gateway", func() bool {
 		return acked && !slices.ContainsFunc(r.gateways, func(n *node) bool {
-			have, fresh := n.m.(*gateway.Gateway).Table()
+			have, fresh := n.machine.(*gateway.Gateway).Table()
 			return !fresh || have.Version <= next.Version
 		})
 	})
@@ -335,27 +335,27 @@
 	return time.Duration(r.now - from), err
 }
 
-// urgent sends one urgent task and waits until a worker has started it.
-func (r *Run) urgent(i int) (time.Duration, error) {
+// timeUrgentJob sends one urgent task and waits until a worker has started it.
+func (r *Run) timeUrgentJob(i int) (time.Duration, error) {
 	from, id := r.now, fmt.Sprint("urgent-", i)
-	s := scaleJob("urgent", i%3, 1, false, 50)
+	s := oneStepJob("urgent", i%3, 1, false, 50)
 	s.Urgency = 9
 	r.submit(id, s)
-	seen, at := len(r.Hist.List), int64(0)
+	seen, at := len(r.History.Events), int64(0)
 	err := r.await(20*time.Second, "an urgent task started", func() bool {
-		for _, h := range r.Hist.List[seen:] {
-			if h.What == Started && string(h.Attempt.Job) == id {
+		for _, h := range r.History.Events[seen:] {
+			if h.Kind == AttemptStarted && string(h.Attempt.Job) == id {
 				at = h.At
 			}
 		}
-		seen = len(r.Hist.List)
+		seen = len(r.History.Events)
 		return at > 0
 	})
 	return time.Duration(at - from), err
 }
 
-// succession kills the leader and waits for the next and for all to know it.
-func (r *Run) succession(m *Measurement) error {
+// measureSuccession kills the leader and waits for the next and for all to know it.
+func (r *Run) measureSuccession(m *Measurement) error {
 	from := r.now
 	r.leader().kill()
 	var lead *node
@@ -367,12 +367,12 @@
 		return err
 	}
 	at := r.now
-	m.Elected = time.Duration(at - from)
+	m.ElectionTime = time.Duration(at - from)
 	err = r.await(30*time.Second, "the new leader known to all", func() bool {
 		return !slices.ContainsFunc(slices.Concat(r.gateways, r.agents), func(n *node) bool {
-			return n.m.(interface{ Leader() types.Addr }).Leader() != lead.addr
+			return n.machine.(interface{ Leader() types.Addr }).Leader() != lead.addr
 		})
 	})
-	m.Told = time.Duration(r.now - at)
+	m.LeaderKnownTime = time.Duration(r.now - at)
 	return err
 }
--- a/sim/scale_test.go
+++ b/sim/scale_test.go
@@ -18,7 +18,7 @@
 		}
 		n := float64(len(u.Each)) * m.Window.Seconds()
 		for _, x := range u.Each {
-			c, k := x.Control(), x.Sent[RosterMessages].plus(x.Received[RosterMessages])
+			c, k := x.Control(), x.Sent[MembershipMessages].plus(x.Received[MembershipMessages])
 			messages, bytes, roster = messages+float64(c.Messages)/n, bytes+float64(c.Bytes)/n, roster+float64(k.Bytes)/n
 		}
 	}
@@ -38,9 +38,9 @@
 	}{{&small, 78}, {&large, 400}} {
 		m, err := Measure(ScalePlan{Seed: 1, Daemons: x.daemons, Settle: 16 * time.Second, Window: 8 * time.Second, Probes: 1})
 		is.NoErr(err)
-		is.True(m.Table[0] < time.Second)
-		is.True(m.Urgent[0] < 500*time.Millisecond)
-		is.True(m.Told < 300*time.Millisecond) // a new leader is known to all
+		is.True(m.TableLatencies[0] < time.Second)
+		is.True(m.UrgentLatencies[0] < 500*time.Millisecond)
+		is.True(m.LeaderKnownTime < 300*time.Millisecond) // a new leader is known to all
 		*x.to = m
 	}
 	for _, role := range []string{"agent", "gateway", "follower"} {
--- a/sim/schedule_test.go
+++ b/sim/schedule_test.go
@@ -41,15 +41,15 @@
 	}
 	d.Streams = slices.Clone(d.Streams)
 	for i := range d.Streams {
-		d.Streams[i].Every *= 6
+		d.Streams[i].MeanInterval *= 6
 	}
-	r := build(Plan{Seed: seed, Quick: true, Patience: 5 * time.Second}, d)
+	r := newRun(Plan{Seed: seed, Quick: true, Patience: 5 * time.Second}, d)
 	if plant != nil {
 		plant(r)
 	}
-	r.at(3*time.Second, func() { r.Clients.put(d.Table(), "g1", 0, func(bool) {}) })
-	r.at(scheduleStart, func() {
-		r.traffic()
+	r.after(3*time.Second, func() { r.Clients.putTable(d.Table(), "g1", 0, func(bool) {}) })
+	r.after(scheduleStart, func() {
+		r.startTraffic()
 		for range 2 {
 			r.changes()
 		}
@@ -59,14 +59,14 @@
 	for at := scheduleStart + 2*time.Second; at < scheduleStart+span; at += time.Duration(r.random.Int63n(2 * int64(faultEvery))) {
 		name := pickOne(r.random, names)
 		long := 200*time.Millisecond + time.Duration(r.random.Int63n(int64(longestFault)))
-		r.at(at, func() { r.inject(name, long) })
+		r.after(at, func() { r.injectFault(name, long) })
 	}
-	r.Run(scheduleStart + span)
+	r.RunUntil(scheduleStart + span)
 	r.Heal()
-	r.wait(4 * time.Second)
+	r.advance(4 * time.Second)
 	r.Clients.open = false
-	r.wait(32 * time.Second)
-	r.done = r.now
+	r.advance(32 * time.Second)
+	r.endedAt = r.now
 	return r
 }
 
@@ -81,13 +81,13 @@
 // changes has an operator read the table and put a change on it, again and again; the
 // other one does so too, and they race.
 func (r *Run) changes() {
-	r.at(changeEvery/2+time.Duration(r.random.Int63n(int64(changeEvery))), func() {
+	r.after(changeEvery/2+time.Duration(r.random.Int63n(int64(changeEvery))), func() {
 		if !r.Clients.open {
 			return
 		}
-		r.Clients.read(func(t config.Table) {
+		r.Clients.readTable(func(t config.Table) {
 			if len(t.Queues) >= 3 {
-				r.Clients.put(r.Clients.change(t), r.Clients.any(), 0, func(bool) {})
+				r.Clients.putTable(r.Clients.nextVersion(t), r.Clients.anyGateway(), 0, func(bool) {})
 			}
 		})
 		r.changes()
@@ -110,19 +110,19 @@
 				}
 				r := schedule(seed, controllers, span, nil)
 				v := r.Verdict()
-				for _, b := range v.Breaks {
+				for _, b := range v.Violations {
 					t.Error(b)
 				}
 				n := map[EventKind]int{}
-				for _, h := range r.Hist.List {
-					n[h.What]++
+				for _, h := range r.History.Events {
+					n[h.Kind]++
 				}
-				t.Logf("%d faults, %d changes sent, %d acknowledged, %d refused; %s", n[Trouble], n[TableTry], n[TableAck], n[TableNo], Summary(&r.Hist))
-				is.True(n[TableAck] > leastChanges*int(span.Seconds()))
-				is.True(n[TableNo] > 0) // the operators must have raced
-				is.True(n[Trouble] > int(span.Seconds())/4)
+				t.Logf("%d faults, %d changes sent, %d acknowledged, %d refused; %s", n[FaultStarted], n[TableSubmitted], n[TableAcknowledged], n[TableRefused], Summary(&r.History))
+				is.True(n[TableAcknowledged] > leastChanges*int(span.Seconds()))
+				is.True(n[TableRefused] > 0) // the operators must have raced
+				is.True(n[FaultStarted] > int(span.Seconds())/4)
 				if t.Failed() {
-					t.Log(Timeline(&r.Hist))
+					t.Log(Timeline(&r.History))
 				}
 			})
 		}
@@ -162,7 +162,7 @@
 			is := is.New(t)
 			found := false
 			for seed := int64(2900); seed < 2906 && !found; seed++ { // ends with the first that shows it
-				for _, b := range schedule(seed, 3, scheduleShort, p.plant).Verdict().Breaks {
+				for _, b := range schedule(seed, 3, scheduleShort, p.plant).Verdict().Violations {
 					if slices.Contains(p.rules, b.Rule) {
 						found = true
 						t.Log(seed, b)
--- a/sim/silent_test.go
+++ b/sim/silent_test.go
@@ -14,17 +14,17 @@
 // what the leader sent it again and again once filled the leader's memory.
 func TestASilentControllerIsSentNoEntries(t *testing.T) {
 	is := is.New(t)
-	r := Build(Plan{Seed: 5, Deployment: "kingston"})
-	r.at(5*time.Second, func() { r.Clients.put(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
-	r.at(7*time.Second, func() {
+	r := New(Plan{Seed: 5, Deployment: "kingston"})
+	r.after(5*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
+	r.after(7*time.Second, func() {
 		for _, f := range r.Clients.deployment.Flows {
-			r.Clients.flow(f)
+			r.Clients.startFlow(f)
 		}
 	})
-	r.Run(10 * time.Second)
+	r.RunUntil(10 * time.Second)
 	var lead, away *node
 	for _, n := range r.controllers {
-		if s := r.status(n); s.RaftRole == "leader" {
+		if s := r.controllerStatus(n); s.RaftRole == "leader" {
 			lead = n
 		} else {
 			away = n
@@ -38,15 +38,15 @@
 		}
 		return true
 	}
-	r.Split([]types.Addr{away.addr}, r.order, true, true)
-	r.Run(12 * time.Second)
+	r.SetPartition([]types.Addr{away.addr}, r.nodeOrder, true, true)
+	r.RunUntil(12 * time.Second)
 	sent, most = 0, 0
-	r.Run(20 * time.Second)
+	r.RunUntil(20 * time.Second)
 	is.True(sent > 0)   // it is asked
 	is.True(most < 500) // with no entries
-	r.Split([]types.Addr{away.addr}, r.order, true, false)
-	r.Run(30 * time.Second)
-	a, b := r.status(lead), r.status(away)
+	r.SetPartition([]types.Addr{away.addr}, r.nodeOrder, true, false)
+	r.RunUntil(30 * time.Second)
+	a, b := r.controllerStatus(lead), r.controllerStatus(away)
 	is.Equal(a.RaftRole, "leader")
 	is.True(a.Commit-b.Commit < 100) // it has caught up
 	is.True(a.Commit > 500)
--- a/sim/spend.go
+++ b/sim/spend.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// spent reads a process's processor time and resident memory in bytes.
-func (p *proc) spent() (cpu time.Duration, memory int, err error) {
+// resourceUsage reads a process's processor time and resident memory in bytes.
+func (p *process) resourceUsage() (cpu time.Duration, memory int, err error) {
 	dir := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
 	b, err := os.ReadFile(dir + "stat")
 	if err != nil {
@@ -35,7 +35,7 @@
 	return cpu, pages * os.Getpagesize(), err
 }
 
-func (f *Fleet) sent(p *proc) (n float64) {
+func (f *Fleet) messagesSent(p *process) (n float64) {
 	res, err := f.client.Get(fmt.Sprintf("http://%s:%d/metrics", p.ip, f.Port))
 	if err != nil {
 		return
@@ -50,17 +50,17 @@
 	return
 }
 
-// Idle lets the fleet be for a while and tells what a daemon of each role spent.
-func (f *Fleet) Idle(long time.Duration) (string, error) {
+// MeasureIdle lets the fleet be for a while and tells what a daemon of each role spent.
+func (f *Fleet) MeasureIdle(duration time.Duration) (string, error) {
 	lead := f.leader()
 	type sum struct {
 		n, memory int
 		cpu       time.Duration
 		sent      float64
 	}
-	look := func() (map[string]sum, error) {
+	sample := func() (map[string]sum, error) {
 		by := map[string]sum{}
-		for _, p := range f.procs {
+		for _, p := range f.processes {
 			if p.role == "worker" {
 				continue
 			}
@@ -68,21 +68,21 @@
 			if p == lead {
 				role = "leader"
 			}
-			cpu, memory, err := p.spent()
+			cpu, memory, err := p.resourceUsage()
 			if err != nil {
 				return nil, err
 			}
 			x := by[role]
-			by[role] = sum{x.n + 1, x.memory + memory, x.cpu + cpu, x.sent + f.sent(p)}
+			by[role] = sum{x.n + 1, x.memory + memory, x.cpu + cpu, x.sent + f.messagesSent(p)}
 		}
 		return by, nil
 	}
-	a, err := look()
+	a, err := sample()
 	if err != nil {
 		return "", err
 	}
-	time.Sleep(long)
-	b, err := look()
+	time.Sleep(duration)
+	b, err := sample()
 	if err != nil {
 		return "", err
 	}
@@ -91,7 +91,7 @@
 		x, y := a[role], b[role]
 		n := float64(y.n)
 		text += fmt.Sprintf("idle %s of %d: %.2f%% of a core, %.1f MB resident, %.1f messages sent a second\n", role, y.n,
-			100*(y.cpu-x.cpu).Seconds()/n/long.Seconds(), float64(y.memory)/n/1e6, (y.sent-x.sent)/n/long.Seconds())
+			100*(y.cpu-x.cpu).Seconds()/n/duration.Seconds(), float64(y.memory)/n/1e6, (y.sent-x.sent)/n/duration.Seconds())
 	}
 	return text, nil
 }
--- a/sim/trial_test.go
+++ b/sim/trial_test.go
@@ -10,36 +10,36 @@
 	"github.com/matryer/is"
 )
 
-// faultRun is a run short enough for every change.
-func faultRun(seed int64, deployment string, count int, faults ...string) Plan {
-	return Plan{Seed: seed, Deployment: deployment, Faults: faults, Count: count, Before: 8 * time.Second, FaultsFor: 12 * time.Second,
+// faultPlan is a run short enough for every change.
+func faultPlan(seed int64, deployment string, count int, faults ...string) Plan {
+	return Plan{Seed: seed, Deployment: deployment, Faults: faults, FaultCount: count, Before: 8 * time.Second, FaultsFor: 12 * time.Second,
 		After: 22 * time.Second, Settle: 44 * time.Second, Patience: 12 * time.Second}
 }
 
-// clocks is what showed work starting before its time.
-func clocks(seed int64) Plan {
+// clockFaultPlan is what showed work starting before its time.
+func clockFaultPlan(seed int64) Plan {
 	return Plan{Seed: seed, Deployment: "kingston", Faults: []string{"jump-clock", "kill-leader", "power-all", "cut-core", "freeze-leader", "weather"},
-		Count: 8, Before: 10 * time.Second, FaultsFor: 20 * time.Second, After: 24 * time.Second, Settle: 60 * time.Second, Patience: 30 * time.Second}
+		FaultCount: 8, Before: 10 * time.Second, FaultsFor: 20 * time.Second, After: 24 * time.Second, Settle: 60 * time.Second, Patience: 30 * time.Second}
 }
 
-// sweep is as the command's defaults are; core14 what broke ends and gangs most.
-func sweep(seed int64, count int, faults ...string) Plan {
-	return Plan{Seed: seed, Deployment: "kingston", Faults: faults, Count: count, Before: 10 * time.Second, FaultsFor: 30 * time.Second,
-		After: 24 * time.Second, Settle: 60 * time.Second, Patience: 30 * time.Second, Last: true}
+// sweepPlan is as the command's defaults are; core14 what broke ends and gangs most.
+func sweepPlan(seed int64, count int, faults ...string) Plan {
+	return Plan{Seed: seed, Deployment: "kingston", Faults: faults, FaultCount: count, Before: 10 * time.Second, FaultsFor: 30 * time.Second,
+		After: 24 * time.Second, Settle: 60 * time.Second, Patience: 30 * time.Second, LastFault: true}
 }
 
-var core14 = []string{"kill-leader", "kill-machine", "cut-worker", "cut-agent", "freeze-machine", "cut-zone", "cut-core",
+var endAndGangFaults = []string{"kill-leader", "kill-machine", "cut-worker", "cut-agent", "freeze-machine", "cut-zone", "cut-core",
 	"freeze-leader", "cut-leader", "weather", "stall-disk", "power-all"}
 
-func clean(t *testing.T, p Plan) Verdict {
+func runWithoutViolations(t *testing.T, p Plan) Verdict {
 	t.Helper()
-	r := Build(p).Go()
+	r := New(p).Execute()
 	v := r.Verdict()
-	for _, b := range v.Breaks {
+	for _, b := range v.Violations {
 		t.Error(b)
 	}
 	if t.Failed() {
-		t.Log(Timeline(&r.Hist))
+		t.Log(Timeline(&r.History))
 	}
 	return v
 }
@@ -49,8 +49,8 @@
 		t.Run(deployment, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			v := clean(t, faultRun(1, deployment, 0))
-			is.Equal(v.Seen.Reruns(), 0)
+			v := runWithoutViolations(t, faultPlan(1, deployment, 0))
+			is.Equal(v.Coverage.Reruns(), 0)
 			is.True(v.Attempts > 700)
 			is.True(v.Ratio > 0.8)
 		})
@@ -59,12 +59,12 @@
 
 func TestSameSeedSameRun(t *testing.T) {
 	is := is.New(t)
-	p := faultRun(5, "kingston", 4, FaultNames()...)
+	p := faultPlan(5, "kingston", 4, FaultNames()...)
 	p.After, p.Settle = time.Second, time.Second
-	a, b := Build(p).Go(), Build(p).Go()
-	is.Equal(len(a.Hist.List), len(b.Hist.List))
-	for i := range a.Hist.List {
-		is.Equal(a.Hist.List[i].At, b.Hist.List[i].At)
+	a, b := New(p).Execute(), New(p).Execute()
+	is.Equal(len(a.History.Events), len(b.History.Events))
+	for i := range a.History.Events {
+		is.Equal(a.History.Events[i].At, b.History.Events[i].At)
 	}
 }
 
@@ -75,7 +75,7 @@
 	for i, name := range FaultNames() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			clean(t, faultRun(int64(100+i), []string{"kingston", "romania"}[i%2], 2, name))
+			runWithoutViolations(t, faultPlan(int64(100+i), []string{"kingston", "romania"}[i%2], 2, name))
 		})
 	}
 }
@@ -85,21 +85,21 @@
 		t.Skip("run without the race detector")
 	}
 	for _, p := range []Plan{
-		faultRun(4, "kingston", 3, "power-all"),                       // the cluster's clock fell back after a full stop
-		faultRun(16, "kingston", 8, FaultNames()...),                  // a put that was taken was told refused, much later
-		faultRun(1006, "kingston", 8, "cut-zone", "cut-core-out"),     // a settled loss hid a good end
-		faultRun(1008, "kingston", 8, "freeze-agent", "leave-worker"), // a stale beat ended a doubt
-		clocks(701), clocks(706), clocks(714), // the leader's clock and the walls were counted apart
-		faultRun(5010, "romania", 10, "cut-agent", "cut-zone", "weather"), // a failure told late was not counted
-		sweep(91040, 10, FaultNames()...),                                 // a controller being elected let a report fall
-		sweep(91026, 10, FaultNames()...),                                 // a gang waited for a new leader's wait
-		sweep(97019, 14, core14...),                                       // a deposed leader alone knew an end
-		sweep(97086, 14, core14...),                                       // so did a controller cut off from the others
-		sweep(7044, 10, "kill-machine", "kill-leader"),
+		faultPlan(4, "kingston", 3, "power-all"),                       // the cluster's clock fell back after a full stop
+		faultPlan(16, "kingston", 8, FaultNames()...),                  // a put that was taken was told refused, much later
+		faultPlan(1006, "kingston", 8, "cut-zone", "cut-core-out"),     // a settled loss hid a good end
+		faultPlan(1008, "kingston", 8, "freeze-agent", "leave-worker"), // a stale beat ended a doubt
+		clockFaultPlan(701), clockFaultPlan(706), clockFaultPlan(714), // the leader's clock and the walls were counted apart
+		faultPlan(5010, "romania", 10, "cut-agent", "cut-zone", "weather"), // a failure told late was not counted
+		sweepPlan(91040, 10, FaultNames()...),                              // a controller being elected let a report fall
+		sweepPlan(91026, 10, FaultNames()...),                              // a gang waited for a new leader's wait
+		sweepPlan(97019, 14, endAndGangFaults...),                          // a deposed leader alone knew an end
+		sweepPlan(97086, 14, endAndGangFaults...),                          // so did a controller cut off from the others
+		sweepPlan(7044, 10, "kill-machine", "kill-leader"),
 	} {
 		t.Run(fmt.Sprint(p.Seed), func(t *testing.T) {
 			t.Parallel()
-			clean(t, p)
+			runWithoutViolations(t, p)
 		})
 	}
 }
--- a/sim/triggers.go
+++ b/sim/triggers.go
@@ -13,7 +13,7 @@
 // watcher is shown what is recorded until it has had enough.
 type watcher func(HistoryEvent) (enough bool)
 
-func (w *World) notify(h HistoryEvent) {
+func (w *World) notifyWatchers(h HistoryEvent) {
 	if len(w.watchers) == 0 {
 		return
 	}
@@ -23,33 +23,33 @@
 	w.watchers = append(list, w.watchers...)
 }
 
-// onNext runs something once, some time after the next event of a kind.
-func (w *World) onNext(what EventKind, least, most time.Duration, run func()) {
+// onNextEvent runs something once, some time after the next event of a kind.
+func (w *World) onNextEvent(kind EventKind, shortest, longest time.Duration, run func()) {
 	w.watchers = append(w.watchers, func(h HistoryEvent) bool {
-		if h.What != what {
+		if h.Kind != kind {
 			return false
 		}
-		w.at(least+time.Duration(w.random.Int63n(int64(most-least))), run)
+		w.after(shortest+time.Duration(w.random.Int63n(int64(longest-shortest))), run)
 		return true
 	})
 }
 
-// resetPart is the part of a daemon's connections that are reset at once.
-const resetPart = 0.5
+// resetRate is the part of a daemon's connections that are reset at once.
+const resetRate = 0.5
 
-// reset tells whether a message was lost because connections were reset on its way.
-func (w *World) reset(from, to types.Addr, sent int64) bool {
-	if len(w.resets) == 0 {
+// lostToReset tells whether a message was lost because connections were reset on its way.
+func (w *World) lostToReset(from, to types.Addr, sent int64) bool {
+	if len(w.connectionResets) == 0 {
 		return false
 	}
 	hit := func(a types.Addr) bool {
-		at, ok := w.resets[a]
+		at, ok := w.connectionResets[a]
 		return ok && at >= sent && at <= w.now
 	}
-	return (hit(from) || hit(to)) && w.random.Float64() < resetPart
+	return (hit(from) || hit(to)) && w.random.Float64() < resetRate
 }
 
-// losesAck tells whether the acknowledgement of a change gets lost on its way.
-func (w *World) losesAck(verb string, a wire.Response) bool {
-	return w.lostAcks > 0 && verb == "table.put" && a.Error == nil && w.random.Float64() < w.lostAcks
+// losesAcknowledgement tells whether the acknowledgement of a change gets lost on its way.
+func (w *World) losesAcknowledgement(verb string, a wire.Response) bool {
+	return w.ackLossRate > 0 && verb == "table.put" && a.Error == nil && w.random.Float64() < w.ackLossRate
 }
--- a/sim/turnover_test.go
+++ b/sim/turnover_test.go
@@ -15,25 +15,25 @@
 // and what takes its place go into the log together, not one after the other.
 func TestRoomIsGivenOutWhileItsEndIsOnItsWayIntoTheLog(t *testing.T) {
 	is := is.New(t)
-	r := Build(Plan{Seed: 5, Deployment: "kingston-called", Unguarded: true, Patience: 5 * time.Second})
-	r.Clients.Races, r.Clients.Cancel = false, 0
+	r := New(Plan{Seed: 5, Deployment: "kingston-called", Unguarded: true, Patience: 5 * time.Second})
+	r.Clients.RacingOperators, r.Clients.CancelRate = false, 0
 	const sync = 40 * time.Millisecond
 	for _, n := range r.controllers {
-		n.disk.slow = sync
+		n.disk.extraLatency = sync
 	}
-	r.at(3*time.Second, func() { r.Clients.put(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
-	r.Run(8 * time.Second)
-	r.put("wide", state.Spec{Queue: "menus", Steps: []state.Step{{Name: "s0", Kind: "work", Resources: types.Resources{Cores: 9 * types.Core, MemoryMB: 64}, Tasks: 200,
-		Work: Work{MS: 300}.raw(), EstimateMillis: 300}}})
-	r.Run(20 * time.Second)
+	r.after(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
+	r.RunUntil(8 * time.Second)
+	r.submitJob("wide", state.Spec{Queue: "menus", Steps: []state.Step{{Name: "s0", Kind: "work", Resources: types.Resources{Cores: 9 * types.Core, MemoryMB: 64}, Tasks: 200,
+		Work: Work{MS: 300}.encode(), EstimateMillis: 300}}})
+	r.RunUntil(20 * time.Second)
 	last, gaps := map[string]int64{}, []time.Duration{}
-	for _, h := range r.Hist.List {
+	for _, h := range r.History.Events {
 		switch {
-		case h.What == Ended:
-			last[h.Who] = h.At
-		case h.What == Started && last[h.Who] > 0:
-			gaps = append(gaps, time.Duration(h.At-last[h.Who]))
-			last[h.Who] = 0
+		case h.Kind == AttemptEnded:
+			last[h.Process] = h.At
+		case h.Kind == AttemptStarted && last[h.Process] > 0:
+			gaps = append(gaps, time.Duration(h.At-last[h.Process]))
+			last[h.Process] = 0
 		}
 	}
 	is.True(len(gaps) > 100)
--- a/sim/upkeep_test.go
+++ b/sim/upkeep_test.go
@@ -17,46 +17,46 @@
 	"coppercourse/internal/wire"
 )
 
-// busy is a deployment with a table of its own and its traffic from 6 s on.
-func busy(seed int64, change func(*config.Table), flows ...Flow) *Run {
-	r := Build(Plan{Seed: seed, Deployment: "kingston", Patience: 30 * time.Second})
-	r.Clients.Races, r.Clients.Cancel = false, 0
+// newBusyRun is a deployment with a table of its own and its traffic from 6 s on.
+func newBusyRun(seed int64, change func(*config.Table), flows ...Flow) *Run {
+	r := New(Plan{Seed: seed, Deployment: "kingston", Patience: 30 * time.Second})
+	r.Clients.RacingOperators, r.Clients.CancelRate = false, 0
 	t := r.Clients.deployment.Table()
 	change(&t)
-	r.at(3*time.Second, func() { r.Clients.put(t, "g1", 0, func(bool) {}) })
-	r.at(6*time.Second, func() {
+	r.after(3*time.Second, func() { r.Clients.putTable(t, "g1", 0, func(bool) {}) })
+	r.after(6*time.Second, func() {
 		if flows == nil {
 			flows = r.Clients.deployment.Flows
 		}
 		for _, f := range flows {
-			r.Clients.flow(f)
+			r.Clients.startFlow(f)
 		}
 	})
-	r.Run(10 * time.Second)
+	r.RunUntil(10 * time.Second)
 	return r
 }
 
-// put sends one job and gives when each of its tasks first started, by -1.
-func (r *Run) put(id string, s state.Spec) {
-	r.record(HistoryEvent{What: Sent, Job: types.JobID(id), Spec: &s})
-	r.Clients.send(types.JobID(id), wire.EncodeBody(s), r.Clients.any(), 0)
+// submitJob sends one job and gives when each of its tasks first started, by -1.
+func (r *Run) submitJob(id string, s state.Spec) {
+	r.record(HistoryEvent{Kind: JobSubmitted, Job: types.JobID(id), Spec: &s})
+	r.Clients.submit(types.JobID(id), wire.EncodeBody(s), r.Clients.anyGateway(), 0)
 }
 
-func (r *Run) started(id string) (at time.Duration, ok bool) {
-	for _, h := range r.Hist.List {
-		if h.What == Started && string(h.Attempt.Job) == id {
+func (r *Run) firstStart(id string) (at time.Duration, ok bool) {
+	for _, h := range r.History.Events {
+		if h.Kind == AttemptStarted && string(h.Attempt.Job) == id {
 			return time.Duration(h.At), true
 		}
 	}
 	return 0, false
 }
 
-// settle lets all end and judges the history.
-func (r *Run) settle(t *testing.T, wait time.Duration) Tally {
+// settleAndCheck lets all end and judges the history.
+func (r *Run) settleAndCheck(t *testing.T, wait time.Duration) Coverage {
 	t.Helper()
 	r.Clients.open = false
-	r.Run(time.Duration(r.now) + wait)
-	breaks, seen := Check(&r.Hist, Rules, r.now, 30*time.Second)
+	r.RunUntil(time.Duration(r.now) + wait)
+	breaks, seen := Check(&r.History, DefaultBounds, r.now, 30*time.Second)
 	for i, b := range breaks {
 		if i < 6 {
 			t.Error(b)
@@ -71,10 +71,10 @@
 	}
 	t.Parallel()
 	is := is.New(t)
-	sum := Tally{}
+	sum := Coverage{}
 	const name = "removed: workers taken away with notice"
-	for seed := int64(0); seed < 4 || seed < enough && sum[name] <= 8; seed++ {
-		sum.Add(clean(t, faultRun(400+seed, "kingston", 5, "remove-worker")).Seen)
+	for seed := int64(0); seed < 4 || seed < maxSeeds && sum[name] <= 8; seed++ {
+		sum.Add(runWithoutViolations(t, faultPlan(400+seed, "kingston", 5, "remove-worker")).Coverage)
 	}
 	is.True(sum[name] > 8)
 	is.Equal(sum["removed: attempts lost to that"], 0)
@@ -89,18 +89,18 @@
 	t.Parallel()
 	for _, bound := range []int{0, 3} {
 		is := is.New(t)
-		r := busy(31, func(t *config.Table) { t.Queues[1].MaxLosses = bound })
-		r.put("menus-poison", state.Spec{Queue: "menus", Urgency: 9, Steps: []state.Step{{Name: "p", Kind: "menu", Resources: types.Resources{Cores: 1 * types.Core}, Tasks: 1,
+		r := newBusyRun(31, func(t *config.Table) { t.Queues[1].MaxLosses = bound })
+		r.submitJob("menus-poison", state.Spec{Queue: "menus", Urgency: 9, Steps: []state.Step{{Name: "p", Kind: "menu", Resources: types.Resources{Cores: 1 * types.Core}, Tasks: 1,
 			Work: []byte(`{"ms":50,"crash":true}`)}}})
-		r.Run(60 * time.Second)
+		r.RunUntil(60 * time.Second)
 		deaths := 0
-		for _, h := range r.Hist.List {
-			if h.What == Died {
+		for _, h := range r.History.Events {
+			if h.Kind == WorkerDied {
 				deaths++
 			}
 		}
-		rate := rateOf(&r.Hist, "quotes", 20*time.Second, 60*time.Second)
-		jobState := r.see("menus-poison")
+		rate := queueCompletionRate(&r.History, "quotes", 20*time.Second, 60*time.Second)
+		jobState := r.observeJob("menus-poison")
 		t.Logf("bound %d: %d worker deaths in 50 s, %.2f quotes a second, the job is %s (%s)", bound, deaths, rate, jobState.Stage, jobState.Text)
 		is.True(rate > 6)
 		if bound > 0 {
@@ -113,23 +113,23 @@
 	}
 }
 
-// see asks after a job now.
-func (r *Run) see(id types.JobID) (h HistoryEvent) {
-	r.request(r.Clients.addr, "g2", "job.get", string(id), nil, func(a wire.Response) { r.Clients.saw(id, a) })
-	r.Run(time.Duration(r.now) + 300*time.Millisecond)
-	for _, x := range r.Hist.List {
-		if x.What == Saw && x.Job == id {
+// observeJob asks after a job now.
+func (r *Run) observeJob(id types.JobID) (h HistoryEvent) {
+	r.request(r.Clients.address, "g2", "job.get", string(id), nil, func(a wire.Response) { r.Clients.recordObservation(id, a) })
+	r.RunUntil(time.Duration(r.now) + 300*time.Millisecond)
+	for _, x := range r.History.Events {
+		if x.Kind == JobObserved && x.Job == id {
 			h = x
 		}
 	}
 	return
 }
 
-// fill keeps every worker busy with long, unhurried tasks of one queue.
-func fill(r *Run, n, ms int) {
+// fillWorkers keeps every worker busy with long, unhurried tasks of one queue.
+func fillWorkers(r *Run, n, ms int) {
 	for i := range n {
-		r.put(fmt.Sprint("menus-fill", i), state.Spec{Queue: "menus", Steps: []state.Step{{Name: "f", Kind: "menu", Resources: types.Resources{Cores: 4 * types.Core}, Tasks: 40,
-			Work: work(r.random, ms, ms)}}})
+		r.submitJob(fmt.Sprint("menus-fill", i), state.Spec{Queue: "menus", Steps: []state.Step{{Name: "f", Kind: "menu", Resources: types.Resources{Cores: 4 * types.Core}, Tasks: 40,
+			Work: randomWork(r.random, ms, ms)}}})
 	}
 }
 
@@ -149,20 +149,20 @@
 	}{{"urgent work", 9, 0}, {"work below its share", 0, 40}} {
 		wait := map[bool]time.Duration{}
 		for _, on := range []bool{false, true} {
-			r := busy(33, func(t *config.Table) { t.Queues[2].CanPreempt, t.Queues[2].SharePercent = on, c.share })
-			fill(r, 3, 25_000)
-			r.Run(20 * time.Second)
+			r := newBusyRun(33, func(t *config.Table) { t.Queues[2].CanPreempt, t.Queues[2].SharePercent = on, c.share })
+			fillWorkers(r, 3, 25_000)
+			r.RunUntil(20 * time.Second)
 			from := time.Duration(r.now)
-			r.put("payments-big", state.Spec{Queue: "payments", Urgency: c.urgency, Steps: []state.Step{{Name: "b", Kind: "menu",
+			r.submitJob("payments-big", state.Spec{Queue: "payments", Urgency: c.urgency, Steps: []state.Step{{Name: "b", Kind: "menu",
 				Resources: types.Resources{Cores: 14 * types.Core}, Tasks: 2, Gang: true, MaxPerWorker: 1, Work: []byte(`{"ms":500}`)}}})
-			r.Run(from + 30*time.Second)
-			at, ok := r.started("payments-big")
+			r.RunUntil(from + 30*time.Second)
+			at, ok := r.firstStart("payments-big")
 			is.True(ok)
 			wait[on] = at - from
-			r.settle(t, 150*time.Second)
+			r.settleAndCheck(t, 150*time.Second)
 			moved := map[types.TaskID]int{}
-			for _, h := range r.Hist.List {
-				if h.What == Ended && h.Outcome == state.OutcomeStopped {
+			for _, h := range r.History.Events {
+				if h.Kind == AttemptEnded && h.Outcome == state.OutcomeStopped {
 					moved[h.Attempt.TaskID]++
 					is.True(moved[h.Attempt.TaskID] <= 3)
 				}
@@ -170,7 +170,7 @@
 			t.Logf("%s, displaces %v: the gang waited %s, %d tasks were displaced", c.name, on, wait[on].Round(time.Millisecond), len(moved))
 			is.Equal(len(moved) > 0, on)
 			for i := range 3 {
-				is.Equal(r.see(types.JobID(fmt.Sprint("menus-fill", i))).Stage, state.JobDone)
+				is.Equal(r.observeJob(types.JobID(fmt.Sprint("menus-fill", i))).Stage, state.JobDone)
 			}
 		}
 		is.True(wait[true] < 4*time.Second)
@@ -187,28 +187,28 @@
 	t.Parallel()
 	is := is.New(t)
 	for seed := range int64(3) {
-		r := busy(40+seed, func(t *config.Table) {
+		r := newBusyRun(40+seed, func(t *config.Table) {
 			for i := range t.Queues {
 				t.Queues[i].TaskTimeoutMillis = 20_000
 			}
 		})
-		fill(r, 1, 12_000)
+		fillWorkers(r, 1, 12_000)
 		open, shut := r.now+int64(40*time.Second), r.now+int64(52*time.Second)
-		plan := state.Calendar{Name: "roof", Target: state.Target{Rack: "r1"}, Windows: [][2]types.WallTime{{types.WallTime(origin + open), types.WallTime(origin + shut)}}}
-		r.Clients.order("plan.put", "roof", wire.EncodeBody(plan), 0, func() {})
-		r.Run(time.Duration(open) - 3*time.Second)
+		plan := state.Calendar{Name: "roof", Target: state.Target{Rack: "r1"}, Windows: [][2]types.WallTime{{types.WallTime(wallClockStart + open), types.WallTime(wallClockStart + shut)}}}
+		r.Clients.requestAsOperator("plan.put", "roof", wire.EncodeBody(plan), 0, func() {})
+		r.RunUntil(time.Duration(open) - 3*time.Second)
 		r.leader().kill() // the windows outlive a change of leader
-		r.Run(time.Duration(open) - time.Second)
+		r.RunUntil(time.Duration(open) - time.Second)
 		for _, n := range r.controllers {
-			if n.m == nil {
+			if n.machine == nil {
 				n.boot()
 			}
 		}
-		r.Run(time.Duration(shut) + 15*time.Second)
+		r.RunUntil(time.Duration(shut) + 15*time.Second)
 		late, after, early := 0, 0, 0
-		for _, h := range r.Hist.List {
+		for _, h := range r.History.Events {
 			in := h.Shard == "k1" || h.Shard == "k2" || h.Shard == "k3"
-			if in && h.What == Started {
+			if in && h.Kind == AttemptStarted {
 				switch {
 				case h.At > shut:
 					after++
@@ -222,7 +222,7 @@
 		is.Equal(late, 0)
 		is.True(early > 0)
 		is.True(after > 0)
-		r.settle(t, 60*time.Second)
+		r.settleAndCheck(t, 60*time.Second)
 	}
 }
 
@@ -235,12 +235,12 @@
 	t.Parallel()
 	is := is.New(t)
 	rate := func(n int, how func(*WorkerSpec)) float64 {
-		r := busy(50, func(*config.Table) {})
+		r := newBusyRun(50, func(*config.Table) {})
 		for i := range n {
-			how(&r.pollingWorkers[i*4%11].w.WorkerSpec)
+			how(&r.pollingWorkers[i*4%11].worker.WorkerSpec)
 		}
-		r.Run(70 * time.Second)
-		return Rate(&r.Hist, int64(30*time.Second), int64(70*time.Second))
+		r.RunUntil(70 * time.Second)
+		return CompletionRate(&r.History, int64(30*time.Second), int64(70*time.Second))
 	}
 	none := rate(0, nil)
 	for _, c := range []struct {
@@ -268,32 +268,32 @@
 	}
 	t.Parallel()
 	is := is.New(t)
-	r := busy(60, func(t *config.Table) { t.Queues[0].TaskTimeoutMillis, t.Queues[1].TaskTimeoutMillis = 5000, 5000 })
-	r.Clients.flow(Flow{"menus", 30 * time.Millisecond, func(rnd *rand.Rand) state.Spec {
-		return state.Spec{Queue: "menus", Steps: []state.Step{{Name: "s", Kind: "menu", Resources: types.Resources{Cores: 3 * types.Core}, Tasks: 1, Work: work(rnd, 800, 1600)}}}
+	r := newBusyRun(60, func(t *config.Table) { t.Queues[0].TaskTimeoutMillis, t.Queues[1].TaskTimeoutMillis = 5000, 5000 })
+	r.Clients.startFlow(Flow{"menus", 30 * time.Millisecond, func(rnd *rand.Rand) state.Spec {
+		return state.Spec{Queue: "menus", Steps: []state.Step{{Name: "s", Kind: "menu", Resources: types.Resources{Cores: 3 * types.Core}, Tasks: 1, Work: randomWork(rnd, 800, 1600)}}}
 	}})
-	r.Run(20 * time.Second)
+	r.RunUntil(20 * time.Second)
 	var waits []time.Duration
 	for i := range 4 {
 		id, from := fmt.Sprint("payments-large", i), time.Duration(r.now)
-		r.put(id, state.Spec{Queue: "payments", Steps: []state.Step{{Name: "l", Kind: "menu", Resources: types.Resources{Cores: 16 * types.Core}, Tasks: 1, TimeLimitMillis: 5000, Work: []byte(`{"ms":1000}`)}}})
-		r.Run(from + 15*time.Second)
-		at, ok := r.started(id)
+		r.submitJob(id, state.Spec{Queue: "payments", Steps: []state.Step{{Name: "l", Kind: "menu", Resources: types.Resources{Cores: 16 * types.Core}, Tasks: 1, TimeLimitMillis: 5000, Work: []byte(`{"ms":1000}`)}}})
+		r.RunUntil(from + 15*time.Second)
+		at, ok := r.firstStart(id)
 		is.True(ok)
 		waits = append(waits, at-from)
 		is.True(at-from < 12*time.Second)
 	}
 	cores, n := 0.0, 0
-	for _, h := range r.Hist.List {
-		if h.What == Started && h.At > int64(20*time.Second) && string(h.Attempt.Job)[:5] == "menus" {
+	for _, h := range r.History.Events {
+		if h.Kind == AttemptStarted && h.At > int64(20*time.Second) && string(h.Attempt.Job)[:5] == "menus" {
 			n++
 		}
 	}
-	c := &checker{b: Rules, end: r.now, jobs: map[types.JobID]*job{}, makes: map[types.Shard]*WorkerSpec{}, frozen: map[string]int64{},
-		down: map[string][]int64{}, leave: map[types.Shard][][2]int64{}, drain: map[types.Shard][][2]int64{}, hist: &r.Hist, seen: Tally{}}
-	c.read()
-	for _, s := range c.spans {
-		cores += float64(c.step(s).Resources.Cores) / 1000 * float64(max(0, s.to-max(s.from, int64(20*time.Second)))) / 1e9
+	c := &checker{bounds: DefaultBounds, end: r.now, jobs: map[types.JobID]*jobHistory{}, workers: map[types.Shard]*WorkerSpec{}, frozenSince: map[string]int64{},
+		stoppedAt: map[string][]int64{}, leaving: map[types.Shard][][2]int64{}, draining: map[types.Shard][][2]int64{}, history: &r.History, coverage: Coverage{}}
+	c.readHistory()
+	for _, s := range c.executions {
+		cores += float64(c.stepOf(s).Resources.Cores) / 1000 * float64(max(0, s.endedAt-max(s.startedAt, int64(20*time.Second)))) / 1e9
 	}
 	long := (time.Duration(r.now) - 20*time.Second).Seconds()
 	t.Logf("large tasks waited %v; %.1f small tasks a second; %.0f of 176 cores in use", waits, float64(n)/long, cores/long)
--- a/sim/usage.go
+++ b/sim/usage.go
@@ -17,7 +17,7 @@
 type Class int
 
 const (
-	RosterMessages Class = iota
+	MembershipMessages Class = iota
 	HeartbeatMessages
 	LogMessages
 	TableMessages
@@ -29,8 +29,8 @@
 	return [Classes]string{"roster", "heartbeat", "log", "table", "work"}[c]
 }
 
-var classes = map[string]Class{
-	wire.Hello:     RosterMessages,
+var classByKind = map[string]Class{
+	wire.Hello:     MembershipMessages,
 	wire.Heartbeat: HeartbeatMessages, wire.HeartbeatReply: HeartbeatMessages, wire.RunningTasksQuery: HeartbeatMessages, wire.RunningTasksReply: HeartbeatMessages,
 	wire.ReplaceInstance: HeartbeatMessages,
 	wire.ConfigWatch:     TableMessages, wire.ConfigWatchReply: TableMessages,
@@ -38,12 +38,12 @@
 	wire.AppendReply: LogMessages, wire.InstallSnapshot: LogMessages, wire.TimeoutNow: LogMessages, wire.Removed: LogMessages,
 }
 
-var entries = []byte(`"entries":`)
+var entriesKey = []byte(`"entries":`)
 
 // classOf calls entries on their way to the other controllers work.
 func classOf(n wire.Message) Class {
-	c, ok := classes[n.Kind]
-	if !ok || n.Kind == wire.AppendEntries && bytes.Contains(n.Body, entries) {
+	c, ok := classByKind[n.Kind]
+	if !ok || n.Kind == wire.AppendEntries && bytes.Contains(n.Body, entriesKey) {
 		return WorkMessages
 	}
 	return c
@@ -81,30 +81,30 @@
 	return Count{c.Messages + o.Messages, c.Requests + o.Requests, c.Bytes + o.Bytes}
 }
 
-// transfer counts one note from a daemon to another; first means that it is the
+// countTransfer counts one note from a daemon to another; first means that it is the
 // first one of its request. Either may be missing.
-func transfer(from, to *Usage, n wire.Message, first bool) {
+func countTransfer(from, to *Usage, n wire.Message, first bool) {
 	c := Count{Messages: 1, Bytes: messageBytes + len(n.From) + len(n.Kind) + len(n.Body)}
 	k := classOf(n)
-	back := Count{}
+	response := Count{}
 	if first {
 		c.Requests, c.Bytes = 1, c.Bytes+requestBytes
-		back.Bytes = answerBytes
+		response.Bytes = answerBytes
 	}
 	if from != nil {
 		from.Sent[k] = from.Sent[k].plus(c)
-		from.Received[k] = from.Received[k].plus(back)
+		from.Received[k] = from.Received[k].plus(response)
 	}
 	if to != nil {
 		to.Received[k] = to.Received[k].plus(c)
-		to.Sent[k] = to.Sent[k].plus(back)
+		to.Sent[k] = to.Sent[k].plus(response)
 	}
 }
 
-// meter counts a step's sends; notes to the same peer share a request.
-type meter map[types.Addr]bool
+// requestMeter counts a step's sends; notes to the same peer share a request.
+type requestMeter map[types.Addr]bool
 
-func (m meter) first(to types.Addr) bool {
+func (m requestMeter) first(to types.Addr) bool {
 	if m[to] {
 		return false
 	}
@@ -114,13 +114,13 @@
 
 // Footprint is about how many bytes a value takes with all that it points to.
 func Footprint(v any) int {
-	w := walker{}
-	return w.size(reflect.ValueOf(v), false)
+	w := footprintWalker{}
+	return w.sizeOf(reflect.ValueOf(v), false)
 }
 
-type walker map[unsafe.Pointer]bool
+type footprintWalker map[unsafe.Pointer]bool
 
-func (w walker) fresh(p unsafe.Pointer) bool {
+func (w footprintWalker) firstVisit(p unsafe.Pointer) bool {
 	if p == nil || w[p] {
 		return false
 	}
@@ -128,8 +128,8 @@
 	return true
 }
 
-// size counts what v points to, and v itself unless it lies within a counted value.
-func (w walker) size(v reflect.Value, inside bool) (n int) {
+// sizeOf counts what v points to, and v itself unless it lies within a counted value.
+func (w footprintWalker) sizeOf(v reflect.Value, inside bool) (n int) {
 	if !v.IsValid() {
 		return 0
 	}
@@ -138,39 +138,39 @@
 	}
 	switch v.Kind() {
 	case reflect.String:
-		if s := v.String(); w.fresh(unsafe.Pointer(unsafe.StringData(s))) {
+		if s := v.String(); w.firstVisit(unsafe.Pointer(unsafe.StringData(s))) {
 			n += len(s)
 		}
 	case reflect.Pointer:
-		if w.fresh(v.UnsafePointer()) {
-			n += w.size(v.Elem(), false)
+		if w.firstVisit(v.UnsafePointer()) {
+			n += w.sizeOf(v.Elem(), false)
 		}
 	case reflect.Interface:
-		n += w.size(v.Elem(), false)
+		n += w.sizeOf(v.Elem(), false)
 	case reflect.Slice:
-		if v.Len() == 0 || !w.fresh(v.UnsafePointer()) {
+		if v.Len() == 0 || !w.firstVisit(v.UnsafePointer()) {
 			return
 		}
 		n += v.Cap() * int(v.Type().Elem().Size())
 		for i := range v.Len() {
-			n += w.size(v.Index(i), true)
+			n += w.sizeOf(v.Index(i), true)
 		}
 	case reflect.Array:
 		for i := range v.Len() {
-			n += w.size(v.Index(i), true)
+			n += w.sizeOf(v.Index(i), true)
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
-			n += w.size(v.Field(i), true)
+			n += w.sizeOf(v.Field(i), true)
 		}
 	case reflect.Map:
-		if !w.fresh(v.UnsafePointer()) {
+		if !w.firstVisit(v.UnsafePointer()) {
 			return
 		}
 		each := int(v.Type().Key().Size()+v.Type().Elem().Size()) + 1
 		n += 48 + v.Len()*each*8/7
 		for i := v.MapRange(); i.Next(); {
-			n += w.size(i.Key(), true) + w.size(i.Value(), true)
+			n += w.sizeOf(i.Key(), true) + w.sizeOf(i.Value(), true)
 		}
 	}
 	return
--- a/sim/usage_test.go
+++ b/sim/usage_test.go
@@ -115,7 +115,7 @@
 	}
 	for i, s := range sends {
 		var u, v Usage
-		transfer(&u, &v, s.Message, true)
+		countTransfer(&u, &v, s.Message, true)
 		is.Equal(list[i][0], u.Sent[HeartbeatMessages].Bytes)
 		is.Equal(list[i][1], u.Received[HeartbeatMessages].Bytes)
 		is.Equal(u.Control().Bytes, v.Control().Bytes)
--- a/sim/work.go
+++ b/sim/work.go
@@ -19,37 +19,37 @@
 )
 
 // RunningAttempt runs a worker until ctx ends.
-func WorkerRun(ctx context.Context, m WorkerSpec, id, agent, source, history string, seed int64) error {
-	file, err := os.OpenFile(history, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+func RunWorkerProcess(ctx context.Context, spec WorkerSpec, id, agent, sourceIP, historyPath string, seed int64) error {
+	file, err := os.OpenFile(historyPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	tell := func(h HistoryEvent) {
+	record := func(h HistoryEvent) {
 		h.At = time.Now().UnixNano()
 		file.Write(append(wire.EncodeBody(h), '\n'))
 	}
 	var mu sync.Mutex
-	w := NewWorker(m, types.ID(id), rand.New(rand.NewSource(seed)), tell)
-	tell(HistoryEvent{What: Staying, Who: id, Shard: m.Shard, Make: &m})
-	client := server.NewClient(source, 500*time.Millisecond)
-	told := map[types.AttemptID]bool{}
-	call := func(p dispatch.Poll) {
-		a, ok := post(ctx, client, agent, p)
+	w := NewWorker(spec, types.ID(id), rand.New(rand.NewSource(seed)), record)
+	record(HistoryEvent{Kind: WorkerStaying, Process: id, Shard: spec.Shard, Worker: &spec})
+	client := server.NewClient(sourceIP, 500*time.Millisecond)
+	reported := map[types.AttemptID]bool{}
+	poll := func(p dispatch.Poll) {
+		a, ok := postPoll(ctx, client, agent, p)
 		if !ok {
 			time.Sleep(20 * time.Millisecond)
 		}
 		mu.Lock()
 		if ok {
 			for _, e := range p.Ended {
-				if !told[e.Attempt] {
-					told[e.Attempt] = true
-					tell(HistoryEvent{What: Heard, Who: agent, Attempt: e.Attempt, Outcome: e.Outcome})
+				if !reported[e.Attempt] {
+					reported[e.Attempt] = true
+					record(HistoryEvent{Kind: EndReported, Process: agent, Attempt: e.Attempt, Outcome: e.Outcome})
 				}
 			}
-			w.Take(server.Now().Mono, a)
+			w.HandleAnswer(server.Now().Mono, a)
 		}
-		w.News = w.News || p.Call == w.call
+		w.HasUpdate = w.HasUpdate || p.Call == w.lastPoll
 		mu.Unlock()
 	}
 	t := time.NewTicker(5 * time.Millisecond)
@@ -57,8 +57,8 @@
 	for {
 		mu.Lock()
 		w.Tick(server.Now().Mono)
-		if w.News || w.call == 0 {
-			go call(w.Call(server.Now().Mono))
+		if w.HasUpdate || w.lastPoll == 0 {
+			go poll(w.NextPoll(server.Now().Mono))
 		}
 		mu.Unlock()
 		select {
@@ -69,7 +69,7 @@
 	}
 }
 
-func post(ctx context.Context, client *http.Client, agent string, p dispatch.Poll) (a dispatch.PollReply, ok bool) {
+func postPoll(ctx context.Context, client *http.Client, agent string, p dispatch.Poll) (a dispatch.PollReply, ok bool) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+agent+"/v1/poll", bytes.NewReader(wire.EncodeBody(p)))
 	if err != nil {
 		return a, false
--- a/sim/worker.go
+++ b/sim/worker.go
@@ -29,141 +29,141 @@
 	Guards bool // of one that is called: it turns away what does not fit
 }
 
-type run struct {
+type runningTask struct {
 	job     dispatch.AttemptSpec
-	ends    types.MonoTime
+	endsAt  types.MonoTime
 	outcome state.Outcome
-	crash   bool
+	crashes bool
 }
 
 // Worker is one stand-in worker process.
 type Worker struct {
 	WorkerSpec
-	ID            types.ID
-	Agent         types.ID
-	Leave         bool
-	Goes          types.MonoTime // when it goes, if it said so
-	Crashed       bool
-	Deaf, Willing bool // planted bugs: heeds no grant; guards neither room nor leaving
-	rnd           *rand.Rand
-	call          uint64
-	until         types.MonoTime
-	runs          map[types.AttemptID]*run
-	ends          map[types.AttemptID]dispatch.FinishedTask
-	News          bool // an attempt has ended since the latest call
-	tell          func(HistoryEvent)
+	ID                            types.ID
+	Agent                         types.ID
+	Leaving                       bool
+	DepartsAt                     types.MonoTime // when it goes, if it said so
+	Crashed                       bool
+	IgnoresLease, IgnoresCapacity bool // planted bugs: heeds no grant; guards neither room nor leaving
+	random                        *rand.Rand
+	lastPoll                      uint64
+	leaseEnd                      types.MonoTime
+	running                       map[types.AttemptID]*runningTask
+	unacknowledged                map[types.AttemptID]dispatch.FinishedTask
+	HasUpdate                     bool // an attempt has ended since the latest call
+	record                        func(HistoryEvent)
 }
 
 // NewWorkerClient starts a worker process; what happens on it goes to tell.
-func NewWorker(m WorkerSpec, id types.ID, rnd *rand.Rand, tell func(HistoryEvent)) *Worker {
-	if m.Slow == 0 {
-		m.Slow = 1
+func NewWorker(spec WorkerSpec, id types.ID, random *rand.Rand, record func(HistoryEvent)) *Worker {
+	if spec.Slow == 0 {
+		spec.Slow = 1
 	}
-	return &Worker{WorkerSpec: m, ID: id, rnd: rnd, runs: map[types.AttemptID]*run{}, ends: map[types.AttemptID]dispatch.FinishedTask{}, tell: tell, until: -1 << 61}
+	return &Worker{WorkerSpec: spec, ID: id, random: random, running: map[types.AttemptID]*runningTask{}, unacknowledged: map[types.AttemptID]dispatch.FinishedTask{}, record: record, leaseEnd: -1 << 61}
 }
 
-func (w *Worker) say(what EventKind, l types.AttemptID, f state.Outcome) {
-	w.tell(HistoryEvent{What: what, Who: string(w.ID), Shard: w.Shard, Attempt: l, Outcome: f})
+func (w *Worker) recordAttempt(what EventKind, l types.AttemptID, f state.Outcome) {
+	w.record(HistoryEvent{Kind: what, Process: string(w.ID), Shard: w.Shard, Attempt: l, Outcome: f})
 }
 
 // Tick looks at the grant first, then ends what is due.
 func (w *Worker) Tick(now types.MonoTime) {
-	for _, l := range w.sorted() {
-		r := w.runs[l]
+	for _, l := range w.runningAttempts() {
+		r := w.running[l]
 		switch {
-		case now >= w.until && !w.Deaf:
-			w.end(r, state.OutcomeStopped)
-		case now >= r.ends && r.crash:
+		case now >= w.leaseEnd && !w.IgnoresLease:
+			w.endAttempt(r, state.OutcomeStopped)
+		case now >= r.endsAt && r.crashes:
 			w.Crashed = true
-		case now >= r.ends:
-			w.end(r, r.outcome)
+		case now >= r.endsAt:
+			w.endAttempt(r, r.outcome)
 		}
 	}
 }
 
-func (w *Worker) sorted() []types.AttemptID {
-	list := make([]types.AttemptID, 0, len(w.runs))
-	for l := range w.runs {
+func (w *Worker) runningAttempts() []types.AttemptID {
+	list := make([]types.AttemptID, 0, len(w.running))
+	for l := range w.running {
 		list = append(list, l)
 	}
 	sort.Slice(list, func(i, k int) bool { return list[i].Less(list[k]) })
 	return list
 }
 
-func (w *Worker) end(r *run, f state.Outcome) {
-	delete(w.runs, r.job.Attempt)
-	w.News = true
-	w.ends[r.job.Attempt] = dispatch.FinishedTask{Run: dispatch.Run{Attempt: r.job.Attempt, Resources: r.job.Resources}, Outcome: f}
-	w.say(Ended, r.job.Attempt, f)
+func (w *Worker) endAttempt(r *runningTask, f state.Outcome) {
+	delete(w.running, r.job.Attempt)
+	w.HasUpdate = true
+	w.unacknowledged[r.job.Attempt] = dispatch.FinishedTask{Run: dispatch.Run{Attempt: r.job.Attempt, Resources: r.job.Resources}, Outcome: f}
+	w.recordAttempt(AttemptEnded, r.job.Attempt, f)
 }
 
-// Call makes the next call to the agent.
-func (w *Worker) Call(now types.MonoTime) dispatch.Poll {
+// NextPoll makes the next call to the agent.
+func (w *Worker) NextPoll(now types.MonoTime) dispatch.Poll {
 	w.Tick(now)
-	w.call++
-	w.News = false
-	p := dispatch.Poll{Worker: w.ID, Agent: w.Agent, Call: w.call, SentAt: now, Rack: w.Rack, Kinds: w.Kinds, Capacity: w.Room, Draining: w.Leave}
-	if w.Leave && w.Goes > 0 {
-		p.DepartsInMS = max(1, w.Goes.Sub(now).Milliseconds())
+	w.lastPoll++
+	w.HasUpdate = false
+	p := dispatch.Poll{Worker: w.ID, Agent: w.Agent, Call: w.lastPoll, SentAt: now, Rack: w.Rack, Kinds: w.Kinds, Capacity: w.Room, Draining: w.Leaving}
+	if w.Leaving && w.DepartsAt > 0 {
+		p.DepartsInMS = max(1, w.DepartsAt.Sub(now).Milliseconds())
 	}
-	for _, l := range w.sorted() {
-		p.Running = append(p.Running, dispatch.Run{Attempt: l, Resources: w.runs[l].job.Resources})
+	for _, l := range w.runningAttempts() {
+		p.Running = append(p.Running, dispatch.Run{Attempt: l, Resources: w.running[l].job.Resources})
 	}
-	for _, f := range w.ends {
+	for _, f := range w.unacknowledged {
 		p.Ended = append(p.Ended, f)
 	}
 	sort.Slice(p.Ended, func(i, k int) bool { return p.Ended[i].Attempt.Less(p.Ended[k].Attempt) })
 	return p
 }
 
-// Take heeds an answer, if it is to the latest call.
-func (w *Worker) Take(now types.MonoTime, a dispatch.PollReply) {
+// HandleAnswer heeds an answer, if it is to the latest call.
+func (w *Worker) HandleAnswer(now types.MonoTime, a dispatch.PollReply) {
 	w.Tick(now)
-	if a.Call != w.call {
+	if a.Call != w.lastPoll {
 		return
 	}
-	w.Agent, w.until = a.Agent, a.LeaseUntil
+	w.Agent, w.leaseEnd = a.Agent, a.LeaseUntil
 	for _, l := range a.Committed {
-		if _, ok := w.ends[l]; ok {
-			delete(w.ends, l)
-			w.say(Settled, l, "")
+		if _, ok := w.unacknowledged[l]; ok {
+			delete(w.unacknowledged, l)
+			w.recordAttempt(EndAcknowledged, l, "")
 		}
 	}
 	for _, l := range a.Stop {
-		if r := w.runs[l]; r != nil {
-			w.end(r, state.OutcomeStopped)
+		if r := w.running[l]; r != nil {
+			w.endAttempt(r, state.OutcomeStopped)
 		}
 	}
 	w.Tick(now)
 	free := w.Room
-	for _, r := range w.runs {
+	for _, r := range w.running {
 		free = free.Sub(r.job.Resources)
 	}
 	for _, j := range a.Start {
-		if _, old := w.ends[j.Attempt]; old || w.runs[j.Attempt] != nil || now >= w.until {
+		if _, old := w.unacknowledged[j.Attempt]; old || w.running[j.Attempt] != nil || now >= w.leaseEnd {
 			continue
 		}
-		if (w.Leave || !free.Contains(j.Resources)) && !w.Willing {
-			w.ends[j.Attempt] = dispatch.FinishedTask{Run: dispatch.Run{Attempt: j.Attempt, Resources: j.Resources}, Outcome: state.OutcomeNeverRan}
-			w.say(Spared, j.Attempt, state.OutcomeNeverRan)
+		if (w.Leaving || !free.Contains(j.Resources)) && !w.IgnoresCapacity {
+			w.unacknowledged[j.Attempt] = dispatch.FinishedTask{Run: dispatch.Run{Attempt: j.Attempt, Resources: j.Resources}, Outcome: state.OutcomeNeverRan}
+			w.recordAttempt(AttemptRejected, j.Attempt, state.OutcomeNeverRan)
 			continue
 		}
 		free = free.Sub(j.Resources)
-		w.start(now, j)
+		w.startAttempt(now, j)
 	}
 }
 
-func (w *Worker) start(now types.MonoTime, j dispatch.AttemptSpec) {
+func (w *Worker) startAttempt(now types.MonoTime, j dispatch.AttemptSpec) {
 	var k Work
 	json.Unmarshal(j.Input, &k)
 	long := float64(k.MS) * w.Slow
-	if w.Stall > 0 && w.rnd.Float64() < w.Stall {
+	if w.Stall > 0 && w.random.Float64() < w.Stall {
 		long *= 10
 	}
-	r := &run{job: j, ends: now.Add(time.Duration(long * float64(time.Millisecond))), outcome: state.OutcomeOK, crash: k.Crash}
-	if k.Fail || w.Fails > 0 && w.rnd.Float64() < w.Fails {
+	r := &runningTask{job: j, endsAt: now.Add(time.Duration(long * float64(time.Millisecond))), outcome: state.OutcomeOK, crashes: k.Crash}
+	if k.Fail || w.Fails > 0 && w.random.Float64() < w.Fails {
 		r.outcome = state.OutcomeFailed
 	}
-	w.runs[j.Attempt] = r
-	w.say(Started, j.Attempt, "")
+	w.running[j.Attempt] = r
+	w.recordAttempt(AttemptStarted, j.Attempt, "")
 }
--- a/sim/workload.go
+++ b/sim/workload.go
@@ -27,40 +27,40 @@
 
 // Workload is all callers of a fleet.
 type Workload struct {
-	f       *Fleet
-	rnd     *rand.Rand
-	mu      sync.Mutex
-	next    int
-	open    atomic.Bool
-	ready   atomic.Pointer[[]*proc]
-	client  *http.Client
-	work    sync.WaitGroup
-	Cancel  float64
-	Speed   float64
-	Takes   []float64 // ms from sending to acceptance
-	Ends    []float64 // ms from sending to done, as seen
-	Denials map[apierror.Kind]int
-	Drops   atomic.Int64
-	slots   chan struct{}
+	fleet       *Fleet
+	random      *rand.Rand
+	mu          sync.Mutex
+	lastJob     int
+	open        atomic.Bool
+	ready       atomic.Pointer[[]*process]
+	client      *http.Client
+	pending     sync.WaitGroup
+	CancelRate  float64
+	Speed       float64
+	AcceptTimes []float64 // ms from sending to acceptance
+	DoneTimes   []float64 // ms from sending to done, as seen
+	Refusals    map[apierror.Kind]int
+	Dropped     atomic.Int64
+	slots       chan struct{}
 }
 
 func NewWorkload(f *Fleet, seed int64, speed float64) *Workload {
-	s := &Workload{f: f, rnd: rand.New(rand.NewSource(seed)), client: server.NewClient("127.0.9.1", 4*time.Second), Cancel: 0.04,
-		Speed: speed, Denials: map[apierror.Kind]int{}, slots: make(chan struct{}, 3000)}
+	s := &Workload{fleet: f, random: rand.New(rand.NewSource(seed)), client: server.NewClient("127.0.9.1", 4*time.Second), CancelRate: 0.04,
+		Speed: speed, Refusals: map[apierror.Kind]int{}, slots: make(chan struct{}, 3000)}
 	s.client.Transport.(*http.Transport).DisableKeepAlives = true
-	list := f.of("gateway")
+	list := f.withRole("gateway")
 	s.ready.Store(&list)
 	s.open.Store(true)
 	return s
 }
 
-// Watch keeps the list of ready gateways, as the platform does.
-func (w *Workload) Watch() {
-	for w.f.ctx.Err() == nil {
-		var list []*proc
-		for _, p := range w.f.of("gateway") {
+// WatchReadiness keeps the list of ready gateways, as the platform does.
+func (w *Workload) WatchReadiness() {
+	for w.fleet.ctx.Err() == nil {
+		var list []*process
+		for _, p := range w.fleet.withRole("gateway") {
 			var v any
-			if !p.down.Load() && !p.ice.Load() && w.f.page(p, "/ready", &v) == nil {
+			if !p.down.Load() && !p.frozen.Load() && w.fleet.getPage(p, "/ready", &v) == nil {
 				list = append(list, p)
 			}
 		}
@@ -71,48 +71,48 @@
 	}
 }
 
-func (w *Workload) chance(n int) int {
+func (w *Workload) randomInt(n int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.rnd.Intn(n)
+	return w.random.Intn(n)
 }
 
-func (w *Workload) gateway() *proc {
+func (w *Workload) gateway() *process {
 	list := *w.ready.Load()
-	return list[w.chance(len(list))]
+	return list[w.randomInt(len(list))]
 }
 
-// Flow sends jobs of one shape until the workload is closed.
-func (w *Workload) Flow(fl Flow) {
-	w.work.Add(1)
-	defer w.work.Done()
+// RunFlow sends jobs of one shape until the workload is closed.
+func (w *Workload) RunFlow(fl Flow) {
+	w.pending.Add(1)
+	defer w.pending.Done()
 	for w.open.Load() {
-		gap := float64(fl.Every) / w.Speed
-		time.Sleep(time.Duration((0.5 + float64(w.chance(1000))/1000) * gap))
+		gap := float64(fl.MeanInterval) / w.Speed
+		time.Sleep(time.Duration((0.5 + float64(w.randomInt(1000))/1000) * gap))
 		w.mu.Lock()
-		w.next++
-		id := types.JobID(fmt.Sprintf("%s-%d", fl.Queue, w.next))
-		spec := fl.Spec(w.rnd)
+		w.lastJob++
+		id := types.JobID(fmt.Sprintf("%s-%d", fl.Queue, w.lastJob))
+		spec := fl.NewSpec(w.random)
 		w.mu.Unlock()
 		select {
 		case w.slots <- struct{}{}:
-			w.f.Tell(HistoryEvent{What: Sent, Job: id, Spec: &spec})
-			w.work.Add(1)
+			w.fleet.Record(HistoryEvent{Kind: JobSubmitted, Job: id, Spec: &spec})
+			w.pending.Add(1)
 			go func() {
-				defer w.work.Done()
+				defer w.pending.Done()
 				defer func() { <-w.slots }()
-				w.job(id, wire.EncodeBody(spec))
+				w.runJob(id, wire.EncodeBody(spec))
 			}()
 		default:
 		}
 	}
 }
 
-// try asks once. A request that was taken up and got no answer from a gateway
+// request asks once. A request that was taken up and got no answer from a gateway
 // that nobody killed is a drop.
-func (w *Workload) try(method, path string, body []byte) (code int, b []byte) {
+func (w *Workload) request(method, path string, body []byte) (code int, b []byte) {
 	g := w.gateway()
-	req, err := http.NewRequestWithContext(w.f.ctx, method, fmt.Sprintf("http://%s:%d%s", g.ip, w.f.Port, path), bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(w.fleet.ctx, method, fmt.Sprintf("http://%s:%d%s", g.ip, w.fleet.Port, path), bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
@@ -123,66 +123,66 @@
 		code = res.StatusCode
 	}
 	if err != nil {
-		if (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)) && !g.down.Load() && !g.ice.Load() {
-			w.Drops.Add(1)
-			w.f.Tell(HistoryEvent{What: Dropped, Who: g.name, Text: err.Error()})
+		if (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)) && !g.down.Load() && !g.frozen.Load() {
+			w.Dropped.Add(1)
+			w.fleet.Record(HistoryEvent{Kind: RequestDropped, Process: g.name, Text: err.Error()})
 		}
 		return 0, nil
 	}
 	return
 }
 
-func (w *Workload) job(id types.JobID, body []byte) {
+func (w *Workload) runJob(id types.JobID, body []byte) {
 	from := time.Now()
 	for n := 0; ; n++ {
-		code, b := w.try(http.MethodPut, "/v1/jobs/"+string(id), body)
+		code, b := w.request(http.MethodPut, "/v1/jobs/"+string(id), body)
 		if code == 200 || code == 201 {
 			break
 		}
-		if n > 60 || w.f.ctx.Err() != nil || !w.later(code, b) {
-			w.f.Tell(HistoryEvent{What: Denied, Job: id, Text: string(b)})
+		if n > 60 || w.fleet.ctx.Err() != nil || !w.waitToRetry(code, b) {
+			w.fleet.Record(HistoryEvent{Kind: JobDenied, Job: id, Text: string(b)})
 			return
 		}
 	}
-	w.f.Tell(HistoryEvent{What: Accepted, Job: id})
-	w.message(&w.Takes, from)
-	if w.chance(1000) < int(w.Cancel*1000) {
-		time.Sleep(time.Duration(w.chance(2000)) * time.Millisecond)
+	w.fleet.Record(HistoryEvent{Kind: JobAccepted, Job: id})
+	w.recordTime(&w.AcceptTimes, from)
+	if w.randomInt(1000) < int(w.CancelRate*1000) {
+		time.Sleep(time.Duration(w.randomInt(2000)) * time.Millisecond)
 		for range 20 {
-			code, b := w.try(http.MethodPost, "/v1/jobs/"+string(id)+"/cancel", nil)
+			code, b := w.request(http.MethodPost, "/v1/jobs/"+string(id)+"/cancel", nil)
 			if code == 200 || code == 202 {
-				w.f.Tell(HistoryEvent{What: Halt, Job: id})
+				w.fleet.Record(HistoryEvent{Kind: CancelAccepted, Job: id})
 				break
 			}
-			if !w.later(code, b) {
+			if !w.waitToRetry(code, b) {
 				break
 			}
 		}
 	}
-	for w.f.ctx.Err() == nil {
-		time.Sleep(150*time.Millisecond + time.Duration(w.chance(150))*time.Millisecond)
-		code, b := w.try(http.MethodGet, "/v1/jobs/"+string(id), nil)
+	for w.fleet.ctx.Err() == nil {
+		time.Sleep(150*time.Millisecond + time.Duration(w.randomInt(150))*time.Millisecond)
+		code, b := w.request(http.MethodGet, "/v1/jobs/"+string(id), nil)
 		var v controller.JobView
 		switch {
 		case code == 404:
-			w.f.Tell(HistoryEvent{What: Missed, Job: id})
+			w.fleet.Record(HistoryEvent{Kind: JobNotFound, Job: id})
 			return
 		case code != 200 || json.Unmarshal(b, &v) != nil:
-			w.later(code, b)
+			w.waitToRetry(code, b)
 			continue
 		}
 		if v.State == "done" || v.State == "failed" || v.State == "cancelled" {
-			w.f.Tell(HistoryEvent{What: Saw, Job: id, Stage: v.State, Text: v.Reason})
+			w.fleet.Record(HistoryEvent{Kind: JobObserved, Job: id, Stage: v.State, Text: v.Reason})
 			if v.State == "done" {
-				w.message(&w.Ends, from)
+				w.recordTime(&w.DoneTimes, from)
 			}
 			return
 		}
 	}
 }
 
-// later waits as an answer says, and tells whether to ask again at all.
-func (w *Workload) later(code int, b []byte) bool {
+// waitToRetry waits as an answer says, and tells whether to ask again at all.
+func (w *Workload) waitToRetry(code int, b []byte) bool {
 	var f apierror.Error
 	if code == 0 {
 		time.Sleep(100 * time.Millisecond)
@@ -190,7 +190,7 @@
 	}
 	json.Unmarshal(b, &f)
 	w.mu.Lock()
-	w.Denials[f.Kind]++
+	w.Refusals[f.Kind]++
 	w.mu.Unlock()
 	if code != 503 && code != 429 {
 		return false
@@ -199,49 +199,49 @@
 	return true
 }
 
-func (w *Workload) message(to *[]float64, from time.Time) {
+func (w *Workload) recordTime(to *[]float64, from time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	*to = append(*to, float64(time.Since(from).Microseconds())/1000)
 }
 
-// Put puts a table until it is taken or refused; it gives the version.
-func (w *Workload) Put(t config.Table) (types.Version, error) {
-	w.f.Tell(HistoryEvent{What: TableTry, Table: &t})
+// PutTable puts a table until it is taken or refused; it gives the version.
+func (w *Workload) PutTable(t config.Table) (types.Version, error) {
+	w.fleet.Record(HistoryEvent{Kind: TableSubmitted, Table: &t})
 	for range 60 {
-		code, b := w.try(http.MethodPut, "/v1/table", wire.EncodeBody(t))
+		code, b := w.request(http.MethodPut, "/v1/table", wire.EncodeBody(t))
 		if code == 200 {
 			got := t.Accepted()
-			w.f.Tell(HistoryEvent{What: TableAck, Table: &got})
+			w.fleet.Record(HistoryEvent{Kind: TableAcknowledged, Table: &got})
 			return got.Version, nil
 		}
-		if !w.later(code, b) {
-			w.f.Tell(HistoryEvent{What: TableNo, Table: &t, Text: string(b)})
+		if !w.waitToRetry(code, b) {
+			w.fleet.Record(HistoryEvent{Kind: TableRefused, Table: &t, Text: string(b)})
 			return 0, fmt.Errorf("table refused: %s", b)
 		}
 	}
 	return 0, errors.New("the table was never taken")
 }
 
-// Races has two operators put different tables on one version, now and then.
-func (w *Workload) Races() {
-	w.work.Add(1)
-	defer w.work.Done()
+// RunRacingOperators has two operators put different tables on one version, now and then.
+func (w *Workload) RunRacingOperators() {
+	w.pending.Add(1)
+	defer w.pending.Done()
 	for w.open.Load() {
 		time.Sleep(3 * time.Second)
 		var t config.Table
-		began := strconv.FormatInt(time.Since(w.f.start).Nanoseconds(), 10)
-		code, b := w.try(http.MethodGet, "/v1/table", nil)
+		began := strconv.FormatInt(time.Since(w.fleet.start).Nanoseconds(), 10)
+		code, b := w.request(http.MethodGet, "/v1/table", nil)
 		if code != 200 || json.Unmarshal(b, &t) != nil || len(t.Queues) < 2 {
 			continue
 		}
-		w.f.Tell(HistoryEvent{What: TableSaw, Table: &t, Text: began})
+		w.fleet.Record(HistoryEvent{Kind: TableRead, Table: &t, Text: began})
 		var two sync.WaitGroup
 		for range 2 {
 			n := config.Table{Version: t.Version, Queues: append([]config.Queue(nil), t.Queues...)}
-			n.Queues[0].Weight = 1 + w.chance(900)
+			n.Queues[0].Weight = 1 + w.randomInt(900)
 			two.Add(1)
-			go func() { defer two.Done(); w.Put(n) }()
+			go func() { defer two.Done(); w.PutTable(n) }()
 		}
 		two.Wait()
 	}
@@ -251,7 +251,7 @@
 func (w *Workload) Close(limit time.Duration) bool {
 	w.open.Store(false)
 	done := make(chan struct{})
-	go func() { w.work.Wait(); close(done) }()
+	go func() { w.pending.Wait(); close(done) }()
 	select {
 	case <-done:
 		return true
--- a/sim/workload_test.go
+++ b/sim/workload_test.go
@@ -30,20 +30,20 @@
 	}))
 	defer srv.Close()
 	port := srv.Listener.Addr().(*net.TCPAddr).Port
-	f := &Fleet{Port: port, ctx: context.Background(), start: time.Now(), procs: []*proc{{name: "gateway1", role: "gateway", ip: "127.0.0.1"}}}
+	f := &Fleet{Port: port, ctx: context.Background(), start: time.Now(), processes: []*process{{name: "gateway1", role: "gateway", ip: "127.0.0.1"}}}
 	s := NewWorkload(f, 1, 1)
 	d := server.NewDialer("127.0.9.1") // as the workload's, on a machine that may be slow
 	d.Timeout, s.client.Timeout = 2*time.Minute, 2*time.Minute
 	s.client.Transport.(*http.Transport).DialContext = d.DialContext
-	code, _ := s.try("PUT", "/v1/jobs/a", nil)
+	code, _ := s.request("PUT", "/v1/jobs/a", nil)
 	is.Equal(code, 0)
-	is.Equal(s.Drops.Load(), int64(1))
-	is.Equal(f.Hist.List[0].What, Dropped)
+	is.Equal(s.Dropped.Load(), int64(1))
+	is.Equal(f.History.Events[0].Kind, RequestDropped)
 	drop.Store(false)
-	code, _ = s.try("PUT", "/v1/jobs/a", nil)
+	code, _ = s.request("PUT", "/v1/jobs/a", nil)
 	is.Equal(code, 503) // a refusal is an answer
-	is.Equal(s.Drops.Load(), int64(1))
+	is.Equal(s.Dropped.Load(), int64(1))
 	srv.Close()
-	s.try("PUT", "/v1/jobs/a", nil)
-	is.Equal(s.Drops.Load(), int64(1)) // one that was never read is not dropped
+	s.request("PUT", "/v1/jobs/a", nil)
+	is.Equal(s.Dropped.Load(), int64(1)) // one that was never read is not dropped
 }
