--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -68,25 +68,25 @@
 
 // Backoff returns how long a task waits after its n-th failure, n from 1: the row's
 // Rest, doubled each time, 10 s at most.
-func (r Queue) Backoff(n int) time.Duration {
+func (q Queue) Backoff(n int) time.Duration {
 	initial := defaultInitialBackoff
-	if r.InitialBackoffMillis > 0 {
-		initial = milliseconds(r.InitialBackoffMillis)
+	if q.InitialBackoffMillis > 0 {
+		initial = milliseconds(q.InitialBackoffMillis)
 	}
 	return min(maxBackoff, initial/2<<min(n, maxDoublings))
 }
 
 // HasLatencyTarget reports whether the queue's jobs have a time by which they should be done.
-func (r Queue) HasLatencyTarget() bool { return r.TargetFactor > 0 }
+func (q Queue) HasLatencyTarget() bool { return q.TargetFactor > 0 }
 
 // TaskTimeout returns the time limit of an attempt.
-func (r Queue) TaskTimeout() time.Duration { return milliseconds(r.TaskTimeoutMillis) }
+func (q Queue) TaskTimeout() time.Duration { return milliseconds(q.TaskTimeoutMillis) }
 
 // UnresolvedTimeout returns how long the end of an attempt on a lost worker is waited for.
-func (r Queue) UnresolvedTimeout() time.Duration { return milliseconds(r.UnresolvedTimeoutMillis) }
+func (q Queue) UnresolvedTimeout() time.Duration { return milliseconds(q.UnresolvedTimeoutMillis) }
 
 // PartitionTimeout returns the same for a worker that was lost with its whole zone.
-func (r Queue) PartitionTimeout() time.Duration { return milliseconds(r.PartitionTimeoutMillis) }
+func (q Queue) PartitionTimeout() time.Duration { return milliseconds(q.PartitionTimeoutMillis) }
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
--- a/internal/configwatch/confirmed_test.go
+++ b/internal/configwatch/confirmed_test.go
@@ -83,12 +83,12 @@
 	stepped types.MonoTime
 }
 
-func (p *cachesDecision) Decides(now types.MonoTime) (types.Version, bool) {
-	if now.Sub(p.stepped) >= 3*time.Second {
-		p.stepped = now
-		p.version, p.fresh = p.soundWatcher.Decides(now)
+func (c *cachesDecision) Decides(now types.MonoTime) (types.Version, bool) {
+	if now.Sub(c.stepped) >= 3*time.Second {
+		c.stepped = now
+		c.version, c.fresh = c.soundWatcher.Decides(now)
 	}
-	return p.version, p.fresh
+	return c.version, c.fresh
 }
 
 // runScenario plays a reader whose questions and answers take long on their way, whose
--- a/internal/controller/calls.go
+++ b/internal/controller/calls.go
@@ -269,19 +269,19 @@
 	return r
 }
 
-func (r *completionRate) record(now types.MonoTime) {
-	if r.lastAt != 0 {
-		gap := now.Sub(r.lastAt).Seconds()
-		r.perSecond += 0.1 * (1/max(gap, 0.001) - r.perSecond)
-		r.perSecond = min(r.perSecond, 1000)
+func (c *completionRate) record(now types.MonoTime) {
+	if c.lastAt != 0 {
+		gap := now.Sub(c.lastAt).Seconds()
+		c.perSecond += 0.1 * (1/max(gap, 0.001) - c.perSecond)
+		c.perSecond = min(c.perSecond, 1000)
 	}
-	r.lastAt = now
+	c.lastAt = now
 }
 
 // retryInterval is when a tenth of what waits will have gone, from 1 s to a minute.
-func (r *completionRate) retryAfter(now types.MonoTime, waiting int) time.Duration {
-	perSecond := r.perSecond
-	if gap := now.Sub(r.lastAt).Seconds(); gap > 1 {
+func (c *completionRate) retryAfter(now types.MonoTime, waiting int) time.Duration {
+	perSecond := c.perSecond
+	if gap := now.Sub(c.lastAt).Seconds(); gap > 1 {
 		perSecond = min(perSecond, 1/gap)
 	}
 	seconds := float64(max(waiting/10, 1)) / max(perSecond, 0.01)
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -71,15 +71,15 @@
 
 type eventHeap []scheduledEvent
 
-func (t eventHeap) Len() int { return len(t) }
-func (t eventHeap) Less(i, k int) bool {
-	return t[i].at < t[k].at || t[i].at == t[k].at && t[i].seq < t[k].seq
+func (e eventHeap) Len() int { return len(e) }
+func (e eventHeap) Less(i, k int) bool {
+	return e[i].at < e[k].at || e[i].at == e[k].at && e[i].seq < e[k].seq
 }
-func (t eventHeap) Swap(i, k int) { t[i], t[k] = t[k], t[i] }
-func (t *eventHeap) Push(x any)   { *t = append(*t, x.(scheduledEvent)) }
-func (t *eventHeap) Pop() any {
-	last := (*t)[len(*t)-1]
-	*t = (*t)[:len(*t)-1]
+func (e eventHeap) Swap(i, k int) { e[i], e[k] = e[k], e[i] }
+func (e *eventHeap) Push(x any)   { *e = append(*e, x.(scheduledEvent)) }
+func (e *eventHeap) Pop() any {
+	last := (*e)[len(*e)-1]
+	*e = (*e)[:len(*e)-1]
 	return last
 }
 
--- a/internal/controller/learn.go
+++ b/internal/controller/learn.go
@@ -29,31 +29,31 @@
 )
 
 // record takes what a task took, as a part of its step.
-func (h *queueDurations) record(took, estimate time.Duration, share float64) {
+func (q *queueDurations) record(took, estimate time.Duration, share float64) {
 	x := math.Log(max(took, time.Millisecond).Seconds())
-	h.weight = min(maxStepWeight, h.weight+share)
-	gain := min(1, share/h.weight)
-	deviation := x - h.meanLog
-	h.meanLog += gain * deviation
-	h.variance += gain * (deviation*(x-h.meanLog) - h.variance)
+	q.weight = min(maxStepWeight, q.weight+share)
+	gain := min(1, share/q.weight)
+	deviation := x - q.meanLog
+	q.meanLog += gain * deviation
+	q.variance += gain * (deviation*(x-q.meanLog) - q.variance)
 	if estimate > 0 {
 		off := x - math.Log(estimate.Seconds())
-		h.estimateError += gain * (off*off - h.estimateError)
+		q.estimateError += gain * (off*off - q.estimateError)
 	}
 }
 
 // expected weighs a step's own estimate, or 0, against the mean.
-func (h *queueDurations) expected(estimate time.Duration) time.Duration {
+func (q *queueDurations) expected(estimate time.Duration) time.Duration {
 	switch {
-	case h == nil || h.weight < 1:
+	case q == nil || q.weight < 1:
 		return estimate
 	case estimate <= 0:
-		return time.Duration(math.Exp(h.meanLog) * float64(time.Second))
+		return time.Duration(math.Exp(q.meanLog) * float64(time.Second))
 	}
-	evidence := h.weight / (h.weight + priorWeight)
-	variance, estimateError := priorVariance+evidence*(h.variance-priorVariance), priorEstimateError+evidence*(h.estimateError-priorEstimateError)
+	evidence := q.weight / (q.weight + priorWeight)
+	variance, estimateError := priorVariance+evidence*(q.variance-priorVariance), priorEstimateError+evidence*(q.estimateError-priorEstimateError)
 	trust := variance / (variance + estimateError + 1e-6)
-	return time.Duration(math.Exp(h.meanLog+trust*(math.Log(estimate.Seconds())-h.meanLog)) * float64(time.Second))
+	return time.Duration(math.Exp(q.meanLog+trust*(math.Log(estimate.Seconds())-q.meanLog)) * float64(time.Second))
 }
 
 // stepDurations is what the tasks of a step have taken so far.
--- a/internal/controller/windows.go
+++ b/internal/controller/windows.go
@@ -52,11 +52,11 @@
 }
 
 // due tells whether it is time, and if so takes it as done.
-func (c *reviewTimer) due(now types.MonoTime) bool {
-	if c.done && now.Sub(c.lastAt) < reviewInterval {
+func (r *reviewTimer) due(now types.MonoTime) bool {
+	if r.done && now.Sub(r.lastAt) < reviewInterval {
 		return false
 	}
-	c.done, c.lastAt = true, now
+	r.done, r.lastAt = true, now
 	return true
 }
 
--- a/internal/dispatch/caller.go
+++ b/internal/dispatch/caller.go
@@ -251,8 +251,8 @@
 }
 
 // clockAtLeast is what the worker's clock reads at a time, at the least.
-func (c *WorkerLink) clockAtLeast(now types.MonoTime) int64 {
-	return c.clock + int64(minClockRate*float64(now.Sub(c.clockReadAt).Milliseconds()))
+func (w *WorkerLink) clockAtLeast(now types.MonoTime) int64 {
+	return w.clock + int64(minClockRate*float64(now.Sub(w.clockReadAt).Milliseconds()))
 }
 
 // nextLeaseEnd is the end of the lease that the worker may have now, on its own clock,
--- a/internal/dispatch/caller_test.go
+++ b/internal/dispatch/caller_test.go
@@ -18,12 +18,12 @@
 const short, long = `{"ms":300}`, `{"ms":60000}`
 
 // applyToFirst does something to the first call of a kind, and lets the others be.
-func (r *linkRig) applyToFirst(k wire.CallKind, w callFate) {
-	r.fateOf = func(c wire.WorkerCall) callFate {
+func (lr *linkRig) applyToFirst(k wire.CallKind, w callFate) {
+	lr.fateOf = func(c wire.WorkerCall) callFate {
 		if c.Kind != k {
 			return callDelivered
 		}
-		r.fateOf = func(wire.WorkerCall) callFate { return callDelivered }
+		lr.fateOf = func(wire.WorkerCall) callFate { return callDelivered }
 		return w
 	}
 }
--- a/internal/dispatch/chaos_test.go
+++ b/internal/dispatch/chaos_test.go
@@ -22,66 +22,66 @@
 )
 
 // injectFaults brings trouble about for a while.
-func (r *linkRig) injectFaults(long time.Duration) {
-	rnd := r.random
+func (lr *linkRig) injectFaults(long time.Duration) {
+	rnd := lr.random
 	bad := rnd.Float64() * 0.2
-	r.lateDelay = func() time.Duration { return time.Duration(rnd.Intn(1+rnd.Intn(9000))) * ms }
-	r.fateOf = func(wire.WorkerCall) callFate {
+	lr.lateDelay = func() time.Duration { return time.Duration(rnd.Intn(1+rnd.Intn(9000))) * ms }
+	lr.fateOf = func(wire.WorkerCall) callFate {
 		if rnd.Float64() < bad {
 			return callFate(1 + rnd.Intn(3))
 		}
 		return callDelivered
 	}
 	var beats []wire.WorkerHeartbeat
-	for end := r.now.Add(long); r.now < end; {
-		r.advance(time.Duration(rnd.Intn(700)) * ms)
-		if r.worker == nil {
-			r.startWorker()
-			r.heartbeatsStopped = rnd.Intn(4) == 0 // it answers before it beats
+	for end := lr.now.Add(long); lr.now < end; {
+		lr.advance(time.Duration(rnd.Intn(700)) * ms)
+		if lr.worker == nil {
+			lr.startWorker()
+			lr.heartbeatsStopped = rnd.Intn(4) == 0 // it answers before it beats
 			continue
 		}
 		switch rnd.Intn(14) {
 		case 0:
-			r.newAgent()
+			lr.newAgent()
 		case 1:
-			r.newLeader()
+			lr.newLeader()
 		case 2:
-			r.partitioned = true
+			lr.partitioned = true
 		case 3, 4, 5:
-			r.partitioned, r.heartbeatsStopped = false, false
+			lr.partitioned, lr.heartbeatsStopped = false, false
 		case 6:
 			if rnd.Intn(3) == 0 {
-				r.crashWorker()
+				lr.crashWorker()
 			}
 		case 7:
-			beats = append(beats, r.nextHeartbeat())
+			beats = append(beats, lr.nextHeartbeat())
 		case 8:
 			if beats != nil {
-				r.executor.HandleWorkerHeartbeat(r.now, beats[rnd.Intn(len(beats))])
-				r.deliver()
+				lr.executor.HandleWorkerHeartbeat(lr.now, beats[rnd.Intn(len(beats))])
+				lr.deliver()
 			}
 		case 9:
-			r.holdReplyDelay = time.Duration(rnd.Intn(600)) * ms
+			lr.holdReplyDelay = time.Duration(rnd.Intn(600)) * ms
 		case 10:
-			r.holdReplyDelay = 0
+			lr.holdReplyDelay = 0
 		case 11:
-			r.worker.Unhealthy = !r.worker.Unhealthy
+			lr.worker.Unhealthy = !lr.worker.Unhealthy
 		case 12:
-			for l := range r.outstanding {
+			for l := range lr.outstanding {
 				if rnd.Intn(4) == 0 {
-					r.scheduler.KillTasks([]types.AttemptID{l}, nil)
+					lr.scheduler.KillTasks([]types.AttemptID{l}, nil)
 				}
 			}
-			r.deliver()
+			lr.deliver()
 		case 13:
-			r.worker.StartsUnderLease = !r.worker.StartsUnderLease
+			lr.worker.StartsUnderLease = !lr.worker.StartsUnderLease
 		}
 	}
-	r.partitioned, r.heartbeatsStopped, r.holdReplyDelay, r.fateOf = false, false, 0, func(wire.WorkerCall) callFate { return callDelivered }
-	if r.worker == nil {
-		r.startWorker()
+	lr.partitioned, lr.heartbeatsStopped, lr.holdReplyDelay, lr.fateOf = false, false, 0, func(wire.WorkerCall) callFate { return callDelivered }
+	if lr.worker == nil {
+		lr.startWorker()
 	}
-	r.worker.Unhealthy = false
+	lr.worker.Unhealthy = false
 }
 
 func TestChaosOnOneWorker(t *testing.T) {
--- a/internal/dispatch/decode.go
+++ b/internal/dispatch/decode.go
@@ -58,75 +58,75 @@
 	return false, nil
 }
 
-func (s *WorkerSetID) decode(d *jx.Decoder) error {
+func (w *WorkerSetID) decode(d *jx.Decoder) error {
 	return wire.DecodeObject(d, func(key string) (bool, error) {
 		switch key {
 		case "born":
-			return true, wire.DecodeUint(d, &s.Term)
+			return true, wire.DecodeUint(d, &w.Term)
 		case "ver":
-			return true, wire.DecodeInt(d, &s.Version)
+			return true, wire.DecodeInt(d, &w.Version)
 		case "hash":
-			return true, wire.DecodeUint(d, &s.Hash)
+			return true, wire.DecodeUint(d, &w.Hash)
 		case "size":
-			return true, wire.DecodeInt(d, &s.Size)
+			return true, wire.DecodeInt(d, &w.Size)
 		}
 		return false, nil
 	})
 }
 
-func (s *Checkpoint) decode(d *jx.Decoder) error {
+func (c *Checkpoint) decode(d *jx.Decoder) error {
 	return wire.DecodeObject(d, func(key string) (bool, error) {
 		switch key {
 		case "leg":
-			return true, decodeAttempt(d, &s.Attempt)
+			return true, decodeAttempt(d, &c.Attempt)
 		case "ref":
-			return true, wire.DecodeString(d, &s.Ref)
+			return true, wire.DecodeString(d, &c.Ref)
 		}
 		return false, nil
 	})
 }
 
-func (s *DurationEstimate) decode(d *jx.Decoder) error {
+func (de *DurationEstimate) decode(d *jx.Decoder) error {
 	return wire.DecodeObject(d, func(key string) (bool, error) {
 		switch key {
 		case "leg":
-			return true, decodeAttempt(d, &s.Attempt)
+			return true, decodeAttempt(d, &de.Attempt)
 		case "ms":
-			return true, wire.DecodeInt(d, &s.MS)
+			return true, wire.DecodeInt(d, &de.MS)
 		}
 		return false, nil
 	})
 }
 
 // DecodeJSON reads a report of ended attempts.
-func (s *UpdateStatus) DecodeJSON(d *jx.Decoder) error {
+func (u *UpdateStatus) DecodeJSON(d *jx.Decoder) error {
 	return wire.DecodeObject(d, func(key string) (bool, error) {
 		switch key {
 		case "shard":
-			return true, wire.DecodeString(d, &s.Shard)
+			return true, wire.DecodeString(d, &u.Shard)
 		case "id":
-			return true, wire.DecodeString(d, &s.Instance)
+			return true, wire.DecodeString(d, &u.Instance)
 		case "ends":
-			return true, wire.DecodeList(d, &s.Ends, func(e *state.AttemptEnd) error { return decodeEnd(d, e) })
+			return true, wire.DecodeList(d, &u.Ends, func(e *state.AttemptEnd) error { return decodeEnd(d, e) })
 		}
 		return false, nil
 	})
 }
 
 // DecodeJSON reads the answer to an order.
-func (o *RunTaskReply) DecodeJSON(d *jx.Decoder) error {
+func (r *RunTaskReply) DecodeJSON(d *jx.Decoder) error {
 	return wire.DecodeObject(d, func(key string) (bool, error) {
 		switch key {
 		case "term":
-			return true, wire.DecodeUint(d, &o.Term)
+			return true, wire.DecodeUint(d, &r.Term)
 		case "shard":
-			return true, wire.DecodeString(d, &o.Shard)
+			return true, wire.DecodeString(d, &r.Shard)
 		case "id":
-			return true, wire.DecodeString(d, &o.Instance)
+			return true, wire.DecodeString(d, &r.Instance)
 		case "leg":
-			return true, decodeAttempt(d, &o.Attempt)
+			return true, decodeAttempt(d, &r.Attempt)
 		case "why":
-			return true, wire.DecodeString(d, &o.Refusal)
+			return true, wire.DecodeString(d, &r.Refusal)
 		}
 		return false, nil
 	})
--- a/internal/dispatch/hold.go
+++ b/internal/dispatch/hold.go
@@ -53,101 +53,101 @@
 
 func compareOutstanding(a, b *OutstandingAttempt) int { return a.Attempt.Compare(b.Attempt) }
 
-func (h *attemptIndex) add(o *OutstandingAttempt) {
-	h.remove(o.Attempt)
-	x := h.byShard[o.Shard]
+func (a *attemptIndex) add(o *OutstandingAttempt) {
+	a.remove(o.Attempt)
+	x := a.byShard[o.Shard]
 	if x == nil {
 		x = &shardAttempts{}
-		h.byShard[o.Shard] = x
+		a.byShard[o.Shard] = x
 	}
 	i, _ := slices.BinarySearchFunc(x.list, o, compareOutstanding)
 	x.list = slices.Insert(x.list, i, o)
 	x.reserved = x.reserved.Add(o.Resources)
-	h.byID[o.Attempt] = o
-	h.revisions[o.Shard]++
+	a.byID[o.Attempt] = o
+	a.revisions[o.Shard]++
 	if o.Stage < 0 {
-		h.unknownToLog[o.Attempt] = o
+		a.unknownToLog[o.Attempt] = o
 	}
-	h.adjustCounts(o, 1)
+	a.adjustCounts(o, 1)
 }
 
-func (h *attemptIndex) remove(l types.AttemptID) {
-	o := h.byID[l]
+func (a *attemptIndex) remove(l types.AttemptID) {
+	o := a.byID[l]
 	if o == nil {
 		return
 	}
-	h.adjustCounts(o, -1)
-	delete(h.byID, l)
-	h.revisions[o.Shard]++
-	delete(h.unknownToLog, l)
-	x := h.byShard[o.Shard]
+	a.adjustCounts(o, -1)
+	delete(a.byID, l)
+	a.revisions[o.Shard]++
+	delete(a.unknownToLog, l)
+	x := a.byShard[o.Shard]
 	i, _ := slices.BinarySearchFunc(x.list, o, compareOutstanding)
 	x.list = slices.Delete(x.list, i, i+1)
 	x.reserved = x.reserved.Sub(o.Resources)
 	if len(x.list) == 0 {
-		delete(h.byShard, o.Shard)
+		delete(a.byShard, o.Shard)
 	}
 }
 
-func (h *attemptIndex) setPhase(o *OutstandingAttempt, p attemptPhase) {
-	h.adjustCounts(o, -1)
+func (a *attemptIndex) setPhase(o *OutstandingAttempt, p attemptPhase) {
+	a.adjustCounts(o, -1)
 	o.Phase = p
-	h.adjustCounts(o, 1)
+	a.adjustCounts(o, 1)
 }
 
-func (h *attemptIndex) adjustCounts(o *OutstandingAttempt, by int) {
-	x := h.byShard[o.Shard]
+func (a *attemptIndex) adjustCounts(o *OutstandingAttempt, by int) {
+	x := a.byShard[o.Shard]
 	switch o.Phase {
 	case unconfirmed:
 		x.unconfirmed += by
-		h.unconfirmed += by
+		a.unconfirmed += by
 	case unsureIfRunning:
 		if x.unsure += by; x.unsure > 0 {
-			h.unsureShards[o.Shard] = true
+			a.unsureShards[o.Shard] = true
 		} else {
-			delete(h.unsureShards, o.Shard)
+			delete(a.unsureShards, o.Shard)
 		}
 	case orderSent:
 		if by > 0 {
-			h.sentInOrder = append(h.sentInOrder, o)
+			a.sentInOrder = append(a.sentInOrder, o)
 		}
 	}
 }
 
 // takeOverdue takes from the sent ones those that are no longer, and gives the ones
 // that have been since before a time.
-func (h *attemptIndex) takeOverdue(by types.MonoTime) (list []*OutstandingAttempt) {
-	for len(h.sentInOrder) > 0 && (h.sentInOrder[0].Phase != orderSent || h.byID[h.sentInOrder[0].Attempt] != h.sentInOrder[0] || h.sentInOrder[0].OrderedAt < by) {
-		if o := h.sentInOrder[0]; o.Phase == orderSent && h.byID[o.Attempt] == o {
+func (a *attemptIndex) takeOverdue(by types.MonoTime) (list []*OutstandingAttempt) {
+	for len(a.sentInOrder) > 0 && (a.sentInOrder[0].Phase != orderSent || a.byID[a.sentInOrder[0].Attempt] != a.sentInOrder[0] || a.sentInOrder[0].OrderedAt < by) {
+		if o := a.sentInOrder[0]; o.Phase == orderSent && a.byID[o.Attempt] == o {
 			list = append(list, o)
 		}
-		h.sentInOrder = h.sentInOrder[1:]
+		a.sentInOrder = a.sentInOrder[1:]
 	}
 	return
 }
 
 // onShard lists what possibly runs on a shard; the list is a copy.
-func (h *attemptIndex) onShard(s types.Shard) []*OutstandingAttempt {
-	if x := h.byShard[s]; x != nil {
+func (a *attemptIndex) onShard(s types.Shard) []*OutstandingAttempt {
+	if x := a.byShard[s]; x != nil {
 		return slices.Clone(x.list)
 	}
 	return nil
 }
 
-func (h *attemptIndex) reservedOn(s types.Shard) (r types.Resources) {
-	if x := h.byShard[s]; x != nil {
+func (a *attemptIndex) reservedOn(s types.Shard) (r types.Resources) {
+	if x := a.byShard[s]; x != nil {
 		r = x.reserved
 	}
 	return
 }
 
 // unconfirmedWithoutWorker lists the attempts not told of yet on shards that no agent has come for.
-func (h *attemptIndex) unconfirmedWithoutWorker(came map[types.Shard]*RemoteWorker) (list []*OutstandingAttempt) {
-	if h.unconfirmed == 0 {
+func (a *attemptIndex) unconfirmedWithoutWorker(came map[types.Shard]*RemoteWorker) (list []*OutstandingAttempt) {
+	if a.unconfirmed == 0 {
 		return nil
 	}
-	for _, s := range sortedShards(h.byShard) {
-		if x := h.byShard[s]; x.unconfirmed > 0 && came[s] == nil {
+	for _, s := range sortedShards(a.byShard) {
+		if x := a.byShard[s]; x.unconfirmed > 0 && came[s] == nil {
 			for _, o := range x.list {
 				if o.Phase == unconfirmed {
 					list = append(list, o)
@@ -159,10 +159,10 @@
 }
 
 // all lists every attempt, by shard.
-func (h *attemptIndex) all() []*OutstandingAttempt {
-	list := make([]*OutstandingAttempt, 0, len(h.byID))
-	for _, s := range sortedShards(h.byShard) {
-		list = append(list, h.byShard[s].list...)
+func (a *attemptIndex) all() []*OutstandingAttempt {
+	list := make([]*OutstandingAttempt, 0, len(a.byID))
+	for _, s := range sortedShards(a.byShard) {
+		list = append(list, a.byShard[s].list...)
 	}
 	return list
 }
--- a/internal/dispatch/lacks_test.go
+++ b/internal/dispatch/lacks_test.go
@@ -27,12 +27,12 @@
 }
 
 // shortfallDuration is for how long the leader counts a worker's room as less from now on.
-func (r *linkRig) shortfallDuration() time.Duration {
-	from := r.now
-	for r.scheduler.Worker("s").Shortfall != (types.Resources{}) && r.now.Sub(from) < time.Minute {
-		r.advance(20 * ms)
+func (lr *linkRig) shortfallDuration() time.Duration {
+	from := lr.now
+	for lr.scheduler.Worker("s").Shortfall != (types.Resources{}) && lr.now.Sub(from) < time.Minute {
+		lr.advance(20 * ms)
 	}
-	return r.now.Sub(from)
+	return lr.now.Sub(from)
 }
 
 func roughly(d, want time.Duration) bool { return d > want-100*ms && d < want+600*ms }
--- a/internal/dispatch/line.go
+++ b/internal/dispatch/line.go
@@ -305,9 +305,9 @@
 }
 
 // highestEnd is the highest end that the worker has told.
-func (c *WorkerLink) highestEnd() uint64 {
-	n := c.acknowledgedEnd
-	for k := range c.openEnds {
+func (w *WorkerLink) highestEnd() uint64 {
+	n := w.acknowledgedEnd
+	for k := range w.openEnds {
 		n = max(n, k)
 	}
 	return n
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -81,16 +81,16 @@
 }
 
 // medianElsewhere is the median of what the stage takes on other workers.
-func (t *stageTimes) medianElsewhere(shard types.Shard) (time.Duration, bool) {
-	list := t.sortedDurations(func(x durationSample) bool { return x.shard != shard })
+func (s *stageTimes) medianElsewhere(shard types.Shard) (time.Duration, bool) {
+	list := s.sortedDurations(func(x durationSample) bool { return x.shard != shard })
 	if len(list) < minPeers {
 		return 0, false
 	}
 	return list[len(list)/2], true
 }
 
-func (t *stageTimes) sortedDurations(only func(durationSample) bool) (list []time.Duration) {
-	for _, x := range t.samples {
+func (s *stageTimes) sortedDurations(only func(durationSample) bool) (list []time.Duration) {
+	for _, x := range s.samples {
 		if only(x) {
 			list = append(list, x.duration)
 		}
@@ -145,9 +145,9 @@
 }
 
 // decaySlowdown forgets a bad name with time.
-func (w *RemoteWorker) decaySlowdown(now types.MonoTime) {
-	w.slowdownLog *= math.Exp2(-now.Sub(w.slowdownAt).Seconds() / slowdownHalfLife.Seconds())
-	w.slowdownAt = now
+func (r *RemoteWorker) decaySlowdown(now types.MonoTime) {
+	r.slowdownLog *= math.Exp2(-now.Sub(r.slowdownAt).Seconds() / slowdownHalfLife.Seconds())
+	r.slowdownAt = now
 }
 
 // Slowdown is how many times the usual a worker's attempts take now; 0 is as usual.
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -104,203 +104,203 @@
 }
 
 // after has something done after a time.
-func (r *linkRig) after(d time.Duration, do func()) {
-	r.lastTimer++
-	r.timers = append(r.timers, timer{r.now.Add(d), r.lastTimer, do})
-	sort.Slice(r.timers, func(i, k int) bool {
-		a, b := r.timers[i], r.timers[k]
+func (lr *linkRig) after(d time.Duration, do func()) {
+	lr.lastTimer++
+	lr.timers = append(lr.timers, timer{lr.now.Add(d), lr.lastTimer, do})
+	sort.Slice(lr.timers, func(i, k int) bool {
+		a, b := lr.timers[i], lr.timers[k]
 		return a.at < b.at || a.at == b.at && a.no < b.no
 	})
 }
 
-func (r *linkRig) every(d time.Duration, do func()) {
-	r.after(d, func() { do(); r.every(d, do) })
+func (lr *linkRig) every(d time.Duration, do func()) {
+	lr.after(d, func() { do(); lr.every(d, do) })
 }
 
 // advance lets time go by.
-func (r *linkRig) advance(d time.Duration) {
-	end := r.now.Add(d)
-	for r.timers[0].at <= end {
-		x := r.timers[0]
-		r.timers = r.timers[1:]
-		r.now = x.at
+func (lr *linkRig) advance(d time.Duration) {
+	end := lr.now.Add(d)
+	for lr.timers[0].at <= end {
+		x := lr.timers[0]
+		lr.timers = lr.timers[1:]
+		lr.now = x.at
 		x.do()
 	}
-	r.now = end
+	lr.now = end
 }
 
 // newLeader has another leader take over; what the old one had proposed is gone.
-func (r *linkRig) newLeader() {
-	r.term++
+func (lr *linkRig) newLeader() {
+	lr.term++
 	var outs []dispatch.OutstandingAttempt
-	for l := range r.outstanding {
+	for l := range lr.outstanding {
 		outs = append(outs, dispatch.OutstandingAttempt{Attempt: l, Shard: "s", Resources: types.Resources{Cores: types.Core}})
 	}
 	sort.Slice(outs, func(i, k int) bool { return outs[i].Attempt.Less(outs[k].Attempt) })
-	h := dispatch.NewScheduler(r.now, r.now, r.timeouts, "h", r.term, outs)
-	h.EndRecorded = func(e state.AttemptEnd) bool { _, ok := r.committed[e.ID]; return ok || !r.outstanding[e.ID] }
+	h := dispatch.NewScheduler(lr.now, lr.now, lr.timeouts, "h", lr.term, outs)
+	h.EndRecorded = func(e state.AttemptEnd) bool { _, ok := lr.committed[e.ID]; return ok || !lr.outstanding[e.ID] }
 	h.Partitioned = func(types.Shard) bool { return false }
 	h.Invoked = func(types.Shard) bool { return true }
 	h.Unresolved = func(types.Shard) []types.AttemptID { return nil }
-	r.scheduler = h
-	clear(r.proposed)
+	lr.scheduler = h
+	clear(lr.proposed)
 }
 
 // newAgent starts an agent that knows nothing.
-func (r *linkRig) newAgent() {
-	r.agents++
+func (lr *linkRig) newAgent() {
+	lr.agents++
 	n := 0
-	r.executor = dispatch.NewExecutor(r.now, r.timeouts, "w", "s", func() types.ID { n++; return types.ID(fmt.Sprintf("w%d.%d", r.agents, n)) })
+	lr.executor = dispatch.NewExecutor(lr.now, lr.timeouts, "w", "s", func() types.ID { n++; return types.ID(fmt.Sprintf("w%d.%d", lr.agents, n)) })
 }
 
 // startWorker starts a worker process.
-func (r *linkRig) startWorker() {
-	r.incarnations++
-	id := types.ID(fmt.Sprint("k", r.incarnations))
-	r.heartbeatSequence = 0
-	clear(r.running)
-	r.worker = sim.NewInvokedWorker(r.workerSpec, id, r.environment, r.random, func() types.MonoTime { return r.now }, func(h sim.HistoryEvent) {
-		if r.worker == nil || types.ID(h.Process) != r.worker.ID {
+func (lr *linkRig) startWorker() {
+	lr.incarnations++
+	id := types.ID(fmt.Sprint("k", lr.incarnations))
+	lr.heartbeatSequence = 0
+	clear(lr.running)
+	lr.worker = sim.NewInvokedWorker(lr.workerSpec, id, lr.environment, lr.random, func() types.MonoTime { return lr.now }, func(h sim.HistoryEvent) {
+		if lr.worker == nil || types.ID(h.Process) != lr.worker.ID {
 			return
 		}
 		switch h.Kind {
 		case sim.AttemptStarted:
-			r.running[h.Attempt] = true
-			r.starts[h.Attempt]++
-			if f, ok := r.committed[h.Attempt]; ok {
-				r.t.Errorf("%v starts, although the log has it as %s", h.Attempt, f)
+			lr.running[h.Attempt] = true
+			lr.starts[h.Attempt]++
+			if f, ok := lr.committed[h.Attempt]; ok {
+				lr.t.Errorf("%v starts, although the log has it as %s", h.Attempt, f)
 			}
 		case sim.AttemptEnded:
-			delete(r.running, h.Attempt)
-			r.endings[h.Attempt] = h.How
+			delete(lr.running, h.Attempt)
+			lr.endings[h.Attempt] = h.How
 		case sim.EndSettled:
-			r.acknowledged[h.Attempt] = true
-			if f := r.committed[h.Attempt]; h.How == wire.EndSucceeded && f != state.OutcomeOK {
-				r.t.Errorf("%v is noted as done, and the log has it as %q", h.Attempt, f)
+			lr.acknowledged[h.Attempt] = true
+			if f := lr.committed[h.Attempt]; h.How == wire.EndSucceeded && f != state.OutcomeOK {
+				lr.t.Errorf("%v is noted as done, and the log has it as %q", h.Attempt, f)
 			}
 		}
 	})
-	r.worker.StartsUnderLease = true
+	lr.worker.StartsUnderLease = true
 }
 
-func (r *linkRig) crashWorker() {
-	r.worker = nil
-	clear(r.running)
+func (lr *linkRig) crashWorker() {
+	lr.worker = nil
+	clear(lr.running)
 }
 
-func (r *linkRig) nextHeartbeat() wire.WorkerHeartbeat {
-	r.heartbeatSequence++
-	return wire.WorkerHeartbeat{Incarnation: r.worker.ID, Addr: "k", Seq: r.heartbeatSequence, Rack: "r", Kinds: r.workerSpec.Kinds, Capacity: r.workerSpec.Room, ClockMS: r.worker.Clock()}
+func (lr *linkRig) nextHeartbeat() wire.WorkerHeartbeat {
+	lr.heartbeatSequence++
+	return wire.WorkerHeartbeat{Incarnation: lr.worker.ID, Addr: "k", Seq: lr.heartbeatSequence, Rack: "r", Kinds: lr.workerSpec.Kinds, Capacity: lr.workerSpec.Room, ClockMS: lr.worker.Clock()}
 }
 
 // deliver carries all that the two halves want sent and called.
-func (r *linkRig) deliver() {
+func (lr *linkRig) deliver() {
 	for more := true; more; {
-		sends, ends := r.scheduler.TakeOutput()
-		r.propose(ends)
-		from := r.executor.TakeOutput()
+		sends, ends := lr.scheduler.TakeOutput()
+		lr.propose(ends)
+		from := lr.executor.TakeOutput()
 		more = len(sends)+len(from) > 0
 		for _, s := range from {
 			if u, ok := wire.DecodeBody[dispatch.UpdateStatus](s.Message); ok && s.Message.Kind == wire.StatusReport {
-				r.reported = append(r.reported, u.Ends...)
+				lr.reported = append(lr.reported, u.Ends...)
 			}
-			if r.onSend != nil {
-				r.onSend(s)
+			if lr.onSend != nil {
+				lr.onSend(s)
 			}
-			if !r.partitioned {
-				r.scheduler.HandleMessage(r.now, r.authorityLeft, s.Message)
+			if !lr.partitioned {
+				lr.scheduler.HandleMessage(lr.now, lr.authorityLeft, s.Message)
 			}
 		}
 		for _, s := range sends {
-			if !r.partitioned {
-				r.executor.HandleMessage(r.now, s.Message)
+			if !lr.partitioned {
+				lr.executor.HandleMessage(lr.now, s.Message)
 			}
 		}
-		for _, c := range r.executor.TakeCalls() {
+		for _, c := range lr.executor.TakeCalls() {
 			more = true
-			r.makeCall(c)
+			lr.makeCall(c)
 		}
 	}
 }
 
-func (r *linkRig) makeCall(c wire.WorkerCall) {
-	if r.onCall != nil {
-		r.onCall(c)
+func (lr *linkRig) makeCall(c wire.WorkerCall) {
+	if lr.onCall != nil {
+		lr.onCall(c)
 	}
-	hand, over := r.executor, false
+	hand, over := lr.executor, false
 	back := func(x wire.WorkerReply) {
-		if !over && r.executor == hand {
+		if !over && lr.executor == hand {
 			over = true
 			x.Number = c.Number
-			r.executor.HandleWorkerReply(r.now, x)
-			r.deliver()
+			lr.executor.HandleWorkerReply(lr.now, x)
+			lr.deliver()
 		}
 	}
 	mute := func(wire.WorkerReply) {}
 	do := func(reply func(wire.WorkerReply)) {
-		if r.worker == nil {
+		if lr.worker == nil {
 			return
 		}
-		r.worker.HandleCall(c, reply)
+		lr.worker.HandleCall(c, reply)
 	}
-	r.after(c.Timeout, func() { back(wire.WorkerReply{Result: wire.ResultNoReply}) })
-	switch r.fateOf(c) {
+	lr.after(c.Timeout, func() { back(wire.WorkerReply{Result: wire.ResultNoReply}) })
+	switch lr.fateOf(c) {
 	case callDelivered:
-		r.after(ms, func() {
+		lr.after(ms, func() {
 			do(func(x wire.WorkerReply) {
 				d := ms
 				if c.Kind == wire.RenewLease {
-					d += r.holdReplyDelay
+					d += lr.holdReplyDelay
 				}
-				r.after(d, func() { back(x) })
+				lr.after(d, func() { back(x) })
 			})
 		})
 	case replyLost:
-		r.after(ms, func() { do(mute) })
+		lr.after(ms, func() { do(mute) })
 	case callLate:
-		r.after(r.lateDelay(), func() { do(mute) })
+		lr.after(lr.lateDelay(), func() { do(mute) })
 	}
 }
 
 // propose puts ends into the log a little later; the first one of an attempt stands.
-func (r *linkRig) propose(list []state.AttemptEnd) {
+func (lr *linkRig) propose(list []state.AttemptEnd) {
 	for _, e := range list {
-		if r.proposed[e] {
+		if lr.proposed[e] {
 			continue
 		}
-		r.proposed[e] = true
-		head := r.scheduler
-		r.after(time.Duration(5+r.random.Intn(40))*ms, func() {
-			if r.scheduler != head {
+		lr.proposed[e] = true
+		head := lr.scheduler
+		lr.after(time.Duration(5+lr.random.Intn(40))*ms, func() {
+			if lr.scheduler != head {
 				return
 			}
-			delete(r.proposed, e)
-			if _, ok := r.committed[e.ID]; !ok && r.outstanding[e.ID] {
-				r.commit(e)
+			delete(lr.proposed, e)
+			if _, ok := lr.committed[e.ID]; !ok && lr.outstanding[e.ID] {
+				lr.commit(e)
 			}
-			r.scheduler.OnEndsCommitted([]state.AttemptEnd{e})
-			r.deliver()
+			lr.scheduler.OnEndsCommitted([]state.AttemptEnd{e})
+			lr.deliver()
 		})
 	}
 }
 
-func (r *linkRig) commit(e state.AttemptEnd) {
-	r.committed[e.ID] = e.Outcome
-	delete(r.outstanding, e.ID)
+func (lr *linkRig) commit(e state.AttemptEnd) {
+	lr.committed[e.ID] = e.Outcome
+	delete(lr.outstanding, e.ID)
 	switch {
 	case e.Outcome == state.OutcomeOK:
-	case r.running[e.ID]:
-		r.t.Errorf("the log has %v as %s while it runs", e.ID, e.Outcome)
-	case r.acknowledged[e.ID] && r.endings[e.ID] == wire.EndSucceeded:
-		r.t.Errorf("the log has %v as %s after its good end was noted", e.ID, e.Outcome)
+	case lr.running[e.ID]:
+		lr.t.Errorf("the log has %v as %s while it runs", e.ID, e.Outcome)
+	case lr.acknowledged[e.ID] && lr.endings[e.ID] == wire.EndSucceeded:
+		lr.t.Errorf("the log has %v as %s after its good end was noted", e.ID, e.Outcome)
 	}
 }
 
 // runTask has the leader give an attempt out.
-func (r *linkRig) runTask(l types.AttemptID, work string) {
-	r.outstanding[l] = true
-	r.scheduler.RunTask("s", 0, "", dispatch.AttemptSpec{Attempt: l, Kind: "x", Resources: types.Resources{Cores: types.Core}, Input: []byte(work)})
-	r.deliver()
+func (lr *linkRig) runTask(l types.AttemptID, work string) {
+	lr.outstanding[l] = true
+	lr.scheduler.RunTask("s", 0, "", dispatch.AttemptSpec{Attempt: l, Kind: "x", Resources: types.Resources{Cores: types.Core}, Input: []byte(work)})
+	lr.deliver()
 }
 
 func attempt(job string, n int) types.AttemptID {
@@ -322,8 +322,8 @@
 }
 
 // attemptState is how the agent has an attempt: its part, and its outcome.
-func (r *linkRig) attemptState(l types.AttemptID) (string, state.Outcome) {
-	for _, v := range r.executor.View().Attempts {
+func (lr *linkRig) attemptState(l types.AttemptID) (string, state.Outcome) {
+	for _, v := range lr.executor.View().Attempts {
 		if v.Attempt == l {
 			return v.State, v.Outcome
 		}
--- a/internal/dispatch/set.go
+++ b/internal/dispatch/set.go
@@ -32,77 +32,77 @@
 }
 
 // inSet tells whether a seat's agent is in a set.
-func (w *RemoteWorker) inSet(set int) bool {
-	return w.joinedVersion <= set && (w.leftVersion == 0 || set < w.leftVersion)
+func (r *RemoteWorker) inSet(set int) bool {
+	return r.joinedVersion <= set && (r.leftVersion == 0 || set < r.leftVersion)
 }
 
 // add makes the next set, with an agent in it and the one that it replaces out.
-func (se *workerSetHistory) add(s, old *RemoteWorker) {
-	se.version++
+func (wo *workerSetHistory) add(s, old *RemoteWorker) {
+	wo.version++
 	if old != nil {
-		se.leave(old)
-		se.ungroup(old)
-	}
-	s.joinedVersion = se.version
-	se.hash += instanceHash(s.Instance)
-	se.size++
-	se.byIndirectVersion[0] = append(se.byIndirectVersion[0], s)
-	se.joined = append(se.joined, s)
+		wo.leave(old)
+		wo.ungroup(old)
+	}
+	s.joinedVersion = wo.version
+	wo.hash += instanceHash(s.Instance)
+	wo.size++
+	wo.byIndirectVersion[0] = append(wo.byIndirectVersion[0], s)
+	wo.joined = append(wo.joined, s)
 }
 
 // removeLost makes the next set, with a lost agent out of it.
-func (se *workerSetHistory) removeLost(s *RemoteWorker) {
-	se.version++
-	se.leave(s)
+func (wo *workerSetHistory) removeLost(s *RemoteWorker) {
+	wo.version++
+	wo.leave(s)
 }
 
-func (se *workerSetHistory) leave(s *RemoteWorker) {
+func (wo *workerSetHistory) leave(s *RemoteWorker) {
 	if s.leftVersion != 0 {
 		return
 	}
-	s.leftVersion = se.version
-	se.hash -= instanceHash(s.Instance)
-	se.size--
-	if len(se.joined) > 2*se.size+64 {
-		se.joined = slices.DeleteFunc(se.joined, func(s *RemoteWorker) bool { return s.leftVersion != 0 })
+	s.leftVersion = wo.version
+	wo.hash -= instanceHash(s.Instance)
+	wo.size--
+	if len(wo.joined) > 2*wo.size+64 {
+		wo.joined = slices.DeleteFunc(wo.joined, func(s *RemoteWorker) bool { return s.leftVersion != 0 })
 	}
 }
 
-func (se *workerSetHistory) ungroup(s *RemoteWorker) {
-	list := slices.DeleteFunc(se.byIndirectVersion[s.indirectSetVersion], func(o *RemoteWorker) bool { return o == s })
-	if se.byIndirectVersion[s.indirectSetVersion] = list; len(list) == 0 {
-		delete(se.byIndirectVersion, s.indirectSetVersion)
+func (wo *workerSetHistory) ungroup(s *RemoteWorker) {
+	list := slices.DeleteFunc(wo.byIndirectVersion[s.indirectSetVersion], func(o *RemoteWorker) bool { return o == s })
+	if wo.byIndirectVersion[s.indirectSetVersion] = list; len(list) == 0 {
+		delete(wo.byIndirectVersion, s.indirectSetVersion)
 	}
 }
 
 // propagate brings indirect sets up after an agent told of a newer set: its own to that
 // one or the highest of the agents in it, then that of any agent whose set has it
 // in, or one brought up so, to the same.
-func (se *workerSetHistory) propagate(s *RemoteWorker) {
+func (wo *workerSetHistory) propagate(s *RemoteWorker) {
 	if s.setVersion <= s.indirectSetVersion {
 		return
 	}
-	se.ungroup(s)
+	wo.ungroup(s)
 	s.indirectSetVersion = s.setVersion
 	for more := true; more; {
 		more = false
-		for set, list := range se.byIndirectVersion {
+		for set, list := range wo.byIndirectVersion {
 			if set > s.indirectSetVersion && slices.ContainsFunc(list, func(o *RemoteWorker) bool { return o.inSet(s.indirectSetVersion) }) {
 				s.indirectSetVersion, more = set, true
 			}
 		}
 	}
-	se.byIndirectVersion[s.indirectSetVersion] = append(se.byIndirectVersion[s.indirectSetVersion], s)
+	wo.byIndirectVersion[s.indirectSetVersion] = append(wo.byIndirectVersion[s.indirectSetVersion], s)
 	for up := []*RemoteWorker{s}; len(up) > 0; up = up[1:] {
-		for set, list := range se.byIndirectVersion {
+		for set, list := range wo.byIndirectVersion {
 			if set == 0 || set >= s.indirectSetVersion || !up[0].inSet(set) {
 				continue
 			}
-			delete(se.byIndirectVersion, set)
+			delete(wo.byIndirectVersion, set)
 			for _, o := range list {
 				o.indirectSetVersion = s.indirectSetVersion
 			}
-			se.byIndirectVersion[s.indirectSetVersion] = append(se.byIndirectVersion[s.indirectSetVersion], list...)
+			wo.byIndirectVersion[s.indirectSetVersion] = append(wo.byIndirectVersion[s.indirectSetVersion], list...)
 			up = append(up, list...)
 		}
 	}
@@ -110,16 +110,16 @@
 
 // permitsHealthy is consensusPermitsWorkerToBecomeHealthy: the agent requires every
 // other that is not lost, and each of those requires it, if indirectly.
-func (se *workerSetHistory) permitsHealthy(w *RemoteWorker) bool {
+func (wo *workerSetHistory) permitsHealthy(w *RemoteWorker) bool {
 	if w.setVersion == 0 {
 		return false
 	}
-	for i := len(se.joined) - 1; i >= 0 && se.joined[i].joinedVersion > w.setVersion; i-- {
-		if u := se.joined[i]; u != w && u.leftVersion == 0 {
+	for i := len(wo.joined) - 1; i >= 0 && wo.joined[i].joinedVersion > w.setVersion; i-- {
+		if u := wo.joined[i]; u != w && u.leftVersion == 0 {
 			return false
 		}
 	}
-	for set, list := range se.byIndirectVersion {
+	for set, list := range wo.byIndirectVersion {
 		if set < w.joinedVersion && slices.ContainsFunc(list, func(u *RemoteWorker) bool { return u != w && u.leftVersion == 0 }) {
 			return false
 		}
--- a/internal/dispatch/set_test.go
+++ b/internal/dispatch/set_test.go
@@ -20,38 +20,38 @@
 	indirect map[types.ID]int
 }
 
-func (w *referenceSets) recordSet(seats map[types.Shard]*RemoteWorker) {
+func (r *referenceSets) recordSet(seats map[types.Shard]*RemoteWorker) {
 	ids := map[types.ID]bool{}
 	for _, s := range seats {
 		if s.State != MustDie {
 			ids[s.Instance] = true
 		}
 	}
-	w.history = append(w.history, ids)
+	r.history = append(r.history, ids)
 }
 
-func (w *referenceSets) propagate(seats map[types.Shard]*RemoteWorker) {
+func (r *referenceSets) propagate(seats map[types.Shard]*RemoteWorker) {
 	by := map[types.ID]*RemoteWorker{}
 	for _, s := range seats {
 		by[s.Instance] = s
-		w.indirect[s.Instance] = max(w.indirect[s.Instance], s.setVersion)
+		r.indirect[s.Instance] = max(r.indirect[s.Instance], s.setVersion)
 	}
 	for more := true; more; {
 		more = false
 		for _, s := range seats {
-			if w.indirect[s.Instance] == 0 {
+			if r.indirect[s.Instance] == 0 {
 				continue
 			}
-			for id := range w.history[w.indirect[s.Instance]] {
-				if by[id] != nil && w.indirect[id] > w.indirect[s.Instance] {
-					w.indirect[s.Instance], more = w.indirect[id], true
+			for id := range r.history[r.indirect[s.Instance]] {
+				if by[id] != nil && r.indirect[id] > r.indirect[s.Instance] {
+					r.indirect[s.Instance], more = r.indirect[id], true
 				}
 			}
 		}
 	}
 }
 
-func (w *referenceSets) permitsHealthy(x *RemoteWorker, seats map[types.Shard]*RemoteWorker) bool {
+func (r *referenceSets) permitsHealthy(x *RemoteWorker, seats map[types.Shard]*RemoteWorker) bool {
 	if x.setVersion == 0 {
 		return false
 	}
@@ -59,7 +59,7 @@
 		if u == x || u.State == MustDie {
 			continue
 		}
-		if !w.history[x.setVersion][u.Instance] || w.indirect[u.Instance] == 0 || !w.history[w.indirect[u.Instance]][x.Instance] {
+		if !r.history[x.setVersion][u.Instance] || r.indirect[u.Instance] == 0 || !r.history[r.indirect[u.Instance]][x.Instance] {
 			return false
 		}
 	}
--- a/internal/dispatch/truth_test.go
+++ b/internal/dispatch/truth_test.go
@@ -32,81 +32,81 @@
 	return b
 }
 
-func (b *testCluster) newLeader(term types.Term, outs ...OutstandingAttempt) {
-	b.scheduler = NewScheduler(b.now, b.now, Defaults, "h", term, outs)
-	b.scheduler.EndRecorded = func(state.AttemptEnd) bool { return false }
-	b.scheduler.Partitioned = func(types.Shard) bool { return false }
-	b.scheduler.Invoked = func(types.Shard) bool { return false }
-	b.scheduler.Unresolved = func(types.Shard) []types.AttemptID { return nil }
+func (t *testCluster) newLeader(term types.Term, outs ...OutstandingAttempt) {
+	t.scheduler = NewScheduler(t.now, t.now, Defaults, "h", term, outs)
+	t.scheduler.EndRecorded = func(state.AttemptEnd) bool { return false }
+	t.scheduler.Partitioned = func(types.Shard) bool { return false }
+	t.scheduler.Invoked = func(types.Shard) bool { return false }
+	t.scheduler.Unresolved = func(types.Shard) []types.AttemptID { return nil }
 }
 
-func (b *testCluster) newAgent(addr types.Addr, shard types.Shard) *Executor {
-	h := NewExecutor(b.now, Defaults, addr, shard, func() types.ID {
-		b.instances++
-		return types.ID(fmt.Sprintf("%s-%d", addr, b.instances))
+func (t *testCluster) newAgent(addr types.Addr, shard types.Shard) *Executor {
+	h := NewExecutor(t.now, Defaults, addr, shard, func() types.ID {
+		t.instances++
+		return types.ID(fmt.Sprintf("%s-%d", addr, t.instances))
 	})
-	b.executors[addr] = h
+	t.executors[addr] = h
 	return h
 }
 
-func (b *testCluster) poll(h *Executor, call uint64, runs ...types.AttemptID) PollReply {
-	p := Poll{Worker: "k", Call: call, SentAt: b.now, Rack: "r", Kinds: []types.ServiceKind{"x"}, Capacity: types.Resources{Cores: 4 * types.Core}}
+func (t *testCluster) poll(h *Executor, call uint64, runs ...types.AttemptID) PollReply {
+	p := Poll{Worker: "k", Call: call, SentAt: t.now, Rack: "r", Kinds: []types.ServiceKind{"x"}, Capacity: types.Resources{Cores: 4 * types.Core}}
 	for _, l := range runs {
 		p.Running = append(p.Running, Run{l, types.Resources{Cores: 1 * types.Core}})
 	}
-	h.HandlePoll(b.now, p)
-	return h.ReplyToPoll(b.now)
+	h.HandlePoll(t.now, p)
+	return h.ReplyToPoll(t.now)
 }
 
 // collect moves all that the machines want sent into the post.
-func (b *testCluster) collect() {
-	s, e := b.scheduler.TakeOutput()
-	b.inFlight, b.ends = append(b.inFlight, s...), append(b.ends, e...)
-	for _, h := range b.executors {
-		b.inFlight = append(b.inFlight, h.TakeOutput()...)
+func (t *testCluster) collect() {
+	s, e := t.scheduler.TakeOutput()
+	t.inFlight, t.ends = append(t.inFlight, s...), append(t.ends, e...)
+	for _, h := range t.executors {
+		t.inFlight = append(t.inFlight, h.TakeOutput()...)
 	}
 }
 
 // deliver delivers the post until it is empty, but for what keep holds back.
-func (b *testCluster) deliver(keep func(wire.OutboundMessage) bool) (held []wire.OutboundMessage) {
-	b.collect()
-	for len(b.inFlight) > 0 {
-		s := b.inFlight[0]
-		b.inFlight = b.inFlight[1:]
+func (t *testCluster) deliver(keep func(wire.OutboundMessage) bool) (held []wire.OutboundMessage) {
+	t.collect()
+	for len(t.inFlight) > 0 {
+		s := t.inFlight[0]
+		t.inFlight = t.inFlight[1:]
 		if keep != nil && keep(s) {
 			held = append(held, s)
 			continue
 		}
-		b.deliverOne(s)
-		b.collect()
+		t.deliverOne(s)
+		t.collect()
 	}
 	return
 }
 
-func (b *testCluster) deliverOne(s wire.OutboundMessage) {
+func (t *testCluster) deliverOne(s wire.OutboundMessage) {
 	if s.To == "h" {
-		b.scheduler.HandleMessage(b.now, time.Second, s.Message)
-	} else if h := b.executors[s.To]; h != nil {
-		h.HandleMessage(b.now, s.Message)
+		t.scheduler.HandleMessage(t.now, time.Second, s.Message)
+	} else if h := t.executors[s.To]; h != nil {
+		h.HandleMessage(t.now, s.Message)
 	}
 }
 
 // advance lets time go by in small steps, with workers that call all the while.
-func (b *testCluster) advance(d time.Duration, keep func(wire.OutboundMessage) bool) {
-	for end := b.now.Add(d); b.now < end; {
-		b.now = b.now.Add(50 * ms)
-		for _, h := range b.executors {
+func (t *testCluster) advance(d time.Duration, keep func(wire.OutboundMessage) bool) {
+	for end := t.now.Add(d); t.now < end; {
+		t.now = t.now.Add(50 * ms)
+		for _, h := range t.executors {
 			var runs []types.AttemptID
 			for _, l := range h.attemptsInOrder() {
 				if l.state != attemptEnded {
 					runs = append(runs, l.spec.Attempt)
 				}
 			}
-			b.poll(h, h.lastCall+1, runs...)
-			h.Tick(b.now, "h")
+			t.poll(h, h.lastCall+1, runs...)
+			h.Tick(t.now, "h")
 		}
-		b.scheduler.Tick(b.now, time.Second)
-		b.deliver(keep)
+		t.scheduler.Tick(t.now, time.Second)
+		t.deliver(keep)
 	}
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -23,37 +23,37 @@
 	answers []wire.Response
 }
 
-func (d *harness) step(e wire.Event) {
-	e.Now = types.Now{Mono: d.now}
-	out := d.gateway.Step(e)
+func (h *harness) step(e wire.Event) {
+	e.Now = types.Now{Mono: h.now}
+	out := h.gateway.Step(e)
 	for _, s := range out.Messages {
 		if s.Message.Kind == wire.ForwardRequest {
-			d.sent = append(d.sent, s)
+			h.sent = append(h.sent, s)
 		}
 	}
-	d.answers = append(d.answers, out.Responses...)
+	h.answers = append(h.answers, out.Responses...)
 }
 
-func (d *harness) advance(t time.Duration) {
-	for until := d.now.Add(t); d.now < until; d.now = d.now.Add(20 * time.Millisecond) {
-		d.helloFromControllers()
-		d.step(wire.Event{})
+func (h *harness) advance(t time.Duration) {
+	for until := h.now.Add(t); h.now < until; h.now = h.now.Add(20 * time.Millisecond) {
+		h.helloFromControllers()
+		h.step(wire.Event{})
 	}
 }
 
 // helloFromControllers lets both controllers say hello; a leads.
-func (d *harness) helloFromControllers() {
+func (h *harness) helloFromControllers() {
 	for _, c := range []membership.Card{{Addr: "a", Role: "controller", Term: 1, Leads: true}, {Addr: "b", Role: "controller", Term: 1}} {
 		s := wire.NewMessage(c.Addr, "g", wire.Hello, map[string]any{"me": c})
-		d.step(wire.Event{Message: &s.Message})
+		h.step(wire.Event{Message: &s.Message})
 	}
 }
 
-func (d *harness) reply(from types.Addr, n int, r wire.ForwardedReply) {
-	c, _ := wire.DecodeBody[wire.ForwardedRequest](d.sent[n].Message)
+func (h *harness) reply(from types.Addr, n int, r wire.ForwardedReply) {
+	c, _ := wire.DecodeBody[wire.ForwardedRequest](h.sent[n].Message)
 	r.ID = c.ID
 	s := wire.NewMessage(from, "g", wire.ForwardReply, r)
-	d.step(wire.Event{Message: &s.Message})
+	h.step(wire.Event{Message: &s.Message})
 }
 
 func newHarness(limit time.Duration) *harness {
@@ -107,8 +107,8 @@
 }
 
 // answeredBodies is the bodies of the answers that callers were given.
-func (d *harness) answeredBodies() (list []string) {
-	for _, a := range d.answers {
+func (h *harness) answeredBodies() (list []string) {
+	for _, a := range h.answers {
 		list = append(list, string(a.Body))
 	}
 	return
--- a/internal/membership/cards.go
+++ b/internal/membership/cards.go
@@ -60,14 +60,14 @@
 	Agents      uint32 `json:"agents,omitempty"`
 }
 
-func (s *Digests) ofRole(role string) *uint32 {
+func (d *Digests) ofRole(role string) *uint32 {
 	switch role {
 	case RoleController:
-		return &s.Controllers
+		return &d.Controllers
 	case RoleGateway:
-		return &s.Gateways
+		return &d.Gateways
 	}
-	return &s.Agents
+	return &d.Agents
 }
 
 // hash is a hash of the card's address and version.
@@ -78,69 +78,69 @@
 	return f.Sum32()
 }
 
-func (s *Digests) add(c Card)    { *s.ofRole(c.Role) += c.hash() }
-func (s *Digests) remove(c Card) { *s.ofRole(c.Role) -= c.hash() }
+func (d *Digests) add(c Card)    { *d.ofRole(c.Role) += c.hash() }
+func (d *Digests) remove(c Card) { *d.ofRole(c.Role) -= c.hash() }
 
 // inOtherCluster reports whether the card's daemon belongs to another cluster.
-func (r *MemberList) inOtherCluster(c Card) bool {
-	return c.Name != "" && r.self.Name != "" && c.Name != r.self.Name
+func (ml *MemberList) inOtherCluster(c Card) bool {
+	return c.Name != "" && ml.self.Name != "" && c.Name != ml.self.Name
 }
 
 // updateFromOwner takes a card from its owner. One with a version below the known one is
 // an old message or from a new process: the known version is returned, so that an
 // owner that does not know of it can go beyond it.
-func (r *MemberList) updateFromOwner(c Card) (later uint64) {
-	e := r.entries[c.Addr]
+func (ml *MemberList) updateFromOwner(c Card) (later uint64) {
+	e := ml.entries[c.Addr]
 	switch {
 	case e != nil && c.Version != 0 && c.Version < e.info.Version:
 		return e.info.Version
-	case e != nil && c.Version == e.info.Version && c.Version != 0 && !r.inOtherCluster(c):
-		r.replace(e, c)
+	case e != nil && c.Version == e.info.Version && c.Version != 0 && !ml.inOtherCluster(c):
+		ml.replace(e, c)
 	default:
-		r.update(Peer{Card: c})
+		ml.update(Peer{Card: c})
 	}
-	if e = r.entries[c.Addr]; e != nil {
-		e.heardDirectlyAt = r.now
-		r.markHeard(e, r.now)
+	if e = ml.entries[c.Addr]; e != nil {
+		e.heardDirectlyAt = ml.now
+		ml.markHeard(e, ml.now)
 	}
 	return 0
 }
 
 // update takes a card from anyone.
-func (r *MemberList) update(m Peer) {
-	at := r.now.Add(-time.Duration(m.AgeMS) * time.Millisecond)
-	e := r.entries[m.Addr]
+func (ml *MemberList) update(m Peer) {
+	at := ml.now.Add(-time.Duration(m.AgeMS) * time.Millisecond)
+	e := ml.entries[m.Addr]
 	switch {
-	case m.Addr == r.self.Addr || m.Addr == "" || r.inOtherCluster(m.Card) || r.now.Sub(at) > ForgetAfter:
+	case m.Addr == ml.self.Addr || m.Addr == "" || ml.inOtherCluster(m.Card) || ml.now.Sub(at) > ForgetAfter:
 		return
-	case e == nil && !r.makeRoom(m.Card):
+	case e == nil && !ml.makeRoom(m.Card):
 		return
 	case e == nil:
 		e = &entry{info: m.Card, heardAt: never, heardDirectlyAt: never}
-		r.entries[m.Addr] = e
-		insert(&r.order, m.Addr)
-		r.index(e)
-		r.logChange(e)
+		ml.entries[m.Addr] = e
+		insert(&ml.order, m.Addr)
+		ml.index(e)
+		ml.logChange(e)
 	case m.Version > e.info.Version || m.Version == 0 && m.AgeMS == 0 && m.Card != e.info:
-		r.replace(e, m.Card)
-		r.logChange(e)
+		ml.replace(e, m.Card)
+		ml.logChange(e)
 	}
 	if m.Version == e.info.Version {
-		r.markHeard(e, at)
+		ml.markHeard(e, at)
 	}
 }
 
 // markHeard records that a peer was last heard of at a time.
-func (r *MemberList) markHeard(e *entry, at types.MonoTime) {
+func (ml *MemberList) markHeard(e *entry, at types.MonoTime) {
 	if at <= e.heardAt {
 		return
 	}
 	e.heardAt = at
-	z := r.zones[e.info.Zone]
+	z := ml.zones[e.info.Zone]
 	z.heardAt = max(z.heardAt, at)
 	if e.info.Role == RoleAgent {
-		if o := r.agents[e.info.Shard]; o == nil || o.heardAt <= at {
-			r.agents[e.info.Shard] = e
+		if o := ml.agents[e.info.Shard]; o == nil || o.heardAt <= at {
+			ml.agents[e.info.Shard] = e
 		}
 	}
 }
@@ -149,89 +149,89 @@
 // a sample of each other kind, without its seeds, which all others know too. A new
 // card replaces a random old one with a chance of one half, so that peers that are
 // gone are forgotten.
-func (r *MemberList) makeRoom(c Card) bool {
-	if r.keepsAll() || c.Role == RoleController {
-		return len(r.entries) < maxMembers
+func (ml *MemberList) makeRoom(c Card) bool {
+	if ml.keepsAll() || c.Role == RoleController {
+		return len(ml.entries) < maxMembers
 	}
-	if slices.Contains(r.seeds, c.Addr) {
+	if slices.Contains(ml.seeds, c.Addr) {
 		return false
 	}
 	kind := func(c Card) string {
-		if c.Role == RoleAgent && c.Zone == r.self.Zone {
+		if c.Role == RoleAgent && c.Zone == ml.self.Zone {
 			return "near"
 		}
 		return c.Role
 	}
 	var same []types.Addr
-	for _, a := range r.order {
-		if kind(r.entries[a].info) == kind(c) {
+	for _, a := range ml.order {
+		if kind(ml.entries[a].info) == kind(c) {
 			same = append(same, a)
 		}
 	}
-	if len(same) >= sampleSize && r.rnd.Intn(2) == 0 {
+	if len(same) >= sampleSize && ml.rnd.Intn(2) == 0 {
 		return false
 	}
 	if len(same) >= sampleSize {
-		r.forget(same[r.rnd.Intn(len(same))])
+		ml.forget(same[ml.rnd.Intn(len(same))])
 	}
 	return true
 }
 
 // index enters a card into all indexes but entries and order.
-func (c *memberTable) index(e *entry) {
-	c.digests.add(e.info)
-	z := c.zones[e.info.Zone]
+func (m *memberTable) index(e *entry) {
+	m.digests.add(e.info)
+	z := m.zones[e.info.Zone]
 	if z == nil {
 		z = &zoneState{heardAt: never}
-		c.zones[e.info.Zone] = z
+		m.zones[e.info.Zone] = z
 	}
 	z.count++
 	if e.info.Role == RoleController {
-		insert(&c.controllers, e.info.Addr)
+		insert(&m.controllers, e.info.Addr)
 	}
 }
 
 // unindex reverts index.
-func (c *memberTable) unindex(e *entry) {
-	c.digests.remove(e.info)
-	c.zones[e.info.Zone].count--
-	remove(&c.controllers, e.info.Addr)
-	if c.agents[e.info.Shard] == e {
-		delete(c.agents, e.info.Shard)
+func (m *memberTable) unindex(e *entry) {
+	m.digests.remove(e.info)
+	m.zones[e.info.Zone].count--
+	remove(&m.controllers, e.info.Addr)
+	if m.agents[e.info.Shard] == e {
+		delete(m.agents, e.info.Shard)
 	}
 }
 
 // replace puts a new card in the place of the known one.
-func (r *MemberList) replace(e *entry, c Card) {
-	r.unindex(e)
+func (ml *MemberList) replace(e *entry, c Card) {
+	ml.unindex(e)
 	e.info = c
-	r.index(e)
-	z := r.zones[c.Zone]
+	ml.index(e)
+	z := ml.zones[c.Zone]
 	z.heardAt = max(z.heardAt, e.heardAt)
-	if c.Role == RoleAgent && r.agents[c.Shard] == nil {
-		r.agents[c.Shard] = e
+	if c.Role == RoleAgent && ml.agents[c.Shard] == nil {
+		ml.agents[c.Shard] = e
 	}
 }
 
 // forget forgets a peer.
-func (c *memberTable) forget(a types.Addr) {
-	c.unindex(c.entries[a])
-	delete(c.entries, a)
-	remove(&c.order, a)
+func (m *memberTable) forget(a types.Addr) {
+	m.unindex(m.entries[a])
+	delete(m.entries, a)
+	remove(&m.order, a)
 }
 
 // logChange appends a change of a card, and compacts the log once it has grown to
 // twice the cards. Agents keep no log.
-func (r *MemberList) logChange(e *entry) {
-	if !r.keepsAll() {
+func (ml *MemberList) logChange(e *entry) {
+	if !ml.keepsAll() {
 		return
 	}
-	r.lastChange++
-	e.seq = r.lastChange
-	r.changes = append(r.changes, change{r.lastChange, e.info.Addr})
-	if len(r.changes) > 2*len(r.entries)+changesPerHello {
-		r.changes = slices.DeleteFunc(r.changes, func(c change) bool {
-			e := r.entries[c.addr]
+	ml.lastChange++
+	e.seq = ml.lastChange
+	ml.changes = append(ml.changes, change{ml.lastChange, e.info.Addr})
+	if len(ml.changes) > 2*len(ml.entries)+changesPerHello {
+		ml.changes = slices.DeleteFunc(ml.changes, func(c change) bool {
+			e := ml.entries[c.addr]
 			return e == nil || e.seq != c.seq
 		})
 	}
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -134,73 +134,73 @@
 }
 
 // keepsAll reports whether this daemon keeps all cards; an agent keeps a sample.
-func (r *MemberList) keepsAll() bool { return r.self.Role != RoleAgent }
+func (ml *MemberList) keepsAll() bool { return ml.self.Role != RoleAgent }
 
 // SetSelf sets this daemon's own card and raises its version if anything changed. A
 // daemon that has become the leader announces itself to all at once.
-func (r *MemberList) SetSelf(c Card) {
-	c.Version = r.self.Version
+func (ml *MemberList) SetSelf(c Card) {
+	c.Version = ml.self.Version
 	same := c
 	if c.Role != RoleController {
-		same.Name = r.self.Name // only a controller's word for the name counts
+		same.Name = ml.self.Name // only a controller's word for the name counts
 	}
 	if !c.Leads {
-		same.Term = r.self.Term
+		same.Term = ml.self.Term
 	}
-	if same == r.self {
-		r.self = c
+	if same == ml.self {
+		ml.self = c
 		return
 	}
-	leads := c.Leads && !r.self.Leads
-	r.digests.remove(r.self)
+	leads := c.Leads && !ml.self.Leads
+	ml.digests.remove(ml.self)
 	c.Version++
-	r.self = c
-	r.digests.add(c)
+	ml.self = c
+	ml.digests.add(c)
 	if leads {
-		r.leadsSince = r.now
-		r.announceLeadership()
+		ml.leadsSince = ml.now
+		ml.announceLeadership()
 	}
 }
 
 // announceLeadership sends this daemon's card to all peers that it has not heard
 // since it leads.
-func (r *MemberList) announceLeadership() {
-	n := wire.NewMessage(r.self.Addr, "", wire.Hello, hello{Self: r.self}).Message
-	for _, a := range r.order {
-		if r.entries[a].heardDirectlyAt <= r.leadsSince {
-			r.outbox = append(r.outbox, wire.OutboundMessage{To: a, Message: n})
+func (ml *MemberList) announceLeadership() {
+	n := wire.NewMessage(ml.self.Addr, "", wire.Hello, hello{Self: ml.self}).Message
+	for _, a := range ml.order {
+		if ml.entries[a].heardDirectlyAt <= ml.leadsSince {
+			ml.outbox = append(ml.outbox, wire.OutboundMessage{To: a, Message: n})
 		}
 	}
 }
 
 // Tick sends what is due at the time now.
-func (r *MemberList) Tick(now types.MonoTime) {
-	r.now = now
-	if now.Sub(r.lastTick) < TickInterval {
+func (ml *MemberList) Tick(now types.MonoTime) {
+	ml.now = now
+	if now.Sub(ml.lastTick) < TickInterval {
 		return
 	}
-	r.lastTick = now
-	r.ticks++
-	lead := r.Leader()
-	switch due := r.ticks%ticksPerAsk[r.self.Role] == 0; {
-	case lead == r.self.Addr:
-		r.watchSilence()
-	case lead == "" || now.Sub(r.entries[lead].heardDirectlyAt) > leaderTimeout:
-		r.seekLeader()
-	case due && r.keepsAll() || r.ackedVersion != r.self.Version:
-		r.ask(lead)
+	ml.lastTick = now
+	ml.ticks++
+	lead := ml.Leader()
+	switch due := ml.ticks%ticksPerAsk[ml.self.Role] == 0; {
+	case lead == ml.self.Addr:
+		ml.watchSilence()
+	case lead == "" || now.Sub(ml.entries[lead].heardDirectlyAt) > leaderTimeout:
+		ml.seekLeader()
+	case due && ml.keepsAll() || ml.ackedVersion != ml.self.Version:
+		ml.ask(lead)
 	case due:
-		r.askSample()
+		ml.askSample()
 	}
-	if r.self.Role == RoleController && r.ticks%2 == 0 {
-		if a, ok := r.randomPeer(RoleAgent); ok { // so that agents come to know of new controllers
-			r.send(a, r.newHello())
+	if ml.self.Role == RoleController && ml.ticks%2 == 0 {
+		if a, ok := ml.randomPeer(RoleAgent); ok { // so that agents come to know of new controllers
+			ml.send(a, ml.newHello())
 		}
 	}
-	if r.ticks%forgetEveryTicks == 0 {
-		for _, a := range slices.Clone(r.order) {
-			if now.Sub(r.lastHeard(r.entries[a])) > ForgetAfter {
-				r.forget(a)
+	if ml.ticks%forgetEveryTicks == 0 {
+		for _, a := range slices.Clone(ml.order) {
+			if now.Sub(ml.lastHeard(ml.entries[a])) > ForgetAfter {
+				ml.forget(a)
 			}
 		}
 	}
@@ -208,70 +208,70 @@
 
 // watchSilence is run by the leader: it logs a change for each peer that has
 // fallen silent or is heard again.
-func (r *MemberList) watchSilence() {
-	if r.now.Sub(r.leadsSince) < announceFor {
-		r.announceLeadership()
+func (ml *MemberList) watchSilence() {
+	if ml.now.Sub(ml.leadsSince) < announceFor {
+		ml.announceLeadership()
 	}
-	for _, a := range r.order {
-		e := r.entries[a]
-		gone := r.now.Sub(e.heardAt) >= silentAfter
-		if e.silent != gone && (!gone || r.now.Sub(r.leadsSince) >= silentAfter) {
+	for _, a := range ml.order {
+		e := ml.entries[a]
+		gone := ml.now.Sub(e.heardAt) >= silentAfter
+		if e.silent != gone && (!gone || ml.now.Sub(ml.leadsSince) >= silentAfter) {
 			e.silent = gone
-			r.logChange(e)
+			ml.logChange(e)
 		}
 	}
 }
 
 // seekLeader asks for the leader: seeds, controllers (an agent asks one of them in
 // turn, since there are many agents), and a random peer.
-func (r *MemberList) seekLeader() {
-	asked := map[types.Addr]bool{r.self.Addr: true}
+func (ml *MemberList) seekLeader() {
+	asked := map[types.Addr]bool{ml.self.Addr: true}
 	ask := func(a types.Addr) {
 		if !asked[a] {
 			asked[a] = true
-			r.ask(a)
+			ml.ask(a)
 		}
 	}
-	for _, s := range r.seeds {
-		if e := r.entries[s]; e == nil || r.now.Sub(e.heardDirectlyAt) > HealthyWithin {
+	for _, s := range ml.seeds {
+		if e := ml.entries[s]; e == nil || ml.now.Sub(e.heardDirectlyAt) > HealthyWithin {
 			ask(s)
 		}
 	}
-	for i, a := range r.controllers {
-		if r.keepsAll() || i == r.nextController%len(r.controllers) {
+	for i, a := range ml.controllers {
+		if ml.keepsAll() || i == ml.nextController%len(ml.controllers) {
 			ask(a)
 		}
 	}
-	r.nextController++
-	if a, ok := r.randomPeer(""); ok {
+	ml.nextController++
+	if a, ok := ml.randomPeer(""); ok {
 		ask(a)
 	}
 }
 
 // askSample is an agent's question to one peer of its sample. A peer that left the
 // last question unanswered while the leader was heard is gone, and forgotten.
-func (r *MemberList) askSample() {
-	if e := r.entries[r.gossipPeer]; e != nil && e.info.Role == RoleAgent && e.heardDirectlyAt < r.gossipAt {
-		r.forget(r.gossipPeer)
+func (ml *MemberList) askSample() {
+	if e := ml.entries[ml.gossipPeer]; e != nil && e.info.Role == RoleAgent && e.heardDirectlyAt < ml.gossipAt {
+		ml.forget(ml.gossipPeer)
 	}
-	a, ok := r.randomPeer(RoleAgent)
+	a, ok := ml.randomPeer(RoleAgent)
 	if !ok {
-		a, ok = r.randomPeer("")
+		a, ok = ml.randomPeer("")
 	}
 	if ok {
-		r.gossipPeer, r.gossipAt = a, r.now
-		r.ask(a)
+		ml.gossipPeer, ml.gossipAt = a, ml.now
+		ml.ask(a)
 	}
 }
 
 // randomPeer picks a random peer of a role, or of any role if that is empty.
-func (r *MemberList) randomPeer(role string) (types.Addr, bool) {
-	if len(r.order) == 0 {
+func (ml *MemberList) randomPeer(role string) (types.Addr, bool) {
+	if len(ml.order) == 0 {
 		return "", false
 	}
-	from := r.rnd.Intn(len(r.order))
-	for i := range r.order {
-		if a := r.order[(from+i)%len(r.order)]; role == "" || r.entries[a].info.Role == role {
+	from := ml.rnd.Intn(len(ml.order))
+	for i := range ml.order {
+		if a := ml.order[(from+i)%len(ml.order)]; role == "" || ml.entries[a].info.Role == role {
 			return a, true
 		}
 	}
@@ -279,8 +279,8 @@
 }
 
 // TakeMessages returns the messages to send since the last call.
-func (r *MemberList) TakeMessages() []wire.OutboundMessage {
-	s := r.outbox
-	r.outbox = nil
+func (ml *MemberList) TakeMessages() []wire.OutboundMessage {
+	s := ml.outbox
+	ml.outbox = nil
 	return s
 }
--- a/internal/membership/roster_test.go
+++ b/internal/membership/roster_test.go
@@ -30,16 +30,16 @@
 		count: map[types.Addr]int{}, bytes: map[types.Addr]int{}}
 }
 
-func (cl *testCluster) add(role string, i, zones int, seeds ...types.Addr) types.Addr {
+func (t *testCluster) add(role string, i, zones int, seeds ...types.Addr) types.Addr {
 	a := types.Addr(fmt.Sprintf("%s%d", role, i))
-	if !slices.Contains(cl.order, a) {
-		cl.order = append(cl.order, a)
+	if !slices.Contains(t.order, a) {
+		t.order = append(t.order, a)
 	}
 	c := Card{Addr: a, Role: role, Zone: types.Zone(fmt.Sprint("z", i%zones)), Ready: true}
 	if role == "agent" {
 		c.Shard = fmt.Sprint("k", i)
 	}
-	cl.lists[a] = New(rand.New(rand.NewSource(int64(len(cl.order)))), c, seeds)
+	t.lists[a] = New(rand.New(rand.NewSource(int64(len(t.order)))), c, seeds)
 	return a
 }
 
@@ -59,50 +59,50 @@
 	return t
 }
 
-func (cl *testCluster) elect(a types.Addr, term types.Term) {
-	c := cl.lists[a].self
+func (t *testCluster) elect(a types.Addr, term types.Term) {
+	c := t.lists[a].self
 	c.Leads, c.Term = true, term
-	cl.lists[a].SetSelf(c)
+	t.lists[a].SetSelf(c)
 }
 
 // deliver delivers all that is to be said until nothing is.
-func (cl *testCluster) deliver(list []wire.OutboundMessage) {
+func (t *testCluster) deliver(list []wire.OutboundMessage) {
 	for len(list) > 0 {
 		s := list[0]
 		list = list[1:]
 		if s.Message.Kind == wire.Hello {
-			cl.count[s.Message.From]++
-			cl.bytes[s.Message.From] += len(s.Message.Body)
+			t.count[s.Message.From]++
+			t.bytes[s.Message.From] += len(s.Message.Body)
 		}
-		if r := cl.lists[s.To]; r != nil && !cl.dropped(s.Message.From, s.To) {
-			r.HandleMessage(cl.now, s.Message)
+		if r := t.lists[s.To]; r != nil && !t.dropped(s.Message.From, s.To) {
+			r.HandleMessage(t.now, s.Message)
 			list = append(list, r.TakeMessages()...)
 		}
 	}
 }
 
 // advance lets time go by; each 300 ms all speak with whom they hold for the leader.
-func (cl *testCluster) advance(d time.Duration) {
-	for end := cl.now.Add(d); cl.now < end; {
-		cl.now = cl.now.Add(100 * time.Millisecond)
-		for _, a := range cl.order {
-			r := cl.lists[a]
+func (t *testCluster) advance(d time.Duration) {
+	for end := t.now.Add(d); t.now < end; {
+		t.now = t.now.Add(100 * time.Millisecond)
+		for _, a := range t.order {
+			r := t.lists[a]
 			if r == nil {
 				continue
 			}
-			r.Tick(cl.now)
-			cl.deliver(r.TakeMessages())
-			if l := r.Leader(); l != "" && l != a && cl.now%types.MonoTime(300*time.Millisecond) == 0 {
-				cl.deliver([]wire.OutboundMessage{wire.NewMessage(a, l, wire.Heartbeat, 0)})
-				if !cl.dropped(a, l) && cl.lists[l] != nil {
-					cl.deliver([]wire.OutboundMessage{wire.NewMessage(l, a, wire.HeartbeatReply, 0)})
+			r.Tick(t.now)
+			t.deliver(r.TakeMessages())
+			if l := r.Leader(); l != "" && l != a && t.now%types.MonoTime(300*time.Millisecond) == 0 {
+				t.deliver([]wire.OutboundMessage{wire.NewMessage(a, l, wire.Heartbeat, 0)})
+				if !t.dropped(a, l) && t.lists[l] != nil {
+					t.deliver([]wire.OutboundMessage{wire.NewMessage(l, a, wire.HeartbeatReply, 0)})
 				}
 			}
 		}
 	}
 }
 
-func (cl *testCluster) knownBy(a types.Addr) (n int) { return len(cl.lists[a].Peers()) }
+func (t *testCluster) knownBy(a types.Addr) (n int) { return len(t.lists[a].Peers()) }
 
 func TestIdleCostDoesNotGrowWithTheFleet(t *testing.T) {
 	is := is.New(t)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -88,9 +88,9 @@
 }
 
 // MinTasks is how many tasks must be placed together.
-func (w Request) MinTasks() int {
-	if w.Gang {
-		return len(w.Tasks)
+func (r Request) MinTasks() int {
+	if r.Gang {
+		return len(r.Tasks)
 	}
 	return 1
 }
@@ -212,8 +212,8 @@
 
 // exceedsCap tells whether patient work would take more than is left for it beside the
 // peaks of what goes before it. A little of it always may run.
-func (d *QueueUsage) exceedsCap(request *Request, tasks int) bool {
-	return request.MaxQueueCores > 0 && d.CoresInUse > 0 && d.CoresInUse+types.MilliCores(tasks)*request.Resources.Cores > request.MaxQueueCores
+func (q *QueueUsage) exceedsCap(request *Request, tasks int) bool {
+	return request.MaxQueueCores > 0 && q.CoresInUse > 0 && q.CoresInUse+types.MilliCores(tasks)*request.Resources.Cores > request.MaxQueueCores
 }
 
 func (r *round) assign(request *Request, usage *QueueUsage, slots []int) {
@@ -317,8 +317,8 @@
 	return reservation
 }
 
-func (w Request) resourceShape() requestShape {
-	return requestShape{w.Kind, w.Rack, strings.Join(w.Labels, " "), w.Resources, w.TimeLimit}
+func (r Request) resourceShape() requestShape {
+	return requestShape{r.Kind, r.Rack, strings.Join(r.Labels, " "), r.Resources, r.TimeLimit}
 }
 
 type requestShape struct {
--- a/internal/placement/turn.go
+++ b/internal/placement/turn.go
@@ -46,8 +46,8 @@
 // priorityPenalty is how far a class puts work behind that of other queues that is in aim.
 var priorityPenalty = map[TargetClass]int{OnTarget: 0, Late: 2, TargetMissed: 6}
 
-func (w *Request) effectivePriority(usage *QueueUsage) int {
-	return usage.Queue.Priority + priorityPenalty[w.Class]
+func (r *Request) effectivePriority(usage *QueueUsage) int {
+	return usage.Queue.Priority + priorityPenalty[r.Class]
 }
 
 // smallerSortKey puts what can still meet its aim before what can't.
@@ -84,20 +84,20 @@
 }
 
 // goesBefore compares two queues by the ranks that they have.
-func (t *queueTurn) goesBefore(o *queueTurn, priority, otherPriority int, total types.MilliCores) bool {
+func (q *queueTurn) goesBefore(o *queueTurn, priority, otherPriority int, total types.MilliCores) bool {
 	if priority != otherPriority {
 		return priority < otherPriority
 	}
-	a, x := t.usage.shareDeficit(total)
+	a, x := q.usage.shareDeficit(total)
 	b, y := o.usage.shareDeficit(total)
 	return a && !b || a == b && x < y
 }
 
 // shareDeficit tells whether a queue is below its share, and how little it has.
-func (d *QueueUsage) shareDeficit(total types.MilliCores) (bool, float64) {
-	percent := 100 * float64(d.CoresInUse) / float64(max(total, 1))
-	if s := float64(d.Queue.SharePercent); percent < s {
+func (q *QueueUsage) shareDeficit(total types.MilliCores) (bool, float64) {
+	percent := 100 * float64(q.CoresInUse) / float64(max(total, 1))
+	if s := float64(q.Queue.SharePercent); percent < s {
 		return true, percent / s
 	}
-	return false, float64(d.CoresInUse) / float64(d.Queue.Weight)
+	return false, float64(q.CoresInUse) / float64(q.Queue.Weight)
 }
--- a/internal/raft/flow.go
+++ b/internal/raft/flow.go
@@ -27,31 +27,31 @@
 	consecutiveTimeouts int            // in a row
 }
 
-func (f *sendWindow) limit() int {
-	if f.limitBytes == 0 {
+func (s *sendWindow) limit() int {
+	if s.limitBytes == 0 {
 		return initialWindowBytes
 	}
-	return f.limitBytes
+	return s.limitBytes
 }
 
 // full tells whether no more may be sent before an answer.
-func (f *sendWindow) full() bool { return f.inFlightBytes >= f.limit() }
+func (s *sendWindow) full() bool { return s.inFlightBytes >= s.limit() }
 
 // takeEntries gives the first entries that fit, one at least, as sent now.
-func (f *sendWindow) takeEntries(now types.MonoTime, entries []Entry) []Entry {
-	count := min(entriesWithin(entries, f.limit()-f.inFlightBytes), maxEntriesPerMessage)
+func (s *sendWindow) takeEntries(now types.MonoTime, entries []Entry) []Entry {
+	count := min(entriesWithin(entries, s.limit()-s.inFlightBytes), maxEntriesPerMessage)
 	for _, e := range entries[:count] {
-		f.inFlightBytes += len(e.Data)
+		s.inFlightBytes += len(e.Data)
 	}
-	f.onSend(now)
+	s.onSend(now)
 	return entries[:count]
 }
 
 // onSend tells that something goes out. An answer after a repetition counts from
 // the first time, since it may be the answer to that.
-func (f *sendWindow) onSend(now types.MonoTime) {
-	if f.firstSentAt == 0 {
-		f.firstSentAt = now
+func (s *sendWindow) onSend(now types.MonoTime) {
+	if s.firstSentAt == 0 {
+		s.firstSentAt = now
 	}
 }
 
@@ -66,31 +66,31 @@
 }
 
 // retryTimeout is how long an answer is waited for before the same is sent again.
-func (f *sendWindow) retryTimeout(minimum time.Duration) time.Duration {
-	return min(max(minimum, 2*f.lastAckDelay)<<f.consecutiveTimeouts, maxRetryTimeout)
+func (s *sendWindow) retryTimeout(minimum time.Duration) time.Duration {
+	return min(max(minimum, 2*s.lastAckDelay)<<s.consecutiveTimeouts, maxRetryTimeout)
 }
 
 // onTimeout tells that no answer came in time. Once may be a lost message, or a first
 // answer from a slow disk; the window shrinks from the second time on.
-func (f *sendWindow) onTimeout() {
-	if f.consecutiveTimeouts > 0 {
-		f.limitBytes = max(f.limit()/2, minWindowBytes)
+func (s *sendWindow) onTimeout() {
+	if s.consecutiveTimeouts > 0 {
+		s.limitBytes = max(s.limit()/2, minWindowBytes)
 	}
-	f.inFlightBytes = 0
-	f.consecutiveTimeouts = min(f.consecutiveTimeouts+1, maxBackoffDoublings)
+	s.inFlightBytes = 0
+	s.consecutiveTimeouts = min(s.consecutiveTimeouts+1, maxBackoffDoublings)
 }
 
 // onAcknowledged tells that all under way has arrived. The window grows while that takes
 // less than the shortest election wait, and shrinks where it takes twice as long.
-func (f *sendWindow) onAcknowledged(now types.MonoTime, minElectionTimeout time.Duration) {
-	if f.firstSentAt != 0 {
-		f.lastAckDelay = now.Sub(f.firstSentAt)
+func (s *sendWindow) onAcknowledged(now types.MonoTime, minElectionTimeout time.Duration) {
+	if s.firstSentAt != 0 {
+		s.lastAckDelay = now.Sub(s.firstSentAt)
 	}
-	f.inFlightBytes, f.consecutiveTimeouts, f.firstSentAt = 0, 0, 0
+	s.inFlightBytes, s.consecutiveTimeouts, s.firstSentAt = 0, 0, 0
 	switch {
-	case f.lastAckDelay < minElectionTimeout:
-		f.limitBytes = min(f.limit()*2, maxWindowBytes)
-	case f.lastAckDelay > 2*minElectionTimeout:
-		f.limitBytes = max(f.limit()/2, minWindowBytes)
+	case s.lastAckDelay < minElectionTimeout:
+		s.limitBytes = min(s.limit()*2, maxWindowBytes)
+	case s.lastAckDelay > 2*minElectionTimeout:
+		s.limitBytes = max(s.limit()/2, minWindowBytes)
 	}
 }
--- a/internal/raft/search_test.go
+++ b/internal/raft/search_test.go
@@ -86,7 +86,7 @@
 }
 
 // choices are all that can happen next, at most one message a link.
-func (s *pathSearch) choices(w *world, left *faultBudget) (list []pathChoice) {
+func (p *pathSearch) choices(w *world, left *faultBudget) (list []pathChoice) {
 	seen := map[link]bool{}
 	for i, x := range w.inFlight {
 		if l := (link{x.from, x.to}); seen[l] {
@@ -154,45 +154,45 @@
 }
 
 // playPath plays a path and tells how many choices there are at its end.
-func (s *pathSearch) playPath(path []int) (more int) {
-	w, left := s.start(), s.budget
+func (p *pathSearch) playPath(path []int) (more int) {
+	w, left := p.start(), p.budget
 	var names []string
 	for _, i := range path {
-		list := s.choices(w, &left)
+		list := p.choices(w, &left)
 		names = append(names, list[i].name)
 		w.now += time.Millisecond
 		list[i].run()
 		if w.failure != "" {
-			s.failure = fmt.Sprint(names) + "\n" + w.report()
+			p.failure = fmt.Sprint(names) + "\n" + w.report()
 			return 0
 		}
 	}
-	if len(path) == s.depth {
+	if len(path) == p.depth {
 		return 0
 	}
-	return len(s.choices(w, &left))
+	return len(p.choices(w, &left))
 }
 
 // explore plays all paths of a depth, or as many as it may.
-func (s *pathSearch) explore(path []int) {
-	if s.failure != "" || s.paths >= s.maxPaths {
+func (p *pathSearch) explore(path []int) {
+	if p.failure != "" || p.paths >= p.maxPaths {
 		return
 	}
-	s.paths++
-	more := s.playPath(path)
+	p.paths++
+	more := p.playPath(path)
 	for i := range more {
-		s.explore(append(path[:len(path):len(path)], i))
+		p.explore(append(path[:len(path):len(path)], i))
 	}
 }
 
 // playRandom plays random paths, longer than those that can all be played.
-func (s *pathSearch) playRandom(seed int64, steps int, plant string) {
+func (p *pathSearch) playRandom(seed int64, steps int, plant string) {
 	rnd := rand.New(rand.NewSource(seed))
-	w, left := s.start(), s.budget
+	w, left := p.start(), p.budget
 	w.plantedBug = plant
 	var names []string
 	for range steps {
-		list := s.choices(w, &left)
+		list := p.choices(w, &left)
 		if len(list) == 0 {
 			return
 		}
@@ -204,7 +204,7 @@
 		w.now += time.Millisecond
 		x.run()
 		if w.failure != "" {
-			s.failure = fmt.Sprint(seed, names) + "\n" + w.report()
+			p.failure = fmt.Sprint(seed, names) + "\n" + w.report()
 			return
 		}
 	}
--- a/internal/raft/walk_test.go
+++ b/internal/raft/walk_test.go
@@ -74,8 +74,8 @@
 	{5, 3, 1, true}, {7, 4, 2, true}, {9, 3, 3, true},
 }
 
-func (c scenario) String() string {
-	return fmt.Sprintf("%d of %d, planned %v", c.lossTolerance, c.machines, c.plannedReplacements)
+func (s scenario) String() string {
+	return fmt.Sprintf("%d of %d, planned %v", s.lossTolerance, s.machines, s.plannedReplacements)
 }
 
 // randomWalk plays one walk and gives its world when all has calmed down again.
--- a/internal/server/calls.go
+++ b/internal/server/calls.go
@@ -15,30 +15,30 @@
 type WorkerCaller func(context.Context, wire.WorkerCall) wire.WorkerReply
 
 // startCall carries one out without holding up the owner.
-func (o *EventLoop) startCall(c wire.WorkerCall) {
+func (el *EventLoop) startCall(c wire.WorkerCall) {
 	go func() {
 		ctx, stop := context.WithTimeout(context.Background(), c.Timeout)
 		defer stop()
-		r := o.callWorker(ctx, c)
+		r := el.callWorker(ctx, c)
 		r.Number = c.Number
-		o.queue.force(queuedEvent{Event: wire.Event{WorkerReply: &r}})
+		el.queue.force(queuedEvent{Event: wire.Event{WorkerReply: &r}})
 	}()
 }
 
-func (o *EventLoop) callWorker(ctx context.Context, c wire.WorkerCall) wire.WorkerReply {
+func (el *EventLoop) callWorker(ctx context.Context, c wire.WorkerCall) wire.WorkerReply {
 	if c.Kind == wire.RenewLease && c.LongPollWait > 0 {
-		return o.CallWorker(ctx, c)
+		return el.CallWorker(ctx, c)
 	}
 	select {
-	case o.callSlots <- struct{}{}:
-		defer func() { <-o.callSlots }()
+	case el.callSlots <- struct{}{}:
+		defer func() { <-el.callSlots }()
 		if ctx.Err() != nil {
 			return wire.WorkerReply{Result: wire.ResultUnhealthy}
 		}
-		return o.CallWorker(ctx, c)
+		return el.CallWorker(ctx, c)
 	case <-ctx.Done():
 		return wire.WorkerReply{Result: wire.ResultUnhealthy}
-	case <-o.stopped:
+	case <-el.stopped:
 		return wire.WorkerReply{Result: wire.ResultUnhealthy}
 	}
 }
--- a/internal/server/disk.go
+++ b/internal/server/disk.go
@@ -233,9 +233,9 @@
 }
 
 // onSynced tells the machine what is on disk.
-func (o *EventLoop) onSynced(seq uint64) { o.enqueue(wire.Event{Synced: seq}) }
+func (el *EventLoop) onSynced(seq uint64) { el.enqueue(wire.Event{Synced: seq}) }
 
 // onDiskError tells the machine that the disk refuses.
-func (o *EventLoop) onDiskError(err error) { o.enqueue(wire.Event{DiskError: err}) }
+func (el *EventLoop) onDiskError(err error) { el.enqueue(wire.Event{DiskError: err}) }
 
-func (o *EventLoop) enqueue(e wire.Event) { o.queue.force(queuedEvent{Event: e}) }
+func (el *EventLoop) enqueue(e wire.Event) { el.queue.force(queuedEvent{Event: e}) }
--- a/internal/server/disk_test.go
+++ b/internal/server/disk_test.go
@@ -47,30 +47,30 @@
 	return w
 }
 
-func (w *diskRig) onSynced(seq uint64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.syncedBatches = append(w.syncedBatches, seq)
+func (d *diskRig) onSynced(seq uint64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.syncedBatches = append(d.syncedBatches, seq)
 }
 
-func (w *diskRig) onFailed(err error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.reported = append(w.reported, err)
+func (d *diskRig) onFailed(err error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.reported = append(d.reported, err)
 }
 
 // synced gives the numbers that were told as synced.
-func (w *diskRig) synced() []uint64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Clone(w.syncedBatches)
+func (d *diskRig) synced() []uint64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return slices.Clone(d.syncedBatches)
 }
 
 // failures counts how often the machine was told that the disk refuses.
-func (w *diskRig) failures() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return len(w.reported)
+func (d *diskRig) failures() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.reported)
 }
 
 func unwrapped(l Log) Log { return l }
@@ -78,13 +78,13 @@
 func record(n int) []byte { return fmt.Appendf(nil, `{"n":%d}`, n) }
 
 // end stops the writer and gives what it left on the disk after a loss of power.
-func (w *diskRig) end(t *testing.T) (found []string) {
+func (d *diskRig) end(t *testing.T) (found []string) {
 	t.Helper()
-	w.stop()
-	if err := <-w.ended; err != nil {
+	d.stop()
+	if err := <-d.ended; err != nil {
 		t.Fatalf("the writer ended with %v", err)
 	}
-	_, list, spoilt, err := wal.Open(w.storage.LosePower(), "data")
+	_, list, spoilt, err := wal.Open(d.storage.LosePower(), "data")
 	if err != nil || spoilt != "" {
 		t.Fatal(err, spoilt)
 	}
@@ -162,7 +162,7 @@
 	append func(Log, [][]byte) error
 }
 
-func (l faultyLog) Append(list [][]byte) error { return l.append(l.Log, list) }
+func (f faultyLog) Append(list [][]byte) error { return f.append(f.Log, list) }
 
 func TestDiskWriterBugsAreDetected(t *testing.T) {
 	bugs := map[string]func(Log, [][]byte) error{
--- a/internal/server/entry.go
+++ b/internal/server/entry.go
@@ -34,11 +34,11 @@
 }
 
 // PublishTable puts a table in place of the last, for all requests from now on.
-func (e *GatewayHandlers) PublishTable(t config.Table, confirmedUntil types.MonoTime) {
-	last := e.published.Load()
+func (g *GatewayHandlers) PublishTable(t config.Table, confirmedUntil types.MonoTime) {
+	last := g.published.Load()
 	if last != nil && last.table.Version == t.Version {
 		if last.confirmedUntil != confirmedUntil {
-			e.published.Store(&publishedTable{last.table, confirmedUntil, last.names})
+			g.published.Store(&publishedTable{last.table, confirmedUntil, last.names})
 		}
 		return
 	}
@@ -46,26 +46,26 @@
 	for _, r := range t.Queues {
 		next.names[r.Name] = true
 	}
-	e.published.Store(next)
+	g.published.Store(next)
 }
 
 // queueUnknown tells that a queue is not in the table, as far as that is confirmed now.
-func (e *GatewayHandlers) queueUnknown(q types.QueueName) bool {
-	p := e.published.Load()
-	return p != nil && e.now() < p.confirmedUntil && !p.names[q]
+func (g *GatewayHandlers) queueUnknown(q types.QueueName) bool {
+	p := g.published.Load()
+	return p != nil && g.now() < p.confirmedUntil && !p.names[q]
 }
 
-func (e *GatewayHandlers) now() types.MonoTime {
-	if e.Clock == nil {
+func (g *GatewayHandlers) now() types.MonoTime {
+	if g.Clock == nil {
 		return MonotonicNow()
 	}
-	return e.Clock()
+	return g.Clock()
 }
 
 // Routes adds the gateway's pages to those that all daemons have.
-func (e *GatewayHandlers) Routes(p *Handlers) http.Handler {
+func (g *GatewayHandlers) Routes(p *Handlers) http.Handler {
 	r := p.Router()
-	r.HandleFunc("/v1/jobs/{id}", requireName(putHandler(p, "job.put", e.readJob))).Methods(http.MethodPut)
+	r.HandleFunc("/v1/jobs/{id}", requireName(putHandler(p, "job.put", g.readJob))).Methods(http.MethodPut)
 	r.HandleFunc("/v1/jobs/{id}", requireName(p.RequestHandler("job.get"))).Methods(http.MethodGet)
 	r.HandleFunc("/v1/jobs/{id}/cancel", requireName(p.RequestHandler("job.cancel"))).Methods(http.MethodPost)
 	r.HandleFunc("/v1/table", putHandler(p, "table.put", readTable)).Methods(http.MethodPut)
@@ -112,9 +112,9 @@
 	}
 }
 
-func (e *GatewayHandlers) readJob(_ *http.Request, b []byte, heap *apierror.ErrorList) state.Spec {
+func (g *GatewayHandlers) readJob(_ *http.Request, b []byte, heap *apierror.ErrorList) state.Spec {
 	s := state.ReadSpec(b, heap)
-	if len(heap.List()) == 0 && e.queueUnknown(s.Queue) {
+	if len(heap.List()) == 0 && g.queueUnknown(s.Queue) {
 		heap.Add(apierror.NoSuchQueue, "queue", "no queue is called "+string(s.Queue))
 	}
 	return s
--- a/internal/server/inbox.go
+++ b/internal/server/inbox.go
@@ -22,7 +22,7 @@
 }
 
 // claim is true for whoever decides on the request.
-func (e queuedEvent) claim() bool { return e.claimed == nil || e.claimed.CompareAndSwap(false, true) }
+func (q queuedEvent) claim() bool { return q.claimed == nil || q.claimed.CompareAndSwap(false, true) }
 
 type eventQueue struct {
 	mu             sync.Mutex
@@ -37,71 +37,71 @@
 }
 
 // push adds an event; false where its class is full.
-func (i *eventQueue) push(e queuedEvent) bool {
-	i.mu.Lock()
-	ok := i.queue.Push(e.Class(), i.clock(), e)
-	i.mu.Unlock()
-	i.signal()
+func (eq *eventQueue) push(e queuedEvent) bool {
+	eq.mu.Lock()
+	ok := eq.queue.Push(e.Class(), eq.clock(), e)
+	eq.mu.Unlock()
+	eq.signal()
 	return ok
 }
 
 // force adds an event that may not be lost.
-func (i *eventQueue) force(e queuedEvent) {
-	i.mu.Lock()
-	i.queue.PushAlways(e.Class(), i.clock(), e)
-	i.mu.Unlock()
-	i.signal()
+func (eq *eventQueue) force(e queuedEvent) {
+	eq.mu.Lock()
+	eq.queue.PushAlways(e.Class(), eq.clock(), e)
+	eq.mu.Unlock()
+	eq.signal()
 }
 
-func (i *eventQueue) signal() {
+func (eq *eventQueue) signal() {
 	select {
-	case i.wake <- struct{}{}:
+	case eq.wake <- struct{}{}:
 	default:
 	}
 }
 
 // pop gives the next event with the load that its step is told of.
-func (i *eventQueue) pop() (queuedEvent, bool) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	e, class, at, ok := i.queue.Pop()
+func (eq *eventQueue) pop() (queuedEvent, bool) {
+	eq.mu.Lock()
+	defer eq.mu.Unlock()
+	e, class, at, ok := eq.queue.Pop()
 	if ok {
-		e.Load = i.queue.Load(i.clock(), class, at)
+		e.Load = eq.queue.Load(eq.clock(), class, at)
 	}
 	return e, ok
 }
 
 // len is how many events wait.
-func (i *eventQueue) len() int {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	return i.queue.Len()
+func (eq *eventQueue) len() int {
+	eq.mu.Lock()
+	defer eq.mu.Unlock()
+	return eq.queue.Len()
 }
 
 // load is what a tick is told.
-func (i *eventQueue) load() wire.Load {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	now := i.clock()
-	return i.queue.Load(now, wire.ClassBackground, now)
+func (eq *eventQueue) load() wire.Load {
+	eq.mu.Lock()
+	defer eq.mu.Unlock()
+	now := eq.clock()
+	return eq.queue.Load(now, wire.ClassBackground, now)
 }
 
 // callerDelay is how long the oldest request of a caller has waited.
-func (i *eventQueue) callerDelay() time.Duration {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	return i.queue.Age(i.clock(), wire.ClassCallers, wire.ClassCallers)
+func (eq *eventQueue) callerDelay() time.Duration {
+	eq.mu.Lock()
+	defer eq.mu.Unlock()
+	return eq.queue.Age(eq.clock(), wire.ClassCallers, wire.ClassCallers)
 }
 
 // expire takes out what has waited too long: requests, and those that gateways
 // handed over, which the machine answers. Reports that are repeated are dropped.
-func (i *eventQueue) expire() (requests []queuedEvent, forwards []wire.Message) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
+func (eq *eventQueue) expire() (requests []queuedEvent, forwards []wire.Message) {
+	eq.mu.Lock()
+	defer eq.mu.Unlock()
 	patience := func(e queuedEvent) time.Duration { return workqueue.MaxWait(e.Event) }
-	now := i.clock()
-	i.expiredReports += uint64(len(i.queue.Expire(wire.ClassReports, now, patience)))
-	for _, e := range i.queue.Expire(wire.ClassCallers, now, patience) {
+	now := eq.clock()
+	eq.expiredReports += uint64(len(eq.queue.Expire(wire.ClassReports, now, patience)))
+	for _, e := range eq.queue.Expire(wire.ClassCallers, now, patience) {
 		if e.Request != nil {
 			requests = append(requests, e)
 		} else {
@@ -113,10 +113,10 @@
 
 // rejected counts what was refused for want of room, by class, and the reports
 // dropped since they had waited too long.
-func (i *eventQueue) rejected() (full [wire.NumClasses]uint64, stale uint64) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	return i.queue.Rejected, i.expiredReports
+func (eq *eventQueue) rejected() (full [wire.NumClasses]uint64, stale uint64) {
+	eq.mu.Lock()
+	defer eq.mu.Unlock()
+	return eq.queue.Rejected, eq.expiredReports
 }
 
 // overloadError is the answer to a request that was not taken, with when to come back:
--- a/internal/server/inbox_test.go
+++ b/internal/server/inbox_test.go
@@ -30,9 +30,9 @@
 }
 
 // waits tells when so many requests are in the inbox.
-func (o *EventLoop) waitForQueued(n int) {
-	for o.queue.len() < n {
-		<-o.queue.wake
+func (el *EventLoop) waitForQueued(n int) {
+	for el.queue.len() < n {
+		<-el.queue.wake
 	}
 }
 
--- a/internal/server/owner.go
+++ b/internal/server/owner.go
@@ -62,40 +62,40 @@
 }
 
 // SetMachine sets the machine; it must be called before Run.
-func (o *EventLoop) SetMachine(m wire.Machine) { o.machine = m }
+func (el *EventLoop) SetMachine(m wire.Machine) { el.machine = m }
 
 // Deliver gives the machine a message; false when there is no room for its kind.
-func (o *EventLoop) Deliver(n wire.Message) bool {
-	return o.queue.push(queuedEvent{Event: wire.Event{Message: &n}})
+func (el *EventLoop) Deliver(n wire.Message) bool {
+	return el.queue.push(queuedEvent{Event: wire.Event{Message: &n}})
 }
 
 // Ask gives the machine a request and waits for its answer. One that brings new
 // work is turned away at once while the loop is behind with such requests. Once the
 // machine may have seen the request, no end of this daemon is told as a refusal.
-func (o *EventLoop) Ask(ctx context.Context, verb, arg string, body json.RawMessage) wire.Response {
+func (el *EventLoop) Ask(ctx context.Context, verb, arg string, body json.RawMessage) wire.Response {
 	request := &wire.Request{Verb: verb, Arg: arg, Body: body}
 	if deadline, ok := ctx.Deadline(); ok {
 		request.Timeout = max(1, time.Until(deadline))
 	}
 	select {
-	case <-o.stopped:
+	case <-el.stopped:
 		return wire.Response{Error: apierror.New(apierror.ShuttingDown, "", "this daemon is stopping").WithRetryAfter(time.Second)}
 	default:
 	}
 	e := queuedEvent{Event: wire.Event{Request: request}, responses: make(chan wire.Response, 1), claimed: &atomic.Bool{}}
-	behind := o.queue.callerDelay()
-	if wire.SubmitsWork(verb) && behind > workqueue.MaxSubmitDelay || !o.queue.push(e) {
-		o.rejectedBusy.Add(1)
+	behind := el.queue.callerDelay()
+	if wire.SubmitsWork(verb) && behind > workqueue.MaxSubmitDelay || !el.queue.push(e) {
+		el.rejectedBusy.Add(1)
 		return wire.Response{Error: overloadError(max(behind, time.Second))}
 	}
 	select {
 	case response := <-e.responses:
 		return response
-	case <-o.stopped:
-		return o.finalResponse(e.responses)
+	case <-el.stopped:
+		return el.finalResponse(e.responses)
 	case <-ctx.Done():
 		if e.claim() { // the machine has not seen it, and never will
-			o.rejectedBusy.Add(1)
+			el.rejectedBusy.Add(1)
 			return wire.Response{Error: overloadError(workqueue.MaxRequestWait)}
 		}
 		return wire.Response{Error: apierror.New(apierror.OutcomeUnknown, "", "no answer within the time there was")}
@@ -103,7 +103,7 @@
 }
 
 // finalResponse is the answer to a request that was under way when the machine ended.
-func (o *EventLoop) finalResponse(responses chan wire.Response) wire.Response {
+func (el *EventLoop) finalResponse(responses chan wire.Response) wire.Response {
 	select {
 	case response := <-responses:
 		return response
@@ -113,38 +113,38 @@
 }
 
 // BeginShutdown tells the machine that its end is planned.
-func (o *EventLoop) BeginShutdown() { o.queue.force(queuedEvent{Event: wire.Event{Shutdown: true}}) }
+func (el *EventLoop) BeginShutdown() { el.queue.force(queuedEvent{Event: wire.Event{Shutdown: true}}) }
 
 // Drained tells whether a machine that was told to close has nothing left to do.
-func (o *EventLoop) Drained() bool { return o.drained.Load() }
+func (el *EventLoop) Drained() bool { return el.drained.Load() }
 
 // StatusJSON is what the machine last showed.
-func (o *EventLoop) StatusJSON() json.RawMessage {
-	if p := o.statusJSON.Load(); p != nil {
+func (el *EventLoop) StatusJSON() json.RawMessage {
+	if p := el.statusJSON.Load(); p != nil {
 		return *p
 	}
 	return json.RawMessage("{}")
 }
 
 // Run is the owner goroutine: a tick when one is due, else the most urgent event.
-func (o *EventLoop) Run(ctx context.Context) error {
-	defer close(o.stopped)
+func (el *EventLoop) Run(ctx context.Context) error {
+	defer close(el.stopped)
 	ticker := time.NewTicker(workqueue.TickInterval)
 	defer ticker.Stop()
-	o.tick()
+	el.tick()
 	for ctx.Err() == nil {
-		if o.pacer.Due(MonotonicNow(), o.queue.len()) {
-			o.tick()
+		if el.pacer.Due(MonotonicNow(), el.queue.len()) {
+			el.tick()
 			continue
 		}
-		if e, ok := o.queue.pop(); ok {
-			o.pacer.NoteEvent()
-			o.handle(e)
+		if e, ok := el.queue.pop(); ok {
+			el.pacer.NoteEvent()
+			el.handle(e)
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-o.queue.wake:
+		case <-el.queue.wake:
 		case <-ticker.C:
 		}
 	}
@@ -152,64 +152,64 @@
 }
 
 // tick lets time pass in the machine, and answers the requests that it won't get to.
-func (o *EventLoop) tick() {
-	o.pacer.NoteTick(MonotonicNow())
-	requests, forwards := o.queue.expire()
+func (el *EventLoop) tick() {
+	el.pacer.NoteTick(MonotonicNow())
+	requests, forwards := el.queue.expire()
 	for _, e := range requests {
 		if e.claim() {
-			o.rejectedBusy.Add(1)
+			el.rejectedBusy.Add(1)
 			e.responses <- wire.Response{Error: overloadError(workqueue.MaxRequestWait)}
 		}
 	}
-	o.step(queuedEvent{Event: wire.Event{Load: o.queue.load(), ExpiredForwards: forwards}})
+	el.step(queuedEvent{Event: wire.Event{Load: el.queue.load(), ExpiredForwards: forwards}})
 }
 
 // handle hands an event to the machine, but for a request that was given up.
-func (o *EventLoop) handle(e queuedEvent) {
+func (el *EventLoop) handle(e queuedEvent) {
 	if e.claim() {
-		o.step(e)
+		el.step(e)
 	}
 }
 
-func (o *EventLoop) step(e queuedEvent) {
+func (el *EventLoop) step(e queuedEvent) {
 	e.Now = Now()
 	if e.Request != nil {
-		o.lastToken++
-		e.Request.Token = o.lastToken
-		o.pending[o.lastToken] = e.responses
+		el.lastToken++
+		e.Request.Token = el.lastToken
+		el.pending[el.lastToken] = e.responses
 	}
-	out := o.machine.Step(e.Event)
+	out := el.machine.Step(e.Event)
 	for _, s := range out.Messages {
-		o.sender.Send(s)
+		el.sender.Send(s)
 	}
 	for _, c := range out.Calls {
-		o.startCall(c)
+		el.startCall(c)
 	}
 	if out.Records != nil {
-		o.diskWriter.Enqueue(Batch{Records: out.Records, Number: out.BatchNumber, ReplaceLog: out.ReplaceLog, FallbackRecords: out.FallbackRecords})
+		el.diskWriter.Enqueue(Batch{Records: out.Records, Number: out.BatchNumber, ReplaceLog: out.ReplaceLog, FallbackRecords: out.FallbackRecords})
 	}
 	for _, a := range out.Responses {
-		if back := o.pending[a.Token]; back != nil {
+		if back := el.pending[a.Token]; back != nil {
 			back <- a
-			delete(o.pending, a.Token)
+			delete(el.pending, a.Token)
 		}
 	}
-	o.drained.Store(out.Drained)
-	if o.AfterStep != nil {
-		o.AfterStep()
+	el.drained.Store(out.Drained)
+	if el.AfterStep != nil {
+		el.AfterStep()
 	}
-	o.publishStatus(e.Load.MoreWaiting)
+	el.publishStatus(e.Load.MoreWaiting)
 }
 
 // publishStatus shows the machine's account of itself, less often while events wait.
-func (o *EventLoop) publishStatus(waiting bool) {
+func (el *EventLoop) publishStatus(waiting bool) {
 	every := statusInterval
 	if waiting {
 		every = statusIntervalBusy
 	}
-	if o.Status != nil && time.Since(o.publishedAt) > every {
-		o.publishedAt = time.Now()
-		b := wire.EncodeBody(o.Status())
-		o.statusJSON.Store(&b)
+	if el.Status != nil && time.Since(el.publishedAt) > every {
+		el.publishedAt = time.Now()
+		b := wire.EncodeBody(el.Status())
+		el.statusJSON.Store(&b)
 	}
 }
--- a/internal/server/pages.go
+++ b/internal/server/pages.go
@@ -32,15 +32,15 @@
 }
 
 // Router makes the routes that all daemons share.
-func (p *Handlers) Router() *mux.Router {
+func (h *Handlers) Router() *mux.Router {
 	r := mux.NewRouter().UseEncodedPath()
-	r.HandleFunc("/mate", p.handleMessages).Methods(http.MethodPost)
+	r.HandleFunc("/mate", h.handleMessages).Methods(http.MethodPost)
 	r.HandleFunc("/live", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, 200, []byte(`{"live":true}`)) }).Methods(http.MethodGet)
-	r.HandleFunc("/ready", p.handleReady).Methods(http.MethodGet)
-	r.HandleFunc("/metrics", p.handleMetrics).Methods(http.MethodGet)
-	r.HandleFunc("/v1/status", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, 200, p.Loop.StatusJSON()) }).Methods(http.MethodGet)
+	r.HandleFunc("/ready", h.handleReady).Methods(http.MethodGet)
+	r.HandleFunc("/metrics", h.handleMetrics).Methods(http.MethodGet)
+	r.HandleFunc("/v1/status", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, 200, h.Loop.StatusJSON()) }).Methods(http.MethodGet)
 	r.HandleFunc("/v1/trace", func(w http.ResponseWriter, q *http.Request) {
-		writeJSON(w, 200, wire.EncodeBody(p.Trace.Points(q.URL.Query().Get("subject"))))
+		writeJSON(w, 200, wire.EncodeBody(h.Trace.Points(q.URL.Query().Get("subject"))))
 	}).Methods(http.MethodGet)
 	r.NotFoundHandler = http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		WriteError(w, apierror.New(apierror.NoSuchPath, "", "no such path: "+q.URL.Path))
@@ -53,14 +53,14 @@
 
 // TrackInFlight counts requests under way, so that a planned stop can wait for them,
 // and tells callers to close their connections while it does.
-func (p *Handlers) TrackInFlight(next http.Handler) http.Handler {
+func (h *Handlers) TrackInFlight(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		p.inFlight.Add(1)
-		defer p.inFlight.Add(-1)
-		if p.draining.Load() && q.URL.Path != "/mate" {
+		h.inFlight.Add(1)
+		defer h.inFlight.Add(-1)
+		if h.draining.Load() && q.URL.Path != "/mate" {
 			w.Header().Set("Connection", "close")
 		}
-		if p.rejecting.Load() && q.URL.Path != "/mate" {
+		if h.rejecting.Load() && q.URL.Path != "/mate" {
 			WriteError(w, apierror.New(apierror.ShuttingDown, "", "this daemon is stopping; ask another"))
 			return
 		}
@@ -117,7 +117,7 @@
 }
 
 // RequestHandler reads a body and has the machine answer it.
-func (p *Handlers) RequestHandler(verb string) http.HandlerFunc {
+func (h *Handlers) RequestHandler(verb string) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
 		b, ok := ReadBodyOrReject(w, q, state.MaxDocumentBytes)
 		if !ok {
@@ -127,7 +127,7 @@
 			WriteError(w, apierror.New(apierror.BadBody, "", "not well-formed JSON"))
 			return
 		}
-		WriteResponse(w, p.Loop.Ask(q.Context(), verb, pathArgument(q), b))
+		WriteResponse(w, h.Loop.Ask(q.Context(), verb, pathArgument(q), b))
 	}
 }
 
@@ -140,7 +140,7 @@
 	return v["id"]
 }
 
-func (p *Handlers) handleMessages(w http.ResponseWriter, q *http.Request) {
+func (h *Handlers) handleMessages(w http.ResponseWriter, q *http.Request) {
 	b, ok := ReadBodyOrReject(w, q, wal.MaxRecordSize)
 	if !ok {
 		return
@@ -152,7 +152,7 @@
 	}
 	refused := false
 	for _, n := range list { // one that has no room takes none from those after it
-		refused = !p.Loop.Deliver(n) || refused
+		refused = !h.Loop.Deliver(n) || refused
 	}
 	if refused {
 		WriteError(w, apierror.New(apierror.TooBusy, "", "no room for messages of this kind"))
@@ -162,10 +162,10 @@
 }
 
 // IsReady tells whether the platform may send callers here.
-func (p *Handlers) IsReady() bool { return !p.draining.Load() && p.Ready() }
+func (h *Handlers) IsReady() bool { return !h.draining.Load() && h.Ready() }
 
-func (p *Handlers) handleReady(w http.ResponseWriter, _ *http.Request) {
-	if !p.IsReady() {
+func (h *Handlers) handleReady(w http.ResponseWriter, _ *http.Request) {
+	if !h.IsReady() {
 		WriteError(w, apierror.New(apierror.NotReady, "", "not ready; see /v1/status"))
 		return
 	}
@@ -173,15 +173,15 @@
 }
 
 // handleMetrics shows every number of the status, and the shell's own.
-func (p *Handlers) handleMetrics(w http.ResponseWriter, _ *http.Request) {
+func (h *Handlers) handleMetrics(w http.ResponseWriter, _ *http.Request) {
 	var v map[string]any
-	json.Unmarshal(p.Loop.StatusJSON(), &v)
+	json.Unmarshal(h.Loop.StatusJSON(), &v)
 	delete(v, "mates")
 	delete(v, "roll")
-	flat := map[string]float64{"post_sent": float64(p.Sender.Sent.Load()), "post_failed": float64(p.Sender.Failed.Load()),
-		"post_dropped": float64(p.Sender.Dropped.Load()), "requests_turned_away_busy": float64(p.Loop.rejectedBusy.Load()),
-		"requests_under_way_http": float64(p.inFlight.Load())}
-	refused, stale := p.Loop.queue.rejected()
+	flat := map[string]float64{"post_sent": float64(h.Sender.Sent.Load()), "post_failed": float64(h.Sender.Failed.Load()),
+		"post_dropped": float64(h.Sender.Dropped.Load()), "requests_turned_away_busy": float64(h.Loop.rejectedBusy.Load()),
+		"requests_under_way_http": float64(h.inFlight.Load())}
+	refused, stale := h.Loop.queue.rejected()
 	flat["reports_dropped_stale"] = float64(stale)
 	for class, n := range refused {
 		flat["inbox_refused_"+wire.Class(class).String()] = float64(n)
--- a/internal/server/post.go
+++ b/internal/server/post.go
@@ -49,28 +49,28 @@
 	wake    chan struct{}
 }
 
-func (l *peerQueue) put(n wire.Message) (dropped int) {
-	l.mu.Lock()
+func (p *peerQueue) put(n wire.Message) (dropped int) {
+	p.mu.Lock()
 	class := wire.ClassOfKind(n.Kind)
-	l.byClass[class] = append(l.byClass[class], n)
-	l.count++
-	l.size += len(n.Body)
-	for l.size > maxQueuedBytes && l.count > 1 || l.count > maxQueuedMessages {
-		l.remove(l.leastUrgent(), 1)
+	p.byClass[class] = append(p.byClass[class], n)
+	p.count++
+	p.size += len(n.Body)
+	for p.size > maxQueuedBytes && p.count > 1 || p.count > maxQueuedMessages {
+		p.remove(p.leastUrgent(), 1)
 		dropped++
 	}
-	l.mu.Unlock()
+	p.mu.Unlock()
 	select {
-	case l.wake <- struct{}{}:
+	case p.wake <- struct{}{}:
 	default:
 	}
 	return
 }
 
 // leastUrgent is the least urgent class of which anything waits.
-func (l *peerQueue) leastUrgent() wire.Class {
+func (p *peerQueue) leastUrgent() wire.Class {
 	for c := wire.NumClasses - 1; c > 0; c-- {
-		if len(l.byClass[c]) > 0 {
+		if len(p.byClass[c]) > 0 {
 			return c
 		}
 	}
@@ -78,36 +78,36 @@
 }
 
 // remove takes the oldest of a class out.
-func (l *peerQueue) remove(c wire.Class, n int) (group []wire.Message) {
-	group = l.byClass[c][:n:n]
+func (p *peerQueue) remove(c wire.Class, n int) (group []wire.Message) {
+	group = p.byClass[c][:n:n]
 	for _, m := range group {
-		l.size -= len(m.Body)
+		p.size -= len(m.Body)
 	}
-	l.count -= n
-	if l.byClass[c] = l.byClass[c][n:]; len(l.byClass[c]) == 0 {
-		l.byClass[c] = nil
+	p.count -= n
+	if p.byClass[c] = p.byClass[c][n:]; len(p.byClass[c]) == 0 {
+		p.byClass[c] = nil
 	}
 	return
 }
 
 // take gives what fits into one request.
-func (l *peerQueue) take() (group []wire.Message) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (p *peerQueue) take() (group []wire.Message) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	size := 0
 	for c := range wire.NumClasses {
 		n := 0
-		for n < len(l.byClass[c]) && len(group)+n < maxMessagesPerRequest {
-			body := len(l.byClass[c][n].Body)
+		for n < len(p.byClass[c]) && len(group)+n < maxMessagesPerRequest {
+			body := len(p.byClass[c][n].Body)
 			if size > 0 && size+body > maxRequestBytes {
 				break
 			}
 			size += body
 			n++
 		}
-		whole := n == len(l.byClass[c])
+		whole := n == len(p.byClass[c])
 		if n > 0 {
-			group = append(group, l.remove(c, n)...)
+			group = append(group, p.remove(c, n)...)
 		}
 		if !whole {
 			break
@@ -123,52 +123,52 @@
 }
 
 // Send puts a note into its lane; a full lane drops its oldest.
-func (p *Sender) Send(s wire.OutboundMessage) {
-	p.mu.Lock()
-	l := p.queues[s.To]
+func (se *Sender) Send(s wire.OutboundMessage) {
+	se.mu.Lock()
+	l := se.queues[s.To]
 	if l == nil {
-		if len(p.queues) >= maxPeers {
-			p.mu.Unlock()
-			p.Dropped.Add(1)
+		if len(se.queues) >= maxPeers {
+			se.mu.Unlock()
+			se.Dropped.Add(1)
 			return
 		}
 		l = &peerQueue{wake: make(chan struct{}, 1)}
-		p.queues[s.To] = l
-		go p.sendQueued(s.To, l)
+		se.queues[s.To] = l
+		go se.sendQueued(s.To, l)
 	}
-	p.mu.Unlock()
-	p.Dropped.Add(uint64(l.put(s.Message)))
+	se.mu.Unlock()
+	se.Dropped.Add(uint64(l.put(s.Message)))
 }
 
-func (p *Sender) sendQueued(to types.Addr, l *peerQueue) {
+func (se *Sender) sendQueued(to types.Addr, l *peerQueue) {
 	for {
 		select {
-		case <-p.ctx.Done():
+		case <-se.ctx.Done():
 			return
 		case <-l.wake:
 		}
-		for group := l.take(); len(group) > 0 && p.ctx.Err() == nil; group = l.take() {
-			p.deliver(to, group)
+		for group := l.take(); len(group) > 0 && se.ctx.Err() == nil; group = l.take() {
+			se.deliver(to, group)
 		}
 	}
 }
 
-func (p *Sender) deliver(to types.Addr, group []wire.Message) {
+func (se *Sender) deliver(to types.Addr, group []wire.Message) {
 	b := wire.EncodeMessages(group)
-	ctx, stop := context.WithTimeout(p.ctx, requestTimeout+time.Duration(len(b)/minBytesPerMS)*time.Millisecond)
+	ctx, stop := context.WithTimeout(se.ctx, requestTimeout+time.Duration(len(b)/minBytesPerMS)*time.Millisecond)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+string(to)+"/mate", bytes.NewReader(b))
 	if err != nil {
-		p.Failed.Add(1)
+		se.Failed.Add(1)
 		return
 	}
 	req.Header.Set("Content-Type", "application/json")
-	res, err := p.client.Do(req)
+	res, err := se.client.Do(req)
 	if err != nil {
-		p.Failed.Add(1)
+		se.Failed.Add(1)
 		return
 	}
 	io.Copy(io.Discard, io.LimitReader(res.Body, 4096))
 	res.Body.Close()
-	p.Sent.Add(uint64(len(group)))
+	se.Sent.Add(uint64(len(group)))
 }
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -84,10 +84,10 @@
 }
 
 // shutDown stops taking part: unready first, duties handed over, then answers.
-func (p *Handlers) shutDown(ctx context.Context, log logr.Logger, timing ShutdownTiming) {
+func (h *Handlers) shutDown(ctx context.Context, log logr.Logger, timing ShutdownTiming) {
 	log.Info("stopping: not ready, handing duties over", "linger", timing.NotReadyFor.String(), "finish", timing.Timeout.String())
-	p.draining.Store(true)
-	p.Loop.BeginShutdown()
+	h.draining.Store(true)
+	h.Loop.BeginShutdown()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	startedAt := time.Now()
@@ -97,12 +97,12 @@
 			return
 		case <-tick.C:
 		}
-		p.rejecting.Store(time.Since(startedAt) > timing.NotReadyFor)
-		if p.rejecting.Load() && p.Loop.Drained() && p.inFlight.Load() == 0 {
+		h.rejecting.Store(time.Since(startedAt) > timing.NotReadyFor)
+		if h.rejecting.Load() && h.Loop.Drained() && h.inFlight.Load() == 0 {
 			break
 		}
 	}
-	log.Info("stopped", "unanswered", p.inFlight.Load(), "after", time.Since(startedAt).String())
+	log.Info("stopped", "unanswered", h.inFlight.Load(), "after", time.Since(startedAt).String())
 }
 
 // endpointServer is one port. The standard server fixes its bounds when it starts, so
@@ -137,31 +137,31 @@
 const idleReuseMargin = 5 * time.Second
 
 // replaceServer makes a server within the bounds of now.
-func (s *endpointServer) replaceServer(l config.Limits) {
-	if s.current != nil {
-		s.replaced = append(s.replaced, s.current)
+func (e *endpointServer) replaceServer(l config.Limits) {
+	if e.current != nil {
+		e.replaced = append(e.replaced, e.current)
 	}
 	idle := orDefault(time.Duration(l.IdleTimeoutMillis)*time.Millisecond, time.Minute)
 	idle += min(idle, idleReuseMargin)
 	head := orDefault(time.Duration(l.HeaderTimeoutMillis)*time.Millisecond, 5*time.Second)
-	s.currentLimits, s.feed = l, &connFeed{conns: make(chan net.Conn), done: make(chan struct{}), addr: s.ln.Addr()}
-	s.current = &http.Server{Handler: s.handler, ReadHeaderTimeout: head, ReadTimeout: head + 10*time.Second,
+	e.currentLimits, e.feed = l, &connFeed{conns: make(chan net.Conn), done: make(chan struct{}), addr: e.ln.Addr()}
+	e.current = &http.Server{Handler: e.handler, ReadHeaderTimeout: head, ReadTimeout: head + 10*time.Second,
 		IdleTimeout: idle, MaxHeaderBytes: orDefault(l.HeaderBytes, 16<<10)}
-	go s.current.Serve(s.feed)
+	go e.current.Serve(e.feed)
 }
 
-func (s *endpointServer) limits() config.Limits {
-	if s.endpoint.Limits == nil {
+func (e *endpointServer) limits() config.Limits {
+	if e.endpoint.Limits == nil {
 		return config.Limits{}
 	}
-	return s.endpoint.Limits()
+	return e.endpoint.Limits()
 }
 
-func (s *endpointServer) run(ctx context.Context) error {
-	defer close(s.done)
-	s.replaceServer(s.limits())
+func (e *endpointServer) run(ctx context.Context) error {
+	defer close(e.done)
+	e.replaceServer(e.limits())
 	for {
-		c, err := s.ln.Accept()
+		c, err := e.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
@@ -173,20 +173,20 @@
 			}
 			continue
 		}
-		if l := s.limits(); l != s.currentLimits {
-			s.replaceServer(l)
+		if l := e.limits(); l != e.currentLimits {
+			e.replaceServer(l)
 		}
-		s.feed.conns <- c
+		e.feed.conns <- c
 	}
 }
 
 // close ends the port once what is under way has been answered.
-func (s *endpointServer) close() {
-	s.ln.Close()
-	<-s.done
+func (e *endpointServer) close() {
+	e.ln.Close()
+	<-e.done
 	end, done := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer done()
-	for _, w := range append(s.replaced, s.current) {
+	for _, w := range append(e.replaced, e.current) {
 		if w.Shutdown(end) != nil {
 			w.Close()
 		}
@@ -200,22 +200,22 @@
 	addr  net.Addr
 }
 
-func (f *connFeed) Accept() (net.Conn, error) {
+func (cf *connFeed) Accept() (net.Conn, error) {
 	select {
-	case c := <-f.conns:
+	case c := <-cf.conns:
 		return c, nil
-	case <-f.done:
+	case <-cf.done:
 		return nil, net.ErrClosed
 	}
 }
 
-func (f *connFeed) Close() error {
+func (cf *connFeed) Close() error {
 	select {
-	case <-f.done:
+	case <-cf.done:
 	default:
-		close(f.done)
+		close(cf.done)
 	}
 	return nil
 }
 
-func (f *connFeed) Addr() net.Addr { return f.addr }
+func (cf *connFeed) Addr() net.Addr { return cf.addr }
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -31,16 +31,16 @@
 	shutdown bool
 }
 
-func (ec *echoMachine) Step(e wire.Event) wire.Effects {
-	out := wire.Effects{Calls: ec.calls, Drained: ec.shutdown}
-	ec.calls = nil
+func (em *echoMachine) Step(e wire.Event) wire.Effects {
+	out := wire.Effects{Calls: em.calls, Drained: em.shutdown}
+	em.calls = nil
 	if e.WorkerReply != nil {
-		ec.replies <- *e.WorkerReply
+		em.replies <- *e.WorkerReply
 	}
 	if e.Request != nil {
 		out.Responses = []wire.Response{{Token: e.Request.Token, StatusCode: 200, Body: wire.EncodeBody(e.Request.Timeout > 0)}}
 	}
-	ec.shutdown = ec.shutdown || e.Shutdown
+	em.shutdown = em.shutdown || e.Shutdown
 	return out
 }
 
--- a/internal/server/waiting.go
+++ b/internal/server/waiting.go
@@ -47,9 +47,9 @@
 }
 
 // show tells why the daemon waits, from now on.
-func (wp *diskWaitHandler) show(ctx context.Context, log logr.Logger, listen string, why error) {
-	wp.reason.Store(why.Error())
-	if wp.server != nil || listen == "" {
+func (d *diskWaitHandler) show(ctx context.Context, log logr.Logger, listen string, why error) {
+	d.reason.Store(why.Error())
+	if d.server != nil || listen == "" {
 		return
 	}
 	ln, err := Listen(ctx, listen)
@@ -57,18 +57,18 @@
 		log.Error(err, "no page while waiting")
 		return
 	}
-	wp.server = &http.Server{Handler: wp, ReadHeaderTimeout: time.Second}
-	go wp.server.Serve(ln)
+	d.server = &http.Server{Handler: d, ReadHeaderTimeout: time.Second}
+	go d.server.Serve(ln)
 }
 
-func (wp *diskWaitHandler) stop() {
-	if wp.server != nil {
-		wp.server.Close()
+func (d *diskWaitHandler) stop() {
+	if d.server != nil {
+		d.server.Close()
 	}
 }
 
-func (wp *diskWaitHandler) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	reason := "the log can't be opened: " + wp.reason.Load().(string)
+func (d *diskWaitHandler) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+	reason := "the log can't be opened: " + d.reason.Load().(string)
 	switch q.URL.Path {
 	case "/live":
 		writeJSON(w, http.StatusOK, []byte(`{"live":true}`))
--- a/internal/state/window.go
+++ b/internal/state/window.go
@@ -105,7 +105,7 @@
 	return replaceInList(&s.Calendars, p, p.sameName, len(p.Windows) == 0, MaxCalendars)
 }
 
-func (p Calendar) sameName(o Calendar) bool { return o.Name == p.Name }
+func (c Calendar) sameName(o Calendar) bool { return o.Name == c.Name }
 
 // replaceInList puts one of a list in place of the same, adds it, or takes it away. The
 // list is another one then, since a snapshot may hold the old.
--- a/internal/types/types.go
+++ b/internal/types/types.go
@@ -52,16 +52,16 @@
 )
 
 // Add returns the stamp that lies d later.
-func (s MonoTime) Add(d time.Duration) MonoTime { return s + MonoTime(d) }
+func (m MonoTime) Add(d time.Duration) MonoTime { return m + MonoTime(d) }
 
 // Sub returns how much later s is than o, both of the same process.
-func (s MonoTime) Sub(o MonoTime) time.Duration { return time.Duration(s - o) }
+func (m MonoTime) Sub(o MonoTime) time.Duration { return time.Duration(m - o) }
 
 // Add returns the tick that lies d later.
-func (t ClusterTime) Add(d time.Duration) ClusterTime { return t + ClusterTime(d) }
+func (c ClusterTime) Add(d time.Duration) ClusterTime { return c + ClusterTime(d) }
 
 // Sub returns how much later t is than o.
-func (t ClusterTime) Sub(o ClusterTime) time.Duration { return time.Duration(t - o) }
+func (c ClusterTime) Sub(o ClusterTime) time.Duration { return time.Duration(c - o) }
 
 // Now is the time that a state machine is given with each step.
 type Now struct {
@@ -149,8 +149,8 @@
 const Core MilliCores = 1000
 
 // MarshalJSON writes a decimal number of cores, without trailing zeros.
-func (c MilliCores) MarshalJSON() ([]byte, error) {
-	thousandths, sign := int(c), ""
+func (m MilliCores) MarshalJSON() ([]byte, error) {
+	thousandths, sign := int(m), ""
 	if thousandths < 0 {
 		thousandths, sign = -thousandths, "-"
 	}
@@ -163,12 +163,12 @@
 }
 
 // UnmarshalJSON reads a decimal number of cores with at most three decimals.
-func (c *MilliCores) UnmarshalJSON(b []byte) error {
+func (m *MilliCores) UnmarshalJSON(b []byte) error {
 	v, ok := ParseCores(string(b))
 	if !ok {
 		return fmt.Errorf("want a number of cores with at most three decimals, got %s", b)
 	}
-	*c = v
+	*m = v
 	return nil
 }
 
--- a/internal/wal/faults_test.go
+++ b/internal/wal/faults_test.go
@@ -33,13 +33,13 @@
 }
 
 // open opens the log, however often that is refused.
-func (t *crashTrial) open() ([]string, error) {
+func (c *crashTrial) open() ([]string, error) {
 	for {
-		log, list, spoilt, err := wal.Open(t.wrap(t.storage), dir)
+		log, list, spoilt, err := wal.Open(c.wrap(c.storage), dir)
 		if err != nil {
 			continue
 		}
-		t.log = log
+		c.log = log
 		if spoilt != "" {
 			return nil, errors.New("what a loss of power left was taken for damage")
 		}
@@ -57,35 +57,35 @@
 }
 
 // fault draws what fails: nothing, mostly.
-func (t *crashTrial) fault(op waltest.Op, _ string) *waltest.Fault {
-	if t.rnd.Intn(12) > 0 || op == waltest.Remove {
+func (c *crashTrial) fault(op waltest.Op, _ string) *waltest.Fault {
+	if c.rnd.Intn(12) > 0 || op == waltest.Remove {
 		return nil
 	}
-	return &waltest.Fault{Err: syscall.ENOSPC, Written: t.rnd.Intn(64)}
+	return &waltest.Fault{Err: syscall.ENOSPC, Written: c.rnd.Intn(64)}
 }
 
-func (t *crashTrial) group() (list [][]byte) {
-	for range 1 + t.rnd.Intn(4) {
-		t.next++
-		list = append(list, fmt.Appendf(nil, `{"n":%d,"pad":"%s"}`, t.next, strings.Repeat("x", t.rnd.Intn(40))))
+func (c *crashTrial) group() (list [][]byte) {
+	for range 1 + c.rnd.Intn(4) {
+		c.next++
+		list = append(list, fmt.Appendf(nil, `{"n":%d,"pad":"%s"}`, c.next, strings.Repeat("x", c.rnd.Intn(40))))
 	}
 	return list
 }
 
 // write carries out one step until it succeeds or the power goes.
-func (t *crashTrial) write() (before, after []string, done bool) {
-	group, whole := t.group(), t.rnd.Intn(5) == 0
-	before, after = t.acknowledged, append(slices.Clone(t.acknowledged), recordTexts(group)...)
-	act := func() error { return t.log.Append(group) }
+func (c *crashTrial) write() (before, after []string, done bool) {
+	group, whole := c.group(), c.rnd.Intn(5) == 0
+	before, after = c.acknowledged, append(slices.Clone(c.acknowledged), recordTexts(group)...)
+	act := func() error { return c.log.Append(group) }
 	if whole {
 		after = recordTexts(group)
-		act = func() error { return t.log.Rewrite(group) }
+		act = func() error { return c.log.Rewrite(group) }
 	}
 	for {
 		if act() == nil {
 			return before, after, true
 		}
-		if t.rnd.Intn(6) == 0 {
+		if c.rnd.Intn(6) == 0 {
 			return before, after, false
 		}
 	}
--- a/sim/active_tables.go
+++ b/sim/active_tables.go
@@ -25,22 +25,22 @@
 // Coverage counts the chances a history gave its rules to be broken.
 type Coverage map[string]int
 
-func (t Coverage) setMax(name string, n int) { t[name] = max(t[name], n) }
+func (c Coverage) setMax(name string, n int) { c[name] = max(c[name], n) }
 
 // Add sums another tally up; longest times stay the longest.
-func (t Coverage) Add(o Coverage) {
+func (c Coverage) Add(o Coverage) {
 	for k, n := range o {
 		if len(k) > 4 && k[len(k)-4:] == ", ms" {
-			t.setMax(k, n)
+			c.setMax(k, n)
 		} else {
-			t[k] += n
+			c[k] += n
 		}
 	}
 }
 
 // Reruns counts the ends that nobody alive could know of before a second run.
-func (t Coverage) Reruns() (n int) {
-	for k, v := range t {
+func (c Coverage) Reruns() (n int) {
+	for k, v := range c {
 		if len(k) > 6 && k[:6] == "re-run" {
 			n += v
 		}
--- a/sim/check.go
+++ b/sim/check.go
@@ -24,8 +24,8 @@
 	Detail string
 }
 
-func (b Violation) String() string {
-	return fmt.Sprintf("%-14s at %8.3f s: %s", b.Rule, float64(b.At)/1e9, b.Detail)
+func (v Violation) String() string {
+	return fmt.Sprintf("%-14s at %8.3f s: %s", v.Rule, float64(v.At)/1e9, v.Detail)
 }
 
 // execution is one attempt as it ran on a worker.
@@ -275,9 +275,9 @@
 
 // runs tells whether an attempt really runs at some time in a stretch: a worker that
 // stands still runs nothing, and stops what has lapsed before anything else.
-func (s *execution) runs(from, to int64) bool {
-	a, b := max(s.startedAt, from), min(s.endedAt, to)
-	for _, i := range s.frozen {
+func (e *execution) runs(from, to int64) bool {
+	a, b := max(e.startedAt, from), min(e.endedAt, to)
+	for _, i := range e.frozen {
 		if a >= i[0] && a < i[1] {
 			a = i[1]
 		}
--- a/sim/cutoff_observe_test.go
+++ b/sim/cutoff_observe_test.go
@@ -11,19 +11,19 @@
 )
 
 // observeMessages keeps what controllers tell their peers, and who heard a leader.
-func (r *answerRecorder) observeMessages() {
-	w := r.run.World
+func (ar *answerRecorder) observeMessages() {
+	w := ar.run.World
 	tamper := w.TamperMessage
 	w.TamperMessage = func(s *wire.OutboundMessage) bool {
 		if tamper != nil && !tamper(s) {
 			return false
 		}
-		r.observeSent(s)
+		ar.observeSent(s)
 		return true
 	}
 	w.OnDelivery = func(to types.Addr, m wire.Message) {
 		if m.Kind == wire.AppendEntries || m.Kind == wire.InstallSnapshot || m.Kind == wire.Hello && saysItLeads(m) {
-			r.leaderHeardAt[[2]types.Addr{to, m.From}] = w.now
+			ar.leaderHeardAt[[2]types.Addr{to, m.From}] = w.now
 		}
 	}
 }
@@ -38,14 +38,14 @@
 	return ok && h.Me.Leads
 }
 
-func (r *answerRecorder) observeSent(s *wire.OutboundMessage) {
-	from, now := s.Message.From, r.run.now
+func (ar *answerRecorder) observeSent(s *wire.OutboundMessage) {
+	from, now := s.Message.From, ar.run.now
 	switch s.Message.Kind {
 	case wire.ConfigWatchReply:
 		if m, ok := wire.DecodeBody[struct {
 			Version types.Version `json:"edition"`
 		}](s.Message); ok {
-			r.observations = append(r.observations, &observation{sent: now, answered: now, daemon: from, audience: toPeers, request: confirmTable, code: http.StatusOK,
+			ar.observations = append(ar.observations, &observation{sent: now, answered: now, daemon: from, audience: toPeers, request: confirmTable, code: http.StatusOK,
 				finalCode: http.StatusOK, version: m.Version})
 		}
 	case wire.ForwardReply:
@@ -54,20 +54,20 @@
 			switch {
 			case m.NotLeader:
 				o.code, o.redirect, o.retry = http.StatusTemporaryRedirect, m.Leader, true
-				o.leaderHeardAt = r.leaderHeardAt[[2]types.Addr{from, m.Leader}]
+				o.leaderHeardAt = ar.leaderHeardAt[[2]types.Addr{from, m.Leader}]
 			case m.Error != nil:
-				r.control(o, wire.Response{Error: m.Error})
+				ar.control(o, wire.Response{Error: m.Error})
 				o.retry = m.Error.RetryAfterSeconds > 0
 			}
 			o.finalCode = o.code
-			r.observations = append(r.observations, o)
+			ar.observations = append(ar.observations, o)
 		}
 	}
 }
 
 // observeWorkers keeps what agents answer to their workers' beats.
-func (r *answerRecorder) observeWorkers() {
-	w := r.run.World
+func (ar *answerRecorder) observeWorkers() {
+	w := ar.run.World
 	tamper := w.TamperAnswerOf
 	w.TamperAnswerOf = func(daemon types.Addr, verb string, a *wire.Response) bool {
 		if tamper != nil && !tamper(daemon, verb, a) {
@@ -78,7 +78,7 @@
 			if a.Error != nil {
 				o.code, o.retry = a.Error.StatusCode(), apierror.Retryable[a.Error.Kind]
 			}
-			r.observations = append(r.observations, o)
+			ar.observations = append(ar.observations, o)
 		}
 		return true
 	}
--- a/sim/cutoff_record_test.go
+++ b/sim/cutoff_record_test.go
@@ -121,65 +121,65 @@
 }
 
 // control gives the answer that an operator sees for that of a controller.
-func (r *answerRecorder) control(o *observation, a wire.Response) {
+func (ar *answerRecorder) control(o *observation, a wire.Response) {
 	if a.Error == nil {
 		o.code = http.StatusOK
 		return
 	}
 	if a.Leader != "" {
-		a.Leader = types.Addr(r.ipOf(a.Leader))
+		a.Leader = types.Addr(ar.ipOf(a.Leader))
 	}
 	w := httptest.NewRecorder()
 	q := httptest.NewRequest(http.MethodGet, "/coppercourse/Config.Read", nil)
 	platform.NewControlHandler(answering{a}, "10.0.0.1:"+controlPort).Handler().ServeHTTP(w, q)
 	o.code, o.retry = w.Code, w.Header().Get("Retry-After") != ""
 	if to := w.Header().Get("Location"); to != "" {
-		o.redirect = r.addrOf(to)
-		o.leaderHeardAt = r.leaderHeardAt[[2]types.Addr{o.daemon, o.redirect}]
+		o.redirect = ar.addrOf(to)
+		o.leaderHeardAt = ar.leaderHeardAt[[2]types.Addr{o.daemon, o.redirect}]
 	}
 }
 
 // ipOf stands for a daemon in the pages, which know daemons by IP number.
-func (r *answerRecorder) ipOf(a types.Addr) string {
-	return fmt.Sprintf("10.0.%d.1:7400", slices.Index(r.run.nodeOrder, a)+1)
+func (ar *answerRecorder) ipOf(a types.Addr) string {
+	return fmt.Sprintf("10.0.%d.1:7400", slices.Index(ar.run.nodeOrder, a)+1)
 }
 
-func (r *answerRecorder) addrOf(location string) types.Addr {
+func (ar *answerRecorder) addrOf(location string) types.Addr {
 	host := strings.TrimSuffix(strings.TrimPrefix(location, "http://"), "/coppercourse/Config.Read")
 	ip, err := netip.ParseAddrPort(host)
 	if err != nil {
 		return ""
 	}
-	return r.run.nodeOrder[ip.Addr().As4()[2]-1]
+	return ar.run.nodeOrder[ip.Addr().As4()[2]-1]
 }
 
 // probe asks every daemon once, each at a moment of its own, and again after a second.
-func (r *answerRecorder) probe() {
-	if r.stopped {
+func (ar *answerRecorder) probe() {
+	if ar.stopped {
 		return
 	}
-	spread := func(run func()) { r.run.after(time.Duration(r.run.random.Int63n(int64(probeEvery*9/10))), run) }
-	for _, n := range r.run.controllers {
-		spread(func() { r.read(n.addr) })
-		spread(func() { r.replace(n.addr) })
+	spread := func(run func()) { ar.run.after(time.Duration(ar.run.random.Int63n(int64(probeEvery*9/10))), run) }
+	for _, n := range ar.run.controllers {
+		spread(func() { ar.read(n.addr) })
+		spread(func() { ar.replace(n.addr) })
 	}
-	for _, n := range r.run.gateways {
-		spread(func() { r.count(n.addr) })
-		spread(func() { r.submit(n.addr) })
-		spread(func() { r.readJob(n.addr) })
+	for _, n := range ar.run.gateways {
+		spread(func() { ar.count(n.addr) })
+		spread(func() { ar.submit(n.addr) })
+		spread(func() { ar.readJob(n.addr) })
 	}
-	r.run.after(probeEvery, r.probe)
+	ar.run.after(probeEvery, ar.probe)
 }
 
 // ask sends one request and keeps the observation; then runs once it is answered.
-func (r *answerRecorder) ask(to types.Addr, who audience, what request, verb, arg string, body json.RawMessage, then func(*observation, wire.Response)) {
-	o := &observation{sent: r.run.now, daemon: to, audience: who, request: what}
-	r.observations = append(r.observations, o)
-	r.run.request(probeAddr, to, verb, arg, body, func(a wire.Response) {
+func (ar *answerRecorder) ask(to types.Addr, who audience, what request, verb, arg string, body json.RawMessage, then func(*observation, wire.Response)) {
+	o := &observation{sent: ar.run.now, daemon: to, audience: who, request: what}
+	ar.observations = append(ar.observations, o)
+	ar.run.request(probeAddr, to, verb, arg, body, func(a wire.Response) {
 		if o.answered != 0 {
 			return
 		}
-		o.answered = r.run.now
+		o.answered = ar.run.now
 		then(o, a)
 		if o.finalCode == 0 {
 			o.finalCode = o.code
@@ -187,12 +187,12 @@
 	})
 }
 
-func (r *answerRecorder) read(to types.Addr) { r.readFollowingRedirects(to, nil) }
+func (ar *answerRecorder) read(to types.Addr) { ar.readFollowingRedirects(to, nil) }
 
 // readFollowingRedirects reads the table and follows redirects, as an operator does.
-func (r *answerRecorder) readFollowingRedirects(to types.Addr, first *observation) {
-	r.ask(to, toOperators, readTable, "table.get", "", nil, func(o *observation, a wire.Response) {
-		r.control(o, a)
+func (ar *answerRecorder) readFollowingRedirects(to types.Addr, first *observation) {
+	ar.ask(to, toOperators, readTable, "table.get", "", nil, func(o *observation, a wire.Response) {
+		ar.control(o, a)
 		if first == nil {
 			first = o
 		}
@@ -200,61 +200,61 @@
 		var t config.Table
 		if a.Error == nil && json.Unmarshal(a.Body, &t) == nil {
 			o.version = t.Version
-			if t.Version > r.newest.Version {
-				r.newest = t
+			if t.Version > ar.newest.Version {
+				ar.newest = t
 			}
 		}
 		if o.redirect != "" && first.redirects < maxRedirects {
 			first.redirects++
-			r.readFollowingRedirects(o.redirect, first)
+			ar.readFollowingRedirects(o.redirect, first)
 		}
 	})
 }
 
 // replace puts a change of its own on the newest version that is known.
-func (r *answerRecorder) replace(to types.Addr) {
-	r.next++
-	t := r.newest
+func (ar *answerRecorder) replace(to types.Addr) {
+	ar.next++
+	t := ar.newest
 	t.Queues = slices.Clone(t.Queues)
-	t.Queues[0].RequestTimeoutMillis = 1000 + r.next
+	t.Queues[0].RequestTimeoutMillis = 1000 + ar.next
 	t.RequestedVersion = t.Version + 1
-	r.run.record(HistoryEvent{Kind: TableSubmitted, Table: &t})
-	r.ask(to, toOperators, replaceTable, "table.put", "", wire.EncodeBody(t), func(o *observation, a wire.Response) {
-		r.control(o, a)
+	ar.run.record(HistoryEvent{Kind: TableSubmitted, Table: &t})
+	ar.ask(to, toOperators, replaceTable, "table.put", "", wire.EncodeBody(t), func(o *observation, a wire.Response) {
+		ar.control(o, a)
 		if o.code != http.StatusOK {
 			return
 		}
 		got := t.Accepted()
 		o.version = got.Version
-		r.run.record(HistoryEvent{Kind: TableAcknowledged, Table: &got, Text: fmt.Sprint(t.Version)})
-		r.acked = append(r.acked, acknowledgement{r.run.now, got.Version})
-		if got.Version > r.newest.Version {
-			r.newest = got
+		ar.run.record(HistoryEvent{Kind: TableAcknowledged, Table: &got, Text: fmt.Sprint(t.Version)})
+		ar.acked = append(ar.acked, acknowledgement{ar.run.now, got.Version})
+		if got.Version > ar.newest.Version {
+			ar.newest = got
 		}
 	})
 }
 
 // askHandler has a gateway's page decide whether a request is passed on to its machine.
-func (r *answerRecorder) askHandler(to types.Addr, what request) (o *observation, passed bool) {
-	n := r.run.nodes[to]
+func (ar *answerRecorder) askHandler(to types.Addr, what request) (o *observation, passed bool) {
+	n := ar.run.nodes[to]
 	if n.machine == nil || n.frozen {
 		return nil, false
 	}
 	door := n.machine.(*gateway.Gateway)
 	t, _ := door.Table()
-	page := r.handlers[to]
+	page := ar.handlers[to]
 	page.Publish(t, inPageTime(door.ConfirmedUntil(), n.clockReading().Mono))
-	*r.passed[to] = false
-	route := r.newest.Queues[0].PathPrefix
-	if r.strangers {
+	*ar.passed[to] = false
+	route := ar.newest.Queues[0].PathPrefix
+	if ar.strangers {
 		route = "/nowhere/"
 	}
 	w := httptest.NewRecorder()
 	page.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "http://"+routeHost+route, nil))
-	if *r.passed[to] {
+	if *ar.passed[to] {
 		return nil, true
 	}
-	r.observations = append(r.observations, &observation{sent: r.run.now, answered: r.run.now, daemon: to, audience: toCallers, request: what, code: w.Code, finalCode: w.Code,
+	ar.observations = append(ar.observations, &observation{sent: ar.run.now, answered: ar.run.now, daemon: to, audience: toCallers, request: what, code: w.Code, finalCode: w.Code,
 		retry: w.Header().Get("Retry-After") != "", version: t.Version})
 	return nil, false
 }
@@ -269,50 +269,50 @@
 }
 
 // caller asks a gateway's machine for what its page lets through.
-func (r *answerRecorder) caller(to types.Addr, what request, verb, arg string, body json.RawMessage, then func(ok bool)) {
-	if _, ok := r.askHandler(to, what); !ok {
+func (ar *answerRecorder) caller(to types.Addr, what request, verb, arg string, body json.RawMessage, then func(ok bool)) {
+	if _, ok := ar.askHandler(to, what); !ok {
 		return
 	}
-	used, _ := r.run.nodes[to].machine.(*gateway.Gateway).Table()
-	r.ask(to, toCallers, what, verb, arg, body, func(o *observation, a wire.Response) {
+	used, _ := ar.run.nodes[to].machine.(*gateway.Gateway).Table()
+	ar.ask(to, toCallers, what, verb, arg, body, func(o *observation, a wire.Response) {
 		o.code, o.version = http.StatusOK, used.Version
 		if a.Error != nil {
-			r.control(o, wire.Response{Error: a.Error})
+			ar.control(o, wire.Response{Error: a.Error})
 		}
 		then(a.Error == nil)
 	})
 }
 
-func (r *answerRecorder) count(to types.Addr) {
-	r.caller(to, countQueue, "queue.count", string(r.newest.Queues[0].Name), nil, func(bool) {})
+func (ar *answerRecorder) count(to types.Addr) {
+	ar.caller(to, countQueue, "queue.count", string(ar.newest.Queues[0].Name), nil, func(bool) {})
 }
 
-func (r *answerRecorder) submit(to types.Addr) {
-	r.next++
-	id := types.JobID(fmt.Sprintf("%016x", 1<<40+r.next))
-	s := state.Spec{Queue: r.newest.Queues[0].Name, Steps: []state.Step{{Name: "a", Kind: "work", Resources: types.Resources{Cores: types.Core, MemoryMB: 32}, Tasks: 1, Work: Work{MS: 50}.encode()}}}
-	r.run.record(HistoryEvent{Kind: JobSubmitted, Job: id, Spec: &s})
-	r.caller(to, submitJob, "job.put", string(id), wire.EncodeBody(s), func(ok bool) {
+func (ar *answerRecorder) submit(to types.Addr) {
+	ar.next++
+	id := types.JobID(fmt.Sprintf("%016x", 1<<40+ar.next))
+	s := state.Spec{Queue: ar.newest.Queues[0].Name, Steps: []state.Step{{Name: "a", Kind: "work", Resources: types.Resources{Cores: types.Core, MemoryMB: 32}, Tasks: 1, Work: Work{MS: 50}.encode()}}}
+	ar.run.record(HistoryEvent{Kind: JobSubmitted, Job: id, Spec: &s})
+	ar.caller(to, submitJob, "job.put", string(id), wire.EncodeBody(s), func(ok bool) {
 		if ok {
-			r.run.record(HistoryEvent{Kind: JobAccepted, Job: id})
-			r.jobs = append(r.jobs, id)
-			r.run.Clients.watchJob(id)
+			ar.run.record(HistoryEvent{Kind: JobAccepted, Job: id})
+			ar.jobs = append(ar.jobs, id)
+			ar.run.Clients.watchJob(id)
 			return
 		}
-		r.run.record(HistoryEvent{Kind: SubmissionUnresolved, Job: id})
+		ar.run.record(HistoryEvent{Kind: SubmissionUnresolved, Job: id})
 	})
 }
 
-func (r *answerRecorder) readJob(to types.Addr) {
-	if len(r.jobs) == 0 {
+func (ar *answerRecorder) readJob(to types.Addr) {
+	if len(ar.jobs) == 0 {
 		return
 	}
-	r.caller(to, readJob, "job.get", string(r.jobs[len(r.jobs)-1]), nil, func(bool) {})
+	ar.caller(to, readJob, "job.get", string(ar.jobs[len(ar.jobs)-1]), nil, func(bool) {})
 }
 
 // ackedBefore is the newest version that was acknowledged before a time.
-func (r *answerRecorder) ackedBefore(at int64) (v types.Version) {
-	for _, a := range r.acked {
+func (ar *answerRecorder) ackedBefore(at int64) (v types.Version) {
+	for _, a := range ar.acked {
 		if a.at < at {
 			v = max(v, a.version)
 		}
@@ -321,14 +321,14 @@
 }
 
 // seconds prints the statuses by second, daemon and audience.
-func (r *answerRecorder) seconds() string {
+func (ar *answerRecorder) seconds() string {
 	type cell struct {
 		second   int64
 		daemon   types.Addr
 		audience audience
 	}
 	cells := map[cell][]string{}
-	for _, o := range r.observations {
+	for _, o := range ar.observations {
 		code := fmt.Sprint(o.code)
 		if o.answered == 0 {
 			code = "silence"
--- a/sim/net.go
+++ b/sim/net.go
@@ -19,16 +19,16 @@
 
 type eventHeap []scheduledEvent
 
-func (a eventHeap) Len() int { return len(a) }
-func (a eventHeap) Less(i, k int) bool {
-	return a[i].at < a[k].at || a[i].at == a[k].at && a[i].seq < a[k].seq
-}
-func (a eventHeap) Swap(i, k int) { a[i], a[k] = a[k], a[i] }
-func (a *eventHeap) Push(x any)   { *a = append(*a, x.(scheduledEvent)) }
-func (a *eventHeap) Pop() any {
-	old := *a
+func (e eventHeap) Len() int { return len(e) }
+func (e eventHeap) Less(i, k int) bool {
+	return e[i].at < e[k].at || e[i].at == e[k].at && e[i].seq < e[k].seq
+}
+func (e eventHeap) Swap(i, k int) { e[i], e[k] = e[k], e[i] }
+func (e *eventHeap) Push(x any)   { *e = append(*e, x.(scheduledEvent)) }
+func (e *eventHeap) Pop() any {
+	old := *e
 	x := old[len(old)-1]
-	*a = old[:len(old)-1]
+	*e = old[:len(old)-1]
 	return x
 }
 
--- a/sim/opportunities.go
+++ b/sim/opportunities.go
@@ -87,15 +87,15 @@
 }
 
 // String prints a tally, a line each.
-func (t Coverage) String() string {
+func (c Coverage) String() string {
 	var names []string
-	for k := range t {
+	for k := range c {
 		names = append(names, k)
 	}
 	sort.Strings(names)
 	var b strings.Builder
 	for _, k := range names {
-		fmt.Fprintf(&b, "  %7d  %s\n", t[k], k)
+		fmt.Fprintf(&b, "  %7d  %s\n", c[k], k)
 	}
 	return b.String()
 }
--- a/sim/relay.go
+++ b/sim/relay.go
@@ -23,24 +23,24 @@
 
 // Set begins or ends a cut of everything from one host to another. Cuts of the
 // same pair add up.
-func (n *Partitions) Set(from, to string, cut bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (p *Partitions) Set(from, to string, cut bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if cut {
-		n.cuts[[2]string{from, to}]++
+		p.cuts[[2]string{from, to}]++
 	} else {
-		n.cuts[[2]string{from, to}]--
+		p.cuts[[2]string{from, to}]--
 	}
-	close(n.changed)
-	n.changed = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
 // awaitOpen waits until nothing is cut from one host to another.
-func (n *Partitions) awaitOpen(ctx context.Context, from, to string) bool {
+func (p *Partitions) awaitOpen(ctx context.Context, from, to string) bool {
 	for {
-		n.mu.Lock()
-		cut, turn := n.cuts[[2]string{from, to}] > 0, n.changed
-		n.mu.Unlock()
+		p.mu.Lock()
+		cut, turn := p.cuts[[2]string{from, to}] > 0, p.changed
+		p.mu.Unlock()
 		if !cut {
 			return true
 		}
@@ -53,7 +53,7 @@
 }
 
 // Relay listens for a daemon and carries its connections.
-func (n *Partitions) Relay(ctx context.Context, listen, target string) error {
+func (p *Partitions) Relay(ctx context.Context, listen, target string) error {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return err
@@ -66,18 +66,18 @@
 			if err != nil {
 				return
 			}
-			go n.proxy(ctx, c, host, target)
+			go p.proxy(ctx, c, host, target)
 		}
 	}()
 	return nil
 }
 
-func (n *Partitions) proxy(ctx context.Context, c net.Conn, host, target string) {
+func (p *Partitions) proxy(ctx context.Context, c net.Conn, host, target string) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	defer c.Close()
 	from, _, _ := net.SplitHostPort(c.RemoteAddr().String())
-	if !n.awaitOpen(ctx, from, host) || !n.awaitOpen(ctx, host, from) {
+	if !p.awaitOpen(ctx, from, host) || !p.awaitOpen(ctx, host, from) {
 		return
 	}
 	t, err := net.Dial("tcp", target)
@@ -87,21 +87,21 @@
 	defer t.Close()
 	go func() {
 		defer stop()
-		n.copyBytes(ctx, c, t, from, host)
+		p.copyBytes(ctx, c, t, from, host)
 	}()
 	go func() {
 		defer stop()
-		n.copyBytes(ctx, t, c, host, from)
+		p.copyBytes(ctx, t, c, host, from)
 	}()
 	<-ctx.Done()
 }
 
-func (n *Partitions) copyBytes(ctx context.Context, in, out net.Conn, from, to string) {
+func (p *Partitions) copyBytes(ctx context.Context, in, out net.Conn, from, to string) {
 	b := make([]byte, 64<<10)
 	for {
 		k, err := in.Read(b)
 		if k > 0 {
-			if !n.awaitOpen(ctx, from, to) {
+			if !p.awaitOpen(ctx, from, to) {
 				return
 			}
 			if _, err := out.Write(b[:k]); err != nil {
--- a/sim/usage.go
+++ b/sim/usage.go
@@ -104,11 +104,11 @@
 // requestMeter counts a step's sends; notes to the same peer share a request.
 type requestMeter map[types.Addr]bool
 
-func (m requestMeter) first(to types.Addr) bool {
-	if m[to] {
+func (r requestMeter) first(to types.Addr) bool {
+	if r[to] {
 		return false
 	}
-	m[to] = true
+	r[to] = true
 	return true
 }
 
@@ -120,16 +120,16 @@
 
 type footprintWalker map[unsafe.Pointer]bool
 
-func (w footprintWalker) firstVisit(p unsafe.Pointer) bool {
-	if p == nil || w[p] {
+func (f footprintWalker) firstVisit(p unsafe.Pointer) bool {
+	if p == nil || f[p] {
 		return false
 	}
-	w[p] = true
+	f[p] = true
 	return true
 }
 
 // sizeOf counts what v points to, and v itself unless it lies within a counted value.
-func (w footprintWalker) sizeOf(v reflect.Value, inside bool) (n int) {
+func (f footprintWalker) sizeOf(v reflect.Value, inside bool) (n int) {
 	if !v.IsValid() {
 		return 0
 	}
@@ -138,39 +138,39 @@
 	}
 	switch v.Kind() {
 	case reflect.String:
-		if s := v.String(); w.firstVisit(unsafe.Pointer(unsafe.StringData(s))) {
+		if s := v.String(); f.firstVisit(unsafe.Pointer(unsafe.StringData(s))) {
 			n += len(s)
 		}
 	case reflect.Pointer:
-		if w.firstVisit(v.UnsafePointer()) {
-			n += w.sizeOf(v.Elem(), false)
+		if f.firstVisit(v.UnsafePointer()) {
+			n += f.sizeOf(v.Elem(), false)
 		}
 	case reflect.Interface:
-		n += w.sizeOf(v.Elem(), false)
+		n += f.sizeOf(v.Elem(), false)
 	case reflect.Slice:
-		if v.Len() == 0 || !w.firstVisit(v.UnsafePointer()) {
+		if v.Len() == 0 || !f.firstVisit(v.UnsafePointer()) {
 			return
 		}
 		n += v.Cap() * int(v.Type().Elem().Size())
 		for i := range v.Len() {
-			n += w.sizeOf(v.Index(i), true)
+			n += f.sizeOf(v.Index(i), true)
 		}
 	case reflect.Array:
 		for i := range v.Len() {
-			n += w.sizeOf(v.Index(i), true)
+			n += f.sizeOf(v.Index(i), true)
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
-			n += w.sizeOf(v.Field(i), true)
+			n += f.sizeOf(v.Field(i), true)
 		}
 	case reflect.Map:
-		if !w.firstVisit(v.UnsafePointer()) {
+		if !f.firstVisit(v.UnsafePointer()) {
 			return
 		}
 		each := int(v.Type().Key().Size()+v.Type().Elem().Size()) + 1
 		n += 48 + v.Len()*each*8/7
 		for i := v.MapRange(); i.Next(); {
-			n += w.sizeOf(i.Key(), true) + w.sizeOf(i.Value(), true)
+			n += f.sizeOf(i.Key(), true) + f.sizeOf(i.Value(), true)
 		}
 	}
 	return
