--- a/sim/faults.go
+++ b/sim/faults.go
@@ -335,7 +335,6 @@
 	if !r.allControllersVote() {
 		return nil
 	}
-	r.spare++
 	return r.loseDiskOf(pickOne(r.random, r.controllers), swap)
 }
 
--- a/sim/invoked_worker.go
+++ b/sim/invoked_worker.go
@@ -36,7 +36,6 @@
 	leaseEnd        int64   // when that ends, on its clock; 0 is none
 	fencingToken    uint64
 	lastEndNumber   uint64
-	seen            uint64
 	running         map[types.AttemptID]*attempt
 	lastClosed      map[types.TaskID]int
 	unsettledEnds   []invokedEnd
--- a/sim/run.go
+++ b/sim/run.go
@@ -40,12 +40,10 @@
 	gateways     []*node
 	agents       []*node
 	zones        map[types.Zone][]types.Addr
-	spare        int
 	drained      map[string]bool // racks that an operator drains
 	endedAt      int64
 	affected     []types.Addr // whom the trouble at hand touches; nil: everybody
-	Messages     []string
-	realDeadline time.Time // of real time, for runs that measure; they give up then
+	realDeadline time.Time    // of real time, for runs that measure; they give up then
 }
 
 // New sets the plan's deployment up: its controllers, gateways, agents and their workers.
--- a/sim/usage.go
+++ b/sim/usage.go
@@ -25,10 +25,6 @@
 	Classes
 )
 
-func (c Class) String() string {
-	return [Classes]string{"roster", "heartbeat", "log", "table", "work"}[c]
-}
-
 var classByKind = map[string]Class{
 	wire.Hello:     MembershipMessages,
 	wire.Heartbeat: HeartbeatMessages, wire.HeartbeatReply: HeartbeatMessages, wire.RunningTasksQuery: HeartbeatMessages, wire.RunningTasksReply: HeartbeatMessages,
--- a/sim/world.go
+++ b/sim/world.go
@@ -34,7 +34,6 @@
 	addr            types.Addr
 	role            string
 	zone            types.Zone
-	shard           types.Shard
 	machine         wire.Machine
 	newMachine      func(*node) wire.Machine
 	incarnation     int
@@ -374,9 +373,7 @@
 }
 
 func (w *World) addAgent(addr types.Addr, zone types.Zone, m WorkerSpec) *node {
-	n := w.addNode(addr, "agent", zone, func(n *node) wire.Machine {
+	return w.addNode(addr, "agent", zone, func(n *node) wire.Machine {
 		return agent.New(n.clockReading(), w.newRandom(), agent.Options{Addr: addr, Zone: zone, Shard: m.Shard, Seeds: w.seeds, Timeouts: w.timeouts})
 	})
-	n.shard = m.Shard
-	return n
 }
