--- a/cmd/coppercourse/layers_test.go
+++ b/cmd/coppercourse/layers_test.go
@@ -27,7 +27,8 @@
 	{"internal/dispatch", "internal/maintenance"},
 	{"internal/controller", "internal/gateway", "internal/agent", "internal/settings", "internal/server"},
 	{"platform"},
-	{"cmd/coppercourse", "sim"},
+	{"cmd/coppercourse", "sim/history"},
+	{"sim"},
 	{"sim/capacity"},
 	{"cmd/coppersim"},
 }
--- a/cmd/coppersim/fleet.go
+++ b/cmd/coppersim/fleet.go
@@ -17,6 +17,7 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"coppercourse/sim"
+	"coppercourse/sim/history"
 )
 
 // Timings and bounds of a fleet run.
@@ -141,7 +142,7 @@
 	hist := w.Flag("history", "File that its history is appended to.").Default("worker.history").String()
 	made := w.Flag("make", "What it is made of, as JSON.").Default(`{"Shard":"k1","Rack":"r1","Kinds":["quote"],"Room":{"cores":4,"memory":1024}}`).String()
 	commands["worker"] = func() error {
-		var m sim.WorkerSpec
+		var m history.WorkerSpec
 		if err := json.Unmarshal([]byte(*made), &m); err != nil {
 			return fmt.Errorf("--make: %w", err)
 		}
--- a/cmd/coppersim/sweep.go
+++ b/cmd/coppersim/sweep.go
@@ -17,6 +17,7 @@
 
 	"coppercourse/internal/dispatch"
 	"coppercourse/sim"
+	"coppercourse/sim/history"
 )
 
 // sweeper is the flags of the sweep command and the results so far.
@@ -90,7 +91,7 @@
 	fmt.Printf("chances the rules had:\n%v", s.seen)
 	fmt.Printf("%d seeds of %s, %d attempts run, %d seeds broke a rule, %d re-runs after an end nobody alive was told of; took %s\n",
 		s.seeds, s.plan.Deployment, s.attempts, s.broken, s.seen.Reruns(), time.Since(from).Round(time.Second))
-	fmt.Printf("jobs done for each one sent from 12 s after healing, beside before the faults: %s\n", sim.MinMedianMax(s.ratios))
+	fmt.Printf("jobs done for each one sent from 12 s after healing, beside before the faults: %s\n", minMedianMax(s.ratios))
 	s.printByFault()
 	if s.broken > 0 {
 		return fmt.Errorf("%d of %d seeds broke a rule", s.broken, s.seeds)
@@ -166,7 +167,7 @@
 		return cmp.Or(cmp.Compare(a.list[0], b.list[0]), cmp.Compare(a.name, b.name))
 	})
 	for _, r := range rows {
-		fmt.Printf("  %-16s ratio %s; %d runs broke a rule\n", r.name, sim.MinMedianMax(r.list), s.brokenByFault[r.name])
+		fmt.Printf("  %-16s ratio %s; %d runs broke a rule\n", r.name, minMedianMax(r.list), s.brokenByFault[r.name])
 	}
 }
 
@@ -189,10 +190,10 @@
 		fmt.Println(strings.Join(faults, ","))
 	}
 	if s.verbose || broke {
-		fmt.Printf("seed %d: ratio %.2f, %s\n", seed, v.Ratio, sim.Summary(&r.History))
+		fmt.Printf("seed %d: ratio %.2f, %s\n", seed, v.Ratio, history.Summary(&r.History))
 	}
 	if s.seeds == 1 && s.verbose {
-		fmt.Println(sim.Timeline(&r.History))
+		fmt.Println(history.Timeline(&r.History))
 	}
 	if s.job != "" {
 		s.printJob(r)
@@ -235,3 +236,12 @@
 	}
 	fmt.Print(r.JobTrail(s.job))
 }
+
+// minMedianMax returns the least, the median and the greatest of a list, which it sorts.
+func minMedianMax(list []float64) string {
+	if len(list) == 0 {
+		return "nothing"
+	}
+	sort.Float64s(list)
+	return fmt.Sprintf("least %.2f, median %.2f, most %.2f of %d", list[0], list[len(list)/2], list[len(list)-1], len(list))
+}
--- a/internal/dispatch/lacks_test.go
+++ b/internal/dispatch/lacks_test.go
@@ -18,7 +18,7 @@
 // newOverstatingRig is a rig whose worker tells 8 cores and has 2; a task takes one, a large one 4.
 func newOverstatingRig(t *testing.T) *linkRig {
 	r := newReadyRig(t, 17)
-	r.worker.Room = cores(2)
+	r.worker.Capacity = cores(2)
 	r.environment.JobSubmitted("large", &state.Spec{Steps: []state.Step{{Name: "s", Tasks: 1, Resources: cores(4)}}})
 	for i := range 10 {
 		r.environment.JobSubmitted(types.JobID(fmt.Sprint("j", i)), &state.Spec{Steps: []state.Step{{Name: "s", Tasks: 1, Resources: cores(1)}}})
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -15,6 +15,7 @@
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 	"coppercourse/sim"
+	"coppercourse/sim/history"
 )
 
 const ms = time.Millisecond
@@ -52,7 +53,7 @@
 	executor          *dispatch.Executor
 	worker            *sim.InvokedWorker
 	environment       *sim.WorkerEnvironment
-	workerSpec        sim.WorkerSpec
+	workerSpec        history.WorkerSpec
 	incarnations      int
 	agents            int
 	heartbeatSequence uint64
@@ -80,7 +81,7 @@
 func newLinkRig(t *testing.T, seed int64, pace dispatch.Timeouts) *linkRig {
 	r := &linkRig{t: t, random: rand.New(rand.NewSource(seed)), timeouts: pace, authorityLeft: pace.AgentLease, now: types.MonoTime(time.Hour),
 		environment: sim.NewWorkerEnvironment(sim.WorkerRules{MaxLease: 6 * time.Second, MaxStopTime: 400 * ms, GangTimeout: 3 * time.Second, CheckpointInterval: 2 * time.Second, RestoreTime: 600 * ms, RemoteSlowdown: 1.5}),
-		workerSpec:  sim.WorkerSpec{Shard: "s", Rack: "r", Kinds: []types.ServiceKind{"x"}, Room: types.Resources{Cores: 8 * types.Core}, Guards: true},
+		workerSpec:  history.WorkerSpec{Shard: "s", Rack: "r", Kinds: []types.ServiceKind{"x"}, Capacity: types.Resources{Cores: 8 * types.Core}, RejectsOverload: true},
 		fateOf:      func(wire.WorkerCall) callFate { return callDelivered }, lateDelay: func() time.Duration { return 3 * time.Second },
 		outstanding: map[types.AttemptID]bool{}, committed: map[types.AttemptID]state.Outcome{}, running: map[types.AttemptID]bool{}, starts: map[types.AttemptID]int{},
 		endings: map[types.AttemptID]wire.EndReason{}, acknowledged: map[types.AttemptID]bool{}, proposed: map[state.AttemptEnd]bool{}}
@@ -159,21 +160,21 @@
 	id := types.ID(fmt.Sprint("k", lr.incarnations))
 	lr.heartbeatSequence = 0
 	clear(lr.running)
-	lr.worker = sim.NewInvokedWorker(lr.workerSpec, id, lr.environment, lr.random, func() types.MonoTime { return lr.now }, func(h sim.HistoryEvent) {
+	lr.worker = sim.NewInvokedWorker(lr.workerSpec, id, lr.environment, lr.random, func() types.MonoTime { return lr.now }, func(h history.Event) {
 		if lr.worker == nil || types.ID(h.Process) != lr.worker.ID {
 			return
 		}
 		switch h.Kind {
-		case sim.AttemptStarted:
+		case history.AttemptStarted:
 			lr.running[h.Attempt] = true
 			lr.starts[h.Attempt]++
 			if f, ok := lr.committed[h.Attempt]; ok {
 				lr.t.Errorf("%v starts, although the log has it as %s", h.Attempt, f)
 			}
-		case sim.AttemptEnded:
+		case history.AttemptEnded:
 			delete(lr.running, h.Attempt)
 			lr.endings[h.Attempt] = h.How
-		case sim.EndSettled:
+		case history.EndSettled:
 			lr.acknowledged[h.Attempt] = true
 			if f := lr.committed[h.Attempt]; h.How == wire.EndSucceeded && f != state.OutcomeOK {
 				lr.t.Errorf("%v is noted as done, and the log has it as %q", h.Attempt, f)
@@ -190,7 +191,7 @@
 
 func (lr *linkRig) nextHeartbeat() wire.WorkerHeartbeat {
 	lr.heartbeatSequence++
-	return wire.WorkerHeartbeat{Incarnation: lr.worker.ID, Addr: "k", Seq: lr.heartbeatSequence, Rack: "r", Kinds: lr.workerSpec.Kinds, Capacity: lr.workerSpec.Room, ClockMS: lr.worker.Clock()}
+	return wire.WorkerHeartbeat{Incarnation: lr.worker.ID, Addr: "k", Seq: lr.heartbeatSequence, Rack: "r", Kinds: lr.workerSpec.Kinds, Capacity: lr.workerSpec.Capacity, ClockMS: lr.worker.Clock()}
 }
 
 // deliver carries all that the two halves want sent and called.
--- a/sim/active_tables.go
+++ b/sim/active_tables.go
@@ -10,6 +10,7 @@
 
 	"coppercourse/internal/config"
 	"coppercourse/internal/types"
+	"coppercourse/sim/history"
 )
 
 // activeTable is one table that was put and may be in force.
@@ -59,18 +60,18 @@
 	}
 	for _, h := range c.history.Events {
 		switch h.Kind {
-		case TableSubmitted:
+		case history.TableSubmitted:
 			t := h.Table.Accepted()
 			if r := find(t); r.submittedAt == 0 {
 				c.activeTables = append(c.activeTables, activeTable{Table: t, base: h.Table.Version, submittedAt: h.At})
 			}
-		case TableAcknowledged:
+		case history.TableAcknowledged:
 			if r := find(*h.Table); r.acknowledgedAt == 0 {
 				r.acknowledgedAt = h.At
 			}
-		case TableRead:
+		case history.TableRead:
 			find(*h.Table).read = true
-		case TableRefused:
+		case history.TableRefused:
 			find(h.Table.Accepted()).refused = true
 		}
 	}
--- a/sim/attempt.go
+++ b/sim/attempt.go
@@ -12,6 +12,7 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // maxRetryTimeout is how long a hold may wait for an end.
@@ -52,11 +53,11 @@
 			a.savedMS, a.readyAt = a.doneMS, now.Add(iw.environment.RestoreTime)
 		}
 	}
-	if k.Fail || iw.random.Float64() < k.FailureRate+iw.Fails {
+	if k.Fail || iw.random.Float64() < k.FailureRate+iw.FailureRate {
 		a.failsAtMS = min(a.failsAtMS, a.doneMS+(a.workMS-a.doneMS)*(0.1+0.9*iw.random.Float64()))
 	}
 	iw.running[c.Attempt] = a
-	iw.record(HistoryEvent{Kind: AttemptStarted, Attempt: c.Attempt, Work: c.Input, Checkpoint: c.Checkpoint, DeliveredLate: iw.deliveredLate})
+	iw.record(history.Event{Kind: history.AttemptStarted, Attempt: c.Attempt, Work: c.Input, Checkpoint: c.Checkpoint, DeliveredLate: iw.deliveredLate})
 	if step != nil && step.Joint {
 		iw.environment.joinGang(a)
 	}
@@ -83,7 +84,7 @@
 // advance lets the attempt work until a time.
 func (a *attempt) advance(until types.MonoTime) {
 	if from := max(a.advancedTo, a.readyAt); until > from && a.progresses() {
-		a.doneMS += float64(until.Sub(from).Microseconds()) / 1000 / (a.worker.Slow * a.slowdown)
+		a.doneMS += float64(until.Sub(from).Microseconds()) / 1000 / (a.worker.Slowdown * a.slowdown)
 	}
 	a.advancedTo = max(a.advancedTo, until)
 	if every := float64(a.worker.environment.CheckpointInterval.Milliseconds()); a.step != nil && a.step.KeepsCheckpoint && a.doneMS-a.savedMS >= every {
@@ -95,7 +96,7 @@
 func (a *attempt) saveCheckpoint(did float64) {
 	a.savedMS = min(did, a.workMS)
 	a.checkpoint = a.worker.environment.saveCheckpoint(a.worker.random, a.savedMS)
-	a.worker.record(HistoryEvent{Kind: CheckpointSaved, Attempt: a.id, Checkpoint: a.checkpoint})
+	a.worker.record(history.Event{Kind: history.CheckpointSaved, Attempt: a.id, Checkpoint: a.checkpoint})
 }
 
 // advance lets all that runs get on until now, and no further than the lease.
--- a/sim/check.go
+++ b/sim/check.go
@@ -15,6 +15,7 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // Violation is one broken rule.
@@ -59,7 +60,7 @@
 	submittedAt     int64
 	acceptedAt      int64
 	cancelledAt     int64
-	observations    []HistoryEvent
+	observations    []history.Event
 	notFoundAt      int64
 	unfinishedUntil int64                // until when it was surely unfinished
 	executions      map[int][]*execution // by task
@@ -101,7 +102,7 @@
 	bounds       Bounds
 	end          int64
 	jobs         map[types.JobID]*jobHistory
-	workers      map[types.Shard]*WorkerSpec
+	workers      map[types.Shard]*history.WorkerSpec
 	executions   []*execution
 	frozenSince  map[string]int64
 	stoppedAt    map[string][]int64
@@ -110,12 +111,12 @@
 	activeTables []activeTable
 	violations   []Violation
 	coverage     Coverage
-	history      *History
+	history      *history.History
 	faults       []faultWindow // once read
 }
 
 // Check tells all rules a history breaks, and what chances it had to.
-func Check(h *History, b Bounds, end int64, patience time.Duration) ([]Violation, Coverage) {
+func Check(h *history.History, b Bounds, end int64, patience time.Duration) ([]Violation, Coverage) {
 	c := newChecker(h, b, end)
 	for _, j := range c.sortedJobs() {
 		if j.spec == nil {
@@ -137,8 +138,8 @@
 }
 
 // newChecker reads a history.
-func newChecker(h *History, b Bounds, end int64) *checker {
-	c := &checker{bounds: b, end: end, jobs: map[types.JobID]*jobHistory{}, workers: map[types.Shard]*WorkerSpec{}, frozenSince: map[string]int64{},
+func newChecker(h *history.History, b Bounds, end int64) *checker {
+	c := &checker{bounds: b, end: end, jobs: map[types.JobID]*jobHistory{}, workers: map[types.Shard]*history.WorkerSpec{}, frozenSince: map[string]int64{},
 		stoppedAt: map[string][]int64{}, leaving: map[types.Shard][][2]int64{}, draining: map[types.Shard][][2]int64{}, history: h, coverage: Coverage{}}
 	c.readHistory()
 	c.collectTables()
@@ -180,18 +181,18 @@
 	}
 	for _, h := range c.history.Events {
 		switch h.Kind {
-		case WorkerStaying:
+		case history.WorkerStaying:
 			if h.Worker != nil {
 				c.workers[h.Shard] = h.Worker
 			}
 			if l := c.leaving[h.Shard]; len(l) > 0 && l[len(l)-1][1] == c.end {
 				l[len(l)-1][1] = h.At
 			}
-		case DrainAccepted, DrainRemoval:
+		case history.DrainAccepted, history.DrainRemoval:
 			c.recordDrain(h)
-		case WorkerLeaving:
+		case history.WorkerLeaving:
 			c.leaving[h.Shard] = append(c.leaving[h.Shard], [2]int64{h.At, c.end})
-		case AttemptStarted:
+		case history.AttemptStarted:
 			s := &execution{attempt: h.Attempt, process: h.Process, shard: h.Shard, startedAt: h.At, endedAt: c.end, checkpoint: h.Checkpoint, work: h.Work, deliveredLate: h.DeliveredLate}
 			if live[h.Process] == nil {
 				live[h.Process] = map[types.AttemptID]*execution{}
@@ -200,40 +201,40 @@
 			c.executions = append(c.executions, s)
 			j := c.job(h.Attempt.Job)
 			j.executions[h.Attempt.Number] = append(j.executions[h.Attempt.Number], s)
-		case AttemptEnded:
+		case history.AttemptEnded:
 			if s := live[h.Process][h.Attempt]; s != nil {
 				s.how = h.How
 				close(s, h.At, h.Outcome)
 			}
-		case EndSettled:
+		case history.EndSettled:
 			for _, s := range c.job(h.Attempt.Job).executions[h.Attempt.Number] {
 				if s.attempt == h.Attempt && s.process == h.Process {
 					s.settledAt = h.At
 				}
 			}
-		case CancelSubmitted:
+		case history.CancelSubmitted:
 			c.job(h.Job).cancelSentAt = h.At
-		case SubmissionRejected, JobDenied:
+		case history.SubmissionRejected, history.JobDenied:
 			c.job(h.Job).rejections++
-		case SubmissionUnresolved:
+		case history.SubmissionUnresolved:
 			c.job(h.Job).unresolved++
-		case EndAcknowledged:
+		case history.EndAcknowledged:
 			for _, s := range c.job(h.Attempt.Job).executions[h.Attempt.Number] {
 				if s.acknowledgedAt == 0 && s.attempt == h.Attempt {
 					s.acknowledgedAt = h.At
 				}
 			}
-		case EndReported:
+		case history.EndReported:
 			for _, s := range c.job(h.Attempt.Job).executions[h.Attempt.Number] {
 				if s.attempt == h.Attempt {
 					s.reports = append(s.reports, endReport{h.Process, h.At})
 				}
 			}
-		case DaemonStopped:
+		case history.DaemonStopped:
 			c.stoppedAt[h.Process] = append(c.stoppedAt[h.Process], h.At)
-		case WorkerRemoved:
+		case history.WorkerRemoved:
 			c.countRemoval(h, live[h.Process])
-		case WorkerDied:
+		case history.WorkerDied:
 			for _, s := range live[h.Process] {
 				if at, ok := c.frozenSince[h.Process]; ok {
 					s.frozen = append(s.frozen, [2]int64{at, h.At})
@@ -246,28 +247,28 @@
 					s.workerDiedAt = h.At
 				}
 			}
-		case WorkerFroze:
+		case history.WorkerFroze:
 			c.frozenSince[h.Process] = h.At
-		case WorkerThawed:
+		case history.WorkerThawed:
 			for _, s := range live[h.Process] {
 				s.frozen = append(s.frozen, [2]int64{c.frozenSince[h.Process], h.At})
 			}
 			delete(c.frozenSince, h.Process)
-		case JobSubmitted:
+		case history.JobSubmitted:
 			j := c.job(h.Job)
 			j.spec, j.submittedAt = h.Spec, h.At
-		case JobAccepted:
+		case history.JobAccepted:
 			if j := c.job(h.Job); j.acceptedAt == 0 {
 				j.acceptedAt = h.At
 			}
-		case CancelAccepted:
+		case history.CancelAccepted:
 			if j := c.job(h.Job); j.cancelledAt == 0 {
 				j.cancelledAt = h.At
 			}
-		case JobObserved:
+		case history.JobObserved:
 			j := c.job(h.Job)
 			j.observations = append(j.observations, h)
-		case JobNotFound:
+		case history.JobNotFound:
 			c.job(h.Job).notFoundAt = h.At
 		}
 	}
@@ -310,7 +311,7 @@
 func (j *jobHistory) dueAt(p state.Step, time int) int64 {
 	at := j.submittedAt + int64(p.DelayMillis)*1e6
 	if t := j.spec.Schedule; t != nil {
-		at = max(at, (t.FirstUnixMillis+int64(time)*t.IntervalMillis)*1e6-wallClockStart)
+		at = max(at, (t.FirstUnixMillis+int64(time)*t.IntervalMillis)*1e6-history.WallClockStart)
 	}
 	return at
 }
@@ -323,7 +324,7 @@
 			if due := j.dueAt(p, types.StageOf(n).Occurrence()); s.startedAt < due-int64(c.bounds.StartEarly) {
 				c.violate("early", s.startedAt, "%v starts %.3f s too soon", s.attempt, float64(due-s.startedAt)/1e9)
 			}
-			if t, err := time.Parse(time.RFC3339Nano, p.NotBefore); err == nil && s.startedAt+wallClockStart < t.UnixNano()-int64(c.bounds.StartEarly) {
+			if t, err := time.Parse(time.RFC3339Nano, p.NotBefore); err == nil && s.startedAt+history.WallClockStart < t.UnixNano()-int64(c.bounds.StartEarly) {
 				c.violate("early", s.startedAt, "%v starts before %s", s.attempt, p.NotBefore)
 			}
 			for _, a := range p.DependsOn {
--- a/sim/check_attempts.go
+++ b/sim/check_attempts.go
@@ -9,6 +9,7 @@
 
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
+	"coppercourse/sim/history"
 )
 
 // rerunExcuse tells why an attempt's end need not have been known at a time, or nothing:
@@ -109,7 +110,7 @@
 const fairNotice = 2500 * time.Millisecond
 
 // countRemoval counts what a worker still ran that had said in time when it goes.
-func (c *checker) countRemoval(h HistoryEvent, live map[types.AttemptID]*execution) {
+func (c *checker) countRemoval(h history.Event, live map[types.AttemptID]*execution) {
 	if d, _ := time.ParseDuration(h.Text); d >= fairNotice {
 		c.coverage["removed: workers taken away with notice"]++
 		c.coverage["removed: attempts lost to that"] += len(live)
@@ -117,14 +118,14 @@
 }
 
 // recordDrain opens or closes a drain of a worker or a rack.
-func (c *checker) recordDrain(h HistoryEvent) {
+func (c *checker) recordDrain(h history.Event) {
 	kind, name, _ := strings.Cut(h.Text, "/")
 	for shard, m := range c.workers {
 		if kind == "racks" && string(m.Rack) != name || kind == "workers" && string(shard) != name {
 			continue
 		}
 		l := c.draining[shard]
-		if h.Kind == DrainAccepted {
+		if h.Kind == history.DrainAccepted {
 			c.coverage["leaving: a drain taken"]++
 			c.draining[shard] = append(l, [2]int64{h.At, c.end})
 			continue
--- a/sim/check_tasks.go
+++ b/sim/check_tasks.go
@@ -2,16 +2,15 @@
 package sim
 
 import (
-	"fmt"
 	"slices"
 	"sort"
 	"strconv"
 	"strings"
-	"time"
 
 	"coppercourse/internal/config"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
+	"coppercourse/sim/history"
 )
 
 // place: the right service, rack and spread, and nothing for one that leaves.
@@ -85,14 +84,14 @@
 					}
 				}
 			}
-			if m := c.workers[s.shard]; m.Room.Cores == sum.Cores {
+			if m := c.workers[s.shard]; m.Capacity.Cores == sum.Cores {
 				c.coverage["room: started into the last core"]++
 			}
-			if m := c.workers[s.shard]; c.jobs[s.attempt.Job].spec != nil && !m.Room.Contains(sum.Add(c.stepOf(s).Resources)) {
+			if m := c.workers[s.shard]; c.jobs[s.attempt.Job].spec != nil && !m.Capacity.Contains(sum.Add(c.stepOf(s).Resources)) {
 				c.coverage["room: started where no other like it would fit"]++
 			}
-			if m := c.workers[s.shard]; !m.Room.Contains(sum) {
-				c.violate("room", s.startedAt, "%s runs %v at once, its room is %v", who, sum, m.Room)
+			if m := c.workers[s.shard]; !m.Capacity.Contains(sum) {
+				c.violate("room", s.startedAt, "%s runs %v at once, its room is %v", who, sum, m.Capacity)
 			}
 		}
 	}
@@ -181,7 +180,7 @@
 	}
 }
 
-func (c *checker) checkEndShown(j *jobHistory, h HistoryEvent) {
+func (c *checker) checkEndShown(j *jobHistory, h history.Event) {
 	dead, late := false, 0
 	for i := range j.spec.TotalTasks() {
 		n := j.spec.TaskNumber(i)
@@ -222,7 +221,7 @@
 // acknowledged before the read began; a refused table is in no version.
 func (c *checker) checkTables() {
 	says := map[types.Version]config.Table{}
-	var acked []HistoryEvent
+	var acked []history.Event
 	tried := []config.Table{}
 	fixed := func(t config.Table, at int64) {
 		if o, ok := says[t.Version]; ok && !o.SameContent(t) {
@@ -232,12 +231,12 @@
 	}
 	for _, h := range c.history.Events {
 		switch h.Kind {
-		case TableSubmitted:
+		case history.TableSubmitted:
 			tried = append(tried, *h.Table)
-		case TableAcknowledged:
+		case history.TableAcknowledged:
 			fixed(*h.Table, h.At)
 			acked = append(acked, h)
-		case TableRead:
+		case history.TableRead:
 			fixed(*h.Table, h.At)
 			began, _ := strconv.ParseInt(h.Text, 10, 64)
 			i := sort.Search(len(acked), func(i int) bool { return acked[i].At >= began })
@@ -257,10 +256,10 @@
 		}
 	}
 	for _, h := range c.history.Events {
-		if o, ok := says[types.Version(0)]; h.Kind == TableRefused && ok && len(o.Queues) > 0 {
+		if o, ok := says[types.Version(0)]; h.Kind == history.TableRefused && ok && len(o.Queues) > 0 {
 			c.violate("table", h.At, "version 0 is not empty")
 		}
-		if h.Kind == TableRefused {
+		if h.Kind == history.TableRefused {
 			if o, ok := says[h.Table.Accepted().Version]; ok && o.SameContent(*h.Table) && !c.submittedTwice(tried, *h.Table) {
 				c.violate("table", h.At, "a refused table is version %d", o.Version)
 			}
@@ -277,32 +276,3 @@
 	}
 	return n > 1
 }
-
-// CompletionRate counts jobs seen done in a stretch, each once, by when they were sent.
-func CompletionRate(h *History, from, to int64) float64 {
-	first := map[types.JobID]bool{}
-	n := 0
-	for _, x := range h.Events {
-		if x.Kind == JobObserved && x.Stage == state.JobDone && !first[x.Job] {
-			first[x.Job] = true
-			if x.At >= from && x.At < to {
-				n++
-			}
-		}
-	}
-	return float64(n) / (time.Duration(to - from)).Seconds()
-}
-
-// Summary counts the history's happenings in one line.
-func Summary(h *History) string {
-	n := map[EventKind]int{}
-	outcomes := map[state.Outcome]int{}
-	for _, x := range h.Events {
-		n[x.Kind]++
-		if x.Kind == AttemptEnded {
-			outcomes[x.Outcome]++
-		}
-	}
-	return fmt.Sprintf("sent %d, accepted %d, denied %d, cancels %d, attempts %d, ended %v, worker deaths %d, tables %d taken %d refused, troubles %d",
-		n[JobSubmitted], n[JobAccepted], n[JobDenied], n[CancelAccepted], n[AttemptStarted], outcomes, n[WorkerDied], n[TableAcknowledged], n[TableRefused], n[FaultStarted])
-}
--- a/sim/clients.go
+++ b/sim/clients.go
@@ -15,6 +15,7 @@
 	"coppercourse/internal/gateway"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 const answerTimeout = 4 * time.Second
@@ -60,10 +61,10 @@
 		id := types.JobID(fmt.Sprintf("%s-%d", f.Queue, c.lastJob))
 		s := f.NewSpec(c.world.random)
 		if c.world.random.Intn(8) == 0 {
-			due := wallClockStart + c.world.now + int64(c.world.random.Intn(3000))*1e6
+			due := history.WallClockStart + c.world.now + int64(c.world.random.Intn(3000))*1e6
 			s.Steps[len(s.Steps)-1].NotBefore = time.Unix(0, due).UTC().Format(time.RFC3339Nano)
 		}
-		c.world.record(HistoryEvent{Kind: JobSubmitted, Job: id, Spec: &s})
+		c.world.record(history.Event{Kind: history.JobSubmitted, Job: id, Spec: &s})
 		c.submit(id, wire.EncodeBody(s), c.readyGateway(c.world.random.Intn(3)), 0)
 		c.startFlow(f)
 	})
@@ -82,7 +83,7 @@
 		if c.world.random.Float64() < f.CancelRate {
 			c.cancelDelays[id] = f.CancelWithin/3 + time.Duration(c.world.random.Int63n(int64(f.CancelWithin)))
 		}
-		c.world.record(HistoryEvent{Kind: JobSubmitted, Job: id, Spec: &s})
+		c.world.record(history.Event{Kind: history.JobSubmitted, Job: id, Spec: &s})
 		c.submit(id, wire.EncodeBody(s), c.readyGateway(c.world.random.Intn(3)), 0)
 		c.startStream(f)
 	})
@@ -114,7 +115,7 @@
 	c.request(to, "job.put", string(id), body, func(a wire.Response) {
 		switch {
 		case a.Error == nil:
-			c.world.record(HistoryEvent{Kind: JobAccepted, Job: id})
+			c.world.record(history.Event{Kind: history.JobAccepted, Job: id})
 			c.recordObservation(id, a)
 			c.watchJob(id)
 			if d, ok := c.cancelDelays[id]; ok {
@@ -125,9 +126,9 @@
 		case a.Error.RetryAfterSeconds > 0:
 			c.Refusals[a.Error.Kind]++
 			if a.Error.Kind == apierror.OutcomeUnknown {
-				c.world.record(HistoryEvent{Kind: SubmissionUnresolved, Job: id})
+				c.world.record(history.Event{Kind: history.SubmissionUnresolved, Job: id})
 			} else {
-				c.world.record(HistoryEvent{Kind: SubmissionRejected, Job: id, Text: a.Error.Error()})
+				c.world.record(history.Event{Kind: history.SubmissionRejected, Job: id, Text: a.Error.Error()})
 			}
 			if c.ImpatientRate > 0 && c.world.random.Float64() < c.ImpatientRate {
 				retry(200 * time.Millisecond)
@@ -136,10 +137,10 @@
 			retry(time.Duration(a.Error.RetryAfterSeconds) * time.Second)
 		default:
 			c.Refusals[a.Error.Kind]++
-			c.world.record(HistoryEvent{Kind: JobDenied, Job: id, Text: a.Error.Error()})
+			c.world.record(history.Event{Kind: history.JobDenied, Job: id, Text: a.Error.Error()})
 		}
 	}, func() {
-		c.world.record(HistoryEvent{Kind: SubmissionUnresolved, Job: id})
+		c.world.record(history.Event{Kind: history.SubmissionUnresolved, Job: id})
 		retry(100 * time.Millisecond)
 	})
 }
@@ -149,7 +150,7 @@
 	if json.Unmarshal(a.Body, &v) != nil {
 		return false
 	}
-	c.world.record(HistoryEvent{Kind: JobObserved, Job: id, Stage: v.State, Text: v.Reason})
+	c.world.record(history.Event{Kind: history.JobObserved, Job: id, Stage: v.State, Text: v.Reason})
 	return v.State == "done" || v.State == "failed" || v.State == "cancelled"
 }
 
@@ -159,7 +160,7 @@
 		c.request(c.anyGateway(), "job.get", string(id), nil, func(a wire.Response) {
 			switch {
 			case a.Error != nil && a.Error.Kind == apierror.NoSuchJob:
-				c.world.record(HistoryEvent{Kind: JobNotFound, Job: id})
+				c.world.record(history.Event{Kind: history.JobNotFound, Job: id})
 			case a.Error != nil || !c.recordObservation(id, a):
 				c.watchJob(id)
 			}
@@ -169,7 +170,7 @@
 
 func (c *Clients) cancelJob(id types.JobID, retries int) {
 	if retries == 0 {
-		c.world.record(HistoryEvent{Kind: CancelSubmitted, Job: id})
+		c.world.record(history.Event{Kind: history.CancelSubmitted, Job: id})
 	}
 	retry := func(d time.Duration) {
 		if retries < 10 {
@@ -179,7 +180,7 @@
 	c.request(c.anyGateway(), "job.cancel", string(id), nil, func(a wire.Response) {
 		switch {
 		case a.Error == nil:
-			c.world.record(HistoryEvent{Kind: CancelAccepted, Job: id})
+			c.world.record(history.Event{Kind: history.CancelAccepted, Job: id})
 		case a.Error.RetryAfterSeconds > 0:
 			retry(time.Duration(a.Error.RetryAfterSeconds) * time.Second)
 		}
@@ -189,7 +190,7 @@
 // putTable sends a table until it is known to be taken or refused.
 func (c *Clients) putTable(t config.Table, to types.Addr, retries int, then func(bool)) {
 	if retries == 0 {
-		c.world.record(HistoryEvent{Kind: TableSubmitted, Table: &t})
+		c.world.record(history.Event{Kind: history.TableSubmitted, Table: &t})
 	}
 	retry := func(d time.Duration) {
 		if retries < 40 {
@@ -200,12 +201,12 @@
 		switch {
 		case a.Error == nil:
 			got := t.Accepted()
-			c.world.record(HistoryEvent{Kind: TableAcknowledged, Table: &got, Text: fmt.Sprint(t.Version)})
+			c.world.record(history.Event{Kind: history.TableAcknowledged, Table: &got, Text: fmt.Sprint(t.Version)})
 			then(true)
 		case a.Error.RetryAfterSeconds > 0:
 			retry(time.Duration(a.Error.RetryAfterSeconds) * time.Second)
 		default:
-			c.world.record(HistoryEvent{Kind: TableRefused, Table: &t, Text: a.Error.Error()})
+			c.world.record(history.Event{Kind: history.TableRefused, Table: &t, Text: a.Error.Error()})
 			then(false)
 		}
 	}, func() { retry(100 * time.Millisecond) })
@@ -214,7 +215,7 @@
 // requestAsOperator gives an operator's order until it is known to be taken or refused.
 func (c *Clients) requestAsOperator(verb, argument string, body json.RawMessage, retries int, then func()) {
 	if verb == "drain.drop" && retries == 0 {
-		c.world.record(HistoryEvent{Kind: DrainRemoval, Text: argument})
+		c.world.record(history.Event{Kind: history.DrainRemoval, Text: argument})
 	}
 	retry := func(d time.Duration) {
 		if retries < 100 {
@@ -225,7 +226,7 @@
 		switch {
 		case a.Error == nil:
 			if verb == "drain.put" {
-				c.world.record(HistoryEvent{Kind: DrainAccepted, Text: argument})
+				c.world.record(history.Event{Kind: history.DrainAccepted, Text: argument})
 			}
 			then()
 		case a.Error.RetryAfterSeconds > 0:
@@ -240,7 +241,7 @@
 	c.request(c.anyGateway(), "table.get", "", nil, func(a wire.Response) {
 		var t config.Table
 		if a.Error == nil && json.Unmarshal(a.Body, &t) == nil {
-			c.world.record(HistoryEvent{Kind: TableRead, Table: &t, Text: fmt.Sprint(began)})
+			c.world.record(history.Event{Kind: history.TableRead, Table: &t, Text: fmt.Sprint(began)})
 			if then != nil {
 				then(t)
 			}
--- a/sim/control_faults.go
+++ b/sim/control_faults.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"coppercourse/internal/types"
+	"coppercourse/sim/history"
 )
 
 const (
@@ -37,14 +38,14 @@
 	"cut-from-core-in":   partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { return r.addressesOf(r.controllers), r.someAddresses(0.2) }),
 	"cut-from-core-out":  partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { return r.someAddresses(0.2), r.addressesOf(r.controllers) }),
 	"turn-seeds":         changeSeeds,
-	"kill-after-ack":     faultAfterEvent(TableAcknowledged, 0, maxKillDelay, killLeader),
-	"kill-after-send":    faultAfterEvent(TableSubmitted, minSendDelay, maxSendDelay, killLeader),
-	"kill-after-accept":  faultAfterEvent(JobAccepted, 0, maxKillDelay, killLeader),
-	"wipe-after-ack":     faultAfterEvent(TableAcknowledged, 0, maxKillDelay, wipeLeader),
-	"wipe-after-send":    faultAfterEvent(TableSubmitted, minSendDelay, maxSendDelay, wipeLeader),
+	"kill-after-ack":     faultAfterEvent(history.TableAcknowledged, 0, maxKillDelay, killLeader),
+	"kill-after-send":    faultAfterEvent(history.TableSubmitted, minSendDelay, maxSendDelay, killLeader),
+	"kill-after-accept":  faultAfterEvent(history.JobAccepted, 0, maxKillDelay, killLeader),
+	"wipe-after-ack":     faultAfterEvent(history.TableAcknowledged, 0, maxKillDelay, wipeLeader),
+	"wipe-after-send":    faultAfterEvent(history.TableSubmitted, minSendDelay, maxSendDelay, wipeLeader),
 	"wipe-oldest":        func(r *Run, _ time.Duration) func() { return r.loseDiskIfSafe(r.oldestController()) },
-	"power-after-accept": faultAfterEvent(JobAccepted, 0, maxKillDelay, func(r *Run) func() { return r.cutPower(r.controllers) }),
-	"power-after-ack":    faultAfterEvent(TableAcknowledged, 0, maxKillDelay, func(r *Run) func() { return r.cutPower(r.daemons()) }),
+	"power-after-accept": faultAfterEvent(history.JobAccepted, 0, maxKillDelay, func(r *Run) func() { return r.cutPower(r.controllers) }),
+	"power-after-ack":    faultAfterEvent(history.TableAcknowledged, 0, maxKillDelay, func(r *Run) func() { return r.cutPower(r.daemons()) }),
 	"kill-herd": func(r *Run, _ time.Duration) func() {
 		return r.cutPower(r.sample(append(slices.Clone(r.gateways), r.agents...), herdShare))
 	},
@@ -217,7 +218,7 @@
 
 // faultAfterEvent has something go wrong soon after the next event of a kind. What it gives back
 // ends the trouble when the fault's time is over.
-func faultAfterEvent(kind EventKind, shortest, longest time.Duration, how func(*Run) func()) Fault {
+func faultAfterEvent(kind history.Kind, shortest, longest time.Duration, how func(*Run) func()) Fault {
 	return func(r *Run, _ time.Duration) func() {
 		var end func()
 		healed := false
--- a/sim/control_faults_test.go
+++ b/sim/control_faults_test.go
@@ -10,6 +10,7 @@
 	"github.com/matryer/is"
 
 	"coppercourse/internal/types"
+	"coppercourse/sim/history"
 )
 
 // observedEffects tells, by the kind of a fault, that it has struck by now.
@@ -110,14 +111,14 @@
 		sent := map[types.Version]int64{}
 		for _, h := range r.History.Events {
 			switch h.Kind {
-			case TableSubmitted:
+			case history.TableSubmitted:
 				sent[h.Table.Accepted().Version] = h.At
-			case TableAcknowledged:
+			case history.TableAcknowledged:
 				taken++
 				if h.At-sent[h.Table.Version] > int64(answerTimeout) {
 					lost++
 				}
-			case TableRefused:
+			case history.TableRefused:
 				t.Error(seed, h.Text)
 			}
 		}
--- a/sim/core_test.go
+++ b/sim/core_test.go
@@ -14,6 +14,7 @@
 	"coppercourse/internal/controller"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 func (r *Run) controllerStatus(n *node) controller.StatusView {
@@ -176,7 +177,7 @@
 	for _, h := range r.controllers {
 		at, err := time.Parse(time.RFC3339Nano, r.controllerStatus(h).ClusterTime)
 		is.NoErr(err)
-		off := at.Sub(time.Unix(0, wallClockStart+r.now))
+		off := at.Sub(time.Unix(0, history.WallClockStart+r.now))
 		is.True(off < 100*time.Millisecond)
 		is.True(off > -300*time.Millisecond)
 	}
@@ -296,9 +297,9 @@
 			s := pairJobs("payments", "pay")(r.random)
 			s.Steps = s.Steps[:1]
 			if s.Steps[0].DelayMillis = 3000; i > 0 {
-				s.Steps[0].DelayMillis, s.Steps[0].NotBefore = 0, time.Unix(0, wallClockStart+r.now+3e9).UTC().Format(time.RFC3339Nano)
+				s.Steps[0].DelayMillis, s.Steps[0].NotBefore = 0, time.Unix(0, history.WallClockStart+r.now+3e9).UTC().Format(time.RFC3339Nano)
 			}
-			r.record(HistoryEvent{Kind: JobSubmitted, Job: types.JobID(at), Spec: &s})
+			r.record(history.Event{Kind: history.JobSubmitted, Job: types.JobID(at), Spec: &s})
 			r.Clients.submit(types.JobID(at), wire.EncodeBody(s), "g1", 0)
 		}
 		r.RunUntil(16 * time.Second)
--- a/sim/cost_test.go
+++ b/sim/cost_test.go
@@ -14,6 +14,7 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // timedMachine measures a machine's steps.
@@ -44,7 +45,7 @@
 				s.Steps[0].DelayMillis = 3_600_000
 			}
 			id := types.JobID(fmt.Sprint("menus-f", i))
-			r.record(HistoryEvent{Kind: JobSubmitted, Job: id, Spec: &s})
+			r.record(history.Event{Kind: history.JobSubmitted, Job: id, Spec: &s})
 			r.Clients.submit(id, wire.EncodeBody(s), "g1", 0)
 		}
 		r.RunUntil(14 * time.Second)
--- a/sim/crowd_test.go
+++ b/sim/crowd_test.go
@@ -12,17 +12,18 @@
 	"coppercourse/internal/apierror"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
+	"coppercourse/sim/history"
 )
 
 // queueCompletionRate counts a queue's jobs seen done a second.
-func queueCompletionRate(h *History, q types.QueueName, from, to time.Duration) float64 {
-	part := &History{}
+func queueCompletionRate(h *history.History, q types.QueueName, from, to time.Duration) float64 {
+	part := &history.History{}
 	for _, x := range h.Events {
 		if len(x.Job) > len(q) && string(x.Job[:len(q)]) == string(q) {
 			part.Add(x)
 		}
 	}
-	return CompletionRate(part, int64(from), int64(to))
+	return history.CompletionRate(part, int64(from), int64(to))
 }
 
 func TestFloodLeavesOthersTheirs(t *testing.T) {
--- a/sim/cutoff_record_test.go
+++ b/sim/cutoff_record_test.go
@@ -21,6 +21,7 @@
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 	"coppercourse/platform"
+	"coppercourse/sim/history"
 )
 
 // audience is who was answered.
@@ -218,7 +219,7 @@
 	t.Queues = slices.Clone(t.Queues)
 	t.Queues[0].RequestTimeoutMillis = 1000 + ar.next
 	t.RequestedVersion = t.Version + 1
-	ar.run.record(HistoryEvent{Kind: TableSubmitted, Table: &t})
+	ar.run.record(history.Event{Kind: history.TableSubmitted, Table: &t})
 	ar.ask(to, toOperators, replaceTable, "table.put", "", wire.EncodeBody(t), func(o *observation, a wire.Response) {
 		ar.control(o, a)
 		if o.code != http.StatusOK {
@@ -226,7 +227,7 @@
 		}
 		got := t.Accepted()
 		o.version = got.Version
-		ar.run.record(HistoryEvent{Kind: TableAcknowledged, Table: &got, Text: fmt.Sprint(t.Version)})
+		ar.run.record(history.Event{Kind: history.TableAcknowledged, Table: &got, Text: fmt.Sprint(t.Version)})
 		ar.acked = append(ar.acked, acknowledgement{ar.run.now, got.Version})
 		if got.Version > ar.newest.Version {
 			ar.newest = got
@@ -291,15 +292,15 @@
 	ar.next++
 	id := types.JobID(fmt.Sprintf("%016x", 1<<40+ar.next))
 	s := state.Spec{Queue: ar.newest.Queues[0].Name, Steps: []state.Step{{Name: "a", Kind: "work", Resources: types.Resources{Cores: types.Core, MemoryMB: 32}, Tasks: 1, Work: Work{MS: 50}.encode()}}}
-	ar.run.record(HistoryEvent{Kind: JobSubmitted, Job: id, Spec: &s})
+	ar.run.record(history.Event{Kind: history.JobSubmitted, Job: id, Spec: &s})
 	ar.caller(to, submitJob, "job.put", string(id), wire.EncodeBody(s), func(ok bool) {
 		if ok {
-			ar.run.record(HistoryEvent{Kind: JobAccepted, Job: id})
+			ar.run.record(history.Event{Kind: history.JobAccepted, Job: id})
 			ar.jobs = append(ar.jobs, id)
 			ar.run.Clients.watchJob(id)
 			return
 		}
-		ar.run.record(HistoryEvent{Kind: SubmissionUnresolved, Job: id})
+		ar.run.record(history.Event{Kind: history.SubmissionUnresolved, Job: id})
 	})
 }
 
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -14,6 +14,7 @@
 	"coppercourse/internal/controller"
 	"coppercourse/internal/dispatch"
 	"coppercourse/internal/types"
+	"coppercourse/sim/history"
 )
 
 const (
@@ -191,7 +192,7 @@
 		}
 	}
 	c.cutControllers = []types.Addr{n.addr}
-	c.Run.record(HistoryEvent{Kind: FaultStarted, Text: fmt.Sprintf("cut-off for %s", cutFor)})
+	c.Run.record(history.Event{Kind: history.FaultStarted, Text: fmt.Sprintf("cut-off for %s", cutFor)})
 	w.cut(c, n)
 }
 
--- a/sim/deployment.go
+++ b/sim/deployment.go
@@ -11,6 +11,7 @@
 	"coppercourse/internal/config"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
+	"coppercourse/sim/history"
 )
 
 // Deployment is a deployment.
@@ -128,22 +129,22 @@
 }
 
 // Workers lists them, rack by rack.
-func (d Deployment) Workers() (list []WorkerSpec) {
+func (d Deployment) Workers() (list []history.WorkerSpec) {
 	kinds := [][]types.ServiceKind{{"quote", "menu"}, {"quote", "pay"}, {"menu", "pay", "quote"}}
 	x := d.effectiveSize()
 	for i := range x.Workers {
 		if d.WorkerRules != nil {
 			size := []float64{1, 1, 1.5}[i%3]
-			m := WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.WorkersPerRack+1)), Kinds: []types.ServiceKind{"work"},
-				Room: types.Resources{Cores: types.MilliCores(float64(d.Cores) * size), MemoryMB: int(float64(d.Cores) * size * 2048 / 1000)}, Guards: true}
+			m := history.WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.WorkersPerRack+1)), Kinds: []types.ServiceKind{"work"},
+				Capacity: types.Resources{Cores: types.MilliCores(float64(d.Cores) * size), MemoryMB: int(float64(d.Cores) * size * 2048 / 1000)}, RejectsOverload: true}
 			if m.Labels = []string{"a"}; i%3 == 1 {
 				m.Labels = append(m.Labels, "b")
 			}
 			list = append(list, m)
 			continue
 		}
-		list = append(list, WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.WorkersPerRack+1)),
-			Kinds: kinds[i%3], Room: types.Resources{Cores: d.Cores, MemoryMB: int(d.Cores) * 1024 / 1000}})
+		list = append(list, history.WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/x.WorkersPerRack+1)),
+			Kinds: kinds[i%3], Capacity: types.Resources{Cores: d.Cores, MemoryMB: int(d.Cores) * 1024 / 1000}})
 	}
 	return
 }
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -11,6 +11,7 @@
 	"coppercourse/internal/controller"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // Fault begins a trouble.
@@ -221,7 +222,7 @@
 		gen := h.incarnation
 		return func() {
 			if h.incarnation == gen && h.worker.Leaving {
-				r.record(HistoryEvent{Kind: WorkerRemoved, Process: string(h.worker.ID), Shard: h.spec.Shard, Text: long.String()})
+				r.record(history.Event{Kind: history.WorkerRemoved, Process: string(h.worker.ID), Shard: h.spec.Shard, Text: long.String()})
 				h.kill()
 				r.after(2*time.Second, func() {
 					if h.worker == nil {
@@ -231,9 +232,9 @@
 			}
 		}
 	},
-	"slow-worker":    degradeFault(func(m *WorkerSpec) { m.Slow = 5 }),
-	"stall-worker":   degradeFault(func(m *WorkerSpec) { m.Stall = 0.3 }),
-	"failing-worker": degradeFault(func(m *WorkerSpec) { m.Fails = 0.5 }),
+	"slow-worker":    degradeFault(func(m *history.WorkerSpec) { m.Slowdown = 5 }),
+	"stall-worker":   degradeFault(func(m *history.WorkerSpec) { m.StallRate = 0.3 }),
+	"failing-worker": degradeFault(func(m *history.WorkerSpec) { m.FailureRate = 0.5 }),
 	"drain-rack": func(r *Run, long time.Duration) func() {
 		rack := fmt.Sprintf("racks/r%d", 1+r.random.Intn(4))
 		if r.drained[rack] {
@@ -303,7 +304,7 @@
 }
 
 // degradeFault makes a worker do badly while it looks healthy.
-func degradeFault(how func(*WorkerSpec)) Fault {
+func degradeFault(how func(*history.WorkerSpec)) Fault {
 	return func(r *Run, _ time.Duration) func() {
 		h := r.anyPollingWorker()
 		if h.worker == nil {
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"coppercourse/internal/types"
+	"coppercourse/sim/history"
 )
 
 // process is one process of the fleet.
@@ -47,7 +48,7 @@
 	processes     []*process
 	processByName map[string]*process
 	mu            sync.Mutex
-	History       History
+	History       history.History
 	ctx           context.Context
 	start         time.Time
 	client        *http.Client
@@ -138,7 +139,7 @@
 func (f *Fleet) processID(p *process) string { return fmt.Sprintf("%s.%d", p.name, p.incarnation) }
 
 // Record adds to the history what the fleet itself sees.
-func (f *Fleet) Record(h HistoryEvent) {
+func (f *Fleet) Record(h history.Event) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h.At = time.Since(f.start).Nanoseconds()
@@ -154,9 +155,9 @@
 func (f *Fleet) kill(p *process) {
 	p.signal(syscall.SIGKILL)
 	p.down.Store(true)
-	f.Record(HistoryEvent{Kind: DaemonStopped, Process: p.addr})
+	f.Record(history.Event{Kind: history.DaemonStopped, Process: p.addr})
 	if p.role == "worker" {
-		f.Record(HistoryEvent{Kind: WorkerDied, Process: f.processID(p), Shard: f.shard(p)})
+		f.Record(history.Event{Kind: history.WorkerDied, Process: f.processID(p), Shard: f.shard(p)})
 	}
 }
 
@@ -167,16 +168,16 @@
 }
 
 func (f *Fleet) freeze(p *process, on bool) {
-	what, sig := WorkerFroze, syscall.SIGSTOP
+	what, sig := history.WorkerFroze, syscall.SIGSTOP
 	if !on {
-		what, sig = WorkerThawed, syscall.SIGCONT
+		what, sig = history.WorkerThawed, syscall.SIGCONT
 	}
 	if p.role == "worker" && !on {
-		f.Record(HistoryEvent{Kind: what, Process: f.processID(p), Shard: f.shard(p)})
+		f.Record(history.Event{Kind: what, Process: f.processID(p), Shard: f.shard(p)})
 	}
 	p.signal(sig)
 	if p.role == "worker" && on {
-		f.Record(HistoryEvent{Kind: what, Process: f.processID(p), Shard: f.shard(p)})
+		f.Record(history.Event{Kind: what, Process: f.processID(p), Shard: f.shard(p)})
 	}
 	p.frozen.Store(on)
 }
@@ -208,7 +209,7 @@
 		in := bufio.NewScanner(file)
 		in.Buffer(nil, 1<<20)
 		for in.Scan() {
-			var h HistoryEvent
+			var h history.Event
 			if json.Unmarshal(in.Bytes(), &h) != nil {
 				continue
 			}
--- a/sim/fleet_faults.go
+++ b/sim/fleet_faults.go
@@ -2,6 +2,7 @@
 package sim
 
 import (
+	"coppercourse/sim/history"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -171,7 +172,7 @@
 	case <-time.After(6 * time.Second):
 	}
 	p.signal(syscall.SIGKILL)
-	f.Record(HistoryEvent{Kind: DaemonStopped, Process: p.addr})
+	f.Record(history.Event{Kind: history.DaemonStopped, Process: p.addr})
 	f.launch(p)
 }
 
@@ -227,14 +228,14 @@
 		for len(ends) > 0 && !ends[0].at.After(until) {
 			time.Sleep(time.Until(ends[0].at))
 			ends[0].do()
-			f.Record(HistoryEvent{Kind: FaultsHealed})
+			f.Record(history.Event{Kind: history.FaultsHealed})
 			ends = ends[1:]
 		}
 		time.Sleep(time.Until(until))
 	}
 	for _, e := range list {
 		wait(from.Add(e.At))
-		f.Record(HistoryEvent{Kind: FaultStarted, Text: fmt.Sprintf("%s for %s", e.Name, e.Duration)})
+		f.Record(history.Event{Kind: history.FaultStarted, Text: fmt.Sprintf("%s for %s", e.Name, e.Duration)})
 		ends = append(ends, ending{time.Now().Add(e.Duration), findFault(e.Name)(f, s)})
 		sort.Slice(ends, func(i, k int) bool { return ends[i].at.Before(ends[k].at) })
 	}
@@ -266,12 +267,12 @@
 	}
 	breaks, seen := Check(&f.History, DefaultBounds, end, 30*time.Second)
 	for _, h := range f.History.Events {
-		if h.Kind == RequestDropped {
+		if h.Kind == history.RequestDropped {
 			breaks = append(breaks, Violation{"dropped", h.At, "a request that was read got no answer: " + h.Process + ": " + h.Text})
 		}
 	}
-	fmt.Print(Timeline(&f.History))
-	fmt.Printf("%s\n", Summary(&f.History))
+	fmt.Print(history.Timeline(&f.History))
+	fmt.Printf("%s\n", history.Summary(&f.History))
 	fmt.Printf("accepted after: %s\nseen done after: %s\n", Quantiles(s.AcceptTimes), Quantiles(s.DoneTimes))
 	fmt.Printf("refusals on the way: %v\nchances the rules had:\n%v", s.Refusals, seen)
 	return breaks, nil
--- a/sim/front_test.go
+++ b/sim/front_test.go
@@ -8,6 +8,7 @@
 
 	"coppercourse/internal/gateway"
 	"coppercourse/internal/types"
+	"coppercourse/sim/history"
 )
 
 // publishedTable is what a gateway last published of its table, as its requests see it.
@@ -33,7 +34,7 @@
 	probe = func() {
 		old := types.Version(0) // the newest that was acknowledged so long ago
 		for _, h := range r.History.Events {
-			if h.Kind == TableAcknowledged && h.At+int64(DefaultBounds.TableLag) < r.now {
+			if h.Kind == history.TableAcknowledged && h.At+int64(DefaultBounds.TableLag) < r.now {
 				old = max(old, h.Table.Version)
 			}
 		}
--- a/sim/goodput_test.go
+++ b/sim/goodput_test.go
@@ -15,6 +15,7 @@
 	"coppercourse/internal/config"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
+	"coppercourse/sim/history"
 )
 
 var allLoads = flag.Bool("crowds", false, "look at all loads")
@@ -37,7 +38,7 @@
 		r.Clients.startFlow(f)
 	}
 	r.RunUntil(50 * time.Second)
-	good = CompletionRate(&r.History, int64(25*time.Second), int64(50*time.Second))
+	good = history.CompletionRate(&r.History, int64(25*time.Second), int64(50*time.Second))
 	pay = queueCompletionRate(&r.History, "payments", 25*time.Second, 50*time.Second)
 	for k, n := range r.Clients.Refusals {
 		t.Logf("  %d refusals %s", n, k)
--- a/sim/grown_day_test.go
+++ b/sim/grown_day_test.go
@@ -9,6 +9,7 @@
 
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // grownDay is short enough for every change.
@@ -32,18 +33,18 @@
 					t.Error(b)
 				}
 				is.Equal(unstarted(r.History.Events), 0)
-				n, hows := map[EventKind]int{}, map[wire.EndReason]int{}
+				n, hows := map[history.Kind]int{}, map[wire.EndReason]int{}
 				for _, h := range r.History.Events {
 					n[h.Kind]++
-					if h.Kind == AttemptEnded {
+					if h.Kind == history.AttemptEnded {
 						hows[h.How]++
 					}
 				}
-				t.Log(Summary(&r.History), hows)
-				started += n[AttemptStarted]
-				is.Equal(n[JobDenied], 0)
-				is.Equal(n[EndSettled]+n[EndVoided], n[AttemptStarted]) // every end is settled, and but for answers lost on the way in time
-				is.True(n[EndVoided] <= 10)
+				t.Log(history.Summary(&r.History), hows)
+				started += n[history.AttemptStarted]
+				is.Equal(n[history.JobDenied], 0)
+				is.Equal(n[history.EndSettled]+n[history.EndVoided], n[history.AttemptStarted]) // every end is settled, and but for answers lost on the way in time
+				is.True(n[history.EndVoided] <= 10)
 				is.Equal(hows[wire.EndLeaseExpired]+hows[wire.EndGangStartTimeout], 0)
 				is.True(r.allVoting(len(r.controllers)))
 			}
@@ -55,19 +56,19 @@
 // unstarted counts the tasks that never started, of jobs that nobody cancelled and
 // that did not end for a task that failed for good. That each job ended, and with
 // cause, is the verdict's to judge.
-func unstarted(events []HistoryEvent) (count int) {
+func unstarted(events []history.Event) (count int) {
 	owed := map[types.JobID]int{}
 	started := map[types.TaskID]bool{}
 	failed := map[types.TaskID]bool{}
 	for _, h := range events {
 		switch h.Kind {
-		case JobSubmitted:
+		case history.JobSubmitted:
 			owed[h.Job] = h.Spec.TotalTasks()
-		case AttemptStarted:
+		case history.AttemptStarted:
 			started[h.Attempt.TaskID] = true
-		case AttemptEnded:
+		case history.AttemptEnded:
 			failed[h.Attempt.TaskID] = h.How != wire.EndSucceeded && (failed[h.Attempt.TaskID] || h.How == wire.EndFailed)
-		case CancelSubmitted:
+		case history.CancelSubmitted:
 			delete(owed, h.Job)
 		}
 	}
@@ -98,7 +99,7 @@
 			for _, b := range r.Verdict().Violations {
 				t.Error(b)
 			}
-			t.Log(Summary(&r.History))
+			t.Log(history.Summary(&r.History))
 			r.require(t, "all controllers vote", r.allVoting(len(r.controllers)))
 		})
 	}
@@ -120,7 +121,7 @@
 	r.Execute()
 	attempts, pushes, told := 0, 0, 0
 	for _, h := range r.History.Events {
-		if h.Kind == AttemptEnded {
+		if h.Kind == history.AttemptEnded {
 			attempts++
 		}
 	}
--- a/sim/hours_test.go
+++ b/sim/hours_test.go
@@ -14,6 +14,7 @@
 	"coppercourse/internal/controller"
 	"coppercourse/internal/dispatch"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 var steadyTraffic = flag.Bool("steady", false, "all the usual traffic throughout the cut")
@@ -66,7 +67,7 @@
 	heal := r.now
 	sent := 0
 	for _, h := range r.History.Events { // callers inside repeat what they sent before and at the time of the cut
-		if h.Kind == JobSubmitted && h.At < cut+int64(10*time.Second) {
+		if h.Kind == history.JobSubmitted && h.At < cut+int64(10*time.Second) {
 			sent++
 			r.request(r.Clients.address, "g1", "job.put", string(h.Job), wire.EncodeBody(h.Spec), func(a wire.Response) {
 				if a.Error != nil && a.Error.RetryAfterSeconds == 0 {
@@ -77,8 +78,8 @@
 	}
 	is.True(sent > 50)
 	r.RunUntil(time.Duration(heal) + 27*time.Second)
-	before := CompletionRate(&r.History, int64(8*time.Second), int64(20*time.Second))
-	after := CompletionRate(&r.History, heal+int64(12*time.Second), heal+int64(27*time.Second))
+	before := history.CompletionRate(&r.History, int64(8*time.Second), int64(20*time.Second))
+	after := history.CompletionRate(&r.History, heal+int64(12*time.Second), heal+int64(27*time.Second))
 	healthy := 0
 	for _, w := range r.leader().machine.(*controller.Controller).Workers() {
 		if w.State == dispatch.Healthy {
--- a/sim/invoked_check.go
+++ b/sim/invoked_check.go
@@ -15,6 +15,7 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // InvokedBounds are the bounds of the two deployments.
@@ -25,7 +26,7 @@
 }
 
 // CheckCalled tells all rules a history breaks, and what chances it had to.
-func CheckInvoked(h *History, b Bounds, end int64) ([]Violation, Coverage) {
+func CheckInvoked(h *history.History, b Bounds, end int64) ([]Violation, Coverage) {
 	c := newChecker(h, b, end)
 	if c.faultDuring(0, end, func(t faultWindow) bool { return strings.HasPrefix(t.name, "jump") }) {
 		c.bounds.StartEarly += b.ClockJump
@@ -69,11 +70,11 @@
 	c.faults = []faultWindow{}
 	for _, h := range c.history.Events {
 		switch h.Kind {
-		case FaultStarted:
+		case history.FaultStarted:
 			name, long, _ := strings.Cut(h.Text, " for ")
 			d, _ := time.ParseDuration(long)
 			c.faults = append(c.faults, faultWindow{name, h.At, h.At + int64(d), h.Affected})
-		case FaultsHealed:
+		case history.FaultsHealed:
 			for i := range c.faults {
 				c.faults[i].to = min(c.faults[i].to, h.At)
 			}
@@ -199,10 +200,10 @@
 }
 
 // savedCheckpoints lists what each stage's attempts saved, and when.
-func (c *checker) savedCheckpoints() map[string]HistoryEvent {
-	saves := map[string]HistoryEvent{}
+func (c *checker) savedCheckpoints() map[string]history.Event {
+	saves := map[string]history.Event{}
 	for _, h := range c.history.Events {
-		if h.Kind == CheckpointSaved {
+		if h.Kind == history.CheckpointSaved {
 			saves[h.Checkpoint] = h
 		}
 	}
@@ -210,7 +211,7 @@
 }
 
 // unasked: only what was sent, with its own work, from what its own task saved.
-func (c *checker) checkUnsolicited(j *jobHistory, saves map[string]HistoryEvent) {
+func (c *checker) checkUnsolicited(j *jobHistory, saves map[string]history.Event) {
 	for n, list := range j.executions {
 		i := j.spec.StepOf(n)
 		for _, s := range list {
--- a/sim/invoked_deployment.go
+++ b/sim/invoked_deployment.go
@@ -13,6 +13,7 @@
 	"coppercourse/internal/config"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
+	"coppercourse/sim/history"
 )
 
 // Stream is jobs of a shape with their mean rate, of which some are cancelled.
@@ -87,7 +88,7 @@
 		s.Steps = append(s.Steps, p)
 	}
 	if yes(sh.scheduledRate) {
-		s.Schedule = &state.Schedule{FirstUnixMillis: (wallClockStart+now)/1e6 + int64(r.Intn(3000)), IntervalMillis: 1000 + int64(r.Intn(2000)), Count: 2 + r.Intn(4)}
+		s.Schedule = &state.Schedule{FirstUnixMillis: (history.WallClockStart+now)/1e6 + int64(r.Intn(3000)), IntervalMillis: 1000 + int64(r.Intn(2000)), Count: 2 + r.Intn(4)}
 	}
 	return s
 }
--- a/sim/invoked_faults.go
+++ b/sim/invoked_faults.go
@@ -101,8 +101,8 @@
 	}),
 
 	"kill-worker":    crashFault(true, false),
-	"slow-worker":    workerFault(func(_ *Run, k *invokedNode) { k.worker.Slow = 6.5 }, func(_ *Run, k *invokedNode) { k.worker.Slow = max(1, k.spec.Slow) }),
-	"failing-worker": workerFault(func(_ *Run, k *invokedNode) { k.worker.Fails = 0.4 }, func(_ *Run, k *invokedNode) { k.worker.Fails = k.spec.Fails }),
+	"slow-worker":    workerFault(func(_ *Run, k *invokedNode) { k.worker.Slowdown = 6.5 }, func(_ *Run, k *invokedNode) { k.worker.Slowdown = max(1, k.spec.Slowdown) }),
+	"failing-worker": workerFault(func(_ *Run, k *invokedNode) { k.worker.FailureRate = 0.4 }, func(_ *Run, k *invokedNode) { k.worker.FailureRate = k.spec.FailureRate }),
 	"cut-worker": partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) {
 		return separatedFromAll(r, pickOne(r.random, r.invokedWorkers).node)
 	}),
--- a/sim/invoked_idle.go
+++ b/sim/invoked_idle.go
@@ -10,6 +10,7 @@
 
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
+	"coppercourse/sim/history"
 )
 
 const idleSampleInterval = int64(250 * time.Millisecond)
@@ -69,7 +70,7 @@
 
 // readyStep finds a step of a job of which a task's turn has come.
 func (c *checker) readyStep(j *jobHistory, at int64) (p state.Step, ok bool) {
-	if at < j.acceptedAt || j.cancelSentAt > 0 && j.cancelSentAt <= at || slices.ContainsFunc(j.observations, func(h HistoryEvent) bool { return h.At <= at && isEnded(h.Stage) }) {
+	if at < j.acceptedAt || j.cancelSentAt > 0 && j.cancelSentAt <= at || slices.ContainsFunc(j.observations, func(h history.Event) bool { return h.At <= at && isEnded(h.Stage) }) {
 		return
 	}
 	if c.triesExhausted(j, at) {
@@ -139,7 +140,7 @@
 		need = 2 * p.Tasks
 	}
 	for shard, m := range c.workers {
-		all, busy = all+m.Room.Cores, busy+used[shard].Cores
+		all, busy = all+m.Capacity.Cores, busy+used[shard].Cores
 		fits := true
 		for _, l := range p.Labels {
 			fits = fits && slices.Contains(m.Labels, l)
@@ -147,7 +148,7 @@
 		if !fits {
 			continue
 		}
-		n := m.Room.Sub(used[shard]).FitCount(p.Resources)
+		n := m.Capacity.Sub(used[shard]).FitCount(p.Resources)
 		if p.MaxPerWorker > 0 {
 			n = min(n, p.MaxPerWorker)
 		}
--- a/sim/invoked_jobs.go
+++ b/sim/invoked_jobs.go
@@ -4,6 +4,7 @@
 
 import (
 	"coppercourse/internal/state"
+	"coppercourse/sim/history"
 )
 
 // refused: nothing runs of a job whose every try was turned away.
@@ -50,7 +51,7 @@
 }
 
 // checkOutcomeCause looks for the cause of what a caller was shown.
-func (c *checker) checkOutcomeCause(j *jobHistory, h HistoryEvent) {
+func (c *checker) checkOutcomeCause(j *jobHistory, h history.Event) {
 	dead := false
 	for i := range j.spec.TotalTasks() {
 		n := j.spec.TaskNumber(i)
--- a/sim/invoked_node.go
+++ b/sim/invoked_node.go
@@ -9,13 +9,14 @@
 
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // invokedNode is the place of an invoked worker, and the process there if there is one.
 type invokedNode struct {
 	node                  *node // its clocks and address; it carries no machine
 	agent                 types.Addr
-	spec                  WorkerSpec
+	spec                  history.WorkerSpec
 	worker                *InvokedWorker
 	incarnation           int
 	heartbeatSequence     uint64
@@ -30,7 +31,7 @@
 }
 
 // invokedNode adds the place of an invoked worker.
-func (w *World) addInvokedWorker(addr, agent types.Addr, zone types.Zone, m WorkerSpec) *invokedNode {
+func (w *World) addInvokedWorker(addr, agent types.Addr, zone types.Zone, m history.WorkerSpec) *invokedNode {
 	k := &invokedNode{agent: agent, spec: m}
 	k.node = w.addNode(addr, "worker", zone, nil)
 	w.invokedWorkers = append(w.invokedWorkers, k)
@@ -44,7 +45,7 @@
 	i.heartbeatSequence, i.departsAt, i.departureAcknowledged = 0, 0, false
 	i.worker = NewInvokedWorker(i.spec, types.ID(fmt.Sprintf("%s.%d", n.addr, i.incarnation)), n.world.environment, n.world.newRandom(), n.monotonic, n.world.record)
 	i.worker.IgnoresLease, i.worker.IgnoresFence = i.ignoresLease, i.ignoresFence
-	n.world.record(HistoryEvent{Kind: WorkerStaying, Process: string(i.worker.ID), Shard: i.spec.Shard, Worker: &i.spec})
+	n.world.record(history.Event{Kind: history.WorkerStaying, Process: string(i.worker.ID), Shard: i.spec.Shard, Worker: &i.spec})
 	gen := i.incarnation
 	current := func() bool { return i.incarnation == gen && i.worker != nil }
 	var tick, heartbeat func()
@@ -69,7 +70,7 @@
 	w, gen := i.node.world, i.incarnation
 	i.heartbeatSequence++
 	b := wire.WorkerHeartbeat{Incarnation: i.worker.ID, Addr: i.node.addr, Seq: i.heartbeatSequence, Rack: i.spec.Rack, Labels: i.spec.Labels, Kinds: i.spec.Kinds,
-		Capacity: i.spec.Room, ClockMS: i.worker.Clock()}
+		Capacity: i.spec.Capacity, ClockMS: i.worker.Clock()}
 	if i.departsAt != 0 {
 		b.Draining, b.DepartsInMS = true, max(1, i.departsAt.Sub(i.node.monotonic()).Milliseconds())
 	}
@@ -78,7 +79,7 @@
 		w.request(i.node.addr, i.agent, "beat", "", wire.EncodeBody(b), func(a wire.Response) {
 			if acknowledged = acknowledged || a.Error == nil; a.Error == nil && b.Draining && i.incarnation == gen && !i.departureAcknowledged {
 				i.departureAcknowledged = true
-				w.record(HistoryEvent{Kind: WorkerLeaving, Process: string(b.Incarnation), Shard: i.spec.Shard})
+				w.record(history.Event{Kind: history.WorkerLeaving, Process: string(b.Incarnation), Shard: i.spec.Shard})
 			}
 		})
 	}
@@ -100,7 +101,7 @@
 		return
 	}
 	i.refusesConnections = refusesConnections
-	i.node.world.record(HistoryEvent{Kind: WorkerDied, Process: string(i.worker.ID), Shard: i.spec.Shard})
+	i.node.world.record(history.Event{Kind: history.WorkerDied, Process: string(i.worker.ID), Shard: i.spec.Shard})
 	i.incarnation++
 	w := i.worker
 	i.worker = nil
@@ -120,7 +121,7 @@
 			return
 		}
 		w.request(i.node.addr, i.agent, "leave", string(i.worker.ID), nil, func(wire.Response) {})
-		w.record(HistoryEvent{Kind: WorkerRemoved, Process: string(i.worker.ID), Shard: i.spec.Shard, Text: within.String()})
+		w.record(history.Event{Kind: history.WorkerRemoved, Process: string(i.worker.ID), Shard: i.spec.Shard, Text: within.String()})
 		i.kill(true)
 	})
 }
@@ -133,7 +134,7 @@
 		return
 	}
 	i.worker.Stalled, i.worker.Unhealthy = false, false
-	i.worker.Slow, i.worker.Fails = max(1, i.spec.Slow), i.spec.Fails
+	i.worker.Slowdown, i.worker.FailureRate = max(1, i.spec.Slowdown), i.spec.FailureRate
 }
 
 // handleCall is a call that has come to the worker's address.
--- a/sim/invoked_planted_test.go
+++ b/sim/invoked_planted_test.go
@@ -16,6 +16,7 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 func onHeartbeat(f func(*wire.WorkerHeartbeat)) func(*Run) {
@@ -187,7 +188,7 @@
 				for _, b := range r.Execute().Verdict().Violations {
 					got[b.Rule] = true
 				}
-				t.Log(seed, got, Summary(&r.History))
+				t.Log(seed, got, history.Summary(&r.History))
 			}
 			for _, rule := range p.rules {
 				is.True(got[rule]) // the rule must be seen broken
@@ -203,18 +204,18 @@
 	old, next := config.Table{RequestedVersion: 5, Queues: []config.Queue{row("idle-1")}}, config.Table{Version: 5, RequestedVersion: 7, Queues: []config.Queue{row("idle-2")}}
 	for who, want := range map[string]int{"g1.1": 1, "g2.1": 0, "g1.2": 0} {
 		is := is.New(t)
-		h := &History{}
-		add := func(ms int64, x HistoryEvent) {
+		h := &history.History{}
+		add := func(ms int64, x history.Event) {
 			x.At = ms * 1e6
 			h.Add(x)
 		}
 		for _, x := range []config.Table{old, next} {
 			got := x.Accepted()
-			add(int64(x.RequestedVersion)*1000, HistoryEvent{Kind: TableSubmitted, Table: &x})
-			add(int64(x.RequestedVersion)*1000+10, HistoryEvent{Kind: TableAcknowledged, Table: &got, Text: "x"})
+			add(int64(x.RequestedVersion)*1000, history.Event{Kind: history.TableSubmitted, Table: &x})
+			add(int64(x.RequestedVersion)*1000+10, history.Event{Kind: history.TableAcknowledged, Table: &got, Text: "x"})
 		}
-		add(7100, HistoryEvent{Kind: QueueCounted, Process: "g1.1", Job: "idle-2", Stage: "there", Text: "7090000000"})
-		add(7900, HistoryEvent{Kind: QueueCounted, Process: who, Job: "idle-1", Stage: "there", Text: "7800000000"})
+		add(7100, history.Event{Kind: history.QueueCounted, Process: "g1.1", Job: "idle-2", Stage: "there", Text: "7090000000"})
+		add(7900, history.Event{Kind: history.QueueCounted, Process: who, Job: "idle-1", Stage: "there", Text: "7800000000"})
 		n := 0
 		for _, b := range first(CheckInvoked(h, InvokedBounds(*Deployments["kingston-called"].WorkerRules), 20e9)) {
 			if b.Rule == "back" {
--- a/sim/invoked_tables.go
+++ b/sim/invoked_tables.go
@@ -10,12 +10,13 @@
 
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
+	"coppercourse/sim/history"
 )
 
 func (c *checker) checkVersions() {
-	acked := map[string]HistoryEvent{}
+	acked := map[string]history.Event{}
 	for _, h := range c.history.Events {
-		if h.Kind != TableAcknowledged || h.Text == "" {
+		if h.Kind != history.TableAcknowledged || h.Text == "" {
 			continue
 		}
 		if o, ok := acked[h.Text]; ok && (o.Table.Version != h.Table.Version || !o.Table.SameContent(*h.Table)) {
@@ -29,7 +30,7 @@
 	}
 	back := map[string][]past{}
 	for _, h := range c.history.Events {
-		if h.Kind != QueueCounted {
+		if h.Kind != history.QueueCounted {
 			continue
 		}
 		began, _ := strconv.ParseInt(h.Text, 10, 64)
@@ -110,19 +111,19 @@
 	}
 	for _, h := range c.history.Events {
 		switch h.Kind {
-		case TableAcknowledged:
+		case history.TableAcknowledged:
 			if !c.faultFree(h.At, h.At+second) {
 				c.coverage["table: acknowledged near a trouble"]++
 			}
-		case TableRefused:
+		case history.TableRefused:
 			c.coverage["table: refused or losing"]++
-		case AttemptRejected:
+		case history.AttemptRejected:
 			if h.DeliveredLate {
 				c.coverage["late: a start was turned away by a later fence"]++
 				continue
 			}
 			c.coverage["room: a worker turned an attempt away"]++
-		case GangAssembled:
+		case history.GangAssembled:
 			c.coverage["alone: a member's gang was whole"]++
 		}
 	}
--- a/sim/invoked_test.go
+++ b/sim/invoked_test.go
@@ -15,6 +15,7 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // calmPlan is a day without faults in a deployment whose workers are invoked.
@@ -37,22 +38,22 @@
 			for _, b := range r.Verdict().Violations {
 				t.Error(b)
 			}
-			n, hows, last := map[EventKind]int{}, map[wire.EndReason]int{}, map[string]state.JobStatus{}
+			n, hows, last := map[history.Kind]int{}, map[wire.EndReason]int{}, map[string]state.JobStatus{}
 			for _, h := range r.History.Events {
 				n[h.Kind]++
 				switch h.Kind {
-				case AttemptEnded:
+				case history.AttemptEnded:
 					hows[h.How]++
-				case JobObserved:
+				case history.JobObserved:
 					last[string(h.Job)] = h.Stage
 				}
 			}
-			t.Log(Summary(&r.History), hows)
-			is.True(n[AttemptStarted] > 1000) // enough to tell; which jobs are drawn shifts with every message
-			is.Equal(n[JobDenied], 0)
-			is.Equal(n[EndSettled], n[AttemptStarted]) // every end is settled, and in time
+			t.Log(history.Summary(&r.History), hows)
+			is.True(n[history.AttemptStarted] > 1000) // enough to tell; which jobs are drawn shifts with every message
+			is.Equal(n[history.JobDenied], 0)
+			is.Equal(n[history.EndSettled], n[history.AttemptStarted]) // every end is settled, and in time
 			is.Equal(hows[wire.EndLeaseExpired]+hows[wire.EndGangStartTimeout], 0)
-			is.True(n[GangAssembled] > 0)
+			is.True(n[history.GangAssembled] > 0)
 			for id, s := range last {
 				if s == state.JobOpen || s == state.JobEnding {
 					t.Error(id, s)
@@ -174,16 +175,16 @@
 		full, started, orders := 0, 0, uint64(0)
 		for _, h := range r.History.Events {
 			switch h.Kind {
-			case AttemptRejected:
+			case history.AttemptRejected:
 				full++
-			case AttemptStarted:
+			case history.AttemptStarted:
 				started++
 			}
 		}
 		for _, n := range r.controllers {
 			orders += n.machine.(*controller.Controller).Counters.Orders
 		}
-		t.Logf("%d: %d orders, %d starts, %d turned away; %s", seed, orders, started, full, Summary(&r.History))
+		t.Logf("%d: %d orders, %d starts, %d turned away; %s", seed, orders, started, full, history.Summary(&r.History))
 		is.True(full > 0)
 		is.True(int(orders)-started < 50)
 		for _, b := range r.Verdict().Violations {
@@ -214,11 +215,11 @@
 			waits, again, longest := map[types.AttemptID]int64{}, 0, int64(0)
 			for _, h := range r.History.Events {
 				switch h.Kind {
-				case AttemptStarted:
+				case history.AttemptStarted:
 					waits[h.Attempt] = h.At
-				case GangAssembled:
+				case history.GangAssembled:
 					delete(waits, h.Attempt)
-				case AttemptEnded:
+				case history.AttemptEnded:
 					is.True(h.How != wire.EndGangStartTimeout)
 					if at, ok := waits[h.Attempt]; ok {
 						again++
@@ -226,7 +227,7 @@
 					}
 				}
 			}
-			t.Logf("%d members were stopped before their gang was whole, after %.3f s at most; %s", again, float64(longest)/1e9, Summary(&r.History))
+			t.Logf("%d members were stopped before their gang was whole, after %.3f s at most; %s", again, float64(longest)/1e9, history.Summary(&r.History))
 			is.True(again > 0)
 			for _, b := range r.Verdict().Violations {
 				t.Error(b)
--- a/sim/invoked_worker.go
+++ b/sim/invoked_worker.go
@@ -13,11 +13,12 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // InvokedWorker is one process of such a worker.
 type InvokedWorker struct {
-	WorkerSpec
+	history.WorkerSpec
 	ID               types.ID
 	Stalled          bool // what runs gets no further, but calls are answered
 	Unhealthy        bool // it turns all starts away and says so
@@ -27,7 +28,7 @@
 
 	environment     *WorkerEnvironment
 	random          *rand.Rand
-	recordEvent     func(HistoryEvent)
+	recordEvent     func(history.Event)
 	now             func() types.MonoTime
 	startedAt       types.MonoTime
 	clockStart      int64   // what its clock read at its birth
@@ -60,9 +61,9 @@
 
 // NewInvokedWorker starts a worker process. Its clock is up to 2% slow and begins
 // anywhere.
-func NewInvokedWorker(spec WorkerSpec, id types.ID, environment *WorkerEnvironment, random *rand.Rand, now func() types.MonoTime, record func(HistoryEvent)) *InvokedWorker {
-	if spec.Slow == 0 {
-		spec.Slow = 1
+func NewInvokedWorker(spec history.WorkerSpec, id types.ID, environment *WorkerEnvironment, random *rand.Rand, now func() types.MonoTime, record func(history.Event)) *InvokedWorker {
+	if spec.Slowdown == 0 {
+		spec.Slowdown = 1
 	}
 	return &InvokedWorker{WorkerSpec: spec, ID: id, StartsUnderLease: random.Intn(2) == 0, environment: environment, random: random, recordEvent: record, now: now, startedAt: now(), clockStart: 1 + random.Int63n(1<<40),
 		clockRate: 1 - 0.02*random.Float64(), running: map[types.AttemptID]*attempt{}, lastClosed: map[types.TaskID]int{}}
@@ -76,7 +77,7 @@
 // leaseExpired tells whether the lease has ended.
 func (iw *InvokedWorker) leaseExpired() bool { return !iw.IgnoresLease && iw.Clock() >= iw.leaseEnd }
 
-func (iw *InvokedWorker) record(h HistoryEvent) {
+func (iw *InvokedWorker) record(h history.Event) {
 	h.Process, h.Shard = string(iw.ID), iw.Shard
 	iw.recordEvent(h)
 }
@@ -98,7 +99,7 @@
 		return
 	case c.FencingToken < iw.fencingToken && !iw.IgnoresFence:
 		if iw.deliveredLate && c.Kind == wire.StartAttempt {
-			iw.record(HistoryEvent{Kind: AttemptRejected, Attempt: c.Attempt, DeliveredLate: true})
+			iw.record(history.Event{Kind: history.AttemptRejected, Attempt: c.Attempt, DeliveredLate: true})
 		}
 		r.Result = wire.ResultFenced
 		reply(r)
@@ -145,8 +146,8 @@
 		return wire.ResultSuperseded
 	}
 	step := iw.environment.stepOf(c.Attempt)
-	if iw.Guards && step != nil && !iw.freeCapacity().Contains(step.Resources) {
-		iw.record(HistoryEvent{Kind: AttemptRejected, Attempt: c.Attempt})
+	if iw.RejectsOverload && step != nil && !iw.freeCapacity().Contains(step.Resources) {
+		iw.record(history.Event{Kind: history.AttemptRejected, Attempt: c.Attempt})
 		return wire.ResultNoCapacity
 	}
 	iw.startAttempt(c, step)
@@ -155,7 +156,7 @@
 
 // freeCapacity is the room that nothing takes; what is being stopped still does.
 func (iw *InvokedWorker) freeCapacity() types.Resources {
-	r := iw.Room
+	r := iw.Capacity
 	for _, a := range iw.running {
 		r = r.Sub(a.capacity)
 	}
@@ -177,11 +178,11 @@
 	for len(iw.unsettledEnds) > 0 && iw.unsettledEnds[0].Number <= seen {
 		e := iw.unsettledEnds[0]
 		iw.unsettledEnds = iw.unsettledEnds[1:]
-		what := EndSettled
+		what := history.EndSettled
 		if e.lapsed {
-			what = EndVoided
+			what = history.EndVoided
 		}
-		iw.record(HistoryEvent{Kind: what, Attempt: e.Attempt, How: e.Reason})
+		iw.record(history.Event{Kind: what, Attempt: e.Attempt, How: e.Reason})
 	}
 }
 
@@ -219,7 +220,7 @@
 	iw.lastClosed[a.id.TaskID] = max(iw.lastClosed[a.id.TaskID], a.id.Attempt)
 	iw.lastEndNumber++
 	iw.unsettledEnds = append(iw.unsettledEnds, invokedEnd{EndedAttempt: wire.EndedAttempt{Number: iw.lastEndNumber, Attempt: a.id, Reason: how, Checkpoint: a.checkpoint}})
-	iw.record(HistoryEvent{Kind: AttemptEnded, Attempt: a.id, Outcome: outcomes[how], How: how})
+	iw.record(history.Event{Kind: history.AttemptEnded, Attempt: a.id, Outcome: outcomes[how], How: how})
 	a.leaveGang(how)
 }
 
--- a/sim/leader_bench_test.go
+++ b/sim/leader_bench_test.go
@@ -14,6 +14,7 @@
 	"golang.org/x/sys/unix"
 
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // labelledMachine marks a machine's steps in a processor profile.
@@ -58,17 +59,17 @@
 	lead := r.leader()
 	m := &labelledMachine{Machine: lead.machine}
 	lead.machine = m
-	started := r.countEvents(AttemptStarted)
+	started := r.countEvents(history.AttemptStarted)
 	b.ResetTimer()
 	r.advance(time.Duration(b.N) * time.Second)
 	b.StopTimer()
 	seconds := float64(b.N)
 	b.ReportMetric(float64(m.spent.Milliseconds())/seconds, "leader-ms/s")
 	b.ReportMetric(float64(m.steps)/seconds, "steps/s")
-	b.ReportMetric(float64(r.countEvents(AttemptStarted)-started)/seconds, "starts/s")
+	b.ReportMetric(float64(r.countEvents(history.AttemptStarted)-started)/seconds, "starts/s")
 }
 
-func (r *Run) countEvents(what EventKind) (n int) {
+func (r *Run) countEvents(what history.Kind) (n int) {
 	for _, h := range r.History.Events {
 		if h.Kind == what {
 			n++
--- a/sim/operator.go
+++ b/sim/operator.go
@@ -13,6 +13,7 @@
 	"coppercourse/internal/config"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // nextVersion makes the next version of a table: time-outs, and a queue more or less.
@@ -78,7 +79,7 @@
 func (c *Clients) countQueue(q types.QueueName, g types.Addr) {
 	began := c.world.now
 	c.request(g, "queue.count", string(q), nil, func(a wire.Response) {
-		h := HistoryEvent{Kind: QueueCounted, Process: c.world.nodes[g].processName(), Job: types.JobID(q), Text: fmt.Sprint(began)}
+		h := history.Event{Kind: history.QueueCounted, Process: c.world.nodes[g].processName(), Job: types.JobID(q), Text: fmt.Sprint(began)}
 		switch {
 		case a.Error == nil:
 			h.Stage = "there"
--- a/sim/opportunities.go
+++ b/sim/opportunities.go
@@ -8,6 +8,7 @@
 	"strings"
 
 	"coppercourse/internal/state"
+	"coppercourse/sim/history"
 )
 
 func (c *checker) stepOf(s *execution) state.Step {
@@ -74,13 +75,13 @@
 	}
 	for _, h := range c.history.Events {
 		switch h.Kind {
-		case TableAcknowledged:
+		case history.TableAcknowledged:
 			if on(h.At, second, "kill", "power", "lose", "swap", "cut") {
 				c.coverage["table: acknowledged within 1 s of a kill, cut or lost disk"]++
 			}
-		case TableRefused:
+		case history.TableRefused:
 			c.coverage["table: refused or losing"]++
-		case AttemptRejected:
+		case history.AttemptRejected:
 			c.coverage["leaving or room: a worker refused an attempt"]++
 		}
 	}
--- a/sim/planted_test.go
+++ b/sim/planted_test.go
@@ -17,6 +17,7 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // alter reads a body, changes it and writes it back.
@@ -199,7 +200,7 @@
 				for _, b := range r.Execute().Verdict().Violations {
 					got[b.Rule] = true
 				}
-				t.Log(seed, got, Summary(&r.History))
+				t.Log(seed, got, history.Summary(&r.History))
 			}
 			for _, rule := range p.rules {
 				is.True(got[rule]) // the rule must be seen broken
--- a/sim/polling_node.go
+++ b/sim/polling_node.go
@@ -9,20 +9,21 @@
 	"coppercourse/internal/dispatch"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // pollingNode is a worker process in the world, and its calls.
 type pollingNode struct {
 	node                          *node // its clocks; it carries no machine
 	agent                         types.Addr
-	spec                          WorkerSpec
+	spec                          history.WorkerSpec
 	worker                        *Worker
 	incarnation                   int
 	ignoresLease, ignoresCapacity bool
 	reportedTo                    map[types.AttemptID]int // which of the agent's processes was told of an end
 }
 
-func (w *World) addPollingWorker(addr, agent types.Addr, zone types.Zone, m WorkerSpec) *pollingNode {
+func (w *World) addPollingWorker(addr, agent types.Addr, zone types.Zone, m history.WorkerSpec) *pollingNode {
 	h := &pollingNode{agent: agent, spec: m}
 	h.node = w.addNode(addr, "worker", zone, nil)
 	w.pollingWorkers = append(w.pollingWorkers, h)
@@ -36,7 +37,7 @@
 	pn.worker = NewWorker(pn.spec, types.ID(fmt.Sprintf("%s.%d", n.addr, pn.incarnation)), n.world.newRandom(), n.world.record)
 	pn.worker.IgnoresLease, pn.worker.IgnoresCapacity = pn.ignoresLease, pn.ignoresCapacity
 	pn.reportedTo = map[types.AttemptID]int{}
-	n.world.record(HistoryEvent{Kind: WorkerStaying, Process: string(pn.worker.ID), Shard: pn.spec.Shard, Worker: &pn.spec})
+	n.world.record(history.Event{Kind: history.WorkerStaying, Process: string(pn.worker.ID), Shard: pn.spec.Shard, Worker: &pn.spec})
 	gen := pn.incarnation
 	var tick func()
 	tick = func() {
@@ -62,7 +63,7 @@
 	if pn.worker == nil {
 		return
 	}
-	pn.node.world.record(HistoryEvent{Kind: WorkerDied, Process: string(pn.worker.ID), Shard: pn.spec.Shard})
+	pn.node.world.record(history.Event{Kind: history.WorkerDied, Process: string(pn.worker.ID), Shard: pn.spec.Shard})
 	pn.incarnation++
 	pn.worker = nil
 	pn.node.frozen, pn.node.backlog = false, nil
@@ -71,7 +72,7 @@
 func (pn *pollingNode) freeze() {
 	if pn.worker != nil && !pn.node.frozen {
 		pn.node.frozen = true
-		pn.node.world.record(HistoryEvent{Kind: WorkerFroze, Process: string(pn.worker.ID), Shard: pn.spec.Shard})
+		pn.node.world.record(history.Event{Kind: history.WorkerFroze, Process: string(pn.worker.ID), Shard: pn.spec.Shard})
 	}
 }
 
@@ -79,7 +80,7 @@
 	if pn.worker == nil || !pn.node.frozen {
 		return
 	}
-	pn.node.world.record(HistoryEvent{Kind: WorkerThawed, Process: string(pn.worker.ID), Shard: pn.spec.Shard})
+	pn.node.world.record(history.Event{Kind: history.WorkerThawed, Process: string(pn.worker.ID), Shard: pn.spec.Shard})
 	pn.node.frozen = false
 	pn.worker.Tick(pn.node.monotonic())
 	list := pn.node.backlog
@@ -112,7 +113,7 @@
 		for _, e := range p.Ended {
 			if pn.reportedTo[e.Attempt] != n.incarnation {
 				pn.reportedTo[e.Attempt] = n.incarnation
-				w.record(HistoryEvent{Kind: EndReported, Process: n.processName(), Attempt: e.Attempt, Outcome: e.Outcome})
+				w.record(history.Event{Kind: history.EndReported, Process: n.processName(), Attempt: e.Attempt, Outcome: e.Outcome})
 			}
 		}
 	}
@@ -153,9 +154,9 @@
 	if within > 0 {
 		pn.worker.DepartsAt = pn.node.monotonic().Add(within)
 	}
-	kind := WorkerStaying
+	kind := history.WorkerStaying
 	if leaving {
-		kind = WorkerLeaving
+		kind = history.WorkerLeaving
 	}
-	pn.node.world.record(HistoryEvent{Kind: kind, Process: string(pn.worker.ID), Shard: pn.spec.Shard})
+	pn.node.world.record(history.Event{Kind: kind, Process: string(pn.worker.ID), Shard: pn.spec.Shard})
 }
--- a/sim/processor.go
+++ b/sim/processor.go
@@ -12,6 +12,7 @@
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 	"coppercourse/internal/workqueue"
+	"coppercourse/sim/history"
 )
 
 // Costs is how long steps take on a processor that is not slowed.
@@ -191,6 +192,6 @@
 // slowProcessor makes a node's processor so many times slower for a while.
 func (r *Run) slowProcessor(n *node, factor float64, duration time.Duration) {
 	n.slowness = factor
-	r.record(HistoryEvent{Kind: FaultStarted, Text: "slow-processor for " + duration.String(), Affected: []types.Addr{n.addr}})
+	r.record(history.Event{Kind: history.FaultStarted, Text: "slow-processor for " + duration.String(), Affected: []types.Addr{n.addr}})
 	r.after(duration, func() { n.slowness = 1 })
 }
--- a/sim/processor_test.go
+++ b/sim/processor_test.go
@@ -16,6 +16,7 @@
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 	"coppercourse/internal/workqueue"
+	"coppercourse/sim/history"
 )
 
 const (
@@ -94,7 +95,7 @@
 // countAccepted counts jobs taken in a stretch of time.
 func (r *Run) countAccepted(from, to time.Duration) (n int) {
 	for _, h := range r.History.Events {
-		if h.Kind == JobAccepted && h.At >= int64(from) && h.At < int64(to) {
+		if h.Kind == history.JobAccepted && h.At >= int64(from) && h.At < int64(to) {
 			n++
 		}
 	}
--- a/sim/run.go
+++ b/sim/run.go
@@ -12,6 +12,7 @@
 	"coppercourse/internal/dispatch"
 	"coppercourse/internal/settings"
 	"coppercourse/internal/types"
+	"coppercourse/sim/history"
 )
 
 // Plan is what a run does.
@@ -78,7 +79,7 @@
 		a := types.Addr(fmt.Sprintf("w%d", i+1))
 		r.agents = append(r.agents, r.addAgent(a, size.zone(i), m))
 		if deployment.WorkerRules != nil {
-			m.Guards = !p.Unguarded
+			m.RejectsOverload = !p.Unguarded
 			r.addInvokedWorker(types.Addr(fmt.Sprintf("k%d", i+1)), a, size.zone(i), m)
 			continue
 		}
@@ -182,14 +183,14 @@
 			h.boot()
 		}
 		h.worker.WorkerSpec = h.spec
-		if h.worker.Slow == 0 {
-			h.worker.Slow = 1
+		if h.worker.Slowdown == 0 {
+			h.worker.Slowdown = 1
 		}
 	}
 	for _, k := range r.invokedWorkers {
 		k.heal()
 	}
-	r.record(HistoryEvent{Kind: FaultsHealed})
+	r.record(history.Event{Kind: history.FaultsHealed})
 }
 
 // startTraffic begins all that a deployment's callers send.
@@ -223,7 +224,7 @@
 	if end == nil {
 		return
 	}
-	r.record(HistoryEvent{Kind: FaultStarted, Text: fmt.Sprintf("%s for %s", name, duration), Affected: r.affected})
+	r.record(history.Event{Kind: history.FaultStarted, Text: fmt.Sprintf("%s for %s", name, duration), Affected: r.affected})
 	r.after(duration, end)
 }
 
--- a/sim/scale.go
+++ b/sim/scale.go
@@ -22,6 +22,7 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // The size to design for, at its peak.
@@ -64,8 +65,8 @@
 		r.gateways = append(r.gateways, r.addGateway(addr(2, i), zone(i)))
 	}
 	for i := range s.Agents {
-		m := WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/20+1)), Kinds: []types.ServiceKind{"quote", "menu"},
-			Room: types.Resources{Cores: 16, MemoryMB: 16 << 10}}
+		m := history.WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/20+1)), Kinds: []types.ServiceKind{"quote", "menu"},
+			Capacity: types.Resources{Cores: 16, MemoryMB: 16 << 10}}
 		r.agents = append(r.agents, r.addAgent(addr(3, i), zone(i), m))
 		r.addPollingWorker(addr(4, i), addr(3, i), zone(i), m)
 	}
@@ -233,7 +234,7 @@
 }
 
 func (r *Run) submit(id string, s state.Spec) {
-	r.record(HistoryEvent{Kind: JobSubmitted, Job: types.JobID(id), Spec: &s})
+	r.record(history.Event{Kind: history.JobSubmitted, Job: types.JobID(id), Spec: &s})
 	r.Clients.submit(types.JobID(id), wire.EncodeBody(s), r.Clients.anyGateway(), 0)
 }
 
@@ -344,7 +345,7 @@
 	seen, at := len(r.History.Events), int64(0)
 	err := r.await(20*time.Second, "an urgent task started", func() bool {
 		for _, h := range r.History.Events[seen:] {
-			if h.Kind == AttemptStarted && string(h.Attempt.Job) == id {
+			if h.Kind == history.AttemptStarted && string(h.Attempt.Job) == id {
 				at = h.At
 			}
 		}
--- a/sim/schedule_test.go
+++ b/sim/schedule_test.go
@@ -17,6 +17,7 @@
 	"coppercourse/internal/apierror"
 	"coppercourse/internal/config"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 var schedules = flag.Int("schedules", 2, "how many random schedules of faults are run for each size of the core")
@@ -113,16 +114,16 @@
 				for _, b := range v.Violations {
 					t.Error(b)
 				}
-				n := map[EventKind]int{}
+				n := map[history.Kind]int{}
 				for _, h := range r.History.Events {
 					n[h.Kind]++
 				}
-				t.Logf("%d faults, %d changes sent, %d acknowledged, %d refused; %s", n[FaultStarted], n[TableSubmitted], n[TableAcknowledged], n[TableRefused], Summary(&r.History))
-				is.True(n[TableAcknowledged] > leastChanges*int(span.Seconds()))
-				is.True(n[TableRefused] > 0) // the operators must have raced
-				is.True(n[FaultStarted] > int(span.Seconds())/4)
+				t.Logf("%d faults, %d changes sent, %d acknowledged, %d refused; %s", n[history.FaultStarted], n[history.TableSubmitted], n[history.TableAcknowledged], n[history.TableRefused], history.Summary(&r.History))
+				is.True(n[history.TableAcknowledged] > leastChanges*int(span.Seconds()))
+				is.True(n[history.TableRefused] > 0) // the operators must have raced
+				is.True(n[history.FaultStarted] > int(span.Seconds())/4)
 				if t.Failed() {
-					t.Log(Timeline(&r.History))
+					t.Log(history.Timeline(&r.History))
 				}
 			})
 		}
--- a/sim/trial_test.go
+++ b/sim/trial_test.go
@@ -3,6 +3,7 @@
 package sim
 
 import (
+	"coppercourse/sim/history"
 	"fmt"
 	"testing"
 	"time"
@@ -39,7 +40,7 @@
 		t.Error(b)
 	}
 	if t.Failed() {
-		t.Log(Timeline(&r.History))
+		t.Log(history.Timeline(&r.History))
 	}
 	return v
 }
--- a/sim/triggers.go
+++ b/sim/triggers.go
@@ -8,12 +8,13 @@
 
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // watcher is shown what is recorded until it has had enough.
-type watcher func(HistoryEvent) (enough bool)
+type watcher func(history.Event) (enough bool)
 
-func (w *World) notifyWatchers(h HistoryEvent) {
+func (w *World) notifyWatchers(h history.Event) {
 	if len(w.watchers) == 0 {
 		return
 	}
@@ -24,8 +25,8 @@
 }
 
 // onNextEvent runs something once, some time after the next event of a kind.
-func (w *World) onNextEvent(kind EventKind, shortest, longest time.Duration, run func()) {
-	w.watchers = append(w.watchers, func(h HistoryEvent) bool {
+func (w *World) onNextEvent(kind history.Kind, shortest, longest time.Duration, run func()) {
+	w.watchers = append(w.watchers, func(h history.Event) bool {
 		if h.Kind != kind {
 			return false
 		}
--- a/sim/turnover_test.go
+++ b/sim/turnover_test.go
@@ -9,6 +9,7 @@
 
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
+	"coppercourse/sim/history"
 )
 
 // The room of an end that is on its way into the log is given out at once: the end
@@ -29,9 +30,9 @@
 	last, gaps := map[string]int64{}, []time.Duration{}
 	for _, h := range r.History.Events {
 		switch {
-		case h.Kind == AttemptEnded:
+		case h.Kind == history.AttemptEnded:
 			last[h.Process] = h.At
-		case h.Kind == AttemptStarted && last[h.Process] > 0:
+		case h.Kind == history.AttemptStarted && last[h.Process] > 0:
 			gaps = append(gaps, time.Duration(h.At-last[h.Process]))
 			last[h.Process] = 0
 		}
--- a/sim/upkeep_test.go
+++ b/sim/upkeep_test.go
@@ -15,6 +15,7 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // newBusyRun is a deployment with a table of its own and its traffic from 6 s on.
@@ -38,13 +39,13 @@
 
 // submitJob sends one job and gives when each of its tasks first started, by -1.
 func (r *Run) submitJob(id string, s state.Spec) {
-	r.record(HistoryEvent{Kind: JobSubmitted, Job: types.JobID(id), Spec: &s})
+	r.record(history.Event{Kind: history.JobSubmitted, Job: types.JobID(id), Spec: &s})
 	r.Clients.submit(types.JobID(id), wire.EncodeBody(s), r.Clients.anyGateway(), 0)
 }
 
 func (r *Run) firstStart(id string) (at time.Duration, ok bool) {
 	for _, h := range r.History.Events {
-		if h.Kind == AttemptStarted && string(h.Attempt.Job) == id {
+		if h.Kind == history.AttemptStarted && string(h.Attempt.Job) == id {
 			return time.Duration(h.At), true
 		}
 	}
@@ -95,7 +96,7 @@
 		r.RunUntil(60 * time.Second)
 		deaths := 0
 		for _, h := range r.History.Events {
-			if h.Kind == WorkerDied {
+			if h.Kind == history.WorkerDied {
 				deaths++
 			}
 		}
@@ -114,11 +115,11 @@
 }
 
 // observeJob asks after a job now.
-func (r *Run) observeJob(id types.JobID) (h HistoryEvent) {
+func (r *Run) observeJob(id types.JobID) (h history.Event) {
 	r.request(r.Clients.address, "g2", "job.get", string(id), nil, func(a wire.Response) { r.Clients.recordObservation(id, a) })
 	r.RunUntil(time.Duration(r.now) + 300*time.Millisecond)
 	for _, x := range r.History.Events {
-		if x.Kind == JobObserved && x.Job == id {
+		if x.Kind == history.JobObserved && x.Job == id {
 			h = x
 		}
 	}
@@ -162,7 +163,7 @@
 			r.settleAndCheck(t, 150*time.Second)
 			moved := map[types.TaskID]int{}
 			for _, h := range r.History.Events {
-				if h.Kind == AttemptEnded && h.Outcome == state.OutcomeStopped {
+				if h.Kind == history.AttemptEnded && h.Outcome == state.OutcomeStopped {
 					moved[h.Attempt.TaskID]++
 					is.True(moved[h.Attempt.TaskID] <= 3)
 				}
@@ -194,7 +195,7 @@
 		})
 		fillWorkers(r, 1, 12_000)
 		open, shut := r.now+int64(40*time.Second), r.now+int64(52*time.Second)
-		plan := state.Calendar{Name: "roof", Target: state.Target{Rack: "r1"}, Windows: [][2]types.WallTime{{types.WallTime(wallClockStart + open), types.WallTime(wallClockStart + shut)}}}
+		plan := state.Calendar{Name: "roof", Target: state.Target{Rack: "r1"}, Windows: [][2]types.WallTime{{types.WallTime(history.WallClockStart + open), types.WallTime(history.WallClockStart + shut)}}}
 		r.Clients.requestAsOperator("plan.put", "roof", wire.EncodeBody(plan), 0, func() {})
 		r.RunUntil(time.Duration(open) - 3*time.Second)
 		r.leader().kill() // the windows outlive a change of leader
@@ -208,7 +209,7 @@
 		late, after, early := 0, 0, 0
 		for _, h := range r.History.Events {
 			in := h.Shard == "k1" || h.Shard == "k2" || h.Shard == "k3"
-			if in && h.Kind == AttemptStarted {
+			if in && h.Kind == history.AttemptStarted {
 				switch {
 				case h.At > shut:
 					after++
@@ -234,22 +235,22 @@
 	}
 	t.Parallel()
 	is := is.New(t)
-	rate := func(n int, how func(*WorkerSpec)) float64 {
+	rate := func(n int, how func(*history.WorkerSpec)) float64 {
 		r := newBusyRun(50, func(*config.Table) {})
 		for i := range n {
 			how(&r.pollingWorkers[i*4%11].worker.WorkerSpec)
 		}
 		r.RunUntil(70 * time.Second)
-		return CompletionRate(&r.History, int64(30*time.Second), int64(70*time.Second))
+		return history.CompletionRate(&r.History, int64(30*time.Second), int64(70*time.Second))
 	}
 	none := rate(0, nil)
 	for _, c := range []struct {
 		name string
-		how  func(*WorkerSpec)
+		how  func(*history.WorkerSpec)
 	}{
-		{"five times slower", func(m *WorkerSpec) { m.Slow = 5 }},
-		{"half of the work fails", func(m *WorkerSpec) { m.Fails = 0.5 }},
-		{"a third stalls", func(m *WorkerSpec) { m.Stall = 0.3 }},
+		{"five times slower", func(m *history.WorkerSpec) { m.Slowdown = 5 }},
+		{"half of the work fails", func(m *history.WorkerSpec) { m.FailureRate = 0.5 }},
+		{"a third stalls", func(m *history.WorkerSpec) { m.StallRate = 0.3 }},
 	} {
 		list := ""
 		for n := 1; n <= 3; n++ {
@@ -285,11 +286,11 @@
 	}
 	cores, n := 0.0, 0
 	for _, h := range r.History.Events {
-		if h.Kind == AttemptStarted && h.At > int64(20*time.Second) && string(h.Attempt.Job)[:5] == "menus" {
+		if h.Kind == history.AttemptStarted && h.At > int64(20*time.Second) && string(h.Attempt.Job)[:5] == "menus" {
 			n++
 		}
 	}
-	c := &checker{bounds: DefaultBounds, end: r.now, jobs: map[types.JobID]*jobHistory{}, workers: map[types.Shard]*WorkerSpec{}, frozenSince: map[string]int64{},
+	c := &checker{bounds: DefaultBounds, end: r.now, jobs: map[types.JobID]*jobHistory{}, workers: map[types.Shard]*history.WorkerSpec{}, frozenSince: map[string]int64{},
 		stoppedAt: map[string][]int64{}, leaving: map[types.Shard][][2]int64{}, draining: map[types.Shard][][2]int64{}, history: &r.History, coverage: Coverage{}}
 	c.readHistory()
 	for _, s := range c.executions {
--- a/sim/work.go
+++ b/sim/work.go
@@ -16,22 +16,23 @@
 	"coppercourse/internal/server"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // RunningAttempt runs a worker until ctx ends.
-func RunWorkerProcess(ctx context.Context, spec WorkerSpec, id, agent, sourceIP, historyPath string, seed int64) error {
+func RunWorkerProcess(ctx context.Context, spec history.WorkerSpec, id, agent, sourceIP, historyPath string, seed int64) error {
 	file, err := os.OpenFile(historyPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	record := func(h HistoryEvent) {
+	record := func(h history.Event) {
 		h.At = time.Now().UnixNano()
 		file.Write(append(wire.EncodeBody(h), '\n'))
 	}
 	var mu sync.Mutex
 	w := NewWorker(spec, types.ID(id), rand.New(rand.NewSource(seed)), record)
-	record(HistoryEvent{Kind: WorkerStaying, Process: id, Shard: spec.Shard, Worker: &spec})
+	record(history.Event{Kind: history.WorkerStaying, Process: id, Shard: spec.Shard, Worker: &spec})
 	client := server.NewClient(sourceIP, 500*time.Millisecond)
 	reported := map[types.AttemptID]bool{}
 	poll := func(p dispatch.Poll) {
@@ -44,7 +45,7 @@
 			for _, e := range p.Ended {
 				if !reported[e.Attempt] {
 					reported[e.Attempt] = true
-					record(HistoryEvent{Kind: EndReported, Process: agent, Attempt: e.Attempt, Outcome: e.Outcome})
+					record(history.Event{Kind: history.EndReported, Process: agent, Attempt: e.Attempt, Outcome: e.Outcome})
 				}
 			}
 			w.HandleAnswer(server.Now().Mono, a)
--- a/sim/worker.go
+++ b/sim/worker.go
@@ -13,22 +13,9 @@
 	"coppercourse/internal/dispatch"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
+	"coppercourse/sim/history"
 )
 
-// Make is what a worker is made of, and how it misbehaves.
-type WorkerSpec struct {
-	Shard types.Shard
-	Rack  types.Rack
-	Kinds []types.ServiceKind
-	Room  types.Resources
-	Slow  float64 // times the usual length; 0 is 1
-	Fails float64 // part of its attempts that fail
-	Stall float64 // part of its attempts that take ten times as long
-
-	Labels []string
-	Guards bool // of one that is called: it turns away what does not fit
-}
-
 type runningTask struct {
 	job     dispatch.AttemptSpec
 	endsAt  types.MonoTime
@@ -38,7 +25,7 @@
 
 // Worker is one stand-in worker process.
 type Worker struct {
-	WorkerSpec
+	history.WorkerSpec
 	ID                            types.ID
 	Agent                         types.ID
 	Leaving                       bool
@@ -51,19 +38,19 @@
 	running                       map[types.AttemptID]*runningTask
 	unacknowledged                map[types.AttemptID]dispatch.FinishedTask
 	HasUpdate                     bool // an attempt has ended since the latest call
-	record                        func(HistoryEvent)
+	record                        func(history.Event)
 }
 
 // NewWorkerClient starts a worker process; what happens on it goes to tell.
-func NewWorker(spec WorkerSpec, id types.ID, random *rand.Rand, record func(HistoryEvent)) *Worker {
-	if spec.Slow == 0 {
-		spec.Slow = 1
+func NewWorker(spec history.WorkerSpec, id types.ID, random *rand.Rand, record func(history.Event)) *Worker {
+	if spec.Slowdown == 0 {
+		spec.Slowdown = 1
 	}
 	return &Worker{WorkerSpec: spec, ID: id, random: random, running: map[types.AttemptID]*runningTask{}, unacknowledged: map[types.AttemptID]dispatch.FinishedTask{}, record: record, leaseEnd: -1 << 61}
 }
 
-func (w *Worker) recordAttempt(what EventKind, l types.AttemptID, f state.Outcome) {
-	w.record(HistoryEvent{Kind: what, Process: string(w.ID), Shard: w.Shard, Attempt: l, Outcome: f})
+func (w *Worker) recordAttempt(what history.Kind, l types.AttemptID, f state.Outcome) {
+	w.record(history.Event{Kind: what, Process: string(w.ID), Shard: w.Shard, Attempt: l, Outcome: f})
 }
 
 // Tick looks at the grant first, then ends what is due.
@@ -94,7 +81,7 @@
 	delete(w.running, r.job.Attempt)
 	w.HasUpdate = true
 	w.unacknowledged[r.job.Attempt] = dispatch.FinishedTask{Run: dispatch.Run{Attempt: r.job.Attempt, Resources: r.job.Resources}, Outcome: f}
-	w.recordAttempt(AttemptEnded, r.job.Attempt, f)
+	w.recordAttempt(history.AttemptEnded, r.job.Attempt, f)
 }
 
 // NextPoll makes the next call to the agent.
@@ -102,7 +89,7 @@
 	w.Tick(now)
 	w.lastPoll++
 	w.HasUpdate = false
-	p := dispatch.Poll{Worker: w.ID, Agent: w.Agent, Call: w.lastPoll, SentAt: now, Rack: w.Rack, Kinds: w.Kinds, Capacity: w.Room, Draining: w.Leaving}
+	p := dispatch.Poll{Worker: w.ID, Agent: w.Agent, Call: w.lastPoll, SentAt: now, Rack: w.Rack, Kinds: w.Kinds, Capacity: w.Capacity, Draining: w.Leaving}
 	if w.Leaving && w.DepartsAt > 0 {
 		p.DepartsInMS = max(1, w.DepartsAt.Sub(now).Milliseconds())
 	}
@@ -126,7 +113,7 @@
 	for _, l := range a.Committed {
 		if _, ok := w.unacknowledged[l]; ok {
 			delete(w.unacknowledged, l)
-			w.recordAttempt(EndAcknowledged, l, "")
+			w.recordAttempt(history.EndAcknowledged, l, "")
 		}
 	}
 	for _, l := range a.Stop {
@@ -135,7 +122,7 @@
 		}
 	}
 	w.Tick(now)
-	free := w.Room
+	free := w.Capacity
 	for _, r := range w.running {
 		free = free.Sub(r.job.Resources)
 	}
@@ -145,7 +132,7 @@
 		}
 		if (w.Leaving || !free.Contains(j.Resources)) && !w.IgnoresCapacity {
 			w.unacknowledged[j.Attempt] = dispatch.FinishedTask{Run: dispatch.Run{Attempt: j.Attempt, Resources: j.Resources}, Outcome: state.OutcomeNeverRan}
-			w.recordAttempt(AttemptRejected, j.Attempt, state.OutcomeNeverRan)
+			w.recordAttempt(history.AttemptRejected, j.Attempt, state.OutcomeNeverRan)
 			continue
 		}
 		free = free.Sub(j.Resources)
@@ -156,14 +143,14 @@
 func (w *Worker) startAttempt(now types.MonoTime, j dispatch.AttemptSpec) {
 	var k Work
 	json.Unmarshal(j.Input, &k)
-	long := float64(k.MS) * w.Slow
-	if w.Stall > 0 && w.random.Float64() < w.Stall {
+	long := float64(k.MS) * w.Slowdown
+	if w.StallRate > 0 && w.random.Float64() < w.StallRate {
 		long *= 10
 	}
 	r := &runningTask{job: j, endsAt: now.Add(time.Duration(long * float64(time.Millisecond))), outcome: state.OutcomeOK, crashes: k.Crash}
-	if k.Fail || w.Fails > 0 && w.random.Float64() < w.Fails {
+	if k.Fail || w.FailureRate > 0 && w.random.Float64() < w.FailureRate {
 		r.outcome = state.OutcomeFailed
 	}
 	w.running[j.Attempt] = r
-	w.recordAttempt(AttemptStarted, j.Attempt, "")
+	w.recordAttempt(history.AttemptStarted, j.Attempt, "")
 }
--- a/sim/worker_environment.go
+++ b/sim/worker_environment.go
@@ -12,6 +12,7 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // WorkerRules is what holds for all workers of a deployment.
@@ -108,7 +109,7 @@
 		if a.step.PreferOneRack && len(racks) > 1 {
 			m.slowdown *= we.RemoteSlowdown
 		}
-		m.worker.record(HistoryEvent{Kind: GangAssembled, Attempt: m.id})
+		m.worker.record(history.Event{Kind: history.GangAssembled, Attempt: m.id})
 	}
 }
 
--- a/sim/workload.go
+++ b/sim/workload.go
@@ -23,6 +23,7 @@
 	"coppercourse/internal/server"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 // Workload is all callers of a fleet.
@@ -96,7 +97,7 @@
 		w.mu.Unlock()
 		select {
 		case w.slots <- struct{}{}:
-			w.fleet.Record(HistoryEvent{Kind: JobSubmitted, Job: id, Spec: &spec})
+			w.fleet.Record(history.Event{Kind: history.JobSubmitted, Job: id, Spec: &spec})
 			w.pending.Add(1)
 			go func() {
 				defer w.pending.Done()
@@ -125,7 +126,7 @@
 	if err != nil {
 		if (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)) && !g.down.Load() && !g.frozen.Load() {
 			w.Dropped.Add(1)
-			w.fleet.Record(HistoryEvent{Kind: RequestDropped, Process: g.name, Text: err.Error()})
+			w.fleet.Record(history.Event{Kind: history.RequestDropped, Process: g.name, Text: err.Error()})
 		}
 		return 0, nil
 	}
@@ -140,18 +141,18 @@
 			break
 		}
 		if n > 60 || w.fleet.ctx.Err() != nil || !w.waitToRetry(code, b) {
-			w.fleet.Record(HistoryEvent{Kind: JobDenied, Job: id, Text: string(b)})
+			w.fleet.Record(history.Event{Kind: history.JobDenied, Job: id, Text: string(b)})
 			return
 		}
 	}
-	w.fleet.Record(HistoryEvent{Kind: JobAccepted, Job: id})
+	w.fleet.Record(history.Event{Kind: history.JobAccepted, Job: id})
 	w.recordTime(&w.AcceptTimes, from)
 	if w.randomInt(1000) < int(w.CancelRate*1000) {
 		time.Sleep(time.Duration(w.randomInt(2000)) * time.Millisecond)
 		for range 20 {
 			code, b := w.request(http.MethodPost, "/v1/jobs/"+string(id)+"/cancel", nil)
 			if code == 200 || code == 202 {
-				w.fleet.Record(HistoryEvent{Kind: CancelAccepted, Job: id})
+				w.fleet.Record(history.Event{Kind: history.CancelAccepted, Job: id})
 				break
 			}
 			if !w.waitToRetry(code, b) {
@@ -165,14 +166,14 @@
 		var v controller.JobView
 		switch {
 		case code == 404:
-			w.fleet.Record(HistoryEvent{Kind: JobNotFound, Job: id})
+			w.fleet.Record(history.Event{Kind: history.JobNotFound, Job: id})
 			return
 		case code != 200 || json.Unmarshal(b, &v) != nil:
 			w.waitToRetry(code, b)
 			continue
 		}
 		if v.State == "done" || v.State == "failed" || v.State == "cancelled" {
-			w.fleet.Record(HistoryEvent{Kind: JobObserved, Job: id, Stage: v.State, Text: v.Reason})
+			w.fleet.Record(history.Event{Kind: history.JobObserved, Job: id, Stage: v.State, Text: v.Reason})
 			if v.State == "done" {
 				w.recordTime(&w.DoneTimes, from)
 			}
@@ -207,16 +208,16 @@
 
 // PutTable puts a table until it is taken or refused; it gives the version.
 func (w *Workload) PutTable(t config.Table) (types.Version, error) {
-	w.fleet.Record(HistoryEvent{Kind: TableSubmitted, Table: &t})
+	w.fleet.Record(history.Event{Kind: history.TableSubmitted, Table: &t})
 	for range 60 {
 		code, b := w.request(http.MethodPut, "/v1/table", wire.EncodeBody(t))
 		if code == 200 {
 			got := t.Accepted()
-			w.fleet.Record(HistoryEvent{Kind: TableAcknowledged, Table: &got})
+			w.fleet.Record(history.Event{Kind: history.TableAcknowledged, Table: &got})
 			return got.Version, nil
 		}
 		if !w.waitToRetry(code, b) {
-			w.fleet.Record(HistoryEvent{Kind: TableRefused, Table: &t, Text: string(b)})
+			w.fleet.Record(history.Event{Kind: history.TableRefused, Table: &t, Text: string(b)})
 			return 0, fmt.Errorf("table refused: %s", b)
 		}
 	}
@@ -235,7 +236,7 @@
 		if code != 200 || json.Unmarshal(b, &t) != nil || len(t.Queues) < 2 {
 			continue
 		}
-		w.fleet.Record(HistoryEvent{Kind: TableRead, Table: &t, Text: began})
+		w.fleet.Record(history.Event{Kind: history.TableRead, Table: &t, Text: began})
 		var two sync.WaitGroup
 		for range 2 {
 			n := config.Table{Version: t.Version, Queues: append([]config.Queue(nil), t.Queues...)}
--- a/sim/workload_test.go
+++ b/sim/workload_test.go
@@ -13,6 +13,7 @@
 	"github.com/matryer/is"
 
 	"coppercourse/internal/server"
+	"coppercourse/sim/history"
 )
 
 func TestDroppedRequestIsCounted(t *testing.T) {
@@ -38,7 +39,7 @@
 	code, _ := s.request("PUT", "/v1/jobs/a", nil)
 	is.Equal(code, 0)
 	is.Equal(s.Dropped.Load(), int64(1))
-	is.Equal(f.History.Events[0].Kind, RequestDropped)
+	is.Equal(f.History.Events[0].Kind, history.RequestDropped)
 	drop.Store(false)
 	code, _ = s.request("PUT", "/v1/jobs/a", nil)
 	is.Equal(code, 503) // a refusal is an answer
--- a/sim/world.go
+++ b/sim/world.go
@@ -21,12 +21,12 @@
 	"coppercourse/internal/types"
 	"coppercourse/internal/wal"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/history"
 )
 
 const (
-	tickInterval   = 20 * time.Millisecond
-	wallClockStart = int64(1_700_000_000_000_000_000) // the true wall clock at the start
-	maxBacklog     = 20_000
+	tickInterval = 20 * time.Millisecond
+	maxBacklog   = 20_000
 )
 
 type node struct {
@@ -76,7 +76,7 @@
 	environment      *WorkerEnvironment
 	timeouts         dispatch.Timeouts
 	raftTimeouts     raft.Timeouts
-	History          History
+	History          history.History
 	seeds            []types.Addr
 	founders         []types.Addr                            // that found the cluster together, where they are named
 	Metering         bool                                    // count what every daemon spends
@@ -117,9 +117,9 @@
 	w.now = int64(until)
 }
 
-func (w *World) record(h HistoryEvent) {
+func (w *World) record(h history.Event) {
 	h.At = w.now
-	if h.Kind == JobSubmitted && w.environment != nil {
+	if h.Kind == history.JobSubmitted && w.environment != nil {
 		w.environment.JobSubmitted(h.Job, h.Spec)
 	}
 	w.History.Add(h)
@@ -141,7 +141,7 @@
 }
 
 func (n *node) clockReading() types.Now {
-	return types.Now{Mono: n.monotonic(), Wall: types.WallTime(wallClockStart + n.world.now + int64(n.wallOffset))}
+	return types.Now{Mono: n.monotonic(), Wall: types.WallTime(history.WallClockStart + n.world.now + int64(n.wallOffset))}
 }
 
 // boot starts the node's process.
@@ -173,7 +173,7 @@
 // kill ends the process at once; what the disk had not synced is torn.
 func (n *node) kill() {
 	if n.machine != nil {
-		n.world.record(HistoryEvent{Kind: DaemonStopped, Process: n.processName()})
+		n.world.record(history.Event{Kind: history.DaemonStopped, Process: n.processName()})
 	}
 	n.incarnation++
 	n.machine, n.frozen, n.backlog = nil, false, nil
@@ -209,7 +209,7 @@
 	u, _ := wire.DecodeBody[dispatch.UpdateStatus](message)
 	for _, e := range u.Ends {
 		if e.Outcome == state.OutcomeOK || e.Outcome == state.OutcomeFailed {
-			n.world.record(HistoryEvent{Kind: EndReported, Process: n.processName(), Attempt: e.ID, Outcome: e.Outcome})
+			n.world.record(history.Event{Kind: history.EndReported, Process: n.processName(), Attempt: e.ID, Outcome: e.Outcome})
 		}
 	}
 }
@@ -372,7 +372,7 @@
 	})
 }
 
-func (w *World) addAgent(addr types.Addr, zone types.Zone, m WorkerSpec) *node {
+func (w *World) addAgent(addr types.Addr, zone types.Zone, m history.WorkerSpec) *node {
 	return w.addNode(addr, "agent", zone, func(n *node) wire.Machine {
 		return agent.New(n.clockReading(), w.newRandom(), agent.Options{Addr: addr, Zone: zone, Shard: m.Shard, Seeds: w.seeds, Timeouts: w.timeouts})
 	})
