--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -100,7 +100,8 @@
 // New starts a controller from the records of its disk.
 func New(now types.Now, rnd *rand.Rand, p Options, recs [][]byte) *Controller {
 	me := raft.Member{Addr: p.Addr, Zone: p.Zone}
-	h := &Controller{options: p, now: now, raft: raft.New(now, p.RaftTimeouts, rnd, me, p.Bootstrap, recs, types.NewID(rnd)),
+	member := raft.New(now, raft.Options{Timeouts: p.RaftTimeouts, Random: rnd, Self: me, Bootstrap: p.Bootstrap, NewID: types.NewID(rnd)}, recs)
+	h := &Controller{options: p, now: now, raft: member,
 		waiters: map[types.Index]caller{}, proposals: map[types.Index]proposal{}, pendingEnds: map[types.JobID]types.Index{}, endsInFlight: map[state.AttemptEnd]bool{}, released: map[types.AttemptID]bool{},
 		assignmentsInFlight: map[types.TaskID]state.Assignment{}, completionRates: map[types.QueueName]*completionRate{}, meanJobWork: map[types.QueueName]float64{}, peakCores: map[types.QueueName]float64{},
 		meanTaskSeconds: map[types.QueueName]float64{}, queueDurations: map[types.QueueName]*queueDurations{}, jobDurations: map[types.JobID][]stepDurations{}, Trace: trace.New()}
@@ -152,9 +153,10 @@
 	var out wire.Effects
 	co.writeSnapshotPart()
 	co.members.SetSelf(co.describe())
-	out.FallbackRecords = co.raft.AppendInstead()
-	out.Messages, out.Records, out.BatchNumber, out.ReplaceLog = co.raft.Ready()
-	out.Messages = append(append(out.Messages, co.sends...), co.members.TakeMessages()...)
+	ready := co.raft.Ready()
+	out.Records, out.BatchNumber = ready.Records, ready.BatchNumber
+	out.ReplaceLog, out.FallbackRecords = ready.ReplaceLog, ready.FallbackRecords
+	out.Messages = append(append(ready.Messages, co.sends...), co.members.TakeMessages()...)
 	out.Responses = co.answers
 	co.sends, co.answers = nil, nil
 	out.Drained = co.shuttingDown && (co.raft.MayStop() || co.now.Mono >= co.shutdownDeadline) && len(co.waiters) == 0
--- a/internal/raft/disk.go
+++ b/internal/raft/disk.go
@@ -34,16 +34,6 @@
 // could lead and serve nobody, so it doesn't stand for election.
 func (n *Node) SetStateLoading(loading bool) { n.stateLoading = loading }
 
-// AppendInstead is what would be appended in place of the compaction in this step, for
-// a disk without room for a second file; nil where there is no other way. It is
-// asked for before Out.
-func (n *Node) AppendInstead() [][]byte {
-	if n.appendInstead == nil {
-		return nil
-	}
-	return append([][]byte{}, encodeRecords(n.appendInstead)...)
-}
-
 // dropSuperseded forgets answers to a leader that wait for the disk and that a newer
 // one makes needless, so that a disk in trouble for hours takes no memory.
 func (n *Node) dropSuperseded(newer wire.OutboundMessage) {
--- a/internal/raft/flow_test.go
+++ b/internal/raft/flow_test.go
@@ -78,15 +78,14 @@
 	}
 	node.writeRecord(Record{Entries: node.log[99:]})
 	node.Compact(10, [][]byte{[]byte(`{"state":1}`)})
-	instead := node.AppendInstead()
-	is.Equal(len(instead), 1) // what the step would have appended
-	_, batch, _, whole := node.Ready()
-	is.True(whole)
-	for _, b := range batch {
+	ready := node.Ready()
+	is.Equal(len(ready.FallbackRecords), 1) // what the step would have appended
+	is.True(ready.ReplaceLog)
+	for _, b := range ready.Records {
 		is.True(len(b) < 2*maxRecordBytes)
 	}
 	again := &Node{progress: map[types.ID]*progress{}}
-	for _, b := range batch {
+	for _, b := range ready.Records {
 		var r Record
 		is.NoErr(json.Unmarshal(b, &r))
 		if len(again.snapshot.Parts) < again.snapshot.PartCount {
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -108,11 +108,31 @@
 	stateLoading  bool     // the state is still being read back
 }
 
-// New starts a member from the records of its disk. fresh is the identity to take if
-// the folder is empty.
-func New(now types.Now, timeouts Timeouts, random *rand.Rand, self Member, bootstrap BootstrapOptions, records [][]byte, newID types.ID) *Node {
-	n := &Node{timeouts: timeouts, rand: random, self: self, bootstrap: bootstrap, role: roleEmpty, now: now, startedAt: now.Mono, clockSetAt: now.Mono,
-		leaderHeardAt: now.Mono, lastLedAt: never, progress: map[types.ID]*progress{}, acceptances: map[types.ID]bool{}}
+// Options are what a member is started with.
+type Options struct {
+	Timeouts  Timeouts
+	Random    *rand.Rand // for election timeouts and new identities
+	Self      Member     // address and zone of this member; its ID comes from its records
+	Bootstrap BootstrapOptions
+	NewID     types.ID // the identity to take if the data folder is empty
+}
+
+// New starts a member from the records of its disk, in the order in which they were written.
+func New(now types.Now, options Options, records [][]byte) *Node {
+	n := &Node{
+		timeouts:      options.Timeouts,
+		rand:          options.Random,
+		self:          options.Self,
+		bootstrap:     options.Bootstrap,
+		role:          roleEmpty,
+		now:           now,
+		startedAt:     now.Mono,
+		clockSetAt:    now.Mono,
+		leaderHeardAt: now.Mono,
+		lastLedAt:     never,
+		progress:      map[types.ID]*progress{},
+		acceptances:   map[types.ID]bool{},
+	}
 	n.self.ID = ""
 	for _, b := range records {
 		var r Record
@@ -123,7 +143,7 @@
 		}
 	}
 	if n.self.ID == "" {
-		n.newIdentity(newID)
+		n.newIdentity(options.NewID)
 	}
 	n.syncedIndex, n.acceptedAt = n.lastIndex(), now.Mono
 	if last := len(n.log) - 1; last >= 0 && n.log[last].Term > n.hardState.Term {
@@ -280,17 +300,34 @@
 	}
 }
 
-// Ready returns what the step collected: messages, one batch of records with its number,
-// and whether the batch replaces the file.
-func (n *Node) Ready() (sends []wire.OutboundMessage, batch [][]byte, seq uint64, whole bool) {
+// Ready is what the steps since the last Ready ask the daemon to do.
+type Ready struct {
+	Messages    []wire.OutboundMessage
+	Records     [][]byte // one batch, to be written and synced together; nil if there is none
+	BatchNumber uint64   // of the batch, to be given to Synced
+	ReplaceLog  bool     // the batch replaces the whole file
+	// FallbackRecords is what would be appended in place of the compaction in this batch,
+	// for a disk without room for a second file; nil where there is no other way.
+	FallbackRecords [][]byte
+}
+
+// Ready takes what has been collected: messages that may go out now and one batch of records.
+func (n *Node) Ready() Ready {
 	if n.role == roleLeader {
 		n.lastLedAt = n.now.Mono
 		n.replicate()
 	}
-	batch = encodeRecords(n.records)
-	sends, seq, whole = n.sends, n.writtenBatch, n.replacesFile
+	ready := Ready{
+		Messages:    n.sends,
+		Records:     encodeRecords(n.records),
+		BatchNumber: n.writtenBatch,
+		ReplaceLog:  n.replacesFile,
+	}
+	if n.appendInstead != nil {
+		ready.FallbackRecords = append([][]byte{}, encodeRecords(n.appendInstead)...)
+	}
 	n.sends, n.records, n.replacesFile, n.appendInstead = nil, nil, false, nil
-	return
+	return ready
 }
 
 // encodeRecords writes records as they stand in the file.
--- a/internal/raft/world_test.go
+++ b/internal/raft/world_test.go
@@ -230,8 +230,13 @@
 			records = append(records, b)
 		}
 	}
-	m.node = New(m.clock(), w.timeouts, rand.New(rand.NewSource(w.random.Int63())), Member{Addr: m.addr, Zone: m.zone},
-		BootstrapOptions{FirstStart: m.first, Founders: w.founders}, records, types.NewID(w.random))
+	m.node = New(m.clock(), Options{
+		Timeouts:  w.timeouts,
+		Random:    rand.New(rand.NewSource(w.random.Int63())),
+		Self:      Member{Addr: m.addr, Zone: m.zone},
+		Bootstrap: BootstrapOptions{FirstStart: m.first, Founders: w.founders},
+		NewID:     types.NewID(w.random),
+	}, records)
 	w.logf("%s starts as %s", m.addr, m.node.self.ID)
 	life := m.incarnation
 	var beat func()
@@ -282,12 +287,12 @@
 	w.injectBeforeStep(m)
 	run()
 	w.injectAfterStep(m)
-	sends, batch, seq, replaces := n.Ready()
-	for _, s := range sends {
+	ready := n.Ready()
+	for _, s := range ready.Messages {
 		w.transmit(m.addr, s)
 	}
-	if batch != nil {
-		m.unsynced = append(m.unsynced, pendingBatch{batch, seq, replaces})
+	if ready.Records != nil {
+		m.unsynced = append(m.unsynced, pendingBatch{ready.Records, ready.BatchNumber, ready.ReplaceLog})
 		if len(m.unsynced) == 1 && !w.manual {
 			m.scheduleSync()
 		}
