--- /dev/null
+++ b/internal/apierror/golden_test.go
@@ -0,0 +1,35 @@
+package apierror_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/goldentest"
+)
+
+// Every kind of refusal: its status, and its body as it is and with a longer wait.
+func TestErrorsGolden(t *testing.T) {
+	goldentest.JSON[apierror.Error](t, "error.json")
+	var lines strings.Builder
+	for _, kind := range slices.Sorted(maps.Keys(apierror.Code)) {
+		e := apierror.New(kind, "a.field", "a reason")
+		fmt.Fprintf(&lines, "%d %s %s", e.Code(), body(t, e), e.Error())
+		fmt.Fprintf(&lines, " %s\n", body(t, apierror.New(kind, "", "so").After(1500*time.Millisecond)))
+	}
+	goldentest.File(t, "errors.txt", []byte(lines.String()))
+}
+
+func body(t *testing.T, e *apierror.Error) []byte {
+	t.Helper()
+	b, err := json.Marshal(e)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
--- /dev/null
+++ b/internal/server/golden_test.go
@@ -0,0 +1,131 @@
+package server
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"maps"
+	"net/http"
+	"net/http/httptest"
+	"slices"
+	"strings"
+	"testing"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/goldentest"
+	"coppercourse/internal/trace"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// mirror is a machine that answers a request with the request itself.
+type mirror struct{}
+
+func (mirror) Step(e wire.Event) (out wire.Out) {
+	if a := e.Ask; a != nil {
+		out.Answers = []wire.Answer{{Token: a.Token, Code: http.StatusAccepted, Body: wire.Body(map[string]any{"verb": a.Verb, "arg": a.Arg, "body": string(a.Body)})}}
+	}
+	return out
+}
+
+// requests are what callers and operators send to a gateway, good and bad.
+var requests = []string{
+	`PUT /v1/jobs/a {"queue":"q","urgency":3,"steps":[{"name":"a","kind":"x","tasks":2,"room":{"cores":0.5,"memory":64}},{"name":"b","kind":"x","after":["a"]}],"work":{"n":1}}`,
+	`PUT /v1/jobs/a {"queue":"unknown","steps":[{"name":"a","kind":"x"}]}`,
+	`PUT /v1/jobs/a {"queue":"q","steps":[{"name":"a","kind":"x","tasks":-1}]}`,
+	`PUT /v1/jobs/a%20b {}`,
+	`PUT /v1/jobs/a {`,
+	`GET /v1/jobs/a `,
+	`POST /v1/jobs/a/cancel `,
+	`DELETE /v1/jobs/a `,
+	`PUT /v1/table {"edition":4,"queues":[{"name":"q","weight":2}]}`,
+	`PUT /v1/table {"queues":[]}`,
+	`GET /v1/table `,
+	`GET /v1/queues `,
+	`GET /v1/workers `,
+	`POST /v1/workers/k1/gone `,
+	`GET /v1/drains `,
+	`PUT /v1/drains/workers/k1 {"within_ms":70}`,
+	`PUT /v1/drains/racks/r1 {"within_ms":-70}`,
+	`DELETE /v1/drains/racks/r1 `,
+	`GET /v1/calendars `,
+	`PUT /v1/calendars/c1 {"rack":"r1","ics":"BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:x\r\nBEGIN:VEVENT\r\nUID:1\r\nDTSTAMP:20200101T000000Z\r\nDTSTART:21000101T000000Z\r\nDTEND:21000101T010000Z\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n"}`,
+	`PUT /v1/calendars/c1 {"rack":"r1","ics":"x"}`,
+	`DELETE /v1/calendars/c1 `,
+	`GET /v1/mates `,
+	`GET /v1/leader `,
+	`GET /v1/trace?subject=job/a `,
+	`GET /v1/trace?subject=table/3 `,
+	`GET /v1/status `,
+	`GET /metrics `,
+	`GET /live `,
+	`GET /ready `,
+	`GET /nowhere `,
+	`POST /mate [{"from":"10.0.0.1:7001","kind":"hello","body":{}}]`,
+	`POST /mate {`,
+}
+
+// Every page of a gateway: what the machine is asked, and the answer's status, headers
+// and body.
+func TestPagesGolden(t *testing.T) {
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
+	post := NewPost(ctx, "")
+	owner := NewOwner(post, nil)
+	owner.Carry(mirror{})
+	owner.Show = func() any {
+		return map[string]any{"role": "gateway", "sums": map[string]int{"Calls": 3}, "ready": true, "mates": 1, "roll": 2, "at": "x"}
+	}
+	trail := trace.New()
+	trail.Add(5, trace.Job("a"), "granted entry", "from", types.Addr("10.0.0.1:7001"))
+	pages := &Pages{Owner: owner, Post: post, Trail: trail, Ready: func() bool { return true }}
+	entry := &Entry{}
+	handler := pages.Wrap(entry.Routes(pages))
+	go owner.Run(ctx)
+	entry.Publish(config.Table{Version: 1, Rows: []config.Row{{Name: "q"}}}, 1<<62)
+	for string(owner.View()) == "{}" {
+		answer(handler, "GET /v1/table ")
+	}
+	var lines strings.Builder
+	for _, request := range requests {
+		fmt.Fprintf(&lines, "%s\n%s\n", request, answer(handler, request))
+	}
+	goldentest.File(t, "pages.txt", []byte(lines.String()))
+}
+
+// answer carries out a request and writes down its answer.
+func answer(handler http.Handler, request string) string {
+	method, rest, _ := strings.Cut(request, " ")
+	path, body, _ := strings.Cut(rest, " ")
+	recorder := httptest.NewRecorder()
+	handler.ServeHTTP(recorder, httptest.NewRequest(method, path, strings.NewReader(body)))
+	return written(recorder)
+}
+
+// written is an answer as text: status, sorted headers and body.
+func written(recorder *httptest.ResponseRecorder) string {
+	var lines strings.Builder
+	result := recorder.Result()
+	fmt.Fprintf(&lines, "\t%d", result.StatusCode)
+	for _, name := range slices.Sorted(maps.Keys(result.Header)) {
+		fmt.Fprintf(&lines, " %s=%s", name, strings.Join(result.Header[name], ","))
+	}
+	body, err := io.ReadAll(result.Body)
+	fmt.Fprintf(&lines, "\n\t%s", strings.ReplaceAll(string(body), "\n", "\n\t"))
+	if err != nil {
+		fmt.Fprintf(&lines, "\n\t%v", err)
+	}
+	return lines.String()
+}
+
+// Every kind of refusal as it is answered.
+func TestRefusalsGolden(t *testing.T) {
+	var lines strings.Builder
+	for _, kind := range slices.Sorted(maps.Keys(apierror.Code)) {
+		recorder := httptest.NewRecorder()
+		Fail(recorder, apierror.New(kind, "a.field", "a reason"))
+		fmt.Fprintf(&lines, "%s\n%s\n", kind, written(recorder))
+	}
+	goldentest.File(t, "refusals.txt", []byte(lines.String()))
+}
--- /dev/null
+++ b/internal/settings/golden_test.go
@@ -0,0 +1,41 @@
+package settings
+
+import (
+	"fmt"
+	"testing"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/goldentest"
+)
+
+// A settings file with every key, read over the defaults; the defaults themselves; and
+// what is said of a bad file.
+func TestSettingsGolden(t *testing.T) {
+	for name, file := range map[string]string{
+		"defaults.txt": `{}`,
+		"full.txt": `{"listen":"127.0.0.1:7401","address":"10.0.0.1:7402","source":"10.0.0.1","locality":"z1","data":"/data","shard":"k1","log":"debug",
+			"seeds":["10.0.0.2:7403","10.0.0.3:7404"],"founders":["10.0.0.4:7405"],"first":true,"losses":2,"grace_ms":7001,"notice_ms":702,
+			"pace":{"beat_ms":101,"ill_ms":402,"loss_ms":1003,"grant_ms":804,"worker_ms":605,"again_ms":106,"round_ms":47,"election_ms":208,"stall_ms":409,"dead_ms":5010,"stale_ms":1011}}`,
+		"bad.txt": `{"listen":7,"seeds":"x","first":"yes","losses":9,"pace":{"beat_ms":0,"other":1},"unknown":1}`,
+	} {
+		t.Run(name, func(t *testing.T) {
+			s, errs := Defaults(), &apierror.ErrorList{}
+			Read([]byte(file), &s, errs)
+			said := goldentest.Leaves(s) + goldentest.Leaves(errs.List())
+			for _, role := range []string{"controller", "gateway", "agent"} {
+				checked, errs := s, &apierror.ErrorList{}
+				checked.Check(role, errs)
+				said += fmt.Sprintf("%s: %v\n", role, errs.Err())
+			}
+			goldentest.File(t, name, []byte(said))
+		})
+	}
+}
+
+// The paces that follow from bounds, and what the machines take of them.
+func TestPacesGolden(t *testing.T) {
+	filled := goldentest.Fill[Settings]()
+	said := goldentest.Leaves(Derive(Usual)) + goldentest.Leaves(Derive(filled.Bounds)) + goldentest.Leaves(Quick) +
+		goldentest.Leaves(filled.Dispatch()) + goldentest.Leaves(filled.Pace.Core()) + goldentest.Leaves(filled.Begin())
+	goldentest.File(t, "paces.txt", []byte(said))
+}
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"bytes"
+	"encoding/json"
+	"os"
 	"testing"
 
 	"coppercourse/internal/goldentest"
@@ -60,3 +62,38 @@
 	s.Begin()
 	return append(bytes.Join(s.Shoot(1<<30), []byte("\n")), '\n')
 }
+
+// A log with every kind of command, as earlier builds wrote it, comes to the same
+// state, refusals and snapshot; and so does it when a snapshot is read back half way.
+func TestLogGolden(t *testing.T) {
+	b, err := os.ReadFile("testdata/commands.jsonl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	log := bytes.Split(bytes.TrimSpace(b), []byte("\n"))
+	for _, at := range []int{len(log), len(log) / 2} {
+		s := New()
+		var said bytes.Buffer
+		for i, line := range log {
+			if i == at {
+				if s, err = Restore(bytes.Split(bytes.TrimSpace(snapshot(s)), []byte("\n"))); err != nil {
+					t.Fatal(err)
+				}
+			}
+			var command Command
+			if err := json.Unmarshal(line, &command); err != nil {
+				t.Fatal(err)
+			}
+			given, refused := s.Apply(command)
+			for _, part := range []any{given, refused} {
+				b, err := json.Marshal(part)
+				if err != nil {
+					t.Fatal(err)
+				}
+				said.Write(append(b, ' '))
+			}
+			said.WriteString("\n")
+		}
+		goldentest.File(t, "log-state.jsonl", append(said.Bytes(), snapshot(s)...))
+	}
+}
