--- /dev/null
+++ b/internal/controller/golden_test.go
@@ -0,0 +1,132 @@
+package controller
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"math/rand"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"coppercourse/internal/goldentest"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wal"
+	"coppercourse/internal/wire"
+)
+
+// What operators and callers are shown, with every field.
+func TestViewsGolden(t *testing.T) {
+	goldentest.WriteOnlyJSON[JobView](t, "view-job.json")
+	goldentest.WriteOnlyJSON[QueueView](t, "view-queue.json")
+	goldentest.WriteOnlyJSON[WorkerView](t, "view-worker.json")
+	goldentest.WriteOnlyJSON[DrainView](t, "view-drain.json")
+	goldentest.WriteOnlyJSON[PlanView](t, "view-plan.json")
+	goldentest.WriteOnlyJSON[StatusView](t, "view-status.json")
+}
+
+// A cluster that is given a log with every kind of command leaves the same files on the
+// disks of its members, byte for byte.
+func TestDisksGolden(t *testing.T) {
+	c := newCluster(t, 5, 12)
+	b, err := os.ReadFile("../state/testdata/commands.jsonl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for line := range bytes.Lines(b) {
+		var command state.Command
+		if err := json.Unmarshal(line, &command); err != nil {
+			t.Fatal(err)
+		}
+		c.leader().machine.fact(command)
+		c.run(40 * time.Millisecond)
+	}
+	for i, m := range c.members {
+		dir := t.TempDir()
+		file, _, _, err := wal.Open(wal.Disk{}, dir)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := file.Append(m.disk); err != nil {
+			t.Fatal(err)
+		}
+		if err := file.Close(); err != nil {
+			t.Fatal(err)
+		}
+		b, err := os.ReadFile(filepath.Join(dir, "lore.log"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		goldentest.File(t, diskName(i), b)
+	}
+}
+
+func diskName(i int) string { return fmt.Sprintf("disk-%d.log", i+1) }
+
+// requests are all verbs that only read, each with what it is for, and those that
+// change something as they are refused.
+var requests = []string{"table.get", "job.get two-steps", "job.get often", "job.get stopped-early", "job.get fails", "job.get done", "job.get old-goes-on",
+	"job.get nobody", "queue.count q", "queue.count nobody", "queues", "workers", "drains", "plans", "status",
+	"job.cancel done", "job.cancel stopped-early", "job.put two-steps {}", "job.put new {}", "table.put  {}", "drain.put workers/nobody {}",
+	"drain.drop workers/nobody", "plan.put  {}", "plan.drop nobody", "gone nobody", "no.such.verb"}
+
+// Members that are started on the disks as they were left come back with the same
+// state, and the one that leads answers every request the same.
+func TestRestartGolden(t *testing.T) {
+	c := restarted(t)
+	var loaded bytes.Buffer
+	for _, m := range c.members {
+		m.start(false)
+		loaded.Write(written(m.machine.state))
+	}
+	goldentest.File(t, "restart-loaded.jsonl", loaded.Bytes())
+	c.until(10*time.Second, "a leader", func() bool { return c.leader() != nil && c.caughtUp(c.leader()) })
+	leader := c.leader()
+	var lines strings.Builder
+	for _, request := range requests {
+		parts := append(strings.SplitN(request, " ", 3), "", "")
+		var answers []wire.Answer
+		leader.ask(parts[0], parts[1], json.RawMessage(parts[2]), func(a wire.Answer) { answers = append(answers, a) })
+		c.run(20 * time.Millisecond)
+		fmt.Fprintf(&lines, "%s\n", request)
+		for _, a := range answers {
+			fault, err := json.Marshal(a.Fault)
+			if err != nil {
+				t.Fatal(err)
+			}
+			fmt.Fprintf(&lines, "\t%d %s %s\n", a.Code, a.Body, fault)
+		}
+	}
+	goldentest.File(t, "restart-answers.txt", []byte(lines.String()))
+	goldentest.File(t, "restart-state.jsonl", written(leader.machine.state))
+}
+
+// restarted is a cluster whose members have the disks of the golden files and are not
+// started yet.
+func restarted(t *testing.T) *cluster {
+	c := &cluster{t: t, rnd: rand.New(rand.NewSource(6)), every: 1000}
+	for i := range 3 {
+		dir := t.TempDir()
+		if err := os.WriteFile(filepath.Join(dir, "lore.log"), goldentest.Read(t, diskName(i)), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		file, records, spoilt, err := wal.Open(wal.Disk{}, dir)
+		if err != nil || spoilt != "" {
+			t.Fatal(err, spoilt)
+		}
+		if err := file.Close(); err != nil {
+			t.Fatal(err)
+		}
+		c.members = append(c.members, &member{cluster: c, addr: types.Addr(fmt.Sprintf("10.0.0.%d:7000", i+1)), syncTime: syncTime, disk: records})
+	}
+	return c
+}
+
+// written is a state as a snapshot holds it, one part a line.
+func written(s *state.State) []byte {
+	s.Begin()
+	return append(bytes.Join(s.Shoot(1<<30), []byte("\n")), '\n')
+}
