--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -25,7 +25,7 @@
 	Addr  types.Addr
 	Zone  types.Zone
 	Seeds []types.Addr
-	Begin raft.Bootstrap
+	Begin raft.BootstrapOptions
 	Loses int // voters that may be lost at once, disk and all
 	Issue string
 	Core  raft.Timeouts
@@ -58,33 +58,33 @@
 	waiters   map[types.Index]waiter
 	ahead     map[types.JobID]types.Index // of the latest ends on their way into the log
 	reads     []reader
-	flight    map[state.End]bool
-	freed     map[types.Attempt]bool // of those, what surely runs no more
+	flight    map[state.AttemptEnd]bool
+	freed     map[types.AttemptID]bool // of those, what surely runs no more
 	giving    types.Index
-	given     map[types.Task]state.Assignment // on their way into the log, or just there
-	rounds    []types.Index                   // of them
+	given     map[types.TaskID]state.Assignment // on their way into the log, or just there
+	rounds    []types.Index                     // of them
 	shaped    types.Index
-	timed     types.Stamp
+	timed     types.MonoTime
 	since     types.Index // the entry of the latest snapshot, or of the one under way
 	shot      int         // bytes of the latest snapshot
 	drain     bool
-	late      types.Stamp
+	late      types.MonoTime
 	moved     bool // something was applied, or time passed, since work was last placed
-	rates     map[types.Queue]*rate
-	works     map[types.Queue]float64 // mean work of a queue\'s jobs
-	habits    map[types.Queue]*habit
-	courses   map[types.JobID][]course // of jobs that are not over
-	tasks     map[types.Queue]float64  // mean seconds of a queue's tasks
-	peaks     map[types.Queue]float64  // cores that a queue lately had in use at once
-	peaked    types.Stamp
+	rates     map[types.QueueName]*rate
+	works     map[types.QueueName]float64 // mean work of a queue\'s jobs
+	habits    map[types.QueueName]*habit
+	courses   map[types.JobID][]course    // of jobs that are not over
+	tasks     map[types.QueueName]float64 // mean seconds of a queue's tasks
+	peaks     map[types.QueueName]float64 // cores that a queue lately had in use at once
+	peaked    types.MonoTime
 	early     []early
-	kept      *placement.Reserve // workers kept for work that was passed over
-	waited    map[placement.Part]types.Stamp
-	moves     types.Stamp // when something was last displaced
-	limits    check       // of attempts against the table's time limits
+	kept      *placement.Reservation // workers kept for work that was passed over
+	waited    map[placement.TaskGroup]types.MonoTime
+	moves     types.MonoTime // when something was last displaced
+	limits    check          // of attempts against the table's time limits
 	slots     slotCache
-	wanted    []placement.Want // the memory of the last list
-	checks    check            // for attempts to take back and second attempts
+	wanted    []placement.Request // the memory of the last list
+	checks    check               // for attempts to take back and second attempts
 	sends     []wire.Send
 	answers   []wire.Answer
 	overload  overload
@@ -100,10 +100,10 @@
 // New starts a controller from the records of its disk.
 func New(now types.Now, rnd *rand.Rand, p Options, recs [][]byte) *Controller {
 	me := raft.Member{Addr: p.Addr, Zone: p.Zone}
-	h := &Controller{options: p, now: now, raft: raft.New(now, p.Core, rnd, me, p.Begin, recs, types.Mint(rnd)),
-		waiters: map[types.Index]waiter{}, proposals: map[types.Index]proposal{}, ahead: map[types.JobID]types.Index{}, flight: map[state.End]bool{}, freed: map[types.Attempt]bool{},
-		given: map[types.Task]state.Assignment{}, rates: map[types.Queue]*rate{}, works: map[types.Queue]float64{}, peaks: map[types.Queue]float64{},
-		tasks: map[types.Queue]float64{}, habits: map[types.Queue]*habit{}, courses: map[types.JobID][]course{}, Trail: trace.New()}
+	h := &Controller{options: p, now: now, raft: raft.New(now, p.Core, rnd, me, p.Begin, recs, types.NewID(rnd)),
+		waiters: map[types.Index]waiter{}, proposals: map[types.Index]proposal{}, ahead: map[types.JobID]types.Index{}, flight: map[state.AttemptEnd]bool{}, freed: map[types.AttemptID]bool{},
+		given: map[types.TaskID]state.Assignment{}, rates: map[types.QueueName]*rate{}, works: map[types.QueueName]float64{}, peaks: map[types.QueueName]float64{},
+		tasks: map[types.QueueName]float64{}, habits: map[types.QueueName]*habit{}, courses: map[types.JobID][]course{}, Trail: trace.New()}
 	h.roster = membership.New(rnd, h.card(), p.Seeds)
 	h.desk = configwatch.NewPublisher(p.Addr)
 	h.state = state.New()
@@ -113,20 +113,20 @@
 }
 
 func (co *Controller) card() membership.Card {
-	return membership.Card{Addr: co.options.Addr, ID: co.raft.ID(), Role: "controller", Zone: co.options.Zone, Name: co.raft.Name(),
+	return membership.Card{Addr: co.options.Addr, ID: co.raft.ID(), Role: "controller", Zone: co.options.Zone, Name: co.raft.ClusterName(),
 		Term: co.raft.Term(), Leads: co.raft.IsLeader() && !co.drain, Part: co.raft.Role(), Ready: co.Ready(), Issue: co.options.Issue}
 }
 
 // Ready tells whether the platform may send callers here: a controller that knows a
 // leader of now, or is it.
 func (co *Controller) Ready() bool {
-	return !co.drain && co.disk == nil && co.loader == nil && co.raft.Name() != "" && (co.raft.IsLeader() && co.raft.HoldsLease() || !co.raft.IsLeader() && co.raft.Leader() != "")
+	return !co.drain && co.disk == nil && co.loader == nil && co.raft.ClusterName() != "" && (co.raft.IsLeader() && co.raft.HoldsReadLease() || !co.raft.IsLeader() && co.raft.LeaderAddr() != "")
 }
 
 // Step takes one event.
 func (co *Controller) Step(e wire.Event) wire.Out {
 	co.now = e.Now
-	co.raft.Observe(e.Now)
+	co.raft.SetTime(e.Now)
 	co.Sums.Steps++
 	co.overload.measure(e.Now.Mono, e.Load)
 	switch {
@@ -152,8 +152,8 @@
 	var out wire.Out
 	co.writeSnapshotPart()
 	co.roster.Me(co.card())
-	out.Instead = co.raft.Instead()
-	out.Sends, out.Batch, out.Seq, out.Whole = co.raft.Out()
+	out.Instead = co.raft.AppendInstead()
+	out.Sends, out.Batch, out.Seq, out.Whole = co.raft.Ready()
 	out.Sends = append(append(out.Sends, co.sends...), co.roster.Out()...)
 	out.Answers = co.answers
 	co.sends, co.answers = nil, nil
@@ -164,11 +164,11 @@
 func (co *Controller) take(n wire.Message) {
 	switch {
 	case co.roster.Take(co.now.Mono, n):
-	case co.raft.Receive(co.now, n):
+	case co.raft.Step(co.now, n):
 	case n.Kind == wire.Call:
 		co.call(n)
 	case n.Kind == wire.News:
-		if co.raft.HoldsLease() {
+		if co.raft.HoldsReadLease() {
 			co.desk.Take(co.now.Mono, n)
 		}
 	default:
@@ -176,7 +176,7 @@
 			co.keep(n)
 		}
 		if co.scheduler != nil {
-			co.scheduler.Take(co.now.Mono, co.raft.AuthorityLeft(), n)
+			co.scheduler.HandleMessage(co.now.Mono, co.raft.AuthorityRemaining(), n)
 		}
 	}
 }
@@ -185,13 +185,13 @@
 	co.moved = true
 	co.loadPart()
 	co.roster.Tick(co.now.Mono)
-	var seen []raft.Discovered
+	var seen []raft.DiscoveredPeer
 	for _, c := range co.roster.Controllers() {
 		if c.ID != "" && c.Part != "out" {
-			seen = append(seen, raft.Discovered{Member: raft.Member{ID: c.ID, Addr: c.Addr, Zone: c.Zone}, Name: c.Name})
+			seen = append(seen, raft.DiscoveredPeer{Member: raft.Member{ID: c.ID, Addr: c.Addr, Zone: c.Zone}, ClusterName: c.Name})
 		}
 	}
-	co.raft.SetDiscovered(seen, co.others())
+	co.raft.SetDiscoveredPeers(seen, co.others())
 	co.raft.Tick(co.now)
 	co.pass()
 }
@@ -199,7 +199,7 @@
 // others are, while no cluster is known, where daemons are that are no controllers: a
 // founder that turns out to be one of them is not waited for.
 func (co *Controller) others() (list []types.Addr) {
-	if co.raft.Name() == "" {
+	if co.raft.ClusterName() == "" {
 		for _, a := range co.options.Begin.Founders {
 			if role := co.roster.Role(a); role != "" && role != "controller" {
 				list = append(list, a)
@@ -226,11 +226,11 @@
 	case f.Cancel != "":
 		co.Trail.Add(co.now.Wall, trace.Job(f.Cancel), "cancel applied", "index", at)
 	}
-	for _, g := range f.Attempts {
-		co.Trail.Add(co.now.Wall, trace.Job(g.Attempt.Job), "leg given out", "leg", g.Attempt, "shard", g.Shard)
+	for _, g := range f.Assignments {
+		co.Trail.Add(co.now.Wall, trace.Job(g.ID.Job), "leg given out", "leg", g.ID, "shard", g.Shard)
 	}
 	for _, x := range f.Ends {
-		co.Trail.Add(co.now.Wall, trace.Job(x.Attempt.Job), "end applied", "leg", x.Attempt, "fate", x.Outcome)
+		co.Trail.Add(co.now.Wall, trace.Job(x.ID.Job), "end applied", "leg", x.ID, "fate", x.Outcome)
 		co.ended(x)
 	}
 }
@@ -255,16 +255,16 @@
 		return
 	}
 	if co.scheduler == nil {
-		if !co.raft.HoldsLease() || co.lags() {
+		if !co.raft.HoldsReadLease() || co.lags() {
 			return
 		}
 		co.Sums.Elected++
-		co.scheduler = dispatch.NewScheduler(co.now.Mono, co.raft.PriorAuthority(), co.options.Truth, co.options.Addr, co.raft.Term(), co.outs())
-		co.scheduler.Invoked = func(x types.Shard) bool { return co.state.Shapes[x].Invoked }
-		co.scheduler.Apart = func(x types.Shard) bool { return co.roster.Apart(string(x)) }
-		co.scheduler.Taken, co.scheduler.Doubts = co.taken, func(x types.Shard) []types.Attempt { return co.state.Doubts(x) }
+		co.scheduler = dispatch.NewScheduler(co.now.Mono, co.raft.PriorLeaderHeardAt(), co.options.Truth, co.options.Addr, co.raft.Term(), co.outs())
+		co.scheduler.Invoked = func(x types.Shard) bool { return co.state.WorkerShapes[x].CalledByAgent }
+		co.scheduler.Partitioned = func(x types.Shard) bool { return co.roster.Apart(string(x)) }
+		co.scheduler.EndRecorded, co.scheduler.Unresolved = co.taken, func(x types.Shard) []types.AttemptID { return co.state.UnresolvedAttempts(x) }
 	}
-	co.scheduler.Tick(co.now.Mono, co.raft.AuthorityLeft())
+	co.scheduler.Tick(co.now.Mono, co.raft.AuthorityRemaining())
 	co.heed()
 	if co.moved && co.overload.mayPlace(co.now.Mono) {
 		co.moved = false
@@ -273,20 +273,20 @@
 		co.plan()
 		co.heed()
 	}
-	if co.raft.HoldsLease() {
+	if co.raft.HoldsReadLease() {
 		co.sends = append(co.sends, co.desk.Answer(co.now.Mono, co.state.Table)...)
 	}
 }
 
 // outs lists the attempts given out as the state has them.
-func (co *Controller) outs() (list []dispatch.Hold) {
-	for _, j := range co.state.Live() {
+func (co *Controller) outs() (list []dispatch.OutstandingAttempt) {
+	for _, j := range co.state.LiveJobs() {
 		for i := range j.Tasks {
-			for _, o := range j.Tasks[i].Outs() {
-				n := j.Spec.No(i)
+			for _, o := range j.Tasks[i].Outstanding() {
+				n := j.Spec.TaskNumber(i)
 				at := types.StageOf(n)
-				list = append(list, dispatch.Hold{Attempt: types.Attempt{Task: types.Task{Job: j.ID, N: n}, Attempt: o.Attempt},
-					Shard: o.Shard, Stage: at, Room: j.Spec.Steps[at.Step()].Room, Usual: usual(j, at), Limit: co.limit(j, at)})
+				list = append(list, dispatch.OutstandingAttempt{Attempt: types.AttemptID{TaskID: types.TaskID{Job: j.ID, Number: n}, Attempt: o.Number},
+					Shard: o.Shard, Stage: at, Resources: j.Spec.Steps[at.Step()].Resources, BaselineName: usual(j, at), TimeLimit: co.limit(j, at)})
 			}
 		}
 	}
@@ -294,11 +294,11 @@
 }
 
 // taken tells whether the state already has an end, or has no use for it.
-func (co *Controller) taken(e state.End) bool {
-	j := co.state.Jobs[e.Attempt.Job]
-	if j == nil || j.Over() {
+func (co *Controller) taken(e state.AttemptEnd) bool {
+	j := co.state.Jobs[e.ID.Job]
+	if j == nil || j.Ended() {
 		return true
 	}
-	t := j.Task(e.Attempt.N)
-	return t == nil || t.Knows(e.Attempt.Attempt, e.Outcome)
+	t := j.Task(e.ID.Number)
+	return t == nil || t.EndIsKnown(e.ID.Attempt, e.Outcome)
 }
--- a/internal/controller/early.go
+++ b/internal/controller/early.go
@@ -15,9 +15,9 @@
 
 type early struct {
 	from types.Addr
-	dispatch.Status
-	at    types.Stamp
-	sent  types.Stamp
+	dispatch.UpdateStatus
+	at    types.MonoTime
+	sent  types.MonoTime
 	tries int // so often it was passed on
 }
 
@@ -29,12 +29,12 @@
 )
 
 // logged tells whether an end need not be kept any longer.
-func (co *Controller) logged(e state.End, at types.Stamp) bool {
-	j := co.state.Jobs[e.Attempt.Job]
+func (co *Controller) logged(e state.AttemptEnd, at types.MonoTime) bool {
+	j := co.state.Jobs[e.ID.Job]
 	if j == nil {
 		return co.now.Mono.Sub(at) > lag
 	}
-	if t := j.Task(e.Attempt.N); t != nil && e.Attempt.Attempt > t.Attempt {
+	if t := j.Task(e.ID.Number); t != nil && e.ID.Attempt > t.LastAttempt {
 		return co.now.Mono.Sub(at) > lag
 	}
 	return co.taken(e)
@@ -42,16 +42,16 @@
 
 // keep holds on to a report until its ends are in the log.
 func (co *Controller) keep(n wire.Message) {
-	u, ok := wire.Read[dispatch.Status](n)
+	u, ok := wire.Read[dispatch.UpdateStatus](n)
 	if !ok || len(co.early) >= Crowd {
 		return
 	}
-	u.Ends = slices.DeleteFunc(u.Ends, func(e state.End) bool { return !e.Outcome.IsFact() || co.logged(e, co.now.Mono) })
+	u.Ends = slices.DeleteFunc(u.Ends, func(e state.AttemptEnd) bool { return !e.Outcome.ReportedByWorker() || co.logged(e, co.now.Mono) })
 	for _, x := range co.early {
-		u.Ends = slices.DeleteFunc(u.Ends, func(e state.End) bool { return slices.Contains(x.Ends, e) })
+		u.Ends = slices.DeleteFunc(u.Ends, func(e state.AttemptEnd) bool { return slices.Contains(x.Ends, e) })
 	}
 	if len(u.Ends) > 0 {
-		co.early = append(co.early, early{from: n.From, Status: u, at: co.now.Mono, sent: co.now.Mono})
+		co.early = append(co.early, early{from: n.From, UpdateStatus: u, at: co.now.Mono, sent: co.now.Mono})
 	}
 }
 
@@ -60,23 +60,23 @@
 // behind is told everything by everybody.
 func (co *Controller) pass() {
 	co.early = slices.DeleteFunc(co.early, func(x early) bool {
-		return !slices.ContainsFunc(x.Ends, func(e state.End) bool { return !co.logged(e, x.at) })
+		return !slices.ContainsFunc(x.Ends, func(e state.AttemptEnd) bool { return !co.logged(e, x.at) })
 	})
 	for i := range co.early {
 		x := &co.early[i]
-		wait := co.options.Truth.Ill
+		wait := co.options.Truth.UnhealthyAfter
 		if co.scheduler != nil {
-			wait = co.options.Truth.Again
+			wait = co.options.Truth.RetryInterval
 		}
 		if co.now.Mono.Sub(x.sent) < wait {
 			continue
 		}
-		to := co.raft.Leader()
+		to := co.raft.LeaderAddr()
 		if co.scheduler != nil {
 			to = co.options.Addr
 		}
-		if s := wire.Make(x.from, to, wire.Status, x.Status); co.scheduler != nil {
-			co.scheduler.Take(co.now.Mono, co.raft.AuthorityLeft(), s.Message)
+		if s := wire.Make(x.from, to, wire.Status, x.UpdateStatus); co.scheduler != nil {
+			co.scheduler.HandleMessage(co.now.Mono, co.raft.AuthorityRemaining(), s.Message)
 		} else {
 			co.relay(s, to, x.tries)
 			x.tries++
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -44,10 +44,10 @@
 
 // Defaults are the settings before file and flags.
 func Defaults() Settings {
-	t, a := dispatch.Defaults, raft.Defaults
-	return Settings{Listen: "127.0.0.1:7400", Log: "info", Bounds: Usual, Pace: Timeouts{Beat: ms(t.Beat), Ill: ms(t.Ill), Loss: ms(t.Loss),
-		Grant: ms(t.Grant), Worker: ms(t.Worker), Again: ms(t.Again), Round: ms(a.Heartbeat), Election: ms(a.ElectionMin),
-		Stall: ms(a.Stall), Dead: ms(a.ReplaceAfter), Stale: ms(configwatch.DefaultStaleAfter)}}
+	t, a := dispatch.Defaults, raft.DefaultTimeouts
+	return Settings{Listen: "127.0.0.1:7400", Log: "info", Bounds: Usual, Pace: Timeouts{Beat: ms(t.HeartbeatInterval), Ill: ms(t.UnhealthyAfter), Loss: ms(t.LostAfter),
+		Grant: ms(t.AgentLease), Worker: ms(t.WorkerLease), Again: ms(t.RetryInterval), Round: ms(a.HeartbeatInterval), Election: ms(a.MinElectionTimeout),
+		Stall: ms(a.StallTimeout), Dead: ms(a.ReplaceAfter), Stale: ms(configwatch.DefaultStaleAfter)}}
 }
 
 // ReadSettings lays a file over the defaults.
@@ -55,8 +55,8 @@
 	r := config.NewReader(b, heap)
 	any := func(string) string { return "" }
 	p := &s.Pace
-	num := func(to *int) config.Field { return config.Num(r, to, 1, 3_600_000) }
-	r.Whole(map[string]config.Field{
+	num := func(to *int) config.Field { return config.Int(r, to, 1, 3_600_000) }
+	r.ReadDocument(map[string]config.Field{
 		"listen":    config.Text(r, &s.Listen, any),
 		"address":   config.Text(r, &s.Address, any),
 		"source":    config.Text(r, &s.Source, any),
@@ -67,11 +67,11 @@
 		"seeds":     addrs(r, &s.Seeds),
 		"founders":  addrs(r, &s.Founders),
 		"first":     config.Bool(r, &s.First),
-		"losses":    config.Num(r, &s.Loses, 0, 4),
+		"losses":    config.Int(r, &s.Loses, 0, 4),
 		"grace_ms":  num(&s.Bounds.Grace),
 		"notice_ms": num(&s.Bounds.Notice),
 		"pace": func(at string) {
-			r.Obj(at, map[string]config.Field{"beat_ms": num(&p.Beat), "ill_ms": num(&p.Ill), "loss_ms": num(&p.Loss),
+			r.Object(at, map[string]config.Field{"beat_ms": num(&p.Beat), "ill_ms": num(&p.Ill), "loss_ms": num(&p.Loss),
 				"grant_ms": num(&p.Grant), "worker_ms": num(&p.Worker), "again_ms": num(&p.Again), "round_ms": num(&p.Round),
 				"election_ms": num(&p.Election), "stall_ms": num(&p.Stall), "dead_ms": num(&p.Dead), "stale_ms": num(&p.Stale)})
 		},
@@ -81,7 +81,7 @@
 func addrs(r *config.Reader, to *[]string) config.Field {
 	return func(at string) {
 		*to = nil
-		r.List(at, 16, func(at string, _ int) {
+		r.Array(at, 16, func(at string, _ int) {
 			var a string
 			config.Text(r, &a, func(string) string { return "" })(at)
 			*to = append(*to, a)
@@ -104,7 +104,7 @@
 		_, err := netip.ParseAddr(s.Source)
 		heap.Check(err == nil, "source", "want an IP number")
 	}
-	bad := config.Name(s.Zone)
+	bad := config.CheckName(s.Zone)
 	heap.Check(bad == "", "locality", bad)
 	heap.Check(len(s.Seeds) > 0, "seeds", "missing: give the addresses of up to three other daemons")
 	for i, a := range s.Seeds {
@@ -115,7 +115,7 @@
 	}
 	heap.Check((s.Data != "") == (role == "controller"), "data", "a controller needs a data folder, and no other daemon may have one")
 	if role == "agent" {
-		bad := config.Name(s.Shard)
+		bad := config.CheckName(s.Shard)
 		heap.Check(bad == "", "shard", bad)
 	} else {
 		heap.Check(s.Shard == "", "shard", "only an agent has one")
@@ -130,7 +130,7 @@
 func (t Timeouts) check(h *apierror.ErrorList) {
 	h.Check(t.Worker < t.Grant, "pace.worker_ms", "must be less than grant_ms: the worker's grant ends first")
 	h.Check(t.Grant*5 <= t.Loss*4, "pace.grant_ms", "must be at most four fifths of loss_ms: an agent's grant ends before it is counted lost, drift included")
-	h.Check(t.Grant+ms(dispatch.Slack) < t.Loss, "pace.loss_ms", "must be more than grant_ms and the 150 ms that a worker may take to stop")
+	h.Check(t.Grant+ms(dispatch.WorkerStopTime) < t.Loss, "pace.loss_ms", "must be more than grant_ms and the 150 ms that a worker may take to stop")
 	h.Check(t.Grant <= 2500, "pace.grant_ms", "must be at most 2500: a cancel holds within 3 s, however cut")
 	h.Check(3*t.Beat <= t.Ill, "pace.ill_ms", "must be at least three beats")
 	h.Check(2*t.Ill <= t.Loss, "pace.loss_ms", "must be at least twice ill_ms")
@@ -143,17 +143,17 @@
 
 // Truth and Core give the paces that the machines take.
 func (t Timeouts) Truth() dispatch.Timeouts {
-	return dispatch.Timeouts{Beat: un(t.Beat), Ill: un(t.Ill), Loss: un(t.Loss), Grant: un(t.Grant), Worker: un(t.Worker), Again: un(t.Again)}
+	return dispatch.Timeouts{HeartbeatInterval: un(t.Beat), UnhealthyAfter: un(t.Ill), LostAfter: un(t.Loss), AgentLease: un(t.Grant), WorkerLease: un(t.Worker), RetryInterval: un(t.Again)}
 }
 
 func (t Timeouts) Core() raft.Timeouts {
-	return raft.Timeouts{Heartbeat: un(t.Round), ElectionMin: un(t.Election), Stall: un(t.Stall), ReplaceAfter: un(t.Dead), Authority: un(t.Grant)}
+	return raft.Timeouts{HeartbeatInterval: un(t.Round), MinElectionTimeout: un(t.Election), StallTimeout: un(t.Stall), ReplaceAfter: un(t.Dead), AuthorityLease: un(t.Grant)}
 }
 
 // Dispatch is the pace of attempts, with what is known of the workers.
 func (s Settings) Dispatch() dispatch.Timeouts {
 	timeouts := s.Pace.Truth()
-	timeouts.Drain = un(s.Bounds.Drain)
+	timeouts.DrainTime = un(s.Bounds.Drain)
 	return timeouts
 }
 
@@ -173,8 +173,8 @@
 }
 
 // Begin is what the settings say of the cluster's beginning.
-func (s Settings) Begin() (o raft.Bootstrap) {
-	o.First = s.First
+func (s Settings) Begin() (o raft.BootstrapOptions) {
+	o.FirstStart = s.First
 	for _, a := range s.Founders {
 		o.Founders = append(o.Founders, types.Addr(a))
 	}
--- a/sim/worker.go
+++ b/sim/worker.go
@@ -19,8 +19,8 @@
 type WorkerSpec struct {
 	Shard types.Shard
 	Rack  types.Rack
-	Kinds []types.Kind
-	Room  types.Room
+	Kinds []types.ServiceKind
+	Room  types.Resources
 	Slow  float64 // times the usual length; 0 is 1
 	Fails float64 // part of its attempts that fail
 	Stall float64 // part of its attempts that take ten times as long
@@ -30,8 +30,8 @@
 }
 
 type run struct {
-	job     dispatch.Job
-	ends    types.Stamp
+	job     dispatch.AttemptSpec
+	ends    types.MonoTime
 	outcome state.Outcome
 	crash   bool
 }
@@ -42,14 +42,14 @@
 	ID            types.ID
 	Agent         types.ID
 	Leave         bool
-	Goes          types.Stamp // when it goes, if it said so
+	Goes          types.MonoTime // when it goes, if it said so
 	Crashed       bool
 	Deaf, Willing bool // planted bugs: heeds no grant; guards neither room nor leaving
 	rnd           *rand.Rand
 	call          uint64
-	until         types.Stamp
-	runs          map[types.Attempt]*run
-	ends          map[types.Attempt]dispatch.Finish
+	until         types.MonoTime
+	runs          map[types.AttemptID]*run
+	ends          map[types.AttemptID]dispatch.FinishedTask
 	News          bool // an attempt has ended since the latest call
 	tell          func(HistoryEvent)
 }
@@ -59,20 +59,20 @@
 	if m.Slow == 0 {
 		m.Slow = 1
 	}
-	return &Worker{WorkerSpec: m, ID: id, rnd: rnd, runs: map[types.Attempt]*run{}, ends: map[types.Attempt]dispatch.Finish{}, tell: tell, until: -1 << 61}
+	return &Worker{WorkerSpec: m, ID: id, rnd: rnd, runs: map[types.AttemptID]*run{}, ends: map[types.AttemptID]dispatch.FinishedTask{}, tell: tell, until: -1 << 61}
 }
 
-func (w *Worker) say(what EventKind, l types.Attempt, f state.Outcome) {
+func (w *Worker) say(what EventKind, l types.AttemptID, f state.Outcome) {
 	w.tell(HistoryEvent{What: what, Who: string(w.ID), Shard: w.Shard, Attempt: l, Outcome: f})
 }
 
 // Tick looks at the grant first, then ends what is due.
-func (w *Worker) Tick(now types.Stamp) {
+func (w *Worker) Tick(now types.MonoTime) {
 	for _, l := range w.sorted() {
 		r := w.runs[l]
 		switch {
 		case now >= w.until && !w.Deaf:
-			w.end(r, state.Halted)
+			w.end(r, state.OutcomeStopped)
 		case now >= r.ends && r.crash:
 			w.Crashed = true
 		case now >= r.ends:
@@ -81,49 +81,49 @@
 	}
 }
 
-func (w *Worker) sorted() []types.Attempt {
-	list := make([]types.Attempt, 0, len(w.runs))
+func (w *Worker) sorted() []types.AttemptID {
+	list := make([]types.AttemptID, 0, len(w.runs))
 	for l := range w.runs {
 		list = append(list, l)
 	}
-	sort.Slice(list, func(i, k int) bool { return list[i].Least(list[k]) })
+	sort.Slice(list, func(i, k int) bool { return list[i].Less(list[k]) })
 	return list
 }
 
 func (w *Worker) end(r *run, f state.Outcome) {
 	delete(w.runs, r.job.Attempt)
 	w.News = true
-	w.ends[r.job.Attempt] = dispatch.Finish{Run: dispatch.Run{Attempt: r.job.Attempt, Room: r.job.Room}, Outcome: f}
+	w.ends[r.job.Attempt] = dispatch.FinishedTask{Run: dispatch.Run{Attempt: r.job.Attempt, Resources: r.job.Resources}, Outcome: f}
 	w.say(Ended, r.job.Attempt, f)
 }
 
 // Call makes the next call to the agent.
-func (w *Worker) Call(now types.Stamp) dispatch.Poll {
+func (w *Worker) Call(now types.MonoTime) dispatch.Poll {
 	w.Tick(now)
 	w.call++
 	w.News = false
-	p := dispatch.Poll{Worker: w.ID, Agent: w.Agent, Call: w.call, Stamp: now, Rack: w.Rack, Kinds: w.Kinds, Room: w.Room, Leave: w.Leave}
+	p := dispatch.Poll{Worker: w.ID, Agent: w.Agent, Call: w.call, SentAt: now, Rack: w.Rack, Kinds: w.Kinds, Capacity: w.Room, Draining: w.Leave}
 	if w.Leave && w.Goes > 0 {
-		p.GoMS = max(1, w.Goes.Sub(now).Milliseconds())
+		p.DepartsInMS = max(1, w.Goes.Sub(now).Milliseconds())
 	}
 	for _, l := range w.sorted() {
-		p.Runs = append(p.Runs, dispatch.Run{Attempt: l, Room: w.runs[l].job.Room})
+		p.Running = append(p.Running, dispatch.Run{Attempt: l, Resources: w.runs[l].job.Resources})
 	}
 	for _, f := range w.ends {
-		p.Ends = append(p.Ends, f)
+		p.Ended = append(p.Ended, f)
 	}
-	sort.Slice(p.Ends, func(i, k int) bool { return p.Ends[i].Attempt.Least(p.Ends[k].Attempt) })
+	sort.Slice(p.Ended, func(i, k int) bool { return p.Ended[i].Attempt.Less(p.Ended[k].Attempt) })
 	return p
 }
 
 // Take heeds an answer, if it is to the latest call.
-func (w *Worker) Take(now types.Stamp, a dispatch.Answer) {
+func (w *Worker) Take(now types.MonoTime, a dispatch.PollReply) {
 	w.Tick(now)
 	if a.Call != w.call {
 		return
 	}
-	w.Agent, w.until = a.Agent, a.Until
-	for _, l := range a.Settled {
+	w.Agent, w.until = a.Agent, a.LeaseUntil
+	for _, l := range a.Committed {
 		if _, ok := w.ends[l]; ok {
 			delete(w.ends, l)
 			w.say(Settled, l, "")
@@ -131,38 +131,38 @@
 	}
 	for _, l := range a.Stop {
 		if r := w.runs[l]; r != nil {
-			w.end(r, state.Halted)
+			w.end(r, state.OutcomeStopped)
 		}
 	}
 	w.Tick(now)
 	free := w.Room
 	for _, r := range w.runs {
-		free = free.Minus(r.job.Room)
+		free = free.Sub(r.job.Resources)
 	}
 	for _, j := range a.Start {
 		if _, old := w.ends[j.Attempt]; old || w.runs[j.Attempt] != nil || now >= w.until {
 			continue
 		}
-		if (w.Leave || !free.Holds(j.Room)) && !w.Willing {
-			w.ends[j.Attempt] = dispatch.Finish{Run: dispatch.Run{Attempt: j.Attempt, Room: j.Room}, Outcome: state.Unrun}
-			w.say(Spared, j.Attempt, state.Unrun)
+		if (w.Leave || !free.Contains(j.Resources)) && !w.Willing {
+			w.ends[j.Attempt] = dispatch.FinishedTask{Run: dispatch.Run{Attempt: j.Attempt, Resources: j.Resources}, Outcome: state.OutcomeNeverRan}
+			w.say(Spared, j.Attempt, state.OutcomeNeverRan)
 			continue
 		}
-		free = free.Minus(j.Room)
+		free = free.Sub(j.Resources)
 		w.start(now, j)
 	}
 }
 
-func (w *Worker) start(now types.Stamp, j dispatch.Job) {
+func (w *Worker) start(now types.MonoTime, j dispatch.AttemptSpec) {
 	var k Work
-	json.Unmarshal(j.Work, &k)
+	json.Unmarshal(j.Input, &k)
 	long := float64(k.MS) * w.Slow
 	if w.Stall > 0 && w.rnd.Float64() < w.Stall {
 		long *= 10
 	}
-	r := &run{job: j, ends: now.Add(time.Duration(long * float64(time.Millisecond))), outcome: state.OK, crash: k.Crash}
+	r := &run{job: j, ends: now.Add(time.Duration(long * float64(time.Millisecond))), outcome: state.OutcomeOK, crash: k.Crash}
 	if k.Fail || w.Fails > 0 && w.rnd.Float64() < w.Fails {
-		r.outcome = state.Bad
+		r.outcome = state.OutcomeFailed
 	}
 	w.runs[j.Attempt] = r
 	w.say(Started, j.Attempt, "")
