--- a/sim/faults.go
+++ b/sim/faults.go
@@ -31,7 +31,7 @@
 	var term types.Term
 	for _, n := range upNodes(r.controllers) {
 		if h, ok := n.m.(*controller.Controller); ok {
-			if s := h.Status(); s.Part == "leader" && s.Term > term {
+			if s := h.Status(); s.RaftRole == "leader" && s.Term > term {
 				best, term = n, s.Term
 			}
 		}
@@ -239,7 +239,7 @@
 		undo := func() {
 			r.Clients.order("drain.drop", rack, nil, 0, func() { delete(r.drains, rack) })
 		}
-		r.Clients.order("drain.put", rack, wire.Body(config.Drain{WithinMillis: r.random.Intn(3) * 1000}), 0, func() {
+		r.Clients.order("drain.put", rack, wire.EncodeBody(config.Drain{WithinMillis: r.random.Intn(3) * 1000}), 0, func() {
 			if acked = true; over {
 				undo()
 			}
@@ -318,7 +318,7 @@
 		if h.m == nil || h.frozen {
 			return false
 		}
-		if s := h.m.(*controller.Controller).Status(); s.Part != "leader" && s.Part != "follower" || len(s.Roll) != len(r.controllers) {
+		if s := h.m.(*controller.Controller).Status(); s.RaftRole != "leader" && s.RaftRole != "follower" || len(s.Members) != len(r.controllers) {
 			return false
 		}
 	}
@@ -360,7 +360,7 @@
 // Close warns a node, as the platform does before it kills it.
 func (r *Run) Close(n *node) {
 	n.closes = true
-	n.deliver(func() { n.step(wire.Event{Close: true}) })
+	n.deliver(func() { n.step(wire.Event{Shutdown: true}) })
 	gen := n.gen
 	r.at(5*time.Second, func() {
 		if n.gen == gen && n.m != nil {
