--- a/internal/apierror/golden_test.go
+++ b/internal/apierror/golden_test.go
@@ -17,10 +17,10 @@
 func TestErrorsGolden(t *testing.T) {
 	goldentest.JSON[apierror.Error](t, "error.json")
 	var lines strings.Builder
-	for _, kind := range slices.Sorted(maps.Keys(apierror.Code)) {
+	for _, kind := range slices.Sorted(maps.Keys(apierror.StatusCodes)) {
 		e := apierror.New(kind, "a.field", "a reason")
-		fmt.Fprintf(&lines, "%d %s %s", e.Code(), body(t, e), e.Error())
-		fmt.Fprintf(&lines, " %s\n", body(t, apierror.New(kind, "", "so").After(1500*time.Millisecond)))
+		fmt.Fprintf(&lines, "%d %s %s", e.StatusCode(), body(t, e), e.Error())
+		fmt.Fprintf(&lines, " %s\n", body(t, apierror.New(kind, "", "so").WithRetryAfter(1500*time.Millisecond)))
 	}
 	goldentest.File(t, "errors.txt", []byte(lines.String()))
 }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -24,7 +24,7 @@
 	goldentest.WriteOnlyJSON[QueueView](t, "view-queue.json")
 	goldentest.WriteOnlyJSON[WorkerView](t, "view-worker.json")
 	goldentest.WriteOnlyJSON[DrainView](t, "view-drain.json")
-	goldentest.WriteOnlyJSON[PlanView](t, "view-plan.json")
+	goldentest.WriteOnlyJSON[CalendarView](t, "view-plan.json")
 	goldentest.WriteOnlyJSON[StatusView](t, "view-status.json")
 }
 
@@ -41,12 +41,12 @@
 		if err := json.Unmarshal(line, &command); err != nil {
 			t.Fatal(err)
 		}
-		c.leader().machine.fact(command)
+		c.leader().machine.propose(command)
 		c.run(40 * time.Millisecond)
 	}
 	for i, m := range c.members {
 		dir := t.TempDir()
-		file, _, _, err := wal.Open(wal.Disk{}, dir)
+		file, _, _, err := wal.Open(wal.OSStorage{}, dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -88,16 +88,16 @@
 	var lines strings.Builder
 	for _, request := range requests {
 		parts := append(strings.SplitN(request, " ", 3), "", "")
-		var answers []wire.Answer
-		leader.ask(parts[0], parts[1], json.RawMessage(parts[2]), func(a wire.Answer) { answers = append(answers, a) })
+		var answers []wire.Response
+		leader.ask(parts[0], parts[1], json.RawMessage(parts[2]), func(a wire.Response) { answers = append(answers, a) })
 		c.run(20 * time.Millisecond)
 		fmt.Fprintf(&lines, "%s\n", request)
 		for _, a := range answers {
-			fault, err := json.Marshal(a.Fault)
+			fault, err := json.Marshal(a.Error)
 			if err != nil {
 				t.Fatal(err)
 			}
-			fmt.Fprintf(&lines, "\t%d %s %s\n", a.Code, a.Body, fault)
+			fmt.Fprintf(&lines, "\t%d %s %s\n", a.StatusCode, a.Body, fault)
 		}
 	}
 	goldentest.File(t, "restart-answers.txt", []byte(lines.String()))
@@ -107,13 +107,13 @@
 // restarted is a cluster whose members have the disks of the golden files and are not
 // started yet.
 func restarted(t *testing.T) *cluster {
-	c := &cluster{t: t, rnd: rand.New(rand.NewSource(6)), every: 1000}
+	c := &cluster{t: t, rnd: rand.New(rand.NewSource(6)), snapshotThreshold: 1000}
 	for i := range 3 {
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, "lore.log"), goldentest.Read(t, diskName(i)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		file, records, spoilt, err := wal.Open(wal.Disk{}, dir)
+		file, records, spoilt, err := wal.Open(wal.OSStorage{}, dir)
 		if err != nil || spoilt != "" {
 			t.Fatal(err, spoilt)
 		}
@@ -127,6 +127,6 @@
 
 // written is a state as a snapshot holds it, one part a line.
 func written(s *state.State) []byte {
-	s.Begin()
-	return append(bytes.Join(s.Shoot(1<<30), []byte("\n")), '\n')
+	s.BeginSnapshot()
+	return append(bytes.Join(s.ContinueSnapshot(1<<30), []byte("\n")), '\n')
 }
--- a/internal/goldentest/golden.go
+++ b/internal/goldentest/golden.go
@@ -35,7 +35,8 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs at byte %d\n got: %s\nwant: %s", name, differsAt(got, want), got, want)
+		at := differsAt(got, want)
+		t.Errorf("%s differs at byte %d, in these lines\n got: %q\nwant: %q", name, at, lineAt(got, at), lineAt(want, at))
 	}
 }
 
@@ -67,6 +68,13 @@
 	return n
 }
 
+// lineAt is the line that a byte is in.
+func lineAt(b []byte, at int) []byte {
+	start := bytes.LastIndexByte(b[:at], '\n') + 1
+	line, _, _ := bytes.Cut(b[start:], []byte("\n"))
+	return line
+}
+
 // JSON checks a type's JSON both ways; see Codec.
 func JSON[T any](t *testing.T, name string, fixed ...any) {
 	t.Helper()
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -22,9 +22,9 @@
 // mirror is a machine that answers a request with the request itself.
 type mirror struct{}
 
-func (mirror) Step(e wire.Event) (out wire.Out) {
-	if a := e.Ask; a != nil {
-		out.Answers = []wire.Answer{{Token: a.Token, Code: http.StatusAccepted, Body: wire.Body(map[string]any{"verb": a.Verb, "arg": a.Arg, "body": string(a.Body)})}}
+func (mirror) Step(e wire.Event) (out wire.Effects) {
+	if a := e.Request; a != nil {
+		out.Responses = []wire.Response{{Token: a.Token, StatusCode: http.StatusAccepted, Body: wire.EncodeBody(map[string]any{"verb": a.Verb, "arg": a.Arg, "body": string(a.Body)})}}
 	}
 	return out
 }
@@ -71,20 +71,20 @@
 func TestPagesGolden(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	post := NewPost(ctx, "")
-	owner := NewOwner(post, nil)
-	owner.Carry(mirror{})
-	owner.Show = func() any {
+	post := NewSender(ctx, "")
+	owner := NewEventLoop(post, nil)
+	owner.SetMachine(mirror{})
+	owner.Status = func() any {
 		return map[string]any{"role": "gateway", "sums": map[string]int{"Calls": 3}, "ready": true, "mates": 1, "roll": 2, "at": "x"}
 	}
 	trail := trace.New()
-	trail.Add(5, trace.Job("a"), "granted entry", "from", types.Addr("10.0.0.1:7001"))
-	pages := &Pages{Owner: owner, Post: post, Trail: trail, Ready: func() bool { return true }}
-	entry := &Entry{}
-	handler := pages.Wrap(entry.Routes(pages))
+	trail.Add(5, trace.JobSubject("a"), "granted entry", "from", types.Addr("10.0.0.1:7001"))
+	pages := &Handlers{Loop: owner, Sender: post, Trace: trail, Ready: func() bool { return true }}
+	entry := &GatewayHandlers{}
+	handler := pages.TrackInFlight(entry.Routes(pages))
 	go owner.Run(ctx)
-	entry.Publish(config.Table{Version: 1, Rows: []config.Row{{Name: "q"}}}, 1<<62)
-	for string(owner.View()) == "{}" {
+	entry.PublishTable(config.Table{Version: 1, Queues: []config.Queue{{Name: "q"}}}, 1<<62)
+	for string(owner.StatusJSON()) == "{}" {
 		answer(handler, "GET /v1/table ")
 	}
 	var lines strings.Builder
@@ -122,9 +122,9 @@
 // Every kind of refusal as it is answered.
 func TestRefusalsGolden(t *testing.T) {
 	var lines strings.Builder
-	for _, kind := range slices.Sorted(maps.Keys(apierror.Code)) {
+	for _, kind := range slices.Sorted(maps.Keys(apierror.StatusCodes)) {
 		recorder := httptest.NewRecorder()
-		Fail(recorder, apierror.New(kind, "a.field", "a reason"))
+		WriteError(recorder, apierror.New(kind, "a.field", "a reason"))
 		fmt.Fprintf(&lines, "%s\n%s\n", kind, written(recorder))
 	}
 	goldentest.File(t, "refusals.txt", []byte(lines.String()))
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -24,7 +24,7 @@
 			said := goldentest.Leaves(s) + goldentest.Leaves(errs.List())
 			for _, role := range []string{"controller", "gateway", "agent"} {
 				checked, errs := s, &apierror.ErrorList{}
-				checked.Check(role, errs)
+				checked.Validate(role, errs)
 				said += fmt.Sprintf("%s: %v\n", role, errs.Err())
 			}
 			goldentest.File(t, name, []byte(said))
@@ -35,7 +35,7 @@
 // The paces that follow from bounds, and what the machines take of them.
 func TestPacesGolden(t *testing.T) {
 	filled := goldentest.Fill[Settings]()
-	said := goldentest.Leaves(Derive(Usual)) + goldentest.Leaves(Derive(filled.Bounds)) + goldentest.Leaves(Quick) +
-		goldentest.Leaves(filled.Dispatch()) + goldentest.Leaves(filled.Pace.Core()) + goldentest.Leaves(filled.Begin())
+	said := goldentest.Leaves(DeriveTimeouts(DefaultBounds)) + goldentest.Leaves(DeriveTimeouts(filled.Bounds)) + goldentest.Leaves(QuickTimeouts) +
+		goldentest.Leaves(filled.Dispatch()) + goldentest.Leaves(filled.Timeouts.Raft()) + goldentest.Leaves(filled.Bootstrap())
 	goldentest.File(t, "paces.txt", []byte(said))
 }
