--- a/internal/dispatch/lacks_test.go
+++ b/internal/dispatch/lacks_test.go
@@ -19,20 +19,20 @@
 func newOverstatingRig(t *testing.T) *linkRig {
 	r := newReadyRig(t, 17)
 	r.worker.Room = cores(2)
-	r.environment.Sent("large", &state.Spec{Steps: []state.Step{{Name: "s", Tasks: 1, Resources: cores(4)}}})
+	r.environment.JobSubmitted("large", &state.Spec{Steps: []state.Step{{Name: "s", Tasks: 1, Resources: cores(4)}}})
 	for i := range 10 {
-		r.environment.Sent(types.JobID(fmt.Sprint("j", i)), &state.Spec{Steps: []state.Step{{Name: "s", Tasks: 1, Resources: cores(1)}}})
+		r.environment.JobSubmitted(types.JobID(fmt.Sprint("j", i)), &state.Spec{Steps: []state.Step{{Name: "s", Tasks: 1, Resources: cores(1)}}})
 	}
 	return r
 }
 
 // shortfallDuration is for how long the leader counts a worker's room as less from now on.
-func (r *linkRig) shortfallDuration() time.Duration {
-	from := r.now
-	for r.scheduler.Worker("s").Shortfall != (types.Resources{}) && r.now.Sub(from) < time.Minute {
-		r.advance(20 * ms)
+func (lr *linkRig) shortfallDuration() time.Duration {
+	from := lr.now
+	for lr.scheduler.Worker("s").Shortfall != (types.Resources{}) && lr.now.Sub(from) < time.Minute {
+		lr.advance(20 * ms)
 	}
-	return r.now.Sub(from)
+	return lr.now.Sub(from)
 }
 
 func roughly(d, want time.Duration) bool { return d > want-100*ms && d < want+600*ms }
