--- a/cmd/coppercourse/daemons.go
+++ b/cmd/coppercourse/daemons.go
@@ -147,7 +147,6 @@
 	platformPorts func(*server.Handlers) []server.Endpoint            // further addresses to listen on
 	publishTable  func(t config.Table, confirmedUntil types.MonoTime) // gateway: takes each table, and until when it may be used
 	workerCaller  server.WorkerCaller                                 // agent: calls the worker
-	lastState     string                                              // the state that was logged last
 }
 
 // serve runs the daemon's pages on its own address and on those of the platform
@@ -160,14 +159,6 @@
 	return server.Serve(d.ctx, d.log, p, server.NewShutdownTiming(d.settings.Bounds.ShutdownTimes()), ports...)
 }
 
-// logState logs the daemon's state if it has changed since the last call.
-func (d *daemon) logState(what ...any) {
-	if now := fmt.Sprint(what...); now != d.lastState {
-		d.lastState = now
-		d.log.Info("state", what...)
-	}
-}
-
 // runController runs a controller on its write-ahead log.
 func runController(d *daemon) error {
 	s := d.settings
@@ -184,10 +175,10 @@
 	m := controller.New(server.Now(), randomSource(), options, records)
 	o.SetMachine(m)
 	var ready atomic.Bool
+	states := stateLogger[controllerState]{log: d.log}
 	o.Status = func() any {
 		v := m.Status()
-		d.logState("part", v.RaftRole, "term", v.Term, "leader", v.Leader, "reason", v.Reason, "waits", v.InitialWait != "", "members", len(v.Members), "voters", v.Members.Voters(),
-			"behind", v.Overloaded, "relieved", v.Counters.Relieved)
+		states.update(newControllerState(v))
 		return v
 	}
 	o.AfterStep = func() { ready.Store(m.Ready()) }
@@ -204,9 +195,10 @@
 	m := gateway.New(server.Now(), randomSource(), place)
 	o.SetMachine(m)
 	var ready atomic.Bool
+	states := stateLogger[gatewayState]{log: d.log}
 	o.Status = func() any {
 		v := m.Status()
-		d.logState("ready", v.Ready, "leader", v.Leader, "table_edition", v.TableVersion)
+		states.update(newGatewayState(v))
 		return v
 	}
 	entry := &server.GatewayHandlers{}
@@ -233,9 +225,10 @@
 	m := agent.New(server.Now(), randomSource(), place)
 	o.SetMachine(m)
 	o.CallWorker = d.workerCaller
+	states := stateLogger[agentState]{log: d.log}
 	o.Status = func() any {
 		v := m.Status()
-		d.logState("health", v.Executor.State, "term", v.Executor.Term, "instance", v.Executor.Instance, "leaving", v.Executor.Draining)
+		states.update(newAgentState(v))
 		return v
 	}
 	p := &server.Handlers{Loop: o, Sender: post, Trace: m.Trace, Ready: func() bool { return true }}
--- /dev/null
+++ b/cmd/coppercourse/state_log_test.go
@@ -0,0 +1,87 @@
+package main
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/go-logr/logr/funcr"
+	"github.com/matryer/is"
+
+	"coppercourse/internal/dispatch"
+)
+
+// Each change of a daemon's state is logged once, with a message that names it.
+func TestStateChangesAreLoggedOnce(t *testing.T) {
+	t.Run("controller", func(t *testing.T) {
+		follower := controllerState{raftRole: "follower", term: 1, leader: "a", members: 3, voters: 3}
+		leader := controllerState{raftRole: "leader", term: 2, leader: "b", members: 3, voters: 3, initialWait: true}
+		checkStateLog(t, []loggedState[controllerState]{
+			{"start without data", controllerState{raftRole: "empty"}, "waiting for bootstrap"},
+			{"still the same", controllerState{raftRole: "empty"}, ""},
+			{"wait has a reason", controllerState{raftRole: "empty", reason: "so"}, "controller state changed"},
+			{"bootstrapped", controllerState{raftRole: "follower", members: 3, voters: 3}, "became follower"},
+			{"leader elected", follower, "following new leader"},
+			{"leader silent", with(follower, func(s *controllerState) { s.leader = "" }), "lost contact with leader"},
+			{"election", controllerState{raftRole: "candidate", term: 2, members: 3, voters: 3}, "became candidate"},
+			{"won", leader, "became leader"},
+			{"initial wait over", with(leader, func(s *controllerState) { s.initialWait = false }), "started placing tasks"},
+			{"voter added", with(leader, func(s *controllerState) { s.initialWait, s.members, s.voters = false, 4, 4 }), "membership changed"},
+			{"overload begins", with(leader, func(s *controllerState) { s.members, s.voters, s.overloaded = 4, 4, true }), "overloaded"},
+			{"overload ends", with(leader, func(s *controllerState) { s.members, s.voters = 4, 4 }), "no longer overloaded"},
+			{"joins as a learner", controllerState{raftRole: "learner"}, "became learner"},
+			{"removed", controllerState{raftRole: "out"}, "removed from cluster"},
+		})
+	})
+	t.Run("gateway", func(t *testing.T) {
+		checkStateLog(t, []loggedState[gatewayState]{
+			{"start", gatewayState{}, "waiting for a leader"},
+			{"leader and table", gatewayState{true, "a", 1}, "ready for requests"},
+			{"table replaced", gatewayState{true, "a", 2}, "table in force"},
+			{"table replaced once", gatewayState{true, "a", 2}, ""},
+			{"other leader", gatewayState{true, "b", 2}, "following new leader"},
+			{"leader silent", gatewayState{true, "", 2}, "lost contact with leader"},
+			{"shutting down", gatewayState{false, "", 2}, "not ready for requests"},
+		})
+	})
+	t.Run("agent", func(t *testing.T) {
+		checkStateLog(t, []loggedState[agentState]{
+			{"start", agentState{dispatch.New, 0, "i", false}, "started as new instance"},
+			{"healthy", agentState{dispatch.Healthy, 1, "i", false}, "worker health changed"},
+			{"new leader", agentState{dispatch.Healthy, 2, "i", false}, "accepted new term"},
+			{"draining", agentState{dispatch.Healthy, 2, "i", true}, "worker is draining"},
+			{"undrained", agentState{dispatch.Healthy, 2, "i", false}, "worker takes tasks again"},
+			{"lease ended", agentState{dispatch.New, 2, "k", false}, "started as new instance"},
+		})
+	})
+}
+
+// loggedState is a state and the message that logging it gives, or none.
+type loggedState[S any] struct {
+	name    string
+	state   S
+	message string
+}
+
+func checkStateLog[S daemonState[S]](t *testing.T, steps []loggedState[S]) {
+	t.Helper()
+	is := is.New(t)
+	var lines []string
+	logger := stateLogger[S]{log: funcr.NewJSON(func(line string) { lines = append(lines, line) }, funcr.Options{})}
+	for _, step := range steps {
+		lines = nil
+		logger.update(step.state)
+		if step.message == "" {
+			is.Equal(len(lines), 0) // a state that has not changed
+			continue
+		}
+		is.Equal(len(lines), 1)
+		if !strings.Contains(lines[0], `"msg":"`+step.message+`"`) {
+			t.Errorf("%s: want %q, got %s", step.name, step.message, lines[0])
+		}
+	}
+}
+
+func with(s controllerState, change func(*controllerState)) controllerState {
+	change(&s)
+	return s
+}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -141,13 +141,13 @@
 	case wire.RunTask:
 		a.Counters.Orders++
 		if o, ok := wire.DecodeBody[dispatch.RunTask](n); ok {
-			a.Trace.Add(a.now.Wall, trace.JobSubject(o.Spec.Attempt.Job), "order received", "attempt", o.Spec.Attempt)
+			a.Trace.Add(a.now.Wall, trace.JobSubject(o.Spec.Attempt.Job), "start order received", "attempt", o.Spec.Attempt)
 		}
 	case wire.KillTask:
 		a.Counters.Stops++
 		if s, ok := wire.DecodeBody[dispatch.KillTasks](n); ok {
 			for _, l := range s.Attempts {
-				a.Trace.Add(a.now.Wall, trace.JobSubject(l.Job), "stop received", "attempt", l)
+				a.Trace.Add(a.now.Wall, trace.JobSubject(l.Job), "stop order received", "attempt", l)
 			}
 		}
 	}
@@ -212,7 +212,7 @@
 		a.reject(a.pollToken, apierror.New(apierror.StaleVersion, "call", "a newer call has come"))
 	}
 	for _, e := range p.Ended {
-		a.Trace.Add(a.now.Wall, trace.JobSubject(e.Attempt.Job), "worker reported an end", "attempt", e.Attempt, "outcome", e.Outcome)
+		a.Trace.Add(a.now.Wall, trace.JobSubject(e.Attempt.Job), "attempt end reported by worker", "attempt", e.Attempt, "outcome", e.Outcome)
 	}
 	a.pollToken, a.pollSince = ask.Token, a.now.Mono
 }
--- a/internal/controller/calls.go
+++ b/internal/controller/calls.go
@@ -167,7 +167,7 @@
 		co.replyError(w, co.withRetryAfter(bad, f))
 		return
 	}
-	co.Trace.Add(co.now.Wall, trace.JobSubject(id), "handed over here", "from", w.gateway)
+	co.Trace.Add(co.now.Wall, trace.JobSubject(id), "received by leader", "from", w.gateway)
 	co.proposeRequest(w, f)
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -220,17 +220,17 @@
 func (co *Controller) traceCommand(f state.Command, at types.Index) {
 	switch {
 	case f.Table != nil:
-		co.Trace.Add(co.now.Wall, trace.TableSubject(co.state.Table.Version), "applied", "index", at)
+		co.Trace.Add(co.now.Wall, trace.TableSubject(co.state.Table.Version), "table applied", "index", at)
 	case f.Job != nil:
-		co.Trace.Add(co.now.Wall, trace.JobSubject(f.Job.ID), "accept applied", "index", at)
+		co.Trace.Add(co.now.Wall, trace.JobSubject(f.Job.ID), "submission applied", "index", at)
 	case f.Cancel != "":
-		co.Trace.Add(co.now.Wall, trace.JobSubject(f.Cancel), "cancel applied", "index", at)
+		co.Trace.Add(co.now.Wall, trace.JobSubject(f.Cancel), "cancellation applied", "index", at)
 	}
 	for _, g := range f.Assignments {
-		co.Trace.Add(co.now.Wall, trace.JobSubject(g.ID.Job), "leg given out", "leg", g.ID, "shard", g.Shard)
+		co.Trace.Add(co.now.Wall, trace.JobSubject(g.ID.Job), "attempt assigned", "attempt", g.ID, "worker", g.Shard)
 	}
 	for _, x := range f.Ends {
-		co.Trace.Add(co.now.Wall, trace.JobSubject(x.ID.Job), "end applied", "leg", x.ID, "fate", x.Outcome)
+		co.Trace.Add(co.now.Wall, trace.JobSubject(x.ID.Job), "attempt end applied", "attempt", x.ID, "outcome", x.Outcome)
 		co.attemptEnded(x)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -131,7 +131,7 @@
 	case g.members.HandleMessage(g.now.Mono, n):
 	case n.Kind == wire.ConfigWatchReply:
 		if g.configWatcher.HandleResponse(n) {
-			g.Trace.Add(g.now.Wall, trace.TableSubject(g.configWatcher.Table.Version), "in use here")
+			g.Trace.Add(g.now.Wall, trace.TableSubject(g.configWatcher.Table.Version), "table in force")
 		}
 	case n.Kind == wire.StatusReport:
 		g.bufferEndReport(n)
@@ -205,7 +205,7 @@
 	}
 	g.pending[g.lastID] = c
 	if a.Verb == "job.put" {
-		g.Trace.Add(g.now.Wall, trace.JobSubject(types.JobID(a.Arg)), "granted entry")
+		g.Trace.Add(g.now.Wall, trace.JobSubject(types.JobID(a.Arg)), "request admitted")
 	}
 	g.forward(g.lastID, c, "")
 }
--- a/internal/server/disk.go
+++ b/internal/server/disk.go
@@ -133,7 +133,7 @@
 		select {
 		case <-ctx.Done():
 			if err := d.log.Close(); err != nil {
-				d.logger.Error(err, "the log could not be sealed at the end")
+				d.logger.Error(err, "cannot seal the write-ahead log at shutdown")
 			}
 			return nil
 		case <-timer.C:
@@ -164,14 +164,14 @@
 		d.onError(err)
 	}
 	if failures == 1 || retryDelay(failures) > retryDelay(failures-1) {
-		d.logger.Error(err, "the disk refuses; trying again", "failures", failures, "pause", retryDelay(failures).String())
+		d.logger.Error(err, "disk write failed, retrying", "failures", failures, "retry_in", retryDelay(failures).String())
 	}
 }
 
 func (d *DiskWriter) reportRecovery(failures int) {
 	d.errorReported = false
 	if failures > 0 {
-		d.logger.Info("the disk takes writes again", "failures", failures)
+		d.logger.Info("disk writes succeed again", "failures", failures)
 	}
 }
 
@@ -210,7 +210,7 @@
 		case b.FallbackRecords == nil || !wal.IsNoSpace(err):
 			return err
 		default:
-			d.logger.Info("no room to rewrite the log; it grows on", "error", err.Error())
+			d.logger.Info("no disk space to compact the write-ahead log, appending instead", "error", err.Error())
 		}
 		break
 	}
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -51,7 +51,7 @@
 			return apierror.Wrap(apierror.BadSetting, err, "listen")
 		}
 		servers = append(servers, newEndpointServer(ln, p, port))
-		log.Info("serving", "listen", port.Addr)
+		log.Info("listening", "listen", port.Addr)
 	}
 	return serve(ctx, log, p, timing, servers)
 }
@@ -85,7 +85,7 @@
 
 // shutDown stops taking part: unready first, duties handed over, then answers.
 func (h *Handlers) shutDown(ctx context.Context, log logr.Logger, timing ShutdownTiming) {
-	log.Info("stopping: not ready, handing duties over", "linger", timing.NotReadyFor.String(), "finish", timing.Timeout.String())
+	log.Info("shutting down: reporting not ready, transferring leadership", "not_ready_for", timing.NotReadyFor.String(), "timeout", timing.Timeout.String())
 	h.draining.Store(true)
 	h.Loop.BeginShutdown()
 	tick := time.NewTicker(10 * time.Millisecond)
--- a/internal/server/waiting.go
+++ b/internal/server/waiting.go
@@ -23,13 +23,13 @@
 	for failures := 1; ; failures++ {
 		file, records, spoilt, err := wal.Open(storage, dir)
 		if spoilt != "" {
-			log.Error(nil, "the data file is damaged; put aside, starting as a new member", "kept", spoilt)
+			log.Error(nil, "write-ahead log is damaged; moved it aside and starting as a new member", "moved_to", spoilt)
 		}
 		if err == nil {
 			return file, records, nil
 		}
 		if failures == 1 || retryDelay(failures) > retryDelay(failures-1) {
-			log.Error(err, "the log can't be opened; trying again", "failures", failures, "pause", retryDelay(failures).String())
+			log.Error(err, "write-ahead log cannot be opened, retrying", "failures", failures, "retry_in", retryDelay(failures).String())
 		}
 		waitHandler.show(ctx, log, listen, err)
 		select {
@@ -54,7 +54,7 @@
 	}
 	ln, err := Listen(ctx, listen)
 	if err != nil {
-		log.Error(err, "no page while waiting")
+		log.Error(err, "cannot serve the status page while the write-ahead log is not open")
 		return
 	}
 	d.server = &http.Server{Handler: d, ReadHeaderTimeout: time.Second}
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -77,7 +77,7 @@
 		if child.Vital || len(failures) > maxFailures {
 			return apierror.Wrap(apierror.Unusable, err, child.Name)
 		}
-		log.Error(err, "child starts again", "child", child.Name)
+		log.Error(err, "restarting failed child", "child", child.Name)
 		select {
 		case <-ctx.Done():
 			return nil
