--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -259,10 +259,14 @@
 			return
 		}
 		co.Counters.Elected++
-		co.scheduler = dispatch.NewScheduler(co.now.Mono, co.raft.PriorLeaderHeardAt(), co.options.DispatchTimeouts, co.options.Addr, co.raft.Term(), co.outstandingAttempts())
-		co.scheduler.Invoked = func(x types.Shard) bool { return co.state.WorkerShapes[x].CalledByAgent }
-		co.scheduler.Partitioned = func(x types.Shard) bool { return co.members.ZonePartitioned(string(x)) }
-		co.scheduler.EndRecorded, co.scheduler.Unresolved = co.endRecorded, func(x types.Shard) []types.AttemptID { return co.state.UnresolvedAttempts(x) }
+		co.scheduler = dispatch.NewScheduler(co.now.Mono, dispatch.SchedulerConfig{
+			Timeouts:          co.options.DispatchTimeouts,
+			Addr:              co.options.Addr,
+			Term:              co.raft.Term(),
+			PriorAuthorityEnd: co.raft.PriorLeaderHeardAt(),
+			Outstanding:       co.outstandingAttempts(),
+			Cluster:           clusterState{co},
+		})
 	}
 	co.scheduler.Tick(co.now.Mono, co.raft.AuthorityRemaining())
 	co.drainScheduler()
--- a/internal/controller/slots_test.go
+++ b/internal/controller/slots_test.go
@@ -64,6 +64,14 @@
 	return
 }
 
+// calledWorkers is a cluster of workers that are called, whose log records no end.
+type calledWorkers struct{}
+
+func (calledWorkers) UnresolvedAttempts(types.Shard) []types.AttemptID { return nil }
+func (calledWorkers) ZonePartitioned(types.Shard) bool                 { return false }
+func (calledWorkers) CalledByAgent(types.Shard) bool                   { return true }
+func (calledWorkers) EndRecorded(state.AttemptEnd) bool                { return false }
+
 // leaderRig is a controller as it leads, with agents that come, tell of themselves,
 // and are given attempts, at random.
 type leaderRig struct {
@@ -79,10 +87,13 @@
 	now := types.Now{Mono: types.MonoTime(time.Hour), Wall: types.WallTime(time.Hour)}
 	h := New(now, rnd, Options{Addr: "h1", RaftTimeouts: raft.DefaultTimeouts, DispatchTimeouts: dispatch.Defaults}, nil)
 	l := &leaderRig{Controller: h, rnd: rnd}
-	h.scheduler = dispatch.NewScheduler(now.Mono, now.Mono, dispatch.Defaults, "h1", 1, nil)
-	h.scheduler.Invoked = func(types.Shard) bool { return true }
-	h.scheduler.Partitioned = func(types.Shard) bool { return false }
-	h.scheduler.EndRecorded, h.scheduler.Unresolved = func(state.AttemptEnd) bool { return false }, func(types.Shard) []types.AttemptID { return nil }
+	h.scheduler = dispatch.NewScheduler(now.Mono, dispatch.SchedulerConfig{
+		Timeouts:          dispatch.Defaults,
+		Addr:              "h1",
+		Term:              1,
+		PriorAuthorityEnd: now.Mono,
+		Cluster:           calledWorkers{},
+	})
 	for i := range 5 {
 		id := types.JobID(fmt.Sprint("job-", i))
 		h.state.Jobs[id] = &state.Job{ID: id, Status: state.JobOpen, Spec: &state.Spec{Steps: []state.Step{
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -137,15 +137,29 @@
 		outs = append(outs, dispatch.OutstandingAttempt{Attempt: l, Shard: "s", Resources: types.Resources{Cores: types.Core}})
 	}
 	sort.Slice(outs, func(i, k int) bool { return outs[i].Attempt.Less(outs[k].Attempt) })
-	h := dispatch.NewScheduler(lr.now, lr.now, lr.timeouts, "h", lr.term, outs)
-	h.EndRecorded = func(e state.AttemptEnd) bool { _, ok := lr.committed[e.ID]; return ok || !lr.outstanding[e.ID] }
-	h.Partitioned = func(types.Shard) bool { return false }
-	h.Invoked = func(types.Shard) bool { return true }
-	h.Unresolved = func(types.Shard) []types.AttemptID { return nil }
-	lr.scheduler = h
+	lr.scheduler = dispatch.NewScheduler(lr.now, dispatch.SchedulerConfig{
+		Timeouts:          lr.timeouts,
+		Addr:              "h",
+		Term:              lr.term,
+		PriorAuthorityEnd: lr.now,
+		Outstanding:       outs,
+		Cluster:           rigCluster{lr},
+	})
 	clear(lr.proposed)
 }
 
+// rigCluster answers the scheduler from the rig's log; its worker is called by its agent.
+type rigCluster struct{ rig *linkRig }
+
+func (rigCluster) UnresolvedAttempts(types.Shard) []types.AttemptID { return nil }
+func (rigCluster) ZonePartitioned(types.Shard) bool                 { return false }
+func (rigCluster) CalledByAgent(types.Shard) bool                   { return true }
+
+func (rc rigCluster) EndRecorded(e state.AttemptEnd) bool {
+	_, ok := rc.rig.committed[e.ID]
+	return ok || !rc.rig.outstanding[e.ID]
+}
+
 // newAgent starts an agent that knows nothing.
 func (lr *linkRig) newAgent() {
 	lr.agents++
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -71,27 +71,60 @@
 	stageDurations    map[stageKey]*stageTimes
 	lastPruneAt       types.MonoTime
 	sends             []wire.OutboundMessage
-	// Doubts lists the attempts lost on a shard whose true ends are still awaited.
-	Unresolved func(types.Shard) []types.AttemptID
-	// Apart tells whether a shard is silent together with its whole zone.
-	Partitioned func(types.Shard) bool
-	// Invoked tells whether a shard's worker is one that is called.
-	Invoked func(types.Shard) bool
-	// Taken tells whether the log already has an end, or has no use for it.
-	EndRecorded func(state.AttemptEnd) bool
+	cluster           ClusterState
 }
 
-// NewHead starts a leadership; outs are the attempts that the log has as given out,
-// and ruled is when an earlier leader can last have had authority.
-func NewScheduler(now, ruled types.MonoTime, pace Timeouts, me types.Addr, term types.Term, outs []OutstandingAttempt) *Scheduler {
-	h := &Scheduler{timeouts: pace, addr: me, term: term, startedAt: now, priorAuthorityEnd: min(now, ruled), now: now, InInitialWait: true, workers: map[types.Shard]*RemoteWorker{},
-		replacedInstances: map[types.ID]bool{}, attempts: newAttemptIndex(), workerSets: workerSetHistory{byIndirectVersion: map[int][]*RemoteWorker{}}, baselines: map[string]*baseline{},
-		stageDurations: map[stageKey]*stageTimes{}, lastSweepAt: now.Add(-sweepInterval)}
-	for _, o := range outs {
+// ClusterState is what a Scheduler asks of the replicated state and of the membership.
+// It answers as of the present step.
+type ClusterState interface {
+	// UnresolvedAttempts lists the attempts that were lost on a shard and whose true
+	// ends are still awaited.
+	UnresolvedAttempts(types.Shard) []types.AttemptID
+	// ZonePartitioned reports whether a shard is silent together with its whole zone.
+	ZonePartitioned(types.Shard) bool
+	// CalledByAgent reports whether a shard's worker is called by its agent rather
+	// than polling it.
+	CalledByAgent(types.Shard) bool
+	// EndRecorded reports whether the log already has an end, or has no use for it.
+	EndRecorded(state.AttemptEnd) bool
+}
+
+// SchedulerConfig is what a Scheduler starts a leadership with.
+type SchedulerConfig struct {
+	Timeouts Timeouts
+	Addr     types.Addr
+	Term     types.Term
+	// PriorAuthorityEnd is when an earlier leader can last have had authority.
+	PriorAuthorityEnd types.MonoTime
+	// Outstanding are the attempts that the log has as given out and not ended.
+	Outstanding []OutstandingAttempt
+	Cluster     ClusterState
+}
+
+// NewScheduler starts a leadership.
+func NewScheduler(now types.MonoTime, config SchedulerConfig) *Scheduler {
+	sc := &Scheduler{
+		timeouts:          config.Timeouts,
+		addr:              config.Addr,
+		term:              config.Term,
+		startedAt:         now,
+		priorAuthorityEnd: min(now, config.PriorAuthorityEnd),
+		now:               now,
+		InInitialWait:     true,
+		workers:           map[types.Shard]*RemoteWorker{},
+		replacedInstances: map[types.ID]bool{},
+		attempts:          newAttemptIndex(),
+		workerSets:        workerSetHistory{byIndirectVersion: map[int][]*RemoteWorker{}},
+		baselines:         map[string]*baseline{},
+		stageDurations:    map[stageKey]*stageTimes{},
+		lastSweepAt:       now.Add(-sweepInterval),
+		cluster:           config.Cluster,
+	}
+	for _, o := range config.Outstanding {
 		o.Phase, o.OrderedAt = unconfirmed, now
-		h.attempts.add(&o)
+		sc.attempts.add(&o)
 	}
-	return h
+	return sc
 }
 
 func (sc *Scheduler) send(s *RemoteWorker, kind string, body any) {
@@ -227,7 +260,7 @@
 		}
 	}
 	outcome := state.OutcomeLost
-	if sc.Invoked(s.Shard) {
+	if sc.cluster.CalledByAgent(s.Shard) {
 		outcome = state.OutcomeLeaseExpired
 	}
 	if a.Complete {
@@ -247,7 +280,7 @@
 // resolveUnreported ends the doubt about attempts that were lost on a shard and are not in its
 // worker's own account: they did not end well and never will.
 func (sc *Scheduler) resolveUnreported(shard types.Shard, told map[types.AttemptID]bool) {
-	for _, l := range sc.Unresolved(shard) {
+	for _, l := range sc.cluster.UnresolvedAttempts(shard) {
 		if !told[l] {
 			sc.reportEnd(l, state.OutcomeNeverRan)
 		}
@@ -258,9 +291,9 @@
 // has no lease any more by then, and what it did is not settled there.
 func (sc *Scheduler) lossOutcome(shard types.Shard) state.Outcome {
 	switch {
-	case sc.Invoked(shard):
+	case sc.cluster.CalledByAgent(shard):
 		return state.OutcomeLeaseExpired
-	case sc.Partitioned(shard):
+	case sc.cluster.ZonePartitioned(shard):
 		return state.OutcomePartitioned
 	}
 	return state.OutcomeLost
@@ -342,7 +375,7 @@
 		if !known && !e.Outcome.ReportedByWorker() {
 			continue
 		}
-		if sc.EndRecorded(e) {
+		if sc.cluster.EndRecorded(e) {
 			sc.attempts.remove(e.ID)
 			done = append(done, e)
 		} else {
--- a/internal/dispatch/truth_test.go
+++ b/internal/dispatch/truth_test.go
@@ -24,6 +24,9 @@
 	inFlight  []wire.OutboundMessage // not yet delivered
 	ends      []state.AttemptEnd
 	instances int
+
+	endsRecorded  bool // the log already has every end, or none
+	calledByAgent bool // the workers are called rather than polling
 }
 
 func newTestCluster() *testCluster {
@@ -33,13 +36,23 @@
 }
 
 func (t *testCluster) newLeader(term types.Term, outs ...OutstandingAttempt) {
-	t.scheduler = NewScheduler(t.now, t.now, Defaults, "h", term, outs)
-	t.scheduler.EndRecorded = func(state.AttemptEnd) bool { return false }
-	t.scheduler.Partitioned = func(types.Shard) bool { return false }
-	t.scheduler.Invoked = func(types.Shard) bool { return false }
-	t.scheduler.Unresolved = func(types.Shard) []types.AttemptID { return nil }
+	t.endsRecorded = false
+	t.scheduler = NewScheduler(t.now, SchedulerConfig{
+		Timeouts:          Defaults,
+		Addr:              "h",
+		Term:              term,
+		PriorAuthorityEnd: t.now,
+		Outstanding:       outs,
+		Cluster:           t,
+	})
 }
 
+// UnresolvedAttempts and the next three answer the scheduler as its ClusterState.
+func (*testCluster) UnresolvedAttempts(types.Shard) []types.AttemptID { return nil }
+func (*testCluster) ZonePartitioned(types.Shard) bool                 { return false }
+func (t *testCluster) CalledByAgent(types.Shard) bool                 { return t.calledByAgent }
+func (t *testCluster) EndRecorded(state.AttemptEnd) bool              { return t.endsRecorded }
+
 func (t *testCluster) newAgent(addr types.Addr, shard types.Shard) *Executor {
 	h := NewExecutor(t.now, Defaults, addr, shard, func() types.ID {
 		t.instances++
@@ -154,7 +167,7 @@
 	b.deliver(nil)
 	w.endAttempt(w.attempts[newAttempt("j", 1)], state.OutcomeOK)
 	b.scheduler.OnEndsCommitted([]state.AttemptEnd{{ID: newAttempt("j", 1), Outcome: state.OutcomeOK}})
-	b.scheduler.EndRecorded = func(state.AttemptEnd) bool { return true }
+	b.endsRecorded = true
 	b.deliver(nil)
 	b.poll(w, w.lastCall+1)
 	b.poll(w, w.lastCall+1) // the worker has let go of it, so the agent has too
@@ -343,9 +356,15 @@
 	is := is.New(t)
 	b := newTestCluster()
 	for _, ago := range []time.Duration{0, 900 * time.Millisecond, time.Hour} {
-		h := NewScheduler(b.now, b.now.Add(-ago), Defaults, "h", 2, []OutstandingAttempt{{Attempt: newAttempt("j", 1), Shard: "s"}})
-		h.EndRecorded, h.Unresolved = func(state.AttemptEnd) bool { return false }, func(types.Shard) []types.AttemptID { return nil }
-		h.Partitioned, h.Invoked = func(types.Shard) bool { return false }, func(types.Shard) bool { return true }
+		b.calledByAgent = true
+		h := NewScheduler(b.now, SchedulerConfig{
+			Timeouts:          Defaults,
+			Addr:              "h",
+			Term:              2,
+			PriorAuthorityEnd: b.now.Add(-ago),
+			Outstanding:       []OutstandingAttempt{{Attempt: newAttempt("j", 1), Shard: "s"}},
+			Cluster:           b,
+		})
 		for at := time.Duration(0); at < Defaults.LostAfter+time.Second; at += 10 * time.Millisecond {
 			h.Tick(b.now.Add(at), time.Second)
 			is.Equal(h.InInitialWait, at+ago <= Defaults.LostAfter+Defaults.HeartbeatInterval)
--- a/internal/dispatch/watch.go
+++ b/internal/dispatch/watch.go
@@ -164,7 +164,7 @@
 // UnknownAttempts lists attempts that an agent runs but the log does not have as given out.
 func (sc *Scheduler) UnknownAttempts() (list []types.AttemptID) {
 	for l, o := range sc.attempts.unknownToLog {
-		if o.Phase == confirmedRunning && sc.EndRecorded(state.AttemptEnd{ID: l, Outcome: state.OutcomeStopped}) {
+		if o.Phase == confirmedRunning && sc.cluster.EndRecorded(state.AttemptEnd{ID: l, Outcome: state.OutcomeStopped}) {
 			list = append(list, l)
 		}
 	}
