--- a/internal/controller/slots_test.go
+++ b/internal/controller/slots_test.go
@@ -106,7 +106,7 @@
 	l.scheduler.Tick(l.now.Mono, time.Minute)
 }
 
-func (l *leaderRig) deliver(kind string, body any) {
+func (l *leaderRig) deliver(kind wire.Kind, body any) {
 	l.scheduler.HandleMessage(l.now.Mono, time.Minute, wire.NewMessage("a", "h1", kind, body).Message)
 }
 
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -114,7 +114,7 @@
 // attemptsInOrder lists the attempts in order; the list is a copy.
 func (ex *Executor) attemptsInOrder() []*attempt { return slices.Clone(ex.sortedAttempts) }
 
-func (ex *Executor) send(to types.Addr, kind string, body any) {
+func (ex *Executor) send(to types.Addr, kind wire.Kind, body any) {
 	ex.sends = append(ex.sends, wire.NewMessage(ex.addr, to, kind, body))
 }
 
--- a/internal/dispatch/heed.go
+++ b/internal/dispatch/heed.go
@@ -169,7 +169,7 @@
 	}
 }
 
-var executorHandlers = map[string]func(*Executor, wire.Message){
+var executorHandlers = map[wire.Kind]func(*Executor, wire.Message){
 	wire.HeartbeatReply:    wire.HandlerFor((*Executor).onHeartbeatReply),
 	wire.RunningTasksQuery: wire.HandlerFor((*Executor).onGetRunningTasks),
 	wire.RunTask:           wire.HandlerFor((*Executor).onRunTask),
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -94,7 +94,7 @@
 	return h
 }
 
-func (sc *Scheduler) send(s *RemoteWorker, kind string, body any) {
+func (sc *Scheduler) send(s *RemoteWorker, kind wire.Kind, body any) {
 	sc.sends = append(sc.sends, wire.NewMessage(sc.addr, s.Addr, kind, body))
 }
 
--- a/internal/dispatch/truth_test.go
+++ b/internal/dispatch/truth_test.go
@@ -126,7 +126,7 @@
 	b.scheduler.RunTask(shard, 0, "", AttemptSpec{Attempt: l, Kind: "x", Resources: types.Resources{Cores: 1 * types.Core}})
 }
 
-func ofKind(k string) func(wire.OutboundMessage) bool {
+func ofKind(k wire.Kind) func(wire.OutboundMessage) bool {
 	return func(s wire.OutboundMessage) bool { return s.Message.Kind == k }
 }
 
--- a/internal/dispatch/watch.go
+++ b/internal/dispatch/watch.go
@@ -208,7 +208,7 @@
 	return s.Capacity.Sub(s.Shortfall).Sub(sc.attempts.reservedOn(s.Shard))
 }
 
-var schedulerHandlers = map[string]func(*Scheduler, wire.Message){
+var schedulerHandlers = map[wire.Kind]func(*Scheduler, wire.Message){
 	wire.Heartbeat:         wire.HandlerFor((*Scheduler).onHeartbeat),
 	wire.RunningTasksReply: wire.HandlerFor((*Scheduler).onRunningTasksReply),
 	wire.RunTaskReply:      wire.HandlerFor((*Scheduler).onRunTaskReply),
--- a/internal/goldentest/golden.go
+++ b/internal/goldentest/golden.go
@@ -101,10 +101,10 @@
 }
 
 // Message checks a kind of message both ways, in the list that daemons send each other.
-func Message[T any](t *testing.T, kind string, fixed ...any) {
+func Message[T any](t *testing.T, kind wire.Kind, fixed ...any) {
 	t.Helper()
-	t.Run(kind, func(t *testing.T) {
-		Codec(t, "message-"+kind+".json", func(body T) []byte {
+	t.Run(string(kind), func(t *testing.T) {
+		Codec(t, "message-"+string(kind)+".json", func(body T) []byte {
 			return wire.EncodeMessages([]wire.Message{wire.NewMessage(from, "", kind, body).Message})
 		}, func(b []byte) (body T, err error) {
 			list, err := wire.DecodeMessages(b)
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -27,7 +27,7 @@
 	provisionalPeriod = 30 * time.Second
 )
 
-var handlers = map[string]func(*Node, wire.Message){
+var handlers = map[wire.Kind]func(*Node, wire.Message){
 	wire.Bootstrap:       wire.HandlerFor((*Node).onBootstrap),
 	wire.JoinRequest:     wire.HandlerFor((*Node).onJoinRequest),
 	wire.RequestVote:     wire.HandlerFor((*Node).onRequestVote),
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -243,11 +243,11 @@
 }
 
 // send sends once the latest vote record is on disk.
-func (n *Node) send(to types.Addr, kind string, body any) {
+func (n *Node) send(to types.Addr, kind wire.Kind, body any) {
 	n.sendAfterBatch(n.hardStateBatch, to, kind, body)
 }
 
-func (n *Node) sendAfterBatch(batch uint64, to types.Addr, kind string, body any) {
+func (n *Node) sendAfterBatch(batch uint64, to types.Addr, kind wire.Kind, body any) {
 	s := wire.NewMessage(n.self.Addr, to, kind, body)
 	if batch <= n.syncedBatch {
 		n.sends = append(n.sends, s)
--- a/internal/raft/planted_test.go
+++ b/internal/raft/planted_test.go
@@ -87,7 +87,7 @@
 		a, b, c := w.machines[0], w.machines[1], w.machines[2]
 		w.plantedBug = plant
 		crash := func(m *machine) { m.unsynced, m.node, m.pendingProposals = nil, nil, nil }
-		only := func(from, to *machine, kinds ...string) { // delivers and syncs between two
+		only := func(from, to *machine, kinds ...wire.Kind) { // delivers and syncs between two
 			for range 60 {
 				for _, m := range []*machine{from, to} {
 					if m.up() && len(m.unsynced) > 0 {
--- a/internal/server/door_test.go
+++ b/internal/server/door_test.go
@@ -128,7 +128,7 @@
 	a := o.Ask(context.Background(), "job.get", "a", nil)
 	is.Equal(a.Error.Kind, apierror.TooBusy)
 	is.True(a.Error.RetryAfterSeconds > 0)
-	for kind := range map[string]bool{wire.AppendEntries: true, wire.RequestVote: true, wire.ConfigWatch: true, wire.Heartbeat: true, wire.StatusReport: true} {
+	for kind := range map[wire.Kind]bool{wire.AppendEntries: true, wire.RequestVote: true, wire.ConfigWatch: true, wire.Heartbeat: true, wire.StatusReport: true} {
 		is.True(o.Deliver(wire.Message{Kind: kind})) // one class leaves the others their room
 	}
 	refused, _ := o.queue.rejected()
--- a/internal/server/post_test.go
+++ b/internal/server/post_test.go
@@ -16,13 +16,13 @@
 	big := bytes.Repeat([]byte("x"), 100<<10)
 	dropped := 0
 	for i := range 200 {
-		dropped += l.put(wire.Message{Kind: string(rune('a' + i%26)), Body: big})
+		dropped += l.put(wire.Message{Kind: wire.Kind(rune('a' + i%26)), Body: big})
 	}
 	is.True(l.size <= maxQueuedBytes)
 	kept := l.byClass[wire.ClassBackground]
 	is.Equal(len(kept)+dropped, 200)
 	is.Equal(l.count, len(kept))
-	is.Equal(kept[len(kept)-1].Kind, string(rune('a'+199%26)))
+	is.Equal(kept[len(kept)-1].Kind, wire.Kind(rune('a'+199%26)))
 	for group := l.take(); len(group) > 0; group = l.take() {
 		size := 0
 		for _, n := range group {
@@ -53,11 +53,11 @@
 	for range 30 {
 		l.put(wire.Message{Kind: wire.ForwardRequest, Body: big})
 	}
-	var kinds []string
+	var kinds []wire.Kind
 	for _, n := range l.take() {
 		kinds = append(kinds, n.Kind)
 	}
-	is.Equal(kinds, []string{wire.AppendEntries, wire.ConfigWatch, wire.StatusReport, wire.ForwardRequest})
+	is.Equal(kinds, []wire.Kind{wire.AppendEntries, wire.ConfigWatch, wire.StatusReport, wire.ForwardRequest})
 	for range 2 * maxQueuedMessages {
 		l.put(wire.Message{Kind: wire.ForwardRequest})
 	}
--- a/internal/wire/class.go
+++ b/internal/wire/class.go
@@ -25,7 +25,7 @@
 func (c Class) String() string { return classNames[c] }
 
 // messageClasses gives the class of each kind of message.
-var messageClasses = map[string]Class{
+var messageClasses = map[Kind]Class{
 	Bootstrap: ClassConsensus, JoinRequest: ClassConsensus, RequestVote: ClassConsensus, VoteReply: ClassConsensus, AppendEntries: ClassConsensus, AppendReply: ClassConsensus,
 	InstallSnapshot: ClassConsensus, TimeoutNow: ClassConsensus, Removed: ClassConsensus,
 	ConfigWatch: ClassConfiguration, ConfigWatchReply: ClassConfiguration,
@@ -42,7 +42,7 @@
 }
 
 // ClassOfKind is the class of a kind of message.
-func ClassOfKind(kind string) Class {
+func ClassOfKind(kind Kind) Class {
 	if c, ok := messageClasses[kind]; ok {
 		return c
 	}
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -36,7 +36,7 @@
 	w.RawStr(`{"from":`)
 	w.Str(string(m.From))
 	w.RawStr(`,"kind":`)
-	w.Str(m.Kind)
+	w.Str(string(m.Kind))
 	w.RawStr(`,"body":`)
 	if m.Body == nil {
 		w.Null()
--- a/internal/wire/encode_test.go
+++ b/internal/wire/encode_test.go
@@ -14,9 +14,9 @@
 // escapes, and bodies that are missing.
 func randomMessages(r *rand.Rand) (list []Message) {
 	bodies := []string{`{}`, `null`, `[1,2,{"a":"<\u00e9\"}"}]`, `{"deep":{"er":[[],[{}]]},"n":-1.5e3}`, `"text"`, `true`}
-	names := []string{"", Heartbeat, `quote"d`, "tab\t", "é", `back\slash`, "<&>"}
+	names := []string{"", string(Heartbeat), `quote"d`, "tab\t", "é", `back\slash`, "<&>"}
 	for range 1 + r.Intn(4) {
-		m := Message{From: types.Addr(names[r.Intn(len(names))]), Kind: names[r.Intn(len(names))]}
+		m := Message{From: types.Addr(names[r.Intn(len(names))]), Kind: Kind(names[r.Intn(len(names))])}
 		if r.Intn(5) > 0 {
 			m.Body = json.RawMessage(bodies[r.Intn(len(bodies))])
 		}
@@ -40,7 +40,8 @@
 		is.NoErr(json.Unmarshal(EncodeMessages(list), &got))
 		is.Equal(len(got), len(want))
 		for i := range got {
-			is.Equal([2]string{string(got[i].From), got[i].Kind}, [2]string{string(want[i].From), want[i].Kind})
+			is.Equal(got[i].From, want[i].From)
+			is.Equal(got[i].Kind, want[i].Kind)
 			var a, b any
 			is.NoErr(json.Unmarshal(got[i].Body, &a))
 			is.NoErr(json.Unmarshal(want[i].Body, &b))
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -88,7 +88,7 @@
 func TestClassesGolden(t *testing.T) {
 	var lines strings.Builder
 	for _, text := range append(constants(t), "job.put", "job.get", "job.cancel", "queue.count", "poll", "beat", "leave", "table.put", "other") {
-		lines.WriteString(text + ": message " + wire.ClassOfKind(text).String() + ", verb " + wire.ClassOfVerb(text).String() + ", new work " + strconv.FormatBool(wire.SubmitsWork(text)) + "\n")
+		lines.WriteString(text + ": message " + wire.ClassOfKind(wire.Kind(text)).String() + ", verb " + wire.ClassOfVerb(text).String() + ", new work " + strconv.FormatBool(wire.SubmitsWork(text)) + "\n")
 	}
 	goldentest.File(t, "classes.txt", []byte(lines.String()))
 }
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -16,7 +16,7 @@
 // Message is one message between two daemons. Kind says how to read Body.
 type Message struct {
 	From types.Addr      `json:"from"`
-	Kind string          `json:"kind"`
+	Kind Kind            `json:"kind"`
 	Body json.RawMessage `json:"body"`
 }
 
@@ -28,7 +28,7 @@
 
 // NewMessage builds a message to be sent. A body that JSON can't hold is a programming
 // error and panics.
-func NewMessage(from, to types.Addr, kind string, body any) OutboundMessage {
+func NewMessage(from, to types.Addr, kind Kind, body any) OutboundMessage {
 	b, err := json.Marshal(body)
 	if err != nil {
 		panic(err)
@@ -46,33 +46,36 @@
 	}
 }
 
+// Kind says what a message is and so how its body is read. The texts go over the wire.
+type Kind string
+
 // The kinds of message, each with the package that handles it. Those of dispatch
 // name the call of the paper that they carry.
 const (
-	Hello             = "hello"   // membership: who is there
-	Bootstrap         = "found"   // raft: bootstrap of a cluster
-	JoinRequest       = "join"    // raft: a new member asks to join
-	RequestVote       = "ballot"  // raft: RequestVote
-	VoteReply         = "vote"    // raft: its reply
-	AppendEntries     = "append"  // raft: AppendEntries, with entries or none
-	AppendReply       = "taken"   // raft: its reply
-	InstallSnapshot   = "snap"    // raft: InstallSnapshot, one part
-	TimeoutNow        = "heir"    // raft: leadership transfer, to its target
-	Removed           = "gone"    // raft: tells a member that it was removed
-	Heartbeat         = "beat"    // dispatch: processHeartbeat
-	HeartbeatReply    = "beaten"  // dispatch: its reply
-	RunningTasksQuery = "ask"     // dispatch: getRunningTasks
-	RunningTasksReply = "account" // dispatch: its reply
-	RunTask           = "order"   // dispatch: runTask
-	RunTaskReply      = "ordered" // dispatch: its reply
-	NotRunningQuery   = "query"   // dispatch: notifyIfTasksNotRunning
-	NotRunningReply   = "queried" // dispatch: its reply
-	StatusReport      = "status"  // dispatch: updateStatus
-	StatusAck         = "settled" // dispatch: its reply, once committed
-	KillTask          = "stop"    // dispatch: killTask
-	ReplaceInstance   = "quit"    // dispatch: requestSuicide, for one instance
-	ForwardRequest    = "call"    // gateway: forwards a caller's request
-	ForwardReply      = "reply"   // controller: its reply
-	ConfigWatch       = "news"    // configwatch: asks for changes after a version
-	ConfigWatchReply  = "told"    // configwatch: its reply
+	Hello             Kind = "hello"   // membership: who is there
+	Bootstrap         Kind = "found"   // raft: bootstrap of a cluster
+	JoinRequest       Kind = "join"    // raft: a new member asks to join
+	RequestVote       Kind = "ballot"  // raft: RequestVote
+	VoteReply         Kind = "vote"    // raft: its reply
+	AppendEntries     Kind = "append"  // raft: AppendEntries, with entries or none
+	AppendReply       Kind = "taken"   // raft: its reply
+	InstallSnapshot   Kind = "snap"    // raft: InstallSnapshot, one part
+	TimeoutNow        Kind = "heir"    // raft: leadership transfer, to its target
+	Removed           Kind = "gone"    // raft: tells a member that it was removed
+	Heartbeat         Kind = "beat"    // dispatch: processHeartbeat
+	HeartbeatReply    Kind = "beaten"  // dispatch: its reply
+	RunningTasksQuery Kind = "ask"     // dispatch: getRunningTasks
+	RunningTasksReply Kind = "account" // dispatch: its reply
+	RunTask           Kind = "order"   // dispatch: runTask
+	RunTaskReply      Kind = "ordered" // dispatch: its reply
+	NotRunningQuery   Kind = "query"   // dispatch: notifyIfTasksNotRunning
+	NotRunningReply   Kind = "queried" // dispatch: its reply
+	StatusReport      Kind = "status"  // dispatch: updateStatus
+	StatusAck         Kind = "settled" // dispatch: its reply, once committed
+	KillTask          Kind = "stop"    // dispatch: killTask
+	ReplaceInstance   Kind = "quit"    // dispatch: requestSuicide, for one instance
+	ForwardRequest    Kind = "call"    // gateway: forwards a caller's request
+	ForwardReply      Kind = "reply"   // controller: its reply
+	ConfigWatch       Kind = "news"    // configwatch: asks for changes after a version
+	ConfigWatchReply  Kind = "told"    // configwatch: its reply
 )
--- a/internal/workqueue/workqueue_test.go
+++ b/internal/workqueue/workqueue_test.go
@@ -147,8 +147,8 @@
 // What a sender doesn't repeat, and what other than a caller waits for, stays.
 func TestEventsThatMustNotBeLostNeverExpire(t *testing.T) {
 	is := is.New(t)
-	message := func(kind string) wire.Event { return wire.Event{Message: &wire.Message{Kind: kind}} }
-	for _, kind := range []string{wire.AppendEntries, wire.RequestVote, wire.ConfigWatch, wire.ConfigWatchReply, wire.Heartbeat, wire.StatusAck, wire.ForwardReply, wire.RunTask, wire.KillTask} {
+	message := func(kind wire.Kind) wire.Event { return wire.Event{Message: &wire.Message{Kind: kind}} }
+	for _, kind := range []wire.Kind{wire.AppendEntries, wire.RequestVote, wire.ConfigWatch, wire.ConfigWatchReply, wire.Heartbeat, wire.StatusAck, wire.ForwardReply, wire.RunTask, wire.KillTask} {
 		is.Equal(MaxWait(message(kind)), time.Duration(0))
 	}
 	for _, e := range []wire.Event{{}, {Synced: 1}, {Shutdown: true}, {WorkerReply: &wire.WorkerReply{}}, {Request: &wire.Request{Verb: "table.put"}}, {Request: &wire.Request{Verb: "poll"}}} {
--- a/sim/planted_test.go
+++ b/sim/planted_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func onMessage[T any](kind string, f func(*T)) func(*Run) {
+func onMessage[T any](kind wire.Kind, f func(*T)) func(*Run) {
 	return func(r *Run) {
 		r.TamperMessage = func(s *wire.OutboundMessage) bool {
 			if s.Message.Kind == kind {
@@ -65,7 +65,7 @@
 	}
 }
 
-func dropMessages(kind string) func(*Run) {
+func dropMessages(kind wire.Kind) func(*Run) {
 	return func(r *Run) { r.TamperMessage = func(s *wire.OutboundMessage) bool { return s.Message.Kind != kind } }
 }
 
--- a/sim/usage.go
+++ b/sim/usage.go
@@ -29,7 +29,7 @@
 	return [Classes]string{"roster", "heartbeat", "log", "table", "work"}[c]
 }
 
-var classByKind = map[string]Class{
+var classByKind = map[wire.Kind]Class{
 	wire.Hello:     MembershipMessages,
 	wire.Heartbeat: HeartbeatMessages, wire.HeartbeatReply: HeartbeatMessages, wire.RunningTasksQuery: HeartbeatMessages, wire.RunningTasksReply: HeartbeatMessages,
 	wire.ReplaceInstance: HeartbeatMessages,
--- a/sim/usage_test.go
+++ b/sim/usage_test.go
@@ -104,7 +104,7 @@
 	var sends []wire.OutboundMessage
 	to := func(to types.Addr) []wire.OutboundMessage {
 		sends = nil
-		for _, kind := range []string{wire.Heartbeat, wire.HeartbeatReply} {
+		for _, kind := range []wire.Kind{wire.Heartbeat, wire.HeartbeatReply} {
 			sends = append(sends, wire.NewMessage("127.0.0.1:7400", to, kind, json.RawMessage(`{"stamp":123456789,"sound":true}`)))
 		}
 		return sends
