--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -127,7 +127,7 @@
 	return sc
 }
 
-func (sc *Scheduler) send(s *RemoteWorker, kind string, body any) {
+func (sc *Scheduler) send(s *RemoteWorker, kind wire.Kind, body any) {
 	sc.sends = append(sc.sends, wire.NewMessage(sc.addr, s.Addr, kind, body))
 }
 
