--- a/internal/dispatch/watch.go
+++ b/internal/dispatch/watch.go
@@ -164,7 +164,7 @@
 // UnknownAttempts lists attempts that an agent runs but the log does not have as given out.
 func (sc *Scheduler) UnknownAttempts() (list []types.AttemptID) {
 	for l, o := range sc.attempts.unknownToLog {
-		if o.Phase == confirmedRunning && sc.EndRecorded(state.AttemptEnd{ID: l, Outcome: state.OutcomeStopped}) {
+		if o.Phase == confirmedRunning && sc.cluster.EndRecorded(state.AttemptEnd{ID: l, Outcome: state.OutcomeStopped}) {
 			list = append(list, l)
 		}
 	}
@@ -208,7 +208,7 @@
 	return s.Capacity.Sub(s.Shortfall).Sub(sc.attempts.reservedOn(s.Shard))
 }
 
-var schedulerHandlers = map[string]func(*Scheduler, wire.Message){
+var schedulerHandlers = map[wire.Kind]func(*Scheduler, wire.Message){
 	wire.Heartbeat:         wire.HandlerFor((*Scheduler).onHeartbeat),
 	wire.RunningTasksReply: wire.HandlerFor((*Scheduler).onRunningTasksReply),
 	wire.RunTaskReply:      wire.HandlerFor((*Scheduler).onRunTaskReply),
