--- a/cmd/coppercourse/trace.go
+++ b/cmd/coppercourse/trace.go
@@ -73,8 +73,8 @@
 	if err := json.Unmarshal(body, &peers); err != nil {
 		return nil, err
 	}
-	self := membership.Card{Addr: types.Addr(gateway), Role: membership.RoleGateway}
-	return append(peers, membership.Peer{Card: self}), nil
+	self := membership.MemberInfo{Addr: types.Addr(gateway), Role: membership.RoleGateway}
+	return append(peers, membership.Peer{MemberInfo: self}), nil
 }
 
 // fetchTrace returns a daemon's trace points of a subject. A daemon that does not
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -60,8 +60,8 @@
 }
 
 // card returns what this daemon tells the cluster of itself.
-func (a *Agent) card() membership.Card {
-	c := membership.Card{Addr: a.options.Addr, Role: membership.RoleAgent, Zone: a.options.Zone, Shard: string(a.options.Shard), Ready: a.Ready(), Build: a.options.BuildVersion}
+func (a *Agent) card() membership.MemberInfo {
+	c := membership.MemberInfo{Addr: a.options.Addr, Role: membership.RoleAgent, Zone: a.options.Zone, Shard: string(a.options.Shard), Ready: a.Ready(), Build: a.options.BuildVersion}
 	if a.members != nil {
 		c.Name = a.members.ClusterName()
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -112,8 +112,8 @@
 	return h
 }
 
-func (co *Controller) describe() membership.Card {
-	return membership.Card{Addr: co.options.Addr, ID: co.raft.ID(), Role: "controller", Zone: co.options.Zone, Name: co.raft.ClusterName(),
+func (co *Controller) describe() membership.MemberInfo {
+	return membership.MemberInfo{Addr: co.options.Addr, ID: co.raft.ID(), Role: "controller", Zone: co.options.Zone, Name: co.raft.ClusterName(),
 		Term: co.raft.Term(), Leads: co.raft.IsLeader() && !co.shuttingDown, Shard: co.raft.Role(), Ready: co.Ready(), Build: co.options.Build}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -82,8 +82,8 @@
 	return g
 }
 
-func (g *Gateway) card() membership.Card {
-	c := membership.Card{Addr: g.options.Addr, Role: "gateway", Zone: g.options.Zone, Ready: g.Ready(), Build: g.options.BuildVersion}
+func (g *Gateway) card() membership.MemberInfo {
+	c := membership.MemberInfo{Addr: g.options.Addr, Role: "gateway", Zone: g.options.Zone, Ready: g.Ready(), Build: g.options.BuildVersion}
 	if g.members != nil {
 		c.Name = g.members.ClusterName()
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -43,7 +43,7 @@
 
 // helloFromControllers lets both controllers say hello; a leads.
 func (h *harness) helloFromControllers() {
-	for _, c := range []membership.Card{{Addr: "a", Role: "controller", Term: 1, Leads: true}, {Addr: "b", Role: "controller", Term: 1}} {
+	for _, c := range []membership.MemberInfo{{Addr: "a", Role: "controller", Term: 1, Leads: true}, {Addr: "b", Role: "controller", Term: 1}} {
 		s := wire.NewMessage(c.Addr, "g", wire.Hello, map[string]any{"me": c})
 		h.step(wire.Event{Message: &s.Message})
 	}
--- a/internal/membership/cards.go
+++ b/internal/membership/cards.go
@@ -28,7 +28,7 @@
 
 // entry is one card and when its daemon was last heard of.
 type entry struct {
-	info            Card
+	info            MemberInfo
 	heardAt         types.MonoTime // by anyone
 	heardDirectlyAt types.MonoTime // by this daemon
 	seq             uint64         // of its latest change here
@@ -71,25 +71,25 @@
 }
 
 // hash is a hash of the card's address and version.
-func (c Card) hash() uint32 {
+func (c MemberInfo) hash() uint32 {
 	f := fnv.New32a()
 	f.Write([]byte(c.Addr))
 	f.Write(strconv.AppendUint(nil, c.Version, 10))
 	return f.Sum32()
 }
 
-func (d *Digests) add(c Card)    { *d.ofRole(c.Role) += c.hash() }
-func (d *Digests) remove(c Card) { *d.ofRole(c.Role) -= c.hash() }
+func (d *Digests) add(c MemberInfo)    { *d.ofRole(c.Role) += c.hash() }
+func (d *Digests) remove(c MemberInfo) { *d.ofRole(c.Role) -= c.hash() }
 
 // inOtherCluster reports whether the card's daemon belongs to another cluster.
-func (ml *MemberList) inOtherCluster(c Card) bool {
+func (ml *MemberList) inOtherCluster(c MemberInfo) bool {
 	return c.Name != "" && ml.self.Name != "" && c.Name != ml.self.Name
 }
 
 // updateFromOwner takes a card from its owner. One with a version below the known one is
 // an old message or from a new process: the known version is returned, so that an
 // owner that does not know of it can go beyond it.
-func (ml *MemberList) updateFromOwner(c Card) (later uint64) {
+func (ml *MemberList) updateFromOwner(c MemberInfo) (later uint64) {
 	e := ml.entries[c.Addr]
 	switch {
 	case e != nil && c.Version != 0 && c.Version < e.info.Version:
@@ -97,7 +97,7 @@
 	case e != nil && c.Version == e.info.Version && c.Version != 0 && !ml.inOtherCluster(c):
 		ml.replace(e, c)
 	default:
-		ml.update(Peer{Card: c})
+		ml.update(Peer{MemberInfo: c})
 	}
 	if e = ml.entries[c.Addr]; e != nil {
 		e.heardDirectlyAt = ml.now
@@ -111,18 +111,18 @@
 	at := ml.now.Add(-time.Duration(m.AgeMS) * time.Millisecond)
 	e := ml.entries[m.Addr]
 	switch {
-	case m.Addr == ml.self.Addr || m.Addr == "" || ml.inOtherCluster(m.Card) || ml.now.Sub(at) > ForgetAfter:
+	case m.Addr == ml.self.Addr || m.Addr == "" || ml.inOtherCluster(m.MemberInfo) || ml.now.Sub(at) > ForgetAfter:
 		return
-	case e == nil && !ml.makeRoom(m.Card):
+	case e == nil && !ml.makeRoom(m.MemberInfo):
 		return
 	case e == nil:
-		e = &entry{info: m.Card, heardAt: never, heardDirectlyAt: never}
+		e = &entry{info: m.MemberInfo, heardAt: never, heardDirectlyAt: never}
 		ml.entries[m.Addr] = e
 		insert(&ml.order, m.Addr)
 		ml.index(e)
 		ml.logChange(e)
-	case m.Version > e.info.Version || m.Version == 0 && m.AgeMS == 0 && m.Card != e.info:
-		ml.replace(e, m.Card)
+	case m.Version > e.info.Version || m.Version == 0 && m.AgeMS == 0 && m.MemberInfo != e.info:
+		ml.replace(e, m.MemberInfo)
 		ml.logChange(e)
 	}
 	if m.Version == e.info.Version {
@@ -149,14 +149,14 @@
 // a sample of each other kind, without its seeds, which all others know too. A new
 // card replaces a random old one with a chance of one half, so that peers that are
 // gone are forgotten.
-func (ml *MemberList) makeRoom(c Card) bool {
+func (ml *MemberList) makeRoom(c MemberInfo) bool {
 	if ml.keepsAll() || c.Role == RoleController {
 		return len(ml.entries) < maxMembers
 	}
 	if slices.Contains(ml.seeds, c.Addr) {
 		return false
 	}
-	kind := func(c Card) string {
+	kind := func(c MemberInfo) string {
 		if c.Role == RoleAgent && c.Zone == ml.self.Zone {
 			return "near"
 		}
@@ -202,7 +202,7 @@
 }
 
 // replace puts a new card in the place of the known one.
-func (ml *MemberList) replace(e *entry, c Card) {
+func (ml *MemberList) replace(e *entry, c MemberInfo) {
 	ml.unindex(e)
 	e.info = c
 	ml.index(e)
--- a/internal/membership/hello.go
+++ b/internal/membership/hello.go
@@ -13,7 +13,7 @@
 
 // hello is the one message of this package: a question, or its reply.
 type hello struct {
-	Self         Card                 `json:"me"`
+	Self         MemberInfo           `json:"me"`
 	Peers        []Peer               `json:"mates,omitempty"`
 	WantsReply   bool                 `json:"ask,omitempty"`
 	IsReply      bool                 `json:"reply,omitempty"`
@@ -199,7 +199,7 @@
 		a.Peers, want = append(a.Peers, g), want-1
 	}
 	if h.Self.Role == RoleAgent {
-		ml.lastAsker, ml.lastAskedAt = Peer{Card: h.Self}, ml.now
+		ml.lastAsker, ml.lastAskedAt = Peer{MemberInfo: h.Self}, ml.now
 	}
 	n := len(ml.order)
 	if n == 0 || want == 0 || h.SampleSize == 1 {
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -29,10 +29,10 @@
 	RoleAgent      = "agent"
 )
 
-// Card is what a daemon says of itself. V is the card's version. Only its owner
+// MemberInfo is what a daemon says of itself. V is the card's version. Only its owner
 // raises it, also beyond the version that others have from an earlier process at
 // the same address.
-type Card struct {
+type MemberInfo struct {
 	Addr    types.Addr `json:"addr"`
 	ID      types.ID   `json:"id,omitempty"` // of a controller: its member identity
 	Role    string     `json:"role"`
@@ -49,7 +49,7 @@
 // Peer is another daemon's card, and how many milliseconds ago it was last heard
 // of.
 type Peer struct {
-	Card
+	MemberInfo
 	AgeMS int64 `json:"age_ms"`
 }
 
@@ -84,7 +84,7 @@
 // are its events, Out returns what to send.
 type MemberList struct {
 	rnd          *rand.Rand
-	self         Card
+	self         MemberInfo
 	seeds        []types.Addr
 	now          types.MonoTime
 	lastTick     types.MonoTime
@@ -124,7 +124,7 @@
 const versionSpread = 1 << 20
 
 // New returns the roster of a daemon that knows nobody but its seeds.
-func New(rnd *rand.Rand, me Card, seeds []types.Addr) *MemberList {
+func New(rnd *rand.Rand, me MemberInfo, seeds []types.Addr) *MemberList {
 	me.Version = 1 + uint64(rnd.Intn(versionSpread))
 	r := &MemberList{rnd: rnd, self: me, seeds: seeds, lastTick: never, leadsSince: never,
 		memberTable: memberTable{entries: map[types.Addr]*entry{}, agents: map[string]*entry{}, zones: map[types.Zone]*zoneState{}},
@@ -138,7 +138,7 @@
 
 // SetSelf sets this daemon's own card and raises its version if anything changed. A
 // daemon that has become the leader announces itself to all at once.
-func (ml *MemberList) SetSelf(c Card) {
+func (ml *MemberList) SetSelf(c MemberInfo) {
 	c.Version = ml.self.Version
 	same := c
 	if c.Role != RoleController {
--- a/internal/membership/roster_test.go
+++ b/internal/membership/roster_test.go
@@ -35,7 +35,7 @@
 	if !slices.Contains(t.order, a) {
 		t.order = append(t.order, a)
 	}
-	c := Card{Addr: a, Role: role, Zone: types.Zone(fmt.Sprint("z", i%zones)), Ready: true}
+	c := MemberInfo{Addr: a, Role: role, Zone: types.Zone(fmt.Sprint("z", i%zones)), Ready: true}
 	if role == "agent" {
 		c.Shard = fmt.Sprint("k", i)
 	}
@@ -300,8 +300,8 @@
 
 func TestMembersOfOtherClustersAreIgnored(t *testing.T) {
 	is := is.New(t)
-	r := New(rand.New(rand.NewSource(1)), Card{Addr: "a", Role: "controller", Name: "one"}, nil)
-	r.HandleMessage(1, wire.NewMessage("b", "a", wire.Hello, hello{Self: Card{Addr: "b", Role: "controller", Name: "two", Version: 3}}).Message)
-	r.HandleMessage(1, wire.NewMessage("c", "a", wire.Hello, hello{Self: Card{Addr: "c", Role: "gateway", Name: "one", Version: 3}}).Message)
+	r := New(rand.New(rand.NewSource(1)), MemberInfo{Addr: "a", Role: "controller", Name: "one"}, nil)
+	r.HandleMessage(1, wire.NewMessage("b", "a", wire.Hello, hello{Self: MemberInfo{Addr: "b", Role: "controller", Name: "two", Version: 3}}).Message)
+	r.HandleMessage(1, wire.NewMessage("c", "a", wire.Hello, hello{Self: MemberInfo{Addr: "c", Role: "gateway", Name: "one", Version: 3}}).Message)
 	is.Equal(len(r.Peers()), 1)
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -31,7 +31,7 @@
 func (ml *MemberList) healthy(e *entry) bool { return ml.now.Sub(e.heardAt) <= HealthyWithin }
 
 // Controllers returns the cards of the healthy controllers.
-func (ml *MemberList) Controllers() (list []Card) {
+func (ml *MemberList) Controllers() (list []MemberInfo) {
 	for _, a := range ml.controllers {
 		if e := ml.entries[a]; ml.healthy(e) {
 			list = append(list, e.info)
@@ -41,7 +41,7 @@
 }
 
 // MembersOf returns the cards of all peers of a role, healthy or not.
-func (ml *MemberList) MembersOf(role string) (list []Card) {
+func (ml *MemberList) MembersOf(role string) (list []MemberInfo) {
 	from := ml.order
 	if role == RoleController {
 		from = ml.controllers
