--- a/internal/controller/copies.go
+++ b/internal/controller/copies.go
@@ -53,7 +53,7 @@
 
 // isStraggler tells whether an attempt is far behind its like, or its worker out of reach.
 func (co *Controller) isStraggler(o *dispatch.OutstandingAttempt, p *state.Step) bool {
-	if s := co.scheduler.Worker(o.Shard); s == nil || s.State != dispatch.Healthy || !s.Healthy {
+	if s := co.scheduler.Worker(o.Shard); s == nil || s.State != dispatch.WorkerHealthy || !s.Healthy {
 		return true
 	}
 	if o.StragglerEnd > co.now.Mono {
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -79,7 +79,7 @@
 	shard := types.Shard(c.Arg)
 	bad := co.checkTargetKnown(state.Target{Shard: shard})
 	for _, s := range co.scheduler.Workers() {
-		if s.Shard == shard && s.State != dispatch.MustDie {
+		if s.Shard == shard && s.State != dispatch.WorkerMustDie {
 			bad = apierror.New(apierror.WorkerHealthy, "", "the worker's agent is heard of; only one that is lost can be given up")
 		}
 	}
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -219,7 +219,7 @@
 		if s.Capacity.Cores == 0 && ok {
 			continue // an agent that has not heard its worker yet
 		}
-		if s.State != dispatch.New && (!ok || y.Rack != x.Rack || y.Resources != x.Resources || y.CalledByAgent != x.CalledByAgent ||
+		if s.State != dispatch.WorkerNew && (!ok || y.Rack != x.Rack || y.Resources != x.Resources || y.CalledByAgent != x.CalledByAgent ||
 			!slices.Equal(y.Kinds, x.Kinds) || !slices.Equal(y.Labels, x.Labels)) {
 			list = append(list, x)
 		}
--- a/internal/controller/slots.go
+++ b/internal/controller/slots.go
@@ -43,7 +43,7 @@
 	clear(sc.position)
 	slots = sc.slots[:0]
 	for _, s := range h.scheduler.Workers() {
-		if s.State != dispatch.Healthy {
+		if s.State != dispatch.WorkerHealthy {
 			continue
 		}
 		total += s.Capacity.Cores
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -101,7 +101,7 @@
 	State          dispatch.Health `json:"state"`
 	InStateMS      int64           `json:"for_ms"`
 	SinceHealthyMS int64           `json:"quiet_ms"`
-	dispatch.Report
+	dispatch.WorkerReport
 	Free        types.Resources `json:"free"`
 	Attempts    int             `json:"legs"`
 	FailureRate float64         `json:"bad_ends"`
@@ -119,7 +119,7 @@
 	}
 	for _, s := range co.scheduler.Workers() {
 		list = append(list, WorkerView{Shard: s.Shard, ID: s.Instance, AgentAddr: s.Addr, State: s.State, InStateMS: co.now.Mono.Sub(s.StateSince).Milliseconds(),
-			SinceHealthyMS: co.now.Mono.Sub(s.LastHealthyAt).Milliseconds(), Report: s.Report, Free: co.scheduler.FreeCapacity(s), Attempts: n[s.Shard],
+			SinceHealthyMS: co.now.Mono.Sub(s.LastHealthyAt).Milliseconds(), WorkerReport: s.WorkerReport, Free: co.scheduler.FreeCapacity(s), Attempts: n[s.Shard],
 			FailureRate: s.Reliability.FailureRate, Slowness: s.Reliability.RelativeDuration})
 	}
 	return
--- a/internal/dispatch/hold.go
+++ b/internal/dispatch/attempt_index.go
@@ -168,3 +168,33 @@
 }
 
 func sortedShards[T any](m map[types.Shard]T) []types.Shard { return slices.Sorted(maps.Keys(m)) }
+
+type attemptPhase string
+
+const (
+	unconfirmed      attemptPhase = "unknown" // given out before this leadership, not told of yet
+	orderSent        attemptPhase = "sent"
+	confirmedRunning attemptPhase = "running"
+	unsureIfRunning  attemptPhase = "unsure"
+)
+
+// Attempts lists the attempts that possibly run, by shard.
+func (sc *Scheduler) Attempts() []*OutstandingAttempt { return sc.attempts.all() }
+
+// AttemptsOn lists those of one shard in order, with a number that differs whenever the
+// list does; the list is the scheduler's own and holds until its next step.
+func (sc *Scheduler) AttemptsOn(shard types.Shard) ([]*OutstandingAttempt, uint64) {
+	var list []*OutstandingAttempt
+	if x := sc.attempts.byShard[shard]; x != nil {
+		list = x.list
+	}
+	return list, sc.attempts.revisions[shard]
+}
+
+// ShardOf is the shard on which an attempt possibly runs, or nothing.
+func (sc *Scheduler) ShardOf(attempt types.AttemptID) types.Shard {
+	if o := sc.attempts.byID[attempt]; o != nil {
+		return o.Shard
+	}
+	return ""
+}
--- a/internal/dispatch/decode.go
+++ b/internal/dispatch/decode.go
@@ -29,12 +29,12 @@
 		case "spans":
 			return true, wire.DecodeList(d, &h.Durations, func(s *DurationEstimate) error { return s.decode(d) })
 		}
-		return h.Report.decodeField(d, key)
+		return h.WorkerReport.decodeField(d, key)
 	})
 }
 
 // decodeField reads one field of a report.
-func (r *Report) decodeField(d *jx.Decoder, key string) (known bool, err error) {
+func (r *WorkerReport) decodeField(d *jx.Decoder, key string) (known bool, err error) {
 	switch key {
 	case "rack":
 		return true, wire.DecodeString(d, &r.Rack)
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor.go
@@ -3,7 +3,6 @@
 package dispatch
 
 import (
-	"slices"
 	"time"
 
 	"coppercourse/internal/state"
@@ -11,41 +10,6 @@
 	"coppercourse/internal/wire"
 )
 
-type attemptState string
-
-const (
-	attemptWaiting  attemptState = "waiting" // ordered, not yet taken up by the worker
-	attemptRunning  attemptState = "running"
-	attemptStopping attemptState = "stopping"
-	attemptEnded    attemptState = "ended"
-)
-
-type attempt struct {
-	spec          AttemptSpec
-	state         attemptState
-	startBefore   types.MonoTime
-	startedAt     types.MonoTime
-	outcome       state.Outcome
-	overTimeLimit bool // past its time limit: however it is stopped, it failed
-	sentToWorker  bool
-	committed     bool
-	runsAfterEnd  bool // the worker runs it although it has ended here
-
-	// of a worker that is called
-	startFence        uint64         // under which it was started
-	killAskedAt       types.MonoTime // when its stop was last asked for
-	seenRunningAt     types.MonoTime // when the worker last said that it runs
-	killAcceptedAt    types.MonoTime // when the worker took its stop
-	startUnsure       bool           // its start had no clear answer
-	endNumber         uint64         // the number of its end
-	checkpoint        string         // what it has saved
-	checkpointAt      types.MonoTime // when that last changed
-	percentDone       float64        // how far it is, in percent
-	progressReadAt    types.MonoTime // when that was told
-	progressChangedAt types.MonoTime // when it last changed
-	reportedDuration  time.Duration  // how long it takes in all, as was told last
-}
-
 // Executor is one agent's half.
 type Executor struct {
 	timeouts         Timeouts
@@ -77,7 +41,7 @@
 	workerSentAt      types.MonoTime
 	workerLeaseBase   types.MonoTime
 	workerDepartsAt   types.MonoTime // when the worker goes, if it said so
-	report            Report
+	report            WorkerReport
 	hasUpdate         bool
 	link              *WorkerLink // of a worker that is called
 	sends             []wire.OutboundMessage
@@ -87,62 +51,15 @@
 
 // NewHand starts an agent that knows nothing of its worker yet.
 func NewExecutor(now types.MonoTime, pace Timeouts, me types.Addr, shard types.Shard, mint func() types.ID) *Executor {
-	return &Executor{timeouts: pace, addr: me, shard: shard, instance: mint(), newInstance: mint, now: now, startedAt: now, state: New, stateSince: now,
+	return &Executor{timeouts: pace, addr: me, shard: shard, instance: mint(), newInstance: mint, now: now, startedAt: now, state: WorkerNew, stateSince: now,
 		lastGrantSentAt: now, leaseUntil: never, lastHeartbeatAt: never, lastStatusAt: never, workerHeardAt: never, workerLeaseBase: now,
 		attempts: map[types.AttemptID]*attempt{}, seenAttempts: map[types.AttemptID]types.MonoTime{}}
 }
 
-// add takes an attempt into the account, forget out of it.
-func (ex *Executor) add(l *attempt) {
-	if ex.attempts[l.spec.Attempt] == nil {
-		i, _ := slices.BinarySearchFunc(ex.sortedAttempts, l, compareAttempts)
-		ex.sortedAttempts = slices.Insert(ex.sortedAttempts, i, l)
-	}
-	ex.attempts[l.spec.Attempt] = l
-}
-
-func (ex *Executor) remove(k types.AttemptID) {
-	if l := ex.attempts[k]; l != nil {
-		i, _ := slices.BinarySearchFunc(ex.sortedAttempts, l, compareAttempts)
-		ex.sortedAttempts = slices.Delete(ex.sortedAttempts, i, i+1)
-		delete(ex.attempts, k)
-	}
-}
-
-func compareAttempts(a, b *attempt) int { return a.spec.Attempt.Compare(b.spec.Attempt) }
-
-// attemptsInOrder lists the attempts in order; the list is a copy.
-func (ex *Executor) attemptsInOrder() []*attempt { return slices.Clone(ex.sortedAttempts) }
-
 func (ex *Executor) send(to types.Addr, kind string, body any) {
 	ex.sends = append(ex.sends, wire.NewMessage(ex.addr, to, kind, body))
 }
 
-func (ex *Executor) setState(s Health) {
-	if ex.state != s {
-		ex.state, ex.stateSince = s, ex.now
-	}
-}
-
-// endAttempt ends an attempt in the account and has it told. Lost is not the last word:
-// the attempt stays until the worker is heard again and says what became of it.
-func (ex *Executor) endAttempt(l *attempt, f state.Outcome) {
-	if l.overTimeLimit && f != state.OutcomeOK {
-		f = state.OutcomeFailed
-	}
-	l.state, l.outcome, l.committed, l.startUnsure, ex.lastStatusAt = attemptEnded, f, false, false, never
-}
-
-// stopAttempt has an attempt stopped. One that the worker was never shown ends at once.
-func (ex *Executor) stopAttempt(l *attempt) {
-	switch {
-	case l.state == attemptWaiting && !l.sentToWorker:
-		ex.endAttempt(l, state.OutcomeNeverRan)
-	case l.state == attemptWaiting || l.state == attemptRunning:
-		l.state, ex.hasUpdate = attemptStopping, true
-	}
-}
-
 // Tick lets time pass; lead is whom the roster holds for the leader.
 func (ex *Executor) Tick(now types.MonoTime, lead types.Addr) {
 	if lead != ex.leader {
@@ -160,17 +77,17 @@
 	}
 	quiet := now.Sub(ex.lastGrantSentAt)
 	switch {
-	case ex.state == MustDie:
+	case ex.state == WorkerMustDie:
 		ex.restartAsNewInstance()
-	case ex.state == New:
+	case ex.state == WorkerNew:
 	case quiet > ex.timeouts.LostAfter:
-		ex.setState(MustDie)
+		ex.setState(WorkerMustDie)
 	case quiet > ex.timeouts.UnhealthyAfter:
-		ex.setState(Unhealthy)
+		ex.setState(WorkerUnhealthy)
 	default:
-		ex.setState(Healthy)
+		ex.setState(WorkerHealthy)
 	}
-	if now >= ex.leaseUntil && !ex.awaitsFirstLease() || ex.state == MustDie {
+	if now >= ex.leaseUntil && !ex.awaitsFirstLease() || ex.state == WorkerMustDie {
 		for _, l := range ex.attemptsInOrder() {
 			ex.stopAttempt(l)
 		}
@@ -200,60 +117,6 @@
 	ex.sendReports()
 }
 
-// awaitsFirstLease is true for an agent that starts anew beside a worker that is called, until
-// its first grant: what it finds there runs under a lease of the one before it,
-// and may run on under its own.
-func (ex *Executor) awaitsFirstLease() bool {
-	return ex.link != nil && ex.leaseUntil == never && ex.now.Sub(ex.startedAt) <= ex.timeouts.LostAfter
-}
-
-// restartAsNewInstance comes back as a new instance once nothing can be running any more.
-func (ex *Executor) restartAsNewInstance() {
-	for _, l := range ex.attempts {
-		if l.state != attemptEnded {
-			return
-		}
-	}
-	ex.instance, ex.previousInstance, ex.workerSet, ex.querySequence = ex.newInstance(), "", WorkerSetID{}, 0
-	ex.lastGrantSentAt, ex.leaseUntil, ex.lastHeartbeatAt = ex.now, never, never
-	ex.setState(New)
-}
-
-func (ex *Executor) sendReports() {
-	if ex.leader == "" {
-		return
-	}
-	if l := ex.capacityShortfall(); l != ex.report.Shortfall {
-		ex.report.Shortfall, ex.lastHeartbeatAt = l, never
-	}
-	if ex.now.Sub(ex.lastHeartbeatAt) >= ex.timeouts.HeartbeatInterval && ex.canReportRunningTasks() {
-		ex.lastHeartbeatAt = ex.now
-		if ex.report.DepartsInMS > 0 {
-			ex.report.DepartsInMS = max(1, ex.workerDepartsAt.Sub(ex.now).Milliseconds())
-		}
-		ex.send(ex.leader, wire.Heartbeat, Heartbeat{ex.shard, ex.instance, ex.previousInstance, ex.now, ex.workerSet, ex.report, ex.recentCheckpoints(), ex.durationEstimates()})
-	}
-	if ex.now.Sub(ex.lastStatusAt) < ex.timeouts.RetryInterval {
-		return
-	}
-	var list []state.AttemptEnd
-	for _, l := range ex.attemptsInOrder() {
-		if l.state == attemptEnded && !l.committed && len(list) < 500 {
-			list = append(list, state.AttemptEnd{ID: l.spec.Attempt, Outcome: l.outcome, Checkpoint: l.checkpoint})
-		}
-	}
-	if list != nil {
-		ex.lastStatusAt = ex.now
-		ex.send(ex.leader, wire.StatusReport, UpdateStatus{ex.shard, ex.instance, list})
-	}
-}
-
-// canReportRunningTasks is false while the agent can't tell what runs: its worker has not
-// called yet and could still hold a grant of an earlier agent.
-func (ex *Executor) canReportRunningTasks() bool {
-	return ex.runningTasksKnown || ex.now.Sub(ex.startedAt) > ex.timeouts.LostAfter
-}
-
 // TakeOutput drains what there is to send.
 func (ex *Executor) TakeOutput() []wire.OutboundMessage {
 	s := ex.sends
@@ -261,32 +124,21 @@
 	return s
 }
 
-// ExecutorView is the account as the agent's own status page shows it.
-type ExecutorView struct {
-	Shard     types.Shard `json:"shard"`
-	Instance  types.ID    `json:"instance"`
-	Term      types.Term  `json:"term"`
-	State     Health      `json:"state"`
-	InStateMS int64       `json:"for_ms"`
-	Report
-	LeaseLeftMS int64         `json:"grant_left_ms"`
-	Worker      types.ID      `json:"worker"`
-	Lease       *WorkerLease  `json:"lease,omitempty"`
-	Attempts    []AttemptView `json:"legs"`
-}
-
-type AttemptView struct {
-	Attempt types.AttemptID `json:"leg"`
-	State   string          `json:"part"`
-	Outcome state.Outcome   `json:"fate,omitempty"`
+var executorHandlers = map[string]func(*Executor, wire.Message){
+	wire.HeartbeatReply:    wire.HandlerFor((*Executor).onHeartbeatReply),
+	wire.RunningTasksQuery: wire.HandlerFor((*Executor).onGetRunningTasks),
+	wire.RunTask:           wire.HandlerFor((*Executor).onRunTask),
+	wire.NotRunningQuery:   wire.HandlerFor((*Executor).onNotifyIfTasksNotRunning),
+	wire.StatusAck:         wire.HandlerFor((*Executor).onCommittedEnds),
+	wire.KillTask:          wire.HandlerFor((*Executor).onKillTasks),
+	wire.ReplaceInstance:   wire.HandlerFor((*Executor).onRequestSuicide),
 }
 
-func (ex *Executor) View() ExecutorView {
-	v := ExecutorView{Shard: ex.shard, Instance: ex.instance, Term: ex.term, State: ex.state, InStateMS: ex.now.Sub(ex.stateSince).Milliseconds(),
-		Report: ex.report, Worker: ex.workerInstance, Lease: ex.WorkerLease(), Attempts: []AttemptView{}}
-	v.LeaseLeftMS = max(0, ex.leaseUntil.Sub(ex.now).Milliseconds())
-	for _, l := range ex.attemptsInOrder() {
-		v.Attempts = append(v.Attempts, AttemptView{l.spec.Attempt, string(l.state), l.outcome})
+// HandleMessage handles a scheduler's note.
+func (ex *Executor) HandleMessage(now types.MonoTime, n wire.Message) {
+	ex.now = now
+	if f := executorHandlers[n.Kind]; f != nil {
+		f(ex, n)
 	}
-	return v
+	ex.makeDueCalls()
 }
--- a/internal/dispatch/caller.go
+++ b/internal/dispatch/link.go
@@ -145,7 +145,7 @@
 
 func (ex *Executor) updateReport(b wire.WorkerHeartbeat) {
 	before := ex.report
-	ex.report = Report{Rack: b.Rack, Kinds: b.Kinds, Capacity: b.Capacity, Labels: b.Labels, Shortfall: before.Shortfall, Healthy: before.Healthy, Invoked: true}
+	ex.report = WorkerReport{Rack: b.Rack, Kinds: b.Kinds, Capacity: b.Capacity, Labels: b.Labels, Shortfall: before.Shortfall, Healthy: before.Healthy, Invoked: true}
 	switch {
 	case b.Draining:
 		ex.setDraining(time.Duration(b.DepartsInMS) * time.Millisecond)
@@ -200,99 +200,9 @@
 	}
 }
 
-// longPollWait is how long a hold waits for an end. Each renews the lease, which must
-// outlast two that get no reply.
-func (ex *Executor) longPollWait() time.Duration { return min(maxHoldWait, ex.timeouts.AgentLease/3) }
-
 // workerSilent tells whether a worker that is called is sick, or has said nothing since a
 // call that got no reply.
 func (ex *Executor) workerSilent() bool {
 	c := ex.link
 	return ex.now < c.unhealthyUntil || c.incarnation == "" || c.silent || ex.now.Sub(ex.workerHeardAt) > ex.longPollWait()+replyTimeout+ex.timeouts.UnhealthyAfter
 }
-
-// limitCapacity takes it that the worker turned a start away for want of room: for a while it
-// holds no more than what runs there now, for twice as long if it does so again soon.
-func (ex *Executor) limitCapacity() {
-	c := ex.link
-	switch since := ex.now.Sub(c.shortUntil); {
-	case since >= c.shortBackoff:
-		c.shortBackoff = minShortBackoff
-	case since >= 0:
-		c.shortBackoff = min(2*c.shortBackoff, maxShortBackoff)
-	}
-	c.provenCapacity, c.shortUntil = ex.runningResources(), ex.now.Add(c.shortBackoff)
-}
-
-// runningResources is the room that what runs there takes.
-func (ex *Executor) runningResources() (r types.Resources) {
-	for _, l := range ex.attempts {
-		if l.state == attemptRunning || l.state == attemptStopping {
-			r = r.Add(l.spec.Resources)
-		}
-	}
-	return
-}
-
-// capacityShortfall is how much less room the worker is believed to have than it tells.
-func (ex *Executor) capacityShortfall() (r types.Resources) {
-	if c := ex.link; c != nil && ex.now < c.shortUntil {
-		r = ex.report.Capacity.Sub(c.provenCapacity)
-		r = types.Resources{Cores: max(0, r.Cores), MemoryMB: max(0, r.MemoryMB), Accelerators: max(0, r.Accelerators)}
-	}
-	return
-}
-
-// readClock takes a reading of the worker's clock, if it says more than is known.
-func (ex *Executor) readClock(clock int64) {
-	if c := ex.link; clock > c.clockAtLeast(ex.now) {
-		c.clock, c.clockReadAt = clock, ex.now
-	}
-}
-
-// clockAtLeast is what the worker's clock reads at a time, at the least.
-func (w *WorkerLink) clockAtLeast(now types.MonoTime) int64 {
-	return w.clock + int64(minClockRate*float64(now.Sub(w.clockReadAt).Milliseconds()))
-}
-
-// nextLeaseEnd is the end of the lease that the worker may have now, on its own clock,
-// or 0 for none.
-func (ex *Executor) nextLeaseEnd() int64 {
-	c := ex.link
-	if ex.state == MustDie || ex.leaseUntil <= ex.now {
-		return 0
-	}
-	end := c.clock + int64(minClockRate*float64((ex.leaseUntil.Sub(c.clockReadAt)-leaseMargin).Milliseconds()))
-	if end <= c.clockAtLeast(ex.now) {
-		return 0
-	}
-	return end
-}
-
-// linkLeaseExpired is true when the worker's lease has surely ended, and with it all
-// that ran there. An earlier agent may have given a longer one.
-func (ex *Executor) linkLeaseExpired() bool {
-	c := ex.link
-	return c.clockAtLeast(ex.now) > c.maxLeaseSent && ex.now.Sub(ex.startedAt) > ex.timeouts.LostAfter
-}
-
-// WorkerLease is how the worker's lease stands, for the status page.
-type WorkerLease struct {
-	Incarnation      types.ID     `json:"life"`
-	ClockMS          int64        `json:"clock_ms"`
-	UntilMS          int64        `json:"until_ms"`
-	Fence            uint64       `json:"fence"`
-	AcknowledgedEnds uint64       `json:"settled_ends"`
-	OpenEnds         int          `json:"unsettled_ends"`
-	OpenCalls        int          `json:"calls_under_way"`
-	Counters         CallCounters `json:"sums"`
-}
-
-// WorkerLease shows it, or nil where the worker calls by itself.
-func (ex *Executor) WorkerLease() *WorkerLease {
-	c := ex.link
-	if c == nil {
-		return nil
-	}
-	return &WorkerLease{c.incarnation, c.clockAtLeast(ex.now), c.maxLeaseSent, c.fence, c.acknowledgedEnd, len(c.openEnds), len(c.openCalls), c.Counters}
-}
--- a/internal/dispatch/line.go
+++ b/internal/dispatch/link_replies.go
@@ -1,91 +1,11 @@
-// The calls that an agent makes to a worker that is called, and what their replies
-// mean. Each start is sent once. One that got no clear answer is unsure: a query
-// raises the fence, below which the worker starts nothing any more, and what it
-// then does not list was not started and never will be. Ends are settled at the
-// worker only once they are in the log. What the log has as lapsed when its end is
-// heard of stays lapsed: the worker does not count such an end either.
 package dispatch
 
 import (
-	"slices"
-
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 )
 
-// makeDueCalls makes the calls that are due.
-func (ex *Executor) makeDueCalls() {
-	c := ex.link
-	if c == nil || c.incarnation == "" {
-		return
-	}
-	if c.successor != nil && ex.linkLeaseExpired() {
-		ex.endIncarnation(false)
-		return
-	}
-	unsure := !ex.runningTasksKnown || c.successor != nil
-	for _, l := range ex.attemptsInOrder() {
-		switch {
-		case l.state == attemptWaiting && !l.sentToWorker:
-			ex.startAttempt(l)
-		case (l.state == attemptStopping || l.runsAfterEnd) && (l.killAskedAt == 0 || ex.now.Sub(l.killAskedAt) >= ex.timeouts.RetryInterval):
-			l.killAskedAt = ex.now
-			c.Counters.Stops++
-			ex.callWorker(wire.WorkerCall{Kind: wire.StopAttempt, Attempt: l.spec.Attempt})
-		}
-		unsure = unsure || l.startUnsure
-	}
-	if unsure && c.openQuery == 0 && ex.now >= c.nextHoldAt {
-		c.fence = max(c.fence+1, uint64(c.clock)*fencesPerMillisecond)
-		c.Counters.Queries++
-		c.openQuery = ex.callWorker(wire.WorkerCall{Kind: wire.RenewLease})
-	}
-	if f := c.openCalls[c.openHold]; f != nil && (ex.now.Sub(f.sentAt) > f.LongPollWait+holdOverdueAfter || f.LeaseEndMS == 0 && ex.nextLeaseEnd() > 0) {
-		c.openHold = 0 // it is late, or gave no lease where there may be one now
-	}
-	if c.openHold == 0 && c.openQuery == 0 && ex.now >= c.nextHoldAt && ex.runningTasksKnown {
-		wait := ex.longPollWait()
-		if c.acknowledgedEnd < c.highestEnd() {
-			wait = 0 // the worker lists at once what is not settled
-		}
-		c.openHold = ex.callWorker(wire.WorkerCall{Kind: wire.RenewLease, LongPollWait: wait})
-	}
-}
-
-// startAttempt sends an order on to the worker, once, or lets it go past its time.
-func (ex *Executor) startAttempt(l *attempt) {
-	end := ex.nextLeaseEnd()
-	switch {
-	case ex.now >= l.startBefore:
-		ex.endAttempt(l, state.OutcomeNeverRan)
-	case end == 0 || !ex.runningTasksKnown:
-	default:
-		l.sentToWorker = true
-		l.startFence = ex.link.fence
-		ex.link.Counters.Starts++
-		ex.callWorker(wire.WorkerCall{Kind: wire.StartAttempt, Attempt: l.spec.Attempt, Input: l.spec.Input, Checkpoint: l.spec.Checkpoint})
-	}
-}
-
-// callWorker fills in what all calls have in common.
-func (ex *Executor) callWorker(w wire.WorkerCall) uint64 {
-	c := ex.link
-	c.lastCallNumber++
-	w.Number, w.Addr, w.Incarnation, w.FencingToken, w.Timeout = c.lastCallNumber, c.addr, c.incarnation, c.fence, replyTimeout+w.LongPollWait
-	if w.Kind != wire.StopAttempt && ex.runningTasksKnown {
-		w.LeaseEndMS = ex.nextLeaseEnd()
-	}
-	if w.Kind == wire.RenewLease {
-		w.AckedEnds = c.acknowledgedEnd
-		c.Counters.Holds++
-	}
-	c.openCalls[w.Number] = &openCall{w, ex.now}
-	c.maxLeaseSent = max(c.maxLeaseSent, w.LeaseEndMS)
-	c.outCalls = append(c.outCalls, w)
-	return w.Number
-}
-
 // HandleWorkerReply takes the reply to a call, or that there was none.
 func (ex *Executor) HandleWorkerReply(now types.MonoTime, r wire.WorkerReply) {
 	ex.now = now
@@ -273,62 +193,3 @@
 		}
 	}
 }
-
-// dropAcknowledgedEnds drops the ends that the worker has dropped.
-func (ex *Executor) dropAcknowledgedEnds(seen uint64) {
-	c := ex.link
-	for n, e := range c.openEnds {
-		if n <= seen {
-			delete(c.openEnds, n)
-			if l := ex.attempts[e.attempt]; l != nil && l.committed {
-				ex.remove(e.attempt)
-			}
-		}
-	}
-}
-
-// acknowledgeEnd takes it that the log has an attempt's end; ends are settled at the worker
-// in their order.
-func (ex *Executor) acknowledgeEnd(l *attempt) {
-	c := ex.link
-	if e := c.openEnds[l.endNumber]; l.endNumber > 0 && e != nil {
-		e.committed = true
-		for c.openEnds[c.acknowledgedEnd+1] != nil && c.openEnds[c.acknowledgedEnd+1].committed {
-			c.acknowledgedEnd++
-		}
-		if c.acknowledgedEnd == c.highestEnd() {
-			c.nextHoldAt = ex.now
-		}
-		return
-	}
-	ex.remove(l.spec.Attempt)
-}
-
-// highestEnd is the highest end that the worker has told.
-func (w *WorkerLink) highestEnd() uint64 {
-	n := w.acknowledgedEnd
-	for k := range w.openEnds {
-		n = max(n, k)
-	}
-	return n
-}
-
-// recentCheckpoints lists what attempts have saved of late.
-func (ex *Executor) recentCheckpoints() (list []Checkpoint) {
-	for _, l := range ex.attemptsInOrder() {
-		if l.state != attemptEnded && l.checkpoint != "" && ex.now.Sub(l.checkpointAt) < 4*ex.timeouts.HeartbeatInterval {
-			list = append(list, Checkpoint{l.spec.Attempt, l.checkpoint})
-		}
-	}
-	return
-}
-
-// hasLabels tells whether a worker has all the labels that a task needs.
-func (r Report) hasLabels(labels []string) bool {
-	for _, l := range labels {
-		if !slices.Contains(r.Labels, l) {
-			return false
-		}
-	}
-	return true
-}
--- a/internal/dispatch/say.go
+++ b/internal/dispatch/messages.go
@@ -7,39 +7,14 @@
 
 import (
 	"encoding/json"
-	"time"
+	"slices"
 
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 )
 
-// Soundness is the paper's worker state.
-type Health string
-
-const (
-	New       Health = "NEW"
-	Unhealthy Health = "UNHEALTHY"
-	Healthy   Health = "HEALTHY"
-	MustDie   Health = "MUST_DIE"
-)
-
-// Timeouts holds the timings of both halves.
-type Timeouts struct {
-	HeartbeatInterval time.Duration // between heartbeats
-	UnhealthyAfter    time.Duration // silence that makes UNHEALTHY
-	LostAfter         time.Duration // silence that makes MUST_DIE
-	AgentLease        time.Duration // an agent's grant past its own stamp
-	WorkerLease       time.Duration // a worker's grant past its own stamp
-	RetryInterval     time.Duration // between repeats of queries, stops and reports
-	DrainTime         time.Duration // a worker that deregisters without a drain runs on so long; 0: not known
-}
-
-// Defaults are ours; blueprint checks how they hang together.
-var Defaults = Timeouts{HeartbeatInterval: 300 * time.Millisecond, UnhealthyAfter: time.Second, LostAfter: 2500 * time.Millisecond,
-	AgentLease: 2 * time.Second, WorkerLease: 1500 * time.Millisecond, RetryInterval: 300 * time.Millisecond}
-
-// Report is what a worker says of itself, and its agent of it.
-type Report struct {
+// WorkerReport is what a worker says of itself, and its agent of it.
+type WorkerReport struct {
 	Rack        types.Rack          `json:"rack"`
 	Kinds       []types.ServiceKind `json:"kinds"`
 	Capacity    types.Resources     `json:"room"`           // as the worker tells it
@@ -66,7 +41,7 @@
 	PreviousInstance types.ID       `json:"past,omitempty"`
 	SentAt           types.MonoTime `json:"stamp"`
 	WorkerSet        WorkerSetID    `json:"set"`
-	Report
+	WorkerReport
 	Checkpoints []Checkpoint       `json:"saves,omitempty"`
 	Durations   []DurationEstimate `json:"spans,omitempty"`
 }
@@ -95,19 +70,19 @@
 // Ask is getRunningTasks.
 type GetRunningTasks struct{ Header }
 
-// Run is one attempt as an account tells it.
-type Run struct {
+// RunningTask is one attempt as an account tells it.
+type RunningTask struct {
 	Attempt   types.AttemptID `json:"leg"`
 	Resources types.Resources `json:"room"`
 }
 
 // Account answers Ask. Whole means that the worker itself has told its attempts.
 type RunningTasksReply struct {
-	Term     types.Term  `json:"term"`
-	Shard    types.Shard `json:"shard"`
-	Instance types.ID    `json:"id"`
-	Tasks    []Run       `json:"runs"`
-	Complete bool        `json:"whole"`
+	Term     types.Term    `json:"term"`
+	Shard    types.Shard   `json:"shard"`
+	Instance types.ID      `json:"id"`
+	Tasks    []RunningTask `json:"runs"`
+	Complete bool          `json:"whole"`
 }
 
 // AttemptSpec is what an attempt is to do.
@@ -175,3 +150,19 @@
 
 // RequestSuicide is requestSuicide: the agent stops all attempts and comes back as another.
 type RequestSuicide struct{ Header }
+
+// DurationEstimate is how long an attempt takes in all, as far as can be told.
+type DurationEstimate struct {
+	Attempt types.AttemptID `json:"leg"`
+	MS      int64           `json:"ms"`
+}
+
+// HasLabels tells whether a worker has all the labels that a task needs.
+func (r WorkerReport) HasLabels(labels []string) bool {
+	for _, l := range labels {
+		if !slices.Contains(r.Labels, l) {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/dispatch/poll.go
+++ b/internal/dispatch/polling.go
@@ -1,80 +1,12 @@
-// What an agent and its worker say. The worker calls, again and again; the agent
-// answers at once when there is news and otherwise after a short hold. Calls
-// are numbered: an answer counts only for the worker's latest call, and a call
-// older than the agent's latest is let fall. So an attempt that was in an answer and
-// is not in the next call was not started and never will be.
 package dispatch
 
 import (
-	"fmt"
-	"slices"
 	"time"
 
-	"coppercourse/internal/apierror"
-	"coppercourse/internal/config"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 )
 
-// Poll is the worker's call.
-type Poll struct {
-	Worker      types.ID            `json:"worker"`
-	Agent       types.ID            `json:"agent"`
-	Call        uint64              `json:"call"`
-	SentAt      types.MonoTime      `json:"stamp"`
-	Rack        types.Rack          `json:"rack"`
-	Kinds       []types.ServiceKind `json:"kinds"`
-	Capacity    types.Resources     `json:"room"`
-	Draining    bool                `json:"leaving"`
-	DepartsInMS int64               `json:"leave_in_ms"`
-	Running     []Run               `json:"running"`
-	Ended       []FinishedTask      `json:"ended"`
-}
-
-// FinishedTask is an ended attempt that the worker keeps until it is settled.
-type FinishedTask struct {
-	Run
-	Outcome state.Outcome `json:"fate"`
-}
-
-// PollReply is what the agent answers. Until is on the worker's own clock: past it
-// the worker stops everything by itself.
-type PollReply struct {
-	Agent      types.ID          `json:"agent"`
-	Call       uint64            `json:"call"`
-	LeaseUntil types.MonoTime    `json:"until"`
-	Start      []AttemptSpec     `json:"start"`
-	Stop       []types.AttemptID `json:"stop"`
-	Committed  []types.AttemptID `json:"settled"`
-}
-
-// Validate tells what is wrong with a call; nothing of a bad one is taken.
-func (p Poll) Validate(errs *apierror.ErrorList) {
-	errs.Check(p.Worker != "" && len(p.Worker) <= 128, "worker", "want 1 to 128 characters")
-	errs.Check(p.Capacity.Contains(types.Resources{}), "room", "want no negative numbers")
-	errs.Check(len(p.Kinds) <= 64, "kinds", "more than 64")
-	errs.Check(p.DepartsInMS >= 0 && p.DepartsInMS <= 86_400_000, "leave_in_ms", "want 0 to a day")
-	errs.Check(p.DepartsInMS == 0 || p.Draining, "leave_in_ms", "only for a worker that is leaving")
-	errs.Check(len(p.Running)+len(p.Ended) <= 2000, "running", "more than 2000 legs")
-	for i, k := range p.Kinds {
-		errs.Check(config.CheckName(string(k)) == "", fmt.Sprintf("kinds[%d]", i), "not a name")
-	}
-	attempt := func(at string, r Run) {
-		errs.Check(config.CheckName(string(r.Attempt.Job)) == "" && r.Attempt.Number >= 0 && r.Attempt.Attempt >= 1, at+".leg", "no such leg can be")
-		errs.Check(r.Resources.Contains(types.Resources{}), at+".room", "want no negative numbers")
-	}
-	for i, r := range p.Running {
-		attempt(fmt.Sprintf("running[%d]", i), r)
-	}
-	for i, e := range p.Ended {
-		at := fmt.Sprintf("ended[%d]", i)
-		attempt(at, e.Run)
-		errs.Check(slices.Contains(polledOutcomes, e.Outcome), at+".fate", "want ok, failed, stopped or refused")
-	}
-}
-
-var polledOutcomes = []state.Outcome{state.OutcomeOK, state.OutcomeFailed, state.OutcomeStopped, state.OutcomeNeverRan}
-
 // HandlePoll takes a worker's call; false means that it is not to be answered.
 func (ex *Executor) HandlePoll(now types.MonoTime, p Poll) bool {
 	ex.now = now
@@ -90,7 +22,7 @@
 	if p.Draining != ex.report.Draining || !ex.report.Healthy {
 		ex.lastHeartbeatAt = never
 	}
-	ex.report = Report{Rack: p.Rack, Kinds: p.Kinds, Capacity: p.Capacity, Draining: p.Draining, DepartsInMS: p.DepartsInMS, Healthy: true}
+	ex.report = WorkerReport{Rack: p.Rack, Kinds: p.Kinds, Capacity: p.Capacity, Draining: p.Draining, DepartsInMS: p.DepartsInMS, Healthy: true}
 	ex.workerDepartsAt = now.Add(time.Duration(p.DepartsInMS) * time.Millisecond)
 	runs := map[types.AttemptID]bool{}
 	for _, r := range p.Running {
@@ -157,7 +89,7 @@
 func (ex *Executor) ReplyToPoll(now types.MonoTime) PollReply {
 	ex.now, ex.hasUpdate = now, false
 	left := min(ex.timeouts.WorkerLease, ex.leaseUntil.Sub(now))
-	if ex.state == MustDie || left < 0 {
+	if ex.state == WorkerMustDie || left < 0 {
 		left = 0
 	}
 	a := PollReply{Agent: ex.instance, Call: ex.lastCall, LeaseUntil: ex.workerSentAt.Add(left)}
@@ -181,9 +113,6 @@
 // HasUpdate tells whether the worker's call should be answered now.
 func (ex *Executor) HasUpdate() bool { return ex.hasUpdate }
 
-// WorkerStopTime is how long after its grant a worker may take to notice and stop.
-const WorkerStopTime = 150 * time.Millisecond
-
 // workerLeaseExpired is true when the worker's last grant has surely ended, and it has had
 // the time to stop.
 func (ex *Executor) workerLeaseExpired() bool {
--- a/internal/dispatch/heed.go
+++ b/internal/dispatch/scheduler_messages.go
@@ -17,8 +17,8 @@
 	}
 	if t.Term > ex.term {
 		ex.term, ex.querySequence = t.Term, 0
-		if ex.state != MustDie {
-			ex.setState(New)
+		if ex.state != WorkerMustDie {
+			ex.setState(WorkerNew)
 		}
 	}
 	ex.leader = from
@@ -39,11 +39,11 @@
 	if b.LeaseUntil > b.HeartbeatSentAt {
 		ex.leaseUntil, ex.lastGrantSentAt = max(ex.leaseUntil, b.LeaseUntil), max(ex.lastGrantSentAt, b.HeartbeatSentAt)
 	}
-	if ex.state == New {
-		ex.setState(Unhealthy)
+	if ex.state == WorkerNew {
+		ex.setState(WorkerUnhealthy)
 	}
-	if ex.state == Unhealthy && ex.now.Sub(ex.lastGrantSentAt) <= ex.timeouts.UnhealthyAfter {
-		ex.setState(Healthy)
+	if ex.state == WorkerUnhealthy && ex.now.Sub(ex.lastGrantSentAt) <= ex.timeouts.UnhealthyAfter {
+		ex.setState(WorkerHealthy)
 	}
 }
 
@@ -51,65 +51,15 @@
 	if !ex.acceptTerm(from, a.Header) || !ex.canReportRunningTasks() {
 		return
 	}
-	list := []Run{}
+	list := []RunningTask{}
 	for _, l := range ex.attemptsInOrder() {
 		if !l.committed || l.outcome == state.OutcomeLost {
-			list = append(list, Run{l.spec.Attempt, l.spec.Resources})
+			list = append(list, RunningTask{l.spec.Attempt, l.spec.Resources})
 		}
 	}
 	ex.send(from, wire.RunningTasksReply, RunningTasksReply{ex.term, ex.shard, ex.instance, list, ex.runningTasksKnown})
 }
 
-func (ex *Executor) onRunTask(from types.Addr, o RunTask) {
-	if !ex.acceptTerm(from, o.Header) {
-		return
-	}
-	l := ex.attempts[o.Spec.Attempt]
-	_, seen := ex.seenAttempts[o.Spec.Attempt]
-	if l != nil || seen {
-		return
-	}
-	ex.seenAttempts[o.Spec.Attempt] = max(o.StartBefore, ex.now).Add(ex.timeouts.LostAfter)
-	why := ex.refusalReason(o)
-	if why == "" {
-		ex.add(&attempt{spec: o.Spec, state: attemptWaiting, startBefore: min(o.StartBefore, ex.leaseUntil)})
-		ex.hasUpdate = true
-	}
-	ex.send(from, wire.RunTaskReply, RunTaskReply{ex.term, ex.shard, ex.instance, o.Spec.Attempt, why})
-}
-
-// refusalReason gives the reason why an order may not be taken, or nothing.
-func (ex *Executor) refusalReason(o RunTask) string {
-	free := ex.report.Capacity.Sub(ex.capacityShortfall())
-	twin := false
-	for _, l := range ex.attempts {
-		if l.state != attemptEnded {
-			free = free.Sub(l.spec.Resources)
-			twin = twin || l.spec.Attempt.TaskID == o.Spec.Attempt.TaskID
-		}
-	}
-	for _, c := range []struct {
-		bad bool
-		why string
-	}{
-		{o.Sequence < ex.querySequence, "sent before the latest query"},
-		{ex.now >= o.StartBefore || ex.now >= ex.leaseUntil, "grant has lapsed"},
-		{ex.state != Healthy, "agent is " + string(ex.state)},
-		{!ex.report.Healthy, "worker is silent"},
-		{ex.report.Draining, "worker is leaving"},
-		{!slices.Contains(ex.report.Kinds, o.Spec.Kind), "worker has not this kind"},
-		{o.Spec.Rack != "" && o.Spec.Rack != ex.report.Rack, "worker is in another rack"},
-		{!ex.report.hasLabels(o.Spec.Labels), "worker lacks a label"},
-		{twin, "another leg of the task is here"},
-		{!free.Contains(o.Spec.Resources), "no room"},
-	} {
-		if c.bad {
-			return c.why
-		}
-	}
-	return ""
-}
-
 // onNotifyIfTasksNotRunning answers which of the attempts asked about do not run here; from now on
 // orders sent before it are refused.
 func (ex *Executor) onNotifyIfTasksNotRunning(from types.Addr, q NotifyIfTasksNotRunning) {
@@ -165,25 +115,6 @@
 
 func (ex *Executor) onRequestSuicide(from types.Addr, q RequestSuicide) {
 	if ex.acceptTerm(from, q.Header) {
-		ex.setState(MustDie)
-	}
-}
-
-var executorHandlers = map[string]func(*Executor, wire.Message){
-	wire.HeartbeatReply:    wire.HandlerFor((*Executor).onHeartbeatReply),
-	wire.RunningTasksQuery: wire.HandlerFor((*Executor).onGetRunningTasks),
-	wire.RunTask:           wire.HandlerFor((*Executor).onRunTask),
-	wire.NotRunningQuery:   wire.HandlerFor((*Executor).onNotifyIfTasksNotRunning),
-	wire.StatusAck:         wire.HandlerFor((*Executor).onCommittedEnds),
-	wire.KillTask:          wire.HandlerFor((*Executor).onKillTasks),
-	wire.ReplaceInstance:   wire.HandlerFor((*Executor).onRequestSuicide),
-}
-
-// HandleMessage handles a scheduler's note.
-func (ex *Executor) HandleMessage(now types.MonoTime, n wire.Message) {
-	ex.now = now
-	if f := executorHandlers[n.Kind]; f != nil {
-		f(ex, n)
+		ex.setState(WorkerMustDie)
 	}
-	ex.makeDueCalls()
 }
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/slowdown.go
@@ -15,52 +15,14 @@
 )
 
 const (
-	minRunTime       = 60 * time.Millisecond  // an attempt that runs for less tells nothing
-	stallTime        = 300 * time.Millisecond // one that has not moved for so long stands still
-	maxSlowdown      = 10                     // times what it has run, for one that stands still
-	reportRatio      = 1.3                    // what is told is told again when it changes so much
-	slowdownHalfLife = 2 * time.Second        // half of a bad name is forgotten in so long
-	slowThreshold    = 1.4                    // a worker that is slower than this is known as slow
-	stragglerRatio   = 2.2                    // an attempt so far behind its like is late
-	minPeers         = 2                      // others of its step that it is set beside, at least
-	stageRetention   = 30 * time.Second       // how long a step's times are remembered
+	maxSlowdown      = 10               // bound of one attempt's part in a worker's slowdown, and its inverse
+	slowdownHalfLife = 2 * time.Second  // half of a bad name is forgotten in so long
+	slowThreshold    = 1.4              // a worker that is slower than this is known as slow
+	stragglerRatio   = 2.2              // an attempt so far behind its like is late
+	minPeers         = 2                // others of its step that it is set beside, at least
+	stageRetention   = 30 * time.Second // how long a step's times are remembered
 )
 
-// DurationEstimate is how long an attempt takes in all, as far as can be told.
-type DurationEstimate struct {
-	Attempt types.AttemptID `json:"leg"`
-	MS      int64           `json:"ms"`
-}
-
-// estimateDuration is how long an attempt will take in all, or 0 if that can't be told.
-func (a *attempt) estimateDuration(now types.MonoTime) time.Duration {
-	ran := a.progressReadAt.Sub(a.startedAt)
-	switch {
-	case a.state != attemptRunning || a.progressReadAt == 0 || ran < minRunTime:
-		return 0
-	case a.percentDone <= 0 && now.Sub(a.progressChangedAt) < 2*stallTime:
-		return 0 // it may wait for its gang
-	case now.Sub(a.progressChangedAt) > stallTime && a.progressReadAt.Sub(a.progressChangedAt) > stallTime:
-		return maxSlowdown * ran
-	case a.percentDone <= 0:
-		return 0
-	}
-	return time.Duration(float64(ran) * 100 / a.percentDone)
-}
-
-// durationEstimates lists what there is to tell of the attempts' times.
-func (ex *Executor) durationEstimates() (list []DurationEstimate) {
-	for _, l := range ex.attemptsInOrder() {
-		d := l.estimateDuration(ex.now)
-		if d == 0 || l.reportedDuration > 0 && float64(d) < reportRatio*float64(l.reportedDuration) && float64(l.reportedDuration) < reportRatio*float64(d) {
-			continue
-		}
-		l.reportedDuration = d
-		list = append(list, DurationEstimate{l.spec.Attempt, d.Milliseconds()})
-	}
-	return
-}
-
 // stageKey is one step of one job at one time.
 type stageKey struct {
 	job   types.JobID
--- /dev/null
+++ b/internal/dispatch/unsure.go
@@ -0,0 +1,45 @@
+package dispatch
+
+import (
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// resolveUnsure repeats orders' doubts and stops.
+func (sc *Scheduler) resolveUnsure() {
+	for _, o := range sc.attempts.takeOverdue(sc.now.Add(-sc.timeouts.RetryInterval)) {
+		sc.attempts.setPhase(o, unsureIfRunning)
+	}
+	for _, k := range sortedShards(sc.attempts.unsureShards) {
+		s := sc.workers[k]
+		if s == nil || s.State == WorkerMustDie || s.State == WorkerNew || sc.now.Sub(s.queriedAt) < sc.timeouts.RetryInterval {
+			continue
+		}
+		var attempts []types.AttemptID
+		for _, o := range sc.attempts.onShard(k) {
+			if o.Phase == unsureIfRunning {
+				attempts = append(attempts, o.Attempt)
+			}
+		}
+		s.queriedAt = sc.now
+		s.querySequence++
+		if len(s.openQueries) > 16 {
+			clear(s.openQueries)
+		}
+		s.openQueries[s.querySequence] = attempts
+		sc.send(s, wire.NotRunningQuery, NotifyIfTasksNotRunning{sc.header(s), s.querySequence, attempts})
+	}
+}
+
+func (sc *Scheduler) onNotifyReply(_ types.Addr, q NotifyIfTasksNotRunningReply) {
+	s := sc.senderOf(q.Term, q.Shard, q.Instance)
+	if s == nil {
+		return
+	}
+	for _, l := range s.openQueries[q.Sequence] {
+		if o := sc.attempts.byID[l]; o != nil && o.Phase == unsureIfRunning {
+			sc.attempts.setPhase(o, confirmedRunning)
+		}
+	}
+	delete(s.openQueries, q.Sequence)
+}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -44,7 +44,7 @@
 
 // Defaults are the settings before file and flags.
 func Defaults() Settings {
-	t, a := dispatch.Defaults, raft.DefaultTimeouts
+	t, a := dispatch.DefaultTimeouts, raft.DefaultTimeouts
 	return Settings{Listen: "127.0.0.1:7400", Log: "info", Bounds: DefaultBounds, Timeouts: Timeouts{HeartbeatMS: inMilliseconds(t.HeartbeatInterval), UnhealthyMS: inMilliseconds(t.UnhealthyAfter), LostMS: inMilliseconds(t.LostAfter),
 		LeaseMS: inMilliseconds(t.AgentLease), WorkerLeaseMS: inMilliseconds(t.WorkerLease), RetryMS: inMilliseconds(t.RetryInterval), RaftHeartbeatMS: inMilliseconds(a.HeartbeatInterval), ElectionMS: inMilliseconds(a.MinElectionTimeout),
 		StallMS: inMilliseconds(a.StallTimeout), ReplaceAfterMS: inMilliseconds(a.ReplaceAfter), StaleAfterMS: inMilliseconds(configwatch.DefaultStaleAfter)}}
--- a/sim/check.go
+++ b/sim/check.go
@@ -95,7 +95,7 @@
 
 // DefaultBounds are the brief's bounds.
 var DefaultBounds = Bounds{StartAfterCancel: 3 * time.Second, RunAfterCancel: 4 * time.Second, StartEarly: 100 * time.Millisecond, StartAfterLeaving: 2 * time.Second,
-	GangIncomplete: gangIncompleteBound(dispatch.Defaults, raft.DefaultTimeouts), TableLag: 2 * time.Second, AllJobsEnd: true}
+	GangIncomplete: gangIncompleteBound(dispatch.DefaultTimeouts, raft.DefaultTimeouts), TableLag: 2 * time.Second, AllJobsEnd: true}
 
 type checker struct {
 	bounds       Bounds
--- a/sim/worker.go
+++ b/sim/worker.go
@@ -93,7 +93,7 @@
 func (w *Worker) endAttempt(r *runningTask, f state.Outcome) {
 	delete(w.running, r.job.Attempt)
 	w.HasUpdate = true
-	w.unacknowledged[r.job.Attempt] = dispatch.FinishedTask{Run: dispatch.Run{Attempt: r.job.Attempt, Resources: r.job.Resources}, Outcome: f}
+	w.unacknowledged[r.job.Attempt] = dispatch.FinishedTask{RunningTask: dispatch.RunningTask{Attempt: r.job.Attempt, Resources: r.job.Resources}, Outcome: f}
 	w.recordAttempt(AttemptEnded, r.job.Attempt, f)
 }
 
@@ -107,7 +107,7 @@
 		p.DepartsInMS = max(1, w.DepartsAt.Sub(now).Milliseconds())
 	}
 	for _, l := range w.runningAttempts() {
-		p.Running = append(p.Running, dispatch.Run{Attempt: l, Resources: w.running[l].job.Resources})
+		p.Running = append(p.Running, dispatch.RunningTask{Attempt: l, Resources: w.running[l].job.Resources})
 	}
 	for _, f := range w.unacknowledged {
 		p.Ended = append(p.Ended, f)
@@ -144,7 +144,7 @@
 			continue
 		}
 		if (w.Leaving || !free.Contains(j.Resources)) && !w.IgnoresCapacity {
-			w.unacknowledged[j.Attempt] = dispatch.FinishedTask{Run: dispatch.Run{Attempt: j.Attempt, Resources: j.Resources}, Outcome: state.OutcomeNeverRan}
+			w.unacknowledged[j.Attempt] = dispatch.FinishedTask{RunningTask: dispatch.RunningTask{Attempt: j.Attempt, Resources: j.Resources}, Outcome: state.OutcomeNeverRan}
 			w.recordAttempt(AttemptRejected, j.Attempt, state.OutcomeNeverRan)
 			continue
 		}
--- a/sim/world.go
+++ b/sim/world.go
@@ -105,7 +105,7 @@
 
 func NewWorld(seed int64) *World {
 	return &World{random: rand.New(rand.NewSource(seed)), partitioned: map[addressPair]bool{}, connectionResets: map[types.Addr]int64{}, extraDelay: map[addressPair]time.Duration{}, nodes: map[types.Addr]*node{},
-		invokedByAddress: map[types.Addr]*invokedNode{}, timeouts: dispatch.Defaults, raftTimeouts: raft.DefaultTimeouts}
+		invokedByAddress: map[types.Addr]*invokedNode{}, timeouts: dispatch.DefaultTimeouts, raftTimeouts: raft.DefaultTimeouts}
 }
 
 // RunUntil lets the world go on until a time.
