--- a/cmd/coppersim/sweep.go
+++ b/cmd/coppersim/sweep.go
@@ -15,7 +15,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/sim"
 )
 
@@ -78,7 +78,7 @@
 		return err
 	}
 	if s.lease > 0 {
-		s.plan.Timeouts = dispatch.DefaultTimeouts
+		s.plan.Timeouts = protocol.DefaultTimeouts
 		s.plan.Timeouts.AgentLease, s.plan.Timeouts.LostAfter = s.lease, s.lease*5/4
 	}
 	sets := s.faultSets()
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -11,7 +11,8 @@
 	"time"
 
 	"coppercourse/internal/apierror"
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/executor"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/membership"
 	"coppercourse/internal/trace"
 	"coppercourse/internal/types"
@@ -25,7 +26,7 @@
 	Shard        types.Shard  // the worker's place
 	Seeds        []types.Addr // other daemons, to find the cluster by
 	BuildVersion string       // build version
-	Timeouts     dispatch.Timeouts
+	Timeouts     protocol.Timeouts
 }
 
 // maxPollWait is how long a worker's poll is held while there is nothing to tell.
@@ -36,7 +37,7 @@
 	options   Options
 	now       types.Now
 	members   *membership.MemberList
-	executor  *dispatch.Executor
+	executor  *executor.Executor
 	Trace     *trace.Ring
 	pollToken uint64
 	pollSince types.MonoTime
@@ -54,7 +55,7 @@
 // New returns an agent at its start. Its instance ids are drawn from rnd.
 func New(now types.Now, rnd *rand.Rand, p Options) *Agent {
 	a := &Agent{options: p, now: now, Trace: trace.New()}
-	a.executor = dispatch.NewExecutor(now.Mono, p.Timeouts, p.Addr, p.Shard, func() types.ID { return types.NewID(rnd) })
+	a.executor = executor.New(now.Mono, p.Timeouts, p.Addr, p.Shard, func() types.ID { return types.NewID(rnd) })
 	a.members = membership.New(rnd, a.card(), p.Seeds)
 	return a
 }
@@ -140,12 +141,12 @@
 	switch n.Kind {
 	case wire.RunTask:
 		a.Counters.Orders++
-		if o, ok := wire.DecodeBody[dispatch.RunTask](n); ok {
+		if o, ok := wire.DecodeBody[protocol.RunTask](n); ok {
 			a.Trace.Add(a.now.Wall, trace.JobSubject(o.Spec.Attempt.Job), "order received", "attempt", o.Spec.Attempt)
 		}
 	case wire.KillTask:
 		a.Counters.Stops++
-		if s, ok := wire.DecodeBody[dispatch.KillTasks](n); ok {
+		if s, ok := wire.DecodeBody[protocol.KillTasks](n); ok {
 			for _, l := range s.Attempts {
 				a.Trace.Add(a.now.Wall, trace.JobSubject(l.Job), "stop received", "attempt", l)
 			}
@@ -192,7 +193,7 @@
 // poll takes a worker's poll and holds it; the one held before is refused as stale.
 func (a *Agent) poll(ask wire.Request) {
 	a.Counters.Polls++
-	var p dispatch.Poll
+	var p protocol.Poll
 	var errs apierror.ErrorList
 	if json.Unmarshal(ask.Body, &p) != nil {
 		errs.Add(apierror.BadBody, "", "not a worker's call")
@@ -219,14 +220,14 @@
 
 // StatusView is the status of an agent, as GET /v1/status shows it.
 type StatusView struct {
-	Role           string                `json:"role"`
-	BuildVersion   string                `json:"program"`
-	Ready          bool                  `json:"ready"`
-	Leader         types.Addr            `json:"leader"`
-	WorkerSilentMS int64                 `json:"worker_quiet_ms"`
-	Executor       dispatch.ExecutorView `json:"account"`
-	Peers          []membership.Peer     `json:"mates"`
-	Counters       Counters              `json:"sums"`
+	Role           string            `json:"role"`
+	BuildVersion   string            `json:"program"`
+	Ready          bool              `json:"ready"`
+	Leader         types.Addr        `json:"leader"`
+	WorkerSilentMS int64             `json:"worker_quiet_ms"`
+	Executor       executor.View     `json:"account"`
+	Peers          []membership.Peer `json:"mates"`
+	Counters       Counters          `json:"sums"`
 }
 
 // Status returns the agent's status.
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 
 	"coppercourse/internal/apierror"
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 )
@@ -17,7 +17,7 @@
 func TestBadCallsAreRefusedWhole(t *testing.T) {
 	is := is.New(t)
 	now := types.Now{Mono: 1 << 40}
-	w := New(now, rand.New(rand.NewSource(1)), Options{Addr: "w", Shard: "k", Timeouts: dispatch.DefaultTimeouts})
+	w := New(now, rand.New(rand.NewSource(1)), Options{Addr: "w", Shard: "k", Timeouts: protocol.DefaultTimeouts})
 	token := uint64(0)
 	ask := func(body string) wire.Response {
 		token++
--- a/internal/controller/cluster_state.go
+++ b/internal/controller/cluster_state.go
@@ -6,7 +6,7 @@
 )
 
 // clusterState answers the scheduler from the replicated state and the membership; it
-// is the controller's dispatch.ClusterState.
+// is the controller's scheduler.ClusterState.
 type clusterState struct{ controller *Controller }
 
 // UnresolvedAttempts lists the attempts that were lost on a shard and whose true ends
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"coppercourse/internal/config"
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/raft"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
@@ -172,7 +172,7 @@
 	m.incarnation++
 	m.queue, m.writing, m.frozen, m.missedEvents, m.answers = nil, false, false, nil, map[uint64]func(wire.Response){}
 	m.machine = New(m.clock(), rand.New(rand.NewSource(m.cluster.rnd.Int63())), Options{Addr: m.addr, Zone: types.Zone(m.addr), Seeds: seeds,
-		Bootstrap: raft.BootstrapOptions{FirstStart: first, Founders: seeds}, RaftTimeouts: raft.DefaultTimeouts, DispatchTimeouts: dispatch.DefaultTimeouts, SnapshotThreshold: m.cluster.snapshotThreshold}, m.disk)
+		Bootstrap: raft.BootstrapOptions{FirstStart: first, Founders: seeds}, RaftTimeouts: raft.DefaultTimeouts, DispatchTimeouts: protocol.DefaultTimeouts, SnapshotThreshold: m.cluster.snapshotThreshold}, m.disk)
 	m.tick(m.incarnation)
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,7 +10,8 @@
 	"time"
 
 	"coppercourse/internal/configwatch"
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/membership"
 	"coppercourse/internal/placement"
 	"coppercourse/internal/raft"
@@ -29,7 +30,7 @@
 	LossTolerance     int // voters that may be lost at once, disk and all
 	Build             string
 	RaftTimeouts      raft.Timeouts
-	DispatchTimeouts  dispatch.Timeouts
+	DispatchTimeouts  protocol.Timeouts
 	SnapshotThreshold types.Index // entries between two snapshots at least; 0 is Every
 }
 
@@ -52,7 +53,7 @@
 	diskError           error         // why the disk refuses, until it takes writes again
 	applied             types.Index
 	proposals           map[types.Index]proposal
-	scheduler           *dispatch.Scheduler
+	scheduler           *scheduler.Scheduler
 	publisher           *configwatch.Publisher
 	Trace               *trace.Ring
 	waiters             map[types.Index]caller
@@ -259,7 +260,7 @@
 			return
 		}
 		co.Counters.Elected++
-		co.scheduler = dispatch.NewScheduler(co.now.Mono, dispatch.SchedulerConfig{
+		co.scheduler = scheduler.New(co.now.Mono, scheduler.Config{
 			Timeouts:          co.options.DispatchTimeouts,
 			Addr:              co.options.Addr,
 			Term:              co.raft.Term(),
@@ -283,13 +284,13 @@
 }
 
 // outstandingAttempts lists the attempts given out as the state has them.
-func (co *Controller) outstandingAttempts() (list []dispatch.OutstandingAttempt) {
+func (co *Controller) outstandingAttempts() (list []scheduler.OutstandingAttempt) {
 	for _, j := range co.state.LiveJobs() {
 		for i := range j.Tasks {
 			for _, o := range j.Tasks[i].Outstanding() {
 				n := j.Spec.TaskNumber(i)
 				at := types.StageOf(n)
-				list = append(list, dispatch.OutstandingAttempt{Attempt: types.AttemptID{TaskID: types.TaskID{Job: j.ID, Number: n}, Attempt: o.Number},
+				list = append(list, scheduler.OutstandingAttempt{Attempt: types.AttemptID{TaskID: types.TaskID{Job: j.ID, Number: n}, Attempt: o.Number},
 					Shard: o.Shard, Stage: at, Resources: j.Spec.Steps[at.Step()].Resources, BaselineName: durationKey(j, at), TimeLimit: co.timeLimit(j, at)})
 			}
 		}
--- a/internal/controller/copies.go
+++ b/internal/controller/copies.go
@@ -6,7 +6,8 @@
 import (
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/placement"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
@@ -18,7 +19,7 @@
 )
 
 // speculationCandidates lists the second attempts that are wanted.
-func (co *Controller) speculationCandidates(holds []*dispatch.OutstandingAttempt) (wants []placement.Request) {
+func (co *Controller) speculationCandidates(holds []*scheduler.OutstandingAttempt) (wants []placement.Request) {
 	for _, o := range holds {
 		j := co.state.Jobs[o.Attempt.Job]
 		if j == nil || j.Status != state.JobOpen || o.Stage < 0 {
@@ -52,8 +53,8 @@
 }
 
 // isStraggler tells whether an attempt is far behind its like, or its worker out of reach.
-func (co *Controller) isStraggler(o *dispatch.OutstandingAttempt, p *state.Step) bool {
-	if s := co.scheduler.Worker(o.Shard); s == nil || s.State != dispatch.WorkerHealthy || !s.Healthy {
+func (co *Controller) isStraggler(o *scheduler.OutstandingAttempt, p *state.Step) bool {
+	if s := co.scheduler.Worker(o.Shard); s == nil || s.State != protocol.WorkerHealthy || !s.Healthy {
 		return true
 	}
 	if o.StragglerEnd > co.now.Mono {
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -9,7 +9,8 @@
 
 	"coppercourse/internal/apierror"
 	"coppercourse/internal/config"
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -79,7 +80,7 @@
 	shard := types.Shard(c.Arg)
 	bad := co.checkTargetKnown(state.Target{Shard: shard})
 	for _, s := range co.scheduler.Workers() {
-		if s.Shard == shard && s.State != dispatch.WorkerMustDie {
+		if s.Shard == shard && s.State != protocol.WorkerMustDie {
 			bad = apierror.New(apierror.WorkerHealthy, "", "the worker's agent is heard of; only one that is lost can be given up")
 		}
 	}
@@ -143,7 +144,7 @@
 	return
 }
 
-func (co *Controller) outstanding() []*dispatch.OutstandingAttempt {
+func (co *Controller) outstanding() []*scheduler.OutstandingAttempt {
 	if co.scheduler == nil {
 		return nil
 	}
--- a/internal/controller/early.go
+++ b/internal/controller/early.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -15,7 +15,7 @@
 
 type bufferedReport struct {
 	from types.Addr
-	dispatch.UpdateStatus
+	protocol.UpdateStatus
 	receivedAt  types.MonoTime
 	forwardedAt types.MonoTime
 	forwards    int // so often it was passed on
@@ -42,7 +42,7 @@
 
 // bufferEndReport holds on to a report until its ends are in the log.
 func (co *Controller) bufferEndReport(n wire.Message) {
-	u, ok := wire.DecodeBody[dispatch.UpdateStatus](n)
+	u, ok := wire.DecodeBody[protocol.UpdateStatus](n)
 	if !ok || len(co.bufferedReports) >= MaxPendingRequests {
 		return
 	}
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/placement"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
@@ -182,7 +182,7 @@
 		at := types.StageOf(g.ID.Number)
 		p := j.Spec.Steps[at.Step()]
 		co.Counters.Orders++
-		co.scheduler.RunTask(g.Shard, at, durationKey(j, at), dispatch.AttemptSpec{Attempt: g.ID, Kind: p.Kind, Rack: p.Rack, Resources: p.Resources,
+		co.scheduler.RunTask(g.Shard, at, durationKey(j, at), protocol.AttemptSpec{Attempt: g.ID, Kind: p.Kind, Rack: p.Rack, Resources: p.Resources,
 			TimeLimitMS: int(co.timeLimit(j, at).Milliseconds()), Labels: p.Labels, Checkpoint: j.Task(g.ID.Number).Checkpoint, Input: j.Spec.StepWork(at.Step())})
 	}
 }
@@ -219,7 +219,7 @@
 		if s.Capacity.Cores == 0 && ok {
 			continue // an agent that has not heard its worker yet
 		}
-		if s.State != dispatch.WorkerNew && (!ok || y.Rack != x.Rack || y.Resources != x.Resources || y.CalledByAgent != x.CalledByAgent ||
+		if s.State != protocol.WorkerNew && (!ok || y.Rack != x.Rack || y.Resources != x.Resources || y.CalledByAgent != x.CalledByAgent ||
 			!slices.Equal(y.Kinds, x.Kinds) || !slices.Equal(y.Labels, x.Labels)) {
 			list = append(list, x)
 		}
--- a/internal/controller/slots.go
+++ b/internal/controller/slots.go
@@ -6,7 +6,8 @@
 import (
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/placement"
 	"coppercourse/internal/types"
 )
@@ -43,7 +44,7 @@
 	clear(sc.position)
 	slots = sc.slots[:0]
 	for _, s := range h.scheduler.Workers() {
-		if s.State != dispatch.WorkerHealthy {
+		if s.State != protocol.WorkerHealthy {
 			continue
 		}
 		total += s.Capacity.Cores
@@ -63,7 +64,7 @@
 }
 
 // workerSlot is one worker with what runs there.
-func (co *Controller) workerSlot(s *dispatch.RemoteWorker, runs *occupancy, till time.Duration) placement.Slot {
+func (co *Controller) workerSlot(s *scheduler.RemoteWorker, runs *occupancy, till time.Duration) placement.Slot {
 	return placement.Slot{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Labels: s.Labels,
 		Free: s.Capacity.Sub(s.Shortfall).Sub(runs.used), Capacity: s.Capacity, AvailableFor: till, IdleIn: runs.remaining(co.now.Mono),
 		FailureRate: s.Reliability.FailureRate, DurationFactor: s.Reliability.RelativeDuration, CurrentDurationFactor: co.scheduler.Slowdown(s), RunningTasks: runs.busy, TasksByGroup: runs.byPart}
@@ -93,7 +94,7 @@
 
 // add counts an attempt. One that is freed surely runs no more, but still counts for
 // the spread of its step until its end is committed.
-func (oc *occupancy) add(o *dispatch.OutstandingAttempt, freed bool) {
+func (oc *occupancy) add(o *scheduler.OutstandingAttempt, freed bool) {
 	if !freed {
 		oc.used = oc.used.Add(o.Resources)
 		oc.busy++
--- a/internal/controller/slots_test.go
+++ b/internal/controller/slots_test.go
@@ -9,7 +9,8 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/placement"
 	"coppercourse/internal/raft"
 	"coppercourse/internal/state"
@@ -22,7 +23,7 @@
 func slotsFromScratch(h *Controller) (list []placement.Slot, total types.MilliCores) {
 	at := map[types.Shard]int{}
 	for _, s := range h.scheduler.Workers() {
-		if s.State != dispatch.WorkerHealthy {
+		if s.State != protocol.WorkerHealthy {
 			continue
 		}
 		total += s.Capacity.Cores
@@ -77,7 +78,7 @@
 type leaderRig struct {
 	*Controller
 	rnd               *rand.Rand
-	agents            []dispatch.Heartbeat
+	agents            []protocol.Heartbeat
 	next              int
 	outstandingOrders []types.AttemptID
 }
@@ -85,10 +86,10 @@
 func newLeaderRig(seed int64) *leaderRig {
 	rnd := rand.New(rand.NewSource(seed))
 	now := types.Now{Mono: types.MonoTime(time.Hour), Wall: types.WallTime(time.Hour)}
-	h := New(now, rnd, Options{Addr: "h1", RaftTimeouts: raft.DefaultTimeouts, DispatchTimeouts: dispatch.DefaultTimeouts}, nil)
+	h := New(now, rnd, Options{Addr: "h1", RaftTimeouts: raft.DefaultTimeouts, DispatchTimeouts: protocol.DefaultTimeouts}, nil)
 	l := &leaderRig{Controller: h, rnd: rnd}
-	h.scheduler = dispatch.NewScheduler(now.Mono, dispatch.SchedulerConfig{
-		Timeouts:          dispatch.DefaultTimeouts,
+	h.scheduler = scheduler.New(now.Mono, scheduler.Config{
+		Timeouts:          protocol.DefaultTimeouts,
 		Addr:              "h1",
 		Term:              1,
 		PriorAuthorityEnd: now.Mono,
@@ -101,7 +102,7 @@
 	}
 	for i := range 6 {
 		shard := types.Shard(fmt.Sprint("k", i))
-		l.agents = append(l.agents, dispatch.Heartbeat{Shard: shard, Instance: types.ID("agent-" + shard), WorkerReport: dispatch.WorkerReport{Rack: "r1",
+		l.agents = append(l.agents, protocol.Heartbeat{Shard: shard, Instance: types.ID("agent-" + shard), WorkerReport: protocol.WorkerReport{Rack: "r1",
 			Kinds: []types.ServiceKind{"x"}, Capacity: types.Resources{Cores: 16_000, MemoryMB: 32_000}, Healthy: true, Invoked: true}})
 	}
 	for range 4 { // until all agree on the worker set
@@ -131,9 +132,9 @@
 	for _, s := range sends {
 		switch s.Message.Kind {
 		case wire.RunningTasksQuery:
-			l.deliver(wire.RunningTasksReply, dispatch.RunningTasksReply{Term: 1, Shard: b.Shard, Instance: b.Instance, Complete: true})
+			l.deliver(wire.RunningTasksReply, protocol.RunningTasksReply{Term: 1, Shard: b.Shard, Instance: b.Instance, Complete: true})
 		case wire.HeartbeatReply:
-			if r, ok := wire.DecodeBody[dispatch.HeartbeatReply](s.Message); ok {
+			if r, ok := wire.DecodeBody[protocol.HeartbeatReply](s.Message); ok {
 				b.WorkerSet = r.WorkerSet
 			}
 		}
@@ -147,7 +148,7 @@
 	l.next++
 	switch i := l.rnd.Intn(len(l.agents)); l.rnd.Intn(10) {
 	case 0, 1, 2:
-		l.scheduler.RunTask(shard, types.StageOf(attempt.Number), "u", dispatch.AttemptSpec{Attempt: attempt, Resources: types.Resources{Cores: types.MilliCores(l.rnd.Intn(3000)), MemoryMB: l.rnd.Intn(2000)},
+		l.scheduler.RunTask(shard, types.StageOf(attempt.Number), "u", protocol.AttemptSpec{Attempt: attempt, Resources: types.Resources{Cores: types.MilliCores(l.rnd.Intn(3000)), MemoryMB: l.rnd.Intn(2000)},
 			TimeLimitMS: l.rnd.Intn(3) * 1000})
 		l.outstandingOrders = append(l.outstandingOrders, attempt)
 	case 3, 4:
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/membership"
 	"coppercourse/internal/raft"
 	"coppercourse/internal/state"
@@ -98,10 +98,10 @@
 	Shard          types.Shard     `json:"shard"`
 	ID             types.ID        `json:"instance"`
 	AgentAddr      types.Addr      `json:"agent"`
-	State          dispatch.Health `json:"state"`
+	State          protocol.Health `json:"state"`
 	InStateMS      int64           `json:"for_ms"`
 	SinceHealthyMS int64           `json:"quiet_ms"`
-	dispatch.WorkerReport
+	protocol.WorkerReport
 	Free        types.Resources `json:"free"`
 	Attempts    int             `json:"legs"`
 	FailureRate float64         `json:"bad_ends"`
--- a/internal/controller/windows.go
+++ b/internal/controller/windows.go
@@ -7,7 +7,7 @@
 import (
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/placement"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
@@ -22,7 +22,7 @@
 
 // availability tells how long a seat may still run something, 0 for without end, and
 // when all there must be gone, if it must.
-func (co *Controller) availability(s *dispatch.RemoteWorker) (left time.Duration, by types.MonoTime, why state.WithdrawReason) {
+func (co *Controller) availability(s *scheduler.RemoteWorker) (left time.Duration, by types.MonoTime, why state.WithdrawReason) {
 	now := co.raft.Clock()
 	if s.Draining {
 		left, why = time.Nanosecond, state.WorkerLeaving
@@ -71,7 +71,7 @@
 }
 
 // evictions lists the attempts to be taken back now.
-func (co *Controller) evictions(holds []*dispatch.OutstandingAttempt) (list []state.Withdrawal) {
+func (co *Controller) evictions(holds []*scheduler.OutstandingAttempt) (list []state.Withdrawal) {
 	gone := map[types.Shard]state.WithdrawReason{}
 	for _, s := range co.scheduler.Workers() {
 		if _, by, why := co.availability(s); by != 0 && by.Sub(co.now.Mono) < stopMargin {
@@ -114,7 +114,7 @@
 }
 
 // isStalled tells an attempt far beyond its step's usual time, once for a task.
-func (co *Controller) isStalled(o *dispatch.OutstandingAttempt) bool {
+func (co *Controller) isStalled(o *scheduler.OutstandingAttempt) bool {
 	u, ok := co.scheduler.BaselineDuration(o.BaselineName)
 	j := co.state.Jobs[o.Attempt.Job]
 	if !ok || j == nil {
@@ -131,7 +131,7 @@
 // begin anew elsewhere, once for a task. What takes long anyway is left to its
 // worker, which may be quick again before it would be done elsewhere; what may run
 // twice gets a copy instead.
-func (co *Controller) isWorthRestarting(o *dispatch.OutstandingAttempt) bool {
+func (co *Controller) isWorthRestarting(o *scheduler.OutstandingAttempt) bool {
 	j := co.state.Jobs[o.Attempt.Job]
 	if j == nil || o.StragglerEnd <= co.now.Mono || o.Stage < 0 {
 		return false
--- /dev/null
+++ b/internal/dispatch/doc.go
@@ -0,0 +1,2 @@
+// Package dispatch describes the dispatcher.
+package dispatch
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/executor/admission.go
@@ -1,13 +1,14 @@
-package dispatch
+package executor
 
 import (
 	"slices"
 
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 )
 
-func (ex *Executor) onRunTask(from types.Addr, o RunTask) {
+func (ex *Executor) onRunTask(from types.Addr, o protocol.RunTask) {
 	if !ex.acceptTerm(from, o.Header) {
 		return
 	}
@@ -22,11 +23,11 @@
 		ex.add(&attempt{spec: o.Spec, state: attemptWaiting, startBefore: min(o.StartBefore, ex.leaseUntil)})
 		ex.hasUpdate = true
 	}
-	ex.send(from, wire.RunTaskReply, RunTaskReply{ex.term, ex.shard, ex.instance, o.Spec.Attempt, why})
+	ex.send(from, wire.RunTaskReply, protocol.RunTaskReply{Term: ex.term, Shard: ex.shard, Instance: ex.instance, Attempt: o.Spec.Attempt, Refusal: why})
 }
 
 // refusalReason gives the reason why an order may not be taken, or nothing.
-func (ex *Executor) refusalReason(o RunTask) string {
+func (ex *Executor) refusalReason(o protocol.RunTask) string {
 	free := ex.report.Capacity.Sub(ex.capacityShortfall())
 	twin := false
 	for _, l := range ex.attempts {
@@ -41,7 +42,7 @@
 	}{
 		{o.Sequence < ex.querySequence, "sent before the latest query"},
 		{ex.now >= o.StartBefore || ex.now >= ex.leaseUntil, "grant has lapsed"},
-		{ex.state != WorkerHealthy, "agent is " + string(ex.state)},
+		{ex.state != protocol.WorkerHealthy, "agent is " + string(ex.state)},
 		{!ex.report.Healthy, "worker is silent"},
 		{ex.report.Draining, "worker is leaving"},
 		{!slices.Contains(ex.report.Kinds, o.Spec.Kind), "worker has not this kind"},
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/executor/attempts.go
@@ -1,9 +1,10 @@
-package dispatch
+package executor
 
 import (
 	"slices"
 	"time"
 
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 )
@@ -18,7 +19,7 @@
 )
 
 type attempt struct {
-	spec          AttemptSpec
+	spec          protocol.AttemptSpec
 	state         attemptState
 	startBefore   types.MonoTime
 	startedAt     types.MonoTime
--- a/internal/dispatch/executor.go
+++ b/internal/dispatch/executor/executor.go
@@ -1,10 +1,11 @@
 // Executor is the half beside each worker. It holds the one true account of what
 // runs there: an attempt is in it from its order until its end is settled.
-package dispatch
+package executor
 
 import (
 	"time"
 
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -12,7 +13,7 @@
 
 // Executor is one agent's half.
 type Executor struct {
-	timeouts         Timeouts
+	timeouts         protocol.Timeouts
 	addr             types.Addr
 	shard            types.Shard
 	instance         types.ID
@@ -23,12 +24,12 @@
 	startedAt         types.MonoTime
 	term              types.Term
 	leader            types.Addr
-	state             Health
+	state             protocol.Health
 	stateSince        types.MonoTime
 	lastGrantSentAt   types.MonoTime
 	leaseUntil        types.MonoTime
 	querySequence     types.Seq
-	workerSet         WorkerSetID
+	workerSet         protocol.WorkerSetID
 	lastHeartbeatAt   types.MonoTime
 	lastStatusAt      types.MonoTime
 	attempts          map[types.AttemptID]*attempt
@@ -41,7 +42,7 @@
 	workerSentAt      types.MonoTime
 	workerLeaseBase   types.MonoTime
 	workerDepartsAt   types.MonoTime // when the worker goes, if it said so
-	report            WorkerReport
+	report            protocol.WorkerReport
 	hasUpdate         bool
 	link              *WorkerLink // of a worker that is called
 	sends             []wire.OutboundMessage
@@ -50,8 +51,8 @@
 const never = types.MonoTime(-1 << 61)
 
 // NewHand starts an agent that knows nothing of its worker yet.
-func NewExecutor(now types.MonoTime, pace Timeouts, me types.Addr, shard types.Shard, mint func() types.ID) *Executor {
-	return &Executor{timeouts: pace, addr: me, shard: shard, instance: mint(), newInstance: mint, now: now, startedAt: now, state: WorkerNew, stateSince: now,
+func New(now types.MonoTime, pace protocol.Timeouts, me types.Addr, shard types.Shard, mint func() types.ID) *Executor {
+	return &Executor{timeouts: pace, addr: me, shard: shard, instance: mint(), newInstance: mint, now: now, startedAt: now, state: protocol.WorkerNew, stateSince: now,
 		lastGrantSentAt: now, leaseUntil: never, lastHeartbeatAt: never, lastStatusAt: never, workerHeardAt: never, workerLeaseBase: now,
 		attempts: map[types.AttemptID]*attempt{}, seenAttempts: map[types.AttemptID]types.MonoTime{}}
 }
@@ -77,17 +78,17 @@
 	}
 	quiet := now.Sub(ex.lastGrantSentAt)
 	switch {
-	case ex.state == WorkerMustDie:
+	case ex.state == protocol.WorkerMustDie:
 		ex.restartAsNewInstance()
-	case ex.state == WorkerNew:
+	case ex.state == protocol.WorkerNew:
 	case quiet > ex.timeouts.LostAfter:
-		ex.setState(WorkerMustDie)
+		ex.setState(protocol.WorkerMustDie)
 	case quiet > ex.timeouts.UnhealthyAfter:
-		ex.setState(WorkerUnhealthy)
+		ex.setState(protocol.WorkerUnhealthy)
 	default:
-		ex.setState(WorkerHealthy)
+		ex.setState(protocol.WorkerHealthy)
 	}
-	if now >= ex.leaseUntil && !ex.awaitsFirstLease() || ex.state == WorkerMustDie {
+	if now >= ex.leaseUntil && !ex.awaitsFirstLease() || ex.state == protocol.WorkerMustDie {
 		for _, l := range ex.attemptsInOrder() {
 			ex.stopAttempt(l)
 		}
--- a/internal/dispatch/instance.go
+++ b/internal/dispatch/executor/instance.go
@@ -1,6 +1,8 @@
-package dispatch
+package executor
 
-func (ex *Executor) setState(s Health) {
+import "coppercourse/internal/dispatch/protocol"
+
+func (ex *Executor) setState(s protocol.Health) {
 	if ex.state != s {
 		ex.state, ex.stateSince = s, ex.now
 	}
@@ -20,7 +22,7 @@
 			return
 		}
 	}
-	ex.instance, ex.previousInstance, ex.workerSet, ex.querySequence = ex.newInstance(), "", WorkerSetID{}, 0
+	ex.instance, ex.previousInstance, ex.workerSet, ex.querySequence = ex.newInstance(), "", protocol.WorkerSetID{}, 0
 	ex.lastGrantSentAt, ex.leaseUntil, ex.lastHeartbeatAt = ex.now, never, never
-	ex.setState(WorkerNew)
+	ex.setState(protocol.WorkerNew)
 }
--- a/internal/dispatch/link.go
+++ b/internal/dispatch/executor/link.go
@@ -4,11 +4,12 @@
 // is never longer than what the leader granted to the agent, counted from a
 // reading that the worker itself told, by a clock that may run slow. This file
 // keeps lives, clock and lease; line.go makes the calls and reads the replies.
-package dispatch
+package executor
 
 import (
 	"time"
 
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -145,7 +146,7 @@
 
 func (ex *Executor) updateReport(b wire.WorkerHeartbeat) {
 	before := ex.report
-	ex.report = WorkerReport{Rack: b.Rack, Kinds: b.Kinds, Capacity: b.Capacity, Labels: b.Labels, Shortfall: before.Shortfall, Healthy: before.Healthy, Invoked: true}
+	ex.report = protocol.WorkerReport{Rack: b.Rack, Kinds: b.Kinds, Capacity: b.Capacity, Labels: b.Labels, Shortfall: before.Shortfall, Healthy: before.Healthy, Invoked: true}
 	switch {
 	case b.Draining:
 		ex.setDraining(time.Duration(b.DepartsInMS) * time.Millisecond)
--- a/internal/dispatch/link_calls.go
+++ b/internal/dispatch/executor/link_calls.go
@@ -4,7 +4,7 @@
 // then does not list was not started and never will be. Ends are settled at the
 // worker only once they are in the log. What the log has as lapsed when its end is
 // heard of stays lapsed: the worker does not count such an end either.
-package dispatch
+package executor
 
 import (
 	"coppercourse/internal/state"
--- a/internal/dispatch/link_capacity.go
+++ b/internal/dispatch/executor/link_capacity.go
@@ -1,4 +1,4 @@
-package dispatch
+package executor
 
 import (
 	"coppercourse/internal/types"
--- a/internal/dispatch/link_capacity_test.go
+++ b/internal/dispatch/executor/link_capacity_test.go
@@ -1,6 +1,6 @@
 // A worker that turns starts away for want of room is believed, whatever room it
 // tells: the leader hears at once that nothing is free beyond what runs there.
-package dispatch_test
+package executor_test
 
 import (
 	"fmt"
--- a/internal/dispatch/link_ends.go
+++ b/internal/dispatch/executor/link_ends.go
@@ -1,4 +1,4 @@
-package dispatch
+package executor
 
 // dropAcknowledgedEnds drops the ends that the worker has dropped.
 func (ex *Executor) dropAcknowledgedEnds(seen uint64) {
--- a/internal/dispatch/link_ends_test.go
+++ b/internal/dispatch/executor/link_ends_test.go
@@ -1,4 +1,4 @@
-package dispatch_test
+package executor_test
 
 import (
 	"testing"
--- a/internal/dispatch/link_faults_test.go
+++ b/internal/dispatch/executor/link_faults_test.go
@@ -2,7 +2,7 @@
 // processes crash, calls are lost, unanswered or carried out late, beats are
 // repeated late. The rig tells when an attempt runs, starts or is noted as done after
 // the log has it as ended otherwise; here also, that all comes to an end.
-package dispatch_test
+package executor_test
 
 import (
 	"flag"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -88,7 +88,7 @@
 	sum := map[state.Outcome]int{}
 	for seed := *chaosFirstSeed; seed < *chaosFirstSeed+int64(*chaosSeeds); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			r := newReadyRigWith(t, seed, []dispatch.Timeouts{dispatch.DefaultTimeouts, longLeases}[seed%2])
+			r := newReadyRigWith(t, seed, []protocol.Timeouts{protocol.DefaultTimeouts, longLeases}[seed%2])
 			n := map[string]int{}
 			r.every(120*ms, func() {
 				job := fmt.Sprint("j", r.random.Intn(7))
--- a/internal/dispatch/link_lease.go
+++ b/internal/dispatch/executor/link_lease.go
@@ -1,8 +1,9 @@
-package dispatch
+package executor
 
 import (
 	"time"
 
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/types"
 )
 
@@ -22,7 +23,7 @@
 // or 0 for none.
 func (ex *Executor) nextLeaseEnd() int64 {
 	c := ex.link
-	if ex.state == WorkerMustDie || ex.leaseUntil <= ex.now {
+	if ex.state == protocol.WorkerMustDie || ex.leaseUntil <= ex.now {
 		return 0
 	}
 	end := c.clock + int64(minClockRate*float64((ex.leaseUntil.Sub(c.clockReadAt)-leaseMargin).Milliseconds()))
--- a/internal/dispatch/link_reordering_test.go
+++ b/internal/dispatch/executor/link_reordering_test.go
@@ -1,6 +1,6 @@
 // Beats and words of leaving that come late, out of order or without the ones
 // that should have been before them.
-package dispatch_test
+package executor_test
 
 import (
 	"testing"
@@ -8,15 +8,15 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 )
 
 // withDrainTime is a pace that knows how long workers run on that deregister.
-var withDrainTime = func() dispatch.Timeouts {
-	p := dispatch.DefaultTimeouts
+var withDrainTime = func() protocol.Timeouts {
+	p := protocol.DefaultTimeouts
 	p.DrainTime = 2 * time.Second
 	return p
 }()
--- a/internal/dispatch/link_replies.go
+++ b/internal/dispatch/executor/link_replies.go
@@ -1,6 +1,7 @@
-package dispatch
+package executor
 
 import (
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -135,7 +136,7 @@
 	c.openEnds[e.Number] = &openEnd{attempt: e.Attempt}
 	l := ex.attempts[e.Attempt]
 	if l == nil {
-		l = &attempt{spec: AttemptSpec{Attempt: e.Attempt}, state: attemptRunning}
+		l = &attempt{spec: protocol.AttemptSpec{Attempt: e.Attempt}, state: attemptRunning}
 		ex.add(l)
 	}
 	l.runsAfterEnd, l.startUnsure, l.endNumber = false, false, e.Number
@@ -158,7 +159,7 @@
 func (ex *Executor) recordRunning(x wire.RunningAttempt) {
 	l := ex.attempts[x.Attempt]
 	if l == nil {
-		l = &attempt{spec: AttemptSpec{Attempt: x.Attempt}, state: attemptRunning, startedAt: ex.now}
+		l = &attempt{spec: protocol.AttemptSpec{Attempt: x.Attempt}, state: attemptRunning, startedAt: ex.now}
 		if ex.runningTasksKnown {
 			l.state = attemptStopping
 		}
--- a/internal/dispatch/link_rig_test.go
+++ b/internal/dispatch/executor/link_rig_test.go
@@ -1,7 +1,7 @@
 // A rig for the agent's side towards a called worker: a leader's half, an agent's half
 // and the stand-in worker with a shared time, a log that keeps the first end of each
 // attempt, and calls that a test carries, loses, or has carried out late, one by one.
-package dispatch_test
+package executor_test
 
 import (
 	"fmt"
@@ -10,7 +10,9 @@
 	"testing"
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/executor"
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -20,8 +22,8 @@
 const ms = time.Millisecond
 
 // longLeases is a pace with leases of five seconds.
-var longLeases = func() dispatch.Timeouts {
-	p := dispatch.DefaultTimeouts
+var longLeases = func() protocol.Timeouts {
+	p := protocol.DefaultTimeouts
 	p.AgentLease, p.LostAfter = 5*time.Second, 6*time.Second
 	return p
 }()
@@ -45,11 +47,11 @@
 type linkRig struct {
 	t                 *testing.T
 	random            *rand.Rand
-	timeouts          dispatch.Timeouts
+	timeouts          protocol.Timeouts
 	now               types.MonoTime
 	term              types.Term
-	scheduler         *dispatch.Scheduler
-	executor          *dispatch.Executor
+	scheduler         *scheduler.Scheduler
+	executor          *executor.Executor
 	worker            *sim.InvokedWorker
 	environment       *sim.WorkerEnvironment
 	workerSpec        sim.WorkerSpec
@@ -77,7 +79,7 @@
 	reported     []state.AttemptEnd // what the agent has told, in order
 }
 
-func newLinkRig(t *testing.T, seed int64, pace dispatch.Timeouts) *linkRig {
+func newLinkRig(t *testing.T, seed int64, pace protocol.Timeouts) *linkRig {
 	r := &linkRig{t: t, random: rand.New(rand.NewSource(seed)), timeouts: pace, authorityLeft: pace.AgentLease, now: types.MonoTime(time.Hour),
 		environment: sim.NewWorkerEnvironment(sim.WorkerRules{MaxLease: 6 * time.Second, MaxStopTime: 400 * ms, GangTimeout: 3 * time.Second, CheckpointInterval: 2 * time.Second, RestoreTime: 600 * ms, RemoteSlowdown: 1.5}),
 		workerSpec:  sim.WorkerSpec{Shard: "s", Rack: "r", Kinds: []types.ServiceKind{"x"}, Room: types.Resources{Cores: 8 * types.Core}, Guards: true},
@@ -132,12 +134,12 @@
 // newLeader has another leader take over; what the old one had proposed is gone.
 func (lr *linkRig) newLeader() {
 	lr.term++
-	var outs []dispatch.OutstandingAttempt
+	var outs []scheduler.OutstandingAttempt
 	for l := range lr.outstanding {
-		outs = append(outs, dispatch.OutstandingAttempt{Attempt: l, Shard: "s", Resources: types.Resources{Cores: types.Core}})
+		outs = append(outs, scheduler.OutstandingAttempt{Attempt: l, Shard: "s", Resources: types.Resources{Cores: types.Core}})
 	}
 	sort.Slice(outs, func(i, k int) bool { return outs[i].Attempt.Less(outs[k].Attempt) })
-	lr.scheduler = dispatch.NewScheduler(lr.now, dispatch.SchedulerConfig{
+	lr.scheduler = scheduler.New(lr.now, scheduler.Config{
 		Timeouts:          lr.timeouts,
 		Addr:              "h",
 		Term:              lr.term,
@@ -164,7 +166,7 @@
 func (lr *linkRig) newAgent() {
 	lr.agents++
 	n := 0
-	lr.executor = dispatch.NewExecutor(lr.now, lr.timeouts, "w", "s", func() types.ID { n++; return types.ID(fmt.Sprintf("w%d.%d", lr.agents, n)) })
+	lr.executor = executor.New(lr.now, lr.timeouts, "w", "s", func() types.ID { n++; return types.ID(fmt.Sprintf("w%d.%d", lr.agents, n)) })
 }
 
 // startWorker starts a worker process.
@@ -215,7 +217,7 @@
 		from := lr.executor.TakeOutput()
 		more = len(sends)+len(from) > 0
 		for _, s := range from {
-			if u, ok := wire.DecodeBody[dispatch.UpdateStatus](s.Message); ok && s.Message.Kind == wire.StatusReport {
+			if u, ok := wire.DecodeBody[protocol.UpdateStatus](s.Message); ok && s.Message.Kind == wire.StatusReport {
 				lr.reported = append(lr.reported, u.Ends...)
 			}
 			if lr.onSend != nil {
@@ -313,7 +315,7 @@
 // runTask has the leader give an attempt out.
 func (lr *linkRig) runTask(l types.AttemptID, work string) {
 	lr.outstanding[l] = true
-	lr.scheduler.RunTask("s", 0, "", dispatch.AttemptSpec{Attempt: l, Kind: "x", Resources: types.Resources{Cores: types.Core}, Input: []byte(work)})
+	lr.scheduler.RunTask("s", 0, "", protocol.AttemptSpec{Attempt: l, Kind: "x", Resources: types.Resources{Cores: types.Core}, Input: []byte(work)})
 	lr.deliver()
 }
 
@@ -323,13 +325,13 @@
 
 // newReadyRig is a rig in which all have found each other healthy.
 func newReadyRig(t *testing.T, seed int64) *linkRig {
-	return newReadyRigWith(t, seed, dispatch.DefaultTimeouts)
+	return newReadyRigWith(t, seed, protocol.DefaultTimeouts)
 }
 
-func newReadyRigWith(t *testing.T, seed int64, pace dispatch.Timeouts) *linkRig {
+func newReadyRigWith(t *testing.T, seed int64, pace protocol.Timeouts) *linkRig {
 	r := newLinkRig(t, seed, pace)
 	r.advance(pace.LostAfter + 1500*ms)
-	if s := r.executor.View().State; s != dispatch.WorkerHealthy {
+	if s := r.executor.View().State; s != protocol.WorkerHealthy {
 		t.Fatal("the agent is", s)
 	}
 	return r
--- a/internal/dispatch/link_test.go
+++ b/internal/dispatch/executor/link_test.go
@@ -1,6 +1,6 @@
 // The agent's side towards a worker that is called, at the level of single calls:
 // what is lost, late, crossed or of another life, and leases on a slow clock.
-package dispatch_test
+package executor_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -94,13 +94,13 @@
 // the worker up, which came twice.
 func TestFenceRisesAfterARepeatedBeat(t *testing.T) {
 	is := is.New(t)
-	r := newLinkRig(t, 5, dispatch.DefaultTimeouts)
+	r := newLinkRig(t, 5, protocol.DefaultTimeouts)
 	r.heartbeatsStopped = true
 	b := r.nextHeartbeat()
 	r.executor.HandleWorkerHeartbeat(r.now, b)
 	r.deliver()
 	r.advance(4 * time.Second)
-	is.Equal(r.executor.View().State, dispatch.WorkerHealthy)
+	is.Equal(r.executor.View().State, protocol.WorkerHealthy)
 	r.lateDelay = func() time.Duration { return 100 * ms }
 	r.applyToFirst(wire.StartAttempt, callLate)
 	r.runTask(attempt("a", 1), long)
@@ -216,7 +216,7 @@
 		r.executor.HandleWorkerHeartbeat(r.now, r.nextHeartbeat())
 		r.deliver()
 		r.advance(900 * ms)
-		is.Equal(r.executor.View().State, dispatch.WorkerHealthy)
+		is.Equal(r.executor.View().State, protocol.WorkerHealthy)
 	}
 	r.runTask(attempt("b", 1), short)
 	r.advance(3 * time.Second)
@@ -274,7 +274,7 @@
 // life that answers stays the worker, and few calls are made to find out.
 func TestABeatOfAFormerLifeComesLate(t *testing.T) {
 	is := is.New(t)
-	r := newLinkRig(t, 10, dispatch.DefaultTimeouts)
+	r := newLinkRig(t, 10, protocol.DefaultTimeouts)
 	old := r.nextHeartbeat()
 	r.crashWorker()
 	r.startWorker()
--- a/internal/dispatch/polling.go
+++ b/internal/dispatch/executor/polling.go
@@ -1,14 +1,15 @@
-package dispatch
+package executor
 
 import (
 	"time"
 
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 )
 
 // HandlePoll takes a worker's call; false means that it is not to be answered.
-func (ex *Executor) HandlePoll(now types.MonoTime, p Poll) bool {
+func (ex *Executor) HandlePoll(now types.MonoTime, p protocol.Poll) bool {
 	ex.now = now
 	if p.Worker != ex.workerInstance {
 		if ex.workerInstance != "" && !ex.workerLeaseExpired() {
@@ -22,14 +23,14 @@
 	if p.Draining != ex.report.Draining || !ex.report.Healthy {
 		ex.lastHeartbeatAt = never
 	}
-	ex.report = WorkerReport{Rack: p.Rack, Kinds: p.Kinds, Capacity: p.Capacity, Draining: p.Draining, DepartsInMS: p.DepartsInMS, Healthy: true}
+	ex.report = protocol.WorkerReport{Rack: p.Rack, Kinds: p.Kinds, Capacity: p.Capacity, Draining: p.Draining, DepartsInMS: p.DepartsInMS, Healthy: true}
 	ex.workerDepartsAt = now.Add(time.Duration(p.DepartsInMS) * time.Millisecond)
 	runs := map[types.AttemptID]bool{}
 	for _, r := range p.Running {
 		runs[r.Attempt] = true
 		l := ex.attempts[r.Attempt]
 		if l == nil {
-			l = &attempt{spec: AttemptSpec{Attempt: r.Attempt, Resources: r.Resources}, state: attemptRunning, startedAt: now}
+			l = &attempt{spec: protocol.AttemptSpec{Attempt: r.Attempt, Resources: r.Resources}, state: attemptRunning, startedAt: now}
 			ex.add(l)
 		}
 		if l.state == attemptWaiting {
@@ -40,7 +41,7 @@
 	for _, e := range p.Ended {
 		l := ex.attempts[e.Attempt]
 		if l == nil {
-			l = &attempt{spec: AttemptSpec{Attempt: e.Attempt, Resources: e.Resources}, state: attemptRunning}
+			l = &attempt{spec: protocol.AttemptSpec{Attempt: e.Attempt, Resources: e.Resources}, state: attemptRunning}
 			ex.add(l)
 		}
 		if l.state != attemptEnded || l.outcome == state.OutcomeLost || e.Outcome == state.OutcomeOK && l.outcome != state.OutcomeOK {
@@ -70,7 +71,7 @@
 
 // replaceWorker takes another worker process in place of the last, all of whose attempts
 // have ended with it.
-func (ex *Executor) replaceWorker(p Poll) {
+func (ex *Executor) replaceWorker(p protocol.Poll) {
 	for _, l := range ex.attemptsInOrder() {
 		if l.state != attemptEnded || l.outcome == state.OutcomeLost {
 			ex.endAttempt(l, state.OutcomeWorkerExited)
@@ -86,13 +87,13 @@
 }
 
 // ReplyToPoll makes the answer to the worker's latest call.
-func (ex *Executor) ReplyToPoll(now types.MonoTime) PollReply {
+func (ex *Executor) ReplyToPoll(now types.MonoTime) protocol.PollReply {
 	ex.now, ex.hasUpdate = now, false
 	left := min(ex.timeouts.WorkerLease, ex.leaseUntil.Sub(now))
-	if ex.state == WorkerMustDie || left < 0 {
+	if ex.state == protocol.WorkerMustDie || left < 0 {
 		left = 0
 	}
-	a := PollReply{Agent: ex.instance, Call: ex.lastCall, LeaseUntil: ex.workerSentAt.Add(left)}
+	a := protocol.PollReply{Agent: ex.instance, Call: ex.lastCall, LeaseUntil: ex.workerSentAt.Add(left)}
 	if left > 0 {
 		ex.workerLeaseBase = max(ex.workerLeaseBase, now.Add(left-ex.timeouts.WorkerLease))
 	}
@@ -116,7 +117,7 @@
 // workerLeaseExpired is true when the worker's last grant has surely ended, and it has had
 // the time to stop.
 func (ex *Executor) workerLeaseExpired() bool {
-	return ex.now.Sub(ex.workerLeaseBase) > ex.timeouts.WorkerLease+WorkerStopTime
+	return ex.now.Sub(ex.workerLeaseBase) > ex.timeouts.WorkerLease+protocol.WorkerStopTime
 }
 
 // Worker gives the time since the worker's last call.
--- a/internal/dispatch/protocol_test.go
+++ b/internal/dispatch/executor/protocol_test.go
@@ -1,6 +1,6 @@
 // The hazards that the paper names, and those that terms and grants add, each
 // brought about by hand on the two halves with notes passed one by one.
-package dispatch
+package executor
 
 import (
 	"fmt"
@@ -9,6 +9,8 @@
 
 	"github.com/matryer/is"
 
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -19,14 +21,13 @@
 // testCluster is one leader's half and some agents' halves, with a shared clock.
 type testCluster struct {
 	now       types.MonoTime
-	scheduler *Scheduler
+	scheduler *scheduler.Scheduler
 	executors map[types.Addr]*Executor
 	inFlight  []wire.OutboundMessage // not yet delivered
 	ends      []state.AttemptEnd
 	instances int
 
-	endsRecorded  bool // the log already has every end, or none
-	calledByAgent bool // the workers are called rather than polling
+	endsRecorded bool // the log already has every end, or none
 }
 
 func newTestCluster() *testCluster {
@@ -35,10 +36,10 @@
 	return cluster
 }
 
-func (t *testCluster) newLeader(term types.Term, outs ...OutstandingAttempt) {
+func (t *testCluster) newLeader(term types.Term, outs ...scheduler.OutstandingAttempt) {
 	t.endsRecorded = false
-	t.scheduler = NewScheduler(t.now, SchedulerConfig{
-		Timeouts:          DefaultTimeouts,
+	t.scheduler = scheduler.New(t.now, scheduler.Config{
+		Timeouts:          protocol.DefaultTimeouts,
 		Addr:              "h",
 		Term:              term,
 		PriorAuthorityEnd: t.now,
@@ -50,11 +51,11 @@
 // UnresolvedAttempts and the next three answer the scheduler as its ClusterState.
 func (*testCluster) UnresolvedAttempts(types.Shard) []types.AttemptID { return nil }
 func (*testCluster) ZonePartitioned(types.Shard) bool                 { return false }
-func (t *testCluster) CalledByAgent(types.Shard) bool                 { return t.calledByAgent }
+func (*testCluster) CalledByAgent(types.Shard) bool                   { return false }
 func (t *testCluster) EndRecorded(state.AttemptEnd) bool              { return t.endsRecorded }
 
 func (t *testCluster) newAgent(addr types.Addr, shard types.Shard) *Executor {
-	h := NewExecutor(t.now, DefaultTimeouts, addr, shard, func() types.ID {
+	h := New(t.now, protocol.DefaultTimeouts, addr, shard, func() types.ID {
 		t.instances++
 		return types.ID(fmt.Sprintf("%s-%d", addr, t.instances))
 	})
@@ -62,10 +63,10 @@
 	return h
 }
 
-func (t *testCluster) poll(h *Executor, call uint64, runs ...types.AttemptID) PollReply {
-	p := Poll{Worker: "k", Call: call, SentAt: t.now, Rack: "r", Kinds: []types.ServiceKind{"x"}, Capacity: types.Resources{Cores: 4 * types.Core}}
+func (t *testCluster) poll(h *Executor, call uint64, runs ...types.AttemptID) protocol.PollReply {
+	p := protocol.Poll{Worker: "k", Call: call, SentAt: t.now, Rack: "r", Kinds: []types.ServiceKind{"x"}, Capacity: types.Resources{Cores: 4 * types.Core}}
 	for _, l := range runs {
-		p.Running = append(p.Running, RunningTask{l, types.Resources{Cores: 1 * types.Core}})
+		p.Running = append(p.Running, protocol.RunningTask{Attempt: l, Resources: types.Resources{Cores: 1 * types.Core}})
 	}
 	h.HandlePoll(t.now, p)
 	return h.ReplyToPoll(t.now)
@@ -136,7 +137,7 @@
 }
 
 func runTask(b *testCluster, shard types.Shard, l types.AttemptID) {
-	b.scheduler.RunTask(shard, 0, "", AttemptSpec{Attempt: l, Kind: "x", Resources: types.Resources{Cores: 1 * types.Core}})
+	b.scheduler.RunTask(shard, 0, "", protocol.AttemptSpec{Attempt: l, Kind: "x", Resources: types.Resources{Cores: 1 * types.Core}})
 }
 
 func ofKind(k string) func(wire.OutboundMessage) bool {
@@ -145,7 +146,7 @@
 
 func TestDelayedOrderAfterQuery(t *testing.T) {
 	is, b, w := newHealthyCluster(t)
-	is.Equal(b.scheduler.workers["s"].State, WorkerHealthy)
+	is.Equal(b.scheduler.Worker("s").State, protocol.WorkerHealthy)
 	runTask(b, "s", newAttempt("j", 1))
 	late := b.deliver(ofKind(wire.RunTask))
 	is.Equal(len(late), 1)
@@ -155,7 +156,7 @@
 	b.deliverOne(late[0])
 	is.True(w.attempts[newAttempt("j", 1)].state == attemptEnded) // it stays what the agent said
 	// An order for an attempt that was not asked about, sent before the query, is refused by its number.
-	o, _ := wire.DecodeBody[RunTask](late[0].Message)
+	o, _ := wire.DecodeBody[protocol.RunTask](late[0].Message)
 	o.Spec.Attempt, o.StartBefore = newAttempt("k", 1), b.now.Add(time.Second)
 	w.HandleMessage(b.now, wire.NewMessage("h", "w", wire.RunTask, o).Message)
 	is.Equal(w.attempts[newAttempt("k", 1)], nil)
@@ -172,9 +173,9 @@
 	b.poll(w, w.lastCall+1)
 	b.poll(w, w.lastCall+1) // the worker has let go of it, so the agent has too
 	is.Equal(len(w.attempts), 0)
-	s := b.scheduler.workers["s"]
-	s.querySequence++
-	b.deliverOne(wire.NewMessage("h", "w", wire.NotRunningQuery, NotifyIfTasksNotRunning{b.scheduler.header(s), s.querySequence, []types.AttemptID{newAttempt("j", 1)}}))
+	s := b.scheduler.Worker("s")
+	query := protocol.NotifyIfTasksNotRunning{Header: protocol.Header{Term: 1, To: s.Instance}, Sequence: w.querySequence + 1, Attempts: []types.AttemptID{newAttempt("j", 1)}}
+	b.deliverOne(wire.NewMessage("h", "w", wire.NotRunningQuery, query))
 	is.Equal(w.attempts[newAttempt("j", 1)].outcome, state.OutcomeNeverRan)
 	b.ends = nil
 	b.advance(time.Second, nil)
@@ -189,11 +190,11 @@
 		is, b, w := newHealthyCluster(t)
 		runTask(b, "s", newAttempt("j", 1))
 		b.deliver(nil)
-		b.newLeader(2, OutstandingAttempt{Attempt: newAttempt("j", 1), Shard: "s", Resources: types.Resources{Cores: 1 * types.Core}})
+		b.newLeader(2, scheduler.OutstandingAttempt{Attempt: newAttempt("j", 1), Shard: "s", Resources: types.Resources{Cores: 1 * types.Core}})
 		b.ends = nil
 		w.endAttempt(w.attempts[newAttempt("j", 1)], outcome)
 		b.advance(600*ms, ofKind(wire.RunningTasksQuery)) // the new leader's question does not arrive
-		is.Equal(b.scheduler.workers["s"].State, WorkerNew)
+		is.Equal(b.scheduler.Worker("s").State, protocol.WorkerNew)
 		is.Equal(len(b.ends) > 0, at)
 		b.advance(600*ms, nil)
 		is.True(len(b.ends) > 0)
@@ -210,17 +211,17 @@
 	b := newTestCluster()
 	b.newAgent("w1", "s1")
 	b.advance(4*time.Second, nil)
-	is.Equal(b.scheduler.workers["s1"].State, WorkerHealthy)
+	is.Equal(b.scheduler.Worker("s1").State, protocol.WorkerHealthy)
 	mute := func(s wire.OutboundMessage) bool { return s.Message.From == "w1" || s.To == "w1" }
 	b.advance(1200*ms, mute)
-	is.Equal(b.scheduler.workers["s1"].State, WorkerUnhealthy)
+	is.Equal(b.scheduler.Worker("s1").State, protocol.WorkerUnhealthy)
 	b.newAgent("w2", "s2")
 	b.advance(900*ms, mute)
-	is.Equal(b.scheduler.workers["s2"].State, WorkerUnhealthy) // for lack of consensus: w1 does not know of w2
+	is.Equal(b.scheduler.Worker("s2").State, protocol.WorkerUnhealthy) // for lack of consensus: w1 does not know of w2
 	b.advance(900*ms, mute)
-	is.Equal(b.scheduler.workers["s1"].State, WorkerMustDie)
+	is.Equal(b.scheduler.Worker("s1").State, protocol.WorkerMustDie)
 	b.advance(600*ms, mute)
-	is.Equal(b.scheduler.workers["s2"].State, WorkerHealthy) // w1 is lost, its set binds nobody
+	is.Equal(b.scheduler.Worker("s2").State, protocol.WorkerHealthy) // w1 is lost, its set binds nobody
 }
 
 // An attempt in the log on a worker that has not come holds the wait up even where
@@ -233,7 +234,7 @@
 	b.newLeader(2)
 	b.advance(700*ms, nil)
 	is.Equal(b.scheduler.InInitialWait, false) // the one agent agrees with itself
-	b.newLeader(3, OutstandingAttempt{Attempt: newAttempt("j", 1), Shard: "s2", Resources: types.Resources{Cores: 1 * types.Core}})
+	b.newLeader(3, scheduler.OutstandingAttempt{Attempt: newAttempt("j", 1), Shard: "s2", Resources: types.Resources{Cores: 1 * types.Core}})
 	b.advance(700*ms, nil)
 	is.Equal(b.scheduler.InInitialWait, true)
 	b.ends = nil
@@ -251,16 +252,16 @@
 	delete(b.executors, "w")
 	fresh := b.newAgent("v", "s")
 	b.advance(600*ms, nil)
-	is.Equal(b.scheduler.workers["s"].Instance, was) // only a lost one may be replaced
+	is.Equal(b.scheduler.Worker("s").Instance, was) // only a lost one may be replaced
 	b.advance(3500*ms, nil)
-	is.Equal(b.scheduler.workers["s"].Instance, fresh.instance)
+	is.Equal(b.scheduler.Worker("s").Instance, fresh.instance)
 	b.executors["w"] = old
 	old.lastGrantSentAt, old.leaseUntil = b.now, b.now.Add(time.Second) // it believes itself well
 	b.now = b.now.Add(400 * ms)
 	old.Tick(b.now, "h")
 	b.deliver(nil)
-	is.Equal(old.state, WorkerMustDie)
-	is.Equal(b.scheduler.workers["s"].Instance, fresh.instance)
+	is.Equal(old.state, protocol.WorkerMustDie)
+	is.Equal(b.scheduler.Worker("s").Instance, fresh.instance)
 }
 
 func TestOldLeaderIsRefused(t *testing.T) {
@@ -297,7 +298,7 @@
 	is.True(len(late) > 0)
 	b.now = at.Add(3 * time.Second)
 	b.deliverOne(late[len(late)-1])
-	is.True(w.leaseUntil <= at.Add(DefaultTimeouts.AgentLease))
+	is.True(w.leaseUntil <= at.Add(protocol.DefaultTimeouts.AgentLease))
 	is.Equal(b.poll(w, w.lastCall+1).LeaseUntil, b.now) // nothing is left to give on
 }
 
@@ -315,25 +316,25 @@
 	}
 	is.Equal(b.ends[0].Outcome, state.OutcomeLost)
 	is.True(b.now > until)
-	is.True(b.now > given.Add(DefaultTimeouts.WorkerLease))
+	is.True(b.now > given.Add(protocol.DefaultTimeouts.WorkerLease))
 }
 
 // An attempt that its agent counts lost is in doubt until the worker is heard again:
 // then it went well, or is known to be gone, and both are told.
 func TestLostIsNotTheLastWord(t *testing.T) {
 	for _, end := range []struct {
-		told []FinishedTask
+		told []protocol.FinishedTask
 		want state.Outcome
-	}{{nil, state.OutcomeWorkerExited}, {[]FinishedTask{{RunningTask{newAttempt("j", 1), types.Resources{}}, state.OutcomeOK}}, state.OutcomeOK}} {
+	}{{nil, state.OutcomeWorkerExited}, {[]protocol.FinishedTask{{RunningTask: protocol.RunningTask{Attempt: newAttempt("j", 1), Resources: types.Resources{}}, Outcome: state.OutcomeOK}}, state.OutcomeOK}} {
 		is, b, w := newHealthyCluster(t)
 		runTask(b, "s", newAttempt("j", 1))
 		b.deliver(nil)
 		b.poll(w, w.lastCall+1, newAttempt("j", 1))
-		b.now = b.now.Add(DefaultTimeouts.WorkerLease + WorkerStopTime + 10*ms)
+		b.now = b.now.Add(protocol.DefaultTimeouts.WorkerLease + protocol.WorkerStopTime + 10*ms)
 		w.Tick(b.now, "h")
 		is.Equal(w.attempts[newAttempt("j", 1)].outcome, state.OutcomeLost)
 		w.attempts[newAttempt("j", 1)].committed = true
-		w.HandlePoll(b.now, Poll{Worker: "k", Call: w.lastCall + 1, SentAt: b.now, Ended: end.told})
+		w.HandlePoll(b.now, protocol.Poll{Worker: "k", Call: w.lastCall + 1, SentAt: b.now, Ended: end.told})
 		is.Equal(w.attempts[newAttempt("j", 1)].outcome, end.want)
 		is.Equal(w.attempts[newAttempt("j", 1)].committed, false)
 	}
@@ -346,7 +347,7 @@
 	runTask(b, "s", newAttempt("j", 1))
 	b.deliver(nil)
 	b.poll(w, w.lastCall+1, newAttempt("j", 1))
-	b.now = w.workerLeaseBase.Add(DefaultTimeouts.WorkerLease + WorkerStopTime/2)
+	b.now = w.workerLeaseBase.Add(protocol.DefaultTimeouts.WorkerLease + protocol.WorkerStopTime/2)
 	w.Tick(b.now, "h")
 	is.True(w.attempts[newAttempt("j", 1)].state != attemptEnded)
 }
--- a/internal/dispatch/reports.go
+++ b/internal/dispatch/executor/reports.go
@@ -1,8 +1,9 @@
-package dispatch
+package executor
 
 import (
 	"time"
 
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -27,7 +28,7 @@
 		if ex.report.DepartsInMS > 0 {
 			ex.report.DepartsInMS = max(1, ex.workerDepartsAt.Sub(ex.now).Milliseconds())
 		}
-		ex.send(ex.leader, wire.Heartbeat, Heartbeat{ex.shard, ex.instance, ex.previousInstance, ex.now, ex.workerSet, ex.report, ex.recentCheckpoints(), ex.durationEstimates()})
+		ex.send(ex.leader, wire.Heartbeat, protocol.Heartbeat{Shard: ex.shard, Instance: ex.instance, PreviousInstance: ex.previousInstance, SentAt: ex.now, WorkerSet: ex.workerSet, WorkerReport: ex.report, Checkpoints: ex.recentCheckpoints(), Durations: ex.durationEstimates()})
 	}
 	if ex.now.Sub(ex.lastStatusAt) < ex.timeouts.RetryInterval {
 		return
@@ -40,7 +41,7 @@
 	}
 	if list != nil {
 		ex.lastStatusAt = ex.now
-		ex.send(ex.leader, wire.StatusReport, UpdateStatus{ex.shard, ex.instance, list})
+		ex.send(ex.leader, wire.StatusReport, protocol.UpdateStatus{Shard: ex.shard, Instance: ex.instance, Ends: list})
 	}
 }
 
@@ -51,10 +52,10 @@
 }
 
 // recentCheckpoints lists what attempts have saved of late.
-func (ex *Executor) recentCheckpoints() (list []Checkpoint) {
+func (ex *Executor) recentCheckpoints() (list []protocol.Checkpoint) {
 	for _, l := range ex.attemptsInOrder() {
 		if l.state != attemptEnded && l.checkpoint != "" && ex.now.Sub(l.checkpointAt) < 4*ex.timeouts.HeartbeatInterval {
-			list = append(list, Checkpoint{l.spec.Attempt, l.checkpoint})
+			list = append(list, protocol.Checkpoint{Attempt: l.spec.Attempt, Ref: l.checkpoint})
 		}
 	}
 	return
@@ -77,14 +78,14 @@
 }
 
 // durationEstimates lists what there is to tell of the attempts' times.
-func (ex *Executor) durationEstimates() (list []DurationEstimate) {
+func (ex *Executor) durationEstimates() (list []protocol.DurationEstimate) {
 	for _, l := range ex.attemptsInOrder() {
 		d := l.estimateDuration(ex.now)
 		if d == 0 || l.reportedDuration > 0 && float64(d) < reestimateAt*float64(l.reportedDuration) && float64(l.reportedDuration) < reestimateAt*float64(d) {
 			continue
 		}
 		l.reportedDuration = d
-		list = append(list, DurationEstimate{l.spec.Attempt, d.Milliseconds()})
+		list = append(list, protocol.DurationEstimate{Attempt: l.spec.Attempt, MS: d.Milliseconds()})
 	}
 	return
 }
--- a/internal/dispatch/view.go
+++ b/internal/dispatch/executor/view.go
@@ -1,18 +1,19 @@
-package dispatch
+package executor
 
 import (
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 )
 
-// ExecutorView is the account as the agent's own status page shows it.
-type ExecutorView struct {
-	Shard     types.Shard `json:"shard"`
-	Instance  types.ID    `json:"instance"`
-	Term      types.Term  `json:"term"`
-	State     Health      `json:"state"`
-	InStateMS int64       `json:"for_ms"`
-	WorkerReport
+// View is the account as the agent's own status page shows it.
+type View struct {
+	Shard     types.Shard     `json:"shard"`
+	Instance  types.ID        `json:"instance"`
+	Term      types.Term      `json:"term"`
+	State     protocol.Health `json:"state"`
+	InStateMS int64           `json:"for_ms"`
+	protocol.WorkerReport
 	LeaseLeftMS int64         `json:"grant_left_ms"`
 	Worker      types.ID      `json:"worker"`
 	Lease       *WorkerLease  `json:"lease,omitempty"`
@@ -25,8 +26,8 @@
 	Outcome state.Outcome   `json:"fate,omitempty"`
 }
 
-func (ex *Executor) View() ExecutorView {
-	v := ExecutorView{Shard: ex.shard, Instance: ex.instance, Term: ex.term, State: ex.state, InStateMS: ex.now.Sub(ex.stateSince).Milliseconds(),
+func (ex *Executor) View() View {
+	v := View{Shard: ex.shard, Instance: ex.instance, Term: ex.term, State: ex.state, InStateMS: ex.now.Sub(ex.stateSince).Milliseconds(),
 		WorkerReport: ex.report, Worker: ex.workerInstance, Lease: ex.WorkerLease(), Attempts: []AttemptView{}}
 	v.LeaseLeftMS = max(0, ex.leaseUntil.Sub(ex.now).Milliseconds())
 	for _, l := range ex.attemptsInOrder() {
--- a/internal/dispatch/decode.go
+++ b/internal/dispatch/protocol/decode.go
@@ -1,6 +1,6 @@
 // Bodies that a leader is sent hundreds of times a second read themselves; they read
 // what the standard library would (decode_test.go).
-package dispatch
+package protocol
 
 import (
 	"github.com/go-faster/jx"
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/protocol/health.go
@@ -1,4 +1,4 @@
-package dispatch
+package protocol
 
 // Soundness is the paper's worker state.
 type Health string
--- a/internal/dispatch/messages.go
+++ b/internal/dispatch/protocol/messages.go
@@ -3,7 +3,7 @@
 // machine with equal timeouts. What is added to the paper: every message of the
 // scheduler carries its term, and every permission to run ends at a stamp that
 // its receiver made itself. This file has what the two halves say.
-package dispatch
+package protocol
 
 import (
 	"encoding/json"
--- a/internal/dispatch/association.go
+++ b/internal/dispatch/scheduler/association.go
@@ -1,25 +1,26 @@
-package dispatch
+package scheduler
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 )
 
-func (sc *Scheduler) onHeartbeat(from types.Addr, b Heartbeat) {
+func (sc *Scheduler) onHeartbeat(from types.Addr, b protocol.Heartbeat) {
 	s := sc.workers[b.Shard]
 	switch {
 	case s == nil:
 		s = sc.register(from, b)
 	case s.Instance != b.Instance && sc.replacedInstances[b.Instance]:
-		sc.sends = append(sc.sends, wire.NewMessage(sc.addr, from, wire.ReplaceInstance, RequestSuicide{Header{sc.term, b.Instance}}))
+		sc.sends = append(sc.sends, wire.NewMessage(sc.addr, from, wire.ReplaceInstance, protocol.RequestSuicide{Header: protocol.Header{Term: sc.term, To: b.Instance}}))
 		return
-	case s.Instance != b.Instance && (s.State == WorkerMustDie || b.PreviousInstance == s.Instance || sc.succeedsAtAddress(s, from)):
+	case s.Instance != b.Instance && (s.State == protocol.WorkerMustDie || b.PreviousInstance == s.Instance || sc.succeedsAtAddress(s, from)):
 		sc.replacedInstances[s.Instance] = true
-		if s.State != WorkerMustDie {
+		if s.State != protocol.WorkerMustDie {
 			sc.markUnconfirmed(s)
 		}
 		s = sc.register(from, b)
@@ -27,8 +28,8 @@
 		return
 	}
 	s.lastHeartbeatAt = sc.now
-	if s.State == WorkerMustDie {
-		sc.send(s, wire.ReplaceInstance, RequestSuicide{sc.header(s)})
+	if s.State == protocol.WorkerMustDie {
+		sc.send(s, wire.ReplaceInstance, protocol.RequestSuicide{Header: sc.header(s)})
 		return
 	}
 	if b.SentAt <= s.lastHeartbeatSentAt {
@@ -53,7 +54,7 @@
 			o.Checkpoint = x.Ref
 		}
 	}
-	if s.State == WorkerNew {
+	if s.State == protocol.WorkerNew {
 		sc.askRunningTasks(s)
 	}
 	sc.updateHealth(s)
@@ -67,8 +68,8 @@
 	return s.Addr == from && sc.now.Sub(s.lastHeartbeatAt) > 2*sc.timeouts.HeartbeatInterval
 }
 
-func (sc *Scheduler) register(from types.Addr, b Heartbeat) *RemoteWorker {
-	s := &RemoteWorker{Shard: b.Shard, Instance: b.Instance, Addr: from, State: WorkerNew, StateSince: sc.now, LastHealthyAt: sc.now, initialWorkerSet: b.WorkerSet, Reliability: Reliability{RelativeDuration: 1},
+func (sc *Scheduler) register(from types.Addr, b protocol.Heartbeat) *RemoteWorker {
+	s := &RemoteWorker{Shard: b.Shard, Instance: b.Instance, Addr: from, State: protocol.WorkerNew, StateSince: sc.now, LastHealthyAt: sc.now, initialWorkerSet: b.WorkerSet, Reliability: Reliability{RelativeDuration: 1},
 		runningTasksAskedAt: -1 << 62, lastHeartbeatSentAt: -1 << 62, openQueries: map[types.Seq][]types.AttemptID{}}
 	old := sc.workers[b.Shard]
 	i, _ := slices.BinarySearchFunc(sc.sortedWorkers, b.Shard, func(x *RemoteWorker, k types.Shard) int { return cmp.Compare(x.Shard, k) })
@@ -92,8 +93,8 @@
 // replyToHeartbeat renews the agent's grant, but only for a beat that told of a sound
 // worker: the time to loss counts from the same beat.
 func (sc *Scheduler) replyToHeartbeat(s *RemoteWorker, healthy bool) {
-	a := HeartbeatReply{Header: sc.header(s), HeartbeatSentAt: s.lastHeartbeatSentAt, Associated: s.State != WorkerNew, WorkerSet: sc.currentWorkerSet()}
-	if healthy && s.State != WorkerNew {
+	a := protocol.HeartbeatReply{Header: sc.header(s), HeartbeatSentAt: s.lastHeartbeatSentAt, Associated: s.State != protocol.WorkerNew, WorkerSet: sc.currentWorkerSet()}
+	if healthy && s.State != protocol.WorkerNew {
 		a.LeaseUntil = s.lastHeartbeatSentAt.Add(min(sc.timeouts.AgentLease, sc.authorityLeft))
 	}
 	sc.send(s, wire.HeartbeatReply, a)
--- a/internal/dispatch/attempt_index.go
+++ b/internal/dispatch/scheduler/attempt_index.go
@@ -1,7 +1,7 @@
 // The attempts that possibly run, kept by shard and by what is open about them, so
 // that an event costs what it touches. Lists are in the attempts' own order, and
 // shards in order of their names.
-package dispatch
+package scheduler
 
 import (
 	"maps"
--- a/internal/dispatch/ends.go
+++ b/internal/dispatch/scheduler/ends.go
@@ -1,6 +1,7 @@
-package dispatch
+package scheduler
 
 import (
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -10,9 +11,9 @@
 // number is used once, so an end counts whoever of the shard's agents tells it.
 // Of an agent not known yet only what its worker did is taken, for the agent may
 // not live until it is.
-func (sc *Scheduler) onUpdateStatus(from types.Addr, u UpdateStatus) {
+func (sc *Scheduler) onUpdateStatus(from types.Addr, u protocol.UpdateStatus) {
 	s := sc.workers[u.Shard]
-	known := s != nil && (s.Instance != u.Instance || s.State != WorkerNew)
+	known := s != nil && (s.Instance != u.Instance || s.State != protocol.WorkerNew)
 	var done []state.AttemptEnd
 	for _, e := range u.Ends {
 		if !known && !e.Outcome.ReportedByWorker() {
@@ -26,7 +27,7 @@
 		}
 	}
 	if done != nil {
-		sc.sends = append(sc.sends, wire.NewMessage(sc.addr, from, wire.StatusAck, CommittedEnds{Header{sc.term, u.Instance}, done}))
+		sc.sends = append(sc.sends, wire.NewMessage(sc.addr, from, wire.StatusAck, protocol.CommittedEnds{Header: protocol.Header{Term: sc.term, To: u.Instance}, Ends: done}))
 	}
 }
 
@@ -50,8 +51,8 @@
 		}
 	}
 	for _, k := range sortedShards(by) {
-		if s := sc.workers[k]; s != nil && s.State != WorkerMustDie {
-			sc.send(s, wire.StatusAck, CommittedEnds{sc.header(s), by[k]})
+		if s := sc.workers[k]; s != nil && s.State != protocol.WorkerMustDie {
+			sc.send(s, wire.StatusAck, protocol.CommittedEnds{Header: sc.header(s), Ends: by[k]})
 		}
 	}
 }
--- a/internal/dispatch/health_check.go
+++ b/internal/dispatch/scheduler/health_check.go
@@ -1,6 +1,7 @@
-package dispatch
+package scheduler
 
 import (
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -9,25 +10,25 @@
 // updateHealth moves one seat through the health machine.
 func (sc *Scheduler) updateHealth(s *RemoteWorker) {
 	quiet := sc.now.Sub(s.LastHealthyAt)
-	var to Health
+	var to protocol.Health
 	switch {
-	case s.State == WorkerMustDie:
+	case s.State == protocol.WorkerMustDie:
 		return
 	case quiet > sc.timeouts.LostAfter:
-		to = WorkerMustDie
-	case s.State == WorkerNew:
+		to = protocol.WorkerMustDie
+	case s.State == protocol.WorkerNew:
 		return
 	case quiet > sc.timeouts.UnhealthyAfter:
-		to = WorkerUnhealthy
+		to = protocol.WorkerUnhealthy
 	case s.HasBeenHealthy || sc.workerSets.permitsHealthy(s):
-		to, s.HasBeenHealthy = WorkerHealthy, true
+		to, s.HasBeenHealthy = protocol.WorkerHealthy, true
 	default:
-		to = WorkerUnhealthy
+		to = protocol.WorkerUnhealthy
 	}
 	if to != s.State {
 		s.State, s.StateSince = to, sc.now
 	}
-	if to == WorkerMustDie {
+	if to == protocol.WorkerMustDie {
 		sc.markLost(s)
 	}
 }
@@ -39,7 +40,7 @@
 		sc.reportEnd(o.Attempt, outcome)
 	}
 	sc.workerSets.removeLost(s)
-	sc.send(s, wire.ReplaceInstance, RequestSuicide{sc.header(s)})
+	sc.send(s, wire.ReplaceInstance, protocol.RequestSuicide{Header: sc.header(s)})
 }
 
 // lossOutcome is the outcome of an attempt whose worker is out of reach. One that is called
--- a/internal/dispatch/initial_wait.go
+++ b/internal/dispatch/scheduler/initial_wait.go
@@ -1,6 +1,7 @@
-package dispatch
+package scheduler
 
 import (
+	"coppercourse/internal/dispatch/protocol"
 	"fmt"
 )
 
@@ -28,10 +29,10 @@
 		return "no agent has come yet"
 	}
 	for _, s := range sc.sortedWorkers {
-		if s.State == WorkerMustDie {
+		if s.State == protocol.WorkerMustDie {
 			continue
 		}
-		if s.State == WorkerNew {
+		if s.State == protocol.WorkerNew {
 			return "agent of " + string(s.Shard) + " has not told what runs"
 		}
 		if s.initialWorkerSet.Hash != want.Hash || s.initialWorkerSet.Size != want.Size {
--- a/internal/dispatch/reliability.go
+++ b/internal/dispatch/scheduler/reliability.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"time"
--- a/internal/dispatch/remote_worker.go
+++ b/internal/dispatch/scheduler/remote_worker.go
@@ -1,6 +1,7 @@
-package dispatch
+package scheduler
 
 import (
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/types"
 )
 
@@ -9,9 +10,9 @@
 	Shard      types.Shard
 	Instance   types.ID
 	Addr       types.Addr
-	State      Health
+	State      protocol.Health
 	StateSince types.MonoTime
-	WorkerReport
+	protocol.WorkerReport
 	DepartsAt           types.MonoTime // when its worker goes, if it said so
 	HasBeenHealthy      bool
 	LastHealthyAt       types.MonoTime
@@ -21,7 +22,7 @@
 	runningTasksAskedAt types.MonoTime
 	queriedAt           types.MonoTime
 	openQueries         map[types.Seq][]types.AttemptID
-	initialWorkerSet    WorkerSetID
+	initialWorkerSet    protocol.WorkerSetID
 	setVersion          int
 	indirectSetVersion  int
 	joinedVersion       int // the set that has it first
--- a/internal/dispatch/run_task.go
+++ b/internal/dispatch/scheduler/run_task.go
@@ -1,26 +1,27 @@
-package dispatch
+package scheduler
 
 import (
 	"time"
 
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 )
 
 // RunTask marks an attempt running and sends it, once.
-func (sc *Scheduler) RunTask(shard types.Shard, at types.Stage, usual string, j AttemptSpec) {
+func (sc *Scheduler) RunTask(shard types.Shard, at types.Stage, usual string, j protocol.AttemptSpec) {
 	o := &OutstandingAttempt{Attempt: j.Attempt, Shard: shard, Stage: at, Resources: j.Resources, Phase: orderSent, BaselineName: usual, TimeLimit: time.Duration(j.TimeLimitMS) * time.Millisecond, OrderedAt: sc.now}
 	sc.attempts.add(o)
 	s := sc.workers[shard]
-	if s == nil || s.State != WorkerHealthy || s.Draining || sc.authorityLeft <= 0 {
+	if s == nil || s.State != protocol.WorkerHealthy || s.Draining || sc.authorityLeft <= 0 {
 		sc.reportEnd(j.Attempt, state.OutcomeNeverRan)
 		return
 	}
-	sc.send(s, wire.RunTask, RunTask{sc.header(s), s.querySequence, s.lastHeartbeatSentAt.Add(min(sc.timeouts.AgentLease, sc.authorityLeft)), j})
+	sc.send(s, wire.RunTask, protocol.RunTask{Header: sc.header(s), Sequence: s.querySequence, StartBefore: s.lastHeartbeatSentAt.Add(min(sc.timeouts.AgentLease, sc.authorityLeft)), Spec: j})
 }
 
-func (sc *Scheduler) onRunTaskReply(_ types.Addr, r RunTaskReply) {
+func (sc *Scheduler) onRunTaskReply(_ types.Addr, r protocol.RunTaskReply) {
 	s, o := sc.senderOf(r.Term, r.Shard, r.Instance), sc.attempts.byID[r.Attempt]
 	if s == nil || o == nil || o.Shard != s.Shard || o.Phase == confirmedRunning {
 		return
@@ -47,8 +48,8 @@
 		by[o.Shard] = append(by[o.Shard], l)
 	}
 	for _, k := range sortedShards(by) {
-		if s := sc.workers[k]; s != nil && s.State != WorkerMustDie && s.State != WorkerNew {
-			sc.send(s, wire.KillTask, KillTasks{sc.header(s), by[k], late})
+		if s := sc.workers[k]; s != nil && s.State != protocol.WorkerMustDie && s.State != protocol.WorkerNew {
+			sc.send(s, wire.KillTask, protocol.KillTasks{Header: sc.header(s), Attempts: by[k], OverTimeLimit: late})
 		}
 	}
 }
--- a/internal/dispatch/running_tasks.go
+++ b/internal/dispatch/scheduler/running_tasks.go
@@ -1,8 +1,9 @@
-package dispatch
+package scheduler
 
 import (
 	"slices"
 
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -11,13 +12,13 @@
 func (sc *Scheduler) askRunningTasks(s *RemoteWorker) {
 	if sc.now.Sub(s.runningTasksAskedAt) >= sc.timeouts.RetryInterval/3 {
 		s.runningTasksAskedAt = sc.now
-		sc.send(s, wire.RunningTasksQuery, GetRunningTasks{sc.header(s)})
+		sc.send(s, wire.RunningTasksQuery, protocol.GetRunningTasks{Header: sc.header(s)})
 	}
 }
 
-func (sc *Scheduler) onRunningTasksReply(_ types.Addr, a RunningTasksReply) {
+func (sc *Scheduler) onRunningTasksReply(_ types.Addr, a protocol.RunningTasksReply) {
 	s := sc.senderOf(a.Term, a.Shard, a.Instance)
-	if s == nil || s.State != WorkerNew {
+	if s == nil || s.State != protocol.WorkerNew {
 		return
 	}
 	told := map[types.AttemptID]bool{}
@@ -42,7 +43,7 @@
 			sc.reportEnd(o.Attempt, outcome)
 		}
 	}
-	s.State, s.StateSince = WorkerUnhealthy, sc.now
+	s.State, s.StateSince = protocol.WorkerUnhealthy, sc.now
 	sc.updateHealth(s)
 	sc.replyToHeartbeat(s, s.Healthy)
 }
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler/scheduler.go
@@ -1,11 +1,12 @@
 // Scheduler is the scheduler's half. A new one is made with each leadership; what
 // runs it learns from the agents alone, and the log only tells it which attempts it
 // must hear of before it may give their tasks out again.
-package dispatch
+package scheduler
 
 import (
 	"time"
 
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -13,7 +14,7 @@
 
 // Scheduler is the whole model.
 type Scheduler struct {
-	timeouts          Timeouts
+	timeouts          protocol.Timeouts
 	addr              types.Addr
 	term              types.Term
 	startedAt         types.MonoTime
@@ -51,9 +52,9 @@
 	EndRecorded(state.AttemptEnd) bool
 }
 
-// SchedulerConfig is what a Scheduler starts a leadership with.
-type SchedulerConfig struct {
-	Timeouts Timeouts
+// Config is what a Scheduler starts a leadership with.
+type Config struct {
+	Timeouts protocol.Timeouts
 	Addr     types.Addr
 	Term     types.Term
 	// PriorAuthorityEnd is when an earlier leader can last have had authority.
@@ -63,8 +64,8 @@
 	Cluster     ClusterState
 }
 
-// NewScheduler starts a leadership.
-func NewScheduler(now types.MonoTime, config SchedulerConfig) *Scheduler {
+// New starts a leadership.
+func New(now types.MonoTime, config Config) *Scheduler {
 	sc := &Scheduler{
 		timeouts:          config.Timeouts,
 		addr:              config.Addr,
@@ -93,7 +94,9 @@
 	sc.sends = append(sc.sends, wire.NewMessage(sc.addr, s.Addr, kind, body))
 }
 
-func (sc *Scheduler) header(s *RemoteWorker) Header { return Header{sc.term, s.Instance} }
+func (sc *Scheduler) header(s *RemoteWorker) protocol.Header {
+	return protocol.Header{Term: sc.term, To: s.Instance}
+}
 
 // TakeOutput drains the step: what to send, and the ends to commit.
 func (sc *Scheduler) TakeOutput() (sends []wire.OutboundMessage, ends []state.AttemptEnd) {
@@ -114,7 +117,7 @@
 	sc.lastSweepAt = now
 	for _, s := range sc.sortedWorkers {
 		sc.updateHealth(s)
-		if s.State == WorkerNew {
+		if s.State == protocol.WorkerNew {
 			sc.askRunningTasks(s)
 		}
 	}
--- a/internal/dispatch/slowdown.go
+++ b/internal/dispatch/scheduler/slowdown.go
@@ -4,7 +4,7 @@
 // estimates are wrong by half and more, but alike for all of a step. So a slow
 // worker shows within a second, and attempts that are far behind their like. With
 // nothing to tell by, a worker is slowly trusted again.
-package dispatch
+package scheduler
 
 import (
 	"math"
--- a/internal/dispatch/unsure.go
+++ b/internal/dispatch/scheduler/unsure.go
@@ -1,6 +1,7 @@
-package dispatch
+package scheduler
 
 import (
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 )
@@ -12,7 +13,7 @@
 	}
 	for _, k := range sortedShards(sc.attempts.unsureShards) {
 		s := sc.workers[k]
-		if s == nil || s.State == WorkerMustDie || s.State == WorkerNew || sc.now.Sub(s.queriedAt) < sc.timeouts.RetryInterval {
+		if s == nil || s.State == protocol.WorkerMustDie || s.State == protocol.WorkerNew || sc.now.Sub(s.queriedAt) < sc.timeouts.RetryInterval {
 			continue
 		}
 		var attempts []types.AttemptID
@@ -27,11 +28,11 @@
 			clear(s.openQueries)
 		}
 		s.openQueries[s.querySequence] = attempts
-		sc.send(s, wire.NotRunningQuery, NotifyIfTasksNotRunning{sc.header(s), s.querySequence, attempts})
+		sc.send(s, wire.NotRunningQuery, protocol.NotifyIfTasksNotRunning{Header: sc.header(s), Sequence: s.querySequence, Attempts: attempts})
 	}
 }
 
-func (sc *Scheduler) onNotifyReply(_ types.Addr, q NotifyIfTasksNotRunningReply) {
+func (sc *Scheduler) onNotifyReply(_ types.Addr, q protocol.NotifyIfTasksNotRunningReply) {
 	s := sc.senderOf(q.Term, q.Shard, q.Instance)
 	if s == nil {
 		return
--- a/internal/dispatch/worker_set.go
+++ b/internal/dispatch/scheduler/worker_set.go
@@ -4,12 +4,13 @@
 // directly or through the agents in that set (indirectWorkerSetID_). The sets are
 // kept as a history of differences: an agent is in those from the one that it came
 // with up to the one that it was lost with; the digest is kept as they change.
-package dispatch
+package scheduler
 
 import (
 	"hash/fnv"
 	"slices"
 
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/types"
 )
 
@@ -125,6 +126,6 @@
 	return true
 }
 
-func (sc *Scheduler) currentWorkerSet() WorkerSetID {
-	return WorkerSetID{Term: sc.term, Version: sc.workerSets.version, Hash: sc.workerSets.hash, Size: sc.workerSets.size}
+func (sc *Scheduler) currentWorkerSet() protocol.WorkerSetID {
+	return protocol.WorkerSetID{Term: sc.term, Version: sc.workerSets.version, Hash: sc.workerSets.hash, Size: sc.workerSets.size}
 }
--- a/internal/dispatch/worker_set_test.go
+++ b/internal/dispatch/scheduler/worker_set_test.go
@@ -1,6 +1,6 @@
 // The history of differences and the indexes of attempts, against the slow ways:
 // sets kept whole and worked out afresh, and lists walked and sorted.
-package dispatch
+package scheduler
 
 import (
 	"fmt"
@@ -10,6 +10,7 @@
 
 	"github.com/matryer/is"
 
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/types"
 )
 
@@ -22,7 +23,7 @@
 func (r *referenceSets) recordSet(seats map[types.Shard]*RemoteWorker) {
 	ids := map[types.ID]bool{}
 	for _, s := range seats {
-		if s.State != WorkerMustDie {
+		if s.State != protocol.WorkerMustDie {
 			ids[s.Instance] = true
 		}
 	}
@@ -55,7 +56,7 @@
 		return false
 	}
 	for _, u := range seats {
-		if u == x || u.State == WorkerMustDie {
+		if u == x || u.State == protocol.WorkerMustDie {
 			continue
 		}
 		if !r.history[x.setVersion][u.Instance] || r.indirect[u.Instance] == 0 || !r.history[r.indirect[u.Instance]][x.Instance] {
@@ -79,17 +80,17 @@
 			k := types.Shard(fmt.Sprint("s", rnd.Intn(shards)))
 			switch s := pick(); {
 			case rnd.Intn(8) == 0 && (seats[k] == nil || rnd.Intn(2) == 0): // one comes, maybe in another's place
-				x := &RemoteWorker{Shard: k, Instance: types.ID(fmt.Sprint(k, "-", step)), State: WorkerUnhealthy}
+				x := &RemoteWorker{Shard: k, Instance: types.ID(fmt.Sprint(k, "-", step)), State: protocol.WorkerUnhealthy}
 				old := seats[k]
 				seats[k] = x
 				fast.add(x, old)
 				slow.recordSet(seats)
 			case s == nil:
-			case rnd.Intn(12) == 0 && s.State != WorkerMustDie:
-				s.State = WorkerMustDie
+			case rnd.Intn(12) == 0 && s.State != protocol.WorkerMustDie:
+				s.State = protocol.WorkerMustDie
 				fast.removeLost(s)
 				slow.recordSet(seats)
-			case s.State != WorkerMustDie:
+			case s.State != protocol.WorkerMustDie:
 				if v := fast.version - rnd.Intn(min(4, fast.version+1)); v > s.setVersion {
 					s.setVersion = v
 					fast.propagate(s)
@@ -107,7 +108,7 @@
 			for _, s := range seats {
 				is.Equal(s.indirectSetVersion, slow.indirect[s.Instance])
 				is.True(slices.Contains(fast.byIndirectVersion[s.indirectSetVersion], s))
-				if s.State != WorkerMustDie {
+				if s.State != protocol.WorkerMustDie {
 					is.Equal(fast.permitsHealthy(s), slow.permitsHealthy(s, seats))
 					if fast.permitsHealthy(s) {
 						permitted++
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -10,7 +10,7 @@
 	"coppercourse/internal/apierror"
 	"coppercourse/internal/config"
 	"coppercourse/internal/configwatch"
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/raft"
 	"coppercourse/internal/types"
 )
@@ -44,7 +44,7 @@
 
 // Defaults are the settings before file and flags.
 func Defaults() Settings {
-	t, a := dispatch.DefaultTimeouts, raft.DefaultTimeouts
+	t, a := protocol.DefaultTimeouts, raft.DefaultTimeouts
 	return Settings{Listen: "127.0.0.1:7400", Log: "info", Bounds: DefaultBounds, Timeouts: Timeouts{HeartbeatMS: inMilliseconds(t.HeartbeatInterval), UnhealthyMS: inMilliseconds(t.UnhealthyAfter), LostMS: inMilliseconds(t.LostAfter),
 		LeaseMS: inMilliseconds(t.AgentLease), WorkerLeaseMS: inMilliseconds(t.WorkerLease), RetryMS: inMilliseconds(t.RetryInterval), RaftHeartbeatMS: inMilliseconds(a.HeartbeatInterval), ElectionMS: inMilliseconds(a.MinElectionTimeout),
 		StallMS: inMilliseconds(a.StallTimeout), ReplaceAfterMS: inMilliseconds(a.ReplaceAfter), StaleAfterMS: inMilliseconds(configwatch.DefaultStaleAfter)}}
@@ -130,7 +130,7 @@
 func (t Timeouts) check(errs *apierror.ErrorList) {
 	errs.Check(t.WorkerLeaseMS < t.LeaseMS, "pace.worker_ms", "must be less than grant_ms: the worker's grant ends first")
 	errs.Check(t.LeaseMS*5 <= t.LostMS*4, "pace.grant_ms", "must be at most four fifths of loss_ms: an agent's grant ends before it is counted lost, drift included")
-	errs.Check(t.LeaseMS+inMilliseconds(dispatch.WorkerStopTime) < t.LostMS, "pace.loss_ms", "must be more than grant_ms and the 150 ms that a worker may take to stop")
+	errs.Check(t.LeaseMS+inMilliseconds(protocol.WorkerStopTime) < t.LostMS, "pace.loss_ms", "must be more than grant_ms and the 150 ms that a worker may take to stop")
 	errs.Check(t.LeaseMS <= 2500, "pace.grant_ms", "must be at most 2500: a cancel holds within 3 s, however cut")
 	errs.Check(3*t.HeartbeatMS <= t.UnhealthyMS, "pace.ill_ms", "must be at least three beats")
 	errs.Check(2*t.UnhealthyMS <= t.LostMS, "pace.loss_ms", "must be at least twice ill_ms")
@@ -142,8 +142,8 @@
 }
 
 // Dispatch and Core give the paces that the machines take.
-func (t Timeouts) Dispatch() dispatch.Timeouts {
-	return dispatch.Timeouts{HeartbeatInterval: milliseconds(t.HeartbeatMS), UnhealthyAfter: milliseconds(t.UnhealthyMS), LostAfter: milliseconds(t.LostMS), AgentLease: milliseconds(t.LeaseMS), WorkerLease: milliseconds(t.WorkerLeaseMS), RetryInterval: milliseconds(t.RetryMS)}
+func (t Timeouts) Dispatch() protocol.Timeouts {
+	return protocol.Timeouts{HeartbeatInterval: milliseconds(t.HeartbeatMS), UnhealthyAfter: milliseconds(t.UnhealthyMS), LostAfter: milliseconds(t.LostMS), AgentLease: milliseconds(t.LeaseMS), WorkerLease: milliseconds(t.WorkerLeaseMS), RetryInterval: milliseconds(t.RetryMS)}
 }
 
 func (t Timeouts) Raft() raft.Timeouts {
@@ -151,7 +151,7 @@
 }
 
 // Dispatch is the pace of attempts, with what is known of the workers.
-func (s Settings) Dispatch() dispatch.Timeouts {
+func (s Settings) Dispatch() protocol.Timeouts {
 	timeouts := s.Timeouts.Dispatch()
 	timeouts.DrainTime = milliseconds(s.Bounds.DrainMS)
 	return timeouts
--- a/sim/check.go
+++ b/sim/check.go
@@ -10,7 +10,7 @@
 	"sort"
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/raft"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
@@ -89,13 +89,13 @@
 
 // gangIncompleteBound is how long a gang's member may run on after a peer was lost: until the
 // loss is known, an election, a commit, and a stop repeated until it arrives.
-func gangIncompleteBound(p dispatch.Timeouts, a raft.Timeouts) time.Duration {
-	return p.LostAfter + p.HeartbeatInterval + 2*a.MinElectionTimeout + a.StallTimeout + p.RetryInterval/2 + dispatch.WorkerStopTime + 400*time.Millisecond
+func gangIncompleteBound(p protocol.Timeouts, a raft.Timeouts) time.Duration {
+	return p.LostAfter + p.HeartbeatInterval + 2*a.MinElectionTimeout + a.StallTimeout + p.RetryInterval/2 + protocol.WorkerStopTime + 400*time.Millisecond
 }
 
 // DefaultBounds are the brief's bounds.
 var DefaultBounds = Bounds{StartAfterCancel: 3 * time.Second, RunAfterCancel: 4 * time.Second, StartEarly: 100 * time.Millisecond, StartAfterLeaving: 2 * time.Second,
-	GangIncomplete: gangIncompleteBound(dispatch.DefaultTimeouts, raft.DefaultTimeouts), TableLag: 2 * time.Second, AllJobsEnd: true}
+	GangIncomplete: gangIncompleteBound(protocol.DefaultTimeouts, raft.DefaultTimeouts), TableLag: 2 * time.Second, AllJobsEnd: true}
 
 type checker struct {
 	bounds       Bounds
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"coppercourse/internal/controller"
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/types"
 )
 
@@ -217,7 +217,7 @@
 		return 0
 	}
 	for _, w := range l.machine.(*controller.Controller).Workers() {
-		if w.State == dispatch.WorkerHealthy {
+		if w.State == protocol.WorkerHealthy {
 			n++
 		}
 	}
--- a/sim/hours_test.go
+++ b/sim/hours_test.go
@@ -12,7 +12,7 @@
 
 	"coppercourse/internal/apierror"
 	"coppercourse/internal/controller"
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/wire"
 )
 
@@ -81,7 +81,7 @@
 	after := CompletionRate(&r.History, heal+int64(12*time.Second), heal+int64(27*time.Second))
 	healthy := 0
 	for _, w := range r.leader().machine.(*controller.Controller).Workers() {
-		if w.State == dispatch.WorkerHealthy {
+		if w.State == protocol.WorkerHealthy {
 			healthy++
 		}
 	}
--- a/sim/planted_test.go
+++ b/sim/planted_test.go
@@ -13,7 +13,7 @@
 
 	"coppercourse/internal/apierror"
 	"coppercourse/internal/config"
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -52,7 +52,7 @@
 	})
 }
 
-func onPoll(f func(*dispatch.Poll)) func(*Run) {
+func onPoll(f func(*protocol.Poll)) func(*Run) {
 	return func(r *Run) {
 		r.TamperRequest = func(verb string, b *json.RawMessage) {
 			if verb == "poll" {
@@ -82,23 +82,23 @@
 			h.ignoresLease = true
 		}
 	}},
-	{"accounts hide what runs", []string{"handover"}, []string{"again"}, 30 * time.Second, false, onMessage(wire.RunningTasksReply, func(a *dispatch.RunningTasksReply) { a.Tasks = nil })},
-	{"good ends told as stops", nil, []string{"again"}, 30 * time.Second, true, onPoll(func(p *dispatch.Poll) {
+	{"accounts hide what runs", []string{"handover"}, []string{"again"}, 30 * time.Second, false, onMessage(wire.RunningTasksReply, func(a *protocol.RunningTasksReply) { a.Tasks = nil })},
+	{"good ends told as stops", nil, []string{"again"}, 30 * time.Second, true, onPoll(func(p *protocol.Poll) {
 		for i := range p.Ended {
 			p.Ended[i].Outcome = state.OutcomeStopped
 		}
 	})},
-	{"failures told as stops", nil, []string{"tries"}, 30 * time.Second, false, onPoll(func(p *dispatch.Poll) {
+	{"failures told as stops", nil, []string{"tries"}, 30 * time.Second, false, onPoll(func(p *protocol.Poll) {
 		for i := range p.Ended {
 			if p.Ended[i].Outcome == state.OutcomeFailed {
 				p.Ended[i].Outcome = state.OutcomeStopped
 			}
 		}
 	})},
-	{"workers report what they are not", nil, []string{"service", "rack", "room"}, 30 * time.Second, false, onPoll(func(p *dispatch.Poll) {
+	{"workers report what they are not", nil, []string{"service", "rack", "room"}, 30 * time.Second, false, onPoll(func(p *protocol.Poll) {
 		p.Kinds, p.Capacity, p.Rack = []types.ServiceKind{"quote", "menu", "pay"}, types.Resources{Cores: 4000 * types.Core, MemoryMB: 4_000_000}, "r1"
 	})},
-	{"nobody hears that a worker leaves", []string{"leave-worker"}, []string{"leaving"}, 30 * time.Second, false, onPoll(func(p *dispatch.Poll) { p.Draining = false })},
+	{"nobody hears that a worker leaves", []string{"leave-worker"}, []string{"leaving"}, 30 * time.Second, false, onPoll(func(p *protocol.Poll) { p.Draining = false })},
 	{"spread is forgotten", nil, []string{"spread"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.MaxPerWorker = 0 })},
 	{"times are forgotten", nil, []string{"early"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.DelayMillis, s.NotBefore = 0, "" })},
 	{"dependencies are forgotten", nil, []string{"order"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.DependsOn = nil })},
--- a/sim/polling_node.go
+++ b/sim/polling_node.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 )
@@ -121,7 +121,7 @@
 			if !current() {
 				return
 			}
-			var r dispatch.PollReply
+			var r protocol.PollReply
 			if a.Error == nil && json.Unmarshal(a.Body, &r) == nil {
 				pn.worker.HandleAnswer(pn.node.monotonic(), r)
 			}
--- a/sim/run.go
+++ b/sim/run.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"coppercourse/internal/apierror"
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/settings"
 	"coppercourse/internal/types"
 )
@@ -27,7 +27,7 @@
 	Patience   time.Duration     // of every queue
 	LastFault  bool              // one more fault at the very end of the traffic
 	Unguarded  bool              // invoked workers guard nothing
-	Timeouts   dispatch.Timeouts // of agents and controllers; the defaults if not set
+	Timeouts   protocol.Timeouts // of agents and controllers; the defaults if not set
 	Quick      bool              // the pace is the quick one, of elections too
 }
 
@@ -60,7 +60,7 @@
 	if p.Quick {
 		r.timeouts, r.raftTimeouts = settings.QuickTimeouts.Dispatch(), settings.QuickTimeouts.Raft()
 	}
-	if p.Timeouts != (dispatch.Timeouts{}) {
+	if p.Timeouts != (protocol.Timeouts{}) {
 		r.timeouts = p.Timeouts
 	}
 	r.seeds = []types.Addr{"h1", "g1", "w1"}
--- a/sim/scale.go
+++ b/sim/scale.go
@@ -17,7 +17,7 @@
 	"coppercourse/internal/apierror"
 	"coppercourse/internal/config"
 	"coppercourse/internal/controller"
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/gateway"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
@@ -210,7 +210,7 @@
 		return
 	}
 	for _, w := range l.machine.(*controller.Controller).Workers() {
-		if w.State == dispatch.WorkerHealthy {
+		if w.State == protocol.WorkerHealthy {
 			n++
 		}
 	}
--- a/sim/work.go
+++ b/sim/work.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/server"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -34,7 +34,7 @@
 	record(HistoryEvent{Kind: WorkerStaying, Process: id, Shard: spec.Shard, Worker: &spec})
 	client := server.NewClient(sourceIP, 500*time.Millisecond)
 	reported := map[types.AttemptID]bool{}
-	poll := func(p dispatch.Poll) {
+	poll := func(p protocol.Poll) {
 		a, ok := postPoll(ctx, client, agent, p)
 		if !ok {
 			time.Sleep(20 * time.Millisecond)
@@ -69,7 +69,7 @@
 	}
 }
 
-func postPoll(ctx context.Context, client *http.Client, agent string, p dispatch.Poll) (a dispatch.PollReply, ok bool) {
+func postPoll(ctx context.Context, client *http.Client, agent string, p protocol.Poll) (a protocol.PollReply, ok bool) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+agent+"/v1/poll", bytes.NewReader(wire.EncodeBody(p)))
 	if err != nil {
 		return a, false
--- a/sim/worker.go
+++ b/sim/worker.go
@@ -10,7 +10,7 @@
 	"sort"
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 )
@@ -30,7 +30,7 @@
 }
 
 type runningTask struct {
-	job     dispatch.AttemptSpec
+	job     protocol.AttemptSpec
 	endsAt  types.MonoTime
 	outcome state.Outcome
 	crashes bool
@@ -49,7 +49,7 @@
 	lastPoll                      uint64
 	leaseEnd                      types.MonoTime
 	running                       map[types.AttemptID]*runningTask
-	unacknowledged                map[types.AttemptID]dispatch.FinishedTask
+	unacknowledged                map[types.AttemptID]protocol.FinishedTask
 	HasUpdate                     bool // an attempt has ended since the latest call
 	record                        func(HistoryEvent)
 }
@@ -59,7 +59,7 @@
 	if spec.Slow == 0 {
 		spec.Slow = 1
 	}
-	return &Worker{WorkerSpec: spec, ID: id, random: random, running: map[types.AttemptID]*runningTask{}, unacknowledged: map[types.AttemptID]dispatch.FinishedTask{}, record: record, leaseEnd: -1 << 61}
+	return &Worker{WorkerSpec: spec, ID: id, random: random, running: map[types.AttemptID]*runningTask{}, unacknowledged: map[types.AttemptID]protocol.FinishedTask{}, record: record, leaseEnd: -1 << 61}
 }
 
 func (w *Worker) recordAttempt(what EventKind, l types.AttemptID, f state.Outcome) {
@@ -93,21 +93,21 @@
 func (w *Worker) endAttempt(r *runningTask, f state.Outcome) {
 	delete(w.running, r.job.Attempt)
 	w.HasUpdate = true
-	w.unacknowledged[r.job.Attempt] = dispatch.FinishedTask{RunningTask: dispatch.RunningTask{Attempt: r.job.Attempt, Resources: r.job.Resources}, Outcome: f}
+	w.unacknowledged[r.job.Attempt] = protocol.FinishedTask{RunningTask: protocol.RunningTask{Attempt: r.job.Attempt, Resources: r.job.Resources}, Outcome: f}
 	w.recordAttempt(AttemptEnded, r.job.Attempt, f)
 }
 
 // NextPoll makes the next call to the agent.
-func (w *Worker) NextPoll(now types.MonoTime) dispatch.Poll {
+func (w *Worker) NextPoll(now types.MonoTime) protocol.Poll {
 	w.Tick(now)
 	w.lastPoll++
 	w.HasUpdate = false
-	p := dispatch.Poll{Worker: w.ID, Agent: w.Agent, Call: w.lastPoll, SentAt: now, Rack: w.Rack, Kinds: w.Kinds, Capacity: w.Room, Draining: w.Leaving}
+	p := protocol.Poll{Worker: w.ID, Agent: w.Agent, Call: w.lastPoll, SentAt: now, Rack: w.Rack, Kinds: w.Kinds, Capacity: w.Room, Draining: w.Leaving}
 	if w.Leaving && w.DepartsAt > 0 {
 		p.DepartsInMS = max(1, w.DepartsAt.Sub(now).Milliseconds())
 	}
 	for _, l := range w.runningAttempts() {
-		p.Running = append(p.Running, dispatch.RunningTask{Attempt: l, Resources: w.running[l].job.Resources})
+		p.Running = append(p.Running, protocol.RunningTask{Attempt: l, Resources: w.running[l].job.Resources})
 	}
 	for _, f := range w.unacknowledged {
 		p.Ended = append(p.Ended, f)
@@ -117,7 +117,7 @@
 }
 
 // HandleAnswer heeds an answer, if it is to the latest call.
-func (w *Worker) HandleAnswer(now types.MonoTime, a dispatch.PollReply) {
+func (w *Worker) HandleAnswer(now types.MonoTime, a protocol.PollReply) {
 	w.Tick(now)
 	if a.Call != w.lastPoll {
 		return
@@ -144,7 +144,7 @@
 			continue
 		}
 		if (w.Leaving || !free.Contains(j.Resources)) && !w.IgnoresCapacity {
-			w.unacknowledged[j.Attempt] = dispatch.FinishedTask{RunningTask: dispatch.RunningTask{Attempt: j.Attempt, Resources: j.Resources}, Outcome: state.OutcomeNeverRan}
+			w.unacknowledged[j.Attempt] = protocol.FinishedTask{RunningTask: protocol.RunningTask{Attempt: j.Attempt, Resources: j.Resources}, Outcome: state.OutcomeNeverRan}
 			w.recordAttempt(AttemptRejected, j.Attempt, state.OutcomeNeverRan)
 			continue
 		}
@@ -153,7 +153,7 @@
 	}
 }
 
-func (w *Worker) startAttempt(now types.MonoTime, j dispatch.AttemptSpec) {
+func (w *Worker) startAttempt(now types.MonoTime, j protocol.AttemptSpec) {
 	var k Work
 	json.Unmarshal(j.Input, &k)
 	long := float64(k.MS) * w.Slow
--- a/sim/world.go
+++ b/sim/world.go
@@ -14,7 +14,7 @@
 
 	"coppercourse/internal/agent"
 	"coppercourse/internal/controller"
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/gateway"
 	"coppercourse/internal/raft"
 	"coppercourse/internal/state"
@@ -75,7 +75,7 @@
 	invokedWorkers   []*invokedNode
 	invokedByAddress map[types.Addr]*invokedNode // by where they are called
 	environment      *WorkerEnvironment
-	timeouts         dispatch.Timeouts
+	timeouts         protocol.Timeouts
 	raftTimeouts     raft.Timeouts
 	History          History
 	seeds            []types.Addr
@@ -105,7 +105,7 @@
 
 func NewWorld(seed int64) *World {
 	return &World{random: rand.New(rand.NewSource(seed)), partitioned: map[addressPair]bool{}, connectionResets: map[types.Addr]int64{}, extraDelay: map[addressPair]time.Duration{}, nodes: map[types.Addr]*node{},
-		invokedByAddress: map[types.Addr]*invokedNode{}, timeouts: dispatch.DefaultTimeouts, raftTimeouts: raft.DefaultTimeouts}
+		invokedByAddress: map[types.Addr]*invokedNode{}, timeouts: protocol.DefaultTimeouts, raftTimeouts: raft.DefaultTimeouts}
 }
 
 // RunUntil lets the world go on until a time.
@@ -207,7 +207,7 @@
 	if message.Kind != wire.StatusReport {
 		return
 	}
-	u, _ := wire.DecodeBody[dispatch.UpdateStatus](message)
+	u, _ := wire.DecodeBody[protocol.UpdateStatus](message)
 	for _, e := range u.Ends {
 		if e.Outcome == state.OutcomeOK || e.Outcome == state.OutcomeFailed {
 			n.world.record(HistoryEvent{Kind: EndReported, Process: n.processName(), Attempt: e.ID, Outcome: e.Outcome})
