--- a/internal/dispatch/executor/executor.go
+++ b/internal/dispatch/executor/executor.go
@@ -57,7 +57,7 @@
 		attempts: map[types.AttemptID]*attempt{}, seenAttempts: map[types.AttemptID]types.MonoTime{}}
 }
 
-func (ex *Executor) send(to types.Addr, kind string, body any) {
+func (ex *Executor) send(to types.Addr, kind wire.Kind, body any) {
 	ex.sends = append(ex.sends, wire.NewMessage(ex.addr, to, kind, body))
 }
 
@@ -125,7 +125,7 @@
 	return s
 }
 
-var executorHandlers = map[string]func(*Executor, wire.Message){
+var executorHandlers = map[wire.Kind]func(*Executor, wire.Message){
 	wire.HeartbeatReply:    wire.HandlerFor((*Executor).onHeartbeatReply),
 	wire.RunningTasksQuery: wire.HandlerFor((*Executor).onGetRunningTasks),
 	wire.RunTask:           wire.HandlerFor((*Executor).onRunTask),
--- a/internal/dispatch/scheduler/scheduler.go
+++ b/internal/dispatch/scheduler/scheduler.go
@@ -90,7 +90,7 @@
 	return sc
 }
 
-func (sc *Scheduler) send(s *RemoteWorker, kind string, body any) {
+func (sc *Scheduler) send(s *RemoteWorker, kind wire.Kind, body any) {
 	sc.sends = append(sc.sends, wire.NewMessage(sc.addr, s.Addr, kind, body))
 }
 
@@ -131,7 +131,7 @@
 	}
 }
 
-var schedulerHandlers = map[string]func(*Scheduler, wire.Message){
+var schedulerHandlers = map[wire.Kind]func(*Scheduler, wire.Message){
 	wire.Heartbeat:         wire.HandlerFor((*Scheduler).onHeartbeat),
 	wire.RunningTasksReply: wire.HandlerFor((*Scheduler).onRunningTasksReply),
 	wire.RunTaskReply:      wire.HandlerFor((*Scheduler).onRunTaskReply),
