--- /dev/null
+++ b/internal/state/drain.go
@@ -0,0 +1,79 @@
+package state
+
+import (
+	"slices"
+	"time"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
+)
+
+// Bounds on drains and maintenance calendars.
+const (
+	MaxDrains    = 100
+	MaxCalendars = 100
+	MaxWindows   = 1000 // of one calendar
+)
+
+// Target is the worker or the rack that a drain or a calendar is for.
+type Target struct {
+	Shard types.Shard `json:"worker,omitempty"`
+	Rack  types.Rack  `json:"rack,omitempty"`
+}
+
+// Matches reports whether a worker is the target or stands in the target's rack.
+func (t Target) Matches(shard types.Shard, rack types.Rack) bool {
+	return t.Shard != "" && t.Shard == shard || t.Rack != "" && t.Rack == rack
+}
+
+// Drain is an operator's order that nothing may start on a target. What still runs there
+// at the Deadline is stopped; without a Deadline it may end. Lift ends the drain.
+type Drain struct {
+	Target
+	Deadline types.ClusterTime `json:"by,omitempty"`
+	Lift     bool              `json:"over,omitempty"`
+}
+
+// applyDrain adds, replaces or lifts the drain of a target.
+func (s *State) applyDrain(drain Drain) *apierror.Error {
+	sameTarget := func(other Drain) bool { return other.Target == drain.Target }
+	if drain.Lift && !slices.ContainsFunc(s.Drains, sameTarget) {
+		return apierror.New(apierror.NotDrained, "", "it is not drained")
+	}
+	return replaceInList(&s.Drains, drain, sameTarget, drain.Lift, MaxDrains)
+}
+
+// Calendar is one maintenance calendar of a target. Its windows, each from a start to an
+// end, are in order and don't overlap. A calendar without windows removes the one of its
+// name.
+type Calendar struct {
+	Name string `json:"name"`
+	Target
+	Windows [][2]types.WallTime `json:"spans"`
+}
+
+// applyCalendar adds, replaces or removes the calendar of a name.
+func (s *State) applyCalendar(calendar Calendar) *apierror.Error {
+	sameName := func(other Calendar) bool { return other.Name == calendar.Name }
+	remove := len(calendar.Windows) == 0
+	if remove && !slices.ContainsFunc(s.Calendars, sameName) {
+		return apierror.New(apierror.NoSuchCalendar, "name", "no calendar is called "+calendar.Name)
+	}
+	return replaceInList(&s.Calendars, calendar, sameName, remove, MaxCalendars)
+}
+
+// replaceInList drops the items that are the same as the new one, and unless remove is
+// set appends the new one. The list itself is not changed but replaced by another. It
+// returns a refusal if there would be more than limit items.
+func replaceInList[T any](list *[]T, item T, same func(T) bool, remove bool, limit int) *apierror.Error {
+	next := slices.DeleteFunc(slices.Clone(*list), same)
+	switch {
+	case remove:
+	case len(next) >= limit:
+		return apierror.New(apierror.QueueFull, "", "as many as there may be").WithRetryAfter(time.Minute)
+	default:
+		next = append(next, item)
+	}
+	*list = next
+	return nil
+}
--- /dev/null
+++ b/internal/state/job_spec_check.go
@@ -0,0 +1,72 @@
+package state
+
+import (
+	"fmt"
+
+	"coppercourse/internal/apierror"
+)
+
+// Check adds the errors of a job as a whole: missing names, repeated or unknown steps,
+// too many tasks, steps that depend on one another in a circle.
+func (s Spec) Check(errs *apierror.ErrorList) {
+	errs.Check(s.Queue != "", "queue", "missing")
+	errs.Check(len(s.Steps) > 0, "steps", "missing or empty")
+	stepIndex := map[string]int{}
+	for i := range s.Steps {
+		step, path := &s.Steps[i], fmt.Sprintf("steps[%d]", i)
+		errs.Check(step.Name != "", path+".name", "missing")
+		errs.Check(step.Kind != "", path+".kind", "missing")
+		_, repeated := stepIndex[step.Name]
+		errs.Check(!repeated, path+".name", "two steps are called "+step.Name)
+		stepIndex[step.Name] = i
+	}
+	taskCount := s.tasksPerOccurrence()
+	if s.Schedule != nil {
+		count := s.Schedule.Count
+		errs.Check(count >= 1 && count <= maxOccurrences, "times.count", fmt.Sprintf("want 1 to %d", maxOccurrences))
+		taskCount *= count
+	}
+	errs.Check(taskCount <= maxTasks, "steps", fmt.Sprintf("more than %d tasks in all", maxTasks))
+	for i := range s.Steps {
+		for k, name := range s.Steps[i].DependsOn {
+			_, ok := stepIndex[name]
+			errs.Check(ok, fmt.Sprintf("steps[%d].after[%d]", i, k), "no step is called "+name)
+		}
+	}
+	if len(errs.List()) > 0 {
+		return
+	}
+	if step := s.findCycle(stepIndex); step >= 0 {
+		errs.Add(apierror.BadField, fmt.Sprintf("steps[%d].after", step), "the steps wait for one another in a circle")
+	}
+}
+
+// findCycle returns the first step that depends on a circle of steps, or -1.
+func (s Spec) findCycle(stepIndex map[string]int) int {
+	const (
+		notVisited = iota
+		visiting
+		visited
+	)
+	marks := make([]int, len(s.Steps))
+	var visit func(step int) (acyclic bool)
+	visit = func(step int) bool {
+		if marks[step] != notVisited {
+			return marks[step] == visited
+		}
+		marks[step] = visiting
+		for _, name := range s.Steps[step].DependsOn {
+			if !visit(stepIndex[name]) {
+				return false
+			}
+		}
+		marks[step] = visited
+		return true
+	}
+	for step := range s.Steps {
+		if !visit(step) {
+			return step
+		}
+	}
+	return -1
+}
--- a/internal/state/kinds_test.go
+++ b/internal/state/kinds_test.go
@@ -169,9 +169,9 @@
 func TestTheLongestChainOfSteps(t *testing.T) {
 	is := is.New(t)
 	j := submitJob(t, newTestState(t), `{"queue":"q","steps":[{"name":"a","kind":"x","estimate_ms":400},{"name":"b","kind":"x","estimate_ms":600,"after":["a"]},{"name":"c","kind":"x","estimate_ms":100}]}`)
-	cost := func(i int) time.Duration { return time.Duration(j.Spec.Steps[i].EstimateMillis) * millisecond }
+	cost := func(i int) time.Duration { return time.Duration(j.Spec.Steps[i].EstimateMillis) * time.Millisecond }
 	for from, want := range map[int]time.Duration{-1: 1000, 0: 1000, 1: 600, 2: 100} {
-		is.Equal(j.Spec.CriticalPath(from, cost), want*millisecond)
+		is.Equal(j.Spec.CriticalPath(from, cost), want*time.Millisecond)
 	}
 }
 
@@ -235,8 +235,8 @@
 		rests = append(rests, j.Tasks[0].ReadyAt.Sub(at))
 		at = j.Tasks[0].ReadyAt
 	}
-	is.Equal(rests[0], 200*millisecond)
-	is.Equal(rests[1], 400*millisecond)
-	is.Equal(rests[7], 25600*millisecond)
+	is.Equal(rests[0], 200*time.Millisecond)
+	is.Equal(rests[1], 400*time.Millisecond)
+	is.Equal(rests[7], 25600*time.Millisecond)
 	is.Equal(rests[11], 5*time.Minute)
 }
--- a/internal/state/marks_test.go
+++ b/internal/state/marks_test.go
@@ -137,8 +137,9 @@
 				}
 			}
 			for _, j := range s.LiveJobs() {
-				kept, afresh := *s.ReadyIndex(j, at), *j.computeReady(s.effectiveQueueConfig("q"), at, s.WallOffset)
+				kept, afresh := *s.ReadyIndex(j, at), *computeReadyIndex(j, s.effectiveQueueConfig("q"), at, s.WallOffset)
 				kept.validUntil, afresh.validUntil = 0, 0
+				afresh.tableVersion = s.Table.Version
 				is.Equal(fmt.Sprint(kept), fmt.Sprint(afresh))
 			}
 		}
--- /dev/null
+++ b/internal/state/queue_table.go
@@ -0,0 +1,120 @@
+package state
+
+import (
+	"fmt"
+	"maps"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
+)
+
+// IsRepeat reports whether a table was accepted before, under its version and with the
+// same content.
+func (s *State) IsRepeat(table config.Table) bool { return s.History.contains(changeOf(table)) }
+
+// CheckTable reports why a table is refused, or nil if it may be put in force now or is
+// a repeat. It is refused as stale only where it surely was not accepted earlier.
+func (s *State) CheckTable(table config.Table) *apierror.Error {
+	if s.IsRepeat(table) {
+		return nil
+	}
+	if table.Version != s.Table.Version {
+		if next := table.Accepted().Version; s.History.mayHaveForgotten(next) {
+			return apierror.New(apierror.OutcomeUnknown, "edition",
+				fmt.Sprintf("edition %d is older than what is remembered; it may have been taken", next))
+		}
+		return apierror.New(apierror.StaleVersion, "edition",
+			fmt.Sprintf("based on edition %d, but %d is in force", table.Version, s.Table.Version))
+	}
+	if table.RequestedVersion != 0 && table.RequestedVersion <= s.Table.Version {
+		return apierror.New(apierror.BadField, "becomes", fmt.Sprintf("edition %d is in force", s.Table.Version))
+	}
+	if table.Orphans == config.FinishOrphans {
+		return nil
+	}
+	return s.checkRemovedQueues(table)
+}
+
+// checkRemovedQueues refuses a table that leaves out a queue with unfinished jobs.
+func (s *State) checkRemovedQueues(table config.Table) *apierror.Error {
+	for i, queue := range s.Table.Queues {
+		jobs := s.usage[queue.Name].jobs
+		if _, ok := table.FindQueue(queue.Name); ok || jobs == 0 {
+			continue
+		}
+		return apierror.New(apierror.QueueInUse, fmt.Sprintf("queues[%d].name", i),
+			fmt.Sprintf("queue %s of the table in force has %d unfinished jobs and may not be left out",
+				queue.Name, jobs))
+	}
+	return nil
+}
+
+// applyTable puts a table in force unless CheckTable refuses it. It is idempotent.
+func (s *State) applyTable(table config.Table) *apierror.Error {
+	if refusal := s.CheckTable(table); refusal != nil {
+		return refusal
+	}
+	if s.IsRepeat(table) {
+		return nil
+	}
+	s.keepRemovedQueues(table)
+	s.Table = table.Accepted()
+	s.History.add(changeOf(table))
+	s.failExhaustedTasks()
+	return nil
+}
+
+// keepRemovedQueues keeps the settings of queues that have unfinished jobs and are not in
+// the next table.
+func (s *State) keepRemovedQueues(next config.Table) {
+	removed := maps.Clone(s.RemovedQueues)
+	if removed == nil {
+		removed = map[types.QueueName]config.Queue{}
+	}
+	for _, queue := range s.Table.Queues {
+		removed[queue.Name] = queue
+	}
+	for name := range removed {
+		if _, ok := next.FindQueue(name); ok || s.usage[name].jobs == 0 {
+			delete(removed, name)
+		}
+	}
+	s.RemovedQueues = removed
+}
+
+// failExhaustedTasks fails the tasks to which a new table leaves no further attempt.
+func (s *State) failExhaustedTasks() {
+	for _, j := range s.LiveJobs() {
+		if j.Status != JobOpen {
+			continue
+		}
+		s.beforeChange(j)
+		queue := s.effectiveQueueConfig(j.Queue)
+		for i := range j.Tasks {
+			j.failIfExhausted(&j.Tasks[i], queue)
+		}
+		j.updateStatus(s.Time)
+		s.closeIfEnded(j)
+	}
+}
+
+// QueueConfig returns the settings by which a queue's jobs run: those of the table, or
+// the last ones of a queue that was left out while it had unfinished jobs.
+func (s *State) QueueConfig(name types.QueueName) (queue config.Queue, ok bool) {
+	if queue, ok := s.Table.FindQueue(name); ok {
+		return queue, true
+	}
+	queue, ok = s.RemovedQueues[name]
+	return queue, ok
+}
+
+// effectiveQueueConfig is QueueConfig with settings for a queue that is not known: its
+// tasks fail with their first failure.
+func (s *State) effectiveQueueConfig(name types.QueueName) config.Queue {
+	queue, ok := s.QueueConfig(name)
+	if !ok {
+		queue.MaxFailures = 1
+	}
+	return queue
+}
--- /dev/null
+++ b/internal/state/queue_usage.go
@@ -0,0 +1,66 @@
+package state
+
+import (
+	"fmt"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
+)
+
+// queueUsage is what a queue's unfinished jobs hold.
+type queueUsage struct{ jobs, tasks, bytes int }
+
+// addUsage adds a job to its queue's usage, or removes it with sign -1.
+func (s *State) addUsage(j *Job, sign int) {
+	usage := s.usage[j.Queue]
+	usage.jobs += sign
+	usage.tasks += sign * j.TaskCount
+	usage.bytes += sign * j.ApproxBytes
+	s.usage[j.Queue] = usage
+}
+
+// UnfinishedJobs returns how many unfinished jobs a queue has.
+func (s *State) UnfinishedJobs(queue types.QueueName) int { return s.usage[queue].jobs }
+
+// budget is one of the limits on all unfinished work.
+type budget struct {
+	unit  string
+	limit int
+	added int                  // by the job that is to be accepted
+	used  func(queueUsage) int // by a queue's unfinished jobs
+}
+
+// checkBudget refuses a job with which the unfinished work would exceed the table's
+// limits.
+func (s *State) checkBudget(spec Spec) *apierror.Error {
+	tasks := budget{"tasks", s.Table.TaskLimit(), spec.TotalTasks(), func(u queueUsage) int { return u.tasks }}
+	if refusal := s.checkOneBudget(spec.Queue, tasks); refusal != nil {
+		return refusal
+	}
+	bytes := budget{"bytes", s.Table.ByteLimit(), spec.ApproxBytes(), func(u queueUsage) int { return u.bytes }}
+	return s.checkOneBudget(spec.Queue, bytes)
+}
+
+// checkOneBudget keeps unfinished work within one limit. Half of the limit is reserved in
+// equal parts for the queues of the table, so that a flooded queue leaves every other one
+// capacity for its first jobs; the other half is first come, first served.
+func (s *State) checkOneBudget(name types.QueueName, b budget) *apierror.Error {
+	shared := b.limit / 2
+	reserved := b.limit / 2 / max(1, len(s.Table.Queues))
+	own := b.used(s.usage[name]) + b.added
+	if own <= reserved {
+		return nil
+	}
+	sharedUse := own - reserved
+	for queue, usage := range s.usage {
+		if queue != name {
+			sharedUse += max(0, b.used(usage)-reserved)
+		}
+	}
+	if sharedUse <= shared {
+		return nil
+	}
+	return apierror.New(apierror.QueueFull, "queue", fmt.Sprintf(
+		"the cluster holds as many unfinished %s as it may (%d), and the queue has more than its own part (%d)",
+		b.unit, b.limit, reserved))
+}
--- /dev/null
+++ b/internal/state/ready_index.go
@@ -0,0 +1,198 @@
+package state
+
+import (
+	"time"
+
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
+)
+
+// ReadyIndex is what a planning round needs to know of a job. It is computed once and
+// kept until the job, the table or the wall offset changes or time makes more ready, so
+// that a round costs as much as has changed and not as much as waits.
+type ReadyIndex struct {
+	Stages              []ReadyStage
+	OutstandingAttempts int
+	CoresInUse          types.MilliCores  // by the outstanding attempts
+	RemainingTasks      []int             // tasks that are not done, of each step, in occurrences whose time has come
+	ToStop              []types.AttemptID // see Job.ToStop
+	Exhausted           []AttemptEnd      // see Job.Exhausted
+
+	validUntil   types.ClusterTime // from then on more may be ready
+	wallOffset   types.WallTime    // with which it was computed
+	tableVersion types.Version     // with which it was computed
+}
+
+// ReadyStage is the tasks of one stage that may be assigned now.
+type ReadyStage struct {
+	Stage        types.Stage
+	Tasks        []int                // their numbers
+	ReadySince   types.ClusterTime    // when the job was accepted, or the stage's start time came
+	AvoidWorkers map[types.Shard]bool // where attempts of these tasks failed or straggled
+}
+
+// never is a time that does not come.
+const never = types.ClusterTime(1 << 62)
+
+// ReadyIndex returns the ready index of a live job as of now. It must not be changed and
+// holds until the next command is applied.
+func (s *State) ReadyIndex(j *Job, now types.ClusterTime) *ReadyIndex {
+	index := j.readyIndex
+	if index != nil && now < index.validUntil && index.wallOffset == s.WallOffset &&
+		index.tableVersion == s.Table.Version {
+		return index
+	}
+	index = computeReadyIndex(j, s.effectiveQueueConfig(j.Queue), now, s.WallOffset)
+	index.tableVersion = s.Table.Version
+	j.readyIndex = index
+	return index
+}
+
+// readyIndexBuilder computes the ready index of one job, stage by stage.
+type readyIndexBuilder struct {
+	job   *Job
+	queue config.Queue
+	now   types.ClusterTime
+	index *ReadyIndex
+}
+
+// computeReadyIndex computes the ready index of a live job.
+func computeReadyIndex(j *Job, queue config.Queue, now types.ClusterTime, wallOffset types.WallTime) *ReadyIndex {
+	b := readyIndexBuilder{job: j, queue: queue, now: now, index: &ReadyIndex{
+		RemainingTasks: make([]int, len(j.Spec.Steps)),
+		ToStop:         j.ToStop(),
+		Exhausted:      j.Exhausted(queue, now),
+		validUntil:     never,
+		wallOffset:     wallOffset,
+	}}
+	j.eachStage(b.addStage)
+	return b.index
+}
+
+// addStage adds what there is to know of one stage.
+func (b *readyIndexBuilder) addStage(stage jobStage) {
+	b.addOutstanding(stage)
+	if b.job.Status != JobOpen {
+		return
+	}
+	start := b.job.startTime(stage, b.index.wallOffset)
+	if start > b.now {
+		b.recheckAt(start)
+		return
+	}
+	for i := range stage.tasks {
+		if !stage.tasks[i].Done {
+			b.index.RemainingTasks[stage.id.Step()]++
+		}
+	}
+	if b.job.dependenciesMet(stage) {
+		b.addReadyTasks(stage, start)
+	}
+}
+
+// addOutstanding counts the outstanding attempts of a stage, and has the index computed
+// again when a task that waits may be assigned.
+func (b *readyIndexBuilder) addOutstanding(stage jobStage) {
+	for i := range stage.tasks {
+		t := &stage.tasks[i]
+		switch {
+		case t.Primary != nil:
+			count := len(t.Outstanding())
+			b.index.OutstandingAttempts += count
+			b.index.CoresInUse += stage.step.Resources.Cores * types.MilliCores(count)
+		case !t.Done && !t.Failed:
+			b.recheckAt(t.ReadyAt)
+		}
+	}
+}
+
+// recheckAt makes the index invalid from a time on, if the time is still to come.
+func (b *readyIndexBuilder) recheckAt(at types.ClusterTime) {
+	if at > b.now {
+		b.index.validUntil = min(b.index.validUntil, at)
+	}
+}
+
+// addReadyTasks adds the tasks of a stage that may be assigned now; those of a gang only
+// if all that are not done may.
+func (b *readyIndexBuilder) addReadyTasks(stage jobStage, start types.ClusterTime) {
+	ready := ReadyStage{Stage: stage.id, ReadySince: max(b.job.AcceptedAt, start)}
+	complete := true
+	for i := range stage.tasks {
+		t := &stage.tasks[i]
+		if t.Done {
+			continue
+		}
+		if !b.job.canAssign(t, b.queue, b.now) {
+			complete = false
+			continue
+		}
+		ready.Tasks = append(ready.Tasks, stage.id.TaskNumber(i))
+		if t.AvoidWorker != "" {
+			ready.avoid(t.AvoidWorker)
+		}
+	}
+	if len(ready.Tasks) > 0 && (complete || !stage.step.Gang) {
+		b.index.Stages = append(b.index.Stages, ready)
+	}
+}
+
+// avoid adds a worker to those to be avoided.
+func (rs *ReadyStage) avoid(shard types.Shard) {
+	if rs.AvoidWorkers == nil {
+		rs.AvoidWorkers = map[types.Shard]bool{}
+	}
+	rs.AvoidWorkers[shard] = true
+}
+
+// startTime returns when a stage may start, apart from its dependencies: after the step's
+// delay, not before the step's NotBefore, and at the time of its occurrence.
+func (j *Job) startTime(stage jobStage, wallOffset types.WallTime) types.ClusterTime {
+	start := j.AcceptedAt.Add(milliseconds(stage.step.DelayMillis))
+	wall := parseNotBefore(stage.step.NotBefore)
+	if schedule := j.Spec.Schedule; schedule != nil {
+		wall = max(wall, schedule.start(stage.id.Occurrence()))
+	}
+	return max(start, types.ClusterTime(wall-wallOffset))
+}
+
+// parseNotBefore returns the time of a step's NotBefore, or 0 if it has none.
+func parseNotBefore(text string) types.WallTime {
+	if text == "" {
+		return 0
+	}
+	t, err := time.Parse(time.RFC3339Nano, text)
+	if err != nil {
+		return 0
+	}
+	return types.WallTime(t.UnixNano())
+}
+
+// milliseconds returns a duration of n milliseconds.
+func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+
+// dependenciesMet reports whether all steps on which a stage depends are done, in the
+// stage's occurrence.
+func (j *Job) dependenciesMet(stage jobStage) bool {
+	for _, name := range stage.step.DependsOn {
+		for i := range j.Spec.Steps {
+			if j.Spec.Steps[i].Name != name {
+				continue
+			}
+			dependency := types.StageOf(types.TaskNumber(stage.id.Occurrence(), i, 0))
+			if !allDone(j.StageTasks(dependency)) {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+func allDone(tasks []Task) bool {
+	for i := range tasks {
+		if !tasks[i].Done {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/state/snapshot_loader.go
@@ -0,0 +1,63 @@
+package state
+
+import (
+	"encoding/json"
+
+	"coppercourse/internal/apierror"
+)
+
+// Loader reads a snapshot back, a bounded number of bytes at a time.
+type Loader struct {
+	state *State
+	parts [][]byte // still to be read
+}
+
+// NewLoader returns a loader of a snapshot's parts. No parts give the state before the
+// first command.
+func NewLoader(parts [][]byte) *Loader { return &Loader{state: New(), parts: parts} }
+
+// Load reads parts until the budget in bytes is used up, one part at least. It returns
+// the state once all are read, and nil before. The error is of the kind Unusable.
+func (l *Loader) Load(budget int) (*State, error) {
+	for budget > 0 && len(l.parts) > 0 {
+		budget -= len(l.parts[0])
+		if err := l.state.loadPart(l.parts[0]); err != nil {
+			return nil, err
+		}
+		l.parts = l.parts[1:]
+	}
+	if len(l.parts) > 0 {
+		return nil, nil
+	}
+	l.state.buildIndexes()
+	return l.state, nil
+}
+
+// Restore reads a whole snapshot at once.
+func Restore(parts [][]byte) (*State, error) {
+	size := 1
+	for _, part := range parts {
+		size += len(part)
+	}
+	return NewLoader(parts).Load(size)
+}
+
+// loadPart takes over one part of a snapshot.
+func (s *State) loadPart(encoded []byte) error {
+	var part struct {
+		Header     *header        `json:"head"`
+		Jobs       []*Job         `json:"jobs"`
+		Tombstones []tombstoneRow `json:"marks"`
+	}
+	part.Header = &s.header
+	if err := json.Unmarshal(encoded, &part); err != nil {
+		return apierror.Wrap(apierror.Unusable, err, "reading a part of the snapshot")
+	}
+	for _, j := range part.Jobs {
+		s.Jobs[j.ID] = j
+	}
+	for _, row := range part.Tombstones {
+		s.tombstones.put(row.id, row.tombstone)
+	}
+	return nil
+}
--- a/internal/state/tombstones.go
+++ b/internal/state/tombstones.go
@@ -1,13 +1,9 @@
 package state
 
-// Tombstones of ended jobs: when a job's full record is dropped, a small one stays
-// for a day, so that an id sent again is answered and not run again. They are kept by
-// time; at the limit new jobs are refused rather than old ones forgotten. A full
-// page is encoded once.
-
 import (
 	"encoding/json"
 	"fmt"
+	"slices"
 	"strconv"
 	"time"
 
@@ -15,30 +11,38 @@
 	"coppercourse/internal/types"
 )
 
-// Bounds on tombstones: a day of the busier deployment has about 720,000.
+// Bounds on tombstones.
 const (
 	TombstoneAge      = 24 * time.Hour
-	TombstoneLimit    = 1_200_000
+	TombstoneLimit    = 1_200_000 // a day of the busier deployment has about 720,000
 	tombstonesPerPage = 4096
 )
 
-// tombstone is what stays of a job.
+// tombstone is what stays of a job when its full record is dropped, so that an id that is
+// sent again is answered and doesn't run again.
 type tombstone struct {
-	hash    uint64
+	hash    uint64 // of the job's Spec
 	endedAt types.ClusterTime
-	status  byte
+	status  byte // position in endStatuses
 }
 
+// endStatuses are the final statuses of jobs. The order is stored.
 var endStatuses = []JobStatus{JobDone, JobFailed, JobCancelled}
 
-// tombstonePage is a run of tombstones in the order of their jobs' ends.
+// tombstonePage is a run of tombstones in the order in which they were made, which is
+// that of their jobs' ends.
 type tombstonePage struct {
 	ids     []types.JobID
 	lastEnd types.ClusterTime
-	encoded []byte // once it is full
+	encoded []byte // once the page is full
 }
 
-// tombstones are all of them.
+// full reports whether the page has all the tombstones that it may have.
+func (p *tombstonePage) full() bool { return len(p.ids) == tombstonesPerPage }
+
+// tombstones is the set of all tombstones, kept in pages by time. A page is dropped as a
+// whole once it is old enough, and encoded once when it is full, so that snapshots cost
+// little. At the limit new jobs are refused; old ids are never forgotten early.
 type tombstones struct {
 	byID  map[types.JobID]tombstone
 	pages []*tombstonePage
@@ -49,32 +53,39 @@
 	return tombstones{byID: map[types.JobID]tombstone{}, limit: TombstoneLimit}
 }
 
+// add makes the tombstone of an ended job.
 func (to *tombstones) add(j *Job) {
-	hash, _ := strconv.ParseUint(j.Hash, 16, 64)
-	t := tombstone{hash: hash, endedAt: j.EndedAt}
-	for i, s := range endStatuses {
-		if s == j.Status {
-			t.status = byte(i)
-		}
-	}
-	to.put(j.ID, t)
+	hash, _ := strconv.ParseUint(j.Hash, 16, 64) // Spec.Hash returns 16 hexadecimal digits
+	status := max(0, slices.Index(endStatuses, j.Status))
+	to.put(j.ID, tombstone{hash: hash, endedAt: j.EndedAt, status: byte(status)})
 }
 
+// put adds a tombstone to the last page.
 func (to *tombstones) put(id types.JobID, t tombstone) {
-	if len(to.pages) == 0 || len(to.pages[len(to.pages)-1].ids) >= tombstonesPerPage {
+	if len(to.pages) == 0 || to.pages[len(to.pages)-1].full() {
 		to.pages = append(to.pages, &tombstonePage{ids: make([]types.JobID, 0, tombstonesPerPage)})
 	}
-	p := to.pages[len(to.pages)-1]
+	page := to.pages[len(to.pages)-1]
 	to.byID[id] = t
-	p.ids, p.lastEnd = append(p.ids, id), max(p.lastEnd, t.endedAt)
-	if len(p.ids) == tombstonesPerPage {
-		p.encoded = to.encode(p)
+	page.ids = append(page.ids, id)
+	page.lastEnd = max(page.lastEnd, t.endedAt)
+	if page.full() {
+		page.encoded = to.encode(page)
+	}
+}
+
+// find returns what a tombstone tells of its job, or nil if the id has none.
+func (to *tombstones) find(id types.JobID) *Job {
+	t, ok := to.byID[id]
+	if !ok {
+		return nil
 	}
+	return &Job{ID: id, Hash: fmt.Sprintf("%016x", t.hash), Status: endStatuses[t.status], EndedAt: t.endedAt}
 }
 
 // expire drops the pages whose newest tombstone is old enough.
 func (to *tombstones) expire(now types.ClusterTime) {
-	for len(to.pages) > 0 && len(to.pages[0].ids) == tombstonesPerPage && now.Sub(to.pages[0].lastEnd) > TombstoneAge {
+	for len(to.pages) > 0 && to.pages[0].full() && now.Sub(to.pages[0].lastEnd) > TombstoneAge {
 		for _, id := range to.pages[0].ids {
 			delete(to.byID, id)
 		}
@@ -82,13 +93,14 @@
 	}
 }
 
-// encode writes a page as {"marks":[[id,hash,stage,end],...]}.
-func (to *tombstones) encode(p *tombstonePage) []byte {
-	if p.encoded != nil {
-		return p.encoded
+// encode returns a page as a part of a snapshot: {"marks":[[id,hash,status,end],...]}.
+func (to *tombstones) encode(page *tombstonePage) []byte {
+	if page.encoded != nil {
+		return page.encoded
 	}
-	b := append(make([]byte, 0, 64*len(p.ids)+16), `{"marks":[`...)
-	for i, id := range p.ids {
+	const rowBytes = 64 // about
+	b := append(make([]byte, 0, rowBytes*len(page.ids)+16), `{"marks":[`...)
+	for i, id := range page.ids {
 		if i > 0 {
 			b = append(b, ',')
 		}
@@ -106,38 +118,31 @@
 	return append(b, `]}`...)
 }
 
-// line is one tombstone as it is written.
+// tombstoneRow is one tombstone as a page holds it.
 type tombstoneRow struct {
 	id types.JobID
 	tombstone
 }
 
-// UnmarshalJSON reads [id, hash, stage, end].
+// UnmarshalJSON reads [id, hash, status, end].
 func (t *tombstoneRow) UnmarshalJSON(b []byte) error {
 	hash := ""
 	if err := json.Unmarshal(b, &[]any{&t.id, &hash, &t.status, &t.endedAt}); err != nil {
-		return err
+		return fmt.Errorf("reading a tombstone: %w", err)
 	}
 	n, err := strconv.ParseUint(hash, 16, 64)
+	if err != nil {
+		return fmt.Errorf("reading the hash of the tombstone of %s: %w", t.id, err)
+	}
 	t.hash = n
-	return err
+	return nil
 }
 
-// TombstoneCount tells how many there are.
+// TombstoneCount returns how many tombstones there are.
 func (s *State) TombstoneCount() int { return len(s.tombstones.byID) }
 
-// Find gives a job by its id: whole, or what its tombstone still says, or nil.
-func (s *State) Find(id types.JobID) *Job {
-	if j := s.Jobs[id]; j != nil {
-		return j
-	}
-	if t, ok := s.tombstones.byID[id]; ok {
-		return &Job{ID: id, Hash: fmt.Sprintf("%016x", t.hash), Status: endStatuses[t.status], EndedAt: t.endedAt}
-	}
-	return nil
-}
-
-// checkIDLimit tells whether no more ids may be remembered.
+// checkIDLimit refuses a new job if no more ids may be remembered. The answer says when
+// the oldest page is dropped.
 func (s *State) checkIDLimit() *apierror.Error {
 	n := len(s.tombstones.byID) + len(s.Jobs)
 	if n < s.tombstones.limit {
@@ -147,5 +152,6 @@
 	if len(s.tombstones.pages) > 0 {
 		wait = max(wait, s.tombstones.pages[0].lastEnd.Add(TombstoneAge).Sub(s.Time))
 	}
-	return apierror.New(apierror.TooManyIDs, "", fmt.Sprintf("%d ids of the last day are remembered, as many as may be", n)).WithRetryAfter(wait)
+	return apierror.New(apierror.TooManyIDs, "",
+		fmt.Sprintf("%d ids of the last day are remembered, as many as may be", n)).WithRetryAfter(wait)
 }
--- /dev/null
+++ b/internal/state/withdrawal.go
@@ -0,0 +1,47 @@
+package state
+
+import "coppercourse/internal/types"
+
+// Withdrawal takes an outstanding attempt back: the worker is told to stop it, and its
+// task is assigned again once the attempt has ended.
+type Withdrawal struct {
+	ID     types.AttemptID `json:"leg"`
+	Reason WithdrawReason  `json:"why"`
+}
+
+// WithdrawReason is why an attempt is withdrawn.
+type WithdrawReason string
+
+// Reasons for withdrawing an attempt. The values are stored.
+const (
+	WorkerLeaving       WithdrawReason = "its worker leaves"
+	WorkerDrained       WithdrawReason = "its worker is drained"
+	Straggling          WithdrawReason = "far beyond its usual time"
+	Preempted           WithdrawReason = "displaced by more urgent work"
+	GangPeerUnreachable WithdrawReason = "a mate of its gang is out of reach"
+)
+
+// applyWithdrawal withdraws an attempt if it is outstanding and its job is open.
+func (s *State) applyWithdrawal(withdrawal Withdrawal) {
+	j := s.liveJobs[withdrawal.ID.Job]
+	if j == nil || j.Status != JobOpen {
+		return
+	}
+	t := j.Task(withdrawal.ID.Number)
+	if t == nil {
+		return
+	}
+	attempt := t.FindOutstanding(withdrawal.ID.Attempt)
+	if attempt == nil || attempt.Withdrawn != "" {
+		return
+	}
+	s.beforeChange(j)
+	attempt.Withdrawn = withdrawal.Reason
+	switch withdrawal.Reason {
+	case Straggling:
+		t.AvoidWorker = attempt.Shard
+	case Preempted:
+		t.Preemptions++
+	}
+	s.queueCounts(j.Queue).WithdrawnAttempts++
+}
