--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,7 +10,8 @@
 	"time"
 
 	"coppercourse/internal/configwatch"
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/membership"
 	"coppercourse/internal/placement"
 	"coppercourse/internal/raft"
@@ -29,7 +30,7 @@
 	LossTolerance     int // voters that may be lost at once, disk and all
 	Build             string
 	RaftTimeouts      raft.Timeouts
-	DispatchTimeouts  dispatch.Timeouts
+	DispatchTimeouts  protocol.Timeouts
 	SnapshotThreshold types.Index // entries between two snapshots at least; 0 is Every
 }
 
@@ -52,7 +53,7 @@
 	diskError           error         // why the disk refuses, until it takes writes again
 	applied             types.Index
 	proposals           map[types.Index]proposal
-	scheduler           *dispatch.Scheduler
+	scheduler           *scheduler.Scheduler
 	publisher           *configwatch.Publisher
 	Trace               *trace.Ring
 	waiters             map[types.Index]caller
@@ -100,7 +101,8 @@
 // New starts a controller from the records of its disk.
 func New(now types.Now, rnd *rand.Rand, p Options, recs [][]byte) *Controller {
 	me := raft.Member{Addr: p.Addr, Zone: p.Zone}
-	h := &Controller{options: p, now: now, raft: raft.New(now, p.RaftTimeouts, rnd, me, p.Bootstrap, recs, types.NewID(rnd)),
+	member := raft.New(now, raft.Options{Timeouts: p.RaftTimeouts, Random: rnd, Self: me, Bootstrap: p.Bootstrap, NewID: types.NewID(rnd)}, recs)
+	h := &Controller{options: p, now: now, raft: member,
 		waiters: map[types.Index]caller{}, proposals: map[types.Index]proposal{}, pendingEnds: map[types.JobID]types.Index{}, endsInFlight: map[state.AttemptEnd]bool{}, released: map[types.AttemptID]bool{},
 		assignmentsInFlight: map[types.TaskID]state.Assignment{}, completionRates: map[types.QueueName]*completionRate{}, meanJobWork: map[types.QueueName]float64{}, peakCores: map[types.QueueName]float64{},
 		meanTaskSeconds: map[types.QueueName]float64{}, queueDurations: map[types.QueueName]*queueDurations{}, jobDurations: map[types.JobID][]stepDurations{}, Trace: trace.New()}
@@ -112,8 +114,8 @@
 	return h
 }
 
-func (co *Controller) describe() membership.Card {
-	return membership.Card{Addr: co.options.Addr, ID: co.raft.ID(), Role: "controller", Zone: co.options.Zone, Name: co.raft.ClusterName(),
+func (co *Controller) describe() membership.MemberInfo {
+	return membership.MemberInfo{Addr: co.options.Addr, ID: co.raft.ID(), Role: "controller", Zone: co.options.Zone, Name: co.raft.ClusterName(),
 		Term: co.raft.Term(), Leads: co.raft.IsLeader() && !co.shuttingDown, Shard: co.raft.Role(), Ready: co.Ready(), Build: co.options.Build}
 }
 
@@ -152,9 +154,10 @@
 	var out wire.Effects
 	co.writeSnapshotPart()
 	co.members.SetSelf(co.describe())
-	out.FallbackRecords = co.raft.AppendInstead()
-	out.Messages, out.Records, out.BatchNumber, out.ReplaceLog = co.raft.Ready()
-	out.Messages = append(append(out.Messages, co.sends...), co.members.TakeMessages()...)
+	ready := co.raft.Ready()
+	out.Records, out.BatchNumber = ready.Records, ready.BatchNumber
+	out.ReplaceLog, out.FallbackRecords = ready.ReplaceLog, ready.FallbackRecords
+	out.Messages = append(append(ready.Messages, co.sends...), co.members.TakeMessages()...)
 	out.Responses = co.answers
 	co.sends, co.answers = nil, nil
 	out.Drained = co.shuttingDown && (co.raft.MayStop() || co.now.Mono >= co.shutdownDeadline) && len(co.waiters) == 0
@@ -220,17 +223,17 @@
 func (co *Controller) traceCommand(f state.Command, at types.Index) {
 	switch {
 	case f.Table != nil:
-		co.Trace.Add(co.now.Wall, trace.TableSubject(co.state.Table.Version), "applied", "index", at)
+		co.Trace.Add(co.now.Wall, trace.TableSubject(co.state.Table.Version), "table applied", "index", at)
 	case f.Job != nil:
-		co.Trace.Add(co.now.Wall, trace.JobSubject(f.Job.ID), "accept applied", "index", at)
+		co.Trace.Add(co.now.Wall, trace.JobSubject(f.Job.ID), "submission applied", "index", at)
 	case f.Cancel != "":
-		co.Trace.Add(co.now.Wall, trace.JobSubject(f.Cancel), "cancel applied", "index", at)
+		co.Trace.Add(co.now.Wall, trace.JobSubject(f.Cancel), "cancellation applied", "index", at)
 	}
 	for _, g := range f.Assignments {
-		co.Trace.Add(co.now.Wall, trace.JobSubject(g.ID.Job), "leg given out", "leg", g.ID, "shard", g.Shard)
+		co.Trace.Add(co.now.Wall, trace.JobSubject(g.ID.Job), "attempt assigned", "attempt", g.ID, "worker", g.Shard)
 	}
 	for _, x := range f.Ends {
-		co.Trace.Add(co.now.Wall, trace.JobSubject(x.ID.Job), "end applied", "leg", x.ID, "fate", x.Outcome)
+		co.Trace.Add(co.now.Wall, trace.JobSubject(x.ID.Job), "attempt end applied", "attempt", x.ID, "outcome", x.Outcome)
 		co.attemptEnded(x)
 	}
 }
@@ -259,10 +262,14 @@
 			return
 		}
 		co.Counters.Elected++
-		co.scheduler = dispatch.NewScheduler(co.now.Mono, co.raft.PriorLeaderHeardAt(), co.options.DispatchTimeouts, co.options.Addr, co.raft.Term(), co.outstandingAttempts())
-		co.scheduler.Invoked = func(x types.Shard) bool { return co.state.WorkerShapes[x].CalledByAgent }
-		co.scheduler.Partitioned = func(x types.Shard) bool { return co.members.ZonePartitioned(string(x)) }
-		co.scheduler.EndRecorded, co.scheduler.Unresolved = co.endRecorded, func(x types.Shard) []types.AttemptID { return co.state.UnresolvedAttempts(x) }
+		co.scheduler = scheduler.New(co.now.Mono, scheduler.Config{
+			Timeouts:          co.options.DispatchTimeouts,
+			Addr:              co.options.Addr,
+			Term:              co.raft.Term(),
+			PriorAuthorityEnd: co.raft.PriorLeaderHeardAt(),
+			Outstanding:       co.outstandingAttempts(),
+			Cluster:           clusterState{co},
+		})
 	}
 	co.scheduler.Tick(co.now.Mono, co.raft.AuthorityRemaining())
 	co.drainScheduler()
@@ -279,13 +286,13 @@
 }
 
 // outstandingAttempts lists the attempts given out as the state has them.
-func (co *Controller) outstandingAttempts() (list []dispatch.OutstandingAttempt) {
+func (co *Controller) outstandingAttempts() (list []scheduler.OutstandingAttempt) {
 	for _, j := range co.state.LiveJobs() {
 		for i := range j.Tasks {
 			for _, o := range j.Tasks[i].Outstanding() {
 				n := j.Spec.TaskNumber(i)
 				at := types.StageOf(n)
-				list = append(list, dispatch.OutstandingAttempt{Attempt: types.AttemptID{TaskID: types.TaskID{Job: j.ID, Number: n}, Attempt: o.Number},
+				list = append(list, scheduler.OutstandingAttempt{Attempt: types.AttemptID{TaskID: types.TaskID{Job: j.ID, Number: n}, Attempt: o.Number},
 					Shard: o.Shard, Stage: at, Resources: j.Spec.Steps[at.Step()].Resources, BaselineName: durationKey(j, at), TimeLimit: co.timeLimit(j, at)})
 			}
 		}
--- a/internal/controller/slots_test.go
+++ b/internal/controller/slots_test.go
@@ -9,7 +9,8 @@
 
 	"github.com/matryer/is"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/placement"
 	"coppercourse/internal/raft"
 	"coppercourse/internal/state"
@@ -22,7 +23,7 @@
 func slotsFromScratch(h *Controller) (list []placement.Slot, total types.MilliCores) {
 	at := map[types.Shard]int{}
 	for _, s := range h.scheduler.Workers() {
-		if s.State != dispatch.Healthy {
+		if s.State != protocol.WorkerHealthy {
 			continue
 		}
 		total += s.Capacity.Cores
@@ -64,12 +65,20 @@
 	return
 }
 
+// calledWorkers is a cluster of workers that are called, whose log records no end.
+type calledWorkers struct{}
+
+func (calledWorkers) UnresolvedAttempts(types.Shard) []types.AttemptID { return nil }
+func (calledWorkers) ZonePartitioned(types.Shard) bool                 { return false }
+func (calledWorkers) CalledByAgent(types.Shard) bool                   { return true }
+func (calledWorkers) EndRecorded(state.AttemptEnd) bool                { return false }
+
 // leaderRig is a controller as it leads, with agents that come, tell of themselves,
 // and are given attempts, at random.
 type leaderRig struct {
 	*Controller
 	rnd               *rand.Rand
-	agents            []dispatch.Heartbeat
+	agents            []protocol.Heartbeat
 	next              int
 	outstandingOrders []types.AttemptID
 }
@@ -77,12 +86,15 @@
 func newLeaderRig(seed int64) *leaderRig {
 	rnd := rand.New(rand.NewSource(seed))
 	now := types.Now{Mono: types.MonoTime(time.Hour), Wall: types.WallTime(time.Hour)}
-	h := New(now, rnd, Options{Addr: "h1", RaftTimeouts: raft.DefaultTimeouts, DispatchTimeouts: dispatch.Defaults}, nil)
+	h := New(now, rnd, Options{Addr: "h1", RaftTimeouts: raft.DefaultTimeouts, DispatchTimeouts: protocol.DefaultTimeouts}, nil)
 	l := &leaderRig{Controller: h, rnd: rnd}
-	h.scheduler = dispatch.NewScheduler(now.Mono, now.Mono, dispatch.Defaults, "h1", 1, nil)
-	h.scheduler.Invoked = func(types.Shard) bool { return true }
-	h.scheduler.Partitioned = func(types.Shard) bool { return false }
-	h.scheduler.EndRecorded, h.scheduler.Unresolved = func(state.AttemptEnd) bool { return false }, func(types.Shard) []types.AttemptID { return nil }
+	h.scheduler = scheduler.New(now.Mono, scheduler.Config{
+		Timeouts:          protocol.DefaultTimeouts,
+		Addr:              "h1",
+		Term:              1,
+		PriorAuthorityEnd: now.Mono,
+		Cluster:           calledWorkers{},
+	})
 	for i := range 5 {
 		id := types.JobID(fmt.Sprint("job-", i))
 		h.state.Jobs[id] = &state.Job{ID: id, Status: state.JobOpen, Spec: &state.Spec{Steps: []state.Step{
@@ -90,7 +102,7 @@
 	}
 	for i := range 6 {
 		shard := types.Shard(fmt.Sprint("k", i))
-		l.agents = append(l.agents, dispatch.Heartbeat{Shard: shard, Instance: types.ID("agent-" + shard), Report: dispatch.Report{Rack: "r1",
+		l.agents = append(l.agents, protocol.Heartbeat{Shard: shard, Instance: types.ID("agent-" + shard), WorkerReport: protocol.WorkerReport{Rack: "r1",
 			Kinds: []types.ServiceKind{"x"}, Capacity: types.Resources{Cores: 16_000, MemoryMB: 32_000}, Healthy: true, Invoked: true}})
 	}
 	for range 4 { // until all agree on the worker set
@@ -106,7 +118,7 @@
 	l.scheduler.Tick(l.now.Mono, time.Minute)
 }
 
-func (l *leaderRig) deliver(kind string, body any) {
+func (l *leaderRig) deliver(kind wire.Kind, body any) {
 	l.scheduler.HandleMessage(l.now.Mono, time.Minute, wire.NewMessage("a", "h1", kind, body).Message)
 }
 
@@ -120,9 +132,9 @@
 	for _, s := range sends {
 		switch s.Message.Kind {
 		case wire.RunningTasksQuery:
-			l.deliver(wire.RunningTasksReply, dispatch.RunningTasksReply{Term: 1, Shard: b.Shard, Instance: b.Instance, Complete: true})
+			l.deliver(wire.RunningTasksReply, protocol.RunningTasksReply{Term: 1, Shard: b.Shard, Instance: b.Instance, Complete: true})
 		case wire.HeartbeatReply:
-			if r, ok := wire.DecodeBody[dispatch.HeartbeatReply](s.Message); ok {
+			if r, ok := wire.DecodeBody[protocol.HeartbeatReply](s.Message); ok {
 				b.WorkerSet = r.WorkerSet
 			}
 		}
@@ -136,7 +148,7 @@
 	l.next++
 	switch i := l.rnd.Intn(len(l.agents)); l.rnd.Intn(10) {
 	case 0, 1, 2:
-		l.scheduler.RunTask(shard, types.StageOf(attempt.Number), "u", dispatch.AttemptSpec{Attempt: attempt, Resources: types.Resources{Cores: types.MilliCores(l.rnd.Intn(3000)), MemoryMB: l.rnd.Intn(2000)},
+		l.scheduler.RunTask(shard, types.StageOf(attempt.Number), "u", protocol.AttemptSpec{Attempt: attempt, Resources: types.Resources{Cores: types.MilliCores(l.rnd.Intn(3000)), MemoryMB: l.rnd.Intn(2000)},
 			TimeLimitMS: l.rnd.Intn(3) * 1000})
 		l.outstandingOrders = append(l.outstandingOrders, attempt)
 	case 3, 4:
--- a/sim/usage.go
+++ b/sim/usage.go
@@ -25,7 +25,7 @@
 	Classes
 )
 
-var classByKind = map[string]Class{
+var classByKind = map[wire.Kind]Class{
 	wire.Hello:     MembershipMessages,
 	wire.Heartbeat: HeartbeatMessages, wire.HeartbeatReply: HeartbeatMessages, wire.RunningTasksQuery: HeartbeatMessages, wire.RunningTasksReply: HeartbeatMessages,
 	wire.ReplaceInstance: HeartbeatMessages,
