--- a/cmd/coppercourse/layers_test.go
+++ b/cmd/coppercourse/layers_test.go
@@ -29,6 +29,7 @@
 	{"internal/controller", "internal/gateway", "internal/agent", "internal/settings", "internal/server"},
 	{"platform"},
 	{"cmd/coppercourse", "sim/history"},
+	{"sim/worker"},
 	{"sim"},
 	{"sim/capacity"},
 	{"cmd/coppersim"},
--- a/internal/dispatch/executor/link_rig_test.go
+++ b/internal/dispatch/executor/link_rig_test.go
@@ -16,8 +16,8 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
-	"coppercourse/sim"
 	"coppercourse/sim/history"
+	"coppercourse/sim/worker"
 )
 
 const ms = time.Millisecond
@@ -53,8 +53,8 @@
 	term              types.Term
 	scheduler         *scheduler.Scheduler
 	executor          *executor.Executor
-	worker            *sim.InvokedWorker
-	environment       *sim.WorkerEnvironment
+	worker            *worker.Invoked
+	environment       *worker.Environment
 	workerSpec        history.WorkerSpec
 	incarnations      int
 	agents            int
@@ -82,7 +82,7 @@
 
 func newLinkRig(t *testing.T, seed int64, pace protocol.Timeouts) *linkRig {
 	r := &linkRig{t: t, random: rand.New(rand.NewSource(seed)), timeouts: pace, authorityLeft: pace.AgentLease, now: types.MonoTime(time.Hour),
-		environment: sim.NewWorkerEnvironment(sim.WorkerRules{MaxLease: 6 * time.Second, MaxStopTime: 400 * ms, GangTimeout: 3 * time.Second, CheckpointInterval: 2 * time.Second, RestoreTime: 600 * ms, RemoteSlowdown: 1.5}),
+		environment: worker.NewEnvironment(worker.Rules{MaxLease: 6 * time.Second, MaxStopTime: 400 * ms, GangTimeout: 3 * time.Second, CheckpointInterval: 2 * time.Second, RestoreTime: 600 * ms, RemoteSlowdown: 1.5}),
 		workerSpec:  history.WorkerSpec{Shard: "s", Rack: "r", Kinds: []types.ServiceKind{"x"}, Capacity: types.Resources{Cores: 8 * types.Core}, RejectsOverload: true},
 		fateOf:      func(wire.WorkerCall) callFate { return callDelivered }, lateDelay: func() time.Duration { return 3 * time.Second },
 		outstanding: map[types.AttemptID]bool{}, committed: map[types.AttemptID]state.Outcome{}, running: map[types.AttemptID]bool{}, starts: map[types.AttemptID]int{},
@@ -176,7 +176,7 @@
 	id := types.ID(fmt.Sprint("k", lr.incarnations))
 	lr.heartbeatSequence = 0
 	clear(lr.running)
-	lr.worker = sim.NewInvokedWorker(lr.workerSpec, id, lr.environment, lr.random, func() types.MonoTime { return lr.now }, func(h history.Event) {
+	lr.worker = worker.NewInvoked(lr.workerSpec, id, lr.environment, lr.random, func() types.MonoTime { return lr.now }, func(h history.Event) {
 		if lr.worker == nil || types.ID(h.Process) != lr.worker.ID {
 			return
 		}
--- a/sim/cutoff_record_test.go
+++ b/sim/cutoff_record_test.go
@@ -22,6 +22,7 @@
 	"coppercourse/internal/wire"
 	"coppercourse/platform"
 	"coppercourse/sim/history"
+	"coppercourse/sim/worker"
 )
 
 // audience is who was answered.
@@ -291,7 +292,7 @@
 func (ar *answerRecorder) submit(to types.Addr) {
 	ar.next++
 	id := types.JobID(fmt.Sprintf("%016x", 1<<40+ar.next))
-	s := state.Spec{Queue: ar.newest.Queues[0].Name, Steps: []state.Step{{Name: "a", Kind: "work", Resources: types.Resources{Cores: types.Core, MemoryMB: 32}, Tasks: 1, Work: Work{MS: 50}.encode()}}}
+	s := state.Spec{Queue: ar.newest.Queues[0].Name, Steps: []state.Step{{Name: "a", Kind: "work", Resources: types.Resources{Cores: types.Core, MemoryMB: 32}, Tasks: 1, Work: worker.Work{DurationMS: 50}.Encode()}}}
 	ar.run.record(history.Event{Kind: history.JobSubmitted, Job: id, Spec: &s})
 	ar.caller(to, submitJob, "job.put", string(id), wire.EncodeBody(s), func(ok bool) {
 		if ok {
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -353,7 +353,7 @@
 					for _, text := range c.violations() {
 						t.Error(text)
 					}
-					breaks, _ := CheckInvoked(&c.History, InvokedBounds(c.environment.WorkerRules), c.now)
+					breaks, _ := CheckInvoked(&c.History, InvokedBounds(c.environment.Rules), c.now)
 					for _, b := range breaks {
 						t.Error(b)
 					}
--- a/sim/deployment.go
+++ b/sim/deployment.go
@@ -12,6 +12,7 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/sim/history"
+	"coppercourse/sim/worker"
 )
 
 // Deployment is a deployment.
@@ -20,8 +21,8 @@
 	Cores types.MilliCores
 	Flows []Flow
 
-	Size                     // of the deployment; nothing said is Small
-	WorkerRules *WorkerRules // of its workers, where they are called
+	Size                      // of the deployment; nothing said is Small
+	WorkerRules *worker.Rules // of its workers, where they are called
 	Streams     []Stream
 	rows        []config.Queue
 }
--- a/sim/invoked_check.go
+++ b/sim/invoked_check.go
@@ -16,10 +16,11 @@
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 	"coppercourse/sim/history"
+	"coppercourse/sim/worker"
 )
 
 // InvokedBounds are the bounds of the two deployments.
-func InvokedBounds(m WorkerRules) Bounds {
+func InvokedBounds(m worker.Rules) Bounds {
 	return Bounds{StartAfterCancel: 3 * time.Second, RunAfterCancel: 3*time.Second + m.MaxStopTime, StartEarly: 250 * time.Millisecond, StartAfterLeaving: 2 * time.Second, GangIncomplete: m.GangTimeout,
 		TableLag: 2 * time.Second, AllJobsEnd: true, FaultAftermath: 3 * time.Second, JobVisible: 3 * time.Second, IdleWork: 3 * time.Second,
 		TableRegression: 250 * time.Millisecond, ClockJump: 5 * time.Second}
--- a/sim/invoked_deployment.go
+++ b/sim/invoked_deployment.go
@@ -14,6 +14,7 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/sim/history"
+	"coppercourse/sim/worker"
 )
 
 // Stream is jobs of a shape with their mean rate, of which some are cancelled.
@@ -63,13 +64,13 @@
 	near, copies, keeps, apart, label := yes(sh.rackDataRate), yes(sh.hedgedRate), yes(sh.checkpointRate), yes(sh.spreadRate), yes(sh.labelRate)
 	rack, lost := types.Rack(fmt.Sprintf("r%d", 1+r.Intn(4))), yes(sh.hopelessRate)
 	for i := range max(1, int(logNormal(r, sh.steps+0.3, 0.4, 2.5*sh.steps))) {
-		work := Work{MS: int(logNormal(r, sh.taskMS, 0.5, 2.5*sh.taskMS)), FailureRate: sh.failureRate, Variation: sh.variation}
+		work := worker.Work{DurationMS: int(logNormal(r, sh.taskMS, 0.5, 2.5*sh.taskMS)), FailureRate: sh.failureRate, Variation: sh.variation}
 		if lost {
 			work.FailureRate = 1
 		}
 		p := state.Step{Name: fmt.Sprint("s", i), Kind: "work", Tasks: max(1, int(logNormal(r, sh.tasks, 0.8, 6*sh.tasks))), AllowHedge: copies, KeepsCheckpoint: keeps,
 			Resources: types.Resources{Cores: types.MilliCores(1000 * logNormal(r, sh.cores, 0.45, min(largest, 3*sh.cores))), MemoryMB: int(logNormal(r, sh.memory, 0.6, 3*sh.memory))},
-			Work:      work.encode(), EstimateMillis: int(float64(work.MS) * (1 + sh.estimateError*(2*r.Float64()-1)))}
+			Work:      work.Encode(), EstimateMillis: int(float64(work.DurationMS) * (1 + sh.estimateError*(2*r.Float64()-1)))}
 		if near {
 			p.DataRack = rack
 		}
@@ -102,12 +103,12 @@
 func serviceJobs(q types.QueueName) func(*rand.Rand, int64) state.Spec {
 	return func(r *rand.Rand, _ int64) state.Spec {
 		return state.Spec{Queue: q, Steps: []state.Step{{Name: "serve", Kind: "work", Resources: types.Resources{Cores: types.Core, MemoryMB: 512},
-			Tasks: 1 + r.Intn(3), AlwaysRestart: true, Work: Work{MS: 100}.encode()}}}
+			Tasks: 1 + r.Intn(3), AlwaysRestart: true, Work: worker.Work{DurationMS: 100}.Encode()}}}
 	}
 }
 
 // invokedDeployment makes a deployment of shapes.
-func invokedDeployment(name string, cores types.MilliCores, m WorkerRules, shapes ...shape) Deployment {
+func invokedDeployment(name string, cores types.MilliCores, m worker.Rules, shapes ...shape) Deployment {
 	t := Deployment{Name: name, Cores: cores, WorkerRules: &m}
 	for _, x := range shapes {
 		t.Streams = append(t.Streams, Stream{Queue: x.queue, MeanInterval: x.meanInterval, CancelRate: x.cancelRate, CancelWithin: 4 * time.Second,
@@ -135,7 +136,7 @@
 func init() {
 	beat := 1500 * time.Millisecond
 	a := invokedDeployment("kingston-called", 16*types.Core,
-		WorkerRules{MaxLease: 6 * time.Second, MaxStopTime: 400 * time.Millisecond, GangTimeout: 3 * time.Second, CheckpointInterval: 2 * time.Second, RestoreTime: 600 * time.Millisecond, RemoteSlowdown: 1.5, HeartbeatInterval: beat},
+		worker.Rules{MaxLease: 6 * time.Second, MaxStopTime: 400 * time.Millisecond, GangTimeout: 3 * time.Second, CheckpointInterval: 2 * time.Second, RestoreTime: 600 * time.Millisecond, RemoteSlowdown: 1.5, HeartbeatInterval: beat},
 		shape{queue: "quotes", meanInterval: 142 * time.Millisecond, steps: 1.5, tasks: 14, taskMS: 240, cores: 1.5, memory: 1500, variation: 0.3, estimateError: 0.5, failureRate: 0.02,
 			hopelessRate: 0.01, rackDataRate: 0.3, hedgedRate: 0.6, gangRate: 0.1, labelRate: 0.1, priority: 0, tries: 4, stretch: 1.5, target: 250},
 		shape{queue: "menus", meanInterval: 4200 * time.Millisecond, steps: 1.3, tasks: 5, taskMS: 6000, cores: 4.8, memory: 8900, variation: 0.15, estimateError: 0.9, failureRate: 0.02,
@@ -143,7 +144,7 @@
 		shape{queue: "payments", meanInterval: 752 * time.Millisecond, steps: 1, tasks: 2, taskMS: 900, cores: 2.4, memory: 2500, variation: 0.15, estimateError: 0.2, failureRate: 0.02,
 			hopelessRate: 0.02, spreadRate: 0.3, scheduledRate: 0.3, labelRate: 0.1, cancelRate: 0.04, priority: 1, tries: 3, stretch: 2.2, target: 1000})
 	b := invokedDeployment("romania-called", 64*types.Core,
-		WorkerRules{MaxLease: 10 * time.Second, MaxStopTime: 900 * time.Millisecond, GangTimeout: 3 * time.Second, CheckpointInterval: time.Second, RestoreTime: 250 * time.Millisecond, RemoteSlowdown: 1.5, HeartbeatInterval: beat},
+		worker.Rules{MaxLease: 10 * time.Second, MaxStopTime: 900 * time.Millisecond, GangTimeout: 3 * time.Second, CheckpointInterval: time.Second, RestoreTime: 250 * time.Millisecond, RemoteSlowdown: 1.5, HeartbeatInterval: beat},
 		shape{queue: "searches", meanInterval: 222 * time.Millisecond, steps: 1.5, tasks: 14, taskMS: 380, cores: 6, memory: 8600, variation: 0.15, estimateError: 0.9, failureRate: 0.005,
 			hopelessRate: 0.01, rackDataRate: 0.3, hedgedRate: 0.6, gangRate: 0.1, labelRate: 0.1, priority: 0, tries: 2, stretch: 1.5, target: 200},
 		shape{queue: "plans", meanInterval: 4200 * time.Millisecond, steps: 1.3, tasks: 5, taskMS: 6000, cores: 19, memory: 36000, variation: 0.3, estimateError: 0.9, failureRate: 0.05,
--- a/sim/invoked_node.go
+++ b/sim/invoked_node.go
@@ -10,6 +10,7 @@
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 	"coppercourse/sim/history"
+	"coppercourse/sim/worker"
 )
 
 // invokedNode is the place of an invoked worker, and the process there if there is one.
@@ -17,7 +18,7 @@
 	node                  *node // its clocks and address; it carries no machine
 	agent                 types.Addr
 	spec                  history.WorkerSpec
-	worker                *InvokedWorker
+	worker                *worker.Invoked
 	incarnation           int
 	heartbeatSequence     uint64
 	departsAt             types.MonoTime // when it leaves; 0 is never
@@ -43,7 +44,7 @@
 	n := i.node
 	i.incarnation++
 	i.heartbeatSequence, i.departsAt, i.departureAcknowledged = 0, 0, false
-	i.worker = NewInvokedWorker(i.spec, types.ID(fmt.Sprintf("%s.%d", n.addr, i.incarnation)), n.world.environment, n.world.newRandom(), n.monotonic, n.world.record)
+	i.worker = worker.NewInvoked(i.spec, types.ID(fmt.Sprintf("%s.%d", n.addr, i.incarnation)), n.world.environment, n.world.newRandom(), n.monotonic, n.world.record)
 	i.worker.IgnoresLease, i.worker.IgnoresFence = i.ignoresLease, i.ignoresFence
 	n.world.record(history.Event{Kind: history.WorkerStaying, Process: string(i.worker.ID), Shard: i.spec.Shard, Worker: &i.spec})
 	gen := i.incarnation
@@ -148,9 +149,7 @@
 	case i.lateCallRate > 0 && w.random.Float64() < i.lateCallRate:
 		w.after(2*time.Second+time.Duration(w.random.Int63n(int64(10*time.Second))), func() {
 			if i.incarnation == gen && i.worker != nil {
-				i.worker.deliveredLate = true
-				i.worker.HandleCall(c, dropReply)
-				i.worker.deliveredLate = false
+				i.worker.HandleLateCall(c)
 			}
 		})
 	case i.hangs:
--- a/sim/polling_node.go
+++ b/sim/polling_node.go
@@ -10,6 +10,7 @@
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 	"coppercourse/sim/history"
+	"coppercourse/sim/worker"
 )
 
 // pollingNode is a worker process in the world, and its calls.
@@ -17,7 +18,7 @@
 	node                          *node // its clocks; it carries no machine
 	agent                         types.Addr
 	spec                          history.WorkerSpec
-	worker                        *Worker
+	worker                        *worker.Polling
 	incarnation                   int
 	ignoresLease, ignoresCapacity bool
 	reportedTo                    map[types.AttemptID]int // which of the agent's processes was told of an end
@@ -34,7 +35,7 @@
 	n := pn.node
 	pn.incarnation++
 	n.frozen, n.backlog = false, nil
-	pn.worker = NewWorker(pn.spec, types.ID(fmt.Sprintf("%s.%d", n.addr, pn.incarnation)), n.world.newRandom(), n.world.record)
+	pn.worker = worker.NewPolling(pn.spec, types.ID(fmt.Sprintf("%s.%d", n.addr, pn.incarnation)), n.world.newRandom(), n.world.record)
 	pn.worker.IgnoresLease, pn.worker.IgnoresCapacity = pn.ignoresLease, pn.ignoresCapacity
 	pn.reportedTo = map[types.AttemptID]int{}
 	n.world.record(history.Event{Kind: history.WorkerStaying, Process: string(pn.worker.ID), Shard: pn.spec.Shard, Worker: &pn.spec})
@@ -108,7 +109,7 @@
 	}
 	w, gen := pn.node.world, pn.incarnation
 	p := pn.worker.NextPoll(pn.node.monotonic())
-	current := func() bool { return pn.incarnation == gen && pn.worker != nil && p.Call == pn.worker.lastPoll }
+	current := func() bool { return pn.incarnation == gen && pn.worker != nil && pn.worker.IsLatest(p) }
 	onReceived := func(n *node) {
 		for _, e := range p.Ended {
 			if pn.reportedTo[e.Attempt] != n.incarnation {
@@ -124,7 +125,7 @@
 			}
 			var r protocol.PollReply
 			if a.Error == nil && json.Unmarshal(a.Body, &r) == nil {
-				pn.worker.HandleAnswer(pn.node.monotonic(), r)
+				pn.worker.HandleReply(pn.node.monotonic(), r)
 			}
 			w.after(time.Millisecond, func() {
 				if current() {
--- a/sim/run.go
+++ b/sim/run.go
@@ -13,6 +13,7 @@
 	"coppercourse/internal/settings"
 	"coppercourse/internal/types"
 	"coppercourse/sim/history"
+	"coppercourse/sim/worker"
 )
 
 // Plan is what a run does.
@@ -54,7 +55,7 @@
 	r := &Run{World: NewWorld(p.Seed), Plan: p, zones: map[types.Zone][]types.Addr{}, drained: map[string]bool{}}
 	size := deployment.effectiveSize()
 	if deployment.WorkerRules != nil {
-		r.environment = NewWorkerEnvironment(*deployment.WorkerRules)
+		r.environment = worker.NewEnvironment(*deployment.WorkerRules)
 	}
 	if p.Quick {
 		r.timeouts, r.raftTimeouts = settings.QuickTimeouts.Dispatch(), settings.QuickTimeouts.Raft()
--- a/sim/scale.go
+++ b/sim/scale.go
@@ -272,7 +272,7 @@
 func (r *Run) runningTasks() (n int) {
 	for _, h := range r.pollingWorkers {
 		if h.worker != nil {
-			n += len(h.worker.running)
+			n += h.worker.Running()
 		}
 	}
 	return
--- a/sim/turnover_test.go
+++ b/sim/turnover_test.go
@@ -10,6 +10,7 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/sim/history"
+	"coppercourse/sim/worker"
 )
 
 // The room of an end that is on its way into the log is given out at once: the end
@@ -25,7 +26,7 @@
 	r.after(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
 	r.RunUntil(8 * time.Second)
 	r.submitJob("wide", state.Spec{Queue: "menus", Steps: []state.Step{{Name: "s0", Kind: "work", Resources: types.Resources{Cores: 9 * types.Core, MemoryMB: 64}, Tasks: 200,
-		Work: Work{MS: 300}.encode(), EstimateMillis: 300}}})
+		Work: worker.Work{DurationMS: 300}.Encode(), EstimateMillis: 300}}})
 	r.RunUntil(20 * time.Second)
 	last, gaps := map[string]int64{}, []time.Duration{}
 	for _, h := range r.History.Events {
--- a/sim/verdict.go
+++ b/sim/verdict.go
@@ -32,7 +32,7 @@
 	b := DefaultBounds
 	b.ShortPatience = r.Plan.Patience < 10*time.Second
 	if r.environment != nil {
-		v.Violations, v.Coverage = CheckInvoked(&r.History, InvokedBounds(r.environment.WorkerRules), r.endedAt)
+		v.Violations, v.Coverage = CheckInvoked(&r.History, InvokedBounds(r.environment.Rules), r.endedAt)
 	} else {
 		v.Violations, v.Coverage = Check(&r.History, b, r.endedAt, r.Plan.Patience)
 	}
--- a/sim/work.go
+++ b/sim/work.go
@@ -17,6 +17,7 @@
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 	"coppercourse/sim/history"
+	"coppercourse/sim/worker"
 )
 
 // RunningAttempt runs a worker until ctx ends.
@@ -31,7 +32,8 @@
 		file.Write(append(wire.EncodeBody(h), '\n'))
 	}
 	var mu sync.Mutex
-	w := NewWorker(spec, types.ID(id), rand.New(rand.NewSource(seed)), record)
+	w := worker.NewPolling(spec, types.ID(id), rand.New(rand.NewSource(seed)), record)
+	w.HasUpdate = true // so that the first poll is sent at once
 	record(history.Event{Kind: history.WorkerStaying, Process: id, Shard: spec.Shard, Worker: &spec})
 	client := server.NewClient(sourceIP, 500*time.Millisecond)
 	reported := map[types.AttemptID]bool{}
@@ -48,9 +50,9 @@
 					record(history.Event{Kind: history.EndReported, Process: agent, Attempt: e.Attempt, Outcome: e.Outcome})
 				}
 			}
-			w.HandleAnswer(server.Now().Mono, a)
+			w.HandleReply(server.Now().Mono, a)
 		}
-		w.HasUpdate = w.HasUpdate || p.Call == w.lastPoll
+		w.HasUpdate = w.HasUpdate || w.IsLatest(p)
 		mu.Unlock()
 	}
 	t := time.NewTicker(5 * time.Millisecond)
@@ -58,7 +60,7 @@
 	for {
 		mu.Lock()
 		w.Tick(server.Now().Mono)
-		if w.HasUpdate || w.lastPoll == 0 {
+		if w.HasUpdate {
 			go poll(w.NextPoll(server.Now().Mono))
 		}
 		mu.Unlock()
--- a/sim/world.go
+++ b/sim/world.go
@@ -22,6 +22,7 @@
 	"coppercourse/internal/wal"
 	"coppercourse/internal/wire"
 	"coppercourse/sim/history"
+	"coppercourse/sim/worker"
 )
 
 const (
@@ -73,7 +74,7 @@
 	pollingWorkers   []*pollingNode
 	invokedWorkers   []*invokedNode
 	invokedByAddress map[types.Addr]*invokedNode // by where they are called
-	environment      *WorkerEnvironment
+	environment      *worker.Environment
 	timeouts         protocol.Timeouts
 	raftTimeouts     raft.Timeouts
 	History          history.History
