--- /dev/null
+++ b/cmd/coppercourse/daemon_flags.go
@@ -0,0 +1,124 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"github.com/alecthomas/kingpin/v2"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/membership"
+	"coppercourse/internal/settings"
+)
+
+// roleHelp are the help texts of the roles of a daemon.
+var roleHelp = map[string]string{
+	membership.RoleController: "Run a controller: it replicates the state and, as leader, schedules. Needs a disk.",
+	membership.RoleGateway:    "Run a gateway: the entry point for callers and operators. Keeps nothing on disk.",
+	membership.RoleAgent:      "Run the agent of a worker: it starts and stops the worker's tasks. Keeps nothing on disk.",
+}
+
+// addDaemons adds a command for each role.
+func addDaemons(app *kingpin.Application, commands commandSet) {
+	for _, role := range []string{membership.RoleController, membership.RoleGateway, membership.RoleAgent} {
+		flags := &daemonFlags{}
+		flags.addTo(app.Command(role, roleHelp[role]), role)
+		commands[role] = func() error { return flags.run(role) }
+	}
+}
+
+// daemonFlags are the command-line flags of a daemon. A flag overrides the settings file.
+type daemonFlags struct {
+	settingsFile string
+	listen       string
+	address      string
+	source       string
+	zone         string
+	seeds        []string
+	dataDir      string
+	shard        string
+	logLevel     string
+	check        bool
+}
+
+func (f *daemonFlags) addTo(command *kingpin.CmdClause, role string) {
+	command.Flag("settings", "Settings file (JSON); flags override it.").
+		PlaceHolder("FILE").StringVar(&f.settingsFile)
+	command.Flag("listen", "Address to listen on. Default 127.0.0.1:7400.").
+		PlaceHolder("IP:PORT").StringVar(&f.listen)
+	command.Flag("address", "Address by which other daemons reach this one. Default: --listen.").
+		PlaceHolder("IP:PORT").StringVar(&f.address)
+	command.Flag("source", "Local address of outgoing connections. Default: the system's choice.").
+		PlaceHolder("IP").StringVar(&f.source)
+	command.Flag("locality", "Zone of this daemon.").
+		PlaceHolder("ZONE").StringVar(&f.zone)
+	command.Flag("seed", "Address of any other daemon, to find the cluster by; may be repeated up to three times.").
+		PlaceHolder("IP:PORT").StringsVar(&f.seeds)
+	command.Flag("log", "Level of the log: info or debug. Default info.").
+		PlaceHolder("LEVEL").StringVar(&f.logLevel)
+	command.Flag("check", "Check the settings and exit.").BoolVar(&f.check)
+	switch role {
+	case membership.RoleController:
+		command.Flag("data", "Folder of the write-ahead log, empty at the first start.").
+			PlaceHolder("FOLDER").StringVar(&f.dataDir)
+	case membership.RoleAgent:
+		command.Flag("shard", "Name of the worker beside this agent.").
+			PlaceHolder("NAME").StringVar(&f.shard)
+	}
+}
+
+// run runs a daemon, or with --check only reads its settings.
+func (f *daemonFlags) run(role string) error {
+	s, err := f.settings(role)
+	if err != nil {
+		return err
+	}
+	if f.check {
+		fmt.Println("the settings are valid")
+		return nil
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	return newDaemon(role, s).run(ctx, role)
+}
+
+// settings returns the settings of a daemon: defaults, overridden by the settings file and
+// that by the flags.
+func (f *daemonFlags) settings(role string) (settings.Settings, error) {
+	s, errs := settings.Defaults(), &apierror.ErrorList{}
+	if f.settingsFile != "" {
+		document, err := os.ReadFile(f.settingsFile)
+		if err != nil {
+			return s, apierror.Wrap(apierror.BadSetting, err, "settings file")
+		}
+		settings.Read(document, &s, errs)
+	}
+	f.override(&s)
+	s.Validate(role, errs)
+	return s, errs.Err()
+}
+
+func (f *daemonFlags) override(s *settings.Settings) {
+	for _, flag := range []struct {
+		value   string
+		setting *string
+	}{
+		{f.listen, &s.Listen},
+		{f.address, &s.Address},
+		{f.source, &s.Source},
+		{f.zone, &s.Zone},
+		{f.dataDir, &s.Data},
+		{f.shard, &s.Shard},
+		{f.logLevel, &s.Log},
+	} {
+		if flag.value != "" {
+			*flag.setting = flag.value
+		}
+	}
+	if f.seeds != nil {
+		s.Seeds = f.seeds
+	}
+}
--- /dev/null
+++ b/cmd/coppercourse/gateway_client.go
@@ -0,0 +1,103 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/alecthomas/kingpin/v2"
+
+	"coppercourse/internal/apierror"
+)
+
+const (
+	requestTimeout   = 10 * time.Second
+	maxResponseBytes = 64 << 20
+)
+
+// addClient adds the commands that ask a gateway. Each prints the response, or its errors
+// one a line with a non-zero exit code.
+func addClient(app *kingpin.Application, commands commandSet) {
+	client := &gatewayClient{http: &http.Client{Timeout: requestTimeout}}
+	app.Flag("gateway", "Gateway to ask, for the commands that ask one. Default 127.0.0.1:7410.").
+		PlaceHolder("IP:PORT").Default("127.0.0.1:7410").Envar("COPPERCOURSE_GATEWAY").StringVar(&client.gateway)
+	addTable(app, client, commands)
+	addJobs(app, client, commands)
+	addViews(app, client, commands)
+	addDrains(app, client, commands)
+	addCalendars(app, client, commands)
+	addGone(app, client, commands)
+	addTrace(app, client, commands)
+}
+
+// addViews adds the commands that print one page of a gateway.
+func addViews(app *kingpin.Application, client *gatewayClient, commands commandSet) {
+	for _, view := range []struct{ name, help, path string }{
+		{"queues", "List the queues with their jobs and tasks.", "/v1/queues"},
+		{"workers", "List the workers with their health and capacity, as the leader sees them.", "/v1/workers"},
+		{"peers", "List the daemons of the cluster, as the gateway sees them.", "/v1/mates"},
+		{"status", "Print the leader's status: term, members, table edition, counters.", "/v1/leader"},
+		{"drains", "List the drained workers and racks, and what still runs there.", "/v1/drains"},
+		{"calendars", "List the maintenance calendars and their next windows.", "/v1/calendars"},
+	} {
+		app.Command(view.name, view.help)
+		commands[view.name] = func() error { return client.print(http.MethodGet, view.path, nil) }
+	}
+}
+
+// gatewayClient asks the gateway that the command line names, and other daemons.
+type gatewayClient struct {
+	gateway string // IP:port; set when the command line has been parsed
+	http    *http.Client
+}
+
+// print asks the gateway and prints its response, indented.
+func (c *gatewayClient) print(method, path string, body []byte) error {
+	response, err := c.fetch(c.gateway, method, path, body)
+	if err != nil {
+		return err
+	}
+	var out bytes.Buffer
+	if json.Indent(&out, response, "", "  ") != nil {
+		out.Write(response)
+	}
+	fmt.Println(out.String())
+	return nil
+}
+
+// fetch asks the daemon at an address and returns the body of its response. A request that
+// it rejects is returned as an *apierror.Error, possibly wrapped.
+func (c *gatewayClient) fetch(addr, method, path string, body []byte) ([]byte, error) {
+	req, err := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(body))
+	if err != nil {
+		return nil, apierror.Wrap(apierror.BadSetting, err, "address")
+	}
+	res, err := c.http.Do(req)
+	if err != nil {
+		return nil, apierror.Wrap(apierror.NotReady, err, "no response")
+	}
+	defer res.Body.Close()
+	response, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
+	if err != nil {
+		return nil, apierror.Wrap(apierror.NotReady, err, "response cut short")
+	}
+	if res.StatusCode >= http.StatusMultipleChoices {
+		return nil, responseError(addr, res.Status, response)
+	}
+	return response, nil
+}
+
+// responseError makes an error of a response that is not 2xx.
+func responseError(addr, status string, body []byte) error {
+	rejection := &apierror.Error{}
+	if json.Unmarshal(body, rejection) != nil || rejection.Kind == "" {
+		return fmt.Errorf("%s answered %s", addr, status)
+	}
+	if rejection.RetryAfterSeconds > 0 {
+		return fmt.Errorf("%w (retry after %d s)", rejection, rejection.RetryAfterSeconds)
+	}
+	return rejection
+}
--- /dev/null
+++ b/cmd/coppercourse/job_commands.go
@@ -0,0 +1,47 @@
+package main
+
+import (
+	"net/http"
+	"os"
+
+	"github.com/alecthomas/kingpin/v2"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/state"
+)
+
+func addJobs(app *kingpin.Application, client *gatewayClient, commands commandSet) {
+	job := app.Command("job", "Submit, show or cancel a job.")
+
+	send := job.Command("send", "Submit a job. Submitting the same id and file again changes nothing.")
+	sendID := send.Arg("id", "Id of the job, chosen by the caller.").Required().String()
+	sendFile := send.Arg("file", "Job file (JSON).").Required().String()
+	commands["job send"] = func() error {
+		body, err := readJob(*sendFile)
+		if err != nil {
+			return err
+		}
+		return client.print(http.MethodPut, "/v1/jobs/"+*sendID, body)
+	}
+
+	show := job.Command("show", "Print a job's state and tasks.")
+	showID := show.Arg("id", "Id of the job.").Required().String()
+	commands["job show"] = func() error { return client.print(http.MethodGet, "/v1/jobs/"+*showID, nil) }
+
+	cancel := job.Command("cancel", "Cancel a job: what runs is stopped, nothing more starts.")
+	cancelID := cancel.Arg("id", "Id of the job.").Required().String()
+	commands["job cancel"] = func() error {
+		return client.print(http.MethodPost, "/v1/jobs/"+*cancelID+"/cancel", nil)
+	}
+}
+
+// readJob reads and checks a job.
+func readJob(path string) ([]byte, error) {
+	document, err := os.ReadFile(path)
+	if err != nil {
+		return nil, apierror.Wrap(apierror.BadBody, err, "job file")
+	}
+	errs := &apierror.ErrorList{}
+	state.ReadSpec(document, errs)
+	return document, errs.Err()
+}
--- a/cmd/coppercourse/layers_test.go
+++ b/cmd/coppercourse/layers_test.go
@@ -23,7 +23,10 @@
 	{"internal/types", "internal/apierror"},
 	{"internal/wire", "internal/config", "internal/trace", "internal/wal", "internal/supervisor"},
 	{"internal/wal/waltest", "internal/goldentest"},
-	{"internal/raft", "internal/membership", "internal/state", "internal/placement", "internal/configwatch", "internal/workqueue"},
+	{
+		"internal/raft", "internal/membership", "internal/state", "internal/placement", "internal/configwatch",
+		"internal/workqueue",
+	},
 	{"internal/dispatch", "internal/maintenance"},
 	{"internal/controller", "internal/gateway", "internal/agent", "internal/settings", "internal/server"},
 	{"platform"},
--- a/cmd/coppercourse/main.go
+++ b/cmd/coppercourse/main.go
@@ -1,7 +1,9 @@
-// Coppercourse is a cluster scheduler for jobs, as one program: each role of a
-// daemon is a subcommand, and so is each request to a gateway. main.go parses the
-// command line; daemons.go and platform.go start the daemons; client.go,
-// maintenance.go and trace.go hold the commands that ask a gateway.
+// Coppercourse is a cluster scheduler for jobs, as one program: each role of a daemon is
+// a command, and so is each request of an operator to a gateway.
+//
+// main.go parses the command line. daemon.go, daemon_flags.go and platform.go start
+// daemons, state_log.go writes the log lines of their life. gateway_client.go asks a
+// gateway for the commands in the other files.
 package main
 
 import (
@@ -21,7 +23,6 @@
 func main() {
 	app := kingpin.New("coppercourse", "A cluster scheduler for jobs that keeps working when a zone is cut off.")
 	app.Version(version).HelpFlag.Short('h')
-	app.UsageTemplate(kingpin.CompactUsageTemplate)
 	commands := commandSet{}
 	addDaemons(app, commands)
 	addPlatform(app, commands)
--- a/cmd/coppercourse/platform.go
+++ b/cmd/coppercourse/platform.go
@@ -1,8 +1,5 @@
 package main
 
-// The daemons on the users' platform: settings from the platform's file, the same
-// state machines and pages, and beside them the addresses that the platform calls.
-
 import (
 	"context"
 	"fmt"
@@ -13,25 +10,24 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"coppercourse/internal/config"
+	"coppercourse/internal/membership"
 	"coppercourse/internal/server"
-	"coppercourse/internal/types"
 	"coppercourse/platform"
 )
 
-// addPlatform adds the commands that run or check a daemon on the platform.
+// addPlatform adds the commands that run or check a daemon on the users' platform.
 func addPlatform(app *kingpin.Application, commands commandSet) {
-	c := app.Command("platform", "Run a daemon from the settings file of the platform, or check one.")
+	command := app.Command("platform", "Run a daemon from the settings file of the platform, or check such a file.")
 	for _, role := range platform.Roles {
-		c.Command(role, roleHelp[role])
+		command.Command(role, roleHelp[role]+" $"+platform.SettingsFileVariable+" names its settings file.")
 		commands["platform "+role] = func() error { return runPlatform(role) }
 	}
-	check := c.Command("check", "Check a settings file and tell what the daemon would do.")
+	check := command.Command("check", "Check a settings file of the platform and print what the daemon would do.")
 	file := check.Arg("file", "Settings file (YAML).").Required().String()
 	commands["platform check"] = func() error {
-		b, err := platform.LoadFile("", *file)
+		s, err := platform.LoadFile("", *file)
 		if err == nil {
-			fmt.Println(strings.Join(b.Describe(), "\n"))
+			fmt.Println(strings.Join(s.Describe(), "\n"))
 		}
 		return err
 	}
@@ -40,18 +36,18 @@
 // runPlatform runs a daemon from the settings file that the platform names.
 func runPlatform(role string) error {
 	signal.Ignore(syscall.SIGHUP) // until the file is watched
-	b, path, err := platform.LoadFromEnvironment(role)
+	s, path, err := platform.LoadFromEnvironment(role)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	debug.SetGCPercent(gcPercent(b.DaemonRole()))
-	debug.SetMemoryLimit(b.MemoryLimit)
-	d := &daemon{ctx: ctx, log: logger(role, b.Daemon), settings: b.Daemon}
-	platform.WatchFile(ctx, d.log, path, b, nil)
-	platformAdapters[role](b, d)
-	return runners[b.DaemonRole()](d)
+	debug.SetGCPercent(gcPercent(s.DaemonRole()))
+	debug.SetMemoryLimit(s.MemoryLimit)
+	d := newDaemon(role, s.Daemon)
+	d.adapt = func(handlers *server.Handlers) platformAdapter { return newPlatformAdapter(s, handlers) }
+	platform.WatchFile(ctx, d.log, path, s, nil)
+	return d.run(ctx, s.DaemonRole())
 }
 
 // How far the heap grows between two collections, in percent. For gateways and agents,
@@ -63,37 +59,36 @@
 	gcPercentController = 200
 )
 
-func gcPercent(machine string) int {
-	if machine == "controller" {
+func gcPercent(role string) int {
+	if role == membership.RoleController {
 		return gcPercentController
 	}
 	return gcPercentSmall
 }
 
-// maxPeerConnections bounds the connections to an address that only operators or one worker
-// call.
+// maxPeerConnections bounds the connections to an address that only operators or one
+// worker call.
 const maxPeerConnections = 256
 
-// platformAdapters adds to the daemon of each role the addresses that the platform calls.
-var platformAdapters = map[string]func(platform.Settings, *daemon){
-	"gateway": func(b platform.Settings, d *daemon) {
-		var front *platform.GatewayHandler
-		d.publishTable = func(t config.Table, confirmedUntil types.MonoTime) { front.Publish(t, confirmedUntil) }
-		d.platformPorts = func(p *server.Handlers) []server.Endpoint {
-			front = platform.NewGatewayHandler(p.Loop)
-			return []server.Endpoint{{Addr: b.FrontAddr, Handler: front, Limits: front.Limits, MaxConns: d.settings.MaxConns},
-				{Addr: b.ReadinessAddr, Handler: platform.ReadinessHandler(p.IsReady), MaxConns: maxPeerConnections}}
-		}
-	},
-	"controller": func(b platform.Settings, d *daemon) {
-		d.platformPorts = func(p *server.Handlers) []server.Endpoint {
-			return []server.Endpoint{{Addr: b.ControlAddr, Handler: platform.NewControlHandler(p.Loop, b.ControlAddr).Handler(), MaxConns: maxPeerConnections}}
-		}
-	},
-	"agent": func(b platform.Settings, d *daemon) {
-		d.workerCaller = platform.NewWorkerClient().Call
-		d.platformPorts = func(p *server.Handlers) []server.Endpoint {
-			return []server.Endpoint{{Addr: b.ControlAddr, Handler: platform.NewAgentHandler(p.Loop, b.WorkerAddr).Handler(), MaxConns: maxPeerConnections}}
-		}
-	},
+// newPlatformAdapter returns what the platform adds to a daemon. Its role in the settings
+// decides: a controller without a disk runs as a gateway, and still serves the operator.
+func newPlatformAdapter(s platform.Settings, handlers *server.Handlers) platformAdapter {
+	switch s.Role {
+	case membership.RoleGateway:
+		clients := platform.NewGatewayHandler(handlers.Loop)
+		return platformAdapter{clients: clients, endpoints: []server.Endpoint{
+			{Addr: s.FrontAddr, Handler: clients, Limits: clients.Limits, MaxConns: s.Daemon.MaxConns},
+			{Addr: s.ReadinessAddr, Handler: platform.ReadinessHandler(handlers.IsReady), MaxConns: maxPeerConnections},
+		}}
+	case membership.RoleController:
+		operator := platform.NewControlHandler(handlers.Loop, s.ControlAddr)
+		return platformAdapter{endpoints: []server.Endpoint{
+			{Addr: s.ControlAddr, Handler: operator.Handler(), MaxConns: maxPeerConnections},
+		}}
+	default:
+		worker := platform.NewAgentHandler(handlers.Loop, s.WorkerAddr)
+		return platformAdapter{callWorker: platform.NewWorkerClient().Call, endpoints: []server.Endpoint{
+			{Addr: s.ControlAddr, Handler: worker.Handler(), MaxConns: maxPeerConnections},
+		}}
+	}
 }
--- a/cmd/coppercourse/platform_test.go
+++ b/cmd/coppercourse/platform_test.go
@@ -1,9 +1,5 @@
 package main
 
-// The program as the platform runs it: a changed settings file and SIGHUP do not
-// end it, SIGTERM does within the grace period, and an invalid file ends it at once
-// with all errors reported and nothing written.
-
 import (
 	"bufio"
 	"bytes"
@@ -24,6 +20,7 @@
 	"coppercourse/platform"
 )
 
+// asProgramVariable is set where the test binary is to run as the program itself.
 const asProgramVariable = "COPPERCOURSE_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -34,30 +31,37 @@
 	os.Exit(m.Run())
 }
 
+// program returns the program as the platform runs it with a settings file.
 func program(file string, args ...string) *exec.Cmd {
-	c := exec.Command(os.Args[0], args...)
-	c.Env = append(os.Environ(), asProgramVariable+"=1", platform.SettingsFileVariable+"="+file)
-	return c
+	command := exec.Command(os.Args[0], args...)
+	command.Env = append(os.Environ(), asProgramVariable+"=1", platform.SettingsFileVariable+"="+file)
+	return command
 }
 
-// ports returns free ports, the inner ones in a row.
-func ports() (inner int, outer [3]int) {
-	for base := 20_000 + os.Getpid()%20_000; ; base += 10 {
+// freePorts returns six free ports in a row: three inner ones, and three for the
+// platform's calls.
+func freePorts() (firstInner int, outer [3]int) {
+	const ports = 6
+	for first := 20_000 + os.Getpid()%20_000; ; first += 10 {
 		free := true
-		for p := base; p < base+6; p++ {
-			ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", p))
-			if free = free && err == nil; err == nil {
-				ln.Close()
+		for port := first; port < first+ports; port++ {
+			listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
+			free = free && err == nil
+			if err == nil {
+				listener.Close()
 			}
 		}
 		if free {
-			return base, [3]int{base + 3, base + 4, base + 5}
+			return first, [3]int{first + 3, first + 4, first + 5}
 		}
 	}
 }
 
-func settingsFile(t *testing.T) (path string, front, ready int) {
-	inner, outer := ports()
+// writeGatewaySettings writes a settings file of a gateway with a grace period of one
+// second and a seed that nobody listens at.
+func writeGatewaySettings(t *testing.T) (path string, frontPort, readinessPort int) {
+	t.Helper()
+	inner, outer := freePorts()
 	path = filepath.Join(t.TempDir(), "local.yaml")
 	text := fmt.Sprintf(`
 nodeName: "n"
@@ -75,38 +79,55 @@
 	return path, outer[0], outer[1]
 }
 
-func TestADeployedGatewayLivesAndEnds(t *testing.T) {
-	is := is.New(t)
-	path, front, ready := settingsFile(t)
-	c := program(path, "platform", "gateway")
-	out, err := c.StderrPipe()
-	is.NoErr(err)
-	is.NoErr(c.Start())
-	defer c.Process.Kill()
+// logReader reads a program's log.
+type logReader struct{ lines chan string }
+
+func readLog(stderr io.Reader) logReader {
 	lines := make(chan string, 100)
 	go func() {
-		for s := bufio.NewScanner(out); s.Scan(); {
-			lines <- s.Text()
+		defer close(lines)
+		for scanner := bufio.NewScanner(stderr); scanner.Scan(); {
+			lines <- scanner.Text()
 		}
-		close(lines)
 	}()
-	until := func(what string) {
-		for late := time.After(2 * time.Minute); ; {
-			select {
-			case l, ok := <-lines:
-				if strings.Contains(l, what) {
-					return
-				}
-				if !ok {
-					t.Fatal("ended before it said: " + what)
-				}
-			case <-late:
-				t.Fatal("not said: " + what)
+	return logReader{lines}
+}
+
+// await reads on until a line holds a text.
+func (l logReader) await(t *testing.T, text string) {
+	t.Helper()
+	timeout := time.After(2 * time.Minute)
+	for {
+		select {
+		case line, ok := <-l.lines:
+			if !ok {
+				t.Fatal("the program ended before it logged: " + text)
+			}
+			if strings.Contains(line, text) {
+				return
 			}
+		case <-timeout:
+			t.Fatal("not logged: " + text)
 		}
 	}
-	until(`"table_edition"`)
-	for _, url := range []string{fmt.Sprintf("http://127.0.0.1:%d/coppercourse/readiness", ready), fmt.Sprintf("http://127.0.0.1:%d/a/5c0e7a21d94b36f8", front)} {
+}
+
+// A changed settings file and SIGHUP do not end a daemon, and SIGTERM does within the
+// grace period.
+func TestADeployedGatewayLivesAndEnds(t *testing.T) {
+	is := is.New(t)
+	path, frontPort, readinessPort := writeGatewaySettings(t)
+	daemon := program(path, "platform", "gateway")
+	stderr, err := daemon.StderrPipe()
+	is.NoErr(err)
+	is.NoErr(daemon.Start())
+	defer daemon.Process.Kill()
+	log := readLog(stderr)
+	log.await(t, `"table_edition"`)
+	for _, url := range []string{
+		fmt.Sprintf("http://127.0.0.1:%d/coppercourse/readiness", readinessPort),
+		fmt.Sprintf("http://127.0.0.1:%d/a/5c0e7a21d94b36f8", frontPort),
+	} {
 		res, err := http.Get(url)
 		is.NoErr(err)
 		io.Copy(io.Discard, res.Body)
@@ -114,30 +135,39 @@
 		is.Equal(res.StatusCode, 503)
 		is.Equal(res.Header.Get("Retry-After"), "1")
 	}
-	is.NoErr(c.Process.Signal(syscall.SIGHUP))
-	until("settings file reloaded")
-	is.NoErr(c.Process.Signal(syscall.SIGTERM))
-	until(`"not_ready_for":"400ms","timeout":"750ms"`) // of the second there is; door's tests hold it to that
-	until(`"stopped"`)
-	is.NoErr(c.Wait())
+	is.NoErr(daemon.Process.Signal(syscall.SIGHUP))
+	log.await(t, "settings file reloaded")
+	is.NoErr(daemon.Process.Signal(syscall.SIGTERM))
+	// Of the second that there is; the server's tests check that it keeps to these.
+	log.await(t, `"not_ready_for":"400ms","timeout":"750ms"`)
+	log.await(t, `"stopped"`)
+	is.NoErr(daemon.Wait())
 }
 
+// An invalid settings file ends the program at once, with all errors reported and nothing
+// written.
 func TestABadFileEndsItWithEveryFault(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	path := filepath.Join(folder, "local.yaml")
-	is.NoErr(os.WriteFile(path, []byte("ip: \"x\"\nserves: [\"control\"]\ndataDir: \""+folder+"/data\"\ncommands: \"heartbeat\"\n"), 0o600))
+	text := "ip: \"x\"\nserves: [\"control\"]\ndataDir: \"" + folder + "/data\"\ncommands: \"heartbeat\"\n"
+	is.NoErr(os.WriteFile(path, []byte(text), 0o600))
 	for _, args := range [][]string{{"platform", "controller"}, {"platform", "check", path}} {
-		var said bytes.Buffer
-		c := program(path, args...)
-		c.Stderr = &said
-		is.True(c.Run() != nil)
-		is.Equal(c.ProcessState.ExitCode(), 1)
-		for _, f := range []string{"ip", "zone", "nodeName", "innerPortRange", "seedList", "listenAddrs.control", "commands"} {
-			is.True(strings.Contains(said.String(), ": "+f+": "))
-		}
+		t.Run(strings.Join(args[:2], " "), func(t *testing.T) {
+			is := is.New(t)
+			var stderr bytes.Buffer
+			command := program(path, args...)
+			command.Stderr = &stderr
+			is.True(command.Run() != nil)
+			is.Equal(command.ProcessState.ExitCode(), 1)
+			for _, field := range []string{
+				"ip", "zone", "nodeName", "innerPortRange", "seedList", "listenAddrs.control", "commands",
+			} {
+				is.True(strings.Contains(stderr.String(), ": "+field+": ")) // the field is reported
+			}
+		})
 	}
-	list, err := os.ReadDir(folder)
+	files, err := os.ReadDir(folder)
 	is.NoErr(err)
-	is.Equal(len(list), 1)
+	is.Equal(len(files), 1)
 }
--- a/cmd/coppercourse/state_log_test.go
+++ b/cmd/coppercourse/state_log_test.go
@@ -13,21 +13,27 @@
 // Each change of a daemon's state is logged once, with a message that names it.
 func TestStateChangesAreLoggedOnce(t *testing.T) {
 	t.Run("controller", func(t *testing.T) {
-		follower := controllerState{raftRole: "follower", term: 1, leader: "a", members: 3, voters: 3}
-		leader := controllerState{raftRole: "leader", term: 2, leader: "b", members: 3, voters: 3, initialWait: true}
+		bootstrapped := controllerState{raftRole: "follower", members: 3, voters: 3}
+		following := controllerState{raftRole: "follower", term: 1, leader: "a", members: 3, voters: 3}
+		leaderless := controllerState{raftRole: "follower", term: 1, members: 3, voters: 3}
+		candidate := controllerState{raftRole: "candidate", term: 2, members: 3, voters: 3}
+		elected := controllerState{raftRole: "leader", term: 2, leader: "b", members: 3, voters: 3, initialWait: true}
+		placing := controllerState{raftRole: "leader", term: 2, leader: "b", members: 3, voters: 3}
+		enlarged := controllerState{raftRole: "leader", term: 2, leader: "b", members: 4, voters: 4}
+		behind := controllerState{raftRole: "leader", term: 2, leader: "b", members: 4, voters: 4, overloaded: true}
 		checkStateLog(t, []loggedState[controllerState]{
 			{"start without data", controllerState{raftRole: "empty"}, "waiting for bootstrap"},
 			{"still the same", controllerState{raftRole: "empty"}, ""},
 			{"wait has a reason", controllerState{raftRole: "empty", reason: "so"}, "controller state changed"},
-			{"bootstrapped", controllerState{raftRole: "follower", members: 3, voters: 3}, "became follower"},
-			{"leader elected", follower, "following new leader"},
-			{"leader silent", with(follower, func(s *controllerState) { s.leader = "" }), "lost contact with leader"},
-			{"election", controllerState{raftRole: "candidate", term: 2, members: 3, voters: 3}, "became candidate"},
-			{"won", leader, "became leader"},
-			{"initial wait over", with(leader, func(s *controllerState) { s.initialWait = false }), "started placing tasks"},
-			{"voter added", with(leader, func(s *controllerState) { s.initialWait, s.members, s.voters = false, 4, 4 }), "membership changed"},
-			{"overload begins", with(leader, func(s *controllerState) { s.members, s.voters, s.overloaded = 4, 4, true }), "overloaded"},
-			{"overload ends", with(leader, func(s *controllerState) { s.members, s.voters = 4, 4 }), "no longer overloaded"},
+			{"bootstrapped", bootstrapped, "became follower"},
+			{"leader elected", following, "following new leader"},
+			{"leader silent", leaderless, "lost contact with leader"},
+			{"election", candidate, "became candidate"},
+			{"won", elected, "became leader"},
+			{"initial wait over", placing, "started placing tasks"},
+			{"voter added", enlarged, "membership changed"},
+			{"overload begins", behind, "overloaded"},
+			{"overload ends", enlarged, "no longer overloaded"},
 			{"joins as a learner", controllerState{raftRole: "learner"}, "became learner"},
 			{"removed", controllerState{raftRole: "out"}, "removed from cluster"},
 		})
@@ -66,7 +72,8 @@
 	t.Helper()
 	is := is.New(t)
 	var lines []string
-	logger := stateLogger[S]{log: funcr.NewJSON(func(line string) { lines = append(lines, line) }, funcr.Options{})}
+	write := func(line string) { lines = append(lines, line) }
+	logger := stateLogger[S]{log: funcr.NewJSON(write, funcr.Options{})}
 	for _, step := range steps {
 		lines = nil
 		logger.update(step.state)
@@ -80,8 +87,3 @@
 		}
 	}
 }
-
-func with(s controllerState, change func(*controllerState)) controllerState {
-	change(&s)
-	return s
-}
--- /dev/null
+++ b/cmd/coppercourse/table_commands.go
@@ -0,0 +1,63 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"os"
+
+	"github.com/alecthomas/kingpin/v2"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
+)
+
+// fileBase, as a base version, leaves a table the one that its file names.
+const fileBase = -1
+
+func addTable(app *kingpin.Application, client *gatewayClient, commands commandSet) {
+	table := app.Command("table", "Print, replace or check the table of queues.")
+	table.Command("get", "Print the table in force.")
+	commands["table get"] = func() error { return client.print(http.MethodGet, "/v1/table", nil) }
+
+	put := table.Command("put", "Replace the whole table. The edition in the file must be the one in force.")
+	putFile := put.Arg("file", "Table file (JSON).").Required().String()
+	base := put.Flag("base", "Edition that must be in force, instead of the file's.").
+		PlaceHolder("EDITION").Default("-1").Int64()
+	commands["table put"] = func() error {
+		body, err := readTable(*putFile, *base)
+		if err != nil {
+			return err
+		}
+		return client.print(http.MethodPut, "/v1/table", body)
+	}
+
+	check := table.Command("check", "Check a table file. Needs no cluster.")
+	checkFile := check.Arg("file", "Table file (JSON).").Required().String()
+	commands["table check"] = func() error {
+		if _, err := readTable(*checkFile, fileBase); err != nil {
+			return err
+		}
+		fmt.Println("the table is valid")
+		return nil
+	}
+}
+
+// readTable reads and checks a table; a base of 0 or more replaces its own.
+func readTable(path string, base int64) ([]byte, error) {
+	document, err := os.ReadFile(path)
+	if err != nil {
+		return nil, apierror.Wrap(apierror.BadBody, err, "table file")
+	}
+	errs := &apierror.ErrorList{}
+	table := config.ReadTable(document, errs)
+	if errs.Err() != nil {
+		return nil, errs.Err()
+	}
+	if base < 0 {
+		return document, nil
+	}
+	table.Version = types.Version(base)
+	return json.Marshal(table)
+}
