--- a/cmd/coppercourse/state_log.go
+++ b/cmd/coppercourse/state_log.go
@@ -8,7 +8,7 @@
 
 	"coppercourse/internal/agent"
 	"coppercourse/internal/controller"
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/gateway"
 	"coppercourse/internal/types"
 )
@@ -138,7 +138,7 @@
 
 // agentState is what is logged of an agent.
 type agentState struct {
-	health   dispatch.Health
+	health   protocol.Health
 	term     types.Term
 	instance types.ID
 	draining bool
--- a/cmd/coppercourse/trace_command.go
+++ b/cmd/coppercourse/trace_command.go
@@ -73,8 +73,8 @@
 	if err := json.Unmarshal(body, &peers); err != nil {
 		return nil, fmt.Errorf("decode the gateway's list of daemons: %w", err)
 	}
-	self := membership.Card{Addr: types.Addr(c.gateway), Role: membership.RoleGateway}
-	return append(peers, membership.Peer{Card: self}), nil
+	self := membership.MemberInfo{Addr: types.Addr(c.gateway), Role: membership.RoleGateway}
+	return append(peers, membership.Peer{MemberInfo: self}), nil
 }
 
 // fetchTrace returns a daemon's trace points of a subject. A daemon that does not answer
