--- a/cmd/coppercourse/layers_test.go
+++ b/cmd/coppercourse/layers_test.go
@@ -27,7 +27,7 @@
 		"internal/raft", "internal/membership", "internal/state", "internal/placement", "internal/configwatch",
 		"internal/workqueue",
 	},
-	{"internal/dispatch", "internal/dispatch/protocol", "internal/maintenance"},
+	{"internal/dispatch", "internal/dispatch/protocol", "internal/maintenance", "internal/daemon"},
 	{"internal/dispatch/scheduler", "internal/dispatch/executor"},
 	{"internal/controller", "internal/gateway", "internal/agent", "internal/settings", "internal/server"},
 	{"platform"},
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -48,5 +48,5 @@
 	a := ask(`{"worker":"a","call":1,"stamp":5}`)
 	is.Equal(a.Error.Kind, apierror.StaleVersion)
 	is.Equal(a.Token, token) // the call held before it is still held
-	is.True(w.pollToken != 0)
+	is.True(w.poll.held())
 }
--- a/internal/gateway/end_reports.go
+++ b/internal/gateway/end_reports.go
@@ -1,10 +1,7 @@
 package gateway
 
-// Reports of ends that controllers without a leader pass on: a gateway keeps them
-// for a while and repeats them to the leader, since the controller that was told,
-// the agent and the worker may all be gone by then.
-
 import (
+	"bytes"
 	"slices"
 	"time"
 
@@ -12,33 +9,49 @@
 	"coppercourse/internal/wire"
 )
 
+// Bounds of the reports that are kept.
 const (
 	reportLifetime = 15 * time.Second
-	reportInterval = time.Second
+	reportInterval = time.Second // between two sends of one report
 	maxReports     = 1024
 )
 
+// endReportBuffer holds reports of ended attempts that controllers without a leader have
+// passed on. They are repeated to the leader for a while, since the controller that had the
+// report, the agent and the worker may all be gone by the time that there is a leader.
+type endReportBuffer struct{ reports []endReport }
+
 type endReport struct {
 	message    wire.Message
 	receivedAt types.MonoTime
-	sentAt     types.MonoTime
+	sentAt     types.MonoTime // neverSent until it is sent
 }
 
-func (g *Gateway) bufferEndReport(n wire.Message) {
-	same := func(r endReport) bool { return string(r.message.Body) == string(n.Body) }
-	if len(g.endReports) < maxReports && !slices.ContainsFunc(g.endReports, same) {
-		g.endReports = append(g.endReports, endReport{n, g.now.Mono, -1 << 62})
+// neverSent lies before all times, and far enough from them to be subtracted.
+const neverSent = types.MonoTime(-1 << 62)
+
+// add keeps a report unless the same is there or there are too many.
+func (b *endReportBuffer) add(now types.MonoTime, message wire.Message) {
+	same := func(r endReport) bool { return bytes.Equal(r.message.Body, message.Body) }
+	if len(b.reports) < maxReports && !slices.ContainsFunc(b.reports, same) {
+		b.reports = append(b.reports, endReport{message, now, neverSent})
 	}
 }
 
-// forwardEndReports tells the leader what was kept.
-func (g *Gateway) forwardEndReports() {
-	g.endReports = slices.DeleteFunc(g.endReports, func(r endReport) bool { return g.now.Mono.Sub(r.receivedAt) > reportLifetime })
-	to := g.members.Leader()
-	for i := range g.endReports {
-		if r := &g.endReports[i]; to != "" && g.now.Mono.Sub(r.sentAt) >= reportInterval {
-			r.sentAt = g.now.Mono
-			g.sends = append(g.sends, wire.OutboundMessage{To: to, Message: r.message})
+// due drops reports that are too old, and returns those that are to be sent to the leader
+// now, if there is one.
+func (b *endReportBuffer) due(now types.MonoTime, leader types.Addr) (messages []wire.OutboundMessage) {
+	b.reports = slices.DeleteFunc(b.reports, func(r endReport) bool {
+		return now.Sub(r.receivedAt) > reportLifetime
+	})
+	if leader == "" {
+		return nil
+	}
+	for i := range b.reports {
+		if r := &b.reports[i]; now.Sub(r.sentAt) >= reportInterval {
+			r.sentAt = now
+			messages = append(messages, wire.OutboundMessage{To: leader, Message: r.message})
 		}
 	}
+	return messages
 }
--- /dev/null
+++ b/internal/gateway/forwarding.go
@@ -0,0 +1,116 @@
+package gateway
+
+import (
+	"time"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+const (
+	// AttemptTimeout is how long one controller is waited for.
+	AttemptTimeout = 700 * time.Millisecond
+	// maxRedirectedAttempts is how often a request was forwarded when the hint of a
+	// controller that does not lead is no longer followed at once.
+	maxRedirectedAttempts = 6
+)
+
+// retryRequests gives up the requests whose time is over, and forwards again those that a
+// controller has not answered in time, or that the previous leader was to answer.
+func (g *Gateway) retryRequests(leader, previous types.Addr) {
+	now := g.core.Now().Mono
+	for _, p := range g.requests.inOrder() {
+		switch {
+		case now.Sub(p.receivedAt) >= p.timeout:
+			g.giveUp(p)
+		case p.target == "" || now.Sub(p.sentAt) >= AttemptTimeout:
+			g.forward(p, "")
+		case leader != "" && leader != previous && p.target == previous:
+			g.forward(p, leader)
+		}
+	}
+}
+
+// giveUp rejects a request that nobody has answered, and says whether a controller may have
+// accepted it.
+func (g *Gateway) giveUp(p *pendingRequest) {
+	g.Counters.GivenUp++
+	if p.maybeAccepted() {
+		g.reject(p, g.errOutcomeUnknown("no answer from the leader; the request may have been taken; send the same again"))
+		return
+	}
+	g.reject(p, g.errNoLeader())
+}
+
+// forward sends a request to the controller of the hint. Without a hint it goes to the
+// leader or, if none is known or the leader has not answered, to the controllers in turn.
+func (g *Gateway) forward(p *pendingRequest, hint types.Addr) {
+	to := hint
+	if to == "" {
+		to = g.core.Leader()
+	}
+	if to == "" || to == p.target && hint == "" {
+		to = g.controllerInTurn(to)
+	}
+	if to == "" {
+		return
+	}
+	p.unresolved = p.maybeAccepted()
+	p.target, p.sentAt = to, g.core.Now().Mono
+	p.attempts++
+	g.Counters.Attempts++
+	body := wire.ForwardedRequest{ID: p.id, Verb: p.Verb, Arg: p.Arg, Body: p.Body}
+	g.core.Send(wire.NewMessage(g.core.Self().Addr, to, wire.ForwardRequest, body))
+}
+
+// controllerInTurn returns the next of the known controllers, or the default if there are
+// none.
+func (g *Gateway) controllerInTurn(byDefault types.Addr) types.Addr {
+	controllers := g.core.Members().Controllers()
+	if len(controllers) == 0 {
+		return byDefault
+	}
+	g.nextController++
+	return controllers[g.nextController%len(controllers)].Addr
+}
+
+// handleForwardReply takes a controller's reply to a request. Replies to requests that are
+// answered already are dropped.
+func (g *Gateway) handleForwardReply(from types.Addr, reply wire.ForwardedReply) {
+	p := g.requests.pending[reply.ID]
+	switch {
+	case p == nil:
+	case reply.NotLeader:
+		g.handleNotLeader(p, from, reply.Leader)
+	case reply.Error == nil:
+		g.respond(p, wire.Response{StatusCode: reply.StatusCode, Body: reply.Body})
+	case reply.Error.Kind == apierror.OutcomeUnknown:
+		p.target, p.unresolved = "", true
+	case saysNotAccepted(reply.Error.Kind) && mutatingVerbs[p.Verb] && (p.unresolved || from != p.target):
+		g.reject(p, g.errOutcomeUnknown("one controller refused the request, another may have taken it; send the same again"))
+	default:
+		g.reject(p, reply.Error)
+	}
+}
+
+// handleNotLeader takes the reply of a controller that does not lead, and so has not
+// accepted the request; it may know the leader.
+func (g *Gateway) handleNotLeader(p *pendingRequest, from, leader types.Addr) {
+	hinted := leader != "" && leader != p.target
+	if from == p.target {
+		p.target, p.sentAt = "", g.core.Now().Mono
+	}
+	if hinted && p.attempts < maxRedirectedAttempts {
+		g.forward(p, leader)
+	}
+}
+
+// saysNotAccepted reports whether the client may conclude from an error of this kind that
+// the request was not accepted.
+func saysNotAccepted(kind apierror.Kind) bool {
+	return apierror.Retryable[kind] || kind == apierror.NoSuchQueue || kind == apierror.NeverPlaceable
+}
+
+// mutatingVerbs are the verbs of requests that change the state.
+var mutatingVerbs = map[string]bool{"job.put": true, "job.cancel": true, "table.put": true}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,300 +1,149 @@
-// Package gateway is the entry for clients and operators, as one state machine. It
-// admits requests, forwards them to the leader and answers each request that it has
-// read: with the leader's answer or, when it gives up, with when to retry.
+// Package gateway is the entry point for clients and operators, as one state machine. It
+// admits requests, forwards them to the leader and answers each request that it has read:
+// with the leader's response or, when it gives up, with when to retry.
+//
+// gateway.go is the machine, requests.go what it has admitted, forwarding.go the way of a
+// request to the leader and back, leader_tracker.go how long there has been a leader,
+// end_reports.go the reports of ended attempts that a gateway passes on.
 package gateway
 
 import (
-	"maps"
 	"math/rand"
-	"slices"
+	"net/http"
 	"time"
 
-	"coppercourse/internal/apierror"
 	"coppercourse/internal/config"
 	"coppercourse/internal/configwatch"
+	"coppercourse/internal/daemon"
 	"coppercourse/internal/membership"
 	"coppercourse/internal/trace"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 )
 
-// Options are where a gateway runs and what it is told at the start.
+// Options are where a gateway runs, and in which cluster.
 type Options struct {
-	Addr         types.Addr
+	Addr         types.Addr // by which others reach the gateway
 	Zone         types.Zone
-	Seeds        []types.Addr
+	Seeds        []types.Addr // other daemons, to find the cluster by
 	BuildVersion string
-	StaleAfter   time.Duration // how old a confirmation of the table may be; 0 is news.Stale
+	// StaleAfter is how old a confirmation of the table may be for the table to be decided
+	// by; 0 is configwatch.DefaultStaleAfter.
+	StaleAfter time.Duration
 }
 
-// Bounds and timings, ours.
-const (
-	MaxPending     = 512                     // requests under way at once
-	AttemptTimeout = 700 * time.Millisecond  // how long one controller is waited for
-	RequestTimeout = 2500 * time.Millisecond // how long a request is worked on
-	responseMargin = 50 * time.Millisecond   // before whoever asks has given up
-)
-
-type pendingRequest struct {
-	request    wire.Request
-	receivedAt types.MonoTime
-	timeout    time.Duration
-	sentAt     types.MonoTime
-	target     types.Addr
-	attempts   int
-	unresolved bool // somebody asked before has not answered, and may have taken it
-}
-
-// Gateway forwards requests to the leader.
+// Gateway is the state machine of a gateway.
 type Gateway struct {
-	options         Options
-	now             types.Now
-	members         *membership.MemberList
-	configWatcher   *configwatch.Watcher
-	Trace           *trace.Ring
-	pending         map[uint64]*pendingRequest
-	lastID          uint64
-	controllerTurn  int
-	lastLeader      types.Addr     // who led at the last tick that anybody did
-	leaderlessSince types.MonoTime // since when no leader is known; 0 when one is
-	draining        bool
-	endReports      []endReport
-	sends           []wire.OutboundMessage
-	answers         []wire.Response
-	Counters        Counters
-	answerRate      float64 // requests answered a second, to tell when to come back
-	lastAnswerAt    types.MonoTime
+	Trace    *trace.Ring
+	Counters Counters
+
+	core          *daemon.Core
+	configWatcher *configwatch.Watcher
+	leader        leaderTracker
+	requests      *requestTable
+	endReports    endReportBuffer
+	// nextController counts the forwards to controllers in turn, while no leader is known.
+	nextController int
 }
 
-// Counters are counters since start.
+// Counters are counters since start: requests read, answered, refused at once, given up
+// without a response, forwarded, and refused for too many in flight.
 type Counters struct {
 	Calls, Answered, Refused, GivenUp, Attempts, Crowded uint64
 }
 
-// New starts a gateway that knows no other daemon but the seeds.
-func New(now types.Now, rnd *rand.Rand, p Options) *Gateway {
-	if p.StaleAfter == 0 {
-		p.StaleAfter = configwatch.DefaultStaleAfter
+// New returns a gateway at its start, which knows no other daemon but the seeds.
+func New(now types.Now, rnd *rand.Rand, options Options) *Gateway {
+	if options.StaleAfter == 0 {
+		options.StaleAfter = configwatch.DefaultStaleAfter
 	}
-	g := &Gateway{options: p, now: now, configWatcher: configwatch.NewWatcher(p.Addr, p.StaleAfter, configwatch.NewNonce(rnd)), pending: map[uint64]*pendingRequest{}, Trace: trace.New(),
-		lastID: rnd.Uint64() >> 12, leaderlessSince: now.Mono}
-	g.members = membership.New(rnd, g.card(), p.Seeds)
-	return g
-}
-
-func (g *Gateway) card() membership.MemberInfo {
-	c := membership.MemberInfo{Addr: g.options.Addr, Role: "gateway", Zone: g.options.Zone, Ready: g.Ready(), Build: g.options.BuildVersion}
-	if g.members != nil {
-		c.Name = g.members.ClusterName()
+	g := &Gateway{
+		configWatcher: configwatch.NewWatcher(options.Addr, options.StaleAfter, configwatch.NewNonce(rnd)),
+		leader:        leaderTracker{lostAt: now.Mono},
+		requests:      newRequestTable(rnd),
 	}
-	return c
+	self := membership.MemberInfo{
+		Addr: options.Addr, Role: membership.RoleGateway, Zone: options.Zone, Build: options.BuildVersion,
+	}
+	g.core = daemon.NewCore(now, rnd, self, options.Seeds)
+	g.Trace = g.core.Trace
+	return g
 }
 
-// Ready tells whether the platform may send callers here.
+// Ready reports whether callers may be sent here: a leader is known and the table is
+// confirmed.
 func (g *Gateway) Ready() bool {
-	return !g.draining && g.members != nil && g.members.Leader() != "" && g.configWatcher.Fresh(g.now.Mono)
+	return !g.core.Draining() && g.core.Leader() != "" && g.configWatcher.Fresh(g.core.Now().Mono)
 }
 
-// Table is the table as the gateway has it, and whether it may be decided by.
-func (g *Gateway) Table() (config.Table, bool) {
-	return g.configWatcher.Table, g.configWatcher.Fresh(g.now.Mono)
+// Table returns the table as the gateway has it, and whether it may be decided by.
+func (g *Gateway) Table() (table config.Table, confirmed bool) {
+	return g.configWatcher.Table, g.configWatcher.Fresh(g.core.Now().Mono)
 }
 
-// ConfirmedUntil is when the confirmation of the table ends, by the gateway's
-// steady clock.
+// ConfirmedUntil returns when the confirmation of the table ends, by the gateway's
+// monotonic clock.
 func (g *Gateway) ConfirmedUntil() types.MonoTime { return g.configWatcher.ConfirmedUntil() }
 
-// Leader is whom the gateway holds for the leader now.
-func (g *Gateway) Leader() types.Addr { return g.members.Leader() }
+// Leader returns the address of the leader as far as the gateway knows, or nothing.
+func (g *Gateway) Leader() types.Addr { return g.core.Leader() }
 
-// Step takes one event.
-func (g *Gateway) Step(e wire.Event) wire.Effects {
-	g.now = e.Now
-	switch {
-	case e.Message != nil:
-		g.handleMessage(*e.Message)
-	case e.Request != nil:
-		g.admit(*e.Request)
-	case e.Shutdown:
-		g.draining = true
-	default:
-		g.tick()
-	}
-	g.sends = append(g.sends, g.configWatcher.Tick(g.now.Mono, g.members.Leader())...)
-	out := wire.Effects{Messages: append(g.sends, g.members.TakeMessages()...), Responses: g.answers, Drained: g.draining && len(g.pending) == 0}
-	g.sends, g.answers = nil, nil
-	return out
+// verbPeers is the verb of the only request that a gateway answers itself.
+const verbPeers = "mates"
+
+var handlers = daemon.Handlers[*Gateway]{
+	Messages: map[wire.Kind]func(*Gateway, wire.Message){
+		wire.ConfigWatchReply: (*Gateway).handleConfigWatchReply,
+		wire.StatusReport:     (*Gateway).handleStatusReport,
+		wire.ForwardReply:     wire.HandlerFor((*Gateway).handleForwardReply),
+	},
+	Requests:     map[string]func(*Gateway, wire.Request){verbPeers: (*Gateway).listPeers},
+	OtherRequest: (*Gateway).admit,
+	Tick:         (*Gateway).tick,
 }
 
-func (g *Gateway) handleMessage(n wire.Message) {
-	switch {
-	case g.members.HandleMessage(g.now.Mono, n):
-	case n.Kind == wire.ConfigWatchReply:
-		if g.configWatcher.HandleResponse(n) {
-			g.Trace.Add(g.now.Wall, trace.TableSubject(g.configWatcher.Table.Version), "table in force")
-		}
-	case n.Kind == wire.StatusReport:
-		g.bufferEndReport(n)
-	case n.Kind == wire.ForwardReply:
-		if r, ok := wire.DecodeBody[wire.ForwardedReply](n); ok {
-			g.handleReply(n.From, r)
-		}
-	}
+// Step takes one event and returns its effects; see wire.Machine.
+func (g *Gateway) Step(event wire.Event) wire.Effects {
+	handlers.Step(g.core, g, event)
+	g.core.Send(g.configWatcher.Tick(g.core.Now().Mono, g.core.Leader())...)
+	effects := g.core.TakeEffects()
+	effects.Drained = g.core.Draining() && g.requests.inFlight() == 0
+	return effects
 }
 
 func (g *Gateway) tick() {
-	g.members.SetSelf(g.card())
-	g.members.Tick(g.now.Mono)
-	g.forwardEndReports()
-	lead := g.members.Leader()
-	if lead != "" {
-		g.leaderlessSince = 0
-	} else if g.leaderlessSince == 0 {
-		g.leaderlessSince = g.now.Mono
-	}
-	for _, id := range slices.Sorted(maps.Keys(g.pending)) {
-		c := g.pending[id]
-		switch {
-		case g.now.Mono.Sub(c.receivedAt) >= c.timeout:
-			g.Counters.GivenUp++
-			g.reject(id, g.timeoutError(c))
-		case c.target == "" || g.now.Mono.Sub(c.sentAt) >= AttemptTimeout:
-			g.forward(id, c, "")
-		case lead != "" && lead != g.lastLeader && c.target == g.lastLeader: // another leads now
-			g.forward(id, c, lead)
-		}
-	}
-	if lead != "" {
-		g.lastLeader = lead
-	}
+	now, leader := g.core.Now().Mono, g.core.Leader()
+	g.core.Send(g.endReports.due(now, leader)...)
+	previous := g.leader.observe(now, leader)
+	g.retryRequests(leader, previous)
 }
 
-// timeoutError says which it is: nobody has seen the request, or somebody may have.
-func (g *Gateway) timeoutError(c *pendingRequest) *apierror.Error {
-	if c.unresolved || c.target != "" {
-		return apierror.New(apierror.OutcomeUnknown, "", "no answer from the leader; the request may have been taken; send the same again").WithRetryAfter(g.retryAfter())
+func (g *Gateway) handleConfigWatchReply(message wire.Message) {
+	if g.configWatcher.HandleResponse(message) {
+		g.core.Record(trace.TableSubject(g.configWatcher.Table.Version), "table in force")
 	}
-	return apierror.New(apierror.NoLeader, "", "no leader can be reached from here").WithRetryAfter(g.retryAfter())
 }
 
-// retryAfter estimates when a leader will be reachable: an election is short, a cut
-// that has lasted for long is likely to last as long again.
-func (g *Gateway) retryAfter() time.Duration {
-	if g.leaderlessSince == 0 {
-		return time.Second
-	}
-	return min(30*time.Second, 2*time.Second+g.now.Mono.Sub(g.leaderlessSince)/4)
+func (g *Gateway) handleStatusReport(message wire.Message) {
+	g.endReports.add(g.core.Now().Mono, message)
 }
 
-// admit grants entry or refuses it.
-func (g *Gateway) admit(a wire.Request) {
+func (g *Gateway) listPeers(request wire.Request) {
 	g.Counters.Calls++
-	switch f := g.admissionError(a); {
-	case f != nil:
-		g.Counters.Refused++
-		g.answers = append(g.answers, wire.Response{Token: a.Token, Error: f})
-		return
-	case a.Verb == "mates":
-		g.answers = append(g.answers, wire.Response{Token: a.Token, StatusCode: 200, Body: wire.EncodeBody(g.members.Peers())})
-		return
-	}
-	g.lastID++
-	c := &pendingRequest{request: a, receivedAt: g.now.Mono, timeout: RequestTimeout}
-	if a.Timeout > 0 {
-		c.timeout = min(RequestTimeout, max(a.Timeout-responseMargin, a.Timeout/2))
-	}
-	g.pending[g.lastID] = c
-	if a.Verb == "job.put" {
-		g.Trace.Add(g.now.Wall, trace.JobSubject(types.JobID(a.Arg)), "request admitted")
-	}
-	g.forward(g.lastID, c, "")
-}
-
-func (g *Gateway) admissionError(a wire.Request) *apierror.Error {
-	switch {
-	case a.Verb == "mates":
-		return nil
-	case len(g.pending) >= MaxPending:
-		g.Counters.Crowded++
-		return apierror.New(apierror.TooBusy, "", "this gateway has all the requests under way that it may have").
-			WithRetryAfter(time.Duration(float64(len(g.pending)) / max(g.answerRate, 1) * float64(time.Second)))
-	case g.leaderlessSince != 0 && g.now.Mono.Sub(g.leaderlessSince) > RequestTimeout:
-		return apierror.New(apierror.NoLeader, "", "no leader can be reached from here").WithRetryAfter(g.retryAfter())
-	}
-	return nil
-}
-
-// forward hands a call over to the leader, or to the controllers in turn.
-func (g *Gateway) forward(id uint64, c *pendingRequest, hint types.Addr) {
-	to := hint
-	if to == "" {
-		to = g.members.Leader()
-	}
-	if controllers := g.members.Controllers(); len(controllers) > 0 && (to == "" || to == c.target && hint == "") {
-		g.controllerTurn++
-		to = controllers[g.controllerTurn%len(controllers)].Addr
-	}
-	if to == "" {
-		return
-	}
-	c.unresolved = c.unresolved || c.target != ""
-	c.target, c.sentAt = to, g.now.Mono
-	c.attempts++
-	g.Counters.Attempts++
-	g.sends = append(g.sends, wire.NewMessage(g.options.Addr, to, wire.ForwardRequest, wire.ForwardedRequest{ID: id, Verb: c.request.Verb, Arg: c.request.Arg, Body: c.request.Body}))
-}
-
-func (g *Gateway) handleReply(from types.Addr, r wire.ForwardedReply) {
-	c := g.pending[r.ID]
-	switch {
-	case c == nil:
-	case r.NotLeader:
-		other := r.Leader != "" && r.Leader != c.target
-		if from == c.target {
-			c.target, c.sentAt = "", g.now.Mono
-		}
-		if other && c.attempts < 6 {
-			g.forward(r.ID, c, r.Leader)
-		}
-	case r.Error != nil && r.Error.Kind == apierror.OutcomeUnknown:
-		c.target, c.unresolved = "", true
-	case r.Error != nil && (c.unresolved || from != c.target) && mutatingVerbs[c.request.Verb] && saysNotTaken(r.Error.Kind):
-		g.reject(r.ID, apierror.New(apierror.OutcomeUnknown, "", "one controller refused the request, another may have taken it; send the same again").WithRetryAfter(g.retryAfter()))
-	case r.Error != nil:
-		g.reject(r.ID, r.Error)
-	default:
-		g.answer(r.ID, wire.Response{StatusCode: r.StatusCode, Body: r.Body})
-	}
-}
-
-// untaken tells a refusal by which whoever asked may think that nothing was done.
-func saysNotTaken(k apierror.Kind) bool {
-	return apierror.Retryable[k] || k == apierror.NoSuchQueue || k == apierror.NeverPlaceable
-}
-
-// changes are the verbs that take something in.
-var mutatingVerbs = map[string]bool{"job.put": true, "job.cancel": true, "table.put": true}
-
-func (g *Gateway) reject(id uint64, f *apierror.Error) { g.answer(id, wire.Response{Error: f}) }
-
-func (g *Gateway) answer(id uint64, a wire.Response) {
-	a.Token = g.pending[id].request.Token
-	delete(g.pending, id)
-	g.Counters.Answered++
-	if g.lastAnswerAt != 0 {
-		g.answerRate += 0.05 * (1/max(g.now.Mono.Sub(g.lastAnswerAt).Seconds(), 0.001) - g.answerRate)
-	}
-	g.lastAnswerAt = g.now.Mono
-	g.answers = append(g.answers, a)
+	g.core.Respond(wire.Response{
+		Token:      request.Token,
+		StatusCode: http.StatusOK,
+		Body:       wire.EncodeBody(g.core.Members().Peers()),
+	})
 }
 
-// StatusView is a gateway's account of itself.
+// StatusView is the status of a gateway, as GET /v1/status shows it.
 type StatusView struct {
 	Role           string            `json:"role"`
 	BuildVersion   string            `json:"program"`
 	Ready          bool              `json:"ready"`
 	Leader         types.Addr        `json:"leader"`
-	LeaderlessMS   int64             `json:"without_leader_ms"`
+	LeaderlessMS   int64             `json:"without_leader_ms"` // how long no leader has been known
 	TableVersion   types.Version     `json:"table_edition"`
 	TableConfirmed bool              `json:"table_confirmed"`
 	InFlight       int               `json:"requests_under_way"`
@@ -302,12 +151,19 @@
 	Counters       Counters          `json:"sums"`
 }
 
-// Status gives the gateway's account of itself.
+// Status returns the gateway's status.
 func (g *Gateway) Status() StatusView {
-	v := StatusView{Role: "gateway", BuildVersion: g.options.BuildVersion, Ready: g.Ready(), Leader: g.members.Leader(), TableVersion: g.configWatcher.Table.Version,
-		TableConfirmed: g.configWatcher.Fresh(g.now.Mono), InFlight: len(g.pending), Peers: g.members.Peers(), Counters: g.Counters}
-	if g.leaderlessSince != 0 {
-		v.LeaderlessMS = g.now.Mono.Sub(g.leaderlessSince).Milliseconds()
+	now := g.core.Now().Mono
+	return StatusView{
+		Role:           membership.RoleGateway,
+		BuildVersion:   g.core.Self().Build,
+		Ready:          g.Ready(),
+		Leader:         g.core.Leader(),
+		LeaderlessMS:   g.leader.lostFor(now).Milliseconds(),
+		TableVersion:   g.configWatcher.Table.Version,
+		TableConfirmed: g.configWatcher.Fresh(now),
+		InFlight:       g.requests.inFlight(),
+		Peers:          g.core.Members().Peers(),
+		Counters:       g.Counters,
 	}
-	return v
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -143,7 +143,7 @@
 	is.Equal(len(d.answers), 1)
 	d.reply("a", 1, okReply(`"of k"`))
 	is.Equal(d.answers[1].Token, uint64(2))
-	is.Equal(len(d.gateway.pending), 0)
+	is.Equal(len(d.gateway.requests.pending), 0)
 }
 
 // The next process at an address takes no answer that is meant for the one
@@ -165,7 +165,7 @@
 			seen[c.ID] = true
 		}
 		for id := range seen {
-			if d.gateway.pending[id] != nil {
+			if d.gateway.requests.pending[id] != nil {
 				continue
 			}
 			r := okReply(`"of a former life"`)
