--- a/internal/raft/bootstrap.go
+++ b/internal/raft/bootstrap.go
@@ -1,9 +1,3 @@
-// Bootstrap and joining. The founders that the settings name, on the first start of
-// the whole system, or else three empty controllers that see just each other, each
-// persist a promise to one initial configuration; the one with the least identity
-// makes it real once it has all promises. A promise that leads nowhere is given up
-// together with the identity that made it, so that no partial bootstrap can be
-// completed later. Where a cluster exists already, an empty controller asks to join.
 package raft
 
 import (
@@ -17,132 +11,198 @@
 )
 
 const (
-	bootstrapTimeout    = 5 * time.Second
-	joinRequestInterval = 200 * time.Millisecond
-	// Where no named founder is a controller, those that are there bootstrap: this many
-	// at least, and only this long after their start, when all have heard of each other.
+	// bootstrapTimeout is when a bootstrap that was accepted and not completed is given up.
+	bootstrapTimeout = 5 * time.Second
+	// emptyRequestInterval is how often an empty node looks for a cluster.
+	emptyRequestInterval = 200 * time.Millisecond
+	// Where no named founder is a controller, those that are there bootstrap: this many at
+	// least, and only this long after their start, when all have heard of each other.
 	minUnnamedFounders   = 3
 	unnamedFoundersDelay = 2 * time.Second
+
+	reasonClusterExists = "a cluster exists; waiting to join it"
+)
+
+// BootstrapOptions are what the settings say of the cluster's beginning: that this is the
+// first start of the whole system, and which controllers found it. Where none are named,
+// any three that see just each other do.
+type BootstrapOptions struct {
+	FirstStart bool
+	Founders   []types.Addr
+}
+
+// bootstrapStep is a message's step in a bootstrap, which is a two-phase commit: the
+// founder with the least identity proposes an initial cluster, each founder accepts at
+// most one, durably, and the proposer commits it once all have.
+type bootstrapStep string
+
+const (
+	bootstrapPropose   bootstrapStep = "offer"
+	bootstrapAccept    bootstrapStep = "promise"
+	bootstrapCommitted bootstrapStep = "done"
 )
 
-// DiscoveredPeer is a controller as the membership service shows it; Name is empty when
-// it has no cluster.
-type DiscoveredPeer struct {
-	Member
-	ClusterName string
+// bootstrapState is this node's part in the bootstrap of a cluster. An accepted cluster
+// that leads nowhere is given up together with the identity that accepted it, so that no
+// partial bootstrap can be completed later.
+type bootstrapState struct {
+	options     BootstrapOptions
+	accepted    *InitialCluster
+	acceptedAt  types.MonoTime
+	acceptances map[types.ID]bool // who has accepted the same cluster, as far as this node was told
 }
 
-// SetDiscoveredPeers tells which other controllers are healthy now and, while there is no
-// cluster, where daemons of other roles are.
-func (n *Node) SetDiscoveredPeers(peers []DiscoveredPeer, nonControllers []types.Addr) {
-	n.discoveredPeers, n.nonControllers = peers, nonControllers
+// newIdentity makes this node another one, which has accepted nothing.
+func (n *Node) newIdentity(id types.ID) {
+	n.self.ID = id
+	n.self.Provisional = !n.bootstrap.options.FirstStart
+	n.bootstrap.accepted, n.bootstrap.acceptances = nil, map[types.ID]bool{}
+	n.writeRecord(Record{Identity: &Identity{ID: id, FirstStart: n.bootstrap.options.FirstStart}})
 }
 
+// enterCluster makes this node one of a cluster, whose log it begins.
 func (n *Node) enterCluster(cluster InitialCluster) {
-	n.clusterName, n.snapshot.Config, n.acceptedCluster, n.reason = cluster.ClusterName, cluster.Config, nil, ""
+	n.clusterName, n.log.snapshot.Config = cluster.ClusterName, cluster.Config
+	n.bootstrap.accepted, n.roleReason = nil, ""
 	n.writeRecord(Record{Cluster: &cluster})
-	n.recomputeConfiguration()
+	n.log.recomputeConfiguration()
 	n.assignRole()
 	n.resetElectionTimer()
 }
 
-func (n *Node) tryBootstrap() {
-	if n.now.Mono.Sub(n.lastJoinRequestAt) < joinRequestInterval {
+// enterClusterOf makes this node one of the cluster of a leader that it hears: one that it
+// helped to found, or one that has added it, whose configuration comes with the log.
+func (n *Node) enterClusterOf(name string) {
+	if n.bootstrap.accepts(name) {
+		n.enterCluster(*n.bootstrap.accepted)
 		return
 	}
-	n.lastJoinRequestAt = n.now.Mono
-	if n.requestJoin() {
-		n.reason = "a cluster exists; waiting to be let in"
+	n.enterCluster(InitialCluster{ClusterName: name})
+}
+
+// accepts tells whether the node has accepted the cluster of a name.
+func (b *bootstrapState) accepts(name string) bool {
+	return b.accepted != nil && b.accepted.ClusterName == name
+}
+
+// tryBootstrap asks to join a cluster where there is one, and else founds one.
+func (n *Node) tryBootstrap() {
+	if n.sinceJoinRequest() < emptyRequestInterval {
 		return
 	}
-	if k := n.acceptedCluster; k != nil {
-		if n.now.Mono.Sub(n.acceptedAt) > bootstrapTimeout {
-			n.newIdentity(types.NewID(n.rand))
-			return
-		}
-		n.reason = "promised to a bootstrap that is not complete yet"
-		n.resendBootstrap(*k)
-		return
+	switch {
+	case n.requestJoin():
+		n.roleReason = reasonClusterExists
+	case n.bootstrap.accepted == nil:
+		n.proposeBootstrap()
+	case n.now.Mono.Sub(n.bootstrap.acceptedAt) > bootstrapTimeout:
+		n.newIdentity(types.NewID(n.random))
+	default:
+		n.roleReason = "has accepted an initial cluster that is not complete yet"
+		n.sendBootstrap(*n.bootstrap.accepted)
 	}
-	var config Configuration
-	if config, n.reason = n.proposedConfiguration(); config == nil {
+}
+
+// proposeBootstrap proposes an initial cluster if it is this node that has to.
+func (n *Node) proposeBootstrap() {
+	config, reason := n.proposedConfiguration()
+	n.roleReason = reason
+	if config == nil || n.hasLowerID(config) {
 		return
 	}
-	for _, m := range config {
-		if m.ID < n.self.ID {
-			return
-		}
-	}
-	n.acceptBootstrap(InitialCluster{ClusterName: string(types.NewID(n.rand)), Config: config})
+	n.acceptBootstrap(InitialCluster{ClusterName: string(types.NewID(n.random)), Config: config})
 	n.commitBootstrap()
 }
 
-// proposedConfiguration lists the members of the cluster that this node would bootstrap now, in an
-// order that all of them agree on, or tells why it bootstraps none.
+// hasLowerID tells whether some member has a lower identity than this node, and so is the
+// one to propose and to commit.
+func (n *Node) hasLowerID(config Configuration) bool {
+	return slices.ContainsFunc(config, func(m Member) bool { return m.ID < n.self.ID })
+}
+
+// proposedConfiguration lists the members of the cluster that this node would bootstrap
+// now, in an order that all of them agree on, or tells why it bootstraps none.
 func (n *Node) proposedConfiguration() (Configuration, string) {
-	me := n.self
-	me.Voter, me.Provisional = true, false
-	config := Configuration{me}
-	anyone := n.bootstrap.Founders == nil || n.noFounderIsController()
-	for _, s := range n.discoveredPeers {
-		if s.ClusterName != "" {
-			return nil, "a cluster exists; waiting to be let in"
-		}
-		if anyone || slices.Contains(n.bootstrap.Founders, s.Addr) {
-			config = append(config, Member{ID: s.ID, Addr: s.Addr, Zone: s.Zone, Voter: true})
-		}
+	if slices.ContainsFunc(n.discovery.peers, func(p DiscoveredPeer) bool { return p.ClusterName != "" }) {
+		return nil, reasonClusterExists
 	}
-	slices.SortFunc(config, func(a, b Member) int { return strings.Compare(string(a.ID), string(b.ID)) })
-	want := minUnnamedFounders
-	if list := n.bootstrap.Founders; list != nil {
-		switch {
-		case !n.bootstrap.FirstStart:
-			return nil, "waiting for a cluster: one has been before"
-		case anyone && n.now.Mono.Sub(n.startedAt) < unnamedFoundersDelay:
-			return nil, "no founder is a controller; looking who else is there"
-		case anyone:
-			want = max(minUnnamedFounders, len(config))
-		case !slices.Contains(list, n.self.Addr):
-			return nil, "waiting for the founders: " + fmt.Sprint(list)
-		default:
-			want = n.controllerFounders()
+	config := n.reachableFounders()
+	size, reason := n.initialSize(len(config))
+	if reason != "" {
+		return nil, reason
+	}
+	if len(config) != size {
+		return nil, fmt.Sprintf("waiting for %d empty controllers that see each other, or for a cluster", size)
+	}
+	return config, fmt.Sprintf("%d empty controllers; founding a cluster", size)
+}
+
+// reachableFounders lists this node and the empty controllers that it sees and that may
+// found a cluster, as voters in the order of their identities.
+func (n *Node) reachableFounders() Configuration {
+	self := n.self
+	self.Voter, self.Provisional = true, false
+	config := Configuration{self}
+	for _, p := range n.discovery.peers {
+		if n.anyoneFounds() || slices.Contains(n.bootstrap.options.Founders, p.Addr) {
+			config = append(config, Member{ID: p.ID, Addr: p.Addr, Zone: p.Zone, Voter: true})
 		}
 	}
-	if len(config) != want {
-		return nil, fmt.Sprintf("waiting for %d empty controllers that see each other, or for a cluster", want)
+	slices.SortFunc(config, func(a, b Member) int { return strings.Compare(string(a.ID), string(b.ID)) })
+	return config
+}
+
+// initialSize is how many members the initial configuration must have, or else why this
+// node founds no cluster.
+func (n *Node) initialSize(reachable int) (size int, reason string) {
+	options := n.bootstrap.options
+	switch {
+	case options.Founders == nil:
+		return minUnnamedFounders, ""
+	case !options.FirstStart:
+		return 0, "waiting for a cluster: one has been before"
+	case n.anyoneFounds() && n.now.Mono.Sub(n.startedAt) < unnamedFoundersDelay:
+		return 0, "no founder is a controller; looking who else is there"
+	case n.anyoneFounds():
+		return max(minUnnamedFounders, reachable), ""
+	case !slices.Contains(options.Founders, n.self.Addr):
+		return 0, fmt.Sprint("waiting for the founders: ", options.Founders)
 	}
-	return config, fmt.Sprintf("%d empty controllers; founding", want)
+	return n.controllerFounders(), ""
 }
 
-// requestJoin asks every discovered controller that has a cluster to be let in. A voter
-// that has heard no leader for long asks whether it still is a member, since all
-// members that it knows of may have been replaced.
-func (n *Node) requestJoin() (any bool) {
-	me := n.self
-	me.Provisional = me.Provisional || n.clusterName != ""
-	for _, s := range n.discoveredPeers {
-		if s.ClusterName != "" && (n.clusterName == "" || n.clusterName == s.ClusterName) {
-			any = true
-			n.send(s.Addr, wire.JoinRequest, joinRequest{s.ClusterName, me, n.role == roleFollower || n.role == roleCandidate})
+// anyoneFounds tells whether any empty controllers that see each other found the cluster:
+// where no founders are named, or all that are turned out to be daemons of other roles.
+func (n *Node) anyoneFounds() bool {
+	founders := n.bootstrap.options.Founders
+	return founders == nil || len(founders) > 0 && n.controllerFounders() == 0
+}
+
+// controllerFounders counts the founders that may be controllers.
+func (n *Node) controllerFounders() int {
+	count := 0
+	for _, a := range n.bootstrap.options.Founders {
+		if !slices.Contains(n.discovery.nonControllers, a) {
+			count++
 		}
 	}
-	return
+	return count
 }
 
+// acceptBootstrap accepts an initial cluster. That is on disk before anybody is told.
 func (n *Node) acceptBootstrap(cluster InitialCluster) {
-	n.acceptedCluster, n.acceptedAt, n.acceptances = &cluster, n.now.Mono, map[types.ID]bool{n.self.ID: true}
+	n.bootstrap.accepted, n.bootstrap.acceptedAt = &cluster, n.now.Mono
+	n.bootstrap.acceptances = map[types.ID]bool{n.self.ID: true}
 	n.writeRecord(Record{AcceptedCluster: &cluster})
-	n.hardStateBatch = n.writtenBatch
-	n.resendBootstrap(cluster)
+	n.disk.hardStateBatch = n.disk.writtenBatch
+	n.sendBootstrap(cluster)
 }
 
-// resendBootstrap sends this node's part in a bootstrap again: the offer or the promise.
-func (n *Node) resendBootstrap(cluster InitialCluster) {
-	step := "offer"
-	for _, m := range cluster.Config {
-		if m.ID < n.self.ID {
-			step = "promise"
-		}
+// sendBootstrap sends the other founders this node's proposal, or that it has accepted.
+func (n *Node) sendBootstrap(cluster InitialCluster) {
+	step := bootstrapPropose
+	if n.hasLowerID(cluster.Config) {
+		step = bootstrapAccept
 	}
 	for _, m := range cluster.Config {
 		if m.ID != n.self.ID {
@@ -152,62 +212,50 @@
 }
 
 func (n *Node) onBootstrap(from types.Addr, message bootstrapMessage) {
+	cluster := message.Cluster
 	if n.clusterName != "" {
-		if n.clusterName == message.Cluster.ClusterName && message.Step != "done" {
-			n.send(from, wire.Bootstrap, bootstrapMessage{message.Cluster, n.self.ID, "done"})
+		if n.clusterName == cluster.ClusterName && message.Step != bootstrapCommitted {
+			n.send(from, wire.Bootstrap, bootstrapMessage{cluster, n.self.ID, bootstrapCommitted})
 		}
 		return
 	}
-	if _, mine := message.Cluster.Config.Find(n.self.ID); !mine || n.role != roleEmpty {
+	if _, ok := cluster.Config.Find(n.self.ID); !ok || n.role != roleEmpty {
 		return
 	}
-	same := n.acceptedCluster != nil && n.acceptedCluster.ClusterName == message.Cluster.ClusterName
 	switch message.Step {
-	case "offer":
-		if config, _ := n.proposedConfiguration(); n.acceptedCluster == nil && slices.Equal(config, message.Cluster.Config) {
-			n.acceptBootstrap(message.Cluster)
+	case bootstrapPropose:
+		if config, _ := n.proposedConfiguration(); n.bootstrap.accepted == nil && slices.Equal(config, cluster.Config) {
+			n.acceptBootstrap(cluster)
 		}
-	case "promise":
-		if same {
-			n.acceptances[message.SenderID] = true
+	case bootstrapAccept:
+		if n.bootstrap.accepts(cluster.ClusterName) {
+			n.bootstrap.acceptances[message.SenderID] = true
 			n.commitBootstrap()
 		}
-	case "done":
-		if same {
-			n.enterCluster(*n.acceptedCluster)
+	case bootstrapCommitted:
+		if n.bootstrap.accepts(cluster.ClusterName) {
+			n.enterCluster(*n.bootstrap.accepted)
 		}
 	}
 }
 
-// commitBootstrap adopts the initial configuration once the node with the least
-// identity has the promises of all.
+// commitBootstrap enters the initial cluster if this node has proposed it and all members
+// have accepted it.
 func (n *Node) commitBootstrap() {
-	cluster := *n.acceptedCluster
+	cluster := *n.bootstrap.accepted
+	if n.hasLowerID(cluster.Config) {
+		return
+	}
 	for _, m := range cluster.Config {
-		if !n.acceptances[m.ID] || m.ID < n.self.ID {
+		if !n.bootstrap.acceptances[m.ID] {
 			return
 		}
 	}
 	n.enterCluster(cluster)
 	for _, m := range cluster.Config {
 		if m.ID != n.self.ID {
-			n.sendAfterBatch(n.writtenBatch, m.Addr, wire.Bootstrap, bootstrapMessage{cluster, n.self.ID, "done"})
-		}
-	}
-}
-
-// controllerFounders counts the founders that may be controllers.
-func (n *Node) controllerFounders() (count int) {
-	for _, a := range n.bootstrap.Founders {
-		if !slices.Contains(n.nonControllers, a) {
-			count++
+			message := bootstrapMessage{cluster, n.self.ID, bootstrapCommitted}
+			n.sendAfterBatch(n.disk.writtenBatch, m.Addr, wire.Bootstrap, message)
 		}
 	}
-	return count
-}
-
-// noFounderIsController tells that all founders turned out to be other daemons: then
-// the empty controllers that see each other bootstrap, if all of them agree on the list.
-func (n *Node) noFounderIsController() bool {
-	return len(n.bootstrap.Founders) > 0 && n.controllerFounders() == 0
 }
--- a/internal/raft/checker_test.go
+++ b/internal/raft/checker_test.go
@@ -56,13 +56,13 @@
 // log matching for the committed part, and no committed entry ever replaced.
 func (c *checker) committedEntriesAreKept(w *world, m *machine) {
 	n := m.node
-	from := n.snapshot.Index
+	from := n.log.snapshot.Index
 	if was := c.compared[m]; was.life == m.incarnation && was.commit > from {
 		from = was.commit
 	}
-	for i := from + 1; i <= n.commitIndex; i++ {
-		if i > n.lastIndex() {
-			w.fail("COMMIT: %s has committed %d and holds only %d", m.addr, i, n.lastIndex())
+	for i := from + 1; i <= n.log.commitIndex; i++ {
+		if i > n.log.lastIndex() {
+			w.fail("COMMIT: %s has committed %d and holds only %d", m.addr, i, n.log.lastIndex())
 			return
 		}
 		e := n.Entry(i)
@@ -74,7 +74,7 @@
 		c.entries[i] = e
 		c.committed = max(c.committed, i)
 	}
-	c.compared[m] = comparedState{m.incarnation, n.commitIndex}
+	c.compared[m] = comparedState{m.incarnation, n.log.commitIndex}
 }
 
 // readLeaseIsExclusive checks that nobody else may answer reads now, and that a read would miss nothing.
@@ -83,8 +83,8 @@
 		return
 	}
 	c.leaseHolderSeenAt, c.leaseHolderSeen = w.now, true
-	if m.node.commitIndex < c.acknowledged {
-		w.fail("READ: %s answers reads with %d, and %d is acknowledged", m.addr, m.node.commitIndex, c.acknowledged)
+	if m.node.log.commitIndex < c.acknowledged {
+		w.fail("READ: %s answers reads with %d, and %d is acknowledged", m.addr, m.node.log.commitIndex, c.acknowledged)
 	}
 	for _, o := range w.machines {
 		if o != m && o.up() && !o.frozen && o.node.role == roleLeader && o.holdsReadLease() {
@@ -104,9 +104,9 @@
 			return
 		}
 	}
-	if n.lastIndex() < c.committed {
-		w.fail("COMPLETE: %s leads term %d with %d entries, and %d are committed", m.addr, n.hardState.Term, n.lastIndex(), c.committed)
-	} else if t, ok := n.termAt(c.committed); ok && c.committed > 0 && t != c.entries[c.committed].Term {
+	if n.log.lastIndex() < c.committed {
+		w.fail("COMPLETE: %s leads term %d with %d entries, and %d are committed", m.addr, n.hardState.Term, n.log.lastIndex(), c.committed)
+	} else if t, ok := n.log.term(c.committed); ok && c.committed > 0 && t != c.entries[c.committed].Term {
 		w.fail("COMPLETE: %s leads term %d with entry %d of term %d, and that of term %d is committed", m.addr, n.hardState.Term, c.committed, t, c.entries[c.committed].Term)
 	}
 }
@@ -114,13 +114,13 @@
 // logsMatch checks that two logs with an entry of one index and term have the same one
 // there, for the last entry of the node that made a step.
 func (c *checker) logsMatch(w *world, m *machine) {
-	last := m.node.lastIndex()
-	t, _ := m.node.termAt(last)
+	last := m.node.log.lastIndex()
+	t, _ := m.node.log.term(last)
 	for _, o := range w.machines {
-		if o == m || !o.up() || last <= o.node.snapshot.Index || last <= m.node.snapshot.Index {
+		if o == m || !o.up() || last <= o.node.log.snapshot.Index || last <= m.node.log.snapshot.Index {
 			continue
 		}
-		if ot, ok := o.node.termAt(last); ok && ot == t && string(o.node.Entry(last).Data) != string(m.node.Entry(last).Data) {
+		if ot, ok := o.node.log.term(last); ok && ot == t && string(o.node.Entry(last).Data) != string(m.node.Entry(last).Data) {
 			w.fail("MATCH: %s and %s differ in entry %d of term %d", m.addr, o.addr, last, t)
 		}
 	}
@@ -153,7 +153,7 @@
 // lost but run on are taken for there only if needed for nothing.
 func (c *checker) quorumSurvivesFurtherLosses(w *world) {
 	l := w.leader()
-	if l == nil || l.node.commitIndex < l.node.configIndex {
+	if l == nil || l.node.log.commitIndex < l.node.log.configIndex {
 		return
 	}
 	spare := w.lossTolerance - w.lostCount()
@@ -161,7 +161,7 @@
 		return
 	}
 	alive, voters := 0, 0
-	for _, v := range l.node.config {
+	for _, v := range l.node.log.config {
 		if !v.Voter {
 			continue
 		}
@@ -171,7 +171,7 @@
 		}
 	}
 	if alive-spare <= voters/2 {
-		w.fail("QUORUM: %d of %d voters are safe, %d more machines may be lost: %s", alive, voters, spare, describe(l.node.config))
+		w.fail("QUORUM: %d of %d voters are safe, %d more machines may be lost: %s", alive, voters, spare, describe(l.node.log.config))
 	}
 }
 
--- /dev/null
+++ b/internal/raft/doc.go
@@ -0,0 +1,69 @@
+// Package raft is the replicated log of the controllers: the Raft algorithm as a state
+// machine without I/O and without a clock. "The paper" is Ongaro and Ousterhout, "In Search
+// of an Understandable Consensus Algorithm" (extended version, 2014); "the thesis" is
+// Ongaro, "Consensus: Bridging Theory and Practice" (2014). Names are theirs where they
+// have one.
+//
+// What is implemented beside the paper's core: pre-vote (thesis 9.6), check quorum (6.2),
+// leadership transfer (3.10), lease-based reads (6.4.1), learners and membership changes by
+// one vote at a time (4.1, 4.2.1), compaction by snapshots in parts (paper, section 7). What
+// goes beyond both: bootstrap by agreement among the founders, replacement of lost voters by
+// provisional members, transfer from an overloaded leader, and the cluster's clock.
+//
+// # Driving a node
+//
+// A [Node] is one member, owned by one goroutine. Its owner
+//
+//  1. starts it with [New] from all records on disk, in the order in which they were written;
+//  2. gives it events, one at a time: [Node.Step] for each message from another member,
+//     [Node.Tick] as time passes (several times in a heartbeat interval), [Node.Propose] and
+//     [Node.Compact] from the state machine, [Node.Synced] and [Node.DiskFailed] from the
+//     disk, and [Node.SetTime] before any question about an event that was not for the node;
+//  3. takes what came of it with [Node.Ready] after each event, and
+//     sends Ready.Messages at once, in any order, to wherever they are addressed,
+//     appends Ready.Records to the file as one batch, or puts a new file in place of it if
+//     Ready.ReplaceLog is set, and
+//     calls Synced with Ready.BatchNumber once all of the batch is on stable storage;
+//  4. applies the entries up to [Node.CommittedIndex], in order, each as [Node.Entry].
+//
+// The node keeps back those messages that rest on records that are not synced yet. Nothing
+// else has to be ordered: messages may be lost, repeated, delayed and reordered, and the
+// owner may go on with further events while the disk is busy. Batches are written and synced
+// in the order of their numbers. After a crash, a batch may be there in part, from its
+// beginning up to any record; a file that replaces another is there as a whole or not at all.
+// A disk without room for a second file may append Ready.FallbackRecords instead of a
+// replacement; the log then simply stays longer.
+//
+// # What must hold
+//
+// The safety of the paper's Figure 3 rests on these rules, each kept in one place:
+//
+//   - A term, a vote and an accepted initial cluster are on disk before any message that
+//     rests on them leaves ([Node.setHardState], outbox).
+//   - An entry counts for commitment only where it is synced, also on the leader itself
+//     (raftLog.syncedIndex, [Node.acknowledge]).
+//   - Only entries of the leader's own term are committed by counting ([Node.advanceCommit]).
+//   - A configuration is proposed only while the one before and an entry of the leader's term
+//     are committed, and differs from it by one vote ([Node.canChangeConfiguration]).
+//   - A member that has heard a leader within the shortest election timeout, or has just
+//     started, helps to elect no other ([Node.mayDeposeLeader]); the read lease rests on it
+//     ([Node.HoldsReadLease]), counted from the sending of a round.
+//   - An identity whose disk was lost is never used again: a member that starts with an empty
+//     disk is another member, and gets a vote only once it has caught up.
+//
+// # Files
+//
+// Persistent state: record.go, log.go, snapshot.go. Roles: election.go, leader.go,
+// replication.go (leader's side), follower.go, progress.go, send_window.go. Leases and
+// transfer: lease.go, transfer.go. Membership: configuration.go, confchange.go,
+// membership.go, join.go, bootstrap.go. Effects: storage.go, outbox.go. Beside the
+// algorithm: clock.go, status.go.
+//
+// # Tests
+//
+// The tests run real nodes on simulated machines (world_test.go) under random faults
+// (adversary_test.go, walk_test.go), in every order of events up to a depth
+// (search_test.go), and at each moment of a replacement (replacement_test.go), and check
+// Raft's properties after each step (checker_test.go). Bugs that are planted on purpose
+// (plant_test.go) show that those checks find what they are for.
+package raft
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -1,34 +1,68 @@
-// Elections: a pre-vote that disturbs nobody, then a vote that is on disk before it
-// is sent. A member that hears a live leader, or that has only just started, grants
-// no vote, which is what makes the leader's read lease sound; a transfer target that
-// the leader itself named is exempt from that.
 package raft
 
 import (
-	"slices"
 	"time"
 
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 )
 
-func (n *Node) campaign(preVote, byTransfer bool) {
+// election is the state of this member's candidacy, and when it stands next.
+type election struct {
+	deadline types.MonoTime // a follower that hears no leader until then campaigns
+	preVote  bool           // the votes are those of a pre-vote
+	votes    map[types.ID]bool
+}
+
+// campaignType is why and in which phase a member campaigns.
+type campaignType int
+
+const (
+	// campaignPreElection asks whether the member would be elected, without a new term, so
+	// that a member that can't win disturbs nobody (section 9.6 of the thesis).
+	campaignPreElection campaignType = iota
+	// campaignElection follows a pre-vote that was won.
+	campaignElection
+	// campaignTransfer is on behalf of the leader, which has named this member its successor.
+	campaignTransfer
+)
+
+// resetElectionTimer draws the next election timeout, between MinElectionTimeout and twice
+// that (section 5.2 of the paper).
+func (n *Node) resetElectionTimer() {
+	shortest := n.timeouts.MinElectionTimeout
+	n.election.deadline = n.now.Mono.Add(shortest + n.randomUpTo(shortest))
+}
+
+// campaign becomes a candidate and asks all voters for their votes. The member's own vote
+// is on disk before a request goes out.
+func (n *Node) campaign(kind campaignType) {
 	n.resetElectionTimer()
-	n.role, n.preVote, n.votes = roleCandidate, preVote, map[types.ID]bool{n.self.ID: true}
-	n.leaderID, n.leaderAddr = "", ""
-	n.overloadTransfers = 0
-	if byTransfer {
-		n.overloadTransfers = n.announcedTransfers
-	}
-	next := n.hardState.Term + 1
-	n.priorLeaderHeardAt = max(n.leaderHeardAt, n.lastLedAt)
-	if !preVote {
-		n.setHardState(HardState{Term: next, VotedFor: n.self.ID})
-	}
-	t, _ := n.termAt(n.lastIndex())
-	for _, m := range n.config {
+	n.role = roleCandidate
+	n.election.preVote = kind == campaignPreElection
+	n.election.votes = map[types.ID]bool{n.self.ID: true}
+	n.leader.addr = ""
+	n.leader.priorHeardAt = n.leader.lastContact()
+	n.transfer.overloadCount = 0
+	if kind == campaignTransfer {
+		n.transfer.overloadCount = n.transfer.announcedCount
+	}
+	term := n.hardState.Term + 1
+	if kind != campaignPreElection {
+		n.setHardState(HardState{Term: term, VotedFor: n.self.ID})
+	}
+	for _, m := range n.log.config {
 		if m.Voter && m.ID != n.self.ID {
-			n.send(m.Addr, wire.RequestVote, requestVote{n.clusterName, n.self.ID, m.ID, next, n.lastIndex(), t, preVote, byTransfer})
+			n.send(m.Addr, wire.RequestVote, requestVote{
+				ClusterName:        n.clusterName,
+				CandidateID:        n.self.ID,
+				To:                 m.ID,
+				Term:               term,
+				LastLogIndex:       n.log.lastIndex(),
+				LastLogTerm:        n.log.lastTerm(),
+				PreVote:            kind == campaignPreElection,
+				LeadershipTransfer: kind == campaignTransfer,
+			})
 		}
 	}
 }
@@ -37,35 +71,76 @@
 	if request.ClusterName != n.clusterName || request.To != n.self.ID || n.clusterName == "" {
 		return
 	}
-	if n.role == roleLeader {
-		if _, ok := n.config.Find(request.CandidateID); !ok && n.HoldsReadLease() && n.canChangeConfiguration() {
-			n.send(from, wire.Removed, removedNotice{n.clusterName, request.CandidateID, n.commitIndex})
-			return
-		}
+	if n.role == roleLeader && n.notifyRemoved(from, request.CandidateID) {
+		return
 	}
-	noLiveLeader := n.now.Mono.Sub(n.leaderHeardAt) >= n.timeouts.MinElectionTimeout && n.now.Mono.Sub(n.startedAt) >= n.timeouts.MinElectionTimeout && n.role != roleLeader
-	t, _ := n.termAt(n.lastIndex())
-	upToDate := request.LastLogTerm > t || request.LastLogTerm == t && request.LastLogIndex >= n.lastIndex()
 	if request.PreVote {
-		yes := noLiveLeader && upToDate && request.Term > n.hardState.Term
-		n.send(from, wire.VoteReply, voteReply{ClusterName: n.clusterName, VoterID: n.self.ID, Term: request.Term, PreVote: true, Granted: yes})
-		if !yes && request.Term <= n.hardState.Term {
-			n.send(from, wire.VoteReply, voteReply{ClusterName: n.clusterName, VoterID: n.self.ID, Term: n.hardState.Term})
-		}
+		n.answerPreVote(from, request)
 		return
 	}
-	if !noLiveLeader && !request.LeadershipTransfer {
+	if !n.mayDeposeLeader() && !request.LeadershipTransfer {
 		return
 	}
 	if request.Term > n.hardState.Term {
 		n.becomeFollower(request.Term)
 	}
-	yes := request.Term == n.hardState.Term && upToDate && (n.hardState.VotedFor == "" || n.hardState.VotedFor == request.CandidateID) && n.role != roleLeader
-	if yes && n.hardState.VotedFor == "" {
+	granted := n.grantVote(request)
+	n.send(from, wire.VoteReply, voteReply{
+		ClusterName: n.clusterName,
+		VoterID:     n.self.ID,
+		Term:        n.hardState.Term,
+		Granted:     granted,
+		SilentMS:    n.now.Mono.Sub(n.leader.lastContact()).Milliseconds(),
+	})
+}
+
+// mayDeposeLeader tells whether this member may help to elect another leader. A member
+// that has heard a leader within the shortest election timeout may not, nor may one that
+// has only just started and cannot know whether it had. Read leases rest on that (section
+// 6.4.1 of the thesis); a leader that transfers leadership has given up its own lease.
+func (n *Node) mayDeposeLeader() bool {
+	shortest := n.timeouts.MinElectionTimeout
+	return n.role != roleLeader &&
+		n.now.Mono.Sub(n.leader.heardAt) >= shortest &&
+		n.now.Mono.Sub(n.startedAt) >= shortest
+}
+
+// answerPreVote says whether this member would vote for the candidate. A candidate of an
+// old term also learns the newer one.
+func (n *Node) answerPreVote(from types.Addr, request requestVote) {
+	newerTerm := request.Term > n.hardState.Term
+	granted := newerTerm && n.mayDeposeLeader() && n.log.isUpToDate(request.LastLogTerm, request.LastLogIndex)
+	n.send(from, wire.VoteReply, voteReply{
+		ClusterName: n.clusterName,
+		VoterID:     n.self.ID,
+		Term:        request.Term,
+		PreVote:     true,
+		Granted:     granted,
+	})
+	if !newerTerm {
+		n.send(from, wire.VoteReply, voteReply{ClusterName: n.clusterName, VoterID: n.self.ID, Term: n.hardState.Term})
+	}
+}
+
+// grantVote votes for a candidate of the current term if this member has not voted for
+// another one in that term, and the candidate's log is at least as up to date as its own
+// (sections 5.2 and 5.4.1 of the paper).
+func (n *Node) grantVote(request requestVote) bool {
+	if n.role == roleLeader || request.Term != n.hardState.Term {
+		return false
+	}
+	if !n.log.isUpToDate(request.LastLogTerm, request.LastLogIndex) {
+		return false
+	}
+	switch n.hardState.VotedFor {
+	case "":
 		n.setHardState(HardState{Term: request.Term, VotedFor: request.CandidateID})
 		n.resetElectionTimer()
+		return true
+	case request.CandidateID:
+		return true
 	}
-	n.send(from, wire.VoteReply, voteReply{ClusterName: n.clusterName, VoterID: n.self.ID, Term: n.hardState.Term, Granted: yes, SilentMS: n.now.Mono.Sub(max(n.leaderHeardAt, n.lastLedAt)).Milliseconds()})
+	return false
 }
 
 func (n *Node) onVoteReply(_ types.Addr, reply voteReply) {
@@ -76,136 +151,45 @@
 		n.becomeFollower(reply.Term)
 		return
 	}
-	want := n.hardState.Term
-	if n.preVote {
-		want++
-	}
-	if n.role != roleCandidate || reply.PreVote != n.preVote || reply.Term != want || !reply.Granted {
+	ofThisCampaign := reply.PreVote == n.election.preVote && reply.Term == n.campaignTerm()
+	if n.role != roleCandidate || !ofThisCampaign || !reply.Granted {
 		return
 	}
-	n.votes[reply.VoterID] = true
-	n.priorLeaderHeardAt = max(n.priorLeaderHeardAt, n.now.Mono.Add(-time.Duration(reply.SilentMS)*time.Millisecond))
-	granted := 0
-	for _, m := range n.config {
-		if m.Voter && n.votes[m.ID] {
-			granted++
-		}
-	}
-	if granted <= n.config.Voters()/2 {
-		return
+	n.election.votes[reply.VoterID] = true
+	silent := time.Duration(reply.SilentMS) * time.Millisecond
+	n.leader.priorHeardAt = max(n.leader.priorHeardAt, n.now.Mono.Add(-silent))
+	switch {
+	case n.votesGranted() < n.log.config.quorum():
+	case n.election.preVote:
+		n.campaign(campaignElection)
+	default:
+		n.becomeLeader()
 	}
-	if n.preVote {
-		n.campaign(false, false)
-		return
-	}
-	n.becomeLeader()
 }
 
-// becomeFollower adopts a higher term and gives up any role held in the earlier one.
-func (n *Node) becomeFollower(t types.Term) {
-	n.setHardState(HardState{Term: t})
-	n.leaderID, n.leaderAddr = "", ""
-	n.assignRole()
-	n.resetElectionTimer()
-}
-
-func (n *Node) becomeLeader() {
-	n.role, n.leaderID, n.leaderAddr = roleLeader, n.self.ID, n.self.Addr
-	n.transferTarget, n.lastRoundAt, n.allVotersHeardSince = "", 0, n.now.Mono
-	n.progress = map[types.ID]*progress{}
-	for _, m := range n.config {
-		n.progressOf(m.ID)
-	}
-	n.appendEntry(Entry{Config: n.config})
-	n.termStartIndex = n.lastIndex()
-}
-
-func (n *Node) progressOf(id types.ID) *progress {
-	t, ok := n.progress[id]
-	if !ok {
-		t = &progress{next: n.lastIndex() + 1, lastHeardAt: n.now.Mono, ackedRound: never}
-		n.progress[id] = t
+// campaignTerm is the term that this candidate asks votes for.
+func (n *Node) campaignTerm() types.Term {
+	if n.election.preVote {
+		return n.hardState.Term + 1
 	}
-	return t
+	return n.hardState.Term
 }
 
-// quorumAckedRound is the start of the newest round that a quorum has answered, on this
-// leader's own clock.
-func (n *Node) quorumAckedRound() types.MonoTime {
-	return quorumValue(n, func(m Member) types.MonoTime {
-		if m.ID == n.self.ID {
-			return n.now.Mono
+// votesGranted counts the votes of voters of the configuration in force.
+func (n *Node) votesGranted() int {
+	count := 0
+	for _, m := range n.log.config {
+		if m.Voter && n.election.votes[m.ID] {
+			count++
 		}
-		return n.progressOf(m.ID).ackedRound
-	})
-}
-
-// PriorLeaderHeardAt is when an earlier leader can last have held a lease: a quorum's last
-// answer to it came from a member that voted for this one.
-func (n *Node) PriorLeaderHeardAt() types.MonoTime { return n.priorLeaderHeardAt }
-
-// HoldsReadLease reports whether this node may answer reads as the leader: a quorum
-// confirmed it within the shortest election timeout, and an entry of its term is
-// committed.
-func (n *Node) HoldsReadLease() bool {
-	return n.role == roleLeader && n.transferTarget == "" && n.commitIndex >= n.termStartIndex &&
-		n.now.Mono.Sub(n.quorumAckedRound()) < n.timeouts.MinElectionTimeout*9/10
-}
-
-// AuthorityRemaining is how much longer this leader may let others act on its behalf.
-func (n *Node) AuthorityRemaining() time.Duration {
-	if n.role != roleLeader {
-		return 0
 	}
-	return max(0, n.quorumAckedRound().Add(n.timeouts.AuthorityLease).Sub(n.now.Mono))
-}
-
-// PrepareStop makes this node take no leadership from now on and transfer what it holds.
-func (n *Node) PrepareStop(now types.Now) {
-	n.stopping = true
-	n.TransferLeadership(now)
-}
-
-// TransferLeadership picks a target: the reachable voter with the longest log.
-func (n *Node) TransferLeadership(now types.Now) bool {
-	n.announcedTransfers = 0
-	return n.transferTo(now, func(*progress) bool { return true })
+	return count
 }
 
-// transferTo picks the eligible reachable voter with the longest log.
-func (n *Node) transferTo(now types.Now, eligible func(*progress) bool) bool {
-	n.now = now
-	if n.role != roleLeader || n.transferTarget != "" {
-		return false
-	}
-	var best *progress
-	for _, m := range n.config {
-		t := n.progressOf(m.ID)
-		if m.Voter && m.ID != n.self.ID && now.Mono.Sub(t.lastHeardAt) < n.timeouts.MinElectionTimeout && eligible(t) && (best == nil || t.match > best.match) {
-			best, n.transferTarget = t, m.ID
-		}
-	}
-	n.transferDeadline = now.Mono.Add(n.timeouts.MinElectionTimeout)
-	return n.transferTarget != ""
-}
-
-func (n *Node) onTimeoutNow(_ types.Addr, message timeoutNow) {
-	if message.ClusterName == n.clusterName && message.To == n.self.ID && message.Term == n.hardState.Term && n.role == roleFollower && !n.diskStalled() && !n.stateLoading && !n.stopping {
-		n.announcedTransfers = message.OverloadTransfers
-		n.campaign(false, true)
-	}
-}
-
-// MayStop reports whether a node that prepares to stop has nothing left to do for the
-// cluster.
-// While a provisional member of its zone is there, a voter that stops waits until that
-// one has replaced it.
-func (n *Node) MayStop() bool {
-	switch n.role {
-	case roleLeader:
-		return false
-	case roleFollower, roleCandidate:
-		return !slices.ContainsFunc(n.config, func(m Member) bool { return m.Provisional && m.Zone == n.self.Zone && m.ID != n.self.ID })
-	}
-	return true
+// becomeFollower adopts a higher term and gives up any role held in the earlier one.
+func (n *Node) becomeFollower(term types.Term) {
+	n.setHardState(HardState{Term: term})
+	n.leader.addr = ""
+	n.assignRole()
+	n.resetElectionTimer()
 }
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -1,112 +1,36 @@
-// Configurations and their changes, one vote at a time. An empty controller joins as a
-// learner and is promoted once it has caught up. One that was not there at the first
-// start is provisional until it has replaced a member that is gone or leaves, or has
-// stayed long enough beside all others. No voter is removed except by a replacement,
-// however long it is silent; one that was removed and is back asks to be let in again.
-// Also the table of message handlers.
 package raft
 
-import (
-	"slices"
-	"time"
-
-	"coppercourse/internal/types"
-	"coppercourse/internal/wire"
-)
+import "time"
 
 const (
-	maxVoters  = 9  // voters
-	maxMembers = 12 // members
+	maxVoters  = 9
+	maxMembers = 12 // voters and learners
 	// promotionGap is how many entries a member may lack to be promoted: a part of what the
 	// next message brings.
 	promotionGap = maxEntriesPerMessage / 4
-	// longSilenceFactor times ReplaceAfter is when a silent learner is forgotten.
+	// longSilenceFactor times ReplaceAfter is when a silent learner is removed, and when a
+	// voter may be replaced by a member of another zone.
 	longSilenceFactor = 6
-	// provisionalPeriod is how long a provisional member votes beside all others until it is a
-	// regular one. No bound rests on it: it only tells an addition from a replacement.
+	// provisionalPeriod is how long a provisional member votes beside all others until it is
+	// a regular one. No bound rests on it: it only tells an addition from a replacement.
 	provisionalPeriod = 30 * time.Second
 )
 
-var handlers = map[wire.Kind]func(*Node, wire.Message){
-	wire.Bootstrap:       wire.HandlerFor((*Node).onBootstrap),
-	wire.JoinRequest:     wire.HandlerFor((*Node).onJoinRequest),
-	wire.RequestVote:     wire.HandlerFor((*Node).onRequestVote),
-	wire.VoteReply:       wire.HandlerFor((*Node).onVoteReply),
-	wire.AppendEntries:   wire.HandlerFor((*Node).onAppendEntries),
-	wire.AppendReply:     wire.HandlerFor((*Node).onAppendReply),
-	wire.InstallSnapshot: wire.HandlerFor((*Node).onInstallSnapshot),
-	wire.TimeoutNow:      wire.HandlerFor((*Node).onTimeoutNow),
-	wire.Removed:         wire.HandlerFor((*Node).onRemoved),
-}
-
-// Step handles a message; false when its kind is not one of this package's.
-func (n *Node) Step(now types.Now, message wire.Message) bool {
-	n.now = now
-	f, ok := handlers[message.Kind]
-	if ok && (n.role != roleRemoved || message.Kind == wire.AppendEntries || message.Kind == wire.InstallSnapshot) {
-		f(n, message)
-	}
-	return ok
-}
-
-func (n *Node) onRemoved(_ types.Addr, notice removedNotice) {
-	if notice.ClusterName == n.clusterName && notice.MemberID == n.self.ID && n.role != roleLeader && notice.CommitIndex >= n.commitIndex {
-		n.role, n.reason = roleRemoved, "struck off the config; empty the data folder to come back as a new member"
-	}
-}
-
-// canChangeConfiguration is true for a leader whose configuration and an entry of whose own
-// term are committed.
-func (n *Node) canChangeConfiguration() bool {
-	return n.commitIndex >= n.termStartIndex && n.commitIndex >= n.configIndex && n.transferTarget == ""
-}
-
-func (n *Node) onJoinRequest(from types.Addr, request joinRequest) {
-	if n.role != roleLeader || request.ClusterName != n.clusterName || !n.canChangeConfiguration() {
-		return
-	}
-	_, ok := n.config.Find(request.Member.ID)
-	if !ok && request.WasVoter && n.HoldsReadLease() {
-		n.send(from, wire.Removed, removedNotice{n.clusterName, request.Member.ID, n.commitIndex})
-	}
-	if ok || request.WasVoter || len(n.config) >= maxMembers {
-		return
-	}
-	request.Member.Voter = false
-	n.proposeConfiguration(append(n.config[:len(n.config):len(n.config)], request.Member))
-}
-
-func (n *Node) proposeConfiguration(config Configuration) {
-	n.appendEntry(Entry{Config: config})
-	for _, m := range config {
-		n.progressOf(m.ID)
-	}
-}
-
-func (n *Node) configurationWithout(id types.ID) (config Configuration) {
-	for _, m := range n.config {
-		if m.ID != id {
-			config = append(config, m)
-		}
-	}
-	return
-}
-
-// silentFor is how long a member has not been heard.
-func (n *Node) silentFor(member Member) time.Duration {
-	if member.ID == n.self.ID {
-		return 0
-	}
-	return n.now.Mono.Sub(n.progressOf(member.ID).lastHeardAt)
-}
-
-// caughtUp is true for a member that answers now and has nearly all of the log.
-func (n *Node) caughtUp(m Member) bool {
-	if m.ID == n.self.ID {
-		return true
-	}
-	t := n.progressOf(m.ID)
-	return n.silentFor(m) < n.timeouts.StallTimeout && t.match+promotionGap >= n.commitIndex && t.match > 0
+// membershipRules are the changes that a leader makes by itself, the most urgent first.
+// Each proposes one configuration and returns true, or finds nothing to do.
+//
+// An empty controller joins as a learner and is promoted once it has caught up. One that
+// was not there at the first start is provisional until it has replaced a member that is
+// gone or stops, or has stayed long enough beside all others. No voter is removed except
+// by a replacement, however long it is silent; one that was removed and is back asks to
+// join again.
+var membershipRules = []func(*Node) bool{
+	(*Node).replaceWiped,
+	(*Node).replaceStopping,
+	(*Node).replaceSilent,
+	(*Node).promoteLearner,
+	(*Node).restoreOddVoters,
+	(*Node).confirmProvisional,
 }
 
 // maintainMembership makes at most one change of the configuration.
@@ -114,8 +38,8 @@
 	if !n.canChangeConfiguration() {
 		return
 	}
-	for _, change := range []func() bool{n.replaceWiped, n.replaceStopping, n.replaceSilent, n.promoteLearner, n.restoreOddVoters, n.confirmProvisional} {
-		if change() {
+	for _, applies := range membershipRules {
+		if applies(n) {
 			return
 		}
 	}
@@ -124,9 +48,9 @@
 // replaceWiped replaces a member whose disk was lost, as soon as its successor at the
 // same address has caught up.
 func (n *Node) replaceWiped() bool {
-	for _, m := range n.config {
-		if o, ok := n.predecessorAtAddress(m); ok && n.caughtUp(m) {
-			n.replaceMember(m, o)
+	for _, m := range n.log.config {
+		if former, ok := n.predecessorAtAddress(m); ok && n.isCaughtUp(m) {
+			n.replaceMember(m, former)
 			return true
 		}
 	}
@@ -136,12 +60,13 @@
 // replaceStopping replaces a voter that is about to stop by a provisional member of its
 // zone, while it still is there to agree.
 func (n *Node) replaceStopping() bool {
-	for _, v := range n.config {
+	for _, v := range n.log.config {
 		if !v.Voter || v.ID == n.self.ID || !n.progressOf(v.ID).stopping {
 			continue
 		}
-		for _, m := range n.config {
-			if m.Provisional && m.Zone == v.Zone && m.ID != v.ID && n.caughtUp(m) && !n.progressOf(m.ID).stopping {
+		for _, m := range n.log.config {
+			mayReplace := m.Provisional && m.Zone == v.Zone && m.ID != v.ID
+			if mayReplace && n.isCaughtUp(m) && !n.progressOf(m.ID).stopping {
 				n.replaceMember(m, v)
 				return true
 			}
@@ -150,15 +75,15 @@
 	return false
 }
 
-// replaceSilent replaces a voter that has been silent for long, and forgets a learner
-// that has been so for much longer.
+// replaceSilent replaces a voter that has been silent for long by a provisional member, and
+// removes a learner that has been silent for much longer.
 func (n *Node) replaceSilent() bool {
-	for _, m := range n.config {
+	for _, m := range n.log.config {
 		if !m.Voter && n.silentFor(m) > n.learnerTimeout(m) {
-			n.proposeConfiguration(n.configurationWithout(m.ID))
+			n.proposeConfiguration(n.log.config.without(m.ID))
 			return true
 		}
-		if v, ok := n.replaceableVoter(m); ok && m.Provisional && n.caughtUp(m) {
+		if v, ok := n.replaceableVoter(m); ok && m.Provisional && n.isCaughtUp(m) {
 			n.replaceMember(m, v)
 			return true
 		}
@@ -166,19 +91,14 @@
 	return false
 }
 
-// learnerTimeout is how long a learner may be silent: a standby, which has been replaced already,
-// as long as a voter that is replaced.
-func (n *Node) learnerTimeout(m Member) time.Duration {
-	if m.Demoted {
-		return n.timeouts.ReplaceAfter
-	}
-	return longSilenceFactor * n.timeouts.ReplaceAfter
-}
-
-// promoteLearner gives a learner that has caught up its vote.
+// promoteLearner gives a learner that has caught up its vote. A provisional one waits
+// while a voter of its zone may be gone: it replaces that one instead.
 func (n *Node) promoteLearner() bool {
-	for _, m := range n.config {
-		if m.Voter || m.Demoted || !n.caughtUp(m) || !n.canAddVoter(m) || m.Provisional && n.zoneHasSilentVoter(m) {
+	for _, m := range n.log.config {
+		if m.Voter || m.Demoted || !n.isCaughtUp(m) || !n.canAddVoter(m) {
+			continue
+		}
+		if m.Provisional && n.zoneHasSilentVoter(m) {
 			continue
 		}
 		m.Voter = true
@@ -188,33 +108,26 @@
 	return false
 }
 
-// canAddVoter is true while a member more may vote. A provisional one may do so beside as many
-// as may be, until it has replaced one of them.
-func (n *Node) canAddVoter(m Member) bool {
-	voters := n.config.Voters()
-	return voters < maxVoters || voters == maxVoters && m.Provisional && len(n.config) == maxVoters+1
-}
-
-// restoreOddVoters makes the number of voters odd again after a provisional member was promoted.
-// An even number asks for one more voter and bears no more losses, so that the voter
-// which the new one came to replace could not go without warning. A standby gets its
-// vote back, or else the only other voter of the zone becomes one.
+// restoreOddVoters makes the number of voters odd again after a provisional member was
+// promoted. An even number needs one voter more for a quorum and tolerates no more losses,
+// so that the voter which the new one came to replace could not go without warning. A
+// demoted member gets its vote back, or else the only other voter of the zone is demoted.
 func (n *Node) restoreOddVoters() bool {
-	if n.config.Voters()%2 == 1 {
+	if n.log.config.Voters()%2 == 1 {
 		return false
 	}
-	for _, m := range n.config {
-		if m.Voter && m.Provisional && n.caughtUp(m) && (n.promoteDemoted() || n.demotePredecessor(m)) {
+	for _, m := range n.log.config {
+		if m.Voter && m.Provisional && n.isCaughtUp(m) && (n.promoteDemoted() || n.demotePredecessor(m)) {
 			return true
 		}
 	}
 	return false
 }
 
-// promoteDemoted gives a standby its vote back.
+// promoteDemoted gives a demoted member its vote back.
 func (n *Node) promoteDemoted() bool {
-	for _, m := range n.config {
-		if m.Demoted && n.caughtUp(m) && n.config.Voters() < maxVoters {
+	for _, m := range n.log.config {
+		if m.Demoted && n.isCaughtUp(m) && n.log.config.Voters() < maxVoters {
 			m.Voter, m.Demoted = true, false
 			n.updateMembers(m)
 			return true
@@ -223,8 +136,8 @@
 	return false
 }
 
-// demotePredecessor makes the only other voter of a provisional member's zone a standby, and that
-// member a regular one. A leader hands over before it stands down itself.
+// demotePredecessor demotes the only other voter of a provisional member's zone and makes
+// that member a regular one. A leader transfers leadership before it is demoted itself.
 func (n *Node) demotePredecessor(successor Member) bool {
 	former, ok := n.onlyOtherVoterInZone(successor)
 	if !ok {
@@ -239,91 +152,19 @@
 	return true
 }
 
-// onlyOtherVoterInZone is the voter beside a member in its zone, if there is just one.
-func (n *Node) onlyOtherVoterInZone(m Member) (other Member, ok bool) {
-	for _, v := range n.config {
-		if v.Voter && v.Zone == m.Zone && v.ID != m.ID {
-			if ok {
-				return Member{}, false
-			}
-			other, ok = v, true
-		}
-	}
-	return
-}
-
-// predecessorAtAddress is an earlier member at the same address: its disk was lost, since
-// another identity answers there.
-func (n *Node) predecessorAtAddress(m Member) (Member, bool) {
-	for _, o := range n.config {
-		if o.Addr == m.Addr && o.ID != m.ID && n.silentFor(o) > n.silentFor(m) {
-			return o, true
-		}
-	}
-	return Member{}, false
-}
-
-// replaceableVoter is the voter that a provisional member replaces: the one of its zone
-// that has been silent longest, for long enough; and where there are as many voters as
-// may be, any that has been silent for much longer.
-func (n *Node) replaceableVoter(m Member) (worst Member, ok bool) {
-	full := !m.Voter && n.config.Voters() >= maxVoters
-	for _, v := range n.config {
-		q := n.silentFor(v)
-		gone := v.Zone == m.Zone && q > n.timeouts.ReplaceAfter || full && q > longSilenceFactor*n.timeouts.ReplaceAfter
-		if v.Voter && v.ID != m.ID && gone && (!ok || q > n.silentFor(worst)) {
-			worst, ok = v, true
-		}
-	}
-	return
-}
-
-// zoneHasSilentVoter is true while a voter of a provisional member's zone is silent, or has
-// not answered this leader yet: it may be the one to replace, or be back soon.
-func (n *Node) zoneHasSilentVoter(m Member) bool {
-	return slices.ContainsFunc(n.config, func(v Member) bool {
-		if !v.Voter || v.Zone != m.Zone || v.ID == n.self.ID {
-			return false
-		}
-		return n.progressOf(v.ID).ackedRound == never || n.silentFor(v) > n.timeouts.MinElectionTimeout
-	})
-}
-
-// replaceMember removes a member that is gone in favour of one that is not provisional
-// from then on. The vote of the new one, where it has none, comes with the next change.
-func (n *Node) replaceMember(successor, former Member) {
-	config := n.configurationWithout(former.ID)
-	for i := range config {
-		if config[i].ID == successor.ID {
-			config[i].Provisional = successor.Provisional && (former.Provisional || !former.Voter)
-			config[i].Demoted = successor.Demoted && !former.Voter
-		}
-	}
-	n.proposeConfiguration(config)
-}
-
-// updateMembers changes members that the configuration has.
-func (n *Node) updateMembers(members ...Member) {
-	config := slices.Clone(n.config)
-	for _, m := range members {
-		config[slices.IndexFunc(config, func(o Member) bool { return o.ID == m.ID })] = m
-	}
-	n.proposeConfiguration(config)
-}
-
 // confirmProvisional makes a provisional member that has long voted beside all others,
 // with none of them silent, a regular one. In an even number of voters it stays one that
 // may replace another.
 func (n *Node) confirmProvisional() bool {
-	for _, m := range n.config {
+	for _, m := range n.log.config {
 		if m.Voter && n.silentFor(m) > n.timeouts.StallTimeout {
-			n.allVotersHeardSince = n.now.Mono
+			n.leading.allVotersHeardSince = n.now.Mono
 		}
 	}
-	if n.now.Mono.Sub(n.allVotersHeardSince) < provisionalPeriod || n.config.Voters()%2 == 0 {
+	if n.now.Mono.Sub(n.leading.allVotersHeardSince) < provisionalPeriod || n.log.config.Voters()%2 == 0 {
 		return false
 	}
-	for _, m := range n.config {
+	for _, m := range n.log.config {
 		if m.Voter && m.Provisional {
 			m.Provisional = false
 			n.updateMembers(m)
--- /dev/null
+++ b/internal/raft/outbox.go
@@ -0,0 +1,75 @@
+package raft
+
+import (
+	"slices"
+
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// outbox holds the messages of a member. One that rests on something written goes out
+// only when that is on disk, and only if the member still is in the term in which it was
+// made.
+type outbox struct {
+	ready        []wire.OutboundMessage
+	awaitingSync []pendingMessage
+}
+
+// pendingMessage is a message that goes out once a batch is synced.
+type pendingMessage struct {
+	afterBatch uint64
+	term       types.Term
+	message    wire.OutboundMessage
+}
+
+// release makes those messages ready that waited for a batch or an earlier one, and drops
+// those of them that were made in another term.
+func (o *outbox) release(syncedBatch uint64, term types.Term) {
+	waiting := o.awaitingSync[:0]
+	for _, p := range o.awaitingSync {
+		switch {
+		case p.afterBatch > syncedBatch:
+			waiting = append(waiting, p)
+		case p.term == term:
+			o.ready = append(o.ready, p.message)
+		}
+	}
+	o.awaitingSync = waiting
+}
+
+// dropSuperseded forgets messages that wait for the disk and that a newer one of the same
+// kind to the same member makes needless.
+func (o *outbox) dropSuperseded(newer wire.OutboundMessage) {
+	o.awaitingSync = slices.DeleteFunc(o.awaitingSync, func(p pendingMessage) bool {
+		return p.message.To == newer.To && p.message.Message.Kind == newer.Message.Kind
+	})
+}
+
+// takeReady hands out the messages that may go out now.
+func (o *outbox) takeReady() []wire.OutboundMessage {
+	ready := o.ready
+	o.ready = nil
+	return ready
+}
+
+// send sends a message once the newest term and vote are on disk.
+func (n *Node) send(to types.Addr, kind wire.Kind, body any) {
+	n.sendAfterBatch(n.disk.hardStateBatch, to, kind, body)
+}
+
+// sendAfterBatch sends a message once a batch is on disk. While the disk stalls, only the
+// newest reply to a leader is kept, so that a fault of hours takes no memory.
+func (n *Node) sendAfterBatch(batch uint64, to types.Addr, kind wire.Kind, body any) {
+	message := wire.NewMessage(n.self.Addr, to, kind, body)
+	if batch <= n.disk.syncedBatch {
+		n.outbox.ready = append(n.outbox.ready, message)
+		return
+	}
+	if kind == wire.AppendReply && n.DiskStalled() {
+		n.outbox.dropSuperseded(message)
+	}
+	n.outbox.awaitingSync = append(n.outbox.awaitingSync, pendingMessage{batch, n.hardState.Term, message})
+}
+
+// MessagesAwaitingSync counts the messages that wait for the disk.
+func (n *Node) MessagesAwaitingSync() int { return len(n.outbox.awaitingSync) }
--- a/internal/raft/plant_test.go
+++ b/internal/raft/plant_test.go
@@ -27,15 +27,16 @@
 	n := m.node
 	switch w.plantedBug {
 	case plantVoteWhileLeader:
-		n.leaderHeardAt, n.startedAt = never, never
+		n.leader.heardAt, n.startedAt = never, never
 	case plantRemovedEarly:
-		for _, v := range n.config {
+		for _, v := range n.log.config {
 			if n.role == roleLeader && !v.Voter {
-				n.progressOf(v.ID).match = n.commitIndex
+				n.progressOf(v.ID).match = n.log.commitIndex
 			}
 		}
 	case plantNoReplacement:
-		for _, p := range n.progress {
+		n.leading.electedAt = n.now.Mono
+		for _, p := range n.leading.progress {
 			p.lastHeardAt = n.now.Mono
 		}
 	}
@@ -46,49 +47,43 @@
 	n := m.node
 	switch w.plantedBug {
 	case plantVoteBeforeSync:
-		n.pendingSends = slices.DeleteFunc(n.pendingSends, func(h pendingSend) bool {
-			if h.send.Message.Kind == wire.VoteReply || h.send.Message.Kind == wire.RequestVote {
-				n.sends = append(n.sends, h.send)
+		n.outbox.awaitingSync = slices.DeleteFunc(n.outbox.awaitingSync, func(h pendingMessage) bool {
+			if h.message.Message.Kind == wire.VoteReply || h.message.Message.Kind == wire.RequestVote {
+				n.outbox.ready = append(n.outbox.ready, h.message)
 				return true
 			}
 			return false
 		})
 	case plantCommitBeforeSync:
-		n.pendingSends = slices.DeleteFunc(n.pendingSends, func(h pendingSend) bool {
-			if h.send.Message.Kind == wire.AppendReply {
-				n.sends = append(n.sends, h.send)
+		n.outbox.awaitingSync = slices.DeleteFunc(n.outbox.awaitingSync, func(h pendingMessage) bool {
+			if h.message.Message.Kind == wire.AppendReply {
+				n.outbox.ready = append(n.outbox.ready, h.message)
 				return true
 			}
 			return false
 		})
-		n.syncedIndex = n.lastIndex()
+		n.log.syncedIndex = n.log.lastIndex()
 		if n.role == roleLeader {
 			n.advanceCommit()
 		}
 	case plantCountedTwice:
-		if n.role == roleLeader && n.config.Voters() > 0 && n.commitIndex >= n.termStartIndex {
-			own := n.syncedIndex
-			if t, ok := n.termAt(own); ok && t == n.hardState.Term && own > n.commitIndex && n.votersHolding(own)+1 > n.config.Voters()/2 {
-				n.commitIndex = own
+		if n.role == roleLeader && n.log.config.Voters() > 0 && n.log.commitIndex >= n.leading.termStartIndex {
+			own := n.log.syncedIndex
+			if t, ok := n.log.term(own); ok && t == n.hardState.Term && own > n.log.commitIndex && n.votersHolding(own)+1 > n.log.config.Voters()/2 {
+				n.log.commitIndex = own
 			}
 		}
 	case plantOldTermByCount:
 		if n.role == roleLeader {
-			to := quorumValue(n, func(v Member) types.Index {
-				if v.ID == n.self.ID {
-					return n.syncedIndex
-				}
-				return n.progressOf(v.ID).match
-			})
-			n.commitIndex = max(n.commitIndex, to)
+			n.log.commitIndex = max(n.log.commitIndex, n.quorumSyncedIndex())
 		}
 	}
 }
 
 // votersHolding is how many voters have an entry synced, as the leader knows.
 func (n *Node) votersHolding(i types.Index) (count int) {
-	for _, v := range n.config {
-		if v.Voter && (v.ID == n.self.ID && n.syncedIndex >= i || v.ID != n.self.ID && n.progressOf(v.ID).match >= i) {
+	for _, v := range n.log.config {
+		if v.Voter && (v.ID == n.self.ID && n.log.syncedIndex >= i || v.ID != n.self.ID && n.progressOf(v.ID).match >= i) {
 			count++
 		}
 	}
--- a/internal/raft/planted_test.go
+++ b/internal/raft/planted_test.go
@@ -122,12 +122,12 @@
 		a.start()
 		elect(a, c) // a leads again; its older entry reaches c, the newer ones do not
 		a.completeSync()
-		old := a.node.log[0].Index
+		old := a.node.log.entries[0].Index
 		a.node.progressOf(c.node.self.ID).match = old // as after a message with the older entry only
 		w.now += time.Millisecond
-		c.node.truncateAndAppend(a.node.log[:1])
+		c.node.log.truncateAndAppend(a.node.log.entries[:1])
 		a.step(func() { a.node.advanceCommit() })
-		if a.node.commitIndex >= old {
+		if a.node.log.commitIndex >= old {
 			crash(a)
 			b.start()
 			elect(b, c)
--- /dev/null
+++ b/internal/raft/progress.go
@@ -0,0 +1,59 @@
+package raft
+
+import (
+	"time"
+
+	"coppercourse/internal/types"
+)
+
+// progress is what a leader knows of one member: nextIndex and matchIndex of the paper's
+// Figure 2, and what its replies say.
+type progress struct {
+	next  types.Index // the next entry to send
+	match types.Index // highest entry known to be like the leader's and on the member's disk
+
+	ackedRound  types.MonoTime // start of the newest round that the member has answered
+	lastHeardAt types.MonoTime
+	lastSentAt  types.MonoTime // when entries or a snapshot part were last sent; never after its answer
+	window      sendWindow
+
+	snapshotParts int            // parts of the snapshot that the member has
+	wallOffset    types.WallTime // of its wall clock from the leader's cluster clock
+	loopLag       time.Duration  // of the event loop of its daemon
+	stopping      bool           // its process is about to stop
+}
+
+// hasInFlight tells whether entries were sent and not yet acknowledged.
+func (p *progress) hasInFlight() bool { return p.match+1 < p.next }
+
+// resendFromMatch makes all that is not acknowledged be sent again.
+func (p *progress) resendFromMatch() { p.next = p.match + 1 }
+
+// onSnapshotPart notes that the member has so many parts. A reply that says the same as
+// the one before is to a part that was sent twice.
+func (p *progress) onSnapshotPart(now types.MonoTime, parts int, minElectionTimeout time.Duration) {
+	if parts == p.snapshotParts {
+		return
+	}
+	p.window.onAcknowledged(now, minElectionTimeout)
+	p.snapshotParts, p.lastSentAt = parts, never
+}
+
+// onRejected steps back to where the member's log may be like the leader's (section 5.3).
+func (p *progress) onRejected(match types.Index) {
+	p.snapshotParts, p.window.inFlightBytes = 0, 0
+	p.match = min(p.match, match)
+	p.next = match + 1
+}
+
+// onMatched notes how far the member's log is like the leader's and on its disk.
+func (p *progress) onMatched(now types.MonoTime, match types.Index, minElectionTimeout time.Duration) {
+	if match <= p.match {
+		return
+	}
+	p.match = match
+	p.next = max(p.next, match+1)
+	if !p.hasInFlight() {
+		p.window.onAcknowledged(now, minElectionTimeout)
+	}
+}
--- /dev/null
+++ b/internal/raft/record.go
@@ -0,0 +1,100 @@
+package raft
+
+import (
+	"encoding/json"
+
+	"coppercourse/internal/types"
+)
+
+// Record is what one record on disk holds; each field stands for itself. A record with a
+// snapshot is followed by its parts, each a record that is nothing but the part's bytes.
+type Record struct {
+	Identity        *Identity       `json:"identity,omitempty"`
+	AcceptedCluster *InitialCluster `json:"promise,omitempty"`
+	Cluster         *InitialCluster `json:"bootstrap,omitempty"`
+	HardState       *HardState      `json:"vote,omitempty"`
+	Entries         []Entry         `json:"entries,omitempty"`
+	Snapshot        *Snapshot       `json:"snapshot,omitempty"`
+	snapshotPart    []byte          // in place of all else: a part of the snapshot before it
+}
+
+// Identity is created with an empty data folder and never used again after its loss.
+// FirstStart is true where that was the first start of the whole system.
+type Identity struct {
+	ID         types.ID `json:"id"`
+	FirstStart bool     `json:"first,omitempty"`
+}
+
+// InitialCluster is a cluster's name and its initial configuration.
+type InitialCluster struct {
+	ClusterName string        `json:"name"`
+	Config      Configuration `json:"config"`
+}
+
+// HardState is a term and whom this member voted for in it (currentTerm and votedFor of
+// the paper's Figure 2). It is on disk before anything that rests on it is sent.
+type HardState struct {
+	Term     types.Term `json:"term"`
+	VotedFor types.ID   `json:"voted_for"`
+}
+
+// encodeRecords returns records as they are stored; nil for none.
+func encodeRecords(records []Record) [][]byte {
+	var batch [][]byte
+	for _, r := range records {
+		batch = append(batch, r.encode())
+	}
+	return batch
+}
+
+func (r Record) encode() []byte {
+	if r.snapshotPart != nil {
+		return r.snapshotPart
+	}
+	b, err := json.Marshal(r)
+	if err != nil {
+		panic(err) // a record has nothing that JSON can't hold
+	}
+	return b
+}
+
+// restore reads back what is on disk, in the order in which it was written. A record that
+// can't be read says nothing.
+func (n *Node) restore(records [][]byte) {
+	for _, b := range records {
+		if snapshot := &n.log.snapshot; !snapshot.isComplete() {
+			snapshot.Parts = append(snapshot.Parts, b)
+			continue
+		}
+		var r Record
+		if json.Unmarshal(b, &r) == nil {
+			n.restoreRecord(r)
+		}
+	}
+}
+
+func (n *Node) restoreRecord(record Record) {
+	if record.Identity != nil {
+		n.self.ID, n.self.Provisional = record.Identity.ID, !record.Identity.FirstStart
+		n.bootstrap.options.FirstStart = record.Identity.FirstStart
+		n.bootstrap.accepted = nil
+	}
+	if record.AcceptedCluster != nil {
+		n.bootstrap.accepted = record.AcceptedCluster
+	}
+	if record.Cluster != nil {
+		n.clusterName, n.log.snapshot.Config = record.Cluster.ClusterName, record.Cluster.Config
+		n.bootstrap.accepted = nil
+	}
+	if record.HardState != nil {
+		n.hardState = *record.HardState
+	}
+	if record.Snapshot != nil {
+		n.log.snapshot, n.log.entries = *record.Snapshot, nil
+		n.log.commitIndex = record.Snapshot.Index
+	}
+	if len(record.Entries) > 0 {
+		n.log.truncateAndAppend(record.Entries)
+	}
+	n.log.recomputeConfiguration()
+}
--- a/internal/raft/replacement_test.go
+++ b/internal/raft/replacement_test.go
@@ -104,10 +104,10 @@
 	}
 	gone := func() bool {
 		l := w.leader()
-		if l == nil || l.node.commitIndex < l.node.configIndex {
+		if l == nil || l.node.log.commitIndex < l.node.log.configIndex {
 			return false
 		}
-		_, ok := l.node.config.Find(id)
+		_, ok := l.node.log.config.Find(id)
 		return !ok
 	}
 	if !w.waitUntil(5*time.Second, gone) {
@@ -119,7 +119,7 @@
 		if l == nil {
 			return false
 		}
-		m, ok := l.node.config.Find(id)
+		m, ok := l.node.log.config.Find(id)
 		return ok && m.Voter && m.Provisional && old.node.role != roleRemoved
 	}
 	if !w.waitUntil(testCatchUpTime, back) {
@@ -135,19 +135,19 @@
 func TestNewLeaderDelaysPromotionBesideUnheardVoter(t *testing.T) {
 	w := manualWorld()
 	l := w.machines[0].node
-	l.commitIndex = l.lastIndex()
-	l.config = append(slices.Clone(l.config), Member{ID: "node-4", Addr: "m4", Zone: w.machines[1].zone, Provisional: true})
+	l.log.commitIndex = l.log.lastIndex()
+	l.log.config = append(slices.Clone(l.log.config), Member{ID: "node-4", Addr: "m4", Zone: w.machines[1].zone, Provisional: true})
 	p := l.progressOf("node-4")
-	p.match, p.lastHeardAt, p.ackedRound = l.lastIndex(), l.now.Mono, l.now.Mono
-	if before := l.lastIndex(); l.promoteLearner() || l.lastIndex() != before {
+	p.match, p.lastHeardAt, p.ackedRound = l.log.lastIndex(), l.now.Mono, l.now.Mono
+	if before := l.log.lastIndex(); l.promoteLearner() || l.log.lastIndex() != before {
 		t.Fatal("promoted beside a voter that never answered this leader")
 	}
-	heard := l.progressOf(l.config[1].ID)
+	heard := l.progressOf(l.log.config[1].ID)
 	heard.ackedRound, heard.lastHeardAt = l.now.Mono, l.now.Mono
 	if !l.promoteLearner() {
 		t.Fatal("not promoted though all of its zone answer")
 	}
-	if v, _ := l.config.Find("node-4"); !v.Voter {
-		t.Fatal(fmt.Sprint("no vote: ", l.config, types.ID("node-4")))
+	if v, _ := l.log.config.Find("node-4"); !v.Voter {
+		t.Fatal(fmt.Sprint("no vote: ", l.log.config, types.ID("node-4")))
 	}
 }
--- a/internal/raft/search_test.go
+++ b/internal/raft/search_test.go
@@ -80,7 +80,7 @@
 // expireElectionTimer lets a member's election timer run out.
 func (w *world) expireElectionTimer(m *machine) {
 	m.step(func() {
-		m.node.electionDeadline = m.clock().Mono
+		m.node.election.deadline = m.clock().Mono
 		m.node.Tick(m.clock())
 	})
 }
@@ -139,7 +139,7 @@
 
 // crashAndWipe ends a process and empties its disk: it starts again with another identity.
 func (w *world) crashAndWipe(m *machine) {
-	m.wipedIdentity, m.wipedCluster = &Identity{ID: m.node.self.ID, FirstStart: true}, &InitialCluster{ClusterName: m.node.clusterName, Config: m.node.snapshot.Config}
+	m.wipedIdentity, m.wipedCluster = &Identity{ID: m.node.self.ID, FirstStart: true}, &InitialCluster{ClusterName: m.node.clusterName, Config: m.node.log.snapshot.Config}
 	m.unsynced, m.node, m.synced, m.first = nil, nil, nil, false
 }
 
--- a/internal/raft/flow_test.go
+++ b/internal/raft/send_window_test.go
@@ -70,13 +70,13 @@
 // One record of the file must never be longer than what is read back.
 func TestRewrittenFileHasBoundedRecords(t *testing.T) {
 	is := is.New(t)
-	node := &Node{timeouts: DefaultTimeouts, progress: map[types.ID]*progress{}, commitIndex: 100}
+	node := &Node{timeouts: DefaultTimeouts, log: raftLog{commitIndex: 100}}
 	for i, e := range newEntries(100, maxRecordBytes/4) {
 		e.Index = types.Index(i + 1)
 		e.Data = json.RawMessage(`"` + string(paddingBytes(maxRecordBytes/4)) + `"`)
-		node.log = append(node.log, e)
+		node.log.entries = append(node.log.entries, e)
 	}
-	node.writeRecord(Record{Entries: node.log[99:]})
+	node.writeRecord(Record{Entries: node.log.entries[99:]})
 	node.Compact(10, [][]byte{[]byte(`{"state":1}`)})
 	ready := node.Ready()
 	is.Equal(len(ready.FallbackRecords), 1) // what the step would have appended
@@ -84,18 +84,18 @@
 	for _, b := range ready.Records {
 		is.True(len(b) < 2*maxRecordBytes)
 	}
-	again := &Node{progress: map[types.ID]*progress{}}
+	again := &Node{}
 	for _, b := range ready.Records {
 		var r Record
 		is.NoErr(json.Unmarshal(b, &r))
-		if len(again.snapshot.Parts) < again.snapshot.PartCount {
-			again.snapshot.Parts = append(again.snapshot.Parts, b)
+		if len(again.log.snapshot.Parts) < again.log.snapshot.PartCount {
+			again.log.snapshot.Parts = append(again.log.snapshot.Parts, b)
 			continue
 		}
 		again.restoreRecord(r)
 	}
-	is.Equal(again.lastIndex(), node.lastIndex())
-	is.Equal(again.snapshot.Index, types.Index(10))
+	is.Equal(again.log.lastIndex(), node.log.lastIndex())
+	is.Equal(again.log.snapshot.Index, types.Index(10))
 }
 
 func paddingBytes(n int) []byte {
@@ -108,13 +108,13 @@
 
 func TestDiskFailureCountsAsStall(t *testing.T) {
 	is := is.New(t)
-	node := &Node{timeouts: DefaultTimeouts, progress: map[types.ID]*progress{}}
+	node := &Node{timeouts: DefaultTimeouts}
 	node.DiskFailed(types.Now{Mono: 1})
-	is.True(!node.diskStalled()) // nothing waits for the disk
+	is.True(!node.DiskStalled()) // nothing waits for the disk
 	node.writeRecord(Record{HardState: &HardState{Term: 1}})
-	is.True(!node.diskStalled())
+	is.True(!node.DiskStalled())
 	node.DiskFailed(types.Now{Mono: 2})
-	is.True(node.diskStalled())
-	node.Synced(types.Now{Mono: 3}, node.writtenBatch)
-	is.True(!node.diskStalled())
+	is.True(node.DiskStalled())
+	node.Synced(types.Now{Mono: 3}, node.disk.writtenBatch)
+	is.True(!node.DiskStalled())
 }
--- /dev/null
+++ b/internal/raft/snapshot.go
@@ -0,0 +1,138 @@
+package raft
+
+import (
+	"slices"
+
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// maxRecordBytes bounds the entries in one record of a file that is written anew, but for
+// a single larger entry.
+const maxRecordBytes = 1 << 20
+
+// Snapshot is the state as of one entry (section 7 of the paper), in parts, each a record
+// and a message of its own.
+type Snapshot struct {
+	Index     types.Index   `json:"index"`
+	Term      types.Term    `json:"term"`
+	Config    Configuration `json:"config"`
+	PartCount int           `json:"parts"`
+	Parts     [][]byte      `json:"-"`
+}
+
+func (s *Snapshot) isComplete() bool { return len(s.Parts) >= s.PartCount }
+
+// add takes one part of a snapshot that a leader sends; parts of another one than before
+// begin it anew, and parts out of order are ignored.
+func (s *Snapshot) add(from Snapshot, number int, part []byte) {
+	if s.Index != from.Index || s.Term != from.Term {
+		*s = from
+	}
+	if number == len(s.Parts) {
+		s.Parts = append(s.Parts, part)
+	}
+}
+
+// restoreSnapshot makes a snapshot the whole log: whatever was there is older.
+func (l *raftLog) restoreSnapshot(snapshot Snapshot) {
+	l.snapshot, l.entries, l.unsynced = snapshot, nil, nil
+	l.bytes = 0
+	l.commitIndex, l.syncedIndex = snapshot.Index, 0
+	l.recomputeConfiguration()
+}
+
+// compact replaces the log up to an entry by the state as of it, in parts.
+func (l *raftLog) compact(i types.Index, parts [][]byte) {
+	term, _ := l.term(i)
+	config := l.configurationAt(i)
+	l.entries = slices.Clone(l.entries[i-l.snapshot.Index:])
+	l.snapshot = Snapshot{Index: i, Term: term, Config: config, PartCount: len(parts), Parts: parts}
+	l.bytes = dataBytes(l.entries)
+}
+
+// Compact replaces the log up to an entry by the state as of it, in parts. Nothing happens
+// if that entry is not committed, or within the last snapshot.
+func (n *Node) Compact(i types.Index, parts [][]byte) {
+	if i <= n.log.snapshot.Index || i > n.log.commitIndex {
+		return
+	}
+	n.log.compact(i, parts)
+	for _, p := range n.leading.progress {
+		p.snapshotParts = 0
+	}
+	var fallback []Record
+	if !n.disk.replaceFile {
+		fallback = append([]Record{}, n.disk.records...)
+	}
+	n.rewriteFile()
+	n.disk.fallback = fallback
+	n.log.awaitSync(n.disk.writtenBatch)
+}
+
+// rewriteFile collects the records that replace the whole file.
+func (n *Node) rewriteFile() {
+	n.disk.replace()
+	hardState, snapshot := n.hardState, n.log.snapshot
+	n.writeRecord(Record{Identity: &Identity{n.self.ID, n.bootstrap.options.FirstStart}})
+	n.writeRecord(Record{Cluster: &InitialCluster{ClusterName: n.clusterName, Config: snapshot.Config}})
+	n.writeRecord(Record{HardState: &hardState})
+	n.writeRecord(Record{Snapshot: &snapshot})
+	for _, part := range snapshot.Parts {
+		n.writeRecord(Record{snapshotPart: part})
+	}
+	for rest := n.log.entries; len(rest) > 0; {
+		count := entriesWithin(rest, maxRecordBytes)
+		n.writeRecord(Record{Entries: rest[:count]})
+		rest = rest[count:]
+	}
+}
+
+// sendSnapshot sends a member the next part of the snapshot, unless the answer to the last
+// one still may come.
+func (n *Node) sendSnapshot(peer Member, p *progress) {
+	now, snapshot := n.now.Mono, n.log.snapshot
+	wait := p.window.retryTimeout(snapshotRetryHeartbeats * n.timeouts.HeartbeatInterval)
+	if now.Sub(p.lastSentAt) <= wait || snapshot.PartCount == 0 {
+		return
+	}
+	if p.lastSentAt != never {
+		p.window.onTimeout()
+	}
+	p.lastSentAt = now
+	p.window.onSend(now)
+	p.snapshotParts = min(p.snapshotParts, snapshot.PartCount-1)
+	n.send(peer.Addr, wire.InstallSnapshot, installSnapshot{
+		appendEntries: n.newAppendEntries(peer, snapshot.Index),
+		Snapshot:      snapshot,
+		PartNumber:    p.snapshotParts,
+		Part:          snapshot.Parts[p.snapshotParts],
+	})
+}
+
+func (n *Node) onInstallSnapshot(from types.Addr, request installSnapshot) {
+	if !n.acceptLeader(from, request.appendEntries) {
+		return
+	}
+	reply := n.newAppendReply(request.Round)
+	reply.Success, reply.MatchIndex = true, request.Snapshot.Index
+	if request.Snapshot.Index > n.log.commitIndex {
+		n.incoming.add(request.Snapshot, request.PartNumber, request.Part)
+		if len(n.incoming.Parts) < request.Snapshot.PartCount {
+			reply.MatchIndex, reply.SnapshotParts = 0, len(n.incoming.Parts)
+			n.send(from, wire.AppendReply, reply)
+			return
+		}
+		n.restoreSnapshot()
+	}
+	n.sendAfterBatch(n.disk.writtenBatch, from, wire.AppendReply, reply)
+}
+
+// restoreSnapshot replaces the log by the snapshot that has come in full.
+func (n *Node) restoreSnapshot() {
+	n.log.restoreSnapshot(n.incoming)
+	n.incoming = Snapshot{}
+	n.assignRole()
+	n.rewriteFile()
+	n.log.awaitSync(n.disk.writtenBatch)
+}
--- a/internal/raft/traffic_test.go
+++ b/internal/raft/traffic_test.go
@@ -26,9 +26,9 @@
 func (m *machine) acknowledge() {
 	n, kept := m.node, m.pendingProposals[:0]
 	for _, p := range m.pendingProposals {
-		t, ok := n.termAt(p.index)
+		t, ok := n.log.term(p.index)
 		switch {
-		case n.commitIndex < p.index:
+		case n.log.commitIndex < p.index:
 			kept = append(kept, p)
 		case ok && t == p.term:
 			m.w.checker.acknowledged = max(m.w.checker.acknowledged, p.index)
--- a/internal/raft/overload_test.go
+++ b/internal/raft/transfer_test.go
@@ -12,10 +12,19 @@
 // newTestLeader is one of three voters, of which the others have so much of the log and
 // are so far behind with their work.
 func newTestLeader(match [2]types.Index, lags [2]time.Duration) *Node {
-	n := &Node{timeouts: DefaultTimeouts, role: roleLeader, self: Member{ID: "a"}, commitIndex: 10, loopLag: time.Second, progress: map[types.ID]*progress{},
-		config: Configuration{{ID: "a", Voter: true}, {ID: "b", Voter: true}, {ID: "c", Voter: true}}}
+	n := &Node{
+		timeouts: DefaultTimeouts,
+		self:     Member{ID: "a"},
+		role:     roleLeader,
+		log: raftLog{
+			commitIndex: 10,
+			config:      Configuration{{ID: "a", Voter: true}, {ID: "b", Voter: true}, {ID: "c", Voter: true}},
+		},
+		daemon:  daemonState{loopLag: time.Second},
+		leading: leadership{progress: map[types.ID]*progress{}},
+	}
 	for i, id := range []types.ID{"b", "c"} {
-		n.progress[id] = &progress{match: match[i], loopLag: lags[i]}
+		n.leading.progress[id] = &progress{match: match[i], loopLag: lags[i]}
 	}
 	return n
 }
@@ -36,7 +45,7 @@
 		is := is.New(t)
 		n := newTestLeader(c.match, c.lags)
 		is.Equal(n.TransferWhenOverloaded(types.Now{}, led), c.heir != "")
-		is.Equal(n.transferTarget, c.heir)
+		is.Equal(n.transfer.target, c.heir)
 	}
 }
 
@@ -46,17 +55,17 @@
 	rest := minOverloadedTenure
 	for reliefs := range 8 {
 		n := newTestLeader([2]types.Index{10, 10}, [2]time.Duration{})
-		n.overloadTransfers = reliefs
+		n.transfer.overloadCount = reliefs
 		is.True(!n.TransferWhenOverloaded(types.Now{}, rest-1))
 		is.True(n.TransferWhenOverloaded(types.Now{}, rest))
-		is.Equal(n.announcedTransfers, reliefs+1)
+		is.Equal(n.transfer.announcedCount, reliefs+1)
 		if reliefs < maxOverloadDoublings {
 			rest *= 2
 		}
 	}
 	is.Equal(rest, minOverloadedTenure<<maxOverloadDoublings)
 	n := newTestLeader([2]types.Index{10, 10}, [2]time.Duration{})
-	n.overloadTransfers = 3
+	n.transfer.overloadCount = 3
 	is.True(n.TransferLeadership(types.Now{})) // a planned stop waits for nothing
-	is.Equal(n.announcedTransfers, 0)          // and what follows begins anew
+	is.Equal(n.transfer.announcedCount, 0)     // and what follows begins anew
 }
--- a/internal/raft/walk_test.go
+++ b/internal/raft/walk_test.go
@@ -35,7 +35,7 @@
 
 func (w *world) allAreVoters(count int) bool {
 	l := w.leader()
-	return l != nil && l.node.config.Voters() == count && l.node.commitIndex >= l.node.configIndex
+	return l != nil && l.node.log.config.Voters() == count && l.node.log.commitIndex >= l.node.log.configIndex
 }
 
 // proposeForever proposes all the time, and looks at what must hold between steps.
@@ -50,11 +50,11 @@
 // compactSome replaces a member's log by a snapshot now and then.
 func (w *world) compactSome() {
 	m := w.machines[w.random.Intn(len(w.machines))]
-	if w.random.Intn(10) > 0 || !m.up() || m.frozen || m.node.commitIndex < m.node.snapshot.Index+30 {
+	if w.random.Intn(10) > 0 || !m.up() || m.frozen || m.node.log.commitIndex < m.node.log.snapshot.Index+30 {
 		return
 	}
 	m.step(func() {
-		m.node.Compact(m.node.commitIndex-types.Index(w.random.Intn(10)), [][]byte{[]byte(`{"a":1}`), []byte(`{"b":2}`)})
+		m.node.Compact(m.node.log.commitIndex-types.Index(w.random.Intn(10)), [][]byte{[]byte(`{"a":1}`), []byte(`{"b":2}`)})
 	})
 }
 
--- a/internal/raft/world_test.go
+++ b/internal/raft/world_test.go
@@ -160,7 +160,7 @@
 	for _, m := range w.machines {
 		if m.node != nil {
 			n := m.node
-			fmt.Fprintf(&b, "%s %s %s term %d commit %d last %d config@%d %s\n", m.addr, n.self.ID, n.role, n.hardState.Term, n.commitIndex, n.lastIndex(), n.configIndex, describe(n.config))
+			fmt.Fprintf(&b, "%s %s %s term %d commit %d last %d config@%d %s\n", m.addr, n.self.ID, n.role, n.hardState.Term, n.log.commitIndex, n.log.lastIndex(), n.log.configIndex, describe(n.log.config))
 		}
 	}
 	return b.String() + w.failure
