--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -50,7 +50,8 @@
 	}
 	s.buildIndexes()
 	goldentest.File(t, "snapshot.jsonl", snapshot(s))
-	read, err := Restore(bytes.Split(bytes.TrimSuffix(goldentest.Read(t, "snapshot.jsonl"), []byte("\n")), []byte("\n")))
+	stored := bytes.TrimSuffix(goldentest.Read(t, "snapshot.jsonl"), []byte("\n"))
+	read, err := Restore(bytes.Split(stored, []byte("\n")))
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/state/helpers_test.go
@@ -0,0 +1,103 @@
+package state
+
+import (
+	"bytes"
+	"testing"
+	"time"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
+)
+
+const sec = types.ClusterTime(time.Second)
+
+// newTestState returns a state with one queue, "q": two failures fail a job, the end of a
+// lost attempt is waited for 5 s.
+func newTestState(t *testing.T) *State {
+	t.Helper()
+	s := New()
+	_, refusal := s.Apply(Command{Time: sec, Table: &config.Table{Queues: []config.Queue{{
+		Name: "q", Weight: 1, MaxRunning: 10, MaxUnfinished: 2, MaxFailures: 2,
+		TaskTimeoutMillis: 1000, UnresolvedTimeoutMillis: 5000,
+	}}}})
+	if refusal != nil {
+		t.Fatal(refusal)
+	}
+	return s
+}
+
+// readTestSpec decodes a job that is valid.
+func readTestSpec(t *testing.T, text string) Spec {
+	t.Helper()
+	var errs apierror.ErrorList
+	spec := ReadSpec([]byte(text), &errs)
+	if errs.Err() != nil {
+		t.Fatal(errs.Err())
+	}
+	return spec
+}
+
+// submitJob submits a job as "j".
+func submitJob(t *testing.T, s *State, text string) *Job {
+	t.Helper()
+	apply(s, sec, Command{Job: &Submission{"j", readTestSpec(t, text)}})
+	return s.Jobs["j"]
+}
+
+// apply applies a command, which may be refused, and returns the assignments made.
+func apply(s *State, at types.ClusterTime, command Command) []Assignment {
+	command.Time = at
+	assigned, _ := s.Apply(command)
+	return assigned
+}
+
+// attemptID names an attempt of job "j".
+func attemptID(number, attempt int) types.AttemptID {
+	return types.AttemptID{TaskID: types.TaskID{Job: "j", Number: number}, Attempt: attempt}
+}
+
+// assign assigns the next attempt of a task of job "j" to worker "k".
+func assign(s *State, at types.ClusterTime, number int) []Assignment {
+	return apply(s, at, Command{Assignments: []Assignment{{ID: attemptID(number, 0), Shard: "k"}}})
+}
+
+// end ends an attempt of job "j".
+func end(s *State, at types.ClusterTime, number, attempt int, outcome Outcome) {
+	apply(s, at, Command{Ends: []AttemptEnd{{ID: attemptID(number, attempt), Outcome: outcome}}})
+}
+
+// submission is a command that submits a job of n tasks.
+func submission(id string, n int) Command {
+	return Command{Job: &Submission{types.JobID(id), Spec{Queue: "q", Steps: []Step{{
+		Name: "a", Kind: "x", Resources: types.Resources{Cores: types.Core}, Tasks: n,
+	}}}}}
+}
+
+// finishJob submits a job of one task and runs it to its end.
+func finishJob(s *State, at types.ClusterTime, id string) {
+	apply(s, at, submission(id, 1))
+	attempt := types.AttemptID{TaskID: types.TaskID{Job: types.JobID(id)}}
+	apply(s, at, Command{Assignments: []Assignment{{ID: attempt, Shard: "k"}}})
+	attempt.Attempt = 1
+	apply(s, at, Command{Ends: []AttemptEnd{{ID: attempt, Outcome: OutcomeOK}}})
+}
+
+// snapshotParts takes a whole snapshot at once.
+func snapshotParts(s *State) [][]byte {
+	s.BeginSnapshot()
+	return s.ContinueSnapshot(1 << 30)
+}
+
+// wholeSnapshot is snapshotParts, a part a line.
+func wholeSnapshot(s *State) []byte { return bytes.Join(snapshotParts(s), []byte("\n")) }
+
+// restoredCopy returns the state as a controller has it that reads its snapshot back.
+func restoredCopy(t *testing.T, s *State) *State {
+	t.Helper()
+	restored, err := Restore(snapshotParts(s))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return restored
+}
--- /dev/null
+++ b/internal/state/queue_usage_test.go
@@ -0,0 +1,45 @@
+package state
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
+)
+
+// A flooded queue leaves every other one capacity for its first jobs.
+func TestBudgetReservesCapacityForEveryQueue(t *testing.T) {
+	is := is.New(t)
+	s := New()
+	queues := []config.Queue{}
+	for i := range 10 {
+		queues = append(queues, config.Queue{
+			Name: types.QueueName(fmt.Sprint("q", i)), Weight: 1, MaxRunning: 1000, MaxUnfinished: 100_000,
+			MaxFailures: 3, TaskTimeoutMillis: 1000,
+		})
+	}
+	_, refusal := s.Apply(Command{Time: sec, Table: &config.Table{MaxTasks: 20_000, Queues: queues}})
+	is.True(refusal == nil)
+	spec := submission("", 100).Job.Spec
+	submit := func(queue string, i int) *apierror.Error {
+		spec.Queue = types.QueueName(queue)
+		_, refusal := s.Apply(Command{Time: sec, Job: &Submission{types.JobID(fmt.Sprint(queue, "-", i)), spec}})
+		return refusal
+	}
+	accepted := -1
+	for refusal = nil; refusal == nil; accepted++ {
+		refusal = submit("q0", accepted+1)
+	}
+	is.Equal(refusal.Kind, apierror.QueueFull)
+	is.Equal(accepted, 110) // its own tenth of one half, and the whole other half
+	for i := 1; i < 10; i++ {
+		for k := range 10 {
+			is.True(submit(fmt.Sprint("q", i), k) == nil)
+		}
+		is.True(submit(fmt.Sprint("q", i), 10) != nil)
+	}
+}
--- /dev/null
+++ b/internal/state/submission_test.go
@@ -0,0 +1,72 @@
+package state
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
+)
+
+// An accepted job is recognized, and a queue holds a bounded number of unfinished jobs.
+func TestAcceptanceIsBoundedAndIdempotent(t *testing.T) {
+	is := is.New(t)
+	s := newTestState(t)
+	spec := readTestSpec(t, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
+	for _, id := range []types.JobID{"a", "b", "a"} {
+		_, refusal := s.Apply(Command{Time: sec, Job: &Submission{id, spec}})
+		is.True(refusal == nil)
+	}
+	_, refusal := s.Apply(Command{Time: sec, Job: &Submission{"c", spec}})
+	is.Equal(refusal.Kind, apierror.QueueFull)
+	spec.Urgency = 3
+	_, refusal = s.Apply(Command{Time: sec, Job: &Submission{"a", spec}})
+	is.Equal(refusal.Kind, apierror.IDInUse)
+	s.BeginSnapshot()
+	apply(s, sec, Command{Cancel: "a"}) // after the snapshot began
+	restored, err := Restore(s.ContinueSnapshot(1 << 30))
+	is.NoErr(err)
+	is.Equal(restored.UnfinishedJobs("q"), 2)
+	is.Equal(len(restored.LiveJobs()), 2)
+}
+
+// A job is recognized by its id and by what its caller wrote, whatever the configuration
+// has made of its route since.
+func TestRepeatedJobIsKnownUnderAnyConfiguration(t *testing.T) {
+	is := is.New(t)
+	spec := func(queue types.QueueName, kind types.ServiceKind, tasks int) Spec {
+		s := Spec{Queue: queue, Steps: []Step{{Name: "s0", Kind: kind, Tasks: tasks}}}
+		s.Request = s.RequestHash()
+		return s
+	}
+	s := New()
+	first := tableChange(0, 1, 1)
+	apply(s, sec, Command{Table: &first})
+	apply(s, sec, Command{Job: &Submission{"j", spec("q", "red", 1)}})
+	moved := tableChange(1, 2, 1)
+	moved.Queues[0].Name = "other" // the same route now leads to another queue
+	apply(s, 2*sec, Command{Table: &moved})
+	for _, s := range []*State{s, restoredCopy(t, s)} {
+		known, refusal := s.CheckJob("j", spec("other", "blue", 1))
+		is.True(refusal == nil)
+		is.Equal(known.Queue, types.QueueName("q"))
+		known, refusal = s.CheckJob("j", spec("gone", "red", 1)) // a queue that was removed
+		is.True(refusal == nil && known != nil)
+		_, refusal = s.CheckJob("j", spec("q", "red", 2))
+		is.Equal(refusal.Kind, apierror.IDInUse)
+		repeat, refusal := s.CheckCancel("j")
+		is.True(!repeat && refusal == nil) // and it may be cancelled
+	}
+	apply(s, 3*sec, Command{Cancel: "j"})
+	for _, at := range []types.ClusterTime{4 * sec, 3600 * sec, 23 * 3600 * sec} { // in full, then as a tombstone
+		apply(s, at, Command{})
+		for _, s := range []*State{s, restoredCopy(t, s)} {
+			known, refusal := s.CheckJob("j", spec("other", "blue", 1))
+			is.True(refusal == nil)
+			is.Equal(known.Status, JobCancelled)
+			repeat, refusal := s.CheckCancel("j")
+			is.True(repeat && refusal == nil)
+		}
+	}
+}
