--- a/cmd/coppercourse/state_log_test.go
+++ b/cmd/coppercourse/state_log_test.go
@@ -7,7 +7,7 @@
 	"github.com/go-logr/logr/funcr"
 	"github.com/matryer/is"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 )
 
 // Each change of a daemon's state is logged once, with a message that names it.
@@ -45,12 +45,12 @@
 	})
 	t.Run("agent", func(t *testing.T) {
 		checkStateLog(t, []loggedState[agentState]{
-			{"start", agentState{dispatch.New, 0, "i", false}, "started as new instance"},
-			{"healthy", agentState{dispatch.Healthy, 1, "i", false}, "worker health changed"},
-			{"new leader", agentState{dispatch.Healthy, 2, "i", false}, "accepted new term"},
-			{"draining", agentState{dispatch.Healthy, 2, "i", true}, "worker is draining"},
-			{"undrained", agentState{dispatch.Healthy, 2, "i", false}, "worker takes tasks again"},
-			{"lease ended", agentState{dispatch.New, 2, "k", false}, "started as new instance"},
+			{"start", agentState{protocol.WorkerNew, 0, "i", false}, "started as new instance"},
+			{"healthy", agentState{protocol.WorkerHealthy, 1, "i", false}, "worker health changed"},
+			{"new leader", agentState{protocol.WorkerHealthy, 2, "i", false}, "accepted new term"},
+			{"draining", agentState{protocol.WorkerHealthy, 2, "i", true}, "worker is draining"},
+			{"undrained", agentState{protocol.WorkerHealthy, 2, "i", false}, "worker takes tasks again"},
+			{"lease ended", agentState{protocol.WorkerNew, 2, "k", false}, "started as new instance"},
 		})
 	})
 }
