--- a/internal/controller/displace.go
+++ b/internal/controller/displace.go
@@ -98,7 +98,7 @@
 		n := 0
 		for i := range slots {
 			s := &slots[i]
-			if !s.Feasible(w) {
+			if !s.Feasible(&w) {
 				continue
 			}
 			free := s.Free
--- /dev/null
+++ b/internal/placement/reservation.go
@@ -0,0 +1,167 @@
+package placement
+
+import (
+	"sort"
+	"time"
+
+	"coppercourse/internal/types"
+)
+
+const (
+	// ReserveAfter is how long a request is passed over before workers are reserved for it.
+	ReserveAfter = 3 * time.Second
+
+	// heldFreePart bounds the slots that holdFree reserves to one in so many.
+	heldFreePart = 4
+)
+
+// Reservation is capacity on named workers that is kept for the tasks of one stage.
+type Reservation struct {
+	TaskGroup
+	Workers []ReservedWorker
+}
+
+// ReservedWorker is a worker and for how many tasks it has capacity reserved.
+type ReservedWorker struct {
+	Shard types.Shard
+	Tasks int
+}
+
+// honorReservation places the request that has the reservation, or keeps the reservation
+// in force. It lapses when the request is no longer there or its queue may not run it, or
+// when one of the workers is no longer feasible.
+func (r *round) honorReservation() {
+	if r.Reservation == nil {
+		return
+	}
+	request, usage := r.reservedRequest()
+	if request == nil || !usage.hasQuota(request) {
+		return
+	}
+	if slots := r.findSlots(request, request.MinTasks()); slots != nil {
+		r.assign(request, usage, slots)
+		return
+	}
+	for _, worker := range r.Reservation.Workers {
+		slot := r.slotOf(worker.Shard)
+		if slot == nil || !slot.Feasible(request) {
+			r.clearReserved()
+			return
+		}
+		slot.reserved = request.Resources.Scale(worker.Tasks)
+	}
+	r.output.Reservation = r.Reservation
+}
+
+// reservedRequest returns the request that has the reservation, with its queue's usage,
+// or nil.
+func (r *round) reservedRequest() (*Request, *QueueUsage) {
+	for i := range r.Requests {
+		request := &r.Requests[i]
+		if usage := r.Usage[request.Queue]; usage != nil && request.TaskGroup == r.Reservation.TaskGroup {
+			return request, usage
+		}
+	}
+	return nil, nil
+}
+
+// slotOf returns the slot of a worker, or nil.
+func (r *round) slotOf(shard types.Shard) *Slot {
+	for i := range r.Slots {
+		if r.Slots[i].Shard == shard {
+			return &r.Slots[i]
+		}
+	}
+	return nil
+}
+
+func (r *round) clearReserved() {
+	for i := range r.Slots {
+		r.Slots[i].reserved = types.Resources{}
+	}
+}
+
+// reserve returns a reservation of the workers that have the most free, or nil if all
+// feasible ones together could not run the request.
+func (r *round) reserve(request *Request) *Reservation {
+	reservation := &Reservation{TaskGroup: request.TaskGroup}
+	var fits []int // how many tasks each reserved worker could run
+	missing := request.MinTasks()
+	for _, slot := range r.feasibleSlots(request) { // one task each at first
+		if missing == 0 {
+			break
+		}
+		if n := slot.fits(request); n > 0 {
+			reservation.Workers = append(reservation.Workers, ReservedWorker{Shard: slot.Shard, Tasks: 1})
+			fits = append(fits, n)
+			missing--
+		}
+	}
+	for i := range reservation.Workers { // then as many as they can run
+		added := min(missing, fits[i]-1)
+		reservation.Workers[i].Tasks += added
+		missing -= added
+	}
+	if missing > 0 {
+		return nil
+	}
+	return reservation
+}
+
+// feasibleSlots returns the slots that are feasible for a request, those with the most
+// free cores first, then those that are idle soonest.
+func (r *round) feasibleSlots(request *Request) []*Slot {
+	var feasible []*Slot
+	for i := range r.Slots {
+		if r.Slots[i].Feasible(request) {
+			feasible = append(feasible, &r.Slots[i])
+		}
+	}
+	sort.SliceStable(feasible, func(i, k int) bool {
+		a, b := feasible[i], feasible[k]
+		if a.Free.Cores != b.Free.Cores {
+			return a.Free.Cores > b.Free.Cores
+		}
+		return a.IdleIn < b.IdleIn
+	})
+	return feasible
+}
+
+// holdFree reserves, for this round, slots that a request that found none will be able to
+// use soonest, so that smaller requests whose turn is later don't take them piece by
+// piece. The next round comes to the same slots as long as nothing changes. A bounded
+// part of all slots is reserved in this way.
+func (r *round) holdFree(request *Request) {
+	if request.Class == TargetMissed || request.Gang {
+		return
+	}
+	for range request.Tasks {
+		slot := r.slotToHoldFree(request)
+		if slot == nil || (r.heldFree+1)*heldFreePart > len(r.Slots) {
+			return
+		}
+		slot.reserved = request.Resources
+		r.heldFree++
+	}
+}
+
+// slotToHoldFree returns the slot with the most free cores among those that a task of the
+// request could use and that are not reserved, or nil.
+func (r *round) slotToHoldFree(request *Request) *Slot {
+	var best *Slot
+	for i := range r.Slots {
+		slot := &r.Slots[i]
+		switch {
+		case slot.reserved != (types.Resources{}) || !slot.Feasible(request):
+			continue
+		case request.MaxPerWorker > 0 && slot.TaskCount(request.TaskGroup) >= request.MaxPerWorker:
+			continue
+		case !r.trusts(slot, slot.RunningTasks):
+			continue
+		}
+		if best == nil || slot.Free.Cores > best.Free.Cores {
+			best = slot
+		}
+	}
+	return best
+}
--- /dev/null
+++ b/internal/placement/reservation_test.go
@@ -0,0 +1,124 @@
+package placement
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/types"
+)
+
+// Time in the run below.
+const (
+	roundTime    = 100 * time.Millisecond
+	taskRounds   = 10 // how many rounds a task lasts
+	requestRound = 20 // in which the large request comes
+)
+
+// busyCluster is a cluster of four workers of 10 cores that small tasks keep nearly full,
+// round by round, while one large request waits.
+type busyCluster struct {
+	slots       []Slot
+	ends        map[types.Shard][]int // the rounds in which running tasks end, one for each core
+	reservation *Reservation
+}
+
+// advance ends the tasks that end by a round.
+func (b *busyCluster) advance(round int) {
+	for i := range b.slots {
+		slot := &b.slots[i]
+		slot.reserved, slot.IdleIn = types.Resources{}, 0
+		running := b.ends[slot.Shard][:0]
+		for _, end := range b.ends[slot.Shard] {
+			if end > round {
+				running = append(running, end)
+				slot.IdleIn = max(slot.IdleIn, time.Duration(end-round)*roundTime)
+			}
+		}
+		b.ends[slot.Shard] = running
+		slot.Free = types.Resources{Cores: types.MilliCores(10-len(running)) * types.Core, MemoryMB: 1000}
+	}
+}
+
+// place makes a round with six small jobs of two tasks, and with the large request from
+// its round on, until it has been placed.
+func (b *busyCluster) place(round int, large Request, placed bool) []Assignment {
+	var requests []Request
+	if !placed && round >= requestRound {
+		large.WaitingFor = time.Duration(round-requestRound) * roundTime
+		requests = append(requests, large)
+	}
+	for i := range 6 {
+		small := newRequest(fmt.Sprint("s", round, i), "b", 2, 1)
+		small.TimeLimit = time.Second
+		requests = append(requests, small)
+	}
+	output := Place(Input{
+		Requests: requests, Slots: b.slots, TotalCores: 40 * types.Core, Reservation: b.reservation,
+		Usage: map[types.QueueName]*QueueUsage{"a": newUsage(1, 0, 500), "b": newUsage(1, 0, 500)},
+	})
+	b.reservation = output.Reservation
+	return output.Assignments
+}
+
+// run runs rounds until 20 after the large request was placed. It returns the round of
+// that, or -1, and how many small tasks were started.
+func (b *busyCluster) run(large Request, reserving bool) (placedIn, small int) {
+	placedIn = -1
+	for round := range 400 {
+		b.advance(round)
+		assignments := b.place(round, large, placedIn >= 0)
+		if !reserving {
+			b.reservation = nil
+		}
+		for _, assignment := range assignments {
+			cores := 1
+			if assignment.Task.Job == large.Job {
+				cores, placedIn = 10, round
+			} else {
+				small++
+			}
+			for range cores {
+				b.ends[assignment.Shard] = append(b.ends[assignment.Shard], round+taskRounds)
+			}
+		}
+		if placedIn >= 0 && round > placedIn+20 {
+			break
+		}
+	}
+	return placedIn, small
+}
+
+// A large task and a wide gang wait while small tasks keep every worker nearly full.
+// Without a reservation they never start; with it they do in bounded time, and small tasks
+// that surely end before go on beside it.
+func TestReservationLetsLargeRequestsStart(t *testing.T) {
+	task := newRequest("large", "a", 1, 10)
+	gang := newRequest("wide", "a", 3, 10)
+	gang.Gang = true
+	for _, c := range []struct {
+		name      string
+		request   Request
+		reserving bool
+	}{
+		{"large task", task, true},
+		{"large task without reservations", task, false},
+		{"wide gang", gang, true},
+		{"wide gang without reservations", gang, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			c.request.TimeLimit = time.Second
+			cluster := busyCluster{slots: newSlots(4, 10), ends: map[types.Shard][]int{}}
+			placedIn, small := cluster.run(c.request, c.reserving)
+			if !c.reserving {
+				is.Equal(placedIn, -1) // it starves
+				return
+			}
+			is.True(placedIn > 20 && placedIn < 80) // after ReserveAfter, and a small task or two
+			is.True(small > 100)
+		})
+	}
+}
--- /dev/null
+++ b/internal/placement/round.go
@@ -0,0 +1,108 @@
+package placement
+
+import (
+	"coppercourse/internal/types"
+)
+
+// round is one call of Place.
+type round struct {
+	Input
+	output          Output
+	meanFailureRate float64               // of all slots
+	infeasible      map[requestShape]bool // of which no task found a slot in this round
+
+	passedOver *Request // the first that has waited for ReserveAfter and found no slot, or nil
+	bypassed   bool     // others took slots after it that it could have used
+
+	heldFree int // slots that holdFree has reserved in this round
+
+	// Buffers of findSlotsOn, kept from one search to the next.
+	freeBuffer  []types.Resources
+	addedBuffer []int
+}
+
+func newRound(input Input) *round {
+	r := &round{Input: input, infeasible: map[requestShape]bool{}}
+	for i := range r.Slots {
+		r.meanFailureRate += r.Slots[i].FailureRate / float64(len(r.Slots))
+	}
+	return r
+}
+
+// placeInTurn places one request after another, each time of the queue whose turn it is.
+func (r *round) placeInTurn() {
+	turns := groupByQueue(r.Requests, r.Usage)
+	for len(r.output.Assignments) < MaxAssignments {
+		turn := nextQueue(turns, r.TotalCores)
+		if turn == nil {
+			return
+		}
+		request := &turn.requests[0]
+		if !turn.usage.allows(request) {
+			turn.requests = turn.requests[1:]
+			continue
+		}
+		slots := r.findSlotsOnce(request)
+		if slots == nil {
+			r.passOver(request, turn.usage)
+			turn.requests = turn.requests[1:]
+			continue
+		}
+		r.noteBypass(slots)
+		r.assign(request, turn.usage, slots)
+		if len(request.Tasks) == 0 {
+			turn.requests = turn.requests[1:]
+		}
+	}
+}
+
+// findSlotsOnce is findSlots, unless a request of the same shape found no slot before in
+// this round.
+func (r *round) findSlotsOnce(request *Request) []int {
+	shape := request.shape()
+	if r.infeasible[shape] && !request.Gang {
+		return nil
+	}
+	slots := r.findSlots(request, request.MinTasks())
+	if slots == nil && !request.Gang && request.MaxPerWorker == 0 && request.AvoidWorkers == nil {
+		r.infeasible[shape] = true
+	}
+	return slots
+}
+
+// passOver handles a request that found no slot though its queue may run it.
+func (r *round) passOver(request *Request, usage *QueueUsage) {
+	if usage.Queue.HasLatencyTarget() {
+		r.holdFree(request)
+	}
+	if r.passedOver == nil && r.output.Reservation == nil &&
+		request.WaitingFor >= ReserveAfter && request.Class == OnTarget {
+		r.passedOver = request
+	}
+}
+
+// noteBypass notes if one of the slots could have been used by the request passed over.
+func (r *round) noteBypass(slots []int) {
+	if r.passedOver == nil || r.bypassed {
+		return
+	}
+	for _, i := range slots {
+		if r.Slots[i].Feasible(r.passedOver) {
+			r.bypassed = true
+			return
+		}
+	}
+}
+
+// assign assigns the first tasks of a request to slots, one to each that is listed.
+func (r *round) assign(request *Request, usage *QueueUsage, slots []int) {
+	for i, index := range slots {
+		slot := &r.Slots[index]
+		slot.Assign(request.TaskGroup, request.Resources)
+		task := types.TaskID{Job: request.Job, Number: request.Tasks[i]}
+		r.output.Assignments = append(r.output.Assignments, Assignment{Task: task, Shard: slot.Shard})
+	}
+	usage.RunningTasks += len(slots)
+	usage.CoresInUse += types.MilliCores(len(slots)) * request.Resources.Cores
+	request.Tasks = request.Tasks[len(slots):]
+}
--- /dev/null
+++ b/internal/placement/search.go
@@ -0,0 +1,138 @@
+package placement
+
+import "coppercourse/internal/types"
+
+const (
+	// failureRateMargin is by how much the failure rate of a worker may exceed the mean.
+	// Beyond that it gets one task at a time, by which it can prove itself.
+	failureRateMargin = 0.35
+
+	// maxDurationFactor is how slow a worker may be now. Beyond that it gets nothing.
+	maxDurationFactor = 2.0
+
+	// probationTasks is how many tasks run at once on a worker that is slow now but not
+	// beyond maxDurationFactor.
+	probationTasks = 2
+
+	// minDurationFactor bounds the advantage of a worker that is faster than usual.
+	minDurationFactor = 0.2
+
+	// otherRackPenalty divides the score of workers that are not in the rack of the data.
+	otherRackPenalty = 100
+
+	// avoidPenalty divides the score of workers to be avoided.
+	avoidPenalty = 1000
+)
+
+// findSlots returns the indexes of slots for a number of tasks of a request, one for each
+// task, or nil if there are not enough.
+func (r *round) findSlots(request *Request, tasks int) []int {
+	if request.PreferOneRack {
+		if slots := r.findSlotsOnOneRack(request, tasks); slots != nil {
+			return slots
+		}
+	}
+	return r.findSlotsOn("", request, tasks)
+}
+
+// findSlotsOnOneRack is findSlots with all slots on one rack: that of the data, or one
+// where tasks of the group run already, or any other.
+func (r *round) findSlotsOnOneRack(request *Request, tasks int) []int {
+	tried := map[types.Rack]bool{"": true}
+	try := func(rack types.Rack) []int {
+		if tried[rack] {
+			return nil
+		}
+		tried[rack] = true
+		return r.findSlotsOn(rack, request, tasks)
+	}
+	if slots := try(request.DataRack); slots != nil {
+		return slots
+	}
+	for i := range r.Slots {
+		if r.Slots[i].TaskCount(request.TaskGroup) == 0 {
+			continue
+		}
+		if slots := try(r.Slots[i].Rack); slots != nil {
+			return slots
+		}
+	}
+	for i := range r.Slots {
+		if slots := try(r.Slots[i].Rack); slots != nil {
+			return slots
+		}
+	}
+	return nil
+}
+
+// findSlotsOn is findSlots on one rack, or on all if rack is empty. Each task goes to the
+// slot with the highest score at that moment.
+func (r *round) findSlotsOn(rack types.Rack, request *Request, tasks int) []int {
+	free, added := r.freeBuffer[:0], r.addedBuffer[:0]
+	for i := range r.Slots {
+		free = append(free, r.Slots[i].Free)
+		added = append(added, 0)
+	}
+	r.freeBuffer, r.addedBuffer = free, added
+	var slots []int
+	for range tasks {
+		best, bestScore := -1, 0.0
+		for i := range r.Slots {
+			slot := &r.Slots[i]
+			if rack != "" && slot.Rack != rack || !r.accepts(slot, request, free[i], added[i]) {
+				continue
+			}
+			if score := score(slot, request, free[i]); best < 0 || score > bestScore {
+				best, bestScore = i, score
+			}
+		}
+		if best < 0 {
+			return nil
+		}
+		free[best] = free[best].Sub(request.Resources)
+		added[best]++
+		slots = append(slots, best)
+	}
+	return slots
+}
+
+// accepts reports whether a slot can have another task of a request, beside the tasks
+// that were added to it in this search, with so much of it still free.
+func (r *round) accepts(slot *Slot, request *Request, free types.Resources, added int) bool {
+	switch {
+	case !free.Contains(request.Resources) || !slot.Feasible(request):
+		return false
+	case request.MaxPerWorker > 0 && slot.TaskCount(request.TaskGroup)+added >= request.MaxPerWorker:
+		return false
+	case !free.Sub(slot.reserved).Contains(request.Resources) && request.TimeLimit > slot.IdleIn:
+		return false // it would delay what the slot is reserved for
+	}
+	return r.trusts(slot, slot.RunningTasks+added)
+}
+
+// trusts reports whether a worker on which so many tasks run may have one more, by how
+// its attempts have ended and how slow it is.
+func (r *round) trusts(slot *Slot, running int) bool {
+	switch {
+	case running > 0 && slot.FailureRate > r.meanFailureRate+failureRateMargin:
+		return false
+	case slot.CurrentDurationFactor > maxDurationFactor:
+		return false
+	case slot.CurrentDurationFactor > 0 && running >= probationTasks:
+		return false
+	}
+	return true
+}
+
+// score prefers workers with many free cores whose attempts succeed and are fast, in the
+// rack of the request's data, and not to be avoided.
+func score(slot *Slot, request *Request, free types.Resources) float64 {
+	score := float64(free.Cores) * (1 - slot.FailureRate) / max(slot.DurationFactor, minDurationFactor)
+	if request.DataRack != "" && slot.Rack != request.DataRack {
+		score /= otherRackPenalty
+	}
+	if request.AvoidWorkers[slot.Shard] {
+		score /= avoidPenalty
+	}
+	return score
+}
--- /dev/null
+++ b/internal/placement/turns_test.go
@@ -0,0 +1,110 @@
+package placement
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
+)
+
+func TestWeightsDivideCores(t *testing.T) {
+	is := is.New(t)
+	requests := []Request{newRequest("a", "a", 100, 1), newRequest("b", "b", 100, 1)}
+	usage := map[types.QueueName]*QueueUsage{"a": newUsage(3, 0, 500), "b": newUsage(1, 0, 500)}
+	got := tasksByJob(place(requests, newSlots(4, 10), usage, 40))
+	is.Equal(got, map[types.JobID]int{"a": 30, "b": 10})
+}
+
+func TestShareGoesBeforeWeights(t *testing.T) {
+	is := is.New(t)
+	requests := []Request{newRequest("a", "a", 100, 1), newRequest("b", "b", 100, 1)}
+	usage := map[types.QueueName]*QueueUsage{"a": newUsage(1000, 0, 500), "b": newUsage(1, 50, 500)}
+	got := tasksByJob(place(requests, newSlots(4, 10), usage, 40))
+	is.Equal(got["b"], 20)
+}
+
+func TestUrgencyCountsWithinQueueOnly(t *testing.T) {
+	is := is.New(t)
+	urgent := newRequest("urgent", "a", 50, 1)
+	urgent.Urgency = 9
+	requests := []Request{newRequest("normal", "a", 50, 1), urgent, newRequest("other", "b", 50, 1)}
+	usage := map[types.QueueName]*QueueUsage{"a": newUsage(1, 0, 500), "b": newUsage(1, 0, 500)}
+	got := tasksByJob(place(requests, newSlots(1, 10), usage, 10))
+	is.Equal(got, map[types.JobID]int{"urgent": 5, "other": 5})
+}
+
+// Of the queues with a latency target the lowest sort key goes first, whichever queue it
+// is of: the queues' priorities are part of the key.
+func TestSortKeyOrdersQueuesWithTarget(t *testing.T) {
+	is := is.New(t)
+	request := func(job string, queue types.QueueName, class TargetClass, key float64) Request {
+		r := newRequest(job, queue, 1, 4)
+		r.Class, r.SortKey = class, key
+		return r
+	}
+	requests := []Request{
+		request("missed", "a", TargetMissed, -0.1),
+		request("low", "c", OnTarget, -8.5),
+		request("late", "a", Late, -1),
+		request("large", "b", OnTarget, -8),
+		request("small", "a", OnTarget, -9),
+	}
+	order := []types.JobID{"small", "low", "large", "late", "missed"}
+	for workers := range len(order) + 1 {
+		usage := usageOf(
+			config.Queue{Name: "a", TargetFactor: 1.5},
+			config.Queue{Name: "b", TargetFactor: 2},
+			config.Queue{Name: "c", TargetFactor: 2, Priority: 1},
+		)
+		got := tasksByJob(place(requests, newSlots(workers, 4), usage, 20))
+		for i, job := range order {
+			is.Equal(got[job] == 1, i < workers)
+		}
+	}
+}
+
+// A queue without a latency target goes by its priority, before or after all queues with
+// one: these take part with the best priority among them.
+func TestQueueWithoutTargetGoesByPriority(t *testing.T) {
+	is := is.New(t)
+	first, plain, last := newRequest("first", "a", 1, 4), newRequest("plain", "b", 1, 4), newRequest("last", "c", 1, 4)
+	last.SortKey, first.SortKey = -9, -1
+	order := []types.JobID{"last", "first", "plain"}
+	for workers := range len(order) + 1 {
+		for _, requests := range [][]Request{{last, plain, first}, {first, plain, last}, {plain, last, first}} {
+			usage := usageOf(
+				config.Queue{Name: "a", TargetFactor: 1.5},
+				config.Queue{Name: "b", Priority: 1},
+				config.Queue{Name: "c", TargetFactor: 2, Priority: 2},
+			)
+			got := tasksByJob(place(requests, newSlots(workers, 4), usage, 12))
+			for i, job := range order {
+				is.Equal(got[job] == 1, i < workers)
+			}
+		}
+	}
+}
+
+// A request with a bound on its queue's cores gets none beyond it, but one task always.
+func TestMaxQueueCoresBoundsQueue(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		bound types.MilliCores
+		want  int
+	}{
+		{"no bound", 0, 5},
+		{"less than one task", 1, 1},
+		{"two tasks", 8 * types.Core, 2},
+		{"three tasks", 12 * types.Core, 3},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			request := newRequest("long", "a", 5, 4)
+			request.MaxQueueCores = c.bound
+			usage := usageOf(config.Queue{Name: "a", TargetFactor: 3})
+			is.Equal(len(place([]Request{request}, newSlots(5, 4), usage, 20)), c.want)
+		})
+	}
+}
