--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -214,7 +214,7 @@
 	}
 	var list []state.WorkerShape
 	for _, s := range co.scheduler.Workers() {
-		x := state.WorkerShape{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Resources: s.Capacity, Labels: s.Labels, CalledByAgent: s.Invoked}
+		x := state.WorkerShape{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Resources: s.Capacity, Labels: s.Labels, CalledByAgent: s.CalledByAgent}
 		y, ok := co.state.WorkerShapes[s.Shard]
 		if s.Capacity.Cores == 0 && ok {
 			continue // an agent that has not heard its worker yet
--- a/internal/controller/slots_test.go
+++ b/internal/controller/slots_test.go
@@ -103,7 +103,7 @@
 	for i := range 6 {
 		shard := types.Shard(fmt.Sprint("k", i))
 		l.agents = append(l.agents, protocol.Heartbeat{Shard: shard, Instance: types.ID("agent-" + shard), WorkerReport: protocol.WorkerReport{Rack: "r1",
-			Kinds: []types.ServiceKind{"x"}, Capacity: types.Resources{Cores: 16_000, MemoryMB: 32_000}, Healthy: true, Invoked: true}})
+			Kinds: []types.ServiceKind{"x"}, Capacity: types.Resources{Cores: 16_000, MemoryMB: 32_000}, Healthy: true, CalledByAgent: true}})
 	}
 	for range 4 { // until all agree on the worker set
 		for i := range l.agents {
--- a/internal/dispatch/executor/link.go
+++ b/internal/dispatch/executor/link.go
@@ -146,7 +146,7 @@
 
 func (ex *Executor) updateReport(b wire.WorkerHeartbeat) {
 	before := ex.report
-	ex.report = protocol.WorkerReport{Rack: b.Rack, Kinds: b.Kinds, Capacity: b.Capacity, Labels: b.Labels, Shortfall: before.Shortfall, Healthy: before.Healthy, Invoked: true}
+	ex.report = protocol.WorkerReport{Rack: b.Rack, Kinds: b.Kinds, Capacity: b.Capacity, Labels: b.Labels, Shortfall: before.Shortfall, Healthy: before.Healthy, CalledByAgent: true}
 	switch {
 	case b.Draining:
 		ex.setDraining(time.Duration(b.DepartsInMS) * time.Millisecond)
--- a/internal/dispatch/executor/protocol_test.go
+++ b/internal/dispatch/executor/protocol_test.go
@@ -323,9 +323,9 @@
 // then it went well, or is known to be gone, and both are told.
 func TestLostIsNotTheLastWord(t *testing.T) {
 	for _, end := range []struct {
-		told []protocol.FinishedTask
+		told []protocol.EndedTask
 		want state.Outcome
-	}{{nil, state.OutcomeWorkerExited}, {[]protocol.FinishedTask{{RunningTask: protocol.RunningTask{Attempt: newAttempt("j", 1), Resources: types.Resources{}}, Outcome: state.OutcomeOK}}, state.OutcomeOK}} {
+	}{{nil, state.OutcomeWorkerExited}, {[]protocol.EndedTask{{RunningTask: protocol.RunningTask{Attempt: newAttempt("j", 1), Resources: types.Resources{}}, Outcome: state.OutcomeOK}}, state.OutcomeOK}} {
 		is, b, w := newHealthyCluster(t)
 		runTask(b, "s", newAttempt("j", 1))
 		b.deliver(nil)
--- a/internal/dispatch/protocol/decode.go
+++ b/internal/dispatch/protocol/decode.go
@@ -1,7 +1,8 @@
-// Bodies that a leader is sent hundreds of times a second read themselves; they read
-// what the standard library would (decode_test.go).
 package protocol
 
+// Messages that a leader receives hundreds of times a second decode themselves, as
+// wire.BodyDecoder. They decode to what encoding/json would (decode_test.go).
+
 import (
 	"github.com/go-faster/jx"
 
@@ -10,7 +11,7 @@
 	"coppercourse/internal/wire"
 )
 
-// DecodeJSON reads a heartbeat.
+// DecodeJSON reads h from its JSON.
 func (h *Heartbeat) DecodeJSON(d *jx.Decoder) error {
 	return wire.DecodeObject(d, func(key string) (bool, error) {
 		switch key {
@@ -25,25 +26,26 @@
 		case "set":
 			return true, h.WorkerSet.decode(d)
 		case "saves":
-			return true, wire.DecodeList(d, &h.Checkpoints, func(s *Checkpoint) error { return s.decode(d) })
+			return true, wire.DecodeList(d, &h.Checkpoints, func(c *Checkpoint) error { return c.decode(d) })
 		case "spans":
-			return true, wire.DecodeList(d, &h.Durations, func(s *DurationEstimate) error { return s.decode(d) })
+			return true, wire.DecodeList(d, &h.Durations, func(e *DurationEstimate) error { return e.decode(d) })
 		}
 		return h.WorkerReport.decodeField(d, key)
 	})
 }
 
-// decodeField reads one field of a report.
+// decodeField reads the value of a key of the report, or returns false for a key that it
+// does not have.
 func (r *WorkerReport) decodeField(d *jx.Decoder, key string) (known bool, err error) {
 	switch key {
 	case "rack":
 		return true, wire.DecodeString(d, &r.Rack)
 	case "kinds":
-		return true, wire.DecodeList(d, &r.Kinds, func(k *types.ServiceKind) error { return wire.DecodeString(d, k) })
+		return true, decodeStrings(d, &r.Kinds)
 	case "room":
-		return true, decodeRoom(d, &r.Capacity)
+		return true, decodeResources(d, &r.Capacity)
 	case "lacks":
-		return true, decodeRoom(d, &r.Shortfall)
+		return true, decodeResources(d, &r.Shortfall)
 	case "leaving":
 		return true, wire.DecodeBool(d, &r.Draining)
 	case "leave_in_ms":
@@ -51,9 +53,9 @@
 	case "sound":
 		return true, wire.DecodeBool(d, &r.Healthy)
 	case "labels":
-		return true, wire.DecodeList(d, &r.Labels, func(l *string) error { return wire.DecodeString(d, l) })
+		return true, decodeStrings(d, &r.Labels)
 	case "invoked":
-		return true, wire.DecodeBool(d, &r.Invoked)
+		return true, wire.DecodeBool(d, &r.CalledByAgent)
 	}
 	return false, nil
 }
@@ -98,7 +100,7 @@
 	})
 }
 
-// DecodeJSON reads a report of ended attempts.
+// DecodeJSON reads u from its JSON.
 func (u *UpdateStatus) DecodeJSON(d *jx.Decoder) error {
 	return wire.DecodeObject(d, func(key string) (bool, error) {
 		switch key {
@@ -113,7 +115,7 @@
 	})
 }
 
-// DecodeJSON reads the answer to an order.
+// DecodeJSON reads r from its JSON.
 func (r *RunTaskReply) DecodeJSON(d *jx.Decoder) error {
 	return wire.DecodeObject(d, func(key string) (bool, error) {
 		switch key {
@@ -132,6 +134,10 @@
 	})
 }
 
+func decodeStrings[T ~string](d *jx.Decoder, list *[]T) error {
+	return wire.DecodeList(d, list, func(text *T) error { return wire.DecodeString(d, text) })
+}
+
 func decodeEnd(d *jx.Decoder, e *state.AttemptEnd) error {
 	return wire.DecodeObject(d, func(key string) (bool, error) {
 		switch key {
@@ -160,7 +166,7 @@
 	})
 }
 
-func decodeRoom(d *jx.Decoder, r *types.Resources) error {
+func decodeResources(d *jx.Decoder, r *types.Resources) error {
 	return wire.DecodeObject(d, func(key string) (bool, error) {
 		switch key {
 		case "cores":
--- a/internal/dispatch/protocol/decode_test.go
+++ b/internal/dispatch/protocol/decode_test.go
@@ -12,7 +12,8 @@
 	"coppercourse/internal/wire"
 )
 
-// fillRandom sets every field of a value at random, deep; lists may be nil, empty or filled.
+// fillRandom sets every field of a value at random, at all depths; lists may be nil,
+// empty or filled.
 func fillRandom(r *rand.Rand, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -39,12 +40,13 @@
 	}
 }
 
-// compareWithStandardLibrary holds a body's own reading against the standard library's, on what is whole,
-// spoilt, or of a later version.
+// compareWithStandardLibrary compares a message's own decoder with encoding/json, on
+// valid and corrupt bodies and on those of a later version.
 func compareWithStandardLibrary[T any](t *testing.T, seed int64) {
+	t.Helper()
 	is := is.New(t)
 	r := rand.New(rand.NewSource(seed))
-	whole := 0
+	valid := 0
 	for range 3000 {
 		var v T
 		fillRandom(r, reflect.ValueOf(&v).Elem())
@@ -61,20 +63,20 @@
 			b = append(b, " ]x,"[r.Intn(4)])
 		}
 		var want T
-		fits := json.Unmarshal(b, &want) == nil
+		wantOK := json.Unmarshal(b, &want) == nil
 		got, ok := wire.DecodeBody[T](wire.Message{Body: b})
-		if ok != fits {
-			t.Fatalf("read %v, and by the standard library %v: %s", ok, fits, b)
+		if ok != wantOK {
+			t.Fatalf("decoded %v, and by the standard library %v: %s", ok, wantOK, b)
 		}
-		if fits {
+		if wantOK {
 			is.Equal(got, want)
-			whole++
+			valid++
 		}
 	}
-	is.True(whole > 1000)
+	is.True(valid > 1000)
 }
 
-func TestBodiesReadThemselvesAsTheStandardLibraryDoes(t *testing.T) {
+func TestMessagesDecodeAsByTheStandardLibrary(t *testing.T) {
 	compareWithStandardLibrary[Heartbeat](t, 1)
 	compareWithStandardLibrary[UpdateStatus](t, 2)
 	compareWithStandardLibrary[RunTaskReply](t, 3)
@@ -82,15 +84,20 @@
 
 func TestNullLeavesAFieldAsItIs(t *testing.T) {
 	is := is.New(t)
-	for _, body := range []string{`null`, `{"kinds":null,"set":null,"stamp":null,"sound":null,"shard":null,"saves":null,"room":null}`} {
+	for _, body := range []string{
+		`null`,
+		`{"kinds":null,"set":null,"stamp":null,"sound":null,"shard":null,"saves":null,"room":null}`,
+	} {
 		b, ok := wire.DecodeBody[Heartbeat](wire.Message{Body: []byte(body)})
 		is.True(ok)
 		is.Equal(b, Heartbeat{})
 	}
 }
 
-func BenchmarkReadStatus(b *testing.B) {
-	body := []byte(`{"shard":"w17","id":"a41b0c9d","ends":[{"leg":{"job":"basket-quote-1a2b3c","n":17,"leg":1},"fate":"ok"},{"leg":{"job":"basket-quote-1a2b3c","n":18,"leg":1},"fate":"ok"}]}`)
+func BenchmarkDecodeUpdateStatus(b *testing.B) {
+	body := []byte(`{"shard":"w17","id":"a41b0c9d","ends":[` +
+		`{"leg":{"job":"basket-quote-1a2b3c","n":17,"leg":1},"fate":"ok"},` +
+		`{"leg":{"job":"basket-quote-1a2b3c","n":18,"leg":1},"fate":"ok"}]}`)
 	b.Run("own", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
@@ -100,8 +107,10 @@
 	b.Run("standard", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			var u UpdateStatus
-			json.Unmarshal(body, &u)
+			var status UpdateStatus
+			if err := json.Unmarshal(body, &status); err != nil {
+				b.Fatal(err)
+			}
 		}
 	})
 }
--- a/internal/dispatch/protocol/health.go
+++ b/internal/dispatch/protocol/health.go
@@ -1,11 +1,19 @@
 package protocol
 
-// Soundness is the paper's worker state.
+// Health is the state of a worker, which the scheduler and the worker's agent each keep
+// by equal timeouts (the paper's "Worker state transitions"; package dispatch shows the
+// transitions).
 type Health string
 
+// The states of a worker.
 const (
-	WorkerNew       Health = "NEW"
+	// WorkerNew: the scheduler has not yet learned what runs there.
+	WorkerNew Health = "NEW"
+	// WorkerUnhealthy: known, but given no tasks.
 	WorkerUnhealthy Health = "UNHEALTHY"
-	WorkerHealthy   Health = "HEALTHY"
-	WorkerMustDie   Health = "MUST_DIE"
+	// WorkerHealthy: given tasks.
+	WorkerHealthy Health = "HEALTHY"
+	// WorkerMustDie: lost. All that ran there has stopped or is being stopped, and the
+	// instance never comes back under its name.
+	WorkerMustDie Health = "MUST_DIE"
 )
--- a/internal/dispatch/protocol/messages.go
+++ b/internal/dispatch/protocol/messages.go
@@ -1,8 +1,3 @@
-// Package dispatch is the dispatcher after the Bistro worker protocol: Head is the
-// scheduler's half and Hand the half beside each worker. Both run one health
-// machine with equal timeouts. What is added to the paper: every message of the
-// scheduler carries its term, and every permission to run ends at a stamp that
-// its receiver made itself. This file has what the two halves say.
 package protocol
 
 import (
@@ -13,20 +8,39 @@
 	"coppercourse/internal/types"
 )
 
-// WorkerReport is what a worker says of itself, and its agent of it.
+// WorkerReport is what an agent reports of its worker.
 type WorkerReport struct {
-	Rack        types.Rack          `json:"rack"`
-	Kinds       []types.ServiceKind `json:"kinds"`
-	Capacity    types.Resources     `json:"room"`           // as the worker tells it
-	Shortfall   types.Resources     `json:"lacks,omitzero"` // how much less its agent believes it to have
-	Draining    bool                `json:"leaving"`
-	DepartsInMS int64               `json:"leave_in_ms,omitempty"` // how long until it goes; 0 is not told
-	Healthy     bool                `json:"sound"`
-	Labels      []string            `json:"labels,omitempty"`
-	Invoked     bool                `json:"invoked,omitempty"` // it is called, rather than calling its agent
-}
-
-// WorkerSetID names a worker set: which leader made it, its version there, its hash.
+	Rack  types.Rack          `json:"rack"`
+	Kinds []types.ServiceKind `json:"kinds"` // kinds of tasks that it runs
+	// Capacity is the worker's whole capacity, as the worker reports it.
+	Capacity types.Resources `json:"room"`
+	// Shortfall is how much less than Capacity the agent takes the worker to have,
+	// because the worker has rejected tasks for lack of capacity.
+	Shortfall types.Resources `json:"lacks,omitzero"`
+	// Draining workers are given no more tasks.
+	Draining bool `json:"leaving"`
+	// DepartsInMS is how long a draining worker will still be there, in milliseconds;
+	// 0 is not known.
+	DepartsInMS int64    `json:"leave_in_ms,omitempty"`
+	Healthy     bool     `json:"sound"`
+	Labels      []string `json:"labels,omitempty"`
+	// CalledByAgent workers are called by their agent; others poll it.
+	CalledByAgent bool `json:"invoked,omitempty"`
+}
+
+// HasLabels reports whether a worker has all the labels that a task needs.
+func (r WorkerReport) HasLabels(labels []string) bool {
+	for _, l := range labels {
+		if !slices.Contains(r.Labels, l) {
+			return false
+		}
+	}
+	return true
+}
+
+// WorkerSetID identifies a worker set: the leader that made it by its term, the set's
+// version in that term, and the hash and size of the set (the paper's WorkerSetID, in
+// "How to shorten the initial wait?").
 type WorkerSetID struct {
 	Term    types.Term `json:"born"`
 	Version int        `json:"ver"`
@@ -34,78 +48,104 @@
 	Size    int        `json:"size"`
 }
 
-// Beat is processHeartbeat.
+// Heartbeat is processHeartbeat, agent to scheduler: it associates the agent with the
+// scheduler and keeps its worker healthy.
 type Heartbeat struct {
-	Shard            types.Shard    `json:"shard"`
-	Instance         types.ID       `json:"id"`
+	Shard types.Shard `json:"shard"`
+	// Instance identifies the agent's instance; it is drawn anew at each start and
+	// after each MUST_DIE.
+	Instance types.ID `json:"id"`
+	// PreviousInstance is the instance before this one beside the same worker process,
+	// where that worker told it; the scheduler lets this one replace it at once.
 	PreviousInstance types.ID       `json:"past,omitempty"`
 	SentAt           types.MonoTime `json:"stamp"`
-	WorkerSet        WorkerSetID    `json:"set"`
+	// WorkerSet is the last worker set that the agent has heard of.
+	WorkerSet WorkerSetID `json:"set"`
 	WorkerReport
-	Checkpoints []Checkpoint       `json:"saves,omitempty"`
-	Durations   []DurationEstimate `json:"spans,omitempty"`
+	Checkpoints []Checkpoint       `json:"saves,omitempty"` // those saved lately
+	Durations   []DurationEstimate `json:"spans,omitempty"` // those new or changed
 }
 
-// Checkpoint is what a running attempt has saved, for the next to go on from.
+// Checkpoint refers to what a running attempt has saved, for the next attempt of its
+// task to continue from.
 type Checkpoint struct {
 	Attempt types.AttemptID `json:"leg"`
 	Ref     string          `json:"ref"`
 }
 
-// Header is the part that every message of the scheduler begins with.
+// DurationEstimate is an estimate of how long an attempt takes from start to end, in
+// milliseconds, made from its progress.
+type DurationEstimate struct {
+	Attempt types.AttemptID `json:"leg"`
+	MS      int64           `json:"ms"`
+}
+
+// Header opens every message of a scheduler: its term, and the agent instance that the
+// message is for. Another instance, or one that has seen a higher term, drops it.
 type Header struct {
 	Term types.Term `json:"term"`
 	To   types.ID   `json:"to"`
 }
 
-// HeartbeatReply answers a beat. Until is the grant's end on the agent's own clock.
+// HeartbeatReply replies to a Heartbeat.
 type HeartbeatReply struct {
 	Header
-	HeartbeatSentAt types.MonoTime `json:"stamp"`
-	LeaseUntil      types.MonoTime `json:"until"`
-	Associated      bool           `json:"known"`
-	WorkerSet       WorkerSetID    `json:"set"`
+	HeartbeatSentAt types.MonoTime `json:"stamp"` // SentAt of the heartbeat replied to
+	// LeaseUntil is the end of the agent's lease on the agent's own clock; 0 grants none.
+	LeaseUntil types.MonoTime `json:"until"`
+	// Associated is set once the scheduler knows what runs on the worker, that is, once
+	// it is no longer NEW there.
+	Associated bool        `json:"known"`
+	WorkerSet  WorkerSetID `json:"set"` // the scheduler's latest
 }
 
-// Ask is getRunningTasks.
+// GetRunningTasks is getRunningTasks, scheduler to agent.
 type GetRunningTasks struct{ Header }
 
-// RunningTask is one attempt as an account tells it.
+// RunningTask is an attempt that runs, and the resources that it takes.
 type RunningTask struct {
 	Attempt   types.AttemptID `json:"leg"`
 	Resources types.Resources `json:"room"`
 }
 
-// Account answers Ask. Whole means that the worker itself has told its attempts.
+// RunningTasksReply replies to GetRunningTasks with all attempts that run or whose end
+// is not yet committed.
 type RunningTasksReply struct {
 	Term     types.Term    `json:"term"`
 	Shard    types.Shard   `json:"shard"`
 	Instance types.ID      `json:"id"`
 	Tasks    []RunningTask `json:"runs"`
-	Complete bool          `json:"whole"`
+	// Complete lists come from the worker itself: what they do not hold never ran or
+	// has ended. Others are what an agent knows that has not reached its worker.
+	Complete bool `json:"whole"`
 }
 
-// AttemptSpec is what an attempt is to do.
+// AttemptSpec is what an attempt is to do, and what it needs.
 type AttemptSpec struct {
 	Attempt     types.AttemptID   `json:"leg"`
 	Kind        types.ServiceKind `json:"kind"`
-	Rack        types.Rack        `json:"rack,omitempty"`
+	Rack        types.Rack        `json:"rack,omitempty"` // empty: any
 	Resources   types.Resources   `json:"room"`
-	TimeLimitMS int               `json:"limit_ms"`
+	TimeLimitMS int               `json:"limit_ms"` // 0: none
 	Labels      []string          `json:"labels,omitempty"`
-	Checkpoint  string            `json:"ref,omitempty"`
-	Input       json.RawMessage   `json:"work,omitempty"`
+	Checkpoint  string            `json:"ref,omitempty"`  // to continue from
+	Input       json.RawMessage   `json:"work,omitempty"` // the task's input
 }
 
-// RunTask is runTask.
+// RunTask is runTask, scheduler to agent. It is sent once for each attempt.
 type RunTask struct {
 	Header
-	Sequence    types.Seq      `json:"seq"`
+	// Sequence is the scheduler's notifyIfTasksNotRunning sequence number for the
+	// agent. One below the agent's own was sent before the latest query, and is
+	// rejected.
+	Sequence types.Seq `json:"seq"`
+	// StartBefore is the end of the order's lease on the agent's own clock.
 	StartBefore types.MonoTime `json:"until"`
 	Spec        AttemptSpec    `json:"job"`
 }
 
-// Ordered answers an order.
+// RunTaskReply replies to RunTask. An empty Refusal accepts the attempt; otherwise it is
+// the reason, and the attempt will never run.
 type RunTaskReply struct {
 	Term     types.Term      `json:"term"`
 	Shard    types.Shard     `json:"shard"`
@@ -114,13 +154,17 @@
 	Refusal  string          `json:"why,omitempty"`
 }
 
-// NotifyIfTasksNotRunning is notifyIfTasksNotRunning.
+// NotifyIfTasksNotRunning is notifyIfTasksNotRunning, scheduler to agent: the agent
+// answers with an UpdateStatus for those attempts that do not run, and from then on
+// rejects a RunTask with a lower sequence number.
 type NotifyIfTasksNotRunning struct {
 	Header
 	Sequence types.Seq         `json:"seq"`
 	Attempts []types.AttemptID `json:"legs"`
 }
 
+// NotifyIfTasksNotRunningReply replies to NotifyIfTasksNotRunning; the UpdateStatus for
+// what does not run is sent apart from it.
 type NotifyIfTasksNotRunningReply struct {
 	Term     types.Term  `json:"term"`
 	Shard    types.Shard `json:"shard"`
@@ -128,41 +172,30 @@
 	Sequence types.Seq   `json:"seq"`
 }
 
-// UpdateStatus is updateStatus, of both kinds.
+// UpdateStatus is updateStatus, agent to scheduler, of both kinds: "task ended" and
+// "was not running" (state.OutcomeNeverRan). The agent retries until CommittedEnds.
 type UpdateStatus struct {
 	Shard    types.Shard        `json:"shard"`
 	Instance types.ID           `json:"id"`
 	Ends     []state.AttemptEnd `json:"ends"`
 }
 
-// Settled tells an agent which ends are committed, and as what.
+// CommittedEnds replies to UpdateStatus once ends are committed to the log, with their
+// outcomes in the log.
 type CommittedEnds struct {
 	Header
 	Ends []state.AttemptEnd `json:"ends"`
 }
 
-// KillTasks is killTask.
+// KillTasks is killTask, scheduler to agent, for several attempts.
 type KillTasks struct {
 	Header
-	Attempts      []types.AttemptID `json:"legs"`
-	OverTimeLimit []types.AttemptID `json:"late,omitempty"` // of these, those past the time their queue allows: they have failed
+	Attempts []types.AttemptID `json:"legs"`
+	// OverTimeLimit are those of Attempts that have run for longer than their queue
+	// allows: however they end, unless well, they have failed.
+	OverTimeLimit []types.AttemptID `json:"late,omitempty"`
 }
 
-// RequestSuicide is requestSuicide: the agent stops all attempts and comes back as another.
+// RequestSuicide is requestSuicide, scheduler to agent: the instance stops all attempts
+// and comes back as another instance.
 type RequestSuicide struct{ Header }
-
-// DurationEstimate is how long an attempt takes in all, as far as can be told.
-type DurationEstimate struct {
-	Attempt types.AttemptID `json:"leg"`
-	MS      int64           `json:"ms"`
-}
-
-// HasLabels tells whether a worker has all the labels that a task needs.
-func (r WorkerReport) HasLabels(labels []string) bool {
-	for _, l := range labels {
-		if !slices.Contains(r.Labels, l) {
-			return false
-		}
-	}
-	return true
-}
--- a/internal/dispatch/scheduler/reliability.go
+++ b/internal/dispatch/scheduler/reliability.go
@@ -28,7 +28,7 @@
 	if o.BaselineName == "" || f != state.OutcomeOK {
 		return
 	}
-	if s.Invoked {
+	if s.CalledByAgent {
 		sc.recordDuration(o, sc.now.Sub(o.OrderedAt), true)
 	}
 	took := float64(sc.now.Sub(o.OrderedAt))
--- a/sim/worker.go
+++ b/sim/worker.go
@@ -49,7 +49,7 @@
 	lastPoll                      uint64
 	leaseEnd                      types.MonoTime
 	running                       map[types.AttemptID]*runningTask
-	unacknowledged                map[types.AttemptID]protocol.FinishedTask
+	unacknowledged                map[types.AttemptID]protocol.EndedTask
 	HasUpdate                     bool // an attempt has ended since the latest call
 	record                        func(HistoryEvent)
 }
@@ -59,7 +59,7 @@
 	if spec.Slow == 0 {
 		spec.Slow = 1
 	}
-	return &Worker{WorkerSpec: spec, ID: id, random: random, running: map[types.AttemptID]*runningTask{}, unacknowledged: map[types.AttemptID]protocol.FinishedTask{}, record: record, leaseEnd: -1 << 61}
+	return &Worker{WorkerSpec: spec, ID: id, random: random, running: map[types.AttemptID]*runningTask{}, unacknowledged: map[types.AttemptID]protocol.EndedTask{}, record: record, leaseEnd: -1 << 61}
 }
 
 func (w *Worker) recordAttempt(what EventKind, l types.AttemptID, f state.Outcome) {
@@ -93,7 +93,7 @@
 func (w *Worker) endAttempt(r *runningTask, f state.Outcome) {
 	delete(w.running, r.job.Attempt)
 	w.HasUpdate = true
-	w.unacknowledged[r.job.Attempt] = protocol.FinishedTask{RunningTask: protocol.RunningTask{Attempt: r.job.Attempt, Resources: r.job.Resources}, Outcome: f}
+	w.unacknowledged[r.job.Attempt] = protocol.EndedTask{RunningTask: protocol.RunningTask{Attempt: r.job.Attempt, Resources: r.job.Resources}, Outcome: f}
 	w.recordAttempt(AttemptEnded, r.job.Attempt, f)
 }
 
@@ -144,7 +144,7 @@
 			continue
 		}
 		if (w.Leaving || !free.Contains(j.Resources)) && !w.IgnoresCapacity {
-			w.unacknowledged[j.Attempt] = protocol.FinishedTask{RunningTask: protocol.RunningTask{Attempt: j.Attempt, Resources: j.Resources}, Outcome: state.OutcomeNeverRan}
+			w.unacknowledged[j.Attempt] = protocol.EndedTask{RunningTask: protocol.RunningTask{Attempt: j.Attempt, Resources: j.Resources}, Outcome: state.OutcomeNeverRan}
 			w.recordAttempt(AttemptRejected, j.Attempt, state.OutcomeNeverRan)
 			continue
 		}
