--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -101,7 +101,8 @@
 // New starts a controller from the records of its disk.
 func New(now types.Now, rnd *rand.Rand, p Options, recs [][]byte) *Controller {
 	me := raft.Member{Addr: p.Addr, Zone: p.Zone}
-	h := &Controller{options: p, now: now, raft: raft.New(now, p.RaftTimeouts, rnd, me, p.Bootstrap, recs, types.NewID(rnd)),
+	member := raft.New(now, raft.Options{Timeouts: p.RaftTimeouts, Random: rnd, Self: me, Bootstrap: p.Bootstrap, NewID: types.NewID(rnd)}, recs)
+	h := &Controller{options: p, now: now, raft: member,
 		waiters: map[types.Index]caller{}, proposals: map[types.Index]proposal{}, pendingEnds: map[types.JobID]types.Index{}, endsInFlight: map[state.AttemptEnd]bool{}, released: map[types.AttemptID]bool{},
 		assignmentsInFlight: map[types.TaskID]state.Assignment{}, completionRates: map[types.QueueName]*completionRate{}, meanJobWork: map[types.QueueName]float64{}, peakCores: map[types.QueueName]float64{},
 		meanTaskSeconds: map[types.QueueName]float64{}, queueDurations: map[types.QueueName]*queueDurations{}, jobDurations: map[types.JobID][]stepDurations{}, Trace: trace.New()}
@@ -113,8 +114,8 @@
 	return h
 }
 
-func (co *Controller) describe() membership.Card {
-	return membership.Card{Addr: co.options.Addr, ID: co.raft.ID(), Role: "controller", Zone: co.options.Zone, Name: co.raft.ClusterName(),
+func (co *Controller) describe() membership.MemberInfo {
+	return membership.MemberInfo{Addr: co.options.Addr, ID: co.raft.ID(), Role: "controller", Zone: co.options.Zone, Name: co.raft.ClusterName(),
 		Term: co.raft.Term(), Leads: co.raft.IsLeader() && !co.shuttingDown, Shard: co.raft.Role(), Ready: co.Ready(), Build: co.options.Build}
 }
 
@@ -153,9 +154,10 @@
 	var out wire.Effects
 	co.writeSnapshotPart()
 	co.members.SetSelf(co.describe())
-	out.FallbackRecords = co.raft.AppendInstead()
-	out.Messages, out.Records, out.BatchNumber, out.ReplaceLog = co.raft.Ready()
-	out.Messages = append(append(out.Messages, co.sends...), co.members.TakeMessages()...)
+	ready := co.raft.Ready()
+	out.Records, out.BatchNumber = ready.Records, ready.BatchNumber
+	out.ReplaceLog, out.FallbackRecords = ready.ReplaceLog, ready.FallbackRecords
+	out.Messages = append(append(ready.Messages, co.sends...), co.members.TakeMessages()...)
 	out.Responses = co.answers
 	co.sends, co.answers = nil, nil
 	out.Drained = co.shuttingDown && (co.raft.MayStop() || co.now.Mono >= co.shutdownDeadline) && len(co.waiters) == 0
