--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -43,7 +43,7 @@
 	}
 	clear(co.assignmentsInFlight)
 	evictions, speculative := co.reviewAttempts()
-	if co.scheduler.InInitialWait {
+	if co.scheduler.InInitialWait() {
 		co.proposeRound(nil, evictions)
 		return
 	}
@@ -75,7 +75,7 @@
 // placeWhileInFlight gives out work while an earlier round is on its way into the log.
 func (co *Controller) placeWhileInFlight() {
 	co.roundsInFlight = slices.DeleteFunc(co.roundsInFlight, func(i types.Index) bool { return i <= co.applied })
-	if co.scheduler.InInitialWait || len(co.roundsInFlight) >= maxRoundsInFlight || co.reservation != nil {
+	if co.scheduler.InInitialWait() || len(co.roundsInFlight) >= maxRoundsInFlight || co.reservation != nil {
 		return
 	}
 	var in placement.Input
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -157,8 +157,8 @@
 		UnfinishedJobs: len(co.state.LiveJobs()), JobsRemembered: len(co.state.Jobs) + co.state.TombstoneCount(), Peers: co.members.Peers(), Counters: co.Counters,
 		Overloaded: co.overload.isBehind, LagMS: co.overload.load.ControlAge.Milliseconds(),
 		ClusterTime: time.Unix(0, int64(co.raft.Clock())+int64(co.state.WallOffset)).UTC().Format(time.RFC3339Nano)}
-	if co.scheduler != nil && co.scheduler.InInitialWait {
-		v.InitialWait = co.scheduler.InitialWaitReason
+	if co.scheduler != nil && co.scheduler.InInitialWait() {
+		v.InitialWait = co.scheduler.InitialWaitReason()
 	}
 	if n := c.Configuration().Voters(); n > 0 {
 		v.LossesTolerated = (n - 1) / 2
--- a/internal/dispatch/executor/protocol_test.go
+++ b/internal/dispatch/executor/protocol_test.go
@@ -233,13 +233,13 @@
 	b.advance(4*time.Second, nil)
 	b.newLeader(2)
 	b.advance(700*ms, nil)
-	is.Equal(b.scheduler.InInitialWait, false) // the one agent agrees with itself
+	is.Equal(b.scheduler.InInitialWait(), false) // the one agent agrees with itself
 	b.newLeader(3, scheduler.OutstandingAttempt{Attempt: newAttempt("j", 1), Shard: "s2", Resources: types.Resources{Cores: 1 * types.Core}})
 	b.advance(700*ms, nil)
-	is.Equal(b.scheduler.InInitialWait, true)
+	is.Equal(b.scheduler.InInitialWait(), true)
 	b.ends = nil
 	b.advance(2500*ms, nil)
-	is.Equal(b.scheduler.InInitialWait, false)
+	is.Equal(b.scheduler.InInitialWait(), false)
 	is.Equal(b.ends[0], state.AttemptEnd{ID: newAttempt("j", 1), Outcome: state.OutcomeLost})
 }
 
--- a/internal/dispatch/scheduler/association.go
+++ b/internal/dispatch/scheduler/association.go
@@ -1,8 +1,6 @@
 package scheduler
 
 import (
-	"cmp"
-	"slices"
 	"time"
 
 	"coppercourse/internal/dispatch/protocol"
@@ -10,92 +8,114 @@
 	"coppercourse/internal/wire"
 )
 
-func (sc *Scheduler) onHeartbeat(from types.Addr, b protocol.Heartbeat) {
-	s := sc.workers[b.Shard]
-	switch {
-	case s == nil:
-		s = sc.register(from, b)
-	case s.Instance != b.Instance && sc.replacedInstances[b.Instance]:
-		sc.sends = append(sc.sends, wire.NewMessage(sc.addr, from, wire.ReplaceInstance, protocol.RequestSuicide{Header: protocol.Header{Term: sc.term, To: b.Instance}}))
-		return
-	case s.Instance != b.Instance && (s.State == protocol.WorkerMustDie || b.PreviousInstance == s.Instance || sc.succeedsAtAddress(s, from)):
-		sc.replacedInstances[s.Instance] = true
-		if s.State != protocol.WorkerMustDie {
-			sc.markUnconfirmed(s)
-		}
-		s = sc.register(from, b)
-	case s.Instance != b.Instance:
-		return
-	}
-	s.lastHeartbeatAt = sc.now
-	if s.State == protocol.WorkerMustDie {
-		sc.send(s, wire.ReplaceInstance, protocol.RequestSuicide{Header: sc.header(s)})
+// onHeartbeat takes a heartbeat (processHeartbeat). It associates a new agent instance,
+// takes in what the agent reports, and renews its lease.
+func (sc *Scheduler) onHeartbeat(from types.Addr, heartbeat protocol.Heartbeat) {
+	worker := sc.associate(from, heartbeat)
+	if worker == nil {
 		return
 	}
-	if b.SentAt <= s.lastHeartbeatSentAt {
+	worker.lastHeartbeatAt = sc.now
+	if worker.State == protocol.WorkerMustDie {
+		sc.requestSuicide(worker)
 		return
 	}
-	s.Addr, s.lastHeartbeatSentAt, s.WorkerReport = from, b.SentAt, b.WorkerReport
-	s.DepartsAt = sc.now.Add(time.Duration(b.DepartsInMS)*time.Millisecond - sc.timeouts.HeartbeatInterval)
-	if b.Healthy {
-		s.LastHealthyAt = sc.now
+	if heartbeat.SentAt <= worker.lastHeartbeatSentAt {
+		return // late: a newer one has arrived before
 	}
-	if b.WorkerSet.Term == sc.term && b.WorkerSet.Version > s.setVersion && b.WorkerSet.Version <= sc.workerSets.version {
-		s.setVersion = b.WorkerSet.Version
-		sc.workerSets.propagate(s)
+	sc.takeReport(worker, from, heartbeat)
+	if worker.State == protocol.WorkerNew {
+		sc.askRunningTasks(worker)
 	}
-	for _, x := range b.Durations {
-		if o := sc.attempts.byID[x.Attempt]; o != nil && o.Shard == b.Shard {
-			sc.recordDuration(o, time.Duration(x.MS)*time.Millisecond, false)
-		}
-	}
-	for _, x := range b.Checkpoints {
-		if o := sc.attempts.byID[x.Attempt]; o != nil {
-			o.Checkpoint = x.Ref
+	sc.updateHealth(worker)
+	sc.replyToHeartbeat(worker, heartbeat.Healthy)
+}
+
+// associate returns the worker that a heartbeat is of, a new one where its instance is
+// the first of the shard or may replace the one before. It returns nil for an instance
+// that has been replaced or may not replace another.
+func (sc *Scheduler) associate(from types.Addr, heartbeat protocol.Heartbeat) *RemoteWorker {
+	worker := sc.Worker(heartbeat.Shard)
+	switch {
+	case worker == nil:
+		return sc.register(from, heartbeat)
+	case worker.Instance == heartbeat.Instance:
+		return worker
+	case sc.workers.replaced[heartbeat.Instance]:
+		header := protocol.Header{Term: sc.term, To: heartbeat.Instance}
+		suicide := wire.NewMessage(sc.addr, from, wire.ReplaceInstance, protocol.RequestSuicide{Header: header})
+		sc.messages = append(sc.messages, suicide)
+		return nil
+	case sc.mayReplace(worker, from, heartbeat):
+		sc.workers.replaced[worker.Instance] = true
+		if worker.State != protocol.WorkerMustDie {
+			sc.attempts.setPhaseOnShard(worker.Shard, unconfirmed)
 		}
+		return sc.register(from, heartbeat)
 	}
-	if s.State == protocol.WorkerNew {
-		sc.askRunningTasks(s)
+	return nil
+}
+
+// mayReplace reports whether the sender of a heartbeat may take a worker's place, which
+// is so if the worker is lost, if the worker process itself names the instance as the
+// one before, or if the sender stands at the same address. One process stands at an
+// address; but while the present instance sends heartbeats, one of another instance was
+// only late.
+func (sc *Scheduler) mayReplace(worker *RemoteWorker, from types.Addr, heartbeat protocol.Heartbeat) bool {
+	if worker.State == protocol.WorkerMustDie || heartbeat.PreviousInstance == worker.Instance {
+		return true
 	}
-	sc.updateHealth(s)
-	sc.replyToHeartbeat(s, b.Healthy)
+	return worker.Addr == from && sc.now.Sub(worker.lastHeartbeatAt) > 2*sc.timeouts.HeartbeatInterval
 }
 
-// succeedsAtAddress tells that another agent instance at a seat's own address has come after
-// it: one process stands at an address. While the present one beats, the other's
-// beat was only late.
-func (sc *Scheduler) succeedsAtAddress(s *RemoteWorker, from types.Addr) bool {
-	return s.Addr == from && sc.now.Sub(s.lastHeartbeatAt) > 2*sc.timeouts.HeartbeatInterval
+func (sc *Scheduler) register(from types.Addr, heartbeat protocol.Heartbeat) *RemoteWorker {
+	worker := newRemoteWorker(sc.now, from, heartbeat)
+	before := sc.workers.put(worker)
+	sc.workerSets.add(worker, before)
+	return worker
 }
 
-func (sc *Scheduler) register(from types.Addr, b protocol.Heartbeat) *RemoteWorker {
-	s := &RemoteWorker{Shard: b.Shard, Instance: b.Instance, Addr: from, State: protocol.WorkerNew, StateSince: sc.now, LastHealthyAt: sc.now, initialWorkerSet: b.WorkerSet, Reliability: Reliability{RelativeDuration: 1},
-		runningTasksAskedAt: -1 << 62, lastHeartbeatSentAt: -1 << 62, openQueries: map[types.Seq][]types.AttemptID{}}
-	old := sc.workers[b.Shard]
-	i, _ := slices.BinarySearchFunc(sc.sortedWorkers, b.Shard, func(x *RemoteWorker, k types.Shard) int { return cmp.Compare(x.Shard, k) })
-	if old != nil {
-		sc.sortedWorkers[i] = s
-	} else {
-		sc.sortedWorkers = slices.Insert(sc.sortedWorkers, i, s)
+// takeReport takes in what a heartbeat reports of the worker and of its attempts.
+func (sc *Scheduler) takeReport(worker *RemoteWorker, from types.Addr, heartbeat protocol.Heartbeat) {
+	worker.Addr = from
+	worker.lastHeartbeatSentAt = heartbeat.SentAt
+	worker.WorkerReport = heartbeat.WorkerReport
+	departsIn := time.Duration(heartbeat.DepartsInMS) * time.Millisecond
+	worker.DepartsAt = sc.now.Add(departsIn - sc.timeouts.HeartbeatInterval)
+	if heartbeat.Healthy {
+		worker.LastHealthyAt = sc.now
+	}
+	if heartbeat.WorkerSet.Term == sc.term {
+		sc.workerSets.onReported(worker, heartbeat.WorkerSet.Version)
+	}
+	for _, estimate := range heartbeat.Durations {
+		if attempt := sc.attempts.byID[estimate.Attempt]; attempt != nil && attempt.Shard == heartbeat.Shard {
+			sc.recordDuration(attempt, time.Duration(estimate.MS)*time.Millisecond, false)
+		}
+	}
+	for _, checkpoint := range heartbeat.Checkpoints {
+		if attempt := sc.attempts.byID[checkpoint.Attempt]; attempt != nil {
+			attempt.Checkpoint = checkpoint.Ref
+		}
 	}
-	sc.workers[b.Shard] = s
-	sc.workerSets.add(s, old)
-	return s
 }
 
-// markUnconfirmed makes a replaced agent's attempts unknown until its successor's account.
-func (sc *Scheduler) markUnconfirmed(s *RemoteWorker) {
-	for _, o := range sc.attempts.onShard(s.Shard) {
-		sc.attempts.setPhase(o, unconfirmed)
+// replyToHeartbeat renews the agent's lease, but only for the heartbeat of a healthy
+// worker: the time until the worker counts as lost runs from the same heartbeat, so the
+// lease always ends before.
+func (sc *Scheduler) replyToHeartbeat(worker *RemoteWorker, healthy bool) {
+	reply := protocol.HeartbeatReply{
+		Header:          sc.header(worker),
+		HeartbeatSentAt: worker.lastHeartbeatSentAt,
+		Associated:      worker.State != protocol.WorkerNew,
+		WorkerSet:       sc.workerSets.latest(sc.term),
 	}
+	if healthy && reply.Associated {
+		reply.LeaseUntil = sc.newLeaseEnd(worker)
+	}
+	sc.send(worker, wire.HeartbeatReply, reply)
 }
 
-// replyToHeartbeat renews the agent's grant, but only for a beat that told of a sound
-// worker: the time to loss counts from the same beat.
-func (sc *Scheduler) replyToHeartbeat(s *RemoteWorker, healthy bool) {
-	a := protocol.HeartbeatReply{Header: sc.header(s), HeartbeatSentAt: s.lastHeartbeatSentAt, Associated: s.State != protocol.WorkerNew, WorkerSet: sc.currentWorkerSet()}
-	if healthy && s.State != protocol.WorkerNew {
-		a.LeaseUntil = s.lastHeartbeatSentAt.Add(min(sc.timeouts.AgentLease, sc.authorityLeft))
-	}
-	sc.send(s, wire.HeartbeatReply, a)
+func (sc *Scheduler) requestSuicide(worker *RemoteWorker) {
+	sc.send(worker, wire.ReplaceInstance, protocol.RequestSuicide{Header: sc.header(worker)})
 }
--- a/internal/dispatch/scheduler/attempt_index.go
+++ b/internal/dispatch/scheduler/attempt_index.go
@@ -1,6 +1,3 @@
-// The attempts that possibly run, kept by shard and by what is open about them, so
-// that an event costs what it touches. Lists are in the attempts' own order, and
-// shards in order of their names.
 package scheduler
 
 import (
@@ -11,190 +8,250 @@
 	"coppercourse/internal/types"
 )
 
+// attemptPhase is what the scheduler knows of whether an attempt runs.
+type attemptPhase string
+
+const (
+	// unconfirmed: given out before this leadership, or to an instance that has been
+	// replaced, and no agent has reported on it yet.
+	unconfirmed attemptPhase = "unknown"
+	// orderSent: RunTask has been sent, with no reply yet.
+	orderSent attemptPhase = "sent"
+	// confirmedRunning: its agent has said that it runs.
+	confirmedRunning attemptPhase = "running"
+	// unsureIfRunning: RunTask got no reply (the paper's "unsure if running").
+	unsureIfRunning attemptPhase = "unsure"
+)
+
+// StageUnknown is the stage of an attempt that the log does not have.
+const StageUnknown types.Stage = -1
+
 // OutstandingAttempt is an attempt that possibly runs.
 type OutstandingAttempt struct {
-	Attempt      types.AttemptID
-	Shard        types.Shard
-	Stage        types.Stage // or -1, where the log does not have it
-	Resources    types.Resources
-	Phase        attemptPhase
-	BaselineName string // what its time is compared with
-	TimeLimit    time.Duration
-	OrderedAt    types.MonoTime
-	Checkpoint   string         // what it has saved
-	StragglerEnd types.MonoTime // by when it will have ended, where it is far behind its like
-	killSentAt   types.MonoTime
-}
-
-// shardAttempts is what possibly runs on one shard.
+	Attempt   types.AttemptID
+	Shard     types.Shard
+	Stage     types.Stage // or StageUnknown
+	Resources types.Resources
+	Phase     attemptPhase
+	// BaselineName names the baseline that its duration is compared with; empty for none.
+	BaselineName string
+	TimeLimit    time.Duration // 0 for none
+	// OrderedAt is when RunTask was sent, or for an attempt of an earlier leadership
+	// when this one began.
+	OrderedAt  types.MonoTime
+	Checkpoint string // the last one reported
+	// StragglerEnd is when it is expected to end, for an attempt that is far slower than
+	// the others of its stage, and otherwise 0.
+	StragglerEnd types.MonoTime
+
+	killSentAt types.MonoTime
+}
+
+func compareOutstanding(a, b *OutstandingAttempt) int { return a.Attempt.Compare(b.Attempt) }
+
+// shardAttempts are the attempts on one shard.
 type shardAttempts struct {
-	list        []*OutstandingAttempt
-	reserved    types.Resources
+	list        []*OutstandingAttempt // in the attempts' order
+	reserved    types.Resources       // of all together
 	unconfirmed int
 	unsure      int
 }
 
-// attemptIndex is all of them.
+// attemptIndex holds all attempts that possibly run, by shard and by phase, so that an
+// event costs what it touches. Lists are in the attempts' order, and shards in the order
+// of their names.
 type attemptIndex struct {
 	byID         map[types.AttemptID]*OutstandingAttempt
-	byShard      map[types.Shard]*shardAttempts
+	byShard      map[types.Shard]*shardAttempts // those with any
 	unconfirmed  int
-	unsureShards map[types.Shard]bool  // those with unsure attempts
-	sentInOrder  []*OutstandingAttempt // in order of time; some are not any more
+	unsureShards map[types.Shard]bool // those with unsure attempts
+	// sentInOrder are those whose order was sent, in order of time. Some of them may
+	// have ended or changed their phase since.
+	sentInOrder []*OutstandingAttempt
 	// revisions counts, for each shard, how often its list has changed.
-	revisions    map[types.Shard]uint64
-	unknownToLog map[types.AttemptID]*OutstandingAttempt // told by an agent, and not given out as far as the log says
+	revisions map[types.Shard]uint64
+	// unknownToLog are those that an agent reported and the log did not have as given out.
+	unknownToLog map[types.AttemptID]*OutstandingAttempt
 }
 
 func newAttemptIndex() attemptIndex {
-	return attemptIndex{byID: map[types.AttemptID]*OutstandingAttempt{}, byShard: map[types.Shard]*shardAttempts{}, unsureShards: map[types.Shard]bool{}, unknownToLog: map[types.AttemptID]*OutstandingAttempt{},
-		revisions: map[types.Shard]uint64{}}
+	return attemptIndex{
+		byID:         map[types.AttemptID]*OutstandingAttempt{},
+		byShard:      map[types.Shard]*shardAttempts{},
+		unsureShards: map[types.Shard]bool{},
+		revisions:    map[types.Shard]uint64{},
+		unknownToLog: map[types.AttemptID]*OutstandingAttempt{},
+	}
 }
 
-func compareOutstanding(a, b *OutstandingAttempt) int { return a.Attempt.Compare(b.Attempt) }
-
-func (a *attemptIndex) add(o *OutstandingAttempt) {
-	a.remove(o.Attempt)
-	x := a.byShard[o.Shard]
-	if x == nil {
-		x = &shardAttempts{}
-		a.byShard[o.Shard] = x
+// add puts an attempt in, in place of one with its id.
+func (a *attemptIndex) add(attempt *OutstandingAttempt) {
+	a.remove(attempt.Attempt)
+	on := a.byShard[attempt.Shard]
+	if on == nil {
+		on = &shardAttempts{}
+		a.byShard[attempt.Shard] = on
 	}
-	i, _ := slices.BinarySearchFunc(x.list, o, compareOutstanding)
-	x.list = slices.Insert(x.list, i, o)
-	x.reserved = x.reserved.Add(o.Resources)
-	a.byID[o.Attempt] = o
-	a.revisions[o.Shard]++
-	if o.Stage < 0 {
-		a.unknownToLog[o.Attempt] = o
+	i, _ := slices.BinarySearchFunc(on.list, attempt, compareOutstanding)
+	on.list = slices.Insert(on.list, i, attempt)
+	on.reserved = on.reserved.Add(attempt.Resources)
+	a.byID[attempt.Attempt] = attempt
+	a.revisions[attempt.Shard]++
+	if attempt.Stage == StageUnknown {
+		a.unknownToLog[attempt.Attempt] = attempt
 	}
-	a.adjustCounts(o, 1)
+	a.adjustCounts(attempt, 1)
 }
 
-func (a *attemptIndex) remove(l types.AttemptID) {
-	o := a.byID[l]
-	if o == nil {
+func (a *attemptIndex) remove(id types.AttemptID) {
+	attempt := a.byID[id]
+	if attempt == nil {
 		return
 	}
-	a.adjustCounts(o, -1)
-	delete(a.byID, l)
-	a.revisions[o.Shard]++
-	delete(a.unknownToLog, l)
-	x := a.byShard[o.Shard]
-	i, _ := slices.BinarySearchFunc(x.list, o, compareOutstanding)
-	x.list = slices.Delete(x.list, i, i+1)
-	x.reserved = x.reserved.Sub(o.Resources)
-	if len(x.list) == 0 {
-		delete(a.byShard, o.Shard)
+	a.adjustCounts(attempt, -1)
+	delete(a.byID, id)
+	a.revisions[attempt.Shard]++
+	delete(a.unknownToLog, id)
+	on := a.byShard[attempt.Shard]
+	i, _ := slices.BinarySearchFunc(on.list, attempt, compareOutstanding)
+	on.list = slices.Delete(on.list, i, i+1)
+	on.reserved = on.reserved.Sub(attempt.Resources)
+	if len(on.list) == 0 {
+		delete(a.byShard, attempt.Shard)
 	}
 }
 
-func (a *attemptIndex) setPhase(o *OutstandingAttempt, p attemptPhase) {
-	a.adjustCounts(o, -1)
-	o.Phase = p
-	a.adjustCounts(o, 1)
+func (a *attemptIndex) setPhase(attempt *OutstandingAttempt, phase attemptPhase) {
+	a.adjustCounts(attempt, -1)
+	attempt.Phase = phase
+	a.adjustCounts(attempt, 1)
+}
+
+func (a *attemptIndex) setPhaseOnShard(shard types.Shard, phase attemptPhase) {
+	for _, attempt := range a.onShard(shard) {
+		a.setPhase(attempt, phase)
+	}
 }
 
-func (a *attemptIndex) adjustCounts(o *OutstandingAttempt, by int) {
-	x := a.byShard[o.Shard]
-	switch o.Phase {
+// adjustCounts counts an attempt in its phase (by 1), or no longer (by -1).
+func (a *attemptIndex) adjustCounts(attempt *OutstandingAttempt, by int) {
+	on := a.byShard[attempt.Shard]
+	switch attempt.Phase {
 	case unconfirmed:
-		x.unconfirmed += by
+		on.unconfirmed += by
 		a.unconfirmed += by
 	case unsureIfRunning:
-		if x.unsure += by; x.unsure > 0 {
-			a.unsureShards[o.Shard] = true
+		on.unsure += by
+		if on.unsure > 0 {
+			a.unsureShards[attempt.Shard] = true
 		} else {
-			delete(a.unsureShards, o.Shard)
+			delete(a.unsureShards, attempt.Shard)
 		}
 	case orderSent:
 		if by > 0 {
-			a.sentInOrder = append(a.sentInOrder, o)
+			a.sentInOrder = append(a.sentInOrder, attempt)
 		}
 	}
 }
 
-// takeOverdue takes from the sent ones those that are no longer, and gives the ones
-// that have been since before a time.
-func (a *attemptIndex) takeOverdue(by types.MonoTime) (list []*OutstandingAttempt) {
-	for len(a.sentInOrder) > 0 && (a.sentInOrder[0].Phase != orderSent || a.byID[a.sentInOrder[0].Attempt] != a.sentInOrder[0] || a.sentInOrder[0].OrderedAt < by) {
-		if o := a.sentInOrder[0]; o.Phase == orderSent && a.byID[o.Attempt] == o {
-			list = append(list, o)
+// takeOverdue lists the attempts whose order was sent before a time and that are still
+// in that phase. It drops them from sentInOrder, and with them those before that are no
+// longer in it.
+func (a *attemptIndex) takeOverdue(before types.MonoTime) []*OutstandingAttempt {
+	var overdue []*OutstandingAttempt
+	for len(a.sentInOrder) > 0 {
+		first := a.sentInOrder[0]
+		isSent := first.Phase == orderSent && a.byID[first.Attempt] == first
+		if isSent && first.OrderedAt >= before {
+			break
+		}
+		if isSent {
+			overdue = append(overdue, first)
 		}
 		a.sentInOrder = a.sentInOrder[1:]
 	}
-	return
+	return overdue
 }
 
-// onShard lists what possibly runs on a shard; the list is a copy.
-func (a *attemptIndex) onShard(s types.Shard) []*OutstandingAttempt {
-	if x := a.byShard[s]; x != nil {
-		return slices.Clone(x.list)
+// onShard lists the attempts on a shard; the list is a copy.
+func (a *attemptIndex) onShard(shard types.Shard) []*OutstandingAttempt {
+	if on := a.byShard[shard]; on != nil {
+		return slices.Clone(on.list)
 	}
 	return nil
 }
 
-func (a *attemptIndex) reservedOn(s types.Shard) (r types.Resources) {
-	if x := a.byShard[s]; x != nil {
-		r = x.reserved
+// unsureOn lists the unsure attempts on a shard.
+func (a *attemptIndex) unsureOn(shard types.Shard) []types.AttemptID {
+	on := a.byShard[shard]
+	if on == nil {
+		return nil
 	}
-	return
+	var list []types.AttemptID
+	for _, attempt := range on.list {
+		if attempt.Phase == unsureIfRunning {
+			list = append(list, attempt.Attempt)
+		}
+	}
+	return list
 }
 
-// unconfirmedWithoutWorker lists the attempts not told of yet on shards that no agent has come for.
-func (a *attemptIndex) unconfirmedWithoutWorker(came map[types.Shard]*RemoteWorker) (list []*OutstandingAttempt) {
+// reservedOn returns the resources of all attempts on a shard together.
+func (a *attemptIndex) reservedOn(shard types.Shard) types.Resources {
+	if on := a.byShard[shard]; on != nil {
+		return on.reserved
+	}
+	return types.Resources{}
+}
+
+// unconfirmedWithoutWorker lists the unconfirmed attempts on shards that have no worker.
+func (a *attemptIndex) unconfirmedWithoutWorker(workers map[types.Shard]*RemoteWorker) []*OutstandingAttempt {
 	if a.unconfirmed == 0 {
 		return nil
 	}
-	for _, s := range sortedShards(a.byShard) {
-		if x := a.byShard[s]; x.unconfirmed > 0 && came[s] == nil {
-			for _, o := range x.list {
-				if o.Phase == unconfirmed {
-					list = append(list, o)
-				}
+	var list []*OutstandingAttempt
+	for _, shard := range sortedShards(a.byShard) {
+		on := a.byShard[shard]
+		if on.unconfirmed == 0 || workers[shard] != nil {
+			continue
+		}
+		for _, attempt := range on.list {
+			if attempt.Phase == unconfirmed {
+				list = append(list, attempt)
 			}
 		}
 	}
-	return
+	return list
 }
 
 // all lists every attempt, by shard.
 func (a *attemptIndex) all() []*OutstandingAttempt {
 	list := make([]*OutstandingAttempt, 0, len(a.byID))
-	for _, s := range sortedShards(a.byShard) {
-		list = append(list, a.byShard[s].list...)
+	for _, shard := range sortedShards(a.byShard) {
+		list = append(list, a.byShard[shard].list...)
 	}
 	return list
 }
 
 func sortedShards[T any](m map[types.Shard]T) []types.Shard { return slices.Sorted(maps.Keys(m)) }
 
-type attemptPhase string
-
-const (
-	unconfirmed      attemptPhase = "unknown" // given out before this leadership, not told of yet
-	orderSent        attemptPhase = "sent"
-	confirmedRunning attemptPhase = "running"
-	unsureIfRunning  attemptPhase = "unsure"
-)
-
 // Attempts lists the attempts that possibly run, by shard.
 func (sc *Scheduler) Attempts() []*OutstandingAttempt { return sc.attempts.all() }
 
-// AttemptsOn lists those of one shard in order, with a number that differs whenever the
-// list does; the list is the scheduler's own and holds until its next step.
-func (sc *Scheduler) AttemptsOn(shard types.Shard) ([]*OutstandingAttempt, uint64) {
-	var list []*OutstandingAttempt
-	if x := sc.attempts.byShard[shard]; x != nil {
-		list = x.list
+// AttemptsOn lists the attempts that possibly run on a shard, in order, and returns a
+// revision that changes whenever the list does. The list is the scheduler's own and is
+// valid until its next step.
+func (sc *Scheduler) AttemptsOn(shard types.Shard) (list []*OutstandingAttempt, revision uint64) {
+	if on := sc.attempts.byShard[shard]; on != nil {
+		list = on.list
 	}
 	return list, sc.attempts.revisions[shard]
 }
 
-// ShardOf is the shard on which an attempt possibly runs, or nothing.
-func (sc *Scheduler) ShardOf(attempt types.AttemptID) types.Shard {
-	if o := sc.attempts.byID[attempt]; o != nil {
-		return o.Shard
+// ShardOf returns the shard on which an attempt possibly runs, or nothing.
+func (sc *Scheduler) ShardOf(id types.AttemptID) types.Shard {
+	if attempt := sc.attempts.byID[id]; attempt != nil {
+		return attempt.Shard
 	}
 	return ""
 }
--- a/internal/dispatch/scheduler/attempt_index_test.go
+++ b/internal/dispatch/scheduler/attempt_index_test.go
@@ -12,58 +12,81 @@
 	"coppercourse/internal/types"
 )
 
+// overdueAfter is how long after its order an attempt counts as overdue here.
+const overdueAfter = 20 * time.Millisecond
+
+func randomAttempt(random *rand.Rand, id types.AttemptID, now types.MonoTime) *OutstandingAttempt {
+	return &OutstandingAttempt{
+		Attempt:   id,
+		Shard:     types.Shard(fmt.Sprint("s", random.Intn(4))),
+		Stage:     types.Stage(random.Intn(3) - 1),
+		Resources: types.Resources{Cores: types.MilliCores(1 + random.Intn(3))},
+		Phase:     []attemptPhase{unconfirmed, orderSent, confirmedRunning}[random.Intn(3)],
+		OrderedAt: now,
+	}
+}
+
+// The index is compared with a plain map that is counted anew after each change.
 func TestAttemptIndexAgainstReference(t *testing.T) {
 	is := is.New(t)
-	rnd := rand.New(rand.NewSource(5))
-	h := newAttemptIndex()
+	random := rand.New(rand.NewSource(5))
+	index := newAttemptIndex()
 	now := types.MonoTime(time.Hour)
-	plain := map[types.AttemptID]*OutstandingAttempt{}
+	reference := map[types.AttemptID]*OutstandingAttempt{}
 	for range 4000 {
 		now = now.Add(time.Millisecond)
-		l := types.AttemptID{TaskID: types.TaskID{Job: types.JobID(fmt.Sprint("j", rnd.Intn(6))), Number: rnd.Intn(4)}, Attempt: 1 + rnd.Intn(2)}
-		switch o := plain[l]; {
-		case o == nil || rnd.Intn(9) == 0:
-			o = &OutstandingAttempt{Attempt: l, Shard: types.Shard(fmt.Sprint("s", rnd.Intn(4))), Stage: types.Stage(rnd.Intn(3) - 1), Resources: types.Resources{Cores: types.MilliCores(1 + rnd.Intn(3))},
-				Phase: []attemptPhase{unconfirmed, orderSent, confirmedRunning}[rnd.Intn(3)], OrderedAt: now}
-			h.add(o)
-			plain[l] = o
-		case rnd.Intn(3) == 0:
-			h.remove(l)
-			delete(plain, l)
+		task := types.TaskID{Job: types.JobID(fmt.Sprint("j", random.Intn(6))), Number: random.Intn(4)}
+		id := types.AttemptID{TaskID: task, Attempt: 1 + random.Intn(2)}
+		switch attempt := reference[id]; {
+		case attempt == nil || random.Intn(9) == 0:
+			attempt = randomAttempt(random, id, now)
+			index.add(attempt)
+			reference[id] = attempt
+		case random.Intn(3) == 0:
+			index.remove(id)
+			delete(reference, id)
 		default:
-			h.setPhase(o, []attemptPhase{unconfirmed, confirmedRunning}[rnd.Intn(2)])
+			index.setPhase(attempt, []attemptPhase{unconfirmed, confirmedRunning}[random.Intn(2)])
 		}
-		for _, o := range h.takeOverdue(now.Add(-20 * time.Millisecond)) {
-			is.Equal(o.Phase, orderSent)
-			is.True(now.Sub(o.OrderedAt) > 20*time.Millisecond)
-			h.setPhase(o, unsureIfRunning)
+		for _, attempt := range index.takeOverdue(now.Add(-overdueAfter)) {
+			is.Equal(attempt.Phase, orderSent)
+			is.True(now.Sub(attempt.OrderedAt) > overdueAfter)
+			index.setPhase(attempt, unsureIfRunning)
 		}
-		n, dims, alien, open := 0, 0, 0, map[types.Shard]bool{}
-		rooms := map[types.Shard]types.Resources{}
-		for _, o := range plain {
-			n++
-			rooms[o.Shard] = rooms[o.Shard].Add(o.Resources)
-			if o.Phase == unconfirmed {
-				dims++
-			}
-			if o.Stage < 0 {
-				alien++
-			}
-			if o.Phase == unsureIfRunning {
-				open[o.Shard] = true
-			}
-			is.True(o.Phase != orderSent || now.Sub(o.OrderedAt) <= 20*time.Millisecond) // none is missed
-			is.Equal(h.byID[o.Attempt], o)
+		compareIndex(is, &index, reference, now)
+	}
+}
+
+func compareIndex(
+	is *is.I, index *attemptIndex, reference map[types.AttemptID]*OutstandingAttempt, now types.MonoTime,
+) {
+	is.Helper()
+	unconfirmedCount, unknownCount := 0, 0
+	unsure := map[types.Shard]bool{}
+	reserved := map[types.Shard]types.Resources{}
+	for _, attempt := range reference {
+		reserved[attempt.Shard] = reserved[attempt.Shard].Add(attempt.Resources)
+		if attempt.Phase == unconfirmed {
+			unconfirmedCount++
 		}
-		is.Equal(len(h.all()), n)
-		is.Equal(h.unconfirmed, dims)
-		is.Equal(len(h.unknownToLog), alien)
-		is.Equal(h.unsureShards, open)
-		is.Equal(len(h.unconfirmedWithoutWorker(nil)), dims)
-		for k := range 4 {
-			s := types.Shard(fmt.Sprint("s", k))
-			is.Equal(h.reservedOn(s), rooms[s])
-			is.True(slices.IsSortedFunc(h.onShard(s), compareOutstanding))
+		if attempt.Stage < 0 {
+			unknownCount++
 		}
+		if attempt.Phase == unsureIfRunning {
+			unsure[attempt.Shard] = true
+		}
+		// No overdue one is missed.
+		is.True(attempt.Phase != orderSent || now.Sub(attempt.OrderedAt) <= overdueAfter)
+		is.Equal(index.byID[attempt.Attempt], attempt)
+	}
+	is.Equal(len(index.all()), len(reference))
+	is.Equal(index.unconfirmed, unconfirmedCount)
+	is.Equal(len(index.unknownToLog), unknownCount)
+	is.Equal(index.unsureShards, unsure)
+	is.Equal(len(index.unconfirmedWithoutWorker(nil)), unconfirmedCount)
+	for n := range 4 {
+		shard := types.Shard(fmt.Sprint("s", n))
+		is.Equal(index.reservedOn(shard), reserved[shard])
+		is.True(slices.IsSortedFunc(index.onShard(shard), compareOutstanding))
 	}
 }
--- a/internal/dispatch/scheduler/ends.go
+++ b/internal/dispatch/scheduler/ends.go
@@ -7,52 +7,60 @@
 	"coppercourse/internal/wire"
 )
 
-// onUpdateStatus takes ends. Those already committed are settled at once; an attempt's
-// number is used once, so an end counts whoever of the shard's agents tells it.
-// Of an agent not known yet only what its worker did is taken, for the agent may
-// not live until it is.
-func (sc *Scheduler) onUpdateStatus(from types.Addr, u protocol.UpdateStatus) {
-	s := sc.workers[u.Shard]
-	known := s != nil && (s.Instance != u.Instance || s.State != protocol.WorkerNew)
-	var done []state.AttemptEnd
-	for _, e := range u.Ends {
-		if !known && !e.Outcome.ReportedByWorker() {
+// onUpdateStatus takes ends (updateStatus). Those that the log already has are
+// acknowledged at once, the others are put out to be committed. An attempt's number is
+// used once, so an end counts from whichever of the shard's instances reports it. From an
+// instance that is still NEW only what its worker itself reported is taken, since the
+// agent may be gone before it is associated; its own conclusions wait for that.
+func (sc *Scheduler) onUpdateStatus(from types.Addr, update protocol.UpdateStatus) {
+	worker := sc.Worker(update.Shard)
+	isAssociated := worker != nil && (worker.Instance != update.Instance || worker.State != protocol.WorkerNew)
+	var recorded []state.AttemptEnd
+	for _, end := range update.Ends {
+		switch {
+		case !isAssociated && !end.Outcome.ReportedByWorker():
 			continue
-		}
-		if sc.cluster.EndRecorded(e) {
-			sc.attempts.remove(e.ID)
-			done = append(done, e)
-		} else {
-			sc.ends = append(sc.ends, e)
+		case sc.cluster.EndRecorded(end):
+			sc.attempts.remove(end.ID)
+			recorded = append(recorded, end)
+		default:
+			sc.ends = append(sc.ends, end)
 		}
 	}
-	if done != nil {
-		sc.sends = append(sc.sends, wire.NewMessage(sc.addr, from, wire.StatusAck, protocol.CommittedEnds{Header: protocol.Header{Term: sc.term, To: u.Instance}, Ends: done}))
+	if recorded != nil {
+		header := protocol.Header{Term: sc.term, To: update.Instance}
+		committed := protocol.CommittedEnds{Header: header, Ends: recorded}
+		sc.messages = append(sc.messages, wire.NewMessage(sc.addr, from, wire.StatusAck, committed))
 	}
 }
 
-// reportEnd says that an attempt has ended; it is held until that is committed.
-func (sc *Scheduler) reportEnd(l types.AttemptID, f state.Outcome) {
-	e := state.AttemptEnd{ID: l, Outcome: f}
-	if o := sc.attempts.byID[l]; o != nil {
-		e.Checkpoint = o.Checkpoint
+// reportEnd puts out an attempt's end to be committed; the attempt still counts as
+// possibly running until OnEndsCommitted.
+func (sc *Scheduler) reportEnd(id types.AttemptID, outcome state.Outcome) {
+	end := state.AttemptEnd{ID: id, Outcome: outcome}
+	if attempt := sc.attempts.byID[id]; attempt != nil {
+		end.Checkpoint = attempt.Checkpoint
 	}
-	sc.ends = append(sc.ends, e)
+	sc.ends = append(sc.ends, end)
 }
 
-// OnEndsCommitted forgets attempts whose end is committed and tells their agents.
-func (sc *Scheduler) OnEndsCommitted(list []state.AttemptEnd) {
-	by := map[types.Shard][]state.AttemptEnd{}
-	for _, e := range list {
-		if o := sc.attempts.byID[e.ID]; o != nil {
-			sc.recordOutcome(o, e.Outcome)
-			by[o.Shard] = append(by[o.Shard], e)
-			sc.attempts.remove(e.ID)
+// OnEndsCommitted forgets attempts whose ends are committed, and acknowledges the ends to
+// their agents.
+func (sc *Scheduler) OnEndsCommitted(ends []state.AttemptEnd) {
+	byShard := map[types.Shard][]state.AttemptEnd{}
+	for _, end := range ends {
+		attempt := sc.attempts.byID[end.ID]
+		if attempt == nil {
+			continue
 		}
+		sc.recordOutcome(attempt, end.Outcome)
+		byShard[attempt.Shard] = append(byShard[attempt.Shard], end)
+		sc.attempts.remove(end.ID)
 	}
-	for _, k := range sortedShards(by) {
-		if s := sc.workers[k]; s != nil && s.State != protocol.WorkerMustDie {
-			sc.send(s, wire.StatusAck, protocol.CommittedEnds{Header: sc.header(s), Ends: by[k]})
+	for _, shard := range sortedShards(byShard) {
+		if worker := sc.Worker(shard); worker != nil && worker.State != protocol.WorkerMustDie {
+			committed := protocol.CommittedEnds{Header: sc.header(worker), Ends: byShard[shard]}
+			sc.send(worker, wire.StatusAck, committed)
 		}
 	}
 }
--- a/internal/dispatch/scheduler/health_check.go
+++ b/internal/dispatch/scheduler/health_check.go
@@ -4,47 +4,47 @@
 	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
-	"coppercourse/internal/wire"
 )
 
-// updateHealth moves one seat through the health machine.
-func (sc *Scheduler) updateHealth(s *RemoteWorker) {
-	quiet := sc.now.Sub(s.LastHealthyAt)
-	var to protocol.Health
+// updateHealth moves a worker to the state that its latest healthy heartbeat gives it.
+// MUST_DIE is never left, and NEW only by a reply to getRunningTasks or into MUST_DIE.
+func (sc *Scheduler) updateHealth(worker *RemoteWorker) {
+	silence := sc.now.Sub(worker.LastHealthyAt)
+	var next protocol.Health
 	switch {
-	case s.State == protocol.WorkerMustDie:
+	case worker.State == protocol.WorkerMustDie:
 		return
-	case quiet > sc.timeouts.LostAfter:
-		to = protocol.WorkerMustDie
-	case s.State == protocol.WorkerNew:
+	case silence > sc.timeouts.LostAfter:
+		next = protocol.WorkerMustDie
+	case worker.State == protocol.WorkerNew:
 		return
-	case quiet > sc.timeouts.UnhealthyAfter:
-		to = protocol.WorkerUnhealthy
-	case s.HasBeenHealthy || sc.workerSets.permitsHealthy(s):
-		to, s.HasBeenHealthy = protocol.WorkerHealthy, true
+	case silence > sc.timeouts.UnhealthyAfter:
+		next = protocol.WorkerUnhealthy
+	case worker.hasBeenHealthy || sc.workerSets.permitsHealthy(worker):
+		next, worker.hasBeenHealthy = protocol.WorkerHealthy, true
 	default:
-		to = protocol.WorkerUnhealthy
+		next = protocol.WorkerUnhealthy
 	}
-	if to != s.State {
-		s.State, s.StateSince = to, sc.now
+	if next != worker.State {
+		worker.State, worker.StateSince = next, sc.now
 	}
-	if to == protocol.WorkerMustDie {
-		sc.markLost(s)
+	if next == protocol.WorkerMustDie {
+		sc.markLost(worker)
 	}
 }
 
-// markLost forgets what a lost worker ran; its grants have lapsed by now.
-func (sc *Scheduler) markLost(s *RemoteWorker) {
-	outcome := sc.lossOutcome(s.Shard)
-	for _, o := range sc.attempts.onShard(s.Shard) {
-		sc.reportEnd(o.Attempt, outcome)
+// markLost ends what a lost worker ran. Its leases have ended by now.
+func (sc *Scheduler) markLost(worker *RemoteWorker) {
+	outcome := sc.lossOutcome(worker.Shard)
+	for _, attempt := range sc.attempts.onShard(worker.Shard) {
+		sc.reportEnd(attempt.Attempt, outcome)
 	}
-	sc.workerSets.removeLost(s)
-	sc.send(s, wire.ReplaceInstance, protocol.RequestSuicide{Header: sc.header(s)})
+	sc.workerSets.removeLost(worker)
+	sc.requestSuicide(worker)
 }
 
-// lossOutcome is the outcome of an attempt whose worker is out of reach. One that is called
-// has no lease any more by then, and what it did is not settled there.
+// lossOutcome returns the outcome of an attempt whose worker can't be reached. A worker
+// that is called has no lease any more by then, and no end that it tells later counts.
 func (sc *Scheduler) lossOutcome(shard types.Shard) state.Outcome {
 	switch {
 	case sc.cluster.CalledByAgent(shard):
--- a/internal/dispatch/scheduler/initial_wait.go
+++ b/internal/dispatch/scheduler/initial_wait.go
@@ -1,41 +1,58 @@
 package scheduler
 
 import (
-	"coppercourse/internal/dispatch/protocol"
 	"fmt"
+
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/types"
 )
 
-// endInitialWait ends the initial wait: by time, counted from when an earlier leader can
-// last have let anybody run anything, when every worker that still did so has had
-// to stop; or early, when all agents that came carry the same
-// worker set, it is just the set of those that came, and no attempt in the log
-// waits to be heard of. The last is more than the paper asks.
+// initialWait is the paper's initial wait: the time from the start of a leadership in
+// which no task may be given out, because not all that runs may be known.
+type initialWait struct {
+	active bool
+	// countsFrom is when an earlier leader can last have let anybody run anything.
+	countsFrom types.MonoTime
+	reason     string // why it can't be ended early, as of the latest sweep
+}
+
+// InInitialWait reports whether the initial wait still lasts.
+func (sc *Scheduler) InInitialWait() bool { return sc.wait.active }
+
+// InitialWaitReason says why the initial wait can't be ended early, for people.
+func (sc *Scheduler) InitialWaitReason() string { return sc.wait.reason }
+
+// endInitialWait ends the wait if that is due: when every worker that still ran something
+// under an earlier leader has had to stop, or early, when initialWaitReason finds nothing
+// against it. Attempts whose agents have not connected by then count as lost.
 func (sc *Scheduler) endInitialWait() {
-	late := sc.now.Sub(sc.priorAuthorityEnd) > sc.timeouts.LostAfter+sc.timeouts.HeartbeatInterval
-	sc.InitialWaitReason = sc.initialWaitReason()
-	if !late && sc.InitialWaitReason != "" {
+	isOver := sc.now.Sub(sc.wait.countsFrom) > sc.timeouts.LostAfter+sc.timeouts.HeartbeatInterval
+	sc.wait.reason = sc.initialWaitReason()
+	if !isOver && sc.wait.reason != "" {
 		return
 	}
-	sc.InInitialWait, sc.InitialWaitReason = false, ""
-	for _, o := range sc.attempts.unconfirmedWithoutWorker(sc.workers) {
-		sc.reportEnd(o.Attempt, sc.lossOutcome(o.Shard))
+	sc.wait.active, sc.wait.reason = false, ""
+	for _, attempt := range sc.attempts.unconfirmedWithoutWorker(sc.workers.byShard) {
+		sc.reportEnd(attempt.Attempt, sc.lossOutcome(attempt.Shard))
 	}
 }
 
-// initialWaitReason says why the wait can't be cut short, or nothing.
+// initialWaitReason says why the wait can't be ended early, or nothing: all agents that
+// connected must carry the same worker set, which is just the set of these agents, and
+// every attempt in the log must have been confirmed. The last is more than the paper
+// asks.
 func (sc *Scheduler) initialWaitReason() string {
-	want := sc.currentWorkerSet()
-	if want.Size == 0 {
+	latest := sc.workerSets.latest(sc.term)
+	if latest.Size == 0 {
 		return "no agent has come yet"
 	}
-	for _, s := range sc.sortedWorkers {
-		if s.State == protocol.WorkerMustDie {
+	for _, worker := range sc.workers.sorted {
+		switch {
+		case worker.State == protocol.WorkerMustDie:
 			continue
-		}
-		if s.State == protocol.WorkerNew {
-			return "agent of " + string(s.Shard) + " has not told what runs"
-		}
-		if s.initialWorkerSet.Hash != want.Hash || s.initialWorkerSet.Size != want.Size {
+		case worker.State == protocol.WorkerNew:
+			return "agent of " + string(worker.Shard) + " has not told what runs"
+		case worker.sets.initial.Hash != latest.Hash || worker.sets.initial.Size != latest.Size:
 			return "the agents do not agree on the worker set"
 		}
 	}
@@ -45,11 +62,11 @@
 	return ""
 }
 
-// OverdueAttempts lists attempts whose agent has still not come to this leadership when a
-// sound one would have.
-func (sc *Scheduler) OverdueAttempts() (list []*OutstandingAttempt) {
-	if !sc.InInitialWait || sc.now.Sub(sc.startedAt) <= sc.timeouts.UnhealthyAfter {
+// OverdueAttempts lists the attempts whose agent has still not connected to this
+// leadership at a time when that of a healthy worker would have.
+func (sc *Scheduler) OverdueAttempts() []*OutstandingAttempt {
+	if !sc.wait.active || sc.now.Sub(sc.startedAt) <= sc.timeouts.UnhealthyAfter {
 		return nil
 	}
-	return sc.attempts.unconfirmedWithoutWorker(sc.workers)
+	return sc.attempts.unconfirmedWithoutWorker(sc.workers.byShard)
 }
--- a/internal/dispatch/scheduler/initial_wait_test.go
+++ b/internal/dispatch/scheduler/initial_wait_test.go
@@ -33,9 +33,10 @@
 			Outstanding:       []OutstandingAttempt{{Attempt: attempt, Shard: "s"}},
 			Cluster:           calledWorkers{},
 		})
+		wait := protocol.DefaultTimeouts.LostAfter + protocol.DefaultTimeouts.HeartbeatInterval
 		for at := time.Duration(0); at < protocol.DefaultTimeouts.LostAfter+time.Second; at += 10 * time.Millisecond {
 			s.Tick(now.Add(at), time.Second)
-			is.Equal(s.InInitialWait, at+ago <= protocol.DefaultTimeouts.LostAfter+protocol.DefaultTimeouts.HeartbeatInterval)
+			is.Equal(s.InInitialWait(), at+ago <= wait)
 		}
 	}
 }
--- a/internal/dispatch/scheduler/reliability.go
+++ b/internal/dispatch/scheduler/reliability.go
@@ -6,56 +6,90 @@
 	"coppercourse/internal/state"
 )
 
-// Reliability is how a worker's attempts have ended of late and how long they took
-// beside what is usual for the same step of a queue.
+// Reliability says how a worker's attempts have ended lately. Both numbers are moving
+// averages over ended attempts.
 type Reliability struct {
-	FailureRate      float64
+	// FailureRate is the share of attempts that did not end well, from 0 to 1.
+	FailureRate float64
+	// RelativeDuration is how long attempts took, as a multiple of what is usual for
+	// the same step of their queue; 1 is as usual.
 	RelativeDuration float64
 }
 
-const smoothing = 0.1
+const (
+	// reliabilityWeight is the weight of the latest attempt in the moving averages.
+	reliabilityWeight = 0.1
+	// maxBaselineRatio bounds how far one attempt moves a baseline.
+	maxBaselineRatio = 4
+	// minBaselineCount is how many attempts a baseline needs before it is told.
+	minBaselineCount = 10
+)
 
-func (sc *Scheduler) recordOutcome(o *OutstandingAttempt, f state.Outcome) {
-	s := sc.workers[o.Shard]
-	if s == nil || f == state.OutcomeNeverRan || f == state.OutcomeStopped || f == state.OutcomePartitioned {
+// recordOutcome takes an attempt's end into its worker's reliability, unless the end says
+// nothing of the worker.
+func (sc *Scheduler) recordOutcome(attempt *OutstandingAttempt, outcome state.Outcome) {
+	worker := sc.Worker(attempt.Shard)
+	if worker == nil {
 		return
 	}
-	bad := 0.0
-	if f != state.OutcomeOK {
-		bad = 1
-	}
-	s.Reliability.FailureRate += smoothing * (bad - s.Reliability.FailureRate)
-	if o.BaselineName == "" || f != state.OutcomeOK {
+	switch outcome {
+	case state.OutcomeNeverRan, state.OutcomeStopped, state.OutcomePartitioned:
+		return
+	case state.OutcomeOK:
+		worker.Reliability.recordFailure(0)
+	default:
+		worker.Reliability.recordFailure(1)
 		return
 	}
-	if s.CalledByAgent {
-		sc.recordDuration(o, sc.now.Sub(o.OrderedAt), true)
+	if attempt.BaselineName == "" {
+		return
 	}
-	took := float64(sc.now.Sub(o.OrderedAt))
-	if took <= 0 {
-		return // it tells nothing, and nothing can be set beside it
+	duration := sc.now.Sub(attempt.OrderedAt)
+	if worker.CalledByAgent {
+		sc.recordDuration(attempt, duration, true)
 	}
-	n := sc.baselines[o.BaselineName]
-	if n == nil {
-		n = &baseline{duration: took}
-		sc.baselines[o.BaselineName] = n
+	if duration > 0 {
+		worker.Reliability.recordDuration(sc.baselines.record(attempt.BaselineName, duration))
 	}
-	n.count++
-	s.Reliability.RelativeDuration += smoothing * (took/n.duration - s.Reliability.RelativeDuration)
-	n.duration += smoothing * (min(took, 4*n.duration) - n.duration)
 }
 
-// baseline is how long attempts of one step of a queue take.
+func (r *Reliability) recordFailure(failure float64) {
+	r.FailureRate += reliabilityWeight * (failure - r.FailureRate)
+}
+
+func (r *Reliability) recordDuration(ratio float64) {
+	r.RelativeDuration += reliabilityWeight * (ratio - r.RelativeDuration)
+}
+
+// baseline is how long attempts of one step of a queue usually take.
 type baseline struct {
-	duration float64
-	count    int
+	duration float64 // moving average, in nanoseconds
+	count    int     // attempts that ended well
+}
+
+type baselines map[string]*baseline
+
+// record takes the duration of an attempt, which must not be 0, and returns its ratio to
+// the baseline before it.
+func (b baselines) record(name string, duration time.Duration) float64 {
+	nanoseconds := float64(duration)
+	usual := b[name]
+	if usual == nil {
+		usual = &baseline{duration: nanoseconds}
+		b[name] = usual
+	}
+	usual.count++
+	ratio := nanoseconds / usual.duration
+	usual.duration += reliabilityWeight * (min(nanoseconds, maxBaselineRatio*usual.duration) - usual.duration)
+	return ratio
 }
 
-// BaselineDuration gives that, once enough of them have ended well to tell.
+// BaselineDuration returns how long attempts under a baseline's name usually take, or
+// false while too few have ended well to tell.
 func (sc *Scheduler) BaselineDuration(name string) (time.Duration, bool) {
-	n := sc.baselines[name]
-	if n == nil || n.count < 10 {
+	usual := sc.baselines[name]
+	if usual == nil || usual.count < minBaselineCount {
 		return 0, false
 	}
-	return time.Duration(n.duration), true
+	return time.Duration(usual.duration), true
 }
--- a/internal/dispatch/scheduler/remote_worker.go
+++ b/internal/dispatch/scheduler/remote_worker.go
@@ -1,53 +1,103 @@
 package scheduler
 
 import (
+	"cmp"
+	"slices"
+
 	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/types"
 )
 
-// RemoteWorker is one shard and the agent instance that has it.
+// RemoteWorker is a worker as the scheduler knows it: a shard, and the agent instance
+// that is associated as the shard's.
 type RemoteWorker struct {
 	Shard      types.Shard
 	Instance   types.ID
-	Addr       types.Addr
+	Addr       types.Addr // of the agent
 	State      protocol.Health
 	StateSince types.MonoTime
+	// LastHealthyAt is when the latest heartbeat of a healthy worker arrived.
+	LastHealthyAt types.MonoTime
+	// DepartsAt is when a draining worker will be gone, where it said so.
+	DepartsAt types.MonoTime
 	protocol.WorkerReport
-	DepartsAt           types.MonoTime // when its worker goes, if it said so
-	HasBeenHealthy      bool
-	LastHealthyAt       types.MonoTime
+	Reliability Reliability
+
+	hasBeenHealthy      bool // the paper's hasBeenHealthy_: consensus is no longer asked
 	lastHeartbeatAt     types.MonoTime
-	lastHeartbeatSentAt types.MonoTime
-	querySequence       types.Seq
+	lastHeartbeatSentAt types.MonoTime // on the agent's clock
 	runningTasksAskedAt types.MonoTime
-	queriedAt           types.MonoTime
-	openQueries         map[types.Seq][]types.AttemptID
-	initialWorkerSet    protocol.WorkerSetID
-	setVersion          int
-	indirectSetVersion  int
-	joinedVersion       int // the set that has it first
-	leftVersion         int // the first that has it no more, or 0
-	Reliability         Reliability
-	slowdownLog         float64 // log of how many times the usual its attempts take
-	slowdownAt          types.MonoTime
-}
-
-// RemoteWorker finds a shard's, or gives nil.
-func (sc *Scheduler) Worker(shard types.Shard) *RemoteWorker { return sc.workers[shard] }
-
-// Workers lists the seats in order; the list is the head's own.
-func (sc *Scheduler) Workers() []*RemoteWorker { return sc.sortedWorkers }
-
-// senderOf finds the seat that an agent's message speaks for.
-func (sc *Scheduler) senderOf(t types.Term, shard types.Shard, id types.ID) *RemoteWorker {
-	if s := sc.workers[shard]; s != nil && s.Instance == id && t == sc.term {
-		return s
+	queries             unsureQueries
+	sets                setMembership
+	slowdown            slowdown
+}
+
+// newRemoteWorker returns the worker of a heartbeat that has just arrived.
+func newRemoteWorker(now types.MonoTime, from types.Addr, heartbeat protocol.Heartbeat) *RemoteWorker {
+	return &RemoteWorker{
+		Shard:               heartbeat.Shard,
+		Instance:            heartbeat.Instance,
+		Addr:                from,
+		State:               protocol.WorkerNew,
+		StateSince:          now,
+		LastHealthyAt:       now,
+		Reliability:         Reliability{RelativeDuration: 1},
+		lastHeartbeatSentAt: never,
+		runningTasksAskedAt: never,
+		queries:             unsureQueries{open: map[types.Seq][]types.AttemptID{}},
+		sets:                setMembership{initial: heartbeat.WorkerSet},
+	}
+}
+
+// isAssociated reports whether the scheduler knows what runs on the worker, and has not
+// lost it.
+func (r *RemoteWorker) isAssociated() bool {
+	return r.State == protocol.WorkerUnhealthy || r.State == protocol.WorkerHealthy
+}
+
+// workerTable holds the workers, one a shard, and remembers replaced instances.
+type workerTable struct {
+	byShard  map[types.Shard]*RemoteWorker
+	sorted   []*RemoteWorker // the same, by shard
+	replaced map[types.ID]bool
+}
+
+func newWorkerTable() workerTable {
+	return workerTable{byShard: map[types.Shard]*RemoteWorker{}, replaced: map[types.ID]bool{}}
+}
+
+// put makes a worker its shard's and returns the one before, or nil.
+func (w *workerTable) put(worker *RemoteWorker) (before *RemoteWorker) {
+	before = w.byShard[worker.Shard]
+	i, _ := slices.BinarySearchFunc(w.sorted, worker.Shard, func(other *RemoteWorker, shard types.Shard) int {
+		return cmp.Compare(other.Shard, shard)
+	})
+	if before != nil {
+		w.sorted[i] = worker
+	} else {
+		w.sorted = slices.Insert(w.sorted, i, worker)
+	}
+	w.byShard[worker.Shard] = worker
+	return before
+}
+
+// Worker returns the worker of a shard, or nil.
+func (sc *Scheduler) Worker(shard types.Shard) *RemoteWorker { return sc.workers.byShard[shard] }
+
+// Workers lists the workers by shard. The list is the scheduler's own.
+func (sc *Scheduler) Workers() []*RemoteWorker { return sc.workers.sorted }
+
+// senderOf returns the worker that an agent's message speaks for, or nil if it is of
+// another term or instance.
+func (sc *Scheduler) senderOf(term types.Term, shard types.Shard, instance types.ID) *RemoteWorker {
+	if worker := sc.Worker(shard); worker != nil && worker.Instance == instance && term == sc.term {
+		return worker
 	}
 	return nil
 }
 
-// FreeCapacity is a seat's room less what its agent believes it to lack and all that possibly
-// runs on it.
-func (sc *Scheduler) FreeCapacity(s *RemoteWorker) types.Resources {
-	return s.Capacity.Sub(s.Shortfall).Sub(sc.attempts.reservedOn(s.Shard))
+// FreeCapacity returns a worker's capacity less the shortfall that its agent reports and
+// all that possibly runs there.
+func (sc *Scheduler) FreeCapacity(worker *RemoteWorker) types.Resources {
+	return worker.Capacity.Sub(worker.Shortfall).Sub(sc.attempts.reservedOn(worker.Shard))
 }
--- a/internal/dispatch/scheduler/run_task.go
+++ b/internal/dispatch/scheduler/run_task.go
@@ -9,47 +9,69 @@
 	"coppercourse/internal/wire"
 )
 
-// RunTask marks an attempt running and sends it, once.
-func (sc *Scheduler) RunTask(shard types.Shard, at types.Stage, usual string, j protocol.AttemptSpec) {
-	o := &OutstandingAttempt{Attempt: j.Attempt, Shard: shard, Stage: at, Resources: j.Resources, Phase: orderSent, BaselineName: usual, TimeLimit: time.Duration(j.TimeLimitMS) * time.Millisecond, OrderedAt: sc.now}
-	sc.attempts.add(o)
-	s := sc.workers[shard]
-	if s == nil || s.State != protocol.WorkerHealthy || s.Draining || sc.authorityLeft <= 0 {
-		sc.reportEnd(j.Attempt, state.OutcomeNeverRan)
+// RunTask gives an attempt to a worker (runTask). It counts as possibly running from
+// before it is sent until its end is committed. It is sent once; if the worker can't be
+// given tasks by now it ends at once as one that never ran. baselineName names what its
+// duration is compared with, or is empty.
+func (sc *Scheduler) RunTask(shard types.Shard, stage types.Stage, baselineName string, spec protocol.AttemptSpec) {
+	sc.attempts.add(&OutstandingAttempt{
+		Attempt:      spec.Attempt,
+		Shard:        shard,
+		Stage:        stage,
+		Resources:    spec.Resources,
+		Phase:        orderSent,
+		BaselineName: baselineName,
+		TimeLimit:    time.Duration(spec.TimeLimitMS) * time.Millisecond,
+		OrderedAt:    sc.now,
+	})
+	worker := sc.Worker(shard)
+	canRun := worker != nil && worker.State == protocol.WorkerHealthy && !worker.Draining && sc.authorityLeft > 0
+	if !canRun {
+		sc.reportEnd(spec.Attempt, state.OutcomeNeverRan)
 		return
 	}
-	sc.send(s, wire.RunTask, protocol.RunTask{Header: sc.header(s), Sequence: s.querySequence, StartBefore: s.lastHeartbeatSentAt.Add(min(sc.timeouts.AgentLease, sc.authorityLeft)), Spec: j})
+	sc.send(worker, wire.RunTask, protocol.RunTask{
+		Header:      sc.header(worker),
+		Sequence:    worker.queries.sequence,
+		StartBefore: sc.newLeaseEnd(worker),
+		Spec:        spec,
+	})
 }
 
-func (sc *Scheduler) onRunTaskReply(_ types.Addr, r protocol.RunTaskReply) {
-	s, o := sc.senderOf(r.Term, r.Shard, r.Instance), sc.attempts.byID[r.Attempt]
-	if s == nil || o == nil || o.Shard != s.Shard || o.Phase == confirmedRunning {
+func (sc *Scheduler) onRunTaskReply(_ types.Addr, reply protocol.RunTaskReply) {
+	worker := sc.senderOf(reply.Term, reply.Shard, reply.Instance)
+	attempt := sc.attempts.byID[reply.Attempt]
+	if worker == nil || attempt == nil || attempt.Shard != worker.Shard || attempt.Phase == confirmedRunning {
 		return
 	}
-	if r.Refusal != "" {
-		s.Healthy = false // until the next beat says otherwise
-		sc.reportEnd(r.Attempt, state.OutcomeNeverRan)
+	if reply.Refusal != "" {
+		worker.Healthy = false // until the next heartbeat says otherwise
+		sc.reportEnd(reply.Attempt, state.OutcomeNeverRan)
 		return
 	}
-	sc.attempts.setPhase(o, confirmedRunning)
+	sc.attempts.setPhase(attempt, confirmedRunning)
 }
 
-// KillTasks asks for attempts to be stopped, again and again until they have ended; late
-// ones are past the time their queue allows. Attempts of this leadership that were
-// never sent are left alone.
-func (sc *Scheduler) KillTasks(attempts, late []types.AttemptID) {
-	by := map[types.Shard][]types.AttemptID{}
-	for _, l := range append(attempts, late...) {
-		o := sc.attempts.byID[l]
-		if o == nil || o.killSentAt != 0 && sc.now.Sub(o.killSentAt) < sc.timeouts.RetryInterval/2 {
+// KillTasks has attempts stopped (killTask). The caller repeats it until they have
+// ended; each is sent once a while. Those in overTimeLimit are past the time that their
+// queue allows. Attempts that the scheduler does not have are skipped.
+func (sc *Scheduler) KillTasks(attempts, overTimeLimit []types.AttemptID) {
+	byShard := map[types.Shard][]types.AttemptID{}
+	for _, id := range append(attempts, overTimeLimit...) {
+		attempt := sc.attempts.byID[id]
+		if attempt == nil || attempt.killSentAt != 0 && sc.now.Sub(attempt.killSentAt) < sc.timeouts.RetryInterval/2 {
 			continue
 		}
-		o.killSentAt = sc.now
-		by[o.Shard] = append(by[o.Shard], l)
+		attempt.killSentAt = sc.now
+		byShard[attempt.Shard] = append(byShard[attempt.Shard], id)
 	}
-	for _, k := range sortedShards(by) {
-		if s := sc.workers[k]; s != nil && s.State != protocol.WorkerMustDie && s.State != protocol.WorkerNew {
-			sc.send(s, wire.KillTask, protocol.KillTasks{Header: sc.header(s), Attempts: by[k], OverTimeLimit: late})
+	for _, shard := range sortedShards(byShard) {
+		if worker := sc.Worker(shard); worker != nil && worker.isAssociated() {
+			sc.send(worker, wire.KillTask, protocol.KillTasks{
+				Header:        sc.header(worker),
+				Attempts:      byShard[shard],
+				OverTimeLimit: overTimeLimit,
+			})
 		}
 	}
 }
--- a/internal/dispatch/scheduler/running_tasks.go
+++ b/internal/dispatch/scheduler/running_tasks.go
@@ -9,62 +9,86 @@
 	"coppercourse/internal/wire"
 )
 
-func (sc *Scheduler) askRunningTasks(s *RemoteWorker) {
-	if sc.now.Sub(s.runningTasksAskedAt) >= sc.timeouts.RetryInterval/3 {
-		s.runningTasksAskedAt = sc.now
-		sc.send(s, wire.RunningTasksQuery, protocol.GetRunningTasks{Header: sc.header(s)})
+// askRunningTasks asks a NEW worker's agent what runs there (getRunningTasks), again
+// and again until it replies.
+func (sc *Scheduler) askRunningTasks(worker *RemoteWorker) {
+	if sc.now.Sub(worker.runningTasksAskedAt) < sc.timeouts.RetryInterval/3 {
+		return
 	}
+	worker.runningTasksAskedAt = sc.now
+	sc.send(worker, wire.RunningTasksQuery, protocol.GetRunningTasks{Header: sc.header(worker)})
 }
 
-func (sc *Scheduler) onRunningTasksReply(_ types.Addr, a protocol.RunningTasksReply) {
-	s := sc.senderOf(a.Term, a.Shard, a.Instance)
-	if s == nil || s.State != protocol.WorkerNew {
+// onRunningTasksReply takes the account of what runs on a NEW worker, which ends the
+// state NEW. What the log has there and the account does not hold has ended.
+func (sc *Scheduler) onRunningTasksReply(_ types.Addr, reply protocol.RunningTasksReply) {
+	worker := sc.senderOf(reply.Term, reply.Shard, reply.Instance)
+	if worker == nil || worker.State != protocol.WorkerNew {
 		return
 	}
-	told := map[types.AttemptID]bool{}
-	for _, r := range a.Tasks {
-		told[r.Attempt] = true
-		if o := sc.attempts.byID[r.Attempt]; o != nil && o.Shard == s.Shard {
-			sc.attempts.setPhase(o, confirmedRunning)
-		} else if o == nil {
-			sc.attempts.add(&OutstandingAttempt{Attempt: r.Attempt, Shard: s.Shard, Stage: -1, Resources: r.Resources, Phase: confirmedRunning, OrderedAt: sc.now})
-		}
-	}
+	reported := sc.confirmRunning(worker, reply.Tasks)
 	outcome := state.OutcomeLost
-	if sc.cluster.CalledByAgent(s.Shard) {
+	if sc.cluster.CalledByAgent(worker.Shard) {
 		outcome = state.OutcomeLeaseExpired
 	}
-	if a.Complete {
+	if reply.Complete {
 		outcome = state.OutcomeNeverRan
-		sc.resolveUnreported(s.Shard, told)
+		sc.resolveUnreported(worker.Shard, reported)
 	}
-	for _, o := range sc.attempts.onShard(s.Shard) {
-		if !told[o.Attempt] {
-			sc.reportEnd(o.Attempt, outcome)
+	for _, attempt := range sc.attempts.onShard(worker.Shard) {
+		if !reported[attempt.Attempt] {
+			sc.reportEnd(attempt.Attempt, outcome)
+		}
+	}
+	worker.State, worker.StateSince = protocol.WorkerUnhealthy, sc.now
+	sc.updateHealth(worker)
+	sc.replyToHeartbeat(worker, worker.Healthy)
+}
+
+// confirmRunning notes that attempts run on a worker, also ones that the log does not
+// have as given out, and returns their set.
+func (sc *Scheduler) confirmRunning(worker *RemoteWorker, tasks []protocol.RunningTask) map[types.AttemptID]bool {
+	reported := map[types.AttemptID]bool{}
+	for _, task := range tasks {
+		reported[task.Attempt] = true
+		attempt := sc.attempts.byID[task.Attempt]
+		switch {
+		case attempt == nil:
+			sc.attempts.add(&OutstandingAttempt{
+				Attempt:   task.Attempt,
+				Shard:     worker.Shard,
+				Stage:     StageUnknown,
+				Resources: task.Resources,
+				Phase:     confirmedRunning,
+				OrderedAt: sc.now,
+			})
+		case attempt.Shard == worker.Shard:
+			sc.attempts.setPhase(attempt, confirmedRunning)
 		}
 	}
-	s.State, s.StateSince = protocol.WorkerUnhealthy, sc.now
-	sc.updateHealth(s)
-	sc.replyToHeartbeat(s, s.Healthy)
+	return reported
 }
 
-// resolveUnreported ends the doubt about attempts that were lost on a shard and are not in its
-// worker's own account: they did not end well and never will.
-func (sc *Scheduler) resolveUnreported(shard types.Shard, told map[types.AttemptID]bool) {
-	for _, l := range sc.cluster.UnresolvedAttempts(shard) {
-		if !told[l] {
-			sc.reportEnd(l, state.OutcomeNeverRan)
+// resolveUnreported ends those attempts that were lost on a shard and that its worker's
+// own account does not hold: they did not end well, and never will.
+func (sc *Scheduler) resolveUnreported(shard types.Shard, reported map[types.AttemptID]bool) {
+	for _, id := range sc.cluster.UnresolvedAttempts(shard) {
+		if !reported[id] {
+			sc.reportEnd(id, state.OutcomeNeverRan)
 		}
 	}
 }
 
-// UnknownAttempts lists attempts that an agent runs but the log does not have as given out.
-func (sc *Scheduler) UnknownAttempts() (list []types.AttemptID) {
-	for l, o := range sc.attempts.unknownToLog {
-		if o.Phase == confirmedRunning && sc.cluster.EndRecorded(state.AttemptEnd{ID: l, Outcome: state.OutcomeStopped}) {
-			list = append(list, l)
+// UnknownAttempts lists the attempts that run on a worker although the log has no use
+// for them, in order.
+func (sc *Scheduler) UnknownAttempts() []types.AttemptID {
+	var list []types.AttemptID
+	for id, attempt := range sc.attempts.unknownToLog {
+		end := state.AttemptEnd{ID: id, Outcome: state.OutcomeStopped}
+		if attempt.Phase == confirmedRunning && sc.cluster.EndRecorded(end) {
+			list = append(list, id)
 		}
 	}
 	slices.SortFunc(list, types.AttemptID.Compare)
-	return
+	return list
 }
--- a/internal/dispatch/scheduler/scheduler.go
+++ b/internal/dispatch/scheduler/scheduler.go
@@ -1,6 +1,16 @@
-// Scheduler is the scheduler's half. A new one is made with each leadership; what
-// runs it learns from the agents alone, and the log only tells it which attempts it
-// must hear of before it may give their tasks out again.
+// Package scheduler is the scheduler half of the dispatcher, which the leader of the
+// cluster runs; package dispatch describes the whole.
+//
+// A Scheduler is made anew with each leadership. What runs it learns from the agents
+// alone; the replicated log only tells it which attempts it must hear of before their
+// tasks may be given out again. It is a state machine: its methods take an event and
+// return nothing, and TakeOutput hands over what they would send and commit. It does no
+// I/O and reads no clock.
+//
+// One concern a file: the workers and their association (remote_worker, association,
+// running_tasks), their health (health_check, initial_wait, worker_set), the attempts
+// that possibly run (attempt_index, run_task, unsure, ends), and what their durations
+// tell of the workers (reliability, slowdown).
 package scheduler
 
 import (
@@ -12,30 +22,15 @@
 	"coppercourse/internal/wire"
 )
 
-// Scheduler is the whole model.
-type Scheduler struct {
-	timeouts          protocol.Timeouts
-	addr              types.Addr
-	term              types.Term
-	startedAt         types.MonoTime
-	priorAuthorityEnd types.MonoTime // when an earlier leader can last have had authority
-	now               types.MonoTime
-	authorityLeft     time.Duration
-	InInitialWait     bool
-	InitialWaitReason string
-	lastSweepAt       types.MonoTime
-	workers           map[types.Shard]*RemoteWorker
-	sortedWorkers     []*RemoteWorker // the same, by shard
-	replacedInstances map[types.ID]bool
-	attempts          attemptIndex
-	workerSets        workerSetHistory
-	ends              []state.AttemptEnd
-	baselines         map[string]*baseline
-	stageDurations    map[stageKey]*stageTimes
-	lastPruneAt       types.MonoTime
-	sends             []wire.OutboundMessage
-	cluster           ClusterState
-}
+// never is a time before all others.
+const never = types.MonoTime(-1 << 62)
+
+const (
+	// sweepInterval is the least time between two looks at all workers.
+	sweepInterval = 10 * time.Millisecond
+	// pruneInterval is the least time between two looks for durations to forget.
+	pruneInterval = time.Second
+)
 
 // ClusterState is what a Scheduler asks of the replicated state and of the membership.
 // It answers as of the present step.
@@ -64,74 +59,75 @@
 	Cluster     ClusterState
 }
 
+// Scheduler is the scheduler half under one leadership.
+type Scheduler struct {
+	timeouts  protocol.Timeouts
+	addr      types.Addr
+	term      types.Term
+	cluster   ClusterState
+	startedAt types.MonoTime
+
+	now           types.MonoTime // of the present step
+	authorityLeft time.Duration  // how long the leader's own authority lasts from now
+
+	wait       initialWait
+	workers    workerTable
+	workerSets workerSetHistory
+	attempts   attemptIndex
+	baselines  baselines
+	stages     stageDurations
+
+	lastSweepAt types.MonoTime
+	messages    []wire.OutboundMessage // to send
+	ends        []state.AttemptEnd     // to commit
+}
+
 // New starts a leadership.
 func New(now types.MonoTime, config Config) *Scheduler {
 	sc := &Scheduler{
-		timeouts:          config.Timeouts,
-		addr:              config.Addr,
-		term:              config.Term,
-		startedAt:         now,
-		priorAuthorityEnd: min(now, config.PriorAuthorityEnd),
-		now:               now,
-		InInitialWait:     true,
-		workers:           map[types.Shard]*RemoteWorker{},
-		replacedInstances: map[types.ID]bool{},
-		attempts:          newAttemptIndex(),
-		workerSets:        workerSetHistory{byIndirectVersion: map[int][]*RemoteWorker{}},
-		baselines:         map[string]*baseline{},
-		stageDurations:    map[stageKey]*stageTimes{},
-		lastSweepAt:       now.Add(-sweepInterval),
-		cluster:           config.Cluster,
+		timeouts:    config.Timeouts,
+		addr:        config.Addr,
+		term:        config.Term,
+		cluster:     config.Cluster,
+		startedAt:   now,
+		now:         now,
+		wait:        initialWait{active: true, countsFrom: min(now, config.PriorAuthorityEnd)},
+		workers:     newWorkerTable(),
+		workerSets:  newWorkerSetHistory(),
+		attempts:    newAttemptIndex(),
+		baselines:   baselines{},
+		stages:      stageDurations{byStage: map[stageKey]*stageSamples{}},
+		lastSweepAt: now.Add(-sweepInterval),
 	}
-	for _, o := range config.Outstanding {
-		o.Phase, o.OrderedAt = unconfirmed, now
-		sc.attempts.add(&o)
+	for _, attempt := range config.Outstanding {
+		attempt.Phase, attempt.OrderedAt = unconfirmed, now
+		sc.attempts.add(&attempt)
 	}
 	return sc
 }
 
-func (sc *Scheduler) send(s *RemoteWorker, kind wire.Kind, body any) {
-	sc.sends = append(sc.sends, wire.NewMessage(sc.addr, s.Addr, kind, body))
-}
-
-func (sc *Scheduler) header(s *RemoteWorker) protocol.Header {
-	return protocol.Header{Term: sc.term, To: s.Instance}
-}
-
-// TakeOutput drains the step: what to send, and the ends to commit.
-func (sc *Scheduler) TakeOutput() (sends []wire.OutboundMessage, ends []state.AttemptEnd) {
-	sends, ends = sc.sends, sc.ends
-	sc.sends, sc.ends = nil, nil
-	return
-}
-
-// sweepInterval is how much time passes before all seats are looked at again.
-const sweepInterval = 10 * time.Millisecond
-
-// Tick lets time pass. Grace is how long the leader's own authority lasts.
-func (sc *Scheduler) Tick(now types.MonoTime, grace time.Duration) {
-	sc.now, sc.authorityLeft = now, grace
+// Tick advances time. authorityLeft is how long the leader's own authority lasts: no
+// lease that the scheduler grants outlasts it.
+func (sc *Scheduler) Tick(now types.MonoTime, authorityLeft time.Duration) {
+	sc.now, sc.authorityLeft = now, authorityLeft
 	if now.Sub(sc.lastSweepAt) < sweepInterval {
 		return
 	}
 	sc.lastSweepAt = now
-	for _, s := range sc.sortedWorkers {
-		sc.updateHealth(s)
-		if s.State == protocol.WorkerNew {
-			sc.askRunningTasks(s)
+	for _, worker := range sc.workers.sorted {
+		sc.updateHealth(worker)
+		if worker.State == protocol.WorkerNew {
+			sc.askRunningTasks(worker)
 		}
 	}
 	sc.resolveUnsure()
-	if now.Sub(sc.lastPruneAt) > time.Second {
-		sc.lastPruneAt = now
-		sc.pruneStages()
-	}
-	if sc.InInitialWait {
+	sc.stages.prune(now)
+	if sc.wait.active {
 		sc.endInitialWait()
 	}
 }
 
-var schedulerHandlers = map[wire.Kind]func(*Scheduler, wire.Message){
+var messageHandlers = map[wire.Kind]func(*Scheduler, wire.Message){
 	wire.Heartbeat:         wire.HandlerFor((*Scheduler).onHeartbeat),
 	wire.RunningTasksReply: wire.HandlerFor((*Scheduler).onRunningTasksReply),
 	wire.RunTaskReply:      wire.HandlerFor((*Scheduler).onRunTaskReply),
@@ -139,10 +135,33 @@
 	wire.StatusReport:      wire.HandlerFor((*Scheduler).onUpdateStatus),
 }
 
-// HandleMessage handles an agent's note.
-func (sc *Scheduler) HandleMessage(now types.MonoTime, grace time.Duration, n wire.Message) {
-	sc.now, sc.authorityLeft = now, grace
-	if f := schedulerHandlers[n.Kind]; f != nil {
-		f(sc, n)
+// HandleMessage takes an agent's message. One of a kind that is not for a scheduler is
+// dropped. For authorityLeft see Tick.
+func (sc *Scheduler) HandleMessage(now types.MonoTime, authorityLeft time.Duration, message wire.Message) {
+	sc.now, sc.authorityLeft = now, authorityLeft
+	if handle := messageHandlers[message.Kind]; handle != nil {
+		handle(sc, message)
 	}
 }
+
+// TakeOutput returns the messages to send and the ends to commit since it was last
+// called. An end may be among them repeatedly until OnEndsCommitted.
+func (sc *Scheduler) TakeOutput() (messages []wire.OutboundMessage, ends []state.AttemptEnd) {
+	messages, ends = sc.messages, sc.ends
+	sc.messages, sc.ends = nil, nil
+	return messages, ends
+}
+
+func (sc *Scheduler) send(to *RemoteWorker, kind wire.Kind, body any) {
+	sc.messages = append(sc.messages, wire.NewMessage(sc.addr, to.Addr, kind, body))
+}
+
+func (sc *Scheduler) header(to *RemoteWorker) protocol.Header {
+	return protocol.Header{Term: sc.term, To: to.Instance}
+}
+
+// newLeaseEnd returns the end of a lease that is granted to a worker's agent now. It
+// counts from the agent's latest heartbeat, on the agent's own clock.
+func (sc *Scheduler) newLeaseEnd(worker *RemoteWorker) types.MonoTime {
+	return worker.lastHeartbeatSentAt.Add(min(sc.timeouts.AgentLease, sc.authorityLeft))
+}
--- a/internal/dispatch/scheduler/slowdown.go
+++ b/internal/dispatch/scheduler/slowdown.go
@@ -1,9 +1,3 @@
-// How fast workers that are called get on. An agent is told how far each attempt is,
-// and tells the leader how long it will take in all, when that is known and when it
-// changes. The leader sets it beside the other tasks of the same step elsewhere:
-// estimates are wrong by half and more, but alike for all of a step. So a slow
-// worker shows within a second, and attempts that are far behind their like. With
-// nothing to tell by, a worker is slowly trusted again.
 package scheduler
 
 import (
@@ -14,118 +8,179 @@
 	"coppercourse/internal/types"
 )
 
+// This file judges how fast called workers are while their attempts still run. Agents
+// report estimates of how long attempts take in all, made from their progress. Such an
+// estimate is wrong by half and more, but alike for all attempts of a stage; so it is
+// compared with those of the same stage on other workers. A slow worker shows within a
+// second, and so do attempts that are far behind the others. While there is nothing to
+// tell by, a worker is slowly trusted again.
+
 const (
-	maxSlowdown      = 10               // bound of one attempt's part in a worker's slowdown, and its inverse
-	slowdownHalfLife = 2 * time.Second  // half of a bad name is forgotten in so long
-	slowThreshold    = 1.4              // a worker that is slower than this is known as slow
-	stragglerRatio   = 2.2              // an attempt so far behind its like is late
-	minPeers         = 2                // others of its step that it is set beside, at least
-	stageRetention   = 30 * time.Second // how long a step's times are remembered
+	// maxSlowdown bounds what one estimate adds to a worker's slowdown, and 1/maxSlowdown
+	// what it takes off.
+	maxSlowdown = 10
+	// slowdownWeight is the weight of the latest estimate in a worker's slowdown.
+	slowdownWeight = 0.2
+	// slowdownHalfLife is the time in which half of a worker's slowdown is forgotten.
+	slowdownHalfLife = 2 * time.Second
+	// slowThreshold is the slowdown from which a worker counts as slow.
+	slowThreshold = 1.4
+	// stragglerRatio is how many times as long as elsewhere an attempt takes that counts
+	// as a straggler.
+	stragglerRatio = 2.2
+	// minSamplesElsewhere is how many attempts of the stage on other workers an estimate
+	// needs to be compared with.
+	minSamplesElsewhere = 2
+	// stageRetention is how long the durations of a stage are kept after the last one.
+	stageRetention = 30 * time.Second
 )
 
-// stageKey is one step of one job at one time.
+// stageKey is one stage of one job.
 type stageKey struct {
 	job   types.JobID
 	stage types.Stage
 }
 
-// stageTimes are what the attempts of a stage take, and where.
-type stageTimes struct {
-	samples   []durationSample
+// stageSamples are the durations of a stage's attempts.
+type stageSamples struct {
+	list      []durationSample
 	updatedAt types.MonoTime
-	median    time.Duration // of all samples, or 0 where it is to be worked out anew
+	median    time.Duration // of all samples, or 0 to be computed anew
 }
 
+// durationSample is how long an attempt took, or takes by the latest estimate.
 type durationSample struct {
 	attempt  types.AttemptID
 	shard    types.Shard
 	duration time.Duration
 }
 
-// medianElsewhere is the median of what the stage takes on other workers.
-func (s *stageTimes) medianElsewhere(shard types.Shard) (time.Duration, bool) {
-	list := s.sortedDurations(func(x durationSample) bool { return x.shard != shard })
-	if len(list) < minPeers {
+// put takes the duration of an attempt, in place of an earlier one.
+func (s *stageSamples) put(sample durationSample) {
+	i := slices.IndexFunc(s.list, func(other durationSample) bool { return other.attempt == sample.attempt })
+	if i < 0 {
+		s.list = append(s.list, sample)
+	} else {
+		s.list[i].duration = sample.duration
+	}
+	s.median = 0
+}
+
+// medianElsewhere returns the median of the stage's durations on other shards, or false
+// if there are too few.
+func (s *stageSamples) medianElsewhere(shard types.Shard) (time.Duration, bool) {
+	durations := s.sortedDurations(func(sample durationSample) bool { return sample.shard != shard })
+	if len(durations) < minSamplesElsewhere {
 		return 0, false
 	}
-	return list[len(list)/2], true
+	return durations[len(durations)/2], true
 }
 
-func (s *stageTimes) sortedDurations(only func(durationSample) bool) (list []time.Duration) {
-	for _, x := range s.samples {
-		if only(x) {
-			list = append(list, x.duration)
+func (s *stageSamples) sortedDurations(include func(durationSample) bool) []time.Duration {
+	var durations []time.Duration
+	for _, sample := range s.list {
+		if include(sample) {
+			durations = append(durations, sample.duration)
 		}
 	}
-	slices.Sort(list)
-	return
+	slices.Sort(durations)
+	return durations
 }
 
-// recordDuration takes what an attempt takes, or has taken, and what that tells of its
-// worker and of itself.
-func (sc *Scheduler) recordDuration(o *OutstandingAttempt, d time.Duration, over bool) {
-	if o.Stage < 0 || d <= 0 {
+// stageDurations holds the durations of the stages that attempts were reported of lately.
+type stageDurations struct {
+	byStage  map[stageKey]*stageSamples
+	prunedAt types.MonoTime
+}
+
+// record takes the duration of an attempt and returns its stage's samples.
+func (sd *stageDurations) record(
+	now types.MonoTime, attempt *OutstandingAttempt, duration time.Duration,
+) *stageSamples {
+	key := stageKey{attempt.Attempt.Job, attempt.Stage}
+	samples := sd.byStage[key]
+	if samples == nil {
+		samples = &stageSamples{}
+		sd.byStage[key] = samples
+	}
+	samples.updatedAt = now
+	samples.put(durationSample{attempt.Attempt, attempt.Shard, duration})
+	return samples
+}
+
+// prune forgets, once a while, the stages of which nothing was reported for long.
+func (sd *stageDurations) prune(now types.MonoTime) {
+	if now.Sub(sd.prunedAt) <= pruneInterval {
 		return
 	}
-	k := stageKey{o.Attempt.Job, o.Stage}
-	t := sc.stageDurations[k]
-	if t == nil {
-		t = &stageTimes{}
-		sc.stageDurations[k] = t
+	sd.prunedAt = now
+	for key, samples := range sd.byStage {
+		if now.Sub(samples.updatedAt) > stageRetention {
+			delete(sd.byStage, key)
+		}
 	}
-	t.updatedAt = sc.now
-	i := slices.IndexFunc(t.samples, func(x durationSample) bool { return x.attempt == o.Attempt })
-	if i < 0 {
-		t.samples, i = append(t.samples, durationSample{attempt: o.Attempt, shard: o.Shard}), len(t.samples)
+}
+
+// recordDuration takes how long an attempt takes by an estimate, or has taken if it has
+// ended, and what that tells of its worker and of itself.
+func (sc *Scheduler) recordDuration(attempt *OutstandingAttempt, duration time.Duration, hasEnded bool) {
+	if attempt.Stage == StageUnknown || duration <= 0 {
+		return
 	}
-	t.samples[i].duration, t.median = d, 0
-	usual, ok := t.medianElsewhere(o.Shard)
-	s := sc.workers[o.Shard]
-	if !ok || s == nil {
+	samples := sc.stages.record(sc.now, attempt, duration)
+	elsewhere, ok := samples.medianElsewhere(attempt.Shard)
+	worker := sc.Worker(attempt.Shard)
+	if !ok || worker == nil {
 		return
 	}
-	s.decaySlowdown(sc.now)
-	s.slowdownLog += 0.2 * (math.Log(min(maxSlowdown, max(1.0/maxSlowdown, float64(d)/float64(usual)))) - s.slowdownLog)
-	o.StragglerEnd = 0
-	if end := o.OrderedAt.Add(d); !over && float64(d) > stragglerRatio*float64(usual) {
-		o.StragglerEnd = end
+	worker.slowdown.add(sc.now, float64(duration)/float64(elsewhere))
+	isStraggler := !hasEnded && float64(duration) > stragglerRatio*float64(elsewhere)
+	if isStraggler {
+		attempt.StragglerEnd = attempt.OrderedAt.Add(duration)
+	} else {
+		attempt.StragglerEnd = 0
 	}
 }
 
-// StageDuration is what the tasks of a step take, as far as is known: the median of those
-// that have ended or told how far they are.
+// StageDuration returns how long the tasks of a job's step take, as far as is known: the
+// median of those that have ended or have been estimated. It returns false if there is
+// none.
 func (sc *Scheduler) StageDuration(job types.JobID, step int) (time.Duration, bool) {
-	t := sc.stageDurations[stageKey{job, types.StageOf(types.TaskNumber(0, step, 0))}]
-	if t == nil {
+	samples := sc.stages.byStage[stageKey{job, types.StageOf(types.TaskNumber(0, step, 0))}]
+	if samples == nil {
 		return 0, false
 	}
-	if t.median == 0 {
-		list := t.sortedDurations(func(durationSample) bool { return true })
-		t.median = list[len(list)/2]
+	if samples.median == 0 {
+		durations := samples.sortedDurations(func(durationSample) bool { return true })
+		samples.median = durations[len(durations)/2]
 	}
-	return t.median, true
+	return samples.median, true
 }
 
-// decaySlowdown forgets a bad name with time.
-func (r *RemoteWorker) decaySlowdown(now types.MonoTime) {
-	r.slowdownLog *= math.Exp2(-now.Sub(r.slowdownAt).Seconds() / slowdownHalfLife.Seconds())
-	r.slowdownAt = now
+// slowdown is how many times as long as elsewhere a worker's attempts take at present:
+// a moving average, kept as its logarithm, that fades with time.
+type slowdown struct {
+	log       float64
+	updatedAt types.MonoTime
 }
 
-// Slowdown is how many times the usual a worker's attempts take now; 0 is as usual.
-func (sc *Scheduler) Slowdown(s *RemoteWorker) float64 {
-	s.decaySlowdown(sc.now)
-	if x := math.Exp(s.slowdownLog); x > slowThreshold {
-		return x
-	}
-	return 0
+func (s *slowdown) add(now types.MonoTime, ratio float64) {
+	s.fade(now)
+	ratio = min(maxSlowdown, max(1.0/maxSlowdown, ratio))
+	s.log += slowdownWeight * (math.Log(ratio) - s.log)
 }
 
-// pruneStages forgets stages of which nothing was heard for long.
-func (sc *Scheduler) pruneStages() {
-	for k, t := range sc.stageDurations {
-		if sc.now.Sub(t.updatedAt) > stageRetention {
-			delete(sc.stageDurations, k)
-		}
+func (s *slowdown) fade(now types.MonoTime) {
+	s.log *= math.Exp2(-now.Sub(s.updatedAt).Seconds() / slowdownHalfLife.Seconds())
+	s.updatedAt = now
+}
+
+// Slowdown returns how many times as long as elsewhere a worker's attempts take at
+// present, or 0 if the worker does not count as slow.
+func (sc *Scheduler) Slowdown(worker *RemoteWorker) float64 {
+	worker.slowdown.fade(sc.now)
+	if factor := math.Exp(worker.slowdown.log); factor > slowThreshold {
+		return factor
 	}
+	return 0
 }
--- a/internal/dispatch/scheduler/unsure.go
+++ b/internal/dispatch/scheduler/unsure.go
@@ -6,41 +6,63 @@
 	"coppercourse/internal/wire"
 )
 
-// resolveUnsure repeats orders' doubts and stops.
+// maxOpenQueries bounds the queries to a worker whose replies are still awaited; beyond
+// it all are given up, and what they asked about is asked again.
+const maxOpenQueries = 16
+
+// unsureQueries are the notifyIfTasksNotRunning queries to a worker.
+type unsureQueries struct {
+	sequence types.Seq // of the latest query; each RunTask carries it
+	sentAt   types.MonoTime
+	open     map[types.Seq][]types.AttemptID // what was asked about, until the reply
+}
+
+// add notes a query about attempts that is sent now, and returns its sequence number.
+func (u *unsureQueries) add(now types.MonoTime, attempts []types.AttemptID) types.Seq {
+	u.sentAt = now
+	u.sequence++
+	if len(u.open) > maxOpenQueries {
+		clear(u.open)
+	}
+	u.open[u.sequence] = attempts
+	return u.sequence
+}
+
+// resolveUnsure makes attempts unsure whose RunTask got no reply, and asks about unsure
+// attempts until none is left (the paper's "Tracking the 'unsure if running' state").
 func (sc *Scheduler) resolveUnsure() {
-	for _, o := range sc.attempts.takeOverdue(sc.now.Add(-sc.timeouts.RetryInterval)) {
-		sc.attempts.setPhase(o, unsureIfRunning)
+	for _, attempt := range sc.attempts.takeOverdue(sc.now.Add(-sc.timeouts.RetryInterval)) {
+		sc.attempts.setPhase(attempt, unsureIfRunning)
 	}
-	for _, k := range sortedShards(sc.attempts.unsureShards) {
-		s := sc.workers[k]
-		if s == nil || s.State == protocol.WorkerMustDie || s.State == protocol.WorkerNew || sc.now.Sub(s.queriedAt) < sc.timeouts.RetryInterval {
+	for _, shard := range sortedShards(sc.attempts.unsureShards) {
+		worker := sc.Worker(shard)
+		if worker == nil || !worker.isAssociated() {
 			continue
 		}
-		var attempts []types.AttemptID
-		for _, o := range sc.attempts.onShard(k) {
-			if o.Phase == unsureIfRunning {
-				attempts = append(attempts, o.Attempt)
-			}
-		}
-		s.queriedAt = sc.now
-		s.querySequence++
-		if len(s.openQueries) > 16 {
-			clear(s.openQueries)
+		if sc.now.Sub(worker.queries.sentAt) < sc.timeouts.RetryInterval {
+			continue
 		}
-		s.openQueries[s.querySequence] = attempts
-		sc.send(s, wire.NotRunningQuery, protocol.NotifyIfTasksNotRunning{Header: sc.header(s), Sequence: s.querySequence, Attempts: attempts})
+		attempts := sc.attempts.unsureOn(shard)
+		sequence := worker.queries.add(sc.now, attempts)
+		sc.send(worker, wire.NotRunningQuery, protocol.NotifyIfTasksNotRunning{
+			Header:   sc.header(worker),
+			Sequence: sequence,
+			Attempts: attempts,
+		})
 	}
 }
 
-func (sc *Scheduler) onNotifyReply(_ types.Addr, q protocol.NotifyIfTasksNotRunningReply) {
-	s := sc.senderOf(q.Term, q.Shard, q.Instance)
-	if s == nil {
+// onNotifyReply takes the reply to a query: what was asked about runs, unless an
+// UpdateStatus says otherwise.
+func (sc *Scheduler) onNotifyReply(_ types.Addr, reply protocol.NotifyIfTasksNotRunningReply) {
+	worker := sc.senderOf(reply.Term, reply.Shard, reply.Instance)
+	if worker == nil {
 		return
 	}
-	for _, l := range s.openQueries[q.Sequence] {
-		if o := sc.attempts.byID[l]; o != nil && o.Phase == unsureIfRunning {
-			sc.attempts.setPhase(o, confirmedRunning)
+	for _, id := range worker.queries.open[reply.Sequence] {
+		if attempt := sc.attempts.byID[id]; attempt != nil && attempt.Phase == unsureIfRunning {
+			sc.attempts.setPhase(attempt, confirmedRunning)
 		}
 	}
-	delete(s.openQueries, q.Sequence)
+	delete(worker.queries.open, reply.Sequence)
 }
--- a/internal/dispatch/scheduler/worker_set.go
+++ b/internal/dispatch/scheduler/worker_set.go
@@ -1,9 +1,3 @@
-// The worker set and its consensus, after the paper: each leader numbers the
-// sets it has known, each agent carries the one it heard of last, and a new agent
-// gets no work before every set that could end a later leader's wait has it in,
-// directly or through the agents in that set (indirectWorkerSetID_). The sets are
-// kept as a history of differences: an agent is in those from the one that it came
-// with up to the one that it was lost with; the digest is kept as they change.
 package scheduler
 
 import (
@@ -14,118 +8,177 @@
 	"coppercourse/internal/types"
 )
 
-// instanceHash stands for an agent instance; that of a set is the sum of its members'.
-func instanceHash(id types.ID) uint64 {
-	f := fnv.New64a()
-	f.Write([]byte(id))
-	return f.Sum64()
+// setMembership is a worker's part in the worker sets, each of which is named by its
+// version under this leadership; 0 is none.
+type setMembership struct {
+	// initial is the set that the agent carried when it connected.
+	initial protocol.WorkerSetID
+	// reported is the version of the latest set that the agent has reported back (the
+	// paper's workerSetID_). The worker requires all members of that set.
+	reported int
+	// indirect is the version of the latest set that the worker requires, directly or
+	// through the workers that it requires (the paper's indirectWorkerSetID_).
+	indirect int
+	// The worker is in the sets from joined up to, but without, left. left is 0 for one
+	// in the latest set.
+	joined, left int
 }
 
-// workerSetHistory is the history. Groups are the seats by their indirect sets.
+// holds reports whether the worker is in a set.
+func (s *setMembership) holds(version int) bool {
+	return s.joined <= version && (s.left == 0 || version < s.left)
+}
+
+// workerSetHistory keeps the worker sets of a leadership and decides by the paper's
+// consensus which workers may be given tasks. Each leader numbers its sets, each agent
+// carries the one that it heard of last, and a new agent gets no tasks before every set
+// that could end a later leader's initial wait requires it, directly or through the
+// workers of that set.
+//
+// The sets are kept as a history of differences: each worker knows from which set to
+// which it is a member, and only the latest set's hash and size are kept.
 type workerSetHistory struct {
-	version           int
-	hash              uint64
-	size              int
-	byIndirectVersion map[int][]*RemoteWorker
-	joined            []*RemoteWorker // in order of joining; some have left
+	version int
+	hash    uint64 // sum of the members' instanceHash
+	size    int
+	// byIndirect groups the workers that are their shards' by setMembership.indirect.
+	byIndirect map[int][]*RemoteWorker
+	joined     []*RemoteWorker // in order of joining; some have left
 }
 
-// inSet tells whether a seat's agent is in a set.
-func (r *RemoteWorker) inSet(set int) bool {
-	return r.joinedVersion <= set && (r.leftVersion == 0 || set < r.leftVersion)
+func newWorkerSetHistory() workerSetHistory {
+	return workerSetHistory{byIndirect: map[int][]*RemoteWorker{}}
 }
 
-// add makes the next set, with an agent in it and the one that it replaces out.
-func (wo *workerSetHistory) add(s, old *RemoteWorker) {
-	wo.version++
-	if old != nil {
-		wo.leave(old)
-		wo.ungroup(old)
+func instanceHash(instance types.ID) uint64 {
+	hash := fnv.New64a()
+	hash.Write([]byte(instance)) // never fails
+	return hash.Sum64()
+}
+
+// latest identifies the latest set of the leader of a term.
+func (ws *workerSetHistory) latest(term types.Term) protocol.WorkerSetID {
+	return protocol.WorkerSetID{Term: term, Version: ws.version, Hash: ws.hash, Size: ws.size}
+}
+
+// add makes the next set, with a worker in it and the one that it replaces, if any, out.
+func (ws *workerSetHistory) add(worker, replaced *RemoteWorker) {
+	ws.version++
+	if replaced != nil {
+		ws.leave(replaced)
+		ws.ungroup(replaced)
 	}
-	s.joinedVersion = wo.version
-	wo.hash += instanceHash(s.Instance)
-	wo.size++
-	wo.byIndirectVersion[0] = append(wo.byIndirectVersion[0], s)
-	wo.joined = append(wo.joined, s)
+	worker.sets.joined = ws.version
+	ws.hash += instanceHash(worker.Instance)
+	ws.size++
+	ws.group(worker)
+	ws.joined = append(ws.joined, worker)
 }
 
-// removeLost makes the next set, with a lost agent out of it.
-func (wo *workerSetHistory) removeLost(s *RemoteWorker) {
-	wo.version++
-	wo.leave(s)
+// removeLost makes the next set, with a lost worker out of it.
+func (ws *workerSetHistory) removeLost(worker *RemoteWorker) {
+	ws.version++
+	ws.leave(worker)
 }
 
-func (wo *workerSetHistory) leave(s *RemoteWorker) {
-	if s.leftVersion != 0 {
+// leave takes a worker out of the latest set, unless it has left before.
+func (ws *workerSetHistory) leave(worker *RemoteWorker) {
+	if worker.sets.left != 0 {
 		return
 	}
-	s.leftVersion = wo.version
-	wo.hash -= instanceHash(s.Instance)
-	wo.size--
-	if len(wo.joined) > 2*wo.size+64 {
-		wo.joined = slices.DeleteFunc(wo.joined, func(s *RemoteWorker) bool { return s.leftVersion != 0 })
+	worker.sets.left = ws.version
+	ws.hash -= instanceHash(worker.Instance)
+	ws.size--
+	if len(ws.joined) > 2*ws.size+64 {
+		ws.joined = slices.DeleteFunc(ws.joined, hasLeft)
 	}
 }
 
-func (wo *workerSetHistory) ungroup(s *RemoteWorker) {
-	list := slices.DeleteFunc(wo.byIndirectVersion[s.indirectSetVersion], func(o *RemoteWorker) bool { return o == s })
-	if wo.byIndirectVersion[s.indirectSetVersion] = list; len(list) == 0 {
-		delete(wo.byIndirectVersion, s.indirectSetVersion)
+func hasLeft(worker *RemoteWorker) bool { return worker.sets.left != 0 }
+
+func (ws *workerSetHistory) group(worker *RemoteWorker) {
+	version := worker.sets.indirect
+	ws.byIndirect[version] = append(ws.byIndirect[version], worker)
+}
+
+func (ws *workerSetHistory) ungroup(worker *RemoteWorker) {
+	version := worker.sets.indirect
+	isWorker := func(other *RemoteWorker) bool { return other == worker }
+	rest := slices.DeleteFunc(ws.byIndirect[version], isWorker)
+	if len(rest) == 0 {
+		delete(ws.byIndirect, version)
+	} else {
+		ws.byIndirect[version] = rest
 	}
 }
 
-// propagate brings indirect sets up after an agent told of a newer set: its own to that
-// one or the highest of the agents in it, then that of any agent whose set has it
-// in, or one brought up so, to the same.
-func (wo *workerSetHistory) propagate(s *RemoteWorker) {
-	if s.setVersion <= s.indirectSetVersion {
+// onReported notes that a worker's agent carries a set, and raises the indirect sets that
+// this changes. Versions that are not newer, or not of this history, change nothing.
+func (ws *workerSetHistory) onReported(worker *RemoteWorker, version int) {
+	if version <= worker.sets.reported || version > ws.version {
 		return
 	}
-	wo.ungroup(s)
-	s.indirectSetVersion = s.setVersion
-	for more := true; more; {
-		more = false
-		for set, list := range wo.byIndirectVersion {
-			if set > s.indirectSetVersion && slices.ContainsFunc(list, func(o *RemoteWorker) bool { return o.inSet(s.indirectSetVersion) }) {
-				s.indirectSetVersion, more = set, true
+	worker.sets.reported = version
+	if version <= worker.sets.indirect {
+		return
+	}
+	ws.ungroup(worker)
+	worker.sets.indirect = ws.highestRequired(version)
+	ws.group(worker)
+	ws.raiseDependents(worker)
+}
+
+// highestRequired returns the highest version that a worker requires, directly or
+// indirectly, which requires the members of a set.
+func (ws *workerSetHistory) highestRequired(version int) int {
+	inSet := func(worker *RemoteWorker) bool { return worker.sets.holds(version) }
+	for raised := true; raised; {
+		raised = false
+		for indirect, workers := range ws.byIndirect {
+			if indirect > version && slices.ContainsFunc(workers, inSet) {
+				version, raised = indirect, true
 			}
 		}
 	}
-	wo.byIndirectVersion[s.indirectSetVersion] = append(wo.byIndirectVersion[s.indirectSetVersion], s)
-	for up := []*RemoteWorker{s}; len(up) > 0; up = up[1:] {
-		for set, list := range wo.byIndirectVersion {
-			if set == 0 || set >= s.indirectSetVersion || !up[0].inSet(set) {
+	return version
+}
+
+// raiseDependents raises the indirect sets of all workers that require a worker, and of
+// those that require them, to the worker's own. It is enough to pick the highest version
+// (the paper's "Why is it okay to always pick the highest version when propagating?").
+func (ws *workerSetHistory) raiseDependents(worker *RemoteWorker) {
+	highest := worker.sets.indirect
+	for raised := []*RemoteWorker{worker}; len(raised) > 0; raised = raised[1:] {
+		for version, workers := range ws.byIndirect {
+			if version == 0 || version >= highest || !raised[0].sets.holds(version) {
 				continue
 			}
-			delete(wo.byIndirectVersion, set)
-			for _, o := range list {
-				o.indirectSetVersion = s.indirectSetVersion
+			delete(ws.byIndirect, version)
+			for _, dependent := range workers {
+				dependent.sets.indirect = highest
 			}
-			wo.byIndirectVersion[s.indirectSetVersion] = append(wo.byIndirectVersion[s.indirectSetVersion], list...)
-			up = append(up, list...)
+			ws.byIndirect[highest] = append(ws.byIndirect[highest], workers...)
+			raised = append(raised, workers...)
 		}
 	}
 }
 
-// permitsHealthy is consensusPermitsWorkerToBecomeHealthy: the agent requires every
-// other that is not lost, and each of those requires it, if indirectly.
-func (wo *workerSetHistory) permitsHealthy(w *RemoteWorker) bool {
-	if w.setVersion == 0 {
+// permitsHealthy is the paper's consensusPermitsWorkerToBecomeHealthy: the worker
+// requires every other that is not lost, and each of those requires it, if indirectly.
+func (ws *workerSetHistory) permitsHealthy(worker *RemoteWorker) bool {
+	if worker.sets.reported == 0 {
 		return false
 	}
-	for i := len(wo.joined) - 1; i >= 0 && wo.joined[i].joinedVersion > w.setVersion; i-- {
-		if u := wo.joined[i]; u != w && u.leftVersion == 0 {
+	isAnotherMember := func(other *RemoteWorker) bool { return other != worker && !hasLeft(other) }
+	for i := len(ws.joined) - 1; i >= 0 && ws.joined[i].sets.joined > worker.sets.reported; i-- {
+		if isAnotherMember(ws.joined[i]) {
 			return false
 		}
 	}
-	for set, list := range wo.byIndirectVersion {
-		if set < w.joinedVersion && slices.ContainsFunc(list, func(u *RemoteWorker) bool { return u != w && u.leftVersion == 0 }) {
+	for version, workers := range ws.byIndirect {
+		if version < worker.sets.joined && slices.ContainsFunc(workers, isAnotherMember) {
 			return false
 		}
 	}
 	return true
 }
-
-func (sc *Scheduler) currentWorkerSet() protocol.WorkerSetID {
-	return protocol.WorkerSetID{Term: sc.term, Version: sc.workerSets.version, Hash: sc.workerSets.hash, Size: sc.workerSets.size}
-}
--- a/internal/dispatch/scheduler/worker_set_test.go
+++ b/internal/dispatch/scheduler/worker_set_test.go
@@ -1,5 +1,3 @@
-// The history of differences and the indexes of attempts, against the slow ways:
-// sets kept whole and worked out afresh, and lists walked and sorted.
 package scheduler
 
 import (
@@ -14,107 +12,145 @@
 	"coppercourse/internal/types"
 )
 
-// referenceSets is the worker sets kept whole.
+// referenceSets is what workerSetHistory must be equal to: every set kept in full, and
+// indirect sets computed anew after each change.
 type referenceSets struct {
-	history  []map[types.ID]bool
-	indirect map[types.ID]int
+	history  []map[types.ID]bool // the sets by version
+	indirect map[types.ID]int    // by instance, as setMembership.indirect
 }
 
-func (r *referenceSets) recordSet(seats map[types.Shard]*RemoteWorker) {
-	ids := map[types.ID]bool{}
-	for _, s := range seats {
-		if s.State != protocol.WorkerMustDie {
-			ids[s.Instance] = true
+func (r *referenceSets) recordSet(workers map[types.Shard]*RemoteWorker) {
+	members := map[types.ID]bool{}
+	for _, worker := range workers {
+		if worker.State != protocol.WorkerMustDie {
+			members[worker.Instance] = true
 		}
 	}
-	r.history = append(r.history, ids)
+	r.history = append(r.history, members)
 }
 
-func (r *referenceSets) propagate(seats map[types.Shard]*RemoteWorker) {
-	by := map[types.ID]*RemoteWorker{}
-	for _, s := range seats {
-		by[s.Instance] = s
-		r.indirect[s.Instance] = max(r.indirect[s.Instance], s.setVersion)
+func (r *referenceSets) propagate(workers map[types.Shard]*RemoteWorker) {
+	byInstance := map[types.ID]*RemoteWorker{}
+	for _, worker := range workers {
+		byInstance[worker.Instance] = worker
+		r.indirect[worker.Instance] = max(r.indirect[worker.Instance], worker.sets.reported)
 	}
-	for more := true; more; {
-		more = false
-		for _, s := range seats {
-			if r.indirect[s.Instance] == 0 {
+	for raised := true; raised; {
+		raised = false
+		for _, worker := range workers {
+			if r.indirect[worker.Instance] == 0 {
 				continue
 			}
-			for id := range r.history[r.indirect[s.Instance]] {
-				if by[id] != nil && r.indirect[id] > r.indirect[s.Instance] {
-					r.indirect[s.Instance], more = r.indirect[id], true
+			for id := range r.history[r.indirect[worker.Instance]] {
+				if byInstance[id] != nil && r.indirect[id] > r.indirect[worker.Instance] {
+					r.indirect[worker.Instance], raised = r.indirect[id], true
 				}
 			}
 		}
 	}
 }
 
-func (r *referenceSets) permitsHealthy(x *RemoteWorker, seats map[types.Shard]*RemoteWorker) bool {
-	if x.setVersion == 0 {
+func (r *referenceSets) permitsHealthy(worker *RemoteWorker, workers map[types.Shard]*RemoteWorker) bool {
+	if worker.sets.reported == 0 {
 		return false
 	}
-	for _, u := range seats {
-		if u == x || u.State == protocol.WorkerMustDie {
+	for _, other := range workers {
+		if other == worker || other.State == protocol.WorkerMustDie {
 			continue
 		}
-		if !r.history[x.setVersion][u.Instance] || r.indirect[u.Instance] == 0 || !r.history[r.indirect[u.Instance]][x.Instance] {
+		indirect := r.indirect[other.Instance]
+		if !r.history[worker.sets.reported][other.Instance] || indirect == 0 || !r.history[indirect][worker.Instance] {
 			return false
 		}
 	}
 	return true
 }
 
+// setsTest drives a workerSetHistory and the reference with the same random changes.
+type setsTest struct {
+	random    *rand.Rand
+	shards    int
+	workers   map[types.Shard]*RemoteWorker
+	history   workerSetHistory
+	reference referenceSets
+}
+
+func newSetsTest(seed int64) *setsTest {
+	random := rand.New(rand.NewSource(seed))
+	return &setsTest{
+		random:    random,
+		shards:    2 + random.Intn(9),
+		workers:   map[types.Shard]*RemoteWorker{},
+		history:   newWorkerSetHistory(),
+		reference: referenceSets{history: []map[types.ID]bool{{}}, indirect: map[types.ID]int{}},
+	}
+}
+
+func (s *setsTest) randomShard() types.Shard {
+	return types.Shard(fmt.Sprint("s", s.random.Intn(s.shards)))
+}
+
+// change connects a worker, perhaps in place of another, loses one, or has one report a
+// newer set.
+func (s *setsTest) change(is *is.I, step int) {
+	is.Helper()
+	shard := s.randomShard()
+	worker := s.workers[s.randomShard()]
+	switch {
+	case s.random.Intn(8) == 0 && (s.workers[shard] == nil || s.random.Intn(2) == 0):
+		instance := types.ID(fmt.Sprint(shard, "-", step))
+		replaced := s.workers[shard]
+		s.workers[shard] = &RemoteWorker{Shard: shard, Instance: instance, State: protocol.WorkerUnhealthy}
+		s.history.add(s.workers[shard], replaced)
+		s.reference.recordSet(s.workers)
+	case worker == nil:
+	case s.random.Intn(12) == 0 && worker.State != protocol.WorkerMustDie:
+		worker.State = protocol.WorkerMustDie
+		s.history.removeLost(worker)
+		s.reference.recordSet(s.workers)
+	case worker.State != protocol.WorkerMustDie:
+		version := s.history.version - s.random.Intn(min(4, s.history.version+1))
+		if version > worker.sets.reported {
+			s.history.onReported(worker, version)
+			is.Equal(worker.sets.reported, version)
+		}
+	}
+	s.reference.propagate(s.workers)
+}
+
+// compare checks that both agree, and returns how many workers are permitted.
+func (s *setsTest) compare(is *is.I) (permitted int) {
+	is.Helper()
+	latest := s.reference.history[len(s.reference.history)-1]
+	is.Equal(s.history.version, len(s.reference.history)-1)
+	is.Equal(s.history.size, len(latest))
+	hash := uint64(0)
+	for id := range latest {
+		hash += instanceHash(id)
+	}
+	is.Equal(s.history.hash, hash)
+	for _, worker := range s.workers {
+		is.Equal(worker.sets.indirect, s.reference.indirect[worker.Instance])
+		is.True(slices.Contains(s.history.byIndirect[worker.sets.indirect], worker))
+		if worker.State == protocol.WorkerMustDie {
+			continue
+		}
+		is.Equal(s.history.permitsHealthy(worker), s.reference.permitsHealthy(worker, s.workers))
+		if s.history.permitsHealthy(worker) {
+			permitted++
+		}
+	}
+	return permitted
+}
+
 func TestWorkerSetHistoryAgainstReference(t *testing.T) {
 	is := is.New(t)
 	for seed := range int64(60) {
-		rnd := rand.New(rand.NewSource(seed))
-		fast := workerSetHistory{byIndirectVersion: map[int][]*RemoteWorker{}}
-		slow := referenceSets{history: []map[types.ID]bool{{}}, indirect: map[types.ID]int{}}
-		seats := map[types.Shard]*RemoteWorker{}
-		shards := 2 + rnd.Intn(9)
-		pick := func() *RemoteWorker { return seats[types.Shard(fmt.Sprint("s", rnd.Intn(shards)))] }
+		sets := newSetsTest(seed)
 		permitted := 0
 		for step := range 400 {
-			k := types.Shard(fmt.Sprint("s", rnd.Intn(shards)))
-			switch s := pick(); {
-			case rnd.Intn(8) == 0 && (seats[k] == nil || rnd.Intn(2) == 0): // one comes, maybe in another's place
-				x := &RemoteWorker{Shard: k, Instance: types.ID(fmt.Sprint(k, "-", step)), State: protocol.WorkerUnhealthy}
-				old := seats[k]
-				seats[k] = x
-				fast.add(x, old)
-				slow.recordSet(seats)
-			case s == nil:
-			case rnd.Intn(12) == 0 && s.State != protocol.WorkerMustDie:
-				s.State = protocol.WorkerMustDie
-				fast.removeLost(s)
-				slow.recordSet(seats)
-			case s.State != protocol.WorkerMustDie:
-				if v := fast.version - rnd.Intn(min(4, fast.version+1)); v > s.setVersion {
-					s.setVersion = v
-					fast.propagate(s)
-				}
-			}
-			slow.propagate(seats)
-			last := slow.history[len(slow.history)-1]
-			is.Equal(fast.version, len(slow.history)-1)
-			is.Equal(fast.size, len(last))
-			sum := uint64(0)
-			for id := range last {
-				sum += instanceHash(id)
-			}
-			is.Equal(fast.hash, sum)
-			for _, s := range seats {
-				is.Equal(s.indirectSetVersion, slow.indirect[s.Instance])
-				is.True(slices.Contains(fast.byIndirectVersion[s.indirectSetVersion], s))
-				if s.State != protocol.WorkerMustDie {
-					is.Equal(fast.permitsHealthy(s), slow.permitsHealthy(s, seats))
-					if fast.permitsHealthy(s) {
-						permitted++
-					}
-				}
-			}
+			sets.change(is, step)
+			permitted += sets.compare(is)
 		}
 		is.True(permitted > 0)
 	}
