--- a/cmd/coppercourse/layers_test.go
+++ b/cmd/coppercourse/layers_test.go
@@ -31,7 +31,8 @@
 	{"internal/dispatch/scheduler", "internal/dispatch/executor"},
 	{"internal/controller", "internal/gateway", "internal/agent", "internal/settings", "internal/server"},
 	{"platform"},
-	{"cmd/coppercourse", "sim"},
+	{"cmd/coppercourse", "sim/history"},
+	{"sim"},
 	{"sim/capacity"},
 	{"cmd/coppersim"},
 }
