--- /dev/null
+++ b/cmd/coppercourse/source_test.go
@@ -0,0 +1,94 @@
+package main
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+)
+
+// repositoryRoot is the repository's root as seen from this package.
+const repositoryRoot = "../.."
+
+// sourceFile is one parsed Go file of the repository.
+type sourceFile struct {
+	folder string // relative to the root, such as internal/raft
+	name   string // such as node.go
+	syntax *ast.File
+}
+
+func (f sourceFile) isTest() bool { return strings.HasSuffix(f.name, "_test.go") }
+
+// packageName is how the documents name the file's package: by its folder's last part,
+// so that the two programs are told apart.
+func (f sourceFile) packageName() string { return filepath.Base(f.folder) }
+
+var parseRepository = sync.OnceValues(func() ([]sourceFile, error) {
+	var files []sourceFile
+	err := filepath.WalkDir(repositoryRoot, func(path string, d fs.DirEntry, err error) error {
+		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") {
+			return err
+		}
+		syntax, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return err
+		}
+		folder, err := filepath.Rel(repositoryRoot, filepath.Dir(path))
+		if err != nil {
+			return err
+		}
+		files = append(files, sourceFile{folder: filepath.ToSlash(folder), name: d.Name(), syntax: syntax})
+		return nil
+	})
+	return files, err
+})
+
+// sourceFiles returns all Go files of the repository, tests included.
+func sourceFiles(t *testing.T) []sourceFile {
+	t.Helper()
+	files, err := parseRepository()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(files) == 0 {
+		t.Fatal("there are no Go files")
+	}
+	return files
+}
+
+// receiverName returns the name of a method's receiver type, or "" for a function.
+func receiverName(f *ast.FuncDecl) string {
+	if f.Recv == nil || len(f.Recv.List) == 0 {
+		return ""
+	}
+	expr := f.Recv.List[0].Type
+	for {
+		switch e := expr.(type) {
+		case *ast.StarExpr:
+			expr = e.X
+		case *ast.IndexExpr:
+			expr = e.X
+		case *ast.IndexListExpr:
+			expr = e.X
+		case *ast.Ident:
+			return e.Name
+		default:
+			return ""
+		}
+	}
+}
+
+// stringLiteral returns the value of a string literal.
+func stringLiteral(e ast.Expr) (string, bool) {
+	literal, ok := e.(*ast.BasicLit)
+	if !ok || literal.Kind != token.STRING {
+		return "", false
+	}
+	text, err := strconv.Unquote(literal.Value)
+	return text, err == nil
+}
