--- a/cmd/coppersim/capacity.go
+++ b/cmd/coppersim/capacity.go
@@ -1,9 +1,5 @@
 package main
 
-// The capacity command: simulated fleets of several sizes, idle and under traffic in
-// proportion. What each role spends is written to a folder as CSV, markdown and
-// plots.
-
 import (
 	"errors"
 	"fmt"
@@ -20,10 +16,12 @@
 	"coppercourse/sim/capacity"
 )
 
-// capacityRun is the flags of the capacity command.
+// capacityRun is the capacity command: simulated fleets of several sizes, idle and under
+// traffic in proportion. What each role spends is written to a folder as CSV, markdown and
+// plots.
 type capacityRun struct {
 	plan       sim.ScalePlan
-	idle, busy string
+	idle, busy string // numbers of daemons, by comma
 	out        string
 	budget     time.Duration
 	replot     bool
@@ -31,17 +29,25 @@
 
 func addCapacity(app *kingpin.Application, commands commandSet) {
 	r := &capacityRun{}
-	c := app.Command("capacity", "Measure what the daemons spend at several sizes of the fleet.")
-	c.Flag("idle", "Numbers of daemons to run idle, by comma.").Default("18,78,300,1000").StringVar(&r.idle)
-	c.Flag("traffic", "Numbers of daemons to run under traffic in proportion, by comma.").Default("18,78,300").StringVar(&r.busy)
-	c.Flag("window", "Simulated time over which is counted.").Default("8s").DurationVar(&r.plan.Window)
-	c.Flag("settle", "Simulated time before that, once the fleet is healthy.").Default("10s").DurationVar(&r.plan.Settle)
-	c.Flag("between-regions", "One way between two of three regions; within one it is 0.2 to 2.2 ms.").Default("0ms").DurationVar(&r.plan.Regions)
-	c.Flag("probes", "Changes of the table and urgent jobs to time in each fleet.").Default("5").IntVar(&r.plan.Probes)
-	c.Flag("seed", "Seed of the first fleet.").Default("1").Int64Var(&r.plan.Seed)
-	c.Flag("budget", "Real time for all; a fleet that does not come to its end in it is told and left out.").Default("20m").DurationVar(&r.budget)
-	c.Flag("out", "Folder for capacity.csv, capacity.md and the plots.").Default("capacity-out").StringVar(&r.out)
-	c.Flag("replot", "Measure nothing; write the report again from the folder's capacity.csv.").BoolVar(&r.replot)
+	command := app.Command("capacity", "Measure what the daemons spend at several sizes of a simulated fleet.")
+	command.Flag("idle", "Numbers of daemons of the fleets that run idle, by comma.").
+		Default("18,78,300,1000").StringVar(&r.idle)
+	command.Flag("traffic", "Numbers of daemons of the fleets that run under traffic in proportion, by comma.").
+		Default("18,78,300").StringVar(&r.busy)
+	command.Flag("window", "Simulated time of the measurement.").Default("8s").DurationVar(&r.plan.Window)
+	command.Flag("settle", "Simulated time before it, once the fleet is healthy.").
+		Default("10s").DurationVar(&r.plan.Settle)
+	command.Flag("between-regions", "One-way latency between two of three regions; inside one it is 0.2 to 2.2 ms.").
+		Default("0ms").DurationVar(&r.plan.Regions)
+	command.Flag("probes", "Number of table changes and of urgent jobs that are timed in each fleet.").
+		Default("5").IntVar(&r.plan.Probes)
+	command.Flag("seed", "Seed of the first fleet.").Default("1").Int64Var(&r.plan.Seed)
+	command.Flag("budget", "Real time for all fleets; one that does not end in time is reported and left out.").
+		Default("20m").DurationVar(&r.budget)
+	command.Flag("out", "Folder for capacity.csv, capacity.md and the plots.").
+		Default("capacity-out").StringVar(&r.out)
+	command.Flag("replot", "Measure nothing; write the report again from the folder's capacity.csv.").
+		BoolVar(&r.replot)
 	commands["capacity"] = r.run
 }
 
@@ -110,7 +116,8 @@
 				continue
 			}
 			points = append(points, capacity.Points(m)...)
-			fmt.Printf("%d daemons, traffic %v: %d tasks ran at the window's end, took %s\n", n, mode.busy, m.RunningTasks, m.RealTime.Round(time.Millisecond))
+			fmt.Printf("%d daemons, traffic %v: %d tasks ran at the window's end, took %s\n", n, mode.busy,
+				m.RunningTasks, m.RealTime.Round(time.Millisecond))
 		}
 	}
 	return
--- a/cmd/coppersim/fleet.go
+++ b/cmd/coppersim/fleet.go
@@ -1,9 +1,5 @@
 package main
 
-// The fleet command: a deployment of real processes on loopback with traffic and
-// faults, judged by the checker; and the worker command, whose processes the fleet
-// starts.
-
 import (
 	"context"
 	"encoding/json"
@@ -21,35 +17,39 @@
 
 // Timings and bounds of a fleet run.
 const (
-	startLimit = 30 * time.Second // until all daemons are ready
-	extraTime  = 4 * time.Minute  // beside the traffic: start, settling, report
-	maxPrinted = 20               // broken rules that are printed
+	startTimeout = 30 * time.Second // until all daemons are ready
+	extraTime    = 4 * time.Minute  // beside the traffic: start, settling, report
+	maxPrinted   = 20               // broken rules that are printed
 )
 
-// fleetRun is the flags of the fleet command.
+// fleetRun is the fleet command: a deployment of real processes on loopback with traffic
+// and faults, judged by the checker.
 type fleetRun struct {
 	deployment string
 	bin, dir   string
 	port       int
-	traffic    time.Duration
-	speed      float64
-	idle       time.Duration
+	traffic    time.Duration // how long it goes on
+	speed      float64       // times the deployment's usual rates
+	idle       time.Duration // before the traffic, to measure; 0 is none
 	seed       int64
 	faults     string
 }
 
 func addFleet(app *kingpin.Application, commands commandSet) {
 	r := &fleetRun{}
-	c := app.Command("fleet", "Run a deployment of real processes with its traffic and faults.")
-	c.Flag("deployment", "kingston or romania.").Default("kingston").EnumVar(&r.deployment, "kingston", "romania")
-	c.Flag("bin", "The coppercourse program.").Default("bin/coppercourse").ExistingFileVar(&r.bin)
-	c.Flag("dir", "Folder for logs, data and histories; a new one by default.").StringVar(&r.dir)
-	c.Flag("port", "Port of all daemons, each on its own loopback address.").Default("7400").IntVar(&r.port)
-	c.Flag("for", "How long the traffic goes on.").Default("30s").DurationVar(&r.traffic)
-	c.Flag("speed", "Times the deployment's usual rates.").Default("1").Float64Var(&r.speed)
-	c.Flag("idle", "Before the traffic, let the fleet be so long and tell what its daemons spend.").DurationVar(&r.idle)
-	c.Flag("seed", "Seed of the callers.").Default("1").Int64Var(&r.seed)
-	c.Flag("faults", "Faults as name@at+long, by comma.").StringVar(&r.faults)
+	command := app.Command("fleet", "Run a deployment of real processes with traffic and faults, and check it.")
+	command.Flag("deployment", "kingston or romania.").Default("kingston").
+		EnumVar(&r.deployment, "kingston", "romania")
+	command.Flag("bin", "The coppercourse program.").Default("bin/coppercourse").ExistingFileVar(&r.bin)
+	command.Flag("dir", "Folder for logs, data and histories. Default: a new one.").StringVar(&r.dir)
+	command.Flag("port", "Port of all daemons, each on its own loopback address.").Default("7400").IntVar(&r.port)
+	command.Flag("for", "Duration of the traffic.").Default("30s").DurationVar(&r.traffic)
+	command.Flag("speed", "Rate of the traffic, as a multiple of the deployment's usual one.").
+		Default("1").Float64Var(&r.speed)
+	command.Flag("idle", "Time without traffic at the start, to print what the daemons spend in it.").
+		DurationVar(&r.idle)
+	command.Flag("seed", "Seed of the callers.").Default("1").Int64Var(&r.seed)
+	command.Flag("faults", "Faults, by comma, as NAME@START+DURATION.").StringVar(&r.faults)
 	commands["fleet"] = r.run
 }
 
@@ -76,20 +76,18 @@
 		return err
 	}
 	late := f.RunDay(workload, fr.traffic, faults)
-	broken, err := f.Report(workload)
+	violations, err := f.Report(workload)
 	if err != nil {
 		return err
 	}
-	for i, b := range broken {
-		if i < maxPrinted {
-			fmt.Println(b)
-		}
+	for _, violation := range violations[:min(len(violations), maxPrinted)] {
+		fmt.Println(violation)
 	}
 	if late != nil {
 		return late
 	}
-	if len(broken) > 0 {
-		return fmt.Errorf("%d breaks of the rules", len(broken))
+	if len(violations) > 0 {
+		return fmt.Errorf("%d breaks of the rules", len(violations))
 	}
 	fmt.Println("no rule broken")
 	return nil
@@ -106,17 +104,19 @@
 			return nil, err
 		}
 	}
-	f := &sim.Fleet{Deployment: sim.Deployments[fr.deployment], Dir: fr.dir, Bin: fr.bin, Self: self, Port: fr.port}
+	f := &sim.Fleet{
+		Deployment: sim.Deployments[fr.deployment], Dir: fr.dir, Bin: fr.bin, Self: self, Port: fr.port,
+	}
 	if err := f.Start(ctx); err != nil {
 		f.Stop()
 		return nil, err
 	}
-	from := time.Now()
-	if err := f.AwaitReady(startLimit); err != nil {
+	startedAt := time.Now()
+	if err := f.AwaitReady(startTimeout); err != nil {
 		f.Stop()
 		return nil, err
 	}
-	fmt.Printf("ready after %s; logs in %s\n", time.Since(from).Round(10*time.Millisecond), filepath.Clean(fr.dir))
+	fmt.Printf("ready after %s; logs in %s\n", time.Since(startedAt).Round(10*time.Millisecond), filepath.Clean(fr.dir))
 	return f, nil
 }
 
@@ -133,20 +133,33 @@
 	return nil
 }
 
+// workerDefault is a worker of the kingston deployment.
+const workerDefault = `{"Shard":"k1","Rack":"r1","Kinds":["quote"],"Room":{"cores":4,"memory":1024}}`
+
+// workerRun is the worker command: one stand-in worker, as the fleet starts them.
+type workerRun struct {
+	agent, source, id, history, spec string
+}
+
 func addWorker(app *kingpin.Application, commands commandSet) {
-	w := app.Command("worker", "Be one stand-in worker (the fleet starts these).")
-	agent := w.Flag("agent", "IP:port of its agent.").Required().String()
-	source := w.Flag("source", "IP to call from.").String()
-	id := w.Flag("id", "Its identity.").Default("worker").String()
-	hist := w.Flag("history", "File that its history is appended to.").Default("worker.history").String()
-	made := w.Flag("make", "What it is made of, as JSON.").Default(`{"Shard":"k1","Rack":"r1","Kinds":["quote"],"Room":{"cores":4,"memory":1024}}`).String()
-	commands["worker"] = func() error {
-		var m sim.WorkerSpec
-		if err := json.Unmarshal([]byte(*made), &m); err != nil {
-			return fmt.Errorf("--make: %w", err)
-		}
-		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-		defer stop()
-		return sim.RunWorkerProcess(ctx, m, *id, *agent, *source, *hist, time.Now().UnixNano())
+	r := &workerRun{}
+	command := app.Command("worker", "Be one stand-in worker; the fleet starts these.")
+	command.Flag("agent", "IP:port of its agent.").Required().StringVar(&r.agent)
+	command.Flag("source", "Local address of its calls.").StringVar(&r.source)
+	command.Flag("id", "Its identity.").Default("worker").StringVar(&r.id)
+	command.Flag("history", "File that its history is appended to.").Default("worker.history").StringVar(&r.history)
+	command.Flag("make", "What it is, as JSON: name, rack, kinds of task, capacity.").
+		Default(workerDefault).StringVar(&r.spec)
+	commands["worker"] = r.run
+}
+
+func (wr *workerRun) run() error {
+	var spec sim.WorkerSpec
+	if err := json.Unmarshal([]byte(wr.spec), &spec); err != nil {
+		return fmt.Errorf("--make: %w", err)
 	}
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	seed := time.Now().UnixNano()
+	return sim.RunWorkerProcess(ctx, spec, wr.id, wr.agent, wr.source, wr.history, seed)
 }
--- /dev/null
+++ b/cmd/coppersim/sweep_results.go
@@ -0,0 +1,83 @@
+package main
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+
+	"coppercourse/sim"
+)
+
+// sweepResults are the results of the seeds so far. The caller of add holds mu.
+type sweepResults struct {
+	mu            sync.Mutex
+	seeds         int
+	seedsBroken   int // that broke a rule
+	attempts      int // at tasks
+	coverage      sim.Coverage
+	ratios        []float64 // of each seed: the jobs done after the faults beside those before
+	ratiosByFault map[string][]float64
+	brokenByFault map[string]int
+}
+
+func newSweepResults() sweepResults {
+	return sweepResults{
+		coverage:      sim.Coverage{},
+		ratiosByFault: map[string][]float64{},
+		brokenByFault: map[string]int{},
+	}
+}
+
+// add adds the verdict on one seed, also to those of its faults if they are told apart.
+func (sr *sweepResults) add(verdict sim.Verdict, faults []string, byFault bool) {
+	sr.seeds++
+	sr.coverage.Add(verdict.Coverage)
+	sr.attempts += verdict.Attempts
+	sr.ratios = append(sr.ratios, verdict.Ratio)
+	broken := len(verdict.Violations) > 0
+	if broken {
+		sr.seedsBroken++
+	}
+	if !byFault {
+		return
+	}
+	for _, fault := range slices.Compact(slices.Clone(faults)) {
+		sr.ratiosByFault[fault] = append(sr.ratiosByFault[fault], verdict.Ratio)
+		if broken {
+			sr.brokenByFault[fault]++
+		}
+	}
+}
+
+// print prints the summary.
+func (sr *sweepResults) print(deployment string, took time.Duration) {
+	fmt.Printf("chances the rules had:\n%v", sr.coverage)
+	fmt.Printf("%d seeds of %s, %d attempts run, %d seeds broke a rule, "+
+		"%d re-runs after an end that nobody alive had a report of; took %s\n",
+		sr.seeds, deployment, sr.attempts, sr.seedsBroken, sr.coverage.Reruns(), took.Round(time.Second))
+	fmt.Printf("jobs done for each one sent from 12 s after healing, beside before the faults: %s\n",
+		sim.MinMedianMax(sr.ratios))
+	sr.printByFault()
+}
+
+// printByFault prints the faults that are told apart, in the order of the least service
+// after them.
+func (sr *sweepResults) printByFault() {
+	type row struct {
+		fault  string
+		ratios []float64
+	}
+	var rows []row
+	for fault, ratios := range sr.ratiosByFault {
+		rows = append(rows, row{fault, slices.Sorted(slices.Values(ratios))})
+	}
+	slices.SortFunc(rows, func(a, b row) int {
+		return cmp.Or(cmp.Compare(a.ratios[0], b.ratios[0]), cmp.Compare(a.fault, b.fault))
+	})
+	for _, r := range rows {
+		fmt.Printf("  %-16s ratio %s; %d runs broke a rule\n",
+			r.fault, sim.MinMedianMax(r.ratios), sr.brokenByFault[r.fault])
+	}
+}
