--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -1,5 +1,3 @@
-// The gateway says that nothing was taken only where nothing can have been, and gives
-// a request up before whoever asked has done so.
 package gateway
 
 import (
@@ -15,14 +13,32 @@
 	"coppercourse/internal/wire"
 )
 
-// harness is a gateway and the calls that it has sent.
+// harness is a gateway between two controllers, a and b, with what it has forwarded and
+// answered.
 type harness struct {
 	gateway *Gateway
 	now     types.MonoTime
-	sent    []wire.OutboundMessage
+	sent    []wire.OutboundMessage // forwarded requests
 	answers []wire.Response
 }
 
+// newHarness returns a harness whose gateway has forwarded one request to a, the leader.
+func newHarness(timeout time.Duration) *harness {
+	h := newIdleHarness(1)
+	h.step(wire.Event{})
+	h.step(wire.Event{Request: &wire.Request{Token: 1, Verb: "job.put", Arg: "j", Timeout: timeout}})
+	return h
+}
+
+// newIdleHarness returns a harness whose gateway has heard from both controllers.
+func newIdleHarness(seed int64) *harness {
+	h := &harness{now: types.MonoTime(time.Minute)}
+	now, rnd := types.Now{Mono: h.now}, rand.New(rand.NewSource(seed))
+	h.gateway = New(now, rnd, Options{Addr: "g", Zone: "z"})
+	h.helloFromControllers()
+	return h
+}
+
 func (h *harness) step(e wire.Event) {
 	e.Now = types.Now{Mono: h.now}
 	out := h.gateway.Step(e)
@@ -34,6 +50,7 @@
 	h.answers = append(h.answers, out.Responses...)
 }
 
+// advance lets time pass, with ticks and the membership's messages.
 func (h *harness) advance(t time.Duration) {
 	for until := h.now.Add(t); h.now < until; h.now = h.now.Add(20 * time.Millisecond) {
 		h.helloFromControllers()
@@ -41,14 +58,18 @@
 	}
 }
 
-// helloFromControllers lets both controllers say hello; a leads.
+// helloFromControllers delivers a message of the membership from each controller; a leads.
 func (h *harness) helloFromControllers() {
-	for _, c := range []membership.MemberInfo{{Addr: "a", Role: "controller", Term: 1, Leads: true}, {Addr: "b", Role: "controller", Term: 1}} {
-		s := wire.NewMessage(c.Addr, "g", wire.Hello, map[string]any{"me": c})
+	for _, controller := range []membership.MemberInfo{
+		{Addr: "a", Role: membership.RoleController, Term: 1, Leads: true},
+		{Addr: "b", Role: membership.RoleController, Term: 1},
+	} {
+		s := wire.NewMessage(controller.Addr, "g", wire.Hello, map[string]any{"me": controller})
 		h.step(wire.Event{Message: &s.Message})
 	}
 }
 
+// reply delivers a controller's reply to the n-th forwarded request.
 func (h *harness) reply(from types.Addr, n int, r wire.ForwardedReply) {
 	c, _ := wire.DecodeBody[wire.ForwardedRequest](h.sent[n].Message)
 	r.ID = c.ID
@@ -56,126 +77,128 @@
 	h.step(wire.Event{Message: &s.Message})
 }
 
-func newHarness(limit time.Duration) *harness {
-	d := &harness{now: types.MonoTime(time.Minute)}
-	d.gateway = New(types.Now{Mono: d.now}, rand.New(rand.NewSource(1)), Options{Addr: "g", Zone: "z"})
-	d.helloFromControllers()
-	d.step(wire.Event{})
-	d.step(wire.Event{Request: &wire.Request{Token: 1, Verb: "job.put", Arg: "j", Timeout: limit}})
-	return d
-}
-
+// The gateway says that a request was not accepted only if no controller can have accepted
+// it.
 func TestARefusalAfterSilenceIsUnsure(t *testing.T) {
-	is := is.New(t)
 	full := wire.ForwardedReply{Error: apierror.New(apierror.QueueFull, "", "full")}
-	d := newHarness(0)
-	d.reply("a", 0, full)
-	is.Equal(d.answers[0].Error.Kind, apierror.QueueFull) // the only one that was asked
-
-	d = newHarness(0)
-	d.advance(AttemptTimeout + 40*time.Millisecond)
-	is.Equal(len(d.sent), 2) // a was silent
-	d.reply(d.sent[1].To, 1, full)
-	is.Equal(d.answers[0].Error.Kind, apierror.OutcomeUnknown)
-
-	d = newHarness(0)
-	d.advance(AttemptTimeout + 40*time.Millisecond)
-	d.reply("a", 0, full) // the other one has not answered
-	is.Equal(d.answers[0].Error.Kind, apierror.OutcomeUnknown)
-
-	d = newHarness(0)
-	d.reply("a", 0, wire.ForwardedReply{NotLeader: true, Leader: "b"})
-	is.Equal(d.sent[1].To, types.Addr("b"))
-	d.reply("b", 1, full)
-	is.Equal(d.answers[0].Error.Kind, apierror.QueueFull) // a has said that it took nothing
+	for _, c := range []struct {
+		name string
+		play func(*is.I, *harness)
+		want apierror.Kind
+	}{
+		{"only one controller was asked", func(_ *is.I, h *harness) {
+			h.reply("a", 0, full)
+		}, apierror.QueueFull},
+		{"the first one is silent, the second refuses", func(is *is.I, h *harness) {
+			h.advance(AttemptTimeout + 40*time.Millisecond)
+			is.Equal(len(h.sent), 2)
+			h.reply(h.sent[1].To, 1, full)
+		}, apierror.OutcomeUnknown},
+		{"the first one refuses late, the second has not answered", func(_ *is.I, h *harness) {
+			h.advance(AttemptTimeout + 40*time.Millisecond)
+			h.reply("a", 0, full)
+		}, apierror.OutcomeUnknown},
+		{"the first one does not lead, the second refuses", func(is *is.I, h *harness) {
+			h.reply("a", 0, wire.ForwardedReply{NotLeader: true, Leader: "b"})
+			is.Equal(h.sent[1].To, types.Addr("b"))
+			h.reply("b", 1, full)
+		}, apierror.QueueFull},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			h := newHarness(0)
+			c.play(is, h)
+			is.Equal(h.answers[0].Error.Kind, c.want)
+		})
+	}
 }
 
+// A request is given up before its client's timeout, and the error says whether a
+// controller may have accepted it.
 func TestARequestIsGivenUpInItsTime(t *testing.T) {
 	is := is.New(t)
-	d := newHarness(400 * time.Millisecond)
-	d.advance(340 * time.Millisecond)
-	is.Equal(len(d.answers), 0)
-	d.advance(40 * time.Millisecond)
-	is.Equal(d.answers[0].Error.Kind, apierror.OutcomeUnknown)
-
-	d = newHarness(400 * time.Millisecond)
-	for n := 0; len(d.answers) == 0; n = len(d.sent) - 1 { // nobody leads
-		d.reply(d.sent[n].To, n, wire.ForwardedReply{NotLeader: true})
-		d.advance(20 * time.Millisecond)
+	h := newHarness(400 * time.Millisecond)
+	h.advance(340 * time.Millisecond)
+	is.Equal(len(h.answers), 0)
+	h.advance(40 * time.Millisecond)
+	is.Equal(h.answers[0].Error.Kind, apierror.OutcomeUnknown)
+
+	h = newHarness(400 * time.Millisecond)
+	for n := 0; len(h.answers) == 0; n = len(h.sent) - 1 { // nobody leads
+		h.reply(h.sent[n].To, n, wire.ForwardedReply{NotLeader: true})
+		h.advance(20 * time.Millisecond)
 	}
-	is.Equal(d.answers[0].Error.Kind, apierror.NoLeader) // nothing can have been taken
+	is.Equal(h.answers[0].Error.Kind, apierror.NoLeader) // nothing can have been accepted
 }
 
-// answeredBodies is the bodies of the answers that callers were given.
-func (h *harness) answeredBodies() (list []string) {
+// answeredBodies returns the bodies of the responses to clients.
+func (h *harness) answeredBodies() (bodies []string) {
 	for _, a := range h.answers {
-		list = append(list, string(a.Body))
+		bodies = append(bodies, string(a.Body))
 	}
-	return
+	return bodies
 }
 
 func okReply(text string) wire.ForwardedReply {
 	return wire.ForwardedReply{StatusCode: 200, Body: []byte(text)}
 }
 
-// An answer goes to the caller whose call it names, once: the second of two
-// daemons that answer one request, and one that answers after its request was
-// given up, tell nobody anything.
+// A reply goes to the client whose request it names, once: those of the second of two
+// controllers that answer one request, and of one that answers after its request was given
+// up, are dropped.
 func TestAnAnswerBelongsToItsCallAlone(t *testing.T) {
 	is := is.New(t)
-	d := newHarness(0)
-	d.advance(AttemptTimeout + 40*time.Millisecond)
-	is.Equal(len(d.sent), 2) // a was silent, b was asked
-	d.step(wire.Event{Request: &wire.Request{Token: 2, Verb: "job.get", Arg: "k"}})
-	is.Equal(len(d.sent), 3)
-	d.reply("b", 1, okReply(`"of j"`))
-	d.reply("a", 0, okReply(`"of j"`)) // the first one asked answers too
-	is.Equal(d.answeredBodies(), []string{`"of j"`})
-	is.Equal(d.answers[0].Token, uint64(1))
-	d.reply("a", 2, okReply(`"of k"`))
-	is.Equal(d.answers[1].Token, uint64(2))
-
-	d = newHarness(400 * time.Millisecond)
-	d.advance(400 * time.Millisecond)
-	is.Equal(d.answers[0].Error.Kind, apierror.OutcomeUnknown)
-	d.step(wire.Event{Request: &wire.Request{Token: 2, Verb: "job.get", Arg: "k"}})
-	d.reply("a", 0, okReply(`"of j"`)) // too late
-	is.Equal(len(d.answers), 1)
-	d.reply("a", 1, okReply(`"of k"`))
-	is.Equal(d.answers[1].Token, uint64(2))
-	is.Equal(len(d.gateway.requests.pending), 0)
+	h := newHarness(0)
+	h.advance(AttemptTimeout + 40*time.Millisecond)
+	is.Equal(len(h.sent), 2) // a was silent, b was asked
+	h.step(wire.Event{Request: &wire.Request{Token: 2, Verb: "job.get", Arg: "k"}})
+	is.Equal(len(h.sent), 3)
+	h.reply("b", 1, okReply(`"of j"`))
+	h.reply("a", 0, okReply(`"of j"`)) // the first one asked answers too
+	is.Equal(h.answeredBodies(), []string{`"of j"`})
+	is.Equal(h.answers[0].Token, uint64(1))
+	h.reply("a", 2, okReply(`"of k"`))
+	is.Equal(h.answers[1].Token, uint64(2))
+
+	h = newHarness(400 * time.Millisecond)
+	h.advance(400 * time.Millisecond)
+	is.Equal(h.answers[0].Error.Kind, apierror.OutcomeUnknown)
+	h.step(wire.Event{Request: &wire.Request{Token: 2, Verb: "job.get", Arg: "k"}})
+	h.reply("a", 0, okReply(`"of j"`)) // too late
+	is.Equal(len(h.answers), 1)
+	h.reply("a", 1, okReply(`"of k"`))
+	is.Equal(h.answers[1].Token, uint64(2))
+	is.Equal(len(h.gateway.requests.pending), 0)
 }
 
-// The next process at an address takes no answer that is meant for the one
-// before: the numbers of their calls begin at places drawn at random.
+// The next process at an address drops replies to the one before: the ids of their requests
+// begin at random numbers.
 func TestAnAnswerToAFormerLifeIsDropped(t *testing.T) {
 	is := is.New(t)
 	seen := map[uint64]bool{}
 	for seed := range int64(200) {
-		d := &harness{now: types.MonoTime(time.Minute)}
-		d.gateway = New(types.Now{Mono: d.now}, rand.New(rand.NewSource(seed)), Options{Addr: "g", Zone: "z"})
-		d.helloFromControllers()
+		h := newIdleHarness(seed)
 		for token := range uint64(50) {
-			d.step(wire.Event{Request: &wire.Request{Token: token + 1, Verb: "job.get", Arg: "j"}})
+			h.step(wire.Event{Request: &wire.Request{Token: token + 1, Verb: "job.get", Arg: "j"}})
 		}
-		for _, s := range d.sent {
+		for _, s := range h.sent {
 			c, ok := wire.DecodeBody[wire.ForwardedRequest](s.Message)
 			is.True(ok)
 			is.True(!seen[c.ID])
 			seen[c.ID] = true
 		}
 		for id := range seen {
-			if d.gateway.requests.pending[id] != nil {
+			if h.gateway.requests.pending[id] != nil {
 				continue
 			}
 			r := okReply(`"of a former life"`)
 			r.ID = id
 			s := wire.NewMessage("a", "g", wire.ForwardReply, r)
-			d.step(wire.Event{Message: &s.Message})
+			h.step(wire.Event{Message: &s.Message})
 			if len(seen) > 1000 {
 				break
 			}
 		}
-		is.Equal(len(d.answers), 0)
+		is.Equal(len(h.answers), 0)
 	}
 }
