--- a/sim/worker/polling.go
+++ b/sim/worker/polling.go
@@ -38,7 +38,7 @@
 	lastPoll       uint64
 	leaseEnd       types.MonoTime
 	running        map[types.AttemptID]*runningTask
-	unacknowledged map[types.AttemptID]protocol.FinishedTask
+	unacknowledged map[types.AttemptID]protocol.EndedTask
 }
 
 // runningTask is an attempt that runs.
@@ -61,7 +61,7 @@
 		record:         record,
 		leaseEnd:       noLease,
 		running:        map[types.AttemptID]*runningTask{},
-		unacknowledged: map[types.AttemptID]protocol.FinishedTask{},
+		unacknowledged: map[types.AttemptID]protocol.EndedTask{},
 	}
 }
 
@@ -103,7 +103,7 @@
 
 // finish keeps the end of an attempt until the agent acknowledges it.
 func (p *Polling) finish(spec protocol.AttemptSpec, outcome state.Outcome) {
-	p.unacknowledged[spec.Attempt] = protocol.FinishedTask{
+	p.unacknowledged[spec.Attempt] = protocol.EndedTask{
 		RunningTask: protocol.RunningTask{Attempt: spec.Attempt, Resources: spec.Resources},
 		Outcome:     outcome,
 	}
