--- a/cmd/coppercourse/layers_test.go
+++ b/cmd/coppercourse/layers_test.go
@@ -23,8 +23,11 @@
 	{"internal/types", "internal/apierror"},
 	{"internal/wire", "internal/config", "internal/trace", "internal/wal", "internal/supervisor"},
 	{"internal/wal/waltest", "internal/goldentest"},
-	{"internal/raft", "internal/membership", "internal/state", "internal/placement", "internal/configwatch", "internal/workqueue"},
-	{"internal/dispatch", "internal/dispatch/protocol", "internal/maintenance"},
+	{
+		"internal/raft", "internal/membership", "internal/state", "internal/placement", "internal/configwatch",
+		"internal/workqueue",
+	},
+	{"internal/dispatch", "internal/dispatch/protocol", "internal/maintenance", "internal/daemon"},
 	{"internal/dispatch/scheduler", "internal/dispatch/executor"},
 	{"internal/controller", "internal/gateway", "internal/agent", "internal/settings", "internal/server"},
 	{"platform"},
