--- a/cmd/coppercourse/layers_test.go
+++ b/cmd/coppercourse/layers_test.go
@@ -22,7 +22,7 @@
 var layers = [][]string{
 	{"internal/types", "internal/apierror"},
 	{"internal/wire", "internal/config", "internal/trace", "internal/wal", "internal/supervisor"},
-	{"internal/wal/waltest", "internal/goldentest"},
+	{"internal/wal/waltest", "internal/goldentest", "internal/httpfault"},
 	{
 		"internal/raft", "internal/membership", "internal/state", "internal/placement", "internal/configwatch",
 		"internal/workqueue",
--- /dev/null
+++ b/internal/httpfault/httpfault.go
@@ -0,0 +1,130 @@
+// Package httpfault is an HTTP server for tests that breaks a request off at a chosen
+// moment. Tests of HTTP clients use it to show that a request that the server may have
+// read is never made a second time.
+package httpfault
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"sync/atomic"
+	"testing"
+
+	"coppercourse/internal/types"
+)
+
+// Moment is a point of an exchange at which the server breaks off.
+type Moment struct {
+	Name string
+	// ResponseStarted says that the client has a whole response header by then.
+	ResponseStarted bool
+	// breakOff does what comes before the connection is closed.
+	breakOff func(conn net.Conn, requests *bufio.Reader)
+}
+
+// Parts of a response with a body of 13 bytes.
+const (
+	partOfStatusLine = "HTTP/1.1 2"
+	partOfHeader     = "HTTP/1.1 200 OK\r\nContent-Le"
+	partOfBody       = "HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"clock"
+)
+
+// Moments are the points at which a server can break off, in the order of an exchange.
+var Moments = []Moment{
+	{"closed on arrival", false, func(net.Conn, *bufio.Reader) {}},
+	{"reset on arrival", false, func(conn net.Conn, _ *bufio.Reader) { reset(conn) }},
+	{"closed after the request's header", false, func(_ net.Conn, requests *bufio.Reader) { http.ReadRequest(requests) }},
+	{"closed after the request", false, func(_ net.Conn, requests *bufio.Reader) { readRequest(requests) }},
+	{"reset after the request", false, respondThen(reset, "")},
+	{"closed in the status line", false, respondThen(nil, partOfStatusLine)},
+	{"closed in the header", false, respondThen(nil, partOfHeader)},
+	{"closed in the body", true, respondThen(nil, partOfBody)},
+	{"reset in the body", true, respondThen(reset, partOfBody)},
+}
+
+// respondThen reads the request, writes a part of a response, and does something more.
+func respondThen(then func(net.Conn), response string) func(net.Conn, *bufio.Reader) {
+	return func(conn net.Conn, requests *bufio.Reader) {
+		readRequest(requests)
+		io.WriteString(conn, response)
+		if then != nil {
+			then(conn)
+		}
+	}
+}
+
+// reset has the connection end with a TCP reset when it is closed.
+func reset(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		tcp.SetLinger(0)
+	}
+}
+
+// readRequest reads one request with its body.
+func readRequest(requests *bufio.Reader) {
+	if request, err := http.ReadRequest(requests); err == nil {
+		io.Copy(io.Discard, request.Body)
+	}
+}
+
+// Server answers the first request on its first connection. Every other request, on that
+// connection or a later one, is broken off.
+type Server struct {
+	Addr     types.Addr
+	Broken   atomic.Int32  // requests that were broken off
+	Finished chan struct{} // has an element for each connection that was closed, up to its capacity
+}
+
+// finishedCapacity is more connections than any test makes.
+const finishedCapacity = 100
+
+// Start starts a server that gives one response and then breaks off at a moment. It ends
+// with the test.
+func Start(t *testing.T, response string, moment Moment) *Server {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &Server{Addr: types.Addr(listener.Addr().String()), Finished: make(chan struct{}, finishedCapacity)}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		s.serve(t.Context(), listener, response, moment)
+	}()
+	t.Cleanup(func() {
+		listener.Close()
+		<-done
+	})
+	return s
+}
+
+// serve takes one connection after the other until the listener is closed.
+func (s *Server) serve(ctx context.Context, listener net.Listener, response string, moment Moment) {
+	for first := true; ; first = false {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		s.serveConn(ctx, conn, first, response, moment)
+		s.Finished <- struct{}{}
+	}
+}
+
+// serveConn serves one connection, and closes it at the latest when ctx ends.
+func (s *Server) serveConn(ctx context.Context, conn net.Conn, first bool, response string, moment Moment) {
+	defer conn.Close()
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
+	defer stop()
+	requests := bufio.NewReader(conn)
+	if first {
+		readRequest(requests)
+		io.WriteString(conn, response)
+	}
+	if _, err := requests.Peek(1); err == nil {
+		s.Broken.Add(1)
+		moment.breakOff(conn, requests)
+	}
+}
