--- a/cmd/coppercourse/daemon.go
+++ b/cmd/coppercourse/daemon.go
@@ -8,7 +8,6 @@
 	"math/rand"
 	"net/http"
 	"os"
-	"sync/atomic"
 
 	"github.com/go-logr/logr"
 	"github.com/go-logr/logr/funcr"
@@ -27,15 +26,17 @@
 type daemon struct {
 	log      logr.Logger
 	settings settings.Settings
-	adapt    func(*server.Handlers) platformAdapter // nil unless it runs on the platform
+
+	// On the platform only, else nil.
+	adapt      func(*server.Handlers) platformAdapter
+	callWorker server.WorkerCaller // of an agent
 }
 
 // platformAdapter is what the adapter to the users' platform adds to a daemon. Its zero
 // value adds nothing.
 type platformAdapter struct {
-	endpoints  []server.Endpoint        // addresses that the platform calls
-	clients    *platform.GatewayHandler // of a gateway: gets each table
-	callWorker server.WorkerCaller      // of an agent: calls the worker
+	endpoints []server.Endpoint        // addresses that the platform calls
+	clients   *platform.GatewayHandler // of a gateway: gets each table
 }
 
 func newDaemon(role string, s settings.Settings) *daemon {
@@ -81,18 +82,14 @@
 		RaftTimeouts:     s.Timeouts.Raft(),
 		DispatchTimeouts: s.Timeouts.Dispatch(),
 	}, records)
-	sender := server.NewSender(context.Background(), s.Source)
-	loop := server.NewEventLoop(sender, file)
-	loop.SetMachine(machine)
-	states := stateLogger[controllerState]{log: d.log}
-	loop.Status = func() any {
-		status := machine.Status()
-		states.update(newControllerState(status))
-		return status
-	}
-	var ready atomic.Bool
-	loop.AfterStep = func() { ready.Store(machine.Ready()) }
-	handlers := &server.Handlers{Loop: loop, Sender: sender, Trace: machine.Trace, Ready: ready.Load}
+	loop := server.NewEventLoop(server.Config{
+		Machine:  machine,
+		Observer: newControllerObserver(machine, d.log),
+		Sender:   server.NewSender(s.Source),
+		Log:      file,
+		Logger:   d.log,
+	})
+	handlers := server.NewHandlers(loop, machine.Trace)
 	return d.serve(ctx, handlers, handlers.Router(), d.platformAdapter(handlers))
 }
 
@@ -106,28 +103,17 @@
 		BuildVersion: version,
 		StaleAfter:   s.Timeouts.StaleAfter(),
 	})
-	sender := server.NewSender(context.Background(), s.Source)
-	loop := server.NewEventLoop(sender, nil)
-	loop.SetMachine(machine)
-	states := stateLogger[gatewayState]{log: d.log}
-	loop.Status = func() any {
-		status := machine.Status()
-		states.update(newGatewayState(status))
-		return status
-	}
-	var ready atomic.Bool
-	handlers := &server.Handlers{Loop: loop, Sender: sender, Trace: machine.Trace, Ready: ready.Load}
-	clients := &server.GatewayHandlers{}
+	observer := newGatewayObserver(machine, d.log)
+	loop := server.NewEventLoop(server.Config{
+		Machine:  machine,
+		Observer: observer,
+		Sender:   server.NewSender(s.Source),
+		Logger:   d.log,
+	})
+	handlers := server.NewHandlers(loop, machine.Trace)
 	adapter := d.platformAdapter(handlers)
-	loop.AfterStep = func() {
-		ready.Store(machine.Ready())
-		table, _ := machine.Table()
-		clients.PublishTable(table, machine.ConfirmedUntil())
-		if adapter.clients != nil {
-			adapter.clients.Publish(table, machine.ConfirmedUntil())
-		}
-	}
-	return d.serve(ctx, handlers, clients.Routes(handlers), adapter)
+	observer.platformClients = adapter.clients
+	return d.serve(ctx, handlers, observer.clients.Routes(handlers), adapter)
 }
 
 // runAgent runs the agent of one worker.
@@ -141,21 +127,17 @@
 		BuildVersion: version,
 		Timeouts:     s.Dispatch(),
 	})
-	sender := server.NewSender(context.Background(), s.Source)
-	loop := server.NewEventLoop(sender, nil)
-	loop.SetMachine(machine)
-	states := stateLogger[agentState]{log: d.log}
-	loop.Status = func() any {
-		status := machine.Status()
-		states.update(newAgentState(status))
-		return status
-	}
-	handlers := &server.Handlers{Loop: loop, Sender: sender, Trace: machine.Trace, Ready: func() bool { return true }}
-	adapter := d.platformAdapter(handlers)
-	loop.CallWorker = adapter.callWorker
+	loop := server.NewEventLoop(server.Config{
+		Machine:    machine,
+		Observer:   newAgentObserver(machine, d.log),
+		Sender:     server.NewSender(s.Source),
+		CallWorker: d.callWorker,
+		Logger:     d.log,
+	})
+	handlers := server.NewHandlers(loop, machine.Trace)
 	router := handlers.Router()
 	router.HandleFunc("/v1/poll", handlers.RequestHandler("poll")).Methods(http.MethodPost)
-	return d.serve(ctx, handlers, router, adapter)
+	return d.serve(ctx, handlers, router, d.platformAdapter(handlers))
 }
 
 // platformAdapter returns what the platform adds to the daemon.
--- a/cmd/coppercourse/platform.go
+++ b/cmd/coppercourse/platform.go
@@ -46,6 +46,9 @@
 	debug.SetMemoryLimit(s.MemoryLimit)
 	d := newDaemon(role, s.Daemon)
 	d.adapt = func(handlers *server.Handlers) platformAdapter { return newPlatformAdapter(s, handlers) }
+	if s.Role == membership.RoleAgent {
+		d.callWorker = platform.NewWorkerClient().Call
+	}
 	platform.WatchFile(ctx, d.log, path, s, nil)
 	return d.run(ctx, s.DaemonRole())
 }
@@ -87,7 +90,7 @@
 		}}
 	default:
 		worker := platform.NewAgentHandler(handlers.Loop, s.WorkerAddr)
-		return platformAdapter{callWorker: platform.NewWorkerClient().Call, endpoints: []server.Endpoint{
+		return platformAdapter{endpoints: []server.Endpoint{
 			{Addr: s.ControlAddr, Handler: worker.Handler(), MaxConns: maxPeerConnections},
 		}}
 	}
--- a/internal/server/disk_writer_test.go
+++ b/internal/server/disk_writer_test.go
@@ -4,8 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"net/http"
-	"net/http/httptest"
 	"slices"
 	"strings"
 	"sync"
@@ -21,116 +19,147 @@
 	"coppercourse/internal/wal/waltest"
 )
 
-// diskRig is a disk writer on a file system in memory, and what it told.
+// diskRig is a disk writer on a file system in memory, and what it reported.
 type diskRig struct {
-	storage       *waltest.Storage
-	disk          *DiskWriter
-	mu            sync.Mutex
-	syncedBatches []uint64
-	reported      []error
-	ended         chan error
-	stop          context.CancelFunc
+	storage *waltest.Storage
+	writer  *diskWriter
+	stop    context.CancelFunc
+	ended   chan error
+
+	mu       sync.Mutex
+	synced   []uint64
+	failures int
 }
 
-// startDiskRig runs a writer in the bubble of a test.
-func startDiskRig(t *testing.T, wrap func(Log) Log) *diskRig {
+// startDiskRig runs a disk writer in the bubble of a test. The log is wrapped before the
+// writer has it.
+func startDiskRig(t *testing.T, wrap func(recordLog) recordLog) *diskRig {
 	t.Helper()
-	w := &diskRig{storage: waltest.New(1), ended: make(chan error, 1)}
-	file, _, _, err := wal.Open(w.storage, "data")
+	r := &diskRig{storage: waltest.New(1), ended: make(chan error, 1)}
+	file, _, _, err := wal.Open(r.storage, "data")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.disk = NewDiskWriter(wrap(file), w.onSynced, w.onFailed)
+	r.writer = newDiskWriter(wrap(file), r, logr.Discard())
 	var ctx context.Context
-	ctx, w.stop = context.WithCancel(t.Context())
-	go func() { w.ended <- w.disk.Run(ctx) }()
-	return w
+	ctx, r.stop = context.WithCancel(t.Context())
+	go func() { r.ended <- r.writer.run(ctx) }()
+	return r
 }
 
-func (d *diskRig) onSynced(seq uint64) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.syncedBatches = append(d.syncedBatches, seq)
+func (r *diskRig) batchSynced(number uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.synced = append(r.synced, number)
 }
 
-func (d *diskRig) onFailed(err error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.reported = append(d.reported, err)
+func (r *diskRig) diskFailed(error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.failures++
 }
 
-// synced gives the numbers that were told as synced.
-func (d *diskRig) synced() []uint64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return slices.Clone(d.syncedBatches)
+// syncedBatches returns the numbers that were reported as synced.
+func (r *diskRig) syncedBatches() []uint64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.synced)
 }
 
-// failures counts how often the machine was told that the disk refuses.
-func (d *diskRig) failures() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return len(d.reported)
+// reportedFailures returns how often a failure was reported.
+func (r *diskRig) reportedFailures() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.failures
 }
 
-func unwrapped(l Log) Log { return l }
-
-func record(n int) []byte { return fmt.Appendf(nil, `{"n":%d}`, n) }
+// append has the writer append records as one batch.
+func (r *diskRig) append(number uint64, records ...[]byte) {
+	r.writer.enqueue(recordBatch{records: records, number: number})
+}
 
-// end stops the writer and gives what it left on the disk after a loss of power.
-func (d *diskRig) end(t *testing.T) (found []string) {
+// end stops the writer and returns the records that a loss of power leaves on the disk.
+func (r *diskRig) end(t *testing.T) (found []string) {
 	t.Helper()
-	d.stop()
-	if err := <-d.ended; err != nil {
+	r.stop()
+	if err := <-r.ended; err != nil {
 		t.Fatalf("the writer ended with %v", err)
 	}
-	_, list, spoilt, err := wal.Open(d.storage.LosePower(), "data")
-	if err != nil || spoilt != "" {
-		t.Fatal(err, spoilt)
+	_, records, damagedPath, err := wal.Open(r.storage.LosePower(), "data")
+	if err != nil || damagedPath != "" {
+		t.Fatal(err, damagedPath)
 	}
-	for _, b := range list {
-		if string(b) != "{}" {
-			found = append(found, string(b))
+	for _, record := range records {
+		if string(record) != "{}" { // seals
+			found = append(found, string(record))
 		}
 	}
 	return found
 }
 
-// surviveFaults writes while the disk refuses in one way for ten seconds, and
-// tells what was wrong with what the writer told and left.
-func surviveFaults(t *testing.T, fail func(waltest.Op, string) *waltest.Fault, wrap func(Log) Log) (problem string) {
+// unwrapped leaves a log as it is.
+func unwrapped(log recordLog) recordLog { return log }
+
+// testRecord returns a record that holds a number.
+func testRecord(n int) []byte { return fmt.Appendf(nil, `{"n":%d}`, n) }
+
+// surviveFaults writes while the disk fails in one way for ten seconds, and returns what
+// was wrong with what the writer reported and left.
+func surviveFaults(t *testing.T, fail func(waltest.Op, string) *waltest.Fault, wrap func(recordLog) recordLog) error {
+	t.Helper()
+	var problems []error
 	synctest.Test(t, func(t *testing.T) {
-		w := startDiskRig(t, wrap)
-		w.disk.Enqueue(Batch{Records: [][]byte{record(1)}, Number: 1})
+		r := startDiskRig(t, wrap)
+		r.append(1, testRecord(1))
 		synctest.Wait()
-		w.storage.SetFail(fail)
-		w.disk.Enqueue(Batch{Records: [][]byte{record(2), record(3)}, Number: 2})
+		r.storage.SetFail(fail)
+		r.append(2, testRecord(2), testRecord(3))
 		for range 10 {
 			time.Sleep(time.Second)
-			w.disk.Enqueue(Batch{Records: [][]byte{record(4)}, Number: 3})
+			r.append(3, testRecord(4))
 		}
 		synctest.Wait()
-		switch {
-		case !slices.Equal(w.synced(), []uint64{1}):
-			problem = fmt.Sprintf("told as synced while the disk refused: %v", w.synced())
-		case w.failures() != 1:
-			problem = fmt.Sprintf("the machine was told %d times", w.failures())
-		}
-		tries := w.storage.Count(waltest.Write) + w.storage.Count(waltest.Sync) + w.storage.Count(waltest.Truncate)
-		if tries > 60 {
-			problem = fmt.Sprintf("%d operations in ten seconds on a disk that refuses", tries)
-		}
-		w.storage.SetFail(nil)
+		problems = append(problems, r.checkWhileFailing()...)
+		r.storage.SetFail(nil)
 		time.Sleep(maxRetryDelay)
 		synctest.Wait()
-		if len(w.synced()) == 0 || w.synced()[len(w.synced())-1] != 3 {
-			problem = fmt.Sprintf("not told as synced when the disk was back: %v", w.synced())
-		}
-		if found := w.end(t); len(found) != 13 || found[0] != string(record(1)) || found[1] != string(record(2)) || found[12] != string(record(4)) {
-			problem += fmt.Sprintf("; the disk holds %v", found)
-		}
+		problems = append(problems, r.checkAfterwards(t)...)
 	})
-	return problem
+	return errors.Join(problems...)
+}
+
+// checkWhileFailing checks what the writer has done on a disk that fails.
+func (r *diskRig) checkWhileFailing() (problems []error) {
+	if synced := r.syncedBatches(); !slices.Equal(synced, []uint64{1}) {
+		problems = append(problems, fmt.Errorf("reported as synced while the disk failed: %v", synced))
+	}
+	if count := r.reportedFailures(); count != 1 {
+		problems = append(problems, fmt.Errorf("reported %d failures", count))
+	}
+	attempts := 0
+	for _, op := range []waltest.Op{waltest.Write, waltest.Sync, waltest.Truncate} {
+		attempts += r.storage.Count(op)
+	}
+	if attempts > 60 {
+		problems = append(problems, fmt.Errorf("%d operations in ten seconds on a disk that fails", attempts))
+	}
+	return problems
+}
+
+// checkAfterwards checks what the writer has done once the disk succeeds again.
+func (r *diskRig) checkAfterwards(t *testing.T) (problems []error) {
+	t.Helper()
+	if synced := r.syncedBatches(); len(synced) == 0 || synced[len(synced)-1] != 3 {
+		problems = append(problems, fmt.Errorf("not reported as synced once the disk succeeded: %v", synced))
+	}
+	want := []string{string(testRecord(1)), string(testRecord(2)), string(testRecord(3))}
+	for range 10 {
+		want = append(want, string(testRecord(4)))
+	}
+	if found := r.end(t); !slices.Equal(found, want) {
+		problems = append(problems, fmt.Errorf("the disk holds %v", found))
+	}
+	return problems
 }
 
 var diskFaults = map[string]func(waltest.Op, string) *waltest.Fault{
@@ -149,40 +178,40 @@
 func TestDiskWriterSurvivesFaults(t *testing.T) {
 	for name, fail := range diskFaults {
 		t.Run(name, func(t *testing.T) {
-			if wrong := surviveFaults(t, fail, unwrapped); wrong != "" {
-				t.Error(wrong)
+			if err := surviveFaults(t, fail, unwrapped); err != nil {
+				t.Error(err)
 			}
 		})
 	}
 }
 
-// faultyLog is a log with one planted bug.
+// faultyLog is a log with a planted bug in Append.
 type faultyLog struct {
-	Log
-	append func(Log, [][]byte) error
+	recordLog
+	append func(recordLog, [][]byte) error
 }
 
-func (f faultyLog) Append(list [][]byte) error { return f.append(f.Log, list) }
+func (l faultyLog) Append(records [][]byte) error { return l.append(l.recordLog, records) }
 
 func TestDiskWriterBugsAreDetected(t *testing.T) {
-	bugs := map[string]func(Log, [][]byte) error{
-		"synced is told after a failure": func(l Log, list [][]byte) error {
-			l.Append(list)
+	bugs := map[string]func(recordLog, [][]byte) error{
+		"reports success after a failure": func(log recordLog, records [][]byte) error {
+			log.Append(records)
 			return nil
 		},
-		"a group that failed is skipped": func() func(Log, [][]byte) error {
+		"skips records that failed": func() func(recordLog, [][]byte) error {
 			var skip int
-			return func(l Log, list [][]byte) error {
-				err := l.Append(list[min(skip, len(list)):])
+			return func(log recordLog, records [][]byte) error {
+				err := log.Append(records[min(skip, len(records)):])
 				if err != nil {
-					skip = len(list)
+					skip = len(records)
 				}
 				return err
 			}
 		}(),
-		"a failure is tried again at once": func(l Log, list [][]byte) (err error) {
+		"retries at once": func(log recordLog, records [][]byte) (err error) {
 			for range 100 {
-				if err = l.Append(list); err == nil {
+				if err = log.Append(records); err == nil {
 					break
 				}
 			}
@@ -191,118 +220,54 @@
 	}
 	for name, bug := range bugs {
 		t.Run(name, func(t *testing.T) {
-			wrong := surviveFaults(t, diskFaults["sync error"], func(l Log) Log { return faultyLog{l, bug} })
-			if wrong == "" {
-				t.Error("not caught")
+			wrap := func(log recordLog) recordLog { return faultyLog{log, bug} }
+			if surviveFaults(t, diskFaults["sync error"], wrap) == nil {
+				t.Error("not detected")
 			}
 		})
 	}
 }
 
+// testSnapshot returns a snapshot that does not fit into 200 bytes beside another file.
+func testSnapshot() []byte { return []byte(`{"snapshot":"` + strings.Repeat("x", 150) + `"}`) }
+
 func TestRewriteWithoutSpaceIsAppended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := startDiskRig(t, unwrapped)
-		w.disk.Enqueue(Batch{Records: [][]byte{record(1)}, Number: 1})
+		r := startDiskRig(t, unwrapped)
+		r.append(1, testRecord(1))
 		synctest.Wait()
-		w.storage.SetCapacity(200)
-		snapshot := []byte(`{"snapshot":"` + strings.Repeat("x", 150) + `"}`)
-		w.disk.Enqueue(Batch{Records: [][]byte{snapshot}, Number: 2, ReplaceLog: true, FallbackRecords: [][]byte{record(2)}})
+		r.storage.SetCapacity(200)
+		r.writer.enqueue(recordBatch{
+			records:         [][]byte{testSnapshot()},
+			number:          2,
+			replaceLog:      true,
+			fallbackRecords: [][]byte{testRecord(2)},
+		})
 		synctest.Wait()
-		is.Equal(w.synced(), []uint64{1, 2})
-		is.Equal(w.failures(), 0)
-		is.Equal(w.end(t), []string{string(record(1)), string(record(2))})
+		is.Equal(r.syncedBatches(), []uint64{1, 2})
+		is.Equal(r.reportedFailures(), 0)
+		is.Equal(r.end(t), []string{string(testRecord(1)), string(testRecord(2))})
 	})
 }
 
 func TestLeaderSnapshotWaitsForSpace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := startDiskRig(t, unwrapped)
-		w.storage.SetCapacity(200)
-		snapshot := []byte(`{"snapshot":"` + strings.Repeat("x", 150) + `"}`)
-		w.disk.Enqueue(Batch{Records: [][]byte{record(1)}, Number: 1})
+		r := startDiskRig(t, unwrapped)
+		r.storage.SetCapacity(200)
+		r.append(1, testRecord(1))
 		synctest.Wait()
-		w.disk.Enqueue(Batch{Records: [][]byte{snapshot}, Number: 2, ReplaceLog: true}) // nothing else will do
-		w.disk.Enqueue(Batch{Records: [][]byte{record(3)}, Number: 3})
+		r.writer.enqueue(recordBatch{records: [][]byte{testSnapshot()}, number: 2, replaceLog: true}) // no fallback
+		r.append(3, testRecord(3))
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		is.Equal(w.synced(), []uint64{1})
-		w.storage.SetCapacity(2000)
+		is.Equal(r.syncedBatches(), []uint64{1})
+		r.storage.SetCapacity(2000)
 		time.Sleep(maxRetryDelay)
 		synctest.Wait()
-		is.Equal(w.synced()[len(w.synced())-1], uint64(3))
-		is.Equal(w.end(t), []string{string(snapshot), string(record(3))})
-	})
-}
-
-func TestPendingBatchesStayBounded(t *testing.T) {
-	is := is.New(t)
-	d := NewDiskWriter(nil, nil, nil)
-	seq := uint64(0)
-	put := func(whole bool, instead [][]byte) {
-		seq++
-		d.Enqueue(Batch{Records: [][]byte{record(int(seq))}, Number: seq, ReplaceLog: whole, FallbackRecords: instead})
-	}
-	put(false, nil)
-	put(true, [][]byte{record(100)})
-	put(false, nil)
-	put(true, [][]byte{record(101)})
-	is.Equal(len(d.pendingBatches()), 4) // all are needed where a file can't be rewritten
-	is.Equal(d.pendingBatches()[1], Batch{Records: [][]byte{record(100)}, Number: 2})
-	put(true, nil) // a snapshot of a leader: nothing before it is
-	is.Equal(len(d.pendingBatches()), 1)
-	put(false, nil)
-	put(true, [][]byte{record(102)}) // builds on one that can't be appended
-	is.Equal(len(d.pendingBatches()), 1)
-	is.Equal(d.pendingBatches()[0].FallbackRecords, nil)
-}
-
-func TestOpenLogWaitsForTheDisk(t *testing.T) {
-	for _, op := range []waltest.Op{waltest.Create, waltest.Read, waltest.Sync} {
-		t.Run(string(op), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				is := is.New(t)
-				storage := waltest.New(1)
-				storage.SetFail(waltest.FailWith(syscall.ENOSPC, op))
-				time.AfterFunc(10*time.Second, func() { storage.SetFail(nil) })
-				begin := time.Now()
-				file, _, err := OpenLog(t.Context(), logr.Discard(), storage, "data", "")
-				is.NoErr(err)
-				is.NoErr(file.Append([][]byte{record(1)}))
-				is.True(time.Since(begin) >= 10*time.Second)
-				is.True(time.Since(begin) <= 10*time.Second+maxRetryDelay)
-				is.True(storage.Count(op) < 30) // with growing pauses
-			})
-		})
-	}
-}
-
-func TestOpenLogEndsWithItsContext(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		storage := waltest.New(1)
-		storage.SetFail(waltest.FailWith(syscall.ENOSPC, waltest.Create))
-		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
-		defer stop()
-		if _, _, err := OpenLog(ctx, logr.Discard(), storage, "data", ""); !errors.Is(err, context.DeadlineExceeded) {
-			t.Error(err)
-		}
+		synced := r.syncedBatches()
+		is.Equal(synced[len(synced)-1], uint64(3))
+		is.Equal(r.end(t), []string{string(testSnapshot()), string(testRecord(3))})
 	})
 }
-
-func TestDiskWaitIsReported(t *testing.T) {
-	is := is.New(t)
-	page := &diskWaitHandler{}
-	page.reason.Store("no space left on device")
-	is.Equal(getPath(page, "/live").Code, 200)
-	is.Equal(getPath(page, "/ready").Code, 503)
-	status := getPath(page, "/v1/status")
-	is.Equal(status.Code, 200)
-	is.True(strings.Contains(status.Body.String(), "no space left on device"))
-}
-
-func getPath(h http.Handler, path string) *httptest.ResponseRecorder {
-	w := httptest.NewRecorder()
-	h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
-	return w
-}
--- a/internal/server/event_loop.go
+++ b/internal/server/event_loop.go
@@ -1,6 +1,3 @@
-// Package server is the shell round a state machine: the one goroutine that owns
-// it, the disk writer (disk.go), the outgoing posts and the HTTP pages. What the machine
-// shows is published as immutable values behind atomic pointers.
 package server
 
 import (
@@ -9,124 +6,116 @@
 	"sync/atomic"
 	"time"
 
-	"coppercourse/internal/apierror"
-	"coppercourse/internal/types"
+	"github.com/go-logr/logr"
+
 	"coppercourse/internal/wal"
 	"coppercourse/internal/wire"
 	"coppercourse/internal/workqueue"
 )
 
+// How often the status is published.
 const (
 	statusInterval     = 200 * time.Millisecond
 	statusIntervalBusy = time.Second // while events wait
 )
 
-// EventLoop runs one machine.
-type EventLoop struct {
-	machine      wire.Machine
-	sender       *Sender
-	diskWriter   *DiskWriter
-	queue        *eventQueue
-	pacer        workqueue.TickPacer
-	stopped      chan struct{}
-	pending      map[uint64]chan wire.Response
-	lastToken    uint64
-	publishedAt  time.Time
-	Status       func() any   // run by the owner, to publish
-	AfterStep    func()       // run by the owner after each step
-	CallWorker   WorkerCaller // carries calls to a worker
-	callSlots    chan struct{}
-	statusJSON   atomic.Pointer[json.RawMessage]
-	drained      atomic.Bool
-	rejectedBusy atomic.Uint64 // requests turned away since the loop was behind
+// Observer publishes what other goroutines read of a machine. The loop's goroutine calls
+// all its methods but Ready.
+type Observer interface {
+	// AfterStep is called after each step of the machine.
+	AfterStep()
+	// Status returns what /v1/status shows, a value that encodes to a JSON object. It is
+	// called a few times a second.
+	Status() any
+	// Ready reports whether the daemon can serve callers. Any goroutine may call it.
+	Ready() bool
 }
 
-var processStart = time.Now()
-
-// Now reads the clocks; nothing else in the daemons does for a machine.
-func Now() types.Now {
-	t := time.Now()
-	return types.Now{Mono: types.MonoTime(t.Sub(processStart)), Wall: types.WallTime(t.UnixNano())}
+// Config is what an event loop works with.
+type Config struct {
+	Machine    wire.Machine
+	Observer   Observer
+	Sender     *Sender
+	Log        *wal.File    // nil for a machine that writes no records
+	CallWorker WorkerCaller // nil for a machine that calls no worker
+	Logger     logr.Logger
 }
 
-// MonotonicNow reads the daemon's steady clock.
-func MonotonicNow() types.MonoTime { return Now().Mono }
+// EventLoop runs one machine. Its goroutine, Run, is the only one that steps it.
+type EventLoop struct {
+	machine  wire.Machine
+	observer Observer
+	queue    *eventQueue
+	pacer    workqueue.TickPacer
+	pending  pendingRequests
+
+	// Where the effects of a step go.
+	sender *Sender
+	disk   *diskWriter // nil without a log
+	calls  *workerCalls
+
+	// What other goroutines read.
+	stopped      chan struct{} // closed once Run has returned: the machine sees nothing any more
+	statusJSON   atomic.Pointer[json.RawMessage]
+	drained      atomic.Bool
+	rejectedBusy atomic.Uint64 // requests rejected because the loop was behind
 
-func NewEventLoop(post *Sender, file *wal.File) *EventLoop {
-	o := &EventLoop{sender: post, queue: newEventQueue(), stopped: make(chan struct{}), pending: map[uint64]chan wire.Response{},
-		callSlots: make(chan struct{}, maxConcurrentCalls)}
-	if file != nil {
-		o.diskWriter = NewDiskWriter(file, o.onSynced, o.onDiskError)
-	}
-	return o
+	publishedAt time.Time // when the status was last published
 }
 
-// SetMachine sets the machine; it must be called before Run.
-func (el *EventLoop) SetMachine(m wire.Machine) { el.machine = m }
-
-// Deliver gives the machine a message; false when there is no room for its kind.
-func (el *EventLoop) Deliver(n wire.Message) bool {
-	return el.queue.push(queuedEvent{Event: wire.Event{Message: &n}})
+// NewEventLoop returns a loop that is not running yet. Messages and requests may come in
+// before it does.
+func NewEventLoop(config Config) *EventLoop {
+	el := &EventLoop{
+		machine:  config.Machine,
+		observer: config.Observer,
+		queue:    newEventQueue(),
+		pending:  newPendingRequests(),
+		sender:   config.Sender,
+		stopped:  make(chan struct{}),
+	}
+	el.calls = newWorkerCalls(config.CallWorker, el.workerReplied)
+	if config.Log != nil {
+		el.disk = newDiskWriter(config.Log, el, config.Logger)
+	}
+	return el
 }
 
-// Ask gives the machine a request and waits for its answer. One that brings new
-// work is turned away at once while the loop is behind with such requests. Once the
-// machine may have seen the request, no end of this daemon is told as a refusal.
-func (el *EventLoop) Ask(ctx context.Context, verb, arg string, body json.RawMessage) wire.Response {
-	request := &wire.Request{Verb: verb, Arg: arg, Body: body}
-	if deadline, ok := ctx.Deadline(); ok {
-		request.Timeout = max(1, time.Until(deadline))
-	}
-	select {
-	case <-el.stopped:
-		return wire.Response{Error: apierror.New(apierror.ShuttingDown, "", "this daemon is stopping").WithRetryAfter(time.Second)}
-	default:
-	}
-	e := queuedEvent{Event: wire.Event{Request: request}, responses: make(chan wire.Response, 1), claimed: &atomic.Bool{}}
-	behind := el.queue.callerDelay()
-	if wire.SubmitsWork(verb) && behind > workqueue.MaxSubmitDelay || !el.queue.push(e) {
-		el.rejectedBusy.Add(1)
-		return wire.Response{Error: overloadError(max(behind, time.Second))}
-	}
-	select {
-	case response := <-e.responses:
-		return response
-	case <-el.stopped:
-		return el.finalResponse(e.responses)
-	case <-ctx.Done():
-		if e.claim() { // the machine has not seen it, and never will
-			el.rejectedBusy.Add(1)
-			return wire.Response{Error: overloadError(workqueue.MaxRequestWait)}
-		}
-		return wire.Response{Error: apierror.New(apierror.OutcomeUnknown, "", "no answer within the time there was")}
-	}
-}
-
-// finalResponse is the answer to a request that was under way when the machine ended.
-func (el *EventLoop) finalResponse(responses chan wire.Response) wire.Response {
-	select {
-	case response := <-responses:
-		return response
-	default:
-		return wire.Response{Error: apierror.New(apierror.OutcomeUnknown, "", "this daemon stopped before it had an answer")}
-	}
+// Deliver gives the machine a message. It returns false if there is no room for its kind.
+func (el *EventLoop) Deliver(message wire.Message) bool {
+	return el.queue.push(queuedEvent{Event: wire.Event{Message: &message}})
 }
 
-// BeginShutdown tells the machine that its end is planned.
-func (el *EventLoop) BeginShutdown() { el.queue.force(queuedEvent{Event: wire.Event{Shutdown: true}}) }
+// BeginShutdown tells the machine that the daemon is about to stop.
+func (el *EventLoop) BeginShutdown() { el.enqueue(wire.Event{Shutdown: true}) }
 
-// Drained tells whether a machine that was told to close has nothing left to do.
+// Drained reports whether a machine that was told of a shutdown has nothing left to do.
 func (el *EventLoop) Drained() bool { return el.drained.Load() }
 
-// StatusJSON is what the machine last showed.
+// StatusJSON returns the status that was last published.
 func (el *EventLoop) StatusJSON() json.RawMessage {
-	if p := el.statusJSON.Load(); p != nil {
-		return *p
+	if status := el.statusJSON.Load(); status != nil {
+		return *status
 	}
 	return json.RawMessage("{}")
 }
 
-// Run is the owner goroutine: a tick when one is due, else the most urgent event.
+// workerReplied is called with the reply to each call to a worker.
+func (el *EventLoop) workerReplied(reply wire.WorkerReply) {
+	el.enqueue(wire.Event{WorkerReply: &reply})
+}
+
+// batchSynced is called once a batch is on disk.
+func (el *EventLoop) batchSynced(number uint64) { el.enqueue(wire.Event{Synced: number}) }
+
+// diskFailed is called when the disk starts to refuse batches.
+func (el *EventLoop) diskFailed(err error) { el.enqueue(wire.Event{DiskError: err}) }
+
+// enqueue adds an event that must not be lost.
+func (el *EventLoop) enqueue(e wire.Event) { el.queue.force(queuedEvent{Event: e}) }
+
+// Run steps the machine until ctx ends: with a tick when one is due, else with the most
+// urgent event that waits.
 func (el *EventLoop) Run(ctx context.Context) error {
 	defer close(el.stopped)
 	ticker := time.NewTicker(workqueue.TickInterval)
@@ -151,65 +140,72 @@
 	return nil
 }
 
-// tick lets time pass in the machine, and answers the requests that it won't get to.
+// Close ends the goroutines that the loop has started and waits for them. It is called
+// after Run has returned.
+func (el *EventLoop) Close() {
+	el.calls.stop()
+	el.sender.Close()
+}
+
+// tick tells the machine that time has passed, and rejects the requests that have waited
+// too long to be of use.
 func (el *EventLoop) tick() {
 	el.pacer.NoteTick(MonotonicNow())
 	requests, forwards := el.queue.expire()
 	for _, e := range requests {
 		if e.claim() {
-			el.rejectedBusy.Add(1)
-			e.responses <- wire.Response{Error: overloadError(workqueue.MaxRequestWait)}
+			e.responses <- el.rejectBusy(workqueue.MaxRequestWait)
 		}
 	}
 	el.step(queuedEvent{Event: wire.Event{Load: el.queue.load(), ExpiredForwards: forwards}})
 }
 
-// handle hands an event to the machine, but for a request that was given up.
+// handle steps the machine with an event, unless it is a request whose caller has given up.
 func (el *EventLoop) handle(e queuedEvent) {
 	if e.claim() {
 		el.step(e)
 	}
 }
 
+// step steps the machine and carries out the effects.
 func (el *EventLoop) step(e queuedEvent) {
 	e.Now = Now()
 	if e.Request != nil {
-		el.lastToken++
-		e.Request.Token = el.lastToken
-		el.pending[el.lastToken] = e.responses
-	}
-	out := el.machine.Step(e.Event)
-	for _, s := range out.Messages {
-		el.sender.Send(s)
+		el.pending.add(e.Request, e.responses)
 	}
-	for _, c := range out.Calls {
-		el.startCall(c)
+	effects := el.machine.Step(e.Event)
+	for _, message := range effects.Messages {
+		el.sender.Send(message)
 	}
-	if out.Records != nil {
-		el.diskWriter.Enqueue(Batch{Records: out.Records, Number: out.BatchNumber, ReplaceLog: out.ReplaceLog, FallbackRecords: out.FallbackRecords})
+	for _, call := range effects.Calls {
+		el.calls.start(call)
 	}
-	for _, a := range out.Responses {
-		if back := el.pending[a.Token]; back != nil {
-			back <- a
-			delete(el.pending, a.Token)
-		}
+	if effects.Records != nil {
+		el.disk.enqueue(recordBatch{
+			records:         effects.Records,
+			number:          effects.BatchNumber,
+			replaceLog:      effects.ReplaceLog,
+			fallbackRecords: effects.FallbackRecords,
+		})
 	}
-	el.drained.Store(out.Drained)
-	if el.AfterStep != nil {
-		el.AfterStep()
+	for _, response := range effects.Responses {
+		el.pending.respond(response)
 	}
+	el.drained.Store(effects.Drained)
+	el.observer.AfterStep()
 	el.publishStatus(e.Load.MoreWaiting)
 }
 
-// publishStatus shows the machine's account of itself, less often while events wait.
-func (el *EventLoop) publishStatus(waiting bool) {
-	every := statusInterval
-	if waiting {
-		every = statusIntervalBusy
+// publishStatus encodes the status for HTTP handlers, less often while events wait.
+func (el *EventLoop) publishStatus(busy bool) {
+	interval := statusInterval
+	if busy {
+		interval = statusIntervalBusy
 	}
-	if el.Status != nil && time.Since(el.publishedAt) > every {
-		el.publishedAt = time.Now()
-		b := wire.EncodeBody(el.Status())
-		el.statusJSON.Store(&b)
+	if time.Since(el.publishedAt) <= interval {
+		return
 	}
+	el.publishedAt = time.Now()
+	status := wire.EncodeBody(el.observer.Status())
+	el.statusJSON.Store(&status)
 }
--- a/internal/server/event_queue.go
+++ b/internal/server/event_queue.go
@@ -1,5 +1,3 @@
-// The inbox: what waits for the machine, by class. Whoever brings an event puts it
-// in from a goroutine of its own; only the owner takes from it.
 package server
 
 import (
@@ -13,114 +11,120 @@
 	"coppercourse/internal/workqueue"
 )
 
-// queuedEvent is one for the machine. Of a request only one side decides: the owner that
-// takes it, or whoever waited and gives up.
+// queuedEvent is an event that waits for the machine. Exactly one side decides what
+// becomes of a request: the loop, which takes it, or the caller, who gives up.
 type queuedEvent struct {
 	wire.Event
-	responses chan wire.Response
-	claimed   *atomic.Bool
+	responses chan wire.Response // of a request: where its response goes; has room for one
+	claimed   *atomic.Bool       // of a request: whether one side has decided
 }
 
-// claim is true for whoever decides on the request.
-func (q queuedEvent) claim() bool { return q.claimed == nil || q.claimed.CompareAndSwap(false, true) }
+// claim reports whether the caller of this method is the side that decides. It is true at
+// most once for a request, and always for other events.
+func (e queuedEvent) claim() bool { return e.claimed == nil || e.claimed.CompareAndSwap(false, true) }
 
+// eventQueue holds the events that wait for the machine, by class. Any goroutine may add
+// events; only the event loop takes them.
 type eventQueue struct {
 	mu             sync.Mutex
 	queue          workqueue.Queue[queuedEvent]
-	wake           chan struct{}
+	expiredReports uint64        // reports dropped after waiting too long
+	wake           chan struct{} // has an element once something was added
 	clock          func() types.MonoTime
-	expiredReports uint64 // reports dropped after waiting too long
 }
 
 func newEventQueue() *eventQueue {
 	return &eventQueue{wake: make(chan struct{}, 1), clock: MonotonicNow}
 }
 
-// push adds an event; false where its class is full.
-func (eq *eventQueue) push(e queuedEvent) bool {
-	eq.mu.Lock()
-	ok := eq.queue.Push(e.Class(), eq.clock(), e)
-	eq.mu.Unlock()
-	eq.signal()
+// push adds an event, and returns false if its class is full.
+func (q *eventQueue) push(e queuedEvent) bool {
+	q.mu.Lock()
+	ok := q.queue.Push(e.Class(), q.clock(), e)
+	q.mu.Unlock()
+	q.signal()
 	return ok
 }
 
-// force adds an event that may not be lost.
-func (eq *eventQueue) force(e queuedEvent) {
-	eq.mu.Lock()
-	eq.queue.PushAlways(e.Class(), eq.clock(), e)
-	eq.mu.Unlock()
-	eq.signal()
+// force adds an event that must not be lost, whether or not its class is full. Their
+// number is bounded by what the machine itself has started.
+func (q *eventQueue) force(e queuedEvent) {
+	q.mu.Lock()
+	q.queue.PushAlways(e.Class(), q.clock(), e)
+	q.mu.Unlock()
+	q.signal()
 }
 
-func (eq *eventQueue) signal() {
+func (q *eventQueue) signal() {
 	select {
-	case eq.wake <- struct{}{}:
+	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-// pop gives the next event with the load that its step is told of.
-func (eq *eventQueue) pop() (queuedEvent, bool) {
-	eq.mu.Lock()
-	defer eq.mu.Unlock()
-	e, class, at, ok := eq.queue.Pop()
+// pop takes the next event, with the load that its step is told of.
+func (q *eventQueue) pop() (queuedEvent, bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	e, class, queuedAt, ok := q.queue.Pop()
 	if ok {
-		e.Load = eq.queue.Load(eq.clock(), class, at)
+		e.Load = q.queue.Load(q.clock(), class, queuedAt)
 	}
 	return e, ok
 }
 
-// len is how many events wait.
-func (eq *eventQueue) len() int {
-	eq.mu.Lock()
-	defer eq.mu.Unlock()
-	return eq.queue.Len()
+// len returns how many events wait.
+func (q *eventQueue) len() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.queue.Len()
 }
 
-// load is what a tick is told.
-func (eq *eventQueue) load() wire.Load {
-	eq.mu.Lock()
-	defer eq.mu.Unlock()
-	now := eq.clock()
-	return eq.queue.Load(now, wire.ClassBackground, now)
+// load returns the load that a tick is told of.
+func (q *eventQueue) load() wire.Load {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	now := q.clock()
+	return q.queue.Load(now, wire.ClassBackground, now)
 }
 
-// callerDelay is how long the oldest request of a caller has waited.
-func (eq *eventQueue) callerDelay() time.Duration {
-	eq.mu.Lock()
-	defer eq.mu.Unlock()
-	return eq.queue.Age(eq.clock(), wire.ClassCallers, wire.ClassCallers)
+// callerDelay returns how long the oldest request of a caller has waited.
+func (q *eventQueue) callerDelay() time.Duration {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.queue.Age(q.clock(), wire.ClassCallers, wire.ClassCallers)
 }
 
-// expire takes out what has waited too long: requests, and those that gateways
-// handed over, which the machine answers. Reports that are repeated are dropped.
-func (eq *eventQueue) expire() (requests []queuedEvent, forwards []wire.Message) {
-	eq.mu.Lock()
-	defer eq.mu.Unlock()
-	patience := func(e queuedEvent) time.Duration { return workqueue.MaxWait(e.Event) }
-	now := eq.clock()
-	eq.expiredReports += uint64(len(eq.queue.Expire(wire.ClassReports, now, patience)))
-	for _, e := range eq.queue.Expire(wire.ClassCallers, now, patience) {
+// expire takes out the events that have waited too long: requests of this daemon's
+// callers, and those that gateways forwarded, which the machine answers. Reports are
+// dropped, since their senders repeat them.
+func (q *eventQueue) expire() (requests []queuedEvent, forwards []wire.Message) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	maxWait := func(e queuedEvent) time.Duration { return workqueue.MaxWait(e.Event) }
+	now := q.clock()
+	q.expiredReports += uint64(len(q.queue.Expire(wire.ClassReports, now, maxWait)))
+	for _, e := range q.queue.Expire(wire.ClassCallers, now, maxWait) {
 		if e.Request != nil {
 			requests = append(requests, e)
 		} else {
 			forwards = append(forwards, *e.Message)
 		}
 	}
-	return
+	return requests, forwards
 }
 
-// rejected counts what was refused for want of room, by class, and the reports
-// dropped since they had waited too long.
-func (eq *eventQueue) rejected() (full [wire.NumClasses]uint64, stale uint64) {
-	eq.mu.Lock()
-	defer eq.mu.Unlock()
-	return eq.queue.Rejected, eq.expiredReports
+// rejected counts the events that found their class full, and the reports that were
+// dropped after waiting too long.
+func (q *eventQueue) rejected() (full [wire.NumClasses]uint64, expiredReports uint64) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.queue.Rejected, q.expiredReports
 }
 
-// overloadError is the answer to a request that was not taken, with when to come back:
-// not before what is ahead of it will have gone.
-func overloadError(behind time.Duration) *apierror.Error {
-	return apierror.New(apierror.TooBusy, "", "this daemon is behind with its work; the request was not taken").WithRetryAfter(2 * behind)
+// overloadError is the error of a request that the machine has not seen, with when to come
+// back: not before what is ahead of it is likely to be done.
+func overloadError(delay time.Duration) *apierror.Error {
+	const reason = "this daemon is behind with its work; the request was not taken"
+	return apierror.New(apierror.TooBusy, "", reason).WithRetryAfter(2 * delay)
 }
--- /dev/null
+++ b/internal/server/event_queue_test.go
@@ -0,0 +1,33 @@
+package server
+
+import (
+	"context"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+func TestFullQueueRejectsAtOnce(t *testing.T) {
+	is := is.New(t)
+	now := types.MonoTime(0)
+	loop, _ := newStalledLoop(t, &now)
+	taken := 0
+	for loop.Deliver(wire.Message{Kind: wire.ForwardRequest}) {
+		taken++
+	}
+	is.True(taken >= 1000)
+	response := loop.Ask(context.Background(), "job.get", "a", nil)
+	is.Equal(response.Error.Kind, apierror.TooBusy)
+	is.True(response.Error.RetryAfterSeconds > 0)
+	others := []wire.Kind{wire.AppendEntries, wire.RequestVote, wire.ConfigWatch, wire.Heartbeat, wire.StatusReport}
+	for _, kind := range others {
+		is.True(loop.Deliver(wire.Message{Kind: kind})) // a full class leaves the others their room
+	}
+	rejected, _ := loop.queue.rejected()
+	is.Equal(rejected[wire.ClassCallers], uint64(2))
+	is.Equal(rejected[wire.ClassConsensus], uint64(0))
+}
--- a/internal/server/gateway_handlers.go
+++ b/internal/server/gateway_handlers.go
@@ -1,11 +1,7 @@
-// The gateway's own pages: jobs, the table, and what operators look at. Requests
-// are read and checked here, against the table as last published, before they
-// become an event for the gateway's owner.
 package server
 
 import (
 	"net/http"
-	"sync/atomic"
 	"time"
 
 	"github.com/gorilla/mux"
@@ -18,124 +14,111 @@
 	"coppercourse/internal/wire"
 )
 
-// GatewayHandlers checks requests on their way in.
-type GatewayHandlers struct {
-	Clock     func() types.MonoTime // the daemon's steady clock; Steady where not set
-	published atomic.Pointer[publishedTable]
-}
-
-// publishedTable is the table that requests are checked by, and until when its
-// confirmation lasts. That is compared with the clock at each request: a machine
-// that takes no step for long can't keep an old table in use.
-type publishedTable struct {
-	table          config.Table
-	confirmedUntil types.MonoTime
-	names          map[types.QueueName]bool
-}
-
-// PublishTable puts a table in place of the last, for all requests from now on.
-func (g *GatewayHandlers) PublishTable(t config.Table, confirmedUntil types.MonoTime) {
-	last := g.published.Load()
-	if last != nil && last.table.Version == t.Version {
-		if last.confirmedUntil != confirmedUntil {
-			g.published.Store(&publishedTable{last.table, confirmedUntil, last.names})
-		}
-		return
-	}
-	next := &publishedTable{t, confirmedUntil, map[types.QueueName]bool{}}
-	for _, r := range t.Queues {
-		next.names[r.Name] = true
-	}
-	g.published.Store(next)
-}
+// GatewayHandlers are the HTTP routes that only a gateway has: jobs, the table, and what
+// operators look at. They read and check requests, against the table last published,
+// before those become events of the gateway's machine.
+type GatewayHandlers struct{ table tableCheck }
 
-// queueUnknown tells that a queue is not in the table, as far as that is confirmed now.
-func (g *GatewayHandlers) queueUnknown(q types.QueueName) bool {
-	p := g.published.Load()
-	return p != nil && g.now() < p.confirmedUntil && !p.names[q]
+// PublishTable sets the table that requests are checked against, and until when it is
+// confirmed on the daemon's monotonic clock.
+func (g *GatewayHandlers) PublishTable(table config.Table, confirmedUntil types.MonoTime) {
+	g.table.publish(table, confirmedUntil)
 }
 
-func (g *GatewayHandlers) now() types.MonoTime {
-	if g.Clock == nil {
-		return MonotonicNow()
+// Routes returns a gateway's routes: those that every daemon has, and its own.
+func (g *GatewayHandlers) Routes(h *Handlers) http.Handler {
+	router := h.Router()
+	for _, route := range []struct {
+		method, path string
+		handler      http.HandlerFunc
+	}{
+		{http.MethodPut, "/v1/jobs/{id}", requireName(putHandler(h, "job.put", g.readJob))},
+		{http.MethodGet, "/v1/jobs/{id}", requireName(h.RequestHandler("job.get"))},
+		{http.MethodPost, "/v1/jobs/{id}/cancel", requireName(h.RequestHandler("job.cancel"))},
+		{http.MethodPut, "/v1/table", putHandler(h, "table.put", readTable)},
+		{http.MethodGet, "/v1/table", h.RequestHandler("table.get")},
+		{http.MethodGet, "/v1/queues", h.RequestHandler("queues")},
+		{http.MethodGet, "/v1/workers", h.RequestHandler("workers")},
+		{http.MethodPost, "/v1/workers/{id}/gone", requireName(h.RequestHandler("gone"))},
+		{http.MethodGet, "/v1/drains", h.RequestHandler("drains")},
+		{http.MethodPut, drainPath, requireName(putHandler(h, "drain.put", readDrain))},
+		{http.MethodDelete, drainPath, requireName(h.RequestHandler("drain.drop"))},
+		{http.MethodGet, "/v1/calendars", h.RequestHandler("plans")},
+		{http.MethodPut, "/v1/calendars/{id}", requireName(putHandler(h, "plan.put", readCalendar))},
+		{http.MethodDelete, "/v1/calendars/{id}", requireName(h.RequestHandler("plan.drop"))},
+		{http.MethodGet, "/v1/mates", h.RequestHandler("mates")},
+		{http.MethodGet, "/v1/leader", h.RequestHandler("status")},
+	} {
+		router.HandleFunc(route.path, route.handler).Methods(route.method)
 	}
-	return g.Clock()
+	return router
 }
 
-// Routes adds the gateway's pages to those that all daemons have.
-func (g *GatewayHandlers) Routes(p *Handlers) http.Handler {
-	r := p.Router()
-	r.HandleFunc("/v1/jobs/{id}", requireName(putHandler(p, "job.put", g.readJob))).Methods(http.MethodPut)
-	r.HandleFunc("/v1/jobs/{id}", requireName(p.RequestHandler("job.get"))).Methods(http.MethodGet)
-	r.HandleFunc("/v1/jobs/{id}/cancel", requireName(p.RequestHandler("job.cancel"))).Methods(http.MethodPost)
-	r.HandleFunc("/v1/table", putHandler(p, "table.put", readTable)).Methods(http.MethodPut)
-	r.HandleFunc("/v1/table", p.RequestHandler("table.get")).Methods(http.MethodGet)
-	r.HandleFunc("/v1/queues", p.RequestHandler("queues")).Methods(http.MethodGet)
-	r.HandleFunc("/v1/workers", p.RequestHandler("workers")).Methods(http.MethodGet)
-	r.HandleFunc("/v1/workers/{id}/gone", requireName(p.RequestHandler("gone"))).Methods(http.MethodPost)
-	r.HandleFunc("/v1/drains", p.RequestHandler("drains")).Methods(http.MethodGet)
-	r.HandleFunc("/v1/drains/{kind:workers|racks}/{id}", requireName(putHandler(p, "drain.put", readDrain))).Methods(http.MethodPut)
-	r.HandleFunc("/v1/drains/{kind:workers|racks}/{id}", requireName(p.RequestHandler("drain.drop"))).Methods(http.MethodDelete)
-	r.HandleFunc("/v1/calendars", p.RequestHandler("plans")).Methods(http.MethodGet)
-	r.HandleFunc("/v1/calendars/{id}", requireName(putHandler(p, "plan.put", readCalendar))).Methods(http.MethodPut)
-	r.HandleFunc("/v1/calendars/{id}", requireName(p.RequestHandler("plan.drop"))).Methods(http.MethodDelete)
-	r.HandleFunc("/v1/mates", p.RequestHandler("mates")).Methods(http.MethodGet)
-	r.HandleFunc("/v1/leader", p.RequestHandler("status")).Methods(http.MethodGet)
-	return r
-}
+// drainPath is the path of the drain of one worker or rack.
+const drainPath = "/v1/drains/{kind:workers|racks}/{id}"
 
-// requireName lets a request pass only with a proper job id.
+// requireName rejects a request whose path holds an id that is no proper name.
 func requireName(next http.HandlerFunc) http.HandlerFunc {
-	return func(w http.ResponseWriter, q *http.Request) {
-		if bad := config.CheckName(mux.Vars(q)["id"]); bad != "" {
-			WriteError(w, apierror.New(apierror.BadField, "id", bad))
+	return func(w http.ResponseWriter, r *http.Request) {
+		if reason := config.CheckName(mux.Vars(r)["id"]); reason != "" {
+			WriteError(w, apierror.New(apierror.BadField, "id", reason))
 			return
 		}
-		next(w, q)
+		next(w, r)
 	}
 }
 
-// putHandler reads, checks and hands on the body of a request.
-func putHandler[T any](p *Handlers, verb string, read func(*http.Request, []byte, *apierror.ErrorList) T) http.HandlerFunc {
-	return func(w http.ResponseWriter, q *http.Request) {
-		b, ok := ReadBodyOrReject(w, q, state.MaxDocumentBytes)
+// putHandler returns a handler that reads and checks a document and has the machine answer
+// the verb with it. It answers with the first error of the document, if there is one.
+func putHandler[T any](
+	h *Handlers,
+	verb string,
+	read func(*http.Request, []byte, *apierror.ErrorList) T,
+) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		body, ok := ReadBodyOrReject(w, r, state.MaxDocumentBytes)
 		if !ok {
 			return
 		}
-		var heap apierror.ErrorList
-		body := read(q, b, &heap)
-		if f := heap.First(); f != nil {
-			WriteError(w, f)
+		var errs apierror.ErrorList
+		document := read(r, body, &errs)
+		if err := errs.First(); err != nil {
+			WriteError(w, err)
 			return
 		}
-		WriteResponse(w, p.Loop.Ask(q.Context(), verb, pathArgument(q), wire.EncodeBody(body)))
+		WriteResponse(w, h.Loop.Ask(r.Context(), verb, pathArgument(r), wire.EncodeBody(document)))
 	}
 }
 
-func (g *GatewayHandlers) readJob(_ *http.Request, b []byte, heap *apierror.ErrorList) state.Spec {
-	s := state.ReadSpec(b, heap)
-	if len(heap.List()) == 0 && g.queueUnknown(s.Queue) {
-		heap.Add(apierror.NoSuchQueue, "queue", "no queue is called "+string(s.Queue))
+func (g *GatewayHandlers) readJob(_ *http.Request, body []byte, errs *apierror.ErrorList) state.Spec {
+	spec := state.ReadSpec(body, errs)
+	if len(errs.List()) == 0 && g.table.queueUnknown(spec.Queue) {
+		errs.Add(apierror.NoSuchQueue, "queue", "no queue is called "+string(spec.Queue))
 	}
-	return s
+	return spec
 }
 
-func readTable(_ *http.Request, b []byte, heap *apierror.ErrorList) config.Table {
-	return config.ReadTable(b, heap)
+func readTable(_ *http.Request, body []byte, errs *apierror.ErrorList) config.Table {
+	return config.ReadTable(body, errs)
 }
 
-func readDrain(_ *http.Request, b []byte, heap *apierror.ErrorList) config.Drain {
-	return config.ReadDrain(b, heap)
+func readDrain(_ *http.Request, body []byte, errs *apierror.ErrorList) config.Drain {
+	return config.ReadDrain(body, errs)
 }
 
-func readCalendar(q *http.Request, b []byte, heap *apierror.ErrorList) state.Calendar {
-	c := config.ReadCalendar(b, heap)
-	x := state.Calendar{Name: mux.Vars(q)["id"], Target: state.Target{Shard: c.Shard, Rack: c.Rack}}
-	if len(heap.List()) == 0 {
-		x.Windows = maintenance.Read([]byte(c.ICS), time.Now(), heap)
+// readCalendar reads a maintenance calendar. One without a window in the future is an
+// error.
+func readCalendar(r *http.Request, body []byte, errs *apierror.ErrorList) state.Calendar {
+	document := config.ReadCalendar(body, errs)
+	calendar := state.Calendar{
+		Name:   mux.Vars(r)["id"],
+		Target: state.Target{Shard: document.Shard, Rack: document.Rack},
+	}
+	if len(errs.List()) == 0 {
+		calendar.Windows = maintenance.Read([]byte(document.ICS), time.Now(), errs)
 	}
-	if len(heap.List()) == 0 {
-		heap.Check(len(x.Windows) > 0, "ics", "no window of it is still to come")
+	if len(errs.List()) == 0 {
+		errs.Check(len(calendar.Windows) > 0, "ics", "no window of it is still to come")
 	}
-	return x
+	return calendar
 }
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -71,15 +71,12 @@
 func TestPagesGolden(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	post := NewSender(ctx, "")
-	owner := NewEventLoop(post, nil)
-	owner.SetMachine(mirror{})
-	owner.Status = func() any {
-		return map[string]any{"role": "gateway", "sums": map[string]int{"Calls": 3}, "ready": true, "mates": 1, "roll": 2, "at": "x"}
-	}
 	trail := trace.New()
 	trail.Add(5, trace.JobSubject("a"), "granted entry", "from", types.Addr("10.0.0.1:7001"))
-	pages := &Handlers{Loop: owner, Sender: post, Trace: trail, Ready: func() bool { return true }}
+	owner := newTestLoop(t, Config{Machine: mirror{}, Observer: stubObserver{ready: true, status: map[string]any{
+		"role": "gateway", "sums": map[string]int{"Calls": 3}, "ready": true, "mates": 1, "roll": 2, "at": "x",
+	}}})
+	pages := NewHandlers(owner, trail)
 	entry := &GatewayHandlers{}
 	handler := pages.TrackInFlight(entry.Routes(pages))
 	go owner.Run(ctx)
--- a/internal/server/http_test.go
+++ b/internal/server/http_test.go
@@ -4,7 +4,6 @@
 package server
 
 import (
-	"context"
 	"encoding/json"
 	"math/rand"
 	"net/http"
@@ -17,121 +16,121 @@
 
 	"coppercourse/internal/apierror"
 	"coppercourse/internal/gateway"
-	"coppercourse/internal/wire"
 )
 
-// startLoneGateway is a gateway that knows no other daemon.
+// startLoneGateway runs a gateway that knows no other daemon, behind an HTTP server.
 func startLoneGateway(t *testing.T) (*Handlers, *httptest.Server) {
-	ctx, stop := context.WithCancel(context.Background())
-	t.Cleanup(stop)
-	post := NewSender(ctx, "")
-	o := NewEventLoop(post, nil)
-	m := gateway.New(Now(), rand.New(rand.NewSource(1)), gateway.Options{Addr: "127.0.0.1:9", Zone: "z"})
-	o.SetMachine(m)
-	o.Status = func() any { return m.Status() }
-	p := &Handlers{Loop: o, Sender: post, Trace: m.Trace, Ready: func() bool { return false }}
-	e := &GatewayHandlers{}
-	srv := httptest.NewServer(p.TrackInFlight(e.Routes(p)))
-	t.Cleanup(srv.Close)
-	go o.Run(ctx)
-	return p, srv
+	t.Helper()
+	options := gateway.Options{Addr: "127.0.0.1:9", Zone: "z"}
+	machine := gateway.New(Now(), rand.New(rand.NewSource(1)), options)
+	loop := newTestLoop(t, Config{Machine: machine, Observer: gatewayObserver{machine}})
+	handlers := NewHandlers(loop, machine.Trace)
+	server := httptest.NewServer(handlers.TrackInFlight((&GatewayHandlers{}).Routes(handlers)))
+	t.Cleanup(server.Close)
+	runInBackground(t, loop)
+	return handlers, server
 }
 
+// gatewayObserver shows a gateway that is never ready.
+type gatewayObserver struct{ machine *gateway.Gateway }
+
+func (gatewayObserver) AfterStep() {}
+
+func (gatewayObserver) Ready() bool { return false }
+
+func (o gatewayObserver) Status() any { return o.machine.Status() }
+
 func TestRejectionsCarryStatusKindAndField(t *testing.T) {
-	_, srv := startLoneGateway(t)
-	job := `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`
+	_, server := startLoneGateway(t)
+	const (
+		job       = `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`
+		badTasks  = `{"queue":"q","steps":[{"name":"a","kind":"x","tasks":-1}]}`
+		badWeight = `{"edition":0,"queues":[{"name":"a","weight":0}]}`
+		twice     = `{"edition":0,"queues":[{"name":"a"},{"name":"a"}]}`
+		badShares = `{"edition":0,"queues":[{"name":"a","share":60},{"name":"b","share":60}]}`
+	)
+	tooLarge, longID := strings.Repeat(" ", 300_000)+job, strings.Repeat("a", 65)
 	for _, c := range []struct {
+		name               string
 		method, path, body string
 		code               int
 		kind               apierror.Kind
 		field              string
 	}{
-		{"GET", "/nowhere", "", 404, apierror.NoSuchPath, ""},
-		{"POST", "/v1/table", "", 405, apierror.NoSuchMethod, ""},
-		{"DELETE", "/v1/jobs/a", "", 405, apierror.NoSuchMethod, ""},
-		{"PUT", "/v1/jobs/a", "{", 400, apierror.BadBody, ""},
-		{"PUT", "/v1/jobs/a", strings.Repeat(" ", 300_000) + job, 413, apierror.TooLarge, ""},
-		{"PUT", "/v1/jobs/a%20b", job, 422, apierror.BadField, "id"},
-		{"PUT", "/v1/jobs/" + strings.Repeat("a", 65), job, 422, apierror.BadField, "id"},
-		{"PUT", "/v1/jobs/a", `{"queue":"q","steps":[{"name":"a","kind":"x","tasks":-1}]}`, 422, apierror.BadField, "steps[0].tasks"},
-		{"PUT", "/v1/jobs/a", job, 503, apierror.NoLeader, ""},
-		{"GET", "/v1/jobs/a", "", 503, apierror.NoLeader, ""},
-		{"POST", "/v1/jobs/a/cancel", "", 503, apierror.NoLeader, ""},
-		{"PUT", "/v1/table", `{"queues":[]}`, 422, apierror.BadField, "edition"},
-		{"PUT", "/v1/table", `{"edition":0,"queues":[{"name":"a","weight":0}]}`, 422, apierror.BadField, "queues[0].weight"},
-		{"PUT", "/v1/table", `{"edition":0,"queues":[{"name":"a"},{"name":"a"}]}`, 422, apierror.BadField, "queues[1].name"},
-		{"PUT", "/v1/table", `{"edition":0,"queues":[{"name":"a","share":60},{"name":"b","share":60}]}`, 422, apierror.BadField, "queues"},
-		{"GET", "/ready", "", 503, apierror.NotReady, ""},
+		{"unknown path", "GET", "/nowhere", "", 404, apierror.NoSuchPath, ""},
+		{"wrong method for the table", "POST", "/v1/table", "", 405, apierror.NoSuchMethod, ""},
+		{"wrong method for a job", "DELETE", "/v1/jobs/a", "", 405, apierror.NoSuchMethod, ""},
+		{"no JSON", "PUT", "/v1/jobs/a", "{", 400, apierror.BadBody, ""},
+		{"body too large", "PUT", "/v1/jobs/a", tooLarge, 413, apierror.TooLarge, ""},
+		{"space in an id", "PUT", "/v1/jobs/a%20b", job, 422, apierror.BadField, "id"},
+		{"id too long", "PUT", "/v1/jobs/" + longID, job, 422, apierror.BadField, "id"},
+		{"negative count of tasks", "PUT", "/v1/jobs/a", badTasks, 422, apierror.BadField, "steps[0].tasks"},
+		{"submission without a leader", "PUT", "/v1/jobs/a", job, 503, apierror.NoLeader, ""},
+		{"query without a leader", "GET", "/v1/jobs/a", "", 503, apierror.NoLeader, ""},
+		{"cancel without a leader", "POST", "/v1/jobs/a/cancel", "", 503, apierror.NoLeader, ""},
+		{"table without a version", "PUT", "/v1/table", `{"queues":[]}`, 422, apierror.BadField, "edition"},
+		{"queue of weight 0", "PUT", "/v1/table", badWeight, 422, apierror.BadField, "queues[0].weight"},
+		{"two queues of one name", "PUT", "/v1/table", twice, 422, apierror.BadField, "queues[1].name"},
+		{"shares above 100", "PUT", "/v1/table", badShares, 422, apierror.BadField, "queues"},
+		{"readiness without a leader", "GET", "/ready", "", 503, apierror.NotReady, ""},
 	} {
-		t.Run(c.method+c.path[:min(20, len(c.path))]+string(c.kind)+c.field, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			req, err := http.NewRequest(c.method, srv.URL+c.path, strings.NewReader(c.body))
+			request, err := http.NewRequest(c.method, server.URL+c.path, strings.NewReader(c.body))
 			is.NoErr(err)
-			res, err := http.DefaultClient.Do(req)
+			response, err := http.DefaultClient.Do(request)
 			is.NoErr(err)
-			defer res.Body.Close()
-			var f apierror.Error
-			is.NoErr(json.NewDecoder(res.Body).Decode(&f))
-			is.Equal(res.StatusCode, c.code)
-			is.Equal(f.Kind, c.kind)
-			is.Equal(f.Field, c.field)
-			is.Equal(res.Header.Get("Retry-After") != "", c.code == 503)
+			rejection := readError(t, response)
+			is.Equal(response.StatusCode, c.code)
+			is.Equal(rejection.Kind, c.kind)
+			is.Equal(rejection.Field, c.field)
+			is.Equal(response.Header.Get("Retry-After") != "", c.code == 503)
 		})
 	}
 }
 
+// readError reads the error in a response.
+func readError(t *testing.T, response *http.Response) (rejection apierror.Error) {
+	t.Helper()
+	defer response.Body.Close()
+	if err := json.NewDecoder(response.Body).Decode(&rejection); err != nil {
+		t.Fatal(err)
+	}
+	return rejection
+}
+
+// A request that is in flight when the shutdown begins is answered; one that comes at its
+// end is rejected.
 func TestShutdownAnswersRequestsInFlight(t *testing.T) {
 	is := is.New(t)
-	p, srv := startLoneGateway(t)
-	got := make(chan int, 1)
-	ask := func() { // this one is under way when the stop begins, and waits for a leader
-		res, err := http.Get(srv.URL + "/v1/jobs/a")
+	handlers, server := startLoneGateway(t)
+	statusCodes := make(chan int, 1)
+	ask := func() { // waits for a leader
+		response, err := http.Get(server.URL + "/v1/jobs/a")
 		if err != nil {
-			got <- 0
+			statusCodes <- 0
 			return
 		}
-		res.Body.Close()
-		got <- res.StatusCode
+		response.Body.Close()
+		statusCodes <- response.StatusCode
 	}
 	go ask()
-	for p.inFlight.Load() == 0 {
+	for handlers.shutdown.inFlight.Load() == 0 {
 		select {
-		case code := <-got: // it was over before it was seen: once more
+		case code := <-statusCodes: // it was over before it was seen: once more
 			is.Equal(code, 503)
 			go ask()
 		default:
 			runtime.Gosched()
 		}
 	}
-	p.draining.Store(true)
-	p.Loop.BeginShutdown()
-	is.Equal(<-got, 503)
-	p.rejecting.Store(true)
-	res, err := http.Get(srv.URL + "/v1/jobs/a")
+	handlers.shutdown.draining.Store(true)
+	handlers.Loop.BeginShutdown()
+	is.Equal(<-statusCodes, 503)
+	handlers.shutdown.rejecting.Store(true)
+	response, err := http.Get(server.URL + "/v1/jobs/a")
 	is.NoErr(err)
-	defer res.Body.Close()
-	var f apierror.Error
-	is.NoErr(json.NewDecoder(res.Body).Decode(&f))
-	is.Equal(f.Kind, apierror.ShuttingDown)
-	is.True(res.Close)
-}
-
-func TestFullQueueRejectsAtOnce(t *testing.T) {
-	is := is.New(t)
-	o := NewEventLoop(nil, nil) // nobody takes from it
-	took := 0
-	for o.Deliver(wire.Message{Kind: wire.ForwardRequest}) {
-		took++
-	}
-	is.True(took >= 1000)
-	a := o.Ask(context.Background(), "job.get", "a", nil)
-	is.Equal(a.Error.Kind, apierror.TooBusy)
-	is.True(a.Error.RetryAfterSeconds > 0)
-	for kind := range map[wire.Kind]bool{wire.AppendEntries: true, wire.RequestVote: true, wire.ConfigWatch: true, wire.Heartbeat: true, wire.StatusReport: true} {
-		is.True(o.Deliver(wire.Message{Kind: kind})) // one class leaves the others their room
-	}
-	refused, _ := o.queue.rejected()
-	is.Equal(refused[wire.ClassCallers], uint64(2))
-	is.Equal(refused[wire.ClassConsensus], uint64(0))
+	is.Equal(readError(t, response).Kind, apierror.ShuttingDown)
+	is.True(response.Close)
 }
--- a/internal/server/open_log.go
+++ b/internal/server/open_log.go
@@ -2,7 +2,10 @@
 
 import (
 	"context"
+	"errors"
+	"net"
 	"net/http"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -13,65 +16,85 @@
 	"coppercourse/internal/wire"
 )
 
-// OpenLog opens the log of a data folder, and waits for a disk that refuses: a
-// daemon without its log may neither vote nor lead, and doesn't know yet what it
-// has promised, but ending itself would mend nothing. While it waits, its inner
-// address tells that it is alive, not ready, and why. The error is that of ctx.
-func OpenLog(ctx context.Context, log logr.Logger, storage wal.Storage, dir, listen string) (*wal.File, [][]byte, error) {
-	waitHandler := &diskWaitHandler{}
-	defer waitHandler.stop()
-	for failures := 1; ; failures++ {
-		file, records, spoilt, err := wal.Open(storage, dir)
-		if spoilt != "" {
-			log.Error(nil, "write-ahead log is damaged; moved it aside and starting as a new member", "moved_to", spoilt)
+// OpenLog opens the log of a data folder and returns it with its records. It waits for a
+// disk that refuses: a daemon without its log does not know which votes it has given, so
+// it may neither vote nor lead, but to end would mend nothing. While it waits, the daemon
+// answers at listen that it is live, not ready, and why; an empty listen address leaves
+// that out. The only error is that of ctx.
+func OpenLog(ctx context.Context, logger logr.Logger, storage wal.Storage, dir, listen string) (*wal.File, [][]byte, error) {
+	waiting := &diskWaitServer{}
+	defer waiting.close()
+	var backoff diskBackoff
+	for {
+		file, records, damagedPath, err := wal.Open(storage, dir)
+		if damagedPath != "" {
+			logger.Error(nil, "write-ahead log is damaged; moved it aside and starting as a new member",
+				"moved_to", damagedPath)
 		}
 		if err == nil {
 			return file, records, nil
 		}
-		if failures == 1 || retryDelay(failures) > retryDelay(failures-1) {
-			log.Error(err, "write-ahead log cannot be opened, retrying", "failures", failures, "retry_in", retryDelay(failures).String())
+		backoff.failures++
+		if backoff.worthLogging() {
+			logger.Error(err, "write-ahead log cannot be opened, retrying",
+				"failures", backoff.failures, "retry_in", backoff.delay().String())
 		}
-		waitHandler.show(ctx, log, listen, err)
+		waiting.show(ctx, logger, listen, err)
 		select {
 		case <-ctx.Done():
 			return nil, nil, ctx.Err()
-		case <-time.After(retryDelay(failures)):
+		case <-time.After(backoff.delay()):
 		}
 	}
 }
 
-// diskWaitHandler answers for a daemon that has not opened its log.
-type diskWaitHandler struct {
-	reason atomic.Value
-	server *http.Server
+// diskWaitServer is the HTTP server of a daemon that has not opened its log.
+type diskWaitServer struct {
+	handler diskWaitHandler
+	server  *http.Server // nil until there is something to show
+	serving sync.WaitGroup
 }
 
-// show tells why the daemon waits, from now on.
-func (d *diskWaitHandler) show(ctx context.Context, log logr.Logger, listen string, why error) {
-	d.reason.Store(why.Error())
-	if d.server != nil || listen == "" {
+// show sets the reason why the daemon waits, and starts the server at the first one.
+func (s *diskWaitServer) show(ctx context.Context, logger logr.Logger, addr string, reason error) {
+	s.handler.setReason(reason.Error())
+	if s.server != nil || addr == "" {
 		return
 	}
-	ln, err := Listen(ctx, listen)
+	listener, err := Listen(ctx, addr)
 	if err != nil {
-		log.Error(err, "cannot serve the status page while the write-ahead log is not open")
+		logger.Error(err, "cannot serve the status page while the write-ahead log is not open")
 		return
 	}
-	d.server = &http.Server{Handler: d, ReadHeaderTimeout: time.Second}
-	go d.server.Serve(ln)
+	s.server = &http.Server{Handler: &s.handler, ReadHeaderTimeout: time.Second}
+	s.serving.Go(func() { s.serve(logger, listener) })
+}
+
+func (s *diskWaitServer) serve(logger logr.Logger, listener net.Listener) {
+	if err := s.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		logger.Error(err, "the status page ended before the write-ahead log was open")
+	}
 }
 
-func (d *diskWaitHandler) stop() {
-	if d.server != nil {
-		d.server.Close()
+// close ends the server, so that its address is free for the daemon.
+func (s *diskWaitServer) close() {
+	if s.server != nil {
+		s.server.Close()
+		s.serving.Wait()
 	}
 }
 
-func (d *diskWaitHandler) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	reason := "the log can't be opened: " + d.reason.Load().(string)
-	switch q.URL.Path {
+// diskWaitHandler answers for a daemon that has not opened its log.
+type diskWaitHandler struct{ reason atomic.Pointer[string] }
+
+func (h *diskWaitHandler) setReason(reason string) { h.reason.Store(&reason) }
+
+// ServeHTTP answers that the daemon is live and not ready, and why.
+func (h *diskWaitHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	reason := "the log can't be opened: " + *h.reason.Load()
+	switch r.URL.Path {
 	case "/live":
-		writeJSON(w, http.StatusOK, []byte(`{"live":true}`))
+		writeJSON(w, http.StatusOK, []byte(liveBody))
 	case "/v1/status":
 		writeJSON(w, http.StatusOK, wire.EncodeBody(diskWaitStatus{Reason: reason}))
 	default:
@@ -79,7 +102,7 @@
 	}
 }
 
-// diskWaitStatus is what a status page says before there is a member.
+// diskWaitStatus is the status of a daemon that has not opened its log.
 type diskWaitStatus struct {
 	Ready  bool   `json:"ready"`
 	Reason string `json:"reason"`
--- /dev/null
+++ b/internal/server/peer_queue.go
@@ -0,0 +1,99 @@
+package server
+
+import (
+	"sync"
+
+	"coppercourse/internal/wire"
+)
+
+// Bounds of what waits for one peer, and of what goes out with one request.
+const (
+	maxQueuedMessages     = 1024
+	maxQueuedBytes        = 2 << 20
+	maxMessagesPerRequest = 128
+	maxRequestBytes       = 256 << 10
+)
+
+// peerQueue holds the messages that wait for one peer, by class and oldest first. More
+// urgent ones leave first. A full queue drops the oldest of the least urgent: newer ones
+// say the same or more. It is safe for use by several goroutines.
+type peerQueue struct {
+	mu      sync.Mutex
+	byClass [wire.NumClasses][]wire.Message
+	count   int
+	bytes   int           // of all bodies
+	wake    chan struct{} // has an element once a message was added
+}
+
+func newPeerQueue() *peerQueue { return &peerQueue{wake: make(chan struct{}, 1)} }
+
+// put adds a message and returns how many were dropped for it.
+func (q *peerQueue) put(message wire.Message) (dropped int) {
+	q.mu.Lock()
+	class := wire.ClassOfKind(message.Kind)
+	q.byClass[class] = append(q.byClass[class], message)
+	q.count++
+	q.bytes += len(message.Body)
+	for q.bytes > maxQueuedBytes && q.count > 1 || q.count > maxQueuedMessages {
+		q.remove(q.leastUrgent(), 1)
+		dropped++
+	}
+	q.mu.Unlock()
+	select {
+	case q.wake <- struct{}{}:
+	default:
+	}
+	return dropped
+}
+
+// leastUrgent returns the least urgent class that has messages.
+func (q *peerQueue) leastUrgent() wire.Class {
+	for class := wire.NumClasses - 1; class > 0; class-- {
+		if len(q.byClass[class]) > 0 {
+			return class
+		}
+	}
+	return 0
+}
+
+// remove takes the n oldest messages of a class out.
+func (q *peerQueue) remove(class wire.Class, n int) []wire.Message {
+	waiting := q.byClass[class]
+	removed, rest := waiting[:n:n], waiting[n:]
+	for _, message := range removed {
+		q.bytes -= len(message.Body)
+	}
+	q.count -= n
+	if len(rest) == 0 {
+		rest = nil // lets go of the array
+	}
+	q.byClass[class] = rest
+	return removed
+}
+
+// take takes out as many messages as fit into one request, the most urgent first. It stops
+// at the first that does not fit, so that a less urgent one does not overtake it.
+func (q *peerQueue) take() (group []wire.Message) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	bytes := 0
+	for class := range wire.NumClasses {
+		waiting := q.byClass[class]
+		n := 0
+		for n < len(waiting) && len(group)+n < maxMessagesPerRequest {
+			body := len(waiting[n].Body)
+			if bytes > 0 && bytes+body > maxRequestBytes {
+				break
+			}
+			bytes += body
+			n++
+		}
+		if n > 0 {
+			group = append(group, q.remove(class, n)...)
+		}
+		if n < len(waiting) {
+			break
+		}
+	}
+	return group
+}
--- /dev/null
+++ b/internal/server/peer_queue_test.go
@@ -0,0 +1,67 @@
+package server
+
+import (
+	"bytes"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/wire"
+)
+
+// What waits for a peer that takes nothing is bounded in bytes, and the newest stay.
+func TestPeerQueueBoundsBytesAndKeepsTheNewest(t *testing.T) {
+	is := is.New(t)
+	queue := newPeerQueue()
+	big := bytes.Repeat([]byte("x"), 100<<10)
+	dropped := 0
+	for i := range 200 {
+		dropped += queue.put(wire.Message{Kind: wire.Kind(rune('a' + i%26)), Body: big})
+	}
+	is.True(queue.bytes <= maxQueuedBytes)
+	kept := queue.byClass[wire.ClassBackground]
+	is.Equal(len(kept)+dropped, 200)
+	is.Equal(queue.count, len(kept))
+	is.Equal(kept[len(kept)-1].Kind, wire.Kind(rune('a'+199%26)))
+	for group := queue.take(); len(group) > 0; group = queue.take() {
+		size := 0
+		for _, message := range group {
+			size += len(message.Body)
+		}
+		is.True(size <= maxRequestBytes)
+	}
+	is.Equal(queue.bytes, 0)
+	for range 5000 {
+		queue.put(wire.Message{Body: []byte("1")})
+	}
+	is.Equal(queue.count, maxQueuedMessages)
+	is.Equal(len(queue.take()), maxMessagesPerRequest)
+}
+
+// A heartbeat goes out with the next request, before what a slow link has left waiting, and
+// is not what a full queue drops.
+func TestUrgentMessagesLeaveFirst(t *testing.T) {
+	is := is.New(t)
+	queue := newPeerQueue()
+	big := bytes.Repeat([]byte("x"), 100<<10)
+	for range 30 {
+		queue.put(wire.Message{Kind: wire.ForwardRequest, Body: big})
+	}
+	queue.put(wire.Message{Kind: wire.StatusReport, Body: big})
+	queue.put(wire.Message{Kind: wire.ConfigWatch})
+	queue.put(wire.Message{Kind: wire.AppendEntries})
+	for range 30 {
+		queue.put(wire.Message{Kind: wire.ForwardRequest, Body: big})
+	}
+	var kinds []wire.Kind
+	for _, message := range queue.take() {
+		kinds = append(kinds, message.Kind)
+	}
+	is.Equal(kinds, []wire.Kind{wire.AppendEntries, wire.ConfigWatch, wire.StatusReport, wire.ForwardRequest})
+	for range 2 * maxQueuedMessages {
+		queue.put(wire.Message{Kind: wire.ForwardRequest})
+	}
+	queue.put(wire.Message{Kind: wire.AppendEntries})
+	is.Equal(queue.count, maxQueuedMessages)
+	is.Equal(queue.take()[0].Kind, wire.AppendEntries)
+}
--- /dev/null
+++ b/internal/server/requests_test.go
@@ -0,0 +1,98 @@
+package server
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+	"coppercourse/internal/workqueue"
+)
+
+func TestSubmissionsAreRejectedWhileTheLoopIsBehind(t *testing.T) {
+	is := is.New(t)
+	now := types.MonoTime(0)
+	loop, _ := newStalledLoop(t, &now)
+	go loop.Ask(t.Context(), "job.get", "a", nil)
+	loop.waitForQueued(1)
+	now = types.MonoTime(workqueue.MaxSubmitDelay + 2*time.Second)
+	response := loop.Ask(context.Background(), "job.put", "b", nil)
+	is.Equal(response.Error.Kind, apierror.TooBusy)
+	is.Equal(response.Error.RetryAfterSeconds, 5) // twice as long as the loop is behind
+	is.Equal(loop.queue.len(), 1)
+	go loop.Ask(t.Context(), "job.cancel", "a", nil) // brings no new work: it may wait
+	loop.waitForQueued(2)
+}
+
+// A request whose caller gave up before the machine took it was surely not taken, and the
+// machine never sees it.
+func TestAbandonedRequestIsAnsweredAtOnceAndNotProcessed(t *testing.T) {
+	is := is.New(t)
+	now := types.MonoTime(0)
+	loop, machine := newStalledLoop(t, &now)
+	ctx, giveUp := context.WithCancel(context.Background())
+	defer giveUp()
+	responses := make(chan wire.Response)
+	go func() { responses <- loop.Ask(ctx, "job.put", "a", nil) }()
+	loop.waitForQueued(1)
+	giveUp()
+	is.Equal((<-responses).Error.Kind, apierror.TooBusy)
+	e, ok := loop.queue.pop()
+	is.True(ok)
+	loop.handle(e)
+	is.Equal(len(machine.events), 0)
+}
+
+// A request that the loop does not get to is answered at the next tick.
+func TestExpiredRequestIsAnsweredUnprocessed(t *testing.T) {
+	is := is.New(t)
+	now := types.MonoTime(0)
+	loop, machine := newStalledLoop(t, &now)
+	responses := make(chan wire.Response)
+	go func() { responses <- loop.Ask(t.Context(), "job.get", "a", nil) }()
+	loop.waitForQueued(1)
+	now = types.MonoTime(workqueue.MaxRequestWait) + 1
+	loop.tick()
+	is.Equal((<-responses).Error.Kind, apierror.TooBusy)
+	is.Equal(loop.queue.len(), 0)
+	is.Equal(machine.requests(), 0)
+}
+
+// A request that the machine may have taken is not answered as one that it has not.
+func TestRequestInFlightAtShutdownIsUnresolved(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		machine := &recorder{}
+		loop := newTestLoop(t, Config{Machine: machine})
+		stop := runInBackground(t, loop)
+		responses := make(chan wire.Response)
+		go func() { responses <- loop.Ask(context.Background(), "job.put", "a", nil) }()
+		synctest.Wait() // the machine has it, and may have forwarded it to the leader
+		is.Equal(machine.requests(), 1)
+		stop()
+		is.Equal((<-responses).Error.Kind, apierror.OutcomeUnknown)
+		late := loop.Ask(context.Background(), "job.put", "a", nil)
+		is.Equal(late.Error.Kind, apierror.ShuttingDown) // this one it never saw
+		is.Equal(machine.requests(), 1)
+	})
+}
+
+func TestRequestCarriesItsTimeout(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		loop := newTestLoop(t, Config{Machine: &echoMachine{}})
+		stop := runInBackground(t, loop)
+		is.Equal(string(loop.Ask(context.Background(), "x", "", nil).Body), "false")
+		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+		defer cancel()
+		is.Equal(string(loop.Ask(ctx, "x", "", nil).Body), "true")
+		stop()
+		<-loop.stopped
+		is.Equal(loop.Ask(context.Background(), "x", "", nil).Error.Kind, apierror.ShuttingDown)
+	})
+}
--- a/internal/server/sender.go
+++ b/internal/server/sender.go
@@ -1,6 +1,3 @@
-// Outgoing messages: one queue and one connection for each peer, what waits in
-// a queue shares a request, and what does not get through is dropped, since the
-// machines repeat whatever matters.
 package server
 
 import (
@@ -17,158 +14,124 @@
 )
 
 const (
-	maxQueuedMessages     = 1024
-	maxQueuedBytes        = 2 << 20
-	maxMessagesPerRequest = 128
-	maxRequestBytes       = 256 << 10
-	dialTimeout           = 300 * time.Millisecond // for a connection; a peer without power says nothing
-	requestTimeout        = 500 * time.Millisecond // for a request, and more for its size
-	minBytesPerMS         = 200                    // bytes a millisecond, of a thin link
-	maxPeers              = 4000
+	// maxPeers bounds the peers that a daemon keeps a queue for.
+	maxPeers = 4000
+	// requestTimeout bounds a request to a peer, besides the time that its size takes at
+	// minBytesPerMS, the rate of a slow link in bytes a millisecond.
+	requestTimeout = 500 * time.Millisecond
+	minBytesPerMS  = 200
+	// maxDiscardedBytes is how much of a response is read so that its connection can be
+	// used again.
+	maxDiscardedBytes = 4096
 )
 
-// Sender sends notes.
-type Sender struct {
-	ctx     context.Context
-	client  *http.Client
-	mu      sync.Mutex
-	queues  map[types.Addr]*peerQueue
-	Sent    atomic.Uint64
-	Failed  atomic.Uint64
-	Dropped atomic.Uint64
-}
+// messagesPath is where every daemon takes the messages of its peers.
+const messagesPath = "/mate"
 
-// peerQueue is what waits for one peer, by class and oldest first. It holds so many bytes
-// at most. What is more urgent goes first; the oldest of the least urgent are dropped
-// first, since newer ones say the same or more.
-type peerQueue struct {
-	mu      sync.Mutex
-	byClass [wire.NumClasses][]wire.Message
-	count   int
-	size    int
-	wake    chan struct{}
-}
+// Sender sends messages to other daemons. Each peer has a queue, a goroutine and a
+// connection of its own, and the messages that wait for it share a request. A message
+// that does not get through is dropped, since the machines repeat whatever matters.
+type Sender struct {
+	Sent    atomic.Uint64 // messages that a peer has taken
+	Failed  atomic.Uint64 // requests without a response
+	Dropped atomic.Uint64 // messages for which there was no room
 
-func (p *peerQueue) put(n wire.Message) (dropped int) {
-	p.mu.Lock()
-	class := wire.ClassOfKind(n.Kind)
-	p.byClass[class] = append(p.byClass[class], n)
-	p.count++
-	p.size += len(n.Body)
-	for p.size > maxQueuedBytes && p.count > 1 || p.count > maxQueuedMessages {
-		p.remove(p.leastUrgent(), 1)
-		dropped++
-	}
-	p.mu.Unlock()
-	select {
-	case p.wake <- struct{}{}:
-	default:
-	}
-	return
-}
+	client *http.Client
+	mu     sync.Mutex
+	queues map[types.Addr]*peerQueue
+	closed bool
 
-// leastUrgent is the least urgent class of which anything waits.
-func (p *peerQueue) leastUrgent() wire.Class {
-	for c := wire.NumClasses - 1; c > 0; c-- {
-		if len(p.byClass[c]) > 0 {
-			return c
-		}
-	}
-	return 0
+	// The context bounds the goroutines of all peers, not one operation, so it is a field.
+	ctx     context.Context
+	cancel  context.CancelFunc
+	running sync.WaitGroup
 }
 
-// remove takes the oldest of a class out.
-func (p *peerQueue) remove(c wire.Class, n int) (group []wire.Message) {
-	group = p.byClass[c][:n:n]
-	for _, m := range group {
-		p.size -= len(m.Body)
+// NewSender returns a sender whose connections come from a source IP, if it is not empty.
+// Close ends it.
+func NewSender(source string) *Sender {
+	ctx, cancel := context.WithCancel(context.Background())
+	return &Sender{
+		client: NewClient(source, 0), // each request has a timeout of its own, by its size
+		queues: map[types.Addr]*peerQueue{},
+		ctx:    ctx,
+		cancel: cancel,
 	}
-	p.count -= n
-	if p.byClass[c] = p.byClass[c][n:]; len(p.byClass[c]) == 0 {
-		p.byClass[c] = nil
-	}
-	return
 }
 
-// take gives what fits into one request.
-func (p *peerQueue) take() (group []wire.Message) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	size := 0
-	for c := range wire.NumClasses {
-		n := 0
-		for n < len(p.byClass[c]) && len(group)+n < maxMessagesPerRequest {
-			body := len(p.byClass[c][n].Body)
-			if size > 0 && size+body > maxRequestBytes {
-				break
-			}
-			size += body
-			n++
-		}
-		whole := n == len(p.byClass[c])
-		if n > 0 {
-			group = append(group, p.remove(c, n)...)
-		}
-		if !whole {
-			break
-		}
+// Send queues a message and returns at once.
+func (s *Sender) Send(message wire.OutboundMessage) {
+	queue := s.queueOf(message.To)
+	if queue == nil {
+		s.Dropped.Add(1)
+		return
 	}
-	return
-}
-
-// NewSender makes a sender whose connections come from the given IP, if any. The
-// time of each request goes by its size, so the client has no bound of its own.
-func NewSender(ctx context.Context, source string) *Sender {
-	return &Sender{ctx: ctx, client: NewClient(source, 0), queues: map[types.Addr]*peerQueue{}}
+	s.Dropped.Add(uint64(queue.put(message.Message)))
 }
 
-// Send puts a note into its lane; a full lane drops its oldest.
-func (se *Sender) Send(s wire.OutboundMessage) {
-	se.mu.Lock()
-	l := se.queues[s.To]
-	if l == nil {
-		if len(se.queues) >= maxPeers {
-			se.mu.Unlock()
-			se.Dropped.Add(1)
-			return
-		}
-		l = &peerQueue{wake: make(chan struct{}, 1)}
-		se.queues[s.To] = l
-		go se.sendQueued(s.To, l)
+// queueOf returns the queue of a peer and starts it if need be. It returns nil if there
+// are too many.
+func (s *Sender) queueOf(to types.Addr) *peerQueue {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	queue := s.queues[to]
+	if queue == nil && !s.closed && len(s.queues) < maxPeers {
+		queue = newPeerQueue()
+		s.queues[to] = queue
+		s.running.Go(func() { s.sendQueued(to, queue) })
 	}
-	se.mu.Unlock()
-	se.Dropped.Add(uint64(l.put(s.Message)))
+	return queue
 }
 
-func (se *Sender) sendQueued(to types.Addr, l *peerQueue) {
+// sendQueued sends what waits for a peer until the sender is closed.
+func (s *Sender) sendQueued(to types.Addr, queue *peerQueue) {
 	for {
 		select {
-		case <-se.ctx.Done():
+		case <-s.ctx.Done():
 			return
-		case <-l.wake:
+		case <-queue.wake:
 		}
-		for group := l.take(); len(group) > 0 && se.ctx.Err() == nil; group = l.take() {
-			se.deliver(to, group)
+		for group := queue.take(); len(group) > 0 && s.ctx.Err() == nil; group = queue.take() {
+			s.deliver(to, group)
 		}
 	}
 }
 
-func (se *Sender) deliver(to types.Addr, group []wire.Message) {
-	b := wire.EncodeMessages(group)
-	ctx, stop := context.WithTimeout(se.ctx, requestTimeout+time.Duration(len(b)/minBytesPerMS)*time.Millisecond)
-	defer stop()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+string(to)+"/mate", bytes.NewReader(b))
-	if err != nil {
-		se.Failed.Add(1)
+// deliver makes one request with a group of messages and counts its outcome.
+func (s *Sender) deliver(to types.Addr, group []wire.Message) {
+	if err := s.post(to, wire.EncodeMessages(group)); err != nil {
+		s.Failed.Add(1)
 		return
 	}
-	req.Header.Set("Content-Type", "application/json")
-	res, err := se.client.Do(req)
+	s.Sent.Add(uint64(len(group)))
+}
+
+// post makes one request. Any response counts as success: what the peer makes of the
+// messages is up to its machine.
+func (s *Sender) post(to types.Addr, body []byte) error {
+	timeout := requestTimeout + time.Duration(len(body)/minBytesPerMS)*time.Millisecond
+	ctx, cancel := context.WithTimeout(s.ctx, timeout)
+	defer cancel()
+	url := "http://" + string(to) + messagesPath
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		se.Failed.Add(1)
-		return
+		return err
 	}
-	io.Copy(io.Discard, io.LimitReader(res.Body, 4096))
-	res.Body.Close()
-	se.Sent.Add(uint64(len(group)))
+	request.Header.Set("Content-Type", "application/json")
+	response, err := s.client.Do(request)
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscardedBytes))
+	return nil
+}
+
+// Close gives up what is queued or under way and waits for the goroutines of all peers.
+func (s *Sender) Close() {
+	s.mu.Lock()
+	s.closed = true
+	s.mu.Unlock()
+	s.cancel()
+	s.running.Wait()
 }
--- a/internal/server/sender_test.go
+++ b/internal/server/sender_test.go
@@ -1,67 +1,68 @@
 package server
 
 import (
-	"bytes"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync/atomic"
 	"testing"
 
 	"github.com/matryer/is"
 
+	"coppercourse/internal/httpfault"
+	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 )
 
-// What waits for a peer that takes nothing is bounded in bytes, and the newest stay.
-func TestPeerQueueBoundsBytesAndKeepsTheNewest(t *testing.T) {
-	is := is.New(t)
-	l := &peerQueue{wake: make(chan struct{}, 1)}
-	big := bytes.Repeat([]byte("x"), 100<<10)
-	dropped := 0
-	for i := range 200 {
-		dropped += l.put(wire.Message{Kind: wire.Kind(rune('a' + i%26)), Body: big})
-	}
-	is.True(l.size <= maxQueuedBytes)
-	kept := l.byClass[wire.ClassBackground]
-	is.Equal(len(kept)+dropped, 200)
-	is.Equal(l.count, len(kept))
-	is.Equal(kept[len(kept)-1].Kind, wire.Kind(rune('a'+199%26)))
-	for group := l.take(); len(group) > 0; group = l.take() {
-		size := 0
-		for _, n := range group {
-			size += len(n.Body)
-		}
-		is.True(size <= maxRequestBytes)
-	}
-	is.Equal(l.size, 0)
-	for range 5000 {
-		l.put(wire.Message{Body: []byte("1")})
+// A request is made once, whenever its peer breaks off: the machines repeat its messages
+// if they want to.
+func TestMessagesAreNotResentByTheTransport(t *testing.T) {
+	for _, moment := range httpfault.Moments {
+		t.Run(moment.Name, func(t *testing.T) {
+			is := is.New(t)
+			peer := httpfault.Start(t, "HTTP/1.1 204 No Content\r\n\r\n", moment)
+			sender := NewSender("")
+			defer sender.Close()
+			group := []wire.Message{{Kind: "a"}}
+			sender.deliver(peer.Addr, group)
+			is.Equal(sender.Sent.Load(), uint64(1))
+			sender.deliver(peer.Addr, group)
+			<-peer.Finished
+			is.Equal(peer.Broken.Load(), int32(1))
+			if moment.ResponseStarted { // the peer has taken the messages
+				is.Equal(sender.Sent.Load(), uint64(2))
+				is.Equal(sender.Failed.Load(), uint64(0))
+			} else {
+				is.Equal(sender.Sent.Load(), uint64(1))
+				is.Equal(sender.Failed.Load(), uint64(1))
+			}
+		})
 	}
-	is.Equal(l.count, maxQueuedMessages)
-	is.Equal(len(l.take()), maxMessagesPerRequest)
 }
 
-// A heartbeat goes out with the next request, before what a slow link has left
-// waiting, and is not what a full lane drops.
-func TestUrgentMessagesLeaveFirst(t *testing.T) {
+func TestMessagesAreNotRedirected(t *testing.T) {
 	is := is.New(t)
-	l := &peerQueue{wake: make(chan struct{}, 1)}
-	big := bytes.Repeat([]byte("x"), 100<<10)
-	for range 30 {
-		l.put(wire.Message{Kind: wire.ForwardRequest, Body: big})
-	}
-	l.put(wire.Message{Kind: wire.StatusReport, Body: big})
-	l.put(wire.Message{Kind: wire.ConfigWatch})
-	l.put(wire.Message{Kind: wire.AppendEntries})
-	for range 30 {
-		l.put(wire.Message{Kind: wire.ForwardRequest, Body: big})
-	}
-	var kinds []wire.Kind
-	for _, n := range l.take() {
-		kinds = append(kinds, n.Kind)
-	}
-	is.Equal(kinds, []wire.Kind{wire.AppendEntries, wire.ConfigWatch, wire.StatusReport, wire.ForwardRequest})
-	for range 2 * maxQueuedMessages {
-		l.put(wire.Message{Kind: wire.ForwardRequest})
-	}
-	l.put(wire.Message{Kind: wire.AppendEntries})
-	is.Equal(l.count, maxQueuedMessages)
-	is.Equal(l.take()[0].Kind, wire.AppendEntries)
+	var redirected atomic.Int32
+	far := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { redirected.Add(1) }))
+	defer far.Close()
+	near := httptest.NewServer(http.RedirectHandler(far.URL, http.StatusTemporaryRedirect))
+	defer near.Close()
+	sender := NewSender("")
+	defer sender.Close()
+	sender.deliver(types.Addr(strings.TrimPrefix(near.URL, "http://")), []wire.Message{{Kind: "a"}})
+	is.Equal(redirected.Load(), int32(0))
+}
+
+// A closed sender has ended its goroutines and takes nothing any more.
+func TestClosedSenderSendsNothing(t *testing.T) {
+	is := is.New(t)
+	var requests atomic.Int32
+	peer := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests.Add(1) }))
+	defer peer.Close()
+	sender := NewSender("")
+	sender.Close()
+	to := types.Addr(strings.TrimPrefix(peer.URL, "http://"))
+	sender.Send(wire.OutboundMessage{To: to, Message: wire.Message{Kind: "a"}})
+	is.Equal(sender.Dropped.Load(), uint64(1))
+	is.Equal(requests.Load(), int32(0))
 }
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -1,5 +1,3 @@
-// A daemon on several addresses: each answers its own, bounds of connections
-// change without a restart, and calls to a worker come back as events.
 package server
 
 import (
@@ -10,7 +8,6 @@
 	"net"
 	"net/http"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
@@ -19,210 +16,151 @@
 	"github.com/go-logr/logr"
 	"github.com/matryer/is"
 
-	"coppercourse/internal/apierror"
 	"coppercourse/internal/config"
-	"coppercourse/internal/wire"
 )
 
-// echoMachine is a machine that calls a worker at its first step and keeps the replies.
-type echoMachine struct {
-	calls    []wire.WorkerCall
-	replies  chan wire.WorkerReply
-	shutdown bool
-}
-
-func (em *echoMachine) Step(e wire.Event) wire.Effects {
-	out := wire.Effects{Calls: em.calls, Drained: em.shutdown}
-	em.calls = nil
-	if e.WorkerReply != nil {
-		em.replies <- *e.WorkerReply
-	}
-	if e.Request != nil {
-		out.Responses = []wire.Response{{Token: e.Request.Token, StatusCode: 200, Body: wire.EncodeBody(e.Request.Timeout > 0)}}
-	}
-	em.shutdown = em.shutdown || e.Shutdown
-	return out
-}
-
+// freeAddr returns a loopback address that nobody listens on.
 func freeAddr(t *testing.T) string {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	return ln.Addr().String()
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
-func textHandler(what string) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { io.WriteString(w, what) })
+// textHandler answers with a text.
+func textHandler(text string) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, text) })
 }
 
-// testTimeout is a time that only what never ends would take on any machine.
-const testTimeout = 2 * time.Minute
+// readText returns a response's status code and as much of its body as came: a server that
+// rejects a header closes the connection before it has read all of it, which may cost the
+// end of the response.
+func readText(response *http.Response) string {
+	defer response.Body.Close()
+	text, _ := io.ReadAll(response.Body)
+	return fmt.Sprint(response.StatusCode, " ", string(text))
+}
 
+// getWhenServed makes a request with a header of its own on a new connection, again until
+// somebody listens. It fails the test if the daemon ends before.
+func getWhenServed(t *testing.T, addr, header string, ended <-chan error) string {
+	t.Helper()
+	for {
+		request, err := http.NewRequest(http.MethodGet, "http://"+addr, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		request.Header.Set("X-Long", header)
+		request.Close = true
+		if response, err := http.DefaultClient.Do(request); err == nil {
+			return readText(response)
+		}
+		select {
+		case err := <-ended:
+			t.Fatal("ended before it was told to: ", err)
+		case <-time.After(10 * time.Millisecond):
+		}
+	}
+}
+
+// Each endpoint has its own handler, and its limits change without a restart: they hold
+// for connections made from then on, the earlier ones for those made before.
 func TestEachEndpointServesItsOwnHandler(t *testing.T) {
 	is := is.New(t)
-	a, b := freeAddr(t), freeAddr(t)
-	o := NewEventLoop(NewSender(context.Background(), ""), nil)
-	o.SetMachine(&echoMachine{})
-	p := &Handlers{Loop: o, Ready: func() bool { return true }}
+	inner, front := freeAddr(t), freeAddr(t)
+	handlers := NewHandlers(newTestLoop(t, Config{Machine: &echoMachine{}}), nil)
 	var limits atomic.Pointer[config.Limits]
 	limits.Store(&config.Limits{HeaderBytes: 1000, IdleTimeoutMillis: 100, HeaderTimeoutMillis: int(testTimeout.Milliseconds())})
 	ctx, stop := context.WithCancel(context.Background())
-	end := make(chan error)
+	defer stop()
+	ended := make(chan error)
 	go func() {
-		end <- Serve(ctx, logr.Discard(), p, NewShutdownTiming(800*time.Millisecond, 200*time.Millisecond),
-			Endpoint{Addr: a, Handler: textHandler("inner")}, Endpoint{Addr: b, Handler: textHandler("front"), Limits: func() config.Limits { return *limits.Load() }})
+		ended <- Serve(ctx, logr.Discard(), handlers, NewShutdownTiming(800*time.Millisecond, 200*time.Millisecond),
+			Endpoint{Addr: inner, Handler: textHandler("inner")},
+			Endpoint{Addr: front, Handler: textHandler("front"), Limits: func() config.Limits { return *limits.Load() }})
 	}()
-	get := func(to, head string) string {
-		for {
-			q, _ := http.NewRequest("GET", "http://"+to, nil)
-			q.Header.Set("X-Long", head)
-			q.Close = true
-			if res, err := http.DefaultClient.Do(q); err == nil {
-				text, _ := io.ReadAll(res.Body)
-				res.Body.Close()
-				return fmt.Sprint(res.StatusCode, " ", string(text))
-			}
-			select {
-			case err := <-end:
-				t.Fatal("ended before it was told to: ", err)
-			case <-time.After(10 * time.Millisecond):
-			}
-		}
-	}
-	is.Equal(get(a, ""), "200 inner")
-	is.Equal(get(b, ""), "200 front")
+	is.Equal(getWhenServed(t, inner, "", ended), "200 inner")
+	is.Equal(getWhenServed(t, front, "", ended), "200 front")
 	long := strings.Repeat("x", 6000)
-	is.True(strings.HasPrefix(get(b, long), "431"))
-	kept, err := net.Dial("tcp", b)
+	is.True(strings.HasPrefix(getWhenServed(t, front, long, ended), "431"))
+
+	kept, err := net.Dial("tcp", front)
 	is.NoErr(err)
+	defer kept.Close()
 	fmt.Fprintf(kept, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-	res, err := http.ReadResponse(bufio.NewReader(kept), nil)
+	response, err := http.ReadResponse(bufio.NewReader(kept), nil)
 	is.NoErr(err)
-	is.Equal(res.StatusCode, 200)
+	is.Equal(response.StatusCode, 200)
 	limits.Store(&config.Limits{HeaderBytes: 16 << 10, IdleTimeoutMillis: 10 * int(testTimeout.Milliseconds())})
-	is.Equal(get(b, long), "200 front") // without a restart
-	kept.SetReadDeadline(time.Now().Add(testTimeout))
+	is.Equal(getWhenServed(t, front, long, ended), "200 front") // without a restart
+	is.NoErr(kept.SetReadDeadline(time.Now().Add(testTimeout)))
 	_, err = io.Copy(io.Discard, kept)
 	is.NoErr(err) // idle past the bound it was made under: closed
+
 	stop()
-	is.NoErr(<-end)
-	is.True(!p.IsReady())
-	_, err = net.Dial("tcp", b)
+	is.NoErr(<-ended)
+	is.True(!handlers.IsReady())
+	_, err = net.Dial("tcp", front)
 	is.True(err != nil)
 }
 
-// pipeListener is a listener whose connections take no time on any machine.
+// pipeListener is a listener whose connections are pipes in memory.
 type pipeListener struct{ *connFeed }
 
+func newPipeListener() pipeListener { return pipeListener{newConnFeed(nil)} }
+
 func (p pipeListener) dial(context.Context, string, string) (net.Conn, error) {
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case p.conns <- far:
-		return near, nil
+	case p.conns <- server:
+		return client, nil
 	case <-p.done:
 		return nil, net.ErrClosed
 	}
 }
 
-// A daemon that is told to end lingers as long as it says, answering as before, and
-// has ended within what there is.
+// A daemon that is told to stop goes on answering for as long as it says, and has ended
+// within its grace period.
 func TestDaemonStopsWithinItsGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
+		const grace, notice = 800 * time.Millisecond, 200 * time.Millisecond
 		ctx, stop := context.WithCancel(context.Background())
-		o := NewEventLoop(NewSender(ctx, ""), nil)
-		o.SetMachine(&echoMachine{})
-		p := &Handlers{Loop: o, Ready: func() bool { return true }}
-		ln := pipeListener{&connFeed{conns: make(chan net.Conn), done: make(chan struct{})}}
-		other := pipeListener{&connFeed{conns: make(chan net.Conn), done: make(chan struct{})}}
-		end := make(chan error)
+		defer stop()
+		handlers := NewHandlers(newTestLoop(t, Config{Machine: &echoMachine{}}), nil)
+		inner, front := newPipeListener(), newPipeListener()
+		ended := make(chan error)
 		go func() {
-			end <- serve(ctx, logr.Discard(), p, NewShutdownTiming(800*time.Millisecond, 200*time.Millisecond),
-				[]*endpointServer{newEndpointServer(other, p, Endpoint{Addr: "inner", Handler: textHandler("inner")}), newEndpointServer(ln, p, Endpoint{Addr: "front", Handler: textHandler("front")})})
+			ended <- serve(ctx, logr.Discard(), handlers, NewShutdownTiming(grace, notice), []*endpointServer{
+				newEndpointServer(inner, handlers, Endpoint{Addr: "inner", Handler: textHandler("inner")}),
+				newEndpointServer(front, handlers, Endpoint{Addr: "front", Handler: textHandler("front")}),
+			})
 		}()
-		client := &http.Client{Transport: &http.Transport{DialContext: ln.dial, DisableKeepAlives: true}}
+		client := &http.Client{Transport: &http.Transport{DialContext: front.dial, DisableKeepAlives: true}}
 		get := func() string {
-			res, err := client.Get("http://front")
+			response, err := client.Get("http://front")
 			is.NoErr(err)
-			defer res.Body.Close()
-			text, _ := io.ReadAll(res.Body)
-			return fmt.Sprint(res.StatusCode, " ", string(text))
+			return readText(response)
 		}
 		time.Sleep(time.Second)
-		is.True(p.IsReady())
+		is.True(handlers.IsReady())
 		is.Equal(get(), "200 front")
-		from := time.Now()
+
+		stoppedAt := time.Now()
 		stop()
-		for _, at := range []time.Duration{50 * time.Millisecond, 199 * time.Millisecond} {
-			time.Sleep(at - time.Since(from))
-			is.True(!p.IsReady())
+		for _, after := range []time.Duration{50 * time.Millisecond, notice - time.Millisecond} {
+			time.Sleep(after - time.Since(stoppedAt))
+			is.True(!handlers.IsReady())
 			is.Equal(get(), "200 front") // not ready, but still answering
 		}
-		is.NoErr(<-end)
-		took := time.Since(from)
-		is.True(took >= 200*time.Millisecond)
-		is.True(took < 800*time.Millisecond)
+		is.NoErr(<-ended)
+		took := time.Since(stoppedAt)
+		is.True(took >= notice)
+		is.True(took < grace)
 		_, err := client.Get("http://front")
 		is.True(err != nil)
 	})
 }
-
-func TestWorkerRepliesBecomeEvents(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		m := &echoMachine{replies: make(chan wire.WorkerReply, 100)}
-		for no := uint64(1); no < 100; no += 2 {
-			m.calls = append(m.calls, wire.WorkerCall{Number: no, Kind: wire.StartAttempt, Timeout: 300 * time.Millisecond},
-				wire.WorkerCall{Number: no + 1, Kind: wire.RenewLease, LongPollWait: time.Second, Timeout: 5 * time.Second})
-		}
-		ctx, stop := context.WithCancel(context.Background())
-		defer stop()
-		o := NewEventLoop(NewSender(ctx, ""), nil)
-		o.SetMachine(m)
-		var mu sync.Mutex
-		var under, most int
-		o.CallWorker = func(ctx context.Context, c wire.WorkerCall) wire.WorkerReply {
-			if c.Kind == wire.RenewLease {
-				return wire.WorkerReply{Result: wire.ResultAccepted}
-			}
-			mu.Lock()
-			under++
-			most = max(most, under)
-			mu.Unlock()
-			time.Sleep(600 * time.Millisecond) // longer than the others can wait
-			mu.Lock()
-			under--
-			mu.Unlock()
-			return wire.WorkerReply{Result: wire.ResultNoReply}
-		}
-		go o.Run(ctx)
-		got := map[wire.CallResult]int{}
-		for range 50 {
-			is.Equal((<-m.replies).Number%2, uint64(0)) // holds do not wait for the rest
-		}
-		for range 50 {
-			got[(<-m.replies).Result]++
-		}
-		is.Equal(got, map[wire.CallResult]int{wire.ResultNoReply: maxConcurrentCalls, wire.ResultUnhealthy: 50 - maxConcurrentCalls}) // the others were never sent
-		is.Equal(most, maxConcurrentCalls)
-	})
-}
-
-func TestRequestCarriesItsTimeout(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		is := is.New(t)
-		ctx, stop := context.WithCancel(context.Background())
-		o := NewEventLoop(NewSender(ctx, ""), nil)
-		o.SetMachine(&echoMachine{})
-		go o.Run(ctx)
-		is.Equal(string(o.Ask(context.Background(), "x", "", nil).Body), "false")
-		short, done := context.WithTimeout(ctx, time.Second)
-		defer done()
-		is.Equal(string(o.Ask(short, "x", "", nil).Body), "true")
-		stop()
-		<-o.stopped
-		is.Equal(o.Ask(context.Background(), "x", "", nil).Error.Kind, apierror.ShuttingDown)
-	})
-}
--- /dev/null
+++ b/internal/server/shutdown.go
@@ -0,0 +1,77 @@
+package server
+
+import (
+	"context"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"github.com/go-logr/logr"
+
+	"coppercourse/internal/apierror"
+)
+
+// shutdownPollInterval is how often a shutdown looks whether all is done.
+const shutdownPollInterval = 10 * time.Millisecond
+
+// ShutdownTiming bounds a graceful shutdown. The daemon goes on as before for NotReadyFor,
+// so that all callers have seen that it is not ready, then rejects new requests, and has
+// ended after Timeout.
+type ShutdownTiming struct{ NotReadyFor, Timeout time.Duration }
+
+// NewShutdownTiming returns the timing of a shutdown that must have ended grace after its
+// begin, if callers take notice to see that a daemon is not ready.
+func NewShutdownTiming(grace, notice time.Duration) ShutdownTiming {
+	return ShutdownTiming{NotReadyFor: min(notice, grace/2), Timeout: grace * 3 / 4}
+}
+
+// shutdownState is how far a graceful shutdown is, as HTTP handlers see it.
+type shutdownState struct {
+	draining  atomic.Bool  // not ready; clients are asked to close their connections
+	rejecting atomic.Bool  // new requests are rejected
+	inFlight  atomic.Int64 // requests that are being handled
+}
+
+// TrackInFlight returns a handler that counts the requests in flight, so that a shutdown
+// can wait for them, and that rejects new ones at its end. Messages of peers pass until
+// the very end: the machine hands its duties over with them.
+func (h *Handlers) TrackInFlight(next http.Handler) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		h.shutdown.inFlight.Add(1)
+		defer h.shutdown.inFlight.Add(-1)
+		fromPeer := r.URL.Path == messagesPath
+		if h.shutdown.draining.Load() && !fromPeer {
+			w.Header().Set("Connection", "close")
+		}
+		if h.shutdown.rejecting.Load() && !fromPeer {
+			WriteError(w, apierror.New(apierror.ShuttingDown, "", "this daemon is stopping; ask another"))
+			return
+		}
+		next.ServeHTTP(w, r)
+	})
+}
+
+// shutDown declares the daemon not ready, has the machine hand its duties over, and
+// returns once all requests are answered, at the latest after the timeout.
+func (h *Handlers) shutDown(ctx context.Context, logger logr.Logger, timing ShutdownTiming) {
+	logger.Info("shutting down: reporting not ready, transferring leadership",
+		"not_ready_for", timing.NotReadyFor.String(), "timeout", timing.Timeout.String())
+	h.shutdown.draining.Store(true)
+	h.Loop.BeginShutdown()
+	ticker := time.NewTicker(shutdownPollInterval)
+	defer ticker.Stop()
+	startedAt := time.Now()
+	for time.Since(startedAt) < timing.Timeout {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		rejecting := time.Since(startedAt) > timing.NotReadyFor
+		h.shutdown.rejecting.Store(rejecting)
+		if rejecting && h.Loop.Drained() && h.shutdown.inFlight.Load() == 0 {
+			break
+		}
+	}
+	logger.Info("stopped", "unanswered", h.shutdown.inFlight.Load(), "after", time.Since(startedAt).String())
+}
--- a/internal/server/sockets.go
+++ b/internal/server/sockets.go
@@ -1,6 +1,3 @@
-// Sockets of a daemon: what it listens on and how it dials. A peer behind a cut
-// or without power says nothing, so both ends probe, and data that is not taken
-// breaks the connection.
 package server
 
 import (
@@ -13,44 +10,77 @@
 	"golang.org/x/sys/unix"
 )
 
+// A peer behind a network partition, or without power, sends nothing that would end its
+// connections. So both ends probe an idle connection, and data that is not acknowledged
+// breaks it.
 const (
-	backlog        = 4096
-	unackedTimeout = 3 * time.Second // data not acknowledged for so long breaks a connection
+	listenBacklog  = 4096                   // connections that may wait to be accepted
+	dialTimeout    = 300 * time.Millisecond // for a connection to be made
+	unackedTimeout = 3 * time.Second        // after which unacknowledged data breaks a connection
 )
 
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: time.Second, Count: 3}
 
-// Listen opens an address with a queue for crowds of new connections.
+// Bounds of an HTTP client's connections.
+const (
+	maxConnsPerHost     = 512
+	maxIdleConnsPerHost = 64
+	idleConnTimeout     = 30 * time.Second
+)
+
+// Listen opens a TCP address, with a backlog for crowds of new connections.
 func Listen(ctx context.Context, addr string) (net.Listener, error) {
-	lc := net.ListenConfig{KeepAliveConfig: keepAlive}
-	ln, err := lc.Listen(ctx, "tcp", addr)
+	config := net.ListenConfig{KeepAliveConfig: keepAlive}
+	listener, err := config.Listen(ctx, "tcp", addr)
 	if err != nil {
-		return nil, err
+		return nil, err // names the address
 	}
-	if raw, err := ln.(*net.TCPListener).SyscallConn(); err == nil {
-		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), backlog) })
+	setBacklog(listener)
+	return listener, nil
+}
+
+// setBacklog raises a listener's backlog above the system's default. A listener without
+// a socket of its own keeps the default, as does one whose socket refuses.
+func setBacklog(listener net.Listener) {
+	tcp, ok := listener.(*net.TCPListener)
+	if !ok {
+		return
+	}
+	if raw, err := tcp.SyscallConn(); err == nil {
+		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), listenBacklog) })
 	}
-	return ln, nil
 }
 
-// NewDialer dials from one source IP, if any.
+// NewDialer returns a dialer that dials from a source IP, if it is not empty.
 func NewDialer(source string) *net.Dialer {
-	d := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) {
-			unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout/time.Millisecond))
-		})
-	}}
+	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: setUnackedTimeout}
 	if ip := net.ParseIP(source); ip != nil {
-		d.LocalAddr = &net.TCPAddr{IP: ip}
+		dialer.LocalAddr = &net.TCPAddr{IP: ip}
 	}
-	return d
+	return dialer
+}
+
+// setUnackedTimeout bounds the time that data may stay unacknowledged on a socket.
+func setUnackedTimeout(_, _ string, raw syscall.RawConn) error {
+	return raw.Control(func(fd uintptr) {
+		unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout/time.Millisecond))
+	})
 }
 
-// RefuseRedirect keeps a client from sending a request on to where its answer points.
+// RefuseRedirect keeps an HTTP client from following a redirect.
 func RefuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// NewClient is an HTTP client that dials from one source IP. It follows no redirect.
-func NewClient(source string, wait time.Duration) *http.Client {
-	return &http.Client{Timeout: wait, CheckRedirect: RefuseRedirect, Transport: &http.Transport{DialContext: NewDialer(source).DialContext, MaxIdleConnsPerHost: 64,
-		IdleConnTimeout: 30 * time.Second, MaxConnsPerHost: 512}}
+// NewClient returns an HTTP client that dials from a source IP, if it is not empty, and
+// follows no redirects. A timeout of 0 leaves its requests without a bound.
+func NewClient(source string, timeout time.Duration) *http.Client {
+	return &http.Client{
+		Timeout:       timeout,
+		CheckRedirect: RefuseRedirect,
+		Transport: &http.Transport{
+			DialContext:         NewDialer(source).DialContext,
+			MaxIdleConnsPerHost: maxIdleConnsPerHost,
+			IdleConnTimeout:     idleConnTimeout,
+			MaxConnsPerHost:     maxConnsPerHost,
+		},
+	}
 }
--- /dev/null
+++ b/internal/server/table_check_test.go
@@ -0,0 +1,28 @@
+package server
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
+)
+
+// A queue is called unknown only while the table is confirmed by the clock of the
+// moment, also when the machine has published nothing since.
+func TestQueueIsUnknownOnlyWhileTableIsConfirmed(t *testing.T) {
+	is := is.New(t)
+	now := types.MonoTime(0)
+	check := tableCheck{clock: func() types.MonoTime { return now }}
+	is.True(!check.queueUnknown("later")) // nothing is published yet
+	check.publish(config.Table{Version: 1, Queues: []config.Queue{{Name: "here"}}}, types.MonoTime(time.Second))
+	is.True(check.queueUnknown("later"))
+	is.True(!check.queueUnknown("here"))
+	now = types.MonoTime(time.Second)
+	is.True(!check.queueUnknown("later"))
+	check.publish(config.Table{Version: 1}, types.MonoTime(2*time.Second))
+	is.True(check.queueUnknown("later"))
+	is.True(!check.queueUnknown("here")) // the same version has the same queues
+}
--- a/sim/usage_test.go
+++ b/sim/usage_test.go
@@ -59,6 +59,13 @@
 	return wire.Effects{}
 }
 
+// alwaysReady is the observer of a daemon that shows nothing.
+type alwaysReady struct{}
+
+func (alwaysReady) AfterStep()  {}
+func (alwaysReady) Ready() bool { return true }
+func (alwaysReady) Status() any { return struct{}{} }
+
 // carried is what each of some notes took on the wire, there and back, when a real
 // client posts them one after the other. It is nothing when the post gave one up,
 // as it may after its time: what it drops, the machines say again.
@@ -69,12 +76,12 @@
 	is.New(t).NoErr(err)
 	ln := &countedListener{Listener: plain}
 	sends := to(types.Addr(plain.Addr().String()))
-	post := server.NewSender(ctx, "")
+	post := server.NewSender("")
+	defer post.Close()
 	e := echo{make(chan wire.Message, len(sends))}
-	owner := server.NewEventLoop(post, nil)
-	owner.SetMachine(e)
-	go owner.Run(ctx)
-	p := &server.Handlers{Loop: owner, Sender: post, Ready: func() bool { return true }}
+	loop := server.NewEventLoop(server.Config{Machine: e, Observer: alwaysReady{}, Sender: post})
+	go loop.Run(ctx)
+	p := server.NewHandlers(loop, nil)
 	written := make(chan bool, len(sends))
 	srv := &http.Server{Handler: p.TrackInFlight(p.Router()), ConnState: func(_ net.Conn, s http.ConnState) {
 		if s == http.StateIdle { // told by the goroutine that wrote, and counted, the answer
