--- a/internal/httpfault/httpfault.go
+++ b/internal/httpfault/httpfault.go
@@ -35,8 +35,10 @@
 var Moments = []Moment{
 	{"closed on arrival", false, func(net.Conn, *bufio.Reader) {}},
 	{"reset on arrival", false, func(conn net.Conn, _ *bufio.Reader) { reset(conn) }},
-	{"closed after the request's header", false, func(_ net.Conn, requests *bufio.Reader) { http.ReadRequest(requests) }},
-	{"closed after the request", false, func(_ net.Conn, requests *bufio.Reader) { readRequest(requests) }},
+	{"closed after the request's header", false, func(_ net.Conn, requests *bufio.Reader) {
+		http.ReadRequest(requests)
+	}},
+	{"closed after the request", false, respondThen(nil, "")},
 	{"reset after the request", false, respondThen(reset, "")},
 	{"closed in the status line", false, respondThen(nil, partOfStatusLine)},
 	{"closed in the header", false, respondThen(nil, partOfHeader)},
--- a/internal/server/gateway_handlers.go
+++ b/internal/server/gateway_handlers.go
@@ -27,31 +27,24 @@
 
 // Routes returns a gateway's routes: those that every daemon has, and its own.
 func (g *GatewayHandlers) Routes(h *Handlers) http.Handler {
-	router := h.Router()
-	for _, route := range []struct {
-		method, path string
-		handler      http.HandlerFunc
-	}{
-		{http.MethodPut, "/v1/jobs/{id}", requireName(putHandler(h, "job.put", g.readJob))},
-		{http.MethodGet, "/v1/jobs/{id}", requireName(h.RequestHandler("job.get"))},
-		{http.MethodPost, "/v1/jobs/{id}/cancel", requireName(h.RequestHandler("job.cancel"))},
-		{http.MethodPut, "/v1/table", putHandler(h, "table.put", readTable)},
-		{http.MethodGet, "/v1/table", h.RequestHandler("table.get")},
-		{http.MethodGet, "/v1/queues", h.RequestHandler("queues")},
-		{http.MethodGet, "/v1/workers", h.RequestHandler("workers")},
-		{http.MethodPost, "/v1/workers/{id}/gone", requireName(h.RequestHandler("gone"))},
-		{http.MethodGet, "/v1/drains", h.RequestHandler("drains")},
-		{http.MethodPut, drainPath, requireName(putHandler(h, "drain.put", readDrain))},
-		{http.MethodDelete, drainPath, requireName(h.RequestHandler("drain.drop"))},
-		{http.MethodGet, "/v1/calendars", h.RequestHandler("plans")},
-		{http.MethodPut, "/v1/calendars/{id}", requireName(putHandler(h, "plan.put", readCalendar))},
-		{http.MethodDelete, "/v1/calendars/{id}", requireName(h.RequestHandler("plan.drop"))},
-		{http.MethodGet, "/v1/mates", h.RequestHandler("mates")},
-		{http.MethodGet, "/v1/leader", h.RequestHandler("status")},
-	} {
-		router.HandleFunc(route.path, route.handler).Methods(route.method)
-	}
-	return router
+	r := h.Router()
+	r.HandleFunc("/v1/jobs/{id}", requireName(putHandler(h, "job.put", g.readJob))).Methods(http.MethodPut)
+	r.HandleFunc("/v1/jobs/{id}", requireName(h.RequestHandler("job.get"))).Methods(http.MethodGet)
+	r.HandleFunc("/v1/jobs/{id}/cancel", requireName(h.RequestHandler("job.cancel"))).Methods(http.MethodPost)
+	r.HandleFunc("/v1/table", putHandler(h, "table.put", readTable)).Methods(http.MethodPut)
+	r.HandleFunc("/v1/table", h.RequestHandler("table.get")).Methods(http.MethodGet)
+	r.HandleFunc("/v1/queues", h.RequestHandler("queues")).Methods(http.MethodGet)
+	r.HandleFunc("/v1/workers", h.RequestHandler("workers")).Methods(http.MethodGet)
+	r.HandleFunc("/v1/workers/{id}/gone", requireName(h.RequestHandler("gone"))).Methods(http.MethodPost)
+	r.HandleFunc("/v1/drains", h.RequestHandler("drains")).Methods(http.MethodGet)
+	r.HandleFunc(drainPath, requireName(putHandler(h, "drain.put", readDrain))).Methods(http.MethodPut)
+	r.HandleFunc(drainPath, requireName(h.RequestHandler("drain.drop"))).Methods(http.MethodDelete)
+	r.HandleFunc("/v1/calendars", h.RequestHandler("plans")).Methods(http.MethodGet)
+	r.HandleFunc("/v1/calendars/{id}", requireName(putHandler(h, "plan.put", readCalendar))).Methods(http.MethodPut)
+	r.HandleFunc("/v1/calendars/{id}", requireName(h.RequestHandler("plan.drop"))).Methods(http.MethodDelete)
+	r.HandleFunc("/v1/mates", h.RequestHandler("mates")).Methods(http.MethodGet)
+	r.HandleFunc("/v1/leader", h.RequestHandler("status")).Methods(http.MethodGet)
+	return r
 }
 
 // drainPath is the path of the drain of one worker or rack.
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -23,15 +23,17 @@
 type mirror struct{}
 
 func (mirror) Step(e wire.Event) (out wire.Effects) {
-	if a := e.Request; a != nil {
-		out.Responses = []wire.Response{{Token: a.Token, StatusCode: http.StatusAccepted, Body: wire.EncodeBody(map[string]any{"verb": a.Verb, "arg": a.Arg, "body": string(a.Body)})}}
+	if r := e.Request; r != nil {
+		body := wire.EncodeBody(map[string]any{"verb": r.Verb, "arg": r.Arg, "body": string(r.Body)})
+		out.Responses = []wire.Response{{Token: r.Token, StatusCode: http.StatusAccepted, Body: body}}
 	}
 	return out
 }
 
 // requests are what callers and operators send to a gateway, good and bad.
 var requests = []string{
-	`PUT /v1/jobs/a {"queue":"q","urgency":3,"steps":[{"name":"a","kind":"x","tasks":2,"room":{"cores":0.5,"memory":64}},{"name":"b","kind":"x","after":["a"]}],"work":{"n":1}}`,
+	`PUT /v1/jobs/a {"queue":"q","urgency":3,"steps":[{"name":"a","kind":"x","tasks":2,` +
+		`"room":{"cores":0.5,"memory":64}},{"name":"b","kind":"x","after":["a"]}],"work":{"n":1}}`,
 	`PUT /v1/jobs/a {"queue":"unknown","steps":[{"name":"a","kind":"x"}]}`,
 	`PUT /v1/jobs/a {"queue":"q","steps":[{"name":"a","kind":"x","tasks":-1}]}`,
 	`PUT /v1/jobs/a%20b {}`,
@@ -50,7 +52,8 @@
 	`PUT /v1/drains/racks/r1 {"within_ms":-70}`,
 	`DELETE /v1/drains/racks/r1 `,
 	`GET /v1/calendars `,
-	`PUT /v1/calendars/c1 {"rack":"r1","ics":"BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:x\r\nBEGIN:VEVENT\r\nUID:1\r\nDTSTAMP:20200101T000000Z\r\nDTSTART:21000101T000000Z\r\nDTEND:21000101T010000Z\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n"}`,
+	`PUT /v1/calendars/c1 {"rack":"r1","ics":"BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:x\r\n` +
+		`BEGIN:VEVENT\r\nUID:1\r\nDTSTAMP:20200101T000000Z\r\nDTSTART:21000101T000000Z\r\nDTEND:21000101T010000Z\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n"}`,
 	`PUT /v1/calendars/c1 {"rack":"r1","ics":"x"}`,
 	`DELETE /v1/calendars/c1 `,
 	`GET /v1/mates `,
--- a/internal/server/open_log.go
+++ b/internal/server/open_log.go
@@ -21,7 +21,12 @@
 // it may neither vote nor lead, but to end would mend nothing. While it waits, the daemon
 // answers at listen that it is live, not ready, and why; an empty listen address leaves
 // that out. The only error is that of ctx.
-func OpenLog(ctx context.Context, logger logr.Logger, storage wal.Storage, dir, listen string) (*wal.File, [][]byte, error) {
+func OpenLog(
+	ctx context.Context,
+	logger logr.Logger,
+	storage wal.Storage,
+	dir, listen string,
+) (*wal.File, [][]byte, error) {
 	waiting := &diskWaitServer{}
 	defer waiting.close()
 	var backoff diskBackoff
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -49,7 +49,8 @@
 	}
 	select {
 	case <-el.stopped:
-		return errorResponse(apierror.New(apierror.ShuttingDown, "", "this daemon is stopping").WithRetryAfter(time.Second))
+		err := apierror.New(apierror.ShuttingDown, "", "this daemon is stopping")
+		return errorResponse(err.WithRetryAfter(time.Second))
 	default:
 	}
 	e := queuedEvent{
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -73,12 +73,14 @@
 	inner, front := freeAddr(t), freeAddr(t)
 	handlers := NewHandlers(newTestLoop(t, Config{Machine: &echoMachine{}}), nil)
 	var limits atomic.Pointer[config.Limits]
-	limits.Store(&config.Limits{HeaderBytes: 1000, IdleTimeoutMillis: 100, HeaderTimeoutMillis: int(testTimeout.Milliseconds())})
+	const testMillis = int(testTimeout / time.Millisecond)
+	limits.Store(&config.Limits{HeaderBytes: 1000, IdleTimeoutMillis: 100, HeaderTimeoutMillis: testMillis})
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	ended := make(chan error)
 	go func() {
-		ended <- Serve(ctx, logr.Discard(), handlers, NewShutdownTiming(800*time.Millisecond, 200*time.Millisecond),
+		timing := NewShutdownTiming(800*time.Millisecond, 200*time.Millisecond)
+		ended <- Serve(ctx, logr.Discard(), handlers, timing,
 			Endpoint{Addr: inner, Handler: textHandler("inner")},
 			Endpoint{Addr: front, Handler: textHandler("front"), Limits: func() config.Limits { return *limits.Load() }})
 	}()
@@ -94,7 +96,7 @@
 	response, err := http.ReadResponse(bufio.NewReader(kept), nil)
 	is.NoErr(err)
 	is.Equal(response.StatusCode, 200)
-	limits.Store(&config.Limits{HeaderBytes: 16 << 10, IdleTimeoutMillis: 10 * int(testTimeout.Milliseconds())})
+	limits.Store(&config.Limits{HeaderBytes: 16 << 10, IdleTimeoutMillis: 10 * testMillis})
 	is.Equal(getWhenServed(t, front, long, ended), "200 front") // without a restart
 	is.NoErr(kept.SetReadDeadline(time.Now().Add(testTimeout)))
 	_, err = io.Copy(io.Discard, kept)
--- a/internal/server/worker_calls_test.go
+++ b/internal/server/worker_calls_test.go
@@ -18,9 +18,11 @@
 		const pairs = 50
 		machine := &echoMachine{replies: make(chan wire.WorkerReply, 2*pairs)}
 		for number := uint64(1); number < 2*pairs; number += 2 {
-			machine.calls = append(machine.calls,
-				wire.WorkerCall{Number: number, Kind: wire.StartAttempt, Timeout: 300 * time.Millisecond},
-				wire.WorkerCall{Number: number + 1, Kind: wire.RenewLease, LongPollWait: time.Second, Timeout: 5 * time.Second})
+			machine.calls = append(machine.calls, wire.WorkerCall{
+				Number: number, Kind: wire.StartAttempt, Timeout: 300 * time.Millisecond,
+			}, wire.WorkerCall{
+				Number: number + 1, Kind: wire.RenewLease, LongPollWait: time.Second, Timeout: 5 * time.Second,
+			})
 		}
 		var calls gauge
 		callWorker := func(_ context.Context, call wire.WorkerCall) wire.WorkerReply {
