--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -53,7 +53,8 @@
 	`DELETE /v1/drains/racks/r1 `,
 	`GET /v1/calendars `,
 	`PUT /v1/calendars/c1 {"rack":"r1","ics":"BEGIN:VCALENDAR\r\nVERSION:2.0\r\nPRODID:x\r\n` +
-		`BEGIN:VEVENT\r\nUID:1\r\nDTSTAMP:20200101T000000Z\r\nDTSTART:21000101T000000Z\r\nDTEND:21000101T010000Z\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n"}`,
+		`BEGIN:VEVENT\r\nUID:1\r\nDTSTAMP:20200101T000000Z\r\n` +
+		`DTSTART:21000101T000000Z\r\nDTEND:21000101T010000Z\r\nEND:VEVENT\r\nEND:VCALENDAR\r\n"}`,
 	`PUT /v1/calendars/c1 {"rack":"r1","ics":"x"}`,
 	`DELETE /v1/calendars/c1 `,
 	`GET /v1/mates `,
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -75,6 +75,7 @@
 	var limits atomic.Pointer[config.Limits]
 	const testMillis = int(testTimeout / time.Millisecond)
 	limits.Store(&config.Limits{HeaderBytes: 1000, IdleTimeoutMillis: 100, HeaderTimeoutMillis: testMillis})
+	latestLimits := func() config.Limits { return *limits.Load() }
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	ended := make(chan error)
@@ -82,7 +83,7 @@
 		timing := NewShutdownTiming(800*time.Millisecond, 200*time.Millisecond)
 		ended <- Serve(ctx, logr.Discard(), handlers, timing,
 			Endpoint{Addr: inner, Handler: textHandler("inner")},
-			Endpoint{Addr: front, Handler: textHandler("front"), Limits: func() config.Limits { return *limits.Load() }})
+			Endpoint{Addr: front, Handler: textHandler("front"), Limits: latestLimits})
 	}()
 	is.Equal(getWhenServed(t, inner, "", ended), "200 inner")
 	is.Equal(getWhenServed(t, front, "", ended), "200 front")
