--- /dev/null
+++ b/internal/apierror/kind.go
@@ -0,0 +1,77 @@
+package apierror
+
+import "net/http"
+
+// Kind is a kind of error, as callers read it in the body of a refusal.
+type Kind string
+
+// All kinds of error; docs/api.md says when each is answered.
+const (
+	BadBody        Kind = "bad_body"
+	BadField       Kind = "bad_field"
+	BodyCutShort   Kind = "body_cut_short" // what arrived says nothing about the request
+	TooLarge       Kind = "too_large"
+	NoSuchPath     Kind = "no_such_path"
+	NoSuchMethod   Kind = "no_such_method"
+	NoSuchJob      Kind = "no_such_job"
+	NoSuchQueue    Kind = "no_such_queue"
+	NoSuchWorker   Kind = "no_such_worker"
+	NotDrained     Kind = "not_drained"
+	NoSuchCalendar Kind = "no_such_calendar"
+	WorkerHealthy  Kind = "worker_is_healthy"
+	IDInUse        Kind = "id_in_use"
+	AlreadyEnded   Kind = "already_ended"
+	NeverPlaceable Kind = "never_placeable"
+	StaleVersion   Kind = "stale_edition"
+	QueueInUse     Kind = "queue_in_use"
+	QueueFull      Kind = "queue_full"
+	TooManyIDs     Kind = "too_many_ids"
+	TooBusy        Kind = "too_busy"
+	NoLeader       Kind = "no_leader"
+	NotReady       Kind = "not_ready"
+	OutcomeUnknown Kind = "outcome_unknown" // the request may have been carried out
+	ShuttingDown   Kind = "closing"
+	Unusable       Kind = "unfit"       // stored data or a process that can't be used; not for callers
+	BadSetting     Kind = "bad_setting" // in a daemon's settings; not for callers
+)
+
+// StatusCodes are the HTTP statuses of all kinds.
+var StatusCodes = map[Kind]int{
+	BadBody:        http.StatusBadRequest,
+	BadField:       http.StatusUnprocessableEntity,
+	BodyCutShort:   http.StatusRequestTimeout,
+	TooLarge:       http.StatusRequestEntityTooLarge,
+	NoSuchPath:     http.StatusNotFound,
+	NoSuchMethod:   http.StatusMethodNotAllowed,
+	NoSuchJob:      http.StatusNotFound,
+	NoSuchQueue:    http.StatusUnprocessableEntity,
+	NoSuchWorker:   http.StatusNotFound,
+	NotDrained:     http.StatusNotFound,
+	NoSuchCalendar: http.StatusNotFound,
+	WorkerHealthy:  http.StatusConflict,
+	IDInUse:        http.StatusConflict,
+	AlreadyEnded:   http.StatusConflict,
+	NeverPlaceable: http.StatusUnprocessableEntity,
+	StaleVersion:   http.StatusConflict,
+	QueueInUse:     http.StatusConflict,
+	QueueFull:      http.StatusTooManyRequests,
+	TooManyIDs:     http.StatusServiceUnavailable,
+	TooBusy:        http.StatusServiceUnavailable,
+	NoLeader:       http.StatusServiceUnavailable,
+	NotReady:       http.StatusServiceUnavailable,
+	OutcomeUnknown: http.StatusServiceUnavailable,
+	ShuttingDown:   http.StatusServiceUnavailable,
+	Unusable:       http.StatusConflict,
+	BadSetting:     http.StatusUnprocessableEntity,
+}
+
+// Retryable are the kinds whose answer carries Retry-After.
+var Retryable = map[Kind]bool{
+	QueueFull:      true,
+	TooManyIDs:     true,
+	TooBusy:        true,
+	NoLeader:       true,
+	NotReady:       true,
+	OutcomeUnknown: true,
+	ShuttingDown:   true,
+}
--- a/internal/config/route.go
+++ b/internal/config/routes.go
@@ -1,21 +1,19 @@
 package config
 
-// Routing of a request to a queue: by host, and by the longest path prefix that a
-// row of the table names.
-
 import (
 	"strings"
 
 	radix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// Routes is the routing table of one version of the queue table. It is built once
-// and only read then, by any number of goroutines.
+// Routes routes requests to queues: by host, and by the longest path prefix that a queue
+// of the table names. It is made once for a version of the table and only read then, by
+// any number of goroutines.
 type Routes struct {
-	hosts map[string]*radix.Tree[Queue]
+	hosts map[string]*radix.Tree[Queue] // by host in lower case; the keys are path prefixes
 }
 
-// Routes builds the routing table. Rows without a prefix have no route.
+// Routes returns the routes of the table's queues. A queue without a prefix has none.
 func (t Table) Routes() *Routes {
 	r := &Routes{hosts: map[string]*radix.Tree[Queue]{}}
 	for _, queue := range t.Queues {
@@ -32,8 +30,8 @@
 	return r
 }
 
-// Match returns the row for a host and path, and the part of the path that follows
-// the row's prefix. A port in the host is ignored.
+// Match returns the queue for a host and path, and the part of the path that follows the
+// queue's prefix. A port in the host is ignored.
 func (r *Routes) Match(host, path string) (queue Queue, rest string, ok bool) {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
--- /dev/null
+++ b/internal/maintenance/maintenance.go
@@ -0,0 +1,77 @@
+// Package maintenance reads maintenance windows from iCalendar files (RFC 5545). The file
+// format is a library's; this package adds bounds, and the line and property of each
+// error. Recurring events are expanded for a little over a year.
+package maintenance
+
+import (
+	"fmt"
+	"sort"
+	"time"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+const day = 24 * time.Hour
+
+// ExpansionHorizon is how far from now recurring events are expanded.
+const ExpansionHorizon = 400 * day
+
+// Bounds of an event.
+const (
+	maxOccurrenceLength = 31 * day
+	maxOccurrences      = 200_000 // that are looked at, also those of the past
+)
+
+// Window is the start and the end of a maintenance window.
+type Window = [2]types.WallTime
+
+// Read returns the windows of a file that end after now, in order, joined where they
+// overlap. Times without a zone are UTC. An error has the field ics.line[N].PROPERTY; then
+// no windows are returned.
+func Read(file []byte, now time.Time, errs *apierror.ErrorList) []Window {
+	calendar, line, err := decode(file)
+	if err != nil {
+		errs.Add(apierror.BadField, linePath(line), err.Error())
+		return nil
+	}
+	starts := eventLines(file)
+	events := calendar.Events()
+	errs.Check(len(events) > 0, "ics", "no VEVENT in it")
+	var windows []Window
+	for i := range events {
+		path := "ics"
+		if i < len(starts) {
+			path = linePath(starts[i])
+		}
+		reader := eventReader{event: &events[i], path: path, now: now, errs: errs}
+		windows = append(windows, reader.windows()...)
+		if len(windows) > state.MaxWindows {
+			errs.Add(apierror.BadField, path,
+				fmt.Sprintf("more than %d windows in the next %d days", state.MaxWindows, ExpansionHorizon/day))
+			return nil
+		}
+	}
+	if len(errs.List()) > 0 {
+		return nil
+	}
+	return joinWindows(windows)
+}
+
+// linePath returns the path of a line in errors.
+func linePath(line int) string { return fmt.Sprintf("ics.line[%d]", line) }
+
+// joinWindows sorts windows and joins those that overlap.
+func joinWindows(windows []Window) []Window {
+	sort.Slice(windows, func(i, k int) bool { return windows[i][0] < windows[k][0] })
+	var joined []Window
+	for _, window := range windows {
+		if last := len(joined) - 1; last >= 0 && window[0] <= joined[last][1] {
+			joined[last][1] = max(joined[last][1], window[1])
+		} else {
+			joined = append(joined, window)
+		}
+	}
+	return joined
+}
--- /dev/null
+++ b/internal/types/times.go
@@ -0,0 +1,30 @@
+package types
+
+import "time"
+
+type (
+	// MonoTime is a reading of a process's monotonic clock, in nanoseconds.
+	MonoTime int64
+	// ClusterTime is a reading of the cluster's clock, in nanoseconds.
+	ClusterTime int64
+	// WallTime is a reading of a wall clock, in nanoseconds since 1970 (UTC).
+	WallTime int64
+)
+
+// Now is the time that a state machine is given with each step.
+type Now struct {
+	Mono MonoTime
+	Wall WallTime
+}
+
+// Add returns the time that lies d later.
+func (m MonoTime) Add(d time.Duration) MonoTime { return m + MonoTime(d) }
+
+// Sub returns how much later m is than earlier, both of the same process.
+func (m MonoTime) Sub(earlier MonoTime) time.Duration { return time.Duration(m - earlier) }
+
+// Add returns the time that lies d later.
+func (c ClusterTime) Add(d time.Duration) ClusterTime { return c + ClusterTime(d) }
+
+// Sub returns how much later c is than earlier.
+func (c ClusterTime) Sub(earlier ClusterTime) time.Duration { return time.Duration(c - earlier) }
