--- a/cmd/coppercourse/layers_test.go
+++ b/cmd/coppercourse/layers_test.go
@@ -22,7 +22,7 @@
 var layers = [][]string{
 	{"internal/types", "internal/apierror"},
 	{"internal/wire", "internal/config", "internal/trace", "internal/wal", "internal/supervisor"},
-	{"internal/wal/waltest", "internal/goldentest"},
+	{"internal/wal/waltest", "internal/goldentest", "internal/httpfault"},
 	{
 		"internal/raft", "internal/membership", "internal/state", "internal/placement", "internal/configwatch",
 		"internal/workqueue",
@@ -31,7 +31,8 @@
 	{"internal/dispatch/scheduler", "internal/dispatch/executor"},
 	{"internal/controller", "internal/gateway", "internal/agent", "internal/settings", "internal/server"},
 	{"platform"},
-	{"cmd/coppercourse", "sim"},
+	{"cmd/coppercourse", "sim/history"},
+	{"sim"},
 	{"sim/capacity"},
 	{"cmd/coppersim"},
 }
--- a/internal/dispatch/executor/protocol_test.go
+++ b/internal/dispatch/executor/protocol_test.go
@@ -233,13 +233,13 @@
 	b.advance(4*time.Second, nil)
 	b.newLeader(2)
 	b.advance(700*ms, nil)
-	is.Equal(b.scheduler.InInitialWait, false) // the one agent agrees with itself
+	is.Equal(b.scheduler.InInitialWait(), false) // the one agent agrees with itself
 	b.newLeader(3, scheduler.OutstandingAttempt{Attempt: newAttempt("j", 1), Shard: "s2", Resources: types.Resources{Cores: 1 * types.Core}})
 	b.advance(700*ms, nil)
-	is.Equal(b.scheduler.InInitialWait, true)
+	is.Equal(b.scheduler.InInitialWait(), true)
 	b.ends = nil
 	b.advance(2500*ms, nil)
-	is.Equal(b.scheduler.InInitialWait, false)
+	is.Equal(b.scheduler.InInitialWait(), false)
 	is.Equal(b.ends[0], state.AttemptEnd{ID: newAttempt("j", 1), Outcome: state.OutcomeLost})
 }
 
@@ -323,9 +323,9 @@
 // then it went well, or is known to be gone, and both are told.
 func TestLostIsNotTheLastWord(t *testing.T) {
 	for _, end := range []struct {
-		told []protocol.FinishedTask
+		told []protocol.EndedTask
 		want state.Outcome
-	}{{nil, state.OutcomeWorkerExited}, {[]protocol.FinishedTask{{RunningTask: protocol.RunningTask{Attempt: newAttempt("j", 1), Resources: types.Resources{}}, Outcome: state.OutcomeOK}}, state.OutcomeOK}} {
+	}{{nil, state.OutcomeWorkerExited}, {[]protocol.EndedTask{{RunningTask: protocol.RunningTask{Attempt: newAttempt("j", 1), Resources: types.Resources{}}, Outcome: state.OutcomeOK}}, state.OutcomeOK}} {
 		is, b, w := newHealthyCluster(t)
 		runTask(b, "s", newAttempt("j", 1))
 		b.deliver(nil)
