--- a/cmd/coppercourse/layers_test.go
+++ b/cmd/coppercourse/layers_test.go
@@ -74,6 +74,28 @@
 	is.Equal(len(found), len(layerOf)) // no layer names a package that is gone
 }
 
+// Every package stands in the table of layers of docs/ARCHITECTURE.md.
+func TestArchitecturePageListsEveryPackage(t *testing.T) {
+	page, err := os.ReadFile("../../docs/ARCHITECTURE.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, section := range sections(string(page)) {
+		if title(section) != "Layers" {
+			continue
+		}
+		for _, layer := range layers {
+			for _, folder := range layer {
+				if !strings.Contains(section, "`"+folder+"`") {
+					t.Errorf("the table of layers lacks %s", folder)
+				}
+			}
+		}
+		return
+	}
+	t.Error("the page has no section Layers")
+}
+
 // mentioned are the names in code type, such as raft.Node.Propose.
 var mentioned = regexp.MustCompile("`([A-Za-z]+(?:\\.[A-Za-z]+)*)`")
 
