--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,6 @@
 // Package controller is the control and scheduler daemon as one state machine: the
 // replicated log, the state it makes, and, on the leader, the dispatcher. This
-// file is the step itself; calls.go answers callers, plan.go places work.
+// file is the step itself; requests.go answers callers, planner.go places work.
 package controller
 
 import (
