--- a/internal/controller/command_log.go
+++ b/internal/controller/command_log.go
@@ -82,7 +82,7 @@
 	case ok && w.term == e.Term:
 		co.replyCommitted(w, command, bad)
 	case ok:
-		co.replyError(w, leaderChanged())
+		co.outbox.replyError(w, leaderChanged())
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -33,13 +33,6 @@
 	SnapshotThreshold types.Index // entries between two snapshots at least; 0 is Every
 }
 
-type caller struct {
-	gateway   types.Addr
-	requestID uint64
-	token     uint64 // of a request that came here itself, not by way of a gateway
-	term      types.Term
-}
-
 // Controller is one control daemon.
 type Controller struct {
 	options             Options
@@ -85,8 +78,7 @@
 	slots               slotCache
 	workBuffer          []placement.Request // the memory of the last list
 	attemptReview       reviewTimer         // for attempts to take back and second attempts
-	sends               []wire.OutboundMessage
-	answers             []wire.Response
+	outbox              outbox
 	overload            overload
 	Counters            Counters
 }
@@ -104,6 +96,7 @@
 		waiters: map[types.Index]caller{}, proposals: map[types.Index]proposal{}, pendingEnds: map[types.JobID]types.Index{}, endsInFlight: map[state.AttemptEnd]bool{}, released: map[types.AttemptID]bool{},
 		assignmentsInFlight: map[types.TaskID]state.Assignment{}, completionRates: map[types.QueueName]*completionRate{}, meanJobWork: map[types.QueueName]float64{}, peakCores: map[types.QueueName]float64{},
 		meanTaskSeconds: map[types.QueueName]float64{}, queueDurations: map[types.QueueName]*queueDurations{}, jobDurations: map[types.JobID][]stepDurations{}, Trace: trace.New()}
+	h.outbox = outbox{self: p.Addr, counters: &h.Counters}
 	h.members = membership.New(rnd, h.describe(), p.Seeds)
 	h.publisher = configwatch.NewPublisher(p.Addr)
 	h.state = state.New()
@@ -154,9 +147,9 @@
 	co.members.SetSelf(co.describe())
 	out.FallbackRecords = co.raft.AppendInstead()
 	out.Messages, out.Records, out.BatchNumber, out.ReplaceLog = co.raft.Ready()
-	out.Messages = append(append(out.Messages, co.sends...), co.members.TakeMessages()...)
-	out.Responses = co.answers
-	co.sends, co.answers = nil, nil
+	var messages []wire.OutboundMessage
+	messages, out.Responses = co.outbox.take()
+	out.Messages = append(append(out.Messages, messages...), co.members.TakeMessages()...)
 	out.Drained = co.shuttingDown && (co.raft.MayStop() || co.now.Mono >= co.shutdownDeadline) && len(co.waiters) == 0
 	return out
 }
@@ -243,7 +236,7 @@
 			co.Counters.Lost++
 		}
 		for _, i := range slices.Sorted(maps.Keys(co.waiters)) {
-			co.replyError(co.waiters[i], leaderChanged())
+			co.outbox.replyError(co.waiters[i], leaderChanged())
 		}
 		co.turnAway()
 		clear(co.waiters)
@@ -274,7 +267,7 @@
 		co.drainScheduler()
 	}
 	if co.raft.HoldsReadLease() {
-		co.sends = append(co.sends, co.publisher.Responses(co.now.Mono, co.state.Table)...)
+		co.outbox.send(co.publisher.Responses(co.now.Mono, co.state.Table)...)
 	}
 }
 
--- a/internal/controller/end_proposals.go
+++ b/internal/controller/end_proposals.go
@@ -9,7 +9,7 @@
 // drainScheduler sends what the dispatcher has to say and puts the ends it has into the log.
 func (co *Controller) drainScheduler() {
 	sends, ends := co.scheduler.TakeOutput()
-	co.sends = append(co.sends, sends...)
+	co.outbox.send(sends...)
 	co.proposeEnds(ends)
 }
 
--- a/internal/controller/operator_requests.go
+++ b/internal/controller/operator_requests.go
@@ -42,7 +42,7 @@
 		bad = apierror.New(apierror.BadBody, "", "not a drain")
 	}
 	if bad != nil {
-		co.replyError(w, bad)
+		co.outbox.replyError(w, bad)
 		return
 	}
 	x := state.Drain{Target: t}
@@ -60,11 +60,11 @@
 func (co *Controller) putCalendar(w caller, c wire.ForwardedRequest) {
 	var p state.Calendar
 	if json.Unmarshal(c.Body, &p) != nil {
-		co.replyError(w, apierror.New(apierror.BadBody, "", "not a calendar"))
+		co.outbox.replyError(w, apierror.New(apierror.BadBody, "", "not a calendar"))
 		return
 	}
 	if bad := co.checkTargetKnown(p.Target); bad != nil {
-		co.replyError(w, bad)
+		co.outbox.replyError(w, bad)
 		return
 	}
 	co.proposeRequest(w, state.Command{Calendar: &p})
@@ -84,7 +84,7 @@
 		}
 	}
 	if bad != nil {
-		co.replyError(w, bad)
+		co.outbox.replyError(w, bad)
 		return
 	}
 	co.proposeRequest(w, state.Command{ExitedWorker: shard})
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -95,7 +95,7 @@
 	for _, n := range calls {
 		if c, ok := wire.DecodeBody[wire.ForwardedRequest](n); ok {
 			co.Counters.Calls++
-			co.replyError(caller{gateway: n.From, requestID: c.ID}, co.tooBusy())
+			co.outbox.replyError(caller{gateway: n.From, requestID: c.ID}, co.tooBusy())
 		}
 	}
 }
--- a/internal/controller/pending_reads.go
+++ b/internal/controller/pending_reads.go
@@ -27,10 +27,10 @@
 
 func (co *Controller) replyJob(w caller, id types.JobID) {
 	if v := co.View(id); v != nil {
-		co.replyOK(w, 200, v)
+		co.outbox.replyOK(w, 200, v)
 		return
 	}
-	co.replyError(w, apierror.New(apierror.NoSuchJob, "id", "no such job"))
+	co.outbox.replyError(w, apierror.New(apierror.NoSuchJob, "id", "no such job"))
 }
 
 // replyReadyReads gives the reads whose ends are in the log by now.
@@ -49,7 +49,7 @@
 // reject sends those who read to the next leader.
 func (co *Controller) turnAway() {
 	for _, r := range co.pendingReads {
-		co.reply(r.caller, wire.ForwardedReply{NotLeader: true, Leader: co.otherLeader()})
+		co.outbox.redirect(r.caller, co.otherLeader())
 	}
 	co.pendingReads = nil
 	clear(co.pendingEnds)
--- a/internal/controller/report_buffer.go
+++ b/internal/controller/report_buffer.go
@@ -90,13 +90,13 @@
 // alone.
 func (co *Controller) relayReport(s wire.OutboundMessage, to types.Addr, tries int) {
 	if to != "" {
-		co.sends = append(co.sends, s)
+		co.outbox.send(s)
 	}
 	if to != "" && tries == 0 {
 		return
 	}
 	gateways := co.members.MembersOf("gateway")
 	for i := range min(gatewayFanout, len(gateways)) {
-		co.sends = append(co.sends, wire.OutboundMessage{To: gateways[(gatewayFanout*tries+i)%len(gateways)].Addr, Message: s.Message})
+		co.outbox.send(wire.OutboundMessage{To: gateways[(gatewayFanout*tries+i)%len(gateways)].Addr, Message: s.Message})
 	}
 }
--- a/internal/controller/request_table_test.go
+++ b/internal/controller/request_table_test.go
@@ -16,15 +16,15 @@
 // request: its caller is told so at once, and not what became of the other entry.
 func TestAnEntryOfAnotherTermAnswersNobodysRequest(t *testing.T) {
 	is := is.New(t)
-	h := &Controller{state: state.New(), waiters: map[types.Index]caller{7: {token: 1, term: 2}, 8: {token: 2, term: 3}}}
+	h := &Controller{state: state.New(), outbox: outbox{counters: &Counters{}}, waiters: map[types.Index]caller{7: {token: 1, term: 2}, 8: {token: 2, term: 3}}}
 	refused := apierror.New(apierror.StaleVersion, "edition", "another order was first")
 	h.replyToCaller(raft.Entry{Index: 7, Term: 3}, state.Command{Cancel: "j"}, refused)
-	is.Equal(len(h.answers), 1)
-	is.Equal(h.answers[0].Token, uint64(1))
-	is.Equal(h.answers[0].Error.Kind, apierror.OutcomeUnknown)
+	is.Equal(len(h.outbox.responses), 1)
+	is.Equal(h.outbox.responses[0].Token, uint64(1))
+	is.Equal(h.outbox.responses[0].Error.Kind, apierror.OutcomeUnknown)
 	h.replyToCaller(raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, refused)
-	is.Equal(h.answers[1].Token, uint64(2))
-	is.Equal(h.answers[1].Error.Kind, apierror.StaleVersion)
+	is.Equal(h.outbox.responses[1].Token, uint64(2))
+	is.Equal(h.outbox.responses[1].Error.Kind, apierror.StaleVersion)
 	h.replyToCaller(raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, refused)
-	is.Equal(len(h.answers), 2) // once
+	is.Equal(len(h.outbox.responses), 2) // once
 }
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -27,18 +27,18 @@
 	"job.get":     (*Controller).getJob,
 	"job.cancel":  (*Controller).cancelJob,
 	"table.put":   (*Controller).putTable,
-	"table.get":   func(h *Controller, w caller, _ wire.ForwardedRequest) { h.replyOK(w, 200, h.state.Table) },
-	"queues":      func(h *Controller, w caller, _ wire.ForwardedRequest) { h.replyOK(w, 200, h.Queues()) },
-	"workers":     func(h *Controller, w caller, _ wire.ForwardedRequest) { h.replyOK(w, 200, h.Workers()) },
+	"table.get":   func(h *Controller, w caller, _ wire.ForwardedRequest) { h.outbox.replyOK(w, 200, h.state.Table) },
+	"queues":      func(h *Controller, w caller, _ wire.ForwardedRequest) { h.outbox.replyOK(w, 200, h.Queues()) },
+	"workers":     func(h *Controller, w caller, _ wire.ForwardedRequest) { h.outbox.replyOK(w, 200, h.Workers()) },
 	"drain.put":   (*Controller).startDrain,
 	"drain.drop":  (*Controller).cancelDrain,
-	"drains":      func(h *Controller, w caller, _ wire.ForwardedRequest) { h.replyOK(w, 200, h.Drains()) },
+	"drains":      func(h *Controller, w caller, _ wire.ForwardedRequest) { h.outbox.replyOK(w, 200, h.Drains()) },
 	"plan.put":    (*Controller).putCalendar,
 	"plan.drop":   (*Controller).deleteCalendar,
-	"plans":       func(h *Controller, w caller, _ wire.ForwardedRequest) { h.replyOK(w, 200, h.Calendars()) },
+	"plans":       func(h *Controller, w caller, _ wire.ForwardedRequest) { h.outbox.replyOK(w, 200, h.Calendars()) },
 	"gone":        (*Controller).confirmWorkerGone,
 	"queue.count": (*Controller).countQueue,
-	"status":      func(h *Controller, w caller, _ wire.ForwardedRequest) { h.replyOK(w, 200, h.Status()) },
+	"status":      func(h *Controller, w caller, _ wire.ForwardedRequest) { h.outbox.replyOK(w, 200, h.Status()) },
 }
 
 func (co *Controller) handleCall(n wire.Message) {
@@ -52,20 +52,20 @@
 	co.Counters.Calls++
 	w.term = co.raft.Term()
 	if co.scheduler == nil || !co.raft.HoldsReadLease() {
-		co.reply(w, wire.ForwardedReply{NotLeader: true, Leader: co.otherLeader()})
+		co.outbox.redirect(w, co.otherLeader())
 		return
 	}
 	if f := co.checkOverload(c); f != nil {
-		co.replyError(w, f)
+		co.outbox.replyError(w, f)
 		return
 	}
 	f := requestHandlers[c.Verb]
 	if f == nil {
-		co.replyError(w, apierror.New(apierror.NoSuchPath, "", "no such verb"))
+		co.outbox.replyError(w, apierror.New(apierror.NoSuchPath, "", "no such verb"))
 		return
 	}
 	if len(co.waiters) >= MaxPendingRequests {
-		co.replyError(w, apierror.New(apierror.TooBusy, "", "too many changes wait for the log").WithRetryAfter(2*time.Second))
+		co.outbox.replyError(w, apierror.New(apierror.TooBusy, "", "too many changes wait for the log").WithRetryAfter(2*time.Second))
 		return
 	}
 	f(co, w, c)
@@ -87,34 +87,11 @@
 	return co.raft.LeaderAddr()
 }
 
-func (co *Controller) reply(w caller, r wire.ForwardedReply) {
-	r.ID = w.requestID
-	if r.Error != nil {
-		co.Counters.Refused++
-	}
-	if w.token == 0 {
-		co.sends = append(co.sends, wire.NewMessage(co.options.Addr, w.gateway, wire.ForwardReply, r))
-		return
-	}
-	a := wire.Response{Token: w.token, StatusCode: r.StatusCode, Body: r.Body, Error: r.Error, Leader: r.Leader}
-	if r.NotLeader {
-		a.Error = apierror.New(apierror.NoLeader, "", "this controller does not lead").WithRetryAfter(time.Second)
-	}
-	co.answers = append(co.answers, a)
-}
-
-func (co *Controller) replyError(w caller, f *apierror.Error) {
-	co.reply(w, wire.ForwardedReply{Error: f})
-}
-func (co *Controller) replyOK(w caller, code int, v any) {
-	co.reply(w, wire.ForwardedReply{StatusCode: code, Body: wire.EncodeBody(v)})
-}
-
 // proposeRequest proposes a fact and keeps who waits for it.
 func (co *Controller) proposeRequest(w caller, f state.Command) {
 	i, ok := co.propose(f)
 	if !ok {
-		co.replyError(w, apierror.New(apierror.NoLeader, "", "the log takes nothing now").WithRetryAfter(2*time.Second))
+		co.outbox.replyError(w, apierror.New(apierror.NoLeader, "", "the log takes nothing now").WithRetryAfter(2*time.Second))
 		return
 	}
 	co.waiters[i] = w
@@ -124,19 +101,19 @@
 func (co *Controller) replyCommitted(w caller, f state.Command, bad *apierror.Error) {
 	switch {
 	case bad != nil:
-		co.replyError(w, co.withRetryAfter(bad, f))
+		co.outbox.replyError(w, co.withRetryAfter(bad, f))
 	case f.Table != nil:
-		co.replyOK(w, 200, f.Table.Accepted())
+		co.outbox.replyOK(w, 200, f.Table.Accepted())
 	case f.Drain != nil:
-		co.replyOK(w, 200, co.Drains())
+		co.outbox.replyOK(w, 200, co.Drains())
 	case f.Calendar != nil:
-		co.replyOK(w, 200, co.Calendars())
+		co.outbox.replyOK(w, 200, co.Calendars())
 	case f.ExitedWorker != "":
-		co.replyOK(w, 200, co.Workers())
+		co.outbox.replyOK(w, 200, co.Workers())
 	case f.Job != nil:
-		co.replyOK(w, http.StatusCreated, co.View(f.Job.ID))
+		co.outbox.replyOK(w, http.StatusCreated, co.View(f.Job.ID))
 	case f.Cancel != "":
-		co.replyOK(w, http.StatusAccepted, co.View(f.Cancel))
+		co.outbox.replyOK(w, http.StatusAccepted, co.View(f.Cancel))
 	}
 }
 
@@ -150,21 +127,21 @@
 func (co *Controller) submitJob(w caller, c wire.ForwardedRequest) {
 	var s state.Spec
 	if json.Unmarshal(c.Body, &s) != nil {
-		co.replyError(w, apierror.New(apierror.BadBody, "", "not a job"))
+		co.outbox.replyError(w, apierror.New(apierror.BadBody, "", "not a job"))
 		return
 	}
 	id := types.JobID(c.Arg)
 	known, bad := co.state.CheckJob(id, s)
 	switch {
 	case known != nil:
-		co.replyOK(w, 200, co.View(id))
+		co.outbox.replyOK(w, 200, co.View(id))
 		return
 	case bad == nil:
 		bad = co.checkFeasible(s)
 	}
 	f := state.Command{Job: &state.Submission{ID: id, Spec: s}}
 	if bad != nil {
-		co.replyError(w, co.withRetryAfter(bad, f))
+		co.outbox.replyError(w, co.withRetryAfter(bad, f))
 		return
 	}
 	co.Trace.Add(co.now.Wall, trace.JobSubject(id), "handed over here", "from", w.gateway)
@@ -176,7 +153,7 @@
 func (co *Controller) countQueue(w caller, c wire.ForwardedRequest) {
 	q := types.QueueName(c.Arg)
 	if _, ok := co.state.Table.FindQueue(q); !ok {
-		co.replyError(w, apierror.New(apierror.NoSuchQueue, "queue", "no queue is called "+c.Arg))
+		co.outbox.replyError(w, apierror.New(apierror.NoSuchQueue, "queue", "no queue is called "+c.Arg))
 		return
 	}
 	n := 0
@@ -185,16 +162,16 @@
 			n++
 		}
 	}
-	co.replyOK(w, 200, map[string]int{"waiting": n})
+	co.outbox.replyOK(w, 200, map[string]int{"waiting": n})
 }
 
 func (co *Controller) cancelJob(w caller, c wire.ForwardedRequest) {
 	id := types.JobID(c.Arg)
 	switch repeat, bad := co.state.CheckCancel(id); {
 	case bad != nil:
-		co.replyError(w, bad)
+		co.outbox.replyError(w, bad)
 	case repeat:
-		co.replyOK(w, 200, co.View(id))
+		co.outbox.replyOK(w, 200, co.View(id))
 	default:
 		co.proposeRequest(w, state.Command{Cancel: id})
 	}
@@ -203,15 +180,15 @@
 func (co *Controller) putTable(w caller, c wire.ForwardedRequest) {
 	var t config.Table
 	if json.Unmarshal(c.Body, &t) != nil {
-		co.replyError(w, apierror.New(apierror.BadBody, "", "not a table"))
+		co.outbox.replyError(w, apierror.New(apierror.BadBody, "", "not a table"))
 		return
 	}
 	if bad := co.state.CheckTable(t); bad != nil {
-		co.replyError(w, bad)
+		co.outbox.replyError(w, bad)
 		return
 	}
 	if co.state.IsRepeat(t) {
-		co.replyOK(w, 200, t.Accepted())
+		co.outbox.replyOK(w, 200, t.Accepted())
 		return
 	}
 	co.proposeRequest(w, state.Command{Table: &t})
