--- a/internal/controller/catchup_test.go
+++ b/internal/controller/catchup_test.go
@@ -33,9 +33,9 @@
 			c.run(tickTime)
 			continue
 		}
-		base := m.machine.state.Table.Version
+		base := m.machine.log.state().Table.Version
 		for i := range min(left, 100) {
-			if _, ok := m.machine.propose(state.Command{Table: new(table(base+types.Version(i), bytes))}); ok {
+			if _, ok := m.machine.log.propose(state.Command{Table: new(table(base+types.Version(i), bytes))}); ok {
 				left--
 			}
 			if i%50 == 0 {
@@ -44,7 +44,7 @@
 		}
 		m.step(wire.Event{})
 		c.until(20*time.Second, "changes applied", func() bool {
-			return !m.serves() || m.machine.applied == m.machine.raft.CommittedIndex() && m.machine.raft.CommittedIndex() > 0 && m.machine.state.Table.Version >= base+1
+			return !m.serves() || m.machine.log.applied() == m.machine.raft.CommittedIndex() && m.machine.raft.CommittedIndex() > 0 && m.machine.log.state().Table.Version >= base+1
 		})
 		c.run(20 * time.Millisecond)
 	}
@@ -108,7 +108,7 @@
 				if m.machine.raft.Snapshot().Index > 0 {
 					snapshots++
 				}
-				if v := m.machine.state.Table.Version; v != c.acknowledged {
+				if v := m.machine.log.state().Table.Version; v != c.acknowledged {
 					t.Errorf("%s has version %d of %d", m.addr, v, c.acknowledged)
 				}
 			}
@@ -184,7 +184,7 @@
 	if m.perSecond > 0 {
 		limit += 2 * time.Duration(size) * time.Second / thinLinkBytesPerSecond
 	}
-	took := c.until(time.Minute, "caught up", func() bool { return m.machine.applied > 0 && c.caughtUp(m) })
+	took := c.until(time.Minute, "caught up", func() bool { return m.machine.log.applied() > 0 && c.caughtUp(m) })
 	t.Logf("%d bytes in %v", size, took)
 	if took > limit {
 		t.Errorf("%d bytes took %v", size, took)
@@ -215,12 +215,12 @@
 	m.wipe()
 	c.run(time.Second)
 	m.start(false)
-	c.until(20*time.Second, "a snapshot", func() bool { return m.machine.loader != nil })
+	c.until(20*time.Second, "a snapshot", func() bool { return m.machine.log.isLoading() })
 	if size := totalBytes(m.machine.raft.Snapshot().Parts); size < bytes/2 {
 		t.Fatalf("a snapshot of %d bytes only", size)
 	}
 	from, replies, began := m.machine.Counters.Steps, m.appendReplies, c.now
-	c.until(20*time.Second, "read back", func() bool { return m.machine.loader == nil })
+	c.until(20*time.Second, "read back", func() bool { return !m.machine.log.isLoading() })
 	if ticks := (c.now - began) / tickTime; int(ticks) < bytes/2/snapshotReadBytes-1 {
 		t.Errorf("%d bytes were read back within %d ticks (%d steps)", bytes, ticks, m.machine.Counters.Steps-from)
 	}
@@ -243,14 +243,14 @@
 	m.tickInterval = 300 * time.Millisecond // a slow processor
 	c.run(time.Second)
 	m.start(false)
-	if bug == nil && m.machine.loader == nil {
+	if bug == nil && !m.machine.log.isLoading() {
 		t.Fatal("the state was read back in one step")
 	}
 	c.leader().kill()
 	c.until(20*time.Second, "a leader", func() bool { return c.leader() != nil })
 	c.change(1000)
 	c.until(15*time.Second, "caught up", func() bool { return c.caughtUp(m) })
-	if v := m.machine.state.Table.Version; v < c.acknowledged {
+	if v := m.machine.log.state().Table.Version; v < c.acknowledged {
 		c.violate("%s has version %d of %d", m.addr, v, c.acknowledged)
 	}
 	return c
@@ -273,9 +273,9 @@
 		{"a member stands for election while it reads its state back", loseLeaderWhileLoading,
 			func(m *member, _ wire.Event) { m.machine.raft.SetStateLoading(false) }},
 		{"a member goes on without the state that it should read back", loseLeaderWhileLoading, func(m *member, _ wire.Event) {
-			if h := m.machine; h.loader != nil {
-				h.applied, h.snapshotIndex, h.loader = h.loadedIndex, h.loadedIndex, nil
-				h.raft.SetStateLoading(false)
+			if l := m.machine.log; l.isLoading() {
+				l.appliedIndex, l.writer.index, l.loader.decoder = l.loader.index, l.loader.index, nil
+				l.raft.SetStateLoading(false)
 			}
 		}},
 		{"a lease is judged by the time of the last tick", runFrozenLeader, func(m *member, e wire.Event) {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -240,10 +240,10 @@
 func (m *member) check() {
 	h := m.machine
 	switch {
-	case h.raft.IsLeader() && h.loader != nil:
+	case h.raft.IsLeader() && h.log.isLoading():
 		m.cluster.violate("%s leads without its state", m.addr)
-	case m.serves() && h.state.Table.Version < m.cluster.acknowledged:
-		m.cluster.violate("%s serves version %d after %d was acknowledged", m.addr, h.state.Table.Version, m.cluster.acknowledged)
+	case m.serves() && h.log.state().Table.Version < m.cluster.acknowledged:
+		m.cluster.violate("%s serves version %d after %d was acknowledged", m.addr, h.log.state().Table.Version, m.cluster.acknowledged)
 	}
 }
 
@@ -342,7 +342,7 @@
 		if m == nil {
 			return false
 		}
-		base := m.machine.state.Table.Version
+		base := m.machine.log.state().Table.Version
 		done := false
 		m.ask("table.put", "", wire.EncodeBody(table(base, bytes)), func(a wire.Response) {
 			if done = a.Error == nil; done {
@@ -364,7 +364,7 @@
 func (c *cluster) job(n, bytes int) {
 	if m := c.leader(); m != nil {
 		spec := state.Spec{Queue: "q", Steps: []state.Step{{Name: "s", Kind: "k", Tasks: 1, Work: json.RawMessage(wire.EncodeBody(make([]byte, bytes*3/4)))}}}
-		m.machine.propose(state.Command{Job: &state.Submission{ID: types.JobID(fmt.Sprintf("job-%d", n)), Spec: spec}})
+		m.machine.log.propose(state.Command{Job: &state.Submission{ID: types.JobID(fmt.Sprintf("job-%d", n)), Spec: spec}})
 		m.step(wire.Event{})
 	}
 }
@@ -372,5 +372,5 @@
 // caughtUp tells whether a member has all that the leader has committed.
 func (c *cluster) caughtUp(m *member) bool {
 	l := c.leader()
-	return l != nil && m.machine != nil && !m.machine.isLagging() && m.machine.applied >= l.machine.applied
+	return l != nil && m.machine != nil && !m.machine.log.isLagging() && m.machine.log.applied() >= l.machine.log.applied()
 }
--- a/internal/controller/command_log.go
+++ b/internal/controller/command_log.go
@@ -1,6 +1,3 @@
-// Entries of the log: putting commands into it, and bringing the state up to what is
-// committed. A leader keeps the commands that it proposed until they are committed, so
-// that it does not read back what it has just written.
 package controller
 
 import (
@@ -14,113 +11,158 @@
 	"coppercourse/internal/wire"
 )
 
-// proposal is a command as this controller put it into the log. An entry of the same
-// index and term is this very command, for a term has one leader.
-type proposal struct {
+// commandLog is the replicated log as the controller sees it: commands go in, and the
+// replicated state is what the committed ones have made of it. It also compacts the log
+// into snapshots and restores the state from them, both a bounded part a step.
+type commandLog struct {
+	raft         *raft.Node
+	replicated   *state.State
+	appliedIndex types.Index
+	own          map[types.Index]ownCommand
+	writer       snapshotWriter
+	loader       snapshotLoader
+}
+
+// ownCommand is a command that this controller proposed. It is kept until its entry is
+// committed, so that the leader need not decode what it has just encoded. An entry of
+// the same index and term is this very command, for a term has one leader.
+type ownCommand struct {
 	term    types.Term
 	command state.Command
 }
 
-// holdsOnlyValues tells whether a command consists of values only, so that it is the same before
-// and after it was written and read. Others bring documents, which are kept as read.
-func holdsOnlyValues(c *state.Command) bool {
-	return c.Job == nil && c.Table == nil && c.WallOffset == nil && c.WorkerShapes == nil && c.Drain == nil && c.Calendar == nil
+// newCommandLog returns the log of a Raft node with the state that its snapshot holds;
+// a large snapshot is loaded by later calls of loadPart.
+func newCommandLog(node *raft.Node, snapshotThreshold types.Index) *commandLog {
+	l := &commandLog{
+		raft:       node,
+		replicated: state.New(),
+		own:        map[types.Index]ownCommand{},
+		writer:     newSnapshotWriter(snapshotThreshold),
+	}
+	l.startLoading()
+	l.loadPart()
+	return l
 }
 
-// propose puts a command into the log; false when this controller may not.
-func (co *Controller) propose(command state.Command) (types.Index, bool) {
-	command.Time = max(co.raft.Clock(), co.state.Time)
-	at, ok := co.raft.Propose(wire.EncodeBody(command))
-	if ok && holdsOnlyValues(&command) {
-		co.proposals[at] = proposal{co.raft.Term(), command}
-	}
-	return at, ok
+// state returns the replicated state as of the entries applied. While a snapshot is being
+// loaded it is the state from before.
+func (l *commandLog) state() *state.State { return l.replicated }
+
+// applied returns the index of the last entry applied.
+func (l *commandLog) applied() types.Index { return l.appliedIndex }
+
+// isLoading reports whether a snapshot is being loaded.
+func (l *commandLog) isLoading() bool { return l.loader.active() }
+
+// isLagging reports whether the state lacks something that is committed.
+func (l *commandLog) isLagging() bool {
+	return l.loader.active() || l.appliedIndex < l.raft.CommittedIndex()
 }
 
-// decodeEntry gives what an entry says.
-func (co *Controller) decodeEntry(e raft.Entry) (command state.Command) {
-	own, ok := co.proposals[e.Index]
-	delete(co.proposals, e.Index)
-	if ok && own.term == e.Term {
-		return own.command
+// propose appends a command to the log, stamped with the cluster's time. It returns the
+// command's index, and false if this controller may not append to the log.
+func (l *commandLog) propose(command state.Command) (types.Index, bool) {
+	command.Time = max(l.raft.Clock(), l.replicated.Time)
+	index, ok := l.raft.Propose(wire.EncodeBody(command))
+	if ok && survivesEncoding(&command) {
+		l.own[index] = ownCommand{l.raft.Term(), command}
 	}
-	if err := json.Unmarshal(e.Data, &command); err != nil {
-		panic(err)
+	return index, ok
+}
+
+// survivesEncoding reports whether a command is the same before and after it was encoded
+// and decoded, as one that consists of plain values is. Commands with documents in them
+// are always decoded from their entries, for the state keeps the documents.
+func survivesEncoding(c *state.Command) bool {
+	return c.Job == nil && c.Table == nil && c.WallOffset == nil && c.WorkerShapes == nil &&
+		c.Drain == nil && c.Calendar == nil
+}
+
+// next advances to the next committed entry and returns it, or false if all are applied.
+// The caller must apply its command.
+func (l *commandLog) next() (raft.Entry, bool) {
+	if l.appliedIndex >= l.raft.CommittedIndex() {
+		return raft.Entry{}, false
 	}
-	return
+	l.appliedIndex++
+	return l.raft.Entry(l.appliedIndex), true
 }
 
-// applyCommitted brings the state up to what is committed, a bounded number of
-// entries a step.
-func (co *Controller) applyCommitted() {
-	if co.snapshotReplaced() {
-		co.startSnapshotLoad()
-		co.loadSnapshotPart() // a small one at once, a large one as time passes
-		maps.DeleteFunc(co.proposals, func(at types.Index, _ proposal) bool { return at <= co.loadedIndex })
+// command returns the command in an entry, and false for one that holds none, as a new
+// leader's first entry does not.
+func (l *commandLog) command(e raft.Entry) (command state.Command, ok bool) {
+	own, isOwn := l.own[e.Index]
+	delete(l.own, e.Index)
+	if e.Data == nil {
+		return state.Command{}, false
 	}
-	if co.loader != nil {
-		return
+	if isOwn && own.term == e.Term {
+		return own.command, true
 	}
-	for most := co.applied + maxAppliesPerStep; co.applied < co.raft.CommittedIndex() && co.applied < most; {
-		co.applied++
-		co.Counters.Applied++
-		if e := co.raft.Entry(co.applied); e.Data != nil {
-			co.applyEntry(e)
-		} else {
-			delete(co.proposals, e.Index)
-		}
+	if err := json.Unmarshal(e.Data, &command); err != nil {
+		panic(err)
 	}
-	co.replyReadyReads()
+	return command, true
 }
 
-// replyToCaller answers who waited for an entry. Another leader's entry in its place
-// tells nothing of the request, which may be committed there under another index.
-func (co *Controller) replyToCaller(e raft.Entry, command state.Command, bad *apierror.Error) {
-	w, ok := co.waiters[e.Index]
-	delete(co.waiters, e.Index)
-	switch {
-	case ok && w.term == e.Term:
-		co.replyCommitted(w, command, bad)
-	case ok:
-		co.outbox.replyError(w, leaderChanged())
+// apply applies a command to the state. It returns the assignments that took effect, and
+// the refusal of a command that did not.
+func (l *commandLog) apply(command state.Command) ([]state.Assignment, *apierror.Error) {
+	assignments, refusal := l.replicated.Apply(command)
+	l.raft.AdvanceClock(l.replicated.Time)
+	return assignments, refusal
+}
+
+// installSnapshot starts to load a snapshot that a leader has sent in place of entries
+// which this member lacks.
+func (l *commandLog) installSnapshot() {
+	if l.raft.Snapshot().Index <= max(l.appliedIndex, l.loader.index) {
+		return
 	}
+	l.startLoading()
+	l.loadPart() // all of a small one
+	maps.DeleteFunc(l.own, func(index types.Index, _ ownCommand) bool { return index <= l.loader.index })
 }
 
-// leaderChanged is the answer where it is not known what became of a request.
-func leaderChanged() *apierror.Error {
-	return apierror.New(apierror.OutcomeUnknown, "", "the leader changed; send the same again")
+// startLoading starts to load the snapshot that the log begins with. Until it is loaded
+// nothing is applied, and this member does not stand for election.
+func (l *commandLog) startLoading() {
+	l.loader.start(l.raft.Snapshot())
+	l.raft.SetStateLoading(true)
 }
 
-// applyEntry takes one entry into the state, and answers who waited for it.
-func (co *Controller) applyEntry(e raft.Entry) {
-	command := co.decodeEntry(e)
-	co.needsPlacement = true
-	co.recordDurations(command)
-	attempts, bad := co.state.Apply(command)
-	co.raft.AdvanceClock(co.state.Time)
-	co.traceCommand(command, e.Index)
-	co.replyToCaller(e, command, bad)
-	if co.scheduler == nil || !co.raft.IsLeader() {
+// loadPart loads the next part of a snapshot that is being loaded, and takes its state
+// over once it is complete.
+func (l *commandLog) loadPart() {
+	if !l.loader.active() {
 		return
 	}
-	if command.Job != nil && bad == nil {
-		co.recordJobWork(co.state.Jobs[command.Job.ID])
-	}
-	for _, g := range command.Assignments {
-		delete(co.assignmentsInFlight, g.ID.TaskID)
-	}
-	co.sendOrders(attempts)
-	co.scheduler.OnEndsCommitted(command.Ends)
-	for _, end := range command.Ends {
-		co.endCommitted(end)
+	loaded := l.loader.loadPart()
+	if loaded == nil {
+		return
 	}
+	l.replicated, l.appliedIndex = loaded, l.loader.index
+	l.writer.completed(l.loader.index, totalBytes(l.raft.Snapshot().Parts))
+	l.raft.AdvanceClock(loaded.Time)
+	l.raft.SetStateLoading(false)
 }
 
-// endCommitted forgets that an end is on its way into the log.
-func (co *Controller) endCommitted(end state.AttemptEnd) {
-	delete(co.endsInFlight, end)
-	delete(co.released, end.ID)
-	if co.pendingEnds[end.ID.Job] <= co.applied {
-		delete(co.pendingEnds, end.ID.Job)
+// writeSnapshotPart writes the next part of a snapshot if the log is due to be compacted,
+// and compacts the log once the snapshot is complete.
+func (l *commandLog) writeSnapshotPart() {
+	if l.loader.active() {
+		return
+	}
+	if !l.replicated.SnapshotInProgress() {
+		if !l.writer.due(l.appliedIndex, l.raft.LogBytes()) {
+			return
+		}
+		l.writer.begin(l.appliedIndex)
+		l.replicated.BeginSnapshot()
+	}
+	if parts := l.replicated.ContinueSnapshot(snapshotWriteBytes); parts != nil {
+		l.writer.completed(l.writer.index, totalBytes(parts))
+		l.raft.Compact(l.writer.index, parts)
 	}
 }
--- a/internal/controller/command_log_test.go
+++ b/internal/controller/command_log_test.go
@@ -37,32 +37,37 @@
 func TestKeptProposalsAreWhatFollowersRead(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewSource(1))
-	h := &Controller{proposals: map[types.Index]proposal{}}
+	l := &commandLog{own: map[types.Index]ownCommand{}}
 	for i := range types.Index(2000) {
 		c := randomPlain(r)
-		is.True(holdsOnlyValues(&c))
+		is.True(survivesEncoding(&c))
 		e := raft.Entry{Term: 3, Index: i, Data: wire.EncodeBody(c)}
-		h.proposals[i] = proposal{3, c}
+		l.own[i] = ownCommand{3, c}
 		var read state.Command
 		is.NoErr(json.Unmarshal(e.Data, &read))
-		is.Equal(h.decodeEntry(e), read)
-		is.Equal(len(h.proposals), 0)
+		kept, ok := l.command(e)
+		is.True(ok)
+		is.Equal(kept, read)
+		is.Equal(len(l.own), 0)
 	}
 }
 
 // An entry of another term at the index of a proposal is another leader's: it is read.
 func TestAnOverwrittenProposalIsNotApplied(t *testing.T) {
 	is := is.New(t)
-	h := &Controller{proposals: map[types.Index]proposal{7: {3, state.Command{Time: types.ClusterTime(time.Second), ExitedWorker: "mine"}}}}
+	l := &commandLog{own: map[types.Index]ownCommand{
+		7: {3, state.Command{Time: types.ClusterTime(time.Second), ExitedWorker: "mine"}}}}
 	theirs := state.Command{Time: types.ClusterTime(time.Minute), ExitedWorker: "theirs"}
-	is.Equal(h.decodeEntry(raft.Entry{Term: 4, Index: 7, Data: wire.EncodeBody(theirs)}), theirs)
-	is.Equal(len(h.proposals), 0)
+	read, ok := l.command(raft.Entry{Term: 4, Index: 7, Data: wire.EncodeBody(theirs)})
+	is.True(ok)
+	is.Equal(read, theirs)
+	is.Equal(len(l.own), 0)
 }
 
 // Commands that bring documents are never kept: all that is behind a pointer, and shapes.
 func TestDocumentsAreReadFromTheLog(t *testing.T) {
 	is := is.New(t)
-	is.True(!holdsOnlyValues(&state.Command{WorkerShapes: []state.WorkerShape{}}))
+	is.True(!survivesEncoding(&state.Command{WorkerShapes: []state.WorkerShape{}}))
 	documents := 0
 	for i := range reflect.TypeFor[state.Command]().NumField() {
 		var c state.Command
@@ -71,7 +76,7 @@
 			continue
 		}
 		field.Set(reflect.New(field.Type().Elem()))
-		is.True(!holdsOnlyValues(&c))
+		is.True(!survivesEncoding(&c))
 		documents++
 	}
 	is.True(documents >= 5)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -39,12 +39,8 @@
 	now                 types.Now
 	raft                *raft.Node
 	members             *membership.MemberList
-	state               *state.State
-	loader              *state.Loader // of a snapshot that is being read back, or nil
-	loadedIndex         types.Index   // the entry that it stands for
-	diskError           error         // why the disk refuses, until it takes writes again
-	applied             types.Index
-	proposals           map[types.Index]proposal
+	log                 *commandLog
+	diskError           error // why the disk refuses, until it takes writes again
 	scheduler           *dispatch.Scheduler
 	publisher           *configwatch.Publisher
 	Trace               *trace.Ring
@@ -58,8 +54,6 @@
 	roundsInFlight      []types.Index                     // of them
 	shapesIndex         types.Index
 	offsetCheckedAt     types.MonoTime
-	snapshotIndex       types.Index // the entry of the latest snapshot, or of the one under way
-	snapshotBytes       int         // bytes of the latest snapshot
 	shuttingDown        bool
 	shutdownDeadline    types.MonoTime
 	needsPlacement      bool // something was applied, or time passed, since work was last placed
@@ -93,15 +87,13 @@
 func New(now types.Now, rnd *rand.Rand, p Options, recs [][]byte) *Controller {
 	me := raft.Member{Addr: p.Addr, Zone: p.Zone}
 	h := &Controller{options: p, now: now, raft: raft.New(now, p.RaftTimeouts, rnd, me, p.Bootstrap, recs, types.NewID(rnd)),
-		waiters: map[types.Index]caller{}, proposals: map[types.Index]proposal{}, pendingEnds: map[types.JobID]types.Index{}, endsInFlight: map[state.AttemptEnd]bool{}, released: map[types.AttemptID]bool{},
+		waiters: map[types.Index]caller{}, pendingEnds: map[types.JobID]types.Index{}, endsInFlight: map[state.AttemptEnd]bool{}, released: map[types.AttemptID]bool{},
 		assignmentsInFlight: map[types.TaskID]state.Assignment{}, completionRates: map[types.QueueName]*completionRate{}, meanJobWork: map[types.QueueName]float64{}, peakCores: map[types.QueueName]float64{},
 		meanTaskSeconds: map[types.QueueName]float64{}, queueDurations: map[types.QueueName]*queueDurations{}, jobDurations: map[types.JobID][]stepDurations{}, Trace: trace.New()}
 	h.outbox = outbox{self: p.Addr, counters: &h.Counters}
+	h.log = newCommandLog(h.raft, p.SnapshotThreshold)
 	h.members = membership.New(rnd, h.describe(), p.Seeds)
 	h.publisher = configwatch.NewPublisher(p.Addr)
-	h.state = state.New()
-	h.startSnapshotLoad()
-	h.loadSnapshotPart()
 	return h
 }
 
@@ -113,7 +105,7 @@
 // Ready tells whether the platform may send callers here: a controller that knows a
 // leader of now, or is it.
 func (co *Controller) Ready() bool {
-	return !co.shuttingDown && co.diskError == nil && co.loader == nil && co.raft.ClusterName() != "" && (co.raft.IsLeader() && co.raft.HoldsReadLease() || !co.raft.IsLeader() && co.raft.LeaderAddr() != "")
+	return !co.shuttingDown && co.diskError == nil && !co.log.isLoading() && co.raft.ClusterName() != "" && (co.raft.IsLeader() && co.raft.HoldsReadLease() || !co.raft.IsLeader() && co.raft.LeaderAddr() != "")
 }
 
 // Step takes one event.
@@ -143,7 +135,7 @@
 	co.transferIfOverloaded()
 	co.runLeader()
 	var out wire.Effects
-	co.writeSnapshotPart()
+	co.log.writeSnapshotPart()
 	co.members.SetSelf(co.describe())
 	out.FallbackRecords = co.raft.AppendInstead()
 	out.Messages, out.Records, out.BatchNumber, out.ReplaceLog = co.raft.Ready()
@@ -176,7 +168,7 @@
 
 func (co *Controller) tick() {
 	co.needsPlacement = true
-	co.loadSnapshotPart()
+	co.log.loadPart()
 	co.members.Tick(co.now.Mono)
 	var seen []raft.DiscoveredPeer
 	for _, c := range co.members.Controllers() {
@@ -213,7 +205,7 @@
 func (co *Controller) traceCommand(f state.Command, at types.Index) {
 	switch {
 	case f.Table != nil:
-		co.Trace.Add(co.now.Wall, trace.TableSubject(co.state.Table.Version), "applied", "index", at)
+		co.Trace.Add(co.now.Wall, trace.TableSubject(co.log.state().Table.Version), "applied", "index", at)
 	case f.Job != nil:
 		co.Trace.Add(co.now.Wall, trace.JobSubject(f.Job.ID), "accept applied", "index", at)
 	case f.Cancel != "":
@@ -248,14 +240,14 @@
 		return
 	}
 	if co.scheduler == nil {
-		if !co.raft.HoldsReadLease() || co.isLagging() {
+		if !co.raft.HoldsReadLease() || co.log.isLagging() {
 			return
 		}
 		co.Counters.Elected++
 		co.scheduler = dispatch.NewScheduler(co.now.Mono, co.raft.PriorLeaderHeardAt(), co.options.DispatchTimeouts, co.options.Addr, co.raft.Term(), co.outstandingAttempts())
-		co.scheduler.Invoked = func(x types.Shard) bool { return co.state.WorkerShapes[x].CalledByAgent }
+		co.scheduler.Invoked = func(x types.Shard) bool { return co.log.state().WorkerShapes[x].CalledByAgent }
 		co.scheduler.Partitioned = func(x types.Shard) bool { return co.members.ZonePartitioned(string(x)) }
-		co.scheduler.EndRecorded, co.scheduler.Unresolved = co.endRecorded, func(x types.Shard) []types.AttemptID { return co.state.UnresolvedAttempts(x) }
+		co.scheduler.EndRecorded, co.scheduler.Unresolved = co.endRecorded, func(x types.Shard) []types.AttemptID { return co.log.state().UnresolvedAttempts(x) }
 	}
 	co.scheduler.Tick(co.now.Mono, co.raft.AuthorityRemaining())
 	co.drainScheduler()
@@ -267,13 +259,13 @@
 		co.drainScheduler()
 	}
 	if co.raft.HoldsReadLease() {
-		co.outbox.send(co.publisher.Responses(co.now.Mono, co.state.Table)...)
+		co.outbox.send(co.publisher.Responses(co.now.Mono, co.log.state().Table)...)
 	}
 }
 
 // outstandingAttempts lists the attempts given out as the state has them.
 func (co *Controller) outstandingAttempts() (list []dispatch.OutstandingAttempt) {
-	for _, j := range co.state.LiveJobs() {
+	for _, j := range co.log.state().LiveJobs() {
 		for i := range j.Tasks {
 			for _, o := range j.Tasks[i].Outstanding() {
 				n := j.Spec.TaskNumber(i)
@@ -288,7 +280,7 @@
 
 // endRecorded tells whether the state already has an end, or has no use for it.
 func (co *Controller) endRecorded(e state.AttemptEnd) bool {
-	j := co.state.Jobs[e.ID.Job]
+	j := co.log.state().Jobs[e.ID.Job]
 	if j == nil || j.Ended() {
 		return true
 	}
--- a/internal/controller/disk_test.go
+++ b/internal/controller/disk_test.go
@@ -17,7 +17,7 @@
 	c.changes(20, 1000)
 	m := c.leader()
 	m.diskFull, m.hidesDiskErrors = true, mute
-	m.ask("table.put", "", wire.EncodeBody(table(m.machine.state.Table.Version, 1000)), func(wire.Response) {})
+	m.ask("table.put", "", wire.EncodeBody(table(m.machine.log.state().Table.Version, 1000)), func(wire.Response) {})
 	return c.until(10*time.Second, "another leader", func() bool { l := c.leader(); return l != nil && l != m }), c, m
 }
 
@@ -36,7 +36,7 @@
 	c.until(time.Second, "caught up", func() bool { return c.caughtUp(m) })
 	is.True(m.machine.Ready())
 	is.Equal(m.machine.Status().Reason, "")
-	is.Equal(m.machine.state.Table.Version, c.acknowledged)
+	is.Equal(m.machine.log.state().Table.Version, c.acknowledged)
 	is.Equal(c.violation, "")
 }
 
@@ -59,7 +59,7 @@
 	acknowledged := 0
 	for range 20 {
 		if m := c.leader(); m != nil {
-			m.ask("table.put", "", wire.EncodeBody(table(m.machine.state.Table.Version, 1000)), func(a wire.Response) {
+			m.ask("table.put", "", wire.EncodeBody(table(m.machine.log.state().Table.Version, 1000)), func(a wire.Response) {
 				if a.Error == nil {
 					acknowledged++
 				}
@@ -76,7 +76,7 @@
 		m.start(false)
 	}
 	c.until(5*time.Second, "a leader", func() bool { return c.leader() != nil })
-	is.True(c.leader().machine.state.Table.Version >= before)
+	is.True(c.leader().machine.log.state().Table.Version >= before)
 	c.change(1000)
 	is.Equal(c.violation, "")
 }
--- a/internal/controller/duration_estimates.go
+++ b/internal/controller/duration_estimates.go
@@ -64,11 +64,14 @@
 
 // recordDurations takes the good ends of a fact that is about to be applied.
 func (co *Controller) recordDurations(f state.Command) {
-	if len(co.jobDurations) > 2*len(co.state.LiveJobs())+64 {
-		maps.DeleteFunc(co.jobDurations, func(id types.JobID, _ []stepDurations) bool { j := co.state.Jobs[id]; return j == nil || j.Ended() })
+	if len(co.jobDurations) > 2*len(co.log.state().LiveJobs())+64 {
+		maps.DeleteFunc(co.jobDurations, func(id types.JobID, _ []stepDurations) bool {
+			j := co.log.state().Jobs[id]
+			return j == nil || j.Ended()
+		})
 	}
 	for _, e := range f.Ends {
-		j := co.state.Jobs[e.ID.Job]
+		j := co.log.state().Jobs[e.ID.Job]
 		if e.Outcome != state.OutcomeOK || j == nil || j.Ended() {
 			continue
 		}
--- a/internal/controller/end_proposals.go
+++ b/internal/controller/end_proposals.go
@@ -24,7 +24,7 @@
 	if list == nil {
 		return
 	}
-	if i, ok := co.propose(state.Command{Ends: list}); ok {
+	if i, ok := co.log.propose(state.Command{Ends: list}); ok {
 		for _, e := range list {
 			co.endsInFlight[e], co.pendingEnds[e.ID.Job] = true, i
 			if e.Outcome.FreesResources() {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -41,7 +41,7 @@
 		if err := json.Unmarshal(line, &command); err != nil {
 			t.Fatal(err)
 		}
-		c.leader().machine.propose(command)
+		c.leader().machine.log.propose(command)
 		c.run(40 * time.Millisecond)
 	}
 	for i, m := range c.members {
@@ -80,7 +80,7 @@
 	var loaded bytes.Buffer
 	for _, m := range c.members {
 		m.start(false)
-		loaded.Write(written(m.machine.state))
+		loaded.Write(written(m.machine.log.state()))
 	}
 	goldentest.File(t, "restart-loaded.jsonl", loaded.Bytes())
 	c.until(10*time.Second, "a leader", func() bool { return c.leader() != nil && c.caughtUp(c.leader()) })
@@ -101,7 +101,7 @@
 		}
 	}
 	goldentest.File(t, "restart-answers.txt", []byte(lines.String()))
-	goldentest.File(t, "restart-state.jsonl", written(leader.machine.state))
+	goldentest.File(t, "restart-state.jsonl", written(leader.machine.log.state()))
 }
 
 // restarted is a cluster whose members have the disks of the golden files and are not
--- a/internal/controller/hedges.go
+++ b/internal/controller/hedges.go
@@ -20,7 +20,7 @@
 // speculationCandidates lists the second attempts that are wanted.
 func (co *Controller) speculationCandidates(holds []*dispatch.OutstandingAttempt) (wants []placement.Request) {
 	for _, o := range holds {
-		j := co.state.Jobs[o.Attempt.Job]
+		j := co.log.state().Jobs[o.Attempt.Job]
 		if j == nil || j.Status != state.JobOpen || o.Stage < 0 {
 			continue
 		}
@@ -43,7 +43,7 @@
 	}
 	in.Requests, in.Reservation = wants, nil
 	for _, p := range placement.Place(in).Assignments {
-		t := co.state.Jobs[p.Task.Job].Task(p.Task.Number)
+		t := co.log.state().Jobs[p.Task.Job].Task(p.Task.Number)
 		if t.Primary.Shard != p.Shard {
 			attempts = append(attempts, state.Assignment{ID: types.AttemptID{TaskID: p.Task, Attempt: t.LastAttempt + 1}, Shard: p.Shard, Hedge: true})
 		}
--- a/internal/controller/job_ranking.go
+++ b/internal/controller/job_ranking.go
@@ -91,7 +91,7 @@
 // outlastsUrgentQueues tells whether tasks take so long that what goes before their queue would be
 // worth nothing any more if it had to wait for them.
 func (co *Controller) outlastsUrgentQueues(q types.QueueName, row config.Queue, task time.Duration) bool {
-	for _, r := range co.state.Table.Queues {
+	for _, r := range co.log.state().Table.Queues {
 		if u, ok := co.meanTaskSeconds[r.Name]; ok && r.Name != q && r.Priority < row.Priority && task.Seconds() > lateTargetFactor*(r.TargetFactor*u+float64(r.TargetMarginMillis)/1000) {
 			return true
 		}
--- a/internal/controller/operator_requests.go
+++ b/internal/controller/operator_requests.go
@@ -27,7 +27,7 @@
 }
 
 func (co *Controller) checkTargetKnown(t state.Target) *apierror.Error {
-	for _, x := range co.state.WorkerShapes {
+	for _, x := range co.log.state().WorkerShapes {
 		if t.Matches(x.Shard, x.Rack) {
 			return nil
 		}
@@ -100,13 +100,13 @@
 // Drains lists what is drained, and how much still runs there.
 func (co *Controller) Drains() (list []DrainView) {
 	list = []DrainView{}
-	for _, d := range co.state.Drains {
+	for _, d := range co.log.state().Drains {
 		v := DrainView{Target: d.Target}
 		if d.Deadline != 0 {
 			v.RemainingMS = max(1, d.Deadline.Sub(co.raft.Clock()).Milliseconds())
 		}
 		for _, o := range co.outstanding() {
-			if d.Matches(o.Shard, co.state.WorkerShapes[o.Shard].Rack) {
+			if d.Matches(o.Shard, co.log.state().WorkerShapes[o.Shard].Rack) {
 				v.Attempts++
 			}
 		}
@@ -126,9 +126,9 @@
 // Calendars lists the calendars and the next windows of each.
 func (co *Controller) Calendars() (list []CalendarView) {
 	list = []CalendarView{}
-	at := types.WallTime(co.raft.Clock()) + co.state.WallOffset
+	at := types.WallTime(co.raft.Clock()) + co.log.state().WallOffset
 	show := func(w types.WallTime) string { return time.Unix(0, int64(w)).UTC().Format(time.RFC3339) }
-	for _, p := range co.state.Calendars {
+	for _, p := range co.log.state().Calendars {
 		v := CalendarView{Name: p.Name, Target: p.Target, NextWindows: []string{}}
 		for _, x := range p.Windows {
 			if x[1] <= at {
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -74,7 +74,7 @@
 func (co *Controller) checkOverload(c wire.ForwardedRequest) *apierror.Error {
 	lag := co.overload.lag()
 	switch {
-	case !wire.SubmitsWork(c.Verb), c.Verb == "job.put" && co.state.Find(types.JobID(c.Arg)) != nil:
+	case !wire.SubmitsWork(c.Verb), c.Verb == "job.put" && co.log.state().Find(types.JobID(c.Arg)) != nil:
 		return nil
 	case lag <= maxAdmissionLag && co.overload.load.EventAge <= maxRequestAge:
 		return nil
--- a/internal/controller/pending_reads.go
+++ b/internal/controller/pending_reads.go
@@ -18,7 +18,7 @@
 
 func (co *Controller) getJob(w caller, c wire.ForwardedRequest) {
 	id := types.JobID(c.Arg)
-	if at := co.pendingEnds[id]; at > co.applied && len(co.pendingReads) < MaxPendingRequests {
+	if at := co.pendingEnds[id]; at > co.log.applied() && len(co.pendingReads) < MaxPendingRequests {
 		co.pendingReads = append(co.pendingReads, pendingRead{w, id, at})
 		return
 	}
@@ -37,7 +37,7 @@
 func (co *Controller) replyReadyReads() {
 	kept := co.pendingReads[:0]
 	for _, r := range co.pendingReads {
-		if r.index > co.applied {
+		if r.index > co.log.applied() {
 			kept = append(kept, r)
 		} else {
 			co.replyJob(r.caller, r.job)
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -26,8 +26,8 @@
 func (co *Controller) placeWork() {
 	var doomed []types.AttemptID
 	var spent []state.AttemptEnd
-	for _, j := range co.state.LiveJobs() {
-		x := co.state.ReadyIndex(j, co.raft.Clock())
+	for _, j := range co.log.state().LiveJobs() {
+		x := co.log.state().ReadyIndex(j, co.raft.Clock())
 		doomed, spent = append(doomed, x.ToStop...), append(spent, x.Exhausted...)
 	}
 	co.proposeEnds(spent)
@@ -37,7 +37,7 @@
 	}
 	co.proposeWorkerShapes()
 	co.proposeWallOffset()
-	if co.lastRound > co.applied {
+	if co.lastRound > co.log.applied() {
 		co.placeWhileInFlight()
 		return
 	}
@@ -74,7 +74,7 @@
 
 // placeWhileInFlight gives out work while an earlier round is on its way into the log.
 func (co *Controller) placeWhileInFlight() {
-	co.roundsInFlight = slices.DeleteFunc(co.roundsInFlight, func(i types.Index) bool { return i <= co.applied })
+	co.roundsInFlight = slices.DeleteFunc(co.roundsInFlight, func(i types.Index) bool { return i <= co.log.applied() })
 	if co.scheduler.InInitialWait || len(co.roundsInFlight) >= maxRoundsInFlight || co.reservation != nil {
 		return
 	}
@@ -92,7 +92,7 @@
 // same.
 func (co *Controller) numberAttempts(picks []placement.Assignment) (attempts []state.Assignment) {
 	for _, p := range picks {
-		j := co.state.Jobs[p.Task.Job]
+		j := co.log.state().Jobs[p.Task.Job]
 		at := types.StageOf(p.Task.Number)
 		attempt := j.Task(p.Task.Number).LastAttempt + 1
 		if j.Spec.Steps[at.Step()].Gang {
@@ -111,7 +111,7 @@
 	if attempts == nil && evictions == nil {
 		return
 	}
-	if i, ok := co.propose(state.Command{Assignments: attempts, Withdrawals: evictions}); ok {
+	if i, ok := co.log.propose(state.Command{Assignments: attempts, Withdrawals: evictions}); ok {
 		co.lastRound = i
 		co.roundsInFlight = append(co.roundsInFlight, i)
 		for _, g := range attempts {
@@ -126,19 +126,19 @@
 	list = co.workBuffer[:0]
 	defer func() { co.workBuffer = list }()
 	dues = map[types.QueueName]*placement.QueueUsage{}
-	for q, r := range co.state.RemovedQueues {
+	for q, r := range co.log.state().RemovedQueues {
 		dues[q] = &placement.QueueUsage{Queue: r}
 	}
-	for _, r := range co.state.Table.Queues {
+	for _, r := range co.log.state().Table.Queues {
 		dues[r.Name] = &placement.QueueUsage{Queue: r}
 	}
 	now := co.raft.Clock()
-	for _, j := range co.state.LiveJobs() {
+	for _, j := range co.log.state().LiveJobs() {
 		d := dues[j.Queue]
 		if d == nil {
 			continue
 		}
-		x := co.state.ReadyIndex(j, now)
+		x := co.log.state().ReadyIndex(j, now)
 		d.RunningTasks += x.OutstandingAttempts
 		d.CoresInUse += x.CoresInUse
 		for _, b := range x.Stages {
@@ -178,7 +178,7 @@
 // sendOrders sends the attempts that the log has just given out.
 func (co *Controller) sendOrders(attempts []state.Assignment) {
 	for _, g := range attempts {
-		j := co.state.Jobs[g.ID.Job]
+		j := co.log.state().Jobs[g.ID.Job]
 		at := types.StageOf(g.ID.Number)
 		p := j.Spec.Steps[at.Step()]
 		co.Counters.Orders++
@@ -199,7 +199,7 @@
 	if p.AlwaysRestart {
 		return 0
 	}
-	row, ok := co.state.QueueConfig(j.Queue)
+	row, ok := co.log.state().QueueConfig(j.Queue)
 	own := time.Duration(p.TimeLimitMillis) * time.Millisecond
 	if ok && (own == 0 || own > row.TaskTimeout()) {
 		return row.TaskTimeout()
@@ -209,13 +209,13 @@
 
 // proposeWorkerShapes keeps in the log what the workers are made of.
 func (co *Controller) proposeWorkerShapes() {
-	if co.shapesIndex > co.applied {
+	if co.shapesIndex > co.log.applied() {
 		return
 	}
 	var list []state.WorkerShape
 	for _, s := range co.scheduler.Workers() {
 		x := state.WorkerShape{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Resources: s.Capacity, Labels: s.Labels, CalledByAgent: s.Invoked}
-		y, ok := co.state.WorkerShapes[s.Shard]
+		y, ok := co.log.state().WorkerShapes[s.Shard]
 		if s.Capacity.Cores == 0 && ok {
 			continue // an agent that has not heard its worker yet
 		}
@@ -225,7 +225,7 @@
 		}
 	}
 	if list != nil {
-		co.shapesIndex, _ = co.propose(state.Command{WorkerShapes: list})
+		co.shapesIndex, _ = co.log.propose(state.Command{WorkerShapes: list})
 	}
 }
 
@@ -242,8 +242,8 @@
 		if offsets[i+1]-offsets[i] > maxOffsetDisagreement {
 			continue
 		}
-		if d := offsets[i] - co.state.WallOffset; d > minOffsetChange || d < -minOffsetChange {
-			co.propose(state.Command{WallOffset: &offsets[i]})
+		if d := offsets[i] - co.log.state().WallOffset; d > minOffsetChange || d < -minOffsetChange {
+			co.log.propose(state.Command{WallOffset: &offsets[i]})
 		}
 		return
 	}
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -58,7 +58,7 @@
 func (co *Controller) preemptionCandidates(w placement.Request, under bool, in placement.Input) (list []*preemptionVictim) {
 	gangs := map[placement.TaskGroup]*preemptionVictim{}
 	for _, o := range co.scheduler.Attempts() {
-		j := co.state.Jobs[o.Attempt.Job]
+		j := co.log.state().Jobs[o.Attempt.Job]
 		if j == nil || o.Stage < 0 || !co.isEvictable(o.Attempt) || j.Queue == w.Queue && j.Spec.Urgency >= w.Urgency {
 			continue
 		}
--- a/internal/controller/report_buffer.go
+++ b/internal/controller/report_buffer.go
@@ -30,7 +30,7 @@
 
 // endLogged tells whether an end need not be kept any longer.
 func (co *Controller) endLogged(e state.AttemptEnd, at types.MonoTime) bool {
-	j := co.state.Jobs[e.ID.Job]
+	j := co.log.state().Jobs[e.ID.Job]
 	if j == nil {
 		return co.now.Mono.Sub(at) > unknownAttemptRetention
 	}
--- a/internal/controller/request_table_test.go
+++ b/internal/controller/request_table_test.go
@@ -16,7 +16,7 @@
 // request: its caller is told so at once, and not what became of the other entry.
 func TestAnEntryOfAnotherTermAnswersNobodysRequest(t *testing.T) {
 	is := is.New(t)
-	h := &Controller{state: state.New(), outbox: outbox{counters: &Counters{}}, waiters: map[types.Index]caller{7: {token: 1, term: 2}, 8: {token: 2, term: 3}}}
+	h := &Controller{log: &commandLog{replicated: state.New()}, outbox: outbox{counters: &Counters{}}, waiters: map[types.Index]caller{7: {token: 1, term: 2}, 8: {token: 2, term: 3}}}
 	refused := apierror.New(apierror.StaleVersion, "edition", "another order was first")
 	h.replyToCaller(raft.Entry{Index: 7, Term: 3}, state.Command{Cancel: "j"}, refused)
 	is.Equal(len(h.outbox.responses), 1)
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -27,7 +27,7 @@
 	"job.get":     (*Controller).getJob,
 	"job.cancel":  (*Controller).cancelJob,
 	"table.put":   (*Controller).putTable,
-	"table.get":   func(h *Controller, w caller, _ wire.ForwardedRequest) { h.outbox.replyOK(w, 200, h.state.Table) },
+	"table.get":   func(h *Controller, w caller, _ wire.ForwardedRequest) { h.outbox.replyOK(w, 200, h.log.state().Table) },
 	"queues":      func(h *Controller, w caller, _ wire.ForwardedRequest) { h.outbox.replyOK(w, 200, h.Queues()) },
 	"workers":     func(h *Controller, w caller, _ wire.ForwardedRequest) { h.outbox.replyOK(w, 200, h.Workers()) },
 	"drain.put":   (*Controller).startDrain,
@@ -89,7 +89,7 @@
 
 // proposeRequest proposes a fact and keeps who waits for it.
 func (co *Controller) proposeRequest(w caller, f state.Command) {
-	i, ok := co.propose(f)
+	i, ok := co.log.propose(f)
 	if !ok {
 		co.outbox.replyError(w, apierror.New(apierror.NoLeader, "", "the log takes nothing now").WithRetryAfter(2*time.Second))
 		return
@@ -119,7 +119,7 @@
 
 func (co *Controller) withRetryAfter(bad *apierror.Error, f state.Command) *apierror.Error {
 	if bad.Kind == apierror.QueueFull && f.Job != nil {
-		bad.WithRetryAfter(co.completionRate(f.Job.Spec.Queue).retryAfter(co.now.Mono, co.state.UnfinishedJobs(f.Job.Spec.Queue)))
+		bad.WithRetryAfter(co.completionRate(f.Job.Spec.Queue).retryAfter(co.now.Mono, co.log.state().UnfinishedJobs(f.Job.Spec.Queue)))
 	}
 	return bad
 }
@@ -131,7 +131,7 @@
 		return
 	}
 	id := types.JobID(c.Arg)
-	known, bad := co.state.CheckJob(id, s)
+	known, bad := co.log.state().CheckJob(id, s)
 	switch {
 	case known != nil:
 		co.outbox.replyOK(w, 200, co.View(id))
@@ -152,12 +152,12 @@
 // runs or has run.
 func (co *Controller) countQueue(w caller, c wire.ForwardedRequest) {
 	q := types.QueueName(c.Arg)
-	if _, ok := co.state.Table.FindQueue(q); !ok {
+	if _, ok := co.log.state().Table.FindQueue(q); !ok {
 		co.outbox.replyError(w, apierror.New(apierror.NoSuchQueue, "queue", "no queue is called "+c.Arg))
 		return
 	}
 	n := 0
-	for _, j := range co.state.LiveJobs() {
+	for _, j := range co.log.state().LiveJobs() {
 		if j.Queue == q && j.AttemptCount == 0 {
 			n++
 		}
@@ -167,7 +167,7 @@
 
 func (co *Controller) cancelJob(w caller, c wire.ForwardedRequest) {
 	id := types.JobID(c.Arg)
-	switch repeat, bad := co.state.CheckCancel(id); {
+	switch repeat, bad := co.log.state().CheckCancel(id); {
 	case bad != nil:
 		co.outbox.replyError(w, bad)
 	case repeat:
@@ -183,11 +183,11 @@
 		co.outbox.replyError(w, apierror.New(apierror.BadBody, "", "not a table"))
 		return
 	}
-	if bad := co.state.CheckTable(t); bad != nil {
+	if bad := co.log.state().CheckTable(t); bad != nil {
 		co.outbox.replyError(w, bad)
 		return
 	}
-	if co.state.IsRepeat(t) {
+	if co.log.state().IsRepeat(t) {
 		co.outbox.replyOK(w, 200, t.Accepted())
 		return
 	}
@@ -196,14 +196,14 @@
 
 // checkFeasible tells a job that no known worker, away or not, could ever hold.
 func (co *Controller) checkFeasible(s state.Spec) *apierror.Error {
-	if len(co.state.WorkerShapes) == 0 {
+	if len(co.log.state().WorkerShapes) == 0 {
 		return apierror.New(apierror.NotReady, "", "no worker has come yet").WithRetryAfter(2 * time.Second)
 	}
-	row, _ := co.state.Table.FindQueue(s.Queue)
+	row, _ := co.log.state().Table.FindQueue(s.Queue)
 	for i, p := range s.Steps {
 		at := fmt.Sprintf("steps[%d]", i)
 		workers, capacity, kindFound, rackFound := 0, 0, false, false
-		for _, x := range co.state.WorkerShapes {
+		for _, x := range co.log.state().WorkerShapes {
 			k, r := x.Matches(p)
 			kindFound, rackFound = kindFound || k, rackFound || k && r
 			if !k || !r || !x.Resources.Contains(p.Resources) {
@@ -266,7 +266,7 @@
 }
 
 func (co *Controller) attemptEnded(e state.AttemptEnd) {
-	if j := co.state.Jobs[e.ID.Job]; j != nil && j.Ended() {
+	if j := co.log.state().Jobs[e.ID.Job]; j != nil && j.Ended() {
 		delete(co.jobDurations, j.ID)
 		co.completionRate(j.Queue).record(co.now.Mono)
 	}
--- a/internal/controller/slot_cache.go
+++ b/internal/controller/slot_cache.go
@@ -71,7 +71,7 @@
 
 // resourcesOf is what a task of a part takes, or nothing if its job is over.
 func (co *Controller) resourcesOf(p placement.TaskGroup) types.Resources {
-	if j := co.state.Jobs[p.Job]; j != nil && !j.Ended() {
+	if j := co.log.state().Jobs[p.Job]; j != nil && !j.Ended() {
 		return j.Spec.Steps[p.Stage.Step()].Resources
 	}
 	return types.Resources{}
--- a/internal/controller/slot_cache_test.go
+++ b/internal/controller/slot_cache_test.go
@@ -35,7 +35,7 @@
 	for _, g := range h.assignmentsInFlight {
 		if i, ok := at[g.Shard]; ok {
 			stage := types.StageOf(g.ID.Number)
-			if j := h.state.Jobs[g.ID.Job]; j != nil && !j.Ended() {
+			if j := h.log.state().Jobs[g.ID.Job]; j != nil && !j.Ended() {
 				list[i].Free = list[i].Free.Sub(j.Spec.Steps[stage.Step()].Resources)
 			}
 			list[i].RunningTasks++
@@ -85,7 +85,7 @@
 	h.scheduler.EndRecorded, h.scheduler.Unresolved = func(state.AttemptEnd) bool { return false }, func(types.Shard) []types.AttemptID { return nil }
 	for i := range 5 {
 		id := types.JobID(fmt.Sprint("job-", i))
-		h.state.Jobs[id] = &state.Job{ID: id, Status: state.JobOpen, Spec: &state.Spec{Steps: []state.Step{
+		h.log.state().Jobs[id] = &state.Job{ID: id, Status: state.JobOpen, Spec: &state.Spec{Steps: []state.Step{
 			{Name: "a", Resources: types.Resources{Cores: 1500, MemoryMB: 100}}, {Name: "b", Resources: types.Resources{Cores: 500, MemoryMB: 900}}}}}
 	}
 	for i := range 6 {
--- a/internal/controller/snapshots.go
+++ b/internal/controller/snapshots.go
@@ -1,96 +1,87 @@
-// Snapshots as the controller makes them and reads them back, both a bounded
-// piece a step, so that neither keeps it from answering.
 package controller
 
 import (
+	"coppercourse/internal/raft"
 	"coppercourse/internal/state"
+	"coppercourse/internal/types"
 )
 
-// DefaultSnapshotThreshold is how many entries the log grows at least before it is put together,
-// unless they are large; and it must have grown to a good part of what it would
-// be put together to, so that the file is not rewritten more often than it is worth.
 const (
-	DefaultSnapshotThreshold   = 4096
-	MaxEntriesBetweenSnapshots = 50_000
-	largeLogBytes              = 4 << 20   // bytes of entries that are put together before there are Every
-	snapshotWriteBytes         = 64 << 10  // about how many bytes of a snapshot one step writes
-	snapshotReadBytes          = 256 << 10 // about how many bytes of a snapshot one step reads back
-	// maxAppliesPerStep is how many entries one step applies at most.
-	maxAppliesPerStep = 512
+	// DefaultSnapshotThreshold is how many entries the log grows by before it is
+	// compacted, unless they are large.
+	DefaultSnapshotThreshold types.Index = 4096
+	// MaxEntriesBetweenSnapshots is how many entries the log grows by at most, however
+	// small they are beside the snapshot.
+	MaxEntriesBetweenSnapshots types.Index = 50_000
+
+	largeLogBytes      = 4 << 20   // entries of so many bytes are compacted before the threshold
+	snapshotWriteBytes = 64 << 10  // about what one step writes of a snapshot
+	snapshotReadBytes  = 256 << 10 // about what one step loads of a snapshot
 )
 
-// compactionDue tells whether the log has grown enough to be put together.
-func (co *Controller) compactionDue() bool {
-	entries, bytes := co.applied-co.snapshotIndex, co.raft.LogBytes()
-	every := co.options.SnapshotThreshold
-	if every == 0 {
-		every = DefaultSnapshotThreshold
-	}
-	if entries <= every && bytes <= largeLogBytes {
-		return false
-	}
-	return bytes >= co.snapshotBytes/2 || entries >= MaxEntriesBetweenSnapshots
+// snapshotWriter keeps when the log is to be compacted. The log must have grown by a
+// good part of the snapshot that would replace it, so that the file on disk is not
+// rewritten more often than that is worth.
+type snapshotWriter struct {
+	threshold types.Index // entries between two snapshots at least
+	index     types.Index // last entry in the newest snapshot, or in the one being written
+	bytes     int         // size of the newest snapshot
 }
 
-// writeSnapshotPart puts the log together, a little a step.
-func (co *Controller) writeSnapshotPart() {
-	if co.loader != nil {
-		return
-	}
-	if !co.state.SnapshotInProgress() {
-		if !co.compactionDue() {
-			return
-		}
-		co.snapshotIndex = co.applied
-		co.state.BeginSnapshot()
-	}
-	if parts := co.state.ContinueSnapshot(snapshotWriteBytes); parts != nil {
-		co.snapshotBytes = totalBytes(parts)
-		co.raft.Compact(co.snapshotIndex, parts)
+func newSnapshotWriter(threshold types.Index) snapshotWriter {
+	if threshold == 0 {
+		threshold = DefaultSnapshotThreshold
 	}
+	return snapshotWriter{threshold: threshold}
 }
 
-func totalBytes(parts [][]byte) (bytes int) {
-	for _, b := range parts {
-		bytes += len(b)
+// due reports whether the log has grown enough to be compacted.
+func (w *snapshotWriter) due(applied types.Index, logBytes int) bool {
+	entries := applied - w.index
+	if entries <= w.threshold && logBytes <= largeLogBytes {
+		return false
 	}
-	return bytes
+	return logBytes >= w.bytes/2 || entries >= MaxEntriesBetweenSnapshots
+}
+
+// begin records that a snapshot of the entries up to an index is being written.
+func (w *snapshotWriter) begin(index types.Index) { w.index = index }
+
+// completed records the newest snapshot, written or loaded.
+func (w *snapshotWriter) completed(index types.Index, bytes int) { w.index, w.bytes = index, bytes }
+
+// snapshotLoader restores the state from a snapshot, a bounded part a step.
+type snapshotLoader struct {
+	decoder *state.Loader // nil unless a snapshot is being loaded
+	index   types.Index   // last entry in the snapshot that is being or was last loaded
 }
 
-// startSnapshotLoad starts to read back the snapshot that the log begins with. Until it
-// is done the state is the old one, nothing is applied, and this member does not
-// stand for election.
-func (co *Controller) startSnapshotLoad() {
-	s := co.raft.Snapshot()
-	co.loader, co.loadedIndex = state.NewLoader(s.Parts), s.Index
-	co.raft.SetStateLoading(true)
+// active reports whether a snapshot is being loaded.
+func (s *snapshotLoader) active() bool { return s.decoder != nil }
+
+// start begins with a snapshot, in place of one that was being loaded.
+func (s *snapshotLoader) start(snapshot raft.Snapshot) {
+	s.decoder, s.index = state.NewLoader(snapshot.Parts), snapshot.Index
 }
 
-// loadSnapshotPart reads on, and takes the state over once it is whole.
-func (co *Controller) loadSnapshotPart() {
-	if co.loader == nil {
-		return
-	}
-	whole, err := co.loader.Load(snapshotReadBytes)
+// loadPart loads the next part. It returns the state once that is complete, before that
+// nil. A snapshot that can't be decoded is a fault of this program and panics.
+func (s *snapshotLoader) loadPart() *state.State {
+	loaded, err := s.decoder.Load(snapshotReadBytes)
 	if err != nil {
 		panic(err)
 	}
-	if whole == nil {
-		return
+	if loaded != nil {
+		s.decoder = nil
 	}
-	co.state, co.applied, co.snapshotIndex, co.loader = whole, co.loadedIndex, co.loadedIndex, nil
-	co.snapshotBytes = totalBytes(co.raft.Snapshot().Parts)
-	co.raft.AdvanceClock(whole.Time)
-	co.raft.SetStateLoading(false)
+	return loaded
 }
 
-// snapshotReplaced tells whether a leader has sent a snapshot in place of what this
-// member had.
-func (co *Controller) snapshotReplaced() bool {
-	return co.raft.Snapshot().Index > max(co.applied, co.loadedIndex)
-}
-
-// isLagging tells whether the state lacks something that is committed.
-func (co *Controller) isLagging() bool {
-	return co.loader != nil || co.applied < co.raft.CommittedIndex()
+// totalBytes returns the size of a snapshot.
+func totalBytes(parts [][]byte) int {
+	bytes := 0
+	for _, part := range parts {
+		bytes += len(part)
+	}
+	return bytes
 }
--- a/internal/controller/views.go
+++ b/internal/controller/views.go
@@ -31,7 +31,7 @@
 
 // View shows a job, or nil.
 func (co *Controller) View(id types.JobID) *JobView {
-	j := co.state.Find(id)
+	j := co.log.state().Find(id)
 	if j == nil {
 		return nil
 	}
@@ -73,19 +73,19 @@
 	for _, w := range wants {
 		ready[w.Queue] += len(w.Tasks)
 	}
-	for _, j := range co.state.LiveJobs() {
+	for _, j := range co.log.state().LiveJobs() {
 		if _, ok := oldest[j.Queue]; !ok {
 			oldest[j.Queue] = j.AcceptedAt
 		}
 	}
 	list = []QueueView{}
-	for _, r := range co.state.Table.Queues {
-		v := QueueView{Name: r.Name, Weight: r.Weight, Share: r.SharePercent, UnfinishedJobs: co.state.UnfinishedJobs(r.Name), JobLimit: r.MaxUnfinished,
+	for _, r := range co.log.state().Table.Queues {
+		v := QueueView{Name: r.Name, Weight: r.Weight, Share: r.SharePercent, UnfinishedJobs: co.log.state().UnfinishedJobs(r.Name), JobLimit: r.MaxUnfinished,
 			TasksRunning: dues[r.Name].RunningTasks, CoresInUse: dues[r.Name].CoresInUse, TasksReady: ready[r.Name]}
 		if at, ok := oldest[r.Name]; ok {
 			v.OldestJobMS = co.raft.Clock().Sub(at).Milliseconds()
 		}
-		if c := co.state.QueueCounts[r.Name]; c != nil {
+		if c := co.log.state().QueueCounts[r.Name]; c != nil {
 			v.QueueCounts = *c
 		}
 		list = append(list, v)
@@ -153,10 +153,10 @@
 func (co *Controller) Status() StatusView {
 	c := co.raft
 	v := StatusView{Role: "controller", Build: co.options.Build, ID: c.ID(), Cluster: c.ClusterName(), RaftRole: c.Role(), Reason: c.RoleReason(),
-		Ready: co.Ready(), Term: c.Term(), Leader: c.LeaderAddr(), Commit: c.CommittedIndex(), Members: c.Configuration(), TableVersion: co.state.Table.Version,
-		UnfinishedJobs: len(co.state.LiveJobs()), JobsRemembered: len(co.state.Jobs) + co.state.TombstoneCount(), Peers: co.members.Peers(), Counters: co.Counters,
+		Ready: co.Ready(), Term: c.Term(), Leader: c.LeaderAddr(), Commit: c.CommittedIndex(), Members: c.Configuration(), TableVersion: co.log.state().Table.Version,
+		UnfinishedJobs: len(co.log.state().LiveJobs()), JobsRemembered: len(co.log.state().Jobs) + co.log.state().TombstoneCount(), Peers: co.members.Peers(), Counters: co.Counters,
 		Overloaded: co.overload.isBehind, LagMS: co.overload.load.ControlAge.Milliseconds(),
-		ClusterTime: time.Unix(0, int64(co.raft.Clock())+int64(co.state.WallOffset)).UTC().Format(time.RFC3339Nano)}
+		ClusterTime: time.Unix(0, int64(co.raft.Clock())+int64(co.log.state().WallOffset)).UTC().Format(time.RFC3339Nano)}
 	if co.scheduler != nil && co.scheduler.InInitialWait {
 		v.InitialWait = co.scheduler.InitialWaitReason
 	}
@@ -168,7 +168,7 @@
 		v.Reason = "the disk refuses, so this member has no vote and no duty: " + co.diskError.Error()
 	case c.DiskStalled():
 		v.Reason = "the disk does not answer, so this member has no duty"
-	case co.loader != nil:
+	case co.log.isLoading():
 		v.Reason = "reading a snapshot back"
 	}
 	if v.Reason == "" && c.ClusterName() != "" && v.LossesTolerated < co.options.LossTolerance {
--- a/internal/controller/withdrawals.go
+++ b/internal/controller/withdrawals.go
@@ -30,7 +30,7 @@
 			by = s.DepartsAt
 		}
 	}
-	if w, ok := co.state.NextWindow(s.Shard, s.Rack, now); ok {
+	if w, ok := co.log.state().NextWindow(s.Shard, s.Rack, now); ok {
 		if d := max(time.Nanosecond, w.From.Sub(now)-co.options.DispatchTimeouts.AgentLease); left == 0 || d < left { // an order may lie so long
 			left = d
 		}
@@ -80,7 +80,7 @@
 	}
 	left := map[placement.TaskGroup]bool{}
 	for _, o := range co.scheduler.OverdueAttempts() {
-		if j := co.state.Jobs[o.Attempt.Job]; j != nil && j.Status == state.JobOpen && j.Spec.Steps[o.Stage.Step()].Gang {
+		if j := co.log.state().Jobs[o.Attempt.Job]; j != nil && j.Status == state.JobOpen && j.Spec.Steps[o.Stage.Step()].Gang {
 			left[placement.TaskGroup{Job: o.Attempt.Job, Stage: o.Stage}] = true
 		}
 	}
@@ -101,7 +101,7 @@
 
 // isEvictable tells whether an attempt is out and not yet being taken back.
 func (co *Controller) isEvictable(l types.AttemptID) bool {
-	j := co.state.Jobs[l.Job]
+	j := co.log.state().Jobs[l.Job]
 	if j == nil || j.Status != state.JobOpen {
 		return false
 	}
@@ -116,14 +116,14 @@
 // isStalled tells an attempt far beyond its step's usual time, once for a task.
 func (co *Controller) isStalled(o *dispatch.OutstandingAttempt) bool {
 	u, ok := co.scheduler.BaselineDuration(o.BaselineName)
-	j := co.state.Jobs[o.Attempt.Job]
+	j := co.log.state().Jobs[o.Attempt.Job]
 	if !ok || j == nil {
 		return false
 	}
 	if t := j.Task(o.Attempt.Number); t == nil || t.AvoidWorker != "" || j.Spec.Steps[o.Stage.Step()].AlwaysRestart {
 		return false
 	}
-	row, _ := co.state.QueueConfig(j.Queue)
+	row, _ := co.log.state().QueueConfig(j.Queue)
 	return row.StragglerFactor > 0 && co.now.Mono.Sub(o.OrderedAt) > max(minStallDuration, time.Duration(row.StragglerFactor)*u)
 }
 
@@ -132,7 +132,7 @@
 // worker, which may be quick again before it would be done elsewhere; what may run
 // twice gets a copy instead.
 func (co *Controller) isWorthRestarting(o *dispatch.OutstandingAttempt) bool {
-	j := co.state.Jobs[o.Attempt.Job]
+	j := co.log.state().Jobs[o.Attempt.Job]
 	if j == nil || o.StragglerEnd <= co.now.Mono || o.Stage < 0 {
 		return false
 	}
@@ -152,11 +152,11 @@
 		return nil
 	}
 	for _, o := range co.scheduler.Attempts() {
-		j := co.state.Jobs[o.Attempt.Job]
+		j := co.log.state().Jobs[o.Attempt.Job]
 		if j == nil || j.Ended() || o.TimeLimit == 0 {
 			continue
 		}
-		if row, ok := co.state.QueueConfig(j.Queue); ok && co.now.Mono.Sub(o.OrderedAt) > row.TaskTimeout() && row.TaskTimeout() < o.TimeLimit {
+		if row, ok := co.log.state().QueueConfig(j.Queue); ok && co.now.Mono.Sub(o.OrderedAt) > row.TaskTimeout() && row.TaskTimeout() < o.TimeLimit {
 			list = append(list, o.Attempt)
 		}
 	}
