--- a/internal/controller/apply.go
+++ b/internal/controller/apply.go
@@ -25,27 +25,20 @@
 			co.applyEntry(entry, command)
 		}
 	}
-	co.replyReadyReads()
+	co.requests.reads.release(co.log.applied(), co.replyJob)
 }
 
-// replyToCaller answers who waited for an entry. Another leader's entry in its place
-// tells nothing of the request, which may be committed there under another index.
-func (co *Controller) replyToCaller(e raft.Entry, command state.Command, bad *apierror.Error) {
-	w, ok := co.waiters[e.Index]
-	delete(co.waiters, e.Index)
+// replyToCaller answers who waited for an entry.
+func (co *Controller) replyToCaller(e raft.Entry, command state.Command, refusal *apierror.Error) {
+	from, isOwn, ok := co.requests.takeCommitted(e.Index, e.Term)
 	switch {
-	case ok && w.term == e.Term:
-		co.replyCommitted(w, command, bad)
+	case ok && isOwn:
+		co.replyCommitted(from, command, refusal)
 	case ok:
-		co.outbox.replyError(w, leaderChanged())
+		co.outbox.replyError(from, leaderChanged())
 	}
 }
 
-// leaderChanged is the answer where it is not known what became of a request.
-func leaderChanged() *apierror.Error {
-	return apierror.New(apierror.OutcomeUnknown, "", "the leader changed; send the same again")
-}
-
 // applyEntry takes one entry into the state, and answers who waited for it.
 func (co *Controller) applyEntry(e raft.Entry, command state.Command) {
 	co.needsPlacement = true
@@ -73,7 +66,5 @@
 func (co *Controller) endCommitted(end state.AttemptEnd) {
 	delete(co.endsInFlight, end)
 	delete(co.released, end.ID)
-	if co.pendingEnds[end.ID.Job] <= co.log.applied() {
-		delete(co.pendingEnds, end.ID.Job)
-	}
+	co.requests.reads.endCommitted(end.ID.Job, co.log.applied())
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -4,9 +4,7 @@
 package controller
 
 import (
-	"maps"
 	"math/rand"
-	"slices"
 	"time"
 
 	"coppercourse/internal/configwatch"
@@ -44,9 +42,7 @@
 	scheduler           *dispatch.Scheduler
 	publisher           *configwatch.Publisher
 	Trace               *trace.Ring
-	waiters             map[types.Index]caller
-	pendingEnds         map[types.JobID]types.Index // of the latest ends on their way into the log
-	pendingReads        []pendingRead
+	requests            *requestTable
 	endsInFlight        map[state.AttemptEnd]bool
 	released            map[types.AttemptID]bool // of those, what surely runs no more
 	lastRound           types.Index
@@ -56,8 +52,7 @@
 	offsetCheckedAt     types.MonoTime
 	shuttingDown        bool
 	shutdownDeadline    types.MonoTime
-	needsPlacement      bool // something was applied, or time passed, since work was last placed
-	completionRates     map[types.QueueName]*completionRate
+	needsPlacement      bool                        // something was applied, or time passed, since work was last placed
 	meanJobWork         map[types.QueueName]float64 // mean work of a queue\'s jobs
 	queueDurations      map[types.QueueName]*queueDurations
 	jobDurations        map[types.JobID][]stepDurations // of jobs that are not over
@@ -87,8 +82,8 @@
 func New(now types.Now, rnd *rand.Rand, p Options, recs [][]byte) *Controller {
 	me := raft.Member{Addr: p.Addr, Zone: p.Zone}
 	h := &Controller{options: p, now: now, raft: raft.New(now, p.RaftTimeouts, rnd, me, p.Bootstrap, recs, types.NewID(rnd)),
-		waiters: map[types.Index]caller{}, pendingEnds: map[types.JobID]types.Index{}, endsInFlight: map[state.AttemptEnd]bool{}, released: map[types.AttemptID]bool{},
-		assignmentsInFlight: map[types.TaskID]state.Assignment{}, completionRates: map[types.QueueName]*completionRate{}, meanJobWork: map[types.QueueName]float64{}, peakCores: map[types.QueueName]float64{},
+		requests: newRequestTable(), endsInFlight: map[state.AttemptEnd]bool{}, released: map[types.AttemptID]bool{},
+		assignmentsInFlight: map[types.TaskID]state.Assignment{}, meanJobWork: map[types.QueueName]float64{}, peakCores: map[types.QueueName]float64{},
 		meanTaskSeconds: map[types.QueueName]float64{}, queueDurations: map[types.QueueName]*queueDurations{}, jobDurations: map[types.JobID][]stepDurations{}, Trace: trace.New()}
 	h.outbox = outbox{self: p.Addr, counters: &h.Counters}
 	h.log = newCommandLog(h.raft, p.SnapshotThreshold)
@@ -142,7 +137,7 @@
 	var messages []wire.OutboundMessage
 	messages, out.Responses = co.outbox.take()
 	out.Messages = append(append(out.Messages, messages...), co.members.TakeMessages()...)
-	out.Drained = co.shuttingDown && (co.raft.MayStop() || co.now.Mono >= co.shutdownDeadline) && len(co.waiters) == 0
+	out.Drained = co.shuttingDown && (co.raft.MayStop() || co.now.Mono >= co.shutdownDeadline) && co.requests.idle()
 	return out
 }
 
@@ -227,11 +222,7 @@
 			co.scheduler = nil
 			co.Counters.Lost++
 		}
-		for _, i := range slices.Sorted(maps.Keys(co.waiters)) {
-			co.outbox.replyError(co.waiters[i], leaderChanged())
-		}
-		co.turnAway()
-		clear(co.waiters)
+		co.abandonRequests()
 		clear(co.endsInFlight)
 		clear(co.released)
 		clear(co.assignmentsInFlight)
@@ -263,6 +254,17 @@
 	}
 }
 
+// abandonRequests answers all requests that wait, as this controller does not lead any more.
+func (co *Controller) abandonRequests() {
+	changes, reads := co.requests.abandon()
+	for _, from := range changes {
+		co.outbox.replyError(from, leaderChanged())
+	}
+	for _, from := range reads {
+		co.outbox.redirect(from, co.otherLeader())
+	}
+}
+
 // outstandingAttempts lists the attempts given out as the state has them.
 func (co *Controller) outstandingAttempts() (list []dispatch.OutstandingAttempt) {
 	for _, j := range co.log.state().LiveJobs() {
--- a/internal/controller/end_proposals.go
+++ b/internal/controller/end_proposals.go
@@ -26,7 +26,8 @@
 	}
 	if i, ok := co.log.propose(state.Command{Ends: list}); ok {
 		for _, e := range list {
-			co.endsInFlight[e], co.pendingEnds[e.ID.Job] = true, i
+			co.endsInFlight[e] = true
+			co.requests.reads.endProposed(e.ID.Job, i)
 			if e.Outcome.FreesResources() {
 				co.releaseResources(e.ID)
 			}
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -18,7 +18,6 @@
 	gateway   types.Addr
 	requestID uint64 // of a gateway's request
 	token     uint64 // of a client's request; 0 for a gateway's
-	term      types.Term
 }
 
 // outbox collects the messages and replies of one step.
--- a/internal/controller/pending_reads.go
+++ b/internal/controller/pending_reads.go
@@ -10,19 +10,11 @@
 	"coppercourse/internal/wire"
 )
 
-type pendingRead struct {
-	caller caller
-	job    types.JobID
-	index  types.Index
-}
-
 func (co *Controller) getJob(w caller, c wire.ForwardedRequest) {
 	id := types.JobID(c.Arg)
-	if at := co.pendingEnds[id]; at > co.log.applied() && len(co.pendingReads) < MaxPendingRequests {
-		co.pendingReads = append(co.pendingReads, pendingRead{w, id, at})
-		return
+	if !co.requests.reads.hold(w, id, co.log.applied()) {
+		co.replyJob(w, id)
 	}
-	co.replyJob(w, id)
 }
 
 func (co *Controller) replyJob(w caller, id types.JobID) {
@@ -32,25 +24,3 @@
 	}
 	co.outbox.replyError(w, apierror.New(apierror.NoSuchJob, "id", "no such job"))
 }
-
-// replyReadyReads gives the reads whose ends are in the log by now.
-func (co *Controller) replyReadyReads() {
-	kept := co.pendingReads[:0]
-	for _, r := range co.pendingReads {
-		if r.index > co.log.applied() {
-			kept = append(kept, r)
-		} else {
-			co.replyJob(r.caller, r.job)
-		}
-	}
-	co.pendingReads = kept
-}
-
-// reject sends those who read to the next leader.
-func (co *Controller) turnAway() {
-	for _, r := range co.pendingReads {
-		co.outbox.redirect(r.caller, co.otherLeader())
-	}
-	co.pendingReads = nil
-	clear(co.pendingEnds)
-}
--- /dev/null
+++ b/internal/controller/request_table.go
@@ -0,0 +1,72 @@
+package controller
+
+import (
+	"maps"
+	"slices"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
+)
+
+// MaxPendingRequests is how many changes may wait for their commit at once, and how many
+// reads for the ends before them.
+const MaxPendingRequests = 1024
+
+// requestTable keeps the requests that this controller, as the leader, has taken and not
+// yet answered, and how fast jobs complete, to tell rejected callers when to try again.
+type requestTable struct {
+	changes map[types.Index]pendingChange // by the index of the command proposed
+	reads   readBarrier
+	rates   completionRates
+}
+
+// pendingChange is a request whose command is in the log and not yet committed.
+type pendingChange struct {
+	caller caller
+	term   types.Term // in which the command was proposed
+}
+
+func newRequestTable() *requestTable {
+	return &requestTable{
+		changes: map[types.Index]pendingChange{},
+		reads:   newReadBarrier(),
+		rates:   completionRates{},
+	}
+}
+
+// full reports whether no more changes are taken.
+func (t *requestTable) full() bool { return len(t.changes) >= MaxPendingRequests }
+
+// idle reports whether no change waits for its commit.
+func (t *requestTable) idle() bool { return len(t.changes) == 0 }
+
+// await records a request whose command was proposed in a term.
+func (t *requestTable) await(index types.Index, term types.Term, from caller) {
+	t.changes[index] = pendingChange{from, term}
+}
+
+// takeCommitted removes the request that waits for an index, as that is committed. Its
+// command is the one committed only if the terms are the same; otherwise another leader's
+// entry took the place, which tells nothing of the request: its command may be
+// committed there under another index.
+func (t *requestTable) takeCommitted(index types.Index, term types.Term) (from caller, isOwn, ok bool) {
+	change, ok := t.changes[index]
+	delete(t.changes, index)
+	return change.caller, change.term == term, ok
+}
+
+// abandon forgets all requests, as a leader that has stepped down does. It returns whose
+// changes have an unknown outcome, in the order of the log, and whose reads were
+// not answered.
+func (t *requestTable) abandon() (changes, reads []caller) {
+	for _, index := range slices.Sorted(maps.Keys(t.changes)) {
+		changes = append(changes, t.changes[index].caller)
+	}
+	clear(t.changes)
+	return changes, t.reads.abandon()
+}
+
+// leaderChanged is the reply to a request whose outcome is unknown.
+func leaderChanged() *apierror.Error {
+	return apierror.New(apierror.OutcomeUnknown, "", "the leader changed; send the same again")
+}
--- a/internal/controller/request_table_test.go
+++ b/internal/controller/request_table_test.go
@@ -16,7 +16,9 @@
 // request: its caller is told so at once, and not what became of the other entry.
 func TestAnEntryOfAnotherTermAnswersNobodysRequest(t *testing.T) {
 	is := is.New(t)
-	h := &Controller{log: &commandLog{replicated: state.New()}, outbox: outbox{counters: &Counters{}}, waiters: map[types.Index]caller{7: {token: 1, term: 2}, 8: {token: 2, term: 3}}}
+	h := &Controller{log: &commandLog{replicated: state.New()}, requests: newRequestTable(), outbox: outbox{counters: &Counters{}}}
+	h.requests.await(7, 2, caller{token: 1})
+	h.requests.await(8, 3, caller{token: 2})
 	refused := apierror.New(apierror.StaleVersion, "edition", "another order was first")
 	h.replyToCaller(raft.Entry{Index: 7, Term: 3}, state.Command{Cancel: "j"}, refused)
 	is.Equal(len(h.outbox.responses), 1)
@@ -28,3 +30,30 @@
 	h.replyToCaller(raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, refused)
 	is.Equal(len(h.outbox.responses), 2) // once
 }
+
+func TestAbandonedRequestsComeInTheOrderOfTheLog(t *testing.T) {
+	is := is.New(t)
+	table := newRequestTable()
+	for _, index := range []types.Index{9, 3, 12, 5} {
+		table.await(index, 1, caller{token: uint64(index)})
+	}
+	table.reads.endProposed("j", 20)
+	is.True(table.reads.hold(caller{token: 1}, "j", 19))
+	changes, reads := table.abandon()
+	is.Equal(changes, []caller{{token: 3}, {token: 5}, {token: 9}, {token: 12}})
+	is.Equal(reads, []caller{{token: 1}})
+	is.True(table.idle())
+	is.True(!table.reads.hold(caller{token: 2}, "j", 19)) // the ends proposed are forgotten too
+}
+
+func TestRequestTableIsFullAtItsBound(t *testing.T) {
+	is := is.New(t)
+	table := newRequestTable()
+	for i := range types.Index(MaxPendingRequests) {
+		is.True(!table.full())
+		table.await(i, 1, caller{})
+	}
+	is.True(table.full())
+	table.takeCommitted(0, 1)
+	is.True(!table.full())
+}
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -17,9 +17,6 @@
 	"coppercourse/internal/wire"
 )
 
-// MaxPendingRequests is how many changes may wait for their commit at once.
-const MaxPendingRequests = 1024
-
 type requestHandler func(h *Controller, w caller, c wire.ForwardedRequest)
 
 var requestHandlers = map[string]requestHandler{
@@ -50,7 +47,6 @@
 // handleRequest takes a request, from a gateway or that came here itself.
 func (co *Controller) handleRequest(w caller, c wire.ForwardedRequest) {
 	co.Counters.Calls++
-	w.term = co.raft.Term()
 	if co.scheduler == nil || !co.raft.HoldsReadLease() {
 		co.outbox.redirect(w, co.otherLeader())
 		return
@@ -64,7 +60,7 @@
 		co.outbox.replyError(w, apierror.New(apierror.NoSuchPath, "", "no such verb"))
 		return
 	}
-	if len(co.waiters) >= MaxPendingRequests {
+	if co.requests.full() {
 		co.outbox.replyError(w, apierror.New(apierror.TooBusy, "", "too many changes wait for the log").WithRetryAfter(2*time.Second))
 		return
 	}
@@ -94,7 +90,7 @@
 		co.outbox.replyError(w, apierror.New(apierror.NoLeader, "", "the log takes nothing now").WithRetryAfter(2*time.Second))
 		return
 	}
-	co.waiters[i] = w
+	co.requests.await(i, co.raft.Term(), w)
 }
 
 // replyCommitted answers a change that is committed.
@@ -119,7 +115,7 @@
 
 func (co *Controller) withRetryAfter(bad *apierror.Error, f state.Command) *apierror.Error {
 	if bad.Kind == apierror.QueueFull && f.Job != nil {
-		bad.WithRetryAfter(co.completionRate(f.Job.Spec.Queue).retryAfter(co.now.Mono, co.log.state().UnfinishedJobs(f.Job.Spec.Queue)))
+		bad.WithRetryAfter(co.requests.rates.retryAfter(f.Job.Spec.Queue, co.now.Mono, co.log.state().UnfinishedJobs(f.Job.Spec.Queue)))
 	}
 	return bad
 }
@@ -231,43 +227,9 @@
 	return nil
 }
 
-// completionRate is how fast a queue's jobs end, to tell when to come back.
-type completionRate struct {
-	lastAt    types.MonoTime
-	perSecond float64 // a second
-}
-
-func (co *Controller) completionRate(q types.QueueName) *completionRate {
-	r := co.completionRates[q]
-	if r == nil {
-		r = &completionRate{}
-		co.completionRates[q] = r
-	}
-	return r
-}
-
-func (c *completionRate) record(now types.MonoTime) {
-	if c.lastAt != 0 {
-		gap := now.Sub(c.lastAt).Seconds()
-		c.perSecond += 0.1 * (1/max(gap, 0.001) - c.perSecond)
-		c.perSecond = min(c.perSecond, 1000)
-	}
-	c.lastAt = now
-}
-
-// retryInterval is when a tenth of what waits will have gone, from 1 s to a minute.
-func (c *completionRate) retryAfter(now types.MonoTime, waiting int) time.Duration {
-	perSecond := c.perSecond
-	if gap := now.Sub(c.lastAt).Seconds(); gap > 1 {
-		perSecond = min(perSecond, 1/gap)
-	}
-	seconds := float64(max(waiting/10, 1)) / max(perSecond, 0.01)
-	return time.Duration(min(max(seconds, 1), 60) * float64(time.Second))
-}
-
 func (co *Controller) attemptEnded(e state.AttemptEnd) {
 	if j := co.log.state().Jobs[e.ID.Job]; j != nil && j.Ended() {
 		delete(co.jobDurations, j.ID)
-		co.completionRate(j.Queue).record(co.now.Mono)
+		co.requests.rates.record(j.Queue, co.now.Mono)
 	}
 }
