--- /dev/null
+++ b/internal/controller/api.go
@@ -0,0 +1,257 @@
+package controller
+
+import (
+	"encoding/json"
+	"net/http"
+	"time"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/membership"
+	"coppercourse/internal/raft"
+	"coppercourse/internal/state"
+	"coppercourse/internal/trace"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// verb names what a request asks for, as gateways and the daemon's own pages write it.
+type verb string
+
+// The verbs of callers and operators.
+const (
+	verbSubmitJob      verb = "job.put"
+	verbGetJob         verb = "job.get"
+	verbCancelJob      verb = "job.cancel"
+	verbPutTable       verb = "table.put"
+	verbGetTable       verb = "table.get"
+	verbListQueues     verb = "queues"
+	verbCountQueue     verb = "queue.count"
+	verbListWorkers    verb = "workers"
+	verbWorkerGone     verb = "gone"
+	verbStartDrain     verb = "drain.put"
+	verbCancelDrain    verb = "drain.drop"
+	verbListDrains     verb = "drains"
+	verbPutCalendar    verb = "plan.put"
+	verbDeleteCalendar verb = "plan.drop"
+	verbListCalendars  verb = "plans"
+	verbStatus         verb = "status"
+)
+
+// handlers serve the verbs. One that changes something replies once its command is
+// committed; one that reads replies at once, under the leader's read lease.
+var handlers = map[verb]func(*api, request){
+	verbSubmitJob:      (*api).submitJob,
+	verbGetJob:         (*api).getJob,
+	verbCancelJob:      (*api).cancelJob,
+	verbPutTable:       (*api).putTable,
+	verbGetTable:       (*api).getTable,
+	verbListQueues:     (*api).listQueues,
+	verbCountQueue:     (*api).countQueue,
+	verbListWorkers:    (*api).listWorkers,
+	verbWorkerGone:     (*api).confirmWorkerGone,
+	verbStartDrain:     (*api).startDrain,
+	verbCancelDrain:    (*api).cancelDrain,
+	verbListDrains:     (*api).listDrains,
+	verbPutCalendar:    (*api).putCalendar,
+	verbDeleteCalendar: (*api).deleteCalendar,
+	verbListCalendars:  (*api).listCalendars,
+	verbStatus:         (*api).getStatus,
+}
+
+// logBusyRetryAfter is when a caller should come back whose change the log did not take.
+const logBusyRetryAfter = 2 * time.Second
+
+// request is one request of a caller or an operator.
+type request struct {
+	caller caller
+	now    types.Now
+	verb   verb
+	arg    string // what it is about, such as a job's ID
+	body   json.RawMessage
+}
+
+// statusReporter tells the status of this controller.
+type statusReporter interface{ Status() StatusView }
+
+// api replies to requests. Only the leader serves them; any other controller redirects the
+// caller to the leader.
+type api struct {
+	self     types.Addr
+	raft     *raft.Node
+	members  *membership.MemberList
+	log      *commandLog
+	leader   *leader
+	requests *requestTable
+	overload *overload
+	outbox   *outbox
+	trace    *trace.Ring
+	status   statusReporter
+	counters *Counters
+}
+
+func newAPI(c *Controller) *api {
+	return &api{
+		self:     c.options.Addr,
+		raft:     c.raft,
+		members:  c.members,
+		log:      c.log,
+		leader:   c.leader,
+		requests: c.requests,
+		overload: c.overload,
+		outbox:   c.outbox,
+		trace:    c.Trace,
+		status:   c,
+		counters: &c.Counters,
+	}
+}
+
+// handleForwarded takes a request that a gateway forwarded.
+func (a *api) handleForwarded(now types.Now, message wire.Message) {
+	if r, ok := wire.DecodeBody[wire.ForwardedRequest](message); ok {
+		from := caller{gateway: message.From, requestID: r.ID}
+		a.handle(request{caller: from, now: now, verb: verb(r.Verb), arg: r.Arg, body: r.Body})
+	}
+}
+
+// handleClient takes a request of a client of this daemon.
+func (a *api) handleClient(now types.Now, r wire.Request) {
+	a.handle(request{caller: caller{token: r.Token}, now: now, verb: verb(r.Verb), arg: r.Arg, body: r.Body})
+}
+
+// handle serves a request, or rejects it before anything is done.
+func (a *api) handle(r request) {
+	a.counters.Calls++
+	if !a.leader.active() || !a.raft.HoldsReadLease() {
+		a.outbox.redirect(r.caller, a.otherLeader())
+		return
+	}
+	if a.mustShed(r) {
+		a.rejectOverloaded(r.caller)
+		return
+	}
+	handler := handlers[r.verb]
+	if handler == nil {
+		a.outbox.replyError(r.caller, apierror.New(apierror.NoSuchPath, "", "no such verb"))
+		return
+	}
+	if a.requests.full() {
+		a.outbox.replyError(r.caller, apierror.New(apierror.TooBusy, "", "too many changes wait for the log").
+			WithRetryAfter(logBusyRetryAfter))
+		return
+	}
+	handler(a, r)
+}
+
+// mustShed reports whether there is no time for a request. Only new work is shed: what is
+// known already is answered, and so are reads, cancels and operators.
+func (a *api) mustShed(r request) bool {
+	if !wire.SubmitsWork(string(r.verb)) || r.verb == verbSubmitJob && a.log.state().Find(types.JobID(r.arg)) != nil {
+		return false
+	}
+	return a.overload.shedsWork()
+}
+
+// rejectOverloaded rejects a request that was not taken for lack of time.
+func (a *api) rejectOverloaded(from caller) {
+	a.counters.Shed++
+	a.outbox.replyError(from, apierror.New(apierror.TooBusy, "",
+		"the controller is behind with its work; the request was not taken").WithRetryAfter(a.overload.retryAfter()))
+}
+
+// rejectExpired rejects all forwarded requests that have waited too long for a step.
+func (a *api) rejectExpired(messages []wire.Message) {
+	for _, message := range messages {
+		if r, ok := wire.DecodeBody[wire.ForwardedRequest](message); ok {
+			a.counters.Calls++
+			a.rejectOverloaded(caller{gateway: message.From, requestID: r.ID})
+		}
+	}
+}
+
+// otherLeader returns whom a caller should ask instead, or nothing: a leader that has not
+// been heard of for as long as its lease lasts may lead no more, and this controller
+// itself can't be the one.
+func (a *api) otherLeader() types.Addr {
+	if a.raft.ClusterName() == "" {
+		if leader := a.members.Leader(); leader != a.self {
+			return leader
+		}
+		return ""
+	}
+	if !a.raft.HasRecentLeader() {
+		return ""
+	}
+	return a.raft.LeaderAddr()
+}
+
+// propose proposes a command; the caller gets the reply once it is committed.
+func (a *api) propose(from caller, command state.Command) {
+	index, ok := a.log.propose(command)
+	if !ok {
+		a.outbox.replyError(from, apierror.New(apierror.NoLeader, "", "the log takes nothing now").
+			WithRetryAfter(logBusyRetryAfter))
+		return
+	}
+	a.requests.await(index, a.raft.Term(), from)
+}
+
+// commandApplied replies to the caller, if any, who waits for an entry whose command was
+// just applied; refusal is why the state refused it.
+func (a *api) commandApplied(now types.Now, e raft.Entry, command state.Command, refusal *apierror.Error) {
+	from, isOwn, ok := a.requests.takeCommitted(e.Index, e.Term)
+	switch {
+	case !ok:
+	case !isOwn:
+		a.outbox.replyError(from, leaderChanged())
+	case refusal != nil:
+		a.outbox.replyError(from, a.withRetryAfter(now, refusal, command))
+	default:
+		a.replyCommitted(now, from, command)
+	}
+}
+
+// replyCommitted replies to a change that is in force.
+func (a *api) replyCommitted(now types.Now, from caller, command state.Command) {
+	switch {
+	case command.Table != nil:
+		a.outbox.replyOK(from, http.StatusOK, command.Table.Accepted())
+	case command.Drain != nil:
+		a.outbox.replyOK(from, http.StatusOK, a.drains())
+	case command.Calendar != nil:
+		a.outbox.replyOK(from, http.StatusOK, a.calendars())
+	case command.ExitedWorker != "":
+		a.outbox.replyOK(from, http.StatusOK, a.leader.workerViews(now.Mono))
+	case command.Job != nil:
+		a.outbox.replyOK(from, http.StatusCreated, jobView(a.log.state(), command.Job.ID))
+	case command.Cancel != "":
+		a.outbox.replyOK(from, http.StatusAccepted, jobView(a.log.state(), command.Cancel))
+	}
+}
+
+// replyReads answers the reads that need wait no longer.
+func (a *api) replyReads() {
+	a.requests.reads.release(a.log.applied(), a.replyJob)
+}
+
+// abandonRequests answers all requests that wait, as this controller does not lead.
+func (a *api) abandonRequests() {
+	changes, reads := a.requests.abandon()
+	for _, from := range changes {
+		a.outbox.replyError(from, leaderChanged())
+	}
+	for _, from := range reads {
+		a.outbox.redirect(from, a.otherLeader())
+	}
+}
+
+// getStatus replies with the status of this controller.
+func (a *api) getStatus(r request) { a.outbox.replyOK(r.caller, http.StatusOK, a.status.Status()) }
+
+// decodeBody decodes the body of a request; what names it for the error.
+func decodeBody[T any](r request, what string) (T, *apierror.Error) {
+	var value T
+	if json.Unmarshal(r.body, &value) != nil {
+		return value, apierror.New(apierror.BadBody, "", "not a "+what)
+	}
+	return value, nil
+}
--- /dev/null
+++ b/internal/controller/assignment_rounds.go
@@ -0,0 +1,73 @@
+package controller
+
+import (
+	"iter"
+	"maps"
+	"slices"
+
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+// maxRoundsInFlight is how many rounds may be proposed and not yet applied.
+const maxRoundsInFlight = 4
+
+// round is what one round of placement comes to: attempts to start, and attempts to
+// withdraw.
+type round struct {
+	assignments []state.Assignment
+	withdrawals []state.Withdrawal
+}
+
+// empty reports whether there is nothing to propose.
+func (r round) empty() bool { return r.assignments == nil && r.withdrawals == nil }
+
+// assignmentRounds keeps the rounds that are proposed and not yet applied, so that no task
+// is assigned twice.
+type assignmentRounds struct {
+	newest      types.Index   // of the newest round proposed
+	indexes     []types.Index // of the rounds in flight; some may be applied by now
+	assignments map[types.TaskID]state.Assignment
+}
+
+// reset forgets the rounds of another leadership.
+func (r *assignmentRounds) reset() {
+	r.newest, r.indexes = 0, nil
+	clear(r.assignments)
+}
+
+// proposed records a round that was proposed.
+func (r *assignmentRounds) proposed(index types.Index, assignments []state.Assignment) {
+	r.newest = index
+	r.indexes = append(r.indexes, index)
+	for _, a := range assignments {
+		r.assignments[a.ID.TaskID] = a
+	}
+}
+
+// applied records that an assignment is applied.
+func (r *assignmentRounds) applied(task types.TaskID) { delete(r.assignments, task) }
+
+// inFlight reports whether a round is proposed and not yet applied, as all up to an index is.
+func (r *assignmentRounds) inFlight(applied types.Index) bool { return r.newest > applied }
+
+// landed forgets what was proposed, once all rounds are applied.
+func (r *assignmentRounds) landed() { clear(r.assignments) }
+
+// full reports whether no more rounds may be proposed until one is applied.
+func (r *assignmentRounds) full(applied types.Index) bool {
+	r.indexes = slices.DeleteFunc(r.indexes, func(index types.Index) bool { return index <= applied })
+	return len(r.indexes) >= maxRoundsInFlight
+}
+
+// pending lists the assignments in flight, in no order.
+func (r *assignmentRounds) pending() iter.Seq[state.Assignment] { return maps.Values(r.assignments) }
+
+// none reports whether there are no assignments in flight.
+func (r *assignmentRounds) none() bool { return len(r.assignments) == 0 }
+
+// assigned reports whether a task is in a round in flight.
+func (r *assignmentRounds) assigned(task types.TaskID) bool {
+	_, ok := r.assignments[task]
+	return ok
+}
--- /dev/null
+++ b/internal/controller/attempt_review.go
@@ -0,0 +1,130 @@
+package controller
+
+import (
+	"time"
+
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/placement"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+const (
+	// reviewInterval is how often at most all attempts are looked at for what time alone
+	// brings about: a limit, a stall, a window, a straggler.
+	reviewInterval = 10 * time.Millisecond
+
+	// departureMargin is how long before its worker must be empty an attempt is withdrawn.
+	departureMargin = 1500 * time.Millisecond
+)
+
+// attemptReview looks through the outstanding attempts for those to be stopped early: their
+// worker must be empty soon, a peer of their gang can't be reached, they straggle, or they
+// have run beyond a time limit. A withdrawn attempt goes through the log: once that is
+// committed it is stopped, and when its end is reported its task is ready again.
+type attemptReview struct {
+	windows     workerWindows
+	withdrawals reviewTimer
+	timeLimits  reviewTimer
+}
+
+// reviewTimer limits something to once in each reviewInterval.
+type reviewTimer struct {
+	done   bool
+	lastAt types.MonoTime
+}
+
+// due reports whether it is time, and if so counts it as done.
+func (r *reviewTimer) due(now types.MonoTime) bool {
+	if r.done && now.Sub(r.lastAt) < reviewInterval {
+		return false
+	}
+	r.done, r.lastAt = true, now
+	return true
+}
+
+// review returns the attempts to withdraw now, and requests for the hedges to start.
+func (r *attemptReview) review(v *leaderView) ([]state.Withdrawal, []placement.Request) {
+	if !r.withdrawals.due(v.now) {
+		return nil, nil
+	}
+	attempts := v.scheduler.Attempts()
+	return r.toWithdraw(v, attempts), hedgeRequests(v, attempts)
+}
+
+// toWithdraw lists the attempts to withdraw now.
+func (r *attemptReview) toWithdraw(v *leaderView, attempts []*dispatch.OutstandingAttempt) []state.Withdrawal {
+	var list []state.Withdrawal
+	departing, broken := r.departingWorkers(v), brokenGangs(v)
+	for _, attempt := range attempts {
+		reason := departing[attempt.Shard]
+		if reason == "" && broken[placement.TaskGroup{Job: attempt.Attempt.Job, Stage: attempt.Stage}] {
+			reason = state.GangPeerUnreachable
+		}
+		if reason == "" && (isStalled(v, attempt) || isWorthRestarting(v, attempt)) {
+			reason = state.Straggling
+		}
+		if reason != "" && canWithdraw(v.state, attempt.Attempt) {
+			list = append(list, state.Withdrawal{ID: attempt.Attempt, Reason: reason})
+		}
+	}
+	return list
+}
+
+// departingWorkers returns the workers that must be empty soon, and why.
+func (r *attemptReview) departingWorkers(v *leaderView) map[types.Shard]state.WithdrawReason {
+	departing := map[types.Shard]state.WithdrawReason{}
+	for _, worker := range v.scheduler.Workers() {
+		a := r.windows.of(v, worker)
+		if a.emptyBy != 0 && a.emptyBy.Sub(v.now) < departureMargin {
+			departing[worker.Shard] = a.reason
+		}
+	}
+	return departing
+}
+
+// brokenGangs returns the gangs of which a member, assigned under an earlier leader, can't
+// be reached.
+func brokenGangs(v *leaderView) map[placement.TaskGroup]bool {
+	broken := map[placement.TaskGroup]bool{}
+	for _, attempt := range v.scheduler.OverdueAttempts() {
+		if j := v.openJob(attempt.Attempt); j != nil && j.Spec.Steps[attempt.Stage.Step()].Gang {
+			broken[placement.TaskGroup{Job: attempt.Attempt.Job, Stage: attempt.Stage}] = true
+		}
+	}
+	return broken
+}
+
+// canWithdraw reports whether an attempt is outstanding and not yet being withdrawn.
+func canWithdraw(s *state.State, id types.AttemptID) bool {
+	j := s.Jobs[id.Job]
+	if j == nil || j.Status != state.JobOpen {
+		return false
+	}
+	task := j.Task(id.Number)
+	if task == nil {
+		return false
+	}
+	attempt := task.FindOutstanding(id.Attempt)
+	return attempt != nil && attempt.Withdrawn == ""
+}
+
+// beyondTimeLimit lists the attempts that run longer than the table in force allows. Each
+// was given its limit with its order, but the table may have changed since.
+func (r *attemptReview) beyondTimeLimit(v *leaderView) []types.AttemptID {
+	if !r.timeLimits.due(v.now) {
+		return nil
+	}
+	var list []types.AttemptID
+	for _, attempt := range v.scheduler.Attempts() {
+		j := v.state.Jobs[attempt.Attempt.Job]
+		if j == nil || j.Ended() || attempt.TimeLimit == 0 {
+			continue
+		}
+		queue, ok := v.state.QueueConfig(j.Queue)
+		if ok && v.now.Sub(attempt.OrderedAt) > queue.TaskTimeout() && queue.TaskTimeout() < attempt.TimeLimit {
+			list = append(list, attempt.Attempt)
+		}
+	}
+	return list
+}
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -161,7 +161,7 @@
 
 // serves tells whether a member answers as the leader.
 func (m *member) serves() bool {
-	return m.machine != nil && !m.frozen && m.machine.scheduler != nil && m.machine.raft.HoldsReadLease()
+	return m.machine != nil && !m.frozen && m.machine.leader.active() && m.machine.raft.HoldsReadLease()
 }
 
 func (m *member) start(first bool) {
--- /dev/null
+++ b/internal/controller/command_trace.go
@@ -0,0 +1,25 @@
+package controller
+
+import (
+	"coppercourse/internal/state"
+	"coppercourse/internal/trace"
+	"coppercourse/internal/types"
+)
+
+// traceCommand traces what an applied command did to jobs and the table.
+func (c *Controller) traceCommand(command state.Command, index types.Index) {
+	switch {
+	case command.Table != nil:
+		c.Trace.Add(c.now.Wall, trace.TableSubject(c.log.state().Table.Version), "applied", "index", index)
+	case command.Job != nil:
+		c.Trace.Add(c.now.Wall, trace.JobSubject(command.Job.ID), "submission applied", "index", index)
+	case command.Cancel != "":
+		c.Trace.Add(c.now.Wall, trace.JobSubject(command.Cancel), "cancel applied", "index", index)
+	}
+	for _, a := range command.Assignments {
+		c.Trace.Add(c.now.Wall, trace.JobSubject(a.ID.Job), "attempt assigned", "attempt", a.ID, "shard", a.Shard)
+	}
+	for _, end := range command.Ends {
+		c.Trace.Add(c.now.Wall, trace.JobSubject(end.ID.Job), "end applied", "attempt", end.ID, "outcome", end.Outcome)
+	}
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,3 @@
-// Package controller is the control and scheduler daemon as one state machine: the
-// replicated log, the state it makes, and, on the leader, the dispatcher. This
-// file is the step itself; requests.go answers callers, planner.go places work.
 package controller
 
 import (
@@ -10,7 +7,6 @@
 	"coppercourse/internal/configwatch"
 	"coppercourse/internal/dispatch"
 	"coppercourse/internal/membership"
-	"coppercourse/internal/placement"
 	"coppercourse/internal/raft"
 	"coppercourse/internal/state"
 	"coppercourse/internal/trace"
@@ -18,274 +14,226 @@
 	"coppercourse/internal/wire"
 )
 
-// Place is where and as what a controller runs.
+const (
+	// shutdownTimeout is how long a planned stop may take.
+	shutdownTimeout = 3 * time.Second
+	// maxAppliesPerStep is how many entries one step applies at most.
+	maxAppliesPerStep = 512
+)
+
+// Options is where and as what a controller runs.
 type Options struct {
-	Addr              types.Addr
-	Zone              types.Zone
-	Seeds             []types.Addr
-	Bootstrap         raft.BootstrapOptions
-	LossTolerance     int // voters that may be lost at once, disk and all
-	Build             string
+	Addr              types.Addr            // where the other daemons reach it
+	Zone              types.Zone            // its failure domain
+	Seeds             []types.Addr          // daemons to learn the membership from
+	Bootstrap         raft.BootstrapOptions // how its cluster is founded
+	LossTolerance     int                   // voters whose loss at once, with their disks, must be tolerated
+	Build             string                // version of the program
 	RaftTimeouts      raft.Timeouts
 	DispatchTimeouts  dispatch.Timeouts
-	SnapshotThreshold types.Index // entries between two snapshots at least; 0 is Every
+	SnapshotThreshold types.Index // entries between two snapshots at least; 0 is DefaultSnapshotThreshold
 }
 
-// Controller is one control daemon.
+// Controller is one controller as a state machine. It joins the parts: each has its own
+// state and is used through its methods only.
 type Controller struct {
-	options             Options
-	now                 types.Now
-	raft                *raft.Node
-	members             *membership.MemberList
-	log                 *commandLog
-	diskError           error // why the disk refuses, until it takes writes again
-	scheduler           *dispatch.Scheduler
-	publisher           *configwatch.Publisher
-	Trace               *trace.Ring
-	requests            *requestTable
-	endsInFlight        map[state.AttemptEnd]bool
-	released            map[types.AttemptID]bool // of those, what surely runs no more
-	lastRound           types.Index
-	assignmentsInFlight map[types.TaskID]state.Assignment // on their way into the log, or just there
-	roundsInFlight      []types.Index                     // of them
-	shapesIndex         types.Index
-	offsetCheckedAt     types.MonoTime
-	shuttingDown        bool
-	shutdownDeadline    types.MonoTime
-	needsPlacement      bool                        // something was applied, or time passed, since work was last placed
-	meanJobWork         map[types.QueueName]float64 // mean work of a queue\'s jobs
-	queueDurations      map[types.QueueName]*queueDurations
-	jobDurations        map[types.JobID][]stepDurations // of jobs that are not over
-	meanTaskSeconds     map[types.QueueName]float64     // mean seconds of a queue's tasks
-	peakCores           map[types.QueueName]float64     // cores that a queue lately had in use at once
-	peaksUpdatedAt      types.MonoTime
-	bufferedReports     []bufferedReport
-	reservation         *placement.Reservation // workers kept for work that was passed over
-	readySince          map[placement.TaskGroup]types.MonoTime
-	preemptedAt         types.MonoTime // when something was last displaced
-	limitReview         reviewTimer    // of attempts against the table's time limits
-	slots               slotCache
-	workBuffer          []placement.Request // the memory of the last list
-	attemptReview       reviewTimer         // for attempts to take back and second attempts
-	outbox              outbox
-	overload            overload
-	Counters            Counters
-}
-
-// Counters are counters since start.
-type Counters struct {
-	Steps, Applied, Calls, Refused, Orders, Ends, Elected, Lost uint64
-	Placed, TurnedAway, Relieved                                uint64
-}
-
-// New starts a controller from the records of its disk.
-func New(now types.Now, rnd *rand.Rand, p Options, recs [][]byte) *Controller {
-	me := raft.Member{Addr: p.Addr, Zone: p.Zone}
-	h := &Controller{options: p, now: now, raft: raft.New(now, p.RaftTimeouts, rnd, me, p.Bootstrap, recs, types.NewID(rnd)),
-		requests: newRequestTable(), endsInFlight: map[state.AttemptEnd]bool{}, released: map[types.AttemptID]bool{},
-		assignmentsInFlight: map[types.TaskID]state.Assignment{}, meanJobWork: map[types.QueueName]float64{}, peakCores: map[types.QueueName]float64{},
-		meanTaskSeconds: map[types.QueueName]float64{}, queueDurations: map[types.QueueName]*queueDurations{}, jobDurations: map[types.JobID][]stepDurations{}, Trace: trace.New()}
-	h.outbox = outbox{self: p.Addr, counters: &h.Counters}
-	h.log = newCommandLog(h.raft, p.SnapshotThreshold)
-	h.members = membership.New(rnd, h.describe(), p.Seeds)
-	h.publisher = configwatch.NewPublisher(p.Addr)
-	return h
-}
-
-func (co *Controller) describe() membership.Card {
-	return membership.Card{Addr: co.options.Addr, ID: co.raft.ID(), Role: "controller", Zone: co.options.Zone, Name: co.raft.ClusterName(),
-		Term: co.raft.Term(), Leads: co.raft.IsLeader() && !co.shuttingDown, Shard: co.raft.Role(), Ready: co.Ready(), Build: co.options.Build}
-}
-
-// Ready tells whether the platform may send callers here: a controller that knows a
-// leader of now, or is it.
-func (co *Controller) Ready() bool {
-	return !co.shuttingDown && co.diskError == nil && !co.log.isLoading() && co.raft.ClusterName() != "" && (co.raft.IsLeader() && co.raft.HoldsReadLease() || !co.raft.IsLeader() && co.raft.LeaderAddr() != "")
+	options   Options
+	now       types.Now // of the event at hand
+	raft      *raft.Node
+	members   *membership.MemberList
+	log       *commandLog
+	durations *durationEstimates
+	overload  *overload
+	requests  *requestTable
+	outbox    *outbox
+	publisher *configwatch.Publisher
+	reports   reportBuffer
+	leader    *leader
+	api       *api
+
+	diskError        error // why the disk refuses writes, until it takes them again
+	shuttingDown     bool
+	shutdownDeadline types.MonoTime
+
+	// Trace holds what was done about each job and table.
+	Trace *trace.Ring
+	// Counters count since the start of the process.
+	Counters Counters
+}
+
+// New returns a controller with the records of its disk, as an earlier process wrote them.
+func New(now types.Now, rnd *rand.Rand, options Options, records [][]byte) *Controller {
+	self := raft.Member{Addr: options.Addr, Zone: options.Zone}
+	c := &Controller{
+		options:   options,
+		now:       now,
+		raft:      raft.New(now, options.RaftTimeouts, rnd, self, options.Bootstrap, records, types.NewID(rnd)),
+		durations: newDurationEstimates(),
+		overload:  &overload{},
+		requests:  newRequestTable(),
+		publisher: configwatch.NewPublisher(options.Addr),
+		Trace:     trace.New(),
+	}
+	c.outbox = &outbox{self: options.Addr, counters: &c.Counters}
+	c.log = newCommandLog(c.raft, options.SnapshotThreshold)
+	c.members = membership.New(rnd, c.describe(), options.Seeds)
+	c.leader = newLeader(c)
+	c.api = newAPI(c)
+	return c
+}
+
+// Step takes one event and returns its effects.
+func (c *Controller) Step(e wire.Event) wire.Effects {
+	c.now = e.Now
+	c.raft.SetTime(e.Now)
+	c.Counters.Steps++
+	c.overload.measure(e.Now.Mono, e.Load)
+	c.handle(e)
+	c.applyCommitted()
+	if c.overload.transferLeadership(c.now, c.raft) {
+		c.Counters.Relieved++
+	}
+	c.lead()
+	c.log.writeSnapshotPart()
+	c.members.SetSelf(c.describe())
+	return c.effects()
 }
 
-// Step takes one event.
-func (co *Controller) Step(e wire.Event) wire.Effects {
-	co.now = e.Now
-	co.raft.SetTime(e.Now)
-	co.Counters.Steps++
-	co.overload.measure(e.Now.Mono, e.Load)
+// handle takes the event itself.
+func (c *Controller) handle(e wire.Event) {
 	switch {
 	case e.Message != nil:
-		co.handleMessage(*e.Message)
+		c.handleMessage(*e.Message)
 	case e.Request != nil:
-		co.handleRequest(caller{token: e.Request.Token}, wire.ForwardedRequest{Verb: e.Request.Verb, Arg: e.Request.Arg, Body: e.Request.Body})
+		c.api.handleClient(c.now, *e.Request)
 	case e.Synced > 0:
-		co.diskError = nil
-		co.raft.Synced(e.Now, e.Synced)
+		c.diskError = nil
+		c.raft.Synced(e.Now, e.Synced)
 	case e.DiskError != nil:
-		co.diskError = e.DiskError
-		co.raft.DiskFailed(e.Now)
+		c.diskError = e.DiskError
+		c.raft.DiskFailed(e.Now)
 	case e.Shutdown:
-		co.beginShutdown()
+		c.beginShutdown()
 	default:
-		co.rejectExpired(e.ExpiredForwards)
-		co.tick()
+		c.api.rejectExpired(e.ExpiredForwards)
+		c.tick()
 	}
-	co.applyCommitted()
-	co.transferIfOverloaded()
-	co.runLeader()
-	var out wire.Effects
-	co.log.writeSnapshotPart()
-	co.members.SetSelf(co.describe())
-	out.FallbackRecords = co.raft.AppendInstead()
-	out.Messages, out.Records, out.BatchNumber, out.ReplaceLog = co.raft.Ready()
-	var messages []wire.OutboundMessage
-	messages, out.Responses = co.outbox.take()
-	out.Messages = append(append(out.Messages, messages...), co.members.TakeMessages()...)
-	out.Drained = co.shuttingDown && (co.raft.MayStop() || co.now.Mono >= co.shutdownDeadline) && co.requests.idle()
-	return out
 }
 
-func (co *Controller) handleMessage(n wire.Message) {
+// handleMessage passes a message to the part that it is for.
+func (c *Controller) handleMessage(message wire.Message) {
 	switch {
-	case co.members.HandleMessage(co.now.Mono, n):
-	case co.raft.Step(co.now, n):
-	case n.Kind == wire.ForwardRequest:
-		co.handleCall(n)
-	case n.Kind == wire.ConfigWatch:
-		if co.raft.HoldsReadLease() {
-			co.publisher.HandleRequest(co.now.Mono, n)
+	case c.members.HandleMessage(c.now.Mono, message):
+	case c.raft.Step(c.now, message):
+	case message.Kind == wire.ForwardRequest:
+		c.api.handleForwarded(c.now, message)
+	case message.Kind == wire.ConfigWatch:
+		if c.raft.HoldsReadLease() {
+			c.publisher.HandleRequest(c.now.Mono, message)
 		}
 	default:
-		if n.Kind == wire.StatusReport {
-			co.bufferEndReport(n)
+		if message.Kind == wire.StatusReport {
+			c.reports.add(c.now.Mono, c.log.state(), message)
 		}
-		if co.scheduler != nil {
-			co.scheduler.HandleMessage(co.now.Mono, co.raft.AuthorityRemaining(), n)
+		if c.leader.active() {
+			c.leader.handleMessage(c.now.Mono, message)
 		}
 	}
 }
 
-func (co *Controller) tick() {
-	co.needsPlacement = true
-	co.log.loadPart()
-	co.members.Tick(co.now.Mono)
-	var seen []raft.DiscoveredPeer
-	for _, c := range co.members.Controllers() {
-		if c.ID != "" && c.Shard != "out" {
-			seen = append(seen, raft.DiscoveredPeer{Member: raft.Member{ID: c.ID, Addr: c.Addr, Zone: c.Zone}, ClusterName: c.Name})
-		}
-	}
-	co.raft.SetDiscoveredPeers(seen, co.foundersInOtherRoles())
-	co.raft.Tick(co.now)
-	co.forwardEndReports()
+// tick does what the passing of time brings about.
+func (c *Controller) tick() {
+	c.leader.requestPlacement()
+	c.log.loadPart()
+	c.members.Tick(c.now.Mono)
+	c.raft.SetDiscoveredPeers(c.discoveredPeers(), c.foundersInOtherRoles())
+	c.raft.Tick(c.now)
+	c.forwardReports()
 }
 
-// foundersInOtherRoles are, while no cluster is known, where daemons are that are no controllers: a
-// founder that turns out to be one of them is not waited for.
-func (co *Controller) foundersInOtherRoles() (list []types.Addr) {
-	if co.raft.ClusterName() == "" {
-		for _, a := range co.options.Bootstrap.Founders {
-			if role := co.members.RoleOf(a); role != "" && role != "controller" {
-				list = append(list, a)
-			}
+// applyCommitted applies what is committed, some entries a step.
+func (c *Controller) applyCommitted() {
+	c.log.installSnapshot()
+	if c.log.isLoading() {
+		return
+	}
+	for range maxAppliesPerStep {
+		entry, ok := c.log.next()
+		if !ok {
+			break
+		}
+		c.Counters.Applied++
+		if command, ok := c.log.command(entry); ok {
+			c.apply(entry, command)
 		}
 	}
-	return
-}
-
-// beginShutdown begins a planned stop: the duty goes to a successor.
-func (co *Controller) beginShutdown() {
-	co.shuttingDown = true
-	co.shutdownDeadline = co.now.Mono.Add(3 * time.Second)
-	co.raft.PrepareStop(co.now)
+	c.api.replyReads()
+}
+
+// apply applies one command, and has the parts follow it up.
+func (c *Controller) apply(e raft.Entry, command state.Command) {
+	c.leader.requestPlacement()
+	c.durations.record(c.log.state(), command)
+	assignments, refusal := c.log.apply(command)
+	c.traceCommand(command, e.Index)
+	c.recordEndedJobs(command.Ends)
+	c.api.commandApplied(c.now, e, command, refusal)
+	if c.leader.active() && c.raft.IsLeader() {
+		c.leader.commandApplied(c.now.Mono, command, assignments, refusal)
+	}
 }
 
-// traceCommand leaves marks of what was applied for the tracer.
-func (co *Controller) traceCommand(f state.Command, at types.Index) {
-	switch {
-	case f.Table != nil:
-		co.Trace.Add(co.now.Wall, trace.TableSubject(co.log.state().Table.Version), "applied", "index", at)
-	case f.Job != nil:
-		co.Trace.Add(co.now.Wall, trace.JobSubject(f.Job.ID), "accept applied", "index", at)
-	case f.Cancel != "":
-		co.Trace.Add(co.now.Wall, trace.JobSubject(f.Cancel), "cancel applied", "index", at)
-	}
-	for _, g := range f.Assignments {
-		co.Trace.Add(co.now.Wall, trace.JobSubject(g.ID.Job), "leg given out", "leg", g.ID, "shard", g.Shard)
-	}
-	for _, x := range f.Ends {
-		co.Trace.Add(co.now.Wall, trace.JobSubject(x.ID.Job), "end applied", "leg", x.ID, "fate", x.Outcome)
-		co.attemptEnded(x)
+// recordEndedJobs tells the estimates of the jobs that some ends have ended.
+func (c *Controller) recordEndedJobs(ends []state.AttemptEnd) {
+	for _, end := range ends {
+		if j := c.log.state().Jobs[end.ID.Job]; j != nil && j.Ended() {
+			c.durations.jobEnded(j.ID)
+			c.requests.rates.record(j.Queue, c.now.Mono)
+		}
 	}
 }
 
-// runLeader does the leader's work, or lets go of it.
-func (co *Controller) runLeader() {
-	if !co.raft.IsLeader() {
-		if co.scheduler != nil {
-			co.scheduler = nil
-			co.Counters.Lost++
-		}
-		co.abandonRequests()
-		clear(co.endsInFlight)
-		clear(co.released)
-		clear(co.assignmentsInFlight)
-		co.slots.reset()
-		co.lastRound, co.roundsInFlight, co.shapesIndex, co.reservation, co.readySince = 0, nil, 0, nil, nil
+// lead does the leader's part of a step, and begins or ends this controller's leadership.
+// A controller that was elected begins once it holds a lease and has applied everything
+// committed.
+func (c *Controller) lead() {
+	if !c.raft.IsLeader() {
+		c.leader.revoke()
+		c.api.abandonRequests()
 		return
 	}
-	if co.scheduler == nil {
-		if !co.raft.HoldsReadLease() || co.log.isLagging() {
+	if !c.leader.active() {
+		if !c.raft.HoldsReadLease() || c.log.isLagging() {
 			return
 		}
-		co.Counters.Elected++
-		co.scheduler = dispatch.NewScheduler(co.now.Mono, co.raft.PriorLeaderHeardAt(), co.options.DispatchTimeouts, co.options.Addr, co.raft.Term(), co.outstandingAttempts())
-		co.scheduler.Invoked = func(x types.Shard) bool { return co.log.state().WorkerShapes[x].CalledByAgent }
-		co.scheduler.Partitioned = func(x types.Shard) bool { return co.members.ZonePartitioned(string(x)) }
-		co.scheduler.EndRecorded, co.scheduler.Unresolved = co.endRecorded, func(x types.Shard) []types.AttemptID { return co.log.state().UnresolvedAttempts(x) }
+		c.leader.establish(c.now.Mono)
 	}
-	co.scheduler.Tick(co.now.Mono, co.raft.AuthorityRemaining())
-	co.drainScheduler()
-	if co.needsPlacement && co.overload.mayPlace(co.now.Mono) {
-		co.needsPlacement = false
-		co.overload.startPlacement(co.now.Mono)
-		co.Counters.Placed++
-		co.placeWork()
-		co.drainScheduler()
-	}
-	if co.raft.HoldsReadLease() {
-		co.outbox.send(co.publisher.Responses(co.now.Mono, co.log.state().Table)...)
+	c.leader.step(c.now.Mono)
+	if c.raft.HoldsReadLease() {
+		c.outbox.send(c.publisher.Responses(c.now.Mono, c.log.state().Table)...)
 	}
 }
 
-// abandonRequests answers all requests that wait, as this controller does not lead any more.
-func (co *Controller) abandonRequests() {
-	changes, reads := co.requests.abandon()
-	for _, from := range changes {
-		co.outbox.replyError(from, leaderChanged())
-	}
-	for _, from := range reads {
-		co.outbox.redirect(from, co.otherLeader())
-	}
+// beginShutdown begins a planned stop: leadership goes to a successor.
+func (c *Controller) beginShutdown() {
+	c.shuttingDown = true
+	c.shutdownDeadline = c.now.Mono.Add(shutdownTimeout)
+	c.leader.stop()
+	c.raft.PrepareStop(c.now)
 }
 
-// outstandingAttempts lists the attempts given out as the state has them.
-func (co *Controller) outstandingAttempts() (list []dispatch.OutstandingAttempt) {
-	for _, j := range co.log.state().LiveJobs() {
-		for i := range j.Tasks {
-			for _, o := range j.Tasks[i].Outstanding() {
-				n := j.Spec.TaskNumber(i)
-				at := types.StageOf(n)
-				list = append(list, dispatch.OutstandingAttempt{Attempt: types.AttemptID{TaskID: types.TaskID{Job: j.ID, Number: n}, Attempt: o.Number},
-					Shard: o.Shard, Stage: at, Resources: j.Spec.Steps[at.Step()].Resources, BaselineName: durationKey(j, at), TimeLimit: co.timeLimit(j, at)})
-			}
-		}
-	}
-	return
+// effects returns what the step has to send, write and answer.
+func (c *Controller) effects() wire.Effects {
+	var out wire.Effects
+	out.FallbackRecords = c.raft.AppendInstead()
+	out.Messages, out.Records, out.BatchNumber, out.ReplaceLog = c.raft.Ready()
+	messages, responses := c.outbox.take()
+	out.Messages = append(append(out.Messages, messages...), c.members.TakeMessages()...)
+	out.Responses = responses
+	mayStop := c.raft.MayStop() || c.now.Mono >= c.shutdownDeadline
+	out.Drained = c.shuttingDown && mayStop && c.requests.idle()
+	return out
 }
 
-// endRecorded tells whether the state already has an end, or has no use for it.
-func (co *Controller) endRecorded(e state.AttemptEnd) bool {
-	j := co.log.state().Jobs[e.ID.Job]
-	if j == nil || j.Ended() {
-		return true
-	}
-	t := j.Task(e.ID.Number)
-	return t == nil || t.EndIsKnown(e.ID.Attempt, e.Outcome)
-}
+// Workers views the workers as this controller sees them, none unless it leads.
+func (c *Controller) Workers() []WorkerView { return c.leader.workerViews(c.now.Mono) }
--- /dev/null
+++ b/internal/controller/core_limits.go
@@ -0,0 +1,76 @@
+package controller
+
+import (
+	"math"
+	"time"
+
+	"coppercourse/internal/placement"
+	"coppercourse/internal/types"
+)
+
+const (
+	peakHalfLife = 10 * time.Second // in which a queue's peak is forgotten by half
+	idleJobDelay = time.Second      // after which a job with nothing running gets something to run
+)
+
+// coreLimits keeps cores free for more urgent queues: work of later queues whose tasks take
+// long leaves them what they have lately needed at once.
+type coreLimits struct {
+	peaks     map[types.QueueName]float64 // cores, in thousandths, lately needed at once
+	updatedAt types.MonoTime              // when the peaks were last brought up to date
+}
+
+func newCoreLimits() coreLimits { return coreLimits{peaks: map[types.QueueName]float64{}} }
+
+// apply sets how many cores the queue of each request with long tasks may use. While less
+// than half of all cores is in use, a job that has had nothing running for
+// idleJobDelay gets one task, or its gang, without a limit.
+func (c *coreLimits) apply(now types.MonoTime, in placement.Input) {
+	used := c.updatePeaks(now, in)
+	for i := range in.Requests {
+		request := &in.Requests[i]
+		switch {
+		case request.HeadroomPercent == 0:
+		case request.JobIdle && request.WaitingFor >= idleJobDelay && 2*used < in.TotalCores:
+			if !request.Gang {
+				request.Tasks = request.Tasks[:1]
+			}
+		default:
+			request.MaxQueueCores = c.limit(in, request)
+		}
+	}
+}
+
+// updatePeaks takes in what the queues use and ask for now, and returns the cores in use.
+func (c *coreLimits) updatePeaks(now types.MonoTime, in placement.Input) types.MilliCores {
+	fade := math.Exp2(-now.Sub(c.updatedAt).Seconds() / peakHalfLife.Seconds())
+	c.updatedAt = now
+	wanted := map[types.QueueName]float64{}
+	for _, request := range in.Requests {
+		wanted[request.Queue] += float64(len(request.Tasks)) * float64(request.Resources.Cores)
+	}
+	used := types.MilliCores(0)
+	for name, usage := range in.Usage {
+		used += usage.CoresInUse
+		needed := min(float64(in.TotalCores), float64(usage.CoresInUse)+wanted[name])
+		c.peaks[name] = max(needed, c.peaks[name]*fade)
+	}
+	return used
+}
+
+// limit returns how many cores the queue of a request may use: all but the peaks of more
+// urgent queues, within the headroom, and what the others use.
+func (c *coreLimits) limit(in placement.Input, request *placement.Request) types.MilliCores {
+	own := in.Usage[request.Queue]
+	urgent, others := 0.0, types.MilliCores(0)
+	for name, usage := range in.Usage {
+		switch {
+		case usage.Queue.Priority < own.Queue.Priority:
+			urgent += c.peaks[name]
+		case usage != own:
+			others += usage.CoresInUse
+		}
+	}
+	urgent = min(urgent, float64(in.TotalCores)*float64(request.HeadroomPercent)/100)
+	return max(1, in.TotalCores-types.MilliCores(urgent)-others)
+}
--- a/internal/controller/core_limits_test.go
+++ b/internal/controller/core_limits_test.go
@@ -35,13 +35,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := &Controller{now: types.Now{Mono: types.MonoTime(time.Hour)}, peaksUpdatedAt: types.MonoTime(time.Hour), peakCores: map[types.QueueName]float64{"quick": 80}}
+			now := types.MonoTime(time.Hour)
+			limits := coreLimits{updatedAt: now, peaks: map[types.QueueName]float64{"quick": 80}}
 			in := placement.Input{TotalCores: 100, Requests: []placement.Request{{Queue: "long", HeadroomPercent: c.spare, WaitingFor: c.since, JobIdle: !c.runs, Tasks: []int{0, 1, 2}}}, Usage: map[types.QueueName]*placement.QueueUsage{
 				"quick": {Queue: config.Queue{Name: "quick", TargetFactor: 1}, CoresInUse: c.quick}, "long": {Queue: config.Queue{Name: "long", TargetFactor: 3, Priority: 2}, CoresInUse: c.long}}}
 			if c.quick == 70 {
-				h.peakCores["quick"] = 0
+				limits.peaks["quick"] = 0
 			}
-			h.limitLongWork(in)
+			limits.apply(now, in)
 			is.Equal(in.Requests[0].MaxQueueCores, c.want)
 			is.Equal(len(in.Requests[0].Tasks), c.tasks)
 		})
--- /dev/null
+++ b/internal/controller/discovery.go
@@ -0,0 +1,62 @@
+package controller
+
+import (
+	"coppercourse/internal/membership"
+	"coppercourse/internal/raft"
+	"coppercourse/internal/types"
+)
+
+// describe returns what this controller tells the other daemons of itself.
+func (c *Controller) describe() membership.Card {
+	return membership.Card{
+		Addr:  c.options.Addr,
+		ID:    c.raft.ID(),
+		Role:  membership.RoleController,
+		Zone:  c.options.Zone,
+		Name:  c.raft.ClusterName(),
+		Term:  c.raft.Term(),
+		Leads: c.raft.IsLeader() && !c.shuttingDown,
+		Shard: c.raft.Role(),
+		Ready: c.Ready(),
+		Build: c.options.Build,
+	}
+}
+
+// Ready reports whether the platform may send callers here: this controller leads, or
+// knows who does.
+func (c *Controller) Ready() bool {
+	if c.shuttingDown || c.diskError != nil || c.log.isLoading() || c.raft.ClusterName() == "" {
+		return false
+	}
+	if c.raft.IsLeader() {
+		return c.raft.HoldsReadLease()
+	}
+	return c.raft.LeaderAddr() != ""
+}
+
+// discoveredPeers lists the controllers that were discovered and may be members of a cluster.
+func (c *Controller) discoveredPeers() []raft.DiscoveredPeer {
+	var peers []raft.DiscoveredPeer
+	for _, card := range c.members.Controllers() {
+		if card.ID != "" && card.Shard != "out" {
+			member := raft.Member{ID: card.ID, Addr: card.Addr, Zone: card.Zone}
+			peers = append(peers, raft.DiscoveredPeer{Member: member, ClusterName: card.Name})
+		}
+	}
+	return peers
+}
+
+// foundersInOtherRoles lists, while no cluster is known, the founders that turn out to be
+// other daemons than controllers; those are not waited for.
+func (c *Controller) foundersInOtherRoles() []types.Addr {
+	if c.raft.ClusterName() != "" {
+		return nil
+	}
+	var others []types.Addr
+	for _, addr := range c.options.Bootstrap.Founders {
+		if role := c.members.RoleOf(addr); role != "" && role != membership.RoleController {
+			others = append(others, addr)
+		}
+	}
+	return others
+}
--- /dev/null
+++ b/internal/controller/doc.go
@@ -0,0 +1,34 @@
+// Package controller is the controller daemon as one state machine: it holds the
+// replicated log and, while it leads, schedules.
+//
+// [Controller] takes one event a step and joins the parts. Each part is a type with its own
+// state, in a file named after it, and the others use its methods only:
+//
+//   - commandLog puts commands into the Raft log and applies the committed ones to the
+//     replicated state; it takes and loads snapshots.
+//   - api replies to callers and operators (job_requests.go, worker_requests.go).
+//     requestTable keeps the requests that wait: changes for their commit, reads behind a
+//     readBarrier; completionRates estimates when a rejected caller should come back.
+//   - leader is what only the leader does. Its dispatch.Scheduler, made anew with each
+//     leadership, keeps the workers' leases and the attempts that run. endTracker keeps the
+//     ends of attempts on their way into the log, workerShapes and wallOffset what the log
+//     must know of workers and clocks.
+//   - planner makes rounds of placement: readyWork ranked by jobRanking, slotCache for the
+//     workers with room, coreLimits and waitTimes, placement.Place for the choice, and
+//     assignmentRounds for what is on its way into the log. attemptReview withdraws attempts
+//     and hedges stragglers, preemption makes room for urgent work.
+//   - durationEstimates learns how long tasks take, reportBuffer keeps reported ends until
+//     the log has them, overload decides what to do when the event loop falls behind. Every
+//     controller keeps these, so that a new leader starts with them.
+//   - outbox collects the messages and replies of a step.
+//
+// A job passes through it as follows. api.submitJob proposes its submission. Once that is
+// committed, Controller.apply applies it and api replies. leader.placeWork has the planner
+// choose workers and proposes the assignments; once those are committed, leader.sendOrders
+// has the agents run them. Agents report the ends, which leader.proposeEnds proposes; once
+// they are committed, the scheduler acknowledges them, and the state closes the job after
+// the last one.
+//
+// Steps do no I/O and read no clock. All times of the log are on the cluster's clock
+// (types.ClusterTime), all others on this process's monotonic clock.
+package controller
--- a/internal/controller/duration_estimates.go
+++ b/internal/controller/duration_estimates.go
@@ -1,6 +1,3 @@
-// How long tasks take, learned from the log by every controller, so that a new leader
-// knows what the last one did. A job's own estimate is only as good as those of its
-// queue have been: it and the queue's mean are weighed by how far each was off.
 package controller
 
 import (
@@ -12,105 +9,159 @@
 	"coppercourse/internal/types"
 )
 
-// queueDurations is what is known of the steps of a queue: the mean of the logarithms of
-// their tasks' times, how far the times lie from it, and how far the estimates do.
-type queueDurations struct {
-	weight        float64 // steps, with those long past left out
-	meanLog       float64
-	variance      float64
-	estimateError float64
-}
-
 const (
-	maxStepWeight      = 64   // steps that count
-	priorEstimateError = 0.25 // how far estimates are taken to be off before anything is known
-	priorVariance      = 1.0  // and how far times are from their mean
-	priorWeight        = 4    // steps that this counts for
+	maxEvidenceSteps   = 64   // newer steps count against so many older ones at most
+	priorEstimateError = 0.25 // variance of a job's own estimate that is assumed at first
+	priorVariance      = 1.0  // variance of the durations that is assumed at first
+	priorSteps         = 4    // steps that both assumptions count for
+	minVariance        = 1e-6 // keeps the weights finite
+
+	// jobDurationsSlack is how many jobs beyond twice the live ones may be kept before
+	// those that have ended are dropped.
+	jobDurationsSlack = 64
 )
 
-// record takes what a task took, as a part of its step.
-func (q *queueDurations) record(took, estimate time.Duration, share float64) {
-	x := math.Log(max(took, time.Millisecond).Seconds())
-	q.weight = min(maxStepWeight, q.weight+share)
-	gain := min(1, share/q.weight)
-	deviation := x - q.meanLog
-	q.meanLog += gain * deviation
-	q.variance += gain * (deviation*(x-q.meanLog) - q.variance)
-	if estimate > 0 {
-		off := x - math.Log(estimate.Seconds())
-		q.estimateError += gain * (off*off - q.estimateError)
-	}
+// durationEstimates is how long tasks take, learned from the committed ends of attempts.
+// Every controller keeps it, so that a new leader knows what the last one did. All is in
+// logarithms: durations differ by factors.
+type durationEstimates struct {
+	queues map[types.QueueName]*queueDurations
+	jobs   map[types.JobID][]stepDurations // by step, of jobs that have not ended
 }
 
-// expected weighs a step's own estimate, or 0, against the mean.
-func (q *queueDurations) expected(estimate time.Duration) time.Duration {
-	switch {
-	case q == nil || q.weight < 1:
-		return estimate
-	case estimate <= 0:
-		return time.Duration(math.Exp(q.meanLog) * float64(time.Second))
-	}
-	evidence := q.weight / (q.weight + priorWeight)
-	variance, estimateError := priorVariance+evidence*(q.variance-priorVariance), priorEstimateError+evidence*(q.estimateError-priorEstimateError)
-	trust := variance / (variance + estimateError + 1e-6)
-	return time.Duration(math.Exp(q.meanLog+trust*(math.Log(estimate.Seconds())-q.meanLog)) * float64(time.Second))
+// queueDurations describes the tasks of a queue, each step of a job counting once. A job's
+// own estimates are only as good as those of its queue have been: estimate and mean are
+// weighted by how far each was off.
+type queueDurations struct {
+	steps         float64 // steps counted, with the older ones discounted
+	meanLog       float64
+	variance      float64 // of the logarithms
+	estimateError float64 // mean square of how far the jobs' own estimates were off
 }
 
-// stepDurations is what the tasks of a step have taken so far.
+// stepDurations sums up the tasks of one step that have ended.
 type stepDurations struct {
 	sumOfLogs float64
 	count     float64
 }
 
-// recordDurations takes the good ends of a fact that is about to be applied.
-func (co *Controller) recordDurations(f state.Command) {
-	if len(co.jobDurations) > 2*len(co.log.state().LiveJobs())+64 {
-		maps.DeleteFunc(co.jobDurations, func(id types.JobID, _ []stepDurations) bool {
-			j := co.log.state().Jobs[id]
-			return j == nil || j.Ended()
-		})
+func newDurationEstimates() *durationEstimates {
+	return &durationEstimates{
+		queues: map[types.QueueName]*queueDurations{},
+		jobs:   map[types.JobID][]stepDurations{},
 	}
-	for _, e := range f.Ends {
-		j := co.log.state().Jobs[e.ID.Job]
-		if e.Outcome != state.OutcomeOK || j == nil || j.Ended() {
+}
+
+// record learns from the successful ends in a command that is about to be applied to a
+// state, which still knows when the attempts began.
+func (d *durationEstimates) record(s *state.State, command state.Command) {
+	d.dropEnded(s)
+	for _, end := range command.Ends {
+		j := s.Jobs[end.ID.Job]
+		if end.Outcome != state.OutcomeOK || j == nil || j.Ended() {
 			continue
 		}
-		t := j.Task(e.ID.Number)
-		if t == nil || t.Done || t.FindOutstanding(e.ID.Attempt) == nil {
+		task := j.Task(end.ID.Number)
+		if task == nil || task.Done {
 			continue
 		}
-		step := types.StageOf(e.ID.Number).Step()
-		p := &j.Spec.Steps[step]
-		took := max(time.Millisecond, f.Time.Sub(t.FindOutstanding(e.ID.Attempt).AssignedAt))
-		durations := co.queueDurations[j.Queue]
-		if durations == nil {
-			durations = &queueDurations{}
-			co.queueDurations[j.Queue] = durations
-		}
-		share := 1 / float64(p.Tasks)
-		if p.Joint {
-			share = 1 // one end stands for all
-		}
-		durations.record(took, time.Duration(p.EstimateMillis)*time.Millisecond, share)
-		c := co.jobDurations[j.ID]
-		if c == nil {
-			c = make([]stepDurations, len(j.Spec.Steps))
-			co.jobDurations[j.ID] = c
+		attempt := task.FindOutstanding(end.ID.Attempt)
+		if attempt == nil {
+			continue
 		}
-		c[step].sumOfLogs += math.Log(took.Seconds())
-		c[step].count++
+		took := max(time.Millisecond, command.Time.Sub(attempt.AssignedAt))
+		d.recordTask(j, types.StageOf(end.ID.Number).Step(), took)
 	}
 }
 
-// expectedDuration is how long a task of a step is expected to take.
-func (co *Controller) expectedDuration(j *state.Job, step int) time.Duration {
-	if c := co.jobDurations[j.ID]; c != nil && c[step].count > 0 {
-		return time.Duration(math.Exp(c[step].sumOfLogs/c[step].count) * float64(time.Second))
+// recordTask learns how long a task of a step took.
+func (d *durationEstimates) recordTask(j *state.Job, step int, took time.Duration) {
+	spec := &j.Spec.Steps[step]
+	queue := d.queues[j.Queue]
+	if queue == nil {
+		queue = &queueDurations{}
+		d.queues[j.Queue] = queue
 	}
-	if co.scheduler != nil {
-		if d, ok := co.scheduler.StageDuration(j.ID, step); ok {
-			return d
-		}
+	share := 1 / float64(spec.Tasks)
+	if spec.Joint {
+		share = 1 // one end stands for all tasks
+	}
+	queue.record(took, estimateOf(spec), share)
+
+	steps := d.jobs[j.ID]
+	if steps == nil {
+		steps = make([]stepDurations, len(j.Spec.Steps))
+		d.jobs[j.ID] = steps
+	}
+	steps[step].sumOfLogs += math.Log(took.Seconds())
+	steps[step].count++
+}
+
+// dropEnded forgets jobs that have ended unnoticed, as those of a state that a snapshot
+// replaced, once they are many.
+func (d *durationEstimates) dropEnded(s *state.State) {
+	if len(d.jobs) <= 2*len(s.LiveJobs())+jobDurationsSlack {
+		return
+	}
+	maps.DeleteFunc(d.jobs, func(id types.JobID, _ []stepDurations) bool {
+		j := s.Jobs[id]
+		return j == nil || j.Ended()
+	})
+}
+
+// jobEnded forgets the steps of a job.
+func (d *durationEstimates) jobEnded(id types.JobID) { delete(d.jobs, id) }
+
+// ofStep returns the mean duration of a step's tasks, or false if none has ended.
+func (d *durationEstimates) ofStep(j *state.Job, step int) (time.Duration, bool) {
+	steps := d.jobs[j.ID]
+	if steps == nil || steps[step].count == 0 {
+		return 0, false
+	}
+	return fromLogSeconds(steps[step].sumOfLogs / steps[step].count), true
+}
+
+// ofQueue returns how long a task of a step is expected to take by what is known of its
+// queue and by the step's own estimate; 0 if there is neither.
+func (d *durationEstimates) ofQueue(j *state.Job, step int) time.Duration {
+	return d.queues[j.Queue].expected(estimateOf(&j.Spec.Steps[step]))
+}
+
+// record takes in a task that makes up a share of its step; estimate is the step's own, or
+// 0.
+func (q *queueDurations) record(took, estimate time.Duration, share float64) {
+	logTook := math.Log(max(took, time.Millisecond).Seconds())
+	q.steps = min(maxEvidenceSteps, q.steps+share)
+	gain := min(1, share/q.steps)
+	deviation := logTook - q.meanLog
+	q.meanLog += gain * deviation
+	q.variance += gain * (deviation*(logTook-q.meanLog) - q.variance)
+	if estimate > 0 {
+		off := logTook - math.Log(estimate.Seconds())
+		q.estimateError += gain * (off*off - q.estimateError)
 	}
-	return co.queueDurations[j.Queue].expected(time.Duration(j.Spec.Steps[step].EstimateMillis) * time.Millisecond)
+}
+
+// expected weighs a step's own estimate, or 0, against the queue's mean.
+func (q *queueDurations) expected(estimate time.Duration) time.Duration {
+	switch {
+	case q == nil || q.steps < 1:
+		return estimate
+	case estimate <= 0:
+		return fromLogSeconds(q.meanLog)
+	}
+	evidence := q.steps / (q.steps + priorSteps)
+	variance := priorVariance + evidence*(q.variance-priorVariance)
+	estimateError := priorEstimateError + evidence*(q.estimateError-priorEstimateError)
+	trust := variance / (variance + estimateError + minVariance)
+	return fromLogSeconds(q.meanLog + trust*(math.Log(estimate.Seconds())-q.meanLog))
+}
+
+// estimateOf returns a step's own estimate of its tasks' duration, or 0.
+func estimateOf(step *state.Step) time.Duration {
+	return time.Duration(step.EstimateMillis) * time.Millisecond
+}
+
+func fromLogSeconds(log float64) time.Duration {
+	return time.Duration(math.Exp(log) * float64(time.Second))
 }
--- /dev/null
+++ b/internal/controller/end_tracker.go
@@ -0,0 +1,60 @@
+package controller
+
+import (
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+// endTracker keeps the ends of attempts that are proposed and not yet committed, so that
+// each is proposed once, and the resources of attempts that have surely stopped are free at
+// once.
+type endTracker struct {
+	inFlight map[state.AttemptEnd]bool
+	released map[types.AttemptID]bool // of those in flight, what runs no more
+}
+
+func newEndTracker() *endTracker {
+	return &endTracker{inFlight: map[state.AttemptEnd]bool{}, released: map[types.AttemptID]bool{}}
+}
+
+// reset forgets the ends of another leadership.
+func (t *endTracker) reset() {
+	clear(t.inFlight)
+	clear(t.released)
+}
+
+// toPropose returns, of a list of ends, those that are neither in flight nor recorded.
+func (t *endTracker) toPropose(s *state.State, ends []state.AttemptEnd) []state.AttemptEnd {
+	var list []state.AttemptEnd
+	for _, end := range ends {
+		if !t.inFlight[end] && !endRecorded(s, end) {
+			list = append(list, end)
+		}
+	}
+	return list
+}
+
+// proposed records an end that was proposed.
+func (t *endTracker) proposed(end state.AttemptEnd) { t.inFlight[end] = true }
+
+// release records that an attempt, whose end is in flight, runs no more.
+func (t *endTracker) release(attempt types.AttemptID) { t.released[attempt] = true }
+
+// isReleased reports whether an attempt, whose end is in flight, runs no more.
+func (t *endTracker) isReleased(attempt types.AttemptID) bool { return t.released[attempt] }
+
+// committed records that an end is committed.
+func (t *endTracker) committed(end state.AttemptEnd) {
+	delete(t.inFlight, end)
+	delete(t.released, end.ID)
+}
+
+// endRecorded reports whether the state already has an end, or has no use for it.
+func endRecorded(s *state.State, end state.AttemptEnd) bool {
+	j := s.Jobs[end.ID.Job]
+	if j == nil || j.Ended() {
+		return true
+	}
+	task := j.Task(end.ID.Number)
+	return task == nil || task.EndIsKnown(end.ID.Attempt, end.Outcome)
+}
--- /dev/null
+++ b/internal/controller/feasibility.go
@@ -0,0 +1,73 @@
+package controller
+
+import (
+	"fmt"
+	"time"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/state"
+)
+
+// noWorkersRetryAfter is when a caller should come back before any worker has registered.
+const noWorkersRetryAfter = 2 * time.Second
+
+// checkFeasible refuses a job with a step that the known workers, away or not, could never
+// hold.
+func checkFeasible(s *state.State, spec state.Spec) *apierror.Error {
+	if len(s.WorkerShapes) == 0 {
+		return apierror.New(apierror.NotReady, "", "no worker has come yet").WithRetryAfter(noWorkersRetryAfter)
+	}
+	queue, _ := s.Table.FindQueue(spec.Queue)
+	for i := range spec.Steps {
+		step := &spec.Steps[i]
+		if field, reason := infeasible(step, findCapacity(s, step), queue.MaxRunning); field != "" {
+			return apierror.New(apierror.NeverPlaceable, fmt.Sprintf("steps[%d].%s", i, field), reason)
+		}
+	}
+	return nil
+}
+
+// stepCapacity is what the known workers, all of them empty, offer a step.
+type stepCapacity struct {
+	kindFound bool // a worker serves the step's kind
+	rackFound bool // and is in its rack and has its labels
+	workers   int  // that could hold a task of it
+	tasks     int  // that they could hold at once
+}
+
+func findCapacity(s *state.State, step *state.Step) stepCapacity {
+	var c stepCapacity
+	for _, shape := range s.WorkerShapes {
+		kind, rack := shape.Matches(*step)
+		c.kindFound = c.kindFound || kind
+		c.rackFound = c.rackFound || kind && rack
+		if !kind || !rack || !shape.Resources.Contains(step.Resources) {
+			continue
+		}
+		tasks := shape.Resources.FitCount(step.Resources)
+		if step.MaxPerWorker > 0 {
+			tasks = min(tasks, step.MaxPerWorker)
+		}
+		c.workers++
+		c.tasks += tasks
+	}
+	return c
+}
+
+// infeasible returns the field of a step for which it can never be placed, and the reason,
+// or nothing; maxRunning is how many tasks its queue may run at once.
+func infeasible(step *state.Step, c stepCapacity, maxRunning int) (field, reason string) {
+	switch {
+	case !c.kindFound:
+		return "kind", "no worker is of kind " + string(step.Kind)
+	case !c.rackFound:
+		return "rack", "no worker of the kind is in rack " + string(step.Rack)
+	case c.workers == 0:
+		return "room", "larger than any worker"
+	case step.Gang && c.tasks < step.Tasks:
+		return "gang", fmt.Sprintf("the workers hold at most %d of its %d members at once", c.tasks, step.Tasks)
+	case step.Gang && step.Tasks > maxRunning:
+		return "gang", "more members than the queue may run at once"
+	}
+	return "", ""
+}
--- a/internal/controller/job_ranking.go
+++ b/internal/controller/job_ranking.go
@@ -1,6 +1,3 @@
-// What a job can still be worth: whether it can be done within the aim of its
-// queue, by what its steps are expected to take. A job's own estimates are rough
-// and so is the mean of its queue's steps; between the two lies the best guess.
 package controller
 
 import (
@@ -14,126 +11,145 @@
 )
 
 const (
-	lateTargetFactor    = 3  // times its aim, until which a job is worth something
-	maxJobValue         = 4  // times its queue's worth, at most
-	patientSlackPercent = 40 // percent of its aim: work that has so much time left can wait
-	peakHalfLife        = 10 * time.Second
-	idleJobDelay        = time.Second // a job has nothing running for so long at most while less than half of all cores is in use
-
-	patientHeadroomPercent = 92  // percent of all cores that patient work leaves at most to what goes first
-	longHeadroomPercent    = 75  // and other work that takes long
-	slackDecaySeconds      = 1.0 // seconds: work that has so much more time gains e times less by its turn
-	priorityBase           = 1.0 // what goes first weighs so many times as much for each step of priority
+	lateTargetFactor = 3  // a job is worth something until so many times its latency target
+	targetTolerance  = 8  // a job counts as on target until late by one in so many parts of it
+	maxJobValue      = 4  // value of a job, in those of its queue's mean job, at most
+	meanGain         = 16 // a job counts for one in so many in the means of its queue
+	minMeanWork      = 0.001
+
+	baseValue    = 0.3   // part of the mean job's value that does not depend on its work
+	onTargetPart = 0.7   // part of a job's value that is lost once it is late
+	latePart     = 0.3   // part that is lost once it is too late for its target
+	missedPart   = 0.001 // part that remains then
+
+	// slackDecaySeconds is the scale of slack: a job with so many seconds more of it comes
+	// behind one that gains e times as much.
+	slackDecaySeconds = 1.0
+	// priorityBase is by what factor each step of a queue's priority lowers its jobs' rank.
+	priorityBase = 1.0
+
+	patientSlackPercent    = 40 // a job with slack of so much of its target can wait
+	patientHeadroomPercent = 92 // of all cores that long tasks of such a job leave free at most
+	longHeadroomPercent    = 75 // of all cores that long tasks of other jobs leave free at most
 )
 
-// recordJobWork takes a new job into the mean of its queue's.
-func (co *Controller) recordJobWork(j *state.Job) {
+// jobRanking ranks the jobs of queues with a latency target. What goes first is what gains
+// the most value for the work that is left, the less the more slack it has: the rule of
+// apparent tardiness cost (Vepsalainen and Morton, 1987). What steps take is
+// only estimated.
+type jobRanking struct {
+	meanWork        map[types.QueueName]float64 // core-seconds of a queue's mean job
+	meanTaskSeconds map[types.QueueName]float64 // of the first steps of a queue's jobs
+}
+
+// jobRank is a job's place among those that wait.
+type jobRank struct {
+	class           placement.TargetClass // whether the job can still meet its target
+	sortKey         float64               // within the class, the lowest goes first
+	headroomPercent int                   // of all cores, left at most to more urgent queues
+}
+
+func newJobRanking() jobRanking {
+	return jobRanking{meanWork: map[types.QueueName]float64{}, meanTaskSeconds: map[types.QueueName]float64{}}
+}
+
+// recordJob takes a new job into the means of its queue.
+func (r *jobRanking) recordJob(v *leaderView, j *state.Job) {
 	work := 0.0
-	for i, p := range j.Spec.Steps {
-		work += float64(p.Tasks) * co.expectedDuration(j, i).Seconds() * float64(p.Resources.Cores) / float64(types.Core)
+	for i := range j.Spec.Steps {
+		step := &j.Spec.Steps[i]
+		work += float64(step.Tasks) * v.expectedDuration(j, i).Seconds() * float64(step.Resources.Cores) / float64(types.Core)
 	}
 	if len(j.Spec.Steps) > 0 && !j.Spec.Steps[0].AlwaysRestart {
-		t := co.expectedDuration(j, 0).Seconds()
-		if m, ok := co.meanTaskSeconds[j.Queue]; ok {
-			t = m + (t-m)/16
-		}
-		co.meanTaskSeconds[j.Queue] = t
+		updateMean(r.meanTaskSeconds, j.Queue, v.expectedDuration(j, 0).Seconds())
 	}
-	if m, ok := co.meanJobWork[j.Queue]; ok {
-		work = m + (work-m)/16
+	updateMean(r.meanWork, j.Queue, work)
+}
+
+// updateMean takes a value into a queue's moving average; the first value is the average.
+func updateMean(means map[types.QueueName]float64, queue types.QueueName, value float64) {
+	if mean, ok := means[queue]; ok {
+		value = mean + (value-mean)/meanGain
 	}
-	co.meanJobWork[j.Queue] = work
+	means[queue] = value
 }
 
-// meanWork is the work of a queue's jobs, in core-seconds.
-func (co *Controller) meanWork(q types.QueueName) float64 { return max(co.meanJobWork[q], 0.001) }
+// taskWork returns the work of one task of a step, in core-seconds.
+func taskWork(v *leaderView, j *state.Job, step int) float64 {
+	cores := float64(j.Spec.Steps[step].Resources.Cores)
+	return v.expectedDuration(j, step).Seconds() * cores / float64(types.Core)
+}
 
-// rank tells what a job can still be worth, how soon it should have its turn, and
-// what part of all cores, in percent, its queue leaves to those before it. What goes
-// first is what gains most for the work that is left, the less the more time it has:
-// the rule of apparent tardiness cost.
-func (co *Controller) rank(j *state.Job, row config.Queue, x *state.ReadyIndex, b state.ReadyStage) (placement.TargetClass, float64, int) {
-	if !row.HasLatencyTarget() {
-		return placement.OnTarget, 0, 0
+// rank ranks what of a job is ready in one stage.
+func (r *jobRanking) rank(v *leaderView, j *state.Job, queue config.Queue, ready *state.ReadyIndex,
+	stage state.ReadyStage) jobRank {
+	if !queue.HasLatencyTarget() {
+		return jobRank{class: placement.OnTarget}
 	}
-	cost := func(step int) time.Duration { return co.expectedDuration(j, step) }
 	remainingWork, totalWork := 0.0, 0.0
-	for i, p := range j.Spec.Steps {
-		one := cost(i).Seconds() * float64(p.Resources.Cores) / float64(types.Core)
-		remainingWork += float64(x.RemainingTasks[i]) * one
-		totalWork += float64(p.Tasks) * one
+	for i := range j.Spec.Steps {
+		one := taskWork(v, j, i)
+		remainingWork += float64(ready.RemainingTasks[i]) * one
+		totalWork += float64(j.Spec.Steps[i].Tasks) * one
 	}
-	value := min(maxJobValue, 0.3+0.7*totalWork/co.meanWork(j.Queue))
-	step := b.Stage.Step()
+	value := min(maxJobValue, baseValue+(1-baseValue)*totalWork/max(r.meanWork[j.Queue], minMeanWork))
+	step := stage.Stage.Step()
 	if j.Spec.Steps[step].AlwaysRestart {
-		return placement.OnTarget, -value / (1 + remainingWork), 0
-	}
-	target := time.Duration(row.TargetFactor*float64(j.Spec.CriticalPath(-1, cost))) + time.Duration(row.TargetMarginMillis)*time.Millisecond
-	slack := b.ReadySince.Add(target).Sub(co.raft.Clock()) - j.Spec.CriticalPath(step, cost)
-	class, stake, headroom := placement.OnTarget, 0.7*value, 0
-	if co.outlastsUrgentQueues(j.Queue, row, cost(step)) {
-		headroom = longHeadroomPercent
-		if slack > target*patientSlackPercent/100 {
-			headroom = patientHeadroomPercent
-		}
+		return jobRank{class: placement.OnTarget, sortKey: -value / (1 + remainingWork)}
 	}
-	switch {
-	case slack > -target/8: // the guess is no better than that
-	case slack+(lateTargetFactor-1)*target > 0:
-		class, stake, slack = placement.Late, 0.3*value, slack+(lateTargetFactor-1)*target
+	duration := func(step int) time.Duration { return v.expectedDuration(j, step) }
+	target := time.Duration(queue.TargetFactor*float64(j.Spec.CriticalPath(-1, duration))) +
+		time.Duration(queue.TargetMarginMillis)*time.Millisecond
+	slack := stage.ReadySince.Add(target).Sub(v.clock) - j.Spec.CriticalPath(step, duration)
+	rank := jobRank{headroomPercent: r.headroom(v.state, j.Queue, queue, duration(step), slack, target)}
+	var gain float64
+	rank.class, gain, slack = classify(value, slack, target)
+	gain = gain / (remainingWork + 0.01) * math.Exp(-max(0, slack.Seconds())/slackDecaySeconds) *
+		math.Pow(priorityBase, -float64(queue.Priority))
+	rank.sortKey = -gain
+	return rank
+}
+
+// classify returns whether a job with so much slack can still meet its latency target, what
+// of its value is lost if it does not run now, and the slack until then.
+func classify(value float64, slack, target time.Duration) (placement.TargetClass, float64, time.Duration) {
+	switch tooLate := slack + (lateTargetFactor-1)*target; {
+	case slack > -target/targetTolerance: // the estimate is no better than that
+		return placement.OnTarget, onTargetPart * value, slack
+	case tooLate > 0:
+		return placement.Late, latePart * value, tooLate
 	default:
-		class, stake, slack = placement.TargetMissed, 0.001*value, 0
+		return placement.TargetMissed, missedPart * value, 0
 	}
-	gain := stake / (remainingWork + 0.01) * math.Exp(-max(0, slack.Seconds())/slackDecaySeconds) * math.Pow(priorityBase, -float64(row.Priority))
-	return class, -gain, headroom
 }
 
-// outlastsUrgentQueues tells whether tasks take so long that what goes before their queue would be
-// worth nothing any more if it had to wait for them.
-func (co *Controller) outlastsUrgentQueues(q types.QueueName, row config.Queue, task time.Duration) bool {
-	for _, r := range co.log.state().Table.Queues {
-		if u, ok := co.meanTaskSeconds[r.Name]; ok && r.Name != q && r.Priority < row.Priority && task.Seconds() > lateTargetFactor*(r.TargetFactor*u+float64(r.TargetMarginMillis)/1000) {
-			return true
-		}
+// headroom returns what percent of all cores long tasks leave free at most to more urgent
+// queues: 0 for tasks that those can wait for.
+func (r *jobRanking) headroom(s *state.State, name types.QueueName, queue config.Queue,
+	task, slack, target time.Duration) int {
+	switch {
+	case !r.outlastsUrgentQueues(s, name, queue, task):
+		return 0
+	case slack > target*patientSlackPercent/100:
+		return patientHeadroomPercent
+	default:
+		return longHeadroomPercent
 	}
-	return false
 }
 
-// limitLongWork keeps room for what goes first: work of later queues, whose tasks take long,
-// leaves free what the queues before it have lately needed at once.
-func (co *Controller) limitLongWork(in placement.Input) {
-	fade := math.Exp2(-co.now.Mono.Sub(co.peaksUpdatedAt).Seconds() / peakHalfLife.Seconds())
-	co.peaksUpdatedAt = co.now.Mono
-	need, used := map[types.QueueName]float64{}, types.MilliCores(0)
-	for _, w := range in.Requests {
-		need[w.Queue] += float64(len(w.Tasks)) * float64(w.Resources.Cores)
-	}
-	for q, d := range in.Usage {
-		used += d.CoresInUse
-		co.peakCores[q] = max(min(float64(in.TotalCores), float64(d.CoresInUse)+need[q]), co.peakCores[q]*fade)
-	}
-	for i := range in.Requests {
-		w := &in.Requests[i]
-		d := in.Usage[w.Queue]
-		switch {
-		case w.HeadroomPercent == 0:
-			continue
-		case w.JobIdle && w.WaitingFor >= idleJobDelay && 2*used < in.TotalCores:
-			if !w.Gang { // a job that has nothing running gets something to run
-				w.Tasks = w.Tasks[:1]
-			}
+// outlastsUrgentQueues reports whether tasks take so long that the jobs of a more urgent
+// queue would be worth nothing any more if they had to wait for them.
+func (r *jobRanking) outlastsUrgentQueues(s *state.State, name types.QueueName, queue config.Queue,
+	task time.Duration) bool {
+	for _, other := range s.Table.Queues {
+		mean, ok := r.meanTaskSeconds[other.Name]
+		if !ok || other.Name == name || other.Priority >= queue.Priority {
 			continue
 		}
-		first, beside := 0.0, types.MilliCores(0)
-		for q, o := range in.Usage {
-			switch {
-			case o.Queue.Priority < d.Queue.Priority:
-				first += co.peakCores[q]
-			case o != d:
-				beside += o.CoresInUse
-			}
+		target := other.TargetFactor*mean + float64(other.TargetMarginMillis)/1000
+		if task.Seconds() > lateTargetFactor*target {
+			return true
 		}
-		first = min(first, float64(in.TotalCores)*float64(w.HeadroomPercent)/100)
-		w.MaxQueueCores = max(1, in.TotalCores-types.MilliCores(first)-beside)
 	}
+	return false
 }
--- /dev/null
+++ b/internal/controller/job_view.go
@@ -0,0 +1,58 @@
+package controller
+
+import (
+	"time"
+
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+// maxTaskDetails is how many tasks a job may have for each to be shown.
+const maxTaskDetails = 200
+
+// JobView is a job as callers see it.
+type JobView struct {
+	ID             types.JobID     `json:"id"`
+	Queue          types.QueueName `json:"queue,omitempty"`
+	State          state.JobStatus `json:"state"`
+	DecidedState   state.JobStatus `json:"outcome,omitempty"` // what it will end as, while its last attempts are stopped
+	Reason         string          `json:"reason,omitempty"`  // why it failed or was cancelled
+	AcceptedAt     string          `json:"accepted_at,omitempty"`
+	CancelAccepted bool            `json:"cancel_accepted,omitempty"`
+	Tasks          int             `json:"tasks"`
+	TasksDone      int             `json:"tasks_done"`
+	TasksRunning   int             `json:"tasks_running"` // attempts assigned and not ended
+	Attempts       int             `json:"legs"`          // assigned since the start
+	TaskDetails    []state.Task    `json:"detail,omitempty"`
+}
+
+// jobView views a job, or returns nil if none has the ID.
+func jobView(s *state.State, id types.JobID) *JobView {
+	j := s.Find(id)
+	if j == nil {
+		return nil
+	}
+	view := &JobView{
+		ID:             j.ID,
+		Queue:          j.Queue,
+		State:          j.Status,
+		Reason:         j.Reason,
+		CancelAccepted: j.CancelRequested,
+		Tasks:          j.TaskCount,
+		TasksDone:      j.DoneTasks,
+		Attempts:       j.AttemptCount,
+	}
+	if j.Status == state.JobEnding && j.DoneTasks == j.TaskCount {
+		view.DecidedState = state.JobDone
+	}
+	if j.AcceptedWallTime != 0 {
+		view.AcceptedAt = time.Unix(0, int64(j.AcceptedWallTime)).UTC().Format(time.RFC3339Nano)
+	}
+	for i := range j.Tasks {
+		view.TasksRunning += len(j.Tasks[i].Outstanding())
+	}
+	if len(j.Tasks) <= maxTaskDetails {
+		view.TaskDetails = append([]state.Task(nil), j.Tasks...)
+	}
+	return view
+}
--- /dev/null
+++ b/internal/controller/leader.go
@@ -0,0 +1,284 @@
+package controller
+
+import (
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/membership"
+	"coppercourse/internal/raft"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// leader is what only the leading controller does: it keeps the workers' leases and orders
+// through its dispatch.Scheduler, proposes the ends of attempts that they report, and plans
+// rounds of placement. Its parts are kept from one leadership to the next and reset between
+// them; the scheduler is made anew with each.
+type leader struct {
+	options   Options
+	raft      *raft.Node
+	log       *commandLog
+	members   *membership.MemberList
+	outbox    *outbox
+	requests  *requestTable
+	durations *durationEstimates
+	overload  *overload
+	counters  *Counters
+
+	scheduler      *dispatch.Scheduler // nil unless this controller leads
+	ends           *endTracker
+	planner        planner
+	review         attemptReview
+	preemption     preemption
+	shapes         workerShapes
+	wallOffset     wallOffset
+	needsPlacement bool // something was applied, or time passed, since the last round
+	stopping       bool // no more work is placed
+	current        leaderView
+}
+
+func newLeader(c *Controller) *leader {
+	windows := workerWindows{orderDelay: c.options.DispatchTimeouts.AgentLease}
+	ends := newEndTracker()
+	return &leader{
+		options:   c.options,
+		raft:      c.raft,
+		log:       c.log,
+		members:   c.members,
+		outbox:    c.outbox,
+		requests:  c.requests,
+		durations: c.durations,
+		overload:  c.overload,
+		counters:  &c.Counters,
+		ends:      ends,
+		planner:   newPlanner(windows, ends),
+		review:    attemptReview{windows: windows},
+	}
+}
+
+// active reports whether this controller leads and has taken up its work.
+func (l *leader) active() bool { return l.scheduler != nil }
+
+// stop ends the placing of work, as the daemon is shutting down.
+func (l *leader) stop() { l.stopping = true }
+
+// requestPlacement has a round planned in this step or a later one.
+func (l *leader) requestPlacement() { l.needsPlacement = true }
+
+// view returns what the leader's parts look at now; it is valid until the next call.
+func (l *leader) view(now types.MonoTime) *leaderView {
+	l.current = leaderView{
+		now:       now,
+		clock:     l.raft.Clock(),
+		state:     l.log.state(),
+		scheduler: l.scheduler,
+		durations: l.durations,
+	}
+	return &l.current
+}
+
+// establish takes up the work of a leader with a new scheduler, which learns from the
+// agents what runs. It must hear of the attempts that the state has as outstanding before
+// it may assign their tasks again.
+func (l *leader) establish(now types.MonoTime) {
+	l.counters.Elected++
+	l.scheduler = dispatch.NewScheduler(now, l.raft.PriorLeaderHeardAt(), l.options.DispatchTimeouts, l.options.Addr,
+		l.raft.Term(), outstandingAttempts(l.log.state()))
+	l.scheduler.Invoked = func(shard types.Shard) bool { return l.log.state().WorkerShapes[shard].CalledByAgent }
+	l.scheduler.Partitioned = func(shard types.Shard) bool { return l.members.ZonePartitioned(string(shard)) }
+	l.scheduler.EndRecorded = func(end state.AttemptEnd) bool { return endRecorded(l.log.state(), end) }
+	l.scheduler.Unresolved = func(shard types.Shard) []types.AttemptID { return l.log.state().UnresolvedAttempts(shard) }
+}
+
+// revoke gives up the work of a leader.
+func (l *leader) revoke() {
+	if l.active() {
+		l.scheduler = nil
+		l.counters.Lost++
+	}
+	l.ends.reset()
+	l.planner.reset()
+	l.shapes.reset()
+}
+
+// outstandingAttempts lists the attempts that a state has as outstanding.
+func outstandingAttempts(s *state.State) []dispatch.OutstandingAttempt {
+	var list []dispatch.OutstandingAttempt
+	for _, j := range s.LiveJobs() {
+		for i := range j.Tasks {
+			number := j.Spec.TaskNumber(i)
+			at := types.StageOf(number)
+			for _, attempt := range j.Tasks[i].Outstanding() {
+				list = append(list, dispatch.OutstandingAttempt{
+					Attempt:      types.AttemptID{TaskID: types.TaskID{Job: j.ID, Number: number}, Attempt: attempt.Number},
+					Shard:        attempt.Shard,
+					Stage:        at,
+					Resources:    j.Spec.Steps[at.Step()].Resources,
+					BaselineName: baselineName(j, at),
+					TimeLimit:    timeLimit(s, j, at),
+				})
+			}
+		}
+	}
+	return list
+}
+
+// handleMessage takes a message from an agent.
+func (l *leader) handleMessage(now types.MonoTime, message wire.Message) {
+	l.scheduler.HandleMessage(now, l.raft.AuthorityRemaining(), message)
+}
+
+// step does what a step of the leader needs beside the event that it took.
+func (l *leader) step(now types.MonoTime) {
+	l.scheduler.Tick(now, l.raft.AuthorityRemaining())
+	l.drainScheduler()
+	if l.needsPlacement && l.overload.mayPlace(now) {
+		l.needsPlacement = false
+		l.overload.startPlacement(now)
+		l.counters.Placed++
+		l.placeWork(l.view(now))
+		l.drainScheduler()
+	}
+}
+
+// drainScheduler sends what the scheduler has to send and proposes the ends that it has
+// learned of.
+func (l *leader) drainScheduler() {
+	messages, ends := l.scheduler.TakeOutput()
+	l.outbox.send(messages...)
+	l.proposeEnds(ends)
+}
+
+// proposeEnds proposes ends of attempts, each at most once at a time. What surely runs no
+// more frees its resources at once.
+func (l *leader) proposeEnds(ends []state.AttemptEnd) {
+	list := l.ends.toPropose(l.log.state(), ends)
+	if list == nil {
+		return
+	}
+	index, ok := l.log.propose(state.Command{Ends: list})
+	if !ok {
+		return
+	}
+	for _, end := range list {
+		l.ends.proposed(end)
+		l.requests.reads.endProposed(end.ID.Job, index)
+		if end.Outcome.FreesResources() {
+			l.release(end.ID)
+		}
+	}
+	l.counters.Ends += uint64(len(list))
+}
+
+// release frees the resources of an attempt that surely runs no more.
+func (l *leader) release(attempt types.AttemptID) {
+	l.ends.release(attempt)
+	l.planner.slots.invalidate(l.scheduler.ShardOf(attempt))
+	l.requestPlacement()
+}
+
+// placeWork stops what must not run on, records what has changed of the workers and the
+// clocks, and plans and proposes a round.
+func (l *leader) placeWork(v *leaderView) {
+	l.stopAttempts(v)
+	if !l.raft.HoldsReadLease() || l.stopping {
+		return
+	}
+	l.shapes.propose(v, l.log)
+	if l.wallOffset.due(v.now) {
+		l.wallOffset.propose(v, l.log, l.raft.WallOffsets())
+	}
+	if l.planner.rounds.inFlight(l.log.applied()) {
+		l.proposeRound(l.planner.planBeside(v, l.log.applied()))
+		return
+	}
+	l.proposeRound(l.planner.plan(v, &l.review, &l.preemption))
+}
+
+// stopAttempts stops the attempts that the state has no use for, those unknown to it and
+// those beyond their time limit, and proposes the ends of tasks that are out of attempts.
+func (l *leader) stopAttempts(v *leaderView) {
+	var toStop []types.AttemptID
+	var exhausted []state.AttemptEnd
+	for _, j := range v.state.LiveJobs() {
+		ready := v.state.ReadyIndex(j, v.clock)
+		toStop, exhausted = append(toStop, ready.ToStop...), append(exhausted, ready.Exhausted...)
+	}
+	l.proposeEnds(exhausted)
+	l.scheduler.KillTasks(append(toStop, l.scheduler.UnknownAttempts()...), l.review.beyondTimeLimit(v))
+}
+
+// proposeRound proposes a round, if there is anything in it. Its orders are sent once it is
+// committed.
+func (l *leader) proposeRound(r round) {
+	if r.empty() {
+		return
+	}
+	index, ok := l.log.propose(state.Command{Assignments: r.assignments, Withdrawals: r.withdrawals})
+	if ok {
+		l.planner.rounds.proposed(index, r.assignments)
+	}
+}
+
+// commandApplied follows up a command that was just applied: refusal is why the state
+// refused it, assignments are those that took effect.
+func (l *leader) commandApplied(now types.MonoTime, command state.Command, assignments []state.Assignment,
+	refusal *apierror.Error) {
+	if command.Job != nil && refusal == nil {
+		l.planner.ranking.recordJob(l.view(now), l.log.state().Jobs[command.Job.ID])
+	}
+	for _, a := range command.Assignments {
+		l.planner.rounds.applied(a.ID.TaskID)
+	}
+	l.sendOrders(assignments)
+	l.scheduler.OnEndsCommitted(command.Ends)
+	for _, end := range command.Ends {
+		l.ends.committed(end)
+		l.requests.reads.endCommitted(end.ID.Job, l.log.applied())
+	}
+}
+
+// sendOrders orders the agents to run what was just assigned.
+func (l *leader) sendOrders(assignments []state.Assignment) {
+	s := l.log.state()
+	for _, a := range assignments {
+		j := s.Jobs[a.ID.Job]
+		at := types.StageOf(a.ID.Number)
+		step := &j.Spec.Steps[at.Step()]
+		l.counters.Orders++
+		l.scheduler.RunTask(a.Shard, at, baselineName(j, at), dispatch.AttemptSpec{
+			Attempt:     a.ID,
+			Kind:        step.Kind,
+			Rack:        step.Rack,
+			Resources:   step.Resources,
+			TimeLimitMS: int(timeLimit(s, j, at).Milliseconds()),
+			Labels:      step.Labels,
+			Checkpoint:  j.Task(a.ID.Number).Checkpoint,
+			Input:       j.Spec.StepWork(at.Step()),
+		})
+	}
+}
+
+// attempts returns the attempts that possibly run, as far as this controller knows.
+func (l *leader) attempts() []*dispatch.OutstandingAttempt {
+	if !l.active() {
+		return nil
+	}
+	return l.scheduler.Attempts()
+}
+
+// workers returns the workers that have registered with this controller as the leader.
+func (l *leader) workers() []*dispatch.RemoteWorker {
+	if !l.active() {
+		return nil
+	}
+	return l.scheduler.Workers()
+}
+
+// initialWait returns why no work is placed yet after this controller was elected, or nothing.
+func (l *leader) initialWait() string {
+	if !l.active() || !l.scheduler.InInitialWait {
+		return ""
+	}
+	return l.scheduler.InitialWaitReason
+}
--- /dev/null
+++ b/internal/controller/leader_view.go
@@ -0,0 +1,62 @@
+package controller
+
+import (
+	"time"
+
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+// leaderView is what the leader's parts look at during one step: the time, the replicated
+// state, the workers with their attempts, and how long tasks are expected to take.
+type leaderView struct {
+	now       types.MonoTime
+	clock     types.ClusterTime
+	state     *state.State
+	scheduler *dispatch.Scheduler
+	durations *durationEstimates
+}
+
+// expectedDuration returns how long a task of a step is expected to take: by the tasks of
+// the step that have ended, by those that run, or else by its queue.
+func (v *leaderView) expectedDuration(j *state.Job, step int) time.Duration {
+	if d, ok := v.durations.ofStep(j, step); ok {
+		return d
+	}
+	if v.scheduler != nil {
+		if d, ok := v.scheduler.StageDuration(j.ID, step); ok {
+			return d
+		}
+	}
+	return v.durations.ofQueue(j, step)
+}
+
+// openJob returns an attempt's job, or nil if that is not open any more.
+func (v *leaderView) openJob(attempt types.AttemptID) *state.Job {
+	if j := v.state.Jobs[attempt.Job]; j != nil && j.Status == state.JobOpen {
+		return j
+	}
+	return nil
+}
+
+// timeLimit returns how long an attempt of a step may take by the table in force, or 0
+// for a step that is always restarted, which has no limit.
+func timeLimit(s *state.State, j *state.Job, at types.Stage) time.Duration {
+	step := &j.Spec.Steps[at.Step()]
+	if step.AlwaysRestart {
+		return 0
+	}
+	own := time.Duration(step.TimeLimitMillis) * time.Millisecond
+	queue, ok := s.QueueConfig(j.Queue)
+	if ok && (own == 0 || own > queue.TaskTimeout()) {
+		return queue.TaskTimeout()
+	}
+	return own
+}
+
+// baselineName names what the duration of an attempt is compared with: all attempts of
+// the same step of its queue's jobs.
+func baselineName(j *state.Job, at types.Stage) string {
+	return string(j.Queue) + "/" + j.Spec.Steps[at.Step()].Name
+}
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -47,7 +47,7 @@
 	at := func(ms, lag int) bool {
 		o.measure(stamp(ms), wire.Load{ControlAge: time.Duration(lag) * time.Millisecond})
 		o.update(stamp(ms), tolerance)
-		return o.isBehind
+		return o.isOverloaded()
 	}
 	is.True(!at(1000, 5000)) // one long step
 	is.True(!at(1020, 0))
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -1,250 +1,200 @@
-// The leader's placing of work: what waits and may start, where there is room,
-// attempts given out in the log, and orders sent once that is committed. One round
-// is in the log at a time, so nothing is given out twice.
 package controller
 
 import (
-	"slices"
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/config"
 	"coppercourse/internal/placement"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 )
 
-const (
-	maxOffsetDisagreement = types.WallTime(50 * time.Millisecond)
-	minOffsetChange       = types.WallTime(20 * time.Millisecond)
+// unlimitedDuration stands for the time limit of steps that have none: they fit before no
+// window.
+const unlimitedDuration = 10_000 * time.Hour
+
+// planner makes rounds of placement: what is ready to run, the workers with room for it,
+// the choice between them, and the attempt numbers of what is chosen. One full round is in
+// the log at a time; while it is, more rounds may place new work beside it.
+type planner struct {
+	rounds      assignmentRounds
+	waits       waitTimes
+	ranking     jobRanking
+	limits      coreLimits
+	slots       slotCache
+	ends        *endTracker
+	reservation *placement.Reservation // workers kept for a request that was passed over
+	requests    []placement.Request    // the last list, whose memory the next one uses
+}
 
-	maxRoundsInFlight = 4                  // that are on their way into the log at once
-	unlimitedDuration = 10_000 * time.Hour // what lasts fits before no window
+func newPlanner(windows workerWindows, ends *endTracker) planner {
+	return planner{
+		rounds:  assignmentRounds{assignments: map[types.TaskID]state.Assignment{}},
+		ranking: newJobRanking(),
+		limits:  newCoreLimits(),
+		slots:   slotCache{windows: windows},
+		ends:    ends,
+	}
+}
 
-	assumedUnlimitedRemainder = time.Hour // how long what has no limit is taken to run on
-)
+// reset forgets what belongs to another leadership. What is known of the queues' jobs stays.
+func (p *planner) reset() {
+	p.rounds.reset()
+	p.waits.reset()
+	p.slots.reset()
+	p.reservation = nil
+}
 
-func (co *Controller) placeWork() {
-	var doomed []types.AttemptID
-	var spent []state.AttemptEnd
-	for _, j := range co.log.state().LiveJobs() {
-		x := co.log.state().ReadyIndex(j, co.raft.Clock())
-		doomed, spent = append(doomed, x.ToStop...), append(spent, x.Exhausted...)
-	}
-	co.proposeEnds(spent)
-	co.scheduler.KillTasks(append(doomed, co.scheduler.UnknownAttempts()...), co.beyondTimeLimit())
-	if !co.raft.HoldsReadLease() || co.shuttingDown {
-		return
-	}
-	co.proposeWorkerShapes()
-	co.proposeWallOffset()
-	if co.lastRound > co.log.applied() {
-		co.placeWhileInFlight()
-		return
-	}
-	clear(co.assignmentsInFlight)
-	evictions, speculative := co.reviewAttempts()
-	if co.scheduler.InInitialWait {
-		co.proposeRound(nil, evictions)
-		return
-	}
-	in := placement.Input{Reservation: co.reservation}
-	in.Requests, in.Usage = co.pendingWork()
+// plan makes a full round: review withdraws and hedges attempts, new work is placed, and if
+// nothing at all could be done, preempt makes room.
+func (p *planner) plan(v *leaderView, review *attemptReview, preempt *preemption) round {
+	p.rounds.landed()
+	withdrawals, hedges := review.review(v)
+	result := round{withdrawals: withdrawals}
+	if v.scheduler.InInitialWait {
+		return result
+	}
+	in := placement.Input{Reservation: p.reservation}
+	in.Requests, in.Usage = p.readyWork(v)
 	if len(in.Requests) == 0 {
-		co.reservation, co.readySince = nil, nil
+		p.reservation = nil
+		p.waits.reset()
 	}
-	if len(in.Requests)+len(speculative) == 0 {
-		co.proposeRound(nil, evictions)
-		return
+	if len(in.Requests)+len(hedges) == 0 {
+		return result
 	}
-	in.Slots, in.TotalCores = co.slots.list(co)
-	var attempts []state.Assignment
+	in.Slots, in.TotalCores = p.slots.list(v, p.ends, &p.rounds)
 	if len(in.Requests) > 0 {
-		co.updateWaitTimes(in.Requests)
-		co.limitLongWork(in)
-		out := placement.Place(in)
-		co.reservation = out.Reservation
-		attempts = co.numberAttempts(out.Assignments)
+		out := p.place(v, in)
+		p.reservation = out.Reservation
+		result.assignments = p.assign(v.state, out.Assignments)
 	}
-	attempts = append(attempts, co.placeSpeculative(in, speculative)...)
-	if attempts == nil && evictions == nil && co.reservation == nil {
-		evictions, co.reservation = co.preempt(in)
+	result.assignments = append(result.assignments, placeHedges(v, in, hedges)...)
+	if result.empty() && p.reservation == nil {
+		result.withdrawals, p.reservation = preempt.find(v, in)
 	}
-	co.proposeRound(attempts, evictions)
+	return result
 }
 
-// placeWhileInFlight gives out work while an earlier round is on its way into the log.
-func (co *Controller) placeWhileInFlight() {
-	co.roundsInFlight = slices.DeleteFunc(co.roundsInFlight, func(i types.Index) bool { return i <= co.log.applied() })
-	if co.scheduler.InInitialWait || len(co.roundsInFlight) >= maxRoundsInFlight || co.reservation != nil {
-		return
+// planBeside places new work while an earlier round is in flight, up to applied.
+func (p *planner) planBeside(v *leaderView, applied types.Index) round {
+	if p.rounds.full(applied) || v.scheduler.InInitialWait || p.reservation != nil {
+		return round{}
 	}
 	var in placement.Input
-	if in.Requests, in.Usage = co.pendingWork(); len(in.Requests) == 0 {
-		return
+	if in.Requests, in.Usage = p.readyWork(v); len(in.Requests) == 0 {
+		return round{}
 	}
-	in.Slots, in.TotalCores = co.slots.list(co)
-	co.updateWaitTimes(in.Requests)
-	co.limitLongWork(in)
-	co.proposeRound(co.numberAttempts(placement.Place(in).Assignments), nil)
+	in.Slots, in.TotalCores = p.slots.list(v, p.ends, &p.rounds)
+	return round{assignments: p.assign(v.state, p.place(v, in).Assignments)}
 }
 
-// numberAttempts gives each placement its attempt's number; the members of a gang get the
-// same.
-func (co *Controller) numberAttempts(picks []placement.Assignment) (attempts []state.Assignment) {
-	for _, p := range picks {
-		j := co.log.state().Jobs[p.Task.Job]
-		at := types.StageOf(p.Task.Number)
-		attempt := j.Task(p.Task.Number).LastAttempt + 1
-		if j.Spec.Steps[at.Step()].Gang {
-			for _, m := range j.StageTasks(at) {
-				attempt = max(attempt, m.LastAttempt+1)
-			}
-		}
-		attempts = append(attempts, state.Assignment{ID: types.AttemptID{TaskID: p.Task, Attempt: attempt}, Shard: p.Shard})
-		delete(co.readySince, placement.TaskGroup{Job: p.Task.Job, Stage: at})
-	}
-	return
+// place chooses workers for the requests.
+func (p *planner) place(v *leaderView, in placement.Input) placement.Output {
+	p.waits.update(v.now, in.Requests)
+	p.limits.apply(v.now, in)
+	return placement.Place(in)
 }
 
-// proposeRound puts a round into the log; the next waits until it is applied.
-func (co *Controller) proposeRound(attempts []state.Assignment, evictions []state.Withdrawal) {
-	if attempts == nil && evictions == nil {
-		return
-	}
-	if i, ok := co.log.propose(state.Command{Assignments: attempts, Withdrawals: evictions}); ok {
-		co.lastRound = i
-		co.roundsInFlight = append(co.roundsInFlight, i)
-		for _, g := range attempts {
-			co.assignmentsInFlight[g.ID.TaskID] = g
+// assign numbers the attempts of the tasks placed. Each number of a task is used once; the
+// members of a gang get the same.
+func (p *planner) assign(s *state.State, placed []placement.Assignment) []state.Assignment {
+	var list []state.Assignment
+	for _, a := range placed {
+		j := s.Jobs[a.Task.Job]
+		at := types.StageOf(a.Task.Number)
+		attempt := j.Task(a.Task.Number).LastAttempt + 1
+		if j.Spec.Steps[at.Step()].Gang {
+			for _, member := range j.StageTasks(at) {
+				attempt = max(attempt, member.LastAttempt+1)
+			}
 		}
+		id := types.AttemptID{TaskID: a.Task, Attempt: attempt}
+		list = append(list, state.Assignment{ID: id, Shard: a.Shard})
+		p.waits.placed(placement.TaskGroup{Job: a.Task.Job, Stage: at})
 	}
+	return list
 }
 
-// pendingWork lists what may start now, and what each queue has in use. The list holds until
-// the next one is made.
-func (co *Controller) pendingWork() (list []placement.Request, dues map[types.QueueName]*placement.QueueUsage) {
-	list = co.workBuffer[:0]
-	defer func() { co.workBuffer = list }()
-	dues = map[types.QueueName]*placement.QueueUsage{}
-	for q, r := range co.log.state().RemovedQueues {
-		dues[q] = &placement.QueueUsage{Queue: r}
-	}
-	for _, r := range co.log.state().Table.Queues {
-		dues[r.Name] = &placement.QueueUsage{Queue: r}
-	}
-	now := co.raft.Clock()
-	for _, j := range co.log.state().LiveJobs() {
-		d := dues[j.Queue]
-		if d == nil {
+// readyWork lists what may start now, and what each queue uses. The list is valid until the
+// next call.
+func (p *planner) readyWork(v *leaderView) ([]placement.Request, map[types.QueueName]*placement.QueueUsage) {
+	list, usage := p.requests[:0], queueUsage(v.state)
+	for _, j := range v.state.LiveJobs() {
+		used := usage[j.Queue]
+		if used == nil {
 			continue
 		}
-		x := co.log.state().ReadyIndex(j, now)
-		d.RunningTasks += x.OutstandingAttempts
-		d.CoresInUse += x.CoresInUse
-		for _, b := range x.Stages {
-			if b.Tasks = co.withoutInFlight(j, b, d); len(b.Tasks) == 0 {
-				continue
-			}
-			p := j.Spec.Steps[b.Stage.Step()]
-			timeLimit := co.timeLimit(j, b.Stage)
-			if p.AlwaysRestart {
-				timeLimit = unlimitedDuration
+		ready := v.state.ReadyIndex(j, v.clock)
+		used.RunningTasks += ready.OutstandingAttempts
+		used.CoresInUse += ready.CoresInUse
+		for _, stage := range ready.Stages {
+			if stage.Tasks = p.unassigned(j, stage, used); len(stage.Tasks) > 0 {
+				list = append(list, p.request(v, j, used.Queue, ready, stage))
 			}
-			class, turn, spare := co.rank(j, d.Queue, x, b)
-			list = append(list, placement.Request{TaskGroup: placement.TaskGroup{Job: j.ID, Stage: b.Stage}, Queue: j.Queue, Urgency: j.Spec.Urgency,
-				Kind: p.Kind, Rack: p.Rack, Labels: p.Labels, Resources: p.Resources, MaxPerWorker: p.MaxPerWorker, Gang: p.Gang, Tasks: b.Tasks, TimeLimit: timeLimit, AvoidWorkers: b.AvoidWorkers,
-				Class: class, SortKey: turn, HeadroomPercent: spare, JobIdle: x.OutstandingAttempts == 0, DataRack: p.DataRack, PreferOneRack: p.PreferOneRack})
 		}
 	}
-	return
+	p.requests = list
+	return list, usage
 }
 
-// withoutInFlight is what of a batch is not on its way into the log; what is counts as in use.
-func (co *Controller) withoutInFlight(j *state.Job, b state.ReadyStage, d *placement.QueueUsage) (list []int) {
-	if len(co.assignmentsInFlight) == 0 {
-		return b.Tasks
-	}
-	for _, n := range b.Tasks {
-		if _, ok := co.assignmentsInFlight[types.TaskID{Job: j.ID, Number: n}]; !ok {
-			list = append(list, n)
-			continue
-		}
-		d.RunningTasks++
-		d.CoresInUse += j.Spec.Steps[b.Stage.Step()].Resources.Cores
+// queueUsage returns the queues, those removed with jobs in them too, with nothing in use.
+func queueUsage(s *state.State) map[types.QueueName]*placement.QueueUsage {
+	usage := map[types.QueueName]*placement.QueueUsage{}
+	for name, queue := range s.RemovedQueues {
+		usage[name] = &placement.QueueUsage{Queue: queue}
 	}
-	return
-}
-
-// sendOrders sends the attempts that the log has just given out.
-func (co *Controller) sendOrders(attempts []state.Assignment) {
-	for _, g := range attempts {
-		j := co.log.state().Jobs[g.ID.Job]
-		at := types.StageOf(g.ID.Number)
-		p := j.Spec.Steps[at.Step()]
-		co.Counters.Orders++
-		co.scheduler.RunTask(g.Shard, at, durationKey(j, at), dispatch.AttemptSpec{Attempt: g.ID, Kind: p.Kind, Rack: p.Rack, Resources: p.Resources,
-			TimeLimitMS: int(co.timeLimit(j, at).Milliseconds()), Labels: p.Labels, Checkpoint: j.Task(g.ID.Number).Checkpoint, Input: j.Spec.StepWork(at.Step())})
+	for _, queue := range s.Table.Queues {
+		usage[queue.Name] = &placement.QueueUsage{Queue: queue}
 	}
+	return usage
 }
 
-// durationKey names what an attempt's time is compared with.
-func durationKey(j *state.Job, at types.Stage) string {
-	return string(j.Queue) + "/" + j.Spec.Steps[at.Step()].Name
-}
-
-// timeLimit is how long an attempt of a step may take by the table in force; what lasts
-// has none.
-func (co *Controller) timeLimit(j *state.Job, at types.Stage) time.Duration {
-	p := &j.Spec.Steps[at.Step()]
-	if p.AlwaysRestart {
-		return 0
-	}
-	row, ok := co.log.state().QueueConfig(j.Queue)
-	own := time.Duration(p.TimeLimitMillis) * time.Millisecond
-	if ok && (own == 0 || own > row.TaskTimeout()) {
-		return row.TaskTimeout()
-	}
-	return own
-}
-
-// proposeWorkerShapes keeps in the log what the workers are made of.
-func (co *Controller) proposeWorkerShapes() {
-	if co.shapesIndex > co.log.applied() {
-		return
-	}
-	var list []state.WorkerShape
-	for _, s := range co.scheduler.Workers() {
-		x := state.WorkerShape{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Resources: s.Capacity, Labels: s.Labels, CalledByAgent: s.Invoked}
-		y, ok := co.log.state().WorkerShapes[s.Shard]
-		if s.Capacity.Cores == 0 && ok {
-			continue // an agent that has not heard its worker yet
-		}
-		if s.State != dispatch.New && (!ok || y.Rack != x.Rack || y.Resources != x.Resources || y.CalledByAgent != x.CalledByAgent ||
-			!slices.Equal(y.Kinds, x.Kinds) || !slices.Equal(y.Labels, x.Labels)) {
-			list = append(list, x)
-		}
-	}
-	if list != nil {
-		co.shapesIndex, _ = co.log.propose(state.Command{WorkerShapes: list})
+// request asks for workers for what of a job is ready in one stage.
+func (p *planner) request(v *leaderView, j *state.Job, queue config.Queue, ready *state.ReadyIndex,
+	stage state.ReadyStage) placement.Request {
+	step := &j.Spec.Steps[stage.Stage.Step()]
+	limit := timeLimit(v.state, j, stage.Stage)
+	if step.AlwaysRestart {
+		limit = unlimitedDuration
+	}
+	rank := p.ranking.rank(v, j, queue, ready, stage)
+	return placement.Request{
+		TaskGroup:       placement.TaskGroup{Job: j.ID, Stage: stage.Stage},
+		Queue:           j.Queue,
+		Urgency:         j.Spec.Urgency,
+		Kind:            step.Kind,
+		Rack:            step.Rack,
+		Labels:          step.Labels,
+		Resources:       step.Resources,
+		MaxPerWorker:    step.MaxPerWorker,
+		Gang:            step.Gang,
+		Tasks:           stage.Tasks,
+		TimeLimit:       limit,
+		Class:           rank.class,
+		HeadroomPercent: rank.headroomPercent,
+		JobIdle:         ready.OutstandingAttempts == 0,
+		SortKey:         rank.sortKey,
+		DataRack:        step.DataRack,
+		PreferOneRack:   step.PreferOneRack,
+		AvoidWorkers:    stage.AvoidWorkers,
 	}
 }
 
-// proposeWallOffset keeps the offset from the cluster's clock to the wall clocks. Only two
-// voters that agree closely move it, so one clock that jumps moves nothing; of
-// the two the offset that lets nothing start early is taken.
-func (co *Controller) proposeWallOffset() {
-	if co.now.Mono.Sub(co.offsetCheckedAt) < time.Second {
-		return
-	}
-	co.offsetCheckedAt = co.now.Mono
-	offsets := co.raft.WallOffsets()
-	for i := 0; i+1 < len(offsets); i++ {
-		if offsets[i+1]-offsets[i] > maxOffsetDisagreement {
+// unassigned returns the tasks of a stage that are in no round in flight. Those that are
+// count as in use.
+func (p *planner) unassigned(j *state.Job, stage state.ReadyStage, used *placement.QueueUsage) []int {
+	if p.rounds.none() {
+		return stage.Tasks
+	}
+	var list []int
+	for _, number := range stage.Tasks {
+		if !p.rounds.assigned(types.TaskID{Job: j.ID, Number: number}) {
+			list = append(list, number)
 			continue
 		}
-		if d := offsets[i] - co.log.state().WallOffset; d > minOffsetChange || d < -minOffsetChange {
-			co.log.propose(state.Command{WallOffset: &offsets[i]})
-		}
-		return
+		used.RunningTasks++
+		used.CoresInUse += j.Spec.Steps[stage.Stage.Step()].Resources.Cores
 	}
+	return list
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -1,12 +1,8 @@
-// Displacing: work that waits in a queue whose row displaces, and that is either
-// more urgent than what runs or below its queue's share, takes the place of less
-// urgent work of queues above their shares. Whole gangs only, each task a few
-// times at most, one want at a time, and the place is then kept for it.
 package controller
 
 import (
+	"cmp"
 	"slices"
-	"sort"
 	"time"
 
 	"coppercourse/internal/placement"
@@ -15,143 +11,176 @@
 )
 
 const (
-	preemptionDelay    = time.Second     // displacing work has waited so long
-	preemptionInterval = 2 * time.Second // between two displacings
+	preemptionDelay    = time.Second     // how long work must have waited before it preempts
+	preemptionInterval = 2 * time.Second // between two preemptions
 )
 
-// preemptionVictim is an attempt that may be displaced, with its gang.
-type preemptionVictim struct {
+// preemption finds running work to withdraw for work that waits. The queue of the waiting
+// work must allow it. The victims are less urgent, or, if the waiting queue is below its
+// share, belong to a queue above its own. Whole gangs are preempted, each task only so
+// often, for one request at a time; its place is then reserved.
+type preemption struct {
+	lastAt types.MonoTime
+}
+
+// victim is an attempt that may be preempted, or all attempts of a gang.
+type victim struct {
 	attempts []types.AttemptID
-	freed    map[types.Shard]types.Resources
+	frees    map[types.Shard]types.Resources // by the worker that they run on
 	urgency  int
 	age      time.Duration
 }
 
-// preempt finds what to take back for the first want that may displace, and
-// the workers to keep for it.
-func (co *Controller) preempt(in placement.Input) ([]state.Withdrawal, *placement.Reservation) {
-	if co.now.Mono.Sub(co.preemptedAt) < preemptionInterval {
+// find returns the attempts to withdraw for the first request that may preempt, and the
+// workers to reserve for it.
+func (p *preemption) find(v *leaderView, in placement.Input) ([]state.Withdrawal, *placement.Reservation) {
+	if v.now.Sub(p.lastAt) < preemptionInterval {
 		return nil, nil
 	}
-	for _, w := range in.Requests {
-		d := in.Usage[w.Queue]
-		if d == nil || !d.Queue.CanPreempt || w.WaitingFor < preemptionDelay || len(w.Tasks) == 0 {
+	for _, request := range in.Requests {
+		if !mayPreempt(request, in.Usage[request.Queue]) {
 			continue
 		}
-		if d.RunningTasks+w.MinTasks() > d.Queue.MaxRunning {
+		victims := chooseVictims(request, in.Slots, preemptionCandidates(v, request, in))
+		if victims == nil {
 			continue
 		}
-		if attempts, kept := selectVictims(w, in.Slots, co.preemptionCandidates(w, belowShare(d, in.TotalCores), in)); attempts != nil {
-			co.preemptedAt = co.now.Mono
-			return attempts, kept
-		}
+		p.lastAt = v.now
+		return withdrawals(victims), &placement.Reservation{TaskGroup: request.TaskGroup, Workers: fit(request, in.Slots, victims)}
 	}
 	return nil, nil
 }
 
-func belowShare(d *placement.QueueUsage, total types.MilliCores) bool {
-	return 100*d.CoresInUse < types.MilliCores(d.Queue.SharePercent)*total
+// mayPreempt reports whether a request may preempt other work.
+func mayPreempt(request placement.Request, usage *placement.QueueUsage) bool {
+	return usage != nil && usage.Queue.CanPreempt && request.WaitingFor >= preemptionDelay && len(request.Tasks) > 0 &&
+		usage.RunningTasks+request.MinTasks() <= usage.Queue.MaxRunning
+}
+
+// belowShare reports whether a queue uses less than its share of all cores.
+func belowShare(usage *placement.QueueUsage, total types.MilliCores) bool {
+	return 100*usage.CoresInUse < types.MilliCores(usage.Queue.SharePercent)*total
 }
 
-// preemptionCandidates lists what a want may displace: the least urgent first, then what has
-// run for the shortest time.
-func (co *Controller) preemptionCandidates(w placement.Request, under bool, in placement.Input) (list []*preemptionVictim) {
-	gangs := map[placement.TaskGroup]*preemptionVictim{}
-	for _, o := range co.scheduler.Attempts() {
-		j := co.log.state().Jobs[o.Attempt.Job]
-		if j == nil || o.Stage < 0 || !co.isEvictable(o.Attempt) || j.Queue == w.Queue && j.Spec.Urgency >= w.Urgency {
+// preemptionCandidates lists what a request may preempt: the least urgent first, then what
+// has run for the shortest time.
+func preemptionCandidates(v *leaderView, request placement.Request, in placement.Input) []*victim {
+	var list []*victim
+	gangs := map[placement.TaskGroup]*victim{}
+	below := belowShare(in.Usage[request.Queue], in.TotalCores)
+	for _, attempt := range v.scheduler.Attempts() {
+		if attempt.Stage < 0 || !canWithdraw(v.state, attempt.Attempt) {
 			continue
 		}
-		d := in.Usage[j.Queue]
-		urgent := j.Spec.Urgency < w.Urgency
-		if d == nil || belowShare(d, in.TotalCores) || !urgent && !(under && j.Queue != w.Queue && j.Spec.Urgency <= w.Urgency) ||
-			j.Task(o.Attempt.Number).Preemptions >= d.Queue.MaxPreemptions {
+		j := v.state.Jobs[attempt.Attempt.Job]
+		if !isCandidate(j, attempt.Attempt.Number, request, below, in) {
 			continue
 		}
-		v := &preemptionVictim{freed: map[types.Shard]types.Resources{}, urgency: j.Spec.Urgency, age: co.now.Mono.Sub(o.OrderedAt)}
-		if j.Spec.Steps[o.Stage.Step()].Gang {
-			k := placement.TaskGroup{Job: o.Attempt.Job, Stage: o.Stage}
-			if gangs[k] != nil {
-				v = gangs[k]
-			} else {
-				gangs[k] = v
-				list = append(list, v)
+		group := placement.TaskGroup{Job: attempt.Attempt.Job, Stage: attempt.Stage}
+		member := gangs[group]
+		if member == nil {
+			member = &victim{
+				frees:   map[types.Shard]types.Resources{},
+				urgency: j.Spec.Urgency,
+				age:     v.now.Sub(attempt.OrderedAt),
+			}
+			list = append(list, member)
+			if j.Spec.Steps[attempt.Stage.Step()].Gang {
+				gangs[group] = member
 			}
-		} else {
-			list = append(list, v)
 		}
-		v.attempts = append(v.attempts, o.Attempt)
-		v.freed[o.Shard] = v.freed[o.Shard].Add(o.Resources)
+		member.attempts = append(member.attempts, attempt.Attempt)
+		member.frees[attempt.Shard] = member.frees[attempt.Shard].Add(attempt.Resources)
 	}
-	sort.SliceStable(list, func(i, k int) bool {
-		a, b := list[i], list[k]
-		return a.urgency < b.urgency || a.urgency == b.urgency && a.age < b.age
+	slices.SortStableFunc(list, func(a, b *victim) int {
+		return cmp.Or(cmp.Compare(a.urgency, b.urgency), cmp.Compare(a.age, b.age))
 	})
-	return
+	return list
 }
 
-// selectVictims takes victims until the want would fit, and lets go of those that turn
-// out not to be needed.
-func selectVictims(w placement.Request, slots []placement.Slot, candidates []*preemptionVictim) (attempts []state.Withdrawal, kept *placement.Reservation) {
-	need := w.MinTasks()
-	fits := func(chosen []*preemptionVictim) (seats []placement.ReservedWorker) {
-		n := 0
-		for i := range slots {
-			s := &slots[i]
-			if !s.Feasible(w) {
-				continue
-			}
-			free := s.Free
-			for _, v := range chosen {
-				free = free.Add(v.freed[s.Shard])
-			}
-			k := 0
-			for room := free; room.Contains(w.Resources) && n+k < need && (w.MaxPerWorker == 0 || s.TaskCount(w.TaskGroup)+k < w.MaxPerWorker); k++ {
-				room = room.Sub(w.Resources)
-			}
-			if k > 0 {
-				seats = append(seats, placement.ReservedWorker{Shard: s.Shard, Tasks: k})
-			}
-			if n += k; n >= need {
-				return seats
-			}
-		}
-		return nil
+// isCandidate reports whether a request may preempt a task of a job; below tells whether
+// the request's queue is below its share.
+func isCandidate(j *state.Job, task int, request placement.Request, below bool, in placement.Input) bool {
+	usage := in.Usage[j.Queue]
+	if usage == nil || belowShare(usage, in.TotalCores) || j.Task(task).Preemptions >= usage.Queue.MaxPreemptions {
+		return false
 	}
-	if fits(nil) != nil || fits(candidates) == nil {
-		return nil, nil
+	if j.Spec.Urgency < request.Urgency {
+		return true
 	}
-	var chosen []*preemptionVictim
-	for _, v := range candidates {
-		if chosen = append(chosen, v); fits(chosen) != nil {
+	return below && j.Queue != request.Queue && j.Spec.Urgency <= request.Urgency
+}
+
+// chooseVictims takes candidates in their order until the request would fit, and then
+// leaves out those that turn out not to be needed. It returns nil if the request fits
+// without any, or not even with all.
+func chooseVictims(request placement.Request, slots []placement.Slot, candidates []*victim) []*victim {
+	if fit(request, slots, nil) != nil || fit(request, slots, candidates) == nil {
+		return nil
+	}
+	var chosen []*victim
+	for _, candidate := range candidates {
+		chosen = append(chosen, candidate)
+		if fit(request, slots, chosen) != nil {
 			break
 		}
 	}
 	for i := 0; i < len(chosen); {
-		if less := slices.Delete(slices.Clone(chosen), i, i+1); fits(less) != nil {
-			chosen = less
+		fewer := slices.Delete(slices.Clone(chosen), i, i+1)
+		if fit(request, slots, fewer) != nil {
+			chosen = fewer
 		} else {
 			i++
 		}
 	}
-	for _, v := range chosen {
-		for _, l := range v.attempts {
-			attempts = append(attempts, state.Withdrawal{ID: l, Reason: state.Preempted})
+	return chosen
+}
+
+// fit returns workers that could hold a request together once some victims are gone, and
+// how many tasks each, or nil if there are none.
+func fit(request placement.Request, slots []placement.Slot, victims []*victim) []placement.ReservedWorker {
+	var workers []placement.ReservedWorker
+	missing := request.MinTasks()
+	for i := range slots {
+		slot := &slots[i]
+		if !slot.Feasible(request) {
+			continue
 		}
+		free := slot.Free
+		for _, v := range victims {
+			free = free.Add(v.frees[slot.Shard])
+		}
+		if tasks := fitOn(request, slot, free, missing); tasks > 0 {
+			workers = append(workers, placement.ReservedWorker{Shard: slot.Shard, Tasks: tasks})
+			missing -= tasks
+		}
+		if missing <= 0 {
+			return workers
+		}
+	}
+	return nil
+}
+
+// fitOn returns how many tasks of a request one worker could hold, up to a number.
+func fitOn(request placement.Request, slot *placement.Slot, free types.Resources, limit int) int {
+	tasks := 0
+	if request.MaxPerWorker > 0 {
+		limit = min(limit, request.MaxPerWorker-slot.TaskCount(request.TaskGroup))
+	}
+	for tasks < limit && free.Contains(request.Resources) {
+		free = free.Sub(request.Resources)
+		tasks++
 	}
-	return attempts, &placement.Reservation{TaskGroup: w.TaskGroup, Workers: fits(chosen)}
+	return tasks
 }
 
-// updateWaitTimes keeps since when each step has had something that could start.
-func (co *Controller) updateWaitTimes(list []placement.Request) {
-	next := make(map[placement.TaskGroup]types.MonoTime, len(list))
-	for i := range list {
-		w := &list[i]
-		at, ok := co.readySince[w.TaskGroup]
-		if !ok {
-			at = co.now.Mono
+// withdrawals lists the attempts of victims.
+func withdrawals(victims []*victim) []state.Withdrawal {
+	var list []state.Withdrawal
+	for _, v := range victims {
+		for _, attempt := range v.attempts {
+			list = append(list, state.Withdrawal{ID: attempt, Reason: state.Preempted})
 		}
-		next[w.TaskGroup], w.WaitingFor = at, co.now.Mono.Sub(at)
 	}
-	co.readySince = next
+	return list
 }
--- a/internal/controller/report_buffer.go
+++ b/internal/controller/report_buffer.go
@@ -1,6 +1,3 @@
-// What agents told of their workers' attempts is kept by every controller that heard it
-// until the log has it: a leader may lose its duty before the end is committed,
-// and the agent may be gone by then. "Rebuilt from those who told it first."
 package controller
 
 import (
@@ -13,90 +10,85 @@
 	"coppercourse/internal/wire"
 )
 
-type bufferedReport struct {
-	from types.Addr
-	dispatch.UpdateStatus
-	receivedAt  types.MonoTime
-	forwardedAt types.MonoTime
-	forwards    int // so often it was passed on
-}
-
-// unknownAttemptRetention is how long a report of an attempt that this controller's log does not have yet is
-// kept; by is by way of how many gateways one is passed on at once.
 const (
+	maxBufferedReports = 1024
+	// unknownAttemptRetention is how long a report is kept of an attempt that this
+	// controller's log does not have yet.
 	unknownAttemptRetention = 10 * time.Second
-	gatewayFanout           = 2
 )
 
-// endLogged tells whether an end need not be kept any longer.
-func (co *Controller) endLogged(e state.AttemptEnd, at types.MonoTime) bool {
-	j := co.log.state().Jobs[e.ID.Job]
-	if j == nil {
-		return co.now.Mono.Sub(at) > unknownAttemptRetention
-	}
-	if t := j.Task(e.ID.Number); t != nil && e.ID.Attempt > t.LastAttempt {
-		return co.now.Mono.Sub(at) > unknownAttemptRetention
-	}
-	return co.endRecorded(e)
+// reportBuffer keeps the ends that agents have reported until the log has them. Every
+// controller that hears a report keeps it: the leader may lose its leadership before the
+// end is committed, and the agent may be gone by then.
+type reportBuffer struct {
+	reports []bufferedReport
+}
+
+// bufferedReport is a report with ends that are not in the log yet.
+type bufferedReport struct {
+	from        types.Addr
+	update      dispatch.UpdateStatus
+	receivedAt  types.MonoTime
+	forwardedAt types.MonoTime
+	relays      int // how often it was relayed to the leader
 }
 
-// bufferEndReport holds on to a report until its ends are in the log.
-func (co *Controller) bufferEndReport(n wire.Message) {
-	u, ok := wire.DecodeBody[dispatch.UpdateStatus](n)
-	if !ok || len(co.bufferedReports) >= MaxPendingRequests {
+// add keeps what of a report is not in the log and not in the buffer.
+func (b *reportBuffer) add(now types.MonoTime, s *state.State, message wire.Message) {
+	update, ok := wire.DecodeBody[dispatch.UpdateStatus](message)
+	if !ok || len(b.reports) >= maxBufferedReports {
 		return
 	}
-	u.Ends = slices.DeleteFunc(u.Ends, func(e state.AttemptEnd) bool { return !e.Outcome.ReportedByWorker() || co.endLogged(e, co.now.Mono) })
-	for _, x := range co.bufferedReports {
-		u.Ends = slices.DeleteFunc(u.Ends, func(e state.AttemptEnd) bool { return slices.Contains(x.Ends, e) })
+	update.Ends = slices.DeleteFunc(update.Ends, func(end state.AttemptEnd) bool {
+		return !end.Outcome.ReportedByWorker() || !mustKeep(now, s, end, now)
+	})
+	for _, report := range b.reports {
+		update.Ends = slices.DeleteFunc(update.Ends, func(end state.AttemptEnd) bool {
+			return slices.Contains(report.update.Ends, end)
+		})
 	}
-	if len(u.Ends) > 0 {
-		co.bufferedReports = append(co.bufferedReports, bufferedReport{from: n.From, UpdateStatus: u, receivedAt: co.now.Mono, forwardedAt: co.now.Mono})
+	if len(update.Ends) > 0 {
+		b.reports = append(b.reports, bufferedReport{from: message.From, update: update, receivedAt: now, forwardedAt: now})
 	}
 }
 
-// forwardEndReports tells this controller's own dispatcher what is not in the log, or the leader, to
-// whom the agent itself repeats it: so only after a while, lest a leader that is
-// behind is told everything by everybody.
-func (co *Controller) forwardEndReports() {
-	co.bufferedReports = slices.DeleteFunc(co.bufferedReports, func(x bufferedReport) bool {
-		return !slices.ContainsFunc(x.Ends, func(e state.AttemptEnd) bool { return !co.endLogged(e, x.receivedAt) })
+// prune drops the reports of which nothing must be kept any longer.
+func (b *reportBuffer) prune(now types.MonoTime, s *state.State) {
+	b.reports = slices.DeleteFunc(b.reports, func(report bufferedReport) bool {
+		return !slices.ContainsFunc(report.update.Ends, func(end state.AttemptEnd) bool {
+			return mustKeep(now, s, end, report.receivedAt)
+		})
 	})
-	for i := range co.bufferedReports {
-		x := &co.bufferedReports[i]
-		interval := co.options.DispatchTimeouts.UnhealthyAfter
-		if co.scheduler != nil {
-			interval = co.options.DispatchTimeouts.RetryInterval
-		}
-		if co.now.Mono.Sub(x.forwardedAt) < interval {
-			continue
-		}
-		to := co.raft.LeaderAddr()
-		if co.scheduler != nil {
-			to = co.options.Addr
-		}
-		if s := wire.NewMessage(x.from, to, wire.StatusReport, x.UpdateStatus); co.scheduler != nil {
-			co.scheduler.HandleMessage(co.now.Mono, co.raft.AuthorityRemaining(), s.Message)
-		} else {
-			co.relayReport(s, to, x.forwards)
-			x.forwards++
+}
+
+// takeDue returns the reports that were not forwarded for an interval, and counts them as
+// forwarded now.
+func (b *reportBuffer) takeDue(now types.MonoTime, interval time.Duration) []*bufferedReport {
+	var due []*bufferedReport
+	for i := range b.reports {
+		report := &b.reports[i]
+		if now.Sub(report.forwardedAt) >= interval {
+			report.forwardedAt = now
+			due = append(due, report)
 		}
-		x.forwardedAt = co.now.Mono
 	}
+	return due
 }
 
-// relayReport sends a report to the leader, and, if it is none known or that did not help,
-// by way of a few gateways, others each time: this controller may be cut off from the leader
-// alone.
-func (co *Controller) relayReport(s wire.OutboundMessage, to types.Addr, tries int) {
-	if to != "" {
-		co.outbox.send(s)
-	}
-	if to != "" && tries == 0 {
-		return
+// message returns the report as its agent sent it, for another destination.
+func (r *bufferedReport) message(to types.Addr) wire.OutboundMessage {
+	return wire.NewMessage(r.from, to, wire.StatusReport, r.update)
+}
+
+// mustKeep reports whether an end, received at some time, is not in the log. One of an
+// attempt that the log does not know is kept for a while: this controller may be behind.
+func mustKeep(now types.MonoTime, s *state.State, end state.AttemptEnd, receivedAt types.MonoTime) bool {
+	j := s.Jobs[end.ID.Job]
+	if j == nil {
+		return now.Sub(receivedAt) <= unknownAttemptRetention
 	}
-	gateways := co.members.MembersOf("gateway")
-	for i := range min(gatewayFanout, len(gateways)) {
-		co.outbox.send(wire.OutboundMessage{To: gateways[(gatewayFanout*tries+i)%len(gateways)].Addr, Message: s.Message})
+	if task := j.Task(end.ID.Number); task != nil && end.ID.Attempt > task.LastAttempt {
+		return now.Sub(receivedAt) <= unknownAttemptRetention
 	}
+	return !endRecorded(s, end)
 }
--- a/internal/controller/request_table_test.go
+++ b/internal/controller/request_table_test.go
@@ -16,19 +16,19 @@
 // request: its caller is told so at once, and not what became of the other entry.
 func TestAnEntryOfAnotherTermAnswersNobodysRequest(t *testing.T) {
 	is := is.New(t)
-	h := &Controller{log: &commandLog{replicated: state.New()}, requests: newRequestTable(), outbox: outbox{counters: &Counters{}}}
-	h.requests.await(7, 2, caller{token: 1})
-	h.requests.await(8, 3, caller{token: 2})
+	a := &api{log: &commandLog{replicated: state.New()}, requests: newRequestTable(), outbox: &outbox{counters: &Counters{}}}
+	a.requests.await(7, 2, caller{token: 1})
+	a.requests.await(8, 3, caller{token: 2})
 	refused := apierror.New(apierror.StaleVersion, "edition", "another order was first")
-	h.replyToCaller(raft.Entry{Index: 7, Term: 3}, state.Command{Cancel: "j"}, refused)
-	is.Equal(len(h.outbox.responses), 1)
-	is.Equal(h.outbox.responses[0].Token, uint64(1))
-	is.Equal(h.outbox.responses[0].Error.Kind, apierror.OutcomeUnknown)
-	h.replyToCaller(raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, refused)
-	is.Equal(h.outbox.responses[1].Token, uint64(2))
-	is.Equal(h.outbox.responses[1].Error.Kind, apierror.StaleVersion)
-	h.replyToCaller(raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, refused)
-	is.Equal(len(h.outbox.responses), 2) // once
+	a.commandApplied(types.Now{}, raft.Entry{Index: 7, Term: 3}, state.Command{Cancel: "j"}, refused)
+	is.Equal(len(a.outbox.responses), 1)
+	is.Equal(a.outbox.responses[0].Token, uint64(1))
+	is.Equal(a.outbox.responses[0].Error.Kind, apierror.OutcomeUnknown)
+	a.commandApplied(types.Now{}, raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, refused)
+	is.Equal(a.outbox.responses[1].Token, uint64(2))
+	is.Equal(a.outbox.responses[1].Error.Kind, apierror.StaleVersion)
+	a.commandApplied(types.Now{}, raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, refused)
+	is.Equal(len(a.outbox.responses), 2) // once
 }
 
 func TestAbandonedRequestsComeInTheOrderOfTheLog(t *testing.T) {
--- a/internal/controller/slot_cache.go
+++ b/internal/controller/slot_cache.go
@@ -1,6 +1,3 @@
-// The workers as placement sees them. What runs on a worker is summed up once and kept
-// from round to round until an attempt comes to it or goes, so that a round costs what
-// changed; what a worker says of itself and what depends on the time is read each round.
 package controller
 
 import (
@@ -8,110 +5,130 @@
 
 	"coppercourse/internal/dispatch"
 	"coppercourse/internal/placement"
+	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 )
 
+// assumedUnlimitedRemainder is how long attempts without a time limit are taken to run on.
+const assumedUnlimitedRemainder = time.Hour
+
+// slotCache builds the workers as placement sees them. What runs on a worker is summed up
+// once and kept from round to round until an attempt comes to it or goes, so that a round
+// costs what changed; what a worker reports of itself and what depends on the time is read
+// each round.
+type slotCache struct {
+	windows  workerWindows
+	byShard  map[types.Shard]*occupancy
+	slots    []placement.Slot    // the last list, whose memory the next one uses
+	position map[types.Shard]int // of each worker in it
+}
+
 // occupancy is what possibly runs on one worker.
 type occupancy struct {
 	revision  uint64 // of the scheduler's list that it was summed up from
 	used      types.Resources
-	busy      int
-	byPart    map[placement.TaskGroup]int
-	lastEnd   types.MonoTime // when the last of what has a time limit reaches it
-	unlimited bool           // something has none
-}
-
-// slotCache keeps occupancies, and the memory of the last round's list.
-type slotCache struct {
-	byShard  map[types.Shard]*occupancy
-	slots    []placement.Slot
-	position map[types.Shard]int
+	attempts  int // that use resources
+	byGroup   map[placement.TaskGroup]int
+	lastEnd   types.MonoTime // when the last attempt with a time limit reaches it
+	unlimited bool           // an attempt has no time limit
 }
 
 // reset forgets everything, for another leadership.
-func (sc *slotCache) reset() { *sc = slotCache{} }
+func (sc *slotCache) reset() { *sc = slotCache{windows: sc.windows} }
 
 // invalidate has one worker summed up anew.
 func (sc *slotCache) invalidate(shard types.Shard) { delete(sc.byShard, shard) }
 
-// list gives the workers that may be given work, and all cores there are. The list
-// holds until the next one is made.
-func (sc *slotCache) list(h *Controller) (slots []placement.Slot, total types.MilliCores) {
+// list returns the workers that may be given work, with the assignments in flight counted
+// in, and the cores of all healthy workers. The list is valid until the next call.
+func (sc *slotCache) list(v *leaderView, ends *endTracker, rounds *assignmentRounds) ([]placement.Slot, types.MilliCores) {
 	if sc.byShard == nil {
 		sc.byShard, sc.position = map[types.Shard]*occupancy{}, map[types.Shard]int{}
 	}
 	clear(sc.position)
-	slots = sc.slots[:0]
-	for _, s := range h.scheduler.Workers() {
-		if s.State != dispatch.Healthy {
+	slots, total := sc.slots[:0], types.MilliCores(0)
+	for _, worker := range v.scheduler.Workers() {
+		if worker.State != dispatch.Healthy {
 			continue
 		}
-		total += s.Capacity.Cores
-		if till, _, _ := h.availability(s); !s.Draining && s.Healthy {
-			sc.position[s.Shard] = len(slots)
-			slots = append(slots, h.workerSlot(s, sc.occupancyOf(h, s.Shard), till))
+		total += worker.Capacity.Cores
+		if !worker.Draining && worker.Healthy {
+			sc.position[worker.Shard] = len(slots)
+			slots = append(slots, sc.slot(v, worker, sc.occupancy(v, ends, worker.Shard)))
 		}
 	}
 	sc.slots = slots
-	for _, given := range h.assignmentsInFlight {
-		if i, ok := sc.position[given.Shard]; ok {
-			part := placement.TaskGroup{Job: given.ID.Job, Stage: types.StageOf(given.ID.Number)}
-			slots[i].Assign(part, h.resourcesOf(part))
+	for assignment := range rounds.pending() {
+		if i, ok := sc.position[assignment.Shard]; ok {
+			group := placement.TaskGroup{Job: assignment.ID.Job, Stage: types.StageOf(assignment.ID.Number)}
+			slots[i].Assign(group, taskResources(v.state, group))
 		}
 	}
-	return
+	return slots, total
 }
 
-// workerSlot is one worker with what runs there.
-func (co *Controller) workerSlot(s *dispatch.RemoteWorker, runs *occupancy, till time.Duration) placement.Slot {
-	return placement.Slot{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Labels: s.Labels,
-		Free: s.Capacity.Sub(s.Shortfall).Sub(runs.used), Capacity: s.Capacity, AvailableFor: till, IdleIn: runs.remaining(co.now.Mono),
-		FailureRate: s.Reliability.FailureRate, DurationFactor: s.Reliability.RelativeDuration, CurrentDurationFactor: co.scheduler.Slowdown(s), RunningTasks: runs.busy, TasksByGroup: runs.byPart}
+// slot describes one worker with what runs there.
+func (sc *slotCache) slot(v *leaderView, worker *dispatch.RemoteWorker, runs *occupancy) placement.Slot {
+	return placement.Slot{
+		Shard:                 worker.Shard,
+		Rack:                  worker.Rack,
+		Kinds:                 worker.Kinds,
+		Labels:                worker.Labels,
+		Free:                  worker.Capacity.Sub(worker.Shortfall).Sub(runs.used),
+		Capacity:              worker.Capacity,
+		AvailableFor:          sc.windows.of(v, worker).remaining,
+		IdleIn:                runs.remaining(v.now),
+		FailureRate:           worker.Reliability.FailureRate,
+		DurationFactor:        worker.Reliability.RelativeDuration,
+		CurrentDurationFactor: v.scheduler.Slowdown(worker),
+		RunningTasks:          runs.attempts,
+		TasksByGroup:          runs.byGroup,
+	}
 }
 
-// resourcesOf is what a task of a part takes, or nothing if its job is over.
-func (co *Controller) resourcesOf(p placement.TaskGroup) types.Resources {
-	if j := co.log.state().Jobs[p.Job]; j != nil && !j.Ended() {
-		return j.Spec.Steps[p.Stage.Step()].Resources
+// taskResources returns what a task of a group takes, or nothing if its job has ended.
+func taskResources(s *state.State, group placement.TaskGroup) types.Resources {
+	if j := s.Jobs[group.Job]; j != nil && !j.Ended() {
+		return j.Spec.Steps[group.Stage.Step()].Resources
 	}
 	return types.Resources{}
 }
 
-// occupancyOf gives what runs on a worker.
-func (sc *slotCache) occupancyOf(h *Controller, shard types.Shard) *occupancy {
-	attempts, revision := h.scheduler.AttemptsOn(shard)
+// occupancy returns what runs on a worker.
+func (sc *slotCache) occupancy(v *leaderView, ends *endTracker, shard types.Shard) *occupancy {
+	attempts, revision := v.scheduler.AttemptsOn(shard)
 	if runs := sc.byShard[shard]; runs != nil && runs.revision == revision {
 		return runs
 	}
-	runs := &occupancy{revision: revision, byPart: make(map[placement.TaskGroup]int, len(attempts))}
-	for _, o := range attempts {
-		runs.add(o, h.released[o.Attempt])
+	runs := &occupancy{revision: revision, byGroup: make(map[placement.TaskGroup]int, len(attempts))}
+	for _, attempt := range attempts {
+		runs.add(attempt, ends.isReleased(attempt.Attempt))
 	}
 	sc.byShard[shard] = runs
 	return runs
 }
 
-// add counts an attempt. One that is freed surely runs no more, but still counts for
+// add counts an attempt. A released one takes no resources any more, but still counts for
 // the spread of its step until its end is committed.
-func (oc *occupancy) add(o *dispatch.OutstandingAttempt, freed bool) {
-	if !freed {
-		oc.used = oc.used.Add(o.Resources)
-		oc.busy++
+func (o *occupancy) add(attempt *dispatch.OutstandingAttempt, released bool) {
+	if !released {
+		o.used = o.used.Add(attempt.Resources)
+		o.attempts++
 	}
-	if o.TimeLimit == 0 {
-		oc.unlimited = true
+	if attempt.TimeLimit == 0 {
+		o.unlimited = true
 	} else {
-		oc.lastEnd = max(oc.lastEnd, o.OrderedAt.Add(o.TimeLimit))
+		o.lastEnd = max(o.lastEnd, attempt.OrderedAt.Add(attempt.TimeLimit))
 	}
-	if o.Stage >= 0 {
-		oc.byPart[placement.TaskGroup{Job: o.Attempt.Job, Stage: o.Stage}]++
+	if attempt.Stage >= 0 {
+		o.byGroup[placement.TaskGroup{Job: attempt.Attempt.Job, Stage: attempt.Stage}]++
 	}
 }
 
-// remaining is by when all that runs there has ended, by its limits.
-func (oc *occupancy) remaining(now types.MonoTime) time.Duration {
-	rest := max(0, oc.lastEnd.Sub(now))
-	if oc.unlimited {
+// remaining returns when all that runs there will have ended, by its time limits.
+func (o *occupancy) remaining(now types.MonoTime) time.Duration {
+	rest := max(0, o.lastEnd.Sub(now))
+	if o.unlimited {
 		rest = max(rest, assumedUnlimitedRemainder)
 	}
 	return rest
--- a/internal/controller/slot_cache_test.go
+++ b/internal/controller/slot_cache_test.go
@@ -19,55 +19,58 @@
 
 // slotsFromScratch is the full scan over all workers and all attempts that slotCache must
 // agree with.
-func slotsFromScratch(h *Controller) (list []placement.Slot, total types.MilliCores) {
+func slotsFromScratch(l *leader, now types.MonoTime) (list []placement.Slot, total types.MilliCores) {
+	v := l.view(now)
 	at := map[types.Shard]int{}
-	for _, s := range h.scheduler.Workers() {
+	for _, s := range l.scheduler.Workers() {
 		if s.State != dispatch.Healthy {
 			continue
 		}
 		total += s.Capacity.Cores
-		if till, _, _ := h.availability(s); !s.Draining && s.Healthy {
+		if !s.Draining && s.Healthy {
+			till := l.planner.slots.windows.of(v, s).remaining
 			at[s.Shard] = len(list)
 			list = append(list, placement.Slot{Shard: s.Shard, Rack: s.Rack, Kinds: s.Kinds, Labels: s.Labels, Free: s.Capacity.Sub(s.Shortfall), Capacity: s.Capacity, AvailableFor: till,
-				FailureRate: s.Reliability.FailureRate, DurationFactor: s.Reliability.RelativeDuration, CurrentDurationFactor: h.scheduler.Slowdown(s), TasksByGroup: map[placement.TaskGroup]int{}})
+				FailureRate: s.Reliability.FailureRate, DurationFactor: s.Reliability.RelativeDuration, CurrentDurationFactor: l.scheduler.Slowdown(s), TasksByGroup: map[placement.TaskGroup]int{}})
 		}
 	}
-	for _, g := range h.assignmentsInFlight {
+	for _, g := range l.planner.rounds.assignments {
 		if i, ok := at[g.Shard]; ok {
 			stage := types.StageOf(g.ID.Number)
-			if j := h.log.state().Jobs[g.ID.Job]; j != nil && !j.Ended() {
+			if j := v.state.Jobs[g.ID.Job]; j != nil && !j.Ended() {
 				list[i].Free = list[i].Free.Sub(j.Spec.Steps[stage.Step()].Resources)
 			}
 			list[i].RunningTasks++
 			list[i].TasksByGroup[placement.TaskGroup{Job: g.ID.Job, Stage: stage}]++
 		}
 	}
-	for _, o := range h.scheduler.Attempts() {
+	for _, o := range l.scheduler.Attempts() {
 		i, ok := at[o.Shard]
 		if !ok {
 			continue
 		}
 		x := &list[i]
-		if !h.released[o.Attempt] {
+		if !l.ends.released[o.Attempt] {
 			x.Free = x.Free.Sub(o.Resources)
 			x.RunningTasks++
 		}
 		left := time.Hour
 		if o.TimeLimit != 0 {
-			left = max(0, o.TimeLimit-h.now.Mono.Sub(o.OrderedAt))
+			left = max(0, o.TimeLimit-now.Sub(o.OrderedAt))
 		}
 		x.IdleIn = max(x.IdleIn, left)
 		if o.Stage >= 0 {
 			x.TasksByGroup[placement.TaskGroup{Job: o.Attempt.Job, Stage: o.Stage}]++
 		}
 	}
-	return
+	return list, total
 }
 
-// leaderRig is a controller as it leads, with agents that come, tell of themselves,
+// leaderRig is the leader's part of a controller, with agents that come, tell of themselves,
 // and are given attempts, at random.
 type leaderRig struct {
-	*Controller
+	*leader
+	now               types.MonoTime
 	rnd               *rand.Rand
 	agents            []dispatch.Heartbeat
 	next              int
@@ -77,8 +80,8 @@
 func newLeaderRig(seed int64) *leaderRig {
 	rnd := rand.New(rand.NewSource(seed))
 	now := types.Now{Mono: types.MonoTime(time.Hour), Wall: types.WallTime(time.Hour)}
-	h := New(now, rnd, Options{Addr: "h1", RaftTimeouts: raft.DefaultTimeouts, DispatchTimeouts: dispatch.Defaults}, nil)
-	l := &leaderRig{Controller: h, rnd: rnd}
+	h := New(now, rnd, Options{Addr: "h1", RaftTimeouts: raft.DefaultTimeouts, DispatchTimeouts: dispatch.Defaults}, nil).leader
+	l := &leaderRig{leader: h, now: now.Mono, rnd: rnd}
 	h.scheduler = dispatch.NewScheduler(now.Mono, now.Mono, dispatch.Defaults, "h1", 1, nil)
 	h.scheduler.Invoked = func(types.Shard) bool { return true }
 	h.scheduler.Partitioned = func(types.Shard) bool { return false }
@@ -102,19 +105,19 @@
 }
 
 func (l *leaderRig) advance(d time.Duration) {
-	l.now.Mono, l.now.Wall = l.now.Mono.Add(d), l.now.Wall+types.WallTime(d)
-	l.scheduler.Tick(l.now.Mono, time.Minute)
+	l.now = l.now.Add(d)
+	l.scheduler.Tick(l.now, time.Minute)
 }
 
 func (l *leaderRig) deliver(kind string, body any) {
-	l.scheduler.HandleMessage(l.now.Mono, time.Minute, wire.NewMessage("a", "h1", kind, body).Message)
+	l.scheduler.HandleMessage(l.now, time.Minute, wire.NewMessage("a", "h1", kind, body).Message)
 }
 
 // heartbeat has an agent tell of itself, and take in what it is answered.
 func (l *leaderRig) heartbeat(i int) {
 	l.advance(time.Millisecond)
 	b := &l.agents[i]
-	b.SentAt = l.now.Mono
+	b.SentAt = l.now
 	l.deliver(wire.Heartbeat, *b)
 	sends, _ := l.scheduler.TakeOutput()
 	for _, s := range sends {
@@ -143,12 +146,12 @@
 		l.settleSome()
 	case 5:
 		if len(l.outstandingOrders) > 0 {
-			l.releaseResources(l.outstandingOrders[l.rnd.Intn(len(l.outstandingOrders))])
+			l.release(l.outstandingOrders[l.rnd.Intn(len(l.outstandingOrders))])
 		}
 	case 6:
-		l.assignmentsInFlight[attempt.TaskID] = state.Assignment{ID: attempt, Shard: shard}
+		l.planner.rounds.assignments[attempt.TaskID] = state.Assignment{ID: attempt, Shard: shard}
 	case 7:
-		clear(l.assignmentsInFlight)
+		l.planner.rounds.landed()
 	case 8:
 		b := &l.agents[i]
 		b.Capacity.Cores, b.Shortfall.Cores, b.Draining, b.Healthy = types.MilliCores(l.rnd.Intn(20_000)), types.MilliCores(l.rnd.Intn(500)), l.rnd.Intn(5) == 0, l.rnd.Intn(5) > 0
@@ -177,7 +180,7 @@
 	l.outstandingOrders = l.outstandingOrders[n:]
 	l.scheduler.OnEndsCommitted(ends)
 	for _, end := range ends {
-		l.endCommitted(end)
+		l.ends.committed(end)
 	}
 }
 
@@ -203,8 +206,8 @@
 			if l.rnd.Intn(3) == 0 {
 				continue
 			}
-			got, total := l.slots.list(l.Controller)
-			want, wantTotal := slotsFromScratch(l.Controller)
+			got, total := l.planner.slots.list(l.view(l.now), l.ends, &l.planner.rounds)
+			want, wantTotal := slotsFromScratch(l.leader, l.now)
 			is.Equal(total, wantTotal)
 			is.Equal(len(got), len(want))
 			for i := range got {
--- /dev/null
+++ b/internal/controller/stragglers.go
@@ -0,0 +1,129 @@
+package controller
+
+import (
+	"time"
+
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/placement"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+const (
+	hedgeFactor = 1.8                    // an attempt is hedged after so many times its usual duration
+	hedgeMargin = 150 * time.Millisecond // and so much more
+
+	minStallDuration   = 2 * time.Second         // a shorter attempt has not stalled
+	maxRestartDuration = 1500 * time.Millisecond // a task that usually takes longer is not restarted
+	restartDelay       = 300 * time.Millisecond  // to stop an attempt and start it elsewhere
+)
+
+// Stragglers are attempts that take far longer than their like. One that has stalled, or
+// whose worker is so slow that the task is sooner done elsewhere, is withdrawn, once a task.
+// Where the step allows that its tasks run twice, a hedge is started elsewhere instead, in
+// resources that nothing else wants: whichever ends well first counts, and the other is
+// stopped.
+
+// isStalled reports whether an attempt is far beyond its step's usual duration.
+func isStalled(v *leaderView, attempt *dispatch.OutstandingAttempt) bool {
+	usual, ok := v.scheduler.BaselineDuration(attempt.BaselineName)
+	j := v.state.Jobs[attempt.Attempt.Job]
+	if !ok || j == nil {
+		return false
+	}
+	task := j.Task(attempt.Attempt.Number)
+	if task == nil || task.AvoidWorker != "" || j.Spec.Steps[attempt.Stage.Step()].AlwaysRestart {
+		return false
+	}
+	queue, _ := v.state.QueueConfig(j.Queue)
+	limit := max(minStallDuration, time.Duration(queue.StragglerFactor)*usual)
+	return queue.StragglerFactor > 0 && v.now.Sub(attempt.OrderedAt) > limit
+}
+
+// isWorthRestarting reports whether an attempt will take so much longer on its slow worker
+// that its task is sooner done elsewhere. What takes long anyway is left to its worker,
+// which may be quick again before then; what may be hedged is hedged.
+func isWorthRestarting(v *leaderView, attempt *dispatch.OutstandingAttempt) bool {
+	j := v.state.Jobs[attempt.Attempt.Job]
+	if j == nil || attempt.StragglerEnd <= v.now || attempt.Stage < 0 {
+		return false
+	}
+	step := &j.Spec.Steps[attempt.Stage.Step()]
+	task := j.Task(attempt.Attempt.Number)
+	if task == nil || task.AvoidWorker != "" || step.AlwaysRestart || step.AllowHedge && !step.Gang {
+		return false
+	}
+	usual := v.expectedDuration(j, attempt.Stage.Step())
+	return usual < maxRestartDuration && attempt.StragglerEnd.Sub(v.now) > 3*usual/2+restartDelay
+}
+
+// hedgeRequests asks for hedges of the attempts that need one.
+func hedgeRequests(v *leaderView, attempts []*dispatch.OutstandingAttempt) []placement.Request {
+	var requests []placement.Request
+	for _, attempt := range attempts {
+		j := v.openJob(attempt.Attempt)
+		if j == nil || attempt.Stage < 0 || !needsHedge(v, j, attempt) {
+			continue
+		}
+		step := &j.Spec.Steps[attempt.Stage.Step()]
+		requests = append(requests, placement.Request{
+			TaskGroup:    placement.TaskGroup{Job: j.ID, Stage: attempt.Stage},
+			Queue:        j.Queue,
+			Urgency:      j.Spec.Urgency,
+			Kind:         step.Kind,
+			Rack:         step.Rack,
+			Labels:       step.Labels,
+			Resources:    step.Resources,
+			MaxPerWorker: step.MaxPerWorker,
+			DataRack:     step.DataRack,
+			Tasks:        []int{attempt.Attempt.Number},
+			TimeLimit:    timeLimit(v.state, j, attempt.Stage),
+			AvoidWorkers: map[types.Shard]bool{attempt.Shard: true},
+		})
+	}
+	return requests
+}
+
+// needsHedge reports whether an attempt may be hedged, has no hedge and is slow.
+func needsHedge(v *leaderView, j *state.Job, attempt *dispatch.OutstandingAttempt) bool {
+	step := &j.Spec.Steps[attempt.Stage.Step()]
+	task := j.Task(attempt.Attempt.Number)
+	if !step.AllowHedge || step.Gang || task == nil || task.Done || task.Hedge != nil {
+		return false
+	}
+	return task.FindOutstanding(attempt.Attempt.Attempt) != nil && isSlow(v, attempt, step)
+}
+
+// isSlow reports whether an attempt is far behind its like, or its worker out of reach.
+func isSlow(v *leaderView, attempt *dispatch.OutstandingAttempt, step *state.Step) bool {
+	worker := v.scheduler.Worker(attempt.Shard)
+	if worker == nil || worker.State != dispatch.Healthy || !worker.Healthy {
+		return true
+	}
+	if attempt.StragglerEnd > v.now {
+		return true
+	}
+	usual := estimateOf(step)
+	if baseline, ok := v.scheduler.BaselineDuration(attempt.BaselineName); ok {
+		usual = max(usual, baseline)
+	}
+	return usual > 0 && v.now.Sub(attempt.OrderedAt) > time.Duration(hedgeFactor*float64(usual))+hedgeMargin
+}
+
+// placeHedges places hedges in what a round has left. A hedge on the worker of the attempt
+// that it is for would be of no use.
+func placeHedges(v *leaderView, in placement.Input, requests []placement.Request) []state.Assignment {
+	if requests == nil {
+		return nil
+	}
+	var list []state.Assignment
+	in.Requests, in.Reservation = requests, nil
+	for _, placed := range placement.Place(in).Assignments {
+		task := v.state.Jobs[placed.Task.Job].Task(placed.Task.Number)
+		if task.Primary.Shard != placed.Shard {
+			id := types.AttemptID{TaskID: placed.Task, Attempt: task.LastAttempt + 1}
+			list = append(list, state.Assignment{ID: id, Shard: placed.Shard, Hedge: true})
+		}
+	}
+	return list
+}
--- /dev/null
+++ b/internal/controller/worker_availability.go
@@ -0,0 +1,48 @@
+package controller
+
+import (
+	"time"
+
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+// workerWindows finds how long workers may still run something: a worker may be draining,
+// or be about to go under a drain or a maintenance window of its operators.
+type workerWindows struct {
+	orderDelay time.Duration // an order may lie so long at an agent before its task starts
+}
+
+// availability is how long a worker may run something.
+type availability struct {
+	remaining time.Duration        // 0 for without end
+	emptyBy   types.MonoTime       // when all attempts there must have ended, or 0
+	reason    state.WithdrawReason // why they must
+}
+
+// nothingMoreMayStart is the least availability, where 0 means without end.
+const nothingMoreMayStart = time.Nanosecond
+
+// of returns a worker's availability.
+func (w workerWindows) of(v *leaderView, worker *dispatch.RemoteWorker) availability {
+	var a availability
+	if worker.Draining {
+		a.remaining, a.reason = nothingMoreMayStart, state.WorkerLeaving
+		if worker.DepartsInMS > 0 {
+			a.emptyBy = worker.DepartsAt
+		}
+	}
+	window, ok := v.state.NextWindow(worker.Shard, worker.Rack, v.clock)
+	if !ok {
+		return a
+	}
+	untilStart := max(nothingMoreMayStart, window.From.Sub(v.clock)-w.orderDelay)
+	if a.remaining == 0 || untilStart < a.remaining {
+		a.remaining = untilStart
+	}
+	if deadline := v.now.Add(window.Deadline.Sub(v.clock)); window.Deadline != 0 && (a.emptyBy == 0 || deadline < a.emptyBy) {
+		a.emptyBy, a.reason = deadline, window.Reason
+	}
+	return a
+}
--- /dev/null
+++ b/internal/controller/worker_requests.go
@@ -0,0 +1,111 @@
+package controller
+
+import (
+	"net/http"
+	"strings"
+	"time"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+// parseTarget reads "workers/NAME" or "racks/NAME".
+func parseTarget(arg string) state.Target {
+	kind, name, _ := strings.Cut(arg, "/")
+	if kind == "racks" {
+		return state.Target{Rack: types.Rack(name)}
+	}
+	return state.Target{Shard: types.Shard(name)}
+}
+
+// checkTargetKnown refuses a target that no known worker is, or is in.
+func (a *api) checkTargetKnown(target state.Target) *apierror.Error {
+	for _, shape := range a.log.state().WorkerShapes {
+		if target.Matches(shape.Shard, shape.Rack) {
+			return nil
+		}
+	}
+	return apierror.New(apierror.NoSuchWorker, "", "no worker or rack of that name has ever come")
+}
+
+// startDrain lets nothing more start on a worker or rack, and has what runs there stopped
+// by a deadline, if there is one.
+func (a *api) startDrain(r request) {
+	target := parseTarget(r.arg)
+	document, err := decodeBody[config.Drain](r, "drain")
+	if err == nil {
+		err = a.checkTargetKnown(target)
+	}
+	if err != nil {
+		a.outbox.replyError(r.caller, err)
+		return
+	}
+	drain := state.Drain{Target: target}
+	if document.WithinMillis > 0 {
+		drain.Deadline = a.raft.Clock().Add(time.Duration(document.WithinMillis) * time.Millisecond)
+	}
+	a.propose(r.caller, state.Command{Drain: &drain})
+}
+
+// cancelDrain ends a drain.
+func (a *api) cancelDrain(r request) {
+	a.propose(r.caller, state.Command{Drain: &state.Drain{Target: parseTarget(r.arg), Lift: true}})
+}
+
+// putCalendar adds or replaces a maintenance calendar.
+func (a *api) putCalendar(r request) {
+	calendar, err := decodeBody[state.Calendar](r, "calendar")
+	if err == nil {
+		err = a.checkTargetKnown(calendar.Target)
+	}
+	if err != nil {
+		a.outbox.replyError(r.caller, err)
+		return
+	}
+	a.propose(r.caller, state.Command{Calendar: &calendar})
+}
+
+// deleteCalendar removes a maintenance calendar.
+func (a *api) deleteCalendar(r request) {
+	a.propose(r.caller, state.Command{Calendar: &state.Calendar{Name: r.arg}})
+}
+
+// confirmWorkerGone has the unresolved attempts of a worker count as ended, for its
+// operators know that it is lost.
+func (a *api) confirmWorkerGone(r request) {
+	shard := types.Shard(r.arg)
+	err := a.checkTargetKnown(state.Target{Shard: shard})
+	for _, worker := range a.leader.workers() {
+		if worker.Shard == shard && worker.State != dispatch.MustDie {
+			err = apierror.New(apierror.WorkerHealthy, "",
+				"the worker's agent is heard of; only one that is lost can be given up")
+		}
+	}
+	if err != nil {
+		a.outbox.replyError(r.caller, err)
+		return
+	}
+	a.propose(r.caller, state.Command{ExitedWorker: shard})
+}
+
+// listWorkers shows the workers as the leader sees them.
+func (a *api) listWorkers(r request) {
+	a.outbox.replyOK(r.caller, http.StatusOK, a.leader.workerViews(r.now.Mono))
+}
+
+// listDrains shows the drains.
+func (a *api) listDrains(r request) { a.outbox.replyOK(r.caller, http.StatusOK, a.drains()) }
+
+// listCalendars shows the maintenance calendars.
+func (a *api) listCalendars(r request) { a.outbox.replyOK(r.caller, http.StatusOK, a.calendars()) }
+
+// drains views the drains with what still runs under them.
+func (a *api) drains() []DrainView {
+	return drainViews(a.log.state(), a.raft.Clock(), a.leader.attempts())
+}
+
+// calendars views the maintenance calendars.
+func (a *api) calendars() []CalendarView { return calendarViews(a.log.state(), a.raft.Clock()) }
--- /dev/null
+++ b/internal/controller/worker_shapes.go
@@ -0,0 +1,53 @@
+package controller
+
+import (
+	"slices"
+
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+// workerShapes keeps in the replicated state what the workers are made of, so that a job
+// that no worker could ever hold is told from one whose workers are away.
+type workerShapes struct {
+	proposed types.Index // of the newest change; the next one waits until it is applied
+}
+
+// reset forgets what another leadership proposed.
+func (w *workerShapes) reset() { w.proposed = 0 }
+
+// propose proposes the shapes that have changed.
+func (w *workerShapes) propose(v *leaderView, log *commandLog) {
+	if w.proposed > log.applied() {
+		return
+	}
+	var changed []state.WorkerShape
+	for _, worker := range v.scheduler.Workers() {
+		shape := shapeOf(worker)
+		known, ok := v.state.WorkerShapes[worker.Shard]
+		if worker.State == dispatch.New || ok && (worker.Capacity.Cores == 0 || sameShape(known, shape)) {
+			continue // without cores, its agent has not heard from the worker yet
+		}
+		changed = append(changed, shape)
+	}
+	if changed != nil {
+		w.proposed, _ = log.propose(state.Command{WorkerShapes: changed})
+	}
+}
+
+func shapeOf(worker *dispatch.RemoteWorker) state.WorkerShape {
+	return state.WorkerShape{
+		Shard:         worker.Shard,
+		Rack:          worker.Rack,
+		Kinds:         worker.Kinds,
+		Resources:     worker.Capacity,
+		Labels:        worker.Labels,
+		CalledByAgent: worker.Invoked,
+	}
+}
+
+func sameShape(a, b state.WorkerShape) bool {
+	return a.Rack == b.Rack && a.Resources == b.Resources && a.CalledByAgent == b.CalledByAgent &&
+		slices.Equal(a.Kinds, b.Kinds) && slices.Equal(a.Labels, b.Labels)
+}
--- /dev/null
+++ b/internal/controller/worker_view.go
@@ -0,0 +1,110 @@
+package controller
+
+import (
+	"time"
+
+	"coppercourse/internal/dispatch"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+// WorkerView is a worker as the leader sees it.
+type WorkerView struct {
+	Shard          types.Shard     `json:"shard"`
+	InstanceID     types.ID        `json:"instance"`
+	AgentAddr      types.Addr      `json:"agent"`
+	State          dispatch.Health `json:"state"`
+	InStateMS      int64           `json:"for_ms"`   // how long it has been in that state
+	SinceHealthyMS int64           `json:"quiet_ms"` // since its agent last reported it healthy
+	dispatch.Report
+	Free        types.Resources `json:"free"`
+	Attempts    int             `json:"legs"` // that possibly run there
+	FailureRate float64         `json:"bad_ends"`
+	Slowness    float64         `json:"slowness"` // its durations, in usual ones
+}
+
+// workerViews views the workers, by shard.
+func (l *leader) workerViews(now types.MonoTime) []WorkerView {
+	attempts := map[types.Shard]int{}
+	for _, attempt := range l.attempts() {
+		attempts[attempt.Shard]++
+	}
+	views := []WorkerView{}
+	for _, worker := range l.workers() {
+		views = append(views, WorkerView{
+			Shard:          worker.Shard,
+			InstanceID:     worker.Instance,
+			AgentAddr:      worker.Addr,
+			State:          worker.State,
+			InStateMS:      now.Sub(worker.StateSince).Milliseconds(),
+			SinceHealthyMS: now.Sub(worker.LastHealthyAt).Milliseconds(),
+			Report:         worker.Report,
+			Free:           l.scheduler.FreeCapacity(worker),
+			Attempts:       attempts[worker.Shard],
+			FailureRate:    worker.Reliability.FailureRate,
+			Slowness:       worker.Reliability.RelativeDuration,
+		})
+	}
+	return views
+}
+
+// DrainView is a drain as operators see it.
+type DrainView struct {
+	state.Target
+	RemainingMS int64 `json:"left_ms,omitempty"` // until what still runs is stopped
+	Attempts    int   `json:"legs"`              // that still run there
+}
+
+// drainViews views the drains in force, with the attempts that still run under each.
+func drainViews(s *state.State, clock types.ClusterTime, attempts []*dispatch.OutstandingAttempt) []DrainView {
+	views := []DrainView{}
+	for _, drain := range s.Drains {
+		view := DrainView{Target: drain.Target}
+		if drain.Deadline != 0 {
+			view.RemainingMS = max(1, drain.Deadline.Sub(clock).Milliseconds())
+		}
+		for _, attempt := range attempts {
+			if drain.Matches(attempt.Shard, s.WorkerShapes[attempt.Shard].Rack) {
+				view.Attempts++
+			}
+		}
+		views = append(views, view)
+	}
+	return views
+}
+
+// maxWindowsShown is how many of a calendar's next windows are shown.
+const maxWindowsShown = 5
+
+// CalendarView is a maintenance calendar as operators see it.
+type CalendarView struct {
+	Name string `json:"name"`
+	state.Target
+	WindowCount int      `json:"windows"` // that have not ended
+	NextWindows []string `json:"next"`    // as "START/END", in UTC
+}
+
+// calendarViews views the maintenance calendars.
+func calendarViews(s *state.State, clock types.ClusterTime) []CalendarView {
+	views := []CalendarView{}
+	now := types.WallTime(clock) + s.WallOffset
+	for _, calendar := range s.Calendars {
+		view := CalendarView{Name: calendar.Name, Target: calendar.Target, NextWindows: []string{}}
+		for _, window := range calendar.Windows {
+			start, end := window[0], window[1]
+			if end <= now {
+				continue
+			}
+			view.WindowCount++
+			if len(view.NextWindows) < maxWindowsShown {
+				view.NextWindows = append(view.NextWindows, formatWallTime(start)+"/"+formatWallTime(end))
+			}
+		}
+		views = append(views, view)
+	}
+	return views
+}
+
+func formatWallTime(at types.WallTime) string {
+	return time.Unix(0, int64(at)).UTC().Format(time.RFC3339)
+}
