--- a/internal/controller/attempt_review.go
+++ b/internal/controller/attempt_review.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/placement"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
@@ -53,7 +53,7 @@
 }
 
 // toWithdraw lists the attempts to withdraw now.
-func (r *attemptReview) toWithdraw(v *leaderView, attempts []*dispatch.OutstandingAttempt) []state.Withdrawal {
+func (r *attemptReview) toWithdraw(v *leaderView, attempts []*scheduler.OutstandingAttempt) []state.Withdrawal {
 	var list []state.Withdrawal
 	departing, broken := r.departingWorkers(v), brokenGangs(v)
 	for _, attempt := range attempts {
--- a/internal/controller/command_trace.go
+++ b/internal/controller/command_trace.go
@@ -10,16 +10,16 @@
 func (c *Controller) traceCommand(command state.Command, index types.Index) {
 	switch {
 	case command.Table != nil:
-		c.Trace.Add(c.now.Wall, trace.TableSubject(c.log.state().Table.Version), "applied", "index", index)
+		c.Trace.Add(c.now.Wall, trace.TableSubject(c.log.state().Table.Version), "table applied", "index", index)
 	case command.Job != nil:
 		c.Trace.Add(c.now.Wall, trace.JobSubject(command.Job.ID), "submission applied", "index", index)
 	case command.Cancel != "":
-		c.Trace.Add(c.now.Wall, trace.JobSubject(command.Cancel), "cancel applied", "index", index)
+		c.Trace.Add(c.now.Wall, trace.JobSubject(command.Cancel), "cancellation applied", "index", index)
 	}
 	for _, a := range command.Assignments {
-		c.Trace.Add(c.now.Wall, trace.JobSubject(a.ID.Job), "attempt assigned", "attempt", a.ID, "shard", a.Shard)
+		c.Trace.Add(c.now.Wall, trace.JobSubject(a.ID.Job), "attempt assigned", "attempt", a.ID, "worker", a.Shard)
 	}
 	for _, end := range command.Ends {
-		c.Trace.Add(c.now.Wall, trace.JobSubject(end.ID.Job), "end applied", "attempt", end.ID, "outcome", end.Outcome)
+		c.Trace.Add(c.now.Wall, trace.JobSubject(end.ID.Job), "attempt end applied", "attempt", end.ID, "outcome", end.Outcome)
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"coppercourse/internal/configwatch"
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/membership"
 	"coppercourse/internal/raft"
 	"coppercourse/internal/state"
@@ -30,7 +30,7 @@
 	LossTolerance     int                   // voters whose loss at once, with their disks, must be tolerated
 	Build             string                // version of the program
 	RaftTimeouts      raft.Timeouts
-	DispatchTimeouts  dispatch.Timeouts
+	DispatchTimeouts  protocol.Timeouts
 	SnapshotThreshold types.Index // entries between two snapshots at least; 0 is DefaultSnapshotThreshold
 }
 
@@ -63,11 +63,10 @@
 
 // New returns a controller with the records of its disk, as an earlier process wrote them.
 func New(now types.Now, rnd *rand.Rand, options Options, records [][]byte) *Controller {
-	self := raft.Member{Addr: options.Addr, Zone: options.Zone}
 	c := &Controller{
 		options:   options,
 		now:       now,
-		raft:      raft.New(now, options.RaftTimeouts, rnd, self, options.Bootstrap, records, types.NewID(rnd)),
+		raft:      newMember(now, rnd, options, records),
 		durations: newDurationEstimates(),
 		overload:  &overload{},
 		requests:  newRequestTable(),
@@ -82,6 +81,17 @@
 	return c
 }
 
+// newMember returns this controller's member of the Raft cluster.
+func newMember(now types.Now, rnd *rand.Rand, options Options, records [][]byte) *raft.Node {
+	return raft.New(now, raft.Options{
+		Timeouts:  options.RaftTimeouts,
+		Random:    rnd,
+		Self:      raft.Member{Addr: options.Addr, Zone: options.Zone},
+		Bootstrap: options.Bootstrap,
+		NewID:     types.NewID(rnd),
+	}, records)
+}
+
 // Step takes one event and returns its effects.
 func (c *Controller) Step(e wire.Event) wire.Effects {
 	c.now = e.Now
@@ -224,12 +234,16 @@
 
 // effects returns what the step has to send, write and answer.
 func (c *Controller) effects() wire.Effects {
-	var out wire.Effects
-	out.FallbackRecords = c.raft.AppendInstead()
-	out.Messages, out.Records, out.BatchNumber, out.ReplaceLog = c.raft.Ready()
+	ready := c.raft.Ready()
 	messages, responses := c.outbox.take()
-	out.Messages = append(append(out.Messages, messages...), c.members.TakeMessages()...)
-	out.Responses = responses
+	out := wire.Effects{
+		Messages:        append(append(ready.Messages, messages...), c.members.TakeMessages()...),
+		Records:         ready.Records,
+		BatchNumber:     ready.BatchNumber,
+		ReplaceLog:      ready.ReplaceLog,
+		FallbackRecords: ready.FallbackRecords,
+		Responses:       responses,
+	}
 	mayStop := c.raft.MayStop() || c.now.Mono >= c.shutdownDeadline
 	out.Drained = c.shuttingDown && mayStop && c.requests.idle()
 	return out
--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -7,8 +7,8 @@
 )
 
 // describe returns what this controller tells the other daemons of itself.
-func (c *Controller) describe() membership.Card {
-	return membership.Card{
+func (c *Controller) describe() membership.MemberInfo {
+	return membership.MemberInfo{
 		Addr:  c.options.Addr,
 		ID:    c.raft.ID(),
 		Role:  membership.RoleController,
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -9,7 +9,7 @@
 //   - api replies to callers and operators (job_requests.go, worker_requests.go).
 //     requestTable keeps the requests that wait: changes for their commit, reads behind a
 //     readBarrier; completionRates estimates when a rejected caller should come back.
-//   - leader is what only the leader does. Its dispatch.Scheduler, made anew with each
+//   - leader is what only the leader does. Its scheduler.Scheduler, made anew with each
 //     leadership, keeps the workers' leases and the attempts that run. endTracker keeps the
 //     ends of attempts on their way into the log, workerShapes and wallOffset what the log
 //     must know of workers and clocks.
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -32,7 +32,7 @@
 		a.outbox.replyError(r.caller, a.withRetryAfter(r.now, err, command))
 		return
 	}
-	a.trace.Add(r.now.Wall, trace.JobSubject(id), "submission proposed", "from", r.caller.gateway)
+	a.trace.Add(r.now.Wall, trace.JobSubject(id), "received by leader", "from", r.caller.gateway)
 	a.propose(r.caller, command)
 }
 
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -2,7 +2,8 @@
 
 import (
 	"coppercourse/internal/apierror"
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/membership"
 	"coppercourse/internal/raft"
 	"coppercourse/internal/state"
@@ -11,7 +12,7 @@
 )
 
 // leader is what only the leading controller does: it keeps the workers' leases and orders
-// through its dispatch.Scheduler, proposes the ends of attempts that they report, and plans
+// through its scheduler.Scheduler, proposes the ends of attempts that they report, and plans
 // rounds of placement. Its parts are kept from one leadership to the next and reset between
 // them; the scheduler is made anew with each.
 type leader struct {
@@ -25,7 +26,7 @@
 	overload  *overload
 	counters  *Counters
 
-	scheduler      *dispatch.Scheduler // nil unless this controller leads
+	scheduler      *scheduler.Scheduler // nil unless this controller leads
 	ends           *endTracker
 	planner        planner
 	review         attemptReview
@@ -82,12 +83,14 @@
 // it may assign their tasks again.
 func (l *leader) establish(now types.MonoTime) {
 	l.counters.Elected++
-	l.scheduler = dispatch.NewScheduler(now, l.raft.PriorLeaderHeardAt(), l.options.DispatchTimeouts, l.options.Addr,
-		l.raft.Term(), outstandingAttempts(l.log.state()))
-	l.scheduler.Invoked = func(shard types.Shard) bool { return l.log.state().WorkerShapes[shard].CalledByAgent }
-	l.scheduler.Partitioned = func(shard types.Shard) bool { return l.members.ZonePartitioned(string(shard)) }
-	l.scheduler.EndRecorded = func(end state.AttemptEnd) bool { return endRecorded(l.log.state(), end) }
-	l.scheduler.Unresolved = func(shard types.Shard) []types.AttemptID { return l.log.state().UnresolvedAttempts(shard) }
+	l.scheduler = scheduler.New(now, scheduler.Config{
+		Timeouts:          l.options.DispatchTimeouts,
+		Addr:              l.options.Addr,
+		Term:              l.raft.Term(),
+		PriorAuthorityEnd: l.raft.PriorLeaderHeardAt(),
+		Outstanding:       outstandingAttempts(l.log.state()),
+		Cluster:           clusterState{log: l.log, members: l.members},
+	})
 }
 
 // revoke gives up the work of a leader.
@@ -102,14 +105,14 @@
 }
 
 // outstandingAttempts lists the attempts that a state has as outstanding.
-func outstandingAttempts(s *state.State) []dispatch.OutstandingAttempt {
-	var list []dispatch.OutstandingAttempt
+func outstandingAttempts(s *state.State) []scheduler.OutstandingAttempt {
+	var list []scheduler.OutstandingAttempt
 	for _, j := range s.LiveJobs() {
 		for i := range j.Tasks {
 			number := j.Spec.TaskNumber(i)
 			at := types.StageOf(number)
 			for _, attempt := range j.Tasks[i].Outstanding() {
-				list = append(list, dispatch.OutstandingAttempt{
+				list = append(list, scheduler.OutstandingAttempt{
 					Attempt:      types.AttemptID{TaskID: types.TaskID{Job: j.ID, Number: number}, Attempt: attempt.Number},
 					Shard:        attempt.Shard,
 					Stage:        at,
@@ -246,7 +249,7 @@
 		at := types.StageOf(a.ID.Number)
 		step := &j.Spec.Steps[at.Step()]
 		l.counters.Orders++
-		l.scheduler.RunTask(a.Shard, at, baselineName(j, at), dispatch.AttemptSpec{
+		l.scheduler.RunTask(a.Shard, at, baselineName(j, at), protocol.AttemptSpec{
 			Attempt:     a.ID,
 			Kind:        step.Kind,
 			Rack:        step.Rack,
@@ -260,7 +263,7 @@
 }
 
 // attempts returns the attempts that possibly run, as far as this controller knows.
-func (l *leader) attempts() []*dispatch.OutstandingAttempt {
+func (l *leader) attempts() []*scheduler.OutstandingAttempt {
 	if !l.active() {
 		return nil
 	}
@@ -268,7 +271,7 @@
 }
 
 // workers returns the workers that have registered with this controller as the leader.
-func (l *leader) workers() []*dispatch.RemoteWorker {
+func (l *leader) workers() []*scheduler.RemoteWorker {
 	if !l.active() {
 		return nil
 	}
--- a/internal/controller/leader_view.go
+++ b/internal/controller/leader_view.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 )
@@ -14,7 +14,7 @@
 	now       types.MonoTime
 	clock     types.ClusterTime
 	state     *state.State
-	scheduler *dispatch.Scheduler
+	scheduler *scheduler.Scheduler
 	durations *durationEstimates
 }
 
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -143,7 +143,7 @@
 	missing := request.MinTasks()
 	for i := range slots {
 		slot := &slots[i]
-		if !slot.Feasible(request) {
+		if !slot.Feasible(&request) {
 			continue
 		}
 		free := slot.Free
--- a/internal/controller/report_buffer.go
+++ b/internal/controller/report_buffer.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
@@ -27,7 +27,7 @@
 // bufferedReport is a report with ends that are not in the log yet.
 type bufferedReport struct {
 	from        types.Addr
-	update      dispatch.UpdateStatus
+	update      protocol.UpdateStatus
 	receivedAt  types.MonoTime
 	forwardedAt types.MonoTime
 	relays      int // how often it was relayed to the leader
@@ -35,7 +35,7 @@
 
 // add keeps what of a report is not in the log and not in the buffer.
 func (b *reportBuffer) add(now types.MonoTime, s *state.State, message wire.Message) {
-	update, ok := wire.DecodeBody[dispatch.UpdateStatus](message)
+	update, ok := wire.DecodeBody[protocol.UpdateStatus](message)
 	if !ok || len(b.reports) >= maxBufferedReports {
 		return
 	}
--- a/internal/controller/slot_cache.go
+++ b/internal/controller/slot_cache.go
@@ -3,7 +3,8 @@
 import (
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/placement"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
@@ -48,7 +49,7 @@
 	clear(sc.position)
 	slots, total := sc.slots[:0], types.MilliCores(0)
 	for _, worker := range v.scheduler.Workers() {
-		if worker.State != dispatch.Healthy {
+		if worker.State != protocol.WorkerHealthy {
 			continue
 		}
 		total += worker.Capacity.Cores
@@ -68,7 +69,7 @@
 }
 
 // slot describes one worker with what runs there.
-func (sc *slotCache) slot(v *leaderView, worker *dispatch.RemoteWorker, runs *occupancy) placement.Slot {
+func (sc *slotCache) slot(v *leaderView, worker *scheduler.RemoteWorker, runs *occupancy) placement.Slot {
 	return placement.Slot{
 		Shard:                 worker.Shard,
 		Rack:                  worker.Rack,
@@ -110,7 +111,7 @@
 
 // add counts an attempt. A released one takes no resources any more, but still counts for
 // the spread of its step until its end is committed.
-func (o *occupancy) add(attempt *dispatch.OutstandingAttempt, released bool) {
+func (o *occupancy) add(attempt *scheduler.OutstandingAttempt, released bool) {
 	if !released {
 		o.used = o.used.Add(attempt.Resources)
 		o.attempts++
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -3,7 +3,8 @@
 import (
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/placement"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
@@ -25,7 +26,7 @@
 // stopped.
 
 // isStalled reports whether an attempt is far beyond its step's usual duration.
-func isStalled(v *leaderView, attempt *dispatch.OutstandingAttempt) bool {
+func isStalled(v *leaderView, attempt *scheduler.OutstandingAttempt) bool {
 	usual, ok := v.scheduler.BaselineDuration(attempt.BaselineName)
 	j := v.state.Jobs[attempt.Attempt.Job]
 	if !ok || j == nil {
@@ -43,7 +44,7 @@
 // isWorthRestarting reports whether an attempt will take so much longer on its slow worker
 // that its task is sooner done elsewhere. What takes long anyway is left to its worker,
 // which may be quick again before then; what may be hedged is hedged.
-func isWorthRestarting(v *leaderView, attempt *dispatch.OutstandingAttempt) bool {
+func isWorthRestarting(v *leaderView, attempt *scheduler.OutstandingAttempt) bool {
 	j := v.state.Jobs[attempt.Attempt.Job]
 	if j == nil || attempt.StragglerEnd <= v.now || attempt.Stage < 0 {
 		return false
@@ -58,7 +59,7 @@
 }
 
 // hedgeRequests asks for hedges of the attempts that need one.
-func hedgeRequests(v *leaderView, attempts []*dispatch.OutstandingAttempt) []placement.Request {
+func hedgeRequests(v *leaderView, attempts []*scheduler.OutstandingAttempt) []placement.Request {
 	var requests []placement.Request
 	for _, attempt := range attempts {
 		j := v.openJob(attempt.Attempt)
@@ -85,7 +86,7 @@
 }
 
 // needsHedge reports whether an attempt may be hedged, has no hedge and is slow.
-func needsHedge(v *leaderView, j *state.Job, attempt *dispatch.OutstandingAttempt) bool {
+func needsHedge(v *leaderView, j *state.Job, attempt *scheduler.OutstandingAttempt) bool {
 	step := &j.Spec.Steps[attempt.Stage.Step()]
 	task := j.Task(attempt.Attempt.Number)
 	if !step.AllowHedge || step.Gang || task == nil || task.Done || task.Hedge != nil {
@@ -95,9 +96,9 @@
 }
 
 // isSlow reports whether an attempt is far behind its like, or its worker out of reach.
-func isSlow(v *leaderView, attempt *dispatch.OutstandingAttempt, step *state.Step) bool {
+func isSlow(v *leaderView, attempt *scheduler.OutstandingAttempt, step *state.Step) bool {
 	worker := v.scheduler.Worker(attempt.Shard)
-	if worker == nil || worker.State != dispatch.Healthy || !worker.Healthy {
+	if worker == nil || worker.State != protocol.WorkerHealthy || !worker.Healthy {
 		return true
 	}
 	if attempt.StragglerEnd > v.now {
--- a/internal/controller/worker_availability.go
+++ b/internal/controller/worker_availability.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 )
@@ -25,7 +25,7 @@
 const nothingMoreMayStart = time.Nanosecond
 
 // of returns a worker's availability.
-func (w workerWindows) of(v *leaderView, worker *dispatch.RemoteWorker) availability {
+func (w workerWindows) of(v *leaderView, worker *scheduler.RemoteWorker) availability {
 	var a availability
 	if worker.Draining {
 		a.remaining, a.reason = nothingMoreMayStart, state.WorkerLeaving
--- a/internal/controller/worker_requests.go
+++ b/internal/controller/worker_requests.go
@@ -7,7 +7,7 @@
 
 	"coppercourse/internal/apierror"
 	"coppercourse/internal/config"
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 )
@@ -79,7 +79,7 @@
 	shard := types.Shard(r.arg)
 	err := a.checkTargetKnown(state.Target{Shard: shard})
 	for _, worker := range a.leader.workers() {
-		if worker.Shard == shard && worker.State != dispatch.MustDie {
+		if worker.Shard == shard && worker.State != protocol.WorkerMustDie {
 			err = apierror.New(apierror.WorkerHealthy, "",
 				"the worker's agent is heard of; only one that is lost can be given up")
 		}
--- a/internal/controller/worker_shapes.go
+++ b/internal/controller/worker_shapes.go
@@ -3,7 +3,8 @@
 import (
 	"slices"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 )
@@ -26,7 +27,7 @@
 	for _, worker := range v.scheduler.Workers() {
 		shape := shapeOf(worker)
 		known, ok := v.state.WorkerShapes[worker.Shard]
-		if worker.State == dispatch.New || ok && (worker.Capacity.Cores == 0 || sameShape(known, shape)) {
+		if worker.State == protocol.WorkerNew || ok && (worker.Capacity.Cores == 0 || sameShape(known, shape)) {
 			continue // without cores, its agent has not heard from the worker yet
 		}
 		changed = append(changed, shape)
@@ -36,7 +37,7 @@
 	}
 }
 
-func shapeOf(worker *dispatch.RemoteWorker) state.WorkerShape {
+func shapeOf(worker *scheduler.RemoteWorker) state.WorkerShape {
 	return state.WorkerShape{
 		Shard:         worker.Shard,
 		Rack:          worker.Rack,
--- a/internal/controller/worker_view.go
+++ b/internal/controller/worker_view.go
@@ -3,7 +3,8 @@
 import (
 	"time"
 
-	"coppercourse/internal/dispatch"
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 )
@@ -13,10 +14,10 @@
 	Shard          types.Shard     `json:"shard"`
 	InstanceID     types.ID        `json:"instance"`
 	AgentAddr      types.Addr      `json:"agent"`
-	State          dispatch.Health `json:"state"`
+	State          protocol.Health `json:"state"`
 	InStateMS      int64           `json:"for_ms"`   // how long it has been in that state
 	SinceHealthyMS int64           `json:"quiet_ms"` // since its agent last reported it healthy
-	dispatch.Report
+	protocol.WorkerReport
 	Free        types.Resources `json:"free"`
 	Attempts    int             `json:"legs"` // that possibly run there
 	FailureRate float64         `json:"bad_ends"`
@@ -38,7 +39,7 @@
 			State:          worker.State,
 			InStateMS:      now.Sub(worker.StateSince).Milliseconds(),
 			SinceHealthyMS: now.Sub(worker.LastHealthyAt).Milliseconds(),
-			Report:         worker.Report,
+			WorkerReport:   worker.WorkerReport,
 			Free:           l.scheduler.FreeCapacity(worker),
 			Attempts:       attempts[worker.Shard],
 			FailureRate:    worker.Reliability.FailureRate,
@@ -56,7 +57,7 @@
 }
 
 // drainViews views the drains in force, with the attempts that still run under each.
-func drainViews(s *state.State, clock types.ClusterTime, attempts []*dispatch.OutstandingAttempt) []DrainView {
+func drainViews(s *state.State, clock types.ClusterTime, attempts []*scheduler.OutstandingAttempt) []DrainView {
 	views := []DrainView{}
 	for _, drain := range s.Drains {
 		view := DrainView{Target: drain.Target}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -43,7 +43,7 @@
 
 // helloFromControllers lets both controllers say hello; a leads.
 func (h *harness) helloFromControllers() {
-	for _, c := range []membership.Card{{Addr: "a", Role: "controller", Term: 1, Leads: true}, {Addr: "b", Role: "controller", Term: 1}} {
+	for _, c := range []membership.MemberInfo{{Addr: "a", Role: "controller", Term: 1, Leads: true}, {Addr: "b", Role: "controller", Term: 1}} {
 		s := wire.NewMessage(c.Addr, "g", wire.Hello, map[string]any{"me": c})
 		h.step(wire.Event{Message: &s.Message})
 	}
@@ -143,7 +143,7 @@
 	is.Equal(len(d.answers), 1)
 	d.reply("a", 1, okReply(`"of k"`))
 	is.Equal(d.answers[1].Token, uint64(2))
-	is.Equal(len(d.gateway.pending), 0)
+	is.Equal(len(d.gateway.requests.pending), 0)
 }
 
 // The next process at an address takes no answer that is meant for the one
@@ -165,7 +165,7 @@
 			seen[c.ID] = true
 		}
 		for id := range seen {
-			if d.gateway.pending[id] != nil {
+			if d.gateway.requests.pending[id] != nil {
 				continue
 			}
 			r := okReply(`"of a former life"`)
--- a/internal/raft/planted_test.go
+++ b/internal/raft/planted_test.go
@@ -87,7 +87,7 @@
 		a, b, c := w.machines[0], w.machines[1], w.machines[2]
 		w.plantedBug = plant
 		crash := func(m *machine) { m.unsynced, m.node, m.pendingProposals = nil, nil, nil }
-		only := func(from, to *machine, kinds ...string) { // delivers and syncs between two
+		only := func(from, to *machine, kinds ...wire.Kind) { // delivers and syncs between two
 			for range 60 {
 				for _, m := range []*machine{from, to} {
 					if m.up() && len(m.unsynced) > 0 {
@@ -122,12 +122,12 @@
 		a.start()
 		elect(a, c) // a leads again; its older entry reaches c, the newer ones do not
 		a.completeSync()
-		old := a.node.log[0].Index
+		old := a.node.log.entries[0].Index
 		a.node.progressOf(c.node.self.ID).match = old // as after a message with the older entry only
 		w.now += time.Millisecond
-		c.node.truncateAndAppend(a.node.log[:1])
+		c.node.log.truncateAndAppend(a.node.log.entries[:1])
 		a.step(func() { a.node.advanceCommit() })
-		if a.node.commitIndex >= old {
+		if a.node.log.commitIndex >= old {
 			crash(a)
 			b.start()
 			elect(b, c)
