--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -280,8 +280,8 @@
 
 // initialWait returns why no work is placed yet after this controller was elected, or nothing.
 func (l *leader) initialWait() string {
-	if !l.active() || !l.scheduler.InInitialWait {
+	if !l.active() || !l.scheduler.InInitialWait() {
 		return ""
 	}
-	return l.scheduler.InitialWaitReason
+	return l.scheduler.InitialWaitReason()
 }
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -51,7 +51,7 @@
 	p.rounds.landed()
 	withdrawals, hedges := review.review(v)
 	result := round{withdrawals: withdrawals}
-	if v.scheduler.InInitialWait {
+	if v.scheduler.InInitialWait() {
 		return result
 	}
 	in := placement.Input{Reservation: p.reservation}
@@ -78,7 +78,7 @@
 
 // planBeside places new work while an earlier round is in flight, up to applied.
 func (p *planner) planBeside(v *leaderView, applied types.Index) round {
-	if p.rounds.full(applied) || v.scheduler.InInitialWait || p.reservation != nil {
+	if p.rounds.full(applied) || v.scheduler.InInitialWait() || p.reservation != nil {
 		return round{}
 	}
 	var in placement.Input
--- a/internal/controller/worker_shapes.go
+++ b/internal/controller/worker_shapes.go
@@ -44,7 +44,7 @@
 		Kinds:         worker.Kinds,
 		Resources:     worker.Capacity,
 		Labels:        worker.Labels,
-		CalledByAgent: worker.Invoked,
+		CalledByAgent: worker.CalledByAgent,
 	}
 }
 
--- a/sim/golden_test.go
+++ b/sim/history/golden_test.go
@@ -1,4 +1,4 @@
-package sim
+package history
 
 import (
 	"testing"
