--- /dev/null
+++ b/internal/controller/job_ranking.go
@@ -0,0 +1,155 @@
+package controller
+
+import (
+	"math"
+	"time"
+
+	"coppercourse/internal/config"
+	"coppercourse/internal/placement"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+const (
+	lateTargetFactor = 3  // a job is worth something until so many times its latency target
+	targetTolerance  = 8  // a job counts as on target until late by one in so many parts of it
+	maxJobValue      = 4  // value of a job, in those of its queue's mean job, at most
+	meanGain         = 16 // a job counts for one in so many in the means of its queue
+	minMeanWork      = 0.001
+
+	baseValue    = 0.3   // part of the mean job's value that does not depend on its work
+	onTargetPart = 0.7   // part of a job's value that is lost once it is late
+	latePart     = 0.3   // part that is lost once it is too late for its target
+	missedPart   = 0.001 // part that remains then
+
+	// slackDecaySeconds is the scale of slack: a job with so many seconds more of it comes
+	// behind one that gains e times as much.
+	slackDecaySeconds = 1.0
+	// priorityBase is by what factor each step of a queue's priority lowers its jobs' rank.
+	priorityBase = 1.0
+
+	patientSlackPercent    = 40 // a job with slack of so much of its target can wait
+	patientHeadroomPercent = 92 // of all cores that long tasks of such a job leave free at most
+	longHeadroomPercent    = 75 // of all cores that long tasks of other jobs leave free at most
+)
+
+// jobRanking ranks the jobs of queues with a latency target. What goes first is what gains
+// the most value for the work that is left, the less the more slack it has: the rule of
+// apparent tardiness cost (Vepsalainen and Morton, 1987). What steps take is
+// only estimated.
+type jobRanking struct {
+	meanWork        map[types.QueueName]float64 // core-seconds of a queue's mean job
+	meanTaskSeconds map[types.QueueName]float64 // of the first steps of a queue's jobs
+}
+
+// jobRank is a job's place among those that wait.
+type jobRank struct {
+	class           placement.TargetClass // whether the job can still meet its target
+	sortKey         float64               // within the class, the lowest goes first
+	headroomPercent int                   // of all cores, left at most to more urgent queues
+}
+
+func newJobRanking() jobRanking {
+	return jobRanking{meanWork: map[types.QueueName]float64{}, meanTaskSeconds: map[types.QueueName]float64{}}
+}
+
+// recordJob takes a new job into the means of its queue.
+func (r *jobRanking) recordJob(v *leaderView, j *state.Job) {
+	work := 0.0
+	for i := range j.Spec.Steps {
+		step := &j.Spec.Steps[i]
+		work += float64(step.Tasks) * v.expectedDuration(j, i).Seconds() * float64(step.Resources.Cores) / float64(types.Core)
+	}
+	if len(j.Spec.Steps) > 0 && !j.Spec.Steps[0].AlwaysRestart {
+		updateMean(r.meanTaskSeconds, j.Queue, v.expectedDuration(j, 0).Seconds())
+	}
+	updateMean(r.meanWork, j.Queue, work)
+}
+
+// updateMean takes a value into a queue's moving average; the first value is the average.
+func updateMean(means map[types.QueueName]float64, queue types.QueueName, value float64) {
+	if mean, ok := means[queue]; ok {
+		value = mean + (value-mean)/meanGain
+	}
+	means[queue] = value
+}
+
+// taskWork returns the work of one task of a step, in core-seconds.
+func taskWork(v *leaderView, j *state.Job, step int) float64 {
+	cores := float64(j.Spec.Steps[step].Resources.Cores)
+	return v.expectedDuration(j, step).Seconds() * cores / float64(types.Core)
+}
+
+// rank ranks what of a job is ready in one stage.
+func (r *jobRanking) rank(v *leaderView, j *state.Job, queue config.Queue, ready *state.ReadyIndex,
+	stage state.ReadyStage) jobRank {
+	if !queue.HasLatencyTarget() {
+		return jobRank{class: placement.OnTarget}
+	}
+	remainingWork, totalWork := 0.0, 0.0
+	for i := range j.Spec.Steps {
+		one := taskWork(v, j, i)
+		remainingWork += float64(ready.RemainingTasks[i]) * one
+		totalWork += float64(j.Spec.Steps[i].Tasks) * one
+	}
+	value := min(maxJobValue, baseValue+(1-baseValue)*totalWork/max(r.meanWork[j.Queue], minMeanWork))
+	step := stage.Stage.Step()
+	if j.Spec.Steps[step].AlwaysRestart {
+		return jobRank{class: placement.OnTarget, sortKey: -value / (1 + remainingWork)}
+	}
+	duration := func(step int) time.Duration { return v.expectedDuration(j, step) }
+	target := time.Duration(queue.TargetFactor*float64(j.Spec.CriticalPath(-1, duration))) +
+		time.Duration(queue.TargetMarginMillis)*time.Millisecond
+	slack := stage.ReadySince.Add(target).Sub(v.clock) - j.Spec.CriticalPath(step, duration)
+	rank := jobRank{headroomPercent: r.headroom(v.state, j.Queue, queue, duration(step), slack, target)}
+	var gain float64
+	rank.class, gain, slack = classify(value, slack, target)
+	gain = gain / (remainingWork + 0.01) * math.Exp(-max(0, slack.Seconds())/slackDecaySeconds) *
+		math.Pow(priorityBase, -float64(queue.Priority))
+	rank.sortKey = -gain
+	return rank
+}
+
+// classify returns whether a job with so much slack can still meet its latency target, what
+// of its value is lost if it does not run now, and the slack until then.
+func classify(value float64, slack, target time.Duration) (placement.TargetClass, float64, time.Duration) {
+	switch tooLate := slack + (lateTargetFactor-1)*target; {
+	case slack > -target/targetTolerance: // the estimate is no better than that
+		return placement.OnTarget, onTargetPart * value, slack
+	case tooLate > 0:
+		return placement.Late, latePart * value, tooLate
+	default:
+		return placement.TargetMissed, missedPart * value, 0
+	}
+}
+
+// headroom returns what percent of all cores long tasks leave free at most to more urgent
+// queues: 0 for tasks that those can wait for.
+func (r *jobRanking) headroom(s *state.State, name types.QueueName, queue config.Queue,
+	task, slack, target time.Duration) int {
+	switch {
+	case !r.outlastsUrgentQueues(s, name, queue, task):
+		return 0
+	case slack > target*patientSlackPercent/100:
+		return patientHeadroomPercent
+	default:
+		return longHeadroomPercent
+	}
+}
+
+// outlastsUrgentQueues reports whether tasks take so long that the jobs of a more urgent
+// queue would be worth nothing any more if they had to wait for them.
+func (r *jobRanking) outlastsUrgentQueues(s *state.State, name types.QueueName, queue config.Queue,
+	task time.Duration) bool {
+	for _, other := range s.Table.Queues {
+		mean, ok := r.meanTaskSeconds[other.Name]
+		if !ok || other.Name == name || other.Priority >= queue.Priority {
+			continue
+		}
+		target := other.TargetFactor*mean + float64(other.TargetMarginMillis)/1000
+		if task.Seconds() > lateTargetFactor*target {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/controller/planner.go
@@ -0,0 +1,200 @@
+package controller
+
+import (
+	"time"
+
+	"coppercourse/internal/config"
+	"coppercourse/internal/placement"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+// unlimitedDuration stands for the time limit of steps that have none: they fit before no
+// window.
+const unlimitedDuration = 10_000 * time.Hour
+
+// planner makes rounds of placement: what is ready to run, the workers with room for it,
+// the choice between them, and the attempt numbers of what is chosen. One full round is in
+// the log at a time; while it is, more rounds may place new work beside it.
+type planner struct {
+	rounds      assignmentRounds
+	waits       waitTimes
+	ranking     jobRanking
+	limits      coreLimits
+	slots       slotCache
+	ends        *endTracker
+	reservation *placement.Reservation // workers kept for a request that was passed over
+	requests    []placement.Request    // the last list, whose memory the next one uses
+}
+
+func newPlanner(windows workerWindows, ends *endTracker) planner {
+	return planner{
+		rounds:  assignmentRounds{assignments: map[types.TaskID]state.Assignment{}},
+		ranking: newJobRanking(),
+		limits:  newCoreLimits(),
+		slots:   slotCache{windows: windows},
+		ends:    ends,
+	}
+}
+
+// reset forgets what belongs to another leadership. What is known of the queues' jobs stays.
+func (p *planner) reset() {
+	p.rounds.reset()
+	p.waits.reset()
+	p.slots.reset()
+	p.reservation = nil
+}
+
+// plan makes a full round: review withdraws and hedges attempts, new work is placed, and if
+// nothing at all could be done, preempt makes room.
+func (p *planner) plan(v *leaderView, review *attemptReview, preempt *preemption) round {
+	p.rounds.landed()
+	withdrawals, hedges := review.review(v)
+	result := round{withdrawals: withdrawals}
+	if v.scheduler.InInitialWait() {
+		return result
+	}
+	in := placement.Input{Reservation: p.reservation}
+	in.Requests, in.Usage = p.readyWork(v)
+	if len(in.Requests) == 0 {
+		p.reservation = nil
+		p.waits.reset()
+	}
+	if len(in.Requests)+len(hedges) == 0 {
+		return result
+	}
+	in.Slots, in.TotalCores = p.slots.list(v, p.ends, &p.rounds)
+	if len(in.Requests) > 0 {
+		out := p.place(v, in)
+		p.reservation = out.Reservation
+		result.assignments = p.assign(v.state, out.Assignments)
+	}
+	result.assignments = append(result.assignments, placeHedges(v, in, hedges)...)
+	if result.empty() && p.reservation == nil {
+		result.withdrawals, p.reservation = preempt.find(v, in)
+	}
+	return result
+}
+
+// planBeside places new work while an earlier round is in flight, up to applied.
+func (p *planner) planBeside(v *leaderView, applied types.Index) round {
+	if p.rounds.full(applied) || v.scheduler.InInitialWait() || p.reservation != nil {
+		return round{}
+	}
+	var in placement.Input
+	if in.Requests, in.Usage = p.readyWork(v); len(in.Requests) == 0 {
+		return round{}
+	}
+	in.Slots, in.TotalCores = p.slots.list(v, p.ends, &p.rounds)
+	return round{assignments: p.assign(v.state, p.place(v, in).Assignments)}
+}
+
+// place chooses workers for the requests.
+func (p *planner) place(v *leaderView, in placement.Input) placement.Output {
+	p.waits.update(v.now, in.Requests)
+	p.limits.apply(v.now, in)
+	return placement.Place(in)
+}
+
+// assign numbers the attempts of the tasks placed. Each number of a task is used once; the
+// members of a gang get the same.
+func (p *planner) assign(s *state.State, placed []placement.Assignment) []state.Assignment {
+	var list []state.Assignment
+	for _, a := range placed {
+		j := s.Jobs[a.Task.Job]
+		at := types.StageOf(a.Task.Number)
+		attempt := j.Task(a.Task.Number).LastAttempt + 1
+		if j.Spec.Steps[at.Step()].Gang {
+			for _, member := range j.StageTasks(at) {
+				attempt = max(attempt, member.LastAttempt+1)
+			}
+		}
+		id := types.AttemptID{TaskID: a.Task, Attempt: attempt}
+		list = append(list, state.Assignment{ID: id, Shard: a.Shard})
+		p.waits.placed(placement.TaskGroup{Job: a.Task.Job, Stage: at})
+	}
+	return list
+}
+
+// readyWork lists what may start now, and what each queue uses. The list is valid until the
+// next call.
+func (p *planner) readyWork(v *leaderView) ([]placement.Request, map[types.QueueName]*placement.QueueUsage) {
+	list, usage := p.requests[:0], queueUsage(v.state)
+	for _, j := range v.state.LiveJobs() {
+		used := usage[j.Queue]
+		if used == nil {
+			continue
+		}
+		ready := v.state.ReadyIndex(j, v.clock)
+		used.RunningTasks += ready.OutstandingAttempts
+		used.CoresInUse += ready.CoresInUse
+		for _, stage := range ready.Stages {
+			if stage.Tasks = p.unassigned(j, stage, used); len(stage.Tasks) > 0 {
+				list = append(list, p.request(v, j, used.Queue, ready, stage))
+			}
+		}
+	}
+	p.requests = list
+	return list, usage
+}
+
+// queueUsage returns the queues, those removed with jobs in them too, with nothing in use.
+func queueUsage(s *state.State) map[types.QueueName]*placement.QueueUsage {
+	usage := map[types.QueueName]*placement.QueueUsage{}
+	for name, queue := range s.RemovedQueues {
+		usage[name] = &placement.QueueUsage{Queue: queue}
+	}
+	for _, queue := range s.Table.Queues {
+		usage[queue.Name] = &placement.QueueUsage{Queue: queue}
+	}
+	return usage
+}
+
+// request asks for workers for what of a job is ready in one stage.
+func (p *planner) request(v *leaderView, j *state.Job, queue config.Queue, ready *state.ReadyIndex,
+	stage state.ReadyStage) placement.Request {
+	step := &j.Spec.Steps[stage.Stage.Step()]
+	limit := timeLimit(v.state, j, stage.Stage)
+	if step.AlwaysRestart {
+		limit = unlimitedDuration
+	}
+	rank := p.ranking.rank(v, j, queue, ready, stage)
+	return placement.Request{
+		TaskGroup:       placement.TaskGroup{Job: j.ID, Stage: stage.Stage},
+		Queue:           j.Queue,
+		Urgency:         j.Spec.Urgency,
+		Kind:            step.Kind,
+		Rack:            step.Rack,
+		Labels:          step.Labels,
+		Resources:       step.Resources,
+		MaxPerWorker:    step.MaxPerWorker,
+		Gang:            step.Gang,
+		Tasks:           stage.Tasks,
+		TimeLimit:       limit,
+		Class:           rank.class,
+		HeadroomPercent: rank.headroomPercent,
+		JobIdle:         ready.OutstandingAttempts == 0,
+		SortKey:         rank.sortKey,
+		DataRack:        step.DataRack,
+		PreferOneRack:   step.PreferOneRack,
+		AvoidWorkers:    stage.AvoidWorkers,
+	}
+}
+
+// unassigned returns the tasks of a stage that are in no round in flight. Those that are
+// count as in use.
+func (p *planner) unassigned(j *state.Job, stage state.ReadyStage, used *placement.QueueUsage) []int {
+	if p.rounds.none() {
+		return stage.Tasks
+	}
+	var list []int
+	for _, number := range stage.Tasks {
+		if !p.rounds.assigned(types.TaskID{Job: j.ID, Number: number}) {
+			list = append(list, number)
+			continue
+		}
+		used.RunningTasks++
+		used.CoresInUse += j.Spec.Steps[stage.Stage.Step()].Resources.Cores
+	}
+	return list
+}
