--- a/internal/dispatch/executor/admission.go
+++ b/internal/dispatch/executor/admission.go
@@ -8,52 +8,70 @@
 	"coppercourse/internal/wire"
 )
 
-func (ex *Executor) onRunTask(from types.Addr, o protocol.RunTask) {
-	if !ex.acceptTerm(from, o.Header) {
+// onRunTask accepts or rejects an attempt. A RunTask that comes again is ignored.
+func (ex *Executor) onRunTask(from types.Addr, order protocol.RunTask) {
+	if !ex.acceptHeader(from, order.Header) {
 		return
 	}
-	l := ex.attempts[o.Spec.Attempt]
-	_, seen := ex.seenAttempts[o.Spec.Attempt]
-	if l != nil || seen {
+	id := order.Spec.Attempt
+	_, isSeen := ex.attempts.seen[id]
+	if isSeen || ex.attempts.byID[id] != nil {
 		return
 	}
-	ex.seenAttempts[o.Spec.Attempt] = max(o.StartBefore, ex.now).Add(ex.timeouts.LostAfter)
-	why := ex.refusalReason(o)
-	if why == "" {
-		ex.add(&attempt{spec: o.Spec, state: attemptWaiting, startBefore: min(o.StartBefore, ex.leaseUntil)})
-		ex.hasUpdate = true
+	ex.attempts.seen[id] = max(order.StartBefore, ex.now).Add(ex.timeouts.LostAfter)
+	refusal := ex.refusal(order)
+	if refusal == "" {
+		startBefore := min(order.StartBefore, ex.health.leaseUntil)
+		ex.attempts.add(&attempt{spec: order.Spec, state: attemptWaiting, startBefore: startBefore})
+		ex.polls.hasUpdate = true
 	}
-	ex.send(from, wire.RunTaskReply, protocol.RunTaskReply{Term: ex.term, Shard: ex.shard, Instance: ex.instance, Attempt: o.Spec.Attempt, Refusal: why})
+	ex.send(from, wire.RunTaskReply, protocol.RunTaskReply{
+		Term:     ex.association.term,
+		Shard:    ex.shard,
+		Instance: ex.association.instance,
+		Attempt:  id,
+		Refusal:  refusal,
+	})
 }
 
-// refusalReason gives the reason why an order may not be taken, or nothing.
-func (ex *Executor) refusalReason(o protocol.RunTask) string {
-	free := ex.report.Capacity.Sub(ex.capacityShortfall())
-	twin := false
-	for _, l := range ex.attempts {
-		if l.state != attemptEnded {
-			free = free.Sub(l.spec.Resources)
-			twin = twin || l.spec.Attempt.TaskID == o.Spec.Attempt.TaskID
-		}
+// refusal returns why an attempt is rejected, or nothing.
+func (ex *Executor) refusal(order protocol.RunTask) string {
+	report, spec := &ex.worker.report, &order.Spec
+	free, runsTask := ex.freeCapacity(spec.Attempt.TaskID)
+	switch {
+	case order.Sequence < ex.association.querySequence:
+		return "sent before the latest query"
+	case ex.now >= order.StartBefore || ex.now >= ex.health.leaseUntil:
+		return "grant has lapsed"
+	case ex.health.state != protocol.WorkerHealthy:
+		return "agent is " + string(ex.health.state)
+	case !report.Healthy:
+		return "worker is silent"
+	case report.Draining:
+		return "worker is leaving"
+	case !slices.Contains(report.Kinds, spec.Kind):
+		return "worker has not this kind"
+	case spec.Rack != "" && spec.Rack != report.Rack:
+		return "worker is in another rack"
+	case !report.HasLabels(spec.Labels):
+		return "worker lacks a label"
+	case runsTask:
+		return "another leg of the task is here"
+	case !free.Contains(spec.Resources):
+		return "no room"
 	}
-	for _, c := range []struct {
-		bad bool
-		why string
-	}{
-		{o.Sequence < ex.querySequence, "sent before the latest query"},
-		{ex.now >= o.StartBefore || ex.now >= ex.leaseUntil, "grant has lapsed"},
-		{ex.state != protocol.WorkerHealthy, "agent is " + string(ex.state)},
-		{!ex.report.Healthy, "worker is silent"},
-		{ex.report.Draining, "worker is leaving"},
-		{!slices.Contains(ex.report.Kinds, o.Spec.Kind), "worker has not this kind"},
-		{o.Spec.Rack != "" && o.Spec.Rack != ex.report.Rack, "worker is in another rack"},
-		{!ex.report.HasLabels(o.Spec.Labels), "worker lacks a label"},
-		{twin, "another leg of the task is here"},
-		{!free.Contains(o.Spec.Resources), "no room"},
-	} {
-		if c.bad {
-			return c.why
+	return ""
+}
+
+// freeCapacity returns the worker's capacity less that of all attempts that have not
+// ended, and whether one of them is of a task.
+func (ex *Executor) freeCapacity(task types.TaskID) (free types.Resources, runsTask bool) {
+	free = ex.worker.report.Capacity.Sub(ex.capacityShortfall())
+	for _, a := range ex.attempts.byID {
+		if a.state != attemptEnded {
+			free = free.Sub(a.spec.Resources)
+			runsTask = runsTask || a.spec.Attempt.TaskID == task
 		}
 	}
-	return ""
+	return free, runsTask
 }
--- a/internal/dispatch/executor/attempts.go
+++ b/internal/dispatch/executor/attempts.go
@@ -2,85 +2,157 @@
 
 import (
 	"slices"
-	"time"
 
 	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 )
 
+// attemptState is the state of an attempt at the agent; package dispatch shows the
+// transitions. The texts are part of the agent's status.
 type attemptState string
 
 const (
-	attemptWaiting  attemptState = "waiting" // ordered, not yet taken up by the worker
+	attemptWaiting  attemptState = "waiting" // accepted, not yet known to run on the worker
 	attemptRunning  attemptState = "running"
-	attemptStopping attemptState = "stopping"
+	attemptStopping attemptState = "stopping" // to be stopped, not yet known to have ended
 	attemptEnded    attemptState = "ended"
 )
 
+// attempt is an attempt in the agent's account.
 type attempt struct {
 	spec          protocol.AttemptSpec
 	state         attemptState
-	startBefore   types.MonoTime
-	startedAt     types.MonoTime
-	outcome       state.Outcome
-	overTimeLimit bool // past its time limit: however it is stopped, it failed
-	sentToWorker  bool
-	committed     bool
-	runsAfterEnd  bool // the worker runs it although it has ended here
-
-	// of a worker that is called
-	startFence        uint64         // under which it was started
-	killAskedAt       types.MonoTime // when its stop was last asked for
-	seenRunningAt     types.MonoTime // when the worker last said that it runs
-	killAcceptedAt    types.MonoTime // when the worker took its stop
-	startUnsure       bool           // its start had no clear answer
-	endNumber         uint64         // the number of its end
-	checkpoint        string         // what it has saved
-	checkpointAt      types.MonoTime // when that last changed
-	percentDone       float64        // how far it is, in percent
-	progressReadAt    types.MonoTime // when that was told
-	progressChangedAt types.MonoTime // when it last changed
-	reportedDuration  time.Duration  // how long it takes in all, as was told last
+	startBefore   types.MonoTime // end of its order's lease: not to be started later
+	startedAt     types.MonoTime // when it was first known to run, 0 if never
+	outcome       state.Outcome  // once ended
+	overTimeLimit bool           // unless it ends well, it has failed
+	sentToWorker  bool           // the worker may have been told to start it
+	committed     bool           // its end is committed to the log
+	// runsAfterEnd is set for one that the worker still runs although it has ended here.
+	runsAfterEnd bool
+	checkpoint   string // reference of the last one
+	checkpointAt types.MonoTime
+
+	// Of a worker that is called:
+	calls    attemptCalls
+	progress progress
+}
+
+// attemptCalls is what the calls to the worker have shown of an attempt.
+type attemptCalls struct {
+	startFence     uint64         // fencing token under which it was started
+	startUnsure    bool           // the start got no reply
+	seenRunningAt  types.MonoTime // when the worker last said that it runs
+	stopCalledAt   types.MonoTime
+	stopAcceptedAt types.MonoTime
+	endNumber      uint64 // number of its end at the worker, 0 if not told
+}
+
+func compareAttempts(a, b *attempt) int { return a.spec.Attempt.Compare(b.spec.Attempt) }
+
+// attemptTable holds the attempts in the account, and the ids of those accepted or
+// rejected lately.
+type attemptTable struct {
+	byID   map[types.AttemptID]*attempt
+	sorted []*attempt // the same, in order
+	// seen are ids whose RunTask, should it come again or late, is ignored until a time.
+	seen map[types.AttemptID]types.MonoTime
+}
+
+func newAttemptTable() attemptTable {
+	return attemptTable{byID: map[types.AttemptID]*attempt{}, seen: map[types.AttemptID]types.MonoTime{}}
 }
 
-// add takes an attempt into the account, forget out of it.
-func (ex *Executor) add(l *attempt) {
-	if ex.attempts[l.spec.Attempt] == nil {
-		i, _ := slices.BinarySearchFunc(ex.sortedAttempts, l, compareAttempts)
-		ex.sortedAttempts = slices.Insert(ex.sortedAttempts, i, l)
+// add puts an attempt into the account.
+func (at *attemptTable) add(a *attempt) {
+	if at.byID[a.spec.Attempt] == nil {
+		i, _ := slices.BinarySearchFunc(at.sorted, a, compareAttempts)
+		at.sorted = slices.Insert(at.sorted, i, a)
 	}
-	ex.attempts[l.spec.Attempt] = l
+	at.byID[a.spec.Attempt] = a
 }
 
-func (ex *Executor) remove(k types.AttemptID) {
-	if l := ex.attempts[k]; l != nil {
-		i, _ := slices.BinarySearchFunc(ex.sortedAttempts, l, compareAttempts)
-		ex.sortedAttempts = slices.Delete(ex.sortedAttempts, i, i+1)
-		delete(ex.attempts, k)
+// addNeverRan puts an attempt in that has not run here and never will.
+func (at *attemptTable) addNeverRan(id types.AttemptID) {
+	spec := protocol.AttemptSpec{Attempt: id}
+	at.add(&attempt{spec: spec, state: attemptEnded, outcome: state.OutcomeNeverRan})
+}
+
+func (at *attemptTable) remove(id types.AttemptID) {
+	a := at.byID[id]
+	if a == nil {
+		return
 	}
+	i, _ := slices.BinarySearchFunc(at.sorted, a, compareAttempts)
+	at.sorted = slices.Delete(at.sorted, i, i+1)
+	delete(at.byID, id)
 }
 
-func compareAttempts(a, b *attempt) int { return a.spec.Attempt.Compare(b.spec.Attempt) }
+// inOrder lists the attempts in order; the list is a copy.
+func (at *attemptTable) inOrder() []*attempt { return slices.Clone(at.sorted) }
 
-// attemptsInOrder lists the attempts in order; the list is a copy.
-func (ex *Executor) attemptsInOrder() []*attempt { return slices.Clone(ex.sortedAttempts) }
+func (at *attemptTable) forgetSeen(now types.MonoTime) {
+	for id, until := range at.seen {
+		if now > until {
+			delete(at.seen, id)
+		}
+	}
+}
+
+// allEnded reports whether no attempt can be running any more.
+func (at *attemptTable) allEnded() bool {
+	for _, a := range at.byID {
+		if a.state != attemptEnded {
+			return false
+		}
+	}
+	return true
+}
+
+// runningResources returns the resources of all attempts that run, together.
+func (at *attemptTable) runningResources() types.Resources {
+	var sum types.Resources
+	for _, a := range at.byID {
+		if a.state == attemptRunning || a.state == attemptStopping {
+			sum = sum.Add(a.spec.Resources)
+		}
+	}
+	return sum
+}
+
+// endAttempt ends an attempt in the account and has its end reported. OutcomeLost is not
+// final: the attempt stays until the worker is heard again and tells its true end.
+func (ex *Executor) endAttempt(a *attempt, outcome state.Outcome) {
+	if a.overTimeLimit && outcome != state.OutcomeOK {
+		outcome = state.OutcomeFailed
+	}
+	a.state, a.outcome = attemptEnded, outcome
+	a.committed = false
+	a.calls.startUnsure = false
+	ex.reports.statusAt = never
+}
 
-// endAttempt ends an attempt in the account and has it told. Lost is not the last word:
-// the attempt stays until the worker is heard again and says what became of it.
-func (ex *Executor) endAttempt(l *attempt, f state.Outcome) {
-	if l.overTimeLimit && f != state.OutcomeOK {
-		f = state.OutcomeFailed
+// endAllWithProcess ends the attempts of a worker process that has ended, and forgets
+// those whose end is committed.
+func (ex *Executor) endAllWithProcess() {
+	for _, a := range ex.attempts.inOrder() {
+		if a.state != attemptEnded {
+			ex.endAttempt(a, state.OutcomeWorkerExited)
+		}
+		if a.committed {
+			ex.attempts.remove(a.spec.Attempt)
+		}
 	}
-	l.state, l.outcome, l.committed, l.startUnsure, ex.lastStatusAt = attemptEnded, f, false, false, never
 }
 
-// stopAttempt has an attempt stopped. One that the worker was never shown ends at once.
-func (ex *Executor) stopAttempt(l *attempt) {
+// stopAttempt has an attempt stopped. One that the worker was never told of ends at once.
+func (ex *Executor) stopAttempt(a *attempt) {
 	switch {
-	case l.state == attemptWaiting && !l.sentToWorker:
-		ex.endAttempt(l, state.OutcomeNeverRan)
-	case l.state == attemptWaiting || l.state == attemptRunning:
-		l.state, ex.hasUpdate = attemptStopping, true
+	case a.state == attemptWaiting && !a.sentToWorker:
+		ex.endAttempt(a, state.OutcomeNeverRan)
+	case a.state == attemptWaiting || a.state == attemptRunning:
+		a.state = attemptStopping
+		ex.polls.hasUpdate = true
 	}
 }
--- a/internal/dispatch/executor/executor.go
+++ b/internal/dispatch/executor/executor.go
@@ -1,5 +1,16 @@
-// Executor is the half beside each worker. It holds the one true account of what
-// runs there: an attempt is in it from its order until its end is settled.
+// Package executor is the worker half of the dispatcher, which the agent beside each
+// worker runs; package dispatch describes the whole.
+//
+// An Executor holds the one true account of what runs on its worker: an attempt is in
+// it from its RunTask until its end is committed to the log and the worker has dropped
+// it. It is a state machine: its methods take an event, and TakeOutput and TakeCalls
+// hand over what they would send to the scheduler and call at the worker. It does no
+// I/O and reads no clock.
+//
+// Towards the scheduler: scheduler_messages, admission (which RunTask is accepted),
+// health (worker state and lease), reports (heartbeats and ends). Towards a worker that
+// polls its agent: polling. Towards a worker that its agent calls: the files link*.
+// attempts holds the account, view shows it.
 package executor
 
 import (
@@ -11,121 +22,135 @@
 	"coppercourse/internal/wire"
 )
 
-// Executor is one agent's half.
+// never is a time before all others.
+const never = types.MonoTime(-1 << 61)
+
+// Executor is the worker half beside one worker.
 type Executor struct {
-	timeouts         protocol.Timeouts
-	addr             types.Addr
-	shard            types.Shard
-	instance         types.ID
-	newInstance      func() types.ID
-	previousInstance types.ID
+	timeouts    protocol.Timeouts
+	addr        types.Addr
+	shard       types.Shard
+	newInstance func() types.ID // draws a new instance id
+	startedAt   types.MonoTime
+	now         types.MonoTime // of the present step
 
-	now               types.MonoTime
-	startedAt         types.MonoTime
-	term              types.Term
-	leader            types.Addr
-	state             protocol.Health
-	stateSince        types.MonoTime
-	lastGrantSentAt   types.MonoTime
-	leaseUntil        types.MonoTime
-	querySequence     types.Seq
-	workerSet         protocol.WorkerSetID
-	lastHeartbeatAt   types.MonoTime
-	lastStatusAt      types.MonoTime
-	attempts          map[types.AttemptID]*attempt
-	sortedAttempts    []*attempt // the same, in order
-	seenAttempts      map[types.AttemptID]types.MonoTime
-	workerInstance    types.ID
-	runningTasksKnown bool
-	lastCall          uint64
-	workerHeardAt     types.MonoTime
-	workerSentAt      types.MonoTime
-	workerLeaseBase   types.MonoTime
-	workerDepartsAt   types.MonoTime // when the worker goes, if it said so
-	report            protocol.WorkerReport
-	hasUpdate         bool
-	link              *WorkerLink // of a worker that is called
-	sends             []wire.OutboundMessage
-}
+	leader      types.Addr // as far as known, or empty
+	association association
+	health      health
+	reports     reportTimes
 
-const never = types.MonoTime(-1 << 61)
+	attempts attemptTable
+	worker   workerStatus
+	polls    pollSession
+	link     *workerLink // nil while the worker polls
 
-// NewHand starts an agent that knows nothing of its worker yet.
-func New(now types.MonoTime, pace protocol.Timeouts, me types.Addr, shard types.Shard, mint func() types.ID) *Executor {
-	return &Executor{timeouts: pace, addr: me, shard: shard, instance: mint(), newInstance: mint, now: now, startedAt: now, state: protocol.WorkerNew, stateSince: now,
-		lastGrantSentAt: now, leaseUntil: never, lastHeartbeatAt: never, lastStatusAt: never, workerHeardAt: never, workerLeaseBase: now,
-		attempts: map[types.AttemptID]*attempt{}, seenAttempts: map[types.AttemptID]types.MonoTime{}}
+	messages []wire.OutboundMessage // to send
 }
 
-func (ex *Executor) send(to types.Addr, kind wire.Kind, body any) {
-	ex.sends = append(ex.sends, wire.NewMessage(ex.addr, to, kind, body))
+// association is who the agent is for the scheduler, and what it has heard of it.
+type association struct {
+	instance types.ID
+	// previousInstance is the instance before this one beside the same worker process,
+	// until the scheduler has associated this one.
+	previousInstance types.ID
+	term             types.Term // highest seen
+	// querySequence is the highest notifyIfTasksNotRunning sequence number seen in the
+	// term. A RunTask with a lower one is rejected.
+	querySequence types.Seq
+	workerSet     protocol.WorkerSetID // the last one heard of
 }
 
-// Tick lets time pass; lead is whom the roster holds for the leader.
-func (ex *Executor) Tick(now types.MonoTime, lead types.Addr) {
-	if lead != ex.leader {
-		ex.lastHeartbeatAt = never // it is told at once who is here
-	}
-	ex.now, ex.leader = now, lead
-	was := ex.report.Healthy
-	if ex.link != nil {
-		ex.report.Healthy = ex.runningTasksKnown && !ex.workerSilent()
-	} else {
-		ex.report.Healthy = ex.runningTasksKnown && now.Sub(ex.workerHeardAt) < ex.timeouts.UnhealthyAfter*6/10
+// workerStatus is what the agent knows of its worker.
+type workerStatus struct {
+	process types.ID // id of the worker process, empty before the first is known
+	heardAt types.MonoTime
+	// runningTasksKnown is set once the process itself has told all that runs there.
+	runningTasksKnown bool
+	report            protocol.WorkerReport
+	departsAt         types.MonoTime // when a draining worker will be gone, if known
+}
+
+// New starts an agent that knows nothing of its worker yet. newInstance draws instance
+// ids, which must never repeat.
+func New(
+	now types.MonoTime, timeouts protocol.Timeouts, addr types.Addr, shard types.Shard, newInstance func() types.ID,
+) *Executor {
+	return &Executor{
+		timeouts:    timeouts,
+		addr:        addr,
+		shard:       shard,
+		newInstance: newInstance,
+		startedAt:   now,
+		now:         now,
+		association: association{instance: newInstance()},
+		health:      newHealth(now),
+		reports:     reportTimes{heartbeatAt: never, statusAt: never},
+		attempts:    newAttemptTable(),
+		worker:      workerStatus{heardAt: never},
+		polls:       pollSession{leaseBase: now},
 	}
-	if was != ex.report.Healthy {
-		ex.lastHeartbeatAt = never
+}
+
+// Tick advances time. leader is the leader's address as far as the agent knows, or
+// empty.
+func (ex *Executor) Tick(now types.MonoTime, leader types.Addr) {
+	if leader != ex.leader {
+		ex.reports.heartbeatAt = never // a new leader hears of this worker at once
 	}
-	quiet := now.Sub(ex.lastGrantSentAt)
-	switch {
-	case ex.state == protocol.WorkerMustDie:
-		ex.restartAsNewInstance()
-	case ex.state == protocol.WorkerNew:
-	case quiet > ex.timeouts.LostAfter:
-		ex.setState(protocol.WorkerMustDie)
-	case quiet > ex.timeouts.UnhealthyAfter:
-		ex.setState(protocol.WorkerUnhealthy)
-	default:
-		ex.setState(protocol.WorkerHealthy)
+	ex.now, ex.leader = now, leader
+	ex.updateWorkerHealth()
+	ex.updateHealth()
+	ex.enforceLease()
+	for _, a := range ex.attempts.inOrder() {
+		ex.enforceTimeLimit(a)
+		ex.endIfWorkerLeaseExpired(a)
 	}
-	if now >= ex.leaseUntil && !ex.awaitsFirstLease() || ex.state == protocol.WorkerMustDie {
-		for _, l := range ex.attemptsInOrder() {
-			ex.stopAttempt(l)
-		}
+	ex.attempts.forgetSeen(now)
+	ex.makeDueCalls()
+	ex.sendReports()
+}
+
+// enforceLease stops all attempts once the agent's lease has ended.
+func (ex *Executor) enforceLease() {
+	leaseEnded := ex.now >= ex.health.leaseUntil && !ex.awaitsFirstLease()
+	if !leaseEnded && ex.health.state != protocol.WorkerMustDie {
+		return
 	}
-	for _, l := range ex.attemptsInOrder() {
-		if l.state == attemptRunning && l.spec.TimeLimitMS > 0 && now.Sub(l.startedAt) > time.Duration(l.spec.TimeLimitMS)*time.Millisecond {
-			l.overTimeLimit = true
-			ex.stopAttempt(l)
-		}
-		if l.state == attemptEnded || !ex.runningTasksKnown {
-			continue
-		}
-		switch {
-		case ex.link == nil && ex.workerLeaseExpired():
-			ex.endAttempt(l, state.OutcomeLost)
-		case ex.link != nil && ex.linkLeaseExpired():
-			ex.link.Counters.Lapsed++
-			ex.endAttempt(l, state.OutcomeLeaseExpired)
-		}
+	for _, a := range ex.attempts.inOrder() {
+		ex.stopAttempt(a)
 	}
-	for l, by := range ex.seenAttempts {
-		if now > by {
-			delete(ex.seenAttempts, l)
-		}
+}
+
+// awaitsFirstLease reports whether the agent was started lately beside a worker that is
+// called, and has had no lease yet. What it finds there runs under a lease of the agent
+// before it, and may run on under its own.
+func (ex *Executor) awaitsFirstLease() bool {
+	isRecent := ex.now.Sub(ex.startedAt) <= ex.timeouts.LostAfter
+	return ex.link != nil && ex.health.leaseUntil == never && isRecent
+}
+
+func (ex *Executor) enforceTimeLimit(a *attempt) {
+	limit := time.Duration(a.spec.TimeLimitMS) * time.Millisecond
+	if a.state == attemptRunning && limit > 0 && ex.now.Sub(a.startedAt) > limit {
+		a.overTimeLimit = true
+		ex.stopAttempt(a)
 	}
-	ex.makeDueCalls()
-	ex.sendReports()
 }
 
-// TakeOutput drains what there is to send.
-func (ex *Executor) TakeOutput() []wire.OutboundMessage {
-	s := ex.sends
-	ex.sends = nil
-	return s
+// endIfWorkerLeaseExpired ends an attempt once the worker's lease has surely ended: the
+// worker, which can't be reached, has stopped it by itself.
+func (ex *Executor) endIfWorkerLeaseExpired(a *attempt) {
+	switch {
+	case a.state == attemptEnded || !ex.worker.runningTasksKnown:
+	case ex.link == nil && ex.polledLeaseExpired():
+		ex.endAttempt(a, state.OutcomeLost)
+	case ex.link != nil && ex.linkLeaseExpired():
+		ex.link.counters.LeasesExpired++
+		ex.endAttempt(a, state.OutcomeLeaseExpired)
+	}
 }
 
-var executorHandlers = map[wire.Kind]func(*Executor, wire.Message){
+var messageHandlers = map[wire.Kind]func(*Executor, wire.Message){
 	wire.HeartbeatReply:    wire.HandlerFor((*Executor).onHeartbeatReply),
 	wire.RunningTasksQuery: wire.HandlerFor((*Executor).onGetRunningTasks),
 	wire.RunTask:           wire.HandlerFor((*Executor).onRunTask),
@@ -135,11 +160,23 @@
 	wire.ReplaceInstance:   wire.HandlerFor((*Executor).onRequestSuicide),
 }
 
-// HandleMessage handles a scheduler's note.
-func (ex *Executor) HandleMessage(now types.MonoTime, n wire.Message) {
+// HandleMessage takes a scheduler's message. One of a kind that is not for an agent is
+// dropped.
+func (ex *Executor) HandleMessage(now types.MonoTime, message wire.Message) {
 	ex.now = now
-	if f := executorHandlers[n.Kind]; f != nil {
-		f(ex, n)
+	if handle := messageHandlers[message.Kind]; handle != nil {
+		handle(ex, message)
 	}
 	ex.makeDueCalls()
 }
+
+// TakeOutput returns the messages to send since it was last called.
+func (ex *Executor) TakeOutput() []wire.OutboundMessage {
+	messages := ex.messages
+	ex.messages = nil
+	return messages
+}
+
+func (ex *Executor) send(to types.Addr, kind wire.Kind, body any) {
+	ex.messages = append(ex.messages, wire.NewMessage(ex.addr, to, kind, body))
+}
--- /dev/null
+++ b/internal/dispatch/executor/health.go
@@ -0,0 +1,82 @@
+package executor
+
+import (
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/types"
+)
+
+// health is the worker's state by the agent's own account, and the agent's lease. Both
+// follow from the heartbeats that the scheduler has replied to with a lease.
+type health struct {
+	state protocol.Health
+	since types.MonoTime
+	// lastGrantSentAt is when the latest heartbeat was sent that was granted a lease. The
+	// scheduler received it later, so the state goes down here before it does there.
+	lastGrantSentAt types.MonoTime
+	leaseUntil      types.MonoTime // never for none yet
+}
+
+func newHealth(now types.MonoTime) health {
+	return health{state: protocol.WorkerNew, since: now, lastGrantSentAt: now, leaseUntil: never}
+}
+
+func (h *health) set(now types.MonoTime, state protocol.Health) {
+	if h.state != state {
+		h.state, h.since = state, now
+	}
+}
+
+// takeGrant extends the lease by a reply, if the reply grants one.
+func (h *health) takeGrant(reply protocol.HeartbeatReply) {
+	if reply.LeaseUntil > reply.HeartbeatSentAt {
+		h.leaseUntil = max(h.leaseUntil, reply.LeaseUntil)
+		h.lastGrantSentAt = max(h.lastGrantSentAt, reply.HeartbeatSentAt)
+	}
+}
+
+// updateHealth moves the worker to the state that the latest granted heartbeat gives it.
+// NEW is only left by a HeartbeatReply, MUST_DIE only as a new instance.
+func (ex *Executor) updateHealth() {
+	silence := ex.now.Sub(ex.health.lastGrantSentAt)
+	switch {
+	case ex.health.state == protocol.WorkerMustDie:
+		ex.restartAsNewInstance()
+	case ex.health.state == protocol.WorkerNew:
+	case silence > ex.timeouts.LostAfter:
+		ex.health.set(ex.now, protocol.WorkerMustDie)
+	case silence > ex.timeouts.UnhealthyAfter:
+		ex.health.set(ex.now, protocol.WorkerUnhealthy)
+	default:
+		ex.health.set(ex.now, protocol.WorkerHealthy)
+	}
+}
+
+// restartAsNewInstance comes back as a new instance, once nothing can be running any
+// more.
+func (ex *Executor) restartAsNewInstance() {
+	if !ex.attempts.allEnded() {
+		return
+	}
+	ex.association.instance = ex.newInstance()
+	ex.association.previousInstance = ""
+	ex.association.workerSet = protocol.WorkerSetID{}
+	ex.association.querySequence = 0
+	ex.health.lastGrantSentAt, ex.health.leaseUntil = ex.now, never
+	ex.reports.heartbeatAt = never
+	ex.health.set(ex.now, protocol.WorkerNew)
+}
+
+// updateWorkerHealth updates whether the worker itself is healthy, as heartbeats report
+// it. A change is reported at once.
+func (ex *Executor) updateWorkerHealth() {
+	report := &ex.worker.report
+	before := report.Healthy
+	if ex.link != nil {
+		report.Healthy = ex.worker.runningTasksKnown && !ex.linkUnhealthy()
+	} else {
+		report.Healthy = ex.worker.runningTasksKnown && !ex.polledWorkerSilent()
+	}
+	if report.Healthy != before {
+		ex.reports.heartbeatAt = never
+	}
+}
--- a/internal/dispatch/executor/link.go
+++ b/internal/dispatch/executor/link.go
@@ -1,209 +1,198 @@
-// Caller is the agent's side towards a worker that is called rather than calling.
-// The worker's processes are told apart by their ids, its "lives". It runs
-// attempts only under a lease that ends at a reading of its own clock; the lease
-// is never longer than what the leader granted to the agent, counted from a
-// reading that the worker itself told, by a clock that may run slow. This file
-// keeps lives, clock and lease; line.go makes the calls and reads the replies.
 package executor
 
 import (
 	"time"
 
 	"coppercourse/internal/dispatch/protocol"
-	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 )
 
-const (
-	minClockRate         = 0.975                  // of our clock's pace, at which a worker's clock runs at least
-	leaseMargin          = 20 * time.Millisecond  // a lease ends so much before the agent's own
-	maxHoldWait          = time.Second            // how long a hold waits for an end at most
-	holdOverdueAfter     = 100 * time.Millisecond // past its time, a hold is not waited for any more: another goes
-	replyTimeout         = 250 * time.Millisecond // how long any call's reply is waited for, past its own wait
-	commitTime           = 60 * time.Millisecond  // how long an end may be on its way into the log before the next hold
-	holdRetryInterval    = 100 * time.Millisecond // between holds that brought nothing
-	maxEndsPerReply      = 500                    // ends that one reply holds at most
-	fencesPerMillisecond = 1024                   // fences for each millisecond of the worker's clock
-	maxEndedIncarnations = 64
-
-	minShortBackoff = time.Second // how long a worker that turned a start away for want of room is believed
-	maxShortBackoff = 16 * time.Second
-)
-
-// openCall is a call that has no reply yet.
-type openCall struct {
-	wire.WorkerCall
-	sentAt types.MonoTime
-}
-
-// openEnd is an end that the worker still lists.
-type openEnd struct {
-	attempt   types.AttemptID
-	committed bool
-}
-
-// WorkerLink calls one worker.
-type WorkerLink struct {
-	incarnation       types.ID
+// maxEndedIncarnations bounds the ended worker processes that are remembered; beyond it
+// all are forgotten.
+const maxEndedIncarnations = 64
+
+// workerLink is the agent's side towards a worker that it calls. It is made with the
+// worker's first heartbeat.
+//
+// The worker's processes are told apart by their incarnations. A process runs attempts
+// only under a lease that ends at a reading of its own clock (link_lease). The agent
+// starts each attempt once (link_calls); a start that got no reply is unsure, and is
+// resolved by a query that raises the fencing token, below which the worker starts
+// nothing any more: what the worker then does not list was not started and never will be
+// (link_replies). Ends are acknowledged to the worker only once they are committed to
+// the log (link_ends). An attempt whose lease has expired in the log by the time its end
+// is told stays so: the worker does not count such an end either.
+type workerLink struct {
+	incarnation       types.ID // of the present process, empty for none
 	addr              types.Addr
-	heartbeatSequence uint64
+	heartbeatSequence uint64 // of the latest heartbeat
+	// deregistered is set for a process that deregistered without having announced that
+	// it drains, and that runs on for a while.
+	deregistered      bool
 	endedIncarnations map[types.ID]bool
-	successor         *wire.WorkerHeartbeat // another process, until this one is known to be over, or to live
-	successorSeenAt   types.MonoTime        // when that one beat
-	clock             int64                 // the worker's, as of got or a little before
-	clockReadAt       types.MonoTime
-	maxLeaseSent      int64 // the highest end of a lease that was sent
-	fence             uint64
-	fenceConfirmed    bool // the fence is above all that an earlier agent sent
-	lastCallNumber    uint64
-	openCalls         map[uint64]*openCall
-	openHold          uint64 // the hold that waits for an end, or 0
-	openQuery         uint64 // the hold that settles what is unsure, or 0
-	nextHoldAt        types.MonoTime
-	newestListClock   int64 // the clock of the newest list of runs heeded
-	acknowledgedEnd   uint64
-	unhealthyUntil    types.MonoTime // until then it is not given work
-	silent            bool           // it has said nothing since a call that got no reply
-	openEnds          map[uint64]*openEnd
-	outCalls          []wire.WorkerCall
-	Counters          CallCounters
-
-	deregistered bool // it deregistered without a drain, and runs on for a while
-
-	provenCapacity types.Resources // what ran there when it last turned a start away for want of room, or since
-	shortUntil     types.MonoTime  // until then it is believed to hold no more than that,
-	shortBackoff   time.Duration   // for so long after each such refusal
+	// successor is the latest heartbeat of another process, kept until the present one
+	// is known to be over or to live. seenAt is when it arrived.
+	successor       *wire.WorkerHeartbeat
+	successorSeenAt types.MonoTime
+
+	clock           workerClock
+	maxLeaseEndSent int64 // highest lease end that was sent, ms of the worker's clock
+	fence           fence
+	calls           callTable
+	ends            endTable
+	newestListClock int64 // clock of the newest list of running attempts, ms
+
+	capacity       capacityLimit
+	unhealthyUntil types.MonoTime // given no tasks until then
+	silent         bool           // not heard since a call that got no reply
+	counters       CallCounters
 }
 
-// CallCounters are counters since start.
-type CallCounters struct {
-	Starts, Stops, Holds, Queries, Silent, Lapsed, Lives uint64
+func newWorkerLink() *workerLink {
+	return &workerLink{
+		endedIncarnations: map[types.ID]bool{},
+		calls:             callTable{open: map[uint64]*openCall{}},
+		ends:              endTable{open: map[uint64]*openEnd{}},
+	}
 }
 
-// Invoked tells whether the worker is one that is called.
-func (ex *Executor) Invoked() bool { return ex.link != nil }
+// adopt makes the process that sent a heartbeat the present one.
+func (l *workerLink) adopt(now types.MonoTime, heartbeat wire.WorkerHeartbeat) {
+	l.incarnation = heartbeat.Incarnation
+	l.addr = heartbeat.Addr
+	l.heartbeatSequence = heartbeat.Seq
+	l.deregistered = false
+	l.successor = nil
+	l.clock = workerClock{readingMS: heartbeat.ClockMS, readAt: now}
+	l.maxLeaseEndSent = 0
+	l.fence = fence{token: tokenAt(max(heartbeat.ClockMS, 0))}
+	l.calls.renewal, l.calls.query, l.calls.nextAt = 0, 0, never
+	clear(l.ends.open)
+	l.ends.acknowledged = 0
+	l.newestListClock = 0
+	l.capacity = capacityLimit{until: never}
+	l.unhealthyUntil = never
+	l.silent = false
+	l.counters.Incarnations++
+}
 
-// TakeCalls drains the calls to make.
-func (ex *Executor) TakeCalls() []wire.WorkerCall {
-	if ex.link == nil {
-		return nil
+// end gives up the present process. One that has exited, rather than one that could not
+// be reached for longer than its lease, is not heard again.
+func (l *workerLink) end(hasExited bool) {
+	if len(l.endedIncarnations) >= maxEndedIncarnations {
+		clear(l.endedIncarnations)
 	}
-	c := ex.link.outCalls
-	ex.link.outCalls = nil
-	return c
+	if hasExited {
+		l.endedIncarnations[l.incarnation] = true
+	}
+	l.incarnation = ""
+	l.calls.renewal, l.calls.query = 0, 0
+	clear(l.calls.open)
+	clear(l.ends.open)
 }
 
-// HandleWorkerHeartbeat takes what the worker tells of itself. A process that is over is not
-// heard; another one waits until the present one is known to be over. If that
-// still answers, the beat was late, of a process before it.
-func (ex *Executor) HandleWorkerHeartbeat(now types.MonoTime, b wire.WorkerHeartbeat) {
+// HandleWorkerHeartbeat takes the heartbeat of a worker that is called. A process that
+// has ended is ignored. Another process waits until the present one is known to be over;
+// if that still answers, the heartbeat was a late one of a process before it.
+func (ex *Executor) HandleWorkerHeartbeat(now types.MonoTime, heartbeat wire.WorkerHeartbeat) {
 	ex.now = now
 	if ex.link == nil {
-		ex.link = &WorkerLink{endedIncarnations: map[types.ID]bool{}, openCalls: map[uint64]*openCall{}, openEnds: map[uint64]*openEnd{}}
+		ex.link = newWorkerLink()
 	}
-	c := ex.link
+	link := ex.link
 	switch {
-	case c.endedIncarnations[b.Incarnation]:
-	case c.incarnation == "":
-		ex.adoptIncarnation(b)
-	case c.incarnation != b.Incarnation:
-		c.successor, c.successorSeenAt = &b, now
+	case link.endedIncarnations[heartbeat.Incarnation]:
+	case link.incarnation == "":
+		ex.adoptIncarnation(heartbeat)
+	case link.incarnation != heartbeat.Incarnation:
+		link.successor, link.successorSeenAt = &heartbeat, now
 		ex.makeDueCalls()
-	case b.Seq > c.heartbeatSequence:
-		c.heartbeatSequence, c.addr, ex.workerHeardAt = b.Seq, b.Addr, now
-		ex.readClock(b.ClockMS)
-		ex.updateReport(b)
+	case heartbeat.Seq > link.heartbeatSequence:
+		link.heartbeatSequence, link.addr = heartbeat.Seq, heartbeat.Addr
+		ex.worker.heardAt = now
+		link.clock.read(now, heartbeat.ClockMS)
+		ex.takeWorkerReport(heartbeat)
 	}
 }
 
-// HandleDeregistration takes it that a worker process goes. One that said before that it is
-// draining ends now, all that it ran with it. Any other runs on for a while: it is
-// draining from now on, whatever late beats of it say, and is over only when its
-// lease has run out or another process answers in its place.
-func (ex *Executor) HandleDeregistration(now types.MonoTime, life types.ID) {
+// HandleDeregistration takes the word of a called worker's process that it goes. One
+// that has announced before that it drains ends now, with all that it ran. Any other runs
+// on for a while: it is draining from now on, whatever late heartbeats say, and is over
+// only when its lease has ended or another process answers in its place.
+func (ex *Executor) HandleDeregistration(now types.MonoTime, incarnation types.ID) {
 	ex.now = now
-	if ex.link == nil || ex.link.incarnation != life {
-		return
-	}
-	if ex.report.Draining && !ex.link.deregistered {
+	link := ex.link
+	switch {
+	case link == nil || link.incarnation != incarnation || link.deregistered:
+	case ex.worker.report.Draining:
 		ex.endIncarnation(true)
-		return
+	default:
+		link.deregistered = true
+		ex.reports.heartbeatAt = never
+		ex.setDraining(ex.timeouts.DrainTime)
 	}
-	if ex.link.deregistered {
-		return
-	}
-	ex.link.deregistered = true
-	ex.lastHeartbeatAt = never
-	ex.setDraining(ex.timeouts.DrainTime)
 }
 
-// setDraining notes that the worker goes, and how long it surely runs on; 0 is not known.
-func (ex *Executor) setDraining(in time.Duration) {
-	ex.report.Draining, ex.report.DepartsInMS = true, in.Milliseconds()
-	ex.workerDepartsAt = ex.now.Add(in)
+// setDraining notes that the worker drains, and how long it surely runs on; 0 is not
+// known.
+func (ex *Executor) setDraining(departsIn time.Duration) {
+	ex.worker.report.Draining, ex.worker.report.DepartsInMS = true, departsIn.Milliseconds()
+	ex.worker.departsAt = ex.now.Add(departsIn)
 }
 
-func (ex *Executor) updateReport(b wire.WorkerHeartbeat) {
-	before := ex.report
-	ex.report = protocol.WorkerReport{Rack: b.Rack, Kinds: b.Kinds, Capacity: b.Capacity, Labels: b.Labels, Shortfall: before.Shortfall, Healthy: before.Healthy, CalledByAgent: true}
+func (ex *Executor) takeWorkerReport(heartbeat wire.WorkerHeartbeat) {
+	before := ex.worker.report
+	ex.worker.report = protocol.WorkerReport{
+		Rack:          heartbeat.Rack,
+		Kinds:         heartbeat.Kinds,
+		Capacity:      heartbeat.Capacity,
+		Labels:        heartbeat.Labels,
+		Shortfall:     before.Shortfall,
+		Healthy:       before.Healthy,
+		CalledByAgent: true,
+	}
+	report := &ex.worker.report
 	switch {
-	case b.Draining:
-		ex.setDraining(time.Duration(b.DepartsInMS) * time.Millisecond)
-	case ex.link.deregistered: // a late beat, or one of a worker that never says that it drains
-		ex.report.Draining, ex.report.DepartsInMS = true, before.DepartsInMS
+	case heartbeat.Draining:
+		ex.setDraining(time.Duration(heartbeat.DepartsInMS) * time.Millisecond)
+	case ex.link.deregistered: // a late heartbeat, or a worker that never announces that it drains
+		report.Draining, report.DepartsInMS = true, before.DepartsInMS
 	}
-	if ex.report.Draining != before.Draining || !before.Healthy {
-		ex.lastHeartbeatAt = never
+	if report.Draining != before.Draining || !before.Healthy {
+		ex.reports.heartbeatAt = never
 	}
 }
 
-// adoptIncarnation takes up a worker process. What it runs is asked before anything else.
-func (ex *Executor) adoptIncarnation(b wire.WorkerHeartbeat) {
-	c := ex.link
-	c.incarnation, c.addr, c.heartbeatSequence, c.successor, c.deregistered = b.Incarnation, b.Addr, b.Seq, nil, false
-	c.clock, c.clockReadAt, c.maxLeaseSent, c.newestListClock, c.acknowledgedEnd, c.unhealthyUntil, c.silent = b.ClockMS, ex.now, 0, 0, 0, never, false
-	c.shortUntil, c.shortBackoff = never, 0
-	c.fence, c.fenceConfirmed = uint64(max(b.ClockMS, 0))*fencesPerMillisecond, false
-	c.openHold, c.openQuery, c.nextHoldAt = 0, 0, never
-	clear(c.openEnds)
-	c.Counters.Lives++
-	ex.workerInstance, ex.workerHeardAt, ex.runningTasksKnown = b.Incarnation, ex.now, false
-	ex.updateReport(b)
+// adoptIncarnation takes up a worker process. Before anything else it is queried what it
+// runs.
+func (ex *Executor) adoptIncarnation(heartbeat wire.WorkerHeartbeat) {
+	ex.link.adopt(ex.now, heartbeat)
+	ex.worker.process, ex.worker.heardAt = heartbeat.Incarnation, ex.now
+	ex.worker.runningTasksKnown = false
+	ex.takeWorkerReport(heartbeat)
 	ex.makeDueCalls()
 }
 
-// endIncarnation gives up the worker's present process: nothing of it runs any more. If it
-// is gone, rather than out of reach for longer than its lease, it is not heard
-// again.
-func (ex *Executor) endIncarnation(gone bool) {
-	c := ex.link
-	if len(c.endedIncarnations) >= maxEndedIncarnations {
-		clear(c.endedIncarnations)
-	}
-	if gone {
-		c.endedIncarnations[c.incarnation] = true
-	}
-	c.incarnation, c.openHold, c.openQuery = "", 0, 0
-	clear(c.openCalls)
-	clear(c.openEnds)
-	for _, l := range ex.attemptsInOrder() {
-		if l.state != attemptEnded {
-			ex.endAttempt(l, state.OutcomeWorkerExited)
-		}
-		if l.committed {
-			ex.remove(l.spec.Attempt)
-		}
-	}
-	ex.report.Healthy, ex.lastHeartbeatAt = false, never
-	if c.successor != nil {
-		ex.adoptIncarnation(*c.successor)
+// endIncarnation gives up the present process, with which all its attempts have ended,
+// and adopts the one that has come after it, if any. For hasExited see workerLink.end.
+func (ex *Executor) endIncarnation(hasExited bool) {
+	ex.link.end(hasExited)
+	ex.endAllWithProcess()
+	ex.worker.report.Healthy = false
+	ex.reports.heartbeatAt = never
+	if ex.link.successor != nil {
+		ex.adoptIncarnation(*ex.link.successor)
 	}
 }
 
-// workerSilent tells whether a worker that is called is sick, or has said nothing since a
-// call that got no reply.
-func (ex *Executor) workerSilent() bool {
-	c := ex.link
-	return ex.now < c.unhealthyUntil || c.incarnation == "" || c.silent || ex.now.Sub(ex.workerHeardAt) > ex.longPollWait()+replyTimeout+ex.timeouts.UnhealthyAfter
+// linkUnhealthy reports whether a worker that is called has said that it is unhealthy,
+// or has not been heard although it was called.
+func (ex *Executor) linkUnhealthy() bool {
+	link := ex.link
+	if link.incarnation == "" || link.silent || ex.now < link.unhealthyUntil {
+		return true
+	}
+	maxSilence := ex.longPollWait() + replyTimeout + ex.timeouts.UnhealthyAfter
+	return ex.now.Sub(ex.worker.heardAt) > maxSilence
 }
--- a/internal/dispatch/executor/link_calls.go
+++ b/internal/dispatch/executor/link_calls.go
@@ -1,84 +1,171 @@
-// The calls that an agent makes to a worker that is called, and what their replies
-// mean. Each start is sent once. One that got no clear answer is unsure: a query
-// raises the fence, below which the worker starts nothing any more, and what it
-// then does not list was not started and never will be. Ends are settled at the
-// worker only once they are in the log. What the log has as lapsed when its end is
-// heard of stays lapsed: the worker does not count such an end either.
 package executor
 
 import (
+	"time"
+
 	"coppercourse/internal/state"
+	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 )
 
-// makeDueCalls makes the calls that are due.
+const (
+	// replyTimeout is how long a call's reply is waited for, beyond the time that the
+	// call itself waits at the worker.
+	replyTimeout = 250 * time.Millisecond
+	// renewalOverdueAfter is how long past its time a lease renewal is waited for before
+	// the next one is sent.
+	renewalOverdueAfter = 100 * time.Millisecond
+	// renewalRetryInterval is the time before the renewal after one that was rejected.
+	renewalRetryInterval = 100 * time.Millisecond
+	// commitTime is how long an end that has just been told may take to be committed; the
+	// next renewal waits for that, to acknowledge it.
+	commitTime = 60 * time.Millisecond
+)
+
+// openCall is a call that has no reply yet.
+type openCall struct {
+	wire.WorkerCall
+	sentAt types.MonoTime
+}
+
+// callTable holds the calls to a worker.
+type callTable struct {
+	lastNumber uint64
+	open       map[uint64]*openCall // by number
+	renewal    uint64               // number of the lease renewal that waits for an end, or 0
+	query      uint64               // number of the renewal that resolves unsure starts, or 0
+	nextAt     types.MonoTime       // earliest time of the next renewal or query
+	out        []wire.WorkerCall    // to make
+}
+
+// add numbers a call and puts it out.
+func (c *callTable) add(now types.MonoTime, call wire.WorkerCall) (number uint64) {
+	c.lastNumber++
+	call.Number = c.lastNumber
+	c.open[call.Number] = &openCall{WorkerCall: call, sentAt: now}
+	c.out = append(c.out, call)
+	return call.Number
+}
+
+// take returns the open call that a reply is to, or nil, and closes it.
+func (c *callTable) take(now types.MonoTime, number uint64) *openCall {
+	call := c.open[number]
+	if call == nil {
+		return nil
+	}
+	delete(c.open, number)
+	if c.renewal == number {
+		c.renewal, c.nextAt = 0, now
+	}
+	if c.query == number {
+		c.query = 0
+	}
+	return call
+}
+
+// TakeCalls returns the calls to make since it was last called. Each must be answered by
+// HandleWorkerReply, also if there was no reply.
+func (ex *Executor) TakeCalls() []wire.WorkerCall {
+	if ex.link == nil {
+		return nil
+	}
+	calls := ex.link.calls.out
+	ex.link.calls.out = nil
+	return calls
+}
+
+// makeDueCalls makes the calls to the worker that are due.
 func (ex *Executor) makeDueCalls() {
-	c := ex.link
-	if c == nil || c.incarnation == "" {
+	link := ex.link
+	if link == nil || link.incarnation == "" {
 		return
 	}
-	if c.successor != nil && ex.linkLeaseExpired() {
+	if link.successor != nil && ex.linkLeaseExpired() {
 		ex.endIncarnation(false)
 		return
 	}
-	unsure := !ex.runningTasksKnown || c.successor != nil
-	for _, l := range ex.attemptsInOrder() {
-		switch {
-		case l.state == attemptWaiting && !l.sentToWorker:
-			ex.startAttempt(l)
-		case (l.state == attemptStopping || l.runsAfterEnd) && (l.killAskedAt == 0 || ex.now.Sub(l.killAskedAt) >= ex.timeouts.RetryInterval):
-			l.killAskedAt = ex.now
-			c.Counters.Stops++
-			ex.callWorker(wire.WorkerCall{Kind: wire.StopAttempt, Attempt: l.spec.Attempt})
-		}
-		unsure = unsure || l.startUnsure
+	isUnsure := !ex.worker.runningTasksKnown || link.successor != nil
+	for _, a := range ex.attempts.inOrder() {
+		ex.startOrStop(a)
+		isUnsure = isUnsure || a.calls.startUnsure
 	}
-	if unsure && c.openQuery == 0 && ex.now >= c.nextHoldAt {
-		c.fence = max(c.fence+1, uint64(c.clock)*fencesPerMillisecond)
-		c.Counters.Queries++
-		c.openQuery = ex.callWorker(wire.WorkerCall{Kind: wire.RenewLease})
+	if isUnsure && link.calls.query == 0 && ex.now >= link.calls.nextAt {
+		link.fence.raise(link.clock.readingMS)
+		link.counters.Queries++
+		link.calls.query = ex.call(wire.WorkerCall{Kind: wire.RenewLease})
 	}
-	if f := c.openCalls[c.openHold]; f != nil && (ex.now.Sub(f.sentAt) > f.LongPollWait+holdOverdueAfter || f.LeaseEndMS == 0 && ex.nextLeaseEnd() > 0) {
-		c.openHold = 0 // it is late, or gave no lease where there may be one now
+	ex.renewWorkerLease()
+}
+
+// startOrStop starts an attempt at the worker or stops it, if that is due.
+func (ex *Executor) startOrStop(a *attempt) {
+	isStopDue := a.calls.stopCalledAt == 0 || ex.now.Sub(a.calls.stopCalledAt) >= ex.timeouts.RetryInterval
+	switch {
+	case a.state == attemptWaiting && !a.sentToWorker:
+		ex.start(a)
+	case (a.state == attemptStopping || a.runsAfterEnd) && isStopDue:
+		a.calls.stopCalledAt = ex.now
+		ex.link.counters.Stops++
+		ex.call(wire.WorkerCall{Kind: wire.StopAttempt, Attempt: a.spec.Attempt})
 	}
-	if c.openHold == 0 && c.openQuery == 0 && ex.now >= c.nextHoldAt && ex.runningTasksKnown {
-		wait := ex.longPollWait()
-		if c.acknowledgedEnd < c.highestEnd() {
-			wait = 0 // the worker lists at once what is not settled
-		}
-		c.openHold = ex.callWorker(wire.WorkerCall{Kind: wire.RenewLease, LongPollWait: wait})
+}
+
+// start has the worker start an attempt, once, as soon as it can have a lease. An attempt
+// that is too late for that ends.
+func (ex *Executor) start(a *attempt) {
+	if ex.now >= a.startBefore {
+		ex.endAttempt(a, state.OutcomeNeverRan)
+		return
 	}
+	if ex.nextLeaseEnd() == 0 || !ex.worker.runningTasksKnown {
+		return
+	}
+	a.sentToWorker = true
+	a.calls.startFence = ex.link.fence.token
+	ex.link.counters.Starts++
+	ex.call(wire.WorkerCall{
+		Kind:       wire.StartAttempt,
+		Attempt:    a.spec.Attempt,
+		Input:      a.spec.Input,
+		Checkpoint: a.spec.Checkpoint,
+	})
 }
 
-// startAttempt sends an order on to the worker, once, or lets it go past its time.
-func (ex *Executor) startAttempt(l *attempt) {
-	end := ex.nextLeaseEnd()
-	switch {
-	case ex.now >= l.startBefore:
-		ex.endAttempt(l, state.OutcomeNeverRan)
-	case end == 0 || !ex.runningTasksKnown:
-	default:
-		l.sentToWorker = true
-		l.startFence = ex.link.fence
-		ex.link.Counters.Starts++
-		ex.callWorker(wire.WorkerCall{Kind: wire.StartAttempt, Attempt: l.spec.Attempt, Input: l.spec.Input, Checkpoint: l.spec.Checkpoint})
+// renewWorkerLease renews the worker's lease by a call that waits there for an end,
+// unless one is waiting.
+func (ex *Executor) renewWorkerLease() {
+	calls := &ex.link.calls
+	if renewal := calls.open[calls.renewal]; renewal != nil {
+		isOverdue := ex.now.Sub(renewal.sentAt) > renewal.LongPollWait+renewalOverdueAfter
+		if isOverdue || renewal.LeaseEndMS == 0 && ex.nextLeaseEnd() > 0 {
+			calls.renewal = 0 // it is late, or gave no lease where there may be one now
+		}
+	}
+	if calls.renewal != 0 || calls.query != 0 || ex.now < calls.nextAt || !ex.worker.runningTasksKnown {
+		return
+	}
+	wait := ex.longPollWait()
+	if ex.link.ends.acknowledged < ex.link.ends.highest() {
+		wait = 0 // the worker replies at once with what is not acknowledged
 	}
+	calls.renewal = ex.call(wire.WorkerCall{Kind: wire.RenewLease, LongPollWait: wait})
 }
 
-// callWorker fills in what all calls have in common.
-func (ex *Executor) callWorker(w wire.WorkerCall) uint64 {
-	c := ex.link
-	c.lastCallNumber++
-	w.Number, w.Addr, w.Incarnation, w.FencingToken, w.Timeout = c.lastCallNumber, c.addr, c.incarnation, c.fence, replyTimeout+w.LongPollWait
-	if w.Kind != wire.StopAttempt && ex.runningTasksKnown {
-		w.LeaseEndMS = ex.nextLeaseEnd()
-	}
-	if w.Kind == wire.RenewLease {
-		w.AckedEnds = c.acknowledgedEnd
-		c.Counters.Holds++
-	}
-	c.openCalls[w.Number] = &openCall{w, ex.now}
-	c.maxLeaseSent = max(c.maxLeaseSent, w.LeaseEndMS)
-	c.outCalls = append(c.outCalls, w)
-	return w.Number
+// call makes a call to the worker, with what all calls have in common, and returns its
+// number.
+func (ex *Executor) call(call wire.WorkerCall) (number uint64) {
+	link := ex.link
+	call.Addr = link.addr
+	call.Incarnation = link.incarnation
+	call.FencingToken = link.fence.token
+	call.Timeout = replyTimeout + call.LongPollWait
+	if call.Kind != wire.StopAttempt && ex.worker.runningTasksKnown {
+		call.LeaseEndMS = ex.nextLeaseEnd()
+		link.maxLeaseEndSent = max(link.maxLeaseEndSent, call.LeaseEndMS)
+	}
+	if call.Kind == wire.RenewLease {
+		call.AckedEnds = link.ends.acknowledged
+		link.counters.Renewals++
+	}
+	return link.calls.add(ex.now, call)
 }
--- a/internal/dispatch/executor/link_capacity.go
+++ b/internal/dispatch/executor/link_capacity.go
@@ -1,37 +1,57 @@
 package executor
 
 import (
+	"time"
+
 	"coppercourse/internal/types"
 )
 
-// limitCapacity takes it that the worker turned a start away for want of room: for a while it
-// holds no more than what runs there now, for twice as long if it does so again soon.
-func (ex *Executor) limitCapacity() {
-	c := ex.link
-	switch since := ex.now.Sub(c.shortUntil); {
-	case since >= c.shortBackoff:
-		c.shortBackoff = minShortBackoff
+const (
+	// minCapacityBackoff is how long a worker that rejected a start for lack of capacity
+	// is given nothing beyond what runs there, the first time.
+	minCapacityBackoff = time.Second
+	maxCapacityBackoff = 16 * time.Second
+)
+
+// capacityLimit keeps tasks from a worker that has less capacity than it reports, for a
+// backoff that doubles with each rejection that follows soon.
+type capacityLimit struct {
+	proven  types.Resources // what ran there at the last rejection, or since
+	until   types.MonoTime  // the worker counts as having no more than proven until then
+	backoff time.Duration
+}
+
+// onRejected notes that the worker rejected a start while running was running there.
+func (c *capacityLimit) onRejected(now types.MonoTime, running types.Resources) {
+	since := now.Sub(c.until)
+	switch {
+	case since >= c.backoff:
+		c.backoff = minCapacityBackoff
 	case since >= 0:
-		c.shortBackoff = min(2*c.shortBackoff, maxShortBackoff)
+		c.backoff = min(2*c.backoff, maxCapacityBackoff)
 	}
-	c.provenCapacity, c.shortUntil = ex.runningResources(), ex.now.Add(c.shortBackoff)
+	c.proven, c.until = running, now.Add(c.backoff)
 }
 
-// runningResources is the room that what runs there takes.
-func (ex *Executor) runningResources() (r types.Resources) {
-	for _, l := range ex.attempts {
-		if l.state == attemptRunning || l.state == attemptStopping {
-			r = r.Add(l.spec.Resources)
-		}
+// onAccepted notes that the worker accepted a start, with which running runs there.
+func (c *capacityLimit) onAccepted(running types.Resources) {
+	if !c.proven.Contains(running) {
+		c.proven = running
 	}
-	return
 }
 
-// capacityShortfall is how much less room the worker is believed to have than it tells.
-func (ex *Executor) capacityShortfall() (r types.Resources) {
-	if c := ex.link; c != nil && ex.now < c.shortUntil {
-		r = ex.report.Capacity.Sub(c.provenCapacity)
-		r = types.Resources{Cores: max(0, r.Cores), MemoryMB: max(0, r.MemoryMB), Accelerators: max(0, r.Accelerators)}
+func (c *capacityLimit) isLimited(now types.MonoTime) bool { return now < c.until }
+
+// capacityShortfall returns how much less capacity the worker is taken to have than it
+// reports.
+func (ex *Executor) capacityShortfall() types.Resources {
+	if ex.link == nil || !ex.link.capacity.isLimited(ex.now) {
+		return types.Resources{}
+	}
+	missing := ex.worker.report.Capacity.Sub(ex.link.capacity.proven)
+	return types.Resources{
+		Cores:        max(0, missing.Cores),
+		MemoryMB:     max(0, missing.MemoryMB),
+		Accelerators: max(0, missing.Accelerators),
 	}
-	return
 }
--- a/internal/dispatch/executor/link_ends.go
+++ b/internal/dispatch/executor/link_ends.go
@@ -1,40 +1,67 @@
 package executor
 
-// dropAcknowledgedEnds drops the ends that the worker has dropped.
-func (ex *Executor) dropAcknowledgedEnds(seen uint64) {
-	c := ex.link
-	for n, e := range c.openEnds {
-		if n <= seen {
-			delete(c.openEnds, n)
-			if l := ex.attempts[e.attempt]; l != nil && l.committed {
-				ex.remove(e.attempt)
-			}
-		}
+import (
+	"coppercourse/internal/types"
+)
+
+// openEnd is an end that the worker has told and still lists.
+type openEnd struct {
+	attempt   types.AttemptID
+	committed bool
+}
+
+// endTable holds the ends that a worker process has told. The worker numbers them from 1,
+// and drops them as they are acknowledged, in that order.
+type endTable struct {
+	open         map[uint64]*openEnd // by number
+	acknowledged uint64              // all up to this one are committed, and are acknowledged
+}
+
+// highest returns the number of the highest end told.
+func (e *endTable) highest() uint64 {
+	highest := e.acknowledged
+	for number := range e.open {
+		highest = max(highest, number)
 	}
+	return highest
 }
 
-// acknowledgeEnd takes it that the log has an attempt's end; ends are settled at the worker
-// in their order.
-func (ex *Executor) acknowledgeEnd(l *attempt) {
-	c := ex.link
-	if e := c.openEnds[l.endNumber]; l.endNumber > 0 && e != nil {
-		e.committed = true
-		for c.openEnds[c.acknowledgedEnd+1] != nil && c.openEnds[c.acknowledgedEnd+1].committed {
-			c.acknowledgedEnd++
-		}
-		if c.acknowledgedEnd == c.highestEnd() {
-			c.nextHoldAt = ex.now
+// commit notes that an open end is committed, and acknowledges all that it can.
+func (e *endTable) commit(end *openEnd) {
+	end.committed = true
+	for {
+		next := e.open[e.acknowledged+1]
+		if next == nil || !next.committed {
+			return
 		}
+		e.acknowledged++
+	}
+}
+
+// acknowledgeEnd takes it that the log has an attempt's end. One that the worker does not
+// list is forgotten at once, any other once the worker has dropped it.
+func (ex *Executor) acknowledgeEnd(a *attempt) {
+	link := ex.link
+	end := link.ends.open[a.calls.endNumber]
+	if a.calls.endNumber == 0 || end == nil {
+		ex.attempts.remove(a.spec.Attempt)
 		return
 	}
-	ex.remove(l.spec.Attempt)
+	link.ends.commit(end)
+	if link.ends.acknowledged == link.ends.highest() {
+		link.calls.nextAt = ex.now
+	}
 }
 
-// highestEnd is the highest end that the worker has told.
-func (w *WorkerLink) highestEnd() uint64 {
-	n := w.acknowledgedEnd
-	for k := range w.openEnds {
-		n = max(n, k)
+// dropAcknowledgedEnds forgets the ends up to a number, which the worker has dropped.
+func (ex *Executor) dropAcknowledgedEnds(upTo uint64) {
+	for number, end := range ex.link.ends.open {
+		if number > upTo {
+			continue
+		}
+		delete(ex.link.ends.open, number)
+		if a := ex.attempts.byID[end.attempt]; a != nil && a.committed {
+			ex.attempts.remove(end.attempt)
+		}
 	}
-	return n
 }
--- a/internal/dispatch/executor/link_ends_test.go
+++ b/internal/dispatch/executor/link_ends_test.go
@@ -16,11 +16,11 @@
 func TestOneLookForEachEnd(t *testing.T) {
 	is, r := is.New(t), newReadyRig(t, 3)
 	for i := range 10 {
-		was := r.executor.WorkerLease().Counters.Holds
+		was := r.executor.WorkerLease().Counters.Renewals
 		r.runTask(attempt("a", i+1), `{"ms":200}`)
 		r.advance(400 * ms)
 		is.Equal(r.committed[attempt("a", i+1)], state.OutcomeOK)
-		is.True(r.executor.WorkerLease().Counters.Holds <= was+2) // the one that waits may run out besides
+		is.True(r.executor.WorkerLease().Counters.Renewals <= was+2) // the one that waits may run out besides
 	}
 }
 
--- a/internal/dispatch/executor/link_replies.go
+++ b/internal/dispatch/executor/link_replies.go
@@ -7,190 +7,216 @@
 	"coppercourse/internal/wire"
 )
 
-// HandleWorkerReply takes the reply to a call, or that there was none.
-func (ex *Executor) HandleWorkerReply(now types.MonoTime, r wire.WorkerReply) {
+// maxEndsPerReply is the number of ends from which a worker's list may not be complete.
+const maxEndsPerReply = 500
+
+var replyHandlers = map[wire.CallKind]func(*Executor, *openCall, wire.WorkerReply){
+	wire.StartAttempt: (*Executor).onStartReply,
+	wire.StopAttempt:  (*Executor).onStopReply,
+	wire.RenewLease:   (*Executor).onRenewalReply,
+}
+
+// HandleWorkerReply takes the reply to a call, or wire.ResultNoReply.
+func (ex *Executor) HandleWorkerReply(now types.MonoTime, reply wire.WorkerReply) {
 	ex.now = now
-	c := ex.link
-	if c == nil || c.openCalls[r.Number] == nil {
+	if ex.link == nil {
 		return
 	}
-	f := c.openCalls[r.Number]
-	delete(c.openCalls, r.Number)
-	if c.openHold == r.Number {
-		c.openHold, c.nextHoldAt = 0, now
-	}
-	if c.openQuery == r.Number {
-		c.openQuery = 0
+	call := ex.link.calls.take(now, reply.Number)
+	if call == nil {
+		return
 	}
-	if r.Result == wire.ResultOtherIncarnation {
+	if reply.Result == wire.ResultOtherIncarnation {
 		ex.endIncarnation(true)
 		return
 	}
-	if r.ClockMS > 0 && f.sentAt >= c.successorSeenAt {
-		c.successor = nil
-	}
-	switch {
-	case r.ClockMS == 0:
-		c.Counters.Silent++
-		c.silent = c.silent || ex.workerHeardAt <= f.sentAt
-		replyHandlers[f.Kind](ex, f, r)
-	case !c.fenceConfirmed: // a beat's reading may be old, and a fence made of it no higher than an earlier agent's
-		c.fenceConfirmed, c.fence = true, max(c.fence, uint64(r.ClockMS)*fencesPerMillisecond)
-		ex.readClock(r.ClockMS)
-		ex.workerHeardAt, c.silent = now, false
-	default:
-		ex.readClock(r.ClockMS)
-		ex.workerHeardAt, c.silent = now, false
-		replyHandlers[f.Kind](ex, f, r)
+	if ex.noteReply(call, reply) {
+		replyHandlers[call.Kind](ex, call, reply)
 	}
 	ex.makeDueCalls()
 	ex.sendReports()
 }
 
-var replyHandlers = map[wire.CallKind]func(*Executor, *openCall, wire.WorkerReply){
-	wire.StartAttempt: (*Executor).onStartReply,
-	wire.StopAttempt:  (*Executor).onStopReply,
-	wire.RenewLease:   (*Executor).onHoldReply,
+// noteReply takes in what any reply, or the lack of one, shows of the worker process. It
+// returns whether the reply itself is to be taken. The first one is not: the call went
+// out under a fencing token that may not have been above those of an earlier agent.
+func (ex *Executor) noteReply(call *openCall, reply wire.WorkerReply) bool {
+	link := ex.link
+	if reply.ClockMS == 0 {
+		link.counters.NoReply++
+		link.silent = link.silent || ex.worker.heardAt <= call.sentAt
+		return true
+	}
+	if reply.ClockMS > 0 && call.sentAt >= link.successorSeenAt {
+		link.successor = nil // the present process lives
+	}
+	wasConfirmed := link.fence.confirmed
+	if !wasConfirmed {
+		link.fence.confirmed = true
+		link.fence.catchUp(reply.ClockMS)
+	}
+	link.clock.read(ex.now, reply.ClockMS)
+	ex.worker.heardAt = ex.now
+	link.silent = false
+	return wasConfirmed
 }
 
-// onStartReply takes the reply to a start.
-func (ex *Executor) onStartReply(f *openCall, r wire.WorkerReply) {
-	l := ex.attempts[f.Attempt]
-	if l == nil || l.state == attemptEnded {
+func (ex *Executor) onStartReply(call *openCall, reply wire.WorkerReply) {
+	a := ex.attempts.byID[call.Attempt]
+	if a == nil || a.state == attemptEnded {
 		return
 	}
-	switch r.Result {
+	switch reply.Result {
 	case wire.ResultAccepted:
-		if l.state == attemptWaiting {
-			l.state, l.startedAt = attemptRunning, ex.now
+		if a.state == attemptWaiting {
+			a.state, a.startedAt = attemptRunning, ex.now
 		}
-		l.seenRunningAt = ex.now
-		if c := ex.link; ex.now < c.shortUntil && !c.provenCapacity.Contains(ex.runningResources()) {
-			c.provenCapacity = ex.runningResources()
+		a.calls.seenRunningAt = ex.now
+		if ex.link.capacity.isLimited(ex.now) {
+			ex.link.capacity.onAccepted(ex.attempts.runningResources())
 		}
+		return
 	case wire.ResultNoReply:
-		l.startUnsure = true
-	default:
-		if r.Result == wire.ResultNoCapacity {
-			ex.limitCapacity()
-		}
-		if r.Result == wire.ResultUnhealthy || r.Result == wire.ResultNotListening {
-			ex.link.unhealthyUntil, ex.lastHeartbeatAt = ex.now.Add(ex.timeouts.UnhealthyAfter), never
-		}
-		ex.endAttempt(l, state.OutcomeNeverRan)
+		a.calls.startUnsure = true
+		return
+	case wire.ResultNoCapacity:
+		ex.link.capacity.onRejected(ex.now, ex.attempts.runningResources())
+	case wire.ResultUnhealthy, wire.ResultNotListening:
+		ex.link.unhealthyUntil = ex.now.Add(ex.timeouts.UnhealthyAfter)
+		ex.reports.heartbeatAt = never
 	}
+	ex.endAttempt(a, state.OutcomeNeverRan)
 }
 
-func (ex *Executor) onStopReply(f *openCall, r wire.WorkerReply) {
-	if l := ex.attempts[f.Attempt]; l != nil && r.Result == wire.ResultAccepted {
-		l.killAcceptedAt = max(l.killAcceptedAt, ex.now)
+func (ex *Executor) onStopReply(call *openCall, reply wire.WorkerReply) {
+	a := ex.attempts.byID[call.Attempt]
+	if a != nil && reply.Result == wire.ResultAccepted {
+		a.calls.stopAcceptedAt = max(a.calls.stopAcceptedAt, ex.now)
 	}
 }
 
-// onHoldReply takes the reply to a hold: what runs, and what has ended.
-func (ex *Executor) onHoldReply(f *openCall, r wire.WorkerReply) {
-	c := ex.link
+// onRenewalReply takes the reply to a lease renewal or query: what runs, and what has
+// ended.
+func (ex *Executor) onRenewalReply(call *openCall, reply wire.WorkerReply) {
+	link := ex.link
 	switch {
-	case r.Result == wire.ResultFenced:
-		c.fence = max(c.fence, uint64(c.clock)*fencesPerMillisecond)
+	case reply.Result == wire.ResultFenced:
+		link.fence.catchUp(link.clock.readingMS)
 		return
-	case r.Result != wire.ResultAccepted:
-		c.nextHoldAt = ex.now.Add(holdRetryInterval)
+	case reply.Result != wire.ResultAccepted:
+		link.calls.nextAt = ex.now.Add(renewalRetryInterval)
 		return
 	}
-	runs := map[types.AttemptID]bool{}
-	if len(r.Ended) > 0 { // those before it were settled, maybe by an earlier agent
-		c.acknowledgedEnd = max(c.acknowledgedEnd, r.Ended[0].Number-1)
-	}
-	for _, e := range r.Ended {
-		runs[e.Attempt] = true
-		if e.Number > c.acknowledgedEnd && c.openEnds[e.Number] == nil {
-			ex.recordEnd(e)
+	listed := map[types.AttemptID]bool{}
+	ex.takeEnded(reply.Ended, listed)
+	isComplete := len(reply.Ended) < maxEndsPerReply
+	if reply.ClockMS >= link.newestListClock { // not one that crossed a newer reply
+		link.newestListClock = reply.ClockMS
+		ex.takeRunning(reply.Running, listed)
+		if isComplete {
+			ex.resolveUnlisted(call, listed)
 		}
 	}
-	if r.ClockMS >= c.newestListClock {
-		c.newestListClock = r.ClockMS
-		for _, x := range r.Running {
-			runs[x.Attempt] = true
-			ex.recordRunning(x)
-		}
-		if len(r.Ended) < maxEndsPerReply {
-			ex.resolveUnlisted(f, runs)
-		}
+	ex.dropAcknowledgedEnds(call.AckedEnds)
+	ex.worker.runningTasksKnown = ex.worker.runningTasksKnown || isComplete
+	if len(link.ends.open) > 0 {
+		link.calls.nextAt = ex.now.Add(commitTime)
 	}
-	ex.dropAcknowledgedEnds(f.AckedEnds)
-	ex.runningTasksKnown = ex.runningTasksKnown || len(r.Ended) < maxEndsPerReply
-	if len(c.openEnds) > 0 {
-		c.nextHoldAt = ex.now.Add(commitTime)
+}
+
+// takeEnded takes the ends that the worker lists. Those before the first one were
+// acknowledged, perhaps by an earlier agent.
+func (ex *Executor) takeEnded(ended []wire.EndedAttempt, listed map[types.AttemptID]bool) {
+	ends := &ex.link.ends
+	if len(ended) > 0 {
+		ends.acknowledged = max(ends.acknowledged, ended[0].Number-1)
+	}
+	for _, end := range ended {
+		listed[end.Attempt] = true
+		if end.Number > ends.acknowledged && ends.open[end.Number] == nil {
+			ex.takeEnd(end)
+		}
 	}
 }
 
-var outcomesByEnding = map[wire.EndReason]state.Outcome{wire.EndSucceeded: state.OutcomeOK, wire.EndFailed: state.OutcomeFailed, wire.EndStopped: state.OutcomeStopped,
-	wire.EndLeaseExpired: state.OutcomeLeaseExpired, wire.EndGangMemberEnded: state.OutcomeStopped, wire.EndGangStartTimeout: state.OutcomeStopped}
+// outcomeOf returns the outcome of an end. One for an unknown reason does not count.
+func outcomeOf(reason wire.EndReason) state.Outcome {
+	switch reason {
+	case wire.EndSucceeded:
+		return state.OutcomeOK
+	case wire.EndFailed:
+		return state.OutcomeFailed
+	case wire.EndStopped, wire.EndGangMemberEnded, wire.EndGangStartTimeout:
+		return state.OutcomeStopped
+	}
+	return state.OutcomeLeaseExpired
+}
 
-// recordEnd takes an end that the worker tells for the first time. It counts even if
-// the lease may have ended since, unless the log has the attempt as lapsed by then:
-// then its task may be elsewhere.
-func (ex *Executor) recordEnd(e wire.EndedAttempt) {
-	c := ex.link
-	c.openEnds[e.Number] = &openEnd{attempt: e.Attempt}
-	l := ex.attempts[e.Attempt]
-	if l == nil {
-		l = &attempt{spec: protocol.AttemptSpec{Attempt: e.Attempt}, state: attemptRunning}
-		ex.add(l)
-	}
-	l.runsAfterEnd, l.startUnsure, l.endNumber = false, false, e.Number
-	if l.state == attemptEnded {
-		if l.committed {
-			ex.acknowledgeEnd(l)
-		}
+// takeEnd takes an end that the worker tells for the first time. It counts even if the
+// lease may have expired since, unless the attempt has ended here by that: then its task
+// may be running elsewhere.
+func (ex *Executor) takeEnd(end wire.EndedAttempt) {
+	ex.link.ends.open[end.Number] = &openEnd{attempt: end.Attempt}
+	a := ex.attempts.byID[end.Attempt]
+	if a == nil {
+		a = ex.addFound(protocol.RunningTask{Attempt: end.Attempt})
+	}
+	a.runsAfterEnd = false
+	a.calls.startUnsure = false
+	a.calls.endNumber = end.Number
+	if a.state != attemptEnded {
+		a.checkpoint = end.Checkpoint
+		ex.endAttempt(a, outcomeOf(end.Reason))
 		return
 	}
-	f := outcomesByEnding[e.Reason]
-	if f == "" {
-		f = state.OutcomeLeaseExpired
+	if a.committed {
+		ex.acknowledgeEnd(a)
 	}
-	l.checkpoint = e.Checkpoint
-	ex.endAttempt(l, f)
 }
 
-// recordRunning takes an attempt that the worker tells to be running. One that has ended
-// here, or that nobody sent since the worker told all, is stopped.
-func (ex *Executor) recordRunning(x wire.RunningAttempt) {
-	l := ex.attempts[x.Attempt]
-	if l == nil {
-		l = &attempt{spec: protocol.AttemptSpec{Attempt: x.Attempt}, state: attemptRunning, startedAt: ex.now}
-		if ex.runningTasksKnown {
-			l.state = attemptStopping
+// takeRunning takes the attempts that the worker says run. One that has ended here, or
+// that nobody sent since the worker told all that it runs, is stopped.
+func (ex *Executor) takeRunning(running []wire.RunningAttempt, listed map[types.AttemptID]bool) {
+	for _, run := range running {
+		listed[run.Attempt] = true
+		a := ex.attempts.byID[run.Attempt]
+		if a == nil {
+			a = ex.addFound(protocol.RunningTask{Attempt: run.Attempt})
+			a.startedAt = ex.now
+			if ex.worker.runningTasksKnown {
+				a.state = attemptStopping
+			}
 		}
-		ex.add(l)
-	}
-	if l.state == attemptWaiting {
-		l.state, l.startedAt = attemptRunning, ex.now
-	}
-	l.runsAfterEnd = l.state == attemptEnded && l.endNumber == 0
-	if x.Checkpoint != l.checkpoint {
-		l.checkpoint, l.checkpointAt = x.Checkpoint, ex.now
-	}
-	if x.Percent != l.percentDone || l.progressReadAt == 0 {
-		l.percentDone, l.progressChangedAt = x.Percent, ex.now
+		if a.state == attemptWaiting {
+			a.state, a.startedAt = attemptRunning, ex.now
+		}
+		a.runsAfterEnd = a.state == attemptEnded && a.calls.endNumber == 0
+		if run.Checkpoint != a.checkpoint {
+			a.checkpoint, a.checkpointAt = run.Checkpoint, ex.now
+		}
+		a.progress.update(ex.now, run.Percent)
+		a.calls.seenRunningAt, a.calls.startUnsure = ex.now, false
 	}
-	l.seenRunningAt, l.startUnsure, l.progressReadAt = ex.now, false, ex.now
 }
 
-// resolveUnlisted judges what a reply does not list: it can't be running, if the reply was
-// asked for after it was known to run, after it was turned away, or by a query
-// that raised the fence above it.
-func (ex *Executor) resolveUnlisted(f *openCall, listed map[types.AttemptID]bool) {
-	for _, l := range ex.attemptsInOrder() {
-		if listed[l.spec.Attempt] || l.state == attemptEnded || !l.sentToWorker && l.state == attemptWaiting {
+// resolveUnlisted ends attempts that a complete reply does not list, as far as the reply
+// shows that they can't be running: those that were known to run before the call, and
+// those that were not yet but whose stop was accepted before it, or whose start it has
+// fenced off.
+func (ex *Executor) resolveUnlisted(call *openCall, listed map[types.AttemptID]bool) {
+	for _, a := range ex.attempts.inOrder() {
+		isUnsent := a.state == attemptWaiting && !a.sentToWorker
+		if listed[a.spec.Attempt] || a.state == attemptEnded || isUnsent {
 			continue
 		}
+		hasRun := a.calls.seenRunningAt > 0
+		isStopped := a.calls.stopAcceptedAt > 0 && a.calls.stopAcceptedAt < call.sentAt
+		isFencedOff := call.FencingToken > a.calls.startFence
 		switch {
-		case l.seenRunningAt > 0 && l.seenRunningAt < f.sentAt:
-			ex.endAttempt(l, state.OutcomeWorkerExited)
-		case l.seenRunningAt == 0 && (f.FencingToken > l.startFence || l.killAcceptedAt > 0 && l.killAcceptedAt < f.sentAt):
-			ex.endAttempt(l, state.OutcomeNeverRan)
+		case hasRun && a.calls.seenRunningAt < call.sentAt:
+			ex.endAttempt(a, state.OutcomeWorkerExited)
+		case !hasRun && (isFencedOff || isStopped):
+			ex.endAttempt(a, state.OutcomeNeverRan)
 		}
 	}
 }
--- a/internal/dispatch/executor/polling.go
+++ b/internal/dispatch/executor/polling.go
@@ -8,119 +8,190 @@
 	"coppercourse/internal/types"
 )
 
-// HandlePoll takes a worker's call; false means that it is not to be answered.
-func (ex *Executor) HandlePoll(now types.MonoTime, p protocol.Poll) bool {
+// pollSession is the exchange with a worker that polls.
+type pollSession struct {
+	lastCall uint64         // number of the worker's latest call
+	sentAt   types.MonoTime // when it was sent, on the worker's clock
+	// leaseBase is when a whole WorkerLease would have had to be granted to end with the
+	// worker's lease; the agent's start counts as one, for the agent before it.
+	leaseBase types.MonoTime
+	// hasUpdate is set when there is something to tell the worker.
+	hasUpdate bool
+}
+
+// HandlePoll takes a worker's call, which must be valid. It returns false for a call that
+// must not be replied to: one that is older than the latest, or of another worker process
+// while the present one may still hold a lease.
+func (ex *Executor) HandlePoll(now types.MonoTime, poll protocol.Poll) bool {
 	ex.now = now
-	if p.Worker != ex.workerInstance {
-		if ex.workerInstance != "" && !ex.workerLeaseExpired() {
+	switch {
+	case poll.Worker == ex.worker.process:
+		if poll.Call <= ex.polls.lastCall {
 			return false
 		}
-		ex.replaceWorker(p)
-	} else if p.Call <= ex.lastCall {
+	case ex.worker.process == "" || ex.polledLeaseExpired():
+		ex.replacePollingProcess(poll)
+	default:
 		return false
 	}
-	ex.lastCall, ex.workerHeardAt, ex.workerSentAt, ex.runningTasksKnown = p.Call, now, p.SentAt, true
-	if p.Draining != ex.report.Draining || !ex.report.Healthy {
-		ex.lastHeartbeatAt = never
-	}
-	ex.report = protocol.WorkerReport{Rack: p.Rack, Kinds: p.Kinds, Capacity: p.Capacity, Draining: p.Draining, DepartsInMS: p.DepartsInMS, Healthy: true}
-	ex.workerDepartsAt = now.Add(time.Duration(p.DepartsInMS) * time.Millisecond)
-	runs := map[types.AttemptID]bool{}
-	for _, r := range p.Running {
-		runs[r.Attempt] = true
-		l := ex.attempts[r.Attempt]
-		if l == nil {
-			l = &attempt{spec: protocol.AttemptSpec{Attempt: r.Attempt, Resources: r.Resources}, state: attemptRunning, startedAt: now}
-			ex.add(l)
-		}
-		if l.state == attemptWaiting {
-			l.state, l.startedAt = attemptRunning, now
+	ex.takePollReport(poll)
+	listed := map[types.AttemptID]bool{}
+	ex.takePolledRunning(poll.Running, listed)
+	ex.takePolledEnds(poll.Ended, listed)
+	ex.endUnlisted(listed)
+	return true
+}
+
+// replacePollingProcess takes up another worker process in place of the last, with which
+// all its attempts have ended.
+func (ex *Executor) replacePollingProcess(poll protocol.Poll) {
+	for _, a := range ex.attempts.sorted {
+		if a.state == attemptEnded && a.outcome == state.OutcomeLost {
+			ex.endAttempt(a, state.OutcomeWorkerExited)
 		}
-		l.runsAfterEnd = l.state == attemptEnded
 	}
-	for _, e := range p.Ended {
-		l := ex.attempts[e.Attempt]
-		if l == nil {
-			l = &attempt{spec: protocol.AttemptSpec{Attempt: e.Attempt, Resources: e.Resources}, state: attemptRunning}
-			ex.add(l)
+	ex.endAllWithProcess()
+	if ex.worker.process == "" {
+		ex.association.previousInstance = poll.Agent
+	}
+	ex.worker.process = poll.Worker
+}
+
+func (ex *Executor) takePollReport(poll protocol.Poll) {
+	ex.polls.lastCall, ex.polls.sentAt = poll.Call, poll.SentAt
+	ex.worker.heardAt, ex.worker.runningTasksKnown = ex.now, true
+	if poll.Draining != ex.worker.report.Draining || !ex.worker.report.Healthy {
+		ex.reports.heartbeatAt = never
+	}
+	ex.worker.report = protocol.WorkerReport{
+		Rack:        poll.Rack,
+		Kinds:       poll.Kinds,
+		Capacity:    poll.Capacity,
+		Draining:    poll.Draining,
+		DepartsInMS: poll.DepartsInMS,
+		Healthy:     true,
+	}
+	ex.worker.departsAt = ex.now.Add(time.Duration(poll.DepartsInMS) * time.Millisecond)
+}
+
+// takePolledRunning takes the attempts that the worker says run. One that has ended here
+// is stopped.
+func (ex *Executor) takePolledRunning(tasks []protocol.RunningTask, listed map[types.AttemptID]bool) {
+	for _, task := range tasks {
+		listed[task.Attempt] = true
+		a := ex.attempts.byID[task.Attempt]
+		if a == nil {
+			a = ex.addFound(task)
+			a.startedAt = ex.now
 		}
-		if l.state != attemptEnded || l.outcome == state.OutcomeLost || e.Outcome == state.OutcomeOK && l.outcome != state.OutcomeOK {
-			ex.endAttempt(l, e.Outcome)
+		if a.state == attemptWaiting {
+			a.state, a.startedAt = attemptRunning, ex.now
 		}
-		l.runsAfterEnd, runs[e.Attempt] = false, true
+		a.runsAfterEnd = a.state == attemptEnded
 	}
-	for _, l := range ex.attemptsInOrder() {
-		if runs[l.spec.Attempt] {
-			continue
+}
+
+// takePolledEnds takes the ends that the worker lists. The true end of an attempt that
+// was lost counts, and so does a good end against any other.
+func (ex *Executor) takePolledEnds(tasks []protocol.EndedTask, listed map[types.AttemptID]bool) {
+	for _, task := range tasks {
+		listed[task.Attempt] = true
+		a := ex.attempts.byID[task.Attempt]
+		if a == nil {
+			a = ex.addFound(task.RunningTask)
 		}
-		switch {
-		case l.state == attemptRunning, l.state == attemptStopping && l.startedAt != 0:
-			ex.endAttempt(l, state.OutcomeWorkerExited)
-		case l.state == attemptStopping:
-			ex.endAttempt(l, state.OutcomeNeverRan)
-		case l.state == attemptWaiting && now >= l.startBefore:
-			ex.endAttempt(l, state.OutcomeNeverRan)
-		case l.state == attemptEnded && l.outcome == state.OutcomeLost:
-			ex.endAttempt(l, state.OutcomeWorkerExited)
-		case l.state == attemptEnded && l.committed:
-			ex.remove(l.spec.Attempt)
+		isBetter := task.Outcome == state.OutcomeOK && a.outcome != state.OutcomeOK
+		if a.state != attemptEnded || a.outcome == state.OutcomeLost || isBetter {
+			ex.endAttempt(a, task.Outcome)
 		}
+		a.runsAfterEnd = false
 	}
-	return true
 }
 
-// replaceWorker takes another worker process in place of the last, all of whose attempts
-// have ended with it.
-func (ex *Executor) replaceWorker(p protocol.Poll) {
-	for _, l := range ex.attemptsInOrder() {
-		if l.state != attemptEnded || l.outcome == state.OutcomeLost {
-			ex.endAttempt(l, state.OutcomeWorkerExited)
+// addFound adds an attempt that the worker lists and the agent did not know.
+func (ex *Executor) addFound(task protocol.RunningTask) *attempt {
+	spec := protocol.AttemptSpec{Attempt: task.Attempt, Resources: task.Resources}
+	a := &attempt{spec: spec, state: attemptRunning}
+	ex.attempts.add(a)
+	return a
+}
+
+// endUnlisted ends the attempts that a poll does not list although the worker had been
+// told of them, and forgets those that the worker has dropped.
+func (ex *Executor) endUnlisted(listed map[types.AttemptID]bool) {
+	for _, a := range ex.attempts.inOrder() {
+		if listed[a.spec.Attempt] {
+			continue
 		}
-		if l.committed {
-			ex.remove(l.spec.Attempt)
+		hasRun := a.startedAt != 0
+		switch {
+		case a.state == attemptRunning, a.state == attemptStopping && hasRun:
+			ex.endAttempt(a, state.OutcomeWorkerExited)
+		case a.state == attemptStopping:
+			ex.endAttempt(a, state.OutcomeNeverRan)
+		case a.state == attemptWaiting && ex.now >= a.startBefore:
+			ex.endAttempt(a, state.OutcomeNeverRan)
+		case a.state == attemptEnded && a.outcome == state.OutcomeLost:
+			ex.endAttempt(a, state.OutcomeWorkerExited)
+		case a.state == attemptEnded && a.committed:
+			ex.attempts.remove(a.spec.Attempt)
 		}
 	}
-	if ex.workerInstance == "" {
-		ex.previousInstance = p.Agent
-	}
-	ex.workerInstance = p.Worker
 }
 
-// ReplyToPoll makes the answer to the worker's latest call.
+// ReplyToPoll returns the reply to the worker's latest call.
 func (ex *Executor) ReplyToPoll(now types.MonoTime) protocol.PollReply {
-	ex.now, ex.hasUpdate = now, false
-	left := min(ex.timeouts.WorkerLease, ex.leaseUntil.Sub(now))
-	if ex.state == protocol.WorkerMustDie || left < 0 {
-		left = 0
+	ex.now = now
+	ex.polls.hasUpdate = false
+	lease := ex.nextPolledLease()
+	reply := protocol.PollReply{
+		Agent:      ex.association.instance,
+		Call:       ex.polls.lastCall,
+		LeaseUntil: ex.polls.sentAt.Add(lease),
 	}
-	a := protocol.PollReply{Agent: ex.instance, Call: ex.lastCall, LeaseUntil: ex.workerSentAt.Add(left)}
-	if left > 0 {
-		ex.workerLeaseBase = max(ex.workerLeaseBase, now.Add(left-ex.timeouts.WorkerLease))
+	if lease > 0 {
+		ex.polls.leaseBase = max(ex.polls.leaseBase, now.Add(lease-ex.timeouts.WorkerLease))
 	}
-	for _, l := range ex.attemptsInOrder() {
+	for _, a := range ex.attempts.sorted {
 		switch {
-		case l.state == attemptWaiting && left > 0 && now < l.startBefore:
-			a.Start = append(a.Start, l.spec)
-			l.sentToWorker = true
-		case l.state == attemptStopping, l.runsAfterEnd:
-			a.Stop = append(a.Stop, l.spec.Attempt)
-		case l.state == attemptEnded && l.committed:
-			a.Committed = append(a.Committed, l.spec.Attempt)
+		case a.state == attemptWaiting && lease > 0 && now < a.startBefore:
+			reply.Start = append(reply.Start, a.spec)
+			a.sentToWorker = true
+		case a.state == attemptStopping, a.runsAfterEnd:
+			reply.Stop = append(reply.Stop, a.spec.Attempt)
+		case a.state == attemptEnded && a.committed:
+			reply.Committed = append(reply.Committed, a.spec.Attempt)
 		}
 	}
-	return a
+	return reply
+}
+
+// nextPolledLease returns how long the worker may run tasks from its latest call: a
+// WorkerLease, but not past the end of the agent's lease.
+func (ex *Executor) nextPolledLease() time.Duration {
+	lease := min(ex.timeouts.WorkerLease, ex.health.leaseUntil.Sub(ex.now))
+	if ex.health.state == protocol.WorkerMustDie || lease < 0 {
+		return 0
+	}
+	return lease
 }
 
-// HasUpdate tells whether the worker's call should be answered now.
-func (ex *Executor) HasUpdate() bool { return ex.hasUpdate }
+// HasUpdate reports whether a worker's call that is held should be replied to now.
+func (ex *Executor) HasUpdate() bool { return ex.polls.hasUpdate }
+
+// polledLeaseExpired reports whether the worker's last lease has surely ended and the
+// worker has had the time to stop.
+func (ex *Executor) polledLeaseExpired() bool {
+	return ex.now.Sub(ex.polls.leaseBase) > ex.timeouts.WorkerLease+protocol.WorkerStopTime
+}
 
-// workerLeaseExpired is true when the worker's last grant has surely ended, and it has had
-// the time to stop.
-func (ex *Executor) workerLeaseExpired() bool {
-	return ex.now.Sub(ex.workerLeaseBase) > ex.timeouts.WorkerLease+protocol.WorkerStopTime
+// polledWorkerSilent reports whether the worker has not called for so long that it counts
+// as unhealthy; that is before the agent itself would.
+func (ex *Executor) polledWorkerSilent() bool {
+	return ex.now.Sub(ex.worker.heardAt) >= ex.timeouts.UnhealthyAfter*6/10
 }
 
-// Worker gives the time since the worker's last call.
+// SinceLastHeard returns the time since the worker was last heard.
 func (ex *Executor) SinceLastHeard(now types.MonoTime) time.Duration {
-	return now.Sub(ex.workerHeardAt)
+	return now.Sub(ex.worker.heardAt)
 }
--- /dev/null
+++ b/internal/dispatch/executor/progress.go
@@ -0,0 +1,73 @@
+package executor
+
+import (
+	"time"
+
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/types"
+)
+
+const (
+	// minRunTime is how long an attempt must have run for an estimate.
+	minRunTime = 60 * time.Millisecond
+	// stallTime is after how long without progress an attempt counts as stalled.
+	stallTime = 300 * time.Millisecond
+	// stalledFactor is how many times its time so far a stalled attempt is estimated to
+	// take.
+	stalledFactor = 10
+	// reestimateRatio is the change from which an estimate is reported again.
+	reestimateRatio = 1.3
+)
+
+// progress is how far an attempt is, as its worker tells.
+type progress struct {
+	percent   float64
+	readAt    types.MonoTime // when the worker last told, 0 if never
+	changedAt types.MonoTime // when percent last changed
+	// reported is the estimate of the attempt's duration that was last reported.
+	reported time.Duration
+}
+
+func (p *progress) update(now types.MonoTime, percent float64) {
+	if percent != p.percent || p.readAt == 0 {
+		p.percent, p.changedAt = percent, now
+	}
+	p.readAt = now
+}
+
+// estimateDuration returns how long an attempt will take from start to end, or 0 if
+// there is no telling.
+func (a *attempt) estimateDuration(now types.MonoTime) time.Duration {
+	p := a.progress
+	ran := p.readAt.Sub(a.startedAt)
+	switch {
+	case a.state != attemptRunning || p.readAt == 0 || ran < minRunTime:
+		return 0
+	case p.percent <= 0 && now.Sub(p.changedAt) < 2*stallTime:
+		return 0 // it may wait for the other members of its gang
+	case now.Sub(p.changedAt) > stallTime && p.readAt.Sub(p.changedAt) > stallTime:
+		return stalledFactor * ran
+	case p.percent <= 0:
+		return 0
+	}
+	return time.Duration(float64(ran) * 100 / p.percent)
+}
+
+// durationEstimates lists the estimates that are new or have changed much since they
+// were last reported.
+func (ex *Executor) durationEstimates() []protocol.DurationEstimate {
+	var list []protocol.DurationEstimate
+	for _, a := range ex.attempts.sorted {
+		estimate := a.estimateDuration(ex.now)
+		if estimate == 0 || a.progress.reported > 0 && isSimilar(estimate, a.progress.reported) {
+			continue
+		}
+		a.progress.reported = estimate
+		list = append(list, protocol.DurationEstimate{Attempt: a.spec.Attempt, MS: estimate.Milliseconds()})
+	}
+	return list
+}
+
+func isSimilar(a, b time.Duration) bool {
+	return float64(a) < reestimateRatio*float64(b) && float64(b) < reestimateRatio*float64(a)
+}
--- a/internal/dispatch/executor/protocol_test.go
+++ b/internal/dispatch/executor/protocol_test.go
@@ -111,12 +111,12 @@
 		t.now = t.now.Add(50 * ms)
 		for _, h := range t.executors {
 			var runs []types.AttemptID
-			for _, l := range h.attemptsInOrder() {
+			for _, l := range h.attempts.inOrder() {
 				if l.state != attemptEnded {
 					runs = append(runs, l.spec.Attempt)
 				}
 			}
-			t.poll(h, h.lastCall+1, runs...)
+			t.poll(h, h.polls.lastCall+1, runs...)
 			h.Tick(t.now, "h")
 		}
 		t.scheduler.Tick(t.now, time.Second)
@@ -151,36 +151,36 @@
 	late := b.deliver(ofKind(wire.RunTask))
 	is.Equal(len(late), 1)
 	b.advance(400*ms, nil) // unanswered, so unsure, so asked about
-	is.True(w.attempts[newAttempt("j", 1)].state == attemptEnded)
+	is.True(w.attempts.byID[newAttempt("j", 1)].state == attemptEnded)
 	is.Equal(b.ends[len(b.ends)-1], state.AttemptEnd{ID: newAttempt("j", 1), Outcome: state.OutcomeNeverRan})
 	b.deliverOne(late[0])
-	is.True(w.attempts[newAttempt("j", 1)].state == attemptEnded) // it stays what the agent said
+	is.True(w.attempts.byID[newAttempt("j", 1)].state == attemptEnded) // it stays what the agent said
 	// An order for an attempt that was not asked about, sent before the query, is refused by its number.
 	o, _ := wire.DecodeBody[protocol.RunTask](late[0].Message)
 	o.Spec.Attempt, o.StartBefore = newAttempt("k", 1), b.now.Add(time.Second)
 	w.HandleMessage(b.now, wire.NewMessage("h", "w", wire.RunTask, o).Message)
-	is.Equal(w.attempts[newAttempt("k", 1)], nil)
+	is.Equal(w.attempts.byID[newAttempt("k", 1)], nil)
 }
 
 func TestRedundantNotRunningIsLetPass(t *testing.T) {
 	is, b, w := newHealthyCluster(t)
 	runTask(b, "s", newAttempt("j", 1))
 	b.deliver(nil)
-	w.endAttempt(w.attempts[newAttempt("j", 1)], state.OutcomeOK)
+	w.endAttempt(w.attempts.byID[newAttempt("j", 1)], state.OutcomeOK)
 	b.scheduler.OnEndsCommitted([]state.AttemptEnd{{ID: newAttempt("j", 1), Outcome: state.OutcomeOK}})
 	b.endsRecorded = true
 	b.deliver(nil)
-	b.poll(w, w.lastCall+1)
-	b.poll(w, w.lastCall+1) // the worker has let go of it, so the agent has too
-	is.Equal(len(w.attempts), 0)
+	b.poll(w, w.polls.lastCall+1)
+	b.poll(w, w.polls.lastCall+1) // the worker has let go of it, so the agent has too
+	is.Equal(len(w.attempts.byID), 0)
 	s := b.scheduler.Worker("s")
-	query := protocol.NotifyIfTasksNotRunning{Header: protocol.Header{Term: 1, To: s.Instance}, Sequence: w.querySequence + 1, Attempts: []types.AttemptID{newAttempt("j", 1)}}
+	query := protocol.NotifyIfTasksNotRunning{Header: protocol.Header{Term: 1, To: s.Instance}, Sequence: w.association.querySequence + 1, Attempts: []types.AttemptID{newAttempt("j", 1)}}
 	b.deliverOne(wire.NewMessage("h", "w", wire.NotRunningQuery, query))
-	is.Equal(w.attempts[newAttempt("j", 1)].outcome, state.OutcomeNeverRan)
+	is.Equal(w.attempts.byID[newAttempt("j", 1)].outcome, state.OutcomeNeverRan)
 	b.ends = nil
 	b.advance(time.Second, nil)
 	is.Equal(len(b.ends), 0)     // the redundant report changes nothing
-	is.Equal(len(w.attempts), 0) // and is settled
+	is.Equal(len(w.attempts.byID), 0) // and is settled
 }
 
 // To a new leader an agent's own conclusions wait for its account; what its
@@ -192,7 +192,7 @@
 		b.deliver(nil)
 		b.newLeader(2, scheduler.OutstandingAttempt{Attempt: newAttempt("j", 1), Shard: "s", Resources: types.Resources{Cores: 1 * types.Core}})
 		b.ends = nil
-		w.endAttempt(w.attempts[newAttempt("j", 1)], outcome)
+		w.endAttempt(w.attempts.byID[newAttempt("j", 1)], outcome)
 		b.advance(600*ms, ofKind(wire.RunningTasksQuery)) // the new leader's question does not arrive
 		is.Equal(b.scheduler.Worker("s").State, protocol.WorkerNew)
 		is.Equal(len(b.ends) > 0, at)
@@ -248,20 +248,20 @@
 	b := newTestCluster()
 	old := b.newAgent("w", "s")
 	b.advance(4*time.Second, nil)
-	was := old.instance
+	was := old.association.instance
 	delete(b.executors, "w")
 	fresh := b.newAgent("v", "s")
 	b.advance(600*ms, nil)
 	is.Equal(b.scheduler.Worker("s").Instance, was) // only a lost one may be replaced
 	b.advance(3500*ms, nil)
-	is.Equal(b.scheduler.Worker("s").Instance, fresh.instance)
+	is.Equal(b.scheduler.Worker("s").Instance, fresh.association.instance)
 	b.executors["w"] = old
-	old.lastGrantSentAt, old.leaseUntil = b.now, b.now.Add(time.Second) // it believes itself well
+	old.health.lastGrantSentAt, old.health.leaseUntil = b.now, b.now.Add(time.Second) // it believes itself well
 	b.now = b.now.Add(400 * ms)
 	old.Tick(b.now, "h")
 	b.deliver(nil)
-	is.Equal(old.state, protocol.WorkerMustDie)
-	is.Equal(b.scheduler.Worker("s").Instance, fresh.instance)
+	is.Equal(old.health.state, protocol.WorkerMustDie)
+	is.Equal(b.scheduler.Worker("s").Instance, fresh.association.instance)
 }
 
 func TestOldLeaderIsRefused(t *testing.T) {
@@ -269,11 +269,11 @@
 	old := b.scheduler
 	b.newLeader(2)
 	b.advance(time.Second, nil)
-	is.Equal(w.term, types.Term(2))
+	is.Equal(w.association.term, types.Term(2))
 	b.scheduler = old
 	runTask(b, "s", newAttempt("j", 1))
 	b.deliver(nil)
-	is.Equal(len(w.attempts), 0)
+	is.Equal(len(w.attempts.byID), 0)
 	is.Equal(w.leader, types.Addr("h"))
 }
 
@@ -281,32 +281,32 @@
 	is, b, w := newHealthyCluster(t)
 	runTask(b, "s", newAttempt("j", 1))
 	b.deliver(nil)
-	w.endAttempt(w.attempts[newAttempt("j", 1)], state.OutcomeOK)
+	w.endAttempt(w.attempts.byID[newAttempt("j", 1)], state.OutcomeOK)
 	b.scheduler.OnEndsCommitted([]state.AttemptEnd{{ID: newAttempt("j", 1), Outcome: state.OutcomeLost}})
 	b.deliver(nil)
-	is.Equal(w.attempts[newAttempt("j", 1)].committed, false)
+	is.Equal(w.attempts.byID[newAttempt("j", 1)].committed, false)
 }
 
 // A grant counts from the agent's own stamp: however late the answer comes, the
 // grant ends when it would have.
 func TestLateGrantIsStale(t *testing.T) {
 	is, b, w := newHealthyCluster(t)
-	w.lastHeartbeatAt, b.now = never, b.now.Add(10*ms)
+	w.reports.heartbeatAt, b.now = never, b.now.Add(10*ms)
 	w.Tick(b.now, "h")
 	at := b.now
 	late := b.deliver(ofKind(wire.HeartbeatReply))
 	is.True(len(late) > 0)
 	b.now = at.Add(3 * time.Second)
 	b.deliverOne(late[len(late)-1])
-	is.True(w.leaseUntil <= at.Add(protocol.DefaultTimeouts.AgentLease))
-	is.Equal(b.poll(w, w.lastCall+1).LeaseUntil, b.now) // nothing is left to give on
+	is.True(w.health.leaseUntil <= at.Add(protocol.DefaultTimeouts.AgentLease))
+	is.Equal(b.poll(w, w.polls.lastCall+1).LeaseUntil, b.now) // nothing is left to give on
 }
 
 func TestFrozenAgentIsLostBeforeItsWorkIsGivenAgain(t *testing.T) {
 	is, b, w := newHealthyCluster(t)
 	runTask(b, "s", newAttempt("j", 1))
 	b.deliver(nil)
-	until, given := w.leaseUntil, w.workerLeaseBase
+	until, given := w.health.leaseUntil, w.polls.leaseBase
 	mute := func(s wire.OutboundMessage) bool { return s.Message.From == "w" || s.To == "w" }
 	b.ends = nil
 	for len(b.ends) == 0 {
@@ -329,14 +329,14 @@
 		is, b, w := newHealthyCluster(t)
 		runTask(b, "s", newAttempt("j", 1))
 		b.deliver(nil)
-		b.poll(w, w.lastCall+1, newAttempt("j", 1))
+		b.poll(w, w.polls.lastCall+1, newAttempt("j", 1))
 		b.now = b.now.Add(protocol.DefaultTimeouts.WorkerLease + protocol.WorkerStopTime + 10*ms)
 		w.Tick(b.now, "h")
-		is.Equal(w.attempts[newAttempt("j", 1)].outcome, state.OutcomeLost)
-		w.attempts[newAttempt("j", 1)].committed = true
-		w.HandlePoll(b.now, protocol.Poll{Worker: "k", Call: w.lastCall + 1, SentAt: b.now, Ended: end.told})
-		is.Equal(w.attempts[newAttempt("j", 1)].outcome, end.want)
-		is.Equal(w.attempts[newAttempt("j", 1)].committed, false)
+		is.Equal(w.attempts.byID[newAttempt("j", 1)].outcome, state.OutcomeLost)
+		w.attempts.byID[newAttempt("j", 1)].committed = true
+		w.HandlePoll(b.now, protocol.Poll{Worker: "k", Call: w.polls.lastCall + 1, SentAt: b.now, Ended: end.told})
+		is.Equal(w.attempts.byID[newAttempt("j", 1)].outcome, end.want)
+		is.Equal(w.attempts.byID[newAttempt("j", 1)].committed, false)
 	}
 }
 
@@ -346,8 +346,8 @@
 	is, b, w := newHealthyCluster(t)
 	runTask(b, "s", newAttempt("j", 1))
 	b.deliver(nil)
-	b.poll(w, w.lastCall+1, newAttempt("j", 1))
-	b.now = w.workerLeaseBase.Add(protocol.DefaultTimeouts.WorkerLease + protocol.WorkerStopTime/2)
+	b.poll(w, w.polls.lastCall+1, newAttempt("j", 1))
+	b.now = w.polls.leaseBase.Add(protocol.DefaultTimeouts.WorkerLease + protocol.WorkerStopTime/2)
 	w.Tick(b.now, "h")
-	is.True(w.attempts[newAttempt("j", 1)].state != attemptEnded)
+	is.True(w.attempts.byID[newAttempt("j", 1)].state != attemptEnded)
 }
--- a/internal/dispatch/executor/reports.go
+++ b/internal/dispatch/executor/reports.go
@@ -1,8 +1,6 @@
 package executor
 
 import (
-	"time"
-
 	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
@@ -10,82 +8,84 @@
 )
 
 const (
-	minRunTime    = 60 * time.Millisecond  // an attempt that runs for less tells nothing
-	stallTime     = 300 * time.Millisecond // one that has not moved for so long stands still
-	stalledFactor = 10                     // times what it has run, for one that stands still
-	reestimateAt  = 1.3                    // an estimate is reported again when it changes by this factor
+	// maxEndsPerStatus bounds the ends in one UpdateStatus.
+	maxEndsPerStatus = 500
+	// checkpointHeartbeats is in how many heartbeats a new checkpoint is reported, so
+	// that one of them arrives.
+	checkpointHeartbeats = 4
 )
 
+// reportTimes says when reports were last sent; never makes them due at once.
+type reportTimes struct {
+	heartbeatAt types.MonoTime
+	statusAt    types.MonoTime
+}
+
+// sendReports sends the leader the reports that are due.
 func (ex *Executor) sendReports() {
 	if ex.leader == "" {
 		return
 	}
-	if l := ex.capacityShortfall(); l != ex.report.Shortfall {
-		ex.report.Shortfall, ex.lastHeartbeatAt = l, never
-	}
-	if ex.now.Sub(ex.lastHeartbeatAt) >= ex.timeouts.HeartbeatInterval && ex.canReportRunningTasks() {
-		ex.lastHeartbeatAt = ex.now
-		if ex.report.DepartsInMS > 0 {
-			ex.report.DepartsInMS = max(1, ex.workerDepartsAt.Sub(ex.now).Milliseconds())
-		}
-		ex.send(ex.leader, wire.Heartbeat, protocol.Heartbeat{Shard: ex.shard, Instance: ex.instance, PreviousInstance: ex.previousInstance, SentAt: ex.now, WorkerSet: ex.workerSet, WorkerReport: ex.report, Checkpoints: ex.recentCheckpoints(), Durations: ex.durationEstimates()})
-	}
-	if ex.now.Sub(ex.lastStatusAt) < ex.timeouts.RetryInterval {
-		return
+	if shortfall := ex.capacityShortfall(); shortfall != ex.worker.report.Shortfall {
+		ex.worker.report.Shortfall = shortfall
+		ex.reports.heartbeatAt = never
 	}
-	var list []state.AttemptEnd
-	for _, l := range ex.attemptsInOrder() {
-		if l.state == attemptEnded && !l.committed && len(list) < 500 {
-			list = append(list, state.AttemptEnd{ID: l.spec.Attempt, Outcome: l.outcome, Checkpoint: l.checkpoint})
-		}
+	if ex.now.Sub(ex.reports.heartbeatAt) >= ex.timeouts.HeartbeatInterval && ex.canReportRunningTasks() {
+		ex.sendHeartbeat()
 	}
-	if list != nil {
-		ex.lastStatusAt = ex.now
-		ex.send(ex.leader, wire.StatusReport, protocol.UpdateStatus{Shard: ex.shard, Instance: ex.instance, Ends: list})
+	if ex.now.Sub(ex.reports.statusAt) >= ex.timeouts.RetryInterval {
+		ex.sendStatus()
 	}
 }
 
-// canReportRunningTasks is false while the agent can't tell what runs: its worker has not
-// called yet and could still hold a grant of an earlier agent.
-func (ex *Executor) canReportRunningTasks() bool {
-	return ex.runningTasksKnown || ex.now.Sub(ex.startedAt) > ex.timeouts.LostAfter
+func (ex *Executor) sendHeartbeat() {
+	ex.reports.heartbeatAt = ex.now
+	report := &ex.worker.report
+	if report.DepartsInMS > 0 {
+		report.DepartsInMS = max(1, ex.worker.departsAt.Sub(ex.now).Milliseconds())
+	}
+	ex.send(ex.leader, wire.Heartbeat, protocol.Heartbeat{
+		Shard:            ex.shard,
+		Instance:         ex.association.instance,
+		PreviousInstance: ex.association.previousInstance,
+		SentAt:           ex.now,
+		WorkerSet:        ex.association.workerSet,
+		WorkerReport:     *report,
+		Checkpoints:      ex.recentCheckpoints(),
+		Durations:        ex.durationEstimates(),
+	})
 }
 
-// recentCheckpoints lists what attempts have saved of late.
-func (ex *Executor) recentCheckpoints() (list []protocol.Checkpoint) {
-	for _, l := range ex.attemptsInOrder() {
-		if l.state != attemptEnded && l.checkpoint != "" && ex.now.Sub(l.checkpointAt) < 4*ex.timeouts.HeartbeatInterval {
-			list = append(list, protocol.Checkpoint{Attempt: l.spec.Attempt, Ref: l.checkpoint})
+// sendStatus reports the ends that are not committed yet.
+func (ex *Executor) sendStatus() {
+	var ends []state.AttemptEnd
+	for _, a := range ex.attempts.sorted {
+		if a.state == attemptEnded && !a.committed && len(ends) < maxEndsPerStatus {
+			ends = append(ends, state.AttemptEnd{ID: a.spec.Attempt, Outcome: a.outcome, Checkpoint: a.checkpoint})
 		}
 	}
-	return
+	if ends == nil {
+		return
+	}
+	ex.reports.statusAt = ex.now
+	status := protocol.UpdateStatus{Shard: ex.shard, Instance: ex.association.instance, Ends: ends}
+	ex.send(ex.leader, wire.StatusReport, status)
 }
 
-// estimateDuration is how long an attempt will take in all, or 0 if that can't be told.
-func (a *attempt) estimateDuration(now types.MonoTime) time.Duration {
-	ran := a.progressReadAt.Sub(a.startedAt)
-	switch {
-	case a.state != attemptRunning || a.progressReadAt == 0 || ran < minRunTime:
-		return 0
-	case a.percentDone <= 0 && now.Sub(a.progressChangedAt) < 2*stallTime:
-		return 0 // it may wait for its gang
-	case now.Sub(a.progressChangedAt) > stallTime && a.progressReadAt.Sub(a.progressChangedAt) > stallTime:
-		return stalledFactor * ran
-	case a.percentDone <= 0:
-		return 0
-	}
-	return time.Duration(float64(ran) * 100 / a.percentDone)
+// canReportRunningTasks reports whether the agent can say what runs. It can't while its
+// worker has not been heard of and could still hold a lease of an earlier agent.
+func (ex *Executor) canReportRunningTasks() bool {
+	return ex.worker.runningTasksKnown || ex.now.Sub(ex.startedAt) > ex.timeouts.LostAfter
 }
 
-// durationEstimates lists what there is to tell of the attempts' times.
-func (ex *Executor) durationEstimates() (list []protocol.DurationEstimate) {
-	for _, l := range ex.attemptsInOrder() {
-		d := l.estimateDuration(ex.now)
-		if d == 0 || l.reportedDuration > 0 && float64(d) < reestimateAt*float64(l.reportedDuration) && float64(l.reportedDuration) < reestimateAt*float64(d) {
-			continue
+// recentCheckpoints lists the checkpoints that attempts have saved lately.
+func (ex *Executor) recentCheckpoints() []protocol.Checkpoint {
+	var list []protocol.Checkpoint
+	for _, a := range ex.attempts.sorted {
+		isRecent := ex.now.Sub(a.checkpointAt) < checkpointHeartbeats*ex.timeouts.HeartbeatInterval
+		if a.state != attemptEnded && a.checkpoint != "" && isRecent {
+			list = append(list, protocol.Checkpoint{Attempt: a.spec.Attempt, Ref: a.checkpoint})
 		}
-		l.reportedDuration = d
-		list = append(list, protocol.DurationEstimate{Attempt: l.spec.Attempt, MS: d.Milliseconds()})
 	}
-	return
+	return list
 }
--- a/internal/dispatch/executor/scheduler_messages.go
+++ b/internal/dispatch/executor/scheduler_messages.go
@@ -1,5 +1,3 @@
-// How the agent's half heeds the scheduler. A lower term than one seen is let
-// fall; a higher one is a new leader, to whom the agent is NEW again.
 package executor
 
 import (
@@ -11,111 +9,135 @@
 	"coppercourse/internal/wire"
 )
 
-// acceptTerm checks the term and the addressee, and takes up a new leader.
-func (ex *Executor) acceptTerm(from types.Addr, t protocol.Header) bool {
-	if t.To != ex.instance || t.Term < ex.term {
+// acceptHeader reports whether a scheduler's message is for this instance and of no
+// older term than one seen. A higher term is that of a new leader, to whom the worker is
+// NEW again.
+func (ex *Executor) acceptHeader(from types.Addr, header protocol.Header) bool {
+	if header.To != ex.association.instance || header.Term < ex.association.term {
 		return false
 	}
-	if t.Term > ex.term {
-		ex.term, ex.querySequence = t.Term, 0
-		if ex.state != protocol.WorkerMustDie {
-			ex.setState(protocol.WorkerNew)
+	if header.Term > ex.association.term {
+		ex.association.term, ex.association.querySequence = header.Term, 0
+		if ex.health.state != protocol.WorkerMustDie {
+			ex.health.set(ex.now, protocol.WorkerNew)
 		}
 	}
 	ex.leader = from
 	return true
 }
 
-func (ex *Executor) onHeartbeatReply(from types.Addr, b protocol.HeartbeatReply) {
-	if !ex.acceptTerm(from, b.Header) {
+func (ex *Executor) onHeartbeatReply(from types.Addr, reply protocol.HeartbeatReply) {
+	if !ex.acceptHeader(from, reply.Header) {
 		return
 	}
-	if b.WorkerSet != ex.workerSet {
-		ex.workerSet, ex.lastHeartbeatAt = b.WorkerSet, never
+	if reply.WorkerSet != ex.association.workerSet {
+		ex.association.workerSet = reply.WorkerSet
+		ex.reports.heartbeatAt = never // the consensus waits for this agent to carry it
 	}
-	if !b.Associated {
+	if !reply.Associated {
 		return
 	}
-	ex.previousInstance = ""
-	if b.LeaseUntil > b.HeartbeatSentAt {
-		ex.leaseUntil, ex.lastGrantSentAt = max(ex.leaseUntil, b.LeaseUntil), max(ex.lastGrantSentAt, b.HeartbeatSentAt)
+	ex.association.previousInstance = ""
+	ex.health.takeGrant(reply)
+	if ex.health.state == protocol.WorkerNew {
+		ex.health.set(ex.now, protocol.WorkerUnhealthy)
 	}
-	if ex.state == protocol.WorkerNew {
-		ex.setState(protocol.WorkerUnhealthy)
-	}
-	if ex.state == protocol.WorkerUnhealthy && ex.now.Sub(ex.lastGrantSentAt) <= ex.timeouts.UnhealthyAfter {
-		ex.setState(protocol.WorkerHealthy)
+	isRecent := ex.now.Sub(ex.health.lastGrantSentAt) <= ex.timeouts.UnhealthyAfter
+	if ex.health.state == protocol.WorkerUnhealthy && isRecent {
+		ex.health.set(ex.now, protocol.WorkerHealthy)
 	}
 }
 
-func (ex *Executor) onGetRunningTasks(from types.Addr, a protocol.GetRunningTasks) {
-	if !ex.acceptTerm(from, a.Header) || !ex.canReportRunningTasks() {
+// onGetRunningTasks replies with all that runs or whose end is not committed, and with
+// what was lost, until the worker tells its true end.
+func (ex *Executor) onGetRunningTasks(from types.Addr, query protocol.GetRunningTasks) {
+	if !ex.acceptHeader(from, query.Header) || !ex.canReportRunningTasks() {
 		return
 	}
-	list := []protocol.RunningTask{}
-	for _, l := range ex.attemptsInOrder() {
-		if !l.committed || l.outcome == state.OutcomeLost {
-			list = append(list, protocol.RunningTask{Attempt: l.spec.Attempt, Resources: l.spec.Resources})
+	tasks := []protocol.RunningTask{}
+	for _, a := range ex.attempts.sorted {
+		if !a.committed || a.outcome == state.OutcomeLost {
+			tasks = append(tasks, protocol.RunningTask{Attempt: a.spec.Attempt, Resources: a.spec.Resources})
 		}
 	}
-	ex.send(from, wire.RunningTasksReply, protocol.RunningTasksReply{Term: ex.term, Shard: ex.shard, Instance: ex.instance, Tasks: list, Complete: ex.runningTasksKnown})
+	ex.send(from, wire.RunningTasksReply, protocol.RunningTasksReply{
+		Term:     ex.association.term,
+		Shard:    ex.shard,
+		Instance: ex.association.instance,
+		Tasks:    tasks,
+		Complete: ex.worker.runningTasksKnown,
+	})
 }
 
-// onNotifyIfTasksNotRunning answers which of the attempts asked about do not run here; from now on
-// orders sent before it are refused.
-func (ex *Executor) onNotifyIfTasksNotRunning(from types.Addr, q protocol.NotifyIfTasksNotRunning) {
-	if !ex.acceptTerm(from, q.Header) || q.Sequence <= ex.querySequence {
+// onNotifyIfTasksNotRunning reports those of the attempts asked about that do not run
+// here. Having said so, the agent must never start them: it notes them as ended, and
+// rejects every RunTask that was sent before the query.
+func (ex *Executor) onNotifyIfTasksNotRunning(from types.Addr, query protocol.NotifyIfTasksNotRunning) {
+	if !ex.acceptHeader(from, query.Header) || query.Sequence <= ex.association.querySequence {
 		return
 	}
-	ex.querySequence = q.Sequence
-	var idle []state.AttemptEnd
-	for _, l := range q.Attempts {
-		if ex.attempts[l] == nil {
-			ex.add(&attempt{spec: protocol.AttemptSpec{Attempt: l}, state: attemptEnded, outcome: state.OutcomeNeverRan})
-			idle = append(idle, state.AttemptEnd{ID: l, Outcome: state.OutcomeNeverRan})
+	ex.association.querySequence = query.Sequence
+	for _, id := range query.Attempts {
+		if ex.attempts.byID[id] == nil {
+			ex.attempts.addNeverRan(id)
+			ex.reports.statusAt = never
 		}
 	}
-	if idle != nil {
-		ex.lastStatusAt = never
-	}
-	ex.send(from, wire.NotRunningReply, protocol.NotifyIfTasksNotRunningReply{Term: ex.term, Shard: ex.shard, Instance: ex.instance, Sequence: q.Sequence})
+	ex.send(from, wire.NotRunningReply, protocol.NotifyIfTasksNotRunningReply{
+		Term:     ex.association.term,
+		Shard:    ex.shard,
+		Instance: ex.association.instance,
+		Sequence: query.Sequence,
+	})
 }
 
-func (ex *Executor) onCommittedEnds(from types.Addr, s protocol.CommittedEnds) {
-	if !ex.acceptTerm(from, s.Header) {
+// onCommittedEnds notes which ends are committed. An attempt that ended well here and
+// otherwise in the log is not acknowledged: its end is reported on.
+func (ex *Executor) onCommittedEnds(from types.Addr, committed protocol.CommittedEnds) {
+	if !ex.acceptHeader(from, committed.Header) {
 		return
 	}
-	for _, e := range s.Ends {
-		l := ex.attempts[e.ID]
-		if l == nil || l.state != attemptEnded || l.outcome == state.OutcomeOK && e.Outcome != state.OutcomeOK {
+	for _, end := range committed.Ends {
+		a := ex.attempts.byID[end.ID]
+		if a == nil || a.state != attemptEnded {
+			continue
+		}
+		if a.outcome == state.OutcomeOK && end.Outcome != state.OutcomeOK {
 			continue
 		}
-		l.committed, ex.hasUpdate = true, true
-		if ex.link != nil {
-			ex.acknowledgeEnd(l)
-		} else if ex.workerInstance == "" {
-			ex.remove(e.ID)
+		a.committed = true
+		ex.polls.hasUpdate = true
+		switch {
+		case ex.link != nil:
+			ex.acknowledgeEnd(a)
+		case ex.worker.process == "":
+			ex.attempts.remove(end.ID)
 		}
 	}
 }
 
-func (ex *Executor) onKillTasks(from types.Addr, s protocol.KillTasks) {
-	if !ex.acceptTerm(from, s.Header) {
+// onKillTasks stops attempts. One that is not here will not run here any more.
+func (ex *Executor) onKillTasks(from types.Addr, kill protocol.KillTasks) {
+	if !ex.acceptHeader(from, kill.Header) {
 		return
 	}
-	for _, k := range s.Attempts {
-		if l := ex.attempts[k]; l != nil {
-			l.overTimeLimit = l.overTimeLimit || l.state != attemptEnded && slices.Contains(s.OverTimeLimit, k)
-			ex.stopAttempt(l)
-		} else {
-			ex.add(&attempt{spec: protocol.AttemptSpec{Attempt: k}, state: attemptEnded, outcome: state.OutcomeNeverRan})
-			ex.seenAttempts[k], ex.lastStatusAt = ex.now.Add(2*ex.timeouts.LostAfter), never
+	for _, id := range kill.Attempts {
+		a := ex.attempts.byID[id]
+		if a == nil {
+			ex.attempts.addNeverRan(id)
+			ex.attempts.seen[id] = ex.now.Add(2 * ex.timeouts.LostAfter)
+			ex.reports.statusAt = never
+			continue
+		}
+		if a.state != attemptEnded && slices.Contains(kill.OverTimeLimit, id) {
+			a.overTimeLimit = true
 		}
+		ex.stopAttempt(a)
 	}
 }
 
-func (ex *Executor) onRequestSuicide(from types.Addr, q protocol.RequestSuicide) {
-	if ex.acceptTerm(from, q.Header) {
-		ex.setState(protocol.WorkerMustDie)
+func (ex *Executor) onRequestSuicide(from types.Addr, request protocol.RequestSuicide) {
+	if ex.acceptHeader(from, request.Header) {
+		ex.health.set(ex.now, protocol.WorkerMustDie)
 	}
 }
--- a/internal/dispatch/executor/view.go
+++ b/internal/dispatch/executor/view.go
@@ -6,7 +6,7 @@
 	"coppercourse/internal/types"
 )
 
-// View is the account as the agent's own status page shows it.
+// View is the executor's part of the agent's status.
 type View struct {
 	Shard     types.Shard     `json:"shard"`
 	Instance  types.ID        `json:"instance"`
@@ -14,45 +14,78 @@
 	State     protocol.Health `json:"state"`
 	InStateMS int64           `json:"for_ms"`
 	protocol.WorkerReport
-	LeaseLeftMS int64         `json:"grant_left_ms"`
-	Worker      types.ID      `json:"worker"`
+	LeaseLeftMS int64         `json:"grant_left_ms"` // of the agent's lease
+	Worker      types.ID      `json:"worker"`        // the worker process
 	Lease       *WorkerLease  `json:"lease,omitempty"`
 	Attempts    []AttemptView `json:"legs"`
 }
 
+// AttemptView is an attempt in the agent's account. State is waiting, running, stopping
+// or ended.
 type AttemptView struct {
 	Attempt types.AttemptID `json:"leg"`
 	State   string          `json:"part"`
 	Outcome state.Outcome   `json:"fate,omitempty"`
 }
 
-func (ex *Executor) View() View {
-	v := View{Shard: ex.shard, Instance: ex.instance, Term: ex.term, State: ex.state, InStateMS: ex.now.Sub(ex.stateSince).Milliseconds(),
-		WorkerReport: ex.report, Worker: ex.workerInstance, Lease: ex.WorkerLease(), Attempts: []AttemptView{}}
-	v.LeaseLeftMS = max(0, ex.leaseUntil.Sub(ex.now).Milliseconds())
-	for _, l := range ex.attemptsInOrder() {
-		v.Attempts = append(v.Attempts, AttemptView{l.spec.Attempt, string(l.state), l.outcome})
-	}
-	return v
-}
-
-// WorkerLease is how the worker's lease stands, for the status page.
+// WorkerLease is the lease of a called worker and the state of the calls to it. Times
+// are milliseconds of the worker's clock.
 type WorkerLease struct {
 	Incarnation      types.ID     `json:"life"`
-	ClockMS          int64        `json:"clock_ms"`
-	UntilMS          int64        `json:"until_ms"`
-	Fence            uint64       `json:"fence"`
+	ClockMS          int64        `json:"clock_ms"` // what the worker's clock reads at least
+	UntilMS          int64        `json:"until_ms"` // highest lease end that was sent
+	Fence            uint64       `json:"fence"`    // fencing token of the next call
 	AcknowledgedEnds uint64       `json:"settled_ends"`
 	OpenEnds         int          `json:"unsettled_ends"`
 	OpenCalls        int          `json:"calls_under_way"`
 	Counters         CallCounters `json:"sums"`
 }
 
-// WorkerLease shows it, or nil where the worker calls by itself.
+// CallCounters count calls to the worker since the agent's start.
+type CallCounters struct {
+	Starts        uint64
+	Stops         uint64
+	Renewals      uint64 `json:"Holds"` // lease renewals, queries included
+	Queries       uint64 // renewals that raised the fencing token to resolve unsure starts
+	NoReply       uint64 `json:"Silent"` // calls that got no reply
+	LeasesExpired uint64 `json:"Lapsed"` // attempts ended because the worker's lease had
+	Incarnations  uint64 `json:"Lives"`  // worker processes adopted
+}
+
+// View returns the executor's part of the agent's status.
+func (ex *Executor) View() View {
+	view := View{
+		Shard:        ex.shard,
+		Instance:     ex.association.instance,
+		Term:         ex.association.term,
+		State:        ex.health.state,
+		InStateMS:    ex.now.Sub(ex.health.since).Milliseconds(),
+		WorkerReport: ex.worker.report,
+		LeaseLeftMS:  max(0, ex.health.leaseUntil.Sub(ex.now).Milliseconds()),
+		Worker:       ex.worker.process,
+		Lease:        ex.WorkerLease(),
+		Attempts:     []AttemptView{},
+	}
+	for _, a := range ex.attempts.sorted {
+		view.Attempts = append(view.Attempts, AttemptView{a.spec.Attempt, string(a.state), a.outcome})
+	}
+	return view
+}
+
+// WorkerLease returns the lease of a called worker, or nil for a worker that polls.
 func (ex *Executor) WorkerLease() *WorkerLease {
-	c := ex.link
-	if c == nil {
+	link := ex.link
+	if link == nil {
 		return nil
 	}
-	return &WorkerLease{c.incarnation, c.clockAtLeast(ex.now), c.maxLeaseSent, c.fence, c.acknowledgedEnd, len(c.openEnds), len(c.openCalls), c.Counters}
+	return &WorkerLease{
+		Incarnation:      link.incarnation,
+		ClockMS:          link.clock.atLeast(ex.now),
+		UntilMS:          link.maxLeaseEndSent,
+		Fence:            link.fence.token,
+		AcknowledgedEnds: link.ends.acknowledged,
+		OpenEnds:         len(link.ends.open),
+		OpenCalls:        len(link.calls.open),
+		Counters:         link.counters,
+	}
 }
--- a/sim/invoked_test.go
+++ b/sim/invoked_test.go
@@ -59,7 +59,7 @@
 				}
 			}
 			for _, w := range r.agents {
-				is.Equal(w.machine.(*agent.Agent).Status().Executor.Lease.Counters.Lives, uint64(1))
+				is.Equal(w.machine.(*agent.Agent).Status().Executor.Lease.Counters.Incarnations, uint64(1))
 			}
 		})
 	}
