--- a/internal/dispatch/executor/protocol_test.go
+++ b/internal/dispatch/executor/protocol_test.go
@@ -179,7 +179,7 @@
 	is.Equal(w.attempts.byID[newAttempt("j", 1)].outcome, state.OutcomeNeverRan)
 	b.ends = nil
 	b.advance(time.Second, nil)
-	is.Equal(len(b.ends), 0)     // the redundant report changes nothing
+	is.Equal(len(b.ends), 0)          // the redundant report changes nothing
 	is.Equal(len(w.attempts.byID), 0) // and is settled
 }
 
--- /dev/null
+++ b/internal/server/handlers.go
@@ -0,0 +1,126 @@
+package server
+
+import (
+	"encoding/json"
+	"net/http"
+
+	"github.com/gorilla/mux"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/state"
+	"coppercourse/internal/trace"
+	"coppercourse/internal/wal"
+	"coppercourse/internal/wire"
+)
+
+// Bodies of the responses that are always the same.
+const (
+	liveBody  = `{"live":true}`
+	readyBody = `{"ready":true}`
+)
+
+// Handlers are the HTTP routes that every daemon has.
+type Handlers struct {
+	Loop     *EventLoop
+	trace    *trace.Ring
+	shutdown shutdownState
+}
+
+// NewHandlers returns the routes of the daemon that an event loop runs.
+func NewHandlers(loop *EventLoop, trace *trace.Ring) *Handlers {
+	return &Handlers{Loop: loop, trace: trace}
+}
+
+// Router returns a router with the routes that every daemon has. Others may be added.
+func (h *Handlers) Router() *mux.Router {
+	router := mux.NewRouter().UseEncodedPath()
+	router.HandleFunc(messagesPath, h.handleMessages).Methods(http.MethodPost)
+	router.HandleFunc("/live", h.handleLive).Methods(http.MethodGet)
+	router.HandleFunc("/ready", h.handleReady).Methods(http.MethodGet)
+	router.HandleFunc("/metrics", h.handleMetrics).Methods(http.MethodGet)
+	router.HandleFunc("/v1/status", h.handleStatus).Methods(http.MethodGet)
+	router.HandleFunc("/v1/trace", h.handleTrace).Methods(http.MethodGet)
+	router.NotFoundHandler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		WriteError(w, apierror.New(apierror.NoSuchPath, "", "no such path: "+r.URL.Path))
+	})
+	router.MethodNotAllowedHandler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		WriteError(w, apierror.New(apierror.NoSuchMethod, "", r.Method+" is not for this path"))
+	})
+	return router
+}
+
+// RequestHandler returns a handler that has the machine answer a verb. The body is passed
+// on as it is, if it is JSON or empty.
+func (h *Handlers) RequestHandler(verb string) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		body, ok := ReadBodyOrReject(w, r, state.MaxDocumentBytes)
+		if !ok {
+			return
+		}
+		if len(body) > 0 && !json.Valid(body) {
+			WriteError(w, apierror.New(apierror.BadBody, "", "not well-formed JSON"))
+			return
+		}
+		WriteResponse(w, h.Loop.Ask(r.Context(), verb, pathArgument(r), body))
+	}
+}
+
+// pathArgument returns what a request's path names: an id, or a kind and an id.
+func pathArgument(r *http.Request) string {
+	vars := mux.Vars(r)
+	if kind := vars["kind"]; kind != "" {
+		return kind + "/" + vars["id"]
+	}
+	return vars["id"]
+}
+
+// IsReady reports whether callers may be sent here.
+func (h *Handlers) IsReady() bool {
+	return !h.shutdown.draining.Load() && h.Loop.observer.Ready()
+}
+
+// handleMessages takes the messages of a peer. Each is queued if its class has room: one
+// that is not takes none from those after it.
+func (h *Handlers) handleMessages(w http.ResponseWriter, r *http.Request) {
+	body, ok := ReadBodyOrReject(w, r, wal.MaxRecordSize)
+	if !ok {
+		return
+	}
+	messages, err := wire.DecodeMessages(body)
+	if err != nil {
+		WriteError(w, apierror.New(apierror.BadBody, "", "not a list of notes"))
+		return
+	}
+	rejected := false
+	for _, message := range messages {
+		if !h.Loop.Deliver(message) {
+			rejected = true
+		}
+	}
+	if rejected {
+		WriteError(w, apierror.New(apierror.TooBusy, "", "no room for messages of this kind"))
+		return
+	}
+	w.WriteHeader(http.StatusNoContent)
+}
+
+func (h *Handlers) handleLive(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, http.StatusOK, []byte(liveBody))
+}
+
+func (h *Handlers) handleReady(w http.ResponseWriter, _ *http.Request) {
+	if !h.IsReady() {
+		WriteError(w, apierror.New(apierror.NotReady, "", "not ready; see /v1/status"))
+		return
+	}
+	writeJSON(w, http.StatusOK, []byte(readyBody))
+}
+
+func (h *Handlers) handleStatus(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, http.StatusOK, h.Loop.StatusJSON())
+}
+
+func (h *Handlers) handleTrace(w http.ResponseWriter, r *http.Request) {
+	points := h.trace.Points(r.URL.Query().Get("subject"))
+	writeJSON(w, http.StatusOK, wire.EncodeBody(points))
+}
