--- a/internal/dispatch/executor/link_capacity_test.go
+++ b/internal/dispatch/executor/link_capacity_test.go
@@ -1,5 +1,3 @@
-// A worker that turns starts away for want of room is believed, whatever room it
-// tells: the leader hears at once that nothing is free beyond what runs there.
 package executor_test
 
 import (
@@ -13,20 +11,27 @@
 	"coppercourse/internal/types"
 )
 
-func cores(n int) types.Resources { return types.Resources{Cores: types.Core}.Scale(n) }
+// A worker that rejects starts for lack of capacity is believed, whatever capacity it
+// reports: the leader hears at once that nothing is free beyond what runs there.
 
-// newOverstatingRig is a rig whose worker tells 8 cores and has 2; a task takes one, a large one 4.
+// newOverstatingRig is a rig whose worker reports 8 cores and has 2. The task of job large
+// takes 4, those of j0 to j9 one each.
 func newOverstatingRig(t *testing.T) *linkRig {
+	t.Helper()
 	r := newReadyRig(t, 17)
 	r.worker.Capacity = cores(2)
-	r.environment.JobSubmitted("large", &state.Spec{Steps: []state.Step{{Name: "s", Tasks: 1, Resources: cores(4)}}})
+	submit := func(job types.JobID, resources types.Resources) {
+		step := state.Step{Name: "s", Tasks: 1, Resources: resources}
+		r.environment.JobSubmitted(job, &state.Spec{Steps: []state.Step{step}})
+	}
+	submit("large", cores(4))
 	for i := range 10 {
-		r.environment.JobSubmitted(types.JobID(fmt.Sprint("j", i)), &state.Spec{Steps: []state.Step{{Name: "s", Tasks: 1, Resources: cores(1)}}})
+		submit(types.JobID(fmt.Sprint("j", i)), cores(1))
 	}
 	return r
 }
 
-// shortfallDuration is for how long the leader counts a worker's room as less from now on.
+// shortfallDuration returns for how long from now the leader has a shortfall of the worker.
 func (lr *linkRig) shortfallDuration() time.Duration {
 	from := lr.now
 	for lr.scheduler.Worker("s").Shortfall != (types.Resources{}) && lr.now.Sub(from) < time.Minute {
@@ -37,31 +42,31 @@
 
 func roughly(d, want time.Duration) bool { return d > want-100*ms && d < want+600*ms }
 
-func TestAWorkerWithoutRoomIsBelieved(t *testing.T) {
+func TestWorkerWithoutCapacityIsBelieved(t *testing.T) {
 	is, r := is.New(t), newOverstatingRig(t)
 	for i := range 3 {
 		r.runTask(attempt(fmt.Sprint("j", i), 1), long)
 	}
-	r.advance(100 * ms) // less than to the next beat
-	s := r.scheduler.Worker("s")
+	r.advance(100 * ms) // less than until the next heartbeat
+	worker := r.scheduler.Worker("s")
 	is.Equal(r.committed[attempt("j2", 1)], state.OutcomeNeverRan)
-	is.Equal(s.Shortfall, cores(6))
-	is.Equal(s.Capacity, cores(8)) // it is not another worker
-	is.Equal(r.scheduler.FreeCapacity(s), types.Resources{})
+	is.Equal(worker.Shortfall, cores(6))
+	is.Equal(worker.Capacity, cores(8)) // it is the same worker
+	is.Equal(r.scheduler.FreeCapacity(worker), types.Resources{})
 
 	starts := r.executor.WorkerLease().Counters.Starts
 	r.runTask(attempt("j3", 1), long)
 	r.advance(100 * ms)
 	is.Equal(r.committed[attempt("j3", 1)], state.OutcomeNeverRan)
-	is.Equal(r.executor.WorkerLease().Counters.Starts, starts) // the worker need not be asked
+	is.Equal(r.executor.WorkerLease().Counters.Starts, starts) // without a call to the worker
 
 	is.True(roughly(r.shortfallDuration()+200*ms, time.Second))
-	is.Equal(r.scheduler.FreeCapacity(s), cores(6))
+	is.Equal(r.scheduler.FreeCapacity(worker), cores(6))
 }
 
-// Each time it is turned away again soon after, it is believed for twice as long, up
-// to a bound; after as long a time without, it begins anew.
-func TestAWorkerWithoutRoomAgainIsBelievedForLonger(t *testing.T) {
+// With each rejection that follows soon the backoff doubles, up to a bound; after as long a
+// time without one it begins anew.
+func TestCapacityBackoffDoubles(t *testing.T) {
 	is, r := is.New(t), newOverstatingRig(t)
 	r.runTask(attempt("j0", 1), `{"ms":600000}`)
 	r.runTask(attempt("j1", 1), `{"ms":600000}`)
@@ -77,24 +82,24 @@
 	is.True(roughly(r.shortfallDuration(), time.Second))
 }
 
-// What ends there makes room, and what is started into that tells nothing new.
-func TestAWorkerWithoutRoomIsGivenWorkAsOthersEnd(t *testing.T) {
+// What ends there frees capacity, and a start into that changes nothing.
+func TestWorkerWithoutCapacityIsGivenTasksAsOthersEnd(t *testing.T) {
 	is, r := is.New(t), newOverstatingRig(t)
 	r.runTask(attempt("j0", 1), `{"ms":400}`)
 	r.runTask(attempt("j1", 1), long)
 	r.runTask(attempt("j2", 1), long)
 	r.advance(600 * ms)
-	s := r.scheduler.Worker("s")
+	worker := r.scheduler.Worker("s")
 	is.Equal(r.committed[attempt("j0", 1)], state.OutcomeOK)
-	is.Equal(r.scheduler.FreeCapacity(s), cores(1))
+	is.Equal(r.scheduler.FreeCapacity(worker), cores(1))
 	r.runTask(attempt("j3", 1), `{"ms":100}`)
 	r.advance(250 * ms)
 	is.Equal(r.committed[attempt("j3", 1)], state.OutcomeOK)
-	is.Equal(s.Shortfall, cores(6))
+	is.Equal(worker.Shortfall, cores(6))
 }
 
-// A start that was under way meanwhile and is taken shows that there was some room.
-func TestAWorkerWithoutRoomForALargeTaskMayHaveSome(t *testing.T) {
+// A start that was in flight meanwhile and is accepted shows that there was some capacity.
+func TestWorkerWithoutCapacityForALargeTaskMayHaveSome(t *testing.T) {
 	is, r := is.New(t), newOverstatingRig(t)
 	r.runTask(attempt("j0", 1), long)
 	r.advance(100 * ms)
@@ -106,8 +111,8 @@
 	is.Equal(r.scheduler.FreeCapacity(r.scheduler.Worker("s")), types.Resources{})
 }
 
-// Of another process nothing is known.
-func TestAnotherLifeIsGivenItsRoom(t *testing.T) {
+// Of another process nothing is known, so it has no shortfall.
+func TestAnotherIncarnationHasNoShortfall(t *testing.T) {
 	is, r := is.New(t), newOverstatingRig(t)
 	for i := range 3 {
 		r.runTask(attempt(fmt.Sprint("j", i), 1), long)
--- a/internal/dispatch/executor/link_faults_test.go
+++ b/internal/dispatch/executor/link_faults_test.go
@@ -1,7 +1,3 @@
-// Chaos on one worker that is called: agents and leaders come and go, worker
-// processes crash, calls are lost, unanswered or carried out late, beats are
-// repeated late. The rig tells when an attempt runs, starts or is noted as done after
-// the log has it as ended otherwise; here also, that all comes to an end.
 package executor_test
 
 import (
@@ -17,102 +13,132 @@
 )
 
 var (
-	chaosSeeds     = flag.Int("chaos", 150, "how many seeds of chaos")
+	chaosSeeds     = flag.Int("chaos", 150, "how many seeds TestChaosOnOneWorker runs")
 	chaosFirstSeed = flag.Int64("chaosfrom", 1000, "the first of them")
 )
 
-// injectFaults brings trouble about for a while.
-func (lr *linkRig) injectFaults(long time.Duration) {
-	rnd := lr.random
-	bad := rnd.Float64() * 0.2
-	lr.lateDelay = func() time.Duration { return time.Duration(rnd.Intn(1+rnd.Intn(9000))) * ms }
+// injectFaults brings faults about at random for a time, and heals them at its end: calls
+// are lost, late or without reply, agents, leaders and worker processes come and go,
+// messages are partitioned off, and heartbeats repeated late.
+func (lr *linkRig) injectFaults(duration time.Duration) {
+	random := lr.random
+	faultRate := random.Float64() * 0.2
+	lr.lateDelay = func() time.Duration { return time.Duration(random.Intn(1+random.Intn(9000))) * ms }
 	lr.fateOf = func(wire.WorkerCall) callFate {
-		if rnd.Float64() < bad {
-			return callFate(1 + rnd.Intn(3))
+		if random.Float64() < faultRate {
+			return callFate(1 + random.Intn(3))
 		}
 		return callDelivered
 	}
-	var beats []wire.WorkerHeartbeat
-	for end := lr.now.Add(long); lr.now < end; {
-		lr.advance(time.Duration(rnd.Intn(700)) * ms)
+	var heartbeats []wire.WorkerHeartbeat // to be repeated
+	for end := lr.now.Add(duration); lr.now < end; {
+		lr.advance(time.Duration(random.Intn(700)) * ms)
 		if lr.worker == nil {
 			lr.startWorker()
-			lr.heartbeatsStopped = rnd.Intn(4) == 0 // it answers before it beats
+			lr.heartbeatsStopped = random.Intn(4) == 0 // it replies before it sends heartbeats
 			continue
 		}
-		switch rnd.Intn(14) {
-		case 0:
-			lr.newAgent()
-		case 1:
-			lr.newLeader()
-		case 2:
-			lr.partitioned = true
-		case 3, 4, 5:
-			lr.partitioned, lr.heartbeatsStopped = false, false
-		case 6:
-			if rnd.Intn(3) == 0 {
-				lr.crashWorker()
-			}
-		case 7:
-			beats = append(beats, lr.nextHeartbeat())
-		case 8:
-			if beats != nil {
-				lr.executor.HandleWorkerHeartbeat(lr.now, beats[rnd.Intn(len(beats))])
-				lr.deliver()
-			}
-		case 9:
-			lr.holdReplyDelay = time.Duration(rnd.Intn(600)) * ms
-		case 10:
-			lr.holdReplyDelay = 0
-		case 11:
-			lr.worker.Unhealthy = !lr.worker.Unhealthy
-		case 12:
-			for l := range lr.outstanding {
-				if rnd.Intn(4) == 0 {
-					lr.scheduler.KillTasks([]types.AttemptID{l}, nil)
-				}
-			}
-			lr.deliver()
-		case 13:
-			lr.worker.StartsUnderLease = !lr.worker.StartsUnderLease
-		}
+		heartbeats = lr.injectFault(random.Intn(14), heartbeats)
 	}
-	lr.partitioned, lr.heartbeatsStopped, lr.holdReplyDelay, lr.fateOf = false, false, 0, func(wire.WorkerCall) callFate { return callDelivered }
+	lr.partitioned, lr.heartbeatsStopped = false, false
+	lr.renewalReplyDelay, lr.fateOf = 0, deliverAll
 	if lr.worker == nil {
 		lr.startWorker()
 	}
 	lr.worker.Unhealthy = false
 }
 
+// injectFault brings one of 14 faults about, or heals one. It takes and returns the
+// heartbeats to be repeated.
+func (lr *linkRig) injectFault(kind int, heartbeats []wire.WorkerHeartbeat) []wire.WorkerHeartbeat {
+	switch kind {
+	case 0:
+		lr.newAgent()
+	case 1:
+		lr.newLeader()
+	case 2:
+		lr.partitioned = true
+	case 3, 4, 5:
+		lr.partitioned, lr.heartbeatsStopped = false, false
+	case 6:
+		if lr.random.Intn(3) == 0 {
+			lr.crashWorker()
+		}
+	case 7:
+		return append(heartbeats, lr.nextHeartbeat())
+	case 8:
+		if heartbeats != nil {
+			lr.executor.HandleWorkerHeartbeat(lr.now, heartbeats[lr.random.Intn(len(heartbeats))])
+			lr.deliver()
+		}
+	case 9:
+		lr.renewalReplyDelay = time.Duration(lr.random.Intn(600)) * ms
+	case 10:
+		lr.renewalReplyDelay = 0
+	case 11:
+		lr.worker.Unhealthy = !lr.worker.Unhealthy
+	case 12:
+		for id := range lr.outstanding {
+			if lr.random.Intn(4) == 0 {
+				lr.scheduler.KillTasks([]types.AttemptID{id}, nil)
+			}
+		}
+		lr.deliver()
+	case 13:
+		lr.worker.StartsUnderLease = !lr.worker.StartsUnderLease
+	}
+	return heartbeats
+}
+
+// chaosJobs gives out attempts of some jobs all the while, one of a job at a time, until
+// one of the job ends well.
+type chaosJobs struct {
+	rig      *linkRig
+	attempts map[string]int // given out so far
+}
+
+const (
+	chaosJobCount         = 7
+	maxChaosAttempts      = 400 // of one job
+	chaosTaskInputPattern = `{"ms":%d,"fails":0.1}`
+)
+
+func (c *chaosJobs) giveOut() {
+	r := c.rig
+	job := fmt.Sprint("j", r.random.Intn(chaosJobCount))
+	last := attempt(job, c.attempts[job])
+	if c.attempts[job] > 0 && (r.outstanding[last] || r.committed[last] == state.OutcomeOK) {
+		return
+	}
+	if c.attempts[job] >= maxChaosAttempts {
+		return
+	}
+	c.attempts[job]++
+	r.runTask(attempt(job, c.attempts[job]), fmt.Sprintf(chaosTaskInputPattern, r.random.Intn(2500)))
+}
+
+// The rig notices an attempt that starts, runs or is acknowledged as ended well after the
+// log has it as ended otherwise. Besides, all must come to an end.
 func TestChaosOnOneWorker(t *testing.T) {
-	sum := map[state.Outcome]int{}
+	outcomes := map[state.Outcome]int{}
 	for seed := *chaosFirstSeed; seed < *chaosFirstSeed+int64(*chaosSeeds); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			r := newReadyRigWith(t, seed, []protocol.Timeouts{protocol.DefaultTimeouts, longLeases}[seed%2])
-			n := map[string]int{}
-			r.every(120*ms, func() {
-				job := fmt.Sprint("j", r.random.Intn(7))
-				if l := attempt(job, n[job]); n[job] > 0 && (r.outstanding[l] || r.committed[l] == state.OutcomeOK) {
-					return
-				}
-				if n[job] >= 400 {
-					return
-				}
-				n[job]++
-				r.runTask(attempt(job, n[job]), fmt.Sprintf(`{"ms":%d,"fails":0.1}`, r.random.Intn(2500)))
-			})
+			timeouts := []protocol.Timeouts{protocol.DefaultTimeouts, longLeases}[seed%2]
+			r := newReadyRigWith(t, seed, timeouts)
+			jobs := chaosJobs{rig: r, attempts: map[string]int{}}
+			r.every(120*ms, jobs.giveOut)
 			r.injectFaults(30 * time.Second)
 			r.advance(25 * time.Second)
-			for l := range r.outstanding {
-				if !r.running[l] {
-					t.Error(l, "is out for ever")
+			for id := range r.outstanding {
+				if !r.running[id] {
+					t.Error(id, "is outstanding and does not run")
 				}
 			}
-			for _, f := range r.committed {
-				sum[f]++
+			for _, outcome := range r.committed {
+				outcomes[outcome]++
 			}
-			if n := len(r.executor.View().Attempts); n > 7 {
-				t.Error("the agent keeps", n, "legs")
+			if n := len(r.executor.View().Attempts); n > chaosJobCount {
+				t.Error("the agent keeps", n, "attempts")
 			}
 			if t.Failed() && *chaosSeeds == 1 {
 				t.Logf("%+v", r.executor.View())
@@ -120,5 +146,5 @@
 			}
 		})
 	}
-	t.Log(sum)
+	t.Log(outcomes)
 }
--- a/internal/dispatch/executor/link_reordering_test.go
+++ b/internal/dispatch/executor/link_reordering_test.go
@@ -1,5 +1,3 @@
-// Beats and words of leaving that come late, out of order or without the ones
-// that should have been before them.
 package executor_test
 
 import (
@@ -14,35 +12,37 @@
 	"coppercourse/internal/wire"
 )
 
-// withDrainTime is a pace that knows how long workers run on that deregister.
+// The tests here are about heartbeats and deregistrations that arrive late, out of order,
+// or without those that should have come before.
+
+// withDrainTime are timeouts that say how long workers run on that deregister.
 var withDrainTime = func() protocol.Timeouts {
-	p := protocol.DefaultTimeouts
-	p.DrainTime = 2 * time.Second
-	return p
+	timeouts := protocol.DefaultTimeouts
+	timeouts.DrainTime = 2 * time.Second
+	return timeouts
 }()
 
-// A worker that deregisters without having said that it drains runs on: nothing
-// new is started there, what runs is neither lost nor run again, and what ends
-// well counts.
-func TestAWorkerThatDeregistersFirstRunsOn(t *testing.T) {
+// A worker that deregisters without having announced that it drains runs on: nothing new
+// is started there, what runs is neither lost nor run again, and what ends well counts.
+func TestWorkerThatDeregistersWithoutDrainingRunsOn(t *testing.T) {
 	is, r := is.New(t), newReadyRigWith(t, 21, withDrainTime)
 	r.runTask(attempt("a", 1), short)
 	r.runTask(attempt("b", 1), long)
 	r.advance(200 * ms)
-	late := r.nextHeartbeat() // sent before, it comes after
+	late := r.nextHeartbeat() // sent before, it arrives after
 	r.heartbeatsStopped = true
 	r.executor.HandleDeregistration(r.now, r.worker.ID)
 	r.deliver()
 	r.advance(100 * ms)
 	is.Equal(r.committed[attempt("b", 1)], state.Outcome(""))
 	is.True(r.scheduler.Worker("s").Draining)
-	goes := r.scheduler.Worker("s").DepartsInMS
-	is.True(goes > 1700 && goes <= 2000) // what runs there may be saved before
+	departsInMS := r.scheduler.Worker("s").DepartsInMS
+	is.True(departsInMS > 1700 && departsInMS <= 2000) // what runs there may save a checkpoint before
 	r.executor.HandleWorkerHeartbeat(r.now, late)
 	r.deliver()
 	r.advance(time.Second)
-	is.True(r.scheduler.Worker("s").Draining) // the late beat does not undo it
-	is.True(r.scheduler.Worker("s").DepartsInMS < goes)
+	is.True(r.scheduler.Worker("s").Draining) // the late heartbeat does not undo it
+	is.True(r.scheduler.Worker("s").DepartsInMS < departsInMS)
 	is.Equal(r.committed[attempt("a", 1)], state.OutcomeOK)
 	r.runTask(attempt("c", 1), short)
 	r.advance(time.Second)
@@ -51,7 +51,7 @@
 	r.executor.HandleDeregistration(r.now, r.worker.ID) // again, as nobody acknowledged it
 	r.advance(time.Second)
 	is.True(r.running[attempt("b", 1)])
-	r.crashWorker() // with its work, without a word
+	r.crashWorker() // with all that it runs
 	r.advance(200 * ms)
 	r.startWorker()
 	r.heartbeatsStopped = false
@@ -61,27 +61,27 @@
 	is.True(!r.scheduler.Worker("s").Draining)
 }
 
-// A beat that comes seconds late, after newer ones, says nothing any more.
-func TestBeatsOutOfOrder(t *testing.T) {
+// A heartbeat that arrives seconds late, after newer ones, is ignored.
+func TestHeartbeatsOutOfOrder(t *testing.T) {
 	is, r := is.New(t), newReadyRig(t, 22)
 	r.heartbeatsStopped = true
 	first, second, third := r.nextHeartbeat(), r.nextHeartbeat(), r.nextHeartbeat()
 	second.Draining = true
 	third.Draining, third.Addr = true, "elsewhere"
 	first.Addr = "old"
-	var to []types.Addr
-	r.onCall = func(c wire.WorkerCall) { to = append(to, c.Addr) }
+	var called []types.Addr
+	r.onCall = func(call wire.WorkerCall) { called = append(called, call.Addr) }
 	r.executor.HandleWorkerHeartbeat(r.now, third)
 	r.deliver()
 	r.advance(2 * time.Second)
-	for _, b := range []wire.WorkerHeartbeat{first, second, first} {
-		r.executor.HandleWorkerHeartbeat(r.now, b)
+	for _, late := range []wire.WorkerHeartbeat{first, second, first} {
+		r.executor.HandleWorkerHeartbeat(r.now, late)
 		r.deliver()
 		r.advance(500 * ms)
 		is.True(r.scheduler.Worker("s").Draining)
 	}
-	is.True(len(to) > 0)
-	for _, a := range to[1:] {
-		is.Equal(a, types.Addr("elsewhere"))
+	is.True(len(called) > 0)
+	for _, addr := range called[1:] {
+		is.Equal(addr, types.Addr("elsewhere"))
 	}
 }
--- a/internal/dispatch/executor/link_rig_test.go
+++ b/internal/dispatch/executor/link_rig_test.go
@@ -1,6 +1,3 @@
-// A rig for the agent's side towards a called worker: a leader's half, an agent's half
-// and the stand-in worker with a shared time, a log that keeps the first end of each
-// attempt, and calls that a test carries, loses, or has carried out late, one by one.
 package executor_test
 
 import (
@@ -22,11 +19,11 @@
 
 const ms = time.Millisecond
 
-// longLeases is a pace with leases of five seconds.
+// longLeases are timeouts with leases of five seconds.
 var longLeases = func() protocol.Timeouts {
-	p := protocol.DefaultTimeouts
-	p.AgentLease, p.LostAfter = 5*time.Second, 6*time.Second
-	return p
+	timeouts := protocol.DefaultTimeouts
+	timeouts.AgentLease, timeouts.LostAfter = 5*time.Second, 6*time.Second
+	return timeouts
 }()
 
 // callFate is what becomes of a call.
@@ -34,170 +31,265 @@
 
 const (
 	callDelivered callFate = iota
-	callLost               // it never comes, and nothing is heard
-	replyLost              // it is carried out, and nothing is heard
-	callLate               // nothing is heard, and it is carried out later
+	callLost               // it never arrives, and no reply does
+	replyLost              // it is carried out, and no reply arrives
+	callLate               // no reply arrives, and it is carried out after linkRig.lateDelay
 )
 
+func deliverAll(wire.WorkerCall) callFate { return callDelivered }
+
+// virtualClock is the time of a rig, and what is to be done in it.
+type virtualClock struct {
+	now    types.MonoTime
+	timers []timer
+	last   int
+}
+
 type timer struct {
-	at types.MonoTime
-	no int
-	do func()
+	at     types.MonoTime
+	number int
+	do     func()
+}
+
+// after has something done after a time.
+func (vc *virtualClock) after(d time.Duration, do func()) {
+	vc.last++
+	vc.timers = append(vc.timers, timer{vc.now.Add(d), vc.last, do})
+	sort.Slice(vc.timers, func(i, k int) bool {
+		a, b := vc.timers[i], vc.timers[k]
+		return a.at < b.at || a.at == b.at && a.number < b.number
+	})
+}
+
+func (vc *virtualClock) every(d time.Duration, do func()) {
+	vc.after(d, func() {
+		do()
+		vc.every(d, do)
+	})
 }
 
+// advance lets time pass, with all that is due in it.
+func (vc *virtualClock) advance(d time.Duration) {
+	end := vc.now.Add(d)
+	for vc.timers[0].at <= end {
+		next := vc.timers[0]
+		vc.timers = vc.timers[1:]
+		vc.now = next.at
+		next.do()
+	}
+	vc.now = end
+}
+
+// endLog is the replicated log of a rig. The first end of an attempt counts.
+type endLog struct {
+	outstanding map[types.AttemptID]bool // given out, with no end in the log
+	committed   map[types.AttemptID]state.Outcome
+	proposed    map[state.AttemptEnd]bool // by the present leader, not committed yet
+}
+
+// UnresolvedAttempts and the next three make the log the scheduler's ClusterState. The
+// worker is called by its agent.
+func (*endLog) UnresolvedAttempts(types.Shard) []types.AttemptID { return nil }
+func (*endLog) ZonePartitioned(types.Shard) bool                 { return false }
+func (*endLog) CalledByAgent(types.Shard) bool                   { return true }
+
+func (l *endLog) EndRecorded(end state.AttemptEnd) bool {
+	_, isCommitted := l.committed[end.ID]
+	return isCommitted || !l.outstanding[end.ID]
+}
+
+// workerRecord is what truly happened on the workers of a rig.
+type workerRecord struct {
+	running      map[types.AttemptID]bool // now
+	starts       map[types.AttemptID]int
+	endings      map[types.AttemptID]wire.EndReason
+	acknowledged map[types.AttemptID]bool // the worker has dropped its end
+}
+
+// linkRig joins a scheduler, an executor and a stand-in for a called worker in virtual
+// time, with a log. A test decides the fate of each call. The rig itself fails the test
+// if an attempt starts, runs on or is acknowledged as ended well after the log has it as
+// ended otherwise.
 type linkRig struct {
-	t                 *testing.T
-	random            *rand.Rand
-	timeouts          protocol.Timeouts
-	now               types.MonoTime
-	term              types.Term
-	scheduler         *scheduler.Scheduler
-	executor          *executor.Executor
-	worker            *sim.InvokedWorker
-	environment       *sim.WorkerEnvironment
+	t        *testing.T
+	random   *rand.Rand
+	timeouts protocol.Timeouts
+	virtualClock
+	endLog
+	workerRecord
+
+	scheduler *scheduler.Scheduler
+	term      types.Term
+	executor  *executor.Executor
+	agents    int // started so far
+
+	worker            *sim.InvokedWorker // nil while none runs
 	workerSpec        history.WorkerSpec
+	environment       *sim.WorkerEnvironment
 	incarnations      int
-	agents            int
 	heartbeatSequence uint64
-	partitioned       bool          // leader and agent hear nothing of each other
-	authorityLeft     time.Duration // how long the leader may let others act on its word
-	heartbeatsStopped bool          // the worker's own beats stop
+
+	faults
+	onCall func(wire.WorkerCall)      // sees each call, if set
+	onSend func(wire.OutboundMessage) // sees each message of the agent, if set
+}
+
+// faults are what a test can do to a rig.
+type faults struct {
+	partitioned       bool          // leader and agent do not reach each other
+	authorityLeft     time.Duration // of the leader, at all times
+	heartbeatsStopped bool          // the worker sends none by itself
 	fateOf            func(wire.WorkerCall) callFate
-	lateDelay         func() time.Duration // of a call that is late
-	onCall            func(wire.WorkerCall)
-	onSend            func(wire.OutboundMessage) // hears what the agent says
-	holdReplyDelay    time.Duration              // of replies to holds
-	timers            []timer
-	lastTimer         int
-
-	outstanding  map[types.AttemptID]bool          // given out, not ended in the log
-	committed    map[types.AttemptID]state.Outcome // the first end of each
-	running      map[types.AttemptID]bool          // on the worker now
-	starts       map[types.AttemptID]int
-	endings      map[types.AttemptID]wire.EndReason
-	acknowledged map[types.AttemptID]bool
-	proposed     map[state.AttemptEnd]bool
-	reported     []state.AttemptEnd // what the agent has told, in order
+	lateDelay         func() time.Duration // until a callLate arrives
+	renewalReplyDelay time.Duration
 }
 
-func newLinkRig(t *testing.T, seed int64, pace protocol.Timeouts) *linkRig {
-	r := &linkRig{t: t, random: rand.New(rand.NewSource(seed)), timeouts: pace, authorityLeft: pace.AgentLease, now: types.MonoTime(time.Hour),
-		environment: sim.NewWorkerEnvironment(sim.WorkerRules{MaxLease: 6 * time.Second, MaxStopTime: 400 * ms, GangTimeout: 3 * time.Second, CheckpointInterval: 2 * time.Second, RestoreTime: 600 * ms, RemoteSlowdown: 1.5}),
-		workerSpec:  history.WorkerSpec{Shard: "s", Rack: "r", Kinds: []types.ServiceKind{"x"}, Capacity: types.Resources{Cores: 8 * types.Core}, RejectsOverload: true},
-		fateOf:      func(wire.WorkerCall) callFate { return callDelivered }, lateDelay: func() time.Duration { return 3 * time.Second },
-		outstanding: map[types.AttemptID]bool{}, committed: map[types.AttemptID]state.Outcome{}, running: map[types.AttemptID]bool{}, starts: map[types.AttemptID]int{},
-		endings: map[types.AttemptID]wire.EndReason{}, acknowledged: map[types.AttemptID]bool{}, proposed: map[state.AttemptEnd]bool{}}
+func newLinkRig(t *testing.T, seed int64, timeouts protocol.Timeouts) *linkRig {
+	r := &linkRig{
+		t:            t,
+		random:       rand.New(rand.NewSource(seed)),
+		timeouts:     timeouts,
+		virtualClock: virtualClock{now: types.MonoTime(time.Hour)},
+		endLog: endLog{
+			outstanding: map[types.AttemptID]bool{},
+			committed:   map[types.AttemptID]state.Outcome{},
+			proposed:    map[state.AttemptEnd]bool{},
+		},
+		workerRecord: workerRecord{
+			running:      map[types.AttemptID]bool{},
+			starts:       map[types.AttemptID]int{},
+			endings:      map[types.AttemptID]wire.EndReason{},
+			acknowledged: map[types.AttemptID]bool{},
+		},
+		workerSpec: history.WorkerSpec{
+			Shard:           "s",
+			Rack:            "r",
+			Kinds:           []types.ServiceKind{"x"},
+			Capacity:        cores(8),
+			RejectsOverload: true,
+		},
+		environment: sim.NewWorkerEnvironment(sim.WorkerRules{
+			MaxLease:           6 * time.Second,
+			MaxStopTime:        400 * ms,
+			GangTimeout:        3 * time.Second,
+			CheckpointInterval: 2 * time.Second,
+			RestoreTime:        600 * ms,
+			RemoteSlowdown:     1.5,
+		}),
+		faults: faults{
+			authorityLeft: timeouts.AgentLease,
+			fateOf:        deliverAll,
+			lateDelay:     func() time.Duration { return 3 * time.Second },
+		},
+	}
 	r.newLeader()
 	r.newAgent()
 	r.startWorker()
-	r.every(10*ms, func() {
-		if r.worker != nil {
-			r.worker.Tick()
-		}
-	})
-	r.every(20*ms, func() { r.executor.Tick(r.now, "h"); r.deliver() })
-	r.every(20*ms, func() { r.scheduler.Tick(r.now, r.authorityLeft); r.deliver() })
-	r.every(1500*ms, func() {
-		if r.worker != nil && !r.heartbeatsStopped {
-			r.executor.HandleWorkerHeartbeat(r.now, r.nextHeartbeat())
-			r.deliver()
-		}
-	})
+	r.startTimers()
 	return r
 }
 
-// after has something done after a time.
-func (lr *linkRig) after(d time.Duration, do func()) {
-	lr.lastTimer++
-	lr.timers = append(lr.timers, timer{lr.now.Add(d), lr.lastTimer, do})
-	sort.Slice(lr.timers, func(i, k int) bool {
-		a, b := lr.timers[i], lr.timers[k]
-		return a.at < b.at || a.at == b.at && a.no < b.no
+func (lr *linkRig) startTimers() {
+	lr.every(10*ms, func() {
+		if lr.worker != nil {
+			lr.worker.Tick()
+		}
+	})
+	lr.every(20*ms, func() {
+		lr.executor.Tick(lr.now, "h")
+		lr.deliver()
+	})
+	lr.every(20*ms, func() {
+		lr.scheduler.Tick(lr.now, lr.authorityLeft)
+		lr.deliver()
+	})
+	lr.every(1500*ms, func() {
+		if lr.worker != nil && !lr.heartbeatsStopped {
+			lr.executor.HandleWorkerHeartbeat(lr.now, lr.nextHeartbeat())
+			lr.deliver()
+		}
 	})
 }
 
-func (lr *linkRig) every(d time.Duration, do func()) {
-	lr.after(d, func() { do(); lr.every(d, do) })
+// newReadyRig is a rig in which all have found each other healthy.
+func newReadyRig(t *testing.T, seed int64) *linkRig {
+	t.Helper()
+	return newReadyRigWith(t, seed, protocol.DefaultTimeouts)
 }
 
-// advance lets time go by.
-func (lr *linkRig) advance(d time.Duration) {
-	end := lr.now.Add(d)
-	for lr.timers[0].at <= end {
-		x := lr.timers[0]
-		lr.timers = lr.timers[1:]
-		lr.now = x.at
-		x.do()
+func newReadyRigWith(t *testing.T, seed int64, timeouts protocol.Timeouts) *linkRig {
+	t.Helper()
+	r := newLinkRig(t, seed, timeouts)
+	r.advance(timeouts.LostAfter + 1500*ms)
+	if health := r.executor.View().State; health != protocol.WorkerHealthy {
+		t.Fatal("the agent is", health)
 	}
-	lr.now = end
+	return r
 }
 
-// newLeader has another leader take over; what the old one had proposed is gone.
+// newLeader has another leader take over. What the one before had proposed is gone.
 func (lr *linkRig) newLeader() {
 	lr.term++
-	var outs []scheduler.OutstandingAttempt
-	for l := range lr.outstanding {
-		outs = append(outs, scheduler.OutstandingAttempt{Attempt: l, Shard: "s", Resources: types.Resources{Cores: types.Core}})
+	var outstanding []scheduler.OutstandingAttempt
+	for id := range lr.outstanding {
+		attempt := scheduler.OutstandingAttempt{Attempt: id, Shard: "s", Resources: cores(1)}
+		outstanding = append(outstanding, attempt)
 	}
-	sort.Slice(outs, func(i, k int) bool { return outs[i].Attempt.Less(outs[k].Attempt) })
+	sort.Slice(outstanding, func(i, k int) bool { return outstanding[i].Attempt.Less(outstanding[k].Attempt) })
 	lr.scheduler = scheduler.New(lr.now, scheduler.Config{
 		Timeouts:          lr.timeouts,
 		Addr:              "h",
 		Term:              lr.term,
 		PriorAuthorityEnd: lr.now,
-		Outstanding:       outs,
-		Cluster:           rigCluster{lr},
+		Outstanding:       outstanding,
+		Cluster:           &lr.endLog,
 	})
 	clear(lr.proposed)
 }
 
-// rigCluster answers the scheduler from the rig's log; its worker is called by its agent.
-type rigCluster struct{ rig *linkRig }
-
-func (rigCluster) UnresolvedAttempts(types.Shard) []types.AttemptID { return nil }
-func (rigCluster) ZonePartitioned(types.Shard) bool                 { return false }
-func (rigCluster) CalledByAgent(types.Shard) bool                   { return true }
-
-func (rc rigCluster) EndRecorded(e state.AttemptEnd) bool {
-	_, ok := rc.rig.committed[e.ID]
-	return ok || !rc.rig.outstanding[e.ID]
-}
-
-// newAgent starts an agent that knows nothing.
+// newAgent starts an agent that knows nothing, in place of the one before.
 func (lr *linkRig) newAgent() {
 	lr.agents++
-	n := 0
-	lr.executor = executor.New(lr.now, lr.timeouts, "w", "s", func() types.ID { n++; return types.ID(fmt.Sprintf("w%d.%d", lr.agents, n)) })
+	instances := 0
+	lr.executor = executor.New(lr.now, lr.timeouts, "w", "s", func() types.ID {
+		instances++
+		return types.ID(fmt.Sprintf("w%d.%d", lr.agents, instances))
+	})
 }
 
-// startWorker starts a worker process.
+// startWorker starts a worker process, in place of the one before.
 func (lr *linkRig) startWorker() {
 	lr.incarnations++
 	id := types.ID(fmt.Sprint("k", lr.incarnations))
 	lr.heartbeatSequence = 0
 	clear(lr.running)
-	lr.worker = sim.NewInvokedWorker(lr.workerSpec, id, lr.environment, lr.random, func() types.MonoTime { return lr.now }, func(h history.Event) {
-		if lr.worker == nil || types.ID(h.Process) != lr.worker.ID {
-			return
+	now := func() types.MonoTime { return lr.now }
+	lr.worker = sim.NewInvokedWorker(lr.workerSpec, id, lr.environment, lr.random, now, lr.record)
+	lr.worker.StartsUnderLease = true
+}
+
+// record takes what happened on a worker and compares it with the log.
+func (lr *linkRig) record(event history.Event) {
+	if lr.worker == nil || types.ID(event.Process) != lr.worker.ID {
+		return
+	}
+	id := event.Attempt
+	switch event.Kind {
+	case history.AttemptStarted:
+		lr.running[id] = true
+		lr.starts[id]++
+		if outcome, ok := lr.committed[id]; ok {
+			lr.t.Errorf("%v starts, although the log has it as %s", id, outcome)
 		}
-		switch h.Kind {
-		case history.AttemptStarted:
-			lr.running[h.Attempt] = true
-			lr.starts[h.Attempt]++
-			if f, ok := lr.committed[h.Attempt]; ok {
-				lr.t.Errorf("%v starts, although the log has it as %s", h.Attempt, f)
-			}
-		case history.AttemptEnded:
-			delete(lr.running, h.Attempt)
-			lr.endings[h.Attempt] = h.How
-		case history.EndSettled:
-			lr.acknowledged[h.Attempt] = true
-			if f := lr.committed[h.Attempt]; h.How == wire.EndSucceeded && f != state.OutcomeOK {
-				lr.t.Errorf("%v is noted as done, and the log has it as %q", h.Attempt, f)
-			}
+	case history.AttemptEnded:
+		delete(lr.running, id)
+		lr.endings[id] = event.How
+	case history.EndSettled:
+		lr.acknowledged[id] = true
+		if outcome := lr.committed[id]; event.How == wire.EndSucceeded && outcome != state.OutcomeOK {
+			lr.t.Errorf("%v is acknowledged as ended well, and the log has it as %q", id, outcome)
 		}
-	})
-	lr.worker.StartsUnderLease = true
+	}
 }
 
 func (lr *linkRig) crashWorker() {
@@ -205,145 +297,141 @@
 	clear(lr.running)
 }
 
+// nextHeartbeat makes the worker's next heartbeat, which the caller delivers.
 func (lr *linkRig) nextHeartbeat() wire.WorkerHeartbeat {
 	lr.heartbeatSequence++
-	return wire.WorkerHeartbeat{Incarnation: lr.worker.ID, Addr: "k", Seq: lr.heartbeatSequence, Rack: "r", Kinds: lr.workerSpec.Kinds, Capacity: lr.workerSpec.Capacity, ClockMS: lr.worker.Clock()}
+	return wire.WorkerHeartbeat{
+		Incarnation: lr.worker.ID,
+		Addr:        "k",
+		Seq:         lr.heartbeatSequence,
+		Rack:        "r",
+		Kinds:       lr.workerSpec.Kinds,
+		Capacity:    lr.workerSpec.Capacity,
+		ClockMS:     lr.worker.Clock(),
+	}
 }
 
-// deliver carries all that the two halves want sent and called.
+// deliver carries the messages and calls of both halves until there are none.
 func (lr *linkRig) deliver() {
 	for more := true; more; {
-		sends, ends := lr.scheduler.TakeOutput()
+		toAgent, ends := lr.scheduler.TakeOutput()
 		lr.propose(ends)
-		from := lr.executor.TakeOutput()
-		more = len(sends)+len(from) > 0
-		for _, s := range from {
-			if u, ok := wire.DecodeBody[protocol.UpdateStatus](s.Message); ok && s.Message.Kind == wire.StatusReport {
-				lr.reported = append(lr.reported, u.Ends...)
-			}
+		fromAgent := lr.executor.TakeOutput()
+		more = len(toAgent)+len(fromAgent) > 0
+		for _, message := range fromAgent {
 			if lr.onSend != nil {
-				lr.onSend(s)
+				lr.onSend(message)
 			}
 			if !lr.partitioned {
-				lr.scheduler.HandleMessage(lr.now, lr.authorityLeft, s.Message)
+				lr.scheduler.HandleMessage(lr.now, lr.authorityLeft, message.Message)
 			}
 		}
-		for _, s := range sends {
+		for _, message := range toAgent {
 			if !lr.partitioned {
-				lr.executor.HandleMessage(lr.now, s.Message)
+				lr.executor.HandleMessage(lr.now, message.Message)
 			}
 		}
-		for _, c := range lr.executor.TakeCalls() {
+		for _, call := range lr.executor.TakeCalls() {
 			more = true
-			lr.makeCall(c)
+			lr.makeCall(call)
 		}
 	}
 }
 
-func (lr *linkRig) makeCall(c wire.WorkerCall) {
+// makeCall carries a call to the worker and its reply back, as its fate is.
+func (lr *linkRig) makeCall(call wire.WorkerCall) {
 	if lr.onCall != nil {
-		lr.onCall(c)
+		lr.onCall(call)
 	}
-	hand, over := lr.executor, false
-	back := func(x wire.WorkerReply) {
-		if !over && lr.executor == hand {
-			over = true
-			x.Number = c.Number
-			lr.executor.HandleWorkerReply(lr.now, x)
+	caller, isOver := lr.executor, false
+	replyOnce := func(reply wire.WorkerReply) {
+		if !isOver && lr.executor == caller {
+			isOver = true
+			reply.Number = call.Number
+			lr.executor.HandleWorkerReply(lr.now, reply)
 			lr.deliver()
 		}
 	}
-	mute := func(wire.WorkerReply) {}
-	do := func(reply func(wire.WorkerReply)) {
-		if lr.worker == nil {
-			return
+	handle := func(reply func(wire.WorkerReply)) {
+		if lr.worker != nil {
+			lr.worker.HandleCall(call, reply)
 		}
-		lr.worker.HandleCall(c, reply)
 	}
-	lr.after(c.Timeout, func() { back(wire.WorkerReply{Result: wire.ResultNoReply}) })
-	switch lr.fateOf(c) {
+	dropReply := func(wire.WorkerReply) {}
+	lr.after(call.Timeout, func() { replyOnce(wire.WorkerReply{Result: wire.ResultNoReply}) })
+	switch lr.fateOf(call) {
 	case callDelivered:
 		lr.after(ms, func() {
-			do(func(x wire.WorkerReply) {
-				d := ms
-				if c.Kind == wire.RenewLease {
-					d += lr.holdReplyDelay
+			handle(func(reply wire.WorkerReply) {
+				delay := ms
+				if call.Kind == wire.RenewLease {
+					delay += lr.renewalReplyDelay
 				}
-				lr.after(d, func() { back(x) })
+				lr.after(delay, func() { replyOnce(reply) })
 			})
 		})
 	case replyLost:
-		lr.after(ms, func() { do(mute) })
+		lr.after(ms, func() { handle(dropReply) })
 	case callLate:
-		lr.after(lr.lateDelay(), func() { do(mute) })
+		lr.after(lr.lateDelay(), func() { handle(dropReply) })
 	}
 }
 
-// propose puts ends into the log a little later; the first one of an attempt stands.
-func (lr *linkRig) propose(list []state.AttemptEnd) {
-	for _, e := range list {
-		if lr.proposed[e] {
+// propose has ends committed a little later, unless the leader is gone by then.
+func (lr *linkRig) propose(ends []state.AttemptEnd) {
+	for _, end := range ends {
+		if lr.proposed[end] {
 			continue
 		}
-		lr.proposed[e] = true
-		head := lr.scheduler
+		lr.proposed[end] = true
+		proposer := lr.scheduler
 		lr.after(time.Duration(5+lr.random.Intn(40))*ms, func() {
-			if lr.scheduler != head {
+			if lr.scheduler != proposer {
 				return
 			}
-			delete(lr.proposed, e)
-			if _, ok := lr.committed[e.ID]; !ok && lr.outstanding[e.ID] {
-				lr.commit(e)
+			delete(lr.proposed, end)
+			if _, ok := lr.committed[end.ID]; !ok && lr.outstanding[end.ID] {
+				lr.commit(end)
 			}
-			lr.scheduler.OnEndsCommitted([]state.AttemptEnd{e})
+			lr.scheduler.OnEndsCommitted([]state.AttemptEnd{end})
 			lr.deliver()
 		})
 	}
 }
 
-func (lr *linkRig) commit(e state.AttemptEnd) {
-	lr.committed[e.ID] = e.Outcome
-	delete(lr.outstanding, e.ID)
+// commit puts an end into the log and compares it with what truly happened.
+func (lr *linkRig) commit(end state.AttemptEnd) {
+	lr.committed[end.ID] = end.Outcome
+	delete(lr.outstanding, end.ID)
 	switch {
-	case e.Outcome == state.OutcomeOK:
-	case lr.running[e.ID]:
-		lr.t.Errorf("the log has %v as %s while it runs", e.ID, e.Outcome)
-	case lr.acknowledged[e.ID] && lr.endings[e.ID] == wire.EndSucceeded:
-		lr.t.Errorf("the log has %v as %s after its good end was noted", e.ID, e.Outcome)
+	case end.Outcome == state.OutcomeOK:
+	case lr.running[end.ID]:
+		lr.t.Errorf("the log has %v as %s while it runs", end.ID, end.Outcome)
+	case lr.acknowledged[end.ID] && lr.endings[end.ID] == wire.EndSucceeded:
+		lr.t.Errorf("the log has %v as %s after its good end was acknowledged", end.ID, end.Outcome)
 	}
 }
 
 // runTask has the leader give an attempt out.
-func (lr *linkRig) runTask(l types.AttemptID, work string) {
-	lr.outstanding[l] = true
-	lr.scheduler.RunTask("s", 0, "", protocol.AttemptSpec{Attempt: l, Kind: "x", Resources: types.Resources{Cores: types.Core}, Input: []byte(work)})
+func (lr *linkRig) runTask(id types.AttemptID, input string) {
+	lr.outstanding[id] = true
+	spec := protocol.AttemptSpec{Attempt: id, Kind: "x", Resources: cores(1), Input: []byte(input)}
+	lr.scheduler.RunTask("s", 0, "", spec)
 	lr.deliver()
 }
 
-func attempt(job string, n int) types.AttemptID {
-	return types.AttemptID{TaskID: types.TaskID{Job: types.JobID(job)}, Attempt: n}
-}
-
-// newReadyRig is a rig in which all have found each other healthy.
-func newReadyRig(t *testing.T, seed int64) *linkRig {
-	return newReadyRigWith(t, seed, protocol.DefaultTimeouts)
-}
-
-func newReadyRigWith(t *testing.T, seed int64, pace protocol.Timeouts) *linkRig {
-	r := newLinkRig(t, seed, pace)
-	r.advance(pace.LostAfter + 1500*ms)
-	if s := r.executor.View().State; s != protocol.WorkerHealthy {
-		t.Fatal("the agent is", s)
-	}
-	return r
-}
-
-// attemptState is how the agent has an attempt: its part, and its outcome.
-func (lr *linkRig) attemptState(l types.AttemptID) (string, state.Outcome) {
-	for _, v := range lr.executor.View().Attempts {
-		if v.Attempt == l {
-			return v.State, v.Outcome
+// attemptView returns an attempt's state and outcome at the agent.
+func (lr *linkRig) attemptView(id types.AttemptID) (string, state.Outcome) {
+	for _, view := range lr.executor.View().Attempts {
+		if view.Attempt == id {
+			return view.State, view.Outcome
 		}
 	}
 	return "", ""
 }
+
+func attempt(job string, number int) types.AttemptID {
+	return types.AttemptID{TaskID: types.TaskID{Job: types.JobID(job)}, Attempt: number}
+}
+
+func cores(n int) types.Resources { return types.Resources{Cores: types.Core}.Scale(n) }
--- a/internal/dispatch/executor/link_test.go
+++ b/internal/dispatch/executor/link_test.go
@@ -1,5 +1,3 @@
-// The agent's side towards a worker that is called, at the level of single calls:
-// what is lost, late, crossed or of another life, and leases on a slow clock.
 package executor_test
 
 import (
@@ -15,20 +13,24 @@
 	"coppercourse/internal/wire"
 )
 
+// The tests here are about single calls: lost, late and crossed ones, those of another
+// incarnation, and leases on a slow clock.
+
+// Inputs of tasks: how long they run, in milliseconds.
 const short, long = `{"ms":300}`, `{"ms":60000}`
 
-// applyToFirst does something to the first call of a kind, and lets the others be.
-func (lr *linkRig) applyToFirst(k wire.CallKind, w callFate) {
-	lr.fateOf = func(c wire.WorkerCall) callFate {
-		if c.Kind != k {
+// applyToFirst gives the first call of a kind a fate; all others are delivered.
+func (lr *linkRig) applyToFirst(kind wire.CallKind, fate callFate) {
+	lr.fateOf = func(call wire.WorkerCall) callFate {
+		if call.Kind != kind {
 			return callDelivered
 		}
-		lr.fateOf = func(wire.WorkerCall) callFate { return callDelivered }
-		return w
+		lr.fateOf = deliverAll
+		return fate
 	}
 }
 
-func TestAStartRunsAndItsEndIsNoted(t *testing.T) {
+func TestStartedAttemptRunsAndItsEndIsAcknowledged(t *testing.T) {
 	is, r := is.New(t), newReadyRig(t, 1)
 	r.runTask(attempt("a", 1), short)
 	r.advance(time.Second)
@@ -37,48 +39,52 @@
 	is.Equal(len(r.executor.View().Attempts), 0)
 }
 
-// What became of a start that got no answer is found out by a query, and no
-// later call can change it.
-func TestStartsWithoutAnAnswer(t *testing.T) {
-	for _, c := range []struct {
-		way     callFate
-		lag     time.Duration
-		outcome state.Outcome
+// What became of a start that got no reply is found out by a query, and no later call can
+// change it.
+func TestStartsWithoutReply(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		fate      callFate
+		lateDelay time.Duration
+		want      state.Outcome
 	}{
-		{callLost, 0, state.OutcomeNeverRan},
-		{replyLost, 0, state.OutcomeOK},
-		{callLate, 200 * ms, state.OutcomeOK}, // before the query
-		{callLate, 300 * ms, state.OutcomeNeverRan},
-		{callLate, 900 * ms, state.OutcomeNeverRan},
-		{callLate, 1500 * ms, state.OutcomeNeverRan},
-		{callLate, 3 * time.Second, state.OutcomeNeverRan},
+		{"call lost", callLost, 0, state.OutcomeNeverRan},
+		{"reply lost", replyLost, 0, state.OutcomeOK},
+		{"late but before the query", callLate, 200 * ms, state.OutcomeOK},
+		{"just after the query", callLate, 300 * ms, state.OutcomeNeverRan},
+		{"900 ms late", callLate, 900 * ms, state.OutcomeNeverRan},
+		{"1.5 s late", callLate, 1500 * ms, state.OutcomeNeverRan},
+		{"3 s late", callLate, 3 * time.Second, state.OutcomeNeverRan},
 	} {
-		is, r := is.New(t), newReadyRig(t, 2)
-		r.lateDelay = func() time.Duration { return c.lag }
-		r.applyToFirst(wire.StartAttempt, c.way)
-		r.runTask(attempt("a", 1), short)
-		r.advance(6 * time.Second)
-		is.Equal(r.committed[attempt("a", 1)], c.outcome)
-		is.Equal(r.starts[attempt("a", 1)] > 0, c.outcome == state.OutcomeOK)
-		is.Equal(r.acknowledged[attempt("a", 1)], c.outcome == state.OutcomeOK)
+		t.Run(test.name, func(t *testing.T) {
+			is, r := is.New(t), newReadyRig(t, 2)
+			r.lateDelay = func() time.Duration { return test.lateDelay }
+			r.applyToFirst(wire.StartAttempt, test.fate)
+			r.runTask(attempt("a", 1), short)
+			r.advance(6 * time.Second)
+			is.Equal(r.committed[attempt("a", 1)], test.want)
+			is.Equal(r.starts[attempt("a", 1)] > 0, test.want == state.OutcomeOK)
+			is.Equal(r.acknowledged[attempt("a", 1)], test.want == state.OutcomeOK)
+		})
 	}
 }
 
-// Once what was unsure is known, no more queries are made for it, though its end
-// may take long to be settled.
-func TestOneQuerySettlesAnUnsureStart(t *testing.T) {
+// Once an unsure start is resolved, no more queries are made for it, even if its end
+// takes long to be committed.
+func TestOneQueryResolvesAnUnsureStart(t *testing.T) {
 	is, r := is.New(t), newReadyRig(t, 3)
 	was := r.executor.WorkerLease().Counters
 	r.applyToFirst(wire.StartAttempt, callLost)
 	r.runTask(attempt("a", 1), short)
 	r.advance(650 * ms)
-	r.partitioned = true // what the agent tells is not heard, nor settled
+	r.partitioned = true // what the agent reports does not arrive, and is not committed
 	r.advance(800 * ms)
 	is.Equal(r.executor.WorkerLease().Counters.Queries-was.Queries, uint64(1))
 }
 
-// An agent that starts anew raises the fence above all that the one before it sent.
-func TestFenceRisesOverRestarts(t *testing.T) {
+// An agent that is started anew has a fencing token above all that the one before it
+// sent.
+func TestFencingTokenRisesOverRestarts(t *testing.T) {
 	is, r := is.New(t), newReadyRigWith(t, 4, longLeases)
 	r.applyToFirst(wire.StartAttempt, callLate)
 	r.runTask(attempt("a", 1), short)
@@ -90,9 +96,9 @@
 	is.Equal(r.starts[attempt("a", 1)], 0)
 }
 
-// So it does where it first hears the very beat by which the one before it took
-// the worker up, which came twice.
-func TestFenceRisesAfterARepeatedBeat(t *testing.T) {
+// So it has if the first heartbeat that it gets is the very one by which the agent before
+// it adopted the worker, delivered twice.
+func TestFencingTokenRisesAfterARepeatedHeartbeat(t *testing.T) {
 	is := is.New(t)
 	r := newLinkRig(t, 5, protocol.DefaultTimeouts)
 	r.heartbeatsStopped = true
@@ -109,46 +115,46 @@
 	r.executor.HandleWorkerHeartbeat(r.now, b)
 	r.deliver()
 	r.advance(20 * ms)
-	_, told := r.attemptState(attempt("a", 1))
-	is.Equal(told, state.Outcome(""))      // it has asked its worker, and knows of nothing that runs
-	r.advance(500 * ms)                    // so what the agent before it sent
-	is.Equal(r.starts[attempt("a", 1)], 0) // is not started any more
+	_, outcome := r.attemptView(attempt("a", 1))
+	is.Equal(outcome, state.Outcome("")) // it has queried its worker and knows of nothing that runs,
+	r.advance(500 * ms)
+	is.Equal(r.starts[attempt("a", 1)], 0) // so what the agent before it sent is not started any more
 }
 
-// An answer that crossed a newer one tells nothing new: what began between the
-// two is neither gone nor unrun.
-func TestAnswersThatCross(t *testing.T) {
+// A reply that crossed a newer one says nothing new: what was started between the two has
+// neither ended nor never run.
+func TestRepliesThatCross(t *testing.T) {
 	is, r := is.New(t), newReadyRig(t, 6)
 	was := r.executor.WorkerLease().Counters.Queries
-	r.applyToFirst(wire.StartAttempt, replyLost) // so that there is a query beside the hold that waits
+	r.applyToFirst(wire.StartAttempt, replyLost) // so that there is a query beside the renewal that waits
 	r.runTask(attempt("a", 1), long)
-	r.holdReplyDelay = 200 * ms
+	r.renewalReplyDelay = 200 * ms
 	r.advance(200 * ms)
-	r.runTask(attempt("b", 1), long) // which is answered, so that the worker seems well
+	r.runTask(attempt("b", 1), long) // which gets its reply, so that the worker seems healthy
 	r.advance(100 * ms)
-	is.Equal(r.executor.WorkerLease().Counters.Queries, was+1) // the query is under way
+	is.Equal(r.executor.WorkerLease().Counters.Queries, was+1) // the query is open
 	r.runTask(attempt("c", 1), long)
 	r.advance(50 * ms)
-	r.holdReplyDelay = 0
+	r.renewalReplyDelay = 0
 	r.advance(1500 * ms)
 	is.Equal(len(r.committed), 0)
-	for _, l := range []types.AttemptID{attempt("a", 1), attempt("b", 1), attempt("c", 1)} {
-		p, _ := r.attemptState(l)
-		is.Equal(p, "running")
+	for _, id := range []types.AttemptID{attempt("a", 1), attempt("b", 1), attempt("c", 1)} {
+		attemptState, _ := r.attemptView(id)
+		is.Equal(attemptState, "running")
 	}
 }
 
-// A grant runs down and is renewed at the last moment, while a task ends well: the
-// end is noted by the worker only if the log has it so.
-func TestAGoodEndWhileTheLeaseIsRenewedLate(t *testing.T) {
+// A lease runs down and is renewed at the last moment, while a task ends well: the worker
+// counts the end only if the log has it so.
+func TestGoodEndWhileTheLeaseIsRenewedLate(t *testing.T) {
 	is := is.New(t)
-	good, lapsed := 0, 0
-	for _, cut := range []time.Duration{1300 * ms, 1400 * ms, 1500 * ms, 1600 * ms, 1700 * ms, 1800 * ms, 1900 * ms} {
-		for work := 1500; work < 2600; work += 50 {
-			r := newReadyRig(t, int64(work))
-			r.runTask(attempt("a", 1), fmt.Sprintf(`{"ms":%d}`, work))
-			r.partitioned = true // the grant runs down
-			r.advance(cut)
+	good, expired := 0, 0
+	for partition := 1300 * ms; partition <= 1900*ms; partition += 100 * ms {
+		for runTime := 1500; runTime < 2600; runTime += 50 {
+			r := newReadyRig(t, int64(runTime))
+			r.runTask(attempt("a", 1), fmt.Sprintf(`{"ms":%d}`, runTime))
+			r.partitioned = true // the lease runs down
+			r.advance(partition)
 			r.partitioned = false // and is renewed, in time or not
 			r.advance(4 * time.Second)
 			switch {
@@ -157,19 +163,19 @@
 				good++
 			case r.endings[attempt("a", 1)] == wire.EndLeaseExpired:
 				is.Equal(r.committed[attempt("a", 1)], state.OutcomeLeaseExpired)
-				lapsed++
+				expired++
 			}
 		}
 	}
 	is.True(good > 20)
-	is.True(lapsed > 5)
+	is.True(expired > 5)
 }
 
-// An agent says that an attempt lapsed only once it has: with the slowest clock, late
-// calls and readings, and grants that come and go.
-func TestLapseIsNeverToldTooSoon(t *testing.T) {
+// An agent reports that an attempt's lease has expired only once it has: with the slowest
+// clock, late calls and readings, and leases that come and go.
+func TestLeaseExpiryIsNeverReportedTooSoon(t *testing.T) {
 	is := is.New(t)
-	lapsed := 0
+	expired := 0
 	for seed := range int64(60) {
 		r := newReadyRig(t, 100+seed)
 		r.runTask(attempt("a", 1), long)
@@ -177,19 +183,19 @@
 		r.fateOf = func(wire.WorkerCall) callFate { return callFate(r.random.Intn(4)) }
 		r.partitioned = seed%2 == 0
 		r.advance(4 * time.Second)
-		r.partitioned, r.fateOf = false, func(wire.WorkerCall) callFate { return callDelivered }
+		r.partitioned, r.fateOf = false, deliverAll
 		r.advance(4 * time.Second)
-		if f, ok := r.committed[attempt("a", 1)]; ok {
-			is.Equal(f, state.OutcomeLeaseExpired) // the rig itself tells an attempt that runs on
-			lapsed++
+		if outcome, ok := r.committed[attempt("a", 1)]; ok {
+			is.Equal(outcome, state.OutcomeLeaseExpired) // the rig itself notices an attempt that runs on
+			expired++
 		}
 	}
-	is.True(lapsed > 20)
+	is.True(expired > 20)
 }
 
-// A new agent's own short lease does not make it forget that the one before it may
-// have given a longer one.
-func TestARestartedAgentWaitsForItsPredecessorsLease(t *testing.T) {
+// A new agent's own short lease does not make it forget that the agent before it may have
+// granted a longer one.
+func TestRestartedAgentWaitsForItsPredecessorsLease(t *testing.T) {
 	is, r := is.New(t), newReadyRig(t, 8)
 	r.runTask(attempt("a", 1), long)
 	r.advance(300 * ms)
@@ -200,13 +206,13 @@
 	r.advance(900 * ms)
 	is.True(r.executor.WorkerLease().UntilMS > 0)
 	r.fateOf = func(wire.WorkerCall) callFate { return callLost } // the worker can't be reached any more
-	r.advance(5 * time.Second)                                    // the rig tells if the attempt is given up while it runs
+	r.advance(5 * time.Second)                                    // the rig notices if it is given up while it runs
 	is.Equal(r.committed[attempt("a", 1)], state.OutcomeLeaseExpired)
 }
 
-// What a worker runs runs on when its agent starts anew, and the new agent is given
-// work at once: one process stands at an address.
-func TestWorkOutlivesARestartOfTheAgent(t *testing.T) {
+// What a worker runs goes on when its agent is started anew, and the new agent is given
+// tasks at once: one process stands at an address.
+func TestTasksOutliveARestartOfTheAgent(t *testing.T) {
 	is, r := is.New(t), newReadyRig(t, 14)
 	r.runTask(attempt("a", 1), `{"ms":3500}`)
 	r.advance(300 * ms)
@@ -225,18 +231,18 @@
 	is.True(r.acknowledged[attempt("a", 1)])
 }
 
-// A beat of an agent that is over, and that the leader never knew, comes late: the
-// agent that beats keeps its seat.
-func TestABeatOfAFormerAgentComesLate(t *testing.T) {
+// A heartbeat of an agent that is gone, and that the leader never knew, arrives late: the
+// agent that sends heartbeats stays associated.
+func TestHeartbeatOfAFormerAgentArrivesLate(t *testing.T) {
 	is, r := is.New(t), newReadyRig(t, 15)
 	r.newAgent()
 	r.advance(100 * ms)
-	r.partitioned = true // what it says is under way for long
+	r.partitioned = true // what it sends takes long
 	r.executor.HandleWorkerHeartbeat(r.now, r.nextHeartbeat())
 	var late []wire.OutboundMessage
-	r.onSend = func(s wire.OutboundMessage) {
-		if s.Message.Kind == wire.Heartbeat {
-			late = append(late, s)
+	r.onSend = func(message wire.OutboundMessage) {
+		if message.Message.Kind == wire.Heartbeat {
+			late = append(late, message)
 		}
 	}
 	r.advance(50 * ms)
@@ -247,21 +253,21 @@
 	r.runTask(attempt("a", 1), `{"ms":2000}`)
 	r.advance(500 * ms)
 	is.True(len(late) > 0)
-	for _, s := range late {
-		r.scheduler.HandleMessage(r.now, r.authorityLeft, s.Message)
+	for _, message := range late {
+		r.scheduler.HandleMessage(r.now, r.authorityLeft, message.Message)
 	}
 	r.advance(3 * time.Second)
 	is.Equal(r.committed[attempt("a", 1)], state.OutcomeOK)
 }
 
-// Another life at the worker's address: what ran has gone with the one before.
-func TestAnotherLife(t *testing.T) {
+// Another worker process at the address: what ran has ended with the one before.
+func TestAnotherIncarnation(t *testing.T) {
 	is, r := is.New(t), newReadyRig(t, 9)
 	r.runTask(attempt("a", 1), long)
 	r.advance(300 * ms)
 	r.crashWorker()
 	r.startWorker()
-	r.advance(time.Second) // it has not even beaten yet, but it answers
+	r.advance(time.Second) // it has sent no heartbeat yet, but it replies
 	is.Equal(r.committed[attempt("a", 1)], state.OutcomeWorkerExited)
 	r.advance(3 * time.Second)
 	is.Equal(r.executor.View().Worker, types.ID("k2"))
@@ -270,9 +276,9 @@
 	is.Equal(r.committed[attempt("a", 2)], state.OutcomeOK)
 }
 
-// A beat of a life that is over, and that this agent never knew, comes late: the
-// life that answers stays the worker, and few calls are made to find out.
-func TestABeatOfAFormerLifeComesLate(t *testing.T) {
+// A heartbeat of a process that is over, and that this agent never knew, arrives late: the
+// process that replies stays adopted, and few calls are made to find out.
+func TestHeartbeatOfAFormerIncarnationArrivesLate(t *testing.T) {
 	is := is.New(t)
 	r := newLinkRig(t, 10, protocol.DefaultTimeouts)
 	old := r.nextHeartbeat()
@@ -296,16 +302,16 @@
 	is.Equal(r.committed[attempt("b", 1)], state.OutcomeOK)
 }
 
-// A worker that said that it drains and then leaves takes along what it still ran;
-// one that comes in its place is taken up at once.
-func TestAWorkerLeaves(t *testing.T) {
+// With a worker that announced that it drains and then deregisters all ends that it still
+// ran, and one that comes in its place is adopted at once.
+func TestDrainingWorkerDeregisters(t *testing.T) {
 	is, r := is.New(t), newReadyRig(t, 11)
 	r.runTask(attempt("a", 1), long)
 	r.advance(300 * ms)
-	b := r.nextHeartbeat()
-	b.Draining = true
+	draining := r.nextHeartbeat()
+	draining.Draining = true
 	r.heartbeatsStopped = true
-	r.executor.HandleWorkerHeartbeat(r.now, b)
+	r.executor.HandleWorkerHeartbeat(r.now, draining)
 	r.advance(100 * ms)
 	is.Equal(r.committed[attempt("a", 1)], state.Outcome("")) // it runs on while it drains
 	r.heartbeatsStopped = false
@@ -319,9 +325,9 @@
 	is.Equal(r.executor.View().Worker, types.ID("k2"))
 }
 
-// Ends that a leader did not live to put into the log are told to the next one,
-// and settled only when it has them.
-func TestUnsettledEndsOverANewLeader(t *testing.T) {
+// Ends that a leader did not get to commit are reported to the next one, and acknowledged
+// only once it has committed them.
+func TestUncommittedEndsOverANewLeader(t *testing.T) {
 	is, r := is.New(t), newReadyRig(t, 12)
 	r.runTask(attempt("a", 1), short)
 	r.advance(250 * ms)
@@ -336,9 +342,9 @@
 	is.True(r.acknowledged[attempt("a", 1)])
 }
 
-// An agent that starts anew, twice within seconds, neither notes what the leader
-// has given up nor has what it did not give up run again.
-func TestAAgentRestartedTwice(t *testing.T) {
+// An agent that is started anew twice within seconds neither acknowledges what the leader
+// has given up nor has anything else run again.
+func TestAgentRestartedTwice(t *testing.T) {
 	for seed := range int64(60) {
 		is, r := is.New(t), newReadyRig(t, 200+seed)
 		r.runTask(attempt("a", 1), `{"ms":1800}`)
@@ -349,12 +355,12 @@
 		}
 		r.advance(9 * time.Second)
 		is.True(r.committed[attempt("a", 1)] != "")
-		is.Equal(len(r.executor.View().Attempts) <= 1, true) // all settled but what may run on
+		is.Equal(len(r.executor.View().Attempts) <= 1, true) // all forgotten but what may run on
 	}
 }
 
-// An agent that starts anew goes on settling ends where the one before it stopped.
-func TestARestartedAgentSettlesEnds(t *testing.T) {
+// An agent that is started anew goes on acknowledging ends where the one before stopped.
+func TestRestartedAgentAcknowledgesEnds(t *testing.T) {
 	is, r := is.New(t), newReadyRig(t, 13)
 	r.runTask(attempt("a", 1), short)
 	r.advance(time.Second)
@@ -364,6 +370,6 @@
 	r.advance(time.Second)
 	is.Equal(r.committed[attempt("b", 1)], state.OutcomeOK)
 	is.True(r.acknowledged[attempt("b", 1)])
-	r.advance(500 * ms) // the hold that told the worker so has waited, and was answered
+	r.advance(500 * ms) // the renewal that acknowledged it has waited, and got its reply
 	is.Equal(len(r.executor.View().Attempts), 0)
 }
