--- a/internal/dispatch/executor/protocol_test.go
+++ b/internal/dispatch/executor/protocol_test.go
@@ -1,5 +1,3 @@
-// The hazards that the paper names, and those that terms and grants add, each
-// brought about by hand on the two halves with notes passed one by one.
 package executor
 
 import (
@@ -16,16 +14,28 @@
 	"coppercourse/internal/wire"
 )
 
+// The tests here bring about the hazards that the paper names, and those that terms and
+// leases add, on both halves with messages delivered one by one.
+
 const ms = time.Millisecond
 
-// testCluster is one leader's half and some agents' halves, with a shared clock.
+// theAttempt is the one that most tests are about.
+var theAttempt = newAttempt("j")
+
+func newAttempt(job types.JobID) types.AttemptID {
+	return types.AttemptID{TaskID: types.TaskID{Job: job}, Attempt: 1}
+}
+
+func oneCore() types.Resources { return types.Resources{Cores: types.Core} }
+
+// testCluster is a scheduler and executors with polling workers, in virtual time.
 type testCluster struct {
 	now       types.MonoTime
 	scheduler *scheduler.Scheduler
 	executors map[types.Addr]*Executor
 	inFlight  []wire.OutboundMessage // not yet delivered
-	ends      []state.AttemptEnd
-	instances int
+	ends      []state.AttemptEnd     // put out by the scheduler
+	instances int                    // drawn so far
 
 	endsRecorded bool // the log already has every end, or none
 }
@@ -36,318 +46,364 @@
 	return cluster
 }
 
-func (t *testCluster) newLeader(term types.Term, outs ...scheduler.OutstandingAttempt) {
-	t.endsRecorded = false
-	t.scheduler = scheduler.New(t.now, scheduler.Config{
+// newHealthyCluster is a cluster of one agent, w of shard s, that is healthy.
+func newHealthyCluster(t *testing.T) (*is.I, *testCluster, *Executor) {
+	t.Helper()
+	cluster := newTestCluster()
+	agent := cluster.newAgent("w", "s")
+	cluster.advance(4*time.Second, nil)
+	return is.New(t), cluster, agent
+}
+
+func (tc *testCluster) newLeader(term types.Term, outstanding ...scheduler.OutstandingAttempt) {
+	tc.endsRecorded = false
+	tc.scheduler = scheduler.New(tc.now, scheduler.Config{
 		Timeouts:          protocol.DefaultTimeouts,
 		Addr:              "h",
 		Term:              term,
-		PriorAuthorityEnd: t.now,
-		Outstanding:       outs,
-		Cluster:           t,
+		PriorAuthorityEnd: tc.now,
+		Outstanding:       outstanding,
+		Cluster:           tc,
 	})
 }
 
-// UnresolvedAttempts and the next three answer the scheduler as its ClusterState.
+// UnresolvedAttempts and the next three make the cluster the scheduler's ClusterState.
 func (*testCluster) UnresolvedAttempts(types.Shard) []types.AttemptID { return nil }
 func (*testCluster) ZonePartitioned(types.Shard) bool                 { return false }
 func (*testCluster) CalledByAgent(types.Shard) bool                   { return false }
-func (t *testCluster) EndRecorded(state.AttemptEnd) bool              { return t.endsRecorded }
+func (tc *testCluster) EndRecorded(state.AttemptEnd) bool             { return tc.endsRecorded }
 
-func (t *testCluster) newAgent(addr types.Addr, shard types.Shard) *Executor {
-	h := New(t.now, protocol.DefaultTimeouts, addr, shard, func() types.ID {
-		t.instances++
-		return types.ID(fmt.Sprintf("%s-%d", addr, t.instances))
+func (tc *testCluster) newAgent(addr types.Addr, shard types.Shard) *Executor {
+	agent := New(tc.now, protocol.DefaultTimeouts, addr, shard, func() types.ID {
+		tc.instances++
+		return types.ID(fmt.Sprintf("%s-%d", addr, tc.instances))
 	})
-	t.executors[addr] = h
-	return h
+	tc.executors[addr] = agent
+	return agent
 }
 
-func (t *testCluster) poll(h *Executor, call uint64, runs ...types.AttemptID) protocol.PollReply {
-	p := protocol.Poll{Worker: "k", Call: call, SentAt: t.now, Rack: "r", Kinds: []types.ServiceKind{"x"}, Capacity: types.Resources{Cores: 4 * types.Core}}
-	for _, l := range runs {
-		p.Running = append(p.Running, protocol.RunningTask{Attempt: l, Resources: types.Resources{Cores: 1 * types.Core}})
+// poll makes the next call of an agent's worker, on which the given attempts run.
+func (tc *testCluster) poll(agent *Executor, running ...types.AttemptID) protocol.PollReply {
+	poll := protocol.Poll{
+		Worker:   "k",
+		Call:     agent.polls.lastCall + 1,
+		SentAt:   tc.now,
+		Rack:     "r",
+		Kinds:    []types.ServiceKind{"x"},
+		Capacity: oneCore().Scale(4),
 	}
-	h.HandlePoll(t.now, p)
-	return h.ReplyToPoll(t.now)
-}
-
-// collect moves all that the machines want sent into the post.
-func (t *testCluster) collect() {
-	s, e := t.scheduler.TakeOutput()
-	t.inFlight, t.ends = append(t.inFlight, s...), append(t.ends, e...)
-	for _, h := range t.executors {
-		t.inFlight = append(t.inFlight, h.TakeOutput()...)
+	for _, id := range running {
+		poll.Running = append(poll.Running, protocol.RunningTask{Attempt: id, Resources: oneCore()})
 	}
+	agent.HandlePoll(tc.now, poll)
+	return agent.ReplyToPoll(tc.now)
 }
 
-// deliver delivers the post until it is empty, but for what keep holds back.
-func (t *testCluster) deliver(keep func(wire.OutboundMessage) bool) (held []wire.OutboundMessage) {
-	t.collect()
-	for len(t.inFlight) > 0 {
-		s := t.inFlight[0]
-		t.inFlight = t.inFlight[1:]
-		if keep != nil && keep(s) {
-			held = append(held, s)
-			continue
-		}
-		t.deliverOne(s)
-		t.collect()
-	}
-	return
+// runTask has the scheduler give an attempt to the worker of shard s.
+func (tc *testCluster) runTask(id types.AttemptID) {
+	tc.scheduler.RunTask("s", 0, "", protocol.AttemptSpec{Attempt: id, Kind: "x", Resources: oneCore()})
 }
 
-func (t *testCluster) deliverOne(s wire.OutboundMessage) {
-	if s.To == "h" {
-		t.scheduler.HandleMessage(t.now, time.Second, s.Message)
-	} else if h := t.executors[s.To]; h != nil {
-		h.HandleMessage(t.now, s.Message)
+// collect puts all that both halves want sent in flight.
+func (tc *testCluster) collect() {
+	messages, ends := tc.scheduler.TakeOutput()
+	tc.inFlight, tc.ends = append(tc.inFlight, messages...), append(tc.ends, ends...)
+	for _, agent := range tc.executors {
+		tc.inFlight = append(tc.inFlight, agent.TakeOutput()...)
 	}
 }
 
-// advance lets time go by in small steps, with workers that call all the while.
-func (t *testCluster) advance(d time.Duration, keep func(wire.OutboundMessage) bool) {
-	for end := t.now.Add(d); t.now < end; {
-		t.now = t.now.Add(50 * ms)
-		for _, h := range t.executors {
-			var runs []types.AttemptID
-			for _, l := range h.attempts.inOrder() {
-				if l.state != attemptEnded {
-					runs = append(runs, l.spec.Attempt)
-				}
-			}
-			t.poll(h, h.polls.lastCall+1, runs...)
-			h.Tick(t.now, "h")
+// deliver delivers messages until none is in flight, but for those that hold picks, if
+// given. It returns these.
+func (tc *testCluster) deliver(hold func(wire.OutboundMessage) bool) []wire.OutboundMessage {
+	var held []wire.OutboundMessage
+	tc.collect()
+	for len(tc.inFlight) > 0 {
+		message := tc.inFlight[0]
+		tc.inFlight = tc.inFlight[1:]
+		if hold != nil && hold(message) {
+			held = append(held, message)
+			continue
 		}
-		t.scheduler.Tick(t.now, time.Second)
-		t.deliver(keep)
+		tc.deliverOne(message)
+		tc.collect()
 	}
+	return held
 }
 
-// newHealthyCluster is a leader and one agent that have found each other healthy.
-func newHealthyCluster(t *testing.T) (*is.I, *testCluster, *Executor) {
-	b := newTestCluster()
-	w := b.newAgent("w", "s")
-	b.advance(4*time.Second, nil)
-	return is.New(t), b, w
+func (tc *testCluster) deliverOne(message wire.OutboundMessage) {
+	if message.To == "h" {
+		tc.scheduler.HandleMessage(tc.now, time.Second, message.Message)
+	} else if agent := tc.executors[message.To]; agent != nil {
+		agent.HandleMessage(tc.now, message.Message)
+	}
 }
 
-func newAttempt(job string, n int) types.AttemptID {
-	return types.AttemptID{TaskID: types.TaskID{Job: types.JobID(job)}, Attempt: n}
+func ofKind(kind wire.Kind) func(wire.OutboundMessage) bool {
+	return func(message wire.OutboundMessage) bool { return message.Message.Kind == kind }
 }
 
-func runTask(b *testCluster, shard types.Shard, l types.AttemptID) {
-	b.scheduler.RunTask(shard, 0, "", protocol.AttemptSpec{Attempt: l, Kind: "x", Resources: types.Resources{Cores: 1 * types.Core}})
+func ofAgent(addr types.Addr) func(wire.OutboundMessage) bool {
+	return func(message wire.OutboundMessage) bool { return message.Message.From == addr || message.To == addr }
 }
 
-func ofKind(k wire.Kind) func(wire.OutboundMessage) bool {
-	return func(s wire.OutboundMessage) bool { return s.Message.Kind == k }
+// advance lets time pass in small steps, with workers that poll and run all that they
+// are given. For hold see deliver.
+func (tc *testCluster) advance(d time.Duration, hold func(wire.OutboundMessage) bool) {
+	for end := tc.now.Add(d); tc.now < end; {
+		tc.now = tc.now.Add(50 * ms)
+		for _, agent := range tc.executors {
+			var running []types.AttemptID
+			for _, a := range agent.attempts.inOrder() {
+				if a.state != attemptEnded {
+					running = append(running, a.spec.Attempt)
+				}
+			}
+			tc.poll(agent, running...)
+			agent.Tick(tc.now, "h")
+		}
+		tc.scheduler.Tick(tc.now, time.Second)
+		tc.deliver(hold)
+	}
 }
 
-func TestDelayedOrderAfterQuery(t *testing.T) {
-	is, b, w := newHealthyCluster(t)
-	is.Equal(b.scheduler.Worker("s").State, protocol.WorkerHealthy)
-	runTask(b, "s", newAttempt("j", 1))
-	late := b.deliver(ofKind(wire.RunTask))
+func TestDelayedRunTaskAfterQuery(t *testing.T) {
+	is, cluster, agent := newHealthyCluster(t)
+	is.Equal(cluster.scheduler.Worker("s").State, protocol.WorkerHealthy)
+	cluster.runTask(theAttempt)
+	late := cluster.deliver(ofKind(wire.RunTask))
 	is.Equal(len(late), 1)
-	b.advance(400*ms, nil) // unanswered, so unsure, so asked about
-	is.True(w.attempts.byID[newAttempt("j", 1)].state == attemptEnded)
-	is.Equal(b.ends[len(b.ends)-1], state.AttemptEnd{ID: newAttempt("j", 1), Outcome: state.OutcomeNeverRan})
-	b.deliverOne(late[0])
-	is.True(w.attempts.byID[newAttempt("j", 1)].state == attemptEnded) // it stays what the agent said
-	// An order for an attempt that was not asked about, sent before the query, is refused by its number.
-	o, _ := wire.DecodeBody[protocol.RunTask](late[0].Message)
-	o.Spec.Attempt, o.StartBefore = newAttempt("k", 1), b.now.Add(time.Second)
-	w.HandleMessage(b.now, wire.NewMessage("h", "w", wire.RunTask, o).Message)
-	is.Equal(w.attempts.byID[newAttempt("k", 1)], nil)
+	cluster.advance(400*ms, nil) // no reply, so unsure, so queried
+	is.True(agent.attempts.byID[theAttempt].state == attemptEnded)
+	is.Equal(cluster.ends[len(cluster.ends)-1], state.AttemptEnd{ID: theAttempt, Outcome: state.OutcomeNeverRan})
+	cluster.deliverOne(late[0])
+	is.True(agent.attempts.byID[theAttempt].state == attemptEnded) // it stays what the agent reported
+
+	// A RunTask from before the query, for an attempt that was not queried, is rejected by
+	// its sequence number.
+	order, _ := wire.DecodeBody[protocol.RunTask](late[0].Message)
+	order.Spec.Attempt, order.StartBefore = newAttempt("k"), cluster.now.Add(time.Second)
+	agent.HandleMessage(cluster.now, wire.NewMessage("h", "w", wire.RunTask, order).Message)
+	is.Equal(agent.attempts.byID[newAttempt("k")], nil)
 }
 
-func TestRedundantNotRunningIsLetPass(t *testing.T) {
-	is, b, w := newHealthyCluster(t)
-	runTask(b, "s", newAttempt("j", 1))
-	b.deliver(nil)
-	w.endAttempt(w.attempts.byID[newAttempt("j", 1)], state.OutcomeOK)
-	b.scheduler.OnEndsCommitted([]state.AttemptEnd{{ID: newAttempt("j", 1), Outcome: state.OutcomeOK}})
-	b.endsRecorded = true
-	b.deliver(nil)
-	b.poll(w, w.polls.lastCall+1)
-	b.poll(w, w.polls.lastCall+1) // the worker has let go of it, so the agent has too
-	is.Equal(len(w.attempts.byID), 0)
-	s := b.scheduler.Worker("s")
-	query := protocol.NotifyIfTasksNotRunning{Header: protocol.Header{Term: 1, To: s.Instance}, Sequence: w.association.querySequence + 1, Attempts: []types.AttemptID{newAttempt("j", 1)}}
-	b.deliverOne(wire.NewMessage("h", "w", wire.NotRunningQuery, query))
-	is.Equal(w.attempts.byID[newAttempt("j", 1)].outcome, state.OutcomeNeverRan)
-	b.ends = nil
-	b.advance(time.Second, nil)
-	is.Equal(len(b.ends), 0)          // the redundant report changes nothing
-	is.Equal(len(w.attempts.byID), 0) // and is settled
+func TestRedundantNotRunningChangesNothing(t *testing.T) {
+	is, cluster, agent := newHealthyCluster(t)
+	cluster.runTask(theAttempt)
+	cluster.deliver(nil)
+	agent.endAttempt(agent.attempts.byID[theAttempt], state.OutcomeOK)
+	cluster.scheduler.OnEndsCommitted([]state.AttemptEnd{{ID: theAttempt, Outcome: state.OutcomeOK}})
+	cluster.endsRecorded = true
+	cluster.deliver(nil)
+	cluster.poll(agent)
+	cluster.poll(agent) // the worker has dropped it, so the agent has too
+	is.Equal(len(agent.attempts.byID), 0)
+	query := protocol.NotifyIfTasksNotRunning{
+		Header:   protocol.Header{Term: 1, To: cluster.scheduler.Worker("s").Instance},
+		Sequence: agent.association.querySequence + 1,
+		Attempts: []types.AttemptID{theAttempt},
+	}
+	cluster.deliverOne(wire.NewMessage("h", "w", wire.NotRunningQuery, query))
+	is.Equal(agent.attempts.byID[theAttempt].outcome, state.OutcomeNeverRan)
+	cluster.ends = nil
+	cluster.advance(time.Second, nil)
+	is.Equal(len(cluster.ends), 0)        // the redundant report changes nothing,
+	is.Equal(len(agent.attempts.byID), 0) // and is acknowledged
 }
 
-// To a new leader an agent's own conclusions wait for its account; what its
-// worker did counts at once, since the agent may not live to tell it again.
+// A new leader takes an agent's own conclusions only with its running tasks. What its
+// worker reported counts at once, since the agent may be gone before it reports again.
 func TestEndReportWhileNew(t *testing.T) {
-	for outcome, at := range map[state.Outcome]bool{state.OutcomeOK: true, state.OutcomeFailed: true, state.OutcomeLost: false, state.OutcomeNeverRan: false} {
-		is, b, w := newHealthyCluster(t)
-		runTask(b, "s", newAttempt("j", 1))
-		b.deliver(nil)
-		b.newLeader(2, scheduler.OutstandingAttempt{Attempt: newAttempt("j", 1), Shard: "s", Resources: types.Resources{Cores: 1 * types.Core}})
-		b.ends = nil
-		w.endAttempt(w.attempts.byID[newAttempt("j", 1)], outcome)
-		b.advance(600*ms, ofKind(wire.RunningTasksQuery)) // the new leader's question does not arrive
-		is.Equal(b.scheduler.Worker("s").State, protocol.WorkerNew)
-		is.Equal(len(b.ends) > 0, at)
-		b.advance(600*ms, nil)
-		is.True(len(b.ends) > 0)
-		if at {
-			is.Equal(b.ends[0], state.AttemptEnd{ID: newAttempt("j", 1), Outcome: outcome})
-		}
+	for _, test := range []struct {
+		outcome     state.Outcome
+		takenAtOnce bool
+	}{
+		{state.OutcomeOK, true},
+		{state.OutcomeFailed, true},
+		{state.OutcomeLost, false},
+		{state.OutcomeNeverRan, false},
+	} {
+		t.Run(string(test.outcome), func(t *testing.T) {
+			is, cluster, agent := newHealthyCluster(t)
+			cluster.runTask(theAttempt)
+			cluster.deliver(nil)
+			cluster.newLeader(2, scheduler.OutstandingAttempt{Attempt: theAttempt, Shard: "s", Resources: oneCore()})
+			cluster.ends = nil
+			agent.endAttempt(agent.attempts.byID[theAttempt], test.outcome)
+			cluster.advance(600*ms, ofKind(wire.RunningTasksQuery)) // the new leader's query does not arrive
+			is.Equal(cluster.scheduler.Worker("s").State, protocol.WorkerNew)
+			is.Equal(len(cluster.ends) > 0, test.takenAtOnce)
+			cluster.advance(600*ms, nil)
+			is.True(len(cluster.ends) > 0)
+			if test.takenAtOnce {
+				is.Equal(cluster.ends[0], state.AttemptEnd{ID: theAttempt, Outcome: test.outcome})
+			}
+		})
 	}
 }
 
-// The paper's example: a lone worker w1 is unhealthy with a set of just itself,
-// a second comes, and a leader that starts then must not believe w1 alone.
+// The paper's example: a lone worker w1 is unhealthy with a set of just itself, a second
+// one connects, and a leader that starts then must not believe w1 alone.
 func TestSpuriousConsensusOfLoneWorker(t *testing.T) {
-	is := is.New(t)
-	b := newTestCluster()
-	b.newAgent("w1", "s1")
-	b.advance(4*time.Second, nil)
-	is.Equal(b.scheduler.Worker("s1").State, protocol.WorkerHealthy)
-	mute := func(s wire.OutboundMessage) bool { return s.Message.From == "w1" || s.To == "w1" }
-	b.advance(1200*ms, mute)
-	is.Equal(b.scheduler.Worker("s1").State, protocol.WorkerUnhealthy)
-	b.newAgent("w2", "s2")
-	b.advance(900*ms, mute)
-	is.Equal(b.scheduler.Worker("s2").State, protocol.WorkerUnhealthy) // for lack of consensus: w1 does not know of w2
-	b.advance(900*ms, mute)
-	is.Equal(b.scheduler.Worker("s1").State, protocol.WorkerMustDie)
-	b.advance(600*ms, mute)
-	is.Equal(b.scheduler.Worker("s2").State, protocol.WorkerHealthy) // w1 is lost, its set binds nobody
+	is, cluster := is.New(t), newTestCluster()
+	health := func(shard types.Shard) protocol.Health { return cluster.scheduler.Worker(shard).State }
+	cluster.newAgent("w1", "s1")
+	cluster.advance(4*time.Second, nil)
+	is.Equal(health("s1"), protocol.WorkerHealthy)
+	cluster.advance(1200*ms, ofAgent("w1"))
+	is.Equal(health("s1"), protocol.WorkerUnhealthy)
+	cluster.newAgent("w2", "s2")
+	cluster.advance(900*ms, ofAgent("w1"))
+	is.Equal(health("s2"), protocol.WorkerUnhealthy) // for lack of consensus: w1 does not know of w2
+	cluster.advance(900*ms, ofAgent("w1"))
+	is.Equal(health("s1"), protocol.WorkerMustDie)
+	cluster.advance(600*ms, ofAgent("w1"))
+	is.Equal(health("s2"), protocol.WorkerHealthy) // w1 is lost, and its set no longer counts
 }
 
-// An attempt in the log on a worker that has not come holds the wait up even where
-// all worker sets agree.
-func TestWaitHoldsForAttemptsNotHeardOf(t *testing.T) {
-	is := is.New(t)
-	b := newTestCluster()
-	b.newAgent("w1", "s1")
-	b.advance(4*time.Second, nil)
-	b.newLeader(2)
-	b.advance(700*ms, nil)
-	is.Equal(b.scheduler.InInitialWait(), false) // the one agent agrees with itself
-	b.newLeader(3, scheduler.OutstandingAttempt{Attempt: newAttempt("j", 1), Shard: "s2", Resources: types.Resources{Cores: 1 * types.Core}})
-	b.advance(700*ms, nil)
-	is.Equal(b.scheduler.InInitialWait(), true)
-	b.ends = nil
-	b.advance(2500*ms, nil)
-	is.Equal(b.scheduler.InInitialWait(), false)
-	is.Equal(b.ends[0], state.AttemptEnd{ID: newAttempt("j", 1), Outcome: state.OutcomeLost})
+// An attempt in the log on a worker that has not connected keeps up the initial wait even
+// if all worker sets agree.
+func TestInitialWaitLastsForUnconfirmedAttempts(t *testing.T) {
+	is, cluster := is.New(t), newTestCluster()
+	cluster.newAgent("w1", "s1")
+	cluster.advance(4*time.Second, nil)
+	cluster.newLeader(2)
+	cluster.advance(700*ms, nil)
+	is.Equal(cluster.scheduler.InInitialWait(), false) // the one agent agrees with itself
+	cluster.newLeader(3, scheduler.OutstandingAttempt{Attempt: theAttempt, Shard: "s2", Resources: oneCore()})
+	cluster.advance(700*ms, nil)
+	is.Equal(cluster.scheduler.InInitialWait(), true)
+	cluster.ends = nil
+	cluster.advance(2500*ms, nil)
+	is.Equal(cluster.scheduler.InInitialWait(), false)
+	is.Equal(cluster.ends[0], state.AttemptEnd{ID: theAttempt, Outcome: state.OutcomeLost})
 }
 
 func TestReplacedWorkerComesBack(t *testing.T) {
-	is := is.New(t)
-	b := newTestCluster()
-	old := b.newAgent("w", "s")
-	b.advance(4*time.Second, nil)
-	was := old.association.instance
-	delete(b.executors, "w")
-	fresh := b.newAgent("v", "s")
-	b.advance(600*ms, nil)
-	is.Equal(b.scheduler.Worker("s").Instance, was) // only a lost one may be replaced
-	b.advance(3500*ms, nil)
-	is.Equal(b.scheduler.Worker("s").Instance, fresh.association.instance)
-	b.executors["w"] = old
-	old.health.lastGrantSentAt, old.health.leaseUntil = b.now, b.now.Add(time.Second) // it believes itself well
-	b.now = b.now.Add(400 * ms)
-	old.Tick(b.now, "h")
-	b.deliver(nil)
+	is, cluster := is.New(t), newTestCluster()
+	associated := func() types.ID { return cluster.scheduler.Worker("s").Instance }
+	old := cluster.newAgent("w", "s")
+	cluster.advance(4*time.Second, nil)
+	oldInstance := old.association.instance
+	delete(cluster.executors, "w")
+	successor := cluster.newAgent("v", "s")
+	cluster.advance(600*ms, nil)
+	is.Equal(associated(), oldInstance) // only a lost one may be replaced
+	cluster.advance(3500*ms, nil)
+	is.Equal(associated(), successor.association.instance)
+
+	cluster.executors["w"] = old
+	old.health.lastGrantSentAt = cluster.now // it believes that it is healthy
+	old.health.leaseUntil = cluster.now.Add(time.Second)
+	cluster.now = cluster.now.Add(400 * ms)
+	old.Tick(cluster.now, "h")
+	cluster.deliver(nil)
 	is.Equal(old.health.state, protocol.WorkerMustDie)
-	is.Equal(b.scheduler.Worker("s").Instance, fresh.association.instance)
+	is.Equal(associated(), successor.association.instance)
 }
 
-func TestOldLeaderIsRefused(t *testing.T) {
-	is, b, w := newHealthyCluster(t)
-	old := b.scheduler
-	b.newLeader(2)
-	b.advance(time.Second, nil)
-	is.Equal(w.association.term, types.Term(2))
-	b.scheduler = old
-	runTask(b, "s", newAttempt("j", 1))
-	b.deliver(nil)
-	is.Equal(len(w.attempts.byID), 0)
-	is.Equal(w.leader, types.Addr("h"))
+func TestOldLeaderIsRejected(t *testing.T) {
+	is, cluster, agent := newHealthyCluster(t)
+	oldLeader := cluster.scheduler
+	cluster.newLeader(2)
+	cluster.advance(time.Second, nil)
+	is.Equal(agent.association.term, types.Term(2))
+	cluster.scheduler = oldLeader
+	cluster.runTask(theAttempt)
+	cluster.deliver(nil)
+	is.Equal(len(agent.attempts.byID), 0)
+	is.Equal(agent.leader, types.Addr("h"))
 }
 
-func TestSettledLostKeepsAGoodEnd(t *testing.T) {
-	is, b, w := newHealthyCluster(t)
-	runTask(b, "s", newAttempt("j", 1))
-	b.deliver(nil)
-	w.endAttempt(w.attempts.byID[newAttempt("j", 1)], state.OutcomeOK)
-	b.scheduler.OnEndsCommitted([]state.AttemptEnd{{ID: newAttempt("j", 1), Outcome: state.OutcomeLost}})
-	b.deliver(nil)
-	is.Equal(w.attempts.byID[newAttempt("j", 1)].committed, false)
+// That the log has an attempt as lost does not acknowledge its good end.
+func TestCommittedLossKeepsAGoodEnd(t *testing.T) {
+	is, cluster, agent := newHealthyCluster(t)
+	cluster.runTask(theAttempt)
+	cluster.deliver(nil)
+	agent.endAttempt(agent.attempts.byID[theAttempt], state.OutcomeOK)
+	cluster.scheduler.OnEndsCommitted([]state.AttemptEnd{{ID: theAttempt, Outcome: state.OutcomeLost}})
+	cluster.deliver(nil)
+	is.Equal(agent.attempts.byID[theAttempt].committed, false)
 }
 
-// A grant counts from the agent's own stamp: however late the answer comes, the
-// grant ends when it would have.
-func TestLateGrantIsStale(t *testing.T) {
-	is, b, w := newHealthyCluster(t)
-	w.reports.heartbeatAt, b.now = never, b.now.Add(10*ms)
-	w.Tick(b.now, "h")
-	at := b.now
-	late := b.deliver(ofKind(wire.HeartbeatReply))
+// A lease counts from when the agent sent its heartbeat: however late the reply arrives,
+// the lease ends when it would have.
+func TestLateLeaseIsStale(t *testing.T) {
+	is, cluster, agent := newHealthyCluster(t)
+	agent.reports.heartbeatAt = never
+	cluster.now = cluster.now.Add(10 * ms)
+	agent.Tick(cluster.now, "h")
+	sentAt := cluster.now
+	late := cluster.deliver(ofKind(wire.HeartbeatReply))
 	is.True(len(late) > 0)
-	b.now = at.Add(3 * time.Second)
-	b.deliverOne(late[len(late)-1])
-	is.True(w.health.leaseUntil <= at.Add(protocol.DefaultTimeouts.AgentLease))
-	is.Equal(b.poll(w, w.polls.lastCall+1).LeaseUntil, b.now) // nothing is left to give on
+	cluster.now = sentAt.Add(3 * time.Second)
+	cluster.deliverOne(late[len(late)-1])
+	is.True(agent.health.leaseUntil <= sentAt.Add(protocol.DefaultTimeouts.AgentLease))
+	is.Equal(cluster.poll(agent).LeaseUntil, cluster.now) // the worker gets no lease
 }
 
-func TestFrozenAgentIsLostBeforeItsWorkIsGivenAgain(t *testing.T) {
-	is, b, w := newHealthyCluster(t)
-	runTask(b, "s", newAttempt("j", 1))
-	b.deliver(nil)
-	until, given := w.health.leaseUntil, w.polls.leaseBase
-	mute := func(s wire.OutboundMessage) bool { return s.Message.From == "w" || s.To == "w" }
-	b.ends = nil
-	for len(b.ends) == 0 {
-		b.now = b.now.Add(50 * ms)
-		b.scheduler.Tick(b.now, time.Second)
-		b.deliver(mute)
+// An agent that stands still counts as lost only after its own lease and its worker's
+// have ended.
+func TestFrozenAgentIsLostAfterItsLeases(t *testing.T) {
+	is, cluster, agent := newHealthyCluster(t)
+	cluster.runTask(theAttempt)
+	cluster.deliver(nil)
+	agentLeaseEnd := agent.health.leaseUntil
+	workerLeaseEnd := agent.polls.leaseBase.Add(protocol.DefaultTimeouts.WorkerLease)
+	cluster.ends = nil
+	for len(cluster.ends) == 0 {
+		cluster.now = cluster.now.Add(50 * ms)
+		cluster.scheduler.Tick(cluster.now, time.Second)
+		cluster.deliver(ofAgent("w"))
 	}
-	is.Equal(b.ends[0].Outcome, state.OutcomeLost)
-	is.True(b.now > until)
-	is.True(b.now > given.Add(protocol.DefaultTimeouts.WorkerLease))
+	is.Equal(cluster.ends[0].Outcome, state.OutcomeLost)
+	is.True(cluster.now > agentLeaseEnd)
+	is.True(cluster.now > workerLeaseEnd)
 }
 
-// An attempt that its agent counts lost is in doubt until the worker is heard again:
-// then it went well, or is known to be gone, and both are told.
-func TestLostIsNotTheLastWord(t *testing.T) {
-	for _, end := range []struct {
-		told []protocol.EndedTask
-		want state.Outcome
-	}{{nil, state.OutcomeWorkerExited}, {[]protocol.EndedTask{{RunningTask: protocol.RunningTask{Attempt: newAttempt("j", 1), Resources: types.Resources{}}, Outcome: state.OutcomeOK}}, state.OutcomeOK}} {
-		is, b, w := newHealthyCluster(t)
-		runTask(b, "s", newAttempt("j", 1))
-		b.deliver(nil)
-		b.poll(w, w.polls.lastCall+1, newAttempt("j", 1))
-		b.now = b.now.Add(protocol.DefaultTimeouts.WorkerLease + protocol.WorkerStopTime + 10*ms)
-		w.Tick(b.now, "h")
-		is.Equal(w.attempts.byID[newAttempt("j", 1)].outcome, state.OutcomeLost)
-		w.attempts.byID[newAttempt("j", 1)].committed = true
-		w.HandlePoll(b.now, protocol.Poll{Worker: "k", Call: w.polls.lastCall + 1, SentAt: b.now, Ended: end.told})
-		is.Equal(w.attempts.byID[newAttempt("j", 1)].outcome, end.want)
-		is.Equal(w.attempts.byID[newAttempt("j", 1)].committed, false)
+// An attempt that its agent counts as lost is unresolved until the worker is heard again,
+// which then either tells its end or is known to have lost it. Both are reported.
+func TestLostIsNotFinal(t *testing.T) {
+	endedWell := protocol.EndedTask{RunningTask: protocol.RunningTask{Attempt: theAttempt}, Outcome: state.OutcomeOK}
+	for _, test := range []struct {
+		name  string
+		ended []protocol.EndedTask
+		want  state.Outcome
+	}{
+		{"the worker does not list it", nil, state.OutcomeWorkerExited},
+		{"it ended well", []protocol.EndedTask{endedWell}, state.OutcomeOK},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			is, cluster, agent := newHealthyCluster(t)
+			cluster.runTask(theAttempt)
+			cluster.deliver(nil)
+			cluster.poll(agent, theAttempt)
+			lease := protocol.DefaultTimeouts.WorkerLease + protocol.WorkerStopTime
+			cluster.now = cluster.now.Add(lease + 10*ms)
+			agent.Tick(cluster.now, "h")
+			is.Equal(agent.attempts.byID[theAttempt].outcome, state.OutcomeLost)
+			agent.attempts.byID[theAttempt].committed = true
+			agent.HandlePoll(cluster.now, protocol.Poll{
+				Worker: "k",
+				Call:   agent.polls.lastCall + 1,
+				SentAt: cluster.now,
+				Ended:  test.ended,
+			})
+			is.Equal(agent.attempts.byID[theAttempt].outcome, test.want)
+			is.Equal(agent.attempts.byID[theAttempt].committed, false)
+		})
 	}
 }
 
-// A worker looks at its grant now and then; until it has had the time to, its
-// agent does not say that an attempt is lost.
+// A worker looks at its lease now and then. Until it has had the time to, its agent does
+// not count an attempt as lost.
 func TestLossLeavesTheWorkerTimeToStop(t *testing.T) {
-	is, b, w := newHealthyCluster(t)
-	runTask(b, "s", newAttempt("j", 1))
-	b.deliver(nil)
-	b.poll(w, w.polls.lastCall+1, newAttempt("j", 1))
-	b.now = w.polls.leaseBase.Add(protocol.DefaultTimeouts.WorkerLease + protocol.WorkerStopTime/2)
-	w.Tick(b.now, "h")
-	is.True(w.attempts.byID[newAttempt("j", 1)].state != attemptEnded)
+	is, cluster, agent := newHealthyCluster(t)
+	cluster.runTask(theAttempt)
+	cluster.deliver(nil)
+	cluster.poll(agent, theAttempt)
+	leaseEnd := agent.polls.leaseBase.Add(protocol.DefaultTimeouts.WorkerLease)
+	cluster.now = leaseEnd.Add(protocol.WorkerStopTime / 2)
+	agent.Tick(cluster.now, "h")
+	is.True(agent.attempts.byID[theAttempt].state != attemptEnded)
 }
