--- a/cmd/coppercourse/oncall_test.go
+++ b/cmd/coppercourse/oncall_test.go
@@ -32,6 +32,8 @@
 		{"Further status of a controller", statusTexts(t, "internal/controller", "view-status.json")},
 		{"Further status of a gateway", statusTexts(t, "internal/gateway", "status.json")},
 		{"Further status of an agent", statusTexts(t, "internal/agent", "status.json")},
+		{"Values of reason", returnedReasons(t, "statusReason", "proposedConfiguration", "initialSize")},
+		{"Values of initial wait", returnedReasons(t, "initialWaitReason")},
 		{"Peers", peerFields(t)},
 		{"Workers", statusFields(t, "internal/controller", "view-worker.json")},
 		{"Queues", statusFields(t, "internal/controller", "view-queue.json")},
@@ -178,6 +180,77 @@
 	}
 }
 
+// returnedReasons returns how the texts begin that functions of the controllers return to
+// say why something is as it is. A role's reason may also be a constant, or be set without
+// a function of its own.
+func returnedReasons(t *testing.T, functions ...string) map[string]bool {
+	t.Helper()
+	reasons := map[string]bool{}
+	add := func(e ast.Expr) {
+		if text := leadingText(e); text != "" {
+			reasons[text] = true
+		}
+	}
+	for _, file := range sourceFiles(t) {
+		if file.isTest() {
+			continue
+		}
+		ast.Inspect(file.syntax, func(node ast.Node) bool {
+			switch x := node.(type) {
+			case *ast.FuncDecl:
+				if slices.Contains(functions, x.Name.Name) {
+					for _, result := range returnedValues(x) {
+						add(result)
+					}
+				}
+			case *ast.AssignStmt:
+				for i, to := range x.Lhs {
+					field, ok := to.(*ast.SelectorExpr)
+					if ok && field.Sel.Name == "roleReason" && slices.Contains(functions, "statusReason") {
+						add(x.Rhs[min(i, len(x.Rhs)-1)])
+					}
+				}
+			}
+			return true
+		})
+	}
+	if slices.Contains(functions, "statusReason") {
+		constant := stringConstants(sourceFiles(t))["internal/raft.reasonClusterExists"]
+		if constant == "" {
+			t.Error("internal/raft has no constant reasonClusterExists")
+		}
+		reasons[constant] = true
+	}
+	return reasons
+}
+
+func returnedValues(function *ast.FuncDecl) (values []ast.Expr) {
+	ast.Inspect(function, func(node ast.Node) bool {
+		if returned, ok := node.(*ast.ReturnStmt); ok {
+			values = append(values, returned.Results...)
+		}
+		return true
+	})
+	return values
+}
+
+// leadingText returns the literal that an expression of text begins with: itself, the
+// left side of a sum, or the first argument of Sprint or Sprintf.
+func leadingText(e ast.Expr) string {
+	switch x := e.(type) {
+	case *ast.BasicLit:
+		text, _ := stringLiteral(x)
+		return text
+	case *ast.BinaryExpr:
+		return leadingText(x.X)
+	case *ast.CallExpr:
+		if slices.Contains([]string{"Sprint", "Sprintf"}, calledName(x)) {
+			return leadingText(x.Args[0])
+		}
+	}
+	return ""
+}
+
 // commonMetrics returns the metrics that every daemon has beside those of its status,
 // from the golden file of the pages.
 func commonMetrics(t *testing.T) map[string]bool {
