--- a/internal/raft/doc.go
+++ b/internal/raft/doc.go
@@ -61,9 +61,10 @@
 //
 // # Tests
 //
-// The tests run real nodes on simulated machines (world_test.go) under random faults
-// (adversary_test.go, walk_test.go), in every order of events up to a depth
-// (search_test.go), and at each moment of a replacement (replacement_test.go), and check
-// Raft's properties after each step (checker_test.go). Bugs that are planted on purpose
-// (plant_test.go) show that those checks find what they are for.
+// The tests run real nodes on simulated machines (world_test.go, machine_test.go,
+// network_test.go): under random faults (random_walk_test.go, adversary_test.go,
+// faults_test.go), in every order of events up to a depth (path_search_test.go), and with
+// losses at each moment of a replacement (replacement_test.go). Raft's properties are
+// checked after each step (checker_test.go). Bugs that are planted on purpose
+// (planted_bugs_test.go) show that those checks find what they are for (detection_test.go).
 package raft
--- /dev/null
+++ b/internal/raft/planted_bugs_test.go
@@ -0,0 +1,127 @@
+package raft
+
+import (
+	"slices"
+
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// plantedBug names a bug that is put in on purpose: what lies between the real nodes and
+// their surroundings is made to lie. A check counts only if it catches one.
+type plantedBug string
+
+const (
+	noBug                plantedBug = ""
+	bugLeaseFromReceipt  plantedBug = "lease counted from the receipt of an answer"
+	bugVoteBeforeSync    plantedBug = "vote sent before it is synced"
+	bugCommitBeforeSync  plantedBug = "commit counted before sync"
+	bugCountedTwice      plantedBug = "a member counted twice"
+	bugWipedKeepsVote    plantedBug = "a wiped member keeps its vote"
+	bugRemovedEarly      plantedBug = "removal before the successor has caught up"
+	bugOldTermByCount    plantedBug = "commit of an entry of an older term by count"
+	bugVoteWhileLeader   plantedBug = "a vote though a leader is heard"
+	bugVoteForShorterLog plantedBug = "a vote for a shorter log"
+	bugNoReplacement     plantedBug = "nobody who is gone is ever replaced"
+)
+
+// injectBeforeStep lies to a node before its step.
+func (w *world) injectBeforeStep(m *machine) {
+	n := m.node
+	switch w.plantedBug {
+	case bugVoteWhileLeader:
+		n.leader.heardAt, n.startedAt = never, never
+	case bugRemovedEarly:
+		for _, v := range n.log.config {
+			if n.role == roleLeader && !v.Voter {
+				n.progressOf(v.ID).match = n.log.commitIndex
+			}
+		}
+	case bugNoReplacement:
+		n.leading.electedAt = n.now.Mono
+		for _, p := range n.leading.progress {
+			p.lastHeardAt = n.now.Mono
+		}
+	}
+}
+
+// injectAfterStep lies about the outcome of a step.
+func (w *world) injectAfterStep(m *machine) {
+	n := m.node
+	switch w.plantedBug {
+	case bugVoteBeforeSync:
+		n.outbox.sendEarly(wire.VoteReply, wire.RequestVote)
+	case bugCommitBeforeSync:
+		n.outbox.sendEarly(wire.AppendReply)
+		n.log.syncedIndex = n.log.lastIndex()
+		if n.role == roleLeader {
+			n.advanceCommit()
+		}
+	case bugCountedTwice:
+		if n.role == roleLeader {
+			n.commitWithOneVoteTooMany()
+		}
+	case bugOldTermByCount:
+		if n.role == roleLeader {
+			n.log.commitTo(n.quorumSyncedIndex())
+		}
+	}
+}
+
+// sendEarly makes messages of some kinds ready without regard to the disk.
+func (o *outbox) sendEarly(kinds ...wire.Kind) {
+	o.awaitingSync = slices.DeleteFunc(o.awaitingSync, func(p pendingMessage) bool {
+		early := slices.Contains(kinds, p.message.Message.Kind)
+		if early {
+			o.ready = append(o.ready, p.message)
+		}
+		return early
+	})
+}
+
+// commitWithOneVoteTooMany commits what one voter less than a quorum has synced.
+func (n *Node) commitWithOneVoteTooMany() {
+	own := n.log.syncedIndex
+	voters := n.log.config.Voters()
+	if voters == 0 || n.log.commitIndex < n.leading.termStartIndex {
+		return
+	}
+	if term, ok := n.log.term(own); !ok || term != n.hardState.Term {
+		return
+	}
+	if n.votersHolding(own)+1 > voters/2 {
+		n.log.commitTo(own)
+	}
+}
+
+// votersHolding is how many voters have an entry synced, as the leader knows.
+func (n *Node) votersHolding(i types.Index) int {
+	count := 0
+	for _, v := range n.log.config {
+		synced := n.log.syncedIndex
+		if v.ID != n.self.ID {
+			synced = n.progressOf(v.ID).match
+		}
+		if v.Voter && synced >= i {
+			count++
+		}
+	}
+	return count
+}
+
+// injectIntoMessage lies about a message on its way.
+func (w *world) injectIntoMessage(m *machine, message wire.Message) wire.Message {
+	switch {
+	case w.plantedBug == bugLeaseFromReceipt && message.Kind == wire.AppendReply:
+		if reply, ok := wire.DecodeBody[appendReply](message); ok && reply.Term == m.node.hardState.Term {
+			reply.Round = m.clock().Mono
+			message.Body = wire.EncodeBody(reply)
+		}
+	case w.plantedBug == bugVoteForShorterLog && message.Kind == wire.RequestVote:
+		if request, ok := wire.DecodeBody[requestVote](message); ok {
+			request.LastLogIndex, request.LastLogTerm = 1<<40, 1<<40
+			message.Body = wire.EncodeBody(request)
+		}
+	}
+	return message
+}
--- a/internal/raft/traffic_test.go
+++ b/internal/raft/traffic_test.go
@@ -1,41 +1,77 @@
-// Entries that are proposed and acknowledged in a world, and who may answer reads there.
 package raft
 
 import (
 	"encoding/json"
 	"fmt"
+	"time"
+
+	"coppercourse/internal/types"
 )
 
-// propose has whoever may put a new entry into the log.
+// proposeForever proposes all the time, and looks at what must hold between steps.
+func (w *world) proposeForever() {
+	w.propose()
+	w.checker.quorumSurvivesFurtherLosses(w)
+	w.checker.leaderWithinBound(w)
+	w.compactSome()
+	w.schedule(time.Duration(10+w.random.Intn(40))*time.Millisecond, w.proposeForever)
+}
+
+// propose has whoever may do so put a new entry into the log.
 func (w *world) propose() {
 	for _, m := range w.machines {
-		if m.up() && !m.frozen && m.node.IsLeader() {
-			m.step(func() {
-				if m.node.HoldsReadLease() {
-					w.checker.proposals++
-					if i, ok := m.node.Propose(json.RawMessage(fmt.Sprint(w.checker.proposals))); ok {
-						m.pendingProposals = append(m.pendingProposals, proposal{i, m.node.hardState.Term})
-					}
-				}
-			})
+		if !m.up() || m.frozen || !m.node.IsLeader() {
+			continue
 		}
+		m.step(func() {
+			if m.node.HoldsReadLease() {
+				m.proposeNext()
+			}
+		})
+	}
+}
+
+// proposeNext proposes the next number, within a step of the machine.
+func (m *machine) proposeNext() {
+	c := &m.w.checker
+	c.proposals++
+	if i, ok := m.node.Propose(json.RawMessage(fmt.Sprint(c.proposals))); ok {
+		m.pendingProposals = append(m.pendingProposals, proposal{i, m.node.hardState.Term})
 	}
 }
 
 // acknowledge answers what this process proposed and sees committed.
 func (m *machine) acknowledge() {
-	n, kept := m.node, m.pendingProposals[:0]
+	l, c := &m.node.log, &m.w.checker
+	pending := m.pendingProposals[:0]
 	for _, p := range m.pendingProposals {
-		t, ok := n.log.term(p.index)
-		switch {
-		case n.log.commitIndex < p.index:
-			kept = append(kept, p)
-		case ok && t == p.term:
-			m.w.checker.acknowledged = max(m.w.checker.acknowledged, p.index)
-			m.w.checker.acknowledgedAt = m.w.now
+		if l.commitIndex < p.index {
+			pending = append(pending, p)
+			continue
 		}
+		if term, ok := l.term(p.index); ok && term == p.term {
+			c.acknowledged = max(c.acknowledged, p.index)
+			c.acknowledgedAt = m.w.now
+		}
+	}
+	m.pendingProposals = pending
+}
+
+// compactSome replaces a member's log by a snapshot now and then.
+func (w *world) compactSome() {
+	const minEntries, maxKept = 30, 10
+	m := w.machines[w.random.Intn(len(w.machines))]
+	if w.random.Intn(10) > 0 || !m.up() || m.frozen {
+		return
+	}
+	l := &m.node.log
+	if l.commitIndex < l.snapshot.Index+minEntries {
+		return
 	}
-	m.pendingProposals = kept
+	m.step(func() {
+		kept := types.Index(w.random.Intn(maxKept))
+		m.node.Compact(l.commitIndex-kept, [][]byte{[]byte(`{"a":1}`), []byte(`{"b":2}`)})
+	})
 }
 
 // leader is the machine that may answer reads now, if any.
--- a/internal/raft/transfer_test.go
+++ b/internal/raft/transfer_test.go
@@ -9,8 +9,8 @@
 	"coppercourse/internal/types"
 )
 
-// newTestLeader is one of three voters, of which the others have so much of the log and
-// are so far behind with their work.
+// newTestLeader is one of three voters; the other two, b and c, have so much of the log, and
+// their event loops lag so far behind.
 func newTestLeader(match [2]types.Index, lags [2]time.Duration) *Node {
 	n := &Node{
 		timeouts: DefaultTimeouts,
@@ -30,42 +30,51 @@
 }
 
 func TestOverloadedLeaderTransfersToUpToDateLessLoadedVoter(t *testing.T) {
-	const led = minOverloadedTenure
 	for _, c := range []struct {
-		match [2]types.Index
-		lags  [2]time.Duration
-		heir  types.ID
+		name   string
+		match  [2]types.Index
+		lags   [2]time.Duration
+		target types.ID
 	}{
-		{[2]types.Index{10, 10}, [2]time.Duration{0, time.Second}, "b"},
-		{[2]types.Index{10, 12}, [2]time.Duration{0, 100 * time.Millisecond}, "c"},
-		{[2]types.Index{9, 10}, [2]time.Duration{0, 100 * time.Millisecond}, "c"},
-		{[2]types.Index{9, 9}, [2]time.Duration{0, 0}, ""},
-		{[2]types.Index{10, 10}, [2]time.Duration{time.Second, 600 * time.Millisecond}, ""}, // no better off
+		{"one is as loaded", [2]types.Index{10, 10}, [2]time.Duration{0, time.Second}, "b"},
+		{"one has more of the log", [2]types.Index{10, 12}, [2]time.Duration{0, 100 * time.Millisecond}, "c"},
+		{"one lacks a committed entry", [2]types.Index{9, 10}, [2]time.Duration{0, 100 * time.Millisecond}, "c"},
+		{"both lack a committed entry", [2]types.Index{9, 9}, [2]time.Duration{0, 0}, ""},
+		{"neither is less loaded", [2]types.Index{10, 10}, [2]time.Duration{time.Second, 600 * time.Millisecond}, ""},
 	} {
-		is := is.New(t)
-		n := newTestLeader(c.match, c.lags)
-		is.Equal(n.TransferWhenOverloaded(types.Now{}, led), c.heir != "")
-		is.Equal(n.transfer.target, c.heir)
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			n := newTestLeader(c.match, c.lags)
+			is.Equal(n.TransferWhenOverloaded(types.Now{}, minOverloadedTenure), c.target != "")
+			is.Equal(n.transfer.target, c.target)
+		})
 	}
 }
 
-// A duty that is handed on again and again stays longer each time.
+// TestOverloadTransfersBackOff: leadership that is transferred again and again since each
+// leader is overloaded stays longer each time.
 func TestOverloadTransfersBackOff(t *testing.T) {
 	is := is.New(t)
-	rest := minOverloadedTenure
-	for reliefs := range 8 {
+	tenure := minOverloadedTenure
+	for transfers := range 8 {
 		n := newTestLeader([2]types.Index{10, 10}, [2]time.Duration{})
-		n.transfer.overloadCount = reliefs
-		is.True(!n.TransferWhenOverloaded(types.Now{}, rest-1))
-		is.True(n.TransferWhenOverloaded(types.Now{}, rest))
-		is.Equal(n.transfer.announcedCount, reliefs+1)
-		if reliefs < maxOverloadDoublings {
-			rest *= 2
+		n.transfer.overloadCount = transfers
+		is.True(!n.TransferWhenOverloaded(types.Now{}, tenure-1))
+		is.True(n.TransferWhenOverloaded(types.Now{}, tenure))
+		is.Equal(n.transfer.announcedCount, transfers+1)
+		if transfers < maxOverloadDoublings {
+			tenure *= 2
 		}
 	}
-	is.Equal(rest, minOverloadedTenure<<maxOverloadDoublings)
+	is.Equal(tenure, minOverloadedTenure<<maxOverloadDoublings)
+}
+
+// TestPlannedTransferResetsBackOff: a transfer for another reason waits for nothing, and what
+// follows begins anew.
+func TestPlannedTransferResetsBackOff(t *testing.T) {
+	is := is.New(t)
 	n := newTestLeader([2]types.Index{10, 10}, [2]time.Duration{})
 	n.transfer.overloadCount = 3
-	is.True(n.TransferLeadership(types.Now{})) // a planned stop waits for nothing
-	is.Equal(n.transfer.announcedCount, 0)     // and what follows begins anew
+	is.True(n.TransferLeadership(types.Now{}))
+	is.Equal(n.transfer.announcedCount, 0)
 }
