--- a/cmd/coppercourse/layers_test.go
+++ b/cmd/coppercourse/layers_test.go
@@ -22,13 +22,17 @@
 var layers = [][]string{
 	{"internal/types", "internal/apierror"},
 	{"internal/wire", "internal/config", "internal/trace", "internal/wal", "internal/supervisor"},
-	{"internal/wal/waltest", "internal/goldentest"},
-	{"internal/raft", "internal/membership", "internal/state", "internal/placement", "internal/configwatch", "internal/workqueue"},
-	{"internal/dispatch", "internal/dispatch/protocol", "internal/maintenance"},
+	{"internal/wal/waltest", "internal/goldentest", "internal/httpfault"},
+	{
+		"internal/raft", "internal/membership", "internal/state", "internal/placement", "internal/configwatch",
+		"internal/workqueue",
+	},
+	{"internal/dispatch", "internal/dispatch/protocol", "internal/maintenance", "internal/daemon"},
 	{"internal/dispatch/scheduler", "internal/dispatch/executor"},
 	{"internal/controller", "internal/gateway", "internal/agent", "internal/settings", "internal/server"},
 	{"platform"},
-	{"cmd/coppercourse", "sim"},
+	{"cmd/coppercourse", "sim/history"},
+	{"sim"},
 	{"sim/capacity"},
 	{"cmd/coppersim"},
 }
--- /dev/null
+++ b/internal/server/event_loop_test.go
@@ -0,0 +1,31 @@
+package server
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// A heartbeat goes before thousands of requests; with one queue for everything, the
+// planted bug, it goes last.
+func TestHeartbeatOvertakesRequests(t *testing.T) {
+	is := is.New(t)
+	now := types.MonoTime(0)
+	loop, machine := newStalledLoop(t, &now)
+	for range 1000 {
+		is.True(loop.Deliver(wire.Message{Kind: wire.ForwardRequest}))
+	}
+	is.True(loop.Deliver(wire.Message{Kind: wire.AppendEntries}))
+	loop.batchSynced(7)
+	for range 2 {
+		e, ok := loop.queue.pop()
+		is.True(ok)
+		loop.handle(e)
+	}
+	is.Equal(machine.events[0].Message.Kind, wire.AppendEntries)
+	is.Equal(machine.events[1].Synced, uint64(7))
+	is.True(machine.events[0].Load.MoreWaiting)
+}
--- /dev/null
+++ b/internal/server/event_queue.go
@@ -0,0 +1,130 @@
+package server
+
+import (
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+	"coppercourse/internal/workqueue"
+)
+
+// queuedEvent is an event that waits for the machine. Exactly one side decides what
+// becomes of a request: the loop, which takes it, or the caller, who gives up.
+type queuedEvent struct {
+	wire.Event
+	responses chan wire.Response // of a request: where its response goes; has room for one
+	claimed   *atomic.Bool       // of a request: whether one side has decided
+}
+
+// claim reports whether the caller of this method is the side that decides. It is true at
+// most once for a request, and always for other events.
+func (e queuedEvent) claim() bool { return e.claimed == nil || e.claimed.CompareAndSwap(false, true) }
+
+// eventQueue holds the events that wait for the machine, by class. Any goroutine may add
+// events; only the event loop takes them.
+type eventQueue struct {
+	mu             sync.Mutex
+	queue          workqueue.Queue[queuedEvent]
+	expiredReports uint64        // reports dropped after waiting too long
+	wake           chan struct{} // has an element once something was added
+	clock          func() types.MonoTime
+}
+
+func newEventQueue() *eventQueue {
+	return &eventQueue{wake: make(chan struct{}, 1), clock: MonotonicNow}
+}
+
+// push adds an event, and returns false if its class is full.
+func (q *eventQueue) push(e queuedEvent) bool {
+	q.mu.Lock()
+	ok := q.queue.Push(e.Class(), q.clock(), e)
+	q.mu.Unlock()
+	q.signal()
+	return ok
+}
+
+// force adds an event that must not be lost, whether or not its class is full. Their
+// number is bounded by what the machine itself has started.
+func (q *eventQueue) force(e queuedEvent) {
+	q.mu.Lock()
+	q.queue.PushAlways(e.Class(), q.clock(), e)
+	q.mu.Unlock()
+	q.signal()
+}
+
+func (q *eventQueue) signal() {
+	select {
+	case q.wake <- struct{}{}:
+	default:
+	}
+}
+
+// pop takes the next event, with the load that its step is told of.
+func (q *eventQueue) pop() (queuedEvent, bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	e, class, queuedAt, ok := q.queue.Pop()
+	if ok {
+		e.Load = q.queue.Load(q.clock(), class, queuedAt)
+	}
+	return e, ok
+}
+
+// len returns how many events wait.
+func (q *eventQueue) len() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.queue.Len()
+}
+
+// load returns the load that a tick is told of.
+func (q *eventQueue) load() wire.Load {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	now := q.clock()
+	return q.queue.Load(now, wire.ClassBackground, now)
+}
+
+// callerDelay returns how long the oldest request of a caller has waited.
+func (q *eventQueue) callerDelay() time.Duration {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.queue.Age(q.clock(), wire.ClassCallers, wire.ClassCallers)
+}
+
+// expire takes out the events that have waited too long: requests of this daemon's
+// callers, and those that gateways forwarded, which the machine answers. Reports are
+// dropped, since their senders repeat them.
+func (q *eventQueue) expire() (requests []queuedEvent, forwards []wire.Message) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	maxWait := func(e queuedEvent) time.Duration { return workqueue.MaxWait(e.Event) }
+	now := q.clock()
+	q.expiredReports += uint64(len(q.queue.Expire(wire.ClassReports, now, maxWait)))
+	for _, e := range q.queue.Expire(wire.ClassCallers, now, maxWait) {
+		if e.Request != nil {
+			requests = append(requests, e)
+		} else {
+			forwards = append(forwards, *e.Message)
+		}
+	}
+	return requests, forwards
+}
+
+// rejected counts the events that found their class full, and the reports that were
+// dropped after waiting too long.
+func (q *eventQueue) rejected() (full [wire.NumClasses]uint64, expiredReports uint64) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.queue.Rejected, q.expiredReports
+}
+
+// overloadError is the error of a request that the machine has not seen, with when to come
+// back: not before what is ahead of it is likely to be done.
+func overloadError(delay time.Duration) *apierror.Error {
+	const reason = "this daemon is behind with its work; the request was not taken"
+	return apierror.New(apierror.TooBusy, "", reason).WithRetryAfter(2 * delay)
+}
