--- a/internal/placement/slot.go
+++ b/internal/placement/slot.go
@@ -7,8 +7,7 @@
 	"coppercourse/internal/types"
 )
 
-// Slot is a worker to which tasks may be assigned, and what is known of it. It has 15
-// fields and more because Place looks at nothing else.
+// Slot is a worker to which tasks may be assigned, and what is known of it.
 type Slot struct {
 	Shard  types.Shard
 	Rack   types.Rack
--- a/internal/state/assignment.go
+++ b/internal/state/assignment.go
@@ -24,7 +24,7 @@
 func (s *State) applyAssignments(list []Assignment) (assigned []Assignment) {
 	assignable := s.countAssignable(list)
 	for _, a := range list {
-		j := s.liveJobs[a.ID.Job]
+		j := s.index.live[a.ID.Job]
 		if j == nil || j.Task(a.ID.Number) == nil {
 			continue
 		}
@@ -47,7 +47,7 @@
 func (s *State) countAssignable(list []Assignment) map[stageKey]int {
 	count := map[stageKey]int{}
 	for _, a := range list {
-		j := s.liveJobs[a.ID.Job]
+		j := s.index.live[a.ID.Job]
 		if j != nil && j.canAssign(j.Task(a.ID.Number), s.effectiveQueueConfig(j.Queue), s.Time) {
 			count[stageKey{j.ID, types.StageOf(a.ID.Number)}]++
 		}
--- a/internal/state/attempt_end.go
+++ b/internal/state/attempt_end.go
@@ -38,7 +38,7 @@
 // applyEnd applies the end of an attempt. An end that is already known changes nothing
 // but the queue's counts.
 func (s *State) applyEnd(end AttemptEnd) {
-	j := s.liveJobs[end.ID.Job]
+	j := s.index.live[end.ID.Job]
 	if j == nil {
 		return
 	}
--- a/internal/state/job_spec.go
+++ b/internal/state/job_spec.go
@@ -101,8 +101,8 @@
 // hashBytes is how many bytes of the SHA-256 make the hash of a job.
 const hashBytes = 8
 
-// Hash returns a hash by which two jobs under one id are told apart, in hexadecimal. It
-// doesn't depend on the layout of the request's body.
+// Hash returns a hash by which two jobs under one id are distinguished, in hexadecimal.
+// It doesn't depend on the layout of the request's body.
 func (s Spec) Hash() string {
 	if s.Request != "" {
 		return s.Request
--- a/internal/state/queue_table.go
+++ b/internal/state/queue_table.go
@@ -39,7 +39,7 @@
 // checkRemovedQueues refuses a table that leaves out a queue with unfinished jobs.
 func (s *State) checkRemovedQueues(table config.Table) *apierror.Error {
 	for i, queue := range s.Table.Queues {
-		jobs := s.usage[queue.Name].jobs
+		jobs := s.index.usage[queue.Name].jobs
 		if _, ok := table.FindQueue(queue.Name); ok || jobs == 0 {
 			continue
 		}
@@ -76,7 +76,7 @@
 		removed[queue.Name] = queue
 	}
 	for name := range removed {
-		if _, ok := next.FindQueue(name); ok || s.usage[name].jobs == 0 {
+		if _, ok := next.FindQueue(name); ok || s.index.usage[name].jobs == 0 {
 			delete(removed, name)
 		}
 	}
--- a/internal/state/queue_usage.go
+++ b/internal/state/queue_usage.go
@@ -10,17 +10,8 @@
 // queueUsage is what a queue's unfinished jobs hold.
 type queueUsage struct{ jobs, tasks, bytes int }
 
-// addUsage adds a job to its queue's usage, or removes it with sign -1.
-func (s *State) addUsage(j *Job, sign int) {
-	usage := s.usage[j.Queue]
-	usage.jobs += sign
-	usage.tasks += sign * j.TaskCount
-	usage.bytes += sign * j.ApproxBytes
-	s.usage[j.Queue] = usage
-}
-
 // UnfinishedJobs returns how many unfinished jobs a queue has.
-func (s *State) UnfinishedJobs(queue types.QueueName) int { return s.usage[queue].jobs }
+func (s *State) UnfinishedJobs(queue types.QueueName) int { return s.index.usage[queue].jobs }
 
 // budget is one of the limits on all unfinished work.
 type budget struct {
@@ -47,12 +38,12 @@
 func (s *State) checkOneBudget(name types.QueueName, b budget) *apierror.Error {
 	shared := b.limit / 2
 	reserved := b.limit / 2 / max(1, len(s.Table.Queues))
-	own := b.used(s.usage[name]) + b.added
+	own := b.used(s.index.usage[name]) + b.added
 	if own <= reserved {
 		return nil
 	}
 	sharedUse := own - reserved
-	for queue, usage := range s.usage {
+	for queue, usage := range s.index.usage {
 		if queue != name {
 			sharedUse += max(0, b.used(usage)-reserved)
 		}
--- a/internal/state/snapshot_writer.go
+++ b/internal/state/snapshot_writer.go
@@ -24,7 +24,7 @@
 func (s *State) BeginSnapshot() {
 	s.snapshotNumber++
 	pending := make([]*Job, 0, len(s.Jobs))
-	pending = append(pending, s.endedJobs...)
+	pending = append(pending, s.index.ended...)
 	pending = append(pending, s.LiveJobs()...)
 	writer := &snapshotWriter{number: s.snapshotNumber, pending: pending}
 	writer.parts = append(writer.parts, mustMarshal(map[string]header{"head": s.header}))
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,9 +1,6 @@
 package state
 
 import (
-	"cmp"
-	"slices"
-
 	"coppercourse/internal/config"
 	"coppercourse/internal/types"
 )
@@ -12,13 +9,9 @@
 // snapshots hold; all else is derived from them.
 type State struct {
 	header
-	Jobs       map[types.JobID]*Job // all jobs that are remembered in full
-	tombstones tombstones
-
-	liveJobs    map[types.JobID]*Job           // those that have not ended
-	jobsInOrder []*Job                         // the same, oldest first; some may have ended since
-	endedJobs   []*Job                         // those that have ended, in the order of their ends
-	usage       map[types.QueueName]queueUsage // what the live jobs of each queue hold
+	Jobs       map[types.JobID]*Job // that are remembered in full
+	tombstones tombstones           // of those that are not any more
+	index      jobIndex
 
 	snapshot       *snapshotWriter // the snapshot in progress, or nil
 	snapshotNumber uint64          // how many snapshots were begun
@@ -54,39 +47,14 @@
 	return s
 }
 
-// buildIndexes derives the lists of live and ended jobs and the queues' usage.
-func (s *State) buildIndexes() {
-	s.liveJobs, s.usage = map[types.JobID]*Job{}, map[types.QueueName]queueUsage{}
-	s.endedJobs, s.jobsInOrder = nil, nil
-	for id, j := range s.Jobs {
-		if j.Ended() {
-			s.endedJobs = append(s.endedJobs, j)
-			continue
-		}
-		s.liveJobs[id] = j
-		s.jobsInOrder = append(s.jobsInOrder, j)
-		s.addUsage(j, 1)
-	}
-	slices.SortFunc(s.endedJobs, func(a, b *Job) int {
-		return cmp.Or(cmp.Compare(a.EndedAt, b.EndedAt), cmp.Compare(a.Seq, b.Seq))
-	})
-	slices.SortFunc(s.jobsInOrder, func(a, b *Job) int { return cmp.Compare(a.Seq, b.Seq) })
-}
+// buildIndexes derives from the jobs what snapshots don't hold.
+func (s *State) buildIndexes() { s.index = newJobIndex(s.Jobs) }
 
 // LiveJobs returns the jobs that have not ended, oldest first. The list holds until the
 // next command is applied.
-func (s *State) LiveJobs() []*Job {
-	live := s.jobsInOrder[:0]
-	for _, j := range s.jobsInOrder {
-		if !j.Ended() {
-			live = append(live, j)
-		}
-	}
-	s.jobsInOrder = live
-	return live
-}
+func (s *State) LiveJobs() []*Job { return s.index.liveInOrder() }
 
-// Find returns a job by its id: in full, or as much as its tombstone tells, or nil if
+// Find returns a job by its id: in full, or what its tombstone holds, or nil if
 // the id is not known.
 func (s *State) Find(id types.JobID) *Job {
 	if j := s.Jobs[id]; j != nil {
--- a/internal/state/submission.go
+++ b/internal/state/submission.go
@@ -26,7 +26,7 @@
 	if !ok {
 		return nil, apierror.New(apierror.NoSuchQueue, "queue", "no queue is called "+string(spec.Queue))
 	}
-	if n := s.usage[spec.Queue].jobs; n >= queue.MaxUnfinished {
+	if n := s.index.usage[spec.Queue].jobs; n >= queue.MaxUnfinished {
 		return nil, apierror.New(apierror.QueueFull, "queue",
 			fmt.Sprintf("%d unfinished jobs, as many as the queue may hold", n))
 	}
@@ -52,9 +52,7 @@
 	}
 	j.Tasks = make([]Task, j.TaskCount)
 	s.Jobs[j.ID] = j
-	s.liveJobs[j.ID] = j
-	s.jobsInOrder = append(s.jobsInOrder, j)
-	s.addUsage(j, 1)
+	s.index.add(j)
 	s.queueCounts(j.Queue).Accepted++
 	return nil
 }
--- a/internal/state/tombstones.go
+++ b/internal/state/tombstones.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// find returns what a tombstone tells of its job, or nil if the id has none.
+// find returns what the tombstone of a job holds, or nil if the id has none.
 func (to *tombstones) find(id types.JobID) *Job {
 	t, ok := to.byID[id]
 	if !ok {
--- a/internal/state/withdrawal.go
+++ b/internal/state/withdrawal.go
@@ -2,7 +2,7 @@
 
 import "coppercourse/internal/types"
 
-// Withdrawal takes an outstanding attempt back: the worker is told to stop it, and its
+// Withdrawal takes an outstanding attempt back: the worker is ordered to stop it, and its
 // task is assigned again once the attempt has ended.
 type Withdrawal struct {
 	ID     types.AttemptID `json:"leg"`
@@ -23,7 +23,7 @@
 
 // applyWithdrawal withdraws an attempt if it is outstanding and its job is open.
 func (s *State) applyWithdrawal(withdrawal Withdrawal) {
-	j := s.liveJobs[withdrawal.ID.Job]
+	j := s.index.live[withdrawal.ID.Job]
 	if j == nil || j.Status != JobOpen {
 		return
 	}
