--- /dev/null
+++ b/internal/server/sender.go
@@ -0,0 +1,137 @@
+package server
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+const (
+	// maxPeers bounds the peers that a daemon keeps a queue for.
+	maxPeers = 4000
+	// requestTimeout bounds a request to a peer, besides the time that its size takes at
+	// minBytesPerMS, the rate of a slow link in bytes a millisecond.
+	requestTimeout = 500 * time.Millisecond
+	minBytesPerMS  = 200
+	// maxDiscardedBytes is how much of a response is read so that its connection can be
+	// used again.
+	maxDiscardedBytes = 4096
+)
+
+// messagesPath is where every daemon takes the messages of its peers.
+const messagesPath = "/mate"
+
+// Sender sends messages to other daemons. Each peer has a queue, a goroutine and a
+// connection of its own, and the messages that wait for it share a request. A message
+// that does not get through is dropped, since the machines repeat whatever matters.
+type Sender struct {
+	Sent    atomic.Uint64 // messages that a peer has taken
+	Failed  atomic.Uint64 // requests without a response
+	Dropped atomic.Uint64 // messages for which there was no room
+
+	client *http.Client
+	mu     sync.Mutex
+	queues map[types.Addr]*peerQueue
+	closed bool
+
+	// The context bounds the goroutines of all peers, not one operation, so it is a field.
+	ctx     context.Context
+	cancel  context.CancelFunc
+	running sync.WaitGroup
+}
+
+// NewSender returns a sender whose connections come from a source IP, if it is not empty.
+// Close ends it.
+func NewSender(source string) *Sender {
+	ctx, cancel := context.WithCancel(context.Background())
+	return &Sender{
+		client: NewClient(source, 0), // each request has a timeout of its own, by its size
+		queues: map[types.Addr]*peerQueue{},
+		ctx:    ctx,
+		cancel: cancel,
+	}
+}
+
+// Send queues a message and returns at once.
+func (s *Sender) Send(message wire.OutboundMessage) {
+	queue := s.queueOf(message.To)
+	if queue == nil {
+		s.Dropped.Add(1)
+		return
+	}
+	s.Dropped.Add(uint64(queue.put(message.Message)))
+}
+
+// queueOf returns the queue of a peer and starts it if need be. It returns nil if there
+// are too many.
+func (s *Sender) queueOf(to types.Addr) *peerQueue {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	queue := s.queues[to]
+	if queue == nil && !s.closed && len(s.queues) < maxPeers {
+		queue = newPeerQueue()
+		s.queues[to] = queue
+		s.running.Go(func() { s.sendQueued(to, queue) })
+	}
+	return queue
+}
+
+// sendQueued sends what waits for a peer until the sender is closed.
+func (s *Sender) sendQueued(to types.Addr, queue *peerQueue) {
+	for {
+		select {
+		case <-s.ctx.Done():
+			return
+		case <-queue.wake:
+		}
+		for group := queue.take(); len(group) > 0 && s.ctx.Err() == nil; group = queue.take() {
+			s.deliver(to, group)
+		}
+	}
+}
+
+// deliver makes one request with a group of messages and counts its outcome.
+func (s *Sender) deliver(to types.Addr, group []wire.Message) {
+	if err := s.post(to, wire.EncodeMessages(group)); err != nil {
+		s.Failed.Add(1)
+		return
+	}
+	s.Sent.Add(uint64(len(group)))
+}
+
+// post makes one request. Any response counts as success: what the peer makes of the
+// messages is up to its machine.
+func (s *Sender) post(to types.Addr, body []byte) error {
+	timeout := requestTimeout + time.Duration(len(body)/minBytesPerMS)*time.Millisecond
+	ctx, cancel := context.WithTimeout(s.ctx, timeout)
+	defer cancel()
+	url := "http://" + string(to) + messagesPath
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
+	if err != nil {
+		return err
+	}
+	request.Header.Set("Content-Type", "application/json")
+	response, err := s.client.Do(request)
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscardedBytes))
+	return nil
+}
+
+// Close gives up what is queued or under way and waits for the goroutines of all peers.
+func (s *Sender) Close() {
+	s.mu.Lock()
+	s.closed = true
+	s.mu.Unlock()
+	s.cancel()
+	s.running.Wait()
+}
