--- a/internal/state/assignment.go
+++ b/internal/state/assignment.go
@@ -22,7 +22,8 @@
 // applyAssignments makes the assignments that are still possible and returns them with
 // their attempt numbers. A stage of a joint step is assigned whole or not at all.
 func (s *State) applyAssignments(list []Assignment) (assigned []Assignment) {
-	assignable := s.countAssignable(list)
+	assignable := map[stageKey]int{}
+	s.countAssignable(list, assignable)
 	for _, a := range list {
 		j := s.index.live[a.ID.Job]
 		if j == nil || j.Task(a.ID.Number) == nil {
@@ -44,15 +45,13 @@
 }
 
 // countAssignable counts, for each stage, the assignments whose task may be assigned now.
-func (s *State) countAssignable(list []Assignment) map[stageKey]int {
-	count := map[stageKey]int{}
+func (s *State) countAssignable(list []Assignment, count map[stageKey]int) {
 	for _, a := range list {
 		j := s.index.live[a.ID.Job]
 		if j != nil && j.canAssign(j.Task(a.ID.Number), s.effectiveQueueConfig(j.Queue), s.Time) {
 			count[stageKey{j.ID, types.StageOf(a.ID.Number)}]++
 		}
 	}
-	return count
 }
 
 // canAssign reports whether the next attempt of a task may be assigned now. t may be nil.
--- a/internal/state/attempt_end.go
+++ b/internal/state/attempt_end.go
@@ -63,7 +63,7 @@
 	stage := types.StageOf(end.ID.Number)
 	transition := endTransition{
 		AttemptEnd: end, job: j, task: t,
-		step: &j.Spec.Steps[stage.Step()], stage: stage, queue: &queue, now: now,
+		step: &j.Spec.Steps[stage.Step()], stage: stage, queue: queue, now: now,
 	}
 	if transition.apply() {
 		j.updateStatus(now)
@@ -77,7 +77,7 @@
 	task  *Task
 	step  *Step
 	stage types.Stage
-	queue *config.Queue
+	queue config.Queue
 	now   types.ClusterTime
 }
 
@@ -160,7 +160,7 @@
 		t.UnresolvedOn = ""
 		t.ReadyAt = e.now
 		if e.Outcome == OutcomeWorkerExited {
-			t.ReadyAt = e.now.Add(t.lossBackoff(e.step, e.queue))
+			t.ReadyAt = e.now.Add(t.lossBackoff(e.step, &e.queue))
 		}
 	}
 	if e.Outcome == OutcomeFailed {
@@ -189,7 +189,7 @@
 func (e *endTransition) recordLoss(wait time.Duration) {
 	t := e.task
 	t.Losses++
-	t.ReadyAt = e.now.Add(max(wait, t.lossBackoff(e.step, e.queue)))
+	t.ReadyAt = e.now.Add(max(wait, t.lossBackoff(e.step, &e.queue)))
 	e.failIfExhausted(t)
 }
 
@@ -226,7 +226,7 @@
 	e.failIfExhausted(t)
 }
 
-func (e *endTransition) failIfExhausted(t *Task) { e.job.failIfExhausted(t, *e.queue) }
+func (e *endTransition) failIfExhausted(t *Task) { e.job.failIfExhausted(t, e.queue) }
 
 // updateBrokenGang marks the stage as broken while members of the gang are outstanding
 // though another ended without success: they must be stopped, and the gang starts anew.
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -40,7 +40,7 @@
 		s.applyEnd(end)
 	}
 	for _, shape := range command.WorkerShapes {
-		s.WorkerShapes[shape.Shard] = shape
+		s.applyWorkerShape(shape)
 	}
 	s.expireEndedJobs()
 	return assigned, refusal
--- a/internal/state/worker_shape.go
+++ b/internal/state/worker_shape.go
@@ -19,6 +19,9 @@
 	CalledByAgent bool     `json:"invoked,omitempty"` // the agent calls it, rather than being polled by it
 }
 
+// applyWorkerShape remembers a worker's shape in place of its last one.
+func (s *State) applyWorkerShape(shape WorkerShape) { s.WorkerShapes[shape.Shard] = shape }
+
 // Matches reports whether the worker serves the kind of a step, and whether it has the
 // rack and the labels that the step asks for.
 func (w WorkerShape) Matches(step Step) (kind, place bool) {
