--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,9 +1,5 @@
 package wire
 
-// Reading bodies in one pass: types that come often read themselves, with these helpers,
-// and all others are read by the standard library. Both read the same: unknown fields
-// are let pass, and null leaves a value as it is.
-
 import (
 	"encoding/json"
 	"errors"
@@ -13,27 +9,30 @@
 	"github.com/go-faster/jx"
 )
 
-// BodyDecoder is a body that reads itself.
+// BodyDecoder is a body that decodes itself in one pass, with the functions below. It
+// decodes as encoding/json does: unknown fields are ignored, and null leaves a value as it
+// is.
 type BodyDecoder interface {
 	DecodeJSON(*jx.Decoder) error
 }
 
-// DecodeBody decodes the body as a type, and reports whether it is one.
+// DecodeBody decodes the body of a message. It returns false if that is not one of type T.
 func DecodeBody[T any](message Message) (body T, ok bool) {
-	if own, is := any(&body).(BodyDecoder); is {
-		return body, decodeComplete(own, message.Body) == nil
+	if decoder, isDecoder := any(&body).(BodyDecoder); isDecoder {
+		return body, decodeComplete(decoder, message.Body) == nil
 	}
 	err := json.Unmarshal(message.Body, &body)
 	return body, err == nil
 }
 
-var errTrailingBody = errors.New("something stands behind the body")
+var errTrailingBody = errors.New("data after the body")
 
-func decodeComplete(t BodyDecoder, body []byte) error {
+// decodeComplete decodes a body and nothing behind it.
+func decodeComplete(decoder BodyDecoder, body []byte) error {
 	d := jx.GetDecoder()
 	defer jx.PutDecoder(d)
 	d.ResetBytes(body)
-	if err := t.DecodeJSON(d); err != nil {
+	if err := decoder.DecodeJSON(d); err != nil {
 		return err
 	}
 	if err := d.Skip(); !errors.Is(err, io.EOF) {
@@ -42,8 +41,8 @@
 	return nil
 }
 
-// DecodeObject reads an object; field reads the value of a key, or gives false for a key that
-// it does not know.
+// DecodeObject decodes an object. decodeField decodes the value of a key, or returns false
+// for a key that it does not know.
 func DecodeObject(d *jx.Decoder, decodeField func(key string) (known bool, err error)) error {
 	if nextIsNull(d) {
 		return d.Null()
@@ -57,61 +56,62 @@
 	})
 }
 
-// DecodeList reads a list of what one reads.
-func DecodeList[T any](d *jx.Decoder, list *[]T, one func(*T) error) error {
+// DecodeList decodes a list, whose elements decodeElement decodes.
+func DecodeList[T any](d *jx.Decoder, list *[]T, decodeElement func(*T) error) error {
 	if nextIsNull(d) {
 		*list = nil
 		return d.Null()
 	}
 	*list = []T{}
 	return d.Arr(func(*jx.Decoder) error {
-		var t T
-		err := one(&t)
-		*list = append(*list, t)
+		var element T
+		err := decodeElement(&element)
+		*list = append(*list, element)
 		return err
 	})
 }
 
-// DecodeString reads a string.
-func DecodeString[T ~string](d *jx.Decoder, to *T) error {
+// DecodeString decodes a string. Bytes that are no UTF-8 become the replacement character.
+func DecodeString[T ~string](d *jx.Decoder, value *T) error {
 	if nextIsNull(d) {
 		return d.Null()
 	}
 	s, err := d.Str()
 	if !utf8.ValidString(s) {
-		s = string([]rune(s)) // what is no character becomes the sign for that
+		s = string([]rune(s))
 	}
-	*to = T(s)
+	*value = T(s)
 	return err
 }
 
-// DecodeInt reads a signed number.
-func DecodeInt[T ~int | ~int64](d *jx.Decoder, to *T) error {
+// DecodeInt decodes a signed integer.
+func DecodeInt[T ~int | ~int64](d *jx.Decoder, value *T) error {
 	if nextIsNull(d) {
 		return d.Null()
 	}
 	n, err := d.Int64()
-	*to = T(n)
+	*value = T(n)
 	return err
 }
 
-// DecodeUint reads an unsigned number.
-func DecodeUint[T ~uint64](d *jx.Decoder, to *T) error {
+// DecodeUint decodes an unsigned integer.
+func DecodeUint[T ~uint64](d *jx.Decoder, value *T) error {
 	if nextIsNull(d) {
 		return d.Null()
 	}
 	n, err := d.UInt64()
-	*to = T(n)
+	*value = T(n)
 	return err
 }
 
-// DecodeBool reads true or false.
-func DecodeBool(d *jx.Decoder, to *bool) (err error) {
+// DecodeBool decodes true or false.
+func DecodeBool(d *jx.Decoder, value *bool) (err error) {
 	if nextIsNull(d) {
 		return d.Null()
 	}
-	*to, err = d.Bool()
+	*value, err = d.Bool()
 	return err
 }
 
+// nextIsNull reports whether the next value is null.
 func nextIsNull(d *jx.Decoder) bool { return d.Next() == jx.Null }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -1,32 +1,31 @@
 package wire
 
-// The list of messages that one request carries, written and read in one pass each.
-// Bodies are JSON already: they are taken as they are and not looked through again.
-
 import (
 	"encoding/json"
 	"errors"
+	"fmt"
 	"io"
 
 	"github.com/go-faster/jx"
 )
 
-var errTrailingList = errors.New("something stands behind the list of messages")
+var errTrailingList = errors.New("data after the list of messages")
 
-// EncodeMessages writes a list as peers exchange it.
-func EncodeMessages(list []Message) []byte {
-	size := 2
-	for _, m := range list {
-		size += len(`{"from":"","kind":"","body":},`) + len(m.From) + len(m.Kind) + len(m.Body)
+// EncodeMessages encodes the messages that one request between daemons carries. Bodies are
+// JSON already: they are copied and not looked through.
+func EncodeMessages(messages []Message) []byte {
+	size := len("[]")
+	for _, message := range messages {
+		size += len(`{"from":"","kind":"","body":},`) + len(message.From) + len(message.Kind) + len(message.Body)
 	}
 	var w jx.Writer
 	w.Buf = make([]byte, 0, size)
 	w.ArrStart()
-	for i, m := range list {
+	for i, message := range messages {
 		if i > 0 {
 			w.Comma()
 		}
-		m.encode(&w)
+		message.encode(&w)
 	}
 	w.ArrEnd()
 	return w.Buf
@@ -46,23 +45,24 @@
 	w.ObjEnd()
 }
 
-// DecodeMessages reads such a list. Bodies are parts of the bytes given, which must
-// not be changed afterwards.
-func DecodeMessages(b []byte) (list []Message, err error) {
-	d := jx.DecodeBytes(b)
-	err = d.Arr(func(d *jx.Decoder) error {
-		var m Message
-		err := m.decode(d)
-		list = append(list, m)
+// DecodeMessages decodes what EncodeMessages has encoded. The bodies are parts of the bytes
+// given, which must not be changed afterwards.
+func DecodeMessages(encoded []byte) ([]Message, error) {
+	var messages []Message
+	d := jx.DecodeBytes(encoded)
+	err := d.Arr(func(d *jx.Decoder) error {
+		var message Message
+		err := message.decode(d)
+		messages = append(messages, message)
 		return err
 	})
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("decode messages: %w", err)
 	}
 	if err := d.Skip(); !errors.Is(err, io.EOF) {
 		return nil, errTrailingList
 	}
-	return list, nil
+	return messages, nil
 }
 
 func (m *Message) decode(d *jx.Decoder) error {
@@ -73,9 +73,9 @@
 		case "kind":
 			err = DecodeString(d, &m.Kind)
 		case "body":
-			var raw jx.Raw
-			raw, err = d.Raw()
-			m.Body = json.RawMessage(raw)
+			var body jx.Raw
+			body, err = d.Raw()
+			m.Body = json.RawMessage(body)
 		default:
 			err = d.Skip()
 		}
--- a/internal/wire/encode_bench_test.go
+++ b/internal/wire/encode_bench_test.go
@@ -5,13 +5,15 @@
 	"testing"
 )
 
-// statusMessages are a typical request of an agent to the leader.
+// statusMessages returns a typical request of an agent to the leader.
 func statusMessages() (list []Message) {
-	body := json.RawMessage(`{"shard":"w17","id":"a41b0c9d","ends":[{"leg":{"job":"basket-quote-1a2b3c","n":17,"leg":1},"fate":"ok"},{"leg":{"job":"basket-quote-1a2b3c","n":18,"leg":1},"fate":"ok"}]}`)
+	body := json.RawMessage(`{"shard":"w17","id":"a41b0c9d","ends":[` +
+		`{"leg":{"job":"basket-quote-1a2b3c","n":17,"leg":1},"fate":"ok"},` +
+		`{"leg":{"job":"basket-quote-1a2b3c","n":18,"leg":1},"fate":"ok"}]}`)
 	for range 3 {
 		list = append(list, Message{From: "10.0.3.17:7400", Kind: StatusReport, Body: body})
 	}
-	return
+	return list
 }
 
 func BenchmarkMessages(b *testing.B) {
--- a/internal/wire/encode_test.go
+++ b/internal/wire/encode_test.go
@@ -10,10 +10,17 @@
 	"coppercourse/internal/types"
 )
 
-// randomMessages draws messages with bodies of every form, names with what JSON
-// escapes, and bodies that are missing.
+// randomMessages returns messages with bodies of every form, and without, and with names
+// that JSON escapes.
 func randomMessages(r *rand.Rand) (list []Message) {
-	bodies := []string{`{}`, `null`, `[1,2,{"a":"<\u00e9\"}"}]`, `{"deep":{"er":[[],[{}]]},"n":-1.5e3}`, `"text"`, `true`}
+	bodies := []string{
+		`{}`,
+		`null`,
+		`[1,2,{"a":"<\u00e9\"}"}]`,
+		`{"deep":{"er":[[],[{}]]},"n":-1.5e3}`,
+		`"text"`,
+		`true`,
+	}
 	names := []string{"", string(Heartbeat), `quote"d`, "tab\t", "é", `back\slash`, "<&>"}
 	for range 1 + r.Intn(4) {
 		m := Message{From: types.Addr(names[r.Intn(len(names))]), Kind: Kind(names[r.Intn(len(names))])}
@@ -22,12 +29,12 @@
 		}
 		list = append(list, m)
 	}
-	return
+	return list
 }
 
-// What is written reads back by the standard library as what went in, and what the
-// standard library writes is read as it reads it: daemons of earlier versions write
-// and read so.
+// What is encoded here decodes by the standard library to what went in, and what the
+// standard library encodes is decoded here as it decodes it: daemons of earlier versions use
+// the standard library.
 func TestMessagesMatchStandardEncoding(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewSource(1))
@@ -53,7 +60,7 @@
 	}
 }
 
-// Unknown fields are let pass; fields may come in any order.
+// Unknown fields are ignored; fields may come in any order.
 func TestMessagesOfLaterVersionsAreDecoded(t *testing.T) {
 	is := is.New(t)
 	list, err := DecodeMessages([]byte(` [ {"trace":{"a":[1]},"body":{"x":1},"kind":"beat","from":"a:1"} ] `))
@@ -61,8 +68,8 @@
 	is.Equal(list, []Message{{From: "a:1", Kind: "beat", Body: json.RawMessage(`{"x":1}`)}})
 }
 
-// What is cut short, goes on, or is spoilt is refused whole, as the standard library
-// refuses it.
+// A list that is cut short, has data after its end, or is corrupt is rejected as a whole if
+// the standard library rejects it.
 func TestCorruptMessagesAreRejected(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewSource(2))
--- /dev/null
+++ b/internal/wire/forward.go
@@ -0,0 +1,27 @@
+package wire
+
+import (
+	"encoding/json"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/types"
+)
+
+// ForwardedRequest is the body of a ForwardRequest: a client's request, which a gateway
+// sends to the controller that it takes for the leader.
+type ForwardedRequest struct {
+	ID   uint64          `json:"id"` // the gateway's own number for it
+	Verb string          `json:"verb"`
+	Arg  string          `json:"arg,omitempty"`
+	Body json.RawMessage `json:"body,omitempty"`
+}
+
+// ForwardedReply is the body of a ForwardReply: the response to a forwarded request.
+type ForwardedReply struct {
+	ID         uint64          `json:"id"` // that of the request
+	StatusCode int             `json:"code"`
+	Body       json.RawMessage `json:"body,omitempty"`
+	Error      *apierror.Error `json:"fault,omitempty"`
+	Leader     types.Addr      `json:"lead,omitempty"`
+	NotLeader  bool            `json:"away,omitempty"` // the sender does not lead; Leader may
+}
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"go/ast"
 	"go/parser"
 	"go/token"
@@ -73,7 +74,8 @@
 
 // A list of several messages, as one request between daemons carries it.
 func TestMessageListGolden(t *testing.T) {
-	one, two := goldentest.Fill[wire.Message](), goldentest.Fill[wire.Message](json.RawMessage(`[1,"é<&>"]`), types.Addr("quote\"\\\u2028"))
+	one := goldentest.Fill[wire.Message]()
+	two := goldentest.Fill[wire.Message](json.RawMessage(`[1,"é<&>"]`), types.Addr("quote\"\\\u2028"))
 	list := []wire.Message{one, two, {}}
 	goldentest.File(t, "message-list.json", append(wire.EncodeMessages(list), '\n'))
 	goldentest.File(t, "message-list-empty.json", append(wire.EncodeMessages(nil), '\n'))
@@ -87,8 +89,12 @@
 // The class of each kind of message and of each verb, by their texts.
 func TestClassesGolden(t *testing.T) {
 	var lines strings.Builder
-	for _, text := range append(constants(t), "job.put", "job.get", "job.cancel", "queue.count", "poll", "beat", "leave", "table.put", "other") {
-		lines.WriteString(text + ": message " + wire.ClassOfKind(wire.Kind(text)).String() + ", verb " + wire.ClassOfVerb(text).String() + ", new work " + strconv.FormatBool(wire.SubmitsWork(text)) + "\n")
+	verbs := []string{
+		"job.put", "job.get", "job.cancel", "queue.count", "poll", "beat", "leave", "table.put", "other",
+	}
+	for _, text := range append(constants(t), verbs...) {
+		fmt.Fprintf(&lines, "%s: message %v, verb %v, new work %t\n",
+			text, wire.ClassOfKind(wire.Kind(text)), wire.ClassOfVerb(text), wire.SubmitsWork(text))
 	}
 	goldentest.File(t, "classes.txt", []byte(lines.String()))
 }
--- a/internal/wire/machine.go
+++ b/internal/wire/machine.go
@@ -1,9 +1,5 @@
 package wire
 
-// The interface of every state machine: one event in, and out of it what to
-// send, to write and to answer. Machines do no I/O and read no clock; the daemons
-// (internal/server) and the simulator (sim) run the same machines.
-
 import (
 	"encoding/json"
 	"time"
@@ -12,27 +8,37 @@
 	"coppercourse/internal/types"
 )
 
-// Event is one input of a state machine. At most one field beside Now is set;
-// with none, it is a tick of the clock.
+// Machine is a state machine: a daemon's logic without I/O and without a clock.
+type Machine interface {
+	// Step takes one event and returns its effects.
+	Step(Event) Effects
+}
+
+// Event is one input of a state machine. Besides Now and Load at most one field is set;
+// with none, or with ExpiredForwards alone, it is a tick: time has passed.
 type Event struct {
 	Now             types.Now
 	Message         *Message     // from another daemon
-	Request         *Request     // from a client
-	Synced          uint64       // the batch with this Seq is on disk
-	DiskError       error        // the disk has refused what was given it to write; it is tried again
-	WorkerReply     *WorkerReply // the result of a call to the worker
-	Shutdown        bool         // the daemon is asked to stop
+	Request         *Request     // from a client of this daemon
+	Synced          uint64       // all batches up to this number are on disk
+	DiskError       error        // the disk refuses a batch, which is tried again
+	WorkerReply     *WorkerReply // the outcome of a call to the worker
+	Shutdown        bool         // the daemon is about to stop
 	Load            Load         // how far the event loop is behind
-	ExpiredForwards []Message    // with a tick: forwarded requests that waited too long for a step
+	ExpiredForwards []Message    // forwarded requests that waited too long to be of use
 }
 
-// IsTick tells that an event is none but that time has passed.
+// IsTick reports whether the event says only that time has passed.
 func (e Event) IsTick() bool {
-	return e.Message == nil && e.Request == nil && e.WorkerReply == nil && e.Synced == 0 && e.DiskError == nil && !e.Shutdown
+	return e.Message == nil &&
+		e.Request == nil &&
+		e.Synced == 0 &&
+		e.DiskError == nil &&
+		e.WorkerReply == nil &&
+		!e.Shutdown
 }
 
-// Load is how far the loop that carries the machine is behind, as measured by the
-// loop when it took the event.
+// Load is how far the event loop was behind when it took an event.
 type Load struct {
 	EventAge    time.Duration // how long this event has waited
 	ControlAge  time.Duration // how long the oldest event of the control classes has waited
@@ -40,69 +46,35 @@
 	MoreWaiting bool          // more events wait
 }
 
-// Request is a client's request, to be answered under its token. Limit is how long
-// the client will wait, or 0 if that is not known.
+// Request is a client's request. It is answered by a Response with its token.
 type Request struct {
 	Token   uint64
-	Verb    string
-	Arg     string
+	Verb    string // what to do, such as job.put
+	Arg     string // what the path names: an id, or a kind and an id
 	Body    json.RawMessage
-	Timeout time.Duration
+	Timeout time.Duration // how long the client waits; 0 if that is not known
 }
 
-// Response is the response to an Ask: a body, or an error in Fault. Lead is the
-// leader's address where only the leader can tell and this daemon does not lead.
+// Response is the response to a request: a status code with a body, or an error.
 type Response struct {
 	Token      uint64
 	StatusCode int
 	Body       json.RawMessage
-	Error      *apierror.Error
-	Leader     types.Addr
+	Error      *apierror.Error // nil if the request succeeded
+	Leader     types.Addr      // whom to ask instead, where only the leader can answer
 }
 
-// Effects is the effects of a step.
+// Effects is what a step has the daemon do. A message that rests on records is not among the
+// effects of the step that writes them: the machine holds it back until Event.Synced.
 type Effects struct {
-	Messages        []OutboundMessage // messages to other daemons
-	Calls           []WorkerCall      // calls to the worker
-	Records         [][]byte          // records to write and sync together
-	BatchNumber     uint64            // number of the batch, for Event.Synced
-	ReplaceLog      bool              // the batch replaces the whole file
-	FallbackRecords [][]byte          // what to append where there is no room to replace the file
-	Responses       []Response        // responses to clients
-	Drained         bool              // stopping, and nothing is left to do
-}
+	Messages  []OutboundMessage // to other daemons
+	Calls     []WorkerCall      // to the worker
+	Responses []Response        // to clients
 
-// Machine is a state machine: a daemon's logic without I/O and without a clock.
-type Machine interface {
-	// Step takes one event and returns its effects.
-	Step(Event) Effects
-}
-
-// EncodeBody encodes a value for an answer. A value that JSON can't hold is a
-// programming error and panics.
-func EncodeBody(v any) json.RawMessage {
-	b, err := json.Marshal(v)
-	if err != nil {
-		panic(err)
-	}
-	return b
-}
-
-// ForwardedRequest is the body of a Call: a client's request that a gateway forwards. Instance
-// is the gateway's own number for it.
-type ForwardedRequest struct {
-	ID   uint64          `json:"id"`
-	Verb string          `json:"verb"`
-	Arg  string          `json:"arg,omitempty"`
-	Body json.RawMessage `json:"body,omitempty"`
-}
+	Records         [][]byte // to sync together as one batch, if not nil
+	BatchNumber     uint64   // of the batch, for Event.Synced
+	ReplaceLog      bool     // the batch replaces the whole log
+	FallbackRecords [][]byte // what to append instead if there is no room to replace the log
 
-// ForwardedReply is the body of a Reply: the response to the request with that Instance.
-type ForwardedReply struct {
-	ID         uint64          `json:"id"`
-	StatusCode int             `json:"code"`
-	Body       json.RawMessage `json:"body,omitempty"`
-	Error      *apierror.Error `json:"fault,omitempty"`
-	Leader     types.Addr      `json:"lead,omitempty"`
-	NotLeader  bool            `json:"away,omitempty"` // the sender does not lead; ask Lead
+	Drained bool // the machine was told of a shutdown and has nothing left to do
 }
--- a/internal/wire/worker_call.go
+++ b/internal/wire/worker_call.go
@@ -1,11 +1,5 @@
 package wire
 
-// Calls from an agent to an invoked worker, that is, one that is called rather
-// than one that polls. A call is an effect of a step, as a message is, and its
-// result comes back as an event, also when there was no reply: then the call may
-// have been carried out, or may be yet. Clock readings and lease ends are
-// milliseconds of the worker's own clock.
-
 import (
 	"encoding/json"
 	"time"
@@ -18,97 +12,96 @@
 
 // The kinds of call.
 const (
-	StartAttempt CallKind = "start" // start an attempt
-	StopAttempt  CallKind = "stop"  // stop an attempt
-	RenewLease   CallKind = "hold"  // renew the lease; reply with what runs and what ended
-	CheckHealth  CallKind = "probe" // health check
+	StartAttempt CallKind = "start"
+	StopAttempt  CallKind = "stop"
+	RenewLease   CallKind = "hold"  // the reply lists what runs and what ended
+	CheckHealth  CallKind = "probe" // changes nothing
 )
 
-// WorkerCall is one request to a worker.
+// WorkerCall is one call from an agent to an invoked worker: one that is called, rather
+// than one that polls. It is an effect of a step, as a message is, and its outcome comes
+// back as an event. Times without a unit of their own are durations; clock readings and
+// ends of leases are milliseconds of the worker's own clock.
 type WorkerCall struct {
-	Number       uint64     // number of the call, repeated in its reply
+	Number       uint64     // repeated in its reply
 	Addr         types.Addr // where the worker listens
-	Incarnation  types.ID   // the worker process meant; another one refuses
+	Incarnation  types.ID   // the worker process that is meant; another one refuses
 	Kind         CallKind
-	Attempt      types.AttemptID // Start, Halt
-	Input        json.RawMessage // Start: the task's input
-	Checkpoint   string          // Start: checkpoint to continue from
-	LeaseEndMS   int64           // Start, Hold: end of the lease, ms of the worker's clock
-	FencingToken uint64          // highest query number known; a worker that has seen a higher one does nothing
-	AckedEnds    uint64          // Hold: ends up to this number are acknowledged for good
-	LongPollWait time.Duration   // Hold: how long the worker may wait for news before it replies
-	Timeout      time.Duration   // how long the reply is waited for
+	Attempt      types.AttemptID // StartAttempt, StopAttempt
+	Input        json.RawMessage // StartAttempt: the task's input
+	Checkpoint   string          // StartAttempt: the checkpoint to continue from, if any
+	LeaseEndMS   int64           // StartAttempt, RenewLease: when the worker's lease ends
+	FencingToken uint64          // a worker that has seen a higher one does nothing
+	AckedEnds    uint64          // RenewLease: ends up to this number need not be reported again
+	LongPollWait time.Duration   // RenewLease: how long the worker may wait for a change before it replies
+	Timeout      time.Duration   // how long a reply is waited for
 }
 
-// CallResult is how a call ended.
+// CallResult is the outcome of a call.
 type CallResult string
 
-// The results of a call. Only Silent leaves open whether it was carried out.
+// The outcomes of a call. Only ResultNoReply leaves open whether it was carried out.
 const (
 	ResultAccepted         CallResult = "taken"     // carried out
-	ResultFenced           CallResult = "fenced"    // refused: the worker has seen a higher query number
-	ResultSuperseded       CallResult = "outdated"  // refused: this attempt, or a later one, has stopped or ended there
-	ResultLeaseExpired     CallResult = "late"      // refused: its lease had ended
-	ResultNoCapacity       CallResult = "no room"   // refused: the worker has no room
+	ResultFenced           CallResult = "fenced"    // refused: the worker has seen a higher fencing token
+	ResultSuperseded       CallResult = "outdated"  // refused: this attempt, or a later one, has ended there
+	ResultLeaseExpired     CallResult = "late"      // refused: the lease had ended
+	ResultNoCapacity       CallResult = "no room"   // refused: the worker has no free capacity
 	ResultInvalid          CallResult = "refused"   // refused: the request is invalid
-	ResultUnhealthy        CallResult = "sick"      // refused: the worker is unhealthy
+	ResultUnhealthy        CallResult = "sick"      // refused: the worker is unhealthy, or was not called
 	ResultOtherIncarnation CallResult = "stranger"  // refused: another worker process listens there
 	ResultNotListening     CallResult = "closed"    // nobody listens there
-	ResultNoReply          CallResult = "no answer" // no reply: it may have been carried out, or may be yet
+	ResultNoReply          CallResult = "no answer" // it may have been carried out, or may be yet
 )
 
-// WorkerReply is the outcome of a call. Clock is the worker's clock in
-// milliseconds, or 0 if the reply did not hold it. Runs and Ends answer a Hold.
+// WorkerReply is the outcome of a call, and what the worker replied.
 type WorkerReply struct {
-	Number  uint64
+	Number  uint64 // that of the call
 	Result  CallResult
-	ClockMS int64
-	Running []RunningAttempt
-	Ended   []EndedAttempt
+	ClockMS int64            // the worker's clock; 0 if the reply did not hold it
+	Running []RunningAttempt // to RenewLease
+	Ended   []EndedAttempt   // to RenewLease: the ends that are not acknowledged yet
 }
 
-// RunningAttempt is an attempt that runs, with its last checkpoint and its progress.
+// RunningAttempt is an attempt that runs on a worker.
 type RunningAttempt struct {
 	Attempt    types.AttemptID
-	Checkpoint string
-	Percent    float64
+	Checkpoint string  // the last one
+	Percent    float64 // progress
 }
 
-// EndReason is the way in which an attempt ended on a worker.
+// EndReason is how an attempt ended on a worker.
 type EndReason string
 
-// The ways in which an attempt ends.
+// How an attempt ends.
 const (
-	EndSucceeded        EndReason = "done"    // successfully
-	EndFailed           EndReason = "failed"  // with an error
-	EndStopped          EndReason = "stopped" // by a Halt
+	EndSucceeded        EndReason = "done"
+	EndFailed           EndReason = "failed"
+	EndStopped          EndReason = "stopped" // by a StopAttempt
 	EndLeaseExpired     EndReason = "lapsed"  // with the worker's lease
 	EndGangMemberEnded  EndReason = "broken"  // because another member of its gang ended
-	EndGangStartTimeout EndReason = "alone"   // because the other members of its gang did not start in time
+	EndGangStartTimeout EndReason = "alone"   // because the rest of its gang did not start in time
 )
 
-// EndedAttempt is the end of an attempt. N counts the ends of one worker process
-// from 1; Ref is the last checkpoint.
+// EndedAttempt is the end of an attempt on a worker.
 type EndedAttempt struct {
-	Number     uint64
+	Number     uint64 // counts the ends of one worker process, from 1
 	Attempt    types.AttemptID
 	Reason     EndReason
-	Checkpoint string
+	Checkpoint string // the last one
 }
 
-// WorkerHeartbeat is the heartbeat of an invoked worker. Seq rises with each one;
-// Clock is the worker's clock in milliseconds; DepartsInMS, with Leaving, is how long
-// it will still be there; Cold is how long it is still slow from its start, in ms.
+// WorkerHeartbeat is the heartbeat of an invoked worker.
 type WorkerHeartbeat struct {
-	Incarnation types.ID            `json:"life"`
-	Addr        types.Addr          `json:"to"` // where it listens for calls
-	Seq         uint64              `json:"seq"`
+	Incarnation types.ID            `json:"life"` // of the worker process
+	Addr        types.Addr          `json:"to"`   // where it listens for calls
+	Seq         uint64              `json:"seq"`  // rises with each heartbeat
 	Rack        types.Rack          `json:"rack"`
 	Labels      []string            `json:"labels"`
-	Kinds       []types.ServiceKind `json:"kinds"`
+	Kinds       []types.ServiceKind `json:"kinds"` // the kinds of task that it runs
 	Capacity    types.Resources     `json:"room"`
-	ClockMS     int64               `json:"clock"`
-	Draining    bool                `json:"leaving"`
-	DepartsInMS int64               `json:"leave_in_ms"`
-	WarmUpMS    int64               `json:"cold_ms"`
+	ClockMS     int64               `json:"clock"`       // the worker's clock
+	Draining    bool                `json:"leaving"`     // it is about to depart
+	DepartsInMS int64               `json:"leave_in_ms"` // if draining, how long it will still be there
+	WarmUpMS    int64               `json:"cold_ms"`     // how long it is still slow after its start
 }
