--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -46,7 +46,7 @@
 	}
 	for i, m := range c.members {
 		dir := t.TempDir()
-		file, _, _, err := wal.Open(wal.OSStorage{}, dir)
+		file, _, err := wal.Open(wal.OSStorage{}, dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -113,14 +113,14 @@
 		if err := os.WriteFile(filepath.Join(dir, "lore.log"), goldentest.Read(t, diskName(i)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		file, records, spoilt, err := wal.Open(wal.OSStorage{}, dir)
-		if err != nil || spoilt != "" {
-			t.Fatal(err, spoilt)
+		file, contents, err := wal.Open(wal.OSStorage{}, dir)
+		if err != nil || contents.DamagedPath != "" {
+			t.Fatal(err, contents.DamagedPath)
 		}
 		if err := file.Close(); err != nil {
 			t.Fatal(err)
 		}
-		c.members = append(c.members, &member{cluster: c, addr: types.Addr(fmt.Sprintf("10.0.0.%d:7000", i+1)), syncTime: syncTime, disk: records})
+		c.members = append(c.members, &member{cluster: c, addr: types.Addr(fmt.Sprintf("10.0.0.%d:7000", i+1)), syncTime: syncTime, disk: contents.Records})
 	}
 	return c
 }
--- a/internal/server/disk_writer_test.go
+++ b/internal/server/disk_writer_test.go
@@ -36,7 +36,7 @@
 func startDiskRig(t *testing.T, wrap func(recordLog) recordLog) *diskRig {
 	t.Helper()
 	r := &diskRig{storage: waltest.New(1), ended: make(chan error, 1)}
-	file, _, _, err := wal.Open(r.storage, "data")
+	file, _, err := wal.Open(r.storage, "data")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,11 +85,11 @@
 	if err := <-r.ended; err != nil {
 		t.Fatalf("the writer ended with %v", err)
 	}
-	_, records, damagedPath, err := wal.Open(r.storage.LosePower(), "data")
-	if err != nil || damagedPath != "" {
-		t.Fatal(err, damagedPath)
+	_, contents, err := wal.Open(r.storage.LosePower(), "data")
+	if err != nil || contents.DamagedPath != "" {
+		t.Fatal(err, contents.DamagedPath)
 	}
-	for _, record := range records {
+	for _, record := range contents.Records {
 		if string(record) != "{}" { // seals
 			found = append(found, string(record))
 		}
--- a/internal/server/open_log.go
+++ b/internal/server/open_log.go
@@ -31,13 +31,13 @@
 	defer waiting.close()
 	var backoff diskBackoff
 	for {
-		file, records, damagedPath, err := wal.Open(storage, dir)
-		if damagedPath != "" {
+		file, contents, err := wal.Open(storage, dir)
+		if contents.DamagedPath != "" {
 			logger.Error(nil, "write-ahead log is damaged; moved it aside and starting as a new member",
-				"moved_to", damagedPath)
+				"moved_to", contents.DamagedPath)
 		}
 		if err == nil {
-			return file, records, nil
+			return file, contents.Records, nil
 		}
 		backoff.failures++
 		if backoff.worthLogging() {
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -14,8 +14,8 @@
 	for name, file := range map[string]string{
 		"defaults.txt": `{}`,
 		"full.txt": `{"listen":"127.0.0.1:7401","address":"10.0.0.1:7402","source":"10.0.0.1","locality":"z1",
-			"data":"/data","shard":"k1","log":"debug","seeds":["10.0.0.2:7403","10.0.0.3:7404"],"founders":["10.0.0.4:7405"],"first":true,
-			"losses":2,"grace_ms":7001,"notice_ms":702,
+			"data":"/data","shard":"k1","log":"debug","seeds":["10.0.0.2:7403","10.0.0.3:7404"],
+			"founders":["10.0.0.4:7405"],"first":true,"losses":2,"grace_ms":7001,"notice_ms":702,
 			"pace":{"beat_ms":101,"ill_ms":402,"loss_ms":1003,"grant_ms":804,"worker_ms":605,"again_ms":106,
 				"round_ms":47,"election_ms":208,"stall_ms":409,"dead_ms":5010,"stale_ms":1011}}`,
 		"bad.txt": `{"listen":7,"seeds":"x","first":"yes","losses":9,"pace":{"beat_ms":0,"other":1},"unknown":1}`,
--- /dev/null
+++ b/internal/wal/errors.go
@@ -0,0 +1,26 @@
+package wal
+
+import (
+	"errors"
+	"syscall"
+)
+
+// DiskError says that the file system has refused an operation on the log. The File stays
+// usable, and the operation may be tried again.
+type DiskError struct {
+	Op  string // such as "sync"
+	Err error
+}
+
+// Error names the operation and the file system's error.
+func (e *DiskError) Error() string { return "log: " + e.Op + ": " + e.Err.Error() }
+
+// Unwrap returns the file system's error.
+func (e *DiskError) Unwrap() error { return e.Err }
+
+func diskError(op string, err error) error { return &DiskError{Op: op, Err: err} }
+
+// IsNoSpace reports whether an operation failed because the disk, or a quota, is full.
+func IsNoSpace(err error) bool {
+	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
+}
--- a/internal/wal/file.go
+++ b/internal/wal/file.go
@@ -1,91 +1,93 @@
-// The log on a file system: opened and scanned at start, appended and synced in
-// groups by one writer, rewritten whole under a second name and renamed when it
-// is long. A write or sync that fails leaves the File usable: what came after
-// the last successful sync is cut off before the next write, and the caller
-// writes the same records again.
 package wal
 
 import (
 	"errors"
 	"io/fs"
 	"path/filepath"
-	"syscall"
 	"time"
 )
 
+// Names in a data folder.
 const (
 	logName       = "lore.log"
-	newSuffix     = ".new"
-	damagedSuffix = ".spoilt"
-	sealRecord    = "{}"
+	newSuffix     = ".new"    // of a rewritten log that has not taken its place yet
+	damagedSuffix = ".spoilt" // of a damaged log
 )
 
-// File is the log of one data folder. One goroutine owns it.
+// sealRecord is the record that follows the last one after SealAfterIdle.
+const sealRecord = "{}"
+
+// SealAfterIdle is how long nothing is written before the log is sealed.
+const SealAfterIdle = 50 * time.Millisecond
+
+// File is the log of one data folder. One goroutine uses it.
+//
+// A write or sync that fails leaves it usable. What came after the last successful sync is
+// cut off before the next write, and the caller writes the same records again.
 type File struct {
 	storage Storage
 	dir     string
 	handle  Handle
-	synced  int64 // the length that the last successful sync covered
-	sealed  bool
-	torn    bool // bytes past synced are unknown: a write or sync of them failed
-	renamed bool // the folder has not been synced since a rename
+	synced  int64 // length that the last successful sync covered
+	sealed  bool  // the last record is a seal
+	torn    bool  // the bytes past synced are unknown: a write or sync of them failed
+	renamed bool  // the folder has not been synced since a rename
 }
 
-// SealAfterIdle is how long nothing is written before the file is sealed.
-const SealAfterIdle = 50 * time.Millisecond
-
-// DiskError is an operation on the log that the file system refused. The log
-// stays usable, and the operation may be tried again.
-type DiskError struct {
-	Op  string
-	Err error
+// Contents is what a data folder held when its log was opened.
+type Contents struct {
+	Records     [][]byte
+	DamagedPath string // where a damaged log was moved to; empty if there was none
 }
 
-func (d *DiskError) Error() string { return "log: " + d.Op + ": " + d.Err.Error() }
-func (d *DiskError) Unwrap() error { return d.Err }
-
-func diskError(op string, err error) error { return &DiskError{Op: op, Err: err} }
-
-// IsNoSpace tells whether an operation failed for want of room.
-func IsNoSpace(err error) bool {
-	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
-}
-
-// Open reads the file of a data folder. A damaged file is put aside under
-// another name and told in spoilt; the daemon then starts as a new member.
-// What is returned is synced: records that an earlier process wrote and did not
-// sync may be read from the cache and are not on the disk yet.
-func Open(storage Storage, dir string) (file *File, records [][]byte, damagedPath string, err error) {
-	if err = storage.MakeDir(dir); err != nil {
-		return nil, nil, "", diskError("data folder", err)
+// Open opens the log of a data folder, which it creates if need be. A damaged log is moved
+// aside and an empty one opened: without its records a controller is a new member.
+//
+// All records that are returned are on disk. Some of them an earlier process may have
+// written and not synced, so that they were read from the cache of the operating system.
+func Open(storage Storage, dir string) (*File, Contents, error) {
+	if err := storage.MakeDir(dir); err != nil {
+		return nil, Contents{}, diskError("data folder", err)
 	}
 	path := filepath.Join(dir, logName)
-	b, err := storage.ReadFile(path)
+	encoded, err := storage.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return nil, nil, "", diskError("read", err)
+		return nil, Contents{}, diskError("read", err)
 	}
 	storage.Remove(path + newSuffix) // of a rewrite that a crash ended; there may be none
-	records, validLength, bad := Scan(b)
-	if bad != nil {
-		damagedPath = path + damagedSuffix
-		if err = storage.Rename(path, damagedPath); err != nil {
-			return nil, nil, "", diskError("put aside", err)
+	var contents Contents
+	records, validLength, damage := Scan(encoded)
+	if damage == nil {
+		contents.Records = records
+	} else {
+		validLength = 0
+		contents.DamagedPath = path + damagedSuffix
+		if err := storage.Rename(path, contents.DamagedPath); err != nil {
+			return nil, Contents{}, diskError("put aside", err)
 		}
-		records, validLength = nil, 0
 	}
-	handle, err := storage.OpenFile(path)
+	file, err := openAt(storage, dir, validLength)
+	if err != nil {
+		return nil, Contents{}, err
+	}
+	return file, contents, nil
+}
+
+// openAt opens the log for appending after its valid length, and syncs that.
+func openAt(storage Storage, dir string, validLength int64) (*File, error) {
+	handle, err := storage.OpenFile(filepath.Join(dir, logName))
 	if err != nil {
-		return nil, nil, "", diskError("open", err)
+		return nil, diskError("open", err)
 	}
-	file = &File{storage: storage, dir: dir, handle: handle, synced: validLength, torn: true, renamed: true}
+	file := &File{storage: storage, dir: dir, handle: handle, synced: validLength, torn: true, renamed: true}
 	if err = file.repair(); err == nil {
 		err = file.sync()
 	}
 	if err != nil {
 		handle.Close()
-		return nil, nil, "", err
+		return nil, err
 	}
-	return file, records, damagedPath, nil
+	return file, nil
 }
 
 // repair brings the file back to its last synced length after a failure.
@@ -112,31 +114,30 @@
 	return nil
 }
 
-// Append writes a group of records and syncs them once. After an error none of
-// them counts, and the same records may be appended again.
-func (f *File) Append(group [][]byte) error {
+// Append writes records and syncs them once. After an error none of them counts, and the
+// same records may be appended again.
+func (f *File) Append(records [][]byte) error {
 	if err := f.repair(); err != nil {
 		return err
 	}
-	b, err := encodeRecords(group, f.synced)
+	encoded, err := encodeRecords(records, f.synced)
 	if err != nil {
 		return err
 	}
 	f.torn = true // until all of it is synced
-	if _, err := f.handle.WriteAt(b, f.synced); err != nil {
+	if _, err := f.handle.WriteAt(encoded, f.synced); err != nil {
 		return diskError("write", err)
 	}
 	if err := f.sync(); err != nil {
 		return err
 	}
-	f.synced += int64(len(b))
+	f.synced += int64(len(encoded))
 	f.torn, f.sealed = false, false
 	return nil
 }
 
-// Seal writes an empty record behind the last one, unless it is there already:
-// the witness that all before it was synced, so that damage to the last record
-// is told from a torn tail.
+// Seal writes a seal behind the last record, unless it is there already. It shows that all
+// before it was synced, so that damage to the last record is not taken for a torn tail.
 func (f *File) Seal() error {
 	if f.sealed || f.synced == 0 {
 		return nil
@@ -146,16 +147,17 @@
 	return err
 }
 
-// Rewrite puts the given records in place of the whole file. After an error the
-// old file stands, or the new one does whose name may not be durable yet; either
-// way the same records may be written again.
-func (f *File) Rewrite(group [][]byte) error {
-	b, err := encodeRecords(append(group[:len(group):len(group)], []byte(sealRecord)), SyncedByRename)
+// Rewrite replaces the whole log by the given records. After an error the log is the old
+// one, or the new one under a name that may not be durable yet; either way the same records
+// may be written again.
+func (f *File) Rewrite(records [][]byte) error {
+	sealed := append(records[:len(records):len(records)], []byte(sealRecord))
+	encoded, err := encodeRecords(sealed, SyncedByRename)
 	if err != nil {
 		return err
 	}
 	path := filepath.Join(f.dir, logName)
-	handle, err := f.writeNew(path+newSuffix, b)
+	handle, err := f.writeNew(path+newSuffix, encoded)
 	if err != nil {
 		return err
 	}
@@ -164,19 +166,19 @@
 		return diskError("rename", err)
 	}
 	f.handle.Close()
-	f.handle, f.synced = handle, int64(len(b))
+	f.handle, f.synced = handle, int64(len(encoded))
 	f.sealed, f.torn, f.renamed = true, false, true
 	return f.repair()
 }
 
-// writeNew makes a synced file of the given content.
-func (f *File) writeNew(path string, b []byte) (Handle, error) {
+// writeNew creates a file of the given content and syncs it.
+func (f *File) writeNew(path string, content []byte) (Handle, error) {
 	handle, err := f.storage.OpenFile(path)
 	if err != nil {
 		return nil, diskError("rewrite", err)
 	}
 	if err = handle.Truncate(0); err == nil {
-		_, err = handle.WriteAt(b, 0)
+		_, err = handle.WriteAt(content, 0)
 	}
 	if err == nil {
 		err = handle.Sync()
@@ -188,13 +190,13 @@
 	return handle, nil
 }
 
-// discard gives the room of an unfinished file back; what it holds is of no use.
+// discard removes an unfinished file, so that its space is free again.
 func (f *File) discard(handle Handle, path string) {
 	handle.Close()
 	f.storage.Remove(path)
 }
 
-// Close seals the file and closes it.
+// Close seals the log and closes it.
 func (f *File) Close() error {
 	return errors.Join(f.Seal(), f.handle.Close())
 }
--- a/internal/wal/file_test.go
+++ b/internal/wal/file_test.go
@@ -1,102 +1,115 @@
-// The file's rules: a torn tail is cut, damage to what was synced is refused.
 package wal
 
 import (
 	"fmt"
 	"os"
 	"path/filepath"
+	"slices"
 	"testing"
 
 	"github.com/matryer/is"
 )
 
-func writeTestLog(t *testing.T, n int) (dir string, b []byte) {
+// writeTestLog writes a log of n records of equal length, and returns its folder and its
+// content. It is not sealed, as after a crash.
+func writeTestLog(t *testing.T, n int) (dir string, content []byte) {
+	t.Helper()
 	is := is.New(t)
 	dir = t.TempDir()
-	f, list, _, err := Open(OSStorage{}, dir)
+	file, contents, err := Open(OSStorage{}, dir)
 	is.NoErr(err)
-	is.Equal(len(list), 0)
+	is.Equal(len(contents.Records), 0)
 	for i := range n {
-		is.NoErr(f.Append([][]byte{fmt.Appendf(nil, `{"n":%d}`, i)}))
+		is.NoErr(file.Append([][]byte{fmt.Appendf(nil, `{"n":%d}`, i)}))
 	}
-	b, err = os.ReadFile(filepath.Join(dir, logName))
-	is.NoErr(err)
-	is.NoErr(f.handle.Close()) // killed: nothing more is written
-	return
+	is.NoErr(file.handle.Close())
+	return dir, readLog(t, dir)
+}
+
+// readLog returns the bytes of a folder's log.
+func readLog(t *testing.T, dir string) []byte {
+	t.Helper()
+	content, err := os.ReadFile(filepath.Join(dir, logName))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
+
+// flipBit returns a copy of the content with one bit of a byte flipped.
+func flipBit(content []byte, at int) []byte {
+	damaged := slices.Clone(content)
+	damaged[at] ^= 0x40
+	return damaged
 }
 
 func TestSealDetectsDamageToTheLastRecord(t *testing.T) {
 	is := is.New(t)
-	dir, b := writeTestLog(t, 5)
-	whole := len(b)
-	f, _, _, err := Open(OSStorage{}, dir)
-	is.NoErr(err)
-	is.NoErr(f.Seal())
-	is.NoErr(f.Seal()) // once is enough
-	is.NoErr(f.Close())
-	b, err = os.ReadFile(filepath.Join(dir, logName))
+	dir, unsealed := writeTestLog(t, 5)
+	file, _, err := Open(OSStorage{}, dir)
 	is.NoErr(err)
-	list, _, err := Scan(b)
+	is.NoErr(file.Seal())
+	is.NoErr(file.Seal()) // once is enough
+	is.NoErr(file.Close())
+	sealed := readLog(t, dir)
+	records, _, err := Scan(sealed)
 	is.NoErr(err)
-	is.Equal(len(list), 6)
-	for at := range whole {
-		bad := append([]byte(nil), b...)
-		bad[at] ^= 0x40
-		_, _, err := Scan(bad)
-		is.True(err != nil) // every record that was acknowledged has a witness
+	is.Equal(len(records), 6)
+	for at := range unsealed {
+		_, _, err := Scan(flipBit(sealed, at))
+		is.True(err != nil) // a later record shows that this one was synced
 	}
 }
 
 func TestEveryTornTailIsTruncated(t *testing.T) {
 	is := is.New(t)
-	_, b := writeTestLog(t, 5)
-	for cut := range len(b) {
-		list, keep, err := Scan(b[:cut])
+	const count = 5
+	_, content := writeTestLog(t, count)
+	for length := range len(content) {
+		records, validLength, err := Scan(content[:length])
 		is.NoErr(err)
-		is.True(keep <= int64(cut))
-		is.Equal(len(list), cut/(len(b)/5))
+		is.True(validLength <= int64(length))
+		is.Equal(len(records), length/(len(content)/count))
 	}
 }
 
 func TestDamageBeforeTheTailIsRejected(t *testing.T) {
 	is := is.New(t)
-	_, b := writeTestLog(t, 5)
-	last := len(b) / 5 * 4
-	for at := range b {
-		bad := append([]byte(nil), b...)
-		bad[at] ^= 0x40
-		list, keep, err := Scan(bad)
+	const count = 5
+	_, content := writeTestLog(t, count)
+	last := len(content) / count * (count - 1) // where the last record begins
+	for at := range content {
+		records, validLength, err := Scan(flipBit(content, at))
 		if at < last {
-			is.True(err != nil) // a later record tells that this was synced
+			is.True(err != nil) // a later record shows that this one was synced
 			continue
 		}
-		is.NoErr(err) // the last record has none behind it that tells
-		is.Equal(keep, int64(last))
-		is.Equal(len(list), 4)
+		is.NoErr(err) // no record shows that the last one was
+		is.Equal(validLength, int64(last))
+		is.Equal(len(records), count-1)
 	}
 }
 
 func TestRewrittenFileDetectsDamageToItsLastRecord(t *testing.T) {
 	is := is.New(t)
 	dir, _ := writeTestLog(t, 5)
-	f, _, _, err := Open(OSStorage{}, dir)
+	file, _, err := Open(OSStorage{}, dir)
 	is.NoErr(err)
-	is.NoErr(f.Rewrite([][]byte{[]byte(`{"a":1}`), []byte(`{"b":2}`)}))
-	is.NoErr(f.Append([][]byte{[]byte(`{"c":3}`)}))
-	is.NoErr(f.Close())
-	path := filepath.Join(dir, logName)
-	b, err := os.ReadFile(path)
+	is.NoErr(file.Rewrite([][]byte{[]byte(`{"a":1}`), []byte(`{"b":2}`)}))
+	is.NoErr(file.Append([][]byte{[]byte(`{"c":3}`)}))
+	is.NoErr(file.Close())
+	content := readLog(t, dir)
+	records, _, err := Scan(content)
 	is.NoErr(err)
-	list, _, err := Scan(b)
-	is.NoErr(err)
-	is.Equal(len(list), 5) // the two, the seal, what came after, and its seal
-	b[headerSize+2] ^= 1
-	is.NoErr(os.WriteFile(path, b, 0o600))
-	f, list, spoilt, err := Open(OSStorage{}, dir)
+	is.Equal(len(records), 5) // the two, the seal, what came after, and its seal
+
+	damaged := flipBit(content, headerSize+2)
+	is.NoErr(os.WriteFile(filepath.Join(dir, logName), damaged, fileMode))
+	file, contents, err := Open(OSStorage{}, dir)
 	is.NoErr(err)
-	defer f.Close()
-	is.Equal(len(list), 0) // refused: the daemon comes back as a new member
-	kept, err := os.ReadFile(spoilt)
+	defer file.Close()
+	is.Equal(len(contents.Records), 0) // rejected: the daemon comes back as a new member
+	kept, err := os.ReadFile(contents.DamagedPath)
 	is.NoErr(err)
-	is.Equal(kept, b) // and nothing is thrown away
+	is.Equal(kept, damaged) // and nothing is thrown away
 }
--- a/internal/wal/golden_test.go
+++ b/internal/wal/golden_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"os"
 	"path/filepath"
+	"slices"
 	"testing"
 
 	"coppercourse/internal/goldentest"
@@ -33,7 +34,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			file, _, _, err := wal.Open(wal.OSStorage{}, dir)
+			file, _, err := wal.Open(wal.OSStorage{}, dir)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -55,8 +56,9 @@
 			goldentest.File(t, name, b)
 		})
 	}
-	readBack(t, "appended.bin", [][]byte{records[0][0], records[1][0], records[1][1], records[1][2], records[2][0], []byte("{}")})
-	readBack(t, "rewritten.bin", [][]byte{records[1][0], records[1][1], records[1][2], []byte("{}"), records[2][0], []byte("{}")})
+	seal := [][]byte{[]byte("{}")}
+	readBack(t, "appended.bin", slices.Concat(records[0], records[1], records[2], seal))
+	readBack(t, "rewritten.bin", slices.Concat(records[1], seal, records[2], seal))
 }
 
 // readBack opens a golden file as a daemon's own.
@@ -66,13 +68,14 @@
 	if err := os.WriteFile(filepath.Join(dir, fileName), goldentest.Read(t, name), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	file, got, spoilt, err := wal.Open(wal.OSStorage{}, dir)
-	if err != nil || spoilt != "" {
-		t.Fatal(err, spoilt)
+	file, contents, err := wal.Open(wal.OSStorage{}, dir)
+	if err != nil || contents.DamagedPath != "" {
+		t.Fatal(err, contents.DamagedPath)
 	}
 	if err := file.Close(); err != nil {
 		t.Fatal(err)
 	}
+	got := contents.Records
 	if len(got) != len(want) {
 		t.Fatalf("%s holds %d records, want %d", name, len(got), len(want))
 	}
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -1,9 +1,3 @@
-// Package wal is the form of the one file a daemon keeps: records one after
-// another, each under a header with its length, a checksum, and how much of
-// the file was already synced when the record was written. That last number
-// is what tells a torn tail (cut off and forgotten, nobody was told of it)
-// from damage to something once acknowledged (refused). The codec does no I/O;
-// the simulator runs it over bytes in memory, the daemon over a real file.
 package wal
 
 import (
@@ -14,70 +8,87 @@
 	"coppercourse/internal/apierror"
 )
 
+// The header of a record, in big-endian order.
 const (
-	headerSize    = 16
+	lengthOffset   = 0 // of the body, 4 bytes
+	checksumOffset = 4 // of all that follows it, 4 bytes
+	syncedOffset   = 8 // how much of the file was synced before, 8 bytes
+	headerSize     = 16
+)
+
+const (
+	// MaxRecordSize bounds the body of a record, in bytes.
 	MaxRecordSize = 64 << 20
-	// SyncedByRename marks the records of a rewritten file: it takes its name only once
-	// all of it is synced. An empty record closes it, so its last is guarded.
+	// SyncedByRename stands for how much was synced in the records of a rewritten file. That
+	// takes its name only once all of it is synced, so none of its records can be torn.
 	SyncedByRename = int64(1) << 62
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var checksumTable = crc32.MakeTable(crc32.Castagnoli)
+
+func checksum(header, body []byte) uint32 {
+	return crc32.Update(crc32.Checksum(header[syncedOffset:headerSize], checksumTable), checksumTable, body)
+}
 
-// AppendRecord appends one record to the bytes of a file.
-func AppendRecord(out []byte, body []byte, synced int64) []byte {
-	var h [headerSize]byte
-	binary.BigEndian.PutUint32(h[0:], uint32(len(body)))
-	binary.BigEndian.PutUint64(h[8:], uint64(synced))
-	sum := crc32.Update(crc32.Checksum(h[8:], table), table, body)
-	binary.BigEndian.PutUint32(h[4:], sum)
-	return append(append(out, h[:]...), body...)
+// AppendRecord appends an encoded record to the bytes of a file. synced is how many bytes
+// of the file are synced.
+func AppendRecord(file []byte, body []byte, synced int64) []byte {
+	var header [headerSize]byte
+	binary.BigEndian.PutUint32(header[lengthOffset:], uint32(len(body)))
+	binary.BigEndian.PutUint64(header[syncedOffset:], uint64(synced))
+	binary.BigEndian.PutUint32(header[checksumOffset:], checksum(header[:], body))
+	return append(append(file, header[:]...), body...)
 }
 
-// encodeRecords lays records one after another; it refuses one that Scan would not read.
-func encodeRecords(group [][]byte, synced int64) (b []byte, err error) {
-	for _, r := range group {
-		if len(r) == 0 || len(r) > MaxRecordSize {
-			return nil, apierror.New(apierror.Unusable, "record", fmt.Sprintf("%d bytes are no record", len(r)))
+// encodeRecords encodes records one after another. A record that Scan would not accept is
+// an error.
+func encodeRecords(records [][]byte, synced int64) (encoded []byte, err error) {
+	for _, record := range records {
+		if len(record) == 0 || len(record) > MaxRecordSize {
+			reason := fmt.Sprintf("%d bytes are no record", len(record))
+			return nil, apierror.New(apierror.Unusable, "record", reason)
 		}
-		b = AppendRecord(b, r, synced)
+		encoded = AppendRecord(encoded, record, synced)
 	}
-	return b, nil
+	return encoded, nil
 }
 
-// decodeRecord reads the record at the start of b; ok is false when it is not whole.
-func decodeRecord(b []byte) (body []byte, synced int64, ok bool) {
-	if len(b) < headerSize {
+// decodeRecord decodes the record at the start of file. It returns false if there is no
+// complete and undamaged one.
+func decodeRecord(file []byte) (body []byte, synced int64, ok bool) {
+	if len(file) < headerSize {
 		return nil, 0, false
 	}
-	n := int(binary.BigEndian.Uint32(b[0:]))
-	if n == 0 || n > MaxRecordSize || len(b) < headerSize+n {
+	length := int(binary.BigEndian.Uint32(file[lengthOffset:]))
+	if length == 0 || length > MaxRecordSize || len(file) < headerSize+length {
 		return nil, 0, false
 	}
-	body = b[headerSize : headerSize+n]
-	sum := crc32.Update(crc32.Checksum(b[8:headerSize], table), table, body)
-	if sum != binary.BigEndian.Uint32(b[4:]) {
+	body = file[headerSize : headerSize+length]
+	if checksum(file, body) != binary.BigEndian.Uint32(file[checksumOffset:]) {
 		return nil, 0, false
 	}
-	return body, int64(binary.BigEndian.Uint64(b[8:])), true
+	return body, int64(binary.BigEndian.Uint64(file[syncedOffset:])), true
 }
 
-// Scan reads all records of a file. keep is the length that stays; bytes past
-// it are a torn tail. Damage before a point once synced is an error.
-func Scan(b []byte) (records [][]byte, validLength int64, err error) {
-	at := 0
-	for at < len(b) {
-		body, _, ok := decodeRecord(b[at:])
+// Scan returns the records of a file, and the length that they take. The bytes after that
+// are a torn tail, which was never acknowledged. It is an error if a record that was synced
+// is damaged.
+func Scan(file []byte) (records [][]byte, validLength int64, err error) {
+	offset := 0
+	for offset < len(file) {
+		body, _, ok := decodeRecord(file[offset:])
 		if !ok {
 			break
 		}
 		records = append(records, body)
-		at += headerSize + len(body)
+		offset += headerSize + len(body)
 	}
-	for p := at + 1; p < len(b); p++ {
-		if _, synced, ok := decodeRecord(b[p:]); ok && synced > int64(at) {
-			return nil, 0, apierror.New(apierror.Unusable, "log", "a record that was once synced is damaged; the file is refused")
+	// Any record further on shows how much was synced when it was written.
+	for next := offset + 1; next < len(file); next++ {
+		if _, synced, ok := decodeRecord(file[next:]); ok && synced > int64(offset) {
+			const reason = "a record that was once synced is damaged; the file is refused"
+			return nil, 0, apierror.New(apierror.Unusable, "log", reason)
 		}
 	}
-	return records, int64(at), nil
+	return records, int64(offset), nil
 }
--- a/internal/wal/storage.go
+++ b/internal/wal/storage.go
@@ -2,14 +2,17 @@
 
 import "os"
 
-// Storage is the part of a file system that the log is kept on. Tests put a
-// faulty one in its place.
+// Storage is the part of a file system that a log is kept on.
 type Storage interface {
+	// MakeDir creates a directory and its parents, unless they exist.
 	MakeDir(dir string) error
+	// ReadFile returns the content of a file; fs.ErrNotExist if there is none.
 	ReadFile(path string) ([]byte, error)
-	// OpenFile opens a file for reading and writing and creates it if it is missing.
+	// OpenFile opens a file for reading and writing, and creates it if it is missing.
 	OpenFile(path string) (Handle, error)
+	// Rename gives a file another name, in place of a file that has it.
 	Rename(from, to string) error
+	// Remove removes a file.
 	Remove(path string) error
 	// SyncDir makes creations, renames and removals in a directory durable.
 	SyncDir(dir string) error
@@ -17,24 +20,44 @@
 
 // Handle is an open file.
 type Handle interface {
+	// WriteAt writes at an offset. After an error any part may be written.
 	WriteAt(b []byte, offset int64) (int, error)
+	// Truncate sets the length of the file.
 	Truncate(size int64) error
+	// Sync makes all writes durable. After an error none of them can be relied on, and a
+	// later Sync does not cover them.
 	Sync() error
 	Close() error
 }
 
-// OSStorage is the operating system's file system.
+// OSStorage is the operating system's file system. Only the daemon's user may read its
+// files.
 type OSStorage struct{}
 
-func (OSStorage) MakeDir(dir string) error             { return os.MkdirAll(dir, 0o700) }
+// Permissions of what is created.
+const (
+	dirMode  = 0o700
+	fileMode = 0o600
+)
+
+// MakeDir implements Storage.
+func (OSStorage) MakeDir(dir string) error { return os.MkdirAll(dir, dirMode) }
+
+// ReadFile implements Storage.
 func (OSStorage) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
-func (OSStorage) Rename(from, to string) error         { return os.Rename(from, to) }
-func (OSStorage) Remove(path string) error             { return os.Remove(path) }
 
+// OpenFile implements Storage.
 func (OSStorage) OpenFile(path string) (Handle, error) {
-	return os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
+	return os.OpenFile(path, os.O_RDWR|os.O_CREATE, fileMode)
 }
 
+// Rename implements Storage.
+func (OSStorage) Rename(from, to string) error { return os.Rename(from, to) }
+
+// Remove implements Storage.
+func (OSStorage) Remove(path string) error { return os.Remove(path) }
+
+// SyncDir implements Storage.
 func (OSStorage) SyncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
--- a/internal/wal/faults_test.go
+++ b/internal/wal/storage_faults_test.go
@@ -1,5 +1,3 @@
-// The log on a file system that refuses, forgets and loses power: what was told
-// as synced is there afterwards, and nothing of it twice.
 package wal_test
 
 import (
@@ -21,68 +19,94 @@
 
 var errIO = errors.New("input/output error")
 
-// crashTrial is one random life of a log: groups appended and rewritten, each tried
-// again until it succeeds, with faults between and losses of power.
+// crashTrial is one random history of a log: records appended and rewritten, each time
+// again until that succeeds, with faults and losses of power in between.
 type crashTrial struct {
 	rnd          *rand.Rand
 	storage      *waltest.Storage
 	wrap         func(wal.Storage) wal.Storage
 	log          *wal.File
-	acknowledged []string // told as synced
-	next         int
+	acknowledged []string // records that were reported as synced
+	lastNumber   int      // of the last record
 }
 
-// open opens the log, however often that is refused.
-func (c *crashTrial) open() ([]string, error) {
-	for {
-		log, list, spoilt, err := wal.Open(c.wrap(c.storage), dir)
-		if err != nil {
-			continue
-		}
-		c.log = log
-		if spoilt != "" {
-			return nil, errors.New("what a loss of power left was taken for damage")
+// runTrial runs a trial of so many steps, and returns what was lost or made up.
+func runTrial(seed int64, steps int, wrap func(wal.Storage) wal.Storage) error {
+	trial := &crashTrial{rnd: rand.New(rand.NewSource(seed)), storage: waltest.New(seed), wrap: wrap}
+	trial.storage.Fail = trial.fault
+	if _, err := trial.open(); err != nil {
+		return err
+	}
+	for range steps {
+		if err := trial.step(); err != nil {
+			return err
 		}
-		return recordTexts(list), nil
 	}
+	return nil
 }
 
-func recordTexts(list [][]byte) (out []string) {
-	for _, b := range list {
-		if s := string(b); s != "{}" {
-			out = append(out, s)
+// step writes once, and then may lose power.
+func (c *crashTrial) step() error {
+	before, after, done := c.write()
+	if done {
+		c.acknowledged = after
+		if c.rnd.Intn(3) == 0 {
+			c.log.Seal()
 		}
+		if c.rnd.Intn(8) > 0 {
+			return nil
+		}
+		before = after
 	}
-	return out
-}
-
-// fault draws what fails: nothing, mostly.
-func (c *crashTrial) fault(op waltest.Op, _ string) *waltest.Fault {
-	if c.rnd.Intn(12) > 0 || op == waltest.Remove {
+	c.storage = c.storage.LosePower()
+	c.storage.Fail = c.fault
+	found, err := c.open()
+	if err != nil {
+		return err
+	}
+	c.acknowledged = found
+	if slices.Equal(found, before) || slices.Equal(found, after) || partlyAppended(found, before, after) {
 		return nil
 	}
-	return &waltest.Fault{Err: syscall.ENOSPC, Written: c.rnd.Intn(64)}
+	return fmt.Errorf("found %d records where %d, then %d were written: %v", len(found), len(before), len(after), found)
 }
 
-func (c *crashTrial) group() (list [][]byte) {
-	for range 1 + c.rnd.Intn(4) {
-		c.next++
-		list = append(list, fmt.Appendf(nil, `{"n":%d,"pad":"%s"}`, c.next, strings.Repeat("x", c.rnd.Intn(40))))
+// partlyAppended reports whether a log holds all records before a write and some of those
+// after it.
+func partlyAppended(found, before, after []string) bool {
+	return len(found) >= len(before) && len(found) <= len(after) &&
+		slices.Equal(found, after[:len(found)]) &&
+		slices.Equal(found[:len(before)], before)
+}
+
+// open opens the log, however often that fails.
+func (c *crashTrial) open() ([]string, error) {
+	for {
+		log, contents, err := wal.Open(c.wrap(c.storage), dir)
+		if err != nil {
+			continue
+		}
+		c.log = log
+		if contents.DamagedPath != "" {
+			return nil, errors.New("what a loss of power left was taken for damage")
+		}
+		return recordTexts(contents.Records), nil
 	}
-	return list
 }
 
-// write carries out one step until it succeeds or the power goes.
+// write appends records or rewrites the log until that succeeds or the power is lost. It
+// returns what the log held before and what it holds afterwards.
 func (c *crashTrial) write() (before, after []string, done bool) {
-	group, whole := c.group(), c.rnd.Intn(5) == 0
-	before, after = c.acknowledged, append(slices.Clone(c.acknowledged), recordTexts(group)...)
-	act := func() error { return c.log.Append(group) }
-	if whole {
-		after = recordTexts(group)
-		act = func() error { return c.log.Rewrite(group) }
+	records, rewrite := c.newRecords(), c.rnd.Intn(5) == 0
+	before = c.acknowledged
+	after = append(slices.Clone(before), recordTexts(records)...)
+	write := func() error { return c.log.Append(records) }
+	if rewrite {
+		after = recordTexts(records)
+		write = func() error { return c.log.Rewrite(records) }
 	}
 	for {
-		if act() == nil {
+		if write() == nil {
 			return before, after, true
 		}
 		if c.rnd.Intn(6) == 0 {
@@ -91,40 +115,34 @@
 	}
 }
 
-// runTrial lives for so many steps and tells what was lost or made up.
-func runTrial(seed int64, steps int, wrap func(wal.Storage) wal.Storage) error {
-	x := &crashTrial{rnd: rand.New(rand.NewSource(seed)), storage: waltest.New(seed), wrap: wrap}
-	x.storage.Fail = x.fault
-	if _, err := x.open(); err != nil {
-		return err
+func (c *crashTrial) newRecords() (records [][]byte) {
+	for range 1 + c.rnd.Intn(4) {
+		c.lastNumber++
+		padding := strings.Repeat("x", c.rnd.Intn(40))
+		records = append(records, fmt.Appendf(nil, `{"n":%d,"pad":"%s"}`, c.lastNumber, padding))
 	}
-	for range steps {
-		before, after, done := x.write()
-		if done {
-			x.acknowledged = after
-			if x.rnd.Intn(3) == 0 {
-				x.log.Seal()
-			}
-			if x.rnd.Intn(8) > 0 {
-				continue
-			}
-			before = after
-		}
-		x.storage = x.storage.LosePower()
-		x.storage.Fail = x.fault
-		found, err := x.open()
-		if err != nil {
-			return err
-		}
-		appended := len(found) >= len(before) && len(found) <= len(after) && slices.Equal(found, after[:len(found)]) && slices.Equal(found[:len(before)], before)
-		if !appended && !slices.Equal(found, before) && !slices.Equal(found, after) {
-			return fmt.Errorf("found %d records, told were %d, then %d: %v", len(found), len(before), len(after), found)
+	return records
+}
+
+// fault decides what fails: few operations.
+func (c *crashTrial) fault(op waltest.Op, _ string) *waltest.Fault {
+	if c.rnd.Intn(12) > 0 || op == waltest.Remove {
+		return nil
+	}
+	return &waltest.Fault{Err: syscall.ENOSPC, Written: c.rnd.Intn(64)}
+}
+
+// recordTexts returns the records but for the seals.
+func recordTexts(records [][]byte) (texts []string) {
+	for _, record := range records {
+		if text := string(record); text != "{}" {
+			texts = append(texts, text)
 		}
-		x.acknowledged = found
 	}
-	return nil
+	return texts
 }
 
+// unwrapped leaves a storage as it is.
 func unwrapped(s wal.Storage) wal.Storage { return s }
 
 func TestNothingSyncedIsLostOnAFailingDisk(t *testing.T) {
@@ -135,41 +153,43 @@
 	}
 }
 
-// faultyStorage is a storage with one planted bug.
+// faultyStorage is a storage with a planted bug.
 type faultyStorage struct {
 	wal.Storage
 	sync    func(wal.Handle) error
 	syncDir func(string) error
 }
 
+func (s faultyStorage) OpenFile(path string) (wal.Handle, error) {
+	handle, err := s.Storage.OpenFile(path)
+	return faultyHandle{handle, s.sync}, err
+}
+
+func (s faultyStorage) SyncDir(dir string) error { return s.syncDir(dir) }
+
 type faultyHandle struct {
 	wal.Handle
 	sync func(wal.Handle) error
 }
 
-func (f faultyStorage) OpenFile(path string) (wal.Handle, error) {
-	h, err := f.Storage.OpenFile(path)
-	return faultyHandle{h, f.sync}, err
-}
-
-func (f faultyStorage) SyncDir(dir string) error { return f.syncDir(dir) }
-
-func (f faultyHandle) Sync() error { return f.sync(f.Handle) }
+func (h faultyHandle) Sync() error { return h.sync(h.Handle) }
 
 func TestStorageBugsAreDetected(t *testing.T) {
 	soundSync := wal.Handle.Sync
 	for name, plant := range map[string]func(wal.Storage) wal.Storage{
-		"a failed sync is told as done": func(s wal.Storage) wal.Storage {
+		"a failed sync is reported as done": func(s wal.Storage) wal.Storage {
 			return faultyStorage{s, func(h wal.Handle) error { h.Sync(); return nil }, s.SyncDir}
 		},
 		"a failed sync is tried again without writing again": func(s wal.Storage) wal.Storage {
 			return faultyStorage{s, func(h wal.Handle) error {
-				for h.Sync() != nil {
+				for {
+					if h.Sync() == nil {
+						return nil
+					}
 				}
-				return nil
 			}, s.SyncDir}
 		},
-		"a failed sync of the folder is told as done": func(s wal.Storage) wal.Storage {
+		"a failed sync of the folder is reported as done": func(s wal.Storage) wal.Storage {
 			return faultyStorage{s, soundSync, func(dir string) error { s.SyncDir(dir); return nil }}
 		},
 		"the folder is never synced": func(s wal.Storage) wal.Storage {
@@ -182,16 +202,16 @@
 					return
 				}
 			}
-			t.Fatal("not caught in 400 seeds")
+			t.Fatal("not detected with 400 seeds")
 		})
 	}
 }
 
-// openSoundLog makes a log with some records on a sound disk.
+// openSoundLog returns a log with two records on a sound disk.
 func openSoundLog(t *testing.T) (*waltest.Storage, *wal.File) {
 	t.Helper()
 	storage := waltest.New(1)
-	log, _, _, err := wal.Open(storage, dir)
+	log, _, err := wal.Open(storage, dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,20 +221,25 @@
 	return storage, log
 }
 
+// rereadLog returns the records that another process finds.
 func rereadLog(t *testing.T, storage *waltest.Storage) []string {
 	t.Helper()
-	_, list, spoilt, err := wal.Open(storage, dir)
-	if err != nil || spoilt != "" {
-		t.Fatal(err, spoilt)
+	_, contents, err := wal.Open(storage, dir)
+	if err != nil || contents.DamagedPath != "" {
+		t.Fatal(err, contents.DamagedPath)
 	}
-	return recordTexts(list)
+	return recordTexts(contents.Records)
 }
 
 func TestTornAppendIsTruncated(t *testing.T) {
 	is := is.New(t)
 	storage, log := openSoundLog(t)
 	size := len(storage.Content(dir, "lore.log"))
-	for _, fault := range []waltest.Fault{{Err: syscall.ENOSPC, Written: 30}, {Err: errIO, Written: 5}, {Err: errIO}} {
+	for _, fault := range []waltest.Fault{
+		{Err: syscall.ENOSPC, Written: 30},
+		{Err: errIO, Written: 5},
+		{Err: errIO},
+	} {
 		storage.SetFail(func(op waltest.Op, _ string) *waltest.Fault {
 			if op == waltest.Write {
 				return &fault
@@ -239,13 +264,16 @@
 	long := []byte(`{"long":"` + strings.Repeat("x", 80) + `"}`)
 	err := log.Rewrite([][]byte{long})
 	is.True(wal.IsNoSpace(err))
-	is.Equal(len(storage.Content(dir, "lore.log.new")), 0) // its room is given back
+	is.Equal(len(storage.Content(dir, "lore.log.new")), 0) // its space is free again
 	is.NoErr(log.Append([][]byte{[]byte(`{"n":3}`)}))
 	is.Equal(rereadLog(t, storage), []string{`{"n":1}`, `{"n":2}`, `{"n":3}`})
 }
 
 func TestRewriteCanFailAtEachStep(t *testing.T) {
-	for _, op := range []waltest.Op{waltest.Create, waltest.Truncate, waltest.Write, waltest.Sync, waltest.Rename, waltest.SyncDir} {
+	steps := []waltest.Op{
+		waltest.Create, waltest.Truncate, waltest.Write, waltest.Sync, waltest.Rename, waltest.SyncDir,
+	}
+	for _, op := range steps {
 		t.Run(string(op), func(t *testing.T) {
 			is := is.New(t)
 			storage, log := openSoundLog(t)
@@ -260,16 +288,20 @@
 }
 
 func TestOpenCanFailAtEachStep(t *testing.T) {
-	for _, op := range []waltest.Op{waltest.MakeDir, waltest.Read, waltest.Create, waltest.Truncate, waltest.Sync, waltest.SyncDir} {
-		storage := waltest.New(1)
-		storage.SetFail(waltest.FailWith(syscall.ENOSPC, op))
-		if _, _, _, err := wal.Open(storage, dir); !errors.Is(err, syscall.ENOSPC) {
-			t.Errorf("%s: %v", op, err)
-		}
-		storage.SetFail(nil)
-		if _, _, _, err := wal.Open(storage, dir); err != nil {
-			t.Errorf("%s, then sound: %v", op, err)
-		}
+	steps := []waltest.Op{
+		waltest.MakeDir, waltest.Read, waltest.Create, waltest.Truncate, waltest.Sync, waltest.SyncDir,
+	}
+	for _, op := range steps {
+		t.Run(string(op), func(t *testing.T) {
+			is := is.New(t)
+			storage := waltest.New(1)
+			storage.SetFail(waltest.FailWith(syscall.ENOSPC, op))
+			_, _, err := wal.Open(storage, dir)
+			is.True(errors.Is(err, syscall.ENOSPC))
+			storage.SetFail(nil)
+			_, _, err = wal.Open(storage, dir)
+			is.NoErr(err)
+		})
 	}
 }
 
--- a/internal/wal/waltest/storage.go
+++ b/internal/wal/waltest/storage.go
@@ -1,5 +1,5 @@
-// Package waltest is a file system in memory for tests of the log. It refuses
-// operations as told, forgets what a failed sync covered, and loses power.
+// Package waltest is a file system in memory for tests of the log. It fails operations on
+// request, forgets what a failed sync covered, and loses power.
 package waltest
 
 import (
@@ -12,9 +12,10 @@
 	"coppercourse/internal/wal"
 )
 
-// Op is an operation that may be made to fail.
+// Op is an operation that can be made to fail.
 type Op string
 
+// The operations of a Storage. OpenFile is an Open or a Create.
 const (
 	MakeDir  Op = "make directory"
 	Read     Op = "read"
@@ -28,77 +29,73 @@
 	SyncDir  Op = "sync directory"
 )
 
-// Fault is how an operation fails; Written is how much a write does before that.
+// Fault is how an operation fails.
 type Fault struct {
 	Err     error
-	Written int
+	Written int // how many bytes a write writes before it fails
 }
 
-// Storage is the file system.
+// FaultFunc decides whether an operation on a file fails; nil lets it succeed.
+type FaultFunc = func(op Op, path string) *Fault
+
+// FailWith returns a FaultFunc that fails the given operations with an error.
+func FailWith(err error, ops ...Op) FaultFunc {
+	return func(op Op, _ string) *Fault {
+		if slices.Contains(ops, op) {
+			return &Fault{Err: err}
+		}
+		return nil
+	}
+}
+
+// Storage is a file system in memory. It is safe for use by several goroutines.
 type Storage struct {
-	// Fail is asked before each operation; nil lets it succeed. Set it with SetFail
-	// once other goroutines use the storage.
-	Fail func(op Op, path string) *Fault
+	// Fail is asked before each operation, if it is not nil. Once other goroutines use the
+	// storage it is set with SetFail.
+	Fail FaultFunc
 
 	mu            sync.Mutex
-	capacity      int // bytes that all files may hold; 0 is no bound
+	capacity      int // bytes that all files together may hold; 0 is no bound
 	rnd           *rand.Rand
 	names         map[string]*file
-	durable       map[string]*file // after a loss of power, but for what renames may do
-	unsyncedNames []func()         // changes of names that a synced directory makes durable
+	durable       map[string]*file // what a loss of power leaves of names
+	unsyncedNames []func()         // changes of durable that a sync of the directory makes
 	calls         map[Op]int
 }
 
-// file is its content, and what of it survives a loss of power.
-type file struct {
-	content []byte
-	onDisk  []byte
-	dirty   []change // not synced yet; a failed sync forgets them
-}
-
-// change is a write, or a truncation where bytes is nil.
-type change struct {
-	offset int
-	bytes  []byte
-}
-
-// New makes an empty file system.
+// New returns an empty file system. The seed decides what a failed sync and a loss of power
+// leave.
 func New(seed int64) *Storage {
-	return &Storage{rnd: rand.New(rand.NewSource(seed)), names: map[string]*file{}, durable: map[string]*file{}, calls: map[Op]int{}}
+	return &Storage{
+		rnd:     rand.New(rand.NewSource(seed)),
+		names:   map[string]*file{},
+		durable: map[string]*file{},
+		calls:   map[Op]int{},
+	}
 }
 
-// SetFail changes what fails from now on.
-func (s *Storage) SetFail(fail func(op Op, path string) *Fault) {
+// SetFail sets what fails from now on.
+func (s *Storage) SetFail(fail FaultFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.Fail = fail
 }
 
-// SetCapacity bounds the bytes that all files may hold.
+// SetCapacity bounds the bytes that all files together may hold.
 func (s *Storage) SetCapacity(bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.capacity = bytes
 }
 
-// Count is how often an operation was tried.
+// Count returns how often an operation was tried.
 func (s *Storage) Count(op Op) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[op]
 }
 
-// FailWith makes the named operations fail with an error.
-func FailWith(err error, ops ...Op) func(Op, string) *Fault {
-	return func(op Op, _ string) *Fault {
-		if slices.Contains(ops, op) {
-			return &Fault{Err: err}
-		}
-		return nil
-	}
-}
-
-// fault asks whether an operation fails.
+// fault counts an operation and returns how it fails, if it does.
 func (s *Storage) fault(op Op, path string) *Fault {
 	s.calls[op]++
 	if s.Fail == nil {
@@ -107,33 +104,35 @@
 	return s.Fail(op, path)
 }
 
+// do carries out an operation unless it fails.
 func (s *Storage) do(op Op, path string, act func()) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if f := s.fault(op, path); f != nil {
-		return &fs.PathError{Op: string(op), Path: path, Err: f.Err}
+	if fault := s.fault(op, path); fault != nil {
+		return &fs.PathError{Op: string(op), Path: path, Err: fault.Err}
 	}
 	act()
 	return nil
 }
 
-// MakeDir succeeds; directories aren't kept.
+// MakeDir succeeds unless it is made to fail. Directories are not kept.
 func (s *Storage) MakeDir(dir string) error { return s.do(MakeDir, dir, func() {}) }
 
-// ReadFile gives a file's content.
-func (s *Storage) ReadFile(path string) (b []byte, err error) {
-	err = s.do(Read, path, func() {
+// ReadFile returns the content of a file.
+func (s *Storage) ReadFile(path string) ([]byte, error) {
+	var content []byte
+	err := s.do(Read, path, func() {
 		if f := s.names[path]; f != nil {
-			b = slices.Clone(f.content)
+			content = slices.Clone(f.content)
 		}
 	})
-	if err == nil && b == nil {
+	if err == nil && content == nil {
 		err = &fs.PathError{Op: "read", Path: path, Err: fs.ErrNotExist}
 	}
-	return b, err
+	return content, err
 }
 
-// OpenFile opens or creates a file.
+// OpenFile opens a file, or creates one.
 func (s *Storage) OpenFile(path string) (wal.Handle, error) {
 	s.mu.Lock()
 	f, op := s.names[path], Open
@@ -163,7 +162,7 @@
 	})
 }
 
-// Remove removes a file, if it is there.
+// Remove removes a file, if there is one.
 func (s *Storage) Remove(path string) error {
 	return s.do(Remove, path, func() {
 		delete(s.names, path)
@@ -171,17 +170,31 @@
 	})
 }
 
-// SyncDir makes names durable.
+// SyncDir makes all names durable.
 func (s *Storage) SyncDir(dir string) error {
 	return s.do(SyncDir, dir, func() {
-		for _, apply := range s.unsyncedNames {
-			apply()
+		for _, change := range s.unsyncedNames {
+			change()
 		}
 		s.unsyncedNames = nil
 	})
 }
 
-// Content is what a file of a directory holds now.
+// keepName makes the name of a new file durable, as the file's own sync does.
+func (s *Storage) keepName(f *file) {
+	for _, kept := range s.durable {
+		if kept == f {
+			return
+		}
+	}
+	for path, named := range s.names {
+		if named == f {
+			s.durable[path] = f
+		}
+	}
+}
+
+// Content returns what a file of a directory holds now.
 func (s *Storage) Content(dir, name string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,20 +204,28 @@
 	return nil
 }
 
-// LosePower gives the file system as it is found afterwards: each change of a
-// name and each write since the last sync that covered it is kept, lost or torn
-// by itself.
+// used returns how many bytes all files together hold.
+func (s *Storage) used() (bytes int) {
+	for _, f := range s.names {
+		bytes += len(f.content)
+	}
+	return bytes
+}
+
+// LosePower returns the file system as it is found after a loss of power. Of each change of
+// a name, and of each write since the last sync that covered it, all, nothing or a part is
+// kept, whatever becomes of the others.
 func (s *Storage) LosePower() *Storage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	after := New(s.rnd.Int63())
-	for _, apply := range s.unsyncedNames {
+	for _, change := range s.unsyncedNames {
 		if s.rnd.Intn(2) == 0 {
-			apply()
+			change()
 		}
 	}
 	for path, f := range s.durable {
-		for _, c := range f.dirty {
+		for _, c := range f.unsynced {
 			f.onDisk = apply(f.onDisk, c.partial(s.rnd))
 		}
 		kept := &file{content: slices.Clone(f.onDisk), onDisk: slices.Clone(f.onDisk)}
@@ -212,38 +233,3 @@
 	}
 	return after
 }
-
-// partial gives a change, a part of it, or one that does nothing.
-func (c change) partial(rnd *rand.Rand) change {
-	switch {
-	case rnd.Intn(3) == 0:
-		return change{bytes: []byte{}}
-	case rnd.Intn(2) == 0 && len(c.bytes) > 0:
-		return change{c.offset, c.bytes[:rnd.Intn(len(c.bytes)+1)]}
-	}
-	return c
-}
-
-// apply carries out one change.
-func apply(content []byte, c change) []byte {
-	end := c.offset + len(c.bytes)
-	if c.bytes != nil && len(c.bytes) == 0 {
-		return content
-	}
-	if end > len(content) {
-		content = append(content, make([]byte, end-len(content))...)
-	}
-	if c.bytes == nil {
-		return content[:c.offset]
-	}
-	copy(content[c.offset:], c.bytes)
-	return content
-}
-
-// used is how many bytes all files hold.
-func (s *Storage) used() (bytes int) {
-	for _, f := range s.names {
-		bytes += len(f.content)
-	}
-	return bytes
-}
