--- a/internal/workqueue/max_wait.go
+++ b/internal/workqueue/max_wait.go
@@ -6,22 +6,22 @@
 	"coppercourse/internal/wire"
 )
 
+// How long events may wait for the machine.
 const (
-	// MaxSubmitDelay is how long the oldest request of a caller may have waited
-	// before new work is turned away at once.
+	// MaxSubmitDelay is how long the oldest request of a caller may have waited before new
+	// work is rejected at once.
 	MaxSubmitDelay = 250 * time.Millisecond
-	// MaxRequestWait is how long a request waits for the machine before it is
-	// turned away untaken.
+	// MaxRequestWait is how long a caller's request may wait before it is rejected.
 	MaxRequestWait = 700 * time.Millisecond
-	// MaxForwardWait is so for a request that a gateway handed over, which must hear of
-	// it before it asks another controller.
+	// MaxForwardWait is how long a forwarded request may wait before it is rejected. The
+	// gateway must hear of that before it tries another controller.
 	MaxForwardWait = 450 * time.Millisecond
-	// MaxReportWait is how long a report of ends waits. Its sender has repeated it
-	// by then, and will until it is settled.
+	// MaxReportWait is how long a report of ends may wait before it is dropped. Its sender
+	// has repeated it by then, and goes on until it is acknowledged.
 	MaxReportWait = time.Second
 )
 
-// MaxWait is how long an event may wait for the machine; 0 is for ever.
+// MaxWait returns how long an event may wait for the machine; 0 is for ever.
 func MaxWait(e wire.Event) time.Duration {
 	switch {
 	case e.Request != nil && e.Class() == wire.ClassCallers:
@@ -30,6 +30,7 @@
 		return MaxForwardWait
 	case e.Message != nil && e.Message.Kind == wire.StatusReport:
 		return MaxReportWait
+	default:
+		return 0
 	}
-	return 0
 }
--- a/internal/workqueue/queue.go
+++ b/internal/workqueue/queue.go
@@ -1,8 +1,3 @@
-// Package workqueue holds the events that wait for a machine, in one bounded queue
-// for each class of work, and gives them out in the order of the classes. A lower
-// class can't be starved: it is served after so many events of higher ones. The
-// package reads no clock, so a daemon's loop and the simulator share it. It is not
-// safe for use by several goroutines.
 package workqueue
 
 import (
@@ -12,33 +7,41 @@
 	"coppercourse/internal/wire"
 )
 
-// classLimit bounds one class: how many events may wait, and how many events of higher
-// classes may go before its oldest. 0 is for the highest class, which waits for none.
-type classLimit struct{ maxLen, maxPassed int }
+// classLimit bounds one class.
+type classLimit struct {
+	maxLen int // how many events may wait
+	// maxPassed is how many events of higher classes may go before the oldest of this one.
+	// It is 0 for the highest class, which never has to wait.
+	maxPassed int
+}
 
 var limits = [wire.NumClasses]classLimit{
-	wire.ClassConsensus:     {8192, 0},
-	wire.ClassConfiguration: {1024, 8},
-	wire.ClassLeases:        {8192, 8},
-	wire.ClassReports:       {8192, 12},
-	wire.ClassOperators:     {256, 16},
-	wire.ClassCallers:       {1024, 24},
-	wire.ClassBackground:    {1024, 48},
+	wire.ClassConsensus:     {maxLen: 8192, maxPassed: 0},
+	wire.ClassConfiguration: {maxLen: 1024, maxPassed: 8},
+	wire.ClassLeases:        {maxLen: 8192, maxPassed: 8},
+	wire.ClassReports:       {maxLen: 8192, maxPassed: 12},
+	wire.ClassOperators:     {maxLen: 256, maxPassed: 16},
+	wire.ClassCallers:       {maxLen: 1024, maxPassed: 24},
+	wire.ClassBackground:    {maxLen: 1024, maxPassed: 48},
 }
 
-// LastControlClass are those that keep the rules; the rest serves.
+// LastControlClass is the lowest of the control classes, those that keep the cluster safe.
+// The classes below it serve operators and callers.
 const LastControlClass = wire.ClassReports
 
-// Queue holds what waits.
+// Queue holds events by class and gives them out in the order of the classes, and within a
+// class in that of their arrival. A lower class is not starved: it is served at the latest
+// after a number of events of higher ones (classLimit).
 type Queue[T any] struct {
+	Rejected [wire.NumClasses]uint64 // how many events found their class full
 	classes  [wire.NumClasses]classQueue[T]
-	size     int
-	Rejected [wire.NumClasses]uint64 // for want of room
+	size     int // of all classes
 }
 
+// classQueue holds the events of one class.
 type classQueue[T any] struct {
 	entries []entry[T]
-	passed  int // events of higher classes since this one was served or was empty
+	passed  int // events of higher classes since this one was served or empty
 }
 
 type entry[T any] struct {
@@ -46,7 +49,7 @@
 	item     T
 }
 
-// Push adds an event to its class; false, and counted, where that is full.
+// Push adds an event. It returns false, and counts that, if the event's class is full.
 func (q *Queue[T]) Push(class wire.Class, now types.MonoTime, item T) bool {
 	if len(q.classes[class].entries) >= limits[class].maxLen {
 		q.Rejected[class]++
@@ -56,94 +59,102 @@
 	return true
 }
 
-// PushAlways adds an event that can't be refused: how many there are is bounded by
-// what the machine itself has asked for.
+// PushAlways adds an event that must not be lost, whether or not its class is full. The
+// number of such events is bounded by what the machine itself has started.
 func (q *Queue[T]) PushAlways(class wire.Class, now types.MonoTime, item T) {
-	l := &q.classes[class]
-	l.entries = append(l.entries, entry[T]{now, item})
+	c := &q.classes[class]
+	c.entries = append(c.entries, entry[T]{now, item})
 	q.size++
 }
 
-// Pop gives the next event, its class, and since when it has waited.
-func (q *Queue[T]) Pop() (item T, class wire.Class, at types.MonoTime, ok bool) {
+// Pop takes the next event out. It returns the event, its class, and since when it waited;
+// ok is false if there is none.
+func (q *Queue[T]) Pop() (item T, class wire.Class, queuedAt types.MonoTime, ok bool) {
 	if q.size == 0 {
-		return
+		return item, 0, 0, false
 	}
 	class = q.next()
 	e := q.popFrom(class)
-	for c := class + 1; c < wire.NumClasses; c++ {
-		if len(q.classes[c].entries) > 0 {
-			q.classes[c].passed++
+	for lower := class + 1; lower < wire.NumClasses; lower++ {
+		if len(q.classes[lower].entries) > 0 {
+			q.classes[lower].passed++
 		}
 	}
 	return e.item, class, e.queuedAt, true
 }
 
-// next is the class to serve: the highest that has been passed over too often, or
-// else the highest.
+// next returns the class to serve: the highest of those that were passed too often, or else
+// the highest that has events. There must be one.
 func (q *Queue[T]) next() wire.Class {
 	first := wire.NumClasses
-	for c := range wire.NumClasses {
-		l := &q.classes[c]
-		if len(l.entries) == 0 {
+	for class := range wire.NumClasses {
+		c := &q.classes[class]
+		if len(c.entries) == 0 {
 			continue
 		}
 		if first == wire.NumClasses {
-			first = c
+			first = class
 		}
-		if passes := limits[c].maxPassed; passes > 0 && l.passed >= passes {
-			return c
+		if maxPassed := limits[class].maxPassed; maxPassed > 0 && c.passed >= maxPassed {
+			return class
 		}
 	}
 	return first
 }
 
+// popFrom takes the oldest event of a class out.
 func (q *Queue[T]) popFrom(class wire.Class) entry[T] {
-	l := &q.classes[class]
-	e := l.entries[0]
-	l.entries[0] = entry[T]{}
-	l.passed = 0
-	if l.entries = l.entries[1:]; len(l.entries) == 0 {
-		l.entries = nil
+	c := &q.classes[class]
+	oldest := c.entries[0]
+	c.entries[0] = entry[T]{} // lets go of what it holds
+	c.entries = c.entries[1:]
+	if len(c.entries) == 0 {
+		c.entries = nil // lets go of the array
 	}
+	c.passed = 0
 	q.size--
-	return e
+	return oldest
 }
 
-// Expire takes out the oldest events of a class that have waited for longer than
-// their patience, up to the first that has not; 0 is for what waits for ever.
-func (q *Queue[T]) Expire(class wire.Class, now types.MonoTime, maxWait func(T) time.Duration) (list []T) {
-	l := &q.classes[class]
-	for len(l.entries) > 0 {
-		longest := maxWait(l.entries[0].item)
-		if longest == 0 || now.Sub(l.entries[0].queuedAt) <= longest {
+// Expire takes out the oldest events of a class that have waited longer than maxWait says,
+// up to the first that has not. An event whose maxWait is 0 may wait for ever.
+func (q *Queue[T]) Expire(class wire.Class, now types.MonoTime, maxWait func(T) time.Duration) (expired []T) {
+	c := &q.classes[class]
+	for len(c.entries) > 0 {
+		oldest := c.entries[0]
+		limit := maxWait(oldest.item)
+		if limit == 0 || now.Sub(oldest.queuedAt) <= limit {
 			break
 		}
-		list = append(list, q.popFrom(class).item)
+		expired = append(expired, q.popFrom(class).item)
 	}
-	return
+	return expired
 }
 
-// Len is how many events wait.
+// Len returns how many events wait.
 func (q *Queue[T]) Len() int { return q.size }
 
-// LenOf is how many of a class wait.
+// LenOf returns how many events of a class wait.
 func (q *Queue[T]) LenOf(class wire.Class) int { return len(q.classes[class].entries) }
 
-// Age is how long the oldest event of the classes from one to another has waited.
-func (q *Queue[T]) Age(now types.MonoTime, from, to wire.Class) (oldest time.Duration) {
-	for c := from; c <= to; c++ {
-		if l := q.classes[c].entries; len(l) > 0 {
-			oldest = max(oldest, now.Sub(l[0].queuedAt))
+// Age returns how long the oldest event of the classes from first to last has waited.
+func (q *Queue[T]) Age(now types.MonoTime, first, last wire.Class) (oldest time.Duration) {
+	for class := first; class <= last; class++ {
+		if entries := q.classes[class].entries; len(entries) > 0 {
+			oldest = max(oldest, now.Sub(entries[0].queuedAt))
 		}
 	}
-	return
+	return oldest
 }
 
-// Load measures how far the loop is behind, for the event that it has just taken.
-func (q *Queue[T]) Load(now types.MonoTime, class wire.Class, at types.MonoTime) wire.Load {
-	load := wire.Load{EventAge: now.Sub(at), MoreWaiting: q.size > 0,
-		ControlAge: q.Age(now, 0, LastControlClass), CallerAge: q.Age(now, wire.ClassOperators, wire.ClassCallers)}
+// Load returns how far the loop is behind, including the event that it has just taken.
+func (q *Queue[T]) Load(now types.MonoTime, class wire.Class, queuedAt types.MonoTime) wire.Load {
+	load := wire.Load{
+		EventAge:    now.Sub(queuedAt),
+		ControlAge:  q.Age(now, 0, LastControlClass),
+		CallerAge:   q.Age(now, wire.ClassOperators, wire.ClassCallers),
+		MoreWaiting: q.size > 0,
+	}
 	switch {
 	case class <= LastControlClass:
 		load.ControlAge = max(load.ControlAge, load.EventAge)
--- a/internal/workqueue/queue_test.go
+++ b/internal/workqueue/queue_test.go
@@ -10,11 +10,12 @@
 	"coppercourse/internal/wire"
 )
 
-func classesFrom(from wire.Class) (list []wire.Class) {
-	for c := from; c < wire.NumClasses; c++ {
-		list = append(list, c)
+// classesFrom returns a class and all below it, the highest first.
+func classesFrom(first wire.Class) (classes []wire.Class) {
+	for class := first; class < wire.NumClasses; class++ {
+		classes = append(classes, class)
 	}
-	return
+	return classes
 }
 
 func TestUrgentEventsGoFirst(t *testing.T) {
@@ -23,25 +24,25 @@
 	for i := range 1000 {
 		is.True(q.Push(wire.ClassCallers, 0, i))
 	}
-	for _, c := range classesFrom(0) {
-		is.True(q.Push(c, 1, -1))
+	for _, class := range classesFrom(0) {
+		is.True(q.Push(class, 1, -1))
 	}
-	for _, want := range classesFrom(0)[:wire.ClassCallers] {
+	for want := range wire.ClassCallers {
 		item, class, _, ok := q.Pop()
 		is.True(ok)
 		is.Equal(class, want)
 		is.Equal(item, -1)
 	}
-	item, class, at, _ := q.Pop()
+	item, class, queuedAt, _ := q.Pop()
 	is.Equal(class, wire.ClassCallers)
 	is.Equal(item, 0) // within a class the oldest
-	is.Equal(at, types.MonoTime(0))
+	is.Equal(queuedAt, types.MonoTime(0))
 }
 
-// However many events of one class come, each lower class is served in its turn:
-// no later than its own bound and one event of each class between.
+// However many events of one class come, each lower class is served in its turn: no later
+// than after its own bound and one event of each class in between.
 func TestNoClassIsStarved(t *testing.T) {
-	for _, flood := range classesFrom(0)[:wire.ClassBackground] {
+	for flood := range wire.ClassBackground {
 		t.Run(flood.String(), func(t *testing.T) {
 			is := is.New(t)
 			var q Queue[int]
@@ -49,44 +50,50 @@
 			const events = 5000
 			served := 0
 			for range events {
-				for _, c := range classesFrom(flood) {
-					for q.LenOf(c) < 2 {
-						q.PushAlways(c, 0, 0)
+				for _, class := range classesFrom(flood) {
+					for q.LenOf(class) < 2 {
+						q.PushAlways(class, 0, 0)
 					}
 				}
-				_, class, _, ok := q.Pop()
+				_, popped, _, ok := q.Pop()
 				is.True(ok)
-				for _, c := range classesFrom(flood) {
-					waited[c]++
-				}
-				waited[class] = 0
-				if class == flood {
+				if popped == flood {
 					served++
 				}
-				for c, n := range waited {
-					if c > flood && n > limits[c].maxPassed+int(wire.NumClasses) {
-						t.Fatalf("%v waited for %d events", c, n)
-					}
-					if c == flood && n >= int(wire.NumClasses) { // one of each class at most
-						t.Fatalf("%v waited for %d events of lower classes", c, n)
-					}
+				for _, class := range classesFrom(flood) {
+					waited[class]++
 				}
+				waited[popped] = 0
+				checkWaits(t, flood, waited)
 			}
 			is.True(served > events*6/10) // most are of the urgent class
 		})
 	}
 }
 
+// checkWaits checks how many events each class has let pass while one class floods.
+func checkWaits(t *testing.T, flood wire.Class, waited map[wire.Class]int) {
+	t.Helper()
+	for class, events := range waited {
+		if class > flood && events > limits[class].maxPassed+int(wire.NumClasses) {
+			t.Fatalf("%v waited for %d events", class, events)
+		}
+		if class == flood && events >= int(wire.NumClasses) { // one of each class at most
+			t.Fatalf("%v waited for %d events of lower classes", class, events)
+		}
+	}
+}
+
 func TestFullClassLeavesOthersTheirCapacity(t *testing.T) {
 	is := is.New(t)
 	var q Queue[int]
-	for _, c := range classesFrom(wire.ClassConfiguration) {
-		n := 0
-		for q.Push(c, 0, 0) {
-			n++
+	for _, class := range classesFrom(wire.ClassConfiguration) {
+		pushed := 0
+		for q.Push(class, 0, 0) {
+			pushed++
 		}
-		is.Equal(n, limits[c].maxLen)
-		is.Equal(q.Rejected[c], uint64(1))
+		is.Equal(pushed, limits[class].maxLen)
+		is.Equal(q.Rejected[class], uint64(1))
 	}
 	for range limits[wire.ClassConsensus].maxLen {
 		is.True(q.Push(wire.ClassConsensus, 0, 0))
@@ -101,12 +108,19 @@
 	q.Push(wire.ClassCallers, at(0), 0)
 	q.Push(wire.ClassLeases, at(40), 0)
 	q.Push(wire.ClassConsensus, at(90), 0)
-	_, class, since, _ := q.Pop()
-	l := q.Load(at(100), class, since)
-	is.Equal(l, wire.Load{EventAge: 10 * time.Millisecond, ControlAge: 60 * time.Millisecond, CallerAge: 100 * time.Millisecond, MoreWaiting: true})
+	_, class, queuedAt, _ := q.Pop()
+	is.Equal(q.Load(at(100), class, queuedAt), wire.Load{
+		EventAge:    10 * time.Millisecond,
+		ControlAge:  60 * time.Millisecond,
+		CallerAge:   100 * time.Millisecond,
+		MoreWaiting: true,
+	})
 	q.Pop()
-	_, class, since, _ = q.Pop()
-	is.Equal(q.Load(at(200), class, since), wire.Load{EventAge: 200 * time.Millisecond, CallerAge: 200 * time.Millisecond})
+	_, class, queuedAt, _ = q.Pop()
+	is.Equal(q.Load(at(200), class, queuedAt), wire.Load{
+		EventAge:  200 * time.Millisecond,
+		CallerAge: 200 * time.Millisecond,
+	})
 	is.Equal(q.Expire(wire.ClassCallers, at(999), func(int) time.Duration { return 1 }), nil)
 }
 
@@ -120,41 +134,3 @@
 	is.Equal(q.Expire(wire.ClassCallers, 99, func(int) time.Duration { return 0 }), nil)
 	is.Equal(q.Len(), 1)
 }
-
-// A loop whose every step takes long gets both ticks and events done.
-func TestTicksAndEventsShareAnOverloadedLoop(t *testing.T) {
-	for _, cost := range []time.Duration{time.Millisecond, 5 * time.Millisecond, 60 * time.Millisecond, 300 * time.Millisecond} {
-		is := is.New(t)
-		var ticks TickPacer
-		now, last, ticked, took := types.MonoTime(0), types.MonoTime(0), 0, 0
-		for now < types.MonoTime(20*time.Second) {
-			if ticks.Due(now, 1) {
-				ticks.NoteTick(now)
-				is.True(now.Sub(last) <= maxTickDelay+2*cost)
-				last = now
-				ticked++
-			} else {
-				ticks.NoteEvent()
-				took++
-			}
-			now = now.Add(cost)
-		}
-		is.True(ticked > 0)
-		is.True(took >= ticked/2) // dear ticks leave room for events
-	}
-}
-
-// What a sender doesn't repeat, and what other than a caller waits for, stays.
-func TestEventsThatMustNotBeLostNeverExpire(t *testing.T) {
-	is := is.New(t)
-	message := func(kind wire.Kind) wire.Event { return wire.Event{Message: &wire.Message{Kind: kind}} }
-	for _, kind := range []wire.Kind{wire.AppendEntries, wire.RequestVote, wire.ConfigWatch, wire.ConfigWatchReply, wire.Heartbeat, wire.StatusAck, wire.ForwardReply, wire.RunTask, wire.KillTask} {
-		is.Equal(MaxWait(message(kind)), time.Duration(0))
-	}
-	for _, e := range []wire.Event{{}, {Synced: 1}, {Shutdown: true}, {WorkerReply: &wire.WorkerReply{}}, {Request: &wire.Request{Verb: "table.put"}}, {Request: &wire.Request{Verb: "poll"}}} {
-		is.Equal(MaxWait(e), time.Duration(0))
-	}
-	is.Equal(MaxWait(message(wire.ForwardRequest)), MaxForwardWait)
-	is.Equal(MaxWait(message(wire.StatusReport)), MaxReportWait)
-	is.Equal(MaxWait(wire.Event{Request: &wire.Request{Verb: "job.cancel"}}), MaxRequestWait)
-}
--- a/internal/workqueue/tick_pacer.go
+++ b/internal/workqueue/tick_pacer.go
@@ -6,29 +6,39 @@
 	"coppercourse/internal/types"
 )
 
-// How ticks and events share a loop. A tick that is due waits for a few events, so
-// that dear ticks leave room for what came in, but never for long.
 const (
-	TickInterval  = 20 * time.Millisecond
-	tickSlack     = 2 * time.Millisecond // a loop's ticker and its steps are not in phase
+	// TickInterval is the time between two ticks of a loop that is not behind.
+	TickInterval = 20 * time.Millisecond
+	// tickSlack is how much earlier than that a tick may come: a loop's ticker and its steps
+	// are not in phase.
+	tickSlack = 2 * time.Millisecond
+	// eventsPerTick is how many events go before a tick that is due, so that expensive ticks
+	// leave time for events.
 	eventsPerTick = 16
-	maxTickDelay  = 100 * time.Millisecond
+	// maxTickDelay is when a tick is due after the last one in any case, once there was an
+	// event in between.
+	maxTickDelay = 100 * time.Millisecond
 )
 
-// TickPacer tells a loop when to let time pass in its machine.
+// TickPacer decides when a loop lets its machine take a tick rather than an event.
 type TickPacer struct {
 	lastTick types.MonoTime
-	events   int
+	events   int // since the last tick
 }
 
-// Due tells whether the next step must be a tick; waiting is how many events wait.
-func (t *TickPacer) Due(now types.MonoTime, waiting int) bool {
-	since := now.Sub(t.lastTick)
-	return since >= TickInterval-tickSlack && (waiting == 0 || t.events >= eventsPerTick || t.events > 0 && since >= maxTickDelay)
+// Due reports whether the next step must be a tick, with so many events waiting.
+func (p *TickPacer) Due(now types.MonoTime, waiting int) bool {
+	since := now.Sub(p.lastTick)
+	if since < TickInterval-tickSlack {
+		return false
+	}
+	return waiting == 0 ||
+		p.events >= eventsPerTick ||
+		p.events > 0 && since >= maxTickDelay
 }
 
-// NoteTick notes a tick.
-func (t *TickPacer) NoteTick(now types.MonoTime) { t.lastTick, t.events = now, 0 }
+// NoteTick records that the machine took a tick.
+func (p *TickPacer) NoteTick(now types.MonoTime) { p.lastTick, p.events = now, 0 }
 
-// NoteEvent notes an event.
-func (t *TickPacer) NoteEvent() { t.events++ }
+// NoteEvent records that the machine took an event.
+func (p *TickPacer) NoteEvent() { p.events++ }
