--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -1,7 +1,7 @@
-// Package supervisor runs goroutines in a supervision tree. A supervisor runs its
-// children until its context ends. A child that fails or panics is restarted
-// after a pause; one that fails too often, or that is vital, ends its supervisor,
-// and with it in the end the process.
+// Package supervisor runs goroutines in a supervision tree. A supervisor runs its children
+// until its context ends. A child that fails or panics is restarted after a delay; one that
+// fails too often, or that is vital, ends its supervisor, and with it in the end the
+// process.
 package supervisor
 
 import (
@@ -16,42 +16,44 @@
 	"coppercourse/internal/apierror"
 )
 
-// Child is one function to keep running. A vital child is never restarted: the
-// state that it held is lost, so the process has to start afresh.
+// Child is a function that a supervisor keeps running.
 type Child struct {
-	Name  string
+	Name string // for the log
+	// Vital says that the child can't be restarted: the state that it held is lost, so the
+	// process has to start afresh. The end of a vital child ends its supervisor.
 	Vital bool
-	Run   func(context.Context) error
+	// Run runs until its context ends. It may return earlier, without an error if it has
+	// nothing left to do.
+	Run func(context.Context) error
 }
 
-// Restart limits: a child may fail often times within window, and is restarted
-// after pause.
+// A child that is not vital may fail maxFailures times within failureWindow, and is
+// restarted after restartDelay.
 const (
 	maxFailures   = 5
 	failureWindow = 30 * time.Second
 	restartDelay  = 100 * time.Millisecond
 )
 
-// Branch makes a vital child that supervises children of its own.
+// Branch returns a vital child that supervises children of its own.
 func Branch(log logr.Logger, name string, children ...Child) Child {
-	return Child{Name: name, Vital: true, Run: func(ctx context.Context) error { return Run(ctx, log, children...) }}
+	return Child{Name: name, Vital: true, Run: func(ctx context.Context) error {
+		return Run(ctx, log, children...)
+	}}
 }
 
-// Run supervises the children and returns, once all of them have ended, the first
-// failure that a restart could not mend. A vital child that returns without
-// error ends the others too.
+// Run runs children until ctx ends or one of them ends the supervisor, and returns once all
+// of them have ended. The error is the first failure that no restart could mend.
 func Run(ctx context.Context, log logr.Logger, children ...Child) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	var running sync.WaitGroup
 	for _, child := range children {
-		running.Add(1)
-		go func() {
-			defer running.Done()
+		running.Go(func() {
 			if err := superviseChild(ctx, log, child); err != nil || child.Vital {
 				stop(err)
 			}
-		}()
+		})
 	}
 	running.Wait()
 	if err := context.Cause(ctx); err != nil && err != context.Canceled {
@@ -60,20 +62,16 @@
 	return nil
 }
 
-// superviseChild runs one child until its context ends, it returns without error, or its
-// failures pass the restart limits.
+// superviseChild runs a child until its context ends, it returns without an error, or it
+// has failed too often.
 func superviseChild(ctx context.Context, log logr.Logger, child Child) error {
-	var failures []time.Time
+	var failures failureLog
 	for {
 		err := runOnce(ctx, child)
 		if ctx.Err() != nil || err == nil {
 			return err
 		}
-		now := time.Now()
-		failures = append(failures, now)
-		for len(failures) > 0 && now.Sub(failures[0]) > failureWindow {
-			failures = failures[1:]
-		}
+		failures.add(time.Now())
 		if child.Vital || len(failures) > maxFailures {
 			return apierror.Wrap(apierror.Unusable, err, child.Name)
 		}
@@ -86,7 +84,18 @@
 	}
 }
 
-// runOnce runs a child one time and turns a panic into an error.
+// failureLog holds the times of a child's failures within failureWindow, oldest first.
+type failureLog []time.Time
+
+// add adds a failure and forgets those that are too old.
+func (f *failureLog) add(now time.Time) {
+	*f = append(*f, now)
+	for now.Sub((*f)[0]) > failureWindow {
+		*f = (*f)[1:]
+	}
+}
+
+// runOnce runs a child once and turns a panic into an error.
 func runOnce(ctx context.Context, child Child) (err error) {
 	defer func() {
 		if panicked := recover(); panicked != nil {
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,7 +1,6 @@
-// Package trace records trace points: what happened to a job or to a version of
-// the table in one daemon. They are kept in a bounded ring, the oldest
-// overwritten first, and the command line's trace verb gathers them from all
-// daemons.
+// Package trace records what happened to a job, or to a version of the queue table, in one
+// daemon. The points are kept in memory, the oldest overwritten first; the command line's
+// trace verb gathers them from all daemons.
 package trace
 
 import (
@@ -15,57 +14,58 @@
 // capacity is how many trace points a daemon keeps.
 const capacity = 8192
 
-// Point is one trace point: what happened to a subject in this daemon, and when.
+// Point is a trace point: what happened to a subject in this daemon, and when.
 type Point struct {
 	At          types.WallTime `json:"at"`
 	Subject     string         `json:"subject"`
 	Description string         `json:"what"`
 }
 
-// Ring is a bounded buffer of trace points. The goroutine that owns the state
-// machine writes it; HTTP handlers read it at the same time.
+// JobSubject returns the subject of a job's trace points.
+func JobSubject(id types.JobID) string { return "job/" + string(id) }
+
+// TableSubject returns the subject of the trace points of a version of the queue table.
+func TableSubject(version types.Version) string { return fmt.Sprintf("table/%d", version) }
+
+// Ring holds the latest trace points. It is safe for use by several goroutines: that of the
+// state machine writes it while HTTP handlers read it.
 type Ring struct {
 	mu     sync.Mutex
 	points []Point
-	oldest int // index of the oldest, once the ring is full
+	oldest int // index of the oldest point; 0 until the ring is full
 }
 
 // New returns an empty ring.
 func New() *Ring { return &Ring{} }
 
-// JobSubject returns the subject of a job's trace points.
-func JobSubject(id types.JobID) string { return "job/" + string(id) }
-
-// TableSubject returns the subject of the trace points of a version of the table.
-func TableSubject(version types.Version) string { return fmt.Sprintf("table/%d", version) }
-
-// Add records a trace point; pairs are names and values in turn.
+// Add records a trace point. Its description is followed by pairs of key and value.
 func (r *Ring) Add(at types.WallTime, subject, description string, keysAndValues ...any) {
-	var b strings.Builder
-	b.WriteString(description)
+	var text strings.Builder
+	text.WriteString(description)
 	for i := 0; i+1 < len(keysAndValues); i += 2 {
-		fmt.Fprintf(&b, " %v=%v", keysAndValues[i], keysAndValues[i+1])
+		fmt.Fprintf(&text, " %v=%v", keysAndValues[i], keysAndValues[i+1])
 	}
+	point := Point{At: at, Subject: subject, Description: text.String()}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m := Point{at, subject, b.String()}
 	if len(r.points) < capacity {
-		r.points = append(r.points, m)
+		r.points = append(r.points, point)
 		return
 	}
-	r.points[r.oldest] = m
+	r.points[r.oldest] = point
 	r.oldest = (r.oldest + 1) % capacity
 }
 
-// Points returns a subject's trace points, oldest first.
+// Points returns a subject's trace points, oldest first. The list is never nil.
 func (r *Ring) Points(subject string) []Point {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := []Point{}
+	found := []Point{}
 	for i := range r.points {
-		if m := r.points[(r.oldest+i)%len(r.points)]; m.Subject == subject {
-			list = append(list, m)
+		point := r.points[(r.oldest+i)%len(r.points)]
+		if point.Subject == subject {
+			found = append(found, point)
 		}
 	}
-	return list
+	return found
 }
