--- a/cmd/coppercourse/daemon_flags.go
+++ b/cmd/coppercourse/daemon_flags.go
@@ -18,7 +18,7 @@
 var roleHelp = map[string]string{
 	membership.RoleController: "Run a controller: it replicates the state and, as leader, schedules. Needs a disk.",
 	membership.RoleGateway:    "Run a gateway: the entry point for callers and operators. Keeps nothing on disk.",
-	membership.RoleAgent:      "Run the agent of a worker: it starts and stops the worker's tasks. Keeps nothing on disk.",
+	membership.RoleAgent:      "Run the agent of a worker: it starts and stops the tasks there. Keeps nothing on disk.",
 }
 
 // addDaemons adds a command for each role.
--- a/cmd/coppercourse/maintenance_commands.go
+++ b/cmd/coppercourse/maintenance_commands.go
@@ -25,7 +25,7 @@
 	} {
 		on := drain.Command(target.kind, "Start no more tasks on a "+target.kind+", until undrain.")
 		onName := on.Arg("name", "Name of the "+target.kind+".").Required().String()
-		within := on.Flag("within", "Time after which running attempts are stopped and retried elsewhere; 0s lets them end.").
+		within := on.Flag("within", "Stop attempts that run for longer, to retry them elsewhere; 0s lets them end.").
 			PlaceHolder("DURATION").Default("0s").Duration()
 		commands["drain "+target.kind] = func() error {
 			body, err := json.Marshal(config.Drain{WithinMillis: int(within.Milliseconds())})
@@ -96,7 +96,7 @@
 }
 
 func addGone(app *kingpin.Application, client *gatewayClient, commands commandSet) {
-	gone := app.Command("gone", "Declare a lost worker gone for good: its unfinished tasks are retried elsewhere at once.")
+	gone := app.Command("gone", "Declare a lost worker gone for good: its tasks are retried elsewhere at once.")
 	worker := gone.Arg("worker", "Name of the worker.").Required().String()
 	commands["gone"] = func() error {
 		return client.print(http.MethodPost, "/v1/workers/"+*worker+"/gone", nil)
--- a/cmd/coppersim/capacity.go
+++ b/cmd/coppersim/capacity.go
@@ -73,7 +73,9 @@
 		return err
 	}
 	capacity.WriteMarkdown(os.Stdout, points)
-	return errors.Join(late, capacity.Plot(c.out, capacity.Idle, points), capacity.Plot(c.out, capacity.Traffic, points))
+	return errors.Join(late,
+		capacity.Plot(c.out, capacity.Idle, points),
+		capacity.Plot(c.out, capacity.Traffic, points))
 }
 
 // points returns the figures of all fleets: with --replot from the file at path,
@@ -120,7 +122,7 @@
 				m.RunningTasks, m.RealTime.Round(time.Millisecond))
 		}
 	}
-	return
+	return points, late
 }
 
 // parseSizes reads numbers of daemons, by comma.
--- a/cmd/coppersim/main.go
+++ b/cmd/coppersim/main.go
@@ -16,7 +16,7 @@
 type commandSet map[string]func() error
 
 func main() {
-	app := kingpin.New("coppersim", "Tests coppercourse under failure: a seeded simulator and a fleet of real processes.")
+	app := kingpin.New("coppersim", "Test coppercourse under failure, in a simulator or with real processes.")
 	app.HelpFlag.Short('h')
 	commands := commandSet{}
 	addSweep(app, commands)
--- a/cmd/coppersim/sweep.go
+++ b/cmd/coppersim/sweep.go
@@ -61,7 +61,7 @@
 	plan := &f.plan
 	command.Flag("deployment", "kingston or romania, or with -called one whose workers are called rather than poll.").
 		Default("kingston").EnumVar(&plan.Deployment, "kingston", "romania", "kingston-called", "romania-called")
-	command.Flag("faults", "Faults to draw from, by comma. Default: all of the deployment; a wrong name prints the list.").
+	command.Flag("faults", "Faults to draw from, by comma. Default: all; a wrong name prints the list.").
 		StringVar(&f.faults)
 	command.Flag("unguarded", "Called workers accept what exceeds their capacity.").BoolVar(&plan.Unguarded)
 	command.Flag("quick", "Use the shorter timeouts, as where the deployment gives bounds.").BoolVar(&plan.Quick)
@@ -71,7 +71,7 @@
 	command.Flag("faults-for", "Time within which the faults come.").Default("30s").DurationVar(&plan.FaultsFor)
 	command.Flag("after", "Traffic after they are healed.").Default("24s").DurationVar(&plan.After)
 	command.Flag("settle", "Time for everything to end.").Default("90s").DurationVar(&plan.Settle)
-	command.Flag("patience", "Unresolved timeout of all queues; a short one shows that leases alone keep attempts apart.").
+	command.Flag("patience", "Unresolved timeout of all queues; a short one tests that leases keep attempts apart.").
 		Default("30s").DurationVar(&plan.Patience)
 	command.Flag("last", "Add a fault at the very end of the traffic.").BoolVar(&plan.LastFault)
 }
--- a/internal/gateway/forwarding.go
+++ b/internal/gateway/forwarding.go
@@ -37,7 +37,8 @@
 func (g *Gateway) giveUp(p *pendingRequest) {
 	g.Counters.GivenUp++
 	if p.maybeAccepted() {
-		g.reject(p, g.errOutcomeUnknown("no answer from the leader; the request may have been taken; send the same again"))
+		g.reject(p, g.errOutcomeUnknown(
+			"no answer from the leader; the request may have been taken; send the same again"))
 		return
 	}
 	g.reject(p, g.errNoLeader())
@@ -88,7 +89,8 @@
 	case reply.Error.Kind == apierror.OutcomeUnknown:
 		p.target, p.unresolved = "", true
 	case saysNotAccepted(reply.Error.Kind) && mutatingVerbs[p.Verb] && (p.unresolved || from != p.target):
-		g.reject(p, g.errOutcomeUnknown("one controller refused the request, another may have taken it; send the same again"))
+		g.reject(p, g.errOutcomeUnknown(
+			"one controller refused the request, another may have taken it; send the same again"))
 	default:
 		g.reject(p, reply.Error)
 	}
