--- a/cmd/coppersim/fleet.go
+++ b/cmd/coppersim/fleet.go
@@ -13,6 +13,7 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"coppercourse/sim"
+	"coppercourse/sim/history"
 )
 
 // Timings and bounds of a fleet run.
@@ -154,7 +155,7 @@
 }
 
 func (wr *workerRun) run() error {
-	var spec sim.WorkerSpec
+	var spec history.WorkerSpec
 	if err := json.Unmarshal([]byte(wr.spec), &spec); err != nil {
 		return fmt.Errorf("--make: %w", err)
 	}
--- a/cmd/coppersim/sweep.go
+++ b/cmd/coppersim/sweep.go
@@ -12,6 +12,7 @@
 
 	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/sim"
+	"coppercourse/sim/history"
 )
 
 // sweeper is the sweep command: simulated runs over a range of seeds, several at a time,
@@ -172,10 +173,10 @@
 		fmt.Println(strings.Join(faults, ","))
 	}
 	if s.verbose || broken {
-		fmt.Printf("seed %d: ratio %.2f, %s\n", run.Plan.Seed, verdict.Ratio, sim.Summary(&run.History))
+		fmt.Printf("seed %d: ratio %.2f, %s\n", run.Plan.Seed, verdict.Ratio, history.Summary(&run.History))
 	}
 	if s.seeds == 1 && s.verbose {
-		fmt.Println(sim.Timeline(&run.History))
+		fmt.Println(history.Timeline(&run.History))
 	}
 	if s.job != "" {
 		s.printJob(run)
--- a/cmd/coppersim/sweep_results.go
+++ b/cmd/coppersim/sweep_results.go
@@ -58,7 +58,7 @@
 		"%d re-runs after an end that nobody alive had a report of; took %s\n",
 		sr.seeds, deployment, sr.attempts, sr.seedsBroken, sr.coverage.Reruns(), took.Round(time.Second))
 	fmt.Printf("jobs done for each one sent from 12 s after healing, beside before the faults: %s\n",
-		sim.MinMedianMax(sr.ratios))
+		minMedianMax(sr.ratios))
 	sr.printByFault()
 }
 
@@ -78,6 +78,15 @@
 	})
 	for _, r := range rows {
 		fmt.Printf("  %-16s ratio %s; %d runs broke a rule\n",
-			r.fault, sim.MinMedianMax(r.ratios), sr.brokenByFault[r.fault])
+			r.fault, minMedianMax(r.ratios), sr.brokenByFault[r.fault])
 	}
 }
+
+// minMedianMax returns the least, the median and the greatest of a list, which it sorts.
+func minMedianMax(list []float64) string {
+	if len(list) == 0 {
+		return "nothing"
+	}
+	slices.Sort(list)
+	return fmt.Sprintf("least %.2f, median %.2f, most %.2f of %d", list[0], list[len(list)/2], list[len(list)-1], len(list))
+}
