--- a/cmd/coppercourse/platform_test.go
+++ b/cmd/coppercourse/platform_test.go
@@ -114,7 +114,7 @@
 
 // A changed settings file and SIGHUP do not end a daemon, and SIGTERM does within the
 // grace period.
-func TestADeployedGatewayLivesAndEnds(t *testing.T) {
+func TestGatewayOnThePlatformReloadsAndShutsDown(t *testing.T) {
 	is := is.New(t)
 	path, frontPort, readinessPort := writeGatewaySettings(t)
 	daemon := program(path, "platform", "gateway")
@@ -146,7 +146,7 @@
 
 // An invalid settings file ends the program at once, with all errors reported and nothing
 // written.
-func TestABadFileEndsItWithEveryFault(t *testing.T) {
+func TestInvalidSettingsEndTheProgramWithEveryError(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	path := filepath.Join(folder, "local.yaml")
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -43,7 +43,7 @@
 
 // An invalid poll is rejected with the field at fault, and nothing of it reaches the
 // executor.
-func TestBadCallsAreRefusedWhole(t *testing.T) {
+func TestInvalidPollsAreRejected(t *testing.T) {
 	is := is.New(t)
 	h := newHarness()
 	for _, c := range []struct{ name, body, field string }{
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -79,7 +79,7 @@
 
 // The gateway says that a request was not accepted only if no controller can have accepted
 // it.
-func TestARefusalAfterSilenceIsUnsure(t *testing.T) {
+func TestRejectionAfterTimeoutIsOutcomeUnknown(t *testing.T) {
 	full := wire.ForwardedReply{Error: apierror.New(apierror.QueueFull, "", "full")}
 	for _, c := range []struct {
 		name string
@@ -115,7 +115,7 @@
 
 // A request is given up before its client's timeout, and the error says whether a
 // controller may have accepted it.
-func TestARequestIsGivenUpInItsTime(t *testing.T) {
+func TestRequestIsGivenUpBeforeItsTimeout(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(400 * time.Millisecond)
 	h.advance(340 * time.Millisecond)
@@ -146,7 +146,7 @@
 // A reply goes to the client whose request it names, once: those of the second of two
 // controllers that answer one request, and of one that answers after its request was given
 // up, are dropped.
-func TestAnAnswerBelongsToItsCallAlone(t *testing.T) {
+func TestReplyGoesToItsRequestOnly(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(0)
 	h.advance(AttemptTimeout + 40*time.Millisecond)
@@ -173,7 +173,7 @@
 
 // The next process at an address drops replies to the one before: the ids of their requests
 // begin at random numbers.
-func TestAnAnswerToAFormerLifeIsDropped(t *testing.T) {
+func TestReplyToAnEarlierProcessIsDropped(t *testing.T) {
 	is := is.New(t)
 	seen := map[uint64]bool{}
 	for seed := range int64(200) {
