--- a/cmd/coppercourse/daemon_flags.go
+++ b/cmd/coppercourse/daemon_flags.go
@@ -92,7 +92,7 @@
 	if f.settingsFile != "" {
 		document, err := os.ReadFile(f.settingsFile)
 		if err != nil {
-			return s, apierror.Wrap(apierror.BadSetting, err, "settings file")
+			return s, apierror.Wrap(apierror.BadSetting, err, "read the settings file")
 		}
 		settings.Read(document, &s, errs)
 	}
--- a/cmd/coppercourse/gateway_client.go
+++ b/cmd/coppercourse/gateway_client.go
@@ -73,16 +73,16 @@
 func (c *gatewayClient) fetch(addr, method, path string, body []byte) ([]byte, error) {
 	req, err := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, apierror.Wrap(apierror.BadSetting, err, "address")
+		return nil, apierror.Wrap(apierror.BadSetting, err, "request to "+addr)
 	}
 	res, err := c.http.Do(req)
 	if err != nil {
-		return nil, apierror.Wrap(apierror.NotReady, err, "no response")
+		return nil, apierror.Wrap(apierror.NotReady, err, "no response from "+addr)
 	}
 	defer res.Body.Close()
 	response, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
-		return nil, apierror.Wrap(apierror.NotReady, err, "response cut short")
+		return nil, apierror.Wrap(apierror.NotReady, err, "response from "+addr+" cut short")
 	}
 	if res.StatusCode >= http.StatusMultipleChoices {
 		return nil, responseError(addr, res.Status, response)
--- a/cmd/coppercourse/job_commands.go
+++ b/cmd/coppercourse/job_commands.go
@@ -39,7 +39,7 @@
 func readJob(path string) ([]byte, error) {
 	document, err := os.ReadFile(path)
 	if err != nil {
-		return nil, apierror.Wrap(apierror.BadBody, err, "job file")
+		return nil, apierror.Wrap(apierror.BadBody, err, "read the job file")
 	}
 	errs := &apierror.ErrorList{}
 	state.ReadSpec(document, errs)
--- a/cmd/coppercourse/maintenance_commands.go
+++ b/cmd/coppercourse/maintenance_commands.go
@@ -88,7 +88,7 @@
 func readCalendar(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, apierror.Wrap(apierror.BadBody, err, "calendar file")
+		return nil, apierror.Wrap(apierror.BadBody, err, "read the calendar file")
 	}
 	errs := &apierror.ErrorList{}
 	maintenance.Read(text, time.Now(), errs)
--- a/cmd/coppercourse/table_commands.go
+++ b/cmd/coppercourse/table_commands.go
@@ -48,7 +48,7 @@
 func readTable(path string, base int64) ([]byte, error) {
 	document, err := os.ReadFile(path)
 	if err != nil {
-		return nil, apierror.Wrap(apierror.BadBody, err, "table file")
+		return nil, apierror.Wrap(apierror.BadBody, err, "read the table file")
 	}
 	errs := &apierror.ErrorList{}
 	table := config.ReadTable(document, errs)
