--- a/internal/gateway/leader_tracker.go
+++ b/internal/gateway/leader_tracker.go
@@ -8,10 +8,11 @@
 
 // Bounds of the time after which a request is retried.
 const (
-	retryAfterElection  = time.Second // a leader is known: what failed was one attempt
-	minRetryAfterLoss   = 2 * time.Second
-	maxRetryAfterLoss   = 30 * time.Second
-	lossPartForRetrying = 4 // one part in so many of how long the leader has been lost
+	retryAfterAttempt = time.Second // a leader is known: only one attempt has failed
+	minRetryAfterLoss = 2 * time.Second
+	maxRetryAfterLoss = 30 * time.Second
+	// retryLossDivisor says which part of the time without a leader is added to the least.
+	retryLossDivisor = 4
 )
 
 // leaderTracker is what a gateway remembers of leaders.
@@ -44,7 +45,7 @@
 // that has lasted for long is likely to last as long again.
 func (l *leaderTracker) retryAfter(now types.MonoTime) time.Duration {
 	if l.lostAt == 0 {
-		return retryAfterElection
+		return retryAfterAttempt
 	}
-	return min(maxRetryAfterLoss, minRetryAfterLoss+l.lostFor(now)/lossPartForRetrying)
+	return min(maxRetryAfterLoss, minRetryAfterLoss+l.lostFor(now)/retryLossDivisor)
 }
