--- /dev/null
+++ b/internal/controller/report_buffer.go
@@ -0,0 +1,94 @@
+package controller
+
+import (
+	"slices"
+	"time"
+
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+const (
+	maxBufferedReports = 1024
+	// unknownAttemptRetention is how long a report is kept of an attempt that this
+	// controller's log does not have yet.
+	unknownAttemptRetention = 10 * time.Second
+)
+
+// reportBuffer keeps the ends that agents have reported until the log has them. Every
+// controller that hears a report keeps it: the leader may lose its leadership before the
+// end is committed, and the agent may be gone by then.
+type reportBuffer struct {
+	reports []bufferedReport
+}
+
+// bufferedReport is a report with ends that are not in the log yet.
+type bufferedReport struct {
+	from        types.Addr
+	update      protocol.UpdateStatus
+	receivedAt  types.MonoTime
+	forwardedAt types.MonoTime
+	relays      int // how often it was relayed to the leader
+}
+
+// add keeps what of a report is not in the log and not in the buffer.
+func (b *reportBuffer) add(now types.MonoTime, s *state.State, message wire.Message) {
+	update, ok := wire.DecodeBody[protocol.UpdateStatus](message)
+	if !ok || len(b.reports) >= maxBufferedReports {
+		return
+	}
+	update.Ends = slices.DeleteFunc(update.Ends, func(end state.AttemptEnd) bool {
+		return !end.Outcome.ReportedByWorker() || !mustKeep(now, s, end, now)
+	})
+	for _, report := range b.reports {
+		update.Ends = slices.DeleteFunc(update.Ends, func(end state.AttemptEnd) bool {
+			return slices.Contains(report.update.Ends, end)
+		})
+	}
+	if len(update.Ends) > 0 {
+		b.reports = append(b.reports, bufferedReport{from: message.From, update: update, receivedAt: now, forwardedAt: now})
+	}
+}
+
+// prune drops the reports of which nothing must be kept any longer.
+func (b *reportBuffer) prune(now types.MonoTime, s *state.State) {
+	b.reports = slices.DeleteFunc(b.reports, func(report bufferedReport) bool {
+		return !slices.ContainsFunc(report.update.Ends, func(end state.AttemptEnd) bool {
+			return mustKeep(now, s, end, report.receivedAt)
+		})
+	})
+}
+
+// takeDue returns the reports that were not forwarded for an interval, and counts them as
+// forwarded now.
+func (b *reportBuffer) takeDue(now types.MonoTime, interval time.Duration) []*bufferedReport {
+	var due []*bufferedReport
+	for i := range b.reports {
+		report := &b.reports[i]
+		if now.Sub(report.forwardedAt) >= interval {
+			report.forwardedAt = now
+			due = append(due, report)
+		}
+	}
+	return due
+}
+
+// message returns the report as its agent sent it, for another destination.
+func (r *bufferedReport) message(to types.Addr) wire.OutboundMessage {
+	return wire.NewMessage(r.from, to, wire.StatusReport, r.update)
+}
+
+// mustKeep reports whether an end, received at some time, is not in the log. One of an
+// attempt that the log does not know is kept for a while: this controller may be behind.
+func mustKeep(now types.MonoTime, s *state.State, end state.AttemptEnd, receivedAt types.MonoTime) bool {
+	j := s.Jobs[end.ID.Job]
+	if j == nil {
+		return now.Sub(receivedAt) <= unknownAttemptRetention
+	}
+	if task := j.Task(end.ID.Number); task != nil && end.ID.Attempt > task.LastAttempt {
+		return now.Sub(receivedAt) <= unknownAttemptRetention
+	}
+	return !endRecorded(s, end)
+}
