--- a/cmd/coppercourse/layers_test.go
+++ b/cmd/coppercourse/layers_test.go
@@ -33,7 +33,7 @@
 	{"platform"},
 	{"cmd/coppercourse", "sim/history"},
 	{"sim/worker"},
-	{"sim/checker"},
+	{"sim/checker", "sim/deployment"},
 	{"sim"},
 	{"sim/capacity"},
 	{"cmd/coppersim"},
--- a/cmd/coppersim/fleet.go
+++ b/cmd/coppersim/fleet.go
@@ -13,6 +13,7 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"coppercourse/sim"
+	"coppercourse/sim/deployment"
 	"coppercourse/sim/history"
 )
 
@@ -106,7 +107,7 @@
 		}
 	}
 	f := &sim.Fleet{
-		Deployment: sim.Deployments[fr.deployment], Dir: fr.dir, Bin: fr.bin, Self: self, Port: fr.port,
+		Deployment: deployment.ByName[fr.deployment], Dir: fr.dir, Bin: fr.bin, Self: self, Port: fr.port,
 	}
 	if err := f.Start(ctx); err != nil {
 		f.Stop()
--- a/sim/clients.go
+++ b/sim/clients.go
@@ -15,6 +15,7 @@
 	"coppercourse/internal/gateway"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/deployment"
 	"coppercourse/sim/history"
 )
 
@@ -23,7 +24,7 @@
 // Clients is all callers and operators of a world.
 type Clients struct {
 	world           *World
-	deployment      Deployment
+	deployment      deployment.Deployment
 	gateways        []types.Addr
 	address         types.Addr
 	lastJob         int
@@ -51,7 +52,7 @@
 func (c *Clients) anyGateway() types.Addr { return c.gateways[c.world.random.Intn(len(c.gateways))] }
 
 // startFlow sends jobs of one shape until the clients is closed.
-func (c *Clients) startFlow(f Flow) {
+func (c *Clients) startFlow(f deployment.Flow) {
 	gap := time.Duration((0.5+c.world.random.Float64())*float64(f.MeanInterval)) / time.Duration(max(1, c.BurstFactor))
 	c.world.after(gap, func() {
 		if !c.open {
@@ -71,7 +72,7 @@
 }
 
 // startStream sends jobs to the invoked workers' deployment until the clients is closed.
-func (c *Clients) startStream(f Stream) {
+func (c *Clients) startStream(f deployment.Stream) {
 	gap := time.Duration((0.5+c.world.random.Float64())*float64(f.MeanInterval)) / time.Duration(max(1, c.BurstFactor))
 	c.world.after(gap, func() {
 		if !c.open {
@@ -120,7 +121,7 @@
 			c.watchJob(id)
 			if d, ok := c.cancelDelays[id]; ok {
 				c.world.after(d, func() { c.cancelJob(id, 0) })
-			} else if c.deployment.WorkerRules == nil && c.world.random.Float64() < c.CancelRate {
+			} else if !c.deployment.Invoked() && c.world.random.Float64() < c.CancelRate {
 				c.world.after(time.Duration(c.world.random.Int63n(int64(3*time.Second))), func() { c.cancelJob(id, 0) })
 			}
 		case a.Error.RetryAfterSeconds > 0:
--- a/sim/core_test.go
+++ b/sim/core_test.go
@@ -15,6 +15,7 @@
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 	"coppercourse/sim/checker"
+	"coppercourse/sim/deployment"
 	"coppercourse/sim/history"
 )
 
@@ -295,7 +296,7 @@
 		}
 		hits++
 		for i, at := range []string{"delay", "time"} {
-			s := pairJobs("payments", "pay")(r.random)
+			s := deployment.PairJobs("payments", "pay")(r.random)
 			s.Steps = s.Steps[:1]
 			if s.Steps[0].DelayMillis = 3000; i > 0 {
 				s.Steps[0].DelayMillis, s.Steps[0].NotBefore = 0, time.Unix(0, history.WallClockStart+r.now+3e9).UTC().Format(time.RFC3339Nano)
--- a/sim/crowd_test.go
+++ b/sim/crowd_test.go
@@ -13,6 +13,7 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/sim/checker"
+	"coppercourse/sim/deployment"
 	"coppercourse/sim/history"
 )
 
@@ -40,9 +41,9 @@
 			r.Clients.startFlow(f)
 		}
 	})
-	flood := Flow{"menus", 25 * time.Millisecond, func(rnd *rand.Rand) state.Spec {
+	flood := deployment.Flow{Queue: "menus", MeanInterval: 25 * time.Millisecond, NewSpec: func(rnd *rand.Rand) state.Spec {
 		return state.Spec{Queue: "menus", Urgency: 9, Steps: []state.Step{{Name: "all", Kind: "menu", Resources: types.Resources{Cores: 2 * types.Core, MemoryMB: 64},
-			Tasks: 20, Work: randomWork(rnd, 2000, 4000)}}}
+			Tasks: 20, Work: deployment.RandomWork(rnd, 2000, 4000)}}}
 	}}
 	r.after(18*time.Second, func() { r.Clients.startFlow(flood) })
 	r.RunUntil(48 * time.Second)
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -15,6 +15,7 @@
 	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/types"
 	"coppercourse/sim/checker"
+	"coppercourse/sim/deployment"
 	"coppercourse/sim/history"
 )
 
@@ -153,19 +154,19 @@
 
 // runCutOff sets a deployment up and cuts a controller of it off.
 func runCutOff(seed int64, controllers int, leads bool, w partitionKind, plant func(*cutoff)) *cutoff {
-	d := Deployments["kingston-called"]
-	d.Size = Small
+	d := deployment.ByName["kingston-called"]
+	d.Size = deployment.Small
 	d.Size.Controllers, d.Size.Gateways = controllers, 3
-	if controllers > Small.Controllers {
+	if controllers > deployment.Small.Controllers {
 		d.Size.Zones, d.Size.Founders = 4, 3
 	}
 	d.Streams = slices.Clone(d.Streams)
 	for i := range d.Streams {
 		d.Streams[i].MeanInterval *= 8
 	}
-	d.rows = slices.Clone(d.rows)
-	for i := range d.rows {
-		d.rows[i].Host, d.rows[i].PathPrefix = routeHost, "/"+string(d.rows[i].Name)+"/"
+	d.Queues = slices.Clone(d.Queues)
+	for i := range d.Queues {
+		d.Queues[i].Host, d.Queues[i].PathPrefix = routeHost, "/"+string(d.Queues[i].Name)+"/"
 	}
 	c := &cutoff{Run: newRun(Plan{Seed: seed, Quick: true, Patience: 5 * time.Second}, d)}
 	c.network = NetworkQuality{}
--- /dev/null
+++ b/sim/deployment/deployment.go
@@ -0,0 +1,100 @@
+package deployment
+
+import (
+	"fmt"
+
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
+	"coppercourse/sim/history"
+	"coppercourse/sim/worker"
+)
+
+// Deployment is what a trial sets up.
+type Deployment struct {
+	Name  string
+	Size  Size
+	Cores types.MilliCores // of a worker of the usual size
+	Flows []Flow           // of jobs, where workers poll
+
+	// Where workers are invoked.
+	WorkerRules *worker.Rules // nil where workers poll
+	Streams     []Stream
+	Queues      []config.Queue
+}
+
+// Size is how many of each there are.
+type Size struct {
+	Zones, Controllers, Gateways, Workers, WorkersPerRack int
+	// Founders is how many controllers are named as those that found the cluster
+	// together; 0 means that all may found it.
+	Founders int
+}
+
+// Small is the size of the first deployments.
+var Small = Size{Zones: 3, Controllers: 3, Gateways: 4, Workers: 11, WorkersPerRack: 3}
+
+// Zone returns the zone of the i-th machine of a role.
+func (s Size) Zone(i int) types.Zone { return types.Zone(fmt.Sprintf("z%d", i%s.Zones+1)) }
+
+// Invoked reports whether the workers are invoked.
+func (d Deployment) Invoked() bool { return d.WorkerRules != nil }
+
+// Table returns the deployment's first table.
+func (d Deployment) Table() config.Table {
+	if d.Invoked() {
+		return config.Table{
+			Orphans:  config.FinishOrphans,
+			Queues:   d.Queues,
+			Services: []config.Service{{Name: invokedService, EnforcesResources: true}},
+		}
+	}
+	return config.Table{Queues: []config.Queue{
+		d.Flows[0].queue(4, 30),
+		d.Flows[1].queue(2, 10),
+		d.Flows[2].queue(4, 20),
+	}}
+}
+
+// Workers returns the workers, rack by rack.
+func (d Deployment) Workers() []history.WorkerSpec {
+	list := make([]history.WorkerSpec, 0, d.Size.Workers)
+	for i := range d.Size.Workers {
+		spec := history.WorkerSpec{
+			Shard: types.Shard(fmt.Sprintf("k%d", i+1)),
+			Rack:  types.Rack(fmt.Sprintf("r%d", i/d.Size.WorkersPerRack+1)),
+		}
+		if d.Invoked() {
+			d.sizeInvoked(&spec, i)
+		} else {
+			d.sizePolling(&spec, i)
+		}
+		list = append(list, spec)
+	}
+	return list
+}
+
+// sizePolling gives the i-th worker that polls its services and capacity.
+func (d Deployment) sizePolling(spec *history.WorkerSpec, i int) {
+	const memoryPerCore = 1024 // MB
+	kinds := [][]types.ServiceKind{{"quote", "menu"}, {"quote", "pay"}, {"menu", "pay", "quote"}}
+	spec.Kinds = kinds[i%len(kinds)]
+	spec.Capacity = types.Resources{Cores: d.Cores, MemoryMB: int(d.Cores) * memoryPerCore / int(types.Core)}
+}
+
+// sizeInvoked gives the i-th worker that is invoked its service, labels and capacity:
+// every third is larger, and every third has a second label.
+func (d Deployment) sizeInvoked(spec *history.WorkerSpec, i int) {
+	const memoryPerCore = 2048 // MB
+	factor := []float64{1, 1, 1.5}[i%3]
+	cores := float64(d.Cores) * factor
+	spec.Kinds = []types.ServiceKind{invokedService}
+	spec.Capacity = types.Resources{
+		Cores:    types.MilliCores(cores),
+		MemoryMB: int(cores * memoryPerCore / float64(types.Core)),
+	}
+	spec.RejectsOverload = true
+	spec.Labels = []string{"a"}
+	if i%3 == 1 {
+		spec.Labels = append(spec.Labels, "b")
+	}
+}
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -168,8 +168,8 @@
 	}),
 	"cut-worker-out": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, r.anyPollingWorker().node) }),
 	"cut-zone": partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) {
-		x := r.Clients.deployment.effectiveSize()
-		z := r.zones[x.zone(r.random.Intn(x.Zones))]
+		x := r.Clients.deployment.Size
+		z := r.zones[x.Zone(r.random.Intn(x.Zones))]
 		return z, r.allExcept(z...)
 	}),
 	"kill-worker": func(r *Run, _ time.Duration) func() {
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"coppercourse/internal/types"
+	"coppercourse/sim/deployment"
 	"coppercourse/sim/history"
 )
 
@@ -39,7 +40,7 @@
 
 // Fleet is the whole of them.
 type Fleet struct {
-	Deployment    Deployment
+	Deployment    deployment.Deployment
 	Dir           string
 	Bin           string // the coppercourse program
 	Self          string // the trial program, for workers
@@ -73,7 +74,7 @@
 		if err != nil {
 			return err
 		}
-		f.addProcess(&process{name: fmt.Sprintf("worker%d", i+1), role: "worker", zone: ZoneOf(i), ip: fmt.Sprintf("127.0.17.%d", i+1), program: f.Self,
+		f.addProcess(&process{name: fmt.Sprintf("worker%d", i+1), role: "worker", zone: deployment.Small.Zone(i), ip: fmt.Sprintf("127.0.17.%d", i+1), program: f.Self,
 			args: []string{"worker", "--agent", w.addr, "--source", fmt.Sprintf("127.0.17.%d", i+1), "--make", string(b)}})
 	}
 	for _, p := range f.processes {
@@ -99,7 +100,7 @@
 
 func (f *Fleet) addDaemon(role string, i int, more ...string) *process {
 	part := map[string]int{"controller": 11, "gateway": 13, "agent": 15}[role]
-	p := &process{name: fmt.Sprintf("%s%d", role, i+1), role: role, zone: ZoneOf(i), ip: fmt.Sprintf("127.0.%d.%d", part, i+1),
+	p := &process{name: fmt.Sprintf("%s%d", role, i+1), role: role, zone: deployment.Small.Zone(i), ip: fmt.Sprintf("127.0.%d.%d", part, i+1),
 		addr: fmt.Sprintf("127.0.%d.%d:%d", part+1, i+1, f.Port), program: f.Bin}
 	seed := func(part int) string { return fmt.Sprintf("127.0.%d.1:%d", part, f.Port) }
 	p.args = append([]string{role, "--listen", fmt.Sprintf("%s:%d", p.ip, f.Port), "--address", p.addr, "--source", p.ip,
--- a/sim/fleet_faults.go
+++ b/sim/fleet_faults.go
@@ -3,6 +3,7 @@
 
 import (
 	"coppercourse/sim/checker"
+	"coppercourse/sim/deployment"
 	"coppercourse/sim/history"
 	"fmt"
 	"os"
@@ -146,7 +147,7 @@
 }
 
 func zoneMembers(f *Fleet, s *Workload) (list []*process) {
-	z := ZoneOf(s.randomInt(3))
+	z := deployment.Small.Zone(s.randomInt(3))
 	for _, p := range f.processes {
 		if p.zone == z {
 			list = append(list, p)
--- a/sim/goodput_test.go
+++ b/sim/goodput_test.go
@@ -16,24 +16,25 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/sim/checker"
+	"coppercourse/sim/deployment"
 	"coppercourse/sim/history"
 )
 
 var allLoads = flag.Bool("crowds", false, "look at all loads")
 
 // heavyFlow is quotes so large that a few dozen a second fill the deployment.
-func heavyFlow(every time.Duration) Flow {
-	return Flow{"quotes", every, gangJobs("quotes", "quote", 6)}
+func heavyFlow(every time.Duration) deployment.Flow {
+	return deployment.Flow{Queue: "quotes", MeanInterval: every, NewSpec: deployment.GangJobs("quotes", "quote", 6)}
 }
 
 // runOverload runs one load and gives the jobs done a second: all, and payments.
-func runOverload(t *testing.T, seed int64, each time.Duration, rude float64, also ...Flow) (good, pay float64) {
+func runOverload(t *testing.T, seed int64, each time.Duration, rude float64, also ...deployment.Flow) (good, pay float64) {
 	t.Helper()
 	r := newBusyRun(seed, func(t *config.Table) {
 		for i := range t.Queues {
 			t.Queues[i].MaxUnfinished = 150
 		}
-	}, heavyFlow(each), Deployments["kingston"].Flows[1], Deployments["kingston"].Flows[2])
+	}, heavyFlow(each), deployment.ByName["kingston"].Flows[1], deployment.ByName["kingston"].Flows[2])
 	r.Clients.ImpatientRate = rude
 	for _, f := range also {
 		r.Clients.startFlow(f)
@@ -83,13 +84,13 @@
 	if !*allLoads {
 		return
 	}
-	burst := Flow{"menus", 400 * time.Millisecond, func(rnd *rand.Rand) state.Spec {
-		return state.Spec{Queue: "menus", Urgency: 9, Steps: []state.Step{{Name: "b", Kind: "menu", Resources: types.Resources{Cores: 12 * types.Core}, Tasks: 3, Work: randomWork(rnd, 1000, 3000)}}}
+	burst := deployment.Flow{Queue: "menus", MeanInterval: 400 * time.Millisecond, NewSpec: func(rnd *rand.Rand) state.Spec {
+		return state.Spec{Queue: "menus", Urgency: 9, Steps: []state.Step{{Name: "b", Kind: "menu", Resources: types.Resources{Cores: 12 * types.Core}, Tasks: 3, Work: deployment.RandomWork(rnd, 1000, 3000)}}}
 	}}
-	endless := Flow{"menus", 400 * time.Millisecond, func(rnd *rand.Rand) state.Spec {
+	endless := deployment.Flow{Queue: "menus", MeanInterval: 400 * time.Millisecond, NewSpec: func(rnd *rand.Rand) state.Spec {
 		return state.Spec{Queue: "menus", Steps: []state.Step{{Name: "e", Kind: "menu", Resources: types.Resources{Cores: 1 * types.Core}, Tasks: 20, Work: []byte(`{"ms":100000000}`)}}}
 	}}
-	for name, f := range map[string]Flow{"large and urgent jobs": burst, "work that never ends": endless} {
+	for name, f := range map[string]deployment.Flow{"large and urgent jobs": burst, "work that never ends": endless} {
 		one, pay1 := runOverload(t, 71, sustained, 0, f)
 		two, pay2 := runOverload(t, 71, sustained/2, 0, f)
 		t.Logf("with a flood of %s: 1x %.1f (payments %.2f), 2x %.1f (payments %.2f)", name, one, pay1, two, pay2)
--- a/sim/grown_rig_test.go
+++ b/sim/grown_rig_test.go
@@ -7,11 +7,12 @@
 	"time"
 
 	"coppercourse/internal/types"
+	"coppercourse/sim/deployment"
 )
 
 // newControllerFleet is a fleet of controllers and two gateways without traffic. The controllers start by hand.
 func newControllerFleet(seed int64, controllers, zones int) *Run {
-	r := newRun(Plan{Seed: seed, Quick: true}, Deployment{Size: Size{Zones: zones, Controllers: controllers, Gateways: 2, Founders: 3}})
+	r := newRun(Plan{Seed: seed, Quick: true}, deployment.Deployment{Size: deployment.Size{Zones: zones, Controllers: controllers, Gateways: 2, Founders: 3}})
 	for _, n := range r.controllers {
 		made := n.newMachine
 		n.newMachine = nil
@@ -62,7 +63,7 @@
 // putTable has an operator put the next table; acked tells whether it was taken.
 func (r *Run) putTable(on types.Version) (acked func() bool) {
 	ok := false
-	t := Deployments["kingston"].Table()
+	t := deployment.ByName["kingston"].Table()
 	t.Version = on
 	r.Clients.putTable(t, "g1", 0, func(b bool) { ok = ok || b })
 	return func() bool { return ok }
--- a/sim/invoked_faults.go
+++ b/sim/invoked_faults.go
@@ -9,6 +9,7 @@
 	"coppercourse/internal/config"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/deployment"
 )
 
 // anyInvokedWorker is a worker that is up, or nil.
@@ -173,8 +174,8 @@
 var pollOnly = map[string]bool{"freeze-worker": true, "freeze-machine": true, "leave-worker": true, "remove-worker": true, "stall-worker": true}
 
 // FaultsOf lists the faults that a deployment knows.
-func FaultsOf(deployment string) (list []string) {
-	called := Deployments[deployment].WorkerRules != nil
+func FaultsOf(name string) (list []string) {
+	called := deployment.ByName[name].Invoked()
 	for _, n := range FaultNames() {
 		if !called || !pollOnly[n] {
 			list = append(list, n)
--- a/sim/invoked_test.go
+++ b/sim/invoked_test.go
@@ -16,6 +16,7 @@
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 	"coppercourse/sim/checker"
+	"coppercourse/sim/deployment"
 	"coppercourse/sim/history"
 )
 
@@ -148,9 +149,9 @@
 func newGangRun(seed int64, how func(*Run)) *Run {
 	r := New(calmPlan(seed, "kingston-called", false))
 	r.Clients.deployment.Streams = slices.Clone(r.Clients.deployment.Streams[:1])
-	x := shape{queue: "quotes", steps: 1, tasks: 6, taskMS: 900, cores: 3, memory: 900, gangRate: 1}
+	x := deployment.JobShape{Queue: "quotes", Steps: 1, Tasks: 6, TaskMS: 900, Cores: 3, MemoryMB: 900, GangRate: 1}
 	r.Clients.deployment.Streams[0].MeanInterval = 120 * time.Millisecond
-	r.Clients.deployment.Streams[0].NewSpec = func(rnd *rand.Rand, now int64) state.Spec { return x.spec(rnd, now, 16) }
+	r.Clients.deployment.Streams[0].NewSpec = func(rnd *rand.Rand, now int64) state.Spec { return x.NewSpec(rnd, now, 16) }
 	r.after(5*time.Second, func() { how(r) })
 	return r
 }
--- a/sim/linear_rig_test.go
+++ b/sim/linear_rig_test.go
@@ -17,6 +17,7 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/deployment"
 )
 
 const (
@@ -167,7 +168,7 @@
 	if n < 4 || len(or.ids) == 0 {
 		id := types.JobID(fmt.Sprintf("quotes-%d", len(or.ids)))
 		or.ids = append(or.ids, id)
-		or.specs[id] = pairJobs("payments", "pay")(or.random)
+		or.specs[id] = deployment.PairJobs("payments", "pay")(or.random)
 		or.requestJob(client, "job.put", id, or.specs[id], 0, again)
 		return
 	}
--- a/sim/operator.go
+++ b/sim/operator.go
@@ -107,7 +107,7 @@
 
 // alteredTable is a change of a table as this deployment's operators make it.
 func (c *Clients) alteredTable(t config.Table) config.Table {
-	if c.deployment.WorkerRules != nil {
+	if c.deployment.Invoked() {
 		return c.nextVersion(t)
 	}
 	n := config.Table{Version: t.Version, Queues: slices.Clone(t.Queues)}
--- a/sim/run.go
+++ b/sim/run.go
@@ -12,6 +12,7 @@
 	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/settings"
 	"coppercourse/internal/types"
+	"coppercourse/sim/deployment"
 	"coppercourse/sim/history"
 	"coppercourse/sim/worker"
 )
@@ -49,12 +50,12 @@
 }
 
 // New sets the plan's deployment up: its controllers, gateways, agents and their workers.
-func New(p Plan) *Run { return newRun(p, Deployments[p.Deployment]) }
+func New(p Plan) *Run { return newRun(p, deployment.ByName[p.Deployment]) }
 
-func newRun(p Plan, deployment Deployment) *Run {
+func newRun(p Plan, deployment deployment.Deployment) *Run {
 	r := &Run{World: NewWorld(p.Seed), Plan: p, zones: map[types.Zone][]types.Addr{}, drained: map[string]bool{}}
-	size := deployment.effectiveSize()
-	if deployment.WorkerRules != nil {
+	size := deployment.Size
+	if deployment.Invoked() {
 		r.environment = worker.NewEnvironment(*deployment.WorkerRules)
 	}
 	if p.Quick {
@@ -69,22 +70,22 @@
 		r.seeds = r.founders
 	}
 	for i := range size.Controllers {
-		n := r.addController(types.Addr(fmt.Sprintf("h%d", i+1)), size.zone(i))
+		n := r.addController(types.Addr(fmt.Sprintf("h%d", i+1)), size.Zone(i))
 		n.firstStart = true
 		r.controllers = append(r.controllers, n)
 	}
 	for i := range size.Gateways {
-		r.gateways = append(r.gateways, r.addGateway(types.Addr(fmt.Sprintf("g%d", i+1)), size.zone(i)))
+		r.gateways = append(r.gateways, r.addGateway(types.Addr(fmt.Sprintf("g%d", i+1)), size.Zone(i)))
 	}
 	for i, m := range deployment.Workers() {
 		a := types.Addr(fmt.Sprintf("w%d", i+1))
-		r.agents = append(r.agents, r.addAgent(a, size.zone(i), m))
-		if deployment.WorkerRules != nil {
+		r.agents = append(r.agents, r.addAgent(a, size.Zone(i), m))
+		if deployment.Invoked() {
 			m.RejectsOverload = !p.Unguarded
-			r.addInvokedWorker(types.Addr(fmt.Sprintf("k%d", i+1)), a, size.zone(i), m)
+			r.addInvokedWorker(types.Addr(fmt.Sprintf("k%d", i+1)), a, size.Zone(i), m)
 			continue
 		}
-		r.addPollingWorker(types.Addr(fmt.Sprintf("k%d", i+1)), a, size.zone(i), m)
+		r.addPollingWorker(types.Addr(fmt.Sprintf("k%d", i+1)), a, size.Zone(i), m)
 	}
 	for _, a := range r.nodeOrder {
 		n := r.nodes[a]
@@ -120,7 +121,7 @@
 	}
 	r.after(3*time.Second, func() { r.Clients.putTable(t, r.Clients.anyGateway(), 0, func(bool) {}) })
 	r.after(6*time.Second, func() {
-		if r.startTraffic(); r.Clients.deployment.WorkerRules != nil {
+		if r.startTraffic(); r.Clients.deployment.Invoked() {
 			r.Clients.startVersioningOperators()
 		} else {
 			r.Clients.startRacingOperators()
@@ -199,7 +200,7 @@
 	for _, s := range r.Clients.deployment.Streams {
 		r.Clients.startStream(s)
 	}
-	if r.Clients.deployment.WorkerRules == nil {
+	if !r.Clients.deployment.Invoked() {
 		for _, f := range append(r.Clients.deployment.Flows[:3:3], r.Clients.deployment.LongGangs()) {
 			r.Clients.startFlow(f)
 		}
--- a/sim/schedule_test.go
+++ b/sim/schedule_test.go
@@ -17,6 +17,7 @@
 	"coppercourse/internal/apierror"
 	"coppercourse/internal/config"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/deployment"
 	"coppercourse/sim/history"
 )
 
@@ -34,11 +35,11 @@
 
 // schedule runs one, with a planted bug if there is one.
 func schedule(seed int64, controllers int, span time.Duration, plant func(*Run)) *Run {
-	d := Deployments["kingston-called"]
-	d.Size = Small
+	d := deployment.ByName["kingston-called"]
+	d.Size = deployment.Small
 	d.Size.Controllers, d.Size.Gateways = controllers, 3
-	if controllers > Small.Controllers {
-		d.Size.Founders = Small.Controllers
+	if controllers > deployment.Small.Controllers {
+		d.Size.Founders = deployment.Small.Controllers
 	}
 	d.Streams = slices.Clone(d.Streams)
 	for i := range d.Streams {
--- a/sim/upkeep_test.go
+++ b/sim/upkeep_test.go
@@ -16,11 +16,12 @@
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 	"coppercourse/sim/checker"
+	"coppercourse/sim/deployment"
 	"coppercourse/sim/history"
 )
 
 // newBusyRun is a deployment with a table of its own and its traffic from 6 s on.
-func newBusyRun(seed int64, change func(*config.Table), flows ...Flow) *Run {
+func newBusyRun(seed int64, change func(*config.Table), flows ...deployment.Flow) *Run {
 	r := New(Plan{Seed: seed, Deployment: "kingston", Patience: 30 * time.Second})
 	r.Clients.RacingOperators, r.Clients.CancelRate = false, 0
 	t := r.Clients.deployment.Table()
@@ -131,7 +132,7 @@
 func fillWorkers(r *Run, n, ms int) {
 	for i := range n {
 		r.submitJob(fmt.Sprint("menus-fill", i), state.Spec{Queue: "menus", Steps: []state.Step{{Name: "f", Kind: "menu", Resources: types.Resources{Cores: 4 * types.Core}, Tasks: 40,
-			Work: randomWork(r.random, ms, ms)}}})
+			Work: deployment.RandomWork(r.random, ms, ms)}}})
 	}
 }
 
@@ -271,8 +272,8 @@
 	t.Parallel()
 	is := is.New(t)
 	r := newBusyRun(60, func(t *config.Table) { t.Queues[0].TaskTimeoutMillis, t.Queues[1].TaskTimeoutMillis = 5000, 5000 })
-	r.Clients.startFlow(Flow{"menus", 30 * time.Millisecond, func(rnd *rand.Rand) state.Spec {
-		return state.Spec{Queue: "menus", Steps: []state.Step{{Name: "s", Kind: "menu", Resources: types.Resources{Cores: 3 * types.Core}, Tasks: 1, Work: randomWork(rnd, 800, 1600)}}}
+	r.Clients.startFlow(deployment.Flow{Queue: "menus", MeanInterval: 30 * time.Millisecond, NewSpec: func(rnd *rand.Rand) state.Spec {
+		return state.Spec{Queue: "menus", Steps: []state.Step{{Name: "s", Kind: "menu", Resources: types.Resources{Cores: 3 * types.Core}, Tasks: 1, Work: deployment.RandomWork(rnd, 800, 1600)}}}
 	}})
 	r.RunUntil(20 * time.Second)
 	var waits []time.Duration
--- a/sim/workload.go
+++ b/sim/workload.go
@@ -23,6 +23,7 @@
 	"coppercourse/internal/server"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/deployment"
 	"coppercourse/sim/history"
 )
 
@@ -84,7 +85,7 @@
 }
 
 // RunFlow sends jobs of one shape until the workload is closed.
-func (w *Workload) RunFlow(fl Flow) {
+func (w *Workload) RunFlow(fl deployment.Flow) {
 	w.pending.Add(1)
 	defer w.pending.Done()
 	for w.open.Load() {
