--- a/cmd/coppercourse/layers_test.go
+++ b/cmd/coppercourse/layers_test.go
@@ -34,7 +34,7 @@
 	{"cmd/coppercourse", "sim/history"},
 	{"sim/worker"},
 	{"sim/checker", "sim/deployment"},
-	{"sim"},
+	{"sim", "sim/fleet"},
 	{"sim/capacity"},
 	{"cmd/coppersim"},
 }
--- a/cmd/coppersim/fleet.go
+++ b/cmd/coppersim/fleet.go
@@ -12,8 +12,8 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"coppercourse/sim"
 	"coppercourse/sim/deployment"
+	"coppercourse/sim/fleet"
 	"coppercourse/sim/history"
 )
 
@@ -57,7 +57,7 @@
 
 // run starts the fleet, lets its traffic and faults go on, and reports.
 func (fr *fleetRun) run() error {
-	faults, err := sim.ParseFaults(fr.faults)
+	faults, err := fleet.ParseFaults(fr.faults)
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 		return err
 	}
 	defer f.Stop()
-	workload := sim.NewWorkload(f, fr.seed, fr.speed)
+	workload := fleet.NewWorkload(f, fr.seed, fr.speed)
 	if _, err := workload.PutTable(f.Deployment.Table()); err != nil {
 		return err
 	}
@@ -96,7 +96,7 @@
 }
 
 // open starts the processes and waits until all daemons are ready.
-func (fr *fleetRun) open(ctx context.Context) (*sim.Fleet, error) {
+func (fr *fleetRun) open(ctx context.Context) (*fleet.Fleet, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -106,7 +106,7 @@
 			return nil, err
 		}
 	}
-	f := &sim.Fleet{
+	f := &fleet.Fleet{
 		Deployment: deployment.ByName[fr.deployment], Dir: fr.dir, Bin: fr.bin, Self: self, Port: fr.port,
 	}
 	if err := f.Start(ctx); err != nil {
@@ -123,7 +123,7 @@
 }
 
 // measureIdle prints what the daemons spend before there is traffic.
-func (fr *fleetRun) measureIdle(f *sim.Fleet) error {
+func (fr *fleetRun) measureIdle(f *fleet.Fleet) error {
 	if fr.idle <= 0 {
 		return nil
 	}
@@ -163,5 +163,5 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	seed := time.Now().UnixNano()
-	return sim.RunWorkerProcess(ctx, spec, wr.id, wr.agent, wr.source, wr.history, seed)
+	return fleet.RunWorkerProcess(ctx, spec, wr.id, wr.agent, wr.source, wr.history, seed)
 }
--- /dev/null
+++ b/sim/fleet/faults.go
@@ -0,0 +1,300 @@
+package fleet
+
+import (
+	"fmt"
+	"os"
+	"slices"
+	"sort"
+	"strconv"
+	"strings"
+	"syscall"
+	"time"
+
+	"coppercourse/sim/deployment"
+	"coppercourse/sim/history"
+)
+
+// ScheduledFault is one fault of a day.
+type ScheduledFault struct {
+	Name     string
+	At       time.Duration // after the start of the traffic
+	Duration time.Duration
+}
+
+// ParseFaults reads faults as name@at+duration, by comma.
+func ParseFaults(text string) ([]ScheduledFault, error) {
+	var list []ScheduledFault
+	for _, word := range strings.FieldsFunc(text, func(r rune) bool { return r == ',' }) {
+		fault, ok := parseFault(word)
+		if !ok {
+			return nil, fmt.Errorf("fault %q: want name@at+long, with a name of: %s; "+
+				"or kill:P, freeze:P, wipe:P, cut:P, cut:P:Q, "+
+				"where P and Q are controller1 to 3, gateway1 to 4, agent1 to 11, worker1 to 11",
+				word, strings.Join(FaultNames(), ", "))
+		}
+		list = append(list, fault)
+	}
+	sort.Slice(list, func(i, k int) bool { return list[i].At < list[k].At })
+	return list, nil
+}
+
+func parseFault(word string) (ScheduledFault, bool) {
+	name, times, ok := strings.Cut(word, "@")
+	at, duration, hasDuration := strings.Cut(times, "+")
+	if !ok || !hasDuration || findFault(name) == nil {
+		return ScheduledFault{}, false
+	}
+	fault := ScheduledFault{Name: name}
+	var err, err2 error
+	fault.At, err = time.ParseDuration(at)
+	fault.Duration, err2 = time.ParseDuration(duration)
+	return fault, err == nil && err2 == nil
+}
+
+// FaultNames returns the names of the faults that aim by themselves.
+func FaultNames() []string {
+	var names []string
+	for name := range faults {
+		names = append(names, name)
+	}
+	sort.Strings(names)
+	return names
+}
+
+// fault begins, and returns what ends it.
+type fault func(f *Fleet, w *Workload) (end func())
+
+// target picks the processes that a fault strikes.
+type target func(f *Fleet, w *Workload) []*process
+
+// faults are the faults that aim by themselves.
+var faults = map[string]fault{
+	"kill-leader":     killFault(currentLeader, false),
+	"kill-controller": killFault(anyOf(controllerRole), false),
+	"kill-core":       killFault(all(controllerRole), false),
+	"wipe-controller": killFault(anyOf(controllerRole), true),
+	"kill-gateway":    killFault(anyOf(gatewayRole), false),
+	"kill-agent":      killFault(anyOf(agentRole), false),
+	"kill-worker":     killFault(anyOf(workerRole), false),
+	"kill-machine":    killFault(anyMachine, false),
+	"freeze-leader":   freezeFault(currentLeader),
+	"freeze-agent":    freezeFault(anyOf(agentRole)),
+	"freeze-worker":   freezeFault(anyOf(workerRole)),
+	"freeze-machine":  freezeFault(anyMachine),
+	"cut-zone":        partitionFault(anyZone, everybody),
+	"cut-leader":      partitionFault(currentLeader, everybody),
+	"cut-core":        partitionFault(currentLeader, isController),
+	"cut-agent":       partitionFault(anyOf(agentRole), everybody),
+	"cut-worker":      partitionFault(anyOf(workerRole), everybody),
+	"stop-leader":     restartLeader,
+	"roll-all":        restartAll,
+}
+
+// findFault returns a fault by its name, or by KIND:PROCESS or cut:PROCESS:OTHER one that
+// strikes a process; nil if there is no such.
+func findFault(name string) fault {
+	kind, rest, ok := strings.Cut(name, ":")
+	if !ok {
+		return faults[name]
+	}
+	names := strings.Split(rest, ":")
+	if !slices.ContainsFunc(names, func(n string) bool { return !isProcessName(n) }) {
+		return aimedFault(kind, names)
+	}
+	return nil
+}
+
+// aimedFault returns a fault that strikes the first of some processes.
+func aimedFault(kind string, names []string) fault {
+	first := func(f *Fleet, _ *Workload) []*process { return []*process{f.processByName[names[0]]} }
+	if kind == "cut" && len(names) == 2 {
+		return partitionFault(first, func(p *process) bool { return p.name == names[1] })
+	}
+	if len(names) != 1 {
+		return nil
+	}
+	switch kind {
+	case "kill":
+		return killFault(first, false)
+	case "wipe":
+		return killFault(first, true)
+	case "freeze":
+		return freezeFault(first)
+	case "cut":
+		return partitionFault(first, everybody)
+	}
+	return nil
+}
+
+// isProcessName reports whether a fleet has a process of this name.
+func isProcessName(name string) bool {
+	size := deployment.Small
+	counts := map[string]int{
+		controllerRole: size.Controllers,
+		gatewayRole:    size.Gateways,
+		agentRole:      size.Workers,
+		workerRole:     size.Workers,
+	}
+	role := strings.TrimRight(name, "0123456789")
+	i, err := strconv.Atoi(name[len(role):])
+	return err == nil && i >= 1 && i <= counts[role]
+}
+
+// killFault kills processes and starts them again at its end, without their data if wipe
+// is set.
+func killFault(pick target, wipe bool) fault {
+	return func(f *Fleet, w *Workload) func() {
+		struck := pick(f, w)
+		for _, p := range struck {
+			f.kill(p)
+		}
+		return func() {
+			for _, p := range struck {
+				if wipe {
+					os.RemoveAll(p.dataPath(f.Dir))
+				}
+				f.launch(p)
+			}
+		}
+	}
+}
+
+// freezeFault suspends processes.
+func freezeFault(pick target) fault {
+	return func(f *Fleet, w *Workload) func() {
+		struck := pick(f, w)
+		for _, p := range struck {
+			f.freeze(p)
+		}
+		return func() {
+			for _, p := range struck {
+				f.thaw(p)
+			}
+		}
+	}
+}
+
+// partitionFault cuts processes off from the others, or from some of them.
+func partitionFault(pick target, from func(*process) bool) fault {
+	return func(f *Fleet, w *Workload) func() {
+		struck := pick(f, w)
+		set := func(cut bool) {
+			for _, inside := range struck {
+				for _, outside := range f.processes {
+					if !slices.Contains(struck, outside) && from(outside) {
+						f.partitions.Set(inside.ip, outside.ip, cut)
+						f.partitions.Set(outside.ip, inside.ip, cut)
+					}
+				}
+			}
+		}
+		set(true)
+		return func() { set(false) }
+	}
+}
+
+func everybody(*process) bool { return true }
+
+func isController(p *process) bool { return p.role == controllerRole }
+
+func currentLeader(f *Fleet, _ *Workload) []*process {
+	if p := f.leader(); p != nil {
+		return []*process{p}
+	}
+	return nil
+}
+
+func anyOf(role string) target {
+	return func(f *Fleet, w *Workload) []*process {
+		list := f.withRole(role)
+		return []*process{list[w.randomInt(len(list))]}
+	}
+}
+
+func all(role string) target {
+	return func(f *Fleet, _ *Workload) []*process { return f.withRole(role) }
+}
+
+func anyZone(f *Fleet, w *Workload) []*process {
+	zone := f.Deployment.Size.Zone(w.randomInt(f.Deployment.Size.Zones))
+	var list []*process
+	for _, p := range f.processes {
+		if p.zone == zone {
+			list = append(list, p)
+		}
+	}
+	return list
+}
+
+// anyMachine is an agent and the worker beside it.
+func anyMachine(f *Fleet, w *Workload) []*process {
+	i := w.randomInt(f.Deployment.Size.Workers)
+	return []*process{f.processByName[processName(agentRole, i)], f.processByName[processName(workerRole, i)]}
+}
+
+func restartLeader(f *Fleet, w *Workload) func() {
+	for _, p := range currentLeader(f, w) {
+		f.restart(p)
+	}
+	return func() {}
+}
+
+// restartAll restarts the daemons one after the other.
+func restartAll(f *Fleet, _ *Workload) func() {
+	for _, role := range []string{controllerRole, gatewayRole, agentRole} {
+		for _, p := range f.withRole(role) {
+			f.restart(p)
+			f.AwaitReady(10 * time.Second)
+		}
+	}
+	return func() {}
+}
+
+// gracefulTimeout is how long a warned daemon may take to stop.
+const gracefulTimeout = 6 * time.Second
+
+// restart warns a daemon, as the platform does, and starts it again.
+func (f *Fleet) restart(p *process) {
+	p.signal(syscall.SIGTERM)
+	select {
+	case <-p.exited:
+	case <-time.After(gracefulTimeout):
+	}
+	p.signal(syscall.SIGKILL)
+	f.Record(history.Event{Kind: history.DaemonStopped, Process: p.address})
+	f.launch(p)
+}
+
+// launch starts a process again. One that does not start is seen by its traffic.
+func (f *Fleet) launch(p *process) {
+	if err := p.launch(f.Dir); err != nil {
+		fmt.Fprintln(os.Stderr, "fleet:", err)
+	}
+}
+
+func (f *Fleet) kill(p *process) {
+	p.signal(syscall.SIGKILL)
+	p.down.Store(true)
+	f.Record(history.Event{Kind: history.DaemonStopped, Process: p.address})
+	if p.role == workerRole {
+		f.recordWorker(history.WorkerDied, p)
+	}
+}
+
+// freeze suspends a process. A worker counts as frozen only from then on.
+func (f *Fleet) freeze(p *process) {
+	p.signal(syscall.SIGSTOP)
+	if p.role == workerRole {
+		f.recordWorker(history.WorkerFroze, p)
+	}
+	p.frozen.Store(true)
+}
+
+// thaw resumes a process. A worker counts as frozen no longer than until then.
+func (f *Fleet) thaw(p *process) {
+	if p.role == workerRole {
+		f.recordWorker(history.WorkerThawed, p)
+	}
+	p.signal(syscall.SIGCONT)
+	p.frozen.Store(false)
+}
--- /dev/null
+++ b/sim/fleet/fleet.go
@@ -0,0 +1,274 @@
+package fleet
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"os"
+	"sort"
+	"strconv"
+	"sync"
+	"syscall"
+	"time"
+
+	"coppercourse/sim/deployment"
+	"coppercourse/sim/history"
+)
+
+// Third numbers of the IP addresses 127.0.x.y: where daemons listen, and one more where
+// their relays do.
+const (
+	controllerNet = 11
+	gatewayNet    = 13
+	agentNet      = 15
+	workerNet     = 17
+)
+
+const (
+	pageTimeout   = 2 * time.Second
+	readyInterval = 100 * time.Millisecond // at which daemons are asked whether they are ready
+	stopTime      = time.Second            // from the warning to the kill of all processes
+	maxEventBytes = 1 << 20                // in a line of a worker's history
+)
+
+// Fleet is the processes of a deployment whose workers poll.
+type Fleet struct {
+	Deployment deployment.Deployment
+	Dir        string // for logs, data and histories
+	Bin        string // the coppercourse program
+	Self       string // the program that runs RunWorkerProcess
+	Port       int    // of all daemons
+
+	ctx           context.Context
+	startedAt     time.Time
+	client        *http.Client
+	partitions    *Partitions
+	processes     []*process
+	processByName map[string]*process
+
+	mu      sync.Mutex
+	history history.History // guarded by mu until the day is over
+}
+
+// Start starts the processes.
+func (f *Fleet) Start(ctx context.Context) error {
+	f.ctx, f.startedAt = ctx, time.Now()
+	f.client = &http.Client{Timeout: pageTimeout}
+	f.partitions, f.processByName = NewPartitions(), map[string]*process{}
+	if err := os.MkdirAll(f.Dir, 0o755); err != nil {
+		return err
+	}
+	if err := f.layOut(); err != nil {
+		return err
+	}
+	for _, p := range f.daemons() {
+		if err := f.partitions.Relay(ctx, p.address, f.listenAddress(p)); err != nil {
+			return fmt.Errorf("relay for %s: %w", p.name, err)
+		}
+	}
+	for _, p := range f.processes {
+		if err := p.launch(f.Dir); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// layOut adds all processes of the deployment.
+func (f *Fleet) layOut() error {
+	for i := range f.Deployment.Size.Controllers {
+		p := f.addDaemon(controllerRole, controllerNet, i)
+		p.args = append(p.args, "--data", p.dataPath(f.Dir))
+	}
+	for i := range f.Deployment.Size.Gateways {
+		f.addDaemon(gatewayRole, gatewayNet, i)
+	}
+	for i, spec := range f.Deployment.Workers() {
+		agent := f.addDaemon(agentRole, agentNet, i)
+		agent.args = append(agent.args, "--shard", string(spec.Shard))
+		b, err := json.Marshal(spec)
+		if err != nil {
+			return err
+		}
+		ip := processIP(workerNet, i)
+		f.addProcess(&process{
+			name:    processName(workerRole, i),
+			role:    workerRole,
+			zone:    f.Deployment.Size.Zone(i),
+			ip:      ip,
+			program: f.Self,
+			args:    []string{"worker", "--agent", agent.address, "--source", ip, "--make", string(b)},
+		})
+	}
+	return nil
+}
+
+func processName(role string, i int) string { return role + strconv.Itoa(i+1) }
+
+func processIP(net, i int) string { return fmt.Sprintf("127.0.%d.%d", net, i+1) }
+
+func (f *Fleet) addProcess(p *process) {
+	f.processes = append(f.processes, p)
+	f.processByName[p.name] = p
+}
+
+// addDaemon adds a daemon that others reach through a relay.
+func (f *Fleet) addDaemon(role string, net, i int) *process {
+	p := &process{
+		name:    processName(role, i),
+		role:    role,
+		zone:    f.Deployment.Size.Zone(i),
+		ip:      processIP(net, i),
+		address: f.relayAddress(net, i),
+		program: f.Bin,
+	}
+	p.args = []string{role, "--listen", f.listenAddress(p), "--address", p.address, "--source", p.ip,
+		"--locality", string(p.zone)}
+	for _, seedNet := range []int{controllerNet, gatewayNet, agentNet} {
+		p.args = append(p.args, "--seed", f.relayAddress(seedNet, 0))
+	}
+	f.addProcess(p)
+	return p
+}
+
+func (f *Fleet) listenAddress(p *process) string { return fmt.Sprintf("%s:%d", p.ip, f.Port) }
+
+func (f *Fleet) relayAddress(net, i int) string {
+	return fmt.Sprintf("%s:%d", processIP(net+1, i), f.Port)
+}
+
+// daemons returns all processes but the workers.
+func (f *Fleet) daemons() []*process {
+	var list []*process
+	for _, p := range f.processes {
+		if p.role != workerRole {
+			list = append(list, p)
+		}
+	}
+	return list
+}
+
+// withRole returns the processes of a role.
+func (f *Fleet) withRole(role string) []*process {
+	var list []*process
+	for _, p := range f.processes {
+		if p.role == role {
+			list = append(list, p)
+		}
+	}
+	return list
+}
+
+// AwaitReady waits until all daemons say that they are ready.
+func (f *Fleet) AwaitReady(timeout time.Duration) error {
+	daemons := f.daemons()
+	for until := time.Now().Add(timeout); time.Now().Before(until); time.Sleep(readyInterval) {
+		ready := 0
+		for _, p := range daemons {
+			if f.isReady(p) {
+				ready++
+			}
+		}
+		if ready == len(daemons) {
+			return nil
+		}
+	}
+	return fmt.Errorf("the fleet is not ready after %s; see the logs in %s", timeout, f.Dir)
+}
+
+// Stop warns all processes of the fleet, and kills them a little later.
+func (f *Fleet) Stop() {
+	for _, p := range f.processes {
+		p.signal(syscall.SIGCONT)
+		p.signal(syscall.SIGTERM)
+	}
+	time.Sleep(stopTime)
+	for _, p := range f.processes {
+		p.signal(syscall.SIGKILL)
+	}
+}
+
+// getPage reads a daemon's page, without its relay.
+func (f *Fleet) getPage(p *process, path string, page any) error {
+	res, err := f.client.Get("http://" + f.listenAddress(p) + path)
+	if err != nil {
+		return err
+	}
+	defer res.Body.Close()
+	if res.StatusCode != http.StatusOK {
+		return fmt.Errorf("%s%s: %s", p.name, path, res.Status)
+	}
+	return json.NewDecoder(res.Body).Decode(page)
+}
+
+func (f *Fleet) isReady(p *process) bool {
+	var page any
+	return f.getPage(p, "/ready", &page) == nil
+}
+
+// leader returns the controller that leads by its own page, or nil.
+func (f *Fleet) leader() *process {
+	var leader *process
+	var term uint64
+	for _, p := range f.withRole(controllerRole) {
+		var status struct {
+			Part string `json:"part"`
+			Term uint64 `json:"term"`
+		}
+		if !p.up() || f.getPage(p, "/v1/status", &status) != nil {
+			continue
+		}
+		if status.Part == "leader" && status.Term > term {
+			leader, term = p, status.Term
+		}
+	}
+	return leader
+}
+
+// Record adds an event to the history, now.
+func (f *Fleet) Record(event history.Event) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	event.At = time.Since(f.startedAt).Nanoseconds()
+	f.history.Add(event)
+}
+
+// recordWorker records what happens to a worker's process.
+func (f *Fleet) recordWorker(kind history.Kind, p *process) {
+	f.Record(history.Event{Kind: kind, Process: p.id(), Shard: p.shard()})
+}
+
+// gatherHistories adds the histories that the workers wrote, in order of time.
+func (f *Fleet) gatherHistories() error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, p := range f.withRole(workerRole) {
+		if err := f.gatherHistory(p.historyPath(f.Dir)); err != nil {
+			return err
+		}
+	}
+	events := f.history.Events
+	sort.SliceStable(events, func(i, k int) bool { return events[i].At < events[k].At })
+	return nil
+}
+
+func (f *Fleet) gatherHistory(path string) error {
+	file, err := os.Open(path)
+	if err != nil {
+		return err
+	}
+	defer file.Close()
+	lines := bufio.NewScanner(file)
+	lines.Buffer(nil, maxEventBytes)
+	for lines.Scan() {
+		var event history.Event
+		if json.Unmarshal(lines.Bytes(), &event) != nil {
+			continue // the line at which a process was killed
+		}
+		event.At -= f.startedAt.UnixNano()
+		f.history.Add(event)
+	}
+	return lines.Err()
+}
--- /dev/null
+++ b/sim/fleet/workload.go
@@ -0,0 +1,342 @@
+package fleet
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand"
+	"net/http"
+	"slices"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/config"
+	"coppercourse/internal/controller"
+	"coppercourse/internal/server"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+	"coppercourse/sim/deployment"
+	"coppercourse/sim/history"
+)
+
+const (
+	callerIP          = "127.0.9.1"
+	requestTimeout    = 4 * time.Second
+	maxOpenJobs       = 3000 // that callers follow at once; more are not sent
+	cancelRate        = 0.04 // part of the jobs that are cancelled
+	readinessInterval = 100 * time.Millisecond
+	resendPause       = 100 * time.Millisecond // after a request without an answer
+	racePause         = 3 * time.Second        // between two races of operators
+
+	maxSubmissions = 60
+	maxCancels     = 20
+	maxTablePuts   = 60
+)
+
+// Workload is all callers and operators of a fleet. Each of their requests has a
+// connection of its own, to a gateway that says that it is ready. A request whose answer
+// was lost is sent again, and so is one that was rejected, when its answer says so.
+type Workload struct {
+	AcceptTimes []float64 // ms from submission to acceptance
+	DoneTimes   []float64 // ms from submission until a job was seen done
+	Refusals    map[apierror.Kind]int
+	Dropped     atomic.Int64 // requests that were read and never answered
+
+	fleet   *Fleet
+	speed   float64 // times the deployment's usual rates
+	client  *http.Client
+	open    atomic.Bool
+	ready   atomic.Pointer[[]*process] // gateways
+	pending sync.WaitGroup             // flows, jobs and operators
+	slots   chan struct{}              // taken by open jobs
+
+	mu      sync.Mutex // guards what follows, and the exported lists and counts
+	random  *rand.Rand
+	lastJob int
+}
+
+// NewWorkload returns callers that send nothing yet.
+func NewWorkload(f *Fleet, seed int64, speed float64) *Workload {
+	client := server.NewClient(callerIP, requestTimeout)
+	if transport, ok := client.Transport.(*http.Transport); ok {
+		transport.DisableKeepAlives = true
+	}
+	w := &Workload{
+		Refusals: map[apierror.Kind]int{},
+		fleet:    f,
+		speed:    speed,
+		client:   client,
+		slots:    make(chan struct{}, maxOpenJobs),
+		random:   rand.New(rand.NewSource(seed)),
+	}
+	gateways := f.withRole(gatewayRole)
+	w.ready.Store(&gateways)
+	w.open.Store(true)
+	return w
+}
+
+// WatchReadiness keeps the list of ready gateways, as the platform does, until the fleet
+// stops.
+func (w *Workload) WatchReadiness() {
+	for w.fleet.ctx.Err() == nil {
+		var ready []*process
+		for _, p := range w.fleet.withRole(gatewayRole) {
+			if p.up() && w.fleet.isReady(p) {
+				ready = append(ready, p)
+			}
+		}
+		if len(ready) > 0 {
+			w.ready.Store(&ready)
+		}
+		time.Sleep(readinessInterval)
+	}
+}
+
+func (w *Workload) randomInt(n int) int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.random.Intn(n)
+}
+
+func (w *Workload) randomMillis(n int) time.Duration {
+	return time.Duration(w.randomInt(n)) * time.Millisecond
+}
+
+func (w *Workload) readyGateway() *process {
+	list := *w.ready.Load()
+	return list[w.randomInt(len(list))]
+}
+
+// RunFlow sends jobs of one kind until the workload is closed.
+func (w *Workload) RunFlow(flow deployment.Flow) {
+	w.pending.Add(1)
+	defer w.pending.Done()
+	meanInterval := float64(flow.MeanInterval) / w.speed
+	for w.open.Load() {
+		time.Sleep(time.Duration((0.5 + float64(w.randomInt(1000))/1000) * meanInterval))
+		id, spec := w.newJob(flow)
+		select {
+		case w.slots <- struct{}{}:
+			w.fleet.Record(history.Event{Kind: history.JobSubmitted, Job: id, Spec: &spec})
+			w.pending.Add(1)
+			go func() {
+				defer w.pending.Done()
+				defer func() { <-w.slots }()
+				w.runJob(id, wire.EncodeBody(spec))
+			}()
+		default:
+		}
+	}
+}
+
+func (w *Workload) newJob(flow deployment.Flow) (types.JobID, state.Spec) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.lastJob++
+	return types.JobID(fmt.Sprintf("%s-%d", flow.Queue, w.lastJob)), flow.NewSpec(w.random)
+}
+
+// request sends a request to a ready gateway. Its code is 0 if there is no answer. A
+// request that was read and got none from a gateway that is up counts as dropped.
+func (w *Workload) request(method, path string, body []byte) (code int, answer []byte) {
+	gateway := w.readyGateway()
+	url := "http://" + w.fleet.listenAddress(gateway) + path
+	req, err := http.NewRequestWithContext(w.fleet.ctx, method, url, bytes.NewReader(body))
+	if err != nil {
+		return 0, nil
+	}
+	code, answer, err = w.send(req)
+	if err == nil {
+		return code, answer
+	}
+	if (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)) && gateway.up() {
+		w.Dropped.Add(1)
+		w.fleet.Record(history.Event{Kind: history.RequestDropped, Process: gateway.name, Text: err.Error()})
+	}
+	return 0, nil
+}
+
+func (w *Workload) send(req *http.Request) (code int, body []byte, err error) {
+	res, err := w.client.Do(req)
+	if err != nil {
+		return 0, nil, err
+	}
+	defer res.Body.Close()
+	body, err = io.ReadAll(res.Body)
+	return res.StatusCode, body, err
+}
+
+// runJob submits a job, cancels it or not, and follows it to its end.
+func (w *Workload) runJob(id types.JobID, body []byte) {
+	submittedAt := time.Now()
+	if !w.submit(id, body) {
+		return
+	}
+	w.recordTime(&w.AcceptTimes, submittedAt)
+	if w.randomInt(1000) < int(cancelRate*1000) {
+		time.Sleep(w.randomMillis(2000))
+		w.cancel(id)
+	}
+	for w.fleet.ctx.Err() == nil {
+		time.Sleep(150*time.Millisecond + w.randomMillis(150))
+		status, ended := w.observe(id)
+		if !ended {
+			continue
+		}
+		if status == state.JobDone {
+			w.recordTime(&w.DoneTimes, submittedAt)
+		}
+		return
+	}
+}
+
+// submit sends a job until it is accepted, or denied for good.
+func (w *Workload) submit(id types.JobID, body []byte) (accepted bool) {
+	for n := 0; ; n++ {
+		code, answer := w.request(http.MethodPut, jobPath(id), body)
+		if code == http.StatusOK || code == http.StatusCreated {
+			w.fleet.Record(history.Event{Kind: history.JobAccepted, Job: id})
+			return true
+		}
+		if n > maxSubmissions || w.fleet.ctx.Err() != nil || !w.waitToRetry(code, answer) {
+			w.fleet.Record(history.Event{Kind: history.JobDenied, Job: id, Text: string(answer)})
+			return false
+		}
+	}
+}
+
+func jobPath(id types.JobID) string { return "/v1/jobs/" + string(id) }
+
+func (w *Workload) cancel(id types.JobID) {
+	for range maxCancels {
+		code, answer := w.request(http.MethodPost, jobPath(id)+"/cancel", nil)
+		if code == http.StatusOK || code == http.StatusAccepted {
+			w.fleet.Record(history.Event{Kind: history.CancelAccepted, Job: id})
+			return
+		}
+		if !w.waitToRetry(code, answer) {
+			return
+		}
+	}
+}
+
+// observe asks for a job's status, and reports whether it has ended or is not there.
+func (w *Workload) observe(id types.JobID) (status state.JobStatus, ended bool) {
+	code, answer := w.request(http.MethodGet, jobPath(id), nil)
+	if code == http.StatusNotFound {
+		w.fleet.Record(history.Event{Kind: history.JobNotFound, Job: id})
+		return "", true
+	}
+	var view controller.JobView
+	if code != http.StatusOK || json.Unmarshal(answer, &view) != nil {
+		w.waitToRetry(code, answer)
+		return "", false
+	}
+	switch view.State {
+	case state.JobDone, state.JobFailed, state.JobCancelled:
+		w.fleet.Record(history.Event{Kind: history.JobObserved, Job: id, Stage: view.State, Text: view.Reason})
+		return view.State, true
+	}
+	return view.State, false
+}
+
+// waitToRetry waits as an answer says, and reports whether to send the request again.
+func (w *Workload) waitToRetry(code int, answer []byte) bool {
+	if code == 0 {
+		time.Sleep(resendPause)
+		return true
+	}
+	var refusal apierror.Error
+	if json.Unmarshal(answer, &refusal) != nil {
+		refusal = apierror.Error{}
+	}
+	w.mu.Lock()
+	w.Refusals[refusal.Kind]++
+	w.mu.Unlock()
+	if code != http.StatusServiceUnavailable && code != http.StatusTooManyRequests {
+		return false
+	}
+	time.Sleep(time.Duration(max(refusal.RetryAfterSeconds, 1)) * time.Second)
+	return true
+}
+
+// recordTime adds how long ago a time is.
+func (w *Workload) recordTime(list *[]float64, since time.Time) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	*list = append(*list, float64(time.Since(since).Microseconds())/1000)
+}
+
+// PutTable submits a table until it is acknowledged or refused, and returns its version.
+func (w *Workload) PutTable(table config.Table) (types.Version, error) {
+	w.fleet.Record(history.Event{Kind: history.TableSubmitted, Table: &table})
+	for range maxTablePuts {
+		code, answer := w.request(http.MethodPut, "/v1/table", wire.EncodeBody(table))
+		if code == http.StatusOK {
+			accepted := table.Accepted()
+			w.fleet.Record(history.Event{Kind: history.TableAcknowledged, Table: &accepted})
+			return accepted.Version, nil
+		}
+		if !w.waitToRetry(code, answer) {
+			w.fleet.Record(history.Event{Kind: history.TableRefused, Table: &table, Text: string(answer)})
+			return 0, fmt.Errorf("table refused: %s", answer)
+		}
+	}
+	return 0, errors.New("the table was never accepted")
+}
+
+// RunRacingOperators has two operators put different tables on one version, now and
+// then, until the workload is closed.
+func (w *Workload) RunRacingOperators() {
+	w.pending.Add(1)
+	defer w.pending.Done()
+	for w.open.Load() {
+		time.Sleep(racePause)
+		table, ok := w.readTable()
+		if !ok || len(table.Queues) < 2 {
+			continue
+		}
+		var both sync.WaitGroup
+		for range 2 {
+			changed := config.Table{Version: table.Version, Queues: slices.Clone(table.Queues)}
+			changed.Queues[0].Weight = 1 + w.randomInt(900)
+			both.Add(1)
+			go func() {
+				defer both.Done()
+				w.PutTable(changed) // one of the two is refused; the checker judges which
+			}()
+		}
+		both.Wait()
+	}
+}
+
+// readTable reads the table in force.
+func (w *Workload) readTable() (table config.Table, ok bool) {
+	began := strconv.FormatInt(time.Since(w.fleet.startedAt).Nanoseconds(), 10)
+	code, answer := w.request(http.MethodGet, "/v1/table", nil)
+	if code != http.StatusOK || json.Unmarshal(answer, &table) != nil {
+		return table, false
+	}
+	w.fleet.Record(history.Event{Kind: history.TableRead, Table: &table, Text: began})
+	return table, true
+}
+
+// Close sends no more jobs, and waits until those that were sent have ended.
+func (w *Workload) Close(timeout time.Duration) bool {
+	w.open.Store(false)
+	done := make(chan struct{})
+	go func() { w.pending.Wait(); close(done) }()
+	select {
+	case <-done:
+		return true
+	case <-time.After(timeout):
+		return false
+	}
+}
