--- /dev/null
+++ b/internal/raft/election_test.go
@@ -0,0 +1,181 @@
+package raft
+
+import (
+	"encoding/json"
+	"math/rand"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// startedNode is a voter of a cluster of three, a, b and c, that heard a leader long ago and
+// whose log ends with entry 5 of term 3.
+func startedNode(t *testing.T) *Node {
+	t.Helper()
+	config := Configuration{
+		{ID: "a", Addr: "addr-a", Voter: true},
+		{ID: "b", Addr: "addr-b", Voter: true},
+		{ID: "c", Addr: "addr-c", Voter: true},
+	}
+	var entries []Entry
+	for i, term := range []types.Term{1, 1, 2, 3, 3} {
+		entries = append(entries, Entry{Index: types.Index(i + 1), Term: term})
+	}
+	records := encodeRecords([]Record{
+		{Identity: &Identity{ID: "a"}},
+		{Cluster: &InitialCluster{ClusterName: "cluster", Config: config}},
+		{HardState: &HardState{Term: 3}},
+		{Entries: entries},
+	})
+	n := New(types.Now{}, Options{
+		Timeouts: DefaultTimeouts,
+		Random:   rand.New(rand.NewSource(1)),
+		Self:     Member{Addr: "addr-a"},
+	}, records)
+	n.SetTime(types.Now{Mono: types.MonoTime(time.Minute)})
+	return n
+}
+
+// syncedMessages are the messages that go out once all that was written is synced.
+func syncedMessages(n *Node) []wire.OutboundMessage {
+	ready := n.Ready()
+	n.Synced(n.now, ready.BatchNumber)
+	return append(ready.Messages, n.Ready().Messages...)
+}
+
+// oneBody is the body of the only message that a node sends, once all is synced.
+func oneBody[T any](t *testing.T, n *Node) T {
+	t.Helper()
+	messages := syncedMessages(n)
+	if len(messages) != 1 {
+		t.Fatalf("%d messages in place of one", len(messages))
+	}
+	var body T
+	if err := json.Unmarshal(messages[0].Message.Body, &body); err != nil {
+		t.Fatal(err)
+	}
+	return body
+}
+
+func TestVoteIsGranted(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		hardState HardState
+		term      types.Term
+		lastIndex types.Index
+		lastTerm  types.Term
+		want      bool
+	}{
+		{"log as up to date", HardState{Term: 3}, 4, 5, 3, true},
+		{"log shorter", HardState{Term: 3}, 4, 4, 3, false},
+		{"log longer, of an earlier term", HardState{Term: 3}, 4, 9, 2, false},
+		{"old term", HardState{Term: 3}, 2, 5, 3, false},
+		{"voted for it already", HardState{Term: 4, VotedFor: "b"}, 4, 5, 3, true},
+		{"voted for another", HardState{Term: 4, VotedFor: "c"}, 4, 5, 3, false},
+		{"voted for another in an earlier term", HardState{Term: 3, VotedFor: "c"}, 4, 5, 3, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			n := startedNode(t)
+			n.hardState = c.hardState
+			n.onRequestVote("addr-b", requestVote{ClusterName: "cluster", CandidateID: "b", To: "a",
+				Term: c.term, LastLogIndex: c.lastIndex, LastLogTerm: c.lastTerm})
+			is.Equal(oneBody[voteReply](t, n).Granted, c.want)
+			is.Equal(n.hardState.VotedFor == "b", c.want)
+		})
+	}
+}
+
+// TestNoVoteWhileLeaderMayHoldLease: a voter that may have promised a lease to a leader does
+// not even answer, unless it is that leader that wants another one.
+func TestNoVoteWhileLeaderMayHoldLease(t *testing.T) {
+	justNow := types.MonoTime(time.Minute) - types.MonoTime(DefaultTimeouts.MinElectionTimeout) + 1
+	for _, c := range []struct {
+		name     string
+		node     func(*Node)
+		transfer bool
+		answers  bool
+	}{
+		{"leader silent", func(*Node) {}, false, true},
+		{"leader heard", func(n *Node) { n.leader.heardAt = justNow }, false, false},
+		{"leader heard, transfer", func(n *Node) { n.leader.heardAt = justNow }, true, true},
+		{"just started", func(n *Node) { n.startedAt = justNow }, false, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			n := startedNode(t)
+			c.node(n)
+			n.onRequestVote("addr-b", requestVote{ClusterName: "cluster", CandidateID: "b", To: "a", Term: 4,
+				LastLogIndex: 5, LastLogTerm: 3, LeadershipTransfer: c.transfer})
+			is.Equal(len(syncedMessages(n)) > 0, c.answers)
+			is.Equal(n.hardState.Term == 4, c.answers)
+		})
+	}
+}
+
+// TestPreVoteChangesNothing: neither side of a pre-vote adopts a term or writes anything.
+func TestPreVoteChangesNothing(t *testing.T) {
+	is := is.New(t)
+	n := startedNode(t)
+	n.onRequestVote("addr-b", requestVote{ClusterName: "cluster", CandidateID: "b", To: "a", Term: 9,
+		LastLogIndex: 5, LastLogTerm: 3, PreVote: true})
+	is.True(oneBody[voteReply](t, n).Granted)
+	is.Equal(n.hardState, HardState{Term: 3})
+
+	n.campaign(campaignPreElection)
+	ready := n.Ready()
+	is.Equal(len(ready.Messages), 2)
+	is.Equal(len(ready.Records), 0)
+	is.Equal(n.hardState, HardState{Term: 3})
+}
+
+// TestElection goes through a whole election: pre-vote, vote and the first entry of the term,
+// with a leader's authority counted from what the voters say.
+func TestElection(t *testing.T) {
+	is := is.New(t)
+	n := startedNode(t)
+	n.Ready()
+	n.Tick(n.now)
+	is.Equal(n.role, roleCandidate)
+	n.onVoteReply("addr-b", voteReply{ClusterName: "cluster", VoterID: "b", Term: 3, Granted: true, PreVote: true})
+	is.True(n.election.preVote) // the reply was to a question of another term
+	n.onVoteReply("addr-b", voteReply{ClusterName: "cluster", VoterID: "b", Term: 4, Granted: true, PreVote: true})
+	is.True(!n.election.preVote)
+	is.Equal(n.hardState, HardState{Term: 4, VotedFor: "a"})
+	n.onVoteReply("addr-b", voteReply{ClusterName: "cluster", VoterID: "b", Term: 4, Granted: false})
+	is.Equal(n.role, roleCandidate)
+	n.onVoteReply("addr-c", voteReply{ClusterName: "cluster", VoterID: "c", Term: 4, Granted: true, SilentMS: 700})
+	is.Equal(n.role, roleLeader)
+	is.Equal(n.leading.termStartIndex, types.Index(6))
+	is.Equal(n.log.lastTerm(), types.Term(4))
+	is.Equal(n.now.Mono.Sub(n.PriorLeaderHeardAt()), 700*time.Millisecond)
+}
+
+// TestElectionNeedsMajority: of the voters of the configuration, and each counts once.
+func TestElectionNeedsMajority(t *testing.T) {
+	is := is.New(t)
+	n := startedNode(t)
+	n.log.config = append(n.log.config, Member{ID: "d", Voter: true}, Member{ID: "e", Voter: true}, Member{ID: "f"})
+	n.campaign(campaignElection)
+	for _, id := range []types.ID{"b", "b", "f", "z"} {
+		n.onVoteReply("", voteReply{ClusterName: "cluster", VoterID: id, Term: 4, Granted: true})
+	}
+	is.Equal(n.role, roleCandidate)
+	n.onVoteReply("", voteReply{ClusterName: "cluster", VoterID: "c", Term: 4, Granted: true})
+	is.Equal(n.role, roleLeader)
+}
+
+func TestHigherTermEndsLeadership(t *testing.T) {
+	is := is.New(t)
+	n := startedNode(t)
+	n.campaign(campaignElection)
+	n.becomeLeader()
+	n.onAppendReply("addr-b", appendReply{ClusterName: "cluster", FollowerID: "b", Term: 7})
+	is.Equal(n.role, roleFollower)
+	is.Equal(n.hardState, HardState{Term: 7})
+	is.Equal(n.leader.addr, types.Addr(""))
+}
--- a/internal/raft/progress.go
+++ b/internal/raft/progress.go
@@ -39,7 +39,8 @@
 	p.snapshotParts, p.lastSentAt = parts, never
 }
 
-// onRejected steps back to where the member's log may be like the leader's (section 5.3).
+// onRejected steps back to where the member's log may be like the leader's (section 5.3 of
+// the paper). A late rejection may step back too far, which only delays.
 func (p *progress) onRejected(match types.Index) {
 	p.snapshotParts, p.window.inFlightBytes = 0, 0
 	p.match = min(p.match, match)
--- a/internal/raft/transfer_test.go
+++ b/internal/raft/transfer_test.go
@@ -1,12 +1,14 @@
 package raft
 
 import (
+	"encoding/json"
 	"testing"
 	"time"
 
 	"github.com/matryer/is"
 
 	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 // newTestLeader is one of three voters; the other two, b and c, have so much of the log, and
@@ -78,3 +80,54 @@
 	is.True(n.TransferLeadership(types.Now{}))
 	is.Equal(n.transfer.announcedCount, 0)
 }
+
+// TestTransferCompletes: the target is told to campaign once it has the whole log, and its
+// request for votes says that it was named.
+func TestTransferCompletes(t *testing.T) {
+	is := is.New(t)
+	n := newReplicatingLeader(t)
+	n.after(time.Millisecond)
+	index, _ := n.Propose(json.RawMessage(`1`))
+	is.True(n.TransferLeadership(n.now))
+	is.Equal(n.transfer.target, types.ID("b"))
+	_, ok := n.Propose(json.RawMessage(`2`))
+	is.True(!ok)
+	n.Ready()
+	is.True(n.IsLeader())
+	n.onAppendReply("addr-b", matchedReply(index))
+	is.Equal(kinds(n.Ready().Messages), []wire.Kind{wire.TimeoutNow})
+	is.True(!n.IsLeader())
+	is.True(!n.TransferLeadership(n.now)) // has none any more
+
+	target := startedNode(t)
+	target.onTimeoutNow("addr-b", timeoutNow{ClusterName: "cluster", To: "a", Term: 2})
+	is.Equal(target.role, roleFollower) // a late message of an earlier term
+	target.onTimeoutNow("addr-b", timeoutNow{ClusterName: "cluster", To: "a", Term: 3, OverloadTransfers: 2})
+	is.Equal(target.role, roleCandidate)
+	is.Equal(target.hardState, HardState{Term: 4, VotedFor: "a"})
+	is.Equal(target.transfer.overloadCount, 2)
+}
+
+func TestTargetMayDeclineTransfer(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(*Node)
+	}{
+		{"state is being read back", func(n *Node) { n.SetStateLoading(true) }},
+		{"about to stop", func(n *Node) { n.PrepareStop(n.now) }},
+		{"disk stalls", func(n *Node) {
+			n.writeRecord(Record{})
+			n.DiskFailed(n.now)
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			n := startedNode(t)
+			c.change(n)
+			n.onTimeoutNow("addr-b", timeoutNow{ClusterName: "cluster", To: "a", Term: 3})
+			is.Equal(n.role, roleFollower)
+			n.Tick(n.now) // although its election timer has run out
+			is.Equal(n.role, roleFollower)
+		})
+	}
+}
