--- a/internal/raft/bootstrap.go
+++ b/internal/raft/bootstrap.go
@@ -28,7 +28,7 @@
 // any three that see just each other do.
 type BootstrapOptions struct {
 	FirstStart bool
-	Founders   []types.Addr
+	Founders   []types.Addr // nil if none are named
 }
 
 // bootstrapStep is a message's step in a bootstrap, which is a two-phase commit: the
@@ -49,7 +49,7 @@
 	options     BootstrapOptions
 	accepted    *InitialCluster
 	acceptedAt  types.MonoTime
-	acceptances map[types.ID]bool // who has accepted the same cluster, as far as this node was told
+	acceptances map[types.ID]bool // members known to have accepted the same cluster
 }
 
 // newIdentity makes this node another one, which has accepted nothing.
@@ -60,7 +60,7 @@
 	n.writeRecord(Record{Identity: &Identity{ID: id, FirstStart: n.bootstrap.options.FirstStart}})
 }
 
-// enterCluster makes this node one of a cluster, whose log it begins.
+// enterCluster makes this node a member of a cluster, with an empty log.
 func (n *Node) enterCluster(cluster InitialCluster) {
 	n.clusterName, n.log.snapshot.Config = cluster.ClusterName, cluster.Config
 	n.bootstrap.accepted, n.roleReason = nil, ""
@@ -70,8 +70,8 @@
 	n.resetElectionTimer()
 }
 
-// enterClusterOf makes this node one of the cluster of a leader that it hears: one that it
-// helped to found, or one that has added it, whose configuration comes with the log.
+// enterClusterOf makes this node a member of the cluster of a leader that it hears: one that
+// it helped to found, or one that has added it, whose configuration comes with the log.
 func (n *Node) enterClusterOf(name string) {
 	if n.bootstrap.accepts(name) {
 		n.enterCluster(*n.bootstrap.accepted)
@@ -189,7 +189,8 @@
 	return count
 }
 
-// acceptBootstrap accepts an initial cluster. That is on disk before anybody is told.
+// acceptBootstrap accepts an initial cluster and says so to the other founders, once that
+// is on disk.
 func (n *Node) acceptBootstrap(cluster InitialCluster) {
 	n.bootstrap.accepted, n.bootstrap.acceptedAt = &cluster, n.now.Mono
 	n.bootstrap.acceptances = map[types.ID]bool{n.self.ID: true}
@@ -198,6 +199,10 @@
 	n.sendBootstrap(cluster)
 }
 
+func (n *Node) newBootstrapMessage(cluster InitialCluster, step bootstrapStep) bootstrapMessage {
+	return bootstrapMessage{Cluster: cluster, SenderID: n.self.ID, Step: step}
+}
+
 // sendBootstrap sends the other founders this node's proposal, or that it has accepted.
 func (n *Node) sendBootstrap(cluster InitialCluster) {
 	step := bootstrapPropose
@@ -206,16 +211,18 @@
 	}
 	for _, m := range cluster.Config {
 		if m.ID != n.self.ID {
-			n.send(m.Addr, wire.Bootstrap, bootstrapMessage{cluster, n.self.ID, step})
+			n.send(m.Addr, wire.Bootstrap, n.newBootstrapMessage(cluster, step))
 		}
 	}
 }
 
+// onBootstrap handles one step of a bootstrap. A member of the cluster already answers that
+// it is committed, since the message that said so may have been lost.
 func (n *Node) onBootstrap(from types.Addr, message bootstrapMessage) {
 	cluster := message.Cluster
 	if n.clusterName != "" {
 		if n.clusterName == cluster.ClusterName && message.Step != bootstrapCommitted {
-			n.send(from, wire.Bootstrap, bootstrapMessage{cluster, n.self.ID, bootstrapCommitted})
+			n.send(from, wire.Bootstrap, n.newBootstrapMessage(cluster, bootstrapCommitted))
 		}
 		return
 	}
@@ -254,7 +261,7 @@
 	n.enterCluster(cluster)
 	for _, m := range cluster.Config {
 		if m.ID != n.self.ID {
-			message := bootstrapMessage{cluster, n.self.ID, bootstrapCommitted}
+			message := n.newBootstrapMessage(cluster, bootstrapCommitted)
 			n.sendAfterBatch(n.disk.writtenBatch, m.Addr, wire.Bootstrap, message)
 		}
 	}
--- a/internal/raft/clock.go
+++ b/internal/raft/clock.go
@@ -47,7 +47,7 @@
 		return
 	}
 	n.clock.set(n.now.Mono, t)
-	for _, p := range n.leading.progress {
+	for _, p := range n.leadership.progress {
 		p.wallOffset -= types.WallTime(by)
 	}
 }
@@ -57,7 +57,7 @@
 // delay, so it can only seem too small.
 func (n *Node) WallOffsets() []types.WallTime {
 	offsets := []types.WallTime{n.now.Wall - types.WallTime(n.Clock())}
-	for id, p := range n.leading.progress {
+	for id, p := range n.leadership.progress {
 		m, ok := n.log.config.Find(id)
 		if !ok || !m.Voter || id == n.self.ID || n.now.Mono.Sub(p.lastHeardAt) >= n.timeouts.StallTimeout {
 			continue
--- a/internal/raft/clock_test.go
+++ b/internal/raft/clock_test.go
@@ -31,7 +31,7 @@
 		timeouts: DefaultTimeouts,
 		self:     Member{ID: "a"},
 		log:      raftLog{config: Configuration{{ID: "a", Voter: true}, {ID: "b", Voter: true}, {ID: "c"}}},
-		leading: leadership{progress: map[types.ID]*progress{
+		leadership: leadership{progress: map[types.ID]*progress{
 			"b": {wallOffset: 40},
 			"c": {wallOffset: 70}, // a learner
 		}},
--- a/internal/raft/confchange.go
+++ b/internal/raft/confchange.go
@@ -8,12 +8,13 @@
 // Configurations change by one vote at a time (section 4.1 of the thesis): any majority of
 // the old configuration and any majority of the new one then have a voter in common.
 
-// canChangeConfiguration is true for a leader whose configuration and an entry of whose own
-// term are committed. Without the latter two changes of different terms could be in force
-// at once (the fault of the thesis's single-server changes that was found in 2015).
+// canChangeConfiguration tells whether this leader may propose a configuration: the one in
+// force and an entry of its own term are committed. Without the latter, changes of two terms
+// could be in force at once (the fault of the thesis's single-server changes that was found
+// in 2015).
 func (n *Node) canChangeConfiguration() bool {
 	return !n.transfer.inProgress() &&
-		n.log.commitIndex >= n.leading.termStartIndex &&
+		n.log.commitIndex >= n.leadership.termStartIndex &&
 		n.log.commitIndex >= n.log.configIndex
 }
 
--- a/internal/raft/doc.go
+++ b/internal/raft/doc.go
@@ -4,10 +4,10 @@
 // Ongaro, "Consensus: Bridging Theory and Practice" (2014). Names are theirs where they
 // have one.
 //
-// What is implemented beside the paper's core: pre-vote (thesis 9.6), check quorum (6.2),
+// Implemented beside the paper's core are pre-vote (thesis, section 9.6), check quorum (6.2),
 // leadership transfer (3.10), lease-based reads (6.4.1), learners and membership changes by
-// one vote at a time (4.1, 4.2.1), compaction by snapshots in parts (paper, section 7). What
-// goes beyond both: bootstrap by agreement among the founders, replacement of lost voters by
+// one vote at a time (4.1, 4.2.1), and compaction by snapshots in parts (paper, section 7).
+// Beyond both go bootstrap by agreement among the founders, replacement of lost voters by
 // provisional members, transfer from an overloaded leader, and the cluster's clock.
 //
 // # Driving a node
@@ -19,35 +19,34 @@
 //     [Node.Tick] as time passes (several times in a heartbeat interval), [Node.Propose] and
 //     [Node.Compact] from the state machine, [Node.Synced] and [Node.DiskFailed] from the
 //     disk, and [Node.SetTime] before any question about an event that was not for the node;
-//  3. takes what came of it with [Node.Ready] after each event, and
-//     sends Ready.Messages at once, in any order, to wherever they are addressed,
-//     appends Ready.Records to the file as one batch, or puts a new file in place of it if
-//     Ready.ReplaceLog is set, and
-//     calls Synced with Ready.BatchNumber once all of the batch is on stable storage;
+//  3. carries out what [Node.Ready] asks for after each event: it sends Ready.Messages, in
+//     any order; it appends Ready.Records to the file as one batch, or writes a new file in
+//     place of the old one if Ready.ReplaceLog is set; and it calls Synced with
+//     Ready.BatchNumber once the whole batch is on stable storage;
 //  4. applies the entries up to [Node.CommittedIndex], in order, each as [Node.Entry].
 //
-// The node keeps back those messages that rest on records that are not synced yet. Nothing
-// else has to be ordered: messages may be lost, repeated, delayed and reordered, and the
-// owner may go on with further events while the disk is busy. Batches are written and synced
-// in the order of their numbers. After a crash, a batch may be there in part, from its
-// beginning up to any record; a file that replaces another is there as a whole or not at all.
-// A disk without room for a second file may append Ready.FallbackRecords instead of a
-// replacement; the log then simply stays longer.
+// The node itself holds back each message that rests on records which are not synced yet,
+// so the owner need not wait for the disk before it sends or handles further events. Messages
+// may be lost, repeated, delayed and reordered. Batches must be written and synced in the
+// order of their numbers. After a crash, a batch may have survived in part, from its first
+// record up to any other; a file that replaces another must have survived as a whole or not
+// at all. On a disk without space for a second file the owner may append
+// Ready.FallbackRecords in place of the replacement; the file then keeps the older entries.
 //
 // # What must hold
 //
 // The safety of the paper's Figure 3 rests on these rules, each kept in one place:
 //
 //   - A term, a vote and an accepted initial cluster are on disk before any message that
-//     rests on them leaves ([Node.setHardState], outbox).
+//     rests on them is released (setHardState, acceptBootstrap, outbox).
 //   - An entry counts for commitment only where it is synced, also on the leader itself
-//     (raftLog.syncedIndex, [Node.acknowledge]).
-//   - Only entries of the leader's own term are committed by counting ([Node.advanceCommit]).
+//     (raftLog.syncedIndex, acknowledge).
+//   - Only entries of the leader's own term are committed by counting (advanceCommit).
 //   - A configuration is proposed only while the one before and an entry of the leader's term
-//     are committed, and differs from it by one vote ([Node.canChangeConfiguration]).
+//     are committed, and differs from it by at most one vote (canChangeConfiguration).
 //   - A member that has heard a leader within the shortest election timeout, or has just
-//     started, helps to elect no other ([Node.mayDeposeLeader]); the read lease rests on it
-//     ([Node.HoldsReadLease]), counted from the sending of a round.
+//     started, helps to elect no other (mayDeposeLeader); the read lease, counted from the
+//     sending of a round, rests on that ([Node.HoldsReadLease]).
 //   - An identity whose disk was lost is never used again: a member that starts with an empty
 //     disk is another member, and gets a vote only once it has caught up.
 //
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -41,8 +41,8 @@
 	n.role = roleCandidate
 	n.election.preVote = kind == campaignPreElection
 	n.election.votes = map[types.ID]bool{n.self.ID: true}
-	n.leader.addr = ""
-	n.leader.priorHeardAt = n.leader.lastContact()
+	n.leaderContact.addr = ""
+	n.leaderContact.priorHeardAt = n.leaderContact.lastContact()
 	n.transfer.overloadCount = 0
 	if kind == campaignTransfer {
 		n.transfer.overloadCount = n.transfer.announcedCount
@@ -90,7 +90,7 @@
 		VoterID:     n.self.ID,
 		Term:        n.hardState.Term,
 		Granted:     granted,
-		SilentMS:    n.now.Mono.Sub(n.leader.lastContact()).Milliseconds(),
+		SilentMS:    n.now.Mono.Sub(n.leaderContact.lastContact()).Milliseconds(),
 	})
 }
 
@@ -101,7 +101,7 @@
 func (n *Node) mayDeposeLeader() bool {
 	shortest := n.timeouts.MinElectionTimeout
 	return n.role != roleLeader &&
-		n.now.Mono.Sub(n.leader.heardAt) >= shortest &&
+		n.now.Mono.Sub(n.leaderContact.heardAt) >= shortest &&
 		n.now.Mono.Sub(n.startedAt) >= shortest
 }
 
@@ -157,7 +157,7 @@
 	}
 	n.election.votes[reply.VoterID] = true
 	silent := time.Duration(reply.SilentMS) * time.Millisecond
-	n.leader.priorHeardAt = max(n.leader.priorHeardAt, n.now.Mono.Add(-silent))
+	n.leaderContact.priorHeardAt = max(n.leaderContact.priorHeardAt, n.now.Mono.Add(-silent))
 	switch {
 	case n.votesGranted() < n.log.config.quorum():
 	case n.election.preVote:
@@ -189,7 +189,7 @@
 // becomeFollower adopts a higher term and gives up any role held in the earlier one.
 func (n *Node) becomeFollower(term types.Term) {
 	n.setHardState(HardState{Term: term})
-	n.leader.addr = ""
+	n.leaderContact.addr = ""
 	n.assignRole()
 	n.resetElectionTimer()
 }
--- a/internal/raft/election_test.go
+++ b/internal/raft/election_test.go
@@ -101,8 +101,8 @@
 		answers  bool
 	}{
 		{"leader silent", func(*Node) {}, false, true},
-		{"leader heard", func(n *Node) { n.leader.heardAt = justNow }, false, false},
-		{"leader heard, transfer", func(n *Node) { n.leader.heardAt = justNow }, true, true},
+		{"leader heard", func(n *Node) { n.leaderContact.heardAt = justNow }, false, false},
+		{"leader heard, transfer", func(n *Node) { n.leaderContact.heardAt = justNow }, true, true},
 		{"just started", func(n *Node) { n.startedAt = justNow }, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -150,7 +150,7 @@
 	is.Equal(n.role, roleCandidate)
 	n.onVoteReply("addr-c", voteReply{ClusterName: "cluster", VoterID: "c", Term: 4, Granted: true, SilentMS: 700})
 	is.Equal(n.role, roleLeader)
-	is.Equal(n.leading.termStartIndex, types.Index(6))
+	is.Equal(n.leadership.termStartIndex, types.Index(6))
 	is.Equal(n.log.lastTerm(), types.Term(4))
 	is.Equal(n.now.Mono.Sub(n.PriorLeaderHeardAt()), 700*time.Millisecond)
 }
@@ -177,5 +177,5 @@
 	n.onAppendReply("addr-b", appendReply{ClusterName: "cluster", FollowerID: "b", Term: 7})
 	is.Equal(n.role, roleFollower)
 	is.Equal(n.hardState, HardState{Term: 7})
-	is.Equal(n.leader.addr, types.Addr(""))
+	is.Equal(n.leaderContact.addr, types.Addr(""))
 }
--- a/internal/raft/follower.go
+++ b/internal/raft/follower.go
@@ -41,7 +41,7 @@
 		n.role, n.roleReason = roleLearner, ""
 	}
 	n.assignRole()
-	n.leader.addr, n.leader.heardAt = from, n.now.Mono
+	n.leaderContact.addr, n.leaderContact.heardAt = from, n.now.Mono
 	n.followClock(request.Term, request.ClusterTime)
 	n.resetElectionTimer()
 	return true
@@ -75,8 +75,8 @@
 }
 
 // acknowledge answers that the log matches the leader's up to an index: at once if that is
-// on disk, else once it is. A member whose disk is slow answers for what is on disk in the
-// meantime, so that it isn't taken for silent.
+// on disk, else once it is. In the meantime a member whose disk is slow acknowledges what is
+// on disk, so that the leader does not take it for silent.
 func (n *Node) acknowledge(from types.Addr, reply appendReply, lastNewIndex types.Index) {
 	synced := lastNewIndex <= n.log.syncedIndex
 	diskIsSlow := n.now.Mono.Sub(n.disk.answeredAt) >= n.timeouts.HeartbeatInterval
--- a/internal/raft/follower_test.go
+++ b/internal/raft/follower_test.go
@@ -62,7 +62,7 @@
 			c.change(&request)
 			n.onAppendEntries("addr-b", request)
 			is.Equal(len(syncedMessages(n)), 0)
-			is.Equal(n.leader.addr, types.Addr(""))
+			is.Equal(n.leaderContact.addr, types.Addr(""))
 		})
 	}
 }
@@ -77,7 +77,7 @@
 	reply := oneBody[appendReply](t, n)
 	is.Equal(reply.Term, types.Term(3))
 	is.True(!reply.Success)
-	is.Equal(n.leader.addr, types.Addr(""))
+	is.Equal(n.leaderContact.addr, types.Addr(""))
 }
 
 // TestCommitIndexFollowsLeader: up to what the message shows to be like the leader's log.
--- a/internal/raft/join.go
+++ b/internal/raft/join.go
@@ -27,9 +27,9 @@
 	n.discovery.peers, n.discovery.nonControllers = peers, nonControllers
 }
 
-// joinRequestDue is true when it is time to ask whether this node still is a member, or to
-// be added again. One that is about to stop asks sooner, as the leader no longer sends
-// anything to a member that it has removed.
+// joinRequestDue tells whether it is time to ask if this node still is a member, or to ask
+// to be added again. A node that is about to stop asks sooner: it may stop once it has been
+// removed, and the leader sends nothing to a member that it has removed.
 func (n *Node) joinRequestDue() bool {
 	wait := n.timeouts.ReplaceAfter / 2
 	if n.daemon.stopping {
@@ -38,7 +38,7 @@
 	switch {
 	case n.role == roleEmpty || n.role == roleRemoved && n.daemon.stopping:
 		return false
-	case n.role != roleRemoved && n.now.Mono.Sub(n.leader.heardAt) <= wait:
+	case n.role != roleRemoved && n.now.Mono.Sub(n.leaderContact.heardAt) <= wait:
 		return false
 	}
 	return n.sinceJoinRequest() > min(wait, n.timeouts.StallTimeout)
--- a/internal/raft/leader.go
+++ b/internal/raft/leader.go
@@ -25,9 +25,9 @@
 // becomeLeader begins a term as leader with an entry of that term, whose commitment
 // commits all entries before it (sections 5.4.2 and 8 of the paper).
 func (n *Node) becomeLeader() {
-	n.role, n.leader.addr = roleLeader, n.self.Addr
+	n.role, n.leaderContact.addr = roleLeader, n.self.Addr
 	n.transfer.target = ""
-	n.leading = leadership{
+	n.leadership = leadership{
 		progress:            map[types.ID]*progress{},
 		electedAt:           n.now.Mono,
 		allVotersHeardSince: n.now.Mono,
@@ -36,25 +36,26 @@
 		n.progressOf(m.ID)
 	}
 	n.appendEntry(Entry{Config: n.log.config})
-	n.leading.termStartIndex = n.log.lastIndex()
+	n.leadership.termStartIndex = n.log.lastIndex()
 }
 
-// stepDown gives up leadership within the term. The next candidacy comes later than that
-// of other members.
+// stepDown gives up leadership within the term. The election timer is longer than usual, so
+// that another member stands first.
 func (n *Node) stepDown() {
-	n.transfer.target, n.leader.addr = "", ""
+	n.transfer.target, n.leaderContact.addr = "", ""
 	n.role = roleFollower
 	n.assignRole()
 	n.resetElectionTimer()
 	n.election.deadline = n.election.deadline.Add(n.timeouts.MinElectionTimeout)
 }
 
-// progressOf is what this leader knows of a member; it begins when it is first asked for.
+// progressOf returns what this leader knows of a member. For a new one, that is nothing but
+// that it is not silent yet.
 func (n *Node) progressOf(id types.ID) *progress {
-	p, ok := n.leading.progress[id]
+	p, ok := n.leadership.progress[id]
 	if !ok {
 		p = &progress{next: n.log.lastIndex() + 1, lastHeardAt: n.now.Mono, ackedRound: never}
-		n.leading.progress[id] = p
+		n.leadership.progress[id] = p
 	}
 	return p
 }
@@ -92,9 +93,9 @@
 	n.log.awaitSync(n.disk.writtenBatch)
 }
 
-// tickLeader is what the leader does as time passes. It steps down where it can't be of
-// use: a quorum has not answered for StallTimeout (check quorum, section 6.2 of the
-// thesis), or its own disk stalls and no voter can take over.
+// tickLeader is what the leader does as time passes. It steps down when it can't serve: no
+// quorum has answered for StallTimeout (check quorum, section 6.2 of the thesis), or its
+// own disk stalls and no voter can take over.
 func (n *Node) tickLeader() {
 	now := n.now.Mono
 	switch {
@@ -109,9 +110,9 @@
 	}
 }
 
-// quorumIsSilent tells whether no quorum has answered for StallTimeout, within which a new
-// leader waits for its first answers.
+// quorumIsSilent tells whether no quorum has answered for StallTimeout. A new leader has as
+// long for its first answers.
 func (n *Node) quorumIsSilent() bool {
 	stall := n.timeouts.StallTimeout
-	return n.now.Mono.Sub(n.quorumAckedRound()) > stall && n.now.Mono.Sub(n.leading.electedAt) > stall
+	return n.now.Mono.Sub(n.quorumAckedRound()) > stall && n.now.Mono.Sub(n.leadership.electedAt) > stall
 }
--- a/internal/raft/leader_test.go
+++ b/internal/raft/leader_test.go
@@ -19,7 +19,7 @@
 	}{
 		{"quorum answers", func(n *Node) { n.progressOf("b").ackedRound = n.now.Mono }, roleLeader},
 		{"quorum is silent", func(*Node) {}, roleFollower},
-		{"quorum is silent, just elected", func(n *Node) { n.leading.electedAt = n.now.Mono }, roleLeader},
+		{"quorum is silent, just elected", func(n *Node) { n.leadership.electedAt = n.now.Mono }, roleLeader},
 		{"transfer took too long", func(n *Node) {
 			n.progressOf("b").ackedRound = n.now.Mono
 			n.transfer = leadershipTransfer{target: "b", deadline: n.now.Mono}
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -54,12 +54,13 @@
 // timeout ago, and an entry of its term is committed, so that it knows all that is. While
 // it transfers leadership it holds no lease, as its target need not wait.
 func (n *Node) HoldsReadLease() bool {
-	return n.role == roleLeader && !n.transfer.inProgress() && n.log.commitIndex >= n.leading.termStartIndex &&
+	return n.role == roleLeader && !n.transfer.inProgress() && n.log.commitIndex >= n.leadership.termStartIndex &&
 		n.now.Mono.Sub(n.quorumAckedRound()) < n.timeouts.MinElectionTimeout*readLeaseTenths/10
 }
 
-// AuthorityRemaining is how much longer this leader may let others act on its behalf; 0 if
-// it does not lead.
+// AuthorityRemaining is how much longer this leader may let others act on its behalf:
+// AuthorityLease from the start of the newest round that a quorum has answered. It is 0 if
+// the node does not lead.
 func (n *Node) AuthorityRemaining() time.Duration {
 	if n.role != roleLeader {
 		return 0
@@ -67,22 +68,23 @@
 	return max(0, n.quorumAckedRound().Add(n.timeouts.AuthorityLease).Sub(n.now.Mono))
 }
 
-// PriorLeaderHeardAt is the latest time at which an earlier leader can have held a read
-// lease: a quorum's last answer to it came from a member that voted for this one.
-func (n *Node) PriorLeaderHeardAt() types.MonoTime { return n.leader.priorHeardAt }
+// PriorLeaderHeardAt is, to a leader, the latest time at which an earlier leader can have
+// had a round answered by a quorum: any quorum has a member that voted for this leader, and
+// none of those has heard another leader since.
+func (n *Node) PriorLeaderHeardAt() types.MonoTime { return n.leaderContact.priorHeardAt }
 
 // HasRecentLeader tells whether a leader is known, other than this node, and was heard
 // within the time for which it may answer reads.
 func (n *Node) HasRecentLeader() bool {
-	return n.role != roleLeader && n.leader.addr != "" &&
-		n.now.Mono.Sub(n.leader.heardAt) < n.timeouts.MinElectionTimeout
+	return n.role != roleLeader && n.leaderContact.addr != "" &&
+		n.now.Mono.Sub(n.leaderContact.heardAt) < n.timeouts.MinElectionTimeout
 }
 
 // LeaderAddr is the address of the current leader as far as this node can know: its own,
 // or that of one that it has heard within the longest election timeout; else empty.
 func (n *Node) LeaderAddr() types.Addr {
-	if n.role != roleLeader && n.now.Mono.Sub(n.leader.heardAt) >= 2*n.timeouts.MinElectionTimeout {
+	if n.role != roleLeader && n.now.Mono.Sub(n.leaderContact.heardAt) >= 2*n.timeouts.MinElectionTimeout {
 		return ""
 	}
-	return n.leader.addr
+	return n.leaderContact.addr
 }
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -16,8 +16,8 @@
 	provisionalPeriod = 30 * time.Second
 )
 
-// membershipRules are the changes that a leader makes by itself, the most urgent first.
-// Each proposes one configuration and returns true, or finds nothing to do.
+// membershipRules are the changes that a leader makes of its own accord, the most urgent
+// first. Each proposes a configuration and returns true, or finds nothing to do.
 //
 // An empty controller joins as a learner and is promoted once it has caught up. One that
 // was not there at the first start is provisional until it has replaced a member that is
@@ -158,10 +158,10 @@
 func (n *Node) confirmProvisional() bool {
 	for _, m := range n.log.config {
 		if m.Voter && n.silentFor(m) > n.timeouts.StallTimeout {
-			n.leading.allVotersHeardSince = n.now.Mono
+			n.leadership.allVotersHeardSince = n.now.Mono
 		}
 	}
-	if n.now.Mono.Sub(n.leading.allVotersHeardSince) < provisionalPeriod || n.log.config.Voters()%2 == 0 {
+	if n.now.Mono.Sub(n.leadership.allVotersHeardSince) < provisionalPeriod || n.log.config.Voters()%2 == 0 {
 		return false
 	}
 	for _, m := range n.log.config {
--- a/internal/raft/membership_test.go
+++ b/internal/raft/membership_test.go
@@ -38,10 +38,10 @@
 		clusterName: "cluster",
 		self:        members[0].Member,
 		role:        roleLeader,
-		leading:     leadership{progress: map[types.ID]*progress{}},
+		leadership:  leadership{progress: map[types.ID]*progress{}},
 	}
 	n.SetTime(types.Now{Mono: types.MonoTime(time.Hour)})
-	n.leading.allVotersHeardSince = n.now.Mono
+	n.leadership.allVotersHeardSince = n.now.Mono
 	n.log.snapshot.Index, n.log.commitIndex = 1000, 1000
 	for _, m := range members {
 		n.log.config = append(n.log.config, m.Member)
@@ -140,7 +140,7 @@
 	since := n.now.Mono
 	hear := func(at types.MonoTime) {
 		n.SetTime(types.Now{Mono: at})
-		for _, p := range n.leading.progress {
+		for _, p := range n.leadership.progress {
 			p.lastHeardAt = at
 		}
 	}
@@ -181,7 +181,7 @@
 	}{
 		{"all committed", func(*Node) {}, true},
 		{"last configuration is not", func(n *Node) { n.log.configIndex = 1001 }, false},
-		{"no entry of the term is", func(n *Node) { n.leading.termStartIndex = 1001 }, false},
+		{"no entry of the term is", func(n *Node) { n.leadership.termStartIndex = 1001 }, false},
 		{"transfer in progress", func(n *Node) { n.transfer.target = "b" }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/raft/messages.go
+++ b/internal/raft/messages.go
@@ -85,7 +85,7 @@
 	To          types.ID   `json:"to"`
 	Term        types.Term `json:"term"`
 	// OverloadTransfers is how many leaders in a row, up to the sender, transferred
-	// leadership since they were overloaded.
+	// leadership because they were overloaded.
 	OverloadTransfers int `json:"overload_transfers,omitempty"`
 }
 
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -17,12 +17,12 @@
 	roleFollower  role = "follower"
 	roleCandidate role = "candidate"
 	roleLeader    role = "leader"
-	roleRemoved   role = "out" // removed from the configuration, and told so
+	roleRemoved   role = "out" // removed from the configuration, and notified of it
 )
 
 // Node is one member. It is owned by one goroutine, does no I/O and reads no clock; see the
-// package's documentation for how to drive it. It has no behaviour of its own but joins
-// its parts, which are grouped as in the paper's Figure 2; that is why it has many.
+// package's documentation for how to drive it. It joins its parts, each with a type and a
+// file of its own and grouped as in the paper's Figure 2; that is why it has many fields.
 type Node struct {
 	timeouts  Timeouts
 	random    *rand.Rand
@@ -36,17 +36,17 @@
 	log         raftLog
 
 	// Volatile state of all members.
-	role       role
-	roleReason string // why this member waits or was removed, for operators
-	leader     leaderContact
-	election   election
-	clock      clusterClock
-	incoming   Snapshot // a snapshot that a leader sends, as far as it has come
-	daemon     daemonState
+	role          role
+	roleReason    string // why this member waits or was removed, for operators
+	leaderContact leaderContact
+	election      election
+	clock         clusterClock
+	incoming      Snapshot // a snapshot that a leader sends, as far as it has come
+	daemon        daemonState
 
 	// Volatile state of a leader.
-	leading  leadership
-	transfer leadershipTransfer
+	leadership leadership
+	transfer   leadershipTransfer
 
 	// State of a member without a cluster, or that asks to be added again.
 	bootstrap bootstrapState
@@ -57,7 +57,7 @@
 	outbox outbox
 }
 
-// daemonState is what the daemon around a member tells it of itself.
+// daemonState is what the daemon that runs a member reports of itself.
 type daemonState struct {
 	loopLag      time.Duration // how far the event loop is behind with control work
 	stateLoading bool          // the state machine is still being read back
@@ -76,15 +76,15 @@
 // New starts a member from the records of its disk, in the order in which they were written.
 func New(now types.Now, options Options, records [][]byte) *Node {
 	n := &Node{
-		timeouts:  options.Timeouts,
-		random:    options.Random,
-		now:       now,
-		startedAt: now.Mono,
-		self:      options.Self,
-		role:      roleEmpty,
-		leader:    leaderContact{heardAt: now.Mono, lastLedAt: never},
-		clock:     clusterClock{setAt: now.Mono},
-		leading:   leadership{progress: map[types.ID]*progress{}},
+		timeouts:      options.Timeouts,
+		random:        options.Random,
+		now:           now,
+		startedAt:     now.Mono,
+		self:          options.Self,
+		role:          roleEmpty,
+		leaderContact: leaderContact{heardAt: now.Mono, lastLedAt: never},
+		clock:         clusterClock{setAt: now.Mono},
+		leadership:    leadership{progress: map[types.ID]*progress{}},
 		bootstrap: bootstrapState{
 			options:     options.Bootstrap,
 			acceptedAt:  now.Mono,
@@ -115,7 +115,7 @@
 // by that time and not by the time of the event before.
 func (n *Node) SetTime(now types.Now) { n.now = now }
 
-// Tick lets time pass.
+// Tick handles the passing of time: elections, a leader's duties, and requests to join.
 func (n *Node) Tick(now types.Now) {
 	n.now = now
 	if n.role == roleLeader {
@@ -159,8 +159,8 @@
 // Ready is what the steps since the last Ready ask the daemon to do.
 type Ready struct {
 	Messages    []wire.OutboundMessage // to be sent now
-	Records     [][]byte               // one batch, to be written and synced together; nil if there is none
-	BatchNumber uint64                 // of the batch, to be given to Synced
+	Records     [][]byte               // one batch, to be written and synced together; nil for none
+	BatchNumber uint64                 // of the newest batch, to be given to Synced
 	ReplaceLog  bool                   // the batch replaces the whole file
 	// FallbackRecords is what would be appended in place of the compaction in this batch,
 	// for a disk without room for a second file; nil where there is no other way.
@@ -171,7 +171,7 @@
 // records. A leader first replicates what is new.
 func (n *Node) Ready() Ready {
 	if n.role == roleLeader {
-		n.leader.lastLedAt = n.now.Mono
+		n.leaderContact.lastLedAt = n.now.Mono
 		n.replicate()
 	}
 	records, fallback, replaceFile := n.disk.takeBatch()
--- a/internal/raft/planted_bugs_test.go
+++ b/internal/raft/planted_bugs_test.go
@@ -30,7 +30,7 @@
 	n := m.node
 	switch w.plantedBug {
 	case bugVoteWhileLeader:
-		n.leader.heardAt, n.startedAt = never, never
+		n.leaderContact.heardAt, n.startedAt = never, never
 	case bugRemovedEarly:
 		for _, v := range n.log.config {
 			if n.role == roleLeader && !v.Voter {
@@ -38,8 +38,8 @@
 			}
 		}
 	case bugNoReplacement:
-		n.leading.electedAt = n.now.Mono
-		for _, p := range n.leading.progress {
+		n.leadership.electedAt = n.now.Mono
+		for _, p := range n.leadership.progress {
 			p.lastHeardAt = n.now.Mono
 		}
 	}
@@ -83,7 +83,7 @@
 func (n *Node) commitWithOneVoteTooMany() {
 	own := n.log.syncedIndex
 	voters := n.log.config.Voters()
-	if voters == 0 || n.log.commitIndex < n.leading.termStartIndex {
+	if voters == 0 || n.log.commitIndex < n.leadership.termStartIndex {
 		return
 	}
 	if term, ok := n.log.term(own); !ok || term != n.hardState.Term {
--- a/internal/raft/progress.go
+++ b/internal/raft/progress.go
@@ -14,7 +14,7 @@
 
 	ackedRound  types.MonoTime // start of the newest round that the member has answered
 	lastHeardAt types.MonoTime
-	lastSentAt  types.MonoTime // when entries or a snapshot part were last sent; never after its answer
+	lastSentAt  types.MonoTime // of entries or a snapshot part; never once a part is answered
 	window      sendWindow
 
 	snapshotParts int            // parts of the snapshot that the member has
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -16,16 +16,16 @@
 	snapshotRetryHeartbeats = 5
 )
 
-// replicate sends each member what it has not been sent, and once in a HeartbeatInterval
-// something in any case. Entries that come while earlier ones are in flight wait for the
+// replicate sends each member the entries that it has not been sent, and a heartbeat each
+// HeartbeatInterval. Entries that are proposed while earlier ones are in flight wait for the
 // answer, so that under load one message carries what one sync of a member's disk can take.
 func (n *Node) replicate() {
 	if n.completeTransfer() {
 		return
 	}
-	heartbeatDue := n.now.Mono.Sub(n.leading.lastRoundAt) >= n.timeouts.HeartbeatInterval
+	heartbeatDue := n.now.Mono.Sub(n.leadership.lastRoundAt) >= n.timeouts.HeartbeatInterval
 	if heartbeatDue {
-		n.leading.lastRoundAt = n.now.Mono
+		n.leadership.lastRoundAt = n.now.Mono
 	}
 	for _, m := range n.log.config {
 		if m.ID != n.self.ID {
@@ -34,8 +34,8 @@
 	}
 }
 
-// replicateTo sends one member what is due. One that is silent gets heartbeats only, so
-// that nothing piles up in flight.
+// replicateTo sends one member what is due. A member that is silent gets heartbeats only
+// (StateProbe of etcd's raft), so that nothing piles up in flight.
 func (n *Node) replicateTo(peer Member, p *progress, heartbeatDue bool) {
 	now := n.now.Mono
 	if now.Sub(p.lastHeardAt) > n.timeouts.MinElectionTimeout {
--- a/internal/raft/replication_test.go
+++ b/internal/raft/replication_test.go
@@ -29,7 +29,7 @@
 // after lets time pass, with both peers answering until then.
 func (n *Node) after(d time.Duration) {
 	n.SetTime(types.Now{Mono: n.now.Mono.Add(d)})
-	for _, p := range n.leading.progress {
+	for _, p := range n.leadership.progress {
 		p.lastHeardAt = n.now.Mono
 	}
 }
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// restoreSnapshot makes a snapshot the whole log: whatever was there is older.
+// restoreSnapshot replaces the log by a snapshot of later entries.
 func (l *raftLog) restoreSnapshot(snapshot Snapshot) {
 	l.snapshot, l.entries, l.unsynced = snapshot, nil, nil
 	l.bytes = 0
@@ -58,7 +58,7 @@
 		return
 	}
 	n.log.compact(i, parts)
-	for _, p := range n.leading.progress {
+	for _, p := range n.leadership.progress {
 		p.snapshotParts = 0
 	}
 	var fallback []Record
--- a/internal/raft/storage.go
+++ b/internal/raft/storage.go
@@ -19,8 +19,8 @@
 	writtenBatch   uint64 // newest batch, also while it is being collected
 	syncedBatch    uint64 // newest batch that is on disk
 	hardStateBatch uint64 // the batch with the newest term and vote
-	// answeredAt is when the disk last made progress, or when the oldest batch that it has
-	// not synced was given to it.
+	// answeredAt is when the disk last synced a batch, or when it was given the oldest one
+	// that it has not synced, if that is later.
 	answeredAt types.MonoTime
 }
 
@@ -89,7 +89,7 @@
 }
 
 // DiskStalled tells whether the disk holds this member up: something was written and the
-// disk has not answered for StallTimeout. Such a member has no duty and no vote to give.
+// disk has not answered for StallTimeout. Such a member neither leads nor campaigns.
 func (n *Node) DiskStalled() bool {
 	return n.disk.silentFor(n.now.Mono) > n.timeouts.StallTimeout
 }
--- a/internal/raft/transfer.go
+++ b/internal/raft/transfer.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// minOverloadedTenure is how long a leader leads before it transfers leadership as it is
-	// overloaded.
+	// minOverloadedTenure is how long a leader leads at least before it transfers leadership
+	// because it is overloaded.
 	minOverloadedTenure = 10 * time.Second
 	// maxOverloadDoublings bounds how often that time doubles as leader after leader transfers
 	// for that reason. Where all are as busy, or the work itself is too much for any of them,
@@ -21,15 +21,16 @@
 )
 
 // leadershipTransfer is a transfer of leadership (section 3.10 of the thesis). From its
-// start the leader takes no proposals and holds no read lease; it ends when the target has
-// the whole log, or with the leader stepping down at the deadline.
+// start the leader takes no proposals and holds no read lease. It ends when the target has
+// the whole log and is asked to campaign, or with the leader stepping down at the deadline.
 type leadershipTransfer struct {
 	target   types.ID // empty when there is none
 	deadline types.MonoTime
-	// overloadCount is how many leaders in a row, up to this one, transferred leadership
-	// since they were overloaded; announcedCount is what the target is told of that, or
-	// what this target was told.
-	overloadCount  int
+	// overloadCount is how many leaders in a row, before this one, transferred leadership
+	// because they were overloaded.
+	overloadCount int
+	// announcedCount is the overloadCount of the leader that follows: what a leader tells
+	// its target, and what a target was told.
 	announcedCount int
 }
 
--- a/internal/raft/transfer_test.go
+++ b/internal/raft/transfer_test.go
@@ -22,11 +22,11 @@
 			commitIndex: 10,
 			config:      Configuration{{ID: "a", Voter: true}, {ID: "b", Voter: true}, {ID: "c", Voter: true}},
 		},
-		daemon:  daemonState{loopLag: time.Second},
-		leading: leadership{progress: map[types.ID]*progress{}},
+		daemon:     daemonState{loopLag: time.Second},
+		leadership: leadership{progress: map[types.ID]*progress{}},
 	}
 	for i, id := range []types.ID{"b", "c"} {
-		n.leading.progress[id] = &progress{match: match[i], loopLag: lags[i]}
+		n.leadership.progress[id] = &progress{match: match[i], loopLag: lags[i]}
 	}
 	return n
 }
