--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -51,8 +51,8 @@
 // # Worker states at the agent
 //
 // The agent keeps the same states by the same timeouts, so that it gives up before the
-// scheduler does. Silence is the time since it sent the latest heartbeat that was granted
-// a lease. The agent accepts a RunTask only while HEALTHY.
+// scheduler does. Silence is the time since it sent the latest heartbeat whose reply
+// renewed its lease. The agent accepts a RunTask only while HEALTHY.
 //
 //	------> NEW ---(1)---> UNHEALTHY -----(4)----> MUST_DIE --(6)--> NEW, as another instance
 //	         ^               |    ^                   ^
@@ -107,13 +107,13 @@
 //
 //	(1) accepted; a late RunTask, one from before the latest notifyIfTasksNotRunning, is
 //	    rejected: "Interactions on the worker"
-//	(2) the worker tells that it runs. It was told of the attempt once, under a lease
+//	(2) the worker reports that it runs. It was given the attempt once, under a lease
 //	(3) killTask, the time limit, the end of the agent's lease, or MUST_DIE:
 //	    "Non-core calls", "Worker state transitions". An attempt that the worker was not
-//	    told of ends at once
-//	(4) the worker tells its end, or no longer lists it, or its lease has ended, or while
+//	    given ends at once
+//	(4) the worker reports its end, or no longer lists it, or its lease has ended, or while
 //	    waiting it got too late to start it. The end is reported by updateStatus until it
 //	    is committed: "updateStatus interactions". Lost is not final: the worker may
-//	    still tell the true end
+//	    still report the true end
 //	(5) the end is committed and the worker has dropped it
 package dispatch
--- a/internal/dispatch/executor/attempts.go
+++ b/internal/dispatch/executor/attempts.go
@@ -27,7 +27,7 @@
 	startedAt     types.MonoTime // when it was first known to run, 0 if never
 	outcome       state.Outcome  // once ended
 	overTimeLimit bool           // unless it ends well, it has failed
-	sentToWorker  bool           // the worker may have been told to start it
+	sentToWorker  bool           // the worker may have been given it
 	committed     bool           // its end is committed to the log
 	// runsAfterEnd is set for one that the worker still runs although it has ended here.
 	runsAfterEnd bool
@@ -46,7 +46,7 @@
 	seenRunningAt  types.MonoTime // when the worker last said that it runs
 	stopCalledAt   types.MonoTime
 	stopAcceptedAt types.MonoTime
-	endNumber      uint64 // number of its end at the worker, 0 if not told
+	endNumber      uint64 // number of its end at the worker, 0 if not reported
 }
 
 func compareAttempts(a, b *attempt) int { return a.spec.Attempt.Compare(b.spec.Attempt) }
@@ -122,7 +122,7 @@
 }
 
 // endAttempt ends an attempt in the account and has its end reported. OutcomeLost is not
-// final: the attempt stays until the worker is heard again and tells its true end.
+// final: the attempt stays until the worker is heard again and reports its true end.
 func (ex *Executor) endAttempt(a *attempt, outcome state.Outcome) {
 	if a.overTimeLimit && outcome != state.OutcomeOK {
 		outcome = state.OutcomeFailed
@@ -146,7 +146,7 @@
 	}
 }
 
-// stopAttempt has an attempt stopped. One that the worker was never told of ends at once.
+// stopAttempt has an attempt stopped. One that the worker was never given ends at once.
 func (ex *Executor) stopAttempt(a *attempt) {
 	switch {
 	case a.state == attemptWaiting && !a.sentToWorker:
--- a/internal/dispatch/executor/executor.go
+++ b/internal/dispatch/executor/executor.go
@@ -64,7 +64,7 @@
 type workerStatus struct {
 	process types.ID // id of the worker process, empty before the first is known
 	heardAt types.MonoTime
-	// runningTasksKnown is set once the process itself has told all that runs there.
+	// runningTasksKnown is set once the process itself has reported all that runs there.
 	runningTasksKnown bool
 	report            protocol.WorkerReport
 	departsAt         types.MonoTime // when a draining worker will be gone, if known
--- a/internal/dispatch/executor/health.go
+++ b/internal/dispatch/executor/health.go
@@ -6,18 +6,18 @@
 )
 
 // health is the worker's state by the agent's own account, and the agent's lease. Both
-// follow from the heartbeats that the scheduler has replied to with a lease.
+// follow from the heartbeats whose replies renewed the lease.
 type health struct {
 	state protocol.Health
 	since types.MonoTime
-	// lastGrantSentAt is when the latest heartbeat was sent that was granted a lease. The
-	// scheduler received it later, so the state goes down here before it does there.
-	lastGrantSentAt types.MonoTime
-	leaseUntil      types.MonoTime // never for none yet
+	// lastRenewalSentAt is when the latest heartbeat was sent whose reply renewed the lease.
+	// The scheduler received it later, so the state goes down here before it does there.
+	lastRenewalSentAt types.MonoTime
+	leaseUntil        types.MonoTime // never for none yet
 }
 
 func newHealth(now types.MonoTime) health {
-	return health{state: protocol.WorkerNew, since: now, lastGrantSentAt: now, leaseUntil: never}
+	return health{state: protocol.WorkerNew, since: now, lastRenewalSentAt: now, leaseUntil: never}
 }
 
 func (h *health) set(now types.MonoTime, state protocol.Health) {
@@ -26,18 +26,18 @@
 	}
 }
 
-// takeGrant extends the lease by a reply, if the reply grants one.
-func (h *health) takeGrant(reply protocol.HeartbeatReply) {
+// renewLease extends the lease by a heartbeat's reply, if that renews it.
+func (h *health) renewLease(reply protocol.HeartbeatReply) {
 	if reply.LeaseUntil > reply.HeartbeatSentAt {
 		h.leaseUntil = max(h.leaseUntil, reply.LeaseUntil)
-		h.lastGrantSentAt = max(h.lastGrantSentAt, reply.HeartbeatSentAt)
+		h.lastRenewalSentAt = max(h.lastRenewalSentAt, reply.HeartbeatSentAt)
 	}
 }
 
-// updateHealth moves the worker to the state that the latest granted heartbeat gives it.
+// updateHealth moves the worker to the state that the latest renewal of the lease gives it.
 // NEW is only left by a HeartbeatReply, MUST_DIE only as a new instance.
 func (ex *Executor) updateHealth() {
-	silence := ex.now.Sub(ex.health.lastGrantSentAt)
+	silence := ex.now.Sub(ex.health.lastRenewalSentAt)
 	switch {
 	case ex.health.state == protocol.WorkerMustDie:
 		ex.restartAsNewInstance()
@@ -61,7 +61,7 @@
 	ex.association.previousInstance = ""
 	ex.association.workerSet = protocol.WorkerSetID{}
 	ex.association.querySequence = 0
-	ex.health.lastGrantSentAt, ex.health.leaseUntil = ex.now, never
+	ex.health.lastRenewalSentAt, ex.health.leaseUntil = ex.now, never
 	ex.reports.heartbeatAt = never
 	ex.health.set(ex.now, protocol.WorkerNew)
 }
--- a/internal/dispatch/executor/link.go
+++ b/internal/dispatch/executor/link.go
@@ -22,7 +22,7 @@
 // nothing any more: what the worker then does not list was not started and never will be
 // (link_replies). Ends are acknowledged to the worker only once they are committed to
 // the log (link_ends). An attempt whose lease has expired in the log by the time its end
-// is told stays so: the worker does not count such an end either.
+// is reported stays so: the worker does not count such an end either.
 type workerLink struct {
 	incarnation       types.ID // of the present process, empty for none
 	addr              types.Addr
--- a/internal/dispatch/executor/link_calls.go
+++ b/internal/dispatch/executor/link_calls.go
@@ -17,7 +17,7 @@
 	renewalOverdueAfter = 100 * time.Millisecond
 	// renewalRetryInterval is the time before the renewal after one that was rejected.
 	renewalRetryInterval = 100 * time.Millisecond
-	// commitTime is how long an end that has just been told may take to be committed; the
+	// commitTime is how long a newly reported end may take to be committed; the
 	// next renewal waits for that, to acknowledge it.
 	commitTime = 60 * time.Millisecond
 )
--- a/internal/dispatch/executor/link_ends.go
+++ b/internal/dispatch/executor/link_ends.go
@@ -4,20 +4,20 @@
 	"coppercourse/internal/types"
 )
 
-// openEnd is an end that the worker has told and still lists.
+// openEnd is an end that the worker has reported and still lists.
 type openEnd struct {
 	attempt   types.AttemptID
 	committed bool
 }
 
-// endTable holds the ends that a worker process has told. The worker numbers them from 1,
+// endTable holds the ends that a worker process has reported. The worker numbers them from 1,
 // and drops them as they are acknowledged, in that order.
 type endTable struct {
 	open         map[uint64]*openEnd // by number
 	acknowledged uint64              // all up to this one are committed, and are acknowledged
 }
 
-// highest returns the number of the highest end told.
+// highest returns the number of the highest end reported.
 func (e *endTable) highest() uint64 {
 	highest := e.acknowledged
 	for number := range e.open {
--- a/internal/dispatch/executor/link_replies.go
+++ b/internal/dispatch/executor/link_replies.go
@@ -152,7 +152,7 @@
 	return state.OutcomeLeaseExpired
 }
 
-// takeEnd takes an end that the worker tells for the first time. It counts even if the
+// takeEnd takes an end that the worker reports for the first time. It counts even if the
 // lease may have expired since, unless the attempt has ended here by that: then its task
 // may be running elsewhere.
 func (ex *Executor) takeEnd(end wire.EndedAttempt) {
@@ -175,7 +175,7 @@
 }
 
 // takeRunning takes the attempts that the worker says run. One that has ended here, or
-// that nobody sent since the worker told all that it runs, is stopped.
+// that nobody sent since the worker reported all that it runs, is stopped.
 func (ex *Executor) takeRunning(running []wire.RunningAttempt, listed map[types.AttemptID]bool) {
 	for _, run := range running {
 		listed[run.Attempt] = true
--- a/internal/dispatch/executor/polling.go
+++ b/internal/dispatch/executor/polling.go
@@ -15,7 +15,7 @@
 	// leaseBase is when a whole WorkerLease would have had to be granted to end with the
 	// worker's lease; the agent's start counts as one, for the agent before it.
 	leaseBase types.MonoTime
-	// hasUpdate is set when there is something to tell the worker.
+	// hasUpdate is set when the worker must start, stop or drop an attempt.
 	hasUpdate bool
 }
 
@@ -117,7 +117,7 @@
 }
 
 // endUnlisted ends the attempts that a poll does not list although the worker had been
-// told of them, and forgets those that the worker has dropped.
+// given them, and forgets those that the worker has dropped.
 func (ex *Executor) endUnlisted(listed map[types.AttemptID]bool) {
 	for _, a := range ex.attempts.inOrder() {
 		if listed[a.spec.Attempt] {
--- a/internal/dispatch/executor/progress.go
+++ b/internal/dispatch/executor/progress.go
@@ -19,10 +19,10 @@
 	reestimateRatio = 1.3
 )
 
-// progress is how far an attempt is, as its worker tells.
+// progress is how far an attempt is, as its worker reports.
 type progress struct {
 	percent   float64
-	readAt    types.MonoTime // when the worker last told, 0 if never
+	readAt    types.MonoTime // when the worker last reported, 0 if never
 	changedAt types.MonoTime // when percent last changed
 	// reported is the estimate of the attempt's duration that was last reported.
 	reported time.Duration
@@ -36,7 +36,7 @@
 }
 
 // estimateDuration returns how long an attempt will take from start to end, or 0 if
-// there is no telling.
+// that is unknown.
 func (a *attempt) estimateDuration(now types.MonoTime) time.Duration {
 	p := a.progress
 	ran := p.readAt.Sub(a.startedAt)
--- a/internal/dispatch/executor/protocol_test.go
+++ b/internal/dispatch/executor/protocol_test.go
@@ -293,7 +293,7 @@
 	is.Equal(associated(), successor.association.instance)
 
 	cluster.executors["w"] = old
-	old.health.lastGrantSentAt = cluster.now // it believes that it is healthy
+	old.health.lastRenewalSentAt = cluster.now // it believes that it is healthy
 	old.health.leaseUntil = cluster.now.Add(time.Second)
 	cluster.now = cluster.now.Add(400 * ms)
 	old.Tick(cluster.now, "h")
@@ -362,7 +362,7 @@
 }
 
 // An attempt that its agent counts as lost is unresolved until the worker is heard again,
-// which then either tells its end or is known to have lost it. Both are reported.
+// which then either reports its end or is known to have lost it. Both are reported.
 func TestLostIsNotFinal(t *testing.T) {
 	endedWell := protocol.EndedTask{RunningTask: protocol.RunningTask{Attempt: theAttempt}, Outcome: state.OutcomeOK}
 	for _, test := range []struct {
--- a/internal/dispatch/executor/scheduler_messages.go
+++ b/internal/dispatch/executor/scheduler_messages.go
@@ -38,18 +38,18 @@
 		return
 	}
 	ex.association.previousInstance = ""
-	ex.health.takeGrant(reply)
+	ex.health.renewLease(reply)
 	if ex.health.state == protocol.WorkerNew {
 		ex.health.set(ex.now, protocol.WorkerUnhealthy)
 	}
-	isRecent := ex.now.Sub(ex.health.lastGrantSentAt) <= ex.timeouts.UnhealthyAfter
+	isRecent := ex.now.Sub(ex.health.lastRenewalSentAt) <= ex.timeouts.UnhealthyAfter
 	if ex.health.state == protocol.WorkerUnhealthy && isRecent {
 		ex.health.set(ex.now, protocol.WorkerHealthy)
 	}
 }
 
 // onGetRunningTasks replies with all that runs or whose end is not committed, and with
-// what was lost, until the worker tells its true end.
+// what was lost, until the worker reports its true end.
 func (ex *Executor) onGetRunningTasks(from types.Addr, query protocol.GetRunningTasks) {
 	if !ex.acceptHeader(from, query.Header) || !ex.canReportRunningTasks() {
 		return
--- a/internal/dispatch/scheduler/health_check.go
+++ b/internal/dispatch/scheduler/health_check.go
@@ -44,7 +44,7 @@
 }
 
 // lossOutcome returns the outcome of an attempt whose worker can't be reached. A worker
-// that is called has no lease any more by then, and no end that it tells later counts.
+// that is called has no lease any more by then, and no end that it reports later counts.
 func (sc *Scheduler) lossOutcome(shard types.Shard) state.Outcome {
 	switch {
 	case sc.cluster.CalledByAgent(shard):
--- a/internal/dispatch/scheduler/reliability.go
+++ b/internal/dispatch/scheduler/reliability.go
@@ -21,7 +21,7 @@
 	reliabilityWeight = 0.1
 	// maxBaselineRatio bounds how far one attempt moves a baseline.
 	maxBaselineRatio = 4
-	// minBaselineCount is how many attempts a baseline needs before it is told.
+	// minBaselineCount is how many attempts a baseline needs before it is used.
 	minBaselineCount = 10
 )
 
@@ -85,7 +85,7 @@
 }
 
 // BaselineDuration returns how long attempts under a baseline's name usually take, or
-// false while too few have ended well to tell.
+// false while too few have ended well.
 func (sc *Scheduler) BaselineDuration(name string) (time.Duration, bool) {
 	usual := sc.baselines[name]
 	if usual == nil || usual.count < minBaselineCount {
--- a/internal/dispatch/scheduler/scheduler.go
+++ b/internal/dispatch/scheduler/scheduler.go
@@ -2,15 +2,15 @@
 // cluster runs; package dispatch describes the whole.
 //
 // A Scheduler is made anew with each leadership. What runs it learns from the agents
-// alone; the replicated log only tells it which attempts it must hear of before their
+// alone; the replicated log only gives it the attempts that it must hear of before their
 // tasks may be given out again. It is a state machine: its methods take an event and
 // return nothing, and TakeOutput hands over what they would send and commit. It does no
 // I/O and reads no clock.
 //
 // One concern a file: the workers and their association (remote_worker, association,
 // running_tasks), their health (health_check, initial_wait, worker_set), the attempts
-// that possibly run (attempt_index, run_task, unsure, ends), and what their durations
-// tell of the workers (reliability, slowdown).
+// that possibly run (attempt_index, run_task, unsure, ends), and what their ends and
+// durations show of the workers (reliability, slowdown).
 package scheduler
 
 import (
--- a/internal/dispatch/scheduler/slowdown.go
+++ b/internal/dispatch/scheduler/slowdown.go
@@ -12,8 +12,8 @@
 // report estimates of how long attempts take in all, made from their progress. Such an
 // estimate is wrong by half and more, but alike for all attempts of a stage; so it is
 // compared with those of the same stage on other workers. A slow worker shows within a
-// second, and so do attempts that are far behind the others. While there is nothing to
-// tell by, a worker is slowly trusted again.
+// second, and so do attempts that are far behind the others. While there are no
+// estimates of its attempts, a worker's slowdown fades.
 
 const (
 	// maxSlowdown bounds what one estimate adds to a worker's slowdown, and 1/maxSlowdown
@@ -87,7 +87,8 @@
 	return durations
 }
 
-// stageDurations holds the durations of the stages that attempts were reported of lately.
+// stageDurations holds the durations of stages, by those of their attempts that were
+// reported lately.
 type stageDurations struct {
 	byStage  map[stageKey]*stageSamples
 	prunedAt types.MonoTime
@@ -122,7 +123,7 @@
 }
 
 // recordDuration takes how long an attempt takes by an estimate, or has taken if it has
-// ended, and what that tells of its worker and of itself.
+// ended, and what that shows of its worker and of itself.
 func (sc *Scheduler) recordDuration(attempt *OutstandingAttempt, duration time.Duration, hasEnded bool) {
 	if attempt.Stage == StageUnknown || duration <= 0 {
 		return
