--- /dev/null
+++ b/internal/dispatch/scheduler/unsure_test.go
@@ -0,0 +1,111 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// newUnsureScheduler is a scheduler with a healthy worker that it has given an attempt,
+// with no reply for RetryInterval.
+func newUnsureScheduler(is *is.I) (*Scheduler, *RemoteWorker, *OutstandingAttempt) {
+	is.Helper()
+	sc, worker := newTestScheduler()
+	worker.State = protocol.WorkerHealthy
+	id := types.AttemptID{TaskID: types.TaskID{Job: "j"}, Attempt: 1}
+	sc.RunTask("s", 0, "", protocol.AttemptSpec{Attempt: id})
+	attempt := sc.attempts.byID[id]
+	is.Equal(attempt.Phase, orderSent)
+	sc.now = testStart.Add(protocol.DefaultTimeouts.RetryInterval)
+	sc.resolveUnsure()
+	is.Equal(attempt.Phase, orderSent) // its time is not up yet
+	sc.now++
+	sc.resolveUnsure()
+	is.Equal(attempt.Phase, unsureIfRunning)
+	return sc, worker, attempt
+}
+
+// Queries about an unsure attempt are repeated with rising sequence numbers until one
+// gets its reply, from which on the attempt runs.
+func TestUnsureAttemptIsQueriedUntilTheReply(t *testing.T) {
+	is := is.New(t)
+	sc, worker, attempt := newUnsureScheduler(is)
+	for range 3 {
+		sc.resolveUnsure() // not again before RetryInterval
+		sc.now = sc.now.Add(protocol.DefaultTimeouts.RetryInterval)
+		sc.resolveUnsure()
+	}
+	messages, _ := sc.TakeOutput()
+	var sequences []types.Seq
+	for _, message := range messages {
+		if message.Message.Kind != wire.NotRunningQuery {
+			continue
+		}
+		query, ok := wire.DecodeBody[protocol.NotifyIfTasksNotRunning](message.Message)
+		is.True(ok)
+		sequences = append(sequences, query.Sequence)
+		is.Equal(query.Attempts, []types.AttemptID{attempt.Attempt})
+	}
+	is.Equal(sequences, []types.Seq{1, 2, 3, 4})
+	is.Equal(worker.queries.sequence, types.Seq(4))
+
+	reply := protocol.NotifyIfTasksNotRunningReply{Term: 2, Shard: "s", Instance: "i", Sequence: 3}
+	sc.onNotifyReply("a", reply) // to an earlier leader
+	is.Equal(attempt.Phase, unsureIfRunning)
+	reply.Term = 3
+	sc.onNotifyReply("a", reply)
+	is.Equal(attempt.Phase, confirmedRunning)
+	is.Equal(len(worker.queries.open), 3)
+}
+
+func TestOpenQueriesAreBounded(t *testing.T) {
+	is := is.New(t)
+	queries := unsureQueries{open: map[types.Seq][]types.AttemptID{}}
+	for range 10 * maxOpenQueries {
+		sequence := queries.add(testStart, nil)
+		_, isOpen := queries.open[sequence]
+		is.True(isOpen)
+		is.True(len(queries.open) <= maxOpenQueries+1)
+	}
+	is.Equal(queries.sequence, types.Seq(10*maxOpenQueries))
+}
+
+// An attempt is sent only to a worker that may be given tasks, and otherwise ends at once.
+func TestRunTaskNeedsAHealthyWorker(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		change func(*Scheduler, *RemoteWorker)
+		want   bool
+	}{
+		{"healthy", func(*Scheduler, *RemoteWorker) {}, true},
+		{"unhealthy", func(_ *Scheduler, worker *RemoteWorker) { worker.State = protocol.WorkerUnhealthy }, false},
+		{"draining", func(_ *Scheduler, worker *RemoteWorker) { worker.Draining = true }, false},
+		{"no worker", func(sc *Scheduler, _ *RemoteWorker) { delete(sc.workers.byShard, "s") }, false},
+		{"authority has ended", func(sc *Scheduler, _ *RemoteWorker) { sc.authorityLeft = 0 }, false},
+		{"authority ends soon", func(sc *Scheduler, _ *RemoteWorker) { sc.authorityLeft = time.Millisecond }, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			is := is.New(t)
+			sc, worker := newTestScheduler()
+			worker.State = protocol.WorkerHealthy
+			test.change(sc, worker)
+			id := types.AttemptID{TaskID: types.TaskID{Job: "j"}, Attempt: 1}
+			sc.RunTask("s", 0, "", protocol.AttemptSpec{Attempt: id})
+			messages, ends := sc.TakeOutput()
+			is.Equal(len(messages) == 1, test.want)
+			is.Equal(len(ends) == 1, !test.want)
+			is.True(sc.attempts.byID[id] != nil) // until its end is committed
+			if test.want {
+				order, ok := wire.DecodeBody[protocol.RunTask](messages[0].Message)
+				is.True(ok)
+				lease := min(protocol.DefaultTimeouts.AgentLease, sc.authorityLeft)
+				is.Equal(order.StartBefore, worker.lastHeartbeatSentAt.Add(lease))
+			}
+		})
+	}
+}
