--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -41,12 +41,12 @@
 		if err := json.Unmarshal(line, &command); err != nil {
 			t.Fatal(err)
 		}
-		c.leader().machine.propose(command)
+		c.leader().machine.log.propose(command)
 		c.run(40 * time.Millisecond)
 	}
 	for i, m := range c.members {
 		dir := t.TempDir()
-		file, _, _, err := wal.Open(wal.OSStorage{}, dir)
+		file, _, err := wal.Open(wal.OSStorage{}, dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -80,7 +80,7 @@
 	var loaded bytes.Buffer
 	for _, m := range c.members {
 		m.start(false)
-		loaded.Write(written(m.machine.state))
+		loaded.Write(written(m.machine.log.state()))
 	}
 	goldentest.File(t, "restart-loaded.jsonl", loaded.Bytes())
 	c.until(10*time.Second, "a leader", func() bool { return c.leader() != nil && c.caughtUp(c.leader()) })
@@ -101,7 +101,7 @@
 		}
 	}
 	goldentest.File(t, "restart-answers.txt", []byte(lines.String()))
-	goldentest.File(t, "restart-state.jsonl", written(leader.machine.state))
+	goldentest.File(t, "restart-state.jsonl", written(leader.machine.log.state()))
 }
 
 // restarted is a cluster whose members have the disks of the golden files and are not
@@ -113,14 +113,14 @@
 		if err := os.WriteFile(filepath.Join(dir, "lore.log"), goldentest.Read(t, diskName(i)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		file, records, spoilt, err := wal.Open(wal.OSStorage{}, dir)
-		if err != nil || spoilt != "" {
-			t.Fatal(err, spoilt)
+		file, contents, err := wal.Open(wal.OSStorage{}, dir)
+		if err != nil || contents.DamagedPath != "" {
+			t.Fatal(err, contents.DamagedPath)
 		}
 		if err := file.Close(); err != nil {
 			t.Fatal(err)
 		}
-		c.members = append(c.members, &member{cluster: c, addr: types.Addr(fmt.Sprintf("10.0.0.%d:7000", i+1)), syncTime: syncTime, disk: records})
+		c.members = append(c.members, &member{cluster: c, addr: types.Addr(fmt.Sprintf("10.0.0.%d:7000", i+1)), syncTime: syncTime, disk: contents.Records})
 	}
 	return c
 }
--- /dev/null
+++ b/internal/controller/request_table_test.go
@@ -0,0 +1,59 @@
+package controller
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/apierror"
+	"coppercourse/internal/raft"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+// An entry answers whoever waits for it only if it is of the term in which the
+// request was proposed. Another leader's entry under that index says nothing of the
+// request: its caller is told so at once, and not what became of the other entry.
+func TestAnEntryOfAnotherTermAnswersNobodysRequest(t *testing.T) {
+	is := is.New(t)
+	a := &api{log: &commandLog{replicated: state.New()}, requests: newRequestTable(), outbox: &outbox{counters: &Counters{}}}
+	a.requests.await(7, 2, caller{token: 1})
+	a.requests.await(8, 3, caller{token: 2})
+	refused := apierror.New(apierror.StaleVersion, "edition", "another order was first")
+	a.commandApplied(types.Now{}, raft.Entry{Index: 7, Term: 3}, state.Command{Cancel: "j"}, refused)
+	is.Equal(len(a.outbox.responses), 1)
+	is.Equal(a.outbox.responses[0].Token, uint64(1))
+	is.Equal(a.outbox.responses[0].Error.Kind, apierror.OutcomeUnknown)
+	a.commandApplied(types.Now{}, raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, refused)
+	is.Equal(a.outbox.responses[1].Token, uint64(2))
+	is.Equal(a.outbox.responses[1].Error.Kind, apierror.StaleVersion)
+	a.commandApplied(types.Now{}, raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, refused)
+	is.Equal(len(a.outbox.responses), 2) // once
+}
+
+func TestAbandonedRequestsComeInTheOrderOfTheLog(t *testing.T) {
+	is := is.New(t)
+	table := newRequestTable()
+	for _, index := range []types.Index{9, 3, 12, 5} {
+		table.await(index, 1, caller{token: uint64(index)})
+	}
+	table.reads.endProposed("j", 20)
+	is.True(table.reads.hold(caller{token: 1}, "j", 19))
+	changes, reads := table.abandon()
+	is.Equal(changes, []caller{{token: 3}, {token: 5}, {token: 9}, {token: 12}})
+	is.Equal(reads, []caller{{token: 1}})
+	is.True(table.idle())
+	is.True(!table.reads.hold(caller{token: 2}, "j", 19)) // the ends proposed are forgotten too
+}
+
+func TestRequestTableIsFullAtItsBound(t *testing.T) {
+	is := is.New(t)
+	table := newRequestTable()
+	for i := range types.Index(MaxPendingRequests) {
+		is.True(!table.full())
+		table.await(i, 1, caller{})
+	}
+	is.True(table.full())
+	table.takeCommitted(0, 1)
+	is.True(!table.full())
+}
