--- a/internal/dispatch/scheduler/attempt_index.go
+++ b/internal/dispatch/scheduler/attempt_index.go
@@ -32,7 +32,7 @@
 	Shard     types.Shard
 	Stage     types.Stage // or StageUnknown
 	Resources types.Resources
-	Phase     attemptPhase
+	phase     attemptPhase
 	// BaselineName names the baseline that its duration is compared with; empty for none.
 	BaselineName string
 	TimeLimit    time.Duration // 0 for none
@@ -123,7 +123,7 @@
 
 func (a *attemptIndex) setPhase(attempt *OutstandingAttempt, phase attemptPhase) {
 	a.adjustCounts(attempt, -1)
-	attempt.Phase = phase
+	attempt.phase = phase
 	a.adjustCounts(attempt, 1)
 }
 
@@ -136,7 +136,7 @@
 // adjustCounts counts an attempt in its phase (by 1), or no longer (by -1).
 func (a *attemptIndex) adjustCounts(attempt *OutstandingAttempt, by int) {
 	on := a.byShard[attempt.Shard]
-	switch attempt.Phase {
+	switch attempt.phase {
 	case unconfirmed:
 		on.unconfirmed += by
 		a.unconfirmed += by
@@ -161,7 +161,7 @@
 	var overdue []*OutstandingAttempt
 	for len(a.sentInOrder) > 0 {
 		first := a.sentInOrder[0]
-		isSent := first.Phase == orderSent && a.byID[first.Attempt] == first
+		isSent := first.phase == orderSent && a.byID[first.Attempt] == first
 		if isSent && first.OrderedAt >= before {
 			break
 		}
@@ -189,7 +189,7 @@
 	}
 	var list []types.AttemptID
 	for _, attempt := range on.list {
-		if attempt.Phase == unsureIfRunning {
+		if attempt.phase == unsureIfRunning {
 			list = append(list, attempt.Attempt)
 		}
 	}
@@ -216,7 +216,7 @@
 			continue
 		}
 		for _, attempt := range on.list {
-			if attempt.Phase == unconfirmed {
+			if attempt.phase == unconfirmed {
 				list = append(list, attempt)
 			}
 		}
--- a/internal/dispatch/scheduler/attempt_index_test.go
+++ b/internal/dispatch/scheduler/attempt_index_test.go
@@ -21,7 +21,7 @@
 		Shard:     types.Shard(fmt.Sprint("s", random.Intn(4))),
 		Stage:     types.Stage(random.Intn(3) - 1),
 		Resources: types.Resources{Cores: types.MilliCores(1 + random.Intn(3))},
-		Phase:     []attemptPhase{unconfirmed, orderSent, confirmedRunning}[random.Intn(3)],
+		phase:     []attemptPhase{unconfirmed, orderSent, confirmedRunning}[random.Intn(3)],
 		OrderedAt: now,
 	}
 }
@@ -49,7 +49,7 @@
 			index.setPhase(attempt, []attemptPhase{unconfirmed, confirmedRunning}[random.Intn(2)])
 		}
 		for _, attempt := range index.takeOverdue(now.Add(-overdueAfter)) {
-			is.Equal(attempt.Phase, orderSent)
+			is.Equal(attempt.phase, orderSent)
 			is.True(now.Sub(attempt.OrderedAt) > overdueAfter)
 			index.setPhase(attempt, unsureIfRunning)
 		}
@@ -66,17 +66,17 @@
 	reserved := map[types.Shard]types.Resources{}
 	for _, attempt := range reference {
 		reserved[attempt.Shard] = reserved[attempt.Shard].Add(attempt.Resources)
-		if attempt.Phase == unconfirmed {
+		if attempt.phase == unconfirmed {
 			unconfirmedCount++
 		}
 		if attempt.Stage < 0 {
 			unknownCount++
 		}
-		if attempt.Phase == unsureIfRunning {
+		if attempt.phase == unsureIfRunning {
 			unsure[attempt.Shard] = true
 		}
 		// No overdue one is missed.
-		is.True(attempt.Phase != orderSent || now.Sub(attempt.OrderedAt) <= overdueAfter)
+		is.True(attempt.phase != orderSent || now.Sub(attempt.OrderedAt) <= overdueAfter)
 		is.Equal(index.byID[attempt.Attempt], attempt)
 	}
 	is.Equal(len(index.all()), len(reference))
--- a/internal/dispatch/scheduler/run_task.go
+++ b/internal/dispatch/scheduler/run_task.go
@@ -19,7 +19,7 @@
 		Shard:        shard,
 		Stage:        stage,
 		Resources:    spec.Resources,
-		Phase:        orderSent,
+		phase:        orderSent,
 		BaselineName: baselineName,
 		TimeLimit:    time.Duration(spec.TimeLimitMS) * time.Millisecond,
 		OrderedAt:    sc.now,
@@ -41,7 +41,7 @@
 func (sc *Scheduler) onRunTaskReply(_ types.Addr, reply protocol.RunTaskReply) {
 	worker := sc.senderOf(reply.Term, reply.Shard, reply.Instance)
 	attempt := sc.attempts.byID[reply.Attempt]
-	if worker == nil || attempt == nil || attempt.Shard != worker.Shard || attempt.Phase == confirmedRunning {
+	if worker == nil || attempt == nil || attempt.Shard != worker.Shard || attempt.phase == confirmedRunning {
 		return
 	}
 	if reply.Refusal != "" {
--- a/internal/dispatch/scheduler/running_tasks.go
+++ b/internal/dispatch/scheduler/running_tasks.go
@@ -59,7 +59,7 @@
 				Shard:     worker.Shard,
 				Stage:     StageUnknown,
 				Resources: task.Resources,
-				Phase:     confirmedRunning,
+				phase:     confirmedRunning,
 				OrderedAt: sc.now,
 			})
 		case attempt.Shard == worker.Shard:
@@ -85,7 +85,7 @@
 	var list []types.AttemptID
 	for id, attempt := range sc.attempts.unknownToLog {
 		end := state.AttemptEnd{ID: id, Outcome: state.OutcomeStopped}
-		if attempt.Phase == confirmedRunning && sc.cluster.EndRecorded(end) {
+		if attempt.phase == confirmedRunning && sc.cluster.EndRecorded(end) {
 			list = append(list, id)
 		}
 	}
--- a/internal/dispatch/scheduler/scheduler.go
+++ b/internal/dispatch/scheduler/scheduler.go
@@ -100,7 +100,7 @@
 		lastSweepAt: now.Add(-sweepInterval),
 	}
 	for _, attempt := range config.Outstanding {
-		attempt.Phase, attempt.OrderedAt = unconfirmed, now
+		attempt.phase, attempt.OrderedAt = unconfirmed, now
 		sc.attempts.add(&attempt)
 	}
 	return sc
--- a/internal/dispatch/scheduler/unsure.go
+++ b/internal/dispatch/scheduler/unsure.go
@@ -60,7 +60,7 @@
 		return
 	}
 	for _, id := range worker.queries.open[reply.Sequence] {
-		if attempt := sc.attempts.byID[id]; attempt != nil && attempt.Phase == unsureIfRunning {
+		if attempt := sc.attempts.byID[id]; attempt != nil && attempt.phase == unsureIfRunning {
 			sc.attempts.setPhase(attempt, confirmedRunning)
 		}
 	}
--- a/internal/dispatch/scheduler/unsure_test.go
+++ b/internal/dispatch/scheduler/unsure_test.go
@@ -20,13 +20,13 @@
 	id := types.AttemptID{TaskID: types.TaskID{Job: "j"}, Attempt: 1}
 	sc.RunTask("s", 0, "", protocol.AttemptSpec{Attempt: id})
 	attempt := sc.attempts.byID[id]
-	is.Equal(attempt.Phase, orderSent)
+	is.Equal(attempt.phase, orderSent)
 	sc.now = testStart.Add(protocol.DefaultTimeouts.RetryInterval)
 	sc.resolveUnsure()
-	is.Equal(attempt.Phase, orderSent) // its time is not up yet
+	is.Equal(attempt.phase, orderSent) // its time is not up yet
 	sc.now++
 	sc.resolveUnsure()
-	is.Equal(attempt.Phase, unsureIfRunning)
+	is.Equal(attempt.phase, unsureIfRunning)
 	return sc, worker, attempt
 }
 
@@ -56,10 +56,10 @@
 
 	reply := protocol.NotifyIfTasksNotRunningReply{Term: 2, Shard: "s", Instance: "i", Sequence: 3}
 	sc.onNotifyReply("a", reply) // to an earlier leader
-	is.Equal(attempt.Phase, unsureIfRunning)
+	is.Equal(attempt.phase, unsureIfRunning)
 	reply.Term = 3
 	sc.onNotifyReply("a", reply)
-	is.Equal(attempt.Phase, confirmedRunning)
+	is.Equal(attempt.phase, confirmedRunning)
 	is.Equal(len(worker.queries.open), 3)
 }
 
