--- a/internal/dispatch/executor/polling.go
+++ b/internal/dispatch/executor/polling.go
@@ -8,6 +8,10 @@
 	"coppercourse/internal/types"
 )
 
+// maxPolledSilencePercent is after which part of UnhealthyAfter without a call a polling
+// worker counts as unhealthy. That is before the agent itself would.
+const maxPolledSilencePercent = 60
+
 // pollSession is the exchange with a worker that polls.
 type pollSession struct {
 	lastCall uint64         // number of the worker's latest call
@@ -186,9 +190,9 @@
 }
 
 // polledWorkerSilent reports whether the worker has not called for so long that it counts
-// as unhealthy; that is before the agent itself would.
+// as unhealthy.
 func (ex *Executor) polledWorkerSilent() bool {
-	return ex.now.Sub(ex.worker.heardAt) >= ex.timeouts.UnhealthyAfter*6/10
+	return ex.now.Sub(ex.worker.heardAt) >= ex.timeouts.UnhealthyAfter*maxPolledSilencePercent/100
 }
 
 // SinceLastHeard returns the time since the worker was last heard.
