--- a/cmd/coppercourse/docs_test.go
+++ b/cmd/coppercourse/docs_test.go
@@ -55,6 +55,8 @@
 		{"`go test ./sim -run ZoneCut -args -cut 2h`", 0},
 		{"`bin/coppersim sweep --each --seeds 0`, `coppercourse job show ID`", 0},
 		{"`TestOfNothing`", 1},
+		{"planted \"a member counted twice\"", 0},
+		{"planted \"a member\ncounted thrice\"", 1},
 		{"`raft.Node.Tock`", 1},
 		{"`raft.Nodes`", 1},
 		{"`rafts.Node`", 1},
@@ -140,6 +142,7 @@
 	tests       map[string]map[string]bool // by folder
 	testFlags   map[string]bool            // folder and flag, such as "sim cut"
 	literals    map[string]bool            // words of string literals
+	texts       map[string]bool            // whole string literals
 	files       []string                   // all files and folders, relative to the root
 	commandLine map[string]bool            // lines of the golden files of the command lines, cut short
 	imported    map[string]bool            // packages of others that the code imports, by their last part
@@ -150,7 +153,7 @@
 	index := &nameIndex{
 		packages: map[string]bool{}, members: map[string]bool{}, tests: map[string]map[string]bool{},
 		testFlags: map[string]bool{}, literals: map[string]bool{}, commandLine: map[string]bool{},
-		imported: map[string]bool{},
+		imported: map[string]bool{}, texts: map[string]bool{},
 	}
 	for _, file := range sourceFiles(t) {
 		index.packages[file.packageName()] = true
@@ -194,6 +197,7 @@
 		switch x := node.(type) {
 		case *ast.BasicLit:
 			if text, ok := stringLiteral(x); ok {
+				n.texts[text] = true
 				for _, word := range identifiers.FindAllString(text, -1) {
 					n.literals[word] = true
 				}
@@ -307,8 +311,16 @@
 	mixedCaseName = regexp.MustCompile(`^[A-Za-z][a-z0-9]+[A-Z]\w*$`)
 )
 
+// plantedBug finds the names of planted bugs, which the pages give in quotes.
+var plantedBug = regexp.MustCompile(`[Pp]lanted "([^"]+)"`)
+
 // problems returns what a text shows in code type and the repository lacks.
 func (n *nameIndex) problems(text string) (list []string) {
+	for _, bug := range plantedBug.FindAllStringSubmatch(strings.ReplaceAll(text, "\n", " "), -1) {
+		if !n.texts[bug[1]] {
+			list = append(list, "no bug is planted by the name of "+bug[1])
+		}
+	}
 	spans, lines := codeTexts(text)
 	for _, span := range spans {
 		if problem := n.spanProblem(span); problem != "" {
