--- a/internal/dispatch/executor/link_rig_test.go
+++ b/internal/dispatch/executor/link_rig_test.go
@@ -13,8 +13,8 @@
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
-	"coppercourse/sim"
 	"coppercourse/sim/history"
+	"coppercourse/sim/worker"
 )
 
 const ms = time.Millisecond
@@ -123,9 +123,9 @@
 	executor  *executor.Executor
 	agents    int // started so far
 
-	worker            *sim.InvokedWorker // nil while none runs
+	worker            *worker.Invoked // nil while none runs
 	workerSpec        history.WorkerSpec
-	environment       *sim.WorkerEnvironment
+	environment       *worker.Environment
 	incarnations      int
 	heartbeatSequence uint64
 
@@ -168,7 +168,7 @@
 			Capacity:        cores(8),
 			RejectsOverload: true,
 		},
-		environment: sim.NewWorkerEnvironment(sim.WorkerRules{
+		environment: worker.NewEnvironment(worker.Rules{
 			MaxLease:           6 * time.Second,
 			MaxStopTime:        400 * ms,
 			GangTimeout:        3 * time.Second,
@@ -264,7 +264,7 @@
 	lr.heartbeatSequence = 0
 	clear(lr.running)
 	now := func() types.MonoTime { return lr.now }
-	lr.worker = sim.NewInvokedWorker(lr.workerSpec, id, lr.environment, lr.random, now, lr.record)
+	lr.worker = worker.NewInvoked(lr.workerSpec, id, lr.environment, lr.random, now, lr.record)
 	lr.worker.StartsUnderLease = true
 }
 
