--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -230,7 +230,7 @@
 
 // replyReads answers the reads that need wait no longer.
 func (a *api) replyReads() {
-	a.requests.reads.release(a.log.applied(), a.replyJob)
+	a.requests.releaseReads(a.log.applied(), a.replyJob)
 }
 
 // abandonRequests answers all requests that wait, as this controller does not lead.
--- a/internal/controller/attempt_review.go
+++ b/internal/controller/attempt_review.go
@@ -88,7 +88,7 @@
 func brokenGangs(v *leaderView) map[placement.TaskGroup]bool {
 	broken := map[placement.TaskGroup]bool{}
 	for _, attempt := range v.scheduler.OverdueAttempts() {
-		if j := v.openJob(attempt.Attempt); j != nil && j.Spec.Steps[attempt.Stage.Step()].Gang {
+		if j := openJob(v.state, attempt.Attempt.Job); j != nil && j.Spec.Steps[attempt.Stage.Step()].Gang {
 			broken[placement.TaskGroup{Job: attempt.Attempt.Job, Stage: attempt.Stage}] = true
 		}
 	}
@@ -97,8 +97,8 @@
 
 // canWithdraw reports whether an attempt is outstanding and not yet being withdrawn.
 func canWithdraw(s *state.State, id types.AttemptID) bool {
-	j := s.Jobs[id.Job]
-	if j == nil || j.Status != state.JobOpen {
+	j := openJob(s, id.Job)
+	if j == nil {
 		return false
 	}
 	task := j.Task(id.Number)
--- a/internal/controller/command_log.go
+++ b/internal/controller/command_log.go
@@ -117,12 +117,12 @@
 // installSnapshot starts to load a snapshot that a leader has sent in place of entries
 // which this member lacks.
 func (l *commandLog) installSnapshot() {
-	if l.raft.Snapshot().Index <= max(l.appliedIndex, l.loader.index) {
+	if l.raft.Snapshot().Index <= max(l.appliedIndex, l.loader.lastIndex()) {
 		return
 	}
 	l.startLoading()
 	l.loadPart() // all of a small one
-	maps.DeleteFunc(l.own, func(index types.Index, _ ownCommand) bool { return index <= l.loader.index })
+	maps.DeleteFunc(l.own, func(index types.Index, _ ownCommand) bool { return index <= l.loader.lastIndex() })
 }
 
 // startLoading starts to load the snapshot that the log begins with. Until it is loaded
@@ -142,8 +142,8 @@
 	if loaded == nil {
 		return
 	}
-	l.replicated, l.appliedIndex = loaded, l.loader.index
-	l.writer.completed(l.loader.index, totalBytes(l.raft.Snapshot().Parts))
+	l.replicated, l.appliedIndex = loaded, l.loader.lastIndex()
+	l.writer.completed(l.appliedIndex, totalBytes(l.raft.Snapshot().Parts))
 	l.raft.AdvanceClock(loaded.Time)
 	l.raft.SetStateLoading(false)
 }
@@ -162,7 +162,8 @@
 		l.replicated.BeginSnapshot()
 	}
 	if parts := l.replicated.ContinueSnapshot(snapshotWriteBytes); parts != nil {
-		l.writer.completed(l.writer.index, totalBytes(parts))
-		l.raft.Compact(l.writer.index, parts)
+		index := l.writer.lastIndex()
+		l.writer.completed(index, totalBytes(parts))
+		l.raft.Compact(index, parts)
 	}
 }
--- a/internal/controller/command_trace.go
+++ b/internal/controller/command_trace.go
@@ -17,9 +17,11 @@
 		c.Trace.Add(c.now.Wall, trace.JobSubject(command.Cancel), "cancellation applied", "index", index)
 	}
 	for _, a := range command.Assignments {
-		c.Trace.Add(c.now.Wall, trace.JobSubject(a.ID.Job), "attempt assigned", "attempt", a.ID, "worker", a.Shard)
+		job := trace.JobSubject(a.ID.Job)
+		c.Trace.Add(c.now.Wall, job, "attempt assigned", "attempt", a.ID, "worker", a.Shard)
 	}
 	for _, end := range command.Ends {
-		c.Trace.Add(c.now.Wall, trace.JobSubject(end.ID.Job), "attempt end applied", "attempt", end.ID, "outcome", end.Outcome)
+		job := trace.JobSubject(end.ID.Job)
+		c.Trace.Add(c.now.Wall, job, "attempt end applied", "attempt", end.ID, "outcome", end.Outcome)
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -34,8 +34,8 @@
 	SnapshotThreshold types.Index // entries between two snapshots at least; 0 is DefaultSnapshotThreshold
 }
 
-// Controller is one controller as a state machine. It joins the parts: each has its own
-// state and is used through its methods only.
+// Controller is one controller as a state machine. It joins the parts, and has a field for
+// each: a part has its own state and is used through its methods only.
 type Controller struct {
 	options   Options
 	now       types.Now // of the event at hand
@@ -198,7 +198,7 @@
 	for _, end := range ends {
 		if j := c.log.state().Jobs[end.ID.Job]; j != nil && j.Ended() {
 			c.durations.jobEnded(j.ID)
-			c.requests.rates.record(j.Queue, c.now.Mono)
+			c.requests.jobCompleted(j.Queue, c.now.Mono)
 		}
 	}
 }
--- a/internal/controller/job_ranking.go
+++ b/internal/controller/job_ranking.go
@@ -58,7 +58,8 @@
 	work := 0.0
 	for i := range j.Spec.Steps {
 		step := &j.Spec.Steps[i]
-		work += float64(step.Tasks) * v.expectedDuration(j, i).Seconds() * float64(step.Resources.Cores) / float64(types.Core)
+		cores := float64(step.Resources.Cores)
+		work += float64(step.Tasks) * v.expectedDuration(j, i).Seconds() * cores / float64(types.Core)
 	}
 	if len(j.Spec.Steps) > 0 && !j.Spec.Steps[0].AlwaysRestart {
 		updateMean(r.meanTaskSeconds, j.Queue, v.expectedDuration(j, 0).Seconds())
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -42,7 +42,7 @@
 	if refusal.Kind == apierror.QueueFull && command.Job != nil {
 		queue := command.Job.Spec.Queue
 		waiting := a.log.state().UnfinishedJobs(queue)
-		refusal.WithRetryAfter(a.requests.rates.retryAfter(queue, now.Mono, waiting))
+		refusal.WithRetryAfter(a.requests.retryAfter(queue, now.Mono, waiting))
 	}
 	return refusal
 }
@@ -50,7 +50,7 @@
 // getJob shows a job, once the ends of its attempts that are on their way are committed.
 func (a *api) getJob(r request) {
 	id := types.JobID(r.arg)
-	if !a.requests.reads.hold(r.caller, id, a.log.applied()) {
+	if !a.requests.holdRead(r.caller, id, a.log.applied()) {
 		a.replyJob(r.caller, id)
 	}
 }
--- a/internal/controller/job_view.go
+++ b/internal/controller/job_view.go
@@ -15,7 +15,7 @@
 	ID             types.JobID     `json:"id"`
 	Queue          types.QueueName `json:"queue,omitempty"`
 	State          state.JobStatus `json:"state"`
-	DecidedState   state.JobStatus `json:"outcome,omitempty"` // what it will end as, while its last attempts are stopped
+	DecidedState   state.JobStatus `json:"outcome,omitempty"` // what it ends as, while its last attempts are stopped
 	Reason         string          `json:"reason,omitempty"`  // why it failed or was cancelled
 	AcceptedAt     string          `json:"accepted_at,omitempty"`
 	CancelAccepted bool            `json:"cancel_accepted,omitempty"`
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -15,6 +15,9 @@
 // through its scheduler.Scheduler, proposes the ends of attempts that they report, and plans
 // rounds of placement. Its parts are kept from one leadership to the next and reset between
 // them; the scheduler is made anew with each.
+//
+// It has many fields because it joins the leader's parts: first what all of the controller
+// shares, then the parts themselves.
 type leader struct {
 	options   Options
 	raft      *raft.Node
@@ -111,9 +114,10 @@
 		for i := range j.Tasks {
 			number := j.Spec.TaskNumber(i)
 			at := types.StageOf(number)
+			task := types.TaskID{Job: j.ID, Number: number}
 			for _, attempt := range j.Tasks[i].Outstanding() {
 				list = append(list, scheduler.OutstandingAttempt{
-					Attempt:      types.AttemptID{TaskID: types.TaskID{Job: j.ID, Number: number}, Attempt: attempt.Number},
+					Attempt:      types.AttemptID{TaskID: task, Attempt: attempt.Number},
 					Shard:        attempt.Shard,
 					Stage:        at,
 					Resources:    j.Spec.Steps[at.Step()].Resources,
@@ -165,7 +169,7 @@
 	}
 	for _, end := range list {
 		l.ends.proposed(end)
-		l.requests.reads.endProposed(end.ID.Job, index)
+		l.requests.endProposed(end.ID.Job, index)
 		if end.Outcome.FreesResources() {
 			l.release(end.ID)
 		}
@@ -176,7 +180,7 @@
 // release frees the resources of an attempt that surely runs no more.
 func (l *leader) release(attempt types.AttemptID) {
 	l.ends.release(attempt)
-	l.planner.slots.invalidate(l.scheduler.ShardOf(attempt))
+	l.planner.invalidate(l.scheduler.ShardOf(attempt))
 	l.requestPlacement()
 }
 
@@ -191,11 +195,7 @@
 	if l.wallOffset.due(v.now) {
 		l.wallOffset.propose(v, l.log, l.raft.WallOffsets())
 	}
-	if l.planner.rounds.inFlight(l.log.applied()) {
-		l.proposeRound(l.planner.planBeside(v, l.log.applied()))
-		return
-	}
-	l.proposeRound(l.planner.plan(v, &l.review, &l.preemption))
+	l.proposeRound(l.planner.plan(v, l.log.applied(), &l.review, &l.preemption))
 }
 
 // stopAttempts stops the attempts that the state has no use for, those unknown to it and
@@ -219,7 +219,7 @@
 	}
 	index, ok := l.log.propose(state.Command{Assignments: r.assignments, Withdrawals: r.withdrawals})
 	if ok {
-		l.planner.rounds.proposed(index, r.assignments)
+		l.planner.proposed(index, r.assignments)
 	}
 }
 
@@ -228,16 +228,16 @@
 func (l *leader) commandApplied(now types.MonoTime, command state.Command, assignments []state.Assignment,
 	refusal *apierror.Error) {
 	if command.Job != nil && refusal == nil {
-		l.planner.ranking.recordJob(l.view(now), l.log.state().Jobs[command.Job.ID])
+		l.planner.recordJob(l.view(now), l.log.state().Jobs[command.Job.ID])
 	}
 	for _, a := range command.Assignments {
-		l.planner.rounds.applied(a.ID.TaskID)
+		l.planner.applied(a.ID.TaskID)
 	}
 	l.sendOrders(assignments)
 	l.scheduler.OnEndsCommitted(command.Ends)
 	for _, end := range command.Ends {
 		l.ends.committed(end)
-		l.requests.reads.endCommitted(end.ID.Job, l.log.applied())
+		l.requests.endCommitted(end.ID.Job, l.log.applied())
 	}
 }
 
--- a/internal/controller/leader_view.go
+++ b/internal/controller/leader_view.go
@@ -32,9 +32,9 @@
 	return v.durations.ofQueue(j, step)
 }
 
-// openJob returns an attempt's job, or nil if that is not open any more.
-func (v *leaderView) openJob(attempt types.AttemptID) *state.Job {
-	if j := v.state.Jobs[attempt.Job]; j != nil && j.Status == state.JobOpen {
+// openJob returns the job of an ID, or nil if that is not open any more.
+func openJob(s *state.State, id types.JobID) *state.Job {
+	if j := s.Jobs[id]; j != nil && j.Status == state.JobOpen {
 		return j
 	}
 	return nil
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -45,9 +45,31 @@
 	p.reservation = nil
 }
 
-// plan makes a full round: review withdraws and hedges attempts, new work is placed, and if
-// nothing at all could be done, preempt makes room.
-func (p *planner) plan(v *leaderView, review *attemptReview, preempt *preemption) round {
+// recordJob learns from a new job.
+func (p *planner) recordJob(v *leaderView, j *state.Job) { p.ranking.recordJob(v, j) }
+
+// invalidate has what runs on a worker summed up anew.
+func (p *planner) invalidate(shard types.Shard) { p.slots.invalidate(shard) }
+
+// proposed records that a round's assignments were proposed.
+func (p *planner) proposed(index types.Index, assignments []state.Assignment) {
+	p.rounds.proposed(index, assignments)
+}
+
+// applied records that an assignment of a task is applied.
+func (p *planner) applied(task types.TaskID) { p.rounds.applied(task) }
+
+// plan makes the next round, given the last index applied.
+func (p *planner) plan(v *leaderView, applied types.Index, review *attemptReview, preempt *preemption) round {
+	if p.rounds.inFlight(applied) {
+		return p.planBeside(v, applied)
+	}
+	return p.planFull(v, review, preempt)
+}
+
+// planFull makes a full round: review withdraws and hedges attempts, new work is placed,
+// and if nothing at all could be done, preempt makes room.
+func (p *planner) planFull(v *leaderView, review *attemptReview, preempt *preemption) round {
 	p.rounds.landed()
 	withdrawals, hedges := review.review(v)
 	result := round{withdrawals: withdrawals}
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -46,15 +46,16 @@
 			continue
 		}
 		p.lastAt = v.now
-		return withdrawals(victims), &placement.Reservation{TaskGroup: request.TaskGroup, Workers: fit(request, in.Slots, victims)}
+		workers := fit(request, in.Slots, victims)
+		return withdrawals(victims), &placement.Reservation{TaskGroup: request.TaskGroup, Workers: workers}
 	}
 	return nil, nil
 }
 
 // mayPreempt reports whether a request may preempt other work.
 func mayPreempt(request placement.Request, usage *placement.QueueUsage) bool {
-	return usage != nil && usage.Queue.CanPreempt && request.WaitingFor >= preemptionDelay && len(request.Tasks) > 0 &&
-		usage.RunningTasks+request.MinTasks() <= usage.Queue.MaxRunning
+	return usage != nil && usage.Queue.CanPreempt && request.WaitingFor >= preemptionDelay &&
+		len(request.Tasks) > 0 && usage.RunningTasks+request.MinTasks() <= usage.Queue.MaxRunning
 }
 
 // belowShare reports whether a queue uses less than its share of all cores.
--- a/internal/controller/report_buffer.go
+++ b/internal/controller/report_buffer.go
@@ -48,7 +48,8 @@
 		})
 	}
 	if len(update.Ends) > 0 {
-		b.reports = append(b.reports, bufferedReport{from: message.From, update: update, receivedAt: now, forwardedAt: now})
+		report := bufferedReport{from: message.From, update: update, receivedAt: now, forwardedAt: now}
+		b.reports = append(b.reports, report)
 	}
 }
 
--- a/internal/controller/request_table.go
+++ b/internal/controller/request_table.go
@@ -3,6 +3,7 @@
 import (
 	"maps"
 	"slices"
+	"time"
 
 	"coppercourse/internal/apierror"
 	"coppercourse/internal/types"
@@ -66,6 +67,38 @@
 	return changes, t.reads.abandon()
 }
 
+// holdRead keeps a read of a job back if it must wait for ends that were proposed; applied
+// is the last index applied. It returns false for a read to be answered at once.
+func (t *requestTable) holdRead(from caller, job types.JobID, applied types.Index) bool {
+	return t.reads.hold(from, job, applied)
+}
+
+// releaseReads answers the reads that need wait no longer.
+func (t *requestTable) releaseReads(applied types.Index, answer func(caller, types.JobID)) {
+	t.reads.release(applied, answer)
+}
+
+// endProposed records that an end of an attempt of a job is proposed at an index.
+func (t *requestTable) endProposed(job types.JobID, index types.Index) {
+	t.reads.endProposed(job, index)
+}
+
+// endCommitted records that an end of an attempt of a job is applied, as all up to an
+// index is.
+func (t *requestTable) endCommitted(job types.JobID, applied types.Index) {
+	t.reads.endCommitted(job, applied)
+}
+
+// jobCompleted records that a job of a queue has ended.
+func (t *requestTable) jobCompleted(queue types.QueueName, now types.MonoTime) {
+	t.rates.record(queue, now)
+}
+
+// retryAfter estimates when a caller should come back whom a full queue refuses.
+func (t *requestTable) retryAfter(queue types.QueueName, now types.MonoTime, waiting int) time.Duration {
+	return t.rates.retryAfter(queue, now, waiting)
+}
+
 // leaderChanged is the reply to a request whose outcome is unknown.
 func leaderChanged() *apierror.Error {
 	return apierror.New(apierror.OutcomeUnknown, "", "the leader changed; send the same again")
--- a/internal/controller/slot_cache.go
+++ b/internal/controller/slot_cache.go
@@ -42,7 +42,8 @@
 
 // list returns the workers that may be given work, with the assignments in flight counted
 // in, and the cores of all healthy workers. The list is valid until the next call.
-func (sc *slotCache) list(v *leaderView, ends *endTracker, rounds *assignmentRounds) ([]placement.Slot, types.MilliCores) {
+func (sc *slotCache) list(v *leaderView, ends *endTracker, rounds *assignmentRounds) (
+	[]placement.Slot, types.MilliCores) {
 	if sc.byShard == nil {
 		sc.byShard, sc.position = map[types.Shard]*occupancy{}, map[types.Shard]int{}
 	}
--- a/internal/controller/snapshots.go
+++ b/internal/controller/snapshots.go
@@ -47,6 +47,9 @@
 // begin records that a snapshot of the entries up to an index is being written.
 func (w *snapshotWriter) begin(index types.Index) { w.index = index }
 
+// lastIndex returns the last entry in the newest snapshot, or in the one being written.
+func (w *snapshotWriter) lastIndex() types.Index { return w.index }
+
 // completed records the newest snapshot, written or loaded.
 func (w *snapshotWriter) completed(index types.Index, bytes int) { w.index, w.bytes = index, bytes }
 
@@ -59,6 +62,9 @@
 // active reports whether a snapshot is being loaded.
 func (s *snapshotLoader) active() bool { return s.decoder != nil }
 
+// lastIndex returns the last entry in the snapshot that is being or was last loaded.
+func (s *snapshotLoader) lastIndex() types.Index { return s.index }
+
 // start begins with a snapshot, in place of one that was being loaded.
 func (s *snapshotLoader) start(snapshot raft.Snapshot) {
 	s.decoder, s.index = state.NewLoader(snapshot.Parts), snapshot.Index
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -62,7 +62,7 @@
 func hedgeRequests(v *leaderView, attempts []*scheduler.OutstandingAttempt) []placement.Request {
 	var requests []placement.Request
 	for _, attempt := range attempts {
-		j := v.openJob(attempt.Attempt)
+		j := openJob(v.state, attempt.Attempt.Job)
 		if j == nil || attempt.Stage < 0 || !needsHedge(v, j, attempt) {
 			continue
 		}
--- a/internal/controller/worker_availability.go
+++ b/internal/controller/worker_availability.go
@@ -41,7 +41,8 @@
 	if a.remaining == 0 || untilStart < a.remaining {
 		a.remaining = untilStart
 	}
-	if deadline := v.now.Add(window.Deadline.Sub(v.clock)); window.Deadline != 0 && (a.emptyBy == 0 || deadline < a.emptyBy) {
+	deadline := v.now.Add(window.Deadline.Sub(v.clock))
+	if window.Deadline != 0 && (a.emptyBy == 0 || deadline < a.emptyBy) {
 		a.emptyBy, a.reason = deadline, window.Reason
 	}
 	return a
