--- a/internal/controller/assignment_rounds.go
+++ b/internal/controller/assignment_rounds.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"iter"
-	"maps"
 	"slices"
 
 	"coppercourse/internal/state"
@@ -60,8 +58,8 @@
 	return len(r.indexes) >= maxRoundsInFlight
 }
 
-// pending lists the assignments in flight, in no order.
-func (r *assignmentRounds) pending() iter.Seq[state.Assignment] { return maps.Values(r.assignments) }
+// pending returns the assignments in flight, which the caller must not change.
+func (r *assignmentRounds) pending() map[types.TaskID]state.Assignment { return r.assignments }
 
 // none reports whether there are no assignments in flight.
 func (r *assignmentRounds) none() bool { return len(r.assignments) == 0 }
--- a/internal/controller/slot_cache.go
+++ b/internal/controller/slot_cache.go
@@ -60,7 +60,7 @@
 		}
 	}
 	sc.slots = slots
-	for assignment := range rounds.pending() {
+	for _, assignment := range rounds.pending() {
 		if i, ok := sc.position[assignment.Shard]; ok {
 			group := placement.TaskGroup{Job: assignment.ID.Job, Stage: types.StageOf(assignment.ID.Number)}
 			slots[i].Assign(group, taskResources(v.state, group))
