--- /dev/null
+++ b/internal/controller/leader_rig_test.go
@@ -0,0 +1,162 @@
+package controller
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+	"time"
+
+	"coppercourse/internal/config"
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/dispatch/scheduler"
+	"coppercourse/internal/raft"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// calledWorkers is a cluster of workers that are called, whose log records no end.
+type calledWorkers struct{}
+
+func (calledWorkers) UnresolvedAttempts(types.Shard) []types.AttemptID { return nil }
+func (calledWorkers) ZonePartitioned(types.Shard) bool                 { return false }
+func (calledWorkers) CalledByAgent(types.Shard) bool                   { return true }
+func (calledWorkers) EndRecorded(state.AttemptEnd) bool                { return false }
+
+// leaderRig is the leader's part of a controller with six healthy workers, k0 to k5, of
+// 16 cores and 32,000 MB each in rack r1.
+type leaderRig struct {
+	*leader
+	now    types.MonoTime
+	agents []protocol.Heartbeat
+}
+
+func newLeaderRig(rnd *rand.Rand) *leaderRig {
+	now := types.Now{Mono: types.MonoTime(time.Hour), Wall: types.WallTime(time.Hour)}
+	options := Options{Addr: "h1", RaftTimeouts: raft.DefaultTimeouts, DispatchTimeouts: protocol.DefaultTimeouts}
+	l := &leaderRig{leader: New(now, rnd, options, nil).leader, now: now.Mono}
+	l.scheduler = scheduler.New(now.Mono, scheduler.Config{
+		Timeouts:          protocol.DefaultTimeouts,
+		Addr:              "h1",
+		Term:              1,
+		PriorAuthorityEnd: now.Mono,
+		Cluster:           calledWorkers{},
+	})
+	for i := range 6 {
+		shard := types.Shard(fmt.Sprint("k", i))
+		l.agents = append(l.agents, protocol.Heartbeat{
+			Shard:    shard,
+			Instance: types.ID("agent-" + shard),
+			WorkerReport: protocol.WorkerReport{
+				Rack:          "r1",
+				Kinds:         []types.ServiceKind{"x"},
+				Capacity:      types.Resources{Cores: 16_000, MemoryMB: 32_000},
+				Healthy:       true,
+				CalledByAgent: true,
+			},
+		})
+	}
+	for range 4 { // until all agree on the worker set
+		l.heartbeats()
+	}
+	return l
+}
+
+// advance lets time pass.
+func (l *leaderRig) advance(d time.Duration) {
+	l.now = l.now.Add(d)
+	l.scheduler.Tick(l.now, time.Minute)
+}
+
+// deliver gives the scheduler a message of an agent.
+func (l *leaderRig) deliver(kind wire.Kind, body any) {
+	l.scheduler.HandleMessage(l.now, time.Minute, wire.NewMessage("a", "h1", kind, body).Message)
+}
+
+// heartbeats has all agents send one.
+func (l *leaderRig) heartbeats() {
+	for i := range l.agents {
+		l.heartbeat(i)
+	}
+}
+
+// heartbeat has an agent send one, and take in what it is answered.
+func (l *leaderRig) heartbeat(i int) {
+	l.advance(time.Millisecond)
+	agent := &l.agents[i]
+	agent.SentAt = l.now
+	l.deliver(wire.Heartbeat, *agent)
+	messages, _ := l.scheduler.TakeOutput()
+	for _, m := range messages {
+		switch m.Message.Kind {
+		case wire.RunningTasksQuery:
+			reply := protocol.RunningTasksReply{Term: 1, Shard: agent.Shard, Instance: agent.Instance, Complete: true}
+			l.deliver(wire.RunningTasksReply, reply)
+		case wire.HeartbeatReply:
+			if r, ok := wire.DecodeBody[protocol.HeartbeatReply](m.Message); ok {
+				agent.WorkerSet = r.WorkerSet
+			}
+		}
+	}
+}
+
+// apply applies a command to the state; one that is refused fails the test.
+func (l *leaderRig) apply(t *testing.T, command state.Command) {
+	t.Helper()
+	command.Time = max(command.Time, l.log.state().Time, types.ClusterTime(time.Second))
+	if _, refusal := l.log.apply(command); refusal != nil {
+		t.Fatal(refusal)
+	}
+}
+
+// table replaces the table of queues.
+func (l *leaderRig) table(t *testing.T, queues ...config.Queue) {
+	t.Helper()
+	l.apply(t, state.Command{Table: &config.Table{Version: l.log.state().Table.Version, Queues: queues}})
+}
+
+// testQueue is a queue that bounds nothing.
+func testQueue(name types.QueueName) config.Queue {
+	return config.Queue{
+		Name:                    name,
+		Weight:                  1,
+		MaxRunning:              1000,
+		MaxUnfinished:           1000,
+		MaxFailures:             3,
+		TaskTimeoutMillis:       60_000,
+		UnresolvedTimeoutMillis: 30_000,
+	}
+}
+
+// testStep is a step of tasks that each take a core.
+func testStep(name string, tasks int) state.Step {
+	return state.Step{Name: name, Kind: "x", Tasks: tasks, Resources: types.Resources{Cores: 1000, MemoryMB: 100}}
+}
+
+// submit puts a job into the state.
+func (l *leaderRig) submit(t *testing.T, id types.JobID, spec state.Spec) *state.Job {
+	t.Helper()
+	l.apply(t, state.Command{Job: &state.Submission{ID: id, Spec: spec}})
+	return l.log.state().Jobs[id]
+}
+
+// attemptID names an attempt of a task of a job's first step.
+func attemptID(job types.JobID, task, number int) types.AttemptID {
+	return types.AttemptID{TaskID: types.TaskID{Job: job, Number: types.TaskNumber(0, 0, task)}, Attempt: number}
+}
+
+// run assigns an attempt in the state and orders it at a worker.
+func (l *leaderRig) run(t *testing.T, id types.AttemptID, shard types.Shard) {
+	t.Helper()
+	assignments := []state.Assignment{{ID: id, Shard: shard}}
+	l.apply(t, state.Command{Assignments: assignments})
+	l.sendOrders(assignments)
+}
+
+// end has the state take in how an attempt ended.
+func (l *leaderRig) end(t *testing.T, id types.AttemptID, outcome state.Outcome) {
+	t.Helper()
+	ends := []state.AttemptEnd{{ID: id, Outcome: outcome}}
+	l.apply(t, state.Command{Ends: ends})
+	l.scheduler.OnEndsCommitted(ends)
+}
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/placement"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
@@ -70,7 +71,7 @@
 	gangs := map[placement.TaskGroup]*victim{}
 	below := belowShare(in.Usage[request.Queue], in.TotalCores)
 	for _, attempt := range v.scheduler.Attempts() {
-		if attempt.Stage < 0 || !canWithdraw(v.state, attempt.Attempt) {
+		if attempt.Stage == scheduler.StageUnknown || !canWithdraw(v.state, attempt.Attempt) {
 			continue
 		}
 		j := v.state.Jobs[attempt.Attempt.Job]
--- /dev/null
+++ b/internal/controller/report_buffer_test.go
@@ -0,0 +1,78 @@
+package controller
+
+import (
+	"math/rand"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// report is an agent's report of some ends.
+func report(ends ...state.AttemptEnd) wire.Message {
+	update := protocol.UpdateStatus{Shard: "k0", Instance: "i", Ends: ends}
+	return wire.NewMessage("w0", "h1", wire.StatusReport, update).Message
+}
+
+func TestReportsAreKeptUntilTheLogHasTheirEnds(t *testing.T) {
+	const now = types.MonoTime(time.Hour)
+	ok := func(job types.JobID, number int) state.AttemptEnd {
+		return state.AttemptEnd{ID: attemptID(job, 0, number), Outcome: state.OutcomeOK}
+	}
+	for _, c := range []struct {
+		name      string
+		end       state.AttemptEnd
+		added     bool // to the buffer
+		keptFor   time.Duration
+		droppedAt time.Duration // after so long it is gone
+	}{
+		{"outstanding attempt", ok("j", 1), true, time.Hour, 0},
+		{"attempt assigned later than this log", ok("j", 2), true, unknownAttemptRetention, unknownAttemptRetention + 1},
+		{"job that this log does not have", ok("later", 1), true, unknownAttemptRetention, unknownAttemptRetention + 1},
+		{"end that the log has", ok("done", 1), false, 0, 0},
+		{"not what the worker did", state.AttemptEnd{ID: attemptID("j", 0, 1), Outcome: state.OutcomeStopped}, false, 0, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			l := newLeaderRig(rand.New(rand.NewSource(1)))
+			l.table(t, testQueue("q"))
+			for _, job := range []types.JobID{"j", "done"} {
+				l.submit(t, job, state.Spec{Queue: "q", Steps: []state.Step{testStep("s", 2)}})
+				l.run(t, attemptID(job, 0, 1), "k0")
+			}
+			l.end(t, attemptID("done", 0, 1), state.OutcomeOK)
+			var b reportBuffer
+			b.add(now, l.log.state(), report(c.end))
+			is.Equal(len(b.reports) == 1, c.added)
+			b.add(now, l.log.state(), report(c.end)) // again
+			is.Equal(len(b.reports) == 1, c.added)
+			b.prune(now.Add(c.keptFor), l.log.state())
+			is.Equal(len(b.reports) == 1, c.added)
+			if c.droppedAt > 0 {
+				b.prune(now.Add(c.droppedAt), l.log.state())
+				is.Equal(len(b.reports), 0)
+			}
+		})
+	}
+}
+
+func TestReportsAreForwardedOnceAnInterval(t *testing.T) {
+	is := is.New(t)
+	const now, interval = types.MonoTime(time.Hour), time.Second
+	l := newLeaderRig(rand.New(rand.NewSource(1)))
+	var b reportBuffer
+	b.add(now, l.log.state(), report(state.AttemptEnd{ID: attemptID("j", 0, 1), Outcome: state.OutcomeOK}))
+	is.Equal(len(b.takeDue(now.Add(interval-1), interval)), 0)
+	due := b.takeDue(now.Add(interval), interval)
+	is.Equal(len(due), 1)
+	is.Equal(len(b.takeDue(now.Add(interval+1), interval)), 0)
+	message := due[0].message("h2")
+	is.Equal(message.To, types.Addr("h2"))
+	is.Equal(message.Message.From, types.Addr("w0")) // as its agent sent it
+	is.Equal(message.Message.Kind, wire.StatusReport)
+}
--- a/internal/controller/slot_cache.go
+++ b/internal/controller/slot_cache.go
@@ -122,7 +122,7 @@
 	} else {
 		o.lastEnd = max(o.lastEnd, attempt.OrderedAt.Add(attempt.TimeLimit))
 	}
-	if attempt.Stage >= 0 {
+	if attempt.Stage != scheduler.StageUnknown {
 		o.byGroup[placement.TaskGroup{Job: attempt.Attempt.Job, Stage: attempt.Stage}]++
 	}
 }
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -46,7 +46,7 @@
 // which may be quick again before then; what may be hedged is hedged.
 func isWorthRestarting(v *leaderView, attempt *scheduler.OutstandingAttempt) bool {
 	j := v.state.Jobs[attempt.Attempt.Job]
-	if j == nil || attempt.StragglerEnd <= v.now || attempt.Stage < 0 {
+	if j == nil || attempt.StragglerEnd <= v.now || attempt.Stage == scheduler.StageUnknown {
 		return false
 	}
 	step := &j.Spec.Steps[attempt.Stage.Step()]
@@ -63,7 +63,7 @@
 	var requests []placement.Request
 	for _, attempt := range attempts {
 		j := openJob(v.state, attempt.Attempt.Job)
-		if j == nil || attempt.Stage < 0 || !needsHedge(v, j, attempt) {
+		if j == nil || attempt.Stage == scheduler.StageUnknown || !needsHedge(v, j, attempt) {
 			continue
 		}
 		step := &j.Spec.Steps[attempt.Stage.Step()]
