--- /dev/null
+++ b/internal/controller/attempt_review_test.go
@@ -0,0 +1,73 @@
+package controller
+
+import (
+	"math/rand"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+func TestReviewsComeOnceAnInterval(t *testing.T) {
+	is := is.New(t)
+	var r reviewTimer
+	is.True(r.due(0)) // the first one at once
+	is.True(!r.due(types.MonoTime(reviewInterval - 1)))
+	is.True(r.due(types.MonoTime(reviewInterval)))
+}
+
+func TestAttemptsLeaveWorkersThatMustBeEmptySoon(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		drain state.Target
+		in    time.Duration // until the deadline, or 0 for none
+		want  bool
+	}{
+		{"no deadline", state.Target{Shard: "k0"}, 0, false},
+		{"deadline far off", state.Target{Shard: "k0"}, departureMargin, false},
+		{"deadline soon", state.Target{Shard: "k0"}, departureMargin - time.Millisecond, true},
+		{"another worker's deadline", state.Target{Shard: "k1"}, time.Millisecond, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			l := newLeaderRig(rand.New(rand.NewSource(1)))
+			l.table(t, testQueue("q"))
+			l.submit(t, "j", state.Spec{Queue: "q", Steps: []state.Step{testStep("s", 1)}})
+			l.run(t, attemptID("j", 0, 1), "k0")
+			drain := state.Drain{Target: c.drain}
+			if c.in > 0 {
+				drain.Deadline = l.raft.Clock().Add(c.in)
+			}
+			l.log.state().Drains = []state.Drain{drain}
+			list, _ := l.review.review(l.view(l.now))
+			if !c.want {
+				is.Equal(len(list), 0)
+				return
+			}
+			is.Equal(list, []state.Withdrawal{{ID: attemptID("j", 0, 1), Reason: state.WorkerDrained}})
+			l.apply(t, state.Command{Withdrawals: list})
+			l.now = l.now.Add(reviewInterval)
+			list, _ = l.review.review(l.view(l.now))
+			is.Equal(len(list), 0) // it is being withdrawn
+		})
+	}
+}
+
+func TestATableMayShortenTheLimitOfWhatRuns(t *testing.T) {
+	is := is.New(t)
+	l := newLeaderRig(rand.New(rand.NewSource(1)))
+	q := testQueue("q")
+	l.table(t, q)
+	l.submit(t, "j", state.Spec{Queue: "q", Steps: []state.Step{testStep("s", 1)}})
+	l.run(t, attemptID("j", 0, 1), "k0")
+	l.now = l.now.Add(2 * time.Minute)
+	is.Equal(len(l.review.beyondTimeLimit(l.view(l.now))), 0) // its agent stops it by the limit of its order
+	q.TaskTimeoutMillis = 30_000
+	l.table(t, q)
+	is.Equal(len(l.review.beyondTimeLimit(l.view(l.now))), 0) // not yet due
+	l.now = l.now.Add(reviewInterval)
+	is.Equal(l.review.beyondTimeLimit(l.view(l.now)), []types.AttemptID{attemptID("j", 0, 1)})
+}
--- a/internal/controller/leader_rig_test.go
+++ b/internal/controller/leader_rig_test.go
@@ -68,6 +68,17 @@
 	l.scheduler.Tick(l.now, time.Minute)
 }
 
+// endInitialWait lets time pass until the scheduler's initial wait is over.
+func (l *leaderRig) endInitialWait(t *testing.T) {
+	t.Helper()
+	for limit := l.now.Add(time.Minute); l.scheduler.InInitialWait(); {
+		if l.now > limit {
+			t.Fatal("the initial wait does not end")
+		}
+		l.heartbeats()
+	}
+}
+
 // deliver gives the scheduler a message of an agent.
 func (l *leaderRig) deliver(kind wire.Kind, body any) {
 	l.scheduler.HandleMessage(l.now, time.Minute, wire.NewMessage("a", "h1", kind, body).Message)
--- /dev/null
+++ b/internal/controller/planner_test.go
@@ -0,0 +1,131 @@
+package controller
+
+import (
+	"math/rand"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/dispatch/protocol"
+	"coppercourse/internal/placement"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+// plan makes the next round of the rig's leader.
+func (l *leaderRig) plan(applied types.Index) round {
+	return l.planner.plan(l.view(l.now), applied, &l.review, &l.preemption)
+}
+
+func TestAFullRoundPlacesWhatIsReady(t *testing.T) {
+	is := is.New(t)
+	l := newLeaderRig(rand.New(rand.NewSource(1)))
+	l.endInitialWait(t)
+	l.table(t, testQueue("q"))
+	is.True(l.plan(0).empty()) // nothing is ready
+	l.submit(t, "j", state.Spec{Queue: "q", Steps: []state.Step{testStep("s", 3)}})
+	r := l.plan(0)
+	is.Equal(len(r.assignments), 3)
+	is.Equal(len(r.withdrawals), 0)
+	for i, a := range r.assignments {
+		is.Equal(a.ID, attemptID("j", i, 1))
+	}
+}
+
+func TestMembersOfAGangGetOneNumber(t *testing.T) {
+	is := is.New(t)
+	l := newLeaderRig(rand.New(rand.NewSource(1)))
+	l.endInitialWait(t)
+	l.table(t, testQueue("q"))
+	gang := testStep("s", 3)
+	gang.Gang = true
+	j := l.submit(t, "j", state.Spec{Queue: "q", Steps: []state.Step{gang}})
+	j.Tasks[1].LastAttempt = 4
+	r := l.plan(0)
+	is.Equal(len(r.assignments), 3)
+	for _, a := range r.assignments {
+		is.Equal(a.ID.Attempt, 5)
+	}
+}
+
+func TestRoundsBesideOneInFlightPlaceOnlyNewWork(t *testing.T) {
+	is := is.New(t)
+	l := newLeaderRig(rand.New(rand.NewSource(1)))
+	l.endInitialWait(t)
+	l.table(t, testQueue("q"))
+	l.submit(t, "first", state.Spec{Queue: "q", Steps: []state.Step{testStep("s", 2)}})
+	first := l.plan(0)
+	l.planner.proposed(7, first.assignments)
+	is.True(l.plan(6).empty()) // what is in flight is not placed again
+	l.submit(t, "second", state.Spec{Queue: "q", Steps: []state.Step{testStep("s", 1)}})
+	second := l.plan(6)
+	is.Equal(len(second.assignments), 1)
+	is.Equal(second.assignments[0].ID, attemptID("second", 0, 1))
+	_, usage := l.planner.readyWork(l.view(l.now))
+	is.Equal(usage["q"].RunningTasks, 2) // what is in flight counts as in use
+	is.Equal(usage["q"].CoresInUse, types.MilliCores(2000))
+
+	l.planner.reservation = &placement.Reservation{TaskGroup: placement.TaskGroup{Job: "second"}}
+	is.True(l.plan(6).empty()) // while workers are reserved, only full rounds place work
+	l.planner.reservation = nil
+	for i := range types.Index(maxRoundsInFlight) {
+		l.planner.proposed(8+i, nil)
+	}
+	is.True(l.plan(6).empty()) // too many rounds are in flight
+}
+
+func TestNothingIsPlacedInTheInitialWait(t *testing.T) {
+	is := is.New(t)
+	l := newLeaderRig(rand.New(rand.NewSource(1)))
+	l.establish(l.now)
+	l.table(t, testQueue("q"))
+	l.submit(t, "j", state.Spec{Queue: "q", Steps: []state.Step{testStep("s", 1)}})
+	is.True(l.scheduler.InInitialWait())
+	is.True(l.plan(0).empty())
+	l.planner.proposed(7, nil)
+	is.True(l.plan(6).empty())
+}
+
+func TestAFullRoundWithoutRoomPreempts(t *testing.T) {
+	is := is.New(t)
+	l := fullCluster(t)
+	l.endInitialWait(t)
+	whole := testStep("s", 1)
+	whole.Resources = types.Resources{Cores: 16_000, MemoryMB: 100}
+	l.submit(t, "new", state.Spec{Queue: "urgent", Urgency: 9, Steps: []state.Step{whole}})
+	is.True(l.plan(0).empty()) // it has not waited yet
+	l.now = l.now.Add(preemptionDelay)
+	r := l.plan(0)
+	is.Equal(len(r.assignments), 0)
+	is.Equal(len(r.withdrawals), 2)
+	is.Equal(l.planner.reservation.Job, types.JobID("new"))
+}
+
+// A leadership that ends leaves nothing of its rounds and reservations to the next one.
+func TestRevokingForgetsTheLeadership(t *testing.T) {
+	is := is.New(t)
+	l := newLeaderRig(rand.New(rand.NewSource(1)))
+	l.planner.proposed(7, []state.Assignment{{ID: attemptID("j", 0, 1), Shard: "k0"}})
+	l.planner.reservation = &placement.Reservation{}
+	l.planner.waits.update(l.now, []placement.Request{{TaskGroup: placement.TaskGroup{Job: "j"}}})
+	l.shapes.proposed = 9
+	l.ends.proposed(state.AttemptEnd{ID: attemptID("j", 0, 1), Outcome: state.OutcomeOK})
+	l.ends.release(attemptID("j", 0, 1))
+	l.planner.ranking.meanWork["q"] = 3
+	l.revoke()
+	is.True(!l.active())
+	is.Equal(l.counters.Lost, uint64(1))
+	is.True(!l.planner.rounds.inFlight(0))
+	is.True(l.planner.rounds.none())
+	is.Equal(l.planner.reservation, nil)
+	is.Equal(len(l.planner.waits.since), 0)
+	is.Equal(l.shapes.proposed, types.Index(0))
+	is.Equal(len(l.ends.inFlight)+len(l.ends.released), 0)
+	is.Equal(l.planner.slots.windows.orderDelay, protocol.DefaultTimeouts.AgentLease)
+	is.Equal(l.planner.ranking.meanWork["q"], 3.0) // what is known of queues stays
+	l.revoke()
+	is.Equal(l.counters.Lost, uint64(1)) // lost once
+	is.Equal(l.workers(), nil)
+	is.Equal(len(l.workerViews(l.now.Add(time.Second))), 0)
+}
--- /dev/null
+++ b/internal/controller/preemption_test.go
@@ -0,0 +1,132 @@
+package controller
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/config"
+	"coppercourse/internal/placement"
+	"coppercourse/internal/state"
+	"coppercourse/internal/types"
+)
+
+// fullCluster is a rig on which each worker runs one task of 16 cores of each job in turn:
+// "low" of urgency 1 and "high" of urgency 5 in queue batch, and "gang" of urgency 0.
+func fullCluster(t *testing.T) *leaderRig {
+	t.Helper()
+	l := newLeaderRig(rand.New(rand.NewSource(1)))
+	urgent := testQueue("urgent")
+	urgent.CanPreempt, urgent.SharePercent = true, 50
+	batch := testQueue("batch")
+	batch.MaxPreemptions = 1
+	l.table(t, urgent, batch)
+	whole := testStep("s", 2)
+	whole.Resources = types.Resources{Cores: 16_000, MemoryMB: 100}
+	gang := whole
+	gang.Gang = true
+	l.submit(t, "low", state.Spec{Queue: "batch", Urgency: 1, Steps: []state.Step{whole}})
+	l.submit(t, "high", state.Spec{Queue: "batch", Urgency: 5, Steps: []state.Step{whole}})
+	l.submit(t, "gang", state.Spec{Queue: "batch", Urgency: 0, Steps: []state.Step{gang}})
+	for i, job := range []types.JobID{"gang", "low", "high"} {
+		for task := range 2 {
+			l.advance(time.Millisecond)
+			l.run(t, attemptID(job, task, 1), types.Shard(fmt.Sprint("k", 2*i+task)))
+		}
+	}
+	return l
+}
+
+// preemptFor finds what a waiting request of queue urgent preempts; the queues use so
+// many cores.
+func (l *leaderRig) preemptFor(request placement.Request, urgentCores, batchCores types.MilliCores) (
+	[]state.Withdrawal, *placement.Reservation) {
+	request.Queue, request.Kind, request.TimeLimit = "urgent", "x", time.Second
+	request.TaskGroup = placement.TaskGroup{Job: "new"}
+	v := l.view(l.now)
+	in := placement.Input{Requests: []placement.Request{request}, Usage: queueUsage(v.state)}
+	in.Slots, in.TotalCores = l.planner.slots.list(v, l.ends, &l.planner.rounds)
+	in.Usage["urgent"].CoresInUse, in.Usage["batch"].CoresInUse = urgentCores, batchCores
+	return l.preemption.find(v, in)
+}
+
+func TestPreemptionTakesTheLeastUrgentThatItNeeds(t *testing.T) {
+	cores := func(n types.MilliCores) types.Resources { return types.Resources{Cores: 1000 * n, MemoryMB: 100} }
+	for _, c := range []struct {
+		name    string
+		urgency int
+		wait    time.Duration
+		tasks   int
+		gang    bool
+		size    types.Resources
+		used    types.MilliCores // by its own queue
+		want    []types.AttemptID
+	}{
+		{"a task of the least urgent, whole gang", 9, time.Second, 1, false, cores(10), 0,
+			[]types.AttemptID{attemptID("gang", 0, 1), attemptID("gang", 1, 1)}},
+		{"too little urgency, above its share", 0, time.Second, 1, false, cores(10), 60_000, nil},
+		{"equal urgency, below its share", 0, time.Second, 1, false, cores(10), 0,
+			[]types.AttemptID{attemptID("gang", 0, 1), attemptID("gang", 1, 1)}},
+		{"has not waited", 9, time.Second - 1, 1, false, cores(10), 0, nil},
+		{"gang that needs three workers", 3, time.Second, 3, true, cores(10), 0,
+			[]types.AttemptID{attemptID("gang", 0, 1), attemptID("gang", 1, 1), attemptID("low", 1, 1)}},
+		{"gang that needs more than the less urgent have", 3, time.Second, 5, true, cores(10), 0, nil},
+		{"larger than any worker", 9, time.Second, 1, false, cores(17), 0, nil},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			l := fullCluster(t)
+			request := placement.Request{Urgency: c.urgency, WaitingFor: c.wait, Gang: c.gang, Resources: c.size,
+				Tasks: make([]int, c.tasks)}
+			list, reserved := l.preemptFor(request, c.used, 96_000-c.used)
+			var got []types.AttemptID
+			for _, w := range list {
+				is.Equal(w.Reason, state.Preempted)
+				got = append(got, w.ID)
+			}
+			is.Equal(got, c.want)
+			is.Equal(reserved != nil, c.want != nil)
+			if reserved != nil {
+				tasks := 0
+				for _, worker := range reserved.Workers {
+					tasks += worker.Tasks
+				}
+				is.Equal(tasks, request.MinTasks())
+			}
+		})
+	}
+}
+
+func TestPreemptionKeepsItsBounds(t *testing.T) {
+	is := is.New(t)
+	l := fullCluster(t)
+	request := placement.Request{Urgency: 9, WaitingFor: time.Second, Tasks: []int{0},
+		Resources: types.Resources{Cores: 16_000, MemoryMB: 100}}
+	list, _ := l.preemptFor(request, 0, 96_000)
+	is.Equal(len(list), 2) // the gang
+	l.apply(t, state.Command{Withdrawals: list})
+	again, _ := l.preemptFor(request, 0, 96_000)
+	is.Equal(len(again), 0) // not so soon again
+	l.now = l.now.Add(preemptionInterval)
+	again, _ = l.preemptFor(request, 0, 96_000)
+	is.Equal(len(again), 1)
+	is.Equal(again[0].ID, attemptID("low", 1, 1)) // the gang is being withdrawn; of low the younger one
+
+	l.now = l.now.Add(preemptionInterval)
+	l.log.state().Jobs["low"].Tasks[1].Preemptions = 1
+	again, _ = l.preemptFor(request, 0, 96_000)
+	is.Equal(again[0].ID, attemptID("low", 0, 1)) // the other was preempted as often as its queue allows
+
+	l.now = l.now.Add(preemptionInterval)
+	again, _ = l.preemptFor(request, 0, 0)
+	is.Equal(len(again), 1) // a queue without a share is never below it
+	disabled := l.log.state().Table.Queues[0]
+	disabled.CanPreempt = false
+	l.log.state().Table.Queues = []config.Queue{disabled, l.log.state().Table.Queues[1]}
+	l.now = l.now.Add(preemptionInterval)
+	again, _ = l.preemptFor(request, 0, 96_000)
+	is.Equal(len(again), 0)
+}
--- a/internal/controller/worker_shapes.go
+++ b/internal/controller/worker_shapes.go
@@ -23,6 +23,13 @@
 	if w.proposed > log.applied() {
 		return
 	}
+	if changed := changedShapes(v); changed != nil {
+		w.proposed, _ = log.propose(state.Command{WorkerShapes: changed})
+	}
+}
+
+// changedShapes lists the shapes that differ from those in the state.
+func changedShapes(v *leaderView) []state.WorkerShape {
 	var changed []state.WorkerShape
 	for _, worker := range v.scheduler.Workers() {
 		shape := shapeOf(worker)
@@ -32,9 +39,7 @@
 		}
 		changed = append(changed, shape)
 	}
-	if changed != nil {
-		w.proposed, _ = log.propose(state.Command{WorkerShapes: changed})
-	}
+	return changed
 }
 
 func shapeOf(worker *scheduler.RemoteWorker) state.WorkerShape {
