--- a/internal/controller/catchup_test.go
+++ b/internal/controller/catchup_test.go
@@ -44,7 +44,8 @@
 		}
 		m.step(wire.Event{})
 		c.until(20*time.Second, "changes applied", func() bool {
-			return !m.serves() || m.machine.log.applied() == m.machine.raft.CommittedIndex() && m.machine.raft.CommittedIndex() > 0 && m.machine.log.state().Table.Version >= base+1
+			log, committed := m.machine.log, m.machine.raft.CommittedIndex()
+			return !m.serves() || committed > 0 && log.applied() == committed && log.state().Table.Version >= base+1
 		})
 		c.run(20 * time.Millisecond)
 	}
@@ -158,9 +159,9 @@
 	for _, n := range []int{300, 5000} {
 		bytes := 3_000_000 / n
 		for name, hamper := range map[string]func(*member){
-			"thin link": func(m *member) { m.perSecond = thinLinkBytesPerSecond },
+			"thin link": func(m *member) { m.bytesPerSecond = thinLinkBytesPerSecond },
 			"slow disk": func(m *member) { m.syncTime = slowSyncTime },
-			"both":      func(m *member) { m.perSecond, m.syncTime = thinLinkBytesPerSecond, slowSyncTime },
+			"both":      func(m *member) { m.bytesPerSecond, m.syncTime = thinLinkBytesPerSecond, slowSyncTime },
 		} {
 			t.Run(fmt.Sprint(n, " ", name), func(t *testing.T) { catchUpHampered(t, n, bytes, hamper) })
 		}
@@ -181,7 +182,7 @@
 	lead := c.leader()
 	size := lead.machine.raft.LogBytes() + totalBytes(lead.machine.raft.Snapshot().Parts)
 	limit := 4 * time.Second
-	if m.perSecond > 0 {
+	if m.bytesPerSecond > 0 {
 		limit += 2 * time.Duration(size) * time.Second / thinLinkBytesPerSecond
 	}
 	took := c.until(time.Minute, "caught up", func() bool { return m.machine.log.applied() > 0 && c.caughtUp(m) })
@@ -265,28 +266,30 @@
 
 func TestPlantedBugsOfCatchingUpAreCaught(t *testing.T) {
 	skipUnderRaceDetector(t)
-	for _, bug := range []struct {
-		name  string
-		days  func(*testing.T, func(*member, wire.Event)) *cluster
-		plant func(*member, wire.Event)
+	for _, c := range []struct {
+		name string
+		run  func(*testing.T, func(*member, wire.Event)) *cluster
+		bug  func(*member, wire.Event)
 	}{
-		{"a member stands for election while it reads its state back", loseLeaderWhileLoading,
+		{"a member stands for election while it loads its state", loseLeaderWhileLoading,
 			func(m *member, _ wire.Event) { m.machine.raft.SetStateLoading(false) }},
-		{"a member goes on without the state that it should read back", loseLeaderWhileLoading, func(m *member, _ wire.Event) {
-			if l := m.machine.log; l.isLoading() {
-				l.appliedIndex, l.writer.index, l.loader.decoder = l.loader.index, l.loader.index, nil
-				l.raft.SetStateLoading(false)
-			}
-		}},
-		{"a lease is judged by the time of the last tick", runFrozenLeader, func(m *member, e wire.Event) {
-			if e.Message == nil {
-				m.lastTick = m.clock()
-			}
-			m.machine.raft.SetTime(m.lastTick)
-		}},
+		{"a member goes on without the state that it should load", loseLeaderWhileLoading,
+			func(m *member, _ wire.Event) {
+				if l := m.machine.log; l.isLoading() {
+					l.appliedIndex, l.writer.index, l.loader.decoder = l.loader.index, l.loader.index, nil
+					l.raft.SetStateLoading(false)
+				}
+			}},
+		{"a lease is judged by the time of the last tick", runFrozenLeader,
+			func(m *member, e wire.Event) {
+				if e.Message == nil {
+					m.lastTick = m.clock()
+				}
+				m.machine.raft.SetTime(m.lastTick)
+			}},
 	} {
-		t.Run(bug.name, func(t *testing.T) {
-			if bug.days(t, bug.plant).violation == "" {
+		t.Run(c.name, func(t *testing.T) {
+			if c.run(t, c.bug).violation == "" {
 				t.Error("not caught")
 			}
 		})
--- a/internal/controller/command_log_test.go
+++ b/internal/controller/command_log_test.go
@@ -15,22 +15,25 @@
 	"coppercourse/internal/wire"
 )
 
-// randomPlain draws a command of values only, with names that JSON escapes.
-func randomPlain(r *rand.Rand) (c state.Command) {
+// randomPlain draws a command of plain values only, with names that JSON escapes.
+func randomPlain(r *rand.Rand) state.Command {
 	names := []types.JobID{"a", "menus-1", `q"uo<te>&`, "é\u2028"}
+	name := func() types.JobID { return names[r.Intn(len(names))] }
 	attempt := func() types.AttemptID {
-		return types.AttemptID{TaskID: types.TaskID{Job: names[r.Intn(len(names))], Number: r.Intn(1 << 40)}, Attempt: r.Intn(9)}
+		task := types.TaskID{Job: name(), Number: r.Intn(1 << 40)}
+		return types.AttemptID{TaskID: task, Attempt: r.Intn(9)}
 	}
-	c.Time = types.ClusterTime(r.Int63())
+	c := state.Command{Time: types.ClusterTime(r.Int63())}
 	if r.Intn(2) == 0 {
-		c.Cancel, c.ExitedWorker = names[r.Intn(len(names))], types.Shard("k1")
+		c.Cancel, c.ExitedWorker = name(), types.Shard("k1")
 	}
 	for range r.Intn(4) {
+		end := state.AttemptEnd{ID: attempt(), Outcome: state.OutcomeOK, Checkpoint: string(name())}
 		c.Assignments = append(c.Assignments, state.Assignment{ID: attempt(), Shard: "k2", Hedge: r.Intn(2) == 0})
-		c.Ends = append(c.Ends, state.AttemptEnd{ID: attempt(), Outcome: state.OutcomeOK, Checkpoint: string(names[r.Intn(len(names))])})
+		c.Ends = append(c.Ends, end)
 		c.Withdrawals = append(c.Withdrawals, state.Withdrawal{ID: attempt(), Reason: state.Straggling})
 	}
-	return
+	return c
 }
 
 // A command that is kept is just what followers read of its entry.
--- a/internal/controller/core_limits_test.go
+++ b/internal/controller/core_limits_test.go
@@ -17,12 +17,12 @@
 func TestLongWorkLeavesRoomButNoJobIdlesBesideAnIdleHalf(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		spare       int
-		since       time.Duration
+		headroom    int
+		waitingFor  time.Duration
 		quick, long types.MilliCores // in use
-		want        types.MilliCores
-		runs        bool // something of its job
-		tasks       int
+		want        types.MilliCores // its queue may use
+		jobRuns     bool             // something of its job runs
+		tasks       int              // that may be placed
 	}{
 		{"short work is not bound", 0, 0, 70, 10, 0, false, 3},
 		{"patient work", patientHeadroomPercent, 0, 70, 10, 30, false, 3},
@@ -37,8 +37,20 @@
 			is := is.New(t)
 			now := types.MonoTime(time.Hour)
 			limits := coreLimits{updatedAt: now, peaks: map[types.QueueName]float64{"quick": 80}}
-			in := placement.Input{TotalCores: 100, Requests: []placement.Request{{Queue: "long", HeadroomPercent: c.spare, WaitingFor: c.since, JobIdle: !c.runs, Tasks: []int{0, 1, 2}}}, Usage: map[types.QueueName]*placement.QueueUsage{
-				"quick": {Queue: config.Queue{Name: "quick", TargetFactor: 1}, CoresInUse: c.quick}, "long": {Queue: config.Queue{Name: "long", TargetFactor: 3, Priority: 2}, CoresInUse: c.long}}}
+			in := placement.Input{
+				TotalCores: 100,
+				Requests: []placement.Request{{
+					Queue:           "long",
+					HeadroomPercent: c.headroom,
+					WaitingFor:      c.waitingFor,
+					JobIdle:         !c.jobRuns,
+					Tasks:           []int{0, 1, 2},
+				}},
+				Usage: map[types.QueueName]*placement.QueueUsage{
+					"quick": {Queue: config.Queue{Name: "quick", TargetFactor: 1}, CoresInUse: c.quick},
+					"long":  {Queue: config.Queue{Name: "long", TargetFactor: 3, Priority: 2}, CoresInUse: c.long},
+				},
+			}
 			if c.quick == 70 {
 				limits.peaks["quick"] = 0
 			}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -13,7 +13,6 @@
 
 	"coppercourse/internal/goldentest"
 	"coppercourse/internal/state"
-	"coppercourse/internal/types"
 	"coppercourse/internal/wal"
 	"coppercourse/internal/wire"
 )
@@ -68,10 +67,16 @@
 
 // requests are all verbs that only read, each with what it is for, and those that
 // change something as they are refused.
-var requests = []string{"table.get", "job.get two-steps", "job.get often", "job.get stopped-early", "job.get fails", "job.get done", "job.get old-goes-on",
-	"job.get nobody", "queue.count q", "queue.count nobody", "queues", "workers", "drains", "plans", "status",
-	"job.cancel done", "job.cancel stopped-early", "job.put two-steps {}", "job.put new {}", "table.put  {}", "drain.put workers/nobody {}",
-	"drain.drop workers/nobody", "plan.put  {}", "plan.drop nobody", "gone nobody", "no.such.verb"}
+var requests = []string{
+	"table.get",
+	"job.get two-steps", "job.get often", "job.get stopped-early", "job.get fails", "job.get done",
+	"job.get old-goes-on", "job.get nobody",
+	"queue.count q", "queue.count nobody", "queues", "workers", "drains", "plans", "status",
+	"job.cancel done", "job.cancel stopped-early", "job.put two-steps {}", "job.put new {}",
+	"table.put  {}",
+	"drain.put workers/nobody {}", "drain.drop workers/nobody", "plan.put  {}", "plan.drop nobody", "gone nobody",
+	"no.such.verb",
+}
 
 // Members that are started on the disks as they were left come back with the same
 // state, and the one that leads answers every request the same.
@@ -89,7 +94,8 @@
 	for _, request := range requests {
 		parts := append(strings.SplitN(request, " ", 3), "", "")
 		var answers []wire.Response
-		leader.ask(parts[0], parts[1], json.RawMessage(parts[2]), func(a wire.Response) { answers = append(answers, a) })
+		respond := func(a wire.Response) { answers = append(answers, a) }
+		leader.ask(verb(parts[0]), parts[1], json.RawMessage(parts[2]), respond)
 		c.run(20 * time.Millisecond)
 		fmt.Fprintf(&lines, "%s\n", request)
 		for _, a := range answers {
@@ -120,7 +126,7 @@
 		if err := file.Close(); err != nil {
 			t.Fatal(err)
 		}
-		c.members = append(c.members, &member{cluster: c, addr: types.Addr(fmt.Sprintf("10.0.0.%d:7000", i+1)), syncTime: syncTime, disk: contents.Records})
+		c.addMember(i, contents.Records)
 	}
 	return c
 }
--- a/internal/controller/job_ranking_test.go
+++ b/internal/controller/job_ranking_test.go
@@ -31,7 +31,8 @@
 	q.Priority = 1
 	s.Table.Queues = []config.Queue{urgent, q}
 	v := &leaderView{clock: clock, state: s, durations: newDurationEstimates()}
-	j := &state.Job{ID: "j", Queue: "q", Status: state.JobOpen, Spec: &state.Spec{Queue: "q", Steps: []state.Step{step}}}
+	spec := &state.Spec{Queue: "q", Steps: []state.Step{step}}
+	j := &state.Job{ID: "j", Queue: "q", Status: state.JobOpen, Spec: spec}
 	ready := &state.ReadyIndex{RemainingTasks: []int{step.Tasks}}
 	return r.rank(v, j, q, ready, state.ReadyStage{ReadySince: clock.Add(-age)})
 }
--- a/internal/controller/overload_test.go
+++ b/internal/controller/overload_test.go
@@ -12,7 +12,7 @@
 
 func stamp(ms int) types.MonoTime { return types.MonoTime(time.Duration(ms) * time.Millisecond) }
 
-// Work is placed at every turn while the loop keeps up; else so often only that
+// Work is placed in any step while the loop keeps up; otherwise only so often that
 // other events get three quarters of the time, or 500 ms have passed.
 func TestPlacementLeavesRoomForWhatWaits(t *testing.T) {
 	for _, c := range []struct{ cost, least, most int }{{1, 100, 101}, {40, 160, 200}, {200, 500, 700}} {
@@ -21,7 +21,8 @@
 		now, placed := 0, -1
 		gaps := 0
 		for now < 10_000 {
-			o.measure(stamp(now), wire.Load{ControlAge: time.Second, EventAge: time.Duration(c.cost) * time.Millisecond})
+			load := wire.Load{ControlAge: time.Second, EventAge: time.Duration(c.cost) * time.Millisecond}
+			o.measure(stamp(now), load)
 			if !o.mayPlace(stamp(now)) {
 				now++
 				continue
--- a/internal/controller/report_buffer_test.go
+++ b/internal/controller/report_buffer_test.go
@@ -20,7 +20,8 @@
 }
 
 func TestReportsAreKeptUntilTheLogHasTheirEnds(t *testing.T) {
-	const now = types.MonoTime(time.Hour)
+	const now, retention = types.MonoTime(time.Hour), unknownAttemptRetention
+	stopped := state.AttemptEnd{ID: attemptID("j", 0, 1), Outcome: state.OutcomeStopped}
 	ok := func(job types.JobID, number int) state.AttemptEnd {
 		return state.AttemptEnd{ID: attemptID(job, 0, number), Outcome: state.OutcomeOK}
 	}
@@ -32,10 +33,10 @@
 		droppedAt time.Duration // after so long it is gone
 	}{
 		{"outstanding attempt", ok("j", 1), true, time.Hour, 0},
-		{"attempt assigned later than this log", ok("j", 2), true, unknownAttemptRetention, unknownAttemptRetention + 1},
-		{"job that this log does not have", ok("later", 1), true, unknownAttemptRetention, unknownAttemptRetention + 1},
+		{"attempt that this log does not have", ok("j", 2), true, retention, retention + 1},
+		{"job that this log does not have", ok("later", 1), true, retention, retention + 1},
 		{"end that the log has", ok("done", 1), false, 0, 0},
-		{"not what the worker did", state.AttemptEnd{ID: attemptID("j", 0, 1), Outcome: state.OutcomeStopped}, false, 0, 0},
+		{"not what the worker did", stopped, false, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/controller/request_table_test.go
+++ b/internal/controller/request_table_test.go
@@ -16,7 +16,11 @@
 // request: its caller is told so at once, and not what became of the other entry.
 func TestAnEntryOfAnotherTermAnswersNobodysRequest(t *testing.T) {
 	is := is.New(t)
-	a := &api{log: &commandLog{replicated: state.New()}, requests: newRequestTable(), outbox: &outbox{counters: &Counters{}}}
+	a := &api{
+		log:      &commandLog{replicated: state.New()},
+		requests: newRequestTable(),
+		outbox:   &outbox{counters: &Counters{}},
+	}
 	a.requests.await(7, 2, caller{token: 1})
 	a.requests.await(8, 3, caller{token: 2})
 	refused := apierror.New(apierror.StaleVersion, "edition", "another order was first")
