--- a/internal/dispatch/executor/polling.go
+++ b/internal/dispatch/executor/polling.go
@@ -8,6 +8,10 @@
 	"coppercourse/internal/types"
 )
 
+// maxPolledSilencePercent is after which part of UnhealthyAfter without a call a polling
+// worker counts as unhealthy. That is before the agent itself would.
+const maxPolledSilencePercent = 60
+
 // pollSession is the exchange with a worker that polls.
 type pollSession struct {
 	lastCall uint64         // number of the worker's latest call
@@ -15,7 +19,7 @@
 	// leaseBase is when a whole WorkerLease would have had to be granted to end with the
 	// worker's lease; the agent's start counts as one, for the agent before it.
 	leaseBase types.MonoTime
-	// hasUpdate is set when there is something to tell the worker.
+	// hasUpdate is set when the worker must start, stop or drop an attempt.
 	hasUpdate bool
 }
 
@@ -117,7 +121,7 @@
 }
 
 // endUnlisted ends the attempts that a poll does not list although the worker had been
-// told of them, and forgets those that the worker has dropped.
+// given them, and forgets those that the worker has dropped.
 func (ex *Executor) endUnlisted(listed map[types.AttemptID]bool) {
 	for _, a := range ex.attempts.inOrder() {
 		if listed[a.spec.Attempt] {
@@ -186,9 +190,9 @@
 }
 
 // polledWorkerSilent reports whether the worker has not called for so long that it counts
-// as unhealthy; that is before the agent itself would.
+// as unhealthy.
 func (ex *Executor) polledWorkerSilent() bool {
-	return ex.now.Sub(ex.worker.heardAt) >= ex.timeouts.UnhealthyAfter*6/10
+	return ex.now.Sub(ex.worker.heardAt) >= ex.timeouts.UnhealthyAfter*maxPolledSilencePercent/100
 }
 
 // SinceLastHeard returns the time since the worker was last heard.
