--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"coppercourse/internal/dispatch/scheduler"
 	"coppercourse/internal/placement"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
@@ -46,15 +47,16 @@
 			continue
 		}
 		p.lastAt = v.now
-		return withdrawals(victims), &placement.Reservation{TaskGroup: request.TaskGroup, Workers: fit(request, in.Slots, victims)}
+		workers := fit(request, in.Slots, victims)
+		return withdrawals(victims), &placement.Reservation{TaskGroup: request.TaskGroup, Workers: workers}
 	}
 	return nil, nil
 }
 
 // mayPreempt reports whether a request may preempt other work.
 func mayPreempt(request placement.Request, usage *placement.QueueUsage) bool {
-	return usage != nil && usage.Queue.CanPreempt && request.WaitingFor >= preemptionDelay && len(request.Tasks) > 0 &&
-		usage.RunningTasks+request.MinTasks() <= usage.Queue.MaxRunning
+	return usage != nil && usage.Queue.CanPreempt && request.WaitingFor >= preemptionDelay &&
+		len(request.Tasks) > 0 && usage.RunningTasks+request.MinTasks() <= usage.Queue.MaxRunning
 }
 
 // belowShare reports whether a queue uses less than its share of all cores.
@@ -69,7 +71,7 @@
 	gangs := map[placement.TaskGroup]*victim{}
 	below := belowShare(in.Usage[request.Queue], in.TotalCores)
 	for _, attempt := range v.scheduler.Attempts() {
-		if attempt.Stage < 0 || !canWithdraw(v.state, attempt.Attempt) {
+		if attempt.Stage == scheduler.StageUnknown || !canWithdraw(v.state, attempt.Attempt) {
 			continue
 		}
 		j := v.state.Jobs[attempt.Attempt.Job]
