--- a/internal/dispatch/executor/link.go
+++ b/internal/dispatch/executor/link.go
@@ -24,12 +24,7 @@
 // the log (link_ends). An attempt whose lease has expired in the log by the time its end
 // is reported stays so: the worker does not count such an end either.
 type workerLink struct {
-	incarnation       types.ID // of the present process, empty for none
-	addr              types.Addr
-	heartbeatSequence uint64 // of the latest heartbeat
-	// deregistered is set for a process that deregistered without having announced that
-	// it drains, and that runs on for a while.
-	deregistered      bool
+	process           workerProcess
 	endedIncarnations map[types.ID]bool
 	// successor is the latest heartbeat of another process, kept until the present one
 	// is known to be over or to live. seenAt is when it arrived.
@@ -49,6 +44,16 @@
 	counters       CallCounters
 }
 
+// workerProcess is the present process of the worker. Its incarnation is empty for none.
+type workerProcess struct {
+	incarnation       types.ID
+	addr              types.Addr
+	heartbeatSequence uint64 // of the latest heartbeat
+	// deregistered is set for a process that deregistered without having announced that
+	// it drains, and that runs on for a while.
+	deregistered bool
+}
+
 func newWorkerLink() *workerLink {
 	return &workerLink{
 		endedIncarnations: map[types.ID]bool{},
@@ -59,10 +64,11 @@
 
 // adopt makes the process that sent a heartbeat the present one.
 func (l *workerLink) adopt(now types.MonoTime, heartbeat wire.WorkerHeartbeat) {
-	l.incarnation = heartbeat.Incarnation
-	l.addr = heartbeat.Addr
-	l.heartbeatSequence = heartbeat.Seq
-	l.deregistered = false
+	l.process = workerProcess{
+		incarnation:       heartbeat.Incarnation,
+		addr:              heartbeat.Addr,
+		heartbeatSequence: heartbeat.Seq,
+	}
 	l.successor = nil
 	l.clock = workerClock{readingMS: heartbeat.ClockMS, readAt: now}
 	l.maxLeaseEndSent = 0
@@ -84,9 +90,9 @@
 		clear(l.endedIncarnations)
 	}
 	if hasExited {
-		l.endedIncarnations[l.incarnation] = true
+		l.endedIncarnations[l.process.incarnation] = true
 	}
-	l.incarnation = ""
+	l.process.incarnation = ""
 	l.calls.renewal, l.calls.query = 0, 0
 	clear(l.calls.open)
 	clear(l.ends.open)
@@ -103,13 +109,13 @@
 	link := ex.link
 	switch {
 	case link.endedIncarnations[heartbeat.Incarnation]:
-	case link.incarnation == "":
+	case link.process.incarnation == "":
 		ex.adoptIncarnation(heartbeat)
-	case link.incarnation != heartbeat.Incarnation:
+	case link.process.incarnation != heartbeat.Incarnation:
 		link.successor, link.successorSeenAt = &heartbeat, now
 		ex.makeDueCalls()
-	case heartbeat.Seq > link.heartbeatSequence:
-		link.heartbeatSequence, link.addr = heartbeat.Seq, heartbeat.Addr
+	case heartbeat.Seq > link.process.heartbeatSequence:
+		link.process.heartbeatSequence, link.process.addr = heartbeat.Seq, heartbeat.Addr
 		ex.worker.heardAt = now
 		link.clock.read(now, heartbeat.ClockMS)
 		ex.takeWorkerReport(heartbeat)
@@ -124,11 +130,11 @@
 	ex.now = now
 	link := ex.link
 	switch {
-	case link == nil || link.incarnation != incarnation || link.deregistered:
+	case link == nil || link.process.incarnation != incarnation || link.process.deregistered:
 	case ex.worker.report.Draining:
 		ex.endIncarnation(true)
 	default:
-		link.deregistered = true
+		link.process.deregistered = true
 		ex.reports.heartbeatAt = never
 		ex.setDraining(ex.timeouts.DrainTime)
 	}
@@ -156,7 +162,7 @@
 	switch {
 	case heartbeat.Draining:
 		ex.setDraining(time.Duration(heartbeat.DepartsInMS) * time.Millisecond)
-	case ex.link.deregistered: // a late heartbeat, or a worker that never announces that it drains
+	case ex.link.process.deregistered: // a late heartbeat, or a worker that never announces that it drains
 		report.Draining, report.DepartsInMS = true, before.DepartsInMS
 	}
 	if report.Draining != before.Draining || !before.Healthy {
@@ -190,7 +196,7 @@
 // or has not been heard although it was called.
 func (ex *Executor) linkUnhealthy() bool {
 	link := ex.link
-	if link.incarnation == "" || link.silent || ex.now < link.unhealthyUntil {
+	if link.process.incarnation == "" || link.silent || ex.now < link.unhealthyUntil {
 		return true
 	}
 	maxSilence := ex.longPollWait() + replyTimeout + ex.timeouts.UnhealthyAfter
--- a/internal/dispatch/executor/link_calls.go
+++ b/internal/dispatch/executor/link_calls.go
@@ -77,7 +77,7 @@
 // makeDueCalls makes the calls to the worker that are due.
 func (ex *Executor) makeDueCalls() {
 	link := ex.link
-	if link == nil || link.incarnation == "" {
+	if link == nil || link.process.incarnation == "" {
 		return
 	}
 	if link.successor != nil && ex.linkLeaseExpired() {
@@ -155,8 +155,8 @@
 // number.
 func (ex *Executor) call(call wire.WorkerCall) (number uint64) {
 	link := ex.link
-	call.Addr = link.addr
-	call.Incarnation = link.incarnation
+	call.Addr = link.process.addr
+	call.Incarnation = link.process.incarnation
 	call.FencingToken = link.fence.token
 	call.Timeout = replyTimeout + call.LongPollWait
 	if call.Kind != wire.StopAttempt && ex.worker.runningTasksKnown {
--- a/internal/dispatch/executor/view.go
+++ b/internal/dispatch/executor/view.go
@@ -79,7 +79,7 @@
 		return nil
 	}
 	return &WorkerLease{
-		Incarnation:      link.incarnation,
+		Incarnation:      link.process.incarnation,
 		ClockMS:          link.clock.atLeast(ex.now),
 		UntilMS:          link.maxLeaseEndSent,
 		Fence:            link.fence.token,
--- a/internal/dispatch/scheduler/association.go
+++ b/internal/dispatch/scheduler/association.go
@@ -15,12 +15,12 @@
 	if worker == nil {
 		return
 	}
-	worker.lastHeartbeatAt = sc.now
+	worker.lastHeartbeat.arrivedAt = sc.now
 	if worker.State == protocol.WorkerMustDie {
 		sc.requestSuicide(worker)
 		return
 	}
-	if heartbeat.SentAt <= worker.lastHeartbeatSentAt {
+	if heartbeat.SentAt <= worker.lastHeartbeat.sentAt {
 		return // late: a newer one has arrived before
 	}
 	sc.takeReport(worker, from, heartbeat)
@@ -65,7 +65,7 @@
 	if worker.State == protocol.WorkerMustDie || heartbeat.PreviousInstance == worker.Instance {
 		return true
 	}
-	return worker.Addr == from && sc.now.Sub(worker.lastHeartbeatAt) > 2*sc.timeouts.HeartbeatInterval
+	return worker.Addr == from && sc.now.Sub(worker.lastHeartbeat.arrivedAt) > 2*sc.timeouts.HeartbeatInterval
 }
 
 func (sc *Scheduler) register(from types.Addr, heartbeat protocol.Heartbeat) *RemoteWorker {
@@ -78,7 +78,7 @@
 // takeReport takes in what a heartbeat reports of the worker and of its attempts.
 func (sc *Scheduler) takeReport(worker *RemoteWorker, from types.Addr, heartbeat protocol.Heartbeat) {
 	worker.Addr = from
-	worker.lastHeartbeatSentAt = heartbeat.SentAt
+	worker.lastHeartbeat.sentAt = heartbeat.SentAt
 	worker.WorkerReport = heartbeat.WorkerReport
 	departsIn := time.Duration(heartbeat.DepartsInMS) * time.Millisecond
 	worker.DepartsAt = sc.now.Add(departsIn - sc.timeouts.HeartbeatInterval)
@@ -106,7 +106,7 @@
 func (sc *Scheduler) replyToHeartbeat(worker *RemoteWorker, healthy bool) {
 	reply := protocol.HeartbeatReply{
 		Header:          sc.header(worker),
-		HeartbeatSentAt: worker.lastHeartbeatSentAt,
+		HeartbeatSentAt: worker.lastHeartbeat.sentAt,
 		Associated:      worker.State != protocol.WorkerNew,
 		WorkerSet:       sc.workerSets.latest(sc.term),
 	}
--- a/internal/dispatch/scheduler/health_check.go
+++ b/internal/dispatch/scheduler/health_check.go
@@ -20,8 +20,8 @@
 		return
 	case silence > sc.timeouts.UnhealthyAfter:
 		next = protocol.WorkerUnhealthy
-	case worker.hasBeenHealthy || sc.workerSets.permitsHealthy(worker):
-		next, worker.hasBeenHealthy = protocol.WorkerHealthy, true
+	case worker.sets.hasBeenHealthy || sc.workerSets.permitsHealthy(worker):
+		next, worker.sets.hasBeenHealthy = protocol.WorkerHealthy, true
 	default:
 		next = protocol.WorkerUnhealthy
 	}
--- a/internal/dispatch/scheduler/health_check_test.go
+++ b/internal/dispatch/scheduler/health_check_test.go
@@ -56,7 +56,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			sc, worker := newTestScheduler()
-			worker.State, worker.hasBeenHealthy = test.from, test.been
+			worker.State, worker.sets.hasBeenHealthy = test.from, test.been
 			sc.now = worker.LastHealthyAt.Add(test.silence)
 			sc.updateHealth(worker)
 			is.Equal(worker.State, test.want)
@@ -123,7 +123,7 @@
 			is := is.New(t)
 			sc, worker := newTestScheduler()
 			worker.State = test.health
-			sc.now = worker.lastHeartbeatAt.Add(test.silence)
+			sc.now = worker.lastHeartbeat.arrivedAt.Add(test.silence)
 			heartbeat := protocol.Heartbeat{Shard: "s", Instance: "i2", PreviousInstance: test.previous, SentAt: 1}
 			sc.onHeartbeat(test.from, heartbeat)
 			is.Equal(sc.Worker("s").Instance, test.want)
--- a/internal/dispatch/scheduler/initial_wait.go
+++ b/internal/dispatch/scheduler/initial_wait.go
@@ -10,12 +10,17 @@
 // initialWait is the paper's initial wait: the time from the start of a leadership in
 // which no task may be given out, because not all that runs may be known.
 type initialWait struct {
-	active bool
+	active    bool
+	startedAt types.MonoTime // when the leadership began
 	// countsFrom is when an earlier leader can last have let anybody run anything.
 	countsFrom types.MonoTime
 	reason     string // why it can't be ended early, as of the latest sweep
 }
 
+func newInitialWait(now, priorAuthorityEnd types.MonoTime) initialWait {
+	return initialWait{active: true, startedAt: now, countsFrom: min(now, priorAuthorityEnd)}
+}
+
 // InInitialWait reports whether the initial wait still lasts.
 func (sc *Scheduler) InInitialWait() bool { return sc.wait.active }
 
@@ -65,7 +70,7 @@
 // OverdueAttempts lists the attempts whose agent has still not connected to this
 // leadership at a time when that of a healthy worker would have.
 func (sc *Scheduler) OverdueAttempts() []*OutstandingAttempt {
-	if !sc.wait.active || sc.now.Sub(sc.startedAt) <= sc.timeouts.UnhealthyAfter {
+	if !sc.wait.active || sc.now.Sub(sc.wait.startedAt) <= sc.timeouts.UnhealthyAfter {
 		return nil
 	}
 	return sc.attempts.unconfirmedWithoutWorker(sc.workers.byShard)
--- a/internal/dispatch/scheduler/remote_worker.go
+++ b/internal/dispatch/scheduler/remote_worker.go
@@ -23,15 +23,19 @@
 	protocol.WorkerReport
 	Reliability Reliability
 
-	hasBeenHealthy      bool // the paper's hasBeenHealthy_: consensus is no longer asked
-	lastHeartbeatAt     types.MonoTime
-	lastHeartbeatSentAt types.MonoTime // on the agent's clock
+	lastHeartbeat       heartbeatTimes
 	runningTasksAskedAt types.MonoTime
 	queries             unsureQueries
 	sets                setMembership
 	slowdown            slowdown
 }
 
+// heartbeatTimes are those of one heartbeat, on the scheduler's clock and on the agent's.
+type heartbeatTimes struct {
+	arrivedAt types.MonoTime
+	sentAt    types.MonoTime
+}
+
 // newRemoteWorker returns the worker of a heartbeat that has just arrived.
 func newRemoteWorker(now types.MonoTime, from types.Addr, heartbeat protocol.Heartbeat) *RemoteWorker {
 	return &RemoteWorker{
@@ -42,7 +46,7 @@
 		StateSince:          now,
 		LastHealthyAt:       now,
 		Reliability:         Reliability{RelativeDuration: 1},
-		lastHeartbeatSentAt: never,
+		lastHeartbeat:       heartbeatTimes{sentAt: never},
 		runningTasksAskedAt: never,
 		queries:             unsureQueries{open: map[types.Seq][]types.AttemptID{}},
 		sets:                setMembership{initial: heartbeat.WorkerSet},
--- a/internal/dispatch/scheduler/scheduler.go
+++ b/internal/dispatch/scheduler/scheduler.go
@@ -61,11 +61,10 @@
 
 // Scheduler is the scheduler half under one leadership.
 type Scheduler struct {
-	timeouts  protocol.Timeouts
-	addr      types.Addr
-	term      types.Term
-	cluster   ClusterState
-	startedAt types.MonoTime
+	timeouts protocol.Timeouts
+	addr     types.Addr
+	term     types.Term
+	cluster  ClusterState
 
 	now           types.MonoTime // of the present step
 	authorityLeft time.Duration  // how long the leader's own authority lasts from now
@@ -89,9 +88,8 @@
 		addr:        config.Addr,
 		term:        config.Term,
 		cluster:     config.Cluster,
-		startedAt:   now,
 		now:         now,
-		wait:        initialWait{active: true, countsFrom: min(now, config.PriorAuthorityEnd)},
+		wait:        newInitialWait(now, config.PriorAuthorityEnd),
 		workers:     newWorkerTable(),
 		workerSets:  newWorkerSetHistory(),
 		attempts:    newAttemptIndex(),
@@ -163,5 +161,5 @@
 // newLeaseEnd returns the end of a lease that is granted to a worker's agent now. It
 // counts from the agent's latest heartbeat, on the agent's own clock.
 func (sc *Scheduler) newLeaseEnd(worker *RemoteWorker) types.MonoTime {
-	return worker.lastHeartbeatSentAt.Add(min(sc.timeouts.AgentLease, sc.authorityLeft))
+	return worker.lastHeartbeat.sentAt.Add(min(sc.timeouts.AgentLease, sc.authorityLeft))
 }
--- a/internal/dispatch/scheduler/unsure_test.go
+++ b/internal/dispatch/scheduler/unsure_test.go
@@ -104,7 +104,7 @@
 				order, ok := wire.DecodeBody[protocol.RunTask](messages[0].Message)
 				is.True(ok)
 				lease := min(protocol.DefaultTimeouts.AgentLease, sc.authorityLeft)
-				is.Equal(order.StartBefore, worker.lastHeartbeatSentAt.Add(lease))
+				is.Equal(order.StartBefore, worker.lastHeartbeat.sentAt.Add(lease))
 			}
 		})
 	}
--- a/internal/dispatch/scheduler/worker_set.go
+++ b/internal/dispatch/scheduler/worker_set.go
@@ -22,6 +22,9 @@
 	// The worker is in the sets from joined up to, but without, left. left is 0 for one
 	// in the latest set.
 	joined, left int
+	// hasBeenHealthy is the paper's hasBeenHealthy_: once the worker has been, consensus
+	// is no longer asked.
+	hasBeenHealthy bool
 }
 
 // holds reports whether the worker is in a set.
