--- a/internal/dispatch/scheduler/scheduler.go
+++ b/internal/dispatch/scheduler/scheduler.go
@@ -2,15 +2,15 @@
 // cluster runs; package dispatch describes the whole.
 //
 // A Scheduler is made anew with each leadership. What runs it learns from the agents
-// alone; the replicated log only tells it which attempts it must hear of before their
+// alone; the replicated log only gives it the attempts that it must hear of before their
 // tasks may be given out again. It is a state machine: its methods take an event and
 // return nothing, and TakeOutput hands over what they would send and commit. It does no
 // I/O and reads no clock.
 //
 // One concern a file: the workers and their association (remote_worker, association,
 // running_tasks), their health (health_check, initial_wait, worker_set), the attempts
-// that possibly run (attempt_index, run_task, unsure, ends), and what their durations
-// tell of the workers (reliability, slowdown).
+// that possibly run (attempt_index, run_task, unsure, ends), and what their ends and
+// durations show of the workers (reliability, slowdown).
 package scheduler
 
 import (
@@ -61,11 +61,10 @@
 
 // Scheduler is the scheduler half under one leadership.
 type Scheduler struct {
-	timeouts  protocol.Timeouts
-	addr      types.Addr
-	term      types.Term
-	cluster   ClusterState
-	startedAt types.MonoTime
+	timeouts protocol.Timeouts
+	addr     types.Addr
+	term     types.Term
+	cluster  ClusterState
 
 	now           types.MonoTime // of the present step
 	authorityLeft time.Duration  // how long the leader's own authority lasts from now
@@ -89,9 +88,8 @@
 		addr:        config.Addr,
 		term:        config.Term,
 		cluster:     config.Cluster,
-		startedAt:   now,
 		now:         now,
-		wait:        initialWait{active: true, countsFrom: min(now, config.PriorAuthorityEnd)},
+		wait:        newInitialWait(now, config.PriorAuthorityEnd),
 		workers:     newWorkerTable(),
 		workerSets:  newWorkerSetHistory(),
 		attempts:    newAttemptIndex(),
@@ -100,7 +98,7 @@
 		lastSweepAt: now.Add(-sweepInterval),
 	}
 	for _, attempt := range config.Outstanding {
-		attempt.Phase, attempt.OrderedAt = unconfirmed, now
+		attempt.phase, attempt.OrderedAt = unconfirmed, now
 		sc.attempts.add(&attempt)
 	}
 	return sc
@@ -163,5 +161,5 @@
 // newLeaseEnd returns the end of a lease that is granted to a worker's agent now. It
 // counts from the agent's latest heartbeat, on the agent's own clock.
 func (sc *Scheduler) newLeaseEnd(worker *RemoteWorker) types.MonoTime {
-	return worker.lastHeartbeatSentAt.Add(min(sc.timeouts.AgentLease, sc.authorityLeft))
+	return worker.lastHeartbeat.sentAt.Add(min(sc.timeouts.AgentLease, sc.authorityLeft))
 }
