--- a/cmd/coppercourse/glossary_test.go
+++ b/cmd/coppercourse/glossary_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"go/ast"
+	"go/parser"
 	"go/token"
 	"os"
 	"path/filepath"
@@ -351,28 +352,85 @@
 			if !ok || path == "" {
 				t.Errorf("%s/%s serves a path that is neither a literal nor a constant", file.folder, file.name)
 			}
-			found[path+" "+verbIn(call.Args[1])] = true
+			verb, err := verbIn(call.Args[1], constants)
+			if err != nil {
+				t.Errorf("%s/%s, path %s: %v", file.folder, file.name, path, err)
+			}
+			found[path+" "+verb] = true
 			return true
 		})
 	}
 	return found
 }
 
-// verbIn returns the text given to RequestHandler or putHandler within a handler.
-func verbIn(handler ast.Expr) string {
-	verb := "-"
+// verbIn returns the text of the wire.Verb given to RequestHandler or putHandler within
+// a handler, or "-" if neither is called. Either must be given exactly one constant of
+// internal/wire, so that a verb that is written in another way is not overlooked.
+func verbIn(handler ast.Expr, constants map[string]string) (verb string, err error) {
+	verb = "-"
 	ast.Inspect(handler, func(node ast.Node) bool {
 		call, ok := node.(*ast.CallExpr)
-		if ok && slices.Contains([]string{"RequestHandler", "putHandler"}, calledName(call)) {
-			for _, argument := range call.Args {
-				if text, ok := stringLiteral(argument); ok {
-					verb = text
-				}
+		if !ok || !slices.Contains([]string{"RequestHandler", "putHandler"}, calledName(call)) {
+			return true
+		}
+		var verbs []string
+		for _, argument := range call.Args {
+			if text, ok := wireConstant(argument, constants); ok {
+				verbs = append(verbs, text)
 			}
 		}
+		if len(verbs) != 1 || verb != "-" {
+			err = fmt.Errorf("%s is given %q, want one verb that is a constant of internal/wire",
+				calledName(call), verbs)
+			return true
+		}
+		verb = verbs[0]
 		return true
 	})
-	return verb
+	return verb, err
+}
+
+// wireConstant returns the text of a constant of internal/wire, written as wire.Name.
+func wireConstant(expr ast.Expr, constants map[string]string) (string, bool) {
+	selector, ok := expr.(*ast.SelectorExpr)
+	if !ok {
+		return "", false
+	}
+	if name, ok := selector.X.(*ast.Ident); !ok || name.Name != "wire" {
+		return "", false
+	}
+	text, ok := constants["internal/wire."+selector.Sel.Name]
+	return text, ok
+}
+
+// TestVerbOfRoute shows which handlers the check above can tell the verb of, and that it
+// fails for all others that pass a request to the machine.
+func TestVerbOfRoute(t *testing.T) {
+	constants := map[string]string{"internal/wire.VerbGetJob": "job.get", "internal/gateway.VerbOther": "other"}
+	for _, test := range []struct {
+		name, handler, want string
+		fails               bool
+	}{
+		{"constant", "h.RequestHandler(wire.VerbGetJob)", "job.get", false},
+		{"within a call", "requireName(putHandler(h, wire.VerbGetJob, read))", "job.get", false},
+		{"none", "h.serveStatus", "-", false},
+		{"literal", `h.RequestHandler("job.get")`, "-", true},
+		{"conversion", `h.RequestHandler(wire.Verb("job.get"))`, "-", true},
+		{"unknown constant", "h.RequestHandler(wire.VerbNone)", "-", true},
+		{"constant of another package", "h.RequestHandler(gateway.VerbOther)", "-", true},
+		{"two handlers", "or(h.RequestHandler(wire.VerbGetJob), h.RequestHandler(wire.VerbGetJob))", "job.get", true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			handler, err := parser.ParseExpr(test.handler)
+			if err != nil {
+				t.Fatal(err)
+			}
+			verb, err := verbIn(handler, constants)
+			if verb != test.want || (err != nil) != test.fails {
+				t.Errorf("want %q, failure %t, got %q, %v", test.want, test.fails, verb, err)
+			}
+		})
+	}
 }
 
 // calledName returns the name of the called function or method, without its package.
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -93,8 +93,9 @@
 		"job.put", "job.get", "job.cancel", "queue.count", "poll", "beat", "leave", "table.put", "other",
 	}
 	for _, text := range append(constants(t), verbs...) {
+		kind, verb := wire.Kind(text), wire.Verb(text)
 		fmt.Fprintf(&lines, "%s: message %v, verb %v, new work %t\n",
-			text, wire.ClassOfKind(wire.Kind(text)), wire.ClassOfVerb(text), wire.SubmitsWork(text))
+			text, wire.ClassOfKind(kind), wire.ClassOfVerb(verb), wire.SubmitsWork(verb))
 	}
 	goldentest.File(t, "classes.txt", []byte(lines.String()))
 }
