--- a/cmd/coppercourse/daemon.go
+++ b/cmd/coppercourse/daemon.go
@@ -19,6 +19,7 @@
 	"coppercourse/internal/server"
 	"coppercourse/internal/settings"
 	"coppercourse/internal/wal"
+	"coppercourse/internal/wire"
 	"coppercourse/platform"
 )
 
@@ -136,7 +137,7 @@
 	})
 	handlers := server.NewHandlers(loop, machine.Trace)
 	router := handlers.Router()
-	router.HandleFunc("/v1/poll", handlers.RequestHandler("poll")).Methods(http.MethodPost)
+	router.HandleFunc("/v1/poll", handlers.RequestHandler(wire.VerbPoll)).Methods(http.MethodPost)
 	return d.serve(ctx, handlers, router, d.platformAdapter(handlers))
 }
 
--- a/cmd/coppercourse/glossary_test.go
+++ b/cmd/coppercourse/glossary_test.go
@@ -351,21 +351,26 @@
 			if !ok || path == "" {
 				t.Errorf("%s/%s serves a path that is neither a literal nor a constant", file.folder, file.name)
 			}
-			found[path+" "+verbIn(call.Args[1])] = true
+			found[path+" "+verbIn(call.Args[1], constants)] = true
 			return true
 		})
 	}
 	return found
 }
 
-// verbIn returns the text given to RequestHandler or putHandler within a handler.
-func verbIn(handler ast.Expr) string {
+// verbIn returns the text of the verb, a constant of package wire, that is given to
+// RequestHandler or putHandler within a handler.
+func verbIn(handler ast.Expr, constants map[string]string) string {
 	verb := "-"
 	ast.Inspect(handler, func(node ast.Node) bool {
 		call, ok := node.(*ast.CallExpr)
 		if ok && slices.Contains([]string{"RequestHandler", "putHandler"}, calledName(call)) {
 			for _, argument := range call.Args {
-				if text, ok := stringLiteral(argument); ok {
+				name, ok := argument.(*ast.SelectorExpr)
+				if !ok || !strings.HasPrefix(name.Sel.Name, "Verb") {
+					continue
+				}
+				if text, ok := constants["internal/wire."+name.Sel.Name]; ok {
 					verb = text
 				}
 			}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -72,10 +72,10 @@
 		wire.KillTask: (*Agent).handleKillTask,
 	},
 	OtherMessage: (*Agent).passToExecutor,
-	Requests: map[string]func(*Agent, wire.Request){
-		"poll":  (*Agent).handlePoll,
-		"beat":  (*Agent).handleHeartbeat,
-		"leave": (*Agent).handleDeregistration,
+	Requests: map[wire.Verb]func(*Agent, wire.Request){
+		wire.VerbPoll:       (*Agent).handlePoll,
+		wire.VerbHeartbeat:  (*Agent).handleHeartbeat,
+		wire.VerbDeregister: (*Agent).handleDeregistration,
 	},
 	OtherRequest: (*Agent).rejectVerb,
 	WorkerReply:  (*Agent).handleWorkerReply,
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -33,7 +33,7 @@
 }
 
 // request makes a request under the next token.
-func (h *harness) request(verb, body string) []wire.Response {
+func (h *harness) request(verb wire.Verb, body string) []wire.Response {
 	h.token++
 	return h.step(wire.Event{Request: &wire.Request{Token: h.token, Verb: verb, Body: []byte(body)}})
 }
@@ -114,8 +114,10 @@
 
 func TestOtherRequestsOfTheWorker(t *testing.T) {
 	for _, c := range []struct {
-		name, verb, body string
-		want             apierror.Kind // empty: accepted
+		name string
+		verb wire.Verb
+		body string
+		want apierror.Kind // empty: accepted
 	}{
 		{"heartbeat", "beat", `{"life":"i-1","to":"10.0.0.5:8165","seq":1}`, ""},
 		{"heartbeat without an incarnation", "beat", `{"to":"10.0.0.5:8165"}`, apierror.BadBody},
--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -14,48 +14,25 @@
 	"coppercourse/internal/wire"
 )
 
-// verb names what a request asks for, as gateways and the daemon's own pages write it.
-type verb string
-
-// The verbs of callers and operators.
-const (
-	verbSubmitJob      verb = "job.put"
-	verbGetJob         verb = "job.get"
-	verbCancelJob      verb = "job.cancel"
-	verbPutTable       verb = "table.put"
-	verbGetTable       verb = "table.get"
-	verbListQueues     verb = "queues"
-	verbCountQueue     verb = "queue.count"
-	verbListWorkers    verb = "workers"
-	verbWorkerGone     verb = "gone"
-	verbStartDrain     verb = "drain.put"
-	verbCancelDrain    verb = "drain.drop"
-	verbListDrains     verb = "drains"
-	verbPutCalendar    verb = "plan.put"
-	verbDeleteCalendar verb = "plan.drop"
-	verbListCalendars  verb = "plans"
-	verbStatus         verb = "status"
-)
-
 // handlers serve the verbs. One that changes something replies once its command is
 // committed; one that reads replies at once, under the leader's read lease.
-var handlers = map[verb]func(*api, request){
-	verbSubmitJob:      (*api).submitJob,
-	verbGetJob:         (*api).getJob,
-	verbCancelJob:      (*api).cancelJob,
-	verbPutTable:       (*api).putTable,
-	verbGetTable:       (*api).getTable,
-	verbListQueues:     (*api).listQueues,
-	verbCountQueue:     (*api).countQueue,
-	verbListWorkers:    (*api).listWorkers,
-	verbWorkerGone:     (*api).confirmWorkerGone,
-	verbStartDrain:     (*api).startDrain,
-	verbCancelDrain:    (*api).cancelDrain,
-	verbListDrains:     (*api).listDrains,
-	verbPutCalendar:    (*api).putCalendar,
-	verbDeleteCalendar: (*api).deleteCalendar,
-	verbListCalendars:  (*api).listCalendars,
-	verbStatus:         (*api).getStatus,
+var handlers = map[wire.Verb]func(*api, request){
+	wire.VerbSubmitJob:      (*api).submitJob,
+	wire.VerbGetJob:         (*api).getJob,
+	wire.VerbCancelJob:      (*api).cancelJob,
+	wire.VerbPutTable:       (*api).putTable,
+	wire.VerbGetTable:       (*api).getTable,
+	wire.VerbListQueues:     (*api).listQueues,
+	wire.VerbCountQueue:     (*api).countQueue,
+	wire.VerbListWorkers:    (*api).listWorkers,
+	wire.VerbWorkerGone:     (*api).confirmWorkerGone,
+	wire.VerbStartDrain:     (*api).startDrain,
+	wire.VerbCancelDrain:    (*api).cancelDrain,
+	wire.VerbListDrains:     (*api).listDrains,
+	wire.VerbPutCalendar:    (*api).putCalendar,
+	wire.VerbDeleteCalendar: (*api).deleteCalendar,
+	wire.VerbListCalendars:  (*api).listCalendars,
+	wire.VerbStatus:         (*api).getStatus,
 }
 
 // logBusyRetryAfter is when a caller should come back whose change the log did not take.
@@ -65,7 +42,7 @@
 type request struct {
 	caller caller
 	now    types.Now
-	verb   verb
+	verb   wire.Verb
 	arg    string // what it is about, such as a job's ID
 	body   json.RawMessage
 }
@@ -109,13 +86,13 @@
 func (a *api) handleForwarded(now types.Now, message wire.Message) {
 	if r, ok := wire.DecodeBody[wire.ForwardedRequest](message); ok {
 		from := caller{gateway: message.From, requestID: r.ID}
-		a.handle(request{caller: from, now: now, verb: verb(r.Verb), arg: r.Arg, body: r.Body})
+		a.handle(request{caller: from, now: now, verb: r.Verb, arg: r.Arg, body: r.Body})
 	}
 }
 
 // handleClient takes a request of a client of this daemon.
 func (a *api) handleClient(now types.Now, r wire.Request) {
-	a.handle(request{caller: caller{token: r.Token}, now: now, verb: verb(r.Verb), arg: r.Arg, body: r.Body})
+	a.handle(request{caller: caller{token: r.Token}, now: now, verb: r.Verb, arg: r.Arg, body: r.Body})
 }
 
 // handle serves a request, or rejects it before anything is done.
@@ -145,7 +122,7 @@
 // mustShed reports whether there is no time for a request. Only new work is shed: what is
 // known already is answered, and so are reads, cancels and operators.
 func (a *api) mustShed(r request) bool {
-	if !wire.SubmitsWork(string(r.verb)) || r.verb == verbSubmitJob && a.log.state().Find(types.JobID(r.arg)) != nil {
+	if !wire.SubmitsWork(r.verb) || r.verb == wire.VerbSubmitJob && a.log.state().Find(types.JobID(r.arg)) != nil {
 		return false
 	}
 	return a.overload.shedsWork()
--- a/internal/controller/api_test.go
+++ b/internal/controller/api_test.go
@@ -14,9 +14,9 @@
 )
 
 // respond has the leader of a cluster answer a request at once.
-func respond(t *testing.T, m *member, load wire.Load, name verb, arg, body string) wire.Response {
+func respond(t *testing.T, m *member, load wire.Load, name wire.Verb, arg, body string) wire.Response {
 	t.Helper()
-	request := &wire.Request{Token: 1 << 40, Verb: string(name), Arg: arg, Body: json.RawMessage(body)}
+	request := &wire.Request{Token: 1 << 40, Verb: name, Arg: arg, Body: json.RawMessage(body)}
 	out := m.machine.Step(wire.Event{Now: m.clock(), Load: load, Request: request})
 	if len(out.Responses) != 1 {
 		t.Fatalf("%d responses", len(out.Responses))
@@ -30,19 +30,19 @@
 	for _, c := range []struct {
 		name string
 		load wire.Load
-		verb verb
+		verb wire.Verb
 		arg  string
 		full bool // as many changes wait as may
 		kind apierror.Kind
 	}{
 		{"unknown verb", wire.Load{}, "no.such.verb", "", false, apierror.NoSuchPath},
-		{"new work while behind", busy, verbSubmitJob, "new", false, apierror.TooBusy},
-		{"new work that waited too long", stale, verbSubmitJob, "new", false, apierror.TooBusy},
-		{"known job while behind", busy, verbSubmitJob, "job-1", false, apierror.BadBody},
-		{"cancel while behind", busy, verbCancelJob, "nobody", false, apierror.NoSuchJob},
-		{"read while behind", busy, verbGetJob, "nobody", false, apierror.NoSuchJob},
-		{"operators while behind", busy, verbWorkerGone, "nobody", false, apierror.NoSuchWorker},
-		{"too many changes wait", wire.Load{}, verbGetJob, "nobody", true, apierror.TooBusy},
+		{"new work while behind", busy, wire.VerbSubmitJob, "new", false, apierror.TooBusy},
+		{"new work that waited too long", stale, wire.VerbSubmitJob, "new", false, apierror.TooBusy},
+		{"known job while behind", busy, wire.VerbSubmitJob, "job-1", false, apierror.BadBody},
+		{"cancel while behind", busy, wire.VerbCancelJob, "nobody", false, apierror.NoSuchJob},
+		{"read while behind", busy, wire.VerbGetJob, "nobody", false, apierror.NoSuchJob},
+		{"operators while behind", busy, wire.VerbWorkerGone, "nobody", false, apierror.NoSuchWorker},
+		{"too many changes wait", wire.Load{}, wire.VerbGetJob, "nobody", true, apierror.TooBusy},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -66,7 +66,7 @@
 func TestAFollowerRedirectsToTheLeader(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 32, 600)
-	got := respond(t, c.follower(), wire.Load{}, verbGetTable, "", "")
+	got := respond(t, c.follower(), wire.Load{}, wire.VerbGetTable, "", "")
 	is.Equal(got.Error.Kind, apierror.NoLeader)
 	is.Equal(got.Leader, c.leader().addr)
 }
@@ -77,7 +77,7 @@
 	m := c.leader()
 	var expired []wire.Message
 	for id := range uint64(3) {
-		body := wire.ForwardedRequest{ID: id, Verb: string(verbGetTable)}
+		body := wire.ForwardedRequest{ID: id, Verb: wire.VerbGetTable}
 		expired = append(expired, wire.NewMessage("g1", m.addr, wire.ForwardRequest, body).Message)
 	}
 	out := m.machine.Step(wire.Event{Now: m.clock(), ExpiredForwards: expired})
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -121,7 +121,7 @@
 		}
 		base := m.machine.log.state().Table.Version
 		done := false
-		m.ask(verbPutTable, "", wire.EncodeBody(table(base, bytes)), func(a wire.Response) {
+		m.ask(wire.VerbPutTable, "", wire.EncodeBody(table(base, bytes)), func(a wire.Response) {
 			if done = a.Error == nil; done {
 				c.acknowledged = max(c.acknowledged, base+1)
 			}
--- a/internal/controller/disk_test.go
+++ b/internal/controller/disk_test.go
@@ -17,7 +17,7 @@
 	c.changes(20, 1000)
 	m := c.leader()
 	m.diskFull, m.hidesDiskErrors = true, mute
-	m.ask(verbPutTable, "", wire.EncodeBody(table(m.machine.log.state().Table.Version, 1000)), func(wire.Response) {})
+	m.ask(wire.VerbPutTable, "", wire.EncodeBody(table(m.machine.log.state().Table.Version, 1000)), func(wire.Response) {})
 	return c.until(10*time.Second, "another leader", func() bool { l := c.leader(); return l != nil && l != m }), c, m
 }
 
@@ -60,7 +60,7 @@
 	for range 20 {
 		if m := c.leader(); m != nil {
 			change := wire.EncodeBody(table(m.machine.log.state().Table.Version, 1000))
-			m.ask(verbPutTable, "", change, func(a wire.Response) {
+			m.ask(wire.VerbPutTable, "", change, func(a wire.Response) {
 				if a.Error == nil {
 					acknowledged++
 				}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -95,7 +95,7 @@
 		parts := append(strings.SplitN(request, " ", 3), "", "")
 		var answers []wire.Response
 		respond := func(a wire.Response) { answers = append(answers, a) }
-		leader.ask(verb(parts[0]), parts[1], json.RawMessage(parts[2]), respond)
+		leader.ask(wire.Verb(parts[0]), parts[1], json.RawMessage(parts[2]), respond)
 		c.run(20 * time.Millisecond)
 		fmt.Fprintf(&lines, "%s\n", request)
 		for _, a := range answers {
--- a/internal/controller/member_test.go
+++ b/internal/controller/member_test.go
@@ -215,11 +215,11 @@
 }
 
 // ask puts a request to a member; the response comes later, or never.
-func (m *member) ask(name verb, arg string, body json.RawMessage, respond func(wire.Response)) {
+func (m *member) ask(name wire.Verb, arg string, body json.RawMessage, respond func(wire.Response)) {
 	if m.machine == nil {
 		return
 	}
 	m.tokens++
 	m.responses[m.tokens] = respond
-	m.step(wire.Event{Request: &wire.Request{Token: m.tokens, Verb: string(name), Arg: arg, Body: body}})
+	m.step(wire.Event{Request: &wire.Request{Token: m.tokens, Verb: name, Arg: arg, Body: body}})
 }
--- a/internal/daemon/handlers.go
+++ b/internal/daemon/handlers.go
@@ -18,7 +18,7 @@
 	// OtherMessage handles the other kinds; if it is nil they are ignored.
 	OtherMessage func(M, wire.Message)
 	// Requests handle the requests of clients by their verb.
-	Requests map[string]func(M, wire.Request)
+	Requests map[wire.Verb]func(M, wire.Request)
 	// OtherRequest handles the requests with other verbs.
 	OtherRequest func(M, wire.Request)
 	// WorkerReply handles the reply to a call to the worker; nil if there are no calls.
--- a/internal/daemon/handlers_test.go
+++ b/internal/daemon/handlers_test.go
@@ -33,7 +33,7 @@
 		wire.RunTask: func(m *fakeMachine, _ wire.Message) { m.record("run task") },
 	},
 	OtherMessage: func(m *fakeMachine, _ wire.Message) { m.record("other message") },
-	Requests: map[string]func(*fakeMachine, wire.Request){
+	Requests: map[wire.Verb]func(*fakeMachine, wire.Request){
 		"poll": func(m *fakeMachine, _ wire.Request) { m.record("poll") },
 	},
 	OtherRequest: func(m *fakeMachine, request wire.Request) {
--- a/internal/gateway/forwarding.go
+++ b/internal/gateway/forwarding.go
@@ -115,4 +115,4 @@
 }
 
 // mutatingVerbs are the verbs of requests that change the state.
-var mutatingVerbs = map[string]bool{"job.put": true, "job.cancel": true, "table.put": true}
+var mutatingVerbs = map[wire.Verb]bool{wire.VerbSubmitJob: true, wire.VerbCancelJob: true, wire.VerbPutTable: true}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -88,16 +88,13 @@
 // Leader returns the address of the leader as far as the gateway knows, or nothing.
 func (g *Gateway) Leader() types.Addr { return g.core.Leader() }
 
-// verbPeers is the verb of the only request that a gateway answers itself.
-const verbPeers = "mates"
-
 var handlers = daemon.Handlers[*Gateway]{
 	Messages: map[wire.Kind]func(*Gateway, wire.Message){
 		wire.ConfigWatchReply: (*Gateway).handleConfigWatchReply,
 		wire.StatusReport:     (*Gateway).handleStatusReport,
 		wire.ForwardReply:     wire.HandlerFor((*Gateway).handleForwardReply),
 	},
-	Requests:     map[string]func(*Gateway, wire.Request){verbPeers: (*Gateway).listPeers},
+	Requests:     map[wire.Verb]func(*Gateway, wire.Request){wire.VerbListPeers: (*Gateway).listPeers},
 	OtherRequest: (*Gateway).admit,
 	Tick:         (*Gateway).tick,
 }
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -113,7 +113,7 @@
 		return
 	}
 	p := g.requests.add(g.core.Now().Mono, request)
-	if request.Verb == "job.put" {
+	if request.Verb == wire.VerbSubmitJob {
 		g.core.Record(trace.JobSubject(types.JobID(request.Arg)), "request admitted")
 	}
 	g.forward(p, "")
--- a/internal/server/gateway_handlers.go
+++ b/internal/server/gateway_handlers.go
@@ -28,22 +28,22 @@
 // Routes returns a gateway's routes: those that every daemon has, and its own.
 func (g *GatewayHandlers) Routes(h *Handlers) http.Handler {
 	r := h.Router()
-	r.HandleFunc("/v1/jobs/{id}", requireName(putHandler(h, "job.put", g.readJob))).Methods(http.MethodPut)
-	r.HandleFunc("/v1/jobs/{id}", requireName(h.RequestHandler("job.get"))).Methods(http.MethodGet)
-	r.HandleFunc("/v1/jobs/{id}/cancel", requireName(h.RequestHandler("job.cancel"))).Methods(http.MethodPost)
-	r.HandleFunc("/v1/table", putHandler(h, "table.put", readTable)).Methods(http.MethodPut)
-	r.HandleFunc("/v1/table", h.RequestHandler("table.get")).Methods(http.MethodGet)
-	r.HandleFunc("/v1/queues", h.RequestHandler("queues")).Methods(http.MethodGet)
-	r.HandleFunc("/v1/workers", h.RequestHandler("workers")).Methods(http.MethodGet)
-	r.HandleFunc("/v1/workers/{id}/gone", requireName(h.RequestHandler("gone"))).Methods(http.MethodPost)
-	r.HandleFunc("/v1/drains", h.RequestHandler("drains")).Methods(http.MethodGet)
-	r.HandleFunc(drainPath, requireName(putHandler(h, "drain.put", readDrain))).Methods(http.MethodPut)
-	r.HandleFunc(drainPath, requireName(h.RequestHandler("drain.drop"))).Methods(http.MethodDelete)
-	r.HandleFunc("/v1/calendars", h.RequestHandler("plans")).Methods(http.MethodGet)
-	r.HandleFunc("/v1/calendars/{id}", requireName(putHandler(h, "plan.put", readCalendar))).Methods(http.MethodPut)
-	r.HandleFunc("/v1/calendars/{id}", requireName(h.RequestHandler("plan.drop"))).Methods(http.MethodDelete)
-	r.HandleFunc("/v1/mates", h.RequestHandler("mates")).Methods(http.MethodGet)
-	r.HandleFunc("/v1/leader", h.RequestHandler("status")).Methods(http.MethodGet)
+	r.HandleFunc("/v1/jobs/{id}", requireName(putHandler(h, wire.VerbSubmitJob, g.readJob))).Methods(http.MethodPut)
+	r.HandleFunc("/v1/jobs/{id}", requireName(h.RequestHandler(wire.VerbGetJob))).Methods(http.MethodGet)
+	r.HandleFunc("/v1/jobs/{id}/cancel", requireName(h.RequestHandler(wire.VerbCancelJob))).Methods(http.MethodPost)
+	r.HandleFunc("/v1/table", putHandler(h, wire.VerbPutTable, readTable)).Methods(http.MethodPut)
+	r.HandleFunc("/v1/table", h.RequestHandler(wire.VerbGetTable)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/queues", h.RequestHandler(wire.VerbListQueues)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/workers", h.RequestHandler(wire.VerbListWorkers)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/workers/{id}/gone", requireName(h.RequestHandler(wire.VerbWorkerGone))).Methods(http.MethodPost)
+	r.HandleFunc("/v1/drains", h.RequestHandler(wire.VerbListDrains)).Methods(http.MethodGet)
+	r.HandleFunc(drainPath, requireName(putHandler(h, wire.VerbStartDrain, readDrain))).Methods(http.MethodPut)
+	r.HandleFunc(drainPath, requireName(h.RequestHandler(wire.VerbCancelDrain))).Methods(http.MethodDelete)
+	r.HandleFunc("/v1/calendars", h.RequestHandler(wire.VerbListCalendars)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/calendars/{id}", requireName(putHandler(h, wire.VerbPutCalendar, readCalendar))).Methods(http.MethodPut)
+	r.HandleFunc("/v1/calendars/{id}", requireName(h.RequestHandler(wire.VerbDeleteCalendar))).Methods(http.MethodDelete)
+	r.HandleFunc("/v1/mates", h.RequestHandler(wire.VerbListPeers)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/leader", h.RequestHandler(wire.VerbStatus)).Methods(http.MethodGet)
 	return r
 }
 
@@ -65,7 +65,7 @@
 // the verb with it. It answers with the first error of the document, if there is one.
 func putHandler[T any](
 	h *Handlers,
-	verb string,
+	verb wire.Verb,
 	read func(*http.Request, []byte, *apierror.ErrorList) T,
 ) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
--- a/internal/server/handlers.go
+++ b/internal/server/handlers.go
@@ -51,7 +51,7 @@
 
 // RequestHandler returns a handler that has the machine answer a verb. The body is passed
 // on as it is, if it is JSON or empty.
-func (h *Handlers) RequestHandler(verb string) http.HandlerFunc {
+func (h *Handlers) RequestHandler(verb wire.Verb) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, ok := ReadBodyOrReject(w, r, state.MaxDocumentBytes)
 		if !ok {
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -42,7 +42,7 @@
 // request that brings new work is rejected at once while the loop is behind with requests.
 // An error says that the request was not taken only if the machine has surely not seen it;
 // otherwise its kind is OutcomeUnknown.
-func (el *EventLoop) Ask(ctx context.Context, verb, arg string, body json.RawMessage) wire.Response {
+func (el *EventLoop) Ask(ctx context.Context, verb wire.Verb, arg string, body json.RawMessage) wire.Response {
 	request := &wire.Request{Verb: verb, Arg: arg, Body: body}
 	if deadline, ok := ctx.Deadline(); ok {
 		request.Timeout = max(1, time.Until(deadline))
--- a/internal/wire/class.go
+++ b/internal/wire/class.go
@@ -64,15 +64,15 @@
 }
 
 // classOfVerb gives the class of each verb that is not an operator's.
-var classOfVerb = map[string]Class{
-	"job.put":     ClassCallers,
-	"job.get":     ClassCallers,
-	"job.cancel":  ClassCallers,
-	"queue.count": ClassCallers,
+var classOfVerb = map[Verb]Class{
+	VerbSubmitJob:  ClassCallers,
+	VerbGetJob:     ClassCallers,
+	VerbCancelJob:  ClassCallers,
+	VerbCountQueue: ClassCallers,
 
-	"poll":  ClassLeases,
-	"beat":  ClassLeases,
-	"leave": ClassLeases,
+	VerbPoll:       ClassLeases,
+	VerbHeartbeat:  ClassLeases,
+	VerbDeregister: ClassLeases,
 }
 
 // ClassOfKind returns the class of a kind of message.
@@ -84,7 +84,7 @@
 }
 
 // ClassOfVerb returns the class of a request's verb.
-func ClassOfVerb(verb string) Class {
+func ClassOfVerb(verb Verb) Class {
 	if class, ok := classOfVerb[verb]; ok {
 		return class
 	}
@@ -107,4 +107,4 @@
 
 // SubmitsWork reports whether a verb brings new work. Only that is rejected when a loop
 // falls behind: queries, cancels and what operators ask are served as long as they can be.
-func SubmitsWork(verb string) bool { return verb == "job.put" || verb == "queue.count" }
+func SubmitsWork(verb Verb) bool { return verb == VerbSubmitJob || verb == VerbCountQueue }
--- a/internal/wire/forward.go
+++ b/internal/wire/forward.go
@@ -11,7 +11,7 @@
 // sends to the controller that it takes for the leader.
 type ForwardedRequest struct {
 	ID   uint64          `json:"id"` // the gateway's own number for it
-	Verb string          `json:"verb"`
+	Verb Verb            `json:"verb"`
 	Arg  string          `json:"arg,omitempty"`
 	Body json.RawMessage `json:"body,omitempty"`
 }
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -52,6 +52,9 @@
 func texts(t *testing.T, group *ast.GenDecl) (list []string) {
 	t.Helper()
 	ast.Inspect(group, func(node ast.Node) bool {
+		if spec, ok := node.(*ast.ValueSpec); ok && isVerb(spec) {
+			return false // verb_test.go has their texts
+		}
 		if lit, ok := node.(*ast.BasicLit); ok && lit.Kind == token.STRING {
 			text, err := strconv.Unquote(lit.Value)
 			if err != nil {
@@ -94,7 +97,7 @@
 	}
 	for _, text := range append(constants(t), verbs...) {
 		fmt.Fprintf(&lines, "%s: message %v, verb %v, new work %t\n",
-			text, wire.ClassOfKind(wire.Kind(text)), wire.ClassOfVerb(text), wire.SubmitsWork(text))
+			text, wire.ClassOfKind(wire.Kind(text)), wire.ClassOfVerb(wire.Verb(text)), wire.SubmitsWork(wire.Verb(text)))
 	}
 	goldentest.File(t, "classes.txt", []byte(lines.String()))
 }
--- a/internal/wire/machine.go
+++ b/internal/wire/machine.go
@@ -49,7 +49,7 @@
 // Request is a client's request. It is answered by a Response with its token.
 type Request struct {
 	Token   uint64
-	Verb    string // what to do, such as job.put
+	Verb    Verb
 	Arg     string // what the path names: an id, or a kind and an id
 	Body    json.RawMessage
 	Timeout time.Duration // how long the client waits; 0 if that is not known
--- a/internal/workqueue/max_wait_test.go
+++ b/internal/workqueue/max_wait_test.go
@@ -13,7 +13,7 @@
 	return wire.Event{Message: &wire.Message{Kind: kind}}
 }
 
-func requestEvent(verb string) wire.Event { return wire.Event{Request: &wire.Request{Verb: verb}} }
+func requestEvent(verb wire.Verb) wire.Event { return wire.Event{Request: &wire.Request{Verb: verb}} }
 
 // What its sender does not repeat, and what others than callers wait for, stays.
 func TestEventsThatMustNotBeLostNeverExpire(t *testing.T) {
--- a/sim/clients.go
+++ b/sim/clients.go
@@ -90,7 +90,7 @@
 }
 
 // request asks once; lost is called when no answer came in time.
-func (c *Clients) request(to types.Addr, verb, argument string, body json.RawMessage, onAnswer func(wire.Response), onTimeout func()) {
+func (c *Clients) request(to types.Addr, verb wire.Verb, argument string, body json.RawMessage, onAnswer func(wire.Response), onTimeout func()) {
 	done := false
 	c.world.request(c.address, to, verb, argument, body, func(a wire.Response) {
 		if !done {
@@ -112,7 +112,7 @@
 			c.world.after(d, func() { c.submit(id, body, c.anyGateway(), retries+1) })
 		}
 	}
-	c.request(to, "job.put", string(id), body, func(a wire.Response) {
+	c.request(to, wire.VerbSubmitJob, string(id), body, func(a wire.Response) {
 		switch {
 		case a.Error == nil:
 			c.world.record(history.Event{Kind: history.JobAccepted, Job: id})
@@ -157,7 +157,7 @@
 // watchJob asks after a job now and then until it has ended.
 func (c *Clients) watchJob(id types.JobID) {
 	c.world.after(500*time.Millisecond+time.Duration(c.world.random.Int63n(int64(2*time.Second))), func() {
-		c.request(c.anyGateway(), "job.get", string(id), nil, func(a wire.Response) {
+		c.request(c.anyGateway(), wire.VerbGetJob, string(id), nil, func(a wire.Response) {
 			switch {
 			case a.Error != nil && a.Error.Kind == apierror.NoSuchJob:
 				c.world.record(history.Event{Kind: history.JobNotFound, Job: id})
@@ -177,7 +177,7 @@
 			c.world.after(d, func() { c.cancelJob(id, retries+1) })
 		}
 	}
-	c.request(c.anyGateway(), "job.cancel", string(id), nil, func(a wire.Response) {
+	c.request(c.anyGateway(), wire.VerbCancelJob, string(id), nil, func(a wire.Response) {
 		switch {
 		case a.Error == nil:
 			c.world.record(history.Event{Kind: history.CancelAccepted, Job: id})
@@ -197,7 +197,7 @@
 			c.world.after(d, func() { c.putTable(t, c.anyGateway(), retries+1, then) })
 		}
 	}
-	c.request(to, "table.put", "", wire.EncodeBody(t), func(a wire.Response) {
+	c.request(to, wire.VerbPutTable, "", wire.EncodeBody(t), func(a wire.Response) {
 		switch {
 		case a.Error == nil:
 			got := t.Accepted()
@@ -213,8 +213,8 @@
 }
 
 // requestAsOperator gives an operator's order until it is known to be taken or refused.
-func (c *Clients) requestAsOperator(verb, argument string, body json.RawMessage, retries int, then func()) {
-	if verb == "drain.drop" && retries == 0 {
+func (c *Clients) requestAsOperator(verb wire.Verb, argument string, body json.RawMessage, retries int, then func()) {
+	if verb == wire.VerbCancelDrain && retries == 0 {
 		c.world.record(history.Event{Kind: history.DrainRemoval, Text: argument})
 	}
 	retry := func(d time.Duration) {
@@ -225,7 +225,7 @@
 	c.request(c.anyGateway(), verb, argument, body, func(a wire.Response) {
 		switch {
 		case a.Error == nil:
-			if verb == "drain.put" {
+			if verb == wire.VerbStartDrain {
 				c.world.record(history.Event{Kind: history.DrainAccepted, Text: argument})
 			}
 			then()
@@ -238,7 +238,7 @@
 // readTable reads the table and gives it on.
 func (c *Clients) readTable(then func(config.Table)) {
 	began := c.world.now
-	c.request(c.anyGateway(), "table.get", "", nil, func(a wire.Response) {
+	c.request(c.anyGateway(), wire.VerbGetTable, "", nil, func(a wire.Response) {
 		var t config.Table
 		if a.Error == nil && json.Unmarshal(a.Body, &t) == nil {
 			c.world.record(history.Event{Kind: history.TableRead, Table: &t, Text: fmt.Sprint(began)})
--- a/sim/core_test.go
+++ b/sim/core_test.go
@@ -214,7 +214,7 @@
 	is := is.New(t)
 	r, _ := newControlRun(t, 61)
 	r.RunUntil(9 * time.Second)
-	ask := func(verb, id, body string) (a wire.Response) {
+	ask := func(verb wire.Verb, id, body string) (a wire.Response) {
 		r.request(r.Clients.address, "g2", verb, id, []byte(body), func(b wire.Response) { a = b })
 		r.RunUntil(time.Duration(r.now) + 300*time.Millisecond)
 		return
@@ -222,9 +222,10 @@
 	step := func(more string) string { return `{"queue":"quotes","steps":[{"name":"a",` + more + `}]}` }
 	good := step(`"kind":"quote","room":{"cores":1,"memory":0},"tasks":1`)
 	for _, c := range []struct {
-		verb, id, body string
-		kind           apierror.Kind
-		field          string
+		verb     wire.Verb
+		id, body string
+		kind     apierror.Kind
+		field    string
 	}{
 		{"job.put", "a", `{"queue":"none","steps":[]}`, apierror.NoSuchQueue, "queue"},
 		{"job.put", "a", step(`"kind":"none","room":{"cores":1,"memory":0},"tasks":1`), apierror.NeverPlaceable, "steps[0].kind"},
--- a/sim/cutoff_observe_test.go
+++ b/sim/cutoff_observe_test.go
@@ -69,7 +69,7 @@
 func (ar *answerRecorder) observeWorkers() {
 	w := ar.run.World
 	tamper := w.TamperAnswerOf
-	w.TamperAnswerOf = func(daemon types.Addr, verb string, a *wire.Response) bool {
+	w.TamperAnswerOf = func(daemon types.Addr, verb wire.Verb, a *wire.Response) bool {
 		if tamper != nil && !tamper(daemon, verb, a) {
 			return false
 		}
--- a/sim/cutoff_planted_test.go
+++ b/sim/cutoff_planted_test.go
@@ -22,9 +22,9 @@
 func isNoLeader(a *wire.Response) bool { return a.Error != nil && a.Error.Kind == apierror.NoLeader }
 
 // answersWhileCut changes the answers of controllers that can't give one, while some are cut off.
-func answersWhileCut(verb string, change func(c *cutoff, daemon types.Addr, a *wire.Response) bool) func(*cutoff) {
+func answersWhileCut(verb wire.Verb, change func(c *cutoff, daemon types.Addr, a *wire.Response) bool) func(*cutoff) {
 	return func(c *cutoff) {
-		c.TamperAnswerOf = func(daemon types.Addr, v string, a *wire.Response) bool {
+		c.TamperAnswerOf = func(daemon types.Addr, v wire.Verb, a *wire.Response) bool {
 			if v != verb || c.now < int64(cutFrom) || c.now > int64(cutEnd) || c.nodes[daemon].role != "controller" || !isNoLeader(a) {
 				return true
 			}
@@ -170,10 +170,10 @@
 		again := r.putTable(1)
 		r.RunUntil(22 * time.Second)
 		is.True(again()) // the others lead, and the configuration is another
-		answers := map[string]wire.Response{}
+		answers := map[wire.Verb]wire.Response{}
 		stale := r.Clients.deployment.Table()
 		stale.Version = 7
-		for verb, body := range map[string]json.RawMessage{"table.get": nil, "table.put": wire.EncodeBody(stale), "job.get": nil, "queue.count": nil} {
+		for verb, body := range map[wire.Verb]json.RawMessage{"table.get": nil, "table.put": wire.EncodeBody(stale), "job.get": nil, "queue.count": nil} {
 			r.request(probeAddr, l.addr, verb, "none", body, func(a wire.Response) { answers[verb] = a })
 		}
 		r.advance(5 * time.Millisecond)
--- a/sim/cutoff_record_test.go
+++ b/sim/cutoff_record_test.go
@@ -110,7 +110,7 @@
 // passing takes the place of the machine behind a front: it notes that the front would ask it.
 type passing struct{ passed *bool }
 
-func (p passing) Ask(context.Context, string, string, json.RawMessage) wire.Response {
+func (p passing) Ask(context.Context, wire.Verb, string, json.RawMessage) wire.Response {
 	*p.passed = true
 	return wire.Response{StatusCode: http.StatusOK, Body: json.RawMessage(`{}`)}
 }
@@ -118,7 +118,7 @@
 // answering gives a machine's answer to the pages in front of it.
 type answering struct{ answer wire.Response }
 
-func (a answering) Ask(context.Context, string, string, json.RawMessage) wire.Response {
+func (a answering) Ask(context.Context, wire.Verb, string, json.RawMessage) wire.Response {
 	return a.answer
 }
 
@@ -174,7 +174,7 @@
 }
 
 // ask sends one request and keeps the observation; then runs once it is answered.
-func (ar *answerRecorder) ask(to types.Addr, who audience, what request, verb, arg string, body json.RawMessage, then func(*observation, wire.Response)) {
+func (ar *answerRecorder) ask(to types.Addr, who audience, what request, verb wire.Verb, arg string, body json.RawMessage, then func(*observation, wire.Response)) {
 	o := &observation{sent: ar.run.now, daemon: to, audience: who, request: what}
 	ar.observations = append(ar.observations, o)
 	ar.run.request(probeAddr, to, verb, arg, body, func(a wire.Response) {
@@ -271,7 +271,7 @@
 }
 
 // caller asks a gateway's machine for what its page lets through.
-func (ar *answerRecorder) caller(to types.Addr, what request, verb, arg string, body json.RawMessage, then func(ok bool)) {
+func (ar *answerRecorder) caller(to types.Addr, what request, verb wire.Verb, arg string, body json.RawMessage, then func(ok bool)) {
 	if _, ok := ar.askHandler(to, what); !ok {
 		return
 	}
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -243,9 +243,9 @@
 		r.drained[rack] = true
 		acked, over := false, false
 		undo := func() {
-			r.Clients.requestAsOperator("drain.drop", rack, nil, 0, func() { delete(r.drained, rack) })
+			r.Clients.requestAsOperator(wire.VerbCancelDrain, rack, nil, 0, func() { delete(r.drained, rack) })
 		}
-		r.Clients.requestAsOperator("drain.put", rack, wire.EncodeBody(config.Drain{WithinMillis: r.random.Intn(3) * 1000}), 0, func() {
+		r.Clients.requestAsOperator(wire.VerbStartDrain, rack, wire.EncodeBody(config.Drain{WithinMillis: r.random.Intn(3) * 1000}), 0, func() {
 			if acked = true; over {
 				undo()
 			}
--- a/sim/invoked_faults.go
+++ b/sim/invoked_faults.go
@@ -154,9 +154,9 @@
 		r.drained[name], r.affected = true, []types.Addr{}
 		acked, over := false, false
 		undo := func() {
-			r.Clients.requestAsOperator("drain.drop", name, nil, 0, func() { delete(r.drained, name) })
+			r.Clients.requestAsOperator(wire.VerbCancelDrain, name, nil, 0, func() { delete(r.drained, name) })
 		}
-		r.Clients.requestAsOperator("drain.put", name, wire.EncodeBody(config.Drain{WithinMillis: r.random.Intn(3) * 1000}), 0, func() {
+		r.Clients.requestAsOperator(wire.VerbStartDrain, name, wire.EncodeBody(config.Drain{WithinMillis: r.random.Intn(3) * 1000}), 0, func() {
 			if acked = true; over {
 				undo()
 			}
--- a/sim/invoked_node.go
+++ b/sim/invoked_node.go
@@ -77,7 +77,7 @@
 	}
 	acknowledged := false
 	send := func() {
-		w.request(i.node.addr, i.agent, "beat", "", wire.EncodeBody(b), func(a wire.Response) {
+		w.request(i.node.addr, i.agent, wire.VerbHeartbeat, "", wire.EncodeBody(b), func(a wire.Response) {
 			if acknowledged = acknowledged || a.Error == nil; a.Error == nil && b.Draining && i.incarnation == gen && !i.departureAcknowledged {
 				i.departureAcknowledged = true
 				w.record(history.Event{Kind: history.WorkerLeaving, Process: string(b.Incarnation), Shard: i.spec.Shard})
@@ -121,7 +121,7 @@
 		if i.incarnation != gen || i.worker == nil {
 			return
 		}
-		w.request(i.node.addr, i.agent, "leave", string(i.worker.ID), nil, func(wire.Response) {})
+		w.request(i.node.addr, i.agent, wire.VerbDeregister, string(i.worker.ID), nil, func(wire.Response) {})
 		w.record(history.Event{Kind: history.WorkerRemoved, Process: string(i.worker.ID), Shard: i.spec.Shard, Text: within.String()})
 		i.kill(true)
 	})
--- a/sim/invoked_planted_test.go
+++ b/sim/invoked_planted_test.go
@@ -21,7 +21,7 @@
 
 func onHeartbeat(f func(*wire.WorkerHeartbeat)) func(*Run) {
 	return func(r *Run) {
-		r.TamperRequest = func(verb string, b *json.RawMessage) {
+		r.TamperRequest = func(verb wire.Verb, b *json.RawMessage) {
 			if verb == "beat" {
 				alter(b, f)
 			}
@@ -55,9 +55,9 @@
 }
 
 // onAnswer changes what callers are answered.
-func onAnswer(verb string, f func(*wire.Response)) func(*Run) {
+func onAnswer(verb wire.Verb, f func(*wire.Response)) func(*Run) {
 	return func(r *Run) {
-		r.TamperAnswer = func(v string, a *wire.Response) {
+		r.TamperAnswer = func(v wire.Verb, a *wire.Response) {
 			if v == verb {
 				f(a)
 			}
--- a/sim/linear_models_test.go
+++ b/sim/linear_models_test.go
@@ -13,6 +13,7 @@
 	"coppercourse/internal/apierror"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
 )
 
 // outcome is what an answer told whoever asked.
@@ -28,7 +29,7 @@
 )
 
 // outcomeOf reads an answer.
-func outcomeOf(verb string, bad *apierror.Error) outcome {
+func outcomeOf(verb wire.Verb, bad *apierror.Error) outcome {
 	switch {
 	case bad == nil:
 		return done
@@ -106,7 +107,7 @@
 
 // jobInput is a job handed in, asked for or cancelled.
 type jobInput struct {
-	verb string
+	verb wire.Verb
 	id   types.JobID
 	hash string
 }
--- a/sim/linear_rig_test.go
+++ b/sim/linear_rig_test.go
@@ -53,7 +53,7 @@
 }
 
 // requestOnce sends one request; then is called once: with the answer, or with none.
-func (or *operationRecorder) requestOnce(to types.Addr, verb, arg string, body any, then func(*wire.Response)) {
+func (or *operationRecorder) requestOnce(to types.Addr, verb wire.Verb, arg string, body any, then func(*wire.Response)) {
 	over := false
 	or.request("client", to, verb, arg, wire.EncodeBody(body), func(a wire.Response) {
 		if !over {
@@ -185,7 +185,7 @@
 	}
 }
 
-func (or *operationRecorder) requestJob(client int, verb string, id types.JobID, s state.Spec, n int, then func()) {
+func (or *operationRecorder) requestJob(client int, verb wire.Verb, id types.JobID, s state.Spec, n int, then func()) {
 	began := or.now
 	var body any
 	if verb == "job.put" {
@@ -202,7 +202,7 @@
 				out.stage = v.State
 			}
 		}
-		or.count[verb+" "+string(out.outcome)]++
+		or.count[string(verb)+" "+string(out.outcome)]++
 		if verb != "job.get" || out.outcome != unclear {
 			or.jobs = append(or.jobs, porcupine.Operation{ClientId: client, Input: jobInput{verb, id, s.Hash()}, Call: began, Return: end, Output: out})
 		}
--- a/sim/linear_test.go
+++ b/sim/linear_test.go
@@ -81,8 +81,8 @@
 }
 
 // answers changes what clients are told, from the time that it is asked.
-func answers(f func(r *Run, verb string, a *wire.Response)) func(*Run) {
-	return func(r *Run) { r.TamperAnswer = func(verb string, a *wire.Response) { f(r, verb, a) } }
+func answers(f func(r *Run, verb wire.Verb, a *wire.Response)) func(*Run) {
+	return func(r *Run) { r.TamperAnswer = func(verb wire.Verb, a *wire.Response) { f(r, verb, a) } }
 }
 
 func isFault(a *wire.Response, k apierror.Kind) bool { return a.Error != nil && a.Error.Kind == k }
@@ -91,7 +91,7 @@
 	"a deposed leader reads its old configuration": func(r *Run) {
 		var old json.RawMessage
 		n := 0
-		answers(func(_ *Run, verb string, a *wire.Response) {
+		answers(func(_ *Run, verb wire.Verb, a *wire.Response) {
 			if verb != "table.get" || a.Error != nil {
 				return
 			}
@@ -136,7 +136,7 @@
 			newest = t
 		})(r)
 	},
-	"both of a race are acknowledged": answers(func(_ *Run, verb string, a *wire.Response) {
+	"both of a race are acknowledged": answers(func(_ *Run, verb wire.Verb, a *wire.Response) {
 		if verb == "table.put" && isFault(a, apierror.StaleVersion) {
 			*a = wire.Response{StatusCode: 200}
 		}
@@ -158,17 +158,17 @@
 			return true
 		}
 	},
-	"a job that was taken is denied": answers(func(r *Run, verb string, a *wire.Response) {
+	"a job that was taken is denied": answers(func(r *Run, verb wire.Verb, a *wire.Response) {
 		if verb == "job.get" && r.now/int64(time.Second)%5 == 0 {
 			*a = wire.Response{Error: apierror.New(apierror.NoSuchJob, "id", "")}
 		}
 	}),
-	"a cancel is acknowledged and not taken": answers(func(_ *Run, verb string, a *wire.Response) {
+	"a cancel is acknowledged and not taken": answers(func(_ *Run, verb wire.Verb, a *wire.Response) {
 		if verb == "job.cancel" && a.Error != nil {
 			*a = wire.Response{StatusCode: 200}
 		}
 	}),
-	"what was taken is told as turned away": answers(func(_ *Run, verb string, a *wire.Response) {
+	"what was taken is told as turned away": answers(func(_ *Run, verb wire.Verb, a *wire.Response) {
 		if verb == "job.put" && a.StatusCode == 201 {
 			*a = wire.Response{Error: apierror.New(apierror.QueueFull, "", "")}
 		}
@@ -203,7 +203,7 @@
 		r := New(Plan{Seed: 300 + seed, Deployment: "kingston"})
 		r.RunUntil(8 * time.Second)
 		lost := 2
-		r.TamperAnswer = func(verb string, a *wire.Response) {
+		r.TamperAnswer = func(verb wire.Verb, a *wire.Response) {
 			if lost--; lost >= 0 {
 				*a = wire.Response{Error: apierror.New(apierror.OutcomeUnknown, "", "")}
 			}
--- a/sim/operator.go
+++ b/sim/operator.go
@@ -78,7 +78,7 @@
 // answered.
 func (c *Clients) countQueue(q types.QueueName, g types.Addr) {
 	began := c.world.now
-	c.request(g, "queue.count", string(q), nil, func(a wire.Response) {
+	c.request(g, wire.VerbCountQueue, string(q), nil, func(a wire.Response) {
 		h := history.Event{Kind: history.QueueCounted, Process: c.world.nodes[g].processName(), Job: types.JobID(q), Text: fmt.Sprint(began)}
 		switch {
 		case a.Error == nil:
--- a/sim/planted_test.go
+++ b/sim/planted_test.go
@@ -55,7 +55,7 @@
 
 func onPoll(f func(*protocol.Poll)) func(*Run) {
 	return func(r *Run) {
-		r.TamperRequest = func(verb string, b *json.RawMessage) {
+		r.TamperRequest = func(verb wire.Verb, b *json.RawMessage) {
 			if verb == "poll" {
 				alter(b, f)
 			}
@@ -105,21 +105,21 @@
 	{"dependencies are forgotten", nil, []string{"order"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.DependsOn = nil })},
 	{"stops get lost", []string{"kill-machine"}, []string{"cancel-run", "gang"}, 30 * time.Second, false, func(r *Run) { dropMessages(wire.KillTask)(r); r.Clients.CancelRate = 0.5 }},
 	{"open jobs shown done", nil, []string{"shown"}, 30 * time.Second, false, func(r *Run) {
-		r.TamperAnswer = func(verb string, a *wire.Response) {
+		r.TamperAnswer = func(verb wire.Verb, a *wire.Response) {
 			if verb == "job.get" && a.Error == nil {
 				alter(&a.Body, func(v *map[string]any) { (*v)["state"] = "done" })
 			}
 		}
 	}},
 	{"jobs denied after acceptance", nil, []string{"forgotten"}, 30 * time.Second, false, func(r *Run) {
-		r.TamperAnswer = func(verb string, a *wire.Response) {
+		r.TamperAnswer = func(verb wire.Verb, a *wire.Response) {
 			if verb == "job.get" {
 				*a = wire.Response{Error: apierror.New(apierror.NoSuchJob, "id", "")}
 			}
 		}
 	}},
 	{"old tables read", nil, []string{"table"}, 30 * time.Second, false, func(r *Run) {
-		r.TamperAnswer = func(verb string, a *wire.Response) {
+		r.TamperAnswer = func(verb wire.Verb, a *wire.Response) {
 			if verb == "table.get" && a.Error == nil {
 				alter(&a.Body, func(t *config.Table) { t.Version-- })
 			}
@@ -147,7 +147,7 @@
 			}
 			return true
 		}
-		r.TamperAnswer = func(verb string, a *wire.Response) {
+		r.TamperAnswer = func(verb wire.Verb, a *wire.Response) {
 			if verb == "table.get" && a.Error == nil {
 				swap(&a.Body)
 			}
--- a/sim/polling_node.go
+++ b/sim/polling_node.go
@@ -118,7 +118,7 @@
 			}
 		}
 	}
-	w.requestObserved(pn.node.addr, pn.agent, "poll", "", wire.EncodeBody(p), onReceived, func(a wire.Response) {
+	w.requestObserved(pn.node.addr, pn.agent, wire.VerbPoll, "", wire.EncodeBody(p), onReceived, func(a wire.Response) {
 		take := func() {
 			if !current() {
 				return
--- a/sim/processor.go
+++ b/sim/processor.go
@@ -36,7 +36,7 @@
 	used             time.Duration
 	requestedAt      map[uint64]int64                      // when the requests under way came in, by token
 	longestWait      [wire.NumClasses]time.Duration        // that an event waited for its step
-	requestDurations map[string][]time.Duration            // how long requests were under way, by verb
+	requestDurations map[wire.Verb][]time.Duration         // how long requests were under way, by verb
 	Sums             struct{ Refused, Expired, Stale int } // requests, and reports, that the machine never saw
 }
 
@@ -47,7 +47,7 @@
 }
 
 func newProcessor(n *node, c Costs) *processor {
-	return &processor{node: n, costs: c, requestedAt: map[uint64]int64{}, requestDurations: map[string][]time.Duration{}}
+	return &processor{node: n, costs: c, requestedAt: map[uint64]int64{}, requestDurations: map[wire.Verb][]time.Duration{}}
 }
 
 func (p *processor) class(e wire.Event) wire.Class {
@@ -174,7 +174,7 @@
 }
 
 // requestAnswered notes how long a request was under way.
-func (p *processor) requestAnswered(token uint64, verb string) {
+func (p *processor) requestAnswered(token uint64, verb wire.Verb) {
 	if from, ok := p.requestedAt[token]; ok {
 		p.requestDurations[verb] = append(p.requestDurations[verb], time.Duration(p.node.world.now-from))
 		delete(p.requestedAt, token)
--- a/sim/requests_test.go
+++ b/sim/requests_test.go
@@ -16,7 +16,7 @@
 )
 
 // requestFrom asks a controller itself and gives its answer, if one comes in time.
-func (r *Run) requestFrom(n *node, verb string, body any, within time.Duration) (a wire.Response, ok bool) {
+func (r *Run) requestFrom(n *node, verb wire.Verb, body any, within time.Duration) (a wire.Response, ok bool) {
 	r.request("operator", n.addr, verb, "", wire.EncodeBody(body), func(b wire.Response) { a, ok = b, true })
 	r.RunUntil(time.Duration(r.now) + within)
 	return
@@ -33,8 +33,8 @@
 // as it goes on, the first event may be a request that came in between. Its lease
 // is judged by the time of now, and nothing is answered by the old state.
 func TestAThawedLeaderAnswersNothingByItsOldState(t *testing.T) {
-	for _, verb := range []string{"table.get", "table.put", "job.get"} {
-		t.Run(verb, func(t *testing.T) {
+	for _, verb := range []wire.Verb{"table.get", "table.put", "job.get"} {
+		t.Run(string(verb), func(t *testing.T) {
 			is := is.New(t)
 			r, acked := newControlRun(t, 91)
 			r.RunUntil(8 * time.Second)
--- a/sim/schedule_test.go
+++ b/sim/schedule_test.go
@@ -146,7 +146,7 @@
 		})},
 		"a repeat of what was taken is refused": {[]string{"table"}, func(r *Run) {
 			seen := map[string]bool{}
-			r.TamperRequest = func(verb string, body *json.RawMessage) {
+			r.TamperRequest = func(verb wire.Verb, body *json.RawMessage) {
 				if verb != "table.put" {
 					return
 				}
--- a/sim/triggers.go
+++ b/sim/triggers.go
@@ -51,6 +51,6 @@
 }
 
 // losesAcknowledgement tells whether the acknowledgement of a change gets lost on its way.
-func (w *World) losesAcknowledgement(verb string, a wire.Response) bool {
-	return w.ackLossRate > 0 && verb == "table.put" && a.Error == nil && w.random.Float64() < w.ackLossRate
+func (w *World) losesAcknowledgement(verb wire.Verb, a wire.Response) bool {
+	return w.ackLossRate > 0 && verb == wire.VerbPutTable && a.Error == nil && w.random.Float64() < w.ackLossRate
 }
--- a/sim/world.go
+++ b/sim/world.go
@@ -56,7 +56,7 @@
 
 // pendingRequest is one that a node has not answered.
 type pendingRequest struct {
-	verb     string
+	verb     wire.Verb
 	onAnswer func(wire.Response)
 }
 
@@ -88,10 +88,10 @@
 	// Planted bugs: what is sent, asked and answered may be changed on its way,
 	// and a note for which Tamper is false is never sent.
 	TamperMessage func(s *wire.OutboundMessage) bool
-	TamperRequest func(verb string, body *json.RawMessage)
-	TamperAnswer  func(verb string, a *wire.Response)
+	TamperRequest func(verb wire.Verb, body *json.RawMessage)
+	TamperAnswer  func(verb wire.Verb, a *wire.Response)
 	// What one daemon answers may be changed, too; an answer for which it is false is lost.
-	TamperAnswerOf func(daemon types.Addr, verb string, a *wire.Response) bool
+	TamperAnswerOf func(daemon types.Addr, verb wire.Verb, a *wire.Response) bool
 	// Delivered is told of each message that a daemon takes.
 	OnDelivery       func(to types.Addr, m wire.Message)
 	watchers         []watcher            // of the history, for faults that strike when something happens
@@ -316,12 +316,12 @@
 }
 
 // request carries a request from an address to a node and the answer back.
-func (w *World) request(from, to types.Addr, verb, argument string, body json.RawMessage, onAnswer func(wire.Response)) {
+func (w *World) request(from, to types.Addr, verb wire.Verb, argument string, body json.RawMessage, onAnswer func(wire.Response)) {
 	w.requestObserved(from, to, verb, argument, body, func(*node) {}, onAnswer)
 }
 
 // requestObserved does so and tells when the node takes the request up.
-func (w *World) requestObserved(from, to types.Addr, verb, argument string, body json.RawMessage, onReceived func(*node), onAnswer func(wire.Response)) {
+func (w *World) requestObserved(from, to types.Addr, verb wire.Verb, argument string, body json.RawMessage, onReceived func(*node), onAnswer func(wire.Response)) {
 	if w.TamperRequest != nil {
 		w.TamperRequest(verb, &body)
 	}
