--- a/internal/configwatch/golden_test.go
+++ b/internal/configwatch/golden_test.go
@@ -7,7 +7,7 @@
 	"coppercourse/internal/wire"
 )
 
-// The question after a table, and its answer.
+// A request for the table, and its response.
 func TestMessagesGolden(t *testing.T) {
 	goldentest.Message[watchRequest](t, wire.ConfigWatch)
 	goldentest.Message[watchResponse](t, wire.ConfigWatchReply)
--- /dev/null
+++ b/internal/configwatch/publisher.go
@@ -0,0 +1,76 @@
+package configwatch
+
+import (
+	"slices"
+	"time"
+
+	"coppercourse/internal/config"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+const (
+	// longPollHold is how long a response is held back at most while there is no other
+	// version.
+	longPollHold = 400 * time.Millisecond
+	// maxWatchers bounds the requests that are held.
+	maxWatchers = 500
+)
+
+// Publisher is the leader's side of the watch.
+type Publisher struct {
+	self    types.Addr
+	pending map[types.Addr]pendingWatch // the latest request of each watcher
+}
+
+// pendingWatch is a request that has no response yet.
+type pendingWatch struct {
+	request  watchRequest
+	deadline types.MonoTime // when it gets one in any case
+}
+
+// NewPublisher returns the publisher of the daemon at an address.
+func NewPublisher(self types.Addr) *Publisher {
+	return &Publisher{self: self, pending: map[types.Addr]pendingWatch{}}
+}
+
+// HandleRequest takes a watcher's request. Responses has its response.
+func (p *Publisher) HandleRequest(now types.MonoTime, message wire.Message) {
+	request, ok := wire.DecodeBody[watchRequest](message)
+	if !ok || len(p.pending) >= maxWatchers {
+		return
+	}
+	deadline := now.Add(request.hold())
+	if earlier, ok := p.pending[message.From]; ok { // asking again does not put the response off
+		deadline = min(deadline, earlier.deadline)
+	}
+	p.pending[message.From] = pendingWatch{request, deadline}
+}
+
+// Responses returns the responses that are due: to those who have another version than that
+// of the table, and to those whose deadline has passed.
+func (p *Publisher) Responses(now types.MonoTime, table config.Table) []wire.OutboundMessage {
+	var due []types.Addr
+	for from, watch := range p.pending {
+		if !watch.request.upToDate(table.Version) || now >= watch.deadline {
+			due = append(due, from)
+		}
+	}
+	slices.Sort(due)
+	var messages []wire.OutboundMessage
+	for _, to := range due {
+		response := p.pending[to].response(table)
+		messages = append(messages, wire.NewMessage(p.self, to, wire.ConfigWatchReply, response))
+		delete(p.pending, to)
+	}
+	return messages
+}
+
+// response returns the response with a table, or without it if the watcher has it.
+func (w pendingWatch) response(table config.Table) watchResponse {
+	response := watchResponse{Version: table.Version, Nonce: w.request.Nonce}
+	if !w.request.upToDate(table.Version) {
+		response.Table = &table
+	}
+	return response
+}
--- a/internal/configwatch/staleness_test.go
+++ b/internal/configwatch/staleness_test.go
@@ -1,6 +1,7 @@
 package configwatch
 
 import (
+	"errors"
 	"fmt"
 	"testing"
 	"time"
@@ -12,176 +13,233 @@
 	"coppercourse/internal/wire"
 )
 
-// testWatcher is a reader, or one with a planted bug.
+// testWatcher is a watcher, or one with a planted bug. Its process has a clock of its own;
+// now is the time of the scenario.
 type testWatcher interface {
-	Tick(now types.MonoTime, lead types.Addr) []wire.OutboundMessage
-	HandleResponse(now types.MonoTime, n wire.Message)
+	Tick(now types.MonoTime, leader types.Addr) []wire.OutboundMessage
+	HandleResponse(now types.MonoTime, message wire.Message)
+	// Decides returns the version of the table that it would decide by, if any.
 	Decides(now types.MonoTime) (types.Version, bool)
+	// Restart starts its process anew.
 	Restart(now types.MonoTime)
 }
 
-// soundWatcher is the reader as it is.
+// soundWatcher is a watcher as it is.
 type soundWatcher struct {
 	watcher     *Watcher
 	startedAt   types.MonoTime // when its process began: its clock starts there
-	incarnation types.MonoTime
+	incarnation Nonce
 }
 
-func (s *soundWatcher) Tick(now types.MonoTime, lead types.Addr) []wire.OutboundMessage {
-	return s.watcher.Tick(now-s.startedAt, lead)
+func (s *soundWatcher) Tick(now types.MonoTime, leader types.Addr) []wire.OutboundMessage {
+	return s.watcher.Tick(now-s.startedAt, leader)
 }
-func (s *soundWatcher) HandleResponse(_ types.MonoTime, n wire.Message) { s.watcher.HandleResponse(n) }
+
+func (s *soundWatcher) HandleResponse(_ types.MonoTime, message wire.Message) {
+	s.watcher.HandleResponse(message)
+}
+
 func (s *soundWatcher) Decides(now types.MonoTime) (types.Version, bool) {
 	return s.watcher.Table.Version, s.watcher.Fresh(now - s.startedAt)
 }
+
 func (s *soundWatcher) Restart(now types.MonoTime) {
 	s.incarnation++
-	s.startedAt, s.watcher = now, NewWatcher("gateway:1", DefaultStaleAfter, s.incarnation<<32)
+	s.startedAt = now
+	s.watcher = NewWatcher("gateway:1", DefaultStaleAfter, s.incarnation<<32)
 }
 
-// countsFromReceipt lets a confirmation count from when its answer is taken.
+// countsFromReceipt is planted: a confirmation counts from when its response comes.
 type countsFromReceipt struct{ soundWatcher }
 
-func (c *countsFromReceipt) HandleResponse(now types.MonoTime, n wire.Message) {
-	c.soundWatcher.HandleResponse(now, n)
-	if b, ok := wire.DecodeBody[watchResponse](n); ok && b.Version == c.watcher.Table.Version {
+func (c *countsFromReceipt) HandleResponse(now types.MonoTime, message wire.Message) {
+	c.soundWatcher.HandleResponse(now, message)
+	response, ok := wire.DecodeBody[watchResponse](message)
+	if ok && response.Version == c.watcher.Table.Version {
 		c.watcher.confirmedAt = now - c.startedAt
 	}
 }
 
-// trustsAnyNonce believes the stamp that an answer brings, as marks once were.
+// trustsAnyNonce is planted: a nonce is the time of its request, and any is believed.
 type trustsAnyNonce struct{ soundWatcher }
 
-func (t *trustsAnyNonce) Tick(now types.MonoTime, lead types.Addr) []wire.OutboundMessage {
-	sends := t.soundWatcher.Tick(now, lead)
-	for i := range sends {
-		a, _ := wire.DecodeBody[watchRequest](sends[i].Message)
-		a.Nonce = now - t.startedAt
-		sends[i].Message.Body = wire.EncodeBody(a)
+func (t *trustsAnyNonce) Tick(now types.MonoTime, leader types.Addr) []wire.OutboundMessage {
+	messages := t.soundWatcher.Tick(now, leader)
+	for i := range messages {
+		request, _ := wire.DecodeBody[watchRequest](messages[i].Message)
+		request.Nonce = Nonce(now - t.startedAt)
+		messages[i].Message.Body = wire.EncodeBody(request)
 	}
-	return sends
-}
-
-func (t *trustsAnyNonce) HandleResponse(_ types.MonoTime, n wire.Message) {
-	b, _ := wire.DecodeBody[watchResponse](n)
-	mark := b.Nonce
-	b.Nonce = t.watcher.lastNonce
-	n.Body = wire.EncodeBody(b)
-	was := t.watcher.confirmedAt
-	t.watcher.HandleResponse(n)
-	t.watcher.confirmedAt = was
-	if b.Version == t.watcher.Table.Version {
-		t.watcher.confirmedAt = max(was, mark)
+	return messages
+}
+
+func (t *trustsAnyNonce) HandleResponse(_ types.MonoTime, message wire.Message) {
+	response, _ := wire.DecodeBody[watchResponse](message)
+	requestedAt := types.MonoTime(response.Nonce)
+	response.Nonce = t.watcher.lastNonce
+	message.Body = wire.EncodeBody(response)
+	confirmedAt := t.watcher.confirmedAt
+	t.watcher.HandleResponse(message)
+	t.watcher.confirmedAt = confirmedAt
+	if response.Version == t.watcher.Table.Version {
+		t.watcher.confirmedAt = max(confirmedAt, requestedAt)
 	}
 }
 
-// cachesDecision answers by what its last step found, and steps seldom.
+// cachesDecision is planted: it decides by what its last step found, and steps seldom.
 type cachesDecision struct {
 	soundWatcher
-	version types.Version
-	fresh   bool
-	stepped types.MonoTime
+	version   types.Version
+	fresh     bool
+	steppedAt types.MonoTime
 }
 
 func (c *cachesDecision) Decides(now types.MonoTime) (types.Version, bool) {
-	if now.Sub(c.stepped) >= 3*time.Second {
-		c.stepped = now
+	if now.Sub(c.steppedAt) >= 3*time.Second {
+		c.steppedAt = now
 		c.version, c.fresh = c.soundWatcher.Decides(now)
 	}
 	return c.version, c.fresh
 }
 
-// runScenario plays a reader whose questions and answers take long on their way, whose
-// process starts anew at times, and a leader whose table changes. It gives the
-// first time that the reader decided by a version too old.
-func runScenario(w testWatcher, late time.Duration) string {
-	const step = 10 * time.Millisecond
-	type flight struct {
-		at          types.MonoTime
-		message     wire.Message
-		toPublisher bool
+// scenario is a watcher whose messages take long on their way and whose process starts anew
+// at times, and a leader whose table changes.
+type scenario struct {
+	watcher      testWatcher
+	slowResponse time.Duration // how long a response takes at the worst
+	publisher    *Publisher
+	table        config.Table
+	replacedAt   types.MonoTime // when the version before was replaced
+	inFlight     []delivery
+}
+
+// delivery is a message on its way.
+type delivery struct {
+	at          types.MonoTime
+	message     wire.Message
+	toPublisher bool
+}
+
+const (
+	scenarioTime = 40 * time.Second
+	scenarioStep = 10 * time.Millisecond
+	quickMessage = 2 * scenarioStep
+)
+
+// runScenario returns the first decision of a watcher by a version that was replaced too
+// long ago.
+func runScenario(watcher testWatcher, slowResponse time.Duration) error {
+	s := &scenario{
+		watcher:      watcher,
+		slowResponse: slowResponse,
+		publisher:    NewPublisher("controller:1"),
+		table:        config.Table{Version: 1},
 	}
-	publisher, table := NewPublisher("controller:1"), config.Table{Version: 1}
-	changed := types.MonoTime(0) // when the latest version was acknowledged
-	var way []flight
-	w.Restart(0)
-	for now := types.MonoTime(0); now < types.MonoTime(40*time.Second); now += types.MonoTime(step) {
+	watcher.Restart(0)
+	for now := types.MonoTime(0); now < types.MonoTime(scenarioTime); now = now.Add(scenarioStep) {
 		switch {
-		case now%types.MonoTime(6*time.Second) == types.MonoTime(4*time.Second):
-			table, changed = config.Table{Version: table.Version + 1}, now
-		case now%types.MonoTime(9*time.Second) == types.MonoTime(8*time.Second):
-			w.Restart(now)
-		}
-		kept := way[:0]
-		for _, f := range way {
-			switch {
-			case f.at > now:
-				kept = append(kept, f)
-			case f.toPublisher:
-				publisher.HandleRequest(now, f.message)
-			default:
-				w.HandleResponse(now, f.message)
-			}
-		}
-		way = kept
-		delay := late
-		if now%types.MonoTime(7*time.Second) < types.MonoTime(2*time.Second) {
-			delay = 2 * step
-		}
-		for _, s := range w.Tick(now, "controller:1") {
-			way = append(way, flight{now.Add(2 * step), s.Message, true})
+		case within(now, 6*time.Second) == 4*time.Second:
+			s.table, s.replacedAt = config.Table{Version: s.table.Version + 1}, now
+		case within(now, 9*time.Second) == 8*time.Second:
+			watcher.Restart(now)
 		}
-		for _, s := range publisher.Responses(now, table) {
-			way = append(way, flight{now.Add(delay), s.Message, false})
+		s.deliver(now)
+		s.send(now)
+		if err := s.check(now); err != nil {
+			return err
 		}
-		if v, ok := w.Decides(now); ok && v < table.Version && now.Sub(changed) > DefaultStaleAfter {
-			return fmt.Sprintf("at %v by version %d, %v after version %d", time.Duration(now), v, now.Sub(changed), table.Version)
+	}
+	return nil
+}
+
+// within returns the time since a period began, one following the other.
+func within(now types.MonoTime, period time.Duration) time.Duration {
+	return time.Duration(now) % period
+}
+
+// deliver delivers the messages that have arrived.
+func (s *scenario) deliver(now types.MonoTime) {
+	remaining := s.inFlight[:0]
+	for _, d := range s.inFlight {
+		switch {
+		case d.at > now:
+			remaining = append(remaining, d)
+		case d.toPublisher:
+			s.publisher.HandleRequest(now, d.message)
+		default:
+			s.watcher.HandleResponse(now, d.message)
 		}
 	}
-	return ""
+	s.inFlight = remaining
 }
 
-// However late answers come and however often the process starts anew, nothing is
-// decided by a table that was replaced longer ago than a confirmation lasts; each
-// planted bug is seen to do so.
+// send sends what is due on both sides.
+func (s *scenario) send(now types.MonoTime) {
+	responseTime := s.slowResponse
+	if within(now, 7*time.Second) < 2*time.Second {
+		responseTime = quickMessage
+	}
+	for _, request := range s.watcher.Tick(now, "controller:1") {
+		s.inFlight = append(s.inFlight, delivery{now.Add(quickMessage), request.Message, true})
+	}
+	for _, response := range s.publisher.Responses(now, s.table) {
+		s.inFlight = append(s.inFlight, delivery{now.Add(responseTime), response.Message, false})
+	}
+}
+
+// check checks what the watcher would decide by.
+func (s *scenario) check(now types.MonoTime) error {
+	version, ok := s.watcher.Decides(now)
+	late := now.Sub(s.replacedAt)
+	if ok && version < s.table.Version && late > DefaultStaleAfter {
+		return fmt.Errorf("at %v by version %d, %v after version %d",
+			time.Duration(now), version, late, s.table.Version)
+	}
+	return nil
+}
+
+// However late responses come and however often the process starts anew, nothing is decided
+// by a table that was replaced longer ago than a confirmation lasts. Each planted bug does
+// that.
 func TestNoWatcherDecidesByATableReplacedLongAgo(t *testing.T) {
 	planted := map[string]func() testWatcher{
 		"counts from receipt": func() testWatcher { return &countsFromReceipt{} },
-		"takes any mark":      func() testWatcher { return &trustsAnyNonce{} },
-		"published bit":       func() testWatcher { return &cachesDecision{stepped: -1 << 60} },
+		"trusts any nonce":    func() testWatcher { return &trustsAnyNonce{} },
+		"caches its decision": func() testWatcher { return &cachesDecision{steppedAt: never} },
 	}
-	caught := map[string]string{}
-	for late := 100 * time.Millisecond; late <= 5*time.Second; late += 100 * time.Millisecond {
-		is := is.New(t)
-		is.Equal(runScenario(&soundWatcher{}, late), "")
-		for name, make := range planted {
-			if found := runScenario(make(), late); found != "" && caught[name] == "" {
-				caught[name] = found
-			}
+	detected := map[string]error{}
+	for slowResponse := 100 * time.Millisecond; slowResponse <= 5*time.Second; slowResponse += 100 * time.Millisecond {
+		if err := runScenario(&soundWatcher{}, slowResponse); err != nil {
+			t.Errorf("responses take %v: %v", slowResponse, err)
+		}
+		for name, newWatcher := range planted {
+			detected[name] = errors.Join(detected[name], runScenario(newWatcher(), slowResponse))
 		}
 	}
 	for name := range planted {
-		if caught[name] == "" {
-			t.Errorf("the planted bug %q was not caught", name)
+		if detected[name] == nil {
+			t.Errorf("the planted bug %q was not detected", name)
 		}
 	}
 }
 
-// An answer to a question of an earlier process confirms nothing.
+// A response to a request of an earlier process confirms nothing.
 func TestResponseToEarlierProcessConfirmsNothing(t *testing.T) {
 	is := is.New(t)
-	old := NewWatcher("gateway:1", DefaultStaleAfter, 1<<40)
-	question := old.Tick(types.MonoTime(500*time.Second), "controller:1")[0].Message
+	earlier := NewWatcher("gateway:1", DefaultStaleAfter, 1<<40)
+	request := earlier.Tick(types.MonoTime(500*time.Second), "controller:1")[0].Message
 	publisher := NewPublisher("controller:1")
-	publisher.HandleRequest(0, question)
-	answer := publisher.Responses(0, config.Table{Version: 7})[0].Message
-	r := NewWatcher("gateway:1", DefaultStaleAfter, 1<<50)
-	is.True(!r.HandleResponse(answer)) // not even the table is taken: this process has not asked
-	is.True(!r.hasTable)
-	is.True(!r.Fresh(0))
-	is.True(!r.Fresh(types.MonoTime(time.Second)))
-	publisher.HandleRequest(0, r.Tick(types.MonoTime(time.Second), "controller:1")[0].Message)
+	publisher.HandleRequest(0, request)
+	response := publisher.Responses(0, config.Table{Version: 7})[0].Message
+
+	const requestedAt = types.MonoTime(time.Second)
+	watcher := NewWatcher("gateway:1", DefaultStaleAfter, 1<<50)
+	is.True(!watcher.HandleResponse(response)) // not even the table is taken: this process has not asked
+	is.True(!watcher.hasTable)
+	is.True(!watcher.Fresh(0))
+	is.True(!watcher.Fresh(requestedAt))
+	publisher.HandleRequest(0, watcher.Tick(requestedAt, "controller:1")[0].Message)
 	publisher.pending["gateway:1"] = pendingWatch{publisher.pending["gateway:1"].request, 0}
-	r.HandleResponse(publisher.Responses(types.MonoTime(time.Second), config.Table{Version: 7})[0].Message)
-	is.Equal(r.ConfirmedUntil(), types.MonoTime(time.Second).Add(DefaultStaleAfter)) // from when it was asked
+	watcher.HandleResponse(publisher.Responses(requestedAt, config.Table{Version: 7})[0].Message)
+	is.Equal(watcher.ConfirmedUntil(), requestedAt.Add(DefaultStaleAfter)) // from when it was asked
 }
