--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -48,12 +48,12 @@
 	newID := func() types.ID { return types.NewID(rnd) }
 	a := &Agent{executor: executor.New(now.Mono, options.Timeouts, options.Addr, options.Shard, newID)}
 	self := membership.MemberInfo{
-		Addr:  options.Addr,
-		Role:  membership.RoleAgent,
-		Zone:  options.Zone,
-		Shard: string(options.Shard),
-		Ready: true,
-		Build: options.BuildVersion,
+		Addr:   options.Addr,
+		Role:   membership.RoleAgent,
+		Zone:   options.Zone,
+		Detail: string(options.Shard),
+		Ready:  true,
+		Build:  options.BuildVersion,
 	}
 	a.core = daemon.NewCore(now, rnd, self, options.Seeds)
 	a.Trace = a.core.Trace
--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -9,16 +9,16 @@
 // describe returns what this controller tells the other daemons of itself.
 func (c *Controller) describe() membership.MemberInfo {
 	return membership.MemberInfo{
-		Addr:  c.options.Addr,
-		ID:    c.raft.ID(),
-		Role:  membership.RoleController,
-		Zone:  c.options.Zone,
-		Name:  c.raft.ClusterName(),
-		Term:  c.raft.Term(),
-		Leads: c.raft.IsLeader() && !c.shuttingDown,
-		Shard: c.raft.Role(),
-		Ready: c.Ready(),
-		Build: c.options.Build,
+		Addr:   c.options.Addr,
+		ID:     c.raft.ID(),
+		Role:   membership.RoleController,
+		Zone:   c.options.Zone,
+		Name:   c.raft.ClusterName(),
+		Term:   c.raft.Term(),
+		Leads:  c.raft.IsLeader() && !c.shuttingDown,
+		Detail: c.raft.Role(),
+		Ready:  c.Ready(),
+		Build:  c.options.Build,
 	}
 }
 
@@ -37,10 +37,10 @@
 // discoveredPeers lists the controllers that were discovered and may be members of a cluster.
 func (c *Controller) discoveredPeers() []raft.DiscoveredPeer {
 	var peers []raft.DiscoveredPeer
-	for _, card := range c.members.Controllers() {
-		if card.ID != "" && card.Shard != "out" {
-			member := raft.Member{ID: card.ID, Addr: card.Addr, Zone: card.Zone}
-			peers = append(peers, raft.DiscoveredPeer{Member: member, ClusterName: card.Name})
+	for _, info := range c.members.Controllers() {
+		if info.ID != "" && info.Detail != "out" {
+			member := raft.Member{ID: info.ID, Addr: info.Addr, Zone: info.Zone}
+			peers = append(peers, raft.DiscoveredPeer{Member: member, ClusterName: info.Name})
 		}
 	}
 	return peers
--- /dev/null
+++ b/internal/membership/digests.go
@@ -0,0 +1,38 @@
+package membership
+
+import (
+	"hash/fnv"
+	"strconv"
+)
+
+// Digests are digests of all members that a daemon knows, by role. Two daemons compare them
+// to see whether they know the same. A digest is the sum of the members' hashes, so that
+// each can be added and removed by itself.
+type Digests struct {
+	Controllers uint32 `json:"controllers,omitempty"`
+	Gateways    uint32 `json:"gateways,omitempty"`
+	Agents      uint32 `json:"agents,omitempty"`
+}
+
+func (d *Digests) ofRole(role string) *uint32 {
+	switch role {
+	case RoleController:
+		return &d.Controllers
+	case RoleGateway:
+		return &d.Gateways
+	default:
+		return &d.Agents
+	}
+}
+
+func (d *Digests) add(info MemberInfo) { *d.ofRole(info.Role) += info.hash() }
+
+func (d *Digests) remove(info MemberInfo) { *d.ofRole(info.Role) -= info.hash() }
+
+// hash returns a hash of address and version.
+func (m MemberInfo) hash() uint32 {
+	hash := fnv.New32a()
+	hash.Write([]byte(m.Addr))
+	hash.Write(strconv.AppendUint(nil, m.Version, 10))
+	return hash.Sum32()
+}
--- /dev/null
+++ b/internal/membership/hello_handler.go
@@ -0,0 +1,75 @@
+package membership
+
+import (
+	"coppercourse/internal/types"
+	"coppercourse/internal/wire"
+)
+
+// HandleMessage takes a message. It returns true for a hello; any other message shows only
+// that its sender lives.
+func (ml *MemberList) HandleMessage(now types.MonoTime, message wire.Message) bool {
+	ml.now = now
+	if message.Kind != wire.Hello {
+		ml.noteSender(message)
+		return false
+	}
+	if h, ok := wire.DecodeBody[hello](message); ok {
+		ml.handleHello(message.From, h)
+	}
+	return true
+}
+
+// noteSender takes any message as a sign of life of its sender, but for status reports,
+// which others may have forwarded. An unknown sender is asked who it is.
+func (ml *MemberList) noteSender(message wire.Message) {
+	if message.Kind == wire.StatusReport {
+		return
+	}
+	if e := ml.table.entries[message.From]; e != nil {
+		ml.markHeardDirectly(e)
+	} else if ml.keepsAll() && message.From != ml.self.Addr {
+		ml.request(message.From)
+	}
+}
+
+func (ml *MemberList) handleHello(from types.Addr, h hello) {
+	if h.KnownVersion > ml.self.Version { // from an earlier process at this address
+		self := ml.self
+		self.Version = h.KnownVersion + 1
+		ml.replaceSelf(self)
+		ml.request(from)
+	}
+	knownVersion := ml.updateFromOwner(h.Self)
+	if h.IsReply && from == ml.Leader() {
+		ml.ackedVersion = ml.askedVersion
+	}
+	for _, peer := range h.Peers {
+		ml.update(peer)
+	}
+	ml.takeAges(h)
+	if h.IsReply && h.WantsChanges && from == ml.sync.source {
+		ml.applyChanges(h)
+	}
+	switch {
+	case h.WantsReply:
+		ml.reply(from, h, knownVersion)
+	case knownVersion > 0:
+		ml.send(from, hello{Self: ml.self, IsReply: true, KnownVersion: knownVersion})
+	case !h.IsReply && ml.differs(h):
+		ml.request(from)
+	}
+}
+
+// takeAges takes when the sender of a hello last heard of controllers and zones.
+func (ml *MemberList) takeAges(h hello) {
+	for addr, ageMS := range h.Ages {
+		if e := ml.table.entries[addr]; e != nil {
+			ml.table.markHeard(e, ml.before(ageMS))
+		}
+	}
+	for name, ageMS := range h.ZoneAges {
+		if zone := ml.table.zones[name]; zone != nil {
+			zone.heardAt = max(zone.heardAt, ml.before(ageMS))
+		}
+	}
+}
--- a/internal/membership/queries.go
+++ b/internal/membership/queries.go
@@ -1,104 +1,112 @@
 package membership
 
-// What other packages read from the roster.
-
 import (
 	"coppercourse/internal/types"
 )
 
-// lastHeard returns when a peer was last heard of, as far as is known: the leader
-// reports those that fell silent, and so vouches for all others.
-func (ml *MemberList) lastHeard(e *entry) types.MonoTime {
-	if e.silent || !ml.keepsAll() {
-		return e.heardAt
-	}
-	return max(e.heardAt, ml.vouchedAt)
-}
-
-// peer returns an entry as other packages see it.
-func (ml *MemberList) peer(e *entry) Peer { return Peer{e.info, ml.age(ml.lastHeard(e))} }
+// minZoneMembers is how many daemons of a zone must be known for ZonePartitioned to judge
+// it.
+const minZoneMembers = 3
 
-// Peers returns all peers that are kept, by address.
+// Peers returns all daemons that are kept, by address.
 func (ml *MemberList) Peers() []Peer {
-	list := make([]Peer, 0, len(ml.entries))
-	for _, a := range ml.order {
-		list = append(list, ml.peer(ml.entries[a]))
+	peers := make([]Peer, 0, len(ml.table.entries))
+	for _, addr := range ml.table.order {
+		peers = append(peers, ml.peer(ml.table.entries[addr]))
 	}
-	return list
+	return peers
 }
 
-// healthy reports whether a peer was heard of lately.
-func (ml *MemberList) healthy(e *entry) bool { return ml.now.Sub(e.heardAt) <= HealthyWithin }
-
-// Controllers returns the cards of the healthy controllers.
-func (ml *MemberList) Controllers() (list []MemberInfo) {
-	for _, a := range ml.controllers {
-		if e := ml.entries[a]; ml.healthy(e) {
-			list = append(list, e.info)
+// Controllers returns the healthy controllers.
+func (ml *MemberList) Controllers() (controllers []MemberInfo) {
+	for _, addr := range ml.table.controllers {
+		if e := ml.table.entries[addr]; ml.healthy(e) {
+			controllers = append(controllers, e.info)
 		}
 	}
-	return
+	return controllers
 }
 
-// MembersOf returns the cards of all peers of a role, healthy or not.
-func (ml *MemberList) MembersOf(role string) (list []MemberInfo) {
-	from := ml.order
+// MembersOf returns all daemons of a role that are kept, healthy or not.
+func (ml *MemberList) MembersOf(role string) (members []MemberInfo) {
+	addrs := ml.table.order
 	if role == RoleController {
-		from = ml.controllers
+		addrs = ml.table.controllers
 	}
-	for _, a := range from {
-		if c := ml.entries[a].info; c.Role == role {
-			list = append(list, c)
+	for _, addr := range addrs {
+		if info := ml.table.entries[addr].info; info.Role == role {
+			members = append(members, info)
 		}
 	}
-	return
+	return members
 }
 
-// RoleOfFile returns the role of the daemon at an address, or nothing if it is unknown.
-func (ml *MemberList) RoleOf(a types.Addr) string {
-	if e := ml.entries[a]; e != nil {
+// RoleOf returns the role of the daemon at an address; it is empty if that is unknown.
+func (ml *MemberList) RoleOf(addr types.Addr) string {
+	if e := ml.table.entries[addr]; e != nil {
 		return e.info.Role
 	}
 	return ""
 }
 
-// minZoneMembers is how many known daemons a zone must have for Apart to judge it.
-const minZoneMembers = 3
-
-// ZonePartitioned reports whether a shard's agent fell silent together with every daemon
-// known in its zone, as when the zone is partitioned from the rest. The loss of one
-// machine leaves others of the zone to be heard.
-func (ml *MemberList) ZonePartitioned(shard string) bool {
-	e := ml.agents[shard]
-	if e == nil {
-		return false
-	}
-	z := ml.zones[e.info.Zone]
-	return z.count >= minZoneMembers && ml.now.Sub(z.heardAt) >= HealthyWithin/2 && e.info.Zone != ml.self.Zone
-}
-
-// ClusterName returns the cluster's name, or nothing while no healthy controller is
-// known that has one.
+// ClusterName returns the cluster's name; it is empty while no healthy controller is known
+// that has one.
 func (ml *MemberList) ClusterName() string {
-	for _, c := range ml.Controllers() {
-		if c.Name != "" {
-			return c.Name
+	for _, controller := range ml.Controllers() {
+		if controller.Name != "" {
+			return controller.Name
 		}
 	}
 	return ""
 }
 
-// Leader returns the address of the leader with the highest term that is known, or
-// nothing.
+// Leader returns the address of the healthy leader with the highest term; it is empty if
+// none is known.
 func (ml *MemberList) Leader() types.Addr {
-	best, term := types.Addr(""), types.Term(0)
+	var leader types.Addr
+	var term types.Term
 	if ml.self.Leads {
-		best, term = ml.self.Addr, ml.self.Term
+		leader, term = ml.self.Addr, ml.self.Term
 	}
-	for _, a := range ml.controllers {
-		if c := ml.entries[a].info; c.Leads && c.Term > term && ml.healthy(ml.entries[a]) {
-			best, term = c.Addr, c.Term
+	for _, addr := range ml.table.controllers {
+		e := ml.table.entries[addr]
+		if e.info.Leads && e.info.Term > term && ml.healthy(e) {
+			leader, term = e.info.Addr, e.info.Term
 		}
 	}
-	return best
+	return leader
+}
+
+// ZonePartitioned reports whether a shard's agent fell silent together with every daemon
+// known in its zone, as when a network partition cuts the zone off. The loss of one machine
+// leaves others of its zone to be heard.
+func (ml *MemberList) ZonePartitioned(shard string) bool {
+	e := ml.table.agents[shard]
+	if e == nil || e.info.Zone == ml.self.Zone {
+		return false
+	}
+	zone := ml.table.zones[e.info.Zone]
+	return zone.count >= minZoneMembers && ml.now.Sub(zone.heardAt) >= HealthyWithin/2
+}
+
+// healthy reports whether a daemon was heard of lately.
+func (ml *MemberList) healthy(e *entry) bool { return ml.now.Sub(e.heardAt) <= HealthyWithin }
+
+// lastHeard returns when a daemon was last heard of. The leader vouches for all that it did
+// not report as silent.
+func (ml *MemberList) lastHeard(e *entry) types.MonoTime {
+	if e.silent || !ml.keepsAll() {
+		return e.heardAt
+	}
+	return max(e.heardAt, ml.sync.vouchedAt)
+}
+
+// peer returns a daemon as other packages and other daemons see it.
+func (ml *MemberList) peer(e *entry) Peer {
+	return Peer{MemberInfo: e.info, AgeMS: ml.ageMS(ml.lastHeard(e))}
+}
+
+// ageMS returns how many milliseconds ago a time was.
+func (ml *MemberList) ageMS(at types.MonoTime) int64 {
+	return max(0, ml.now.Sub(at).Milliseconds())
 }
