--- a/cmd/coppersim/sweep_results.go
+++ b/cmd/coppersim/sweep_results.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"coppercourse/sim"
+	"coppercourse/sim/checker"
 )
 
 // sweepResults are the results of the seeds so far. The caller of add holds mu.
@@ -16,7 +17,7 @@
 	seeds         int
 	seedsBroken   int // that broke a rule
 	attempts      int // at tasks
-	coverage      sim.Coverage
+	coverage      checker.Coverage
 	ratios        []float64 // of each seed: the jobs done after the faults beside those before
 	ratiosByFault map[string][]float64
 	brokenByFault map[string]int
@@ -24,7 +25,7 @@
 
 func newSweepResults() sweepResults {
 	return sweepResults{
-		coverage:      sim.Coverage{},
+		coverage:      checker.Coverage{},
 		ratiosByFault: map[string][]float64{},
 		brokenByFault: map[string]int{},
 	}
@@ -88,5 +89,6 @@
 		return "nothing"
 	}
 	slices.Sort(list)
-	return fmt.Sprintf("least %.2f, median %.2f, most %.2f of %d", list[0], list[len(list)/2], list[len(list)-1], len(list))
+	least, median, most := list[0], list[len(list)/2], list[len(list)-1]
+	return fmt.Sprintf("least %.2f, median %.2f, most %.2f of %d", least, median, most, len(list))
 }
--- a/internal/controller/slot_cache.go
+++ b/internal/controller/slot_cache.go
@@ -42,7 +42,8 @@
 
 // list returns the workers that may be given work, with the assignments in flight counted
 // in, and the cores of all healthy workers. The list is valid until the next call.
-func (sc *slotCache) list(v *leaderView, ends *endTracker, rounds *assignmentRounds) ([]placement.Slot, types.MilliCores) {
+func (sc *slotCache) list(v *leaderView, ends *endTracker, rounds *assignmentRounds) (
+	[]placement.Slot, types.MilliCores) {
 	if sc.byShard == nil {
 		sc.byShard, sc.position = map[types.Shard]*occupancy{}, map[types.Shard]int{}
 	}
@@ -59,7 +60,7 @@
 		}
 	}
 	sc.slots = slots
-	for assignment := range rounds.pending() {
+	for _, assignment := range rounds.pending() {
 		if i, ok := sc.position[assignment.Shard]; ok {
 			group := placement.TaskGroup{Job: assignment.ID.Job, Stage: types.StageOf(assignment.ID.Number)}
 			slots[i].Assign(group, taskResources(v.state, group))
@@ -121,7 +122,7 @@
 	} else {
 		o.lastEnd = max(o.lastEnd, attempt.OrderedAt.Add(attempt.TimeLimit))
 	}
-	if attempt.Stage >= 0 {
+	if attempt.Stage != scheduler.StageUnknown {
 		o.byGroup[placement.TaskGroup{Job: attempt.Attempt.Job, Stage: attempt.Stage}]++
 	}
 }
--- a/internal/raft/progress.go
+++ b/internal/raft/progress.go
@@ -14,7 +14,7 @@
 
 	ackedRound  types.MonoTime // start of the newest round that the member has answered
 	lastHeardAt types.MonoTime
-	lastSentAt  types.MonoTime // when entries or a snapshot part were last sent; never after its answer
+	lastSentAt  types.MonoTime // of entries or a snapshot part; never once a part is answered
 	window      sendWindow
 
 	snapshotParts int            // parts of the snapshot that the member has
@@ -39,7 +39,8 @@
 	p.snapshotParts, p.lastSentAt = parts, never
 }
 
-// onRejected steps back to where the member's log may be like the leader's (section 5.3).
+// onRejected steps back to where the member's log may be like the leader's (section 5.3 of
+// the paper). A late rejection may step back too far, which only delays.
 func (p *progress) onRejected(match types.Index) {
 	p.snapshotParts, p.window.inFlightBytes = 0, 0
 	p.match = min(p.match, match)
