--- a/internal/dispatch/scheduler/health_check.go
+++ b/internal/dispatch/scheduler/health_check.go
@@ -20,8 +20,8 @@
 		return
 	case silence > sc.timeouts.UnhealthyAfter:
 		next = protocol.WorkerUnhealthy
-	case worker.hasBeenHealthy || sc.workerSets.permitsHealthy(worker):
-		next, worker.hasBeenHealthy = protocol.WorkerHealthy, true
+	case worker.sets.hasBeenHealthy || sc.workerSets.permitsHealthy(worker):
+		next, worker.sets.hasBeenHealthy = protocol.WorkerHealthy, true
 	default:
 		next = protocol.WorkerUnhealthy
 	}
@@ -44,7 +44,7 @@
 }
 
 // lossOutcome returns the outcome of an attempt whose worker can't be reached. A worker
-// that is called has no lease any more by then, and no end that it tells later counts.
+// that is called has no lease any more by then, and no end that it reports later counts.
 func (sc *Scheduler) lossOutcome(shard types.Shard) state.Outcome {
 	switch {
 	case sc.cluster.CalledByAgent(shard):
