--- a/cmd/coppercourse/layers_test.go
+++ b/cmd/coppercourse/layers_test.go
@@ -33,7 +33,7 @@
 	{"platform"},
 	{"cmd/coppercourse", "sim/history"},
 	{"sim/worker"},
-	{"sim/checker", "sim/deployment"},
+	{"sim/checker", "sim/deployment", "sim/world"},
 	{"sim", "sim/fleet"},
 	{"sim/capacity"},
 	{"cmd/coppersim"},
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -11,7 +11,7 @@
 //     readBarrier; completionRates estimates when a rejected caller should come back.
 //   - leader is what only the leader does. Its scheduler.Scheduler, made anew with each
 //     leadership, keeps the workers' leases and the attempts that run. endTracker keeps the
-//     ends of attempts on their way into the log, workerShapes and wallOffset what the log
+//     ends of attempts on their way into the log, workerShapes and WallOffset what the log
 //     must know of workers and clocks.
 //   - planner makes rounds of placement: readyWork ranked by jobRanking, slotCache for the
 //     workers with room, coreLimits and waitTimes, placement.Place for the choice, and
--- a/internal/dispatch/scheduler/health_check_test.go
+++ b/internal/dispatch/scheduler/health_check_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// pollingWorkers is a cluster of workers that poll their agents, whose log records no end.
+// PollingWorkers is a cluster of workers that poll their agents, whose log records no end.
 type pollingWorkers struct{ isPartitioned bool }
 
 func (pollingWorkers) UnresolvedAttempts(types.Shard) []types.AttemptID { return nil }
--- a/sim/capacity/figure.go
+++ b/sim/capacity/figure.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"coppercourse/sim"
+	"coppercourse/sim/world"
 )
 
 // Limits of the plan (DEVELOPERS.md). Those on control work hold for the daemons
@@ -57,7 +58,7 @@
 )
 
 // perSecond returns the mean of a quantity over the daemons of a role, per second.
-func perSecond(f func(sim.Usage) float64) func(*sim.Measurement, sim.RoleUsage) float64 {
+func perSecond(f func(world.Usage) float64) func(*sim.Measurement, sim.RoleUsage) float64 {
 	return func(m *sim.Measurement, u sim.RoleUsage) (sum float64) {
 		for _, x := range u.Each {
 			sum += f(x) / float64(len(u.Each)) / m.Window.Seconds()
@@ -67,12 +68,12 @@
 }
 
 // messageClass returns one count of the messages of a class, sent and received.
-func messageClass(c sim.Class, of func(sim.Count) int) func(sim.Usage) float64 {
-	return func(u sim.Usage) float64 { return float64(of(u.Sent[c]) + of(u.Received[c])) }
+func messageClass(c world.Class, of func(world.Count) int) func(world.Usage) float64 {
+	return func(u world.Usage) float64 { return float64(of(u.Sent[c]) + of(u.Received[c])) }
 }
 
-func bytesOf(c sim.Count) int    { return c.Bytes }
-func messagesOf(c sim.Count) int { return c.Messages }
+func bytesOf(c world.Count) int    { return c.Bytes }
+func messagesOf(c world.Count) int { return c.Messages }
 
 // maxMillis returns the longest of a list in milliseconds, or 0.
 func maxMillis(list []time.Duration) float64 {
@@ -84,20 +85,20 @@
 
 // Figures are all figures, in the order of the report.
 var Figures = []Figure{
-	{"control messages", "1/s", 0, 0, allRoles, perSecond(func(u sim.Usage) float64 { return float64(u.Control().Messages) })},
-	{"control bytes", "B/s", limitBytes, 0, allRoles, perSecond(func(u sim.Usage) float64 { return float64(u.Control().Bytes) })},
-	{"roster bytes", "B/s", limitBytes, 0, allRoles, perSecond(messageClass(sim.MembershipMessages, bytesOf))},
-	{"heartbeat bytes", "B/s", limitBytes, 0, allRoles, perSecond(messageClass(sim.HeartbeatMessages, bytesOf))},
-	{"log bytes", "B/s", 0, 0, allRoles, perSecond(messageClass(sim.LogMessages, bytesOf))},
-	{"table bytes", "B/s", limitBytes, 0, allRoles, perSecond(messageClass(sim.TableMessages, bytesOf))},
-	{"work messages", "1/s", 0, 0, allRoles, perSecond(messageClass(sim.WorkMessages, messagesOf))},
-	{"work bytes", "B/s", 0, 0, allRoles, perSecond(messageClass(sim.WorkMessages, bytesOf))},
-	{"processor", "% of a core", limitCPU, limitOwner, allRoles, perSecond(func(u sim.Usage) float64 { return 100 * u.CPU.Seconds() })},
+	{"control messages", "1/s", 0, 0, allRoles, perSecond(func(u world.Usage) float64 { return float64(u.Control().Messages) })},
+	{"control bytes", "B/s", limitBytes, 0, allRoles, perSecond(func(u world.Usage) float64 { return float64(u.Control().Bytes) })},
+	{"roster bytes", "B/s", limitBytes, 0, allRoles, perSecond(messageClass(world.MembershipMessages, bytesOf))},
+	{"heartbeat bytes", "B/s", limitBytes, 0, allRoles, perSecond(messageClass(world.HeartbeatMessages, bytesOf))},
+	{"log bytes", "B/s", 0, 0, allRoles, perSecond(messageClass(world.LogMessages, bytesOf))},
+	{"table bytes", "B/s", limitBytes, 0, allRoles, perSecond(messageClass(world.TableMessages, bytesOf))},
+	{"work messages", "1/s", 0, 0, allRoles, perSecond(messageClass(world.WorkMessages, messagesOf))},
+	{"work bytes", "B/s", 0, 0, allRoles, perSecond(messageClass(world.WorkMessages, bytesOf))},
+	{"processor", "% of a core", limitCPU, limitOwner, allRoles, perSecond(func(u world.Usage) float64 { return 100 * u.CPU.Seconds() })},
 	{"state", "MB", limitMemory, 0, allRoles, func(_ *sim.Measurement, u sim.RoleUsage) float64 {
 		return float64(slices.Max(u.State)) / 1e6
 	}},
-	{"disk bytes", "B/s", 0, 0, controllers, perSecond(func(u sim.Usage) float64 { return float64(u.Written) })},
-	{"disk syncs", "1/s", 0, 0, controllers, perSecond(func(u sim.Usage) float64 { return float64(u.Syncs) })},
+	{"disk bytes", "B/s", 0, 0, controllers, perSecond(func(u world.Usage) float64 { return float64(u.Written) })},
+	{"disk syncs", "1/s", 0, 0, controllers, perSecond(func(u world.Usage) float64 { return float64(u.Syncs) })},
 	{"step p50", "ms", 0, 0, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
 		return float64(m.Steps.ValueAtQuantile(50)) / 1e6
 	}},
--- a/sim/closing_test.go
+++ b/sim/closing_test.go
@@ -11,6 +11,7 @@
 	"github.com/matryer/is"
 
 	"coppercourse/internal/types"
+	"coppercourse/sim/world"
 )
 
 // maxPowerOff is the longest that a machine stays without power.
@@ -24,7 +25,7 @@
 		name        string
 		controllers int
 		lost        int
-		replace     func(*Run, *node) *node // a member just before, or nil
+		replace     func(*Run, *world.Node) *world.Node // a member just before, or nil
 		leaderToo   bool
 	}{
 		{"3, any disk", 3, 1, nil, false},
@@ -58,10 +59,10 @@
 	return usual
 }
 
-func loseDisksWithoutPower(t *testing.T, seed int64, controllers, lost int, replace func(*Run, *node) *node, leaderToo bool) {
+func loseDisksWithoutPower(t *testing.T, seed int64, controllers, lost int, replace func(*Run, *world.Node) *world.Node, leaderToo bool) {
 	is := is.New(t)
 	r := newControllerFleet(seed, controllers, 3)
-	r.startControllers(r.random.Perm(controllers), 300*time.Millisecond)
+	r.startControllers(r.Random.Perm(controllers), 300*time.Millisecond)
 	allVote := func() bool { return r.allVoting(controllers) }
 	r.require(t, "all vote", r.advanceUntil(5*time.Second, allVote))
 	r.advance(time.Second)
@@ -70,7 +71,7 @@
 		acked := r.putTable(version)
 		r.require(t, "a table is taken", r.advanceUntil(9*time.Second, acked))
 		version++
-		i := r.random.Intn(controllers)
+		i := r.Random.Intn(controllers)
 		r.controllers[i] = replace(r, r.controllers[i])
 		r.advance(2 * time.Second)
 		r.require(t, "all vote after the replacement", r.advanceUntil(10*time.Second, allVote))
@@ -81,14 +82,14 @@
 		r.require(t, "the table is acknowledged", i < 9000)
 	}
 	version++
-	r.advance(time.Duration(r.random.Int63n(int64(maxKillDelay))))
+	r.advance(time.Duration(r.Random.Int63n(int64(maxKillDelay))))
 	wiped := r.drawDisks(lost, leaderToo)
 	r.cutPower(r.daemons())
 	for _, n := range wiped {
-		n.disk.wipe()
+		n.Disk.Wipe()
 	}
 	for _, n := range r.daemons() {
-		r.after(time.Duration(r.random.Int63n(int64(maxPowerOff))), func() { bootIfDown(n) })
+		r.After(time.Duration(r.Random.Int63n(int64(maxPowerOff))), func() { bootIfDown(n) })
 	}
 	r.advance(maxPowerOff)
 	r.require(t, fmt.Sprint("all vote again, seed ", seed), r.advanceUntil(10*time.Second, allVote))
@@ -99,11 +100,11 @@
 }
 
 // drawDisks draws the controllers whose disks are lost.
-func (r *Run) drawDisks(count int, leaderToo bool) (drawn []*node) {
+func (r *Run) drawDisks(count int, leaderToo bool) (drawn []*world.Node) {
 	if l := r.leader(); leaderToo && l != nil {
 		drawn = append(drawn, l)
 	}
-	for _, i := range r.random.Perm(len(r.controllers)) {
+	for _, i := range r.Random.Perm(len(r.controllers)) {
 		if n := r.controllers[i]; len(drawn) < count && !slices.Contains(drawn, n) {
 			drawn = append(drawn, n)
 		}
@@ -112,21 +113,21 @@
 }
 
 // replaceLost has a controller go for good and an empty one come at another address.
-func replaceLost(r *Run, n *node) *node {
-	n.kill()
-	n.newMachine = nil
-	fresh := r.World.addController(n.addr+"x", n.zone)
-	fresh.boot()
+func replaceLost(r *Run, n *world.Node) *world.Node {
+	n.Kill()
+	n.NewMachine = nil
+	fresh := r.World.AddController(n.Addr+"x", n.Zone)
+	fresh.Boot()
 	return fresh
 }
 
 // replaceWarned has the empty one come first; then the other is told to stop.
-func replaceWarned(r *Run, n *node) *node {
-	fresh := r.World.addController(n.addr+"x", n.zone)
-	fresh.boot()
-	r.after(time.Second, func() {
+func replaceWarned(r *Run, n *world.Node) *world.Node {
+	fresh := r.World.AddController(n.Addr+"x", n.Zone)
+	fresh.Boot()
+	r.After(time.Second, func() {
 		r.Shutdown(n)
-		n.newMachine = nil
+		n.NewMachine = nil
 	})
 	return fresh
 }
--- a/sim/control_faults.go
+++ b/sim/control_faults.go
@@ -9,6 +9,7 @@
 
 	"coppercourse/internal/types"
 	"coppercourse/sim/history"
+	"coppercourse/sim/world"
 )
 
 const (
@@ -52,11 +53,11 @@
 	"roll-controllers":  func(r *Run, long time.Duration) func() { return r.rollingRestart(r.controllers, long) },
 	"roll-gateways":     func(r *Run, long time.Duration) func() { return r.rollingRestart(r.gateways, long) },
 	"replace-planned":   replacePlanned,
-	"fill-disk":         func(r *Run, _ time.Duration) func() { return fillDisk(pickOne(r.random, r.controllers)) },
+	"fill-disk":         func(r *Run, _ time.Duration) func() { return fillDisk(pickOne(r.Random, r.controllers)) },
 	"fill-leader-disk":  func(r *Run, _ time.Duration) func() { return fillDisk(r.leader()) },
 	"jump-clocks":       jumpClocks,
 	"reset-connections": resetConnections,
-	"lose-acks":         func(r *Run, _ time.Duration) func() { r.ackLossRate = ackLossRate; return func() { r.ackLossRate = 0 } },
+	"lose-acks":         func(r *Run, _ time.Duration) func() { r.Network.AckLossRate = ackLossRate; return func() { r.Network.AckLossRate = 0 } },
 	"burst": func(r *Run, _ time.Duration) func() {
 		r.Clients.BurstFactor = burstFactor
 		return func() { r.Clients.BurstFactor = 0 }
@@ -65,18 +66,18 @@
 
 func init() { InvokedFaults["lure-workers"] = lureWorkers }
 
-func (r *Run) addressesOf(list []*node) (addrs []types.Addr) {
+func (r *Run) addressesOf(list []*world.Node) (addrs []types.Addr) {
 	for _, n := range list {
-		addrs = append(addrs, n.addr)
+		addrs = append(addrs, n.Addr)
 	}
 	return
 }
 
-func (r *Run) daemons() []*node { return slices.Concat(r.controllers, r.gateways, r.agents) }
+func (r *Run) daemons() []*world.Node { return slices.Concat(r.controllers, r.gateways, r.agents) }
 
 // sample draws a part of some daemons, one at least.
-func (r *Run) sample(list []*node, share float64) (drawn []*node) {
-	for _, i := range r.random.Perm(len(list))[:max(1, int(share*float64(len(list))))] {
+func (r *Run) sample(list []*world.Node, share float64) (drawn []*world.Node) {
+	for _, i := range r.Random.Perm(len(list))[:max(1, int(share*float64(len(list))))] {
 		drawn = append(drawn, list[i])
 	}
 	return
@@ -90,25 +91,25 @@
 }
 
 // separatedWithinZone is a controller, and the other controllers with all daemons of other zones.
-func (r *Run) separatedWithinZone(n *node) (a, b []types.Addr) {
+func (r *Run) separatedWithinZone(n *world.Node) (a, b []types.Addr) {
 	if n == nil {
 		return nil, nil
 	}
 	_, b = separatedFromPeers(r, n)
 	for _, o := range r.daemons() {
-		if o.zone != n.zone && !slices.Contains(b, o.addr) {
-			b = append(b, o.addr)
+		if o.Zone != n.Zone && !slices.Contains(b, o.Addr) {
+			b = append(b, o.Addr)
 		}
 	}
-	return []types.Addr{n.addr}, b
+	return []types.Addr{n.Addr}, b
 }
 
 // oldestController is the controller whose disk has lasted longest: one that was never wiped, and
 // started before those that came in place of others.
-func (r *Run) oldestController() *node {
-	for _, a := range r.nodeOrder {
-		n := r.nodes[a]
-		if slices.Contains(r.controllers, n) && !n.disk.wiped && n.machine != nil {
+func (r *Run) oldestController() *world.Node {
+	for _, a := range r.NodeOrder {
+		n := r.Nodes[a]
+		if slices.Contains(r.controllers, n) && !n.Disk.Wiped && n.Machine != nil {
 			return n
 		}
 	}
@@ -116,26 +117,26 @@
 }
 
 // restart kills daemons and starts them again.
-func (r *Run) restart(list ...*node) {
+func (r *Run) restart(list ...*world.Node) {
 	for _, n := range list {
-		if n.machine != nil {
-			n.kill()
+		if n.Machine != nil {
+			n.Kill()
 		}
-		r.after(restartTime, func() { bootIfDown(n) })
+		r.After(restartTime, func() { bootIfDown(n) })
 	}
 }
 
-func bootIfDown(n *node) {
-	if n.machine == nil && n.newMachine != nil {
-		n.boot()
+func bootIfDown(n *world.Node) {
+	if n.Machine == nil && n.NewMachine != nil {
+		n.Boot()
 	}
 }
 
 // cutPower cuts the power of daemons until the fault ends.
-func (r *Run) cutPower(list []*node) func() {
+func (r *Run) cutPower(list []*world.Node) func() {
 	for _, n := range list {
-		if n.machine != nil {
-			n.kill()
+		if n.Machine != nil {
+			n.Kill()
 		}
 	}
 	return func() {
@@ -146,18 +147,18 @@
 }
 
 // rollingRestart warns daemons one after the other, and starts each again.
-func (r *Run) rollingRestart(list []*node, duration time.Duration) func() {
+func (r *Run) rollingRestart(list []*world.Node, duration time.Duration) func() {
 	list = slices.Clone(list)
 	for i, n := range list {
-		r.after(time.Duration(i)*duration/time.Duration(len(list)), func() {
-			if n.machine != nil && !n.frozen && n.newMachine != nil {
+		r.After(time.Duration(i)*duration/time.Duration(len(list)), func() {
+			if n.Machine != nil && !n.Frozen && n.NewMachine != nil {
 				r.Shutdown(n)
 			}
 		})
 	}
 	return func() {
 		for _, n := range list {
-			r.after(5*time.Second, func() { bootIfDown(n) })
+			r.After(5*time.Second, func() { bootIfDown(n) })
 		}
 	}
 }
@@ -169,11 +170,11 @@
 		return nil
 	}
 	a, b := separatedFromAll(r, n)
-	r.SetPartition(a, b, true, true)
+	r.Network.SetPartition(a, b, true, true)
 	_, others := separatedFromPeers(r, n)
-	r.seeds = append([]types.Addr{n.addr}, others[:min(2, len(others))]...)
+	r.Seeds = append([]types.Addr{n.Addr}, others[:min(2, len(others))]...)
 	r.restart(r.sample(append(slices.Clone(r.gateways), r.agents...), 0.3)...)
-	return func() { r.SetPartition(a, b, true, false) }
+	return func() { r.Network.SetPartition(a, b, true, false) }
 }
 
 // cutBothRestarted cuts a controller off from the others, restarts it, then them.
@@ -183,12 +184,12 @@
 		return nil
 	}
 	a, b := separatedFromPeers(r, n)
-	r.SetPartition(a, b, true, true)
-	r.after(long/4, func() { r.restart(n) })
+	r.Network.SetPartition(a, b, true, true)
+	r.After(long/4, func() { r.restart(n) })
 	for i, addr := range b {
-		r.after(long/2+time.Duration(i)*long/8, func() { r.restart(r.nodes[addr]) })
+		r.After(long/2+time.Duration(i)*long/8, func() { r.restart(r.Nodes[addr]) })
 	}
-	return func() { r.SetPartition(a, b, true, false) }
+	return func() { r.Network.SetPartition(a, b, true, false) }
 }
 
 // faultWithChanges has operators send changes while a fault lasts and as it ends: one, or two on the
@@ -199,7 +200,7 @@
 		if end == nil {
 			return nil
 		}
-		r.after(long/2, func() { r.Clients.putChanges(changes) })
+		r.After(long/2, func() { r.Clients.putChanges(changes) })
 		return func() {
 			end()
 			r.Clients.putChanges(changes)
@@ -210,8 +211,8 @@
 // changeSeeds names other seeds to all that start from now on, and restarts some.
 func changeSeeds(r *Run, _ time.Duration) func() {
 	list := r.addressesOf(append(slices.Clone(r.controllers), r.gateways...))
-	r.random.Shuffle(len(list), func(i, k int) { list[i], list[k] = list[k], list[i] })
-	r.seeds = list[:3]
+	r.Random.Shuffle(len(list), func(i, k int) { list[i], list[k] = list[k], list[i] })
+	r.Seeds = list[:3]
 	r.restart(r.sample(append(slices.Clone(r.gateways), r.agents...), 0.2)...)
 	return func() {}
 }
@@ -222,7 +223,7 @@
 	return func(r *Run, _ time.Duration) func() {
 		var end func()
 		healed := false
-		r.onNextEvent(kind, shortest, longest, func() {
+		r.OnNextEvent(kind, shortest, longest, func() {
 			if healed {
 				return
 			}
@@ -239,7 +240,7 @@
 
 func killLeader(r *Run) func() {
 	if n := r.leader(); n != nil {
-		return r.cutPower([]*node{n})
+		return r.cutPower([]*world.Node{n})
 	}
 	return nil
 }
@@ -247,7 +248,7 @@
 func wipeLeader(r *Run) func() { return r.loseDiskIfSafe(r.leader()) }
 
 // loseDiskIfSafe takes a controller's disk, if the others are whole voters.
-func (r *Run) loseDiskIfSafe(n *node) func() {
+func (r *Run) loseDiskIfSafe(n *world.Node) func() {
 	if n == nil || !r.allControllersVote() {
 		return nil
 	}
@@ -259,38 +260,38 @@
 	if !r.allControllersVote() {
 		return nil
 	}
-	n := pickOne(r.random, r.controllers)
-	r.addReplacement(n, "p").boot()
-	r.after(time.Second, func() {
-		n.newMachine = nil
-		if n.machine != nil {
+	n := pickOne(r.Random, r.controllers)
+	r.addReplacement(n, "p").Boot()
+	r.After(time.Second, func() {
+		n.NewMachine = nil
+		if n.Machine != nil {
 			r.Shutdown(n)
 		}
 	})
 	return func() {}
 }
 
-func fillDisk(n *node) func() {
+func fillDisk(n *world.Node) func() {
 	if n == nil {
 		return nil
 	}
-	n.disk.full = true
-	return func() { n.disk.full = false }
+	n.Disk.Full = true
+	return func() { n.Disk.Full = false }
 }
 
 // jumpClocks has the time of day step on a part of all machines, and back.
 func jumpClocks(r *Run, _ time.Duration) func() {
 	list := r.sample(r.daemons(), 0.3)
 	step := clockStep
-	if r.random.Intn(2) == 0 {
+	if r.Random.Intn(2) == 0 {
 		step = -step
 	}
 	for _, n := range list {
-		n.wallOffset += step
+		n.WallOffset += step
 	}
 	return func() {
 		for _, n := range list {
-			n.wallOffset -= step
+			n.WallOffset -= step
 		}
 	}
 }
@@ -298,13 +299,13 @@
 // resetConnections resets half of the connections of some daemons, once a second.
 func resetConnections(r *Run, long time.Duration) func() {
 	for at := time.Duration(0); at < long; at += time.Second {
-		r.after(at, func() {
+		r.After(at, func() {
 			for _, n := range r.sample(r.daemons(), 0.1) {
-				r.connectionResets[n.addr] = r.now
+				r.Network.ResetConnections(n.Addr, r.Now())
 			}
 		})
 	}
-	return func() { clear(r.connectionResets) }
+	return func() { r.Network.ClearResets() }
 }
 
 // lureWorkers cuts the leader off from the other controllers. A third of the agents
@@ -315,21 +316,21 @@
 		return nil
 	}
 	a, b := separatedFromPeers(r, n)
-	r.SetPartition(a, b, true, true)
+	r.Network.SetPartition(a, b, true, true)
 	lured := r.sample(r.agents, 0.33)
 	away := append(slices.Clone(b), r.addressesOf(r.gateways)...)
-	r.SetPartition(r.addressesOf(lured), away, true, true)
+	r.Network.SetPartition(r.addressesOf(lured), away, true, true)
 	for _, agent := range lured {
-		k := r.invokedWorkers[slices.Index(r.agents, agent)]
-		if k.worker != nil && k.departsAt == 0 && r.random.Intn(2) == 0 {
-			k.leave(2*time.Second + long)
-			r.after(2*time.Second+long+4*time.Second, func() {
-				if k.worker == nil {
-					k.boot()
+		k := r.InvokedWorkers[slices.Index(r.agents, agent)]
+		if k.Worker != nil && k.DepartsAt == 0 && r.Random.Intn(2) == 0 {
+			k.Leave(2*time.Second + long)
+			r.After(2*time.Second+long+4*time.Second, func() {
+				if k.Worker == nil {
+					k.Boot()
 				}
 			})
 		}
 	}
-	r.after(long/2, func() { r.SetPartition(r.addressesOf(lured), away, true, false) })
-	return func() { r.SetPartition(a, b, true, false) }
+	r.After(long/2, func() { r.Network.SetPartition(r.addressesOf(lured), away, true, false) })
+	return func() { r.Network.SetPartition(a, b, true, false) }
 }
--- a/sim/control_faults_test.go
+++ b/sim/control_faults_test.go
@@ -11,42 +11,45 @@
 
 	"coppercourse/internal/types"
 	"coppercourse/sim/history"
+	"coppercourse/sim/world"
 )
 
 // observedEffects tells, by the kind of a fault, that it has struck by now.
 var observedEffects = map[string]func(r *Run) bool{
-	"cut": func(r *Run) bool { return len(r.partitioned) > 0 },
+	"cut": func(r *Run) bool { return r.Network.HasPartitions() },
 	"down": func(r *Run) bool {
-		return slices.ContainsFunc(r.daemons(), func(n *node) bool { return n.machine == nil })
+		return slices.ContainsFunc(r.daemons(), func(n *world.Node) bool { return n.Machine == nil })
 	},
 	"all": func(r *Run) bool {
-		return !slices.ContainsFunc(r.controllers, func(n *node) bool { return n.machine != nil })
+		return !slices.ContainsFunc(r.controllers, func(n *world.Node) bool { return n.Machine != nil })
+	},
+	"frozen": func(r *Run) bool {
+		return slices.ContainsFunc(r.daemons(), func(n *world.Node) bool { return n.Frozen })
 	},
-	"frozen": func(r *Run) bool { return slices.ContainsFunc(r.daemons(), func(n *node) bool { return n.frozen }) },
 	"wiped": func(r *Run) bool {
-		return slices.ContainsFunc(r.controllers, func(n *node) bool { return n.disk.wiped })
+		return slices.ContainsFunc(r.controllers, func(n *world.Node) bool { return n.Disk.Wiped })
 	},
 	"full": func(r *Run) bool {
-		return slices.ContainsFunc(r.controllers, func(n *node) bool { return n.disk.full && len(n.disk.queue) > 0 })
+		return slices.ContainsFunc(r.controllers, func(n *world.Node) bool { return n.Disk.Full && n.Disk.HasQueue() })
 	},
 	"clock": func(r *Run) bool {
-		return slices.ContainsFunc(r.daemons(), func(n *node) bool { return n.wallOffset != 0 })
+		return slices.ContainsFunc(r.daemons(), func(n *world.Node) bool { return n.WallOffset != 0 })
 	},
-	"resets": func(r *Run) bool { return len(r.connectionResets) > 0 },
-	"acks":   func(r *Run) bool { return r.ackLossRate > 0 },
+	"resets": func(r *Run) bool { return r.Network.HasResets() },
+	"acks":   func(r *Run) bool { return r.Network.AckLossRate > 0 },
 	"burst":  func(r *Run) bool { return r.Clients.BurstFactor > 1 },
-	"seeds":  func(r *Run) bool { return !slices.Equal(r.seeds, []types.Addr{"h1", "g1", "w1"}) },
+	"seeds":  func(r *Run) bool { return !slices.Equal(r.Seeds, []types.Addr{"h1", "g1", "w1"}) },
 	"left":   replacedIsGone,
 	"new": func(r *Run) bool {
-		return slices.ContainsFunc(r.controllers, func(n *node) bool { return len(n.addr) > 2 })
+		return slices.ContainsFunc(r.controllers, func(n *world.Node) bool { return len(n.Addr) > 2 })
 	},
 }
 
 // replacedIsGone tells whether a controller that another has replaced is gone.
 func replacedIsGone(r *Run) bool {
-	return slices.ContainsFunc(r.nodeOrder, func(a types.Addr) bool {
-		n := r.nodes[a]
-		return n.role == "controller" && n.machine == nil && !slices.Contains(r.controllers, n)
+	return slices.ContainsFunc(r.NodeOrder, func(a types.Addr) bool {
+		n := r.Nodes[a]
+		return n.Role == "controller" && n.Machine == nil && !slices.Contains(r.controllers, n)
 	})
 }
 
@@ -73,12 +76,12 @@
 			got := map[string]bool{}
 			for seed := int64(1800); seed < 1804 && len(got) < len(want); seed++ {
 				r := New(Plan{Seed: seed, Deployment: "kingston-called", Quick: true, Patience: 5 * time.Second})
-				r.after(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
-				r.after(5*time.Second, func() {
+				r.After(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
+				r.After(5*time.Second, func() {
 					r.startTraffic()
 					r.Clients.startVersioningOperators()
 				})
-				r.after(6*time.Second, func() { r.injectFault(name, 6*time.Second) })
+				r.After(6*time.Second, func() { r.injectFault(name, 6*time.Second) })
 				r.RunUntil(6 * time.Second)
 				for at := 6 * time.Second; at < 14*time.Second && len(got) < len(want); at += 20 * time.Millisecond {
 					r.RunUntil(at)
@@ -102,8 +105,8 @@
 	lost, taken := 0, 0
 	for seed := int64(1820); seed < 1824; seed++ {
 		r := New(Plan{Seed: seed, Deployment: "kingston-called", Quick: true, Patience: 5 * time.Second})
-		r.after(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
-		r.after(5*time.Second, func() {
+		r.After(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
+		r.After(5*time.Second, func() {
 			r.injectFault("lose-acks", 20*time.Second)
 			r.Clients.putChanges(1)
 		})
--- a/sim/core_test.go
+++ b/sim/core_test.go
@@ -17,24 +17,25 @@
 	"coppercourse/sim/checker"
 	"coppercourse/sim/deployment"
 	"coppercourse/sim/history"
+	"coppercourse/sim/world"
 )
 
-func (r *Run) controllerStatus(n *node) controller.StatusView {
-	return n.machine.(*controller.Controller).Status()
+func (r *Run) controllerStatus(n *world.Node) controller.StatusView {
+	return n.Machine.(*controller.Controller).Status()
 }
 
 // newControlRun is a deployment without traffic, with a table acknowledged at some time.
 func newControlRun(t *testing.T, seed int64) (r *Run, acked func() bool) {
 	r = New(Plan{Seed: seed, Deployment: "kingston"})
 	ok := false
-	r.after(4*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(b bool) { ok = b }) })
+	r.After(4*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(b bool) { ok = b }) })
 	return r, func() bool { return ok }
 }
 
 // versions is what any gateway answers when asked for the table now.
 func (r *Run) readVersion(within time.Duration) (e types.Version, ok bool) {
 	r.Clients.readTable(func(t config.Table) { e, ok = t.Version, true })
-	r.RunUntil(time.Duration(r.now) + within)
+	r.RunUntil(time.Duration(r.Now()) + within)
 	return
 }
 
@@ -44,19 +45,19 @@
 		for k := 1; k < 3; k++ {
 			r, acked := newControlRun(t, int64(10*i+k))
 			for !acked() {
-				r.RunUntil(time.Duration(r.now) + time.Millisecond)
+				r.RunUntil(time.Duration(r.Now()) + time.Millisecond)
 			}
 			lost, down := r.controllers[i], r.controllers[(i+k)%3]
-			lost.kill()
-			lost.disk.wipe()
-			down.kill()
-			lost.boot() // comes back empty, with only one that knows
-			r.RunUntil(time.Duration(r.now) + 12*time.Second)
+			lost.Kill()
+			lost.Disk.Wipe()
+			down.Kill()
+			lost.Boot() // comes back empty, with only one that knows
+			r.RunUntil(time.Duration(r.Now()) + 12*time.Second)
 			_, served := r.readVersion(5 * time.Second)
 			is.Equal(served, false)                                                                                 // no majority of those who acknowledged: no answer, rather than an old one
 			is.True(r.controllerStatus(lost).RaftRole == "empty" || r.controllerStatus(lost).RaftRole == "learner") // it has no vote
-			down.boot()
-			r.RunUntil(time.Duration(r.now) + 10*time.Second)
+			down.Boot()
+			r.RunUntil(time.Duration(r.Now()) + 10*time.Second)
 			e, ok := r.readVersion(5 * time.Second)
 			is.True(ok)
 			is.Equal(e, types.Version(1))
@@ -67,7 +68,7 @@
 func TestTwoEmptyControllersFoundNothing(t *testing.T) {
 	is := is.New(t)
 	r := New(Plan{Seed: 3, Deployment: "kingston"})
-	r.controllers[2].newMachine = nil
+	r.controllers[2].NewMachine = nil
 	r.RunUntil(30 * time.Second)
 	for _, h := range r.controllers[:2] {
 		s := r.controllerStatus(h)
@@ -84,13 +85,13 @@
 	is := is.New(t)
 	for seed := range int64(12) {
 		r := New(Plan{Seed: seed, Deployment: "kingston"})
-		r.after(time.Duration(200+r.random.Intn(1200))*time.Millisecond, func() {
-			n := pickOne(r.random, r.controllers)
-			n.kill()
+		r.After(time.Duration(200+r.Random.Intn(1200))*time.Millisecond, func() {
+			n := pickOne(r.Random, r.controllers)
+			n.Kill()
 			if seed%2 == 0 {
-				n.disk.wipe()
+				n.Disk.Wipe()
 			}
-			r.after(time.Duration(r.random.Intn(8000))*time.Millisecond, n.boot)
+			r.After(time.Duration(r.Random.Intn(8000))*time.Millisecond, n.Boot)
 		})
 		r.RunUntil(45 * time.Second)
 		names := map[string]bool{}
@@ -109,23 +110,23 @@
 	is := is.New(t)
 	r, _ := newControlRun(t, 8)
 	r.RunUntil(8 * time.Second)
-	var old []*node
+	var old []*world.Node
 	for i := range 3 {
 		n := r.controllers[i]
 		old = append(old, n)
-		n.kill()
-		fresh := r.World.addController(n.addr+"x", n.zone)
+		n.Kill()
+		fresh := r.World.AddController(n.Addr+"x", n.Zone)
 		r.controllers[i] = fresh
-		fresh.boot()
-		r.RunUntil(time.Duration(r.now) + 15*time.Second)
+		fresh.Boot()
+		r.RunUntil(time.Duration(r.Now()) + 15*time.Second)
 		is.Equal(len(r.controllerStatus(fresh).Members), 3)
 		is.True(r.controllerStatus(fresh).RaftRole == "follower" || r.controllerStatus(fresh).RaftRole == "leader")
 	}
 	e, ok := r.readVersion(5 * time.Second)
 	is.True(ok)
 	is.Equal(e, types.Version(1))
-	old[0].boot() // a removed member returns with its old disk, and is let in as a new one would be
-	r.RunUntil(time.Duration(r.now) + 15*time.Second)
+	old[0].Boot() // a removed member returns with its old disk, and is let in as a new one would be
+	r.RunUntil(time.Duration(r.Now()) + 15*time.Second)
 	l := r.leader()
 	is.True(l != nil && l != old[0])
 	roll := r.controllerStatus(l).Members
@@ -156,7 +157,7 @@
 	r.RunUntil(8 * time.Second)
 	l := r.leader()
 	a, b := separatedFromPeers(r, l)
-	r.SetPartition(a, b, true, true)
+	r.Network.SetPartition(a, b, true, true)
 	r.RunUntil(12 * time.Second)
 	is.True(r.leader() != nil)
 	is.True(r.leader() != l)
@@ -171,15 +172,15 @@
 	is := is.New(t)
 	r, _ := newControlRun(t, 31)
 	r.RunUntil(8 * time.Second)
-	r.controllers[1].wallOffset = 3 * time.Hour
-	r.controllers[0].wallOffset = -40 * time.Minute
+	r.controllers[1].WallOffset = 3 * time.Hour
+	r.controllers[0].WallOffset = -40 * time.Minute
 	r.RunUntil(12 * time.Second)
-	r.controllers[0].wallOffset = 0
+	r.controllers[0].WallOffset = 0
 	r.RunUntil(16 * time.Second)
 	for _, h := range r.controllers {
 		at, err := time.Parse(time.RFC3339Nano, r.controllerStatus(h).ClusterTime)
 		is.NoErr(err)
-		off := at.Sub(time.Unix(0, history.WallClockStart+r.now))
+		off := at.Sub(time.Unix(0, history.WallClockStart+r.Now()))
 		is.True(off < 100*time.Millisecond)
 		is.True(off > -300*time.Millisecond)
 	}
@@ -193,17 +194,17 @@
 		r, _ := newControlRun(t, 50+seed)
 		r.RunUntil(8 * time.Second)
 		l := r.leader()
-		var stays *node
+		var stays *world.Node
 		for _, h := range r.controllers {
 			if h != l && stays == nil {
 				stays = h
 				continue
 			}
-			h.step(wire.Event{Shutdown: true})
+			h.Step(wire.Event{Shutdown: true})
 		}
 		r.RunUntil(9500 * time.Millisecond)
 		for _, h := range r.controllers {
-			if h != stays && h.machine != nil {
+			if h != stays && h.Machine != nil {
 				is.True(r.controllerStatus(h).RaftRole != "leader")
 			}
 		}
@@ -217,8 +218,8 @@
 	r, _ := newControlRun(t, 61)
 	r.RunUntil(9 * time.Second)
 	ask := func(verb wire.Verb, id, body string) (a wire.Response) {
-		r.request(r.Clients.address, "g2", verb, id, []byte(body), func(b wire.Response) { a = b })
-		r.RunUntil(time.Duration(r.now) + 300*time.Millisecond)
+		r.Request(r.Clients.address, "g2", verb, id, []byte(body), func(b wire.Response) { a = b })
+		r.RunUntil(time.Duration(r.Now()) + 300*time.Millisecond)
 		return
 	}
 	step := func(more string) string { return `{"queue":"quotes","steps":[{"name":"a",` + more + `}]}` }
@@ -270,7 +271,7 @@
 		r.Clients.CancelRate = 0
 		r.RunUntil(8 * time.Second)
 		first := r.leader()
-		var heir, away *node
+		var heir, away *world.Node
 		for _, h := range r.controllers {
 			switch {
 			case h == first:
@@ -280,16 +281,16 @@
 				away = h
 			}
 		}
-		heir.kill() // started again, it knows the time from what comes late only
-		r.extraDelay[addressPair{first.addr, heir.addr}] = 350 * time.Millisecond
-		heir.boot()
+		heir.Kill() // started again, it knows the time from what comes late only
+		r.Network.SetExtraDelay(first.Addr, heir.Addr, 350 * time.Millisecond)
+		heir.Boot()
 		r.RunUntil(11 * time.Second)
-		r.SetPartition([]types.Addr{away.addr}, r.allExcept(away.addr), true, true)
+		r.Network.SetPartition([]types.Addr{away.Addr}, r.allExcept(away.Addr), true, true)
 		r.Shutdown(first)
 		r.RunUntil(12 * time.Second)
-		clear(r.extraDelay)
-		if first.machine == nil {
-			first.boot()
+		r.Network.ClearExtraDelays()
+		if first.Machine == nil {
+			first.Boot()
 		}
 		r.RunUntil(15 * time.Second)
 		if r.leader() != heir {
@@ -297,20 +298,20 @@
 		}
 		hits++
 		for i, at := range []string{"delay", "time"} {
-			s := deployment.PairJobs("payments", "pay")(r.random)
+			s := deployment.PairJobs("payments", "pay")(r.Random)
 			s.Steps = s.Steps[:1]
 			if s.Steps[0].DelayMillis = 3000; i > 0 {
-				s.Steps[0].DelayMillis, s.Steps[0].NotBefore = 0, time.Unix(0, history.WallClockStart+r.now+3e9).UTC().Format(time.RFC3339Nano)
+				s.Steps[0].DelayMillis, s.Steps[0].NotBefore = 0, time.Unix(0, history.WallClockStart+r.Now()+3e9).UTC().Format(time.RFC3339Nano)
 			}
-			r.record(history.Event{Kind: history.JobSubmitted, Job: types.JobID(at), Spec: &s})
+			r.Record(history.Event{Kind: history.JobSubmitted, Job: types.JobID(at), Spec: &s})
 			r.Clients.submit(types.JobID(at), wire.EncodeBody(s), "g1", 0)
 		}
 		r.RunUntil(16 * time.Second)
-		clear(r.partitioned)
+		r.Network.HealPartitions()
 		r.RunUntil(16300 * time.Millisecond)
-		heir.freeze()
+		heir.Freeze()
 		r.RunUntil(30 * time.Second)
-		breaks, seen := checker.Check(&r.History, checker.DefaultBounds, r.now, 30*time.Second)
+		breaks, seen := checker.Check(&r.History, checker.DefaultBounds, r.Now(), 30*time.Second)
 		for _, b := range breaks {
 			t.Error(seed, b)
 		}
--- a/sim/cost_test.go
+++ b/sim/cost_test.go
@@ -45,7 +45,7 @@
 				s.Steps[0].DelayMillis = 3_600_000
 			}
 			id := types.JobID(fmt.Sprint("menus-f", i))
-			r.record(history.Event{Kind: history.JobSubmitted, Job: id, Spec: &s})
+			r.Record(history.Event{Kind: history.JobSubmitted, Job: id, Spec: &s})
 			r.Clients.submit(id, wire.EncodeBody(s), "g1", 0)
 		}
 		r.RunUntil(14 * time.Second)
@@ -55,8 +55,8 @@
 		}
 		r.RunUntil(16 * time.Second)
 		l := r.leader()
-		m := &timedMachine{Machine: l.machine}
-		l.machine = m
+		m := &timedMachine{Machine: l.Machine}
+		l.Machine = m
 		r.RunUntil(24 * time.Second)
 		var mem runtime.MemStats
 		runtime.GC()
--- a/sim/crowd_test.go
+++ b/sim/crowd_test.go
@@ -35,8 +35,8 @@
 	t.Parallel()
 	is := is.New(t)
 	r := New(Plan{Seed: 3, Deployment: "kingston", Patience: 30 * time.Second})
-	r.after(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
-	r.after(6*time.Second, func() {
+	r.After(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
+	r.After(6*time.Second, func() {
 		for _, f := range r.Clients.deployment.Flows {
 			r.Clients.startFlow(f)
 		}
@@ -45,7 +45,7 @@
 		return state.Spec{Queue: "menus", Urgency: 9, Steps: []state.Step{{Name: "all", Kind: "menu", Resources: types.Resources{Cores: 2 * types.Core, MemoryMB: 64},
 			Tasks: 20, Work: deployment.RandomWork(rnd, 2000, 4000)}}}
 	}}
-	r.after(18*time.Second, func() { r.Clients.startFlow(flood) })
+	r.After(18*time.Second, func() { r.Clients.startFlow(flood) })
 	r.RunUntil(48 * time.Second)
 	calm := queueCompletionRate(&r.History, "quotes", 8*time.Second, 18*time.Second)
 	full := queueCompletionRate(&r.History, "quotes", 24*time.Second, 48*time.Second)
@@ -55,7 +55,7 @@
 	is.True(pay > 0.6)
 	is.True(r.Clients.Refusals[apierror.QueueFull] > 100) // told to come back
 	v, _ := checker.Check(&r.History, checker.Bounds{StartAfterCancel: checker.DefaultBounds.StartAfterCancel, RunAfterCancel: checker.DefaultBounds.RunAfterCancel, StartEarly: checker.DefaultBounds.StartEarly, StartAfterLeaving: checker.DefaultBounds.StartAfterLeaving, GangIncomplete: checker.DefaultBounds.GangIncomplete, TableLag: checker.DefaultBounds.TableLag},
-		r.now, 30*time.Second)
+		r.Now(), 30*time.Second)
 	is.Equal(len(v), 0)
 	is.True(len(r.controllerStatus(r.leader()).Peers) > 0)
 	is.True(r.controllerStatus(r.leader()).UnfinishedJobs <= 400+400+400)
--- a/sim/cutoff_observe_test.go
+++ b/sim/cutoff_observe_test.go
@@ -23,7 +23,7 @@
 	}
 	w.OnDelivery = func(to types.Addr, m wire.Message) {
 		if m.Kind == wire.AppendEntries || m.Kind == wire.InstallSnapshot || m.Kind == wire.Hello && saysItLeads(m) {
-			ar.leaderHeardAt[[2]types.Addr{to, m.From}] = w.now
+			ar.leaderHeardAt[[2]types.Addr{to, m.From}] = w.Now()
 		}
 	}
 }
@@ -39,7 +39,7 @@
 }
 
 func (ar *answerRecorder) observeSent(s *wire.OutboundMessage) {
-	from, now := s.Message.From, ar.run.now
+	from, now := s.Message.From, ar.run.Now()
 	switch s.Message.Kind {
 	case wire.ConfigWatchReply:
 		if m, ok := wire.DecodeBody[struct {
@@ -74,7 +74,7 @@
 			return false
 		}
 		if verb == "beat" {
-			o := &observation{sent: w.now, answered: w.now, daemon: daemon, audience: toWorkers, request: workerBeat, code: http.StatusOK, finalCode: http.StatusOK}
+			o := &observation{sent: w.Now(), answered: w.Now(), daemon: daemon, audience: toWorkers, request: workerBeat, code: http.StatusOK, finalCode: http.StatusOK}
 			if a.Error != nil {
 				o.code, o.retry = a.Error.StatusCode(), apierror.Retryable[a.Error.Kind]
 			}
--- a/sim/cutoff_planted_test.go
+++ b/sim/cutoff_planted_test.go
@@ -16,6 +16,7 @@
 	"coppercourse/internal/raft"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/world"
 )
 
 // isNoLeader tells an answer by which a controller says that it can't answer now.
@@ -25,7 +26,7 @@
 func answersWhileCut(verb wire.Verb, change func(c *cutoff, daemon types.Addr, a *wire.Response) bool) func(*cutoff) {
 	return func(c *cutoff) {
 		c.TamperAnswerOf = func(daemon types.Addr, v wire.Verb, a *wire.Response) bool {
-			if v != verb || c.now < int64(cutFrom) || c.now > int64(cutEnd) || c.nodes[daemon].role != "controller" || !isNoLeader(a) {
+			if v != verb || c.Now() < int64(cutFrom) || c.Now() > int64(cutEnd) || c.Nodes[daemon].Role != "controller" || !isNoLeader(a) {
 				return true
 			}
 			return change(c, daemon, a)
@@ -37,20 +38,20 @@
 // operators ask often just after that.
 func slowAnswers(c *cutoff) {
 	const back = 300 * time.Millisecond
-	var slow *node
-	c.after(cutFrom-time.Second, func() {
+	var slow *world.Node
+	c.After(cutFrom-time.Second, func() {
 		slow = c.leader()
 		for _, n := range c.controllers {
 			if n != slow {
-				c.extraDelay[addressPair{n.addr, slow.addr}] = back
+				c.Network.SetExtraDelay(n.Addr, slow.Addr, back)
 			}
 		}
 	})
 	for d := 100 * time.Millisecond; d < 700*time.Millisecond; d += 10 * time.Millisecond {
-		c.after(cutFrom+d, func() {
-			c.record.read(slow.addr)
+		c.After(cutFrom+d, func() {
+			c.record.read(slow.Addr)
 			if l := c.leader(); l != nil && l != slow {
-				c.record.replace(l.addr)
+				c.record.replace(l.Addr)
 			}
 		})
 	}
@@ -60,9 +61,9 @@
 func leaseFromReceipt(c *cutoff) {
 	slowAnswers(c)
 	c.TamperMessage = func(s *wire.OutboundMessage) bool {
-		if lag := c.extraDelay[addressPair{s.Message.From, s.To}]; lag > 0 && s.Message.Kind == wire.AppendReply {
+		if lag := c.Network.ExtraDelay(s.Message.From, s.To); lag > 0 && s.Message.Kind == wire.AppendReply {
 			alter(&s.Message.Body, func(m *map[string]json.RawMessage) {
-				(*m)["round"] = wire.EncodeBody(c.nodes[s.To].monotonic().Add(lag))
+				(*m)["round"] = wire.EncodeBody(c.Nodes[s.To].Monotonic().Add(lag))
 			})
 		}
 		return true
@@ -72,8 +73,8 @@
 // neverStale has gateways never doubt the table that they have, and callers ask for
 // what it does not hold.
 func neverStale(c *cutoff) {
-	c.tableStaleAfter = time.Hour
-	c.after(cutFrom+time.Second, func() { c.record.strangers = true })
+	c.TableStaleAfter = time.Hour
+	c.After(cutFrom+time.Second, func() { c.record.strangers = true })
 }
 
 var plantedCutoffs = []struct {
@@ -84,18 +85,18 @@
 	plant func(*cutoff)
 }{
 	{"a lease is counted from receipt", "old configuration", "nothing goes out to controllers", true, leaseFromReceipt},
-	{"a gateway keeps taking requests by its table", "at once", "with its zone", true, func(c *cutoff) { c.tableStaleAfter = time.Hour }},
+	{"a gateway keeps taking requests by its table", "at once", "with its zone", true, func(c *cutoff) { c.TableStaleAfter = time.Hour }},
 	{"a gateway keeps serving its table", "old configuration", "with its zone", true, neverStale},
 	{"a gateway keeps refusing by its table", "definite refusal", "with its zone", false, neverStale},
 	{"a redirect by the last known leader", "stale redirect", "from all machines", false, answersWhileCut("table.get", func(c *cutoff, daemon types.Addr, a *wire.Response) bool {
 		if a.Leader == "" {
-			a.Leader = c.leader().addr
+			a.Leader = c.leader().Addr
 		}
 		return true
 	})},
 	{"redirects in a circle", "redirect chain", "from all machines", true, answersWhileCut("table.get", func(c *cutoff, daemon types.Addr, a *wire.Response) bool {
-		i := slices.IndexFunc(c.controllers, func(n *node) bool { return n.addr == daemon })
-		a.Leader = c.controllers[(i+1)%len(c.controllers)].addr
+		i := slices.IndexFunc(c.controllers, func(n *world.Node) bool { return n.Addr == daemon })
+		a.Leader = c.controllers[(i+1)%len(c.controllers)].Addr
 		return true
 	})},
 	{"an order is acknowledged before its commit", "acknowledges", "from the other controllers", true, answersWhileCut("table.put", func(_ *cutoff, _ types.Addr, a *wire.Response) bool {
@@ -113,7 +114,7 @@
 	})},
 	{"a gateway is not confirmed after the cut", "serves again", "with its zone", true, func(c *cutoff) {
 		c.TamperMessage = func(s *wire.OutboundMessage) bool {
-			return s.Message.Kind != wire.ConfigWatchReply || s.To != "g1" || c.now < int64(cutEnd) || c.now > int64(cutEnd+contact+2*time.Second)
+			return s.Message.Kind != wire.ConfigWatchReply || s.To != "g1" || c.Now() < int64(cutEnd) || c.Now() > int64(cutEnd+contact+2*time.Second)
 		}
 	}},
 }
@@ -165,7 +166,7 @@
 		r.RunUntil(8 * time.Second)
 		is.True(acked())
 		l := r.leader()
-		l.freeze()
+		l.Freeze()
 		r.RunUntil(20 * time.Second)
 		again := r.putTable(1)
 		r.RunUntil(22 * time.Second)
@@ -174,15 +175,15 @@
 		stale := r.Clients.deployment.Table()
 		stale.Version = 7
 		for verb, body := range map[wire.Verb]json.RawMessage{"table.get": nil, "table.put": wire.EncodeBody(stale), "job.get": nil, "queue.count": nil} {
-			r.request(probeAddr, l.addr, verb, "none", body, func(a wire.Response) { answers[verb] = a })
+			r.Request(probeAddr, l.Addr, verb, "none", body, func(a wire.Response) { answers[verb] = a })
 		}
 		r.advance(5 * time.Millisecond)
-		slices.Reverse(l.backlog) // what waits at a daemon's sockets is taken in any order
-		l.thaw()
+		slices.Reverse(l.Backlog) // what waits at a daemon's sockets is taken in any order
+		l.Thaw()
 		r.advance(50 * time.Millisecond)
 		is.Equal(len(answers), 4) // all at once
 		for verb, a := range answers {
-			if a.Error == nil || a.Error.Kind != apierror.NoLeader || a.Error.RetryAfterSeconds == 0 || a.Leader == l.addr {
+			if a.Error == nil || a.Error.Kind != apierror.NoLeader || a.Error.RetryAfterSeconds == 0 || a.Leader == l.Addr {
 				t.Error(fmt.Sprintf("seed %d: %s is answered by what was known before: %+v %v", seed, verb, a, a.Error))
 			}
 		}
@@ -194,22 +195,22 @@
 func TestNobodyRedirectsToALeaderOfWhichItHasNoWord(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		make func(*Run) *node
+		make func(*Run) *world.Node
 	}{
-		{"a learner", func(r *Run) *node {
-			n := r.World.addController("h99", "z1")
-			n.boot()
+		{"a learner", func(r *Run) *world.Node {
+			n := r.World.AddController("h99", "z1")
+			n.Boot()
 			r.advanceUntil(10*time.Second, func() bool {
-				return n.machine != nil && r.controllerStatus(n).RaftRole == "learner" && r.controllerStatus(n).Leader != ""
+				return n.Machine != nil && r.controllerStatus(n).RaftRole == "learner" && r.controllerStatus(n).Leader != ""
 			})
 			return n
 		}},
-		{"a stalled disk", func(r *Run) *node {
+		{"a stalled disk", func(r *Run) *world.Node {
 			n := r.controllers[0]
 			if n == r.leader() {
 				n = r.controllers[1]
 			}
-			n.disk.stalledUntil = r.now + int64(time.Minute)
+			n.Disk.StalledUntil = r.Now() + int64(time.Minute)
 			again := r.putTable(1)
 			r.advance(time.Second)
 			_ = again
@@ -222,10 +223,10 @@
 			r.RunUntil(8 * time.Second)
 			n := c.make(r)
 			is.True(r.controllerStatus(n).Leader != "")
-			r.SetPartition([]types.Addr{n.addr}, r.allExcept(n.addr), true, true)
+			r.Network.SetPartition([]types.Addr{n.Addr}, r.allExcept(n.Addr), true, true)
 			r.advance(2*raft.DefaultTimeouts.MinElectionTimeout + 100*time.Millisecond)
 			var got wire.Response
-			r.request(probeAddr, n.addr, "table.get", "", nil, func(a wire.Response) { got = a })
+			r.Request(probeAddr, n.Addr, "table.get", "", nil, func(a wire.Response) { got = a })
 			r.advance(50 * time.Millisecond)
 			is.True(got.Error != nil && got.Error.Kind == apierror.NoLeader)
 			is.Equal(got.Leader, types.Addr(""))
--- a/sim/cutoff_record_test.go
+++ b/sim/cutoff_record_test.go
@@ -99,11 +99,11 @@
 		handlers: map[types.Addr]*platform.GatewayHandler{}, passed: map[types.Addr]*bool{}}
 	for _, g := range r.gateways {
 		passed := new(bool)
-		c.passed[g.addr], c.handlers[g.addr] = passed, platform.NewGatewayHandler(passing{passed})
+		c.passed[g.Addr], c.handlers[g.Addr] = passed, platform.NewGatewayHandler(passing{passed})
 	}
 	c.observeMessages()
 	c.observeWorkers()
-	r.after(maxLeaderSilence, c.probe)
+	r.After(maxLeaderSilence, c.probe)
 	return c
 }
 
@@ -143,7 +143,7 @@
 
 // ipOf stands for a daemon in the pages, which know daemons by IP number.
 func (ar *answerRecorder) ipOf(a types.Addr) string {
-	return fmt.Sprintf("10.0.%d.1:7400", slices.Index(ar.run.nodeOrder, a)+1)
+	return fmt.Sprintf("10.0.%d.1:7400", slices.Index(ar.run.NodeOrder, a)+1)
 }
 
 func (ar *answerRecorder) addrOf(location string) types.Addr {
@@ -152,7 +152,7 @@
 	if err != nil {
 		return ""
 	}
-	return ar.run.nodeOrder[ip.Addr().As4()[2]-1]
+	return ar.run.NodeOrder[ip.Addr().As4()[2]-1]
 }
 
 // probe asks every daemon once, each at a moment of its own, and again after a second.
@@ -160,28 +160,28 @@
 	if ar.stopped {
 		return
 	}
-	spread := func(run func()) { ar.run.after(time.Duration(ar.run.random.Int63n(int64(probeEvery*9/10))), run) }
+	spread := func(run func()) { ar.run.After(time.Duration(ar.run.Random.Int63n(int64(probeEvery*9/10))), run) }
 	for _, n := range ar.run.controllers {
-		spread(func() { ar.read(n.addr) })
-		spread(func() { ar.replace(n.addr) })
+		spread(func() { ar.read(n.Addr) })
+		spread(func() { ar.replace(n.Addr) })
 	}
 	for _, n := range ar.run.gateways {
-		spread(func() { ar.count(n.addr) })
-		spread(func() { ar.submit(n.addr) })
-		spread(func() { ar.readJob(n.addr) })
+		spread(func() { ar.count(n.Addr) })
+		spread(func() { ar.submit(n.Addr) })
+		spread(func() { ar.readJob(n.Addr) })
 	}
-	ar.run.after(probeEvery, ar.probe)
+	ar.run.After(probeEvery, ar.probe)
 }
 
 // ask sends one request and keeps the observation; then runs once it is answered.
 func (ar *answerRecorder) ask(to types.Addr, who audience, what request, verb wire.Verb, arg string, body json.RawMessage, then func(*observation, wire.Response)) {
-	o := &observation{sent: ar.run.now, daemon: to, audience: who, request: what}
+	o := &observation{sent: ar.run.Now(), daemon: to, audience: who, request: what}
 	ar.observations = append(ar.observations, o)
-	ar.run.request(probeAddr, to, verb, arg, body, func(a wire.Response) {
+	ar.run.Request(probeAddr, to, verb, arg, body, func(a wire.Response) {
 		if o.answered != 0 {
 			return
 		}
-		o.answered = ar.run.now
+		o.answered = ar.run.Now()
 		then(o, a)
 		if o.finalCode == 0 {
 			o.finalCode = o.code
@@ -220,7 +220,7 @@
 	t.Queues = slices.Clone(t.Queues)
 	t.Queues[0].RequestTimeoutMillis = 1000 + ar.next
 	t.RequestedVersion = t.Version + 1
-	ar.run.record(history.Event{Kind: history.TableSubmitted, Table: &t})
+	ar.run.Record(history.Event{Kind: history.TableSubmitted, Table: &t})
 	ar.ask(to, toOperators, replaceTable, "table.put", "", wire.EncodeBody(t), func(o *observation, a wire.Response) {
 		ar.control(o, a)
 		if o.code != http.StatusOK {
@@ -228,8 +228,8 @@
 		}
 		got := t.Accepted()
 		o.version = got.Version
-		ar.run.record(history.Event{Kind: history.TableAcknowledged, Table: &got, Text: fmt.Sprint(t.Version)})
-		ar.acked = append(ar.acked, acknowledgement{ar.run.now, got.Version})
+		ar.run.Record(history.Event{Kind: history.TableAcknowledged, Table: &got, Text: fmt.Sprint(t.Version)})
+		ar.acked = append(ar.acked, acknowledgement{ar.run.Now(), got.Version})
 		if got.Version > ar.newest.Version {
 			ar.newest = got
 		}
@@ -238,14 +238,14 @@
 
 // askHandler has a gateway's page decide whether a request is passed on to its machine.
 func (ar *answerRecorder) askHandler(to types.Addr, what request) (o *observation, passed bool) {
-	n := ar.run.nodes[to]
-	if n.machine == nil || n.frozen {
+	n := ar.run.Nodes[to]
+	if n.Machine == nil || n.Frozen {
 		return nil, false
 	}
-	door := n.machine.(*gateway.Gateway)
+	door := n.Machine.(*gateway.Gateway)
 	t, _ := door.Table()
 	page := ar.handlers[to]
-	page.Publish(t, inPageTime(door.ConfirmedUntil(), n.clockReading().Mono))
+	page.Publish(t, inPageTime(door.ConfirmedUntil(), n.ClockReading().Mono))
 	*ar.passed[to] = false
 	route := ar.newest.Queues[0].PathPrefix
 	if ar.strangers {
@@ -256,7 +256,7 @@
 	if *ar.passed[to] {
 		return nil, true
 	}
-	ar.observations = append(ar.observations, &observation{sent: ar.run.now, answered: ar.run.now, daemon: to, audience: toCallers, request: what, code: w.Code, finalCode: w.Code,
+	ar.observations = append(ar.observations, &observation{sent: ar.run.Now(), answered: ar.run.Now(), daemon: to, audience: toCallers, request: what, code: w.Code, finalCode: w.Code,
 		retry: w.Header().Get("Retry-After") != "", version: t.Version})
 	return nil, false
 }
@@ -275,7 +275,7 @@
 	if _, ok := ar.askHandler(to, what); !ok {
 		return
 	}
-	used, _ := ar.run.nodes[to].machine.(*gateway.Gateway).Table()
+	used, _ := ar.run.Nodes[to].Machine.(*gateway.Gateway).Table()
 	ar.ask(to, toCallers, what, verb, arg, body, func(o *observation, a wire.Response) {
 		o.code, o.version = http.StatusOK, used.Version
 		if a.Error != nil {
@@ -293,15 +293,15 @@
 	ar.next++
 	id := types.JobID(fmt.Sprintf("%016x", 1<<40+ar.next))
 	s := state.Spec{Queue: ar.newest.Queues[0].Name, Steps: []state.Step{{Name: "a", Kind: "work", Resources: types.Resources{Cores: types.Core, MemoryMB: 32}, Tasks: 1, Work: worker.Work{DurationMS: 50}.Encode()}}}
-	ar.run.record(history.Event{Kind: history.JobSubmitted, Job: id, Spec: &s})
+	ar.run.Record(history.Event{Kind: history.JobSubmitted, Job: id, Spec: &s})
 	ar.caller(to, submitJob, "job.put", string(id), wire.EncodeBody(s), func(ok bool) {
 		if ok {
-			ar.run.record(history.Event{Kind: history.JobAccepted, Job: id})
+			ar.run.Record(history.Event{Kind: history.JobAccepted, Job: id})
 			ar.jobs = append(ar.jobs, id)
 			ar.run.Clients.watchJob(id)
 			return
 		}
-		ar.run.record(history.Event{Kind: history.SubmissionUnresolved, Job: id})
+		ar.run.Record(history.Event{Kind: history.SubmissionUnresolved, Job: id})
 	})
 }
 
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -17,6 +17,7 @@
 	"coppercourse/sim/checker"
 	"coppercourse/sim/deployment"
 	"coppercourse/sim/history"
+	"coppercourse/sim/world"
 )
 
 const (
@@ -43,55 +44,55 @@
 // partitionKind is one manner of cutting a controller off.
 type partitionKind struct {
 	name string
-	cut  func(c *cutoff, n *node)
+	cut  func(c *cutoff, n *world.Node)
 }
 
 var partitionKinds = []partitionKind{
-	{"from all machines", func(c *cutoff, n *node) { c.split([]types.Addr{n.addr}, c.machines(n.addr), true) }},
-	{"from the other controllers", func(c *cutoff, n *node) { c.split([]types.Addr{n.addr}, c.peers(n.addr), true) }},
-	{"nothing comes in", func(c *cutoff, n *node) { c.split(c.machines(n.addr), []types.Addr{n.addr}, false) }},
-	{"nothing goes out", func(c *cutoff, n *node) {
+	{"from all machines", func(c *cutoff, n *world.Node) { c.split([]types.Addr{n.Addr}, c.machines(n.Addr), true) }},
+	{"from the other controllers", func(c *cutoff, n *world.Node) { c.split([]types.Addr{n.Addr}, c.peers(n.Addr), true) }},
+	{"nothing comes in", func(c *cutoff, n *world.Node) { c.split(c.machines(n.Addr), []types.Addr{n.Addr}, false) }},
+	{"nothing goes out", func(c *cutoff, n *world.Node) {
 		c.stillHears = true
-		c.split([]types.Addr{n.addr}, c.machines(n.addr), false)
+		c.split([]types.Addr{n.Addr}, c.machines(n.Addr), false)
 	}},
-	{"nothing comes in from controllers", func(c *cutoff, n *node) { c.split(c.peers(n.addr), []types.Addr{n.addr}, false) }},
-	{"nothing goes out to controllers", func(c *cutoff, n *node) {
+	{"nothing comes in from controllers", func(c *cutoff, n *world.Node) { c.split(c.peers(n.Addr), []types.Addr{n.Addr}, false) }},
+	{"nothing goes out to controllers", func(c *cutoff, n *world.Node) {
 		c.stillHears = true
-		c.split([]types.Addr{n.addr}, c.peers(n.addr), false)
+		c.split([]types.Addr{n.Addr}, c.peers(n.Addr), false)
 	}},
-	{"with its zone", func(c *cutoff, n *node) { c.separate(c.zones[n.zone]) }},
-	{"with others, together a minority", func(c *cutoff, n *node) {
-		group := append([]types.Addr{n.addr}, c.peers(n.addr)[:(len(c.controllers)-1)/2-1]...)
+	{"with its zone", func(c *cutoff, n *world.Node) { c.separate(c.zones[n.Zone]) }},
+	{"with others, together a minority", func(c *cutoff, n *world.Node) {
+		group := append([]types.Addr{n.Addr}, c.peers(n.Addr)[:(len(c.controllers)-1)/2-1]...)
 		c.separate(group)
 	}},
-	{"both sides restarted", func(c *cutoff, n *node) {
-		c.split([]types.Addr{n.addr}, c.peers(n.addr), true)
+	{"both sides restarted", func(c *cutoff, n *world.Node) {
+		c.split([]types.Addr{n.Addr}, c.peers(n.Addr), true)
 		c.restart(3*time.Second, n)
-		for i, a := range c.peers(n.addr) {
-			c.restart(6*time.Second+time.Duration(i)*1200*time.Millisecond, c.nodes[a])
+		for i, a := range c.peers(n.Addr) {
+			c.restart(6*time.Second+time.Duration(i)*1200*time.Millisecond, c.Nodes[a])
 		}
 	}},
-	{"first of the new seeds", func(c *cutoff, n *node) {
-		c.split([]types.Addr{n.addr}, c.machines(n.addr), true)
-		c.seeds = append([]types.Addr{n.addr}, c.peers(n.addr)[:2]...)
-		c.restart(4*time.Second, c.gateways[0], c.gateways[1], c.agents[0], c.agents[1], c.nodes[c.peers(n.addr)[0]])
+	{"first of the new seeds", func(c *cutoff, n *world.Node) {
+		c.split([]types.Addr{n.Addr}, c.machines(n.Addr), true)
+		c.Seeds = append([]types.Addr{n.Addr}, c.peers(n.Addr)[:2]...)
+		c.restart(4*time.Second, c.gateways[0], c.gateways[1], c.agents[0], c.agents[1], c.Nodes[c.peers(n.Addr)[0]])
 	}},
-	{"departing workers report to it first", func(c *cutoff, n *node) {
-		c.split([]types.Addr{n.addr}, c.peers(n.addr), true)
+	{"departing workers report to it first", func(c *cutoff, n *world.Node) {
+		c.split([]types.Addr{n.Addr}, c.peers(n.Addr), true)
 		c.lureWorkers(n)
 	}},
 }
 
 // machines are all daemons and workers but one.
 func (c *cutoff) machines(but types.Addr) []types.Addr {
-	return slices.DeleteFunc(slices.Clone(c.nodeOrder), func(a types.Addr) bool { return a == but })
+	return slices.DeleteFunc(slices.Clone(c.NodeOrder), func(a types.Addr) bool { return a == but })
 }
 
 // peers are the controllers but one.
 func (c *cutoff) peers(but types.Addr) (list []types.Addr) {
 	for _, n := range c.controllers {
-		if n.addr != but {
-			list = append(list, n.addr)
+		if n.Addr != but {
+			list = append(list, n.Addr)
 		}
 	}
 	return
@@ -99,10 +100,10 @@
 
 // split cuts one direction, or both, until the cut is over.
 func (c *cutoff) split(from, to []types.Addr, both bool) {
-	c.SetPartition(from, to, both, true)
+	c.Network.SetPartition(from, to, both, true)
 	c.markChange()
-	c.after(cutFor, func() {
-		c.SetPartition(from, to, both, false)
+	c.After(cutFor, func() {
+		c.Network.SetPartition(from, to, both, false)
 		c.markChange()
 	})
 }
@@ -111,42 +112,42 @@
 func (c *cutoff) separate(group []types.Addr) {
 	c.cutDaemons, c.cutControllers = group, nil
 	for _, a := range group {
-		if c.nodes[a].role == "controller" {
+		if c.Nodes[a].Role == "controller" {
 			c.cutControllers = append(c.cutControllers, a)
 		}
 	}
-	rest := slices.DeleteFunc(slices.Clone(c.nodeOrder), func(a types.Addr) bool { return slices.Contains(group, a) })
+	rest := slices.DeleteFunc(slices.Clone(c.NodeOrder), func(a types.Addr) bool { return slices.Contains(group, a) })
 	c.split(group, rest, true)
 }
 
-func (c *cutoff) markChange() { c.changes = append(c.changes, c.now) }
+func (c *cutoff) markChange() { c.changes = append(c.changes, c.Now()) }
 
 // restart kills daemons after a while and starts them again.
-func (c *cutoff) restart(after time.Duration, list ...*node) {
-	c.after(after, func() {
+func (c *cutoff) restart(after time.Duration, list ...*world.Node) {
+	c.After(after, func() {
 		c.markChange()
 		for _, n := range list {
-			n.kill()
+			n.Kill()
 		}
-		c.after(400*time.Millisecond, func() {
+		c.After(400*time.Millisecond, func() {
 			c.markChange()
 			for _, n := range list {
-				n.boot()
+				n.Boot()
 			}
 		})
 	})
 }
 
 // lureWorkers has three workers leave whose agents reach just the controller that is cut off.
-func (c *cutoff) lureWorkers(n *node) {
+func (c *cutoff) lureWorkers(n *world.Node) {
 	for i := range 3 {
-		agent, worker := c.agents[i].addr, c.invokedWorkers[i]
-		away := slices.DeleteFunc(c.machines(n.addr), func(a types.Addr) bool { return a == agent || a == worker.node.addr })
-		c.SetPartition([]types.Addr{agent}, away, true, true)
-		c.after(500*time.Millisecond, func() { worker.leave(4 * time.Second) })
-		c.after(10*time.Second, worker.boot) // another comes in its place
-		c.after(8*time.Second, func() {
-			c.SetPartition([]types.Addr{agent}, away, true, false)
+		agent, worker := c.agents[i].Addr, c.InvokedWorkers[i]
+		away := slices.DeleteFunc(c.machines(n.Addr), func(a types.Addr) bool { return a == agent || a == worker.Node.Addr })
+		c.Network.SetPartition([]types.Addr{agent}, away, true, true)
+		c.After(500*time.Millisecond, func() { worker.Leave(4 * time.Second) })
+		c.After(10*time.Second, worker.Boot) // another comes in its place
+		c.After(8*time.Second, func() {
+			c.Network.SetPartition([]types.Addr{agent}, away, true, false)
 			c.markChange()
 		})
 	}
@@ -169,17 +170,17 @@
 		d.Queues[i].Host, d.Queues[i].PathPrefix = routeHost, "/"+string(d.Queues[i].Name)+"/"
 	}
 	c := &cutoff{Run: newRun(Plan{Seed: seed, Quick: true, Patience: 5 * time.Second}, d)}
-	c.network = NetworkQuality{}
+	c.Network.Quality = world.NetworkQuality{}
 	table := c.Clients.deployment.Table()
-	c.after(3*time.Second, func() { c.Clients.putTable(table, c.gateways[0].addr, 0, func(bool) {}) })
+	c.After(3*time.Second, func() { c.Clients.putTable(table, c.gateways[0].Addr, 0, func(bool) {}) })
 	if plant != nil {
 		plant(c)
 	}
-	c.after(6*time.Second, func() {
+	c.After(6*time.Second, func() {
 		c.startTraffic()
 		c.record = record(c.Run, table.Accepted())
 	})
-	c.after(cutFrom, func() { c.beginCut(leads, w) })
+	c.After(cutFrom, func() { c.beginCut(leads, w) })
 	c.Run.RunUntil(cutEnd + 8*time.Second)
 	c.Clients.open, c.record.stopped = false, true
 	c.Run.RunUntil(cutEnd + 26*time.Second)
@@ -193,8 +194,8 @@
 			n = other
 		}
 	}
-	c.cutControllers = []types.Addr{n.addr}
-	c.Run.record(history.Event{Kind: history.FaultStarted, Text: fmt.Sprintf("cut-off for %s", cutFor)})
+	c.cutControllers = []types.Addr{n.Addr}
+	c.Run.Record(history.Event{Kind: history.FaultStarted, Text: fmt.Sprintf("cut-off for %s", cutFor)})
 	w.cut(c, n)
 }
 
@@ -219,7 +220,7 @@
 	if l == nil {
 		return 0
 	}
-	for _, w := range l.machine.(*controller.Controller).Workers() {
+	for _, w := range l.Machine.(*controller.Controller).Workers() {
 		if w.State == protocol.WorkerHealthy {
 			n++
 		}
@@ -247,11 +248,11 @@
 }
 
 // lease is how long the leader's right to answer lasts after its last round, at most.
-func (c *cutoff) lease() int64 { return int64(c.raftTimeouts.MinElectionTimeout) }
+func (c *cutoff) lease() int64 { return int64(c.RaftTimeouts.MinElectionTimeout) }
 
 // noticeDeadline is when a side without a majority knows so at the latest.
 func (c *cutoff) noticeDeadline(o *observation) int64 {
-	late := c.raftTimeouts.MinElectionTimeout + c.raftTimeouts.StallTimeout + atOnce
+	late := c.RaftTimeouts.MinElectionTimeout + c.RaftTimeouts.StallTimeout + atOnce
 	if o.audience == toCallers {
 		late = applyWithin
 	}
@@ -297,7 +298,7 @@
 		return ""
 	}},
 	{"at once", func(c *cutoff, o *observation) string {
-		if !c.cutOffAt(o) || o.audience == toWorkers || o.audience == toPeers || o.sent < c.noticeDeadline(o) || c.nodes[o.daemon].machine == nil || c.restarting(o.sent) {
+		if !c.cutOffAt(o) || o.audience == toWorkers || o.audience == toPeers || o.sent < c.noticeDeadline(o) || c.Nodes[o.daemon].Machine == nil || c.restarting(o.sent) {
 			return ""
 		}
 		hop := o.code == http.StatusTemporaryRedirect && c.stillHears
@@ -355,7 +356,7 @@
 					for _, text := range c.violations() {
 						t.Error(text)
 					}
-					breaks, _ := checker.CheckInvoked(&c.History, checker.InvokedBounds(c.environment.Rules), c.now)
+					breaks, _ := checker.CheckInvoked(&c.History, checker.InvokedBounds(c.Environment.Rules), c.Now())
 					for _, b := range breaks {
 						t.Error(b)
 					}
--- a/sim/daylong_test.go
+++ b/sim/daylong_test.go
@@ -23,8 +23,8 @@
 	t.Parallel()
 	is := is.New(t)
 	r := New(Plan{Seed: 90, Deployment: "kingston", Patience: 30 * time.Second})
-	r.after(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
-	r.after(6*time.Second, func() {
+	r.After(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
+	r.After(6*time.Second, func() {
 		for _, f := range r.Clients.deployment.Flows {
 			r.Clients.startFlow(f)
 		}
@@ -37,8 +37,8 @@
 		var m runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&m)
-		s := r.leader().machine.(*controller.Controller).Status()
-		t.Logf("%s: %d MB in all daemons, %d ids remembered, %d jobs unfinished, %d happenings", time.Duration(r.now), m.HeapAlloc>>20, s.JobsRemembered, s.UnfinishedJobs, seen)
+		s := r.leader().Machine.(*controller.Controller).Status()
+		t.Logf("%s: %d MB in all daemons, %d ids remembered, %d jobs unfinished, %d happenings", time.Duration(r.Now()), m.HeapAlloc>>20, s.JobsRemembered, s.UnfinishedJobs, seen)
 		is.True(s.UnfinishedJobs < 200)
 		is.True(s.JobsRemembered > 0)
 	}
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -12,14 +12,15 @@
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 	"coppercourse/sim/history"
+	"coppercourse/sim/world"
 )
 
 // Fault begins a trouble.
 type Fault func(r *Run, long time.Duration) func()
 
-func running(list []*node) (ups []*node) {
+func running(list []*world.Node) (ups []*world.Node) {
 	for _, n := range list {
-		if n.machine != nil && !n.frozen {
+		if n.Machine != nil && !n.Frozen {
 			ups = append(ups, n)
 		}
 	}
@@ -27,11 +28,11 @@
 }
 
 // leader finds who leads, for faults that aim at it.
-func (r *Run) leader() *node {
-	var best *node
+func (r *Run) leader() *world.Node {
+	var best *world.Node
 	var term types.Term
 	for _, n := range running(r.controllers) {
-		if h, ok := n.machine.(*controller.Controller); ok {
+		if h, ok := n.Machine.(*controller.Controller); ok {
 			if s := h.Status(); s.RaftRole == "leader" && s.Term > term {
 				best, term = n, s.Term
 			}
@@ -40,33 +41,33 @@
 	return best
 }
 
-func killFault(pick func(*Run) []*node) Fault {
+func killFault(pick func(*Run) []*world.Node) Fault {
 	return func(r *Run, _ time.Duration) func() {
 		list := running(pick(r))
 		if len(list) == 0 {
 			return nil
 		}
-		n := pickOne(r.random, list)
-		n.kill()
-		r.markAffected(n.addr)
+		n := pickOne(r.Random, list)
+		n.Kill()
+		r.markAffected(n.Addr)
 		return func() {
-			if n.machine == nil {
-				n.boot()
+			if n.Machine == nil {
+				n.Boot()
 			}
 		}
 	}
 }
 
-func freezeFault(pick func(*Run) []*node) Fault {
+func freezeFault(pick func(*Run) []*world.Node) Fault {
 	return func(r *Run, _ time.Duration) func() {
 		list := running(pick(r))
 		if len(list) == 0 {
 			return nil
 		}
-		n := pickOne(r.random, list)
-		n.freeze()
-		r.markAffected(n.addr)
-		return n.thaw
+		n := pickOne(r.Random, list)
+		n.Freeze()
+		r.markAffected(n.Addr)
+		return n.Thaw
 	}
 }
 
@@ -76,20 +77,20 @@
 		if len(a) == 0 || len(b) == 0 {
 			return nil
 		}
-		r.SetPartition(a, b, both, true)
+		r.Network.SetPartition(a, b, both, true)
 		if len(a) > len(b) {
 			r.markAffected(b...)
 		} else {
 			r.markAffected(a...)
 		}
-		return func() { r.SetPartition(a, b, both, false) }
+		return func() { r.Network.SetPartition(a, b, both, false) }
 	}
 }
 
 // markAffected records whom a trouble touches: everybody, if that is one of the core.
 func (r *Run) markAffected(list ...types.Addr) {
 	for _, a := range list {
-		if n := r.nodes[a]; n != nil && n.role == "controller" {
+		if n := r.Nodes[a]; n != nil && n.Role == "controller" {
 			return
 		}
 	}
@@ -101,7 +102,7 @@
 	for _, a := range out {
 		drop[a] = true
 	}
-	for _, a := range append(r.nodeOrder, r.Clients.address) {
+	for _, a := range append(r.NodeOrder, r.Clients.address) {
 		if !drop[a] {
 			list = append(list, a)
 		}
@@ -109,124 +110,124 @@
 	return
 }
 
-func leaders(r *Run) []*node {
+func leaders(r *Run) []*world.Node {
 	if n := r.leader(); n != nil {
-		return []*node{n}
+		return []*world.Node{n}
 	}
 	return nil
 }
 
-func separatedFromAll(r *Run, n *node) (a, b []types.Addr) {
+func separatedFromAll(r *Run, n *world.Node) (a, b []types.Addr) {
 	if n == nil {
 		return nil, nil
 	}
-	return []types.Addr{n.addr}, r.allExcept(n.addr)
+	return []types.Addr{n.Addr}, r.allExcept(n.Addr)
 }
 
 // separatedFromPeers is a controller and the other controllers only: it still reaches agents and gateways.
-func separatedFromPeers(r *Run, n *node) (a, b []types.Addr) {
+func separatedFromPeers(r *Run, n *world.Node) (a, b []types.Addr) {
 	if n == nil {
 		return nil, nil
 	}
 	for _, h := range r.controllers {
 		if h != n {
-			b = append(b, h.addr)
+			b = append(b, h.Addr)
 		}
 	}
-	return []types.Addr{n.addr}, b
+	return []types.Addr{n.Addr}, b
 }
 
-func (r *Run) anyPollingWorker() *pollingNode { return pickOne(r.random, r.pollingWorkers) }
+func (r *Run) anyPollingWorker() *world.PollingNode { return pickOne(r.Random, r.PollingWorkers) }
 
 // Faults is the table.
 var Faults = map[string]Fault{
 	"kill-leader":       killFault(leaders),
-	"kill-controller":   killFault(func(r *Run) []*node { return r.controllers }),
-	"kill-gateway":      killFault(func(r *Run) []*node { return r.gateways }),
-	"kill-agent":        killFault(func(r *Run) []*node { return r.agents }),
+	"kill-controller":   killFault(func(r *Run) []*world.Node { return r.controllers }),
+	"kill-gateway":      killFault(func(r *Run) []*world.Node { return r.gateways }),
+	"kill-agent":        killFault(func(r *Run) []*world.Node { return r.agents }),
 	"freeze-leader":     freezeFault(leaders),
-	"freeze-controller": freezeFault(func(r *Run) []*node { return r.controllers }),
-	"freeze-gateway":    freezeFault(func(r *Run) []*node { return r.gateways }),
-	"freeze-agent":      freezeFault(func(r *Run) []*node { return r.agents }),
+	"freeze-controller": freezeFault(func(r *Run) []*world.Node { return r.controllers }),
+	"freeze-gateway":    freezeFault(func(r *Run) []*world.Node { return r.gateways }),
+	"freeze-agent":      freezeFault(func(r *Run) []*world.Node { return r.agents }),
 	"cut-leader":        partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, r.leader()) }),
 	"cut-core":          partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromPeers(r, r.leader()) }),
 	"cut-core-in":       partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { a, b := separatedFromPeers(r, r.leader()); return b, a }),
 	"cut-core-out":      partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromPeers(r, r.leader()) }),
 	"cut-controller": partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) {
-		return separatedFromAll(r, pickOne(r.random, r.controllers))
+		return separatedFromAll(r, pickOne(r.Random, r.controllers))
 	}),
-	"cut-agent": partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, pickOne(r.random, r.agents)) }),
+	"cut-agent": partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, pickOne(r.Random, r.agents)) }),
 	"cut-agent-in": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) {
-		a, b := separatedFromAll(r, pickOne(r.random, r.agents))
+		a, b := separatedFromAll(r, pickOne(r.Random, r.agents))
 		return b, a
 	}),
-	"cut-agent-out": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, pickOne(r.random, r.agents)) }),
-	"cut-worker":    partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, r.anyPollingWorker().node) }),
+	"cut-agent-out": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, pickOne(r.Random, r.agents)) }),
+	"cut-worker":    partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, r.anyPollingWorker().Node) }),
 	"cut-worker-in": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) {
-		a, b := separatedFromAll(r, r.anyPollingWorker().node)
+		a, b := separatedFromAll(r, r.anyPollingWorker().Node)
 		return b, a
 	}),
-	"cut-worker-out": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, r.anyPollingWorker().node) }),
+	"cut-worker-out": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, r.anyPollingWorker().Node) }),
 	"cut-zone": partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) {
 		x := r.Clients.deployment.Size
-		z := r.zones[x.Zone(r.random.Intn(x.Zones))]
+		z := r.zones[x.Zone(r.Random.Intn(x.Zones))]
 		return z, r.allExcept(z...)
 	}),
 	"kill-worker": func(r *Run, _ time.Duration) func() {
 		h := r.anyPollingWorker()
-		h.kill()
+		h.Kill()
 		return func() {
-			if h.worker == nil {
-				h.boot()
+			if h.Worker == nil {
+				h.Boot()
 			}
 		}
 	},
 	"kill-machine": func(r *Run, _ time.Duration) func() {
-		i := r.random.Intn(len(r.pollingWorkers))
-		r.pollingWorkers[i].kill()
-		r.agents[i].kill()
+		i := r.Random.Intn(len(r.PollingWorkers))
+		r.PollingWorkers[i].Kill()
+		r.agents[i].Kill()
 		return func() {
-			if r.pollingWorkers[i].worker == nil {
-				r.pollingWorkers[i].boot()
+			if r.PollingWorkers[i].Worker == nil {
+				r.PollingWorkers[i].Boot()
 			}
-			if r.agents[i].machine == nil {
-				r.agents[i].boot()
+			if r.agents[i].Machine == nil {
+				r.agents[i].Boot()
 			}
 		}
 	},
 	"freeze-worker": func(r *Run, _ time.Duration) func() {
 		h := r.anyPollingWorker()
-		h.freeze()
-		return h.thaw
+		h.Freeze()
+		return h.Thaw
 	},
 	"freeze-machine": func(r *Run, _ time.Duration) func() {
-		i := r.random.Intn(len(r.pollingWorkers))
-		r.pollingWorkers[i].freeze()
-		r.agents[i].freeze()
+		i := r.Random.Intn(len(r.PollingWorkers))
+		r.PollingWorkers[i].Freeze()
+		r.agents[i].Freeze()
 		return func() {
-			r.pollingWorkers[i].thaw()
-			r.agents[i].thaw()
+			r.PollingWorkers[i].Thaw()
+			r.agents[i].Thaw()
 		}
 	},
 	"leave-worker": func(r *Run, _ time.Duration) func() {
 		h := r.anyPollingWorker()
-		h.setLeaving(true, 0)
-		return func() { h.setLeaving(false, 0) }
+		h.SetLeaving(true, 0)
+		return func() { h.SetLeaving(false, 0) }
 	},
 	"remove-worker": func(r *Run, long time.Duration) func() {
 		h := r.anyPollingWorker()
-		if h.worker == nil || h.worker.Leaving {
+		if h.Worker == nil || h.Worker.Leaving {
 			return nil
 		}
-		h.setLeaving(true, long)
-		gen := h.incarnation
+		h.SetLeaving(true, long)
+		gen := h.Incarnation
 		return func() {
-			if h.incarnation == gen && h.worker.Leaving {
-				r.record(history.Event{Kind: history.WorkerRemoved, Process: string(h.worker.ID), Shard: h.spec.Shard, Text: long.String()})
-				h.kill()
-				r.after(2*time.Second, func() {
-					if h.worker == nil {
-						h.boot()
+			if h.Incarnation == gen && h.Worker.Leaving {
+				r.Record(history.Event{Kind: history.WorkerRemoved, Process: string(h.Worker.ID), Shard: h.Spec.Shard, Text: long.String()})
+				h.Kill()
+				r.After(2*time.Second, func() {
+					if h.Worker == nil {
+						h.Boot()
 					}
 				})
 			}
@@ -236,7 +237,7 @@
 	"stall-worker":   degradeFault(func(m *history.WorkerSpec) { m.StallRate = 0.3 }),
 	"failing-worker": degradeFault(func(m *history.WorkerSpec) { m.FailureRate = 0.5 }),
 	"drain-rack": func(r *Run, long time.Duration) func() {
-		rack := fmt.Sprintf("racks/r%d", 1+r.random.Intn(4))
+		rack := fmt.Sprintf("racks/r%d", 1+r.Random.Intn(4))
 		if r.drained[rack] {
 			return nil
 		}
@@ -245,7 +246,7 @@
 		undo := func() {
 			r.Clients.requestAsOperator(wire.VerbCancelDrain, rack, nil, 0, func() { delete(r.drained, rack) })
 		}
-		r.Clients.requestAsOperator(wire.VerbStartDrain, rack, wire.EncodeBody(config.Drain{WithinMillis: r.random.Intn(3) * 1000}), 0, func() {
+		r.Clients.requestAsOperator(wire.VerbStartDrain, rack, wire.EncodeBody(config.Drain{WithinMillis: r.Random.Intn(3) * 1000}), 0, func() {
 			if acked = true; over {
 				undo()
 			}
@@ -257,34 +258,34 @@
 		}
 	},
 	"slow-disk": func(r *Run, _ time.Duration) func() {
-		d := pickOne(r.random, r.controllers).disk
-		d.extraLatency = time.Duration(20+r.random.Intn(200)) * time.Millisecond
-		return func() { d.extraLatency = 0 }
+		d := pickOne(r.Random, r.controllers).Disk
+		d.ExtraLatency = time.Duration(20+r.Random.Intn(200)) * time.Millisecond
+		return func() { d.ExtraLatency = 0 }
 	},
 	"stall-disk": func(r *Run, long time.Duration) func() {
-		d := pickOne(r.random, r.controllers).disk
-		d.stalledUntil = r.now + int64(long)
+		d := pickOne(r.Random, r.controllers).Disk
+		d.StalledUntil = r.Now() + int64(long)
 		return func() {}
 	},
 	"jump-clock": func(r *Run, _ time.Duration) func() {
-		n := r.nodes[pickOne(r.random, r.nodeOrder)]
-		n.wallOffset = time.Duration(r.random.Int63n(int64(4*time.Hour))) - 2*time.Hour
+		n := r.Nodes[pickOne(r.Random, r.NodeOrder)]
+		n.WallOffset = time.Duration(r.Random.Int63n(int64(4*time.Hour))) - 2*time.Hour
 		return func() {}
 	},
 	"weather": func(r *Run, _ time.Duration) func() {
-		r.network = NetworkQuality{LossRate: 0.03, DuplicateRate: 0.05, DelayRate: 0.05}
-		return func() { r.network = NetworkQuality{LossRate: 0.001, DuplicateRate: 0.001, DelayRate: 0.001} }
+		r.Network.Quality = world.NetworkQuality{LossRate: 0.03, DuplicateRate: 0.05, DelayRate: 0.05}
+		return func() { r.Network.Quality = world.NetworkQuality{LossRate: 0.001, DuplicateRate: 0.001, DelayRate: 0.001} }
 	},
 	"lose-disk":       func(r *Run, _ time.Duration) func() { return r.loseAnyDisk(false) },
 	"swap-controller": func(r *Run, _ time.Duration) func() { return r.loseAnyDisk(true) },
 	"power-all": func(r *Run, _ time.Duration) func() {
 		for _, h := range r.controllers {
-			h.kill()
+			h.Kill()
 		}
 		return func() {
 			for _, h := range r.controllers {
-				if h.machine == nil && !h.stopping {
-					h.boot()
+				if h.Machine == nil && !h.Stopping {
+					h.Boot()
 				}
 			}
 		}
@@ -296,8 +297,8 @@
 		}
 		r.Shutdown(n)
 		return func() {
-			if n.machine == nil {
-				n.boot()
+			if n.Machine == nil {
+				n.Boot()
 			}
 		}
 	},
@@ -307,10 +308,10 @@
 func degradeFault(how func(*history.WorkerSpec)) Fault {
 	return func(r *Run, _ time.Duration) func() {
 		h := r.anyPollingWorker()
-		if h.worker == nil {
+		if h.Worker == nil {
 			return nil
 		}
-		w := h.worker
+		w := h.Worker
 		was := w.WorkerSpec
 		how(&w.WorkerSpec)
 		return func() { w.WorkerSpec = was }
@@ -321,10 +322,10 @@
 // must be whole voters.
 func (r *Run) allControllersVote() bool {
 	for _, h := range r.controllers {
-		if h.machine == nil || h.frozen {
+		if h.Machine == nil || h.Frozen {
 			return false
 		}
-		if s := h.machine.(*controller.Controller).Status(); s.RaftRole != "leader" && s.RaftRole != "follower" || len(s.Members) != len(r.controllers) {
+		if s := h.Machine.(*controller.Controller).Status(); s.RaftRole != "leader" && s.RaftRole != "follower" || len(s.Members) != len(r.controllers) {
 			return false
 		}
 	}
@@ -336,40 +337,47 @@
 	if !r.allControllersVote() {
 		return nil
 	}
-	return r.loseDiskOf(pickOne(r.random, r.controllers), swap)
+	return r.loseDiskOf(pickOne(r.Random, r.controllers), swap)
 }
 
 // loseDiskOf wipes a controller's disk; it comes back empty, at once, maybe elsewhere.
-func (r *Run) loseDiskOf(n *node, swap bool) func() {
-	n.kill()
-	n.disk.wipe()
+func (r *Run) loseDiskOf(n *world.Node, swap bool) func() {
+	n.Kill()
+	n.Disk.Wipe()
 	if !swap {
 		return func() {
-			if n.machine == nil {
-				n.boot()
+			if n.Machine == nil {
+				n.Boot()
 			}
 		}
 	}
-	n.stopping, n.newMachine = true, nil
-	return r.addReplacement(n, "x").boot
+	n.Stopping, n.NewMachine = true, nil
+	return r.addReplacement(n, "x").Boot
 }
 
 // addReplacement is a new machine in place of a controller's, at another address.
-func (r *Run) addReplacement(n *node, suffix types.Addr) *node {
-	fresh := r.World.addController(n.addr+suffix, n.zone)
+func (r *Run) addReplacement(n *world.Node, suffix types.Addr) *world.Node {
+	fresh := r.World.AddController(n.Addr+suffix, n.Zone)
 	r.controllers[slices.Index(r.controllers, n)] = fresh
-	r.zones[n.zone] = append(r.zones[n.zone], fresh.addr)
+	r.zones[n.Zone] = append(r.zones[n.Zone], fresh.Addr)
 	return fresh
 }
 
 // Shutdown warns a node, as the platform does before it kills it.
-func (r *Run) Shutdown(n *node) {
-	n.stopping = true
-	n.deliver(func() { n.step(wire.Event{Shutdown: true}) })
-	gen := n.incarnation
-	r.after(5*time.Second, func() {
-		if n.incarnation == gen && n.machine != nil {
-			n.kill()
+func (r *Run) Shutdown(n *world.Node) {
+	n.Stopping = true
+	n.Deliver(func() { n.Step(wire.Event{Shutdown: true}) })
+	gen := n.Incarnation
+	r.After(5*time.Second, func() {
+		if n.Incarnation == gen && n.Machine != nil {
+			n.Kill()
 		}
 	})
 }
+
+// slowProcessor makes a node's processor so many times slower for a while.
+func (r *Run) slowProcessor(n *world.Node, factor float64, duration time.Duration) {
+	n.Slowness = factor
+	r.Record(history.Event{Kind: history.FaultStarted, Text: "slow-processor for " + duration.String(), Affected: []types.Addr{n.Addr}})
+	r.After(duration, func() { n.Slowness = 1 })
+}
--- a/sim/front_test.go
+++ b/sim/front_test.go
@@ -10,6 +10,7 @@
 	"coppercourse/internal/types"
 	"coppercourse/sim/checker"
 	"coppercourse/sim/history"
+	"coppercourse/sim/world"
 )
 
 // publishedTable is what a gateway last published of its table, as its requests see it.
@@ -23,9 +24,9 @@
 // the traffic, and gives the decisions by a version that was replaced longer ago
 // than a table may be in use after its acknowledgement.
 func probeFronts(r *Run, decides func(publishedTable, types.MonoTime) bool) (late *int, decided *int) {
-	fronts := map[*node]publishedTable{}
-	r.AfterStep = func(n *node) {
-		if g, ok := n.machine.(*gateway.Gateway); ok {
+	fronts := map[*world.Node]publishedTable{}
+	r.AfterStep = func(n *world.Node) {
+		if g, ok := n.Machine.(*gateway.Gateway); ok {
 			t, fresh := g.Table()
 			fronts[n] = publishedTable{t.Version, g.ConfirmedUntil(), fresh}
 		}
@@ -35,12 +36,12 @@
 	probe = func() {
 		old := types.Version(0) // the newest that was acknowledged so long ago
 		for _, h := range r.History.Events {
-			if h.Kind == history.TableAcknowledged && h.At+int64(checker.DefaultBounds.TableLag) < r.now {
+			if h.Kind == history.TableAcknowledged && h.At+int64(checker.DefaultBounds.TableLag) < r.Now() {
 				old = max(old, h.Table.Version)
 			}
 		}
 		for n, f := range fronts {
-			if n.machine == nil || !decides(f, n.monotonic()) {
+			if n.Machine == nil || !decides(f, n.Monotonic()) {
 				continue
 			}
 			*decided++
@@ -48,9 +49,9 @@
 				*late++
 			}
 		}
-		r.after(20*time.Millisecond, probe)
+		r.After(20*time.Millisecond, probe)
 	}
-	r.after(6*time.Second, probe)
+	r.After(6*time.Second, probe)
 	return
 }
 
@@ -73,9 +74,9 @@
 			is := is.New(t)
 			r := New(Plan{Seed: 9, Deployment: "kingston-called", Quick: true, Before: 4 * time.Second, FaultsFor: 30 * time.Second, After: 4 * time.Second,
 				Settle: time.Second, Patience: 5 * time.Second})
-			costs := SmallCoreCosts
+			costs := world.SmallCoreCosts
 			r.StepCosts = &costs
-			r.after(slowFrom, func() { r.slowProcessor(r.gateways[0], 10_000, 25*time.Second) })
+			r.After(slowFrom, func() { r.slowProcessor(r.gateways[0], 10_000, 25*time.Second) })
 			late, decided := probeFronts(r, c.decides)
 			r.Execute()
 			t.Logf("%d decisions, %d by an old table", *decided, *late)
--- a/sim/goodput_test.go
+++ b/sim/goodput_test.go
@@ -47,7 +47,7 @@
 	}
 	b := checker.DefaultBounds
 	b.AllJobsEnd = false
-	breaks, _ := checker.Check(&r.History, b, r.now, 30*time.Second)
+	breaks, _ := checker.Check(&r.History, b, r.Now(), 30*time.Second)
 	for i, x := range breaks {
 		if i < 4 {
 			t.Error(x)
--- a/sim/grown_day_test.go
+++ b/sim/grown_day_test.go
@@ -10,6 +10,7 @@
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 	"coppercourse/sim/history"
+	"coppercourse/sim/world"
 )
 
 // grownDay is short enough for every change.
@@ -113,9 +114,9 @@
 	p.Before, p.Settle = 4*time.Second, 4*time.Second
 	r := New(p)
 	r.Metering = true
-	r.after(8*time.Second, func() {
+	r.After(8*time.Second, func() {
 		for _, h := range r.controllers {
-			h.disk.extraLatency = 150 * time.Millisecond
+			h.Disk.ExtraLatency = 150 * time.Millisecond
 		}
 	})
 	r.Execute()
@@ -126,9 +127,9 @@
 		}
 	}
 	for _, h := range r.controllers {
-		pushes += h.usage.Received[LogMessages].Messages + h.usage.Received[WorkMessages].Messages
+		pushes += h.Usage.Received[world.LogMessages].Messages + h.Usage.Received[world.WorkMessages].Messages
 		if h != r.leader() {
-			told += h.usage.Sent[WorkMessages].Messages
+			told += h.Usage.Sent[world.WorkMessages].Messages
 		}
 	}
 	t.Logf("%d attempts, %d messages to the controllers, %d by followers of work", attempts, pushes, told)
--- a/sim/grown_rig_test.go
+++ b/sim/grown_rig_test.go
@@ -14,9 +14,9 @@
 func newControllerFleet(seed int64, controllers, zones int) *Run {
 	r := newRun(Plan{Seed: seed, Quick: true}, deployment.Deployment{Size: deployment.Size{Zones: zones, Controllers: controllers, Gateways: 2, Founders: 3}})
 	for _, n := range r.controllers {
-		made := n.newMachine
-		n.newMachine = nil
-		r.after(301*time.Millisecond, func() { n.newMachine = made })
+		made := n.NewMachine
+		n.NewMachine = nil
+		r.After(301*time.Millisecond, func() { n.NewMachine = made })
 	}
 	r.RunUntil(302 * time.Millisecond)
 	return r
@@ -25,15 +25,15 @@
 // startControllers boots the controllers within so long of each other, in an order.
 func (r *Run) startControllers(order []int, within time.Duration) {
 	for k, i := range order {
-		r.after(time.Duration(k)*within/time.Duration(len(order)), r.controllers[i].boot)
+		r.After(time.Duration(k)*within/time.Duration(len(order)), r.controllers[i].Boot)
 	}
 }
 
-func (r *Run) advance(d time.Duration) { r.RunUntil(time.Duration(r.now) + d) }
+func (r *Run) advance(d time.Duration) { r.RunUntil(time.Duration(r.Now()) + d) }
 
 // advanceUntil lets the world go on until something holds, for so long at most.
 func (r *Run) advanceUntil(d time.Duration, ok func() bool) bool {
-	for end := r.now + int64(d); r.now < end; r.advance(20 * time.Millisecond) {
+	for end := r.Now() + int64(d); r.Now() < end; r.advance(20 * time.Millisecond) {
 		if ok() {
 			return true
 		}
@@ -49,11 +49,11 @@
 	}
 	s := r.controllerStatus(l)
 	for _, h := range r.controllers {
-		if h.machine == nil {
+		if h.Machine == nil {
 			continue
 		}
 		m, ok := s.Members.Find(r.controllerStatus(h).ID)
-		if x := r.controllerStatus(h); !ok || m.Addr != h.addr || x.Cluster != s.Cluster || len(x.Members) != len(s.Members) {
+		if x := r.controllerStatus(h); !ok || m.Addr != h.Addr || x.Cluster != s.Cluster || len(x.Members) != len(s.Members) {
 			return false
 		}
 	}
@@ -75,12 +75,12 @@
 		return
 	}
 	for _, h := range r.controllers {
-		if h.machine != nil {
+		if h.Machine != nil {
 			s := r.controllerStatus(h)
-			t.Logf("%s %s %s term %d, %q, roll %v", h.addr, s.ID, s.RaftRole, s.Term, s.Reason, s.Members)
+			t.Logf("%s %s %s term %d, %q, roll %v", h.Addr, s.ID, s.RaftRole, s.Term, s.Reason, s.Members)
 		}
 	}
-	t.Fatalf("%.3f s: not so: %s", float64(r.now)/1e9, what)
+	t.Fatalf("%.3f s: not so: %s", float64(r.Now())/1e9, what)
 }
 
 // coreSizes are the cores that are looked at: a few where time is dear.
--- a/sim/grown_test.go
+++ b/sim/grown_test.go
@@ -11,6 +11,7 @@
 	"github.com/matryer/is"
 
 	"coppercourse/internal/types"
+	"coppercourse/sim/world"
 )
 
 func TestAllControllersVoteInWhateverOrderTheyStart(t *testing.T) {
@@ -24,7 +25,7 @@
 					order = ascending(n)
 					slices.Reverse(order)
 				case "mixed":
-					order = r.random.Perm(n)
+					order = r.Random.Perm(n)
 				}
 				r.startControllers(order, 1500*time.Millisecond)
 				votes := min(n, 9)
@@ -45,11 +46,11 @@
 				t.Parallel()
 				r := newControllerFleet(100+seed, n, 3)
 				r.startControllers(ascending(n), 300*time.Millisecond)
-				f := r.controllers[r.random.Intn(3)]
-				r.after(time.Duration(200+150*seed)*time.Millisecond, func() {
-					f.kill()
-					f.firstStart = false // the settings no more tell of a first start
-					r.after(time.Duration(200+r.random.Intn(8000))*time.Millisecond, f.boot)
+				f := r.controllers[r.Random.Intn(3)]
+				r.After(time.Duration(200+150*seed)*time.Millisecond, func() {
+					f.Kill()
+					f.FirstStart = false // the settings no more tell of a first start
+					r.After(time.Duration(200+r.Random.Intn(8000))*time.Millisecond, f.Boot)
 				})
 				r.advance(11 * time.Second)
 				r.require(t, "all vote", r.advanceUntil(10*time.Second, func() bool { return r.allVoting(n) }))
@@ -62,9 +63,9 @@
 func TestAFounderThatIsNoControllerIsNotWaitedFor(t *testing.T) {
 	r := newControllerFleet(7, 5, 3)
 	r.controllers = slices.Delete(r.controllers, 1, 2)
-	g := r.addGateway("h2", "z2")
-	r.nodes["h2"] = g
-	g.boot()
+	g := r.AddGateway("h2", "z2")
+	r.Nodes["h2"] = g
+	g.Boot()
 	r.startControllers(ascending(4), 300*time.Millisecond)
 	r.require(t, "the others vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(4) }))
 }
@@ -77,11 +78,11 @@
 		r.controllers = r.controllers[3:]
 		for i := range 3 {
 			a := types.Addr(fmt.Sprintf("h%d", i+1))
-			g := r.addGateway(a, types.Zone(fmt.Sprintf("z%d", i+1)))
-			r.nodes[a] = g
-			g.boot()
+			g := r.AddGateway(a, types.Zone(fmt.Sprintf("z%d", i+1)))
+			r.Nodes[a] = g
+			g.Boot()
 		}
-		r.startControllers(r.random.Perm(3), 300*time.Millisecond)
+		r.startControllers(r.Random.Perm(3), 300*time.Millisecond)
 		r.require(t, "the three vote", r.advanceUntil(8*time.Second, func() bool { return r.allVoting(3) }))
 	}
 }
@@ -94,10 +95,10 @@
 	r.require(t, "all vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(7) }))
 	name := r.controllerStatus(r.controllers[0]).Cluster
 	for _, h := range r.controllers {
-		h.kill()
-		h.disk.wipe()
+		h.Kill()
+		h.Disk.Wipe()
 	}
-	r.startControllers(r.random.Perm(7), time.Second)
+	r.startControllers(r.Random.Perm(7), time.Second)
 	r.advance(20 * time.Second)
 	for _, h := range r.controllers {
 		s := r.controllerStatus(h)
@@ -116,14 +117,14 @@
 				t.Parallel()
 				is := is.New(t)
 				r := newControllerFleet(int64(20+7*i+k), 7, 4)
-				r.startControllers(r.random.Perm(7), 300*time.Millisecond)
+				r.startControllers(r.Random.Perm(7), 300*time.Millisecond)
 				r.require(t, "all vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(7) }))
 				r.advance(time.Second)
 				acked := r.putTable(0)
 				for !acked() {
 					r.advance(time.Millisecond)
 				}
-				lost := []*node{r.controllers[i], r.controllers[(i+k)%7]}
+				lost := []*world.Node{r.controllers[i], r.controllers[(i+k)%7]}
 				if k == 3 {
 					if l := r.leader(); l != nil && !slices.Contains(lost, l) {
 						lost[0] = l
@@ -131,16 +132,16 @@
 				}
 				for _, h := range r.controllers {
 					if k == 3 || slices.Contains(lost, h) {
-						h.kill()
+						h.Kill()
 					}
 				}
 				for _, h := range lost {
-					h.disk.wipe()
+					h.Disk.Wipe()
 				}
 				r.advance(800 * time.Millisecond)
 				for _, h := range r.controllers {
-					if h.machine == nil {
-						h.boot()
+					if h.Machine == nil {
+						h.Boot()
 					}
 				}
 				r.require(t, "all seven vote again", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(7) }))
@@ -162,7 +163,7 @@
 			is := is.New(t)
 			zones := 2 + n%3
 			r := newControllerFleet(int64(40+n), n, zones)
-			r.startControllers(r.random.Perm(n), 300*time.Millisecond)
+			r.startControllers(r.Random.Perm(n), 300*time.Millisecond)
 			r.require(t, "all vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(n) }))
 			r.advance(time.Second)
 			version := types.Version(0)
@@ -174,21 +175,21 @@
 				if i%3 == 2 { // warned: a new one comes before it goes
 					r.Shutdown(h)
 				} else {
-					h.kill()
-					h.disk.wipe()
+					h.Kill()
+					h.Disk.Wipe()
 				}
 				if i%3 == 0 {
-					r.after(time.Duration(r.random.Intn(1500))*time.Millisecond, h.boot)
+					r.After(time.Duration(r.Random.Intn(1500))*time.Millisecond, h.Boot)
 				} else {
-					r.seeds = nil // as they are when the new one starts
-					for _, k := range r.random.Perm(n) {
-						if k != i%n && len(r.seeds) < 3 {
-							r.seeds = append(r.seeds, r.controllers[k].addr)
+					r.Seeds = nil // as they are when the new one starts
+					for _, k := range r.Random.Perm(n) {
+						if k != i%n && len(r.Seeds) < 3 {
+							r.Seeds = append(r.Seeds, r.controllers[k].Addr)
 						}
 					}
-					h.newMachine = nil
-					r.controllers[i%n] = r.World.addController(h.addr+"x", h.zone)
-					r.after(time.Duration(r.random.Intn(1500))*time.Millisecond, r.controllers[i%n].boot)
+					h.NewMachine = nil
+					r.controllers[i%n] = r.World.AddController(h.Addr+"x", h.Zone)
+					r.After(time.Duration(r.Random.Intn(1500))*time.Millisecond, r.controllers[i%n].Boot)
 				}
 				r.advance(2 * time.Second)
 				r.require(t, fmt.Sprint("all vote after change ", i), r.advanceUntil(10*time.Second, func() bool { return r.allVoting(n) }))
@@ -209,29 +210,29 @@
 			t.Parallel()
 			is := is.New(t)
 			r := newControllerFleet(int64(60+n), n, 4)
-			r.startControllers(r.random.Perm(n), 300*time.Millisecond)
+			r.startControllers(r.Random.Perm(n), 300*time.Millisecond)
 			r.require(t, "all vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(n) }))
 			r.advance(time.Second)
 			before := r.controllerStatus(r.leader()).Members
 			l := r.leader()
-			away := []types.Addr{l.addr}
+			away := []types.Addr{l.Addr}
 			for _, h := range r.controllers {
 				if h != l && len(away) < (n-1)/2 {
-					away = append(away, h.addr)
+					away = append(away, h.Addr)
 				}
 			}
-			fresh := r.World.addController("h99", l.zone)
-			away = append(away, fresh.addr)
-			r.SetPartition(away, r.allExcept(away...), true, true)
-			r.after(time.Second, fresh.boot)
+			fresh := r.World.AddController("h99", l.Zone)
+			away = append(away, fresh.Addr)
+			r.Network.SetPartition(away, r.allExcept(away...), true, true)
+			r.After(time.Second, fresh.Boot)
 			r.advance(20 * time.Second)
 			now := r.leader()
-			is.True(now != nil && !slices.Contains(away, now.addr)) // the larger side goes on
+			is.True(now != nil && !slices.Contains(away, now.Addr)) // the larger side goes on
 			is.Equal(len(r.controllerStatus(now).Members), n)
 			acked := r.putTable(0)
 			r.require(t, "a table is taken", r.advanceUntil(9*time.Second, acked))
-			fresh.kill()
-			clear(r.partitioned)
+			fresh.Kill()
+			r.Network.HealPartitions()
 			r.require(t, "all are back", r.advanceUntil(3*time.Second, func() bool { return r.allVoting(n) }))
 			for _, m := range before {
 				_, ok := r.controllerStatus(r.leader()).Members.Find(m.ID)
@@ -249,16 +250,16 @@
 	r.require(t, "all vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(6) }))
 	r.advance(time.Second)
 	for _, h := range r.controllers[:2] {
-		h.kill()
+		h.Kill()
 	}
 	r.advance(2 * time.Second)
 	acked := r.putTable(0)
 	r.require(t, "four of six take a table", r.advanceUntil(9*time.Second, acked))
-	r.controllers[2].kill()
+	r.controllers[2].Kill()
 	r.advance(2 * time.Second)
 	_, ok := r.readVersion(3 * time.Second)
 	is.Equal(ok, false)
-	r.controllers[0].boot()
+	r.controllers[0].Boot()
 	r.advance(3 * time.Second)
 	e, ok := r.readVersion(3 * time.Second)
 	is.True(ok)
@@ -272,14 +273,14 @@
 	r := newControllerFleet(90, 6, 3)
 	r.startControllers(ascending(6), 300*time.Millisecond)
 	r.require(t, "all vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(6) }))
-	r.controllers = append(r.controllers, r.World.addController("h7", "z1"))
-	r.controllers[6].boot()
+	r.controllers = append(r.controllers, r.World.AddController("h7", "z1"))
+	r.controllers[6].Boot()
 	r.require(t, "the added one votes", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(7) }))
 	r.advance(40 * time.Second)
-	r.controllers[0].kill()
+	r.controllers[0].Kill()
 	r.advance(20 * time.Second)
 	is.Equal(len(r.controllerStatus(r.leader()).Members), 7)
-	r.controllers[0].boot()
+	r.controllers[0].Boot()
 	r.require(t, "all vote", r.advanceUntil(3*time.Second, func() bool { return r.allVoting(7) }))
 }
 
@@ -290,17 +291,17 @@
 	r := newControllerFleet(95, 8, 4)
 	r.startControllers(ascending(8), 300*time.Millisecond)
 	r.require(t, "all vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(8) }))
-	away := []*node{r.controllers[3], r.controllers[7]}
-	cut := []types.Addr{away[0].addr, away[1].addr}
+	away := []*world.Node{r.controllers[3], r.controllers[7]}
+	cut := []types.Addr{away[0].Addr, away[1].Addr}
 	ids := []types.ID{r.controllerStatus(away[0]).ID, r.controllerStatus(away[1]).ID, r.controllerStatus(r.controllers[0]).ID}
-	r.SetPartition(cut, r.allExcept(cut...), true, true)
+	r.Network.SetPartition(cut, r.allExcept(cut...), true, true)
 	r.advance(40 * time.Second)
-	r.controllers[0].kill()
-	r.controllers[0].newMachine = nil
-	r.controllers[0] = r.World.addController("h1x", "z1")
-	r.seeds = []types.Addr{"h2", "h3", "h5"}
-	r.controllers[0].boot()
-	r.SetPartition([]types.Addr{"h1x"}, cut, true, true)
+	r.controllers[0].Kill()
+	r.controllers[0].NewMachine = nil
+	r.controllers[0] = r.World.AddController("h1x", "z1")
+	r.Seeds = []types.Addr{"h2", "h3", "h5"}
+	r.controllers[0].Boot()
+	r.Network.SetPartition([]types.Addr{"h1x"}, cut, true, true)
 	r.advance(10 * time.Second)
 	roll := r.controllerStatus(r.leader()).Members
 	is.Equal(roll.Voters(), 8)
@@ -308,7 +309,7 @@
 		_, ok := roll.Find(id)
 		is.Equal(ok, i < 2)
 	}
-	clear(r.partitioned)
+	r.Network.HealPartitions()
 	r.require(t, "all vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(8) }))
 }
 
@@ -318,17 +319,17 @@
 	r := newControllerFleet(96, 10, 3)
 	r.startControllers(ascending(10), 300*time.Millisecond)
 	r.require(t, "nine vote", r.advanceUntil(5*time.Second, func() bool { return r.allVoting(9) }))
-	r.controllers = append(r.controllers, r.World.addController("h11", "z2")) // this one was not there at first
-	r.controllers[10].boot()
+	r.controllers = append(r.controllers, r.World.AddController("h11", "z2")) // this one was not there at first
+	r.controllers[10].Boot()
 	r.advance(5 * time.Second)
 	lost := r.controllers[0]
-	lost.kill()
-	lost.newMachine = nil
+	lost.Kill()
+	lost.NewMachine = nil
 	r.controllers = r.controllers[1:]
 	r.advance(50 * time.Second)
 	s := r.controllerStatus(r.leader())
 	is.Equal(s.Members.Voters(), 9)
 	for _, m := range s.Members {
-		is.True(m.Addr != lost.addr)
+		is.True(m.Addr != lost.Addr)
 	}
 }
--- a/sim/hours_test.go
+++ b/sim/hours_test.go
@@ -30,22 +30,22 @@
 	is := is.New(t)
 	r := New(Plan{Seed: 11, Deployment: "kingston", Patience: 30 * time.Second})
 	r.Clients.CancelRate = 0
-	r.after(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
+	r.After(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
 	traffic := func() {
 		r.Clients.open = true
 		for _, f := range r.Clients.deployment.Flows {
 			r.Clients.startFlow(f)
 		}
 	}
-	r.after(6*time.Second, traffic)
+	r.After(6*time.Second, traffic)
 	r.RunUntil(20 * time.Second)
 	zone := r.zones["z1"]
 	rest := r.allExcept(append(zone, r.Clients.address)...)
-	r.SetPartition(zone, rest, true, true)
-	cut := r.now
+	r.Network.SetPartition(zone, rest, true, true)
+	cut := r.Now()
 	r.RunUntil(30 * time.Second)
 	var f *apierror.Error
-	r.request(r.Clients.address, "g1", "job.cancel", "quotes-1", nil, func(a wire.Response) { f = a.Error })
+	r.Request(r.Clients.address, "g1", "job.cancel", "quotes-1", nil, func(a wire.Response) { f = a.Error })
 	r.RunUntil(32 * time.Second)
 	is.Equal(f.Kind, apierror.NoLeader) // the cut side's own gateway refuses at once
 	is.True(f.RetryAfterSeconds > 1)
@@ -53,24 +53,24 @@
 	if *steadyTraffic {
 		r.RunUntil(time.Duration(cut) + *cutDuration)
 	}
-	for end := cut + int64(*cutDuration); r.now < end; {
-		r.RunUntil(time.Duration(min(end, r.now+int64(110*time.Second))))
+	for end := cut + int64(*cutDuration); r.Now() < end; {
+		r.RunUntil(time.Duration(min(end, r.Now()+int64(110*time.Second))))
 		traffic()
-		r.RunUntil(time.Duration(r.now) + 10*time.Second)
+		r.RunUntil(time.Duration(r.Now()) + 10*time.Second)
 		r.Clients.open = false
 	}
 	if !*steadyTraffic {
-		r.RunUntil(time.Duration(r.now) + 12*time.Second) // all streams have ended, so that they are not doubled
+		r.RunUntil(time.Duration(r.Now()) + 12*time.Second) // all streams have ended, so that they are not doubled
 		traffic()
 	}
-	r.RunUntil(time.Duration(r.now) + 10*time.Second)
-	r.SetPartition(zone, rest, true, false)
-	heal := r.now
+	r.RunUntil(time.Duration(r.Now()) + 10*time.Second)
+	r.Network.SetPartition(zone, rest, true, false)
+	heal := r.Now()
 	sent := 0
 	for _, h := range r.History.Events { // callers inside repeat what they sent before and at the time of the cut
 		if h.Kind == history.JobSubmitted && h.At < cut+int64(10*time.Second) {
 			sent++
-			r.request(r.Clients.address, "g1", "job.put", string(h.Job), wire.EncodeBody(h.Spec), func(a wire.Response) {
+			r.Request(r.Clients.address, "g1", "job.put", string(h.Job), wire.EncodeBody(h.Spec), func(a wire.Response) {
 				if a.Error != nil && a.Error.RetryAfterSeconds == 0 {
 					t.Error(h.Job, a.Error)
 				}
@@ -82,7 +82,7 @@
 	before := history.CompletionRate(&r.History, int64(8*time.Second), int64(20*time.Second))
 	after := history.CompletionRate(&r.History, heal+int64(12*time.Second), heal+int64(27*time.Second))
 	healthy := 0
-	for _, w := range r.leader().machine.(*controller.Controller).Workers() {
+	for _, w := range r.leader().Machine.(*controller.Controller).Workers() {
 		if w.State == protocol.WorkerHealthy {
 			healthy++
 		}
@@ -91,8 +91,8 @@
 	t.Logf("cut for %s: jobs done a second %.2f before, %.2f from 12 s after, %d workers healthy", *cutDuration, before, after, healthy)
 	is.True(after > MinRecovery*before)
 	r.Clients.open = false
-	r.RunUntil(time.Duration(r.now) + 40*time.Second)
-	breaks, seen := checker.Check(&r.History, checker.DefaultBounds, r.now, 30*time.Second)
+	r.RunUntil(time.Duration(r.Now()) + 40*time.Second)
+	breaks, seen := checker.Check(&r.History, checker.DefaultBounds, r.Now(), 30*time.Second)
 	t.Logf("chances:\n%v", seen)
 	is.True(seen["again: a success acknowledged late or never"] > 0) // attempts ended well beyond the cut
 	for _, b := range breaks {
--- a/sim/invoked_faults.go
+++ b/sim/invoked_faults.go
@@ -10,29 +10,30 @@
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 	"coppercourse/sim/deployment"
+	"coppercourse/sim/world"
 )
 
 // anyInvokedWorker is a worker that is up, or nil.
-func (r *Run) anyInvokedWorker() *invokedNode {
-	k := pickOne(r.random, r.invokedWorkers)
-	if k.worker == nil {
+func (r *Run) anyInvokedWorker() *world.InvokedNode {
+	k := pickOne(r.Random, r.InvokedWorkers)
+	if k.Worker == nil {
 		return nil
 	}
 	return k
 }
 
 // workerFault has a fault of one worker begin and end.
-func workerFault(begin, end func(r *Run, k *invokedNode)) Fault {
+func workerFault(begin, end func(r *Run, k *world.InvokedNode)) Fault {
 	return func(r *Run, _ time.Duration) func() {
 		k := r.anyInvokedWorker()
 		if k == nil {
 			return nil
 		}
-		r.markAffected(k.node.addr)
-		gen := k.incarnation
+		r.markAffected(k.Node.Addr)
+		gen := k.Incarnation
 		begin(r, k)
 		return func() {
-			if k.incarnation == gen && k.worker != nil {
+			if k.Incarnation == gen && k.Worker != nil {
 				end(r, k)
 			}
 		}
@@ -46,11 +47,11 @@
 		if k == nil {
 			return nil
 		}
-		r.markAffected(k.node.addr)
-		k.kill(refuses)
+		r.markAffected(k.Node.Addr)
+		k.Kill(refuses)
 		return func() {
-			if k.worker == nil && !never {
-				k.boot()
+			if k.Worker == nil && !never {
+				k.Boot()
 			}
 		}
 	}
@@ -60,15 +61,15 @@
 func departureFault(notice func(*Run, time.Duration) time.Duration) Fault {
 	return func(r *Run, long time.Duration) func() {
 		k := r.anyInvokedWorker()
-		if k == nil || k.departsAt != 0 {
+		if k == nil || k.DepartsAt != 0 {
 			return nil
 		}
-		r.markAffected(k.node.addr)
-		k.leave(notice(r, long))
+		r.markAffected(k.Node.Addr)
+		k.Leave(notice(r, long))
 		return func() {
-			r.after(4*time.Second, func() {
-				if k.worker == nil {
-					k.boot()
+			r.After(4*time.Second, func() {
+				if k.Worker == nil {
+					k.Boot()
 				}
 			})
 		}
@@ -80,75 +81,75 @@
 	"crash-silent":  crashFault(false, false),
 	"crash-refuse":  crashFault(true, false),
 	"crash-forever": crashFault(false, true),
-	"sick-worker":   workerFault(func(r *Run, k *invokedNode) { k.worker.Unhealthy = true }, func(_ *Run, k *invokedNode) { k.worker.Unhealthy = false }),
-	"still-worker":  workerFault(func(r *Run, k *invokedNode) { k.worker.Stalled = true }, func(_ *Run, k *invokedNode) { k.worker.Stalled = false }),
-	"hang-worker":   workerFault(func(r *Run, k *invokedNode) { k.hangs = true }, func(_ *Run, k *invokedNode) { k.hangs = false }),
-	"late-beats":    workerFault(func(r *Run, k *invokedNode) { k.lateHeartbeatRate = 0.5 }, func(_ *Run, k *invokedNode) { k.lateHeartbeatRate = 0 }),
+	"sick-worker":   workerFault(func(r *Run, k *world.InvokedNode) { k.Worker.Unhealthy = true }, func(_ *Run, k *world.InvokedNode) { k.Worker.Unhealthy = false }),
+	"still-worker":  workerFault(func(r *Run, k *world.InvokedNode) { k.Worker.Stalled = true }, func(_ *Run, k *world.InvokedNode) { k.Worker.Stalled = false }),
+	"hang-worker":   workerFault(func(r *Run, k *world.InvokedNode) { k.Hangs = true }, func(_ *Run, k *world.InvokedNode) { k.Hangs = false }),
+	"late-beats":    workerFault(func(r *Run, k *world.InvokedNode) { k.LateHeartbeatRate = 0.5 }, func(_ *Run, k *world.InvokedNode) { k.LateHeartbeatRate = 0 }),
 	"late-orders": func(r *Run, _ time.Duration) func() {
-		for _, k := range r.invokedWorkers {
-			k.lateCallRate = 0.055
-			r.markAffected(k.node.addr)
+		for _, k := range r.InvokedWorkers {
+			k.LateCallRate = 0.055
+			r.markAffected(k.Node.Addr)
 		}
 		return func() {
-			for _, k := range r.invokedWorkers {
-				k.lateCallRate = 0
+			for _, k := range r.InvokedWorkers {
+				k.LateCallRate = 0
 			}
 		}
 	},
-	"late-worker":   workerFault(func(r *Run, k *invokedNode) { k.lateCallRate = 0.4 }, func(_ *Run, k *invokedNode) { k.lateCallRate = 0 }),
+	"late-worker":   workerFault(func(r *Run, k *world.InvokedNode) { k.LateCallRate = 0.4 }, func(_ *Run, k *world.InvokedNode) { k.LateCallRate = 0 }),
 	"notice-worker": departureFault(func(_ *Run, long time.Duration) time.Duration { return 2*time.Second + long }),
 	"spot-worker": departureFault(func(r *Run, _ time.Duration) time.Duration {
-		return time.Duration(1+r.random.Intn(2000)) * time.Millisecond
+		return time.Duration(1+r.Random.Intn(2000)) * time.Millisecond
 	}),
 
 	"kill-worker":    crashFault(true, false),
-	"slow-worker":    workerFault(func(_ *Run, k *invokedNode) { k.worker.Slowdown = 6.5 }, func(_ *Run, k *invokedNode) { k.worker.Slowdown = max(1, k.spec.Slowdown) }),
-	"failing-worker": workerFault(func(_ *Run, k *invokedNode) { k.worker.FailureRate = 0.4 }, func(_ *Run, k *invokedNode) { k.worker.FailureRate = k.spec.FailureRate }),
+	"slow-worker":    workerFault(func(_ *Run, k *world.InvokedNode) { k.Worker.Slowdown = 6.5 }, func(_ *Run, k *world.InvokedNode) { k.Worker.Slowdown = max(1, k.Spec.Slowdown) }),
+	"failing-worker": workerFault(func(_ *Run, k *world.InvokedNode) { k.Worker.FailureRate = 0.4 }, func(_ *Run, k *world.InvokedNode) { k.Worker.FailureRate = k.Spec.FailureRate }),
 	"cut-worker": partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) {
-		return separatedFromAll(r, pickOne(r.random, r.invokedWorkers).node)
+		return separatedFromAll(r, pickOne(r.Random, r.InvokedWorkers).Node)
 	}),
 	"cut-worker-in": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) {
-		a, b := separatedFromAll(r, pickOne(r.random, r.invokedWorkers).node)
+		a, b := separatedFromAll(r, pickOne(r.Random, r.InvokedWorkers).Node)
 		return b, a
 	}),
 	"cut-worker-out": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) {
-		return separatedFromAll(r, pickOne(r.random, r.invokedWorkers).node)
+		return separatedFromAll(r, pickOne(r.Random, r.InvokedWorkers).Node)
 	}),
 	"kill-machine": func(r *Run, _ time.Duration) func() {
-		i := r.random.Intn(len(r.invokedWorkers))
-		k, n := r.invokedWorkers[i], r.agents[i]
-		r.markAffected(k.node.addr, n.addr)
-		k.kill(false)
-		n.kill()
+		i := r.Random.Intn(len(r.InvokedWorkers))
+		k, n := r.InvokedWorkers[i], r.agents[i]
+		r.markAffected(k.Node.Addr, n.Addr)
+		k.Kill(false)
+		n.Kill()
 		return func() {
-			if k.worker == nil {
-				k.boot()
+			if k.Worker == nil {
+				k.Boot()
 			}
-			if n.machine == nil {
-				n.boot()
+			if n.Machine == nil {
+				n.Boot()
 			}
 		}
 	},
 	"restart-agent": func(r *Run, long time.Duration) func() {
-		n := pickOne(r.random, r.agents)
-		if n.machine == nil || n.frozen {
+		n := pickOne(r.Random, r.agents)
+		if n.Machine == nil || n.Frozen {
 			return nil
 		}
-		r.markAffected(n.addr)
+		r.markAffected(n.Addr)
 		again := func() {
-			n.kill()
-			r.after(time.Duration(50+r.random.Intn(800))*time.Millisecond, func() {
-				if n.machine == nil {
-					n.boot()
+			n.Kill()
+			r.After(time.Duration(50+r.Random.Intn(800))*time.Millisecond, func() {
+				if n.Machine == nil {
+					n.Boot()
 				}
 			})
 		}
 		again()
-		r.after(long/2, again)
+		r.After(long/2, again)
 		return func() {}
 	},
 	"drain-worker": func(r *Run, long time.Duration) func() {
-		name := "workers/" + string(pickOne(r.random, r.invokedWorkers).spec.Shard)
+		name := "workers/" + string(pickOne(r.Random, r.InvokedWorkers).Spec.Shard)
 		if r.drained[name] {
 			return nil
 		}
@@ -157,7 +158,7 @@
 		undo := func() {
 			r.Clients.requestAsOperator(wire.VerbCancelDrain, name, nil, 0, func() { delete(r.drained, name) })
 		}
-		r.Clients.requestAsOperator(wire.VerbStartDrain, name, wire.EncodeBody(config.Drain{WithinMillis: r.random.Intn(3) * 1000}), 0, func() {
+		r.Clients.requestAsOperator(wire.VerbStartDrain, name, wire.EncodeBody(config.Drain{WithinMillis: r.Random.Intn(3) * 1000}), 0, func() {
 			if acked = true; over {
 				undo()
 			}
--- a/sim/invoked_planted_test.go
+++ b/sim/invoked_planted_test.go
@@ -47,7 +47,7 @@
 func onStart(some int, f func(*wire.WorkerCall)) func(*Run) {
 	return func(r *Run) {
 		r.TamperCall = func(c *wire.WorkerCall) {
-			if c.Kind == wire.StartAttempt && r.random.Intn(some) == 0 {
+			if c.Kind == wire.StartAttempt && r.Random.Intn(some) == 0 {
 				f(c)
 			}
 		}
@@ -81,20 +81,20 @@
 	plant  func(*Run)
 }{
 	{"workers run on without a lease", []string{"cut-agent", "freeze-agent"}, []string{"twice"}, false, func(r *Run) {
-		for _, k := range r.invokedWorkers {
-			k.ignoresLease = true
+		for _, k := range r.InvokedWorkers {
+			k.IgnoresLease = true
 		}
 	}},
 	{"workers heed no fence", []string{"late-worker", "restart-agent"}, []string{"twice"}, false, func(r *Run) {
-		for _, k := range r.invokedWorkers {
-			k.ignoresFence = true
+		for _, k := range r.InvokedWorkers {
+			k.IgnoresFence = true
 		}
 	}},
 	{"good ends told as lapsed", nil, []string{"again"}, false, onEnd(wire.EndSucceeded, wire.EndLeaseExpired)},
 	{"failures told as stops", nil, []string{"tries"}, false, onEnd(wire.EndFailed, wire.EndStopped)},
 	{"workers say that they are larger", nil, []string{"room"}, true, onHeartbeat(func(b *wire.WorkerHeartbeat) { b.Capacity = b.Capacity.Scale(10) })},
 	{"a worker says that it serves what it does not", nil, []string{"service"}, false, func(r *Run) {
-		r.invokedWorkers[3].spec.Kinds = []types.ServiceKind{"other"}
+		r.InvokedWorkers[3].Spec.Kinds = []types.ServiceKind{"other"}
 		onHeartbeat(func(b *wire.WorkerHeartbeat) { b.Kinds = []types.ServiceKind{"work"} })(r)
 	}},
 	{"workers say that they have all labels", nil, []string{"label"}, false, onHeartbeat(func(b *wire.WorkerHeartbeat) { b.Labels = []string{"a", "b"} })},
@@ -146,7 +146,7 @@
 	{"jobs denied after acceptance", nil, []string{"forgotten"}, false, onAnswer("job.get", func(a *wire.Response) {
 		*a = wire.Response{Error: apierror.New(apierror.NoSuchJob, "id", "")}
 	})},
-	{"orders get lost", nil, []string{"idle"}, false, func(r *Run) { r.after(8*time.Second, func() { dropMessages(wire.RunTask)(r) }) }},
+	{"orders get lost", nil, []string{"idle"}, false, func(r *Run) { r.After(8*time.Second, func() { dropMessages(wire.RunTask)(r) }) }},
 	{"doors know no queue that came", nil, []string{"table"}, false, onAnswer("queue.count", func(a *wire.Response) {
 		*a = wire.Response{Error: apierror.New(apierror.NoSuchQueue, "queue", "")}
 	})},
--- a/sim/invoked_test.go
+++ b/sim/invoked_test.go
@@ -62,7 +62,7 @@
 				}
 			}
 			for _, w := range r.agents {
-				is.Equal(w.machine.(*agent.Agent).Status().Executor.Lease.Counters.Incarnations, uint64(1))
+				is.Equal(w.Machine.(*agent.Agent).Status().Executor.Lease.Counters.Incarnations, uint64(1))
 			}
 		})
 	}
@@ -152,14 +152,14 @@
 	x := deployment.JobShape{Queue: "quotes", Steps: 1, Tasks: 6, TaskMS: 900, Cores: 3, MemoryMB: 900, GangRate: 1}
 	r.Clients.deployment.Streams[0].MeanInterval = 120 * time.Millisecond
 	r.Clients.deployment.Streams[0].NewSpec = func(rnd *rand.Rand, now int64) state.Spec { return x.NewSpec(rnd, now, 16) }
-	r.after(5*time.Second, func() { how(r) })
+	r.After(5*time.Second, func() { how(r) })
 	return r
 }
 
 // exaggerateCapacity has one worker tell three times the room that it has.
 func exaggerateCapacity(r *Run) {
 	onHeartbeat(func(b *wire.WorkerHeartbeat) {
-		if b.Addr == r.invokedWorkers[4].node.addr {
+		if b.Addr == r.InvokedWorkers[4].Node.Addr {
 			b.Capacity = b.Capacity.Scale(3)
 		}
 	})(r)
@@ -184,7 +184,7 @@
 			}
 		}
 		for _, n := range r.controllers {
-			orders += n.machine.(*controller.Controller).Counters.Orders
+			orders += n.Machine.(*controller.Controller).Counters.Orders
 		}
 		t.Logf("%d: %d orders, %d starts, %d turned away; %s", seed, orders, started, full, history.Summary(&r.History))
 		is.True(full > 0)
@@ -202,11 +202,11 @@
 		t.Skip("run without the race detector")
 	}
 	for name, how := range map[string]func(*Run){
-		"sick":      func(r *Run) { r.invokedWorkers[2].worker.Unhealthy = true },
+		"sick":      func(r *Run) { r.InvokedWorkers[2].Worker.Unhealthy = true },
 		"too small": exaggerateCapacity,
 		"no answers": func(r *Run) {
-			for _, k := range r.invokedWorkers {
-				k.lateCallRate = 0.1
+			for _, k := range r.InvokedWorkers {
+				k.LateCallRate = 0.1
 			}
 		},
 	} {
--- a/sim/leader_bench_test.go
+++ b/sim/leader_bench_test.go
@@ -53,12 +53,12 @@
 	for i := range r.Clients.deployment.Streams {
 		r.Clients.deployment.Streams[i].MeanInterval /= 2
 	}
-	r.after(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), r.Clients.anyGateway(), 0, func(bool) {}) })
-	r.after(6*time.Second, r.startTraffic)
+	r.After(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), r.Clients.anyGateway(), 0, func(bool) {}) })
+	r.After(6*time.Second, r.startTraffic)
 	r.advance(settle)
 	lead := r.leader()
-	m := &labelledMachine{Machine: lead.machine}
-	lead.machine = m
+	m := &labelledMachine{Machine: lead.Machine}
+	lead.Machine = m
 	started := r.countEvents(history.AttemptStarted)
 	b.ResetTimer()
 	r.advance(time.Duration(b.N) * time.Second)
--- a/sim/linear_rig_test.go
+++ b/sim/linear_rig_test.go
@@ -56,13 +56,13 @@
 // requestOnce sends one request; then is called once: with the answer, or with none.
 func (or *operationRecorder) requestOnce(to types.Addr, verb wire.Verb, arg string, body any, then func(*wire.Response)) {
 	over := false
-	or.request("client", to, verb, arg, wire.EncodeBody(body), func(a wire.Response) {
+	or.Request("client", to, verb, arg, wire.EncodeBody(body), func(a wire.Response) {
 		if !over {
 			over = true
 			then(&a)
 		}
 	})
-	or.after(requestTimeout, func() {
+	or.After(requestTimeout, func() {
 		if !over {
 			over = true
 			then(nil)
@@ -72,10 +72,10 @@
 
 // daemon picks one to ask: a gateway, or a controller itself.
 func (or *operationRecorder) daemon() types.Addr {
-	if or.random.Intn(2) == 0 {
-		return pickOne(or.random, or.Clients.gateways)
+	if or.Random.Intn(2) == 0 {
+		return pickOne(or.Random, or.Clients.gateways)
 	}
-	return pickOne(or.random, or.controllers).addr
+	return pickOne(or.Random, or.controllers).Addr
 }
 
 // redirected is whom an answer names instead of whoever was asked.
@@ -87,7 +87,7 @@
 }
 
 func (or *operationRecorder) soon(f func()) {
-	or.after(retryPause+time.Duration(or.random.Int63n(int64(600*time.Millisecond))), f)
+	or.After(retryPause+time.Duration(or.Random.Int63n(int64(600*time.Millisecond))), f)
 }
 
 // operate is an operator: reads, new orders, and old ones once more.
@@ -96,28 +96,28 @@
 		return
 	}
 	again := func() { or.soon(func() { or.operate(client) }) }
-	switch n := or.random.Intn(10); {
+	switch n := or.Random.Intn(10); {
 	case n < 4:
 		or.readTable(client, or.daemon(), again)
 	case n < 6 && len(or.submitted) > 0:
-		or.putTable(client, or.daemon(), pickOne(or.random, or.submitted), 0, again)
+		or.putTable(client, or.daemon(), pickOne(or.Random, or.submitted), 0, again)
 	default:
 		t := or.Clients.deployment.Table()
-		t.Version, t.RequestedVersion = or.newestKnown, or.newestKnown+1+types.Version(or.random.Intn(2))
-		t.Queues[0].Weight = 1 + or.random.Intn(900)
+		t.Version, t.RequestedVersion = or.newestKnown, or.newestKnown+1+types.Version(or.Random.Intn(2))
+		t.Queues[0].Weight = 1 + or.Random.Intn(900)
 		or.submitted = append(or.submitted, t)
 		or.putTable(client, or.daemon(), t, 0, again)
 	}
 }
 
 func (or *operationRecorder) readTable(client int, to types.Addr, then func()) {
-	began := or.now
+	began := or.Now()
 	or.requestOnce(to, "table.get", "", nil, func(a *wire.Response) {
 		var t config.Table
 		if a != nil && a.Error == nil && json.Unmarshal(a.Body, &t) == nil {
 			or.noteTaken(t.Version, t.ContentHash())
 			or.count["table read"]++
-			or.tables = append(or.tables, porcupine.Operation{ClientId: client, Input: tableInput{}, Call: began, Return: or.now,
+			or.tables = append(or.tables, porcupine.Operation{ClientId: client, Input: tableInput{}, Call: began, Return: or.Now(),
 				Output: tableOutput{done, t.Version, t.ContentHash()}})
 		}
 		then()
@@ -131,12 +131,12 @@
 }
 
 func (or *operationRecorder) putTable(client int, to types.Addr, t config.Table, n int, then func()) {
-	began := or.now
+	began := or.Now()
 	or.requestOnce(to, "table.put", "", t, func(a *wire.Response) {
 		o, end := unclear, int64(math.MaxInt64)
 		if a != nil {
 			if o = outcomeOf("table.put", a.Error); o != unclear {
-				end = or.now
+				end = or.Now()
 			}
 		}
 		next := t.Accepted()
@@ -154,7 +154,7 @@
 		if other == "" {
 			other = or.daemon()
 		}
-		or.after(retryPause, func() { or.putTable(client, other, t, n+1, then) })
+		or.After(retryPause, func() { or.putTable(client, other, t, n+1, then) })
 	})
 }
 
@@ -163,16 +163,16 @@
 	if or.closed {
 		return
 	}
-	again := func() { or.after(retryPause, func() { or.submit(client) }) }
-	n := or.random.Intn(10)
+	again := func() { or.After(retryPause, func() { or.submit(client) }) }
+	n := or.Random.Intn(10)
 	if n < 4 || len(or.ids) == 0 {
 		id := types.JobID(fmt.Sprintf("quotes-%d", len(or.ids)))
 		or.ids = append(or.ids, id)
-		or.specs[id] = deployment.PairJobs("payments", "pay")(or.random)
+		or.specs[id] = deployment.PairJobs("payments", "pay")(or.Random)
 		or.requestJob(client, "job.put", id, or.specs[id], 0, again)
 		return
 	}
-	id := or.ids[max(0, len(or.ids)-1-or.random.Intn(12))]
+	id := or.ids[max(0, len(or.ids)-1-or.Random.Intn(12))]
 	switch s := or.specs[id]; {
 	case n < 5:
 		or.requestJob(client, "job.put", id, s, 0, again)
@@ -187,7 +187,7 @@
 }
 
 func (or *operationRecorder) requestJob(client int, verb wire.Verb, id types.JobID, s state.Spec, n int, then func()) {
-	began := or.now
+	began := or.Now()
 	var body any
 	if verb == "job.put" {
 		body = s
@@ -196,7 +196,7 @@
 		out, end := jobOutput{outcome: unclear}, int64(math.MaxInt64)
 		if a != nil {
 			if out.outcome = outcomeOf(verb, a.Error); out.outcome != unclear {
-				end = or.now
+				end = or.Now()
 			}
 			var v controller.JobView
 			if verb == "job.get" && a.Error == nil && json.Unmarshal(a.Body, &v) == nil {
@@ -208,7 +208,7 @@
 			or.jobs = append(or.jobs, porcupine.Operation{ClientId: client, Input: jobInput{verb, id, s.Hash()}, Call: began, Return: end, Output: out})
 		}
 		if out.outcome == unclear && n < 6 && !or.closed {
-			or.after(retryPause, func() { or.requestJob(client, verb, id, s, n+1, then) })
+			or.After(retryPause, func() { or.requestJob(client, verb, id, s, n+1, then) })
 			return
 		}
 		then()
@@ -219,13 +219,13 @@
 func (or *operationRecorder) finish() {
 	or.closed = true
 	or.Heal()
-	or.Run.RunUntil(time.Duration(or.now) + 8*time.Second)
+	or.Run.RunUntil(time.Duration(or.Now()) + 8*time.Second)
 	for range 2 {
 		or.readTable(0, or.Clients.anyGateway(), func() {})
 		for _, id := range or.ids {
 			or.requestJob(0, "job.get", id, state.Spec{}, 9, func() {})
 		}
-		or.Run.RunUntil(time.Duration(or.now) + 2*time.Second)
+		or.Run.RunUntil(time.Duration(or.Now()) + 2*time.Second)
 	}
 }
 
--- a/sim/linear_test.go
+++ b/sim/linear_test.go
@@ -39,8 +39,8 @@
 	c := recordClients(r)
 	r.RunUntil(7 * time.Second)
 	for _, name := range faults {
-		r.injectFault(name, time.Duration(500+r.random.Intn(4000))*time.Millisecond)
-		r.RunUntil(time.Duration(r.now) + time.Duration(2000+r.random.Intn(4000))*time.Millisecond)
+		r.injectFault(name, time.Duration(500+r.Random.Intn(4000))*time.Millisecond)
+		r.RunUntil(time.Duration(r.Now()) + time.Duration(2000+r.Random.Intn(4000))*time.Millisecond)
 	}
 	c.finish()
 	return c
@@ -159,7 +159,7 @@
 		}
 	},
 	"a job that was taken is denied": answers(func(r *Run, verb wire.Verb, a *wire.Response) {
-		if verb == "job.get" && r.now/int64(time.Second)%5 == 0 {
+		if verb == "job.get" && r.Now()/int64(time.Second)%5 == 0 {
 			*a = wire.Response{Error: apierror.New(apierror.NoSuchJob, "id", "")}
 		}
 	}),
@@ -217,24 +217,24 @@
 					return
 				}
 				if over = true; o == unclear {
-					r.after(retryPause, func() { send(t) })
+					r.After(retryPause, func() { send(t) })
 					return
 				}
 				got[o]++
 			}
-			to := pickOne(r.random, r.controllers).addr
-			if r.random.Intn(2) == 0 {
+			to := pickOne(r.Random, r.controllers).Addr
+			if r.Random.Intn(2) == 0 {
 				to = r.Clients.anyGateway()
 			}
-			r.request("operator", to, "table.put", "", wire.EncodeBody(t), func(a wire.Response) { again(outcomeOf("table.put", a.Error)) })
-			r.after(requestTimeout, func() { again(unclear) })
+			r.Request("operator", to, "table.put", "", wire.EncodeBody(t), func(a wire.Response) { again(outcomeOf("table.put", a.Error)) })
+			r.After(requestTimeout, func() { again(unclear) })
 		}
 		for i := range 2 {
 			t := r.Clients.deployment.Table()
 			t.RequestedVersion, t.Queues[0].Weight = 5, 100+i
-			r.after(time.Duration(r.random.Int63n(int64(4*time.Millisecond))), func() { send(t) })
+			r.After(time.Duration(r.Random.Int63n(int64(4*time.Millisecond))), func() { send(t) })
 		}
-		r.after(time.Duration(r.random.Int63n(int64(8*time.Millisecond))), func() {
+		r.After(time.Duration(r.Random.Int63n(int64(8*time.Millisecond))), func() {
 			r.injectFault([]string{"kill-leader", "freeze-leader", "handover", "cut-core", "power-all"}[seed%5], 3*time.Second)
 		})
 		r.RunUntil(25 * time.Second)
--- a/sim/operator.go
+++ b/sim/operator.go
@@ -20,9 +20,9 @@
 func (c *Clients) nextVersion(t config.Table) config.Table {
 	n := t
 	n.Queues = slices.Clone(t.Queues)
-	n.RequestedVersion = t.Version + 1 + types.Version(c.world.random.Intn(9))
-	n.Queues[c.world.random.Intn(3)].RequestTimeoutMillis = 1000 + c.world.random.Intn(4000)
-	if i := slices.IndexFunc(n.Queues, isIdleQueue); i >= 0 && c.world.random.Intn(2) == 0 {
+	n.RequestedVersion = t.Version + 1 + types.Version(c.world.Random.Intn(9))
+	n.Queues[c.world.Random.Intn(3)].RequestTimeoutMillis = 1000 + c.world.Random.Intn(4000)
+	if i := slices.IndexFunc(n.Queues, isIdleQueue); i >= 0 && c.world.Random.Intn(2) == 0 {
 		n.Queues = slices.Delete(n.Queues, i, i+1)
 	} else if len(n.Queues) < 8 {
 		c.lastJob++
@@ -35,7 +35,7 @@
 
 // startVersioningOperators puts new tables now and then.
 func (c *Clients) startVersioningOperators() {
-	c.world.after(time.Duration(2+c.world.random.Intn(4))*time.Second, func() {
+	c.world.After(time.Duration(2+c.world.Random.Intn(4))*time.Second, func() {
 		if !c.open || !c.RacingOperators {
 			return
 		}
@@ -43,9 +43,9 @@
 			if len(t.Queues) < 3 {
 				return
 			}
-			for range 1 + c.world.random.Intn(2) {
+			for range 1 + c.world.Random.Intn(2) {
 				n := c.nextVersion(t)
-				switch c.world.random.Intn(8) {
+				switch c.world.Random.Intn(8) {
 				case 0:
 					n.RequestedVersion = max(1, t.Version)
 				case 1:
@@ -68,8 +68,8 @@
 	}
 	for _, at := range []time.Duration{300 * time.Millisecond, 2100 * time.Millisecond} {
 		for i, q := range names {
-			g := c.gateways[(i+c.world.random.Intn(2))%len(c.gateways)]
-			c.world.after(at, func() { c.countQueue(q, g) })
+			g := c.gateways[(i+c.world.Random.Intn(2))%len(c.gateways)]
+			c.world.After(at, func() { c.countQueue(q, g) })
 		}
 	}
 }
@@ -77,16 +77,16 @@
 // countQueue writes down whether a gateway knows a queue: when it was asked, and who
 // answered.
 func (c *Clients) countQueue(q types.QueueName, g types.Addr) {
-	began := c.world.now
+	began := c.world.Now()
 	c.request(g, wire.VerbCountQueue, string(q), nil, func(a wire.Response) {
-		h := history.Event{Kind: history.QueueCounted, Process: c.world.nodes[g].processName(), Job: types.JobID(q), Text: fmt.Sprint(began)}
+		h := history.Event{Kind: history.QueueCounted, Process: c.world.Nodes[g].ProcessName(), Job: types.JobID(q), Text: fmt.Sprint(began)}
 		switch {
 		case a.Error == nil:
 			h.Stage = history.QueueExists
 		case a.Error.Kind != apierror.NoSuchQueue:
 			return
 		}
-		c.world.record(h)
+		c.world.Record(h)
 	}, func() {})
 }
 
@@ -100,7 +100,7 @@
 			return
 		}
 		for i := range changes {
-			c.putTable(c.alteredTable(t), c.gateways[(i+c.world.random.Intn(2))%len(c.gateways)], 0, func(bool) {})
+			c.putTable(c.alteredTable(t), c.gateways[(i+c.world.Random.Intn(2))%len(c.gateways)], 0, func(bool) {})
 		}
 	})
 }
@@ -111,8 +111,8 @@
 		return c.nextVersion(t)
 	}
 	n := config.Table{Version: t.Version, Queues: slices.Clone(t.Queues)}
-	n.Queues[0].Weight = 1 + c.world.random.Intn(900)
-	n.Queues[1].MaxRunning = 12 + c.world.random.Intn(30)
-	n.Queues[2].MaxFailures = 1 + c.world.random.Intn(4)
+	n.Queues[0].Weight = 1 + c.world.Random.Intn(900)
+	n.Queues[1].MaxRunning = 12 + c.world.Random.Intn(30)
+	n.Queues[2].MaxFailures = 1 + c.world.Random.Intn(4)
 	return n
 }
--- a/sim/planted_test.go
+++ b/sim/planted_test.go
@@ -60,8 +60,8 @@
 				alter(b, f)
 			}
 		}
-		for _, h := range r.pollingWorkers {
-			h.ignoresCapacity = true
+		for _, h := range r.PollingWorkers {
+			h.IgnoresCapacity = true
 		}
 	}
 }
@@ -79,8 +79,8 @@
 	plant    func(*Run)
 }{
 	{"workers heed no grant", []string{"cut-worker"}, []string{"twice"}, time.Millisecond, false, func(r *Run) {
-		for _, h := range r.pollingWorkers {
-			h.ignoresLease = true
+		for _, h := range r.PollingWorkers {
+			h.IgnoresLease = true
 		}
 	}},
 	{"accounts hide what runs", []string{"handover"}, []string{"again"}, 30 * time.Second, false, onMessage(wire.RunningTasksReply, func(a *protocol.RunningTasksReply) { a.Tasks = nil })},
@@ -153,7 +153,7 @@
 			}
 		}
 		r.Clients.RacingOperators = false
-		r.after(7*time.Second, func() {
+		r.After(7*time.Second, func() {
 			r.Clients.readTable(func(t config.Table) {
 				t.Queues = slices.Clone(t.Queues)
 				t.Queues[1].MaxRunning = 8
@@ -162,15 +162,15 @@
 		})
 	}},
 	{"disks say synced and are not", []string{"power-all"}, []string{"forgotten"}, 30 * time.Second, false, func(r *Run) {
-		r.after(10*time.Second, func() {
+		r.After(10*time.Second, func() {
 			for _, h := range r.controllers {
-				h.disk.falseSync = true
+				h.Disk.FalseSync = true
 			}
 		})
 	}},
 	{"orders end with the faults", []string{"kill-gateway"}, []string{"recovery"}, 30 * time.Second, false, func(r *Run) {
-		r.after(26*time.Second, func() { dropMessages(wire.RunTask)(r) })
-		r.after(52*time.Second, func() { r.TamperMessage = nil })
+		r.After(26*time.Second, func() { dropMessages(wire.RunTask)(r) })
+		r.After(52*time.Second, func() { r.TamperMessage = nil })
 	}},
 }
 
--- a/sim/processor_test.go
+++ b/sim/processor_test.go
@@ -17,6 +17,7 @@
 	"coppercourse/internal/wire"
 	"coppercourse/internal/workqueue"
 	"coppercourse/sim/history"
+	"coppercourse/sim/world"
 )
 
 const (
@@ -31,12 +32,12 @@
 )
 
 // slowDay is a day on which a step takes time; slow makes processors slower.
-func slowDay(seed int64, order LoopBugs, slow func(*Run)) *Run {
+func slowDay(seed int64, order world.LoopBugs, slow func(*Run)) *Run {
 	r := New(Plan{Seed: seed, Deployment: "kingston-called", Quick: true, Before: 4 * time.Second, FaultsFor: slowFor, After: 7 * time.Second,
 		Settle: 45 * time.Second, Patience: 5 * time.Second})
-	c := SmallCoreCosts
+	c := world.SmallCoreCosts
 	r.StepCosts, r.LoopBugs = &c, order
-	r.after(slowFrom, func() { slow(r) })
+	r.After(slowFrom, func() { slow(r) })
 	return r.Execute()
 }
 
@@ -46,13 +47,13 @@
 	"follower": func(r *Run, times float64) { r.slowProcessor(r.follower(), times, slowFor) },
 	"gateway":  func(r *Run, times float64) { r.slowProcessor(r.gateways[0], times, slowFor) },
 	"in turn": func(r *Run, times float64) {
-		for i, n := range []*node{r.leader(), r.follower(), r.gateways[0], r.gateways[1]} {
-			r.after(time.Duration(i)*slowFor/4, func() { r.slowProcessor(n, times, slowFor/4) })
+		for i, n := range []*world.Node{r.leader(), r.follower(), r.gateways[0], r.gateways[1]} {
+			r.After(time.Duration(i)*slowFor/4, func() { r.slowProcessor(n, times, slowFor/4) })
 		}
 	},
 }
 
-func (r *Run) follower() *node {
+func (r *Run) follower() *world.Node {
 	for _, n := range running(r.controllers) {
 		if n != r.leader() {
 			return n
@@ -72,12 +73,12 @@
 }
 
 func (r *Run) loopStats() (l loopStats) {
-	for _, n := range append(append([]*node{}, r.controllers...), r.gateways...) {
-		for c, d := range n.processor.longestWait {
+	for _, n := range append(append([]*world.Node{}, r.controllers...), r.gateways...) {
+		for c, d := range n.Processor.LongestWait {
 			l.longest[c] = max(l.longest[c], d)
 		}
-		l.rejectedByLoop += n.processor.Sums.Refused + n.processor.Sums.Expired
-		for _, list := range n.processor.requestDurations {
+		l.rejectedByLoop += n.Processor.RefusedRequests + n.Processor.ExpiredRequests
+		for _, list := range n.Processor.RequestDurations {
 			for _, d := range list {
 				l.longestRequest = max(l.longestRequest, d)
 			}
@@ -111,7 +112,7 @@
 			t.Run(fmt.Sprint(who, " ", times, " times slower"), func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
-				r := slowDay(int64(times), LoopBugs{}, func(r *Run) { slow(r, times) })
+				r := slowDay(int64(times), world.LoopBugs{}, func(r *Run) { slow(r, times) })
 				for _, b := range r.Verdict().Violations {
 					t.Error(b)
 				}
@@ -134,12 +135,12 @@
 		t.Skip("run without the race detector")
 	}
 	for name, c := range map[string]struct {
-		order  LoopBugs
+		order  world.LoopBugs
 		caught func(loopStats) bool
 	}{
-		"one queue":     {LoopBugs{SingleQueue: true}, func(l loopStats) bool { return l.longest[wire.ClassConsensus] > mostConsensusWait }},
-		"never refuses": {LoopBugs{NeverRejects: true}, func(l loopStats) bool { return l.longest[wire.ClassCallers] > mostRequestWait }},
-		"both": {LoopBugs{SingleQueue: true, NeverRejects: true}, func(l loopStats) bool {
+		"one queue":     {world.LoopBugs{SingleQueue: true}, func(l loopStats) bool { return l.longest[wire.ClassConsensus] > mostConsensusWait }},
+		"never refuses": {world.LoopBugs{NeverRejects: true}, func(l loopStats) bool { return l.longest[wire.ClassCallers] > mostRequestWait }},
+		"both": {world.LoopBugs{SingleQueue: true, NeverRejects: true}, func(l loopStats) bool {
 			return l.longest[wire.ClassConsensus] > mostConsensusWait
 		}},
 	} {
@@ -161,11 +162,11 @@
 		t.Skip("run without the race detector")
 	}
 	for name, c := range map[string]struct {
-		slow func(*Run) []*node
+		slow func(*Run) []*world.Node
 		most types.Term // terms, with the first
 	}{
-		"the leader": {func(r *Run) []*node { return []*node{r.leader()} }, 2},
-		"all":        {func(r *Run) []*node { return slices.Clone(r.controllers) }, 3},
+		"the leader": {func(r *Run) []*world.Node { return []*world.Node{r.leader()} }, 2},
+		"all":        {func(r *Run) []*world.Node { return slices.Clone(r.controllers) }, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -173,10 +174,10 @@
 			var was types.Addr
 			r := New(Plan{Seed: 4, Deployment: "kingston-called", Quick: true, Before: 8 * time.Second, FaultsFor: 30 * time.Second, After: 4 * time.Second,
 				Settle: 45 * time.Second, Patience: 5 * time.Second})
-			costs := SmallCoreCosts
+			costs := world.SmallCoreCosts
 			r.StepCosts = &costs
-			r.after(14*time.Second, func() {
-				was = r.leader().addr
+			r.After(14*time.Second, func() {
+				was = r.leader().Addr
 				for _, n := range c.slow(r) {
 					r.slowProcessor(n, 10, 26*time.Second)
 				}
@@ -186,13 +187,13 @@
 				t.Error(b)
 			}
 			l := r.loopStats()
-			t.Logf("%+v; led by %s, then %s", l, was, r.leader().addr)
+			t.Logf("%+v; led by %s, then %s", l, was, r.leader().Addr)
 			is.True(l.leaderTerms <= c.most)
 			is.True(l.longest[wire.ClassConsensus] <= mostConsensusWait)
 			is.True(l.longest[wire.ClassCallers] <= mostRequestWait)
 			if name == "the leader" {
 				is.Equal(l.handovers, uint64(1))
-				is.True(r.leader().addr != was)
+				is.True(r.leader().Addr != was)
 			}
 		})
 	}
--- a/sim/requests_test.go
+++ b/sim/requests_test.go
@@ -13,12 +13,13 @@
 	"coppercourse/internal/config"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/world"
 )
 
 // requestFrom asks a controller itself and gives its answer, if one comes in time.
-func (r *Run) requestFrom(n *node, verb wire.Verb, body any, within time.Duration) (a wire.Response, ok bool) {
-	r.request("operator", n.addr, verb, "", wire.EncodeBody(body), func(b wire.Response) { a, ok = b, true })
-	r.RunUntil(time.Duration(r.now) + within)
+func (r *Run) requestFrom(n *world.Node, verb wire.Verb, body any, within time.Duration) (a wire.Response, ok bool) {
+	r.Request("operator", n.Addr, verb, "", wire.EncodeBody(body), func(b wire.Response) { a, ok = b, true })
+	r.RunUntil(time.Duration(r.Now()) + within)
 	return
 }
 
@@ -40,16 +41,16 @@
 			r.RunUntil(8 * time.Second)
 			is.True(acked())
 			old := r.leader()
-			old.freeze()
+			old.Freeze()
 			var a wire.Response
 			got := false
 			var body any
 			if verb == "table.put" {
 				body = r.changedTable(2, 7)
 			}
-			r.request("operator", old.addr, verb, "", wire.EncodeBody(body), func(b wire.Response) { a, got = b, true }) // it is the first to come
+			r.Request("operator", old.Addr, verb, "", wire.EncodeBody(body), func(b wire.Response) { a, got = b, true }) // it is the first to come
 			r.RunUntil(18 * time.Second)
-			var heir *node
+			var heir *world.Node
 			for _, h := range r.controllers {
 				if h != old && r.controllerStatus(h).RaftRole == "leader" {
 					heir = h
@@ -58,8 +59,8 @@
 			is.True(heir != nil)
 			b, ok := r.requestFrom(heir, "table.put", r.changedTable(1, 5), time.Second)
 			is.True(ok && b.Error == nil)
-			old.thaw()
-			r.RunUntil(time.Duration(r.now) + 500*time.Millisecond)
+			old.Thaw()
+			r.RunUntil(time.Duration(r.Now()) + 500*time.Millisecond)
 			is.True(got)
 			is.True(a.Error != nil)
 			is.Equal(a.Error.Kind, apierror.NoLeader) // neither the old table nor a refusal by it
@@ -72,13 +73,13 @@
 func TestNobodyIsSentToALeaderThatIsNotHeard(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		apart func(r *Run, l *node) (a, b []types.Addr)
+		apart func(r *Run, l *world.Node) (a, b []types.Addr)
 		both  bool
 	}{
-		{"a follower is cut off", func(r *Run, l *node) (a, b []types.Addr) {
+		{"a follower is cut off", func(r *Run, l *world.Node) (a, b []types.Addr) {
 			for _, h := range r.controllers {
 				if h != l {
-					return []types.Addr{h.addr}, r.allExcept(h.addr)
+					return []types.Addr{h.Addr}, r.allExcept(h.Addr)
 				}
 			}
 			return
@@ -89,23 +90,23 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			r, _ := newControlRun(t, 92)
-			r.network = NetworkQuality{} // what is asked arrives, and so does the answer
+			r.Network.Quality = world.NetworkQuality{} // what is asked arrives, and so does the answer
 			r.RunUntil(8 * time.Second)
 			l := r.leader()
 			a, b := c.apart(r, l)
-			r.SetPartition(a, b, true, c.both)
-			from := r.now
-			for r.now < from+int64(20*time.Second) {
-				r.RunUntil(time.Duration(r.now) + 250*time.Millisecond)
+			r.Network.SetPartition(a, b, true, c.both)
+			from := r.Now()
+			for r.Now() < from+int64(20*time.Second) {
+				r.RunUntil(time.Duration(r.Now()) + 250*time.Millisecond)
 				for _, h := range r.controllers {
-					began := r.now
+					began := r.Now()
 					answer, ok := r.requestFrom(h, "table.get", nil, 60*time.Millisecond)
 					is.True(ok) // at once
-					is.True(answer.Leader != h.addr)
+					is.True(answer.Leader != h.Addr)
 					if answer.Leader != "" { // the one it names can have led within its lease
 						is.True(answer.Error.Kind == apierror.NoLeader)
-						reached := !r.partitioned[addressPair{answer.Leader, h.addr}]
-						is.True(reached || began-from < int64(r.raftTimeouts.MinElectionTimeout+100*time.Millisecond))
+						reached := !r.Network.IsPartitioned(answer.Leader, h.Addr)
+						is.True(reached || began-from < int64(r.RaftTimeouts.MinElectionTimeout+100*time.Millisecond))
 					}
 					if answer.Error != nil && answer.Leader == "" {
 						is.True(answer.Error.RetryAfterSeconds > 0)
--- a/sim/run.go
+++ b/sim/run.go
@@ -15,6 +15,7 @@
 	"coppercourse/sim/deployment"
 	"coppercourse/sim/history"
 	"coppercourse/sim/worker"
+	"coppercourse/sim/world"
 )
 
 // Plan is what a run does.
@@ -36,12 +37,12 @@
 
 // Run is a world with a deployment in it.
 type Run struct {
-	*World
+	*world.World
 	Plan         Plan
 	Clients      *Clients
-	controllers  []*node
-	gateways     []*node
-	agents       []*node
+	controllers  []*world.Node
+	gateways     []*world.Node
+	agents       []*world.Node
 	zones        map[types.Zone][]types.Addr
 	drained      map[string]bool // racks that an operator drains
 	endedAt      int64
@@ -53,59 +54,59 @@
 func New(p Plan) *Run { return newRun(p, deployment.ByName[p.Deployment]) }
 
 func newRun(p Plan, deployment deployment.Deployment) *Run {
-	r := &Run{World: NewWorld(p.Seed), Plan: p, zones: map[types.Zone][]types.Addr{}, drained: map[string]bool{}}
+	r := &Run{World: world.New(p.Seed), Plan: p, zones: map[types.Zone][]types.Addr{}, drained: map[string]bool{}}
 	size := deployment.Size
 	if deployment.Invoked() {
-		r.environment = worker.NewEnvironment(*deployment.WorkerRules)
+		r.Environment = worker.NewEnvironment(*deployment.WorkerRules)
 	}
 	if p.Quick {
-		r.timeouts, r.raftTimeouts = settings.QuickTimeouts.Dispatch(), settings.QuickTimeouts.Raft()
+		r.Timeouts, r.RaftTimeouts = settings.QuickTimeouts.Dispatch(), settings.QuickTimeouts.Raft()
 	}
 	if p.Timeouts != (protocol.Timeouts{}) {
-		r.timeouts = p.Timeouts
+		r.Timeouts = p.Timeouts
 	}
-	r.seeds = []types.Addr{"h1", "g1", "w1"}
+	r.Seeds = []types.Addr{"h1", "g1", "w1"}
 	for i := range size.Founders {
-		r.founders = append(r.founders, types.Addr(fmt.Sprintf("h%d", i+1)))
-		r.seeds = r.founders
+		r.Founders = append(r.Founders, types.Addr(fmt.Sprintf("h%d", i+1)))
+		r.Seeds = r.Founders
 	}
 	for i := range size.Controllers {
-		n := r.addController(types.Addr(fmt.Sprintf("h%d", i+1)), size.Zone(i))
-		n.firstStart = true
+		n := r.AddController(types.Addr(fmt.Sprintf("h%d", i+1)), size.Zone(i))
+		n.FirstStart = true
 		r.controllers = append(r.controllers, n)
 	}
 	for i := range size.Gateways {
-		r.gateways = append(r.gateways, r.addGateway(types.Addr(fmt.Sprintf("g%d", i+1)), size.Zone(i)))
+		r.gateways = append(r.gateways, r.AddGateway(types.Addr(fmt.Sprintf("g%d", i+1)), size.Zone(i)))
 	}
 	for i, m := range deployment.Workers() {
 		a := types.Addr(fmt.Sprintf("w%d", i+1))
-		r.agents = append(r.agents, r.addAgent(a, size.Zone(i), m))
+		r.agents = append(r.agents, r.AddAgent(a, size.Zone(i), m))
 		if deployment.Invoked() {
 			m.RejectsOverload = !p.Unguarded
-			r.addInvokedWorker(types.Addr(fmt.Sprintf("k%d", i+1)), a, size.Zone(i), m)
+			r.AddInvokedWorker(types.Addr(fmt.Sprintf("k%d", i+1)), a, size.Zone(i), m)
 			continue
 		}
-		r.addPollingWorker(types.Addr(fmt.Sprintf("k%d", i+1)), a, size.Zone(i), m)
+		r.AddPollingWorker(types.Addr(fmt.Sprintf("k%d", i+1)), a, size.Zone(i), m)
 	}
-	for _, a := range r.nodeOrder {
-		n := r.nodes[a]
-		r.zones[n.zone] = append(r.zones[n.zone], a)
-		if n.newMachine != nil {
-			r.after(time.Duration(r.random.Int63n(int64(300*time.Millisecond))), n.boot)
+	for _, a := range r.NodeOrder {
+		n := r.Nodes[a]
+		r.zones[n.Zone] = append(r.zones[n.Zone], a)
+		if n.NewMachine != nil {
+			r.After(time.Duration(r.Random.Int63n(int64(300*time.Millisecond))), n.Boot)
 		}
 	}
-	for _, h := range r.pollingWorkers {
-		r.after(time.Duration(r.random.Int63n(int64(500*time.Millisecond))), h.boot)
+	for _, h := range r.PollingWorkers {
+		r.After(time.Duration(r.Random.Int63n(int64(500*time.Millisecond))), h.Boot)
 	}
-	for _, k := range r.invokedWorkers {
-		r.after(time.Duration(r.random.Int63n(int64(500*time.Millisecond))), k.boot)
+	for _, k := range r.InvokedWorkers {
+		r.After(time.Duration(r.Random.Int63n(int64(500*time.Millisecond))), k.Boot)
 	}
 	r.Clients = &Clients{world: r.World, deployment: deployment, address: "caller", open: true, CancelRate: 0.04, RacingOperators: true, Refusals: map[apierror.Kind]int{},
 		MaxRetries: 30, cancelDelays: map[types.JobID]time.Duration{}}
 	for _, g := range r.gateways {
-		r.Clients.gateways = append(r.Clients.gateways, g.addr)
+		r.Clients.gateways = append(r.Clients.gateways, g.Addr)
 	}
-	r.network = NetworkQuality{LossRate: 0.001, DuplicateRate: 0.001, DelayRate: 0.001}
+	r.Network.Quality = world.NetworkQuality{LossRate: 0.001, DuplicateRate: 0.001, DelayRate: 0.001}
 	return r
 }
 
@@ -119,8 +120,8 @@
 			t.Queues[i].PartitionTimeoutMillis = t.Queues[i].UnresolvedTimeoutMillis
 		}
 	}
-	r.after(3*time.Second, func() { r.Clients.putTable(t, r.Clients.anyGateway(), 0, func(bool) {}) })
-	r.after(6*time.Second, func() {
+	r.After(3*time.Second, func() { r.Clients.putTable(t, r.Clients.anyGateway(), 0, func(bool) {}) })
+	r.After(6*time.Second, func() {
 		if r.startTraffic(); r.Clients.deployment.Invoked() {
 			r.Clients.startVersioningOperators()
 		} else {
@@ -131,27 +132,27 @@
 	from := 6*time.Second + p.Before
 	r.RunUntil(from)
 	for range p.FaultCount {
-		d := time.Duration(r.random.Int63n(int64(p.FaultsFor * 8 / 10)))
-		name := p.Faults[r.random.Intn(len(p.Faults))]
-		long := time.Duration(300+r.random.Intn(6000)) * time.Millisecond
-		r.after(d, func() { r.injectFault(name, long) })
+		d := time.Duration(r.Random.Int63n(int64(p.FaultsFor * 8 / 10)))
+		name := p.Faults[r.Random.Intn(len(p.Faults))]
+		long := time.Duration(300+r.Random.Intn(6000)) * time.Millisecond
+		r.After(d, func() { r.injectFault(name, long) })
 	}
 	r.RunUntil(from + p.FaultsFor)
 	r.Heal()
 	r.RunUntil(from + p.FaultsFor + p.After)
 	if p.LastFault {
-		r.injectFault(p.Faults[r.random.Intn(len(p.Faults))], 2*time.Second)
+		r.injectFault(p.Faults[r.Random.Intn(len(p.Faults))], 2*time.Second)
 	}
 	r.Clients.open = false
 	r.RunUntil(from + p.FaultsFor + p.After + 3*time.Second)
 	r.Heal()
 	r.RunUntil(from + p.FaultsFor + p.After + p.Settle)
-	r.endedAt = r.now
+	r.endedAt = r.Now()
 	return r
 }
 
 func (r *Run) startTableReads() {
-	r.after(700*time.Millisecond, func() {
+	r.After(700*time.Millisecond, func() {
 		if r.Clients.open {
 			r.Clients.readTable(nil)
 			r.startTableReads()
@@ -161,38 +162,39 @@
 
 // Heal ends all faults: everything that is down starts, all cuts go.
 func (r *Run) Heal() {
-	clear(r.partitioned)
-	clear(r.connectionResets)
-	r.ackLossRate, r.watchers, r.Clients.BurstFactor = 0, nil, 0
-	r.network = NetworkQuality{LossRate: 0.001, DuplicateRate: 0.001, DelayRate: 0.001}
-	for _, a := range r.nodeOrder {
-		n := r.nodes[a]
-		if n.newMachine == nil {
+	r.Network.HealPartitions()
+	r.Network.ClearResets()
+	r.Network.AckLossRate, r.Clients.BurstFactor = 0, 0
+	r.ClearWatchers()
+	r.Network.Quality = world.NetworkQuality{LossRate: 0.001, DuplicateRate: 0.001, DelayRate: 0.001}
+	for _, a := range r.NodeOrder {
+		n := r.Nodes[a]
+		if n.NewMachine == nil {
 			continue
 		}
-		n.thaw()
-		if n.disk != nil {
-			n.disk.extraLatency, n.disk.stalledUntil, n.disk.full = 0, 0, false
+		n.Thaw()
+		if n.Disk != nil {
+			n.Disk.ExtraLatency, n.Disk.StalledUntil, n.Disk.Full = 0, 0, false
 		}
-		if n.machine == nil {
-			n.boot()
+		if n.Machine == nil {
+			n.Boot()
 		}
 	}
-	for _, h := range r.pollingWorkers {
-		h.setLeaving(false, 0)
-		h.thaw()
-		if h.worker == nil {
-			h.boot()
+	for _, h := range r.PollingWorkers {
+		h.SetLeaving(false, 0)
+		h.Thaw()
+		if h.Worker == nil {
+			h.Boot()
 		}
-		h.worker.WorkerSpec = h.spec
-		if h.worker.Slowdown == 0 {
-			h.worker.Slowdown = 1
+		h.Worker.WorkerSpec = h.Spec
+		if h.Worker.Slowdown == 0 {
+			h.Worker.Slowdown = 1
 		}
 	}
-	for _, k := range r.invokedWorkers {
-		k.heal()
+	for _, k := range r.InvokedWorkers {
+		k.Heal()
 	}
-	r.record(history.Event{Kind: history.FaultsHealed})
+	r.Record(history.Event{Kind: history.FaultsHealed})
 }
 
 // startTraffic begins all that a deployment's callers send.
@@ -215,7 +217,7 @@
 	if c := ControlFaults[name]; c != nil {
 		f = c
 	}
-	if c := InvokedFaults[name]; c != nil && r.environment != nil {
+	if c := InvokedFaults[name]; c != nil && r.Environment != nil {
 		f = c
 	}
 	if f == nil {
@@ -226,8 +228,8 @@
 	if end == nil {
 		return
 	}
-	r.record(history.Event{Kind: history.FaultStarted, Text: fmt.Sprintf("%s for %s", name, duration), Affected: r.affected})
-	r.after(duration, end)
+	r.Record(history.Event{Kind: history.FaultStarted, Text: fmt.Sprintf("%s for %s", name, duration), Affected: r.affected})
+	r.After(duration, end)
 }
 
 // FaultNames lists the table.
--- a/sim/scale.go
+++ b/sim/scale.go
@@ -23,6 +23,7 @@
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 	"coppercourse/sim/history"
+	"coppercourse/sim/world"
 )
 
 // The size to design for, at its peak.
@@ -52,37 +53,37 @@
 
 // NewScaleRun sets such a fleet up without traffic.
 func NewScaleRun(seed int64, s Scale) *Run {
-	r := &Run{World: NewWorld(seed), zones: map[types.Zone][]types.Addr{}, drained: map[string]bool{}}
+	r := &Run{World: world.New(seed), zones: map[types.Zone][]types.Addr{}, drained: map[string]bool{}}
 	zone := func(i int) types.Zone { return types.Zone(fmt.Sprintf("z%d", i%s.Zones+1)) }
 	addr := func(part, i int) types.Addr {
 		return types.Addr(fmt.Sprintf("10.%d.%d.%d:7400", part, i/200, i%200+1))
 	}
-	r.seeds = []types.Addr{addr(1, 0), addr(2, 0), addr(3, 0)}
+	r.Seeds = []types.Addr{addr(1, 0), addr(2, 0), addr(3, 0)}
 	for i := range s.Controllers {
-		r.controllers = append(r.controllers, r.addController(addr(1, i), zone(i)))
+		r.controllers = append(r.controllers, r.AddController(addr(1, i), zone(i)))
 	}
 	for i := range s.Gateways {
-		r.gateways = append(r.gateways, r.addGateway(addr(2, i), zone(i)))
+		r.gateways = append(r.gateways, r.AddGateway(addr(2, i), zone(i)))
 	}
 	for i := range s.Agents {
 		m := history.WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/20+1)), Kinds: []types.ServiceKind{"quote", "menu"},
 			Capacity: types.Resources{Cores: 16, MemoryMB: 16 << 10}}
-		r.agents = append(r.agents, r.addAgent(addr(3, i), zone(i), m))
-		r.addPollingWorker(addr(4, i), addr(3, i), zone(i), m)
+		r.agents = append(r.agents, r.AddAgent(addr(3, i), zone(i), m))
+		r.AddPollingWorker(addr(4, i), addr(3, i), zone(i), m)
 	}
-	for _, a := range r.nodeOrder {
-		n := r.nodes[a]
-		r.zones[n.zone] = append(r.zones[n.zone], a)
-		if n.newMachine != nil {
-			r.after(time.Duration(r.random.Int63n(int64(300*time.Millisecond))), n.boot)
+	for _, a := range r.NodeOrder {
+		n := r.Nodes[a]
+		r.zones[n.Zone] = append(r.zones[n.Zone], a)
+		if n.NewMachine != nil {
+			r.After(time.Duration(r.Random.Int63n(int64(300*time.Millisecond))), n.Boot)
 		}
 	}
-	for _, h := range r.pollingWorkers {
-		r.after(time.Duration(r.random.Int63n(int64(500*time.Millisecond))), h.boot)
+	for _, h := range r.PollingWorkers {
+		r.After(time.Duration(r.Random.Int63n(int64(500*time.Millisecond))), h.Boot)
 	}
 	r.Clients = &Clients{world: r.World, address: "caller", open: true, Refusals: map[apierror.Kind]int{}}
 	for _, g := range r.gateways {
-		r.Clients.gateways = append(r.Clients.gateways, g.addr)
+		r.Clients.gateways = append(r.Clients.gateways, g.Addr)
 	}
 	return r
 }
@@ -102,7 +103,7 @@
 // RoleUsage is what the daemons of one role spent in the window.
 type RoleUsage struct {
 	Role  string
-	Each  []Usage
+	Each  []world.Usage
 	State []int // bytes, of a few of them
 }
 
@@ -126,7 +127,7 @@
 	s := NewScale(p.Daemons)
 	r := NewScaleRun(p.Seed, s)
 	if p.Regions > 0 {
-		r.regionDelay = r.regionDelays(p.Regions)
+		r.Network.RegionDelay = r.regionDelays(p.Regions)
 	}
 	if p.Limit > 0 {
 		r.realDeadline = from.Add(p.Limit)
@@ -137,7 +138,7 @@
 		return nil, err
 	}
 	acked := false
-	r.Clients.putTable(table, r.gateways[0].addr, 0, func(ok bool) { acked = ok })
+	r.Clients.putTable(table, r.gateways[0].Addr, 0, func(ok bool) { acked = ok })
 	if err := r.await(20*time.Second, "the first table and all workers healthy", func() bool { return acked && r.healthyWorkers() == s.Agents }); err != nil {
 		return nil, err
 	}
@@ -168,9 +169,9 @@
 // regionDelays lays the zones out in three regions, by their numbers.
 func (r *Run) regionDelays(lag time.Duration) func(from, to types.Addr) time.Duration {
 	region := map[types.Addr]int{}
-	for a, n := range r.nodes {
+	for a, n := range r.Nodes {
 		var i int
-		fmt.Sscanf(string(n.zone), "z%d", &i)
+		fmt.Sscanf(string(n.Zone), "z%d", &i)
 		region[a] = i % 3
 	}
 	return func(from, to types.Addr) time.Duration {
@@ -183,8 +184,8 @@
 
 // await lets the world go on until something holds.
 func (r *Run) await(limit time.Duration, what string, holds func() bool) error {
-	for until := r.now + int64(limit); !holds(); r.RunUntil(time.Duration(r.now) + 5*time.Millisecond) {
-		if r.now > until {
+	for until := r.Now() + int64(limit); !holds(); r.RunUntil(time.Duration(r.Now()) + 5*time.Millisecond) {
+		if r.Now() > until {
 			return fmt.Errorf("not within %s of simulated time: %s", limit, what)
 		}
 		if !r.realDeadline.IsZero() && time.Now().After(r.realDeadline) {
@@ -196,21 +197,21 @@
 
 // runFor lets a stretch of time go by.
 func (r *Run) runFor(d time.Duration) error {
-	end := r.now + int64(d)
-	return r.await(2*d, fmt.Sprintf("%s to go by", d), func() bool { return r.now >= end })
+	end := r.Now() + int64(d)
+	return r.await(2*d, fmt.Sprintf("%s to go by", d), func() bool { return r.Now() >= end })
 }
 
 func (r *Run) formed() bool {
-	ready := func(n *node) bool { return n.machine != nil && n.machine.(interface{ Ready() bool }).Ready() }
-	return !slices.ContainsFunc(r.gateways, func(n *node) bool { return !ready(n) }) && slices.ContainsFunc(r.controllers, ready) && r.leader() != nil
+	ready := func(n *world.Node) bool { return n.Machine != nil && n.Machine.(interface{ Ready() bool }).Ready() }
+	return !slices.ContainsFunc(r.gateways, func(n *world.Node) bool { return !ready(n) }) && slices.ContainsFunc(r.controllers, ready) && r.leader() != nil
 }
 
 func (r *Run) healthyWorkers() (n int) {
 	l := r.leader()
-	if l == nil || r.now/1e6%100 != 0 {
+	if l == nil || r.Now()/1e6%100 != 0 {
 		return
 	}
-	for _, w := range l.machine.(*controller.Controller).Workers() {
+	for _, w := range l.Machine.(*controller.Controller).Workers() {
 		if w.State == protocol.WorkerHealthy {
 			n++
 		}
@@ -234,7 +235,7 @@
 }
 
 func (r *Run) submit(id string, s state.Spec) {
-	r.record(history.Event{Kind: history.JobSubmitted, Job: types.JobID(id), Spec: &s})
+	r.Record(history.Event{Kind: history.JobSubmitted, Job: types.JobID(id), Spec: &s})
 	r.Clients.submit(types.JobID(id), wire.EncodeBody(s), r.Clients.anyGateway(), 0)
 }
 
@@ -256,23 +257,23 @@
 		again = func() {
 			n++
 			f()
-			r.after(every, again)
+			r.After(every, again)
 		}
-		r.after(time.Duration(r.random.Int63n(int64(every))), again)
+		r.After(time.Duration(r.Random.Int63n(int64(every))), again)
 	}
 	next(time.Duration(float64(tasks)/starts*float64(time.Second)), func() {
-		r.submit(fmt.Sprint("short-", n), oneStepJob("short", r.random.Intn(3), tasks, false, 500+r.random.Intn(2000)))
+		r.submit(fmt.Sprint("short-", n), oneStepJob("short", r.Random.Intn(3), tasks, false, 500+r.Random.Intn(2000)))
 	})
 	next(5*time.Second, func() {
-		r.submit(fmt.Sprint("gang-", n), oneStepJob("gang", r.random.Intn(3), max(2, fullGang*s.Agents/FullWorkers), true, 1000))
+		r.submit(fmt.Sprint("gang-", n), oneStepJob("gang", r.Random.Intn(3), max(2, fullGang*s.Agents/FullWorkers), true, 1000))
 	})
 	return nil
 }
 
 func (r *Run) runningTasks() (n int) {
-	for _, h := range r.pollingWorkers {
-		if h.worker != nil {
-			n += h.worker.Running()
+	for _, h := range r.PollingWorkers {
+		if h.Worker != nil {
+			n += h.Worker.Running()
 		}
 	}
 	return
@@ -285,18 +286,18 @@
 	}
 	lead := r.leader()
 	m.Steps = hdrhistogram.New(100, int64(time.Minute), 3)
-	lead.stepTimes = m.Steps
-	for _, n := range r.nodes {
-		n.usage = Usage{}
+	lead.StepTimes = m.Steps
+	for _, n := range r.Nodes {
+		n.Usage = world.Usage{}
 	}
 	r.Metering = true
 	if err := r.runFor(m.Window); err != nil {
 		return err
 	}
 	r.Metering = false
-	lead.stepTimes = nil
+	lead.StepTimes = nil
 	m.RunningTasks = r.runningTasks()
-	var others []*node
+	var others []*world.Node
 	for _, h := range r.controllers {
 		if h != lead {
 			others = append(others, h)
@@ -304,13 +305,13 @@
 	}
 	for _, x := range []struct {
 		role string
-		list []*node
-	}{{"leader", []*node{lead}}, {"follower", others}, {"gateway", r.gateways}, {"agent", r.agents}} {
+		list []*world.Node
+	}{{"leader", []*world.Node{lead}}, {"follower", others}, {"gateway", r.gateways}, {"agent", r.agents}} {
 		u := RoleUsage{Role: x.role}
 		for i, n := range x.list {
-			u.Each = append(u.Each, n.usage)
+			u.Each = append(u.Each, n.Usage)
 			if i < 4 {
-				u.State = append(u.State, Footprint(n.machine))
+				u.State = append(u.State, world.Footprint(n.Machine))
 			}
 		}
 		m.Roles = append(m.Roles, u)
@@ -320,25 +321,25 @@
 
 // timeTableChange puts another table and waits until every gateway has it.
 func (r *Run) timeTableChange(t *config.Table) (time.Duration, error) {
-	from := r.now
+	from := r.Now()
 	next := *t
 	next.Version, next.Queues = t.Version+1, slices.Clone(t.Queues)
-	next.Queues[0].Weight = 1 + rand.New(rand.NewSource(r.now)).Intn(900)
+	next.Queues[0].Weight = 1 + rand.New(rand.NewSource(r.Now())).Intn(900)
 	acked := false
 	r.Clients.putTable(next, r.Clients.anyGateway(), 0, func(ok bool) { acked = ok })
 	err := r.await(20*time.Second, "a table in force at every gateway", func() bool {
-		return acked && !slices.ContainsFunc(r.gateways, func(n *node) bool {
-			have, fresh := n.machine.(*gateway.Gateway).Table()
+		return acked && !slices.ContainsFunc(r.gateways, func(n *world.Node) bool {
+			have, fresh := n.Machine.(*gateway.Gateway).Table()
 			return !fresh || have.Version <= next.Version
 		})
 	})
 	*t = next
-	return time.Duration(r.now - from), err
+	return time.Duration(r.Now() - from), err
 }
 
 // timeUrgentJob sends one urgent task and waits until a worker has started it.
 func (r *Run) timeUrgentJob(i int) (time.Duration, error) {
-	from, id := r.now, fmt.Sprint("urgent-", i)
+	from, id := r.Now(), fmt.Sprint("urgent-", i)
 	s := oneStepJob("urgent", i%3, 1, false, 50)
 	s.Urgency = 9
 	r.submit(id, s)
@@ -357,9 +358,9 @@
 
 // measureSuccession kills the leader and waits for the next and for all to know it.
 func (r *Run) measureSuccession(m *Measurement) error {
-	from := r.now
-	r.leader().kill()
-	var lead *node
+	from := r.Now()
+	r.leader().Kill()
+	var lead *world.Node
 	err := r.await(20*time.Second, "another leader", func() bool {
 		lead = r.leader()
 		return lead != nil
@@ -367,13 +368,13 @@
 	if err != nil {
 		return err
 	}
-	at := r.now
+	at := r.Now()
 	m.ElectionTime = time.Duration(at - from)
 	err = r.await(30*time.Second, "the new leader known to all", func() bool {
-		return !slices.ContainsFunc(slices.Concat(r.gateways, r.agents), func(n *node) bool {
-			return n.machine.(interface{ Leader() types.Addr }).Leader() != lead.addr
+		return !slices.ContainsFunc(slices.Concat(r.gateways, r.agents), func(n *world.Node) bool {
+			return n.Machine.(interface{ Leader() types.Addr }).Leader() != lead.Addr
 		})
 	})
-	m.LeaderKnownTime = time.Duration(r.now - at)
+	m.LeaderKnownTime = time.Duration(r.Now() - at)
 	return err
 }
--- a/sim/scale_test.go
+++ b/sim/scale_test.go
@@ -3,6 +3,7 @@
 package sim
 
 import (
+	"coppercourse/sim/world"
 	"testing"
 	"time"
 
@@ -18,7 +19,7 @@
 		}
 		n := float64(len(u.Each)) * m.Window.Seconds()
 		for _, x := range u.Each {
-			c, k := x.Control(), x.Sent[MembershipMessages].plus(x.Received[MembershipMessages])
+			c, k := x.Control(), x.Sent[world.MembershipMessages].Plus(x.Received[world.MembershipMessages])
 			messages, bytes, roster = messages+float64(c.Messages)/n, bytes+float64(c.Bytes)/n, roster+float64(k.Bytes)/n
 		}
 	}
--- a/sim/schedule_test.go
+++ b/sim/schedule_test.go
@@ -49,8 +49,8 @@
 	if plant != nil {
 		plant(r)
 	}
-	r.after(3*time.Second, func() { r.Clients.putTable(d.Table(), "g1", 0, func(bool) {}) })
-	r.after(scheduleStart, func() {
+	r.After(3*time.Second, func() { r.Clients.putTable(d.Table(), "g1", 0, func(bool) {}) })
+	r.After(scheduleStart, func() {
 		r.startTraffic()
 		for range 2 {
 			r.changes()
@@ -58,17 +58,17 @@
 	})
 	names := append([]string{"kill-leader", "freeze-leader", "cut-core", "cut-core-in", "cut-core-out", "cut-leader", "cut-zone", "stall-disk", "slow-disk",
 		"lose-disk", "swap-controller", "handover", "power-all", "lure-workers", "kill-gateway"}, controlFaultNames()...)
-	for at := scheduleStart + 2*time.Second; at < scheduleStart+span; at += time.Duration(r.random.Int63n(2 * int64(faultEvery))) {
-		name := pickOne(r.random, names)
-		long := 200*time.Millisecond + time.Duration(r.random.Int63n(int64(longestFault)))
-		r.after(at, func() { r.injectFault(name, long) })
+	for at := scheduleStart + 2*time.Second; at < scheduleStart+span; at += time.Duration(r.Random.Int63n(2 * int64(faultEvery))) {
+		name := pickOne(r.Random, names)
+		long := 200*time.Millisecond + time.Duration(r.Random.Int63n(int64(longestFault)))
+		r.After(at, func() { r.injectFault(name, long) })
 	}
 	r.RunUntil(scheduleStart + span)
 	r.Heal()
 	r.advance(4 * time.Second)
 	r.Clients.open = false
 	r.advance(32 * time.Second)
-	r.endedAt = r.now
+	r.endedAt = r.Now()
 	return r
 }
 
@@ -83,7 +83,7 @@
 // changes has an operator read the table and put a change on it, again and again; the
 // other one does so too, and they race.
 func (r *Run) changes() {
-	r.after(changeEvery/2+time.Duration(r.random.Int63n(int64(changeEvery))), func() {
+	r.After(changeEvery/2+time.Duration(r.Random.Int63n(int64(changeEvery))), func() {
 		if !r.Clients.open {
 			return
 		}
--- a/sim/silent_test.go
+++ b/sim/silent_test.go
@@ -8,6 +8,7 @@
 
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
+	"coppercourse/sim/world"
 )
 
 // A controller that is cut off is asked whether it is there, and sent nothing more:
@@ -15,14 +16,14 @@
 func TestASilentControllerIsSentNoEntries(t *testing.T) {
 	is := is.New(t)
 	r := New(Plan{Seed: 5, Deployment: "kingston"})
-	r.after(5*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
-	r.after(7*time.Second, func() {
+	r.After(5*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
+	r.After(7*time.Second, func() {
 		for _, f := range r.Clients.deployment.Flows {
 			r.Clients.startFlow(f)
 		}
 	})
 	r.RunUntil(10 * time.Second)
-	var lead, away *node
+	var lead, away *world.Node
 	for _, n := range r.controllers {
 		if s := r.controllerStatus(n); s.RaftRole == "leader" {
 			lead = n
@@ -32,19 +33,19 @@
 	}
 	sent, most := 0, 0
 	r.TamperMessage = func(s *wire.OutboundMessage) bool {
-		if s.Message.From == lead.addr && s.To == away.addr && s.Message.Kind == wire.AppendEntries {
+		if s.Message.From == lead.Addr && s.To == away.Addr && s.Message.Kind == wire.AppendEntries {
 			sent += len(s.Message.Body)
 			most = max(most, len(s.Message.Body))
 		}
 		return true
 	}
-	r.SetPartition([]types.Addr{away.addr}, r.nodeOrder, true, true)
+	r.Network.SetPartition([]types.Addr{away.Addr}, r.NodeOrder, true, true)
 	r.RunUntil(12 * time.Second)
 	sent, most = 0, 0
 	r.RunUntil(20 * time.Second)
 	is.True(sent > 0)   // it is asked
 	is.True(most < 500) // with no entries
-	r.SetPartition([]types.Addr{away.addr}, r.nodeOrder, true, false)
+	r.Network.SetPartition([]types.Addr{away.Addr}, r.NodeOrder, true, false)
 	r.RunUntil(30 * time.Second)
 	a, b := r.controllerStatus(lead), r.controllerStatus(away)
 	is.Equal(a.RaftRole, "leader")
--- a/sim/turnover_test.go
+++ b/sim/turnover_test.go
@@ -21,9 +21,9 @@
 	r.Clients.RacingOperators, r.Clients.CancelRate = false, 0
 	const sync = 40 * time.Millisecond
 	for _, n := range r.controllers {
-		n.disk.extraLatency = sync
+		n.Disk.ExtraLatency = sync
 	}
-	r.after(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
+	r.After(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
 	r.RunUntil(8 * time.Second)
 	r.submitJob("wide", state.Spec{Queue: "menus", Steps: []state.Step{{Name: "s0", Kind: "work", Resources: types.Resources{Cores: 9 * types.Core, MemoryMB: 64}, Tasks: 200,
 		Work: worker.Work{DurationMS: 300}.Encode(), EstimateMillis: 300}}})
--- a/sim/upkeep_test.go
+++ b/sim/upkeep_test.go
@@ -26,8 +26,8 @@
 	r.Clients.RacingOperators, r.Clients.CancelRate = false, 0
 	t := r.Clients.deployment.Table()
 	change(&t)
-	r.after(3*time.Second, func() { r.Clients.putTable(t, "g1", 0, func(bool) {}) })
-	r.after(6*time.Second, func() {
+	r.After(3*time.Second, func() { r.Clients.putTable(t, "g1", 0, func(bool) {}) })
+	r.After(6*time.Second, func() {
 		if flows == nil {
 			flows = r.Clients.deployment.Flows
 		}
@@ -41,7 +41,7 @@
 
 // submitJob sends one job and gives when each of its tasks first started, by -1.
 func (r *Run) submitJob(id string, s state.Spec) {
-	r.record(history.Event{Kind: history.JobSubmitted, Job: types.JobID(id), Spec: &s})
+	r.Record(history.Event{Kind: history.JobSubmitted, Job: types.JobID(id), Spec: &s})
 	r.Clients.submit(types.JobID(id), wire.EncodeBody(s), r.Clients.anyGateway(), 0)
 }
 
@@ -58,8 +58,8 @@
 func (r *Run) settleAndCheck(t *testing.T, wait time.Duration) checker.Coverage {
 	t.Helper()
 	r.Clients.open = false
-	r.RunUntil(time.Duration(r.now) + wait)
-	breaks, seen := checker.Check(&r.History, checker.DefaultBounds, r.now, 30*time.Second)
+	r.RunUntil(time.Duration(r.Now()) + wait)
+	breaks, seen := checker.Check(&r.History, checker.DefaultBounds, r.Now(), 30*time.Second)
 	for i, b := range breaks {
 		if i < 6 {
 			t.Error(b)
@@ -118,8 +118,8 @@
 
 // observeJob asks after a job now.
 func (r *Run) observeJob(id types.JobID) (h history.Event) {
-	r.request(r.Clients.address, "g2", "job.get", string(id), nil, func(a wire.Response) { r.Clients.recordObservation(id, a) })
-	r.RunUntil(time.Duration(r.now) + 300*time.Millisecond)
+	r.Request(r.Clients.address, "g2", "job.get", string(id), nil, func(a wire.Response) { r.Clients.recordObservation(id, a) })
+	r.RunUntil(time.Duration(r.Now()) + 300*time.Millisecond)
 	for _, x := range r.History.Events {
 		if x.Kind == history.JobObserved && x.Job == id {
 			h = x
@@ -132,7 +132,7 @@
 func fillWorkers(r *Run, n, ms int) {
 	for i := range n {
 		r.submitJob(fmt.Sprint("menus-fill", i), state.Spec{Queue: "menus", Steps: []state.Step{{Name: "f", Kind: "menu", Resources: types.Resources{Cores: 4 * types.Core}, Tasks: 40,
-			Work: deployment.RandomWork(r.random, ms, ms)}}})
+			Work: deployment.RandomWork(r.Random, ms, ms)}}})
 	}
 }
 
@@ -155,7 +155,7 @@
 			r := newBusyRun(33, func(t *config.Table) { t.Queues[2].CanPreempt, t.Queues[2].SharePercent = on, c.share })
 			fillWorkers(r, 3, 25_000)
 			r.RunUntil(20 * time.Second)
-			from := time.Duration(r.now)
+			from := time.Duration(r.Now())
 			r.submitJob("payments-big", state.Spec{Queue: "payments", Urgency: c.urgency, Steps: []state.Step{{Name: "b", Kind: "menu",
 				Resources: types.Resources{Cores: 14 * types.Core}, Tasks: 2, Gang: true, MaxPerWorker: 1, Work: []byte(`{"ms":500}`)}}})
 			r.RunUntil(from + 30*time.Second)
@@ -196,15 +196,15 @@
 			}
 		})
 		fillWorkers(r, 1, 12_000)
-		open, shut := r.now+int64(40*time.Second), r.now+int64(52*time.Second)
+		open, shut := r.Now()+int64(40*time.Second), r.Now()+int64(52*time.Second)
 		plan := state.Calendar{Name: "roof", Target: state.Target{Rack: "r1"}, Windows: [][2]types.WallTime{{types.WallTime(history.WallClockStart + open), types.WallTime(history.WallClockStart + shut)}}}
 		r.Clients.requestAsOperator("plan.put", "roof", wire.EncodeBody(plan), 0, func() {})
 		r.RunUntil(time.Duration(open) - 3*time.Second)
-		r.leader().kill() // the windows outlive a change of leader
+		r.leader().Kill() // the windows outlive a change of leader
 		r.RunUntil(time.Duration(open) - time.Second)
 		for _, n := range r.controllers {
-			if n.machine == nil {
-				n.boot()
+			if n.Machine == nil {
+				n.Boot()
 			}
 		}
 		r.RunUntil(time.Duration(shut) + 15*time.Second)
@@ -240,7 +240,7 @@
 	rate := func(n int, how func(*history.WorkerSpec)) float64 {
 		r := newBusyRun(50, func(*config.Table) {})
 		for i := range n {
-			how(&r.pollingWorkers[i*4%11].worker.WorkerSpec)
+			how(&r.PollingWorkers[i*4%11].Worker.WorkerSpec)
 		}
 		r.RunUntil(70 * time.Second)
 		return history.CompletionRate(&r.History, int64(30*time.Second), int64(70*time.Second))
@@ -278,7 +278,7 @@
 	r.RunUntil(20 * time.Second)
 	var waits []time.Duration
 	for i := range 4 {
-		id, from := fmt.Sprint("payments-large", i), time.Duration(r.now)
+		id, from := fmt.Sprint("payments-large", i), time.Duration(r.Now())
 		r.submitJob(id, state.Spec{Queue: "payments", Steps: []state.Step{{Name: "l", Kind: "menu", Resources: types.Resources{Cores: 16 * types.Core}, Tasks: 1, TimeLimitMillis: 5000, Work: []byte(`{"ms":1000}`)}}})
 		r.RunUntil(from + 15*time.Second)
 		at, ok := r.firstStart(id)
@@ -292,8 +292,8 @@
 			n++
 		}
 	}
-	cores := coreSeconds(&r.History, int64(20*time.Second), r.now)
-	long := (time.Duration(r.now) - 20*time.Second).Seconds()
+	cores := coreSeconds(&r.History, int64(20*time.Second), r.Now())
+	long := (time.Duration(r.Now()) - 20*time.Second).Seconds()
 	t.Logf("large tasks waited %v; %.1f small tasks a second; %.0f of 176 cores in use", waits, float64(n)/long, cores/long)
 }
 
--- a/sim/verdict.go
+++ b/sim/verdict.go
@@ -32,8 +32,8 @@
 func (r *Run) Verdict() (v Verdict) {
 	b := checker.DefaultBounds
 	b.ShortPatience = r.Plan.Patience < 10*time.Second
-	if r.environment != nil {
-		v.Violations, v.Coverage = checker.CheckInvoked(&r.History, checker.InvokedBounds(r.environment.Rules), r.endedAt)
+	if r.Environment != nil {
+		v.Violations, v.Coverage = checker.CheckInvoked(&r.History, checker.InvokedBounds(r.Environment.Rules), r.endedAt)
 	} else {
 		v.Violations, v.Coverage = checker.Check(&r.History, b, r.endedAt, r.Plan.Patience)
 	}
@@ -66,10 +66,10 @@
 		text string
 	}
 	var lines []line
-	for _, a := range r.nodeOrder {
-		n := r.nodes[a]
+	for _, a := range r.NodeOrder {
+		n := r.Nodes[a]
 		var ring *trace.Ring
-		switch m := n.machine.(type) {
+		switch m := n.Machine.(type) {
 		case *controller.Controller:
 			ring = m.Trace
 		case *gateway.Gateway:
@@ -80,7 +80,7 @@
 			continue
 		}
 		for _, k := range ring.Points(trace.JobSubject(types.JobID(id))) {
-			lines = append(lines, line{int64(k.At) - history.WallClockStart - int64(n.wallOffset), string(a) + " " + k.Description})
+			lines = append(lines, line{int64(k.At) - history.WallClockStart - int64(n.WallOffset), string(a) + " " + k.Description})
 		}
 	}
 	sort.SliceStable(lines, func(i, k int) bool { return lines[i].at < lines[k].at })
--- a/sim/usage_test.go
+++ b/sim/world/usage_test.go
@@ -1,6 +1,6 @@
 // What is counted as on the wire is held against a real client and server, and
 // the footprint against values whose size is known.
-package sim
+package world
 
 import (
 	"context"
@@ -112,7 +112,8 @@
 	to := func(to types.Addr) []wire.OutboundMessage {
 		sends = nil
 		for _, kind := range []wire.Kind{wire.Heartbeat, wire.HeartbeatReply} {
-			sends = append(sends, wire.NewMessage("127.0.0.1:7400", to, kind, json.RawMessage(`{"stamp":123456789,"sound":true}`)))
+			sends = append(sends, wire.NewMessage("127.0.0.1:7400", to, kind,
+				json.RawMessage(`{"stamp":123456789,"sound":true}`)))
 		}
 		return sends
 	}
