--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -117,7 +117,7 @@
 			task := types.TaskID{Job: j.ID, Number: number}
 			for _, attempt := range j.Tasks[i].Outstanding() {
 				list = append(list, scheduler.OutstandingAttempt{
-					Attempt:      types.AttemptID{TaskID: task, Attempt: attempt.Number},
+					ID:           types.AttemptID{TaskID: task, Attempt: attempt.Number},
 					Shard:        attempt.Shard,
 					Stage:        at,
 					Resources:    j.Spec.Steps[at.Step()].Resources,
--- a/internal/controller/slot_cache_test.go
+++ b/internal/controller/slot_cache_test.go
@@ -57,7 +57,7 @@
 	}
 	for _, attempt := range l.scheduler.Attempts() {
 		if i, ok := position[attempt.Shard]; ok {
-			addAttempt(&list[i], attempt, l.ends.released[attempt.Attempt], now)
+			addAttempt(&list[i], attempt, l.ends.released[attempt.ID], now)
 		}
 	}
 	return list, total
@@ -75,7 +75,7 @@
 	}
 	slot.IdleIn = max(slot.IdleIn, left)
 	if attempt.Stage >= 0 {
-		slot.TasksByGroup[placement.TaskGroup{Job: attempt.Attempt.Job, Stage: attempt.Stage}]++
+		slot.TasksByGroup[placement.TaskGroup{Job: attempt.ID.Job, Stage: attempt.Stage}]++
 	}
 }
 
--- a/internal/dispatch/scheduler/attempt_index_test.go
+++ b/internal/dispatch/scheduler/attempt_index_test.go
@@ -17,7 +17,7 @@
 
 func randomAttempt(random *rand.Rand, id types.AttemptID, now types.MonoTime) *OutstandingAttempt {
 	return &OutstandingAttempt{
-		Attempt:   id,
+		ID:        id,
 		Shard:     types.Shard(fmt.Sprint("s", random.Intn(4))),
 		Stage:     types.Stage(random.Intn(3) - 1),
 		Resources: types.Resources{Cores: types.MilliCores(1 + random.Intn(3))},
@@ -77,7 +77,7 @@
 		}
 		// No overdue one is missed.
 		is.True(attempt.phase != orderSent || now.Sub(attempt.OrderedAt) <= overdueAfter)
-		is.Equal(index.byID[attempt.Attempt], attempt)
+		is.Equal(index.byID[attempt.ID], attempt)
 	}
 	is.Equal(len(index.all()), len(reference))
 	is.Equal(index.unconfirmed, unconfirmedCount)
--- a/internal/dispatch/scheduler/health_check_test.go
+++ b/internal/dispatch/scheduler/health_check_test.go
@@ -83,7 +83,7 @@
 			sc, worker := newTestScheduler()
 			sc.cluster = test.cluster
 			id := types.AttemptID{TaskID: types.TaskID{Job: "j"}, Attempt: 1}
-			sc.attempts.add(&OutstandingAttempt{Attempt: id, Shard: "s", Checkpoint: "c"})
+			sc.attempts.add(&OutstandingAttempt{ID: id, Shard: "s", Checkpoint: "c"})
 			sc.now = worker.LastHealthyAt.Add(protocol.DefaultTimeouts.LostAfter + 1)
 			sc.updateHealth(worker)
 			_, ends := sc.TakeOutput()
--- a/internal/dispatch/scheduler/initial_wait_test.go
+++ b/internal/dispatch/scheduler/initial_wait_test.go
@@ -30,7 +30,7 @@
 			Addr:              "h",
 			Term:              2,
 			PriorAuthorityEnd: now.Add(-ago),
-			Outstanding:       []OutstandingAttempt{{Attempt: attempt, Shard: "s"}},
+			Outstanding:       []OutstandingAttempt{{ID: attempt, Shard: "s"}},
 			Cluster:           calledWorkers{},
 		})
 		wait := protocol.DefaultTimeouts.LostAfter + protocol.DefaultTimeouts.HeartbeatInterval
