--- a/internal/server/table_check_test.go
+++ b/internal/server/table_check_test.go
@@ -15,7 +15,8 @@
 func TestQueueIsUnknownOnlyWhileTableIsConfirmed(t *testing.T) {
 	is := is.New(t)
 	now := types.MonoTime(0)
-	check := tableCheck{clock: func() types.MonoTime { return now }}
+	var check tableCheck
+	check.table.Clock = func() types.MonoTime { return now }
 	is.True(!check.queueUnknown("later")) // nothing is published yet
 	check.publish(config.Table{Version: 1, Queues: []config.Queue{{Name: "here"}}}, types.MonoTime(time.Second))
 	is.True(check.queueUnknown("later"))
