--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -181,25 +181,33 @@
 		limit = unlimitedDuration
 	}
 	rank := p.ranking.rank(v, j, queue, ready, stage)
+	request := stageRequest(j, stage.Stage)
+	request.Tasks = stage.Tasks
+	request.TimeLimit = limit
+	request.Gang = step.Gang
+	request.PreferOneRack = step.PreferOneRack
+	request.AvoidWorkers = stage.AvoidWorkers
+	request.Class = rank.class
+	request.HeadroomPercent = rank.headroomPercent
+	request.SortKey = rank.sortKey
+	request.JobIdle = ready.OutstandingAttempts == 0
+	return request
+}
+
+// stageRequest returns a request without tasks that asks of a worker what the job's
+// specification says of any task of a stage, be it placed for the first time or hedged.
+func stageRequest(j *state.Job, stage types.Stage) placement.Request {
+	step := &j.Spec.Steps[stage.Step()]
 	return placement.Request{
-		TaskGroup:       placement.TaskGroup{Job: j.ID, Stage: stage.Stage},
-		Queue:           j.Queue,
-		Urgency:         j.Spec.Urgency,
-		Kind:            step.Kind,
-		Rack:            step.Rack,
-		Labels:          step.Labels,
-		Resources:       step.Resources,
-		MaxPerWorker:    step.MaxPerWorker,
-		Gang:            step.Gang,
-		Tasks:           stage.Tasks,
-		TimeLimit:       limit,
-		Class:           rank.class,
-		HeadroomPercent: rank.headroomPercent,
-		JobIdle:         ready.OutstandingAttempts == 0,
-		SortKey:         rank.sortKey,
-		DataRack:        step.DataRack,
-		PreferOneRack:   step.PreferOneRack,
-		AvoidWorkers:    stage.AvoidWorkers,
+		TaskGroup:    placement.TaskGroup{Job: j.ID, Stage: stage},
+		Queue:        j.Queue,
+		Urgency:      j.Spec.Urgency,
+		Kind:         step.Kind,
+		Rack:         step.Rack,
+		Labels:       step.Labels,
+		Resources:    step.Resources,
+		MaxPerWorker: step.MaxPerWorker,
+		DataRack:     step.DataRack,
 	}
 }
 
--- a/internal/controller/planner_test.go
+++ b/internal/controller/planner_test.go
@@ -33,6 +33,22 @@
 	}
 }
 
+// Whatever a step says of the workers that it can use holds for each of its attempts.
+func TestRequestOfAStageAsksForWhatItsStepSays(t *testing.T) {
+	step := state.Step{
+		Name: "s", Kind: "work", Rack: "r1", DataRack: "r2", Labels: []string{"fast"},
+		Resources: types.Resources{Cores: types.Core, MemoryMB: 32}, MaxPerWorker: 2, Tasks: 1,
+	}
+	spec := &state.Spec{Urgency: 3, Steps: []state.Step{testStep("first", 1), step}}
+	j := &state.Job{ID: "j", Queue: "q", Spec: spec}
+	want := placement.Request{
+		TaskGroup: placement.TaskGroup{Job: "j", Stage: 1}, Queue: "q", Urgency: 3,
+		Kind: "work", Rack: "r1", DataRack: "r2", Labels: []string{"fast"},
+		Resources: types.Resources{Cores: types.Core, MemoryMB: 32}, MaxPerWorker: 2,
+	}
+	is.New(t).Equal(stageRequest(j, 1), want)
+}
+
 func TestMembersOfAGangGetOneNumber(t *testing.T) {
 	is := is.New(t)
 	l := newLeaderRig(rand.New(rand.NewSource(1)))
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -66,21 +66,11 @@
 		if j == nil || attempt.Stage == scheduler.StageUnknown || !needsHedge(v, j, attempt) {
 			continue
 		}
-		step := &j.Spec.Steps[attempt.Stage.Step()]
-		requests = append(requests, placement.Request{
-			TaskGroup:    placement.TaskGroup{Job: j.ID, Stage: attempt.Stage},
-			Queue:        j.Queue,
-			Urgency:      j.Spec.Urgency,
-			Kind:         step.Kind,
-			Rack:         step.Rack,
-			Labels:       step.Labels,
-			Resources:    step.Resources,
-			MaxPerWorker: step.MaxPerWorker,
-			DataRack:     step.DataRack,
-			Tasks:        []int{attempt.Attempt.Number},
-			TimeLimit:    timeLimit(v.state, j, attempt.Stage),
-			AvoidWorkers: map[types.Shard]bool{attempt.Shard: true},
-		})
+		request := stageRequest(j, attempt.Stage)
+		request.Tasks = []int{attempt.Attempt.Number}
+		request.TimeLimit = timeLimit(v.state, j, attempt.Stage)
+		request.AvoidWorkers = map[types.Shard]bool{attempt.Shard: true}
+		requests = append(requests, request)
 	}
 	return requests
 }
