--- a/internal/membership/member_list_test.go
+++ b/internal/membership/member_list_test.go
@@ -26,17 +26,17 @@
 		clear(c.hellos)
 		clear(c.bytes)
 		c.advance(seconds * time.Second)
-		total, most, known := 0, 0, 0
+		total, highest, known := 0, 0, 0
 		for _, addr := range c.order {
 			if c.lists[addr].self.Role == RoleAgent {
 				total += c.bytes[addr]
-				most = max(most, c.bytes[addr])
+				highest = max(highest, c.bytes[addr])
 				known = max(known, c.knownBy(addr))
 			}
 		}
 		bytesPerAgent = append(bytesPerAgent, float64(total)/float64(agents))
 		is.True(known <= maxAgentMembers)
-		is.True(most/seconds < 500)
+		is.True(highest/seconds < 500)
 		is.True(c.hellos["gateway0"] < seconds)
 		is.True(c.bytes["controller0"]/seconds < 6000) // the leader answers controllers and gateways, not agents
 	}
--- a/internal/server/event_loop.go
+++ b/internal/server/event_loop.go
@@ -147,7 +147,7 @@
 	el.sender.Close()
 }
 
-// tick tells the machine that time has passed, and rejects the requests that have waited
+// tick steps the machine with a tick, and rejects the requests that have waited
 // too long to be of use.
 func (el *EventLoop) tick() {
 	el.pacer.NoteTick(MonotonicNow())
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"context"
 	"fmt"
 	"io"
 	"maps"
@@ -19,7 +18,7 @@
 	"coppercourse/internal/wire"
 )
 
-// mirror is a machine that answers a request with the request itself.
+// mirror is a machine that responds to a request with the request itself.
 type mirror struct{}
 
 func (mirror) Step(e wire.Event) (out wire.Effects) {
@@ -70,22 +69,20 @@
 	`POST /mate {`,
 }
 
-// Every page of a gateway: what the machine is asked, and the answer's status, headers
-// and body.
+// Every route of a gateway: what the machine is asked, and the response's status, headers and
+// body.
 func TestPagesGolden(t *testing.T) {
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	trail := trace.New()
-	trail.Add(5, trace.JobSubject("a"), "granted entry", "from", types.Addr("10.0.0.1:7001"))
-	owner := newTestLoop(t, Config{Machine: mirror{}, Observer: stubObserver{ready: true, status: map[string]any{
+	points := trace.New()
+	points.Add(5, trace.JobSubject("a"), "granted entry", "from", types.Addr("10.0.0.1:7001"))
+	loop := newTestLoop(t, Config{Machine: mirror{}, Observer: stubObserver{ready: true, status: map[string]any{
 		"role": "gateway", "sums": map[string]int{"Calls": 3}, "ready": true, "mates": 1, "roll": 2, "at": "x",
 	}}})
-	pages := NewHandlers(owner, trail)
-	entry := &GatewayHandlers{}
-	handler := pages.TrackInFlight(entry.Routes(pages))
-	go owner.Run(ctx)
-	entry.PublishTable(config.Table{Version: 1, Queues: []config.Queue{{Name: "q"}}}, 1<<62)
-	for string(owner.StatusJSON()) == "{}" {
+	handlers := NewHandlers(loop, points)
+	clients := &GatewayHandlers{}
+	handler := handlers.TrackInFlight(clients.Routes(handlers))
+	runInBackground(t, loop)
+	clients.PublishTable(config.Table{Version: 1, Queues: []config.Queue{{Name: "q"}}}, 1<<62)
+	for string(loop.StatusJSON()) == "{}" {
 		answer(handler, "GET /v1/table ")
 	}
 	var lines strings.Builder
@@ -95,7 +92,7 @@
 	goldentest.File(t, "pages.txt", []byte(lines.String()))
 }
 
-// answer carries out a request and writes down its answer.
+// answer carries out a request and returns its response as text.
 func answer(handler http.Handler, request string) string {
 	method, rest, _ := strings.Cut(request, " ")
 	path, body, _ := strings.Cut(rest, " ")
@@ -104,7 +101,7 @@
 	return written(recorder)
 }
 
-// written is an answer as text: status, sorted headers and body.
+// written returns a response as text: status, sorted headers and body.
 func written(recorder *httptest.ResponseRecorder) string {
 	var lines strings.Builder
 	result := recorder.Result()
@@ -120,7 +117,7 @@
 	return lines.String()
 }
 
-// Every kind of refusal as it is answered.
+// Every kind of error as it is answered.
 func TestRefusalsGolden(t *testing.T) {
 	var lines strings.Builder
 	for _, kind := range slices.Sorted(maps.Keys(apierror.StatusCodes)) {
--- a/internal/server/http_test.go
+++ b/internal/server/http_test.go
@@ -1,6 +1,3 @@
-// The gateway's pages over real HTTP: what is wrong is refused at once, with the
-// exact status, a stable kind and the field; what can't be served now says when
-// to come back. No request is left without an answer.
 package server
 
 import (
@@ -40,6 +37,8 @@
 
 func (o gatewayObserver) Status() any { return o.machine.Status() }
 
+// What is wrong is rejected at once, with the exact status, a stable kind and the field; what
+// can't be served now says when to come back.
 func TestRejectionsCarryStatusKindAndField(t *testing.T) {
 	_, server := startLoneGateway(t)
 	const (
--- a/internal/settings/bounds_test.go
+++ b/internal/settings/bounds_test.go
@@ -61,11 +61,11 @@
 
 func TestAnySensibleBoundsGiveValidTimeouts(t *testing.T) {
 	rnd := rand.New(rand.NewSource(1))
-	pick := func(least, most int) int {
+	pick := func(lowest, highest int) int {
 		if rnd.Intn(8) == 0 {
 			return 0 // nobody asks for it
 		}
-		return least + rnd.Intn(most-least+1)
+		return lowest + rnd.Intn(highest-lowest+1)
 	}
 	for range 20_000 {
 		bounds := Bounds{
