--- a/cmd/coppercourse/daemon.go
+++ b/cmd/coppercourse/daemon.go
@@ -40,22 +40,22 @@
 	clients   *platform.GatewayHandler // of a gateway: gets each table
 }
 
-func newDaemon(role string, s settings.Settings) *daemon {
+func newDaemon(role membership.Role, s settings.Settings) *daemon {
 	return &daemon{log: newLogger(role, s), settings: s}
 }
 
 // newLogger returns a logger that writes one JSON object a line to standard error.
-func newLogger(role string, s settings.Settings) logr.Logger {
+func newLogger(role membership.Role, s settings.Settings) logr.Logger {
 	options := funcr.Options{LogTimestamp: true}
 	if s.Log == "debug" {
 		options.Verbosity = 1
 	}
 	write := func(line string) { fmt.Fprintln(os.Stderr, line) }
-	return funcr.NewJSON(write, options).WithName(role).WithValues("address", s.Address)
+	return funcr.NewJSON(write, options).WithName(string(role)).WithValues("address", s.Address)
 }
 
 // run runs the daemon until the context ends and all that was accepted is answered.
-func (d *daemon) run(ctx context.Context, role string) error {
+func (d *daemon) run(ctx context.Context, role membership.Role) error {
 	switch role {
 	case membership.RoleController:
 		return d.runController(ctx)
--- a/cmd/coppercourse/daemon_flags.go
+++ b/cmd/coppercourse/daemon_flags.go
@@ -15,7 +15,7 @@
 )
 
 // roleHelp are the help texts of the roles of a daemon.
-var roleHelp = map[string]string{
+var roleHelp = map[membership.Role]string{
 	membership.RoleController: "Run a controller: it replicates the state and, as leader, schedules. Needs a disk.",
 	membership.RoleGateway:    "Run a gateway: the entry point for callers and operators. Keeps nothing on disk.",
 	membership.RoleAgent:      "Run the agent of a worker: it starts and stops the tasks there. Keeps nothing on disk.",
@@ -23,10 +23,10 @@
 
 // addDaemons adds a command for each role.
 func addDaemons(app *kingpin.Application, commands commandSet) {
-	for _, role := range []string{membership.RoleController, membership.RoleGateway, membership.RoleAgent} {
+	for _, role := range []membership.Role{membership.RoleController, membership.RoleGateway, membership.RoleAgent} {
 		flags := &daemonFlags{}
-		flags.addTo(app.Command(role, roleHelp[role]), role)
-		commands[role] = func() error { return flags.run(role) }
+		flags.addTo(app.Command(string(role), roleHelp[role]), role)
+		commands[string(role)] = func() error { return flags.run(role) }
 	}
 }
 
@@ -44,7 +44,7 @@
 	check        bool
 }
 
-func (f *daemonFlags) addTo(command *kingpin.CmdClause, role string) {
+func (f *daemonFlags) addTo(command *kingpin.CmdClause, role membership.Role) {
 	command.Flag("settings", "Settings file (JSON); flags override it.").
 		PlaceHolder("FILE").StringVar(&f.settingsFile)
 	command.Flag("listen", "Address to listen on. Default 127.0.0.1:7400.").
@@ -71,7 +71,7 @@
 }
 
 // run runs a daemon, or with --check only reads its settings.
-func (f *daemonFlags) run(role string) error {
+func (f *daemonFlags) run(role membership.Role) error {
 	s, err := f.settings(role)
 	if err != nil {
 		return err
@@ -87,7 +87,7 @@
 
 // settings returns the settings of a daemon: defaults, overridden by the settings file and
 // that by the flags.
-func (f *daemonFlags) settings(role string) (settings.Settings, error) {
+func (f *daemonFlags) settings(role membership.Role) (settings.Settings, error) {
 	s, errs := settings.Defaults(), &apierror.ErrorList{}
 	if f.settingsFile != "" {
 		document, err := os.ReadFile(f.settingsFile)
--- a/cmd/coppercourse/platform.go
+++ b/cmd/coppercourse/platform.go
@@ -19,8 +19,8 @@
 func addPlatform(app *kingpin.Application, commands commandSet) {
 	command := app.Command("platform", "Run a daemon from the settings file of the platform, or check such a file.")
 	for _, role := range platform.Roles {
-		command.Command(role, roleHelp[role]+" $"+platform.SettingsFileVariable+" names its settings file.")
-		commands["platform "+role] = func() error { return runPlatform(role) }
+		command.Command(string(role), roleHelp[role]+" $"+platform.SettingsFileVariable+" names its settings file.")
+		commands["platform "+string(role)] = func() error { return runPlatform(role) }
 	}
 	check := command.Command("check", "Check a settings file of the platform and print what the daemon would do.")
 	file := check.Arg("file", "Settings file (YAML).").Required().String()
@@ -34,7 +34,7 @@
 }
 
 // runPlatform runs a daemon from the settings file that the platform names.
-func runPlatform(role string) error {
+func runPlatform(role membership.Role) error {
 	signal.Ignore(syscall.SIGHUP) // until the file is watched
 	s, path, err := platform.LoadFromEnvironment(role)
 	if err != nil {
@@ -62,7 +62,7 @@
 	gcPercentController = 200
 )
 
-func gcPercent(role string) int {
+func gcPercent(role membership.Role) int {
 	if role == membership.RoleController {
 		return gcPercentController
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -142,7 +142,7 @@
 
 // StatusView is the status of an agent, as GET /v1/status shows it.
 type StatusView struct {
-	Role           string            `json:"role"`
+	Role           membership.Role   `json:"role"`
 	BuildVersion   string            `json:"program"`
 	Ready          bool              `json:"ready"`
 	Leader         types.Addr        `json:"leader"`
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -11,7 +11,7 @@
 
 // StatusView is one controller's status.
 type StatusView struct {
-	Role            string             `json:"role"`
+	Role            membership.Role    `json:"role"`
 	Build           string             `json:"program"`
 	ID              types.ID           `json:"id"`
 	Cluster         string             `json:"cluster"`          // name of the cluster, or nothing while none is known
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -136,7 +136,7 @@
 
 // StatusView is the status of a gateway, as GET /v1/status shows it.
 type StatusView struct {
-	Role           string            `json:"role"`
+	Role           membership.Role   `json:"role"`
 	BuildVersion   string            `json:"program"`
 	Ready          bool              `json:"ready"`
 	Leader         types.Addr        `json:"leader"`
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -34,12 +34,12 @@
 func nothingDropped(_, _ types.Addr) bool { return false }
 
 // addrOf returns the address of a daemon of a test cluster.
-func addrOf(role string, number int) types.Addr {
+func addrOf(role Role, number int) types.Addr {
 	return types.Addr(fmt.Sprint(role, number))
 }
 
 // add starts a daemon, in the zone that its number falls to.
-func (c *testCluster) add(role string, number, zones int, seeds ...types.Addr) types.Addr {
+func (c *testCluster) add(role Role, number, zones int, seeds ...types.Addr) types.Addr {
 	addr := addrOf(role, number)
 	if !slices.Contains(c.order, addr) {
 		c.order = append(c.order, addr)
--- a/internal/membership/digests.go
+++ b/internal/membership/digests.go
@@ -14,7 +14,7 @@
 	Agents      uint32 `json:"agents,omitempty"`
 }
 
-func (d *Digests) ofRole(role string) *uint32 {
+func (d *Digests) ofRole(role Role) *uint32 {
 	switch role {
 	case RoleController:
 		return &d.Controllers
--- a/internal/membership/discovery.go
+++ b/internal/membership/discovery.go
@@ -60,7 +60,7 @@
 }
 
 // randomPeer returns a random daemon of a role, or of any role if that is empty.
-func (ml *MemberList) randomPeer(role string) (types.Addr, bool) {
+func (ml *MemberList) randomPeer(role Role) (types.Addr, bool) {
 	order := ml.table.order
 	if len(order) == 0 {
 		return "", false
--- a/internal/membership/member_info.go
+++ b/internal/membership/member_info.go
@@ -4,18 +4,21 @@
 	"coppercourse/internal/types"
 )
 
+// Role says what a daemon does in the cluster.
+type Role string
+
 // The roles of a daemon.
 const (
-	RoleController = "controller"
-	RoleGateway    = "gateway"
-	RoleAgent      = "agent"
+	RoleController Role = "controller"
+	RoleGateway    Role = "gateway"
+	RoleAgent      Role = "agent"
 )
 
 // MemberInfo is what a daemon says of itself.
 type MemberInfo struct {
 	Addr   types.Addr `json:"addr"`         // its advertised address, by which others know it
 	ID     types.ID   `json:"id,omitempty"` // of a controller: its identity in raft
-	Role   string     `json:"role"`
+	Role   Role       `json:"role"`
 	Zone   types.Zone `json:"locality"`
 	Name   string     `json:"cluster,omitempty"` // the cluster's name, once one was formed
 	Term   types.Term `json:"term,omitempty"`    // of a controller: its term in raft
--- a/internal/membership/member_list.go
+++ b/internal/membership/member_list.go
@@ -37,7 +37,7 @@
 )
 
 // ticksPerAsk is the number of ticks between two requests of a daemon that hears the leader.
-var ticksPerAsk = map[string]uint64{RoleController: 1, RoleGateway: 4, RoleAgent: 16}
+var ticksPerAsk = map[Role]uint64{RoleController: 1, RoleGateway: 4, RoleAgent: 16}
 
 // never lies before all times, and far enough from them to be subtracted.
 const never = types.MonoTime(-1 << 61)
--- a/internal/membership/queries.go
+++ b/internal/membership/queries.go
@@ -28,7 +28,7 @@
 }
 
 // MembersOf returns all daemons of a role that are kept, healthy or not.
-func (ml *MemberList) MembersOf(role string) (members []MemberInfo) {
+func (ml *MemberList) MembersOf(role Role) (members []MemberInfo) {
 	addrs := ml.table.order
 	if role == RoleController {
 		addrs = ml.table.controllers
@@ -42,7 +42,7 @@
 }
 
 // RoleOf returns the role of the daemon at an address; it is empty if that is unknown.
-func (ml *MemberList) RoleOf(addr types.Addr) string {
+func (ml *MemberList) RoleOf(addr types.Addr) Role {
 	if e := ml.table.entries[addr]; e != nil {
 		return e.info.Role
 	}
--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -113,7 +113,7 @@
 	if info.Role == RoleAgent && info.Zone == ml.self.Zone {
 		return "agent of own zone"
 	}
-	return info.Role
+	return string(info.Role)
 }
 
 // before returns the time so many milliseconds ago.
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -6,11 +6,13 @@
 
 	"coppercourse/internal/apierror"
 	"coppercourse/internal/goldentest"
+	"coppercourse/internal/membership"
 )
 
 // A settings file with every key, read over the defaults; the defaults themselves; and
 // what is said of a bad file.
 func TestSettingsGolden(t *testing.T) {
+	roles := []membership.Role{membership.RoleController, membership.RoleGateway, membership.RoleAgent}
 	for name, file := range map[string]string{
 		"defaults.txt": `{}`,
 		"full.txt": `{"listen":"127.0.0.1:7401","address":"10.0.0.1:7402","source":"10.0.0.1","locality":"z1",
@@ -24,7 +26,7 @@
 			s, errs := Defaults(), &apierror.ErrorList{}
 			Read([]byte(file), &s, errs)
 			said := goldentest.Leaves(s) + goldentest.Leaves(errs.List())
-			for _, role := range []string{"controller", "gateway", "agent"} {
+			for _, role := range roles {
 				checked, errs := s, &apierror.ErrorList{}
 				checked.Validate(role, errs)
 				said += fmt.Sprintf("%s: %v\n", role, errs.Err())
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,12 +11,15 @@
 )
 
 func TestDefaultsAreValid(t *testing.T) {
-	for _, c := range []struct{ role, roleFields string }{
+	for _, c := range []struct {
+		role       membership.Role
+		roleFields string
+	}{
 		{membership.RoleController, `,"data":"d"`},
 		{membership.RoleGateway, ``},
 		{membership.RoleAgent, `,"shard":"k1"`},
 	} {
-		t.Run(c.role, func(t *testing.T) {
+		t.Run(string(c.role), func(t *testing.T) {
 			is := is.New(t)
 			s, errs := Defaults(), &apierror.ErrorList{}
 			Read([]byte(`{"locality":"z1","seeds":["127.0.0.1:1"]`+c.roleFields+`}`), &s, errs)
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -16,7 +16,7 @@
 
 // Validate checks the settings of a role and adds every error to errs. It sets Address
 // where that is missing.
-func (s *Settings) Validate(role string, errs *apierror.ErrorList) {
+func (s *Settings) Validate(role membership.Role, errs *apierror.ErrorList) {
 	if s.Address == "" {
 		s.Address = s.Listen
 	}
@@ -50,7 +50,7 @@
 }
 
 // validateRole checks the settings that only daemons of one role have.
-func (s *Settings) validateRole(role string, errs *apierror.ErrorList) {
+func (s *Settings) validateRole(role membership.Role, errs *apierror.ErrorList) {
 	errs.Check((s.Data != "") == (role == membership.RoleController), "data",
 		"a controller needs a data folder, and no other daemon may have one")
 	if role == membership.RoleAgent {
