--- a/internal/server/open_log_test.go
+++ b/internal/server/open_log_test.go
@@ -50,6 +50,25 @@
 	})
 }
 
+// While it waits, the daemon answers on its address, which is free again afterwards.
+func TestOpenLogServesWhileItWaits(t *testing.T) {
+	is := is.New(t)
+	addr := freeAddr(t)
+	storage := waltest.New(1)
+	storage.SetFail(waltest.FailWith(syscall.ENOSPC, waltest.Create))
+	opened := make(chan error, 1)
+	go func() {
+		_, _, err := OpenLog(t.Context(), logr.Discard(), storage, "data", addr)
+		opened <- err
+	}()
+	is.True(strings.HasPrefix(getWhenServed(t, addr, "", opened), "503")) // not ready, on any other path
+	storage.SetFail(nil)
+	is.NoErr(<-opened)
+	listener, err := Listen(t.Context(), addr)
+	is.NoErr(err)
+	is.NoErr(listener.Close())
+}
+
 func TestDiskWaitIsReported(t *testing.T) {
 	is := is.New(t)
 	handler := &diskWaitHandler{}
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -11,7 +11,7 @@
 
 // BodyDecoder is a body that decodes itself in one pass, with the functions below. It
 // decodes as encoding/json does: unknown fields are ignored, and null leaves a value as it
-// is.
+// is. But keys must match exactly, also in case.
 type BodyDecoder interface {
 	DecodeJSON(*jx.Decoder) error
 }
