--- a/internal/raft/election_test.go
+++ b/internal/raft/election_test.go
@@ -1,66 +1,14 @@
 package raft
 
 import (
-	"encoding/json"
-	"math/rand"
 	"testing"
 	"time"
 
 	"github.com/matryer/is"
 
 	"coppercourse/internal/types"
-	"coppercourse/internal/wire"
 )
 
-// startedNode is a voter of a cluster of three, a, b and c, that heard a leader long ago and
-// whose log ends with entry 5 of term 3.
-func startedNode(t *testing.T) *Node {
-	t.Helper()
-	config := Configuration{
-		{ID: "a", Addr: "addr-a", Voter: true},
-		{ID: "b", Addr: "addr-b", Voter: true},
-		{ID: "c", Addr: "addr-c", Voter: true},
-	}
-	var entries []Entry
-	for i, term := range []types.Term{1, 1, 2, 3, 3} {
-		entries = append(entries, Entry{Index: types.Index(i + 1), Term: term})
-	}
-	records := encodeRecords([]Record{
-		{Identity: &Identity{ID: "a"}},
-		{Cluster: &InitialCluster{ClusterName: "cluster", Config: config}},
-		{HardState: &HardState{Term: 3}},
-		{Entries: entries},
-	})
-	n := New(types.Now{}, Options{
-		Timeouts: DefaultTimeouts,
-		Random:   rand.New(rand.NewSource(1)),
-		Self:     Member{Addr: "addr-a"},
-	}, records)
-	n.SetTime(types.Now{Mono: types.MonoTime(time.Minute)})
-	return n
-}
-
-// syncedMessages are the messages that go out once all that was written is synced.
-func syncedMessages(n *Node) []wire.OutboundMessage {
-	ready := n.Ready()
-	n.Synced(n.now, ready.BatchNumber)
-	return append(ready.Messages, n.Ready().Messages...)
-}
-
-// oneBody is the body of the only message that a node sends, once all is synced.
-func oneBody[T any](t *testing.T, n *Node) T {
-	t.Helper()
-	messages := syncedMessages(n)
-	if len(messages) != 1 {
-		t.Fatalf("%d messages in place of one", len(messages))
-	}
-	var body T
-	if err := json.Unmarshal(messages[0].Message.Body, &body); err != nil {
-		t.Fatal(err)
-	}
-	return body
-}
-
 func TestVoteIsGranted(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/raft/faults_test.go
+++ b/internal/raft/faults_test.go
@@ -140,7 +140,7 @@
 	a.requestStop(m, func() { a.restartAfter(m, a.randomMillis(500)) })
 }
 
-// successor is an empty machine at another address in the zone of one that goes.
+// successor is an empty machine at another address in the zone of one that departs.
 func (a *adversary) successor(m *machine) *machine {
 	a.successors++
 	successor := a.w.addMachine(fmt.Sprint(m.addr, "-", a.successors), 0, false)
@@ -188,7 +188,7 @@
 	a.startInPlaceOf(m, a.randomMillis(3000))
 }
 
-// replacePlanned has the empty machine come first, and the other one told to go.
+// replacePlanned starts the empty machine first, and stops the other one later.
 func (a *adversary) replacePlanned(m *machine) {
 	if m.fault.replaced || !a.plannedReplacements {
 		return
@@ -214,7 +214,7 @@
 		w.schedule(100*time.Millisecond, func() { a.stopWhenTolerable(m, successor) })
 		return
 	}
-	w.logf("%s is told to go", m.addr)
+	w.logf("%s is asked to stop", m.addr)
 	w.lastFaultAt = w.now
 	a.requestStop(m, func() {
 		a.depart(m)
--- a/internal/raft/join.go
+++ b/internal/raft/join.go
@@ -105,5 +105,5 @@
 		return
 	}
 	n.role = roleRemoved
-	n.roleReason = "removed from the configuration; empty the data folder to come back as a new member"
+	n.roleReason = "removed from the configuration; asking to join again"
 }
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -35,6 +35,8 @@
 	commitIndex types.Index // highest entry known to be committed
 	syncedIndex types.Index // highest entry known to be on this member's disk
 	unsynced    []unsyncedTail
+
+	incoming Snapshot // one that a leader sends, as far as it has been received
 }
 
 // unsyncedTail says that the log up to an index is on disk once a batch is synced.
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -41,7 +41,6 @@
 	leaderContact leaderContact
 	election      election
 	clock         clusterClock
-	incoming      Snapshot // a snapshot that a leader sends, as far as it has come
 	daemon        daemonState
 
 	// Volatile state of a leader.
@@ -103,8 +102,8 @@
 	return n
 }
 
-// adoptLastTerm raises the term to that of the last entry, which the disk may hold without
-// a hard state of that term.
+// adoptLastTerm raises the term to that of the last entry, if the file has no hard state of
+// that term: a member's term is never below that of an entry in its log.
 func (n *Node) adoptLastTerm() {
 	if last := len(n.log.entries) - 1; last >= 0 && n.log.entries[last].Term > n.hardState.Term {
 		n.hardState = HardState{Term: n.log.entries[last].Term}
--- a/internal/raft/outbox_test.go
+++ b/internal/raft/outbox_test.go
@@ -9,14 +9,6 @@
 	"coppercourse/internal/wire"
 )
 
-func kinds(messages []wire.OutboundMessage) []wire.Kind {
-	var list []wire.Kind
-	for _, m := range messages {
-		list = append(list, m.Message.Kind)
-	}
-	return list
-}
-
 // TestMessagesWaitForSync: a message goes out once the batch that it rests on is synced.
 func TestMessagesWaitForSync(t *testing.T) {
 	is := is.New(t)
--- a/internal/raft/path_search_test.go
+++ b/internal/raft/path_search_test.go
@@ -230,7 +230,7 @@
 }
 
 // playRandom plays a random path, longer than those that can all be played, with a planted
-// bug or none. Seven of eight choices are without a fault, if there is such a one.
+// bug or none. Seven of eight choices are without a fault, where there is one without.
 func (p *pathSearch) playRandom(seed int64, steps int, bug plantedBug) *world {
 	random := rand.New(rand.NewSource(seed))
 	w, left := p.start(), p.budget
--- a/internal/raft/random_walk_test.go
+++ b/internal/raft/random_walk_test.go
@@ -15,7 +15,7 @@
 
 const (
 	walkTime  = 60 * time.Second // of a random walk, in virtual time
-	calmTime  = 12 * time.Second // after it, without faults
+	quietTime = 12 * time.Second // after it, without faults
 	startTime = 8 * time.Second  // in which all machines of a new world become voters
 )
 
@@ -27,7 +27,7 @@
 }
 
 // scenarios are the sizes that are walked. What may be lost is a minority, but for planned
-// replacements in an odd cluster with several voters in a zone: there, which one goes is
+// replacements in an odd cluster with several voters in a zone: there, which one departs is
 // known only at its SIGTERM, and until then there is a voter too many.
 var scenarios = []scenario{
 	{3, 3, 1, true}, {4, 2, 1, true}, {6, 3, 2, true}, {8, 4, 3, true},
@@ -66,8 +66,8 @@
 	return w
 }
 
-// randomWalk plays one walk, with a planted bug or none, and returns its world when all has
-// calmed down again.
+// randomWalk plays one walk, with a planted bug or none, and returns its world after a time
+// without faults.
 func randomWalk(t testing.TB, seed int64, s scenario, duration time.Duration, bug plantedBug) *world {
 	t.Helper()
 	w := newScenarioWorld(t, seed, s)
@@ -77,7 +77,7 @@
 	w.schedule(a.randomMillis(500), a.act)
 	w.run(duration)
 	a.healAll()
-	w.run(calmTime)
+	w.run(quietTime)
 	w.checker.serviceResumed(w, w.now-time.Second)
 	return w
 }
--- a/internal/raft/replacement_test.go
+++ b/internal/raft/replacement_test.go
@@ -45,7 +45,7 @@
 				for moment := time.Duration(0); moment < repairTime; moment += every {
 					w := loseDuringRepair(t, s, repair.start, moment)
 					if w.failure != "" {
-						t.Fatalf("struck after %v\n%s", moment, w.report())
+						t.Fatalf("losses after %v\n%s", moment, w.report())
 					}
 				}
 			})
@@ -64,9 +64,9 @@
 	w.lastFaultAt = w.now
 	w.run(moment)
 	a.crashAllSpareMachines()
-	struck := w.now
+	lostAt := w.now
 	w.run(testServiceBound)
-	w.checker.serviceResumed(w, struck)
+	w.checker.serviceResumed(w, lostAt)
 	return w
 }
 
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -36,7 +36,8 @@
 
 // restoreSnapshot replaces the log by a snapshot of later entries.
 func (l *raftLog) restoreSnapshot(snapshot Snapshot) {
-	l.snapshot, l.entries, l.unsynced = snapshot, nil, nil
+	l.snapshot, l.incoming = snapshot, Snapshot{}
+	l.entries, l.unsynced = nil, nil
 	l.bytes = 0
 	l.commitIndex, l.syncedIndex = snapshot.Index, 0
 	l.recomputeConfiguration()
@@ -117,9 +118,9 @@
 	reply := n.newAppendReply(request.Round)
 	reply.Success, reply.MatchIndex = true, request.Snapshot.Index
 	if request.Snapshot.Index > n.log.commitIndex {
-		n.incoming.add(request.Snapshot, request.PartNumber, request.Part)
-		if len(n.incoming.Parts) < request.Snapshot.PartCount {
-			reply.MatchIndex, reply.SnapshotParts = 0, len(n.incoming.Parts)
+		n.log.incoming.add(request.Snapshot, request.PartNumber, request.Part)
+		if len(n.log.incoming.Parts) < request.Snapshot.PartCount {
+			reply.MatchIndex, reply.SnapshotParts = 0, len(n.log.incoming.Parts)
 			n.send(from, wire.AppendReply, reply)
 			return
 		}
@@ -130,8 +131,7 @@
 
 // restoreSnapshot replaces the log by the snapshot that has come in full.
 func (n *Node) restoreSnapshot() {
-	n.log.restoreSnapshot(n.incoming)
-	n.incoming = Snapshot{}
+	n.log.restoreSnapshot(n.log.incoming)
 	n.assignRole()
 	n.rewriteFile()
 	n.log.awaitSync(n.disk.writtenBatch)
--- a/internal/raft/transfer.go
+++ b/internal/raft/transfer.go
@@ -29,8 +29,8 @@
 	// overloadCount is how many leaders in a row, before this one, transferred leadership
 	// because they were overloaded.
 	overloadCount int
-	// announcedCount is the overloadCount of the leader that follows: what a leader tells
-	// its target, and what a target was told.
+	// announcedCount is the overloadCount of the leader that follows: what a leader announces
+	// to its target, and what a target has received.
 	announcedCount int
 }
 
