--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -228,7 +228,7 @@
 func (c *Controller) beginShutdown() {
 	c.shuttingDown = true
 	c.shutdownDeadline = c.now.Mono.Add(shutdownTimeout)
-	c.leader.stop()
+	c.leader.stopPlacing()
 	c.raft.PrepareStop(c.now)
 }
 
--- a/internal/controller/disk_test.go
+++ b/internal/controller/disk_test.go
@@ -12,13 +12,16 @@
 )
 
 // handOverTime is how long it takes until another leads when a leader's disk is full.
-func handOverTime(t *testing.T, mute bool) (time.Duration, *cluster, *member) {
+func handOverTime(t *testing.T, hidesDiskErrors bool) (time.Duration, *cluster, *member) {
+	t.Helper()
 	c := newCluster(t, 21, 600)
 	c.changes(20, 1000)
 	m := c.leader()
-	m.diskFull, m.hidesDiskErrors = true, mute
-	m.ask(wire.VerbPutTable, "", wire.EncodeBody(table(m.machine.log.state().Table.Version, 1000)), func(wire.Response) {})
-	return c.until(10*time.Second, "another leader", func() bool { l := c.leader(); return l != nil && l != m }), c, m
+	m.diskFull, m.hidesDiskErrors = true, hidesDiskErrors
+	change := wire.EncodeBody(table(m.machine.log.state().Table.Version, 1000))
+	m.ask(wire.VerbPutTable, "", change, func(wire.Response) {})
+	took := c.until(10*time.Second, "another leader", func() bool { l := c.leader(); return l != nil && l != m })
+	return took, c, m
 }
 
 func TestALeaderWithAFullDiskHandsOverAtOnce(t *testing.T) {
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -17,9 +17,9 @@
 //     workers with room, coreLimits and waitTimes, placement.Place for the choice, and
 //     assignmentRounds for what is on its way into the log. attemptReview withdraws attempts
 //     and hedges stragglers, preemption makes room for urgent work.
-//   - durationEstimates learns how long tasks take, reportBuffer keeps reported ends until
-//     the log has them, overload decides what to do when the event loop falls behind. Every
-//     controller keeps these, so that a new leader starts with them.
+//   - durationEstimates learns how long tasks take, and reportBuffer keeps reported ends until
+//     the log has them. Every controller keeps these, so that a new leader starts with them.
+//   - overload decides what to do when the daemon's event loop falls behind.
 //   - outbox collects the messages and replies of a step.
 //
 // A job passes through it as follows. api.submitJob proposes its submission. Once that is
--- a/internal/controller/job_ranking.go
+++ b/internal/controller/job_ranking.go
@@ -15,7 +15,9 @@
 	targetTolerance  = 8  // a job counts as on target until late by one in so many parts of it
 	maxJobValue      = 4  // value of a job, in those of its queue's mean job, at most
 	meanGain         = 16 // a job counts for one in so many in the means of its queue
-	minMeanWork      = 0.001
+
+	minMeanWork      = 0.001 // core-seconds, keeps values finite
+	minRemainingWork = 0.01  // core-seconds, keeps gains finite
 
 	baseValue    = 0.3   // part of the mean job's value that does not depend on its work
 	onTargetPart = 0.7   // part of a job's value that is lost once it is late
@@ -105,7 +107,7 @@
 	rank := jobRank{headroomPercent: r.headroom(v.state, j.Queue, queue, duration(step), slack, target)}
 	var gain float64
 	rank.class, gain, slack = classify(value, slack, target)
-	gain = gain / (remainingWork + 0.01) * math.Exp(-max(0, slack.Seconds())/slackDecaySeconds) *
+	gain = gain / (remainingWork + minRemainingWork) * math.Exp(-max(0, slack.Seconds())/slackDecaySeconds) *
 		math.Pow(priorityBase, -float64(queue.Priority))
 	rank.sortKey = -gain
 	return rank
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -13,8 +13,8 @@
 
 // leader is what only the leading controller does: it keeps the workers' leases and orders
 // through its scheduler.Scheduler, proposes the ends of attempts that they report, and plans
-// rounds of placement. Its parts are kept from one leadership to the next and reset between
-// them; the scheduler is made anew with each.
+// rounds of placement. The scheduler is made anew with each leadership; the other parts are
+// kept, and revoke resets what in them belongs to one leadership.
 //
 // It has many fields because it joins the leader's parts: first what all of the controller
 // shares, then the parts themselves.
@@ -36,9 +36,9 @@
 	preemption     preemption
 	shapes         workerShapes
 	wallOffset     wallOffset
-	needsPlacement bool // something was applied, or time passed, since the last round
-	stopping       bool // no more work is placed
-	current        leaderView
+	needsPlacement bool       // something was applied, or time passed, since the last round
+	stopping       bool       // no more work is placed
+	current        leaderView // see view
 }
 
 func newLeader(c *Controller) *leader {
@@ -63,8 +63,8 @@
 // active reports whether this controller leads and has taken up its work.
 func (l *leader) active() bool { return l.scheduler != nil }
 
-// stop ends the placing of work, as the daemon is shutting down.
-func (l *leader) stop() { l.stopping = true }
+// stopPlacing has no more work placed, as the daemon is shutting down.
+func (l *leader) stopPlacing() { l.stopping = true }
 
 // requestPlacement has a round planned in this step or a later one.
 func (l *leader) requestPlacement() { l.needsPlacement = true }
@@ -113,16 +113,16 @@
 	for _, j := range s.LiveJobs() {
 		for i := range j.Tasks {
 			number := j.Spec.TaskNumber(i)
-			at := types.StageOf(number)
+			stage := types.StageOf(number)
 			task := types.TaskID{Job: j.ID, Number: number}
 			for _, attempt := range j.Tasks[i].Outstanding() {
 				list = append(list, scheduler.OutstandingAttempt{
 					Attempt:      types.AttemptID{TaskID: task, Attempt: attempt.Number},
 					Shard:        attempt.Shard,
-					Stage:        at,
-					Resources:    j.Spec.Steps[at.Step()].Resources,
-					BaselineName: baselineName(j, at),
-					TimeLimit:    timeLimit(s, j, at),
+					Stage:        stage,
+					Resources:    j.Spec.Steps[stage.Step()].Resources,
+					BaselineName: baselineName(j, stage),
+					TimeLimit:    timeLimit(s, j, stage),
 				})
 			}
 		}
@@ -246,18 +246,18 @@
 	s := l.log.state()
 	for _, a := range assignments {
 		j := s.Jobs[a.ID.Job]
-		at := types.StageOf(a.ID.Number)
-		step := &j.Spec.Steps[at.Step()]
+		stage := types.StageOf(a.ID.Number)
+		step := &j.Spec.Steps[stage.Step()]
 		l.counters.Orders++
-		l.scheduler.RunTask(a.Shard, at, baselineName(j, at), protocol.AttemptSpec{
+		l.scheduler.RunTask(a.Shard, stage, baselineName(j, stage), protocol.AttemptSpec{
 			Attempt:     a.ID,
 			Kind:        step.Kind,
 			Rack:        step.Rack,
 			Resources:   step.Resources,
-			TimeLimitMS: int(timeLimit(s, j, at).Milliseconds()),
+			TimeLimitMS: int(timeLimit(s, j, stage).Milliseconds()),
 			Labels:      step.Labels,
 			Checkpoint:  j.Task(a.ID.Number).Checkpoint,
-			Input:       j.Spec.StepWork(at.Step()),
+			Input:       j.Spec.StepWork(stage.Step()),
 		})
 	}
 }
--- a/internal/controller/leader_view.go
+++ b/internal/controller/leader_view.go
@@ -42,8 +42,8 @@
 
 // timeLimit returns how long an attempt of a step may take by the table in force, or 0
 // for a step that is always restarted, which has no limit.
-func timeLimit(s *state.State, j *state.Job, at types.Stage) time.Duration {
-	step := &j.Spec.Steps[at.Step()]
+func timeLimit(s *state.State, j *state.Job, stage types.Stage) time.Duration {
+	step := &j.Spec.Steps[stage.Step()]
 	if step.AlwaysRestart {
 		return 0
 	}
@@ -57,6 +57,6 @@
 
 // baselineName names what the duration of an attempt is compared with: all attempts of
 // the same step of its queue's jobs.
-func baselineName(j *state.Job, at types.Stage) string {
-	return string(j.Queue) + "/" + j.Spec.Steps[at.Step()].Name
+func baselineName(j *state.Job, stage types.Stage) string {
+	return string(j.Queue) + "/" + j.Spec.Steps[stage.Step()].Name
 }
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -124,16 +124,16 @@
 	var list []state.Assignment
 	for _, a := range placed {
 		j := s.Jobs[a.Task.Job]
-		at := types.StageOf(a.Task.Number)
+		stage := types.StageOf(a.Task.Number)
 		attempt := j.Task(a.Task.Number).LastAttempt + 1
-		if j.Spec.Steps[at.Step()].Gang {
-			for _, member := range j.StageTasks(at) {
+		if j.Spec.Steps[stage.Step()].Gang {
+			for _, member := range j.StageTasks(stage) {
 				attempt = max(attempt, member.LastAttempt+1)
 			}
 		}
 		id := types.AttemptID{TaskID: a.Task, Attempt: attempt}
 		list = append(list, state.Assignment{ID: id, Shard: a.Shard})
-		p.waits.placed(placement.TaskGroup{Job: a.Task.Job, Stage: at})
+		p.waits.placed(placement.TaskGroup{Job: a.Task.Job, Stage: stage})
 	}
 	return list
 }
