--- a/internal/server/gateway_handlers.go
+++ b/internal/server/gateway_handlers.go
@@ -40,8 +40,8 @@
 	r.HandleFunc(drainPath, requireName(putHandler(h, wire.VerbStartDrain, readDrain))).Methods(http.MethodPut)
 	r.HandleFunc(drainPath, requireName(h.RequestHandler(wire.VerbCancelDrain))).Methods(http.MethodDelete)
 	r.HandleFunc("/v1/calendars", h.RequestHandler(wire.VerbListCalendars)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/calendars/{id}", requireName(putHandler(h, wire.VerbPutCalendar, readCalendar))).Methods(http.MethodPut)
-	r.HandleFunc("/v1/calendars/{id}", requireName(h.RequestHandler(wire.VerbDeleteCalendar))).Methods(http.MethodDelete)
+	r.HandleFunc(calendarPath, requireName(putHandler(h, wire.VerbPutCalendar, readCalendar))).Methods(http.MethodPut)
+	r.HandleFunc(calendarPath, requireName(h.RequestHandler(wire.VerbDeleteCalendar))).Methods(http.MethodDelete)
 	r.HandleFunc("/v1/mates", h.RequestHandler(wire.VerbListPeers)).Methods(http.MethodGet)
 	r.HandleFunc("/v1/leader", h.RequestHandler(wire.VerbStatus)).Methods(http.MethodGet)
 	return r
@@ -50,6 +50,9 @@
 // drainPath is the path of the drain of one worker or rack.
 const drainPath = "/v1/drains/{kind:workers|racks}/{id}"
 
+// calendarPath names a maintenance calendar.
+const calendarPath = "/v1/calendars/{id}"
+
 // requireName rejects a request whose path holds an id that is no proper name.
 func requireName(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
--- a/internal/wire/verb.go
+++ b/internal/wire/verb.go
@@ -1,34 +1,37 @@
 package wire
 
-// Verb names what a client's request asks for.
+// Verb says what a request asks for. The shell derives it from a request's path and method,
+// and the machine that handles the request finds its handler by it.
 type Verb string
 
-// The verbs of callers and operators, which the leading controller serves.
+// The verbs of callers. A gateway forwards them to the leader.
 const (
-	VerbSubmitJob      Verb = "job.put"
-	VerbGetJob         Verb = "job.get"
-	VerbCancelJob      Verb = "job.cancel"
-	VerbPutTable       Verb = "table.put"
-	VerbGetTable       Verb = "table.get"
-	VerbListQueues     Verb = "queues"
-	VerbCountQueue     Verb = "queue.count"
-	VerbListWorkers    Verb = "workers"
-	VerbWorkerGone     Verb = "gone" // a lost worker is declared gone for good
-	VerbStartDrain     Verb = "drain.put"
-	VerbCancelDrain    Verb = "drain.drop"
-	VerbListDrains     Verb = "drains"
-	VerbPutCalendar    Verb = "plan.put"
-	VerbDeleteCalendar Verb = "plan.drop"
-	VerbListCalendars  Verb = "plans"
-	VerbStatus         Verb = "status"
+	VerbSubmitJob  Verb = "job.put"     // Arg is the job's id, Body a state.Spec
+	VerbGetJob     Verb = "job.get"     // Arg is the job's id
+	VerbCancelJob  Verb = "job.cancel"  // Arg is the job's id
+	VerbCountQueue Verb = "queue.count" // how many jobs of a queue have not started; Arg is its name
 )
 
-// VerbListPeers is the only verb that a gateway serves itself.
-const VerbListPeers Verb = "mates"
+// The verbs of operators. A gateway forwards them to the leader, except VerbListPeers.
+const (
+	VerbPutTable       Verb = "table.put"  // replaces the queue table; Body is the new one
+	VerbGetTable       Verb = "table.get"  // the queue table in force
+	VerbListQueues     Verb = "queues"     // the queues with their jobs and tasks
+	VerbListWorkers    Verb = "workers"    // the workers as the leader sees them
+	VerbWorkerGone     Verb = "gone"       // states that a lost worker never comes back; Arg is its shard
+	VerbStartDrain     Verb = "drain.put"  // Arg is what to drain, a kind and an id; Body is a config.Drain
+	VerbCancelDrain    Verb = "drain.drop" // Arg is what was drained, a kind and an id
+	VerbListDrains     Verb = "drains"     // what is drained, and what still runs there
+	VerbPutCalendar    Verb = "plan.put"   // Arg names a maintenance calendar; Body is a state.Calendar
+	VerbDeleteCalendar Verb = "plan.drop"  // Arg names a maintenance calendar
+	VerbListCalendars  Verb = "plans"      // the maintenance calendars
+	VerbStatus         Verb = "status"     // the status of the leader
+	VerbListPeers      Verb = "mates"      // the daemons that a gateway knows; it answers itself
+)
 
-// The verbs of workers, which their agent serves.
+// The verbs of workers, which their agent answers.
 const (
-	VerbPoll       Verb = "poll"
-	VerbHeartbeat  Verb = "beat"
-	VerbDeregister Verb = "leave"
+	VerbPoll       Verb = "poll"  // Body is a protocol.Poll
+	VerbHeartbeat  Verb = "beat"  // Body is a WorkerHeartbeat
+	VerbDeregister Verb = "leave" // Arg is the incarnation of the worker that leaves
 )
