--- a/internal/controller/catchup_test.go
+++ b/internal/controller/catchup_test.go
@@ -1,7 +1,8 @@
-// Members that come back late: restarted, wiped, frozen, on slow disks and links,
-// behind one, hundreds and thousands of changes. All in virtual time.
 package controller
 
+// Members that return late, behind one, hundreds or thousands of changes: restarted, wiped,
+// frozen, on slow disks and links. All in virtual time.
+
 import (
 	"fmt"
 	"testing"
@@ -12,8 +13,8 @@
 	"coppercourse/internal/wire"
 )
 
-// skipUnderRaceDetector skips what is long and gains nothing by the race detector: a cluster in
-// virtual time is one goroutine. It runs without the detector.
+// skipUnderRaceDetector skips a long test that gains nothing by the race detector, for a
+// cluster in virtual time is one goroutine. Without the detector the test runs.
 func skipUnderRaceDetector(t *testing.T) {
 	t.Helper()
 	if testing.Short() {
@@ -21,10 +22,10 @@
 	}
 }
 
-// catchUp is how long a member may take after its return where the settings say least.
-const catchUp = 4 * time.Second
+// catchUpTime is how long a member may take after its return, by the strictest settings.
+const catchUpTime = 4 * time.Second
 
-// changes puts so many configurations into the log at once, with jobs between.
+// changes proposes a number of configurations of some size at once, with jobs between them.
 func (c *cluster) changes(n, bytes int) {
 	c.t.Helper()
 	for left := n; left > 0; {
@@ -51,8 +52,8 @@
 	}
 }
 
-// runWithChanges makes changes and jobs for a time, and tells when a member had caught up
-// first, or a time past the end.
+// runWithChanges lets a time pass with changes and jobs. It returns when a member had first
+// caught up, or a time past the end if it had not.
 func (c *cluster) runWithChanges(m *member, d time.Duration) (caughtUp time.Duration) {
 	began := c.now
 	caughtUp = d + 1
@@ -71,16 +72,16 @@
 	return caughtUp
 }
 
-// memberFaults are what befalls a member, and what ends it.
+// memberFaults are faults of one member, each with its beginning, duration and end.
 var memberFaults = []struct {
 	name       string
-	lasts      time.Duration
+	duration   time.Duration
 	begin, end func(*member)
 }{
 	{"restarted", 2 * time.Second, (*member).kill, func(m *member) { m.start(false) }},
 	{"wiped", 2 * time.Second, (*member).wipe, func(m *member) { m.start(false) }},
 	{"frozen", 20 * time.Second, func(m *member) { m.frozen = true }, (*member).thaw},
-	{"on a slow disk", 5 * time.Second, func(m *member) { m.syncTime = 30 * 5 * time.Millisecond }, func(*member) {}},
+	{"on a slow disk", 5 * time.Second, func(m *member) { m.syncTime = slowSyncTime }, func(*member) {}},
 	{"on a full disk", 10 * time.Second, func(m *member) { m.diskFull = true }, func(m *member) { m.diskFull = false }},
 }
 
@@ -92,14 +93,14 @@
 			}
 			c := newCluster(t, int64(n), 600)
 			c.changes(n, 2000)
-			for _, h := range memberFaults {
+			for _, fault := range memberFaults {
 				m := c.follower()
-				h.begin(m)
+				fault.begin(m)
 				c.changes(min(n, 300), 2000)
-				c.runWithChanges(m, h.lasts)
-				h.end(m)
-				if took := c.runWithChanges(m, catchUp+time.Second); took > catchUp {
-					t.Errorf("%s: caught up only %v after its return", h.name, took)
+				c.runWithChanges(m, fault.duration)
+				fault.end(m)
+				if took := c.runWithChanges(m, catchUpTime+time.Second); took > catchUpTime {
+					t.Errorf("%s: caught up only %v after its return", fault.name, took)
 				}
 				m.syncTime = syncTime
 				c.run(time.Second)
@@ -125,6 +126,7 @@
 
 // runFrozenLeader freezes the leader while others make changes, and thaws it.
 func runFrozenLeader(t *testing.T, bug func(*member, wire.Event)) *cluster {
+	t.Helper()
 	c := newCluster(t, 7, 600)
 	c.bug = bug
 	c.changes(300, 2000)
@@ -134,7 +136,7 @@
 	c.changes(300, 2000)
 	c.runWithChanges(m, 14*time.Second)
 	m.thaw()
-	if took := c.runWithChanges(m, catchUp+time.Second); took > catchUp {
+	if took := c.runWithChanges(m, catchUpTime+time.Second); took > catchUpTime {
 		t.Errorf("caught up only after %v", took)
 	}
 	return c
@@ -146,11 +148,9 @@
 	}
 }
 
-// thinLinkBytesPerSecond is a link of 2 Mbit/s, in bytes a second; slowSyncTime is a disk of 5 ms a sync
-// that is 30 times slower than that.
 const (
-	thinLinkBytesPerSecond = 250_000
-	slowSyncTime           = 30 * 5 * time.Millisecond
+	thinLinkBytesPerSecond = 250_000                   // a link of 2 Mbit/s
+	slowSyncTime           = 30 * 5 * time.Millisecond // a disk of 5 ms a sync, 30 times slower
 )
 
 // A thin link carries heartbeats beside what is caught up on, so that messages stay
@@ -158,17 +158,19 @@
 func TestAWipedMemberCatchesUpOverAThinLinkAndASlowDisk(t *testing.T) {
 	for _, n := range []int{300, 5000} {
 		bytes := 3_000_000 / n
-		for name, hamper := range map[string]func(*member){
+		for name, slowDown := range map[string]func(*member){
 			"thin link": func(m *member) { m.bytesPerSecond = thinLinkBytesPerSecond },
 			"slow disk": func(m *member) { m.syncTime = slowSyncTime },
 			"both":      func(m *member) { m.bytesPerSecond, m.syncTime = thinLinkBytesPerSecond, slowSyncTime },
 		} {
-			t.Run(fmt.Sprint(n, " ", name), func(t *testing.T) { catchUpHampered(t, n, bytes, hamper) })
+			t.Run(fmt.Sprint(n, " ", name), func(t *testing.T) { catchUpSlowed(t, n, bytes, slowDown) })
 		}
 	}
 }
 
-func catchUpHampered(t *testing.T, n, bytes int, hamper func(*member)) {
+// catchUpSlowed has a wiped member catch up on a number of changes while it is slowed down.
+func catchUpSlowed(t *testing.T, n, bytes int, slowDown func(*member)) {
+	t.Helper()
 	if n > 300 {
 		skipUnderRaceDetector(t)
 	}
@@ -176,7 +178,7 @@
 	c.changes(n, bytes)
 	m := c.follower()
 	m.wipe()
-	hamper(m)
+	slowDown(m)
 	c.run(time.Second)
 	m.start(false)
 	lead := c.leader()
@@ -228,7 +230,7 @@
 	if m.appendReplies-replies < int((c.now-began)/(200*time.Millisecond)) {
 		t.Errorf("%d answers to the leader in %v", m.appendReplies-replies, c.now-began)
 	}
-	c.until(catchUp, "caught up", func() bool { return c.caughtUp(m) })
+	c.until(catchUpTime, "caught up", func() bool { return c.caughtUp(m) })
 	if c.violation != "" {
 		t.Error(c.violation)
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"strings"
+	"syscall"
 	"testing"
 	"time"
 
@@ -11,8 +13,8 @@
 	"coppercourse/internal/wire"
 )
 
-// A leader that shuts down hands its leadership over, tells those who wait for a commit that
-// the outcome is unknown, and is then drained.
+// A leader that shuts down transfers its leadership, replies to those who wait for a commit
+// that the outcome is unknown, and is then drained.
 func TestShutdownHandsOverAndDrains(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 41, 600)
@@ -20,13 +22,13 @@
 	m := c.leader()
 	is.True(!m.machine.Step(wire.Event{Now: m.clock()}).Drained)
 	m.machine.requests.await(1<<40, 1, caller{token: 1 << 40}) // waits for a commit that never comes
-	var told *apierror.Error
-	m.responses[1<<40] = func(r wire.Response) { told = r.Error }
+	var refusal *apierror.Error
+	m.responses[1<<40] = func(r wire.Response) { refusal = r.Error }
 	m.step(wire.Event{Shutdown: true})
 	is.True(!m.machine.Ready())
 	c.until(shutdownTimeout, "another leader", func() bool { return c.leader() != nil && c.leader() != m })
 	is.True(m.machine.Step(wire.Event{Now: m.clock()}).Drained)
-	is.Equal(told.Kind, apierror.OutcomeUnknown)
+	is.Equal(refusal.Kind, apierror.OutcomeUnknown)
 	c.change(100) // the others go on
 }
 
@@ -49,3 +51,27 @@
 	is.True(!first.machine.leader.active())
 	is.Equal(len(first.machine.Workers()), 0)
 }
+
+func TestStatusSaysWhyAControllerIsNotAsItShouldBe(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		alter func(*Controller)
+		want  string // part of the reason
+	}{
+		{"as it should be", func(*Controller) {}, ""},
+		{"as many losses tolerated as asked for", func(c *Controller) { c.options.LossTolerance = 1 }, ""},
+		{"fewer losses tolerated than asked for", func(c *Controller) { c.options.LossTolerance = 2 },
+			"3 voters bear the loss of 1 at once, and the settings ask for 2"},
+		{"disk refuses", func(c *Controller) { c.diskError = syscall.ENOSPC }, "no space left"},
+		{"loading a snapshot", func(c *Controller) { c.log.startLoading() }, "reading a snapshot back"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			m := newCluster(t, 44, 600).leader().machine
+			c.alter(m)
+			reason := m.Status().Reason
+			is.Equal(reason == "", c.want == "")
+			is.True(strings.Contains(reason, c.want))
+		})
+	}
+}
--- a/internal/controller/disk_test.go
+++ b/internal/controller/disk_test.go
@@ -1,6 +1,8 @@
-// Members whose disks refuse: without vote and duty, and back by themselves.
 package controller
 
+// Members whose disks refuse writes: they have no vote and do not lead, and recover without
+// help.
+
 import (
 	"strings"
 	"testing"
@@ -85,7 +87,7 @@
 	is.Equal(c.violation, "")
 }
 
-// A member whose disk is full for long keeps no more than it must.
+// A member whose disk is full for long keeps a bounded number of records in memory.
 func TestWhatWaitsForAFullDiskIsBounded(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 23, 600)
@@ -99,6 +101,6 @@
 	is.True(m.machine.raft.MessagesAwaitingSync() < 50)
 	is.True(m.appendReplies > sent)
 	m.diskFull = false
-	c.until(catchUp, "caught up", func() bool { return c.caughtUp(m) })
+	c.until(catchUpTime, "caught up", func() bool { return c.caughtUp(m) })
 	is.Equal(c.violation, "")
 }
--- a/internal/controller/member_test.go
+++ b/internal/controller/member_test.go
@@ -24,7 +24,7 @@
 	writing         bool
 	syncTime        time.Duration
 	diskFull        bool
-	hidesDiskErrors bool // a planted bug: the machine isn't told that its disk refuses
+	hidesDiskErrors bool // a planted bug: the machine gets no disk errors
 
 	frozen         bool
 	missedEvents   []wire.Event  // while frozen
--- a/internal/controller/planner_test.go
+++ b/internal/controller/planner_test.go
@@ -91,9 +91,9 @@
 	is := is.New(t)
 	l := fullCluster(t)
 	l.endInitialWait(t)
-	whole := testStep("s", 1)
-	whole.Resources = types.Resources{Cores: 16_000, MemoryMB: 100}
-	l.submit(t, "new", state.Spec{Queue: "urgent", Urgency: 9, Steps: []state.Step{whole}})
+	wholeWorker := testStep("s", 1)
+	wholeWorker.Resources = types.Resources{Cores: 16_000, MemoryMB: 100}
+	l.submit(t, "new", state.Spec{Queue: "urgent", Urgency: 9, Steps: []state.Step{wholeWorker}})
 	is.True(l.plan(0).empty()) // it has not waited yet
 	l.now = l.now.Add(preemptionDelay)
 	r := l.plan(0)
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -24,12 +24,12 @@
 	batch := testQueue("batch")
 	batch.MaxPreemptions = 1
 	l.table(t, urgent, batch)
-	whole := testStep("s", 2)
-	whole.Resources = types.Resources{Cores: 16_000, MemoryMB: 100}
-	gang := whole
+	wholeWorker := testStep("s", 2)
+	wholeWorker.Resources = types.Resources{Cores: 16_000, MemoryMB: 100}
+	gang := wholeWorker
 	gang.Gang = true
-	l.submit(t, "low", state.Spec{Queue: "batch", Urgency: 1, Steps: []state.Step{whole}})
-	l.submit(t, "high", state.Spec{Queue: "batch", Urgency: 5, Steps: []state.Step{whole}})
+	l.submit(t, "low", state.Spec{Queue: "batch", Urgency: 1, Steps: []state.Step{wholeWorker}})
+	l.submit(t, "high", state.Spec{Queue: "batch", Urgency: 5, Steps: []state.Step{wholeWorker}})
 	l.submit(t, "gang", state.Spec{Queue: "batch", Urgency: 0, Steps: []state.Step{gang}})
 	for i, job := range []types.JobID{"gang", "low", "high"} {
 		for task := range 2 {
--- a/internal/controller/read_barrier.go
+++ b/internal/controller/read_barrier.go
@@ -5,9 +5,9 @@
 )
 
 // readBarrier holds reads of a job back until the ends of its attempts that the leader has
-// proposed are committed. A caller who asks just when the last task has ended is so told of
-// the end, a few milliseconds later, rather than that the job runs. Nothing is shown that
-// is not committed.
+// proposed are committed. A caller who asks just when the last task has ended so sees the
+// end, a few milliseconds later, rather than a job that runs. Nothing is shown that is not
+// committed.
 type readBarrier struct {
 	proposedEnds map[types.JobID]types.Index // of each job the newest command with ends of it
 	pending      []pendingRead
--- a/internal/controller/request_table_test.go
+++ b/internal/controller/request_table_test.go
@@ -13,7 +13,8 @@
 
 // An entry answers whoever waits for it only if it is of the term in which the
 // request was proposed. Another leader's entry under that index says nothing of the
-// request: its caller is told so at once, and not what became of the other entry.
+// request: its caller learns at once that the outcome is unknown, and nothing of the other
+// entry.
 func TestAnEntryOfAnotherTermAnswersNobodysRequest(t *testing.T) {
 	is := is.New(t)
 	a := &api{
--- a/internal/controller/worker_shapes.go
+++ b/internal/controller/worker_shapes.go
@@ -10,7 +10,7 @@
 )
 
 // workerShapes keeps in the replicated state what the workers are made of, so that a job
-// that no worker could ever hold is told from one whose workers are away.
+// that no worker could ever hold can be told from one whose workers are away.
 type workerShapes struct {
 	proposed types.Index // of the newest change; the next one waits until it is applied
 }
