--- a/cmd/coppercourse/layers_test.go
+++ b/cmd/coppercourse/layers_test.go
@@ -33,8 +33,8 @@
 	{"platform"},
 	{"cmd/coppercourse", "sim/history"},
 	{"sim/worker"},
-	{"sim/checker"},
-	{"sim"},
+	{"sim/checker", "sim/deployment"},
+	{"sim", "sim/fleet"},
 	{"sim/capacity"},
 	{"cmd/coppersim"},
 }
