--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -48,12 +48,12 @@
 	newID := func() types.ID { return types.NewID(rnd) }
 	a := &Agent{executor: executor.New(now.Mono, options.Timeouts, options.Addr, options.Shard, newID)}
 	self := membership.MemberInfo{
-		Addr:  options.Addr,
-		Role:  membership.RoleAgent,
-		Zone:  options.Zone,
-		Shard: string(options.Shard),
-		Ready: true,
-		Build: options.BuildVersion,
+		Addr:   options.Addr,
+		Role:   membership.RoleAgent,
+		Zone:   options.Zone,
+		Detail: string(options.Shard),
+		Ready:  true,
+		Build:  options.BuildVersion,
 	}
 	a.core = daemon.NewCore(now, rnd, self, options.Seeds)
 	a.Trace = a.core.Trace
@@ -142,7 +142,7 @@
 
 // StatusView is the status of an agent, as GET /v1/status shows it.
 type StatusView struct {
-	Role           string            `json:"role"`
+	Role           membership.Role   `json:"role"`
 	BuildVersion   string            `json:"program"`
 	Ready          bool              `json:"ready"`
 	Leader         types.Addr        `json:"leader"`
