--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -124,16 +124,16 @@
 	var list []state.Assignment
 	for _, a := range placed {
 		j := s.Jobs[a.Task.Job]
-		at := types.StageOf(a.Task.Number)
+		stage := types.StageOf(a.Task.Number)
 		attempt := j.Task(a.Task.Number).LastAttempt + 1
-		if j.Spec.Steps[at.Step()].Gang {
-			for _, member := range j.StageTasks(at) {
+		if j.Spec.Steps[stage.Step()].Gang {
+			for _, member := range j.StageTasks(stage) {
 				attempt = max(attempt, member.LastAttempt+1)
 			}
 		}
 		id := types.AttemptID{TaskID: a.Task, Attempt: attempt}
 		list = append(list, state.Assignment{ID: id, Shard: a.Shard})
-		p.waits.placed(placement.TaskGroup{Job: a.Task.Job, Stage: at})
+		p.waits.placed(placement.TaskGroup{Job: a.Task.Job, Stage: stage})
 	}
 	return list
 }
@@ -181,25 +181,33 @@
 		limit = unlimitedDuration
 	}
 	rank := p.ranking.rank(v, j, queue, ready, stage)
+	request := stageRequest(j, stage.Stage)
+	request.Tasks = stage.Tasks
+	request.TimeLimit = limit
+	request.Gang = step.Gang
+	request.PreferOneRack = step.PreferOneRack
+	request.AvoidWorkers = stage.AvoidWorkers
+	request.Class = rank.class
+	request.HeadroomPercent = rank.headroomPercent
+	request.SortKey = rank.sortKey
+	request.JobIdle = ready.OutstandingAttempts == 0
+	return request
+}
+
+// stageRequest returns a request without tasks that asks of a worker what the job's
+// specification says of any task of a stage, be it placed for the first time or hedged.
+func stageRequest(j *state.Job, stage types.Stage) placement.Request {
+	step := &j.Spec.Steps[stage.Step()]
 	return placement.Request{
-		TaskGroup:       placement.TaskGroup{Job: j.ID, Stage: stage.Stage},
-		Queue:           j.Queue,
-		Urgency:         j.Spec.Urgency,
-		Kind:            step.Kind,
-		Rack:            step.Rack,
-		Labels:          step.Labels,
-		Resources:       step.Resources,
-		MaxPerWorker:    step.MaxPerWorker,
-		Gang:            step.Gang,
-		Tasks:           stage.Tasks,
-		TimeLimit:       limit,
-		Class:           rank.class,
-		HeadroomPercent: rank.headroomPercent,
-		JobIdle:         ready.OutstandingAttempts == 0,
-		SortKey:         rank.sortKey,
-		DataRack:        step.DataRack,
-		PreferOneRack:   step.PreferOneRack,
-		AvoidWorkers:    stage.AvoidWorkers,
+		TaskGroup:    placement.TaskGroup{Job: j.ID, Stage: stage},
+		Queue:        j.Queue,
+		Urgency:      j.Spec.Urgency,
+		Kind:         step.Kind,
+		Rack:         step.Rack,
+		Labels:       step.Labels,
+		Resources:    step.Resources,
+		MaxPerWorker: step.MaxPerWorker,
+		DataRack:     step.DataRack,
 	}
 }
 
