--- a/sim/clients.go
+++ b/sim/clients.go
@@ -2,6 +2,7 @@
 // ready gateway of its zone, sends the same again anywhere when the answer is
 // lost or says to come back, looks at its jobs now and then, and sometimes
 // cancels one. Operators put tables, at times two at once.
+
 package sim
 
 import (
@@ -92,7 +93,10 @@
 }
 
 // request asks once; lost is called when no answer came in time.
-func (c *Clients) request(to types.Addr, verb wire.Verb, argument string, body json.RawMessage, onAnswer func(wire.Response), onTimeout func()) {
+func (c *Clients) request(
+	to types.Addr, verb wire.Verb, argument string, body json.RawMessage,
+	onAnswer func(wire.Response), onTimeout func(),
+) {
 	done := false
 	c.world.Request(c.address, to, verb, argument, body, func(a wire.Response) {
 		if !done {
--- a/sim/closing_test.go
+++ b/sim/closing_test.go
@@ -1,5 +1,6 @@
 // Disks lost right after an acknowledgement while every other machine loses power, as
 // it may come at the end of a day.
+
 package sim
 
 import (
--- a/sim/control_faults.go
+++ b/sim/control_faults.go
@@ -1,6 +1,7 @@
 // Faults of control as they come on users' machines: cuts of each form with what may
 // come beside them, losses right after an acknowledgement, planned replacements, and
 // trouble with disks, clocks and connections.
+
 package sim
 
 import (
@@ -25,8 +26,10 @@
 
 // ControlFaults is the table.
 var ControlFaults = map[string]Fault{
-	"cut-core-near":      partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) { return r.separatedWithinZone(r.leader()) }),
-	"cut-core-oldest":    partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromPeers(r, r.oldestController()) }),
+	"cut-core-near": partitionFault(true,
+		func(r *Run) ([]types.Addr, []types.Addr) { return r.separatedWithinZone(r.leader()) }),
+	"cut-core-oldest": partitionFault(true,
+		func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromPeers(r, r.oldestController()) }),
 	"cut-core-seeds":     cutSeeds,
 	"cut-core-both":      cutBothRestarted,
 	"cut-core-meet":      faultWithChanges("cut-core", 1),
@@ -35,18 +38,23 @@
 	"cut-core-out-meet":  faultWithChanges("cut-core-out", 1),
 	"freeze-leader-race": faultWithChanges("freeze-leader", 2),
 	"kill-leader-meet":   faultWithChanges("kill-leader", 1),
-	"cut-from-core":      partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) { return r.someAddresses(0.2), r.addressesOf(r.controllers) }),
-	"cut-from-core-in":   partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { return r.addressesOf(r.controllers), r.someAddresses(0.2) }),
-	"cut-from-core-out":  partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { return r.someAddresses(0.2), r.addressesOf(r.controllers) }),
-	"turn-seeds":         changeSeeds,
-	"kill-after-ack":     faultAfterEvent(history.TableAcknowledged, 0, maxKillDelay, killLeader),
-	"kill-after-send":    faultAfterEvent(history.TableSubmitted, minSendDelay, maxSendDelay, killLeader),
-	"kill-after-accept":  faultAfterEvent(history.JobAccepted, 0, maxKillDelay, killLeader),
-	"wipe-after-ack":     faultAfterEvent(history.TableAcknowledged, 0, maxKillDelay, wipeLeader),
-	"wipe-after-send":    faultAfterEvent(history.TableSubmitted, minSendDelay, maxSendDelay, wipeLeader),
-	"wipe-oldest":        func(r *Run, _ time.Duration) func() { return r.loseDiskIfSafe(r.oldestController()) },
-	"power-after-accept": faultAfterEvent(history.JobAccepted, 0, maxKillDelay, func(r *Run) func() { return r.cutPower(r.controllers) }),
-	"power-after-ack":    faultAfterEvent(history.TableAcknowledged, 0, maxKillDelay, func(r *Run) func() { return r.cutPower(r.daemons()) }),
+	"cut-from-core": partitionFault(true,
+		func(r *Run) ([]types.Addr, []types.Addr) { return r.someAddresses(0.2), r.addressesOf(r.controllers) }),
+	"cut-from-core-in": partitionFault(false,
+		func(r *Run) ([]types.Addr, []types.Addr) { return r.addressesOf(r.controllers), r.someAddresses(0.2) }),
+	"cut-from-core-out": partitionFault(false,
+		func(r *Run) ([]types.Addr, []types.Addr) { return r.someAddresses(0.2), r.addressesOf(r.controllers) }),
+	"turn-seeds":        changeSeeds,
+	"kill-after-ack":    faultAfterEvent(history.TableAcknowledged, 0, maxKillDelay, killLeader),
+	"kill-after-send":   faultAfterEvent(history.TableSubmitted, minSendDelay, maxSendDelay, killLeader),
+	"kill-after-accept": faultAfterEvent(history.JobAccepted, 0, maxKillDelay, killLeader),
+	"wipe-after-ack":    faultAfterEvent(history.TableAcknowledged, 0, maxKillDelay, wipeLeader),
+	"wipe-after-send":   faultAfterEvent(history.TableSubmitted, minSendDelay, maxSendDelay, wipeLeader),
+	"wipe-oldest":       func(r *Run, _ time.Duration) func() { return r.loseDiskIfSafe(r.oldestController()) },
+	"power-after-accept": faultAfterEvent(history.JobAccepted, 0, maxKillDelay,
+		func(r *Run) func() { return r.cutPower(r.controllers) }),
+	"power-after-ack": faultAfterEvent(history.TableAcknowledged, 0, maxKillDelay,
+		func(r *Run) func() { return r.cutPower(r.daemons()) }),
 	"kill-herd": func(r *Run, _ time.Duration) func() {
 		return r.cutPower(r.sample(append(slices.Clone(r.gateways), r.agents...), herdShare))
 	},
@@ -57,7 +65,10 @@
 	"fill-leader-disk":  func(r *Run, _ time.Duration) func() { return fillDisk(r.leader()) },
 	"jump-clocks":       jumpClocks,
 	"reset-connections": resetConnections,
-	"lose-acks":         func(r *Run, _ time.Duration) func() { r.Network.AckLossRate = ackLossRate; return func() { r.Network.AckLossRate = 0 } },
+	"lose-acks": func(r *Run, _ time.Duration) func() {
+		r.Network.AckLossRate = ackLossRate
+		return func() { r.Network.AckLossRate = 0 }
+	},
 	"burst": func(r *Run, _ time.Duration) func() {
 		r.Clients.BurstFactor = burstFactor
 		return func() { r.Clients.BurstFactor = 0 }
@@ -70,7 +81,7 @@
 	for _, n := range list {
 		addrs = append(addrs, n.Addr)
 	}
-	return
+	return addrs
 }
 
 func (r *Run) daemons() []*world.Node { return slices.Concat(r.controllers, r.gateways, r.agents) }
@@ -80,7 +91,7 @@
 	for _, i := range r.Random.Perm(len(list))[:max(1, int(share*float64(len(list))))] {
 		drawn = append(drawn, list[i])
 	}
-	return
+	return drawn
 }
 
 // someAddresses draws a part of the gateways and agents.
--- a/sim/control_faults_test.go
+++ b/sim/control_faults_test.go
@@ -1,5 +1,6 @@
 // Each fault of control does what its name says: what it strikes is seen to be struck,
 // and is whole again when it has ended.
+
 package sim
 
 import (
--- a/sim/core_test.go
+++ b/sim/core_test.go
@@ -1,6 +1,7 @@
 // The control plane's own dangers, each brought about in the simulator: lost
 // disks right after an acknowledgement, foundings that must not be, controllers
 // swapped and returning.
+
 package sim
 
 import (
@@ -26,6 +27,7 @@
 
 // newControlRun is a deployment without traffic, with a table acknowledged at some time.
 func newControlRun(t *testing.T, seed int64) (r *Run, acked func() bool) {
+	t.Helper()
 	r = New(Plan{Seed: seed, Deployment: "kingston"})
 	ok := false
 	r.After(4*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(b bool) { ok = b }) })
@@ -282,7 +284,7 @@
 			}
 		}
 		heir.Kill() // started again, it knows the time from what comes late only
-		r.Network.SetExtraDelay(first.Addr, heir.Addr, 350 * time.Millisecond)
+		r.Network.SetExtraDelay(first.Addr, heir.Addr, 350*time.Millisecond)
 		heir.Boot()
 		r.RunUntil(11 * time.Second)
 		r.Network.SetPartition([]types.Addr{away.Addr}, r.allExcept(away.Addr), true, true)
--- a/sim/cost_test.go
+++ b/sim/cost_test.go
@@ -1,5 +1,6 @@
-// What a step of the leader costs beside how much waits: go test ./trial -run
+// What a step of the leader costs beside how much waits: go test ./sim -run
 // StepCost -v. Times are told, not judged, for they depend on the machine.
+
 package sim
 
 import (
--- a/sim/crowd_test.go
+++ b/sim/crowd_test.go
@@ -1,5 +1,6 @@
 // Crowds: a flood in one queue leaves the others what is theirs, what can't be
 // taken is refused at once with when to come back, and nothing grows unbounded.
+
 package sim
 
 import (
--- a/sim/cutoff_observe_test.go
+++ b/sim/cutoff_observe_test.go
@@ -1,5 +1,6 @@
 // What the recorder sees without asking: messages between daemons, and what agents
 // answer their workers.
+
 package sim
 
 import (
--- a/sim/cutoff_planted_test.go
+++ b/sim/cutoff_planted_test.go
@@ -1,9 +1,9 @@
 // Each rule on what a side without a majority answers is shown to catch a planted bug.
+
 package sim
 
 import (
 	"encoding/json"
-	"fmt"
 	"net/http"
 	"slices"
 	"strings"
@@ -88,7 +88,7 @@
 	{"a gateway keeps taking requests by its table", "at once", "with its zone", true, func(c *cutoff) { c.TableStaleAfter = time.Hour }},
 	{"a gateway keeps serving its table", "old configuration", "with its zone", true, neverStale},
 	{"a gateway keeps refusing by its table", "definite refusal", "with its zone", false, neverStale},
-	{"a redirect by the last known leader", "stale redirect", "from all machines", false, answersWhileCut("table.get", func(c *cutoff, daemon types.Addr, a *wire.Response) bool {
+	{"a redirect by the last known leader", "stale redirect", "from all machines", false, answersWhileCut("table.get", func(c *cutoff, _ types.Addr, a *wire.Response) bool {
 		if a.Leader == "" {
 			a.Leader = c.leader().Addr
 		}
@@ -184,7 +184,7 @@
 		is.Equal(len(answers), 4) // all at once
 		for verb, a := range answers {
 			if a.Error == nil || a.Error.Kind != apierror.NoLeader || a.Error.RetryAfterSeconds == 0 || a.Leader == l.Addr {
-				t.Error(fmt.Sprintf("seed %d: %s is answered by what was known before: %+v %v", seed, verb, a, a.Error))
+				t.Errorf("seed %d: %s is answered by what was known before: %+v %v", seed, verb, a, a.Error)
 			}
 		}
 	}
--- a/sim/cutoff_record_test.go
+++ b/sim/cutoff_record_test.go
@@ -1,6 +1,7 @@
 // A record of what every daemon answers, second by second, to operators, callers,
 // workers and peers. Operators' and callers' answers pass through the pages of the
 // platform, so that statuses and redirects are those that would be seen outside.
+
 package sim
 
 import (
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -1,6 +1,7 @@
 // A control machine is cut off for twenty seconds, in every way that is known to come
 // about, in cores of three and of seven. What each daemon answers in each second is
 // recorded, and held against what a side without a majority may say.
+
 package sim
 
 import (
@@ -312,7 +313,7 @@
 		}
 		return ""
 	}},
-	{"stale redirect", func(c *cutoff, o *observation) string {
+	{"stale redirect", func(_ *cutoff, o *observation) string {
 		if o.redirect == "" {
 			return ""
 		}
@@ -321,7 +322,7 @@
 		}
 		return ""
 	}},
-	{"redirect chain", func(c *cutoff, o *observation) string {
+	{"redirect chain", func(_ *cutoff, o *observation) string {
 		if o.redirects > 2 {
 			return fmt.Sprintf("%d redirects were followed", o.redirects)
 		}
--- a/sim/daylong_test.go
+++ b/sim/daylong_test.go
@@ -1,6 +1,7 @@
-// Memory over a day of a deployment's usual traffic: go test ./trial -run Daylong -v
+// Memory over a day of a deployment's usual traffic: go test ./sim -run Daylong -v
 // -timeout 60m -args -day 24h. It grows by the marks of ended ids until they are
 // a day old, and by nothing else; CI looks at some minutes.
+
 package sim
 
 import (
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -1,5 +1,6 @@
 // The table of faults. Each begins one and gives back how it ends; nil means
 // that it could not be begun now.
+
 package sim
 
 import (
@@ -24,7 +25,7 @@
 			ups = append(ups, n)
 		}
 	}
-	return
+	return ups
 }
 
 // leader finds who leads, for faults that aim at it.
@@ -107,7 +108,7 @@
 			list = append(list, a)
 		}
 	}
-	return
+	return list
 }
 
 func leaders(r *Run) []*world.Node {
@@ -149,25 +150,37 @@
 	"freeze-controller": freezeFault(func(r *Run) []*world.Node { return r.controllers }),
 	"freeze-gateway":    freezeFault(func(r *Run) []*world.Node { return r.gateways }),
 	"freeze-agent":      freezeFault(func(r *Run) []*world.Node { return r.agents }),
-	"cut-leader":        partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, r.leader()) }),
-	"cut-core":          partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromPeers(r, r.leader()) }),
-	"cut-core-in":       partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { a, b := separatedFromPeers(r, r.leader()); return b, a }),
-	"cut-core-out":      partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromPeers(r, r.leader()) }),
+	"cut-leader": partitionFault(true,
+		func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, r.leader()) }),
+	"cut-core": partitionFault(true,
+		func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromPeers(r, r.leader()) }),
+	"cut-core-in": partitionFault(false,
+		func(r *Run) ([]types.Addr, []types.Addr) { a, b := separatedFromPeers(r, r.leader()); return b, a }),
+	"cut-core-out": partitionFault(false,
+		func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromPeers(r, r.leader()) }),
 	"cut-controller": partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) {
 		return separatedFromAll(r, pickOne(r.Random, r.controllers))
 	}),
-	"cut-agent": partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, pickOne(r.Random, r.agents)) }),
+	"cut-agent": partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) {
+		return separatedFromAll(r,
+			pickOne(r.Random, r.agents))
+	}),
 	"cut-agent-in": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) {
 		a, b := separatedFromAll(r, pickOne(r.Random, r.agents))
 		return b, a
 	}),
-	"cut-agent-out": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, pickOne(r.Random, r.agents)) }),
-	"cut-worker":    partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, r.anyPollingWorker().Node) }),
+	"cut-agent-out": partitionFault(false,
+		func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, pickOne(r.Random, r.agents)) }),
+	"cut-worker": partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) {
+		return separatedFromAll(r,
+			r.anyPollingWorker().Node)
+	}),
 	"cut-worker-in": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) {
 		a, b := separatedFromAll(r, r.anyPollingWorker().Node)
 		return b, a
 	}),
-	"cut-worker-out": partitionFault(false, func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, r.anyPollingWorker().Node) }),
+	"cut-worker-out": partitionFault(false,
+		func(r *Run) ([]types.Addr, []types.Addr) { return separatedFromAll(r, r.anyPollingWorker().Node) }),
 	"cut-zone": partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) {
 		x := r.Clients.deployment.Size
 		z := r.zones[x.Zone(r.Random.Intn(x.Zones))]
@@ -223,7 +236,12 @@
 		gen := h.Incarnation
 		return func() {
 			if h.Incarnation == gen && h.Worker.Leaving {
-				r.Record(history.Event{Kind: history.WorkerRemoved, Process: string(h.Worker.ID), Shard: h.Spec.Shard, Text: long.String()})
+				r.Record(history.Event{
+					Kind:    history.WorkerRemoved,
+					Process: string(h.Worker.ID),
+					Shard:   h.Spec.Shard,
+					Text:    long.String(),
+				})
 				h.Kill()
 				r.After(2*time.Second, func() {
 					if h.Worker == nil {
@@ -236,7 +254,7 @@
 	"slow-worker":    degradeFault(func(m *history.WorkerSpec) { m.Slowdown = 5 }),
 	"stall-worker":   degradeFault(func(m *history.WorkerSpec) { m.StallRate = 0.3 }),
 	"failing-worker": degradeFault(func(m *history.WorkerSpec) { m.FailureRate = 0.5 }),
-	"drain-rack": func(r *Run, long time.Duration) func() {
+	"drain-rack": func(r *Run, _ time.Duration) func() {
 		rack := fmt.Sprintf("racks/r%d", 1+r.Random.Intn(4))
 		if r.drained[rack] {
 			return nil
@@ -246,11 +264,12 @@
 		undo := func() {
 			r.Clients.requestAsOperator(wire.VerbCancelDrain, rack, nil, 0, func() { delete(r.drained, rack) })
 		}
-		r.Clients.requestAsOperator(wire.VerbStartDrain, rack, wire.EncodeBody(config.Drain{WithinMillis: r.Random.Intn(3) * 1000}), 0, func() {
-			if acked = true; over {
-				undo()
-			}
-		})
+		r.Clients.requestAsOperator(wire.VerbStartDrain, rack,
+			wire.EncodeBody(config.Drain{WithinMillis: r.Random.Intn(3) * 1000}), 0, func() {
+				if acked = true; over {
+					undo()
+				}
+			})
 		return func() { // only once it is known to be taken, so that the two can't overtake each other
 			if over = true; acked {
 				undo()
@@ -274,7 +293,9 @@
 	},
 	"weather": func(r *Run, _ time.Duration) func() {
 		r.Network.Quality = world.NetworkQuality{LossRate: 0.03, DuplicateRate: 0.05, DelayRate: 0.05}
-		return func() { r.Network.Quality = world.NetworkQuality{LossRate: 0.001, DuplicateRate: 0.001, DelayRate: 0.001} }
+		return func() {
+			r.Network.Quality = usualQuality
+		}
 	},
 	"lose-disk":       func(r *Run, _ time.Duration) func() { return r.loseAnyDisk(false) },
 	"swap-controller": func(r *Run, _ time.Duration) func() { return r.loseAnyDisk(true) },
@@ -325,7 +346,8 @@
 		if h.Machine == nil || h.Frozen {
 			return false
 		}
-		if s := h.Machine.(*controller.Controller).Status(); s.RaftRole != "leader" && s.RaftRole != "follower" || len(s.Members) != len(r.controllers) {
+		if s := h.Machine.(*controller.Controller).Status(); s.RaftRole != "leader" && s.RaftRole != "follower" ||
+			len(s.Members) != len(r.controllers) {
 			return false
 		}
 	}
@@ -378,6 +400,10 @@
 // slowProcessor makes a node's processor so many times slower for a while.
 func (r *Run) slowProcessor(n *world.Node, factor float64, duration time.Duration) {
 	n.Slowness = factor
-	r.Record(history.Event{Kind: history.FaultStarted, Text: "slow-processor for " + duration.String(), Affected: []types.Addr{n.Addr}})
+	r.Record(history.Event{
+		Kind:     history.FaultStarted,
+		Text:     "slow-processor for " + duration.String(),
+		Affected: []types.Addr{n.Addr},
+	})
 	r.After(duration, func() { n.Slowness = 1 })
 }
--- a/sim/goodput_test.go
+++ b/sim/goodput_test.go
@@ -1,6 +1,7 @@
 // Goodput when more is asked for than can be done: callers that heed when to
 // come back and ones that do not, at several times the load that the workers
 // can sustain. CI looks at one and two times; -crowds looks at all.
+
 package sim
 
 import (
@@ -87,7 +88,7 @@
 	burst := deployment.Flow{Queue: "menus", MeanInterval: 400 * time.Millisecond, NewSpec: func(rnd *rand.Rand) state.Spec {
 		return state.Spec{Queue: "menus", Urgency: 9, Steps: []state.Step{{Name: "b", Kind: "menu", Resources: types.Resources{Cores: 12 * types.Core}, Tasks: 3, Work: deployment.RandomWork(rnd, 1000, 3000)}}}
 	}}
-	endless := deployment.Flow{Queue: "menus", MeanInterval: 400 * time.Millisecond, NewSpec: func(rnd *rand.Rand) state.Spec {
+	endless := deployment.Flow{Queue: "menus", MeanInterval: 400 * time.Millisecond, NewSpec: func(*rand.Rand) state.Spec {
 		return state.Spec{Queue: "menus", Steps: []state.Step{{Name: "e", Kind: "menu", Resources: types.Resources{Cores: 1 * types.Core}, Tasks: 20, Work: []byte(`{"ms":100000000}`)}}}
 	}}
 	for name, f := range map[string]deployment.Flow{"large and urgent jobs": burst, "work that never ends": endless} {
--- a/sim/grown_day_test.go
+++ b/sim/grown_day_test.go
@@ -1,4 +1,5 @@
 // Grown deployments whose workers are invoked: a calm day, and one of losses.
+
 package sim
 
 import (
--- a/sim/grown_rig_test.go
+++ b/sim/grown_rig_test.go
@@ -1,5 +1,6 @@
 // What tests of fleets of controllers have in common: starting, waiting, and looking at
 // whether all that are there vote.
+
 package sim
 
 import (
--- a/sim/grown_test.go
+++ b/sim/grown_test.go
@@ -1,5 +1,6 @@
 // Fleets with more controllers than found them: how all come to vote, what of the core
 // may be lost, and that nobody founds or strikes off who must not.
+
 package sim
 
 import (
--- a/sim/hours_test.go
+++ b/sim/hours_test.go
@@ -1,6 +1,7 @@
 // A zone cut off for long, with its controller, gateway, agents and workers: the rest
 // serves all the while, the cut side refuses, and after the link is back service
 // is what it was. CI cuts for ten minutes; -cut takes any time.
+
 package sim
 
 import (
@@ -31,52 +32,24 @@
 	r := New(Plan{Seed: 11, Deployment: "kingston", Patience: 30 * time.Second})
 	r.Clients.CancelRate = 0
 	r.After(3*time.Second, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
-	traffic := func() {
-		r.Clients.open = true
-		for _, f := range r.Clients.deployment.Flows {
-			r.Clients.startFlow(f)
-		}
-	}
-	r.After(6*time.Second, traffic)
+	r.After(6*time.Second, r.openFlows)
 	r.RunUntil(20 * time.Second)
 	zone := r.zones["z1"]
 	rest := r.allExcept(append(zone, r.Clients.address)...)
 	r.Network.SetPartition(zone, rest, true, true)
 	cut := r.Now()
 	r.RunUntil(30 * time.Second)
-	var f *apierror.Error
-	r.Request(r.Clients.address, "g1", "job.cancel", "quotes-1", nil, func(a wire.Response) { f = a.Error })
+	var refusal *apierror.Error
+	r.Request(r.Clients.address, "g1", "job.cancel", "quotes-1", nil, func(a wire.Response) { refusal = a.Error })
 	r.RunUntil(32 * time.Second)
-	is.Equal(f.Kind, apierror.NoLeader) // the cut side's own gateway refuses at once
-	is.True(f.RetryAfterSeconds > 1)
-	r.Clients.open = *steadyTraffic // else hours of little traffic: a burst every two minutes
-	if *steadyTraffic {
-		r.RunUntil(time.Duration(cut) + *cutDuration)
-	}
-	for end := cut + int64(*cutDuration); r.Now() < end; {
-		r.RunUntil(time.Duration(min(end, r.Now()+int64(110*time.Second))))
-		traffic()
-		r.RunUntil(time.Duration(r.Now()) + 10*time.Second)
-		r.Clients.open = false
-	}
-	if !*steadyTraffic {
-		r.RunUntil(time.Duration(r.Now()) + 12*time.Second) // all streams have ended, so that they are not doubled
-		traffic()
-	}
+	is.Equal(refusal.Kind, apierror.NoLeader) // the cut side's own gateway refuses at once
+	is.True(refusal.RetryAfterSeconds > 1)
+	r.trafficDuringCut(cut)
 	r.RunUntil(time.Duration(r.Now()) + 10*time.Second)
 	r.Network.SetPartition(zone, rest, true, false)
 	heal := r.Now()
-	sent := 0
-	for _, h := range r.History.Events { // callers inside repeat what they sent before and at the time of the cut
-		if h.Kind == history.JobSubmitted && h.At < cut+int64(10*time.Second) {
-			sent++
-			r.Request(r.Clients.address, "g1", "job.put", string(h.Job), wire.EncodeBody(h.Spec), func(a wire.Response) {
-				if a.Error != nil && a.Error.RetryAfterSeconds == 0 {
-					t.Error(h.Job, a.Error)
-				}
-			})
-		}
-	}
+	// Callers inside repeat what they sent before and at the time of the cut.
+	sent := r.resubmit(t, cut+int64(10*time.Second))
 	is.True(sent > 50)
 	r.RunUntil(time.Duration(heal) + 27*time.Second)
 	before := history.CompletionRate(&r.History, int64(8*time.Second), int64(20*time.Second))
@@ -88,14 +61,60 @@
 		}
 	}
 	is.Equal(healthy, 11)
-	t.Logf("cut for %s: jobs done a second %.2f before, %.2f from 12 s after, %d workers healthy", *cutDuration, before, after, healthy)
+	t.Logf("cut for %s: jobs done a second %.2f before, %.2f from 12 s after, %d workers healthy",
+		*cutDuration, before, after, healthy)
 	is.True(after > MinRecovery*before)
 	r.Clients.open = false
 	r.RunUntil(time.Duration(r.Now()) + 40*time.Second)
-	breaks, seen := checker.Check(&r.History, checker.DefaultBounds, r.Now(), 30*time.Second)
-	t.Logf("chances:\n%v", seen)
-	is.True(seen["again: a success acknowledged late or never"] > 0) // attempts ended well beyond the cut
-	for _, b := range breaks {
-		t.Error(b)
+	violations, coverage := checker.Check(&r.History, checker.DefaultBounds, r.Now(), 30*time.Second)
+	t.Logf("opportunities:\n%v", coverage)
+	is.True(coverage["again: a success acknowledged late or never"] > 0) // attempts ended well beyond the cut
+	for _, v := range violations {
+		t.Error(v)
+	}
+}
+
+// openFlows begins the deployment's usual traffic.
+func (r *Run) openFlows() {
+	r.Clients.open = true
+	for _, f := range r.Clients.deployment.Flows {
+		r.Clients.startFlow(f)
+	}
+}
+
+// trafficDuringCut runs until the cut's time is over and leaves the usual traffic on:
+// with it all the while, or else with a burst every two minutes.
+func (r *Run) trafficDuringCut(cut int64) {
+	r.Clients.open = *steadyTraffic
+	if *steadyTraffic {
+		r.RunUntil(time.Duration(cut) + *cutDuration)
+	}
+	for end := cut + int64(*cutDuration); r.Now() < end; {
+		r.RunUntil(time.Duration(min(end, r.Now()+int64(110*time.Second))))
+		r.openFlows()
+		r.RunUntil(time.Duration(r.Now()) + 10*time.Second)
+		r.Clients.open = false
+	}
+	if !*steadyTraffic {
+		r.RunUntil(time.Duration(r.Now()) + 12*time.Second) // all streams have ended, so that they are not doubled
+		r.openFlows()
+	}
+}
+
+// resubmit sends again all jobs that were submitted before a time, and returns how many;
+// none may be refused for good.
+func (r *Run) resubmit(t *testing.T, before int64) (sent int) {
+	t.Helper()
+	for _, h := range r.History.Events {
+		if h.Kind != history.JobSubmitted || h.At >= before {
+			continue
+		}
+		sent++
+		r.Request(r.Clients.address, "g1", "job.put", string(h.Job), wire.EncodeBody(h.Spec), func(a wire.Response) {
+			if a.Error != nil && a.Error.RetryAfterSeconds == 0 {
+				t.Error(h.Job, a.Error)
+			}
+		})
 	}
+	return sent
 }
--- a/sim/invoked_faults.go
+++ b/sim/invoked_faults.go
@@ -1,5 +1,6 @@
 // Faults of workers that are invoked, and those of all deployments that take another
 // form there.
+
 package sim
 
 import (
@@ -81,10 +82,14 @@
 	"crash-silent":  crashFault(false, false),
 	"crash-refuse":  crashFault(true, false),
 	"crash-forever": crashFault(false, true),
-	"sick-worker":   workerFault(func(r *Run, k *world.InvokedNode) { k.Worker.Unhealthy = true }, func(_ *Run, k *world.InvokedNode) { k.Worker.Unhealthy = false }),
-	"still-worker":  workerFault(func(r *Run, k *world.InvokedNode) { k.Worker.Stalled = true }, func(_ *Run, k *world.InvokedNode) { k.Worker.Stalled = false }),
-	"hang-worker":   workerFault(func(r *Run, k *world.InvokedNode) { k.Hangs = true }, func(_ *Run, k *world.InvokedNode) { k.Hangs = false }),
-	"late-beats":    workerFault(func(r *Run, k *world.InvokedNode) { k.LateHeartbeatRate = 0.5 }, func(_ *Run, k *world.InvokedNode) { k.LateHeartbeatRate = 0 }),
+	"sick-worker": workerFault(func(_ *Run, k *world.InvokedNode) { k.Worker.Unhealthy = true },
+		func(_ *Run, k *world.InvokedNode) { k.Worker.Unhealthy = false }),
+	"still-worker": workerFault(func(_ *Run, k *world.InvokedNode) { k.Worker.Stalled = true },
+		func(_ *Run, k *world.InvokedNode) { k.Worker.Stalled = false }),
+	"hang-worker": workerFault(func(_ *Run, k *world.InvokedNode) { k.Hangs = true },
+		func(_ *Run, k *world.InvokedNode) { k.Hangs = false }),
+	"late-beats": workerFault(func(_ *Run, k *world.InvokedNode) { k.LateHeartbeatRate = 0.5 },
+		func(_ *Run, k *world.InvokedNode) { k.LateHeartbeatRate = 0 }),
 	"late-orders": func(r *Run, _ time.Duration) func() {
 		for _, k := range r.InvokedWorkers {
 			k.LateCallRate = 0.055
@@ -96,15 +101,18 @@
 			}
 		}
 	},
-	"late-worker":   workerFault(func(r *Run, k *world.InvokedNode) { k.LateCallRate = 0.4 }, func(_ *Run, k *world.InvokedNode) { k.LateCallRate = 0 }),
+	"late-worker": workerFault(func(_ *Run, k *world.InvokedNode) { k.LateCallRate = 0.4 },
+		func(_ *Run, k *world.InvokedNode) { k.LateCallRate = 0 }),
 	"notice-worker": departureFault(func(_ *Run, long time.Duration) time.Duration { return 2*time.Second + long }),
 	"spot-worker": departureFault(func(r *Run, _ time.Duration) time.Duration {
 		return time.Duration(1+r.Random.Intn(2000)) * time.Millisecond
 	}),
 
-	"kill-worker":    crashFault(true, false),
-	"slow-worker":    workerFault(func(_ *Run, k *world.InvokedNode) { k.Worker.Slowdown = 6.5 }, func(_ *Run, k *world.InvokedNode) { k.Worker.Slowdown = max(1, k.Spec.Slowdown) }),
-	"failing-worker": workerFault(func(_ *Run, k *world.InvokedNode) { k.Worker.FailureRate = 0.4 }, func(_ *Run, k *world.InvokedNode) { k.Worker.FailureRate = k.Spec.FailureRate }),
+	"kill-worker": crashFault(true, false),
+	"slow-worker": workerFault(func(_ *Run, k *world.InvokedNode) { k.Worker.Slowdown = 6.5 },
+		func(_ *Run, k *world.InvokedNode) { k.Worker.Slowdown = max(1, k.Spec.Slowdown) }),
+	"failing-worker": workerFault(func(_ *Run, k *world.InvokedNode) { k.Worker.FailureRate = 0.4 },
+		func(_ *Run, k *world.InvokedNode) { k.Worker.FailureRate = k.Spec.FailureRate }),
 	"cut-worker": partitionFault(true, func(r *Run) ([]types.Addr, []types.Addr) {
 		return separatedFromAll(r, pickOne(r.Random, r.InvokedWorkers).Node)
 	}),
@@ -148,7 +156,7 @@
 		r.After(long/2, again)
 		return func() {}
 	},
-	"drain-worker": func(r *Run, long time.Duration) func() {
+	"drain-worker": func(r *Run, _ time.Duration) func() {
 		name := "workers/" + string(pickOne(r.Random, r.InvokedWorkers).Spec.Shard)
 		if r.drained[name] {
 			return nil
@@ -158,11 +166,12 @@
 		undo := func() {
 			r.Clients.requestAsOperator(wire.VerbCancelDrain, name, nil, 0, func() { delete(r.drained, name) })
 		}
-		r.Clients.requestAsOperator(wire.VerbStartDrain, name, wire.EncodeBody(config.Drain{WithinMillis: r.Random.Intn(3) * 1000}), 0, func() {
-			if acked = true; over {
-				undo()
-			}
-		})
+		r.Clients.requestAsOperator(wire.VerbStartDrain, name,
+			wire.EncodeBody(config.Drain{WithinMillis: r.Random.Intn(3) * 1000}), 0, func() {
+				if acked = true; over {
+					undo()
+				}
+			})
 		return func() {
 			if over = true; acked {
 				undo()
@@ -172,7 +181,13 @@
 }
 
 // only in deployments whose workers call: what an invoked worker can't suffer.
-var pollOnly = map[string]bool{"freeze-worker": true, "freeze-machine": true, "leave-worker": true, "remove-worker": true, "stall-worker": true}
+var pollOnly = map[string]bool{
+	"freeze-worker":  true,
+	"freeze-machine": true,
+	"leave-worker":   true,
+	"remove-worker":  true,
+	"stall-worker":   true,
+}
 
 // FaultsOf lists the faults that a deployment knows.
 func FaultsOf(name string) (list []string) {
@@ -191,5 +206,5 @@
 		}
 	}
 	slices.Sort(list)
-	return
+	return list
 }
--- a/sim/invoked_planted_test.go
+++ b/sim/invoked_planted_test.go
@@ -1,6 +1,7 @@
 // Each rule on deployments whose workers are invoked is shown to catch a planted bug: the
 // machines are the real ones, what lies between them lies. The same run without
 // the bug breaks nothing.
+
 package sim
 
 import (
--- a/sim/invoked_test.go
+++ b/sim/invoked_test.go
@@ -1,5 +1,6 @@
 // Deployments whose workers are invoked: calm days, each fault alone, and seeds that once
-// failed. Long sweeps are `trial sweep --deployment kingston-called`.
+// failed. Long sweeps are `coppersim sweep --deployment kingston-called`.
+
 package sim
 
 import (
--- a/sim/leader_bench_test.go
+++ b/sim/leader_bench_test.go
@@ -1,6 +1,7 @@
 // What the leader of a grown town spends under the load that its users send: go test
 // ./sim -bench LeaderOfTheGrownDeployment -run ^$ -benchtime 10x -cpuprofile FILE, and then go
 // tool pprof -tagfocus leader=yes FILE. One round of the benchmark is a simulated second.
+
 package sim
 
 import (
--- a/sim/ledger_test.go
+++ b/sim/ledger_test.go
@@ -2,6 +2,7 @@
 // force the chance of it, and a count that shows that the chance arose. A run
 // in which a rule had no chance proves nothing of it. The other half of the
 // proof, that each rule catches a bug, is in planted_test.go.
+
 package sim
 
 import (
--- a/sim/linear_models_test.go
+++ b/sim/linear_models_test.go
@@ -2,6 +2,7 @@
 // configurations that only grows, and jobs that are there once accepted. A history
 // is right if it can be explained by requests that take effect one at a time, each
 // between its sending and its answer.
+
 package sim
 
 import (
--- a/sim/linear_rig_test.go
+++ b/sim/linear_rig_test.go
@@ -1,6 +1,7 @@
 // Operators and callers whose every request and answer is written down for the
 // models: they ask gateways and controllers, race on one number, send again what
 // got no clear answer, and again what was taken or lost long ago.
+
 package sim
 
 import (
--- a/sim/linear_test.go
+++ b/sim/linear_test.go
@@ -1,5 +1,6 @@
 // Histories of operators and callers under every fault of the control side, checked
 // for linearizability; and planted bugs, each of which the check must find.
+
 package sim
 
 import (
@@ -203,7 +204,7 @@
 		r := New(Plan{Seed: 300 + seed, Deployment: "kingston"})
 		r.RunUntil(8 * time.Second)
 		lost := 2
-		r.TamperAnswer = func(verb wire.Verb, a *wire.Response) {
+		r.TamperAnswer = func(_ wire.Verb, a *wire.Response) {
 			if lost--; lost >= 0 {
 				*a = wire.Response{Error: apierror.New(apierror.OutcomeUnknown, "", "")}
 			}
--- a/sim/operator.go
+++ b/sim/operator.go
@@ -1,6 +1,7 @@
 // Operators of a deployment whose workers are invoked: they number the versions of the
 // table themselves, add and remove queues that nobody uses, send what is stale or
 // invalid, at times two at once, and count what waits at each gateway.
+
 package sim
 
 import (
@@ -26,7 +27,15 @@
 		n.Queues = slices.Delete(n.Queues, i, i+1)
 	} else if len(n.Queues) < 8 {
 		c.lastJob++
-		n.Queues = append(n.Queues, config.Queue{Name: types.QueueName(fmt.Sprint("idle-", c.lastJob)), Weight: 1, MaxRunning: 10, MaxUnfinished: 10, MaxFailures: 1, TaskTimeoutMillis: 1000, Service: "work"})
+		n.Queues = append(n.Queues, config.Queue{
+			Name:              types.QueueName(fmt.Sprint("idle-", c.lastJob)),
+			Weight:            1,
+			MaxRunning:        10,
+			MaxUnfinished:     10,
+			MaxFailures:       1,
+			TaskTimeoutMillis: 1000,
+			Service:           "work",
+		})
 	}
 	return n
 }
@@ -51,7 +60,7 @@
 				case 1:
 					n.Version--
 				}
-				c.putTable(n, c.anyGateway(), 0, func(ok bool) { c.countQueues(t, n) })
+				c.putTable(n, c.anyGateway(), 0, func(bool) { c.countQueues(t, n) })
 			}
 		})
 		c.startVersioningOperators()
@@ -79,7 +88,12 @@
 func (c *Clients) countQueue(q types.QueueName, g types.Addr) {
 	began := c.world.Now()
 	c.request(g, wire.VerbCountQueue, string(q), nil, func(a wire.Response) {
-		h := history.Event{Kind: history.QueueCounted, Process: c.world.Nodes[g].ProcessName(), Job: types.JobID(q), Text: fmt.Sprint(began)}
+		h := history.Event{
+			Kind:    history.QueueCounted,
+			Process: c.world.Nodes[g].ProcessName(),
+			Job:     types.JobID(q),
+			Text:    fmt.Sprint(began),
+		}
 		switch {
 		case a.Error == nil:
 			h.Stage = history.QueueExists
--- a/sim/planted_test.go
+++ b/sim/planted_test.go
@@ -1,6 +1,7 @@
 // Every rule of the checker is shown to catch a planted bug: the machines are
 // the real ones, and what lies between them lies. The same run without the bug
 // breaks nothing.
+
 package sim
 
 import (
--- a/sim/processor_test.go
+++ b/sim/processor_test.go
@@ -1,6 +1,7 @@
 // Days on which steps take time and processors are slow: the rules hold, control
 // work goes first, callers are answered in time, and the service goes on after it.
 // Each planted bug is caught by what the same day measures.
+
 package sim
 
 import (
--- a/sim/requests_test.go
+++ b/sim/requests_test.go
@@ -1,6 +1,7 @@
 // What controllers answer to operators who ask them directly, second by second:
 // nothing under a lease that is over, and no way to a leader of whom they have no
 // fresh word.
+
 package sim
 
 import (
--- a/sim/run.go
+++ b/sim/run.go
@@ -1,5 +1,6 @@
 // A whole simulated run: a deployment set up, its traffic, faults drawn from the
 // seed, the time after them, and the checks.
+
 package sim
 
 import (
@@ -53,11 +54,10 @@
 // New sets the plan's deployment up: its controllers, gateways, agents and their workers.
 func New(p Plan) *Run { return newRun(p, deployment.ByName[p.Deployment]) }
 
-func newRun(p Plan, deployment deployment.Deployment) *Run {
+func newRun(p Plan, d deployment.Deployment) *Run {
 	r := &Run{World: world.New(p.Seed), Plan: p, zones: map[types.Zone][]types.Addr{}, drained: map[string]bool{}}
-	size := deployment.Size
-	if deployment.Invoked() {
-		r.Environment = worker.NewEnvironment(*deployment.WorkerRules)
+	if d.Invoked() {
+		r.Environment = worker.NewEnvironment(*d.WorkerRules)
 	}
 	if p.Quick {
 		r.Timeouts, r.RaftTimeouts = settings.QuickTimeouts.Dispatch(), settings.QuickTimeouts.Raft()
@@ -65,6 +65,32 @@
 	if p.Timeouts != (protocol.Timeouts{}) {
 		r.Timeouts = p.Timeouts
 	}
+	r.addDaemons(d.Size)
+	r.addWorkers(d)
+	r.scheduleBoots()
+	r.Clients = &Clients{
+		world:           r.World,
+		deployment:      d,
+		address:         "caller",
+		open:            true,
+		CancelRate:      0.04,
+		RacingOperators: true,
+		Refusals:        map[apierror.Kind]int{},
+		MaxRetries:      30,
+		cancelDelays:    map[types.JobID]time.Duration{},
+	}
+	for _, g := range r.gateways {
+		r.Clients.gateways = append(r.Clients.gateways, g.Addr)
+	}
+	r.Network.Quality = usualQuality
+	return r
+}
+
+// usualQuality is that of the network while no fault changes it.
+var usualQuality = world.NetworkQuality{LossRate: 0.001, DuplicateRate: 0.001, DelayRate: 0.001}
+
+// addDaemons adds controllers and gateways, and the seeds that all daemons are given.
+func (r *Run) addDaemons(size deployment.Size) {
 	r.Seeds = []types.Addr{"h1", "g1", "w1"}
 	for i := range size.Founders {
 		r.Founders = append(r.Founders, types.Addr(fmt.Sprintf("h%d", i+1)))
@@ -78,36 +104,46 @@
 	for i := range size.Gateways {
 		r.gateways = append(r.gateways, r.AddGateway(types.Addr(fmt.Sprintf("g%d", i+1)), size.Zone(i)))
 	}
-	for i, m := range deployment.Workers() {
-		a := types.Addr(fmt.Sprintf("w%d", i+1))
-		r.agents = append(r.agents, r.AddAgent(a, size.Zone(i), m))
-		if deployment.Invoked() {
-			m.RejectsOverload = !p.Unguarded
-			r.AddInvokedWorker(types.Addr(fmt.Sprintf("k%d", i+1)), a, size.Zone(i), m)
-			continue
+}
+
+// addWorkers adds the workers of a deployment, and an agent beside each.
+func (r *Run) addWorkers(d deployment.Deployment) {
+	for i, spec := range d.Workers() {
+		zone := d.Size.Zone(i)
+		agent, worker := types.Addr(fmt.Sprintf("w%d", i+1)), types.Addr(fmt.Sprintf("k%d", i+1))
+		r.agents = append(r.agents, r.AddAgent(agent, zone, spec))
+		if d.Invoked() {
+			spec.RejectsOverload = !r.Plan.Unguarded
+			r.AddInvokedWorker(worker, agent, zone, spec)
+		} else {
+			r.AddPollingWorker(worker, agent, zone, spec)
 		}
-		r.AddPollingWorker(types.Addr(fmt.Sprintf("k%d", i+1)), a, size.Zone(i), m)
+	}
+}
+
+const (
+	daemonBootSpread = 300 * time.Millisecond
+	workerBootSpread = 500 * time.Millisecond
+)
+
+// scheduleBoots has all processes start, each at a moment of its own.
+func (r *Run) scheduleBoots() {
+	atMoment := func(spread time.Duration, boot func()) {
+		r.After(time.Duration(r.Random.Int63n(int64(spread))), boot)
 	}
 	for _, a := range r.NodeOrder {
 		n := r.Nodes[a]
 		r.zones[n.Zone] = append(r.zones[n.Zone], a)
 		if n.NewMachine != nil {
-			r.After(time.Duration(r.Random.Int63n(int64(300*time.Millisecond))), n.Boot)
+			atMoment(daemonBootSpread, n.Boot)
 		}
 	}
-	for _, h := range r.PollingWorkers {
-		r.After(time.Duration(r.Random.Int63n(int64(500*time.Millisecond))), h.Boot)
+	for _, p := range r.PollingWorkers {
+		atMoment(workerBootSpread, p.Boot)
 	}
 	for _, k := range r.InvokedWorkers {
-		r.After(time.Duration(r.Random.Int63n(int64(500*time.Millisecond))), k.Boot)
-	}
-	r.Clients = &Clients{world: r.World, deployment: deployment, address: "caller", open: true, CancelRate: 0.04, RacingOperators: true, Refusals: map[apierror.Kind]int{},
-		MaxRetries: 30, cancelDelays: map[types.JobID]time.Duration{}}
-	for _, g := range r.gateways {
-		r.Clients.gateways = append(r.Clients.gateways, g.Addr)
+		atMoment(workerBootSpread, k.Boot)
 	}
-	r.Network.Quality = world.NetworkQuality{LossRate: 0.001, DuplicateRate: 0.001, DelayRate: 0.001}
-	return r
 }
 
 // Execute does the whole run.
@@ -166,7 +202,7 @@
 	r.Network.ClearResets()
 	r.Network.AckLossRate, r.Clients.BurstFactor = 0, 0
 	r.ClearWatchers()
-	r.Network.Quality = world.NetworkQuality{LossRate: 0.001, DuplicateRate: 0.001, DelayRate: 0.001}
+	r.Network.Quality = usualQuality
 	for _, a := range r.NodeOrder {
 		n := r.Nodes[a]
 		if n.NewMachine == nil {
@@ -228,7 +264,11 @@
 	if end == nil {
 		return
 	}
-	r.Record(history.Event{Kind: history.FaultStarted, Text: fmt.Sprintf("%s for %s", name, duration), Affected: r.affected})
+	r.Record(history.Event{
+		Kind:     history.FaultStarted,
+		Text:     fmt.Sprintf("%s for %s", name, duration),
+		Affected: r.affected,
+	})
 	r.After(duration, end)
 }
 
@@ -238,5 +278,5 @@
 		list = append(list, n)
 	}
 	sort.Strings(list)
-	return
+	return list
 }
--- a/sim/scale.go
+++ b/sim/scale.go
@@ -3,6 +3,7 @@
 // size that the project designs for. What each role spends is counted over a
 // stretch of it, and then how long a change of the table, an urgent job, and a
 // change of leader take.
+
 package sim
 
 import (
@@ -49,6 +50,7 @@
 	return s
 }
 
+// Daemons returns how many there are in all.
 func (s Scale) Daemons() int { return s.Controllers + s.Gateways + s.Agents }
 
 // NewScaleRun sets such a fleet up without traffic.
@@ -66,21 +68,13 @@
 		r.gateways = append(r.gateways, r.AddGateway(addr(2, i), zone(i)))
 	}
 	for i := range s.Agents {
-		m := history.WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d", i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/20+1)), Kinds: []types.ServiceKind{"quote", "menu"},
+		m := history.WorkerSpec{Shard: types.Shard(fmt.Sprintf("k%d",
+			i+1)), Rack: types.Rack(fmt.Sprintf("r%d", i/20+1)), Kinds: []types.ServiceKind{"quote", "menu"},
 			Capacity: types.Resources{Cores: 16, MemoryMB: 16 << 10}}
 		r.agents = append(r.agents, r.AddAgent(addr(3, i), zone(i), m))
 		r.AddPollingWorker(addr(4, i), addr(3, i), zone(i), m)
 	}
-	for _, a := range r.NodeOrder {
-		n := r.Nodes[a]
-		r.zones[n.Zone] = append(r.zones[n.Zone], a)
-		if n.NewMachine != nil {
-			r.After(time.Duration(r.Random.Int63n(int64(300*time.Millisecond))), n.Boot)
-		}
-	}
-	for _, h := range r.PollingWorkers {
-		r.After(time.Duration(r.Random.Int63n(int64(500*time.Millisecond))), h.Boot)
-	}
+	r.scheduleBoots()
 	r.Clients = &Clients{world: r.World, address: "caller", open: true, Refusals: map[apierror.Kind]int{}}
 	for _, g := range r.gateways {
 		r.Clients.gateways = append(r.Clients.gateways, g.Addr)
@@ -139,7 +133,8 @@
 	}
 	acked := false
 	r.Clients.putTable(table, r.gateways[0].Addr, 0, func(ok bool) { acked = ok })
-	if err := r.await(20*time.Second, "the first table and all workers healthy", func() bool { return acked && r.healthyWorkers() == s.Agents }); err != nil {
+	if err := r.await(20*time.Second, "the first table and all workers healthy",
+		func() bool { return acked && r.healthyWorkers() == s.Agents }); err != nil {
 		return nil, err
 	}
 	if p.Busy {
@@ -203,34 +198,46 @@
 
 func (r *Run) formed() bool {
 	ready := func(n *world.Node) bool { return n.Machine != nil && n.Machine.(interface{ Ready() bool }).Ready() }
-	return !slices.ContainsFunc(r.gateways, func(n *world.Node) bool { return !ready(n) }) && slices.ContainsFunc(r.controllers, ready) && r.leader() != nil
+	return !slices.ContainsFunc(r.gateways, func(n *world.Node) bool { return !ready(n) }) &&
+		slices.ContainsFunc(r.controllers, ready) && r.leader() != nil
 }
 
 func (r *Run) healthyWorkers() (n int) {
 	l := r.leader()
 	if l == nil || r.Now()/1e6%100 != 0 {
-		return
+		return n
 	}
 	for _, w := range l.Machine.(*controller.Controller).Workers() {
 		if w.State == protocol.WorkerHealthy {
 			n++
 		}
 	}
-	return
+	return n
 }
 
 func (r *Run) fleetTable(s Scale) (t config.Table) {
 	t.MaxTasks = 1_000_000
 	for i := range max(3, min(200, FullQueues*s.Agents/FullWorkers)) {
-		t.Queues = append(t.Queues, config.Queue{Name: types.QueueName(fmt.Sprintf("team-%d", i)), Weight: 1, MaxRunning: 100_000, MaxUnfinished: 10_000, MaxFailures: 3,
-			TaskTimeoutMillis: 600_000, UnresolvedTimeoutMillis: 30_000, PartitionTimeoutMillis: 86_400_000, StragglerFactor: 10, MaxPreemptions: 3})
+		t.Queues = append(t.Queues, config.Queue{
+			Name:                    types.QueueName(fmt.Sprintf("team-%d", i)),
+			Weight:                  1,
+			MaxRunning:              100_000,
+			MaxUnfinished:           10_000,
+			MaxFailures:             3,
+			TaskTimeoutMillis:       600_000,
+			UnresolvedTimeoutMillis: 30_000,
+			PartitionTimeoutMillis:  86_400_000,
+			StragglerFactor:         10,
+			MaxPreemptions:          3,
+		})
 	}
-	return
+	return t
 }
 
 // oneStepJob has a step whose name says what it is: times are compared by name.
 func oneStepJob(name string, q, tasks int, gang bool, ms int) state.Spec {
-	return state.Spec{Queue: types.QueueName(fmt.Sprintf("team-%d", q)), Steps: []state.Step{{Name: name, Kind: "quote", Resources: types.Resources{Cores: 1, MemoryMB: 64},
+	return state.Spec{Queue: types.QueueName(fmt.Sprintf("team-%d",
+		q)), Steps: []state.Step{{Name: name, Kind: "quote", Resources: types.Resources{Cores: 1, MemoryMB: 64},
 		Tasks: tasks, Gang: gang, Work: json.RawMessage(fmt.Sprintf(`{"ms":%d}`, ms))}}}
 }
 
@@ -246,7 +253,8 @@
 	for left, i := long, 0; left > 0; left, i = left-250, i+1 {
 		r.submit(fmt.Sprint("long-", i), oneStepJob("long", i%3, min(left, 250), false, 3_600_000))
 	}
-	if err := r.await(30*time.Second, "the long tasks running", func() bool { return r.runningTasks() >= long }); err != nil {
+	if err := r.await(30*time.Second, "the long tasks running",
+		func() bool { return r.runningTasks() >= long }); err != nil {
 		return err
 	}
 	starts := float64(fullStarts*s.Agents) / FullWorkers
@@ -265,7 +273,8 @@
 		r.submit(fmt.Sprint("short-", n), oneStepJob("short", r.Random.Intn(3), tasks, false, 500+r.Random.Intn(2000)))
 	})
 	next(5*time.Second, func() {
-		r.submit(fmt.Sprint("gang-", n), oneStepJob("gang", r.Random.Intn(3), max(2, fullGang*s.Agents/FullWorkers), true, 1000))
+		r.submit(fmt.Sprint("gang-", n), oneStepJob("gang", r.Random.Intn(3), max(2, fullGang*s.Agents/FullWorkers),
+			true, 1000))
 	})
 	return nil
 }
@@ -276,7 +285,7 @@
 			n += h.Worker.Running()
 		}
 	}
-	return
+	return n
 }
 
 // measureWindow counts what all daemons spend while it lasts.
--- a/sim/scale_test.go
+++ b/sim/scale_test.go
@@ -1,5 +1,6 @@
 // What an idle daemon says may not grow with the fleet: a short run of simulated
-// fleets. Times and processor shares are told by `trial capacity`, not judged.
+// fleets. Times and processor shares are told by `coppersim capacity`, not judged.
+
 package sim
 
 import (
--- a/sim/schedule_test.go
+++ b/sim/schedule_test.go
@@ -1,6 +1,7 @@
 // Long random schedules: faults of control at any moment, several of them and the same
 // ones again and again, while two operators race each other with hundreds of changes.
 // -schedules takes more seeds.
+
 package sim
 
 import (
--- a/sim/trial_test.go
+++ b/sim/trial_test.go
@@ -1,5 +1,6 @@
-// Simulated runs under fixed seeds; the long sweeps are `trial sweep`. Seeds
+// Simulated runs under fixed seeds; the long sweeps are `coppersim sweep`. Seeds
 // that once showed a failure stay here.
+
 package sim
 
 import (
--- a/sim/upkeep_test.go
+++ b/sim/upkeep_test.go
@@ -1,6 +1,7 @@
 // Work that has to move: workers removed at short notice, drained, under
 // maintenance, sick; tasks that take their workers down; large and urgent work.
 // Each is brought about in the simulator, and what it cost is printed (-v).
+
 package sim
 
 import (
--- a/sim/verdict.go
+++ b/sim/verdict.go
@@ -1,4 +1,5 @@
 // The verdict on a simulated run: broken rules, and how service came back.
+
 package sim
 
 import (
@@ -33,7 +34,8 @@
 	b := checker.DefaultBounds
 	b.ShortPatience = r.Plan.Patience < 10*time.Second
 	if r.Environment != nil {
-		v.Violations, v.Coverage = checker.CheckInvoked(&r.History, checker.InvokedBounds(r.Environment.Rules), r.endedAt)
+		v.Violations, v.Coverage = checker.CheckInvoked(&r.History, checker.InvokedBounds(r.Environment.Rules),
+			r.endedAt)
 	} else {
 		v.Violations, v.Coverage = checker.Check(&r.History, b, r.endedAt, r.Plan.Patience)
 	}
@@ -49,13 +51,14 @@
 	if calm > 0 && p.After > 12*time.Second {
 		end := int64(heal + p.After - 12*time.Second)
 		v.Ratio = history.CompletionRate(&r.History, int64(heal), end) / calm
-		v.Ratio *= history.SubmissionRate(&r.History, int64(from), int64(6*time.Second+p.Before)) / history.SubmissionRate(&r.History, int64(heal), end)
+		v.Ratio *= history.SubmissionRate(&r.History, int64(from),
+			int64(6*time.Second+p.Before)) / history.SubmissionRate(&r.History, int64(heal), end)
 		if v.Ratio < MinRecovery {
 			v.Violations = append(v.Violations, checker.Violation{Rule: "recovery", At: int64(heal),
 				Detail: fmt.Sprintf("%.2f of the jobs done for each one sent before the faults", v.Ratio)})
 		}
 	}
-	return
+	return v
 }
 
 // JobTrail tells what the daemons' own trails say of a job, in order of time, to
@@ -80,7 +83,10 @@
 			continue
 		}
 		for _, k := range ring.Points(trace.JobSubject(types.JobID(id))) {
-			lines = append(lines, line{int64(k.At) - history.WallClockStart - int64(n.WallOffset), string(a) + " " + k.Description})
+			lines = append(lines, line{
+				int64(k.At) - history.WallClockStart - int64(n.WallOffset),
+				string(a) + " " + k.Description,
+			})
 		}
 	}
 	sort.SliceStable(lines, func(i, k int) bool { return lines[i].at < lines[k].at })
