--- a/cmd/coppercourse/daemon.go
+++ b/cmd/coppercourse/daemon.go
@@ -97,11 +97,11 @@
 func (d *daemon) runGateway(ctx context.Context) error {
 	s := d.settings
 	machine := gateway.New(server.Now(), randomSource(), gateway.Options{
-		Addr:         s.AdvertisedAddr(),
-		Zone:         s.ZoneName(),
-		Seeds:        s.SeedAddrs(),
-		BuildVersion: version,
-		StaleAfter:   s.Timeouts.StaleAfter(),
+		Addr:       s.AdvertisedAddr(),
+		Zone:       s.ZoneName(),
+		Seeds:      s.SeedAddrs(),
+		Build:      version,
+		StaleAfter: s.Timeouts.StaleAfter(),
 	})
 	observer := newGatewayObserver(machine, d.log)
 	loop := server.NewEventLoop(server.Config{
@@ -120,12 +120,12 @@
 func (d *daemon) runAgent(ctx context.Context) error {
 	s := d.settings
 	machine := agent.New(server.Now(), randomSource(), agent.Options{
-		Addr:         s.AdvertisedAddr(),
-		Zone:         s.ZoneName(),
-		Shard:        s.ShardName(),
-		Seeds:        s.SeedAddrs(),
-		BuildVersion: version,
-		Timeouts:     s.Dispatch(),
+		Addr:     s.AdvertisedAddr(),
+		Zone:     s.ZoneName(),
+		Shard:    s.ShardName(),
+		Seeds:    s.SeedAddrs(),
+		Build:    version,
+		Timeouts: s.Dispatch(),
 	})
 	loop := server.NewEventLoop(server.Config{
 		Machine:    machine,
--- a/cmd/coppercourse/state_log.go
+++ b/cmd/coppercourse/state_log.go
@@ -62,7 +62,7 @@
 		members:     len(v.Members),
 		voters:      v.Members.Voters(),
 		overloaded:  v.Overloaded,
-		yielded:     v.Counters.Relieved,
+		yielded:     v.Counters.OverloadTransfers,
 	}
 }
 
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -19,12 +19,12 @@
 
 // Options are where an agent runs, and for which worker.
 type Options struct {
-	Addr         types.Addr // by which others reach the agent
-	Zone         types.Zone
-	Shard        types.Shard  // the worker's name
-	Seeds        []types.Addr // other daemons, to find the cluster by
-	BuildVersion string
-	Timeouts     protocol.Timeouts
+	Addr     types.Addr // by which others reach the agent
+	Zone     types.Zone
+	Shard    types.Shard  // the worker's name
+	Seeds    []types.Addr // other daemons, to find the cluster by
+	Build    string
+	Timeouts protocol.Timeouts
 }
 
 // Agent is the state machine of one worker's daemon.
@@ -53,7 +53,7 @@
 		Zone:  options.Zone,
 		Shard: string(options.Shard),
 		Ready: true,
-		Build: options.BuildVersion,
+		Build: options.Build,
 	}
 	a.core = daemon.NewCore(now, rnd, self, options.Seeds)
 	a.Trace = a.core.Trace
@@ -143,7 +143,7 @@
 // StatusView is the status of an agent, as GET /v1/status shows it.
 type StatusView struct {
 	Role           string            `json:"role"`
-	BuildVersion   string            `json:"program"`
+	Build          string            `json:"program"`
 	Ready          bool              `json:"ready"`
 	Leader         types.Addr        `json:"leader"`
 	WorkerSilentMS int64             `json:"worker_quiet_ms"` // since the worker was last heard from
@@ -159,7 +159,7 @@
 func (a *Agent) Status() StatusView {
 	return StatusView{
 		Role:           membership.RoleAgent,
-		BuildVersion:   a.core.Self().Build,
+		Build:          a.core.Self().Build,
 		Ready:          a.Ready(),
 		Leader:         a.core.Leader(),
 		WorkerSilentMS: min(maxSilentMS, a.executor.SinceLastHeard(a.core.Now().Mono).Milliseconds()),
--- a/internal/controller/assignment_rounds.go
+++ b/internal/controller/assignment_rounds.go
@@ -49,8 +49,8 @@
 // inFlight reports whether a round is proposed and not yet applied, as all up to an index is.
 func (r *assignmentRounds) inFlight(applied types.Index) bool { return r.newest > applied }
 
-// landed forgets what was proposed, once all rounds are applied.
-func (r *assignmentRounds) landed() { clear(r.assignments) }
+// allApplied forgets what was proposed, once all rounds are applied.
+func (r *assignmentRounds) allApplied() { clear(r.assignments) }
 
 // full reports whether no more rounds may be proposed until one is applied.
 func (r *assignmentRounds) full(applied types.Index) bool {
@@ -61,8 +61,8 @@
 // pending returns the assignments in flight, which the caller must not change.
 func (r *assignmentRounds) pending() map[types.TaskID]state.Assignment { return r.assignments }
 
-// none reports whether there are no assignments in flight.
-func (r *assignmentRounds) none() bool { return len(r.assignments) == 0 }
+// empty reports whether there are no assignments in flight.
+func (r *assignmentRounds) empty() bool { return len(r.assignments) == 0 }
 
 // assigned reports whether a task is in a round in flight.
 func (r *assignmentRounds) assigned(task types.TaskID) bool {
--- a/internal/controller/assignment_rounds_test.go
+++ b/internal/controller/assignment_rounds_test.go
@@ -24,7 +24,7 @@
 	is.True(!r.assigned(attemptID("j", 1, 1).TaskID))
 	is.Equal(len(r.pending()), 1)
 	r.applied(id.TaskID)
-	is.True(r.none())
+	is.True(r.empty())
 	is.True(!r.inFlight(7))
 }
 
--- a/internal/controller/attempt_review.go
+++ b/internal/controller/attempt_review.go
@@ -58,14 +58,14 @@
 	departing, broken := r.departingWorkers(v), brokenGangs(v)
 	for _, attempt := range attempts {
 		reason := departing[attempt.Shard]
-		if reason == "" && broken[placement.TaskGroup{Job: attempt.Attempt.Job, Stage: attempt.Stage}] {
+		if reason == "" && broken[placement.TaskGroup{Job: attempt.ID.Job, Stage: attempt.Stage}] {
 			reason = state.GangPeerUnreachable
 		}
 		if reason == "" && (isStalled(v, attempt) || isWorthRestarting(v, attempt)) {
 			reason = state.Straggling
 		}
-		if reason != "" && canWithdraw(v.state, attempt.Attempt) {
-			list = append(list, state.Withdrawal{ID: attempt.Attempt, Reason: reason})
+		if reason != "" && canWithdraw(v.state, attempt.ID) {
+			list = append(list, state.Withdrawal{ID: attempt.ID, Reason: reason})
 		}
 	}
 	return list
@@ -88,8 +88,8 @@
 func brokenGangs(v *leaderView) map[placement.TaskGroup]bool {
 	broken := map[placement.TaskGroup]bool{}
 	for _, attempt := range v.scheduler.OverdueAttempts() {
-		if j := openJob(v.state, attempt.Attempt.Job); j != nil && j.Spec.Steps[attempt.Stage.Step()].Gang {
-			broken[placement.TaskGroup{Job: attempt.Attempt.Job, Stage: attempt.Stage}] = true
+		if j := openJob(v.state, attempt.ID.Job); j != nil && j.Spec.Steps[attempt.Stage.Step()].Gang {
+			broken[placement.TaskGroup{Job: attempt.ID.Job, Stage: attempt.Stage}] = true
 		}
 	}
 	return broken
@@ -101,7 +101,7 @@
 	if j == nil {
 		return false
 	}
-	task := j.Task(id.Number)
+	task := j.Task(id.TaskNumber)
 	if task == nil {
 		return false
 	}
@@ -117,13 +117,13 @@
 	}
 	var list []types.AttemptID
 	for _, attempt := range v.scheduler.Attempts() {
-		j := v.state.Jobs[attempt.Attempt.Job]
+		j := v.state.Jobs[attempt.ID.Job]
 		if j == nil || j.Ended() || attempt.TimeLimit == 0 {
 			continue
 		}
 		queue, ok := v.state.QueueConfig(j.Queue)
 		if ok && v.now.Sub(attempt.OrderedAt) > queue.TaskTimeout() && queue.TaskTimeout() < attempt.TimeLimit {
-			list = append(list, attempt.Attempt)
+			list = append(list, attempt.ID)
 		}
 	}
 	return list
--- a/internal/controller/command_log_test.go
+++ b/internal/controller/command_log_test.go
@@ -20,7 +20,7 @@
 	names := []types.JobID{"a", "menus-1", `q"uo<te>&`, "é\u2028"}
 	name := func() types.JobID { return names[r.Intn(len(names))] }
 	attempt := func() types.AttemptID {
-		task := types.TaskID{Job: name(), Number: r.Intn(1 << 40)}
+		task := types.TaskID{Job: name(), TaskNumber: r.Intn(1 << 40)}
 		return types.AttemptID{TaskID: task, Attempt: r.Intn(9)}
 	}
 	c := state.Command{Time: types.ClusterTime(r.Int63())}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -101,7 +101,7 @@
 	c.handle(e)
 	c.applyCommitted()
 	if c.overload.transferLeadership(c.now, c.raft) {
-		c.Counters.Relieved++
+		c.Counters.OverloadTransfers++
 	}
 	c.lead()
 	c.log.writeSnapshotPart()
--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -37,10 +37,10 @@
 // discoveredPeers lists the controllers that were discovered and may be members of a cluster.
 func (c *Controller) discoveredPeers() []raft.DiscoveredPeer {
 	var peers []raft.DiscoveredPeer
-	for _, card := range c.members.Controllers() {
-		if card.ID != "" && card.Shard != "out" {
-			member := raft.Member{ID: card.ID, Addr: card.Addr, Zone: card.Zone}
-			peers = append(peers, raft.DiscoveredPeer{Member: member, ClusterName: card.Name})
+	for _, info := range c.members.Controllers() {
+		if info.ID != "" && info.Shard != "out" {
+			member := raft.Member{ID: info.ID, Addr: info.Addr, Zone: info.Zone}
+			peers = append(peers, raft.DiscoveredPeer{Member: member, ClusterName: info.Name})
 		}
 	}
 	return peers
--- a/internal/controller/duration_estimates.go
+++ b/internal/controller/duration_estimates.go
@@ -61,7 +61,7 @@
 		if end.Outcome != state.OutcomeOK || j == nil || j.Ended() {
 			continue
 		}
-		task := j.Task(end.ID.Number)
+		task := j.Task(end.ID.TaskNumber)
 		if task == nil || task.Done {
 			continue
 		}
@@ -70,7 +70,7 @@
 			continue
 		}
 		took := max(time.Millisecond, command.Time.Sub(attempt.AssignedAt))
-		d.recordTask(j, types.StageOf(end.ID.Number).Step(), took)
+		d.recordTask(j, types.StageOf(end.ID.TaskNumber).Step(), took)
 	}
 }
 
--- a/internal/controller/end_tracker.go
+++ b/internal/controller/end_tracker.go
@@ -55,6 +55,6 @@
 	if j == nil || j.Ended() {
 		return true
 	}
-	task := j.Task(end.ID.Number)
+	task := j.Task(end.ID.TaskNumber)
 	return task == nil || task.EndIsKnown(end.ID.Attempt, end.Outcome)
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -87,12 +87,12 @@
 func (l *leader) establish(now types.MonoTime) {
 	l.counters.Elected++
 	l.scheduler = scheduler.New(now, scheduler.Config{
-		Timeouts:          l.options.DispatchTimeouts,
-		Addr:              l.options.Addr,
-		Term:              l.raft.Term(),
-		PriorAuthorityEnd: l.raft.PriorLeaderHeardAt(),
-		Outstanding:       outstandingAttempts(l.log.state()),
-		Cluster:           clusterState{log: l.log, members: l.members},
+		Timeouts:           l.options.DispatchTimeouts,
+		Addr:               l.options.Addr,
+		Term:               l.raft.Term(),
+		PriorLeaderHeardAt: l.raft.PriorLeaderHeardAt(),
+		Outstanding:        outstandingAttempts(l.log.state()),
+		Cluster:            clusterState{log: l.log, members: l.members},
 	})
 }
 
@@ -100,7 +100,7 @@
 func (l *leader) revoke() {
 	if l.active() {
 		l.scheduler = nil
-		l.counters.Lost++
+		l.counters.LeadershipsLost++
 	}
 	l.ends.reset()
 	l.planner.reset()
@@ -114,10 +114,10 @@
 		for i := range j.Tasks {
 			number := j.Spec.TaskNumber(i)
 			at := types.StageOf(number)
-			task := types.TaskID{Job: j.ID, Number: number}
+			task := types.TaskID{Job: j.ID, TaskNumber: number}
 			for _, attempt := range j.Tasks[i].Outstanding() {
 				list = append(list, scheduler.OutstandingAttempt{
-					Attempt:      types.AttemptID{TaskID: task, Attempt: attempt.Number},
+					ID:           types.AttemptID{TaskID: task, Attempt: attempt.Number},
 					Shard:        attempt.Shard,
 					Stage:        at,
 					Resources:    j.Spec.Steps[at.Step()].Resources,
@@ -246,7 +246,7 @@
 	s := l.log.state()
 	for _, a := range assignments {
 		j := s.Jobs[a.ID.Job]
-		at := types.StageOf(a.ID.Number)
+		at := types.StageOf(a.ID.TaskNumber)
 		step := &j.Spec.Steps[at.Step()]
 		l.counters.Orders++
 		l.scheduler.RunTask(a.Shard, at, baselineName(j, at), protocol.AttemptSpec{
@@ -256,7 +256,7 @@
 			Resources:   step.Resources,
 			TimeLimitMS: int(timeLimit(s, j, at).Milliseconds()),
 			Labels:      step.Labels,
-			Checkpoint:  j.Task(a.ID.Number).Checkpoint,
+			Checkpoint:  j.Task(a.ID.TaskNumber).Checkpoint,
 			Input:       j.Spec.StepWork(at.Step()),
 		})
 	}
--- a/internal/controller/leader_rig_test.go
+++ b/internal/controller/leader_rig_test.go
@@ -36,11 +36,11 @@
 	options := Options{Addr: "h1", RaftTimeouts: raft.DefaultTimeouts, DispatchTimeouts: protocol.DefaultTimeouts}
 	l := &leaderRig{leader: New(now, rnd, options, nil).leader, now: now.Mono}
 	l.scheduler = scheduler.New(now.Mono, scheduler.Config{
-		Timeouts:          protocol.DefaultTimeouts,
-		Addr:              "h1",
-		Term:              1,
-		PriorAuthorityEnd: now.Mono,
-		Cluster:           calledWorkers{},
+		Timeouts:           protocol.DefaultTimeouts,
+		Addr:               "h1",
+		Term:               1,
+		PriorLeaderHeardAt: now.Mono,
+		Cluster:            calledWorkers{},
 	})
 	for i := range 6 {
 		shard := types.Shard(fmt.Sprint("k", i))
@@ -153,7 +153,7 @@
 
 // attemptID names an attempt of a task of a job's first step.
 func attemptID(job types.JobID, task, number int) types.AttemptID {
-	return types.AttemptID{TaskID: types.TaskID{Job: job, Number: types.TaskNumber(0, 0, task)}, Attempt: number}
+	return types.AttemptID{TaskID: types.TaskID{Job: job, TaskNumber: types.TaskNumber(0, 0, task)}, Attempt: number}
 }
 
 // run assigns an attempt in the state and orders it at a worker.
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -70,7 +70,7 @@
 // planFull makes a full round: review withdraws and hedges attempts, new work is placed,
 // and if nothing at all could be done, preempt makes room.
 func (p *planner) planFull(v *leaderView, review *attemptReview, preempt *preemption) round {
-	p.rounds.landed()
+	p.rounds.allApplied()
 	withdrawals, hedges := review.review(v)
 	result := round{withdrawals: withdrawals}
 	if v.scheduler.InInitialWait() {
@@ -124,8 +124,8 @@
 	var list []state.Assignment
 	for _, a := range placed {
 		j := s.Jobs[a.Task.Job]
-		at := types.StageOf(a.Task.Number)
-		attempt := j.Task(a.Task.Number).LastAttempt + 1
+		at := types.StageOf(a.Task.TaskNumber)
+		attempt := j.Task(a.Task.TaskNumber).LastAttempt + 1
 		if j.Spec.Steps[at.Step()].Gang {
 			for _, member := range j.StageTasks(at) {
 				attempt = max(attempt, member.LastAttempt+1)
@@ -206,12 +206,12 @@
 // unassigned returns the tasks of a stage that are in no round in flight. Those that are
 // count as in use.
 func (p *planner) unassigned(j *state.Job, stage state.ReadyStage, used *placement.QueueUsage) []int {
-	if p.rounds.none() {
+	if p.rounds.empty() {
 		return stage.Tasks
 	}
 	var list []int
 	for _, number := range stage.Tasks {
-		if !p.rounds.assigned(types.TaskID{Job: j.ID, Number: number}) {
+		if !p.rounds.assigned(types.TaskID{Job: j.ID, TaskNumber: number}) {
 			list = append(list, number)
 			continue
 		}
--- a/internal/controller/planner_test.go
+++ b/internal/controller/planner_test.go
@@ -115,9 +115,9 @@
 	l.planner.ranking.meanWork["q"] = 3
 	l.revoke()
 	is.True(!l.active())
-	is.Equal(l.counters.Lost, uint64(1))
+	is.Equal(l.counters.LeadershipsLost, uint64(1))
 	is.True(!l.planner.rounds.inFlight(0))
-	is.True(l.planner.rounds.none())
+	is.True(l.planner.rounds.empty())
 	is.Equal(l.planner.reservation, nil)
 	is.Equal(len(l.planner.waits.since), 0)
 	is.Equal(l.shapes.proposed, types.Index(0))
@@ -125,7 +125,7 @@
 	is.Equal(l.planner.slots.windows.orderDelay, protocol.DefaultTimeouts.AgentLease)
 	is.Equal(l.planner.ranking.meanWork["q"], 3.0) // what is known of queues stays
 	l.revoke()
-	is.Equal(l.counters.Lost, uint64(1)) // lost once
+	is.Equal(l.counters.LeadershipsLost, uint64(1)) // lost once
 	is.Equal(l.workers(), nil)
 	is.Equal(len(l.workerViews(l.now.Add(time.Second))), 0)
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -71,14 +71,14 @@
 	gangs := map[placement.TaskGroup]*victim{}
 	below := belowShare(in.Usage[request.Queue], in.TotalCores)
 	for _, attempt := range v.scheduler.Attempts() {
-		if attempt.Stage == scheduler.StageUnknown || !canWithdraw(v.state, attempt.Attempt) {
+		if attempt.Stage == scheduler.StageUnknown || !canWithdraw(v.state, attempt.ID) {
 			continue
 		}
-		j := v.state.Jobs[attempt.Attempt.Job]
-		if !isCandidate(j, attempt.Attempt.Number, request, below, in) {
+		j := v.state.Jobs[attempt.ID.Job]
+		if !isCandidate(j, attempt.ID.TaskNumber, request, below, in) {
 			continue
 		}
-		group := placement.TaskGroup{Job: attempt.Attempt.Job, Stage: attempt.Stage}
+		group := placement.TaskGroup{Job: attempt.ID.Job, Stage: attempt.Stage}
 		member := gangs[group]
 		if member == nil {
 			member = &victim{
@@ -91,7 +91,7 @@
 				gangs[group] = member
 			}
 		}
-		member.attempts = append(member.attempts, attempt.Attempt)
+		member.attempts = append(member.attempts, attempt.ID)
 		member.frees[attempt.Shard] = member.frees[attempt.Shard].Add(attempt.Resources)
 	}
 	slices.SortStableFunc(list, func(a, b *victim) int {
--- a/internal/controller/report_buffer.go
+++ b/internal/controller/report_buffer.go
@@ -88,7 +88,7 @@
 	if j == nil {
 		return now.Sub(receivedAt) <= unknownAttemptRetention
 	}
-	if task := j.Task(end.ID.Number); task != nil && end.ID.Attempt > task.LastAttempt {
+	if task := j.Task(end.ID.TaskNumber); task != nil && end.ID.Attempt > task.LastAttempt {
 		return now.Sub(receivedAt) <= unknownAttemptRetention
 	}
 	return !endRecorded(s, end)
--- a/internal/controller/slot_cache.go
+++ b/internal/controller/slot_cache.go
@@ -62,7 +62,7 @@
 	sc.slots = slots
 	for _, assignment := range rounds.pending() {
 		if i, ok := sc.position[assignment.Shard]; ok {
-			group := placement.TaskGroup{Job: assignment.ID.Job, Stage: types.StageOf(assignment.ID.Number)}
+			group := placement.TaskGroup{Job: assignment.ID.Job, Stage: types.StageOf(assignment.ID.TaskNumber)}
 			slots[i].Assign(group, taskResources(v.state, group))
 		}
 	}
@@ -104,7 +104,7 @@
 	}
 	runs := &occupancy{revision: revision, byGroup: make(map[placement.TaskGroup]int, len(attempts))}
 	for _, attempt := range attempts {
-		runs.add(attempt, ends.isReleased(attempt.Attempt))
+		runs.add(attempt, ends.isReleased(attempt.ID))
 	}
 	sc.byShard[shard] = runs
 	return runs
@@ -123,7 +123,7 @@
 		o.lastEnd = max(o.lastEnd, attempt.OrderedAt.Add(attempt.TimeLimit))
 	}
 	if attempt.Stage != scheduler.StageUnknown {
-		o.byGroup[placement.TaskGroup{Job: attempt.Attempt.Job, Stage: attempt.Stage}]++
+		o.byGroup[placement.TaskGroup{Job: attempt.ID.Job, Stage: attempt.Stage}]++
 	}
 }
 
--- a/internal/controller/slot_cache_test.go
+++ b/internal/controller/slot_cache_test.go
@@ -47,7 +47,7 @@
 	}
 	for _, assignment := range l.planner.rounds.assignments {
 		if i, ok := position[assignment.Shard]; ok {
-			stage := types.StageOf(assignment.ID.Number)
+			stage := types.StageOf(assignment.ID.TaskNumber)
 			if j := v.state.Jobs[assignment.ID.Job]; j != nil && !j.Ended() {
 				list[i].Free = list[i].Free.Sub(j.Spec.Steps[stage.Step()].Resources)
 			}
@@ -57,7 +57,7 @@
 	}
 	for _, attempt := range l.scheduler.Attempts() {
 		if i, ok := position[attempt.Shard]; ok {
-			addAttempt(&list[i], attempt, l.ends.released[attempt.Attempt], now)
+			addAttempt(&list[i], attempt, l.ends.released[attempt.ID], now)
 		}
 	}
 	return list, total
@@ -75,7 +75,7 @@
 	}
 	slot.IdleIn = max(slot.IdleIn, left)
 	if attempt.Stage >= 0 {
-		slot.TasksByGroup[placement.TaskGroup{Job: attempt.Attempt.Job, Stage: attempt.Stage}]++
+		slot.TasksByGroup[placement.TaskGroup{Job: attempt.ID.Job, Stage: attempt.Stage}]++
 	}
 }
 
@@ -104,7 +104,7 @@
 // randomAttempt is one of a job that may exist, at a worker.
 func (r *slotRig) randomAttempt() (types.AttemptID, types.Shard) {
 	job := types.JobID(fmt.Sprint("job-", r.rnd.Intn(6)))
-	task := types.TaskID{Job: job, Number: types.TaskNumber(0, r.rnd.Intn(2), r.rnd.Intn(8))}
+	task := types.TaskID{Job: job, TaskNumber: types.TaskNumber(0, r.rnd.Intn(2), r.rnd.Intn(8))}
 	shard := r.agents[r.rnd.Intn(len(r.agents))].Shard
 	r.next++
 	return types.AttemptID{TaskID: task, Attempt: r.next}, shard
@@ -115,7 +115,7 @@
 	attempt, shard := r.randomAttempt()
 	switch i := r.rnd.Intn(len(r.agents)); r.rnd.Intn(10) {
 	case 0, 1, 2:
-		r.scheduler.RunTask(shard, types.StageOf(attempt.Number), "u", protocol.AttemptSpec{
+		r.scheduler.RunTask(shard, types.StageOf(attempt.TaskNumber), "u", protocol.AttemptSpec{
 			Attempt:     attempt,
 			Resources:   types.Resources{Cores: types.MilliCores(r.rnd.Intn(3000)), MemoryMB: r.rnd.Intn(2000)},
 			TimeLimitMS: r.rnd.Intn(3) * 1000,
@@ -130,7 +130,7 @@
 	case 6:
 		r.planner.rounds.assignments[attempt.TaskID] = state.Assignment{ID: attempt, Shard: shard}
 	case 7:
-		r.planner.rounds.landed()
+		r.planner.rounds.allApplied()
 	case 8:
 		agent := &r.agents[i]
 		agent.Capacity.Cores = types.MilliCores(r.rnd.Intn(20_000))
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -36,17 +36,17 @@
 
 // Counters count since the start of the process.
 type Counters struct {
-	Steps    uint64 // events taken
-	Applied  uint64 // entries applied
-	Calls    uint64 // requests taken
-	Refused  uint64 // requests answered with an error
-	Orders   uint64 // attempts ordered
-	Ends     uint64 // ends proposed
-	Elected  uint64 // leaderships begun
-	Lost     uint64 // leaderships lost
-	Placed   uint64 // rounds of placement
-	Shed     uint64 `json:"TurnedAway"` // requests rejected for lack of time
-	Relieved uint64 // leaderships transferred for lack of time
+	Steps             uint64 // events taken
+	Applied           uint64 // entries applied
+	Calls             uint64 // requests taken
+	Refused           uint64 // requests answered with an error
+	Orders            uint64 // attempts ordered
+	Ends              uint64 // ends proposed
+	Elected           uint64 // leaderships begun
+	LeadershipsLost   uint64 `json:"Lost"` // leaderships lost
+	Placed            uint64 // rounds of placement
+	Shed              uint64 `json:"TurnedAway"` // requests rejected for lack of time
+	OverloadTransfers uint64 `json:"Relieved"`   // leaderships transferred for lack of time
 }
 
 // Status returns the status of this controller.
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -28,11 +28,11 @@
 // isStalled reports whether an attempt is far beyond its step's usual duration.
 func isStalled(v *leaderView, attempt *scheduler.OutstandingAttempt) bool {
 	usual, ok := v.scheduler.BaselineDuration(attempt.BaselineName)
-	j := v.state.Jobs[attempt.Attempt.Job]
+	j := v.state.Jobs[attempt.ID.Job]
 	if !ok || j == nil {
 		return false
 	}
-	task := j.Task(attempt.Attempt.Number)
+	task := j.Task(attempt.ID.TaskNumber)
 	if task == nil || task.AvoidWorker != "" || j.Spec.Steps[attempt.Stage.Step()].AlwaysRestart {
 		return false
 	}
@@ -45,12 +45,12 @@
 // that its task is sooner done elsewhere. What takes long anyway is left to its worker,
 // which may be quick again before then; what may be hedged is hedged.
 func isWorthRestarting(v *leaderView, attempt *scheduler.OutstandingAttempt) bool {
-	j := v.state.Jobs[attempt.Attempt.Job]
+	j := v.state.Jobs[attempt.ID.Job]
 	if j == nil || attempt.StragglerEnd <= v.now || attempt.Stage == scheduler.StageUnknown {
 		return false
 	}
 	step := &j.Spec.Steps[attempt.Stage.Step()]
-	task := j.Task(attempt.Attempt.Number)
+	task := j.Task(attempt.ID.TaskNumber)
 	if task == nil || task.AvoidWorker != "" || step.AlwaysRestart || step.AllowHedge && !step.Gang {
 		return false
 	}
@@ -62,7 +62,7 @@
 func hedgeRequests(v *leaderView, attempts []*scheduler.OutstandingAttempt) []placement.Request {
 	var requests []placement.Request
 	for _, attempt := range attempts {
-		j := openJob(v.state, attempt.Attempt.Job)
+		j := openJob(v.state, attempt.ID.Job)
 		if j == nil || attempt.Stage == scheduler.StageUnknown || !needsHedge(v, j, attempt) {
 			continue
 		}
@@ -77,7 +77,7 @@
 			Resources:    step.Resources,
 			MaxPerWorker: step.MaxPerWorker,
 			DataRack:     step.DataRack,
-			Tasks:        []int{attempt.Attempt.Number},
+			Tasks:        []int{attempt.ID.TaskNumber},
 			TimeLimit:    timeLimit(v.state, j, attempt.Stage),
 			AvoidWorkers: map[types.Shard]bool{attempt.Shard: true},
 		})
@@ -88,11 +88,11 @@
 // needsHedge reports whether an attempt may be hedged, has no hedge and is slow.
 func needsHedge(v *leaderView, j *state.Job, attempt *scheduler.OutstandingAttempt) bool {
 	step := &j.Spec.Steps[attempt.Stage.Step()]
-	task := j.Task(attempt.Attempt.Number)
+	task := j.Task(attempt.ID.TaskNumber)
 	if !step.AllowHedge || step.Gang || task == nil || task.Done || task.Hedge != nil {
 		return false
 	}
-	return task.FindOutstanding(attempt.Attempt.Attempt) != nil && isSlow(v, attempt, step)
+	return task.FindOutstanding(attempt.ID.Attempt) != nil && isSlow(v, attempt, step)
 }
 
 // isSlow reports whether an attempt is far behind its like, or its worker out of reach.
@@ -120,7 +120,7 @@
 	var list []state.Assignment
 	in.Requests, in.Reservation = requests, nil
 	for _, placed := range placement.Place(in).Assignments {
-		task := v.state.Jobs[placed.Task.Job].Task(placed.Task.Number)
+		task := v.state.Jobs[placed.Task.Job].Task(placed.Task.TaskNumber)
 		if task.Primary.Shard != placed.Shard {
 			id := types.AttemptID{TaskID: placed.Task, Attempt: task.LastAttempt + 1}
 			list = append(list, state.Assignment{ID: id, Shard: placed.Shard, Hedge: true})
--- a/internal/controller/worker_requests.go
+++ b/internal/controller/worker_requests.go
@@ -52,7 +52,7 @@
 
 // cancelDrain ends a drain.
 func (a *api) cancelDrain(r request) {
-	a.propose(r.caller, state.Command{Drain: &state.Drain{Target: parseTarget(r.arg), Lift: true}})
+	a.propose(r.caller, state.Command{Drain: &state.Drain{Target: parseTarget(r.arg), Cancel: true}})
 }
 
 // putCalendar adds or replaces a maintenance calendar.
--- a/internal/dispatch/executor/link_ends_test.go
+++ b/internal/dispatch/executor/link_ends_test.go
@@ -30,7 +30,7 @@
 	is, r := is.New(t), newReadyRig(t, 16)
 	const n = 620
 	for i := range n {
-		id := types.AttemptID{TaskID: types.TaskID{Job: "a", Number: i}, Attempt: 1}
+		id := types.AttemptID{TaskID: types.TaskID{Job: "a", TaskNumber: i}, Attempt: 1}
 		r.outstanding[id] = true
 		start := wire.WorkerCall{
 			Kind:         wire.StartAttempt,
--- a/internal/dispatch/executor/link_rig_test.go
+++ b/internal/dispatch/executor/link_rig_test.go
@@ -232,17 +232,17 @@
 	lr.term++
 	var outstanding []scheduler.OutstandingAttempt
 	for id := range lr.outstanding {
-		attempt := scheduler.OutstandingAttempt{Attempt: id, Shard: "s", Resources: cores(1)}
+		attempt := scheduler.OutstandingAttempt{ID: id, Shard: "s", Resources: cores(1)}
 		outstanding = append(outstanding, attempt)
 	}
-	sort.Slice(outstanding, func(i, k int) bool { return outstanding[i].Attempt.Less(outstanding[k].Attempt) })
+	sort.Slice(outstanding, func(i, k int) bool { return outstanding[i].ID.Less(outstanding[k].ID) })
 	lr.scheduler = scheduler.New(lr.now, scheduler.Config{
-		Timeouts:          lr.timeouts,
-		Addr:              "h",
-		Term:              lr.term,
-		PriorAuthorityEnd: lr.now,
-		Outstanding:       outstanding,
-		Cluster:           &lr.endLog,
+		Timeouts:           lr.timeouts,
+		Addr:               "h",
+		Term:               lr.term,
+		PriorLeaderHeardAt: lr.now,
+		Outstanding:        outstanding,
+		Cluster:            &lr.endLog,
 	})
 	clear(lr.proposed)
 }
--- a/internal/dispatch/executor/protocol_test.go
+++ b/internal/dispatch/executor/protocol_test.go
@@ -58,12 +58,12 @@
 func (tc *testCluster) newLeader(term types.Term, outstanding ...scheduler.OutstandingAttempt) {
 	tc.endsRecorded = false
 	tc.scheduler = scheduler.New(tc.now, scheduler.Config{
-		Timeouts:          protocol.DefaultTimeouts,
-		Addr:              "h",
-		Term:              term,
-		PriorAuthorityEnd: tc.now,
-		Outstanding:       outstanding,
-		Cluster:           tc,
+		Timeouts:           protocol.DefaultTimeouts,
+		Addr:               "h",
+		Term:               term,
+		PriorLeaderHeardAt: tc.now,
+		Outstanding:        outstanding,
+		Cluster:            tc,
 	})
 }
 
@@ -227,7 +227,7 @@
 			is, cluster, agent := newHealthyCluster(t)
 			cluster.runTask(theAttempt)
 			cluster.deliver(nil)
-			cluster.newLeader(2, scheduler.OutstandingAttempt{Attempt: theAttempt, Shard: "s", Resources: oneCore()})
+			cluster.newLeader(2, scheduler.OutstandingAttempt{ID: theAttempt, Shard: "s", Resources: oneCore()})
 			cluster.ends = nil
 			agent.endAttempt(agent.attempts.byID[theAttempt], test.outcome)
 			cluster.advance(600*ms, ofKind(wire.RunningTasksQuery)) // the new leader's query does not arrive
@@ -270,7 +270,7 @@
 	cluster.newLeader(2)
 	cluster.advance(700*ms, nil)
 	is.Equal(cluster.scheduler.InInitialWait(), false) // the one agent agrees with itself
-	cluster.newLeader(3, scheduler.OutstandingAttempt{Attempt: theAttempt, Shard: "s2", Resources: oneCore()})
+	cluster.newLeader(3, scheduler.OutstandingAttempt{ID: theAttempt, Shard: "s2", Resources: oneCore()})
 	cluster.advance(700*ms, nil)
 	is.Equal(cluster.scheduler.InInitialWait(), true)
 	cluster.ends = nil
--- a/internal/dispatch/protocol/decode.go
+++ b/internal/dispatch/protocol/decode.go
@@ -158,7 +158,7 @@
 		case "job":
 			return true, wire.DecodeString(d, &a.Job)
 		case "n":
-			return true, wire.DecodeInt(d, &a.Number)
+			return true, wire.DecodeInt(d, &a.TaskNumber)
 		case "leg":
 			return true, wire.DecodeInt(d, &a.Attempt)
 		}
--- a/internal/dispatch/protocol/worker_poll.go
+++ b/internal/dispatch/protocol/worker_poll.go
@@ -89,7 +89,7 @@
 // validate adds what is wrong with a task, which is at path in the document.
 func (r RunningTask) validate(errs *apierror.ErrorList, path string) {
 	id := r.Attempt
-	isValid := config.CheckName(string(id.Job)) == "" && id.Number >= 0 && id.Attempt >= 1
+	isValid := config.CheckName(string(id.Job)) == "" && id.TaskNumber >= 0 && id.Attempt >= 1
 	errs.Check(isValid, path+".leg", "no such leg can be")
 	errs.Check(r.Resources.Contains(types.Resources{}), path+".room", "want no negative numbers")
 }
--- a/internal/dispatch/scheduler/attempt_index.go
+++ b/internal/dispatch/scheduler/attempt_index.go
@@ -28,7 +28,7 @@
 
 // OutstandingAttempt is an attempt that possibly runs.
 type OutstandingAttempt struct {
-	Attempt   types.AttemptID
+	ID        types.AttemptID
 	Shard     types.Shard
 	Stage     types.Stage // or StageUnknown
 	Resources types.Resources
@@ -47,7 +47,7 @@
 	killSentAt types.MonoTime
 }
 
-func compareOutstanding(a, b *OutstandingAttempt) int { return a.Attempt.Compare(b.Attempt) }
+func compareOutstanding(a, b *OutstandingAttempt) int { return a.ID.Compare(b.ID) }
 
 // shardAttempts are the attempts on one shard.
 type shardAttempts struct {
@@ -86,7 +86,7 @@
 
 // add puts an attempt in, in place of one with its id.
 func (a *attemptIndex) add(attempt *OutstandingAttempt) {
-	a.remove(attempt.Attempt)
+	a.remove(attempt.ID)
 	on := a.byShard[attempt.Shard]
 	if on == nil {
 		on = &shardAttempts{}
@@ -95,10 +95,10 @@
 	i, _ := slices.BinarySearchFunc(on.list, attempt, compareOutstanding)
 	on.list = slices.Insert(on.list, i, attempt)
 	on.reserved = on.reserved.Add(attempt.Resources)
-	a.byID[attempt.Attempt] = attempt
+	a.byID[attempt.ID] = attempt
 	a.revisions[attempt.Shard]++
 	if attempt.Stage == StageUnknown {
-		a.unknownToLog[attempt.Attempt] = attempt
+		a.unknownToLog[attempt.ID] = attempt
 	}
 	a.adjustCounts(attempt, 1)
 }
@@ -161,7 +161,7 @@
 	var overdue []*OutstandingAttempt
 	for len(a.sentInOrder) > 0 {
 		first := a.sentInOrder[0]
-		isSent := first.phase == orderSent && a.byID[first.Attempt] == first
+		isSent := first.phase == orderSent && a.byID[first.ID] == first
 		if isSent && first.OrderedAt >= before {
 			break
 		}
@@ -190,7 +190,7 @@
 	var list []types.AttemptID
 	for _, attempt := range on.list {
 		if attempt.phase == unsureIfRunning {
-			list = append(list, attempt.Attempt)
+			list = append(list, attempt.ID)
 		}
 	}
 	return list
--- a/internal/dispatch/scheduler/attempt_index_test.go
+++ b/internal/dispatch/scheduler/attempt_index_test.go
@@ -17,7 +17,7 @@
 
 func randomAttempt(random *rand.Rand, id types.AttemptID, now types.MonoTime) *OutstandingAttempt {
 	return &OutstandingAttempt{
-		Attempt:   id,
+		ID:        id,
 		Shard:     types.Shard(fmt.Sprint("s", random.Intn(4))),
 		Stage:     types.Stage(random.Intn(3) - 1),
 		Resources: types.Resources{Cores: types.MilliCores(1 + random.Intn(3))},
@@ -35,7 +35,7 @@
 	reference := map[types.AttemptID]*OutstandingAttempt{}
 	for range 4000 {
 		now = now.Add(time.Millisecond)
-		task := types.TaskID{Job: types.JobID(fmt.Sprint("j", random.Intn(6))), Number: random.Intn(4)}
+		task := types.TaskID{Job: types.JobID(fmt.Sprint("j", random.Intn(6))), TaskNumber: random.Intn(4)}
 		id := types.AttemptID{TaskID: task, Attempt: 1 + random.Intn(2)}
 		switch attempt := reference[id]; {
 		case attempt == nil || random.Intn(9) == 0:
@@ -77,7 +77,7 @@
 		}
 		// No overdue one is missed.
 		is.True(attempt.phase != orderSent || now.Sub(attempt.OrderedAt) <= overdueAfter)
-		is.Equal(index.byID[attempt.Attempt], attempt)
+		is.Equal(index.byID[attempt.ID], attempt)
 	}
 	is.Equal(len(index.all()), len(reference))
 	is.Equal(index.unconfirmed, unconfirmedCount)
--- a/internal/dispatch/scheduler/health_check_test.go
+++ b/internal/dispatch/scheduler/health_check_test.go
@@ -18,11 +18,11 @@
 // which has just sent its first heartbeat.
 func newTestScheduler() (*Scheduler, *RemoteWorker) {
 	sc := New(testStart, Config{
-		Timeouts:          protocol.DefaultTimeouts,
-		Addr:              "h",
-		Term:              3,
-		PriorAuthorityEnd: testStart,
-		Cluster:           calledWorkers{},
+		Timeouts:           protocol.DefaultTimeouts,
+		Addr:               "h",
+		Term:               3,
+		PriorLeaderHeardAt: testStart,
+		Cluster:            calledWorkers{},
 	})
 	sc.Tick(testStart, time.Minute)
 	heartbeat := protocol.Heartbeat{Shard: "s", Instance: "i", SentAt: 1}
@@ -83,7 +83,7 @@
 			sc, worker := newTestScheduler()
 			sc.cluster = test.cluster
 			id := types.AttemptID{TaskID: types.TaskID{Job: "j"}, Attempt: 1}
-			sc.attempts.add(&OutstandingAttempt{Attempt: id, Shard: "s", Checkpoint: "c"})
+			sc.attempts.add(&OutstandingAttempt{ID: id, Shard: "s", Checkpoint: "c"})
 			sc.now = worker.LastHealthyAt.Add(protocol.DefaultTimeouts.LostAfter + 1)
 			sc.updateHealth(worker)
 			_, ends := sc.TakeOutput()
--- a/internal/dispatch/scheduler/initial_wait.go
+++ b/internal/dispatch/scheduler/initial_wait.go
@@ -38,7 +38,7 @@
 	}
 	sc.wait.active, sc.wait.reason = false, ""
 	for _, attempt := range sc.attempts.unconfirmedWithoutWorker(sc.workers.byShard) {
-		sc.reportEnd(attempt.Attempt, sc.lossOutcome(attempt.Shard))
+		sc.reportEnd(attempt.ID, sc.lossOutcome(attempt.Shard))
 	}
 }
 
--- a/internal/dispatch/scheduler/initial_wait_test.go
+++ b/internal/dispatch/scheduler/initial_wait_test.go
@@ -26,12 +26,12 @@
 	attempt := types.AttemptID{TaskID: types.TaskID{Job: "j"}, Attempt: 1}
 	for _, ago := range []time.Duration{0, 900 * time.Millisecond, time.Hour} {
 		s := New(now, Config{
-			Timeouts:          protocol.DefaultTimeouts,
-			Addr:              "h",
-			Term:              2,
-			PriorAuthorityEnd: now.Add(-ago),
-			Outstanding:       []OutstandingAttempt{{Attempt: attempt, Shard: "s"}},
-			Cluster:           calledWorkers{},
+			Timeouts:           protocol.DefaultTimeouts,
+			Addr:               "h",
+			Term:               2,
+			PriorLeaderHeardAt: now.Add(-ago),
+			Outstanding:        []OutstandingAttempt{{ID: attempt, Shard: "s"}},
+			Cluster:            calledWorkers{},
 		})
 		wait := protocol.DefaultTimeouts.LostAfter + protocol.DefaultTimeouts.HeartbeatInterval
 		for at := time.Duration(0); at < protocol.DefaultTimeouts.LostAfter+time.Second; at += 10 * time.Millisecond {
--- a/internal/dispatch/scheduler/run_task.go
+++ b/internal/dispatch/scheduler/run_task.go
@@ -15,7 +15,7 @@
 // duration is compared with, or is empty.
 func (sc *Scheduler) RunTask(shard types.Shard, stage types.Stage, baselineName string, spec protocol.AttemptSpec) {
 	sc.attempts.add(&OutstandingAttempt{
-		Attempt:      spec.Attempt,
+		ID:           spec.Attempt,
 		Shard:        shard,
 		Stage:        stage,
 		Resources:    spec.Resources,
--- a/internal/dispatch/scheduler/running_tasks.go
+++ b/internal/dispatch/scheduler/running_tasks.go
@@ -36,8 +36,8 @@
 		sc.resolveUnreported(worker.Shard, reported)
 	}
 	for _, attempt := range sc.attempts.onShard(worker.Shard) {
-		if !reported[attempt.Attempt] {
-			sc.reportEnd(attempt.Attempt, outcome)
+		if !reported[attempt.ID] {
+			sc.reportEnd(attempt.ID, outcome)
 		}
 	}
 	worker.State, worker.StateSince = protocol.WorkerUnhealthy, sc.now
@@ -55,7 +55,7 @@
 		switch {
 		case attempt == nil:
 			sc.attempts.add(&OutstandingAttempt{
-				Attempt:   task.Attempt,
+				ID:        task.Attempt,
 				Shard:     worker.Shard,
 				Stage:     StageUnknown,
 				Resources: task.Resources,
--- a/internal/dispatch/scheduler/scheduler.go
+++ b/internal/dispatch/scheduler/scheduler.go
@@ -52,8 +52,8 @@
 	Timeouts protocol.Timeouts
 	Addr     types.Addr
 	Term     types.Term
-	// PriorAuthorityEnd is when an earlier leader can last have had authority.
-	PriorAuthorityEnd types.MonoTime
+	// PriorLeaderHeardAt is when an earlier leader can last have had authority.
+	PriorLeaderHeardAt types.MonoTime
 	// Outstanding are the attempts that the log has as given out and not ended.
 	Outstanding []OutstandingAttempt
 	Cluster     ClusterState
@@ -89,7 +89,7 @@
 		term:        config.Term,
 		cluster:     config.Cluster,
 		now:         now,
-		wait:        newInitialWait(now, config.PriorAuthorityEnd),
+		wait:        newInitialWait(now, config.PriorLeaderHeardAt),
 		workers:     newWorkerTable(),
 		workerSets:  newWorkerSetHistory(),
 		attempts:    newAttemptIndex(),
--- a/internal/dispatch/scheduler/slowdown.go
+++ b/internal/dispatch/scheduler/slowdown.go
@@ -98,14 +98,14 @@
 func (sd *stageDurations) record(
 	now types.MonoTime, attempt *OutstandingAttempt, duration time.Duration,
 ) *stageSamples {
-	key := stageKey{attempt.Attempt.Job, attempt.Stage}
+	key := stageKey{attempt.ID.Job, attempt.Stage}
 	samples := sd.byStage[key]
 	if samples == nil {
 		samples = &stageSamples{}
 		sd.byStage[key] = samples
 	}
 	samples.updatedAt = now
-	samples.put(durationSample{attempt.Attempt, attempt.Shard, duration})
+	samples.put(durationSample{attempt.ID, attempt.Shard, duration})
 	return samples
 }
 
--- a/internal/dispatch/scheduler/slowdown_test.go
+++ b/internal/dispatch/scheduler/slowdown_test.go
@@ -38,9 +38,9 @@
 // sampleStage gives the durations of a stage's attempts on other workers than s.
 func sampleStage(sc *Scheduler, durations ...time.Duration) {
 	for i, duration := range durations {
-		id := types.AttemptID{TaskID: types.TaskID{Job: "j", Number: 1 + i}, Attempt: 1}
+		id := types.AttemptID{TaskID: types.TaskID{Job: "j", TaskNumber: 1 + i}, Attempt: 1}
 		shard := types.Shard(fmt.Sprint("other", i))
-		sc.recordDuration(&OutstandingAttempt{Attempt: id, Shard: shard}, duration, false)
+		sc.recordDuration(&OutstandingAttempt{ID: id, Shard: shard}, duration, false)
 	}
 }
 
@@ -67,7 +67,7 @@
 			sc, worker := newTestScheduler()
 			sampleStage(sc, test.elsewhere...)
 			id := types.AttemptID{TaskID: types.TaskID{Job: "j"}, Attempt: 1}
-			attempt := &OutstandingAttempt{Attempt: id, Shard: "s", OrderedAt: testStart}
+			attempt := &OutstandingAttempt{ID: id, Shard: "s", OrderedAt: testStart}
 			sc.recordDuration(attempt, test.duration, test.hasEnded)
 			want := types.MonoTime(0)
 			if test.wantStraggler {
--- a/internal/dispatch/scheduler/unsure_test.go
+++ b/internal/dispatch/scheduler/unsure_test.go
@@ -49,7 +49,7 @@
 		query, ok := wire.DecodeBody[protocol.NotifyIfTasksNotRunning](message.Message)
 		is.True(ok)
 		sequences = append(sequences, query.Sequence)
-		is.Equal(query.Attempts, []types.AttemptID{attempt.Attempt})
+		is.Equal(query.Attempts, []types.AttemptID{attempt.ID})
 	}
 	is.Equal(sequences, []types.Seq{1, 2, 3, 4})
 	is.Equal(worker.queries.sequence, types.Seq(4))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,10 +23,10 @@
 
 // Options are where a gateway runs, and in which cluster.
 type Options struct {
-	Addr         types.Addr // by which others reach the gateway
-	Zone         types.Zone
-	Seeds        []types.Addr // other daemons, to find the cluster by
-	BuildVersion string
+	Addr  types.Addr // by which others reach the gateway
+	Zone  types.Zone
+	Seeds []types.Addr // other daemons, to find the cluster by
+	Build string
 	// StaleAfter is how old a confirmation of the table may be for the table to be decided
 	// by; 0 is configwatch.DefaultStaleAfter.
 	StaleAfter time.Duration
@@ -63,7 +63,7 @@
 		requests:      newRequestTable(rnd),
 	}
 	self := membership.MemberInfo{
-		Addr: options.Addr, Role: membership.RoleGateway, Zone: options.Zone, Build: options.BuildVersion,
+		Addr: options.Addr, Role: membership.RoleGateway, Zone: options.Zone, Build: options.Build,
 	}
 	g.core = daemon.NewCore(now, rnd, self, options.Seeds)
 	g.Trace = g.core.Trace
@@ -140,7 +140,7 @@
 // StatusView is the status of a gateway, as GET /v1/status shows it.
 type StatusView struct {
 	Role           string            `json:"role"`
-	BuildVersion   string            `json:"program"`
+	Build          string            `json:"program"`
 	Ready          bool              `json:"ready"`
 	Leader         types.Addr        `json:"leader"`
 	LeaderlessMS   int64             `json:"without_leader_ms"` // how long no leader has been known
@@ -156,7 +156,7 @@
 	now := g.core.Now().Mono
 	return StatusView{
 		Role:           membership.RoleGateway,
-		BuildVersion:   g.core.Self().Build,
+		Build:          g.core.Self().Build,
 		Ready:          g.Ready(),
 		Leader:         g.core.Leader(),
 		LeaderlessMS:   g.leader.lostFor(now).Milliseconds(),
--- a/internal/placement/round.go
+++ b/internal/placement/round.go
@@ -99,7 +99,7 @@
 	for i, index := range slots {
 		slot := &r.Slots[index]
 		slot.Assign(request.TaskGroup, request.Resources)
-		task := types.TaskID{Job: request.Job, Number: request.Tasks[i]}
+		task := types.TaskID{Job: request.Job, TaskNumber: request.Tasks[i]}
 		r.output.Assignments = append(r.output.Assignments, Assignment{Task: task, Shard: slot.Shard})
 	}
 	usage.RunningTasks += len(slots)
--- a/internal/state/assignment.go
+++ b/internal/state/assignment.go
@@ -26,10 +26,10 @@
 	s.countAssignable(list, assignable)
 	for _, a := range list {
 		j := s.index.live[a.ID.Job]
-		if j == nil || j.Task(a.ID.Number) == nil {
+		if j == nil || j.Task(a.ID.TaskNumber) == nil {
 			continue
 		}
-		stage := types.StageOf(a.ID.Number)
+		stage := types.StageOf(a.ID.TaskNumber)
 		step := &j.Spec.Steps[stage.Step()]
 		if step.Joint && assignable[stageKey{j.ID, stage}] < step.Tasks {
 			continue
@@ -37,7 +37,7 @@
 		s.beforeChange(j)
 		queue := s.effectiveQueueConfig(j.Queue)
 		if a.Hedge && j.assignHedge(a, queue, s.Time) || !a.Hedge && j.assign(a, queue, s.Time) {
-			a.ID.Attempt = j.Task(a.ID.Number).LastAttempt
+			a.ID.Attempt = j.Task(a.ID.TaskNumber).LastAttempt
 			assigned = append(assigned, a)
 		}
 	}
@@ -48,8 +48,8 @@
 func (s *State) countAssignable(list []Assignment, count map[stageKey]int) {
 	for _, a := range list {
 		j := s.index.live[a.ID.Job]
-		if j != nil && j.canAssign(j.Task(a.ID.Number), s.effectiveQueueConfig(j.Queue), s.Time) {
-			count[stageKey{j.ID, types.StageOf(a.ID.Number)}]++
+		if j != nil && j.canAssign(j.Task(a.ID.TaskNumber), s.effectiveQueueConfig(j.Queue), s.Time) {
+			count[stageKey{j.ID, types.StageOf(a.ID.TaskNumber)}]++
 		}
 	}
 }
@@ -63,7 +63,7 @@
 // assign assigns the next attempt of a task if that is possible. Attempt numbers may be
 // left out, since all members of a joint gang get the same.
 func (j *Job) assign(a Assignment, queue config.Queue, now types.ClusterTime) bool {
-	t := j.Task(a.ID.Number)
+	t := j.Task(a.ID.TaskNumber)
 	if !j.canAssign(t, queue, now) {
 		return false
 	}
@@ -77,13 +77,13 @@
 // assignHedge assigns a second attempt beside the outstanding one, on another worker, if
 // the step allows that.
 func (j *Job) assignHedge(a Assignment, queue config.Queue, now types.ClusterTime) bool {
-	t := j.Task(a.ID.Number)
+	t := j.Task(a.ID.TaskNumber)
 	switch {
 	case j.Status != JobOpen || t == nil || t.Done || t.Failed || t.exhausted(queue):
 		return false
 	case t.Primary == nil || t.Primary.Shard == a.Shard || t.Hedge != nil:
 		return false
-	case !j.Spec.Steps[types.StageOf(a.ID.Number).Step()].AllowHedge:
+	case !j.Spec.Steps[types.StageOf(a.ID.TaskNumber).Step()].AllowHedge:
 		return false
 	}
 	t.LastAttempt++
--- a/internal/state/attempt_end.go
+++ b/internal/state/attempt_end.go
@@ -56,11 +56,11 @@
 
 // applyEnd applies the end of an attempt of the job.
 func (j *Job) applyEnd(end AttemptEnd, queue config.Queue, now types.ClusterTime) {
-	t := j.Task(end.ID.Number)
+	t := j.Task(end.ID.TaskNumber)
 	if t == nil {
 		return
 	}
-	stage := types.StageOf(end.ID.Number)
+	stage := types.StageOf(end.ID.TaskNumber)
 	transition := endTransition{
 		AttemptEnd: end, job: j, task: t,
 		step: &j.Spec.Steps[stage.Step()], stage: stage, queue: queue, now: now,
--- a/internal/state/drain.go
+++ b/internal/state/drain.go
@@ -31,16 +31,16 @@
 type Drain struct {
 	Target
 	Deadline types.ClusterTime `json:"by,omitempty"`
-	Lift     bool              `json:"over,omitempty"`
+	Cancel   bool              `json:"over,omitempty"`
 }
 
 // applyDrain adds, replaces or lifts the drain of a target.
 func (s *State) applyDrain(drain Drain) *apierror.Error {
 	sameTarget := func(other Drain) bool { return other.Target == drain.Target }
-	if drain.Lift && !slices.ContainsFunc(s.Drains, sameTarget) {
+	if drain.Cancel && !slices.ContainsFunc(s.Drains, sameTarget) {
 		return apierror.New(apierror.NotDrained, "", "it is not drained")
 	}
-	return replaceInList(&s.Drains, drain, sameTarget, drain.Lift, MaxDrains)
+	return replaceInList(&s.Drains, drain, sameTarget, drain.Cancel, MaxDrains)
 }
 
 // Calendar is one maintenance calendar of a target. Its windows, each from a start to an
--- a/internal/state/drain_test.go
+++ b/internal/state/drain_test.go
@@ -18,12 +18,12 @@
 		return refusal
 	}
 	worker, rack := Target{Shard: "k"}, Target{Rack: "r"}
-	is.Equal(apply(Drain{Target: worker, Lift: true}).Kind, apierror.NotDrained)
+	is.Equal(apply(Drain{Target: worker, Cancel: true}).Kind, apierror.NotDrained)
 	is.True(apply(Drain{Target: worker}) == nil)
 	is.True(apply(Drain{Target: rack, Deadline: 9 * sec}) == nil)
 	is.True(apply(Drain{Target: worker, Deadline: 5 * sec}) == nil) // in place of the first
 	is.Equal(s.Drains, []Drain{{Target: rack, Deadline: 9 * sec}, {Target: worker, Deadline: 5 * sec}})
-	is.True(apply(Drain{Target: rack, Lift: true}) == nil)
+	is.True(apply(Drain{Target: rack, Cancel: true}) == nil)
 	is.Equal(s.Drains, []Drain{{Target: worker, Deadline: 5 * sec}})
 	for i := len(s.Drains); i < MaxDrains; i++ {
 		is.True(apply(Drain{Target: Target{Shard: types.Shard(fmt.Sprint("k", i))}}) == nil)
--- a/internal/state/helpers_test.go
+++ b/internal/state/helpers_test.go
@@ -54,7 +54,7 @@
 
 // attemptID names an attempt of job "j".
 func attemptID(number, attempt int) types.AttemptID {
-	return types.AttemptID{TaskID: types.TaskID{Job: "j", Number: number}, Attempt: attempt}
+	return types.AttemptID{TaskID: types.TaskID{Job: "j", TaskNumber: number}, Attempt: attempt}
 }
 
 // assign assigns the next attempt of a task of job "j" to worker "k".
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -110,7 +110,7 @@
 			for _, attempt := range t.Outstanding() {
 				if stopAll || t.Done || attempt.Withdrawn != "" {
 					list = append(list, types.AttemptID{
-						TaskID:  types.TaskID{Job: j.ID, Number: stage.id.TaskNumber(i)},
+						TaskID:  types.TaskID{Job: j.ID, TaskNumber: stage.id.TaskNumber(i)},
 						Attempt: attempt.Number,
 					})
 				}
@@ -138,7 +138,7 @@
 // lastAttemptID returns the id of the last attempt of the task at an index of Tasks.
 func (j *Job) lastAttemptID(i int) types.AttemptID {
 	return types.AttemptID{
-		TaskID:  types.TaskID{Job: j.ID, Number: j.Spec.TaskNumber(i)},
+		TaskID:  types.TaskID{Job: j.ID, TaskNumber: j.Spec.TaskNumber(i)},
 		Attempt: j.Tasks[i].LastAttempt,
 	}
 }
--- a/internal/state/snapshot_test.go
+++ b/internal/state/snapshot_test.go
@@ -47,9 +47,9 @@
 
 // randomAttempt returns the last attempt of a task, or the one before.
 func randomAttempt(rnd *rand.Rand, s *State, job types.JobID) types.AttemptID {
-	id := types.AttemptID{TaskID: types.TaskID{Job: job, Number: rnd.Intn(4)}}
-	if j := s.Jobs[job]; j != nil && id.Number < len(j.Tasks) {
-		id.Attempt = max(0, j.Tasks[id.Number].LastAttempt-rnd.Intn(2))
+	id := types.AttemptID{TaskID: types.TaskID{Job: job, TaskNumber: rnd.Intn(4)}}
+	if j := s.Jobs[job]; j != nil && id.TaskNumber < len(j.Tasks) {
+		id.Attempt = max(0, j.Tasks[id.TaskNumber].LastAttempt-rnd.Intn(2))
 	}
 	return id
 }
--- a/internal/state/withdrawal.go
+++ b/internal/state/withdrawal.go
@@ -27,7 +27,7 @@
 	if j == nil || j.Status != JobOpen {
 		return
 	}
-	t := j.Task(withdrawal.ID.Number)
+	t := j.Task(withdrawal.ID.TaskNumber)
 	if t == nil {
 		return
 	}
--- a/internal/types/task.go
+++ b/internal/types/task.go
@@ -8,8 +8,8 @@
 // TaskID names one task of a job. Its number encodes the occurrence, the step and the
 // index in the step; see TaskNumber and SplitTaskNumber.
 type TaskID struct {
-	Job    JobID `json:"job"`
-	Number int   `json:"n"`
+	Job        JobID `json:"job"`
+	TaskNumber int   `json:"n"`
 }
 
 // AttemptID names one attempt at a task: the paper's invocation id. It is used once,
@@ -51,16 +51,16 @@
 func (s Stage) TaskNumber(index int) int { return int(s)*MaxTasksPerStep + index }
 
 // String returns the task as JOB/NUMBER.
-func (t TaskID) String() string { return fmt.Sprintf("%s/%d", t.Job, t.Number) }
+func (t TaskID) String() string { return fmt.Sprintf("%s/%d", t.Job, t.TaskNumber) }
 
 // String returns the attempt as JOB/NUMBER#ATTEMPT.
-func (a AttemptID) String() string { return fmt.Sprintf("%s/%d#%d", a.Job, a.Number, a.Attempt) }
+func (a AttemptID) String() string { return fmt.Sprintf("%s/%d#%d", a.Job, a.TaskNumber, a.Attempt) }
 
 // Compare orders attempts by job, task number and attempt number.
 func (a AttemptID) Compare(other AttemptID) int {
 	return cmp.Or(
 		cmp.Compare(a.Job, other.Job),
-		cmp.Compare(a.Number, other.Number),
+		cmp.Compare(a.TaskNumber, other.TaskNumber),
 		cmp.Compare(a.Attempt, other.Attempt),
 	)
 }
--- a/sim/check.go
+++ b/sim/check.go
@@ -200,14 +200,14 @@
 			live[h.Process][h.Attempt] = s
 			c.executions = append(c.executions, s)
 			j := c.job(h.Attempt.Job)
-			j.executions[h.Attempt.Number] = append(j.executions[h.Attempt.Number], s)
+			j.executions[h.Attempt.TaskNumber] = append(j.executions[h.Attempt.TaskNumber], s)
 		case history.AttemptEnded:
 			if s := live[h.Process][h.Attempt]; s != nil {
 				s.how = h.How
 				close(s, h.At, h.Outcome)
 			}
 		case history.EndSettled:
-			for _, s := range c.job(h.Attempt.Job).executions[h.Attempt.Number] {
+			for _, s := range c.job(h.Attempt.Job).executions[h.Attempt.TaskNumber] {
 				if s.attempt == h.Attempt && s.process == h.Process {
 					s.settledAt = h.At
 				}
@@ -219,13 +219,13 @@
 		case history.SubmissionUnresolved:
 			c.job(h.Job).unresolved++
 		case history.EndAcknowledged:
-			for _, s := range c.job(h.Attempt.Job).executions[h.Attempt.Number] {
+			for _, s := range c.job(h.Attempt.Job).executions[h.Attempt.TaskNumber] {
 				if s.acknowledgedAt == 0 && s.attempt == h.Attempt {
 					s.acknowledgedAt = h.At
 				}
 			}
 		case history.EndReported:
-			for _, s := range c.job(h.Attempt.Job).executions[h.Attempt.Number] {
+			for _, s := range c.job(h.Attempt.Job).executions[h.Attempt.TaskNumber] {
 				if s.attempt == h.Attempt {
 					s.reports = append(s.reports, endReport{h.Process, h.At})
 				}
--- a/sim/check_tasks.go
+++ b/sim/check_tasks.go
@@ -80,7 +80,7 @@
 			for _, o := range on {
 				if o.endedAt > s.startedAt {
 					if sp := c.jobs[o.attempt.Job].spec; sp != nil {
-						sum = sum.Add(sp.Steps[sp.StepOf(o.attempt.Number)].Resources)
+						sum = sum.Add(sp.Steps[sp.StepOf(o.attempt.TaskNumber)].Resources)
 					}
 				}
 			}
--- a/sim/invoked_check.go
+++ b/sim/invoked_check.go
@@ -231,7 +231,7 @@
 			}
 			c.coverage["unasked: started from what was saved"]++
 			h, p := saves[s.checkpoint], j.spec.Steps[i]
-			own := h.Attempt.Job == j.id && (h.Attempt.Number == n || p.Joint && types.StageOf(h.Attempt.Number) == types.StageOf(n))
+			own := h.Attempt.Job == j.id && (h.Attempt.TaskNumber == n || p.Joint && types.StageOf(h.Attempt.TaskNumber) == types.StageOf(n))
 			if !own || h.At > s.startedAt {
 				c.violate("unasked", s.startedAt, "%v starts from %s, which is not its own", s.attempt, s.checkpoint)
 			}
--- a/sim/opportunities.go
+++ b/sim/opportunities.go
@@ -13,7 +13,7 @@
 
 func (c *checker) stepOf(s *execution) state.Step {
 	p := c.jobs[s.attempt.Job].spec
-	return p.Steps[p.StepOf(s.attempt.Number)]
+	return p.Steps[p.StepOf(s.attempt.TaskNumber)]
 }
 
 func (c *checker) countOpportunities() {
--- a/sim/processor_test.go
+++ b/sim/processor_test.go
@@ -86,7 +86,7 @@
 	for _, n := range r.controllers {
 		s := r.controllerStatus(n)
 		l.rejectedByLeader += s.Counters.Shed
-		l.handovers += s.Counters.Relieved
+		l.handovers += s.Counters.OverloadTransfers
 		l.leaderTerms = max(l.leaderTerms, s.Term)
 	}
 	return
--- a/sim/worker/environment.go
+++ b/sim/worker/environment.go
@@ -49,7 +49,7 @@
 	if spec == nil {
 		return nil
 	}
-	if i := spec.StepOf(id.Number); i >= 0 {
+	if i := spec.StepOf(id.TaskNumber); i >= 0 {
 		return &spec.Steps[i]
 	}
 	return nil
--- a/sim/worker/gang.go
+++ b/sim/worker/gang.go
@@ -28,14 +28,14 @@
 
 // joinGang adds an attempt to its gang. The last member to join has the gang begin.
 func (e *Environment) joinGang(a *attempt) {
-	id := gangID{a.id.Job, types.StageOf(a.id.Number), a.id.Attempt}
+	id := gangID{a.id.Job, types.StageOf(a.id.TaskNumber), a.id.Attempt}
 	g := e.gangs[id]
 	if g == nil {
 		g = &gang{id: id, environment: e, size: a.step.Tasks, members: map[int]*attempt{}}
 		e.gangs[id] = g
 	}
 	a.gang = g
-	g.members[a.id.Number] = a
+	g.members[a.id.TaskNumber] = a
 	if len(g.members) == g.size {
 		g.assemble(a.step.PreferOneRack)
 	}
@@ -63,7 +63,7 @@
 	for _, member := range g.members {
 		list = append(list, member)
 	}
-	sort.Slice(list, func(i, k int) bool { return list[i].id.Number < list[k].id.Number })
+	sort.Slice(list, func(i, k int) bool { return list[i].id.TaskNumber < list[k].id.TaskNumber })
 	return list
 }
 
--- a/sim/worker/work.go
+++ b/sim/worker/work.go
@@ -34,7 +34,7 @@
 // its data. The tasks of a step differ, but all attempts at one task take the same.
 func (w Work) taskDurationMS(t types.TaskID) float64 {
 	hash := fnv.New32a()
-	hash.Write([]byte(string(t.Job) + "/" + strconv.Itoa(t.Number)))
+	hash.Write([]byte(string(t.Job) + "/" + strconv.Itoa(t.TaskNumber)))
 	const spread = 1024
 	position := 2*float64(hash.Sum32()%spread)/(spread-1) - 1 // from -1 to 1
 	return float64(w.DurationMS) * (1 + w.Variation*position)
