--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -58,7 +58,7 @@
 	verbStatus:         (*api).getStatus,
 }
 
-// logBusyRetryAfter is when a caller should come back whose change the log did not take.
+// logBusyRetryAfter is the Retry-After of a change that the log could not accept.
 const logBusyRetryAfter = 2 * time.Second
 
 // request is one request of a caller or an operator.
@@ -70,7 +70,7 @@
 	body   json.RawMessage
 }
 
-// statusReporter tells the status of this controller.
+// statusReporter returns the status of this controller.
 type statusReporter interface{ Status() StatusView }
 
 // api replies to requests. Only the leader serves them; any other controller redirects the
@@ -105,7 +105,7 @@
 	}
 }
 
-// handleForwarded takes a request that a gateway forwarded.
+// handleForwarded handles a request that a gateway forwarded.
 func (a *api) handleForwarded(now types.Now, message wire.Message) {
 	if r, ok := wire.DecodeBody[wire.ForwardedRequest](message); ok {
 		from := caller{gateway: message.From, requestID: r.ID}
@@ -113,7 +113,7 @@
 	}
 }
 
-// handleClient takes a request of a client of this daemon.
+// handleClient handles a request of a client of this daemon.
 func (a *api) handleClient(now types.Now, r wire.Request) {
 	a.handle(request{caller: caller{token: r.Token}, now: now, verb: verb(r.Verb), arg: r.Arg, body: r.Body})
 }
@@ -142,8 +142,9 @@
 	handler(a, r)
 }
 
-// mustShed reports whether there is no time for a request. Only new work is shed: what is
-// known already is answered, and so are reads, cancels and operators.
+// mustShed reports whether a request must be rejected because the event loop is behind.
+// Only new work is shed: a job that is known already is answered, and so are reads, cancels
+// and operators.
 func (a *api) mustShed(r request) bool {
 	if !wire.SubmitsWork(string(r.verb)) || r.verb == verbSubmitJob && a.log.state().Find(types.JobID(r.arg)) != nil {
 		return false
@@ -151,7 +152,7 @@
 	return a.overload.shedsWork()
 }
 
-// rejectOverloaded rejects a request that was not taken for lack of time.
+// rejectOverloaded rejects a request, unexamined, because the event loop is behind.
 func (a *api) rejectOverloaded(from caller) {
 	a.counters.Shed++
 	a.outbox.replyError(from, apierror.New(apierror.TooBusy, "",
@@ -168,9 +169,9 @@
 	}
 }
 
-// otherLeader returns whom a caller should ask instead, or nothing: a leader that has not
-// been heard of for as long as its lease lasts may lead no more, and this controller
-// itself can't be the one.
+// otherLeader returns the address of the leader that a caller should ask instead, or empty
+// if none is known. A leader that was last heard longer ago than its lease lasts may no
+// longer be one, and this controller itself can't be the one to ask.
 func (a *api) otherLeader() types.Addr {
 	if a.raft.ClusterName() == "" {
 		if leader := a.members.Leader(); leader != a.self {
@@ -196,7 +197,7 @@
 }
 
 // commandApplied replies to the caller, if any, who waits for an entry whose command was
-// just applied; refusal is why the state refused it.
+// just applied; refusal is why the state refused it, or nil.
 func (a *api) commandApplied(now types.Now, e raft.Entry, command state.Command, refusal *apierror.Error) {
 	from, isOwn, ok := a.requests.takeCommitted(e.Index, e.Term)
 	switch {
@@ -228,7 +229,7 @@
 	}
 }
 
-// replyReads answers the reads that need wait no longer.
+// replyReads answers the reads whose barrier has been applied.
 func (a *api) replyReads() {
 	a.requests.releaseReads(a.log.applied(), a.replyJob)
 }
--- a/internal/controller/assignment_rounds.go
+++ b/internal/controller/assignment_rounds.go
@@ -10,7 +10,7 @@
 // maxRoundsInFlight is how many rounds may be proposed and not yet applied.
 const maxRoundsInFlight = 4
 
-// round is what one round of placement comes to: attempts to start, and attempts to
+// round is the result of one round of placement: attempts to start and attempts to
 // withdraw.
 type round struct {
 	assignments []state.Assignment
@@ -23,8 +23,8 @@
 // assignmentRounds keeps the rounds that are proposed and not yet applied, so that no task
 // is assigned twice.
 type assignmentRounds struct {
-	newest      types.Index   // of the newest round proposed
-	indexes     []types.Index // of the rounds in flight; some may be applied by now
+	newest      types.Index   // index of the newest round proposed
+	indexes     []types.Index // indexes of the rounds in flight; some may be applied by now
 	assignments map[types.TaskID]state.Assignment
 }
 
@@ -46,10 +46,12 @@
 // applied records that an assignment is applied.
 func (r *assignmentRounds) applied(task types.TaskID) { delete(r.assignments, task) }
 
-// inFlight reports whether a round is proposed and not yet applied, as all up to an index is.
+// inFlight reports whether a round is proposed and not yet applied; applied is the last
+// index applied.
 func (r *assignmentRounds) inFlight(applied types.Index) bool { return r.newest > applied }
 
-// allApplied forgets what was proposed, once all rounds are applied.
+// allApplied forgets the assignments in flight, as all rounds are applied. One that the
+// state rejected is still listed until then.
 func (r *assignmentRounds) allApplied() { clear(r.assignments) }
 
 // full reports whether no more rounds may be proposed until one is applied.
--- a/internal/controller/attempt_review.go
+++ b/internal/controller/attempt_review.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// reviewInterval is how often at most all attempts are looked at for what time alone
-	// brings about: a limit, a stall, a window, a straggler.
+	// reviewInterval is the least time between two reviews of all attempts for what depends
+	// on time alone: time limits, stalls, maintenance windows, stragglers.
 	reviewInterval = 10 * time.Millisecond
 
 	// departureMargin is how long before its worker must be empty an attempt is withdrawn.
--- a/internal/controller/command_log.go
+++ b/internal/controller/command_log.go
@@ -45,8 +45,8 @@
 	return l
 }
 
-// state returns the replicated state as of the entries applied. While a snapshot is being
-// loaded it is the state from before.
+// state returns the replicated state at the index applied. While a snapshot is being loaded
+// it is the state before that.
 func (l *commandLog) state() *state.State { return l.replicated }
 
 // applied returns the index of the last entry applied.
--- a/internal/controller/completion_rates.go
+++ b/internal/controller/completion_rates.go
@@ -11,13 +11,13 @@
 	minCompletionGap     = 0.001 // seconds that are taken to lie between two completions at least
 	maxCompletionRate    = 1000  // completions a second
 	minCompletionRate    = 0.01  // completions a second that are assumed where none were seen
-	retryAfterPart       = 10    // a caller comes back when a tenth of what waits will have gone
+	retryAfterPart       = 10    // Retry-After is the time in which a tenth of what waits ends
 	minRetryAfterSeconds = 1
 	maxRetryAfterSeconds = 60
 )
 
-// completionRates estimates how fast the jobs of each queue end, to tell callers whom a
-// full queue rejects when to come back.
+// completionRates estimates how fast the jobs of each queue end, for the Retry-After of
+// submissions that a full queue rejects.
 type completionRates map[types.QueueName]*completionRate
 
 // completionRate is a moving average of the completions of one queue.
@@ -41,8 +41,8 @@
 	r.lastAt = now
 }
 
-// retryAfter estimates when a tenth of the jobs that wait in a queue will have gone: at
-// least 1 s, at most a minute.
+// retryAfter estimates in what time a tenth of the jobs that wait in a queue will have
+// ended: at least 1 s, at most a minute.
 func (c completionRates) retryAfter(queue types.QueueName, now types.MonoTime, waiting int) time.Duration {
 	perSecond := 0.0
 	if r := c[queue]; r != nil {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// shutdownTimeout is how long a planned stop may take.
+	// shutdownTimeout bounds a graceful shutdown.
 	shutdownTimeout = 3 * time.Second
 	// maxAppliesPerStep is how many entries one step applies at most.
 	maxAppliesPerStep = 512
@@ -38,7 +38,7 @@
 // each: a part has its own state and is used through its methods only.
 type Controller struct {
 	options   Options
-	now       types.Now // of the event at hand
+	now       types.Now // of the event that is being handled
 	raft      *raft.Node
 	members   *membership.MemberList
 	log       *commandLog
@@ -51,7 +51,7 @@
 	leader    *leader
 	api       *api
 
-	diskError        error // why the disk refuses writes, until it takes them again
+	diskError        error // of the latest failed write; nil once a write has succeeded
 	shuttingDown     bool
 	shutdownDeadline types.MonoTime
 
@@ -92,7 +92,7 @@
 	}, records)
 }
 
-// Step takes one event and returns its effects.
+// Step handles one event and returns its effects; see wire.Machine.
 func (c *Controller) Step(e wire.Event) wire.Effects {
 	c.now = e.Now
 	c.raft.SetTime(e.Now)
@@ -109,7 +109,7 @@
 	return c.effects()
 }
 
-// handle takes the event itself.
+// handle dispatches the event to the part that it is for.
 func (c *Controller) handle(e wire.Event) {
 	switch {
 	case e.Message != nil:
@@ -151,7 +151,7 @@
 	}
 }
 
-// tick does what the passing of time brings about.
+// tick advances time in all parts.
 func (c *Controller) tick() {
 	c.leader.requestPlacement()
 	c.log.loadPart()
@@ -161,7 +161,8 @@
 	c.forwardReports()
 }
 
-// applyCommitted applies what is committed, some entries a step.
+// applyCommitted applies committed entries, at most maxAppliesPerStep of them, so that a
+// controller that catches up still answers heartbeats.
 func (c *Controller) applyCommitted() {
 	c.log.installSnapshot()
 	if c.log.isLoading() {
@@ -180,7 +181,7 @@
 	c.api.replyReads()
 }
 
-// apply applies one command, and has the parts follow it up.
+// apply applies one command, and notifies the parts that depend on it.
 func (c *Controller) apply(e raft.Entry, command state.Command) {
 	c.leader.requestPlacement()
 	c.durations.record(c.log.state(), command)
@@ -193,7 +194,7 @@
 	}
 }
 
-// recordEndedJobs tells the estimates of the jobs that some ends have ended.
+// recordEndedJobs updates the estimates for the jobs that these ends have completed.
 func (c *Controller) recordEndedJobs(ends []state.AttemptEnd) {
 	for _, end := range ends {
 		if j := c.log.state().Jobs[end.ID.Job]; j != nil && j.Ended() {
@@ -203,7 +204,8 @@
 	}
 }
 
-// lead does the leader's part of a step, and begins or ends this controller's leadership.
+// lead runs the leader's part of a step, and establishes or revokes this controller's
+// leadership.
 // A controller that was elected begins once it holds a lease and has applied everything
 // committed.
 func (c *Controller) lead() {
@@ -224,7 +226,7 @@
 	}
 }
 
-// beginShutdown begins a planned stop: leadership goes to a successor.
+// beginShutdown begins a graceful shutdown: leadership is transferred.
 func (c *Controller) beginShutdown() {
 	c.shuttingDown = true
 	c.shutdownDeadline = c.now.Mono.Add(shutdownTimeout)
--- a/internal/controller/core_limits.go
+++ b/internal/controller/core_limits.go
@@ -10,7 +10,7 @@
 
 const (
 	peakHalfLife = 10 * time.Second // in which a queue's peak is forgotten by half
-	idleJobDelay = time.Second      // after which a job with nothing running gets something to run
+	idleJobDelay = time.Second      // after which a job with nothing running gets a task, or its gang, without a limit
 )
 
 // coreLimits keeps cores free for more urgent queues: work of later queues whose tasks take
@@ -41,7 +41,8 @@
 	}
 }
 
-// updatePeaks takes in what the queues use and ask for now, and returns the cores in use.
+// updatePeaks updates the peaks by what the queues use and request now, and returns the
+// cores in use.
 func (c *coreLimits) updatePeaks(now types.MonoTime, in placement.Input) types.MilliCores {
 	fade := math.Exp2(-now.Sub(c.updatedAt).Seconds() / peakHalfLife.Seconds())
 	c.updatedAt = now
--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -6,7 +6,7 @@
 	"coppercourse/internal/types"
 )
 
-// describe returns what this controller tells the other daemons of itself.
+// describe returns this controller's information for the membership.
 func (c *Controller) describe() membership.MemberInfo {
 	return membership.MemberInfo{
 		Addr:  c.options.Addr,
@@ -47,7 +47,7 @@
 }
 
 // foundersInOtherRoles lists, while no cluster is known, the founders that turn out to be
-// other daemons than controllers; those are not waited for.
+// other daemons than controllers; bootstrap does not wait for those.
 func (c *Controller) foundersInOtherRoles() []types.Addr {
 	if c.raft.ClusterName() != "" {
 		return nil
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -8,14 +8,14 @@
 //     replicated state; it takes and loads snapshots.
 //   - api replies to callers and operators (job_requests.go, worker_requests.go).
 //     requestTable keeps the requests that wait: changes for their commit, reads behind a
-//     readBarrier; completionRates estimates when a rejected caller should come back.
+//     readBarrier; completionRates estimates the Retry-After of a full queue.
 //   - leader is what only the leader does. Its scheduler.Scheduler, made anew with each
 //     leadership, keeps the workers' leases and the attempts that run. endTracker keeps the
-//     ends of attempts on their way into the log, workerShapes and wallOffset what the log
+//     ends of attempts that are proposed and not yet committed, workerShapes and wallOffset what the log
 //     must know of workers and clocks.
 //   - planner makes rounds of placement: readyWork ranked by jobRanking, slotCache for the
 //     workers with room, coreLimits and waitTimes, placement.Place for the choice, and
-//     assignmentRounds for what is on its way into the log. attemptReview withdraws attempts
+//     assignmentRounds for the rounds proposed and not yet applied. attemptReview withdraws attempts
 //     and hedges stragglers, preemption makes room for urgent work.
 //   - durationEstimates learns how long tasks take, reportBuffer keeps reported ends until
 //     the log has them, overload decides what to do when the event loop falls behind. Every
--- a/internal/controller/duration_estimates.go
+++ b/internal/controller/duration_estimates.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	maxEvidenceSteps   = 64   // newer steps count against so many older ones at most
-	priorEstimateError = 0.25 // variance of a job's own estimate that is assumed at first
-	priorVariance      = 1.0  // variance of the durations that is assumed at first
-	priorSteps         = 4    // steps that both assumptions count for
+	maxEvidenceSteps   = 64   // window of the moving averages, in steps
+	priorEstimateError = 0.25 // prior variance of a job's own estimate (of the logarithm)
+	priorVariance      = 1.0  // prior variance of the durations (of the logarithm)
+	priorSteps         = 4    // weight of both priors, in steps
 	minVariance        = 1e-6 // keeps the weights finite
 
 	// jobDurationsSlack is how many jobs beyond twice the live ones may be kept before
@@ -127,8 +127,8 @@
 	return d.queues[j.Queue].expected(estimateOf(&j.Spec.Steps[step]))
 }
 
-// record takes in a task that makes up a share of its step; estimate is the step's own, or
-// 0.
+// record learns from a task that took so long and is a share of its step (1 for a whole
+// step). estimate is the step's own, or 0.
 func (q *queueDurations) record(took, estimate time.Duration, share float64) {
 	logTook := math.Log(max(took, time.Millisecond).Seconds())
 	q.steps = min(maxEvidenceSteps, q.steps+share)
--- a/internal/controller/end_tracker.go
+++ b/internal/controller/end_tracker.go
@@ -10,7 +10,7 @@
 // once.
 type endTracker struct {
 	inFlight map[state.AttemptEnd]bool
-	released map[types.AttemptID]bool // of those in flight, what runs no more
+	released map[types.AttemptID]bool // attempts of those ends that no longer run
 }
 
 func newEndTracker() *endTracker {
@@ -37,10 +37,10 @@
 // proposed records an end that was proposed.
 func (t *endTracker) proposed(end state.AttemptEnd) { t.inFlight[end] = true }
 
-// release records that an attempt, whose end is in flight, runs no more.
+// release records that an attempt with its end in flight no longer runs.
 func (t *endTracker) release(attempt types.AttemptID) { t.released[attempt] = true }
 
-// isReleased reports whether an attempt, whose end is in flight, runs no more.
+// isReleased reports whether an attempt with its end in flight no longer runs.
 func (t *endTracker) isReleased(attempt types.AttemptID) bool { return t.released[attempt] }
 
 // committed records that an end is committed.
--- a/internal/controller/feasibility.go
+++ b/internal/controller/feasibility.go
@@ -8,11 +8,11 @@
 	"coppercourse/internal/state"
 )
 
-// noWorkersRetryAfter is when a caller should come back before any worker has registered.
+// noWorkersRetryAfter is the Retry-After while no worker has registered.
 const noWorkersRetryAfter = 2 * time.Second
 
-// checkFeasible refuses a job with a step that the known workers, away or not, could never
-// hold.
+// checkFeasible rejects a job with a step that the known workers, connected or not, could
+// never run.
 func checkFeasible(s *state.State, spec state.Spec) *apierror.Error {
 	if len(s.WorkerShapes) == 0 {
 		return apierror.New(apierror.NotReady, "", "no worker has come yet").WithRetryAfter(noWorkersRetryAfter)
--- a/internal/controller/job_ranking.go
+++ b/internal/controller/job_ranking.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	lateTargetFactor = 3  // a job is worth something until so many times its latency target
-	targetTolerance  = 8  // a job counts as on target until late by one in so many parts of it
-	maxJobValue      = 4  // value of a job, in those of its queue's mean job, at most
-	meanGain         = 16 // a job counts for one in so many in the means of its queue
-	minMeanWork      = 0.001
+	lateTargetFactor = 3     // a job has value until this many times its latency target
+	targetTolerance  = 8     // a job is on target while late by less than target/targetTolerance
+	maxJobValue      = 4     // bound of a job's value, in values of its queue's mean job
+	meanGain         = 16    // a new job has weight 1/meanGain in the means of its queue
+	minMeanWork      = 0.001 // core-seconds; keeps the ratio to the mean finite
+	minRemainingWork = 0.01  // core-seconds, added to a job's remaining work; keeps its gain finite
 
 	baseValue    = 0.3   // part of the mean job's value that does not depend on its work
 	onTargetPart = 0.7   // part of a job's value that is lost once it is late
 	latePart     = 0.3   // part that is lost once it is too late for its target
 	missedPart   = 0.001 // part that remains then
 
-	// slackDecaySeconds is the scale of slack: a job with so many seconds more of it comes
-	// behind one that gains e times as much.
+	// slackDecaySeconds is the decay time of the gain: each slackDecaySeconds more of slack
+	// divide it by e.
 	slackDecaySeconds = 1.0
 	// priorityBase is by what factor each step of a queue's priority lowers its jobs' rank.
 	priorityBase = 1.0
 
-	patientSlackPercent    = 40 // a job with slack of so much of its target can wait
-	patientHeadroomPercent = 92 // of all cores that long tasks of such a job leave free at most
-	longHeadroomPercent    = 75 // of all cores that long tasks of other jobs leave free at most
+	patientSlackPercent    = 40 // of its target: a job with more slack than that can wait
+	patientHeadroomPercent = 92 // of all cores: bound on what long tasks of such a job leave free
+	longHeadroomPercent    = 75 // of all cores: bound on what long tasks of other jobs leave free
 )
 
 // jobRanking ranks the jobs of queues with a latency target. What goes first is what gains
 // the most value for the work that is left, the less the more slack it has: the rule of
-// apparent tardiness cost (Vepsalainen and Morton, 1987). What steps take is
-// only estimated.
+// apparent tardiness cost (Vepsalainen and Morton, 1987). Durations of steps are estimates.
 type jobRanking struct {
 	meanWork        map[types.QueueName]float64 // core-seconds of a queue's mean job
 	meanTaskSeconds map[types.QueueName]float64 // of the first steps of a queue's jobs
@@ -53,7 +53,7 @@
 	return jobRanking{meanWork: map[types.QueueName]float64{}, meanTaskSeconds: map[types.QueueName]float64{}}
 }
 
-// recordJob takes a new job into the means of its queue.
+// recordJob adds a new job to the means of its queue.
 func (r *jobRanking) recordJob(v *leaderView, j *state.Job) {
 	work := 0.0
 	for i := range j.Spec.Steps {
@@ -67,7 +67,7 @@
 	updateMean(r.meanWork, j.Queue, work)
 }
 
-// updateMean takes a value into a queue's moving average; the first value is the average.
+// updateMean adds a value to a queue's moving average; the first value is the average.
 func updateMean(means map[types.QueueName]float64, queue types.QueueName, value float64) {
 	if mean, ok := means[queue]; ok {
 		value = mean + (value-mean)/meanGain
@@ -105,7 +105,7 @@
 	rank := jobRank{headroomPercent: r.headroom(v.state, j.Queue, queue, duration(step), slack, target)}
 	var gain float64
 	rank.class, gain, slack = classify(value, slack, target)
-	gain = gain / (remainingWork + 0.01) * math.Exp(-max(0, slack.Seconds())/slackDecaySeconds) *
+	gain = gain / (remainingWork + minRemainingWork) * math.Exp(-max(0, slack.Seconds())/slackDecaySeconds) *
 		math.Pow(priorityBase, -float64(queue.Priority))
 	rank.sortKey = -gain
 	return rank
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -36,8 +36,7 @@
 	a.propose(r.caller, command)
 }
 
-// withRetryAfter tells the caller of a submission that a full queue refused when to come
-// back.
+// withRetryAfter adds a Retry-After to the refusal of a submission by a full queue.
 func (a *api) withRetryAfter(now types.Now, refusal *apierror.Error, command state.Command) *apierror.Error {
 	if refusal.Kind == apierror.QueueFull && command.Job != nil {
 		queue := command.Job.Spec.Queue
@@ -47,7 +46,7 @@
 	return refusal
 }
 
-// getJob shows a job, once the ends of its attempts that are on their way are committed.
+// getJob shows a job, once the ends of its attempts that are in flight are committed.
 func (a *api) getJob(r request) {
 	id := types.JobID(r.arg)
 	if !a.requests.holdRead(r.caller, id, a.log.applied()) {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -36,8 +36,8 @@
 	preemption     preemption
 	shapes         workerShapes
 	wallOffset     wallOffset
-	needsPlacement bool // something was applied, or time passed, since the last round
-	stopping       bool // no more work is placed
+	needsPlacement bool // something was applied, or a tick passed, since the last round
+	stopping       bool // the daemon shuts down: no more work is placed
 	current        leaderView
 }
 
@@ -60,16 +60,17 @@
 	}
 }
 
-// active reports whether this controller leads and has taken up its work.
+// active reports whether this controller leads and has established its leadership.
 func (l *leader) active() bool { return l.scheduler != nil }
 
 // stop ends the placing of work, as the daemon is shutting down.
 func (l *leader) stop() { l.stopping = true }
 
-// requestPlacement has a round planned in this step or a later one.
+// requestPlacement schedules a round of placement, in this step or, under overload, a later
+// one.
 func (l *leader) requestPlacement() { l.needsPlacement = true }
 
-// view returns what the leader's parts look at now; it is valid until the next call.
+// view returns the input of the leader's parts at a time; it is valid until the next call.
 func (l *leader) view(now types.MonoTime) *leaderView {
 	l.current = leaderView{
 		now:       now,
@@ -81,9 +82,9 @@
 	return &l.current
 }
 
-// establish takes up the work of a leader with a new scheduler, which learns from the
-// agents what runs. It must hear of the attempts that the state has as outstanding before
-// it may assign their tasks again.
+// establish starts the leader's work with a new scheduler, which learns from the agents
+// what runs. The attempts that the state has as outstanding must be confirmed by their
+// agents, or counted as lost, before their tasks may be assigned again.
 func (l *leader) establish(now types.MonoTime) {
 	l.counters.Elected++
 	l.scheduler = scheduler.New(now, scheduler.Config{
@@ -96,7 +97,7 @@
 	})
 }
 
-// revoke gives up the work of a leader.
+// revoke stops the leader's work and forgets what belongs to this leadership.
 func (l *leader) revoke() {
 	if l.active() {
 		l.scheduler = nil
@@ -130,12 +131,13 @@
 	return list
 }
 
-// handleMessage takes a message from an agent.
+// handleMessage handles a message from an agent.
 func (l *leader) handleMessage(now types.MonoTime, message wire.Message) {
 	l.scheduler.HandleMessage(now, l.raft.AuthorityRemaining(), message)
 }
 
-// step does what a step of the leader needs beside the event that it took.
+// step does what the leader does after each event: the scheduler's timers, and a round of
+// placement if one is due.
 func (l *leader) step(now types.MonoTime) {
 	l.scheduler.Tick(now, l.raft.AuthorityRemaining())
 	l.drainScheduler()
@@ -148,16 +150,16 @@
 	}
 }
 
-// drainScheduler sends what the scheduler has to send and proposes the ends that it has
-// learned of.
+// drainScheduler sends the scheduler's messages and proposes the ends that it has learned
+// of.
 func (l *leader) drainScheduler() {
 	messages, ends := l.scheduler.TakeOutput()
 	l.outbox.send(messages...)
 	l.proposeEnds(ends)
 }
 
-// proposeEnds proposes ends of attempts, each at most once at a time. What surely runs no
-// more frees its resources at once.
+// proposeEnds proposes those ends that are not in flight already. Attempts that have surely
+// stopped release their resources at once, before the commit.
 func (l *leader) proposeEnds(ends []state.AttemptEnd) {
 	list := l.ends.toPropose(l.log.state(), ends)
 	if list == nil {
@@ -177,15 +179,16 @@
 	l.counters.Ends += uint64(len(list))
 }
 
-// release frees the resources of an attempt that surely runs no more.
+// release frees the resources of an attempt that has surely stopped.
 func (l *leader) release(attempt types.AttemptID) {
 	l.ends.release(attempt)
 	l.planner.invalidate(l.scheduler.ShardOf(attempt))
 	l.requestPlacement()
 }
 
-// placeWork stops what must not run on, records what has changed of the workers and the
-// clocks, and plans and proposes a round.
+// placeWork stops attempts that must not go on, proposes changed worker shapes and wall
+// offset, and plans and proposes a round. Without a read lease it places nothing, as another
+// controller may lead.
 func (l *leader) placeWork(v *leaderView) {
 	l.stopAttempts(v)
 	if !l.raft.HoldsReadLease() || l.stopping {
@@ -198,8 +201,8 @@
 	l.proposeRound(l.planner.plan(v, l.log.applied(), &l.review, &l.preemption))
 }
 
-// stopAttempts stops the attempts that the state has no use for, those unknown to it and
-// those beyond their time limit, and proposes the ends of tasks that are out of attempts.
+// stopAttempts stops the attempts that the state no longer needs, those unknown to it and
+// those beyond their time limit, and proposes the ends of exhausted tasks.
 func (l *leader) stopAttempts(v *leaderView) {
 	var toStop []types.AttemptID
 	var exhausted []state.AttemptEnd
@@ -223,8 +226,8 @@
 	}
 }
 
-// commandApplied follows up a command that was just applied: refusal is why the state
-// refused it, assignments are those that took effect.
+// commandApplied handles a command that was just applied: refusal is why the state refused
+// it, or nil; assignments are those that took effect.
 func (l *leader) commandApplied(now types.MonoTime, command state.Command, assignments []state.Assignment,
 	refusal *apierror.Error) {
 	if command.Job != nil && refusal == nil {
--- a/internal/controller/leader_view.go
+++ b/internal/controller/leader_view.go
@@ -8,7 +8,7 @@
 	"coppercourse/internal/types"
 )
 
-// leaderView is what the leader's parts look at during one step: the time, the replicated
+// leaderView is the input of the leader's parts during one step: the time, the replicated
 // state, the workers with their attempts, and how long tasks are expected to take.
 type leaderView struct {
 	now       types.MonoTime
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -8,8 +8,8 @@
 	"coppercourse/internal/wire"
 )
 
-// notLeaderRetryAfter is when a client of this daemon should ask again if the daemon
-// does not lead.
+// notLeaderRetryAfter is the Retry-After for a client of this daemon while the daemon does
+// not lead.
 const notLeaderRetryAfter = time.Second
 
 // caller is whom the reply to a request goes to: a gateway, which forwarded the request
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -49,13 +49,14 @@
 	o.load, o.placedLastStep = load, false
 }
 
-// lag returns how long the oldest event of control or of a caller has waited.
+// lag returns how long the oldest control event or caller's request has waited.
 func (o *overload) lag() time.Duration { return max(o.load.ControlAge, o.load.CallerAge) }
 
-// controlLag returns how long the oldest event of control has waited.
+// controlLag returns how long the oldest control event (raft, leases, ends) has waited.
 func (o *overload) controlLag() time.Duration { return o.load.ControlAge }
 
-// isOverloaded reports whether the loop has been behind with control for long.
+// isOverloaded reports whether the loop has been behind with control events for
+// overloadDelay.
 func (o *overload) isOverloaded() bool { return o.overloaded }
 
 // mayPlace reports whether work may be placed in this step.
@@ -70,12 +71,13 @@
 // startPlacement records that this step places work.
 func (o *overload) startPlacement(now types.MonoTime) { o.placedLastStep, o.placedAt = true, now }
 
-// shedsWork reports whether there is no time for the request at hand, if it brings new work.
+// shedsWork reports whether the request of the present step must be shed if it brings new
+// work: the loop is too far behind, or the request has waited too long.
 func (o *overload) shedsWork() bool {
 	return o.lag() > maxAdmissionLag || o.load.EventAge > maxRequestAge
 }
 
-// retryAfter returns when the caller of a request that was shed should come back.
+// retryAfter returns the Retry-After of a request that was shed.
 func (o *overload) retryAfter() time.Duration { return 2 * o.lag() }
 
 // update finds whether the loop has been behind by more than a tolerance for long. It is
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -9,8 +9,8 @@
 	"coppercourse/internal/types"
 )
 
-// unlimitedDuration stands for the time limit of steps that have none: they fit before no
-// window.
+// unlimitedDuration stands for the time limit of steps that have none, so that they are
+// never placed on a worker with a maintenance window ahead.
 const unlimitedDuration = 10_000 * time.Hour
 
 // planner makes rounds of placement: what is ready to run, the workers with room for it,
@@ -24,7 +24,7 @@
 	slots       slotCache
 	ends        *endTracker
 	reservation *placement.Reservation // workers kept for a request that was passed over
-	requests    []placement.Request    // the last list, whose memory the next one uses
+	requests    []placement.Request    // the last list; its memory is reused
 }
 
 func newPlanner(windows workerWindows, ends *endTracker) planner {
@@ -48,7 +48,7 @@
 // recordJob learns from a new job.
 func (p *planner) recordJob(v *leaderView, j *state.Job) { p.ranking.recordJob(v, j) }
 
-// invalidate has what runs on a worker summed up anew.
+// invalidate drops the cached occupancy of a worker.
 func (p *planner) invalidate(shard types.Shard) { p.slots.invalidate(shard) }
 
 // proposed records that a round's assignments were proposed.
@@ -98,7 +98,8 @@
 	return result
 }
 
-// planBeside places new work while an earlier round is in flight, up to applied.
+// planBeside places new work while an earlier round is in flight; applied is the last index
+// applied.
 func (p *planner) planBeside(v *leaderView, applied types.Index) round {
 	if p.rounds.full(applied) || v.scheduler.InInitialWait() || p.reservation != nil {
 		return round{}
--- a/internal/controller/queue_view.go
+++ b/internal/controller/queue_view.go
@@ -9,8 +9,8 @@
 type QueueView struct {
 	Name           types.QueueName  `json:"name"`
 	Weight         int              `json:"weight"`
-	Share          int              `json:"share"` // percent of all cores
-	UnfinishedJobs int              `json:"jobs_unfinished"`
+	Share          int              `json:"share"`           // percent of all cores
+	UnfinishedJobs int              `json:"jobs_unfinished"` // accepted and not ended
 	JobLimit       int              `json:"jobs_limit"`
 	TasksRunning   int              `json:"tasks_running"`
 	CoresInUse     types.MilliCores `json:"cores_in_use"`
--- a/internal/controller/read_barrier.go
+++ b/internal/controller/read_barrier.go
@@ -5,9 +5,9 @@
 )
 
 // readBarrier holds reads of a job back until the ends of its attempts that the leader has
-// proposed are committed. A caller who asks just when the last task has ended is so told of
-// the end, a few milliseconds later, rather than that the job runs. Nothing is shown that
-// is not committed.
+// proposed are committed. A caller who asks just as the last task has ended then sees the
+// end, a few milliseconds later, rather than a running job. Nothing is shown that is not
+// committed.
 type readBarrier struct {
 	proposedEnds map[types.JobID]types.Index // of each job the newest command with ends of it
 	pending      []pendingRead
@@ -37,8 +37,8 @@
 	}
 }
 
-// hold keeps a read back if it must wait. It returns false for a read to be answered at
-// once: nothing of the job is on its way, or too many reads wait.
+// hold queues a read if it must wait. It returns false for a read to be answered at once:
+// no end of the job is in flight, or too many reads wait.
 func (b *readBarrier) hold(from caller, job types.JobID, applied types.Index) bool {
 	index := b.proposedEnds[job]
 	if index <= applied || len(b.pending) >= MaxPendingRequests {
@@ -48,7 +48,7 @@
 	return true
 }
 
-// release answers the reads that need wait no longer, in the order in which they came.
+// release answers the reads whose index has been applied, in order of arrival.
 func (b *readBarrier) release(applied types.Index, answer func(caller, types.JobID)) {
 	kept := b.pending[:0]
 	for _, read := range b.pending {
--- a/internal/controller/report_buffer.go
+++ b/internal/controller/report_buffer.go
@@ -18,8 +18,8 @@
 )
 
 // reportBuffer keeps the ends that agents have reported until the log has them. Every
-// controller that hears a report keeps it: the leader may lose its leadership before the
-// end is committed, and the agent may be gone by then.
+// controller that receives a report keeps it: the leader may lose its leadership before the
+// end is committed, and the agent may have stopped by then.
 type reportBuffer struct {
 	reports []bufferedReport
 }
--- a/internal/controller/report_forwarding.go
+++ b/internal/controller/report_forwarding.go
@@ -9,9 +9,10 @@
 // gatewayFanout is through how many gateways a report is relayed at once.
 const gatewayFanout = 2
 
-// forwardReports gives the buffered reports to this controller's own scheduler, if it
+// forwardReports passes the buffered reports to this controller's own scheduler, if it
 // leads, or else to the leader. The agent itself repeats a report to the leader, so others
-// forward it only after a while, lest an overloaded leader hears everything from everybody.
+// forward it only after a while, so that an overloaded leader does not receive each report
+// from every controller.
 func (c *Controller) forwardReports() {
 	c.reports.prune(c.now.Mono, c.log.state())
 	if c.leader.active() {
--- a/internal/controller/request_table.go
+++ b/internal/controller/request_table.go
@@ -14,7 +14,7 @@
 const MaxPendingRequests = 1024
 
 // requestTable keeps the requests that this controller, as the leader, has taken and not
-// yet answered, and how fast jobs complete, to tell rejected callers when to try again.
+// yet answered, and how fast jobs complete, for the Retry-After of rejected submissions.
 type requestTable struct {
 	changes map[types.Index]pendingChange // by the index of the command proposed
 	reads   readBarrier
@@ -73,7 +73,7 @@
 	return t.reads.hold(from, job, applied)
 }
 
-// releaseReads answers the reads that need wait no longer.
+// releaseReads answers the reads whose index has been applied.
 func (t *requestTable) releaseReads(applied types.Index, answer func(caller, types.JobID)) {
 	t.reads.release(applied, answer)
 }
@@ -94,7 +94,7 @@
 	t.rates.record(queue, now)
 }
 
-// retryAfter estimates when a caller should come back whom a full queue refuses.
+// retryAfter returns the Retry-After of a submission that a full queue rejects.
 func (t *requestTable) retryAfter(queue types.QueueName, now types.MonoTime, waiting int) time.Duration {
 	return t.rates.retryAfter(queue, now, waiting)
 }
--- a/internal/controller/slot_cache.go
+++ b/internal/controller/slot_cache.go
@@ -10,7 +10,8 @@
 	"coppercourse/internal/types"
 )
 
-// assumedUnlimitedRemainder is how long attempts without a time limit are taken to run on.
+// assumedUnlimitedRemainder is how much longer attempts without a time limit are assumed to
+// run.
 const assumedUnlimitedRemainder = time.Hour
 
 // slotCache builds the workers as placement sees them. What runs on a worker is summed up
@@ -20,7 +21,7 @@
 type slotCache struct {
 	windows  workerWindows
 	byShard  map[types.Shard]*occupancy
-	slots    []placement.Slot    // the last list, whose memory the next one uses
+	slots    []placement.Slot    // the last list; its memory is reused
 	position map[types.Shard]int // of each worker in it
 }
 
@@ -37,7 +38,8 @@
 // reset forgets everything, for another leadership.
 func (sc *slotCache) reset() { *sc = slotCache{windows: sc.windows} }
 
-// invalidate has one worker summed up anew.
+// invalidate drops the cached occupancy of one worker. It is for changes that the
+// scheduler's revision does not show: resources released before the end is committed.
 func (sc *slotCache) invalidate(shard types.Shard) { delete(sc.byShard, shard) }
 
 // list returns the workers that may be given work, with the assignments in flight counted
@@ -127,7 +129,7 @@
 	}
 }
 
-// remaining returns when all that runs there will have ended, by its time limits.
+// remaining returns in what time all that runs there will have ended, by the time limits.
 func (o *occupancy) remaining(now types.MonoTime) time.Duration {
 	rest := max(0, o.lastEnd.Sub(now))
 	if o.unlimited {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -9,7 +9,8 @@
 	"coppercourse/internal/types"
 )
 
-// StatusView is one controller's status.
+// StatusView is one controller's status, as GET /v1/status shows it. It has more than 15
+// fields because it is the document, one field for each key.
 type StatusView struct {
 	Role            string             `json:"role"`
 	Build           string             `json:"program"`
@@ -25,10 +26,10 @@
 	LossesTolerated int                `json:"losses_borne"` // voters that may be lost at once
 	TableVersion    types.Version      `json:"table_edition"`
 	UnfinishedJobs  int                `json:"jobs_unfinished"`
-	JobsRemembered  int                `json:"ids_remembered"` // with the ended ones whose IDs are kept
-	InitialWait     string             `json:"initial_wait,omitempty"`
-	Overloaded      bool               `json:"behind,omitempty"` // with its control work, for long
-	LagMS           int64              `json:"lag_ms"`           // of its control work
+	JobsRemembered  int                `json:"ids_remembered"`         // with the ended ones whose IDs are kept
+	InitialWait     string             `json:"initial_wait,omitempty"` // why a new leader places nothing yet
+	Overloaded      bool               `json:"behind,omitempty"`       // with its control work, for long
+	LagMS           int64              `json:"lag_ms"`                 // of its control work
 	ClusterTime     string             `json:"cluster_time"`
 	Peers           []membership.Peer  `json:"mates"`
 	Counters        Counters           `json:"sums"`
@@ -36,14 +37,14 @@
 
 // Counters count since the start of the process.
 type Counters struct {
-	Steps             uint64 // events taken
-	Applied           uint64 // entries applied
-	Calls             uint64 // requests taken
+	Steps             uint64 // events handled
+	Applied           uint64 // log entries applied
+	Calls             uint64 // requests received
 	Refused           uint64 // requests answered with an error
-	Orders            uint64 // attempts ordered
-	Ends              uint64 // ends proposed
+	Orders            uint64 // attempts that agents were ordered to run
+	Ends              uint64 // attempt ends proposed
 	Elected           uint64 // leaderships begun
-	LeadershipsLost   uint64 `json:"Lost"` // leaderships lost
+	LeadershipsLost   uint64 `json:"Lost"`
 	Placed            uint64 // rounds of placement
 	Shed              uint64 `json:"TurnedAway"` // requests rejected for lack of time
 	OverloadTransfers uint64 `json:"Relieved"`   // leaderships transferred for lack of time
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	hedgeFactor = 1.8                    // an attempt is hedged after so many times its usual duration
-	hedgeMargin = 150 * time.Millisecond // and so much more
+	hedgeFactor = 1.8                    // an attempt is hedged after its usual duration times hedgeFactor
+	hedgeMargin = 150 * time.Millisecond // plus hedgeMargin
 
 	minStallDuration   = 2 * time.Second         // a shorter attempt has not stalled
 	maxRestartDuration = 1500 * time.Millisecond // a task that usually takes longer is not restarted
@@ -95,7 +95,8 @@
 	return task.FindOutstanding(attempt.ID.Attempt) != nil && isSlow(v, attempt, step)
 }
 
-// isSlow reports whether an attempt is far behind its like, or its worker out of reach.
+// isSlow reports whether an attempt is far behind others of its step, or its worker not
+// healthy.
 func isSlow(v *leaderView, attempt *scheduler.OutstandingAttempt, step *state.Step) bool {
 	worker := v.scheduler.Worker(attempt.Shard)
 	if worker == nil || worker.State != protocol.WorkerHealthy || !worker.Healthy {
--- a/internal/controller/worker_availability.go
+++ b/internal/controller/worker_availability.go
@@ -8,10 +8,10 @@
 	"coppercourse/internal/types"
 )
 
-// workerWindows finds how long workers may still run something: a worker may be draining,
-// or be about to go under a drain or a maintenance window of its operators.
+// workerWindows finds how long workers may still run something: a worker may be draining
+// itself, or have a drain or a maintenance window of its operators ahead.
 type workerWindows struct {
-	orderDelay time.Duration // an order may lie so long at an agent before its task starts
+	orderDelay time.Duration // longest time between an order and the start of its task at the agent
 }
 
 // availability is how long a worker may run something.
--- a/internal/controller/worker_requests.go
+++ b/internal/controller/worker_requests.go
@@ -21,7 +21,7 @@
 	return state.Target{Shard: types.Shard(name)}
 }
 
-// checkTargetKnown refuses a target that no known worker is, or is in.
+// checkTargetKnown rejects a target that matches no known worker.
 func (a *api) checkTargetKnown(target state.Target) *apierror.Error {
 	for _, shape := range a.log.state().WorkerShapes {
 		if target.Matches(shape.Shard, shape.Rack) {
@@ -31,8 +31,8 @@
 	return apierror.New(apierror.NoSuchWorker, "", "no worker or rack of that name has ever come")
 }
 
-// startDrain lets nothing more start on a worker or rack, and has what runs there stopped
-// by a deadline, if there is one.
+// startDrain keeps new attempts off a worker or rack, and stops those that run there at a
+// deadline, if there is one.
 func (a *api) startDrain(r request) {
 	target := parseTarget(r.arg)
 	document, err := decodeBody[config.Drain](r, "drain")
@@ -73,8 +73,8 @@
 	a.propose(r.caller, state.Command{Calendar: &state.Calendar{Name: r.arg}})
 }
 
-// confirmWorkerGone has the unresolved attempts of a worker count as ended, for its
-// operators know that it is lost.
+// confirmWorkerGone counts the unresolved attempts of a worker as ended: its
+// operators confirm that it no longer runs.
 func (a *api) confirmWorkerGone(r request) {
 	shard := types.Shard(r.arg)
 	err := a.checkTargetKnown(state.Target{Shard: shard})
--- a/internal/controller/worker_shapes.go
+++ b/internal/controller/worker_shapes.go
@@ -9,8 +9,8 @@
 	"coppercourse/internal/types"
 )
 
-// workerShapes keeps in the replicated state what the workers are made of, so that a job
-// that no worker could ever hold is told from one whose workers are away.
+// workerShapes keeps in the replicated state what each worker offers, so that a job that no
+// worker could ever run is distinguished from one whose workers are disconnected.
 type workerShapes struct {
 	proposed types.Index // of the newest change; the next one waits until it is applied
 }
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,4 +1,4 @@
-// Package dispatch documents the dispatcher, which gives attempts of tasks to workers and
+// Package dispatch documents the dispatcher, which has workers run attempts of tasks and
 // learns how they end. It follows the Bistro worker protocol and its worker set
 // consensus; names in "quotes" below are sections of that paper, and the code uses the
 // paper's words. The code is in
@@ -15,10 +15,11 @@
 //   - Every permission to run ends by itself: an agent has a lease on its own clock, and
 //     its worker one within that, on the worker's clock. So the scheduler knows when
 //     all that ran on an unreachable worker has stopped.
-//   - Which attempts were given out, and how they ended, is in the replicated log. The
+//   - Which attempts were assigned, and how they ended, is in the replicated log. The
 //     workers remain the only source of what runs; but an attempt that the log has must be
-//     heard of before its task is given out again, and an end counts once committed.
-//   - A worker is reached through its agent, so an agent that comes back as a new
+//     confirmed, or counted as lost, before its task is assigned again, and an end counts
+//     once committed.
+//   - A worker is reached through its agent, so an agent that restarts as a new
 //     instance does not mean that the worker's process has ended.
 //
 // # Worker states at the scheduler
@@ -44,14 +45,14 @@
 //	    instance is sent requestSuicide: "Non-core calls". The paper goes there by
 //	    UNHEALTHY only; lack of consensus alone never leads there
 //	(6) the first heartbeat of another instance: "Worker state transitions". The instance
-//	    before is remembered, and sent requestSuicide if it comes back. It may also be
+//	    before is remembered, and sent requestSuicide if it reappears. It may also be
 //	    replaced in another state if the worker itself names it as the one before, or if
 //	    the other stands at its address and it has gone silent
 //
 // # Worker states at the agent
 //
-// The agent keeps the same states by the same timeouts, so that it gives up before the
-// scheduler does. Silence is the time since it sent the latest heartbeat whose reply
+// The agent keeps the same states by the same timeouts, so that it stops its attempts
+// before the scheduler counts them as lost. Silence is the time since it sent the latest heartbeat whose reply
 // renewed its lease. The agent accepts a RunTask only while HEALTHY.
 //
 //	------> NEW ---(1)---> UNHEALTHY -----(4)----> MUST_DIE --(6)--> NEW, as another instance
--- a/internal/dispatch/executor/attempts.go
+++ b/internal/dispatch/executor/attempts.go
@@ -19,7 +19,7 @@
 	attemptEnded    attemptState = "ended"
 )
 
-// attempt is an attempt in the agent's account.
+// attempt is the agent's record of an attempt.
 type attempt struct {
 	spec          protocol.AttemptSpec
 	state         attemptState
@@ -51,8 +51,8 @@
 
 func compareAttempts(a, b *attempt) int { return a.spec.Attempt.Compare(b.spec.Attempt) }
 
-// attemptTable holds the attempts in the account, and the ids of those accepted or
-// rejected lately.
+// attemptTable holds the records of attempts, and the ids of those accepted or rejected
+// lately.
 type attemptTable struct {
 	byID   map[types.AttemptID]*attempt
 	sorted []*attempt // the same, in order
@@ -64,7 +64,7 @@
 	return attemptTable{byID: map[types.AttemptID]*attempt{}, seen: map[types.AttemptID]types.MonoTime{}}
 }
 
-// add puts an attempt into the account.
+// add adds an attempt, in place of one with its id.
 func (at *attemptTable) add(a *attempt) {
 	if at.byID[a.spec.Attempt] == nil {
 		i, _ := slices.BinarySearchFunc(at.sorted, a, compareAttempts)
@@ -73,7 +73,7 @@
 	at.byID[a.spec.Attempt] = a
 }
 
-// addNeverRan puts an attempt in that has not run here and never will.
+// addNeverRan adds an attempt that has not run here and never will.
 func (at *attemptTable) addNeverRan(id types.AttemptID) {
 	spec := protocol.AttemptSpec{Attempt: id}
 	at.add(&attempt{spec: spec, state: attemptEnded, outcome: state.OutcomeNeverRan})
@@ -121,7 +121,7 @@
 	return sum
 }
 
-// endAttempt ends an attempt in the account and has its end reported. OutcomeLost is not
+// endAttempt marks an attempt as ended and has its end reported at once. OutcomeLost is not
 // final: the attempt stays until the worker is heard again and reports its true end.
 func (ex *Executor) endAttempt(a *attempt, outcome state.Outcome) {
 	if a.overTimeLimit && outcome != state.OutcomeOK {
--- a/internal/dispatch/executor/executor.go
+++ b/internal/dispatch/executor/executor.go
@@ -1,16 +1,16 @@
 // Package executor is the worker half of the dispatcher, which the agent beside each
-// worker runs; package dispatch describes the whole.
+// worker runs; package dispatch describes both halves.
 //
-// An Executor holds the one true account of what runs on its worker: an attempt is in
-// it from its RunTask until its end is committed to the log and the worker has dropped
+// An Executor is the authority on what runs on its worker, with a record of each attempt: an attempt
+// has one from its RunTask until its end is committed to the log and the worker has dropped
 // it. It is a state machine: its methods take an event, and TakeOutput and TakeCalls
-// hand over what they would send to the scheduler and call at the worker. It does no
-// I/O and reads no clock.
+// return the messages to the scheduler and the calls to the worker. It does no I/O and
+// reads no clock.
 //
 // Towards the scheduler: scheduler_messages, admission (which RunTask is accepted),
 // health (worker state and lease), reports (heartbeats and ends). Towards a worker that
 // polls its agent: polling. Towards a worker that its agent calls: the files link*.
-// attempts holds the account, view shows it.
+// attempts holds the records of attempts, view shows them.
 package executor
 
 import (
@@ -47,7 +47,8 @@
 	messages []wire.OutboundMessage // to send
 }
 
-// association is who the agent is for the scheduler, and what it has heard of it.
+// association is the agent's identity towards the scheduler, and what it last received from
+// it.
 type association struct {
 	instance types.ID
 	// previousInstance is the instance before this one beside the same worker process,
@@ -57,7 +58,7 @@
 	// querySequence is the highest notifyIfTasksNotRunning sequence number seen in the
 	// term. A RunTask with a lower one is rejected.
 	querySequence types.Seq
-	workerSet     protocol.WorkerSetID // the last one heard of
+	workerSet     protocol.WorkerSetID // the last one received
 }
 
 // workerStatus is what the agent knows of its worker.
@@ -95,7 +96,7 @@
 // empty.
 func (ex *Executor) Tick(now types.MonoTime, leader types.Addr) {
 	if leader != ex.leader {
-		ex.reports.heartbeatAt = never // a new leader hears of this worker at once
+		ex.reports.heartbeatAt = never // a new leader gets a heartbeat at once
 	}
 	ex.now, ex.leader = now, leader
 	ex.updateWorkerHealth()
@@ -110,7 +111,8 @@
 	ex.sendReports()
 }
 
-// enforceLease stops all attempts once the agent's lease has ended.
+// enforceLease stops all attempts once the agent's lease has ended: the scheduler may count
+// them as lost and assign their tasks elsewhere soon after.
 func (ex *Executor) enforceLease() {
 	leaseEnded := ex.now >= ex.health.leaseUntil && !ex.awaitsFirstLease()
 	if !leaseEnded && ex.health.state != protocol.WorkerMustDie {
@@ -160,7 +162,7 @@
 	wire.ReplaceInstance:   wire.HandlerFor((*Executor).onRequestSuicide),
 }
 
-// HandleMessage takes a scheduler's message. One of a kind that is not for an agent is
+// HandleMessage handles a scheduler's message. One of a kind that is not for an agent is
 // dropped.
 func (ex *Executor) HandleMessage(now types.MonoTime, message wire.Message) {
 	ex.now = now
--- a/internal/dispatch/executor/health.go
+++ b/internal/dispatch/executor/health.go
@@ -5,7 +5,7 @@
 	"coppercourse/internal/types"
 )
 
-// health is the worker's state by the agent's own account, and the agent's lease. Both
+// health is the worker's state as the agent itself tracks it, and the agent's lease. Both
 // follow from the heartbeats whose replies renewed the lease.
 type health struct {
 	state protocol.Health
@@ -51,8 +51,8 @@
 	}
 }
 
-// restartAsNewInstance comes back as a new instance, once nothing can be running any
-// more.
+// restartAsNewInstance makes the agent a new instance, NEW to the scheduler, once nothing
+// can be running any more.
 func (ex *Executor) restartAsNewInstance() {
 	if !ex.attempts.allEnded() {
 		return
--- a/internal/dispatch/executor/link.go
+++ b/internal/dispatch/executor/link.go
@@ -15,7 +15,7 @@
 // workerLink is the agent's side towards a worker that it calls. It is made with the
 // worker's first heartbeat.
 //
-// The worker's processes are told apart by their incarnations. A process runs attempts
+// The worker's processes are distinguished by their incarnations. A process runs attempts
 // only under a lease that ends at a reading of its own clock (link_lease). The agent
 // starts each attempt once (link_calls); a start that got no reply is unsure, and is
 // resolved by a query that raises the fencing token, below which the worker starts
@@ -98,7 +98,7 @@
 	clear(l.ends.open)
 }
 
-// HandleWorkerHeartbeat takes the heartbeat of a worker that is called. A process that
+// HandleWorkerHeartbeat handles the heartbeat of a worker that is called. A process that
 // has ended is ignored. Another process waits until the present one is known to be over;
 // if that still answers, the heartbeat was a late one of a process before it.
 func (ex *Executor) HandleWorkerHeartbeat(now types.MonoTime, heartbeat wire.WorkerHeartbeat) {
@@ -122,7 +122,7 @@
 	}
 }
 
-// HandleDeregistration takes the word of a called worker's process that it goes. One
+// HandleDeregistration handles the deregistration of a called worker's process. One
 // that has announced before that it drains ends now, with all that it ran. Any other runs
 // on for a while: it is draining from now on, whatever late heartbeats say, and is over
 // only when its lease has ended or another process answers in its place.
@@ -140,8 +140,8 @@
 	}
 }
 
-// setDraining notes that the worker drains, and how long it surely runs on; 0 is not
-// known.
+// setDraining records that the worker drains, and how long it will surely go on running; 0
+// if that is not known.
 func (ex *Executor) setDraining(departsIn time.Duration) {
 	ex.worker.report.Draining, ex.worker.report.DepartsInMS = true, departsIn.Milliseconds()
 	ex.worker.departsAt = ex.now.Add(departsIn)
@@ -170,8 +170,8 @@
 	}
 }
 
-// adoptIncarnation takes up a worker process. Before anything else it is queried what it
-// runs.
+// adoptIncarnation makes a worker process the present one. Before anything else it is
+// queried what it runs.
 func (ex *Executor) adoptIncarnation(heartbeat wire.WorkerHeartbeat) {
 	ex.link.adopt(ex.now, heartbeat)
 	ex.worker.process, ex.worker.heardAt = heartbeat.Incarnation, ex.now
--- a/internal/dispatch/executor/link_capacity.go
+++ b/internal/dispatch/executor/link_capacity.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// minCapacityBackoff is how long a worker that rejected a start for lack of capacity
-	// is given nothing beyond what runs there, the first time.
+	// minCapacityBackoff is how long, the first time, a worker that rejected a start for lack
+	// of capacity gets nothing beyond what runs there.
 	minCapacityBackoff = time.Second
 	maxCapacityBackoff = 16 * time.Second
 )
--- a/internal/dispatch/executor/link_ends.go
+++ b/internal/dispatch/executor/link_ends.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// acknowledgeEnd takes it that the log has an attempt's end. One that the worker does not
-// list is forgotten at once, any other once the worker has dropped it.
+// acknowledgeEnd handles an attempt's end being committed to the log. An attempt whose end
+// the worker does not list is forgotten at once, any other once the worker has dropped it.
 func (ex *Executor) acknowledgeEnd(a *attempt) {
 	link := ex.link
 	end := link.ends.open[a.calls.endNumber]
--- a/internal/dispatch/executor/link_replies.go
+++ b/internal/dispatch/executor/link_replies.go
@@ -16,7 +16,7 @@
 	wire.RenewLease:   (*Executor).onRenewalReply,
 }
 
-// HandleWorkerReply takes the reply to a call, or wire.ResultNoReply.
+// HandleWorkerReply handles the reply to a call, or wire.ResultNoReply.
 func (ex *Executor) HandleWorkerReply(now types.MonoTime, reply wire.WorkerReply) {
 	ex.now = now
 	if ex.link == nil {
@@ -37,9 +37,9 @@
 	ex.sendReports()
 }
 
-// noteReply takes in what any reply, or the lack of one, shows of the worker process. It
-// returns whether the reply itself is to be taken. The first one is not: the call went
-// out under a fencing token that may not have been above those of an earlier agent.
+// noteReply records what any reply, or the lack of one, shows of the worker process. It
+// returns whether the reply itself is to be handled. The first one is not: the call was
+// made under a fencing token that may not have been above those of an earlier agent.
 func (ex *Executor) noteReply(call *openCall, reply wire.WorkerReply) bool {
 	link := ex.link
 	if reply.ClockMS == 0 {
@@ -95,7 +95,7 @@
 	}
 }
 
-// onRenewalReply takes the reply to a lease renewal or query: what runs, and what has
+// onRenewalReply handles the reply to a lease renewal or query: what runs, and what has
 // ended.
 func (ex *Executor) onRenewalReply(call *openCall, reply wire.WorkerReply) {
 	link := ex.link
--- a/internal/dispatch/executor/polling.go
+++ b/internal/dispatch/executor/polling.go
@@ -8,22 +8,22 @@
 	"coppercourse/internal/types"
 )
 
-// maxPolledSilencePercent is after which part of UnhealthyAfter without a call a polling
-// worker counts as unhealthy. That is before the agent itself would.
+// maxPolledSilencePercent is the part of UnhealthyAfter without a call after which a polling
+// worker counts as unhealthy. The agent reports that before its own silence would show.
 const maxPolledSilencePercent = 60
 
 // pollSession is the exchange with a worker that polls.
 type pollSession struct {
 	lastCall uint64         // number of the worker's latest call
 	sentAt   types.MonoTime // when it was sent, on the worker's clock
-	// leaseBase is when a whole WorkerLease would have had to be granted to end with the
-	// worker's lease; the agent's start counts as one, for the agent before it.
+	// leaseBase is the end of the worker's lease less WorkerLease. The agent's start counts as
+	// one, because the agent before it may have granted a lease until then.
 	leaseBase types.MonoTime
 	// hasUpdate is set when the worker must start, stop or drop an attempt.
 	hasUpdate bool
 }
 
-// HandlePoll takes a worker's call, which must be valid. It returns false for a call that
+// HandlePoll handles a worker's call, which must be valid. It returns false for a call that
 // must not be replied to: one that is older than the latest, or of another worker process
 // while the present one may still hold a lease.
 func (ex *Executor) HandlePoll(now types.MonoTime, poll protocol.Poll) bool {
@@ -46,8 +46,8 @@
 	return true
 }
 
-// replacePollingProcess takes up another worker process in place of the last, with which
-// all its attempts have ended.
+// replacePollingProcess makes another worker process the present one; with the last, all
+// its attempts have ended.
 func (ex *Executor) replacePollingProcess(poll protocol.Poll) {
 	for _, a := range ex.attempts.sorted {
 		if a.state == attemptEnded && a.outcome == state.OutcomeLost {
@@ -189,8 +189,8 @@
 	return ex.now.Sub(ex.polls.leaseBase) > ex.timeouts.WorkerLease+protocol.WorkerStopTime
 }
 
-// polledWorkerSilent reports whether the worker has not called for so long that it counts
-// as unhealthy.
+// polledWorkerSilent reports whether the worker counts as unhealthy because it has not
+// called.
 func (ex *Executor) polledWorkerSilent() bool {
 	return ex.now.Sub(ex.worker.heardAt) >= ex.timeouts.UnhealthyAfter*maxPolledSilencePercent/100
 }
--- a/internal/dispatch/executor/reports.go
+++ b/internal/dispatch/executor/reports.go
@@ -72,8 +72,8 @@
 	ex.send(ex.leader, wire.StatusReport, status)
 }
 
-// canReportRunningTasks reports whether the agent can say what runs. It can't while its
-// worker has not been heard of and could still hold a lease of an earlier agent.
+// canReportRunningTasks reports whether the agent knows what runs. It doesn't while its
+// worker has not been heard yet and could still hold a lease of an earlier agent.
 func (ex *Executor) canReportRunningTasks() bool {
 	return ex.worker.runningTasksKnown || ex.now.Sub(ex.startedAt) > ex.timeouts.LostAfter
 }
--- a/internal/dispatch/protocol/health.go
+++ b/internal/dispatch/protocol/health.go
@@ -14,6 +14,6 @@
 	// WorkerHealthy: given tasks.
 	WorkerHealthy Health = "HEALTHY"
 	// WorkerMustDie: lost. All that ran there has stopped or is being stopped, and the
-	// instance never comes back under its name.
+	// instance id is never used again.
 	WorkerMustDie Health = "MUST_DIE"
 )
--- a/internal/dispatch/protocol/messages.go
+++ b/internal/dispatch/protocol/messages.go
@@ -56,10 +56,10 @@
 	// after each MUST_DIE.
 	Instance types.ID `json:"id"`
 	// PreviousInstance is the instance before this one beside the same worker process,
-	// where that worker told it; the scheduler lets this one replace it at once.
+	// if the worker reported it; the scheduler lets this one replace it at once.
 	PreviousInstance types.ID       `json:"past,omitempty"`
 	SentAt           types.MonoTime `json:"stamp"`
-	// WorkerSet is the last worker set that the agent has heard of.
+	// WorkerSet is the last worker set that the agent has received.
 	WorkerSet WorkerSetID `json:"set"`
 	WorkerReport
 	Checkpoints []Checkpoint       `json:"saves,omitempty"` // those saved lately
@@ -197,5 +197,5 @@
 }
 
 // RequestSuicide is requestSuicide, scheduler to agent: the instance stops all attempts
-// and comes back as another instance.
+// and restarts as another instance.
 type RequestSuicide struct{ Header }
--- a/internal/dispatch/scheduler/association.go
+++ b/internal/dispatch/scheduler/association.go
@@ -8,8 +8,8 @@
 	"coppercourse/internal/wire"
 )
 
-// onHeartbeat takes a heartbeat (processHeartbeat). It associates a new agent instance,
-// takes in what the agent reports, and renews its lease.
+// onHeartbeat handles a heartbeat (processHeartbeat). It associates a new agent instance,
+// stores what the agent reports, and renews its lease.
 func (sc *Scheduler) onHeartbeat(from types.Addr, heartbeat protocol.Heartbeat) {
 	worker := sc.associate(from, heartbeat)
 	if worker == nil {
@@ -21,7 +21,7 @@
 		return
 	}
 	if heartbeat.SentAt <= worker.lastHeartbeat.sentAt {
-		return // late: a newer one has arrived before
+		return // out of order: a newer one has arrived before
 	}
 	sc.takeReport(worker, from, heartbeat)
 	if worker.State == protocol.WorkerNew {
@@ -75,7 +75,7 @@
 	return worker
 }
 
-// takeReport takes in what a heartbeat reports of the worker and of its attempts.
+// takeReport stores what a heartbeat reports of the worker and of its attempts.
 func (sc *Scheduler) takeReport(worker *RemoteWorker, from types.Addr, heartbeat protocol.Heartbeat) {
 	worker.Addr = from
 	worker.lastHeartbeat.sentAt = heartbeat.SentAt
--- a/internal/dispatch/scheduler/attempt_index.go
+++ b/internal/dispatch/scheduler/attempt_index.go
@@ -12,7 +12,7 @@
 type attemptPhase string
 
 const (
-	// unconfirmed: given out before this leadership, or to an instance that has been
+	// unconfirmed: assigned before this leadership, or to an instance that has been
 	// replaced, and no agent has reported on it yet.
 	unconfirmed attemptPhase = "unknown"
 	// orderSent: RunTask has been sent, with no reply yet.
@@ -70,7 +70,7 @@
 	sentInOrder []*OutstandingAttempt
 	// revisions counts, for each shard, how often its list has changed.
 	revisions map[types.Shard]uint64
-	// unknownToLog are those that an agent reported and the log did not have as given out.
+	// unknownToLog are those that an agent reported and the log did not have as assigned.
 	unknownToLog map[types.AttemptID]*OutstandingAttempt
 }
 
@@ -133,7 +133,7 @@
 	}
 }
 
-// adjustCounts counts an attempt in its phase (by 1), or no longer (by -1).
+// adjustCounts adds an attempt to the counts of its phase (by 1), or removes it (by -1).
 func (a *attemptIndex) adjustCounts(attempt *OutstandingAttempt, by int) {
 	on := a.byShard[attempt.Shard]
 	switch attempt.phase {
--- a/internal/dispatch/scheduler/ends.go
+++ b/internal/dispatch/scheduler/ends.go
@@ -7,11 +7,11 @@
 	"coppercourse/internal/wire"
 )
 
-// onUpdateStatus takes ends (updateStatus). Those that the log already has are
-// acknowledged at once, the others are put out to be committed. An attempt's number is
+// onUpdateStatus handles ends (updateStatus). Those that the log already has are
+// acknowledged at once, the others are queued to be committed. An attempt's number is
 // used once, so an end counts from whichever of the shard's instances reports it. From an
 // instance that is still NEW only what its worker itself reported is taken, since the
-// agent may be gone before it is associated; its own conclusions wait for that.
+// agent may have stopped before it is associated; its own conclusions wait for that.
 func (sc *Scheduler) onUpdateStatus(from types.Addr, update protocol.UpdateStatus) {
 	worker := sc.Worker(update.Shard)
 	isAssociated := worker != nil && (worker.Instance != update.Instance || worker.State != protocol.WorkerNew)
@@ -34,7 +34,7 @@
 	}
 }
 
-// reportEnd puts out an attempt's end to be committed; the attempt still counts as
+// reportEnd queues an attempt's end to be committed; the attempt still counts as
 // possibly running until OnEndsCommitted.
 func (sc *Scheduler) reportEnd(id types.AttemptID, outcome state.Outcome) {
 	end := state.AttemptEnd{ID: id, Outcome: outcome}
--- a/internal/dispatch/scheduler/initial_wait.go
+++ b/internal/dispatch/scheduler/initial_wait.go
@@ -8,13 +8,14 @@
 )
 
 // initialWait is the paper's initial wait: the time from the start of a leadership in
-// which no task may be given out, because not all that runs may be known.
+// which no task may be assigned, because not all that runs may be known.
 type initialWait struct {
 	active    bool
 	startedAt types.MonoTime // when the leadership began
-	// countsFrom is when an earlier leader can last have let anybody run anything.
+	// countsFrom is the latest time at which an earlier leader can have been heard by a
+	// quorum, from which the end of its leases is counted.
 	countsFrom types.MonoTime
-	reason     string // why it can't be ended early, as of the latest sweep
+	reason     string // why it couldn't be ended early at the latest sweep
 }
 
 func newInitialWait(now, priorAuthorityEnd types.MonoTime) initialWait {
--- a/internal/dispatch/scheduler/run_task.go
+++ b/internal/dispatch/scheduler/run_task.go
@@ -9,9 +9,9 @@
 	"coppercourse/internal/wire"
 )
 
-// RunTask gives an attempt to a worker (runTask). It counts as possibly running from
-// before it is sent until its end is committed. It is sent once; if the worker can't be
-// given tasks by now it ends at once as one that never ran. baselineName names what its
+// RunTask orders a worker to run an attempt (runTask). The attempt counts as possibly
+// running from before the order is sent until its end is committed. The order is sent once;
+// if the worker is not fit for tasks by now, the attempt ends at once as one that never ran. baselineName names what its
 // duration is compared with, or is empty.
 func (sc *Scheduler) RunTask(shard types.Shard, stage types.Stage, baselineName string, spec protocol.AttemptSpec) {
 	sc.attempts.add(&OutstandingAttempt{
@@ -53,8 +53,8 @@
 }
 
 // KillTasks has attempts stopped (killTask). The caller repeats it until they have
-// ended; each is sent once a while. Those in overTimeLimit are past the time that their
-// queue allows. Attempts that the scheduler does not have are skipped.
+// ended; each is sent at most every half RetryInterval. Those in overTimeLimit are past the time that their
+// queue allows. Attempts unknown to the scheduler are skipped.
 func (sc *Scheduler) KillTasks(attempts, overTimeLimit []types.AttemptID) {
 	byShard := map[types.Shard][]types.AttemptID{}
 	for _, id := range append(attempts, overTimeLimit...) {
--- a/internal/dispatch/scheduler/running_tasks.go
+++ b/internal/dispatch/scheduler/running_tasks.go
@@ -9,8 +9,8 @@
 	"coppercourse/internal/wire"
 )
 
-// askRunningTasks asks a NEW worker's agent what runs there (getRunningTasks), again
-// and again until it replies.
+// askRunningTasks asks a NEW worker's agent what runs there (getRunningTasks), and repeats
+// the question until it replies.
 func (sc *Scheduler) askRunningTasks(worker *RemoteWorker) {
 	if sc.now.Sub(worker.runningTasksAskedAt) < sc.timeouts.RetryInterval/3 {
 		return
@@ -19,8 +19,8 @@
 	sc.send(worker, wire.RunningTasksQuery, protocol.GetRunningTasks{Header: sc.header(worker)})
 }
 
-// onRunningTasksReply takes the account of what runs on a NEW worker, which ends the
-// state NEW. What the log has there and the account does not hold has ended.
+// onRunningTasksReply handles the list of what runs on a NEW worker, which ends the state
+// NEW. An attempt that the log has there and the list lacks has ended.
 func (sc *Scheduler) onRunningTasksReply(_ types.Addr, reply protocol.RunningTasksReply) {
 	worker := sc.senderOf(reply.Term, reply.Shard, reply.Instance)
 	if worker == nil || worker.State != protocol.WorkerNew {
@@ -45,8 +45,8 @@
 	sc.replyToHeartbeat(worker, worker.Healthy)
 }
 
-// confirmRunning notes that attempts run on a worker, also ones that the log does not
-// have as given out, and returns their set.
+// confirmRunning records that attempts run on a worker, also ones that the log does not
+// have as assigned, and returns their set.
 func (sc *Scheduler) confirmRunning(worker *RemoteWorker, tasks []protocol.RunningTask) map[types.AttemptID]bool {
 	reported := map[types.AttemptID]bool{}
 	for _, task := range tasks {
@@ -70,7 +70,7 @@
 }
 
 // resolveUnreported ends those attempts that were lost on a shard and that its worker's
-// own account does not hold: they did not end well, and never will.
+// own list lacks: they did not succeed, and never will.
 func (sc *Scheduler) resolveUnreported(shard types.Shard, reported map[types.AttemptID]bool) {
 	for _, id := range sc.cluster.UnresolvedAttempts(shard) {
 		if !reported[id] {
@@ -79,8 +79,8 @@
 	}
 }
 
-// UnknownAttempts lists the attempts that run on a worker although the log has no use
-// for them, in order.
+// UnknownAttempts lists the attempts that run on a worker although the log has their end or
+// no such task, in order.
 func (sc *Scheduler) UnknownAttempts() []types.AttemptID {
 	var list []types.AttemptID
 	for id, attempt := range sc.attempts.unknownToLog {
--- a/internal/dispatch/scheduler/scheduler.go
+++ b/internal/dispatch/scheduler/scheduler.go
@@ -1,11 +1,11 @@
 // Package scheduler is the scheduler half of the dispatcher, which the leader of the
-// cluster runs; package dispatch describes the whole.
+// cluster runs; package dispatch describes both halves.
 //
 // A Scheduler is made anew with each leadership. What runs it learns from the agents
-// alone; the replicated log only gives it the attempts that it must hear of before their
-// tasks may be given out again. It is a state machine: its methods take an event and
-// return nothing, and TakeOutput hands over what they would send and commit. It does no
-// I/O and reads no clock.
+// alone; the replicated log only gives it the attempts that must be confirmed, or counted as
+// lost, before their tasks may be assigned again. It is a state machine: its methods take an
+// event and return nothing, and TakeOutput returns the messages to send and the ends to
+// commit. It does no I/O and reads no clock.
 //
 // One concern a file: the workers and their association (remote_worker, association,
 // running_tasks), their health (health_check, initial_wait, worker_set), the attempts
@@ -26,14 +26,14 @@
 const never = types.MonoTime(-1 << 62)
 
 const (
-	// sweepInterval is the least time between two looks at all workers.
+	// sweepInterval is the least time between two sweeps of all workers.
 	sweepInterval = 10 * time.Millisecond
-	// pruneInterval is the least time between two looks for durations to forget.
+	// pruneInterval is the least time between two searches for durations to forget.
 	pruneInterval = time.Second
 )
 
 // ClusterState is what a Scheduler asks of the replicated state and of the membership.
-// It answers as of the present step.
+// Its answers hold for the present step.
 type ClusterState interface {
 	// UnresolvedAttempts lists the attempts that were lost on a shard and whose true
 	// ends are still awaited.
@@ -52,9 +52,11 @@
 	Timeouts protocol.Timeouts
 	Addr     types.Addr
 	Term     types.Term
-	// PriorLeaderHeardAt is when an earlier leader can last have had authority.
+	// PriorLeaderHeardAt is the latest time at which an earlier leader can have had a round
+	// answered by a quorum (raft.Node.PriorLeaderHeardAt). All leases that it granted have
+	// ended LostAfter later.
 	PriorLeaderHeardAt types.MonoTime
-	// Outstanding are the attempts that the log has as given out and not ended.
+	// Outstanding are the attempts that the log has as assigned and not ended.
 	Outstanding []OutstandingAttempt
 	Cluster     ClusterState
 }
@@ -133,7 +135,7 @@
 	wire.StatusReport:      wire.HandlerFor((*Scheduler).onUpdateStatus),
 }
 
-// HandleMessage takes an agent's message. One of a kind that is not for a scheduler is
+// HandleMessage handles an agent's message. One of a kind that is not for a scheduler is
 // dropped. For authorityLeft see Tick.
 func (sc *Scheduler) HandleMessage(now types.MonoTime, authorityLeft time.Duration, message wire.Message) {
 	sc.now, sc.authorityLeft = now, authorityLeft
--- a/internal/dispatch/scheduler/slowdown.go
+++ b/internal/dispatch/scheduler/slowdown.go
@@ -9,7 +9,7 @@
 )
 
 // This file judges how fast called workers are while their attempts still run. Agents
-// report estimates of how long attempts take in all, made from their progress. Such an
+// report estimates of the total duration of attempts, made from their progress. Such an
 // estimate is wrong by half and more, but alike for all attempts of a stage; so it is
 // compared with those of the same stage on other workers. A slow worker shows within a
 // second, and so do attempts that are far behind the others. While there are no
--- a/internal/dispatch/scheduler/worker_set.go
+++ b/internal/dispatch/scheduler/worker_set.go
@@ -34,7 +34,7 @@
 
 // workerSetHistory keeps the worker sets of a leadership and decides by the paper's
 // consensus which workers may be given tasks. Each leader numbers its sets, each agent
-// carries the one that it heard of last, and a new agent gets no tasks before every set
+// carries the one that it received last, and a new agent gets no tasks before every set
 // that could end a later leader's initial wait requires it, directly or through the
 // workers of that set.
 //
