--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
 // Package agent is the daemon beside each worker, as one state machine. It joins the
 // executor (the worker side of the paper's protocol), the membership, and the worker's long
-// polls, each held until there is something to tell the worker.
+// polls, each held until the worker has something to start, stop or drop.
 //
 // agent.go is the machine, worker_requests.go the calls of the worker.
 package agent
@@ -37,10 +37,12 @@
 	poll     longPoll
 }
 
-// Counters are counters since start: polls of the worker, those rejected as outdated, and
-// orders to start and to stop attempts.
+// Counters count since the start of the process.
 type Counters struct {
-	Polls, Stale, Orders, Stops uint64
+	Polls  uint64 // polls of the worker
+	Stale  uint64 // polls that were rejected as outdated
+	Orders uint64 // RunTask messages received
+	Stops  uint64 // KillTask messages received
 }
 
 // New returns an agent at its start. Its instance ids are drawn from rnd.
@@ -152,7 +154,7 @@
 	Counters       Counters          `json:"sums"`
 }
 
-// maxSilentMS is what the silence of a worker that was never heard from is shown as.
+// maxSilentMS bounds WorkerSilentMS, for a worker that was never heard.
 const maxSilentMS = 1 << 40
 
 // Status returns the agent's status.
--- a/internal/agent/worker_requests.go
+++ b/internal/agent/worker_requests.go
@@ -12,7 +12,8 @@
 	"coppercourse/internal/wire"
 )
 
-// maxPollWait is how long a worker's poll is held while there is nothing to tell.
+// maxPollWait is how long a worker's poll is held while there is nothing to start, stop or
+// drop.
 const maxPollWait = 150 * time.Millisecond
 
 // longPoll is the worker's poll that is held, if one is.
@@ -23,7 +24,7 @@
 
 func (p longPoll) held() bool { return p.token != 0 }
 
-// handlePoll takes a worker's poll and holds it; the one held before is rejected as stale.
+// handlePoll handles a worker's poll and holds it; the one held before is rejected as stale.
 func (a *Agent) handlePoll(request wire.Request) {
 	a.Counters.Polls++
 	poll, err := readPoll(request.Body)
@@ -58,8 +59,8 @@
 	return poll, errs.First()
 }
 
-// answerPoll answers the poll that is held if there is something to tell, or if it was held
-// for long enough.
+// answerPoll answers the poll that is held if the worker has something to do, or if it was
+// held for maxPollWait.
 func (a *Agent) answerPoll() {
 	now := a.core.Now().Mono
 	if !a.poll.held() {
@@ -76,7 +77,7 @@
 	a.poll = longPoll{}
 }
 
-// handleHeartbeat takes the heartbeat of an invoked worker.
+// handleHeartbeat handles the heartbeat of a worker that is called.
 func (a *Agent) handleHeartbeat(request wire.Request) {
 	var heartbeat wire.WorkerHeartbeat
 	if json.Unmarshal(request.Body, &heartbeat) != nil || heartbeat.Incarnation == "" || heartbeat.Addr == "" {
@@ -87,7 +88,7 @@
 	a.acknowledge(request)
 }
 
-// handleDeregistration takes the call of a worker process that shuts down.
+// handleDeregistration handles the deregistration of a worker process that shuts down.
 func (a *Agent) handleDeregistration(request wire.Request) {
 	a.executor.HandleDeregistration(a.core.Now().Mono, types.ID(request.Arg))
 	a.acknowledge(request)
--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -38,7 +38,7 @@
 func (c *Controller) discoveredPeers() []raft.DiscoveredPeer {
 	var peers []raft.DiscoveredPeer
 	for _, info := range c.members.Controllers() {
-		if info.ID != "" && info.Detail != "out" {
+		if info.ID != "" && info.Detail != raft.RoleRemoved {
 			member := raft.Member{ID: info.ID, Addr: info.Addr, Zone: info.Zone}
 			peers = append(peers, raft.DiscoveredPeer{Member: member, ClusterName: info.Name})
 		}
--- a/internal/gateway/end_reports.go
+++ b/internal/gateway/end_reports.go
@@ -11,14 +11,14 @@
 
 // Bounds of the reports that are kept.
 const (
-	reportLifetime = 15 * time.Second
-	reportInterval = time.Second // between two sends of one report
+	reportLifetime = 15 * time.Second // after which a report is dropped
+	reportInterval = time.Second      // between two sends of one report
 	maxReports     = 1024
 )
 
 // endReportBuffer holds reports of ended attempts that controllers without a leader have
-// passed on. They are repeated to the leader for a while, since the controller that had the
-// report, the agent and the worker may all be gone by the time that there is a leader.
+// relayed. They are repeated to the leader for a while, since the controller that had the
+// report, the agent and the worker may all have stopped by the time that there is a leader.
 type endReportBuffer struct{ reports []endReport }
 
 type endReport struct {
--- a/internal/gateway/forwarding.go
+++ b/internal/gateway/forwarding.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// AttemptTimeout is how long one controller is waited for.
+	// AttemptTimeout is how long a controller's reply is waited for before the request is
+	// forwarded again.
 	AttemptTimeout = 700 * time.Millisecond
 	// maxRedirectedAttempts is how often a request was forwarded when the hint of a
 	// controller that does not lead is no longer followed at once.
 	maxRedirectedAttempts = 6
 )
 
-// retryRequests gives up the requests whose time is over, and forwards again those that a
-// controller has not answered in time, or that the previous leader was to answer.
+// retryRequests gives up the requests that have timed out, and forwards again those that a
+// controller has not answered within AttemptTimeout, or that went to the previous leader.
 func (g *Gateway) retryRequests(leader, previous types.Addr) {
 	now := g.core.Now().Mono
 	for _, p := range g.requests.inOrder() {
@@ -32,7 +33,7 @@
 	}
 }
 
-// giveUp rejects a request that nobody has answered, and says whether a controller may have
+// giveUp rejects a request that has timed out. The error says whether a controller may have
 // accepted it.
 func (g *Gateway) giveUp(p *pendingRequest) {
 	g.Counters.GivenUp++
@@ -76,7 +77,7 @@
 	return controllers[g.nextController%len(controllers)].Addr
 }
 
-// handleForwardReply takes a controller's reply to a request. Replies to requests that are
+// handleForwardReply handles a controller's reply to a request. Replies to requests that are
 // answered already are dropped.
 func (g *Gateway) handleForwardReply(from types.Addr, reply wire.ForwardedReply) {
 	p := g.requests.pending[reply.ID]
@@ -96,7 +97,7 @@
 	}
 }
 
-// handleNotLeader takes the reply of a controller that does not lead, and so has not
+// handleNotLeader handles the reply of a controller that does not lead, and so has not
 // accepted the request; it may know the leader.
 func (g *Gateway) handleNotLeader(p *pendingRequest, from, leader types.Addr) {
 	hinted := leader != "" && leader != p.target
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,9 +1,9 @@
 // Package gateway is the entry point for clients and operators, as one state machine. It
-// admits requests, forwards them to the leader and answers each request that it has read:
+// admits requests, forwards them to the leader and answers each request that it receives:
 // with the leader's response or, when it gives up, with when to retry.
 //
-// gateway.go is the machine, requests.go what it has admitted, forwarding.go the way of a
-// request to the leader and back, leader_tracker.go how long there has been a leader,
+// gateway.go is the machine, requests.go what it has admitted, forwarding.go how a request
+// gets to the leader and its response back, leader_tracker.go how long there has been a leader,
 // end_reports.go the reports of ended attempts that a gateway passes on.
 package gateway
 
@@ -46,10 +46,14 @@
 	nextController int
 }
 
-// Counters are counters since start: requests read, answered, refused at once, given up
-// without a response, forwarded, and refused for too many in flight.
+// Counters count since the start of the process.
 type Counters struct {
-	Calls, Answered, Refused, GivenUp, Attempts, Crowded uint64
+	Calls           uint64 // requests received
+	Answered        uint64 // admitted requests that were answered
+	Refused         uint64 // requests rejected at once
+	GivenUp         uint64 // requests that timed out without a response from a controller
+	Attempts        uint64 // forwards to a controller, retries included
+	TooManyInFlight uint64 `json:"Crowded"` // of Refused, those because of MaxPending
 }
 
 // New returns a gateway at its start, which knows no other daemon but the seeds.
--- a/internal/gateway/leader_tracker.go
+++ b/internal/gateway/leader_tracker.go
@@ -21,7 +21,7 @@
 	lostAt types.MonoTime // since when none is known; 0 while one is
 }
 
-// observe takes the leader that is known now, if any, and returns the last one before.
+// observe records the leader that is known now, if any, and returns the last one before.
 func (l *leaderTracker) observe(now types.MonoTime, leader types.Addr) (previous types.Addr) {
 	previous = l.last
 	switch {
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -17,7 +17,7 @@
 const (
 	// MaxPending is how many requests may be in flight at once.
 	MaxPending = 512
-	// RequestTimeout is how long a request is worked on at most.
+	// RequestTimeout bounds the time from a request's arrival to its response.
 	RequestTimeout = 2500 * time.Millisecond
 	// responseMargin is how long before its client's timeout a request is given up.
 	responseMargin = 50 * time.Millisecond
@@ -124,7 +124,7 @@
 	now := g.core.Now().Mono
 	switch {
 	case g.requests.inFlight() >= MaxPending:
-		g.Counters.Crowded++
+		g.Counters.TooManyInFlight++
 		return apierror.New(apierror.TooBusy, "", "this gateway has all the requests under way that it may have").
 			WithRetryAfter(g.requests.drainTime())
 	case g.leader.lostFor(now) > RequestTimeout:
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// respond answers a request. It is then forgotten, and later responses to it are dropped.
+// respond answers a request and forgets it, so that later replies to it are dropped.
 func (g *Gateway) respond(p *pendingRequest, response wire.Response) {
 	response.Token = p.Token
 	g.requests.remove(g.core.Now().Mono, p)
--- a/internal/placement/queue_usage.go
+++ b/internal/placement/queue_usage.go
@@ -29,8 +29,8 @@
 	return request.MaxQueueCores > 0 && q.CoresInUse > 0 && q.CoresInUse+added > request.MaxQueueCores
 }
 
-// shareUse returns whether the queue has less than its share in use, and how much it has:
-// as a part of the share if so, and else in cores by weight.
+// shareUse returns whether the queue has less than its share of the total in use, and how
+// much it uses: as a part of its share if so, and else as milli-cores per weight.
 func (q *QueueUsage) shareUse(total types.MilliCores) (belowShare bool, use float64) {
 	percent := 100 * float64(q.CoresInUse) / float64(max(total, 1))
 	if share := float64(q.Queue.SharePercent); percent < share {
--- a/internal/placement/search.go
+++ b/internal/placement/search.go
@@ -7,7 +7,8 @@
 	// Beyond that it gets one task at a time, by which it can prove itself.
 	failureRateMargin = 0.35
 
-	// maxDurationFactor is how slow a worker may be now. Beyond that it gets nothing.
+	// maxDurationFactor is how slow a worker may be now, as CurrentDurationFactor. Beyond that
+	// it gets nothing.
 	maxDurationFactor = 2.0
 
 	// probationTasks is how many tasks run at once on a worker that is slow now but not
@@ -65,8 +66,8 @@
 	return nil
 }
 
-// findSlotsOn is findSlots on one rack, or on all if rack is empty. Each task goes to the
-// slot with the highest score at that moment.
+// findSlotsOn is findSlots on one rack, or on all if rack is empty. Each task in turn goes to
+// the slot with the highest score, which the tasks before it have lowered.
 func (r *round) findSlotsOn(rack types.Rack, request *Request, tasks int) []int {
 	free, added := r.freeBuffer[:0], r.addedBuffer[:0]
 	for i := range r.Slots {
--- a/internal/placement/turns.go
+++ b/internal/placement/turns.go
@@ -83,7 +83,8 @@
 func (q *queueTurn) priority() int { return q.requests[0].effectivePriority(q.usage) }
 
 // goesBefore reports whether a queue goes before another: by priority; then queues below
-// their share before others, those furthest below first; then by cores in use for weight.
+// their share before others, those furthest below first; then the one that uses fewer
+// cores for its weight.
 func (q *queueTurn) goesBefore(other *queueTurn, priority, otherPriority int, total types.MilliCores) bool {
 	if priority != otherPriority {
 		return priority < otherPriority
--- a/internal/raft/bootstrap.go
+++ b/internal/raft/bootstrap.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// bootstrapTimeout is when a bootstrap that was accepted and not completed is given up.
+	// bootstrapTimeout is how long after its acceptance an incomplete bootstrap is abandoned.
 	bootstrapTimeout = 5 * time.Second
 	// emptyRequestInterval is how often an empty node looks for a cluster.
 	emptyRequestInterval = 200 * time.Millisecond
 	// Where no named founder is a controller, those that are there bootstrap: this many at
-	// least, and only this long after their start, when all have heard of each other.
+	// least, and only this long after their start, when all know of each other.
 	minUnnamedFounders   = 3
 	unnamedFoundersDelay = 2 * time.Second
 
@@ -43,7 +43,7 @@
 )
 
 // bootstrapState is this node's part in the bootstrap of a cluster. An accepted cluster
-// that leads nowhere is given up together with the identity that accepted it, so that no
+// that is not completed in time is abandoned together with the identity that accepted it, so that no
 // partial bootstrap can be completed later.
 type bootstrapState struct {
 	options     BootstrapOptions
@@ -52,7 +52,7 @@
 	acceptances map[types.ID]bool // members known to have accepted the same cluster
 }
 
-// newIdentity makes this node another one, which has accepted nothing.
+// newIdentity gives this node another identity, which has accepted nothing.
 func (n *Node) newIdentity(id types.ID) {
 	n.self.ID = id
 	n.self.Provisional = !n.bootstrap.options.FirstStart
--- a/internal/raft/join.go
+++ b/internal/raft/join.go
@@ -7,14 +7,14 @@
 	"coppercourse/internal/wire"
 )
 
-// DiscoveredPeer is a controller as the membership service shows it; ClusterName is empty
-// when it has no cluster.
+// DiscoveredPeer is a controller as the membership shows it; ClusterName is empty when it
+// has no cluster.
 type DiscoveredPeer struct {
 	Member
 	ClusterName string
 }
 
-// discovery is what a member knows of other daemons beside the log.
+// discovery is what a member knows of other daemons apart from the log.
 type discovery struct {
 	peers          []DiscoveredPeer
 	nonControllers []types.Addr // daemons of other roles
--- a/internal/raft/leader.go
+++ b/internal/raft/leader.go
@@ -8,7 +8,7 @@
 )
 
 // maxLogEntries is how many entries a log may have after its snapshot before the leader
-// takes no more proposals.
+// rejects proposals.
 const maxLogEntries = 120_000
 
 // leadership is the volatile state of a leader (Figure 2 of the paper), made anew after
@@ -93,7 +93,7 @@
 	n.log.awaitSync(n.disk.writtenBatch)
 }
 
-// tickLeader is what the leader does as time passes. It steps down when it can't serve: no
+// tickLeader does the leader's part of Tick. It steps down when it can't serve: no
 // quorum has answered for StallTimeout (check quorum, section 6.2 of the thesis), or its
 // own disk stalls and no voter can take over.
 func (n *Node) tickLeader() {
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -24,7 +24,7 @@
 	snapshot Snapshot
 	entries  []Entry // those after the snapshot
 	// bytes estimates the size of the entries, for the decision to compact. Entries that
-	// come again count again, and those that were read back from disk do not count.
+	// are received again count again, and those that were read back from disk do not count.
 	bytes int
 
 	// config is the latest configuration in the log, committed or not, and configIndex the
@@ -130,7 +130,7 @@
 	}
 }
 
-// configurationAt is the configuration as of an entry of the log.
+// configurationAt is the configuration that was in force at an entry of the log.
 func (l *raftLog) configurationAt(i types.Index) Configuration {
 	config := l.snapshot.Config
 	for _, e := range l.entries[:i-l.snapshot.Index] {
--- a/internal/raft/messages.go
+++ b/internal/raft/messages.go
@@ -8,9 +8,9 @@
 )
 
 // The messages between members, named for the RPCs of the paper's Figures 2 and 13 and of
-// the thesis; each reply is a message of its own. ClusterName tells clusters apart: a
-// message of another cluster is ignored. To, where there is one, is the member that is
-// meant: another one may answer at its address after a loss of its disk.
+// the thesis; each reply is a message of its own. ClusterName keeps clusters apart: a
+// message of another cluster is ignored. To, where there is one, is the member that the
+// message is for: another one may answer at its address after a loss of its disk.
 
 // requestVote asks for a vote, or in a pre-vote (section 9.6 of the thesis) whether there
 // would be one.
@@ -62,7 +62,7 @@
 	MatchIndex    types.Index    `json:"match"`
 	Round         types.MonoTime `json:"round"` // of the message that is answered
 	Wall          types.WallTime `json:"wall"`
-	SnapshotParts int            `json:"parts,omitempty"` // parts that have come of an incomplete snapshot
+	SnapshotParts int            `json:"parts,omitempty"` // parts received of an incomplete snapshot
 	// LagMS is how far the event loop of the member's daemon is behind with control work,
 	// in milliseconds.
 	LagMS int64 `json:"lag_ms,omitempty"`
@@ -97,7 +97,8 @@
 	WasVoter    bool   `json:"was_voter,omitempty"`
 }
 
-// removedNotice tells a former member that the configuration as of an entry lacks it.
+// removedNotice notifies a former member that the configuration in force at CommitIndex
+// lacks it.
 type removedNotice struct {
 	ClusterName string      `json:"name"`
 	MemberID    types.ID    `json:"id"`
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -8,7 +8,7 @@
 	"coppercourse/internal/wire"
 )
 
-// role is the part that a member plays, as operators are shown it.
+// role is the role of a member, as operators are shown it.
 type role string
 
 const (
@@ -41,7 +41,7 @@
 	leaderContact leaderContact
 	election      election
 	clock         clusterClock
-	incoming      Snapshot // a snapshot that a leader sends, as far as it has come
+	incoming      Snapshot // a snapshot that a leader sends, the parts received so far
 	daemon        daemonState
 
 	// Volatile state of a leader.
@@ -52,7 +52,7 @@
 	bootstrap bootstrapState
 	discovery discovery
 
-	// Effects of the steps since the last Ready, and what the disk still owes.
+	// Effects of the steps since the last Ready, and the batches that are not synced yet.
 	disk   diskState
 	outbox outbox
 }
@@ -111,11 +111,12 @@
 	}
 }
 
-// SetTime takes the time of an event that is not for this node, so that its lease is judged
+// SetTime sets the time of an event that is not for this node, so that its lease is judged
 // by that time and not by the time of the event before.
 func (n *Node) SetTime(now types.Now) { n.now = now }
 
-// Tick handles the passing of time: elections, a leader's duties, and requests to join.
+// Tick advances time: elections, a leader's check quorum and membership changes, and
+// requests to join.
 func (n *Node) Tick(now types.Now) {
 	n.now = now
 	if n.role == roleLeader {
--- a/internal/raft/outbox.go
+++ b/internal/raft/outbox.go
@@ -7,7 +7,7 @@
 	"coppercourse/internal/wire"
 )
 
-// outbox holds the messages of a member. One that rests on something written goes out
+// outbox holds the messages of a member. One that depends on a record is sent
 // only when that is on disk, and only if the member still is in the term in which it was
 // made.
 type outbox struct {
@@ -45,7 +45,7 @@
 	})
 }
 
-// takeReady hands out the messages that may go out now.
+// takeReady returns the messages that may be sent now.
 func (o *outbox) takeReady() []wire.OutboundMessage {
 	ready := o.ready
 	o.ready = nil
--- a/internal/raft/progress.go
+++ b/internal/raft/progress.go
@@ -29,8 +29,8 @@
 // resendFromMatch makes all that is not acknowledged be sent again.
 func (p *progress) resendFromMatch() { p.next = p.match + 1 }
 
-// onSnapshotPart notes that the member has so many parts. A reply that says the same as
-// the one before is to a part that was sent twice.
+// onSnapshotPart records how many parts the member has. A reply with the same number as the
+// one before answers a part that was sent twice.
 func (p *progress) onSnapshotPart(now types.MonoTime, parts int, minElectionTimeout time.Duration) {
 	if parts == p.snapshotParts {
 		return
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -11,8 +11,8 @@
 // a single larger entry.
 const maxRecordBytes = 1 << 20
 
-// Snapshot is the state as of one entry (section 7 of the paper), in parts, each a record
-// and a message of its own.
+// Snapshot is the state machine's state after one entry (section 7 of the paper), in parts,
+// each a record and a message of its own.
 type Snapshot struct {
 	Index     types.Index   `json:"index"`
 	Term      types.Term    `json:"term"`
@@ -23,8 +23,8 @@
 
 func (s *Snapshot) isComplete() bool { return len(s.Parts) >= s.PartCount }
 
-// add takes one part of a snapshot that a leader sends; parts of another one than before
-// begin it anew, and parts out of order are ignored.
+// add adds one part of a snapshot that a leader sends. A part of another snapshot than
+// before begins anew with that one; parts out of order are ignored.
 func (s *Snapshot) add(from Snapshot, number int, part []byte) {
 	if s.Index != from.Index || s.Term != from.Term {
 		*s = from
@@ -42,7 +42,7 @@
 	l.recomputeConfiguration()
 }
 
-// compact replaces the log up to an entry by the state as of it, in parts.
+// compact replaces the log up to an entry by the state after it, in parts.
 func (l *raftLog) compact(i types.Index, parts [][]byte) {
 	term, _ := l.term(i)
 	config := l.configurationAt(i)
@@ -51,7 +51,7 @@
 	l.bytes = dataBytes(l.entries)
 }
 
-// Compact replaces the log up to an entry by the state as of it, in parts. Nothing happens
+// Compact replaces the log up to an entry by the state after it, in parts. Nothing happens
 // if that entry is not committed, or within the last snapshot.
 func (n *Node) Compact(i types.Index, parts [][]byte) {
 	if i <= n.log.snapshot.Index || i > n.log.commitIndex {
@@ -88,8 +88,8 @@
 	}
 }
 
-// sendSnapshot sends a member the next part of the snapshot, unless the answer to the last
-// one still may come.
+// sendSnapshot sends a member the next part of the snapshot, unless the reply to the last
+// one is still awaited.
 func (n *Node) sendSnapshot(peer Member, p *progress) {
 	now, snapshot := n.now.Mono, n.log.snapshot
 	wait := p.window.retryTimeout(snapshotRetryHeartbeats * n.timeouts.HeartbeatInterval)
@@ -128,7 +128,7 @@
 	n.sendAfterBatch(n.disk.writtenBatch, from, wire.AppendReply, reply)
 }
 
-// restoreSnapshot replaces the log by the snapshot that has come in full.
+// restoreSnapshot replaces the log by the snapshot that was received completely.
 func (n *Node) restoreSnapshot() {
 	n.log.restoreSnapshot(n.incoming)
 	n.incoming = Snapshot{}
--- a/internal/raft/status.go
+++ b/internal/raft/status.go
@@ -8,7 +8,11 @@
 // ClusterName is the cluster that this member belongs to, or empty.
 func (n *Node) ClusterName() string { return n.clusterName }
 
-// Role is the part that this member plays now, as operators are shown it.
+// RoleRemoved is the Role of a member that was removed from the configuration and notified
+// of it. Other members don't count it among those that may join.
+const RoleRemoved = string(roleRemoved)
+
+// Role is this member's role now, as operators are shown it.
 func (n *Node) Role() string { return string(n.role) }
 
 // RoleReason is why this member waits or was removed, for operators; empty otherwise.
@@ -24,7 +28,7 @@
 // Configuration is the configuration in force here: the latest in the log, committed or not.
 func (n *Node) Configuration() Configuration { return n.log.config }
 
-// ConfigIndex is the entry that brought the configuration in force.
+// ConfigIndex is the index of the entry that holds the configuration in force.
 func (n *Node) ConfigIndex() types.Index { return n.log.configIndex }
 
 // CommittedIndex is the last entry that is known to be committed.
--- a/internal/raft/transfer.go
+++ b/internal/raft/transfer.go
@@ -30,7 +30,7 @@
 	// because they were overloaded.
 	overloadCount int
 	// announcedCount is the overloadCount of the leader that follows: what a leader tells
-	// its target, and what a target was told.
+	// its target, and the count that the target was sent.
 	announcedCount int
 }
 
--- a/internal/server/batch_queue.go
+++ b/internal/server/batch_queue.go
@@ -70,6 +70,6 @@
 		q.batches = q.batches[1:]
 	}
 	if len(q.batches) == 0 {
-		q.batches = nil // lets go of the array
+		q.batches = nil // frees the array
 	}
 }
--- a/internal/server/event_loop.go
+++ b/internal/server/event_loop.go
@@ -86,10 +86,10 @@
 	return el.queue.push(queuedEvent{Event: wire.Event{Message: &message}})
 }
 
-// BeginShutdown tells the machine that the daemon is about to stop.
+// BeginShutdown notifies the machine that the daemon is about to stop.
 func (el *EventLoop) BeginShutdown() { el.enqueue(wire.Event{Shutdown: true}) }
 
-// Drained reports whether a machine that was told of a shutdown has nothing left to do.
+// Drained reports whether the machine is shutting down and has nothing left to do.
 func (el *EventLoop) Drained() bool { return el.drained.Load() }
 
 // StatusJSON returns the status that was last published.
--- a/internal/server/event_queue.go
+++ b/internal/server/event_queue.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// pop takes the next event, with the load that its step is told of.
+// pop takes the next event out, with the load for its step.
 func (q *eventQueue) pop() (queuedEvent, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -80,7 +80,7 @@
 	return q.queue.Len()
 }
 
-// load returns the load that a tick is told of.
+// load returns the load for a tick.
 func (q *eventQueue) load() wire.Load {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -122,8 +122,8 @@
 	return q.queue.Rejected, q.expiredReports
 }
 
-// overloadError is the error of a request that the machine has not seen, with when to come
-// back: not before what is ahead of it is likely to be done.
+// overloadError is the error of a request that the machine has not seen, with a Retry-After
+// in which what is ahead of it is likely to be done.
 func overloadError(delay time.Duration) *apierror.Error {
 	const reason = "this daemon is behind with its work; the request was not taken"
 	return apierror.New(apierror.TooBusy, "", reason).WithRetryAfter(2 * delay)
--- a/internal/server/peer_queue.go
+++ b/internal/server/peer_queue.go
@@ -65,7 +65,7 @@
 	}
 	q.count -= n
 	if len(rest) == 0 {
-		rest = nil // lets go of the array
+		rest = nil // frees the array
 	}
 	q.byClass[class] = rest
 	return removed
--- a/internal/server/responses.go
+++ b/internal/server/responses.go
@@ -19,7 +19,7 @@
 }
 
 // WriteError writes an error as a response, with the status code of its kind and, where it
-// says when to come back, a Retry-After header.
+// has a retry delay, a Retry-After header.
 func WriteError(w http.ResponseWriter, err *apierror.Error) {
 	if err.RetryAfterSeconds > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(err.RetryAfterSeconds))
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -7,7 +7,7 @@
 // each time is said once.
 type Bounds struct {
 	MaxLeaseMS     int     // the longest lease that a worker accepts
-	StopMS         int     // how long a worker takes to end an attempt that it is told to stop
+	StopMS         int     // how long a worker takes to end an attempt after a stop call
 	GangWaitMS     int     // how long members of a gang wait for one another
 	CancelMS       int     // after a cancel: from when nothing of the job may start
 	DrainMS        int     // after its notice: from when a draining worker may be given nothing
--- a/internal/state/drain.go
+++ b/internal/state/drain.go
@@ -27,14 +27,15 @@
 }
 
 // Drain is an operator's order that nothing may start on a target. What still runs there
-// at the Deadline is stopped; without a Deadline it may end. Lift ends the drain.
+// at the Deadline is stopped; without a Deadline (0) it may end by itself. With Cancel set
+// the command ends the target's drain instead.
 type Drain struct {
 	Target
 	Deadline types.ClusterTime `json:"by,omitempty"`
 	Cancel   bool              `json:"over,omitempty"`
 }
 
-// applyDrain adds, replaces or lifts the drain of a target.
+// applyDrain adds, replaces or cancels the drain of a target.
 func (s *State) applyDrain(drain Drain) *apierror.Error {
 	sameTarget := func(other Drain) bool { return other.Target == drain.Target }
 	if drain.Cancel && !slices.ContainsFunc(s.Drains, sameTarget) {
--- a/internal/state/job_index.go
+++ b/internal/state/job_index.go
@@ -68,7 +68,7 @@
 	x.usage[j.Queue] = usage
 }
 
-// liveInOrder returns the live jobs, oldest first. The list holds until the next change.
+// liveInOrder returns the live jobs, oldest first. The list is valid until the next change.
 func (x *jobIndex) liveInOrder() []*Job {
 	live := x.inOrder[:0]
 	for _, j := range x.inOrder {
--- a/internal/state/job_spec.go
+++ b/internal/state/job_spec.go
@@ -88,7 +88,7 @@
 	approxBytesPerTask = 64
 )
 
-// ApproxBytes returns about how much the job takes in memory and on disk.
+// ApproxBytes estimates the bytes that the job takes in memory and on disk.
 func (s Spec) ApproxBytes() int {
 	size := len(s.Work)
 	for i := range s.Steps {
--- a/internal/state/outcome.go
+++ b/internal/state/outcome.go
@@ -11,8 +11,8 @@
 	OutcomeFailed Outcome = "failed"
 	// OutcomeLost means that the worker was lost; the attempt's true end is not known.
 	OutcomeLost Outcome = "lost"
-	// OutcomePartitioned means that the worker was lost with its whole zone, which may
-	// come back with all that it runs.
+	// OutcomePartitioned means that the worker was lost together with its whole zone, so that
+	// its attempts may still be running behind a network partition.
 	OutcomePartitioned Outcome = "cut off"
 	// OutcomeWaitExpired means that the true end of a lost attempt is no longer waited for.
 	OutcomeWaitExpired Outcome = "waited"
--- a/internal/state/ready_index.go
+++ b/internal/state/ready_index.go
@@ -9,7 +9,7 @@
 
 // ReadyIndex is what a planning round needs to know of a job. It is computed once and
 // kept until the job, the table or the wall offset changes or time makes more ready, so
-// that a round costs as much as has changed and not as much as waits.
+// that the cost of a round grows with the jobs that changed and not with all that wait.
 type ReadyIndex struct {
 	Stages              []ReadyStage
 	OutstandingAttempts int
@@ -31,11 +31,11 @@
 	AvoidWorkers map[types.Shard]bool // where attempts of these tasks failed or straggled
 }
 
-// never is a time that does not come.
+// never is later than any time.
 const never = types.ClusterTime(1 << 62)
 
-// ReadyIndex returns the ready index of a live job as of now. It must not be changed and
-// holds until the next command is applied.
+// ReadyIndex returns the ready index of a live job at a time. It must not be changed and is
+// valid until the next command is applied.
 func (s *State) ReadyIndex(j *Job, now types.ClusterTime) *ReadyIndex {
 	index := j.readyIndex
 	if index != nil && now < index.validUntil && index.wallOffset == s.WallOffset &&
--- a/internal/state/snapshot_writer.go
+++ b/internal/state/snapshot_writer.go
@@ -10,8 +10,8 @@
 
 // snapshotWriter is a snapshot in progress. It is written a little with each step of the
 // controller, yet holds the state as it was when it began: a job that is about to change
-// before its turn is written first. So no step writes out everything, and no second copy
-// of the state is held.
+// before its turn is written first (copy on write). So no step encodes the whole state, and
+// no second copy of it is in memory.
 type snapshotWriter struct {
 	number  uint64
 	pending []*Job // jobs to look at still; some may be written already
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -9,8 +9,8 @@
 // snapshots hold; all else is derived from them.
 type State struct {
 	header
-	Jobs       map[types.JobID]*Job // that are remembered in full
-	tombstones tombstones           // of those that are not any more
+	Jobs       map[types.JobID]*Job // live ones, and ended ones that have no tombstone yet
+	tombstones tombstones           // of jobs that ended longer ago
 	index      jobIndex
 
 	snapshot       *snapshotWriter // the snapshot in progress, or nil
@@ -50,11 +50,11 @@
 // buildIndexes derives from the jobs what snapshots don't hold.
 func (s *State) buildIndexes() { s.index = newJobIndex(s.Jobs) }
 
-// LiveJobs returns the jobs that have not ended, oldest first. The list holds until the
+// LiveJobs returns the jobs that have not ended, oldest first. The list is valid until the
 // next command is applied.
 func (s *State) LiveJobs() []*Job { return s.index.liveInOrder() }
 
-// Find returns a job by its id: in full, or what its tombstone holds, or nil if
+// Find returns a job by its id: the complete job, or what its tombstone holds, or nil if
 // the id is not known.
 func (s *State) Find(id types.JobID) *Job {
 	if j := s.Jobs[id]; j != nil {
--- a/internal/state/worker_shape.go
+++ b/internal/state/worker_shape.go
@@ -8,7 +8,7 @@
 
 // WorkerShape is what a worker offers when it is idle. It is remembered while the worker
 // is away, so that a job that no worker could ever run is distinguished from one that
-// has to wait for its workers to come back.
+// has to wait until its workers reconnect.
 type WorkerShape struct {
 	Shard     types.Shard         `json:"shard"`
 	Rack      types.Rack          `json:"rack"`
--- a/internal/wire/machine.go
+++ b/internal/wire/machine.go
@@ -76,5 +76,5 @@
 	ReplaceLog      bool     // the batch replaces the whole log
 	FallbackRecords [][]byte // what to append instead if there is no room to replace the log
 
-	Drained bool // the machine was told of a shutdown and has nothing left to do
+	Drained bool // the machine is shutting down and has nothing left to do
 }
--- a/internal/workqueue/queue.go
+++ b/internal/workqueue/queue.go
@@ -29,7 +29,7 @@
 // The classes below it serve operators and callers.
 const LastControlClass = wire.ClassReports
 
-// Queue holds events by class and gives them out in the order of the classes, and within a
+// Queue holds events by class and pops them in the order of the classes, and within a
 // class in that of their arrival. A lower class is not starved: it is served at the latest
 // after a number of events of higher ones (classLimit).
 type Queue[T any] struct {
@@ -106,10 +106,10 @@
 func (q *Queue[T]) popFrom(class wire.Class) entry[T] {
 	c := &q.classes[class]
 	oldest := c.entries[0]
-	c.entries[0] = entry[T]{} // lets go of what it holds
+	c.entries[0] = entry[T]{} // frees what it refers to
 	c.entries = c.entries[1:]
 	if len(c.entries) == 0 {
-		c.entries = nil // lets go of the array
+		c.entries = nil // frees the array
 	}
 	c.passed = 0
 	q.size--
