--- a/internal/controller/disk_test.go
+++ b/internal/controller/disk_test.go
@@ -1,6 +1,8 @@
-// Members whose disks refuse: without vote and duty, and back by themselves.
 package controller
 
+// Members whose disks refuse writes: they have no vote and do not lead, and recover without
+// help.
+
 import (
 	"strings"
 	"testing"
@@ -12,14 +14,16 @@
 )
 
 // handOverTime is how long it takes until another leads when a leader's disk is full.
-func handOverTime(t *testing.T, mute bool) (time.Duration, *cluster, *member) {
+func handOverTime(t *testing.T, hidesDiskErrors bool) (time.Duration, *cluster, *member) {
+	t.Helper()
 	c := newCluster(t, 21, 600)
 	c.changes(20, 1000)
 	m := c.leader()
-	m.diskFull, m.hidesDiskErrors = true, mute
+	m.diskFull, m.hidesDiskErrors = true, hidesDiskErrors
 	change := wire.EncodeBody(table(m.machine.log.state().Table.Version, 1000))
 	m.ask(wire.VerbPutTable, "", change, func(wire.Response) {})
-	return c.until(10*time.Second, "another leader", func() bool { l := c.leader(); return l != nil && l != m }), c, m
+	took := c.until(10*time.Second, "another leader", func() bool { l := c.leader(); return l != nil && l != m })
+	return took, c, m
 }
 
 func TestALeaderWithAFullDiskHandsOverAtOnce(t *testing.T) {
@@ -83,7 +87,7 @@
 	is.Equal(c.violation, "")
 }
 
-// A member whose disk is full for long keeps no more than it must.
+// A member whose disk is full for long keeps a bounded number of records in memory.
 func TestWhatWaitsForAFullDiskIsBounded(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 23, 600)
@@ -97,6 +101,6 @@
 	is.True(m.machine.raft.MessagesAwaitingSync() < 50)
 	is.True(m.appendReplies > sent)
 	m.diskFull = false
-	c.until(catchUp, "caught up", func() bool { return c.caughtUp(m) })
+	c.until(catchUpTime, "caught up", func() bool { return c.caughtUp(m) })
 	is.Equal(c.violation, "")
 }
--- a/internal/controller/job_ranking.go
+++ b/internal/controller/job_ranking.go
@@ -11,10 +11,11 @@
 )
 
 const (
-	lateTargetFactor = 3     // a job has value until this many times its latency target
-	targetTolerance  = 8     // a job is on target while late by less than target/targetTolerance
-	maxJobValue      = 4     // bound of a job's value, in values of its queue's mean job
-	meanGain         = 16    // a new job has weight 1/meanGain in the means of its queue
+	lateTargetFactor = 3  // a job has value until this many times its latency target
+	targetTolerance  = 8  // a job is on target while late by less than target/targetTolerance
+	maxJobValue      = 4  // bound of a job's value, in values of its queue's mean job
+	meanGain         = 16 // a new job has weight 1/meanGain in the means of its queue
+
 	minMeanWork      = 0.001 // core-seconds; keeps the ratio to the mean finite
 	minRemainingWork = 0.01  // core-seconds, added to a job's remaining work; keeps its gain finite
 
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -12,7 +12,7 @@
 // StatusView is one controller's status, as GET /v1/status shows it. It has more than 15
 // fields because it is the document, one field for each key.
 type StatusView struct {
-	Role            string             `json:"role"`
+	Role            membership.Role    `json:"role"`
 	Build           string             `json:"program"`
 	ID              types.ID           `json:"id"`
 	Cluster         string             `json:"cluster"`          // name of the cluster, or nothing while none is known
