--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -47,7 +47,7 @@
 	is.True(second.machine.log.state().Table.Version >= types.Version(1))
 	first.thaw()
 	c.run(time.Second)
-	is.Equal(first.machine.Counters.Lost, uint64(1))
+	is.Equal(first.machine.Counters.LeadershipsLost, uint64(1))
 	is.True(!first.machine.leader.active())
 	is.Equal(len(first.machine.Workers()), 0)
 }
--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -6,7 +6,7 @@
 	"coppercourse/internal/types"
 )
 
-// describe returns what this controller tells the other daemons of itself.
+// describe returns this controller's information for the membership.
 func (c *Controller) describe() membership.MemberInfo {
 	return membership.MemberInfo{
 		Addr:   c.options.Addr,
@@ -38,7 +38,7 @@
 func (c *Controller) discoveredPeers() []raft.DiscoveredPeer {
 	var peers []raft.DiscoveredPeer
 	for _, info := range c.members.Controllers() {
-		if info.ID != "" && info.Detail != "out" {
+		if info.ID != "" && info.Detail != raft.RoleRemoved {
 			member := raft.Member{ID: info.ID, Addr: info.Addr, Zone: info.Zone}
 			peers = append(peers, raft.DiscoveredPeer{Member: member, ClusterName: info.Name})
 		}
@@ -47,7 +47,7 @@
 }
 
 // foundersInOtherRoles lists, while no cluster is known, the founders that turn out to be
-// other daemons than controllers; those are not waited for.
+// other daemons than controllers; bootstrap does not wait for those.
 func (c *Controller) foundersInOtherRoles() []types.Addr {
 	if c.raft.ClusterName() != "" {
 		return nil
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -75,7 +75,7 @@
 			continue
 		}
 		j := v.state.Jobs[attempt.ID.Job]
-		if !isCandidate(j, attempt.ID.Number, request, below, in) {
+		if !isCandidate(j, attempt.ID.TaskNumber, request, below, in) {
 			continue
 		}
 		group := placement.TaskGroup{Job: attempt.ID.Job, Stage: attempt.Stage}
--- a/internal/dispatch/scheduler/attempt_index_test.go
+++ b/internal/dispatch/scheduler/attempt_index_test.go
@@ -35,7 +35,7 @@
 	reference := map[types.AttemptID]*OutstandingAttempt{}
 	for range 4000 {
 		now = now.Add(time.Millisecond)
-		task := types.TaskID{Job: types.JobID(fmt.Sprint("j", random.Intn(6))), Number: random.Intn(4)}
+		task := types.TaskID{Job: types.JobID(fmt.Sprint("j", random.Intn(6))), TaskNumber: random.Intn(4)}
 		id := types.AttemptID{TaskID: task, Attempt: 1 + random.Intn(2)}
 		switch attempt := reference[id]; {
 		case attempt == nil || random.Intn(9) == 0:
--- a/internal/dispatch/scheduler/slowdown_test.go
+++ b/internal/dispatch/scheduler/slowdown_test.go
@@ -38,7 +38,7 @@
 // sampleStage gives the durations of a stage's attempts on other workers than s.
 func sampleStage(sc *Scheduler, durations ...time.Duration) {
 	for i, duration := range durations {
-		id := types.AttemptID{TaskID: types.TaskID{Job: "j", Number: 1 + i}, Attempt: 1}
+		id := types.AttemptID{TaskID: types.TaskID{Job: "j", TaskNumber: 1 + i}, Attempt: 1}
 		shard := types.Shard(fmt.Sprint("other", i))
 		sc.recordDuration(&OutstandingAttempt{ID: id, Shard: shard}, duration, false)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,9 +1,9 @@
 // Package gateway is the entry point for clients and operators, as one state machine. It
-// admits requests, forwards them to the leader and answers each request that it has read:
+// admits requests, forwards them to the leader and answers each request that it receives:
 // with the leader's response or, when it gives up, with when to retry.
 //
-// gateway.go is the machine, requests.go what it has admitted, forwarding.go the way of a
-// request to the leader and back, leader_tracker.go how long there has been a leader,
+// gateway.go is the machine, requests.go what it has admitted, forwarding.go how a request
+// gets to the leader and its response back, leader_tracker.go how long there has been a leader,
 // end_reports.go the reports of ended attempts that a gateway passes on.
 package gateway
 
@@ -23,10 +23,10 @@
 
 // Options are where a gateway runs, and in which cluster.
 type Options struct {
-	Addr         types.Addr // by which others reach the gateway
-	Zone         types.Zone
-	Seeds        []types.Addr // other daemons, to find the cluster by
-	BuildVersion string
+	Addr  types.Addr // by which others reach the gateway
+	Zone  types.Zone
+	Seeds []types.Addr // other daemons, to find the cluster by
+	Build string
 	// StaleAfter is how old a confirmation of the table may be for the table to be decided
 	// by; 0 is configwatch.DefaultStaleAfter.
 	StaleAfter time.Duration
@@ -46,10 +46,14 @@
 	nextController int
 }
 
-// Counters are counters since start: requests read, answered, refused at once, given up
-// without a response, forwarded, and refused for too many in flight.
+// Counters count since the start of the process.
 type Counters struct {
-	Calls, Answered, Refused, GivenUp, Attempts, Crowded uint64
+	Calls           uint64 // requests received
+	Answered        uint64 // admitted requests that were answered
+	Refused         uint64 // requests rejected at once
+	GivenUp         uint64 // requests that timed out without a response from a controller
+	Attempts        uint64 // forwards to a controller, retries included
+	TooManyInFlight uint64 `json:"Crowded"` // of Refused, those because of MaxPending
 }
 
 // New returns a gateway at its start, which knows no other daemon but the seeds.
@@ -63,7 +67,7 @@
 		requests:      newRequestTable(rnd),
 	}
 	self := membership.MemberInfo{
-		Addr: options.Addr, Role: membership.RoleGateway, Zone: options.Zone, Build: options.BuildVersion,
+		Addr: options.Addr, Role: membership.RoleGateway, Zone: options.Zone, Build: options.Build,
 	}
 	g.core = daemon.NewCore(now, rnd, self, options.Seeds)
 	g.Trace = g.core.Trace
@@ -137,7 +141,7 @@
 // StatusView is the status of a gateway, as GET /v1/status shows it.
 type StatusView struct {
 	Role           membership.Role   `json:"role"`
-	BuildVersion   string            `json:"program"`
+	Build          string            `json:"program"`
 	Ready          bool              `json:"ready"`
 	Leader         types.Addr        `json:"leader"`
 	LeaderlessMS   int64             `json:"without_leader_ms"` // how long no leader has been known
@@ -153,7 +157,7 @@
 	now := g.core.Now().Mono
 	return StatusView{
 		Role:           membership.RoleGateway,
-		BuildVersion:   g.core.Self().Build,
+		Build:          g.core.Self().Build,
 		Ready:          g.Ready(),
 		Leader:         g.core.Leader(),
 		LeaderlessMS:   g.leader.lostFor(now).Milliseconds(),
--- a/sim/checker/execution.go
+++ b/sim/checker/execution.go
@@ -57,5 +57,5 @@
 // stepOf returns the step of an execution whose job was submitted.
 func (c *checker) stepOf(e *execution) state.Step {
 	spec := c.jobs[e.attempt.Job].spec
-	return spec.Steps[spec.StepOf(e.attempt.Number)]
+	return spec.Steps[spec.StepOf(e.attempt.TaskNumber)]
 }
--- a/sim/checker/invoked_rerun.go
+++ b/sim/checker/invoked_rerun.go
@@ -130,8 +130,8 @@
 	if saver.Job != job.id {
 		return false
 	}
-	sameGang := job.step(task).Joint && types.StageOf(saver.Number) == types.StageOf(task)
-	return saver.Number == task || sameGang
+	sameGang := job.step(task).Joint && types.StageOf(saver.TaskNumber) == types.StageOf(task)
+	return saver.TaskNumber == task || sameGang
 }
 
 // sameJSON reports whether two JSON texts differ at most in white space.
--- a/sim/checker/reader.go
+++ b/sim/checker/reader.go
@@ -44,7 +44,7 @@
 // executionsOf returns the executions of an attempt: several if it was started twice.
 func (r *reader) executionsOf(id types.AttemptID) []*execution {
 	var list []*execution
-	for _, e := range r.job(id.Job).executions[id.Number] {
+	for _, e := range r.job(id.Job).executions[id.TaskNumber] {
 		if e.attempt == id {
 			list = append(list, e)
 		}
@@ -97,7 +97,7 @@
 	}
 	r.live[event.Process][event.Attempt] = e
 	r.executions = append(r.executions, e)
-	job, task := r.job(event.Attempt.Job), event.Attempt.Number
+	job, task := r.job(event.Attempt.Job), event.Attempt.TaskNumber
 	job.executions[task] = append(job.executions[task], e)
 }
 
--- a/sim/upkeep_test.go
+++ b/sim/upkeep_test.go
@@ -307,7 +307,7 @@
 	specs, startedAt := map[types.JobID]*state.Spec{}, map[run]int64{}
 	end := func(r run, at int64) {
 		spec := specs[r.attempt.Job]
-		cores := float64(spec.Steps[spec.StepOf(r.attempt.Number)].Resources.Cores) / float64(types.Core)
+		cores := float64(spec.Steps[spec.StepOf(r.attempt.TaskNumber)].Resources.Cores) / float64(types.Core)
 		sum += cores * time.Duration(max(0, at-max(startedAt[r], from))).Seconds()
 		delete(startedAt, r)
 	}
