--- a/internal/dispatch/scheduler/run_task.go
+++ b/internal/dispatch/scheduler/run_task.go
@@ -11,8 +11,8 @@
 
 // RunTask orders a worker to run an attempt (runTask). The attempt counts as possibly
 // running from before the order is sent until its end is committed. The order is sent once;
-// if the worker is not fit for tasks by now, the attempt ends at once as one that never ran. baselineName names what its
-// duration is compared with, or is empty.
+// if the worker is not fit for tasks by now, the attempt ends at once as one that never ran.
+// baselineName names what its duration is compared with, or is empty.
 func (sc *Scheduler) RunTask(shard types.Shard, stage types.Stage, baselineName string, spec protocol.AttemptSpec) {
 	sc.attempts.add(&OutstandingAttempt{
 		ID:           spec.Attempt,
--- a/internal/goldentest/golden.go
+++ b/internal/goldentest/golden.go
@@ -36,7 +36,8 @@
 	}
 	if !bytes.Equal(got, want) {
 		at := differsAt(got, want)
-		t.Errorf("%s differs at byte %d, in these lines\n got: %q\nwant: %q", name, at, lineAt(got, at), lineAt(want, at))
+		t.Errorf("%s differs at byte %d, in these lines\n got: %q\nwant: %q",
+			name, at, lineAt(got, at), lineAt(want, at))
 	}
 }
 
--- a/sim/capacity/figure.go
+++ b/sim/capacity/figure.go
@@ -63,7 +63,7 @@
 		for _, x := range u.Each {
 			sum += f(x) / float64(len(u.Each)) / m.Window.Seconds()
 		}
-		return
+		return sum
 	}
 }
 
@@ -85,15 +85,21 @@
 
 // Figures are all figures, in the order of the report.
 var Figures = []Figure{
-	{"control messages", "1/s", 0, 0, allRoles, perSecond(func(u world.Usage) float64 { return float64(u.Control().Messages) })},
-	{"control bytes", "B/s", limitBytes, 0, allRoles, perSecond(func(u world.Usage) float64 { return float64(u.Control().Bytes) })},
+	{"control messages", "1/s", 0, 0, allRoles, perSecond(func(u world.Usage) float64 {
+		return float64(u.Control().Messages)
+	})},
+	{"control bytes", "B/s", limitBytes, 0, allRoles, perSecond(func(u world.Usage) float64 {
+		return float64(u.Control().Bytes)
+	})},
 	{"roster bytes", "B/s", limitBytes, 0, allRoles, perSecond(messageClass(world.MembershipMessages, bytesOf))},
 	{"heartbeat bytes", "B/s", limitBytes, 0, allRoles, perSecond(messageClass(world.HeartbeatMessages, bytesOf))},
 	{"log bytes", "B/s", 0, 0, allRoles, perSecond(messageClass(world.LogMessages, bytesOf))},
 	{"table bytes", "B/s", limitBytes, 0, allRoles, perSecond(messageClass(world.TableMessages, bytesOf))},
 	{"work messages", "1/s", 0, 0, allRoles, perSecond(messageClass(world.WorkMessages, messagesOf))},
 	{"work bytes", "B/s", 0, 0, allRoles, perSecond(messageClass(world.WorkMessages, bytesOf))},
-	{"processor", "% of a core", limitCPU, limitOwner, allRoles, perSecond(func(u world.Usage) float64 { return 100 * u.CPU.Seconds() })},
+	{"processor", "% of a core", limitCPU, limitOwner, allRoles, perSecond(func(u world.Usage) float64 {
+		return 100 * u.CPU.Seconds()
+	})},
 	{"state", "MB", limitMemory, 0, allRoles, func(_ *sim.Measurement, u sim.RoleUsage) float64 {
 		return float64(slices.Max(u.State)) / 1e6
 	}},
@@ -105,8 +111,12 @@
 	{"step p99", "ms", 0, 0, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
 		return float64(m.Steps.ValueAtQuantile(99)) / 1e6
 	}},
-	{"table in force everywhere", "ms", limitTable, limitTable, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 { return maxMillis(m.TableLatencies) }},
-	{"urgent job to its start", "ms", limitUrgent, limitUrgent, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 { return maxMillis(m.UrgentLatencies) }},
+	{"table in force everywhere", "ms", limitTable, limitTable, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
+		return maxMillis(m.TableLatencies)
+	}},
+	{"urgent job to its start", "ms", limitUrgent, limitUrgent, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
+		return maxMillis(m.UrgentLatencies)
+	}},
 	{"leader death to the next", "ms", 0, 0, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
 		return float64(m.ElectionTime.Milliseconds())
 	}},
@@ -135,7 +145,7 @@
 			}
 		}
 	}
-	return
+	return list
 }
 
 // Growth is how a figure grows with the number of workers: the line by least
@@ -161,7 +171,7 @@
 			g.Exponent = math.Log(q.Value/p.Value) / math.Log(float64(q.Workers)/float64(p.Workers))
 		}
 	}
-	return
+	return g
 }
 
 // Exponents between which a figure is extrapolated along its line.
--- a/sim/capacity/figure_test.go
+++ b/sim/capacity/figure_test.go
@@ -19,7 +19,7 @@
 	for _, n := range []int{10, 100, 1000} {
 		list = append(list, Point{"idle", role, name, "B/s", n + 14, n, f(float64(n))})
 	}
-	return
+	return list
 }
 
 func TestGrowthIsExtrapolated(t *testing.T) {
--- a/sim/capacity/plot.go
+++ b/sim/capacity/plot.go
@@ -133,7 +133,7 @@
 			line = append(line, plotter.XY{X: float64(p.Workers), Y: p.Value})
 		}
 	}
-	return
+	return line
 }
 
 // addLines draws a measured line, and dashed what is extrapolated.
--- a/sim/capacity/report.go
+++ b/sim/capacity/report.go
@@ -21,7 +21,11 @@
 	c := csv.NewWriter(w)
 	c.Write(csvHeader)
 	for _, p := range list {
-		c.Write([]string{p.Mode, p.Role, p.Name, p.Unit, strconv.Itoa(p.Daemons), strconv.Itoa(p.Workers), strconv.FormatFloat(p.Value, 'g', 6, 64)})
+		c.Write([]string{
+			p.Mode, p.Role, p.Name, p.Unit,
+			strconv.Itoa(p.Daemons), strconv.Itoa(p.Workers),
+			strconv.FormatFloat(p.Value, 'g', 6, 64),
+		})
 	}
 	c.Flush()
 	return c.Error()
@@ -52,7 +56,7 @@
 		}
 		list = append(list, p)
 	}
-	return
+	return list, err
 }
 
 // selectPoints returns the points of one figure and role, in order of size.
@@ -63,7 +67,7 @@
 		}
 	}
 	slices.SortFunc(selected, func(a, b Point) int { return a.Workers - b.Workers })
-	return
+	return selected
 }
 
 // WriteMarkdown writes a table for each mode and role.
@@ -81,7 +85,8 @@
 			for _, n := range sizes {
 				fmt.Fprintf(w, " %d workers |", n)
 			}
-			fmt.Fprintf(w, " constant | a worker | power | at %d | limit |\n|%s\n", sim.FullWorkers, separatorCells(6+len(sizes)))
+			fmt.Fprintf(w, " constant | a worker | power | at %d | limit |\n|%s\n",
+				sim.FullWorkers, separatorCells(6+len(sizes)))
 			for _, f := range Figures {
 				writeRow(w, f, f.limit(role), selectPoints(list, mode, role, f.Name))
 			}
@@ -94,7 +99,7 @@
 	for range n {
 		s += " --- |"
 	}
-	return
+	return s
 }
 
 // writeRow writes one figure's row.
@@ -117,7 +122,8 @@
 	case bound > 0:
 		limit = formatNumber(bound) + ", kept"
 	}
-	fmt.Fprintf(w, " %s | %s | %.1f | %s %s | %s |\n", formatNumber(g.Const), formatNumber(g.Slope), g.Exponent, formatNumber(at), how, limit)
+	fmt.Fprintf(w, " %s | %s | %.1f | %s %s | %s |\n",
+		formatNumber(g.Const), formatNumber(g.Slope), g.Exponent, formatNumber(at), how, limit)
 }
 
 // formatNumber writes a number with three digits.
