--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
 // Package agent is the daemon beside each worker, as one state machine. It joins the
 // executor (the worker side of the paper's protocol), the membership, and the worker's long
-// polls, each held until there is something to tell the worker.
+// polls, each held until the worker has something to start, stop or drop.
 //
 // agent.go is the machine, worker_requests.go the calls of the worker.
 package agent
@@ -19,12 +19,12 @@
 
 // Options are where an agent runs, and for which worker.
 type Options struct {
-	Addr         types.Addr // by which others reach the agent
-	Zone         types.Zone
-	Shard        types.Shard  // the worker's name
-	Seeds        []types.Addr // other daemons, to find the cluster by
-	BuildVersion string
-	Timeouts     protocol.Timeouts
+	Addr     types.Addr // by which others reach the agent
+	Zone     types.Zone
+	Shard    types.Shard  // the worker's name
+	Seeds    []types.Addr // other daemons, to find the cluster by
+	Build    string
+	Timeouts protocol.Timeouts
 }
 
 // Agent is the state machine of one worker's daemon.
@@ -37,10 +37,12 @@
 	poll     longPoll
 }
 
-// Counters are counters since start: polls of the worker, those rejected as outdated, and
-// orders to start and to stop attempts.
+// Counters count since the start of the process.
 type Counters struct {
-	Polls, Stale, Orders, Stops uint64
+	Polls  uint64 // polls of the worker
+	Stale  uint64 // polls that were rejected as outdated
+	Orders uint64 // RunTask messages received
+	Stops  uint64 // KillTask messages received
 }
 
 // New returns an agent at its start. Its instance ids are drawn from rnd.
@@ -53,7 +55,7 @@
 		Zone:   options.Zone,
 		Detail: string(options.Shard),
 		Ready:  true,
-		Build:  options.BuildVersion,
+		Build:  options.Build,
 	}
 	a.core = daemon.NewCore(now, rnd, self, options.Seeds)
 	a.Trace = a.core.Trace
@@ -143,7 +145,7 @@
 // StatusView is the status of an agent, as GET /v1/status shows it.
 type StatusView struct {
 	Role           membership.Role   `json:"role"`
-	BuildVersion   string            `json:"program"`
+	Build          string            `json:"program"`
 	Ready          bool              `json:"ready"`
 	Leader         types.Addr        `json:"leader"`
 	WorkerSilentMS int64             `json:"worker_quiet_ms"` // since the worker was last heard from
@@ -152,14 +154,14 @@
 	Counters       Counters          `json:"sums"`
 }
 
-// maxSilentMS is what the silence of a worker that was never heard from is shown as.
+// maxSilentMS bounds WorkerSilentMS, for a worker that was never heard.
 const maxSilentMS = 1 << 40
 
 // Status returns the agent's status.
 func (a *Agent) Status() StatusView {
 	return StatusView{
 		Role:           membership.RoleAgent,
-		BuildVersion:   a.core.Self().Build,
+		Build:          a.core.Self().Build,
 		Ready:          a.Ready(),
 		Leader:         a.core.Leader(),
 		WorkerSilentMS: min(maxSilentMS, a.executor.SinceLastHeard(a.core.Now().Mono).Milliseconds()),
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -9,8 +9,8 @@
 	"coppercourse/internal/types"
 )
 
-// unlimitedDuration stands for the time limit of steps that have none: they fit before no
-// window.
+// unlimitedDuration stands for the time limit of steps that have none, so that they are
+// never placed on a worker with a maintenance window ahead.
 const unlimitedDuration = 10_000 * time.Hour
 
 // planner makes rounds of placement: what is ready to run, the workers with room for it,
@@ -24,7 +24,7 @@
 	slots       slotCache
 	ends        *endTracker
 	reservation *placement.Reservation // workers kept for a request that was passed over
-	requests    []placement.Request    // the last list, whose memory the next one uses
+	requests    []placement.Request    // the last list; its memory is reused
 }
 
 func newPlanner(windows workerWindows, ends *endTracker) planner {
@@ -48,7 +48,7 @@
 // recordJob learns from a new job.
 func (p *planner) recordJob(v *leaderView, j *state.Job) { p.ranking.recordJob(v, j) }
 
-// invalidate has what runs on a worker summed up anew.
+// invalidate drops the cached occupancy of a worker.
 func (p *planner) invalidate(shard types.Shard) { p.slots.invalidate(shard) }
 
 // proposed records that a round's assignments were proposed.
@@ -70,7 +70,7 @@
 // planFull makes a full round: review withdraws and hedges attempts, new work is placed,
 // and if nothing at all could be done, preempt makes room.
 func (p *planner) planFull(v *leaderView, review *attemptReview, preempt *preemption) round {
-	p.rounds.landed()
+	p.rounds.allApplied()
 	withdrawals, hedges := review.review(v)
 	result := round{withdrawals: withdrawals}
 	if v.scheduler.InInitialWait() {
@@ -98,7 +98,8 @@
 	return result
 }
 
-// planBeside places new work while an earlier round is in flight, up to applied.
+// planBeside places new work while an earlier round is in flight; applied is the last index
+// applied.
 func (p *planner) planBeside(v *leaderView, applied types.Index) round {
 	if p.rounds.full(applied) || v.scheduler.InInitialWait() || p.reservation != nil {
 		return round{}
@@ -124,8 +125,8 @@
 	var list []state.Assignment
 	for _, a := range placed {
 		j := s.Jobs[a.Task.Job]
-		stage := types.StageOf(a.Task.Number)
-		attempt := j.Task(a.Task.Number).LastAttempt + 1
+		stage := types.StageOf(a.Task.TaskNumber)
+		attempt := j.Task(a.Task.TaskNumber).LastAttempt + 1
 		if j.Spec.Steps[stage.Step()].Gang {
 			for _, member := range j.StageTasks(stage) {
 				attempt = max(attempt, member.LastAttempt+1)
@@ -214,12 +215,12 @@
 // unassigned returns the tasks of a stage that are in no round in flight. Those that are
 // count as in use.
 func (p *planner) unassigned(j *state.Job, stage state.ReadyStage, used *placement.QueueUsage) []int {
-	if p.rounds.none() {
+	if p.rounds.empty() {
 		return stage.Tasks
 	}
 	var list []int
 	for _, number := range stage.Tasks {
-		if !p.rounds.assigned(types.TaskID{Job: j.ID, Number: number}) {
+		if !p.rounds.assigned(types.TaskID{Job: j.ID, TaskNumber: number}) {
 			list = append(list, number)
 			continue
 		}
--- a/internal/controller/report_buffer.go
+++ b/internal/controller/report_buffer.go
@@ -19,7 +19,7 @@
 
 // reportBuffer keeps the ends that agents have reported until the log has them. Every
 // controller that receives a report keeps it: the leader may lose its leadership before the
-// end is committed, and the agent may be gone by then.
+// end is committed, and the agent may have stopped by then.
 type reportBuffer struct {
 	reports []bufferedReport
 }
@@ -88,7 +88,7 @@
 	if j == nil {
 		return now.Sub(receivedAt) <= unknownAttemptRetention
 	}
-	if task := j.Task(end.ID.Number); task != nil && end.ID.Attempt > task.LastAttempt {
+	if task := j.Task(end.ID.TaskNumber); task != nil && end.ID.Attempt > task.LastAttempt {
 		return now.Sub(receivedAt) <= unknownAttemptRetention
 	}
 	return !endRecorded(s, end)
--- a/internal/controller/stragglers.go
+++ b/internal/controller/stragglers.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	hedgeFactor = 1.8                    // an attempt is hedged after so many times its usual duration
-	hedgeMargin = 150 * time.Millisecond // and so much more
+	hedgeFactor = 1.8                    // an attempt is hedged after its usual duration times hedgeFactor
+	hedgeMargin = 150 * time.Millisecond // plus hedgeMargin
 
 	minStallDuration   = 2 * time.Second         // a shorter attempt has not stalled
 	maxRestartDuration = 1500 * time.Millisecond // a task that usually takes longer is not restarted
@@ -32,7 +32,7 @@
 	if !ok || j == nil {
 		return false
 	}
-	task := j.Task(attempt.ID.Number)
+	task := j.Task(attempt.ID.TaskNumber)
 	if task == nil || task.AvoidWorker != "" || j.Spec.Steps[attempt.Stage.Step()].AlwaysRestart {
 		return false
 	}
@@ -50,7 +50,7 @@
 		return false
 	}
 	step := &j.Spec.Steps[attempt.Stage.Step()]
-	task := j.Task(attempt.ID.Number)
+	task := j.Task(attempt.ID.TaskNumber)
 	if task == nil || task.AvoidWorker != "" || step.AlwaysRestart || step.AllowHedge && !step.Gang {
 		return false
 	}
@@ -67,7 +67,7 @@
 			continue
 		}
 		request := stageRequest(j, attempt.Stage)
-		request.Tasks = []int{attempt.ID.Number}
+		request.Tasks = []int{attempt.ID.TaskNumber}
 		request.TimeLimit = timeLimit(v.state, j, attempt.Stage)
 		request.AvoidWorkers = map[types.Shard]bool{attempt.Shard: true}
 		requests = append(requests, request)
@@ -78,14 +78,15 @@
 // needsHedge reports whether an attempt may be hedged, has no hedge and is slow.
 func needsHedge(v *leaderView, j *state.Job, attempt *scheduler.OutstandingAttempt) bool {
 	step := &j.Spec.Steps[attempt.Stage.Step()]
-	task := j.Task(attempt.ID.Number)
+	task := j.Task(attempt.ID.TaskNumber)
 	if !step.AllowHedge || step.Gang || task == nil || task.Done || task.Hedge != nil {
 		return false
 	}
 	return task.FindOutstanding(attempt.ID.Attempt) != nil && isSlow(v, attempt, step)
 }
 
-// isSlow reports whether an attempt is far behind its like, or its worker out of reach.
+// isSlow reports whether an attempt is far behind others of its step, or its worker not
+// healthy.
 func isSlow(v *leaderView, attempt *scheduler.OutstandingAttempt, step *state.Step) bool {
 	worker := v.scheduler.Worker(attempt.Shard)
 	if worker == nil || worker.State != protocol.WorkerHealthy || !worker.Healthy {
@@ -110,7 +111,7 @@
 	var list []state.Assignment
 	in.Requests, in.Reservation = requests, nil
 	for _, placed := range placement.Place(in).Assignments {
-		task := v.state.Jobs[placed.Task.Job].Task(placed.Task.Number)
+		task := v.state.Jobs[placed.Task.Job].Task(placed.Task.TaskNumber)
 		if task.Primary.Shard != placed.Shard {
 			id := types.AttemptID{TaskID: placed.Task, Attempt: task.LastAttempt + 1}
 			list = append(list, state.Assignment{ID: id, Shard: placed.Shard, Hedge: true})
--- a/internal/dispatch/executor/link_rig_test.go
+++ b/internal/dispatch/executor/link_rig_test.go
@@ -237,12 +237,12 @@
 	}
 	sort.Slice(outstanding, func(i, k int) bool { return outstanding[i].ID.Less(outstanding[k].ID) })
 	lr.scheduler = scheduler.New(lr.now, scheduler.Config{
-		Timeouts:          lr.timeouts,
-		Addr:              "h",
-		Term:              lr.term,
-		PriorAuthorityEnd: lr.now,
-		Outstanding:       outstanding,
-		Cluster:           &lr.endLog,
+		Timeouts:           lr.timeouts,
+		Addr:               "h",
+		Term:               lr.term,
+		PriorLeaderHeardAt: lr.now,
+		Outstanding:        outstanding,
+		Cluster:            &lr.endLog,
 	})
 	clear(lr.proposed)
 }
--- a/internal/dispatch/executor/protocol_test.go
+++ b/internal/dispatch/executor/protocol_test.go
@@ -58,12 +58,12 @@
 func (tc *testCluster) newLeader(term types.Term, outstanding ...scheduler.OutstandingAttempt) {
 	tc.endsRecorded = false
 	tc.scheduler = scheduler.New(tc.now, scheduler.Config{
-		Timeouts:          protocol.DefaultTimeouts,
-		Addr:              "h",
-		Term:              term,
-		PriorAuthorityEnd: tc.now,
-		Outstanding:       outstanding,
-		Cluster:           tc,
+		Timeouts:           protocol.DefaultTimeouts,
+		Addr:               "h",
+		Term:               term,
+		PriorLeaderHeardAt: tc.now,
+		Outstanding:        outstanding,
+		Cluster:            tc,
 	})
 }
 
--- a/internal/dispatch/scheduler/health_check_test.go
+++ b/internal/dispatch/scheduler/health_check_test.go
@@ -18,11 +18,11 @@
 // which has just sent its first heartbeat.
 func newTestScheduler() (*Scheduler, *RemoteWorker) {
 	sc := New(testStart, Config{
-		Timeouts:          protocol.DefaultTimeouts,
-		Addr:              "h",
-		Term:              3,
-		PriorAuthorityEnd: testStart,
-		Cluster:           calledWorkers{},
+		Timeouts:           protocol.DefaultTimeouts,
+		Addr:               "h",
+		Term:               3,
+		PriorLeaderHeardAt: testStart,
+		Cluster:            calledWorkers{},
 	})
 	sc.Tick(testStart, time.Minute)
 	heartbeat := protocol.Heartbeat{Shard: "s", Instance: "i", SentAt: 1}
