--- a/sim/capacity/figure.go
+++ b/sim/capacity/figure.go
@@ -111,10 +111,14 @@
 	{"step p99", "ms", 0, 0, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
 		return float64(m.Steps.ValueAtQuantile(99)) / 1e6
 	}},
-	{"table in force everywhere", "ms", limitTable, limitTable, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
+	{"table in force everywhere", "ms", limitTable, limitTable, leaderOnly, func(
+		m *sim.Measurement, _ sim.RoleUsage,
+	) float64 {
 		return maxMillis(m.TableLatencies)
 	}},
-	{"urgent job to its start", "ms", limitUrgent, limitUrgent, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
+	{"urgent job to its start", "ms", limitUrgent, limitUrgent, leaderOnly, func(
+		m *sim.Measurement, _ sim.RoleUsage,
+	) float64 {
 		return maxMillis(m.UrgentLatencies)
 	}},
 	{"leader death to the next", "ms", 0, 0, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
--- a/sim/core_test.go
+++ b/sim/core_test.go
@@ -38,7 +38,7 @@
 func (r *Run) readVersion(within time.Duration) (e types.Version, ok bool) {
 	r.Clients.readTable(func(t config.Table) { e, ok = t.Version, true })
 	r.RunUntil(time.Duration(r.Now()) + within)
-	return
+	return e, ok
 }
 
 func TestAcknowledgedTableOutlivesAnyOneDisk(t *testing.T) {
@@ -222,7 +222,7 @@
 	ask := func(verb wire.Verb, id, body string) (a wire.Response) {
 		r.Request(r.Clients.address, "g2", verb, id, []byte(body), func(b wire.Response) { a = b })
 		r.RunUntil(time.Duration(r.Now()) + 300*time.Millisecond)
-		return
+		return a
 	}
 	step := func(more string) string { return `{"queue":"quotes","steps":[{"name":"a",` + more + `}]}` }
 	good := step(`"kind":"quote","room":{"cores":1,"memory":0},"tasks":1`)
--- a/sim/cutoff_record_test.go
+++ b/sim/cutoff_record_test.go
@@ -243,10 +243,13 @@
 	if n.Machine == nil || n.Frozen {
 		return nil, false
 	}
-	door := n.Machine.(*gateway.Gateway)
-	t, _ := door.Table()
+	machine, ok := n.Machine.(*gateway.Gateway)
+	if !ok {
+		panic(fmt.Sprintf("%s is no gateway", to))
+	}
+	t, _ := machine.Table()
 	page := ar.handlers[to]
-	page.Publish(t, inPageTime(door.ConfirmedUntil(), n.ClockReading().Mono))
+	page.Publish(t, inPageTime(machine.ConfirmedUntil(), n.ClockReading().Mono))
 	*ar.passed[to] = false
 	route := ar.newest.Queues[0].PathPrefix
 	if ar.strangers {
@@ -320,7 +323,7 @@
 			v = max(v, a.version)
 		}
 	}
-	return
+	return v
 }
 
 // seconds prints the statuses by second, daemon and audience.
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -96,7 +96,7 @@
 			list = append(list, n.Addr)
 		}
 	}
-	return
+	return list
 }
 
 // split cuts one direction, or both, until the cut is over.
@@ -213,7 +213,7 @@
 	if n := c.healthyWorkers(); n != len(c.agents) {
 		list = append(list, fmt.Sprintf("serves again: %d of %d workers are healthy at the end", n, len(c.agents)))
 	}
-	return
+	return list
 }
 
 func (c *cutoff) healthyWorkers() (n int) {
@@ -226,7 +226,7 @@
 			n++
 		}
 	}
-	return
+	return n
 }
 
 // cutOffAt tells whether a daemon has no path to a majority at a time.
--- a/sim/front_test.go
+++ b/sim/front_test.go
@@ -52,7 +52,7 @@
 		r.After(20*time.Millisecond, probe)
 	}
 	r.After(6*time.Second, probe)
-	return
+	return late, decided
 }
 
 // A gateway whose processor hardly runs, so that a step takes seconds, decides by no
--- a/sim/goodput_test.go
+++ b/sim/goodput_test.go
@@ -54,7 +54,7 @@
 			t.Error(x)
 		}
 	}
-	return
+	return good, pay
 }
 
 // sustained is how often such quotes can come without piling up (found by -crowds).
--- a/sim/grown_rig_test.go
+++ b/sim/grown_rig_test.go
@@ -92,12 +92,12 @@
 	for n := least; n <= most; n++ {
 		list = append(list, n)
 	}
-	return
+	return list
 }
 
 func ascending(n int) (list []int) {
 	for i := range n {
 		list = append(list, i)
 	}
-	return
+	return list
 }
--- a/sim/leader_bench_test.go
+++ b/sim/leader_bench_test.go
@@ -30,7 +30,7 @@
 	pprof.Do(context.Background(), pprof.Labels("leader", "yes"), func(context.Context) { out = l.Machine.Step(e) })
 	l.spent += threadTime() - from
 	l.steps++
-	return
+	return out
 }
 
 // threadTime is the processor time of this thread.
@@ -76,5 +76,5 @@
 			n++
 		}
 	}
-	return
+	return n
 }
--- a/sim/linear_models_test.go
+++ b/sim/linear_models_test.go
@@ -75,7 +75,7 @@
 func (c chain) last() (v types.Version, hash string) {
 	list := strings.Split(strings.TrimSuffix(string(c), ";"), ";")
 	fmt.Sscanf(strings.Replace(list[len(list)-1], ":", " ", 1), "%d %s", &v, &hash)
-	return
+	return v, hash
 }
 
 // tables is the model of the configuration.
@@ -94,7 +94,7 @@
 		if out.version == current && (current == 0 || out.hash == hash) {
 			next = append(next, c)
 		}
-		return
+		return next
 	}
 	repeat, fits := c.holds(in.next, in.hash), in.base == current
 	if (out.outcome == done || out.outcome == unclear) && fits && !repeat {
@@ -103,7 +103,7 @@
 	if out.outcome == unclear || out.outcome == done && repeat || out.outcome == refused && !repeat && !fits {
 		next = append(next, c)
 	}
-	return
+	return next
 }
 
 // jobInput is a job handed in, asked for or cancelled.
@@ -141,7 +141,7 @@
 			}
 			parts[by[id]] = append(parts[by[id]], o)
 		}
-		return
+		return parts
 	},
 	DescribeOperation: func(in, out any) string {
 		return fmt.Sprintf("%+v -> %+v", in, out)
@@ -170,7 +170,7 @@
 	if o == unclear || o == done && s.hash == hash || o == refused && s.hash != "" && s.hash != hash {
 		next = append(next, s)
 	}
-	return
+	return next
 }
 
 func stepCancel(s jobState, o outcome) (next []any) {
@@ -191,7 +191,7 @@
 			}
 		}
 	}
-	return
+	return next
 }
 
 func stepShow(s jobState, out jobOutput) []any {
--- a/sim/linear_rig_test.go
+++ b/sim/linear_rig_test.go
@@ -240,5 +240,5 @@
 			list = append(list, o)
 		}
 	}
-	return
+	return list
 }
--- a/sim/processor_test.go
+++ b/sim/processor_test.go
@@ -91,7 +91,7 @@
 		l.handovers += s.Counters.OverloadTransfers
 		l.leaderTerms = max(l.leaderTerms, s.Term)
 	}
-	return
+	return l
 }
 
 // countAccepted counts jobs taken in a stretch of time.
@@ -101,7 +101,7 @@
 			n++
 		}
 	}
-	return
+	return n
 }
 
 func TestSlowProcessorsKeepTheRules(t *testing.T) {
--- a/sim/requests_test.go
+++ b/sim/requests_test.go
@@ -21,7 +21,7 @@
 func (r *Run) requestFrom(n *world.Node, verb wire.Verb, body any, within time.Duration) (a wire.Response, ok bool) {
 	r.Request("operator", n.Addr, verb, "", wire.EncodeBody(body), func(b wire.Response) { a, ok = b, true })
 	r.RunUntil(time.Duration(r.Now()) + within)
-	return
+	return a, ok
 }
 
 // changedTable is the deployment's table with another weight, put on a version.
@@ -83,7 +83,7 @@
 					return []types.Addr{h.Addr}, r.allExcept(h.Addr)
 				}
 			}
-			return
+			return a, b
 		}, true},
 		{"the leader is cut off", separatedFromPeers, true},
 		{"the leader is heard by nobody", separatedFromPeers, false},
--- a/sim/scale_test.go
+++ b/sim/scale_test.go
@@ -24,7 +24,7 @@
 			messages, bytes, roster = messages+float64(c.Messages)/n, bytes+float64(c.Bytes)/n, roster+float64(k.Bytes)/n
 		}
 	}
-	return
+	return messages, bytes, roster
 }
 
 func TestIdleCostStaysFlat(t *testing.T) {
--- a/sim/schedule_test.go
+++ b/sim/schedule_test.go
@@ -78,7 +78,7 @@
 		list = append(list, name)
 	}
 	slices.Sort(list)
-	return
+	return list
 }
 
 // changes has an operator read the table and put a change on it, again and again; the
--- a/sim/upkeep_test.go
+++ b/sim/upkeep_test.go
@@ -126,7 +126,7 @@
 			h = x
 		}
 	}
-	return
+	return h
 }
 
 // fillWorkers keeps every worker busy with long, unhurried tasks of one queue.
