--- a/cmd/coppersim/fleet.go
+++ b/cmd/coppersim/fleet.go
@@ -107,7 +107,7 @@
 		}
 	}
 	f := &fleet.Fleet{
-		Deployment: deployment.ByName[fr.deployment], Dir: fr.dir, Bin: fr.bin, Self: self, Port: fr.port,
+		Deployment: deployment.Named(fr.deployment), Dir: fr.dir, Bin: fr.bin, Self: self, Port: fr.port,
 	}
 	if err := f.Start(ctx); err != nil {
 		f.Stop()
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -156,17 +156,15 @@
 
 // runCutOff sets a deployment up and cuts a controller of it off.
 func runCutOff(seed int64, controllers int, leads bool, w partitionKind, plant func(*cutoff)) *cutoff {
-	d := deployment.ByName["kingston-called"]
+	d := deployment.Named("kingston-called")
 	d.Size = deployment.Small
 	d.Size.Controllers, d.Size.Gateways = controllers, 3
 	if controllers > deployment.Small.Controllers {
 		d.Size.Zones, d.Size.Founders = 4, 3
 	}
-	d.Streams = slices.Clone(d.Streams)
 	for i := range d.Streams {
 		d.Streams[i].MeanInterval *= 8
 	}
-	d.Queues = slices.Clone(d.Queues)
 	for i := range d.Queues {
 		d.Queues[i].Host, d.Queues[i].PathPrefix = routeHost, "/"+string(d.Queues[i].Name)+"/"
 	}
--- a/sim/deployment/catalog.go
+++ b/sim/deployment/catalog.go
@@ -11,8 +11,12 @@
 // heartbeatInterval is that of all workers that are invoked.
 const heartbeatInterval = 1500 * time.Millisecond
 
-// ByName holds all deployments.
-var ByName = byName(
+// Named returns a deployment of the catalog, or the zero Deployment if there is none of
+// that name. Callers may change what they get: it shares no memory with the catalog.
+func Named(name string) Deployment { return catalog[name].Clone() }
+
+// catalog holds all deployments by their names. Runs share it, so nobody changes it.
+var catalog = byName(
 	kingston,
 	romania,
 	kingstonCalled,
--- a/sim/deployment/deployment.go
+++ b/sim/deployment/deployment.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 
 	"coppercourse/internal/config"
 	"coppercourse/internal/types"
@@ -36,15 +37,27 @@
 // Zone returns the zone of the i-th machine of a role.
 func (s Size) Zone(i int) types.Zone { return types.Zone(fmt.Sprintf("z%d", i%s.Zones+1)) }
 
+// Clone returns a copy that shares no memory with the deployment that a run could change.
+func (d Deployment) Clone() Deployment {
+	d.Flows = slices.Clone(d.Flows)
+	d.Streams = slices.Clone(d.Streams)
+	d.Queues = slices.Clone(d.Queues)
+	if d.WorkerRules != nil {
+		rules := *d.WorkerRules
+		d.WorkerRules = &rules
+	}
+	return d
+}
+
 // Invoked reports whether the workers are invoked.
 func (d Deployment) Invoked() bool { return d.WorkerRules != nil }
 
-// Table returns the deployment's first table.
+// Table returns the deployment's first table, a new one at each call.
 func (d Deployment) Table() config.Table {
 	if d.Invoked() {
 		return config.Table{
 			Orphans:  config.FinishOrphans,
-			Queues:   d.Queues,
+			Queues:   slices.Clone(d.Queues),
 			Services: []config.Service{{Name: invokedService, EnforcesResources: true}},
 		}
 	}
--- a/sim/goodput_test.go
+++ b/sim/goodput_test.go
@@ -35,7 +35,7 @@
 		for i := range t.Queues {
 			t.Queues[i].MaxUnfinished = 150
 		}
-	}, heavyFlow(each), deployment.ByName["kingston"].Flows[1], deployment.ByName["kingston"].Flows[2])
+	}, heavyFlow(each), deployment.Named("kingston").Flows[1], deployment.Named("kingston").Flows[2])
 	r.Clients.ImpatientRate = rude
 	for _, f := range also {
 		r.Clients.startFlow(f)
--- a/sim/grown_rig_test.go
+++ b/sim/grown_rig_test.go
@@ -64,7 +64,7 @@
 // putTable has an operator put the next table; acked tells whether it was taken.
 func (r *Run) putTable(on types.Version) (acked func() bool) {
 	ok := false
-	t := deployment.ByName["kingston"].Table()
+	t := deployment.Named("kingston").Table()
 	t.Version = on
 	r.Clients.putTable(t, "g1", 0, func(b bool) { ok = ok || b })
 	return func() bool { return ok }
--- a/sim/invoked_faults.go
+++ b/sim/invoked_faults.go
@@ -191,7 +191,7 @@
 
 // FaultsOf lists the faults that a deployment knows.
 func FaultsOf(name string) (list []string) {
-	called := deployment.ByName[name].Invoked()
+	called := deployment.Named(name).Invoked()
 	for _, n := range FaultNames() {
 		if !called || !pollOnly[n] {
 			list = append(list, n)
--- a/sim/invoked_test.go
+++ b/sim/invoked_test.go
@@ -125,7 +125,6 @@
 			for seed := int64(0); seed < maxSeeds && need(); seed++ {
 				r := New(briefPlan(700+10*int64(i)+seed, []string{"kingston-called", "romania-called"}[seed%2], 6, c.faults...))
 				if c.long { // more of the long jobs, of which some save their progress and more are cancelled
-					r.Clients.deployment.Streams = slices.Clone(r.Clients.deployment.Streams)
 					r.Clients.deployment.Streams[1].MeanInterval /= 4
 					r.Clients.deployment.Streams[1].CancelRate = 0.4
 				}
--- a/sim/run.go
+++ b/sim/run.go
@@ -52,7 +52,7 @@
 }
 
 // New sets the plan's deployment up: its controllers, gateways, agents and their workers.
-func New(p Plan) *Run { return newRun(p, deployment.ByName[p.Deployment]) }
+func New(p Plan) *Run { return newRun(p, deployment.Named(p.Deployment)) }
 
 func newRun(p Plan, d deployment.Deployment) *Run {
 	r := &Run{World: world.New(p.Seed), Plan: p, zones: map[types.Zone][]types.Addr{}, drained: map[string]bool{}}
--- a/sim/schedule_test.go
+++ b/sim/schedule_test.go
@@ -36,13 +36,12 @@
 
 // schedule runs one, with a planted bug if there is one.
 func schedule(seed int64, controllers int, span time.Duration, plant func(*Run)) *Run {
-	d := deployment.ByName["kingston-called"]
+	d := deployment.Named("kingston-called")
 	d.Size = deployment.Small
 	d.Size.Controllers, d.Size.Gateways = controllers, 3
 	if controllers > deployment.Small.Controllers {
 		d.Size.Founders = deployment.Small.Controllers
 	}
-	d.Streams = slices.Clone(d.Streams)
 	for i := range d.Streams {
 		d.Streams[i].MeanInterval *= 6
 	}
