--- a/cmd/coppercourse/help_test.go
+++ b/cmd/coppercourse/help_test.go
@@ -10,10 +10,7 @@
 // has commands of its own.
 func TestCommandLineIsDescribed(t *testing.T) {
 	app := kingpin.New("coppercourse", "")
-	commands := commandSet{}
-	addDaemons(app, commands)
-	addPlatform(app, commands)
-	addClient(app, commands)
+	commands := addCommands(app)
 	for _, flag := range app.Model().Flags {
 		if flag.Help == "" {
 			t.Errorf("--%s has no help text", flag.Name)
@@ -29,7 +26,7 @@
 		if command.Help == "" {
 			t.Errorf("%s has no help text", name)
 		}
-		if name != "help" && len(command.Commands) == 0 && commands[name] == nil {
+		if name != "help" && len(command.Commands) == 0 && !commands.has(name) {
 			t.Errorf("%s runs nothing", name)
 		}
 		for _, flag := range command.Flags {
--- a/cmd/coppersim/main.go
+++ b/cmd/coppersim/main.go
@@ -15,17 +15,28 @@
 // commandSet is what each command of the command line runs, by its full name.
 type commandSet map[string]func() error
 
+// has reports whether a command runs something.
+func (c commandSet) has(command string) bool { return c[command] != nil }
+
 func main() {
 	app := kingpin.New("coppersim", "Test coppercourse under failure, in a simulator or with real processes.")
 	app.HelpFlag.Short('h')
+	commands := addCommands(app)
+	command := kingpin.MustParse(app.Parse(os.Args[1:]))
+	if err := commands[command](); err != nil {
+		for _, line := range strings.Split(err.Error(), "\n") {
+			fmt.Fprintln(os.Stderr, "coppersim: "+line)
+		}
+		os.Exit(1)
+	}
+}
+
+// addCommands adds all commands to the command line, and returns what they run.
+func addCommands(app *kingpin.Application) commandSet {
 	commands := commandSet{}
 	addSweep(app, commands)
 	addFleet(app, commands)
 	addWorker(app, commands)
 	addCapacity(app, commands)
-	name := kingpin.MustParse(app.Parse(os.Args[1:]))
-	if err := commands[name](); err != nil {
-		fmt.Fprintln(os.Stderr, "coppersim: "+strings.ReplaceAll(err.Error(), "\n", "\ncoppersim: "))
-		os.Exit(1)
-	}
+	return commands
 }
--- /dev/null
+++ b/internal/goldentest/commandline.go
@@ -0,0 +1,54 @@
+package goldentest
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/alecthomas/kingpin/v2"
+)
+
+// CommandLine compares a program's command line with the golden file command-line.txt:
+// all commands, and the flags and arguments of each with defaults and variables. The
+// function runs reports whether the program has something to run for a command, which is
+// given by its full name.
+func CommandLine(t *testing.T, app *kingpin.Application, runs func(command string) bool) {
+	t.Helper()
+	model := app.Model()
+	described := flagLines("", model.FlagGroupModel)
+	for _, command := range model.FlattenedCommands() {
+		described = append(described, commandLines(command, runs(command.FullCommand))...)
+	}
+	slices.Sort(described)
+	File(t, "command-line.txt", []byte(strings.Join(described, "\n")+"\n"))
+}
+
+// commandLines describes a command with its flags and arguments.
+func commandLines(command *kingpin.CmdModel, runs bool) []string {
+	name := command.FullCommand
+	first := "command " + name
+	if runs {
+		first += " runs"
+	}
+	described := []string{first}
+	described = append(described, flagLines(name+" ", command.FlagGroupModel)...)
+	for _, arg := range command.Args {
+		described = append(described, fmt.Sprintf("%s <%s> required %v", name, arg.Name, arg.Required))
+	}
+	return described
+}
+
+// flagLines describes flags, each after the prefix. Those that kingpin adds by itself are
+// left out.
+func flagLines(prefix string, group *kingpin.FlagGroupModel) []string {
+	var described []string
+	for _, flag := range group.Flags {
+		if flag.Hidden || flag.Name == "help" {
+			continue
+		}
+		described = append(described, fmt.Sprintf("%s--%s default %q variable %q required %v short %d boolean %v",
+			prefix, flag.Name, flag.Default, flag.Envar, flag.Required, flag.Short, flag.IsBoolFlag()))
+	}
+	return described
+}
