--- a/cmd/coppercourse/daemon.go
+++ b/cmd/coppercourse/daemon.go
@@ -129,11 +129,11 @@
 		Timeouts: s.Dispatch(),
 	})
 	loop := server.NewEventLoop(server.Config{
-		Machine:    machine,
-		Observer:   newAgentObserver(machine, d.log),
-		Sender:     server.NewSender(s.Source),
-		CallWorker: d.callWorker,
-		Logger:     d.log,
+		Machine:  machine,
+		Observer: newAgentObserver(machine, d.log),
+		Sender:   server.NewSender(s.Source),
+		Worker:   d.callWorker,
+		Logger:   d.log,
 	})
 	handlers := server.NewHandlers(loop, machine.Trace)
 	router := handlers.Router()
--- a/cmd/coppercourse/platform.go
+++ b/cmd/coppercourse/platform.go
@@ -47,7 +47,7 @@
 	d := newDaemon(role, s.Daemon)
 	d.adapt = func(handlers *server.Handlers) platformAdapter { return newPlatformAdapter(s, handlers) }
 	if s.Role == membership.RoleAgent {
-		d.callWorker = platform.NewWorkerClient().Call
+		d.callWorker = platform.NewWorkerClient()
 	}
 	platform.WatchFile(ctx, d.log, path, s, nil)
 	return d.run(ctx, s.DaemonRole())
@@ -80,7 +80,7 @@
 	case membership.RoleGateway:
 		clients := platform.NewGatewayHandler(handlers.Loop)
 		return platformAdapter{clients: clients, endpoints: []server.Endpoint{
-			{Addr: s.FrontAddr, Handler: clients, Limits: clients.Limits, MaxConns: s.Daemon.MaxConns},
+			{Addr: s.FrontAddr, Handler: clients, Limits: clients, MaxConns: s.Daemon.MaxConns},
 			{Addr: s.ReadinessAddr, Handler: platform.ReadinessHandler(handlers.IsReady), MaxConns: maxPeerConnections},
 		}}
 	case membership.RoleController:
--- a/internal/server/batch_queue.go
+++ b/internal/server/batch_queue.go
@@ -13,7 +13,7 @@
 }
 
 // batchQueue holds the batches that are not on disk yet, in order of their numbers. It is
-// safe for use by several goroutines.
+// safe for concurrent use: the event loop pushes, the disk writer takes.
 type batchQueue struct {
 	mu      sync.Mutex
 	batches []recordBatch
--- a/internal/server/disk_backoff.go
+++ b/internal/server/disk_backoff.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Delays between two attempts at a disk that refuses.
+// Delays between two attempts at a failing disk.
 const (
 	minRetryDelay = 20 * time.Millisecond
 	maxRetryDelay = time.Second
--- a/internal/server/disk_writer.go
+++ b/internal/server/disk_writer.go
@@ -18,18 +18,20 @@
 	Close() error
 }
 
-// diskListener hears from the disk writer, on its goroutine.
+// diskListener is notified by the disk writer's goroutine.
 type diskListener interface {
-	// batchSynced says that all batches up to a number are on disk.
+	// batchSynced is called when all batches up to a number are on disk.
 	batchSynced(number uint64)
-	// diskFailed says that a batch could not be written. It is called once, at the first of
+	// diskFailed is called when a batch could not be written, but only for the first of
 	// several failures in a row.
 	diskFailed(err error)
 }
 
-// diskWriter writes and syncs the machine's batches. A disk that refuses does not end it:
-// what could not be written stays queued and is tried again, with a growing delay, until
-// it succeeds. So no batch is reported as synced that is not, and none is skipped.
+// diskWriter writes and syncs the machine's batches. A failing disk does not end it: a
+// batch that could not be written stays queued and is retried with exponential backoff. So
+// no batch is reported as synced that is not, and none is skipped.
+//
+// The event loop's goroutine queues the batches. The goroutine of run owns the log.
 type diskWriter struct {
 	log      recordLog
 	listener diskListener
@@ -37,9 +39,9 @@
 	queue    batchQueue
 	wake     chan struct{} // has an element once a batch was queued
 
-	// Only the writer's goroutine uses these.
+	// Owned by the goroutine of run.
 	backoff         diskBackoff
-	failureReported bool // the listener knows of the present failures
+	failureReported bool // the listener was notified of the current failures
 }
 
 func newDiskWriter(log recordLog, listener diskListener, logger logr.Logger) *diskWriter {
@@ -55,8 +57,8 @@
 	}
 }
 
-// run writes batches until ctx ends; all that wait are synced as one. A disk that refuses
-// is no reason for it to end.
+// run writes batches until ctx ends, all that are queued with one sync. An idle log is sealed
+// when the timer fires; after a failure the timer starts the next attempt.
 func (w *diskWriter) run(ctx context.Context) error {
 	timer := time.NewTimer(wal.SealAfterIdle)
 	defer timer.Stop()
@@ -83,8 +85,8 @@
 	}
 }
 
-// failed counts a failure and reports it: to the listener once, as soon as a batch waits,
-// and to the operator whenever the delay has grown.
+// failed counts a failure and reports it: to the listener once, as soon as a batch is queued,
+// and in the log whenever the delay has grown.
 func (w *diskWriter) failed(err error) {
 	w.backoff.failures++
 	if !w.failureReported && len(w.queue.pending()) > 0 {
@@ -106,7 +108,7 @@
 	w.failureReported = false
 }
 
-// flush writes what waits, or seals the log when nothing does.
+// flush writes the queued batches, or seals the log if there are none.
 func (w *diskWriter) flush() error {
 	batches := w.queue.pending()
 	if len(batches) == 0 {
@@ -119,7 +121,7 @@
 	return nil
 }
 
-// acknowledge forgets the batches that are on disk and reports them.
+// acknowledge removes the batches up to a number, which are on disk, and reports them.
 func (w *diskWriter) acknowledge(number uint64) {
 	w.queue.discardThrough(number)
 	w.listener.batchSynced(number)
--- a/internal/server/event_loop.go
+++ b/internal/server/event_loop.go
@@ -13,14 +13,14 @@
 	"coppercourse/internal/workqueue"
 )
 
-// How often the status is published.
+// Intervals between two publications of the status.
 const (
 	statusInterval     = 200 * time.Millisecond
-	statusIntervalBusy = time.Second // while events wait
+	statusIntervalBusy = time.Second // while events are queued
 )
 
-// Observer publishes what other goroutines read of a machine. The loop's goroutine calls
-// all its methods but Ready.
+// Observer publishes what other goroutines may read of a machine. All its methods but Ready
+// are called by the loop's goroutine only, so they may read the machine.
 type Observer interface {
 	// AfterStep is called after each step of the machine.
 	AfterStep()
@@ -33,38 +33,51 @@
 
 // Config is what an event loop works with.
 type Config struct {
-	Machine    wire.Machine
-	Observer   Observer
-	Sender     *Sender
-	Log        *wal.File    // nil for a machine that writes no records
-	CallWorker WorkerCaller // nil for a machine that calls no worker
-	Logger     logr.Logger
+	Machine  wire.Machine
+	Observer Observer
+	Sender   *Sender
+	Log      *wal.File    // nil for a machine that writes no records
+	Worker   WorkerCaller // nil for a machine that calls no worker
+	Logger   logr.Logger
 }
 
-// EventLoop runs one machine. Its goroutine, Run, is the only one that steps it.
+// EventLoop runs one state machine.
+//
+// The goroutine that runs Run owns the machine, the observer, the pacer, the pending
+// requests and the time of the last publication: no other goroutine uses them while it
+// runs. Everything else reaches the machine as an event in the queue. Other goroutines are
+//
+//   - HTTP handlers, which call Ask, Deliver and StatusJSON;
+//   - the disk writer, which reports the batches that are on disk;
+//   - one goroutine for each call to the worker, which reports the reply;
+//   - the shutdown, which calls BeginShutdown and Drained.
+//
+// They share with the loop only what is safe for concurrent use: the event queue, the
+// response channel of each request, the closed channel stopped and the atomic values.
 type EventLoop struct {
-	machine  wire.Machine
-	observer Observer
-	queue    *eventQueue
-	pacer    workqueue.TickPacer
-	pending  pendingRequests
+	queue *eventQueue
 
-	// Where the effects of a step go.
+	// Owned by the loop's goroutine.
+	machine     wire.Machine
+	observer    Observer
+	pacer       workqueue.TickPacer
+	pending     pendingRequests
+	publishedAt time.Time // when the status was last published
+
+	// Where the effects of a step go. Each has goroutines of its own.
 	sender *Sender
 	disk   *diskWriter // nil without a log
 	calls  *workerCalls
 
-	// What other goroutines read.
-	stopped      chan struct{} // closed once Run has returned: the machine sees nothing any more
+	// Read by other goroutines.
+	stopped      chan struct{} // closed once Run has returned: the machine takes no more events
 	statusJSON   atomic.Pointer[json.RawMessage]
 	drained      atomic.Bool
-	rejectedBusy atomic.Uint64 // requests rejected because the loop was behind
-
-	publishedAt time.Time // when the status was last published
+	rejectedBusy atomic.Uint64 // requests rejected because the loop was overloaded
 }
 
-// NewEventLoop returns a loop that is not running yet. Messages and requests may come in
-// before it does.
+// NewEventLoop returns a loop that is not running yet. Messages and requests may be queued
+// before it runs.
 func NewEventLoop(config Config) *EventLoop {
 	el := &EventLoop{
 		machine:  config.Machine,
@@ -74,48 +87,15 @@
 		sender:   config.Sender,
 		stopped:  make(chan struct{}),
 	}
-	el.calls = newWorkerCalls(config.CallWorker, el.workerReplied)
+	el.calls = newWorkerCalls(config.Worker, el)
 	if config.Log != nil {
 		el.disk = newDiskWriter(config.Log, el, config.Logger)
 	}
 	return el
 }
 
-// Deliver gives the machine a message. It returns false if there is no room for its kind.
-func (el *EventLoop) Deliver(message wire.Message) bool {
-	return el.queue.push(queuedEvent{Event: wire.Event{Message: &message}})
-}
-
-// BeginShutdown notifies the machine that the daemon is about to stop.
-func (el *EventLoop) BeginShutdown() { el.enqueue(wire.Event{Shutdown: true}) }
-
-// Drained reports whether the machine is shutting down and has nothing left to do.
-func (el *EventLoop) Drained() bool { return el.drained.Load() }
-
-// StatusJSON returns the status that was last published.
-func (el *EventLoop) StatusJSON() json.RawMessage {
-	if status := el.statusJSON.Load(); status != nil {
-		return *status
-	}
-	return json.RawMessage("{}")
-}
-
-// workerReplied is called with the reply to each call to a worker.
-func (el *EventLoop) workerReplied(reply wire.WorkerReply) {
-	el.enqueue(wire.Event{WorkerReply: &reply})
-}
-
-// batchSynced is called once a batch is on disk.
-func (el *EventLoop) batchSynced(number uint64) { el.enqueue(wire.Event{Synced: number}) }
-
-// diskFailed is called when the disk starts to refuse batches.
-func (el *EventLoop) diskFailed(err error) { el.enqueue(wire.Event{DiskError: err}) }
-
-// enqueue adds an event that must not be lost.
-func (el *EventLoop) enqueue(e wire.Event) { el.queue.force(queuedEvent{Event: e}) }
-
 // Run steps the machine until ctx ends: with a tick when one is due, else with the most
-// urgent event that waits.
+// urgent event in the queue. It is called once.
 func (el *EventLoop) Run(ctx context.Context) error {
 	defer close(el.stopped)
 	ticker := time.NewTicker(workqueue.TickInterval)
@@ -140,15 +120,15 @@
 	return nil
 }
 
-// Close ends the goroutines that the loop has started and waits for them. It is called
-// after Run has returned.
+// Close ends the goroutines of the calls to the worker and of the sender, and waits for
+// them. It is called after Run has returned.
 func (el *EventLoop) Close() {
 	el.calls.stop()
 	el.sender.Close()
 }
 
-// tick steps the machine with a tick, and rejects the requests that have waited
-// too long to be of use.
+// tick rejects the requests that have waited in the queue too long to be of use, and steps
+// the machine with a tick.
 func (el *EventLoop) tick() {
 	el.pacer.NoteTick(MonotonicNow())
 	requests, forwards := el.queue.expire()
@@ -167,13 +147,22 @@
 	}
 }
 
-// step steps the machine and carries out the effects.
+// step steps the machine with one event, carries out the effects and publishes what other
+// goroutines read.
 func (el *EventLoop) step(e queuedEvent) {
 	e.Now = Now()
 	if e.Request != nil {
 		el.pending.add(e.Request, e.responses)
 	}
 	effects := el.machine.Step(e.Event)
+	el.carryOut(effects)
+	el.drained.Store(effects.Drained)
+	el.observer.AfterStep()
+	el.publishStatus(e.Load.MoreWaiting)
+}
+
+// carryOut hands the effects of a step to those that carry them out. It never blocks.
+func (el *EventLoop) carryOut(effects wire.Effects) {
 	for _, message := range effects.Messages {
 		el.sender.Send(message)
 	}
@@ -191,12 +180,9 @@
 	for _, response := range effects.Responses {
 		el.pending.respond(response)
 	}
-	el.drained.Store(effects.Drained)
-	el.observer.AfterStep()
-	el.publishStatus(e.Load.MoreWaiting)
 }
 
-// publishStatus encodes the status for HTTP handlers, less often while events wait.
+// publishStatus encodes the status for HTTP handlers, less often while events are queued.
 func (el *EventLoop) publishStatus(busy bool) {
 	interval := statusInterval
 	if busy {
--- a/internal/server/event_queue.go
+++ b/internal/server/event_queue.go
@@ -5,26 +5,25 @@
 	"sync/atomic"
 	"time"
 
-	"coppercourse/internal/apierror"
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 	"coppercourse/internal/workqueue"
 )
 
-// queuedEvent is an event that waits for the machine. Exactly one side decides what
-// becomes of a request: the loop, which takes it, or the caller, who gives up.
+// queuedEvent is an event in the queue. A request is claimed by exactly one of two sides:
+// by the loop, which gives it to the machine or rejects it, or by its caller, which gives up.
 type queuedEvent struct {
 	wire.Event
-	responses chan wire.Response // of a request: where its response goes; has room for one
-	claimed   *atomic.Bool       // of a request: whether one side has decided
+	responses chan wire.Response // of a request: receives its response; has room for one
+	claimed   *atomic.Bool       // of a request: whether one side has claimed it
 }
 
-// claim reports whether the caller of this method is the side that decides. It is true at
-// most once for a request, and always for other events.
+// claim claims the event and reports whether that succeeded: once for a request, always for
+// other events.
 func (e queuedEvent) claim() bool { return e.claimed == nil || e.claimed.CompareAndSwap(false, true) }
 
 // eventQueue holds the events that wait for the machine, by class. Any goroutine may add
-// events; only the event loop takes them.
+// events; only the event loop's goroutine takes them out.
 type eventQueue struct {
 	mu             sync.Mutex
 	queue          workqueue.Queue[queuedEvent]
@@ -121,10 +120,3 @@
 	defer q.mu.Unlock()
 	return q.queue.Rejected, q.expiredReports
 }
-
-// overloadError is the error of a request that the machine has not seen, with a Retry-After
-// in which what is ahead of it is likely to be done.
-func overloadError(delay time.Duration) *apierror.Error {
-	const reason = "this daemon is behind with its work; the request was not taken"
-	return apierror.New(apierror.TooBusy, "", reason).WithRetryAfter(2 * delay)
-}
--- a/internal/server/handlers.go
+++ b/internal/server/handlers.go
@@ -79,8 +79,8 @@
 	return !h.shutdown.draining.Load() && h.Loop.observer.Ready()
 }
 
-// handleMessages takes the messages of a peer. Each is queued if its class has room: one
-// that is not takes none from those after it.
+// handleMessages queues the messages of a peer. A message whose class is full is dropped;
+// those after it are queued all the same.
 func (h *Handlers) handleMessages(w http.ResponseWriter, r *http.Request) {
 	body, ok := ReadBodyOrReject(w, r, wal.MaxRecordSize)
 	if !ok {
--- a/internal/server/open_log.go
+++ b/internal/server/open_log.go
@@ -16,11 +16,11 @@
 	"coppercourse/internal/wire"
 )
 
-// OpenLog opens the log of a data folder and returns it with its records. It waits for a
-// disk that refuses: a daemon without its log does not know which votes it has given, so
-// it may neither vote nor lead, but to end would mend nothing. While it waits, the daemon
-// answers at listen that it is live, not ready, and why; an empty listen address leaves
-// that out. The only error is that of ctx.
+// OpenLog opens the log of a data folder and returns it with its records. While the disk
+// fails, it retries: a daemon without its log does not know which votes it has cast, so it
+// may neither vote nor lead, and a restart would not repair the disk. Meanwhile the daemon
+// answers at listen that it is live, not ready, and why; with an empty listen address it
+// does not. The only error is that of ctx.
 func OpenLog(
 	ctx context.Context,
 	logger logr.Logger,
@@ -60,7 +60,7 @@
 	serving sync.WaitGroup
 }
 
-// show sets the reason why the daemon waits, and starts the server at the first one.
+// show sets the reason why the daemon waits. The first call starts the server.
 func (s *diskWaitServer) show(ctx context.Context, logger logr.Logger, addr string, reason error) {
 	s.handler.setReason(reason.Error())
 	if s.server != nil || addr == "" {
--- a/internal/server/peer_queue.go
+++ b/internal/server/peer_queue.go
@@ -6,7 +6,7 @@
 	"coppercourse/internal/wire"
 )
 
-// Bounds of what waits for one peer, and of what goes out with one request.
+// Limits of the messages queued for one peer, and of those in one request.
 const (
 	maxQueuedMessages     = 1024
 	maxQueuedBytes        = 2 << 20
@@ -14,9 +14,9 @@
 	maxRequestBytes       = 256 << 10
 )
 
-// peerQueue holds the messages that wait for one peer, by class and oldest first. More
-// urgent ones leave first. A full queue drops the oldest of the least urgent: newer ones
-// say the same or more. It is safe for use by several goroutines.
+// peerQueue holds the messages for one peer by class, oldest first. More urgent ones are
+// sent first. A full queue drops the oldest message of the least urgent class, which newer
+// ones make obsolete. It is safe for concurrent use.
 type peerQueue struct {
 	mu      sync.Mutex
 	byClass [wire.NumClasses][]wire.Message
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -11,61 +11,52 @@
 	"coppercourse/internal/workqueue"
 )
 
-// pendingRequests are the requests that the machine has seen and not answered yet, by
-// token. Only the event loop's goroutine uses them.
-type pendingRequests struct {
-	lastToken uint64
-	responses map[uint64]chan<- wire.Response
-}
-
-func newPendingRequests() pendingRequests {
-	return pendingRequests{responses: map[uint64]chan<- wire.Response{}}
-}
-
-// add gives a request its token.
-func (p *pendingRequests) add(request *wire.Request, responses chan<- wire.Response) {
-	p.lastToken++
-	request.Token = p.lastToken
-	p.responses[p.lastToken] = responses
+// Ask has the machine answer a request and waits for the response until ctx ends. Any
+// goroutine may call it.
+//
+// A request that submits work is rejected at once while the loop is overloaded. The
+// response's error says that the request was not accepted only if the machine never took
+// it. Where the machine may have taken it, the error's kind is OutcomeUnknown.
+func (el *EventLoop) Ask(ctx context.Context, verb wire.Verb, arg string, body json.RawMessage) wire.Response {
+	if el.hasStopped() {
+		err := apierror.New(apierror.ShuttingDown, "", "this daemon is stopping")
+		return errorResponse(err.WithRetryAfter(time.Second))
+	}
+	delay := el.queue.callerDelay()
+	if wire.SubmitsWork(verb) && delay > workqueue.MaxSubmitDelay {
+		return el.rejectBusy(max(delay, time.Second))
+	}
+	e := newRequestEvent(ctx, verb, arg, body)
+	if !el.queue.push(e) {
+		return el.rejectBusy(max(delay, time.Second))
+	}
+	return el.await(ctx, e)
 }
 
-// respond passes a response on to whoever waits for it. A second response under the same
-// token is dropped.
-func (p *pendingRequests) respond(response wire.Response) {
-	if responses := p.responses[response.Token]; responses != nil {
-		responses <- response
-		delete(p.responses, response.Token)
+// hasStopped reports whether Run has returned.
+func (el *EventLoop) hasStopped() bool {
+	select {
+	case <-el.stopped:
+		return true
+	default:
+		return false
 	}
 }
 
-// Ask has the machine answer a request and waits for its response until ctx ends. A
-// request that brings new work is rejected at once while the loop is behind with requests.
-// An error says that the request was not taken only if the machine has surely not seen it;
-// otherwise its kind is OutcomeUnknown.
-func (el *EventLoop) Ask(ctx context.Context, verb wire.Verb, arg string, body json.RawMessage) wire.Response {
+// newRequestEvent returns the event of a request whose caller waits until ctx ends.
+func newRequestEvent(ctx context.Context, verb wire.Verb, arg string, body json.RawMessage) queuedEvent {
 	request := &wire.Request{Verb: verb, Arg: arg, Body: body}
 	if deadline, ok := ctx.Deadline(); ok {
 		request.Timeout = max(1, time.Until(deadline))
 	}
-	select {
-	case <-el.stopped:
-		err := apierror.New(apierror.ShuttingDown, "", "this daemon is stopping")
-		return errorResponse(err.WithRetryAfter(time.Second))
-	default:
-	}
-	e := queuedEvent{
+	return queuedEvent{
 		Event:     wire.Event{Request: request},
 		responses: make(chan wire.Response, 1),
 		claimed:   &atomic.Bool{},
 	}
-	delay := el.queue.callerDelay()
-	if wire.SubmitsWork(verb) && delay > workqueue.MaxSubmitDelay || !el.queue.push(e) {
-		return el.rejectBusy(max(delay, time.Second))
-	}
-	return el.await(ctx, e)
 }
 
-// await waits for the response to a request that is queued.
+// await waits for the response to a request in the queue.
 func (el *EventLoop) await(ctx context.Context, e queuedEvent) wire.Response {
 	select {
 	case response := <-e.responses:
@@ -73,20 +64,15 @@
 	case <-el.stopped:
 		return finalResponse(e.responses)
 	case <-ctx.Done():
-		if e.claim() { // the machine has not seen it, and never will
+		if e.claim() { // the machine has not taken the request and never will
 			return el.rejectBusy(workqueue.MaxRequestWait)
 		}
 		return errorResponse(apierror.New(apierror.OutcomeUnknown, "", "no answer within the time there was"))
 	}
 }
 
-// rejectBusy counts and rejects a request that the loop did not get to.
-func (el *EventLoop) rejectBusy(delay time.Duration) wire.Response {
-	el.rejectedBusy.Add(1)
-	return errorResponse(overloadError(delay))
-}
-
-// finalResponse is the response to a request that was in flight when the loop ended.
+// finalResponse returns the response to a request that was queued or in flight when the loop
+// ended.
 func finalResponse(responses <-chan wire.Response) wire.Response {
 	select {
 	case response := <-responses:
@@ -96,4 +82,17 @@
 	}
 }
 
+// rejectBusy counts and rejects a request that the machine has not taken.
+func (el *EventLoop) rejectBusy(delay time.Duration) wire.Response {
+	el.rejectedBusy.Add(1)
+	return errorResponse(overloadError(delay))
+}
+
+// overloadError is the error of a request that the machine has not taken. Its Retry-After
+// is a time within which the requests ahead of it are likely to be answered.
+func overloadError(delay time.Duration) *apierror.Error {
+	const reason = "this daemon is behind with its work; the request was not taken"
+	return apierror.New(apierror.TooBusy, "", reason).WithRetryAfter(2 * delay)
+}
+
 func errorResponse(err *apierror.Error) wire.Response { return wire.Response{Error: err} }
--- a/internal/server/responses.go
+++ b/internal/server/responses.go
@@ -36,8 +36,8 @@
 	writeJSON(w, response.StatusCode, response.Body)
 }
 
-// ReadBody reads a request's body. It refuses one that is larger than maxBytes, or whose
-// client broke off.
+// ReadBody reads a request's body. A body that is larger than maxBytes, or that was cut
+// short, is an error.
 func ReadBody(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, *apierror.Error) {
 	var buffer bytes.Buffer
 	if r.ContentLength > 0 {
--- a/internal/server/sender.go
+++ b/internal/server/sender.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"fmt"
 	"io"
 	"net/http"
 	"sync"
@@ -29,8 +30,8 @@
 const messagesPath = "/mate"
 
 // Sender sends messages to other daemons. Each peer has a queue, a goroutine and a
-// connection of its own, and the messages that wait for it share a request. A message
-// that does not get through is dropped, since the machines repeat whatever matters.
+// connection of its own; the messages queued for it share a request. A message that can't
+// be delivered is dropped, since the machines repeat whatever matters.
 type Sender struct {
 	Sent    atomic.Uint64 // messages that a peer has taken
 	Failed  atomic.Uint64 // requests without a response
@@ -41,7 +42,8 @@
 	queues map[types.Addr]*peerQueue
 	closed bool
 
-	// The context bounds the goroutines of all peers, not one operation, so it is a field.
+	// The context is a field because it ends the goroutines of all peers at once. Each
+	// request has its own one, derived from it.
 	ctx     context.Context
 	cancel  context.CancelFunc
 	running sync.WaitGroup
@@ -69,8 +71,8 @@
 	s.Dropped.Add(uint64(queue.put(message.Message)))
 }
 
-// queueOf returns the queue of a peer and starts it if need be. It returns nil if there
-// are too many.
+// queueOf returns the queue of a peer. It starts the peer's goroutine with the first
+// message, and returns nil if there are too many peers or the sender is closed.
 func (s *Sender) queueOf(to types.Addr) *peerQueue {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +85,7 @@
 	return queue
 }
 
-// sendQueued sends what waits for a peer until the sender is closed.
+// sendQueued sends the queued messages of a peer until the sender is closed.
 func (s *Sender) sendQueued(to types.Addr, queue *peerQueue) {
 	for {
 		select {
@@ -106,8 +108,8 @@
 	s.Sent.Add(uint64(len(group)))
 }
 
-// post makes one request. Any response counts as success: what the peer makes of the
-// messages is up to its machine.
+// post makes one request. Any response counts as success, since only the peer's machine
+// decides what becomes of the messages.
 func (s *Sender) post(to types.Addr, body []byte) error {
 	timeout := requestTimeout + time.Duration(len(body)/minBytesPerMS)*time.Millisecond
 	ctx, cancel := context.WithTimeout(s.ctx, timeout)
@@ -115,19 +117,20 @@
 	url := "http://" + string(to) + messagesPath
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return err
+		return fmt.Errorf("make a request to %s: %w", to, err)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := s.client.Do(request)
 	if err != nil {
-		return err
+		return fmt.Errorf("send messages to %s: %w", to, err)
 	}
 	defer response.Body.Close()
 	io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscardedBytes))
 	return nil
 }
 
-// Close gives up what is queued or under way and waits for the goroutines of all peers.
+// Close drops the queued messages, cancels the requests in flight and waits for the
+// goroutines of all peers.
 func (s *Sender) Close() {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/server/serve.go
+++ b/internal/server/serve.go
@@ -9,10 +9,11 @@
 	"coppercourse/internal/supervisor"
 )
 
-// Serve runs a daemon on its endpoints until ctx ends. It then shuts the daemon down: it is
-// not ready any more and hands its duties over, all that was read is answered, and only
-// then are the listeners closed. The error is that of an endpoint that can't be listened
-// on, or of a part of the daemon that failed for good.
+// Serve runs a daemon on its endpoints until ctx ends. Then it shuts the daemon down
+// gracefully: the daemon is not ready any more and transfers its leadership, all requests
+// that were read are answered, and only then are the listeners closed. The error is that of
+// an endpoint whose address can't be listened on, or of a part of the daemon that failed
+// for good.
 func Serve(ctx context.Context, logger logr.Logger, h *Handlers, timing ShutdownTiming, endpoints ...Endpoint) error {
 	var servers []*endpointServer
 	for _, endpoint := range endpoints {
@@ -27,7 +28,7 @@
 }
 
 // serve runs a daemon on endpoints that are listened on already. When it returns, all
-// goroutines of the daemon have ended, but for HTTP handlers that outlast the shutdown.
+// goroutines of the daemon have ended, except HTTP handlers that outlast the shutdown.
 func serve(
 	ctx context.Context,
 	logger logr.Logger,
@@ -35,7 +36,7 @@
 	timing ShutdownTiming,
 	servers []*endpointServer,
 ) error {
-	// The parts of the daemon outlive ctx, until the shutdown is over.
+	// The parts of the daemon run on after ctx has ended, until the shutdown is complete.
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	waitAndShutDown := func(running context.Context) error {
@@ -50,17 +51,21 @@
 		}
 		return nil
 	}
-	parts := []supervisor.Child{
-		{Name: "event loop", Vital: true, Run: h.Loop.Run},
-		{Name: "shutdown", Run: waitAndShutDown},
-	}
+	parts := append(daemonParts(h.Loop, servers), supervisor.Child{Name: "shutdown", Run: waitAndShutDown})
+	err := supervisor.Run(running, logger, supervisor.Branch(logger, "daemon", parts...))
+	h.Loop.Close()
+	return err
+}
+
+// daemonParts returns what the supervisor runs of a daemon, besides its shutdown. Each part
+// is vital: its state is lost with its goroutine.
+func daemonParts(loop *EventLoop, servers []*endpointServer) []supervisor.Child {
+	parts := []supervisor.Child{{Name: "event loop", Vital: true, Run: loop.Run}}
 	for _, server := range servers {
 		parts = append(parts, supervisor.Child{Name: "http " + server.endpoint.Addr, Vital: true, Run: server.run})
 	}
-	if disk := h.Loop.disk; disk != nil {
-		parts = append(parts, supervisor.Child{Name: "disk writer", Vital: true, Run: disk.run})
+	if loop.disk != nil {
+		parts = append(parts, supervisor.Child{Name: "disk writer", Vital: true, Run: loop.disk.run})
 	}
-	err := supervisor.Run(running, logger, supervisor.Branch(logger, "daemon", parts...))
-	h.Loop.Close()
-	return err
+	return parts
 }
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -66,16 +66,20 @@
 	}
 }
 
+// changingLimits are limits that the test replaces while the daemon runs.
+type changingLimits struct{ atomic.Pointer[config.Limits] }
+
+func (l *changingLimits) Limits() config.Limits { return *l.Load() }
+
 // Each endpoint has its own handler, and its limits change without a restart: they hold
 // for connections made from then on, the earlier ones for those made before.
 func TestEachEndpointServesItsOwnHandler(t *testing.T) {
 	is := is.New(t)
 	inner, front := freeAddr(t), freeAddr(t)
 	handlers := NewHandlers(newTestLoop(t, Config{Machine: &echoMachine{}}), nil)
-	var limits atomic.Pointer[config.Limits]
+	var limits changingLimits
 	const testMillis = int(testTimeout / time.Millisecond)
 	limits.Store(&config.Limits{HeaderBytes: 1000, IdleTimeoutMillis: 100, HeaderTimeoutMillis: testMillis})
-	latestLimits := func() config.Limits { return *limits.Load() }
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	ended := make(chan error)
@@ -83,7 +87,7 @@
 		timing := NewShutdownTiming(800*time.Millisecond, 200*time.Millisecond)
 		ended <- Serve(ctx, logr.Discard(), handlers, timing,
 			Endpoint{Addr: inner, Handler: textHandler("inner")},
-			Endpoint{Addr: front, Handler: textHandler("front"), Limits: latestLimits})
+			Endpoint{Addr: front, Handler: textHandler("front"), Limits: &limits})
 	}()
 	is.Equal(getWhenServed(t, inner, "", ended), "200 inner")
 	is.Equal(getWhenServed(t, front, "", ended), "200 front")
@@ -111,16 +115,16 @@
 }
 
 // pipeListener is a listener whose connections are pipes in memory.
-type pipeListener struct{ *connFeed }
+type pipeListener struct{ *connectionFeed }
 
-func newPipeListener() pipeListener { return pipeListener{newConnFeed(nil)} }
+func newPipeListener() pipeListener { return pipeListener{newConnectionFeed(nil)} }
 
 func (p pipeListener) dial(context.Context, string, string) (net.Conn, error) {
 	client, server := net.Pipe()
 	select {
-	case p.conns <- server:
+	case p.connections <- server:
 		return client, nil
-	case <-p.done:
+	case <-p.closed:
 		return nil, net.ErrClosed
 	}
 }
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -11,21 +11,22 @@
 	"coppercourse/internal/apierror"
 )
 
-// shutdownPollInterval is how often a shutdown looks whether all is done.
+// shutdownPollInterval is how often a shutdown checks whether it is complete.
 const shutdownPollInterval = 10 * time.Millisecond
 
-// ShutdownTiming bounds a graceful shutdown. The daemon goes on as before for NotReadyFor,
-// so that all callers have seen that it is not ready, then rejects new requests, and has
-// ended after Timeout.
+// ShutdownTiming bounds a graceful shutdown. For NotReadyFor the daemon still accepts
+// requests, until all callers have seen that it is not ready. Then it rejects new requests.
+// It has stopped after Timeout at the latest.
 type ShutdownTiming struct{ NotReadyFor, Timeout time.Duration }
 
-// NewShutdownTiming returns the timing of a shutdown that must have ended grace after its
-// begin, if callers take notice to see that a daemon is not ready.
+// NewShutdownTiming returns the timing of a shutdown with the grace period grace, where
+// callers need the time notice to see that a daemon is not ready.
 func NewShutdownTiming(grace, notice time.Duration) ShutdownTiming {
 	return ShutdownTiming{NotReadyFor: min(notice, grace/2), Timeout: grace * 3 / 4}
 }
 
-// shutdownState is how far a graceful shutdown is, as HTTP handlers see it.
+// shutdownState is how far a graceful shutdown is. The goroutine of shutDown sets the two
+// flags, HTTP handlers read them.
 type shutdownState struct {
 	draining  atomic.Bool  // not ready; clients are asked to close their connections
 	rejecting atomic.Bool  // new requests are rejected
@@ -33,8 +34,8 @@
 }
 
 // TrackInFlight returns a handler that counts the requests in flight, so that a shutdown
-// can wait for them, and that rejects new ones at its end. Messages of peers pass until
-// the very end: the machine hands its duties over with them.
+// can wait for them, and that rejects new ones once the daemon is about to stop. Messages of
+// peers are accepted until the end: the machine needs them to transfer its leadership.
 func (h *Handlers) TrackInFlight(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.shutdown.inFlight.Add(1)
@@ -51,7 +52,7 @@
 	})
 }
 
-// shutDown declares the daemon not ready, has the machine hand its duties over, and
+// shutDown declares the daemon not ready, has the machine transfer its leadership, and
 // returns once all requests are answered, at the latest after the timeout.
 func (h *Handlers) shutDown(ctx context.Context, logger logr.Logger, timing ShutdownTiming) {
 	logger.Info("shutting down: reporting not ready, transferring leadership",
--- a/internal/server/worker_calls_test.go
+++ b/internal/server/worker_calls_test.go
@@ -11,6 +11,18 @@
 	"coppercourse/internal/wire"
 )
 
+// callerFunc is a WorkerCaller that is one function.
+type callerFunc func(context.Context, wire.WorkerCall) wire.WorkerReply
+
+func (f callerFunc) Call(ctx context.Context, call wire.WorkerCall) wire.WorkerReply {
+	return f(ctx, call)
+}
+
+// replyChannel is a replyListener that sends each reply to a channel.
+type replyChannel chan wire.WorkerReply
+
+func (c replyChannel) workerReplied(reply wire.WorkerReply) { c <- reply }
+
 // Calls that find no free slot in time are never made; long polls need no slot.
 func TestWorkerRepliesBecomeEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -25,7 +37,7 @@
 			})
 		}
 		var calls gauge
-		callWorker := func(_ context.Context, call wire.WorkerCall) wire.WorkerReply {
+		worker := callerFunc(func(_ context.Context, call wire.WorkerCall) wire.WorkerReply {
 			if call.Kind == wire.RenewLease {
 				return wire.WorkerReply{Result: wire.ResultAccepted}
 			}
@@ -33,8 +45,8 @@
 			defer calls.leave()
 			time.Sleep(600 * time.Millisecond) // longer than the others can wait
 			return wire.WorkerReply{Result: wire.ResultNoReply}
-		}
-		runInBackground(t, newTestLoop(t, Config{Machine: machine, CallWorker: callWorker}))
+		})
+		runInBackground(t, newTestLoop(t, Config{Machine: machine, Worker: worker}))
 		for range pairs {
 			is.Equal((<-machine.replies).Number%2, uint64(0)) // long polls do not wait for the rest
 		}
@@ -54,12 +66,12 @@
 func TestStoppedCallsHaveEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		replies := make(chan wire.WorkerReply, 1)
-		untilCancelled := func(ctx context.Context, _ wire.WorkerCall) wire.WorkerReply {
+		replies := make(replyChannel, 1)
+		untilCancelled := callerFunc(func(ctx context.Context, _ wire.WorkerCall) wire.WorkerReply {
 			<-ctx.Done()
 			return wire.WorkerReply{Result: wire.ResultNoReply}
-		}
-		calls := newWorkerCalls(untilCancelled, func(reply wire.WorkerReply) { replies <- reply })
+		})
+		calls := newWorkerCalls(untilCancelled, replies)
 		calls.start(wire.WorkerCall{Number: 3, Kind: wire.StartAttempt, Timeout: time.Hour})
 		synctest.Wait()
 		startedAt := time.Now()
