--- /dev/null
+++ b/cmd/coppercourse/controller_daemon.go
@@ -0,0 +1,131 @@
+package main
+
+import (
+	"context"
+	"sync/atomic"
+
+	"github.com/go-logr/logr"
+
+	"coppercourse/internal/controller"
+	"coppercourse/internal/server"
+	"coppercourse/internal/types"
+	"coppercourse/internal/wal"
+)
+
+// runController runs a controller on its write-ahead log.
+func (d *daemon) runController(ctx context.Context) error {
+	s := d.settings
+	file, records, err := server.OpenLog(ctx, d.log, wal.OSStorage{}, s.Data, s.Listen)
+	if err != nil {
+		return nil // stopped while it waited for its disk
+	}
+	machine := controller.New(server.Now(), randomSource(), controller.Options{
+		Addr:             s.AdvertisedAddr(),
+		Zone:             s.ZoneName(),
+		Seeds:            s.SeedAddrs(),
+		Build:            version,
+		Bootstrap:        s.Bootstrap(),
+		LossTolerance:    s.MaxLosses,
+		RaftTimeouts:     s.Timeouts.Raft(),
+		DispatchTimeouts: s.Timeouts.Dispatch(),
+	}, records)
+	loop := server.NewEventLoop(server.Config{
+		Machine:  machine,
+		Observer: newControllerObserver(machine, d.log),
+		Sender:   server.NewSender(s.Source),
+		Log:      file,
+		Logger:   d.log,
+	})
+	handlers := server.NewHandlers(loop, machine.Trace)
+	return d.serve(ctx, handlers, handlers.Router(), d.platformEndpoints(handlers, nil))
+}
+
+// controllerObserver publishes whether a controller is ready, and logs its state.
+type controllerObserver struct {
+	machine *controller.Controller
+	states  stateLogger[controllerState]
+	ready   atomic.Bool
+}
+
+func newControllerObserver(machine *controller.Controller, log logr.Logger) *controllerObserver {
+	return &controllerObserver{machine: machine, states: stateLogger[controllerState]{log: log}}
+}
+
+// AfterStep implements server.Observer.
+func (co *controllerObserver) AfterStep() { co.ready.Store(co.machine.Ready()) }
+
+// Ready implements server.Observer.
+func (co *controllerObserver) Ready() bool { return co.ready.Load() }
+
+// Status implements server.Observer.
+func (co *controllerObserver) Status() any {
+	status := co.machine.Status()
+	co.states.update(newControllerState(status))
+	return status
+}
+
+// controllerState is what is logged of a controller.
+type controllerState struct {
+	raftRole    string
+	term        types.Term
+	leader      types.Addr
+	reason      string // why it waits, or why it may not vote or lead
+	initialWait bool   // as a new leader: nothing is placed yet
+	members     int
+	voters      int
+	overloaded  bool
+	yielded     uint64 // times that it transferred its leadership because of overload
+}
+
+func newControllerState(v controller.StatusView) controllerState {
+	return controllerState{
+		raftRole:    v.RaftRole,
+		term:        v.Term,
+		leader:      v.Leader,
+		reason:      v.Reason,
+		initialWait: v.InitialWait != "",
+		members:     len(v.Members),
+		voters:      v.Members.Voters(),
+		overloaded:  v.Overloaded,
+		yielded:     v.Counters.OverloadTransfers,
+	}
+}
+
+// raftRoleMessages are the messages of a controller that takes a role, by the role's
+// name in its status.
+var raftRoleMessages = map[string]string{
+	"empty":     "waiting for bootstrap",
+	"learner":   "became learner",
+	"follower":  "became follower",
+	"candidate": "became candidate",
+	"leader":    "became leader",
+	"out":       "removed from cluster",
+}
+
+func (c controllerState) changeMessage(previous controllerState) string {
+	switch {
+	case c.raftRole != previous.raftRole && raftRoleMessages[c.raftRole] != "":
+		return raftRoleMessages[c.raftRole]
+	case c.leader != previous.leader && c.leader == "":
+		return "lost contact with leader"
+	case c.leader != previous.leader:
+		return "following new leader"
+	case c.members != previous.members || c.voters != previous.voters:
+		return "membership changed"
+	case c.overloaded && !previous.overloaded:
+		return "overloaded"
+	case !c.overloaded && previous.overloaded:
+		return "no longer overloaded"
+	case !c.initialWait && previous.initialWait:
+		return "started placing tasks"
+	}
+	return "controller state changed"
+}
+
+func (c controllerState) pairs() []any {
+	return []any{
+		"raft_role", c.raftRole, "term", c.term, "leader", c.leader, "reason", c.reason,
+		"initial_wait", c.initialWait, "members", c.members, "voters", c.voters,
+		"overloaded", c.overloaded, "overload_transfers", c.yielded,
+	}
+}
--- /dev/null
+++ b/cmd/coppercourse/drain_commands.go
@@ -0,0 +1,58 @@
+package main
+
+import (
+	"encoding/json"
+	"net/http"
+	"time"
+
+	"github.com/alecthomas/kingpin/v2"
+
+	"coppercourse/internal/config"
+)
+
+// drainTarget is a kind of target that can be drained: workers or racks.
+type drainTarget struct {
+	kind string // in the command line
+	path string // of the drains of this kind; the target's name follows
+}
+
+var drainTargets = []drainTarget{
+	{"worker", "/v1/drains/workers/"},
+	{"rack", "/v1/drains/racks/"},
+}
+
+// addDrains adds the commands that start and end drains.
+func addDrains(app *kingpin.Application, client *gatewayClient, commands commandSet) {
+	drain := app.Command("drain", "Start no more tasks on a worker or on a rack.")
+	undrain := app.Command("undrain", "Let tasks start on a worker or on a rack again.")
+	for _, target := range drainTargets {
+		addDrain(drain, target, client, commands)
+		addUndrain(undrain, target, client, commands)
+	}
+}
+
+func addDrain(group *kingpin.CmdClause, target drainTarget, client *gatewayClient, commands commandSet) {
+	command := group.Command(target.kind, "Start no more tasks on a "+target.kind+", until undrain.")
+	name := command.Arg("name", "Name of the "+target.kind+".").Required().String()
+	within := command.Flag("within", "Stop attempts that run for longer, to retry them elsewhere; 0s lets them end.").
+		PlaceHolder("DURATION").Default("0s").Duration()
+	commands["drain "+target.kind] = func() error { return startDrain(client, target.path+*name, *within) }
+}
+
+func addUndrain(group *kingpin.CmdClause, target drainTarget, client *gatewayClient, commands commandSet) {
+	command := group.Command(target.kind, "Let tasks start on a "+target.kind+" again.")
+	name := command.Arg("name", "Name of the "+target.kind+".").Required().String()
+	commands["undrain "+target.kind] = func() error {
+		return client.print(http.MethodDelete, target.path+*name, nil)
+	}
+}
+
+// startDrain starts the drain at a path. Attempts that still run after within are stopped;
+// with 0 they run to their end.
+func startDrain(client *gatewayClient, path string, within time.Duration) error {
+	body, err := json.Marshal(config.Drain{WithinMillis: int(within.Milliseconds())})
+	if err != nil {
+		return err
+	}
+	return client.print(http.MethodPut, path, body)
+}
--- a/cmd/coppercourse/gateway_client.go
+++ b/cmd/coppercourse/gateway_client.go
@@ -8,8 +8,6 @@
 	"net/http"
 	"time"
 
-	"github.com/alecthomas/kingpin/v2"
-
 	"coppercourse/internal/apierror"
 )
 
@@ -18,36 +16,6 @@
 	maxResponseBytes = 64 << 20
 )
 
-// addClient adds the commands that ask a gateway. Each prints the response, or its errors
-// one a line with a non-zero exit code.
-func addClient(app *kingpin.Application, commands commandSet) {
-	client := &gatewayClient{http: &http.Client{Timeout: requestTimeout}}
-	app.Flag("gateway", "Gateway to ask, for the commands that ask one. Default 127.0.0.1:7410.").
-		PlaceHolder("IP:PORT").Default("127.0.0.1:7410").Envar("COPPERCOURSE_GATEWAY").StringVar(&client.gateway)
-	addTable(app, client, commands)
-	addJobs(app, client, commands)
-	addViews(app, client, commands)
-	addDrains(app, client, commands)
-	addCalendars(app, client, commands)
-	addGone(app, client, commands)
-	addTrace(app, client, commands)
-}
-
-// addViews adds the commands that print one page of a gateway.
-func addViews(app *kingpin.Application, client *gatewayClient, commands commandSet) {
-	for _, view := range []struct{ name, help, path string }{
-		{"queues", "List the queues with their jobs and tasks.", "/v1/queues"},
-		{"workers", "List the workers with their health and capacity, as the leader sees them.", "/v1/workers"},
-		{"peers", "List the daemons of the cluster, as the gateway sees them.", "/v1/mates"},
-		{"status", "Print the leader's status: term, members, table edition, counters.", "/v1/leader"},
-		{"drains", "List the drained workers and racks, and what still runs there.", "/v1/drains"},
-		{"calendars", "List the maintenance calendars and their next windows.", "/v1/calendars"},
-	} {
-		app.Command(view.name, view.help)
-		commands[view.name] = func() error { return client.print(http.MethodGet, view.path, nil) }
-	}
-}
-
 // gatewayClient asks the gateway that the command line names, and other daemons.
 type gatewayClient struct {
 	gateway string // IP:port; set when the command line has been parsed
--- /dev/null
+++ b/cmd/coppercourse/gone_command.go
@@ -0,0 +1,16 @@
+package main
+
+import (
+	"net/http"
+
+	"github.com/alecthomas/kingpin/v2"
+)
+
+// addGone adds the command that declares a worker gone for good.
+func addGone(app *kingpin.Application, client *gatewayClient, commands commandSet) {
+	gone := app.Command("gone", "Declare a lost worker gone for good: its tasks are retried elsewhere at once.")
+	worker := gone.Arg("worker", "Name of the worker.").Required().String()
+	commands["gone"] = func() error {
+		return client.print(http.MethodPost, "/v1/workers/"+*worker+"/gone", nil)
+	}
+}
--- a/cmd/coppercourse/job_commands.go
+++ b/cmd/coppercourse/job_commands.go
@@ -10,19 +10,10 @@
 	"coppercourse/internal/state"
 )
 
+// addJobs adds the commands that work on one job.
 func addJobs(app *kingpin.Application, client *gatewayClient, commands commandSet) {
 	job := app.Command("job", "Submit, show or cancel a job.")
-
-	send := job.Command("send", "Submit a job. Submitting the same id and file again changes nothing.")
-	sendID := send.Arg("id", "Id of the job, chosen by the caller.").Required().String()
-	sendFile := send.Arg("file", "Job file (JSON).").Required().String()
-	commands["job send"] = func() error {
-		body, err := readJob(*sendFile)
-		if err != nil {
-			return err
-		}
-		return client.print(http.MethodPut, "/v1/jobs/"+*sendID, body)
-	}
+	addJobSend(job, client, commands)
 
 	show := job.Command("show", "Print a job's state and tasks.")
 	showID := show.Arg("id", "Id of the job.").Required().String()
@@ -35,7 +26,20 @@
 	}
 }
 
-// readJob reads and checks a job.
+func addJobSend(group *kingpin.CmdClause, client *gatewayClient, commands commandSet) {
+	command := group.Command("send", "Submit a job. Submitting the same id and file again changes nothing.")
+	id := command.Arg("id", "Id of the job, chosen by the caller.").Required().String()
+	file := command.Arg("file", "Job file (JSON).").Required().String()
+	commands["job send"] = func() error {
+		body, err := readJob(*file)
+		if err != nil {
+			return err
+		}
+		return client.print(http.MethodPut, "/v1/jobs/"+*id, body)
+	}
+}
+
+// readJob reads and checks a job file.
 func readJob(path string) ([]byte, error) {
 	document, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/coppercourse/main.go
+++ b/cmd/coppercourse/main.go
@@ -1,9 +1,12 @@
 // Coppercourse is a cluster scheduler for jobs, as one program: each role of a daemon is
 // a command, and so is each request of an operator to a gateway.
 //
-// main.go parses the command line. daemon.go, daemon_flags.go and platform.go start
-// daemons, state_log.go writes the log lines of their life. gateway_client.go asks a
-// gateway for the commands in the other files.
+// Each file NAME_command.go adds a command and holds what it runs, NAME_commands.go a group
+// of them. The commands of operators ask a gateway through gateway_client.go. Those of the
+// roles build a daemon: daemon.go has what all roles share, and controller_daemon.go,
+// gateway_daemon.go and agent_daemon.go wire the machine of one role to package server, with
+// the observer that publishes and logs its state. platform_daemon.go adds what a daemon has
+// on the users' platform.
 package main
 
 import (
--- a/cmd/coppercourse/oncall_test.go
+++ b/cmd/coppercourse/oncall_test.go
@@ -101,7 +101,7 @@
 }
 
 // logMessages returns the messages of all log calls outside of tests. A message that is
-// not written at the call comes from a method changeMessage (state_log.go).
+// not written at the call comes from a method changeMessage (see stateLogger).
 func logMessages(t *testing.T) map[string]bool {
 	t.Helper()
 	messages := map[string]bool{}
--- /dev/null
+++ b/cmd/coppercourse/platform_command.go
@@ -0,0 +1,54 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os/signal"
+	"runtime/debug"
+	"strings"
+	"syscall"
+
+	"github.com/alecthomas/kingpin/v2"
+
+	"coppercourse/internal/membership"
+	"coppercourse/platform"
+)
+
+// addPlatform adds the commands that run or check a daemon on the users' platform.
+func addPlatform(app *kingpin.Application, commands commandSet) {
+	command := app.Command("platform", "Run a daemon from the settings file of the platform, or check such a file.")
+	for _, role := range platform.Roles {
+		command.Command(string(role), roleHelp[role]+" $"+platform.SettingsFileVariable+" names its settings file.")
+		commands["platform "+string(role)] = func() error { return runOnPlatform(role) }
+	}
+	check := command.Command("check", "Check a settings file of the platform and print what the daemon would do.")
+	file := check.Arg("file", "Settings file (YAML).").Required().String()
+	commands["platform check"] = func() error { return checkPlatformSettings(*file) }
+}
+
+// checkPlatformSettings prints what a daemon with the settings file would do.
+func checkPlatformSettings(path string) error {
+	s, err := platform.LoadFile("", path)
+	if err != nil {
+		return err
+	}
+	fmt.Println(strings.Join(s.Describe(), "\n"))
+	return nil
+}
+
+// runOnPlatform runs a daemon from the settings file that the platform names.
+func runOnPlatform(role membership.Role) error {
+	signal.Ignore(syscall.SIGHUP) // until the file is watched
+	s, path, err := platform.LoadFromEnvironment(role)
+	if err != nil {
+		return err
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	debug.SetGCPercent(gcPercent(s.DaemonRole()))
+	debug.SetMemoryLimit(s.MemoryLimit)
+	d := newDaemon(role, s.Daemon)
+	d.platform = &s
+	platform.WatchFile(ctx, d.log, path, s, nil)
+	return d.run(ctx, s.DaemonRole())
+}
--- a/cmd/coppercourse/table_commands.go
+++ b/cmd/coppercourse/table_commands.go
@@ -13,30 +13,37 @@
 	"coppercourse/internal/types"
 )
 
-// fileBase, as a base version, leaves a table the one that its file names.
+// fileBase is the base version that stands for the one in the table's file.
 const fileBase = -1
 
+// addTable adds the commands that work on the queue table.
 func addTable(app *kingpin.Application, client *gatewayClient, commands commandSet) {
 	table := app.Command("table", "Print, replace or check the table of queues.")
 	table.Command("get", "Print the table in force.")
 	commands["table get"] = func() error { return client.print(http.MethodGet, "/v1/table", nil) }
+	addTablePut(table, client, commands)
+	addTableCheck(table, commands)
+}
 
-	put := table.Command("put", "Replace the whole table. The edition in the file must be the one in force.")
-	putFile := put.Arg("file", "Table file (JSON).").Required().String()
-	base := put.Flag("base", "Edition that must be in force, instead of the file's.").
+func addTablePut(group *kingpin.CmdClause, client *gatewayClient, commands commandSet) {
+	command := group.Command("put", "Replace the whole table. The edition in the file must be the one in force.")
+	file := command.Arg("file", "Table file (JSON).").Required().String()
+	base := command.Flag("base", "Edition that must be in force, instead of the file's.").
 		PlaceHolder("EDITION").Default("-1").Int64()
 	commands["table put"] = func() error {
-		body, err := readTable(*putFile, *base)
+		body, err := readTable(*file, *base)
 		if err != nil {
 			return err
 		}
 		return client.print(http.MethodPut, "/v1/table", body)
 	}
+}
 
-	check := table.Command("check", "Check a table file. Needs no cluster.")
-	checkFile := check.Arg("file", "Table file (JSON).").Required().String()
+func addTableCheck(group *kingpin.CmdClause, commands commandSet) {
+	command := group.Command("check", "Check a table file. Needs no cluster.")
+	file := command.Arg("file", "Table file (JSON).").Required().String()
 	commands["table check"] = func() error {
-		if _, err := readTable(*checkFile, fileBase); err != nil {
+		if _, err := readTable(*file, fileBase); err != nil {
 			return err
 		}
 		fmt.Println("the table is valid")
@@ -44,7 +51,8 @@
 	}
 }
 
-// readTable reads and checks a table; a base of 0 or more replaces its own.
+// readTable reads and checks a table file. A base of 0 or more replaces the base version of
+// the file.
 func readTable(path string, base int64) ([]byte, error) {
 	document, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/coppercourse/trace_command.go
+++ b/cmd/coppercourse/trace_command.go
@@ -17,31 +17,39 @@
 	"coppercourse/internal/types"
 )
 
+// addTrace adds the command that prints the trace points of a job or table.
 func addTrace(app *kingpin.Application, client *gatewayClient, commands commandSet) {
 	command := app.Command("trace", "Print what happened to a job or a table, on all daemons, in order of time.")
 	kind := command.Arg("kind", "job or table.").Required().Enum("job", "table")
 	name := command.Arg("name", "Id of the job, or edition of the table.").Required().String()
 	commands["trace"] = func() error {
-		subject := trace.JobSubject(types.JobID(*name))
-		if *kind == "table" {
-			version, err := strconv.ParseUint(*name, 10, 64)
-			if err != nil {
-				return fmt.Errorf("a table's edition is a whole number, got %q", *name)
-			}
-			subject = trace.TableSubject(types.Version(version))
+		subject, err := traceSubject(*kind, *name)
+		if err != nil {
+			return err
 		}
 		return client.printTrace(subject)
 	}
 }
 
+// traceSubject returns the subject of the trace points of a job or of a table's version.
+func traceSubject(kind, name string) (string, error) {
+	if kind != "table" {
+		return trace.JobSubject(types.JobID(name)), nil
+	}
+	version, err := strconv.ParseUint(name, 10, 64)
+	if err != nil {
+		return "", fmt.Errorf("a table's edition is a whole number, got %q", name)
+	}
+	return trace.TableSubject(types.Version(version)), nil
+}
+
 // tracePoint is a trace point and the daemon that recorded it.
 type tracePoint struct {
 	trace.Point
 	daemon string
 }
 
-// printTrace prints a subject's trace points of all daemons that the gateway knows of, by
-// the daemons' wall clocks and with the time since the first.
+// printTrace prints a subject's trace points on all daemons that the gateway knows.
 func (c *gatewayClient) printTrace(subject string) error {
 	peers, err := c.fetchPeers()
 	if err != nil {
@@ -54,13 +62,19 @@
 	if len(points) == 0 {
 		return fmt.Errorf("no daemon has a trace point of %s", subject)
 	}
+	printByTime(points)
+	return nil
+}
+
+// printByTime prints trace points in the order of the daemons' wall clocks, each with the
+// time since the first.
+func printByTime(points []tracePoint) {
 	slices.SortStableFunc(points, func(a, b tracePoint) int { return cmp.Compare(a.At, b.At) })
 	first := points[0].At
 	for _, p := range points {
 		sinceFirst := float64(p.At-first) / float64(time.Millisecond)
 		fmt.Printf("%10.3f ms  %-26s %s\n", sinceFirst, p.daemon, p.Description)
 	}
-	return nil
 }
 
 // fetchPeers returns the daemons that the gateway knows of, and the gateway itself.
@@ -79,7 +93,7 @@
 
 // fetchTrace returns a daemon's trace points of a subject. A daemon that does not answer
 // is reported and left out.
-func (c *gatewayClient) fetchTrace(peer membership.Peer, subject string) (points []tracePoint) {
+func (c *gatewayClient) fetchTrace(peer membership.Peer, subject string) []tracePoint {
 	daemon := fmt.Sprintf("%s %s", peer.Role, peer.Addr)
 	path := "/v1/trace?subject=" + url.QueryEscape(subject)
 	body, err := c.fetch(string(peer.Addr), http.MethodGet, path, nil)
@@ -88,6 +102,7 @@
 		fmt.Printf("%-26s no response, last heard from %d ms ago\n", daemon, peer.AgeMS)
 		return nil
 	}
+	var points []tracePoint
 	for _, point := range list {
 		points = append(points, tracePoint{point, daemon})
 	}
