--- a/cmd/coppersim/capacity_command.go
+++ b/cmd/coppersim/capacity_command.go
@@ -98,9 +98,10 @@
 	return points, late, save(path, func(f *os.File) error { return capacity.WriteCSV(f, points) })
 }
 
-// measure runs the fleets one after the other, small ones first.
+// measure runs the fleets one after the other, small ones first. The error late joins those
+// of the fleets that could not be measured.
 func (c *capacityRun) measure() (points []capacity.Point, late error) {
-	end := time.Now().Add(c.budget)
+	deadline := time.Now().Add(c.budget)
 	for _, mode := range []struct {
 		sizes string
 		busy  bool
@@ -109,22 +110,30 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, n := range sizes {
-			p := c.plan
-			p.Daemons, p.Busy, p.Limit = n, mode.busy, max(time.Millisecond, time.Until(end))
-			m, err := sim.Measure(p)
-			if err != nil {
-				late = errors.Join(late, fmt.Errorf("%d daemons, traffic %v: %w", n, mode.busy, err))
-				continue
-			}
-			points = append(points, capacity.Points(m)...)
-			fmt.Printf("%d daemons, traffic %v: %d tasks ran at the window's end, took %s\n", n, mode.busy,
-				m.RunningTasks, m.RealTime.Round(time.Millisecond))
+		for _, daemons := range sizes {
+			measured, err := c.measureFleet(daemons, mode.busy, deadline)
+			late = errors.Join(late, err)
+			points = append(points, measured...)
 		}
 	}
 	return points, late
 }
 
+// measureFleet runs one fleet until the deadline at the latest.
+func (c *capacityRun) measureFleet(daemons int, busy bool, deadline time.Time) ([]capacity.Point, error) {
+	plan := c.plan
+	plan.Daemons = daemons
+	plan.Busy = busy
+	plan.Limit = max(time.Millisecond, time.Until(deadline))
+	measurement, err := sim.Measure(plan)
+	if err != nil {
+		return nil, fmt.Errorf("%d daemons, traffic %v: %w", daemons, busy, err)
+	}
+	fmt.Printf("%d daemons, traffic %v: %d tasks ran at the window's end, took %s\n", daemons, busy,
+		measurement.RunningTasks, measurement.RealTime.Round(time.Millisecond))
+	return capacity.Points(measurement), nil
+}
+
 // parseSizes reads numbers of daemons, by comma.
 func parseSizes(list string) (sizes []int, err error) {
 	for _, word := range strings.Split(list, ",") {
