--- a/cmd/coppercourse/docs_test.go
+++ b/internal/repotest/docs_test.go
@@ -1,4 +1,4 @@
-package main
+package repotest
 
 import (
 	"fmt"
--- a/cmd/coppercourse/glossary_test.go
+++ b/internal/repotest/glossary_test.go
@@ -1,12 +1,10 @@
-package main
+package repotest
 
 import (
 	"fmt"
 	"go/ast"
 	"go/parser"
 	"go/token"
-	"os"
-	"path/filepath"
 	"reflect"
 	"regexp"
 	"slices"
@@ -58,11 +56,7 @@
 		alreadyTagged := func(name encodedName) bool { return tagged[name.withoutScope()] }
 		add(file.folder, slices.DeleteFunc(readerKeys(file), alreadyTagged))
 	}
-	page, err := os.ReadFile(filepath.Join(repositoryRoot, "docs/glossary.md"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	got := glossaryRows(string(page))
+	got := glossaryRows(readPage(t, "glossary.md"))
 	for _, line := range differences(want, got) {
 		t.Error(line)
 	}
@@ -307,12 +301,8 @@
 // both ways: each path with the verb under which its request reaches a machine.
 func TestGlossaryListsEveryPath(t *testing.T) {
 	want := routes(t)
-	page, err := os.ReadFile(filepath.Join(repositoryRoot, "docs/glossary.md"))
-	if err != nil {
-		t.Fatal(err)
-	}
 	got := map[string]bool{}
-	for line := range strings.Lines(string(page)) {
+	for line := range strings.Lines(readPage(t, "glossary.md")) {
 		if row := pathRow.FindStringSubmatch(strings.TrimSpace(line)); row != nil {
 			got[strings.ReplaceAll(row[1], `\|`, "|")+" "+row[2]] = true
 		}
--- a/cmd/coppercourse/oncall_test.go
+++ b/internal/repotest/oncall_test.go
@@ -1,4 +1,4 @@
-package main
+package repotest
 
 import (
 	"encoding/json"
@@ -16,10 +16,7 @@
 // every message of the log, every metric and every field of a status page stands in the
 // first column of its table, and nothing else does.
 func TestOnCallPageIsComplete(t *testing.T) {
-	page, err := os.ReadFile(filepath.Join(repositoryRoot, "docs/oncall.md"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	page := readPage(t, "oncall.md")
 	for _, test := range []struct {
 		heading string
 		want    map[string]bool
@@ -39,7 +36,7 @@
 		{"Queues", statusFields(t, "internal/controller", "view-queue.json")},
 	} {
 		t.Run(test.heading, func(t *testing.T) {
-			for _, problem := range tableDifferences(string(page), test.heading, test.want) {
+			for _, problem := range tableDifferences(page, test.heading, test.want) {
 				t.Error(problem)
 			}
 		})
--- a/cmd/coppercourse/source_test.go
+++ b/internal/repotest/source_test.go
@@ -1,10 +1,16 @@
-package main
+// Package repotest holds tests of the repository as a whole: which packages import which
+// (layers_test.go), and that the documents name what the code has. docs_test.go checks names,
+// files and command lines on all pages, glossary_test.go the encoded names and paths,
+// oncall_test.go the log messages, metrics and status fields. source_test.go parses the code
+// for all of them.
+package repotest
 
 import (
 	"go/ast"
 	"go/parser"
 	"go/token"
 	"io/fs"
+	"os"
 	"path/filepath"
 	"strconv"
 	"strings"
@@ -12,6 +18,9 @@
 	"testing"
 )
 
+// module is the import path of the repository's root.
+const module = "coppercourse"
+
 // repositoryRoot is the repository's root as seen from this package.
 const repositoryRoot = "../.."
 
@@ -22,12 +31,25 @@
 	syntax *ast.File
 }
 
+// isTest reports whether the file is part of a package's tests.
 func (f sourceFile) isTest() bool { return strings.HasSuffix(f.name, "_test.go") }
 
-// packageName is how the documents name the file's package: by its folder's last part,
-// so that the two programs are told apart.
+// packageName is how the documents name the file's package: by the last part of its folder,
+// which distinguishes the two programs.
 func (f sourceFile) packageName() string { return filepath.Base(f.folder) }
 
+// imports returns the folders of the repository's packages that the file imports.
+func (f sourceFile) imports() []string {
+	var folders []string
+	for _, spec := range f.syntax.Imports {
+		path, _ := stringLiteral(spec.Path)
+		if folder, ok := strings.CutPrefix(path, module+"/"); ok {
+			folders = append(folders, folder)
+		}
+	}
+	return folders
+}
+
 var parseRepository = sync.OnceValues(func() ([]sourceFile, error) {
 	var files []sourceFile
 	err := filepath.WalkDir(repositoryRoot, func(path string, d fs.DirEntry, err error) error {
@@ -61,6 +83,16 @@
 	return files
 }
 
+// readPage returns a page of docs.
+func readPage(t *testing.T, name string) string {
+	t.Helper()
+	page, err := os.ReadFile(filepath.Join(repositoryRoot, "docs", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(page)
+}
+
 // receiverName returns the name of a method's receiver type, or "" for a function.
 func receiverName(f *ast.FuncDecl) string {
 	if f.Recv == nil || len(f.Recv.List) == 0 {
