--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -11,8 +11,8 @@
 	"coppercourse/internal/types"
 )
 
-// value makes a Field that reads a value of one JSON type into to. The decode function
-// returns the value, or the reason why it is refused, or an error if the document is
+// value returns a Field that reads a value of one JSON type into to. The decode function
+// returns the value, or the reason why the value is invalid, or an error if the document is
 // malformed there.
 func value[T any](r *Reader, to *T, want jx.Type, decode func() (T, string, error)) Field {
 	return func(path string) {
@@ -73,7 +73,7 @@
 	})
 }
 
-// Text reads a string. The check returns why a text is refused, or nothing.
+// Text reads a string. The check returns why a text is invalid, or an empty string.
 func Text[T ~string](r *Reader, to *T, check func(string) string) Field {
 	return value(r, to, jx.String, func() (T, string, error) {
 		text, err := r.decoder.Str()
@@ -114,8 +114,8 @@
 // maxNameLength is the greatest length of a name, in characters.
 const maxNameLength = 64
 
-// CheckName accepts the names that queues, jobs, steps, kinds and racks may have. As
-// all checks of Text, it returns the reason of a refusal, or nothing.
+// CheckName accepts the names that queues, jobs, steps, kinds and racks may have. Like all
+// checks of Text, it returns why a text is invalid, or an empty string.
 func CheckName(text string) string {
 	if text == "" || len(text) > maxNameLength {
 		return fmt.Sprintf("want 1 to %d characters", maxNameLength)
@@ -140,5 +140,5 @@
 	}
 }
 
-// acceptAny accepts every text.
-func acceptAny(string) string { return "" }
+// AnyText is a check of Text that accepts every text.
+func AnyText(string) string { return "" }
--- a/internal/config/operator_requests.go
+++ b/internal/config/operator_requests.go
@@ -33,7 +33,7 @@
 	r.ReadDocument(map[string]Field{
 		"worker": Text(r, &calendar.Shard, CheckName),
 		"rack":   Text(r, &calendar.Rack, CheckName),
-		"ics":    Text(r, &calendar.ICS, acceptAny),
+		"ics":    Text(r, &calendar.ICS, AnyText),
 	})
 	if len(errs.List()) == 0 {
 		errs.Check((calendar.Shard == "") != (calendar.Rack == ""), "worker", "want either a worker or a rack")
--- a/internal/config/table_check.go
+++ b/internal/config/table_check.go
@@ -10,30 +10,59 @@
 // maxTotalSharePercent bounds the shares of all queues together.
 const maxTotalSharePercent = 100
 
-// route is what a request is routed by.
-type route struct{ host, pathPrefix string }
-
 // Check adds the errors of a table as a whole: a version that is not above the base,
 // repeated names and routes, unknown services, shares over 100%.
 func (t Table) Check(errs *apierror.ErrorList) {
 	errs.Check(t.RequestedVersion == 0 || t.RequestedVersion > t.Version,
 		"becomes", "must be above the edition it is based on")
+	checker := queueChecker{
+		table:  t,
+		errs:   errs,
+		names:  map[types.QueueName]bool{},
+		routes: map[route]bool{},
+	}
 	shares := 0
-	names, routes := map[types.QueueName]bool{}, map[route]bool{}
 	for i, queue := range t.Queues {
-		path := fmt.Sprintf("queues[%d]", i)
-		errs.Check(!names[queue.Name], path+".name", "two rows for "+string(queue.Name))
-		names[queue.Name] = true
+		checker.check(queue, fmt.Sprintf("queues[%d]", i))
 		shares += queue.SharePercent
-		if queue.PathPrefix != "" {
-			route := route{queue.Host, queue.PathPrefix}
-			errs.Check(!routes[route], path+".prefix", "two rows take "+queue.Host+queue.PathPrefix)
-			routes[route] = true
-		}
-		if queue.Service != "" && len(t.Services) > 0 {
-			_, ok := t.FindService(queue.Service)
-			errs.Check(ok, path+".service", "no service is called "+string(queue.Service))
-		}
 	}
 	errs.Check(shares <= maxTotalSharePercent, "queues", "the shares add up to more than 100")
 }
+
+// queueChecker checks the queues of a table, each against those before it.
+type queueChecker struct {
+	table  Table
+	errs   *apierror.ErrorList
+	names  map[types.QueueName]bool // of the queues so far
+	routes map[route]bool           // of the queues so far
+}
+
+// route is the part of a request that determines its queue.
+type route struct{ host, pathPrefix string }
+
+func (c *queueChecker) check(queue Queue, path string) {
+	c.errs.Check(!c.names[queue.Name], path+".name", "two rows for "+string(queue.Name))
+	c.names[queue.Name] = true
+	c.checkRoute(queue, path)
+	c.checkService(queue, path)
+}
+
+// checkRoute checks that no other queue has the same route. A queue may have none.
+func (c *queueChecker) checkRoute(queue Queue, path string) {
+	if queue.PathPrefix == "" {
+		return
+	}
+	route := route{queue.Host, queue.PathPrefix}
+	c.errs.Check(!c.routes[route], path+".prefix", "two rows take "+queue.Host+queue.PathPrefix)
+	c.routes[route] = true
+}
+
+// checkService checks that the table has the queue's service. A table without services
+// allows any.
+func (c *queueChecker) checkService(queue Queue, path string) {
+	if queue.Service == "" || len(c.table.Services) == 0 {
+		return
+	}
+	_, found := c.table.FindService(queue.Service)
+	c.errs.Check(found, path+".service", "no service is called "+string(queue.Service))
+}
--- a/internal/config/table_decode.go
+++ b/internal/config/table_decode.go
@@ -4,16 +4,19 @@
 	"coppercourse/internal/apierror"
 )
 
-// Bounds of a table's document.
+// MaxExactInteger is the largest integer of a document: JSON readers that keep numbers as
+// floating point represent all integers up to it exactly.
+const MaxExactInteger = 1 << 53
+
+// Limits of a table's document.
 const (
-	maxQueues       = 1000
-	maxServices     = 200
-	maxSourceBytes  = 1 << 20
-	maxExactInteger = 1 << 53 // the largest whole number that every JSON reader keeps exactly
-	maxPrefixBytes  = 256
-	maxConnections  = 65535
-	maxHeaderBytes  = 1 << 20
-	maxBodyBytes    = 4 << 20
+	maxQueues      = 1000
+	maxServices    = 200
+	maxSourceBytes = 1 << 20
+	maxPrefixBytes = 256
+	maxConnections = 65535
+	maxHeaderBytes = 1 << 20
+	maxBodyBytes   = 4 << 20
 
 	secondMillis = 1000
 	minuteMillis = 60 * secondMillis
@@ -31,9 +34,9 @@
 	r.ReadDocument(map[string]Field{
 		"edition": func(path string) {
 			hasBase = true
-			Int(r, &table.Version, 0, maxExactInteger)(path)
+			Int(r, &table.Version, 0, MaxExactInteger)(path)
 		},
-		"becomes":   Int(r, &table.RequestedVersion, 0, maxExactInteger),
+		"becomes":   Int(r, &table.RequestedVersion, 0, MaxExactInteger),
 		"tasks":     Int(r, &table.MaxTasks, 1000, 1_000_000),
 		"megabytes": Int(r, &table.MaxMegabytes, 8, 512),
 		"orphans":   Text(r, &table.Orphans, checkOrphanPolicy),
@@ -82,7 +85,7 @@
 		"stall_times":     Int(r, &queue.StragglerFactor, 0, 1000),
 		"displaces":       Bool(r, &queue.CanPreempt),
 		"displaced":       Int(r, &queue.MaxPreemptions, 0, 100),
-		"host":            Text(r, &queue.Host, acceptAny),
+		"host":            Text(r, &queue.Host, AnyText),
 		"prefix":          Text(r, &queue.PathPrefix, Optional(checkPathPrefix)),
 		"service":         Text(r, &queue.Service, Optional(CheckName)),
 		"priority":        Int(r, &queue.Priority, 0, 9),
@@ -101,7 +104,7 @@
 	r.Object(path, map[string]Field{
 		"name":        Text(r, &service.Name, CheckName),
 		"guards":      Bool(r, &service.EnforcesResources),
-		"health":      Text(r, &service.HealthPath, acceptAny),
+		"health":      Text(r, &service.HealthPath, AnyText),
 		"connections": Int(r, &service.MaxConnections, 0, maxConnections),
 	})
 	return service
--- a/internal/goldentest/fill.go
+++ b/internal/goldentest/fill.go
@@ -10,17 +10,17 @@
 // elements is how many elements a filled slice or map has.
 const elements = 2
 
-// Fill returns a value of a type whose every field is distinct and not zero. What it
-// puts into a field follows from the order of the fields alone and never from a name,
-// so that renamed fields hold the same. A value among the fixed ones stands wherever
-// its type occurs: for types that keep rules or have no field to be set from outside.
+// Fill returns a value whose fields are all distinct and not zero. The value of a field
+// depends only on the order of the fields and never on a name, so that a renamed field gets
+// the same one. Wherever the type of a fixed value occurs, that value is used: for types
+// with invariants or without exported fields.
 func Fill[T any](fixed ...any) T {
 	return fillWith[T](filler{}, fixed)
 }
 
-// fillTurns is Fill with every second flag false, so that flags are told apart.
-func fillTurns[T any](fixed []any) T {
-	return fillWith[T](filler{turns: true}, fixed)
+// fillAlternating is Fill with every second boolean false, so that booleans are told apart.
+func fillAlternating[T any](fixed []any) T {
+	return fillWith[T](filler{alternate: true}, fixed)
 }
 
 func fillWith[T any](f filler, fixed []any) (value T) {
@@ -32,17 +32,17 @@
 	return value
 }
 
-// filler counts up through one value.
+// filler fills one value, counting up.
 type filler struct {
-	next  int
-	flags int  // how many flags there were
-	turns bool // every second flag is false
-	fixed map[reflect.Type]reflect.Value
+	next      int  // the number that the next plain value is made of
+	booleans  int  // how many booleans were filled
+	alternate bool // every second boolean is false
+	fixed     map[reflect.Type]reflect.Value
 }
 
 var rawType = reflect.TypeFor[json.RawMessage]()
 
-// fill sets a value and all that is in it.
+// fill sets a value and everything that it contains.
 func (f *filler) fill(v reflect.Value) {
 	if x, ok := f.fixed[v.Type()]; ok {
 		v.Set(x)
@@ -91,15 +91,15 @@
 	}
 }
 
-// fillPlain sets a value that has no parts.
+// fillPlain sets a value of a basic type.
 func (f *filler) fillPlain(v reflect.Value) {
 	f.next++
 	switch {
 	case v.Kind() == reflect.String:
 		v.SetString(fmt.Sprintf("s%d", f.next))
 	case v.Kind() == reflect.Bool:
-		f.flags++
-		v.SetBool(!f.turns || f.flags%2 == 0)
+		f.booleans++
+		v.SetBool(!f.alternate || f.booleans%2 == 0)
 	case v.CanInt():
 		v.SetInt(int64(f.next))
 	case v.CanUint():
@@ -111,12 +111,12 @@
 	}
 }
 
-// carried tells whether a field is one that an encoding carries.
+// carried reports whether an encoding includes a field.
 func carried(field reflect.StructField) bool {
 	return (field.IsExported() || field.Anonymous) && field.Tag.Get("json") != "-"
 }
 
-// AllSet fails the test for each field of a value that is zero, and for each empty list.
+// AllSet fails the test for each field of a value that is zero and each list that is empty.
 func AllSet(t *testing.T, value any) {
 	t.Helper()
 	allSet(t, reflect.TypeOf(value).String(), reflect.ValueOf(value))
--- a/internal/goldentest/golden.go
+++ b/internal/goldentest/golden.go
@@ -61,6 +61,7 @@
 	}
 }
 
+// differsAt returns the index of the first byte that differs.
 func differsAt(a, b []byte) int {
 	n := 0
 	for n < len(a) && n < len(b) && a[n] == b[n] {
@@ -69,7 +70,7 @@
 	return n
 }
 
-// lineAt is the line that a byte is in.
+// lineAt returns the line that a byte is in.
 func lineAt(b []byte, at int) []byte {
 	start := bytes.LastIndexByte(b[:at], '\n') + 1
 	line, _, _ := bytes.Cut(b[start:], []byte("\n"))
@@ -92,12 +93,12 @@
 }
 
 // WriteOnlyJSON checks how a type is written as JSON that no daemon reads back: a
-// filled value in the file's first line, one with every second flag false in its
+// filled value in the file's first line, one with every second boolean false in its
 // second, and a zero one in its third.
 func WriteOnlyJSON[T any](t *testing.T, name string, fixed ...any) {
 	t.Helper()
 	var zero T
-	File(t, name, lines(marshal(t, filled[T](t, fixed)), marshal(t, fillTurns[T](fixed)), marshal(t, zero)))
+	File(t, name, lines(marshal(t, filled[T](t, fixed)), marshal(t, fillAlternating[T](fixed)), marshal(t, zero)))
 }
 
 func marshal(t *testing.T, value any) []byte {
@@ -136,13 +137,13 @@
 const from = types.Addr("10.0.0.1:7001")
 
 // Codec checks an encoding both ways. The golden file's first line is a filled value,
-// its second the same with every second flag false, and its third a zero one, which
+// its second the same with every second boolean false, and its third a zero one, which
 // shows the fields that are left out when empty. All lines are read and written again;
 // the first gives every field its value.
 func Codec[T any](t *testing.T, name string, encode func(T) []byte, decode func([]byte) (T, error), fixed ...any) {
 	t.Helper()
 	var zero T
-	File(t, name, lines(encode(filled[T](t, fixed)), encode(fillTurns[T](fixed)), encode(zero)))
+	File(t, name, lines(encode(filled[T](t, fixed)), encode(fillAlternating[T](fixed)), encode(zero)))
 	for i, line := range bytes.Split(bytes.TrimSuffix(Read(t, name), []byte("\n")), []byte("\n")) {
 		value, err := decode(line)
 		if err != nil {
@@ -157,6 +158,7 @@
 	}
 }
 
+// filled returns a value with all fields set.
 func filled[T any](t *testing.T, fixed []any) T {
 	t.Helper()
 	value := Fill[T](fixed...)
@@ -164,6 +166,7 @@
 	return value
 }
 
+// lines joins lines, each with a newline at its end.
 func lines(list ...[]byte) []byte {
 	return append(bytes.Join(list, []byte("\n")), '\n')
 }
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -5,7 +5,7 @@
 	"coppercourse/internal/config"
 )
 
-// Bounds of what a settings file may hold.
+// Limits of a settings file.
 const (
 	maxMilliseconds = 3_600_000 // an hour
 	maxLossesLimit  = 4
@@ -17,13 +17,13 @@
 func Read(document []byte, s *Settings, errs *apierror.ErrorList) {
 	r := config.NewReader(document, errs)
 	r.ReadDocument(map[string]config.Field{
-		"listen":    config.Text(r, &s.Listen, anyText),
-		"address":   config.Text(r, &s.Address, anyText),
-		"source":    config.Text(r, &s.Source, anyText),
-		"locality":  config.Text(r, &s.Zone, anyText),
-		"data":      config.Text(r, &s.Data, anyText),
-		"shard":     config.Text(r, &s.Shard, anyText),
-		"log":       config.Text(r, &s.Log, anyText),
+		"listen":    config.Text(r, &s.Listen, config.AnyText),
+		"address":   config.Text(r, &s.Address, config.AnyText),
+		"source":    config.Text(r, &s.Source, config.AnyText),
+		"locality":  config.Text(r, &s.Zone, config.AnyText),
+		"data":      config.Text(r, &s.Data, config.AnyText),
+		"shard":     config.Text(r, &s.Shard, config.AnyText),
+		"log":       config.Text(r, &s.Log, config.AnyText),
 		"seeds":     addrList(r, &s.Seeds),
 		"founders":  addrList(r, &s.Founders),
 		"first":     config.Bool(r, &s.FirstCluster),
@@ -61,11 +61,8 @@
 		*list = nil
 		r.Array(path, maxAddresses, func(path string, _ int) {
 			var addr string
-			config.Text(r, &addr, anyText)(path)
+			config.Text(r, &addr, config.AnyText)(path)
 			*list = append(*list, addr)
 		})
 	}
 }
-
-// anyText accepts every text.
-func anyText(string) (reason string) { return "" }
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -6,6 +6,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"runtime/debug"
 	"sync"
@@ -19,8 +20,8 @@
 // Child is a function that a supervisor keeps running.
 type Child struct {
 	Name string // for the log
-	// Vital says that the child can't be restarted: the state that it held is lost, so the
-	// process has to start afresh. The end of a vital child ends its supervisor.
+	// Vital means that the child can't be restarted, since its state is lost with it: the
+	// process must start anew. The end of a vital child ends its supervisor.
 	Vital bool
 	// Run runs until its context ends. It may return earlier, without an error if it has
 	// nothing left to do.
@@ -42,8 +43,9 @@
 	}}
 }
 
-// Run runs children until ctx ends or one of them ends the supervisor, and returns once all
-// of them have ended. The error is the first failure that no restart could mend.
+// Run runs children, each in a goroutine of its own, until ctx ends or one of them ends the
+// supervisor. It returns once all of them have ended. The error is the first failure after
+// which a child was not restarted.
 func Run(ctx context.Context, log logr.Logger, children ...Child) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
@@ -56,10 +58,11 @@
 		})
 	}
 	running.Wait()
-	if err := context.Cause(ctx); err != nil && err != context.Canceled {
-		return err
+	err := context.Cause(ctx)
+	if errors.Is(err, context.Canceled) {
+		return nil
 	}
-	return nil
+	return err
 }
 
 // superviseChild runs a child until its context ends, it returns without an error, or it
