--- a/cmd/coppercourse/calendar_commands.go
+++ b/cmd/coppercourse/calendar_commands.go
@@ -11,13 +11,14 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"coppercourse/internal/apierror"
+	"coppercourse/internal/commandline"
 	"coppercourse/internal/config"
 	"coppercourse/internal/maintenance"
 	"coppercourse/internal/types"
 )
 
 // addCalendars adds the commands that work on maintenance calendars.
-func addCalendars(app *kingpin.Application, client *gatewayClient, commands commandSet) {
+func addCalendars(app *kingpin.Application, client *gatewayClient, commands commandline.Commands) {
 	calendar := app.Command("calendar", "Put, check or drop a maintenance calendar.")
 	addCalendarPut(calendar, client, commands)
 	addCalendarCheck(calendar, commands)
@@ -31,7 +32,7 @@
 	workerName, rackName string // exactly one is set
 }
 
-func addCalendarPut(group *kingpin.CmdClause, client *gatewayClient, commands commandSet) {
+func addCalendarPut(group *kingpin.CmdClause, client *gatewayClient, commands commandline.Commands) {
 	put := &calendarPut{client: client}
 	command := group.Command("put", "Add or replace a maintenance calendar: nothing runs there in its windows.")
 	command.Arg("name", "Name of the calendar.").Required().StringVar(&put.name)
@@ -60,7 +61,7 @@
 	return cp.client.print(http.MethodPut, "/v1/calendars/"+cp.name, body)
 }
 
-func addCalendarCheck(group *kingpin.CmdClause, commands commandSet) {
+func addCalendarCheck(group *kingpin.CmdClause, commands commandline.Commands) {
 	command := group.Command("check", "Check an iCalendar file. Needs no cluster.")
 	file := command.Arg("file", "iCalendar file.").Required().String()
 	commands["calendar check"] = func() error {
@@ -72,7 +73,7 @@
 	}
 }
 
-func addCalendarDrop(group *kingpin.CmdClause, client *gatewayClient, commands commandSet) {
+func addCalendarDrop(group *kingpin.CmdClause, client *gatewayClient, commands commandline.Commands) {
 	command := group.Command("drop", "Remove a maintenance calendar.")
 	name := command.Arg("name", "Name of the calendar.").Required().String()
 	commands["calendar drop"] = func() error {
--- a/cmd/coppercourse/daemon_command.go
+++ b/cmd/coppercourse/daemon_command.go
@@ -10,6 +10,7 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"coppercourse/internal/apierror"
+	"coppercourse/internal/commandline"
 	"coppercourse/internal/membership"
 	"coppercourse/internal/settings"
 )
@@ -22,7 +23,7 @@
 }
 
 // addDaemons adds a command for each role.
-func addDaemons(app *kingpin.Application, commands commandSet) {
+func addDaemons(app *kingpin.Application, commands commandline.Commands) {
 	for _, role := range []membership.Role{membership.RoleController, membership.RoleGateway, membership.RoleAgent} {
 		flags := &daemonFlags{}
 		flags.addTo(app.Command(string(role), roleHelp[role]), role)
--- a/cmd/coppercourse/drain_commands.go
+++ b/cmd/coppercourse/drain_commands.go
@@ -7,6 +7,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
+	"coppercourse/internal/commandline"
 	"coppercourse/internal/config"
 )
 
@@ -22,7 +23,7 @@
 }
 
 // addDrains adds the commands that start and end drains.
-func addDrains(app *kingpin.Application, client *gatewayClient, commands commandSet) {
+func addDrains(app *kingpin.Application, client *gatewayClient, commands commandline.Commands) {
 	drain := app.Command("drain", "Start no more tasks on a worker or on a rack.")
 	undrain := app.Command("undrain", "Let tasks start on a worker or on a rack again.")
 	for _, target := range drainTargets {
@@ -31,7 +32,7 @@
 	}
 }
 
-func addDrain(group *kingpin.CmdClause, target drainTarget, client *gatewayClient, commands commandSet) {
+func addDrain(group *kingpin.CmdClause, target drainTarget, client *gatewayClient, commands commandline.Commands) {
 	command := group.Command(target.kind, "Start no more tasks on a "+target.kind+", until undrain.")
 	name := command.Arg("name", "Name of the "+target.kind+".").Required().String()
 	within := command.Flag("within", "Stop attempts that run for longer, to retry them elsewhere; 0s lets them end.").
@@ -39,7 +40,7 @@
 	commands["drain "+target.kind] = func() error { return startDrain(client, target.path+*name, *within) }
 }
 
-func addUndrain(group *kingpin.CmdClause, target drainTarget, client *gatewayClient, commands commandSet) {
+func addUndrain(group *kingpin.CmdClause, target drainTarget, client *gatewayClient, commands commandline.Commands) {
 	command := group.Command(target.kind, "Let tasks start on a "+target.kind+" again.")
 	name := command.Arg("name", "Name of the "+target.kind+".").Required().String()
 	commands["undrain "+target.kind] = func() error {
--- a/cmd/coppercourse/gone_command.go
+++ b/cmd/coppercourse/gone_command.go
@@ -4,10 +4,12 @@
 	"net/http"
 
 	"github.com/alecthomas/kingpin/v2"
+
+	"coppercourse/internal/commandline"
 )
 
 // addGone adds the command that declares a worker gone for good.
-func addGone(app *kingpin.Application, client *gatewayClient, commands commandSet) {
+func addGone(app *kingpin.Application, client *gatewayClient, commands commandline.Commands) {
 	gone := app.Command("gone", "Declare a lost worker gone for good: its tasks are retried elsewhere at once.")
 	worker := gone.Arg("worker", "Name of the worker.").Required().String()
 	commands["gone"] = func() error {
--- a/cmd/coppercourse/help_test.go
+++ b/cmd/coppercourse/help_test.go
@@ -4,6 +4,8 @@
 	"testing"
 
 	"github.com/alecthomas/kingpin/v2"
+
+	"coppercourse/internal/commandline"
 )
 
 // Every command, flag and argument has a help text, and every command runs something or
@@ -19,14 +21,14 @@
 	checkDescribed(t, app.Model().Commands, commands)
 }
 
-func checkDescribed(t *testing.T, list []*kingpin.CmdModel, commands commandSet) {
+func checkDescribed(t *testing.T, list []*kingpin.CmdModel, commands commandline.Commands) {
 	t.Helper()
 	for _, command := range list {
 		name := command.FullCommand
 		if command.Help == "" {
 			t.Errorf("%s has no help text", name)
 		}
-		if name != "help" && len(command.Commands) == 0 && !commands.has(name) {
+		if name != "help" && len(command.Commands) == 0 && !commands.Has(name) {
 			t.Errorf("%s runs nothing", name)
 		}
 		for _, flag := range command.Flags {
--- a/cmd/coppercourse/job_commands.go
+++ b/cmd/coppercourse/job_commands.go
@@ -7,11 +7,12 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"coppercourse/internal/apierror"
+	"coppercourse/internal/commandline"
 	"coppercourse/internal/state"
 )
 
 // addJobs adds the commands that work on one job.
-func addJobs(app *kingpin.Application, client *gatewayClient, commands commandSet) {
+func addJobs(app *kingpin.Application, client *gatewayClient, commands commandline.Commands) {
 	job := app.Command("job", "Submit, show or cancel a job.")
 	addJobSend(job, client, commands)
 
@@ -26,7 +27,7 @@
 	}
 }
 
-func addJobSend(group *kingpin.CmdClause, client *gatewayClient, commands commandSet) {
+func addJobSend(group *kingpin.CmdClause, client *gatewayClient, commands commandline.Commands) {
 	command := group.Command("send", "Submit a job. Submitting the same id and file again changes nothing.")
 	id := command.Arg("id", "Id of the job, chosen by the caller.").Required().String()
 	file := command.Arg("file", "Job file (JSON).").Required().String()
--- a/cmd/coppercourse/main.go
+++ b/cmd/coppercourse/main.go
@@ -10,38 +10,23 @@
 package main
 
 import (
-	"fmt"
-	"os"
-	"strings"
-
 	"github.com/alecthomas/kingpin/v2"
+
+	"coppercourse/internal/commandline"
 )
 
 // version is set when the program is built for release.
 var version = "0.1.0"
 
-// commandSet is what each command of the command line runs, by its full name.
-type commandSet map[string]func() error
-
-// has reports whether a command runs something. One that only groups others does not.
-func (c commandSet) has(command string) bool { return c[command] != nil }
-
 func main() {
 	app := kingpin.New("coppercourse", "A cluster scheduler for jobs that keeps working when a zone is cut off.")
 	app.Version(version).HelpFlag.Short('h')
-	commands := addCommands(app)
-	command := kingpin.MustParse(app.Parse(os.Args[1:]))
-	if err := commands[command](); err != nil {
-		for _, line := range strings.Split(err.Error(), "\n") {
-			fmt.Fprintln(os.Stderr, "coppercourse: "+line)
-		}
-		os.Exit(1)
-	}
+	commandline.Main(app, addCommands(app))
 }
 
 // addCommands adds all commands to the command line, and returns what they run.
-func addCommands(app *kingpin.Application) commandSet {
-	commands := commandSet{}
+func addCommands(app *kingpin.Application) commandline.Commands {
+	commands := commandline.Commands{}
 	addDaemons(app, commands)
 	addPlatform(app, commands)
 	addClient(app, commands)
--- a/cmd/coppercourse/platform_command.go
+++ b/cmd/coppercourse/platform_command.go
@@ -10,12 +10,13 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
+	"coppercourse/internal/commandline"
 	"coppercourse/internal/membership"
 	"coppercourse/platform"
 )
 
 // addPlatform adds the commands that run or check a daemon on the users' platform.
-func addPlatform(app *kingpin.Application, commands commandSet) {
+func addPlatform(app *kingpin.Application, commands commandline.Commands) {
 	command := app.Command("platform", "Run a daemon from the settings file of the platform, or check such a file.")
 	for _, role := range platform.Roles {
 		command.Command(string(role), roleHelp[role]+" $"+platform.SettingsFileVariable+" names its settings file.")
--- a/cmd/coppercourse/table_commands.go
+++ b/cmd/coppercourse/table_commands.go
@@ -9,6 +9,7 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"coppercourse/internal/apierror"
+	"coppercourse/internal/commandline"
 	"coppercourse/internal/config"
 	"coppercourse/internal/types"
 )
@@ -17,7 +18,7 @@
 const fileBase = -1
 
 // addTable adds the commands that work on the queue table.
-func addTable(app *kingpin.Application, client *gatewayClient, commands commandSet) {
+func addTable(app *kingpin.Application, client *gatewayClient, commands commandline.Commands) {
 	table := app.Command("table", "Print, replace or check the table of queues.")
 	table.Command("get", "Print the table in force.")
 	commands["table get"] = func() error { return client.print(http.MethodGet, "/v1/table", nil) }
@@ -25,7 +26,7 @@
 	addTableCheck(table, commands)
 }
 
-func addTablePut(group *kingpin.CmdClause, client *gatewayClient, commands commandSet) {
+func addTablePut(group *kingpin.CmdClause, client *gatewayClient, commands commandline.Commands) {
 	command := group.Command("put", "Replace the whole table. The edition in the file must be the one in force.")
 	file := command.Arg("file", "Table file (JSON).").Required().String()
 	base := command.Flag("base", "Edition that must be in force, instead of the file's.").
@@ -39,7 +40,7 @@
 	}
 }
 
-func addTableCheck(group *kingpin.CmdClause, commands commandSet) {
+func addTableCheck(group *kingpin.CmdClause, commands commandline.Commands) {
 	command := group.Command("check", "Check a table file. Needs no cluster.")
 	file := command.Arg("file", "Table file (JSON).").Required().String()
 	commands["table check"] = func() error {
--- a/cmd/coppercourse/trace_command.go
+++ b/cmd/coppercourse/trace_command.go
@@ -12,13 +12,14 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
+	"coppercourse/internal/commandline"
 	"coppercourse/internal/membership"
 	"coppercourse/internal/trace"
 	"coppercourse/internal/types"
 )
 
 // addTrace adds the command that prints the trace points of a job or table.
-func addTrace(app *kingpin.Application, client *gatewayClient, commands commandSet) {
+func addTrace(app *kingpin.Application, client *gatewayClient, commands commandline.Commands) {
 	command := app.Command("trace", "Print what happened to a job or a table, on all daemons, in order of time.")
 	kind := command.Arg("kind", "job or table.").Required().Enum("job", "table")
 	name := command.Arg("name", "Id of the job, or edition of the table.").Required().String()
--- a/cmd/coppercourse/view_commands.go
+++ b/cmd/coppercourse/view_commands.go
@@ -4,6 +4,8 @@
 	"net/http"
 
 	"github.com/alecthomas/kingpin/v2"
+
+	"coppercourse/internal/commandline"
 )
 
 // view is a command that prints one page of a gateway.
@@ -19,7 +21,7 @@
 }
 
 // addViews adds the commands that print one page of a gateway.
-func addViews(app *kingpin.Application, client *gatewayClient, commands commandSet) {
+func addViews(app *kingpin.Application, client *gatewayClient, commands commandline.Commands) {
 	for _, view := range views {
 		app.Command(view.name, view.help)
 		commands[view.name] = func() error { return client.print(http.MethodGet, view.path, nil) }
--- a/cmd/coppersim/capacity_command.go
+++ b/cmd/coppersim/capacity_command.go
@@ -12,6 +12,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
+	"coppercourse/internal/commandline"
 	"coppercourse/sim"
 	"coppercourse/sim/capacity"
 )
@@ -27,7 +28,7 @@
 	replot     bool
 }
 
-func addCapacity(app *kingpin.Application, commands commandSet) {
+func addCapacity(app *kingpin.Application, commands commandline.Commands) {
 	r := &capacityRun{}
 	command := app.Command("capacity", "Measure what the daemons spend at several sizes of a simulated fleet.")
 	command.Flag("idle", "Numbers of daemons of the fleets that run idle, by comma.").
--- a/cmd/coppersim/fleet_command.go
+++ b/cmd/coppersim/fleet_command.go
@@ -11,6 +11,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
+	"coppercourse/internal/commandline"
 	"coppercourse/sim/deployment"
 	"coppercourse/sim/fleet"
 )
@@ -35,7 +36,7 @@
 	faults     string
 }
 
-func addFleet(app *kingpin.Application, commands commandSet) {
+func addFleet(app *kingpin.Application, commands commandline.Commands) {
 	r := &fleetRun{}
 	command := app.Command("fleet", "Run a deployment of real processes with traffic and faults, and check it.")
 	command.Flag("deployment", "kingston or romania.").Default("kingston").
--- a/cmd/coppersim/golden_test.go
+++ b/cmd/coppersim/golden_test.go
@@ -11,5 +11,5 @@
 func TestCommandLineGolden(t *testing.T) {
 	app := kingpin.New("coppersim", "")
 	commands := addCommands(app)
-	goldentest.CommandLine(t, app, commands.has)
+	goldentest.CommandLine(t, app, commands)
 }
--- a/cmd/coppersim/main.go
+++ b/cmd/coppersim/main.go
@@ -5,35 +5,20 @@
 package main
 
 import (
-	"fmt"
-	"os"
-	"strings"
-
 	"github.com/alecthomas/kingpin/v2"
-)
 
-// commandSet is what each command of the command line runs, by its full name.
-type commandSet map[string]func() error
-
-// has reports whether a command runs something.
-func (c commandSet) has(command string) bool { return c[command] != nil }
+	"coppercourse/internal/commandline"
+)
 
 func main() {
 	app := kingpin.New("coppersim", "Test coppercourse under failure, in a simulator or with real processes.")
 	app.HelpFlag.Short('h')
-	commands := addCommands(app)
-	command := kingpin.MustParse(app.Parse(os.Args[1:]))
-	if err := commands[command](); err != nil {
-		for _, line := range strings.Split(err.Error(), "\n") {
-			fmt.Fprintln(os.Stderr, "coppersim: "+line)
-		}
-		os.Exit(1)
-	}
+	commandline.Main(app, addCommands(app))
 }
 
 // addCommands adds all commands to the command line, and returns what they run.
-func addCommands(app *kingpin.Application) commandSet {
-	commands := commandSet{}
+func addCommands(app *kingpin.Application) commandline.Commands {
+	commands := commandline.Commands{}
 	addSweep(app, commands)
 	addFleet(app, commands)
 	addWorker(app, commands)
--- a/cmd/coppersim/sweep_command.go
+++ b/cmd/coppersim/sweep_command.go
@@ -10,6 +10,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
+	"coppercourse/internal/commandline"
 	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/sim"
 	"coppercourse/sim/history"
@@ -37,7 +38,7 @@
 // maxBreaksPrinted is how many broken rules are printed of each seed.
 const maxBreaksPrinted = 6
 
-func addSweep(app *kingpin.Application, commands commandSet) {
+func addSweep(app *kingpin.Application, commands commandline.Commands) {
 	s := &sweeper{results: newSweepResults()}
 	command := app.Command("sweep", "Run the simulator over many seeds and check every run.")
 	s.addTo(command)
--- a/cmd/coppersim/worker_command.go
+++ b/cmd/coppersim/worker_command.go
@@ -10,6 +10,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
+	"coppercourse/internal/commandline"
 	"coppercourse/sim/fleet"
 	"coppercourse/sim/history"
 )
@@ -22,7 +23,7 @@
 	agent, source, id, history, spec string
 }
 
-func addWorker(app *kingpin.Application, commands commandSet) {
+func addWorker(app *kingpin.Application, commands commandline.Commands) {
 	r := &workerRun{}
 	command := app.Command("worker", "Be one stand-in worker; the fleet starts these.")
 	command.Flag("agent", "IP:port of its agent.").Required().StringVar(&r.agent)
--- a/internal/goldentest/commandline.go
+++ b/internal/goldentest/commandline.go
@@ -7,18 +7,19 @@
 	"testing"
 
 	"github.com/alecthomas/kingpin/v2"
+
+	"coppercourse/internal/commandline"
 )
 
 // CommandLine compares a program's command line with the golden file command-line.txt:
-// all commands, and the flags and arguments of each with defaults and variables. The
-// function runs reports whether the program has something to run for a command, which is
-// given by its full name.
-func CommandLine(t *testing.T, app *kingpin.Application, runs func(command string) bool) {
+// all commands, whether they run something, and the flags and arguments of each with
+// defaults and variables.
+func CommandLine(t *testing.T, app *kingpin.Application, commands commandline.Commands) {
 	t.Helper()
 	model := app.Model()
 	described := flagLines("", model.FlagGroupModel)
 	for _, command := range model.FlattenedCommands() {
-		described = append(described, commandLines(command, runs(command.FullCommand))...)
+		described = append(described, commandLines(command, commands.Has(command.FullCommand))...)
 	}
 	slices.Sort(described)
 	File(t, "command-line.txt", []byte(strings.Join(described, "\n")+"\n"))
--- a/internal/repotest/layers_test.go
+++ b/internal/repotest/layers_test.go
@@ -10,7 +10,8 @@
 // layers are all packages, lowest layer first, as docs/ARCHITECTURE.md shows them.
 var layers = [][]string{
 	{"internal/types", "internal/apierror"},
-	{"internal/wire", "internal/config", "internal/trace", "internal/wal", "internal/supervisor"},
+	{"internal/wire", "internal/config", "internal/trace", "internal/wal", "internal/supervisor",
+		"internal/commandline"},
 	{"internal/wal/waltest", "internal/goldentest", "internal/httpfault"},
 	{
 		"internal/raft", "internal/membership", "internal/state", "internal/placement", "internal/configwatch",
