--- a/cmd/coppersim/sweep_results.go
+++ b/cmd/coppersim/sweep_results.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// add adds the verdict on one seed, also to those of its faults if they are told apart.
+// add adds the verdict on one seed, and with byFault also to the results of its faults.
 func (sr *sweepResults) add(verdict sim.Verdict, faults []string, byFault bool) {
 	sr.seeds++
 	sr.coverage.Add(verdict.Coverage)
@@ -63,8 +63,7 @@
 	sr.printByFault()
 }
 
-// printByFault prints the faults that are told apart, in the order of the least service
-// after them.
+// printByFault prints the results of each fault, in the order of the least service after it.
 func (sr *sweepResults) printByFault() {
 	type row struct {
 		fault  string
--- a/internal/config/routes_test.go
+++ b/internal/config/routes_test.go
@@ -14,7 +14,7 @@
 		{Name: "d", Host: "y.example", PathPrefix: "/b/"},
 		{Name: "e"},
 	}}.Routes()
-	for _, c := range []struct{ name, host, path, queue, rest string }{
+	for _, test := range []struct{ name, host, path, queue, rest string }{
 		{"longest prefix", "x.example", "/b/c/1", "c", "1"},
 		{"case and port of the host", "X.example:80", "/b/1", "b", "1"},
 		{"root", "x.example", "/q", "a", "q"},
@@ -22,12 +22,12 @@
 		{"no such path", "y.example", "/c", "", ""},
 		{"no such host", "z.example", "/b/", "", ""},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			queue, rest, ok := routes.Match(c.host, c.path)
-			is.Equal(ok, c.queue != "")
-			is.Equal(string(queue.Name), c.queue)
-			is.Equal(rest, c.rest)
+			queue, rest, ok := routes.Match(test.host, test.path)
+			is.Equal(ok, test.queue != "")
+			is.Equal(string(queue.Name), test.queue)
+			is.Equal(rest, test.rest)
 		})
 	}
 }
--- a/internal/config/table_decode_test.go
+++ b/internal/config/table_decode_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestErrorsOfTablesNameTheirField(t *testing.T) {
-	for _, c := range []struct{ name, document, field string }{
+	for _, test := range []struct{ name, document, field string }{
 		{"version not above the base", `{"edition":5,"becomes":5,"queues":[]}`, "becomes"},
 		{"repeated route", `{"edition":5,"queues":[
 			{"name":"a","host":"h","prefix":"/a"},
@@ -20,12 +20,12 @@
 		{"unknown policy", `{"edition":5,"orphans":"keep","queues":[]}`, "orphans"},
 		{"negative factor", `{"edition":5,"queues":[{"name":"a","stretch":-1}]}`, "queues[0].stretch"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			var errs apierror.ErrorList
-			ReadTable([]byte(c.document), &errs)
+			ReadTable([]byte(test.document), &errs)
 			is.True(errs.First() != nil)
-			is.Equal(errs.First().Field, c.field)
+			is.Equal(errs.First().Field, test.field)
 		})
 	}
 }
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -86,7 +86,7 @@
 	return effects
 }
 
-// announce tells the membership what the daemon is now, and whether it is ready.
+// announce updates the membership with what the daemon is now and whether it is ready.
 func (c *Core) announce(ready bool) {
 	self := c.self
 	self.Ready = ready
--- a/internal/daemon/handlers_test.go
+++ b/internal/daemon/handlers_test.go
@@ -50,7 +50,7 @@
 
 func TestEachEventHasItsHandler(t *testing.T) {
 	leader := membership.MemberInfo{Addr: "a", Role: membership.RoleController, Term: 1, Leads: true}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		event wire.Event
 		calls []string
@@ -64,14 +64,14 @@
 		{"shutdown", wire.Event{Shutdown: true}, nil},
 		{"tick", wire.Event{}, []string{"tick"}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			machine := newFakeMachine()
-			c.event.Now = types.Now{Mono: types.MonoTime(time.Second)}
-			fakeHandlers.Step(machine.core, machine, c.event)
-			is.Equal(machine.calls, c.calls)
-			is.Equal(machine.core.Now(), c.event.Now)
-			is.Equal(machine.core.Draining(), c.event.Shutdown)
+			test.event.Now = types.Now{Mono: types.MonoTime(time.Second)}
+			fakeHandlers.Step(machine.core, machine, test.event)
+			is.Equal(machine.calls, test.calls)
+			is.Equal(machine.core.Now(), test.event.Now)
+			is.Equal(machine.core.Draining(), test.event.Shutdown)
 		})
 	}
 }
--- a/internal/repotest/docs_test.go
+++ b/internal/repotest/docs_test.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-// TestDocumentsNameWhatIsThere holds docs/*.md and README.md to the repository: each
-// test, file, folder, identifier and command line that they show in code type is there.
-// The pages of measurements and of incidents tell what was at a commit, so in a section
-// of theirs that gives the commit a name may be gone.
+// TestDocumentsNameWhatIsThere checks docs/*.md and README.md against the repository: each
+// test, file, folder, identifier and command line that they show in code type exists.
+// The pages of measurements and of incidents describe the code at a commit. In a section of
+// theirs that gives the commit, a name may be gone.
 func TestDocumentsNameWhatIsThere(t *testing.T) {
 	pages, err := filepath.Glob(filepath.Join(repositoryRoot, "docs/*.md"))
 	if err != nil || len(pages) == 0 {
@@ -27,9 +27,9 @@
 			t.Fatal(err)
 		}
 		name := filepath.Base(path)
-		tellsOfCommits := name == "measurements.md" || name == "incidents.md"
+		describesCommits := name == "measurements.md" || name == "incidents.md"
 		for _, section := range sections(string(page)) {
-			if tellsOfCommits && givesCommit(section) {
+			if describesCommits && givesCommit(section) {
 				continue
 			}
 			if name == "glossary.md" && folderHeading.MatchString("### "+title(section)) {
@@ -42,8 +42,7 @@
 	}
 }
 
-// TestDocumentCheckNoticesWhatIsGone shows what the check above finds, and what it
-// lets pass.
+// TestDocumentCheckNoticesWhatIsGone shows what the check above finds and what it accepts.
 func TestDocumentCheckNoticesWhatIsGone(t *testing.T) {
 	index := newNameIndex(t)
 	for _, test := range []struct {
@@ -82,7 +81,7 @@
 // commitHash finds what may be a commit's short hash.
 var commitHash = regexp.MustCompile(`\b[0-9a-f]{7}\b`)
 
-// givesCommit tells whether a text has a commit's short hash: seven hexadecimal digits,
+// givesCommit reports whether a text has a commit's short hash: seven hexadecimal digits,
 // decimal ones and letters among them.
 func givesCommit(text string) bool {
 	for _, word := range commitHash.FindAllString(text, -1) {
@@ -166,7 +165,7 @@
 	return index
 }
 
-// addFile takes in the declarations and string literals of a Go file.
+// addFile adds the declarations and string literals of a Go file.
 func (n *nameIndex) addFile(file sourceFile) {
 	prefix := file.packageName() + "."
 	for _, spec := range file.syntax.Imports {
@@ -245,7 +244,7 @@
 	n.tests[folder][name] = true
 }
 
-// addFlag takes in the flags that a package's tests define.
+// addFlag adds the flags that a package's tests define.
 func (n *nameIndex) addFlag(file sourceFile, call *ast.CallExpr) {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || !file.isTest() || len(call.Args) < 2 {
@@ -261,7 +260,7 @@
 	}
 }
 
-// addCommandLine takes in the commands and flags of a program.
+// addCommandLine adds the commands and flags of a program.
 func (n *nameIndex) addCommandLine(t *testing.T, program string) {
 	t.Helper()
 	golden, err := os.ReadFile(filepath.Join(repositoryRoot, "cmd", program, "testdata/golden/command-line.txt"))
@@ -368,7 +367,7 @@
 	return ""
 }
 
-// inLiterals tells whether all parts of a dotted name are words of string literals, as
+// inLiterals reports whether all parts of a dotted name are words of string literals, as
 // those of a path of the platform are.
 func (n *nameIndex) inLiterals(span string) bool {
 	for part := range strings.SplitSeq(span, ".") {
--- a/internal/repotest/glossary_test.go
+++ b/internal/repotest/glossary_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// servesTestsOnly tells the packages that are no part of the programs.
+// servesTestsOnly reports whether a package is used by tests only.
 func servesTestsOnly(folder string) bool {
 	return folder == "internal/goldentest" || folder == "internal/wal/waltest"
 }
@@ -137,7 +137,7 @@
 	return rows
 }
 
-// encodedNames returns a file's pairs of a Go name and an encoded name that part ways.
+// encodedNames returns a file's pairs of a Go name and an encoded name that differ.
 func encodedNames(file sourceFile) (names []encodedName) {
 	for _, decl := range file.syntax.Decls {
 		switch d := decl.(type) {
@@ -286,7 +286,7 @@
 	return ""
 }
 
-// sameName tells whether a key is a field's name in another usual spelling: camel case,
+// sameName reports whether a key is a field's name in another usual spelling: camel case,
 // snake case or with dashes.
 func sameName(name, key string) bool { return normalize(name) == normalize(key) }
 
--- a/internal/repotest/oncall_test.go
+++ b/internal/repotest/oncall_test.go
@@ -121,7 +121,7 @@
 	return messages
 }
 
-// addLoggedTexts takes in the messages of a function's calls of Info and Error.
+// addLoggedTexts adds the messages of a function's calls of Info and Error.
 func addLoggedTexts(t *testing.T, messages map[string]bool, file sourceFile, function *ast.FuncDecl) {
 	t.Helper()
 	ast.Inspect(function, func(node ast.Node) bool {
@@ -158,7 +158,7 @@
 	})
 }
 
-// addRoleMessages takes in the values of raftRoleMessages, from which changeMessage
+// addRoleMessages adds the values of raftRoleMessages, from which changeMessage
 // chooses.
 func addRoleMessages(messages map[string]bool, d *ast.GenDecl) {
 	for _, spec := range d.Specs {
--- a/internal/server/event_loop_test.go
+++ b/internal/server/event_loop_test.go
@@ -9,8 +9,8 @@
 	"coppercourse/internal/wire"
 )
 
-// A heartbeat goes before thousands of requests; with one queue for everything, the
-// planted bug, it goes last.
+// A heartbeat overtakes thousands of requests. With one queue for all classes, which is a
+// planted bug, it would come last.
 func TestHeartbeatOvertakesRequests(t *testing.T) {
 	is := is.New(t)
 	now := types.MonoTime(0)
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -18,10 +18,10 @@
 	"coppercourse/internal/wire"
 )
 
-// mirror is a machine that responds to a request with the request itself.
-type mirror struct{}
+// requestEcho is a machine that responds to a request with the request itself.
+type requestEcho struct{}
 
-func (mirror) Step(e wire.Event) (out wire.Effects) {
+func (requestEcho) Step(e wire.Event) (out wire.Effects) {
 	if r := e.Request; r != nil {
 		body := wire.EncodeBody(map[string]any{"verb": r.Verb, "arg": r.Arg, "body": string(r.Body)})
 		out.Responses = []wire.Response{{Token: r.Token, StatusCode: http.StatusAccepted, Body: body}}
@@ -29,7 +29,7 @@
 	return out
 }
 
-// requests are what callers and operators send to a gateway, good and bad.
+// requests are requests of callers and operators to a gateway, valid and invalid ones.
 var requests = []string{
 	`PUT /v1/jobs/a {"queue":"q","urgency":3,"steps":[{"name":"a","kind":"x","tasks":2,` +
 		`"room":{"cores":0.5,"memory":64}},{"name":"b","kind":"x","after":["a"]}],"work":{"n":1}}`,
@@ -69,12 +69,12 @@
 	`POST /mate {`,
 }
 
-// Every route of a gateway: what the machine is asked, and the response's status, headers and
-// body.
+// The request that each route of a gateway passes to the machine, and the response's status,
+// headers and body.
 func TestPagesGolden(t *testing.T) {
 	points := trace.New()
 	points.Add(5, trace.JobSubject("a"), "granted entry", "from", types.Addr("10.0.0.1:7001"))
-	loop := newTestLoop(t, Config{Machine: mirror{}, Observer: stubObserver{ready: true, status: map[string]any{
+	loop := newTestLoop(t, Config{Machine: requestEcho{}, Observer: stubObserver{ready: true, status: map[string]any{
 		"role": "gateway", "sums": map[string]int{"Calls": 3}, "ready": true, "mates": 1, "roll": 2, "at": "x",
 	}}})
 	handlers := NewHandlers(loop, points)
@@ -83,26 +83,27 @@
 	runInBackground(t, loop)
 	clients.PublishTable(config.Table{Version: 1, Queues: []config.Queue{{Name: "q"}}}, 1<<62)
 	for string(loop.StatusJSON()) == "{}" {
-		answer(handler, "GET /v1/table ")
+		serveLine(handler, "GET /v1/table ")
 	}
 	var lines strings.Builder
 	for _, request := range requests {
-		fmt.Fprintf(&lines, "%s\n%s\n", request, answer(handler, request))
+		fmt.Fprintf(&lines, "%s\n%s\n", request, serveLine(handler, request))
 	}
 	goldentest.File(t, "pages.txt", []byte(lines.String()))
 }
 
-// answer carries out a request and returns its response as text.
-func answer(handler http.Handler, request string) string {
+// serveLine has a handler serve a request, written as METHOD PATH BODY, and returns the
+// response as text.
+func serveLine(handler http.Handler, request string) string {
 	method, rest, _ := strings.Cut(request, " ")
 	path, body, _ := strings.Cut(rest, " ")
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, httptest.NewRequest(method, path, strings.NewReader(body)))
-	return written(recorder)
+	return formatResponse(recorder)
 }
 
-// written returns a response as text: status, sorted headers and body.
-func written(recorder *httptest.ResponseRecorder) string {
+// formatResponse returns a response as text: status, sorted headers and body.
+func formatResponse(recorder *httptest.ResponseRecorder) string {
 	var lines strings.Builder
 	result := recorder.Result()
 	fmt.Fprintf(&lines, "\t%d", result.StatusCode)
@@ -117,13 +118,13 @@
 	return lines.String()
 }
 
-// Every kind of error as it is answered.
-func TestRefusalsGolden(t *testing.T) {
+// The response to a request that fails, for every kind of error.
+func TestErrorResponsesGolden(t *testing.T) {
 	var lines strings.Builder
 	for _, kind := range slices.Sorted(maps.Keys(apierror.StatusCodes)) {
 		recorder := httptest.NewRecorder()
 		WriteError(recorder, apierror.New(kind, "a.field", "a reason"))
-		fmt.Fprintf(&lines, "%s\n%s\n", kind, written(recorder))
+		fmt.Fprintf(&lines, "%s\n%s\n", kind, formatResponse(recorder))
 	}
 	goldentest.File(t, "refusals.txt", []byte(lines.String()))
 }
--- a/internal/server/http_test.go
+++ b/internal/server/http_test.go
@@ -37,8 +37,8 @@
 
 func (o gatewayObserver) Status() any { return o.machine.Status() }
 
-// What is wrong is rejected at once, with the exact status, a stable kind and the field; what
-// can't be served now says when to come back.
+// An invalid request is rejected at once, with the status code, kind and field of the error.
+// The response to a request that can't be served now has a Retry-After.
 func TestRejectionsCarryStatusKindAndField(t *testing.T) {
 	_, server := startLoneGateway(t)
 	const (
@@ -49,7 +49,7 @@
 		badShares = `{"edition":0,"queues":[{"name":"a","share":60},{"name":"b","share":60}]}`
 	)
 	tooLarge, longID := strings.Repeat(" ", 300_000)+job, strings.Repeat("a", 65)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name               string
 		method, path, body string
 		code               int
@@ -73,18 +73,18 @@
 		{"shares above 100", "PUT", "/v1/table", badShares, 422, apierror.BadField, "queues"},
 		{"readiness without a leader", "GET", "/ready", "", 503, apierror.NotReady, ""},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			request, err := http.NewRequest(c.method, server.URL+c.path, strings.NewReader(c.body))
+			request, err := http.NewRequest(test.method, server.URL+test.path, strings.NewReader(test.body))
 			is.NoErr(err)
 			response, err := http.DefaultClient.Do(request)
 			is.NoErr(err)
 			rejection := readError(t, response)
-			is.Equal(response.StatusCode, c.code)
-			is.Equal(rejection.Kind, c.kind)
-			is.Equal(rejection.Field, c.field)
-			is.Equal(response.Header.Get("Retry-After") != "", c.code == 503)
+			is.Equal(response.StatusCode, test.code)
+			is.Equal(rejection.Kind, test.kind)
+			is.Equal(rejection.Field, test.field)
+			is.Equal(response.Header.Get("Retry-After") != "", test.code == 503)
 		})
 	}
 }
@@ -99,8 +99,8 @@
 	return rejection
 }
 
-// A request that is in flight when the shutdown begins is answered; one that comes at its
-// end is rejected.
+// A request that is in flight when the shutdown begins is answered. One that comes once the
+// daemon rejects new requests is rejected.
 func TestShutdownAnswersRequestsInFlight(t *testing.T) {
 	is := is.New(t)
 	handlers, server := startLoneGateway(t)
@@ -117,7 +117,7 @@
 	go ask()
 	for handlers.shutdown.inFlight.Load() == 0 {
 		select {
-		case code := <-statusCodes: // it was over before it was seen: once more
+		case code := <-statusCodes: // it ended before it was counted: make another
 			is.Equal(code, 503)
 			go ask()
 		default:
--- a/internal/server/peer_queue_test.go
+++ b/internal/server/peer_queue_test.go
@@ -9,7 +9,7 @@
 	"coppercourse/internal/wire"
 )
 
-// What waits for a peer that takes nothing is bounded in bytes, and the newest stay.
+// The queue of a peer that accepts nothing is bounded in bytes, and keeps the newest messages.
 func TestPeerQueueBoundsBytesAndKeepsTheNewest(t *testing.T) {
 	is := is.New(t)
 	queue := newPeerQueue()
@@ -38,8 +38,8 @@
 	is.Equal(len(queue.take()), maxMessagesPerRequest)
 }
 
-// A heartbeat goes out with the next request, before what a slow link has left waiting, and
-// is not what a full queue drops.
+// A heartbeat is sent with the next request, before what a slow link has left in the queue. A
+// full queue drops other messages.
 func TestUrgentMessagesLeaveFirst(t *testing.T) {
 	is := is.New(t)
 	queue := newPeerQueue()
--- a/internal/server/requests_test.go
+++ b/internal/server/requests_test.go
@@ -14,7 +14,7 @@
 	"coppercourse/internal/workqueue"
 )
 
-func TestSubmissionsAreRejectedWhileTheLoopIsBehind(t *testing.T) {
+func TestSubmissionsAreRejectedWhileTheLoopIsOverloaded(t *testing.T) {
 	is := is.New(t)
 	now := types.MonoTime(0)
 	loop, _ := newStalledLoop(t, &now)
@@ -23,14 +23,14 @@
 	now = types.MonoTime(workqueue.MaxSubmitDelay + 2*time.Second)
 	response := loop.Ask(context.Background(), "job.put", "b", nil)
 	is.Equal(response.Error.Kind, apierror.TooBusy)
-	is.Equal(response.Error.RetryAfterSeconds, 5) // twice as long as the loop is behind
+	is.Equal(response.Error.RetryAfterSeconds, 5) // twice the delay of the oldest request
 	is.Equal(loop.queue.len(), 1)
-	go loop.Ask(t.Context(), "job.cancel", "a", nil) // brings no new work: it may wait
+	go loop.Ask(t.Context(), "job.cancel", "a", nil) // submits no work: it is queued
 	loop.waitForQueued(2)
 }
 
-// A request whose caller gave up before the machine took it was surely not taken, and the
-// machine never sees it.
+// The machine never sees a request whose caller gave up before it was taken from the queue.
+// The caller learns that it was not accepted.
 func TestAbandonedRequestIsAnsweredAtOnceAndNotProcessed(t *testing.T) {
 	is := is.New(t)
 	now := types.MonoTime(0)
@@ -48,7 +48,7 @@
 	is.Equal(len(machine.events), 0)
 }
 
-// A request that the loop does not get to is answered at the next tick.
+// A request that has waited in the queue too long is rejected at the next tick.
 func TestExpiredRequestIsAnsweredUnprocessed(t *testing.T) {
 	is := is.New(t)
 	now := types.MonoTime(0)
@@ -63,7 +63,7 @@
 	is.Equal(machine.requests(), 0)
 }
 
-// A request that the machine may have taken is not answered as one that it has not.
+// The outcome of a request that the machine has taken is unknown, not a rejection.
 func TestRequestInFlightAtShutdownIsUnresolved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/server/rig_test.go
+++ b/internal/server/rig_test.go
@@ -81,7 +81,7 @@
 }
 
 // echoMachine makes calls to a worker at its first step and passes the replies on. It
-// answers each request with whether that has a timeout, and is drained once told of a
+// answers each request with whether that has a timeout, and is drained once notified of a
 // shutdown.
 type echoMachine struct {
 	calls    []wire.WorkerCall
--- a/internal/server/sender_test.go
+++ b/internal/server/sender_test.go
@@ -14,8 +14,8 @@
 	"coppercourse/internal/wire"
 )
 
-// A request is made once, whenever its peer breaks off: the machines repeat its messages
-// if they want to.
+// A request is sent once, at whatever moment the peer closes the connection: repeating the
+// messages is up to the machines.
 func TestMessagesAreNotResentByTheTransport(t *testing.T) {
 	for _, moment := range httpfault.Moments {
 		t.Run(moment.Name, func(t *testing.T) {
@@ -53,7 +53,7 @@
 	is.Equal(redirected.Load(), int32(0))
 }
 
-// A closed sender has ended its goroutines and takes nothing any more.
+// A closed sender has ended its goroutines and drops all messages.
 func TestClosedSenderSendsNothing(t *testing.T) {
 	is := is.New(t)
 	var requests atomic.Int32
--- a/internal/server/serve_test.go
+++ b/internal/server/serve_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// A daemon that is told to stop goes on answering for as long as it says, and has ended
-// within its grace period.
+// A daemon that is shutting down still answers while callers may not have seen that it is not
+// ready, and has stopped within its grace period.
 func TestDaemonStopsWithinItsGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Bounds are what the surroundings of a cluster ask of it, in milliseconds but for the last
-// one. 0 is a bound that nobody asks for. The timeouts can be derived from them, so that
-// each time is said once.
+// Bounds are what the surroundings of a cluster require of it, in milliseconds except for the
+// last one. 0 is no bound. The timeouts can be derived from them, so that no time has to be
+// set twice.
 type Bounds struct {
 	MaxLeaseMS     int     // the longest lease that a worker accepts
 	StopMS         int     // how long a worker takes to end an attempt after a stop call
@@ -58,7 +58,7 @@
 }
 
 // DeriveTimeouts returns timeouts that keep the bounds: QuickTimeouts, or shorter ones where
-// a bound needs that.
+// a bound requires that.
 func DeriveTimeouts(b Bounds) Timeouts {
 	t := QuickTimeouts
 	t.LeaseMS = min(
@@ -84,8 +84,8 @@
 	return t
 }
 
-// within returns a timeout, or the given fraction of a bound if that is less. A bound of 0
-// asks for nothing.
+// within returns a timeout, or the given fraction of a bound if that is less. A bound of 0 is
+// no bound.
 func within(timeoutMS, boundMS, numerator, denominator int) int {
 	if boundMS == 0 {
 		return timeoutMS
--- a/internal/settings/bounds_test.go
+++ b/internal/settings/bounds_test.go
@@ -33,7 +33,7 @@
 	}
 	cluj := kingston
 	cluj.MaxLeaseMS, cluj.StopMS = 10000, 900
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name          string
 		bounds        Bounds
 		leaseMS       int
@@ -48,13 +48,13 @@
 		{"quick tables", Bounds{MaxLeaseMS: 6000, CancelMS: 3000, ApplyTableMS: 500}, 800, 600, 375},
 		{"quick gangs", Bounds{MaxLeaseMS: 6000, CancelMS: 3000, GangWaitMS: 400}, 800, 600, 1500},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			timeouts := DeriveTimeouts(c.bounds)
-			is.NoErr(derivedErrors(c.bounds))
-			is.Equal(timeouts.LeaseMS, c.leaseMS)
-			is.Equal(timeouts.WorkerLeaseMS, c.workerLeaseMS)
-			is.Equal(timeouts.StaleAfterMS, c.staleAfterMS)
+			timeouts := DeriveTimeouts(test.bounds)
+			is.NoErr(derivedErrors(test.bounds))
+			is.Equal(timeouts.LeaseMS, test.leaseMS)
+			is.Equal(timeouts.WorkerLeaseMS, test.workerLeaseMS)
+			is.Equal(timeouts.StaleAfterMS, test.staleAfterMS)
 		})
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,9 @@
-// Package settings holds the settings of one daemon. They are laid over each other: the
-// defaults, then a settings file (Read), then command-line flags, which set fields
-// directly. Validate then checks all of them and reports every error at once, by field.
+// Package settings holds the settings of one daemon. Defaults are overridden by a settings
+// file (Read), and that by command-line flags, which set fields directly. Validate then
+// checks all settings and reports every error at once, each with its field.
 //
 // The timeouts of a cluster depend on each other (Timeouts). On the users' platform they
-// are derived from what its surroundings ask for (Bounds, DeriveTimeouts).
+// are derived from what its surroundings require (Bounds, DeriveTimeouts).
 package settings
 
 import (
@@ -85,7 +85,8 @@
 	return timeouts
 }
 
-func addrs(texts []string) (list []types.Addr) {
+func addrs(texts []string) []types.Addr {
+	var list []types.Addr
 	for _, text := range texts {
 		list = append(list, types.Addr(text))
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestDefaultsAreValid(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		role       membership.Role
 		roleFields string
 	}{
@@ -19,11 +19,11 @@
 		{membership.RoleGateway, ``},
 		{membership.RoleAgent, `,"shard":"k1"`},
 	} {
-		t.Run(string(c.role), func(t *testing.T) {
+		t.Run(string(test.role), func(t *testing.T) {
 			is := is.New(t)
 			s, errs := Defaults(), &apierror.ErrorList{}
-			Read([]byte(`{"locality":"z1","seeds":["127.0.0.1:1"]`+c.roleFields+`}`), &s, errs)
-			s.Validate(c.role, errs)
+			Read([]byte(`{"locality":"z1","seeds":["127.0.0.1:1"]`+test.roleFields+`}`), &s, errs)
+			s.Validate(test.role, errs)
 			is.NoErr(errs.Err())
 			is.Equal(s.Address, s.Listen)
 		})
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -35,21 +35,21 @@
 }
 
 func TestChildIsRestartedAfterADelay(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		fail func() error
 	}{
 		{"error", func() error { return errChild }},
 		{"panic", func() error { panic("oops") }},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				runs := 0
 				startedAt := time.Now()
 				err := Run(t.Context(), logr.Discard(), Child{Name: "child", Run: func(context.Context) error {
 					if runs++; runs <= maxFailures {
-						return c.fail()
+						return test.fail()
 					}
 					return nil
 				}})
@@ -100,25 +100,25 @@
 }
 
 func TestEndOfAVitalChildEndsItsSupervisor(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		result error
 	}{
 		{"without error", nil},
 		{"with error", errChild},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				runs := 0
 				vital := Child{Name: "vital", Vital: true, Run: func(context.Context) error {
 					runs++
-					return c.result
+					return test.result
 				}}
 				err := Run(t.Context(), logr.Discard(),
 					Branch(logr.Discard(), "branch", vital),
 					Child{Name: "other", Run: untilStopped})
-				is.Equal(err != nil, c.result != nil)
+				is.Equal(err != nil, test.result != nil)
 				if err != nil {
 					is.True(strings.Contains(err.Error(), errChild.Error()))
 				}
