--- a/internal/apierror/apierror.go
+++ b/internal/apierror/apierror.go
@@ -1,7 +1,6 @@
-// Package apierror holds the closed list of error kinds (Kind) and the table from each
-// kind to the HTTP status that a caller gets. Error is the body of a refusal; Wrap makes
-// an errorx error of a kind for use inside a process. ErrorList collects the errors of one
-// document.
+// Package apierror holds the closed list of error kinds (Kind) and the HTTP status code of each
+// kind. Error is the body of a response to a rejected request. Wrap returns an errorx error of
+// a kind for use inside a process. ErrorList collects the errors of one document.
 package apierror
 
 import (
@@ -10,7 +9,7 @@
 	"github.com/joomcode/errorx"
 )
 
-// Error is the body of every refusal.
+// Error is the body of the response to every rejected request.
 type Error struct {
 	Kind              Kind   `json:"kind"`
 	Field             string `json:"field,omitempty"` // path of the field at fault, if there is one
@@ -29,7 +28,7 @@
 // StatusCode returns the HTTP status of the error's kind.
 func (e *Error) StatusCode() int { return StatusCodes[e.Kind] }
 
-// New makes an error. Retryable kinds get a Retry-After of one second.
+// New returns an error. Retryable kinds get a Retry-After of one second.
 func New(kind Kind, field, reason string) *Error {
 	e := &Error{Kind: kind, Field: field, Reason: reason}
 	if Retryable[kind] {
@@ -50,7 +49,7 @@
 	errorTypes = makeErrorTypes()
 )
 
-// makeErrorTypes makes an errorx type of each kind.
+// makeErrorTypes returns an errorx type for each kind.
 func makeErrorTypes() map[Kind]*errorx.Type {
 	byKind := map[Kind]*errorx.Type{}
 	for kind := range StatusCodes {
@@ -59,8 +58,8 @@
 	return byKind
 }
 
-// Wrap makes an errorx error of a kind around its cause, for errors that stay inside a
-// process or end it. The message says what was done.
+// Wrap returns an errorx error of a kind with a cause, for errors that stay inside a process
+// or end it. The message says what was being done.
 func Wrap(kind Kind, err error, message string) error {
 	return errorTypes[kind].Wrap(err, "%s", message)
 }
--- a/internal/apierror/kind.go
+++ b/internal/apierror/kind.go
@@ -2,10 +2,10 @@
 
 import "net/http"
 
-// Kind is a kind of error, as callers read it in the body of a refusal.
+// Kind is a kind of error, as callers read it in the body of a response.
 type Kind string
 
-// All kinds of error; docs/api.md says when each is answered.
+// All kinds of error; docs/api.md says when a caller gets each of them.
 const (
 	BadBody        Kind = "bad_body"
 	BadField       Kind = "bad_field"
@@ -35,7 +35,7 @@
 	BadSetting     Kind = "bad_setting" // in a daemon's settings; not for callers
 )
 
-// StatusCodes are the HTTP statuses of all kinds.
+// StatusCodes are the HTTP status codes of all kinds.
 var StatusCodes = map[Kind]int{
 	BadBody:        http.StatusBadRequest,
 	BadField:       http.StatusUnprocessableEntity,
@@ -65,7 +65,7 @@
 	BadSetting:     http.StatusUnprocessableEntity,
 }
 
-// Retryable are the kinds whose answer carries Retry-After.
+// Retryable are the kinds whose response has a Retry-After header.
 var Retryable = map[Kind]bool{
 	QueueFull:      true,
 	TooManyIDs:     true,
--- a/internal/apierror/list.go
+++ b/internal/apierror/list.go
@@ -21,7 +21,7 @@
 // List returns all errors in order.
 func (el *ErrorList) List() []*Error { return el.list }
 
-// First returns the first error, with which a caller is answered, or nil.
+// First returns the first error, the one that a caller gets, or nil.
 func (el *ErrorList) First() *Error {
 	if len(el.list) == 0 {
 		return nil
@@ -29,7 +29,7 @@
 	return el.list[0]
 }
 
-// Err joins all errors into one for the command line; nil if there are none.
+// Err returns all errors joined into one, for the command line, or nil if there are none.
 func (el *ErrorList) Err() error {
 	all := make([]error, 0, len(el.list))
 	for _, e := range el.list {
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -21,7 +21,7 @@
 	// Trace is read by HTTP handlers at the same time.
 	Trace *trace.Ring
 
-	self      membership.MemberInfo // without what changes
+	self      membership.MemberInfo // without the parts that change
 	members   *membership.MemberList
 	now       types.Now
 	draining  bool
--- a/internal/daemon/handlers.go
+++ b/internal/daemon/handlers.go
@@ -10,7 +10,7 @@
 	Ready() bool
 }
 
-// Handlers are what a machine does on each kind of event.
+// Handlers are the functions that a machine calls for each kind of event.
 type Handlers[M Machine] struct {
 	// Messages handle the messages of other daemons by their kind. Those of the membership
 	// never reach them: the core handles them itself.
@@ -23,7 +23,7 @@
 	OtherRequest func(M, wire.Request)
 	// WorkerReply handles the reply to a call to the worker; nil if there are no calls.
 	WorkerReply func(M, wire.WorkerReply)
-	// Tick handles the passing of time, after the membership has.
+	// Tick handles a tick, after the membership has.
 	Tick func(M)
 }
 
--- a/internal/httpfault/httpfault.go
+++ b/internal/httpfault/httpfault.go
@@ -1,6 +1,6 @@
-// Package httpfault is an HTTP server for tests that breaks a request off at a chosen
-// moment. Tests of HTTP clients use it to show that a request that the server may have
-// read is never made a second time.
+// Package httpfault is an HTTP server for tests that closes a connection at a chosen moment of
+// an exchange. Tests of HTTP clients use it to show that a request that the server may have
+// read is never sent a second time.
 package httpfault
 
 import (
@@ -15,10 +15,10 @@
 	"coppercourse/internal/types"
 )
 
-// Moment is a point of an exchange at which the server breaks off.
+// Moment is a point of an exchange at which the server closes the connection.
 type Moment struct {
 	Name string
-	// ResponseStarted says that the client has a whole response header by then.
+	// ResponseStarted reports whether the client has a complete response header by then.
 	ResponseStarted bool
 	// breakOff does what comes before the connection is closed.
 	breakOff func(conn net.Conn, requests *bufio.Reader)
@@ -31,7 +31,8 @@
 	partOfBody       = "HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"clock"
 )
 
-// Moments are the points at which a server can break off, in the order of an exchange.
+// Moments are all points at which a server can close the connection, in the order of an
+// exchange.
 var Moments = []Moment{
 	{"closed on arrival", false, func(net.Conn, *bufio.Reader) {}},
 	{"reset on arrival", false, func(conn net.Conn, _ *bufio.Reader) { reset(conn) }},
@@ -46,7 +47,7 @@
 	{"reset in the body", true, respondThen(reset, partOfBody)},
 }
 
-// respondThen reads the request, writes a part of a response, and does something more.
+// respondThen reads the request, writes a part of a response, and calls then unless it is nil.
 func respondThen(then func(net.Conn), response string) func(net.Conn, *bufio.Reader) {
 	return func(conn net.Conn, requests *bufio.Reader) {
 		readRequest(requests)
@@ -71,19 +72,19 @@
 	}
 }
 
-// Server answers the first request on its first connection. Every other request, on that
-// connection or a later one, is broken off.
+// Server responds to the first request on its first connection. During every other request,
+// on that connection or a later one, it closes the connection.
 type Server struct {
 	Addr     types.Addr
-	Broken   atomic.Int32  // requests that were broken off
+	Broken   atomic.Int32  // requests during which the connection was closed
 	Finished chan struct{} // has an element for each connection that was closed, up to its capacity
 }
 
 // finishedCapacity is more connections than any test makes.
 const finishedCapacity = 100
 
-// Start starts a server that gives one response and then breaks off at a moment. It ends
-// with the test.
+// Start starts a server that gives one response and then closes connections at a moment of the
+// exchange. It ends with the test.
 func Start(t *testing.T, response string, moment Moment) *Server {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -103,7 +104,7 @@
 	return s
 }
 
-// serve takes one connection after the other until the listener is closed.
+// serve serves one connection after the other until the listener is closed.
 func (s *Server) serve(ctx context.Context, listener net.Listener, response string, moment Moment) {
 	for first := true; ; first = false {
 		conn, err := listener.Accept()
--- a/internal/server/event_loop.go
+++ b/internal/server/event_loop.go
@@ -43,17 +43,18 @@
 
 // EventLoop runs one state machine.
 //
-// The goroutine that runs Run owns the machine, the observer, the pacer, the pending
-// requests and the time of the last publication: no other goroutine uses them while it
-// runs. Everything else reaches the machine as an event in the queue. Other goroutines are
+// The goroutine that runs Run owns the machine, the observer (except for Ready), the pacer,
+// the pending requests and the time of the last publication: no other goroutine uses them
+// while it runs. Everything else reaches the machine as an event in the queue. The other
+// goroutines are
 //
-//   - HTTP handlers, which call Ask, Deliver and StatusJSON;
+//   - HTTP handlers, which call Ask, Deliver, StatusJSON and the observer's Ready;
 //   - the disk writer, which reports the batches that are on disk;
 //   - one goroutine for each call to the worker, which reports the reply;
 //   - the shutdown, which calls BeginShutdown and Drained.
 //
 // They share with the loop only what is safe for concurrent use: the event queue, the
-// response channel of each request, the closed channel stopped and the atomic values.
+// response channel of each request, the channel stopped and the atomic values.
 type EventLoop struct {
 	queue *eventQueue
 
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,6 +1,6 @@
 // Package trace records what happened to a job, or to a version of the queue table, in one
-// daemon. The points are kept in memory, the oldest overwritten first; the command line's
-// trace verb gathers them from all daemons.
+// daemon. The points are kept in memory, the oldest overwritten first. The command "trace"
+// collects them from all daemons.
 package trace
 
 import (
