--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -95,71 +95,12 @@
 	a.handle(request{caller: caller{token: r.Token}, now: now, verb: r.Verb, arg: r.Arg, body: r.Body})
 }
 
-// handle serves a request, or rejects it before anything is done.
+// handle serves a request that admit lets through.
 func (a *api) handle(r request) {
 	a.counters.Calls++
-	if !a.leader.active() || !a.raft.HoldsReadLease() {
-		a.outbox.redirect(r.caller, a.otherLeader())
-		return
-	}
-	if a.mustShed(r) {
-		a.rejectOverloaded(r.caller)
-		return
-	}
-	handler := handlers[r.verb]
-	if handler == nil {
-		a.outbox.replyError(r.caller, apierror.New(apierror.NoSuchPath, "", "no such verb"))
-		return
-	}
-	if a.requests.full() {
-		a.outbox.replyError(r.caller, apierror.New(apierror.TooBusy, "", "too many changes wait for the log").
-			WithRetryAfter(logBusyRetryAfter))
-		return
-	}
-	handler(a, r)
-}
-
-// mustShed reports whether a request must be rejected because the event loop is behind.
-// Only new work is shed: a job that is known already is answered, and so are reads, cancels
-// and operators.
-func (a *api) mustShed(r request) bool {
-	if !wire.SubmitsWork(r.verb) || r.verb == wire.VerbSubmitJob && a.log.state().Find(types.JobID(r.arg)) != nil {
-		return false
-	}
-	return a.overload.shedsWork()
-}
-
-// rejectOverloaded rejects a request, unexamined, because the event loop is behind.
-func (a *api) rejectOverloaded(from caller) {
-	a.counters.Shed++
-	a.outbox.replyError(from, apierror.New(apierror.TooBusy, "",
-		"the controller is behind with its work; the request was not taken").WithRetryAfter(a.overload.retryAfter()))
-}
-
-// rejectExpired rejects all forwarded requests that have waited too long for a step.
-func (a *api) rejectExpired(messages []wire.Message) {
-	for _, message := range messages {
-		if r, ok := wire.DecodeBody[wire.ForwardedRequest](message); ok {
-			a.counters.Calls++
-			a.rejectOverloaded(caller{gateway: message.From, requestID: r.ID})
-		}
-	}
-}
-
-// otherLeader returns the address of the leader that a caller should ask instead, or empty
-// if none is known. A leader that was last heard longer ago than its lease lasts may no
-// longer be one, and this controller itself can't be the one to ask.
-func (a *api) otherLeader() types.Addr {
-	if a.raft.ClusterName() == "" {
-		if leader := a.members.Leader(); leader != a.self {
-			return leader
-		}
-		return ""
-	}
-	if !a.raft.HasRecentLeader() {
-		return ""
+	if a.admit(r) {
+		handlers[r.verb](a, r)
 	}
-	return a.raft.LeaderAddr()
 }
 
 // propose proposes a command; the caller gets the reply once it is committed.
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -6,13 +6,14 @@
 //
 //   - commandLog puts commands into the Raft log and applies the committed ones to the
 //     replicated state; it takes and loads snapshots.
-//   - api replies to callers and operators (job_requests.go, worker_requests.go).
-//     requestTable keeps the requests that wait: changes for their commit, reads behind a
-//     readBarrier; completionRates estimates the Retry-After of a full queue.
+//   - api replies to callers and operators (job_requests.go, worker_requests.go), or rejects
+//     what they ask (admission.go). requestTable keeps the requests that wait: changes for
+//     their commit, reads behind a readBarrier; completionRates estimates the Retry-After of
+//     a full queue.
 //   - leader is what only the leader does. Its scheduler.Scheduler, made anew with each
 //     leadership, keeps the workers' leases and the attempts that run. endTracker keeps the
-//     ends of attempts that are proposed and not yet committed, workerShapes and wallOffset what the log
-//     must know of workers and clocks.
+//     ends of attempts that are proposed and not yet committed, workerShapes and wallOffset
+//     what the log must know of workers and clocks.
 //   - planner makes rounds of placement: readyWork ranked by jobRanking, slotCache for the
 //     workers with room, coreLimits and waitTimes, placement.Place for the choice, and
 //     assignmentRounds for the rounds proposed and not yet applied. attemptReview withdraws attempts
--- a/internal/controller/job_ranking.go
+++ b/internal/controller/job_ranking.go
@@ -27,8 +27,6 @@
 	// slackDecaySeconds is the decay time of the gain: each slackDecaySeconds more of slack
 	// divide it by e.
 	slackDecaySeconds = 1.0
-	// priorityBase is by what factor each step of a queue's priority lowers its jobs' rank.
-	priorityBase = 1.0
 
 	patientSlackPercent    = 40 // of its target: a job with more slack than that can wait
 	patientHeadroomPercent = 92 // of all cores: bound on what long tasks of such a job leave free
@@ -88,28 +86,51 @@
 	if !queue.HasLatencyTarget() {
 		return jobRank{class: placement.OnTarget}
 	}
-	remainingWork, totalWork := 0.0, 0.0
-	for i := range j.Spec.Steps {
-		one := taskWork(v, j, i)
-		remainingWork += float64(ready.RemainingTasks[i]) * one
-		totalWork += float64(j.Spec.Steps[i].Tasks) * one
-	}
-	value := min(maxJobValue, baseValue+(1-baseValue)*totalWork/max(r.meanWork[j.Queue], minMeanWork))
+	remainingWork, totalWork := jobWork(v, j, ready)
+	value := r.jobValue(j.Queue, totalWork)
 	step := stage.Stage.Step()
 	if j.Spec.Steps[step].AlwaysRestart {
 		return jobRank{class: placement.OnTarget, sortKey: -value / (1 + remainingWork)}
 	}
 	duration := func(step int) time.Duration { return v.expectedDuration(j, step) }
-	target := time.Duration(queue.TargetFactor*float64(j.Spec.CriticalPath(-1, duration))) +
-		time.Duration(queue.TargetMarginMillis)*time.Millisecond
+	target := latencyTarget(queue, j.Spec.CriticalPath(-1, duration))
 	slack := stage.ReadySince.Add(target).Sub(v.clock) - j.Spec.CriticalPath(step, duration)
-	rank := jobRank{headroomPercent: r.headroom(v.state, j.Queue, queue, duration(step), slack, target)}
-	var gain float64
-	rank.class, gain, slack = classify(value, slack, target)
-	gain = gain / (remainingWork + minRemainingWork) * math.Exp(-max(0, slack.Seconds())/slackDecaySeconds) *
-		math.Pow(priorityBase, -float64(queue.Priority))
-	rank.sortKey = -gain
-	return rank
+	class, lostValue, untilLost := classify(value, slack, target)
+	return jobRank{
+		class:           class,
+		sortKey:         -tardinessCost(lostValue, remainingWork, untilLost),
+		headroomPercent: r.headroom(v.state, j.Queue, queue, duration(step), slack, target),
+	}
+}
+
+// jobWork returns the work of a job's tasks that have not ended, and of all its tasks, in
+// core-seconds.
+func jobWork(v *leaderView, j *state.Job, ready *state.ReadyIndex) (remaining, total float64) {
+	for i := range j.Spec.Steps {
+		one := taskWork(v, j, i)
+		remaining += float64(ready.RemainingTasks[i]) * one
+		total += float64(j.Spec.Steps[i].Tasks) * one
+	}
+	return remaining, total
+}
+
+// jobValue returns the value of a job of so much work, in values of its queue's mean job.
+func (r *jobRanking) jobValue(queue types.QueueName, totalWork float64) float64 {
+	relativeWork := (1 - baseValue) * totalWork / max(r.meanWork[queue], minMeanWork)
+	return min(maxJobValue, baseValue+relativeWork)
+}
+
+// latencyTarget returns how long a queue's job should take at most that would take so long
+// without any wait.
+func latencyTarget(queue config.Queue, criticalPath time.Duration) time.Duration {
+	return time.Duration(queue.TargetFactor*float64(criticalPath)) +
+		time.Duration(queue.TargetMarginMillis)*time.Millisecond
+}
+
+// tardinessCost returns what it gains to run a job now: the value that is lost otherwise,
+// for each core-second of its remaining work, less the more slack there is until then.
+func tardinessCost(lostValue, remainingWork float64, slack time.Duration) float64 {
+	return lostValue / (remainingWork + minRemainingWork) * math.Exp(-max(0, slack.Seconds())/slackDecaySeconds)
 }
 
 // classify returns whether a job with so much slack can still meet its latency target, what
