--- a/internal/controller/attempt_review.go
+++ b/internal/controller/attempt_review.go
@@ -19,13 +19,12 @@
 )
 
 // attemptReview looks through the outstanding attempts for those to be stopped early: their
-// worker must be empty soon, a peer of their gang can't be reached, they straggle, or they
-// have run beyond a time limit. A withdrawn attempt goes through the log: once that is
-// committed it is stopped, and when its end is reported its task is ready again.
+// worker must be empty soon, a peer of their gang can't be reached, or they straggle. A
+// withdrawn attempt goes through the log: once that is committed it is stopped, and when its
+// end is reported its task is ready again.
 type attemptReview struct {
-	windows     workerWindows
-	withdrawals reviewTimer
-	timeLimits  reviewTimer
+	windows workerWindows
+	timer   reviewTimer
 }
 
 // reviewTimer limits something to once in each reviewInterval.
@@ -45,7 +44,7 @@
 
 // review returns the attempts to withdraw now, and requests for the hedges to start.
 func (r *attemptReview) review(v *leaderView) ([]state.Withdrawal, []placement.Request) {
-	if !r.withdrawals.due(v.now) {
+	if !r.timer.due(v.now) {
 		return nil, nil
 	}
 	attempts := v.scheduler.Attempts()
@@ -108,23 +107,3 @@
 	attempt := task.FindOutstanding(id.Attempt)
 	return attempt != nil && attempt.Withdrawn == ""
 }
-
-// beyondTimeLimit lists the attempts that run longer than the table in force allows. Each
-// was given its limit with its order, but the table may have changed since.
-func (r *attemptReview) beyondTimeLimit(v *leaderView) []types.AttemptID {
-	if !r.timeLimits.due(v.now) {
-		return nil
-	}
-	var list []types.AttemptID
-	for _, attempt := range v.scheduler.Attempts() {
-		j := v.state.Jobs[attempt.ID.Job]
-		if j == nil || j.Ended() || attempt.TimeLimit == 0 {
-			continue
-		}
-		queue, ok := v.state.QueueConfig(j.Queue)
-		if ok && v.now.Sub(attempt.OrderedAt) > queue.TaskTimeout() && queue.TaskTimeout() < attempt.TimeLimit {
-			list = append(list, attempt.ID)
-		}
-	}
-	return list
-}
--- a/internal/controller/attempt_review_test.go
+++ b/internal/controller/attempt_review_test.go
@@ -42,7 +42,7 @@
 				drain.Deadline = l.raft.Clock().Add(c.in)
 			}
 			l.log.state().Drains = []state.Drain{drain}
-			list, _ := l.review.review(l.view(l.now))
+			list, _ := l.planner.review.review(l.view(l.now))
 			if !c.want {
 				is.Equal(len(list), 0)
 				return
@@ -50,24 +50,8 @@
 			is.Equal(list, []state.Withdrawal{{ID: attemptID("j", 0, 1), Reason: state.WorkerDrained}})
 			l.apply(t, state.Command{Withdrawals: list})
 			l.now = l.now.Add(reviewInterval)
-			list, _ = l.review.review(l.view(l.now))
+			list, _ = l.planner.review.review(l.view(l.now))
 			is.Equal(len(list), 0) // it is being withdrawn
 		})
 	}
 }
-
-func TestATableMayShortenTheLimitOfWhatRuns(t *testing.T) {
-	is := is.New(t)
-	l := newLeaderRig(rand.New(rand.NewSource(1)))
-	q := testQueue("q")
-	l.table(t, q)
-	l.submit(t, "j", state.Spec{Queue: "q", Steps: []state.Step{testStep("s", 1)}})
-	l.run(t, attemptID("j", 0, 1), "k0")
-	l.now = l.now.Add(2 * time.Minute)
-	is.Equal(len(l.review.beyondTimeLimit(l.view(l.now))), 0) // its agent stops it by the limit of its order
-	q.TaskTimeoutMillis = 30_000
-	l.table(t, q)
-	is.Equal(len(l.review.beyondTimeLimit(l.view(l.now))), 0) // not yet due
-	l.now = l.now.Add(reviewInterval)
-	is.Equal(l.review.beyondTimeLimit(l.view(l.now)), []types.AttemptID{attemptID("j", 0, 1)})
-}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -2,7 +2,6 @@
 
 import (
 	"math/rand"
-	"time"
 
 	"coppercourse/internal/configwatch"
 	"coppercourse/internal/dispatch/protocol"
@@ -14,12 +13,8 @@
 	"coppercourse/internal/wire"
 )
 
-const (
-	// shutdownTimeout bounds a graceful shutdown.
-	shutdownTimeout = 3 * time.Second
-	// maxAppliesPerStep is how many entries one step applies at most.
-	maxAppliesPerStep = 512
-)
+// maxAppliesPerStep is how many entries one step applies at most.
+const maxAppliesPerStep = 512
 
 // Options is where and as what a controller runs.
 type Options struct {
@@ -35,7 +30,8 @@
 }
 
 // Controller is one controller as a state machine. It joins the parts, and has a field for
-// each: a part has its own state and is used through its methods only.
+// each: a part has its own state and is used through its methods only. What it does itself
+// is to pass each event to the part that it is for, and to call the parts in their order.
 type Controller struct {
 	options   Options
 	now       types.Now // of the event that is being handled
@@ -51,9 +47,8 @@
 	leader    *leader
 	api       *api
 
-	diskError        error // of the latest failed write; nil once a write has succeeded
-	shuttingDown     bool
-	shutdownDeadline types.MonoTime
+	shutdown  gracefulShutdown
+	diskError error // of the latest failed write; nil once a write has succeeded
 
 	// Trace holds what was done about each job and table.
 	Trace *trace.Ring
@@ -205,9 +200,8 @@
 }
 
 // lead runs the leader's part of a step, and establishes or revokes this controller's
-// leadership.
-// A controller that was elected begins once it holds a lease and has applied everything
-// committed.
+// leadership. A controller that was elected begins once it holds a lease and has applied
+// everything committed.
 func (c *Controller) lead() {
 	if !c.raft.IsLeader() {
 		c.leader.revoke()
@@ -228,8 +222,7 @@
 
 // beginShutdown begins a graceful shutdown: leadership is transferred.
 func (c *Controller) beginShutdown() {
-	c.shuttingDown = true
-	c.shutdownDeadline = c.now.Mono.Add(shutdownTimeout)
+	c.shutdown.begin(c.now.Mono)
 	c.leader.stopPlacing()
 	c.raft.PrepareStop(c.now)
 }
@@ -246,8 +239,7 @@
 		FallbackRecords: ready.FallbackRecords,
 		Responses:       responses,
 	}
-	mayStop := c.raft.MayStop() || c.now.Mono >= c.shutdownDeadline
-	out.Drained = c.shuttingDown && mayStop && c.requests.idle()
+	out.Drained = c.shutdown.mayEnd(c.now.Mono, c.raft.MayStop()) && c.requests.idle()
 	return out
 }
 
--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -15,7 +15,7 @@
 		Zone:   c.options.Zone,
 		Name:   c.raft.ClusterName(),
 		Term:   c.raft.Term(),
-		Leads:  c.raft.IsLeader() && !c.shuttingDown,
+		Leads:  c.raft.IsLeader() && !c.shutdown.inProgress(),
 		Detail: c.raft.Role(),
 		Ready:  c.Ready(),
 		Build:  c.options.Build,
@@ -25,7 +25,7 @@
 // Ready reports whether the platform may send callers here: this controller leads, or
 // knows who does.
 func (c *Controller) Ready() bool {
-	if c.shuttingDown || c.diskError != nil || c.log.isLoading() || c.raft.ClusterName() == "" {
+	if c.shutdown.inProgress() || c.diskError != nil || c.log.isLoading() || c.raft.ClusterName() == "" {
 		return false
 	}
 	if c.raft.IsLeader() {
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -13,14 +13,16 @@
 //   - leader is what only the leader does. Its scheduler.Scheduler, made anew with each
 //     leadership, keeps the workers' leases and the attempts that run. endTracker keeps the
 //     ends of attempts that are proposed and not yet committed, workerShapes and wallOffset
-//     what the log must know of workers and clocks.
+//     what the log must know of workers and clocks. placementSchedule says in which steps a
+//     round of placement is made, timeLimitReview which attempts it stops.
 //   - planner makes rounds of placement: readyWork ranked by jobRanking, slotCache for the
 //     workers with room, coreLimits and waitTimes, placement.Place for the choice, and
-//     assignmentRounds for the rounds proposed and not yet applied. attemptReview withdraws attempts
-//     and hedges stragglers, preemption makes room for urgent work.
+//     assignmentRounds for the rounds proposed and not yet applied. attemptReview withdraws
+//     attempts and hedges stragglers, preemption makes room for urgent work.
 //   - durationEstimates learns how long tasks take, and reportBuffer keeps reported ends until
 //     the log has them. Every controller keeps these, so that a new leader starts with them.
-//   - overload decides what to do when the daemon's event loop falls behind.
+//   - overload decides what to do when the daemon's event loop falls behind, and
+//     gracefulShutdown when the daemon may stop.
 //   - outbox collects the messages and replies of a step.
 //
 // A job passes through it as follows. api.submitJob proposes its submission. Once that is
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -16,47 +16,42 @@
 // rounds of placement. The scheduler is made anew with each leadership; the other parts are
 // kept, and revoke resets what in them belongs to one leadership.
 //
-// It has many fields because it joins the leader's parts: first what all of the controller
-// shares, then the parts themselves.
+// Its fields are first what all of the controller shares, then the leader's own parts. It
+// has one for each because it only joins them.
 type leader struct {
-	options   Options
-	raft      *raft.Node
-	log       *commandLog
-	members   *membership.MemberList
-	outbox    *outbox
-	requests  *requestTable
-	durations *durationEstimates
-	overload  *overload
-	counters  *Counters
+	options  Options
+	raft     *raft.Node
+	log      *commandLog
+	members  *membership.MemberList
+	outbox   *outbox
+	requests *requestTable
+	counters *Counters
 
-	scheduler      *scheduler.Scheduler // nil unless this controller leads
-	ends           *endTracker
-	planner        planner
-	review         attemptReview
-	preemption     preemption
-	shapes         workerShapes
-	wallOffset     wallOffset
-	needsPlacement bool       // something was applied, or a tick passed, since the last round
-	stopping       bool       // the daemon shuts down: no more work is placed
-	current        leaderView // see view
+	scheduler  *scheduler.Scheduler // nil unless this controller leads
+	ends       *endTracker
+	schedule   placementSchedule
+	planner    planner
+	timeLimits timeLimitReview
+	shapes     workerShapes
+	wallOffset wallOffset
+	current    leaderView // see view
 }
 
 func newLeader(c *Controller) *leader {
 	windows := workerWindows{orderDelay: c.options.DispatchTimeouts.AgentLease}
 	ends := newEndTracker()
 	return &leader{
-		options:   c.options,
-		raft:      c.raft,
-		log:       c.log,
-		members:   c.members,
-		outbox:    c.outbox,
-		requests:  c.requests,
-		durations: c.durations,
-		overload:  c.overload,
-		counters:  &c.Counters,
-		ends:      ends,
-		planner:   newPlanner(windows, ends),
-		review:    attemptReview{windows: windows},
+		options:  c.options,
+		raft:     c.raft,
+		log:      c.log,
+		members:  c.members,
+		outbox:   c.outbox,
+		requests: c.requests,
+		counters: &c.Counters,
+		ends:     ends,
+		schedule: placementSchedule{overload: c.overload},
+		planner:  newPlanner(windows, ends),
+		current:  leaderView{durations: c.durations},
 	}
 }
 
@@ -64,22 +59,18 @@
 func (l *leader) active() bool { return l.scheduler != nil }
 
 // stopPlacing has no more work placed, as the daemon is shutting down.
-func (l *leader) stopPlacing() { l.stopping = true }
+func (l *leader) stopPlacing() { l.schedule.stop() }
 
 // requestPlacement schedules a round of placement, in this step or, under overload, a later
 // one.
-func (l *leader) requestPlacement() { l.needsPlacement = true }
+func (l *leader) requestPlacement() { l.schedule.request() }
 
 // view returns the input of the leader's parts at a time; it is valid until the next call.
 func (l *leader) view(now types.MonoTime) *leaderView {
-	l.current = leaderView{
-		now:       now,
-		clock:     l.raft.Clock(),
-		state:     l.log.state(),
-		scheduler: l.scheduler,
-		durations: l.durations,
-	}
-	return &l.current
+	v := &l.current
+	v.now, v.clock = now, l.raft.Clock()
+	v.state, v.scheduler = l.log.state(), l.scheduler
+	return v
 }
 
 // establish starts the leader's work with a new scheduler, which learns from the agents
@@ -141,9 +132,7 @@
 func (l *leader) step(now types.MonoTime) {
 	l.scheduler.Tick(now, l.raft.AuthorityRemaining())
 	l.drainScheduler()
-	if l.needsPlacement && l.overload.mayPlace(now) {
-		l.needsPlacement = false
-		l.overload.startPlacement(now)
+	if l.schedule.startRound(now) {
 		l.counters.Placed++
 		l.placeWork(l.view(now))
 		l.drainScheduler()
@@ -191,14 +180,14 @@
 // controller may lead.
 func (l *leader) placeWork(v *leaderView) {
 	l.stopAttempts(v)
-	if !l.raft.HoldsReadLease() || l.stopping {
+	if !l.raft.HoldsReadLease() || l.schedule.isStopped() {
 		return
 	}
 	l.shapes.propose(v, l.log)
 	if l.wallOffset.due(v.now) {
 		l.wallOffset.propose(v, l.log, l.raft.WallOffsets())
 	}
-	l.proposeRound(l.planner.plan(v, l.log.applied(), &l.review, &l.preemption))
+	l.proposeRound(l.planner.plan(v, l.log.applied()))
 }
 
 // stopAttempts stops the attempts that the state no longer needs, those unknown to it and
@@ -211,7 +200,7 @@
 		toStop, exhausted = append(toStop, ready.ToStop...), append(exhausted, ready.Exhausted...)
 	}
 	l.proposeEnds(exhausted)
-	l.scheduler.KillTasks(append(toStop, l.scheduler.UnknownAttempts()...), l.review.beyondTimeLimit(v))
+	l.scheduler.KillTasks(append(toStop, l.scheduler.UnknownAttempts()...), l.timeLimits.exceeded(v))
 }
 
 // proposeRound proposes a round, if there is anything in it. Its orders are sent once it is
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -17,6 +17,8 @@
 // the choice between them, and the attempt numbers of what is chosen. One full round is in
 // the log at a time; while it is, more rounds may place new work beside it.
 type planner struct {
+	review      attemptReview
+	preemption  preemption
 	rounds      assignmentRounds
 	waits       waitTimes
 	ranking     jobRanking
@@ -29,6 +31,7 @@
 
 func newPlanner(windows workerWindows, ends *endTracker) planner {
 	return planner{
+		review:  attemptReview{windows: windows},
 		rounds:  assignmentRounds{assignments: map[types.TaskID]state.Assignment{}},
 		ranking: newJobRanking(),
 		limits:  newCoreLimits(),
@@ -60,18 +63,18 @@
 func (p *planner) applied(task types.TaskID) { p.rounds.applied(task) }
 
 // plan makes the next round, given the last index applied.
-func (p *planner) plan(v *leaderView, applied types.Index, review *attemptReview, preempt *preemption) round {
+func (p *planner) plan(v *leaderView, applied types.Index) round {
 	if p.rounds.inFlight(applied) {
 		return p.planBeside(v, applied)
 	}
-	return p.planFull(v, review, preempt)
+	return p.planFull(v)
 }
 
-// planFull makes a full round: review withdraws and hedges attempts, new work is placed,
-// and if nothing at all could be done, preempt makes room.
-func (p *planner) planFull(v *leaderView, review *attemptReview, preempt *preemption) round {
+// planFull makes a full round: the review withdraws and hedges attempts, new work is placed,
+// and if nothing at all could be done, preemption makes room.
+func (p *planner) planFull(v *leaderView) round {
 	p.rounds.allApplied()
-	withdrawals, hedges := review.review(v)
+	withdrawals, hedges := p.review.review(v)
 	result := round{withdrawals: withdrawals}
 	if v.scheduler.InInitialWait() {
 		return result
@@ -93,7 +96,7 @@
 	}
 	result.assignments = append(result.assignments, placeHedges(v, in, hedges)...)
 	if result.empty() && p.reservation == nil {
-		result.withdrawals, p.reservation = preempt.find(v, in)
+		result.withdrawals, p.reservation = p.preemption.find(v, in)
 	}
 	return result
 }
--- a/internal/controller/planner_test.go
+++ b/internal/controller/planner_test.go
@@ -15,7 +15,7 @@
 
 // plan makes the next round of the rig's leader.
 func (l *leaderRig) plan(applied types.Index) round {
-	return l.planner.plan(l.view(l.now), applied, &l.review, &l.preemption)
+	return l.planner.plan(l.view(l.now), applied)
 }
 
 func TestAFullRoundPlacesWhatIsReady(t *testing.T) {
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -50,7 +50,7 @@
 	in := placement.Input{Requests: []placement.Request{request}, Usage: queueUsage(v.state)}
 	in.Slots, in.TotalCores = l.planner.slots.list(v, l.ends, &l.planner.rounds)
 	in.Usage["urgent"].CoresInUse, in.Usage["batch"].CoresInUse = urgentCores, batchCores
-	return l.preemption.find(v, in)
+	return l.planner.preemption.find(v, in)
 }
 
 func TestPreemptionTakesTheLeastUrgentThatItNeeds(t *testing.T) {
--- a/internal/controller/wall_offset.go
+++ b/internal/controller/wall_offset.go
@@ -13,7 +13,7 @@
 	minOffsetChange       = types.WallTime(20 * time.Millisecond)
 )
 
-// WallOffset keeps in the replicated state the offset from the cluster's clock to the wall
+// wallOffset keeps in the replicated state the offset from the cluster's clock to the wall
 // clocks.
 type wallOffset struct {
 	checkedAt types.MonoTime
