--- a/internal/controller/discovery.go
+++ b/internal/controller/discovery.go
@@ -9,16 +9,16 @@
 // describe returns this controller's information for the membership.
 func (c *Controller) describe() membership.MemberInfo {
 	return membership.MemberInfo{
-		Addr:   c.options.Addr,
-		ID:     c.raft.ID(),
-		Role:   membership.RoleController,
-		Zone:   c.options.Zone,
-		Name:   c.raft.ClusterName(),
-		Term:   c.raft.Term(),
-		Leads:  c.raft.IsLeader() && !c.shutdown.inProgress(),
-		Detail: c.raft.Role(),
-		Ready:  c.Ready(),
-		Build:  c.options.Build,
+		Addr:        c.options.Addr,
+		ID:          c.raft.ID(),
+		Role:        membership.RoleController,
+		Zone:        c.options.Zone,
+		ClusterName: c.raft.ClusterName(),
+		Term:        c.raft.Term(),
+		Leads:       c.raft.IsLeader() && !c.shutdown.inProgress(),
+		Detail:      c.raft.Role(),
+		Ready:       c.Ready(),
+		Build:       c.options.Build,
 	}
 }
 
@@ -40,7 +40,7 @@
 	for _, info := range c.members.Controllers() {
 		if info.ID != "" && info.Detail != raft.RoleRemoved {
 			member := raft.Member{ID: info.ID, Addr: info.Addr, Zone: info.Zone}
-			peers = append(peers, raft.DiscoveredPeer{Member: member, ClusterName: info.Name})
+			peers = append(peers, raft.DiscoveredPeer{Member: member, ClusterName: info.ClusterName})
 		}
 	}
 	return peers
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -90,6 +90,6 @@
 func (c *Core) announce(ready bool) {
 	self := c.self
 	self.Ready = ready
-	self.Name = c.members.ClusterName()
+	self.ClusterName = c.members.ClusterName()
 	c.members.SetSelf(self)
 }
--- a/internal/daemon/handlers_test.go
+++ b/internal/daemon/handlers_test.go
@@ -99,7 +99,7 @@
 	is := is.New(t)
 	machine := newFakeMachine()
 	leader := membership.MemberInfo{
-		Addr: "a", Role: membership.RoleController, Name: "c", Term: 1, Leads: true, Version: 1,
+		Addr: "a", Role: membership.RoleController, ClusterName: "c", Term: 1, Leads: true, Version: 1,
 	}
 	is.Equal(machine.core.Leader(), types.Addr(""))
 	hello := wire.Event{Message: message(wire.Hello, map[string]any{"me": leader})}
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,5 +1,5 @@
 // Package membership keeps each daemon's view of the cluster: which daemons there are, in
-// which role and zone, and when each was last heard of. Any one live address leads to all
+// which role and zone, and when each was last heard from. Any one live address leads to all
 // the others. The view is a hint for finding peers: no decision that must be correct rests
 // on it.
 //
--- a/internal/membership/hello.go
+++ b/internal/membership/hello.go
@@ -13,7 +13,7 @@
 	IsReply      bool                 `json:"reply,omitempty"`
 	KnownVersion uint64               `json:"have,omitempty"`  // of the receiver, if that is beyond the one it gave
 	Digests      *Digests             `json:"sums,omitempty"`  // of all members that the sender knows
-	Ages         map[types.Addr]int64 `json:"ages,omitempty"`  // ms since the healthy controllers were heard of
+	Ages         map[types.Addr]int64 `json:"ages,omitempty"`  // ms since the healthy controllers were last heard from
 	ZoneAges     map[types.Zone]int64 `json:"zones,omitempty"` // the same of zones, between controllers
 	SampleSize   int                  `json:"want,omitempty"`  // how many random members the reply should have
 
@@ -32,7 +32,7 @@
 }
 
 // newHello returns what every hello holds: this daemon, the digests, and when the
-// controllers were last heard of.
+// controllers were last heard from.
 func (ml *MemberList) newHello() hello {
 	digests := ml.table.digests
 	h := hello{Self: ml.self, Digests: &digests, Ages: map[types.Addr]int64{}}
@@ -44,7 +44,7 @@
 	return h
 }
 
-// addZoneAges adds, to a hello between controllers, when each zone was last heard of.
+// addZoneAges adds, to a hello between controllers, when each zone was last heard from.
 func (ml *MemberList) addZoneAges(h *hello, to types.Addr) {
 	if ml.self.Role != RoleController || ml.RoleOf(to) != RoleController {
 		return
--- a/internal/membership/hello_handler.go
+++ b/internal/membership/hello_handler.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// takeAges takes when the sender of a hello last heard of controllers and zones.
+// takeAges takes when the sender of a hello last heard from controllers and zones.
 func (ml *MemberList) takeAges(h hello) {
 	for addr, ageMS := range h.Ages {
 		if e := ml.table.entries[addr]; e != nil {
--- a/internal/membership/member_list.go
+++ b/internal/membership/member_list.go
@@ -13,9 +13,9 @@
 const (
 	// TickInterval is the interval between two ticks that do something.
 	TickInterval = 500 * time.Millisecond
-	// HealthyWithin is how long after it was last heard of a daemon counts as healthy.
+	// HealthyWithin is how long a daemon counts as healthy after it was last heard from.
 	HealthyWithin = 3 * time.Second
-	// ForgetAfter is how long after it was last heard of a daemon is forgotten.
+	// ForgetAfter is how long a daemon is kept after it was last heard from.
 	ForgetAfter = 24 * time.Hour
 )
 
@@ -107,7 +107,7 @@
 // from controllers alone, and the term from the leader alone.
 func (ml *MemberList) changesSelf(info MemberInfo) bool {
 	if info.Role != RoleController {
-		info.Name = ml.self.Name
+		info.ClusterName = ml.self.ClusterName
 	}
 	if !info.Leads {
 		info.Term = ml.self.Term
@@ -185,7 +185,7 @@
 	}
 }
 
-// forgetOld forgets the daemons that were not heard of for ForgetAfter.
+// forgetOld forgets the daemons that have not been heard from for ForgetAfter.
 func (ml *MemberList) forgetOld() {
 	for _, addr := range slices.Clone(ml.table.order) {
 		if ml.now.Sub(ml.lastHeard(ml.table.entries[addr])) > ForgetAfter {
--- a/internal/membership/member_list_test.go
+++ b/internal/membership/member_list_test.go
@@ -220,10 +220,10 @@
 
 func TestMembersOfOtherClustersAreIgnored(t *testing.T) {
 	is := is.New(t)
-	list := New(rand.New(rand.NewSource(1)), MemberInfo{Addr: "a", Role: RoleController, Name: "one"}, nil)
+	list := New(rand.New(rand.NewSource(1)), MemberInfo{Addr: "a", Role: RoleController, ClusterName: "one"}, nil)
 	for _, self := range []MemberInfo{
-		{Addr: "b", Role: RoleController, Name: "two", Version: 3},
-		{Addr: "c", Role: RoleGateway, Name: "one", Version: 3},
+		{Addr: "b", Role: RoleController, ClusterName: "two", Version: 3},
+		{Addr: "c", Role: RoleGateway, ClusterName: "one", Version: 3},
 	} {
 		list.HandleMessage(1, wire.NewMessage(self.Addr, "a", wire.Hello, hello{Self: self}).Message)
 	}
--- a/internal/membership/member_table.go
+++ b/internal/membership/member_table.go
@@ -11,12 +11,12 @@
 	entries     map[types.Addr]*entry
 	order       []types.Addr      // the keys of entries, sorted
 	controllers []types.Addr      // those of controllers, sorted
-	agents      map[string]*entry // agents by shard; of several the one heard of last
+	agents      map[string]*entry // agents by shard; of several the one last heard from
 	zones       map[types.Zone]*zoneState
 	digests     Digests // of all entries, and of this daemon
 }
 
-// entry is another daemon, and when it was last heard of.
+// entry is another daemon, and when it was last heard from.
 type entry struct {
 	info            MemberInfo
 	heardAt         types.MonoTime // by anyone
@@ -25,7 +25,7 @@
 	silent          bool           // the leader has not heard it for silentAfter
 }
 
-// zoneState is how many daemons of a zone are known, and when any was last heard of.
+// zoneState is how many daemons of a zone are known, and when any was last heard from.
 type zoneState struct {
 	count   int
 	heardAt types.MonoTime
@@ -39,7 +39,7 @@
 	}
 }
 
-// add adds a daemon that was not heard of yet.
+// add adds a daemon that has not been heard from yet.
 func (t *memberTable) add(info MemberInfo) *entry {
 	e := &entry{info: info, heardAt: never, heardDirectlyAt: never}
 	t.entries[info.Addr] = e
@@ -91,7 +91,7 @@
 	}
 }
 
-// markHeard records that a daemon was heard of at a time.
+// markHeard records that a daemon was heard from at a time.
 func (t *memberTable) markHeard(e *entry, at types.MonoTime) {
 	if at <= e.heardAt {
 		return
--- a/internal/membership/queries.go
+++ b/internal/membership/queries.go
@@ -53,8 +53,8 @@
 // that has one.
 func (ml *MemberList) ClusterName() string {
 	for _, controller := range ml.Controllers() {
-		if controller.Name != "" {
-			return controller.Name
+		if controller.ClusterName != "" {
+			return controller.ClusterName
 		}
 	}
 	return ""
@@ -89,10 +89,10 @@
 	return zone.count >= minZoneMembers && ml.now.Sub(zone.heardAt) >= HealthyWithin/2
 }
 
-// healthy reports whether a daemon was heard of lately.
+// healthy reports whether a daemon was heard from lately.
 func (ml *MemberList) healthy(e *entry) bool { return ml.now.Sub(e.heardAt) <= HealthyWithin }
 
-// lastHeard returns when a daemon was last heard of. The leader vouches for all that it did
+// lastHeard returns when a daemon was last heard from. The leader vouches for all that it did
 // not report as silent.
 func (ml *MemberList) lastHeard(e *entry) types.MonoTime {
 	if e.silent || !ml.keepsAll() {
--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -64,7 +64,7 @@
 
 // inOtherCluster reports whether a daemon belongs to another cluster.
 func (ml *MemberList) inOtherCluster(info MemberInfo) bool {
-	return info.Name != "" && ml.self.Name != "" && info.Name != ml.self.Name
+	return info.ClusterName != "" && ml.self.ClusterName != "" && info.ClusterName != ml.self.ClusterName
 }
 
 // markHeardDirectly records that this daemon has just heard another one.
