--- a/internal/wal/file.go
+++ b/internal/wal/file.go
@@ -14,10 +14,11 @@
 	damagedSuffix = ".spoilt" // of a damaged log
 )
 
-// sealRecord is the record that follows the last one after SealAfterIdle.
+// sealRecord is the body of a seal; see File.Seal.
 const sealRecord = "{}"
 
-// SealAfterIdle is how long nothing is written before the log is sealed.
+// SealAfterIdle is how long after the last write the owner of a File seals it. The File
+// itself reads no clock.
 const SealAfterIdle = 50 * time.Millisecond
 
 // File is the log of one data folder. One goroutine uses it.
@@ -28,7 +29,7 @@
 	storage Storage
 	dir     string
 	handle  Handle
-	synced  int64 // length that the last successful sync covered
+	synced  int64 // length in bytes that the last successful sync covered
 	sealed  bool  // the last record is a seal
 	torn    bool  // the bytes past synced are unknown: a write or sync of them failed
 	renamed bool  // the folder has not been synced since a rename
@@ -36,8 +37,8 @@
 
 // Contents is what a data folder held when its log was opened.
 type Contents struct {
-	Records     [][]byte
-	DamagedPath string // where a damaged log was moved to; empty if there was none
+	Records     [][]byte // the bodies, oldest first, with the seals between them
+	DamagedPath string   // where a damaged log was moved to; empty if there was none
 }
 
 // Open opens the log of a data folder, which it creates if need be. A damaged log is moved
@@ -45,6 +46,8 @@
 //
 // All records that are returned are on disk. Some of them an earlier process may have
 // written and not synced, so that they were read from the cache of the operating system.
+//
+// The error is a DiskError. Damage is no error; Contents tells of it.
 func Open(storage Storage, dir string) (*File, Contents, error) {
 	if err := storage.MakeDir(dir); err != nil {
 		return nil, Contents{}, diskError("data folder", err)
@@ -73,7 +76,8 @@
 	return file, contents, nil
 }
 
-// openAt opens the log for appending after its valid length, and syncs that.
+// openAt opens the log for appending after its valid length in bytes, and syncs that. The
+// error is a DiskError.
 func openAt(storage Storage, dir string, validLength int64) (*File, error) {
 	handle, err := storage.OpenFile(filepath.Join(dir, logName))
 	if err != nil {
@@ -90,7 +94,8 @@
 	return file, nil
 }
 
-// repair brings the file back to its last synced length after a failure.
+// repair brings the file back to its last synced length after a failure. The error is a
+// DiskError, after which it may be called again.
 func (f *File) repair() error {
 	if f.renamed {
 		if err := f.storage.SyncDir(f.dir); err != nil {
@@ -107,6 +112,7 @@
 	return nil
 }
 
+// sync syncs the file. The error is a DiskError.
 func (f *File) sync() error {
 	if err := f.handle.Sync(); err != nil {
 		return diskError("sync", err)
@@ -115,7 +121,8 @@
 }
 
 // Append writes records and syncs them once. After an error none of them counts, and the
-// same records may be appended again.
+// same records may be appended again. The error is a DiskError, or of kind
+// apierror.Unusable for a record that is empty or larger than MaxRecordSize.
 func (f *File) Append(records [][]byte) error {
 	if err := f.repair(); err != nil {
 		return err
@@ -137,7 +144,8 @@
 }
 
 // Seal writes a seal behind the last record, unless it is there already. It shows that all
-// before it was synced, so that damage to the last record is not taken for a torn tail.
+// before it was synced, so that damage to the last record is not taken for a torn tail. An
+// empty log is not sealed. The error is a DiskError, after which the log is not sealed.
 func (f *File) Seal() error {
 	if f.sealed || f.synced == 0 {
 		return nil
@@ -149,7 +157,7 @@
 
 // Rewrite replaces the whole log by the given records. After an error the log is the old
 // one, or the new one under a name that may not be durable yet; either way the same records
-// may be written again.
+// may be written again. The errors are those of Append.
 func (f *File) Rewrite(records [][]byte) error {
 	sealed := append(records[:len(records):len(records)], []byte(sealRecord))
 	encoded, err := encodeRecords(sealed, SyncedByRename)
@@ -171,7 +179,8 @@
 	return f.repair()
 }
 
-// writeNew creates a file of the given content and syncs it.
+// writeNew creates a file of the given content and syncs it. After an error, a DiskError,
+// the file is removed.
 func (f *File) writeNew(path string, content []byte) (Handle, error) {
 	handle, err := f.storage.OpenFile(path)
 	if err != nil {
@@ -190,13 +199,15 @@
 	return handle, nil
 }
 
-// discard removes an unfinished file, so that its space is free again.
+// discard removes an unfinished file, so that its space is free again. A file that can't be
+// removed is overwritten by the next rewrite, or removed by Open.
 func (f *File) discard(handle Handle, path string) {
 	handle.Close()
 	f.storage.Remove(path)
 }
 
-// Close seals the log and closes it.
+// Close seals the log and closes it, also if it can't be sealed. The error joins those of
+// both.
 func (f *File) Close() error {
 	return errors.Join(f.Seal(), f.handle.Close())
 }
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -8,7 +8,7 @@
 	"coppercourse/internal/apierror"
 )
 
-// The header of a record, in big-endian order.
+// The header of a record: offsets in bytes of its fields, which are in big-endian order.
 const (
 	lengthOffset   = 0 // of the body, 4 bytes
 	checksumOffset = 4 // of all that follows it, 4 bytes
@@ -24,14 +24,17 @@
 	SyncedByRename = int64(1) << 62
 )
 
+// checksumTable is of the polynomial that the checksums of the format use.
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
+// checksum returns the checksum of a record: of its header after the checksum, and its body.
 func checksum(header, body []byte) uint32 {
 	return crc32.Update(crc32.Checksum(header[syncedOffset:headerSize], checksumTable), checksumTable, body)
 }
 
-// AppendRecord appends an encoded record to the bytes of a file. synced is how many bytes
-// of the file are synced.
+// AppendRecord appends an encoded record to the bytes of a file and returns them all. The
+// body must have between 1 and MaxRecordSize bytes, which is not checked; synced is how many
+// bytes of the file are synced.
 func AppendRecord(file []byte, body []byte, synced int64) []byte {
 	var header [headerSize]byte
 	binary.BigEndian.PutUint32(header[lengthOffset:], uint32(len(body)))
@@ -40,8 +43,9 @@
 	return append(append(file, header[:]...), body...)
 }
 
-// encodeRecords encodes records one after another. A record that Scan would not accept is
-// an error.
+// encodeRecords encodes records one after another; synced is how many bytes of the file
+// before them are synced. A record that Scan would not accept is an error of kind
+// apierror.Unusable.
 func encodeRecords(records [][]byte, synced int64) (encoded []byte, err error) {
 	for _, record := range records {
 		if len(record) == 0 || len(record) > MaxRecordSize {
@@ -53,8 +57,9 @@
 	return encoded, nil
 }
 
-// decodeRecord decodes the record at the start of file. It returns false if there is no
-// complete and undamaged one.
+// decodeRecord decodes the record at the start of file, whose bytes the body shares. It
+// returns how many bytes of the file were synced when the record was written, and false if
+// there is no complete and undamaged one.
 func decodeRecord(file []byte) (body []byte, synced int64, ok bool) {
 	if len(file) < headerSize {
 		return nil, 0, false
@@ -70,9 +75,10 @@
 	return body, int64(binary.BigEndian.Uint64(file[syncedOffset:])), true
 }
 
-// Scan returns the records of a file, and the length that they take. The bytes after that
-// are a torn tail, which was never acknowledged. It is an error if a record that was synced
-// is damaged.
+// Scan returns the bodies of the records of a file, whose bytes they share, and the length
+// in bytes that the records take. The bytes after that are a torn tail, which was never
+// acknowledged. It is an error of kind apierror.Unusable, and nothing is returned, if a
+// record that was synced is damaged.
 func Scan(file []byte) (records [][]byte, validLength int64, err error) {
 	offset := 0
 	for offset < len(file) {
--- a/internal/wal/storage.go
+++ b/internal/wal/storage.go
@@ -2,7 +2,8 @@
 
 import "os"
 
-// Storage is the part of a file system that a log is kept on.
+// Storage is the part of a file system that a log is kept on. Its errors wrap the system's,
+// such as syscall.ENOSPC, as those of package os do.
 type Storage interface {
 	// MakeDir creates a directory and its parents, unless they exist.
 	MakeDir(dir string) error
@@ -10,7 +11,8 @@
 	ReadFile(path string) ([]byte, error)
 	// OpenFile opens a file for reading and writing, and creates it if it is missing.
 	OpenFile(path string) (Handle, error)
-	// Rename gives a file another name, in place of a file that has it.
+	// Rename gives a file another name, in place of a file that has it. It is durable after
+	// SyncDir.
 	Rename(from, to string) error
 	// Remove removes a file.
 	Remove(path string) error
@@ -20,13 +22,14 @@
 
 // Handle is an open file.
 type Handle interface {
-	// WriteAt writes at an offset. After an error any part may be written.
+	// WriteAt writes at an offset in bytes. After an error any part may be written.
 	WriteAt(b []byte, offset int64) (int, error)
-	// Truncate sets the length of the file.
+	// Truncate sets the length of the file in bytes.
 	Truncate(size int64) error
 	// Sync makes all writes durable. After an error none of them can be relied on, and a
 	// later Sync does not cover them.
 	Sync() error
+	// Close closes the file, and makes nothing durable.
 	Close() error
 }
 
