--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -92,7 +92,8 @@
 	c.now = e.Now
 	c.raft.SetTime(e.Now)
 	c.Counters.Steps++
-	c.overload.measure(e.Now.Mono, e.Load)
+	c.overload.measure(e.Load)
+	c.leader.measurePlacement(e.Now.Mono, e.Load.EventAge)
 	c.handle(e)
 	c.applyCommitted()
 	if c.overload.transferLeadership(c.now, c.raft) {
@@ -214,7 +215,7 @@
 		}
 		c.leader.establish(c.now.Mono)
 	}
-	c.leader.step(c.now.Mono)
+	c.leader.step(c.now.Mono, c.overload.lag())
 	if c.raft.HoldsReadLease() {
 		c.outbox.send(c.publisher.Responses(c.now.Mono, c.log.state().Table)...)
 	}
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -21,8 +21,8 @@
 //     attempts and hedges stragglers, preemption makes room for urgent work.
 //   - durationEstimates learns how long tasks take, and reportBuffer keeps reported ends until
 //     the log has them. Every controller keeps these, so that a new leader starts with them.
-//   - overload decides what to do when the daemon's event loop falls behind, and
-//     gracefulShutdown when the daemon may stop.
+//   - overload decides what to shed and when to transfer leadership as the daemon's event
+//     loop falls behind, and gracefulShutdown when the daemon may stop.
 //   - outbox collects the messages and replies of a step.
 //
 // A job passes through it as follows. api.submitJob proposes its submission. Once that is
--- a/internal/controller/feasibility.go
+++ b/internal/controller/feasibility.go
@@ -20,8 +20,8 @@
 	queue, _ := s.Table.FindQueue(spec.Queue)
 	for i := range spec.Steps {
 		step := &spec.Steps[i]
-		if field, reason := infeasible(step, findCapacity(s, step), queue.MaxRunning); field != "" {
-			return apierror.New(apierror.NeverPlaceable, fmt.Sprintf("steps[%d].%s", i, field), reason)
+		if found := findInfeasibility(step, findCapacity(s, step), queue.MaxRunning); found != nil {
+			return apierror.New(apierror.NeverPlaceable, fmt.Sprintf("steps[%d].%s", i, found.field), found.reason)
 		}
 	}
 	return nil
@@ -54,20 +54,27 @@
 	return c
 }
 
-// infeasible returns the field of a step for which it can never be placed, and the reason,
-// or nothing; maxRunning is how many tasks its queue may run at once.
-func infeasible(step *state.Step, c stepCapacity, maxRunning int) (field, reason string) {
+// infeasibility is why a step can never be placed.
+type infeasibility struct {
+	field  string // of the step, as callers name it
+	reason string
+}
+
+// findInfeasibility returns why a step can never be placed, or nil if it can; maxRunning is how
+// many tasks its queue may run at once.
+func findInfeasibility(step *state.Step, c stepCapacity, maxRunning int) *infeasibility {
 	switch {
 	case !c.kindFound:
-		return "kind", "no worker is of kind " + string(step.Kind)
+		return &infeasibility{"kind", "no worker is of kind " + string(step.Kind)}
 	case !c.rackFound:
-		return "rack", "no worker of the kind is in rack " + string(step.Rack)
+		return &infeasibility{"rack", "no worker of the kind is in rack " + string(step.Rack)}
 	case c.workers == 0:
-		return "room", "larger than any worker"
+		return &infeasibility{"room", "larger than any worker"}
 	case step.Gang && c.tasks < step.Tasks:
-		return "gang", fmt.Sprintf("the workers hold at most %d of its %d members at once", c.tasks, step.Tasks)
+		reason := fmt.Sprintf("the workers hold at most %d of its %d members at once", c.tasks, step.Tasks)
+		return &infeasibility{"gang", reason}
 	case step.Gang && step.Tasks > maxRunning:
-		return "gang", "more members than the queue may run at once"
+		return &infeasibility{"gang", "more members than the queue may run at once"}
 	}
-	return "", ""
+	return nil
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"time"
+
 	"coppercourse/internal/apierror"
 	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/dispatch/scheduler"
@@ -49,7 +51,6 @@
 		requests: c.requests,
 		counters: &c.Counters,
 		ends:     ends,
-		schedule: placementSchedule{overload: c.overload},
 		planner:  newPlanner(windows, ends),
 		current:  leaderView{durations: c.durations},
 	}
@@ -61,6 +62,12 @@
 // stopPlacing has no more work placed, as the daemon is shutting down.
 func (l *leader) stopPlacing() { l.schedule.stop() }
 
+// measurePlacement finds how long a round of the last step took; eventAge is how long the
+// event of this step has waited.
+func (l *leader) measurePlacement(now types.MonoTime, eventAge time.Duration) {
+	l.schedule.measure(now, eventAge)
+}
+
 // requestPlacement schedules a round of placement, in this step or, under overload, a later
 // one.
 func (l *leader) requestPlacement() { l.schedule.request() }
@@ -128,11 +135,11 @@
 }
 
 // step does what the leader does after each event: the scheduler's timers, and a round of
-// placement if one is due.
-func (l *leader) step(now types.MonoTime) {
+// placement if one is due; lag is how far the daemon's event loop is behind.
+func (l *leader) step(now types.MonoTime, lag time.Duration) {
 	l.scheduler.Tick(now, l.raft.AuthorityRemaining())
 	l.drainScheduler()
-	if l.schedule.startRound(now) {
+	if l.schedule.startRound(now, lag) {
 		l.counters.Placed++
 		l.placeWork(l.view(now))
 		l.drainScheduler()
--- a/internal/controller/overload.go
+++ b/internal/controller/overload.go
@@ -9,15 +9,6 @@
 )
 
 const (
-	// maxPlacementLag is how far the loop may be behind for work to be placed at any step.
-	maxPlacementLag = 25 * time.Millisecond
-	// minPlacementInterval is the least time between two rounds while it is further behind.
-	minPlacementInterval = 100 * time.Millisecond
-	// placementIntervalFactor is the time between two rounds, in the time that a round took,
-	// while it is further behind.
-	placementIntervalFactor = 4
-	// maxPlacementInterval is the most time between two rounds.
-	maxPlacementInterval = 500 * time.Millisecond
 	// maxAdmissionLag is how far the loop may be behind before new work is shed.
 	maxAdmissionLag = 400 * time.Millisecond
 	// maxRequestAge is how old a request may be before it is shed: the gateway that sent it
@@ -27,27 +18,19 @@
 	overloadDelay = time.Second
 )
 
-// overload decides what a controller does when its daemon's event loop falls behind: when
-// to place work, what to shed, and when to transfer leadership. It knows only what the
-// loop reports with each event: how long that event and the oldest others have waited.
-// While nothing waits, none of its bounds matters.
+// overload decides what a controller does when its daemon's event loop falls behind: what to
+// shed, and when to transfer leadership. It knows only what the loop reports with each
+// event: how long that event and the oldest others have waited. While nothing waits, none of
+// its bounds matters.
 type overload struct {
-	load           wire.Load
-	placedLastStep bool           // the last step placed work
-	placedAt       types.MonoTime // when work was placed last
-	placementCost  time.Duration  // how long that took, as the event after it saw
-	laggingSince   types.MonoTime // since when the lag is more than a leader may have; 0 if it isn't
-	overloaded     bool           // that has been so for overloadDelay
-	leaderSince    types.MonoTime // when this controller last did not lead
+	load         wire.Load
+	laggingSince types.MonoTime // since when the lag is more than a leader may have; 0 if it isn't
+	overloaded   bool           // that has been so for overloadDelay
+	leaderSince  types.MonoTime // when this controller last did not lead
 }
 
 // measure takes the load reported with an event.
-func (o *overload) measure(now types.MonoTime, load wire.Load) {
-	if o.placedLastStep {
-		o.placementCost = min(load.EventAge, now.Sub(o.placedAt))
-	}
-	o.load, o.placedLastStep = load, false
-}
+func (o *overload) measure(load wire.Load) { o.load = load }
 
 // lag returns how long the oldest control event or caller's request has waited.
 func (o *overload) lag() time.Duration { return max(o.load.ControlAge, o.load.CallerAge) }
@@ -59,18 +42,6 @@
 // overloadDelay.
 func (o *overload) isOverloaded() bool { return o.overloaded }
 
-// mayPlace reports whether work may be placed in this step.
-func (o *overload) mayPlace(now types.MonoTime) bool {
-	if o.lag() <= maxPlacementLag {
-		return true
-	}
-	interval := max(minPlacementInterval, placementIntervalFactor*o.placementCost)
-	return now.Sub(o.placedAt) >= min(maxPlacementInterval, interval)
-}
-
-// startPlacement records that this step places work.
-func (o *overload) startPlacement(now types.MonoTime) { o.placedLastStep, o.placedAt = true, now }
-
 // shedsWork reports whether the request of the present step must be shed if it brings new
 // work: the loop is too far behind, or the request has waited too long.
 func (o *overload) shedsWork() bool {
--- a/internal/controller/placement_schedule_test.go
+++ b/internal/controller/placement_schedule_test.go
@@ -5,30 +5,57 @@
 	"time"
 
 	"github.com/matryer/is"
-
-	"coppercourse/internal/wire"
 )
 
 func TestRoundsStartWhenRequestedAndWhenTheLoopMay(t *testing.T) {
 	is := is.New(t)
-	s := placementSchedule{overload: &overload{}}
-	is.True(!s.startRound(stamp(1))) // not requested
+	const behind = maxPlacementLag + time.Millisecond
+	var s placementSchedule
+	is.True(!s.startRound(stamp(1), 0)) // not requested
 	s.request()
-	is.True(s.startRound(stamp(2)))
-	is.True(!s.startRound(stamp(3))) // the request is served
+	is.True(s.startRound(stamp(2), 0))
+	is.True(!s.startRound(stamp(3), 0)) // the request is served
 
 	s.request()
-	s.overload.measure(stamp(4), wire.Load{ControlAge: maxPlacementLag + time.Millisecond})
-	is.True(!s.startRound(stamp(4)))
-	is.True(s.startRound(stamp(2).Add(minPlacementInterval))) // the request was kept
+	is.True(!s.startRound(stamp(4), behind))
+	is.True(s.startRound(stamp(2).Add(minPlacementInterval), behind)) // the request was kept
 }
 
 func TestRoundsGoOnWithoutPlacementAfterAStop(t *testing.T) {
 	is := is.New(t)
-	s := placementSchedule{overload: &overload{}}
+	var s placementSchedule
 	is.True(!s.isStopped())
 	s.stop()
 	is.True(s.isStopped())
 	s.request()
-	is.True(s.startRound(stamp(1)))
+	is.True(s.startRound(stamp(1), 0))
+}
+
+// Work is placed in any step while the loop keeps up; otherwise only so often that
+// other events get three quarters of the time, or 500 ms have passed.
+func TestPlacementLeavesRoomForWhatWaits(t *testing.T) {
+	for _, c := range []struct{ cost, least, most int }{{1, 100, 101}, {40, 160, 200}, {200, 500, 700}} {
+		is := is.New(t)
+		var s placementSchedule
+		now, placed := 0, -1
+		gaps := 0
+		for now < 10_000 {
+			s.request()
+			s.measure(stamp(now), time.Duration(c.cost)*time.Millisecond)
+			if !s.startRound(stamp(now), time.Second) {
+				now++
+				continue
+			}
+			if gaps > 1 { // the first cost is not known before its round
+				is.True(now-placed >= c.least)
+				is.True(now-placed <= c.most)
+			}
+			gaps++
+			placed = now
+			now += c.cost
+		}
+		s.measure(stamp(now), 0)
+		s.request()
+		is.True(s.startRound(stamp(now), maxPlacementLag)) // it keeps up
+	}
 }
--- a/internal/controller/wall_offset.go
+++ b/internal/controller/wall_offset.go
@@ -8,9 +8,12 @@
 )
 
 const (
-	wallOffsetInterval    = time.Second
+	// wallOffsetInterval is the time between two checks of the offset.
+	wallOffsetInterval = time.Second
+	// maxOffsetDisagreement is how far two voters' offsets may be apart to agree.
 	maxOffsetDisagreement = types.WallTime(50 * time.Millisecond)
-	minOffsetChange       = types.WallTime(20 * time.Millisecond)
+	// minOffsetChange is the change below which the offset in the state is kept.
+	minOffsetChange = types.WallTime(20 * time.Millisecond)
 )
 
 // wallOffset keeps in the replicated state the offset from the cluster's clock to the wall
