--- a/internal/controller/duration_estimates.go
+++ b/internal/controller/duration_estimates.go
@@ -162,6 +162,7 @@
 	return time.Duration(step.EstimateMillis) * time.Millisecond
 }
 
+// fromLogSeconds returns the duration whose seconds have a logarithm.
 func fromLogSeconds(log float64) time.Duration {
 	return time.Duration(math.Exp(log) * float64(time.Second))
 }
--- a/internal/controller/feasibility.go
+++ b/internal/controller/feasibility.go
@@ -35,6 +35,7 @@
 	tasks     int  // that they could hold at once
 }
 
+// findCapacity adds up what the known workers offer a step.
 func findCapacity(s *state.State, step *state.Step) stepCapacity {
 	var c stepCapacity
 	for _, shape := range s.WorkerShapes {
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -29,6 +29,8 @@
 	requests    []placement.Request    // the last list; its memory is reused
 }
 
+// newPlanner returns a planner. windows tells how long workers are available, ends which
+// attempts have released their resources.
 func newPlanner(windows workerWindows, ends *endTracker) planner {
 	return planner{
 		review:  attemptReview{windows: windows},
--- a/internal/controller/snapshots.go
+++ b/internal/controller/snapshots.go
@@ -28,6 +28,8 @@
 	bytes     int         // size of the newest snapshot
 }
 
+// newSnapshotWriter returns a writer with so many entries between two snapshots at least; 0
+// is DefaultSnapshotThreshold.
 func newSnapshotWriter(threshold types.Index) snapshotWriter {
 	if threshold == 0 {
 		threshold = DefaultSnapshotThreshold
--- a/internal/controller/worker_shapes.go
+++ b/internal/controller/worker_shapes.go
@@ -42,6 +42,7 @@
 	return changed
 }
 
+// shapeOf returns the shape that a worker has reported.
 func shapeOf(worker *scheduler.RemoteWorker) state.WorkerShape {
 	return state.WorkerShape{
 		Shard:         worker.Shard,
@@ -53,6 +54,7 @@
 	}
 }
 
+// sameShape reports whether two shapes of a worker offer the same.
 func sameShape(a, b state.WorkerShape) bool {
 	return a.Rack == b.Rack && a.Resources == b.Resources && a.CalledByAgent == b.CalledByAgent &&
 		slices.Equal(a.Kinds, b.Kinds) && slices.Equal(a.Labels, b.Labels)
--- a/internal/controller/worker_view.go
+++ b/internal/controller/worker_view.go
@@ -106,6 +106,7 @@
 	return views
 }
 
+// formatWallTime formats a time as RFC 3339 does, in UTC.
 func formatWallTime(at types.WallTime) string {
 	return time.Unix(0, int64(at)).UTC().Format(time.RFC3339)
 }
--- a/internal/membership/digests.go
+++ b/internal/membership/digests.go
@@ -14,6 +14,7 @@
 	Agents      uint32 `json:"agents,omitempty"`
 }
 
+// ofRole returns the digest of the members of a role.
 func (d *Digests) ofRole(role Role) *uint32 {
 	switch role {
 	case RoleController:
@@ -25,8 +26,10 @@
 	}
 }
 
+// add adds a member.
 func (d *Digests) add(info MemberInfo) { *d.ofRole(info.Role) += info.hash() }
 
+// remove removes a member, as it was added.
 func (d *Digests) remove(info MemberInfo) { *d.ofRole(info.Role) -= info.hash() }
 
 // hash returns a hash of address and version.
--- a/internal/membership/hello_handler.go
+++ b/internal/membership/hello_handler.go
@@ -32,6 +32,8 @@
 	}
 }
 
+// handleHello takes what a hello says of its sender and of others, and replies or asks in turn
+// where it must.
 func (ml *MemberList) handleHello(from types.Addr, h hello) {
 	if h.KnownVersion > ml.self.Version { // from an earlier process at this address
 		self := ml.self
--- a/internal/membership/member_list.go
+++ b/internal/membership/member_list.go
@@ -115,6 +115,7 @@
 	return info != ml.self
 }
 
+// replaceSelf replaces what this daemon says of itself.
 func (ml *MemberList) replaceSelf(info MemberInfo) {
 	ml.table.digests.remove(ml.self)
 	ml.self = info
