--- a/internal/raft/bootstrap.go
+++ b/internal/raft/bootstrap.go
@@ -31,6 +31,23 @@
 	Founders   []types.Addr // nil if none are named
 }
 
+// anyoneFounds tells whether any empty controllers that see each other found the cluster:
+// where no founders are named, or all that are turned out to be daemons of other roles.
+func (o BootstrapOptions) anyoneFounds(nonControllers []types.Addr) bool {
+	return o.Founders == nil || len(o.Founders) > 0 && o.controllerFounders(nonControllers) == 0
+}
+
+// controllerFounders counts the founders that may be controllers.
+func (o BootstrapOptions) controllerFounders(nonControllers []types.Addr) int {
+	count := 0
+	for _, founder := range o.Founders {
+		if !slices.Contains(nonControllers, founder) {
+			count++
+		}
+	}
+	return count
+}
+
 // bootstrapStep is a message's step in a bootstrap, which is a two-phase commit: the
 // founder with the least identity proposes an initial cluster, each founder accepts at
 // most one, durably, and the proposer commits it once all have.
@@ -85,9 +102,14 @@
 	return b.accepted != nil && b.accepted.ClusterName == name
 }
 
+// acceptedByAll tells whether all members are known to have accepted the node's cluster.
+func (b *bootstrapState) acceptedByAll(config Configuration) bool {
+	return !slices.ContainsFunc(config, func(m Member) bool { return !b.acceptances[m.ID] })
+}
+
 // tryBootstrap asks to join a cluster where there is one, and else founds one.
 func (n *Node) tryBootstrap() {
-	if n.sinceJoinRequest() < emptyRequestInterval {
+	if n.discovery.sinceRequest(n.now.Mono) < emptyRequestInterval {
 		return
 	}
 	switch {
@@ -107,23 +129,17 @@
 func (n *Node) proposeBootstrap() {
 	config, reason := n.proposedConfiguration()
 	n.roleReason = reason
-	if config == nil || n.hasLowerID(config) {
+	if config == nil || config.hasLowerID(n.self.ID) {
 		return
 	}
 	n.acceptBootstrap(InitialCluster{ClusterName: string(types.NewID(n.random)), Config: config})
 	n.commitBootstrap()
 }
 
-// hasLowerID tells whether some member has a lower identity than this node, and so is the
-// one to propose and to commit.
-func (n *Node) hasLowerID(config Configuration) bool {
-	return slices.ContainsFunc(config, func(m Member) bool { return m.ID < n.self.ID })
-}
-
 // proposedConfiguration lists the members of the cluster that this node would bootstrap
 // now, in an order that all of them agree on, or tells why it bootstraps none.
 func (n *Node) proposedConfiguration() (Configuration, string) {
-	if slices.ContainsFunc(n.discovery.peers, func(p DiscoveredPeer) bool { return p.ClusterName != "" }) {
+	if n.discovery.clusterExists() {
 		return nil, reasonClusterExists
 	}
 	config := n.reachableFounders()
@@ -143,8 +159,10 @@
 	self := n.self
 	self.Voter, self.Provisional = true, false
 	config := Configuration{self}
+	options := n.bootstrap.options
+	anyoneFounds := options.anyoneFounds(n.discovery.nonControllers)
 	for _, p := range n.discovery.peers {
-		if n.anyoneFounds() || slices.Contains(n.bootstrap.options.Founders, p.Addr) {
+		if anyoneFounds || slices.Contains(options.Founders, p.Addr) {
 			config = append(config, Member{ID: p.ID, Addr: p.Addr, Zone: p.Zone, Voter: true})
 		}
 	}
@@ -156,37 +174,20 @@
 // node founds no cluster.
 func (n *Node) initialSize(reachable int) (size int, reason string) {
 	options := n.bootstrap.options
+	anyoneFounds := options.anyoneFounds(n.discovery.nonControllers)
 	switch {
 	case options.Founders == nil:
 		return minUnnamedFounders, ""
 	case !options.FirstStart:
 		return 0, "waiting for a cluster: one has been before"
-	case n.anyoneFounds() && n.now.Mono.Sub(n.startedAt) < unnamedFoundersDelay:
+	case anyoneFounds && n.now.Mono.Sub(n.startedAt) < unnamedFoundersDelay:
 		return 0, "no founder is a controller; looking who else is there"
-	case n.anyoneFounds():
+	case anyoneFounds:
 		return max(minUnnamedFounders, reachable), ""
 	case !slices.Contains(options.Founders, n.self.Addr):
 		return 0, fmt.Sprint("waiting for the founders: ", options.Founders)
 	}
-	return n.controllerFounders(), ""
-}
-
-// anyoneFounds tells whether any empty controllers that see each other found the cluster:
-// where no founders are named, or all that are turned out to be daemons of other roles.
-func (n *Node) anyoneFounds() bool {
-	founders := n.bootstrap.options.Founders
-	return founders == nil || len(founders) > 0 && n.controllerFounders() == 0
-}
-
-// controllerFounders counts the founders that may be controllers.
-func (n *Node) controllerFounders() int {
-	count := 0
-	for _, a := range n.bootstrap.options.Founders {
-		if !slices.Contains(n.discovery.nonControllers, a) {
-			count++
-		}
-	}
-	return count
+	return options.controllerFounders(n.discovery.nonControllers), ""
 }
 
 // acceptBootstrap accepts an initial cluster and says so to the other founders, once that
@@ -199,6 +200,7 @@
 	n.sendBootstrap(cluster)
 }
 
+// newBootstrapMessage is this node's message for one step of a bootstrap.
 func (n *Node) newBootstrapMessage(cluster InitialCluster, step bootstrapStep) bootstrapMessage {
 	return bootstrapMessage{Cluster: cluster, SenderID: n.self.ID, Step: step}
 }
@@ -206,12 +208,17 @@
 // sendBootstrap sends the other founders this node's proposal, or that it has accepted.
 func (n *Node) sendBootstrap(cluster InitialCluster) {
 	step := bootstrapPropose
-	if n.hasLowerID(cluster.Config) {
+	if cluster.Config.hasLowerID(n.self.ID) {
 		step = bootstrapAccept
 	}
-	for _, m := range cluster.Config {
-		if m.ID != n.self.ID {
-			n.send(m.Addr, wire.Bootstrap, n.newBootstrapMessage(cluster, step))
+	n.sendToFounders(n.disk.hardStateBatch, cluster, step)
+}
+
+// sendToFounders sends the other founders a step of a bootstrap once a batch is on disk.
+func (n *Node) sendToFounders(batch uint64, cluster InitialCluster, step bootstrapStep) {
+	for _, founder := range cluster.Config {
+		if founder.ID != n.self.ID {
+			n.sendAfterBatch(batch, founder.Addr, wire.Bootstrap, n.newBootstrapMessage(cluster, step))
 		}
 	}
 }
@@ -250,19 +257,9 @@
 // have accepted it.
 func (n *Node) commitBootstrap() {
 	cluster := *n.bootstrap.accepted
-	if n.hasLowerID(cluster.Config) {
+	if cluster.Config.hasLowerID(n.self.ID) || !n.bootstrap.acceptedByAll(cluster.Config) {
 		return
 	}
-	for _, m := range cluster.Config {
-		if !n.bootstrap.acceptances[m.ID] {
-			return
-		}
-	}
 	n.enterCluster(cluster)
-	for _, m := range cluster.Config {
-		if m.ID != n.self.ID {
-			message := n.newBootstrapMessage(cluster, bootstrapCommitted)
-			n.sendAfterBatch(n.disk.writtenBatch, m.Addr, wire.Bootstrap, message)
-		}
-	}
+	n.sendToFounders(n.disk.writtenBatch, cluster, bootstrapCommitted)
 }
--- a/internal/raft/clock.go
+++ b/internal/raft/clock.go
@@ -16,10 +16,12 @@
 	term  types.Term     // of the leader that it follows
 }
 
+// at is the cluster's time at a time of this member's own clock.
 func (c *clusterClock) at(now types.MonoTime) types.ClusterTime {
 	return c.value.Add(now.Sub(c.setAt))
 }
 
+// set sets the cluster's time.
 func (c *clusterClock) set(now types.MonoTime, value types.ClusterTime) {
 	c.value, c.setAt = value, now
 }
--- a/internal/raft/configuration.go
+++ b/internal/raft/configuration.go
@@ -48,6 +48,31 @@
 // quorum is the least number of voters that is a majority.
 func (c Configuration) quorum() int { return c.Voters()/2 + 1 }
 
+// canAddVoter is true while a member may get a vote. Beside maxVoters a provisional one
+// still may, until it has replaced one of them.
+func (c Configuration) canAddVoter(member Member) bool {
+	voters := c.Voters()
+	return voters < maxVoters || voters == maxVoters && member.Provisional && len(c) == maxVoters+1
+}
+
+// onlyOtherVoterInZone is the voter beside a member in its zone, if there is just one.
+func (c Configuration) onlyOtherVoterInZone(member Member) (Member, bool) {
+	var other Member
+	count := 0
+	for _, voter := range c {
+		if voter.Voter && voter.Zone == member.Zone && voter.ID != member.ID {
+			other = voter
+			count++
+		}
+	}
+	return other, count == 1
+}
+
+// hasLowerID tells whether some member has an identity lower than the one given.
+func (c Configuration) hasLowerID(id types.ID) bool {
+	return slices.ContainsFunc(c, func(m Member) bool { return m.ID < id })
+}
+
 // with returns a copy that has one member more.
 func (c Configuration) with(m Member) Configuration {
 	return append(c[:len(c):len(c)], m)
--- a/internal/raft/doc.go
+++ b/internal/raft/doc.go
@@ -2,13 +2,13 @@
 // machine without I/O and without a clock. "The paper" is Ongaro and Ousterhout, "In Search
 // of an Understandable Consensus Algorithm" (extended version, 2014); "the thesis" is
 // Ongaro, "Consensus: Bridging Theory and Practice" (2014). Names are theirs where they
-// have one.
+// have one; sections are the thesis's, figures the paper's.
 //
-// Implemented beside the paper's core are pre-vote (thesis, section 9.6), check quorum (6.2),
+// Implemented beside the paper's core are pre-vote (section 9.6), check quorum (6.2),
 // leadership transfer (3.10), lease-based reads (6.4.1), learners and membership changes by
-// one vote at a time (4.1, 4.2.1), and compaction by snapshots in parts (paper, section 7).
-// Beyond both go bootstrap by agreement among the founders, replacement of lost voters by
-// provisional members, transfer from an overloaded leader, and the cluster's clock.
+// one vote at a time (4.1, 4.2.1), and compaction by snapshots in parts (5.1). Beyond both
+// go bootstrap by agreement among the founders, replacement of lost voters by provisional
+// members, transfer from an overloaded leader, and the cluster's clock.
 //
 // # Driving a node
 //
@@ -35,20 +35,27 @@
 //
 // # What must hold
 //
-// The safety of the paper's Figure 3 rests on these rules, each kept in one place:
+// The safety properties of the paper's Figure 3 (section 3.6 of the thesis) rest on these
+// rules. Each is kept in one place and rests on the section named with it:
 //
-//   - A term, a vote and an accepted initial cluster are on disk before any message that
-//     rests on them is released (setHardState, acceptBootstrap, outbox).
-//   - An entry counts for commitment only where it is synced, also on the leader itself
-//     (raftLog.syncedIndex, acknowledge).
-//   - Only entries of the leader's own term are committed by counting (advanceCommit).
-//   - A configuration is proposed only while the one before and an entry of the leader's term
-//     are committed, and differs from it by at most one vote (canChangeConfiguration).
+//   - A term and a vote are on disk before any message that rests on them is released
+//     (sections 3.4 and 3.8; setHardState, outbox). So is an accepted initial cluster
+//     (acceptBootstrap), to which nothing in the thesis corresponds.
+//   - A member votes once in a term, and only for a candidate whose log is at least as up to
+//     date as its own (3.4, 3.6.1; grantVote).
+//   - Entries follow one that both logs have, and no committed entry is replaced (3.5;
+//     onAppendEntries, raftLog).
+//   - An entry counts for commitment only where it is synced, also on the leader itself (3.8,
+//     10.2.1; raftLog.syncedIndex, acknowledge).
+//   - Only entries of the leader's own term are committed by counting (3.6.2; advanceCommit).
+//   - A configuration is in force from the moment it is in the log. One is proposed only
+//     while the one before and an entry of the leader's term are committed, and it differs by
+//     at most one vote (4.1, as corrected in 2015; canChangeConfiguration).
 //   - A member that has heard a leader within the shortest election timeout, or has just
-//     started, helps to elect no other (mayDeposeLeader); the read lease, counted from the
-//     sending of a round, rests on that ([Node.HoldsReadLease]).
-//   - An identity whose disk was lost is never used again: a member that starts with an empty
-//     disk is another member, and gets a vote only once it has caught up.
+//     started, helps to elect no other (4.2.3; mayDeposeLeader). The read lease, counted from
+//     the sending of a round, rests on that (6.4.1; [Node.HoldsReadLease]).
+//   - An identity whose disk was lost is never used again (3.8): a member that starts with an
+//     empty disk is another member, and gets a vote only once it has caught up (4.2.1).
 //
 // # Files
 //
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -27,8 +27,33 @@
 	campaignTransfer
 )
 
+// begin begins a campaign, in which the member has its own vote.
+func (e *election) begin(self types.ID, preVote bool) {
+	e.preVote = preVote
+	e.votes = map[types.ID]bool{self: true}
+}
+
+// term is the term that votes are asked for by a candidate in its current term.
+func (e *election) term(current types.Term) types.Term {
+	if e.preVote {
+		return current + 1
+	}
+	return current
+}
+
+// votesGranted counts the votes of voters of a configuration.
+func (e *election) votesGranted(config Configuration) int {
+	count := 0
+	for _, member := range config {
+		if member.Voter && e.votes[member.ID] {
+			count++
+		}
+	}
+	return count
+}
+
 // resetElectionTimer draws the next election timeout, between MinElectionTimeout and twice
-// that (section 5.2 of the paper).
+// that (section 3.4 of the thesis).
 func (n *Node) resetElectionTimer() {
 	shortest := n.timeouts.MinElectionTimeout
 	n.election.deadline = n.now.Mono.Add(shortest + n.randomUpTo(shortest))
@@ -39,8 +64,7 @@
 func (n *Node) campaign(kind campaignType) {
 	n.resetElectionTimer()
 	n.role = roleCandidate
-	n.election.preVote = kind == campaignPreElection
-	n.election.votes = map[types.ID]bool{n.self.ID: true}
+	n.election.begin(n.self.ID, kind == campaignPreElection)
 	n.leaderContact.addr = ""
 	n.leaderContact.priorHeardAt = n.leaderContact.lastContact()
 	n.transfer.overloadCount = 0
@@ -67,6 +91,9 @@
 	}
 }
 
+// onRequestVote answers a candidate (section 3.4 of the thesis). While this member may not
+// help to depose a leader it gives no answer, and does not adopt the candidate's term
+// (section 4.2.3), unless the leader itself has named the candidate.
 func (n *Node) onRequestVote(from types.Addr, request requestVote) {
 	if request.ClusterName != n.clusterName || request.To != n.self.ID || n.clusterName == "" {
 		return
@@ -101,7 +128,7 @@
 func (n *Node) mayDeposeLeader() bool {
 	shortest := n.timeouts.MinElectionTimeout
 	return n.role != roleLeader &&
-		n.now.Mono.Sub(n.leaderContact.heardAt) >= shortest &&
+		n.leaderContact.silentFor(n.now.Mono) >= shortest &&
 		n.now.Mono.Sub(n.startedAt) >= shortest
 }
 
@@ -124,7 +151,7 @@
 
 // grantVote votes for a candidate of the current term if this member has not voted for
 // another one in that term, and the candidate's log is at least as up to date as its own
-// (sections 5.2 and 5.4.1 of the paper).
+// (sections 3.4 and 3.6.1 of the thesis).
 func (n *Node) grantVote(request requestVote) bool {
 	if n.role == roleLeader || request.Term != n.hardState.Term {
 		return false
@@ -143,6 +170,8 @@
 	return false
 }
 
+// onVoteReply counts a vote of this campaign. A quorum of pre-votes begins the election, a
+// quorum of votes the term as leader (sections 9.6 and 3.4 of the thesis).
 func (n *Node) onVoteReply(_ types.Addr, reply voteReply) {
 	if reply.ClusterName != n.clusterName {
 		return
@@ -151,7 +180,7 @@
 		n.becomeFollower(reply.Term)
 		return
 	}
-	ofThisCampaign := reply.PreVote == n.election.preVote && reply.Term == n.campaignTerm()
+	ofThisCampaign := reply.PreVote == n.election.preVote && reply.Term == n.election.term(n.hardState.Term)
 	if n.role != roleCandidate || !ofThisCampaign || !reply.Granted {
 		return
 	}
@@ -159,7 +188,7 @@
 	silent := time.Duration(reply.SilentMS) * time.Millisecond
 	n.leaderContact.priorHeardAt = max(n.leaderContact.priorHeardAt, n.now.Mono.Add(-silent))
 	switch {
-	case n.votesGranted() < n.log.config.quorum():
+	case n.election.votesGranted(n.log.config) < n.log.config.quorum():
 	case n.election.preVote:
 		n.campaign(campaignElection)
 	default:
@@ -167,25 +196,6 @@
 	}
 }
 
-// campaignTerm is the term that this candidate asks votes for.
-func (n *Node) campaignTerm() types.Term {
-	if n.election.preVote {
-		return n.hardState.Term + 1
-	}
-	return n.hardState.Term
-}
-
-// votesGranted counts the votes of voters of the configuration in force.
-func (n *Node) votesGranted() int {
-	count := 0
-	for _, m := range n.log.config {
-		if m.Voter && n.election.votes[m.ID] {
-			count++
-		}
-	}
-	return count
-}
-
 // becomeFollower adopts a higher term and gives up any role held in the earlier one.
 func (n *Node) becomeFollower(term types.Term) {
 	n.setHardState(HardState{Term: term})
--- a/internal/raft/election_test.go
+++ b/internal/raft/election_test.go
@@ -127,3 +127,19 @@
 	is.Equal(n.hardState, HardState{Term: 7})
 	is.Equal(n.leaderContact.addr, types.Addr(""))
 }
+
+// TestVotesGranted: votes of those that are no voters of the configuration do not count.
+func TestVotesGranted(t *testing.T) {
+	is := is.New(t)
+	var e election
+	e.begin("a", true)
+	is.Equal(e.term(3), types.Term(4)) // a pre-vote is for the next term
+	e.begin("a", false)
+	is.Equal(e.term(3), types.Term(3))
+	config := Configuration{{ID: "a", Voter: true}, {ID: "b", Voter: true}, {ID: "learner"}}
+	is.Equal(e.votesGranted(config), 1)
+	e.votes["learner"], e.votes["removed"] = true, true
+	is.Equal(e.votesGranted(config), 1)
+	e.votes["b"] = true
+	is.Equal(e.votesGranted(config), 2)
+}
--- a/internal/raft/follower.go
+++ b/internal/raft/follower.go
@@ -47,8 +47,8 @@
 	return true
 }
 
-// onAppendEntries stores the entries that follow an entry that both logs have (section 5.3
-// of the paper) and acknowledges them once they are on disk.
+// onAppendEntries stores the entries that follow an entry that both logs have (section 3.5
+// of the thesis) and acknowledges them once they are on disk.
 func (n *Node) onAppendEntries(from types.Addr, request appendEntries) {
 	if !request.hasConsecutiveEntries() || !n.acceptLeader(from, request) {
 		return
@@ -76,7 +76,8 @@
 
 // acknowledge answers that the log matches the leader's up to an index: at once if that is
 // on disk, else once it is. In the meantime a member whose disk is slow acknowledges what is
-// on disk, so that the leader does not take it for silent.
+// on disk, so that the leader does not take it for silent. What is acknowledged survives a
+// restart (section 3.8 of the thesis).
 func (n *Node) acknowledge(from types.Addr, reply appendReply, lastNewIndex types.Index) {
 	synced := lastNewIndex <= n.log.syncedIndex
 	diskIsSlow := n.now.Mono.Sub(n.disk.answeredAt) >= n.timeouts.HeartbeatInterval
--- a/internal/raft/join.go
+++ b/internal/raft/join.go
@@ -1,6 +1,7 @@
 package raft
 
 import (
+	"slices"
 	"time"
 
 	"coppercourse/internal/types"
@@ -21,6 +22,14 @@
 	lastRequestAt  types.MonoTime
 }
 
+// sinceRequest is how long ago a cluster was last looked for.
+func (d *discovery) sinceRequest(now types.MonoTime) time.Duration { return now.Sub(d.lastRequestAt) }
+
+// clusterExists tells whether some controller has a cluster.
+func (d *discovery) clusterExists() bool {
+	return slices.ContainsFunc(d.peers, func(p DiscoveredPeer) bool { return p.ClusterName != "" })
+}
+
 // SetDiscoveredPeers tells which other controllers are healthy now and, while there is no
 // cluster, where daemons of other roles are.
 func (n *Node) SetDiscoveredPeers(peers []DiscoveredPeer, nonControllers []types.Addr) {
@@ -38,14 +47,10 @@
 	switch {
 	case n.role == roleEmpty || n.role == roleRemoved && n.daemon.stopping:
 		return false
-	case n.role != roleRemoved && n.now.Mono.Sub(n.leaderContact.heardAt) <= wait:
+	case n.role != roleRemoved && n.leaderContact.silentFor(n.now.Mono) <= wait:
 		return false
 	}
-	return n.sinceJoinRequest() > min(wait, n.timeouts.StallTimeout)
-}
-
-func (n *Node) sinceJoinRequest() time.Duration {
-	return n.now.Mono.Sub(n.discovery.lastRequestAt)
+	return n.discovery.sinceRequest(n.now.Mono) > min(wait, n.timeouts.StallTimeout)
 }
 
 // requestJoin asks every discovered controller that has a cluster to add this node; false
--- a/internal/raft/leader.go
+++ b/internal/raft/leader.go
@@ -23,7 +23,7 @@
 }
 
 // becomeLeader begins a term as leader with an entry of that term, whose commitment
-// commits all entries before it (sections 5.4.2 and 8 of the paper).
+// commits all entries before it (sections 3.6.2 and 6.4 of the thesis).
 func (n *Node) becomeLeader() {
 	n.role, n.leaderContact.addr = roleLeader, n.self.Addr
 	n.transfer.target = ""
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -25,6 +25,9 @@
 // lastContact is when this member last heard a leader or was one.
 func (c *leaderContact) lastContact() types.MonoTime { return max(c.heardAt, c.lastLedAt) }
 
+// silentFor is how long no leader has been heard.
+func (c *leaderContact) silentFor(now types.MonoTime) time.Duration { return now.Sub(c.heardAt) }
+
 // quorumValue returns the greatest value that a quorum of voters has reached.
 func quorumValue[T cmp.Ordered](config Configuration, value func(Member) T) T {
 	var values []T
@@ -77,13 +80,13 @@
 // within the time for which it may answer reads.
 func (n *Node) HasRecentLeader() bool {
 	return n.role != roleLeader && n.leaderContact.addr != "" &&
-		n.now.Mono.Sub(n.leaderContact.heardAt) < n.timeouts.MinElectionTimeout
+		n.leaderContact.silentFor(n.now.Mono) < n.timeouts.MinElectionTimeout
 }
 
 // LeaderAddr is the address of the current leader as far as this node can know: its own,
 // or that of one that it has heard within the longest election timeout; else empty.
 func (n *Node) LeaderAddr() types.Addr {
-	if n.role != roleLeader && n.now.Mono.Sub(n.leaderContact.heardAt) >= 2*n.timeouts.MinElectionTimeout {
+	if n.role != roleLeader && n.leaderContact.silentFor(n.now.Mono) >= 2*n.timeouts.MinElectionTimeout {
 		return ""
 	}
 	return n.leaderContact.addr
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -19,7 +19,7 @@
 //
 // Entry i of the log is entries[i-snapshot.Index-1]. At any time
 // snapshot.Index <= commitIndex <= lastIndex, and no entry up to commitIndex is ever
-// replaced (Leader Completeness and State Machine Safety, section 5.4 of the paper).
+// replaced (Leader Completeness and State Machine Safety, section 3.6 of the thesis).
 type raftLog struct {
 	snapshot Snapshot
 	entries  []Entry // those after the snapshot
@@ -28,7 +28,8 @@
 	bytes int
 
 	// config is the latest configuration in the log, committed or not, and configIndex the
-	// entry that has it. A member uses it from the moment it is in its log (section 6).
+	// entry that has it. A member uses it from the moment it is in its log (section
+	// 4.1 of the thesis).
 	config      Configuration
 	configIndex types.Index
 
@@ -45,6 +46,7 @@
 	index types.Index
 }
 
+// lastIndex is the index of the last entry, or of the snapshot if there is none after it.
 func (l *raftLog) lastIndex() types.Index {
 	return l.snapshot.Index + types.Index(len(l.entries))
 }
@@ -65,6 +67,7 @@
 	return l.entries[i-l.snapshot.Index-1]
 }
 
+// lastTerm is the term of the entry at lastIndex.
 func (l *raftLog) lastTerm() types.Term {
 	term, _ := l.term(l.lastIndex())
 	return term
@@ -86,7 +89,7 @@
 }
 
 // isUpToDate tells whether a log that ends with an entry of such a term and index is at
-// least as up to date as this one (section 5.4.1).
+// least as up to date as this one (section 3.6.1 of the thesis).
 func (l *raftLog) isUpToDate(lastTerm types.Term, lastIndex types.Index) bool {
 	own := l.lastTerm()
 	return lastTerm > own || lastTerm == own && lastIndex >= l.lastIndex()
@@ -124,6 +127,7 @@
 	l.applyConfigurations(l.entries)
 }
 
+// applyConfigurations puts the last configuration in some entries in force, if they have one.
 func (l *raftLog) applyConfigurations(entries []Entry) {
 	for _, e := range entries {
 		if e.Config != nil {
--- a/internal/raft/log_test.go
+++ b/internal/raft/log_test.go
@@ -20,88 +20,48 @@
 	return l
 }
 
-func TestLogTerm(t *testing.T) {
-	l := newTestLog(2, 3)
-	for _, c := range []struct {
-		name  string
-		index types.Index
-		want  types.Term
-		ok    bool
-	}{
-		{"within the snapshot", 9, 0, false},
-		{"last of the snapshot", 10, 2, true},
-		{"in the log", 12, 3, true},
-		{"after the log", 13, 0, false},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			is := is.New(t)
-			term, ok := l.term(c.index)
-			is.Equal(term, c.want)
-			is.Equal(ok, c.ok)
-		})
-	}
+// lookup is an answer of the log, and whether there is one.
+type lookup[T any] struct {
+	value T
+	found bool
 }
 
-func TestLogMatches(t *testing.T) {
-	l := newTestLog(2, 3)
-	for _, c := range []struct {
-		name  string
-		index types.Index
-		term  types.Term
-		want  bool
-	}{
-		{"within the snapshot, which is committed", 7, 1, true},
-		{"last of the snapshot", 10, 2, true},
-		{"same entry", 12, 3, true},
-		{"entry of another term", 12, 2, false},
-		{"missing entry", 13, 3, false},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			is := is.New(t)
-			is.Equal(l.matches(c.index, c.term), c.want)
-		})
-	}
-}
+func newLookup[T any](value T, found bool) lookup[T] { return lookup[T]{value, found} }
 
-func TestLogIsUpToDate(t *testing.T) {
+// TestLogQueries asks a log with entries 11 of term 2 and 12 of term 3.
+func TestLogQueries(t *testing.T) {
 	l := newTestLog(2, 3)
+	conflict := func(entries ...Entry) lookup[int] { return newLookup(l.firstConflict(entries)) }
 	for _, c := range []struct {
-		name  string
-		term  types.Term
-		index types.Index
-		want  bool
+		name      string
+		got, want any
 	}{
-		{"same end", 3, 12, true},
-		{"longer, same term", 3, 13, true},
-		{"shorter, same term", 3, 11, false},
-		{"shorter, later term", 4, 1, true},
-		{"longer, earlier term", 2, 100, false},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			is := is.New(t)
-			is.Equal(l.isUpToDate(c.term, c.index), c.want)
-		})
-	}
-}
+		{"term/within the snapshot", newLookup(l.term(9)), lookup[types.Term]{}},
+		{"term/last of the snapshot", newLookup(l.term(10)), lookup[types.Term]{2, true}},
+		{"term/in the log", newLookup(l.term(12)), lookup[types.Term]{3, true}},
+		{"term/after the log", newLookup(l.term(13)), lookup[types.Term]{}},
 
-func TestLogFirstConflict(t *testing.T) {
-	l := newTestLog(2, 3)
-	for _, c := range []struct {
-		name    string
-		entries []Entry
-		want    int
-		ok      bool
-	}{
-		{"none", nil, 0, false},
-		{"all there", []Entry{{Index: 11, Term: 2}, {Index: 12, Term: 3}}, 0, false},
-		{"another term", []Entry{{Index: 11, Term: 2}, {Index: 12, Term: 4}}, 1, true},
-		{"beyond the end", []Entry{{Index: 12, Term: 3}, {Index: 13, Term: 3}}, 1, true},
+		{"matches/within the snapshot, which is committed", l.matches(7, 1), true},
+		{"matches/last of the snapshot", l.matches(10, 2), true},
+		{"matches/same entry", l.matches(12, 3), true},
+		{"matches/entry of another term", l.matches(12, 2), false},
+		{"matches/missing entry", l.matches(13, 3), false},
+
+		{"isUpToDate/same end", l.isUpToDate(3, 12), true},
+		{"isUpToDate/longer, same term", l.isUpToDate(3, 13), true},
+		{"isUpToDate/shorter, same term", l.isUpToDate(3, 11), false},
+		{"isUpToDate/shorter, later term", l.isUpToDate(4, 1), true},
+		{"isUpToDate/longer, earlier term", l.isUpToDate(2, 100), false},
+
+		{"firstConflict/no entries", conflict(), lookup[int]{}},
+		{"firstConflict/all there", conflict(Entry{Index: 11, Term: 2}, Entry{Index: 12, Term: 3}), lookup[int]{}},
+		{"firstConflict/another term", conflict(Entry{Index: 11, Term: 2}, Entry{Index: 12, Term: 4}),
+			lookup[int]{1, true}},
+		{"firstConflict/beyond the end", conflict(Entry{Index: 12, Term: 3}, Entry{Index: 13, Term: 3}),
+			lookup[int]{1, true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			is := is.New(t)
-			i, ok := l.firstConflict(c.entries)
-			is.Equal(i, c.want)
-			is.Equal(ok, c.ok)
+			is.New(t).Equal(c.got, c.want)
 		})
 	}
 }
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -48,9 +48,9 @@
 // replaceWiped replaces a member whose disk was lost, as soon as its successor at the
 // same address has caught up.
 func (n *Node) replaceWiped() bool {
-	for _, m := range n.log.config {
-		if former, ok := n.predecessorAtAddress(m); ok && n.isCaughtUp(m) {
-			n.replaceMember(m, former)
+	for _, successor := range n.log.config {
+		if former, ok := n.predecessorAtAddress(successor); ok && n.isCaughtUp(successor) {
+			n.replaceMember(successor, former)
 			return true
 		}
 	}
@@ -60,14 +60,14 @@
 // replaceStopping replaces a voter that is about to stop by a provisional member of its
 // zone, while it still is there to agree.
 func (n *Node) replaceStopping() bool {
-	for _, v := range n.log.config {
-		if !v.Voter || v.ID == n.self.ID || !n.progressOf(v.ID).stopping {
+	for _, voter := range n.log.config {
+		if !voter.Voter || voter.ID == n.self.ID || !n.progressOf(voter.ID).stopping {
 			continue
 		}
-		for _, m := range n.log.config {
-			mayReplace := m.Provisional && m.Zone == v.Zone && m.ID != v.ID
-			if mayReplace && n.isCaughtUp(m) && !n.progressOf(m.ID).stopping {
-				n.replaceMember(m, v)
+		for _, member := range n.log.config {
+			mayReplace := member.Provisional && member.Zone == voter.Zone && member.ID != voter.ID
+			if mayReplace && n.isCaughtUp(member) && !n.progressOf(member.ID).stopping {
+				n.replaceMember(member, voter)
 				return true
 			}
 		}
@@ -78,13 +78,13 @@
 // replaceSilent replaces a voter that has been silent for long by a provisional member, and
 // removes a learner that has been silent for much longer.
 func (n *Node) replaceSilent() bool {
-	for _, m := range n.log.config {
-		if !m.Voter && n.silentFor(m) > n.learnerTimeout(m) {
-			n.proposeConfiguration(n.log.config.without(m.ID))
+	for _, member := range n.log.config {
+		if !member.Voter && n.silentFor(member) > n.learnerTimeout(member) {
+			n.proposeConfiguration(n.log.config.without(member.ID))
 			return true
 		}
-		if v, ok := n.replaceableVoter(m); ok && m.Provisional && n.isCaughtUp(m) {
-			n.replaceMember(m, v)
+		if former, ok := n.replaceableVoter(member); ok && member.Provisional && n.isCaughtUp(member) {
+			n.replaceMember(member, former)
 			return true
 		}
 	}
@@ -94,15 +94,15 @@
 // promoteLearner gives a learner that has caught up its vote. A provisional one waits
 // while a voter of its zone may be gone: it replaces that one instead.
 func (n *Node) promoteLearner() bool {
-	for _, m := range n.log.config {
-		if m.Voter || m.Demoted || !n.isCaughtUp(m) || !n.canAddVoter(m) {
+	for _, learner := range n.log.config {
+		if learner.Voter || learner.Demoted || !n.isCaughtUp(learner) || !n.log.config.canAddVoter(learner) {
 			continue
 		}
-		if m.Provisional && n.zoneHasSilentVoter(m) {
+		if learner.Provisional && n.zoneHasSilentVoter(learner) {
 			continue
 		}
-		m.Voter = true
-		n.updateMembers(m)
+		learner.Voter = true
+		n.updateMembers(learner)
 		return true
 	}
 	return false
@@ -116,8 +116,9 @@
 	if n.log.config.Voters()%2 == 1 {
 		return false
 	}
-	for _, m := range n.log.config {
-		if m.Voter && m.Provisional && n.isCaughtUp(m) && (n.promoteDemoted() || n.demotePredecessor(m)) {
+	for _, member := range n.log.config {
+		promoted := member.Voter && member.Provisional && n.isCaughtUp(member)
+		if promoted && (n.promoteDemoted() || n.demotePredecessor(member)) {
 			return true
 		}
 	}
@@ -126,10 +127,10 @@
 
 // promoteDemoted gives a demoted member its vote back.
 func (n *Node) promoteDemoted() bool {
-	for _, m := range n.log.config {
-		if m.Demoted && n.isCaughtUp(m) && n.log.config.Voters() < maxVoters {
-			m.Voter, m.Demoted = true, false
-			n.updateMembers(m)
+	for _, member := range n.log.config {
+		if member.Demoted && n.isCaughtUp(member) && n.log.config.Voters() < maxVoters {
+			member.Voter, member.Demoted = true, false
+			n.updateMembers(member)
 			return true
 		}
 	}
@@ -139,7 +140,7 @@
 // demotePredecessor demotes the only other voter of a provisional member's zone and makes
 // that member a regular one. A leader transfers leadership before it is demoted itself.
 func (n *Node) demotePredecessor(successor Member) bool {
-	former, ok := n.onlyOtherVoterInZone(successor)
+	former, ok := n.log.config.onlyOtherVoterInZone(successor)
 	if !ok {
 		return false
 	}
@@ -156,18 +157,18 @@
 // with none of them silent, a regular one. In an even number of voters it stays one that
 // may replace another.
 func (n *Node) confirmProvisional() bool {
-	for _, m := range n.log.config {
-		if m.Voter && n.silentFor(m) > n.timeouts.StallTimeout {
+	for _, member := range n.log.config {
+		if member.Voter && n.silentFor(member) > n.timeouts.StallTimeout {
 			n.leadership.allVotersHeardSince = n.now.Mono
 		}
 	}
 	if n.now.Mono.Sub(n.leadership.allVotersHeardSince) < provisionalPeriod || n.log.config.Voters()%2 == 0 {
 		return false
 	}
-	for _, m := range n.log.config {
-		if m.Voter && m.Provisional {
-			m.Provisional = false
-			n.updateMembers(m)
+	for _, member := range n.log.config {
+		if member.Voter && member.Provisional {
+			member.Provisional = false
+			n.updateMembers(member)
 			return true
 		}
 	}
--- a/internal/raft/membership_test.go
+++ b/internal/raft/membership_test.go
@@ -165,12 +165,12 @@
 		members = append(members, voter(id, types.Zone("z-"+id)))
 	}
 	n := newLeaderOf(members...)
-	is.True(!n.canAddVoter(Member{ID: "j"}))
+	is.True(!n.log.config.canAddVoter(Member{ID: "j"}))
 	n = newLeaderOf(append(members, provisional("j", "z-a"))...)
-	is.True(n.canAddVoter(Member{ID: "j", Provisional: true}))
-	is.True(!n.canAddVoter(Member{ID: "j"}))
+	is.True(n.log.config.canAddVoter(Member{ID: "j", Provisional: true}))
+	is.True(!n.log.config.canAddVoter(Member{ID: "j"}))
 	n = newLeaderOf(append(members, provisional("j", "z-a"), provisional("k", "z-b"))...)
-	is.True(!n.canAddVoter(Member{ID: "j", Provisional: true}))
+	is.True(!n.log.config.canAddVoter(Member{ID: "j", Provisional: true}))
 }
 
 func TestConfigurationChangesOneAtATime(t *testing.T) {
--- a/internal/raft/messages.go
+++ b/internal/raft/messages.go
@@ -112,6 +112,7 @@
 	Step     bootstrapStep  `json:"step"`
 }
 
+// handlers handle the messages of each kind.
 var handlers = map[wire.Kind]func(*Node, wire.Message){
 	wire.Bootstrap:       wire.HandlerFor((*Node).onBootstrap),
 	wire.JoinRequest:     wire.HandlerFor((*Node).onJoinRequest),
--- a/internal/raft/progress.go
+++ b/internal/raft/progress.go
@@ -29,6 +29,39 @@
 // resendFromMatch makes all that is not acknowledged be sent again.
 func (p *progress) resendFromMatch() { p.next = p.match + 1 }
 
+// hasNearlyAll tells whether the member has all that is committed but for promotionGap
+// entries.
+func (p *progress) hasNearlyAll(commitIndex types.Index) bool {
+	return p.match > 0 && p.match+promotionGap >= commitIndex
+}
+
+// onReply notes what a reply says of the member, whatever it answers; clusterTime is the
+// leader's now.
+func (p *progress) onReply(now types.MonoTime, clusterTime types.ClusterTime, reply *appendReply) {
+	if reply.Round > p.ackedRound {
+		p.ackedRound = reply.Round
+		p.wallOffset = reply.Wall - types.WallTime(clusterTime)
+	}
+	p.lastHeardAt = now
+	p.loopLag = time.Duration(reply.LagMS) * time.Millisecond
+	p.stopping = reply.Stopping
+}
+
+// nextSnapshotPart returns which part of a snapshot to send now, and counts it as sent;
+// false while the answer to the last one is still waited for, minimumWait at least.
+func (p *progress) nextSnapshotPart(now types.MonoTime, partCount int, minimumWait time.Duration) (int, bool) {
+	if now.Sub(p.lastSentAt) <= p.window.retryTimeout(minimumWait) || partCount == 0 {
+		return 0, false
+	}
+	if p.lastSentAt != never {
+		p.window.onTimeout()
+	}
+	p.lastSentAt = now
+	p.window.onSend(now)
+	p.snapshotParts = min(p.snapshotParts, partCount-1)
+	return p.snapshotParts, true
+}
+
 // onSnapshotPart records how many parts the member has. A reply with the same number as the
 // one before answers a part that was sent twice.
 func (p *progress) onSnapshotPart(now types.MonoTime, parts int, minElectionTimeout time.Duration) {
@@ -39,8 +72,8 @@
 	p.snapshotParts, p.lastSentAt = parts, never
 }
 
-// onRejected steps back to where the member's log may be like the leader's (section 5.3 of
-// the paper). A late rejection may step back too far, which only delays.
+// onRejected steps back to where the member's log may be like the leader's (section 3.5 of
+// the thesis). A late rejection may step back too far, which only delays.
 func (p *progress) onRejected(match types.Index) {
 	p.snapshotParts, p.window.inFlightBytes = 0, 0
 	p.match = min(p.match, match)
--- a/internal/raft/progress_test.go
+++ b/internal/raft/progress_test.go
@@ -75,3 +75,53 @@
 	p.onSnapshotPart(10, 1, testElectionTimeout)
 	is.Equal(p.lastSentAt, types.MonoTime(9))
 }
+
+// TestProgressOnReply: a late reply is a sign of life, and answers no newer round.
+func TestProgressOnReply(t *testing.T) {
+	is := is.New(t)
+	p := &progress{ackedRound: never}
+	p.onReply(20, 100, &appendReply{Round: 10, Wall: 130, LagMS: 7, Stopping: true})
+	is.Equal(*p, progress{
+		ackedRound:  10,
+		lastHeardAt: 20,
+		wallOffset:  30,
+		loopLag:     7 * time.Millisecond,
+		stopping:    true,
+	})
+	p.onReply(30, 110, &appendReply{Round: 9, Wall: 200})
+	is.Equal(*p, progress{ackedRound: 10, lastHeardAt: 30, wallOffset: 30})
+}
+
+func TestProgressNextSnapshotPart(t *testing.T) {
+	const now, wait = types.MonoTime(time.Hour), time.Second
+	for _, c := range []struct {
+		name   string
+		change func(*progress)
+		parts  int
+		want   int
+		sends  bool
+	}{
+		{"first part", func(*progress) {}, 3, 0, true},
+		{"the one after those it has", func(p *progress) { p.snapshotParts = 2 }, 3, 2, true},
+		{"last part again where it has all", func(p *progress) { p.snapshotParts = 3 }, 3, 2, true},
+		{"snapshot without parts", func(*progress) {}, 0, 0, false},
+		{"answer awaited", func(p *progress) { p.lastSentAt = now.Add(-wait) }, 3, 0, false},
+		{"answer overdue", func(p *progress) { p.lastSentAt = now.Add(-wait - 1) }, 3, 0, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			p := &progress{lastSentAt: never}
+			c.change(p)
+			overdue := p.lastSentAt != never
+			number, ok := p.nextSnapshotPart(now, c.parts, wait)
+			is.Equal(number, c.want)
+			is.Equal(ok, c.sends)
+			if c.sends {
+				is.Equal(p.lastSentAt, now)
+				is.Equal(p.window.consecutiveTimeouts == 1, overdue)
+				_, again := p.nextSnapshotPart(now, c.parts, wait)
+				is.True(!again) // until the answer
+			}
+		})
+	}
+}
--- a/internal/raft/record.go
+++ b/internal/raft/record.go
@@ -32,7 +32,8 @@
 }
 
 // HardState is a term and whom this member voted for in it (currentTerm and votedFor of
-// the paper's Figure 2). It is on disk before anything that rests on it is sent.
+// the paper's Figure 2). It is on disk before anything that rests on it is sent (section 3.8
+// of the thesis).
 type HardState struct {
 	Term     types.Term `json:"term"`
 	VotedFor types.ID   `json:"voted_for"`
@@ -47,6 +48,7 @@
 	return batch
 }
 
+// encode returns the record as it is stored.
 func (r Record) encode() []byte {
 	if r.snapshotPart != nil {
 		return r.snapshotPart
@@ -73,6 +75,7 @@
 	}
 }
 
+// restoreRecord takes over what one record holds.
 func (n *Node) restoreRecord(record Record) {
 	if record.Identity != nil {
 		n.self.ID, n.self.Provisional = record.Identity.ID, !record.Identity.FirstStart
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -1,8 +1,6 @@
 package raft
 
 import (
-	"time"
-
 	"coppercourse/internal/types"
 	"coppercourse/internal/wire"
 )
@@ -63,6 +61,8 @@
 	}
 }
 
+// newAppendEntries is a message to a member, as yet without entries, that follows the entry at
+// prevLogIndex.
 func (n *Node) newAppendEntries(peer Member, prevLogIndex types.Index) appendEntries {
 	prevLogTerm, _ := n.log.term(prevLogIndex)
 	return appendEntries{
@@ -100,6 +100,8 @@
 	n.send(peer.Addr, wire.AppendEntries, request)
 }
 
+// onAppendReply notes what a member has answered, and commits what a quorum has on disk now
+// (section 3.5 of the thesis).
 func (n *Node) onAppendReply(_ types.Addr, reply appendReply) {
 	if reply.ClusterName != n.clusterName {
 		return
@@ -112,13 +114,7 @@
 		return
 	}
 	now, p := n.now.Mono, n.progressOf(reply.FollowerID)
-	if reply.Round > p.ackedRound {
-		p.ackedRound = reply.Round
-		p.wallOffset = reply.Wall - types.WallTime(n.Clock())
-	}
-	p.lastHeardAt = now
-	p.loopLag = time.Duration(reply.LagMS) * time.Millisecond
-	p.stopping = reply.Stopping
+	p.onReply(now, n.Clock(), &reply)
 	switch {
 	case reply.SnapshotParts > 0:
 		p.onSnapshotPart(now, reply.SnapshotParts, n.timeouts.MinElectionTimeout)
@@ -141,7 +137,8 @@
 }
 
 // advanceCommit commits what a quorum has on disk. Only an entry of the leader's own term
-// is committed by counting, and the entries before it with it (section 5.4.2, Figure 8).
+// is committed by counting, and the entries before it with it (section 3.6.2
+// of the thesis).
 func (n *Node) advanceCommit() {
 	synced := n.quorumSyncedIndex()
 	if term, ok := n.log.term(synced); ok && term == n.hardState.Term {
--- a/internal/raft/send_window.go
+++ b/internal/raft/send_window.go
@@ -27,6 +27,7 @@
 	consecutiveTimeouts int            // since the last answer, maxBackoffDoublings at most
 }
 
+// limit is how many bytes may be in flight.
 func (s *sendWindow) limit() int {
 	if s.limitBytes == 0 {
 		return initialWindowBytes
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -11,7 +11,7 @@
 // a single larger entry.
 const maxRecordBytes = 1 << 20
 
-// Snapshot is the state machine's state after one entry (section 7 of the paper), in parts,
+// Snapshot is the state machine's state after one entry (section 5.1 of the thesis), in parts,
 // each a record and a message of its own.
 type Snapshot struct {
 	Index     types.Index   `json:"index"`
@@ -21,6 +21,7 @@
 	Parts     [][]byte      `json:"-"`
 }
 
+// isComplete tells whether all parts are there.
 func (s *Snapshot) isComplete() bool { return len(s.Parts) >= s.PartCount }
 
 // add adds one part of a snapshot that a leader sends. A part of another snapshot than
@@ -92,25 +93,22 @@
 // sendSnapshot sends a member the next part of the snapshot, unless the reply to the last
 // one is still awaited.
 func (n *Node) sendSnapshot(peer Member, p *progress) {
-	now, snapshot := n.now.Mono, n.log.snapshot
-	wait := p.window.retryTimeout(snapshotRetryHeartbeats * n.timeouts.HeartbeatInterval)
-	if now.Sub(p.lastSentAt) <= wait || snapshot.PartCount == 0 {
+	snapshot := n.log.snapshot
+	minimumWait := snapshotRetryHeartbeats * n.timeouts.HeartbeatInterval
+	number, ok := p.nextSnapshotPart(n.now.Mono, snapshot.PartCount, minimumWait)
+	if !ok {
 		return
 	}
-	if p.lastSentAt != never {
-		p.window.onTimeout()
-	}
-	p.lastSentAt = now
-	p.window.onSend(now)
-	p.snapshotParts = min(p.snapshotParts, snapshot.PartCount-1)
 	n.send(peer.Addr, wire.InstallSnapshot, installSnapshot{
 		appendEntries: n.newAppendEntries(peer, snapshot.Index),
 		Snapshot:      snapshot,
-		PartNumber:    p.snapshotParts,
-		Part:          snapshot.Parts[p.snapshotParts],
+		PartNumber:    number,
+		Part:          snapshot.Parts[number],
 	})
 }
 
+// onInstallSnapshot takes one part of a snapshot. With the last one it replaces the log, and
+// acknowledges the snapshot once it is on disk (section 5.1 of the thesis).
 func (n *Node) onInstallSnapshot(from types.Addr, request installSnapshot) {
 	if !n.acceptLeader(from, request.appendEntries) {
 		return
--- a/internal/raft/storage.go
+++ b/internal/raft/storage.go
@@ -50,6 +50,7 @@
 	d.answeredAt = now
 }
 
+// hasUnsynced tells whether a batch waits for the disk.
 func (d *diskState) hasUnsynced() bool { return d.writtenBatch > d.syncedBatch }
 
 // silentFor is how long the disk has not answered; 0 if nothing waits for it.
@@ -67,10 +68,11 @@
 	return records, fallback, replaceFile
 }
 
+// writeRecord adds a record to the batch of this step.
 func (n *Node) writeRecord(record Record) { n.disk.write(n.now.Mono, record) }
 
 // setHardState adopts a term and a vote. Whatever is sent from now on waits until they are
-// on disk: the paper's Figure 2 has them updated on stable storage before an answer.
+// on disk (section 3.8 of the thesis), so that no member votes twice in one term.
 func (n *Node) setHardState(state HardState) {
 	n.hardState = state
 	n.writeRecord(Record{HardState: &state})
--- a/internal/raft/transfer.go
+++ b/internal/raft/transfer.go
@@ -34,6 +34,7 @@
 	announcedCount int
 }
 
+// inProgress tells whether a transfer was begun and has not ended.
 func (t *leadershipTransfer) inProgress() bool { return t.target != "" }
 
 // PrepareStop makes this node take no leadership from now on and transfer what it holds.
@@ -84,14 +85,14 @@
 		return false
 	}
 	var best *progress
-	for _, m := range n.log.config {
-		p := n.progressOf(m.ID)
+	for _, member := range n.log.config {
+		p := n.progressOf(member.ID)
 		reachable := now.Mono.Sub(p.lastHeardAt) < n.timeouts.MinElectionTimeout
-		if !m.Voter || m.ID == n.self.ID || !reachable || !eligible(p) {
+		if !member.Voter || member.ID == n.self.ID || !reachable || !eligible(p) {
 			continue
 		}
 		if best == nil || p.match > best.match {
-			best, n.transfer.target = p, m.ID
+			best, n.transfer.target = p, member.ID
 		}
 	}
 	n.transfer.deadline = now.Mono.Add(n.timeouts.MinElectionTimeout)
@@ -115,6 +116,7 @@
 	return true
 }
 
+// onTimeoutNow has the target of a transfer campaign at once, without a pre-vote.
 func (n *Node) onTimeoutNow(_ types.Addr, message timeoutNow) {
 	meant := message.ClusterName == n.clusterName && message.To == n.self.ID && message.Term == n.hardState.Term
 	if !meant || n.role != roleFollower || !n.mayLead() {
