--- a/internal/controller/attempt_review.go
+++ b/internal/controller/attempt_review.go
@@ -57,7 +57,7 @@
 	departing, broken := r.departingWorkers(v), brokenGangs(v)
 	for _, attempt := range attempts {
 		reason := departing[attempt.Shard]
-		if reason == "" && broken[placement.TaskGroup{Job: attempt.ID.Job, Stage: attempt.Stage}] {
+		if reason == "" && broken[groupOf(attempt)] {
 			reason = state.GangPeerUnreachable
 		}
 		if reason == "" && (isStalled(v, attempt) || isWorthRestarting(v, attempt)) {
@@ -88,7 +88,7 @@
 	broken := map[placement.TaskGroup]bool{}
 	for _, attempt := range v.scheduler.OverdueAttempts() {
 		if j := openJob(v.state, attempt.ID.Job); j != nil && j.Spec.Steps[attempt.Stage.Step()].Gang {
-			broken[placement.TaskGroup{Job: attempt.ID.Job, Stage: attempt.Stage}] = true
+			broken[groupOf(attempt)] = true
 		}
 	}
 	return broken
--- a/internal/controller/command_log.go
+++ b/internal/controller/command_log.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"maps"
 
 	"coppercourse/internal/apierror"
@@ -90,7 +91,8 @@
 }
 
 // command returns the command in an entry, and false for one that holds none, as a new
-// leader's first entry does not.
+// leader's first entry does not. An entry that can't be decoded is a fault of this program
+// and panics.
 func (l *commandLog) command(e raft.Entry) (command state.Command, ok bool) {
 	own, isOwn := l.own[e.Index]
 	delete(l.own, e.Index)
@@ -101,7 +103,7 @@
 		return own.command, true
 	}
 	if err := json.Unmarshal(e.Data, &command); err != nil {
-		panic(err)
+		panic(fmt.Errorf("decode the command of log entry %d: %w", e.Index, err))
 	}
 	return command, true
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -32,6 +32,17 @@
 	age      time.Duration
 }
 
+// newVictim returns a victim without attempts.
+func newVictim(urgency int, age time.Duration) *victim {
+	return &victim{frees: map[types.Shard]types.Resources{}, urgency: urgency, age: age}
+}
+
+// add adds an attempt.
+func (v *victim) add(attempt *scheduler.OutstandingAttempt) {
+	v.attempts = append(v.attempts, attempt.ID)
+	v.frees[attempt.Shard] = v.frees[attempt.Shard].Add(attempt.Resources)
+}
+
 // find returns the attempts to withdraw for the first request that may preempt, and the
 // workers to reserve for it.
 func (p *preemption) find(v *leaderView, in placement.Input) ([]state.Withdrawal, *placement.Reservation) {
@@ -78,21 +89,16 @@
 		if !isCandidate(j, attempt.ID.TaskNumber, request, below, in) {
 			continue
 		}
-		group := placement.TaskGroup{Job: attempt.ID.Job, Stage: attempt.Stage}
-		member := gangs[group]
-		if member == nil {
-			member = &victim{
-				frees:   map[types.Shard]types.Resources{},
-				urgency: j.Spec.Urgency,
-				age:     v.now.Sub(attempt.OrderedAt),
-			}
-			list = append(list, member)
+		group := groupOf(attempt)
+		candidate := gangs[group]
+		if candidate == nil {
+			candidate = newVictim(j.Spec.Urgency, v.now.Sub(attempt.OrderedAt))
+			list = append(list, candidate)
 			if j.Spec.Steps[attempt.Stage.Step()].Gang {
-				gangs[group] = member
+				gangs[group] = candidate
 			}
 		}
-		member.attempts = append(member.attempts, attempt.ID)
-		member.frees[attempt.Shard] = member.frees[attempt.Shard].Add(attempt.Resources)
+		candidate.add(attempt)
 	}
 	slices.SortStableFunc(list, func(a, b *victim) int {
 		return cmp.Or(cmp.Compare(a.urgency, b.urgency), cmp.Compare(a.age, b.age))
@@ -149,8 +155,8 @@
 			continue
 		}
 		free := slot.Free
-		for _, v := range victims {
-			free = free.Add(v.frees[slot.Shard])
+		for _, victim := range victims {
+			free = free.Add(victim.frees[slot.Shard])
 		}
 		if tasks := fitOn(request, slot, free, missing); tasks > 0 {
 			workers = append(workers, placement.ReservedWorker{Shard: slot.Shard, Tasks: tasks})
@@ -179,8 +185,8 @@
 // withdrawals lists the attempts of victims.
 func withdrawals(victims []*victim) []state.Withdrawal {
 	var list []state.Withdrawal
-	for _, v := range victims {
-		for _, attempt := range v.attempts {
+	for _, victim := range victims {
+		for _, attempt := range victim.attempts {
 			list = append(list, state.Withdrawal{ID: attempt, Reason: state.Preempted})
 		}
 	}
--- a/internal/controller/slot_cache.go
+++ b/internal/controller/slot_cache.go
@@ -125,7 +125,7 @@
 		o.lastEnd = max(o.lastEnd, attempt.OrderedAt.Add(attempt.TimeLimit))
 	}
 	if attempt.Stage != scheduler.StageUnknown {
-		o.byGroup[placement.TaskGroup{Job: attempt.ID.Job, Stage: attempt.Stage}]++
+		o.byGroup[groupOf(attempt)]++
 	}
 }
 
--- a/internal/controller/snapshots.go
+++ b/internal/controller/snapshots.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"fmt"
+
 	"coppercourse/internal/raft"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
@@ -77,7 +79,7 @@
 func (s *snapshotLoader) loadPart() *state.State {
 	loaded, err := s.decoder.Load(snapshotReadBytes)
 	if err != nil {
-		panic(err)
+		panic(fmt.Errorf("load the snapshot up to log entry %d: %w", s.index, err))
 	}
 	if loaded != nil {
 		s.decoder = nil
--- a/internal/raft/record.go
+++ b/internal/raft/record.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 
 	"coppercourse/internal/types"
 )
@@ -55,7 +56,7 @@
 	}
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // a record has nothing that JSON can't hold
+		panic(fmt.Errorf("encode a record: %w", err)) // a record has nothing that JSON can't hold
 	}
 	return b
 }
