--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,8 +1,9 @@
 // Package agent is the daemon beside each worker, as one state machine. It joins the
-// executor (the worker side of the paper's protocol), the membership, and the worker's long
-// polls, each held until the worker has something to start, stop or drop.
+// executor (the worker half of the dispatcher, see package dispatch), the membership, and
+// the requests of the worker: long polls of one that polls, each held until the worker has
+// something to start, stop or drop; heartbeats of one that the agent calls.
 //
-// agent.go is the machine, worker_requests.go the calls of the worker.
+// agent.go is the machine, worker_requests.go the worker's requests.
 package agent
 
 import (
@@ -41,8 +42,8 @@
 type Counters struct {
 	Polls  uint64 // polls of the worker
 	Stale  uint64 // polls that were rejected as outdated
-	Orders uint64 // RunTask messages received
-	Stops  uint64 // KillTask messages received
+	Orders uint64 // orders to start an attempt (RunTask) received
+	Stops  uint64 // orders to stop attempts (KillTask) received
 }
 
 // New returns an agent at its start. Its instance ids are drawn from rnd.
@@ -62,7 +63,7 @@
 	return a
 }
 
-// Ready reports whether the agent takes its worker's polls.
+// Ready reports whether the agent accepts its worker's polls: until it is shutting down.
 func (a *Agent) Ready() bool { return !a.core.Draining() }
 
 // Leader returns the address of the leader as far as the agent knows, or nothing.
--- a/internal/agent/worker_requests.go
+++ b/internal/agent/worker_requests.go
@@ -77,7 +77,7 @@
 	a.poll = longPoll{}
 }
 
-// handleHeartbeat handles the heartbeat of a worker that is called.
+// handleHeartbeat handles the heartbeat of a worker that the agent calls.
 func (a *Agent) handleHeartbeat(request wire.Request) {
 	var heartbeat wire.WorkerHeartbeat
 	if json.Unmarshal(request.Body, &heartbeat) != nil || heartbeat.Incarnation == "" || heartbeat.Addr == "" {
--- a/internal/gateway/end_reports.go
+++ b/internal/gateway/end_reports.go
@@ -16,9 +16,10 @@
 	maxReports     = 1024
 )
 
-// endReportBuffer holds reports of ended attempts that controllers without a leader have
-// relayed. They are repeated to the leader for a while, since the controller that had the
-// report, the agent and the worker may all have stopped by the time that there is a leader.
+// endReportBuffer holds reports of ended attempts that controllers have forwarded through
+// this gateway because they could not reach the leader themselves. They are repeated to the
+// leader for a while, since the controller that had the report, the agent and the worker may
+// all have stopped by the time that there is a leader.
 type endReportBuffer struct{ reports []endReport }
 
 type endReport struct {
--- a/internal/gateway/forwarding.go
+++ b/internal/gateway/forwarding.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	// AttemptTimeout is how long a controller's reply is waited for before the request is
+	// ForwardTimeout is how long a controller's reply is waited for before the request is
 	// forwarded again.
-	AttemptTimeout = 700 * time.Millisecond
-	// maxRedirectedAttempts is how often a request was forwarded when the hint of a
-	// controller that does not lead is no longer followed at once.
-	maxRedirectedAttempts = 6
+	ForwardTimeout = 700 * time.Millisecond
+	// maxHintedForwards bounds the forwards of one request that follow each other at once,
+	// each by the hint of a controller that does not lead. After that the request is
+	// forwarded again by ForwardTimeout only.
+	maxHintedForwards = 6
 )
 
 // retryRequests gives up the requests that have timed out, and forwards again those that a
@@ -25,7 +26,7 @@
 		switch {
 		case now.Sub(p.receivedAt) >= p.timeout:
 			g.giveUp(p)
-		case p.target == "" || now.Sub(p.sentAt) >= AttemptTimeout:
+		case p.target == "" || now.Sub(p.sentAt) >= ForwardTimeout:
 			g.forward(p, "")
 		case leader != "" && leader != previous && p.target == previous:
 			g.forward(p, leader)
@@ -45,8 +46,9 @@
 	g.reject(p, g.errNoLeader())
 }
 
-// forward sends a request to the controller of the hint. Without a hint it goes to the
-// leader or, if none is known or the leader has not answered, to the controllers in turn.
+// forward sends a request to the controller at the address hint. Without a hint it goes to
+// the leader or, if none is known or the leader has not answered, to the controllers in
+// turn.
 func (g *Gateway) forward(p *pendingRequest, hint types.Addr) {
 	to := hint
 	if to == "" {
@@ -60,8 +62,8 @@
 	}
 	p.unresolved = p.maybeAccepted()
 	p.target, p.sentAt = to, g.core.Now().Mono
-	p.attempts++
-	g.Counters.Attempts++
+	p.forwards++
+	g.Counters.Forwards++
 	body := wire.ForwardedRequest{ID: p.id, Verb: p.Verb, Arg: p.Arg, Body: p.Body}
 	g.core.Send(wire.NewMessage(g.core.Self().Addr, to, wire.ForwardRequest, body))
 }
@@ -104,7 +106,7 @@
 	if from == p.target {
 		p.target, p.sentAt = "", g.core.Now().Mono
 	}
-	if hinted && p.attempts < maxRedirectedAttempts {
+	if hinted && p.forwards < maxHintedForwards {
 		g.forward(p, leader)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -4,7 +4,7 @@
 //
 // gateway.go is the machine, requests.go what it has admitted, forwarding.go how a request
 // gets to the leader and its response back, leader_tracker.go how long there has been a leader,
-// end_reports.go the reports of ended attempts that a gateway passes on.
+// end_reports.go the reports of ended attempts that a gateway forwards.
 package gateway
 
 import (
@@ -27,8 +27,8 @@
 	Zone  types.Zone
 	Seeds []types.Addr // other daemons, to find the cluster by
 	Build string
-	// StaleAfter is how old a confirmation of the table may be for the table to be decided
-	// by; 0 is configwatch.DefaultStaleAfter.
+	// StaleAfter is how old the leader's confirmation of the table may be while requests are
+	// still decided by it; 0 is configwatch.DefaultStaleAfter.
 	StaleAfter time.Duration
 }
 
@@ -52,8 +52,8 @@
 	Answered        uint64 // admitted requests that were answered
 	Refused         uint64 // requests rejected at once
 	GivenUp         uint64 // requests that timed out without a response from a controller
-	Attempts        uint64 // forwards to a controller, retries included
-	TooManyInFlight uint64 `json:"Crowded"` // of Refused, those because of MaxPending
+	Forwards        uint64 `json:"Attempts"` // requests sent to controllers, retries included
+	TooManyInFlight uint64 `json:"Crowded"`  // of Refused, those because of MaxPending
 }
 
 // New returns a gateway at its start, which knows no other daemon but the seeds.
@@ -80,7 +80,7 @@
 	return !g.core.Draining() && g.core.Leader() != "" && g.configWatcher.Fresh(g.core.Now().Mono)
 }
 
-// Table returns the table as the gateway has it, and whether it may be decided by.
+// Table returns the table as the gateway has it, and whether requests may be decided by it.
 func (g *Gateway) Table() (table config.Table, confirmed bool) {
 	return g.configWatcher.Table, g.configWatcher.Fresh(g.core.Now().Mono)
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -90,12 +90,12 @@
 			h.reply("a", 0, full)
 		}, apierror.QueueFull},
 		{"the first one is silent, the second refuses", func(is *is.I, h *harness) {
-			h.advance(AttemptTimeout + 40*time.Millisecond)
+			h.advance(ForwardTimeout + 40*time.Millisecond)
 			is.Equal(len(h.sent), 2)
 			h.reply(h.sent[1].To, 1, full)
 		}, apierror.OutcomeUnknown},
 		{"the first one refuses late, the second has not answered", func(_ *is.I, h *harness) {
-			h.advance(AttemptTimeout + 40*time.Millisecond)
+			h.advance(ForwardTimeout + 40*time.Millisecond)
 			h.reply("a", 0, full)
 		}, apierror.OutcomeUnknown},
 		{"the first one does not lead, the second refuses", func(is *is.I, h *harness) {
@@ -149,7 +149,7 @@
 func TestReplyGoesToItsRequestOnly(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(0)
-	h.advance(AttemptTimeout + 40*time.Millisecond)
+	h.advance(ForwardTimeout + 40*time.Millisecond)
 	is.Equal(len(h.sent), 2) // a was silent, b was asked
 	h.step(wire.Event{Request: &wire.Request{Token: 2, Verb: "job.get", Arg: "k"}})
 	is.Equal(len(h.sent), 3)
--- a/internal/gateway/leader_tracker.go
+++ b/internal/gateway/leader_tracker.go
@@ -8,14 +8,14 @@
 
 // Bounds of the time after which a request is retried.
 const (
-	retryAfterAttempt = time.Second // a leader is known: only one attempt has failed
+	retryAfterFailure = time.Second // a leader is known: only this request has failed
 	minRetryAfterLoss = 2 * time.Second
 	maxRetryAfterLoss = 30 * time.Second
-	// retryLossDivisor says which part of the time without a leader is added to the least.
+	// retryLossDivisor: this part of the time without a leader is added to minRetryAfterLoss.
 	retryLossDivisor = 4
 )
 
-// leaderTracker is what a gateway remembers of leaders.
+// leaderTracker remembers the last leader, and for how long none has been known.
 type leaderTracker struct {
 	last   types.Addr     // the last leader that was known
 	lostAt types.MonoTime // since when none is known; 0 while one is
@@ -45,7 +45,7 @@
 // that has lasted for long is likely to last as long again.
 func (l *leaderTracker) retryAfter(now types.MonoTime) time.Duration {
 	if l.lostAt == 0 {
-		return retryAfterAttempt
+		return retryAfterFailure
 	}
 	return min(maxRetryAfterLoss, minRetryAfterLoss+l.lostFor(now)/retryLossDivisor)
 }
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -31,7 +31,7 @@
 	timeout    time.Duration
 	target     types.Addr     // the controller that is to answer, or none
 	sentAt     types.MonoTime // when it was last forwarded
-	attempts   int            // how often it was forwarded
+	forwards   int            // how often it was forwarded
 	// unresolved says that a controller that was asked before target has not answered, and
 	// may have accepted the request.
 	unresolved bool
--- a/sim/processor_test.go
+++ b/sim/processor_test.go
@@ -203,6 +203,6 @@
 func TestTheBoundsOfSlowDaysFitThePace(t *testing.T) {
 	is := is.New(t)
 	is.True(mostConsensusWait <= settings.QuickTimeouts.Raft().MinElectionTimeout/2)
-	is.True(workqueue.MaxForwardWait < gateway.AttemptTimeout)
+	is.True(workqueue.MaxForwardWait < gateway.ForwardTimeout)
 	is.True(mostRequestWait < gateway.RequestTimeout)
 }
