--- a/sim/capacity/figure.go
+++ b/sim/capacity/figure.go
@@ -17,15 +17,15 @@
 )
 
 // Limits of the plan (DEVELOPERS.md). Those on control work hold for the daemons
-// beside the workers. Controllers have machines of their own; the goroutine that
-// owns the state machine can use one core of them.
+// beside the workers. Controllers have machines of their own, of which the event loop
+// can use one core.
 const (
-	limitCPU    = 2.3  // percent of a core
-	limitMemory = 128  // MaxMegabytes
-	limitBytes  = 2000 // a second, both ways together
-	limitTable  = 6000 // ms
-	limitUrgent = 1600 // ms
-	limitOwner  = 100  // percent of a core
+	limitCPU       = 2.3  // percent of a core
+	limitMemory    = 128  // MB
+	limitBytes     = 2000 // a second, both ways together
+	limitTable     = 6000 // ms
+	limitUrgent    = 1600 // ms
+	limitEventLoop = 100  // percent of a core
 )
 
 // Modes of a measured fleet.
@@ -85,48 +85,62 @@
 
 // Figures are all figures, in the order of the report.
 var Figures = []Figure{
-	{"control messages", "1/s", 0, 0, allRoles, perSecond(func(u world.Usage) float64 {
-		return float64(u.Control().Messages)
-	})},
-	{"control bytes", "B/s", limitBytes, 0, allRoles, perSecond(func(u world.Usage) float64 {
-		return float64(u.Control().Bytes)
-	})},
-	{"roster bytes", "B/s", limitBytes, 0, allRoles, perSecond(messageClass(world.MembershipMessages, bytesOf))},
-	{"heartbeat bytes", "B/s", limitBytes, 0, allRoles, perSecond(messageClass(world.HeartbeatMessages, bytesOf))},
-	{"log bytes", "B/s", 0, 0, allRoles, perSecond(messageClass(world.LogMessages, bytesOf))},
-	{"table bytes", "B/s", limitBytes, 0, allRoles, perSecond(messageClass(world.TableMessages, bytesOf))},
-	{"work messages", "1/s", 0, 0, allRoles, perSecond(messageClass(world.WorkMessages, messagesOf))},
-	{"work bytes", "B/s", 0, 0, allRoles, perSecond(messageClass(world.WorkMessages, bytesOf))},
-	{"processor", "% of a core", limitCPU, limitOwner, allRoles, perSecond(func(u world.Usage) float64 {
-		return 100 * u.CPU.Seconds()
-	})},
-	{"state", "MB", limitMemory, 0, allRoles, func(_ *sim.Measurement, u sim.RoleUsage) float64 {
-		return float64(slices.Max(u.State)) / 1e6
-	}},
-	{"disk bytes", "B/s", 0, 0, controllers, perSecond(func(u world.Usage) float64 { return float64(u.Written) })},
-	{"disk syncs", "1/s", 0, 0, controllers, perSecond(func(u world.Usage) float64 { return float64(u.Syncs) })},
-	{"step p50", "ms", 0, 0, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
-		return float64(m.Steps.ValueAtQuantile(50)) / 1e6
-	}},
-	{"step p99", "ms", 0, 0, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
-		return float64(m.Steps.ValueAtQuantile(99)) / 1e6
-	}},
-	{"table in force everywhere", "ms", limitTable, limitTable, leaderOnly, func(
-		m *sim.Measurement, _ sim.RoleUsage,
-	) float64 {
-		return maxMillis(m.TableLatencies)
-	}},
-	{"urgent job to its start", "ms", limitUrgent, limitUrgent, leaderOnly, func(
-		m *sim.Measurement, _ sim.RoleUsage,
-	) float64 {
-		return maxMillis(m.UrgentLatencies)
-	}},
-	{"leader death to the next", "ms", 0, 0, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
-		return float64(m.ElectionTime.Milliseconds())
-	}},
-	{"next leader known to all", "ms", 0, 0, leaderOnly, func(m *sim.Measurement, _ sim.RoleUsage) float64 {
-		return float64(m.LeaderKnownTime.Milliseconds())
-	}},
+	{Name: "control messages", Unit: "1/s", Roles: allRoles,
+		value: perSecond(func(u world.Usage) float64 {
+			return float64(u.Control().Messages)
+		})},
+	{Name: "control bytes", Unit: "B/s", Limit: limitBytes, Roles: allRoles,
+		value: perSecond(func(u world.Usage) float64 {
+			return float64(u.Control().Bytes)
+		})},
+	{Name: "roster bytes", Unit: "B/s", Limit: limitBytes, Roles: allRoles,
+		value: perSecond(messageClass(world.MembershipMessages, bytesOf))},
+	{Name: "heartbeat bytes", Unit: "B/s", Limit: limitBytes, Roles: allRoles,
+		value: perSecond(messageClass(world.HeartbeatMessages, bytesOf))},
+	{Name: "log bytes", Unit: "B/s", Roles: allRoles,
+		value: perSecond(messageClass(world.LogMessages, bytesOf))},
+	{Name: "table bytes", Unit: "B/s", Limit: limitBytes, Roles: allRoles,
+		value: perSecond(messageClass(world.TableMessages, bytesOf))},
+	{Name: "work messages", Unit: "1/s", Roles: allRoles,
+		value: perSecond(messageClass(world.WorkMessages, messagesOf))},
+	{Name: "work bytes", Unit: "B/s", Roles: allRoles,
+		value: perSecond(messageClass(world.WorkMessages, bytesOf))},
+	{Name: "processor", Unit: "% of a core", Limit: limitCPU, ControllerLimit: limitEventLoop, Roles: allRoles,
+		value: perSecond(func(u world.Usage) float64 {
+			return 100 * u.CPU.Seconds()
+		})},
+	{Name: "state", Unit: "MB", Limit: limitMemory, Roles: allRoles,
+		value: func(_ *sim.Measurement, u sim.RoleUsage) float64 {
+			return float64(slices.Max(u.State)) / 1e6
+		}},
+	{Name: "disk bytes", Unit: "B/s", Roles: controllers,
+		value: perSecond(func(u world.Usage) float64 { return float64(u.Written) })},
+	{Name: "disk syncs", Unit: "1/s", Roles: controllers,
+		value: perSecond(func(u world.Usage) float64 { return float64(u.Syncs) })},
+	{Name: "step p50", Unit: "ms", Roles: leaderOnly,
+		value: func(m *sim.Measurement, _ sim.RoleUsage) float64 {
+			return float64(m.Steps.ValueAtQuantile(50)) / 1e6
+		}},
+	{Name: "step p99", Unit: "ms", Roles: leaderOnly,
+		value: func(m *sim.Measurement, _ sim.RoleUsage) float64 {
+			return float64(m.Steps.ValueAtQuantile(99)) / 1e6
+		}},
+	{Name: "table in force everywhere", Unit: "ms", Limit: limitTable, ControllerLimit: limitTable, Roles: leaderOnly,
+		value: func(m *sim.Measurement, _ sim.RoleUsage) float64 {
+			return maxMillis(m.TableLatencies)
+		}},
+	{Name: "urgent job to its start", Unit: "ms", Limit: limitUrgent, ControllerLimit: limitUrgent, Roles: leaderOnly,
+		value: func(m *sim.Measurement, _ sim.RoleUsage) float64 {
+			return maxMillis(m.UrgentLatencies)
+		}},
+	{Name: "leader death to the next", Unit: "ms", Roles: leaderOnly,
+		value: func(m *sim.Measurement, _ sim.RoleUsage) float64 {
+			return float64(m.ElectionTime.Milliseconds())
+		}},
+	{Name: "next leader known to all", Unit: "ms", Roles: leaderOnly,
+		value: func(m *sim.Measurement, _ sim.RoleUsage) float64 {
+			return float64(m.LeaderKnownTime.Milliseconds())
+		}},
 }
 
 // Point is the value of one figure for one role in one fleet.
--- a/sim/checker/cancel.go
+++ b/sim/checker/cancel.go
@@ -26,7 +26,7 @@
 	}
 	for _, executions := range job.executions {
 		for _, e := range executions {
-			if e.startedAt > c.lastStartAfterCancel(job) && c.bound(e) {
+			if e.startedAt > c.lastStartAfterCancel(job) && c.boundsApply(e) {
 				c.violateCancelStart(job, e)
 			}
 			if !e.runs(job.cancelledAt, c.end) {
--- a/sim/checker/execution.go
+++ b/sim/checker/execution.go
@@ -8,7 +8,7 @@
 	"coppercourse/internal/wire"
 )
 
-// interval is a stretch of time.
+// interval is the time from one moment to another, in nanoseconds since the run began.
 type interval struct{ from, to int64 }
 
 // execution is one attempt as it ran on a worker. Its times are 0 for what never
@@ -26,7 +26,7 @@
 	frozen         []interval // when the worker was suspended
 
 	// Of invoked workers.
-	how           wire.EndReason
+	endReason     wire.EndReason
 	checkpoint    string // from which it started
 	work          json.RawMessage
 	deliveredLate bool
--- a/sim/checker/faults.go
+++ b/sim/checker/faults.go
@@ -9,7 +9,7 @@
 	"coppercourse/sim/history"
 )
 
-// faultWindow is a stretch of time in which a fault lasted.
+// faultWindow is a fault, and the time during which it lasted.
 type faultWindow struct {
 	name     string
 	from, to int64
@@ -46,7 +46,7 @@
 
 func (f faultWindow) affectsAny() bool { return f.affected == nil || len(f.affected) > 0 }
 
-// hasPrefix reports whether a fault's name begins with one of some.
+// hasPrefix reports whether a fault's name begins with one of the prefixes.
 func (f faultWindow) hasPrefix(prefixes ...string) bool {
 	return slices.ContainsFunc(prefixes, func(p string) bool { return strings.HasPrefix(f.name, p) })
 }
@@ -70,8 +70,8 @@
 	return !c.faultDuring(at, at, func(f faultWindow) bool { return f.affects(agent) })
 }
 
-// bound reports whether the bounds of time hold for the start of an execution: its call
+// boundsApply reports whether the bounds of time hold for the start of an execution: its call
 // was not carried out late, and the worker's machine was in contact.
-func (c *checker) bound(e *execution) bool {
+func (c *checker) boundsApply(e *execution) bool {
 	return !e.deliveredLate && c.inContact(e.shard, e.startedAt)
 }
--- a/sim/checker/gang.go
+++ b/sim/checker/gang.go
@@ -82,7 +82,7 @@
 func (c *checker) checkGangWait(job *jobHistory) {
 	for _, executions := range job.executions {
 		for _, e := range executions {
-			if e.how != wire.EndGangStartTimeout {
+			if e.endReason != wire.EndGangStartTimeout {
 				continue
 			}
 			cancelled := job.cancelledAt != 0 && e.endedAt >= job.cancelledAt
--- a/sim/checker/invoked_rerun.go
+++ b/sim/checker/invoked_rerun.go
@@ -22,7 +22,7 @@
 	for task, executions := range job.executions {
 		step := job.step(task)
 		for i, e := range executions {
-			if doneShown > 0 && e.startedAt > doneShown+second && c.bound(e) {
+			if doneShown > 0 && e.startedAt > doneShown+second && c.boundsApply(e) {
 				c.violate("again", e.startedAt, "%v starts %.3f s after its job was shown done",
 					e.attempt, seconds(e.startedAt-doneShown))
 			}
@@ -52,7 +52,7 @@
 			c.coverage["again: started after a success that was never settled"]++
 			continue
 		}
-		if !step.AllowHedge || e.startedAt > o.settledAt+second && c.bound(e) {
+		if !step.AllowHedge || e.startedAt > o.settledAt+second && c.boundsApply(e) {
 			c.violate("again", e.startedAt, "%v starts although %v succeeded at %.3f s, settled at %.3f s",
 				e.attempt, o.attempt, seconds(o.endedAt), seconds(o.settledAt))
 		}
@@ -77,7 +77,7 @@
 				}
 			}
 			allowed := maxFailures(c.queuesInForce(job.spec.Queue, e.startedAt, e.startedAt))
-			if len(failed) >= allowed && (!step.AllowHedge || e.startedAt > lastSettled+second && c.bound(e)) {
+			if len(failed) >= allowed && (!step.AllowHedge || e.startedAt > lastSettled+second && c.boundsApply(e)) {
 				c.violate("tries", e.startedAt, "%v starts after %d failures, %d allowed", e.attempt, len(failed),
 					allowed)
 			}
--- a/sim/checker/opportunities.go
+++ b/sim/checker/opportunities.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"strings"
 
 	"coppercourse/internal/state"
 	"coppercourse/sim/history"
@@ -24,7 +23,7 @@
 	for _, event := range c.history.Events {
 		switch event.Kind {
 		case history.TableAcknowledged:
-			if c.lasts(event.At, second, "kill", "power", "lose", "swap", "cut") {
+			if c.faultNear(event.At, second, "kill", "power", "lose", "swap", "cut") {
 				c.coverage["table: acknowledged within 1 s of a kill, partition or lost disk"]++
 			}
 		case history.TableRefused:
@@ -35,9 +34,9 @@
 	}
 }
 
-// lasts reports whether a fault whose name begins with one of some lasts at a time, or
-// begins within so long after it.
-func (c *checker) lasts(at, within int64, prefixes ...string) bool {
+// faultNear reports whether a fault whose name begins with one of the prefixes lasts at a
+// time, or begins less than within after it.
+func (c *checker) faultNear(at, within int64, prefixes ...string) bool {
 	return slices.ContainsFunc(c.faults, func(f faultWindow) bool {
 		return at < f.to && at >= f.from-within && f.hasPrefix(prefixes...)
 	})
@@ -46,11 +45,11 @@
 func (c *checker) countJobOpportunities(job *jobHistory) {
 	if job.cancelledAt > 0 && runsBetween(job, job.cancelledAt-second, job.cancelledAt) {
 		c.coverage["cancel: hit a running attempt"]++
-		if c.lasts(job.cancelledAt, 0, "cut", "freeze") {
+		if c.faultNear(job.cancelledAt, 0, "cut", "freeze") {
 			c.coverage["cancel: hit a running attempt during a partition or freeze"]++
 		}
 	}
-	if job.acceptedAt > 0 && c.lasts(job.acceptedAt, second, "kill", "power", "lose", "swap", "stall") {
+	if job.acceptedAt > 0 && c.faultNear(job.acceptedAt, second, "kill", "power", "lose", "swap", "stall") {
 		c.coverage["forgotten: accepted within 1 s of a kill or lost disk"]++
 	}
 }
@@ -72,7 +71,7 @@
 	}
 	if step.NotBefore != "" || step.DelayMillis > 0 {
 		c.coverage["early: started a step with a time"]++
-		if c.lasts(e.startedAt, 3*second,
+		if c.faultNear(e.startedAt, 3*second,
 			"jump", "power", "kill-leader", "handover", "freeze-leader", "cut-core", "cut-leader") {
 			c.coverage["early: started a step with a time near a clock or leader fault"]++
 		}
@@ -86,7 +85,7 @@
 	if e.acknowledgedAt == 0 || e.acknowledgedAt-e.endedAt > second {
 		c.coverage["again: a success acknowledged late or never"]++
 	}
-	if c.lasts(e.endedAt, 0, "cut", "kill", "freeze", "power") {
+	if c.faultNear(e.endedAt, 0, "cut", "kill", "freeze", "power") {
 		c.coverage["again: a success during a partition, kill or freeze"]++
 	}
 }
@@ -113,10 +112,10 @@
 	}
 }
 
-// losesControllers reports whether a fault ends controllers or loses their disks.
-func losesControllers(f faultWindow) bool {
-	return strings.Contains("kill-leader kill-controller power-all lose-disk swap-controller", f.name)
-}
+// controllerLosses are the faults that end controllers or lose their disks.
+var controllerLosses = []string{"kill-leader", "kill-controller", "power-all", "lose-disk", "swap-controller"}
+
+func losesControllers(f faultWindow) bool { return slices.Contains(controllerLosses, f.name) }
 
 func (c *checker) countInvokedExecution(e *execution) {
 	step := c.stepOf(e)
@@ -130,7 +129,7 @@
 	count("alone: a member of a joint gang started", step.Joint)
 	count("label: started under one", len(step.Labels) > 0)
 	count("late: a start was carried out late", e.deliveredLate)
-	count("ended: "+string(e.how), e.how != "")
+	count("ended: "+string(e.endReason), e.endReason != "")
 	count("again: a success whose lease had expired when it was settled",
 		e.outcome == state.OutcomeOK && e.settledAt == 0)
 }
--- a/sim/checker/placement.go
+++ b/sim/checker/placement.go
@@ -41,7 +41,7 @@
 
 // checkLeaving judges a start against announced departures and drains.
 func (c *checker) checkLeaving(e *execution) {
-	if c.bounds.FaultAftermath > 0 && !c.bound(e) {
+	if c.bounds.FaultAftermath > 0 && !c.boundsApply(e) {
 		return
 	}
 	for _, leaving := range slices.Concat(c.leaving[e.shard], c.draining[e.shard]) {
--- a/sim/checker/status.go
+++ b/sim/checker/status.go
@@ -58,17 +58,17 @@
 
 // checkEndShown judges the end of a job that its caller was shown.
 func (c *checker) checkEndShown(job *jobHistory, shown history.Event) {
-	hopeless, succeeded := false, 0
+	exhausted, succeeded := false, 0
 	for i := range job.spec.TotalTasks() {
 		task := job.spec.TaskNumber(i)
-		hopeless = c.checkTaskOfEnded(job, task, shown) || hopeless
+		exhausted = c.checkTaskOfEnded(job, task, shown) || exhausted
 		if job.endedWell(task, shown.At) {
 			succeeded++
 		}
 	}
 	switch shown.Stage {
 	case state.JobFailed:
-		if !hopeless && !strings.Contains(shown.Text, "lost") {
+		if !exhausted && !strings.Contains(shown.Text, "lost") {
 			c.violateNoFailure(job, shown)
 		}
 		if succeeded == job.spec.TotalTasks() {
@@ -83,7 +83,7 @@
 
 // checkTaskOfEnded judges one task of a job that is shown ended, and reports whether the
 // task had failed as often as its queue allows.
-func (c *checker) checkTaskOfEnded(job *jobHistory, task int, shown history.Event) (hopeless bool) {
+func (c *checker) checkTaskOfEnded(job *jobHistory, task int, shown history.Event) (exhausted bool) {
 	failures, lastFailure := 0, int64(0)
 	for _, e := range job.executions[task] {
 		if e.runs(shown.At, c.end) {
@@ -116,14 +116,14 @@
 // checkInvokedEndShown judges the end of a job that its caller was shown, where the
 // failures of a gang count once.
 func (c *checker) checkInvokedEndShown(job *jobHistory, shown history.Event) {
-	hopeless := false
+	exhausted := false
 	for i := range job.spec.TotalTasks() {
 		task := job.spec.TaskNumber(i)
 		c.checkDone(job, task, shown)
 		allowed := minFailures(c.queuesInForce(job.spec.Queue, job.submittedAt, shown.At))
-		hopeless = hopeless || failedAttempts(job, task, shown.At) >= allowed
+		exhausted = exhausted || failedAttempts(job, task, shown.At) >= allowed
 	}
-	if shown.Stage == state.JobFailed && !hopeless {
+	if shown.Stage == state.JobFailed && !exhausted {
 		c.violateNoFailure(job, shown)
 	}
 	if shown.Stage == state.JobCancelled && (job.cancelSentAt == 0 || job.cancelSentAt > shown.At) {
--- a/sim/checker/table_effects.go
+++ b/sim/checker/table_effects.go
@@ -5,6 +5,7 @@
 	"sort"
 	"time"
 
+	"coppercourse/internal/config"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 )
@@ -26,7 +27,7 @@
 		}
 	}
 	for queue, list := range executions {
-		c.checkRunningLimit(queue, list)
+		c.checkExecutionLimits(queue, list)
 	}
 	accepted := map[types.QueueName][]*jobHistory{}
 	for _, job := range c.jobs {
@@ -49,35 +50,54 @@
 	return int64(millis) * int64(time.Millisecond)
 }
 
-// checkRunningLimit judges the executions of a queue, in order of their start.
-func (c *checker) checkRunningLimit(queue types.QueueName, executions []*execution) {
+// checkExecutionLimits judges the executions of a queue, in order of their start, by the
+// versions of the queue that may have been in force then.
+func (c *checker) checkExecutionLimits(queue types.QueueName, executions []*execution) {
 	var earlier []*execution
 	for _, e := range executions {
 		earlier = notEndedBy(earlier, e.startedAt)
-		allowed, longest := 0, 0
-		for _, q := range c.queuesInForce(queue, e.startedAt, e.startedAt) {
-			allowed, longest = max(allowed, q.MaxRunning), max(longest, q.TaskTimeoutMillis)
-		}
-		running := 1
-		for _, o := range earlier {
-			if o.runs(e.startedAt, e.startedAt+1) {
-				running++
-			}
-		}
+		versions := c.queuesInForce(queue, e.startedAt, e.startedAt)
+		c.checkRunningLimit(queue, versions, e, earlier)
+		c.checkTimeLimit(versions, e)
 		earlier = append(earlier, e)
-		if running == allowed {
-			c.coverage["table: started at the running limit"]++
-		}
-		if running > allowed {
-			c.violate("table", e.startedAt, "%v starts as running task %d of %s, %d allowed",
-				e.attempt, running, queue, allowed)
-		}
-		limit := timeLimit(longest, c.stepOf(e))
-		if e.runs(e.startedAt+limit+timeLimitSlack, c.end) {
-			c.violate("table", e.endedAt, "%v runs %.3f s, its queue or step allows %d ms",
-				e.attempt, seconds(e.endedAt-e.startedAt), time.Duration(limit).Milliseconds())
+	}
+}
+
+// checkRunningLimit judges how many executions of a queue run when one of them starts;
+// earlier are those that may.
+func (c *checker) checkRunningLimit(
+	queue types.QueueName, versions []config.Queue, e *execution, earlier []*execution,
+) {
+	allowed := 0
+	for _, version := range versions {
+		allowed = max(allowed, version.MaxRunning)
+	}
+	running := 1
+	for _, o := range earlier {
+		if o.runs(e.startedAt, e.startedAt+1) {
+			running++
 		}
 	}
+	if running == allowed {
+		c.coverage["table: started at the running limit"]++
+	}
+	if running > allowed {
+		c.violate("table", e.startedAt, "%v starts as running task %d of %s, %d allowed",
+			e.attempt, running, queue, allowed)
+	}
+}
+
+// checkTimeLimit judges how long an execution runs.
+func (c *checker) checkTimeLimit(versions []config.Queue, e *execution) {
+	longest := 0
+	for _, version := range versions {
+		longest = max(longest, version.TaskTimeoutMillis)
+	}
+	limit := timeLimit(longest, c.stepOf(e))
+	if e.runs(e.startedAt+limit+timeLimitSlack, c.end) {
+		c.violate("table", e.endedAt, "%v runs %.3f s, its queue or step allows %d ms",
+			e.attempt, seconds(e.endedAt-e.startedAt), time.Duration(limit).Milliseconds())
+	}
 }
 
 // checkAdmissionLimit judges the jobs of a queue in order of their acceptance: none may
