--- a/sim/fleet/faults.go
+++ b/sim/fleet/faults.go
@@ -51,7 +51,7 @@
 	return fault, err == nil && err2 == nil
 }
 
-// FaultNames returns the names of the faults that aim by themselves.
+// FaultNames returns the names of the faults that choose their own targets.
 func FaultNames() []string {
 	var names []string
 	for name := range faults {
@@ -64,10 +64,10 @@
 // fault begins, and returns what ends it.
 type fault func(f *Fleet, w *Workload) (end func())
 
-// target picks the processes that a fault strikes.
+// target picks the processes that a fault affects.
 type target func(f *Fleet, w *Workload) []*process
 
-// faults are the faults that aim by themselves.
+// faults are the faults that choose their own targets.
 var faults = map[string]fault{
 	"kill-leader":     killFault(currentLeader, false),
 	"kill-controller": killFault(anyOf(controllerRole), false),
@@ -90,8 +90,8 @@
 	"roll-all":        restartAll,
 }
 
-// findFault returns a fault by its name, or by KIND:PROCESS or cut:PROCESS:OTHER one that
-// strikes a process; nil if there is no such.
+// findFault returns the fault of a name: one of faults, or with KIND:PROCESS or
+// cut:PROCESS:OTHER one that affects the process named. It returns nil if there is none.
 func findFault(name string) fault {
 	kind, rest, ok := strings.Cut(name, ":")
 	if !ok {
@@ -99,13 +99,14 @@
 	}
 	names := strings.Split(rest, ":")
 	if !slices.ContainsFunc(names, func(n string) bool { return !isProcessName(n) }) {
-		return aimedFault(kind, names)
+		return namedTargetFault(kind, names)
 	}
 	return nil
 }
 
-// aimedFault returns a fault that strikes the first of some processes.
-func aimedFault(kind string, names []string) fault {
+// namedTargetFault returns a fault of a kind that affects the first of the processes named;
+// a partition is from the second, if there is one, or from all others.
+func namedTargetFault(kind string, names []string) fault {
 	first := func(f *Fleet, _ *Workload) []*process { return []*process{f.processByName[names[0]]} }
 	if kind == "cut" && len(names) == 2 {
 		return partitionFault(first, func(p *process) bool { return p.name == names[1] })
@@ -144,12 +145,12 @@
 // is set.
 func killFault(pick target, wipe bool) fault {
 	return func(f *Fleet, w *Workload) func() {
-		struck := pick(f, w)
-		for _, p := range struck {
+		affected := pick(f, w)
+		for _, p := range affected {
 			f.kill(p)
 		}
 		return func() {
-			for _, p := range struck {
+			for _, p := range affected {
 				if wipe {
 					os.RemoveAll(p.dataPath(f.Dir))
 				}
@@ -162,12 +163,12 @@
 // freezeFault suspends processes.
 func freezeFault(pick target) fault {
 	return func(f *Fleet, w *Workload) func() {
-		struck := pick(f, w)
-		for _, p := range struck {
+		affected := pick(f, w)
+		for _, p := range affected {
 			f.freeze(p)
 		}
 		return func() {
-			for _, p := range struck {
+			for _, p := range affected {
 				f.thaw(p)
 			}
 		}
@@ -177,11 +178,11 @@
 // partitionFault cuts processes off from the others, or from some of them.
 func partitionFault(pick target, from func(*process) bool) fault {
 	return func(f *Fleet, w *Workload) func() {
-		struck := pick(f, w)
+		affected := pick(f, w)
 		set := func(cut bool) {
-			for _, inside := range struck {
+			for _, inside := range affected {
 				for _, outside := range f.processes {
-					if !slices.Contains(struck, outside) && from(outside) {
+					if !slices.Contains(affected, outside) && from(outside) {
 						f.partitions.Set(inside.ip, outside.ip, cut)
 						f.partitions.Set(outside.ip, inside.ip, cut)
 					}
@@ -250,10 +251,10 @@
 	return func() {}
 }
 
-// gracefulTimeout is how long a warned daemon may take to stop.
+// gracefulTimeout is how long a daemon may take to stop after SIGTERM.
 const gracefulTimeout = 6 * time.Second
 
-// restart warns a daemon, as the platform does, and starts it again.
+// restart stops a daemon by SIGTERM, as the platform does, and starts it again.
 func (f *Fleet) restart(p *process) {
 	p.signal(syscall.SIGTERM)
 	select {
--- a/sim/fleet/fleet.go
+++ b/sim/fleet/fleet.go
@@ -29,7 +29,7 @@
 const (
 	pageTimeout   = 2 * time.Second
 	readyInterval = 100 * time.Millisecond // at which daemons are asked whether they are ready
-	stopTime      = time.Second            // from the warning to the kill of all processes
+	stopTime      = time.Second            // from SIGTERM to SIGKILL, of all processes
 	maxEventBytes = 1 << 20                // in a line of a worker's history
 )
 
@@ -178,7 +178,7 @@
 	return fmt.Errorf("the fleet is not ready after %s; see the logs in %s", timeout, f.Dir)
 }
 
-// Stop warns all processes of the fleet, and kills them a little later.
+// Stop sends all processes of the fleet SIGTERM, and kills them a little later.
 func (f *Fleet) Stop() {
 	for _, p := range f.processes {
 		p.signal(syscall.SIGCONT)
--- a/sim/fleet/idle_usage.go
+++ b/sim/fleet/idle_usage.go
@@ -19,8 +19,8 @@
 	messages float64
 }
 
-// MeasureIdle lets the fleet be for a while, and returns what a daemon of each role spent
-// in it: processor time and memory by the kernel's accounts, and messages by its own. It
+// MeasureIdle measures the fleet for a while without traffic, and returns what a daemon of
+// each role spent in it: processor time and memory by the kernel's accounts, and messages by its own. It
 // is what the process around the state machine adds to what the simulator measures.
 func (f *Fleet) MeasureIdle(duration time.Duration) (string, error) {
 	leader := f.leader()
--- a/sim/fleet/process.go
+++ b/sim/fleet/process.go
@@ -41,7 +41,7 @@
 // number is the number in the process's name.
 func (p *process) number() string { return strings.TrimPrefix(p.name, p.role) }
 
-// id tells the processes that were started at this place apart.
+// id returns a name that no other process started at this place has.
 func (p *process) id() string { return fmt.Sprintf("%s.%d", p.name, p.incarnation) }
 
 // shard is that of a worker.
--- a/sim/history/history.go
+++ b/sim/history/history.go
@@ -83,7 +83,7 @@
 	Attempt types.AttemptID `json:"attempt,omitzero"`
 	Outcome state.Outcome   `json:"outcome,omitempty"`
 	Job     types.JobID     `json:"job,omitempty"`
-	Stage   state.JobStatus `json:"stage,omitempty"`
+	Stage   state.JobStatus `json:"stage,omitempty"` // status of the job, as it was shown; no types.Stage
 	Spec    *state.Spec     `json:"spec,omitempty"`
 	Worker  *WorkerSpec     `json:"make,omitempty"`
 	Table   *config.Table   `json:"table,omitempty"`
--- a/sim/worker/doc.go
+++ b/sim/worker/doc.go
@@ -1,8 +1,8 @@
 // Package worker has the stand-ins for the users' workers. They run attempts by the
-// clock: how long each takes, whether it fails and what it saves is told by its job's
-// input. They record what happens in a history, and know nothing of the daemons but
-// what the protocol says. The simulator gives them virtual time; the fleet of real
-// processes gives them the clock of the machine.
+// clock: the task's input says how long each takes, whether it fails and what it saves.
+// They record what happens in a history, and know nothing of the daemons but what the
+// protocol says. The simulator gives them virtual time; the fleet of real processes gives
+// them the clock of the machine.
 //
 // There are two kinds, as the product has two links to a worker:
 //
--- a/sim/world/disk.go
+++ b/sim/world/disk.go
@@ -25,14 +25,14 @@
 	FalseSync    bool          // a planted bug: reports syncs that never happen
 	Wiped        bool          // at least once
 
-	world    *World
-	usage    *Usage
-	synced   []byte // what would be read after a crash
-	unsynced []byte // what is being synced; a crash keeps some of it
-	queue    []diskWrite
-	busy     bool
-	sealed   bool
-	powerOns int // writes from before the power was lost do not finish
+	world       *World
+	usage       *Usage
+	synced      []byte // what would be read after a crash
+	unsynced    []byte // what is being synced; a crash keeps some of it
+	queue       []diskWrite
+	busy        bool
+	sealed      bool
+	powerLosses int // counts them: a write from before one never finishes
 }
 
 // diskWrite is records to append, or to replace the file with.
@@ -64,11 +64,11 @@
 	}
 }
 
-// afterPowered runs something after a time, unless the power is lost before.
-func (d *Disk) afterPowered(delay time.Duration, run func()) {
-	powerOns := d.powerOns
+// afterUnlessPowerLost runs something after a time, unless the power is lost before.
+func (d *Disk) afterUnlessPowerLost(delay time.Duration, run func()) {
+	powerLosses := d.powerLosses
 	d.world.After(delay, func() {
-		if powerOns == d.powerOns {
+		if powerLosses == d.powerLosses {
 			run()
 		}
 	})
@@ -81,7 +81,7 @@
 		return
 	}
 	if d.Full {
-		d.afterPowered(refusedWriteRetry, d.syncNext)
+		d.afterUnlessPowerLost(refusedWriteRetry, d.syncNext)
 		return
 	}
 	group := d.takeGroup()
@@ -91,7 +91,7 @@
 	if !group[0].rewrite {
 		d.unsynced = data
 	}
-	d.afterPowered(d.syncTime(), func() { d.finish(group, data) })
+	d.afterUnlessPowerLost(d.syncTime(), func() { d.finish(group, data) })
 }
 
 // takeGroup takes the writes that are synced together: appends up to the next rewrite, or
@@ -146,7 +146,7 @@
 	last.onSynced(last.batch)
 	d.sealed = last.rewrite
 	d.syncNext()
-	d.afterPowered(wal.SealAfterIdle, d.seal)
+	d.afterUnlessPowerLost(wal.SealAfterIdle, d.seal)
 }
 
 // seal closes what was synced with a record of its own, if the disk rests.
@@ -160,7 +160,7 @@
 
 // losePower tears what is not synced: an arbitrary part of it stays.
 func (d *Disk) losePower() {
-	d.powerOns++
+	d.powerLosses++
 	d.busy, d.queue = false, nil
 	kept := 0
 	if n := len(d.unsynced); n > 0 {
--- a/sim/world/doc.go
+++ b/sim/world/doc.go
@@ -1,7 +1,7 @@
-// Package world is a seeded world in virtual time. It carries the daemons' own state
-// machines: each gets its events, and what its steps want sent, called, written and
-// answered is done with simulated clocks, networks, disks and processors. The same seed
-// gives the same run.
+// Package world is a seeded world in virtual time. It runs the daemons' own state machines:
+// each gets its events, and the effects of its steps (messages, calls to workers, records
+// and responses) are carried out with simulated clocks, networks, disks and processors. The
+// same seed gives the same run.
 //
 //	world.go          all nodes, and what holds for all of them
 //	clock.go          virtual time and what is scheduled in it
--- a/sim/world/invoked_node.go
+++ b/sim/world/invoked_node.go
@@ -50,7 +50,7 @@
 	return i
 }
 
-// running returns whether the process of now still runs whenever it is called.
+// running returns a function that reports whether the present process still runs.
 func (i *InvokedNode) running() func() bool {
 	incarnation := i.Incarnation
 	return func() bool { return i.Incarnation == incarnation && i.Worker != nil }
--- a/sim/world/node.go
+++ b/sim/world/node.go
@@ -58,10 +58,10 @@
 	return types.Now{Mono: n.Monotonic(), Wall: types.WallTime(wall)}
 }
 
-// ProcessName names the process, unlike others that were started here.
+// ProcessName returns a name that no other process started here has.
 func (n *Node) ProcessName() string { return fmt.Sprintf("%s.%d", n.Addr, n.Incarnation) }
 
-// sameProcess returns whether the process of now still runs whenever it is called.
+// sameProcess returns a function that reports whether the present process still runs.
 func (n *Node) sameProcess() func() bool {
 	incarnation := n.Incarnation
 	return func() bool { return n.Incarnation == incarnation }
@@ -192,7 +192,7 @@
 	}
 }
 
-// carryOut does what a step wants done.
+// carryOut carries out the effects of a step.
 func (n *Node) carryOut(effects wire.Effects) {
 	n.sendAll(effects.Messages)
 	for _, call := range effects.Calls {
--- a/sim/world/processor.go
+++ b/sim/world/processor.go
@@ -38,8 +38,8 @@
 }
 
 // Processor carries out a process's steps one after another, each of which takes virtual
-// time. Events that come meanwhile wait in the queues of the daemons' own loop. What a
-// step wants done happens at its end.
+// time. Events that come meanwhile wait in the queues of the daemons' own loop. The effects
+// of a step are carried out at its end.
 type Processor struct {
 	LongestWait      [wire.NumClasses]time.Duration // of an event for its step
 	RequestDurations map[wire.Verb][]time.Duration  // from a request's arrival to its answer
--- a/sim/world/world.go
+++ b/sim/world/world.go
@@ -53,7 +53,7 @@
 	Founders        []types.Addr // the controllers that found the cluster together; none means any
 	Timeouts        protocol.Timeouts
 	RaftTimeouts    raft.Timeouts
-	TableStaleAfter time.Duration // age at which a gateway doubts its table; 0 means the default
+	TableStaleAfter time.Duration // how long a confirmation of a gateway's table lasts; 0 means the default
 	StepCosts       *Costs        // nil means that steps take no time
 	LoopBugs        LoopBugs
 	Metering        bool // count what every daemon spends; also of those that run
@@ -139,8 +139,8 @@
 	})
 }
 
-// maxClockDrift is twice the part by which a node's clock is fast or slow at most.
-const maxClockDrift = 4e-4
+// clockDriftSpread is between the rates of the fastest and the slowest monotonic clock.
+const clockDriftSpread = 4e-4
 
 func (w *World) addNode(addr types.Addr, role string, zone types.Zone, newMachine func(*Node) wire.Machine) *Node {
 	n := &Node{
@@ -150,7 +150,7 @@
 		Zone:            zone,
 		NewMachine:      newMachine,
 		clockBase:       types.MonoTime(w.Random.Int63n(1 << 50)),
-		clockRate:       1 + (w.Random.Float64()-0.5)*maxClockDrift,
+		clockRate:       1 + (w.Random.Float64()-0.5)*clockDriftSpread,
 		pendingRequests: map[uint64]pendingRequest{},
 	}
 	w.Nodes[addr], w.NodeOrder = n, append(w.NodeOrder, addr)
