--- a/internal/controller/attempt_review.go
+++ b/internal/controller/attempt_review.go
@@ -57,7 +57,7 @@
 	departing, broken := r.departingWorkers(v), brokenGangs(v)
 	for _, attempt := range attempts {
 		reason := departing[attempt.Shard]
-		if reason == "" && broken[groupOf(attempt)] {
+		if reason == "" && broken[attempt.StageID()] {
 			reason = state.GangPeerUnreachable
 		}
 		if reason == "" && (isStalled(v, attempt) || isWorthRestarting(v, attempt)) {
@@ -84,11 +84,11 @@
 
 // brokenGangs returns the gangs of which a member, assigned under an earlier leader, can't
 // be reached.
-func brokenGangs(v *leaderView) map[placement.TaskGroup]bool {
-	broken := map[placement.TaskGroup]bool{}
+func brokenGangs(v *leaderView) map[types.StageID]bool {
+	broken := map[types.StageID]bool{}
 	for _, attempt := range v.scheduler.OverdueAttempts() {
 		if j := openJob(v.state, attempt.ID.Job); j != nil && j.Spec.Steps[attempt.Stage.Step()].Gang {
-			broken[groupOf(attempt)] = true
+			broken[attempt.StageID()] = true
 		}
 	}
 	return broken
--- a/internal/controller/leader_view.go
+++ b/internal/controller/leader_view.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"coppercourse/internal/dispatch/scheduler"
-	"coppercourse/internal/placement"
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 )
@@ -56,11 +55,6 @@
 	return own
 }
 
-// groupOf returns the task group of an attempt.
-func groupOf(attempt *scheduler.OutstandingAttempt) placement.TaskGroup {
-	return placement.TaskGroup{Job: attempt.ID.Job, Stage: attempt.Stage}
-}
-
 // baselineName names what the duration of an attempt is compared with: all attempts of
 // the same step of its queue's jobs.
 func baselineName(j *state.Job, stage types.Stage) string {
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -139,7 +139,7 @@
 		}
 		id := types.AttemptID{TaskID: a.Task, Attempt: attempt}
 		list = append(list, state.Assignment{ID: id, Shard: a.Shard})
-		p.waits.placed(placement.TaskGroup{Job: a.Task.Job, Stage: stage})
+		p.waits.placed(types.StageID{Job: a.Task.Job, Stage: stage})
 	}
 	return list
 }
@@ -205,7 +205,7 @@
 func stageRequest(j *state.Job, stage types.Stage) placement.Request {
 	step := &j.Spec.Steps[stage.Step()]
 	return placement.Request{
-		TaskGroup:    placement.TaskGroup{Job: j.ID, Stage: stage},
+		StageID:      types.StageID{Job: j.ID, Stage: stage},
 		Queue:        j.Queue,
 		Urgency:      j.Spec.Urgency,
 		Kind:         step.Kind,
--- a/internal/controller/planner_test.go
+++ b/internal/controller/planner_test.go
@@ -42,7 +42,7 @@
 	spec := &state.Spec{Urgency: 3, Steps: []state.Step{testStep("first", 1), step}}
 	j := &state.Job{ID: "j", Queue: "q", Spec: spec}
 	want := placement.Request{
-		TaskGroup: placement.TaskGroup{Job: "j", Stage: 1}, Queue: "q", Urgency: 3,
+		StageID: types.StageID{Job: "j", Stage: 1}, Queue: "q", Urgency: 3,
 		Kind: "work", Rack: "r1", DataRack: "r2", Labels: []string{"fast"},
 		Resources: types.Resources{Cores: types.Core, MemoryMB: 32}, MaxPerWorker: 2,
 	}
@@ -82,7 +82,7 @@
 	is.Equal(usage["q"].RunningTasks, 2) // what is in flight counts as in use
 	is.Equal(usage["q"].CoresInUse, types.MilliCores(2000))
 
-	l.planner.reservation = &placement.Reservation{TaskGroup: placement.TaskGroup{Job: "second"}}
+	l.planner.reservation = &placement.Reservation{StageID: types.StageID{Job: "second"}}
 	is.True(l.plan(6).empty()) // while workers are reserved, only full rounds place work
 	l.planner.reservation = nil
 	for i := range types.Index(maxRoundsInFlight) {
@@ -124,7 +124,7 @@
 	l := newLeaderRig(rand.New(rand.NewSource(1)))
 	l.planner.proposed(7, []state.Assignment{{ID: attemptID("j", 0, 1), Shard: "k0"}})
 	l.planner.reservation = &placement.Reservation{}
-	l.planner.waits.update(l.now, []placement.Request{{TaskGroup: placement.TaskGroup{Job: "j"}}})
+	l.planner.waits.update(l.now, []placement.Request{{StageID: types.StageID{Job: "j"}}})
 	l.shapes.proposed = 9
 	l.ends.proposed(state.AttemptEnd{ID: attemptID("j", 0, 1), Outcome: state.OutcomeOK})
 	l.ends.release(attemptID("j", 0, 1))
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -59,7 +59,7 @@
 		}
 		p.lastAt = v.now
 		workers := fit(request, in.Slots, victims)
-		return withdrawals(victims), &placement.Reservation{TaskGroup: request.TaskGroup, Workers: workers}
+		return withdrawals(victims), &placement.Reservation{StageID: request.StageID, Workers: workers}
 	}
 	return nil, nil
 }
@@ -79,7 +79,7 @@
 // has run for the shortest time.
 func preemptionCandidates(v *leaderView, request placement.Request, in placement.Input) []*victim {
 	var list []*victim
-	gangs := map[placement.TaskGroup]*victim{}
+	gangs := map[types.StageID]*victim{}
 	below := belowShare(in.Usage[request.Queue], in.TotalCores)
 	for _, attempt := range v.scheduler.Attempts() {
 		if attempt.Stage == scheduler.StageUnknown || !canWithdraw(v.state, attempt.ID) {
@@ -89,13 +89,13 @@
 		if !isCandidate(j, attempt.ID.TaskNumber, request, below, in) {
 			continue
 		}
-		group := groupOf(attempt)
-		candidate := gangs[group]
+		stage := attempt.StageID()
+		candidate := gangs[stage]
 		if candidate == nil {
 			candidate = newVictim(j.Spec.Urgency, v.now.Sub(attempt.OrderedAt))
 			list = append(list, candidate)
 			if j.Spec.Steps[attempt.Stage.Step()].Gang {
-				gangs[group] = candidate
+				gangs[stage] = candidate
 			}
 		}
 		candidate.add(attempt)
@@ -173,7 +173,7 @@
 func fitOn(request placement.Request, slot *placement.Slot, free types.Resources, limit int) int {
 	tasks := 0
 	if request.MaxPerWorker > 0 {
-		limit = min(limit, request.MaxPerWorker-slot.TaskCount(request.TaskGroup))
+		limit = min(limit, request.MaxPerWorker-slot.TaskCount(request.StageID))
 	}
 	for tasks < limit && free.Contains(request.Resources) {
 		free = free.Sub(request.Resources)
--- a/internal/controller/preemption_test.go
+++ b/internal/controller/preemption_test.go
@@ -45,7 +45,7 @@
 func (l *leaderRig) preemptFor(request placement.Request, urgentCores, batchCores types.MilliCores) (
 	[]state.Withdrawal, *placement.Reservation) {
 	request.Queue, request.Kind, request.TimeLimit = "urgent", "x", time.Second
-	request.TaskGroup = placement.TaskGroup{Job: "new"}
+	request.StageID = types.StageID{Job: "new"}
 	v := l.view(l.now)
 	in := placement.Input{Requests: []placement.Request{request}, Usage: queueUsage(v.state)}
 	in.Slots, in.TotalCores = l.planner.slots.list(v, l.ends, &l.planner.rounds)
--- a/internal/controller/slot_cache.go
+++ b/internal/controller/slot_cache.go
@@ -30,7 +30,7 @@
 	revision  uint64 // of the scheduler's list that it was summed up from
 	used      types.Resources
 	attempts  int // that use resources
-	byGroup   map[placement.TaskGroup]int
+	byStage   map[types.StageID]int
 	lastEnd   types.MonoTime // when the last attempt with a time limit reaches it
 	unlimited bool           // an attempt has no time limit
 }
@@ -64,8 +64,8 @@
 	sc.slots = slots
 	for _, assignment := range rounds.pending() {
 		if i, ok := sc.position[assignment.Shard]; ok {
-			group := placement.TaskGroup{Job: assignment.ID.Job, Stage: types.StageOf(assignment.ID.TaskNumber)}
-			slots[i].Assign(group, taskResources(v.state, group))
+			stage := assignment.ID.StageID()
+			slots[i].Assign(stage, taskResources(v.state, stage))
 		}
 	}
 	return slots, total
@@ -86,14 +86,14 @@
 		DurationFactor:        worker.Reliability.RelativeDuration,
 		CurrentDurationFactor: v.scheduler.Slowdown(worker),
 		RunningTasks:          runs.attempts,
-		TasksByGroup:          runs.byGroup,
+		TasksByStage:          runs.byStage,
 	}
 }
 
-// taskResources returns what a task of a group takes, or nothing if its job has ended.
-func taskResources(s *state.State, group placement.TaskGroup) types.Resources {
-	if j := s.Jobs[group.Job]; j != nil && !j.Ended() {
-		return j.Spec.Steps[group.Stage.Step()].Resources
+// taskResources returns what a task of a stage takes, or nothing if its job has ended.
+func taskResources(s *state.State, stage types.StageID) types.Resources {
+	if j := s.Jobs[stage.Job]; j != nil && !j.Ended() {
+		return j.Spec.Steps[stage.Stage.Step()].Resources
 	}
 	return types.Resources{}
 }
@@ -104,7 +104,7 @@
 	if runs := sc.byShard[shard]; runs != nil && runs.revision == revision {
 		return runs
 	}
-	runs := &occupancy{revision: revision, byGroup: make(map[placement.TaskGroup]int, len(attempts))}
+	runs := &occupancy{revision: revision, byStage: make(map[types.StageID]int, len(attempts))}
 	for _, attempt := range attempts {
 		runs.add(attempt, ends.isReleased(attempt.ID))
 	}
@@ -125,7 +125,7 @@
 		o.lastEnd = max(o.lastEnd, attempt.OrderedAt.Add(attempt.TimeLimit))
 	}
 	if attempt.Stage != scheduler.StageUnknown {
-		o.byGroup[groupOf(attempt)]++
+		o.byStage[attempt.StageID()]++
 	}
 }
 
--- a/internal/controller/slot_cache_test.go
+++ b/internal/controller/slot_cache_test.go
@@ -42,7 +42,7 @@
 			FailureRate:           worker.Reliability.FailureRate,
 			DurationFactor:        worker.Reliability.RelativeDuration,
 			CurrentDurationFactor: l.scheduler.Slowdown(worker),
-			TasksByGroup:          map[placement.TaskGroup]int{},
+			TasksByStage:          map[types.StageID]int{},
 		})
 	}
 	for _, assignment := range l.planner.rounds.assignments {
@@ -52,7 +52,7 @@
 				list[i].Free = list[i].Free.Sub(j.Spec.Steps[stage.Step()].Resources)
 			}
 			list[i].RunningTasks++
-			list[i].TasksByGroup[placement.TaskGroup{Job: assignment.ID.Job, Stage: stage}]++
+			list[i].TasksByStage[types.StageID{Job: assignment.ID.Job, Stage: stage}]++
 		}
 	}
 	for _, attempt := range l.scheduler.Attempts() {
@@ -75,7 +75,7 @@
 	}
 	slot.IdleIn = max(slot.IdleIn, left)
 	if attempt.Stage >= 0 {
-		slot.TasksByGroup[placement.TaskGroup{Job: attempt.ID.Job, Stage: attempt.Stage}]++
+		slot.TasksByStage[types.StageID{Job: attempt.ID.Job, Stage: attempt.Stage}]++
 	}
 }
 
@@ -164,7 +164,7 @@
 	}
 }
 
-// comparableSlot is a slot with the number of tasks of each group there, which slots keep in
+// comparableSlot is a slot with the number of tasks of each stage there, which slots keep in
 // different ways.
 func comparableSlot(s *placement.Slot) []any {
 	var counts []int
@@ -172,7 +172,7 @@
 		for step := range 2 {
 			id := types.JobID(fmt.Sprint("job-", job))
 			stage := types.StageOf(types.TaskNumber(0, step, 0))
-			counts = append(counts, s.TaskCount(placement.TaskGroup{Job: id, Stage: stage}))
+			counts = append(counts, s.TaskCount(types.StageID{Job: id, Stage: stage}))
 		}
 	}
 	return []any{counts, s.Shard, s.Rack, s.Kinds, s.Labels, s.Free, s.Capacity, s.RunningTasks, s.FailureRate,
@@ -218,7 +218,7 @@
 		}
 		for job := range 3 {
 			in.Requests = append(in.Requests, placement.Request{
-				TaskGroup: placement.TaskGroup{
+				StageID: types.StageID{
 					Job:   types.JobID(fmt.Sprint("job-", job)),
 					Stage: types.StageOf(types.TaskNumber(0, 1, 0)),
 				},
--- a/internal/controller/wait_times.go
+++ b/internal/controller/wait_times.go
@@ -5,28 +5,28 @@
 	"coppercourse/internal/types"
 )
 
-// waitTimes keeps since when each task group has had something ready to run, without a
+// waitTimes keeps since when each stage has had something ready to run, without a
 // pause and without anything of it being placed.
 type waitTimes struct {
-	since map[placement.TaskGroup]types.MonoTime
+	since map[types.StageID]types.MonoTime
 }
 
-// update fills in how long each request has waited. Groups without a request are forgotten.
+// update fills in how long each request has waited. Stages without a request are forgotten.
 func (w *waitTimes) update(now types.MonoTime, requests []placement.Request) {
-	next := make(map[placement.TaskGroup]types.MonoTime, len(requests))
+	next := make(map[types.StageID]types.MonoTime, len(requests))
 	for i := range requests {
 		request := &requests[i]
-		since, ok := w.since[request.TaskGroup]
+		since, ok := w.since[request.StageID]
 		if !ok {
 			since = now
 		}
-		next[request.TaskGroup], request.WaitingFor = since, now.Sub(since)
+		next[request.StageID], request.WaitingFor = since, now.Sub(since)
 	}
 	w.since = next
 }
 
-// placed restarts the wait of a group of which something was placed.
-func (w *waitTimes) placed(group placement.TaskGroup) { delete(w.since, group) }
+// placed restarts the wait of a stage of which something was placed.
+func (w *waitTimes) placed(stage types.StageID) { delete(w.since, stage) }
 
 // reset forgets all waits.
 func (w *waitTimes) reset() { w.since = nil }
--- a/internal/controller/wait_times_test.go
+++ b/internal/controller/wait_times_test.go
@@ -12,12 +12,12 @@
 
 func TestWaitsCountWithoutPauseAndPlacement(t *testing.T) {
 	is := is.New(t)
-	a, b := placement.TaskGroup{Job: "a"}, placement.TaskGroup{Job: "b"}
+	a, b := types.StageID{Job: "a"}, types.StageID{Job: "b"}
 	var w waitTimes
-	wait := func(seconds int, groups ...placement.TaskGroup) []time.Duration {
+	wait := func(seconds int, groups ...types.StageID) []time.Duration {
 		var requests []placement.Request
 		for _, group := range groups {
-			requests = append(requests, placement.Request{TaskGroup: group})
+			requests = append(requests, placement.Request{StageID: group})
 		}
 		w.update(types.MonoTime(time.Duration(seconds)*time.Second), requests)
 		var waits []time.Duration
--- a/internal/dispatch/scheduler/attempt_index.go
+++ b/internal/dispatch/scheduler/attempt_index.go
@@ -3,50 +3,10 @@
 import (
 	"maps"
 	"slices"
-	"time"
 
 	"coppercourse/internal/types"
 )
 
-// attemptPhase is what the scheduler knows of whether an attempt runs.
-type attemptPhase string
-
-const (
-	// unconfirmed: assigned before this leadership, or to an instance that has been
-	// replaced, and no agent has reported on it yet.
-	unconfirmed attemptPhase = "unknown"
-	// orderSent: RunTask has been sent, with no reply yet.
-	orderSent attemptPhase = "sent"
-	// confirmedRunning: its agent has said that it runs.
-	confirmedRunning attemptPhase = "running"
-	// unsureIfRunning: RunTask got no reply (the paper's "unsure if running").
-	unsureIfRunning attemptPhase = "unsure"
-)
-
-// StageUnknown is the stage of an attempt that the log does not have.
-const StageUnknown types.Stage = -1
-
-// OutstandingAttempt is an attempt that possibly runs.
-type OutstandingAttempt struct {
-	ID        types.AttemptID
-	Shard     types.Shard
-	Stage     types.Stage // or StageUnknown
-	Resources types.Resources
-	phase     attemptPhase
-	// BaselineName names the baseline that its duration is compared with; empty for none.
-	BaselineName string
-	TimeLimit    time.Duration // 0 for none
-	// OrderedAt is when RunTask was sent, or for an attempt of an earlier leadership
-	// when this one began.
-	OrderedAt  types.MonoTime
-	Checkpoint string // the last one reported
-	// StragglerEnd is when it is expected to end, for an attempt that is far slower than
-	// the others of its stage, and otherwise 0.
-	StragglerEnd types.MonoTime
-
-	killSentAt types.MonoTime
-}
-
 func compareOutstanding(a, b *OutstandingAttempt) int { return a.ID.Compare(b.ID) }
 
 // shardAttempts are the attempts on one shard.
@@ -234,24 +194,3 @@
 }
 
 func sortedShards[T any](m map[types.Shard]T) []types.Shard { return slices.Sorted(maps.Keys(m)) }
-
-// Attempts lists the attempts that possibly run, by shard.
-func (sc *Scheduler) Attempts() []*OutstandingAttempt { return sc.attempts.all() }
-
-// AttemptsOn lists the attempts that possibly run on a shard, in order, and returns a
-// revision that changes whenever the list does. The list is the scheduler's own and is
-// valid until its next step.
-func (sc *Scheduler) AttemptsOn(shard types.Shard) (list []*OutstandingAttempt, revision uint64) {
-	if on := sc.attempts.byShard[shard]; on != nil {
-		list = on.list
-	}
-	return list, sc.attempts.revisions[shard]
-}
-
-// ShardOf returns the shard on which an attempt possibly runs, or nothing.
-func (sc *Scheduler) ShardOf(id types.AttemptID) types.Shard {
-	if attempt := sc.attempts.byID[id]; attempt != nil {
-		return attempt.Shard
-	}
-	return ""
-}
--- a/internal/dispatch/scheduler/scheduler.go
+++ b/internal/dispatch/scheduler/scheduler.go
@@ -9,8 +9,8 @@
 //
 // One concern a file: the workers and their association (remote_worker, association,
 // running_tasks), their health (health_check, initial_wait, worker_set), the attempts
-// that possibly run (attempt_index, run_task, unsure, ends), and what their ends and
-// durations show of the workers (reliability, slowdown).
+// that possibly run (outstanding_attempt, attempt_index, run_task, unsure, ends), and what
+// their ends and durations show of the workers (reliability, slowdown).
 package scheduler
 
 import (
@@ -96,7 +96,7 @@
 		workerSets:  newWorkerSetHistory(),
 		attempts:    newAttemptIndex(),
 		baselines:   baselines{},
-		stages:      stageDurations{byStage: map[stageKey]*stageSamples{}},
+		stages:      stageDurations{byStage: map[types.StageID]*stageSamples{}},
 		lastSweepAt: now.Add(-sweepInterval),
 	}
 	for _, attempt := range config.Outstanding {
--- a/internal/dispatch/scheduler/slowdown.go
+++ b/internal/dispatch/scheduler/slowdown.go
@@ -35,12 +35,6 @@
 	stageRetention = 30 * time.Second
 )
 
-// stageKey is one stage of one job.
-type stageKey struct {
-	job   types.JobID
-	stage types.Stage
-}
-
 // stageSamples are the durations of a stage's attempts.
 type stageSamples struct {
 	list      []durationSample
@@ -90,7 +84,7 @@
 // stageDurations holds the durations of stages, by those of their attempts that were
 // reported lately.
 type stageDurations struct {
-	byStage  map[stageKey]*stageSamples
+	byStage  map[types.StageID]*stageSamples
 	prunedAt types.MonoTime
 }
 
@@ -98,11 +92,11 @@
 func (sd *stageDurations) record(
 	now types.MonoTime, attempt *OutstandingAttempt, duration time.Duration,
 ) *stageSamples {
-	key := stageKey{attempt.ID.Job, attempt.Stage}
-	samples := sd.byStage[key]
+	stage := attempt.StageID()
+	samples := sd.byStage[stage]
 	if samples == nil {
 		samples = &stageSamples{}
-		sd.byStage[key] = samples
+		sd.byStage[stage] = samples
 	}
 	samples.updatedAt = now
 	samples.put(durationSample{attempt.ID, attempt.Shard, duration})
@@ -115,9 +109,9 @@
 		return
 	}
 	sd.prunedAt = now
-	for key, samples := range sd.byStage {
+	for stage, samples := range sd.byStage {
 		if now.Sub(samples.updatedAt) > stageRetention {
-			delete(sd.byStage, key)
+			delete(sd.byStage, stage)
 		}
 	}
 }
@@ -147,7 +141,8 @@
 // median of those that have ended or have been estimated. It returns false if there is
 // none.
 func (sc *Scheduler) StageDuration(job types.JobID, step int) (time.Duration, bool) {
-	samples := sc.stages.byStage[stageKey{job, types.StageOf(types.TaskNumber(0, step, 0))}]
+	firstTask := types.TaskID{Job: job, TaskNumber: types.TaskNumber(0, step, 0)}
+	samples := sc.stages.byStage[firstTask.StageID()]
 	if samples == nil {
 		return 0, false
 	}
--- a/internal/placement/helpers_test.go
+++ b/internal/placement/helpers_test.go
@@ -14,7 +14,7 @@
 		list = append(list, Slot{
 			Shard: types.Shard(fmt.Sprintf("k%d", i)), Rack: types.Rack(fmt.Sprintf("r%d", i/3)),
 			Kinds: []types.ServiceKind{"x"}, Free: capacity, Capacity: capacity, DurationFactor: 1,
-			TasksByGroup: map[TaskGroup]int{},
+			TasksByStage: map[types.StageID]int{},
 		})
 	}
 	return list
@@ -23,7 +23,7 @@
 // newRequest returns a request of n tasks of a job.
 func newRequest(job string, queue types.QueueName, n, cores int) Request {
 	request := Request{
-		TaskGroup: TaskGroup{Job: types.JobID(job)}, Queue: queue, Kind: "x",
+		StageID: types.StageID{Job: types.JobID(job)}, Queue: queue, Kind: "x",
 		Resources: types.Resources{Cores: types.MilliCores(cores) * types.Core},
 	}
 	for i := range n {
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -7,16 +7,10 @@
 	"coppercourse/internal/types"
 )
 
-// TaskGroup names the tasks of one stage of a job.
-type TaskGroup struct {
-	Job   types.JobID
-	Stage types.Stage
-}
-
 // Request is the tasks of one stage that may be assigned now. It has more than 15 fields
 // because it holds all that is asked of a worker and all that decides on the order.
 type Request struct {
-	TaskGroup
+	types.StageID
 	Queue types.QueueName
 	Tasks []int // their numbers; assigned ones are removed
 
@@ -27,7 +21,7 @@
 	Resources     types.Resources // of one task
 	TimeLimit     time.Duration   // of an attempt
 	Gang          bool            // all are assigned together
-	MaxPerWorker  int             // of the group's tasks, 0 for no bound
+	MaxPerWorker  int             // of the stage's tasks, 0 for no bound
 	DataRack      types.Rack      // where their data is; preferred
 	PreferOneRack bool            // they are slower when spread over racks
 	AvoidWorkers  map[types.Shard]bool
--- a/internal/placement/reservation.go
+++ b/internal/placement/reservation.go
@@ -17,7 +17,7 @@
 
 // Reservation is capacity on named workers that is kept for the tasks of one stage.
 type Reservation struct {
-	TaskGroup
+	types.StageID
 	Workers []ReservedWorker
 }
 
@@ -58,7 +58,7 @@
 func (r *round) reservedRequest() (*Request, *QueueUsage) {
 	for i := range r.Requests {
 		request := &r.Requests[i]
-		if usage := r.Usage[request.Queue]; usage != nil && request.TaskGroup == r.Reservation.TaskGroup {
+		if usage := r.Usage[request.Queue]; usage != nil && request.StageID == r.Reservation.StageID {
 			return request, usage
 		}
 	}
@@ -84,7 +84,7 @@
 // reserve returns a reservation of the workers that have the most free, or nil if all
 // feasible ones together could not run the request.
 func (r *round) reserve(request *Request) *Reservation {
-	reservation := &Reservation{TaskGroup: request.TaskGroup}
+	reservation := &Reservation{StageID: request.StageID}
 	var fits []int // how many tasks each reserved worker could run
 	missing := request.MinTasks()
 	for _, slot := range r.feasibleSlots(request) { // one task each at first
@@ -154,7 +154,7 @@
 		switch {
 		case slot.reserved != (types.Resources{}) || !slot.Feasible(request):
 			continue
-		case request.MaxPerWorker > 0 && slot.TaskCount(request.TaskGroup) >= request.MaxPerWorker:
+		case request.MaxPerWorker > 0 && slot.TaskCount(request.StageID) >= request.MaxPerWorker:
 			continue
 		case !r.trusts(slot, slot.RunningTasks):
 			continue
--- a/internal/placement/round.go
+++ b/internal/placement/round.go
@@ -98,7 +98,7 @@
 func (r *round) assign(request *Request, usage *QueueUsage, slots []int) {
 	for i, index := range slots {
 		slot := &r.Slots[index]
-		slot.Assign(request.TaskGroup, request.Resources)
+		slot.Assign(request.StageID, request.Resources)
 		task := types.TaskID{Job: request.Job, TaskNumber: request.Tasks[i]}
 		r.output.Assignments = append(r.output.Assignments, Assignment{Task: task, Shard: slot.Shard})
 	}
--- a/internal/placement/search.go
+++ b/internal/placement/search.go
@@ -37,7 +37,7 @@
 }
 
 // findSlotsOnOneRack is findSlots with all slots on one rack: that of the data, or one
-// where tasks of the group run already, or any other.
+// where tasks of the stage run already, or any other.
 func (r *round) findSlotsOnOneRack(request *Request, tasks int) []int {
 	tried := map[types.Rack]bool{"": true}
 	try := func(rack types.Rack) []int {
@@ -51,7 +51,7 @@
 		return slots
 	}
 	for i := range r.Slots {
-		if r.Slots[i].TaskCount(request.TaskGroup) == 0 {
+		if r.Slots[i].TaskCount(request.StageID) == 0 {
 			continue
 		}
 		if slots := try(r.Slots[i].Rack); slots != nil {
@@ -103,7 +103,7 @@
 	switch {
 	case !free.Contains(request.Resources) || !slot.Feasible(request):
 		return false
-	case request.MaxPerWorker > 0 && slot.TaskCount(request.TaskGroup)+added >= request.MaxPerWorker:
+	case request.MaxPerWorker > 0 && slot.TaskCount(request.StageID)+added >= request.MaxPerWorker:
 		return false
 	case !free.Sub(slot.reserved).Contains(request.Resources) && request.TimeLimit > slot.IdleIn:
 		return false // it would delay what the slot is reserved for
--- a/internal/placement/slot.go
+++ b/internal/placement/slot.go
@@ -14,10 +14,10 @@
 	Kinds  []types.ServiceKind
 	Labels []string
 
-	Capacity     types.Resources   // when nothing runs there
-	Free         types.Resources   // now; negative where more runs than fits
-	RunningTasks int               // on it now
-	TasksByGroup map[TaskGroup]int // the same by group; shared by rounds and not changed
+	Capacity     types.Resources       // when nothing runs there
+	Free         types.Resources       // now; negative where more runs than fits
+	RunningTasks int                   // on it now
+	TasksByStage map[types.StageID]int // the same by stage; shared by rounds and not changed
 
 	AvailableFor time.Duration // until it may run nothing, 0 for no end
 	IdleIn       time.Duration // until all that runs there has ended, by the tasks' time limits
@@ -28,25 +28,25 @@
 	CurrentDurationFactor float64
 
 	reserved types.Resources // part of Free that is kept for a request
-	assigned []TaskGroup     // of the tasks assigned since TasksByGroup was made
+	assigned []types.StageID // of the tasks assigned since TasksByStage was made
 }
 
-// TaskCount returns how many tasks of a group run there.
-func (s *Slot) TaskCount(group TaskGroup) int {
-	count := s.TasksByGroup[group]
+// TaskCount returns how many tasks of a stage run there.
+func (s *Slot) TaskCount(stage types.StageID) int {
+	count := s.TasksByStage[stage]
 	for _, assigned := range s.assigned {
-		if assigned == group {
+		if assigned == stage {
 			count++
 		}
 	}
 	return count
 }
 
-// Assign assigns a task of a group, which takes resources.
-func (s *Slot) Assign(group TaskGroup, resources types.Resources) {
+// Assign assigns a task of a stage, which takes resources.
+func (s *Slot) Assign(stage types.StageID, resources types.Resources) {
 	s.Free = s.Free.Sub(resources)
 	s.RunningTasks++
-	s.assigned = append(s.assigned, group)
+	s.assigned = append(s.assigned, stage)
 }
 
 // Feasible reports whether the worker could run a task of a request if it were idle.
@@ -73,7 +73,7 @@
 func (s *Slot) fits(request *Request) int {
 	n := s.Capacity.FitCount(request.Resources)
 	if request.MaxPerWorker > 0 {
-		n = min(n, request.MaxPerWorker-s.TaskCount(request.TaskGroup))
+		n = min(n, request.MaxPerWorker-s.TaskCount(request.StageID))
 	}
 	return n
 }
--- a/internal/state/assignment.go
+++ b/internal/state/assignment.go
@@ -13,25 +13,19 @@
 	Hedge bool            `json:"copy,omitempty"` // a second attempt beside the outstanding one
 }
 
-// stageKey names one stage of one job.
-type stageKey struct {
-	job   types.JobID
-	stage types.Stage
-}
-
 // applyAssignments makes the assignments that are still possible and returns them with
 // their attempt numbers. A stage of a joint step is assigned whole or not at all.
 func (s *State) applyAssignments(list []Assignment) (assigned []Assignment) {
-	assignable := map[stageKey]int{}
+	assignable := map[types.StageID]int{}
 	s.countAssignable(list, assignable)
 	for _, a := range list {
 		j := s.index.live[a.ID.Job]
 		if j == nil || j.Task(a.ID.TaskNumber) == nil {
 			continue
 		}
-		stage := types.StageOf(a.ID.TaskNumber)
-		step := &j.Spec.Steps[stage.Step()]
-		if step.Joint && assignable[stageKey{j.ID, stage}] < step.Tasks {
+		stage := a.ID.StageID()
+		step := &j.Spec.Steps[stage.Stage.Step()]
+		if step.Joint && assignable[stage] < step.Tasks {
 			continue
 		}
 		s.beforeChange(j)
@@ -45,11 +39,11 @@
 }
 
 // countAssignable counts, for each stage, the assignments whose task may be assigned now.
-func (s *State) countAssignable(list []Assignment, count map[stageKey]int) {
+func (s *State) countAssignable(list []Assignment, count map[types.StageID]int) {
 	for _, a := range list {
 		j := s.index.live[a.ID.Job]
 		if j != nil && j.canAssign(j.Task(a.ID.TaskNumber), s.effectiveQueueConfig(j.Queue), s.Time) {
-			count[stageKey{j.ID, types.StageOf(a.ID.TaskNumber)}]++
+			count[a.ID.StageID()]++
 		}
 	}
 }
--- a/internal/types/task.go
+++ b/internal/types/task.go
@@ -22,6 +22,13 @@
 // Stage numbers one step in one occurrence of a job.
 type Stage int
 
+// StageID names one stage of one job, and so the group of tasks that become ready, are
+// placed and are compared together.
+type StageID struct {
+	Job   JobID
+	Stage Stage
+}
+
 // Bounds on the parts of a task's number.
 const (
 	MaxSteps        = 64   // steps of a job
@@ -41,6 +48,9 @@
 // StageOf returns the stage of the task with a number.
 func StageOf(number int) Stage { return Stage(number / MaxTasksPerStep) }
 
+// StageID returns the stage that the task is part of.
+func (t TaskID) StageID() StageID { return StageID{Job: t.Job, Stage: StageOf(t.TaskNumber)} }
+
 // Occurrence returns the occurrence of the job to which the stage belongs.
 func (s Stage) Occurrence() int { return int(s) / MaxSteps }
 
--- a/internal/types/task_test.go
+++ b/internal/types/task_test.go
@@ -15,5 +15,6 @@
 		stage := StageOf(number)
 		is.Equal([2]int{stage.Occurrence(), stage.Step()}, [2]int{want[0], want[1]})
 		is.Equal(stage.TaskNumber(index), number)
+		is.Equal(TaskID{Job: "j", TaskNumber: number}.StageID(), StageID{Job: "j", Stage: stage})
 	}
 }
