--- a/internal/configwatch/staleness_test.go
+++ b/internal/configwatch/staleness_test.go
@@ -205,7 +205,7 @@
 	planted := map[string]func() testWatcher{
 		"counts from receipt": func() testWatcher { return &countsFromReceipt{} },
 		"trusts any nonce":    func() testWatcher { return &trustsAnyNonce{} },
-		"caches its decision": func() testWatcher { return &cachesDecision{steppedAt: never} },
+		"caches its decision": func() testWatcher { return &cachesDecision{steppedAt: types.DistantPast} },
 	}
 	detected := map[string]error{}
 	for slowResponse := 100 * time.Millisecond; slowResponse <= 5*time.Second; slowResponse += 100 * time.Millisecond {
--- a/internal/configwatch/watcher.go
+++ b/internal/configwatch/watcher.go
@@ -25,9 +25,6 @@
 	unconfirmedHold = time.Millisecond
 )
 
-// never lies before all times, and far enough from them to be subtracted.
-const never = types.MonoTime(-1 << 61)
-
 // Watcher is a gateway's side of the watch. It is a state machine: Tick and HandleResponse
 // are its events.
 type Watcher struct {
@@ -58,8 +55,8 @@
 	return &Watcher{
 		self:        self,
 		staleAfter:  staleAfter,
-		confirmedAt: never,
-		requestedAt: never,
+		confirmedAt: types.DistantPast,
+		requestedAt: types.DistantPast,
 		firstNonce:  first,
 		lastNonce:   first,
 	}
@@ -79,7 +76,7 @@
 // the decision.
 func (w *Watcher) ConfirmedUntil() types.MonoTime {
 	if !w.hasTable {
-		return never
+		return types.DistantPast
 	}
 	return w.confirmedAt.Add(w.staleAfter)
 }
@@ -125,7 +122,7 @@
 			return request.sentAt
 		}
 	}
-	return never
+	return types.DistantPast
 }
 
 // isOwnNonce reports whether a request of this process had a nonce, however long ago.
--- a/internal/dispatch/executor/attempts.go
+++ b/internal/dispatch/executor/attempts.go
@@ -130,7 +130,7 @@
 	a.state, a.outcome = attemptEnded, outcome
 	a.committed = false
 	a.calls.startUnsure = false
-	ex.reports.statusAt = never
+	ex.reports.requestStatus()
 }
 
 // endAllWithProcess ends the attempts of a worker process that has ended, and forgets
--- a/internal/dispatch/executor/executor.go
+++ b/internal/dispatch/executor/executor.go
@@ -22,9 +22,6 @@
 	"coppercourse/internal/wire"
 )
 
-// never is a time before all others.
-const never = types.MonoTime(-1 << 61)
-
 // Executor is the worker half beside one worker.
 type Executor struct {
 	timeouts    protocol.Timeouts
@@ -85,9 +82,9 @@
 		now:         now,
 		association: association{instance: newInstance()},
 		health:      newHealth(now),
-		reports:     reportTimes{heartbeatAt: never, statusAt: never},
+		reports:     reportTimes{heartbeatAt: types.DistantPast, statusAt: types.DistantPast},
 		attempts:    newAttemptTable(),
-		worker:      workerStatus{heardAt: never},
+		worker:      workerStatus{heardAt: types.DistantPast},
 		polls:       pollSession{leaseBase: now},
 	}
 }
@@ -96,7 +93,7 @@
 // empty.
 func (ex *Executor) Tick(now types.MonoTime, leader types.Addr) {
 	if leader != ex.leader {
-		ex.reports.heartbeatAt = never // a new leader gets a heartbeat at once
+		ex.reports.requestHeartbeat() // a new leader gets a heartbeat at once
 	}
 	ex.now, ex.leader = now, leader
 	ex.updateWorkerHealth()
@@ -128,7 +125,7 @@
 // before it, and may run on under its own.
 func (ex *Executor) awaitsFirstLease() bool {
 	isRecent := ex.now.Sub(ex.startedAt) <= ex.timeouts.LostAfter
-	return ex.link != nil && ex.health.leaseUntil == never && isRecent
+	return ex.link != nil && ex.health.leaseUntil == types.DistantPast && isRecent
 }
 
 func (ex *Executor) enforceTimeLimit(a *attempt) {
--- a/internal/dispatch/executor/health.go
+++ b/internal/dispatch/executor/health.go
@@ -13,11 +13,11 @@
 	// lastRenewalSentAt is when the latest heartbeat was sent whose reply renewed the lease.
 	// The scheduler received it later, so the state goes down here before it does there.
 	lastRenewalSentAt types.MonoTime
-	leaseUntil        types.MonoTime // never for none yet
+	leaseUntil        types.MonoTime // types.DistantPast for none yet
 }
 
 func newHealth(now types.MonoTime) health {
-	return health{state: protocol.WorkerNew, since: now, lastRenewalSentAt: now, leaseUntil: never}
+	return health{state: protocol.WorkerNew, since: now, lastRenewalSentAt: now, leaseUntil: types.DistantPast}
 }
 
 func (h *health) set(now types.MonoTime, state protocol.Health) {
@@ -61,8 +61,8 @@
 	ex.association.previousInstance = ""
 	ex.association.workerSet = protocol.WorkerSetID{}
 	ex.association.querySequence = 0
-	ex.health.lastRenewalSentAt, ex.health.leaseUntil = ex.now, never
-	ex.reports.heartbeatAt = never
+	ex.health.lastRenewalSentAt, ex.health.leaseUntil = ex.now, types.DistantPast
+	ex.reports.requestHeartbeat()
 	ex.health.set(ex.now, protocol.WorkerNew)
 }
 
@@ -77,6 +77,6 @@
 		report.Healthy = ex.worker.runningTasksKnown && !ex.polledWorkerSilent()
 	}
 	if report.Healthy != before {
-		ex.reports.heartbeatAt = never
+		ex.reports.requestHeartbeat()
 	}
 }
--- a/internal/dispatch/executor/link.go
+++ b/internal/dispatch/executor/link.go
@@ -73,12 +73,12 @@
 	l.clock = workerClock{readingMS: heartbeat.ClockMS, readAt: now}
 	l.maxLeaseEndSent = 0
 	l.fence = fence{token: tokenAt(max(heartbeat.ClockMS, 0))}
-	l.calls.renewal, l.calls.query, l.calls.nextAt = 0, 0, never
+	l.calls.renewal, l.calls.query, l.calls.nextAt = 0, 0, types.DistantPast
 	clear(l.ends.open)
 	l.ends.acknowledged = 0
 	l.newestListClock = 0
-	l.capacity = capacityLimit{until: never}
-	l.unhealthyUntil = never
+	l.capacity = capacityLimit{until: types.DistantPast}
+	l.unhealthyUntil = types.DistantPast
 	l.silent = false
 	l.counters.Incarnations++
 }
@@ -135,7 +135,7 @@
 		ex.endIncarnation(true)
 	default:
 		link.process.deregistered = true
-		ex.reports.heartbeatAt = never
+		ex.reports.requestHeartbeat()
 		ex.setDraining(ex.timeouts.DrainTime)
 	}
 }
@@ -166,7 +166,7 @@
 		report.Draining, report.DepartsInMS = true, before.DepartsInMS
 	}
 	if report.Draining != before.Draining || !before.Healthy {
-		ex.reports.heartbeatAt = never
+		ex.reports.requestHeartbeat()
 	}
 }
 
@@ -186,7 +186,7 @@
 	ex.link.end(hasExited)
 	ex.endAllWithProcess()
 	ex.worker.report.Healthy = false
-	ex.reports.heartbeatAt = never
+	ex.reports.requestHeartbeat()
 	if ex.link.successor != nil {
 		ex.adoptIncarnation(*ex.link.successor)
 	}
--- a/internal/dispatch/executor/link_parts_test.go
+++ b/internal/dispatch/executor/link_parts_test.go
@@ -53,7 +53,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			limit := capacityLimit{until: never}
+			limit := capacityLimit{until: types.DistantPast}
 			now := testStart
 			limit.onRejected(now, oneCore())
 			for _, after := range test.after {
@@ -69,7 +69,7 @@
 
 func TestAcceptedStartProvesCapacity(t *testing.T) {
 	is := is.New(t)
-	limit := capacityLimit{until: never}
+	limit := capacityLimit{until: types.DistantPast}
 	limit.onRejected(testStart, oneCore().Scale(2))
 	limit.onAccepted(oneCore())
 	is.Equal(limit.proven, oneCore().Scale(2)) // less than was proven
--- a/internal/dispatch/executor/link_replies.go
+++ b/internal/dispatch/executor/link_replies.go
@@ -83,7 +83,7 @@
 		ex.link.capacity.onRejected(ex.now, ex.attempts.runningResources())
 	case wire.ResultUnhealthy, wire.ResultNotListening:
 		ex.link.unhealthyUntil = ex.now.Add(ex.timeouts.UnhealthyAfter)
-		ex.reports.heartbeatAt = never
+		ex.reports.requestHeartbeat()
 	}
 	ex.endAttempt(a, state.OutcomeNeverRan)
 }
--- a/internal/dispatch/executor/polling.go
+++ b/internal/dispatch/executor/polling.go
@@ -65,7 +65,7 @@
 	ex.polls.lastCall, ex.polls.sentAt = poll.Call, poll.SentAt
 	ex.worker.heardAt, ex.worker.runningTasksKnown = ex.now, true
 	if poll.Draining != ex.worker.report.Draining || !ex.worker.report.Healthy {
-		ex.reports.heartbeatAt = never
+		ex.reports.requestHeartbeat()
 	}
 	ex.worker.report = protocol.WorkerReport{
 		Rack:        poll.Rack,
--- a/internal/dispatch/executor/protocol_test.go
+++ b/internal/dispatch/executor/protocol_test.go
@@ -330,7 +330,7 @@
 // the lease ends when it would have.
 func TestLateLeaseIsStale(t *testing.T) {
 	is, cluster, agent := newHealthyCluster(t)
-	agent.reports.heartbeatAt = never
+	agent.reports.requestHeartbeat()
 	cluster.now = cluster.now.Add(10 * ms)
 	agent.Tick(cluster.now, "h")
 	sentAt := cluster.now
--- a/internal/dispatch/executor/reports.go
+++ b/internal/dispatch/executor/reports.go
@@ -15,12 +15,19 @@
 	checkpointHeartbeats = 4
 )
 
-// reportTimes says when reports were last sent; never makes them due at once.
+// reportTimes are the times at which reports were last sent, or types.DistantPast for a
+// report that is due at once.
 type reportTimes struct {
 	heartbeatAt types.MonoTime
 	statusAt    types.MonoTime
 }
 
+// requestHeartbeat makes the next heartbeat due at once.
+func (rt *reportTimes) requestHeartbeat() { rt.heartbeatAt = types.DistantPast }
+
+// requestStatus makes the next report of ends due at once.
+func (rt *reportTimes) requestStatus() { rt.statusAt = types.DistantPast }
+
 // sendReports sends the leader the reports that are due.
 func (ex *Executor) sendReports() {
 	if ex.leader == "" {
@@ -28,7 +35,7 @@
 	}
 	if shortfall := ex.capacityShortfall(); shortfall != ex.worker.report.Shortfall {
 		ex.worker.report.Shortfall = shortfall
-		ex.reports.heartbeatAt = never
+		ex.reports.requestHeartbeat()
 	}
 	if ex.now.Sub(ex.reports.heartbeatAt) >= ex.timeouts.HeartbeatInterval && ex.canReportRunningTasks() {
 		ex.sendHeartbeat()
--- a/internal/dispatch/executor/scheduler_messages.go
+++ b/internal/dispatch/executor/scheduler_messages.go
@@ -32,7 +32,7 @@
 	}
 	if reply.WorkerSet != ex.association.workerSet {
 		ex.association.workerSet = reply.WorkerSet
-		ex.reports.heartbeatAt = never // the consensus waits for this agent to carry it
+		ex.reports.requestHeartbeat() // the consensus waits for this agent to report the set
 	}
 	if !reply.Associated {
 		return
@@ -80,7 +80,7 @@
 	for _, id := range query.Attempts {
 		if ex.attempts.byID[id] == nil {
 			ex.attempts.addNeverRan(id)
-			ex.reports.statusAt = never
+			ex.reports.requestStatus()
 		}
 	}
 	ex.send(from, wire.NotRunningReply, protocol.NotifyIfTasksNotRunningReply{
@@ -126,7 +126,7 @@
 		if a == nil {
 			ex.attempts.addNeverRan(id)
 			ex.attempts.seen[id] = ex.now.Add(2 * ex.timeouts.LostAfter)
-			ex.reports.statusAt = never
+			ex.reports.requestStatus()
 			continue
 		}
 		if a.state != attemptEnded && slices.Contains(kill.OverTimeLimit, id) {
--- a/internal/dispatch/scheduler/remote_worker.go
+++ b/internal/dispatch/scheduler/remote_worker.go
@@ -46,8 +46,8 @@
 		StateSince:          now,
 		LastHealthyAt:       now,
 		Reliability:         Reliability{RelativeDuration: 1},
-		lastHeartbeat:       heartbeatTimes{sentAt: never},
-		runningTasksAskedAt: never,
+		lastHeartbeat:       heartbeatTimes{sentAt: types.DistantPast},
+		runningTasksAskedAt: types.DistantPast,
 		queries:             unsureQueries{open: map[types.Seq][]types.AttemptID{}},
 		sets:                setMembership{initial: heartbeat.WorkerSet},
 	}
--- a/internal/dispatch/scheduler/scheduler.go
+++ b/internal/dispatch/scheduler/scheduler.go
@@ -22,9 +22,6 @@
 	"coppercourse/internal/wire"
 )
 
-// never is a time before all others.
-const never = types.MonoTime(-1 << 62)
-
 const (
 	// sweepInterval is the least time between two sweeps of all workers.
 	sweepInterval = 10 * time.Millisecond
--- a/internal/gateway/end_reports.go
+++ b/internal/gateway/end_reports.go
@@ -25,17 +25,14 @@
 type endReport struct {
 	message    wire.Message
 	receivedAt types.MonoTime
-	sentAt     types.MonoTime // neverSent until it is sent
+	sentAt     types.MonoTime // types.DistantPast until it is sent
 }
 
-// neverSent lies before all times, and far enough from them to be subtracted.
-const neverSent = types.MonoTime(-1 << 62)
-
 // add keeps a report unless the same is there or there are too many.
 func (b *endReportBuffer) add(now types.MonoTime, message wire.Message) {
 	same := func(r endReport) bool { return bytes.Equal(r.message.Body, message.Body) }
 	if len(b.reports) < maxReports && !slices.ContainsFunc(b.reports, same) {
-		b.reports = append(b.reports, endReport{message, now, neverSent})
+		b.reports = append(b.reports, endReport{message, now, types.DistantPast})
 	}
 }
 
--- a/internal/membership/leader_sync.go
+++ b/internal/membership/leader_sync.go
@@ -27,7 +27,9 @@
 	vouchedAt  types.MonoTime // when the source last said that there are no more changes
 }
 
-func newLeaderSync() leaderSync { return leaderSync{repairedAt: never, vouchedAt: never} }
+func newLeaderSync() leaderSync {
+	return leaderSync{repairedAt: types.DistantPast, vouchedAt: types.DistantPast}
+}
 
 // restart follows a daemon from the start.
 func (s *leaderSync) restart(source types.Addr) { s.source, s.seq = source, 0 }
--- a/internal/membership/member_list.go
+++ b/internal/membership/member_list.go
@@ -39,9 +39,6 @@
 // ticksPerAsk is the number of ticks between two requests of a daemon that hears the leader.
 var ticksPerAsk = map[Role]uint64{RoleController: 1, RoleGateway: 4, RoleAgent: 16}
 
-// never lies before all times, and far enough from them to be subtracted.
-const never = types.MonoTime(-1 << 61)
-
 // versionSpread bounds the random version that a daemon starts with, so that two processes
 // at one address seldom start with the same.
 const versionSpread = 1 << 20
@@ -74,10 +71,10 @@
 		rnd:        rnd,
 		self:       self,
 		seeds:      seeds,
-		lastTick:   never,
+		lastTick:   types.DistantPast,
 		table:      newMemberTable(),
 		sync:       newLeaderSync(),
-		leadsSince: never,
+		leadsSince: types.DistantPast,
 	}
 	ml.table.digests.add(self)
 	return ml
--- a/internal/membership/member_table.go
+++ b/internal/membership/member_table.go
@@ -41,7 +41,7 @@
 
 // add adds a daemon that has not been heard from yet.
 func (t *memberTable) add(info MemberInfo) *entry {
-	e := &entry{info: info, heardAt: never, heardDirectlyAt: never}
+	e := &entry{info: info, heardAt: types.DistantPast, heardDirectlyAt: types.DistantPast}
 	t.entries[info.Addr] = e
 	insert(&t.order, info.Addr)
 	t.index(e)
@@ -72,7 +72,7 @@
 	t.digests.add(e.info)
 	zone := t.zones[e.info.Zone]
 	if zone == nil {
-		zone = &zoneState{heardAt: never}
+		zone = &zoneState{heardAt: types.DistantPast}
 		t.zones[e.info.Zone] = zone
 	}
 	zone.count++
--- a/internal/raft/confchange.go
+++ b/internal/raft/confchange.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"coppercourse/internal/types"
 )
 
 // Configurations change by one vote at a time (section 4.1 of the thesis): any majority of
@@ -98,6 +100,6 @@
 		if !voter.Voter || voter.Zone != member.Zone || voter.ID == n.self.ID {
 			return false
 		}
-		return n.progressOf(voter.ID).ackedRound == never || n.silentFor(voter) > n.timeouts.MinElectionTimeout
+		return n.progressOf(voter.ID).ackedRound == types.DistantPast || n.silentFor(voter) > n.timeouts.MinElectionTimeout
 	})
 }
--- a/internal/raft/leader.go
+++ b/internal/raft/leader.go
@@ -54,7 +54,7 @@
 func (n *Node) progressOf(id types.ID) *progress {
 	p, ok := n.leadership.progress[id]
 	if !ok {
-		p = &progress{next: n.log.lastIndex() + 1, lastHeardAt: n.now.Mono, ackedRound: never}
+		p = &progress{next: n.log.lastIndex() + 1, lastHeardAt: n.now.Mono, ackedRound: types.DistantPast}
 		n.leadership.progress[id] = p
 	}
 	return p
--- a/internal/raft/membership_test.go
+++ b/internal/raft/membership_test.go
@@ -211,7 +211,10 @@
 			[]wire.Kind{wire.Removed}},
 		{"voter that still is one", joinRequest{"cluster", Member{ID: "c"}, true}, func(*Node) {}, "a b c", nil},
 		{"voter that was removed, no lease", joinRequest{"cluster", newcomer, true},
-			func(n *Node) { n.progressOf("b").ackedRound, n.progressOf("c").ackedRound = never, never }, "a b c", nil},
+			func(n *Node) {
+				n.progressOf("b").ackedRound = types.DistantPast
+				n.progressOf("c").ackedRound = types.DistantPast
+			}, "a b c", nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -81,7 +81,7 @@
 		startedAt:     now.Mono,
 		self:          options.Self,
 		role:          roleEmpty,
-		leaderContact: leaderContact{heardAt: now.Mono, lastLedAt: never},
+		leaderContact: leaderContact{heardAt: now.Mono, lastLedAt: types.DistantPast},
 		clock:         clusterClock{setAt: now.Mono},
 		leadership:    leadership{progress: map[types.ID]*progress{}},
 		bootstrap: bootstrapState{
--- a/internal/raft/planted_bugs_test.go
+++ b/internal/raft/planted_bugs_test.go
@@ -30,7 +30,7 @@
 	n := m.node
 	switch w.plantedBug {
 	case bugVoteWhileLeader:
-		n.leaderContact.heardAt, n.startedAt = never, never
+		n.leaderContact.heardAt, n.startedAt = types.DistantPast, types.DistantPast
 	case bugRemovedEarly:
 		for _, v := range n.log.config {
 			if n.role == roleLeader && !v.Voter {
--- a/internal/raft/progress.go
+++ b/internal/raft/progress.go
@@ -53,7 +53,7 @@
 	if now.Sub(p.lastSentAt) <= p.window.retryTimeout(minimumWait) || partCount == 0 {
 		return 0, false
 	}
-	if p.lastSentAt != never {
+	if p.lastSentAt != types.DistantPast {
 		p.window.onTimeout()
 	}
 	p.lastSentAt = now
@@ -69,7 +69,7 @@
 		return
 	}
 	p.window.onAcknowledged(now, minElectionTimeout)
-	p.snapshotParts, p.lastSentAt = parts, never
+	p.snapshotParts, p.lastSentAt = parts, types.DistantPast
 }
 
 // onRejected steps back to where the member's log may be like the leader's (section 3.5 of
--- a/internal/raft/progress_test.go
+++ b/internal/raft/progress_test.go
@@ -70,7 +70,7 @@
 	p := &progress{lastSentAt: 7}
 	p.onSnapshotPart(8, 1, testElectionTimeout)
 	is.Equal(p.snapshotParts, 1)
-	is.Equal(p.lastSentAt, never)
+	is.Equal(p.lastSentAt, types.DistantPast)
 	p.lastSentAt = 9
 	p.onSnapshotPart(10, 1, testElectionTimeout)
 	is.Equal(p.lastSentAt, types.MonoTime(9))
@@ -79,7 +79,7 @@
 // TestProgressOnReply: a late reply is a sign of life, and answers no newer round.
 func TestProgressOnReply(t *testing.T) {
 	is := is.New(t)
-	p := &progress{ackedRound: never}
+	p := &progress{ackedRound: types.DistantPast}
 	p.onReply(20, 100, &appendReply{Round: 10, Wall: 130, LagMS: 7, Stopping: true})
 	is.Equal(*p, progress{
 		ackedRound:  10,
@@ -110,9 +110,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			p := &progress{lastSentAt: never}
+			p := &progress{lastSentAt: types.DistantPast}
 			c.change(p)
-			overdue := p.lastSentAt != never
+			overdue := p.lastSentAt != types.DistantPast
 			number, ok := p.nextSnapshotPart(now, c.parts, wait)
 			is.Equal(number, c.want)
 			is.Equal(ok, c.sends)
--- a/internal/raft/timeouts.go
+++ b/internal/raft/timeouts.go
@@ -1,10 +1,6 @@
 package raft
 
-import (
-	"time"
-
-	"coppercourse/internal/types"
-)
+import "time"
 
 // Timeouts are the timings of a member. All members of a cluster must have the same;
 // package settings checks how they depend on each other.
@@ -29,9 +25,6 @@
 	AuthorityLease:     2 * time.Second,
 }
 
-// never is a time before any event.
-const never = types.MonoTime(-1 << 62)
-
 // randomUpTo draws a duration below d.
 func (n *Node) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(n.random.Int63n(int64(d)))
--- a/internal/state/ready_index.go
+++ b/internal/state/ready_index.go
@@ -31,9 +31,6 @@
 	AvoidWorkers map[types.Shard]bool // where attempts of these tasks failed or straggled
 }
 
-// never is later than any time.
-const never = types.ClusterTime(1 << 62)
-
 // ReadyIndex returns the ready index of a live job at a time. It must not be changed and is
 // valid until the next command is applied.
 func (s *State) ReadyIndex(j *Job, now types.ClusterTime) *ReadyIndex {
@@ -62,7 +59,7 @@
 		RemainingTasks: make([]int, len(j.Spec.Steps)),
 		ToStop:         j.ToStop(),
 		Exhausted:      j.Exhausted(queue, now),
-		validUntil:     never,
+		validUntil:     types.DistantFuture,
 		wallOffset:     wallOffset,
 	}}
 	j.eachStage(b.addStage)
