--- a/cmd/coppercourse/agent_daemon.go
+++ b/cmd/coppercourse/agent_daemon.go
@@ -79,7 +79,7 @@
 
 func newAgentState(v agent.StatusView) agentState {
 	e := v.Executor
-	return agentState{health: e.State, term: e.Term, instance: e.Instance, draining: e.Draining}
+	return agentState{health: e.State, term: e.Term, instance: e.Instance, draining: e.Departing}
 }
 
 func (a agentState) changeMessage(previous agentState) string {
--- a/internal/controller/slot_cache.go
+++ b/internal/controller/slot_cache.go
@@ -56,7 +56,7 @@
 			continue
 		}
 		total += worker.Capacity.Cores
-		if !worker.Draining && worker.Healthy {
+		if !worker.Departing && worker.Healthy {
 			sc.position[worker.Shard] = len(slots)
 			slots = append(slots, sc.slot(v, worker, sc.occupancy(v, ends, worker.Shard)))
 		}
--- a/internal/controller/slot_cache_test.go
+++ b/internal/controller/slot_cache_test.go
@@ -27,7 +27,7 @@
 			continue
 		}
 		total += worker.Capacity.Cores
-		if worker.Draining || !worker.Healthy {
+		if worker.Departing || !worker.Healthy {
 			continue
 		}
 		position[worker.Shard] = len(list)
@@ -135,7 +135,7 @@
 		agent := &r.agents[i]
 		agent.Capacity.Cores = types.MilliCores(r.rnd.Intn(20_000))
 		agent.Shortfall.Cores = types.MilliCores(r.rnd.Intn(500))
-		agent.Draining = r.rnd.Intn(5) == 0
+		agent.Departing = r.rnd.Intn(5) == 0
 		agent.Healthy = r.rnd.Intn(5) > 0
 		r.heartbeat(i)
 	default:
--- a/internal/controller/worker_availability.go
+++ b/internal/controller/worker_availability.go
@@ -27,8 +27,8 @@
 // of returns a worker's availability.
 func (w workerWindows) of(v *leaderView, worker *scheduler.RemoteWorker) availability {
 	var a availability
-	if worker.Draining {
-		a.remaining, a.reason = nothingMoreMayStart, state.WorkerLeaving
+	if worker.Departing {
+		a.remaining, a.reason = nothingMoreMayStart, state.WorkerDeparting
 		if worker.DepartsInMS > 0 {
 			a.emptyBy = worker.DepartsAt
 		}
--- a/internal/controller/worker_availability_test.go
+++ b/internal/controller/worker_availability_test.go
@@ -27,10 +27,10 @@
 		want   availability
 	}{
 		{"no window", protocol.WorkerReport{}, nil, 0, availability{}},
-		{"draining", protocol.WorkerReport{Draining: true}, nil, 0,
-			availability{remaining: nothingMoreMayStart, reason: state.WorkerLeaving}},
-		{"draining with a departure", protocol.WorkerReport{Draining: true, DepartsInMS: 1}, nil, 0,
-			availability{nothingMoreMayStart, now.Add(3 * time.Second), state.WorkerLeaving}},
+		{"draining", protocol.WorkerReport{Departing: true}, nil, 0,
+			availability{remaining: nothingMoreMayStart, reason: state.WorkerDeparting}},
+		{"draining with a departure", protocol.WorkerReport{Departing: true, DepartsInMS: 1}, nil, 0,
+			availability{nothingMoreMayStart, now.Add(3 * time.Second), state.WorkerDeparting}},
 		{"drained by operators", protocol.WorkerReport{}, &state.Drain{Target: state.Target{Rack: "r1"}}, 0,
 			availability{remaining: nothingMoreMayStart}},
 		{"drained with a deadline", protocol.WorkerReport{},
@@ -42,9 +42,9 @@
 			availability{9 * time.Second, now.Add(10 * time.Second), state.WorkerDrained}},
 		{"maintenance sooner than an order starts", protocol.WorkerReport{}, nil, time.Second / 2,
 			availability{nothingMoreMayStart, now.Add(time.Second / 2), state.WorkerDrained}},
-		{"departure before a deadline", protocol.WorkerReport{Draining: true, DepartsInMS: 1},
+		{"departure before a deadline", protocol.WorkerReport{Departing: true, DepartsInMS: 1},
 			&state.Drain{Target: state.Target{Shard: "k1"}, Deadline: in(5 * time.Second)}, 0,
-			availability{nothingMoreMayStart, now.Add(3 * time.Second), state.WorkerLeaving}},
+			availability{nothingMoreMayStart, now.Add(3 * time.Second), state.WorkerDeparting}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := state.New()
--- a/internal/controller/worker_shapes_test.go
+++ b/internal/controller/worker_shapes_test.go
@@ -31,7 +31,7 @@
 		want  bool
 	}{
 		{"unchanged", func(*scheduler.RemoteWorker) {}, true},
-		{"unhealthy and draining", func(w *scheduler.RemoteWorker) { w.Healthy, w.Draining = false, true }, true},
+		{"unhealthy and draining", func(w *scheduler.RemoteWorker) { w.Healthy, w.Departing = false, true }, true},
 		{"short of capacity", func(w *scheduler.RemoteWorker) { w.Shortfall.Cores = 10 }, true},
 		{"another rack", func(w *scheduler.RemoteWorker) { w.Rack = "r2" }, false},
 		{"another kind", func(w *scheduler.RemoteWorker) { w.Kinds = []types.ServiceKind{"y"} }, false},
--- a/internal/dispatch/executor/admission.go
+++ b/internal/dispatch/executor/admission.go
@@ -19,23 +19,23 @@
 		return
 	}
 	ex.attempts.seen[id] = max(order.StartBefore, ex.now).Add(ex.timeouts.LostAfter)
-	refusal := ex.refusal(order)
-	if refusal == "" {
+	rejection := ex.rejection(order)
+	if rejection == "" {
 		startBefore := min(order.StartBefore, ex.health.leaseUntil)
 		ex.attempts.add(&attempt{spec: order.Spec, state: attemptWaiting, startBefore: startBefore})
 		ex.polls.hasUpdate = true
 	}
 	ex.send(from, wire.RunTaskReply, protocol.RunTaskReply{
-		Term:     ex.association.term,
-		Shard:    ex.shard,
-		Instance: ex.association.instance,
-		Attempt:  id,
-		Refusal:  refusal,
+		Term:      ex.association.term,
+		Shard:     ex.shard,
+		Instance:  ex.association.instance,
+		Attempt:   id,
+		Rejection: rejection,
 	})
 }
 
-// refusal returns why an attempt is rejected, or nothing.
-func (ex *Executor) refusal(order protocol.RunTask) string {
+// rejection returns why an attempt is rejected, or nothing.
+func (ex *Executor) rejection(order protocol.RunTask) string {
 	report, spec := &ex.worker.report, &order.Spec
 	free, runsTask := ex.freeCapacity(spec.Attempt.TaskID)
 	switch {
@@ -47,7 +47,7 @@
 		return "agent is " + string(ex.health.state)
 	case !report.Healthy:
 		return "worker is silent"
-	case report.Draining:
+	case report.Departing:
 		return "worker is leaving"
 	case !slices.Contains(report.Kinds, spec.Kind):
 		return "worker has not this kind"
--- a/internal/dispatch/executor/executor.go
+++ b/internal/dispatch/executor/executor.go
@@ -65,7 +65,7 @@
 	// runningTasksKnown is set once the process itself has reported all that runs there.
 	runningTasksKnown bool
 	report            protocol.WorkerReport
-	departsAt         types.MonoTime // when a draining worker will be gone, if known
+	departsAt         types.MonoTime // when a departing worker will be gone, if known
 }
 
 // New starts an agent that knows nothing of its worker yet. newInstance draws instance
--- a/internal/dispatch/executor/health_test.go
+++ b/internal/dispatch/executor/health_test.go
@@ -84,7 +84,7 @@
 }
 
 // Each reason to reject an attempt, in the order in which they are looked for.
-func TestRefusals(t *testing.T) {
+func TestRejections(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(*testCluster, *Executor, *protocol.RunTask)
@@ -106,8 +106,8 @@
 		{"silent worker", func(_ *testCluster, agent *Executor, _ *protocol.RunTask) {
 			agent.worker.report.Healthy = false
 		}, "worker is silent"},
-		{"draining", func(_ *testCluster, agent *Executor, _ *protocol.RunTask) {
-			agent.worker.report.Draining = true
+		{"departing", func(_ *testCluster, agent *Executor, _ *protocol.RunTask) {
+			agent.worker.report.Departing = true
 		}, "worker is leaving"},
 		{"kind", func(_ *testCluster, _ *Executor, order *protocol.RunTask) {
 			order.Spec.Kind = "y"
@@ -134,7 +134,7 @@
 			order, ok := wire.DecodeBody[protocol.RunTask](held[0].Message)
 			is.True(ok)
 			test.change(cluster, agent, &order)
-			is.Equal(agent.refusal(order), test.want)
+			is.Equal(agent.rejection(order), test.want)
 		})
 	}
 }
--- a/internal/dispatch/executor/link.go
+++ b/internal/dispatch/executor/link.go
@@ -49,8 +49,8 @@
 	incarnation       types.ID
 	addr              types.Addr
 	heartbeatSequence uint64 // of the latest heartbeat
-	// deregistered is set for a process that deregistered without having announced that
-	// it drains, and that runs on for a while.
+	// deregistered is set for a process that deregistered without having announced its
+	// departure, and that runs on for a while.
 	deregistered bool
 }
 
@@ -123,27 +123,27 @@
 }
 
 // HandleDeregistration handles the deregistration of a called worker's process. One
-// that has announced before that it drains ends now, with all that it ran. Any other runs
-// on for a while: it is draining from now on, whatever late heartbeats say, and is over
+// that has announced its departure before ends now, with all that it ran. Any other runs
+// on for a while: it is departing from now on, whatever late heartbeats say, and is over
 // only when its lease has ended or another process answers in its place.
 func (ex *Executor) HandleDeregistration(now types.MonoTime, incarnation types.ID) {
 	ex.now = now
 	link := ex.link
 	switch {
 	case link == nil || link.process.incarnation != incarnation || link.process.deregistered:
-	case ex.worker.report.Draining:
+	case ex.worker.report.Departing:
 		ex.endIncarnation(true)
 	default:
 		link.process.deregistered = true
 		ex.reports.requestHeartbeat()
-		ex.setDraining(ex.timeouts.DrainTime)
+		ex.setDeparting(ex.timeouts.DepartureTime)
 	}
 }
 
-// setDraining records that the worker drains, and how long it will surely go on running; 0
-// if that is not known.
-func (ex *Executor) setDraining(departsIn time.Duration) {
-	ex.worker.report.Draining, ex.worker.report.DepartsInMS = true, departsIn.Milliseconds()
+// setDeparting records that the worker is departing, and how long it will surely go on
+// running; 0 if that is not known.
+func (ex *Executor) setDeparting(departsIn time.Duration) {
+	ex.worker.report.Departing, ex.worker.report.DepartsInMS = true, departsIn.Milliseconds()
 	ex.worker.departsAt = ex.now.Add(departsIn)
 }
 
@@ -161,11 +161,11 @@
 	report := &ex.worker.report
 	switch {
 	case heartbeat.Draining:
-		ex.setDraining(time.Duration(heartbeat.DepartsInMS) * time.Millisecond)
-	case ex.link.process.deregistered: // a late heartbeat, or a worker that never announces that it drains
-		report.Draining, report.DepartsInMS = true, before.DepartsInMS
+		ex.setDeparting(time.Duration(heartbeat.DepartsInMS) * time.Millisecond)
+	case ex.link.process.deregistered: // a late heartbeat, or a worker that never announces its departure
+		report.Departing, report.DepartsInMS = true, before.DepartsInMS
 	}
-	if report.Draining != before.Draining || !before.Healthy {
+	if report.Departing != before.Departing || !before.Healthy {
 		ex.reports.requestHeartbeat()
 	}
 }
--- a/internal/dispatch/executor/link_reordering_test.go
+++ b/internal/dispatch/executor/link_reordering_test.go
@@ -15,17 +15,17 @@
 // The tests here are about heartbeats and deregistrations that arrive late, out of order,
 // or without those that should have come before.
 
-// withDrainTime are timeouts that say how long workers run on that deregister.
-var withDrainTime = func() protocol.Timeouts {
+// withDepartureTime are timeouts that say how long workers run on that deregister.
+var withDepartureTime = func() protocol.Timeouts {
 	timeouts := protocol.DefaultTimeouts
-	timeouts.DrainTime = 2 * time.Second
+	timeouts.DepartureTime = 2 * time.Second
 	return timeouts
 }()
 
-// A worker that deregisters without having announced that it drains runs on: nothing new
+// A worker that deregisters without having announced its departure runs on: nothing new
 // is started there, what runs is neither lost nor run again, and what ends well counts.
-func TestWorkerThatDeregistersWithoutDrainingRunsOn(t *testing.T) {
-	is, r := is.New(t), newReadyRigWith(t, 21, withDrainTime)
+func TestWorkerThatDeregistersUnannouncedRunsOn(t *testing.T) {
+	is, r := is.New(t), newReadyRigWith(t, 21, withDepartureTime)
 	r.runTask(attempt("a", 1), short)
 	r.runTask(attempt("b", 1), long)
 	r.advance(200 * ms)
@@ -35,13 +35,13 @@
 	r.deliver()
 	r.advance(100 * ms)
 	is.Equal(r.committed[attempt("b", 1)], state.Outcome(""))
-	is.True(r.scheduler.Worker("s").Draining)
+	is.True(r.scheduler.Worker("s").Departing)
 	departsInMS := r.scheduler.Worker("s").DepartsInMS
 	is.True(departsInMS > 1700 && departsInMS <= 2000) // what runs there may save a checkpoint before
 	r.executor.HandleWorkerHeartbeat(r.now, late)
 	r.deliver()
 	r.advance(time.Second)
-	is.True(r.scheduler.Worker("s").Draining) // the late heartbeat does not undo it
+	is.True(r.scheduler.Worker("s").Departing) // the late heartbeat does not undo it
 	is.True(r.scheduler.Worker("s").DepartsInMS < departsInMS)
 	is.Equal(r.committed[attempt("a", 1)], state.OutcomeOK)
 	r.runTask(attempt("c", 1), short)
@@ -58,7 +58,7 @@
 	r.advance(3 * time.Second)
 	is.Equal(r.committed[attempt("b", 1)], state.OutcomeWorkerExited) // now that another process answers there
 	is.Equal(r.executor.View().Worker, types.ID("k2"))
-	is.True(!r.scheduler.Worker("s").Draining)
+	is.True(!r.scheduler.Worker("s").Departing)
 }
 
 // A heartbeat that arrives seconds late, after newer ones, is ignored.
@@ -78,7 +78,7 @@
 		r.executor.HandleWorkerHeartbeat(r.now, late)
 		r.deliver()
 		r.advance(500 * ms)
-		is.True(r.scheduler.Worker("s").Draining)
+		is.True(r.scheduler.Worker("s").Departing)
 	}
 	is.True(len(called) > 0)
 	for _, addr := range called[1:] {
--- a/internal/dispatch/executor/link_rig_test.go
+++ b/internal/dispatch/executor/link_rig_test.go
@@ -136,12 +136,12 @@
 
 // faults are what a test can do to a rig.
 type faults struct {
-	partitioned       bool          // leader and agent do not reach each other
-	authorityLeft     time.Duration // of the leader, at all times
-	heartbeatsStopped bool          // the worker sends none by itself
-	fateOf            func(wire.WorkerCall) callFate
-	lateDelay         func() time.Duration // until a callLate arrives
-	renewalReplyDelay time.Duration
+	partitioned        bool          // leader and agent do not reach each other
+	authorityRemaining time.Duration // of the leader, at all times
+	heartbeatsStopped  bool          // the worker sends none by itself
+	fateOf             func(wire.WorkerCall) callFate
+	lateDelay          func() time.Duration // until a callLate arrives
+	renewalReplyDelay  time.Duration
 }
 
 func newLinkRig(t *testing.T, seed int64, timeouts protocol.Timeouts) *linkRig {
@@ -177,9 +177,9 @@
 			RemoteSlowdown:     1.5,
 		}),
 		faults: faults{
-			authorityLeft: timeouts.AgentLease,
-			fateOf:        deliverAll,
-			lateDelay:     func() time.Duration { return 3 * time.Second },
+			authorityRemaining: timeouts.AgentLease,
+			fateOf:             deliverAll,
+			lateDelay:          func() time.Duration { return 3 * time.Second },
 		},
 	}
 	r.newLeader()
@@ -200,7 +200,7 @@
 		lr.deliver()
 	})
 	lr.every(20*ms, func() {
-		lr.scheduler.Tick(lr.now, lr.authorityLeft)
+		lr.scheduler.Tick(lr.now, lr.authorityRemaining)
 		lr.deliver()
 	})
 	lr.every(1500*ms, func() {
@@ -323,7 +323,7 @@
 				lr.onSend(message)
 			}
 			if !lr.partitioned {
-				lr.scheduler.HandleMessage(lr.now, lr.authorityLeft, message.Message)
+				lr.scheduler.HandleMessage(lr.now, lr.authorityRemaining, message.Message)
 			}
 		}
 		for _, message := range toAgent {
--- a/internal/dispatch/executor/link_test.go
+++ b/internal/dispatch/executor/link_test.go
@@ -200,7 +200,7 @@
 	r.runTask(attempt("a", 1), long)
 	r.advance(300 * ms)
 	r.newAgent()
-	r.authorityLeft = 600 * ms
+	r.authorityRemaining = 600 * ms
 	r.executor.HandleWorkerHeartbeat(r.now, r.nextHeartbeat())
 	r.deliver()
 	r.advance(900 * ms)
@@ -254,7 +254,7 @@
 	r.advance(500 * ms)
 	is.True(len(late) > 0)
 	for _, message := range late {
-		r.scheduler.HandleMessage(r.now, r.authorityLeft, message.Message)
+		r.scheduler.HandleMessage(r.now, r.authorityRemaining, message.Message)
 	}
 	r.advance(3 * time.Second)
 	is.Equal(r.committed[attempt("a", 1)], state.OutcomeOK)
@@ -302,18 +302,18 @@
 	is.Equal(r.committed[attempt("b", 1)], state.OutcomeOK)
 }
 
-// With a worker that announced that it drains and then deregisters all ends that it still
+// With a worker that announced its departure and then deregisters all ends that it still
 // ran, and one that comes in its place is adopted at once.
-func TestDrainingWorkerDeregisters(t *testing.T) {
+func TestDepartingWorkerDeregisters(t *testing.T) {
 	is, r := is.New(t), newReadyRig(t, 11)
 	r.runTask(attempt("a", 1), long)
 	r.advance(300 * ms)
-	draining := r.nextHeartbeat()
-	draining.Draining = true
+	departing := r.nextHeartbeat()
+	departing.Draining = true
 	r.heartbeatsStopped = true
-	r.executor.HandleWorkerHeartbeat(r.now, draining)
+	r.executor.HandleWorkerHeartbeat(r.now, departing)
 	r.advance(100 * ms)
-	is.Equal(r.committed[attempt("a", 1)], state.Outcome("")) // it runs on while it drains
+	is.Equal(r.committed[attempt("a", 1)], state.Outcome("")) // it runs on until then
 	r.heartbeatsStopped = false
 	r.executor.HandleDeregistration(r.now, r.worker.ID)
 	r.crashWorker()
--- a/internal/dispatch/executor/polling.go
+++ b/internal/dispatch/executor/polling.go
@@ -64,14 +64,14 @@
 func (ex *Executor) takePollReport(poll protocol.Poll) {
 	ex.polls.lastCall, ex.polls.sentAt = poll.Call, poll.SentAt
 	ex.worker.heardAt, ex.worker.runningTasksKnown = ex.now, true
-	if poll.Draining != ex.worker.report.Draining || !ex.worker.report.Healthy {
+	if poll.Departing != ex.worker.report.Departing || !ex.worker.report.Healthy {
 		ex.reports.requestHeartbeat()
 	}
 	ex.worker.report = protocol.WorkerReport{
 		Rack:        poll.Rack,
 		Kinds:       poll.Kinds,
 		Capacity:    poll.Capacity,
-		Draining:    poll.Draining,
+		Departing:   poll.Departing,
 		DepartsInMS: poll.DepartsInMS,
 		Healthy:     true,
 	}
--- a/internal/dispatch/executor/view.go
+++ b/internal/dispatch/executor/view.go
@@ -14,10 +14,10 @@
 	State     protocol.Health `json:"state"`
 	InStateMS int64           `json:"for_ms"`
 	protocol.WorkerReport
-	LeaseLeftMS int64         `json:"grant_left_ms"` // of the agent's lease
-	Worker      types.ID      `json:"worker"`        // the worker process
-	Lease       *WorkerLease  `json:"lease,omitempty"`
-	Attempts    []AttemptView `json:"legs"`
+	LeaseRemainingMS int64         `json:"grant_left_ms"` // of the agent's lease
+	Worker           types.ID      `json:"worker"`        // the worker process
+	Lease            *WorkerLease  `json:"lease,omitempty"`
+	Attempts         []AttemptView `json:"legs"`
 }
 
 // AttemptView is an attempt in the agent's account. State is waiting, running, stopping
@@ -55,16 +55,16 @@
 // View returns the executor's part of the agent's status.
 func (ex *Executor) View() View {
 	view := View{
-		Shard:        ex.shard,
-		Instance:     ex.association.instance,
-		Term:         ex.association.term,
-		State:        ex.health.state,
-		InStateMS:    ex.now.Sub(ex.health.since).Milliseconds(),
-		WorkerReport: ex.worker.report,
-		LeaseLeftMS:  max(0, ex.health.leaseUntil.Sub(ex.now).Milliseconds()),
-		Worker:       ex.worker.process,
-		Lease:        ex.WorkerLease(),
-		Attempts:     []AttemptView{},
+		Shard:            ex.shard,
+		Instance:         ex.association.instance,
+		Term:             ex.association.term,
+		State:            ex.health.state,
+		InStateMS:        ex.now.Sub(ex.health.since).Milliseconds(),
+		WorkerReport:     ex.worker.report,
+		LeaseRemainingMS: max(0, ex.health.leaseUntil.Sub(ex.now).Milliseconds()),
+		Worker:           ex.worker.process,
+		Lease:            ex.WorkerLease(),
+		Attempts:         []AttemptView{},
 	}
 	for _, a := range ex.attempts.sorted {
 		view.Attempts = append(view.Attempts, AttemptView{a.spec.Attempt, string(a.state), a.outcome})
--- a/internal/dispatch/protocol/decode.go
+++ b/internal/dispatch/protocol/decode.go
@@ -47,7 +47,7 @@
 	case "lacks":
 		return true, decodeResources(d, &r.Shortfall)
 	case "leaving":
-		return true, wire.DecodeBool(d, &r.Draining)
+		return true, wire.DecodeBool(d, &r.Departing)
 	case "leave_in_ms":
 		return true, wire.DecodeInt(d, &r.DepartsInMS)
 	case "sound":
@@ -128,7 +128,7 @@
 		case "leg":
 			return true, decodeAttempt(d, &r.Attempt)
 		case "why":
-			return true, wire.DecodeString(d, &r.Refusal)
+			return true, wire.DecodeString(d, &r.Rejection)
 		}
 		return false, nil
 	})
--- a/internal/dispatch/protocol/messages.go
+++ b/internal/dispatch/protocol/messages.go
@@ -17,9 +17,10 @@
 	// Shortfall is how much less than Capacity the agent takes the worker to have,
 	// because the worker has rejected tasks for lack of capacity.
 	Shortfall types.Resources `json:"lacks,omitzero"`
-	// Draining workers are given no more tasks.
-	Draining bool `json:"leaving"`
-	// DepartsInMS is how long a draining worker will still be there, in milliseconds;
+	// Departing workers have announced that they will be gone soon, and are given no more
+	// tasks. An operator's drain is another reason for that: see state.Drain.
+	Departing bool `json:"leaving"`
+	// DepartsInMS is how long a departing worker will still be there, in milliseconds;
 	// 0 is not known.
 	DepartsInMS int64    `json:"leave_in_ms,omitempty"`
 	Healthy     bool     `json:"sound"`
@@ -144,14 +145,14 @@
 	Spec        AttemptSpec    `json:"job"`
 }
 
-// RunTaskReply replies to RunTask. An empty Refusal accepts the attempt; otherwise it is
+// RunTaskReply replies to RunTask. An empty Rejection accepts the attempt; otherwise it is
 // the reason, and the attempt will never run.
 type RunTaskReply struct {
-	Term     types.Term      `json:"term"`
-	Shard    types.Shard     `json:"shard"`
-	Instance types.ID        `json:"id"`
-	Attempt  types.AttemptID `json:"leg"`
-	Refusal  string          `json:"why,omitempty"`
+	Term      types.Term      `json:"term"`
+	Shard     types.Shard     `json:"shard"`
+	Instance  types.ID        `json:"id"`
+	Attempt   types.AttemptID `json:"leg"`
+	Rejection string          `json:"why,omitempty"`
 }
 
 // NotifyIfTasksNotRunning is notifyIfTasksNotRunning, scheduler to agent: the agent
--- a/internal/dispatch/protocol/timeouts.go
+++ b/internal/dispatch/protocol/timeouts.go
@@ -22,9 +22,9 @@
 	WorkerLease time.Duration
 	// RetryInterval is the time between two tries of a query, a stop or a status report.
 	RetryInterval time.Duration
-	// DrainTime is how long a worker surely runs on that deregisters without having
-	// announced that it drains; 0 is not known.
-	DrainTime time.Duration
+	// DepartureTime is how long a worker surely runs on that deregisters without having
+	// announced its departure; 0 is not known.
+	DepartureTime time.Duration
 }
 
 // DefaultTimeouts are those of a cluster whose settings name none.
--- a/internal/dispatch/protocol/worker_poll.go
+++ b/internal/dispatch/protocol/worker_poll.go
@@ -33,8 +33,8 @@
 	Rack        types.Rack          `json:"rack"`
 	Kinds       []types.ServiceKind `json:"kinds"`
 	Capacity    types.Resources     `json:"room"`
-	Draining    bool                `json:"leaving"`
-	DepartsInMS int64               `json:"leave_in_ms"` // with Draining; 0 is not known
+	Departing   bool                `json:"leaving"`
+	DepartsInMS int64               `json:"leave_in_ms"` // with Departing; 0 is not known
 	Running     []RunningTask       `json:"running"`
 	Ended       []EndedTask         `json:"ended"`
 }
@@ -70,7 +70,7 @@
 	errs.Check(len(p.Kinds) <= maxKinds, "kinds", "more than 64")
 	departsInRange := p.DepartsInMS >= 0 && p.DepartsInMS <= maxDepartsIn.Milliseconds()
 	errs.Check(departsInRange, "leave_in_ms", "want 0 to a day")
-	errs.Check(p.DepartsInMS == 0 || p.Draining, "leave_in_ms", "only for a worker that is leaving")
+	errs.Check(p.DepartsInMS == 0 || p.Departing, "leave_in_ms", "only for a worker that is leaving")
 	errs.Check(len(p.Running)+len(p.Ended) <= maxPollAttempts, "running", "more than 2000 legs")
 	for i, kind := range p.Kinds {
 		errs.Check(config.CheckName(string(kind)) == "", fmt.Sprintf("kinds[%d]", i), "not a name")
--- a/internal/dispatch/scheduler/remote_worker.go
+++ b/internal/dispatch/scheduler/remote_worker.go
@@ -18,7 +18,7 @@
 	StateSince types.MonoTime
 	// LastHealthyAt is when the latest heartbeat of a healthy worker arrived.
 	LastHealthyAt types.MonoTime
-	// DepartsAt is when a draining worker will be gone, where it said so.
+	// DepartsAt is when a departing worker will be gone, where it said so.
 	DepartsAt types.MonoTime
 	protocol.WorkerReport
 	Reliability Reliability
--- a/internal/dispatch/scheduler/run_task.go
+++ b/internal/dispatch/scheduler/run_task.go
@@ -25,7 +25,7 @@
 		OrderedAt:    sc.now,
 	})
 	worker := sc.Worker(shard)
-	canRun := worker != nil && worker.State == protocol.WorkerHealthy && !worker.Draining && sc.authorityLeft > 0
+	canRun := worker != nil && worker.State == protocol.WorkerHealthy && !worker.Departing && sc.authorityRemaining > 0
 	if !canRun {
 		sc.reportEnd(spec.Attempt, state.OutcomeNeverRan)
 		return
@@ -44,7 +44,7 @@
 	if worker == nil || attempt == nil || attempt.Shard != worker.Shard || attempt.phase == confirmedRunning {
 		return
 	}
-	if reply.Refusal != "" {
+	if reply.Rejection != "" {
 		worker.Healthy = false // until the next heartbeat says otherwise
 		sc.reportEnd(reply.Attempt, state.OutcomeNeverRan)
 		return
--- a/internal/dispatch/scheduler/scheduler.go
+++ b/internal/dispatch/scheduler/scheduler.go
@@ -65,8 +65,8 @@
 	term     types.Term
 	cluster  ClusterState
 
-	now           types.MonoTime // of the present step
-	authorityLeft time.Duration  // how long the leader's own authority lasts from now
+	now                types.MonoTime // of the present step
+	authorityRemaining time.Duration  // how long the leader's own authority lasts from now
 
 	wait       initialWait
 	workers    workerTable
@@ -103,10 +103,10 @@
 	return sc
 }
 
-// Tick advances time. authorityLeft is how long the leader's own authority lasts: no
+// Tick advances time. authorityRemaining is how long the leader's own authority lasts: no
 // lease that the scheduler grants outlasts it.
-func (sc *Scheduler) Tick(now types.MonoTime, authorityLeft time.Duration) {
-	sc.now, sc.authorityLeft = now, authorityLeft
+func (sc *Scheduler) Tick(now types.MonoTime, authorityRemaining time.Duration) {
+	sc.now, sc.authorityRemaining = now, authorityRemaining
 	if now.Sub(sc.lastSweepAt) < sweepInterval {
 		return
 	}
@@ -133,9 +133,9 @@
 }
 
 // HandleMessage handles an agent's message. One of a kind that is not for a scheduler is
-// dropped. For authorityLeft see Tick.
-func (sc *Scheduler) HandleMessage(now types.MonoTime, authorityLeft time.Duration, message wire.Message) {
-	sc.now, sc.authorityLeft = now, authorityLeft
+// dropped. For authorityRemaining see Tick.
+func (sc *Scheduler) HandleMessage(now types.MonoTime, authorityRemaining time.Duration, message wire.Message) {
+	sc.now, sc.authorityRemaining = now, authorityRemaining
 	if handle := messageHandlers[message.Kind]; handle != nil {
 		handle(sc, message)
 	}
@@ -160,5 +160,5 @@
 // newLeaseEnd returns the end of a lease that is granted to a worker's agent now. It
 // counts from the agent's latest heartbeat, on the agent's own clock.
 func (sc *Scheduler) newLeaseEnd(worker *RemoteWorker) types.MonoTime {
-	return worker.lastHeartbeat.sentAt.Add(min(sc.timeouts.AgentLease, sc.authorityLeft))
+	return worker.lastHeartbeat.sentAt.Add(min(sc.timeouts.AgentLease, sc.authorityRemaining))
 }
--- a/internal/dispatch/scheduler/unsure_test.go
+++ b/internal/dispatch/scheduler/unsure_test.go
@@ -84,10 +84,12 @@
 	}{
 		{"healthy", func(*Scheduler, *RemoteWorker) {}, true},
 		{"unhealthy", func(_ *Scheduler, worker *RemoteWorker) { worker.State = protocol.WorkerUnhealthy }, false},
-		{"draining", func(_ *Scheduler, worker *RemoteWorker) { worker.Draining = true }, false},
+		{"departing", func(_ *Scheduler, worker *RemoteWorker) { worker.Departing = true }, false},
 		{"no worker", func(sc *Scheduler, _ *RemoteWorker) { delete(sc.workers.byShard, "s") }, false},
-		{"authority has ended", func(sc *Scheduler, _ *RemoteWorker) { sc.authorityLeft = 0 }, false},
-		{"authority ends soon", func(sc *Scheduler, _ *RemoteWorker) { sc.authorityLeft = time.Millisecond }, true},
+		{"authority has ended", func(sc *Scheduler, _ *RemoteWorker) { sc.authorityRemaining = 0 }, false},
+		{"authority ends soon", func(sc *Scheduler, _ *RemoteWorker) {
+			sc.authorityRemaining = time.Millisecond
+		}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
@@ -103,7 +105,7 @@
 			if test.want {
 				order, ok := wire.DecodeBody[protocol.RunTask](messages[0].Message)
 				is.True(ok)
-				lease := min(protocol.DefaultTimeouts.AgentLease, sc.authorityLeft)
+				lease := min(protocol.DefaultTimeouts.AgentLease, sc.authorityRemaining)
 				is.Equal(order.StartBefore, worker.lastHeartbeat.sentAt.Add(lease))
 			}
 		})
--- a/internal/dispatch/scheduler/worker_set.go
+++ b/internal/dispatch/scheduler/worker_set.go
@@ -19,9 +19,9 @@
 	// indirect is the version of the latest set that the worker requires, directly or
 	// through the workers that it requires (the paper's indirectWorkerSetID_).
 	indirect int
-	// The worker is in the sets from joined up to, but without, left. left is 0 for one
-	// in the latest set.
-	joined, left int
+	// joinedIn is the version of the first set that has the worker, leftIn that of the
+	// first one after it that has it no more, or 0 if it is in the latest set.
+	joinedIn, leftIn int
 	// hasBeenHealthy is the paper's hasBeenHealthy_: once the worker has been, consensus
 	// is no longer asked.
 	hasBeenHealthy bool
@@ -29,7 +29,7 @@
 
 // holds reports whether the worker is in a set.
 func (s *setMembership) holds(version int) bool {
-	return s.joined <= version && (s.left == 0 || version < s.left)
+	return s.joinedIn <= version && (s.leftIn == 0 || version < s.leftIn)
 }
 
 // workerSetHistory keeps the worker sets of a leadership and decides by the paper's
@@ -71,7 +71,7 @@
 		ws.leave(replaced)
 		ws.ungroup(replaced)
 	}
-	worker.sets.joined = ws.version
+	worker.sets.joinedIn = ws.version
 	ws.hash += instanceHash(worker.Instance)
 	ws.size++
 	ws.group(worker)
@@ -86,10 +86,10 @@
 
 // leave takes a worker out of the latest set, unless it has left before.
 func (ws *workerSetHistory) leave(worker *RemoteWorker) {
-	if worker.sets.left != 0 {
+	if worker.sets.leftIn != 0 {
 		return
 	}
-	worker.sets.left = ws.version
+	worker.sets.leftIn = ws.version
 	ws.hash -= instanceHash(worker.Instance)
 	ws.size--
 	if len(ws.joined) > 2*ws.size+64 {
@@ -97,7 +97,7 @@
 	}
 }
 
-func hasLeft(worker *RemoteWorker) bool { return worker.sets.left != 0 }
+func hasLeft(worker *RemoteWorker) bool { return worker.sets.leftIn != 0 }
 
 func (ws *workerSetHistory) group(worker *RemoteWorker) {
 	version := worker.sets.indirect
@@ -173,13 +173,13 @@
 		return false
 	}
 	isAnotherMember := func(other *RemoteWorker) bool { return other != worker && !hasLeft(other) }
-	for i := len(ws.joined) - 1; i >= 0 && ws.joined[i].sets.joined > worker.sets.reported; i-- {
+	for i := len(ws.joined) - 1; i >= 0 && ws.joined[i].sets.joinedIn > worker.sets.reported; i-- {
 		if isAnotherMember(ws.joined[i]) {
 			return false
 		}
 	}
 	for version, workers := range ws.byIndirect {
-		if version < worker.sets.joined && slices.ContainsFunc(workers, isAnotherMember) {
+		if version < worker.sets.joinedIn && slices.ContainsFunc(workers, isAnotherMember) {
 			return false
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -81,7 +81,7 @@
 // controller (Timeouts.Dispatch) lack the drain time.
 func (s Settings) Dispatch() protocol.Timeouts {
 	timeouts := s.Timeouts.Dispatch()
-	timeouts.DrainTime = milliseconds(s.Bounds.DrainMS)
+	timeouts.DepartureTime = milliseconds(s.Bounds.DrainMS)
 	return timeouts
 }
 
--- a/internal/state/assignment.go
+++ b/internal/state/assignment.go
@@ -16,72 +16,82 @@
 // applyAssignments makes the assignments that are still possible and returns them with
 // their attempt numbers. A stage of a joint step is assigned whole or not at all.
 func (s *State) applyAssignments(list []Assignment) (assigned []Assignment) {
-	assignable := map[types.StageID]int{}
-	s.countAssignable(list, assignable)
-	for _, a := range list {
-		j := s.index.live[a.ID.Job]
-		if j == nil || j.Task(a.ID.TaskNumber) == nil {
+	assignable := s.countAssignable(list)
+	for _, assignment := range list {
+		job := s.index.live[assignment.ID.Job]
+		if job == nil || job.Task(assignment.ID.TaskNumber) == nil {
 			continue
 		}
-		stage := a.ID.StageID()
-		step := &j.Spec.Steps[stage.Stage.Step()]
+		stage := assignment.ID.StageID()
+		step := &job.Spec.Steps[stage.Stage.Step()]
 		if step.Joint && assignable[stage] < step.Tasks {
 			continue
 		}
-		s.beforeChange(j)
-		queue := s.effectiveQueueConfig(j.Queue)
-		if a.Hedge && j.assignHedge(a, queue, s.Time) || !a.Hedge && j.assign(a, queue, s.Time) {
-			a.ID.Attempt = j.Task(a.ID.TaskNumber).LastAttempt
-			assigned = append(assigned, a)
+		s.beforeChange(job)
+		queue := s.effectiveQueueConfig(job.Queue)
+		if job.assign(assignment, queue, s.Time) {
+			assignment.ID.Attempt = job.Task(assignment.ID.TaskNumber).LastAttempt
+			assigned = append(assigned, assignment)
 		}
 	}
 	return assigned
 }
 
 // countAssignable counts, for each stage, the assignments whose task may be assigned now.
-func (s *State) countAssignable(list []Assignment, count map[types.StageID]int) {
-	for _, a := range list {
-		j := s.index.live[a.ID.Job]
-		if j != nil && j.canAssign(j.Task(a.ID.TaskNumber), s.effectiveQueueConfig(j.Queue), s.Time) {
-			count[a.ID.StageID()]++
+func (s *State) countAssignable(list []Assignment) map[types.StageID]int {
+	count := map[types.StageID]int{}
+	for _, assignment := range list {
+		job := s.index.live[assignment.ID.Job]
+		if job != nil && job.canAssign(job.Task(assignment.ID.TaskNumber), s.effectiveQueueConfig(job.Queue), s.Time) {
+			count[assignment.ID.StageID()]++
 		}
 	}
+	return count
 }
 
-// canAssign reports whether the next attempt of a task may be assigned now. t may be nil.
-func (j *Job) canAssign(t *Task, queue config.Queue, now types.ClusterTime) bool {
-	return j.Status == JobOpen && t != nil && t.Primary == nil && !t.Done && !t.Failed &&
-		t.ReadyAt <= now && !t.exhausted(queue)
+// canAssign reports whether the next attempt of a task may be assigned now. The task
+// may be nil.
+func (j *Job) canAssign(task *Task, queue config.Queue, now types.ClusterTime) bool {
+	return j.Status == JobOpen && task != nil && task.Primary == nil && !task.Done && !task.Failed &&
+		task.ReadyAt <= now && !task.exhausted(queue)
 }
 
-// assign assigns the next attempt of a task if that is possible. Attempt numbers may be
-// left out, since all members of a joint gang get the same.
-func (j *Job) assign(a Assignment, queue config.Queue, now types.ClusterTime) bool {
-	t := j.Task(a.ID.TaskNumber)
-	if !j.canAssign(t, queue, now) {
+// assign makes an assignment and reports whether it was possible.
+func (j *Job) assign(assignment Assignment, queue config.Queue, now types.ClusterTime) bool {
+	if assignment.Hedge {
+		return j.assignHedge(assignment, queue, now)
+	}
+	return j.assignPrimary(assignment, queue, now)
+}
+
+// assignPrimary assigns the next attempt of a task if that is possible. Attempt numbers may
+// be skipped, since all members of a joint gang get the same.
+func (j *Job) assignPrimary(assignment Assignment, queue config.Queue, now types.ClusterTime) bool {
+	task := j.Task(assignment.ID.TaskNumber)
+	if !j.canAssign(task, queue, now) {
 		return false
 	}
-	t.LastAttempt = max(t.LastAttempt+1, a.ID.Attempt)
-	t.UnresolvedOn = ""
+	task.LastAttempt = max(task.LastAttempt+1, assignment.ID.Attempt)
+	task.UnresolvedOn = ""
 	j.AttemptCount++
-	t.Primary = &OutstandingAttempt{Number: t.LastAttempt, Shard: a.Shard, AssignedAt: now}
+	task.Primary = &OutstandingAttempt{Number: task.LastAttempt, Shard: assignment.Shard, AssignedAt: now}
 	return true
 }
 
 // assignHedge assigns a second attempt beside the outstanding one, on another worker, if
 // the step allows that.
-func (j *Job) assignHedge(a Assignment, queue config.Queue, now types.ClusterTime) bool {
-	t := j.Task(a.ID.TaskNumber)
+func (j *Job) assignHedge(assignment Assignment, queue config.Queue, now types.ClusterTime) bool {
+	task := j.Task(assignment.ID.TaskNumber)
 	switch {
-	case j.Status != JobOpen || t == nil || t.Done || t.Failed || t.exhausted(queue):
+	case j.Status != JobOpen || task == nil || task.Done || task.Failed || task.exhausted(queue):
 		return false
-	case t.Primary == nil || t.Primary.Shard == a.Shard || t.Hedge != nil:
+	case task.Primary == nil || task.Primary.Shard == assignment.Shard || task.Hedge != nil:
 		return false
-	case !j.Spec.Steps[types.StageOf(a.ID.TaskNumber).Step()].AllowHedge:
+	case !j.Spec.Steps[types.StageOf(assignment.ID.TaskNumber).Step()].AllowHedge:
 		return false
 	}
-	t.LastAttempt++
+	task.LastAttempt++
 	j.AttemptCount++
-	t.Hedge = &OutstandingAttempt{Number: t.LastAttempt, Shard: a.Shard, AssignedAt: now}
+	task.Hedge = &OutstandingAttempt{Number: task.LastAttempt, Shard: assignment.Shard, AssignedAt: now}
 	return true
 }
--- a/internal/state/attempt_end.go
+++ b/internal/state/attempt_end.go
@@ -18,10 +18,10 @@
 
 // UnresolvedAttempts returns the attempts lost on a worker whose true ends are awaited.
 func (s *State) UnresolvedAttempts(shard types.Shard) (list []types.AttemptID) {
-	for _, j := range s.LiveJobs() {
-		for i := range j.Tasks {
-			if t := &j.Tasks[i]; t.UnresolvedOn == shard && t.Primary == nil {
-				list = append(list, j.lastAttemptID(i))
+	for _, job := range s.LiveJobs() {
+		for i := range job.Tasks {
+			if task := &job.Tasks[i]; task.UnresolvedOn == shard && task.Primary == nil {
+				list = append(list, job.lastAttemptID(i))
 			}
 		}
 	}
@@ -38,31 +38,31 @@
 // applyEnd applies the end of an attempt. An end that is already known changes nothing
 // but the queue's counts.
 func (s *State) applyEnd(end AttemptEnd) {
-	j := s.index.live[end.ID.Job]
-	if j == nil {
+	job := s.index.live[end.ID.Job]
+	if job == nil {
 		return
 	}
-	counts := s.queueCounts(j.Queue)
+	counts := s.queueCounts(job.Queue)
 	switch {
 	case end.Outcome == OutcomeFailed:
 		counts.FailedAttempts++
 	case end.Outcome.unresolved() || end.Outcome == OutcomeWorkerExited:
 		counts.LostAttempts++
 	}
-	s.beforeChange(j)
-	j.applyEnd(end, s.effectiveQueueConfig(j.Queue), s.Time)
-	s.closeIfEnded(j)
+	s.beforeChange(job)
+	job.applyEnd(end, s.effectiveQueueConfig(job.Queue), s.Time)
+	s.closeIfEnded(job)
 }
 
 // applyEnd applies the end of an attempt of the job.
 func (j *Job) applyEnd(end AttemptEnd, queue config.Queue, now types.ClusterTime) {
-	t := j.Task(end.ID.TaskNumber)
-	if t == nil {
+	task := j.Task(end.ID.TaskNumber)
+	if task == nil {
 		return
 	}
 	stage := types.StageOf(end.ID.TaskNumber)
 	transition := endTransition{
-		AttemptEnd: end, job: j, task: t,
+		AttemptEnd: end, job: j, task: task,
 		step: &j.Spec.Steps[stage.Step()], stage: stage, queue: queue, now: now,
 	}
 	if transition.apply() {
@@ -84,28 +84,28 @@
 // apply changes the task, and for a gang its stage. It reports false for an attempt whose
 // lease expired before, of which nothing counts any more.
 func (e *endTransition) apply() bool {
-	t, number := e.task, e.ID.Attempt
-	outstanding := t.FindOutstanding(number)
-	if outstanding == nil && number <= t.ExpiredThrough {
+	task, number := e.task, e.ID.Attempt
+	outstanding := task.FindOutstanding(number)
+	if outstanding == nil && number <= task.ExpiredThrough {
 		return false
 	}
 	if e.step.AlwaysRestart && e.Outcome == OutcomeOK {
 		e.Outcome = OutcomeWorkerExited
 	}
-	if e.Outcome == OutcomeOK && number <= t.LastAttempt {
+	if e.Outcome == OutcomeOK && number <= task.LastAttempt {
 		e.markDone()
 	}
-	unresolved := slices.Index(t.UnresolvedAttempts, number)
+	unresolved := slices.Index(task.UnresolvedAttempts, number)
 	switch {
 	case outstanding != nil:
 		e.endOutstanding(outstanding.Shard)
 	case unresolved >= 0 && e.Outcome == OutcomeWaitExpired:
-		if t.LastAttempt == number && t.ReadyAt <= e.now {
-			t.UnresolvedOn = ""
-			e.failIfExhausted(t)
+		if task.LastAttempt == number && task.ReadyAt <= e.now {
+			task.UnresolvedOn = ""
+			e.failIfExhausted(task)
 		}
 	case unresolved >= 0 && !e.Outcome.unresolved():
-		t.UnresolvedAttempts = slices.Delete(t.UnresolvedAttempts, unresolved, unresolved+1)
+		task.UnresolvedAttempts = slices.Delete(task.UnresolvedAttempts, unresolved, unresolved+1)
 		e.resolve()
 	}
 	return true
@@ -124,19 +124,19 @@
 
 // endOutstanding applies the end of an attempt that was outstanding on a worker.
 func (e *endTransition) endOutstanding(shard types.Shard) {
-	t, number := e.task, e.ID.Attempt
-	t.removeOutstanding(number)
-	if e.Outcome.unresolved() && !t.Done {
-		t.UnresolvedOn = shard
-		t.UnresolvedAttempts = append(t.UnresolvedAttempts, number)
+	task, number := e.task, e.ID.Attempt
+	task.removeOutstanding(number)
+	if e.Outcome.unresolved() && !task.Done {
+		task.UnresolvedOn = shard
+		task.UnresolvedAttempts = append(task.UnresolvedAttempts, number)
 	}
 	if e.Outcome == OutcomeLeaseExpired {
-		t.ExpiredThrough = max(t.ExpiredThrough, number)
+		task.ExpiredThrough = max(task.ExpiredThrough, number)
 	}
 	e.saveCheckpoint()
 	switch e.Outcome {
 	case OutcomeFailed:
-		t.AvoidWorker = shard
+		task.AvoidWorker = shard
 		e.recordFailure()
 	case OutcomeLost:
 		e.recordLoss(e.queue.UnresolvedTimeout())
@@ -145,8 +145,8 @@
 	case OutcomeWorkerExited, OutcomeLeaseExpired:
 		e.recordLoss(0)
 	case OutcomeStopped, OutcomeNeverRan:
-		t.Stops++
-		t.ReadyAt = e.now.Add(e.queue.Backoff(1))
+		task.Stops++
+		task.ReadyAt = e.now.Add(e.queue.Backoff(1))
 	}
 	if e.step.Gang {
 		e.updateBrokenGang()
@@ -155,18 +155,18 @@
 
 // resolve applies the true end of an attempt that was counted as lost.
 func (e *endTransition) resolve() {
-	t := e.task
-	if t.LastAttempt == e.ID.Attempt {
-		t.UnresolvedOn = ""
-		t.ReadyAt = e.now
+	task := e.task
+	if task.LastAttempt == e.ID.Attempt {
+		task.UnresolvedOn = ""
+		task.ReadyAt = e.now
 		if e.Outcome == OutcomeWorkerExited {
-			t.ReadyAt = e.now.Add(t.lossBackoff(e.step, &e.queue))
+			task.ReadyAt = e.now.Add(task.lossBackoff(e.step, &e.queue))
 		}
 	}
 	if e.Outcome == OutcomeFailed {
 		e.recordFailure()
 	}
-	e.failIfExhausted(t)
+	e.failIfExhausted(task)
 }
 
 // saveCheckpoint keeps what the attempt saved, for the next one to go on from. That of
@@ -187,10 +187,10 @@
 // recordLoss counts a loss. The task may be assigned again after wait, and after a
 // backoff that grows with each loss.
 func (e *endTransition) recordLoss(wait time.Duration) {
-	t := e.task
-	t.Losses++
-	t.ReadyAt = e.now.Add(max(wait, t.lossBackoff(e.step, &e.queue)))
-	e.failIfExhausted(t)
+	task := e.task
+	task.Losses++
+	task.ReadyAt = e.now.Add(max(wait, task.lossBackoff(e.step, &e.queue)))
+	e.failIfExhausted(task)
 }
 
 // recordFailure counts a failure against the queue's limit. All members of a joint gang
@@ -217,21 +217,21 @@
 }
 
 // failAttempt counts the failed attempt for one task.
-func (e *endTransition) failAttempt(t *Task) {
-	t.LastFailedAttempt = e.ID.Attempt
-	t.Failures++
-	if t.UnresolvedOn == "" {
-		t.ReadyAt = e.now.Add(e.queue.Backoff(t.Failures))
+func (e *endTransition) failAttempt(task *Task) {
+	task.LastFailedAttempt = e.ID.Attempt
+	task.Failures++
+	if task.UnresolvedOn == "" {
+		task.ReadyAt = e.now.Add(e.queue.Backoff(task.Failures))
 	}
-	e.failIfExhausted(t)
+	e.failIfExhausted(task)
 }
 
-func (e *endTransition) failIfExhausted(t *Task) { e.job.failIfExhausted(t, e.queue) }
+func (e *endTransition) failIfExhausted(task *Task) { e.job.failIfExhausted(task, e.queue) }
 
 // updateBrokenGang marks the stage as broken while members of the gang are outstanding
 // though another ended without success: they must be stopped, and the gang starts anew.
 func (e *endTransition) updateBrokenGang() {
-	outstanding := slices.ContainsFunc(e.job.StageTasks(e.stage), func(t Task) bool { return t.Primary != nil })
+	outstanding := slices.ContainsFunc(e.job.StageTasks(e.stage), func(task Task) bool { return task.Primary != nil })
 	switch {
 	case !outstanding:
 		delete(e.job.BrokenGangs, e.stage)
--- a/internal/state/attempt_end_test.go
+++ b/internal/state/attempt_end_test.go
@@ -13,23 +13,23 @@
 func TestLateEndsOfLostAttempts(t *testing.T) {
 	is := is.New(t)
 	s := newTestState(t)
-	j := submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
+	job := submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
 	assign(s, 2*sec, 0)
 	end(s, 3*sec, 0, 1, OutcomeLost)
 	is.Equal(s.UnresolvedAttempts("k"), []types.AttemptID{attemptID(0, 1)})
 	is.Equal(len(assign(s, 4*sec, 0)), 0) // within the queue's time-out
 	is.Equal(len(assign(s, 9*sec, 0)), 1) // after it
 	end(s, 9*sec, 0, 1, OutcomeFailed)
-	is.Equal(j.Tasks[0].Failures, 1) // a failure reported late counts
+	is.Equal(job.Tasks[0].Failures, 1) // a failure reported late counts
 	end(s, 9*sec, 0, 1, OutcomeFailed)
-	is.Equal(j.Tasks[0].Failures, 1) // once
+	is.Equal(job.Tasks[0].Failures, 1) // once
 	end(s, 10*sec, 0, 2, OutcomeLost)
 	assign(s, 17*sec, 0)
 	end(s, 18*sec, 0, 2, OutcomeOK) // ended well after all: the newer attempt is stopped
-	is.Equal(j.Status, JobEnding)
-	is.Equal(j.ToStop(), []types.AttemptID{attemptID(0, 3)})
+	is.Equal(job.Status, JobEnding)
+	is.Equal(job.ToStop(), []types.AttemptID{attemptID(0, 3)})
 	end(s, 18*sec, 0, 3, OutcomeStopped)
-	is.Equal(j.Status, JobDone)
+	is.Equal(job.Status, JobDone)
 }
 
 // A job without further attempts waits for a lost attempt that may have ended well, up to
@@ -58,13 +58,13 @@
 			queue.MaxFailures = 1
 			apply(s, 16*sec, Command{Table: &config.Table{Version: 1, Queues: []config.Queue{queue}}})
 			end(s, 16*sec, 0, 1, OutcomeFailed) // reported late: the only attempt is used up
-			j := s.Jobs["j"]
-			is.Equal(j.Status, JobOpen) // attempt 2 may have succeeded
+			job := s.Jobs["j"]
+			is.Equal(job.Status, JobOpen) // attempt 2 may have succeeded
 			is.Equal(len(assign(s, 29*sec, 0)), 0)
-			is.Equal(len(j.Exhausted(queue, 29*sec)), 1)
+			is.Equal(len(job.Exhausted(queue, 29*sec)), 1)
 			s.Time = c.at
 			end(s, c.at, 0, 2, c.outcome)
-			is.Equal(j.Status, c.want)
+			is.Equal(job.Status, c.want)
 		})
 	}
 }
@@ -85,23 +85,23 @@
 func TestBrokenGangIsStoppedAndStartsAnew(t *testing.T) {
 	is := is.New(t)
 	s := newTestState(t)
-	j := submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x","tasks":3,"gang":true}]}`)
+	job := submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x","tasks":3,"gang":true}]}`)
 	for n := range 3 {
 		assign(s, 2*sec, n)
 	}
 	end(s, 3*sec, 0, 1, OutcomeOK)
-	is.Equal(len(j.ToStop()), 0) // a success does not break the gang
+	is.Equal(len(job.ToStop()), 0) // a success does not break the gang
 	end(s, 3*sec, 1, 1, OutcomeWorkerExited)
-	is.Equal(j.ToStop(), []types.AttemptID{attemptID(2, 1)})
+	is.Equal(job.ToStop(), []types.AttemptID{attemptID(2, 1)})
 	end(s, 3*sec, 2, 1, OutcomeStopped)
-	is.Equal(len(j.BrokenGangs), 0)
-	is.True(j.Tasks[0].Done) // and is not assigned again
+	is.Equal(len(job.BrokenGangs), 0)
+	is.True(job.Tasks[0].Done) // and is not assigned again
 }
 
 func TestAlwaysRestartIgnoresOutcomes(t *testing.T) {
 	is := is.New(t)
 	s := newTestState(t)
-	j := submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x","lasts":true}]}`)
+	job := submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x","lasts":true}]}`)
 	outcomes := []Outcome{
 		OutcomeOK, OutcomeFailed, OutcomeFailed, OutcomeFailed,
 		OutcomeLeaseExpired, OutcomeStopped, OutcomeWorkerExited, OutcomeOK,
@@ -110,10 +110,10 @@
 		at := types.ClusterTime(i+2) * 20 * sec
 		is.Equal(len(assign(s, at, 0)), 1)
 		end(s, at, 0, i+1, outcome)
-		is.Equal(j.Status, JobOpen)
+		is.Equal(job.Status, JobOpen)
 	}
 	apply(s, 900*sec, Command{Cancel: "j"})
-	is.Equal(j.Status, JobCancelled)
+	is.Equal(job.Status, JobCancelled)
 }
 
 func TestJointGangSucceedsAndFailsAsOne(t *testing.T) {
@@ -126,29 +126,29 @@
 		return list
 	}
 	s := newTestState(t)
-	j := submitJob(t, s, text)
+	job := submitJob(t, s, text)
 	is.Equal(len(apply(s, 2*sec, Command{Assignments: gang(2, 1)})), 0) // all or nothing
 	is.Equal(len(apply(s, 2*sec, Command{Assignments: gang(3, 1)})), 3)
 	end(s, 3*sec, 1, 1, OutcomeFailed)
-	is.Equal(len(j.ToStop()), 2) // the others are stopped
+	is.Equal(len(job.ToStop()), 2) // the others are stopped
 	end(s, 3*sec, 0, 1, OutcomeFailed)
 	end(s, 3*sec, 2, 1, OutcomeStopped)
-	is.Equal(j.Tasks[2].Failures, 1) // one failure of the gang, whichever member reports it
-	is.Equal(j.Status, JobOpen)
+	is.Equal(job.Tasks[2].Failures, 1) // one failure of the gang, whichever member reports it
+	is.Equal(job.Status, JobOpen)
 	attempts := apply(s, 9*sec, Command{Assignments: gang(3, 2)})
 	is.Equal(len(attempts), 3)
 	for _, assignment := range attempts {
 		is.Equal(assignment.ID.Attempt, 2) // all members have the same number
 	}
 	end(s, 10*sec, 2, 2, OutcomeOK) // counts for all
-	is.Equal(j.DoneTasks, 3)
-	is.Equal(j.Status, JobEnding)
+	is.Equal(job.DoneTasks, 3)
+	is.Equal(job.Status, JobEnding)
 	end(s, 10*sec, 0, 2, OutcomeOK)
 	end(s, 10*sec, 1, 2, OutcomeWorkerExited)
-	is.Equal(j.Status, JobDone)
+	is.Equal(job.Status, JobDone)
 
 	s = newTestState(t)
-	j = submitJob(t, s, text)
+	job = submitJob(t, s, text)
 	for attempt := 1; attempt <= 2; attempt++ { // the queue's limit
 		at := types.ClusterTime(attempt) * 10 * sec
 		apply(s, at, Command{Assignments: gang(3, attempt)})
@@ -156,13 +156,13 @@
 		end(s, at, 1, attempt, OutcomeStopped)
 		end(s, at, 2, attempt, OutcomeStopped)
 	}
-	is.Equal(j.Status, JobFailed)
+	is.Equal(job.Status, JobFailed)
 }
 
 func TestCheckpointIsKeptForNextAttempt(t *testing.T) {
 	is := is.New(t)
 	s := newTestState(t)
-	j := submitJob(t, s, `{"queue":"q","steps":[
+	job := submitJob(t, s, `{"queue":"q","steps":[
 		{"name":"a","kind":"x","tasks":2,"gang":true,"joint":true,"keeps":true},
 		{"name":"b","kind":"x"}]}`)
 	apply(s, 2*sec, Command{Assignments: []Assignment{
@@ -173,30 +173,30 @@
 		{ID: attemptID(0, 1), Outcome: OutcomeStopped, Checkpoint: "r1"},
 		{ID: attemptID(1, 1), Outcome: OutcomeLeaseExpired},
 	}})
-	is.Equal(j.Tasks[0].Checkpoint, "r1")
-	is.Equal(j.Tasks[1].Checkpoint, "r1") // that of any member is good for the gang
+	is.Equal(job.Tasks[0].Checkpoint, "r1")
+	is.Equal(job.Tasks[1].Checkpoint, "r1") // that of any member is good for the gang
 	b := types.TaskNumber(0, 1, 0)
 	assign(s, 4*sec, b)
 	apply(s, 5*sec, Command{Ends: []AttemptEnd{{ID: attemptID(b, 1), Outcome: OutcomeStopped, Checkpoint: "r2"}}})
-	is.Equal(j.Task(b).Checkpoint, "") // this step keeps none
+	is.Equal(job.Task(b).Checkpoint, "") // this step keeps none
 }
 
 // Nothing counts any more of an attempt whose lease expired.
 func TestExpiredLeaseIsFinal(t *testing.T) {
 	is := is.New(t)
 	s := newTestState(t)
-	j := submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
+	job := submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
 	assign(s, 2*sec, 0)
 	end(s, 3*sec, 0, 1, OutcomeLeaseExpired)
 	is.Equal(len(s.UnresolvedAttempts("k")), 0)
-	is.True(j.Task(0).EndIsKnown(1, OutcomeOK))
+	is.True(job.Task(0).EndIsKnown(1, OutcomeOK))
 	end(s, 3*sec, 0, 1, OutcomeOK) // reported late: it does not count
-	is.Equal(j.DoneTasks, 0)
+	is.Equal(job.DoneTasks, 0)
 	is.Equal(len(assign(s, 4*sec, 0)), 1)
 	end(s, 4*sec, 0, 1, OutcomeFailed)
-	is.Equal(j.Task(0).Failures, 0)
+	is.Equal(job.Task(0).Failures, 0)
 	end(s, 5*sec, 0, 2, OutcomeOK)
-	is.Equal(j.Status, JobDone)
+	is.Equal(job.Status, JobDone)
 }
 
 // An unresolved attempt of any step and occurrence is listed by the id under which it was
@@ -220,7 +220,7 @@
 func TestLossBackoffDoubles(t *testing.T) {
 	is := is.New(t)
 	s := newTestState(t)
-	j := submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
+	job := submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
 	at, backoffs := 2*sec, []time.Duration{}
 	for n := 1; n <= 12; n++ {
 		is.Equal(len(assign(s, at, 0)), 1)
@@ -228,8 +228,8 @@
 			end(s, at, 0, n, OutcomeLost)
 		}
 		end(s, at, 0, n, OutcomeWorkerExited)
-		backoffs = append(backoffs, j.Tasks[0].ReadyAt.Sub(at))
-		at = j.Tasks[0].ReadyAt
+		backoffs = append(backoffs, job.Tasks[0].ReadyAt.Sub(at))
+		at = job.Tasks[0].ReadyAt
 	}
 	is.Equal(backoffs[0], 200*time.Millisecond)
 	is.Equal(backoffs[1], 400*time.Millisecond)
--- a/internal/state/cancellation_test.go
+++ b/internal/state/cancellation_test.go
@@ -19,8 +19,8 @@
 	is.Equal(len(assign(s, 3*sec, 0)), 0)
 	end(s, 3*sec, 0, 1, OutcomeLost)
 	is.Equal(s.Jobs["j"].Status, JobCancelled)
-	_, refusal := s.Apply(Command{Time: 4 * sec, Cancel: "j"})
-	is.True(refusal == nil) // a repeat is no error
-	_, refusal = s.Apply(Command{Time: 4 * sec, Cancel: "nobody"})
-	is.Equal(refusal.Kind, apierror.NoSuchJob)
+	_, rejection := s.Apply(Command{Time: 4 * sec, Cancel: "j"})
+	is.True(rejection == nil) // a repeat is no error
+	_, rejection = s.Apply(Command{Time: 4 * sec, Cancel: "nobody"})
+	is.Equal(rejection.Kind, apierror.NoSuchJob)
 }
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -24,14 +24,14 @@
 }
 
 // Apply applies one command. It returns the assignments that were made, with the attempt
-// numbers that they got, and the refusal with which whoever proposed the command is
+// numbers that they got, and the rejection with which whoever proposed the command is
 // answered, or nil.
-func (s *State) Apply(command Command) (assigned []Assignment, refusal *apierror.Error) {
+func (s *State) Apply(command Command) (assigned []Assignment, rejection *apierror.Error) {
 	s.Time = max(s.Time, command.Time)
 	if command.WallOffset != nil {
 		s.WallOffset = *command.WallOffset
 	}
-	refusal = s.applyRequest(command)
+	rejection = s.applyRequest(command)
 	for _, withdrawal := range command.Withdrawals {
 		s.applyWithdrawal(withdrawal)
 	}
@@ -43,7 +43,7 @@
 		s.applyWorkerShape(shape)
 	}
 	s.expireEndedJobs()
-	return assigned, refusal
+	return assigned, rejection
 }
 
 // applyRequest applies what a command holds of a caller's or operator's request.
--- a/internal/state/doc.go
+++ b/internal/state/doc.go
@@ -24,7 +24,7 @@
 // State.Apply is the only way to change the state. It takes one Command from the log and
 // looks at nothing but the command and the state, so that all controllers come to the same
 // state. Time passes only by the cluster time that commands carry. Each kind of command
-// has a file of its own, with its apply method and, where a caller may be refused, the
+// has a file of its own, with its apply method and, where the request may be rejected, the
 // check (CheckTable, CheckJob, CheckCancel) that the leader makes before it proposes the
 // command and Apply makes again.
 //
@@ -35,7 +35,7 @@
 //   - A task counts as done once any of its attempts ended well, however late that is
 //     known, unless the attempt's lease expired first.
 //   - An id that was accepted is answered as such for TombstoneAge and never runs twice.
-//   - A table that was accepted is never refused when it is sent again (History).
+//   - A table that was accepted is never rejected when it is sent again (History).
 //
 // # Stored form
 //
--- a/internal/state/drain.go
+++ b/internal/state/drain.go
@@ -65,7 +65,7 @@
 
 // replaceInList drops the items that are the same as the new one, and unless remove is
 // set appends the new one. The list itself is not changed but replaced by another. It
-// returns a refusal if there would be more than limit items.
+// returns a rejection if there would be more than limit items.
 func replaceInList[T any](list *[]T, item T, same func(T) bool, remove bool, limit int) *apierror.Error {
 	next := slices.DeleteFunc(slices.Clone(*list), same)
 	switch {
--- a/internal/state/drain_test.go
+++ b/internal/state/drain_test.go
@@ -14,8 +14,8 @@
 	is := is.New(t)
 	s := newTestState(t)
 	apply := func(drain Drain) *apierror.Error {
-		_, refusal := s.Apply(Command{Time: 2 * sec, Drain: &drain})
-		return refusal
+		_, rejection := s.Apply(Command{Time: 2 * sec, Drain: &drain})
+		return rejection
 	}
 	worker, rack := Target{Shard: "k"}, Target{Rack: "r"}
 	is.Equal(apply(Drain{Target: worker, Cancel: true}).Kind, apierror.NotDrained)
@@ -37,8 +37,8 @@
 	s := newTestState(t)
 	apply := func(name string, windows ...[2]types.WallTime) *apierror.Error {
 		calendar := Calendar{Name: name, Target: Target{Rack: "r"}, Windows: windows}
-		_, refusal := s.Apply(Command{Time: 2 * sec, Calendar: &calendar})
-		return refusal
+		_, rejection := s.Apply(Command{Time: 2 * sec, Calendar: &calendar})
+		return rejection
 	}
 	is.Equal(apply("c").Kind, apierror.NoSuchCalendar)
 	is.True(apply("c", [2]types.WallTime{1, 2}) == nil)
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -38,15 +38,15 @@
 	s := New()
 	s.header = goldentest.Fill[header](changes)
 	for i, stage := range []JobStatus{JobOpen, JobEnding, JobDone, JobFailed, JobCancelled} {
-		j := goldentest.Fill[Job](stage)
-		j.ID += types.JobID(rune('a' + i))
-		j.Seq += uint64(i)
-		s.Jobs[j.ID] = &j
+		job := goldentest.Fill[Job](stage)
+		job.ID += types.JobID(rune('a' + i))
+		job.Seq += uint64(i)
+		s.Jobs[job.ID] = &job
 	}
 	for i, stage := range []JobStatus{JobDone, JobFailed, JobCancelled} {
-		j := goldentest.Fill[Job](stage, "00000000000000af")
-		j.ID += types.JobID(rune('k' + i))
-		s.tombstones.add(&j)
+		job := goldentest.Fill[Job](stage, "00000000000000af")
+		job.ID += types.JobID(rune('k' + i))
+		s.tombstones.add(&job)
 	}
 	s.buildIndexes()
 	goldentest.File(t, "snapshot.jsonl", snapshot(s))
@@ -65,7 +65,7 @@
 }
 
 // A log with every kind of command, as earlier builds wrote it, comes to the same
-// state, refusals and snapshot; and so does it when a snapshot is read back half way.
+// state, rejections and snapshot; and so does it when a snapshot is read back half way.
 func TestLogGolden(t *testing.T) {
 	b, err := os.ReadFile("testdata/commands.jsonl")
 	if err != nil {
@@ -85,8 +85,8 @@
 			if err := json.Unmarshal(line, &command); err != nil {
 				t.Fatal(err)
 			}
-			given, refused := s.Apply(command)
-			for _, part := range []any{given, refused} {
+			given, rejected := s.Apply(command)
+			for _, part := range []any{given, rejected} {
 				b, err := json.Marshal(part)
 				if err != nil {
 					t.Fatal(err)
--- a/internal/state/helpers_test.go
+++ b/internal/state/helpers_test.go
@@ -17,12 +17,12 @@
 func newTestState(t *testing.T) *State {
 	t.Helper()
 	s := New()
-	_, refusal := s.Apply(Command{Time: sec, Table: &config.Table{Queues: []config.Queue{{
+	_, rejection := s.Apply(Command{Time: sec, Table: &config.Table{Queues: []config.Queue{{
 		Name: "q", Weight: 1, MaxRunning: 10, MaxUnfinished: 2, MaxFailures: 2,
 		TaskTimeoutMillis: 1000, UnresolvedTimeoutMillis: 5000,
 	}}}})
-	if refusal != nil {
-		t.Fatal(refusal)
+	if rejection != nil {
+		t.Fatal(rejection)
 	}
 	return s
 }
@@ -45,7 +45,7 @@
 	return s.Jobs["j"]
 }
 
-// apply applies a command, which may be refused, and returns the assignments made.
+// apply applies a command, which may be rejected, and returns the assignments made.
 func apply(s *State, at types.ClusterTime, command Command) []Assignment {
 	command.Time = at
 	assigned, _ := s.Apply(command)
--- a/internal/state/history.go
+++ b/internal/state/history.go
@@ -26,7 +26,7 @@
 }
 
 // History lists the tables that were accepted, oldest first. A table that is sent again
-// is recognized by it, and a table is refused as stale only where the history proves that
+// is recognized by it, and a table is rejected as stale only where the history proves that
 // it was not accepted.
 //
 // Versions rise strictly, so every change that was accepted with a version above the
--- a/internal/state/history_test.go
+++ b/internal/state/history_test.go
@@ -23,8 +23,8 @@
 }
 
 // Tables that are sent again, against a model that forgets nothing: an accepted one is
-// acknowledged or left unclear, never refused as stale, over snapshots and restarts.
-func TestRepeatedTablesAreNeverRefusedOnceAccepted(t *testing.T) {
+// acknowledged or left unclear, never rejected as stale, over snapshots and restarts.
+func TestRepeatedTablesAreNeverRejectedOnceAccepted(t *testing.T) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewSource(1))
 	s := New()
@@ -35,47 +35,47 @@
 		requested := base + 1 + types.Version(rnd.Intn(9))
 		first := tableChange(base, requested, 1+rnd.Intn(1<<20))
 		second := tableChange(base, requested, 1+rnd.Intn(1<<20))
-		_, refusal := s.Apply(Command{Table: &first})
-		is.True(refusal == nil)
-		_, refusal = s.Apply(Command{Table: &second}) // another operator asked for the same version
-		is.Equal(refusal.Kind, apierror.StaleVersion)
+		_, rejection := s.Apply(Command{Table: &first})
+		is.True(rejection == nil)
+		_, rejection = s.Apply(Command{Table: &second}) // another operator asked for the same version
+		is.Equal(rejection.Kind, apierror.StaleVersion)
 		accepted, lost = append(accepted, first), append(lost, second)
 		if n%1500 == 0 {
 			s = restoredCopy(t, s)
 		}
 		i := rnd.Intn(len(accepted))
 		before := s.Table
-		_, refusal = s.Apply(Command{Table: &accepted[i]})
-		if refusal == nil {
+		_, rejection = s.Apply(Command{Table: &accepted[i]})
+		if rejection == nil {
 			acknowledged++
 		} else {
-			is.Equal(refusal.Kind, apierror.OutcomeUnknown) // not refused as stale
+			is.Equal(rejection.Kind, apierror.OutcomeUnknown) // not rejected as stale
 			is.True(len(accepted)-i > HistoryLimit)
 			unclear++
 		}
-		_, refusal = s.Apply(Command{Table: &lost[i]})
-		is.True(refusal != nil) // it lost its race, and stays lost
+		_, rejection = s.Apply(Command{Table: &lost[i]})
+		is.True(rejection != nil) // it lost its race, and stays lost
 		if len(accepted)-i <= HistoryLimit {
-			is.Equal(refusal.Kind, apierror.StaleVersion)
+			is.Equal(rejection.Kind, apierror.StaleVersion)
 		}
 		is.Equal(s.Table.Version, before.Version)
 		is.True(s.Table.SameContent(before))
 	}
-	for i, refusal := range []*apierror.Error{s.CheckTable(accepted[0]), s.CheckTable(accepted[len(accepted)-1])} {
-		is.Equal(refusal != nil && refusal.Kind == apierror.OutcomeUnknown, i == 0)
+	for i, rejection := range []*apierror.Error{s.CheckTable(accepted[0]), s.CheckTable(accepted[len(accepted)-1])} {
+		is.Equal(rejection != nil && rejection.Kind == apierror.OutcomeUnknown, i == 0)
 	}
 	is.True(acknowledged > HistoryLimit)
 	is.True(unclear > 0)
 }
 
-// A table that asks for a version up to that in force is refused, since it can't have been
+// A table that asks for a version up to that in force is rejected, since it can't have been
 // accepted.
-func TestTableNotAboveItsBaseIsRefused(t *testing.T) {
+func TestTableNotAboveItsBaseIsRejected(t *testing.T) {
 	is := is.New(t)
 	s := New()
 	first := tableChange(0, 7, 1)
-	_, refusal := s.Apply(Command{Table: &first})
-	is.True(refusal == nil)
+	_, rejection := s.Apply(Command{Table: &first})
+	is.True(rejection == nil)
 	is.Equal(s.CheckTable(tableChange(7, 7, 1)).Kind, apierror.BadField)
 	is.Equal(s.CheckTable(tableChange(7, 3, 1)).Kind, apierror.BadField)
 	is.Equal(s.CheckTable(tableChange(3, 7, 2)).Kind, apierror.StaleVersion)
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -106,9 +106,9 @@
 	j.eachStage(func(stage jobStage) {
 		stopAll := j.Status == JobEnding || j.BrokenGangs[stage.id]
 		for i := range stage.tasks {
-			t := &stage.tasks[i]
-			for _, attempt := range t.Outstanding() {
-				if stopAll || t.Done || attempt.Withdrawn != "" {
+			task := &stage.tasks[i]
+			for _, attempt := range task.Outstanding() {
+				if stopAll || task.Done || attempt.Withdrawn != "" {
 					list = append(list, types.AttemptID{
 						TaskID:  types.TaskID{Job: j.ID, TaskNumber: stage.id.TaskNumber(i)},
 						Attempt: attempt.Number,
@@ -127,8 +127,9 @@
 		return nil
 	}
 	for i := range j.Tasks {
-		t := &j.Tasks[i]
-		if t.Primary == nil && t.UnresolvedOn != "" && !t.Done && t.exhausted(queue) && t.ReadyAt <= now {
+		task := &j.Tasks[i]
+		awaitsEnd := task.Primary == nil && task.UnresolvedOn != "" && !task.Done
+		if awaitsEnd && task.exhausted(queue) && task.ReadyAt <= now {
 			list = append(list, AttemptEnd{ID: j.lastAttemptID(i), Outcome: OutcomeWaitExpired})
 		}
 	}
@@ -144,36 +145,36 @@
 }
 
 // markDone marks a task as done.
-func (j *Job) markDone(t *Task) {
-	if t.Done {
+func (j *Job) markDone(task *Task) {
+	if task.Done {
 		return
 	}
-	t.Done = true
-	t.Failed = false
-	t.UnresolvedOn = ""
+	task.Done = true
+	task.Failed = false
+	task.UnresolvedOn = ""
 	j.DoneTasks++
 }
 
 // failIfExhausted fails a task that may have no further attempt, unless a lost attempt of
 // it may still turn out to have ended well.
-func (j *Job) failIfExhausted(t *Task, queue config.Queue) {
-	if t.Done || t.Failed || t.UnresolvedOn != "" {
+func (j *Job) failIfExhausted(task *Task, queue config.Queue) {
+	if task.Done || task.Failed || task.UnresolvedOn != "" {
 		return
 	}
 	switch {
-	case t.Failures >= queue.MaxFailures:
-		t.Failed = true
-		j.Reason = fmt.Sprintf("task %d failed %d times", j.taskNumber(t), t.Failures)
-	case queue.MaxLosses > 0 && t.Losses >= queue.MaxLosses && t.Primary == nil:
-		t.Failed = true
-		j.Reason = fmt.Sprintf("task %d was lost with its worker %d times", j.taskNumber(t), t.Losses)
+	case task.Failures >= queue.MaxFailures:
+		task.Failed = true
+		j.Reason = fmt.Sprintf("task %d failed %d times", j.taskNumber(task), task.Failures)
+	case queue.MaxLosses > 0 && task.Losses >= queue.MaxLosses && task.Primary == nil:
+		task.Failed = true
+		j.Reason = fmt.Sprintf("task %d was lost with its worker %d times", j.taskNumber(task), task.Losses)
 	}
 }
 
 // taskNumber returns the number of one of the job's tasks.
-func (j *Job) taskNumber(t *Task) int {
+func (j *Job) taskNumber(task *Task) int {
 	for i := range j.Tasks {
-		if &j.Tasks[i] == t {
+		if &j.Tasks[i] == task {
 			return j.Spec.TaskNumber(i)
 		}
 	}
--- a/internal/state/job_index.go
+++ b/internal/state/job_index.go
@@ -30,92 +30,92 @@
 
 // newJobIndex lists jobs.
 func newJobIndex(jobs map[types.JobID]*Job) jobIndex {
-	x := jobIndex{live: map[types.JobID]*Job{}, usage: map[types.QueueName]queueUsage{}}
-	for _, j := range jobs {
-		if j.Ended() {
-			x.ended = append(x.ended, j)
+	ji := jobIndex{live: map[types.JobID]*Job{}, usage: map[types.QueueName]queueUsage{}}
+	for _, job := range jobs {
+		if job.Ended() {
+			ji.ended = append(ji.ended, job)
 		} else {
-			x.add(j)
+			ji.add(job)
 		}
 	}
-	slices.SortFunc(x.inOrder, func(a, b *Job) int { return cmp.Compare(a.Seq, b.Seq) })
-	slices.SortFunc(x.ended, func(a, b *Job) int {
+	slices.SortFunc(ji.inOrder, func(a, b *Job) int { return cmp.Compare(a.Seq, b.Seq) })
+	slices.SortFunc(ji.ended, func(a, b *Job) int {
 		return cmp.Or(cmp.Compare(a.EndedAt, b.EndedAt), cmp.Compare(a.Seq, b.Seq))
 	})
-	return x
+	return ji
 }
 
 // add adds a live job, the newest of all.
-func (x *jobIndex) add(j *Job) {
-	x.live[j.ID] = j
-	x.inOrder = append(x.inOrder, j)
-	x.addUsage(j, 1)
+func (ji *jobIndex) add(job *Job) {
+	ji.live[job.ID] = job
+	ji.inOrder = append(ji.inOrder, job)
+	ji.addUsage(job, 1)
 }
 
 // end moves a job that has just ended to the ended ones.
-func (x *jobIndex) end(j *Job) {
-	delete(x.live, j.ID)
-	x.ended = append(x.ended, j)
-	x.addUsage(j, -1)
+func (ji *jobIndex) end(job *Job) {
+	delete(ji.live, job.ID)
+	ji.ended = append(ji.ended, job)
+	ji.addUsage(job, -1)
 }
 
 // addUsage adds a job to its queue's usage, or removes it with sign -1.
-func (x *jobIndex) addUsage(j *Job, sign int) {
-	usage := x.usage[j.Queue]
+func (ji *jobIndex) addUsage(job *Job, sign int) {
+	usage := ji.usage[job.Queue]
 	usage.jobs += sign
-	usage.tasks += sign * j.TaskCount
-	usage.bytes += sign * j.ApproxBytes
-	x.usage[j.Queue] = usage
+	usage.tasks += sign * job.TaskCount
+	usage.bytes += sign * job.ApproxBytes
+	ji.usage[job.Queue] = usage
 }
 
 // liveInOrder returns the live jobs, oldest first. The list is valid until the next change.
-func (x *jobIndex) liveInOrder() []*Job {
-	live := x.inOrder[:0]
-	for _, j := range x.inOrder {
-		if !j.Ended() {
-			live = append(live, j)
+func (ji *jobIndex) liveInOrder() []*Job {
+	live := ji.inOrder[:0]
+	for _, job := range ji.inOrder {
+		if !job.Ended() {
+			live = append(live, job)
 		}
 	}
-	x.inOrder = live
+	ji.inOrder = live
 	return live
 }
 
 // compact removes ended jobs from the ordered list if there are many.
-func (x *jobIndex) compact() {
-	if len(x.inOrder) > 2*len(x.live)+compactionSlack {
-		x.liveInOrder()
+func (ji *jobIndex) compact() {
+	if len(ji.inOrder) > 2*len(ji.live)+compactionSlack {
+		ji.liveInOrder()
 	}
 }
 
 // popExpired removes the job that ended first and returns it, if it is beyond the bounds
 // on ended jobs; otherwise it returns nil.
-func (x *jobIndex) popExpired(now types.ClusterTime) *Job {
-	if len(x.ended) == 0 {
+func (ji *jobIndex) popExpired(now types.ClusterTime) *Job {
+	if len(ji.ended) == 0 {
 		return nil
 	}
-	oldest := x.ended[0]
-	if len(x.ended) <= EndedJobLimit && now.Sub(oldest.EndedAt) <= EndedJobAge {
+	oldest := ji.ended[0]
+	if len(ji.ended) <= EndedJobLimit && now.Sub(oldest.EndedAt) <= EndedJobAge {
 		return nil
 	}
-	x.ended = x.ended[1:]
+	ji.ended = ji.ended[1:]
 	return oldest
 }
 
 // closeIfEnded moves a job that has just ended from the live jobs to the ended ones.
-func (s *State) closeIfEnded(j *Job) {
-	if !j.Ended() || s.index.live[j.ID] == nil {
+func (s *State) closeIfEnded(job *Job) {
+	if !job.Ended() || s.index.live[job.ID] == nil {
 		return
 	}
-	s.index.end(j)
-	s.queueCounts(j.Queue).jobEnded(j.Status)
+	s.index.end(job)
+	s.queueCounts(job.Queue).jobEnded(job.Status)
 }
 
 // expireEndedJobs replaces ended jobs beyond the bounds by tombstones and drops
 // tombstones that are old enough.
 func (s *State) expireEndedJobs() {
-	for j := s.index.popExpired(s.Time); j != nil; j = s.index.popExpired(s.Time) {
-		delete(s.Jobs, j.ID)
-		s.tombstones.add(j)
+	for job := s.index.popExpired(s.Time); job != nil; job = s.index.popExpired(s.Time) {
+		delete(s.Jobs, job.ID)
+		s.tombstones.add(job)
 	}
 	s.tombstones.expire(s.Time)
 	s.index.compact()
--- a/internal/state/job_index_test.go
+++ b/internal/state/job_index_test.go
@@ -15,10 +15,10 @@
 	is := is.New(t)
 	x := newJobIndex(nil)
 	for i := range EndedJobLimit + 2 {
-		j := &Job{ID: types.JobID(fmt.Sprint(i)), Queue: "q", TaskCount: 1, Status: JobOpen}
-		x.add(j)
-		j.Status, j.EndedAt = JobDone, types.ClusterTime(i)
-		x.end(j)
+		job := &Job{ID: types.JobID(fmt.Sprint(i)), Queue: "q", TaskCount: 1, Status: JobOpen}
+		x.add(job)
+		job.Status, job.EndedAt = JobDone, types.ClusterTime(i)
+		x.end(job)
 	}
 	now := types.ClusterTime(EndedJobLimit)
 	is.Equal(x.popExpired(now).ID, types.JobID("0")) // two too many
@@ -36,10 +36,10 @@
 	oldest := &Job{ID: "oldest", Seq: 1, Status: JobOpen}
 	x.add(oldest)
 	for i := range 10 * compactionSlack {
-		j := &Job{ID: types.JobID(fmt.Sprint(i)), Seq: uint64(i + 2), Status: JobOpen}
-		x.add(j)
-		j.Status = JobDone
-		x.end(j)
+		job := &Job{ID: types.JobID(fmt.Sprint(i)), Seq: uint64(i + 2), Status: JobOpen}
+		x.add(job)
+		job.Status = JobDone
+		x.end(job)
 		x.compact()
 		is.True(len(x.inOrder) <= 2+compactionSlack)
 	}
--- a/internal/state/job_spec.go
+++ b/internal/state/job_spec.go
@@ -107,7 +107,7 @@
 	if s.Request != "" {
 		return s.Request
 	}
-	encoded, _ := json.Marshal(s) // fails only for a Work that is not JSON, which ReadSpec refuses
+	encoded, _ := json.Marshal(s) // fails only for a Work that is not JSON, which ReadSpec rejects
 	sum := sha256.Sum256(encoded)
 	return hex.EncodeToString(sum[:hashBytes])
 }
--- a/internal/state/job_spec_decode_test.go
+++ b/internal/state/job_spec_decode_test.go
@@ -54,7 +54,7 @@
 	is.Equal(err.StatusCode(), 422)
 }
 
-func TestMalformedJobsAreRefused(t *testing.T) {
+func TestMalformedJobsAreRejected(t *testing.T) {
 	is := is.New(t)
 	for _, document := range []string{``, `{`, `{"queue":"q"}{}`, `{"queue":"q",}`, "\x00", `{"queue":"\ud800`} {
 		_, err := decodeInvalid(t, document)
--- a/internal/state/queue_table.go
+++ b/internal/state/queue_table.go
@@ -13,8 +13,8 @@
 // same content.
 func (s *State) IsRepeat(table config.Table) bool { return s.History.contains(changeOf(table)) }
 
-// CheckTable reports why a table is refused, or nil if it may be put in force now or is
-// a repeat. It is refused as stale only where it surely was not accepted earlier.
+// CheckTable reports why a table is rejected, or nil if it may be put in force now or is
+// a repeat. It is rejected as stale only where it surely was not accepted earlier.
 func (s *State) CheckTable(table config.Table) *apierror.Error {
 	if s.IsRepeat(table) {
 		return nil
@@ -36,7 +36,7 @@
 	return s.checkRemovedQueues(table)
 }
 
-// checkRemovedQueues refuses a table that leaves out a queue with unfinished jobs.
+// checkRemovedQueues rejects a table that leaves out a queue with unfinished jobs.
 func (s *State) checkRemovedQueues(table config.Table) *apierror.Error {
 	for i, queue := range s.Table.Queues {
 		jobs := s.index.usage[queue.Name].jobs
@@ -50,10 +50,10 @@
 	return nil
 }
 
-// applyTable puts a table in force unless CheckTable refuses it. It is idempotent.
+// applyTable puts a table in force unless CheckTable rejects it. It is idempotent.
 func (s *State) applyTable(table config.Table) *apierror.Error {
-	if refusal := s.CheckTable(table); refusal != nil {
-		return refusal
+	if rejection := s.CheckTable(table); rejection != nil {
+		return rejection
 	}
 	if s.IsRepeat(table) {
 		return nil
@@ -85,17 +85,17 @@
 
 // failExhaustedTasks fails the tasks to which a new table leaves no further attempt.
 func (s *State) failExhaustedTasks() {
-	for _, j := range s.LiveJobs() {
-		if j.Status != JobOpen {
+	for _, job := range s.LiveJobs() {
+		if job.Status != JobOpen {
 			continue
 		}
-		s.beforeChange(j)
-		queue := s.effectiveQueueConfig(j.Queue)
-		for i := range j.Tasks {
-			j.failIfExhausted(&j.Tasks[i], queue)
+		s.beforeChange(job)
+		queue := s.effectiveQueueConfig(job.Queue)
+		for i := range job.Tasks {
+			job.failIfExhausted(&job.Tasks[i], queue)
 		}
-		j.updateStatus(s.Time)
-		s.closeIfEnded(j)
+		job.updateStatus(s.Time)
+		s.closeIfEnded(job)
 	}
 }
 
--- a/internal/state/queue_usage.go
+++ b/internal/state/queue_usage.go
@@ -21,12 +21,12 @@
 	used  func(queueUsage) int // by a queue's unfinished jobs
 }
 
-// checkBudget refuses a job with which the unfinished work would exceed the table's
+// checkBudget rejects a job with which the unfinished work would exceed the table's
 // limits.
 func (s *State) checkBudget(spec Spec) *apierror.Error {
 	tasks := budget{"tasks", s.Table.TaskLimit(), spec.TotalTasks(), func(u queueUsage) int { return u.tasks }}
-	if refusal := s.checkOneBudget(spec.Queue, tasks); refusal != nil {
-		return refusal
+	if rejection := s.checkOneBudget(spec.Queue, tasks); rejection != nil {
+		return rejection
 	}
 	bytes := budget{"bytes", s.Table.ByteLimit(), spec.ApproxBytes(), func(u queueUsage) int { return u.bytes }}
 	return s.checkOneBudget(spec.Queue, bytes)
--- a/internal/state/queue_usage_test.go
+++ b/internal/state/queue_usage_test.go
@@ -22,19 +22,19 @@
 			MaxFailures: 3, TaskTimeoutMillis: 1000,
 		})
 	}
-	_, refusal := s.Apply(Command{Time: sec, Table: &config.Table{MaxTasks: 20_000, Queues: queues}})
-	is.True(refusal == nil)
+	_, rejection := s.Apply(Command{Time: sec, Table: &config.Table{MaxTasks: 20_000, Queues: queues}})
+	is.True(rejection == nil)
 	spec := submission("", 100).Job.Spec
 	submit := func(queue string, i int) *apierror.Error {
 		spec.Queue = types.QueueName(queue)
-		_, refusal := s.Apply(Command{Time: sec, Job: &Submission{types.JobID(fmt.Sprint(queue, "-", i)), spec}})
-		return refusal
+		_, rejection := s.Apply(Command{Time: sec, Job: &Submission{types.JobID(fmt.Sprint(queue, "-", i)), spec}})
+		return rejection
 	}
 	accepted := -1
-	for refusal = nil; refusal == nil; accepted++ {
-		refusal = submit("q0", accepted+1)
+	for rejection = nil; rejection == nil; accepted++ {
+		rejection = submit("q0", accepted+1)
 	}
-	is.Equal(refusal.Kind, apierror.QueueFull)
+	is.Equal(rejection.Kind, apierror.QueueFull)
 	is.Equal(accepted, 110) // its own tenth of one half, and the whole other half
 	for i := 1; i < 10; i++ {
 		for k := range 10 {
--- a/internal/state/ready_index.go
+++ b/internal/state/ready_index.go
@@ -33,15 +33,15 @@
 
 // ReadyIndex returns the ready index of a live job at a time. It must not be changed and is
 // valid until the next command is applied.
-func (s *State) ReadyIndex(j *Job, now types.ClusterTime) *ReadyIndex {
-	index := j.readyIndex
+func (s *State) ReadyIndex(job *Job, now types.ClusterTime) *ReadyIndex {
+	index := job.readyIndex
 	if index != nil && now < index.validUntil && index.wallOffset == s.WallOffset &&
 		index.tableVersion == s.Table.Version {
 		return index
 	}
-	index = computeReadyIndex(j, s.effectiveQueueConfig(j.Queue), now, s.WallOffset)
+	index = computeReadyIndex(job, s.effectiveQueueConfig(job.Queue), now, s.WallOffset)
 	index.tableVersion = s.Table.Version
-	j.readyIndex = index
+	job.readyIndex = index
 	return index
 }
 
@@ -54,15 +54,15 @@
 }
 
 // computeReadyIndex computes the ready index of a live job.
-func computeReadyIndex(j *Job, queue config.Queue, now types.ClusterTime, wallOffset types.WallTime) *ReadyIndex {
-	b := readyIndexBuilder{job: j, queue: queue, now: now, index: &ReadyIndex{
-		RemainingTasks: make([]int, len(j.Spec.Steps)),
-		ToStop:         j.ToStop(),
-		Exhausted:      j.Exhausted(queue, now),
+func computeReadyIndex(job *Job, queue config.Queue, now types.ClusterTime, wallOffset types.WallTime) *ReadyIndex {
+	b := readyIndexBuilder{job: job, queue: queue, now: now, index: &ReadyIndex{
+		RemainingTasks: make([]int, len(job.Spec.Steps)),
+		ToStop:         job.ToStop(),
+		Exhausted:      job.Exhausted(queue, now),
 		validUntil:     types.DistantFuture,
 		wallOffset:     wallOffset,
 	}}
-	j.eachStage(b.addStage)
+	job.eachStage(b.addStage)
 	return b.index
 }
 
@@ -91,14 +91,14 @@
 // again when a task that waits may be assigned.
 func (b *readyIndexBuilder) addOutstanding(stage jobStage) {
 	for i := range stage.tasks {
-		t := &stage.tasks[i]
+		task := &stage.tasks[i]
 		switch {
-		case t.Primary != nil:
-			count := len(t.Outstanding())
+		case task.Primary != nil:
+			count := len(task.Outstanding())
 			b.index.OutstandingAttempts += count
 			b.index.CoresInUse += stage.step.Resources.Cores * types.MilliCores(count)
-		case !t.Done && !t.Failed:
-			b.recheckAt(t.ReadyAt)
+		case !task.Done && !task.Failed:
+			b.recheckAt(task.ReadyAt)
 		}
 	}
 }
@@ -116,17 +116,17 @@
 	ready := ReadyStage{Stage: stage.id, ReadySince: max(b.job.AcceptedAt, start)}
 	complete := true
 	for i := range stage.tasks {
-		t := &stage.tasks[i]
-		if t.Done {
+		task := &stage.tasks[i]
+		if task.Done {
 			continue
 		}
-		if !b.job.canAssign(t, b.queue, b.now) {
+		if !b.job.canAssign(task, b.queue, b.now) {
 			complete = false
 			continue
 		}
 		ready.Tasks = append(ready.Tasks, stage.id.TaskNumber(i))
-		if t.AvoidWorker != "" {
-			ready.avoid(t.AvoidWorker)
+		if task.AvoidWorker != "" {
+			ready.avoid(task.AvoidWorker)
 		}
 	}
 	if len(ready.Tasks) > 0 && (complete || !stage.step.Gang) {
--- a/internal/state/snapshot_loader.go
+++ b/internal/state/snapshot_loader.go
@@ -53,8 +53,8 @@
 	if err := json.Unmarshal(encoded, &part); err != nil {
 		return apierror.Wrap(apierror.Unusable, err, "reading a part of the snapshot")
 	}
-	for _, j := range part.Jobs {
-		s.Jobs[j.ID] = j
+	for _, job := range part.Jobs {
+		s.Jobs[job.ID] = job
 	}
 	for _, row := range part.Tombstones {
 		s.tombstones.put(row.id, row.tombstone)
--- a/internal/state/snapshot_test.go
+++ b/internal/state/snapshot_test.go
@@ -57,9 +57,9 @@
 // checkReadyIndexes compares the ready indexes that are kept with new ones.
 func checkReadyIndexes(is *is.I, s *State, at types.ClusterTime) {
 	is.Helper()
-	for _, j := range s.LiveJobs() {
-		kept := *s.ReadyIndex(j, at)
-		computed := *computeReadyIndex(j, s.effectiveQueueConfig("q"), at, s.WallOffset)
+	for _, job := range s.LiveJobs() {
+		kept := *s.ReadyIndex(job, at)
+		computed := *computeReadyIndex(job, s.effectiveQueueConfig("q"), at, s.WallOffset)
 		kept.validUntil, computed.validUntil = 0, 0
 		computed.tableVersion = s.Table.Version
 		is.Equal(fmt.Sprint(kept), fmt.Sprint(computed))
--- a/internal/state/snapshot_writer.go
+++ b/internal/state/snapshot_writer.go
@@ -55,13 +55,13 @@
 
 // beforeChange must be called before a job changes: a snapshot in progress gets the job
 // as it is now, and its ready index is dropped.
-func (s *State) beforeChange(j *Job) {
-	j.readyIndex = nil
-	if s.snapshot == nil || j.snapshotNumber >= s.snapshot.number {
+func (s *State) beforeChange(job *Job) {
+	job.readyIndex = nil
+	if s.snapshot == nil || job.snapshotNumber >= s.snapshot.number {
 		return
 	}
-	j.snapshotNumber = s.snapshot.number
-	s.snapshot.add(mustMarshal(j))
+	job.snapshotNumber = s.snapshot.number
+	s.snapshot.add(mustMarshal(job))
 }
 
 // size returns about how many bytes were written.
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -57,8 +57,8 @@
 // Find returns a job by its id: the complete job, or what its tombstone holds, or nil if
 // the id is not known.
 func (s *State) Find(id types.JobID) *Job {
-	if j := s.Jobs[id]; j != nil {
-		return j
+	if job := s.Jobs[id]; job != nil {
+		return job
 	}
 	return s.tombstones.find(id)
 }
--- a/internal/state/submission.go
+++ b/internal/state/submission.go
@@ -14,13 +14,13 @@
 }
 
 // CheckJob reports whether a job may be accepted now: it returns the earlier job if the
-// same one was accepted under this id before, or why the job is refused, or neither.
-func (s *State) CheckJob(id types.JobID, spec Spec) (known *Job, refusal *apierror.Error) {
-	if j := s.Find(id); j != nil {
-		if j.Hash != spec.Hash() {
+// same one was accepted under this id before, or why the job is rejected, or neither.
+func (s *State) CheckJob(id types.JobID, spec Spec) (known *Job, rejection *apierror.Error) {
+	if job := s.Find(id); job != nil {
+		if job.Hash != spec.Hash() {
 			return nil, apierror.New(apierror.IDInUse, "id", "another job has this id")
 		}
-		return j, nil
+		return job, nil
 	}
 	queue, ok := s.Table.FindQueue(spec.Queue)
 	if !ok {
@@ -30,29 +30,29 @@
 		return nil, apierror.New(apierror.QueueFull, "queue",
 			fmt.Sprintf("%d unfinished jobs, as many as the queue may hold", n))
 	}
-	if refusal := s.checkIDLimit(); refusal != nil {
-		return nil, refusal
+	if rejection := s.checkIDLimit(); rejection != nil {
+		return nil, rejection
 	}
 	return nil, s.checkBudget(spec)
 }
 
-// applySubmission accepts a job unless CheckJob refuses it. It is idempotent.
+// applySubmission accepts a job unless CheckJob rejects it. It is idempotent.
 func (s *State) applySubmission(submission Submission) *apierror.Error {
-	known, refusal := s.CheckJob(submission.ID, submission.Spec)
-	if known != nil || refusal != nil {
-		return refusal
+	known, rejection := s.CheckJob(submission.ID, submission.Spec)
+	if known != nil || rejection != nil {
+		return rejection
 	}
 	s.LastSeq++
 	spec := &submission.Spec
-	j := &Job{
+	job := &Job{
 		ID: submission.ID, Seq: s.LastSeq, Hash: spec.Hash(), Queue: spec.Queue,
 		AcceptedAt: s.Time, AcceptedWallTime: types.WallTime(s.Time) + s.WallOffset,
 		Status: JobOpen, Spec: spec, TaskCount: spec.TotalTasks(), ApproxBytes: spec.ApproxBytes(),
 		snapshotNumber: s.snapshotNumber, // a snapshot in progress began before the job was there
 	}
-	j.Tasks = make([]Task, j.TaskCount)
-	s.Jobs[j.ID] = j
-	s.index.add(j)
-	s.queueCounts(j.Queue).Accepted++
+	job.Tasks = make([]Task, job.TaskCount)
+	s.Jobs[job.ID] = job
+	s.index.add(job)
+	s.queueCounts(job.Queue).Accepted++
 	return nil
 }
--- a/internal/state/submission_test.go
+++ b/internal/state/submission_test.go
@@ -15,14 +15,14 @@
 	s := newTestState(t)
 	spec := readTestSpec(t, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
 	for _, id := range []types.JobID{"a", "b", "a"} {
-		_, refusal := s.Apply(Command{Time: sec, Job: &Submission{id, spec}})
-		is.True(refusal == nil)
+		_, rejection := s.Apply(Command{Time: sec, Job: &Submission{id, spec}})
+		is.True(rejection == nil)
 	}
-	_, refusal := s.Apply(Command{Time: sec, Job: &Submission{"c", spec}})
-	is.Equal(refusal.Kind, apierror.QueueFull)
+	_, rejection := s.Apply(Command{Time: sec, Job: &Submission{"c", spec}})
+	is.Equal(rejection.Kind, apierror.QueueFull)
 	spec.Urgency = 3
-	_, refusal = s.Apply(Command{Time: sec, Job: &Submission{"a", spec}})
-	is.Equal(refusal.Kind, apierror.IDInUse)
+	_, rejection = s.Apply(Command{Time: sec, Job: &Submission{"a", spec}})
+	is.Equal(rejection.Kind, apierror.IDInUse)
 	s.BeginSnapshot()
 	apply(s, sec, Command{Cancel: "a"}) // after the snapshot began
 	restored, err := Restore(s.ContinueSnapshot(1 << 30))
@@ -48,25 +48,25 @@
 	moved.Queues[0].Name = "other" // the same route now leads to another queue
 	apply(s, 2*sec, Command{Table: &moved})
 	for _, s := range []*State{s, restoredCopy(t, s)} {
-		known, refusal := s.CheckJob("j", spec("other", "blue", 1))
-		is.True(refusal == nil)
+		known, rejection := s.CheckJob("j", spec("other", "blue", 1))
+		is.True(rejection == nil)
 		is.Equal(known.Queue, types.QueueName("q"))
-		known, refusal = s.CheckJob("j", spec("gone", "red", 1)) // a queue that was removed
-		is.True(refusal == nil && known != nil)
-		_, refusal = s.CheckJob("j", spec("q", "red", 2))
-		is.Equal(refusal.Kind, apierror.IDInUse)
-		repeat, refusal := s.CheckCancel("j")
-		is.True(!repeat && refusal == nil) // and it may be cancelled
+		known, rejection = s.CheckJob("j", spec("gone", "red", 1)) // a queue that was removed
+		is.True(rejection == nil && known != nil)
+		_, rejection = s.CheckJob("j", spec("q", "red", 2))
+		is.Equal(rejection.Kind, apierror.IDInUse)
+		repeat, rejection := s.CheckCancel("j")
+		is.True(!repeat && rejection == nil) // and it may be cancelled
 	}
 	apply(s, 3*sec, Command{Cancel: "j"})
 	for _, at := range []types.ClusterTime{4 * sec, 3600 * sec, 23 * 3600 * sec} { // in full, then as a tombstone
 		apply(s, at, Command{})
 		for _, s := range []*State{s, restoredCopy(t, s)} {
-			known, refusal := s.CheckJob("j", spec("other", "blue", 1))
-			is.True(refusal == nil)
+			known, rejection := s.CheckJob("j", spec("other", "blue", 1))
+			is.True(rejection == nil)
 			is.Equal(known.Status, JobCancelled)
-			repeat, refusal := s.CheckCancel("j")
-			is.True(repeat && refusal == nil)
+			repeat, rejection := s.CheckCancel("j")
+			is.True(repeat && rejection == nil)
 		}
 	}
 }
--- a/internal/state/tombstones.go
+++ b/internal/state/tombstones.go
@@ -42,7 +42,7 @@
 
 // tombstones is the set of all tombstones, kept in pages by time. A page is dropped as a
 // whole once it is old enough, and encoded once when it is full, so that snapshots cost
-// little. At the limit new jobs are refused; old ids are never forgotten early.
+// little. At the limit new jobs are rejected; old ids are never forgotten early.
 type tombstones struct {
 	byID  map[types.JobID]tombstone
 	pages []*tombstonePage
@@ -54,21 +54,21 @@
 }
 
 // add makes the tombstone of an ended job.
-func (to *tombstones) add(j *Job) {
-	hash, _ := strconv.ParseUint(j.Hash, 16, 64) // Spec.Hash returns 16 hexadecimal digits
-	status := max(0, slices.Index(endStatuses, j.Status))
-	to.put(j.ID, tombstone{hash: hash, endedAt: j.EndedAt, status: byte(status)})
+func (to *tombstones) add(job *Job) {
+	hash, _ := strconv.ParseUint(job.Hash, 16, 64) // Spec.Hash returns 16 hexadecimal digits
+	status := max(0, slices.Index(endStatuses, job.Status))
+	to.put(job.ID, tombstone{hash: hash, endedAt: job.EndedAt, status: byte(status)})
 }
 
 // put adds a tombstone to the last page.
-func (to *tombstones) put(id types.JobID, t tombstone) {
+func (to *tombstones) put(id types.JobID, entry tombstone) {
 	if len(to.pages) == 0 || to.pages[len(to.pages)-1].full() {
 		to.pages = append(to.pages, &tombstonePage{ids: make([]types.JobID, 0, tombstonesPerPage)})
 	}
 	page := to.pages[len(to.pages)-1]
-	to.byID[id] = t
+	to.byID[id] = entry
 	page.ids = append(page.ids, id)
-	page.lastEnd = max(page.lastEnd, t.endedAt)
+	page.lastEnd = max(page.lastEnd, entry.endedAt)
 	if page.full() {
 		page.encoded = to.encode(page)
 	}
@@ -76,11 +76,16 @@
 
 // find returns what the tombstone of a job holds, or nil if the id has none.
 func (to *tombstones) find(id types.JobID) *Job {
-	t, ok := to.byID[id]
+	entry, ok := to.byID[id]
 	if !ok {
 		return nil
 	}
-	return &Job{ID: id, Hash: fmt.Sprintf("%016x", t.hash), Status: endStatuses[t.status], EndedAt: t.endedAt}
+	return &Job{
+		ID:      id,
+		Hash:    fmt.Sprintf("%016x", entry.hash),
+		Status:  endStatuses[entry.status],
+		EndedAt: entry.endedAt,
+	}
 }
 
 // expire drops the pages whose newest tombstone is old enough.
@@ -104,15 +109,15 @@
 		if i > 0 {
 			b = append(b, ',')
 		}
-		t := to.byID[id]
+		entry := to.byID[id]
 		b = append(b, `["`...)
 		b = append(b, id...)
 		b = append(b, `","`...)
-		b = strconv.AppendUint(b, t.hash, 16)
+		b = strconv.AppendUint(b, entry.hash, 16)
 		b = append(b, `",`...)
-		b = strconv.AppendInt(b, int64(t.status), 10)
+		b = strconv.AppendInt(b, int64(entry.status), 10)
 		b = append(b, ',')
-		b = strconv.AppendInt(b, int64(t.endedAt), 10)
+		b = strconv.AppendInt(b, int64(entry.endedAt), 10)
 		b = append(b, ']')
 	}
 	return append(b, `]}`...)
@@ -141,7 +146,7 @@
 // TombstoneCount returns how many tombstones there are.
 func (s *State) TombstoneCount() int { return len(s.tombstones.byID) }
 
-// checkIDLimit refuses a new job if no more ids may be remembered. The answer says when
+// checkIDLimit rejects a new job if no more ids may be remembered. The answer says when
 // the oldest page is dropped.
 func (s *State) checkIDLimit() *apierror.Error {
 	n := len(s.tombstones.byID) + len(s.Jobs)
--- a/internal/state/tombstones_test.go
+++ b/internal/state/tombstones_test.go
@@ -32,20 +32,20 @@
 	}{{2 * sec, true}, {2 * hour, false}, {23 * hour, false}} {
 		apply(s, c.at, Command{})
 		is.Equal(s.Jobs["old"] != nil, c.inFull)
-		j, refusal := s.CheckJob("old", submission("old", 1).Job.Spec)
-		is.True(refusal == nil)
-		is.Equal(j.Status, JobDone)
-		_, refusal = s.CheckJob("old", submission("old", 2).Job.Spec)
-		is.Equal(refusal.Kind, apierror.IDInUse)
-		_, refusal = s.CheckCancel("old")
-		is.Equal(refusal.Kind, apierror.AlreadyEnded)
-		repeat, refusal := s.CheckCancel("cancelled")
-		is.True(repeat && refusal == nil)
+		job, rejection := s.CheckJob("old", submission("old", 1).Job.Spec)
+		is.True(rejection == nil)
+		is.Equal(job.Status, JobDone)
+		_, rejection = s.CheckJob("old", submission("old", 2).Job.Spec)
+		is.Equal(rejection.Kind, apierror.IDInUse)
+		_, rejection = s.CheckCancel("old")
+		is.Equal(rejection.Kind, apierror.AlreadyEnded)
+		repeat, rejection := s.CheckCancel("cancelled")
+		is.True(repeat && rejection == nil)
 	}
 	s.tombstones.limit = s.TombstoneCount() + len(s.Jobs)
-	_, refusal := s.CheckJob("new", submission("new", 1).Job.Spec)
-	is.Equal(refusal.Kind, apierror.TooManyIDs) // refused; no old id is forgotten for it
-	is.True(refusal.RetryAfterSeconds >= 60)
+	_, rejection := s.CheckJob("new", submission("new", 1).Job.Spec)
+	is.Equal(rejection.Kind, apierror.TooManyIDs) // rejected; no old id is forgotten for it
+	is.True(rejection.RetryAfterSeconds >= 60)
 	for i := range 2 * tombstonesPerPage {
 		s.tombstones.limit = TombstoneLimit
 		finishJob(s, 23*hour, fmt.Sprint("fill", i))
--- a/internal/state/withdrawal.go
+++ b/internal/state/withdrawal.go
@@ -14,7 +14,7 @@
 
 // Reasons for withdrawing an attempt. The values are stored.
 const (
-	WorkerLeaving       WithdrawReason = "its worker leaves"
+	WorkerDeparting     WithdrawReason = "its worker leaves"
 	WorkerDrained       WithdrawReason = "its worker is drained"
 	Straggling          WithdrawReason = "far beyond its usual time"
 	Preempted           WithdrawReason = "displaced by more urgent work"
@@ -23,25 +23,25 @@
 
 // applyWithdrawal withdraws an attempt if it is outstanding and its job is open.
 func (s *State) applyWithdrawal(withdrawal Withdrawal) {
-	j := s.index.live[withdrawal.ID.Job]
-	if j == nil || j.Status != JobOpen {
+	job := s.index.live[withdrawal.ID.Job]
+	if job == nil || job.Status != JobOpen {
 		return
 	}
-	t := j.Task(withdrawal.ID.TaskNumber)
-	if t == nil {
+	task := job.Task(withdrawal.ID.TaskNumber)
+	if task == nil {
 		return
 	}
-	attempt := t.FindOutstanding(withdrawal.ID.Attempt)
+	attempt := task.FindOutstanding(withdrawal.ID.Attempt)
 	if attempt == nil || attempt.Withdrawn != "" {
 		return
 	}
-	s.beforeChange(j)
+	s.beforeChange(job)
 	attempt.Withdrawn = withdrawal.Reason
 	switch withdrawal.Reason {
 	case Straggling:
-		t.AvoidWorker = attempt.Shard
+		task.AvoidWorker = attempt.Shard
 	case Preempted:
-		t.Preemptions++
+		task.Preemptions++
 	}
-	s.queueCounts(j.Queue).WithdrawnAttempts++
+	s.queueCounts(job.Queue).WithdrawnAttempts++
 }
--- a/internal/state/withdrawal_test.go
+++ b/internal/state/withdrawal_test.go
@@ -21,14 +21,14 @@
 		t.Run(string(c.reason), func(t *testing.T) {
 			is := is.New(t)
 			s := newTestState(t)
-			j := submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
+			job := submitJob(t, s, `{"queue":"q","steps":[{"name":"a","kind":"x"}]}`)
 			assign(s, 2*sec, 0)
 			withdraw := Command{Withdrawals: []Withdrawal{{ID: attemptID(0, 1), Reason: c.reason}}}
 			apply(s, 3*sec, withdraw)
 			apply(s, 3*sec, withdraw) // a repeat changes nothing
-			is.Equal(j.ToStop(), []types.AttemptID{attemptID(0, 1)})
-			is.Equal(j.Tasks[0].AvoidWorker, c.avoid)
-			is.Equal(j.Tasks[0].Preemptions, c.preemptions)
+			is.Equal(job.ToStop(), []types.AttemptID{attemptID(0, 1)})
+			is.Equal(job.Tasks[0].AvoidWorker, c.avoid)
+			is.Equal(job.Tasks[0].Preemptions, c.preemptions)
 			is.Equal(int(s.QueueCounts["q"].WithdrawnAttempts), 1)
 			is.Equal(len(assign(s, 4*sec, 0)), 0) // not before it has ended
 			end(s, 4*sec, 0, 1, OutcomeStopped)
--- a/internal/types/resources_test.go
+++ b/internal/types/resources_test.go
@@ -21,7 +21,7 @@
 	}
 	for _, text := range []string{"1.2345", "1e3", `"1"`, "1.-5"} {
 		var cores MilliCores
-		is.True(json.Unmarshal([]byte(text), &cores) != nil) // refused
+		is.True(json.Unmarshal([]byte(text), &cores) != nil) // rejected
 	}
 	encoded, err := json.Marshal(MilliCores(-1500))
 	is.NoErr(err)
--- a/sim/planted_test.go
+++ b/sim/planted_test.go
@@ -100,7 +100,7 @@
 	{"workers report what they are not", nil, []string{"service", "rack", "room"}, 30 * time.Second, false, onPoll(func(p *protocol.Poll) {
 		p.Kinds, p.Capacity, p.Rack = []types.ServiceKind{"quote", "menu", "pay"}, types.Resources{Cores: 4000 * types.Core, MemoryMB: 4_000_000}, "r1"
 	})},
-	{"nobody hears that a worker leaves", []string{"leave-worker"}, []string{"leaving"}, 30 * time.Second, false, onPoll(func(p *protocol.Poll) { p.Draining = false })},
+	{"nobody hears that a worker leaves", []string{"leave-worker"}, []string{"leaving"}, 30 * time.Second, false, onPoll(func(p *protocol.Poll) { p.Departing = false })},
 	{"spread is forgotten", nil, []string{"spread"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.MaxPerWorker = 0 })},
 	{"times are forgotten", nil, []string{"early"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.DelayMillis, s.NotBefore = 0, "" })},
 	{"dependencies are forgotten", nil, []string{"order"}, 30 * time.Second, false, onJob(func(s *state.Step) { s.DependsOn = nil })},
--- a/sim/worker/polling.go
+++ b/sim/worker/polling.go
@@ -115,14 +115,14 @@
 	p.lastPoll++
 	p.HasUpdate = false
 	poll := protocol.Poll{
-		Worker:   p.ID,
-		Agent:    p.Agent,
-		Call:     p.lastPoll,
-		SentAt:   now,
-		Rack:     p.Rack,
-		Kinds:    p.Kinds,
-		Capacity: p.Capacity,
-		Draining: p.Leaving,
+		Worker:    p.ID,
+		Agent:     p.Agent,
+		Call:      p.lastPoll,
+		SentAt:    now,
+		Rack:      p.Rack,
+		Kinds:     p.Kinds,
+		Capacity:  p.Capacity,
+		Departing: p.Leaving,
 	}
 	if p.Leaving && p.DepartsAt > 0 {
 		poll.DepartsInMS = max(1, p.DepartsAt.Sub(now).Milliseconds())
