--- a/internal/dispatch/executor/admission.go
+++ b/internal/dispatch/executor/admission.go
@@ -22,7 +22,7 @@
 	rejection := ex.rejection(order)
 	if rejection == "" {
 		startBefore := min(order.StartBefore, ex.health.leaseUntil)
-		ex.attempts.add(&attempt{spec: order.Spec, state: attemptWaiting, startBefore: startBefore})
+		ex.attempts.add(&attemptRecord{spec: order.Spec, state: attemptWaiting, startBefore: startBefore})
 		ex.polls.hasUpdate = true
 	}
 	ex.send(from, wire.RunTaskReply, protocol.RunTaskReply{
@@ -67,10 +67,10 @@
 // ended, and whether one of them is of a task.
 func (ex *Executor) freeCapacity(task types.TaskID) (free types.Resources, runsTask bool) {
 	free = ex.worker.report.Capacity.Sub(ex.capacityShortfall())
-	for _, a := range ex.attempts.byID {
-		if a.state != attemptEnded {
-			free = free.Sub(a.spec.Resources)
-			runsTask = runsTask || a.spec.Attempt.TaskID == task
+	for _, attempt := range ex.attempts.byID {
+		if attempt.state != attemptEnded {
+			free = free.Sub(attempt.spec.Resources)
+			runsTask = runsTask || attempt.id().TaskID == task
 		}
 	}
 	return free, runsTask
--- a/internal/dispatch/executor/attempts.go
+++ b/internal/dispatch/executor/attempts.go
@@ -19,8 +19,8 @@
 	attemptEnded    attemptState = "ended"
 )
 
-// attempt is the agent's record of an attempt.
-type attempt struct {
+// attemptRecord is the agent's record of an attempt.
+type attemptRecord struct {
 	spec          protocol.AttemptSpec
 	state         attemptState
 	startBefore   types.MonoTime // end of its order's lease: not to be started later
@@ -49,48 +49,50 @@
 	endNumber      uint64 // number of its end at the worker, 0 if not reported
 }
 
-func compareAttempts(a, b *attempt) int { return a.spec.Attempt.Compare(b.spec.Attempt) }
+func (ar *attemptRecord) id() types.AttemptID { return ar.spec.Attempt }
+
+func compareAttempts(a, b *attemptRecord) int { return a.id().Compare(b.id()) }
 
 // attemptTable holds the records of attempts, and the ids of those accepted or rejected
 // lately.
 type attemptTable struct {
-	byID   map[types.AttemptID]*attempt
-	sorted []*attempt // the same, in order
+	byID   map[types.AttemptID]*attemptRecord
+	sorted []*attemptRecord // the same, in order
 	// seen are ids whose RunTask, should it come again or late, is ignored until a time.
 	seen map[types.AttemptID]types.MonoTime
 }
 
 func newAttemptTable() attemptTable {
-	return attemptTable{byID: map[types.AttemptID]*attempt{}, seen: map[types.AttemptID]types.MonoTime{}}
+	return attemptTable{byID: map[types.AttemptID]*attemptRecord{}, seen: map[types.AttemptID]types.MonoTime{}}
 }
 
 // add adds an attempt, in place of one with its id.
-func (at *attemptTable) add(a *attempt) {
-	if at.byID[a.spec.Attempt] == nil {
-		i, _ := slices.BinarySearchFunc(at.sorted, a, compareAttempts)
-		at.sorted = slices.Insert(at.sorted, i, a)
+func (at *attemptTable) add(attempt *attemptRecord) {
+	if at.byID[attempt.id()] == nil {
+		i, _ := slices.BinarySearchFunc(at.sorted, attempt, compareAttempts)
+		at.sorted = slices.Insert(at.sorted, i, attempt)
 	}
-	at.byID[a.spec.Attempt] = a
+	at.byID[attempt.id()] = attempt
 }
 
 // addNeverRan adds an attempt that has not run here and never will.
 func (at *attemptTable) addNeverRan(id types.AttemptID) {
 	spec := protocol.AttemptSpec{Attempt: id}
-	at.add(&attempt{spec: spec, state: attemptEnded, outcome: state.OutcomeNeverRan})
+	at.add(&attemptRecord{spec: spec, state: attemptEnded, outcome: state.OutcomeNeverRan})
 }
 
 func (at *attemptTable) remove(id types.AttemptID) {
-	a := at.byID[id]
-	if a == nil {
+	attempt := at.byID[id]
+	if attempt == nil {
 		return
 	}
-	i, _ := slices.BinarySearchFunc(at.sorted, a, compareAttempts)
+	i, _ := slices.BinarySearchFunc(at.sorted, attempt, compareAttempts)
 	at.sorted = slices.Delete(at.sorted, i, i+1)
 	delete(at.byID, id)
 }
 
 // inOrder lists the attempts in order; the list is a copy.
-func (at *attemptTable) inOrder() []*attempt { return slices.Clone(at.sorted) }
+func (at *attemptTable) inOrder() []*attemptRecord { return slices.Clone(at.sorted) }
 
 func (at *attemptTable) forgetSeen(now types.MonoTime) {
 	for id, until := range at.seen {
@@ -102,8 +104,8 @@
 
 // allEnded reports whether no attempt can be running any more.
 func (at *attemptTable) allEnded() bool {
-	for _, a := range at.byID {
-		if a.state != attemptEnded {
+	for _, attempt := range at.byID {
+		if attempt.state != attemptEnded {
 			return false
 		}
 	}
@@ -113,46 +115,46 @@
 // runningResources returns the resources of all attempts that run, together.
 func (at *attemptTable) runningResources() types.Resources {
 	var sum types.Resources
-	for _, a := range at.byID {
-		if a.state == attemptRunning || a.state == attemptStopping {
-			sum = sum.Add(a.spec.Resources)
+	for _, attempt := range at.byID {
+		if attempt.state == attemptRunning || attempt.state == attemptStopping {
+			sum = sum.Add(attempt.spec.Resources)
 		}
 	}
 	return sum
 }
 
 // endAttempt marks an attempt as ended and has its end reported at once. OutcomeLost is not
-// final: the attempt stays until the worker is heard again and reports its true end.
-func (ex *Executor) endAttempt(a *attempt, outcome state.Outcome) {
-	if a.overTimeLimit && outcome != state.OutcomeOK {
+// final: the attempt stays until the worker is back and reports its true end.
+func (ex *Executor) endAttempt(attempt *attemptRecord, outcome state.Outcome) {
+	if attempt.overTimeLimit && outcome != state.OutcomeOK {
 		outcome = state.OutcomeFailed
 	}
-	a.state, a.outcome = attemptEnded, outcome
-	a.committed = false
-	a.calls.startUnsure = false
+	attempt.state, attempt.outcome = attemptEnded, outcome
+	attempt.committed = false
+	attempt.calls.startUnsure = false
 	ex.reports.requestStatus()
 }
 
 // endAllWithProcess ends the attempts of a worker process that has ended, and forgets
 // those whose end is committed.
 func (ex *Executor) endAllWithProcess() {
-	for _, a := range ex.attempts.inOrder() {
-		if a.state != attemptEnded {
-			ex.endAttempt(a, state.OutcomeWorkerExited)
+	for _, attempt := range ex.attempts.inOrder() {
+		if attempt.state != attemptEnded {
+			ex.endAttempt(attempt, state.OutcomeWorkerExited)
 		}
-		if a.committed {
-			ex.attempts.remove(a.spec.Attempt)
+		if attempt.committed {
+			ex.attempts.remove(attempt.id())
 		}
 	}
 }
 
 // stopAttempt has an attempt stopped. One that the worker was never given ends at once.
-func (ex *Executor) stopAttempt(a *attempt) {
+func (ex *Executor) stopAttempt(attempt *attemptRecord) {
 	switch {
-	case a.state == attemptWaiting && !a.sentToWorker:
-		ex.endAttempt(a, state.OutcomeNeverRan)
-	case a.state == attemptWaiting || a.state == attemptRunning:
-		a.state = attemptStopping
+	case attempt.state == attemptWaiting && !attempt.sentToWorker:
+		ex.endAttempt(attempt, state.OutcomeNeverRan)
+	case attempt.state == attemptWaiting || attempt.state == attemptRunning:
+		attempt.state = attemptStopping
 		ex.polls.hasUpdate = true
 	}
 }
--- a/internal/dispatch/executor/executor.go
+++ b/internal/dispatch/executor/executor.go
@@ -99,9 +99,9 @@
 	ex.updateWorkerHealth()
 	ex.updateHealth()
 	ex.enforceLease()
-	for _, a := range ex.attempts.inOrder() {
-		ex.enforceTimeLimit(a)
-		ex.endIfWorkerLeaseExpired(a)
+	for _, attempt := range ex.attempts.inOrder() {
+		ex.enforceTimeLimit(attempt)
+		ex.endIfWorkerLeaseExpired(attempt)
 	}
 	ex.attempts.forgetSeen(now)
 	ex.makeDueCalls()
@@ -115,8 +115,8 @@
 	if !leaseEnded && ex.health.state != protocol.WorkerMustDie {
 		return
 	}
-	for _, a := range ex.attempts.inOrder() {
-		ex.stopAttempt(a)
+	for _, attempt := range ex.attempts.inOrder() {
+		ex.stopAttempt(attempt)
 	}
 }
 
@@ -128,24 +128,24 @@
 	return ex.link != nil && ex.health.leaseUntil == types.DistantPast && isRecent
 }
 
-func (ex *Executor) enforceTimeLimit(a *attempt) {
-	limit := time.Duration(a.spec.TimeLimitMS) * time.Millisecond
-	if a.state == attemptRunning && limit > 0 && ex.now.Sub(a.startedAt) > limit {
-		a.overTimeLimit = true
-		ex.stopAttempt(a)
+func (ex *Executor) enforceTimeLimit(attempt *attemptRecord) {
+	limit := time.Duration(attempt.spec.TimeLimitMS) * time.Millisecond
+	if attempt.state == attemptRunning && limit > 0 && ex.now.Sub(attempt.startedAt) > limit {
+		attempt.overTimeLimit = true
+		ex.stopAttempt(attempt)
 	}
 }
 
 // endIfWorkerLeaseExpired ends an attempt once the worker's lease has surely ended: the
 // worker, which can't be reached, has stopped it by itself.
-func (ex *Executor) endIfWorkerLeaseExpired(a *attempt) {
+func (ex *Executor) endIfWorkerLeaseExpired(attempt *attemptRecord) {
 	switch {
-	case a.state == attemptEnded || !ex.worker.runningTasksKnown:
+	case attempt.state == attemptEnded || !ex.worker.runningTasksKnown:
 	case ex.link == nil && ex.polledLeaseExpired():
-		ex.endAttempt(a, state.OutcomeLost)
+		ex.endAttempt(attempt, state.OutcomeLost)
 	case ex.link != nil && ex.linkLeaseExpired():
 		ex.link.counters.LeasesExpired++
-		ex.endAttempt(a, state.OutcomeLeaseExpired)
+		ex.endAttempt(attempt, state.OutcomeLeaseExpired)
 	}
 }
 
--- a/internal/dispatch/executor/health_test.go
+++ b/internal/dispatch/executor/health_test.go
@@ -121,7 +121,7 @@
 		{"same task", func(_ *testCluster, agent *Executor, order *protocol.RunTask) {
 			other := order.Spec
 			other.Attempt.Attempt = 2
-			agent.attempts.add(&attempt{spec: other, state: attemptRunning})
+			agent.attempts.add(&attemptRecord{spec: other, state: attemptRunning})
 		}, "another leg of the task is here"},
 		{"capacity", func(_ *testCluster, _ *Executor, order *protocol.RunTask) {
 			order.Spec.Resources = oneCore().Scale(5)
--- a/internal/dispatch/executor/link.go
+++ b/internal/dispatch/executor/link.go
@@ -40,7 +40,7 @@
 
 	capacity       capacityLimit
 	unhealthyUntil types.MonoTime // given no tasks until then
-	silent         bool           // not heard since a call that got no reply
+	silent         bool           // nothing has come from it since a call that got no reply
 	counters       CallCounters
 }
 
@@ -84,7 +84,7 @@
 }
 
 // end gives up the present process. One that has exited, rather than one that could not
-// be reached for longer than its lease, is not heard again.
+// be reached for longer than its lease, can send nothing more.
 func (l *workerLink) end(hasExited bool) {
 	if len(l.endedIncarnations) >= maxEndedIncarnations {
 		clear(l.endedIncarnations)
@@ -193,7 +193,7 @@
 }
 
 // linkUnhealthy reports whether a worker that is called has said that it is unhealthy,
-// or has not been heard although it was called.
+// or has sent nothing for a while although it was called.
 func (ex *Executor) linkUnhealthy() bool {
 	link := ex.link
 	if link.process.incarnation == "" || link.silent || ex.now < link.unhealthyUntil {
--- a/internal/dispatch/executor/link_calls.go
+++ b/internal/dispatch/executor/link_calls.go
@@ -85,9 +85,9 @@
 		return
 	}
 	isUnsure := !ex.worker.runningTasksKnown || link.successor != nil
-	for _, a := range ex.attempts.inOrder() {
-		ex.startOrStop(a)
-		isUnsure = isUnsure || a.calls.startUnsure
+	for _, attempt := range ex.attempts.inOrder() {
+		ex.startOrStop(attempt)
+		isUnsure = isUnsure || attempt.calls.startUnsure
 	}
 	if isUnsure && link.calls.query == 0 && ex.now >= link.calls.nextAt {
 		link.fence.raise(link.clock.readingMS)
@@ -98,36 +98,37 @@
 }
 
 // startOrStop starts an attempt at the worker or stops it, if that is due.
-func (ex *Executor) startOrStop(a *attempt) {
-	isStopDue := a.calls.stopCalledAt == 0 || ex.now.Sub(a.calls.stopCalledAt) >= ex.timeouts.RetryInterval
+func (ex *Executor) startOrStop(attempt *attemptRecord) {
+	sinceStop := ex.now.Sub(attempt.calls.stopCalledAt)
+	isStopDue := attempt.calls.stopCalledAt == 0 || sinceStop >= ex.timeouts.RetryInterval
 	switch {
-	case a.state == attemptWaiting && !a.sentToWorker:
-		ex.start(a)
-	case (a.state == attemptStopping || a.runsAfterEnd) && isStopDue:
-		a.calls.stopCalledAt = ex.now
+	case attempt.state == attemptWaiting && !attempt.sentToWorker:
+		ex.start(attempt)
+	case (attempt.state == attemptStopping || attempt.runsAfterEnd) && isStopDue:
+		attempt.calls.stopCalledAt = ex.now
 		ex.link.counters.Stops++
-		ex.call(wire.WorkerCall{Kind: wire.StopAttempt, Attempt: a.spec.Attempt})
+		ex.call(wire.WorkerCall{Kind: wire.StopAttempt, Attempt: attempt.id()})
 	}
 }
 
 // start has the worker start an attempt, once, as soon as it can have a lease. An attempt
 // that is too late for that ends.
-func (ex *Executor) start(a *attempt) {
-	if ex.now >= a.startBefore {
-		ex.endAttempt(a, state.OutcomeNeverRan)
+func (ex *Executor) start(attempt *attemptRecord) {
+	if ex.now >= attempt.startBefore {
+		ex.endAttempt(attempt, state.OutcomeNeverRan)
 		return
 	}
 	if ex.nextLeaseEnd() == 0 || !ex.worker.runningTasksKnown {
 		return
 	}
-	a.sentToWorker = true
-	a.calls.startFence = ex.link.fence.token
+	attempt.sentToWorker = true
+	attempt.calls.startFence = ex.link.fence.token
 	ex.link.counters.Starts++
 	ex.call(wire.WorkerCall{
 		Kind:       wire.StartAttempt,
-		Attempt:    a.spec.Attempt,
-		Input:      a.spec.Input,
-		Checkpoint: a.spec.Checkpoint,
+		Attempt:    attempt.id(),
+		Input:      attempt.spec.Input,
+		Checkpoint: attempt.spec.Checkpoint,
 	})
 }
 
--- a/internal/dispatch/executor/link_capacity_test.go
+++ b/internal/dispatch/executor/link_capacity_test.go
@@ -12,7 +12,7 @@
 )
 
 // A worker that rejects starts for lack of capacity is believed, whatever capacity it
-// reports: the leader hears at once that nothing is free beyond what runs there.
+// reports: the leader learns at once that nothing is free beyond what runs there.
 
 // newOverstatingRig is a rig whose worker reports 8 cores and has 2. The task of job large
 // takes 4, those of j0 to j9 one each.
--- a/internal/dispatch/executor/link_ends.go
+++ b/internal/dispatch/executor/link_ends.go
@@ -40,11 +40,11 @@
 
 // acknowledgeEnd handles an attempt's end being committed to the log. An attempt whose end
 // the worker does not list is forgotten at once, any other once the worker has dropped it.
-func (ex *Executor) acknowledgeEnd(a *attempt) {
+func (ex *Executor) acknowledgeEnd(attempt *attemptRecord) {
 	link := ex.link
-	end := link.ends.open[a.calls.endNumber]
-	if a.calls.endNumber == 0 || end == nil {
-		ex.attempts.remove(a.spec.Attempt)
+	end := link.ends.open[attempt.calls.endNumber]
+	if attempt.calls.endNumber == 0 || end == nil {
+		ex.attempts.remove(attempt.id())
 		return
 	}
 	link.ends.commit(end)
@@ -60,7 +60,7 @@
 			continue
 		}
 		delete(ex.link.ends.open, number)
-		if a := ex.attempts.byID[end.attempt]; a != nil && a.committed {
+		if attempt := ex.attempts.byID[end.attempt]; attempt != nil && attempt.committed {
 			ex.attempts.remove(end.attempt)
 		}
 	}
--- a/internal/dispatch/executor/link_faults_test.go
+++ b/internal/dispatch/executor/link_faults_test.go
@@ -24,9 +24,9 @@
 	random := lr.random
 	faultRate := random.Float64() * 0.2
 	lr.lateDelay = func() time.Duration { return time.Duration(random.Intn(1+random.Intn(9000))) * ms }
-	lr.fateOf = func(wire.WorkerCall) callFate {
+	lr.deliveryOf = func(wire.WorkerCall) callDelivery {
 		if random.Float64() < faultRate {
-			return callFate(1 + random.Intn(3))
+			return callDelivery(1 + random.Intn(3))
 		}
 		return callDelivered
 	}
@@ -41,7 +41,7 @@
 		heartbeats = lr.injectFault(random.Intn(14), heartbeats)
 	}
 	lr.partitioned, lr.heartbeatsStopped = false, false
-	lr.renewalReplyDelay, lr.fateOf = 0, deliverAll
+	lr.renewalReplyDelay, lr.deliveryOf = 0, deliverAll
 	if lr.worker == nil {
 		lr.startWorker()
 	}
@@ -90,11 +90,11 @@
 	return heartbeats
 }
 
-// chaosJobs gives out attempts of some jobs all the while, one of a job at a time, until
+// chaosJobs assigns attempts of some jobs all the while, one of a job at a time, until
 // one of the job ends well.
 type chaosJobs struct {
 	rig      *linkRig
-	attempts map[string]int // given out so far
+	attempts map[string]int // assigned so far
 }
 
 const (
--- a/internal/dispatch/executor/link_parts_test.go
+++ b/internal/dispatch/executor/link_parts_test.go
@@ -137,8 +137,8 @@
 					*at = testStart.Add(time.Duration(*at) * ms)
 				}
 			}
-			a := attempt{state: test.state, startedAt: testStart, progress: p}
-			is.New(t).Equal(a.estimateDuration(testStart.Add(ran)), test.want)
+			attempt := attemptRecord{state: test.state, startedAt: testStart, progress: p}
+			is.New(t).Equal(attempt.estimateDuration(testStart.Add(ran)), test.want)
 		})
 	}
 }
--- a/internal/dispatch/executor/link_replies.go
+++ b/internal/dispatch/executor/link_replies.go
@@ -62,22 +62,22 @@
 }
 
 func (ex *Executor) onStartReply(call *openCall, reply wire.WorkerReply) {
-	a := ex.attempts.byID[call.Attempt]
-	if a == nil || a.state == attemptEnded {
+	attempt := ex.attempts.byID[call.Attempt]
+	if attempt == nil || attempt.state == attemptEnded {
 		return
 	}
 	switch reply.Result {
 	case wire.ResultAccepted:
-		if a.state == attemptWaiting {
-			a.state, a.startedAt = attemptRunning, ex.now
+		if attempt.state == attemptWaiting {
+			attempt.state, attempt.startedAt = attemptRunning, ex.now
 		}
-		a.calls.seenRunningAt = ex.now
+		attempt.calls.seenRunningAt = ex.now
 		if ex.link.capacity.isLimited(ex.now) {
 			ex.link.capacity.onAccepted(ex.attempts.runningResources())
 		}
 		return
 	case wire.ResultNoReply:
-		a.calls.startUnsure = true
+		attempt.calls.startUnsure = true
 		return
 	case wire.ResultNoCapacity:
 		ex.link.capacity.onRejected(ex.now, ex.attempts.runningResources())
@@ -85,13 +85,13 @@
 		ex.link.unhealthyUntil = ex.now.Add(ex.timeouts.UnhealthyAfter)
 		ex.reports.requestHeartbeat()
 	}
-	ex.endAttempt(a, state.OutcomeNeverRan)
+	ex.endAttempt(attempt, state.OutcomeNeverRan)
 }
 
 func (ex *Executor) onStopReply(call *openCall, reply wire.WorkerReply) {
-	a := ex.attempts.byID[call.Attempt]
-	if a != nil && reply.Result == wire.ResultAccepted {
-		a.calls.stopAcceptedAt = max(a.calls.stopAcceptedAt, ex.now)
+	attempt := ex.attempts.byID[call.Attempt]
+	if attempt != nil && reply.Result == wire.ResultAccepted {
+		attempt.calls.stopAcceptedAt = max(attempt.calls.stopAcceptedAt, ex.now)
 	}
 }
 
@@ -157,20 +157,20 @@
 // may be running elsewhere.
 func (ex *Executor) takeEnd(end wire.EndedAttempt) {
 	ex.link.ends.open[end.Number] = &openEnd{attempt: end.Attempt}
-	a := ex.attempts.byID[end.Attempt]
-	if a == nil {
-		a = ex.addFound(protocol.RunningTask{Attempt: end.Attempt})
-	}
-	a.runsAfterEnd = false
-	a.calls.startUnsure = false
-	a.calls.endNumber = end.Number
-	if a.state != attemptEnded {
-		a.checkpoint = end.Checkpoint
-		ex.endAttempt(a, outcomeOf(end.Reason))
+	attempt := ex.attempts.byID[end.Attempt]
+	if attempt == nil {
+		attempt = ex.addFound(protocol.RunningTask{Attempt: end.Attempt})
+	}
+	attempt.runsAfterEnd = false
+	attempt.calls.startUnsure = false
+	attempt.calls.endNumber = end.Number
+	if attempt.state != attemptEnded {
+		attempt.checkpoint = end.Checkpoint
+		ex.endAttempt(attempt, outcomeOf(end.Reason))
 		return
 	}
-	if a.committed {
-		ex.acknowledgeEnd(a)
+	if attempt.committed {
+		ex.acknowledgeEnd(attempt)
 	}
 }
 
@@ -179,23 +179,23 @@
 func (ex *Executor) takeRunning(running []wire.RunningAttempt, listed map[types.AttemptID]bool) {
 	for _, run := range running {
 		listed[run.Attempt] = true
-		a := ex.attempts.byID[run.Attempt]
-		if a == nil {
-			a = ex.addFound(protocol.RunningTask{Attempt: run.Attempt})
-			a.startedAt = ex.now
+		attempt := ex.attempts.byID[run.Attempt]
+		if attempt == nil {
+			attempt = ex.addFound(protocol.RunningTask{Attempt: run.Attempt})
+			attempt.startedAt = ex.now
 			if ex.worker.runningTasksKnown {
-				a.state = attemptStopping
+				attempt.state = attemptStopping
 			}
 		}
-		if a.state == attemptWaiting {
-			a.state, a.startedAt = attemptRunning, ex.now
+		if attempt.state == attemptWaiting {
+			attempt.state, attempt.startedAt = attemptRunning, ex.now
 		}
-		a.runsAfterEnd = a.state == attemptEnded && a.calls.endNumber == 0
-		if run.Checkpoint != a.checkpoint {
-			a.checkpoint, a.checkpointAt = run.Checkpoint, ex.now
+		attempt.runsAfterEnd = attempt.state == attemptEnded && attempt.calls.endNumber == 0
+		if run.Checkpoint != attempt.checkpoint {
+			attempt.checkpoint, attempt.checkpointAt = run.Checkpoint, ex.now
 		}
-		a.progress.update(ex.now, run.Percent)
-		a.calls.seenRunningAt, a.calls.startUnsure = ex.now, false
+		attempt.progress.update(ex.now, run.Percent)
+		attempt.calls.seenRunningAt, attempt.calls.startUnsure = ex.now, false
 	}
 }
 
@@ -204,19 +204,19 @@
 // those that were not yet but whose stop was accepted before it, or whose start it has
 // fenced off.
 func (ex *Executor) resolveUnlisted(call *openCall, listed map[types.AttemptID]bool) {
-	for _, a := range ex.attempts.inOrder() {
-		isUnsent := a.state == attemptWaiting && !a.sentToWorker
-		if listed[a.spec.Attempt] || a.state == attemptEnded || isUnsent {
+	for _, attempt := range ex.attempts.inOrder() {
+		isUnsent := attempt.state == attemptWaiting && !attempt.sentToWorker
+		if listed[attempt.id()] || attempt.state == attemptEnded || isUnsent {
 			continue
 		}
-		hasRun := a.calls.seenRunningAt > 0
-		isStopped := a.calls.stopAcceptedAt > 0 && a.calls.stopAcceptedAt < call.sentAt
-		isFencedOff := call.FencingToken > a.calls.startFence
+		hasRun := attempt.calls.seenRunningAt > 0
+		isStopped := attempt.calls.stopAcceptedAt > 0 && attempt.calls.stopAcceptedAt < call.sentAt
+		isFencedOff := call.FencingToken > attempt.calls.startFence
 		switch {
-		case hasRun && a.calls.seenRunningAt < call.sentAt:
-			ex.endAttempt(a, state.OutcomeWorkerExited)
+		case hasRun && attempt.calls.seenRunningAt < call.sentAt:
+			ex.endAttempt(attempt, state.OutcomeWorkerExited)
 		case !hasRun && (isFencedOff || isStopped):
-			ex.endAttempt(a, state.OutcomeNeverRan)
+			ex.endAttempt(attempt, state.OutcomeNeverRan)
 		}
 	}
 }
--- a/internal/dispatch/executor/link_rig_test.go
+++ b/internal/dispatch/executor/link_rig_test.go
@@ -26,90 +26,10 @@
 	return timeouts
 }()
 
-// callFate is what becomes of a call.
-type callFate int
-
-const (
-	callDelivered callFate = iota
-	callLost               // it never arrives, and no reply does
-	replyLost              // it is carried out, and no reply arrives
-	callLate               // no reply arrives, and it is carried out after linkRig.lateDelay
-)
-
-func deliverAll(wire.WorkerCall) callFate { return callDelivered }
-
-// virtualClock is the time of a rig, and what is to be done in it.
-type virtualClock struct {
-	now    types.MonoTime
-	timers []timer
-	last   int
-}
-
-type timer struct {
-	at     types.MonoTime
-	number int
-	do     func()
-}
-
-// after has something done after a time.
-func (vc *virtualClock) after(d time.Duration, do func()) {
-	vc.last++
-	vc.timers = append(vc.timers, timer{vc.now.Add(d), vc.last, do})
-	sort.Slice(vc.timers, func(i, k int) bool {
-		a, b := vc.timers[i], vc.timers[k]
-		return a.at < b.at || a.at == b.at && a.number < b.number
-	})
-}
-
-func (vc *virtualClock) every(d time.Duration, do func()) {
-	vc.after(d, func() {
-		do()
-		vc.every(d, do)
-	})
-}
-
-// advance lets time pass, with all that is due in it.
-func (vc *virtualClock) advance(d time.Duration) {
-	end := vc.now.Add(d)
-	for vc.timers[0].at <= end {
-		next := vc.timers[0]
-		vc.timers = vc.timers[1:]
-		vc.now = next.at
-		next.do()
-	}
-	vc.now = end
-}
-
-// endLog is the replicated log of a rig. The first end of an attempt counts.
-type endLog struct {
-	outstanding map[types.AttemptID]bool // given out, with no end in the log
-	committed   map[types.AttemptID]state.Outcome
-	proposed    map[state.AttemptEnd]bool // by the present leader, not committed yet
-}
-
-// UnresolvedAttempts and the next three make the log the scheduler's ClusterState. The
-// worker is called by its agent.
-func (*endLog) UnresolvedAttempts(types.Shard) []types.AttemptID { return nil }
-func (*endLog) ZonePartitioned(types.Shard) bool                 { return false }
-func (*endLog) CalledByAgent(types.Shard) bool                   { return true }
-
-func (l *endLog) EndRecorded(end state.AttemptEnd) bool {
-	_, isCommitted := l.committed[end.ID]
-	return isCommitted || !l.outstanding[end.ID]
-}
-
-// workerRecord is what truly happened on the workers of a rig.
-type workerRecord struct {
-	running      map[types.AttemptID]bool // now
-	starts       map[types.AttemptID]int
-	endings      map[types.AttemptID]wire.EndReason
-	acknowledged map[types.AttemptID]bool // the worker has dropped its end
-}
-
 // linkRig joins a scheduler, an executor and a stand-in for a called worker in virtual
-// time, with a log. A test decides the fate of each call. The rig itself fails the test
-// if an attempt starts, runs on or is acknowledged as ended well after the log has it as
-// ended otherwise.
+// time, with a log. A test decides how each call is delivered. The rig itself fails the
+// test if an attempt starts, runs on or is acknowledged as ended well after the log has it
+// as ended otherwise.
 type linkRig struct {
 	t        *testing.T
 	random   *rand.Rand
@@ -117,31 +37,11 @@
 	virtualClock
 	endLog
 	workerRecord
-
-	scheduler *scheduler.Scheduler
-	term      types.Term
-	executor  *executor.Executor
-	agents    int // started so far
-
-	worker            *worker.Invoked // nil while none runs
-	workerSpec        history.WorkerSpec
-	environment       *worker.Environment
-	incarnations      int
-	heartbeatSequence uint64
-
+	rigLeader
+	rigAgent
+	rigWorker
 	faults
-	onCall func(wire.WorkerCall)      // sees each call, if set
-	onSend func(wire.OutboundMessage) // sees each message of the agent, if set
-}
-
-// faults are what a test can do to a rig.
-type faults struct {
-	partitioned        bool          // leader and agent do not reach each other
-	authorityRemaining time.Duration // of the leader, at all times
-	heartbeatsStopped  bool          // the worker sends none by itself
-	fateOf             func(wire.WorkerCall) callFate
-	lateDelay          func() time.Duration // until a callLate arrives
-	renewalReplyDelay  time.Duration
+	observers
 }
 
 func newLinkRig(t *testing.T, seed int64, timeouts protocol.Timeouts) *linkRig {
@@ -161,24 +61,10 @@
 			endings:      map[types.AttemptID]wire.EndReason{},
 			acknowledged: map[types.AttemptID]bool{},
 		},
-		workerSpec: history.WorkerSpec{
-			Shard:           "s",
-			Rack:            "r",
-			Kinds:           []types.ServiceKind{"x"},
-			Capacity:        cores(8),
-			RejectsOverload: true,
-		},
-		environment: worker.NewEnvironment(worker.Rules{
-			MaxLease:           6 * time.Second,
-			MaxStopTime:        400 * ms,
-			GangTimeout:        3 * time.Second,
-			CheckpointInterval: 2 * time.Second,
-			RestoreTime:        600 * ms,
-			RemoteSlowdown:     1.5,
-		}),
+		rigWorker: newRigWorker(),
 		faults: faults{
 			authorityRemaining: timeouts.AgentLease,
-			fateOf:             deliverAll,
+			deliveryOf:         deliverAll,
 			lateDelay:          func() time.Duration { return 3 * time.Second },
 		},
 	}
@@ -249,11 +135,11 @@
 
 // newAgent starts an agent that knows nothing, in place of the one before.
 func (lr *linkRig) newAgent() {
-	lr.agents++
+	lr.agentsStarted++
 	instances := 0
 	lr.executor = executor.New(lr.now, lr.timeouts, "w", "s", func() types.ID {
 		instances++
-		return types.ID(fmt.Sprintf("w%d.%d", lr.agents, instances))
+		return types.ID(fmt.Sprintf("w%d.%d", lr.agentsStarted, instances))
 	})
 }
 
@@ -264,7 +150,7 @@
 	lr.heartbeatSequence = 0
 	clear(lr.running)
 	now := func() types.MonoTime { return lr.now }
-	lr.worker = worker.NewInvoked(lr.workerSpec, id, lr.environment, lr.random, now, lr.record)
+	lr.worker = worker.NewInvoked(lr.spec, id, lr.environment, lr.random, now, lr.record)
 	lr.worker.StartsUnderLease = true
 }
 
@@ -297,21 +183,7 @@
 	clear(lr.running)
 }
 
-// nextHeartbeat makes the worker's next heartbeat, which the caller delivers.
-func (lr *linkRig) nextHeartbeat() wire.WorkerHeartbeat {
-	lr.heartbeatSequence++
-	return wire.WorkerHeartbeat{
-		Incarnation: lr.worker.ID,
-		Addr:        "k",
-		Seq:         lr.heartbeatSequence,
-		Rack:        "r",
-		Kinds:       lr.workerSpec.Kinds,
-		Capacity:    lr.workerSpec.Capacity,
-		ClockMS:     lr.worker.Clock(),
-	}
-}
-
-// deliver carries the messages and calls of both halves until there are none.
+// deliver delivers the messages and calls of both halves until there are none.
 func (lr *linkRig) deliver() {
 	for more := true; more; {
 		toAgent, ends := lr.scheduler.TakeOutput()
@@ -338,7 +210,7 @@
 	}
 }
 
-// makeCall carries a call to the worker and its reply back, as its fate is.
+// makeCall takes a call to the worker and its reply back, as far as it is delivered.
 func (lr *linkRig) makeCall(call wire.WorkerCall) {
 	if lr.onCall != nil {
 		lr.onCall(call)
@@ -359,7 +231,7 @@
 	}
 	dropReply := func(wire.WorkerReply) {}
 	lr.after(call.Timeout, func() { replyOnce(wire.WorkerReply{Result: wire.ResultNoReply}) })
-	switch lr.fateOf(call) {
+	switch lr.deliveryOf(call) {
 	case callDelivered:
 		lr.after(ms, func() {
 			handle(func(reply wire.WorkerReply) {
@@ -412,7 +284,7 @@
 	}
 }
 
-// runTask has the leader give an attempt out.
+// runTask has the leader assign an attempt.
 func (lr *linkRig) runTask(id types.AttemptID, input string) {
 	lr.outstanding[id] = true
 	spec := protocol.AttemptSpec{Attempt: id, Kind: "x", Resources: cores(1), Input: []byte(input)}
--- a/internal/dispatch/executor/link_test.go
+++ b/internal/dispatch/executor/link_test.go
@@ -19,14 +19,14 @@
 // Inputs of tasks: how long they run, in milliseconds.
 const short, long = `{"ms":300}`, `{"ms":60000}`
 
-// applyToFirst gives the first call of a kind a fate; all others are delivered.
-func (lr *linkRig) applyToFirst(kind wire.CallKind, fate callFate) {
-	lr.fateOf = func(call wire.WorkerCall) callFate {
+// applyToFirst decides how the first call of a kind is delivered; all others arrive.
+func (lr *linkRig) applyToFirst(kind wire.CallKind, delivery callDelivery) {
+	lr.deliveryOf = func(call wire.WorkerCall) callDelivery {
 		if call.Kind != kind {
 			return callDelivered
 		}
-		lr.fateOf = deliverAll
-		return fate
+		lr.deliveryOf = deliverAll
+		return delivery
 	}
 }
 
@@ -44,7 +44,7 @@
 func TestStartsWithoutReply(t *testing.T) {
 	for _, test := range []struct {
 		name      string
-		fate      callFate
+		delivery  callDelivery
 		lateDelay time.Duration
 		want      state.Outcome
 	}{
@@ -59,7 +59,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			is, r := is.New(t), newReadyRig(t, 2)
 			r.lateDelay = func() time.Duration { return test.lateDelay }
-			r.applyToFirst(wire.StartAttempt, test.fate)
+			r.applyToFirst(wire.StartAttempt, test.delivery)
 			r.runTask(attempt("a", 1), short)
 			r.advance(6 * time.Second)
 			is.Equal(r.committed[attempt("a", 1)], test.want)
@@ -180,10 +180,10 @@
 		r := newReadyRig(t, 100+seed)
 		r.runTask(attempt("a", 1), long)
 		r.advance(time.Duration(r.random.Intn(2000)) * ms)
-		r.fateOf = func(wire.WorkerCall) callFate { return callFate(r.random.Intn(4)) }
+		r.deliveryOf = func(wire.WorkerCall) callDelivery { return callDelivery(r.random.Intn(4)) }
 		r.partitioned = seed%2 == 0
 		r.advance(4 * time.Second)
-		r.partitioned, r.fateOf = false, deliverAll
+		r.partitioned, r.deliveryOf = false, deliverAll
 		r.advance(4 * time.Second)
 		if outcome, ok := r.committed[attempt("a", 1)]; ok {
 			is.Equal(outcome, state.OutcomeLeaseExpired) // the rig itself notices an attempt that runs on
@@ -205,8 +205,9 @@
 	r.deliver()
 	r.advance(900 * ms)
 	is.True(r.executor.WorkerLease().UntilMS > 0)
-	r.fateOf = func(wire.WorkerCall) callFate { return callLost } // the worker can't be reached any more
-	r.advance(5 * time.Second)                                    // the rig notices if it is given up while it runs
+	// The worker can't be reached any more.
+	r.deliveryOf = func(wire.WorkerCall) callDelivery { return callLost }
+	r.advance(5 * time.Second) // the rig notices if it is given up while it runs
 	is.Equal(r.committed[attempt("a", 1)], state.OutcomeLeaseExpired)
 }
 
--- a/internal/dispatch/executor/polling.go
+++ b/internal/dispatch/executor/polling.go
@@ -49,9 +49,9 @@
 // replacePollingProcess makes another worker process the present one; with the last, all
 // its attempts have ended.
 func (ex *Executor) replacePollingProcess(poll protocol.Poll) {
-	for _, a := range ex.attempts.sorted {
-		if a.state == attemptEnded && a.outcome == state.OutcomeLost {
-			ex.endAttempt(a, state.OutcomeWorkerExited)
+	for _, attempt := range ex.attempts.sorted {
+		if attempt.state == attemptEnded && attempt.outcome == state.OutcomeLost {
+			ex.endAttempt(attempt, state.OutcomeWorkerExited)
 		}
 	}
 	ex.endAllWithProcess()
@@ -83,15 +83,15 @@
 func (ex *Executor) takePolledRunning(tasks []protocol.RunningTask, listed map[types.AttemptID]bool) {
 	for _, task := range tasks {
 		listed[task.Attempt] = true
-		a := ex.attempts.byID[task.Attempt]
-		if a == nil {
-			a = ex.addFound(task)
-			a.startedAt = ex.now
+		attempt := ex.attempts.byID[task.Attempt]
+		if attempt == nil {
+			attempt = ex.addFound(task)
+			attempt.startedAt = ex.now
 		}
-		if a.state == attemptWaiting {
-			a.state, a.startedAt = attemptRunning, ex.now
+		if attempt.state == attemptWaiting {
+			attempt.state, attempt.startedAt = attemptRunning, ex.now
 		}
-		a.runsAfterEnd = a.state == attemptEnded
+		attempt.runsAfterEnd = attempt.state == attemptEnded
 	}
 }
 
@@ -100,45 +100,45 @@
 func (ex *Executor) takePolledEnds(tasks []protocol.EndedTask, listed map[types.AttemptID]bool) {
 	for _, task := range tasks {
 		listed[task.Attempt] = true
-		a := ex.attempts.byID[task.Attempt]
-		if a == nil {
-			a = ex.addFound(task.RunningTask)
+		attempt := ex.attempts.byID[task.Attempt]
+		if attempt == nil {
+			attempt = ex.addFound(task.RunningTask)
 		}
-		isBetter := task.Outcome == state.OutcomeOK && a.outcome != state.OutcomeOK
-		if a.state != attemptEnded || a.outcome == state.OutcomeLost || isBetter {
-			ex.endAttempt(a, task.Outcome)
+		isBetter := task.Outcome == state.OutcomeOK && attempt.outcome != state.OutcomeOK
+		if attempt.state != attemptEnded || attempt.outcome == state.OutcomeLost || isBetter {
+			ex.endAttempt(attempt, task.Outcome)
 		}
-		a.runsAfterEnd = false
+		attempt.runsAfterEnd = false
 	}
 }
 
 // addFound adds an attempt that the worker lists and the agent did not know.
-func (ex *Executor) addFound(task protocol.RunningTask) *attempt {
+func (ex *Executor) addFound(task protocol.RunningTask) *attemptRecord {
 	spec := protocol.AttemptSpec{Attempt: task.Attempt, Resources: task.Resources}
-	a := &attempt{spec: spec, state: attemptRunning}
-	ex.attempts.add(a)
-	return a
+	attempt := &attemptRecord{spec: spec, state: attemptRunning}
+	ex.attempts.add(attempt)
+	return attempt
 }
 
 // endUnlisted ends the attempts that a poll does not list although the worker had been
 // given them, and forgets those that the worker has dropped.
 func (ex *Executor) endUnlisted(listed map[types.AttemptID]bool) {
-	for _, a := range ex.attempts.inOrder() {
-		if listed[a.spec.Attempt] {
+	for _, attempt := range ex.attempts.inOrder() {
+		if listed[attempt.id()] {
 			continue
 		}
-		hasRun := a.startedAt != 0
+		hasRun := attempt.startedAt != 0
 		switch {
-		case a.state == attemptRunning, a.state == attemptStopping && hasRun:
-			ex.endAttempt(a, state.OutcomeWorkerExited)
-		case a.state == attemptStopping:
-			ex.endAttempt(a, state.OutcomeNeverRan)
-		case a.state == attemptWaiting && ex.now >= a.startBefore:
-			ex.endAttempt(a, state.OutcomeNeverRan)
-		case a.state == attemptEnded && a.outcome == state.OutcomeLost:
-			ex.endAttempt(a, state.OutcomeWorkerExited)
-		case a.state == attemptEnded && a.committed:
-			ex.attempts.remove(a.spec.Attempt)
+		case attempt.state == attemptRunning, attempt.state == attemptStopping && hasRun:
+			ex.endAttempt(attempt, state.OutcomeWorkerExited)
+		case attempt.state == attemptStopping:
+			ex.endAttempt(attempt, state.OutcomeNeverRan)
+		case attempt.state == attemptWaiting && ex.now >= attempt.startBefore:
+			ex.endAttempt(attempt, state.OutcomeNeverRan)
+		case attempt.state == attemptEnded && attempt.outcome == state.OutcomeLost:
+			ex.endAttempt(attempt, state.OutcomeWorkerExited)
+		case attempt.state == attemptEnded && attempt.committed:
+			ex.attempts.remove(attempt.id())
 		}
 	}
 }
@@ -156,15 +156,15 @@
 	if lease > 0 {
 		ex.polls.leaseBase = max(ex.polls.leaseBase, now.Add(lease-ex.timeouts.WorkerLease))
 	}
-	for _, a := range ex.attempts.sorted {
+	for _, attempt := range ex.attempts.sorted {
 		switch {
-		case a.state == attemptWaiting && lease > 0 && now < a.startBefore:
-			reply.Start = append(reply.Start, a.spec)
-			a.sentToWorker = true
-		case a.state == attemptStopping, a.runsAfterEnd:
-			reply.Stop = append(reply.Stop, a.spec.Attempt)
-		case a.state == attemptEnded && a.committed:
-			reply.Committed = append(reply.Committed, a.spec.Attempt)
+		case attempt.state == attemptWaiting && lease > 0 && now < attempt.startBefore:
+			reply.Start = append(reply.Start, attempt.spec)
+			attempt.sentToWorker = true
+		case attempt.state == attemptStopping, attempt.runsAfterEnd:
+			reply.Stop = append(reply.Stop, attempt.id())
+		case attempt.state == attemptEnded && attempt.committed:
+			reply.Committed = append(reply.Committed, attempt.id())
 		}
 	}
 	return reply
--- a/internal/dispatch/executor/progress.go
+++ b/internal/dispatch/executor/progress.go
@@ -37,11 +37,11 @@
 
 // estimateDuration returns how long an attempt will take from start to end, or 0 if
 // that is unknown.
-func (a *attempt) estimateDuration(now types.MonoTime) time.Duration {
-	p := a.progress
-	ran := p.readAt.Sub(a.startedAt)
+func (ar *attemptRecord) estimateDuration(now types.MonoTime) time.Duration {
+	p := ar.progress
+	ran := p.readAt.Sub(ar.startedAt)
 	switch {
-	case a.state != attemptRunning || p.readAt == 0 || ran < minRunTime:
+	case ar.state != attemptRunning || p.readAt == 0 || ran < minRunTime:
 		return 0
 	case p.percent <= 0 && now.Sub(p.changedAt) < 2*stallTime:
 		return 0 // it may wait for the other members of its gang
@@ -57,13 +57,13 @@
 // were last reported.
 func (ex *Executor) durationEstimates() []protocol.DurationEstimate {
 	var list []protocol.DurationEstimate
-	for _, a := range ex.attempts.sorted {
-		estimate := a.estimateDuration(ex.now)
-		if estimate == 0 || a.progress.reported > 0 && isSimilar(estimate, a.progress.reported) {
+	for _, attempt := range ex.attempts.sorted {
+		estimate := attempt.estimateDuration(ex.now)
+		if estimate == 0 || attempt.progress.reported > 0 && isSimilar(estimate, attempt.progress.reported) {
 			continue
 		}
-		a.progress.reported = estimate
-		list = append(list, protocol.DurationEstimate{Attempt: a.spec.Attempt, MS: estimate.Milliseconds()})
+		attempt.progress.reported = estimate
+		list = append(list, protocol.DurationEstimate{Attempt: attempt.id(), MS: estimate.Milliseconds()})
 	}
 	return list
 }
--- a/internal/dispatch/executor/protocol_test.go
+++ b/internal/dispatch/executor/protocol_test.go
@@ -154,9 +154,9 @@
 		tc.now = tc.now.Add(50 * ms)
 		for _, agent := range tc.executors {
 			var running []types.AttemptID
-			for _, a := range agent.attempts.inOrder() {
-				if a.state != attemptEnded {
-					running = append(running, a.spec.Attempt)
+			for _, attempt := range agent.attempts.inOrder() {
+				if attempt.state != attemptEnded {
+					running = append(running, attempt.id())
 				}
 			}
 			tc.poll(agent, running...)
@@ -361,7 +361,7 @@
 	is.True(cluster.now > workerLeaseEnd)
 }
 
-// An attempt that its agent counts as lost is unresolved until the worker is heard again,
+// An attempt that its agent counts as lost is unresolved until the worker is back,
 // which then either reports its end or is known to have lost it. Both are reported.
 func TestLostIsNotFinal(t *testing.T) {
 	endedWell := protocol.EndedTask{RunningTask: protocol.RunningTask{Attempt: theAttempt}, Outcome: state.OutcomeOK}
--- a/internal/dispatch/executor/reports.go
+++ b/internal/dispatch/executor/reports.go
@@ -66,9 +66,14 @@
 // sendStatus reports the ends that are not committed yet.
 func (ex *Executor) sendStatus() {
 	var ends []state.AttemptEnd
-	for _, a := range ex.attempts.sorted {
-		if a.state == attemptEnded && !a.committed && len(ends) < maxEndsPerStatus {
-			ends = append(ends, state.AttemptEnd{ID: a.spec.Attempt, Outcome: a.outcome, Checkpoint: a.checkpoint})
+	for _, attempt := range ex.attempts.sorted {
+		if attempt.state == attemptEnded && !attempt.committed && len(ends) < maxEndsPerStatus {
+			end := state.AttemptEnd{
+				ID:         attempt.id(),
+				Outcome:    attempt.outcome,
+				Checkpoint: attempt.checkpoint,
+			}
+			ends = append(ends, end)
 		}
 	}
 	if ends == nil {
@@ -80,7 +85,7 @@
 }
 
 // canReportRunningTasks reports whether the agent knows what runs. It doesn't while its
-// worker has not been heard yet and could still hold a lease of an earlier agent.
+// worker has not reported yet and could still hold a lease of an earlier agent.
 func (ex *Executor) canReportRunningTasks() bool {
 	return ex.worker.runningTasksKnown || ex.now.Sub(ex.startedAt) > ex.timeouts.LostAfter
 }
@@ -88,10 +93,10 @@
 // recentCheckpoints lists the checkpoints that attempts have saved lately.
 func (ex *Executor) recentCheckpoints() []protocol.Checkpoint {
 	var list []protocol.Checkpoint
-	for _, a := range ex.attempts.sorted {
-		isRecent := ex.now.Sub(a.checkpointAt) < checkpointHeartbeats*ex.timeouts.HeartbeatInterval
-		if a.state != attemptEnded && a.checkpoint != "" && isRecent {
-			list = append(list, protocol.Checkpoint{Attempt: a.spec.Attempt, Ref: a.checkpoint})
+	for _, attempt := range ex.attempts.sorted {
+		isRecent := ex.now.Sub(attempt.checkpointAt) < checkpointHeartbeats*ex.timeouts.HeartbeatInterval
+		if attempt.state != attemptEnded && attempt.checkpoint != "" && isRecent {
+			list = append(list, protocol.Checkpoint{Attempt: attempt.id(), Ref: attempt.checkpoint})
 		}
 	}
 	return list
--- a/internal/dispatch/executor/scheduler_messages.go
+++ b/internal/dispatch/executor/scheduler_messages.go
@@ -55,9 +55,9 @@
 		return
 	}
 	tasks := []protocol.RunningTask{}
-	for _, a := range ex.attempts.sorted {
-		if !a.committed || a.outcome == state.OutcomeLost {
-			tasks = append(tasks, protocol.RunningTask{Attempt: a.spec.Attempt, Resources: a.spec.Resources})
+	for _, attempt := range ex.attempts.sorted {
+		if !attempt.committed || attempt.outcome == state.OutcomeLost {
+			tasks = append(tasks, protocol.RunningTask{Attempt: attempt.id(), Resources: attempt.spec.Resources})
 		}
 	}
 	ex.send(from, wire.RunningTasksReply, protocol.RunningTasksReply{
@@ -98,18 +98,18 @@
 		return
 	}
 	for _, end := range committed.Ends {
-		a := ex.attempts.byID[end.ID]
-		if a == nil || a.state != attemptEnded {
+		attempt := ex.attempts.byID[end.ID]
+		if attempt == nil || attempt.state != attemptEnded {
 			continue
 		}
-		if a.outcome == state.OutcomeOK && end.Outcome != state.OutcomeOK {
+		if attempt.outcome == state.OutcomeOK && end.Outcome != state.OutcomeOK {
 			continue
 		}
-		a.committed = true
+		attempt.committed = true
 		ex.polls.hasUpdate = true
 		switch {
 		case ex.link != nil:
-			ex.acknowledgeEnd(a)
+			ex.acknowledgeEnd(attempt)
 		case ex.worker.process == "":
 			ex.attempts.remove(end.ID)
 		}
@@ -122,17 +122,17 @@
 		return
 	}
 	for _, id := range kill.Attempts {
-		a := ex.attempts.byID[id]
-		if a == nil {
+		attempt := ex.attempts.byID[id]
+		if attempt == nil {
 			ex.attempts.addNeverRan(id)
 			ex.attempts.seen[id] = ex.now.Add(2 * ex.timeouts.LostAfter)
 			ex.reports.requestStatus()
 			continue
 		}
-		if a.state != attemptEnded && slices.Contains(kill.OverTimeLimit, id) {
-			a.overTimeLimit = true
+		if attempt.state != attemptEnded && slices.Contains(kill.OverTimeLimit, id) {
+			attempt.overTimeLimit = true
 		}
-		ex.stopAttempt(a)
+		ex.stopAttempt(attempt)
 	}
 }
 
--- a/internal/dispatch/executor/view.go
+++ b/internal/dispatch/executor/view.go
@@ -20,7 +20,7 @@
 	Attempts         []AttemptView `json:"legs"`
 }
 
-// AttemptView is an attempt in the agent's account. State is waiting, running, stopping
+// AttemptView is an attempt as the agent reports it. State is waiting, running, stopping
 // or ended.
 type AttemptView struct {
 	Attempt types.AttemptID `json:"leg"`
@@ -66,8 +66,8 @@
 		Lease:            ex.WorkerLease(),
 		Attempts:         []AttemptView{},
 	}
-	for _, a := range ex.attempts.sorted {
-		view.Attempts = append(view.Attempts, AttemptView{a.spec.Attempt, string(a.state), a.outcome})
+	for _, attempt := range ex.attempts.sorted {
+		view.Attempts = append(view.Attempts, AttemptView{attempt.id(), string(attempt.state), attempt.outcome})
 	}
 	return view
 }
--- a/internal/dispatch/protocol/worker_poll.go
+++ b/internal/dispatch/protocol/worker_poll.go
@@ -63,7 +63,7 @@
 }
 
 // Validate adds all that is wrong with a call to errs. An invalid call must be rejected
-// whole.
+// as a whole.
 func (p Poll) Validate(errs *apierror.ErrorList) {
 	errs.Check(p.Worker != "" && len(p.Worker) <= maxWorkerIDLength, "worker", "want 1 to 128 characters")
 	errs.Check(p.Capacity.Contains(types.Resources{}), "room", "want no negative numbers")
--- a/internal/dispatch/scheduler/initial_wait.go
+++ b/internal/dispatch/scheduler/initial_wait.go
@@ -12,8 +12,8 @@
 type initialWait struct {
 	active    bool
 	startedAt types.MonoTime // when the leadership began
-	// countsFrom is the latest time at which an earlier leader can have been heard by a
-	// quorum, from which the end of its leases is counted.
+	// countsFrom is the latest time at which an earlier leader can have had a round
+	// answered by a quorum, from which the end of its leases is counted.
 	countsFrom types.MonoTime
 	reason     string // why it couldn't be ended early at the latest sweep
 }
@@ -44,7 +44,7 @@
 }
 
 // initialWaitReason says why the wait can't be ended early, or nothing: all agents that
-// connected must carry the same worker set, which is just the set of these agents, and
+// connected must report the same worker set, which is just the set of these agents, and
 // every attempt in the log must have been confirmed. The last is more than the paper
 // asks.
 func (sc *Scheduler) initialWaitReason() string {
--- a/internal/dispatch/scheduler/worker_set.go
+++ b/internal/dispatch/scheduler/worker_set.go
@@ -11,7 +11,7 @@
 // setMembership is a worker's part in the worker sets, each of which is named by its
 // version under this leadership; 0 is none.
 type setMembership struct {
-	// initial is the set that the agent carried when it connected.
+	// initial is the set that the agent reported when it connected.
 	initial protocol.WorkerSetID
 	// reported is the version of the latest set that the agent has reported back (the
 	// paper's workerSetID_). The worker requires all members of that set.
@@ -34,7 +34,7 @@
 
 // workerSetHistory keeps the worker sets of a leadership and decides by the paper's
 // consensus which workers may be given tasks. Each leader numbers its sets, each agent
-// carries the one that it received last, and a new agent gets no tasks before every set
+// reports the one that it received last, and a new agent gets no tasks before every set
 // that could end a later leader's initial wait requires it, directly or through the
 // workers of that set.
 //
@@ -115,7 +115,7 @@
 	}
 }
 
-// onReported notes that a worker's agent carries a set, and raises the indirect sets that
+// onReported records the latest set that a worker's agent has received, and raises the indirect sets that
 // this changes. Versions that are not newer, or not of this history, change nothing.
 func (ws *workerSetHistory) onReported(worker *RemoteWorker, version int) {
 	if version <= worker.sets.reported || version > ws.version {
