--- a/internal/controller/views_test.go
+++ b/internal/controller/views_test.go
@@ -83,10 +83,10 @@
 	s := state.New()
 	s.WallOffset = types.WallTime(time.Hour)
 	is.Equal(calendarViews(s, 0), []CalendarView{})
-	var windows [][2]types.WallTime
+	var windows []state.CalendarWindow
 	for i := range 8 {
 		start := types.WallTime(time.Duration(i) * time.Hour)
-		windows = append(windows, [2]types.WallTime{start, start + types.WallTime(30*time.Minute)})
+		windows = append(windows, state.CalendarWindow{Start: start, End: start + types.WallTime(30*time.Minute)})
 	}
 	s.Calendars = []state.Calendar{{Name: "c", Target: state.Target{Shard: "k1"}, Windows: windows}}
 	view := calendarViews(s, 0)[0] // at wall time 01:00
--- a/internal/controller/worker_availability_test.go
+++ b/internal/controller/worker_availability_test.go
@@ -53,8 +53,10 @@
 			}
 			if c.window > 0 {
 				start := types.WallTime(in(c.window))
-				s.Calendars = append(s.Calendars, state.Calendar{Target: state.Target{Shard: "k1"},
-					Windows: [][2]types.WallTime{{start, start + types.WallTime(time.Hour)}}})
+				window := state.CalendarWindow{Start: start, End: start + types.WallTime(time.Hour)}
+				s.Calendars = append(s.Calendars, state.Calendar{
+					Target: state.Target{Shard: "k1"}, Windows: []state.CalendarWindow{window},
+				})
 			}
 			worker := &scheduler.RemoteWorker{Shard: "k1", DepartsAt: now.Add(3 * time.Second), WorkerReport: c.report}
 			worker.Rack = "r1"
--- a/internal/controller/worker_view.go
+++ b/internal/controller/worker_view.go
@@ -92,13 +92,12 @@
 	for _, calendar := range s.Calendars {
 		view := CalendarView{Name: calendar.Name, Target: calendar.Target, NextWindows: []string{}}
 		for _, window := range calendar.Windows {
-			start, end := window[0], window[1]
-			if end <= now {
+			if window.End <= now {
 				continue
 			}
 			view.WindowCount++
 			if len(view.NextWindows) < maxWindowsShown {
-				view.NextWindows = append(view.NextWindows, formatWallTime(start)+"/"+formatWallTime(end))
+				view.NextWindows = append(view.NextWindows, formatWallTime(window.Start)+"/"+formatWallTime(window.End))
 			}
 		}
 		views = append(views, view)
--- a/internal/maintenance/event.go
+++ b/internal/maintenance/event.go
@@ -20,16 +20,19 @@
 }
 
 // windows returns the windows of the event that end after now.
-func (e *eventReader) windows() []Window {
+func (e *eventReader) windows() []state.CalendarWindow {
 	first, length, ok := e.firstOccurrence()
 	if !ok {
 		return nil
 	}
-	var windows []Window
+	var windows []state.CalendarWindow
 	for _, start := range e.occurrences(first, length) {
 		end := start.Add(length)
 		if end.After(e.now) {
-			windows = append(windows, Window{types.WallTime(start.UnixNano()), types.WallTime(end.UnixNano())})
+			windows = append(windows, state.CalendarWindow{
+				Start: types.WallTime(start.UnixNano()),
+				End:   types.WallTime(end.UnixNano()),
+			})
 		}
 	}
 	return windows
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -10,7 +10,6 @@
 
 	"coppercourse/internal/apierror"
 	"coppercourse/internal/state"
-	"coppercourse/internal/types"
 )
 
 const day = 24 * time.Hour
@@ -24,13 +23,10 @@
 	maxOccurrences      = 200_000 // that are looked at, also those of the past
 )
 
-// Window is the start and the end of a maintenance window.
-type Window = [2]types.WallTime
-
 // Read returns the windows of a file that end after now, in order, joined where they
 // overlap. Times without a zone are UTC. An error has the field ics.line[N].PROPERTY; then
 // no windows are returned.
-func Read(file []byte, now time.Time, errs *apierror.ErrorList) []Window {
+func Read(file []byte, now time.Time, errs *apierror.ErrorList) []state.CalendarWindow {
 	calendar, line, err := decode(file)
 	if err != nil {
 		errs.Add(apierror.BadField, linePath(line), err.Error())
@@ -39,7 +35,7 @@
 	starts := eventLines(file)
 	events := calendar.Events()
 	errs.Check(len(events) > 0, "ics", "no VEVENT in it")
-	var windows []Window
+	var windows []state.CalendarWindow
 	for i := range events {
 		path := "ics"
 		if i < len(starts) {
@@ -63,12 +59,12 @@
 func linePath(line int) string { return fmt.Sprintf("ics.line[%d]", line) }
 
 // joinWindows sorts windows and joins those that overlap.
-func joinWindows(windows []Window) []Window {
-	sort.Slice(windows, func(i, k int) bool { return windows[i][0] < windows[k][0] })
-	var joined []Window
+func joinWindows(windows []state.CalendarWindow) []state.CalendarWindow {
+	sort.Slice(windows, func(i, k int) bool { return windows[i].Start < windows[k].Start })
+	var joined []state.CalendarWindow
 	for _, window := range windows {
-		if last := len(joined) - 1; last >= 0 && window[0] <= joined[last][1] {
-			joined[last][1] = max(joined[last][1], window[1])
+		if last := len(joined) - 1; last >= 0 && window.Start <= joined[last].End {
+			joined[last].End = max(joined[last].End, window.End)
 		} else {
 			joined = append(joined, window)
 		}
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -40,9 +40,9 @@
 	is.NoErr(errs.Err())
 	is.Equal(len(windows), 7)
 	utc := func(w types.WallTime) string { return time.Unix(0, int64(w)).UTC().Format("01-02 15:04") }
-	is.Equal(utc(windows[0][0])+" to "+utc(windows[0][1]), "06-10 02:00 to 06-10 05:00")
-	is.Equal(utc(windows[1][0]), "06-30 22:00")
-	is.Equal(utc(windows[6][0]), "11-30 23:00")
+	is.Equal(utc(windows[0].Start)+" to "+utc(windows[0].End), "06-10 02:00 to 06-10 05:00")
+	is.Equal(utc(windows[1].Start), "06-30 22:00")
+	is.Equal(utc(windows[6].Start), "11-30 23:00")
 }
 
 func TestRecurringEventsAreExpandedToTheHorizon(t *testing.T) {
--- a/internal/state/drain.go
+++ b/internal/state/drain.go
@@ -8,12 +8,8 @@
 	"coppercourse/internal/types"
 )
 
-// Bounds on drains and maintenance calendars.
-const (
-	MaxDrains    = 100
-	MaxCalendars = 100
-	MaxWindows   = 1000 // of one calendar
-)
+// MaxDrains is how many drains may be in force at once.
+const MaxDrains = 100
 
 // Target is the worker or the rack that a drain or a calendar is for.
 type Target struct {
@@ -44,25 +40,6 @@
 	return replaceInList(&s.Drains, drain, sameTarget, drain.Cancel, MaxDrains)
 }
 
-// Calendar is one maintenance calendar of a target. Its windows, each from a start to an
-// end, are in order and don't overlap. A calendar without windows removes the one of its
-// name.
-type Calendar struct {
-	Name string `json:"name"`
-	Target
-	Windows [][2]types.WallTime `json:"spans"`
-}
-
-// applyCalendar adds, replaces or removes the calendar of a name.
-func (s *State) applyCalendar(calendar Calendar) *apierror.Error {
-	sameName := func(other Calendar) bool { return other.Name == calendar.Name }
-	remove := len(calendar.Windows) == 0
-	if remove && !slices.ContainsFunc(s.Calendars, sameName) {
-		return apierror.New(apierror.NoSuchCalendar, "name", "no calendar is called "+calendar.Name)
-	}
-	return replaceInList(&s.Calendars, calendar, sameName, remove, MaxCalendars)
-}
-
 // replaceInList drops the items that are the same as the new one, and unless remove is
 // set appends the new one. The list itself is not changed but replaced by another. It
 // returns a rejection if there would be more than limit items.
--- a/internal/state/drain_test.go
+++ b/internal/state/drain_test.go
@@ -35,16 +35,16 @@
 func TestCalendarsAreReplacedAndRemoved(t *testing.T) {
 	is := is.New(t)
 	s := newTestState(t)
-	apply := func(name string, windows ...[2]types.WallTime) *apierror.Error {
+	apply := func(name string, windows ...CalendarWindow) *apierror.Error {
 		calendar := Calendar{Name: name, Target: Target{Rack: "r"}, Windows: windows}
 		_, rejection := s.Apply(Command{Time: 2 * sec, Calendar: &calendar})
 		return rejection
 	}
 	is.Equal(apply("c").Kind, apierror.NoSuchCalendar)
-	is.True(apply("c", [2]types.WallTime{1, 2}) == nil)
-	is.True(apply("c", [2]types.WallTime{3, 4}) == nil)
+	is.True(apply("c", CalendarWindow{1, 2}) == nil)
+	is.True(apply("c", CalendarWindow{3, 4}) == nil)
 	is.Equal(len(s.Calendars), 1)
-	is.Equal(s.Calendars[0].Windows, [][2]types.WallTime{{3, 4}})
+	is.Equal(s.Calendars[0].Windows, []CalendarWindow{{3, 4}})
 	is.True(apply("c") == nil) // without windows it is removed
 	is.Equal(len(s.Calendars), 0)
 }
--- a/internal/state/window.go
+++ b/internal/state/window.go
@@ -39,16 +39,3 @@
 	}
 	return window, ok
 }
-
-// nextStart returns when the first window that has not ended begins, now at the earliest,
-// and false if all have ended.
-func (c Calendar) nextStart(now types.ClusterTime, wallOffset types.WallTime) (types.ClusterTime, bool) {
-	wallNow := types.WallTime(now) + wallOffset
-	for _, window := range c.Windows {
-		start, end := window[0], window[1]
-		if wallNow < end {
-			return max(now, types.ClusterTime(start-wallOffset)), true
-		}
-	}
-	return 0, false
-}
--- a/internal/state/window_test.go
+++ b/internal/state/window_test.go
@@ -12,7 +12,7 @@
 	wall := func(seconds types.ClusterTime) types.WallTime { return types.WallTime(seconds * sec) }
 	calendar := Calendar{
 		Name: "c", Target: Target{Rack: "r"},
-		Windows: [][2]types.WallTime{{wall(120), wall(130)}, {wall(150), wall(160)}},
+		Windows: []CalendarWindow{{wall(120), wall(130)}, {wall(150), wall(160)}},
 	}
 	// The wall clock is 100 s ahead of the cluster time.
 	for _, c := range []struct {
--- a/sim/upkeep_test.go
+++ b/sim/upkeep_test.go
@@ -198,7 +198,7 @@
 		})
 		fillWorkers(r, 1, 12_000)
 		open, shut := r.Now()+int64(40*time.Second), r.Now()+int64(52*time.Second)
-		plan := state.Calendar{Name: "roof", Target: state.Target{Rack: "r1"}, Windows: [][2]types.WallTime{{types.WallTime(history.WallClockStart + open), types.WallTime(history.WallClockStart + shut)}}}
+		plan := state.Calendar{Name: "roof", Target: state.Target{Rack: "r1"}, Windows: []state.CalendarWindow{{Start: types.WallTime(history.WallClockStart + open), End: types.WallTime(history.WallClockStart + shut)}}}
 		r.Clients.requestAsOperator("plan.put", "roof", wire.EncodeBody(plan), 0, func() {})
 		r.RunUntil(time.Duration(open) - 3*time.Second)
 		r.leader().Kill() // the windows outlive a change of leader
