--- a/internal/dispatch/executor/admission.go
+++ b/internal/dispatch/executor/admission.go
@@ -53,7 +53,7 @@
 		return "worker has not this kind"
 	case spec.Rack != "" && spec.Rack != report.Rack:
 		return "worker is in another rack"
-	case !report.HasLabels(spec.Labels):
+	case !types.HasLabels(report.Labels, spec.Labels):
 		return "worker lacks a label"
 	case runsTask:
 		return "another leg of the task is here"
--- a/internal/dispatch/protocol/messages.go
+++ b/internal/dispatch/protocol/messages.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"slices"
 
 	"coppercourse/internal/state"
 	"coppercourse/internal/types"
@@ -29,16 +28,6 @@
 	CalledByAgent bool `json:"invoked,omitempty"`
 }
 
-// HasLabels reports whether a worker has all the labels that a task needs.
-func (r WorkerReport) HasLabels(labels []string) bool {
-	for _, l := range labels {
-		if !slices.Contains(r.Labels, l) {
-			return false
-		}
-	}
-	return true
-}
-
 // WorkerSetID identifies a worker set: the leader that made it by its term, the set's
 // version in that term, and the hash and size of the set (the paper's WorkerSetID, in
 // "How to shorten the initial wait?").
--- a/internal/placement/slot.go
+++ b/internal/placement/slot.go
@@ -61,12 +61,7 @@
 	case s.AvailableFor != 0 && request.TimeLimit > s.AvailableFor:
 		return false
 	}
-	for _, label := range request.Labels {
-		if !slices.Contains(s.Labels, label) {
-			return false
-		}
-	}
-	return true
+	return types.HasLabels(s.Labels, request.Labels)
 }
 
 // fits returns how many tasks of a request the worker could run at once if it were idle.
--- a/internal/state/worker_shape.go
+++ b/internal/state/worker_shape.go
@@ -25,9 +25,6 @@
 // Matches reports whether the worker serves the kind of a step, and whether it has the
 // rack and the labels that the step asks for.
 func (w WorkerShape) Matches(step Step) (kind, place bool) {
-	place = step.Rack == "" || step.Rack == w.Rack
-	for _, label := range step.Labels {
-		place = place && slices.Contains(w.Labels, label)
-	}
+	place = (step.Rack == "" || step.Rack == w.Rack) && types.HasLabels(w.Labels, step.Labels)
 	return slices.Contains(w.Kinds, step.Kind), place
 }
