--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -52,8 +52,8 @@
 // # Worker states at the agent
 //
 // The agent keeps the same states by the same timeouts, so that it stops its attempts
-// before the scheduler counts them as lost. Silence is the time since it sent the latest heartbeat whose reply
-// renewed its lease. The agent accepts a RunTask only while HEALTHY.
+// before the scheduler counts them as lost. Silence is the time since it sent the latest
+// heartbeat whose reply renewed its lease. The agent accepts a RunTask only while HEALTHY.
 //
 //	------> NEW ---(1)---> UNHEALTHY -----(4)----> MUST_DIE --(6)--> NEW, as another instance
 //	         ^               |    ^                   ^
--- a/internal/dispatch/executor/executor.go
+++ b/internal/dispatch/executor/executor.go
@@ -1,11 +1,10 @@
 // Package executor is the worker half of the dispatcher, which the agent beside each
 // worker runs; package dispatch describes both halves.
 //
-// An Executor is the authority on what runs on its worker, with a record of each attempt: an attempt
-// has one from its RunTask until its end is committed to the log and the worker has dropped
-// it. It is a state machine: its methods take an event, and TakeOutput and TakeCalls
-// return the messages to the scheduler and the calls to the worker. It does no I/O and
-// reads no clock.
+// An Executor is the authority on what runs on its worker. It has a record of each attempt
+// from its RunTask until its end is committed to the log and the worker has dropped it. It
+// is a state machine: its methods take an event, and TakeOutput and TakeCalls return the
+// messages to the scheduler and the calls to the worker. It does no I/O and reads no clock.
 //
 // Towards the scheduler: scheduler_messages, admission (which RunTask is accepted),
 // health (worker state and lease), reports (heartbeats and ends). Towards a worker that
--- a/internal/dispatch/scheduler/run_task.go
+++ b/internal/dispatch/scheduler/run_task.go
@@ -52,9 +52,9 @@
 	sc.attempts.setPhase(attempt, confirmedRunning)
 }
 
-// KillTasks has attempts stopped (killTask). The caller repeats it until they have
-// ended; each is sent at most every half RetryInterval. Those in overTimeLimit are past the time that their
-// queue allows. Attempts unknown to the scheduler are skipped.
+// KillTasks has attempts stopped (killTask). The caller repeats it until they have ended;
+// each is sent at most every half RetryInterval. Those in overTimeLimit are past the time
+// that their queue allows. Attempts unknown to the scheduler are skipped.
 func (sc *Scheduler) KillTasks(attempts, overTimeLimit []types.AttemptID) {
 	byShard := map[types.Shard][]types.AttemptID{}
 	for _, id := range append(attempts, overTimeLimit...) {
--- a/internal/dispatch/scheduler/scheduler.go
+++ b/internal/dispatch/scheduler/scheduler.go
@@ -10,7 +10,7 @@
 // One concern a file: the workers and their association (remote_worker, association,
 // running_tasks), their health (health_check, initial_wait, worker_set), the attempts
 // that possibly run (outstanding_attempt, attempt_index, run_task, unsure, ends), and what
-// their ends and durations show of the workers (reliability, slowdown).
+// their ends and durations show of the workers (reliability, stage_durations, slowdown).
 package scheduler
 
 import (
--- a/internal/dispatch/scheduler/slowdown.go
+++ b/internal/dispatch/scheduler/slowdown.go
@@ -2,13 +2,12 @@
 
 import (
 	"math"
-	"slices"
 	"time"
 
 	"coppercourse/internal/types"
 )
 
-// This file judges how fast called workers are while their attempts still run. Agents
+// A slowdown says how fast a called worker is while its attempts still run. Agents
 // report estimates of the total duration of attempts, made from their progress. Such an
 // estimate is wrong by half and more, but alike for all attempts of a stage; so it is
 // compared with those of the same stage on other workers. A slow worker shows within a
@@ -28,94 +27,8 @@
 	// stragglerRatio is how many times as long as elsewhere an attempt takes that counts
 	// as a straggler.
 	stragglerRatio = 2.2
-	// minSamplesElsewhere is how many attempts of the stage on other workers an estimate
-	// needs to be compared with.
-	minSamplesElsewhere = 2
-	// stageRetention is how long the durations of a stage are kept after the last one.
-	stageRetention = 30 * time.Second
 )
 
-// stageSamples are the durations of a stage's attempts.
-type stageSamples struct {
-	list      []durationSample
-	updatedAt types.MonoTime
-	median    time.Duration // of all samples, or 0 to be computed anew
-}
-
-// durationSample is how long an attempt took, or takes by the latest estimate.
-type durationSample struct {
-	attempt  types.AttemptID
-	shard    types.Shard
-	duration time.Duration
-}
-
-// put takes the duration of an attempt, in place of an earlier one.
-func (s *stageSamples) put(sample durationSample) {
-	i := slices.IndexFunc(s.list, func(other durationSample) bool { return other.attempt == sample.attempt })
-	if i < 0 {
-		s.list = append(s.list, sample)
-	} else {
-		s.list[i].duration = sample.duration
-	}
-	s.median = 0
-}
-
-// medianElsewhere returns the median of the stage's durations on other shards, or false
-// if there are too few.
-func (s *stageSamples) medianElsewhere(shard types.Shard) (time.Duration, bool) {
-	durations := s.sortedDurations(func(sample durationSample) bool { return sample.shard != shard })
-	if len(durations) < minSamplesElsewhere {
-		return 0, false
-	}
-	return durations[len(durations)/2], true
-}
-
-func (s *stageSamples) sortedDurations(include func(durationSample) bool) []time.Duration {
-	var durations []time.Duration
-	for _, sample := range s.list {
-		if include(sample) {
-			durations = append(durations, sample.duration)
-		}
-	}
-	slices.Sort(durations)
-	return durations
-}
-
-// stageDurations holds the durations of stages, by those of their attempts that were
-// reported lately.
-type stageDurations struct {
-	byStage  map[types.StageID]*stageSamples
-	prunedAt types.MonoTime
-}
-
-// record takes the duration of an attempt and returns its stage's samples.
-func (sd *stageDurations) record(
-	now types.MonoTime, attempt *OutstandingAttempt, duration time.Duration,
-) *stageSamples {
-	stage := attempt.StageID()
-	samples := sd.byStage[stage]
-	if samples == nil {
-		samples = &stageSamples{}
-		sd.byStage[stage] = samples
-	}
-	samples.updatedAt = now
-	samples.put(durationSample{attempt.ID, attempt.Shard, duration})
-	return samples
-}
-
-// prune forgets, once a while, the stages of which nothing was reported for long.
-func (sd *stageDurations) prune(now types.MonoTime) {
-	if now.Sub(sd.prunedAt) <= pruneInterval {
-		return
-	}
-	sd.prunedAt = now
-	for stage, samples := range sd.byStage {
-		if now.Sub(samples.updatedAt) > stageRetention {
-			delete(sd.byStage, stage)
-		}
-	}
-}
-
 // recordDuration takes how long an attempt takes by an estimate, or has taken if it has
 // ended, and what that shows of its worker and of itself.
 func (sc *Scheduler) recordDuration(attempt *OutstandingAttempt, duration time.Duration, hasEnded bool) {
@@ -137,22 +50,6 @@
 	}
 }
 
-// StageDuration returns how long the tasks of a job's step take, as far as is known: the
-// median of those that have ended or have been estimated. It returns false if there is
-// none.
-func (sc *Scheduler) StageDuration(job types.JobID, step int) (time.Duration, bool) {
-	firstTask := types.TaskID{Job: job, TaskNumber: types.TaskNumber(0, step, 0)}
-	samples := sc.stages.byStage[firstTask.StageID()]
-	if samples == nil {
-		return 0, false
-	}
-	if samples.median == 0 {
-		durations := samples.sortedDurations(func(durationSample) bool { return true })
-		samples.median = durations[len(durations)/2]
-	}
-	return samples.median, true
-}
-
 // slowdown is how many times as long as elsewhere a worker's attempts take at present:
 // a moving average, kept as its logarithm, that fades with time.
 type slowdown struct {
--- a/internal/dispatch/scheduler/slowdown_test.go
+++ b/internal/dispatch/scheduler/slowdown_test.go
@@ -1,14 +1,12 @@
 package scheduler
 
 import (
-	"fmt"
 	"math"
 	"testing"
 	"time"
 
 	"github.com/matryer/is"
 
-	"coppercourse/internal/state"
 	"coppercourse/internal/types"
 )
 
@@ -35,15 +33,6 @@
 	is.True(isNear(fast.log, -slow.log))
 }
 
-// sampleStage gives the durations of a stage's attempts on other workers than s.
-func sampleStage(sc *Scheduler, durations ...time.Duration) {
-	for i, duration := range durations {
-		id := types.AttemptID{TaskID: types.TaskID{Job: "j", TaskNumber: 1 + i}, Attempt: 1}
-		shard := types.Shard(fmt.Sprint("other", i))
-		sc.recordDuration(&OutstandingAttempt{ID: id, Shard: shard}, duration, false)
-	}
-}
-
 // An estimate is compared with the median of the stage on other workers, if there are
 // enough.
 func TestStragglers(t *testing.T) {
@@ -78,79 +67,3 @@
 		})
 	}
 }
-
-func TestStageDurationIsTheMedian(t *testing.T) {
-	is := is.New(t)
-	sc, _ := newTestScheduler()
-	_, ok := sc.StageDuration("j", 0)
-	is.True(!ok)
-	sampleStage(sc, 3e9, 1e9, 2e9)
-	median, ok := sc.StageDuration("j", 0)
-	is.True(ok)
-	is.Equal(median, 2*time.Second)
-	sampleStage(sc, 3e9, 5e9) // newer estimates of the first two
-	median, _ = sc.StageDuration("j", 0)
-	is.Equal(median, 3*time.Second)
-
-	sc.stages.prune(testStart.Add(stageRetention))
-	is.Equal(len(sc.stages.byStage), 1)
-	sc.stages.prune(testStart.Add(stageRetention + pruneInterval + 1))
-	is.Equal(len(sc.stages.byStage), 0)
-}
-
-func TestBaselines(t *testing.T) {
-	is := is.New(t)
-	sc, _ := newTestScheduler()
-	b := sc.baselines
-	is.True(isNear(b.record("n", time.Second), 1)) // the first is the baseline
-	is.True(isNear(b.record("n", 2*time.Second), 2))
-	is.True(isNear(b["n"].duration, 1.1e9))
-	is.True(isNear(b.record("n", 110*time.Second), 100))
-	is.True(isNear(b["n"].duration, 1.1e9+reliabilityWeight*(maxBaselineRatio-1)*1.1e9)) // bounded
-	_, ok := sc.BaselineDuration("n")
-	is.True(!ok) // too few
-	for range minBaselineCount - 3 {
-		b.record("n", time.Second)
-	}
-	_, ok = sc.BaselineDuration("n")
-	is.True(ok)
-}
-
-// Only ends that say something of the worker count for its reliability.
-func TestReliability(t *testing.T) {
-	for _, test := range []struct {
-		outcome state.Outcome
-		want    float64
-	}{
-		{state.OutcomeOK, 0.5 * (1 - reliabilityWeight)},
-		{state.OutcomeFailed, 0.5 + 0.5*reliabilityWeight},
-		{state.OutcomeLost, 0.5 + 0.5*reliabilityWeight},
-		{state.OutcomeNeverRan, 0.5},
-		{state.OutcomeStopped, 0.5},
-		{state.OutcomePartitioned, 0.5},
-	} {
-		t.Run(string(test.outcome), func(t *testing.T) {
-			is := is.New(t)
-			sc, worker := newTestScheduler()
-			worker.Reliability.FailureRate = 0.5
-			sc.recordOutcome(&OutstandingAttempt{Shard: "s"}, test.outcome)
-			is.True(isNear(worker.Reliability.FailureRate, test.want))
-		})
-	}
-}
-
-// How long an attempt took is compared with its baseline, if it has one and ended well.
-func TestRelativeDuration(t *testing.T) {
-	is := is.New(t)
-	sc, worker := newTestScheduler()
-	sc.baselines["n"] = &baseline{duration: 1e9, count: 1}
-	sc.now = testStart.Add(3 * time.Second)
-	attempt := &OutstandingAttempt{Shard: "s", Stage: StageUnknown, BaselineName: "n", OrderedAt: testStart}
-	sc.recordOutcome(attempt, state.OutcomeFailed)
-	is.True(isNear(worker.Reliability.RelativeDuration, 1))
-	sc.recordOutcome(attempt, state.OutcomeOK)
-	is.True(isNear(worker.Reliability.RelativeDuration, 1+2*reliabilityWeight))
-	attempt.BaselineName = ""
-	sc.recordOutcome(attempt, state.OutcomeOK)
-	is.True(isNear(worker.Reliability.RelativeDuration, 1+2*reliabilityWeight))
-}
--- /dev/null
+++ b/internal/dispatch/scheduler/stage_durations_test.go
@@ -0,0 +1,39 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"coppercourse/internal/types"
+)
+
+// sampleStage gives the durations of a stage's attempts on other workers than s.
+func sampleStage(sc *Scheduler, durations ...time.Duration) {
+	for i, duration := range durations {
+		id := types.AttemptID{TaskID: types.TaskID{Job: "j", TaskNumber: 1 + i}, Attempt: 1}
+		shard := types.Shard(fmt.Sprint("other", i))
+		sc.recordDuration(&OutstandingAttempt{ID: id, Shard: shard}, duration, false)
+	}
+}
+
+func TestStageDurationIsTheMedian(t *testing.T) {
+	is := is.New(t)
+	sc, _ := newTestScheduler()
+	_, ok := sc.StageDuration("j", 0)
+	is.True(!ok)
+	sampleStage(sc, 3e9, 1e9, 2e9)
+	median, ok := sc.StageDuration("j", 0)
+	is.True(ok)
+	is.Equal(median, 2*time.Second)
+	sampleStage(sc, 3e9, 5e9) // newer estimates of the first two
+	median, _ = sc.StageDuration("j", 0)
+	is.Equal(median, 3*time.Second)
+
+	sc.stages.prune(testStart.Add(stageRetention))
+	is.Equal(len(sc.stages.byStage), 1)
+	sc.stages.prune(testStart.Add(stageRetention + pruneInterval + 1))
+	is.Equal(len(sc.stages.byStage), 0)
+}
--- a/internal/dispatch/scheduler/worker_set.go
+++ b/internal/dispatch/scheduler/worker_set.go
@@ -115,8 +115,9 @@
 	}
 }
 
-// onReported records the latest set that a worker's agent has received, and raises the indirect sets that
-// this changes. Versions that are not newer, or not of this history, change nothing.
+// onReported records the latest set that a worker's agent has received, and raises the
+// indirect sets that this changes. Versions that are not newer, or not of this history,
+// change nothing.
 func (ws *workerSetHistory) onReported(worker *RemoteWorker, version int) {
 	if version <= worker.sets.reported || version > ws.version {
 		return
--- a/internal/placement/turns_test.go
+++ b/internal/placement/turns_test.go
@@ -51,14 +51,21 @@
 		request("large", "b", OnTarget, -8),
 		request("small", "a", OnTarget, -9),
 	}
-	order := []types.JobID{"small", "low", "large", "late", "missed"}
+	checkOrder(is, requests, 20, []types.JobID{"small", "low", "large", "late", "missed"},
+		config.Queue{Name: "a", TargetFactor: 1.5},
+		config.Queue{Name: "b", TargetFactor: 2},
+		config.Queue{Name: "c", TargetFactor: 2, Priority: 1},
+	)
+}
+
+// checkOrder checks that requests of one task each, which takes a whole worker, are placed
+// in an order, however many workers there are.
+func checkOrder(
+	is *is.I, requests []Request, totalCores int, order []types.JobID, queues ...config.Queue,
+) {
+	is.Helper()
 	for workers := range len(order) + 1 {
-		usage := usageOf(
-			config.Queue{Name: "a", TargetFactor: 1.5},
-			config.Queue{Name: "b", TargetFactor: 2},
-			config.Queue{Name: "c", TargetFactor: 2, Priority: 1},
-		)
-		got := tasksByJob(place(requests, newSlots(workers, 4), usage, 20))
+		got := tasksByJob(place(requests, newSlots(workers, 4), usageOf(queues...), totalCores))
 		for i, job := range order {
 			is.Equal(got[job] == 1, i < workers)
 		}
@@ -71,19 +78,12 @@
 	is := is.New(t)
 	first, plain, last := newRequest("first", "a", 1, 4), newRequest("plain", "b", 1, 4), newRequest("last", "c", 1, 4)
 	last.SortKey, first.SortKey = -9, -1
-	order := []types.JobID{"last", "first", "plain"}
-	for workers := range len(order) + 1 {
-		for _, requests := range [][]Request{{last, plain, first}, {first, plain, last}, {plain, last, first}} {
-			usage := usageOf(
-				config.Queue{Name: "a", TargetFactor: 1.5},
-				config.Queue{Name: "b", Priority: 1},
-				config.Queue{Name: "c", TargetFactor: 2, Priority: 2},
-			)
-			got := tasksByJob(place(requests, newSlots(workers, 4), usage, 12))
-			for i, job := range order {
-				is.Equal(got[job] == 1, i < workers)
-			}
-		}
+	for _, requests := range [][]Request{{last, plain, first}, {first, plain, last}, {plain, last, first}} {
+		checkOrder(is, requests, 12, []types.JobID{"last", "first", "plain"},
+			config.Queue{Name: "a", TargetFactor: 1.5},
+			config.Queue{Name: "b", Priority: 1},
+			config.Queue{Name: "c", TargetFactor: 2, Priority: 2},
+		)
 	}
 }
 
--- a/internal/workqueue/max_wait.go
+++ b/internal/workqueue/max_wait.go
@@ -14,7 +14,7 @@
 	// MaxRequestWait is how long a caller's request may wait before it is rejected.
 	MaxRequestWait = 700 * time.Millisecond
 	// MaxForwardWait is how long a forwarded request may wait before it is rejected. The
-	// gateway must hear of that before it tries another controller.
+	// gateway must learn of that before it tries another controller.
 	MaxForwardWait = 450 * time.Millisecond
 	// MaxReportWait is how long a report of ends may wait before it is dropped. Its sender
 	// has repeated it by then, and goes on until it is acknowledged.
@@ -22,13 +22,13 @@
 )
 
 // MaxWait returns how long an event may wait for the machine; 0 is for ever.
-func MaxWait(e wire.Event) time.Duration {
+func MaxWait(event wire.Event) time.Duration {
 	switch {
-	case e.Request != nil && e.Class() == wire.ClassCallers:
+	case event.Request != nil && event.Class() == wire.ClassCallers:
 		return MaxRequestWait
-	case e.Message != nil && e.Message.Kind == wire.ForwardRequest:
+	case event.Message != nil && event.Message.Kind == wire.ForwardRequest:
 		return MaxForwardWait
-	case e.Message != nil && e.Message.Kind == wire.StatusReport:
+	case event.Message != nil && event.Message.Kind == wire.StatusReport:
 		return MaxReportWait
 	default:
 		return 0
