--- a/internal/state/calendar.go
+++ b/internal/state/calendar.go
@@ -42,7 +42,8 @@
 	return nil
 }
 
-// applyCalendar adds, replaces or removes the calendar of a name.
+// applyCalendar adds, replaces or removes the calendar of a name. The rejection is of the
+// kind NoSuchCalendar, or QueueFull at the limit.
 func (s *State) applyCalendar(calendar Calendar) *apierror.Error {
 	sameName := func(other Calendar) bool { return other.Name == calendar.Name }
 	remove := len(calendar.Windows) == 0
--- a/internal/state/cancellation.go
+++ b/internal/state/cancellation.go
@@ -6,8 +6,8 @@
 )
 
 // CheckCancel reports whether a job may be cancelled now. repeat is true if it already
-// is or is being cancelled, which is no error. A job that has ended otherwise can't be
-// cancelled.
+// is or is being cancelled, which is no error. The rejection is of the kind NoSuchJob, or
+// AlreadyEnded for a job that has ended otherwise.
 func (s *State) CheckCancel(id types.JobID) (repeat bool, rejection *apierror.Error) {
 	job := s.Find(id)
 	switch {
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -25,7 +25,8 @@
 
 // Apply applies one command. It returns the assignments that were made, with the attempt
 // numbers that they got, and the rejection with which whoever proposed the command is
-// answered, or nil.
+// answered, or nil. For the kinds of rejection see CheckTable, CheckJob and CheckCancel;
+// a drain may be NotDrained, a calendar NoSuchCalendar, and both QueueFull.
 func (s *State) Apply(command Command) (assigned []Assignment, rejection *apierror.Error) {
 	s.Time = max(s.Time, command.Time)
 	if command.WallOffset != nil {
--- a/internal/state/drain.go
+++ b/internal/state/drain.go
@@ -31,7 +31,8 @@
 	Cancel   bool              `json:"over,omitempty"`
 }
 
-// applyDrain adds, replaces or cancels the drain of a target.
+// applyDrain adds, replaces or cancels the drain of a target. The rejection is of the kind
+// NotDrained, or QueueFull at the limit.
 func (s *State) applyDrain(drain Drain) *apierror.Error {
 	sameTarget := func(other Drain) bool { return other.Target == drain.Target }
 	if drain.Cancel && !slices.ContainsFunc(s.Drains, sameTarget) {
@@ -42,7 +43,7 @@
 
 // replaceInList drops the items that are the same as the new one, and unless remove is
 // set appends the new one. The list itself is not changed but replaced by another. It
-// returns a rejection if there would be more than limit items.
+// returns a rejection of the kind QueueFull if there would be more than limit items.
 func replaceInList[T any](list *[]T, item T, same func(T) bool, remove bool, limit int) *apierror.Error {
 	next := slices.DeleteFunc(slices.Clone(*list), same)
 	switch {
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -10,14 +10,13 @@
 // JobStatus is how far a job is. The values are stored.
 type JobStatus string
 
-// Statuses of a job. An ending job waits for its outstanding attempts to end; the three
-// after it are final.
+// Statuses of a job. The last three are final.
 const (
 	JobOpen      JobStatus = "open"
-	JobEnding    JobStatus = "ending"
-	JobDone      JobStatus = "done"
-	JobFailed    JobStatus = "failed"
-	JobCancelled JobStatus = "cancelled"
+	JobEnding    JobStatus = "ending"    // decided, but attempts are still outstanding
+	JobDone      JobStatus = "done"      // all tasks have ended well
+	JobFailed    JobStatus = "failed"    // a task may have no further attempt; see Job.Reason
+	JobCancelled JobStatus = "cancelled" // by its caller
 )
 
 // Job is one accepted job. Once it has ended, Spec, Tasks and BrokenGangs are dropped.
--- a/internal/state/job_index.go
+++ b/internal/state/job_index.go
@@ -12,7 +12,7 @@
 // tombstone stays.
 const (
 	EndedJobAge   = 30 * time.Minute
-	EndedJobLimit = 20_000
+	EndedJobLimit = 20_000 // jobs
 )
 
 // compactionSlack is by how many jobs the ordered list of live jobs may exceed twice their
--- a/internal/state/job_spec_decode.go
+++ b/internal/state/job_spec_decode.go
@@ -8,10 +8,11 @@
 	"coppercourse/internal/types"
 )
 
-// Bounds of a job's document. MaxDocumentBytes is also that of a table's.
-const (
-	MaxDocumentBytes = 256 << 10
+// MaxDocumentBytes is how many bytes a caller's or operator's document may have.
+const MaxDocumentBytes = 256 << 10
 
+// Bounds of a job's document.
+const (
 	maxTasks        = 20_000 // of all stages
 	maxOccurrences  = 10_000
 	maxWorkBytes    = 16 << 10
@@ -25,8 +26,8 @@
 	maxInterval     = 1 << 40 // milliseconds
 )
 
-// ReadSpec decodes and checks a job's document. All errors are added to errs; without any
-// the Spec is valid.
+// ReadSpec decodes and checks a job's document. All errors are added to errs, each with
+// the path of its field; without any the Spec is valid.
 func ReadSpec(document []byte, errs *apierror.ErrorList) Spec {
 	var spec Spec
 	r := config.NewReader(document, errs)
--- a/internal/state/queue_table.go
+++ b/internal/state/queue_table.go
@@ -14,7 +14,10 @@
 func (s *State) IsRepeat(table config.Table) bool { return s.History.contains(changeOf(table)) }
 
 // CheckTable reports why a table is rejected, or nil if it may be put in force now or is
-// a repeat. It is rejected as stale only where it surely was not accepted earlier.
+// a repeat. It is rejected as stale (StaleVersion) only where it surely was not accepted
+// earlier; where that is forgotten, the kind is OutcomeUnknown. A version that is requested
+// and not above the one in force is a BadField, a queue left out that has unfinished jobs
+// is QueueInUse.
 func (s *State) CheckTable(table config.Table) *apierror.Error {
 	if s.IsRepeat(table) {
 		return nil
--- a/internal/state/snapshot_loader.go
+++ b/internal/state/snapshot_loader.go
@@ -17,7 +17,8 @@
 func NewLoader(parts [][]byte) *Loader { return &Loader{state: New(), parts: parts} }
 
 // Load reads parts until the budget in bytes is used up, one part at least. It returns
-// the state once all are read, and nil before. The error is of the kind Unusable.
+// the state once all are read, and nil without an error before. The error is of the kind
+// Unusable.
 func (l *Loader) Load(budget int) (*State, error) {
 	for budget > 0 && len(l.parts) > 0 {
 		budget -= len(l.parts[0])
@@ -33,7 +34,7 @@
 	return l.state, nil
 }
 
-// Restore reads a whole snapshot at once.
+// Restore reads all parts of a snapshot at once. The error is of the kind Unusable.
 func Restore(parts [][]byte) (*State, error) {
 	size := 1
 	for _, part := range parts {
@@ -42,7 +43,7 @@
 	return NewLoader(parts).Load(size)
 }
 
-// loadPart takes over one part of a snapshot.
+// loadPart adds what one part of a snapshot holds.
 func (s *State) loadPart(encoded []byte) error {
 	var part struct {
 		Header     *header        `json:"head"`
--- a/internal/state/snapshot_writer.go
+++ b/internal/state/snapshot_writer.go
@@ -37,8 +37,9 @@
 // SnapshotInProgress reports whether a snapshot was begun and is not complete.
 func (s *State) SnapshotInProgress() bool { return s.snapshot != nil }
 
-// ContinueSnapshot writes about as many bytes of the snapshot as the budget allows. It
-// returns the parts once the snapshot is complete, and nil before.
+// ContinueSnapshot writes about as many bytes of the snapshot in progress, of which there
+// must be one, as the budget allows. It returns the parts once the snapshot is complete,
+// and nil before.
 func (s *State) ContinueSnapshot(budget int) (parts [][]byte) {
 	writer := s.snapshot
 	limit := writer.size() + budget
--- a/internal/state/submission.go
+++ b/internal/state/submission.go
@@ -14,7 +14,8 @@
 }
 
 // CheckJob reports whether a job may be accepted now: it returns the earlier job if the
-// same one was accepted under this id before, or why the job is rejected, or neither.
+// same one was accepted under this id before, or why the job is rejected, or neither. The
+// rejection is of the kind IDInUse, NoSuchQueue, QueueFull or TooManyIDs.
 func (s *State) CheckJob(id types.JobID, spec Spec) (known *Job, rejection *apierror.Error) {
 	if job := s.Find(id); job != nil {
 		if job.Hash != spec.Hash() {
--- a/internal/state/task.go
+++ b/internal/state/task.go
@@ -31,13 +31,13 @@
 	Primary     *OutstandingAttempt `json:"out,omitempty"`
 	Hedge       *OutstandingAttempt `json:"copy,omitempty"` // only beside a primary one
 	Done        bool                `json:"done,omitempty"`
-	Failed      bool                `json:"dead,omitempty"` // it may have no further attempt, and fails its job
-	Failures    int                 `json:"fails,omitempty"`
-	Losses      int                 `json:"lost,omitempty"`
-	Stops       int                 `json:"stopped,omitempty"`
-	Preemptions int                 `json:"displaced,omitempty"`
-	AvoidWorker types.Shard         `json:"shun,omitempty"` // where an attempt failed or straggled last
-	ReadyAt     types.ClusterTime   `json:"ready"`          // no attempt is assigned before
+	Failed      bool                `json:"dead,omitempty"`      // it may have no further attempt, and fails its job
+	Failures    int                 `json:"fails,omitempty"`     // up to config.Queue.MaxFailures
+	Losses      int                 `json:"lost,omitempty"`      // with a worker, up to config.Queue.MaxLosses
+	Stops       int                 `json:"stopped,omitempty"`   // attempts that were stopped or never ran
+	Preemptions int                 `json:"displaced,omitempty"` // up to config.Queue.MaxPreemptions
+	AvoidWorker types.Shard         `json:"shun,omitempty"`      // where an attempt failed or straggled last
+	ReadyAt     types.ClusterTime   `json:"ready"`               // no attempt is assigned before
 
 	// UnresolvedOn is the worker on which the last attempt was lost, as long as the
 	// attempt may still turn out to have ended well.
--- a/internal/state/tombstones.go
+++ b/internal/state/tombstones.go
@@ -13,8 +13,11 @@
 
 // Bounds on tombstones.
 const (
-	TombstoneAge      = 24 * time.Hour
-	TombstoneLimit    = 1_200_000 // a day of the busier deployment has about 720,000
+	// TombstoneAge is how long the id of an ended job is remembered at least.
+	TombstoneAge = 24 * time.Hour
+	// TombstoneLimit is how many ids may be remembered: a day of the busier deployment has
+	// about 720,000.
+	TombstoneLimit    = 1_200_000
 	tombstonesPerPage = 4096
 )
 
--- a/internal/state/window.go
+++ b/internal/state/window.go
@@ -3,7 +3,7 @@
 import "coppercourse/internal/types"
 
 // Window is the next time at which a worker is not available, by a drain or a maintenance
-// calendar. (A worker that announces that it leaves is a third reason, which only the
+// calendar. (A departure that the worker itself announces is a third reason, which only the
 // dispatcher knows.)
 type Window struct {
 	From     types.ClusterTime // from then on nothing may start that would last beyond Deadline
--- a/internal/state/withdrawal.go
+++ b/internal/state/withdrawal.go
@@ -14,10 +14,15 @@
 
 // Reasons for withdrawing an attempt. The values are stored.
 const (
-	WorkerDeparting     WithdrawReason = "its worker leaves"
-	WorkerDrained       WithdrawReason = "its worker is drained"
-	Straggling          WithdrawReason = "far beyond its usual time"
-	Preempted           WithdrawReason = "displaced by more urgent work"
+	// WorkerDeparting: the worker itself has announced that it will be gone soon.
+	WorkerDeparting WithdrawReason = "its worker leaves"
+	// WorkerDrained: by an operator's drain or a maintenance calendar.
+	WorkerDrained WithdrawReason = "its worker is drained"
+	// Straggling: it takes far longer than is usual.
+	Straggling WithdrawReason = "far beyond its usual time"
+	// Preempted: its resources are needed for more urgent work.
+	Preempted WithdrawReason = "displaced by more urgent work"
+	// GangPeerUnreachable: another attempt of its gang can't be reached.
 	GangPeerUnreachable WithdrawReason = "a mate of its gang is out of reach"
 )
 
