--- a/internal/controller/leader_rig_test.go
+++ b/internal/controller/leader_rig_test.go
@@ -101,7 +101,8 @@
 	for _, m := range messages {
 		switch m.Message.Kind {
 		case wire.RunningTasksQuery:
-			reply := protocol.RunningTasksReply{Term: 1, Shard: agent.Shard, Instance: agent.Instance, Complete: true}
+			header := protocol.ReplyHeader{Term: 1, Shard: agent.Shard, Instance: agent.Instance}
+			reply := protocol.RunningTasksReply{ReplyHeader: header, Complete: true}
 			l.deliver(wire.RunningTasksReply, reply)
 		case wire.HeartbeatReply:
 			if r, ok := wire.DecodeBody[protocol.HeartbeatReply](m.Message); ok {
--- a/internal/dispatch/executor/admission.go
+++ b/internal/dispatch/executor/admission.go
@@ -26,11 +26,9 @@
 		ex.polls.hasUpdate = true
 	}
 	ex.send(from, wire.RunTaskReply, protocol.RunTaskReply{
-		Term:      ex.association.term,
-		Shard:     ex.shard,
-		Instance:  ex.association.instance,
-		Attempt:   id,
-		Rejection: rejection,
+		ReplyHeader: ex.replyHeader(),
+		Attempt:     id,
+		Rejection:   rejection,
 	})
 }
 
--- a/internal/dispatch/executor/scheduler_messages.go
+++ b/internal/dispatch/executor/scheduler_messages.go
@@ -26,6 +26,15 @@
 	return true
 }
 
+// replyHeader returns the header of a reply to the scheduler whose message was accepted.
+func (ex *Executor) replyHeader() protocol.ReplyHeader {
+	return protocol.ReplyHeader{
+		Term:     ex.association.term,
+		Shard:    ex.shard,
+		Instance: ex.association.instance,
+	}
+}
+
 func (ex *Executor) onHeartbeatReply(from types.Addr, reply protocol.HeartbeatReply) {
 	if !ex.acceptHeader(from, reply.Header) {
 		return
@@ -61,11 +70,9 @@
 		}
 	}
 	ex.send(from, wire.RunningTasksReply, protocol.RunningTasksReply{
-		Term:     ex.association.term,
-		Shard:    ex.shard,
-		Instance: ex.association.instance,
-		Tasks:    tasks,
-		Complete: ex.worker.runningTasksKnown,
+		ReplyHeader: ex.replyHeader(),
+		Tasks:       tasks,
+		Complete:    ex.worker.runningTasksKnown,
 	})
 }
 
@@ -84,10 +91,8 @@
 		}
 	}
 	ex.send(from, wire.NotRunningReply, protocol.NotifyIfTasksNotRunningReply{
-		Term:     ex.association.term,
-		Shard:    ex.shard,
-		Instance: ex.association.instance,
-		Sequence: query.Sequence,
+		ReplyHeader: ex.replyHeader(),
+		Sequence:    query.Sequence,
 	})
 }
 
--- a/internal/dispatch/protocol/messages.go
+++ b/internal/dispatch/protocol/messages.go
@@ -77,6 +77,15 @@
 	To   types.ID   `json:"to"`
 }
 
+// ReplyHeader opens an agent's reply to a message of a scheduler: the term of the message
+// replied to, and the agent that replies. A scheduler of another term, or one that has
+// associated another instance, drops it.
+type ReplyHeader struct {
+	Term     types.Term  `json:"term"`
+	Shard    types.Shard `json:"shard"`
+	Instance types.ID    `json:"id"`
+}
+
 // HeartbeatReply replies to a Heartbeat.
 type HeartbeatReply struct {
 	Header
@@ -101,10 +110,8 @@
 // RunningTasksReply replies to GetRunningTasks with all attempts that run or whose end
 // is not yet committed.
 type RunningTasksReply struct {
-	Term     types.Term    `json:"term"`
-	Shard    types.Shard   `json:"shard"`
-	Instance types.ID      `json:"id"`
-	Tasks    []RunningTask `json:"runs"`
+	ReplyHeader
+	Tasks []RunningTask `json:"runs"`
 	// Complete lists come from the worker itself: what they do not hold never ran or
 	// has ended. Others are what an agent knows that has not reached its worker.
 	Complete bool `json:"whole"`
@@ -137,9 +144,7 @@
 // RunTaskReply replies to RunTask. An empty Rejection accepts the attempt; otherwise it is
 // the reason, and the attempt will never run.
 type RunTaskReply struct {
-	Term      types.Term      `json:"term"`
-	Shard     types.Shard     `json:"shard"`
-	Instance  types.ID        `json:"id"`
+	ReplyHeader
 	Attempt   types.AttemptID `json:"leg"`
 	Rejection string          `json:"why,omitempty"`
 }
@@ -156,10 +161,8 @@
 // NotifyIfTasksNotRunningReply replies to NotifyIfTasksNotRunning; the UpdateStatus for
 // what does not run is sent apart from it.
 type NotifyIfTasksNotRunningReply struct {
-	Term     types.Term  `json:"term"`
-	Shard    types.Shard `json:"shard"`
-	Instance types.ID    `json:"id"`
-	Sequence types.Seq   `json:"seq"`
+	ReplyHeader
+	Sequence types.Seq `json:"seq"`
 }
 
 // UpdateStatus is updateStatus, agent to scheduler, of both kinds: "task ended" and
--- a/internal/dispatch/scheduler/remote_worker.go
+++ b/internal/dispatch/scheduler/remote_worker.go
@@ -91,13 +91,14 @@
 // Workers lists the workers by shard. The list is the scheduler's own.
 func (sc *Scheduler) Workers() []*RemoteWorker { return sc.workers.sorted }
 
-// senderOf returns the worker that an agent's message speaks for, or nil if it is of
-// another term or instance.
-func (sc *Scheduler) senderOf(term types.Term, shard types.Shard, instance types.ID) *RemoteWorker {
-	if worker := sc.Worker(shard); worker != nil && worker.Instance == instance && term == sc.term {
-		return worker
+// senderOf returns the worker that an agent's reply speaks for, or nil if it is of another
+// term or instance.
+func (sc *Scheduler) senderOf(header protocol.ReplyHeader) *RemoteWorker {
+	worker := sc.Worker(header.Shard)
+	if worker == nil || worker.Instance != header.Instance || header.Term != sc.term {
+		return nil
 	}
-	return nil
+	return worker
 }
 
 // FreeCapacity returns a worker's capacity less the shortfall that its agent reports and
--- a/internal/dispatch/scheduler/run_task.go
+++ b/internal/dispatch/scheduler/run_task.go
@@ -39,7 +39,7 @@
 }
 
 func (sc *Scheduler) onRunTaskReply(_ types.Addr, reply protocol.RunTaskReply) {
-	worker := sc.senderOf(reply.Term, reply.Shard, reply.Instance)
+	worker := sc.senderOf(reply.ReplyHeader)
 	attempt := sc.attempts.byID[reply.Attempt]
 	if worker == nil || attempt == nil || attempt.Shard != worker.Shard || attempt.phase == confirmedRunning {
 		return
--- a/internal/dispatch/scheduler/running_tasks.go
+++ b/internal/dispatch/scheduler/running_tasks.go
@@ -22,7 +22,7 @@
 // onRunningTasksReply handles the list of what runs on a NEW worker, which ends the state
 // NEW. An attempt that the log has there and the list lacks has ended.
 func (sc *Scheduler) onRunningTasksReply(_ types.Addr, reply protocol.RunningTasksReply) {
-	worker := sc.senderOf(reply.Term, reply.Shard, reply.Instance)
+	worker := sc.senderOf(reply.ReplyHeader)
 	if worker == nil || worker.State != protocol.WorkerNew {
 		return
 	}
--- a/internal/dispatch/scheduler/unsure.go
+++ b/internal/dispatch/scheduler/unsure.go
@@ -55,7 +55,7 @@
 // onNotifyReply takes the reply to a query: what was asked about runs, unless an
 // UpdateStatus says otherwise.
 func (sc *Scheduler) onNotifyReply(_ types.Addr, reply protocol.NotifyIfTasksNotRunningReply) {
-	worker := sc.senderOf(reply.Term, reply.Shard, reply.Instance)
+	worker := sc.senderOf(reply.ReplyHeader)
 	if worker == nil {
 		return
 	}
--- a/internal/dispatch/scheduler/unsure_test.go
+++ b/internal/dispatch/scheduler/unsure_test.go
@@ -54,7 +54,8 @@
 	is.Equal(sequences, []types.Seq{1, 2, 3, 4})
 	is.Equal(worker.queries.sequence, types.Seq(4))
 
-	reply := protocol.NotifyIfTasksNotRunningReply{Term: 2, Shard: "s", Instance: "i", Sequence: 3}
+	header := protocol.ReplyHeader{Term: 2, Shard: "s", Instance: "i"}
+	reply := protocol.NotifyIfTasksNotRunningReply{ReplyHeader: header, Sequence: 3}
 	sc.onNotifyReply("a", reply) // to an earlier leader
 	is.Equal(attempt.phase, unsureIfRunning)
 	reply.Term = 3
