--- a/internal/dispatch/protocol/timeouts.go
+++ b/internal/dispatch/protocol/timeouts.go
@@ -1,8 +1,6 @@
 package protocol
 
-import (
-	"time"
-)
+import "time"
 
 // Timeouts are the timeouts of both halves, which must be equal in a cluster. It is
 // always UnhealthyAfter < LostAfter, and an agent's lease, with the time that its worker
@@ -20,7 +18,7 @@
 	// WorkerLease is how long a polling worker may run tasks, counted from its poll; it
 	// ends with the agent's lease at the latest.
 	WorkerLease time.Duration
-	// RetryInterval is the time between two tries of a query, a stop or a status report.
+	// RetryInterval is the time after which a query, a stop or a status report is repeated.
 	RetryInterval time.Duration
 	// DepartureTime is how long a worker surely runs on that deregisters without having
 	// announced its departure; 0 is not known.
--- a/internal/dispatch/scheduler/attempt_index.go
+++ b/internal/dispatch/scheduler/attempt_index.go
@@ -47,14 +47,14 @@
 // add puts an attempt in, in place of one with its id.
 func (a *attemptIndex) add(attempt *OutstandingAttempt) {
 	a.remove(attempt.ID)
-	on := a.byShard[attempt.Shard]
-	if on == nil {
-		on = &shardAttempts{}
-		a.byShard[attempt.Shard] = on
+	onShard := a.byShard[attempt.Shard]
+	if onShard == nil {
+		onShard = &shardAttempts{}
+		a.byShard[attempt.Shard] = onShard
 	}
-	i, _ := slices.BinarySearchFunc(on.list, attempt, compareOutstanding)
-	on.list = slices.Insert(on.list, i, attempt)
-	on.reserved = on.reserved.Add(attempt.Resources)
+	i, _ := slices.BinarySearchFunc(onShard.list, attempt, compareOutstanding)
+	onShard.list = slices.Insert(onShard.list, i, attempt)
+	onShard.reserved = onShard.reserved.Add(attempt.Resources)
 	a.byID[attempt.ID] = attempt
 	a.revisions[attempt.Shard]++
 	if attempt.Stage == StageUnknown {
@@ -72,11 +72,11 @@
 	delete(a.byID, id)
 	a.revisions[attempt.Shard]++
 	delete(a.unknownToLog, id)
-	on := a.byShard[attempt.Shard]
-	i, _ := slices.BinarySearchFunc(on.list, attempt, compareOutstanding)
-	on.list = slices.Delete(on.list, i, i+1)
-	on.reserved = on.reserved.Sub(attempt.Resources)
-	if len(on.list) == 0 {
+	onShard := a.byShard[attempt.Shard]
+	i, _ := slices.BinarySearchFunc(onShard.list, attempt, compareOutstanding)
+	onShard.list = slices.Delete(onShard.list, i, i+1)
+	onShard.reserved = onShard.reserved.Sub(attempt.Resources)
+	if len(onShard.list) == 0 {
 		delete(a.byShard, attempt.Shard)
 	}
 }
@@ -95,14 +95,14 @@
 
 // adjustCounts adds an attempt to the counts of its phase (by 1), or removes it (by -1).
 func (a *attemptIndex) adjustCounts(attempt *OutstandingAttempt, by int) {
-	on := a.byShard[attempt.Shard]
+	onShard := a.byShard[attempt.Shard]
 	switch attempt.phase {
 	case unconfirmed:
-		on.unconfirmed += by
+		onShard.unconfirmed += by
 		a.unconfirmed += by
 	case unsureIfRunning:
-		on.unsure += by
-		if on.unsure > 0 {
+		onShard.unsure += by
+		if onShard.unsure > 0 {
 			a.unsureShards[attempt.Shard] = true
 		} else {
 			delete(a.unsureShards, attempt.Shard)
@@ -135,20 +135,20 @@
 
 // onShard lists the attempts on a shard; the list is a copy.
 func (a *attemptIndex) onShard(shard types.Shard) []*OutstandingAttempt {
-	if on := a.byShard[shard]; on != nil {
-		return slices.Clone(on.list)
+	if onShard := a.byShard[shard]; onShard != nil {
+		return slices.Clone(onShard.list)
 	}
 	return nil
 }
 
 // unsureOn lists the unsure attempts on a shard.
 func (a *attemptIndex) unsureOn(shard types.Shard) []types.AttemptID {
-	on := a.byShard[shard]
-	if on == nil {
+	onShard := a.byShard[shard]
+	if onShard == nil {
 		return nil
 	}
 	var list []types.AttemptID
-	for _, attempt := range on.list {
+	for _, attempt := range onShard.list {
 		if attempt.phase == unsureIfRunning {
 			list = append(list, attempt.ID)
 		}
@@ -158,8 +158,8 @@
 
 // reservedOn returns the resources of all attempts on a shard together.
 func (a *attemptIndex) reservedOn(shard types.Shard) types.Resources {
-	if on := a.byShard[shard]; on != nil {
-		return on.reserved
+	if onShard := a.byShard[shard]; onShard != nil {
+		return onShard.reserved
 	}
 	return types.Resources{}
 }
@@ -171,11 +171,11 @@
 	}
 	var list []*OutstandingAttempt
 	for _, shard := range sortedShards(a.byShard) {
-		on := a.byShard[shard]
-		if on.unconfirmed == 0 || workers[shard] != nil {
+		onShard := a.byShard[shard]
+		if onShard.unconfirmed == 0 || workers[shard] != nil {
 			continue
 		}
-		for _, attempt := range on.list {
+		for _, attempt := range onShard.list {
 			if attempt.phase == unconfirmed {
 				list = append(list, attempt)
 			}
--- a/internal/dispatch/scheduler/ends.go
+++ b/internal/dispatch/scheduler/ends.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// reportEnd queues an attempt's end to be committed; the attempt still counts as
+// proposeEnd queues an attempt's end to be committed; the attempt still counts as
 // possibly running until OnEndsCommitted.
-func (sc *Scheduler) reportEnd(id types.AttemptID, outcome state.Outcome) {
+func (sc *Scheduler) proposeEnd(id types.AttemptID, outcome state.Outcome) {
 	end := state.AttemptEnd{ID: id, Outcome: outcome}
 	if attempt := sc.attempts.byID[id]; attempt != nil {
 		end.Checkpoint = attempt.Checkpoint
--- a/internal/dispatch/scheduler/health_check.go
+++ b/internal/dispatch/scheduler/health_check.go
@@ -37,7 +37,7 @@
 func (sc *Scheduler) markLost(worker *RemoteWorker) {
 	outcome := sc.lossOutcome(worker.Shard)
 	for _, attempt := range sc.attempts.onShard(worker.Shard) {
-		sc.reportEnd(attempt.ID, outcome)
+		sc.proposeEnd(attempt.ID, outcome)
 	}
 	sc.workerSets.removeLost(worker)
 	sc.requestSuicide(worker)
--- a/internal/dispatch/scheduler/initial_wait.go
+++ b/internal/dispatch/scheduler/initial_wait.go
@@ -39,7 +39,7 @@
 	}
 	sc.wait.active, sc.wait.reason = false, ""
 	for _, attempt := range sc.attempts.unconfirmedWithoutWorker(sc.workers.byShard) {
-		sc.reportEnd(attempt.ID, sc.lossOutcome(attempt.Shard))
+		sc.proposeEnd(attempt.ID, sc.lossOutcome(attempt.Shard))
 	}
 }
 
--- a/internal/dispatch/scheduler/outstanding_attempt.go
+++ b/internal/dispatch/scheduler/outstanding_attempt.go
@@ -58,8 +58,8 @@
 // revision that changes whenever the list does. The list is the scheduler's own and is
 // valid until its next step.
 func (sc *Scheduler) AttemptsOn(shard types.Shard) (list []*OutstandingAttempt, revision uint64) {
-	if on := sc.attempts.byShard[shard]; on != nil {
-		list = on.list
+	if onShard := sc.attempts.byShard[shard]; onShard != nil {
+		list = onShard.list
 	}
 	return list, sc.attempts.revisions[shard]
 }
--- a/internal/dispatch/scheduler/run_task.go
+++ b/internal/dispatch/scheduler/run_task.go
@@ -27,7 +27,7 @@
 	worker := sc.Worker(shard)
 	canRun := worker != nil && worker.State == protocol.WorkerHealthy && !worker.Departing && sc.authorityRemaining > 0
 	if !canRun {
-		sc.reportEnd(spec.Attempt, state.OutcomeNeverRan)
+		sc.proposeEnd(spec.Attempt, state.OutcomeNeverRan)
 		return
 	}
 	sc.send(worker, wire.RunTask, protocol.RunTask{
@@ -46,7 +46,7 @@
 	}
 	if reply.Rejection != "" {
 		worker.Healthy = false // until the next heartbeat says otherwise
-		sc.reportEnd(reply.Attempt, state.OutcomeNeverRan)
+		sc.proposeEnd(reply.Attempt, state.OutcomeNeverRan)
 		return
 	}
 	sc.attempts.setPhase(attempt, confirmedRunning)
--- a/internal/dispatch/scheduler/running_tasks.go
+++ b/internal/dispatch/scheduler/running_tasks.go
@@ -37,7 +37,7 @@
 	}
 	for _, attempt := range sc.attempts.onShard(worker.Shard) {
 		if !reported[attempt.ID] {
-			sc.reportEnd(attempt.ID, outcome)
+			sc.proposeEnd(attempt.ID, outcome)
 		}
 	}
 	worker.State, worker.StateSince = protocol.WorkerUnhealthy, sc.now
@@ -74,7 +74,7 @@
 func (sc *Scheduler) resolveUnreported(shard types.Shard, reported map[types.AttemptID]bool) {
 	for _, id := range sc.cluster.UnresolvedAttempts(shard) {
 		if !reported[id] {
-			sc.reportEnd(id, state.OutcomeNeverRan)
+			sc.proposeEnd(id, state.OutcomeNeverRan)
 		}
 	}
 }
--- a/internal/placement/reservation.go
+++ b/internal/placement/reservation.go
@@ -11,8 +11,9 @@
 	// ReserveAfter is how long a request is passed over before workers are reserved for it.
 	ReserveAfter = 3 * time.Second
 
-	// heldFreePart bounds the slots that holdFree reserves to one in so many.
-	heldFreePart = 4
+	// roundReservationDivisor bounds what reserveForRound reserves: at most one in so many
+	// of all slots.
+	roundReservationDivisor = 4
 )
 
 // Reservation is capacity on named workers that is kept for the tasks of one stage.
@@ -91,7 +92,7 @@
 		if missing == 0 {
 			break
 		}
-		if n := slot.fits(request); n > 0 {
+		if n := slot.maxTasks(request); n > 0 {
 			reservation.Workers = append(reservation.Workers, ReservedWorker{Shard: slot.Shard, Tasks: 1})
 			fits = append(fits, n)
 			missing--
@@ -127,27 +128,26 @@
 	return feasible
 }
 
-// holdFree reserves, for this round, slots that a request that found none will be able to
-// use soonest, so that smaller requests whose turn is later don't take them piece by
-// piece. The next round comes to the same slots as long as nothing changes. A bounded
-// part of all slots is reserved in this way.
-func (r *round) holdFree(request *Request) {
+// reserveForRound reserves, for this round only, the slots that a request that found none
+// will be able to use soonest, so that smaller requests whose turn is later don't take them
+// piece by piece. The next round chooses the same slots as long as nothing changes.
+func (r *round) reserveForRound(request *Request) {
 	if request.Class == TargetMissed || request.Gang {
 		return
 	}
 	for range request.Tasks {
-		slot := r.slotToHoldFree(request)
-		if slot == nil || (r.heldFree+1)*heldFreePart > len(r.Slots) {
+		slot := r.slotToReserve(request)
+		if slot == nil || (r.roundReservations+1)*roundReservationDivisor > len(r.Slots) {
 			return
 		}
 		slot.reserved = request.Resources
-		r.heldFree++
+		r.roundReservations++
 	}
 }
 
-// slotToHoldFree returns the slot with the most free cores among those that a task of the
+// slotToReserve returns the slot with the most free cores among those that a task of the
 // request could use and that are not reserved, or nil.
-func (r *round) slotToHoldFree(request *Request) *Slot {
+func (r *round) slotToReserve(request *Request) *Slot {
 	var best *Slot
 	for i := range r.Slots {
 		slot := &r.Slots[i]
--- a/internal/placement/round.go
+++ b/internal/placement/round.go
@@ -14,7 +14,7 @@
 	passedOver *Request // the first that has waited for ReserveAfter and found no slot, or nil
 	bypassed   bool     // others took slots after it that it could have used
 
-	heldFree int // slots that holdFree has reserved in this round
+	roundReservations int // slots that reserveForRound has reserved
 
 	// Buffers of findSlotsOn, kept from one search to the next.
 	freeBuffer  []types.Resources
@@ -73,7 +73,7 @@
 // passOver handles a request that found no slot though its queue may run it.
 func (r *round) passOver(request *Request, usage *QueueUsage) {
 	if usage.Queue.HasLatencyTarget() {
-		r.holdFree(request)
+		r.reserveForRound(request)
 	}
 	if r.passedOver == nil && r.output.Reservation == nil &&
 		request.WaitingFor >= ReserveAfter && request.Class == OnTarget {
--- a/internal/placement/slot.go
+++ b/internal/placement/slot.go
@@ -64,8 +64,8 @@
 	return types.HasLabels(s.Labels, request.Labels)
 }
 
-// fits returns how many tasks of a request the worker could run at once if it were idle.
-func (s *Slot) fits(request *Request) int {
+// maxTasks returns how many tasks of a request the worker could run at once if it were idle.
+func (s *Slot) maxTasks(request *Request) int {
 	n := s.Capacity.FitCount(request.Resources)
 	if request.MaxPerWorker > 0 {
 		n = min(n, request.MaxPerWorker-s.TaskCount(request.StageID))
--- a/internal/state/queue_usage.go
+++ b/internal/state/queue_usage.go
@@ -24,11 +24,21 @@
 // checkBudget rejects a job with which the unfinished work would exceed the table's
 // limits.
 func (s *State) checkBudget(spec Spec) *apierror.Error {
-	tasks := budget{"tasks", s.Table.TaskLimit(), spec.TotalTasks(), func(u queueUsage) int { return u.tasks }}
+	tasks := budget{
+		unit:  "tasks",
+		limit: s.Table.TaskLimit(),
+		added: spec.TotalTasks(),
+		used:  func(usage queueUsage) int { return usage.tasks },
+	}
 	if rejection := s.checkOneBudget(spec.Queue, tasks); rejection != nil {
 		return rejection
 	}
-	bytes := budget{"bytes", s.Table.ByteLimit(), spec.ApproxBytes(), func(u queueUsage) int { return u.bytes }}
+	bytes := budget{
+		unit:  "bytes",
+		limit: s.Table.ByteLimit(),
+		added: spec.ApproxBytes(),
+		used:  func(usage queueUsage) int { return usage.bytes },
+	}
 	return s.checkOneBudget(spec.Queue, bytes)
 }
 
