--- a/sim/ledger_test.go
+++ b/sim/coverage_test.go
@@ -1,7 +1,7 @@
 // The ledger: for every point of what must never happen, a run whose faults
 // force the chance of it, and a count that shows that the chance arose. A run
 // in which a rule had no chance proves nothing of it. The other half of the
-// proof, that each rule catches a bug, is in planted_test.go.
+// proof, that each rule catches a bug, is in planted_polling_test.go.
 
 package sim
 
