--- a/cmd/coppercourse/controller_daemon.go
+++ b/cmd/coppercourse/controller_daemon.go
@@ -66,28 +66,28 @@
 
 // controllerState is what is logged of a controller.
 type controllerState struct {
-	raftRole    string
-	term        types.Term
-	leader      types.Addr
-	reason      string // why it waits, or why it may not vote or lead
-	initialWait bool   // as a new leader: nothing is placed yet
-	members     int
-	voters      int
-	overloaded  bool
-	yielded     uint64 // times that it transferred its leadership because of overload
+	raftRole          string
+	term              types.Term
+	leader            types.Addr
+	reason            string // why it waits, or why it may not vote or lead
+	initialWait       bool   // as a new leader: nothing is placed yet
+	members           int
+	voters            int
+	overloaded        bool
+	overloadTransfers uint64 // times that it transferred its leadership because of overload
 }
 
 func newControllerState(v controller.StatusView) controllerState {
 	return controllerState{
-		raftRole:    v.RaftRole,
-		term:        v.Term,
-		leader:      v.Leader,
-		reason:      v.Reason,
-		initialWait: v.InitialWait != "",
-		members:     len(v.Members),
-		voters:      v.Members.Voters(),
-		overloaded:  v.Overloaded,
-		yielded:     v.Counters.OverloadTransfers,
+		raftRole:          v.RaftRole,
+		term:              v.Term,
+		leader:            v.Leader,
+		reason:            v.Reason,
+		initialWait:       v.InitialWait != "",
+		members:           len(v.Members),
+		voters:            v.Members.Voters(),
+		overloaded:        v.Overloaded,
+		overloadTransfers: v.Counters.OverloadTransfers,
 	}
 }
 
@@ -126,6 +126,6 @@
 	return []any{
 		"raft_role", c.raftRole, "term", c.term, "leader", c.leader, "reason", c.reason,
 		"initial_wait", c.initialWait, "members", c.members, "voters", c.voters,
-		"overloaded", c.overloaded, "overload_transfers", c.yielded,
+		"overloaded", c.overloaded, "overload_transfers", c.overloadTransfers,
 	}
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -69,7 +69,8 @@
 // Leader returns the address of the leader as far as the agent knows, or nothing.
 func (a *Agent) Leader() types.Addr { return a.core.Leader() }
 
-var handlers = daemon.Handlers[*Agent]{
+// eventHandlers say which method handles which event of an agent.
+var eventHandlers = daemon.Handlers[*Agent]{
 	Messages: map[wire.Kind]func(*Agent, wire.Message){
 		wire.RunTask:  (*Agent).handleRunTask,
 		wire.KillTask: (*Agent).handleKillTask,
@@ -87,7 +88,7 @@
 
 // Step takes one event and returns its effects; see wire.Machine.
 func (a *Agent) Step(event wire.Event) wire.Effects {
-	handlers.Step(a.core, a, event)
+	eventHandlers.Step(a.core, a, event)
 	a.answerPoll()
 	a.core.Send(a.broadcastEndReports(a.executor.TakeOutput())...)
 	effects := a.core.TakeEffects()
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -16,7 +16,7 @@
 	switch {
 	case a.mustShed(r):
 		a.rejectOverloaded(r.caller)
-	case handlers[r.verb] == nil:
+	case verbHandlers[r.verb] == nil:
 		a.outbox.replyError(r.caller, apierror.New(apierror.NoSuchPath, "", "no such verb"))
 	case a.requests.full():
 		a.outbox.replyError(r.caller, apierror.New(apierror.TooBusy, "", "too many changes wait for the log").
@@ -64,7 +64,7 @@
 func (a *api) rejectExpired(messages []wire.Message) {
 	for _, message := range messages {
 		if r, ok := wire.DecodeBody[wire.ForwardedRequest](message); ok {
-			a.counters.Calls++
+			a.counters.Requests++
 			a.rejectOverloaded(caller{gateway: message.From, requestID: r.ID})
 		}
 	}
--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -14,9 +14,9 @@
 	"coppercourse/internal/wire"
 )
 
-// handlers serve the verbs. One that changes something replies once its command is
+// verbHandlers serve the verbs. One that changes something replies once its command is
 // committed; one that reads replies at once, under the leader's read lease.
-var handlers = map[wire.Verb]func(*api, request){
+var verbHandlers = map[wire.Verb]func(*api, request){
 	wire.VerbSubmitJob:      (*api).submitJob,
 	wire.VerbGetJob:         (*api).getJob,
 	wire.VerbCancelJob:      (*api).cancelJob,
@@ -97,9 +97,9 @@
 
 // handle serves a request that admit lets through.
 func (a *api) handle(r request) {
-	a.counters.Calls++
+	a.counters.Requests++
 	if a.admit(r) {
-		handlers[r.verb](a, r)
+		verbHandlers[r.verb](a, r)
 	}
 }
 
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -138,17 +138,17 @@
 // placement if one is due; lag is how far the daemon's event loop is behind.
 func (l *leader) step(now types.MonoTime, lag time.Duration) {
 	l.scheduler.Tick(now, l.raft.AuthorityRemaining())
-	l.drainScheduler()
+	l.takeSchedulerOutput()
 	if l.schedule.startRound(now, lag) {
 		l.counters.Placed++
 		l.placeWork(l.view(now))
-		l.drainScheduler()
+		l.takeSchedulerOutput()
 	}
 }
 
-// drainScheduler sends the scheduler's messages and proposes the ends that it has learned
+// takeSchedulerOutput sends the scheduler's messages and proposes the ends that it has learned
 // of.
-func (l *leader) drainScheduler() {
+func (l *leader) takeSchedulerOutput() {
 	messages, ends := l.scheduler.TakeOutput()
 	l.outbox.send(messages...)
 	l.proposeEnds(ends)
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -38,7 +38,7 @@
 func (o *outbox) reply(to caller, r wire.ForwardedReply) {
 	r.ID = to.requestID
 	if r.Error != nil {
-		o.counters.Refused++
+		o.counters.Rejected++
 	}
 	if to.token == 0 {
 		o.send(wire.NewMessage(o.self, to.gateway, wire.ForwardReply, r))
--- a/internal/controller/outbox_test.go
+++ b/internal/controller/outbox_test.go
@@ -39,7 +39,7 @@
 			is := is.New(t)
 			o := outbox{self: "c1", counters: &Counters{}}
 			c.reply(&o, c.to)
-			is.Equal(o.counters.Refused, c.refused)
+			is.Equal(o.counters.Rejected, c.refused)
 			messages, responses := o.take()
 			if c.to.token == 0 {
 				is.Equal(len(messages), 1)
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -67,7 +67,7 @@
 // plan makes the next round, given the last index applied.
 func (p *planner) plan(v *leaderView, applied types.Index) round {
 	if p.rounds.inFlight(applied) {
-		return p.planBeside(v, applied)
+		return p.planWhileInFlight(v, applied)
 	}
 	return p.planFull(v)
 }
@@ -103,9 +103,9 @@
 	return result
 }
 
-// planBeside places new work while an earlier round is in flight; applied is the last index
+// planWhileInFlight places new work while an earlier round is in flight; applied is the last index
 // applied.
-func (p *planner) planBeside(v *leaderView, applied types.Index) round {
+func (p *planner) planWhileInFlight(v *leaderView, applied types.Index) round {
 	if p.rounds.full(applied) || v.scheduler.InInitialWait() || p.reservation != nil {
 		return round{}
 	}
--- a/internal/controller/report_buffer.go
+++ b/internal/controller/report_buffer.go
@@ -30,7 +30,7 @@
 	update      protocol.UpdateStatus
 	receivedAt  types.MonoTime
 	forwardedAt types.MonoTime
-	relays      int // how often it was relayed to the leader
+	forwards    int // how often it was forwarded to the leader
 }
 
 // add keeps what of a report is not in the log and not in the buffer.
--- a/internal/controller/report_forwarding.go
+++ b/internal/controller/report_forwarding.go
@@ -6,7 +6,7 @@
 	"coppercourse/internal/wire"
 )
 
-// gatewayFanout is through how many gateways a report is relayed at once.
+// gatewayFanout is through how many gateways a report is forwarded at once.
 const gatewayFanout = 2
 
 // forwardReports passes the buffered reports to this controller's own scheduler, if it
@@ -23,15 +23,15 @@
 	}
 	leader := c.raft.LeaderAddr()
 	for _, report := range c.reports.takeDue(c.now.Mono, c.options.DispatchTimeouts.UnhealthyAfter) {
-		c.relayReport(report.message(leader), leader, report.relays)
-		report.relays++
+		c.forwardReport(report.message(leader), leader, report.forwards)
+		report.forwards++
 	}
 }
 
-// relayReport sends a report to the leader and, if none is known or that did not help,
+// forwardReport sends a report to the leader and, if none is known or that did not help,
 // through a few gateways, others each time: this controller may be cut off from the leader
 // alone.
-func (c *Controller) relayReport(report wire.OutboundMessage, leader types.Addr, earlier int) {
+func (c *Controller) forwardReport(report wire.OutboundMessage, leader types.Addr, earlier int) {
 	if leader != "" {
 		c.outbox.send(report)
 		if earlier == 0 {
--- a/internal/controller/report_forwarding_test.go
+++ b/internal/controller/report_forwarding_test.go
@@ -12,7 +12,7 @@
 	"coppercourse/internal/wire"
 )
 
-// A follower that heard a report relays it to the leader once the agent itself should have
+// A follower that received a report forwards it to the leader once the agent itself should have
 // reached the leader, and the leader gives what it heard to its own scheduler.
 func TestReportsReachTheLeaderThroughFollowers(t *testing.T) {
 	is := is.New(t)
@@ -37,7 +37,7 @@
 	c.handleMessage(wire.NewMessage(gateway, c.options.Addr, wire.Hello, hello).Message)
 }
 
-// Where the leader is not known, or a relay did not help, gateways pass a report on, others
+// Where the leader is not known, or forwarding did not help, gateways pass a report on, others
 // each time.
 func TestReportsAreRelayedThroughGateways(t *testing.T) {
 	for _, c := range []struct {
@@ -47,7 +47,7 @@
 		messages int
 	}{
 		{"leader known", "h1", 0, 1},
-		{"leader known, earlier relay", "h1", 1, 1 + gatewayFanout},
+		{"leader known, earlier forward", "h1", 1, 1 + gatewayFanout},
 		{"no leader known", "", 0, gatewayFanout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 			}
 			m.outbox.take()
 			message := wire.OutboundMessage{To: c.leader, Message: report()}
-			m.relayReport(message, c.leader, c.earlier)
+			m.forwardReport(message, c.leader, c.earlier)
 			messages, _ := m.outbox.take()
 			is.Equal(len(messages), c.messages)
 		})
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -17,7 +17,7 @@
 	ID              types.ID           `json:"id"`
 	Cluster         string             `json:"cluster"`          // name of the cluster, or nothing while none is known
 	RaftRole        string             `json:"part"`             // such as leader or follower
-	Reason          string             `json:"reason,omitempty"` // why it is not as it should be
+	Reason          string             `json:"reason,omitempty"` // why it is not ready, not a voter or at risk
 	Ready           bool               `json:"ready"`
 	Term            types.Term         `json:"term"`
 	Leader          types.Addr         `json:"leader"`
@@ -39,8 +39,8 @@
 type Counters struct {
 	Steps             uint64 // events handled
 	Applied           uint64 // log entries applied
-	Calls             uint64 // requests received
-	Refused           uint64 // requests answered with an error
+	Requests          uint64 `json:"Calls"`   // requests received
+	Rejected          uint64 `json:"Refused"` // requests answered with an error
 	Orders            uint64 // attempts that agents were ordered to run
 	Ends              uint64 // attempt ends proposed
 	Elected           uint64 // leaderships begun
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,12 +48,12 @@
 
 // Counters count since the start of the process.
 type Counters struct {
-	Calls           uint64 // requests received
+	Requests        uint64 `json:"Calls"` // requests received
 	Answered        uint64 // admitted requests that were answered
-	Refused         uint64 // requests rejected at once
+	Rejected        uint64 `json:"Refused"` // requests rejected at once
 	GivenUp         uint64 // requests that timed out without a response from a controller
 	Forwards        uint64 `json:"Attempts"` // requests sent to controllers, retries included
-	TooManyInFlight uint64 `json:"Crowded"`  // of Refused, those because of MaxPending
+	TooManyInFlight uint64 `json:"Crowded"`  // of Rejected, those because of MaxPending
 }
 
 // New returns a gateway at its start, which knows no other daemon but the seeds.
@@ -92,7 +92,8 @@
 // Leader returns the address of the leader as far as the gateway knows, or nothing.
 func (g *Gateway) Leader() types.Addr { return g.core.Leader() }
 
-var handlers = daemon.Handlers[*Gateway]{
+// eventHandlers say which method handles which event of a gateway.
+var eventHandlers = daemon.Handlers[*Gateway]{
 	Messages: map[wire.Kind]func(*Gateway, wire.Message){
 		wire.ConfigWatchReply: (*Gateway).handleConfigWatchReply,
 		wire.StatusReport:     (*Gateway).handleStatusReport,
@@ -105,7 +106,7 @@
 
 // Step takes one event and returns its effects; see wire.Machine.
 func (g *Gateway) Step(event wire.Event) wire.Effects {
-	handlers.Step(g.core, g, event)
+	eventHandlers.Step(g.core, g, event)
 	g.core.Send(g.configWatcher.Tick(g.core.Now().Mono, g.core.Leader())...)
 	effects := g.core.TakeEffects()
 	effects.Drained = g.core.Draining() && g.requests.inFlight() == 0
@@ -130,7 +131,7 @@
 }
 
 func (g *Gateway) listPeers(request wire.Request) {
-	g.Counters.Calls++
+	g.Counters.Requests++
 	g.core.Respond(wire.Response{
 		Token:      request.Token,
 		StatusCode: http.StatusOK,
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -106,9 +106,9 @@
 
 // admit admits a request and forwards it, or rejects it.
 func (g *Gateway) admit(request wire.Request) {
-	g.Counters.Calls++
+	g.Counters.Requests++
 	if err := g.admissionError(); err != nil {
-		g.Counters.Refused++
+		g.Counters.Rejected++
 		g.core.Reject(request.Token, err)
 		return
 	}
--- a/internal/membership/leader_sync.go
+++ b/internal/membership/leader_sync.go
@@ -17,18 +17,18 @@
 )
 
 // leaderSync is how far a daemon that keeps all members has followed the leader's change
-// log. Once it has reached the end, the leader vouches for all that it did not report as
+// log. Once it has reached the end, the leader confirms all that it did not report as
 // silent.
 type leaderSync struct {
 	source     types.Addr     // the daemon that is followed
 	seq        uint64         // number of the last change taken
 	mismatches int            // replies in a row without a change after which the digests still differed
 	repairedAt types.MonoTime // when all members were last exchanged
-	vouchedAt  types.MonoTime // when the source last said that there are no more changes
+	confirmedAt  types.MonoTime // when the source last said that there are no more changes
 }
 
 func newLeaderSync() leaderSync {
-	return leaderSync{repairedAt: types.DistantPast, vouchedAt: types.DistantPast}
+	return leaderSync{repairedAt: types.DistantPast, confirmedAt: types.DistantPast}
 }
 
 // restart follows a daemon from the start.
@@ -96,7 +96,7 @@
 		ml.request(s.source)
 		return
 	}
-	s.vouchedAt = ml.now
+	s.confirmedAt = ml.now
 	switch {
 	case reply.Digests == nil || reply.Digests.Agents == ml.table.digests.Agents:
 		s.mismatches = 0
--- a/internal/membership/queries.go
+++ b/internal/membership/queries.go
@@ -92,13 +92,13 @@
 // healthy reports whether a daemon was heard from lately.
 func (ml *MemberList) healthy(e *entry) bool { return ml.now.Sub(e.heardAt) <= HealthyWithin }
 
-// lastHeard returns when a daemon was last heard from. The leader vouches for all that it did
+// lastHeard returns when a daemon was last heard from. The leader confirms all that it did
 // not report as silent.
 func (ml *MemberList) lastHeard(e *entry) types.MonoTime {
 	if e.silent || !ml.keepsAll() {
 		return e.heardAt
 	}
-	return max(e.heardAt, ml.sync.vouchedAt)
+	return max(e.heardAt, ml.sync.confirmedAt)
 }
 
 // peer returns a daemon as other packages and other daemons see it.
--- a/internal/placement/request.go
+++ b/internal/placement/request.go
@@ -31,7 +31,7 @@
 	SortKey         float64          // in queues with a latency target the lower goes first
 	Class           TargetClass      // whether the job can still meet its target
 	WaitingFor      time.Duration    // since it was ready
-	HeadroomPercent int              // of all cores, to be left to queues of higher priority; see MaxQueueCores
+	HeadroomPercent int              // upper bound on what is kept free for higher priorities; see MaxQueueCores
 	MaxQueueCores   types.MilliCores // that its queue may use with it, 0 for no bound
 	JobIdle         bool             // nothing of its job is running
 }
--- a/internal/raft/confchange.go
+++ b/internal/raft/confchange.go
@@ -100,6 +100,7 @@
 		if !voter.Voter || voter.Zone != member.Zone || voter.ID == n.self.ID {
 			return false
 		}
-		return n.progressOf(voter.ID).ackedRound == types.DistantPast || n.silentFor(voter) > n.timeouts.MinElectionTimeout
+		neverAnswered := n.progressOf(voter.ID).ackedRound == types.DistantPast
+		return neverAnswered || n.silentFor(voter) > n.timeouts.MinElectionTimeout
 	})
 }
