--- a/internal/membership/leader_sync.go
+++ b/internal/membership/leader_sync.go
@@ -20,11 +20,11 @@
 // log. Once it has reached the end, the leader confirms all that it did not report as
 // silent.
 type leaderSync struct {
-	source     types.Addr     // the daemon that is followed
-	seq        uint64         // number of the last change taken
-	mismatches int            // replies in a row without a change after which the digests still differed
-	repairedAt types.MonoTime // when all members were last exchanged
-	confirmedAt  types.MonoTime // when the source last said that there are no more changes
+	source      types.Addr     // the daemon that is followed
+	seq         uint64         // number of the last change taken
+	mismatches  int            // replies in a row without a change after which the digests still differed
+	repairedAt  types.MonoTime // when all members were last exchanged
+	confirmedAt types.MonoTime // when the source last said that there are no more changes
 }
 
 func newLeaderSync() leaderSync {
--- a/internal/state/assignment.go
+++ b/internal/state/assignment.go
@@ -16,7 +16,8 @@
 // applyAssignments makes the assignments that are still possible and returns them with
 // their attempt numbers. A stage of a joint step is assigned whole or not at all.
 func (s *State) applyAssignments(list []Assignment) (assigned []Assignment) {
-	assignable := s.countAssignable(list)
+	assignable := map[types.StageID]int{}
+	s.countAssignable(list, assignable)
 	for _, assignment := range list {
 		job := s.index.live[assignment.ID.Job]
 		if job == nil || job.Task(assignment.ID.TaskNumber) == nil {
@@ -38,15 +39,14 @@
 }
 
 // countAssignable counts, for each stage, the assignments whose task may be assigned now.
-func (s *State) countAssignable(list []Assignment) map[types.StageID]int {
-	count := map[types.StageID]int{}
+// The map is the caller's, so that it stays on the stack: most commands assign nothing.
+func (s *State) countAssignable(list []Assignment, count map[types.StageID]int) {
 	for _, assignment := range list {
 		job := s.index.live[assignment.ID.Job]
 		if job != nil && job.canAssign(job.Task(assignment.ID.TaskNumber), s.effectiveQueueConfig(job.Queue), s.Time) {
 			count[assignment.ID.StageID()]++
 		}
 	}
-	return count
 }
 
 // canAssign reports whether the next attempt of a task may be assigned now. The task
