--- a/sim/clients.go
+++ b/sim/clients.go
@@ -218,11 +218,22 @@
 	}, func() { retry(100 * time.Millisecond) })
 }
 
+// startDrain starts a drain, and calls then once it is accepted.
+func (c *Clients) startDrain(target string, drain config.Drain, then func()) {
+	c.requestAsOperator(wire.VerbStartDrain, target, wire.EncodeBody(drain), 0, func() {
+		c.world.Record(history.Event{Kind: history.DrainAccepted, Text: target})
+		then()
+	})
+}
+
+// cancelDrain cancels a drain, and calls then once that is accepted.
+func (c *Clients) cancelDrain(target string, then func()) {
+	c.world.Record(history.Event{Kind: history.DrainRemoval, Text: target})
+	c.requestAsOperator(wire.VerbCancelDrain, target, nil, 0, then)
+}
+
 // requestAsOperator gives an operator's order until it is known to be taken or refused.
 func (c *Clients) requestAsOperator(verb wire.Verb, argument string, body json.RawMessage, retries int, then func()) {
-	if verb == wire.VerbCancelDrain && retries == 0 {
-		c.world.Record(history.Event{Kind: history.DrainRemoval, Text: argument})
-	}
 	retry := func(d time.Duration) {
 		if retries < 100 {
 			c.world.After(d, func() { c.requestAsOperator(verb, argument, body, retries+1, then) })
@@ -231,9 +242,6 @@
 	c.request(c.anyGateway(), verb, argument, body, func(a wire.Response) {
 		switch {
 		case a.Error == nil:
-			if verb == wire.VerbStartDrain {
-				c.world.Record(history.Event{Kind: history.DrainAccepted, Text: argument})
-			}
 			then()
 		case a.Error.RetryAfterSeconds > 0:
 			retry(time.Duration(a.Error.RetryAfterSeconds) * time.Second)
--- a/sim/doc.go
+++ b/sim/doc.go
@@ -9,8 +9,8 @@
 //
 //	run.go              Plan and Run: traffic, then faults drawn from the seed, then quiet
 //	clients.go          callers; operator.go: operators
-//	faults.go           faults of all deployments; control_faults.go: of controllers and
-//	                    their machines; invoked_faults.go: of workers that are invoked
+//	fault.go            how faults are injected; fault_tables.go: their names;
+//	                    fault_targets.go: what they strike; *_faults.go: by what they strike
 //	verdict.go          broken rules, and how service came back
 //	scale.go            large fleets, of which is counted what each role spends
 package sim
--- /dev/null
+++ b/sim/fault_targets.go
@@ -0,0 +1,204 @@
+// Which daemons faults strike, and between which addresses partitions are.
+
+package sim
+
+import (
+	"slices"
+
+	"coppercourse/internal/controller"
+	"coppercourse/internal/types"
+	"coppercourse/sim/world"
+)
+
+// running returns the daemons that run and are not frozen.
+func running(daemons []*world.Node) []*world.Node {
+	var up []*world.Node
+	for _, n := range daemons {
+		if n.Machine != nil && !n.Frozen {
+			up = append(up, n)
+		}
+	}
+	return up
+}
+
+// leader returns the running controller that leads in the highest term, or nil.
+func (r *Run) leader() *world.Node {
+	var leader *world.Node
+	var term types.Term
+	for _, n := range running(r.controllers) {
+		c, ok := n.Machine.(*controller.Controller)
+		if !ok {
+			continue
+		}
+		if s := c.Status(); s.RaftRole == "leader" && s.Term > term {
+			leader, term = n, s.Term
+		}
+	}
+	return leader
+}
+
+// oldestController returns the running controller whose disk has lasted longest, or nil: it
+// was never wiped, and the controller started before those that replaced others.
+func (r *Run) oldestController() *world.Node {
+	for _, a := range r.NodeOrder {
+		n := r.Nodes[a]
+		if slices.Contains(r.controllers, n) && !n.Disk.Wiped && n.Machine != nil {
+			return n
+		}
+	}
+	return nil
+}
+
+// anyController draws a controller.
+func (r *Run) anyController() *world.Node { return pickOne(r.Random, r.controllers) }
+
+// daemons returns all daemons.
+func (r *Run) daemons() []*world.Node { return slices.Concat(r.controllers, r.gateways, r.agents) }
+
+// disklessDaemons returns the gateways and agents.
+func (r *Run) disklessDaemons() []*world.Node { return slices.Concat(r.gateways, r.agents) }
+
+// sample draws a part of some daemons, one at least.
+func (r *Run) sample(daemons []*world.Node, part float64) []*world.Node {
+	count := max(1, int(part*float64(len(daemons))))
+	var drawn []*world.Node
+	for _, i := range r.Random.Perm(len(daemons))[:count] {
+		drawn = append(drawn, daemons[i])
+	}
+	return drawn
+}
+
+// A nodePicker returns the daemons that a fault may strike.
+type nodePicker func(r *Run) []*world.Node
+
+func allControllers(r *Run) []*world.Node { return r.controllers }
+
+func allGateways(r *Run) []*world.Node { return r.gateways }
+
+func allAgents(r *Run) []*world.Node { return r.agents }
+
+func allDaemons(r *Run) []*world.Node { return r.daemons() }
+
+// leaderOnly returns the leader, or nothing if there is none.
+func leaderOnly(r *Run) []*world.Node {
+	if n := r.leader(); n != nil {
+		return []*world.Node{n}
+	}
+	return nil
+}
+
+// massKillPart is the part of the gateways and agents that fail at once.
+const massKillPart = 0.6
+
+// mostDisklessDaemons draws gateways and agents that fail at once.
+func mostDisklessDaemons(r *Run) []*world.Node {
+	return r.sample(r.disklessDaemons(), massKillPart)
+}
+
+// addressesOf returns the addresses of some daemons.
+func addressesOf(daemons []*world.Node) []types.Addr {
+	var addrs []types.Addr
+	for _, n := range daemons {
+		addrs = append(addrs, n.Addr)
+	}
+	return addrs
+}
+
+// allExcept returns the addresses of all processes and clients but some.
+func (r *Run) allExcept(excluded ...types.Addr) []types.Addr {
+	var rest []types.Addr
+	for _, a := range append(slices.Clone(r.NodeOrder), r.Clients.address) {
+		if !slices.Contains(excluded, a) {
+			rest = append(rest, a)
+		}
+	}
+	return rest
+}
+
+// A split returns the two sides of a partition. If one is empty there is nothing to separate.
+type split func(r *Run) (a, b []types.Addr)
+
+// reversed returns a split with its sides exchanged.
+func reversed(s split) split {
+	return func(r *Run) (a, b []types.Addr) {
+		b, a = s(r)
+		return a, b
+	}
+}
+
+// separatedFromAll returns a node, and all others.
+func separatedFromAll(r *Run, n *world.Node) (a, b []types.Addr) {
+	if n == nil {
+		return nil, nil
+	}
+	return []types.Addr{n.Addr}, r.allExcept(n.Addr)
+}
+
+// separatedFromPeers returns a controller, and the other controllers. It still reaches
+// agents and gateways.
+func separatedFromPeers(r *Run, n *world.Node) (a, b []types.Addr) {
+	if n == nil {
+		return nil, nil
+	}
+	for _, peer := range r.controllers {
+		if peer != n {
+			b = append(b, peer.Addr)
+		}
+	}
+	return []types.Addr{n.Addr}, b
+}
+
+// separatedWithinZone returns a controller, and the other controllers with all daemons of
+// other zones.
+func separatedWithinZone(r *Run, n *world.Node) (a, b []types.Addr) {
+	if n == nil {
+		return nil, nil
+	}
+	_, b = separatedFromPeers(r, n)
+	for _, other := range r.daemons() {
+		if other.Zone != n.Zone && !slices.Contains(b, other.Addr) {
+			b = append(b, other.Addr)
+		}
+	}
+	return []types.Addr{n.Addr}, b
+}
+
+func leaderFromAll(r *Run) (a, b []types.Addr) { return separatedFromAll(r, r.leader()) }
+
+func leaderFromPeers(r *Run) (a, b []types.Addr) { return separatedFromPeers(r, r.leader()) }
+
+func leaderWithinZone(r *Run) (a, b []types.Addr) { return separatedWithinZone(r, r.leader()) }
+
+func oldestFromPeers(r *Run) (a, b []types.Addr) {
+	return separatedFromPeers(r, r.oldestController())
+}
+
+func controllerFromAll(r *Run) (a, b []types.Addr) { return separatedFromAll(r, r.anyController()) }
+
+func agentFromAll(r *Run) (a, b []types.Addr) {
+	return separatedFromAll(r, pickOne(r.Random, r.agents))
+}
+
+func pollingWorkerFromAll(r *Run) (a, b []types.Addr) {
+	return separatedFromAll(r, r.anyPollingWorker().Node)
+}
+
+func invokedWorkerFromAll(r *Run) (a, b []types.Addr) {
+	return separatedFromAll(r, pickOne(r.Random, r.InvokedWorkers).Node)
+}
+
+func zoneFromAll(r *Run) (a, b []types.Addr) {
+	size := r.Clients.deployment.Size
+	zone := r.zones[size.Zone(r.Random.Intn(size.Zones))]
+	return zone, r.allExcept(zone...)
+}
+
+// unreachablePart is the part of the gateways and agents that lose the controllers.
+const unreachablePart = 0.2
+
+// someFromControllers returns some gateways and agents, and the controllers.
+func someFromControllers(r *Run) (a, b []types.Addr) {
+	some := addressesOf(r.sample(r.disklessDaemons(), unreachablePart))
+	r.markAffected(some...)
+	return some, addressesOf(r.controllers)
+}
--- a/sim/run.go
+++ b/sim/run.go
@@ -6,7 +6,6 @@
 import (
 	"fmt"
 	"math/rand"
-	"sort"
 	"time"
 
 	"coppercourse/internal/apierror"
@@ -246,37 +245,3 @@
 }
 
 func pickOne[T any](rnd *rand.Rand, list []T) T { return list[rnd.Intn(len(list))] }
-
-// injectFault begins a fault and ends it after a while.
-func (r *Run) injectFault(name string, duration time.Duration) {
-	f := Faults[name]
-	if c := ControlFaults[name]; c != nil {
-		f = c
-	}
-	if c := InvokedFaults[name]; c != nil && r.Environment != nil {
-		f = c
-	}
-	if f == nil {
-		panic("no such fault: " + name)
-	}
-	r.affected = nil
-	end := f(r, duration)
-	if end == nil {
-		return
-	}
-	r.Record(history.Event{
-		Kind:     history.FaultStarted,
-		Text:     fmt.Sprintf("%s for %s", name, duration),
-		Affected: r.affected,
-	})
-	r.After(duration, end)
-}
-
-// FaultNames lists the table.
-func FaultNames() (list []string) {
-	for n := range Faults {
-		list = append(list, n)
-	}
-	sort.Strings(list)
-	return list
-}
