--- a/sim/doc.go
+++ b/sim/doc.go
@@ -7,10 +7,33 @@
 // world (virtual time, networks, disks, processors). The fleet of real processes is
 // beside it (sim/fleet), the capacity report above it (sim/capacity).
 //
-//	run.go              Plan and Run: traffic, then faults drawn from the seed, then quiet
-//	clients.go          callers; operator.go: operators
-//	fault.go            how faults are injected; fault_tables.go: their names;
-//	                    fault_targets.go: what they strike; *_faults.go: by what they strike
-//	verdict.go          broken rules, and how service came back
-//	scale.go            large fleets, of which is counted what each role spends
+// A run:
+//
+//	run.go        Plan and Run, and how a deployment is set up
+//	execute.go    its phases: traffic, faults, healing, settling
+//	verdict.go    broken rules, and whether service recovered
+//	job_trail.go  the daemons' trace points of one job
+//
+// Clients:
+//
+//	clients.go               how callers and operators send requests and retry them
+//	submissions.go           callers that submit jobs
+//	job_requests.go          callers that watch and cancel jobs
+//	operators.go             operators that change the table and drain workers
+//	versioning_operators.go  those where workers are invoked
+//
+// Faults:
+//
+//	fault.go                  how they are injected
+//	fault_tables.go           their names
+//	fault_targets.go          which daemons and addresses they strike
+//	daemon_faults.go, network_faults.go, disk_faults.go, clock_faults.go,
+//	polling_worker_faults.go, invoked_worker_faults.go
+//	                          by what they strike
+//	operator_faults.go        those that operators and callers cause
+//	event_faults.go           faults right after an event
+//
+// Large fleets:
+//
+//	scale.go  their sizes and traffic, and what is measured of them
 package sim
--- a/sim/run.go
+++ b/sim/run.go
@@ -1,60 +1,83 @@
-// A whole simulated run: a deployment set up, its traffic, faults drawn from the
-// seed, the time after them, and the checks.
+// A simulated run: its plan, and the deployment that it sets up.
 
 package sim
 
 import (
 	"fmt"
-	"math/rand"
 	"time"
 
-	"coppercourse/internal/apierror"
 	"coppercourse/internal/dispatch/protocol"
 	"coppercourse/internal/settings"
 	"coppercourse/internal/types"
 	"coppercourse/sim/deployment"
-	"coppercourse/sim/history"
 	"coppercourse/sim/worker"
 	"coppercourse/sim/world"
 )
 
-// Plan is what a run does.
+// Plan is what a run does. Its phases follow one another: Before, FaultsFor, After, Settle.
 type Plan struct {
 	Seed       int64
-	Deployment string
-	Faults     []string // names from the table of faults; none: no faults
-	FaultCount int      // how many faults
-	Before     time.Duration
-	FaultsFor  time.Duration
-	After      time.Duration     // traffic goes on after the faults
-	Settle     time.Duration     // no new traffic; all must end
-	Patience   time.Duration     // of every queue
+	Deployment string            // a name of package deployment
+	Faults     []string          // names of the faults to draw from; none: no faults
+	FaultCount int               // how many faults are injected
+	Before     time.Duration     // traffic before the faults
+	FaultsFor  time.Duration     // traffic while faults are injected
+	After      time.Duration     // traffic after the faults were healed
+	Settle     time.Duration     // no new traffic; all jobs must end
+	Patience   time.Duration     // time-out of every queue for an unresolved attempt
 	LastFault  bool              // one more fault at the very end of the traffic
-	Unguarded  bool              // invoked workers guard nothing
-	Timeouts   protocol.Timeouts // of agents and controllers; the defaults if not set
-	Quick      bool              // the pace is the quick one, of elections too
+	Unguarded  bool              // invoked workers accept more than their capacity
+	Timeouts   protocol.Timeouts // of agents and controllers; zero means the defaults
+	Quick      bool              // the timeouts of the quick pace, for elections too
 }
 
+// Times of a run's phases.
+const (
+	firstTableTime = 3 * time.Second // an operator puts the first table
+	trafficTime    = 6 * time.Second // traffic starts
+	lastHealDelay  = 3 * time.Second // after the end of the traffic all is healed once more
+)
+
+// faultsStart returns when the first fault may be injected.
+func (p Plan) faultsStart() time.Duration { return trafficTime + p.Before }
+
+// faultsEnd returns when all faults are healed.
+func (p Plan) faultsEnd() time.Duration { return p.faultsStart() + p.FaultsFor }
+
+// trafficEnd returns when the traffic stops.
+func (p Plan) trafficEnd() time.Duration { return p.faultsEnd() + p.After }
+
 // Run is a world with a deployment in it.
 type Run struct {
 	*world.World
-	Plan         Plan
-	Clients      *Clients
-	controllers  []*world.Node
-	gateways     []*world.Node
-	agents       []*world.Node
-	zones        map[types.Zone][]types.Addr
-	drained      map[string]bool // racks that an operator drains
-	endedAt      int64
-	affected     []types.Addr // whom the trouble at hand touches; nil: everybody
-	realDeadline time.Time    // of real time, for runs that measure; they give up then
+	Plan        Plan
+	Clients     *Clients
+	controllers []*world.Node // a replaced one is not among them
+	gateways    []*world.Node
+	agents      []*world.Node
+	zones       map[types.Zone][]types.Addr // daemons and workers of each zone
+	drained     map[string]bool             // targets of the drains that operators have started
+	endedAt     int64                       // simulated time in nanoseconds
+
+	// affected are the addresses that the fault being injected affects; nil means that
+	// it affects everybody.
+	affected []types.Addr
+
+	// realDeadline is when a run that measures gives up, in real time; it has none if zero.
+	realDeadline time.Time
 }
 
-// New sets the plan's deployment up: its controllers, gateways, agents and their workers.
+// New sets up the plan's deployment: controllers, gateways, agents and their workers.
 func New(p Plan) *Run { return newRun(p, deployment.Named(p.Deployment)) }
 
+// newRun sets up a deployment that may have no name.
 func newRun(p Plan, d deployment.Deployment) *Run {
-	r := &Run{World: world.New(p.Seed), Plan: p, zones: map[types.Zone][]types.Addr{}, drained: map[string]bool{}}
+	r := &Run{
+		World:   world.New(p.Seed),
+		Plan:    p,
+		zones:   map[types.Zone][]types.Addr{},
+		drained: map[string]bool{},
+	}
 	if d.Invoked() {
 		r.Environment = worker.NewEnvironment(*d.WorkerRules)
 	}
@@ -67,20 +90,10 @@
 	r.addDaemons(d.Size)
 	r.addWorkers(d)
 	r.scheduleBoots()
-	r.Clients = &Clients{
-		world:           r.World,
-		deployment:      d,
-		address:         "caller",
-		open:            true,
-		CancelRate:      0.04,
-		RacingOperators: true,
-		Refusals:        map[apierror.Kind]int{},
-		MaxRetries:      30,
-		cancelDelays:    map[types.JobID]time.Duration{},
-	}
-	for _, g := range r.gateways {
-		r.Clients.gateways = append(r.Clients.gateways, g.Addr)
-	}
+	r.Clients = newClients(r.World, d, addressesOf(r.gateways))
+	r.Clients.CancelRate = defaultCancelRate
+	r.Clients.RacingOperators = true
+	r.Clients.MaxRetries = defaultMaxRetries
 	r.Network.Quality = usualQuality
 	return r
 }
@@ -92,16 +105,16 @@
 func (r *Run) addDaemons(size deployment.Size) {
 	r.Seeds = []types.Addr{"h1", "g1", "w1"}
 	for i := range size.Founders {
-		r.Founders = append(r.Founders, types.Addr(fmt.Sprintf("h%d", i+1)))
+		r.Founders = append(r.Founders, numberedAddr("h", i))
 		r.Seeds = r.Founders
 	}
 	for i := range size.Controllers {
-		n := r.AddController(types.Addr(fmt.Sprintf("h%d", i+1)), size.Zone(i))
+		n := r.AddController(numberedAddr("h", i), size.Zone(i))
 		n.FirstStart = true
 		r.controllers = append(r.controllers, n)
 	}
 	for i := range size.Gateways {
-		r.gateways = append(r.gateways, r.AddGateway(types.Addr(fmt.Sprintf("g%d", i+1)), size.Zone(i)))
+		r.gateways = append(r.gateways, r.AddGateway(numberedAddr("g", i), size.Zone(i)))
 	}
 }
 
@@ -109,7 +122,7 @@
 func (r *Run) addWorkers(d deployment.Deployment) {
 	for i, spec := range d.Workers() {
 		zone := d.Size.Zone(i)
-		agent, worker := types.Addr(fmt.Sprintf("w%d", i+1)), types.Addr(fmt.Sprintf("k%d", i+1))
+		agent, worker := numberedAddr("w", i), numberedAddr("k", i)
 		r.agents = append(r.agents, r.AddAgent(agent, zone, spec))
 		if d.Invoked() {
 			spec.RejectsOverload = !r.Plan.Unguarded
@@ -120,128 +133,33 @@
 	}
 }
 
+// numberedAddr returns the address of the i-th process of a role, counted from 0.
+func numberedAddr(prefix string, i int) types.Addr {
+	return types.Addr(fmt.Sprintf("%s%d", prefix, i+1))
+}
+
+// The processes of a run boot within these times of its beginning.
 const (
 	daemonBootSpread = 300 * time.Millisecond
 	workerBootSpread = 500 * time.Millisecond
 )
 
-// scheduleBoots has all processes start, each at a moment of its own.
+// scheduleBoots boots every process at a random time.
 func (r *Run) scheduleBoots() {
-	atMoment := func(spread time.Duration, boot func()) {
+	bootWithin := func(spread time.Duration, boot func()) {
 		r.After(time.Duration(r.Random.Int63n(int64(spread))), boot)
 	}
 	for _, a := range r.NodeOrder {
 		n := r.Nodes[a]
 		r.zones[n.Zone] = append(r.zones[n.Zone], a)
 		if n.NewMachine != nil {
-			atMoment(daemonBootSpread, n.Boot)
+			bootWithin(daemonBootSpread, n.Boot)
 		}
 	}
 	for _, p := range r.PollingWorkers {
-		atMoment(workerBootSpread, p.Boot)
-	}
-	for _, k := range r.InvokedWorkers {
-		atMoment(workerBootSpread, k.Boot)
-	}
-}
-
-// Execute does the whole run.
-func (r *Run) Execute() *Run {
-	p := r.Plan
-	t := r.Clients.deployment.Table()
-	for i := range t.Queues {
-		t.Queues[i].UnresolvedTimeoutMillis = int(p.Patience.Milliseconds())
-		if p.Patience < 10*time.Second {
-			t.Queues[i].PartitionTimeoutMillis = t.Queues[i].UnresolvedTimeoutMillis
-		}
-	}
-	r.After(3*time.Second, func() { r.Clients.putTable(t, r.Clients.anyGateway(), 0, func(bool) {}) })
-	r.After(6*time.Second, func() {
-		if r.startTraffic(); r.Clients.deployment.Invoked() {
-			r.Clients.startVersioningOperators()
-		} else {
-			r.Clients.startRacingOperators()
-		}
-		r.startTableReads()
-	})
-	from := 6*time.Second + p.Before
-	r.RunUntil(from)
-	for range p.FaultCount {
-		d := time.Duration(r.Random.Int63n(int64(p.FaultsFor * 8 / 10)))
-		name := p.Faults[r.Random.Intn(len(p.Faults))]
-		long := time.Duration(300+r.Random.Intn(6000)) * time.Millisecond
-		r.After(d, func() { r.injectFault(name, long) })
-	}
-	r.RunUntil(from + p.FaultsFor)
-	r.Heal()
-	r.RunUntil(from + p.FaultsFor + p.After)
-	if p.LastFault {
-		r.injectFault(p.Faults[r.Random.Intn(len(p.Faults))], 2*time.Second)
-	}
-	r.Clients.open = false
-	r.RunUntil(from + p.FaultsFor + p.After + 3*time.Second)
-	r.Heal()
-	r.RunUntil(from + p.FaultsFor + p.After + p.Settle)
-	r.endedAt = r.Now()
-	return r
-}
-
-func (r *Run) startTableReads() {
-	r.After(700*time.Millisecond, func() {
-		if r.Clients.open {
-			r.Clients.readTable(nil)
-			r.startTableReads()
-		}
-	})
-}
-
-// Heal ends all faults: everything that is down starts, all cuts go.
-func (r *Run) Heal() {
-	r.Network.HealPartitions()
-	r.Network.ClearResets()
-	r.Network.AckLossRate, r.Clients.BurstFactor = 0, 0
-	r.ClearWatchers()
-	r.Network.Quality = usualQuality
-	for _, a := range r.NodeOrder {
-		n := r.Nodes[a]
-		if n.NewMachine == nil {
-			continue
-		}
-		n.Thaw()
-		if n.Disk != nil {
-			n.Disk.ExtraLatency, n.Disk.StalledUntil, n.Disk.Full = 0, 0, false
-		}
-		if n.Machine == nil {
-			n.Boot()
-		}
-	}
-	for _, h := range r.PollingWorkers {
-		h.SetLeaving(false, 0)
-		h.Thaw()
-		if h.Worker == nil {
-			h.Boot()
-		}
-		h.Worker.WorkerSpec = h.Spec
-		if h.Worker.Slowdown == 0 {
-			h.Worker.Slowdown = 1
-		}
-	}
-	for _, k := range r.InvokedWorkers {
-		k.Heal()
+		bootWithin(workerBootSpread, p.Boot)
 	}
-	r.Record(history.Event{Kind: history.FaultsHealed})
-}
-
-// startTraffic begins all that a deployment's callers send.
-func (r *Run) startTraffic() {
-	for _, s := range r.Clients.deployment.Streams {
-		r.Clients.startStream(s)
-	}
-	if !r.Clients.deployment.Invoked() {
-		for _, f := range append(r.Clients.deployment.Flows[:3:3], r.Clients.deployment.LongGangs()) {
-			r.Clients.startFlow(f)
-		}
+	for _, i := range r.InvokedWorkers {
+		bootWithin(workerBootSpread, i.Boot)
 	}
 }
-
-func pickOne[T any](rnd *rand.Rand, list []T) T { return list[rnd.Intn(len(list))] }
--- a/sim/verdict.go
+++ b/sim/verdict.go
@@ -1,98 +1,79 @@
-// The verdict on a simulated run: broken rules, and how service came back.
+// The verdict on a run: broken rules, what the run covered, and whether service recovered.
 
 package sim
 
 import (
 	"fmt"
-	"sort"
-	"strings"
 	"time"
 
-	"coppercourse/internal/agent"
-	"coppercourse/internal/controller"
-	"coppercourse/internal/gateway"
-	"coppercourse/internal/trace"
-	"coppercourse/internal/types"
 	"coppercourse/sim/checker"
 	"coppercourse/sim/history"
 )
 
-// MinRecovery is the part of the calm's rate that service must have come back to.
+// MinRecovery is the least Verdict.Ratio at which service has recovered from the faults.
 const MinRecovery = 0.75
 
+const (
+	warmUp       = 2 * time.Second  // from the start of the traffic until the rate counts
+	recoveryTime = 12 * time.Second // from the healing until service must have recovered
+)
+
 // Verdict is what one run showed.
 type Verdict struct {
 	Violations []checker.Violation
 	Coverage   checker.Coverage
-	Attempts   int
-	Ratio      float64
+	Attempts   int // that workers started
+
+	// Ratio compares the jobs done for each job submitted after recoveryTime with those
+	// before the faults; 0 means that there is nothing to compare.
+	Ratio float64
 }
 
-// Verdict checks the run's history. The ratio is of jobs done for each one sent:
-// from 12 seconds after healing to the end of the traffic, beside the calm before.
-func (r *Run) Verdict() (v Verdict) {
-	b := checker.DefaultBounds
-	b.ShortPatience = r.Plan.Patience < 10*time.Second
-	if r.Environment != nil {
-		v.Violations, v.Coverage = checker.CheckInvoked(&r.History, checker.InvokedBounds(r.Environment.Rules),
-			r.endedAt)
-	} else {
-		v.Violations, v.Coverage = checker.Check(&r.History, b, r.endedAt, r.Plan.Patience)
-	}
-	for _, h := range r.History.Events {
-		if h.Kind == history.AttemptStarted {
+// Verdict checks the run's history.
+func (r *Run) Verdict() Verdict {
+	var v Verdict
+	v.Violations, v.Coverage = r.check()
+	for _, event := range r.History.Events {
+		if event.Kind == history.AttemptStarted {
 			v.Attempts++
 		}
 	}
-	p := r.Plan
-	from := 6*time.Second + 2*time.Second
-	calm := history.CompletionRate(&r.History, int64(from), int64(6*time.Second+p.Before))
-	heal := 6*time.Second + p.Before + p.FaultsFor + 12*time.Second
-	if calm > 0 && p.After > 12*time.Second {
-		end := int64(heal + p.After - 12*time.Second)
-		v.Ratio = history.CompletionRate(&r.History, int64(heal), end) / calm
-		v.Ratio *= history.SubmissionRate(&r.History, int64(from),
-			int64(6*time.Second+p.Before)) / history.SubmissionRate(&r.History, int64(heal), end)
-		if v.Ratio < MinRecovery {
-			v.Violations = append(v.Violations, checker.Violation{Rule: "recovery", At: int64(heal),
-				Detail: fmt.Sprintf("%.2f of the jobs done for each one sent before the faults", v.Ratio)})
-		}
+	ratio, ok := r.recoveryRatio()
+	if !ok {
+		return v
+	}
+	v.Ratio = ratio
+	if ratio < MinRecovery {
+		v.Violations = append(v.Violations, checker.Violation{
+			Rule:   "recovery",
+			At:     int64(r.Plan.faultsEnd() + recoveryTime),
+			Detail: fmt.Sprintf("%.2f of the jobs done for each one sent before the faults", ratio),
+		})
 	}
 	return v
 }
 
-// JobTrail tells what the daemons' own trails say of a job, in order of time, to
-// find causes by; the checker never looks at them.
-func (r *Run) JobTrail(id string) string {
-	type line struct {
-		at   int64
-		text string
-	}
-	var lines []line
-	for _, a := range r.NodeOrder {
-		n := r.Nodes[a]
-		var ring *trace.Ring
-		switch m := n.Machine.(type) {
-		case *controller.Controller:
-			ring = m.Trace
-		case *gateway.Gateway:
-			ring = m.Trace
-		case *agent.Agent:
-			ring = m.Trace
-		default:
-			continue
-		}
-		for _, k := range ring.Points(trace.JobSubject(types.JobID(id))) {
-			lines = append(lines, line{
-				int64(k.At) - history.WallClockStart - int64(n.WallOffset),
-				string(a) + " " + k.Description,
-			})
-		}
+// check applies the rules of the run's deployment.
+func (r *Run) check() ([]checker.Violation, checker.Coverage) {
+	if r.Environment != nil {
+		return checker.CheckInvoked(&r.History, checker.InvokedBounds(r.Environment.Rules), r.endedAt)
 	}
-	sort.SliceStable(lines, func(i, k int) bool { return lines[i].at < lines[k].at })
-	var b strings.Builder
-	for _, l := range lines {
-		fmt.Fprintf(&b, "  %8.3f s %s\n", float64(l.at)/1e9, l.text)
+	bounds := checker.DefaultBounds
+	bounds.ShortPatience = r.Plan.Patience < shortPatience
+	return checker.Check(&r.History, bounds, r.endedAt, r.Plan.Patience)
+}
+
+// recoveryRatio returns Verdict.Ratio. It is not ok if no job was done before the faults,
+// or the traffic after them is too short.
+func (r *Run) recoveryRatio() (ratio float64, ok bool) {
+	p := r.Plan
+	calmFrom, calmTo := int64(trafficTime+warmUp), int64(p.faultsStart())
+	from, to := int64(p.faultsEnd()+recoveryTime), int64(p.trafficEnd())
+	calmRate := history.CompletionRate(&r.History, calmFrom, calmTo)
+	if calmRate <= 0 || p.After <= recoveryTime {
+		return 0, false
 	}
-	return b.String()
+	ratio = history.CompletionRate(&r.History, from, to) / calmRate
+	ratio *= history.SubmissionRate(&r.History, calmFrom, calmTo) / history.SubmissionRate(&r.History, from, to)
+	return ratio, true
 }
