--- a/sim/doc.go
+++ b/sim/doc.go
@@ -35,5 +35,7 @@
 //
 // Large fleets:
 //
-//	scale.go  their sizes and traffic, and what is measured of them
+//	scale.go          their sizes, and how they are set up
+//	scale_load.go     their traffic
+//	scale_measure.go  what is measured of them
 package sim
