--- a/sim/clients.go
+++ b/sim/clients.go
@@ -127,11 +127,14 @@
 	return time.Duration(err.RetryAfterSeconds) * time.Second
 }
 
-// perform sends an operation to a gateway after some retries, and retries it at others.
-func (c *Clients) perform(o operation, to types.Addr, retries int) {
+// perform sends an operation to a gateway, and retries it at any.
+func (c *Clients) perform(o operation, to types.Addr) { c.attempt(o, to, 0) }
+
+// attempt sends an operation to a gateway after so many retries.
+func (c *Clients) attempt(o operation, to types.Addr, retries int) {
 	retry := func(delay time.Duration) {
 		if retries < o.maxRetries {
-			c.world.After(delay, func() { c.perform(o, c.anyGateway(), retries+1) })
+			c.world.After(delay, func() { c.attempt(o, c.anyGateway(), retries+1) })
 		}
 	}
 	onAnswer := func(answer wire.Response) {
--- a/sim/control_plane_test.go
+++ b/sim/control_plane_test.go
@@ -32,7 +32,7 @@
 	r = New(Plan{Seed: seed, Deployment: "kingston"})
 	ok := false
 	r.After(4*time.Second, func() {
-		r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(acknowledged bool) { ok = acknowledged })
+		r.Clients.putTable(r.Clients.deployment.Table(), "g1", func(acknowledged bool) { ok = acknowledged })
 	})
 	return r, func() bool { return ok }
 }
@@ -457,7 +457,7 @@
 			s.Steps[0].DelayMillis, s.Steps[0].NotBefore = 0, notBefore.UTC().Format(time.RFC3339Nano)
 		}
 		r.Record(history.Event{Kind: history.JobSubmitted, Job: types.JobID(at), Spec: &s})
-		r.Clients.submit(types.JobID(at), wire.EncodeBody(s), "g1", 0)
+		r.Clients.submit(types.JobID(at), wire.EncodeBody(s), "g1")
 	}
 	r.RunUntil(16 * time.Second)
 	r.Network.HealPartitions()
--- a/sim/disruption_test.go
+++ b/sim/disruption_test.go
@@ -27,7 +27,7 @@
 	r.Clients.RacingOperators, r.Clients.CancelRate = false, 0
 	t := r.Clients.deployment.Table()
 	change(&t)
-	r.After(3*time.Second, func() { r.Clients.putTable(t, "g1", 0, func(bool) {}) })
+	r.After(3*time.Second, func() { r.Clients.putTable(t, "g1", func(bool) {}) })
 	r.After(6*time.Second, func() {
 		if flows == nil {
 			flows = r.Clients.deployment.Flows
@@ -43,7 +43,7 @@
 // submitJob submits one job through any gateway.
 func (r *Run) submitJob(id string, s state.Spec) {
 	r.Record(history.Event{Kind: history.JobSubmitted, Job: types.JobID(id), Spec: &s})
-	r.Clients.submit(types.JobID(id), wire.EncodeBody(s), r.Clients.anyGateway(), 0)
+	r.Clients.submit(types.JobID(id), wire.EncodeBody(s), r.Clients.anyGateway())
 }
 
 // firstStart returns when the first attempt of a job started.
@@ -236,7 +236,7 @@
 			Target:  state.Target{Rack: "r1"},
 			Windows: []state.CalendarWindow{window},
 		}
-		r.Clients.requestAsOperator("plan.put", "roof", wire.EncodeBody(plan), 0, func() {})
+		r.Clients.requestAsOperator("plan.put", "roof", wire.EncodeBody(plan), func() {})
 		r.RunUntil(time.Duration(open) - 3*time.Second)
 		r.leader().Kill() // the windows outlive a change of leader
 		r.RunUntil(time.Duration(open) - time.Second)
--- a/sim/execute.go
+++ b/sim/execute.go
@@ -58,7 +58,7 @@
 			q.PartitionTimeoutMillis = q.UnresolvedTimeoutMillis
 		}
 	}
-	r.After(firstTableTime, func() { r.Clients.putTable(t, r.Clients.anyGateway(), 0, func(bool) {}) })
+	r.After(firstTableTime, func() { r.Clients.putTable(t, r.Clients.anyGateway(), func(bool) {}) })
 }
 
 // startTraffic starts all jobs that a deployment's callers submit.
--- a/sim/job_requests.go
+++ b/sim/job_requests.go
@@ -58,5 +58,5 @@
 	o.onAccepted = func(wire.Response) {
 		c.world.Record(history.Event{Kind: history.CancelAccepted, Job: id})
 	}
-	c.perform(o, c.anyGateway(), 0)
+	c.perform(o, c.anyGateway())
 }
--- a/sim/leader_bench_test.go
+++ b/sim/leader_bench_test.go
@@ -53,7 +53,7 @@
 		r.Clients.deployment.Streams[i].MeanInterval /= 2
 	}
 	r.After(3*time.Second, func() {
-		r.Clients.putTable(r.Clients.deployment.Table(), r.Clients.anyGateway(), 0, func(bool) {})
+		r.Clients.putTable(r.Clients.deployment.Table(), r.Clients.anyGateway(), func(bool) {})
 	})
 	r.After(6*time.Second, r.startTraffic)
 	r.advance(settle)
--- a/sim/operators.go
+++ b/sim/operators.go
@@ -30,7 +30,7 @@
 
 // putTable puts a table, first at the given gateway. Once it is known whether the table was
 // accepted, it calls then with that.
-func (c *Clients) putTable(t config.Table, to types.Addr, retries int, then func(accepted bool)) {
+func (c *Clients) putTable(t config.Table, to types.Addr, then func(accepted bool)) {
 	c.world.Record(history.Event{Kind: history.TableSubmitted, Table: &t})
 	o := newOperation(wire.VerbPutTable, "", wire.EncodeBody(t), maxTableRetries)
 	o.onAccepted = func(wire.Response) {
@@ -46,7 +46,7 @@
 		c.world.Record(history.Event{Kind: history.TableRefused, Table: &t, Text: err.Error()})
 		then(false)
 	}
-	c.perform(o, to, retries)
+	c.perform(o, to)
 }
 
 // readTable reads the table once, and calls then with it, unless then is nil or there was no
@@ -102,7 +102,7 @@
 func (c *Clients) putAlteredTables(t config.Table, changes int) {
 	for i := range changes {
 		altered := c.alteredTable(t)
-		c.putTable(altered, c.alternateGateway(i), 0, func(bool) {})
+		c.putTable(altered, c.alternateGateway(i), func(bool) {})
 	}
 }
 
@@ -120,7 +120,7 @@
 
 // startDrain starts a drain, and calls then once it is accepted.
 func (c *Clients) startDrain(target string, drain config.Drain, then func()) {
-	c.requestAsOperator(wire.VerbStartDrain, target, wire.EncodeBody(drain), 0, func() {
+	c.requestAsOperator(wire.VerbStartDrain, target, wire.EncodeBody(drain), func() {
 		c.world.Record(history.Event{Kind: history.DrainAccepted, Text: target})
 		then()
 	})
@@ -129,14 +129,12 @@
 // cancelDrain cancels a drain, and calls then once that is accepted.
 func (c *Clients) cancelDrain(target string, then func()) {
 	c.world.Record(history.Event{Kind: history.DrainRemoval, Text: target})
-	c.requestAsOperator(wire.VerbCancelDrain, target, nil, 0, then)
+	c.requestAsOperator(wire.VerbCancelDrain, target, nil, then)
 }
 
 // requestAsOperator sends an operator's request, and calls then once it is accepted.
-func (c *Clients) requestAsOperator(
-	verb wire.Verb, argument string, body json.RawMessage, retries int, then func(),
-) {
+func (c *Clients) requestAsOperator(verb wire.Verb, argument string, body json.RawMessage, then func()) {
 	o := newOperation(verb, argument, body, maxOperatorRetries)
 	o.onAccepted = func(wire.Response) { then() }
-	c.perform(o, c.anyGateway(), retries)
+	c.perform(o, c.anyGateway())
 }
--- a/sim/planted_polling_test.go
+++ b/sim/planted_polling_test.go
@@ -179,7 +179,7 @@
 		r.Clients.readTable(func(t config.Table) {
 			t.Queues = slices.Clone(t.Queues)
 			t.Queues[1].MaxRunning = 8
-			r.Clients.putTable(t, "g1", 0, func(bool) {})
+			r.Clients.putTable(t, "g1", func(bool) {})
 		})
 	})
 }
--- a/sim/quorum_loss_test.go
+++ b/sim/quorum_loss_test.go
@@ -177,7 +177,7 @@
 	c := &cutoff{Run: newRun(Plan{Seed: seed, Quick: true, Patience: 5 * time.Second}, d)}
 	c.Network.Quality = world.NetworkQuality{}
 	table := c.Clients.deployment.Table()
-	c.After(3*time.Second, func() { c.Clients.putTable(table, c.gateways[0].Addr, 0, func(bool) {}) })
+	c.After(3*time.Second, func() { c.Clients.putTable(table, c.gateways[0].Addr, func(bool) {}) })
 	if plant != nil {
 		plant(c)
 	}
--- a/sim/random_faults_test.go
+++ b/sim/random_faults_test.go
@@ -49,7 +49,7 @@
 	if plant != nil {
 		plant(r)
 	}
-	r.After(3*time.Second, func() { r.Clients.putTable(d.Table(), "g1", 0, func(bool) {}) })
+	r.After(3*time.Second, func() { r.Clients.putTable(d.Table(), "g1", func(bool) {}) })
 	r.After(scheduleStart, func() {
 		r.startTraffic()
 		for range 2 {
@@ -93,7 +93,7 @@
 		}
 		r.Clients.readTable(func(t config.Table) {
 			if len(t.Queues) >= 3 {
-				r.Clients.putTable(r.Clients.nextVersion(t), r.Clients.anyGateway(), 0, func(bool) {})
+				r.Clients.putTable(r.Clients.nextVersion(t), r.Clients.anyGateway(), func(bool) {})
 			}
 		})
 		r.changes()
--- a/sim/scale_measure.go
+++ b/sim/scale_measure.go
@@ -109,7 +109,7 @@
 		return err
 	}
 	acknowledged := false
-	r.Clients.putTable(table, r.gateways[0].Addr, 0, func(accepted bool) { acknowledged = accepted })
+	r.Clients.putTable(table, r.gateways[0].Addr, func(accepted bool) { acknowledged = accepted })
 	return r.await(healthLimit, "the first table and all workers healthy", func() bool {
 		return acknowledged && r.healthyWorkers() == s.Agents
 	})
@@ -186,7 +186,7 @@
 func (r *Run) timeTableChange(next config.Table) (time.Duration, error) {
 	startedAt := r.Now()
 	acknowledged := false
-	r.Clients.putTable(next, r.Clients.anyGateway(), 0, func(accepted bool) { acknowledged = accepted })
+	r.Clients.putTable(next, r.Clients.anyGateway(), func(accepted bool) { acknowledged = accepted })
 	inForce := func(n *world.Node) bool {
 		have, fresh := n.Machine.(*gateway.Gateway).Table()
 		return fresh && have.Version > next.Version
--- a/sim/setup_test.go
+++ b/sim/setup_test.go
@@ -6,7 +6,7 @@
 
 // putFirstTableAt has an operator put the deployment's table at a time.
 func (r *Run) putFirstTableAt(at time.Duration) {
-	r.After(at, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", 0, func(bool) {}) })
+	r.After(at, func() { r.Clients.putTable(r.Clients.deployment.Table(), "g1", func(bool) {}) })
 }
 
 // startFlows starts the usual traffic of a deployment whose workers poll.
--- a/sim/submissions.go
+++ b/sim/submissions.go
@@ -90,11 +90,11 @@
 // submitNew submits a job for the first time, at the gateway of a zone drawn at random.
 func (c *Clients) submitNew(id types.JobID, spec state.Spec) {
 	c.world.Record(history.Event{Kind: history.JobSubmitted, Job: id, Spec: &spec})
-	c.submit(id, wire.EncodeBody(spec), c.readyGateway(c.world.Random.Intn(callerZones)), 0)
+	c.submit(id, wire.EncodeBody(spec), c.readyGateway(c.world.Random.Intn(callerZones)))
 }
 
 // submit submits an encoded job. Once it is accepted, its caller watches it and may cancel it.
-func (c *Clients) submit(id types.JobID, body json.RawMessage, to types.Addr, retries int) {
+func (c *Clients) submit(id types.JobID, body json.RawMessage, to types.Addr) {
 	o := newOperation(wire.VerbSubmitJob, string(id), body, c.MaxRetries)
 	o.onAccepted = func(answer wire.Response) {
 		c.world.Record(history.Event{Kind: history.JobAccepted, Job: id})
@@ -117,7 +117,7 @@
 		}
 		return retryAfter(err)
 	}
-	c.perform(o, to, retries)
+	c.perform(o, to)
 }
 
 // recordRetryableError records whether a submission that may be retried had an effect.
--- a/sim/versioning_operators.go
+++ b/sim/versioning_operators.go
@@ -36,7 +36,7 @@
 			for range 1 + c.world.Random.Intn(2) {
 				next := c.nextVersion(t)
 				c.spoilVersion(&next)
-				c.putTable(next, c.anyGateway(), 0, func(bool) { c.countIdleQueues(t, next) })
+				c.putTable(next, c.anyGateway(), func(bool) { c.countIdleQueues(t, next) })
 			}
 		})
 		c.startVersioningOperators()
