--- a/sim/disk_faults.go
+++ b/sim/disk_faults.go
@@ -39,6 +39,7 @@
 // fillLeaderDisk fills the disk of the leader.
 func fillLeaderDisk(_ *Run, leader *world.Node, _ time.Duration) func() { return fillDiskOf(leader) }
 
+// fillDiskOf fills a disk, and returns what frees it.
 func fillDiskOf(n *world.Node) (end func()) {
 	n.Disk.Full = true
 	return func() { n.Disk.Full = false }
--- a/sim/doc.go
+++ b/sim/doc.go
@@ -26,7 +26,8 @@
 //
 //	fault.go                  how they are injected
 //	fault_tables.go           their names
-//	fault_targets.go          which daemons and addresses they strike
+//	fault_targets.go          which daemons they strike
+//	partition_sides.go        between which addresses partitions are
 //	daemon_faults.go, network_faults.go, disk_faults.go, clock_faults.go,
 //	polling_worker_faults.go, invoked_worker_faults.go
 //	                          by what they strike
--- a/sim/execute.go
+++ b/sim/execute.go
@@ -122,6 +122,7 @@
 	r.Record(history.Event{Kind: history.FaultsHealed})
 }
 
+// healNetwork ends the faults of the network.
 func (r *Run) healNetwork() {
 	r.Network.HealPartitions()
 	r.Network.ClearResets()
@@ -129,6 +130,7 @@
 	r.Network.Quality = usualQuality
 }
 
+// healDaemons ends the faults of daemons and their disks, and boots those that are down.
 func (r *Run) healDaemons() {
 	for _, a := range r.NodeOrder {
 		n := r.Nodes[a]
@@ -143,6 +145,7 @@
 	}
 }
 
+// healPollingWorkers ends the faults of workers that poll, and boots those that are down.
 func (r *Run) healPollingWorkers() {
 	for _, p := range r.PollingWorkers {
 		p.SetLeaving(false, 0)
--- a/sim/fault_tables.go
+++ b/sim/fault_tables.go
@@ -137,7 +137,7 @@
 
 	"notice-worker": departureFault(longNotice),
 	"spot-worker":   departureFault(spotNotice),
-	"lure-workers":  leaderFault(lureWorkers),
+	"lure-workers":  leaderFault(partitionAgentsWithLeader),
 	"drain-worker":  drainWorker,
 
 	"cut-worker":     partitionFault(invokedWorkerFromAll),
--- a/sim/fault_targets.go
+++ b/sim/fault_targets.go
@@ -1,4 +1,4 @@
-// Which daemons faults strike, and between which addresses partitions are.
+// Which daemons faults strike.
 
 package sim
 
@@ -68,15 +68,19 @@
 	return drawn
 }
 
-// A nodePicker returns the daemons that a fault may strike.
+// nodePicker returns the daemons that a fault may strike.
 type nodePicker func(r *Run) []*world.Node
 
+// allControllers returns the controllers, without those that were replaced.
 func allControllers(r *Run) []*world.Node { return r.controllers }
 
+// allGateways returns the gateways.
 func allGateways(r *Run) []*world.Node { return r.gateways }
 
+// allAgents returns the agents.
 func allAgents(r *Run) []*world.Node { return r.agents }
 
+// allDaemons returns controllers, gateways and agents.
 func allDaemons(r *Run) []*world.Node { return r.daemons() }
 
 // leaderOnly returns the leader, or nothing if there is none.
@@ -114,91 +118,3 @@
 	}
 	return rest
 }
-
-// A split returns the two sides of a partition. If one is empty there is nothing to separate.
-type split func(r *Run) (a, b []types.Addr)
-
-// reversed returns a split with its sides exchanged.
-func reversed(s split) split {
-	return func(r *Run) (a, b []types.Addr) {
-		b, a = s(r)
-		return a, b
-	}
-}
-
-// separatedFromAll returns a node, and all others.
-func separatedFromAll(r *Run, n *world.Node) (a, b []types.Addr) {
-	if n == nil {
-		return nil, nil
-	}
-	return []types.Addr{n.Addr}, r.allExcept(n.Addr)
-}
-
-// separatedFromPeers returns a controller, and the other controllers. It still reaches
-// agents and gateways.
-func separatedFromPeers(r *Run, n *world.Node) (a, b []types.Addr) {
-	if n == nil {
-		return nil, nil
-	}
-	for _, peer := range r.controllers {
-		if peer != n {
-			b = append(b, peer.Addr)
-		}
-	}
-	return []types.Addr{n.Addr}, b
-}
-
-// separatedWithinZone returns a controller, and the other controllers with all daemons of
-// other zones.
-func separatedWithinZone(r *Run, n *world.Node) (a, b []types.Addr) {
-	if n == nil {
-		return nil, nil
-	}
-	_, b = separatedFromPeers(r, n)
-	for _, other := range r.daemons() {
-		if other.Zone != n.Zone && !slices.Contains(b, other.Addr) {
-			b = append(b, other.Addr)
-		}
-	}
-	return []types.Addr{n.Addr}, b
-}
-
-func leaderFromAll(r *Run) (a, b []types.Addr) { return separatedFromAll(r, r.leader()) }
-
-func leaderFromPeers(r *Run) (a, b []types.Addr) { return separatedFromPeers(r, r.leader()) }
-
-func leaderWithinZone(r *Run) (a, b []types.Addr) { return separatedWithinZone(r, r.leader()) }
-
-func oldestFromPeers(r *Run) (a, b []types.Addr) {
-	return separatedFromPeers(r, r.oldestController())
-}
-
-func controllerFromAll(r *Run) (a, b []types.Addr) { return separatedFromAll(r, r.anyController()) }
-
-func agentFromAll(r *Run) (a, b []types.Addr) {
-	return separatedFromAll(r, pickOne(r.Random, r.agents))
-}
-
-func pollingWorkerFromAll(r *Run) (a, b []types.Addr) {
-	return separatedFromAll(r, r.anyPollingWorker().Node)
-}
-
-func invokedWorkerFromAll(r *Run) (a, b []types.Addr) {
-	return separatedFromAll(r, pickOne(r.Random, r.InvokedWorkers).Node)
-}
-
-func zoneFromAll(r *Run) (a, b []types.Addr) {
-	size := r.Clients.deployment.Size
-	zone := r.zones[size.Zone(r.Random.Intn(size.Zones))]
-	return zone, r.allExcept(zone...)
-}
-
-// unreachablePart is the part of the gateways and agents that lose the controllers.
-const unreachablePart = 0.2
-
-// someFromControllers returns some gateways and agents, and the controllers.
-func someFromControllers(r *Run) (a, b []types.Addr) {
-	some := addressesOf(r.sample(r.disklessDaemons(), unreachablePart))
-	r.markAffected(some...)
-	return some, addressesOf(r.controllers)
-}
--- a/sim/invoked_worker_faults.go
+++ b/sim/invoked_worker_faults.go
@@ -22,7 +22,7 @@
 	minAgentRestartMillis    = 50
 	agentRestartSpreadMillis = 800
 
-	luredPart = 0.33 // of the agents, that reach just the partitioned leader
+	leaderSidePart = 0.33 // of the agents, that reach just the partitioned leader
 )
 
 // anyInvokedWorker draws a worker. It returns nil if that one is down.
@@ -138,15 +138,15 @@
 	return endsByItself
 }
 
-// lureWorkers partitions the leader from the other controllers. Some agents reach just it
+// partitionAgentsWithLeader partitions the leader from the other controllers. Some agents reach just it
 // for a while, and some of their workers leave.
-func lureWorkers(r *Run, leader *world.Node, duration time.Duration) func() {
+func partitionAgentsWithLeader(r *Run, leader *world.Node, duration time.Duration) func() {
 	a, peers := separatedFromPeers(r, leader)
 	healLeader := r.partition(a, peers, true)
-	lured := r.sample(r.agents, luredPart)
+	isolated := r.sample(r.agents, leaderSidePart)
 	unreachable := slices.Concat(peers, addressesOf(r.gateways))
-	healAgents := r.partition(addressesOf(lured), unreachable, true)
-	for _, agent := range lured {
+	healAgents := r.partition(addressesOf(isolated), unreachable, true)
+	for _, agent := range isolated {
 		i := r.InvokedWorkers[slices.Index(r.agents, agent)]
 		if i.Worker != nil && i.DepartsAt == 0 && r.Random.Intn(2) == 0 {
 			notice := longNotice(r, duration)
--- a/sim/polling_worker_faults.go
+++ b/sim/polling_worker_faults.go
@@ -12,6 +12,7 @@
 // removedBootDelay is the time from a worker's removal until another boots in its place.
 const removedBootDelay = 2 * time.Second
 
+// anyPollingWorker draws a worker, which may be down.
 func (r *Run) anyPollingWorker() *world.PollingNode { return pickOne(r.Random, r.PollingWorkers) }
 
 // anyPollingMachine draws a machine, and returns the worker and the agent there.
--- a/sim/scale_measure.go
+++ b/sim/scale_measure.go
@@ -29,12 +29,14 @@
 const (
 	footprintSamples = 4 // daemons of a role whose state is measured
 
-	urgentUrgency     = 9
-	urgentTaskMillis  = 50
-	minStepNanos      = 100
-	maxStepTime       = time.Minute
-	stepSignificance  = 3 // digits
-	changedWeightSpan = 900
+	// Range and precision of the histogram of the leader's steps.
+	minStepTime = 100 * time.Nanosecond
+	maxStepTime = time.Minute
+	stepDigits  = 3
+
+	urgentUrgency    = 9
+	urgentTaskMillis = 50
+	maxProbeWeight   = 900 // of a queue, drawn by each change of the table
 )
 
 // ScalePlan is how a fleet is measured. Its times but Limit are simulated.
@@ -121,7 +123,7 @@
 		return err
 	}
 	leader := r.leader()
-	m.Steps = hdrhistogram.New(minStepNanos, int64(maxStepTime), stepSignificance)
+	m.Steps = hdrhistogram.New(int64(minStepTime), int64(maxStepTime), stepDigits)
 	leader.StepTimes = m.Steps
 	for _, n := range r.Nodes {
 		n.Usage = world.Usage{}
@@ -178,7 +180,7 @@
 func changedWeight(t config.Table, seed int64) config.Table {
 	next := t
 	next.Version, next.Queues = t.Version+1, slices.Clone(t.Queues)
-	next.Queues[0].Weight = 1 + rand.New(rand.NewSource(seed)).Intn(changedWeightSpan)
+	next.Queues[0].Weight = 1 + rand.New(rand.NewSource(seed)).Intn(maxProbeWeight)
 	return next
 }
 
--- a/sim/versioning_operators.go
+++ b/sim/versioning_operators.go
@@ -73,6 +73,7 @@
 	}
 }
 
+// isIdleQueue reports whether a queue is one that newIdleQueue made.
 func isIdleQueue(q config.Queue) bool { return strings.HasPrefix(string(q.Name), idlePrefix) }
 
 // spoilVersion makes one table in four invalid: its new version is not newer, or it is
