--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -121,7 +121,7 @@
 func (a *Agent) handleKillTask(message wire.Message) {
 	a.passToExecutor(message)
 	a.Counters.Stops++
-	if order, ok := wire.DecodeBody[protocol.KillTasks](message); ok {
+	if order, ok := wire.DecodeBody[protocol.KillTask](message); ok {
 		for _, attempt := range order.Attempts {
 			a.core.Record(trace.JobSubject(attempt.Job), "stop order received", "attempt", attempt)
 		}
--- a/internal/controller/report_buffer.go
+++ b/internal/controller/report_buffer.go
@@ -27,7 +27,7 @@
 // bufferedReport is a report with ends that are not in the log yet.
 type bufferedReport struct {
 	from        types.Addr
-	update      protocol.UpdateStatus
+	update      protocol.StatusReport
 	receivedAt  types.MonoTime
 	forwardedAt types.MonoTime
 	forwards    int // how often it was forwarded to the leader
@@ -35,7 +35,7 @@
 
 // add keeps what of a report is not in the log and not in the buffer.
 func (b *reportBuffer) add(now types.MonoTime, s *state.State, message wire.Message) {
-	update, ok := wire.DecodeBody[protocol.UpdateStatus](message)
+	update, ok := wire.DecodeBody[protocol.StatusReport](message)
 	if !ok || len(b.reports) >= maxBufferedReports {
 		return
 	}
--- a/internal/controller/report_buffer_test.go
+++ b/internal/controller/report_buffer_test.go
@@ -15,7 +15,7 @@
 
 // report is an agent's report of some ends.
 func report(ends ...state.AttemptEnd) wire.Message {
-	update := protocol.UpdateStatus{Shard: "k0", Instance: "i", Ends: ends}
+	update := protocol.StatusReport{Shard: "k0", Instance: "i", Ends: ends}
 	return wire.NewMessage("w0", "h1", wire.StatusReport, update).Message
 }
 
--- a/internal/dispatch/executor/executor.go
+++ b/internal/dispatch/executor/executor.go
@@ -150,12 +150,12 @@
 
 var messageHandlers = map[wire.Kind]func(*Executor, wire.Message){
 	wire.HeartbeatReply:    wire.HandlerFor((*Executor).onHeartbeatReply),
-	wire.RunningTasksQuery: wire.HandlerFor((*Executor).onGetRunningTasks),
+	wire.RunningTasksQuery: wire.HandlerFor((*Executor).onRunningTasksQuery),
 	wire.RunTask:           wire.HandlerFor((*Executor).onRunTask),
-	wire.NotRunningQuery:   wire.HandlerFor((*Executor).onNotifyIfTasksNotRunning),
-	wire.StatusAck:         wire.HandlerFor((*Executor).onCommittedEnds),
-	wire.KillTask:          wire.HandlerFor((*Executor).onKillTasks),
-	wire.ReplaceInstance:   wire.HandlerFor((*Executor).onRequestSuicide),
+	wire.NotRunningQuery:   wire.HandlerFor((*Executor).onNotRunningQuery),
+	wire.StatusAck:         wire.HandlerFor((*Executor).onStatusAck),
+	wire.KillTask:          wire.HandlerFor((*Executor).onKillTask),
+	wire.ReplaceInstance:   wire.HandlerFor((*Executor).onReplaceInstance),
 }
 
 // HandleMessage handles a scheduler's message. One of a kind that is not for an agent is
--- a/internal/dispatch/executor/protocol_test.go
+++ b/internal/dispatch/executor/protocol_test.go
@@ -198,7 +198,7 @@
 	cluster.poll(agent)
 	cluster.poll(agent) // the worker has dropped it, so the agent has too
 	is.Equal(len(agent.attempts.byID), 0)
-	query := protocol.NotifyIfTasksNotRunning{
+	query := protocol.NotRunningQuery{
 		Header:   protocol.Header{Term: 1, To: cluster.scheduler.Worker("s").Instance},
 		Sequence: agent.association.querySequence + 1,
 		Attempts: []types.AttemptID{theAttempt},
--- a/internal/dispatch/executor/reports.go
+++ b/internal/dispatch/executor/reports.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxEndsPerStatus bounds the ends in one UpdateStatus.
+	// maxEndsPerStatus bounds the ends in one StatusReport.
 	maxEndsPerStatus = 500
 	// checkpointHeartbeats is in how many heartbeats a new checkpoint is reported, so
 	// that one of them arrives.
@@ -80,7 +80,7 @@
 		return
 	}
 	ex.reports.statusAt = ex.now
-	status := protocol.UpdateStatus{Shard: ex.shard, Instance: ex.association.instance, Ends: ends}
+	status := protocol.StatusReport{Shard: ex.shard, Instance: ex.association.instance, Ends: ends}
 	ex.send(ex.leader, wire.StatusReport, status)
 }
 
--- a/internal/dispatch/executor/scheduler_messages.go
+++ b/internal/dispatch/executor/scheduler_messages.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// onGetRunningTasks replies with all that runs or whose end is not committed, and with
+// onRunningTasksQuery replies with all that runs or whose end is not committed, and with
 // what was lost, until the worker reports its true end.
-func (ex *Executor) onGetRunningTasks(from types.Addr, query protocol.GetRunningTasks) {
+func (ex *Executor) onRunningTasksQuery(from types.Addr, query protocol.RunningTasksQuery) {
 	if !ex.acceptHeader(from, query.Header) || !ex.canReportRunningTasks() {
 		return
 	}
@@ -76,10 +76,10 @@
 	})
 }
 
-// onNotifyIfTasksNotRunning reports those of the attempts asked about that do not run
+// onNotRunningQuery reports those of the attempts asked about that do not run
 // here. Having said so, the agent must never start them: it notes them as ended, and
 // rejects every RunTask that was sent before the query.
-func (ex *Executor) onNotifyIfTasksNotRunning(from types.Addr, query protocol.NotifyIfTasksNotRunning) {
+func (ex *Executor) onNotRunningQuery(from types.Addr, query protocol.NotRunningQuery) {
 	if !ex.acceptHeader(from, query.Header) || query.Sequence <= ex.association.querySequence {
 		return
 	}
@@ -90,15 +90,15 @@
 			ex.reports.requestStatus()
 		}
 	}
-	ex.send(from, wire.NotRunningReply, protocol.NotifyIfTasksNotRunningReply{
+	ex.send(from, wire.NotRunningReply, protocol.NotRunningReply{
 		ReplyHeader: ex.replyHeader(),
 		Sequence:    query.Sequence,
 	})
 }
 
-// onCommittedEnds notes which ends are committed. An attempt that ended well here and
+// onStatusAck notes which ends are committed. An attempt that ended well here and
 // otherwise in the log is not acknowledged: its end is reported on.
-func (ex *Executor) onCommittedEnds(from types.Addr, committed protocol.CommittedEnds) {
+func (ex *Executor) onStatusAck(from types.Addr, committed protocol.StatusAck) {
 	if !ex.acceptHeader(from, committed.Header) {
 		return
 	}
@@ -121,8 +121,8 @@
 	}
 }
 
-// onKillTasks stops attempts. One that is not here will not run here any more.
-func (ex *Executor) onKillTasks(from types.Addr, kill protocol.KillTasks) {
+// onKillTask stops attempts. One that is not here will not run here any more.
+func (ex *Executor) onKillTask(from types.Addr, kill protocol.KillTask) {
 	if !ex.acceptHeader(from, kill.Header) {
 		return
 	}
@@ -141,7 +141,7 @@
 	}
 }
 
-func (ex *Executor) onRequestSuicide(from types.Addr, request protocol.RequestSuicide) {
+func (ex *Executor) onReplaceInstance(from types.Addr, request protocol.ReplaceInstance) {
 	if ex.acceptHeader(from, request.Header) {
 		ex.health.set(ex.now, protocol.WorkerMustDie)
 	}
--- a/internal/dispatch/protocol/decode.go
+++ b/internal/dispatch/protocol/decode.go
@@ -101,7 +101,7 @@
 }
 
 // DecodeJSON reads u from its JSON.
-func (u *UpdateStatus) DecodeJSON(d *jx.Decoder) error {
+func (u *StatusReport) DecodeJSON(d *jx.Decoder) error {
 	return wire.DecodeObject(d, func(key string) (bool, error) {
 		switch key {
 		case "shard":
--- a/internal/dispatch/protocol/decode_test.go
+++ b/internal/dispatch/protocol/decode_test.go
@@ -78,7 +78,7 @@
 
 func TestMessagesDecodeAsByTheStandardLibrary(t *testing.T) {
 	compareWithStandardLibrary[Heartbeat](t, 1)
-	compareWithStandardLibrary[UpdateStatus](t, 2)
+	compareWithStandardLibrary[StatusReport](t, 2)
 	compareWithStandardLibrary[RunTaskReply](t, 3)
 }
 
@@ -94,20 +94,20 @@
 	}
 }
 
-func BenchmarkDecodeUpdateStatus(b *testing.B) {
+func BenchmarkDecodeStatusReport(b *testing.B) {
 	body := []byte(`{"shard":"w17","id":"a41b0c9d","ends":[` +
 		`{"leg":{"job":"basket-quote-1a2b3c","n":17,"leg":1},"fate":"ok"},` +
 		`{"leg":{"job":"basket-quote-1a2b3c","n":18,"leg":1},"fate":"ok"}]}`)
 	b.Run("own", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			wire.DecodeBody[UpdateStatus](wire.Message{Body: body})
+			wire.DecodeBody[StatusReport](wire.Message{Body: body})
 		}
 	})
 	b.Run("standard", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			var status UpdateStatus
+			var status StatusReport
 			if err := json.Unmarshal(body, &status); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/dispatch/protocol/messages.go
+++ b/internal/dispatch/protocol/messages.go
@@ -98,8 +98,8 @@
 	WorkerSet  WorkerSetID `json:"set"` // the scheduler's latest
 }
 
-// GetRunningTasks is getRunningTasks, scheduler to agent.
-type GetRunningTasks struct{ Header }
+// RunningTasksQuery is getRunningTasks, scheduler to agent.
+type RunningTasksQuery struct{ Header }
 
 // RunningTask is an attempt that runs, and the resources that it takes.
 type RunningTask struct {
@@ -107,7 +107,7 @@
 	Resources types.Resources `json:"room"`
 }
 
-// RunningTasksReply replies to GetRunningTasks with all attempts that run or whose end
+// RunningTasksReply replies to RunningTasksQuery with all attempts that run or whose end
 // is not yet committed.
 type RunningTasksReply struct {
 	ReplyHeader
@@ -149,39 +149,39 @@
 	Rejection string          `json:"why,omitempty"`
 }
 
-// NotifyIfTasksNotRunning is notifyIfTasksNotRunning, scheduler to agent: the agent
-// answers with an UpdateStatus for those attempts that do not run, and from then on
+// NotRunningQuery is notifyIfTasksNotRunning, scheduler to agent: the agent
+// answers with a StatusReport for those attempts that do not run, and from then on
 // rejects a RunTask with a lower sequence number.
-type NotifyIfTasksNotRunning struct {
+type NotRunningQuery struct {
 	Header
 	Sequence types.Seq         `json:"seq"`
 	Attempts []types.AttemptID `json:"legs"`
 }
 
-// NotifyIfTasksNotRunningReply replies to NotifyIfTasksNotRunning; the UpdateStatus for
+// NotRunningReply replies to NotRunningQuery; the StatusReport for
 // what does not run is sent apart from it.
-type NotifyIfTasksNotRunningReply struct {
+type NotRunningReply struct {
 	ReplyHeader
 	Sequence types.Seq `json:"seq"`
 }
 
-// UpdateStatus is updateStatus, agent to scheduler, of both kinds: "task ended" and
-// "was not running" (state.OutcomeNeverRan). The agent retries until CommittedEnds.
-type UpdateStatus struct {
+// StatusReport is updateStatus, agent to scheduler, of both kinds: "task ended" and
+// "was not running" (state.OutcomeNeverRan). The agent retries until StatusAck.
+type StatusReport struct {
 	Shard    types.Shard        `json:"shard"`
 	Instance types.ID           `json:"id"`
 	Ends     []state.AttemptEnd `json:"ends"`
 }
 
-// CommittedEnds replies to UpdateStatus once ends are committed to the log, with their
+// StatusAck replies to StatusReport once ends are committed to the log, with their
 // outcomes in the log.
-type CommittedEnds struct {
+type StatusAck struct {
 	Header
 	Ends []state.AttemptEnd `json:"ends"`
 }
 
-// KillTasks is killTask, scheduler to agent, for several attempts.
-type KillTasks struct {
+// KillTask is killTask, scheduler to agent, for several attempts.
+type KillTask struct {
 	Header
 	Attempts []types.AttemptID `json:"legs"`
 	// OverTimeLimit are those of Attempts that have run for longer than their queue
@@ -189,6 +189,6 @@
 	OverTimeLimit []types.AttemptID `json:"late,omitempty"`
 }
 
-// RequestSuicide is requestSuicide, scheduler to agent: the instance stops all attempts
+// ReplaceInstance is requestSuicide, scheduler to agent: the instance stops all attempts
 // and restarts as another instance.
-type RequestSuicide struct{ Header }
+type ReplaceInstance struct{ Header }
--- a/internal/dispatch/scheduler/association.go
+++ b/internal/dispatch/scheduler/association.go
@@ -43,7 +43,7 @@
 		return worker
 	case sc.workers.replaced[heartbeat.Instance]:
 		header := protocol.Header{Term: sc.term, To: heartbeat.Instance}
-		suicide := wire.NewMessage(sc.addr, from, wire.ReplaceInstance, protocol.RequestSuicide{Header: header})
+		suicide := wire.NewMessage(sc.addr, from, wire.ReplaceInstance, protocol.ReplaceInstance{Header: header})
 		sc.messages = append(sc.messages, suicide)
 		return nil
 	case sc.mayReplace(worker, from, heartbeat):
@@ -117,5 +117,5 @@
 }
 
 func (sc *Scheduler) requestSuicide(worker *RemoteWorker) {
-	sc.send(worker, wire.ReplaceInstance, protocol.RequestSuicide{Header: sc.header(worker)})
+	sc.send(worker, wire.ReplaceInstance, protocol.ReplaceInstance{Header: sc.header(worker)})
 }
--- a/internal/dispatch/scheduler/ends.go
+++ b/internal/dispatch/scheduler/ends.go
@@ -7,12 +7,12 @@
 	"coppercourse/internal/wire"
 )
 
-// onUpdateStatus handles ends (updateStatus). Those that the log already has are
+// onStatusReport handles ends (updateStatus). Those that the log already has are
 // acknowledged at once, the others are queued to be committed. An attempt's number is
 // used once, so an end counts from whichever of the shard's instances reports it. From an
 // instance that is still NEW only what its worker itself reported is taken, since the
 // agent may have stopped before it is associated; its own conclusions wait for that.
-func (sc *Scheduler) onUpdateStatus(from types.Addr, update protocol.UpdateStatus) {
+func (sc *Scheduler) onStatusReport(from types.Addr, update protocol.StatusReport) {
 	worker := sc.Worker(update.Shard)
 	isAssociated := worker != nil && (worker.Instance != update.Instance || worker.State != protocol.WorkerNew)
 	var recorded []state.AttemptEnd
@@ -29,7 +29,7 @@
 	}
 	if recorded != nil {
 		header := protocol.Header{Term: sc.term, To: update.Instance}
-		committed := protocol.CommittedEnds{Header: header, Ends: recorded}
+		committed := protocol.StatusAck{Header: header, Ends: recorded}
 		sc.messages = append(sc.messages, wire.NewMessage(sc.addr, from, wire.StatusAck, committed))
 	}
 }
@@ -59,7 +59,7 @@
 	}
 	for _, shard := range sortedShards(byShard) {
 		if worker := sc.Worker(shard); worker != nil && worker.State != protocol.WorkerMustDie {
-			committed := protocol.CommittedEnds{Header: sc.header(worker), Ends: byShard[shard]}
+			committed := protocol.StatusAck{Header: sc.header(worker), Ends: byShard[shard]}
 			sc.send(worker, wire.StatusAck, committed)
 		}
 	}
--- a/internal/dispatch/scheduler/health_check_test.go
+++ b/internal/dispatch/scheduler/health_check_test.go
@@ -135,7 +135,7 @@
 
 // An instance that has been replaced is sent requestSuicide, at the address that it has
 // now, and changes nothing.
-func TestReplacedInstanceIsSentRequestSuicide(t *testing.T) {
+func TestReplacedInstanceIsSentReplaceInstance(t *testing.T) {
 	is := is.New(t)
 	sc, worker := newTestScheduler()
 	sc.workers.replaced["i0"] = true
@@ -143,7 +143,7 @@
 	messages, _ := sc.TakeOutput()
 	is.Equal(len(messages), 1)
 	is.Equal(messages[0].To, types.Addr("b"))
-	suicide, ok := wire.DecodeBody[protocol.RequestSuicide](messages[0].Message)
+	suicide, ok := wire.DecodeBody[protocol.ReplaceInstance](messages[0].Message)
 	is.True(ok)
 	is.Equal(suicide.Header, protocol.Header{Term: 3, To: "i0"})
 	is.Equal(sc.Worker("s"), worker)
--- a/internal/dispatch/scheduler/run_task.go
+++ b/internal/dispatch/scheduler/run_task.go
@@ -67,7 +67,7 @@
 	}
 	for _, shard := range sortedShards(byShard) {
 		if worker := sc.Worker(shard); worker != nil && worker.isAssociated() {
-			sc.send(worker, wire.KillTask, protocol.KillTasks{
+			sc.send(worker, wire.KillTask, protocol.KillTask{
 				Header:        sc.header(worker),
 				Attempts:      byShard[shard],
 				OverTimeLimit: overTimeLimit,
--- a/internal/dispatch/scheduler/running_tasks.go
+++ b/internal/dispatch/scheduler/running_tasks.go
@@ -16,7 +16,7 @@
 		return
 	}
 	worker.runningTasksAskedAt = sc.now
-	sc.send(worker, wire.RunningTasksQuery, protocol.GetRunningTasks{Header: sc.header(worker)})
+	sc.send(worker, wire.RunningTasksQuery, protocol.RunningTasksQuery{Header: sc.header(worker)})
 }
 
 // onRunningTasksReply handles the list of what runs on a NEW worker, which ends the state
--- a/internal/dispatch/scheduler/scheduler.go
+++ b/internal/dispatch/scheduler/scheduler.go
@@ -128,8 +128,8 @@
 	wire.Heartbeat:         wire.HandlerFor((*Scheduler).onHeartbeat),
 	wire.RunningTasksReply: wire.HandlerFor((*Scheduler).onRunningTasksReply),
 	wire.RunTaskReply:      wire.HandlerFor((*Scheduler).onRunTaskReply),
-	wire.NotRunningReply:   wire.HandlerFor((*Scheduler).onNotifyReply),
-	wire.StatusReport:      wire.HandlerFor((*Scheduler).onUpdateStatus),
+	wire.NotRunningReply:   wire.HandlerFor((*Scheduler).onNotRunningReply),
+	wire.StatusReport:      wire.HandlerFor((*Scheduler).onStatusReport),
 }
 
 // HandleMessage handles an agent's message. One of a kind that is not for a scheduler is
--- a/internal/dispatch/scheduler/unsure.go
+++ b/internal/dispatch/scheduler/unsure.go
@@ -44,7 +44,7 @@
 		}
 		attempts := sc.attempts.unsureOn(shard)
 		sequence := worker.queries.add(sc.now, attempts)
-		sc.send(worker, wire.NotRunningQuery, protocol.NotifyIfTasksNotRunning{
+		sc.send(worker, wire.NotRunningQuery, protocol.NotRunningQuery{
 			Header:   sc.header(worker),
 			Sequence: sequence,
 			Attempts: attempts,
@@ -52,9 +52,9 @@
 	}
 }
 
-// onNotifyReply takes the reply to a query: what was asked about runs, unless an
-// UpdateStatus says otherwise.
-func (sc *Scheduler) onNotifyReply(_ types.Addr, reply protocol.NotifyIfTasksNotRunningReply) {
+// onNotRunningReply takes the reply to a query: what was asked about runs, unless an
+// StatusReport says otherwise.
+func (sc *Scheduler) onNotRunningReply(_ types.Addr, reply protocol.NotRunningReply) {
 	worker := sc.senderOf(reply.ReplyHeader)
 	if worker == nil {
 		return
--- a/internal/dispatch/scheduler/unsure_test.go
+++ b/internal/dispatch/scheduler/unsure_test.go
@@ -46,7 +46,7 @@
 		if message.Message.Kind != wire.NotRunningQuery {
 			continue
 		}
-		query, ok := wire.DecodeBody[protocol.NotifyIfTasksNotRunning](message.Message)
+		query, ok := wire.DecodeBody[protocol.NotRunningQuery](message.Message)
 		is.True(ok)
 		sequences = append(sequences, query.Sequence)
 		is.Equal(query.Attempts, []types.AttemptID{attempt.ID})
@@ -55,11 +55,11 @@
 	is.Equal(worker.queries.sequence, types.Seq(4))
 
 	header := protocol.ReplyHeader{Term: 2, Shard: "s", Instance: "i"}
-	reply := protocol.NotifyIfTasksNotRunningReply{ReplyHeader: header, Sequence: 3}
-	sc.onNotifyReply("a", reply) // to an earlier leader
+	reply := protocol.NotRunningReply{ReplyHeader: header, Sequence: 3}
+	sc.onNotRunningReply("a", reply) // to an earlier leader
 	is.Equal(attempt.phase, unsureIfRunning)
 	reply.Term = 3
-	sc.onNotifyReply("a", reply)
+	sc.onNotRunningReply("a", reply)
 	is.Equal(attempt.phase, confirmedRunning)
 	is.Equal(len(worker.queries.open), 3)
 }
--- a/sim/world/node.go
+++ b/sim/world/node.go
@@ -176,7 +176,7 @@
 	if m.Kind != wire.StatusReport {
 		return
 	}
-	update, ok := wire.DecodeBody[protocol.UpdateStatus](m)
+	update, ok := wire.DecodeBody[protocol.StatusReport](m)
 	if !ok {
 		return
 	}
