--- a/cmd/coppersim/sweep_command.go
+++ b/cmd/coppersim/sweep_command.go
@@ -194,7 +194,7 @@
 		ofWorker := event.Attempt.Job == "" && event.Shard != ""
 		if ofJob || ofWorker {
 			fmt.Printf("  %8.3f s %-10s %s %v %s %s %s\n", float64(event.At)/float64(time.Second),
-				event.Kind, event.Process, event.Attempt, event.Outcome, event.Stage, event.Text)
+				event.Kind, event.Process, event.Attempt, event.Outcome, event.Status, event.Text)
 		}
 	}
 	fmt.Print(run.JobTrail(s.job))
--- a/internal/dispatch/executor/link_rig_test.go
+++ b/internal/dispatch/executor/link_rig_test.go
@@ -169,10 +169,10 @@
 		}
 	case history.AttemptEnded:
 		delete(lr.running, id)
-		lr.endings[id] = event.How
+		lr.endings[id] = event.EndReason
 	case history.EndSettled:
 		lr.acknowledged[id] = true
-		if outcome := lr.committed[id]; event.How == wire.EndSucceeded && outcome != state.OutcomeOK {
+		if outcome := lr.committed[id]; event.EndReason == wire.EndSucceeded && outcome != state.OutcomeOK {
 			lr.t.Errorf("%v is acknowledged as ended well, and the log has it as %q", id, outcome)
 		}
 	}
--- a/sim/checker/gateway_tables.go
+++ b/sim/checker/gateway_tables.go
@@ -45,7 +45,7 @@
 		least, greatest, found := c.versionsOf(event)
 		if !found || greatest < oldest {
 			c.violate("table", event.At, "%s says of %s that it is %q, as no table from version %d on has it",
-				event.Process, event.Job, event.Stage, oldest)
+				event.Process, event.Job, event.Status, oldest)
 			continue
 		}
 		for _, before := range earlier[event.Process] {
@@ -65,7 +65,7 @@
 func (c *checker) versionsOf(answer history.Event) (least, greatest types.Version, found bool) {
 	for _, t := range c.tables {
 		_, exists := t.FindQueue(types.QueueName(answer.Job))
-		if exists != (answer.Stage == history.QueueExists) || t.submittedAt > answer.At {
+		if exists != (answer.Status == history.QueueExists) || t.submittedAt > answer.At {
 			continue
 		}
 		if !found {
--- a/sim/checker/idle.go
+++ b/sim/checker/idle.go
@@ -70,7 +70,7 @@
 // readyStep returns a step of a job of which a task is ready to run, or nil.
 func (c *checker) readyStep(job *jobHistory, at int64) *state.Step {
 	cancelled := job.cancelSentAt > 0 && job.cancelSentAt <= at
-	ended := func(event history.Event) bool { return event.At <= at && isEnded(event.Stage) }
+	ended := func(event history.Event) bool { return event.At <= at && isEnded(event.Status) }
 	if at < job.acceptedAt || cancelled || slices.ContainsFunc(job.observations, ended) || c.hasExhaustedTask(job, at) {
 		return nil
 	}
--- a/sim/checker/invoked_rerun.go
+++ b/sim/checker/invoked_rerun.go
@@ -15,7 +15,7 @@
 func (c *checker) checkInvokedReruns(job *jobHistory) {
 	doneShown := int64(0)
 	for _, event := range job.observations {
-		if event.Stage == state.JobDone && doneShown == 0 {
+		if event.Status == state.JobDone && doneShown == 0 {
 			doneShown = event.At
 		}
 	}
--- a/sim/checker/reader.go
+++ b/sim/checker/reader.go
@@ -59,7 +59,7 @@
 		r.startExecution(event)
 	case history.AttemptEnded:
 		if e := r.live[event.Process][event.Attempt]; e != nil {
-			e.endReason = event.How
+			e.endReason = event.EndReason
 			r.endExecution(e, event.At, event.Outcome)
 		}
 	case history.EndSettled:
--- a/sim/checker/status.go
+++ b/sim/checker/status.go
@@ -41,15 +41,15 @@
 func (c *checker) checkEnds(job *jobHistory, check func(*jobHistory, history.Event)) {
 	end := state.JobStatus("")
 	for _, event := range job.observations {
-		if !isEnded(event.Stage) || event.Stage == end {
+		if !isEnded(event.Status) || event.Status == end {
 			continue
 		}
 		if end != "" {
-			c.violate("shown", event.At, "%s was %s, then %s", job.id, end, event.Stage)
+			c.violate("shown", event.At, "%s was %s, then %s", job.id, end, event.Status)
 		}
-		c.coverage["shown: ended "+string(event.Stage)]++
+		c.coverage["shown: ended "+string(event.Status)]++
 		check(job, event)
-		end = event.Stage
+		end = event.Status
 	}
 	if end == "" && c.bounds.AllJobsEnd {
 		c.violate("forgotten", c.end, "%s was accepted and has not ended", job.id)
@@ -66,7 +66,7 @@
 			succeeded++
 		}
 	}
-	switch shown.Stage {
+	switch shown.Status {
 	case state.JobFailed:
 		if !exhausted && !strings.Contains(shown.Text, "lost") {
 			c.violateNoFailure(job, shown)
@@ -87,7 +87,7 @@
 	failures, lastFailure := 0, int64(0)
 	for _, e := range job.executions[task] {
 		if e.runs(shown.At, c.end) {
-			c.violate("shown", shown.At, "%s is shown %s while %v runs", job.id, shown.Stage, e.attempt)
+			c.violate("shown", shown.At, "%s is shown %s while %v runs", job.id, shown.Status, e.attempt)
 		}
 		if e.endedAt <= shown.At && (e.outcome == state.OutcomeFailed || c.exceededTimeLimit(e)) {
 			failures++
@@ -123,10 +123,10 @@
 		allowed := minFailures(c.queuesInForce(job.spec.Queue, job.submittedAt, shown.At))
 		exhausted = exhausted || failedAttempts(job, task, shown.At) >= allowed
 	}
-	if shown.Stage == state.JobFailed && !exhausted {
+	if shown.Status == state.JobFailed && !exhausted {
 		c.violateNoFailure(job, shown)
 	}
-	if shown.Stage == state.JobCancelled && (job.cancelSentAt == 0 || job.cancelSentAt > shown.At) {
+	if shown.Status == state.JobCancelled && (job.cancelSentAt == 0 || job.cancelSentAt > shown.At) {
 		c.violateNoCancel(job, shown)
 	}
 }
@@ -145,7 +145,7 @@
 
 // checkDone judges that a task of a job that is shown done had succeeded.
 func (c *checker) checkDone(job *jobHistory, task int, shown history.Event) {
-	if shown.Stage == state.JobDone && !job.endedWell(task, shown.At) {
+	if shown.Status == state.JobDone && !job.endedWell(task, shown.At) {
 		c.violate("shown", shown.At, "%s is shown done, but task %d never succeeded", job.id, task)
 	}
 }
--- a/sim/checker/tables_test.go
+++ b/sim/checker/tables_test.go
@@ -41,9 +41,9 @@
 				add(at+10*time.Millisecond, history.Event{Kind: history.TableAcknowledged, Table: &accepted, Text: "x"})
 			}
 			add(7100*time.Millisecond, history.Event{Kind: history.QueueCounted, Process: "g1.1", Job: "idle-2",
-				Stage: history.QueueExists, Text: "7090000000"})
+				Status: history.QueueExists, Text: "7090000000"})
 			add(7900*time.Millisecond, history.Event{Kind: history.QueueCounted, Process: c.process, Job: "idle-1",
-				Stage: history.QueueExists, Text: "7800000000"})
+				Status: history.QueueExists, Text: "7800000000"})
 			bounds := InvokedBounds(worker.Rules{MaxStopTime: 400 * time.Millisecond, GangTimeout: 3 * time.Second})
 			violations, _ := CheckInvoked(h, bounds, int64(20*time.Second))
 			found := 0
--- a/sim/disruption_test.go
+++ b/sim/disruption_test.go
@@ -114,15 +114,15 @@
 			rate := queueCompletionRate(&r.History, "quotes", 20*time.Second, 60*time.Second)
 			jobState := r.observeJob("menus-poison")
 			t.Logf("bound %d: %d worker deaths in 50 s, %.2f quotes a second, the job is %s (%s)",
-				bound, deaths, rate, jobState.Stage, jobState.Text)
+				bound, deaths, rate, jobState.Status, jobState.Text)
 			is.True(rate > 6)
 			if bound > 0 {
 				is.Equal(deaths, bound)
-				is.Equal(jobState.Stage, state.JobFailed)
+				is.Equal(jobState.Status, state.JobFailed)
 				return
 			}
 			is.True(deaths >= 5 && deaths <= 9) // 0.2, 0.4, ... 12.8, 25.6 s between them
-			is.Equal(jobState.Stage, state.JobOpen)
+			is.Equal(jobState.Status, state.JobOpen)
 		})
 	}
 }
@@ -202,7 +202,7 @@
 					c.name, on, wait[on].Round(time.Millisecond), len(moved))
 				is.Equal(len(moved) > 0, on)
 				for i := range 3 {
-					is.Equal(r.observeJob(types.JobID(fmt.Sprint("menus-fill", i))).Stage, state.JobDone)
+					is.Equal(r.observeJob(types.JobID(fmt.Sprint("menus-fill", i))).Status, state.JobDone)
 				}
 			}
 			is.True(wait[true] < 4*time.Second)
--- a/sim/fleet/workload.go
+++ b/sim/fleet/workload.go
@@ -241,7 +241,7 @@
 	}
 	switch view.State {
 	case state.JobDone, state.JobFailed, state.JobCancelled:
-		w.fleet.Record(history.Event{Kind: history.JobObserved, Job: id, Stage: view.State, Text: view.Reason})
+		w.fleet.Record(history.Event{Kind: history.JobObserved, Job: id, Status: view.State, Text: view.Reason})
 		return view.State, true
 	}
 	return view.State, false
--- a/sim/history/history.go
+++ b/sim/history/history.go
@@ -83,14 +83,14 @@
 	Attempt types.AttemptID `json:"attempt,omitzero"`
 	Outcome state.Outcome   `json:"outcome,omitempty"`
 	Job     types.JobID     `json:"job,omitempty"`
-	Stage   state.JobStatus `json:"stage,omitempty"` // status of the job, as it was shown; no types.Stage
+	Status  state.JobStatus `json:"stage,omitempty"` // of the job, as it was shown
 	Spec    *state.Spec     `json:"spec,omitempty"`
 	Worker  *WorkerSpec     `json:"make,omitempty"`
 	Table   *config.Table   `json:"table,omitempty"`
 	Text    string          `json:"text,omitempty"` // what it says depends on Kind
 
 	// Of invoked workers.
-	How           wire.EndReason  `json:"how,omitempty"`
+	EndReason     wire.EndReason  `json:"how,omitempty"`
 	Work          json.RawMessage `json:"work,omitempty"`
 	Checkpoint    string          `json:"ref,omitempty"`
 	DeliveredLate bool            `json:"late,omitempty"` // the call was carried out after its caller gave up
--- a/sim/history/summary.go
+++ b/sim/history/summary.go
@@ -15,7 +15,7 @@
 	seen := map[types.JobID]bool{}
 	done := 0
 	for _, event := range h.Events {
-		if event.Kind != JobObserved || event.Stage != state.JobDone || seen[event.Job] {
+		if event.Kind != JobObserved || event.Status != state.JobDone || seen[event.Job] {
 			continue
 		}
 		seen[event.Job] = true
@@ -79,7 +79,7 @@
 		}
 		row := &rows[step]
 		row.count[event.Kind]++
-		if event.Kind == JobObserved && event.Stage == state.JobDone && !seen[event.Job] {
+		if event.Kind == JobObserved && event.Status == state.JobDone && !seen[event.Job] {
 			seen[event.Job] = true
 			row.done++
 		}
--- a/sim/invoked_workers_test.go
+++ b/sim/invoked_workers_test.go
@@ -63,9 +63,9 @@
 				n[h.Kind]++
 				switch h.Kind {
 				case history.AttemptEnded:
-					hows[h.How]++
+					hows[h.EndReason]++
 				case history.JobObserved:
-					last[string(h.Job)] = h.Stage
+					last[string(h.Job)] = h.Status
 				}
 			}
 			t.Log(history.Summary(&r.History), hows)
@@ -181,7 +181,7 @@
 				case history.GangAssembled:
 					delete(waits, h.Attempt)
 				case history.AttemptEnded:
-					is.True(h.How != wire.EndGangStartTimeout)
+					is.True(h.EndReason != wire.EndGangStartTimeout)
 					if at, ok := waits[h.Attempt]; ok {
 						again++
 						longest = max(longest, h.At-at)
--- a/sim/job_requests.go
+++ b/sim/job_requests.go
@@ -47,7 +47,7 @@
 	if json.Unmarshal(answer.Body, &v) != nil {
 		return false
 	}
-	c.world.Record(history.Event{Kind: history.JobObserved, Job: id, Stage: v.State, Text: v.Reason})
+	c.world.Record(history.Event{Kind: history.JobObserved, Job: id, Status: v.State, Text: v.Reason})
 	return v.State == state.JobDone || v.State == state.JobFailed || v.State == state.JobCancelled
 }
 
--- a/sim/large_deployment_test.go
+++ b/sim/large_deployment_test.go
@@ -50,7 +50,7 @@
 				for _, h := range r.History.Events {
 					n[h.Kind]++
 					if h.Kind == history.AttemptEnded {
-						hows[h.How]++
+						hows[h.EndReason]++
 					}
 				}
 				t.Log(history.Summary(&r.History), hows)
@@ -81,8 +81,8 @@
 		case history.AttemptStarted:
 			started[h.Attempt.TaskID] = true
 		case history.AttemptEnded:
-			failedBefore := failed[h.Attempt.TaskID]
-			failed[h.Attempt.TaskID] = h.How != wire.EndSucceeded && (failedBefore || h.How == wire.EndFailed)
+			task, reason := h.Attempt.TaskID, h.EndReason
+			failed[task] = reason != wire.EndSucceeded && (failed[task] || reason == wire.EndFailed)
 		case history.CancelSubmitted:
 			delete(owed, h.Job)
 		}
--- a/sim/versioning_operators.go
+++ b/sim/versioning_operators.go
@@ -116,7 +116,7 @@
 		}
 		switch {
 		case answer.Error == nil:
-			event.Stage = history.QueueExists
+			event.Status = history.QueueExists
 		case answer.Error.Kind != apierror.NoSuchQueue:
 			return
 		}
--- a/sim/worker/invoked.go
+++ b/sim/worker/invoked.go
@@ -246,7 +246,7 @@
 		if end.expired {
 			kind = history.EndVoided
 		}
-		i.record(history.Event{Kind: kind, Attempt: end.Attempt, How: end.Reason})
+		i.record(history.Event{Kind: kind, Attempt: end.Attempt, EndReason: end.Reason})
 	}
 }
 
@@ -302,6 +302,6 @@
 		Reason:     reason,
 		Checkpoint: a.checkpoint,
 	}})
-	i.record(history.Event{Kind: history.AttemptEnded, Attempt: a.id, Outcome: outcomes[reason], How: reason})
+	i.record(history.Event{Kind: history.AttemptEnded, Attempt: a.id, Outcome: outcomes[reason], EndReason: reason})
 	a.leaveGang()
 }
--- a/sim/worker/rig_test.go
+++ b/sim/worker/rig_test.go
@@ -115,7 +115,7 @@
 func (r *rig) endReasons() (reasons []wire.EndReason) {
 	for _, event := range r.events {
 		if event.Kind == history.AttemptEnded {
-			reasons = append(reasons, event.How)
+			reasons = append(reasons, event.EndReason)
 		}
 	}
 	return reasons
