--- a/cmd/coppersim/sweep_command.go
+++ b/cmd/coppersim/sweep_command.go
@@ -74,7 +74,7 @@
 	command.Flag("after", "Traffic after they are healed.").Default("24s").DurationVar(&plan.After)
 	command.Flag("settle", "Time for everything to end.").Default("90s").DurationVar(&plan.Settle)
 	command.Flag("patience", "Unresolved timeout of all queues; a short one tests that leases keep attempts apart.").
-		Default("30s").DurationVar(&plan.Patience)
+		Default("30s").DurationVar(&plan.UnresolvedTimeout)
 	command.Flag("last", "Add a fault at the very end of the traffic.").BoolVar(&plan.LastFault)
 }
 
--- a/cmd/coppersim/sweep_results.go
+++ b/cmd/coppersim/sweep_results.go
@@ -88,6 +88,6 @@
 		return "nothing"
 	}
 	slices.Sort(list)
-	least, median, most := list[0], list[len(list)/2], list[len(list)-1]
-	return fmt.Sprintf("least %.2f, median %.2f, most %.2f of %d", least, median, most, len(list))
+	smallest, median, largest := list[0], list[len(list)/2], list[len(list)-1]
+	return fmt.Sprintf("least %.2f, median %.2f, most %.2f of %d", smallest, median, largest, len(list))
 }
--- a/internal/controller/core_limits_test.go
+++ b/internal/controller/core_limits_test.go
@@ -14,7 +14,7 @@
 // Long work of a later queue leaves free what the queue before it lately needed; but
 // a job that has had nothing running for a second gets a task to run, or its gang,
 // while less than half of all cores is in use.
-func TestLongWorkLeavesRoomButNoJobIdlesBesideAnIdleHalf(t *testing.T) {
+func TestLongWorkLeavesCapacityButNoJobIdlesBesideAnIdleHalf(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		headroom    int
--- a/internal/controller/disk_test.go
+++ b/internal/controller/disk_test.go
@@ -45,7 +45,7 @@
 	is.Equal(c.violation, "")
 }
 
-func TestADiskThatRefusesInSilenceIsNoticedLater(t *testing.T) {
+func TestADiskThatFailsSilentlyIsNoticedLater(t *testing.T) {
 	if took, _, _ := handOverTime(t, true); took < 200*time.Millisecond {
 		t.Errorf("the planted bug is not caught: %v", took)
 	}
--- a/internal/controller/placement_schedule_test.go
+++ b/internal/controller/placement_schedule_test.go
@@ -33,7 +33,7 @@
 
 // Work is placed in any step while the loop keeps up; otherwise only so often that
 // other events get three quarters of the time, or 500 ms have passed.
-func TestPlacementLeavesRoomForWhatWaits(t *testing.T) {
+func TestPlacementLeavesTimeForOtherEvents(t *testing.T) {
 	for _, c := range []struct{ cost, least, most int }{{1, 100, 101}, {40, 160, 200}, {200, 500, 700}} {
 		is := is.New(t)
 		var s placementSchedule
--- a/internal/controller/planner_test.go
+++ b/internal/controller/planner_test.go
@@ -103,7 +103,7 @@
 	is.True(l.plan(6).empty())
 }
 
-func TestAFullRoundWithoutRoomPreempts(t *testing.T) {
+func TestAFullRoundWithoutCapacityPreempts(t *testing.T) {
 	is := is.New(t)
 	l := fullCluster(t)
 	l.endInitialWait(t)
--- a/internal/controller/worker_shapes_test.go
+++ b/internal/controller/worker_shapes_test.go
@@ -12,7 +12,7 @@
 	"coppercourse/internal/types"
 )
 
-func TestWorkerShapesAreToldApartByAllThatTheyHold(t *testing.T) {
+func TestWorkerShapesDifferInEveryField(t *testing.T) {
 	worker := func(alter func(*scheduler.RemoteWorker)) *scheduler.RemoteWorker {
 		w := &scheduler.RemoteWorker{Shard: "k1", WorkerReport: protocol.WorkerReport{
 			Rack:     "r1",
--- a/internal/dispatch/executor/health.go
+++ b/internal/dispatch/executor/health.go
@@ -37,14 +37,14 @@
 // updateHealth moves the worker to the state that the latest renewal of the lease gives it.
 // NEW is only left by a HeartbeatReply, MUST_DIE only as a new instance.
 func (ex *Executor) updateHealth() {
-	silence := ex.now.Sub(ex.health.lastRenewalSentAt)
+	sinceRenewal := ex.now.Sub(ex.health.lastRenewalSentAt)
 	switch {
 	case ex.health.state == protocol.WorkerMustDie:
 		ex.restartAsNewInstance()
 	case ex.health.state == protocol.WorkerNew:
-	case silence > ex.timeouts.LostAfter:
+	case sinceRenewal > ex.timeouts.LostAfter:
 		ex.health.set(ex.now, protocol.WorkerMustDie)
-	case silence > ex.timeouts.UnhealthyAfter:
+	case sinceRenewal > ex.timeouts.UnhealthyAfter:
 		ex.health.set(ex.now, protocol.WorkerUnhealthy)
 	default:
 		ex.health.set(ex.now, protocol.WorkerHealthy)
--- a/internal/dispatch/executor/link.go
+++ b/internal/dispatch/executor/link.go
@@ -199,6 +199,6 @@
 	if link.process.incarnation == "" || link.silent || ex.now < link.unhealthyUntil {
 		return true
 	}
-	maxSilence := ex.longPollWait() + replyTimeout + ex.timeouts.UnhealthyAfter
-	return ex.now.Sub(ex.worker.heardAt) > maxSilence
+	maxUnheard := ex.longPollWait() + replyTimeout + ex.timeouts.UnhealthyAfter
+	return ex.now.Sub(ex.worker.heardAt) > maxUnheard
 }
--- a/internal/dispatch/executor/polling.go
+++ b/internal/dispatch/executor/polling.go
@@ -8,9 +8,9 @@
 	"coppercourse/internal/types"
 )
 
-// maxPolledSilencePercent is the part of UnhealthyAfter without a call after which a polling
+// maxPollGapPercent is the part of UnhealthyAfter without a call after which a polling
 // worker counts as unhealthy. The agent reports that before its own silence would show.
-const maxPolledSilencePercent = 60
+const maxPollGapPercent = 60
 
 // pollSession is the exchange with a worker that polls.
 type pollSession struct {
@@ -192,7 +192,7 @@
 // polledWorkerSilent reports whether the worker counts as unhealthy because it has not
 // called.
 func (ex *Executor) polledWorkerSilent() bool {
-	return ex.now.Sub(ex.worker.heardAt) >= ex.timeouts.UnhealthyAfter*maxPolledSilencePercent/100
+	return ex.now.Sub(ex.worker.heardAt) >= ex.timeouts.UnhealthyAfter*maxPollGapPercent/100
 }
 
 // SinceLastHeard returns the time since the worker was last heard.
--- a/internal/dispatch/scheduler/health_check.go
+++ b/internal/dispatch/scheduler/health_check.go
@@ -9,16 +9,16 @@
 // updateHealth moves a worker to the state that its latest healthy heartbeat gives it.
 // MUST_DIE is never left, and NEW only by a reply to getRunningTasks or into MUST_DIE.
 func (sc *Scheduler) updateHealth(worker *RemoteWorker) {
-	silence := sc.now.Sub(worker.LastHealthyAt)
+	sinceHealthy := sc.now.Sub(worker.LastHealthyAt)
 	var next protocol.Health
 	switch {
 	case worker.State == protocol.WorkerMustDie:
 		return
-	case silence > sc.timeouts.LostAfter:
+	case sinceHealthy > sc.timeouts.LostAfter:
 		next = protocol.WorkerMustDie
 	case worker.State == protocol.WorkerNew:
 		return
-	case silence > sc.timeouts.UnhealthyAfter:
+	case sinceHealthy > sc.timeouts.UnhealthyAfter:
 		next = protocol.WorkerUnhealthy
 	case worker.sets.hasBeenHealthy || sc.workerSets.permitsHealthy(worker):
 		next, worker.sets.hasBeenHealthy = protocol.WorkerHealthy, true
--- a/internal/membership/member_list.go
+++ b/internal/membership/member_list.go
@@ -156,7 +156,7 @@
 	due := ml.ticks%ticksPerAsk[ml.self.Role] == 0
 	switch {
 	case leader == ml.self.Addr:
-		ml.watchSilence()
+		ml.logSilentDaemons()
 	case leader == "" || ml.now.Sub(ml.table.entries[leader].heardDirectlyAt) > leaderTimeout:
 		ml.seekLeader()
 	case due && ml.keepsAll() || ml.ackedVersion != ml.self.Version:
@@ -166,9 +166,9 @@
 	}
 }
 
-// watchSilence is what the leader does on each tick: it logs a change for each daemon that
+// logSilentDaemons is what the leader does on each tick: it logs a change for each daemon that
 // has fallen silent or is heard again.
-func (ml *MemberList) watchSilence() {
+func (ml *MemberList) logSilentDaemons() {
 	leadsFor := ml.now.Sub(ml.leadsSince)
 	if leadsFor < announceFor {
 		ml.announceLeadership()
--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -34,7 +34,7 @@
 	}
 	e := ml.table.entries[peer.Addr]
 	switch {
-	case e == nil && !ml.makeRoom(peer.MemberInfo):
+	case e == nil && !ml.admit(peer.MemberInfo):
 		return
 	case e == nil:
 		e = ml.table.add(peer.MemberInfo)
@@ -80,11 +80,11 @@
 	}
 }
 
-// makeRoom reports whether a new daemon is kept, and forgets another one if it must be. An
+// admit reports whether a new daemon is kept, and forgets another one if it must be. An
 // agent keeps the controllers and a sample of each other kind (sampleKind), without its
 // seeds, which all others know too. A new daemon replaces a random one with a chance of one
 // half, so that those that are gone are forgotten.
-func (ml *MemberList) makeRoom(info MemberInfo) bool {
+func (ml *MemberList) admit(info MemberInfo) bool {
 	if ml.keepsAll() || info.Role == RoleController {
 		return len(ml.table.entries) < maxMembers
 	}
--- a/internal/raft/confchange.go
+++ b/internal/raft/confchange.go
@@ -58,7 +58,7 @@
 	if learner.Demoted {
 		return n.timeouts.ReplaceAfter
 	}
-	return longSilenceFactor * n.timeouts.ReplaceAfter
+	return longSilentFactor * n.timeouts.ReplaceAfter
 }
 
 // predecessorAtAddress is an earlier member at the same address: its disk was lost, since
@@ -83,10 +83,10 @@
 		if !voter.Voter || voter.ID == successor.ID {
 			continue
 		}
-		silence := n.silentFor(voter)
-		goneFromZone := voter.Zone == successor.Zone && silence > n.timeouts.ReplaceAfter
-		goneLong := full && silence > longSilenceFactor*n.timeouts.ReplaceAfter
-		if (goneFromZone || goneLong) && (!found || silence > n.silentFor(longestSilent)) {
+		silentFor := n.silentFor(voter)
+		goneFromZone := voter.Zone == successor.Zone && silentFor > n.timeouts.ReplaceAfter
+		goneLong := full && silentFor > longSilentFactor*n.timeouts.ReplaceAfter
+		if (goneFromZone || goneLong) && (!found || silentFor > n.silentFor(longestSilent)) {
 			longestSilent, found = voter, true
 		}
 	}
--- a/internal/raft/membership_test.go
+++ b/internal/raft/membership_test.go
@@ -84,7 +84,7 @@
 		{"learner is promoted", []peer{a, b, learner}, "a b e"},
 		{"learner lags", []peer{a, b, learner.with(lagging)}, ""},
 		{"learner is silent", []peer{a, b, learner.with(silent(dead))}, ""},
-		{"learner is silent for long", []peer{a, b, learner.with(silent(longSilenceFactor * dead))}, "a b"},
+		{"learner is silent for long", []peer{a, b, learner.with(silent(longSilentFactor * dead))}, "a b"},
 		{"even voters, predecessor is demoted", []peer{a, b, c, d.with(voting)}, "a b c-?! d"},
 		{"even voters, several in the zone", []peer{a, b, c, voter("e", "z3"), voter("f", "z3"), d.with(voting)}, ""},
 		{"even voters, demoted member gets its vote back",
--- a/internal/server/disk_backoff.go
+++ b/internal/server/disk_backoff.go
@@ -21,8 +21,8 @@
 	return min(delay, maxRetryDelay)
 }
 
-// worthLogging reports whether the latest failure is the first, or has lengthened the
+// shouldLog reports whether the latest failure is the first, or has lengthened the
 // delay. Later ones would only repeat what the log says already.
-func (b diskBackoff) worthLogging() bool {
+func (b diskBackoff) shouldLog() bool {
 	return b.failures == 1 || b.delay() > diskBackoff{b.failures - 1}.delay()
 }
--- a/internal/server/disk_writer.go
+++ b/internal/server/disk_writer.go
@@ -93,7 +93,7 @@
 		w.failureReported = true
 		w.listener.diskFailed(err)
 	}
-	if w.backoff.worthLogging() {
+	if w.backoff.shouldLog() {
 		w.logger.Error(err, "disk write failed, retrying",
 			"failures", w.backoff.failures, "retry_in", w.backoff.delay().String())
 	}
--- a/internal/server/open_log.go
+++ b/internal/server/open_log.go
@@ -40,7 +40,7 @@
 			return file, contents.Records, nil
 		}
 		backoff.failures++
-		if backoff.worthLogging() {
+		if backoff.shouldLog() {
 			logger.Error(err, "write-ahead log cannot be opened, retrying",
 				"failures", backoff.failures, "retry_in", backoff.delay().String())
 		}
--- a/internal/types/resources.go
+++ b/internal/types/resources.go
@@ -44,11 +44,11 @@
 // ParseCores reads a decimal number of cores with at most three decimals, and reports
 // whether the text is one.
 func ParseCores(text string) (MilliCores, bool) {
-	whole, fraction, _ := strings.Cut(text, ".")
+	integer, fraction, _ := strings.Cut(text, ".")
 	if len(fraction) > 3 || strings.ContainsAny(fraction, "+-eE") {
 		return 0, false
 	}
-	n, err := strconv.ParseInt(whole+fraction+"000"[len(fraction):], 10, 32)
+	n, err := strconv.ParseInt(integer+fraction+"000"[len(fraction):], 10, 32)
 	return MilliCores(n), err == nil
 }
 
--- a/sim/checker/bounds.go
+++ b/sim/checker/bounds.go
@@ -10,14 +10,14 @@
 
 // Bounds are the bounds of the rules, with what the callers' network adds.
 type Bounds struct {
-	StartAfterCancel  time.Duration // from a cancel to the last start
-	RunAfterCancel    time.Duration // from a cancel until nothing runs
-	StartEarly        time.Duration // by which a start may come before its time
-	StartAfterLeaving time.Duration // from a worker's announcement or drain to the last start there
-	GangIncomplete    time.Duration // for which a member of a gang may run without the others
-	TableLag          time.Duration // from a table's acknowledgement until it is followed everywhere
-	AllJobsEnd        bool          // all accepted jobs must have ended by the end of the history
-	ShortPatience     bool          // queues rerun unresolved attempts before a partition can have healed
+	StartAfterCancel       time.Duration // from a cancel to the last start
+	RunAfterCancel         time.Duration // from a cancel until nothing runs
+	StartEarly             time.Duration // by which a start may come before its time
+	StartAfterLeaving      time.Duration // from a worker's announcement or drain to the last start there
+	GangIncomplete         time.Duration // for which a member of a gang may run without the others
+	TableLag               time.Duration // from a table's acknowledgement until it is followed everywhere
+	AllJobsEnd             bool          // all accepted jobs must have ended by the end of the history
+	ShortUnresolvedTimeout bool          // queues rerun unresolved attempts before a partition can have healed
 
 	// Of deployments whose workers are invoked.
 	FaultAftermath  time.Duration // for which a fault still excuses the machines that it affected
--- a/sim/checker/checker.go
+++ b/sim/checker/checker.go
@@ -48,14 +48,14 @@
 
 // Check judges the history of a deployment whose workers poll, up to its end. Patience
 // is how long its queues wait for an unresolved attempt before they run its task again.
-func Check(h *history.History, bounds Bounds, end int64, patience time.Duration) ([]Violation, Coverage) {
+func Check(h *history.History, bounds Bounds, end int64, unresolvedTimeout time.Duration) ([]Violation, Coverage) {
 	c := newChecker(h, bounds, end)
 	for _, job := range c.sortedJobs() {
 		if job.spec == nil {
 			c.violate("stranger", 0, "attempt of a job that nobody submitted: %s", job.id)
 			continue
 		}
-		c.checkReruns(job, int64(patience))
+		c.checkReruns(job, int64(unresolvedTimeout))
 		c.checkOrder(job)
 		c.checkPlacement(job)
 		c.checkGangs(job)
--- a/sim/checker/rerun.go
+++ b/sim/checker/rerun.go
@@ -9,10 +9,10 @@
 
 // checkReruns judges that no task runs twice at once, none again after it succeeded, and
 // none more often than its queue allows.
-func (c *checker) checkReruns(job *jobHistory, patience int64) {
+func (c *checker) checkReruns(job *jobHistory, unresolvedTimeout int64) {
 	for task, executions := range job.executions {
 		for i, e := range executions {
-			failures := c.checkEarlier(e, executions[:i], patience)
+			failures := c.checkEarlier(e, executions[:i], unresolvedTimeout)
 			allowed := maxFailures(c.queuesInForce(job.spec.Queue, e.startedAt, e.startedAt))
 			if failures >= allowed {
 				c.violate("tries", e.startedAt, "task %d of %s starts after %d failures, %d allowed",
@@ -36,7 +36,7 @@
 
 // checkEarlier judges an execution by those of its task before it, and returns how many
 // of them failed and were known to have.
-func (c *checker) checkEarlier(e *execution, earlier []*execution, patience int64) (failures int) {
+func (c *checker) checkEarlier(e *execution, earlier []*execution, unresolvedTimeout int64) (failures int) {
 	for _, o := range earlier {
 		if o.runs(e.startedAt, e.endedAt) && e.runs(o.startedAt, o.endedAt) {
 			c.violate("twice", e.startedAt, "%v on %s while %v runs on %s", e.attempt, e.process, o.attempt, o.process)
@@ -47,11 +47,11 @@
 		}
 		switch o.outcome {
 		case state.OutcomeFailed:
-			if c.rerunExcuse(o, e.startedAt, patience) == "" {
+			if c.rerunExcuse(o, e.startedAt, unresolvedTimeout) == "" {
 				failures++
 			}
 		case state.OutcomeOK:
-			if excuse := c.rerunExcuse(o, e.startedAt, patience); excuse != "" {
+			if excuse := c.rerunExcuse(o, e.startedAt, unresolvedTimeout); excuse != "" {
 				c.coverage[excuse]++
 				continue
 			}
@@ -66,17 +66,17 @@
 
 // rerunExcuse returns why the end of an attempt need not have been known at a time, or
 // nothing: no daemon alive then had received it, and the worker is dead or the queue's
-// patience is over.
-func (c *checker) rerunExcuse(e *execution, at, patience int64) string {
+// unresolvedTimeout is over.
+func (c *checker) rerunExcuse(e *execution, at, unresolvedTimeout int64) string {
 	if e.acknowledgedAt > 0 && e.acknowledgedAt <= at {
 		return ""
 	}
 	known, wasKnown := c.knownAt(e, at)
 	workerDied := e.workerDiedAt > 0 && e.workerDiedAt <= at
-	late := at-e.endedAt >= patience
+	late := at-e.endedAt >= unresolvedTimeout
 	switch {
-	case known && c.bounds.ShortPatience && late:
-		return rerunPrefix + ": known beyond a partition, short patience"
+	case known && c.bounds.ShortUnresolvedTimeout && late:
+		return rerunPrefix + ": known beyond a partition, short unresolvedTimeout"
 	case known:
 		return ""
 	case workerDied && wasKnown:
@@ -84,7 +84,7 @@
 	case workerDied:
 		return rerunPrefix + ": worker died before it reported the end"
 	case late:
-		return rerunPrefix + ": worker unreachable beyond the patience"
+		return rerunPrefix + ": worker unreachable beyond the unresolvedTimeout"
 	}
 	return ""
 }
--- a/sim/control_plane_test.go
+++ b/sim/control_plane_test.go
@@ -147,13 +147,13 @@
 	r.RunUntil(time.Duration(r.Now()) + 15*time.Second)
 	l := r.leader()
 	is.True(l != nil && l != old[0])
-	roll := r.controllerStatus(l).Members
-	m, ok := roll.Find(r.controllerStatus(old[0]).ID)
+	members := r.controllerStatus(l).Members
+	m, ok := members.Find(r.controllerStatus(old[0]).ID)
 	is.True(ok)
-	is.Equal(len(roll), 4)
-	is.Equal(roll.Voters(), 3) // of the two in its zone one votes, the other stands by
+	is.Equal(len(members), 4)
+	is.Equal(members.Voters(), 3) // of the two in its zone one votes, the other stands by
 	standbys := 0
-	for _, o := range roll {
+	for _, o := range members {
 		if o.Demoted {
 			standbys++
 			is.Equal(o.Zone, m.Zone)
@@ -208,7 +208,7 @@
 
 // Two of three controllers begin to shut down at once: the third becomes leader, not the
 // one that is about to stop as well.
-func TestDutyGoesToOneThatStays(t *testing.T) {
+func TestLeadershipGoesToOneThatStays(t *testing.T) {
 	t.Parallel()
 	forEachSeed(t, 0, 6, func(t *testing.T, seed int64) {
 		is := is.New(t)
@@ -424,19 +424,19 @@
 	r.Clients.CancelRate = 0
 	r.RunUntil(8 * time.Second)
 	first := r.leader()
-	var heir, away *world.Node
+	var target, away *world.Node
 	for _, h := range r.controllers {
 		switch {
 		case h == first:
-		case heir == nil:
-			heir = h
+		case target == nil:
+			target = h
 		default:
 			away = h
 		}
 	}
-	heir.Kill() // started again, it knows the time from what comes late only
-	r.Network.SetExtraDelay(first.Addr, heir.Addr, 350*time.Millisecond)
-	heir.Boot()
+	target.Kill() // started again, it knows the time from what comes late only
+	r.Network.SetExtraDelay(first.Addr, target.Addr, 350*time.Millisecond)
+	target.Boot()
 	r.RunUntil(11 * time.Second)
 	r.Network.SetPartition([]types.Addr{away.Addr}, r.allExcept(away.Addr), true, true)
 	r.Shutdown(first)
@@ -446,7 +446,7 @@
 		first.Boot()
 	}
 	r.RunUntil(15 * time.Second)
-	if r.leader() != heir {
+	if r.leader() != target {
 		return false
 	}
 	for i, at := range []string{"delay", "time"} {
@@ -462,7 +462,7 @@
 	r.RunUntil(16 * time.Second)
 	r.Network.HealPartitions()
 	r.RunUntil(16300 * time.Millisecond)
-	heir.Freeze()
+	target.Freeze()
 	r.RunUntil(30 * time.Second)
 	breaks, seen := checker.Check(&r.History, checker.DefaultBounds, r.Now(), 30*time.Second)
 	for _, b := range breaks {
--- a/sim/deployment/invoked_jobs.go
+++ b/sim/deployment/invoked_jobs.go
@@ -27,25 +27,25 @@
 
 // JobShape describes jobs of one kind. Sizes are means; rates are parts of the jobs.
 type JobShape struct {
-	Queue          types.QueueName
-	MeanInterval   time.Duration
-	Steps          float64
-	Tasks          float64 // of a step
-	TaskMS         float64
-	Cores          float64 // of a task
-	MemoryMB       float64 // of a task
-	Variation      float64 // by which part tasks of a step differ in duration
-	EstimateError  float64 // by which part estimates are wrong at most
-	FailureRate    float64 // part of the attempts that fail
-	HopelessRate   float64 // jobs of which every attempt fails
-	RackDataRate   float64 // jobs whose data is on a rack
-	HedgedRate     float64 // jobs that allow hedging
-	CheckpointRate float64 // jobs that save checkpoints
-	SpreadRate     float64 // jobs that limit how many tasks go to one worker
-	ScheduledRate  float64 // jobs that run several times
-	GangRate       float64 // part of the steps that are joint gangs
-	LabelRate      float64 // jobs that need a label
-	CancelRate     float64 // jobs that are cancelled
+	Queue           types.QueueName
+	MeanInterval    time.Duration
+	Steps           float64
+	Tasks           float64 // of a step
+	TaskMS          float64
+	Cores           float64 // of a task
+	MemoryMB        float64 // of a task
+	Variation       float64 // by which part tasks of a step differ in duration
+	EstimateError   float64 // by which part estimates are wrong at most
+	FailureRate     float64 // part of the attempts that fail
+	AlwaysFailsRate float64 // jobs of which every attempt fails
+	RackDataRate    float64 // jobs whose data is on a rack
+	HedgedRate      float64 // jobs that allow hedging
+	CheckpointRate  float64 // jobs that save checkpoints
+	SpreadRate      float64 // jobs that limit how many tasks go to one worker
+	ScheduledRate   float64 // jobs that run several times
+	GangRate        float64 // part of the steps that are joint gangs
+	LabelRate       float64 // jobs that need a label
+	CancelRate      float64 // jobs that are cancelled
 
 	Priority       int
 	MaxFailures    int
@@ -62,7 +62,7 @@
 type jobTraits struct {
 	rack                                        types.Rack
 	rackData, hedged, checkpoint, spread, label bool
-	hopeless                                    bool
+	alwaysFails                                 bool
 }
 
 func (s JobShape) drawTraits(random *rand.Rand) jobTraits {
@@ -74,7 +74,7 @@
 	t.spread = happens(s.SpreadRate)
 	t.label = happens(s.LabelRate)
 	t.rack = types.Rack(fmt.Sprintf("r%d", 1+random.Intn(4)))
-	t.hopeless = happens(s.HopelessRate)
+	t.alwaysFails = happens(s.AlwaysFailsRate)
 	return t
 }
 
@@ -114,7 +114,7 @@
 		FailureRate: s.FailureRate,
 		Variation:   s.Variation,
 	}
-	if traits.hopeless {
+	if traits.alwaysFails {
 		work.FailureRate = 1
 	}
 	step := state.Step{
--- a/sim/disruption_test.go
+++ b/sim/disruption_test.go
@@ -23,7 +23,7 @@
 
 // newBusyRun is a deployment with a table of its own and its traffic from 6 s on.
 func newBusyRun(seed int64, change func(*config.Table), flows ...deployment.Flow) *Run {
-	r := New(Plan{Seed: seed, Deployment: "kingston", Patience: 30 * time.Second})
+	r := New(Plan{Seed: seed, Deployment: "kingston", UnresolvedTimeout: 30 * time.Second})
 	r.Clients.RacingOperators, r.Clients.CancelRate = false, 0
 	t := r.Clients.deployment.Table()
 	change(&t)
--- a/sim/execute.go
+++ b/sim/execute.go
@@ -17,7 +17,7 @@
 
 	// Queues have the same time-out for partitioned as for unresolved attempts if it is
 	// shorter than this.
-	shortPatience = 10 * time.Second
+	minPartitionTimeout = 10 * time.Second
 
 	tableReadInterval = 700 * time.Millisecond
 )
@@ -49,12 +49,12 @@
 
 // scheduleFirstTable has an operator put the deployment's table, with the plan's time-outs.
 func (r *Run) scheduleFirstTable() {
-	patience := r.Plan.Patience
+	unresolvedTimeout := r.Plan.UnresolvedTimeout
 	t := r.Clients.deployment.Table()
 	for i := range t.Queues {
 		q := &t.Queues[i]
-		q.UnresolvedTimeoutMillis = int(patience.Milliseconds())
-		if patience < shortPatience {
+		q.UnresolvedTimeoutMillis = int(unresolvedTimeout.Milliseconds())
+		if unresolvedTimeout < minPartitionTimeout {
 			q.PartitionTimeoutMillis = q.UnresolvedTimeoutMillis
 		}
 	}
--- a/sim/fairness_test.go
+++ b/sim/fairness_test.go
@@ -36,7 +36,7 @@
 	}
 	t.Parallel()
 	is := is.New(t)
-	r := New(Plan{Seed: 3, Deployment: "kingston", Patience: 30 * time.Second})
+	r := New(Plan{Seed: 3, Deployment: "kingston", UnresolvedTimeout: 30 * time.Second})
 	r.putFirstTableAt(3 * time.Second)
 	r.After(6*time.Second, r.startFlows)
 	newFloodJob := func(rnd *rand.Rand) state.Spec {
--- a/sim/fault_tables.go
+++ b/sim/fault_tables.go
@@ -83,7 +83,7 @@
 	"wipe-oldest":        diskLossFault((*Run).oldestController, (*Run).loseDisk),
 	"power-after-accept": faultAfterAcknowledgement(history.JobAccepted, powerFault(allControllers)),
 	"power-after-ack":    faultAfterAcknowledgement(history.TableAcknowledged, powerFault(allDaemons)),
-	"kill-herd":          powerFault(mostDisklessDaemons),
+	"kill-herd":          powerFault(sampleDisklessDaemons),
 
 	"roll-controllers": rollingRestartFault(allControllers),
 	"roll-gateways":    rollingRestartFault(allGateways),
--- a/sim/fault_targets.go
+++ b/sim/fault_targets.go
@@ -94,8 +94,8 @@
 // massKillPart is the part of the gateways and agents that fail at once.
 const massKillPart = 0.6
 
-// mostDisklessDaemons draws gateways and agents that fail at once.
-func mostDisklessDaemons(r *Run) []*world.Node {
+// sampleDisklessDaemons draws gateways and agents that fail at once.
+func sampleDisklessDaemons(r *Run) []*world.Node {
 	return r.sample(r.disklessDaemons(), massKillPart)
 }
 
--- a/sim/large_deployment_test.go
+++ b/sim/large_deployment_test.go
@@ -17,16 +17,16 @@
 // grownDay is the plan of a run of a large deployment, short enough for CI.
 func grownDay(seed int64, deployment string, count int, faults ...string) Plan {
 	return Plan{
-		Seed:       seed,
-		Deployment: deployment,
-		Faults:     faults,
-		FaultCount: count,
-		Quick:      true,
-		Before:     2 * time.Second,
-		FaultsFor:  4 * time.Second,
-		After:      3 * time.Second,
-		Settle:     40 * time.Second,
-		Patience:   5 * time.Second,
+		Seed:              seed,
+		Deployment:        deployment,
+		Faults:            faults,
+		FaultCount:        count,
+		Quick:             true,
+		Before:            2 * time.Second,
+		FaultsFor:         4 * time.Second,
+		After:             3 * time.Second,
+		Settle:            40 * time.Second,
+		UnresolvedTimeout: 5 * time.Second,
 	}
 }
 
@@ -138,7 +138,7 @@
 		}
 	})
 	r.Execute()
-	attempts, pushes, told := 0, 0, 0
+	attempts, pushes, notified := 0, 0, 0
 	for _, h := range r.History.Events {
 		if h.Kind == history.AttemptEnded {
 			attempts++
@@ -147,11 +147,11 @@
 	for _, h := range r.controllers {
 		pushes += h.Usage.Received[world.LogMessages].Messages + h.Usage.Received[world.WorkMessages].Messages
 		if h != r.leader() {
-			told += h.Usage.Sent[world.WorkMessages].Messages
+			notified += h.Usage.Sent[world.WorkMessages].Messages
 		}
 	}
-	t.Logf("%d attempts, %d messages to the controllers, %d by followers of work", attempts, pushes, told)
+	t.Logf("%d attempts, %d messages to the controllers, %d by followers of work", attempts, pushes, notified)
 	is.True(attempts > 500)
-	is.True(told < attempts)
+	is.True(notified < attempts)
 	is.True(pushes < 20*attempts)
 }
--- a/sim/leader_bench_test.go
+++ b/sim/leader_bench_test.go
@@ -20,14 +20,14 @@
 // labelledMachine marks a machine's steps in a processor profile.
 type labelledMachine struct {
 	wire.Machine
-	spent time.Duration
-	steps int
+	processorTime time.Duration
+	steps         int
 }
 
 func (l *labelledMachine) Step(e wire.Event) (out wire.Effects) {
 	from := threadTime()
 	pprof.Do(context.Background(), pprof.Labels("leader", "yes"), func(context.Context) { out = l.Machine.Step(e) })
-	l.spent += threadTime() - from
+	l.processorTime += threadTime() - from
 	l.steps++
 	return out
 }
@@ -65,7 +65,7 @@
 	r.advance(time.Duration(b.N) * time.Second)
 	b.StopTimer()
 	seconds := float64(b.N)
-	b.ReportMetric(float64(m.spent.Milliseconds())/seconds, "leader-ms/s")
+	b.ReportMetric(float64(m.processorTime.Milliseconds())/seconds, "leader-ms/s")
 	b.ReportMetric(float64(m.steps)/seconds, "steps/s")
 	b.ReportMetric(float64(r.countEvents(history.AttemptStarted)-started)/seconds, "starts/s")
 }
--- a/sim/memory_test.go
+++ b/sim/memory_test.go
@@ -23,7 +23,7 @@
 	}
 	t.Parallel()
 	is := is.New(t)
-	r := New(Plan{Seed: 90, Deployment: "kingston", Patience: 30 * time.Second})
+	r := New(Plan{Seed: 90, Deployment: "kingston", UnresolvedTimeout: 30 * time.Second})
 	r.putFirstTableAt(3 * time.Second)
 	r.After(6*time.Second, r.startFlows)
 	part := *trafficDuration / 12
--- a/sim/planted_polling_test.go
+++ b/sim/planted_polling_test.go
@@ -17,24 +17,24 @@
 	"coppercourse/internal/wire"
 )
 
-const usualPatience = 30 * time.Second
+const defaultUnresolvedTimeout = 30 * time.Second
 
 // plantedBug is a change to a run of a deployment whose workers poll.
 type plantedBug struct {
-	name     string
-	faults   []string
-	rules    []string      // all that must be seen broken
-	patience time.Duration // usualPatience if 0
-	short    bool          // the backlog grows with the bug; a few seconds show it
-	plant    func(*Run)
+	name              string
+	faults            []string
+	rules             []string      // all that must be seen broken
+	unresolvedTimeout time.Duration // defaultUnresolvedTimeout if 0
+	short             bool          // the backlog grows with the bug; a few seconds show it
+	plant             func(*Run)
 }
 
 var plantedBugs = []plantedBug{
 	{
-		name:     "workers ignore their lease",
-		faults:   []string{"cut-worker"},
-		rules:    []string{"twice"},
-		patience: time.Millisecond,
+		name:              "workers ignore their lease",
+		faults:            []string{"cut-worker"},
+		rules:             []string{"twice"},
+		unresolvedTimeout: time.Millisecond,
 		plant: func(r *Run) {
 			for _, worker := range r.PollingWorkers {
 				worker.IgnoresLease = true
@@ -187,17 +187,17 @@
 // plan is the plan of a run that shows the bug.
 func (b plantedBug) plan(seed int64) Plan {
 	p := Plan{
-		Seed:       seed,
-		Deployment: "kingston",
-		Faults:     b.faults,
-		Before:     6 * time.Second,
-		FaultsFor:  12 * time.Second,
-		After:      24 * time.Second,
-		Settle:     40 * time.Second,
-		Patience:   b.patience,
+		Seed:              seed,
+		Deployment:        "kingston",
+		Faults:            b.faults,
+		Before:            6 * time.Second,
+		FaultsFor:         12 * time.Second,
+		After:             24 * time.Second,
+		Settle:            40 * time.Second,
+		UnresolvedTimeout: b.unresolvedTimeout,
 	}
-	if b.patience == 0 {
-		p.Patience = usualPatience
+	if b.unresolvedTimeout == 0 {
+		p.UnresolvedTimeout = defaultUnresolvedTimeout
 	}
 	if b.faults != nil {
 		p.FaultCount = 6
--- a/sim/quorum_loss_planted_test.go
+++ b/sim/quorum_loss_planted_test.go
@@ -280,7 +280,7 @@
 
 // A member without a vote, and one whose disk stalls, stand for no election; they too
 // send nobody to a leader that they have not heard for longer than an election takes.
-func TestNobodyRedirectsToALeaderOfWhichItHasNoWord(t *testing.T) {
+func TestNobodyRedirectsToALeaderItHasNotHeardFrom(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name string
--- a/sim/quorum_loss_test.go
+++ b/sim/quorum_loss_test.go
@@ -174,7 +174,7 @@
 	for i := range d.Queues {
 		d.Queues[i].Host, d.Queues[i].PathPrefix = routeHost, "/"+string(d.Queues[i].Name)+"/"
 	}
-	c := &cutoff{Run: newRun(Plan{Seed: seed, Quick: true, Patience: 5 * time.Second}, d)}
+	c := &cutoff{Run: newRun(Plan{Seed: seed, Quick: true, UnresolvedTimeout: 5 * time.Second}, d)}
 	c.Network.Quality = world.NetworkQuality{}
 	table := c.Clients.deployment.Table()
 	c.After(3*time.Second, func() { c.Clients.putTable(table, c.gateways[0].Addr, func(bool) {}) })
--- a/sim/redirect_test.go
+++ b/sim/redirect_test.go
@@ -53,14 +53,14 @@
 			keep := func(b wire.Response) { a, got = b, true }
 			r.Request("operator", old.Addr, verb, "", wire.EncodeBody(body), keep) // the first event after the thaw
 			r.RunUntil(18 * time.Second)
-			var heir *world.Node
+			var successor *world.Node
 			for _, h := range r.controllers {
 				if h != old && r.controllerStatus(h).RaftRole == "leader" {
-					heir = h
+					successor = h
 				}
 			}
-			is.True(heir != nil)
-			b, ok := r.requestFrom(heir, "table.put", r.changedTable(1, 5), time.Second)
+			is.True(successor != nil)
+			b, ok := r.requestFrom(successor, "table.put", r.changedTable(1, 5), time.Second)
 			is.True(ok && b.Error == nil)
 			old.Thaw()
 			r.RunUntil(time.Duration(r.Now()) + 500*time.Millisecond)
--- a/sim/regression_test.go
+++ b/sim/regression_test.go
@@ -16,46 +16,46 @@
 // faultPlan is a run short enough for every change.
 func faultPlan(seed int64, deployment string, count int, faults ...string) Plan {
 	return Plan{
-		Seed:       seed,
-		Deployment: deployment,
-		Faults:     faults,
-		FaultCount: count,
-		Before:     8 * time.Second,
-		FaultsFor:  12 * time.Second,
-		After:      22 * time.Second,
-		Settle:     44 * time.Second,
-		Patience:   12 * time.Second,
+		Seed:              seed,
+		Deployment:        deployment,
+		Faults:            faults,
+		FaultCount:        count,
+		Before:            8 * time.Second,
+		FaultsFor:         12 * time.Second,
+		After:             22 * time.Second,
+		Settle:            44 * time.Second,
+		UnresolvedTimeout: 12 * time.Second,
 	}
 }
 
 // clockFaultPlan is a plan that once showed tasks starting before their time.
 func clockFaultPlan(seed int64) Plan {
 	return Plan{
-		Seed:       seed,
-		Deployment: "kingston",
-		Faults:     []string{"jump-clock", "kill-leader", "power-all", "cut-core", "freeze-leader", "weather"},
-		FaultCount: 8,
-		Before:     10 * time.Second,
-		FaultsFor:  20 * time.Second,
-		After:      24 * time.Second,
-		Settle:     60 * time.Second,
-		Patience:   30 * time.Second,
+		Seed:              seed,
+		Deployment:        "kingston",
+		Faults:            []string{"jump-clock", "kill-leader", "power-all", "cut-core", "freeze-leader", "weather"},
+		FaultCount:        8,
+		Before:            10 * time.Second,
+		FaultsFor:         20 * time.Second,
+		After:             24 * time.Second,
+		Settle:            60 * time.Second,
+		UnresolvedTimeout: 30 * time.Second,
 	}
 }
 
 // sweepPlan is the plan of `coppersim sweep` by default.
 func sweepPlan(seed int64, count int, faults ...string) Plan {
 	return Plan{
-		Seed:       seed,
-		Deployment: "kingston",
-		Faults:     faults,
-		FaultCount: count,
-		Before:     10 * time.Second,
-		FaultsFor:  30 * time.Second,
-		After:      24 * time.Second,
-		Settle:     60 * time.Second,
-		Patience:   30 * time.Second,
-		LastFault:  true,
+		Seed:              seed,
+		Deployment:        "kingston",
+		Faults:            faults,
+		FaultCount:        count,
+		Before:            10 * time.Second,
+		FaultsFor:         30 * time.Second,
+		After:             24 * time.Second,
+		Settle:            60 * time.Second,
+		UnresolvedTimeout: 30 * time.Second,
+		LastFault:         true,
 	}
 }
 
--- a/sim/run.go
+++ b/sim/run.go
@@ -16,19 +16,19 @@
 
 // Plan is what a run does. Its phases follow one another: Before, FaultsFor, After, Settle.
 type Plan struct {
-	Seed       int64
-	Deployment string            // a name of package deployment
-	Faults     []string          // names of the faults to draw from; none: no faults
-	FaultCount int               // how many faults are injected
-	Before     time.Duration     // traffic before the faults
-	FaultsFor  time.Duration     // traffic while faults are injected
-	After      time.Duration     // traffic after the faults were healed
-	Settle     time.Duration     // no new traffic; all jobs must end
-	Patience   time.Duration     // time-out of every queue for an unresolved attempt
-	LastFault  bool              // one more fault at the very end of the traffic
-	Unguarded  bool              // invoked workers accept more than their capacity
-	Timeouts   protocol.Timeouts // of agents and controllers; zero means the defaults
-	Quick      bool              // the timeouts of the quick pace, for elections too
+	Seed              int64
+	Deployment        string            // a name of package deployment
+	Faults            []string          // names of the faults to draw from; none: no faults
+	FaultCount        int               // how many faults are injected
+	Before            time.Duration     // traffic before the faults
+	FaultsFor         time.Duration     // traffic while faults are injected
+	After             time.Duration     // traffic after the faults were healed
+	Settle            time.Duration     // no new traffic; all jobs must end
+	UnresolvedTimeout time.Duration     // time-out of every queue for an unresolved attempt
+	LastFault         bool              // one more fault at the very end of the traffic
+	Unguarded         bool              // invoked workers accept more than their capacity
+	Timeouts          protocol.Timeouts // of agents and controllers; zero means the defaults
+	Quick             bool              // the timeouts of the quick pace, for elections too
 }
 
 // Times of a run's phases.
--- a/sim/scale_load.go
+++ b/sim/scale_load.go
@@ -75,12 +75,12 @@
 // startLoad starts long tasks in proportion to those that run at the full size, and then
 // submits short ones at its rate, and a gang now and then.
 func (r *Run) startLoad(s Scale) error {
-	long := s.inProportion(fullRunning)
-	for i, left := 0, long; left > 0; i, left = i+1, left-longJobTasks {
+	longTasks := s.inProportion(fullRunning)
+	for i, left := 0, longTasks; left > 0; i, left = i+1, left-longJobTasks {
 		tasks := min(left, longJobTasks)
 		r.submit(fmt.Sprintf("long-%d", i), oneStepJob("long", i%loadedQueues, tasks, longTaskMillis))
 	}
-	allRunning := func() bool { return r.runningTasks() >= long }
+	allRunning := func() bool { return r.runningTasks() >= longTasks }
 	if err := r.await(30*time.Second, "the long tasks running", allRunning); err != nil {
 		return err
 	}
--- a/sim/stale_table_test.go
+++ b/sim/stale_table_test.go
@@ -76,14 +76,14 @@
 			t.Parallel()
 			is := is.New(t)
 			r := New(Plan{
-				Seed:       9,
-				Deployment: "kingston-called",
-				Quick:      true,
-				Before:     4 * time.Second,
-				FaultsFor:  30 * time.Second,
-				After:      4 * time.Second,
-				Settle:     time.Second,
-				Patience:   5 * time.Second,
+				Seed:              9,
+				Deployment:        "kingston-called",
+				Quick:             true,
+				Before:            4 * time.Second,
+				FaultsFor:         30 * time.Second,
+				After:             4 * time.Second,
+				Settle:            time.Second,
+				UnresolvedTimeout: 5 * time.Second,
 			})
 			costs := world.SmallCoreCosts
 			r.StepCosts = &costs
--- a/sim/verdict.go
+++ b/sim/verdict.go
@@ -59,8 +59,8 @@
 		return checker.CheckInvoked(&r.History, checker.InvokedBounds(r.Environment.Rules), r.endedAt)
 	}
 	bounds := checker.DefaultBounds
-	bounds.ShortPatience = r.Plan.Patience < shortPatience
-	return checker.Check(&r.History, bounds, r.endedAt, r.Plan.Patience)
+	bounds.ShortUnresolvedTimeout = r.Plan.UnresolvedTimeout < minPartitionTimeout
+	return checker.Check(&r.History, bounds, r.endedAt, r.Plan.UnresolvedTimeout)
 }
 
 // recoveryRatio returns Verdict.Ratio. It is not ok if no job was done before the faults,
--- a/sim/voters_helpers_test.go
+++ b/sim/voters_helpers_test.go
@@ -96,11 +96,11 @@
 
 // coreSizes returns the numbers of controllers to test: all from least to most, or the
 // short list in short mode.
-func coreSizes(least, most int, short ...int) (list []int) {
+func coreSizes(smallest, largest int, short ...int) (list []int) {
 	if testing.Short() {
 		return short
 	}
-	for n := least; n <= most; n++ {
+	for n := smallest; n <= largest; n++ {
 		list = append(list, n)
 	}
 	return list
--- a/sim/voters_test.go
+++ b/sim/voters_test.go
@@ -321,10 +321,10 @@
 	r.controllers[0].Boot()
 	r.Network.SetPartition([]types.Addr{"h1x"}, cut, true, true)
 	r.advance(10 * time.Second)
-	roll := r.controllerStatus(r.leader()).Members
-	is.Equal(roll.Voters(), 8)
+	members := r.controllerStatus(r.leader()).Members
+	is.Equal(members.Voters(), 8)
 	for i, id := range ids {
-		_, ok := roll.Find(id)
+		_, ok := members.Find(id)
 		is.Equal(ok, i < 2)
 	}
 	r.Network.HealPartitions()
--- a/sim/world/invoked_node.go
+++ b/sim/world/invoked_node.go
@@ -97,15 +97,15 @@
 // sendHeartbeat sends a heartbeat to the agent, and retries without an answer.
 func (i *InvokedNode) sendHeartbeat(retries int) {
 	w, running := i.Node.world, i.running()
-	beat := i.nextHeartbeat()
+	heartbeat := i.nextHeartbeat()
 	acknowledged := false
 	send := func() {
-		w.Request(i.Node.Addr, i.agent, wire.VerbHeartbeat, "", wire.EncodeBody(beat), func(answer wire.Response) {
+		w.Request(i.Node.Addr, i.agent, wire.VerbHeartbeat, "", wire.EncodeBody(heartbeat), func(answer wire.Response) {
 			if answer.Error != nil {
 				return
 			}
 			acknowledged = true
-			if beat.Draining && running() {
+			if heartbeat.Draining && running() {
 				i.acknowledgeDeparture()
 			}
 		})
--- a/sim/zone_partition_test.go
+++ b/sim/zone_partition_test.go
@@ -29,7 +29,7 @@
 	}
 	t.Parallel()
 	is := is.New(t)
-	r := New(Plan{Seed: 11, Deployment: "kingston", Patience: 30 * time.Second})
+	r := New(Plan{Seed: 11, Deployment: "kingston", UnresolvedTimeout: 30 * time.Second})
 	r.Clients.CancelRate = 0
 	r.putFirstTableAt(3 * time.Second)
 	r.After(6*time.Second, r.openFlows)
