--- a/internal/configwatch/staleness_test.go
+++ b/internal/configwatch/staleness_test.go
@@ -113,7 +113,7 @@
 	inFlight     []delivery
 }
 
-// delivery is a message on its way.
+// delivery is a message in transit.
 type delivery struct {
 	at          types.MonoTime
 	message     wire.Message
--- a/internal/controller/read_barrier_test.go
+++ b/internal/controller/read_barrier_test.go
@@ -23,7 +23,7 @@
 	answer := func(_ caller, job types.JobID) { answered = append(answered, job) }
 	b.endCommitted("a", 11)
 	b.release(11, answer)
-	is.Equal(len(answered), 0) // a newer end of it is on its way
+	is.Equal(len(answered), 0) // a newer end of it is in transit
 	b.endCommitted("b", 12)
 	b.release(12, answer)
 	is.Equal(answered, []types.JobID{"b"})
--- a/internal/raft/clock_test.go
+++ b/internal/raft/clock_test.go
@@ -15,7 +15,7 @@
 	n.followClock(1, 1000)
 	n.SetTime(types.Now{Mono: 150})
 	is.Equal(n.Clock(), types.ClusterTime(1050))
-	n.followClock(1, 1020) // delayed on its way
+	n.followClock(1, 1020) // delayed in transit
 	is.Equal(n.Clock(), types.ClusterTime(1050))
 	n.followClock(1, 1080)
 	is.Equal(n.Clock(), types.ClusterTime(1080))
--- a/internal/raft/network_test.go
+++ b/internal/raft/network_test.go
@@ -15,7 +15,7 @@
 // link is one direction between two machines.
 type link struct{ from, to types.Addr }
 
-// envelope is a message on its way.
+// envelope is a message in transit.
 type envelope struct {
 	from, to types.Addr
 	message  wire.Message
--- a/internal/raft/planted_bugs_test.go
+++ b/internal/raft/planted_bugs_test.go
@@ -109,7 +109,7 @@
 	return count
 }
 
-// injectIntoMessage lies about a message on its way.
+// injectIntoMessage alters a message in transit.
 func (w *world) injectIntoMessage(m *machine, message wire.Message) wire.Message {
 	switch {
 	case w.plantedBug == bugLeaseFromReceipt && message.Kind == wire.AppendReply:
--- a/internal/raft/transfer_test.go
+++ b/internal/raft/transfer_test.go
@@ -81,7 +81,7 @@
 	is.Equal(n.transfer.announcedCount, 0)
 }
 
-// TestTransferCompletes: the target is told to campaign once it has the whole log, and its
+// TestTransferCompletes: the target is asked to campaign once it has the whole log, and its
 // request for votes says that it was named.
 func TestTransferCompletes(t *testing.T) {
 	is := is.New(t)
--- a/sim/answer_recorder_test.go
+++ b/sim/answer_recorder_test.go
@@ -67,7 +67,7 @@
 	finalCode      int           // the status of that answer
 }
 
-// acknowledgement is a version that an operator was told is in force.
+// acknowledgement is a version that was acknowledged to an operator as in force.
 type acknowledgement struct {
 	at      int64
 	version types.Version
--- a/sim/checker/job.go
+++ b/sim/checker/job.go
@@ -18,7 +18,7 @@
 	cancelSentAt    int64 // when its caller first asked to cancel it
 	cancelledAt     int64 // when a cancel was acknowledged
 	observations    []history.Event
-	notFoundAt      int64                // when a caller was last told that there is no such job
+	notFoundAt      int64                // when a caller was last notified that there is no such job
 	unfinishedUntil int64                // by the start of its last attempt
 	executions      map[int][]*execution // by task number
 	rejections      int                  // requests to submit it that were rejected
--- a/sim/control_faults_test.go
+++ b/sim/control_faults_test.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// A change whose acknowledgements get lost is sent again, to other gateways, and is
-// acknowledged in the end; nobody is told that it was refused.
+// A change whose acknowledgements get lost is retried at other gateways, and is
+// acknowledged in the end; nobody gets a rejection.
 func TestLostAcknowledgementsRefuseNobody(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/sim/disruption_test.go
+++ b/sim/disruption_test.go
@@ -289,13 +289,13 @@
 	t.Run("runs", func(t *testing.T) {
 		t.Run("no sick workers", func(t *testing.T) {
 			t.Parallel()
-			allHealthy = rateWithSickWorkers(0, nil)
+			allHealthy = rateWithUnhealthyWorkers(0, nil)
 		})
 		for i, c := range cases {
 			for n := range maxSick {
 				t.Run(fmt.Sprintf("%d sick: %s", n+1, c.name), func(t *testing.T) {
 					t.Parallel()
-					rates[i][n] = rateWithSickWorkers(n+1, c.make)
+					rates[i][n] = rateWithUnhealthyWorkers(n+1, c.make)
 				})
 			}
 		}
@@ -311,8 +311,8 @@
 	}
 }
 
-// rateWithSickWorkers returns the jobs done a second while some of the workers are sick.
-func rateWithSickWorkers(count int, makeSick func(*history.WorkerSpec)) float64 {
+// rateWithUnhealthyWorkers returns the jobs done a second while some of the workers are unhealthy.
+func rateWithUnhealthyWorkers(count int, makeSick func(*history.WorkerSpec)) float64 {
 	r := newBusyRun(50, func(*config.Table) {})
 	for i := range count {
 		makeSick(&r.PollingWorkers[i*4%11].Worker.WorkerSpec)
--- a/sim/history/history.go
+++ b/sim/history/history.go
@@ -48,7 +48,7 @@
 	SubmissionRejected   Kind = "turned"     // one request to submit a job was rejected without effect
 	SubmissionUnresolved Kind = "unclear"    // or may have had an effect
 	JobObserved          Kind = "saw"        // a caller was shown a job's status, Stage
-	JobNotFound          Kind = "missed"     // a caller was told that there is no such job
+	JobNotFound          Kind = "missed"     // a caller was notified that there is no such job
 	CancelSubmitted      Kind = "cancelling" // a caller cancels a job for the first time
 	CancelAccepted       Kind = "cancelled"  // a cancel was acknowledged
 	RequestDropped       Kind = "dropped"    // a request was read and never answered
--- a/sim/linearizability_models_test.go
+++ b/sim/linearizability_models_test.go
@@ -17,7 +17,7 @@
 	"coppercourse/internal/wire"
 )
 
-// outcome is what an answer told whoever asked.
+// outcome is what a response said to its caller.
 type outcome string
 
 const (
@@ -119,7 +119,7 @@
 }
 
 // jobState is one job: the hash of what was accepted, or "" before; whether its
-// cancelling was accepted; and how it ended, once anybody was told.
+// cancelling was accepted; and how it ended, once anybody was notified.
 type jobState struct {
 	hash   string
 	halted bool
--- a/sim/quorum_loss_planted_test.go
+++ b/sim/quorum_loss_planted_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// neverStale has gateways never doubt the table that they have, and callers ask for
+// neverStale has gateways always take their table for fresh, and callers ask for
 // what it does not hold.
 func neverStale(c *cutoff) {
 	c.TableStaleAfter = time.Hour
--- a/sim/scale_test.go
+++ b/sim/scale_test.go
@@ -1,5 +1,5 @@
 // What an idle daemon says may not grow with the fleet: a short run of simulated
-// fleets. Times and processor shares are told by `coppersim capacity`, not judged.
+// fleets. Times and processor shares are reported by `coppersim capacity`, not judged.
 
 package sim
 
@@ -12,7 +12,7 @@
 	"coppercourse/sim/world"
 )
 
-// rate is what a role's daemons say and are told a second: all control messages
+// rate is what daemons of a role send and receive a second: all control messages
 // and bytes, and the roster's bytes of these.
 func (m *Measurement) rate(role string) (messages, bytes, roster float64) {
 	for _, u := range m.Roles {
--- a/sim/world/network.go
+++ b/sim/world/network.go
@@ -84,7 +84,7 @@
 // ClearExtraDelays ends all of them.
 func (n *Network) ClearExtraDelays() { clear(n.extraDelay) }
 
-// ResetConnections resets a part of the connections of a daemon: of what is on its way
+// ResetConnections resets a part of the connections of a daemon: of what is in transit
 // from or to it, that part is lost.
 func (n *Network) ResetConnections(daemon types.Addr, now int64) { n.resetAt[daemon] = now }
 
@@ -117,7 +117,7 @@
 	return d
 }
 
-// lostToReset draws whether a packet is lost because connections were reset on its way.
+// lostToReset draws whether a packet is lost because connections were reset in transit.
 func (n *Network) lostToReset(random *rand.Rand, from, to types.Addr, sentAt, now int64) bool {
 	if len(n.resetAt) == 0 {
 		return false
--- a/sim/world/usage_test.go
+++ b/sim/world/usage_test.go
@@ -84,7 +84,7 @@
 	p := server.NewHandlers(loop, nil)
 	written := make(chan bool, len(sends))
 	srv := &http.Server{Handler: p.TrackInFlight(p.Router()), ConnState: func(_ net.Conn, s http.ConnState) {
-		if s == http.StateIdle { // told by the goroutine that wrote, and counted, the answer
+		if s == http.StateIdle { // reported by the goroutine that wrote, and counted, the response
 			written <- true
 		}
 	}}
