--- a/internal/apierror/golden_test.go
+++ b/internal/apierror/golden_test.go
@@ -13,7 +13,7 @@
 	"coppercourse/internal/goldentest"
 )
 
-// Every kind of refusal: its status, and its body as it is and with a longer wait.
+// Every kind of error: its status, and its body as it is and with a longer wait.
 func TestErrorsGolden(t *testing.T) {
 	goldentest.JSON[apierror.Error](t, "error.json")
 	var lines strings.Builder
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -28,7 +28,7 @@
 type OrphanPolicy string
 
 const (
-	// RefuseOrphans refuses the new table while there are such jobs; it is the default.
+	// RefuseOrphans rejects the new table while there are such jobs; it is the default.
 	RefuseOrphans OrphanPolicy = ""
 	// FinishOrphans lets them finish by the last settings of their queue.
 	FinishOrphans OrphanPolicy = "finish"
@@ -37,7 +37,7 @@
 // Service is a kind of worker.
 type Service struct {
 	Name types.ServiceKind `json:"name"`
-	// EnforcesResources says that its workers refuse tasks that don't fit. Where they
+	// EnforcesResources says that its workers reject tasks that don't fit. Where they
 	// don't, the scheduler alone keeps their resources from being exceeded.
 	EnforcesResources bool   `json:"guards"`
 	HealthPath        string `json:"health,omitempty"`      // path of the health check
@@ -111,7 +111,7 @@
 func (t Table) ContentHash() string {
 	t.Version, t.RequestedVersion = 0, 0
 	t.MaxTasks, t.MaxMegabytes = t.TaskLimit(), t.ByteLimit()
-	content, _ := json.Marshal(t) // fails only for a Source that is not JSON, which ReadTable refuses
+	content, _ := json.Marshal(t) // fails only for a Source that is not JSON, which ReadTable rejects
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:contentHashBytes])
 }
--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -115,15 +115,15 @@
 }
 
 // commandApplied replies to the caller, if any, who waits for an entry whose command was
-// just applied; refusal is why the state refused it, or nil.
-func (a *api) commandApplied(now types.Now, e raft.Entry, command state.Command, refusal *apierror.Error) {
+// just applied; rejection is why the state rejected it, or nil.
+func (a *api) commandApplied(now types.Now, e raft.Entry, command state.Command, rejection *apierror.Error) {
 	from, isOwn, ok := a.requests.takeCommitted(e.Index, e.Term)
 	switch {
 	case !ok:
 	case !isOwn:
 		a.outbox.replyError(from, leaderChanged())
-	case refusal != nil:
-		a.outbox.replyError(from, a.withRetryAfter(now, refusal, command))
+	case rejection != nil:
+		a.outbox.replyError(from, a.withRetryAfter(now, rejection, command))
 	default:
 		a.replyCommitted(now, from, command)
 	}
--- a/internal/controller/command_log.go
+++ b/internal/controller/command_log.go
@@ -109,11 +109,11 @@
 }
 
 // apply applies a command to the state. It returns the assignments that took effect, and
-// the refusal of a command that did not.
+// the rejection of a command that did not.
 func (l *commandLog) apply(command state.Command) ([]state.Assignment, *apierror.Error) {
-	assignments, refusal := l.replicated.Apply(command)
+	assignments, rejection := l.replicated.Apply(command)
 	l.raft.AdvanceClock(l.replicated.Time)
-	return assignments, refusal
+	return assignments, rejection
 }
 
 // installSnapshot starts to load a snapshot that a leader has sent in place of entries
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -181,12 +181,12 @@
 func (c *Controller) apply(e raft.Entry, command state.Command) {
 	c.leader.requestPlacement()
 	c.durations.record(c.log.state(), command)
-	assignments, refusal := c.log.apply(command)
+	assignments, rejection := c.log.apply(command)
 	c.traceCommand(command, e.Index)
 	c.recordEndedJobs(command.Ends)
-	c.api.commandApplied(c.now, e, command, refusal)
+	c.api.commandApplied(c.now, e, command, rejection)
 	if c.leader.active() && c.raft.IsLeader() {
-		c.leader.commandApplied(c.now.Mono, command, assignments, refusal)
+		c.leader.commandApplied(c.now.Mono, command, assignments, rejection)
 	}
 }
 
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -22,13 +22,13 @@
 	m := c.leader()
 	is.True(!m.machine.Step(wire.Event{Now: m.clock()}).Drained)
 	m.machine.requests.await(1<<40, 1, caller{token: 1 << 40}) // waits for a commit that never comes
-	var refusal *apierror.Error
-	m.responses[1<<40] = func(r wire.Response) { refusal = r.Error }
+	var rejection *apierror.Error
+	m.responses[1<<40] = func(r wire.Response) { rejection = r.Error }
 	m.step(wire.Event{Shutdown: true})
 	is.True(!m.machine.Ready())
 	c.until(shutdownTimeout, "another leader", func() bool { return c.leader() != nil && c.leader() != m })
 	is.True(m.machine.Step(wire.Event{Now: m.clock()}).Drained)
-	is.Equal(refusal.Kind, apierror.OutcomeUnknown)
+	is.Equal(rejection.Kind, apierror.OutcomeUnknown)
 	c.change(100) // the others go on
 }
 
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -66,7 +66,7 @@
 func diskName(i int) string { return fmt.Sprintf("disk-%d.log", i+1) }
 
 // requests are all verbs that only read, each with what it is for, and those that
-// change something as they are refused.
+// change something as they are rejected.
 var requests = []string{
 	"table.get",
 	"job.get two-steps", "job.get often", "job.get stopped-early", "job.get fails", "job.get done",
--- a/internal/controller/job_requests.go
+++ b/internal/controller/job_requests.go
@@ -36,14 +36,14 @@
 	a.propose(r.caller, command)
 }
 
-// withRetryAfter adds a Retry-After to the refusal of a submission by a full queue.
-func (a *api) withRetryAfter(now types.Now, refusal *apierror.Error, command state.Command) *apierror.Error {
-	if refusal.Kind == apierror.QueueFull && command.Job != nil {
+// withRetryAfter adds a Retry-After to the rejection of a submission by a full queue.
+func (a *api) withRetryAfter(now types.Now, rejection *apierror.Error, command state.Command) *apierror.Error {
+	if rejection.Kind == apierror.QueueFull && command.Job != nil {
 		queue := command.Job.Spec.Queue
 		waiting := a.log.state().UnfinishedJobs(queue)
-		refusal.WithRetryAfter(a.requests.retryAfter(queue, now.Mono, waiting))
+		rejection.WithRetryAfter(a.requests.retryAfter(queue, now.Mono, waiting))
 	}
-	return refusal
+	return rejection
 }
 
 // getJob shows a job, once the ends of its attempts that are in flight are committed.
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -222,11 +222,11 @@
 	}
 }
 
-// commandApplied handles a command that was just applied: refusal is why the state refused
+// commandApplied handles a command that was just applied: rejection is why the state refused
 // it, or nil; assignments are those that took effect.
 func (l *leader) commandApplied(now types.MonoTime, command state.Command, assignments []state.Assignment,
-	refusal *apierror.Error) {
-	if command.Job != nil && refusal == nil {
+	rejection *apierror.Error) {
+	if command.Job != nil && rejection == nil {
 		l.planner.recordJob(l.view(now), l.log.state().Jobs[command.Job.ID])
 	}
 	for _, a := range command.Assignments {
--- a/internal/controller/leader_rig_test.go
+++ b/internal/controller/leader_rig_test.go
@@ -112,12 +112,12 @@
 	}
 }
 
-// apply applies a command to the state; one that is refused fails the test.
+// apply applies a command to the state; one that is rejected fails the test.
 func (l *leaderRig) apply(t *testing.T, command state.Command) {
 	t.Helper()
 	command.Time = max(command.Time, l.log.state().Time, types.ClusterTime(time.Second))
-	if _, refusal := l.log.apply(command); refusal != nil {
-		t.Fatal(refusal)
+	if _, rejection := l.log.apply(command); rejection != nil {
+		t.Fatal(rejection)
 	}
 }
 
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -57,7 +57,7 @@
 	o.reply(to, wire.ForwardedReply{StatusCode: status, Body: wire.EncodeBody(value)})
 }
 
-// replyError refuses a request.
+// replyError rejects a request.
 func (o *outbox) replyError(to caller, err *apierror.Error) {
 	o.reply(to, wire.ForwardedReply{Error: err})
 }
--- a/internal/controller/outbox_test.go
+++ b/internal/controller/outbox_test.go
@@ -11,18 +11,18 @@
 )
 
 // A gateway gets its reply as a message under its own number, a client of this daemon
-// as a response under its token; only errors count as refused.
+// as a response under its token; only errors count as rejected.
 func TestRepliesGoBackTheWayTheirRequestsCame(t *testing.T) {
 	gateway, client := caller{gateway: "g1", requestID: 7}, caller{token: 9}
 	for _, c := range []struct {
-		name    string
-		to      caller
-		reply   func(*outbox, caller)
-		want    wire.ForwardedReply // of a gateway
-		code    int                 // of a client
-		kind    apierror.Kind
-		leader  types.Addr
-		refused uint64
+		name     string
+		to       caller
+		reply    func(*outbox, caller)
+		want     wire.ForwardedReply // of a gateway
+		code     int                 // of a client
+		kind     apierror.Kind
+		leader   types.Addr
+		rejected uint64
 	}{
 		{"value to a gateway", gateway, func(o *outbox, to caller) { o.replyOK(to, 201, "v") },
 			wire.ForwardedReply{ID: 7, StatusCode: 201, Body: []byte(`"v"`)}, 0, "", "", 0},
@@ -39,7 +39,7 @@
 			is := is.New(t)
 			o := outbox{self: "c1", counters: &Counters{}}
 			c.reply(&o, c.to)
-			is.Equal(o.counters.Rejected, c.refused)
+			is.Equal(o.counters.Rejected, c.rejected)
 			messages, responses := o.take()
 			if c.to.token == 0 {
 				is.Equal(len(messages), 1)
--- a/internal/controller/request_table_test.go
+++ b/internal/controller/request_table_test.go
@@ -24,15 +24,15 @@
 	}
 	a.requests.await(7, 2, caller{token: 1})
 	a.requests.await(8, 3, caller{token: 2})
-	refused := apierror.New(apierror.StaleVersion, "edition", "another order was first")
-	a.commandApplied(types.Now{}, raft.Entry{Index: 7, Term: 3}, state.Command{Cancel: "j"}, refused)
+	rejection := apierror.New(apierror.StaleVersion, "edition", "another order was first")
+	a.commandApplied(types.Now{}, raft.Entry{Index: 7, Term: 3}, state.Command{Cancel: "j"}, rejection)
 	is.Equal(len(a.outbox.responses), 1)
 	is.Equal(a.outbox.responses[0].Token, uint64(1))
 	is.Equal(a.outbox.responses[0].Error.Kind, apierror.OutcomeUnknown)
-	a.commandApplied(types.Now{}, raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, refused)
+	a.commandApplied(types.Now{}, raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, rejection)
 	is.Equal(a.outbox.responses[1].Token, uint64(2))
 	is.Equal(a.outbox.responses[1].Error.Kind, apierror.StaleVersion)
-	a.commandApplied(types.Now{}, raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, refused)
+	a.commandApplied(types.Now{}, raft.Entry{Index: 8, Term: 3}, state.Command{Cancel: "j"}, rejection)
 	is.Equal(len(a.outbox.responses), 2) // once
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -89,16 +89,16 @@
 		{"only one controller was asked", func(_ *is.I, h *harness) {
 			h.reply("a", 0, full)
 		}, apierror.QueueFull},
-		{"the first one is silent, the second refuses", func(is *is.I, h *harness) {
+		{"the first one is silent, the second rejects", func(is *is.I, h *harness) {
 			h.advance(ForwardTimeout + 40*time.Millisecond)
 			is.Equal(len(h.sent), 2)
 			h.reply(h.sent[1].To, 1, full)
 		}, apierror.OutcomeUnknown},
-		{"the first one refuses late, the second has not answered", func(_ *is.I, h *harness) {
+		{"the first one rejects late, the second has not answered", func(_ *is.I, h *harness) {
 			h.advance(ForwardTimeout + 40*time.Millisecond)
 			h.reply("a", 0, full)
 		}, apierror.OutcomeUnknown},
-		{"the first one does not lead, the second refuses", func(is *is.I, h *harness) {
+		{"the first one does not lead, the second rejects", func(is *is.I, h *harness) {
 			h.reply("a", 0, wire.ForwardedReply{NotLeader: true, Leader: "b"})
 			is.Equal(h.sent[1].To, types.Addr("b"))
 			h.reply("b", 1, full)
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -42,7 +42,7 @@
 
 // quorumAckedRound is the start of the newest round that a quorum has answered, on this
 // leader's own clock. It counts from the sending of the round, not from the receipt of an
-// answer: a voter refuses other candidates from the moment that it receives the message.
+// answer: a voter rejects other candidates from the moment that it receives the message.
 func (n *Node) quorumAckedRound() types.MonoTime {
 	return quorumValue(n.log.config, func(m Member) types.MonoTime {
 		if m.ID == n.self.ID {
--- a/internal/wire/worker_call.go
+++ b/internal/wire/worker_call.go
@@ -25,7 +25,7 @@
 type WorkerCall struct {
 	Number       uint64     // repeated in its reply
 	Addr         types.Addr // where the worker listens
-	Incarnation  types.ID   // the worker process that is meant; another one refuses
+	Incarnation  types.ID   // the worker process that is meant; another one rejects it
 	Kind         CallKind
 	Attempt      types.AttemptID // StartAttempt, StopAttempt
 	Input        json.RawMessage // StartAttempt: the task's input
@@ -43,13 +43,13 @@
 // The outcomes of a call. Only ResultNoReply leaves open whether it was carried out.
 const (
 	ResultAccepted         CallResult = "taken"     // carried out
-	ResultFenced           CallResult = "fenced"    // refused: the worker has seen a higher fencing token
-	ResultSuperseded       CallResult = "outdated"  // refused: this attempt, or a later one, has ended there
-	ResultLeaseExpired     CallResult = "late"      // refused: the lease had ended
-	ResultNoCapacity       CallResult = "no room"   // refused: the worker has no free capacity
-	ResultInvalid          CallResult = "refused"   // refused: the request is invalid
-	ResultUnhealthy        CallResult = "sick"      // refused: the worker is unhealthy, or was not called
-	ResultOtherIncarnation CallResult = "stranger"  // refused: another worker process listens there
+	ResultFenced           CallResult = "fenced"    // rejected: the worker has seen a higher fencing token
+	ResultSuperseded       CallResult = "outdated"  // rejected: this attempt, or a later one, has ended there
+	ResultLeaseExpired     CallResult = "late"      // rejected: the lease had ended
+	ResultNoCapacity       CallResult = "no room"   // rejected: the worker has no free capacity
+	ResultInvalid          CallResult = "refused"   // rejected: the request is invalid
+	ResultUnhealthy        CallResult = "sick"      // rejected: the worker is unhealthy, or was not called
+	ResultOtherIncarnation CallResult = "stranger"  // rejected: another worker process listens there
 	ResultNotListening     CallResult = "closed"    // nobody listens there
 	ResultNoReply          CallResult = "no answer" // it may have been carried out, or may be yet
 )
