--- a/internal/dispatch/protocol/decode.go
+++ b/internal/dispatch/protocol/decode.go
@@ -100,16 +100,16 @@
 	})
 }
 
-// DecodeJSON reads u from its JSON.
-func (u *StatusReport) DecodeJSON(d *jx.Decoder) error {
+// DecodeJSON reads r from its JSON.
+func (r *StatusReport) DecodeJSON(d *jx.Decoder) error {
 	return wire.DecodeObject(d, func(key string) (bool, error) {
 		switch key {
 		case "shard":
-			return true, wire.DecodeString(d, &u.Shard)
+			return true, wire.DecodeString(d, &r.Shard)
 		case "id":
-			return true, wire.DecodeString(d, &u.Instance)
+			return true, wire.DecodeString(d, &r.Instance)
 		case "ends":
-			return true, wire.DecodeList(d, &u.Ends, func(e *state.AttemptEnd) error { return decodeEnd(d, e) })
+			return true, wire.DecodeList(d, &r.Ends, func(e *state.AttemptEnd) error { return decodeEnd(d, e) })
 		}
 		return false, nil
 	})
